--- a/crates/api/build.rs
+++ b/crates/api/build.rs
@@ -1,8 +1,8 @@
 //! Generates the messages from the .proto files, with protox in the place of a protoc to install.
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
-    let files =
-        ["control", "placement", "node", "roll", "roster"].map(|name| format!("corkspan/v1/{name}.proto"));
+    let files = ["control", "placement", "node", "roll", "roster"]
+        .map(|name| format!("corkspan/v1/{name}.proto"));
     println!("cargo:rerun-if-changed=proto");
     let set = protox::compile(files, ["proto"])?;
     tonic_prost_build::configure()
--- a/crates/api/src/lib.rs
+++ b/crates/api/src/lib.rs
@@ -1,13 +1,14 @@
-//! The messages and services of `corkspan.v1`, generated from the files in `proto/`: placement for clients,
-//! node and roster. What the fields mean is said there.
+//! The messages and services of `corkspan.v1`, generated from the files in `proto/`: placement for
+//! clients, node and roster. What the fields mean is said there.
 
 #[allow(clippy::all, clippy::pedantic, missing_docs)]
 pub mod v1 {
     tonic::include_proto!("corkspan.v1");
 }
 
-/// The codec of all messages here: prost's, with small buffers. A call stays open for as long as its allocation
-/// runs, and tonic's own buffers of 8 KiB at each end of each call would be most of what an allocation costs.
+/// The codec of all messages here: prost's, with small buffers. A call stays open for as long as
+/// its allocation runs, and tonic's own buffers of 8 KiB at each end of each call would be most of
+/// what an allocation costs.
 pub mod codec {
     use std::marker::PhantomData;
     use tonic::codec::{BufferSettings, Codec};
--- a/crates/benchlink/src/instance.rs
+++ b/crates/benchlink/src/instance.rs
@@ -23,7 +23,10 @@
 impl Wire<String> for Lines<'_> {
     fn send(&mut self, name: &mut String, _: &Allocation, machine: MachineId, time_out: Tenths) {
         let (node, us) = (machine.0, time_out * 100);
-        let _ = writeln!(self.0, "PUT\trequest-id={name}\tnode={node}\tgive-up-after-us={us}");
+        let _ = writeln!(
+            self.0,
+            "PUT\trequest-id={name}\tnode={node}\tgive-up-after-us={us}"
+        );
     }
 
     fn shed(&mut self, name: &mut String, _: &Allocation) {
@@ -53,12 +56,22 @@
 
 impl Instance {
     pub fn boot(now: Tenths, message: &Message) -> Result<Self, Fault> {
-        let facts: Facts = serde_json::from_str(message.text("facts")?).map_err(|why| message.wrong(why))?;
+        let facts: Facts =
+            serde_json::from_str(message.text("facts")?).map_err(|why| message.wrong(why))?;
         let cluster = facts.cluster().map_err(|why| message.wrong(why))?;
         // In the simulator what is sent has left.
-        let cluster = Cluster { opens_within: 0, ..cluster };
+        let cluster = Cluster {
+            opens_within: 0,
+            ..cluster
+        };
         // The simulator itself turns away what is beyond its cap.
-        let host = Host::new(cluster, message.get("random-seed")?, now, usize::MAX, Slice::ALL);
+        let host = Host::new(
+            cluster,
+            message.get("random-seed")?,
+            now,
+            usize::MAX,
+            Slice::ALL,
+        );
         Ok(Instance { host, facts })
     }
 
@@ -82,7 +95,9 @@
             "IN_PLACE" => {
                 let (name, asked) = self.asked(us, message)?;
                 let machine = MachineId(message.get("node")?);
-                let taken = self.host.take_running(now, name, asked, machine, name.into());
+                let taken = self
+                    .host
+                    .take_running(now, name, asked, machine, name.into());
                 taken.map_err(|(why, _)| message.wrong(why))?;
             }
             "SEATED" => {
@@ -146,8 +161,13 @@
         };
         let over = message.get_or("final", 0u8)? == 1;
         let report = report(message)?;
-        let Some(id) = self.find(message)? else { return Ok(()) };
-        match self.host.returned(now, id, shot, ending, reason, over, report, &mut Lines(out)) {
+        let Some(id) = self.find(message)? else {
+            return Ok(());
+        };
+        match self
+            .host
+            .returned(now, id, shot, ending, reason, over, report, &mut Lines(out))
+        {
             true => Ok(()),
             false => Err(message.unreadable("leg", &shot.to_string())),
         }
@@ -161,8 +181,15 @@
         let asked = Asked {
             service: service(message.text("owner-set")?),
             track: TrackId(message.index("tier-class", None, self.facts.classes.len())?),
-            account: AccountId(message.index("tenant", Some(0), self.facts.tenants.len().max(1))?),
-            asks: Amount { cores: message.amount("cores-asked")?, memory: message.amount("mem")? },
+            account: AccountId(message.index(
+                "tenant",
+                Some(0),
+                self.facts.tenants.len().max(1),
+            )?),
+            asks: Amount {
+                cores: message.amount("cores-asked")?,
+                memory: message.amount("mem")?,
+            },
             abandon: tenths(us.saturating_add(message.get_or("expires-in-us", 0)?)),
         };
         Ok((message.text("request-id")?, asked))
@@ -182,7 +209,10 @@
         let entries = &pools[message.index("page", None, pools.len())?];
         for entry in entries {
             if entry.kind.0 >= self.facts.skus.len() || entry.hall.0 >= self.facts.zones.len() {
-                return Err(message.wrong(format!("node {} has an unknown flavor or site", entry.machine.0)));
+                return Err(message.wrong(format!(
+                    "node {} has an unknown flavor or site",
+                    entry.machine.0
+                )));
             }
         }
         self.host.listed(scope, entries);
@@ -207,8 +237,14 @@
 /// The load report, where one is attached that tells both kinds of room.
 fn report(message: &Message) -> Result<Option<Report>, Fault> {
     let (mut cores, mut memory) = (None, None);
-    for pair in message.get_or("metrics", String::new())?.split(',').filter(|pair| !pair.is_empty()) {
-        let value = pair.split_once(':').and_then(|(name, value)| Some((name, value.parse::<f64>().ok()?)));
+    for pair in message
+        .get_or("metrics", String::new())?
+        .split(',')
+        .filter(|pair| !pair.is_empty())
+    {
+        let value = pair
+            .split_once(':')
+            .and_then(|(name, value)| Some((name, value.parse::<f64>().ok()?)));
         match value.filter(|(_, value)| value.is_finite()) {
             Some(("x0", value)) => cores = Some(value),
             Some(("x1", value)) => memory = Some(value),
@@ -216,5 +252,7 @@
             None => return Err(message.unreadable("metrics", pair)),
         }
     }
-    Ok(cores.zip(memory).map(|(cores, memory)| Report { unused: Amount { cores, memory } }))
+    Ok(cores.zip(memory).map(|(cores, memory)| Report {
+        unused: Amount { cores, memory },
+    }))
 }
--- a/crates/benchlink/src/main.rs
+++ b/crates/benchlink/src/main.rs
@@ -27,7 +27,10 @@
 fn run(mut input: impl BufRead, mut output: impl Write) -> Result<(), Fault> {
     let mut instances: BTreeMap<String, Instance> = BTreeMap::new();
     let mut pools = vec![Vec::new(); POOLS];
-    let mut lines = Lines { number: 0, text: Vec::new() };
+    let mut lines = Lines {
+        number: 0,
+        text: Vec::new(),
+    };
     let mut reply = String::new();
     while let Some((line, text)) = lines.next(&mut input)? {
         let tick = Message::read(line, text)?;
@@ -36,7 +39,14 @@
         }
         let (us, turn): (u64, u64) = (tick.get("t-us")?, tick.get("turn")?);
         reply.clear();
-        batch(us, &mut lines, &mut input, &mut instances, &mut pools, &mut reply)?;
+        batch(
+            us,
+            &mut lines,
+            &mut input,
+            &mut instances,
+            &mut pools,
+            &mut reply,
+        )?;
         reply.push_str(&format!("END\tturn={turn}\n"));
         output.write_all(reply.as_bytes())?;
         output.flush()?;
@@ -84,7 +94,9 @@
                 reply.push_str(&format!("ON_BEHALF\tdispatcher={name}\n"));
             }
             _ => {
-                let name = selected.as_ref().ok_or_else(|| message.wrong("no SELECT before it"))?;
+                let name = selected
+                    .as_ref()
+                    .ok_or_else(|| message.wrong("no SELECT before it"))?;
                 match message.name {
                     "BOOT" => {
                         instances.insert(name.clone(), Instance::boot(tenths(us), &message)?);
@@ -113,7 +125,10 @@
 
 fn entry(message: &Message) -> Result<Entry, Fault> {
     let started: u64 = message.get_or("start-time-us", 0)?;
-    let room = (message.get_or("cores-free", f64::NAN)?, message.get_or("memory-free", f64::NAN)?);
+    let room = (
+        message.get_or("cores-free", f64::NAN)?,
+        message.get_or("memory-free", f64::NAN)?,
+    );
     Ok(Entry {
         machine: MachineId(message.get("node")?),
         kind: KindId(message.get("flavor")?),
@@ -126,8 +141,10 @@
             other => return Err(message.unreadable("availability", other)),
         },
         started: (started > 0).then(|| tenths(started)),
-        unasked: (room.0.is_finite() && room.1.is_finite())
-            .then_some(Amount { cores: room.0, memory: room.1 }),
+        unasked: (room.0.is_finite() && room.1.is_finite()).then_some(Amount {
+            cores: room.0,
+            memory: room.1,
+        }),
     })
 }
 
@@ -148,10 +165,12 @@
             self.text.pop();
         }
         let line = self.number;
-        std::str::from_utf8(&self.text).map(|text| Some((line, text))).map_err(|why| Fault::Wrong {
-            line,
-            message: "text".into(),
-            why: why.to_string(),
-        })
+        std::str::from_utf8(&self.text)
+            .map(|text| Some((line, text)))
+            .map_err(|why| Fault::Wrong {
+                line,
+                message: "text".into(),
+                why: why.to_string(),
+            })
     }
 }
--- a/crates/benchlink/src/wire.rs
+++ b/crates/benchlink/src/wire.rs
@@ -6,9 +6,18 @@
 #[derive(Debug, thiserror::Error)]
 pub enum Fault {
     #[error("line {line}: {message} lacks the part `{part}`")]
-    Lacks { line: u64, message: String, part: &'static str },
+    Lacks {
+        line: u64,
+        message: String,
+        part: &'static str,
+    },
     #[error("line {line}: {message}: `{text}` is no value for the part `{part}`")]
-    Unreadable { line: u64, message: String, part: &'static str, text: String },
+    Unreadable {
+        line: u64,
+        message: String,
+        part: &'static str,
+        text: String,
+    },
     #[error("line {line}: `{message}` is no message that can stand here")]
     Unknown { line: u64, message: String },
     #[error("line {line}: `{text}` is no name=value pair")]
@@ -16,7 +25,11 @@
     #[error("line {line}: input ended in the middle of a batch")]
     Cut { line: u64 },
     #[error("line {line}: {message}: {why}")]
-    Wrong { line: u64, message: String, why: String },
+    Wrong {
+        line: u64,
+        message: String,
+        why: String,
+    },
     #[error("cannot read or write: {0}")]
     Stream(#[from] std::io::Error),
 }
@@ -38,7 +51,10 @@
         while !rest.is_empty() {
             let (pair, after) = rest.split_once('\t').unwrap_or((rest, ""));
             let Some((key, value)) = pair.split_once('=') else {
-                return Err(Fault::NoPair { line, text: pair.into() });
+                return Err(Fault::NoPair {
+                    line,
+                    text: pair.into(),
+                });
             };
             if TO_LINE_END.contains(&key) {
                 parts.push((key, &rest[key.len() + 1..]));
@@ -51,7 +67,11 @@
     }
 
     pub fn text(&self, part: &'static str) -> Result<&'a str, Fault> {
-        self.find(part).ok_or_else(|| Fault::Lacks { line: self.line, message: self.name.into(), part })
+        self.find(part).ok_or_else(|| Fault::Lacks {
+            line: self.line,
+            message: self.name.into(),
+            part,
+        })
     }
 
     pub fn get<T: FromStr>(&self, part: &'static str) -> Result<T, Fault> {
@@ -59,7 +79,8 @@
     }
 
     pub fn get_or<T: FromStr>(&self, part: &'static str, absent: T) -> Result<T, Fault> {
-        self.find(part).map_or(Ok(absent), |text| self.parse(part, text))
+        self.find(part)
+            .map_or(Ok(absent), |text| self.parse(part, text))
     }
 
     /// An amount of cores or memory: finite and not below 0.
@@ -73,28 +94,52 @@
     }
 
     /// A place in a list that the first message gave.
-    pub fn index(&self, part: &'static str, absent: Option<usize>, length: usize) -> Result<usize, Fault> {
+    pub fn index(
+        &self,
+        part: &'static str,
+        absent: Option<usize>,
+        length: usize,
+    ) -> Result<usize, Fault> {
         let value = match absent {
             Some(absent) => self.get_or(part, absent)?,
             None => self.get(part)?,
         };
-        if value < length { Ok(value) } else { Err(self.unreadable(part, &value.to_string())) }
+        if value < length {
+            Ok(value)
+        } else {
+            Err(self.unreadable(part, &value.to_string()))
+        }
     }
 
     pub fn unreadable(&self, part: &'static str, text: &str) -> Fault {
-        Fault::Unreadable { line: self.line, message: self.name.into(), part, text: text.into() }
+        Fault::Unreadable {
+            line: self.line,
+            message: self.name.into(),
+            part,
+            text: text.into(),
+        }
     }
 
     pub fn unknown(&self) -> Fault {
-        Fault::Unknown { line: self.line, message: self.name.into() }
+        Fault::Unknown {
+            line: self.line,
+            message: self.name.into(),
+        }
     }
 
     pub fn wrong(&self, why: impl ToString) -> Fault {
-        Fault::Wrong { line: self.line, message: self.name.into(), why: why.to_string() }
+        Fault::Wrong {
+            line: self.line,
+            message: self.name.into(),
+            why: why.to_string(),
+        }
     }
 
     fn find(&self, part: &str) -> Option<&'a str> {
-        self.parts.iter().find(|(key, _)| *key == part).map(|&(_, value)| value)
+        self.parts
+            .iter()
+            .find(|(key, _)| *key == part)
+            .map(|&(_, value)| value)
     }
 
     fn parse<T: FromStr>(&self, part: &'static str, text: &str) -> Result<T, Fault> {
--- a/crates/capacity/src/fit.rs
+++ b/crates/capacity/src/fit.rs
@@ -74,7 +74,10 @@
 
 impl Fit {
     pub fn of(points: &[(f64, f64)]) -> Result<Fit, NoFit> {
-        if points.iter().any(|(at, value)| !at.is_finite() || !value.is_finite()) {
+        if points
+            .iter()
+            .any(|(at, value)| !at.is_finite() || !value.is_finite())
+        {
             return Err(NoFit::NoNumber);
         }
         let places = places(points);
@@ -84,15 +87,21 @@
         let many = points.len() as f64;
         let centre = points.iter().map(|(at, _)| at).sum::<f64>() / many;
         let spread: f64 = points.iter().map(|(at, _)| (at - centre).powi(2)).sum();
-        // About the centre, so that the two columns are independent and large places lose no digits.
-        let design =
-            DMatrix::from_fn(
-                points.len(),
-                2,
-                |row, column| if column == 0 { 1.0 } else { points[row].0 - centre },
-            );
+        // About the centre, so that the two columns are independent and large places lose no
+        // digits.
+        let design = DMatrix::from_fn(points.len(), 2, |row, column| {
+            if column == 0 {
+                1.0
+            } else {
+                points[row].0 - centre
+            }
+        });
         let measured = DVector::from_iterator(points.len(), points.iter().map(|(_, value)| *value));
-        let found = design.clone().svd(true, true).solve(&measured, 1e-12).map_err(|_| NoFit::NoNumber)?;
+        let found = design
+            .clone()
+            .svd(true, true)
+            .solve(&measured, 1e-12)
+            .map_err(|_| NoFit::NoNumber)?;
         let (middle, slope) = (found[0], found[1]);
         let free = many - 2.0;
         let squares = (measured - design * found).norm_squared();
@@ -100,7 +109,10 @@
         let student = StudentsT::new(0.0, 1.0, free).map_err(|_| NoFit::NoNumber)?;
         let student = student.inverse_cdf(0.5 + LEVEL / 2.0);
         let line = |at: f64| middle + slope * (at - centre);
-        let bend = places.iter().map(|(at, mean, _)| (mean - line(*at)).abs()).fold(0.0, f64::max);
+        let bend = places
+            .iter()
+            .map(|(at, mean, _)| (mean - line(*at)).abs())
+            .fold(0.0, f64::max);
         Ok(Fit {
             intercept: line(0.0),
             slope,
@@ -121,7 +133,11 @@
     pub fn at(&self, at: f64) -> Result<Value, NotTold> {
         let within = at >= self.range.0 && at <= self.range.1;
         if !self.straight {
-            return if within { Ok(self.between(at)) } else { Err(NotTold::NotStraight) };
+            return if within {
+                Ok(self.between(at))
+            } else {
+                Err(NotTold::NotStraight)
+            };
         }
         if at < 0.0 || at > self.range.1 * BEYOND {
             return Err(NotTold::TooFar(self.range.1));
@@ -129,14 +145,30 @@
         let value = self.intercept + self.slope * at;
         let part = 1.0 / self.points as f64 + (at - self.centre).powi(2) / self.spread;
         let error = self.student * self.residual * part.sqrt();
-        Ok(Value { value, error, how: if within { How::Line } else { How::Beyond } })
+        Ok(Value {
+            value,
+            error,
+            how: if within { How::Line } else { How::Beyond },
+        })
     }
 
     fn between(&self, at: f64) -> Value {
-        let above = self.places.iter().position(|(place, ..)| *place >= at).unwrap_or(self.places.len() - 1);
+        let above = self
+            .places
+            .iter()
+            .position(|(place, ..)| *place >= at)
+            .unwrap_or(self.places.len() - 1);
         let (high, low) = (self.places[above], self.places[above.saturating_sub(1)]);
-        let part = if high.0 > low.0 { (at - low.0) / (high.0 - low.0) } else { 0.0 };
-        Value { value: low.1 + (high.1 - low.1) * part, error: low.2.max(high.2), how: How::Between }
+        let part = if high.0 > low.0 {
+            (at - low.0) / (high.0 - low.0)
+        } else {
+            0.0
+        };
+        Value {
+            value: low.1 + (high.1 - low.1) * part,
+            error: low.2.max(high.2),
+            how: How::Between,
+        }
     }
 }
 
@@ -146,14 +178,21 @@
     sorted.sort_by(|one, other| one.0.total_cmp(&other.0));
     let one = |own: &[(f64, f64)]| {
         let mean = own.iter().map(|(_, value)| value).sum::<f64>() / own.len() as f64;
-        let far = own.iter().map(|(_, value)| (value - mean).abs()).fold(0.0, f64::max);
+        let far = own
+            .iter()
+            .map(|(_, value)| (value - mean).abs())
+            .fold(0.0, f64::max);
         (own[0].0, mean, far)
     };
-    sorted.chunk_by(|one, other| one.0 == other.0).map(one).collect()
+    sorted
+        .chunk_by(|one, other| one.0 == other.0)
+        .map(one)
+        .collect()
 }
 
-/// The usual test for lack of fit: what the places' means miss the line by against what rounds at a place differ by. A
-/// bend too small to plan by is none, however sure; nor is one that the rounds' own noise may be.
+/// The usual test for lack of fit: what the places' means miss the line by against what rounds at a
+/// place differ by. A bend too small to plan by is none, however sure; nor is one that the rounds'
+/// own noise may be.
 fn straight(points: &[(f64, f64)], places: &[(f64, f64, f64)], squares: f64, bend: f64) -> bool {
     let means = || places.iter().map(|(_, mean, _)| *mean);
     let span = means().fold(f64::MIN, f64::max) - means().fold(f64::MAX, f64::min);
@@ -161,9 +200,20 @@
     if bend <= (span * OF_SPAN).max(mean * OF_MEAN) {
         return true;
     }
-    let mean_at = |at: f64| places.iter().find(|(place, ..)| *place == at).map_or(0.0, |(_, mean, _)| *mean);
-    let pure: f64 = points.iter().map(|(at, value)| (value - mean_at(*at)).powi(2)).sum();
-    let (lacking, rounds) = (places.len() as f64 - 2.0, (points.len() - places.len()) as f64);
+    let mean_at = |at: f64| {
+        places
+            .iter()
+            .find(|(place, ..)| *place == at)
+            .map_or(0.0, |(_, mean, _)| *mean)
+    };
+    let pure: f64 = points
+        .iter()
+        .map(|(at, value)| (value - mean_at(*at)).powi(2))
+        .sum();
+    let (lacking, rounds) = (
+        places.len() as f64 - 2.0,
+        (points.len() - places.len()) as f64,
+    );
     // One round, or rounds that agree in every digit: the bend alone tells.
     if rounds < 1.0 || pure <= 0.0 {
         return false;
--- a/crates/capacity/src/kept.rs
+++ b/crates/capacity/src/kept.rs
@@ -1,4 +1,5 @@
-//! A kept result: the size, and the runs that were measured. What does not fit is told with its line.
+//! A kept result: the size, and the runs that were measured. What does not fit is told with its
+//! line.
 
 use serde::de::Error;
 use serde::{Deserialize, Deserializer, Serialize};
@@ -82,10 +83,13 @@
             ("waiting", size.waiting),
             ("room_told_a_second", size.room_told_a_second),
         ];
-        match all.iter().find(|(_, value)| !(*value > 0.0 && *value <= LARGEST)) {
-            Some((name, value)) => {
-                Err(format!("`{name}` is {value}, not above 0 and at most {LARGEST} of a size"))
-            }
+        match all
+            .iter()
+            .find(|(_, value)| !(*value > 0.0 && *value <= LARGEST))
+        {
+            Some((name, value)) => Err(format!(
+                "`{name}` is {value}, not above 0 and at most {LARGEST} of a size"
+            )),
             None => Ok(size),
         }
     }
@@ -119,8 +123,13 @@
 }
 
 impl Axis {
-    pub const ALL: [Axis; 5] =
-        [Axis::Machines, Axis::Dispatchers, Axis::Tasks, Axis::Waiting, Axis::Versions];
+    pub const ALL: [Axis; 5] = [
+        Axis::Machines,
+        Axis::Dispatchers,
+        Axis::Tasks,
+        Axis::Waiting,
+        Axis::Versions,
+    ];
 
     pub fn name(self) -> &'static str {
         match self {
@@ -149,7 +158,8 @@
     pub figures: BTreeMap<String, f64>,
 }
 
-// Checked as they are read: of a point that was checked afterwards, the reader would tell the next line.
+// Checked as they are read: of a point that was checked afterwards, the reader would tell the next
+// line.
 fn place<'a, D: Deserializer<'a>>(from: D) -> Result<f64, D::Error> {
     let at = f64::deserialize(from)?;
     (0.0..=LARGEST)
@@ -160,7 +170,9 @@
 
 fn figures<'a, D: Deserializer<'a>>(from: D) -> Result<BTreeMap<String, f64>, D::Error> {
     let all = BTreeMap::<String, f64>::deserialize(from)?;
-    (!all.is_empty()).then_some(all).ok_or_else(|| D::Error::custom("a point has no figures"))
+    (!all.is_empty())
+        .then_some(all)
+        .ok_or_else(|| D::Error::custom("a point has no figures"))
 }
 
 /// Points along one axis, all else the same.
@@ -185,18 +197,30 @@
     /// Points of one figure that were not spoilt.
     pub fn figure(&self, name: &str) -> Vec<(f64, f64)> {
         let sound = self.points.iter().filter(|point| point.spoilt.is_none());
-        sound.filter_map(|point| Some((point.at, *point.figures.get(name)?))).collect()
+        sound
+            .filter_map(|point| Some((point.at, *point.figures.get(name)?)))
+            .collect()
     }
 
     pub fn spoilt(&self) -> usize {
-        self.points.iter().filter(|point| point.spoilt.is_some()).count()
+        self.points
+            .iter()
+            .filter(|point| point.spoilt.is_some())
+            .count()
     }
 
     /// Places with no sound point: a line without them is not what was to be measured.
     pub fn lacks(&self) -> Vec<f64> {
-        let sound =
-            |place: &f64| self.points.iter().any(|point| point.at == *place && point.spoilt.is_none());
-        self.places.iter().copied().filter(|place| !sound(place)).collect()
+        let sound = |place: &f64| {
+            self.points
+                .iter()
+                .any(|point| point.at == *place && point.spoilt.is_none())
+        };
+        self.places
+            .iter()
+            .copied()
+            .filter(|place| !sound(place))
+            .collect()
     }
 }
 
@@ -219,30 +243,50 @@
     pub fn read(text: &str) -> Result<Kept, Unreadable> {
         let kept: Kept = serde_json::from_str(text).map_err(|why| {
             let told = why.to_string();
-            let short = told.rsplit_once(" at line ").map_or(told.as_str(), |(short, _)| short);
-            Unreadable { line: why.line(), why: short.into() }
+            let short = told
+                .rsplit_once(" at line ")
+                .map_or(told.as_str(), |(short, _)| short);
+            Unreadable {
+                line: why.line(),
+                why: short.into(),
+            }
         })?;
         let mut seen = BTreeSet::new();
-        match kept.runs.iter().find(|run| !seen.insert((run.axis, run.series.clone()))) {
+        match kept
+            .runs
+            .iter()
+            .find(|run| !seen.insert((run.axis, run.series.clone())))
+        {
             Some(twice) => {
                 let named = format!("\"series\": \"{}\"", twice.series);
-                let line = text.lines().enumerate().filter(|(_, own)| own.contains(&named)).last();
+                let line = text
+                    .lines()
+                    .enumerate()
+                    .filter(|(_, own)| own.contains(&named))
+                    .last();
                 let why = format!("a second run of {} / {}", twice.axis.name(), twice.series);
-                Err(Unreadable { line: line.map_or(0, |(at, _)| at + 1), why })
+                Err(Unreadable {
+                    line: line.map_or(0, |(at, _)| at + 1),
+                    why,
+                })
             }
             None => Ok(kept),
         }
     }
 
     pub fn run(&self, axis: Axis, series: &str) -> Option<&Run> {
-        self.runs.iter().find(|run| run.axis == axis && run.series == series)
+        self.runs
+            .iter()
+            .find(|run| run.axis == axis && run.series == series)
     }
 
     /// In the place of an earlier run of the same series.
     pub fn put(&mut self, run: Run) {
-        self.runs.retain(|own| (own.axis, &own.series) != (run.axis, &run.series));
+        self.runs
+            .retain(|own| (own.axis, &own.series) != (run.axis, &run.series));
         self.runs.push(run);
-        self.runs.sort_by(|one, other| (one.axis, &one.series).cmp(&(other.axis, &other.series)));
+        self.runs
+            .sort_by(|one, other| (one.axis, &one.series).cmp(&(other.axis, &other.series)));
     }
 
     /// One point a line, so that what does not fit is found.
--- a/crates/capacity/src/need.rs
+++ b/crates/capacity/src/need.rs
@@ -25,9 +25,15 @@
         .saturating_add((machines / 1_000 + 1).saturating_mul(MIB_A_THOUSAND))
         .saturating_add((tasks / 1_000 + 1).saturating_mul(MIB_A_THOUSAND_TASKS));
     // A relay has two ends for each of a dispatcher's links: roster, control, keepers, nodes.
-    let descriptors =
-        dispatchers.saturating_mul(32).saturating_add(machines.saturating_mul(4)).saturating_add(200);
-    Machine { memory_mib, processes: dispatchers, descriptors }
+    let descriptors = dispatchers
+        .saturating_mul(32)
+        .saturating_add(machines.saturating_mul(4))
+        .saturating_add(200);
+    Machine {
+        memory_mib,
+        processes: dispatchers,
+        descriptors,
+    }
 }
 
 /// Refused at once, with all that is short.
@@ -42,5 +48,9 @@
         .filter(|(_, needs, may)| needs > may)
         .map(|(what, needs, may)| format!("{needs} {what} are needed, and {may} may be taken here"))
         .collect();
-    if short.is_empty() { Ok(()) } else { Err(format!("asks for too much: {}", short.join("; "))) }
+    if short.is_empty() {
+        Ok(())
+    } else {
+        Err(format!("asks for too much: {}", short.join("; ")))
+    }
 }
--- a/crates/capacity/src/page.rs
+++ b/crates/capacity/src/page.rs
@@ -26,8 +26,12 @@
         _ => (2 - size.log10().floor() as i32).clamp(3, 8) as usize,
     };
     let text = format!("{value:.digits$}");
-    let (whole, part) = text.split_once('.').map_or((text.as_str(), None), |(a, b)| (a, Some(b)));
-    let (sign, whole) = whole.strip_prefix('-').map_or(("", whole), |rest| ("-", rest));
+    let (whole, part) = text
+        .split_once('.')
+        .map_or((text.as_str(), None), |(a, b)| (a, Some(b)));
+    let (sign, whole) = whole
+        .strip_prefix('-')
+        .map_or(("", whole), |rest| ("-", rest));
     let mut out = String::new();
     for (at, digit) in whole.chars().enumerate() {
         if at > 0 && (whole.len() - at).is_multiple_of(3) {
@@ -59,7 +63,11 @@
             (Out::Not(why), _) => (why.clone(), "not told".into()),
             _ => Default::default(),
         };
-        let passes = if told.factor().is_some_and(|factor| factor > 1.0) { "**" } else { "" };
+        let passes = if told.factor().is_some_and(|factor| factor > 1.0) {
+            "**"
+        } else {
+            ""
+        };
         let (role, what) = (row.role.name(), row.what);
         let _ = writeln!(
             out,
@@ -90,9 +98,13 @@
 
 fn role_line(told: &Told) -> String {
     let (row, unit) = (&told.row, told.row.unit);
-    let limit = told.limit.map_or("none told".into(), |limit| format!("{} {unit}", number(limit)));
+    let limit = told.limit.map_or("none told".into(), |limit| {
+        format!("{} {unit}", number(limit))
+    });
     let Out::Told { value, fit } = &told.out else {
-        let Out::Not(why) = &told.out else { return String::new() };
+        let Out::Not(why) = &told.out else {
+            return String::new();
+        };
         return format!(
             "| {} | {why} | | | {limit} | | not told | {} | {} |",
             row.what,
@@ -105,7 +117,12 @@
         How::Between => "none".into(),
         _ => format!("{} ± {}", number(fit.slope), number(fit.slope_error)),
     };
-    let range = format!("{} to {} {}", number(fit.range.0), number(fit.range.1), row.axis.name());
+    let range = format!(
+        "{} to {} {}",
+        number(fit.range.0),
+        number(fit.range.1),
+        row.axis.name()
+    );
     let room = match told.limit {
         Some(limit) if limit > value.value => format!("{} {unit}", number(limit - value.value)),
         Some(limit) => format!("none: {} times the limit", number(value.value / limit)),
@@ -120,7 +137,8 @@
     )
 }
 
-/// What control costs a dispatcher at the size by kind of link, as relays saw it and as it counted itself.
+/// What control costs a dispatcher at the size by kind of link, as relays saw it and as it counted
+/// itself.
 fn links(kept: &Kept) -> String {
     let mut out = String::from(
         "| link to | told of room | bytes/s, relays | bytes/s, its own count | messages/s, its own count |\n| --- | --- | --- | --- | --- |\n",
@@ -162,8 +180,15 @@
     for (at, run) in kept.runs.iter().enumerate() {
         let places: Vec<String> = run.places.iter().copied().map(number).collect();
         let loads = || run.points.iter().map(|point| point.load);
-        let (least, most) = (loads().fold(f64::MAX, f64::min), loads().fold(0.0, f64::max));
-        let lacks = if run.lacks().is_empty() { "" } else { ", **partial**" };
+        let (least, most) = (
+            loads().fold(f64::MAX, f64::min),
+            loads().fold(0.0, f64::max),
+        );
+        let lacks = if run.lacks().is_empty() {
+            ""
+        } else {
+            ", **partial**"
+        };
         let _ = writeln!(
             out,
             "| R{} | {}, {} | `{}` | {} | {}; {} | {} | {} of {}{lacks} | {least:.1} to {most:.1} | {} cores, {} MiB |",
@@ -204,23 +229,38 @@
         out.push_str(line);
         out.push('\n');
         let named = |name: &str| line.trim() == format!("<!-- {name} -->");
-        let Some(which) = tables.iter().position(|(name, _)| named(name)) else { continue };
+        let Some(which) = tables.iter().position(|(name, _)| named(name)) else {
+            continue;
+        };
         if std::mem::replace(&mut stood[which], true) {
-            return Err(Differs { line: at + 1, why: format!("a second table `{}`", tables[which].0) });
+            return Err(Differs {
+                line: at + 1,
+                why: format!("a second table `{}`", tables[which].0),
+            });
         }
         if !lines.any(|(_, line)| line.trim() == END) {
-            return Err(Differs { line: at + 1, why: format!("`{}` has no {END}", tables[which].0) });
+            return Err(Differs {
+                line: at + 1,
+                why: format!("`{}` has no {END}", tables[which].0),
+            });
         }
         out.push('\n');
         out.push_str(&tables[which].1);
-        out.push_str(if tables[which].1.ends_with("\n\n") { "" } else { "\n" });
+        out.push_str(if tables[which].1.ends_with("\n\n") {
+            ""
+        } else {
+            "\n"
+        });
         out.push_str(END);
         out.push('\n');
     }
     match stood.iter().position(|stood| !stood) {
         Some(which) => {
             let why = format!("the page has no table `{}`", tables[which].0);
-            Err(Differs { line: page.lines().count(), why })
+            Err(Differs {
+                line: page.lines().count(),
+                why,
+            })
         }
         None => Ok(out),
     }
@@ -235,7 +275,8 @@
             (None, None) => break,
             (has, wants) if has == wants => {}
             (has, wants) => {
-                let text = |line: Option<&str>| line.map_or("nothing".into(), |line| format!("`{line}`"));
+                let text =
+                    |line: Option<&str>| line.map_or("nothing".into(), |line| format!("`{line}`"));
                 let why = format!("the page has {}, the result {}", text(has), text(wants));
                 return Err(Differs { line, why });
             }
--- a/crates/capacity/src/rows.rs
+++ b/crates/capacity/src/rows.rs
@@ -1,4 +1,5 @@
-//! What is asked of each role at the size: from which measured line, times what, against which limit.
+//! What is asked of each role at the size: from which measured line, times what, against which
+//! limit.
 
 use crate::fit::{Fit, How, Value};
 use crate::kept::{Axis, Kept, Size};
@@ -73,7 +74,18 @@
 
 fn row(role: Role, what: &'static str, unit: &'static str) -> Row {
     let (axis, series, at) = (Axis::Machines, "control", |size: &Size| size.machines);
-    Row { role, what, unit, axis, series, figure: "", at, times: one, limit: Limit::None, mechanism: "" }
+    Row {
+        role,
+        what,
+        unit,
+        axis,
+        series,
+        figure: "",
+        at,
+        times: one,
+        limit: Limit::None,
+        mechanism: "",
+    }
 }
 
 /// All that is told, by role.
@@ -87,7 +99,11 @@
             limit: Limit::Bytes,
             times: |size| size.room_told_a_second,
             mechanism: "the roster tells each line to each dispatcher",
-            ..row(Dispatcher, "control, all links, each machine's room told once a second", "bytes/s")
+            ..row(
+                Dispatcher,
+                "control, all links, each machine's room told once a second",
+                "bytes/s",
+            )
         },
         Row {
             figure: "quiet, bytes/s",
@@ -100,13 +116,21 @@
             limit: Limit::Core,
             times: |size| size.room_told_a_second,
             mechanism: "each line told is taken by the one thread",
-            ..row(Dispatcher, "processor, each machine's room told once a second", "% of a core")
+            ..row(
+                Dispatcher,
+                "processor, each machine's room told once a second",
+                "% of a core",
+            )
         },
         Row {
             figure: "quiet, core %",
             limit: Limit::Core,
             mechanism: "rounds to keepers, the timer of the decisions",
-            ..row(Dispatcher, "processor, nothing told, no asks", "% of a core")
+            ..row(
+                Dispatcher,
+                "processor, nothing told, no asks",
+                "% of a core",
+            )
         },
         Row {
             figure: "memory, MiB",
@@ -130,7 +154,11 @@
             at: |size| size.running / size.dispatchers,
             limit: Limit::Core,
             mechanism: "a stream a task, silent while it runs",
-            ..row(Dispatcher, "processor, its part of the tasks running, no asks", "% of a core")
+            ..row(
+                Dispatcher,
+                "processor, its part of the tasks running, no asks",
+                "% of a core",
+            )
         },
         Row {
             axis: Axis::Waiting,
@@ -139,7 +167,11 @@
             at: |size| size.waiting,
             limit: Limit::Core,
             mechanism: "looks in vain are left out until something has changed (design.md)",
-            ..row(Dispatcher, "processor, asks in vain: those that wait, machines full by use", "% of a core")
+            ..row(
+                Dispatcher,
+                "processor, asks in vain: those that wait, machines full by use",
+                "% of a core",
+            )
         },
         Row {
             axis: Axis::Waiting,
@@ -160,7 +192,11 @@
             figure: "core %",
             at: |size| size.waiting,
             mechanism: "as it was: each that waits asked for again each 50 ms",
-            ..row(Dispatcher, "processor, asks in vain as it was, machines full by use", "% of a core")
+            ..row(
+                Dispatcher,
+                "processor, asks in vain as it was, machines full by use",
+                "% of a core",
+            )
         },
         Row {
             axis: Axis::Waiting,
@@ -168,7 +204,11 @@
             figure: "core %",
             at: |size| size.waiting,
             mechanism: "as it was",
-            ..row(Dispatcher, "processor, asks in vain as it was, machines full by asks", "% of a core")
+            ..row(
+                Dispatcher,
+                "processor, asks in vain as it was, machines full by asks",
+                "% of a core",
+            )
         },
         Row {
             axis: Axis::Waiting,
@@ -177,7 +217,11 @@
             at: |size| size.waiting,
             limit: Limit::Bytes,
             mechanism: "probes and offers in vain",
-            ..row(Dispatcher, "links to nodes and keepers while they wait, machines full by use", "bytes/s")
+            ..row(
+                Dispatcher,
+                "links to nodes and keepers while they wait, machines full by use",
+                "bytes/s",
+            )
         },
         Row {
             axis: Axis::Waiting,
@@ -186,7 +230,11 @@
             at: |size| size.waiting,
             limit: Limit::Memory,
             mechanism: "bound `in-hand`",
-            ..row(Dispatcher, "memory, those that wait, machines full by use", "MiB")
+            ..row(
+                Dispatcher,
+                "memory, those that wait, machines full by use",
+                "MiB",
+            )
         },
         Row {
             axis: Axis::Tasks,
@@ -194,7 +242,11 @@
             figure: "core %",
             at: starts,
             mechanism: "placing; one thread a dispatcher",
-            ..row(Dispatcher, "placing, its part of the starts at the peak", "% of a core")
+            ..row(
+                Dispatcher,
+                "placing, its part of the starts at the peak",
+                "% of a core",
+            )
         },
         Row {
             axis: Axis::Tasks,
@@ -202,7 +254,11 @@
             figure: "nodes, bytes/s",
             at: starts,
             mechanism: "offers over links that stand",
-            ..row(Dispatcher, "placing, links to nodes, its part of the starts", "bytes/s")
+            ..row(
+                Dispatcher,
+                "placing, links to nodes, its part of the starts",
+                "bytes/s",
+            )
         },
         Row {
             axis: Axis::Versions,
@@ -211,7 +267,11 @@
             at: versions,
             limit: Limit::Bytes,
             mechanism: "versions streamed, changes alone (control.md)",
-            ..row(Dispatcher, "versions, link to the control service", "bytes/s")
+            ..row(
+                Dispatcher,
+                "versions, link to the control service",
+                "bytes/s",
+            )
         },
         Row {
             axis: Axis::Versions,
@@ -243,7 +303,11 @@
             figure: "roster, bytes/s",
             times: |size| size.dispatchers * size.room_told_a_second,
             mechanism: "missing: no roster but the stand-in's",
-            ..row(Roster, "each machine's room told once a second to all dispatchers", "bytes/s")
+            ..row(
+                Roster,
+                "each machine's room told once a second to all dispatchers",
+                "bytes/s",
+            )
         },
         Row {
             figure: "roster's thread, core %",
@@ -282,7 +346,11 @@
             figure: "owners, bytes/s",
             at: |size| size.starts_a_second,
             mechanism: "one stream a task",
-            ..row(OwnersClient, "all owners together, starts at the peak", "bytes/s")
+            ..row(
+                OwnersClient,
+                "all owners together, starts at the peak",
+                "bytes/s",
+            )
         },
     ]
 }
@@ -301,10 +369,19 @@
         "quotas of 350 teams over a fleet",
         "missing: shares alone; each dispatcher guesses its own times the number of dispatchers, and a team has some 12 tasks (issue 16)",
     ),
-    ("accelerators", "missing: the decisions know cores and memory only"),
-    ("regions", "missing: halls stand for zones; no level above them, no link told as far"),
+    (
+        "accelerators",
+        "missing: the decisions know cores and memory only",
+    ),
+    (
+        "regions",
+        "missing: halls stand for zones; no level above them, no link told as far",
+    ),
     ("a roster", "missing: a stand-in of the laboratory alone"),
-    ("a control service", "missing: a stand-in of the laboratory alone"),
+    (
+        "a control service",
+        "missing: a stand-in of the laboratory alone",
+    ),
     (
         "news of room within a budget of bytes",
         "missing: each line goes to each dispatcher, however many there are",
@@ -352,9 +429,22 @@
 
     pub fn how(&self) -> &'static str {
         match &self.out {
-            Out::Told { value: Value { how: How::Line, .. }, .. } => "line",
-            Out::Told { value: Value { how: How::Beyond, .. }, .. } => "line, beyond its points",
-            Out::Told { value: Value { how: How::Between, .. }, .. } => "not straight: between two points",
+            Out::Told {
+                value: Value { how: How::Line, .. },
+                ..
+            } => "line",
+            Out::Told {
+                value: Value {
+                    how: How::Beyond, ..
+                },
+                ..
+            } => "line, beyond its points",
+            Out::Told {
+                value: Value {
+                    how: How::Between, ..
+                },
+                ..
+            } => "not straight: between two points",
             Out::Not(_) => "not told",
         }
     }
@@ -375,9 +465,19 @@
         Limit::None => None,
     };
     let Some(run) = kept.run(row.axis, row.series) else {
-        return Told { row, out: Out::Not("not measured".into()), limit, run: None, partial: false };
+        return Told {
+            row,
+            out: Out::Not("not measured".into()),
+            limit,
+            run: None,
+            partial: false,
+        };
     };
-    let place = kept.runs.iter().position(|own| std::ptr::eq(own, run)).map(|at| (at + 1, run.spoilt()));
+    let place = kept
+        .runs
+        .iter()
+        .position(|own| std::ptr::eq(own, run))
+        .map(|at| (at + 1, run.spoilt()));
     let lacks = run.lacks();
     let points = run.figure(row.figure);
     let out = match Fit::of(&points) {
@@ -391,15 +491,26 @@
             Err(why) => Out::Not(why.to_string()),
             Ok(value) => {
                 let times = (row.times)(size);
-                let value = Value { value: value.value * times, error: value.error * times, how: value.how };
+                let value = Value {
+                    value: value.value * times,
+                    error: value.error * times,
+                    how: value.how,
+                };
                 Out::Told { value, fit }
             }
         },
     };
-    Told { row, out, limit, run: place, partial: !lacks.is_empty() }
+    Told {
+        row,
+        out,
+        limit,
+        run: place,
+        partial: !lacks.is_empty(),
+    }
 }
 
-/// Those with a limit, the one that passes it by the most first; then those of which nothing is told.
+/// Those with a limit, the one that passes it by the most first; then those of which nothing is
+/// told.
 pub fn by_factor(mut all: Vec<Told>) -> Vec<Told> {
     all.retain(|told| told.limit.is_some());
     all.sort_by(|one, other| {
--- a/crates/capacity/tests/fits.rs
+++ b/crates/capacity/tests/fits.rs
@@ -8,24 +8,35 @@
 /// Three rounds, of which one is right, one high and one low by a part.
 fn rounds(value: impl Fn(f64) -> f64, noise: f64) -> Vec<(f64, f64)> {
     let parts = [1.0, 1.0 + noise, 1.0 - noise];
-    PLACES.iter().flat_map(|&at| parts.map(|part| (at, value(at) * part))).collect()
+    PLACES
+        .iter()
+        .flat_map(|&at| parts.map(|part| (at, value(at) * part)))
+        .collect()
 }
 
 #[test]
 fn the_line_that_made_the_points_is_found() {
     let fit = Fit::of(&rounds(|at| 200.0 + 3.0 * at, 0.0)).expect("twelve points");
-    assert!((fit.slope - 3.0).abs() < 1e-9 && (fit.intercept - 200.0).abs() < 1e-6, "{fit:?}");
+    assert!(
+        (fit.slope - 3.0).abs() < 1e-9 && (fit.intercept - 200.0).abs() < 1e-6,
+        "{fit:?}"
+    );
     assert!(fit.straight && fit.bend < 1e-6);
 }
 
-/// By hand: places 0, 1, 2 and values 0, 2, 1 have slope 1/2, squares 3/2 with one degree of freedom.
+/// By hand: places 0, 1, 2 and values 0, 2, 1 have slope 1/2, squares 3/2 with one degree of
+/// freedom.
 #[test]
 fn residuals_are_those_worked_out_by_hand() {
     let fit = Fit::of(&[(0.0, 0.0), (1.0, 2.0), (2.0, 1.0)]).expect("three places");
     assert!((fit.slope - 0.5).abs() < 1e-12);
     assert!((fit.residual - 1.5_f64.sqrt()).abs() < 1e-12);
     // Student's quantile for one degree at 97.5% is 12.706.
-    assert!((fit.slope_error - 12.706 * (1.5_f64 / 2.0).sqrt()).abs() < 1e-2, "{}", fit.slope_error);
+    assert!(
+        (fit.slope_error - 12.706 * (1.5_f64 / 2.0).sqrt()).abs() < 1e-2,
+        "{}",
+        fit.slope_error
+    );
 }
 
 #[test_case(|at| at * at ; "a square")]
@@ -42,7 +53,9 @@
 
 #[test]
 fn noise_alone_does_not_bend_a_line() {
-    let noisy = [8.0, 12.0, 10.0, 11.0, 9.0, 10.5, 10.0, 8.5, 11.5, 9.0, 12.5, 9.5];
+    let noisy = [
+        8.0, 12.0, 10.0, 11.0, 9.0, 10.5, 10.0, 8.5, 11.5, 9.0, 12.5, 9.5,
+    ];
     let points: Vec<(f64, f64)> = (0..12).map(|own| (PLACES[own / 3], noisy[own])).collect();
     assert!(Fit::of(&points).expect("twelve points").straight);
 }
--- a/crates/capacity/tests/results.rs
+++ b/crates/capacity/tests/results.rs
@@ -15,8 +15,14 @@
         load: 1.5,
         spoilt: None,
         figures: [
-            ("told, bytes/s".to_string(), 600.0 + 50.0 * at + f64::from(round)),
-            ("told, core %".to_string(), (at * at * 1e-6 * f64::from(round + 9) * 1e4).round() / 1e4),
+            (
+                "told, bytes/s".to_string(),
+                600.0 + 50.0 * at + f64::from(round),
+            ),
+            (
+                "told, core %".to_string(),
+                (at * at * 1e-6 * f64::from(round + 9) * 1e4).round() / 1e4,
+            ),
         ]
         .into(),
     };
@@ -28,29 +34,43 @@
         cores: 8,
         memory_mib: 24_000,
         fixed: "1 dispatcher".into(),
-        points: (0..3).flat_map(|round| places.iter().map(move |&at| point(at, round))).collect(),
+        points: (0..3)
+            .flat_map(|round| places.iter().map(move |&at| point(at, round)))
+            .collect(),
         places,
         rounds: 3,
     };
-    Kept { size: COMING, runs: vec![run] }
+    Kept {
+        size: COMING,
+        runs: vec![run],
+    }
 }
 
 fn told(kept: &Kept, figure: &str) -> rows::Told {
     let mut all = rows::told(kept);
-    let at = all.iter().position(|told| told.row.figure == figure).expect("a row");
+    let at = all
+        .iter()
+        .position(|told| told.row.figure == figure)
+        .expect("a row");
     all.swap_remove(at)
 }
 
 fn page_of(kept: &Kept) -> String {
-    let names = page::tables(kept).into_iter().map(|(name, _)| format!("<!-- {name} -->\n<!-- end -->\n"));
-    let empty: String = std::iter::once("# Page\n\n".to_string()).chain(names).collect();
+    let names = page::tables(kept)
+        .into_iter()
+        .map(|(name, _)| format!("<!-- {name} -->\n<!-- end -->\n"));
+    let empty: String = std::iter::once("# Page\n\n".to_string())
+        .chain(names)
+        .collect();
     page::fill(&empty, kept).expect("each table has its place")
 }
 
 #[test]
 fn a_line_is_told_at_the_size_against_its_limit() {
     let told = told(&kept(), "told, bytes/s");
-    let Out::Told { value, .. } = &told.out else { panic!("{:?}", told.out) };
+    let Out::Told { value, .. } = &told.out else {
+        panic!("{:?}", told.out)
+    };
     assert!((value.value - 65_601.0).abs() < 1e-6 && value.error > 0.0);
     assert!((told.factor().expect("a limit") - 6.5601).abs() < 1e-6);
 }
@@ -60,17 +80,28 @@
     let list = rows::by_factor(rows::told(&kept()));
     assert_eq!(list[0].row.figure, "told, core %");
     assert_eq!(list[1].row.figure, "told, bytes/s");
-    assert!(list[2..].iter().all(|told| told.out == Out::Not("not measured".into())));
+    assert!(
+        list[2..]
+            .iter()
+            .all(|told| told.out == Out::Not("not measured".into()))
+    );
     assert!(!list[2..].is_empty());
 }
 
 #[test]
 fn a_place_without_a_sound_point_makes_the_run_partial() {
     let mut kept = kept();
-    for point in kept.runs[0].points.iter_mut().filter(|point| point.at == 400.0) {
+    for point in kept.runs[0]
+        .points
+        .iter_mut()
+        .filter(|point| point.at == 400.0)
+    {
         point.spoilt = Some("stolen".into());
     }
-    assert_eq!(told(&kept, "told, bytes/s").out, Out::Not("partial: nothing sound at 400".into()));
+    assert_eq!(
+        told(&kept, "told, bytes/s").out,
+        Out::Not("partial: nothing sound at 400".into())
+    );
     let runs = page::tables(&kept).pop().expect("tables").1;
     assert!(runs.contains("3 of 12, **partial**"), "{runs}");
 }
@@ -81,7 +112,9 @@
     let point = &mut kept.runs[0].points[2];
     point.spoilt = Some("the generator was late".into());
     point.figures.insert("told, bytes/s".into(), 1e9);
-    let Out::Told { value, .. } = told(&kept, "told, bytes/s").out else { panic!("it is told") };
+    let Out::Told { value, .. } = told(&kept, "told, bytes/s").out else {
+        panic!("it is told")
+    };
     assert!((value.value - 65_601.0).abs() < 1.0);
 }
 
@@ -123,7 +156,10 @@
     let mut kept = kept();
     kept.runs.push(kept.runs[0].clone());
     let told = Kept::read(&kept.text()).expect_err("twice");
-    assert!(told.line > 15 && told.why.contains("machines / control"), "{told}");
+    assert!(
+        told.line > 15 && told.why.contains("machines / control"),
+        "{told}"
+    );
 }
 
 #[test]
@@ -136,21 +172,32 @@
 fn a_planted_difference_is_told_with_its_line() {
     let kept = kept();
     let page = page_of(&kept);
-    let line = page.lines().position(|line| line.contains("65,601")).expect("it is told");
+    let line = page
+        .lines()
+        .position(|line| line.contains("65,601"))
+        .expect("it is told");
     let told = page::check(&page.replacen("65,601", "65,600", 1), &kept).expect_err("it differs");
     assert_eq!(told.line, line + 1);
-    assert!(told.why.contains("65,600") && told.why.contains("65,601"), "{told}");
+    assert!(
+        told.why.contains("65,600") && told.why.contains("65,601"),
+        "{told}"
+    );
 }
 
 #[test_case("<!-- runs -->", "", "no table `runs`" ; "a table is missing")]
 #[test_case("<!-- missing -->", "<!-- runs -->", "a second table `runs`" ; "a table stands twice")]
 fn a_page_without_its_tables_is_told(has: &str, instead: &str, why: &str) {
     let kept = kept();
-    let told = page::check(&page_of(&kept).replacen(has, instead, 1), &kept).expect_err("it does not fit");
+    let told =
+        page::check(&page_of(&kept).replacen(has, instead, 1), &kept).expect_err("it does not fit");
     assert!(told.why.contains(why), "{told}");
 }
 
-const SMALL: Machine = Machine { memory_mib: 2_000, processes: 100, descriptors: 1_024 };
+const SMALL: Machine = Machine {
+    memory_mib: 2_000,
+    processes: 100,
+    descriptors: 1_024,
+};
 
 #[test_case(5, 140, 0, &[] ; "it fits")]
 #[test_case(300, 140, 0, &["MiB of memory", "processes", "descriptors"] ; "too many dispatchers")]
@@ -160,6 +207,9 @@
 fn what_is_short_is_told_at_once(dispatchers: u64, machines: u64, tasks: u64, short: &[&str]) {
     match fits(needs(dispatchers, machines, tasks), SMALL) {
         Ok(()) => assert!(short.is_empty()),
-        Err(why) => assert!(!short.is_empty() && short.iter().all(|one| why.contains(one)), "{why}"),
+        Err(why) => assert!(
+            !short.is_empty() && short.iter().all(|one| why.contains(one)),
+            "{why}"
+        ),
     }
 }
--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -1,5 +1,5 @@
-//! What an operator asks of all dispatchers at once. What is wrong, and whether a floor may be raised, is decided in
-//! `corkspan_fleet`.
+//! What an operator asks of all dispatchers at once. What is wrong, and whether a floor may be
+//! raised, is decided in `corkspan_fleet`.
 
 use clap::Subcommand;
 use corkspan_api::v1::{self, node_client::NodeClient, versions_client::VersionsClient};
@@ -42,7 +42,8 @@
     Floor {
         /// The lowest version that may act; 0 lets all.
         version: u64,
-        /// Where the dispatchers listen: those that may be asked, and of which a part must have taken the version.
+        /// Where the dispatchers listen: those that may be asked, and of which a part must have
+        /// taken the version.
         #[arg(required = true)]
         dispatchers: Vec<SocketAddr>,
         /// The part of them that must run it for good, in thousandths.
@@ -55,9 +56,15 @@
     let tasks = Tasks::default();
     future::block_on(tasks.run(async {
         match call {
-            Fleet::Audit { dispatchers, nodes, since, json } => {
-                // Nodes first: a dispatcher counts its acts before it sends them, so what it tells later is never less
-                // than what nodes have seen before, however many are under way.
+            Fleet::Audit {
+                dispatchers,
+                nodes,
+                since,
+                json,
+            } => {
+                // Nodes first: a dispatcher counts its acts before it sends them, so what it tells
+                // later is never less than what nodes have seen before, however
+                // many are under way.
                 let acted = ask_nodes(&tasks, &nodes).await;
                 let all = ask_all(&tasks, &dispatchers).await;
                 let named: Vec<_> = dispatchers
@@ -71,16 +78,29 @@
                     true => as_json(&dispatchers, &all, &acted, since, &found),
                     false => as_table(&dispatchers, &all, &acted, since, &found),
                 }
-                if found.is_empty() { Ok(()) } else { Err(format!("{} things are wrong", found.len())) }
+                if found.is_empty() {
+                    Ok(())
+                } else {
+                    Err(format!("{} things are wrong", found.len()))
+                }
             }
-            Fleet::Floor { version, dispatchers, part } => floor(&tasks, version, &dispatchers, part).await,
+            Fleet::Floor {
+                version,
+                dispatchers,
+                part,
+            } => floor(&tasks, version, &dispatchers, part).await,
         }
     }))
 }
 
 async fn link(tasks: &Tasks, address: SocketAddr) -> Result<VersionsClient<Link>, String> {
-    let bounds = Bounds { connect_within: Duration::from_secs(2), ..Bounds::default() };
-    let link = Link::open(tasks, address, &bounds).await.map_err(|why| format!("{address}: {why}"))?;
+    let bounds = Bounds {
+        connect_within: Duration::from_secs(2),
+        ..Bounds::default()
+    };
+    let link = Link::open(tasks, address, &bounds)
+        .await
+        .map_err(|why| format!("{address}: {why}"))?;
     Ok(VersionsClient::new(link).max_decoding_message_size(ANSWER))
 }
 
@@ -92,7 +112,11 @@
             let own = tasks.clone();
             tasks.spawn(within(ANSWERS_WITHIN, async move {
                 let mut client = link(&own, address).await.ok()?;
-                client.status(v1::VersionStatusAsk {}).await.ok().map(tonic::Response::into_inner)
+                client
+                    .status(v1::VersionStatusAsk {})
+                    .await
+                    .ok()
+                    .map(tonic::Response::into_inner)
             }))
         })
         .collect();
@@ -110,10 +134,17 @@
         .map(|&address| {
             let own = tasks.clone();
             tasks.spawn(within(ANSWERS_WITHIN, async move {
-                let bounds = Bounds { connect_within: Duration::from_secs(2), ..Bounds::default() };
+                let bounds = Bounds {
+                    connect_within: Duration::from_secs(2),
+                    ..Bounds::default()
+                };
                 let link = Link::open(&own, address, &bounds).await.ok()?;
                 let mut client = NodeClient::new(link).max_decoding_message_size(ANSWER);
-                client.acts(v1::ActsAsk {}).await.ok().map(tonic::Response::into_inner)
+                client
+                    .acts(v1::ActsAsk {})
+                    .await
+                    .ok()
+                    .map(tonic::Response::into_inner)
             }))
         })
         .collect();
@@ -136,14 +167,22 @@
     told
 }
 
-/// One that a later program tells of and this one does not know counts among claims, which nobody is shown apart.
+/// One that a later program tells of and this one does not know counts among claims, which nobody
+/// is shown apart.
 fn kind(kind: i32) -> Kind {
-    usize::try_from(kind).ok().and_then(|kind| Kind::ALL.get(kind)).copied().unwrap_or(Kind::Claim)
+    usize::try_from(kind)
+        .ok()
+        .and_then(|kind| Kind::ALL.get(kind))
+        .copied()
+        .unwrap_or(Kind::Claim)
 }
 
 fn told(status: &v1::VersionStatus) -> Told {
     let running = status.running.clone().unwrap_or_default();
-    let turned_down = status.refused_last.as_ref().map(|stamp| (stamp.number, status.why.join("; ")));
+    let turned_down = status
+        .refused_last
+        .as_ref()
+        .map(|stamp| (stamp.number, status.why.join("; ")));
     Told {
         dispatcher: status.dispatcher,
         life: status.life,
@@ -154,16 +193,28 @@
         turned_down,
         given_up: status.given_up.iter().map(|stamp| stamp.number).collect(),
         shut_out: status.shut_out,
-        acts: status.counted.iter().map(|own| ((own.version, kind(own.kind as i32)), own.many)).collect(),
+        acts: status
+            .counted
+            .iter()
+            .map(|own| ((own.version, kind(own.kind as i32)), own.many))
+            .collect(),
     }
 }
 
-/// The versions of one dispatcher that were in force at any time within so many seconds, by its own clock: each with
-/// when that ended.
+/// The versions of one dispatcher that were in force at any time within so many seconds, by its own
+/// clock: each with when that ended.
 fn over_time(spans: &[v1::Span], now_ms: u64, since_s: u64) -> Vec<(&v1::Span, Option<u64>)> {
     let since = now_ms.saturating_sub(since_s.saturating_mul(1_000));
-    let ends = spans.iter().skip(1).map(|next| Some(next.from_ms)).chain([None]);
-    spans.iter().zip(ends).filter(|(_, end)| end.is_none_or(|end| end > since)).collect()
+    let ends = spans
+        .iter()
+        .skip(1)
+        .map(|next| Some(next.from_ms))
+        .chain([None]);
+    spans
+        .iter()
+        .zip(ends)
+        .filter(|(_, end)| end.is_none_or(|end| end > since))
+        .collect()
 }
 
 fn how(span: &v1::Span) -> &'static str {
@@ -195,23 +246,38 @@
     since: Option<u64>,
     found: &[Finding],
 ) {
-    println!("{:<22} {:>6} {:>8} {:<9} {:>6} state", "dispatcher", "number", "version", "digest", "floor");
+    println!(
+        "{:<22} {:>6} {:>8} {:<9} {:>6} state",
+        "dispatcher", "number", "version", "digest", "floor"
+    );
     for (address, status) in addresses.iter().zip(all) {
         let address = address.to_string();
         let Some(status) = status else {
-            println!("{address:<22} {:>6} {:>8} {:<9} {:>6} does not answer", "-", "-", "-", "-");
+            println!(
+                "{address:<22} {:>6} {:>8} {:<9} {:>6} does not answer",
+                "-", "-", "-", "-"
+            );
             continue;
         };
         let told = told(status);
-        let floor = status.floor.as_ref().map_or("-".into(), |floor| floor.lowest.to_string());
+        let floor = status
+            .floor
+            .as_ref()
+            .map_or("-".into(), |floor| floor.lowest.to_string());
         let (digest, state) = (told.digest.get(..8).unwrap_or_default(), state(&told));
-        println!("{address:<22} {:>6} {:>8} {digest:<9} {floor:>6} {state}", told.dispatcher, told.version);
+        println!(
+            "{address:<22} {:>6} {:>8} {digest:<9} {floor:>6} {state}",
+            told.dispatcher, told.version
+        );
     }
     if let Some(since) = since {
         let now = wall_ms();
         let ago = |at: u64| now.saturating_sub(at) as f64 / 1_000.0;
         for (address, status) in addresses.iter().zip(all) {
-            for (span, end) in status.iter().flat_map(|status| over_time(&status.spans, now, since)) {
+            for (span, end) in status
+                .iter()
+                .flat_map(|status| over_time(&status.spans, now, since))
+            {
                 let to = end.map_or("now".into(), |end| format!("{:.1} s ago", ago(end)));
                 let (version, how, from) = (number(span), how(span), ago(span.from_ms));
                 println!(
@@ -222,9 +288,26 @@
         }
     }
     if !acted.is_empty() {
-        let head = ["acts of dispatcher", "version", "shots", "others", "turned away"];
-        println!("{:>22} {:>8} {:>10} {:>10} {:>11}", head[0], head[1], head[2], head[3], head[4]);
-        for ((dispatcher, version), Acts { shots, others, below }) in acts(acted) {
+        let head = [
+            "acts of dispatcher",
+            "version",
+            "shots",
+            "others",
+            "turned away",
+        ];
+        println!(
+            "{:>22} {:>8} {:>10} {:>10} {:>11}",
+            head[0], head[1], head[2], head[3], head[4]
+        );
+        for (
+            (dispatcher, version),
+            Acts {
+                shots,
+                others,
+                below,
+            },
+        ) in acts(acted)
+        {
             println!("{dispatcher:>22} {version:>8} {shots:>10} {others:>10} {below:>11}");
         }
     }
@@ -258,28 +341,55 @@
     });
     let findings: Vec<String> = found.iter().map(Finding::to_string).collect();
     let (dispatchers, acts) = (dispatchers.collect::<Vec<_>>(), acts.collect::<Vec<_>>());
-    println!("{}", json!({ "dispatchers": dispatchers, "acts": acts, "findings": findings }));
+    println!(
+        "{}",
+        json!({ "dispatchers": dispatchers, "acts": acts, "findings": findings })
+    );
 }
 
-async fn floor(tasks: &Tasks, version: u64, addresses: &[SocketAddr], part: u32) -> Result<(), String> {
+async fn floor(
+    tasks: &Tasks,
+    version: u64,
+    addresses: &[SocketAddr],
+    part: u32,
+) -> Result<(), String> {
     let all = ask_all(tasks, addresses).await;
-    let stands =
-        all.iter().flatten().filter_map(|status| status.floor.as_ref()).max_by_key(|floor| floor.number);
+    let stands = all
+        .iter()
+        .flatten()
+        .filter_map(|status| status.floor.as_ref())
+        .max_by_key(|floor| floor.number);
     let runs = |status: &v1::VersionStatus| {
         let version = status.running.as_ref().map_or(0, |running| running.number);
-        Runs { version, on_trial: status.on_trial }
+        Runs {
+            version,
+            on_trial: status.on_trial,
+        }
     };
     let runs: Vec<Option<Runs>> = all.iter().map(|status| status.as_ref().map(runs)).collect();
     let stands = stands.map(|floor| floor.lowest);
     taken_by_enough(&runs, stands, version, part).map_err(|why| why.to_string())?;
-    let answers = addresses.iter().zip(&all).find(|(_, status)| status.is_some());
+    let answers = addresses
+        .iter()
+        .zip(&all)
+        .find(|(_, status)| status.is_some());
     let (address, _) = answers.ok_or("no dispatcher answers")?;
     let mut client = link(tasks, *address).await?;
-    let word = within(ANSWERS_WITHIN, client.raise(v1::FloorAsk { lowest: version })).await;
-    let word = word.ok_or("no answer within 5 s")?.map_err(|why| why.message().to_string())?.into_inner();
+    let word = within(
+        ANSWERS_WITHIN,
+        client.raise(v1::FloorAsk { lowest: version }),
+    )
+    .await;
+    let word = word
+        .ok_or("no answer within 5 s")?
+        .map_err(|why| why.message().to_string())?
+        .into_inner();
     match word.stands {
         Some(floor) if word.taken => {
-            println!("floor {} by wish {}: no version below it may act", floor.lowest, floor.number);
+            println!(
+                "floor {} by wish {}: no version below it may act",
+                floor.lowest, floor.number
+            );
             Ok(())
         }
         _ => Err(word.text),
--- a/crates/cli/src/lib.rs
+++ b/crates/cli/src/lib.rs
@@ -5,8 +5,8 @@
 
 use clap::{Args, Parser, Subcommand, ValueEnum};
 use corkspan_api::v1::{
-    self, placement_client::PlacementClient, rolls_client::RollsClient, versions_client::VersionsClient,
-    word::Word as Said,
+    self, placement_client::PlacementClient, rolls_client::RollsClient,
+    versions_client::VersionsClient, word::Word as Said,
 };
 use corkspan_deployment::version::Texts;
 use corkspan_deployment::{Deployment, schema, sexp};
@@ -44,7 +44,8 @@
         #[arg(long, default_value = "info")]
         level: tracing::Level,
     },
-    /// Runs a dispatcher on the platform's protocol, by the file that NODE_CONFIG names, until SIGTERM.
+    /// Runs a dispatcher on the platform's protocol, by the file that NODE_CONFIG names, until
+    /// SIGTERM.
     Platform {
         /// The least level that is logged.
         #[arg(long, default_value = "info")]
@@ -94,8 +95,12 @@
 enum Control {
     /// Tells which version is in force, what was turned down last, and why.
     Status { dispatcher: SocketAddr },
-    /// Prints the shared parts in force that a file or version would change. Ends with 1 where there are any.
-    Diff { dispatcher: SocketAddr, file: PathBuf },
+    /// Prints the shared parts in force that a file or version would change. Ends with 1 where
+    /// there are any.
+    Diff {
+        dispatcher: SocketAddr,
+        file: PathBuf,
+    },
 }
 
 #[derive(Subcommand)]
@@ -126,19 +131,32 @@
         /// Copies that may fail at one dispatcher before the roll halts.
         #[arg(long, default_value_t = 1)]
         failures_most: u32,
-        /// Start each new copy beside the old one, and stop that once the new one has stayed ready; the limit is
-        /// then on copies beside others too. What must not run twice is stopped first all the same.
+        /// Start each new copy beside the old one, and stop that once the new one has stayed
+        /// ready; the limit is then on copies beside others too. What must not run twice
+        /// is stopped first all the same.
         #[arg(long)]
         start_first: bool,
     },
     /// Tells how far a roll is, as one dispatcher sees it.
-    Status { dispatcher: SocketAddr, service: String },
+    Status {
+        dispatcher: SocketAddr,
+        service: String,
+    },
     /// No further copy is taken down; those that are, come back.
-    Pause { dispatcher: SocketAddr, service: String },
+    Pause {
+        dispatcher: SocketAddr,
+        service: String,
+    },
     /// Goes on after a pause or a halt.
-    Resume { dispatcher: SocketAddr, service: String },
+    Resume {
+        dispatcher: SocketAddr,
+        service: String,
+    },
     /// Goes back to the former version, by the same limits.
-    Undo { dispatcher: SocketAddr, service: String },
+    Undo {
+        dispatcher: SocketAddr,
+        service: String,
+    },
 }
 
 #[derive(Clone, Copy, ValueEnum)]
@@ -173,8 +191,8 @@
     /// The task was asked for before.
     #[arg(long)]
     again: bool,
-    /// Stay and print word of the allocation until it ends; to break off then stops it. Without this the call
-    /// ends with the final answer, and so does the allocation.
+    /// Stay and print word of the allocation until it ends; to break off then stops it. Without
+    /// this the call ends with the final answer, and so does the allocation.
     #[arg(long)]
     stay: bool,
 }
@@ -185,17 +203,25 @@
         Ok(line) => line,
         Err(why) => {
             let _ = why.print();
-            return if why.use_stderr() { ExitCode::from(2) } else { ExitCode::SUCCESS };
+            return if why.use_stderr() {
+                ExitCode::from(2)
+            } else {
+                ExitCode::SUCCESS
+            };
         }
     };
     let result = match line.call {
         Call::Serve { file, log, level } => serve(file, log, level),
         Call::Platform { level } => platform(level),
-        Call::Check { file } => {
-            Deployment::load(&file).map(|_| println!("{}: sound", file.display())).map_err(text)
+        Call::Check { file } => Deployment::load(&file)
+            .map(|_| println!("{}: sound", file.display()))
+            .map_err(text),
+        Call::Place(place) => called(place.dispatcher, |link| {
+            ask(PlacementClient::new(link), place)
+        }),
+        Call::Status { dispatcher } => {
+            called(dispatcher, |link| status(PlacementClient::new(link)))
         }
-        Call::Place(place) => called(place.dispatcher, |link| ask(PlacementClient::new(link), place)),
-        Call::Status { dispatcher } => called(dispatcher, |link| status(PlacementClient::new(link))),
         Call::Schema { version_only } => schema(version_only),
         Call::Control { call } => control(call),
         Call::Roll { call } => roll(call),
@@ -217,12 +243,26 @@
 
 fn serve(file: PathBuf, log: Log, level: tracing::Level) -> Result<(), String> {
     let deployment = Deployment::load(&file).map_err(text)?;
-    // A log whose disk is full must not end the dispatcher: telling of a line that could not be written would.
-    let to = tracing_subscriber::fmt().with_max_level(level).with_writer(std::io::stderr);
+    // A log whose disk is full must not end the dispatcher: telling of a line that could not be
+    // written would.
+    let to = tracing_subscriber::fmt()
+        .with_max_level(level)
+        .with_writer(std::io::stderr);
     let to = to.log_internal_errors(false);
     match log {
-        Log::Text => to.event_format(Versioned { inner: format(), json: false }).init(),
-        Log::Json => to.json().event_format(Versioned { inner: format().json(), json: true }).init(),
+        Log::Text => to
+            .event_format(Versioned {
+                inner: format(),
+                json: false,
+            })
+            .init(),
+        Log::Json => to
+            .json()
+            .event_format(Versioned {
+                inner: format().json(),
+                json: true,
+            })
+            .init(),
     }
     let ready = |address| {
         // Whoever started it on port 0 reads here where it listens; that nobody reads is no harm.
@@ -233,13 +273,17 @@
 }
 
 fn platform(level: tracing::Level) -> Result<(), String> {
-    let to = tracing_subscriber::fmt().with_max_level(level).with_writer(std::io::stderr).with_ansi(false);
+    let to = tracing_subscriber::fmt()
+        .with_max_level(level)
+        .with_writer(std::io::stderr)
+        .with_ansi(false);
     to.log_internal_errors(false).init();
     let file = std::env::var_os("NODE_CONFIG").ok_or("NODE_CONFIG names no file")?;
     corkspan_platform::serve(std::path::Path::new(&file)).map_err(text)
 }
 
-/// Log lines that begin with the number of the version in force: what a line tells of was decided by it.
+/// Log lines that begin with the number of the version in force: what a line tells of was decided
+/// by it.
 struct Versioned<F> {
     inner: F,
     json: bool,
@@ -263,7 +307,8 @@
             return self.inner.format_event(context, writer, event);
         }
         let mut line = String::new();
-        self.inner.format_event(context, Writer::new(&mut line), event)?;
+        self.inner
+            .format_event(context, Writer::new(&mut line), event)?;
         let rest = line.strip_prefix('{').unwrap_or(&line);
         write!(writer, "{{\"version\":{version},{rest}")
     }
@@ -276,9 +321,13 @@
 ) -> Result<(), String> {
     let tasks = Tasks::default();
     let whole = async {
-        let bounds = Bounds { connect_within: Duration::from_secs(2), ..Bounds::default() };
-        let link =
-            Link::open(&tasks, dispatcher, &bounds).await.map_err(|why| format!("{dispatcher}: {why}"))?;
+        let bounds = Bounds {
+            connect_within: Duration::from_secs(2),
+            ..Bounds::default()
+        };
+        let link = Link::open(&tasks, dispatcher, &bounds)
+            .await
+            .map_err(|why| format!("{dispatcher}: {why}"))?;
         call(link).await
     };
     future::block_on(tasks.run(whole))
@@ -287,7 +336,10 @@
 fn roll(call: Roll) -> Result<(), String> {
     let change = |dispatcher, service: String, what: v1::change_ask::What| {
         called(dispatcher, async |link| {
-            let ask = v1::ChangeAsk { service, what: what.into() };
+            let ask = v1::ChangeAsk {
+                service,
+                what: what.into(),
+            };
             taken(RollsClient::new(link).change(ask).await)
         })
     };
@@ -317,29 +369,59 @@
             };
             taken(RollsClient::new(link).start(ask).await)
         }),
-        Roll::Status { dispatcher, service } => called(dispatcher, async |link| {
-            let status = RollsClient::new(link).status(v1::RollStatusAsk { service }).await;
-            let status = status.map_err(|why| why.message().to_string())?.into_inner();
+        Roll::Status {
+            dispatcher,
+            service,
+        } => called(dispatcher, async |link| {
+            let status = RollsClient::new(link)
+                .status(v1::RollStatusAsk { service })
+                .await;
+            let status = status
+                .map_err(|why| why.message().to_string())?
+                .into_inner();
             match &status.roll {
                 Some(roll) => println!("{}", told(roll)),
                 None => println!("no roll is known here"),
             }
-            let v1::RollStatus { copies, wanted, unready, keepers, keepers_heard, .. } = status;
+            let v1::RollStatus {
+                copies,
+                wanted,
+                unready,
+                keepers,
+                keepers_heard,
+                ..
+            } = status;
             println!("copies here {copies}, of the version wanted {wanted}, not ready {unready}");
             println!("keepers heard {keepers_heard} of {keepers}");
             for slot in status.held {
-                println!("slot {} held for {} by dispatcher {}", slot.slot, slot.task, slot.dispatcher);
+                println!(
+                    "slot {} held for {} by dispatcher {}",
+                    slot.slot, slot.task, slot.dispatcher
+                );
             }
             Ok(())
         }),
-        Roll::Pause { dispatcher, service } => change(dispatcher, service, v1::change_ask::What::Pause),
-        Roll::Resume { dispatcher, service } => change(dispatcher, service, v1::change_ask::What::Resume),
-        Roll::Undo { dispatcher, service } => change(dispatcher, service, v1::change_ask::What::Undo),
+        Roll::Pause {
+            dispatcher,
+            service,
+        } => change(dispatcher, service, v1::change_ask::What::Pause),
+        Roll::Resume {
+            dispatcher,
+            service,
+        } => change(dispatcher, service, v1::change_ask::What::Resume),
+        Roll::Undo {
+            dispatcher,
+            service,
+        } => change(dispatcher, service, v1::change_ask::What::Undo),
     }
 }
 
 fn schema(version_only: bool) -> Result<(), String> {
-    let of = if version_only { schema::Of::Version } else { schema::Of::File };
+    let of = if version_only {
+        schema::Of::Version
+    } else {
+        schema::Of::File
+    };
     let text = serde_json::to_string_pretty(&schema::published(of)).map_err(text)?;
     // Whoever pipes it into a pager may close it early.
     let _ = writeln!(std::io::stdout(), "{text}");
@@ -350,8 +432,14 @@
     let status = async |link| {
         let status = VersionsClient::new(link).max_decoding_message_size(16 << 20);
         let mut status = status;
-        let status = within(Duration::from_secs(5), status.status(v1::VersionStatusAsk {})).await;
-        let status = status.ok_or("no answer within 5 s")?.map_err(|why| why.message().to_string())?;
+        let status = within(
+            Duration::from_secs(5),
+            status.status(v1::VersionStatusAsk {}),
+        )
+        .await;
+        let status = status
+            .ok_or("no answer within 5 s")?
+            .map_err(|why| why.message().to_string())?;
         Ok::<_, String>(status.into_inner())
     };
     match call {
@@ -359,17 +447,36 @@
             let told = status(link).await?;
             let name = |stamp: &Option<v1::Stamp>| match stamp {
                 Some(stamp) if stamp.number > 0 => {
-                    format!("{} ({})", stamp.number, stamp.digest.get(..8).unwrap_or_default())
+                    format!(
+                        "{} ({})",
+                        stamp.number,
+                        stamp.digest.get(..8).unwrap_or_default()
+                    )
                 }
                 _ => "its own file".into(),
             };
-            println!("in force: {}{}", name(&told.running), if told.on_trial { ", on trial" } else { "" });
+            println!(
+                "in force: {}{}",
+                name(&told.running),
+                if told.on_trial { ", on trial" } else { "" }
+            );
             println!("last good: {}", name(&told.good));
-            let service = if told.service.is_empty() { "none" } else { &told.service };
+            let service = if told.service.is_empty() {
+                "none"
+            } else {
+                &told.service
+            };
             println!("control service: {service}");
-            let v1::VersionStatus { applied, refused, superseded, .. } = told;
+            let v1::VersionStatus {
+                applied,
+                refused,
+                superseded,
+                ..
+            } = told;
             println!("applied {applied}, turned down {refused}, passed over {superseded}");
-            told.given_up.iter().for_each(|stamp| println!("given up: {}", name(&Some(stamp.clone()))));
+            told.given_up
+                .iter()
+                .for_each(|stamp| println!("given up: {}", name(&Some(stamp.clone()))));
             if told.refused_last.is_some() {
                 println!("turned down last: {}", name(&told.refused_last));
                 told.why.iter().for_each(|why| println!("  {why}"));
@@ -381,7 +488,11 @@
             let next = Texts::of(&path, &sexp::load(&file).map_err(text)?).map_err(text)?;
             let now = Texts::of("in force", &status(link).await?.text).map_err(text)?;
             let (changes, removed) = now.changes_to(&next);
-            for name in removed.iter().map(String::as_str).chain(changes.iter().map(|(name, _)| name)) {
+            for name in removed
+                .iter()
+                .map(String::as_str)
+                .chain(changes.iter().map(|(name, _)| name))
+            {
                 now.get(name).iter().for_each(|text| println!("- {text}"));
                 next.get(name).iter().for_each(|text| println!("+ {text}"));
             }
@@ -405,7 +516,15 @@
 }
 
 fn told(roll: &v1::Roll) -> String {
-    let v1::Roll { service, number, version, former, unready_most, why, .. } = roll;
+    let v1::Roll {
+        service,
+        number,
+        version,
+        former,
+        unready_most,
+        why,
+        ..
+    } = roll;
     let phase = match roll.phase() {
         v1::roll::Phase::Rolling => "rolling".into(),
         v1::roll::Phase::Paused => "paused".into(),
@@ -419,7 +538,10 @@
 
 async fn status(mut client: PlacementClient<Link>) -> Result<(), String> {
     let word = within(Duration::from_secs(5), client.status(v1::StatusAsk {})).await;
-    let word = word.ok_or("no answer within 5 s")?.map_err(|why| why.message().to_string())?.into_inner();
+    let word = word
+        .ok_or("no answer within 5 s")?
+        .map_err(|why| why.message().to_string())?
+        .into_inner();
     let rows = [
         ("in hand", word.in_hand),
         ("not yet placed", word.not_yet),
@@ -441,7 +563,8 @@
         word.schedulers,
         if word.stopping { ", stopping" } else { "" }
     );
-    rows.iter().for_each(|(what, value)| println!("{what:>18} {value}"));
+    rows.iter()
+        .for_each(|(what, value)| println!("{what:>18} {value}"));
     for count in &word.link_counts {
         println!(
             "{:>18} {} bytes in, {} out; {} messages in, {} out",
@@ -456,10 +579,37 @@
 }
 
 async fn ask(mut client: PlacementClient<Link>, place: Place) -> Result<(), String> {
-    let Place { task, service, track, account, cores, memory, life_ms, abandon_ms, again, stay, .. } = place;
+    let Place {
+        task,
+        service,
+        track,
+        account,
+        cores,
+        memory,
+        life_ms,
+        abandon_ms,
+        again,
+        stay,
+        ..
+    } = place;
     let placing = format!("{task}/{:x}", corkspan_dispatcher::clock::wall_ms());
-    let ask = v1::Ask { placing, task, service, track, account, cores, memory, life_ms, abandon_ms, again };
-    let mut words = client.place(ask).await.map_err(|why| why.message().to_string())?.into_inner();
+    let ask = v1::Ask {
+        placing,
+        task,
+        service,
+        track,
+        account,
+        cores,
+        memory,
+        life_ms,
+        abandon_ms,
+        again,
+    };
+    let mut words = client
+        .place(ask)
+        .await
+        .map_err(|why| why.message().to_string())?
+        .into_inner();
     let late = Duration::from_millis(abandon_ms.saturating_add(1000));
     let mut answered = false;
     loop {
@@ -471,7 +621,11 @@
                 .unwrap_or_else(|| Err(tonic::Status::deadline_exceeded("no answer")))
         };
         let Some(word) = word.map_err(|why| why.message().to_string())? else {
-            return if answered { Ok(()) } else { Err("the dispatcher gave no final answer".into()) };
+            return if answered {
+                Ok(())
+            } else {
+                Err("the dispatcher gave no final answer".into())
+            };
         };
         match word.word {
             Some(Said::Placed(placed)) => {
@@ -492,7 +646,10 @@
             Some(Said::Runs(_)) => println!("runs"),
             Some(Said::Served(served)) => println!("served at {:.0}%", served.part * 100.0),
             Some(Said::Replaced(replaced)) => {
-                println!("replaced by version {} on node {}", replaced.version, replaced.node);
+                println!(
+                    "replaced by version {} on node {}",
+                    replaced.version, replaced.node
+                );
             }
             Some(Said::Ended(ended)) => println!("ended: {:?}", ended.how()),
             None => {}
--- a/crates/cli/src/maintenance.rs
+++ b/crates/cli/src/maintenance.rs
@@ -78,15 +78,23 @@
         Maintenance::Pause { dispatcher } => (dispatcher, plain(What::Pause, Vec::new())),
         Maintenance::Resume { dispatcher } => (dispatcher, plain(What::Resume, Vec::new())),
         Maintenance::Abort { dispatcher } => (dispatcher, plain(What::Abort, Vec::new())),
-        Maintenance::Done { dispatcher, machines } => (dispatcher, plain(What::Done, machines)),
+        Maintenance::Done {
+            dispatcher,
+            machines,
+        } => (dispatcher, plain(What::Done, machines)),
     };
     let tasks = Tasks::default();
     let word = future::block_on(tasks.run(within(ANSWERS_WITHIN, async {
-        let bounds = Bounds { connect_within: Duration::from_secs(2), ..Bounds::default() };
-        let link =
-            Link::open(&tasks, dispatcher, &bounds).await.map_err(|why| format!("{dispatcher}: {why}"))?;
+        let bounds = Bounds {
+            connect_within: Duration::from_secs(2),
+            ..Bounds::default()
+        };
+        let link = Link::open(&tasks, dispatcher, &bounds)
+            .await
+            .map_err(|why| format!("{dispatcher}: {why}"))?;
         let word = RollsClient::new(link).maintain(ask).await;
-        word.map(tonic::Response::into_inner).map_err(|why| why.message().to_string())
+        word.map(tonic::Response::into_inner)
+            .map_err(|why| why.message().to_string())
     })));
     let word = word.ok_or("no answer within 20 s")??;
     tell(&word);
@@ -99,7 +107,12 @@
     v1::MaintainAsk {
         what: What::Start.into(),
         nodes: start.machines,
-        limits: vec![all, or_all(start.by_hall), or_all(start.by_cell), or_all(start.by_kind)],
+        limits: vec![
+            all,
+            or_all(start.by_hall),
+            or_all(start.by_cell),
+            or_all(start.by_kind),
+        ],
         warm_ms: start.warm_s.saturating_mul(1_000),
         empty_within_ms: start.empty_within_s.saturating_mul(1_000),
         then: match start.then {
@@ -112,7 +125,9 @@
 }
 
 fn tell(word: &v1::MaintainWord) {
-    let Some(work) = &word.stands else { return println!("no work on machines is wished for") };
+    let Some(work) = &word.stands else {
+        return println!("no work on machines is wished for");
+    };
     let course = match work.course() {
         v1::work::Course::Going => "going",
         v1::work::Course::Paused => "paused",
--- a/crates/cli/tests/process.rs
+++ b/crates/cli/tests/process.rs
@@ -1,4 +1,5 @@
-//! The program as a process: under a real limit on descriptors, from its start, to its end by a signal.
+//! The program as a process: under a real limit on descriptors, from its start, to its end by a
+//! signal.
 
 use corkspan_platform_wire::owner::{self, Kind};
 use std::io::{BufRead, BufReader, Read, Write};
@@ -33,8 +34,9 @@
             })
             .collect();
         let members = members.join(",");
-        let known =
-            format!(r#"{{"n":1,"events":[{{"n":1,"members":{{"complete":true,"members":[{members}]}}}}]}}"#);
+        let known = format!(
+            r#"{{"n":1,"events":[{{"n":1,"members":{{"complete":true,"members":[{members}]}}}}]}}"#
+        );
         let posting = format!(
             r#"{{"name":"n0","listen":"127.0.0.1:0","seed":"8c1f","limits":{{"sockets":{limit}}},"feed":"{feed}",
             "known":{known},"settings":{SETTINGS}}}"#
@@ -42,7 +44,10 @@
         std::fs::write(&path, posting).expect("written");
         let mut child = Command::new("sh")
             .arg("-c")
-            .arg(format!("ulimit -n {limit}; exec {} platform", env!("CARGO_BIN_EXE_corkspan")))
+            .arg(format!(
+                "ulimit -n {limit}; exec {} platform",
+                env!("CARGO_BIN_EXE_corkspan")
+            ))
             .env("NODE_CONFIG", &path)
             .stderr(Stdio::piped())
             .spawn()
@@ -54,18 +59,30 @@
             assert!(log.read_line(&mut line).expect("text") > 0, "it listens");
         }
         let address = line.split("address=").nth(1).expect("an address");
-        let address = address.trim().trim_end_matches("\u{1b}[0m").parse().expect("an address");
+        let address = address
+            .trim()
+            .trim_end_matches("\u{1b}[0m")
+            .parse()
+            .expect("an address");
         std::thread::spawn(move || std::io::copy(&mut log, &mut std::io::sink()));
-        Program { child, address, _dir: dir }
+        Program {
+            child,
+            address,
+            _dir: dir,
+        }
     }
 
     fn descriptors(&self) -> usize {
-        std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).expect("it runs").count()
+        std::fs::read_dir(format!("/proc/{}/fd", self.child.id()))
+            .expect("it runs")
+            .count()
     }
 
     fn connects(&self) -> TcpStream {
         let stream = TcpStream::connect(self.address).expect("connected");
-        stream.set_read_timeout(Some(PATIENCE)).expect("a socket option");
+        stream
+            .set_read_timeout(Some(PATIENCE))
+            .expect("a socket option");
         stream
     }
 }
@@ -83,7 +100,9 @@
     loop {
         if let Ok((stream, _)) = listener.accept() {
             stream.set_nonblocking(false).expect("a socket option");
-            stream.set_read_timeout(Some(PATIENCE)).expect("a socket option");
+            stream
+                .set_read_timeout(Some(PATIENCE))
+                .expect("a socket option");
             return stream;
         }
         assert!(since.elapsed() < PATIENCE, "nobody came");
@@ -91,7 +110,8 @@
     }
 }
 
-/// Discovery is down while idle clients, each of which has once said something sound, take all that they can get.
+/// Discovery is down while idle clients, each of which has once said something sound, take all that
+/// they can get.
 #[test]
 fn idle_clients_that_fill_the_descriptors_keep_neither_the_feed_nor_nodes_nor_owners_out() {
     let listener = || TcpListener::bind("127.0.0.1:0").expect("a port of the system's choice");
@@ -115,7 +135,9 @@
         (owner::NAME, b"a"),
         (owner::EXTRAS, b"cores:1;memory:1;service:a"),
     ];
-    owner.write_all(&owner::message(Kind::SetUp, 7, &parameters).expect("short")).expect("written");
+    owner
+        .write_all(&owner::message(Kind::SetUp, 7, &parameters).expect("short"))
+        .expect("written");
     let mut link = accepted(&node);
     assert!(link.read(&mut [0; 1_024]).expect("a set-up") > 0);
     // Discovery is back, and the crowd still there.
@@ -127,7 +149,8 @@
     assert!(program.descriptors() <= 48);
 }
 
-/// The front takes a dispatcher in once it has passed a test. Discovery is down, which a start must not wait for.
+/// The front takes a dispatcher in once it has passed a test. Discovery is down, which a start must
+/// not wait for.
 #[test]
 fn a_start_that_knows_hundreds_of_nodes_is_ready_within_ten_seconds_and_ends_when_told() {
     let listener = || TcpListener::bind("127.0.0.1:0").expect("a port of the system's choice");
@@ -140,10 +163,20 @@
     let mut front = program.connects();
     front.write_all(&test).expect("written");
     assert!(front.read(&mut [0; 64]).expect("an answer") > 0);
-    assert!(since.elapsed() < Duration::from_secs(10), "{:?}", since.elapsed());
+    assert!(
+        since.elapsed() < Duration::from_secs(10),
+        "{:?}",
+        since.elapsed()
+    );
     let told = Instant::now();
-    let kill = Command::new("kill").args(["-TERM", &program.child.id().to_string()]).status();
+    let kill = Command::new("kill")
+        .args(["-TERM", &program.child.id().to_string()])
+        .status();
     assert!(kill.expect("told").success());
     assert!(program.child.wait().expect("it ends").success());
-    assert!(told.elapsed() < Duration::from_millis(3_700), "{:?}", told.elapsed());
+    assert!(
+        told.elapsed() < Duration::from_millis(3_700),
+        "{:?}",
+        told.elapsed()
+    );
 }
--- a/crates/control/src/change.rs
+++ b/crates/control/src/change.rs
@@ -1,13 +1,15 @@
-//! One deployment against the next: what can change in service, what cuts too deep, and which ids stay.
+//! One deployment against the next: what can change in service, what cuts too deep, and which ids
+//! stay.
 
 use corkspan::interface::{Account, Cluster, Track, TrackId};
 use corkspan_deployment::Deployment;
 
-/// What a version says may shrink to this part of what it was; below, its author must say that it is meant.
+/// What a version says may shrink to this part of what it was; below, its author must say that it
+/// is meant.
 const CUT: f64 = 0.5;
 
-/// Why the next deployment can't take the place of the one in force; nothing where it can. `cuts`: its author means
-/// it to cut limits. `in_use` counts the allocations in hand of a track.
+/// Why the next deployment can't take the place of the one in force; nothing where it can. `cuts`:
+/// its author means it to cut limits. `in_use` counts the allocations in hand of a track.
 pub fn obstacles(
     now: &Deployment,
     next: &Deployment,
@@ -18,7 +20,9 @@
     for (id, name) in now.tracks.iter().enumerate() {
         let many = in_use(TrackId(id));
         if !name.is_empty() && many > 0 && !next.tracks.contains(name) {
-            why.push(format!("tracks/{name}: removed, and {many} allocations in hand are of it"));
+            why.push(format!(
+                "tracks/{name}: removed, and {many} allocations in hand are of it"
+            ));
         }
     }
     if !cuts {
@@ -27,7 +31,8 @@
     why
 }
 
-/// What a running dispatcher can't change: sockets, names that other programs know machines by, and what nodes do.
+/// What a running dispatcher can't change: sockets, names that other programs know machines by, and
+/// what nodes do.
 fn restarts(now: &Deployment, next: &Deployment) -> Vec<String> {
     let (a, b) = (&now.cluster, &next.cluster);
     let same = [
@@ -37,17 +42,26 @@
         ("placed-when", a.placed_runs == b.placed_runs),
         ("makes-room", a.makes_room == b.makes_room),
         ("shows-room", a.shows_room == b.shows_room),
-        ("bounds/connect-within", now.bounds.connect_within == next.bounds.connect_within),
-        ("bounds/keep-alive", now.bounds.keep_alive == next.bounds.keep_alive),
+        (
+            "bounds/connect-within",
+            now.bounds.connect_within == next.bounds.connect_within,
+        ),
+        (
+            "bounds/keep-alive",
+            now.bounds.keep_alive == next.bounds.keep_alive,
+        ),
         ("bounds/calls", now.bounds.calls == next.bounds.calls),
         ("bounds/links", now.bounds.links == next.bounds.links),
         ("bounds/message", now.bounds.message == next.bounds.message),
     ];
     let changed = same.iter().filter(|(_, same)| !same);
-    changed.map(|(part, _)| format!("{part}: a change needs a restart")).collect()
+    changed
+        .map(|(part, _)| format!("{part}: a change needs a restart"))
+        .collect()
 }
 
-/// Limits that would fall below a part of what they are: a slip of the pen there stops a fleet at once.
+/// Limits that would fall below a part of what they are: a slip of the pen there stops a fleet at
+/// once.
 fn deep_cuts(now: &Deployment, next: &Deployment) -> Vec<String> {
     let mut all: Vec<(String, f64, f64)> = Vec::new();
     let (a, b) = (&now.cluster, &next.cluster);
@@ -56,36 +70,72 @@
     both("accepts/memory", a.accepts.memory, b.accepts.memory);
     both("shots", a.shots as f64, b.shots as f64);
     both("cold/offers", a.cold.offers, b.cold.offers);
-    both("bounds/in-hand", now.bounds.in_hand as f64, next.bounds.in_hand as f64);
-    both("bounds/offers-a-node", now.bounds.offers_a_node as f64, next.bounds.offers_a_node as f64);
-    for (name, account) in std::iter::zip(&now.accounts, &a.accounts).filter(|(name, _)| !name.is_empty()) {
-        let later = next.accounts.iter().position(|other| other == name).map(|at| &b.accounts[at]);
+    both(
+        "bounds/in-hand",
+        now.bounds.in_hand as f64,
+        next.bounds.in_hand as f64,
+    );
+    both(
+        "bounds/offers-a-node",
+        now.bounds.offers_a_node as f64,
+        next.bounds.offers_a_node as f64,
+    );
+    for (name, account) in
+        std::iter::zip(&now.accounts, &a.accounts).filter(|(name, _)| !name.is_empty())
+    {
+        let later = next
+            .accounts
+            .iter()
+            .position(|other| other == name)
+            .map(|at| &b.accounts[at]);
         let share = |account: &Account| account.share_cores.unwrap_or(f64::INFINITY);
         // One that is gone can ask for nothing any more.
-        both(&format!("accounts/{name}"), share(account), later.map_or(0.0, share));
+        both(
+            &format!("accounts/{name}"),
+            share(account),
+            later.map_or(0.0, share),
+        );
     }
-    for (name, track) in std::iter::zip(&now.tracks, &a.tracks).filter(|(name, _)| !name.is_empty()) {
+    for (name, track) in std::iter::zip(&now.tracks, &a.tracks).filter(|(name, _)| !name.is_empty())
+    {
         let Some(at) = next.tracks.iter().position(|other| other == name) else {
             both(&format!("tracks/{name}"), 1.0, 0.0);
             continue;
         };
-        both(&format!("tracks/{name}/calm"), track.calm, b.tracks[at].calm);
+        both(
+            &format!("tracks/{name}/calm"),
+            track.calm,
+            b.tracks[at].calm,
+        );
         let most = |track: &Track| track.spread.map_or(f64::INFINITY, |(_, most)| most as f64);
-        both(&format!("tracks/{name}/most"), most(track), most(&b.tracks[at]));
+        both(
+            &format!("tracks/{name}/most"),
+            most(track),
+            most(&b.tracks[at]),
+        );
     }
     // From no limit to any is a cut too, but one that says what it means.
-    let deep = all.into_iter().filter(|(_, before, after)| before.is_finite() && *after < before * CUT);
+    let deep = all
+        .into_iter()
+        .filter(|(_, before, after)| before.is_finite() && *after < before * CUT);
     deep.map(|(name, before, after)| {
-        format!("{name}: cut from {before} to {after}; below {CUT} of it only with the mark of intent")
+        format!(
+            "{name}: cut from {before} to {after}; below {CUT} of it only with the mark of intent"
+        )
     })
     .collect()
 }
 
-/// The next deployment with ids that still mean what allocations in hand were taken under. A name keeps its id;
-/// one that is gone leaves its row behind, without a name, until nothing is of it any more. A track whose repeats
-/// would be treated otherwise gets another id: what is in hand keeps the promise that it was taken under. None where
-/// more names have come and gone than rows are kept for.
-pub fn with_ids(now: &Deployment, next: Deployment, in_use: impl Fn(TrackId) -> usize) -> Option<Deployment> {
+/// The next deployment with ids that still mean what allocations in hand were taken under. A name
+/// keeps its id; one that is gone leaves its row behind, without a name, until nothing is of it any
+/// more. A track whose repeats would be treated otherwise gets another id: what is in hand keeps
+/// the promise that it was taken under. None where more names have come and gone than rows are kept
+/// for.
+pub fn with_ids(
+    now: &Deployment,
+    next: Deployment,
+    in_use: impl Fn(TrackId) -> usize,
+) -> Option<Deployment> {
     let (mut names, mut tracks) = (now.tracks.clone(), now.cluster.tracks.clone());
     for (name, track) in std::iter::zip(&next.tracks, &next.cluster.tracks) {
         let stays = names.iter().position(|own| own == name);
@@ -96,7 +146,9 @@
         if let Some(at) = stays {
             names[at].clear();
         }
-        put(&mut names, &mut tracks, name, track, |at| in_use(TrackId(at)) == 0);
+        put(&mut names, &mut tracks, name, track, |at| {
+            in_use(TrackId(at)) == 0
+        });
     }
     for name in &mut names {
         if !next.tracks.contains(name) {
@@ -120,8 +172,17 @@
     if names.len().max(account_names.len()) > ROWS {
         return None;
     }
-    let cluster = Cluster { tracks, accounts, ..next.cluster };
-    Some(Deployment { cluster, tracks: names, accounts: account_names, ..next })
+    let cluster = Cluster {
+        tracks,
+        accounts,
+        ..next.cluster
+    };
+    Some(Deployment {
+        cluster,
+        tracks: names,
+        accounts: account_names,
+        ..next
+    })
 }
 
 /// Into a row that has no name and is free, or a new one.
@@ -148,6 +209,14 @@
 pub fn told(now: &Deployment, next: &Deployment) -> Vec<String> {
     let (changes, removed) = now.texts.changes_to(&next.texts);
     let was = |name: &str| now.texts.get(name).unwrap_or("(absent)").to_string();
-    let changed = changes.iter().map(|(name, text)| format!("{} -> {text}", was(name)));
-    changed.chain(removed.iter().map(|name| format!("{} -> (absent)", was(name)))).collect()
+    let changed = changes
+        .iter()
+        .map(|(name, text)| format!("{} -> {text}", was(name)));
+    changed
+        .chain(
+            removed
+                .iter()
+                .map(|name| format!("{} -> (absent)", was(name))),
+        )
+        .collect()
 }
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,10 +1,10 @@
-//! What streamed versions of a deployment decide, without I/O and without a clock. docs/control.md says why it is
-//! so.
+//! What streamed versions of a deployment decide, without I/O and without a clock. docs/control.md
+//! says why it is so.
 //!
-//! [`Subscriber`] decides for a dispatcher: which push is worth checking, what is turned down unread and why, when a
-//! version is on trial and when it is given up. [`change`] weighs one deployment against the next: what needs a
-//! restart, what cuts too deep, which ids stay. [`Publisher`] keeps the other end's books. [`Retry`] spreads the
-//! returns of a stream that broke.
+//! [`Subscriber`] decides for a dispatcher: which push is worth checking, what is turned down
+//! unread and why, when a version is on trial and when it is given up. [`change`] weighs one
+//! deployment against the next: what needs a restart, what cuts too deep, which ids stay.
+//! [`Publisher`] keeps the other end's books. [`Retry`] spreads the returns of a stream that broke.
 
 pub mod change;
 mod line;
--- a/crates/control/src/line.rs
+++ b/crates/control/src/line.rs
@@ -1,11 +1,12 @@
-//! What is known of the line of versions, and the newest of it, for those that no control service reaches.
+//! What is known of the line of versions, and the newest of it, for those that no control service
+//! reaches.
 
 use crate::subscriber::{Push, Version};
 use corkspan_deployment::version::{Digest, Stamp, Texts};
 use std::collections::BTreeMap;
 
-/// Stamps of a line that are remembered; 48 bytes each, so 5 MB at the most. One further behind than these can be
-/// vouched for by a control service alone.
+/// Stamps of a line that are remembered; 48 bytes each, so 5 MB at the most. One further behind
+/// than these can be vouched for by a control service alone.
 const MOST: usize = 100_000;
 
 /// Versions known to stand in one line, by number.
@@ -44,8 +45,8 @@
     Liar,
 }
 
-/// The newest version of a line, whole, held for others: at a dispatcher the one that it runs, at a keeper one that a
-/// dispatcher has laid there.
+/// The newest version of a line, whole, held for others: at a dispatcher the one that it runs, at a
+/// keeper one that a dispatcher has laid there.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Shelf {
     lies: Option<(Version, bool)>,
@@ -53,7 +54,8 @@
 }
 
 impl Shelf {
-    /// What the caller runs from now on, and what its push told of the line. Checked by who took it.
+    /// What the caller runs from now on, and what its push told of the line. Checked by who took
+    /// it.
     pub fn runs(&mut self, stamp: Stamp, texts: Texts, cuts: bool, follows: &[Stamp]) {
         self.line.learn(follows.iter().copied().chain([stamp]));
         self.lies = Some((Version { stamp, texts }, cuts));
@@ -81,14 +83,20 @@
         self.lies.as_ref().map(|(version, _)| version.stamp)
     }
 
-    /// For one that runs `theirs`: the whole of what lies here, if that is later. Named among what it follows only where
-    /// it is known to: the rest is for the straggler to refuse.
+    /// For one that runs `theirs`: the whole of what lies here, if that is later. Named among what
+    /// it follows only where it is known to: the rest is for the straggler to refuse.
     pub fn push_for(&self, theirs: Stamp) -> Option<Push> {
-        let (version, cuts) = self.lies.as_ref().filter(|(lies, _)| lies.stamp.number > theirs.number)?;
+        let (version, cuts) = self
+            .lies
+            .as_ref()
+            .filter(|(lies, _)| lies.stamp.number > theirs.number)?;
         Some(Push {
             nonce: 0,
             stamp: version.stamp,
-            follows: Some(theirs).filter(|&theirs| self.line.holds(theirs)).into_iter().collect(),
+            follows: Some(theirs)
+                .filter(|&theirs| self.line.holds(theirs))
+                .into_iter()
+                .collect(),
             onto: None,
             changes: version.texts.clone(),
             removed: Vec::new(),
@@ -98,7 +106,10 @@
 
     /// The same, to be laid on a shelf where `theirs` lies, if anything does.
     pub fn push_to(&self, theirs: Option<Stamp>) -> Option<Push> {
-        let none = Stamp { number: 0, digest: Digest([0; 32]) };
+        let none = Stamp {
+            number: 0,
+            digest: Digest([0; 32]),
+        };
         self.push_for(theirs.unwrap_or(none))
     }
 }
--- a/crates/control/src/retry.rs
+++ b/crates/control/src/retry.rs
@@ -10,7 +10,8 @@
 /// A stream that stood for so long begins anew with the first wait.
 const STOOD: Tenths = 100_000;
 
-/// Waits that grow and are drawn by chance: hundreds that lost the same service at once come back one by one.
+/// Waits that grow and are drawn by chance: hundreds that lost the same service at once come back
+/// one by one.
 pub struct Retry {
     rng: Pcg64Mcg,
     fails: u32,
@@ -18,12 +19,20 @@
 
 impl Retry {
     pub fn new(seed: u64) -> Self {
-        Retry { rng: Pcg64Mcg::seed_from_u64(seed), fails: 0 }
+        Retry {
+            rng: Pcg64Mcg::seed_from_u64(seed),
+            fails: 0,
+        }
     }
 
-    /// How long to wait before the next try, after a stream that stood for so long; 0 for none that stood at all.
+    /// How long to wait before the next try, after a stream that stood for so long; 0 for none that
+    /// stood at all.
     pub fn wait(&mut self, stood: Tenths) -> Tenths {
-        self.fails = if stood >= STOOD { 0 } else { self.fails.saturating_add(1) };
+        self.fails = if stood >= STOOD {
+            0
+        } else {
+            self.fails.saturating_add(1)
+        };
         let most = (FIRST << self.fails.min(8)).min(LONGEST);
         // From nothing on: the spread is what counts, and the mean still grows.
         self.rng.random_range(FIRST / 5..=most)
--- a/crates/control/src/subscriber.rs
+++ b/crates/control/src/subscriber.rs
@@ -9,7 +9,8 @@
 const APART: Tenths = 500;
 /// Versions remembered as given up at the most.
 const GIVEN_UP: usize = 32;
-/// A version on trial under which the dispatcher was started so often is given up: it may be what ended it.
+/// A version on trial under which the dispatcher was started so often is given up: it may be what
+/// ended it.
 const STARTS: u32 = 3;
 
 /// One version whole, as it is kept.
@@ -30,7 +31,8 @@
 }
 
 impl Kept {
-    /// What is left where the newest version in it no longer fits the file: the one before, at last the file alone.
+    /// What is left where the newest version in it no longer fits the file: the one before, at last
+    /// the file alone.
     pub fn before_newest(mut self) -> Kept {
         if self.trial.take().is_none() {
             self.good = None;
@@ -99,8 +101,8 @@
 }
 
 impl Subscriber {
-    /// `texts` are the shared parts of the dispatcher's own file. What to have on disk before it starts, if that is
-    /// not `kept` as it was.
+    /// `texts` are the shared parts of the dispatcher's own file. What to have on disk before it
+    /// starts, if that is not `kept` as it was.
     pub fn start(texts: Texts, kept: Kept, now: Tenths) -> (Self, Option<Kept>) {
         let mut kept = kept;
         let before = kept.clone();
@@ -112,11 +114,25 @@
                 give_up(&mut kept, stamp);
             }
         }
-        let trial = kept.trial.as_ref().map(|_| Trial::begin(now, Counts::default(), &Usual::default()));
+        let trial = kept
+            .trial
+            .as_ref()
+            .map(|_| Trial::begin(now, Counts::default(), &Usual::default()));
         let changed = (kept != before).then(|| kept.clone());
-        let file = Stamp { number: 0, digest: texts.digest() };
+        let file = Stamp {
+            number: 0,
+            digest: texts.digest(),
+        };
         let usual = Usual::default();
-        let own = Subscriber { file, file_texts: texts, kept, usual, trial, waits: None, applied_at: None };
+        let own = Subscriber {
+            file,
+            file_texts: texts,
+            kept,
+            usual,
+            trial,
+            waits: None,
+            applied_at: None,
+        };
         (own, changed)
     }
 
@@ -124,7 +140,9 @@
     pub fn running(&self) -> (Stamp, &Texts) {
         let trial = self.kept.trial.as_ref().map(|(version, _)| version);
         let version = trial.or(self.kept.good.as_ref());
-        version.map_or((self.file, &self.file_texts), |version| (version.stamp, &version.texts))
+        version.map_or((self.file, &self.file_texts), |version| {
+            (version.stamp, &version.texts)
+        })
     }
 
     pub fn on_trial(&self) -> bool {
@@ -137,12 +155,19 @@
 
     /// A push has come. The answer to the one that it passes over, by nonce.
     pub fn heard(&mut self, push: Push) -> Option<(u64, Said)> {
-        let newer = self.waits.as_ref().is_none_or(|waits| push.stamp.number >= waits.stamp.number);
+        let newer = self
+            .waits
+            .as_ref()
+            .is_none_or(|waits| push.stamp.number >= waits.stamp.number);
         if newer {
             let nonce = push.nonce;
-            self.waits.replace(push).map(|passed| (passed.nonce, Said::Superseded(nonce)))
+            self.waits
+                .replace(push)
+                .map(|passed| (passed.nonce, Said::Superseded(nonce)))
         } else {
-            self.waits.as_ref().map(|waits| (push.nonce, Said::Superseded(waits.nonce)))
+            self.waits
+                .as_ref()
+                .map(|waits| (push.nonce, Said::Superseded(waits.nonce)))
         }
     }
 
@@ -173,17 +198,23 @@
             return Admitted::Answer(Said::Running);
         }
         if self.kept.given_up.contains(&stamp) {
-            return refuse(format!("version {stamp} was given up here; a next one is needed"));
+            return refuse(format!(
+                "version {stamp} was given up here; a next one is needed"
+            ));
         }
         if stamp.number == running.number {
-            return refuse(format!("stale: {running} runs here, of the same number and another content"));
+            return refuse(format!(
+                "stale: {running} runs here, of the same number and another content"
+            ));
         }
         if stamp.number < running.number {
             return refuse(format!("stale: {running} runs here"));
         }
         // A service that was cut off from the others may count on from an older state.
         if running.number > 0 && !push.follows.contains(&running) {
-            return refuse(format!("split: it does not follow {running}, which runs here"));
+            return refuse(format!(
+                "split: it does not follow {running}, which runs here"
+            ));
         }
         let whole = match push.onto {
             None => push.changes.clone(),
@@ -200,12 +231,15 @@
         Admitted::Check(whole)
     }
 
-    /// It was found sound and is to take effect: what must be on disk first. The one on trial that it takes the place
-    /// of counts as good if it did no harm to as many asks as tell anything.
+    /// It was found sound and is to take effect: what must be on disk first. The one on trial that
+    /// it takes the place of counts as good if it did no harm to as many asks as tell anything.
     pub fn to_keep(&self, now: Tenths, counts: Counts, stamp: Stamp, texts: Texts) -> Kept {
         let mut kept = self.kept.clone();
         let trial = kept.trial.replace((Version { stamp, texts }, 0));
-        let stood = self.trial.as_ref().is_some_and(|trial| trial.does_no_harm(now, counts));
+        let stood = self
+            .trial
+            .as_ref()
+            .is_some_and(|trial| trial.does_no_harm(now, counts));
         if let Some((version, _)) = trial.filter(|_| stood) {
             kept.good = Some(version);
         }
@@ -221,15 +255,18 @@
         self.applied_at = Some(now);
     }
 
-    /// A look at how the version in force does. What must be on disk, and in force once it is; with a reason where
-    /// the version is given up.
+    /// A look at how the version in force does. What must be on disk, and in force once it is; with
+    /// a reason where the version is given up.
     pub fn watch(&mut self, now: Tenths, counts: Counts) -> Option<(Kept, Option<String>)> {
         let Some(trial) = &self.trial else {
             self.usual_until(now, counts);
             return None;
         };
         let (version, _) = self.kept.trial.as_ref()?;
-        let mut kept = Kept { trial: None, ..self.kept.clone() };
+        let mut kept = Kept {
+            trial: None,
+            ..self.kept.clone()
+        };
         match trial.verdict(now, counts) {
             Verdict::GoesOn => None,
             Verdict::Good => {
--- a/crates/control/src/trial.rs
+++ b/crates/control/src/trial.rs
@@ -2,11 +2,13 @@
 
 use corkspan::interface::Tenths;
 
-/// A trial lasts so long, and longer while fewer asks came than tell anything, up to so many times that.
+/// A trial lasts so long, and longer while fewer asks came than tell anything, up to so many times
+/// that.
 const LASTS: Tenths = 300_000;
 const LONGEST: Tenths = 5 * LASTS;
 const TELLING: f64 = 50.0;
-/// The part of asks refused may rise by this, and by so many standard errors, before the version is given up.
+/// The part of asks refused may rise by this, and by so many standard errors, before the version is
+/// given up.
 const RISE: f64 = 0.25;
 const SURE: f64 = 3.0;
 /// In this time what was counted before loses half its weight.
@@ -53,7 +55,11 @@
     }
 
     fn part(&self) -> f64 {
-        if self.asked > 0.0 { self.refused / self.asked } else { 0.0 }
+        if self.asked > 0.0 {
+            self.refused / self.asked
+        } else {
+            0.0
+        }
     }
 }
 
@@ -67,12 +73,20 @@
 
 impl Trial {
     pub fn begin(now: Tenths, counts: Counts, usual: &Usual) -> Self {
-        Trial { began: now, from: counts, usual: usual.part() }
+        Trial {
+            began: now,
+            from: counts,
+            usual: usual.part(),
+        }
     }
 
     /// The next version takes its place: what was usual before this one is still the measure.
     pub fn next(&self, now: Tenths, counts: Counts) -> Self {
-        Trial { began: now, from: counts, usual: self.usual }
+        Trial {
+            began: now,
+            from: counts,
+            usual: self.usual,
+        }
     }
 
     /// As many asks as tell anything, and no harm.
--- a/crates/control/tests/line.rs
+++ b/crates/control/tests/line.rs
@@ -4,18 +4,27 @@
 use corkspan_deployment::version::{Stamp, Texts};
 
 fn texts(what: u64) -> Texts {
-    [("tracks".to_string(), format!("(tracks {what})"))].into_iter().collect()
+    [("tracks".to_string(), format!("(tracks {what})"))]
+        .into_iter()
+        .collect()
 }
 
 fn stamp(number: u64, what: u64) -> Stamp {
-    Stamp { number, digest: texts(what).digest() }
+    Stamp {
+        number,
+        digest: texts(what).digest(),
+    }
 }
 
 /// A shelf at one that ran each version of a line in turn.
 fn shelf(newest: u64) -> Shelf {
     let mut shelf = Shelf::default();
     for number in 1..=newest {
-        let before = if number > 1 { vec![stamp(number - 1, number - 1)] } else { Vec::new() };
+        let before = if number > 1 {
+            vec![stamp(number - 1, number - 1)]
+        } else {
+            Vec::new()
+        };
         shelf.runs(stamp(number, number), texts(number), false, &before);
     }
     shelf
@@ -34,14 +43,22 @@
     let push = shelf(50_000).push_for(stamp(3, 3)).expect("later");
     assert_eq!(says(3, 3, &push), Admitted::Check(texts(50_000)));
     let push = shelf(50_000).push_for(stamp(3, 77)).expect("later");
-    assert!(matches!(says(3, 77, &push), Admitted::Answer(Said::Refused(why)) if why[0].contains("split")));
+    assert!(
+        matches!(says(3, 77, &push), Admitted::Answer(Said::Refused(why)) if why[0].contains("split"))
+    );
 }
 
 #[test]
 fn what_is_further_back_than_is_remembered_is_not_vouched_for() {
     let shelf = shelf(100_010);
     assert_eq!(shelf.push_for(stamp(5, 5)).expect("later").follows, []);
-    assert_eq!(shelf.push_for(stamp(100_000, 100_000)).expect("later").follows, [stamp(100_000, 100_000)]);
+    assert_eq!(
+        shelf
+            .push_for(stamp(100_000, 100_000))
+            .expect("later")
+            .follows,
+        [stamp(100_000, 100_000)]
+    );
 }
 
 #[test]
@@ -53,12 +70,28 @@
 #[test]
 fn a_keeper_takes_what_follows_and_neither_an_older_nor_a_rival_nor_a_liars() {
     let mut shelf = shelf(7);
-    assert_eq!(shelf.lay(stamp(7, 7), texts(7), false, &[stamp(6, 6)]), Laid::Older);
-    assert_eq!(shelf.lay(stamp(9, 9), texts(9), false, &[stamp(7, 70)]), Laid::Split);
-    assert_eq!(shelf.lay(stamp(9, 9), texts(8), false, &[stamp(7, 7)]), Laid::Liar);
+    assert_eq!(
+        shelf.lay(stamp(7, 7), texts(7), false, &[stamp(6, 6)]),
+        Laid::Older
+    );
+    assert_eq!(
+        shelf.lay(stamp(9, 9), texts(9), false, &[stamp(7, 70)]),
+        Laid::Split
+    );
+    assert_eq!(
+        shelf.lay(stamp(9, 9), texts(8), false, &[stamp(7, 7)]),
+        Laid::Liar
+    );
     assert_eq!(shelf.lies(), Some(stamp(7, 7)));
-    assert_eq!(shelf.lay(stamp(9, 9), texts(9), true, &[stamp(7, 7)]), Laid::Taken);
-    assert!(shelf.push_for(stamp(7, 7)).is_some_and(|push| push.cuts && push.follows == [stamp(7, 7)]));
+    assert_eq!(
+        shelf.lay(stamp(9, 9), texts(9), true, &[stamp(7, 7)]),
+        Laid::Taken
+    );
+    assert!(
+        shelf
+            .push_for(stamp(7, 7))
+            .is_some_and(|push| push.cuts && push.follows == [stamp(7, 7)])
+    );
 }
 
 #[test]
@@ -67,7 +100,14 @@
     shelf.runs(stamp(7, 70), texts(70), false, &[stamp(6, 60)]);
     shelf.runs(stamp(8, 80), texts(80), false, &[stamp(7, 70)]);
     for old in 1..=6 {
-        assert_eq!(shelf.push_for(stamp(old, old)).expect("later").follows, [], "{old}");
+        assert_eq!(
+            shelf.push_for(stamp(old, old)).expect("later").follows,
+            [],
+            "{old}"
+        );
     }
-    assert_eq!(shelf.push_for(stamp(7, 70)).expect("later").follows, [stamp(7, 70)]);
+    assert_eq!(
+        shelf.push_for(stamp(7, 70)).expect("later").follows,
+        [stamp(7, 70)]
+    );
 }
--- a/crates/control/tests/search.rs
+++ b/crates/control/tests/search.rs
@@ -1,10 +1,11 @@
-//! Every state of a small exchange: a service with three versions, of which the second is unsound, a rival that was
-//! cut off and has a first version of its own, two dispatchers, streams that break with all that is on its way,
-//! kills at any step, trials that end badly.
+//! Every state of a small exchange: a service with three versions, of which the second is unsound,
+//! a rival that was cut off and has a first version of its own, two dispatchers, streams that break
+//! with all that is on its way, kills at any step, trials that end badly.
 //!
-//! The claim: what is in force at a dispatcher was sound and on its disk first; it goes on to higher numbers, and
-//! back only by giving up; once nothing is under way, the service's book says what is in force; and no sound version
-//! stands as turned down, but for one that does not follow what runs.
+//! The claim: what is in force at a dispatcher was sound and on its disk first; it goes on to
+//! higher numbers, and back only by giving up; once nothing is under way, the service's book says
+//! what is in force; and no sound version stands as turned down, but for one that does not follow
+//! what runs.
 
 use corkspan_control::{Admitted, Counts, Kept, Publisher, Push, Said, Subscriber};
 use corkspan_deployment::version::{Stamp, Texts};
@@ -13,7 +14,9 @@
 use test_case::test_case;
 
 fn texts(number: usize) -> Texts {
-    [("shots".to_string(), format!("(shots {number})"))].into_iter().collect()
+    [("shots".to_string(), format!("(shots {number})"))]
+        .into_iter()
+        .collect()
 }
 
 /// What a checker would say: the second version can't be served.
@@ -89,12 +92,21 @@
         kills: 0,
         breaks: 0,
     };
-    World { books: Publisher::default(), published: 0, peers: [peer.clone(), peer] }
+    World {
+        books: Publisher::default(),
+        published: 0,
+        peers: [peer.clone(), peer],
+    }
 }
 
 impl World {
     fn flush(&mut self) {
-        for (who, peer) in self.peers.iter_mut().enumerate().filter(|(_, peer)| peer.open && !peer.rival) {
+        for (who, peer) in self
+            .peers
+            .iter_mut()
+            .enumerate()
+            .filter(|(_, peer)| peer.open && !peer.rival)
+        {
             peer.pushes.extend(self.books.push_for(who as u32));
         }
     }
@@ -102,7 +114,11 @@
     /// The world after this, if it can happen now; or what it breaks.
     fn after(&self, event: Event, wrong: Wrong) -> Option<Result<World, String>> {
         let mut next = self.clone();
-        let World { books, published, peers } = &mut next;
+        let World {
+            books,
+            published,
+            peers,
+        } = &mut next;
         match event {
             Event::Publish => {
                 if *published == 3 {
@@ -165,7 +181,8 @@
             }
             Event::Apply(who) => {
                 let peer = &mut peers[who];
-                let Step::ToApply(push, kept) = std::mem::replace(&mut peer.step, Step::Idle) else {
+                let Step::ToApply(push, kept) = std::mem::replace(&mut peer.step, Step::Idle)
+                else {
                     return None;
                 };
                 peer.apply(&push, kept.clone());
@@ -183,7 +200,11 @@
                     return Some(Ok(next));
                 }
                 let newest = peer.pushes.last().map_or(nonce, |push| push.nonce);
-                let nonce = if wrong == Wrong::AnswersWithoutNonce { newest } else { nonce };
+                let nonce = if wrong == Wrong::AnswersWithoutNonce {
+                    newest
+                } else {
+                    nonce
+                };
                 books.heard(who as u32, nonce, &said, running);
             }
             Event::Harm(who) => {
@@ -192,7 +213,10 @@
                 if !matches!(peer.step, Step::Idle) {
                     return None;
                 }
-                let all = Counts { asked: 1_000, refused: 1_000 };
+                let all = Counts {
+                    asked: 1_000,
+                    refused: 1_000,
+                };
                 let (kept, _) = own.watch(0, all)?;
                 peer.disk = kept.clone();
                 own.decided(0, kept, all);
@@ -285,7 +309,9 @@
     fn look(&mut self, push: Push, wrong: Wrong) {
         let Some(own) = &self.own else { return };
         let admitted = match own.admit(&push) {
-            Admitted::Answer(Said::Refused(_)) if wrong == Wrong::TakesAnyNumber && push.onto.is_none() => {
+            Admitted::Answer(Said::Refused(_))
+                if wrong == Wrong::TakesAnyNumber && push.onto.is_none() =>
+            {
                 Admitted::Check(push.changes.clone())
             }
             other => other,
@@ -316,9 +342,20 @@
 /// The first dispatcher runs the first version.
 fn under_way() -> World {
     use Event::*;
-    let events = [Publish, Open(0), Push(0), Look(0), Keep(0), Apply(0), Answer(0)];
+    let events = [
+        Publish,
+        Open(0),
+        Push(0),
+        Look(0),
+        Keep(0),
+        Apply(0),
+        Answer(0),
+    ];
     events.into_iter().fold(start(), |world, event| {
-        world.after(event, Wrong::Nothing).expect("it can happen").expect("and breaks nothing")
+        world
+            .after(event, Wrong::Nothing)
+            .expect("it can happen")
+            .expect("and breaks nothing")
     })
 }
 
@@ -346,12 +383,16 @@
     };
     // By breadth, so that a state is met first with the most steps left.
     for at in 0.. {
-        let Some((world, steps)) = states.get(at).cloned() else { break };
+        let Some((world, steps)) = states.get(at).cloned() else {
+            break;
+        };
         if steps == depth {
             break;
         }
         for event in [Event::Publish].into_iter().chain(all(0)).chain(all(1)) {
-            let Some(next) = world.after(event, wrong) else { continue };
+            let Some(next) = world.after(event, wrong) else {
+                continue;
+            };
             let next = next.map_err(|why| format!("{why}, after {steps} steps, by {event:?}"))?;
             let mut hasher = DefaultHasher::new();
             format!("{next:?}").hash(&mut hasher);
@@ -365,7 +406,10 @@
 
 #[test_case(start(), 10; "from the start")]
 #[test_case(under_way(), 8; "with a version in force")]
-fn no_order_of_breaks_and_kills_puts_in_force_what_is_unsound_or_not_on_disk(from: World, depth: usize) {
+fn no_order_of_breaks_and_kills_puts_in_force_what_is_unsound_or_not_on_disk(
+    from: World,
+    depth: usize,
+) {
     let states = search(from, Wrong::Nothing, depth).unwrap_or_else(|why| panic!("{why}"));
     assert!(states > 10_000, "{states} states");
 }
--- a/crates/control/tests/stories.rs
+++ b/crates/control/tests/stories.rs
@@ -1,7 +1,9 @@
 //! What a dispatcher does about versions, one story for each failure.
 
 use corkspan::interface::*;
-use corkspan_control::{Admitted, Counts, Kept, Pace, Publisher, Push, Retry, Said, Subscriber, change};
+use corkspan_control::{
+    Admitted, Counts, Kept, Pace, Publisher, Push, Retry, Said, Subscriber, change,
+};
 use corkspan_deployment::Deployment;
 use corkspan_deployment::version::{Stamp, Texts};
 use proptest::prelude::*;
@@ -11,13 +13,26 @@
 const SECOND: Tenths = 10_000;
 
 fn texts(number: u64) -> Texts {
-    [("shots".to_string(), format!("(shots {number})"))].into_iter().collect()
+    [("shots".to_string(), format!("(shots {number})"))]
+        .into_iter()
+        .collect()
 }
 
 fn push(nonce: u64, number: u64, follows: &[Stamp]) -> Push {
     let changes = texts(number);
-    let stamp = Stamp { number, digest: changes.digest() };
-    Push { nonce, stamp, follows: follows.to_vec(), onto: None, changes, removed: Vec::new(), cuts: false }
+    let stamp = Stamp {
+        number,
+        digest: changes.digest(),
+    };
+    Push {
+        nonce,
+        stamp,
+        follows: follows.to_vec(),
+        onto: None,
+        changes,
+        removed: Vec::new(),
+        cuts: false,
+    }
 }
 
 fn subscriber() -> Subscriber {
@@ -43,8 +58,15 @@
     let mut own = subscriber();
     takes(&mut own, 0, 1, Counts::default());
     assert_eq!(own.heard(push(10, 2, &[])), None);
-    assert_eq!(own.heard(push(11, 4, &[])), Some((10, Said::Superseded(11))));
-    assert_eq!(own.heard(push(12, 3, &[])), Some((12, Said::Superseded(11))), "late, and older");
+    assert_eq!(
+        own.heard(push(11, 4, &[])),
+        Some((10, Said::Superseded(11)))
+    );
+    assert_eq!(
+        own.heard(push(12, 3, &[])),
+        Some((12, Said::Superseded(11))),
+        "late, and older"
+    );
     assert_eq!(own.pace(100), Pace::Wait(400));
     assert_eq!(own.pace(500), Pace::Now);
     assert_eq!(own.take().map(|push| push.nonce), Some(11));
@@ -65,7 +87,11 @@
     let one = takes(&mut own, 0, 1, Counts::default());
     let two = takes(&mut own, 40 * SECOND, 2, counts(100, 0));
     let mut kept = own.kept().clone();
-    assert_eq!(kept.good.as_ref().map(|good| good.stamp), Some(one), "it did no harm to a hundred asks");
+    assert_eq!(
+        kept.good.as_ref().map(|good| good.stamp),
+        Some(one),
+        "it did no harm to a hundred asks"
+    );
     for start in 0..3 {
         let (own, changed) = Subscriber::start(texts(0), kept.clone(), 0);
         kept = changed.expect("each start is counted on disk");
@@ -84,7 +110,11 @@
 
 #[test_case(20, 0, 12; "from few, much more")]
 #[test_case(1_000, 500, 40; "from half, nearly all")]
-fn asks_refused_far_more_often_than_before_give_the_version_up(asked: u64, refused: u64, spared: u64) {
+fn asks_refused_far_more_often_than_before_give_the_version_up(
+    asked: u64,
+    refused: u64,
+    spared: u64,
+) {
     let mut own = subscriber();
     assert_eq!(own.watch(SECOND, counts(asked, refused)), None);
     takes(&mut own, SECOND, 1, counts(asked, refused));
@@ -92,7 +122,10 @@
     assert_eq!(own.watch(2 * SECOND, some), None, "not enough to tell by");
     let all = counts(asked + 400, refused + 400 - spared);
     let (kept, why) = own.watch(2 * SECOND, all).expect("it is decided");
-    assert!(why.expect("with a reason").contains("of 400 asks refused in 1.0 s"));
+    assert!(
+        why.expect("with a reason")
+            .contains("of 400 asks refused in 1.0 s")
+    );
     own.decided(2 * SECOND, kept, all);
     assert_eq!((own.running().0.number, own.on_trial()), (0, false));
 }
@@ -100,14 +133,22 @@
 #[test_case(1_000, 500, 1_000, 600; "of a crowded hour, a little more")]
 #[test_case(0, 0, 0, 0; "no asks at all, for long")]
 #[test_case(100, 0, 100, 5; "some refusals")]
-fn a_version_that_does_no_harm_is_good_after_its_trial(asked: u64, refused: u64, more: u64, turned: u64) {
+fn a_version_that_does_no_harm_is_good_after_its_trial(
+    asked: u64,
+    refused: u64,
+    more: u64,
+    turned: u64,
+) {
     let mut own = subscriber();
     own.watch(SECOND, counts(asked, refused));
     let one = takes(&mut own, SECOND, 1, counts(asked, refused));
     let after = counts(asked + more, refused + turned);
     assert_eq!(own.watch(30 * SECOND, after), None, "not yet");
     let (kept, why) = own.watch(151 * SECOND, after).expect("decided");
-    assert_eq!((kept.good.as_ref().map(|good| good.stamp), why), (Some(one), None));
+    assert_eq!(
+        (kept.good.as_ref().map(|good| good.stamp), why),
+        (Some(one), None)
+    );
 }
 
 #[test]
@@ -148,7 +189,9 @@
 fn next(from: &str, to: &str) -> Deployment {
     assert!(FILE.contains(from));
     let texts = Texts::of("v", &FILE.replace(from, to)).expect("a form");
-    file().with_version("v", &texts).unwrap_or_else(|why| panic!("{why}"))
+    file()
+        .with_version("v", &texts)
+        .unwrap_or_else(|why| panic!("{why}"))
 }
 
 #[test_case("(offers 29)", "(offers 10)", "cold/offers: cut from 29 to 10"; "cold offers")]
@@ -160,7 +203,11 @@
 fn limits_cut_deep_need_the_mark_of_intent(from: &str, to: &str, why: &str) {
     let next = next(from, to);
     let told = change::obstacles(&file(), &next, false, |_| 0);
-    assert_eq!(told.first().map_or("", |told| &told[..why.len().min(told.len())]), why);
+    assert_eq!(
+        told.first()
+            .map_or("", |told| &told[..why.len().min(told.len())]),
+        why
+    );
     assert_eq!(change::obstacles(&file(), &next, true, |_| 0), [""; 0]);
 }
 
@@ -168,13 +215,17 @@
 #[test_case("(cores 8)", "(cores 9)", "kinds: a change needs a restart"; "a kind")]
 #[test_case("(placed-when running)", "(placed-when accepted)", "placed-when: a change needs a restart"; "what placed means")]
 fn what_needs_a_restart_is_turned_down(from: &str, to: &str, why: &str) {
-    assert_eq!(change::obstacles(&file(), &next(from, to), true, |_| 0), [why]);
+    assert_eq!(
+        change::obstacles(&file(), &next(from, to), true, |_| 0),
+        [why]
+    );
 }
 
 #[test]
 fn ids_stay_with_their_names_whatever_the_order() {
     let tracks = "(tracks (once (repeat unrepeatable) (contract-time 1 s)) (new (repeat idempotent) (contract-time 1 s)) (web (repeat idempotent) (contract-time 700 ms)))";
-    let from = &FILE[FILE.find("(tracks").expect("there")..FILE.find("\n  (accounts").expect("there")];
+    let from =
+        &FILE[FILE.find("(tracks").expect("there")..FILE.find("\n  (accounts").expect("there")];
     let ids = change::with_ids(&file(), next(from, tracks), |_| 1).expect("room");
     assert_eq!(ids.tracks, ["web", "once", "new"]);
     assert_eq!(ids.cluster.tracks[0].contract_time, 7_000);
@@ -183,13 +234,15 @@
 #[test]
 fn a_track_whose_promise_changes_leaves_what_is_in_hand_under_the_old_one() {
     let loose = next("(once (repeat unrepeatable)", "(once (repeat idempotent)");
-    let ids = change::with_ids(&file(), loose, |track| usize::from(track == TrackId(1))).expect("room");
+    let ids =
+        change::with_ids(&file(), loose, |track| usize::from(track == TrackId(1))).expect("room");
     assert_eq!(ids.tracks, ["web", "", "once"]);
     assert_eq!(ids.cluster.tracks[1].repeat, Repeat::Unrepeatable);
     assert_eq!(ids.cluster.tracks[2].repeat, Repeat::Idempotent);
     // Once nothing is of it any more, the row is another's.
     let strict = next("(accepts", "(accepts");
-    let ids = change::with_ids(&ids, strict, |track| usize::from(track == TrackId(2))).expect("room");
+    let ids =
+        change::with_ids(&ids, strict, |track| usize::from(track == TrackId(2))).expect("room");
     assert_eq!(ids.tracks, ["web", "once", ""]);
 }
 
@@ -217,27 +270,49 @@
         }
     }
     let running = own.running().0;
-    books.opened(7, if ours { running } else { Stamp { digest: texts(1).digest(), ..running } });
+    books.opened(
+        7,
+        if ours {
+            running
+        } else {
+            Stamp {
+                digest: texts(1).digest(),
+                ..running
+            }
+        },
+    );
     let push = books.push_for(7).expect("it has not got the newest");
     match own.admit(&push) {
         Admitted::Check(whole) => assert!(ours && whole == texts(ALL)),
-        Admitted::Answer(Said::Refused(why)) => assert!(!ours && why[0].starts_with("split"), "{why:?}"),
+        Admitted::Answer(Said::Refused(why)) => {
+            assert!(!ours && why[0].starts_with("split"), "{why:?}")
+        }
         other => panic!("{other:?}"),
     }
 }
 
-/// More versions than are remembered whole come between what it told and what it runs as it reads the newest.
+/// More versions than are remembered whole come between what it told and what it runs as it reads
+/// the newest.
 #[test]
 fn one_that_is_known_too_late_to_run_another_is_told_again_and_once() {
     let mut books = Publisher::default();
-    let stamps: Vec<Stamp> = (1..=5_000).map(|number| books.publish(texts(number), false)).collect();
+    let stamps: Vec<Stamp> = (1..=5_000)
+        .map(|number| books.publish(texts(number), false))
+        .collect();
     books.opened(7, stamps[0]);
     let first = books.push_for(7).expect("a push");
-    assert!(!first.follows.contains(&stamps[2_000]), "of those between, not all are told");
+    assert!(
+        !first.follows.contains(&stamps[2_000]),
+        "of those between, not all are told"
+    );
     let split = Said::Refused(vec!["split".into()]);
     books.heard(7, first.nonce, &split, stamps[2_000]);
     let again = books.push_for(7).expect("once more");
     assert!(again.follows.contains(&stamps[2_000]));
     books.heard(7, again.nonce, &split, stamps[2_000]);
-    assert_eq!(books.push_for(7), None, "what it turns down for another reason is not pushed on and on");
+    assert_eq!(
+        books.push_for(7),
+        None,
+        "what it turns down for another reason is not pushed on and on"
+    );
 }
--- a/crates/deployment/src/lib.rs
+++ b/crates/deployment/src/lib.rs
@@ -1,4 +1,5 @@
-//! The deployment file that a dispatcher reads at start. Its grammar is written down in docs/deployment.md.
+//! The deployment file that a dispatcher reads at start. Its grammar is written down in
+//! docs/deployment.md.
 
 mod plain;
 pub mod schema;
@@ -18,7 +19,8 @@
 pub struct FloorWatch {
     /// Between two asks of the keepers.
     pub every: Tenths,
-    /// The floor is raised to so far behind what enough of the fleet run for good, or to what they ran so long ago.
+    /// The floor is raised to so far behind what enough of the fleet run for good, or to what they
+    /// ran so long ago.
     pub behind: Option<u64>,
     pub after: Option<Tenths>,
     /// How many are enough, in thousandths of the fleet.
@@ -79,8 +81,9 @@
     pub keep_alive: Tenths,
     /// A link to a node with nothing on it is closed after so long.
     pub idle_close: Tenths,
-    /// The final answer is aimed at so long before the owner's time is up, or at half of the owner's time where
-    /// that is less: a dispatcher that stands still for so long answers in time all the same.
+    /// The final answer is aimed at so long before the owner's time is up, or at half of the
+    /// owner's time where that is less: a dispatcher that stands still for so long answers in
+    /// time all the same.
     pub answer_ahead: Tenths,
     /// After a signal to stop, shots still out are given up after so long.
     pub stop_within: Tenths,
@@ -106,16 +109,30 @@
             };
             let control = parts.or("control", Vec::new(), |form| {
                 let texts = form.texts()?.into_iter();
-                texts.map(|(text, fault)| text.parse().map_err(|_| fault)).collect::<Result<Vec<_>, _>>()
+                texts
+                    .map(|(text, fault)| text.parse().map_err(|_| fault))
+                    .collect::<Result<Vec<_>, _>>()
             })?;
             Ok(Deployment {
                 listen: address(parts.need("listen")?)?,
                 roster: address(parts.need("roster")?)?,
-                remembered: parts.find("remembered").map(Form::text).transpose()?.map(PathBuf::from),
+                remembered: parts
+                    .find("remembered")
+                    .map(Form::text)
+                    .transpose()?
+                    .map(PathBuf::from),
                 keepers: parts.or("keepers", Vec::new(), keepers)?,
-                rolls: parts.find("rolls").map(Form::text).transpose()?.map(PathBuf::from),
+                rolls: parts
+                    .find("rolls")
+                    .map(Form::text)
+                    .transpose()?
+                    .map(PathBuf::from),
                 control,
-                versions: parts.find("versions").map(Form::text).transpose()?.map(PathBuf::from),
+                versions: parts
+                    .find("versions")
+                    .map(Form::text)
+                    .transpose()?
+                    .map(PathBuf::from),
                 seed: parts.or("seed", 0, |form| form.whole(0, u64::MAX))?,
                 cluster,
                 halls: shared.halls,
@@ -126,15 +143,19 @@
                 allow: shared.allow,
                 floor: parts.find("floor").map(floor).transpose()?,
                 maintenance: parts.find("maintenance").map(maintenance).transpose()?,
-                stamp: Stamp { number: 0, digest: shared.texts.digest() },
+                stamp: Stamp {
+                    number: 0,
+                    digest: shared.texts.digest(),
+                },
                 texts: shared.texts,
             })
         });
         Ok(read?)
     }
 
-    /// The same dispatcher with what a streamed version says instead of the shared parts of its file. Ids are as
-    /// that version alone would give them; its number in the stamp is for the caller to set.
+    /// The same dispatcher with what a streamed version says instead of the shared parts of its
+    /// file. Ids are as that version alone would give them; its number in the stamp is for the
+    /// caller to set.
     pub fn with_version(&self, name: &str, texts: &Texts) -> Result<Self, Faults> {
         // A part under another's name would be changed and taken away with that.
         for (part, text) in texts.iter() {
@@ -148,13 +169,20 @@
             let shared = Shared::read(&parts)?;
             let hall = &self.halls[self.cluster.hall.0];
             let position = shared.halls.iter().position(|known| known == hall);
-            let lacks =
-                || parts.need("halls").map(|form| form.fault(format!("lacks `{hall}`, where this one is")));
+            let lacks = || {
+                parts
+                    .need("halls")
+                    .map(|form| form.fault(format!("lacks `{hall}`, where this one is")))
+            };
             let hall = match position {
                 Some(position) => HallId(position),
                 None => return Err(lacks()?),
             };
-            let cluster = Cluster { hall, number: self.cluster.number, ..shared.cluster };
+            let cluster = Cluster {
+                hall,
+                number: self.cluster.number,
+                ..shared.cluster
+            };
             Ok(Deployment {
                 cluster,
                 halls: shared.halls,
@@ -163,7 +191,10 @@
                 accounts: shared.accounts,
                 bounds: shared.bounds,
                 allow: shared.allow,
-                stamp: Stamp { number: self.stamp.number, digest: shared.texts.digest() },
+                stamp: Stamp {
+                    number: self.stamp.number,
+                    digest: shared.texts.digest(),
+                },
                 texts: shared.texts,
                 ..self.clone()
             })
@@ -195,7 +226,10 @@
     fn read(parts: &Parts) -> Result<Self, Fault> {
         let halls = names(parts.need("halls")?.words()?);
         let kind_forms = parts.need("kinds")?.own_names()?;
-        let kinds = kind_forms.iter().map(Form::cores_and_memory).collect::<Result<Vec<_>, _>>()?;
+        let kinds = kind_forms
+            .iter()
+            .map(Form::cores_and_memory)
+            .collect::<Result<Vec<_>, _>>()?;
         let kind_names = names(kind_forms.iter().map(|kind| kind.name).collect());
         let track_forms = parts.need("tracks")?.own_names()?;
         let tracks = track_forms.iter().map(|form| track(form, &kind_names));
@@ -206,11 +240,17 @@
             schedulers: parts.need("schedulers")?.whole(1, 100_000)? as usize,
             kinds,
             tracks: tracks.collect::<Result<Vec<_>, _>>()?,
-            accounts: account_forms.iter().map(account).collect::<Result<Vec<_>, _>>()?,
+            accounts: account_forms
+                .iter()
+                .map(account)
+                .collect::<Result<Vec<_>, _>>()?,
             accepts: parts.need("accepts")?.cores_and_memory()?,
             makes_room: parts.or("makes-room", false, Form::truth)?,
             shots: parts.or("shots", 3, |form| Ok(form.whole(1, 100)? as usize))?,
-            placed_runs: parts.need("placed-when")?.one_of(&["accepted", "running"])? == 1,
+            placed_runs: parts
+                .need("placed-when")?
+                .one_of(&["accepted", "running"])?
+                == 1,
             shows_room: parts.or("shows-room", false, Form::truth)?,
             may_probe: parts.or("may-probe", false, Form::truth)?,
             ask_list: Some(parts.or("ask-list", 100_000, Form::time)?),
@@ -260,13 +300,18 @@
 /// `(listen "127.0.0.1:7100")`
 pub fn address(form: &Form) -> Result<SocketAddr, Fault> {
     let text = form.text()?;
-    text.parse().map_err(|_| form.fault(format!("`{text}` is no address with a port")))
+    text.parse()
+        .map_err(|_| form.fault(format!("`{text}` is no address with a port")))
 }
 
 /// `(allow "127.0.0.0/8" "::1")`
 fn allow(form: &Form) -> Result<Vec<IpNet>, Fault> {
     let texts = form.texts()?.into_iter();
-    let network = |text: &str| text.parse().ok().or_else(|| text.parse().ok().map(IpAddr::into));
+    let network = |text: &str| {
+        text.parse()
+            .ok()
+            .or_else(|| text.parse().ok().map(IpAddr::into))
+    };
     let networks = texts.map(|(text, fault)| {
         let why = format!("`{text}` is no address and no network");
         network(text).ok_or(Fault { why, ..fault })
@@ -291,7 +336,10 @@
     };
     Ok(FloorWatch {
         every: parts.or("every", 20_000, second)?,
-        behind: parts.find("behind").map(|form| form.whole(1, u64::MAX)).transpose()?,
+        behind: parts
+            .find("behind")
+            .map(|form| form.whole(1, u64::MAX))
+            .transpose()?,
         after: parts.find("after").map(second).transpose()?,
         part: parts.or("part", 900, |form| form.whole(500, 1_000))? as u32,
         peers: parts.or("peers", Vec::new(), peers)?,
@@ -300,10 +348,11 @@
 
 /// `(maintenance (every 500 ms))`
 fn maintenance(form: &Form) -> Result<Tenths, Fault> {
-    form.parts(&["every"])?.or("every", 5_000, |form| match form.time()? {
-        time if time >= 1_000 => Ok(time),
-        _ => Err(form.fault("must be 100 ms or more")),
-    })
+    form.parts(&["every"])?
+        .or("every", 5_000, |form| match form.time()? {
+            time if time >= 1_000 => Ok(time),
+            _ => Err(form.fault("must be 100 ms or more")),
+        })
 }
 
 fn keepers(form: &Form) -> Result<Vec<MachineId>, Fault> {
@@ -322,15 +371,29 @@
 
 fn account(form: &Form) -> Result<Account, Fault> {
     let parts = form.parts(&["share-cores"])?;
-    Ok(Account { share_cores: parts.find("share-cores").map(Form::amount).transpose()? })
+    Ok(Account {
+        share_cores: parts.find("share-cores").map(Form::amount).transpose()?,
+    })
 }
 
 fn track(form: &Form, kinds: &[String]) -> Result<Track, Fault> {
-    let known = ["repeat", "within", "window", "contract-time", "calm", "priority", "kind", "spread", "most"];
+    let known = [
+        "repeat",
+        "within",
+        "window",
+        "contract-time",
+        "calm",
+        "priority",
+        "kind",
+        "spread",
+        "most",
+    ];
     let parts = form.parts(&known)?;
-    let place = |form: &Form| {
-        Ok([Place::Machine, Place::Cell, Place::Hall][form.one_of(&["machine", "cell", "hall"])?])
-    };
+    let place =
+        |form: &Form| {
+            Ok([Place::Machine, Place::Cell, Place::Hall]
+                [form.one_of(&["machine", "cell", "hall"])?])
+        };
     let repeat_form = parts.need("repeat")?;
     let repeat = match repeat_form.one_of(&["idempotent", "deduplicated", "unrepeatable"])? {
         0 => Repeat::Idempotent,
@@ -346,7 +409,10 @@
         return Err(part.fault("stands only beside `(repeat deduplicated)`"));
     }
     let spread = match parts.find("spread") {
-        Some(form) => Some((place(form)?, parts.need("most")?.whole(1, 1_000_000)? as usize)),
+        Some(form) => Some((
+            place(form)?,
+            parts.need("most")?.whole(1, 1_000_000)? as usize,
+        )),
         None => None,
     };
     if let (None, Some(part)) = (spread, parts.find("most")) {
@@ -357,7 +423,10 @@
         contract_time: parts.need("contract-time")?.time()?,
         calm: parts.or("calm", 1.0, Form::above_zero)?,
         priority: parts.or("priority", 0, |form| Ok(form.whole(0, 3)? as u8))?,
-        kind: parts.find("kind").map(|form| form.one_of(kinds).map(KindId)).transpose()?,
+        kind: parts
+            .find("kind")
+            .map(|form| form.one_of(kinds).map(KindId))
+            .transpose()?,
         spread,
     })
 }
--- a/crates/deployment/src/schema.rs
+++ b/crates/deployment/src/schema.rs
@@ -1,5 +1,5 @@
-//! The one schema of the file and of streamed versions, and the check against it. All that is wrong is told at
-//! once, each with its place.
+//! The one schema of the file and of streamed versions, and the check against it. All that is wrong
+//! is told at once, each with its place.
 
 use crate::plain::Plain;
 use crate::sexp::{Fault, Faults};
@@ -22,21 +22,31 @@
 
 fn parts() -> &'static Value {
     static PARTS: OnceLock<Value> = OnceLock::new();
-    let read = || serde_json::from_str(include_str!("../schema/parts.json")).expect("the schema is JSON");
+    let read =
+        || serde_json::from_str(include_str!("../schema/parts.json")).expect("the schema is JSON");
     PARTS.get_or_init(read)
 }
 
 /// The names of the parts that all dispatchers share, in the order of the alphabet.
 pub fn shared() -> impl Iterator<Item = &'static str> {
-    parts()["shared"]["properties"].as_object().into_iter().flat_map(Map::keys).map(String::as_str)
+    parts()["shared"]["properties"]
+        .as_object()
+        .into_iter()
+        .flat_map(Map::keys)
+        .map(String::as_str)
 }
 
 /// The names of the parts that are each dispatcher's own.
 pub fn local() -> impl Iterator<Item = &'static str> {
-    parts()["local"]["properties"].as_object().into_iter().flat_map(Map::keys).map(String::as_str)
+    parts()["local"]["properties"]
+        .as_object()
+        .into_iter()
+        .flat_map(Map::keys)
+        .map(String::as_str)
 }
 
-/// The schema as JSON Schema, draft 2020-12. A form whose rest are forms is an object, any other an array.
+/// The schema as JSON Schema, draft 2020-12. A form whose rest are forms is an object, any other an
+/// array.
 pub fn published(of: Of) -> Value {
     let form = |groups: &[&str]| {
         let mut properties = Map::new();
@@ -63,8 +73,9 @@
 fn validator(of: Of) -> &'static Validator {
     static BOTH: OnceLock<[Validator; 2]> = OnceLock::new();
     let both = BOTH.get_or_init(|| {
-        [Of::File, Of::Version]
-            .map(|of| jsonschema::validator_for(&published(of)).expect("the schema is one of draft 2020-12"))
+        [Of::File, Of::Version].map(|of| {
+            jsonschema::validator_for(&published(of)).expect("the schema is one of draft 2020-12")
+        })
     });
     match of {
         Of::File => &both[0],
@@ -81,7 +92,13 @@
     }
     let mut faults = std::mem::take(&mut plain.faults);
     for error in validator(of).iter_errors(&plain.data) {
-        tell(&plain, error.instance_path().as_str(), error.kind(), &error.to_string(), &mut faults);
+        tell(
+            &plain,
+            error.instance_path().as_str(),
+            error.kind(),
+            &error.to_string(),
+            &mut faults,
+        );
         if faults.len() > MOST {
             break;
         }
@@ -98,13 +115,20 @@
     match kind {
         Kind::AdditionalProperties { unexpected } => {
             // A part of the file in a version is a mistake of its own.
-            let why = |name: &str| match local().any(|own| own == name) && pointer.is_empty() {
+            let why = |name: &str| {
+                match local().any(|own| own == name) && pointer.is_empty() {
                 true => {
                     "is each dispatcher's own, and stands in its file alone; a change needs a restart".into()
                 }
                 false => String::from("unknown here"),
+            }
             };
-            faults.extend(unexpected.iter().take(MOST).map(|name| plain.fault(&within(name), why(name))));
+            faults.extend(
+                unexpected
+                    .iter()
+                    .take(MOST)
+                    .map(|name| plain.fault(&within(name), why(name))),
+            );
         }
         Kind::Required { property } => {
             let name = property.as_str().unwrap_or_default();
@@ -117,11 +141,15 @@
             let known: Vec<String> = options.as_array().into_iter().flatten().map(word).collect();
             faults.push(plain.fault(pointer, format!("must be one of: {}", known.join(", "))));
         }
-        Kind::Minimum { limit } => faults.push(plain.fault(pointer, format!("must be {limit} or more"))),
+        Kind::Minimum { limit } => {
+            faults.push(plain.fault(pointer, format!("must be {limit} or more")))
+        }
         Kind::ExclusiveMinimum { limit } => {
             faults.push(plain.fault(pointer, format!("must be above {limit}")));
         }
-        Kind::Maximum { limit } => faults.push(plain.fault(pointer, format!("must be {limit} at the most"))),
+        Kind::Maximum { limit } => {
+            faults.push(plain.fault(pointer, format!("must be {limit} at the most")))
+        }
         Kind::Type { .. } => {
             let wanted = match plain.data.pointer(pointer) {
                 Some(Value::Object(_)) => "must be followed by its values",
@@ -136,13 +164,17 @@
         }
         Kind::MinItems { .. } => faults.push(plain.fault(pointer, "has too few values".into())),
         Kind::UniqueItems => faults.push(plain.fault(pointer, "names one twice".into())),
-        Kind::Pattern { .. } => faults.push(plain.fault(pointer, "is no address with a port".into())),
+        Kind::Pattern { .. } => {
+            faults.push(plain.fault(pointer, "is no address with a port".into()))
+        }
         _ => faults.push(plain.fault(pointer, words.chars().take(200).collect())),
     }
 }
 
 fn word(value: &Value) -> String {
-    value.as_str().map_or_else(|| value.to_string(), String::from)
+    value
+        .as_str()
+        .map_or_else(|| value.to_string(), String::from)
 }
 
 /// What one part names and another defines; a schema can't say it.
@@ -152,7 +184,10 @@
     if let (Some(hall), Some(halls)) = (data.pointer("/hall/0"), data["halls"].as_array())
         && !halls.contains(hall)
     {
-        faults.push(plain.fault("/hall/0", format!("`{}` is none of: {}", word(hall), list(halls))));
+        faults.push(plain.fault(
+            "/hall/0",
+            format!("`{}` is none of: {}", word(hall), list(halls)),
+        ));
     }
     let whole = |pointer| data.pointer(pointer).and_then(Value::as_u64);
     if let (Some(number), Some(schedulers)) = (whole("/number/0"), whole("/schedulers/0"))
@@ -161,13 +196,24 @@
         let why = format!("{number} is beyond the {schedulers} schedulers, counted from 0");
         faults.push(plain.fault("/number/0", why));
     }
-    let (Some(tracks), Some(kinds)) = (data["tracks"].as_object(), data["kinds"].as_object()) else { return };
+    let (Some(tracks), Some(kinds)) = (data["tracks"].as_object(), data["kinds"].as_object())
+    else {
+        return;
+    };
     for (name, track) in tracks {
-        let Some(kind) = track.pointer("/kind/0").and_then(Value::as_str) else { continue };
+        let Some(kind) = track.pointer("/kind/0").and_then(Value::as_str) else {
+            continue;
+        };
         if !kinds.contains_key(kind) {
             let known: Vec<&str> = kinds.keys().map(String::as_str).take(20).collect();
-            let pointer = format!("/tracks/{}/kind/0", name.replace('~', "~0").replace('/', "~1"));
-            faults.push(plain.fault(&pointer, format!("`{kind}` is none of: {}", known.join(", "))));
+            let pointer = format!(
+                "/tracks/{}/kind/0",
+                name.replace('~', "~0").replace('/', "~1")
+            );
+            faults.push(plain.fault(
+                &pointer,
+                format!("`{kind}` is none of: {}", known.join(", ")),
+            ));
         }
     }
 }
--- a/crates/deployment/src/sexp.rs
+++ b/crates/deployment/src/sexp.rs
@@ -1,6 +1,7 @@
 //! Files of S-expressions, read form by form, so that whatever is wrong is told with its place.
 //!
-//! A form is a list whose first element is its name: `(cold (lasts 14 s) (offers 29))`. `;` starts a comment.
+//! A form is a list whose first element is its name: `(cold (lasts 14 s) (offers 29))`. `;` starts
+//! a comment.
 
 use corkspan::interface::Tenths;
 use lexpr::datum::Ref;
@@ -29,7 +30,9 @@
 impl Faults {
     /// In the order of their places, so many at the most.
     pub fn of(mut faults: Vec<Fault>, most: usize) -> Self {
-        faults.sort_by(|a, b| (a.line, a.column, &a.part, &a.why).cmp(&(b.line, b.column, &b.part, &b.why)));
+        faults.sort_by(|a, b| {
+            (a.line, a.column, &a.part, &a.why).cmp(&(b.line, b.column, &b.part, &b.why))
+        });
         faults.dedup();
         let more = faults.len() > most;
         faults.truncate(most);
@@ -39,7 +42,10 @@
 
 impl From<Fault> for Faults {
     fn from(fault: Fault) -> Self {
-        Faults { told: vec![fault], more: false }
+        Faults {
+            told: vec![fault],
+            more: false,
+        }
     }
 }
 
@@ -72,7 +78,9 @@
         part: "file".into(),
         why,
     };
-    let size = std::fs::metadata(path).map_err(|why| fault(why.to_string()))?.len();
+    let size = std::fs::metadata(path)
+        .map_err(|why| fault(why.to_string()))?
+        .len();
     if size > LARGEST {
         return Err(fault(format!("{size} bytes; {LARGEST} is the most")));
     }
@@ -86,27 +94,46 @@
 /// Room for as many values as may be, unoptimised too.
 const STACK: usize = 64 << 20;
 
-/// Runs what holds a datum. Lists are chains that the library takes apart by recursion: long ones need more stack than
-/// a thread usually has, whoever calls.
+/// Runs what holds a datum. Lists are chains that the library takes apart by recursion: long ones
+/// need more stack than a thread usually has, whoever calls.
 pub(crate) fn with_room<T: Send>(
     file: &str,
     call: impl FnOnce() -> Result<T, Fault> + Send,
 ) -> Result<T, Fault> {
-    let fault = |why: String| Fault { file: file.into(), line: 1, column: 1, part: "file".into(), why };
+    let fault = |why: String| Fault {
+        file: file.into(),
+        line: 1,
+        column: 1,
+        part: "file".into(),
+        why,
+    };
     std::thread::scope(|scope| {
-        let thread = std::thread::Builder::new().stack_size(STACK).spawn_scoped(scope, call);
-        let joined = thread.map_err(|why| fault(format!("no thread to read it: {why}")))?.join();
+        let thread = std::thread::Builder::new()
+            .stack_size(STACK)
+            .spawn_scoped(scope, call);
+        let joined = thread
+            .map_err(|why| fault(format!("no thread to read it: {why}")))?
+            .join();
         joined.unwrap_or_else(|_| Err(fault("the reader broke on it".into())))
     })
 }
 
-/// Parses a text of one datum, within [`with_room`]. More values than may be are turned down unread. What stands in
-/// texts and comments counts too.
+/// Parses a text of one datum, within [`with_room`]. More values than may be are turned down
+/// unread. What stands in texts and comments counts too.
 pub(crate) fn datum(file: &str, text: &str) -> Result<lexpr::Datum, Fault> {
-    let fault =
-        |line, column, why: String| Fault { file: file.into(), line, column, part: "file".into(), why };
+    let fault = |line, column, why: String| Fault {
+        file: file.into(),
+        line,
+        column,
+        part: "file".into(),
+        why,
+    };
     if text.len() as u64 > LARGEST {
-        return Err(fault(1, 1, format!("{} bytes; {LARGEST} is the most", text.len())));
+        return Err(fault(
+            1,
+            1,
+            format!("{} bytes; {LARGEST} is the most", text.len()),
+        ));
     }
     let (mut values, mut within) = (0, false);
     for byte in text.bytes() {
@@ -118,8 +145,9 @@
     if values > 2 * MOST {
         return Err(fault(1, 1, format!("more than {MOST} values")));
     }
-    // From a reader: over a text in memory the library counts lines anew for each value, and 4 MB take hours. It has
-    // looked at a value's first byte where it tells its place: so columns come counted from 1.
+    // From a reader: over a text in memory the library counts lines anew for each value, and 4 MB
+    // take hours. It has looked at a value's first byte where it tells its place: so columns
+    // come counted from 1.
     lexpr::datum::from_reader(text.as_bytes()).map_err(|why| {
         let place = why.location();
         let (line, column) = place.map_or((1, 1), |place| (place.line(), place.column().max(1)));
@@ -146,7 +174,10 @@
     let datum = datum(file, text)?;
     let form = Form::read(file, name, datum.as_ref())?;
     if form.name != name {
-        return Err(form.fault(format!("`({name} …)` must stand here, not `({} …)`", form.name)));
+        return Err(form.fault(format!(
+            "`({name} …)` must stand here, not `({} …)`",
+            form.name
+        )));
     }
     use_it(&form)
 }
@@ -167,9 +198,20 @@
         let elements: Vec<Ref<'a>> = at.list_iter().map(Iterator::collect).unwrap_or_default();
         let name = elements.first().and_then(|first| first.value().as_symbol());
         let Some(name) = name else {
-            return Err(fault_at(file, at, around, "a form `(name …)` must stand here".into()));
+            return Err(fault_at(
+                file,
+                at,
+                around,
+                "a form `(name …)` must stand here".into(),
+            ));
         };
-        Ok(Form { file, at, path: name.into(), name, rest: elements[1..].to_vec() })
+        Ok(Form {
+            file,
+            at,
+            path: name.into(),
+            name,
+            rest: elements[1..].to_vec(),
+        })
     }
 
     /// A fault at the start of this form.
@@ -184,7 +226,10 @@
         if let Some(part) = parts.iter().find(|part| !seen.insert(part.name)) {
             return Err(part.fault("stands here twice"));
         }
-        Ok(Parts { form: self.clone(), parts })
+        Ok(Parts {
+            form: self.clone(),
+            parts,
+        })
     }
 
     /// The forms within, of names known here, each as often as it likes.
@@ -223,28 +268,45 @@
     }
 
     fn fault_in(&self, at: Ref, what: &str) -> Fault {
-        fault_at(self.file, at, &self.path, format!("{what} must stand here, not `{}`", at.value()))
+        fault_at(
+            self.file,
+            at,
+            &self.path,
+            format!("{what} must stand here, not `{}`", at.value()),
+        )
     }
 
     /// `(name "text")`
     pub fn text(&self) -> Result<&'a str, Fault> {
         let at = self.only("a text in quotes")?;
-        at.value().as_str().ok_or_else(|| self.fault_in(at, "a text in quotes"))
+        at.value()
+            .as_str()
+            .ok_or_else(|| self.fault_in(at, "a text in quotes"))
     }
 
     /// `(name word)`
     pub fn word(&self) -> Result<&'a str, Fault> {
         let at = self.only("a word")?;
-        at.value().as_symbol().ok_or_else(|| self.fault_in(at, "a word"))
+        at.value()
+            .as_symbol()
+            .ok_or_else(|| self.fault_in(at, "a word"))
     }
 
     /// `(name word word …)`, none twice.
     pub fn words(&self) -> Result<Vec<&'a str>, Fault> {
         let (mut words, mut seen) = (Vec::new(), BTreeSet::new());
         for &at in &self.rest {
-            let word = at.value().as_symbol().ok_or_else(|| self.fault_in(at, "a word"))?;
+            let word = at
+                .value()
+                .as_symbol()
+                .ok_or_else(|| self.fault_in(at, "a word"))?;
             if !seen.insert(word) {
-                return Err(fault_at(self.file, at, &self.path, format!("a second `{word}`")));
+                return Err(fault_at(
+                    self.file,
+                    at,
+                    &self.path,
+                    format!("a second `{word}`"),
+                ));
             }
             words.push(word);
         }
@@ -254,16 +316,21 @@
     /// `(name word)`, one of those given, as its index.
     pub fn one_of(&self, words: &[impl AsRef<str>]) -> Result<usize, Fault> {
         let word = self.word()?;
-        words.iter().position(|known| known.as_ref() == word).ok_or_else(|| {
-            let known: Vec<&str> = words.iter().map(AsRef::as_ref).collect();
-            self.fault(format!("`{word}` is none of: {}", known.join(", ")))
-        })
+        words
+            .iter()
+            .position(|known| known.as_ref() == word)
+            .ok_or_else(|| {
+                let known: Vec<&str> = words.iter().map(AsRef::as_ref).collect();
+                self.fault(format!("`{word}` is none of: {}", known.join(", ")))
+            })
     }
 
     /// `(name #t)` or `(name #f)`
     pub fn truth(&self) -> Result<bool, Fault> {
         let at = self.only("#t or #f")?;
-        at.value().as_bool().ok_or_else(|| self.fault_in(at, "#t or #f"))
+        at.value()
+            .as_bool()
+            .ok_or_else(|| self.fault_in(at, "#t or #f"))
     }
 
     /// `(name 1.5)`: finite and not below 0.
@@ -273,7 +340,10 @@
     }
 
     fn amount_at(&self, at: Ref) -> Result<f64, Fault> {
-        let value = at.value().as_f64().filter(|value| value.is_finite() && *value >= 0.0);
+        let value = at
+            .value()
+            .as_f64()
+            .filter(|value| value.is_finite() && *value >= 0.0);
         value.ok_or_else(|| self.fault_in(at, "a number, 0 or more"))
     }
 
@@ -289,7 +359,10 @@
     pub fn whole(&self, least: u64, most: u64) -> Result<u64, Fault> {
         let what = format!("a whole number from {least} to {most}");
         let at = self.only(&what)?;
-        let value = at.value().as_u64().filter(|value| (least..=most).contains(value));
+        let value = at
+            .value()
+            .as_u64()
+            .filter(|value| (least..=most).contains(value));
         value.ok_or_else(|| self.fault_in(at, &what))
     }
 
@@ -301,7 +374,12 @@
             let value = at.value().as_u64().filter(|value| *value <= most);
             let value = value.ok_or_else(|| self.fault_in(at, &what))?;
             if !seen.insert(value) {
-                return Err(fault_at(self.file, at, &self.path, format!("a second {value}")));
+                return Err(fault_at(
+                    self.file,
+                    at,
+                    &self.path,
+                    format!("a second {value}"),
+                ));
             }
             wholes.push(value);
         }
@@ -312,7 +390,10 @@
     pub fn texts(&self) -> Result<Vec<(&'a str, Fault)>, Fault> {
         let (mut texts, mut seen) = (Vec::new(), BTreeSet::new());
         for &at in &self.rest {
-            let text = at.value().as_str().ok_or_else(|| self.fault_in(at, "a text in quotes"))?;
+            let text = at
+                .value()
+                .as_str()
+                .ok_or_else(|| self.fault_in(at, "a text in quotes"))?;
             let fault = |why: &str| fault_at(self.file, at, &self.path, format!("`{text}` {why}"));
             if !seen.insert(text) {
                 return Err(fault("stands here twice"));
@@ -327,8 +408,8 @@
         self.at.value().to_string()
     }
 
-    /// `(name 600 ms)`, `(name 14 s)` or `(name 2 min)`: whole tenths of a millisecond, rounded down, a year at
-    /// the most.
+    /// `(name 600 ms)`, `(name 14 s)` or `(name 2 min)`: whole tenths of a millisecond, rounded
+    /// down, a year at the most.
     pub fn time(&self) -> Result<Tenths, Fault> {
         let [number, unit] = self.rest[..] else {
             return Err(self.fault("a number and its unit (ms, s or min) must follow"));
@@ -364,7 +445,8 @@
 
 impl<'a> Parts<'a> {
     pub fn need(&self, name: &str) -> Result<&Form<'a>, Fault> {
-        self.find(name).ok_or_else(|| self.form.fault(format!("lacks `({name} …)`")))
+        self.find(name)
+            .ok_or_else(|| self.form.fault(format!("lacks `({name} …)`")))
     }
 
     pub fn find(&self, name: &str) -> Option<&Form<'a>> {
@@ -384,5 +466,11 @@
 
 fn fault_at(file: &str, at: Ref, part: &str, why: String) -> Fault {
     let start = at.span().start();
-    Fault { file: file.into(), line: start.line(), column: start.column().max(1), part: part.into(), why }
+    Fault {
+        file: file.into(),
+        line: start.line(),
+        column: start.column().max(1),
+        part: part.into(),
+        why,
+    }
 }
--- a/crates/deployment/src/version.rs
+++ b/crates/deployment/src/version.rs
@@ -16,8 +16,8 @@
 }
 
 impl Texts {
-    /// The shared parts of a `(deployment …)`, as a file or a version has them; what is each dispatcher's own is
-    /// left out. Only its form is checked.
+    /// The shared parts of a `(deployment …)`, as a file or a version has them; what is each
+    /// dispatcher's own is left out. Only its form is checked.
     pub fn of(file: &str, text: &str) -> Result<Self, Faults> {
         let read = with_form(file, text, "deployment", |form| {
             let known: Vec<&str> = schema::local().chain(schema::shared()).collect();
@@ -40,16 +40,28 @@
     pub fn changed(&self, changes: &Texts, removed: &[String]) -> Texts {
         let mut parts = self.0.clone();
         removed.iter().for_each(|name| drop(parts.remove(name)));
-        parts.extend(changes.0.iter().map(|(name, text)| (name.clone(), text.clone())));
+        parts.extend(
+            changes
+                .0
+                .iter()
+                .map(|(name, text)| (name.clone(), text.clone())),
+        );
         Texts(parts)
     }
 
     /// What leads from these to those: changed and new parts, and the names of those that are gone.
     pub fn changes_to(&self, later: &Texts) -> (Texts, Vec<String>) {
-        let changed = later.0.iter().filter(|(name, text)| self.0.get(*name) != Some(*text));
+        let changed = later
+            .0
+            .iter()
+            .filter(|(name, text)| self.0.get(*name) != Some(*text));
         let removed = self.0.keys().filter(|name| !later.0.contains_key(*name));
         (
-            Texts(changed.map(|(name, text)| (name.clone(), text.clone())).collect()),
+            Texts(
+                changed
+                    .map(|(name, text)| (name.clone(), text.clone()))
+                    .collect(),
+            ),
             removed.cloned().collect(),
         )
     }
@@ -103,7 +115,9 @@
 
 impl std::fmt::Debug for Digest {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
-        self.0[..4].iter().try_for_each(|byte| write!(f, "{byte:02x}"))
+        self.0[..4]
+            .iter()
+            .try_for_each(|byte| write!(f, "{byte:02x}"))
     }
 }
 
--- a/crates/deployment/tests/faults.rs
+++ b/crates/deployment/tests/faults.rs
@@ -1,4 +1,5 @@
-//! What is wrong with a file is told with its place and the part; what is right is read as it stands.
+//! What is wrong with a file is told with its place and the part; what is right is read as it
+//! stands.
 
 use corkspan::interface::*;
 use corkspan_deployment::Deployment;
@@ -36,8 +37,17 @@
     assert!(read.cluster.placed_runs);
     let jobs = &read.cluster.tracks[1];
     assert_eq!(jobs.contract_time, 25_000);
-    assert_eq!(jobs.repeat, Repeat::Deduplicated { within: Some(Place::Hall), window: 60_000 });
-    assert_eq!((jobs.kind, jobs.spread), (Some(KindId(0)), Some((Place::Cell, 2))));
+    assert_eq!(
+        jobs.repeat,
+        Repeat::Deduplicated {
+            within: Some(Place::Hall),
+            window: 60_000
+        }
+    );
+    assert_eq!(
+        (jobs.kind, jobs.spread),
+        (Some(KindId(0)), Some((Place::Cell, 2)))
+    );
     assert_eq!(read.cluster.accounts[0].share_cores, Some(10.0));
     assert_eq!(read.bounds, Default::default());
 }
@@ -75,18 +85,35 @@
 
 #[test]
 fn a_missing_file_is_named() {
-    let fault = Deployment::load(std::path::Path::new("no/such.sexp")).map(drop).expect_err("missing");
+    let fault = Deployment::load(std::path::Path::new("no/such.sexp"))
+        .map(drop)
+        .expect_err("missing");
     assert!(fault.to_string().starts_with("no/such.sexp:1:1: file:"));
 }
 
 #[test]
 fn all_that_is_wrong_is_told_at_once_in_the_order_of_the_text() {
-    let text = SOUND.replace("(cores 8)", "(cores -8)").replace("(window 6 s)", "(window 6 h)");
-    let text = text.replace("(hall a)", "(hall z)").replace("(offers 29)", "(polish)");
-    let faults = Deployment::read("d.sexp", &text).map(drop).expect_err("faults").told;
-    let told: Vec<(usize, &str)> = faults.iter().map(|fault| (fault.line, &fault.part[..])).collect();
-    let wanted =
-        [(4, "hall"), (5, "kinds/small/cores"), (8, "tracks/jobs/window"), (13, "cold"), (13, "cold/polish")];
+    let text = SOUND
+        .replace("(cores 8)", "(cores -8)")
+        .replace("(window 6 s)", "(window 6 h)");
+    let text = text
+        .replace("(hall a)", "(hall z)")
+        .replace("(offers 29)", "(polish)");
+    let faults = Deployment::read("d.sexp", &text)
+        .map(drop)
+        .expect_err("faults")
+        .told;
+    let told: Vec<(usize, &str)> = faults
+        .iter()
+        .map(|fault| (fault.line, &fault.part[..]))
+        .collect();
+    let wanted = [
+        (4, "hall"),
+        (5, "kinds/small/cores"),
+        (8, "tracks/jobs/window"),
+        (13, "cold"),
+        (13, "cold/polish"),
+    ];
     assert_eq!(told, wanted);
 }
 
@@ -102,14 +129,27 @@
 #[test]
 fn a_version_changes_what_is_shared_and_leaves_the_rest() {
     let file = Deployment::read("d.sexp", SOUND).expect("sound");
-    let changed =
-        file.with_version("v2", &version("(shots 5) (allow \"10.0.0.0/8\" \"::1\")")).expect("sound");
-    assert_eq!((changed.cluster.shots, changed.cluster.number, changed.listen), (5, 1, file.listen));
+    let changed = file
+        .with_version("v2", &version("(shots 5) (allow \"10.0.0.0/8\" \"::1\")"))
+        .expect("sound");
+    assert_eq!(
+        (
+            changed.cluster.shots,
+            changed.cluster.number,
+            changed.listen
+        ),
+        (5, 1, file.listen)
+    );
     let allows = |text: &str| changed.allows(text.parse().expect("an address"));
-    assert!(allows("10.9.8.7") && allows("::1") && allows("::ffff:10.0.0.1") && !allows("127.0.0.1"));
+    assert!(
+        allows("10.9.8.7") && allows("::1") && allows("::ffff:10.0.0.1") && !allows("127.0.0.1")
+    );
     assert!(file.allows("127.0.0.1".parse().expect("an address")));
     let back = changed.with_version("v3", &shared()).expect("sound");
-    assert_eq!((back.cluster.shots, back.texts.digest()), (3, file.texts.digest()));
+    assert_eq!(
+        (back.cluster.shots, back.texts.digest()),
+        (3, file.texts.digest())
+    );
 }
 
 #[test_case("(allow \"10.0.0.0/40\")", "no address and no network"; "a network that is none")]
@@ -117,27 +157,54 @@
 #[test_case("(tracks)", "tracks"; "no tracks")]
 fn a_version_that_can_not_be_read_is_told_why(changes: &str, why: &str) {
     let file = Deployment::read("d.sexp", SOUND).expect("sound");
-    let fault = file.with_version("v2", &version(changes)).map(drop).expect_err("a fault").to_string();
+    let fault = file
+        .with_version("v2", &version(changes))
+        .map(drop)
+        .expect_err("a fault")
+        .to_string();
     assert!(fault.starts_with("v2:") && fault.contains(why), "{fault}");
 }
 
 #[test]
 fn what_is_each_dispatchers_own_is_turned_down_in_a_version() {
-    let texts =
-        shared().changed(&[("number".to_string(), "(number 7)".to_string())].into_iter().collect(), &[]);
+    let texts = shared().changed(
+        &[("number".to_string(), "(number 7)".to_string())]
+            .into_iter()
+            .collect(),
+        &[],
+    );
     let file = Deployment::read("d.sexp", SOUND).expect("sound");
-    let fault = file.with_version("v2", &texts).map(drop).expect_err("a fault").to_string();
-    assert!(fault.contains("number: is each dispatcher's own"), "{fault}");
+    let fault = file
+        .with_version("v2", &texts)
+        .map(drop)
+        .expect_err("a fault")
+        .to_string();
+    assert!(
+        fault.contains("number: is each dispatcher's own"),
+        "{fault}"
+    );
 }
 
 #[test_case("(cold (lasts 1 s) (window 1 s) (offers 2))", "`(shots …)` must stand here"; "another part")]
 #[test_case("(shots 3) (may-probe #t)", "trailing"; "two parts")]
 #[test_case("(shots", "EOF"; "half a part")]
 fn a_part_that_is_not_what_its_name_says_is_turned_down(text: &str, why: &str) {
-    let texts = shared().changed(&[("shots".to_string(), text.to_string())].into_iter().collect(), &[]);
+    let texts = shared().changed(
+        &[("shots".to_string(), text.to_string())]
+            .into_iter()
+            .collect(),
+        &[],
+    );
     let file = Deployment::read("d.sexp", SOUND).expect("sound");
-    let fault = file.with_version("v2", &texts).map(drop).expect_err("a fault").to_string();
-    assert!(fault.starts_with("v2, shots:1:") && fault.contains(why), "{fault}");
+    let fault = file
+        .with_version("v2", &texts)
+        .map(drop)
+        .expect_err("a fault")
+        .to_string();
+    assert!(
+        fault.starts_with("v2, shots:1:") && fault.contains(why),
+        "{fault}"
+    );
 }
 
 #[test]
@@ -152,10 +219,16 @@
 
 #[test]
 fn changes_lead_from_one_version_to_the_other() {
-    let (one, other) = (version("(shots 5) (makes-room #t)"), version("(shots 7) (may-probe #t)"));
+    let (one, other) = (
+        version("(shots 5) (makes-room #t)"),
+        version("(shots 7) (may-probe #t)"),
+    );
     let (changes, removed) = one.changes_to(&other);
     assert_eq!(one.changed(&changes, &removed), other);
-    assert_eq!((changes.iter().count(), removed), (2, vec!["makes-room".to_string()]));
+    assert_eq!(
+        (changes.iter().count(), removed),
+        (2, vec!["makes-room".to_string()])
+    );
 }
 
 #[test_case("(a)"; "parts without end")]
@@ -166,20 +239,35 @@
 fn four_megabytes_of_it_are_refused_in_bounded_time(piece: &str) {
     let began = Instant::now();
     let text = format!("(deployment {})", piece.repeat((4 << 20) / piece.len() - 8));
-    let faults = Deployment::read("d.sexp", &text).map(drop).expect_err("faults");
+    let faults = Deployment::read("d.sexp", &text)
+        .map(drop)
+        .expect_err("faults");
     assert!(faults.told.len() <= 50, "{} faults", faults.told.len());
     // Some tenths of a second here; a check that grows with the square of it would take hours.
-    assert!(began.elapsed() < Duration::from_secs(60), "{:?}", began.elapsed());
-    assert!(Deployment::read("d.sexp", &"(a".repeat(3 << 20)).is_err(), "5 MB and more");
+    assert!(
+        began.elapsed() < Duration::from_secs(60),
+        "{:?}",
+        began.elapsed()
+    );
+    assert!(
+        Deployment::read("d.sexp", &"(a".repeat(3 << 20)).is_err(),
+        "5 MB and more"
+    );
 }
 
 #[test]
 fn as_many_values_as_may_be_are_read_on_a_small_stack() {
-    let accounts: String = (0..9_900).map(|number| format!("(a{number} (share-cores 1)) ")).collect();
+    let accounts: String = (0..9_900)
+        .map(|number| format!("(a{number} (share-cores 1)) "))
+        .collect();
     let text = SOUND.replace("(accounts ", &format!("(accounts {accounts}"));
     let read = std::thread::Builder::new().stack_size(1 << 20);
-    let read = read.spawn(move || Deployment::read("d.sexp", &text).map(|read| read.accounts.len()));
-    assert_eq!(read.expect("a thread").join().expect("no overflow"), Ok(9_902));
+    let read =
+        read.spawn(move || Deployment::read("d.sexp", &text).map(|read| read.accounts.len()));
+    assert_eq!(
+        read.expect("a thread").join().expect("no overflow"),
+        Ok(9_902)
+    );
     let words = format!("(deployment (halls {}))", "x ".repeat(79_000));
     let thread = std::thread::Builder::new();
     let read = thread.spawn(move || Deployment::read("d.sexp", &words).is_err());
@@ -229,7 +317,19 @@
 #[test_case("(floor (each 2 s))", "each"; "a word that is none")]
 #[test_case("(floor 2)", "floor"; "no form")]
 fn a_floor_that_can_not_be_followed_is_told_with_its_place(part: &str, why: &str) {
-    let text = SOUND.trim_end().strip_suffix(')').expect("a form").to_string() + part + ")";
-    let fault = Deployment::read("d.sexp", &text).map(drop).expect_err("a fault").to_string();
-    assert!(fault.starts_with("d.sexp:") && fault.contains(why), "{fault}");
+    let text = SOUND
+        .trim_end()
+        .strip_suffix(')')
+        .expect("a form")
+        .to_string()
+        + part
+        + ")";
+    let fault = Deployment::read("d.sexp", &text)
+        .map(drop)
+        .expect_err("a fault")
+        .to_string();
+    assert!(
+        fault.starts_with("d.sexp:") && fault.contains(why),
+        "{fault}"
+    );
 }
--- a/crates/dispatcher/src/bring.rs
+++ b/crates/dispatcher/src/bring.rs
@@ -1,5 +1,6 @@
-//! A straggler's way up without a control service: the newest version asked of other dispatchers, then of keepers, and
-//! taken as a pushed one is. Whom to ask when is decided in `corkspan_fleet::bring`.
+//! A straggler's way up without a control service: the newest version asked of other dispatchers,
+//! then of keepers, and taken as a pushed one is. Whom to ask when is decided in
+//! `corkspan_fleet::bring`.
 
 use crate::control::apply;
 use crate::counts::LinkKind;
@@ -17,7 +18,11 @@
 use tracing::{info, warn};
 
 /// In tenths of a millisecond.
-const PACE: Pace = Pace { first: 10_000, longest: 200_000, idle: 200_000 };
+const PACE: Pace = Pace {
+    first: 10_000,
+    longest: 200_000,
+    idle: 200_000,
+};
 /// Of one version, with all its parts.
 const PUSH: usize = 8 << 20;
 
@@ -32,7 +37,9 @@
             keepers: desk.deployment().keepers.len(),
         };
         match straggler.look(desk.clock.now(), sees) {
-            Next::Wait(time) => drop(async_io::Timer::after(crate::clock::duration(time.max(1))).await),
+            Next::Wait(time) => {
+                drop(async_io::Timer::after(crate::clock::duration(time.max(1))).await)
+            }
             Next::Ask(source) => {
                 let came = bring(&desk, &own.peers, source).await;
                 straggler.came(desk.clock.now(), came);
@@ -44,18 +51,23 @@
 async fn bring(desk: &Arc<Desk>, peers: &[SocketAddr], source: Source) -> Came {
     let running = desk.deployment().stamp;
     let dispatcher = desk.deployment().cluster.number as u32;
-    let ask = v1::GiveAsk { running: Some(message(running)), dispatcher };
+    let ask = v1::GiveAsk {
+        running: Some(message(running)),
+        dispatcher,
+    };
     let push = match source {
         Source::Peer(which) => match peers.get(which) {
             Some(&peer) => from_peer(desk, peer, ask).await,
             None => None,
         },
-        Source::Keeper(which) => {
-            keepers::ask_one(desk, which, Ask::Fetch(ask)).await.and_then(|word| word.given)
-        }
+        Source::Keeper(which) => keepers::ask_one(desk, which, Ask::Fetch(ask))
+            .await
+            .and_then(|word| word.given),
     };
     // No stamp: nothing later is there.
-    let Some(push) = push.filter(|push| push.stamp.is_some()) else { return Came::Nothing };
+    let Some(push) = push.filter(|push| push.stamp.is_some()) else {
+        return Came::Nothing;
+    };
     let Some(push) = push_of(push) else {
         warn!(
             ?source,
@@ -64,15 +76,25 @@
         return Came::Nothing;
     };
     // Whole, or it could be made to something that never ran here.
-    let push = Push { onto: None, removed: Vec::new(), ..push };
+    let push = Push {
+        onto: None,
+        removed: Vec::new(),
+        ..push
+    };
     match apply(desk, &push, How::Brought).await {
         Said::Applied => {
             info!(number = push.stamp.number, ?source, "brought up");
             Came::Up
         }
         Said::Refused(why) => {
-            warn!(number = push.stamp.number, ?source, ?why, "a version from another is turned down");
-            desk.versions.with(|state| state.refused_last = Some((push.stamp, why)));
+            warn!(
+                number = push.stamp.number,
+                ?source,
+                ?why,
+                "a version from another is turned down"
+            );
+            desk.versions
+                .with(|state| state.refused_last = Some((push.stamp, why)));
             Came::Nothing
         }
         Said::Running | Said::Superseded(_) | Said::WantsWhole => Came::Nothing,
@@ -83,7 +105,9 @@
     let patience = desk.link_bounds.connect_within * 4 + Duration::from_secs(1);
     let whole = async {
         let meter = desk.counts.meter(LinkKind::Dispatchers);
-        let link = Link::open_counted(&desk.tasks, peer, &desk.link_bounds, &meter).await.ok()?;
+        let link = Link::open_counted(&desk.tasks, peer, &desk.link_bounds, &meter)
+            .await
+            .ok()?;
         let mut client = VersionsClient::new(link).max_decoding_message_size(PUSH);
         client.give(ask).await.ok().map(tonic::Response::into_inner)
     };
--- a/crates/dispatcher/src/clients.rs
+++ b/crates/dispatcher/src/clients.rs
@@ -23,7 +23,12 @@
 impl Words {
     fn new(taken: Taken, desk: &Arc<Desk>) -> Response<Self> {
         let Taken { words, id, open } = taken;
-        Response::new(Words { words: Box::pin(words), id, desk: Arc::clone(desk), _open: open })
+        Response::new(Words {
+            words: Box::pin(words),
+            id,
+            desk: Arc::clone(desk),
+            _open: open,
+        })
     }
 }
 
@@ -50,7 +55,10 @@
 
     async fn place(&self, request: Request<v1::Ask>) -> Result<Response<Words>, Status> {
         let hangs_up = deadline(request.metadata())?;
-        Ok(Words::new(self.0.ask(request.into_inner(), hangs_up), &self.0))
+        Ok(Words::new(
+            self.0.ask(request.into_inner(), hangs_up),
+            &self.0,
+        ))
     }
 
     async fn hand_over(&self, request: Request<v1::Running>) -> Result<Response<Words>, Status> {
@@ -64,10 +72,14 @@
 
 /// The call's own deadline: up to eight digits and a unit, as the gRPC protocol has it.
 fn deadline(metadata: &tonic::metadata::MetadataMap) -> Result<Option<Duration>, Status> {
-    let Some(value) = metadata.get("grpc-timeout") else { return Ok(None) };
+    let Some(value) = metadata.get("grpc-timeout") else {
+        return Ok(None);
+    };
     let wrong = || Status::invalid_argument("grpc-timeout is no time");
     let text = value.to_str().map_err(|_| wrong())?;
-    let (digits, unit) = text.split_at_checked(text.len().saturating_sub(1)).ok_or_else(wrong)?;
+    let (digits, unit) = text
+        .split_at_checked(text.len().saturating_sub(1))
+        .ok_or_else(wrong)?;
     if digits.is_empty() || digits.len() > 8 || !digits.bytes().all(|byte| byte.is_ascii_digit()) {
         return Err(wrong());
     }
--- a/crates/dispatcher/src/conductors.rs
+++ b/crates/dispatcher/src/conductors.rs
@@ -1,5 +1,5 @@
-//! The rolls that a dispatcher knows of: the desk tells their conductors what becomes of copies, and `rolls` asks them
-//! what to do next.
+//! The rolls that a dispatcher knows of: the desk tells their conductors what becomes of copies,
+//! and `rolls` asks them what to do next.
 
 use crate::store::{Held, Kept};
 use corkspan::interface::Tenths;
@@ -26,23 +26,43 @@
 
 impl Rolls {
     pub fn new(me: u32, seed: u64, now: Tenths, (rolls, claims): Kept) -> Self {
-        let mut own = Rolls { me, seed, conductors: BTreeMap::new(), held: BTreeMap::new(), heard: 0 };
+        let mut own = Rolls {
+            me,
+            seed,
+            conductors: BTreeMap::new(),
+            held: BTreeMap::new(),
+            heard: 0,
+        };
         rolls.into_iter().for_each(|roll| own.adopt(now, roll));
-        for Held { claim, service, task, won, .. } in claims {
+        for Held {
+            claim,
+            service,
+            task,
+            won,
+            ..
+        } in claims
+        {
             match own.conductors.get_mut(&service) {
                 Some(conductor) => conductor.remember(claim, &task, won),
-                None => warn!(service, task, "a claim of a roll that the store doesn't know"),
+                None => warn!(
+                    service,
+                    task, "a claim of a roll that the store doesn't know"
+                ),
             }
         }
         own
     }
 
-    /// The version of its program that a copy of the service gets now; empty where there was no roll.
+    /// The version of its program that a copy of the service gets now; empty where there was no
+    /// roll.
     pub fn wanted(&self, service: &str) -> String {
-        self.conductors.get(service).map_or_else(String::new, |conductor| conductor.roll().wanted().into())
+        self.conductors
+            .get(service)
+            .map_or_else(String::new, |conductor| conductor.roll().wanted().into())
     }
 
-    /// Whether any roll has steps left to take: copies of another version, slots in use, or claims of ours.
+    /// Whether any roll has steps left to take: copies of another version, slots in use, or claims
+    /// of ours.
     pub fn goes_on(&self) -> bool {
         let steps = |own: &Conductor| own.claims().next().is_some() || own.has_steps();
         self.conductors.values().any(steps) || self.held.values().any(|held| !held.is_empty())
@@ -58,9 +78,15 @@
             Some(conductor) => conductor.adopt(roll),
             None if !full => {
                 let seed = self.seed ^ corkspan_host::service(&roll.service).0;
-                self.conductors.insert(roll.service.clone(), Conductor::new(self.me, seed, roll, now));
+                self.conductors.insert(
+                    roll.service.clone(),
+                    Conductor::new(self.me, seed, roll, now),
+                );
             }
-            None => warn!(service = roll.service, "too many rolls; this one is left out"),
+            None => warn!(
+                service = roll.service,
+                "too many rolls; this one is left out"
+            ),
         }
     }
 }
