--- a/crates/dispatcher/src/control.rs
+++ b/crates/dispatcher/src/control.rs
@@ -1,5 +1,5 @@
-//! The stream of versions: pushes read, answers written, what is in force changed. What is decided stands in
-//! `corkspan_control`.
+//! The stream of versions: pushes read, answers written, what is in force changed. What is decided
+//! stands in `corkspan_control`.
 
 use crate::clock::{duration, tenths};
 use crate::counts::LinkKind;
@@ -73,13 +73,20 @@
         let (running, on_trial) =
             versions.with(|state| (state.subscriber.running().0, state.subscriber.on_trial()));
         let (dispatcher, running) = (self.dispatcher, Some(message(running)));
-        let told =
-            v1::Told { dispatcher, running, answer: answer.into(), why, on_trial, ..v1::Told::default() };
+        let told = v1::Told {
+            dispatcher,
+            running,
+            answer: answer.into(),
+            why,
+            on_trial,
+            ..v1::Told::default()
+        };
         self.to.try_send(told).is_ok()
     }
 }
 
-/// Streams from one control service after the other, for as long as it is polled, and watches over trials.
+/// Streams from one control service after the other, for as long as it is polled, and watches over
+/// trials.
 pub async fn run(desk: Arc<Desk>) {
     let services = desk.deployment().control.clone();
     // Whoever streams is told of a version that was given up.
@@ -121,12 +128,18 @@
         Err(why) => return why.to_string(),
     };
     let (to, from) = async_channel::bounded(ANSWERS);
-    let answers = Answers { to, dispatcher: desk.deployment().cluster.number as u32 };
+    let answers = Answers {
+        to,
+        dispatcher: desk.deployment().cluster.number as u32,
+    };
     answers.tell(&desk.versions, Answer::Nothing, Vec::new());
     let mut client = ControlClient::new(link).max_decoding_message_size(PUSH);
     // Its first push may be long in coming, but that it takes the stream is not.
-    let opened =
-        corkspan_rpc::within(desk.link_bounds.connect_within * 4, Box::pin(client.stream(from))).await;
+    let opened = corkspan_rpc::within(
+        desk.link_bounds.connect_within * 4,
+        Box::pin(client.stream(from)),
+    )
+    .await;
     let mut pushes = match opened {
         Some(Ok(pushes)) => pushes.into_inner(),
         Some(Err(why)) => return why.message().to_string(),
@@ -136,7 +149,9 @@
     desk.versions.with(|state| state.service = Some(service));
     info!(%service, "versions are streamed from here");
     loop {
-        let pace = desk.versions.with(|state| state.subscriber.pace(desk.clock.now()));
+        let pace = desk
+            .versions
+            .with(|state| state.subscriber.pace(desk.clock.now()));
         if pace == Pace::Now {
             // What has come meanwhile passes over what waits.
             while let Some(push) = future::poll_once(pushes.message()).await {
@@ -144,11 +159,18 @@
                     return why;
                 }
             }
-            let Some(push) = desk.versions.with(|state| state.subscriber.take()) else { continue };
+            let Some(push) = desk.versions.with(|state| state.subscriber.take()) else {
+                continue;
+            };
             let said = apply(desk, &push, How::Push).await;
             if let Said::Refused(why) = &said {
-                warn!(version = push.stamp.number, ?why, "a version is turned down");
-                desk.versions.with(|state| state.refused_last = Some((push.stamp, why.clone())));
+                warn!(
+                    version = push.stamp.number,
+                    ?why,
+                    "a version is turned down"
+                );
+                desk.versions
+                    .with(|state| state.refused_last = Some((push.stamp, why.clone())));
             }
             if !answers.say(&desk.versions, push.nonce, &said) {
                 return "it does not read its answers".into();
@@ -178,14 +200,23 @@
 }
 
 /// A message of the stream, or its end.
-fn take(desk: &Desk, answers: &Answers, push: Result<Option<v1::Push>, Status>) -> Result<(), String> {
-    let push = push.map_err(|why| why.message().to_string())?.ok_or("the service ended the stream")?;
+fn take(
+    desk: &Desk,
+    answers: &Answers,
+    push: Result<Option<v1::Push>, Status>,
+) -> Result<(), String> {
+    let push = push
+        .map_err(|why| why.message().to_string())?
+        .ok_or("the service ended the stream")?;
     let nonce = push.nonce;
     let Some(push) = push_of(push) else {
-        let said =
-            Said::Refused(vec!["its stamp is none: a number above 0 and 64 hexadecimal digits".into()]);
+        let said = Said::Refused(vec![
+            "its stamp is none: a number above 0 and 64 hexadecimal digits".into(),
+        ]);
         let read = answers.say(&desk.versions, nonce, &said);
-        return read.then_some(()).ok_or_else(|| "it does not read its answers".into());
+        return read
+            .then_some(())
+            .ok_or_else(|| "it does not read its answers".into());
     };
     if let Some((passed, said)) = desk.versions.with(|state| state.subscriber.heard(push))
         && !answers.say(&desk.versions, passed, &said)
@@ -212,7 +243,11 @@
         return Said::Refused(why);
     }
     let (now, counted) = (desk.clock.now(), counts(desk));
-    let kept = versions.with(|state| state.subscriber.to_keep(now, counted, push.stamp, texts.clone()));
+    let kept = versions.with(|state| {
+        state
+            .subscriber
+            .to_keep(now, counted, push.stamp, texts.clone())
+    });
     if let Err(why) = versions.keep(&kept).await {
         return Said::Refused(vec![format!("it can't be kept on disk: {why}")]);
     }
@@ -227,8 +262,12 @@
         ]);
     }
     versions.with(|state| {
-        state.subscriber.applied(desk.clock.now(), kept, counts(desk));
-        state.shelf.runs(push.stamp, texts, push.cuts, &push.follows);
+        state
+            .subscriber
+            .applied(desk.clock.now(), kept, counts(desk));
+        state
+            .shelf
+            .runs(push.stamp, texts, push.cuts, &push.follows);
     });
     RUNNING.store(push.stamp.number, Ordering::Relaxed);
     desk.fleet.began(push.stamp, how);
@@ -243,27 +282,39 @@
         let versions = &desk.versions;
         let _step = versions.step.lock().await;
         let now = desk.clock.now();
-        let Some((kept, why)) = versions.with(|state| state.subscriber.watch(now, counts(&desk))) else {
+        let Some((kept, why)) = versions.with(|state| state.subscriber.watch(now, counts(&desk)))
+        else {
             continue;
         };
         let before = versions.with(|state| state.subscriber.running().0);
         if let Some(why) = &why {
             // In force before it is on disk: what does harm must not go on because a disk is full.
-            let version = kept.good.as_ref().map(|good| (good.stamp, good.texts.clone()));
+            let version = kept
+                .good
+                .as_ref()
+                .map(|good| (good.stamp, good.texts.clone()));
             let back = match &version {
                 Some((stamp, texts)) => versions.deployment(*stamp, texts),
                 None => Ok(versions.file.clone()),
             };
             if !back.is_ok_and(|back| desk.put_in_force(back)) {
-                warn!(why, "the version does harm, and the one before does not fit any more");
+                warn!(
+                    why,
+                    "the version does harm, and the one before does not fit any more"
+                );
                 continue;
             }
         }
         if let Err(why) = versions.keep(&kept).await {
-            warn!(why, "how a trial came out can't be kept on disk; a restart tries that version again");
+            warn!(
+                why,
+                "how a trial came out can't be kept on disk; a restart tries that version again"
+            );
         }
         versions.with(|state| {
-            state.subscriber.decided(desk.clock.now(), kept, counts(&desk));
+            state
+                .subscriber
+                .decided(desk.clock.now(), kept, counts(&desk));
             let (stamp, texts) = state.subscriber.running();
             RUNNING.store(stamp.number, Ordering::Relaxed);
             if why.is_some() {
@@ -278,7 +329,10 @@
         match why {
             Some(why) => {
                 desk.fleet.began(desk.deployment().stamp, How::GaveUp);
-                warn!(number = before.number, why, "a version is given up for the last good one");
+                warn!(
+                    number = before.number,
+                    why, "a version is given up for the last good one"
+                );
                 let _ = gave_up.force_send(why);
             }
             None => info!(number = before.number, "a version has stood its trial"),
@@ -292,7 +346,10 @@
 
 #[tonic::async_trait]
 impl v1::versions_server::Versions for Operators {
-    async fn status(&self, _: Request<v1::VersionStatusAsk>) -> Result<Response<v1::VersionStatus>, Status> {
+    async fn status(
+        &self,
+        _: Request<v1::VersionStatusAsk>,
+    ) -> Result<Response<v1::VersionStatus>, Status> {
         let floor = self.0.fleet.floor().map(fleet::message);
         let shut_out = self.0.shut_out().is_some();
         let status = self.0.versions.status(&self.0.deployment());
@@ -300,7 +357,9 @@
         let (unwritten, (spans, counted)) = (self.0.fleet.unwritten(), self.0.fleet.told());
         // For an audit of an earlier program, which knows no kinds.
         let mut acts = std::collections::HashMap::new();
-        counted.iter().for_each(|own| *acts.entry(own.version).or_default() += own.many);
+        counted
+            .iter()
+            .for_each(|own| *acts.entry(own.version).or_default() += own.many);
         Ok(Response::new(v1::VersionStatus {
             floor,
             shut_out,
@@ -316,7 +375,9 @@
 
     async fn give(&self, request: Request<v1::GiveAsk>) -> Result<Response<v1::Push>, Status> {
         let Some(_given) = self.0.fleet.gives() else {
-            return Err(Status::resource_exhausted("as many as may be are brought up from here"));
+            return Err(Status::resource_exhausted(
+                "as many as may be are brought up from here",
+            ));
         };
         let theirs = request.into_inner().running.as_ref().and_then(stamp);
         let theirs = theirs.ok_or_else(|| Status::invalid_argument("running: no stamp"))?;
@@ -324,7 +385,12 @@
         Ok(Response::new(push.map(push_message).unwrap_or_default()))
     }
 
-    async fn raise(&self, request: Request<v1::FloorAsk>) -> Result<Response<v1::FloorWord>, Status> {
-        fleet::raise(&self.0, request.into_inner().lowest).await.map(Response::new)
+    async fn raise(
+        &self,
+        request: Request<v1::FloorAsk>,
+    ) -> Result<Response<v1::FloorWord>, Status> {
+        fleet::raise(&self.0, request.into_inner().lowest)
+            .await
+            .map(Response::new)
     }
 }
--- a/crates/dispatcher/src/counts.rs
+++ b/crates/dispatcher/src/counts.rs
@@ -1,4 +1,5 @@
-//! What passes a dispatcher's links, by kind of link. Each dispatcher has its own, also where several share a process.
+//! What passes a dispatcher's links, by kind of link. Each dispatcher has its own, also where
+//! several share a process.
 
 use corkspan_api::v1;
 pub use corkspan_api::v1::link_count::Kind as LinkKind;
@@ -39,8 +40,12 @@
 impl Counts {
     /// What counts links of this kind.
     pub fn meter(&self, kind: LinkKind) -> Meter {
-        let labels = |way| Labels { link: kind.as_str_name(), way };
-        let counter = |family: &Family<Labels, Counter>, way| family.get_or_create_owned(&labels(way));
+        let labels = |way| Labels {
+            link: kind.as_str_name(),
+            way,
+        };
+        let counter =
+            |family: &Family<Labels, Counter>, way| family.get_or_create_owned(&labels(way));
         Meter {
             bytes_in: counter(&self.bytes, Way::In),
             bytes_out: counter(&self.bytes, Way::Out),
@@ -49,7 +54,8 @@
         }
     }
 
-    /// Links of others to us, by what they call first: another dispatcher asks for a version, and for nothing else.
+    /// Links of others to us, by what they call first: another dispatcher asks for a version, and
+    /// for nothing else.
     pub fn sorts(&self) -> Sorts {
         let counts = self.clone();
         Arc::new(move |path| {
--- a/crates/dispatcher/src/desk.rs
+++ b/crates/dispatcher/src/desk.rs
@@ -1,6 +1,7 @@
-//! Where everything meets: the host with its decisions, what it holds for clients, and the ways out. Whoever
-//! reads a message calls in here directly; the answers leave as messages before the call returns. What uses the desk
-//! stands above it and is not known here: the rolls, the streams of versions, the floor.
+//! Where everything meets: the host with its decisions, what it holds for clients, and the ways
+//! out. Whoever reads a message calls in here directly; the answers leave as messages before the
+//! call returns. What uses the desk stands above it and is not known here: the rolls, the streams
+//! of versions, the floor.
 
 mod client;
 mod copies;
@@ -42,7 +43,8 @@
 pub struct Desk {
     inner: Mutex<Inner>,
     pub clock: Clock,
-    /// What is in force. Changed under the books' lock alone, so never between a decision and what it is made by.
+    /// What is in force. Changed under the books' lock alone, so never between a decision and what
+    /// it is made by.
     in_force: RwLock<Arc<Deployment>>,
     pub versions: Versions,
     pub fleet: Fleet,
@@ -89,7 +91,8 @@
         }));
         let fleet = Fleet::new(seed, spans, deployment.stamp);
         let kept = store.read();
-        // Whatever an earlier life had started beside a copy, and was killed before it had put away one of the two.
+        // Whatever an earlier life had started beside a copy, and was killed before it had put away
+        // one of the two.
         let orphans = kept.1.iter().filter_map(|held| {
             let pair = held.pair.as_ref()?;
             let old = pair.retires.then(|| pair.old.clone());
@@ -105,7 +108,13 @@
         });
         let orphans: Vec<Orphan> = orphans.collect();
         Arc::new_cyclic(|desk| {
-            let host = Host::new(cluster(&deployment), seed, now, deployment.bounds.in_hand, SLICE);
+            let host = Host::new(
+                cluster(&deployment),
+                seed,
+                now,
+                deployment.bounds.in_hand,
+                SLICE,
+            );
             let port = Port {
                 desk: desk.clone(),
                 now,
@@ -153,9 +162,14 @@
         self.with(|now, host, _| {
             let by_track = host.by_track();
             let in_use = |track| by_track.get(&track).copied().unwrap_or(0);
-            let Some(next) = change::with_ids(&self.deployment(), next, in_use) else { return false };
+            let Some(next) = change::with_ids(&self.deployment(), next, in_use) else {
+                return false;
+            };
             host.adopt(now, cluster(&next), next.bounds.in_hand);
-            *self.in_force.write().unwrap_or_else(PoisonError::into_inner) = Arc::new(next);
+            *self
+                .in_force
+                .write()
+                .unwrap_or_else(PoisonError::into_inner) = Arc::new(next);
             true
         })
     }
@@ -185,26 +199,44 @@
     /// An owner asks. The answer is among the words, at once or later.
     pub fn ask(self: &Arc<Self>, ask: v1::Ask, hangs_up: Option<Duration>) -> Taken {
         let (words, heard) = async_channel::bounded(self.deployment().bounds.words_a_client);
-        let taken = Taken { words: heard, id: None, open: Arc::clone(&self.calls) };
+        let taken = Taken {
+            words: heard,
+            id: None,
+            open: Arc::clone(&self.calls),
+        };
         let refuse = |why: v1::refused::Why, text: String| {
-            let word = v1::Refused { why: why.into(), text, shots: 0 };
-            let _ = words.try_send(v1::Word { word: Some(Said::Refused(word)) });
+            let word = v1::Refused {
+                why: why.into(),
+                text,
+                shots: 0,
+            };
+            let _ = words.try_send(v1::Word {
+                word: Some(Said::Refused(word)),
+            });
         };
         let mut inner = self.lock();
         inner.port.counters.asked += 1;
         inner.port.counters.refused += 1;
         if inner.port.stopping {
-            refuse(v1::refused::Why::Stopping, "this dispatcher is about to stop".into());
+            refuse(
+                v1::refused::Why::Stopping,
+                "this dispatcher is about to stop".into(),
+            );
             return taken;
         }
         if let Some(floor) = self.shut_out() {
-            let text =
-                format!("this dispatcher is behind: version {} is the lowest that may act", floor.lowest);
+            let text = format!(
+                "this dispatcher is behind: version {} is the lowest that may act",
+                floor.lowest
+            );
             refuse(v1::refused::Why::Behind, text);
             return taken;
         }
         if Arc::strong_count(&self.calls) > self.deployment().bounds.calls as usize {
-            refuse(v1::refused::Why::TooMany, "as many calls as may be are open".into());
+            refuse(
+                v1::refused::Why::TooMany,
+                "as many calls as may be are open".into(),
+            );
             return taken;
         }
         let now = self.clock.now();
@@ -227,12 +259,20 @@
                 return taken;
             }
         };
-        // A dispatcher that stands still can't answer: so the decisions are told of less time than there is.
+        // A dispatcher that stands still can't answer: so the decisions are told of less time than
+        // there is.
         let ahead = self.deployment().bounds.answer_ahead.min(left / 2);
-        let asked = Asked { abandon: now + left - ahead, ..asked };
+        let asked = Asked {
+            abandon: now + left - ahead,
+            ..asked
+        };
         let task = ask.task.clone();
         let hangs_up = hangs_up.map(|after| now + crate::clock::tenths(after));
-        let client = Client { deadline: Some(now + left), hangs_up, ..Client::new(ask, &words) };
+        let client = Client {
+            deadline: Some(now + left),
+            hangs_up,
+            ..Client::new(ask, &words)
+        };
         let current = client.current.clone();
         let why = match inner.host.take(now, &task, asked, client) {
             Ok(id) => {
@@ -240,7 +280,10 @@
                 inner.port.counters.refused -= 1;
                 drop(inner);
                 self.with(|now, host, port| host.place(now, id, port));
-                return Taken { id: Some(current), ..taken };
+                return Taken {
+                    id: Some(current),
+                    ..taken
+                };
             }
             Err((why, _)) => why,
         };
@@ -253,25 +296,46 @@
         let (words, heard) = async_channel::bounded(self.deployment().bounds.words_a_client);
         let open = Arc::clone(&self.calls);
         let refuse = |why: v1::refused::Why, text: String| {
-            let word = v1::Refused { why: why.into(), text, shots: 0 };
-            let _ = words.try_send(v1::Word { word: Some(Said::Refused(word)) });
+            let word = v1::Refused {
+                why: why.into(),
+                text,
+                shots: 0,
+            };
+            let _ = words.try_send(v1::Word {
+                word: Some(Said::Refused(word)),
+            });
         };
         let ask = running.ask.unwrap_or_default();
         let machine = MachineId(running.node);
         let id = self.with(|now, host, port| {
-            let asked = self.asked(now, &ask).map_err(|why| refuse(v1::refused::Why::BadAsk, why)).ok()?;
+            let asked = self
+                .asked(now, &ask)
+                .map_err(|why| refuse(v1::refused::Why::BadAsk, why))
+                .ok()?;
             if port.stopping {
-                refuse(v1::refused::Why::Stopping, "this dispatcher is about to stop".into());
+                refuse(
+                    v1::refused::Why::Stopping,
+                    "this dispatcher is about to stop".into(),
+                );
                 return None;
             }
-            let (task, shot) = (ask.task.clone(), self.shot(&ask, &asked, 0, String::new(), Kind::Attend));
+            let (task, shot) = (
+                ask.task.clone(),
+                self.shot(&ask, &asked, 0, String::new(), Kind::Attend),
+            );
             let service_name = ask.service.clone();
             let client = Client::new(ask, &words);
             let current = client.current.clone();
             match host.take_running(now, &task, asked, machine, client) {
                 Ok(id) => {
                     self.tasks
-                        .spawn(shots::attend(self.clone(), id, port.node(machine), machine, shot))
+                        .spawn(shots::attend(
+                            self.clone(),
+                            id,
+                            port.node(machine),
+                            machine,
+                            shot,
+                        ))
                         .detach();
                     current.set(id);
                     if let Some(conductor) = port.rolls.of(&service_name) {
@@ -285,14 +349,21 @@
                 }
             }
         });
-        Taken { words: heard, id, open }
+        Taken {
+            words: heard,
+            id,
+            open,
+        }
     }
 
     /// What an ask is to the decisions, or what is wrong with it. Its abandon time is not set.
     fn asked(&self, now: Tenths, ask: &v1::Ask) -> Result<Asked, String> {
         // A row without a name is of one that is gone.
         let index = |names: &[String], name: &str| {
-            names.iter().position(|known| known == name).filter(|_| !name.is_empty())
+            names
+                .iter()
+                .position(|known| known == name)
+                .filter(|_| !name.is_empty())
         };
         let deployment = self.deployment();
         let track = index(&deployment.tracks, &ask.track);
@@ -301,24 +372,46 @@
             (name, names) => index(names, name),
         };
         let amount = |value: f64| value.is_finite() && value > 0.0 && value <= 1e9;
-        for (what, text) in [("task", &ask.task), ("placing", &ask.placing), ("service", &ask.service)] {
+        for (what, text) in [
+            ("task", &ask.task),
+            ("placing", &ask.placing),
+            ("service", &ask.service),
+        ] {
             if text.is_empty() || text.len() > 256 {
-                return Err(format!("{what}: 1 to 256 bytes are wanted, not {}", text.len()));
+                return Err(format!(
+                    "{what}: 1 to 256 bytes are wanted, not {}",
+                    text.len()
+                ));
             }
         }
         if !amount(ask.cores) || !amount(ask.memory) {
-            return Err(format!("cores and memory must be above 0, not {} and {}", ask.cores, ask.memory));
+            return Err(format!(
+                "cores and memory must be above 0, not {} and {}",
+                ask.cores, ask.memory
+            ));
         }
         Ok(Asked {
             service: service(&ask.service),
             track: TrackId(track.ok_or_else(|| format!("unknown track `{}`", ask.track))?),
-            account: AccountId(account.ok_or_else(|| format!("unknown account `{}`", ask.account))?),
-            asks: Amount { cores: ask.cores, memory: ask.memory },
+            account: AccountId(
+                account.ok_or_else(|| format!("unknown account `{}`", ask.account))?,
+            ),
+            asks: Amount {
+                cores: ask.cores,
+                memory: ask.memory,
+            },
             abandon: now,
         })
     }
 
-    fn shot(&self, ask: &v1::Ask, asked: &Asked, number: usize, version: String, kind: Kind) -> v1::Shot {
+    fn shot(
+        &self,
+        ask: &v1::Ask,
+        asked: &Asked,
+        number: usize,
+        version: String,
+        kind: Kind,
+    ) -> v1::Shot {
         v1::Shot {
             placing: ask.placing.clone(),
             number: number as u32,
@@ -337,13 +430,17 @@
         }
     }
 
-    /// Who acts, and under which version: told with each act, from what is in force as it is decided. `many`: nodes that
-    /// it goes to.
+    /// Who acts, and under which version: told with each act, from what is in force as it is
+    /// decided. `many`: nodes that it goes to.
     pub fn by(&self, kind: Kind, many: usize) -> v1::By {
         let deployment = self.deployment();
         self.fleet.acts(deployment.stamp, kind, many);
         let stamp = Some(running::message(deployment.stamp));
-        v1::By { stamp, life: self.fleet.life, dispatcher: deployment.cluster.number as u32 }
+        v1::By {
+            stamp,
+            life: self.fleet.life,
+            dispatcher: deployment.cluster.number as u32,
+        }
     }
 
     /// The floor of versions that shuts this dispatcher out, if one does.
@@ -351,11 +448,13 @@
         self.fleet.shut_out(self.deployment().stamp)
     }
 
-    /// The owner's call is over. Unless the allocation has ended too, or the call had its own deadline, it is no
-    /// longer wanted.
+    /// The owner's call is over. Unless the allocation has ended too, or the call had its own
+    /// deadline, it is no longer wanted.
     pub fn hung_up(self: &Arc<Self>, id: AllocationId) {
         self.with(|now, host, port| {
-            let Some((client, _)) = host.own(id) else { return };
+            let Some((client, _)) = host.own(id) else {
+                return;
+            };
             let placed = client.deadline.is_none() || client.anew;
             if placed && (port.stopping || client.hangs_up.is_some_and(|at| now >= at)) {
                 return;
@@ -366,7 +465,9 @@
 
     /// Ends an allocation without an answer and stops what may run of it.
     fn unwanted(self: &Arc<Self>, id: AllocationId, host: &mut Host<Client>, port: &mut Port) {
-        let Some((client, allocation)) = host.own(id) else { return };
+        let Some((client, allocation)) = host.own(id) else {
+            return;
+        };
         if let Some(machine) = allocation.shots.last().map(|shot| shot.machine) {
             port.stop(self, client, machine, false);
         }
@@ -390,7 +491,8 @@
     pub fn listed(&self, scope: Scope, entries: &[(Entry, std::net::SocketAddr)]) {
         self.with(|_, host, port| {
             if scope == Scope::Whole {
-                port.nodes.retain(|id, _| entries.iter().any(|(entry, _)| entry.machine == *id));
+                port.nodes
+                    .retain(|id, _| entries.iter().any(|(entry, _)| entry.machine == *id));
             }
             let dispatcher = self.deployment().cluster.number as u32;
             if scope == Scope::Whole {
@@ -401,9 +503,17 @@
                     State::Gone => drop(port.entries.remove(&entry.machine)),
                     _ => drop(port.entries.insert(entry.machine, *entry)),
                 }
-                if port.nodes.get(&entry.machine).is_none_or(|node| node.address != *address) {
+                if port
+                    .nodes
+                    .get(&entry.machine)
+                    .is_none_or(|node| node.address != *address)
+                {
                     let keeps = self.deployment().keepers.contains(&entry.machine);
-                    let meter = self.counts.meter(if keeps { LinkKind::Keepers } else { LinkKind::Nodes });
+                    let meter = self.counts.meter(if keeps {
+                        LinkKind::Keepers
+                    } else {
+                        LinkKind::Nodes
+                    });
                     let node = NodeLink::new(*address, entry.machine.0, dispatcher, meter);
                     port.nodes.insert(entry.machine, node);
                 }
@@ -431,15 +541,21 @@
 
     fn once(&self, track: TrackId) -> bool {
         let deployment = self.deployment();
-        deployment.cluster.tracks.get(track.0).is_none_or(|track| track.repeat == Repeat::Unrepeatable)
+        deployment
+            .cluster
+            .tracks
+            .get(track.0)
+            .is_none_or(|track| track.repeat == Repeat::Unrepeatable)
     }
 
-    /// Moves what may be moved off a machine that is taken out: its owner asks for it anew. Told again in each look, since word
-    /// to the machine is one try, and one that is lost would hold it up until that allocation ends by itself.
+    /// Moves what may be moved off a machine that is taken out: its owner asks for it anew. Told
+    /// again in each look, since word to the machine is one try, and one that is lost would
+    /// hold it up until that allocation ends by itself.
     pub fn empty(self: &Arc<Self>, machine: MachineId) {
         self.with(|_, host, port| {
             for (id, at, track) in standing(host) {
-                let Some((client, _)) = host.own(id).filter(|_| at == machine && !self.once(track)) else {
+                let Some((client, _)) = host.own(id).filter(|_| at == machine && !self.once(track))
+                else {
                     continue;
                 };
                 client.moving = true;
@@ -476,7 +592,11 @@
             refused: port.counters.refused,
             failed: port.counters.failed,
             cancelled: port.counters.cancelled,
-            links: port.nodes.values().filter(|node| node.close_idle(idle)).count() as u64,
+            links: port
+                .nodes
+                .values()
+                .filter(|node| node.close_idle(idle))
+                .count() as u64,
             machines_serving: port.serving as u64,
             machines_known: port.nodes.len() as u64,
             decided_us: port.decided.as_micros() as u64,
@@ -516,7 +636,9 @@
             }
             for (_, client, runs) in host.all() {
                 if runs && client.beside.is_none() {
-                    client.say(Said::Ended(v1::Ended { how: v1::ended::How::HandedBack.into() }));
+                    client.say(Said::Ended(v1::Ended {
+                        how: v1::ended::How::HandedBack.into(),
+                    }));
                 }
                 client.words.close();
             }
@@ -529,8 +651,9 @@
     }
 }
 
-/// What the decisions are handed. An offer may leave `connect_within` later than it is decided: two windows' worth,
-/// the first late and the second not, would reach a cold node closer together than they were decided.
+/// What the decisions are handed. An offer may leave `connect_within` later than it is decided: two
+/// windows' worth, the first late and the second not, would reach a cold node closer together than
+/// they were decided.
 fn cluster(deployment: &Deployment) -> Cluster {
     let mut cluster = deployment.cluster.clone();
     cluster.cold.window += deployment.bounds.connect_within;
@@ -538,12 +661,18 @@
 }
 
 /// Some 2 ms of work, and as long for the sockets.
-const SLICE: Slice = Slice { most: 32, apart: 20 };
+const SLICE: Slice = Slice {
+    most: 32,
+    apart: 20,
+};
 
 /// What stands, and where.
 fn standing(host: &mut Host<Client>) -> Vec<(AllocationId, MachineId, TrackId)> {
-    let placed: Vec<AllocationId> =
-        host.all().filter(|(_, _, placed)| *placed).map(|(id, _, _)| id).collect();
+    let placed: Vec<AllocationId> = host
+        .all()
+        .filter(|(_, _, placed)| *placed)
+        .map(|(id, _, _)| id)
+        .collect();
     let at = |id| {
         let (_, allocation) = host.own(id)?;
         Some((id, allocation.shots.last()?.machine, allocation.track))
@@ -561,8 +690,8 @@
     }
 }
 
-/// The name of a placing that follows this one in a roll. None of an earlier life or try may be met again: word to
-/// stop that one may still be under way.
+/// The name of a placing that follows this one in a roll. None of an earlier life or try may be met
+/// again: word to stop that one may still be under way.
 fn next_placing(placing: &str) -> String {
     let (first, _) = placing.rsplit_once('~').unwrap_or((placing, ""));
     format!("{first}~{:x}", crate::clock::wall_ms())
--- a/crates/dispatcher/src/desk/client.rs
+++ b/crates/dispatcher/src/desk/client.rs
@@ -27,7 +27,8 @@
     pub ready: Option<Tenths>,
     /// A roll is having its copy stopped, to place another.
     pub stopping: bool,
-    /// It is being placed in the place of a copy that a roll has stopped: its owner had its answer before.
+    /// It is being placed in the place of a copy that a roll has stopped: its owner had its answer
+    /// before.
     pub anew: bool,
     /// A new copy that a roll starts beside this one.
     pub successor: Option<AllocationId>,
--- a/crates/dispatcher/src/desk/copies.rs
+++ b/crates/dispatcher/src/desk/copies.rs
@@ -19,7 +19,8 @@
 use v1::word::Word as Said;
 
 impl Desk {
-    /// Puts a new copy away that stands beside an old one. It is told to stop until it is known to be gone.
+    /// Puts a new copy away that stands beside an old one. It is told to stop until it is known to
+    /// be gone.
     pub(super) fn withdraw(
         self: &Arc<Self>,
         id: AllocationId,
@@ -27,7 +28,9 @@
         host: &mut Host<Client>,
         port: &mut Port,
     ) {
-        let Some((client, allocation)) = host.own(id) else { return };
+        let Some((client, allocation)) = host.own(id) else {
+            return;
+        };
         let old = client.beside;
         port.put_away(client, allocation, why);
         host.finish(id);
@@ -36,8 +39,8 @@
         }
     }
 
-    /// The new copy that stands beside this one takes its place with its owner. False where there is none that
-    /// runs.
+    /// The new copy that stands beside this one takes its place with its owner. False where there
+    /// is none that runs.
     pub(super) fn take_over(
         &self,
         id: AllocationId,
@@ -45,18 +48,33 @@
         host: &mut Host<Client>,
         port: &mut Port,
     ) -> bool {
-        let Some((old, allocation)) = host.own(id) else { return false };
-        let Some(next) = old.successor else { return false };
+        let Some((old, allocation)) = host.own(id) else {
+            return false;
+        };
+        let Some(next) = old.successor else {
+            return false;
+        };
         let (current, hangs_up) = (old.current.clone(), old.hangs_up);
-        let (service, task, placing) =
-            (old.ask.service.clone(), old.ask.task.clone(), old.ask.placing.clone());
+        let (service, task, placing) = (
+            old.ask.service.clone(),
+            old.ask.task.clone(),
+            old.ask.placing.clone(),
+        );
         let nodes = allocation.shots.iter().map(|shot| shot.machine).collect();
-        let Some((new, allocation)) = host.own(next) else { return false };
-        let Some(machine) = allocation.shots.last().map(|shot| shot.machine) else { return false };
+        let Some((new, allocation)) = host.own(next) else {
+            return false;
+        };
+        let Some(machine) = allocation.shots.last().map(|shot| shot.machine) else {
+            return false;
+        };
         (new.beside, new.current, new.hangs_up) = (None, current, hangs_up);
         new.current.set(next);
         let (version, name) = (new.version.clone(), new.ask.placing.clone());
-        new.say(Said::Replaced(v1::Replaced { node: machine.0, version, placing: name }));
+        new.say(Said::Replaced(v1::Replaced {
+            node: machine.0,
+            version,
+            placing: name,
+        }));
         host.swap_names(id, next);
         if gone {
             port.retired(&service, &task);
@@ -81,13 +99,17 @@
             let known = port.rolls.of(&roll.service).is_some();
             let service = roll.service.clone();
             port.rolls.adopt(now, roll);
-            let Some(conductor) = port.rolls.of(&service).filter(|_| !known) else { return };
+            let Some(conductor) = port.rolls.of(&service).filter(|_| !known) else {
+                return;
+            };
             let copies = host.all().filter(|(_, client, placed)| {
                 *placed && client.ask.service == service && client.beside.is_none()
             });
             let copies: Vec<AllocationId> = copies.map(|(id, _, _)| id).collect();
             for id in copies {
-                let Some((client, allocation)) = host.own(id) else { continue };
+                let Some((client, allocation)) = host.own(id) else {
+                    continue;
+                };
                 conductor.copy(now, &client.ask.task, &client.version, false);
                 if let Some(at) = client.ready {
                     conductor.ready(at, &client.ask.task);
@@ -99,10 +121,13 @@
         });
     }
 
-    /// Replaces a copy by one of the version wanted: stopped first, and placed anew once it is known to be gone.
+    /// Replaces a copy by one of the version wanted: stopped first, and placed anew once it is
+    /// known to be gone.
     pub fn replace(self: &Arc<Self>, task: &str) {
         self.with(|_, host, port| {
-            let Some((client, allocation)) = host.find(task).and_then(|id| host.own(id)) else { return };
+            let Some((client, allocation)) = host.find(task).and_then(|id| host.own(id)) else {
+                return;
+            };
             client.stopping = true;
             if let Some(shot) = allocation.shots.last() {
                 port.stop(self, client, shot.machine, false);
@@ -112,7 +137,11 @@
 
     pub(super) fn may_run_twice(&self, track: TrackId) -> bool {
         let deployment = self.deployment();
-        deployment.cluster.tracks.get(track.0).is_some_and(|track| track.repeat == Repeat::Idempotent)
+        deployment
+            .cluster
+            .tracks
+            .get(track.0)
+            .is_some_and(|track| track.repeat == Repeat::Idempotent)
     }
 
     /// The two of a copy that grows: to be kept on disk before the new one is offered anywhere.
@@ -120,15 +149,26 @@
         let mut inner = self.lock();
         let id = inner.host.find(task)?;
         let (client, _) = inner.host.own(id)?;
-        let (old, successor, retires) = (client.ask.placing.clone(), client.successor, client.retiring);
+        let (old, successor, retires) = (
+            client.ask.placing.clone(),
+            client.successor,
+            client.retiring,
+        );
         let new = successor.and_then(|next| inner.host.own(next));
-        let new = new.map_or_else(|| next_placing(&old), |(client, _)| client.ask.placing.clone());
+        let new = new.map_or_else(
+            || next_placing(&old),
+            |(client, _)| client.ask.placing.clone(),
+        );
         Some(Pair { new, old, retires })
     }
 
     /// Whether a copy of this task is still to be known to be gone.
     pub fn puts_away(&self, task: &str) -> bool {
-        self.lock().port.orphans.iter().any(|orphan| orphan.task == task)
+        self.lock()
+            .port
+            .orphans
+            .iter()
+            .any(|orphan| orphan.task == task)
     }
 
     /// Starts a copy of the version wanted beside one that runs, by the ordinary path.
@@ -137,12 +177,26 @@
             let Some(old) = host.find(task) else { return };
             let successor = host.own(old).and_then(|(client, _)| client.successor);
             let stands = |(client, _): (&mut Client, &Allocation)| !client.withdrawn;
-            if successor.and_then(|next| host.own(next)).is_some_and(stands) {
+            if successor
+                .and_then(|next| host.own(next))
+                .is_some_and(stands)
+            {
                 return;
             }
-            let Some((client, allocation)) = host.own(old) else { return };
-            let ask = v1::Ask { placing: placing.into(), ..client.ask.clone() };
-            let Some(within) = port.rolls.of(&ask.service).map(|own| own.roll().ready_within) else { return };
+            let Some((client, allocation)) = host.own(old) else {
+                return;
+            };
+            let ask = v1::Ask {
+                placing: placing.into(),
+                ..client.ask.clone()
+            };
+            let Some(within) = port
+                .rolls
+                .of(&ask.service)
+                .map(|own| own.roll().ready_within)
+            else {
+                return;
+            };
             let asked = Asked {
                 service: allocation.service,
                 track: allocation.track,
@@ -151,7 +205,11 @@
                 abandon: now + within,
             };
             let fresh = Client::new(ask, &client.words);
-            let fresh = Client { deadline: Some(now + within), beside: Some(old), ..fresh };
+            let fresh = Client {
+                deadline: Some(now + within),
+                beside: Some(old),
+                ..fresh
+            };
             // A name that no owner gives: its own is taken by the old one.
             match host.take(now, &format!("{task}\u{0}{placing}"), asked, fresh) {
                 Ok(id) => {
@@ -189,7 +247,10 @@
     /// Puts away a new copy that is not wanted any more.
     pub fn put_away(self: &Arc<Self>, task: &str) {
         self.with(|_, host, port| {
-            let next = host.find(task).and_then(|id| host.own(id)).and_then(|(client, _)| client.successor);
+            let next = host
+                .find(task)
+                .and_then(|id| host.own(id))
+                .and_then(|(client, _)| client.successor);
             if let Some(next) = next {
                 self.withdraw(next, Withdrawn::NotWanted, host, port);
             }
@@ -199,8 +260,14 @@
     /// Has every node put away what a dead dispatcher may have begun beside our copy.
     pub fn clear(&self, service: &str, task: &str, claim: ClaimId) {
         self.with(|_, host, port| {
-            let Some((client, _)) = host.find(task).and_then(|id| host.own(id)) else { return };
-            if port.orphans.iter().any(|orphan| orphan.then == Then::Cleared(claim)) {
+            let Some((client, _)) = host.find(task).and_then(|id| host.own(id)) else {
+                return;
+            };
+            if port
+                .orphans
+                .iter()
+                .any(|orphan| orphan.then == Then::Cleared(claim))
+            {
                 return;
             }
             port.orphans.push(Orphan {
@@ -215,13 +282,14 @@
         });
     }
 
-    /// Tells nodes of what is to be gone, each until it has answered; gives slots back whose copies are.
-    /// What an earlier life had left and is put away by now.
+    /// Tells nodes of what is to be gone, each until it has answered; gives slots back whose copies
+    /// are. What an earlier life had left and is put away by now.
     pub async fn clear_orphans(self: &Arc<Self>) -> Vec<(ClaimId, Pair)> {
         let asks: Vec<(usize, MachineId, Arc<NodeLink>, Vec<v1::StopAsk>)> = {
             let mut inner = self.lock();
             let Inner { host, port } = &mut *inner;
-            // A copy that has another placing by now is not to be stopped by word of the one before.
+            // A copy that has another placing by now is not to be stopped by word of the one
+            // before.
             port.orphans.retain(|orphan| {
                 let own = host.find(&orphan.task).and_then(|id| host.own(id));
                 orphan
@@ -232,7 +300,10 @@
             let port = &inner.port;
             let all = port.orphans.iter().enumerate().flat_map(|(index, orphan)| {
                 let here = port.nodes.iter().filter(|(machine, _)| {
-                    orphan.nodes.as_ref().is_none_or(|nodes| nodes.contains(machine))
+                    orphan
+                        .nodes
+                        .as_ref()
+                        .is_none_or(|nodes| nodes.contains(machine))
                         && !orphan.told.contains(machine)
                 });
                 here.map(move |(machine, node)| {
@@ -285,11 +356,16 @@
                 // Before the list is known nothing is.
                 !known.is_empty()
                     && all.all(|machine| {
-                        let else_where = orphan.nodes.as_ref().is_some_and(|nodes| !nodes.contains(machine));
+                        let else_where = orphan
+                            .nodes
+                            .as_ref()
+                            .is_some_and(|nodes| !nodes.contains(machine));
                         else_where || orphan.told.contains(machine)
                     })
             };
-            let (done, rest) = std::mem::take(&mut port.orphans).into_iter().partition(gone);
+            let (done, rest) = std::mem::take(&mut port.orphans)
+                .into_iter()
+                .partition(gone);
             port.orphans = rest;
             let done: Vec<Orphan> = done;
             done.into_iter()
@@ -320,7 +396,9 @@
         let tasks: Vec<String> = {
             let mut inner = self.lock();
             let stopping = inner.host.all().filter(|(_, client, _)| client.stopping);
-            stopping.map(|(_, client, _)| client.ask.task.clone()).collect()
+            stopping
+                .map(|(_, client, _)| client.ask.task.clone())
+                .collect()
         };
         tasks.iter().for_each(|task| self.replace(task));
     }
--- a/crates/dispatcher/src/desk/outcomes.rs
+++ b/crates/dispatcher/src/desk/outcomes.rs
@@ -29,15 +29,19 @@
     }
 
     fn below(&self, floor: &v1::Floor) {
-        self.fleet.node_tells(crate::standing::read(floor), self.deployment().stamp);
+        self.fleet
+            .node_tells(crate::standing::read(floor), self.deployment().stamp);
     }
 
     /// A node has placed a shot. False where the shot need not be followed any longer.
     fn placed(self: &Arc<Self>, id: AllocationId, shot: usize, machine: MachineId) {
         self.with(|now, host, port| {
-            let late = host.own(id).is_some_and(|(client, _)| client.deadline.is_some_and(|at| now >= at));
+            let late = host
+                .own(id)
+                .is_some_and(|(client, _)| client.deadline.is_some_and(|at| now >= at));
             if late {
-                // The owner has given up: an answer now would be one too late. The outcome is told all the same.
+                // The owner has given up: an answer now would be one too late. The outcome is told
+                // all the same.
                 host.placed(now, id, shot, port);
                 self.unwanted(id, host, port);
             } else if host.placed(now, id, shot, port)
@@ -49,20 +53,29 @@
                 }
                 if std::mem::take(&mut client.anew) {
                     let (version, placing) = (client.version.clone(), client.ask.placing.clone());
-                    client.say(Said::Replaced(v1::Replaced { node: machine.0, version, placing }));
+                    client.say(Said::Replaced(v1::Replaced {
+                        node: machine.0,
+                        version,
+                        placing,
+                    }));
                     return;
                 }
                 port.counters.placed += 1;
                 let shots = allocation.shots.len() as u32;
-                client.say(Said::Placed(v1::Placed { node: machine.0, shots }));
+                client.say(Said::Placed(v1::Placed {
+                    node: machine.0,
+                    shots,
+                }));
             } else if let Some((client, _)) = host.own(id) {
-                // Wanted no longer by the time the node took it: an earlier word to stop found nothing there.
+                // Wanted no longer by the time the node took it: an earlier word to stop found
+                // nothing there.
                 port.stop(self, client, machine, false);
             }
         });
     }
 
-    /// A shot has returned. `over` where it was placed and the allocation ends with it, in this way.
+    /// A shot has returned. `over` where it was placed and the allocation ends with it, in this
+    /// way.
     fn returned(
         self: &Arc<Self>,
         id: AllocationId,
@@ -79,12 +92,15 @@
                 && client.beside.is_some()
             {
                 self.withdraw(id, Withdrawn::Failed, host, port);
-            } else if host.own(id).is_some_and(|(client, _)| over.is_some() && client.retiring)
+            } else if host
+                .own(id)
+                .is_some_and(|(client, _)| over.is_some() && client.retiring)
                 && self.take_over(id, ending == Ending::Cancelled, host, port)
             {
                 // Its owner goes on with the new one.
             } else if let (Some(how), Some((client, allocation))) = (over, host.own(id)) {
-                // Known to be gone, since its node says so: now a copy of the version wanted may be placed.
+                // Known to be gone, since its node says so: now a copy of the version wanted may be
+                // placed.
                 if client.stopping && ending == Ending::Cancelled && !port.stopping {
                     anew = port.anew(client, allocation);
                 } else {
@@ -135,11 +151,19 @@
     /// A copy's own word that it is ready, or no longer.
     fn ready(&self, id: AllocationId, ready: bool) {
         self.with(|now, host, port| {
-            let Some((client, _)) = host.own(id) else { return };
-            client.ready = if ready { client.ready.or(Some(now)) } else { None };
+            let Some((client, _)) = host.own(id) else {
+                return;
+            };
+            client.ready = if ready {
+                client.ready.or(Some(now))
+            } else {
+                None
+            };
             match port.rolls.of(&client.ask.service) {
                 Some(_) if client.withdrawn => {}
-                Some(conductor) if client.beside.is_some() => conductor.grown(now, &client.ask.task, ready),
+                Some(conductor) if client.beside.is_some() => {
+                    conductor.grown(now, &client.ask.task, ready)
+                }
                 Some(conductor) if ready => conductor.ready(now, &client.ask.task),
                 Some(conductor) => drop(conductor.unready(now, &client.ask.task)),
                 None => {}
@@ -150,7 +174,9 @@
     fn noted(&self, id: AllocationId, note: Note) {
         self.with(|now, host, _| {
             host.noted(now, id, note);
-            let Some((client, _)) = host.own(id) else { return };
+            let Some((client, _)) = host.own(id) else {
+                return;
+            };
             match note {
                 Note::Runs => client.note(Said::Runs(v1::Runs {})),
                 Note::Served(part) => client.note(Said::Served(v1::Served { part })),
--- a/crates/dispatcher/src/desk/port.rs
+++ b/crates/dispatcher/src/desk/port.rs
@@ -50,11 +50,21 @@
     }
 
     pub fn stop(&mut self, desk: &Arc<Desk>, client: &Client, machine: MachineId, moved: bool) {
-        let Some(node) = self.node(machine) else { return };
+        let Some(node) = self.node(machine) else {
+            return;
+        };
         let (placing, task) = (client.ask.placing.clone(), client.ask.task.clone());
         let kind = if moved { Kind::Move } else { Kind::Stop };
-        let stop = v1::StopAsk { placing, task, moved, but: String::new(), by: Some(desk.by(kind, 1)) };
-        desk.tasks.spawn(shots::stop(desk.clone(), node, stop)).detach();
+        let stop = v1::StopAsk {
+            placing,
+            task,
+            moved,
+            but: String::new(),
+            by: Some(desk.by(kind, 1)),
+        };
+        desk.tasks
+            .spawn(shots::stop(desk.clone(), node, stop))
+            .detach();
     }
 
     /// What is placed anew in the place of a copy that a roll has stopped.
@@ -69,19 +79,38 @@
             abandon,
         };
         let placing = next_placing(&client.ask.placing);
-        let fresh = Client::new(v1::Ask { placing, ..client.ask.clone() }, &client.words);
+        let fresh = Client::new(
+            v1::Ask {
+                placing,
+                ..client.ask.clone()
+            },
+            &client.words,
+        );
         let (current, hangs_up) = (client.current.clone(), client.hangs_up);
-        Some((asked, Client { deadline: Some(abandon), hangs_up, current, anew: true, ..fresh }))
+        Some((
+            asked,
+            Client {
+                deadline: Some(abandon),
+                hangs_up,
+                current,
+                anew: true,
+                ..fresh
+            },
+        ))
     }
 
     /// The old copy is gone, and the new one has its place.
     pub fn retired(&mut self, service: &str, task: &str) {
-        let claims = self.rolls.of(service).map(|own| own.retired(task)).unwrap_or_default();
+        let claims = self
+            .rolls
+            .of(service)
+            .map(|own| own.retired(task))
+            .unwrap_or_default();
         self.give_back(service, claims);
     }
 
-    /// From here on a new copy beside an old one counts for nothing; its slot comes back when it is known to be
-    /// gone.
+    /// From here on a new copy beside an old one counts for nothing; its slot comes back when it is
+    /// known to be gone.
     pub fn put_away(&mut self, client: &mut Client, allocation: &Allocation, why: Withdrawn) {
         if std::mem::replace(&mut client.withdrawn, true) {
             return;
@@ -100,15 +129,26 @@
     /// A new copy beside an old one is no more.
     pub fn withdrawn(&mut self, service: &str, task: &str, why: Withdrawn) {
         let now = self.now;
-        let claims = self.rolls.of(service).map(|own| own.withdrawn(now, task, why)).unwrap_or_default();
+        let claims = self
+            .rolls
+            .of(service)
+            .map(|own| own.withdrawn(now, task, why))
+            .unwrap_or_default();
         self.give_back(service, claims);
     }
 
     pub fn give_back(&mut self, service: &str, claims: Vec<ClaimId>) {
         for claim in claims {
-            if self.gives_back.try_send((service.to_string(), claim)).is_err() {
+            if self
+                .gives_back
+                .try_send((service.to_string(), claim))
+                .is_err()
+            {
                 // The keepers still hold it for us, and tell of it: it comes back by that way.
-                warn!(service, "more claims are to be given back than are kept in mind");
+                warn!(
+                    service,
+                    "more claims are to be given back than are kept in mind"
+                );
             }
         }
     }
@@ -116,7 +156,9 @@
     /// A copy is ours no longer. `wanted_no_more`: its owner does not come again for it.
     pub fn copy_gone(&mut self, client: &Client, wanted_no_more: bool) {
         let (service, task) = (&client.ask.service, &client.ask.task);
-        let Some(conductor) = self.rolls.of(service) else { return };
+        let Some(conductor) = self.rolls.of(service) else {
+            return;
+        };
         if !wanted_no_more {
             return conductor.died(self.now, task);
         }
@@ -129,7 +171,9 @@
         if client.anew {
             // Its owner had its answer long ago: to it the copy is sent away, and it comes again.
             self.copy_gone(client, false);
-            client.say(Said::Ended(v1::Ended { how: v1::ended::How::SentAway.into() }));
+            client.say(Said::Ended(v1::Ended {
+                how: v1::ended::How::SentAway.into(),
+            }));
             client.words.close();
             return false;
         }
@@ -144,8 +188,16 @@
 }
 
 impl Wire<Client> for Port {
-    fn send(&mut self, client: &mut Client, allocation: &Allocation, machine: MachineId, time_out: Tenths) {
-        let Some(desk) = self.desk.upgrade() else { return };
+    fn send(
+        &mut self,
+        client: &mut Client,
+        allocation: &Allocation,
+        machine: MachineId,
+        time_out: Tenths,
+    ) {
+        let Some(desk) = self.desk.upgrade() else {
+            return;
+        };
         let asked = Asked {
             service: allocation.service,
             track: allocation.track,
@@ -155,20 +207,44 @@
         };
         client.version = self.rolls.wanted(&client.ask.service);
         (client.ready, client.stopping) = (None, false);
-        if let Some(conductor) = self.rolls.of(&client.ask.service).filter(|_| client.beside.is_none()) {
-            conductor.copy(self.now, &client.ask.task, &client.version, client.ask.again && !client.anew);
+        if let Some(conductor) = self
+            .rolls
+            .of(&client.ask.service)
+            .filter(|_| client.beside.is_none())
+        {
+            conductor.copy(
+                self.now,
+                &client.ask.task,
+                &client.version,
+                client.ask.again && !client.anew,
+            );
             if !desk.may_run_twice(allocation.track) {
                 conductor.only_once(&client.ask.task);
             }
         }
-        let shot = desk.shot(&client.ask, &asked, allocation.shots.len(), client.version.clone(), Kind::Shot);
+        let shot = desk.shot(
+            &client.ask,
+            &asked,
+            allocation.shots.len(),
+            client.version.clone(),
+            Kind::Shot,
+        );
         let node = self.node(machine);
         let most = desk.deployment().bounds.offers_a_node;
         let open: Option<Counted> = node.as_ref().and_then(|node| node.offer(most));
         let (id, number, decided) = (allocation.id, allocation.shots.len(), Instant::now());
-        let offer = shots::Offer { id, number, machine, node, open, decided };
+        let offer = shots::Offer {
+            id,
+            number,
+            machine,
+            node,
+            open,
+            decided,
+        };
         let tasks = Arc::clone(&desk.tasks);
-        tasks.spawn(shots::offer(desk, offer, shot, duration(time_out))).detach();
+        tasks
+            .spawn(shots::offer(desk, offer, shot, duration(time_out)))
+            .detach();
     }
 
     fn shed(&mut self, client: &mut Client, allocation: &Allocation) {
@@ -176,7 +252,10 @@
             // Its owner has the old one, and knows of none other.
             return self.put_away(client, allocation, Withdrawn::NoRoom);
         }
-        let (why, shots) = (v1::refused::Why::NoRoom.into(), allocation.shots.len() as u32);
+        let (why, shots) = (
+            v1::refused::Why::NoRoom.into(),
+            allocation.shots.len() as u32,
+        );
         let text = "no machine could take it in its time".into();
         if self.answer(client, Said::Refused(v1::Refused { why, text, shots })) {
             self.counters.refused += 1;
@@ -195,13 +274,17 @@
     }
 
     fn relocate(&mut self, client: &mut Client, allocation: &Allocation) {
-        let (Some(desk), Some(shot)) = (self.desk.upgrade(), allocation.shots.last()) else { return };
+        let (Some(desk), Some(shot)) = (self.desk.upgrade(), allocation.shots.last()) else {
+            return;
+        };
         client.moving = true;
         self.stop(&desk, client, shot.machine, true);
     }
 
     fn probe(&mut self, machine: MachineId) {
-        let (Some(desk), Some(node)) = (self.desk.upgrade(), self.node(machine)) else { return };
+        let (Some(desk), Some(node)) = (self.desk.upgrade(), self.node(machine)) else {
+            return;
+        };
         let tasks = Arc::clone(&desk.tasks);
         tasks.spawn(shots::probe(desk, machine, node)).detach();
     }
--- a/crates/dispatcher/src/fleet.rs
+++ b/crates/dispatcher/src/fleet.rs
@@ -1,5 +1,5 @@
-//! The floor of versions: keepers asked for it, and what is heard of it kept. What is decided stands in
-//! `corkspan_fleet`.
+//! The floor of versions: keepers asked for it, and what is heard of it kept. What is decided
+//! stands in `corkspan_fleet`.
 
 use crate::clock::duration;
 use crate::desk::Desk;
@@ -24,8 +24,8 @@
 /// Between two writes of the record.
 const WRITTEN_EVERY: Duration = Duration::from_secs(1);
 
-/// Keeps on disk which versions were in force, for as long as it is polled. It is a record and no ground for any
-/// decision, so nothing waits for it; a disk that is full is tried again.
+/// Keeps on disk which versions were in force, for as long as it is polled. It is a record and no
+/// ground for any decision, so nothing waits for it; a disk that is full is tried again.
 pub async fn keep(desk: Arc<Desk>) {
     if desk.deployment().rolls.is_none() {
         return;
@@ -40,7 +40,10 @@
             match &kept {
                 Ok(()) => desk.fleet.written.store(changed, Ordering::Relaxed),
                 Err(why) if !told => {
-                    warn!(why, "which versions were in force can't be kept on disk; tried again each second");
+                    warn!(
+                        why,
+                        "which versions were in force can't be kept on disk; tried again each second"
+                    );
                 }
                 Err(_) => {}
             }
@@ -50,8 +53,9 @@
     }
 }
 
-/// Asks the keepers again and again, for as long as it is polled: for the floor, for what enough of the fleet have taken
-/// where a rule raises the floor by that, and to lay a version on their shelves for stragglers.
+/// Asks the keepers again and again, for as long as it is polled: for the floor, for what enough of
+/// the fleet have taken where a rule raises the floor by that, and to lay a version on their
+/// shelves for stragglers.
 pub async fn run(desk: Arc<Desk>) {
     if desk.deployment().floor.is_none() {
         return;
@@ -61,23 +65,42 @@
         let words = tell(&desk, &own).await;
         let deployment = desk.deployment();
         let (keepers, now) = (deployment.keepers.len(), desk.clock.now());
-        let told: Vec<Option<Floor>> = words.iter().map(|word| word.floor.as_ref().map(read)).collect();
+        let told: Vec<Option<Floor>> = words
+            .iter()
+            .map(|word| word.floor.as_ref().map(read))
+            .collect();
         let news = desk.fleet.standing().keepers_tell(&told, keepers);
         if let Some(floor) = desk.fleet.floor().filter(|_| news) {
             say(floor, deployment.stamp, "the keepers");
         }
         if own.behind.is_some() || own.after.is_some() {
-            let rule = Rule { behind: own.behind, after: own.after, part: own.part };
+            let rule = Rule {
+                behind: own.behind,
+                after: own.after,
+                part: own.part,
+            };
             let taken: Vec<Option<u64>> = words.iter().map(|word| word.taken).collect();
             let stands = in_force(told.iter().flatten(), keepers).map(|floor| floor.lowest);
             // Hundreds see it in the same round: a few that ask are enough.
             let chance = of_a_few(deployment.cluster.schedulers, rng.random());
-            let lowest = watch.look(now, rule, &taken, keepers, stands).filter(|_| chance);
+            let lowest = watch
+                .look(now, rule, &taken, keepers, stands)
+                .filter(|_| chance);
             if let Some(lowest) = lowest {
                 match raise(&desk, lowest).await {
-                    Ok(word) if word.taken => info!(lowest, "the floor of versions is raised by its rule"),
-                    Ok(word) => info!(lowest, why = word.text, "the floor of versions is not raised"),
-                    Err(why) => info!(lowest, why = why.message(), "the floor of versions is not raised"),
+                    Ok(word) if word.taken => {
+                        info!(lowest, "the floor of versions is raised by its rule")
+                    }
+                    Ok(word) => info!(
+                        lowest,
+                        why = word.text,
+                        "the floor of versions is not raised"
+                    ),
+                    Err(why) => info!(
+                        lowest,
+                        why = why.message(),
+                        "the floor of versions is not raised"
+                    ),
                 }
             }
         }
@@ -88,60 +111,105 @@
 
 /// What the keepers that answer hold of the fleet, told what runs here.
 async fn tell(desk: &Arc<Desk>, own: &FloorWatch) -> Vec<v1::KeepWord> {
-    let (running, on_trial) =
-        desk.versions.with(|state| (state.subscriber.running().0, state.subscriber.on_trial()));
+    let (running, on_trial) = desk
+        .versions
+        .with(|state| (state.subscriber.running().0, state.subscriber.on_trial()));
     let cluster = &desk.deployment().cluster;
     let (dispatcher, fleet) = (cluster.number as u32, cluster.schedulers as u32);
-    let runs = Some(v1::InForce { dispatcher, stamp: Some(running::message(running)), on_trial });
-    ask_all(desk, Ask::Tell(v1::Tell { floor_only: true, runs, part: own.part, fleet, board: false })).await
+    let runs = Some(v1::InForce {
+        dispatcher,
+        stamp: Some(running::message(running)),
+        on_trial,
+    });
+    ask_all(
+        desk,
+        Ask::Tell(v1::Tell {
+            floor_only: true,
+            runs,
+            part: own.part,
+            fleet,
+            board: false,
+        }),
+    )
+    .await
 }
 
-/// Lays the version that has stood its trial here on the shelves of keepers where an older one lies, or none.
+/// Lays the version that has stood its trial here on the shelves of keepers where an older one
+/// lies, or none.
 async fn lay(desk: &Arc<Desk>, words: &[v1::KeepWord], chance: f64) {
-    let good = desk.versions.with(|state| match state.subscriber.on_trial() {
-        true => None,
-        false => state.shelf.lies(),
-    });
+    let good = desk
+        .versions
+        .with(|state| match state.subscriber.on_trial() {
+            true => None,
+            false => state.shelf.lies(),
+        });
     let Some(good) = good else { return };
-    let oldest = words.iter().map(|word| word.lies.as_ref().and_then(running::stamp)).min();
+    let oldest = words
+        .iter()
+        .map(|word| word.lies.as_ref().and_then(running::stamp))
+        .min();
     let Some(theirs) = oldest else { return };
     let fleet = desk.deployment().cluster.schedulers;
     if !lays(good.number, theirs.map(|stamp| stamp.number), fleet, chance) {
         return;
     }
-    let Some(push) = desk.versions.with(|state| state.shelf.push_to(theirs)) else { return };
+    let Some(push) = desk.versions.with(|state| state.shelf.push_to(theirs)) else {
+        return;
+    };
     ask_all(desk, Ask::Lay(running::push_message(push))).await;
-    info!(number = good.number, "a version is laid on the keepers' shelves for stragglers");
+    info!(
+        number = good.number,
+        "a version is laid on the keepers' shelves for stragglers"
+    );
 }
 
 /// The wishes that stand at those keepers that answer.
 async fn ask(desk: &Arc<Desk>) -> Vec<Option<Floor>> {
-    let tell = v1::Tell { floor_only: true, ..v1::Tell::default() };
+    let tell = v1::Tell {
+        floor_only: true,
+        ..v1::Tell::default()
+    };
     let words = ask_all(desk, Ask::Tell(tell)).await;
-    words.iter().map(|word| word.floor.as_ref().map(read)).collect()
+    words
+        .iter()
+        .map(|word| word.floor.as_ref().map(read))
+        .collect()
 }
 
 /// Asks the keepers for another floor.
 pub async fn raise(desk: &Arc<Desk>, lowest: u64) -> Result<v1::FloorWord, Status> {
     let keepers = desk.deployment().keepers.len();
     if keepers == 0 {
-        return Err(Status::failed_precondition("the deployment names no keepers"));
+        return Err(Status::failed_precondition(
+            "the deployment names no keepers",
+        ));
     }
     let asker = desk.clock.now().rotate_left(24) ^ desk.fleet.life;
     let wish = match next(&ask(desk).await, keepers, lowest, asker) {
         Ok(wish) => wish,
         Err(why) => {
             let stands = desk.fleet.floor().map(message);
-            return Ok(v1::FloorWord { taken: false, text: why.to_string(), stands });
+            return Ok(v1::FloorWord {
+                taken: false,
+                text: why.to_string(),
+                stands,
+            });
         }
     };
     let words = ask_all(desk, Ask::Floor(message(wish))).await;
-    let told: Vec<Floor> = words.iter().filter_map(|word| word.floor.as_ref().map(read)).collect();
+    let told: Vec<Floor> = words
+        .iter()
+        .filter_map(|word| word.floor.as_ref().map(read))
+        .collect();
     let stands = in_force(&told, keepers).copied();
     let text = match stands {
         Some(floor) if floor == wish => String::new(),
         Some(_) => "turned down: another floor was asked for at the same time".into(),
         None => "no majority of the keepers has taken it; nothing is known to stand".into(),
     };
-    Ok(v1::FloorWord { taken: stands == Some(wish), text, stands: stands.map(message) })
+    Ok(v1::FloorWord {
+        taken: stands == Some(wish),
+        text,
+        stands: stands.map(message),
+    })
 }
--- a/crates/dispatcher/src/keepers.rs
+++ b/crates/dispatcher/src/keepers.rs
@@ -12,7 +12,12 @@
     let calls: Vec<_> = (desk.deployment().keepers.iter())
         .filter_map(|keeper| desk.node(*keeper))
         .map(|node| {
-            let (desk, ask) = (Arc::clone(desk), v1::KeepAsk { ask: Some(ask.clone()) });
+            let (desk, ask) = (
+                Arc::clone(desk),
+                v1::KeepAsk {
+                    ask: Some(ask.clone()),
+                },
+            );
             let tasks = Arc::clone(&desk.tasks);
             tasks.spawn(async move { keep(&desk, &node, ask).await })
         })
@@ -39,5 +44,7 @@
         let mut client = client.max_decoding_message_size(16 << 20);
         client.keep(ask).await.ok().map(Response::into_inner)
     };
-    within(desk.link_bounds.connect_within * 2, Box::pin(whole)).await.flatten()
+    within(desk.link_bounds.connect_within * 2, Box::pin(whole))
+        .await
+        .flatten()
 }
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -1,6 +1,6 @@
-//! The dispatcher daemon: owners ask over gRPC, the decisions of [`corkspan::rules`] say where to, nodes are
-//! offered the work, and the answers go back. It turns what it reads straight into calls, and answers straight
-//! into messages; docs/dispatcher.md says how and why.
+//! The dispatcher daemon: owners ask over gRPC, the decisions of [`corkspan::rules`] say where to,
+//! nodes are offered the work, and the answers go back. It turns what it reads straight into calls,
+//! and answers straight into messages; docs/dispatcher.md says how and why.
 
 mod bring;
 mod clients;
@@ -46,15 +46,18 @@
 #[derive(Debug, thiserror::Error)]
 pub enum Failure {
     #[error("can't listen on {address}: {why}")]
-    Listen { address: SocketAddr, why: std::io::Error },
+    Listen {
+        address: SocketAddr,
+        why: std::io::Error,
+    },
     #[error("can't take signals: {0}")]
     Signals(std::io::Error),
     #[error("the listener broke: {0}")]
     Listener(std::io::Error),
 }
 
-/// Runs a dispatcher on this thread until a signal asks it to stop and everything in hand has its answer.
-/// `ready` is called with the address that it listens on, once it does.
+/// Runs a dispatcher on this thread until a signal asks it to stop and everything in hand has its
+/// answer. `ready` is called with the address that it listens on, once it does.
 pub fn serve(deployment: Deployment, ready: impl FnOnce(SocketAddr)) -> Result<(), Failure> {
     let mut signals = signals([Signal::Term, Signal::Int]).map_err(Failure::Signals)?;
     let stop = async move {
@@ -84,11 +87,17 @@
     stop: impl Future<Output = ()>,
 ) -> Result<(), Failure> {
     let address = deployment.listen;
-    let listener = TcpListener::bind(address).await.map_err(|why| Failure::Listen { address, why })?;
-    let address = listener.local_addr().map_err(|why| Failure::Listen { address, why })?;
+    let listener = TcpListener::bind(address)
+        .await
+        .map_err(|why| Failure::Listen { address, why })?;
+    let address = listener
+        .local_addr()
+        .map_err(|why| Failure::Listen { address, why })?;
     let clock = clock::Clock::start();
-    // Another life must not draw the same chances: one that was killed for a bad draw would repeat it.
-    let seed = deployment.seed ^ clock.now().rotate_left(20) ^ (deployment.cluster.number as u64) << 48;
+    // Another life must not draw the same chances: one that was killed for a bad draw would repeat
+    // it.
+    let seed =
+        deployment.seed ^ clock.now().rotate_left(20) ^ (deployment.cluster.number as u64) << 48;
     let (wakes, waking) = async_channel::bounded(1);
     let (watches, asked) = async_channel::bounded(1);
     let path = deployment.remembered.clone();
@@ -101,7 +110,8 @@
     desk.listed(corkspan::interface::Scope::Remembered, &entries);
 
     let service = All {
-        placement: PlacementServer::new(Clients(Arc::clone(&desk))).max_decoding_message_size(bounds.message),
+        placement: PlacementServer::new(Clients(Arc::clone(&desk)))
+            .max_decoding_message_size(bounds.message),
         rolls: RollsServer::new(rolls::Operators(Arc::clone(&desk)))
             .max_decoding_message_size(bounds.message),
         versions: VersionsServer::new(control::Operators(Arc::clone(&desk)))
@@ -130,7 +140,10 @@
         tasks.spawn(fleet::keep(Arc::clone(&desk))),
         tasks.spawn(bring::run(Arc::clone(&desk))),
         tasks.spawn(maintenance::run(Arc::clone(&desk))),
-        tasks.spawn(sweep(Arc::clone(&desk), clock::duration(bounds.idle_close) / 4)),
+        tasks.spawn(sweep(
+            Arc::clone(&desk),
+            clock::duration(bounds.idle_close) / 4,
+        )),
     ];
     ready(address);
     let stopping = async {
@@ -140,11 +153,16 @@
         until(latest, || desk.unanswered() == 0).await;
         desk.let_go();
         // The last words are on their way; owners that don't read are not waited for.
-        until(Instant::now() + Duration::from_secs(1), || !desk.calls_open()).await;
+        until(Instant::now() + Duration::from_secs(1), || {
+            !desk.calls_open()
+        })
+        .await;
         info!("stopped");
         Ok(())
     };
-    let result = stopping.or(async { Err(Failure::Listener(serving.await)) }).await;
+    let result = stopping
+        .or(async { Err(Failure::Listener(serving.await)) })
+        .await;
     drop(background);
     result
 }
--- a/crates/dispatcher/src/links.rs
+++ b/crates/dispatcher/src/links.rs
@@ -50,8 +50,8 @@
 
 struct State {
     link: Option<Link>,
-    /// When an attempt to open it last failed: those who waited for that one have failed with it, instead of
-    /// each trying anew one after the other.
+    /// When an attempt to open it last failed: those who waited for that one have failed with it,
+    /// instead of each trying anew one after the other.
     failed: Option<Instant>,
     used: Instant,
 }
@@ -65,7 +65,10 @@
 impl Counted {
     fn new(node: &Arc<NodeLink>, which: fn(&NodeLink) -> &AtomicUsize) -> Self {
         which(node).fetch_add(1, Ordering::Relaxed);
-        Counted { node: Arc::clone(node), which }
+        Counted {
+            node: Arc::clone(node),
+            which,
+        }
     }
 }
 
@@ -78,13 +81,28 @@
 impl NodeLink {
     pub fn new(address: SocketAddr, node: u32, dispatcher: u32, meter: Meter) -> Arc<Self> {
         let greeting = v1::Greeting { node, dispatcher };
-        let state = State { link: None, failed: None, used: Instant::now() };
+        let state = State {
+            link: None,
+            failed: None,
+            used: Instant::now(),
+        };
         let (calls, unanswered) = Default::default();
-        Arc::new(NodeLink { address, greeting, meter, state: AsyncMutex::new(state), calls, unanswered })
+        Arc::new(NodeLink {
+            address,
+            greeting,
+            meter,
+            state: AsyncMutex::new(state),
+            calls,
+            unanswered,
+        })
     }
 
     /// A link that takes a call now. Nothing has been sent where this fails.
-    pub async fn ready(&self, tasks: &Tasks, bounds: &corkspan_rpc::Bounds) -> Result<Link, NoNode> {
+    pub async fn ready(
+        &self,
+        tasks: &Tasks,
+        bounds: &corkspan_rpc::Bounds,
+    ) -> Result<Link, NoNode> {
         let since = Instant::now();
         let mut state = self.state.lock().await;
         state.used = Instant::now();
@@ -108,14 +126,17 @@
         }
     }
 
-    /// Opens a link and waits for the node's own word that it stands: a connection that the kernel at the other
-    /// end took, for a process that no longer looks, would make of each offer one that may have run.
+    /// Opens a link and waits for the node's own word that it stands: a connection that the kernel
+    /// at the other end took, for a process that no longer looks, would make of each offer one
+    /// that may have run.
     async fn open(&self, tasks: &Tasks, bounds: &corkspan_rpc::Bounds) -> Result<Link, NoNode> {
         let link = Link::open_counted(tasks, self.address, bounds, &self.meter).await?;
         let mut client = NodeClient::new(link.clone());
         let greeted = within(bounds.connect_within, client.greet(self.greeting)).await;
         let word = greeted.ok_or(NoNode::Silent(bounds.connect_within))?;
-        let word = word.map_err(|why| NoNode::TurnedDown(why.message().into()))?.into_inner();
+        let word = word
+            .map_err(|why| NoNode::TurnedDown(why.message().into()))?
+            .into_inner();
         if word.node != self.greeting.node {
             return Err(NoNode::Stranger(word.node));
         }
@@ -135,7 +156,9 @@
 
     /// Closes the link if it has been idle for so long. Whether one is open afterwards.
     pub fn close_idle(&self, after: Duration) -> bool {
-        let Some(mut state) = self.state.try_lock() else { return true };
+        let Some(mut state) = self.state.try_lock() else {
+            return true;
+        };
         if self.calls.load(Ordering::Relaxed) == 0 && state.used.elapsed() >= after {
             state.link = None;
         }
@@ -144,6 +167,8 @@
 }
 
 async fn ready(mut link: Link) -> Result<Link, NoNode> {
-    future::poll_fn(|cx| link.poll_ready(cx)).await.map_err(NoLink::NotHttp)?;
+    future::poll_fn(|cx| link.poll_ready(cx))
+        .await
+        .map_err(NoLink::NotHttp)?;
     Ok(link)
 }
--- a/crates/dispatcher/src/maintenance.rs
+++ b/crates/dispatcher/src/maintenance.rs
@@ -24,7 +24,8 @@
 const LEFT_BEHIND: Tenths = 100_000;
 /// Between two bids.
 const BID_EVERY: Tenths = 50_000;
-/// Machines that are asked in one look whether they could be taken next: of the cheapest, and by chance.
+/// Machines that are asked in one look whether they could be taken next: of the cheapest, and by
+/// chance.
 const CANDIDATES: usize = 8;
 
 /// Looks again and again, for as long as it is polled.
@@ -49,7 +50,10 @@
             for claim in waiting {
                 first_seen.entry(claim).or_insert(now);
             }
-            let old = first_seen.iter().filter(|(_, at)| **at + LEFT_BEHIND <= now).map(|(claim, _)| *claim);
+            let old = first_seen
+                .iter()
+                .filter(|(_, at)| **at + LEFT_BEHIND <= now)
+                .map(|(claim, _)| *claim);
             let old: BTreeSet<ClaimId> = old.collect();
             if let Some(wish) = view.wish.as_ref().filter(|_| bid_at <= now) {
                 bid_at = now + BID_EVERY;
@@ -66,28 +70,45 @@
 /// What the keepers come to; none without a majority.
 async fn view(desk: &Arc<Desk>) -> Option<View> {
     let fleet = desk.deployment().cluster.schedulers as u32;
-    let tell = v1::Tell { floor_only: true, board: true, fleet, ..v1::Tell::default() };
+    let tell = v1::Tell {
+        floor_only: true,
+        board: true,
+        fleet,
+        ..v1::Tell::default()
+    };
     let words = ask_all(desk, Ask::Tell(tell)).await;
-    let words: Vec<_> = words.iter().filter_map(|word| word.board.as_ref().map(outings::word)).collect();
+    let words: Vec<_> = words
+        .iter()
+        .filter_map(|word| word.board.as_ref().map(outings::word))
+        .collect();
     View::of(&words, desk.deployment().keepers.len())
 }
 
 async fn bids(desk: &Arc<Desk>, wish: &Wish) {
-    let held = desk.held().into_iter().filter(|(own, _)| wish.machines.contains_key(&Machine(own.0)));
-    let costs = held.map(|(own, (movable, once))| (own.0, bid(movable, once))).collect();
+    let held = desk
+        .held()
+        .into_iter()
+        .filter(|(own, _)| wish.machines.contains_key(&Machine(own.0)));
+    let costs = held
+        .map(|(own, (movable, once))| (own.0, bid(movable, once)))
+        .collect();
     let dispatcher = desk.deployment().cluster.number as u32;
     ask_all(desk, Ask::Bids(v1::Bids { dispatcher, costs })).await;
 }
 
 /// What these machines say, each of the claim told.
-async fn says(desk: &Arc<Desk>, asks: BTreeMap<Machine, Option<ClaimId>>) -> BTreeMap<Machine, Says> {
+async fn says(
+    desk: &Arc<Desk>,
+    asks: BTreeMap<Machine, Option<ClaimId>>,
+) -> BTreeMap<Machine, Says> {
     let mut calls = Vec::new();
     for (machine, claim) in asks {
         let (claim, own) = (claim.unwrap_or(ClaimId(0)), Arc::clone(desk));
         calls.push((
             machine,
             claim,
-            desk.tasks.spawn(async move { door(&own, machine, claim, Do::Look).await }),
+            desk.tasks
+                .spawn(async move { door(&own, machine, claim, Do::Look).await }),
         ));
     }
     let mut says = BTreeMap::new();
@@ -95,21 +116,43 @@
         if let Some(word) = call.await {
             let closed = (word.closed != 0).then_some(ClaimId(word.closed));
             let over = word.over.then_some(claim).into_iter().collect();
-            says.insert(machine, Says { closed, over, runs: word.runs, since_ms: word.since_ms });
+            says.insert(
+                machine,
+                Says {
+                    closed,
+                    over,
+                    runs: word.runs,
+                    since_ms: word.since_ms,
+                },
+            );
         }
     }
     says
 }
 
-async fn door(desk: &Arc<Desk>, machine: Machine, claim: ClaimId, what: Do) -> Option<v1::DoorWord> {
+async fn door(
+    desk: &Arc<Desk>,
+    machine: Machine,
+    claim: ClaimId,
+    what: Do,
+) -> Option<v1::DoorWord> {
     let node = desk.node(MachineId(machine.0))?;
     let _call = node.call();
-    let ask = v1::DoorAsk { claim: claim.0, what: what.into() };
+    let ask = v1::DoorAsk {
+        claim: claim.0,
+        what: what.into(),
+    };
     let whole = async {
         let link = node.ready(&desk.tasks, &desk.link_bounds).await.ok()?;
-        NodeClient::new(link).door(ask).await.ok().map(tonic::Response::into_inner)
+        NodeClient::new(link)
+            .door(ask)
+            .await
+            .ok()
+            .map(tonic::Response::into_inner)
     };
-    within(desk.link_bounds.connect_within * 2, Box::pin(whole)).await.flatten()
+    within(desk.link_bounds.connect_within * 2, Box::pin(whole))
+        .await
+        .flatten()
 }
 
 async fn act(desk: &Arc<Desk>, view: &View, old: &BTreeSet<ClaimId>, rng: &mut Pcg64Mcg) {
@@ -119,15 +162,30 @@
     let keepers = desk.deployment().keepers.len();
     // A roll needs its copies: while one goes on nothing further is taken.
     let gives_way = desk.with_rolls(|_, rolls| rolls.goes_on());
-    let own = Own { keepers, claim, claims: true, old, lost: &lost, gives_way };
+    let own = Own {
+        keepers,
+        claim,
+        claims: true,
+        old,
+        lost: &lost,
+        gives_way,
+    };
     let next = look(view, &says, &own);
     // Machines first: what keepers are told in this look does not depend on what they answer.
     for (machine, claim, what) in next
         .close
         .iter()
         .map(|(machine, claim)| (*machine, *claim, Do::Close))
-        .chain(next.open.iter().map(|(machine, claim)| (*machine, *claim, Do::Open)))
-        .chain(next.stop.iter().map(|(machine, claim)| (*machine, *claim, Do::Stop)))
+        .chain(
+            next.open
+                .iter()
+                .map(|(machine, claim)| (*machine, *claim, Do::Open)),
+        )
+        .chain(
+            next.stop
+                .iter()
+                .map(|(machine, claim)| (*machine, *claim, Do::Stop)),
+        )
     {
         door(desk, machine, claim, what).await;
     }
@@ -136,7 +194,16 @@
     }
     if let Some((number, machine, claim, slots)) = next.claim {
         let (node, claim, slots) = (machine.0, claim.0, slots.to_vec());
-        ask_all(desk, Ask::Take(v1::WorkClaim { number, node, claim, slots })).await;
+        ask_all(
+            desk,
+            Ask::Take(v1::WorkClaim {
+                number,
+                node,
+                claim,
+                slots,
+            }),
+        )
+        .await;
     }
 }
 
@@ -157,15 +224,28 @@
         What::Done => done(desk, &view, &ask).await?,
         _ => propose(desk, &view, ask).await?,
     };
-    let text = if taken { "" } else { "turned down: another wish stands, or no majority has taken it" };
+    let text = if taken {
+        ""
+    } else {
+        "turned down: another wish stands, or no majority has taken it"
+    };
     let after = self::view(desk).await.unwrap_or(view);
     let says = says(desk, after.to_ask(0, |_| 0)).await;
     let phase = |(machine, claim, phase): (Machine, ClaimId, Phase)| {
-        let known = after.outings.iter().find(|(own, known)| *own == machine && known.outing.claim == claim);
+        let known = after
+            .outings
+            .iter()
+            .find(|(own, known)| *own == machine && known.outing.claim == claim);
         known.map(|(_, known)| outings::outing(machine, &known.outing, phase))
     };
     use corkspan_maintenance::board::End;
-    let ended = |end| after.ended.iter().filter(move |(_, own)| **own == end).map(|(machine, _)| machine.0);
+    let ended = |end| {
+        after
+            .ended
+            .iter()
+            .filter(move |(_, own)| **own == end)
+            .map(|(machine, _)| machine.0)
+    };
     Ok(v1::MaintainWord {
         taken,
         text: text.into(),
@@ -173,7 +253,11 @@
         out: after.out().filter_map(phase).collect(),
         worked: ended(End::Worked).collect(),
         skipped: ended(End::Skipped).collect(),
-        in_work: after.in_work(&says).into_iter().map(|(machine, _)| machine.0).collect(),
+        in_work: after
+            .in_work(&says)
+            .into_iter()
+            .map(|(machine, _)| machine.0)
+            .collect(),
     })
 }
 
@@ -184,7 +268,9 @@
     for node in &ask.nodes {
         let machine = Machine(*node);
         let Some(claim) = in_work.get(&machine) else {
-            return Err(Status::failed_precondition(format!("machine {node} is not in work")));
+            return Err(Status::failed_precondition(format!(
+                "machine {node} is not in work"
+            )));
         };
         let step = v1::WorkStep {
             node: *node,
@@ -195,8 +281,9 @@
         let heard = ask_all(desk, Ask::Step(step)).await.len();
         let keepers = desk.deployment().keepers.len();
         if !majority(heard, keepers) {
-            let text =
-                format!("{heard} of {keepers} keepers have heard that machine {node} is done: say it again");
+            let text = format!(
+                "{heard} of {keepers} keepers have heard that machine {node} is done: say it again"
+            );
             return Err(Status::unavailable(text));
         }
     }
@@ -209,13 +296,30 @@
     let wish = match (ask.what(), &view.wish) {
         (What::Start, _) => start(desk, view, ask, number, asker)?,
         (_, None) => return Err(Status::not_found("there is no work under way")),
-        (What::Pause, Some(wish)) => Wish { number, asker, course: Course::Paused, ..wish.clone() },
-        (What::Resume, Some(wish)) => Wish { number, asker, course: Course::Going, ..wish.clone() },
-        (_, Some(wish)) => Wish { number, asker, course: Course::Aborted, ..wish.clone() },
+        (What::Pause, Some(wish)) => Wish {
+            number,
+            asker,
+            course: Course::Paused,
+            ..wish.clone()
+        },
+        (What::Resume, Some(wish)) => Wish {
+            number,
+            asker,
+            course: Course::Going,
+            ..wish.clone()
+        },
+        (_, Some(wish)) => Wish {
+            number,
+            asker,
+            course: Course::Aborted,
+            ..wish.clone()
+        },
     };
     let words = ask_all(desk, Ask::Work(outings::work(&wish))).await;
-    let stands: Vec<Wish> =
-        words.iter().filter_map(|word| outings::wish(word.board.as_ref()?.work.as_ref()?)).collect();
+    let stands: Vec<Wish> = words
+        .iter()
+        .filter_map(|word| outings::wish(word.board.as_ref()?.work.as_ref()?))
+        .collect();
     info!(number, course = ?wish.course, machines = wish.machines.len(), "a wish for work on machines");
     Ok(in_force(&stands, desk.deployment().keepers.len()) == Some(&wish))
 }
@@ -228,21 +332,48 @@
     asker: u64,
 ) -> Result<Wish, Status> {
     let wrong = |why: String| Status::invalid_argument(why);
-    let [all, hall, cell, kind] = ask.limits[..] else { return Err(wrong("limits: four are wanted".into())) };
+    let [all, hall, cell, kind] = ask.limits[..] else {
+        return Err(wrong("limits: four are wanted".into()));
+    };
     let entries = desk.entries();
     let mut machines = BTreeMap::new();
     for node in &ask.nodes {
         let entry = entries.get(&MachineId(*node));
-        let entry = entry.ok_or_else(|| wrong(format!("machine {node} is not in the roster's list")))?;
-        let at = At { hall: entry.hall.0 as u32, cell: entry.cell.0, kind: entry.kind.0 as u32 };
+        let entry =
+            entry.ok_or_else(|| wrong(format!("machine {node} is not in the roster's list")))?;
+        let at = At {
+            hall: entry.hall.0 as u32,
+            cell: entry.cell.0,
+            kind: entry.kind.0 as u32,
+        };
         machines.insert(Machine(*node), at);
     }
-    let limits = Limits { all, hall, cell, kind };
-    let keepers: Vec<Machine> = desk.deployment().keepers.iter().map(|own| Machine(own.0)).collect();
+    let limits = Limits {
+        all,
+        hall,
+        cell,
+        kind,
+    };
+    let keepers: Vec<Machine> = desk
+        .deployment()
+        .keepers
+        .iter()
+        .map(|own| Machine(own.0))
+        .collect();
     let begun = view.may_begin(&machines, &limits, &keepers);
     begun.map_err(|why| Status::failed_precondition(why.to_string()))?;
     let (warm_ms, empty_within_ms) = (ask.warm_ms, ask.empty_within_ms);
     let then = outings::then(ask.then());
     let job = asker;
-    Ok(Wish { number, asker, job, machines, limits, warm_ms, empty_within_ms, then, course: Course::Going })
+    Ok(Wish {
+        number,
+        asker,
+        job,
+        machines,
+        limits,
+        warm_ms,
+        empty_within_ms,
+        then,
+        course: Course::Going,
+    })
 }
--- a/crates/dispatcher/src/outings.rs
+++ b/crates/dispatcher/src/outings.rs
@@ -3,7 +3,9 @@
 use corkspan_api::v1::{self, work_step::Step};
 use corkspan_maintenance::board::{Board, Claimed, End};
 use corkspan_maintenance::look::{Look, Release, Word};
-use corkspan_maintenance::{At, ClaimId, Course, Limits, Machine, Outing, Phase, Slots, Then, Wish};
+use corkspan_maintenance::{
+    At, ClaimId, Course, Limits, Machine, Outing, Phase, Slots, Then, Wish,
+};
 use std::collections::BTreeMap;
 
 fn phase(step: Step) -> Option<Phase> {
@@ -30,11 +32,23 @@
 }
 
 fn place(machine: Machine, at: At) -> v1::WorkMachine {
-    v1::WorkMachine { node: machine.0, hall: at.hall, cell: at.cell, kind: at.kind }
+    v1::WorkMachine {
+        node: machine.0,
+        hall: at.hall,
+        cell: at.cell,
+        kind: at.kind,
+    }
 }
 
 fn placed(own: &v1::WorkMachine) -> (Machine, At) {
-    (Machine(own.node), At { hall: own.hall, cell: own.cell, kind: own.kind })
+    (
+        Machine(own.node),
+        At {
+            hall: own.hall,
+            cell: own.cell,
+            kind: own.kind,
+        },
+    )
 }
 
 pub fn work(wish: &Wish) -> v1::Work {
@@ -42,7 +56,11 @@
         number: wish.number,
         asker: wish.asker,
         job: wish.job,
-        machines: wish.machines.iter().map(|(machine, at)| place(*machine, *at)).collect(),
+        machines: wish
+            .machines
+            .iter()
+            .map(|(machine, at)| place(*machine, *at))
+            .collect(),
         limits: wish.limits.each().to_vec(),
         warm_ms: wish.warm_ms,
         empty_within_ms: wish.empty_within_ms,
@@ -63,13 +81,20 @@
 
 /// None where its limits are not four.
 pub fn wish(work: &v1::Work) -> Option<Wish> {
-    let [all, hall, cell, kind] = work.limits[..] else { return None };
+    let [all, hall, cell, kind] = work.limits[..] else {
+        return None;
+    };
     Some(Wish {
         number: work.number,
         asker: work.asker,
         job: work.job,
         machines: work.machines.iter().map(placed).collect(),
-        limits: Limits { all, hall, cell, kind },
+        limits: Limits {
+            all,
+            hall,
+            cell,
+            kind,
+        },
         warm_ms: work.warm_ms,
         empty_within_ms: work.empty_within_ms,
         then: then(work.then()),
@@ -101,12 +126,29 @@
 
 /// All that a keeper keeps, for a fleet of so many.
 pub fn board(board: &Board, fleet: u32) -> v1::Board {
-    let ended = |which| board.ended().filter(move |(_, end)| *end == which).map(|(machine, _)| machine.0);
-    let votes = |which| board.votes().filter(move |(_, vote)| *vote == which).map(|(claim, _)| claim.0);
-    let costs = board.bids(fleet).into_iter().map(|(machine, cost)| (machine.0, cost));
+    let ended = |which| {
+        board
+            .ended()
+            .filter(move |(_, end)| *end == which)
+            .map(|(machine, _)| machine.0)
+    };
+    let votes = |which| {
+        board
+            .votes()
+            .filter(move |(_, vote)| *vote == which)
+            .map(|(claim, _)| claim.0)
+    };
+    let costs = board
+        .bids(fleet)
+        .into_iter()
+        .map(|(machine, cost)| (machine.0, cost));
     v1::Board {
         work: board.wish().map(work),
-        outings: board.outings().iter().map(|(own, out)| outing(*own, out, out.phase)).collect(),
+        outings: board
+            .outings()
+            .iter()
+            .map(|(own, out)| outing(*own, out, out.phase))
+            .collect(),
         worked: ended(End::Worked).collect(),
         skipped: ended(End::Skipped).collect(),
         withdrawn: board.withdrawn().map(|claim| claim.0).collect(),
@@ -122,11 +164,29 @@
         let (machine, at) = placed(own.machine.as_ref()?);
         let slots = Slots::try_from(own.slots.clone()).ok()?;
         let phase = phase(own.phase())?;
-        Some((machine, Outing { claim: ClaimId(own.claim), job: own.job, at, slots, phase }))
+        Some((
+            machine,
+            Outing {
+                claim: ClaimId(own.claim),
+                job: own.job,
+                at,
+                slots,
+                phase,
+            },
+        ))
+    };
+    let votes = |claims: &[u64], vote| {
+        claims
+            .iter()
+            .map(move |claim| (ClaimId(*claim), vote))
+            .collect::<Vec<_>>()
+    };
+    let ended = |nodes: &[u32], end| {
+        nodes
+            .iter()
+            .map(move |node| (Machine(*node), end))
+            .collect::<Vec<_>>()
     };
-    let votes =
-        |claims: &[u64], vote| claims.iter().map(move |claim| (ClaimId(*claim), vote)).collect::<Vec<_>>();
-    let ended = |nodes: &[u32], end| nodes.iter().map(move |node| (Machine(*node), end)).collect::<Vec<_>>();
     let cost = |(node, cost): (&u32, &f64)| cost.is_finite().then_some((Machine(*node), *cost));
     Word {
         wish: told.work.as_ref().and_then(wish),
@@ -140,7 +200,11 @@
             .into_iter()
             .chain(votes(&told.returned, Phase::Returned))
             .collect(),
-        bids: told.costs.iter().filter_map(cost).collect::<BTreeMap<_, _>>(),
+        bids: told
+            .costs
+            .iter()
+            .filter_map(cost)
+            .collect::<BTreeMap<_, _>>(),
     }
 }
 
@@ -152,14 +216,26 @@
         step: step.into(),
         ..v1::WorkStep::default()
     };
-    let withdrawn = look.withdraw.iter().map(|(machine, claim)| plain(*machine, *claim, Step::Withdrawn));
-    let advance = look.advance.iter().map(|(machine, claim, phase)| plain(*machine, *claim, step(*phase)));
-    let released = look.release.iter().map(|Release { machine, claim, ended }| v1::WorkStep {
-        job: ended.map_or(0, |(job, _)| job),
-        worked: ended.is_some_and(|(_, end)| end == End::Worked),
-        skipped: ended.is_some_and(|(_, end)| end == End::Skipped),
-        ..plain(*machine, *claim, Step::Released)
-    });
+    let withdrawn = look
+        .withdraw
+        .iter()
+        .map(|(machine, claim)| plain(*machine, *claim, Step::Withdrawn));
+    let advance = look
+        .advance
+        .iter()
+        .map(|(machine, claim, phase)| plain(*machine, *claim, step(*phase)));
+    let released = look.release.iter().map(
+        |Release {
+             machine,
+             claim,
+             ended,
+         }| v1::WorkStep {
+            job: ended.map_or(0, |(job, _)| job),
+            worked: ended.is_some_and(|(_, end)| end == End::Worked),
+            skipped: ended.is_some_and(|(_, end)| end == End::Skipped),
+            ..plain(*machine, *claim, Step::Released)
+        },
+    );
     withdrawn.chain(advance).chain(released).collect()
 }
 
@@ -181,7 +257,9 @@
 
 /// A claim arrives at a keeper; whether it is granted.
 pub fn claimed(board: &mut Board, told: &v1::WorkClaim) -> bool {
-    let Ok(slots) = Slots::try_from(told.slots.clone()) else { return false };
+    let Ok(slots) = Slots::try_from(told.slots.clone()) else {
+        return false;
+    };
     // No claim: a door tells by 0 that it is open.
     if told.claim == 0 {
         return false;
--- a/crates/dispatcher/src/rolls.rs
+++ b/crates/dispatcher/src/rolls.rs
@@ -1,5 +1,5 @@
-//! Rolling updates: the conductors' answers carried out, keepers asked, claims kept on disk before the step that
-//! depends on them. What is decided stands in `corkspan_roll`.
+//! Rolling updates: the conductors' answers carried out, keepers asked, claims kept on disk before
+//! the step that depends on them. What is decided stands in `corkspan_roll`.
 
 use crate::conductors::Told;
 use crate::desk::Desk;
@@ -40,7 +40,9 @@
 async fn give_back(desk: Arc<Desk>) {
     while let Ok((service, claim)) = desk.given_back.recv().await {
         let (own, tasks) = (Arc::clone(&desk), Arc::clone(&desk.tasks));
-        tasks.spawn(async move { release(&own, &service, claim).await }).detach();
+        tasks
+            .spawn(async move { release(&own, &service, claim).await })
+            .detach();
     }
 }
 
@@ -63,13 +65,21 @@
     let keepers = desk.deployment().keepers.len();
     let mut by_service: BTreeMap<String, (Vec<Roll>, Told)> = BTreeMap::new();
     for kept in told.iter().flat_map(|word| &word.kept) {
-        let Some(roll) = kept.roll.as_ref().and_then(roll_of) else { continue };
+        let Some(roll) = kept.roll.as_ref().and_then(roll_of) else {
+            continue;
+        };
         let (rolls, held) = by_service.entry(roll.service.clone()).or_default();
         rolls.push(roll);
         for slot in &kept.slots {
-            let grant =
-                Grant { claim: ClaimId(slot.claim), task: slot.task.clone(), dispatcher: slot.dispatcher };
-            match held.iter_mut().find(|(other, own, _)| *other == slot.slot && *own == grant) {
+            let grant = Grant {
+                claim: ClaimId(slot.claim),
+                task: slot.task.clone(),
+                dispatcher: slot.dispatcher,
+            };
+            match held
+                .iter_mut()
+                .find(|(other, own, _)| *other == slot.slot && *own == grant)
+            {
                 Some((_, _, many)) => *many += 1,
                 None => held.push((slot.slot, grant, 1)),
             }
@@ -79,8 +89,15 @@
     desk.with_rolls(|_, rolls| {
         rolls.heard = told.len();
         for (service, (told, held)) in by_service {
-            let known = rolls.conductors.get(&service).map_or(0, |own| own.roll().number);
-            later.extend(in_force(&told, keepers).filter(|roll| roll.number > known).cloned());
+            let known = rolls
+                .conductors
+                .get(&service)
+                .map_or(0, |own| own.roll().number);
+            later.extend(
+                in_force(&told, keepers)
+                    .filter(|roll| roll.number > known)
+                    .cloned(),
+            );
             rolls.held.insert(service, held);
         }
     });
@@ -98,7 +115,10 @@
                 desk.adopt(roll);
             }
             Err(why) => {
-                warn!(service = roll.service, why, "a roll can't be kept on disk, and is not followed")
+                warn!(
+                    service = roll.service,
+                    why, "a roll can't be kept on disk, and is not followed"
+                )
             }
         }
     }
@@ -133,12 +153,16 @@
     }
     if let Some(why) = look.halt {
         warn!(service, version = roll.version, why, "the roll halts");
-        let halted = roll.with_phase(Phase::Halted(why), u64::from(desk.deployment().cluster.number as u32));
+        let halted = roll.with_phase(
+            Phase::Halted(why),
+            u64::from(desk.deployment().cluster.number as u32),
+        );
         let _ = propose(desk, halted).await;
     }
     look.withdraw.iter().for_each(|task| desk.put_away(task));
     for task in look.retire {
-        // On disk before the old one is stopped: a restart can't know which of the two the owner has.
+        // On disk before the old one is stopped: a restart can't know which of the two the owner
+        // has.
         if keep_pair(desk, service, &task, true).await.is_some() {
             desk.retire(&task);
         }
@@ -151,20 +175,34 @@
         let mut granted = 0;
         if keep_claim(desk, claim, service, &task, false, None).await {
             let dispatcher = desk.deployment().cluster.number as u32;
-            let slot = v1::Slot { slot, claim: claim.0, task: task.clone(), dispatcher };
+            let slot = v1::Slot {
+                slot,
+                claim: claim.0,
+                task: task.clone(),
+                dispatcher,
+            };
             let by = Some(desk.by(Kind::Claim, desk.deployment().keepers.len()));
-            let ask = v1::Claim { service: service.into(), number: roll.number, slot: Some(slot), by };
+            let ask = v1::Claim {
+                service: service.into(),
+                number: roll.number,
+                slot: Some(slot),
+                by,
+            };
             let words = ask_all(desk, Ask::Claim(ask)).await;
             granted = words.iter().filter(|word| word.granted).count();
         }
         let keepers = desk.deployment().keepers.len();
-        // On disk before anything is taken down under it: a restart must know that the slot is used.
-        if majority(granted, keepers) && !keep_claim(desk, claim, service, &task, true, None).await {
+        // On disk before anything is taken down under it: a restart must know that the slot is
+        // used.
+        if majority(granted, keepers) && !keep_claim(desk, claim, service, &task, true, None).await
+        {
             granted = 0;
         }
         let votes = Votes { granted, keepers };
         let won = desk.with_rolls(|now, rolls| {
-            rolls.of(service).is_some_and(|conductor| conductor.claimed(now, claim, votes))
+            rolls
+                .of(service)
+                .is_some_and(|conductor| conductor.claimed(now, claim, votes))
         });
         if !won {
             release(desk, service, claim).await;
@@ -172,7 +210,9 @@
         }
         // At once: a slot that is held and not used may be taken for one that was left behind.
         let (grown, replace) = desk.with_rolls(|now, rolls| {
-            let both = rolls.of(service).map(|own| (own.look_to_grow(now), own.look_at_held(now)));
+            let both = rolls
+                .of(service)
+                .map(|own| (own.look_to_grow(now), own.look_at_held(now)));
             both.unwrap_or_default()
         });
         grow(desk, service, grown).await;
@@ -180,12 +220,16 @@
     }
 }
 
-/// The two of an earlier life are put away: the claim alone stays on disk, unless it is used anew by now.
+/// The two of an earlier life are put away: the claim alone stays on disk, unless it is used anew
+/// by now.
 async fn forget_pair(desk: &Arc<Desk>, claim: ClaimId, pair: Pair) {
     let store = Arc::clone(&desk.store);
     let kept = blocking::unblock(move || {
-        let held =
-            store.read().1.into_iter().find(|held| held.claim == claim && held.pair == Some(pair.clone()));
+        let held = store
+            .read()
+            .1
+            .into_iter()
+            .find(|held| held.claim == claim && held.pair == Some(pair.clone()));
         held.map_or(Ok(()), |held| store.claim(&Held { pair: None, ..held }))
     });
     if let Err(why) = kept.await {
@@ -197,7 +241,11 @@
 async fn grow(desk: &Arc<Desk>, service: &str, tasks: Vec<String>) {
     for task in tasks {
         if desk.puts_away(&task) {
-            desk.with_rolls(|_, rolls| rolls.of(service).map(|conductor| conductor.grow_later(&task)));
+            desk.with_rolls(|_, rolls| {
+                rolls
+                    .of(service)
+                    .map(|conductor| conductor.grow_later(&task))
+            });
             continue;
         }
         match keep_pair(desk, service, &task, false).await {
@@ -207,11 +255,17 @@
     }
 }
 
-/// Keeps on disk that two copies of a task are about to be beside each other, or the old one to be stopped.
+/// Keeps on disk that two copies of a task are about to be beside each other, or the old one to be
+/// stopped.
 async fn keep_pair(desk: &Arc<Desk>, service: &str, task: &str, retires: bool) -> Option<Pair> {
     let claim = desk.with_rolls(|_, rolls| rolls.of(service)?.claim_of(task))?;
-    let pair = Pair { retires, ..desk.pair(task)? };
-    keep_claim(desk, claim, service, task, true, Some(pair.clone())).await.then_some(pair)
+    let pair = Pair {
+        retires,
+        ..desk.pair(task)?
+    };
+    keep_claim(desk, claim, service, task, true, Some(pair.clone()))
+        .await
+        .then_some(pair)
 }
 
 async fn keep_claim(
@@ -223,17 +277,29 @@
     pair: Option<Pair>,
 ) -> bool {
     let store = Arc::clone(&desk.store);
-    let held = Held { claim, service: service.into(), task: task.into(), won, pair };
+    let held = Held {
+        claim,
+        service: service.into(),
+        task: task.into(),
+        won,
+        pair,
+    };
     let kept = blocking::unblock(move || store.claim(&held)).await;
     if let Err(why) = &kept {
-        warn!(service, task, why, "a claim can't be kept on disk, and is not used");
+        warn!(
+            service,
+            task, why, "a claim can't be kept on disk, and is not used"
+        );
     }
     kept.is_ok()
 }
 
 /// Gives a claim back at all keepers.
 async fn release(desk: &Arc<Desk>, service: &str, claim: ClaimId) {
-    let ask = v1::Release { service: service.into(), claim: claim.0 };
+    let ask = v1::Release {
+        service: service.into(),
+        claim: claim.0,
+    };
     // A keeper that doesn't hear tells of it again, and hears it again then.
     ask_all(desk, Ask::Release(ask)).await;
     let store = Arc::clone(&desk.store);
@@ -289,7 +355,11 @@
         unversioned: roll.unversioned.clone(),
         unready_most: roll.unready_most,
         batch: roll.batch.max(1),
-        order: if roll.start_first { Order::StartFirst } else { Order::StopFirst },
+        order: if roll.start_first {
+            Order::StartFirst
+        } else {
+            Order::StopFirst
+        },
         ready_for: roll.ready_for,
         ready_within: roll.ready_within,
         failures_most: roll.failures_most,
@@ -317,7 +387,11 @@
             ),
             None => "no majority of the keepers has taken it; nothing is known to stand".into(),
         };
-        Ok(Response::new(v1::RollWord { taken, text, stands: stands.as_ref().map(message) }))
+        Ok(Response::new(v1::RollWord {
+            taken,
+            text,
+            stands: stands.as_ref().map(message),
+        }))
     }
 
     /// The roll in force as a majority of the keepers tells it now, not as we heard last.
@@ -325,11 +399,16 @@
         let keepers = self.0.deployment().keepers.len();
         let told = ask_all(&self.0, Ask::Tell(v1::Tell::default())).await;
         if !majority(told.len(), keepers) {
-            let text = format!("{} of {keepers} keepers answer; a majority is needed", told.len());
+            let text = format!(
+                "{} of {keepers} keepers answer; a majority is needed",
+                told.len()
+            );
             return Err(Status::unavailable(text));
         }
-        let rolls =
-            told.iter().flat_map(|word| &word.kept).filter_map(|kept| kept.roll.as_ref().and_then(roll_of));
+        let rolls = told
+            .iter()
+            .flat_map(|word| &word.kept)
+            .filter_map(|kept| kept.roll.as_ref().and_then(roll_of));
         let rolls: Vec<Roll> = rolls.filter(|roll| roll.service == service).collect();
         Ok(to_follow(&rolls, keepers))
     }
@@ -341,9 +420,13 @@
         let ask = request.into_inner();
         let wrong = |why: &str| Err(Status::invalid_argument(why));
         if self.0.deployment().keepers.is_empty() {
-            return Err(Status::failed_precondition("the deployment names no keepers"));
+            return Err(Status::failed_precondition(
+                "the deployment names no keepers",
+            ));
         }
-        if ask.service.is_empty() || ask.version.is_empty() || ask.service.len().max(ask.version.len()) > 256
+        if ask.service.is_empty()
+            || ask.version.is_empty()
+            || ask.service.len().max(ask.version.len()) > 256
         {
             return wrong("service and version: 1 to 256 bytes are wanted");
         }
@@ -351,7 +434,9 @@
             return wrong("unready-most: 1 to 100000 is wanted");
         }
         let most_ms = 24 * 3600 * 1000;
-        if !(1..=most_ms).contains(&ask.ready_within_ms) || !(1000..=most_ms).contains(&ask.ready_for_ms) {
+        if !(1..=most_ms).contains(&ask.ready_within_ms)
+            || !(1000..=most_ms).contains(&ask.ready_for_ms)
+        {
             return wrong("ready-within: 1 ms to a day, ready-for: 1 s to a day are wanted");
         }
         let before = self.stands(&ask.service).await?;
@@ -359,7 +444,9 @@
             Some(roll) if ask.former.is_empty() => roll.wanted().to_string(),
             _ => ask.former,
         };
-        let unversioned = before.as_ref().map_or_else(|| former.clone(), |roll| roll.unversioned.clone());
+        let unversioned = before
+            .as_ref()
+            .map_or_else(|| former.clone(), |roll| roll.unversioned.clone());
         self.wish(Roll {
             service: ask.service,
             unversioned,
@@ -369,7 +456,11 @@
             former,
             unready_most: ask.unready_most,
             batch: ask.batch.max(1),
-            order: if ask.start_first { Order::StartFirst } else { Order::StopFirst },
+            order: if ask.start_first {
+                Order::StartFirst
+            } else {
+                Order::StopFirst
+            },
             ready_for: ask.ready_for_ms * 10,
             ready_within: ask.ready_within_ms * 10,
             failures_most: ask.failures_most,
@@ -382,28 +473,43 @@
         &self,
         request: Request<v1::MaintainAsk>,
     ) -> Result<Response<v1::MaintainWord>, Status> {
-        crate::maintenance::maintain(&self.0, request.into_inner()).await.map(Response::new)
+        crate::maintenance::maintain(&self.0, request.into_inner())
+            .await
+            .map(Response::new)
     }
 
-    async fn change(&self, request: Request<v1::ChangeAsk>) -> Result<Response<v1::RollWord>, Status> {
+    async fn change(
+        &self,
+        request: Request<v1::ChangeAsk>,
+    ) -> Result<Response<v1::RollWord>, Status> {
         let ask = request.into_inner();
         let Some(roll) = self.stands(&ask.service).await? else {
-            return Err(Status::not_found(format!("there is no roll of `{}`", ask.service)));
+            return Err(Status::not_found(format!(
+                "there is no roll of `{}`",
+                ask.service
+            )));
         };
         let asker = asker(&self.0);
         let wish = match ask.what() {
             v1::change_ask::What::Pause => roll.with_phase(Phase::Paused, asker),
             v1::change_ask::What::Resume => roll.with_phase(Phase::Rolling, asker),
             v1::change_ask::What::Undo if roll.former.is_empty() => {
-                return Err(Status::failed_precondition("what ran before has no version to go back to"));
+                return Err(Status::failed_precondition(
+                    "what ran before has no version to go back to",
+                ));
             }
             v1::change_ask::What::Undo => roll.undone(asker),
-            v1::change_ask::What::Nothing => return Err(Status::invalid_argument("nothing is asked for")),
+            v1::change_ask::What::Nothing => {
+                return Err(Status::invalid_argument("nothing is asked for"));
+            }
         };
         self.wish(wish).await
     }
 
-    async fn status(&self, request: Request<v1::RollStatusAsk>) -> Result<Response<v1::RollStatus>, Status> {
+    async fn status(
+        &self,
+        request: Request<v1::RollStatusAsk>,
+    ) -> Result<Response<v1::RollStatus>, Status> {
         let service = request.into_inner().service;
         let keepers = self.0.deployment().keepers.len() as u32;
         Ok(Response::new(self.0.with_rolls(|_, rolls| {
--- a/crates/dispatcher/src/roster.rs
+++ b/crates/dispatcher/src/roster.rs
@@ -1,4 +1,5 @@
-//! The list of machines: watched at the roster when the decisions ask for it, kept on disk for the next start.
+//! The list of machines: watched at the roster when the decisions ask for it, kept on disk for the
+//! next start.
 
 use crate::clock::{Clock, tenths, wall_ms};
 use crate::counts::LinkKind;
@@ -51,12 +52,13 @@
 pub struct Roster {
     version: u64,
     lines: BTreeMap<u32, Line>,
-    /// When each process started by our clock, fixed when first told: a moment worked out anew with each list
-    /// would wander with the way, and look like another start.
+    /// When each process started by our clock, fixed when first told: a moment worked out anew
+    /// with each list would wander with the way, and look like another start.
     starts: BTreeMap<u32, (u64, Tenths)>,
 }
 
-/// Between two writes of the list: each is a sync of the disk, and a large cluster changes all the time.
+/// Between two writes of the list: each is a sync of the disk, and a large cluster changes all the
+/// time.
 const BETWEEN: Duration = Duration::from_secs(1);
 /// The same where only room has changed, which is old news at the next start in any case.
 const BETWEEN_ROOM: Duration = Duration::from_secs(30);
@@ -79,21 +81,40 @@
                 return Roster::default();
             }
         };
-        let lines = kept.lines.into_iter().map(|line| (line.node, line)).collect();
-        Roster { version: kept.version, lines, starts: BTreeMap::new() }
+        let lines = kept
+            .lines
+            .into_iter()
+            .map(|line| (line.node, line))
+            .collect();
+        Roster {
+            version: kept.version,
+            lines,
+            starts: BTreeMap::new(),
+        }
     }
 
     /// The lines as the decisions take them.
     pub fn entries(&mut self, desk: &Desk) -> Vec<(Entry, SocketAddr)> {
         let lines: Vec<Line> = self.lines.values().cloned().collect();
         let now_ms = wall_ms();
-        lines.iter().filter_map(|line| self.entry(desk, line, now_ms)).collect()
+        lines
+            .iter()
+            .filter_map(|line| self.entry(desk, line, now_ms))
+            .collect()
     }
 
     /// The lines as the decisions take them, and whether they tell more than room.
-    fn take(&mut self, desk: &Desk, listing: v1::Listing) -> (Scope, Vec<(Entry, SocketAddr)>, bool) {
+    fn take(
+        &mut self,
+        desk: &Desk,
+        listing: v1::Listing,
+    ) -> (Scope, Vec<(Entry, SocketAddr)>, bool) {
         let mut matters = listing.whole;
-        let scope = if listing.whole { Scope::Whole } else { Scope::Changes };
+        let scope = if listing.whole {
+            Scope::Whole
+        } else {
+            Scope::Changes
+        };
         if listing.whole {
             self.lines.clear();
         }
@@ -103,7 +124,10 @@
             match line(entry) {
                 Ok(line) => {
                     entries.extend(self.entry(desk, &line, listing.now_ms));
-                    let roomless = |line: &Line| Line { unasked: None, ..line.clone() };
+                    let roomless = |line: &Line| Line {
+                        unasked: None,
+                        ..line.clone()
+                    };
                     matters |= self.lines.get(&line.node).map(roomless) != Some(roomless(&line));
                     if line.state == Known::Gone {
                         self.lines.remove(&line.node);
@@ -115,14 +139,21 @@
             }
         }
         self.starts.retain(|node, _| self.lines.contains_key(node));
-        desk.count_serving(self.lines.values().filter(|line| line.state == Known::Serving).count());
+        desk.count_serving(
+            self.lines
+                .values()
+                .filter(|line| line.state == Known::Serving)
+                .count(),
+        );
         (scope, entries, matters)
     }
 
     fn entry(&mut self, desk: &Desk, line: &Line, now_ms: u64) -> Option<(Entry, SocketAddr)> {
         let index = |names: &[String], name: &str| names.iter().position(|known| known == name);
-        let (kind, hall) =
-            (index(&desk.deployment().kinds, &line.kind), index(&desk.deployment().halls, &line.hall));
+        let (kind, hall) = (
+            index(&desk.deployment().kinds, &line.kind),
+            index(&desk.deployment().halls, &line.hall),
+        );
         let (Some(kind), Some(hall)) = (kind, hall) else {
             warn!(
                 node = line.node,
@@ -150,8 +181,9 @@
         ))
     }
 
-    /// By the roster's clock a start was so long ago; by ours that is never earlier, since the list took a while
-    /// to come: a cold machine is taken to be cold for longer rather than too short.
+    /// By the roster's clock a start was so long ago; by ours that is never earlier, since the list
+    /// took a while to come: a cold machine is taken to be cold for longer rather than too
+    /// short.
     fn started(&mut self, clock: &Clock, line: &Line, now_ms: u64) -> Option<Tenths> {
         if line.started_ms == 0 {
             return None;
@@ -159,7 +191,9 @@
         match self.starts.get(&line.node) {
             Some(&(told, at)) if told == line.started_ms => Some(at),
             _ => {
-                let ago = tenths(Duration::from_millis(now_ms.saturating_sub(line.started_ms)));
+                let ago = tenths(Duration::from_millis(
+                    now_ms.saturating_sub(line.started_ms),
+                ));
                 let at = clock.now().saturating_sub(ago);
                 self.starts.insert(line.node, (line.started_ms, at));
                 Some(at)
@@ -167,10 +201,15 @@
         }
     }
 
-    /// Writes the list beside the old one and puts it in its place, so that a stop in between loses neither.
+    /// Writes the list beside the old one and puts it in its place, so that a stop in between loses
+    /// neither.
     fn keep(&self, path: &Path) -> std::io::Result<()> {
         let lines: Vec<Line> = self.lines.values().cloned().collect();
-        let kept = Kept { version: self.version, sum: sum(&lines), lines };
+        let kept = Kept {
+            version: self.version,
+            sum: sum(&lines),
+            lines,
+        };
         let new = path.with_extension("new");
         let file = std::fs::File::create(&new)?;
         serde_json::to_writer(std::io::BufWriter::new(&file), &kept)?;
@@ -185,7 +224,9 @@
 }
 
 fn read(path: &Path) -> Result<Option<Kept>, String> {
-    let Some(text) = crate::versions::bounded(path)? else { return Ok(None) };
+    let Some(text) = crate::versions::bounded(path)? else {
+        return Ok(None);
+    };
     let kept: Kept = serde_json::from_slice(&text).map_err(|why| why.to_string())?;
     if kept.sum != sum(&kept.lines) {
         return Err("its sum is wrong".into());
@@ -201,8 +242,11 @@
         v1::entry::State::Unknown => return Err(format!("node {} has no known state", entry.node)),
     };
     let address = entry.address.parse();
-    let address = address.map_err(|_| format!("node {}: `{}` is no address", entry.node, entry.address))?;
-    let room = entry.unasked.filter(|room| room.cores.is_finite() && room.memory.is_finite());
+    let address =
+        address.map_err(|_| format!("node {}: `{}` is no address", entry.node, entry.address))?;
+    let room = entry
+        .unasked
+        .filter(|room| room.cores.is_finite() && room.memory.is_finite());
     Ok(Line {
         node: entry.node,
         address,
@@ -234,21 +278,36 @@
 
 async fn watch(desk: &Arc<Desk>, roster: &mut Roster, path: Option<&Path>) -> Result<(), String> {
     let link = {
-        let (to, meter) = (desk.deployment().roster, desk.counts.meter(LinkKind::Roster));
+        let (to, meter) = (
+            desk.deployment().roster,
+            desk.counts.meter(LinkKind::Roster),
+        );
         Link::open_counted(&desk.tasks, to, &desk.link_bounds, &meter).await
     };
     let link = link.map_err(|why| why.to_string())?;
     // A list is longer than a message of a client may be.
     let mut client = RosterClient::new(link).max_decoding_message_size(LARGEST as usize);
-    let ask = v1::ListAsk { version: roster.version, dispatcher: desk.deployment().cluster.number as u32 };
-    let mut listings = client.watch(ask).await.map_err(|why| why.message().to_string())?.into_inner();
+    let ask = v1::ListAsk {
+        version: roster.version,
+        dispatcher: desk.deployment().cluster.number as u32,
+    };
+    let mut listings = client
+        .watch(ask)
+        .await
+        .map_err(|why| why.message().to_string())?
+        .into_inner();
     info!(roster = %desk.deployment().roster, version = roster.version, "watching the list");
     // When what is known is to be on disk, and when it was written last.
     let (mut due, mut written): (Option<Instant>, Option<Instant>) = (None, None);
     loop {
         let told = async {
-            let listing = listings.message().await.map_err(|why| why.message().to_string())?;
-            listing.map(Some).ok_or_else(|| "the roster ended the watch".to_string())
+            let listing = listings
+                .message()
+                .await
+                .map_err(|why| why.message().to_string())?;
+            listing
+                .map(Some)
+                .ok_or_else(|| "the roster ended the watch".to_string())
         };
         let writes = async {
             match due {
@@ -267,7 +326,11 @@
             continue;
         }
         if let (Some(path), Some(_)) = (path, due.take()) {
-            let kept = Roster { version: roster.version, lines: roster.lines.clone(), ..Roster::default() };
+            let kept = Roster {
+                version: roster.version,
+                lines: roster.lines.clone(),
+                ..Roster::default()
+            };
             let path = path.to_owned();
             if let Err(why) = blocking::unblock(move || kept.keep(&path)).await {
                 warn!(%why, "the list can't be kept on disk; a restart will know an older one");
--- a/crates/dispatcher/src/running.rs
+++ b/crates/dispatcher/src/running.rs
@@ -20,8 +20,8 @@
     /// The file as it was read at start: what a version does not say is as it says.
     pub file: Deployment,
     path: Option<PathBuf>,
-    /// One step at a time is decided, kept on disk and put in force: a trial's end must not overtake a version that
-    /// takes its place.
+    /// One step at a time is decided, kept on disk and put in force: a trial's end must not
+    /// overtake a version that takes its place.
     pub step: async_lock::Mutex<()>,
 }
 
@@ -52,7 +52,8 @@
             };
             match in_force {
                 Ok(in_force) => break (subscriber, changed, in_force),
-                // The file, or this program, has changed since: what no longer fits is not guessed at.
+                // The file, or this program, has changed since: what no longer fits is not guessed
+                // at.
                 Err(why) => {
                     warn!(version = stamp.number, %why, "the kept version does not fit; the one before is taken");
                     kept = kept.before_newest();
@@ -66,19 +67,39 @@
         }
         let (subscriber, in_force) = (start.0, start.2);
         if kept.trial.is_some() && !subscriber.on_trial() {
-            warn!("a version on trial is given up: this dispatcher was started under it again and again");
+            warn!(
+                "a version on trial is given up: this dispatcher was started under it again and again"
+            );
         }
         RUNNING.store(subscriber.running().0.number, Ordering::Relaxed);
         let (service, applied, refused, superseded, refused_last, shelf) = Default::default();
-        let state = State { subscriber, service, applied, refused, superseded, refused_last, shelf };
-        (Versions { state: Mutex::new(state), file, path, step: async_lock::Mutex::new(()) }, in_force)
+        let state = State {
+            subscriber,
+            service,
+            applied,
+            refused,
+            superseded,
+            refused_last,
+            shelf,
+        };
+        (
+            Versions {
+                state: Mutex::new(state),
+                file,
+                path,
+                step: async_lock::Mutex::new(()),
+            },
+            in_force,
+        )
     }
 
     /// Versions that earlier lives had in force: each was taken as one that follows the one before.
     pub fn learn(&self, earlier: impl Iterator<Item = Stamp>) {
         self.with(|state| {
             let (stamp, texts) = state.subscriber.running();
-            let before: Vec<Stamp> = earlier.filter(|own| (1..stamp.number).contains(&own.number)).collect();
+            let before: Vec<Stamp> = earlier
+                .filter(|own| (1..stamp.number).contains(&own.number))
+                .collect();
             if stamp.number > 0 {
                 state.shelf.runs(stamp, texts.clone(), false, &before);
             }
@@ -91,9 +112,13 @@
 
     /// On disk before it is in force.
     pub async fn keep(&self, kept: &Kept) -> Result<(), String> {
-        let Some(path) = self.path.clone() else { return Ok(()) };
+        let Some(path) = self.path.clone() else {
+            return Ok(());
+        };
         let kept = kept.clone();
-        blocking::unblock(move || versions::keep(&path, &kept)).await.map_err(|why| why.to_string())
+        blocking::unblock(move || versions::keep(&path, &kept))
+            .await
+            .map_err(|why| why.to_string())
     }
 
     /// The deployment that these parts make of the file.
@@ -101,12 +126,15 @@
         if stamp.number == 0 {
             return Ok(self.file.clone());
         }
-        let read = self.file.with_version(&format!("version {}", stamp.number), texts);
+        let read = self
+            .file
+            .with_version(&format!("version {}", stamp.number), texts);
         let read = read.map(|version| Deployment { stamp, ..version });
         read.map_err(|faults| faults.to_string().lines().map(String::from).collect())
     }
 
-    /// `in_force` is what the decisions were handed: told from there, and not from what was answered on the stream.
+    /// `in_force` is what the decisions were handed: told from there, and not from what was
+    /// answered on the stream.
     pub fn status(&self, in_force: &Deployment) -> v1::VersionStatus {
         self.with(|state| {
             let running = state.subscriber.running().0;
@@ -116,7 +144,10 @@
                 running: Some(message(running)),
                 on_trial: state.subscriber.on_trial(),
                 good: kept.good.as_ref().map(|version| message(version.stamp)),
-                service: state.service.map(|service| service.to_string()).unwrap_or_default(),
+                service: state
+                    .service
+                    .map(|service| service.to_string())
+                    .unwrap_or_default(),
                 text: in_force.texts.whole(),
                 given_up: kept.given_up.iter().copied().map(message).collect(),
                 applied: state.applied,
@@ -131,7 +162,10 @@
 }
 
 pub fn message(stamp: Stamp) -> v1::Stamp {
-    v1::Stamp { number: stamp.number, digest: stamp.digest.to_string() }
+    v1::Stamp {
+        number: stamp.number,
+        digest: stamp.digest.to_string(),
+    }
 }
 
 /// A whole version on its way to a straggler or a keeper.
@@ -141,7 +175,11 @@
         stamp: Some(message(push.stamp)),
         follows: push.follows.into_iter().map(message).collect(),
         onto: push.onto.map(message),
-        parts: push.changes.iter().map(|(name, text)| (name.into(), text.into())).collect(),
+        parts: push
+            .changes
+            .iter()
+            .map(|(name, text)| (name.into(), text.into()))
+            .collect(),
         removed: push.removed,
         cuts: push.cuts,
     }
@@ -164,5 +202,8 @@
 }
 
 pub fn stamp(message: &v1::Stamp) -> Option<Stamp> {
-    Some(Stamp { number: message.number, digest: Digest::read(&message.digest)? })
+    Some(Stamp {
+        number: message.number,
+        digest: Digest::read(&message.digest)?,
+    })
 }
--- a/crates/dispatcher/src/shots.rs
+++ b/crates/dispatcher/src/shots.rs
@@ -1,6 +1,6 @@
-//! One call to a node for each shot, followed from the offer to the end. What an outcome proves is told by
-//! what crossed the link: an offer that was never written can't have run; one that was, may have, unless the
-//! node itself says no.
+//! One call to a node for each shot, followed from the offer to the end. What an outcome proves is
+//! told by what crossed the link: an offer that was never written can't have run; one that was, may
+//! have, unless the node itself says no.
 
 use crate::links::{Counted, NodeLink};
 use corkspan::interface::*;
@@ -12,8 +12,8 @@
 use tonic::{Status, Streaming};
 use tracing::debug;
 
-/// Who is told what becomes of shots, and by what they are bounded. Below the desk, which is one: so calls to nodes know
-/// nothing of what is done with their outcomes.
+/// Who is told what becomes of shots, and by what they are bounded. Below the desk, which is one:
+/// so calls to nodes know nothing of what is done with their outcomes.
 pub trait Follows: Send + Sync + 'static {
     fn tasks(&self) -> &Tasks;
     fn bounds(&self) -> &Bounds;
@@ -24,7 +24,8 @@
     /// A node has turned a shot away by the floor of versions.
     fn below(&self, floor: &v1::Floor);
     fn placed(self: &Arc<Self>, id: AllocationId, shot: usize, machine: MachineId);
-    /// A shot has returned. `over` where it was placed and the allocation ends with it, in this way.
+    /// A shot has returned. `over` where it was placed and the allocation ends with it, in this
+    /// way.
     fn returned(
         self: &Arc<Self>,
         id: AllocationId,
@@ -64,7 +65,12 @@
 
 impl Back {
     fn plain(ending: Ending) -> Self {
-        Back { ending, reason: None, how: v1::ended::How::Lost, report: None }
+        Back {
+            ending,
+            reason: None,
+            how: v1::ended::How::Lost,
+            report: None,
+        }
     }
 }
 
@@ -75,17 +81,33 @@
 
 /// Makes an offer and follows it to its end.
 pub async fn offer<D: Follows>(desk: Arc<D>, offer: Offer, shot: v1::Shot, time_out: Duration) {
-    let Offer { id, number, machine, node, open, decided } = offer;
+    let Offer {
+        id,
+        number,
+        machine,
+        node,
+        open,
+        decided,
+    } = offer;
     let back = |back: Back, over: Option<v1::ended::How>| {
         desk.returned(id, number, back.ending, back.reason, over, back.report)
     };
-    let Some(node) = node else { return back(Back::plain(Ending::Unconnected), None) };
+    let Some(node) = node else {
+        return back(Back::plain(Ending::Unconnected), None);
+    };
     let Some(open) = open else {
         // As the node itself would say: too many wait for it, here already.
         let reason = Some(Reason::QueueFull);
-        return back(Back { reason, ..Back::plain(Ending::Refused) }, None);
+        return back(
+            Back {
+                reason,
+                ..Back::plain(Ending::Refused)
+            },
+            None,
+        );
     };
-    // Decided under a version that may act no more: the nodes would turn it away, and its owner is told in time.
+    // Decided under a version that may act no more: the nodes would turn it away, and its owner is
+    // told in time.
     if desk.shut_out() {
         return back(Back::plain(Ending::NotSent), None);
     }
@@ -101,8 +123,9 @@
                 return First::Back(Back::plain(no_link(decided, latest)));
             }
         };
-        // What is offered later than this is not what was decided: what a cold node bears in a window, and who
-        // drains, are counted from the decision. So a process that stood still in between sends nothing.
+        // What is offered later than this is not what was decided: what a cold node bears in a
+        // window, and who drains, are counted from the decision. So a process that stood
+        // still in between sends nothing.
         if decided.elapsed() > latest {
             return First::Back(Back::plain(Ending::NotSent));
         }
@@ -112,10 +135,14 @@
             Err(why) => First::Back(Back::plain(broken(&why))),
         }
     };
-    // On the heap, and gone with the first word: what follows an allocation through its life is small.
+    // On the heap, and gone with the first word: what follows an allocation through its life is
+    // small.
     let first = within(time_out, Box::pin(first)).await.unwrap_or_else(|| {
-        let ending =
-            if written.load(Ordering::Relaxed) { Ending::TimedOut } else { no_link(decided, time_out) };
+        let ending = if written.load(Ordering::Relaxed) {
+            Ending::TimedOut
+        } else {
+            no_link(decided, time_out)
+        };
         First::Back(Back::plain(ending))
     });
     drop(open);
@@ -128,11 +155,15 @@
     }
 }
 
-/// What it says of a node that no link to it came to stand. Where that is noticed long after its time was up, this
-/// process was too busy to see one stand: then it says nothing of the node, and blaming it would empty the list of
-/// a dispatcher under a burst.
+/// What it says of a node that no link to it came to stand. Where that is noticed long after its
+/// time was up, this process was too busy to see one stand: then it says nothing of the node, and
+/// blaming it would empty the list of a dispatcher under a burst.
 fn no_link(decided: Instant, latest: Duration) -> Ending {
-    if decided.elapsed() > latest + latest / 2 { Ending::NotSent } else { Ending::Unconnected }
+    if decided.elapsed() > latest + latest / 2 {
+        Ending::NotSent
+    } else {
+        Ending::Unconnected
+    }
 }
 
 /// Follows an allocation that was running before this dispatcher had it.
@@ -143,18 +174,34 @@
     machine: MachineId,
     shot: v1::Shot,
 ) {
-    let lost = |reason| desk.returned(id, 0, Ending::Reset, reason, Some(v1::ended::How::Lost), None);
+    let lost = |reason| {
+        desk.returned(
+            id,
+            0,
+            Ending::Reset,
+            reason,
+            Some(v1::ended::How::Lost),
+            None,
+        )
+    };
     let Some(node) = node else { return lost(None) };
     let _call = node.call();
     let patience = desk.bounds().keep_alive;
     let words = within(patience, async {
         let link = node.ready(desk.tasks(), desk.bounds()).await.ok()?;
-        client(&*desk, link).attend(shot).await.ok().map(tonic::Response::into_inner)
+        client(&*desk, link)
+            .attend(shot)
+            .await
+            .ok()
+            .map(tonic::Response::into_inner)
     });
     match words.await.flatten() {
         Some(words) => follow(&desk, id, 0, words).await,
         None => {
-            debug!(machine = machine.0, "an allocation handed over is out of reach");
+            debug!(
+                machine = machine.0,
+                "an allocation handed over is out of reach"
+            );
             lost(None);
         }
     }
@@ -163,7 +210,10 @@
 async fn first_word<D: Follows>(desk: &D, mut words: Streaming<v1::Said>) -> First {
     loop {
         match words.message().await {
-            Ok(Some(v1::Said { said: Some(said), load })) => match said {
+            Ok(Some(v1::Said {
+                said: Some(said),
+                load,
+            })) => match said {
                 Word::Accepted(_) if !desk.placed_when_running() => return First::Placed(words),
                 Word::Running(_) => return First::Placed(words),
                 Word::Refused(turned) => {
@@ -171,10 +221,17 @@
                         desk.below(floor);
                     }
                     let back = Back::plain(Ending::Refused);
-                    return First::Back(Back { reason: reason(turned.why()), report: report(load), ..back });
+                    return First::Back(Back {
+                        reason: reason(turned.why()),
+                        report: report(load),
+                        ..back
+                    });
                 }
                 Word::Ended(over) => {
-                    return First::Back(Back { report: report(load), ..ended(over.how()) });
+                    return First::Back(Back {
+                        report: report(load),
+                        ..ended(over.how())
+                    });
                 }
                 _ => {}
             },
@@ -186,7 +243,12 @@
     }
 }
 
-async fn follow<D: Follows>(desk: &Arc<D>, id: AllocationId, number: usize, mut words: Streaming<v1::Said>) {
+async fn follow<D: Follows>(
+    desk: &Arc<D>,
+    id: AllocationId,
+    number: usize,
+    mut words: Streaming<v1::Said>,
+) {
     let mut back = Back::plain(Ending::Reset);
     while let Ok(Some(word)) = words.message().await {
         match word.said {
@@ -196,18 +258,24 @@
             }
             Some(Word::Ready(ready)) => desk.ready(id, ready),
             Some(Word::Use(used)) => {
-                for (note, value) in
-                    [(Note::Cores as fn(f64) -> Note, used.cores), (Note::Memory, used.memory)]
-                {
+                for (note, value) in [
+                    (Note::Cores as fn(f64) -> Note, used.cores),
+                    (Note::Memory, used.memory),
+                ] {
                     if sound(value) {
                         desk.noted(id, note(value));
                     }
                 }
             }
             Some(Word::Served(part)) if sound(part) => desk.noted(id, Note::Served(part)),
-            Some(Word::MemoryShare(share)) if sound(share) => desk.noted(id, Note::MachineMemory(share)),
+            Some(Word::MemoryShare(share)) if sound(share) => {
+                desk.noted(id, Note::MachineMemory(share))
+            }
             Some(Word::Ended(over)) => {
-                back = Back { report: report(word.load), ..ended(over.how()) };
+                back = Back {
+                    report: report(word.load),
+                    ..ended(over.how())
+                };
                 break;
             }
             Some(Word::Refused(turned)) => {
@@ -218,12 +286,17 @@
             _ => {}
         }
     }
-    let Back { ending, reason, how, report } = back;
+    let Back {
+        ending,
+        reason,
+        how,
+        report,
+    } = back;
     desk.returned(id, number, ending, reason, Some(how), report);
 }
 
-/// Tells a node that an allocation is not wanted there. One try: the word is about what may be gone already. None
-/// where the node has not answered.
+/// Tells a node that an allocation is not wanted there. One try: the word is about what may be gone
+/// already. None where the node has not answered.
 pub async fn stop<D: Follows>(desk: Arc<D>, node: Arc<NodeLink>, stop: v1::StopAsk) -> Option<()> {
     let _call = node.call();
     let patience = desk.bounds().keep_alive;
@@ -242,8 +315,14 @@
     let _call = node.call();
     let patience = 4 * desk.bounds().connect_within;
     let word = within(patience, async {
-        let link = node.ready(desk.tasks(), desk.bounds()).await.map_err(|_| Ending::Unconnected)?;
-        client(&*desk, link).probe(v1::ProbeAsk {}).await.map_err(|why| broken(&why))
+        let link = node
+            .ready(desk.tasks(), desk.bounds())
+            .await
+            .map_err(|_| Ending::Unconnected)?;
+        client(&*desk, link)
+            .probe(v1::ProbeAsk {})
+            .await
+            .map_err(|why| broken(&why))
     });
     match word.await {
         Some(Ok(word)) => desk.probed(machine, Ending::Ended, report(word.into_inner().load)),
@@ -271,7 +350,12 @@
 /// The load report, where there is one that holds numbers.
 fn report(load: Option<v1::Load>) -> Option<Report> {
     let load = load.filter(|load| load.cores.is_finite() && load.memory.is_finite())?;
-    Some(Report { unused: Amount { cores: load.cores, memory: load.memory } })
+    Some(Report {
+        unused: Amount {
+            cores: load.cores,
+            memory: load.memory,
+        },
+    })
 }
 
 fn reason(why: v1::turned::Why) -> Option<Reason> {
@@ -295,5 +379,10 @@
         v1::over::How::Stopped => (Ending::Cancelled, None, How::Ended),
         v1::over::How::Moved => (Ending::Cancelled, None, How::Moved),
     };
-    Back { ending, reason, how, report: None }
+    Back {
+        ending,
+        reason,
+        how,
+        report: None,
+    }
 }
--- a/crates/dispatcher/src/standing.rs
+++ b/crates/dispatcher/src/standing.rs
@@ -1,4 +1,5 @@
-//! What a dispatcher has heard of the floor of versions, and what it remembers of its own versions and acts.
+//! What a dispatcher has heard of the floor of versions, and what it remembers of its own versions
+//! and acts.
 
 use crate::clock::wall_ms;
 use corkspan_api::v1;
@@ -32,8 +33,22 @@
     pub fn new(life: u64, spans: VecDeque<Span>, running: Stamp) -> Self {
         let record = Mutex::new(Record::after(spans));
         let (standing, gives, changed, written) = Default::default();
-        let fleet = Fleet { life, standing, gives, record, changed, written };
-        fleet.began(running, if running.number == 0 { How::File } else { How::Kept });
+        let fleet = Fleet {
+            life,
+            standing,
+            gives,
+            record,
+            changed,
+            written,
+        };
+        fleet.began(
+            running,
+            if running.number == 0 {
+                How::File
+            } else {
+                How::Kept
+            },
+        );
         fleet
     }
 
@@ -44,11 +59,18 @@
     /// A version is in force from now on.
     pub fn began(&self, stamp: Stamp, how: How) {
         let (version, digest, from_ms) = (stamp.number, stamp.digest.to_string(), wall_ms());
-        self.record().began(Span { version, digest, how, life: self.life, from_ms });
+        self.record().began(Span {
+            version,
+            digest,
+            how,
+            life: self.life,
+            from_ms,
+        });
         self.changed.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Leave to bring one more up, until dropped: hundreds of stragglers must not keep us from placing.
+    /// Leave to bring one more up, until dropped: hundreds of stragglers must not keep us from
+    /// placing.
     pub fn gives(&self) -> Option<Arc<()>> {
         (Arc::strong_count(&self.gives) <= GIVES).then(|| Arc::clone(&self.gives))
     }
@@ -67,7 +89,10 @@
     pub fn told(&self) -> (Vec<v1::Span>, Vec<v1::ActCount>) {
         let record = self.record();
         let span = |span: &Span| v1::Span {
-            stamp: Some(v1::Stamp { number: span.version, digest: span.digest.clone() }),
+            stamp: Some(v1::Stamp {
+                number: span.version,
+                digest: span.digest.clone(),
+            }),
             how: match span.how {
                 How::File => v1::span::How::File,
                 How::Kept => v1::span::How::Kept,
@@ -79,8 +104,15 @@
             life: span.life,
             from_ms: span.from_ms,
         };
-        let count = |(version, kind, many)| v1::ActCount { version, kind: kind as u32, many };
-        (record.spans().iter().map(span).collect(), record.by_version().map(count).collect())
+        let count = |(version, kind, many)| v1::ActCount {
+            version,
+            kind: kind as u32,
+            many,
+        };
+        (
+            record.spans().iter().map(span).collect(),
+            record.by_version().map(count).collect(),
+        )
     }
 
     pub fn standing(&self) -> MutexGuard<'_, Standing> {
@@ -108,16 +140,33 @@
 pub fn say(floor: Floor, running: Stamp, from: &str) {
     let Floor { number, lowest, .. } = floor;
     if running.number < lowest {
-        warn!(number, lowest, running = running.number, from, "shut out: below the floor of versions");
+        warn!(
+            number,
+            lowest,
+            running = running.number,
+            from,
+            "shut out: below the floor of versions"
+        );
     } else {
-        info!(number, lowest, from, "another floor of versions is in force");
+        info!(
+            number,
+            lowest, from, "another floor of versions is in force"
+        );
     }
 }
 
 pub fn message(floor: Floor) -> v1::Floor {
-    v1::Floor { number: floor.number, asker: floor.asker, lowest: floor.lowest }
+    v1::Floor {
+        number: floor.number,
+        asker: floor.asker,
+        lowest: floor.lowest,
+    }
 }
 
 pub fn read(floor: &v1::Floor) -> Floor {
-    Floor { number: floor.number, asker: floor.asker, lowest: floor.lowest }
+    Floor {
+        number: floor.number,
+        asker: floor.asker,
+        lowest: floor.lowest,
+    }
 }
--- a/crates/dispatcher/src/store.rs
+++ b/crates/dispatcher/src/store.rs
@@ -1,4 +1,5 @@
-//! What a dispatcher keeps on disk beside its list and its versions: rolls, claims, and which versions were in force.
+//! What a dispatcher keeps on disk beside its list and its versions: rolls, claims, and which
+//! versions were in force.
 
 use corkspan_fleet::record::Span;
 use corkspan_roll::{ClaimId, Roll};
@@ -51,7 +52,8 @@
     opens: Opens,
 }
 
-/// Closes the store when it goes, whoever still has a hand on the desk: the next life in this process opens it.
+/// Closes the store when it goes, whoever still has a hand on the desk: the next life in this
+/// process opens it.
 pub struct Closes(pub Arc<Store>);
 
 impl Drop for Closes {
@@ -61,12 +63,15 @@
 }
 
 impl Store {
-    /// Opens the store; one that can't be read is set aside and said, and begun anew: the keepers still hold
-    /// what it held.
+    /// Opens the store; one that can't be read is set aside and said, and begun anew: the keepers
+    /// still hold what it held.
     pub fn open(path: Option<&Path>) -> Self {
         let Some(path) = path.map(Path::to_owned) else {
             let opens = Box::new(|| Err("there is no store".into()));
-            return Store { open: RwLock::new(None), opens };
+            return Store {
+                open: RwLock::new(None),
+                opens,
+            };
         };
         if let Err(why) = sound(|| Ok(Database::create(&path)?)) {
             let aside = path.with_extension("aside");
@@ -83,18 +88,29 @@
         let opens: Opens = Box::new(move || sound(&opens));
         let open = opens();
         if let Err(why) = &open {
-            error!(why, "no store of rolls: this dispatcher takes no step of any");
+            error!(
+                why,
+                "no store of rolls: this dispatcher takes no step of any"
+            );
+        }
+        Store {
+            open: RwLock::new(open.ok()),
+            opens,
         }
-        Store { open: RwLock::new(open.ok()), opens }
     }
 
-    /// A database whose disk was full for a moment takes nothing more for good, so it is opened anew at the next
-    /// write: each writer tries once, and says what stood in its way.
+    /// A database whose disk was full for a moment takes nothing more for good, so it is opened
+    /// anew at the next write: each writer tries once, and says what stood in its way.
     fn write(
         &self,
         change: impl FnOnce(&redb::WriteTransaction) -> Result<(), redb::Error>,
     ) -> Result<(), String> {
-        if self.open.read().unwrap_or_else(PoisonError::into_inner).is_none() {
+        if self
+            .open
+            .read()
+            .unwrap_or_else(PoisonError::into_inner)
+            .is_none()
+        {
             let mut open = self.open.write().unwrap_or_else(PoisonError::into_inner);
             if open.is_none() {
                 *open = Some((self.opens)()?);
@@ -103,7 +119,9 @@
         }
         let written = {
             let open = self.open.read().unwrap_or_else(PoisonError::into_inner);
-            let Some(database) = &*open else { return Err("there is no store".into()) };
+            let Some(database) = &*open else {
+                return Err("there is no store".into());
+            };
             let whole = || {
                 let transaction = database.begin_write()?;
                 change(&transaction)?;
@@ -121,7 +139,9 @@
     pub fn claim(&self, held: &Held) -> Result<(), String> {
         let text = serde_json::to_string(held).map_err(|why| why.to_string())?;
         self.write(|transaction| {
-            transaction.open_table(CLAIMS)?.insert(held.claim.0, &text[..])?;
+            transaction
+                .open_table(CLAIMS)?
+                .insert(held.claim.0, &text[..])?;
             Ok(())
         })
     }
@@ -136,7 +156,9 @@
     pub fn roll(&self, roll: &Roll) -> Result<(), String> {
         let text = serde_json::to_string(roll).map_err(|why| why.to_string())?;
         self.write(|transaction| {
-            transaction.open_table(ROLLS)?.insert(&roll.service[..], &text[..])?;
+            transaction
+                .open_table(ROLLS)?
+                .insert(&roll.service[..], &text[..])?;
             Ok(())
         })
     }
@@ -153,24 +175,33 @@
     /// What earlier lives kept of their versions; nothing where that can't be read, which is said.
     pub fn spans(&self) -> VecDeque<Span> {
         let open = self.open.read().unwrap_or_else(PoisonError::into_inner);
-        let Some(database) = &*open else { return VecDeque::new() };
+        let Some(database) = &*open else {
+            return VecDeque::new();
+        };
         let read = || -> Result<VecDeque<Span>, String> {
             let transaction = database.begin_read().map_err(|why| why.to_string())?;
-            let table = transaction.open_table(RECORD).map_err(|why| why.to_string())?;
+            let table = transaction
+                .open_table(RECORD)
+                .map_err(|why| why.to_string())?;
             let text = table.get("spans").map_err(|why| why.to_string())?;
             text.map_or(Ok(VecDeque::new()), |text| {
                 serde_json::from_str(text.value()).map_err(|why| format!("record: {why}"))
             })
         };
         read().unwrap_or_else(|why| {
-            warn!(why, "what was kept of versions can't be read, and is begun anew");
+            warn!(
+                why,
+                "what was kept of versions can't be read, and is begun anew"
+            );
             VecDeque::new()
         })
     }
 
     pub fn read(&self) -> Kept {
         let open = self.open.read().unwrap_or_else(PoisonError::into_inner);
-        let Some(database) = &*open else { return Default::default() };
+        let Some(database) = &*open else {
+            return Default::default();
+        };
         read(database).unwrap_or_else(|why| {
             error!(why, "the store of rolls can't be read");
             Default::default()
@@ -180,7 +211,8 @@
 
 /// A database whose tables all read as they should.
 fn sound(open: impl Fn() -> Result<Database, redb::Error>) -> Result<Database, String> {
-    // redb asserts that a file is as long as its header says, and would take the dispatcher down with a torn one.
+    // redb asserts that a file is as long as its header says, and would take the dispatcher down
+    // with a torn one.
     let opened = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| open_sound(open)));
     opened.unwrap_or_else(|_| Err("it is not whole".into()))
 }
@@ -189,9 +221,15 @@
     let text = |why: redb::Error| why.to_string();
     let database = open().map_err(text)?;
     let transaction = database.begin_write().map_err(|why| text(why.into()))?;
-    transaction.open_table(CLAIMS).map_err(|why| text(why.into()))?;
-    transaction.open_table(ROLLS).map_err(|why| text(why.into()))?;
-    transaction.open_table(RECORD).map_err(|why| text(why.into()))?;
+    transaction
+        .open_table(CLAIMS)
+        .map_err(|why| text(why.into()))?;
+    transaction
+        .open_table(ROLLS)
+        .map_err(|why| text(why.into()))?;
+    transaction
+        .open_table(RECORD)
+        .map_err(|why| text(why.into()))?;
     transaction.commit().map_err(|why| text(why.into()))?;
     read(&database)?;
     Ok(database)
@@ -203,13 +241,26 @@
     }
     let transaction = database.begin_read().map_err(text)?;
     let (mut rolls, mut claims) = (Vec::new(), Vec::new());
-    for line in transaction.open_table(ROLLS).map_err(text)?.iter().map_err(text)? {
+    for line in transaction
+        .open_table(ROLLS)
+        .map_err(text)?
+        .iter()
+        .map_err(text)?
+    {
         rolls.push(serde_json::from_str(line.map_err(text)?.1.value()).map_err(text)?);
     }
-    for line in transaction.open_table(CLAIMS).map_err(text)?.iter().map_err(text)? {
+    for line in transaction
+        .open_table(CLAIMS)
+        .map_err(text)?
+        .iter()
+        .map_err(text)?
+    {
         let (claim, value) = line.map_err(text)?;
         let held: Held = serde_json::from_str(value.value()).map_err(text)?;
-        claims.push(Held { claim: ClaimId(claim.value()), ..held });
+        claims.push(Held {
+            claim: ClaimId(claim.value()),
+            ..held
+        });
     }
     Ok((rolls, claims))
 }
--- a/crates/dispatcher/src/versions.rs
+++ b/crates/dispatcher/src/versions.rs
@@ -1,5 +1,5 @@
-//! The last good version on disk, and the one on trial: written before either is in force. The file before is kept
-//! beside, so that a torn one costs one step and no guess.
+//! The last good version on disk, and the one on trial: written before either is in force. The file
+//! before is kept beside, so that a torn one costs one step and no guess.
 
 use corkspan_control::{Kept, Version};
 use corkspan_deployment::version::{Digest, Stamp, Texts};
@@ -33,8 +33,16 @@
 
 impl Whole {
     fn of(version: &Version) -> Self {
-        let parts = version.texts.iter().map(|(name, text)| (name.into(), text.into())).collect();
-        Whole { number: version.stamp.number, digest: version.stamp.digest.to_string(), parts }
+        let parts = version
+            .texts
+            .iter()
+            .map(|(name, text)| (name.into(), text.into()))
+            .collect();
+        Whole {
+            number: version.stamp.number,
+            digest: version.stamp.digest.to_string(),
+            parts,
+        }
     }
 
     fn version(self) -> Option<Version> {
@@ -45,7 +53,10 @@
 }
 
 fn stamp(number: u64, digest: &str) -> Option<Stamp> {
-    Some(Stamp { number, digest: Digest::read(digest)? })
+    Some(Stamp {
+        number,
+        digest: Digest::read(digest)?,
+    })
 }
 
 fn sum(text: &str) -> String {
@@ -61,14 +72,27 @@
 pub fn keep(path: &Path, kept: &Kept) -> std::io::Result<()> {
     let body = Body {
         good: kept.good.as_ref().map(Whole::of),
-        trial: kept.trial.as_ref().map(|(version, starts)| (Whole::of(version), *starts)),
-        given_up: kept.given_up.iter().map(|stamp| (stamp.number, stamp.digest.to_string())).collect(),
+        trial: kept
+            .trial
+            .as_ref()
+            .map(|(version, starts)| (Whole::of(version), *starts)),
+        given_up: kept
+            .given_up
+            .iter()
+            .map(|stamp| (stamp.number, stamp.digest.to_string()))
+            .collect(),
     };
     let body = serde_json::to_string(&body)?;
     let new = path.with_extension("new");
     let file = std::fs::File::create(&new)?;
     let mut writer = std::io::BufWriter::new(&file);
-    serde_json::to_writer(&mut writer, &File { sum: sum(&body), body })?;
+    serde_json::to_writer(
+        &mut writer,
+        &File {
+            sum: sum(&body),
+            body,
+        },
+    )?;
     std::io::Write::flush(&mut writer)?;
     drop(writer);
     file.sync_all()?;
@@ -77,11 +101,14 @@
         std::fs::rename(path, before(path))?;
     }
     std::fs::rename(&new, path)?;
-    let folder = path.parent().filter(|folder| !folder.as_os_str().is_empty());
+    let folder = path
+        .parent()
+        .filter(|folder| !folder.as_os_str().is_empty());
     std::fs::File::open(folder.unwrap_or(Path::new(".")))?.sync_all()
 }
 
-/// What an earlier life kept. A file that can't be read is set aside and said, and the one before is taken.
+/// What an earlier life kept. A file that can't be read is set aside and said, and the one before
+/// is taken.
 pub fn read(path: &Path) -> Kept {
     match read_one(path) {
         Ok(Some(kept)) => return kept,
@@ -112,16 +139,30 @@
 }
 
 fn read_one(path: &Path) -> Result<Option<Kept>, String> {
-    let Some(text) = bounded(path)? else { return Ok(None) };
+    let Some(text) = bounded(path)? else {
+        return Ok(None);
+    };
     let file: File = serde_json::from_slice(&text).map_err(|why| why.to_string())?;
     if file.sum != sum(&file.body) {
         return Err("its sum is wrong".into());
     }
     let body: Body = serde_json::from_str(&file.body).map_err(|why| why.to_string())?;
     let wrong = || "a version in it is not what its digest says".to_string();
-    let good = body.good.map(|whole| whole.version().ok_or_else(wrong)).transpose()?;
-    let trial =
-        body.trial.map(|(whole, starts)| Ok::<_, String>((whole.version().ok_or_else(wrong)?, starts)));
-    let given_up = body.given_up.iter().filter_map(|(number, digest)| stamp(*number, digest)).collect();
-    Ok(Some(Kept { good, trial: trial.transpose()?, given_up }))
+    let good = body
+        .good
+        .map(|whole| whole.version().ok_or_else(wrong))
+        .transpose()?;
+    let trial = body
+        .trial
+        .map(|(whole, starts)| Ok::<_, String>((whole.version().ok_or_else(wrong)?, starts)));
+    let given_up = body
+        .given_up
+        .iter()
+        .filter_map(|(number, digest)| stamp(*number, digest))
+        .collect();
+    Ok(Some(Kept {
+        good,
+        trial: trial.transpose()?,
+        given_up,
+    }))
 }
--- a/crates/dispatcher/tests/store.rs
+++ b/crates/dispatcher/tests/store.rs
@@ -26,20 +26,47 @@
 }
 
 fn held(claim: u64, won: bool, pair: Option<bool>) -> Held {
-    let pair = pair.map(|retires| Pair { old: "c#0".into(), new: "c#0~1".into(), retires });
-    Held { claim: ClaimId(claim), service: "s".into(), task: format!("c{claim}"), won, pair }
+    let pair = pair.map(|retires| Pair {
+        old: "c#0".into(),
+        new: "c#0~1".into(),
+        retires,
+    });
+    Held {
+        claim: ClaimId(claim),
+        service: "s".into(),
+        task: format!("c{claim}"),
+        won,
+        pair,
+    }
 }
 
 type Write = fn(&Store) -> Result<(), String>;
 
-/// All that a replacing writes, in its order, and the rolls and claims that the store holds after each.
+/// All that a replacing writes, in its order, and the rolls and claims that the store holds after
+/// each.
 fn steps() -> Vec<(Write, usize, Vec<Held>)> {
     vec![
         (|store| store.roll(&roll()), 1, vec![]),
-        (|store| store.claim(&held(7, false, None)), 1, vec![held(7, false, None)]),
-        (|store| store.claim(&held(7, true, None)), 1, vec![held(7, true, None)]),
-        (|store| store.claim(&held(7, true, Some(false))), 1, vec![held(7, true, Some(false))]),
-        (|store| store.claim(&held(7, true, Some(true))), 1, vec![held(7, true, Some(true))]),
+        (
+            |store| store.claim(&held(7, false, None)),
+            1,
+            vec![held(7, false, None)],
+        ),
+        (
+            |store| store.claim(&held(7, true, None)),
+            1,
+            vec![held(7, true, None)],
+        ),
+        (
+            |store| store.claim(&held(7, true, Some(false))),
+            1,
+            vec![held(7, true, Some(false))],
+        ),
+        (
+            |store| store.claim(&held(7, true, Some(true))),
+            1,
+            vec![held(7, true, Some(true))],
+        ),
         (|store| store.release(ClaimId(7)), 1, vec![]),
     ]
 }
@@ -69,7 +96,10 @@
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("rolls.redb");
     let store = Store::open(Some(&path));
-    steps().into_iter().take(4).for_each(|(step, _, _)| step(&store).expect("written"));
+    steps()
+        .into_iter()
+        .take(4)
+        .for_each(|(step, _, _)| step(&store).expect("written"));
     drop(store);
     let whole = std::fs::read(&path).expect("read");
     let all = (vec![roll()], vec![held(7, true, Some(false))]);
@@ -81,7 +111,10 @@
         let told = read(&cut);
         let set_aside = cut.with_extension("aside").exists();
         aside += usize::from(set_aside);
-        assert!(told == all && !set_aside || told == (vec![], vec![]), "part {part}: {told:?}");
+        assert!(
+            told == all && !set_aside || told == (vec![], vec![]),
+            "part {part}: {told:?}"
+        );
     }
     assert!(aside >= 8, "most cuts are noticed: {aside}");
 }
@@ -102,7 +135,10 @@
 #[test_case("{\"version\":", 0; "torn")]
 #[test_case(r#"[{"version":-3,"digest":"d","how":"push","life":9,"from_ms":1}]"#, 0; "a number that is none")]
 #[test_case(r#"[{"version":3,"digest":"d","how":"dreamt","life":9,"from_ms":1}]"#, 0; "come in no known way")]
-fn a_foreign_record_of_versions_is_begun_anew_and_takes_nothing_down_with_it(text: &str, spans: usize) {
+fn a_foreign_record_of_versions_is_begun_anew_and_takes_nothing_down_with_it(
+    text: &str,
+    spans: usize,
+) {
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("rolls.redb");
     let store = Store::open(Some(&path));
@@ -111,13 +147,22 @@
     let database = redb::Database::create(&path).expect("it opens");
     let transaction = database.begin_write().expect("it can be written");
     let table = redb::TableDefinition::<&str, &str>::new("record");
-    transaction.open_table(table).expect("there").insert("spans", text).expect("taken");
+    transaction
+        .open_table(table)
+        .expect("there")
+        .insert("spans", text)
+        .expect("taken");
     transaction.commit().expect("written");
     drop(database);
     let store = Store::open(Some(&path));
     assert_eq!((store.spans().len(), store.read().0), (spans, vec![roll()]));
-    let next =
-        VecDeque::from([Span { version: 4, digest: "e".into(), how: How::GaveUp, life: 10, from_ms: 2 }]);
+    let next = VecDeque::from([Span {
+        version: 4,
+        digest: "e".into(),
+        how: How::GaveUp,
+        life: 10,
+        from_ms: 2,
+    }]);
     store.record(&next).expect("written");
     assert_eq!(store.spans(), next);
 }
--- a/crates/facts/src/lib.rs
+++ b/crates/facts/src/lib.rs
@@ -96,8 +96,11 @@
 impl Facts {
     pub fn cluster(&self) -> Result<Cluster, String> {
         let family = &self.family_info;
-        if family.kind_cores.len() != self.skus.len() || family.kind_memory.len() != self.skus.len() {
-            return Err("family-info.kind-cores and kind-memory must have an entry for each of skus".into());
+        if family.kind_cores.len() != self.skus.len() || family.kind_memory.len() != self.skus.len()
+        {
+            return Err(
+                "family-info.kind-cores and kind-memory must have an entry for each of skus".into(),
+            );
         }
         if self.locality >= self.zones.len() {
             return Err("locality names none of zones".into());
@@ -109,11 +112,18 @@
             kinds: std::iter::zip(&family.kind_cores, &family.kind_memory)
                 .map(|(&cores, &memory)| Amount { cores, memory })
                 .collect(),
-            tracks: (0..self.classes.len()).map(|index| self.track(index)).collect::<Result<_, _>>()?,
+            tracks: (0..self.classes.len())
+                .map(|index| self.track(index))
+                .collect::<Result<_, _>>()?,
             accounts: (0..self.tenants.len())
-                .map(|index| Account { share_cores: family.share_cores.get(index).copied() })
+                .map(|index| Account {
+                    share_cores: family.share_cores.get(index).copied(),
+                })
                 .collect(),
-            accepts: Amount { cores: family.admit_cores, memory: family.accepts_memory },
+            accepts: Amount {
+                cores: family.admit_cores,
+                memory: family.accepts_memory,
+            },
             makes_room: family.makes_room,
             shots: self.limits.max_attempts,
             placed_runs: family.ack == "running",
@@ -131,11 +141,20 @@
         })
     }
 
-    /// So long a connection may take to come up. Where the settings don't say, no more than a quarter of what the most
-    /// impatient owners wait: another try must still be worth it.
+    /// So long a connection may take to come up. Where the settings don't say, no more than a
+    /// quarter of what the most impatient owners wait: another try must still be worth it.
     pub fn opens_within(&self) -> Tenths {
-        let shortest = self.classes.iter().filter_map(|class| class.deadline_us).min();
-        tenths(self.limits.connect_timeout_us.or(shortest.map(|us| us / 4)).unwrap_or(250_000))
+        let shortest = self
+            .classes
+            .iter()
+            .filter_map(|class| class.deadline_us)
+            .min();
+        tenths(
+            self.limits
+                .connect_timeout_us
+                .or(shortest.map(|us| us / 4))
+                .unwrap_or(250_000),
+        )
     }
 
     /// The longest that owners wait for an answer; none where the settings don't say.
@@ -150,7 +169,9 @@
 
     /// Whether repeats of the class are known by a key.
     pub fn keyed(&self, class: usize) -> bool {
-        self.classes.get(class).is_some_and(|class| class.effect == "token")
+        self.classes
+            .get(class)
+            .is_some_and(|class| class.effect == "token")
     }
 
     /// The most that any machine accepts in all.
@@ -159,7 +180,13 @@
         let kinds = std::iter::zip(&family.kind_cores, &family.kind_memory);
         let sizes = kinds.map(|(&cores, &memory)| Amount { cores, memory });
         let largest = sizes.reduce(|one, other| one.most(other))?;
-        Some(largest * Amount { cores: family.admit_cores, memory: family.accepts_memory })
+        Some(
+            largest
+                * Amount {
+                    cores: family.admit_cores,
+                    memory: family.accepts_memory,
+                },
+        )
     }
 
     fn track(&self, index: usize) -> Result<Track, String> {
@@ -173,26 +200,49 @@
                     Some("all") => None,
                     Some("zone") => Some(Place::Hall),
                     Some("cell") => Some(Place::Cell),
-                    other => return Err(format!("dedup-scope of class {index} can't be {other:?}")),
+                    other => {
+                        return Err(format!("dedup-scope of class {index} can't be {other:?}"));
+                    }
                 },
-                window: tenths(class.memory_span_us.ok_or_else(|| lacks("memory-span-us"))?),
+                window: tenths(
+                    class
+                        .memory_span_us
+                        .ok_or_else(|| lacks("memory-span-us"))?,
+                ),
             },
             other => return Err(format!("effect of class {index} can't be `{other}`")),
         };
-        let most = *family.class_most.get(index).ok_or_else(|| lacks("class-most"))?;
-        let spread = match family.spread_by.get(index).ok_or_else(|| lacks("spread-by"))?.as_str() {
+        let most = *family
+            .class_most
+            .get(index)
+            .ok_or_else(|| lacks("class-most"))?;
+        let spread = match family
+            .spread_by
+            .get(index)
+            .ok_or_else(|| lacks("spread-by"))?
+            .as_str()
+        {
             "silent" => None,
             "machine" => Some((Place::Machine, most)),
             "cell" => Some((Place::Cell, most)),
             "zone" => Some((Place::Hall, most)),
             other => return Err(format!("spread-by of class {index} can't be `{other}`")),
         };
-        let kind = *family.needs_kind.get(index).ok_or_else(|| lacks("needs-kind"))?;
+        let kind = *family
+            .needs_kind
+            .get(index)
+            .ok_or_else(|| lacks("needs-kind"))?;
         Ok(Track {
             repeat,
             contract_time: tenths(class.on_time_us),
-            calm: *family.class_calm.get(index).ok_or_else(|| lacks("class-calm"))?,
-            priority: *family.priority_by_class.get(index).ok_or_else(|| lacks("priority-by-class"))?,
+            calm: *family
+                .class_calm
+                .get(index)
+                .ok_or_else(|| lacks("class-calm"))?,
+            priority: *family
+                .priority_by_class
+                .get(index)
+                .ok_or_else(|| lacks("priority-by-class"))?,
             kind: usize::try_from(kind).ok().map(KindId),
             spread,
         })
--- a/crates/fleet/src/acts.rs
+++ b/crates/fleet/src/acts.rs
@@ -1,9 +1,10 @@
-//! What a node has seen of acts: how many of each kind, by whom, under which version. Bounded, whatever comes.
+//! What a node has seen of acts: how many of each kind, by whom, under which version. Bounded,
+//! whatever comes.
 
 use std::collections::BTreeMap;
 
-/// Rows at the most: a life for each of 300 dispatchers with some versions and kinds fits, and a peer that invents
-/// lives can't fill the memory.
+/// Rows at the most: a life for each of 300 dispatchers with some versions and kinds fits, and a
+/// peer that invents lives can't fill the memory.
 const MOST: usize = 8_192;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -16,7 +17,13 @@
 }
 
 impl Kind {
-    pub const ALL: [Kind; 5] = [Kind::Shot, Kind::Attend, Kind::Stop, Kind::Move, Kind::Claim];
+    pub const ALL: [Kind; 5] = [
+        Kind::Shot,
+        Kind::Attend,
+        Kind::Stop,
+        Kind::Move,
+        Kind::Claim,
+    ];
 }
 
 impl std::fmt::Display for Kind {
@@ -75,7 +82,9 @@
     }
 
     pub fn rows(&self) -> impl Iterator<Item = (By, Kind, Many)> {
-        self.rows.iter().map(|(&(by, kind), &many)| (by, kind, many))
+        self.rows
+            .iter()
+            .map(|(&(by, kind), &many)| (by, kind, many))
     }
 
     /// Acts of which there is no row: there were as many as may be.
--- a/crates/fleet/src/audit.rs
+++ b/crates/fleet/src/audit.rs
@@ -43,19 +43,52 @@
     #[error("{0} does not answer")]
     Silent(String),
     #[error("{who} is behind: on version {version}, the newest is {newest}; {why}")]
-    Behind { who: String, version: u64, newest: u64, why: Why },
+    Behind {
+        who: String,
+        version: u64,
+        newest: u64,
+        why: Why,
+    },
     #[error("{0} is shut out by the floor of versions")]
     ShutOut(String),
     #[error("{who} and {other} are two processes under the number {dispatcher}")]
-    OneNumber { who: String, other: String, dispatcher: u32 },
-    #[error("{below} acts of dispatcher {dispatcher} under version {version} were turned away by the floor")]
-    Below { dispatcher: u32, version: u64, below: u64 },
-    #[error("{who} says that it runs version {told}, and nodes have seen acts of it under version {version}")]
-    Ahead { who: String, version: u64, told: u64 },
-    #[error("nodes have seen {seen} {kind} of {who} under version {version}, and it counts {counted}")]
-    More { who: String, version: u64, kind: Kind, seen: u64, counted: u64 },
+    OneNumber {
+        who: String,
+        other: String,
+        dispatcher: u32,
+    },
+    #[error(
+        "{below} acts of dispatcher {dispatcher} under version {version} were turned away by the floor"
+    )]
+    Below {
+        dispatcher: u32,
+        version: u64,
+        below: u64,
+    },
+    #[error(
+        "{who} says that it runs version {told}, and nodes have seen acts of it under version {version}"
+    )]
+    Ahead {
+        who: String,
+        version: u64,
+        told: u64,
+    },
+    #[error(
+        "nodes have seen {seen} {kind} of {who} under version {version}, and it counts {counted}"
+    )]
+    More {
+        who: String,
+        version: u64,
+        kind: Kind,
+        seen: u64,
+        counted: u64,
+    },
     #[error("{who} and {other} run version {version} with different digests")]
-    TwoDigests { who: String, other: String, version: u64 },
+    TwoDigests {
+        who: String,
+        other: String,
+        version: u64,
+    },
 }
 
 /// What one node tells of one process's acts of one kind under one version.
@@ -85,7 +118,11 @@
     let mut sums: BTreeMap<(u32, u64), Acts> = BTreeMap::new();
     for act in told.iter().flat_map(|(_, acts)| acts).flatten() {
         let sum = sums.entry((act.dispatcher, act.version)).or_default();
-        let of_kind = if act.kind == Kind::Shot { &mut sum.shots } else { &mut sum.others };
+        let of_kind = if act.kind == Kind::Shot {
+            &mut sum.shots
+        } else {
+            &mut sum.others
+        };
         *of_kind = of_kind.saturating_add(act.seen);
         sum.below = sum.below.saturating_add(act.below);
     }
@@ -97,11 +134,18 @@
     told: &[(String, Option<Told>)],
     nodes: &[(String, Option<Vec<Acted>>)],
 ) -> Vec<Finding> {
-    let silent = nodes.iter().filter(|(_, acts)| acts.is_none()).map(|(who, _)| Finding::Silent(who.clone()));
+    let silent = nodes
+        .iter()
+        .filter(|(_, acts)| acts.is_none())
+        .map(|(who, _)| Finding::Silent(who.clone()));
     let mut findings: Vec<Finding> = silent.collect();
     for ((dispatcher, version), Acts { below, .. }) in acts(nodes) {
         if below > 0 {
-            findings.push(Finding::Below { dispatcher, version, below });
+            findings.push(Finding::Below {
+                dispatcher,
+                version,
+                below,
+            });
         }
     }
     for (who, told) in told {
@@ -117,14 +161,24 @@
         for (&(version, kind), &counted) in &told.acts {
             let seen = sums.get(&(version, kind)).copied().unwrap_or(0);
             if seen > counted {
-                findings.push(Finding::More { who: who.clone(), version, kind, seen, counted });
+                findings.push(Finding::More {
+                    who: who.clone(),
+                    version,
+                    kind,
+                    seen,
+                    counted,
+                });
             }
         }
         let versions = sums.keys().map(|(version, _)| *version);
         let ahead = versions.filter(|version| *version > told.version).max();
         // It may have given that one up since.
         if let Some(version) = ahead.filter(|version| !told.given_up.contains(version)) {
-            findings.push(Finding::Ahead { who: who.clone(), version, told: told.version });
+            findings.push(Finding::Ahead {
+                who: who.clone(),
+                version,
+                told: told.version,
+            });
         }
     }
     findings
@@ -132,8 +186,12 @@
 
 /// All findings, in the order in which the dispatchers were asked for.
 pub fn findings(told: &[(String, Option<Told>)]) -> Vec<Finding> {
-    let newest =
-        told.iter().filter_map(|(_, told)| told.as_ref()).map(|told| told.version).max().unwrap_or(0);
+    let newest = told
+        .iter()
+        .filter_map(|(_, told)| told.as_ref())
+        .map(|told| told.version)
+        .max()
+        .unwrap_or(0);
     let mut numbers: BTreeMap<u32, (&String, u64)> = BTreeMap::new();
     let mut digests: BTreeMap<u64, (&String, &String)> = BTreeMap::new();
     let mut findings = Vec::new();
@@ -144,7 +202,12 @@
         };
         let (dispatcher, version) = (told.dispatcher, told.version);
         if version < newest {
-            findings.push(Finding::Behind { who: who.clone(), version, newest, why: why(told) });
+            findings.push(Finding::Behind {
+                who: who.clone(),
+                version,
+                newest,
+                why: why(told),
+            });
         }
         if told.shut_out {
             findings.push(Finding::ShutOut(who.clone()));
@@ -152,22 +215,37 @@
         // One that is named twice by two addresses is the same life.
         let (other, life) = *numbers.entry(dispatcher).or_insert((who, told.life));
         if life != told.life {
-            findings.push(Finding::OneNumber { who: who.clone(), other: other.clone(), dispatcher });
+            findings.push(Finding::OneNumber {
+                who: who.clone(),
+                other: other.clone(),
+                dispatcher,
+            });
         }
         // Version 0 is each one's own file, and may well differ.
         let (other, digest) = *digests.entry(version).or_insert((who, &told.digest));
         if version > 0 && *digest != told.digest {
-            findings.push(Finding::TwoDigests { who: who.clone(), other: other.clone(), version });
+            findings.push(Finding::TwoDigests {
+                who: who.clone(),
+                other: other.clone(),
+                version,
+            });
         }
     }
     findings
 }
 
 fn why(told: &Told) -> Why {
-    let given_up = told.given_up.iter().copied().filter(|given_up| *given_up > told.version).max();
+    let given_up = told
+        .given_up
+        .iter()
+        .copied()
+        .filter(|given_up| *given_up > told.version)
+        .max();
     match (given_up, &told.turned_down) {
         (Some(version), _) => Why::GaveUp(version),
-        (None, Some((version, why))) if *version > told.version => Why::TurnedDown(*version, why.clone()),
+        (None, Some((version, why))) if *version > told.version => {
+            Why::TurnedDown(*version, why.clone())
+        }
         _ if !told.streams => Why::NoStream,
         _ => Why::NotTold,
     }
--- a/crates/fleet/src/bring.rs
+++ b/crates/fleet/src/bring.rs
@@ -1,5 +1,5 @@
-//! How a straggler is brought up: from whom it asks for the newest version next, and when. Without a clock: moments are
-//! told, in any unit that [`Pace`] is told in too.
+//! How a straggler is brought up: from whom it asks for the newest version next, and when. Without
+//! a clock: moments are told, in any unit that [`Pace`] is told in too.
 
 use corkspan_keeper::of_a_few;
 use rand::seq::SliceRandom;
@@ -9,7 +9,8 @@
 /// Times between asks, in the caller's unit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Pace {
-    /// The first ask comes within so long after it is known that one is needed, and the waits grow from here.
+    /// The first ask comes within so long after it is known that one is needed, and the waits grow
+    /// from here.
     pub first: u64,
     pub longest: u64,
     /// Who is not known to be behind, and hears of no control service, asks about so often.
@@ -50,7 +51,8 @@
     Wait(u64),
 }
 
-/// One dispatcher's part. Hundreds of stragglers at once ask each at its own time, each in an order of its own.
+/// One dispatcher's part. Hundreds of stragglers at once ask each at its own time, each in an order
+/// of its own.
 pub struct Straggler {
     rng: Pcg64Mcg,
     pace: Pace,
@@ -66,13 +68,20 @@
 impl Straggler {
     pub fn new(seed: u64, pace: Pace) -> Self {
         let (rng, round) = (Pcg64Mcg::seed_from_u64(seed), Vec::new());
-        Straggler { rng, pace, fails: 0, urgent: false, at: None, round }
+        Straggler {
+            rng,
+            pace,
+            fails: 0,
+            urgent: false,
+            at: None,
+            round,
+        }
     }
 
     pub fn look(&mut self, now: u64, sees: Sees) -> Next {
         let Pace { first, idle, .. } = self.pace;
-        // Whom a control service reaches is brought up by it, unless it is shut out all the same: then what streams to it
-        // has stood still, or was turned down.
+        // Whom a control service reaches is brought up by it, unless it is shut out all the same:
+        // then what streams to it has stood still, or was turned down.
         if sees.streams && !sees.shut_out || sees.peers + sees.keepers == 0 {
             (self.at, self.fails, self.urgent) = (None, 0, false);
             self.round.clear();
@@ -109,13 +118,18 @@
 
     /// What came of the ask that [`Straggler::look`] wanted.
     pub fn came(&mut self, now: u64, came: Came) {
-        let Pace { first, longest, idle } = self.pace;
+        let Pace {
+            first,
+            longest,
+            idle,
+        } = self.pace;
         if came == Came::Up {
             (self.fails, self.round) = (0, Vec::new());
         } else if self.round.is_empty() {
             self.fails = self.fails.saturating_add(1);
         }
-        // All that may have it are asked soon, whoever of them is gone; only then it is worth waiting longer.
+        // All that may have it are asked soon, whoever of them is gone; only then it is worth
+        // waiting longer.
         let most = match (self.urgent, self.round.is_empty()) {
             (true, false) => first,
             (true, true) => (first << self.fails.min(16)).min(longest),
@@ -125,8 +139,8 @@
     }
 }
 
-/// Whether a dispatcher lays its good version on a keeper's shelf in this round: all of a fleet know at once that one is
-/// wanted there, and a few are enough. `chance` is drawn from 0 to 1.
+/// Whether a dispatcher lays its good version on a keeper's shelf in this round: all of a fleet
+/// know at once that one is wanted there, and a few are enough. `chance` is drawn from 0 to 1.
 pub fn lays(good: u64, lies: Option<u64>, fleet: usize, chance: f64) -> bool {
     good > lies.unwrap_or(0) && of_a_few(fleet, chance)
 }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,9 +1,11 @@
-//! What the floor of versions decides, without I/O and without a clock. docs/fleet.md says why it is so.
+//! What the floor of versions decides, without I/O and without a clock. docs/fleet.md says why it
+//! is so.
 //!
-//! The floor is the lowest version of the deployment that may act: a [`Floor`], a wish at a majority of keepers. It is
-//! in force where an effect would be, at the nodes: each shot tells the version that it was decided under, and a node's
-//! [`Fence`] turns away what is below, whoever sends it and however late it comes. A dispatcher's [`Standing`] only
-//! keeps it from sending in vain. No clock is in it: who hears nothing is stopped by the nodes that it reaches, and
+//! The floor is the lowest version of the deployment that may act: a [`Floor`], a wish at a
+//! majority of keepers. It is in force where an effect would be, at the nodes: each shot tells the
+//! version that it was decided under, and a node's [`Fence`] turns away what is below, whoever
+//! sends it and however late it comes. A dispatcher's [`Standing`] only keeps it from sending in
+//! vain. No clock is in it: who hears nothing is stopped by the nodes that it reaches, and
 //! where nobody has heard of a floor, nobody is shut out.
 
 pub mod acts;
@@ -54,8 +56,8 @@
 pub enum Disk {
     /// The floor that it kept, if it had heard of one.
     Whole(Option<Floor>),
-    /// Nothing that can be trusted. So is an empty disk, until it says that the keepers were asked and held none: a
-    /// node that starts anew between the loss and the answer has not asked.
+    /// Nothing that can be trusted. So is an empty disk, until it says that the keepers were asked
+    /// and held none: a node that starts anew between the loss and the answer has not asked.
     Lost,
 }
 
@@ -79,29 +81,38 @@
 impl Fence {
     pub fn start(disk: Disk) -> Self {
         match disk {
-            Disk::Whole(kept) => Fence { kept, trusted: true },
-            Disk::Lost => Fence { kept: None, trusted: false },
+            Disk::Whole(kept) => Fence {
+                kept,
+                trusted: true,
+            },
+            Disk::Lost => Fence {
+                kept: None,
+                trusted: false,
+            },
         }
     }
 
-    /// Whether a floor that it is told of is to be put on disk, for [`Fence::keep`]. To be asked right before it is
-    /// written: a later one may have come meanwhile.
+    /// Whether a floor that it is told of is to be put on disk, for [`Fence::keep`]. To be asked
+    /// right before it is written: a later one may have come meanwhile.
     pub fn wants(&self, told: Floor) -> bool {
         later(self.kept, told)
     }
 
-    /// It is on disk. Only now it counts: a node that turned away by a floor and forgot it would let in after.
+    /// It is on disk. Only now it counts: a node that turned away by a floor and forgot it would
+    /// let in after.
     pub fn keep(&mut self, on_disk: Floor) {
         if self.wants(on_disk) {
             self.kept = Some(on_disk);
         }
     }
 
-    /// After its disk was lost: what keepers answer, and what a majority of them holds is on disk by now. False where
-    /// that can't be known yet. The highest that any keeper tells will not do, though it would be the stricter: it may
-    /// never come in force, and would go on from here to others as if it had.
+    /// After its disk was lost: what keepers answer, and what a majority of them holds is on disk
+    /// by now. False where that can't be known yet. The highest that any keeper tells will not
+    /// do, though it would be the stricter: it may never come in force, and would go on from
+    /// here to others as if it had.
     pub fn asked(&mut self, told: &[Option<Floor>], keepers: usize) -> bool {
-        // What was ever in force stands at one at least of any majority: where none tells any, there was none.
+        // What was ever in force stands at one at least of any majority: where none tells any,
+        // there was none.
         let never = majority(told.len(), keepers) && told.iter().all(Option::is_none);
         let floor = in_force(told.iter().flatten(), keepers).copied();
         floor.into_iter().for_each(|floor| self.keep(floor));
@@ -109,8 +120,8 @@
         self.trusted
     }
 
-    /// To a shot decided under this version. That of the shot, and never what is known of its sender: a shot of an
-    /// earlier life may come late.
+    /// To a shot decided under this version. That of the shot, and never what is known of its
+    /// sender: a shot of an earlier life may come late.
     pub fn look(&self, version: u64) -> Look {
         match self.kept {
             _ if !self.trusted => Look::NotYet,
@@ -131,13 +142,16 @@
 }
 
 impl Standing {
-    /// What keepers tell, each the wish that stands there if one does. Counts only where a majority agrees. True where
-    /// it is news.
+    /// What keepers tell, each the wish that stands there if one does. Counts only where a majority
+    /// agrees. True where it is news.
     pub fn keepers_tell(&mut self, told: &[Option<Floor>], keepers: usize) -> bool {
-        in_force(told.iter().flatten(), keepers).copied().is_some_and(|floor| self.hear(floor))
+        in_force(told.iter().flatten(), keepers)
+            .copied()
+            .is_some_and(|floor| self.hear(floor))
     }
 
-    /// What a node has turned a shot away with: it was told of it by who had heard it of a majority.
+    /// What a node has turned a shot away with: it was told of it by who had heard it of a
+    /// majority.
     pub fn node_tells(&mut self, floor: Floor) -> bool {
         self.hear(floor)
     }
@@ -155,8 +169,8 @@
         self.floor
     }
 
-    /// The floor that shuts it out under this version; none where it may act. That it hears nothing of the keepers or
-    /// of the control service shuts it out of nothing.
+    /// The floor that shuts it out under this version; none where it may act. That it hears nothing
+    /// of the keepers or of the control service shuts it out of nothing.
     pub fn shut_out(&self, running: u64) -> Option<Floor> {
         self.floor.filter(|floor| running < floor.lowest)
     }
@@ -178,14 +192,19 @@
     #[error(
         "{taken} of {fleet} dispatchers run version {lowest} or a later one for good; {wanted} are wanted"
     )]
-    Fleet { taken: usize, fleet: usize, wanted: usize, lowest: u64 },
+    Fleet {
+        taken: usize,
+        fleet: usize,
+        wanted: usize,
+        lowest: u64,
+    },
     #[error("the floor is {0} already")]
     Stands(u64),
 }
 
-/// Whether so many of a fleet have taken a version that others may be shut out by it. `told`: of each dispatcher asked,
-/// none where it did not answer; `stands`: the floor that they tell of; `part` in thousandths. Lowering the floor shuts
-/// nobody out, and is never held back.
+/// Whether so many of a fleet have taken a version that others may be shut out by it. `told`: of
+/// each dispatcher asked, none where it did not answer; `stands`: the floor that they tell of;
+/// `part` in thousandths. Lowering the floor shuts nobody out, and is never held back.
 pub fn taken_by_enough(
     told: &[Option<Runs>],
     stands: Option<u64>,
@@ -198,19 +217,43 @@
     let runs = |runs: &&Runs| runs.version >= lowest && !runs.on_trial;
     let (taken, fleet) = (told.iter().flatten().filter(runs).count(), told.len());
     let wanted = (fleet * part.min(1_000) as usize).div_ceil(1_000);
-    if taken >= wanted { Ok(()) } else { Err(NotRaised::Fleet { taken, fleet, wanted, lowest }) }
+    if taken >= wanted {
+        Ok(())
+    } else {
+        Err(NotRaised::Fleet {
+            taken,
+            fleet,
+            wanted,
+            lowest,
+        })
+    }
 }
 
 /// The wish for another floor, after what the keepers tell.
-pub fn next(told: &[Option<Floor>], keepers: usize, lowest: u64, asker: u64) -> Result<Floor, NotRaised> {
+pub fn next(
+    told: &[Option<Floor>],
+    keepers: usize,
+    lowest: u64,
+    asker: u64,
+) -> Result<Floor, NotRaised> {
     if !majority(told.len(), keepers) {
-        return Err(NotRaised::Keepers { heard: told.len(), keepers });
+        return Err(NotRaised::Keepers {
+            heard: told.len(),
+            keepers,
+        });
     }
     let floors: Vec<Floor> = told.iter().flatten().copied().collect();
     if in_force(&floors, keepers).is_some_and(|floor| floor.lowest == lowest) {
         return Err(NotRaised::Stands(lowest));
     }
-    // A keeper that tells the last number of all leaves none above it: such a wish is not taken, and takes nobody down.
-    let number = to_follow(&floors, keepers).map_or(0, |floor| floor.number).saturating_add(1);
-    Ok(Floor { number, asker, lowest })
+    // A keeper that tells the last number of all leaves none above it: such a wish is not taken,
+    // and takes nobody down.
+    let number = to_follow(&floors, keepers)
+        .map_or(0, |floor| floor.number)
+        .saturating_add(1);
+    Ok(Floor {
+        number,
+        asker,
+        lowest,
+    })
 }
--- a/crates/fleet/src/record.rs
+++ b/crates/fleet/src/record.rs
@@ -1,5 +1,5 @@
-//! What a dispatcher remembers of itself: which version was in force from when to when, how it came, and its acts.
-//! Bounded; times are told by the caller, in milliseconds since 1970.
+//! What a dispatcher remembers of itself: which version was in force from when to when, how it
+//! came, and its acts. Bounded; times are told by the caller, in milliseconds since 1970.
 
 use crate::acts::Kind;
 use serde::{Deserialize, Serialize};
@@ -49,7 +49,10 @@
     pub fn after(mut spans: VecDeque<Span>) -> Record {
         let over = spans.len().saturating_sub(SPANS);
         spans.drain(..over);
-        Record { spans, acts: BTreeMap::new() }
+        Record {
+            spans,
+            acts: BTreeMap::new(),
+        }
     }
 
     pub fn began(&mut self, span: Span) {
@@ -59,7 +62,8 @@
         self.spans.push_back(span);
     }
 
-    /// So many acts are about to be sent. Counted before they can reach anybody, so nobody can have seen more.
+    /// So many acts are about to be sent. Counted before they can reach anybody, so nobody can have
+    /// seen more.
     pub fn acts(&mut self, version: u64, kind: Kind, many: u64) {
         if self.acts.len() >= VERSIONS * KINDS && !self.acts.contains_key(&(version, kind)) {
             self.acts.pop_first();
@@ -73,6 +77,8 @@
 
     /// Acts of this life, by version and kind.
     pub fn by_version(&self) -> impl Iterator<Item = (u64, Kind, u64)> {
-        self.acts.iter().map(|(&(version, kind), &many)| (version, kind, many))
+        self.acts
+            .iter()
+            .map(|(&(version, kind), &many)| (version, kind, many))
     }
 }
