--- a/crates/fleet/tests/rule_search.rs
+++ b/crates/fleet/tests/rule_search.rs
@@ -1,6 +1,7 @@
-//! That no rule shuts out by a version that too few had for good: every state of three dispatchers that take versions, stand
-//! trials and give up, before three keepers of which one tells what is not so, with words lost and late. And that the
-//! search is able to find a rule that does, by mistakes planted in it.
+//! That no rule shuts out by a version that too few had for good: every state of three dispatchers
+//! that take versions, stand trials and give up, before three keepers of which one tells what is
+//! not so, with words lost and late. And that the search is able to find a rule that does, by
+//! mistakes planted in it.
 
 mod states;
 
@@ -11,7 +12,11 @@
 const FLEET: usize = 3;
 const KEEPERS: usize = 3;
 const NEWEST: u64 = 3;
-const RULE: Rule = Rule { behind: Some(1), after: Some(2), part: 600 };
+const RULE: Rule = Rule {
+    behind: Some(1),
+    after: Some(2),
+    part: 600,
+};
 /// Two of three.
 const ENOUGH: usize = 2;
 
@@ -46,7 +51,10 @@
 fn start() -> World {
     World {
         now: 0,
-        runs: [Runs { version: 1, on_trial: false }; FLEET],
+        runs: [Runs {
+            version: 1,
+            on_trial: false,
+        }; FLEET],
         ever: [1; FLEET],
         rows: [Rows::default(), Rows::default()],
         told: [0; KEEPERS - 1],
@@ -62,26 +70,38 @@
         _ => FLEET,
     };
     // The last one says that all run a version that nobody has.
-    let words = (0..KEEPERS).filter(|keeper| part >> keeper & 1 == 1).map(|keeper| match keeper {
-        2 => Some(NEWEST + 5),
-        own => world.rows[own].taken(fleet(own), RULE.part),
-    });
+    let words = (0..KEEPERS)
+        .filter(|keeper| part >> keeper & 1 == 1)
+        .map(|keeper| match keeper {
+            2 => Some(NEWEST + 5),
+            own => world.rows[own].taken(fleet(own), RULE.part),
+        });
     let words: Vec<Option<u64>> = words.collect();
-    let keepers = if mistake == Mistake::OneKeeper { 1 } else { KEEPERS };
+    let keepers = if mistake == Mistake::OneKeeper {
+        1
+    } else {
+        KEEPERS
+    };
     if mistake == Mistake::NeverAnew {
         world.watch = Watch::default();
         let highest = *world.ever.iter().max().expect("three");
-        world.watch.look(0, RULE, &[Some(highest); KEEPERS], KEEPERS, None);
+        world
+            .watch
+            .look(0, RULE, &[Some(highest); KEEPERS], KEEPERS, None);
     }
-    let Some(lowest) = world.watch.look(world.now, RULE, &words, keepers, None) else { return };
+    let Some(lowest) = world.watch.look(world.now, RULE, &words, keepers, None) else {
+        return;
+    };
     let had = world.ever.iter().filter(|ever| **ever >= lowest).count();
     if had < ENOUGH {
         world.breach = Some("a floor that too few ever had for good");
     }
-    // By the rule of far behind it is one below what enough have told; by that of long, what they told long enough ago.
+    // By the rule of far behind it is one below what enough have told; by that of long, what they
+    // told long enough ago.
     let far = world.ever.iter().filter(|ever| **ever > lowest).count() >= ENOUGH;
-    let long =
-        usize::try_from(lowest).ok().and_then(|lowest| world.good_since.get(lowest).copied().flatten());
+    let long = usize::try_from(lowest)
+        .ok()
+        .and_then(|lowest| world.good_since.get(lowest).copied().flatten());
     if !far && long.is_none_or(|since| since + 2 > world.now) {
         world.breach = Some("a floor neither far nor long enough behind");
     }
@@ -93,7 +113,11 @@
         let mut next = world.clone();
         change(&mut next);
         for version in 1..=NEWEST as usize {
-            let good = next.ever.iter().filter(|ever| **ever >= version as u64).count();
+            let good = next
+                .ever
+                .iter()
+                .filter(|ever| **ever >= version as u64)
+                .count();
             if good >= ENOUGH && next.good_since[version].is_none() {
                 next.good_since[version] = Some(next.now);
             }
@@ -107,14 +131,30 @@
                 next.runs[own].on_trial = false;
                 next.ever[own] = next.ever[own].max(runs.version);
             });
-            step(&|next| next.runs[own] = Runs { version: runs.version - 1, on_trial: false });
+            step(&|next| {
+                next.runs[own] = Runs {
+                    version: runs.version - 1,
+                    on_trial: false,
+                }
+            });
         } else if runs.version < NEWEST {
-            step(&|next| next.runs[own] = Runs { version: runs.version + 1, on_trial: true });
+            step(&|next| {
+                next.runs[own] = Runs {
+                    version: runs.version + 1,
+                    on_trial: true,
+                }
+            });
         }
         for keeper in 0..KEEPERS - 1 {
             step(&|next| {
                 let on_trial = next.runs[own].on_trial && mistake != Mistake::Trials;
-                next.rows[keeper].tells(own as u32, Runs { on_trial, ..next.runs[own] });
+                next.rows[keeper].tells(
+                    own as u32,
+                    Runs {
+                        on_trial,
+                        ..next.runs[own]
+                    },
+                );
                 next.told[keeper] |= 1 << own;
                 next.told[keeper] = next.told[keeper].min(7);
             });
@@ -125,7 +165,11 @@
     }
     for part in 1..1 << KEEPERS {
         step(&|next| {
-            let counts: Vec<usize> = next.told.iter().map(|told| told.count_ones() as usize).collect();
+            let counts: Vec<usize> = next
+                .told
+                .iter()
+                .map(|told| told.count_ones() as usize)
+                .collect();
             let bits = std::mem::replace(&mut next.told, [counts[0], counts[1]]);
             look(next, part, mistake);
             next.told = bits;
@@ -135,7 +179,12 @@
 }
 
 fn search(mistake: Mistake, depth: usize) -> (Option<&'static str>, usize) {
-    states::search(start(), depth, |world| follow(world, mistake), |world| world.breach)
+    states::search(
+        start(),
+        depth,
+        |world| follow(world, mistake),
+        |world| world.breach,
+    )
 }
 
 #[test]
--- a/crates/fleet/tests/search.rs
+++ b/crates/fleet/tests/search.rs
@@ -1,6 +1,7 @@
-//! That nothing below the floor takes effect at a node that has it: every state of a small fleet that messages late,
-//! lost and doubled, keepers asked in any part, and nodes and dispatchers that start anew can lead to. And that the
-//! search is able to find a protocol that lets something through, by mistakes planted in it.
+//! That nothing below the floor takes effect at a node that has it: every state of a small fleet
+//! that messages late, lost and doubled, keepers asked in any part, and nodes and dispatchers that
+//! start anew can lead to. And that the search is able to find a protocol that lets something
+//! through, by mistakes planted in it.
 
 mod states;
 
@@ -14,9 +15,21 @@
 
 /// Two operators who ask at once, and a later one who lowers the floor again.
 const WISHES: [Floor; 3] = [
-    Floor { number: 1, asker: 1, lowest: NEW },
-    Floor { number: 1, asker: 2, lowest: OLD },
-    Floor { number: 2, asker: 1, lowest: OLD },
+    Floor {
+        number: 1,
+        asker: 1,
+        lowest: NEW,
+    },
+    Floor {
+        number: 1,
+        asker: 2,
+        lowest: OLD,
+    },
+    Floor {
+        number: 2,
+        asker: 1,
+        lowest: OLD,
+    },
 ];
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -69,7 +82,10 @@
 }
 
 fn index(floor: Floor) -> usize {
-    WISHES.iter().position(|wish| *wish == floor).expect("one of ours")
+    WISHES
+        .iter()
+        .position(|wish| *wish == floor)
+        .expect("one of ours")
 }
 
 fn stands(keeper: &Keeper<Floor>) -> Option<Floor> {
@@ -78,7 +94,10 @@
 
 /// What a part of the keepers tells, each by its bit.
 fn told(keepers: &[Keeper<Floor>], part: usize) -> Vec<Option<Floor>> {
-    let answer = keepers.iter().enumerate().filter(|(keeper, _)| part >> keeper & 1 == 1);
+    let answer = keepers
+        .iter()
+        .enumerate()
+        .filter(|(keeper, _)| part >> keeper & 1 == 1);
     answer.map(|(_, keeper)| stands(keeper)).collect()
 }
 
@@ -111,7 +130,11 @@
             world.pending = Some(told);
         }
     }
-    let judged = if mistake == Mistake::BySender { world.running[shot.from] } else { shot.version };
+    let judged = if mistake == Mistake::BySender {
+        world.running[shot.from]
+    } else {
+        shot.version
+    };
     match world.fence.look(judged) {
         Look::Passes => {
             let below = |by: usize| shot.version < WISHES[by].lowest;
@@ -128,7 +151,10 @@
         }
         Look::Below(floor) => {
             let by = index(floor);
-            if world.turned_by.is_none_or(|known| WISHES[known].number <= floor.number) {
+            if world
+                .turned_by
+                .is_none_or(|known| WISHES[known].number <= floor.number)
+            {
                 world.turned_by = Some(by);
             }
             world.standing[shot.from].node_tells(floor);
@@ -143,7 +169,11 @@
         let mut next = world.clone();
         change(&mut next);
         for (wish, ever) in next.ever.iter_mut().enumerate() {
-            let holds = next.keepers.iter().filter(|keeper| stands(keeper) == Some(WISHES[wish])).count();
+            let holds = next
+                .keepers
+                .iter()
+                .filter(|keeper| stands(keeper) == Some(WISHES[wish]))
+                .count();
             *ever |= corkspan_keeper::majority(holds, KEEPERS);
         }
         all.push(next);
@@ -160,14 +190,25 @@
         for part in 1..1 << KEEPERS {
             step(&|next| {
                 let told = told(&next.keepers, part);
-                let keepers = if mistake == Mistake::NoMajority { 1 } else { KEEPERS };
+                let keepers = if mistake == Mistake::NoMajority {
+                    1
+                } else {
+                    KEEPERS
+                };
                 next.standing[dispatcher].keepers_tell(&told, keepers);
             });
         }
-        if world.standing[dispatcher].shut_out(world.running[dispatcher]).is_none() {
+        if world.standing[dispatcher]
+            .shut_out(world.running[dispatcher])
+            .is_none()
+        {
             step(&|next| {
                 let tells = next.standing[dispatcher].floor().map(index);
-                let shot = Shot { from: dispatcher, version: next.running[dispatcher], tells };
+                let shot = Shot {
+                    from: dispatcher,
+                    version: next.running[dispatcher],
+                    tells,
+                };
                 if !next.shots.contains(&shot) {
                     next.shots.push(shot);
                     next.shots.sort();
@@ -183,7 +224,8 @@
     }
     if let Some(pending) = world.pending {
         step(&|next| {
-            // A later one may have come meanwhile by way of the keepers: an older one must not take its place on disk.
+            // A later one may have come meanwhile by way of the keepers: an older one must not take
+            // its place on disk.
             if next.fence.wants(WISHES[pending]) {
                 next.disk = Some(pending);
                 next.fence.keep(WISHES[pending]);
@@ -192,14 +234,21 @@
         });
     }
     step(&|next| {
-        let kept = next.disk.filter(|_| mistake != Mistake::NodeForgets).map(|wish| WISHES[wish]);
+        let kept = next
+            .disk
+            .filter(|_| mistake != Mistake::NodeForgets)
+            .map(|wish| WISHES[wish]);
         let lost = next.lost && mistake != Mistake::EmptyIsWhole;
         next.fence = Fence::start(if lost { Disk::Lost } else { Disk::Whole(kept) });
         next.pending = None;
     });
     if world.losses == 0 {
         step(&|next| {
-            let lost = if mistake == Mistake::LostDiskLetsIn { Disk::Whole(None) } else { Disk::Lost };
+            let lost = if mistake == Mistake::LostDiskLetsIn {
+                Disk::Whole(None)
+            } else {
+                Disk::Lost
+            };
             next.fence = Fence::start(lost);
             (next.disk, next.pending, next.losses, next.lost) = (None, None, 1, true);
         });
@@ -208,7 +257,11 @@
         for part in 1..1 << KEEPERS {
             step(&|next| {
                 let told = told(&next.keepers, part);
-                let highest = told.iter().flatten().max_by_key(|floor| floor.number).copied();
+                let highest = told
+                    .iter()
+                    .flatten()
+                    .max_by_key(|floor| floor.number)
+                    .copied();
                 if let Some(highest) = highest.filter(|_| mistake == Mistake::TakesTheHighest) {
                     next.fence = Fence::start(Disk::Whole(Some(highest)));
                     (next.disk, next.lost) = (Some(index(highest)), false);
@@ -222,7 +275,12 @@
 }
 
 fn search(mistake: Mistake, depth: usize) -> (Option<&'static str>, usize) {
-    states::search(start(), depth, |world| follow(world, mistake), |world| world.breach)
+    states::search(
+        start(),
+        depth,
+        |world| follow(world, mistake),
+        |world| world.breach,
+    )
 }
 
 #[test]
--- a/crates/host/src/lib.rs
+++ b/crates/host/src/lib.rs
@@ -1,6 +1,6 @@
-//! What every caller of the decisions keeps and nothing else: the allocations in hand, their shots, the "not
-//! yet" queue and the one timer. No I/O, no clock of its own, and no decision: those are asked of
-//! [`corkspan::rules::Scheduler`], whose answers go straight to the caller's [`Wire`].
+//! What every caller of the decisions keeps and nothing else: the allocations in hand, their shots,
+//! the "not yet" queue and the one timer. No I/O, no clock of its own, and no decision: those are
+//! asked of [`corkspan::rules::Scheduler`], whose answers go straight to the caller's [`Wire`].
 
 use corkspan::interface::*;
 use corkspan::rules::Scheduler;
@@ -8,9 +8,11 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::hash::Hasher;
 
-/// What the caller does with the answers of the decisions. `T` is what it keeps with each allocation.
+/// What the caller does with the answers of the decisions. `T` is what it keeps with each
+/// allocation.
 pub trait Wire<T> {
-    /// Offers the allocation to a machine, as the shot of this number, and waits `time_out` for its answer.
+    /// Offers the allocation to a machine, as the shot of this number, and waits `time_out` for its
+    /// answer.
     fn send(&mut self, held: &mut T, allocation: &Allocation, machine: MachineId, time_out: Tenths);
     /// The final answer that another try is harmless.
     fn shed(&mut self, held: &mut T, allocation: &Allocation);
@@ -18,7 +20,8 @@
     fn scrap(&mut self, held: &mut T, allocation: &Allocation);
     /// Stops a placed allocation so that its owner asks for it anew.
     fn relocate(&mut self, held: &mut T, allocation: &Allocation);
-    /// A placed allocation is lost with its machine. Only where the caller doesn't learn that by itself.
+    /// A placed allocation is lost with its machine. Only where the caller doesn't learn that by
+    /// itself.
     fn lost(&mut self, _held: &mut T, _allocation: &Allocation) {}
     fn probe(&mut self, machine: MachineId);
     fn watch_list(&mut self);
@@ -26,8 +29,8 @@
     fn wake(&mut self, after: Tenths);
 }
 
-/// The id of a service. No instance sees all services, so it comes from the name and not from the order of
-/// asks, and is the same everywhere.
+/// The id of a service. No instance sees all services, so it comes from the name and not from the
+/// order of asks, and is the same everywhere.
 pub fn service(name: &str) -> ServiceId {
     let mut hasher = FnvHasher::default();
     hasher.write(name.as_bytes());
@@ -75,9 +78,9 @@
     pub placed: usize,
 }
 
-/// How many that were answered "not yet" are asked for again in one go, and the time between two goes. Thousands
-/// at once would keep a caller with sockets from reading them: then nothing is heard of the links whose word is
-/// waited for, and all are asked for again in vain.
+/// How many that were answered "not yet" are asked for again in one go, and the time between two
+/// goes. Thousands at once would keep a caller with sockets from reading them: then nothing is
+/// heard of the links whose word is waited for, and all are asked for again in vain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Slice {
     pub most: usize,
@@ -86,13 +89,17 @@
 
 impl Slice {
     /// All at once, for a caller that has nothing else to do meanwhile.
-    pub const ALL: Slice = Slice { most: usize::MAX, apart: 0 };
+    pub const ALL: Slice = Slice {
+        most: usize::MAX,
+        apart: 0,
+    };
     /// None by itself: the caller asks with [`Host::turn`] as it finds time, between what it hears.
     pub const BY_TURNS: Slice = Slice { most: 0, apart: 0 };
 }
 
-/// Those that wait for a turn, [`Slice::BY_TURNS`]. To ask for one costs some hundred times what it costs to hear a
-/// word; where words wait behind asks, an overloaded caller hears of ends too late to pass them on in time.
+/// Those that wait for a turn, [`Slice::BY_TURNS`]. To ask for one costs some hundred times what it
+/// costs to hear a word; where words wait behind asks, an overloaded caller hears of ends too late
+/// to pass them on in time.
 #[derive(Default)]
 struct Turns {
     /// New ones and those whose shot has come back, with their abandon times.
@@ -144,7 +151,8 @@
 }
 
 impl<T> Host<T> {
-    /// `most` allocations are in hand at a time at the most; usize::MAX where the caller is bounded otherwise.
+    /// `most` allocations are in hand at a time at the most; usize::MAX where the caller is bounded
+    /// otherwise.
     pub fn new(cluster: Cluster, seed: u64, now: Tenths, most: usize, slice: Slice) -> Self {
         Host {
             scheduler: Scheduler::new(cluster, seed, now),
@@ -162,7 +170,8 @@
         }
     }
 
-    /// Other figures are in force from here on. Ids of tracks and accounts in hand must mean what they meant.
+    /// Other figures are in force from here on. Ids of tracks and accounts in hand must mean what
+    /// they meant.
     pub fn adopt(&mut self, now: Tenths, cluster: Cluster, most: usize) {
         self.scheduler.adopt(now, cluster);
         self.most = most;
@@ -171,7 +180,9 @@
     /// How many in hand are of each track; none where there is no such track among them.
     pub fn by_track(&self) -> BTreeMap<TrackId, usize> {
         let mut counts = BTreeMap::new();
-        self.held.values().for_each(|held| *counts.entry(held.allocation.track).or_default() += 1);
+        self.held
+            .values()
+            .for_each(|held| *counts.entry(held.allocation.track).or_default() += 1);
         counts
     }
 
@@ -191,17 +202,40 @@
         }
         let id = AllocationId(self.taken);
         self.taken += 1;
-        let Asked { service, track, account, asks, abandon } = asked;
-        let allocation =
-            Allocation { id, service, track, account, asks, taken: now, abandon, shots: Vec::new() };
+        let Asked {
+            service,
+            track,
+            account,
+            asks,
+            abandon,
+        } = asked;
+        let allocation = Allocation {
+            id,
+            service,
+            track,
+            account,
+            asks,
+            taken: now,
+            abandon,
+            shots: Vec::new(),
+        };
         self.by_name.insert(name.into(), id);
         let (name, pending, placed, over, asked) = (name.into(), 0, false, false, false);
-        let held = Held { name, own, allocation, pending, placed, over, asked };
+        let held = Held {
+            name,
+            own,
+            allocation,
+            pending,
+            placed,
+            over,
+            asked,
+        };
         self.held.insert(id, held);
         Ok(id)
     }
 
-    /// Takes one into hand that already runs on a machine. No final answer is owed, only its return.
+    /// Takes one into hand that already runs on a machine. No final answer is owed, only its
+    /// return.
     pub fn take_running(
         &mut self,
         now: Tenths,
@@ -213,7 +247,11 @@
         let id = self.take(now, name, asked, own)?;
         if let Some(held) = self.held.get_mut(&id) {
             // The attempt that started it counts as made, though not by us.
-            held.allocation.shots.push(Shot { machine, sent: now, fate: Fate::MayHaveRun });
+            held.allocation.shots.push(Shot {
+                machine,
+                sent: now,
+                fate: Fate::MayHaveRun,
+            });
             (held.pending, held.placed) = (1, true);
             self.scheduler.taken_over(now, &held.allocation, machine);
         }
@@ -225,7 +263,9 @@
         if self.slice != Slice::BY_TURNS {
             return self.ask(now, id, wire);
         }
-        let Some(held) = self.held.get(&id) else { return };
+        let Some(held) = self.held.get(&id) else {
+            return;
+        };
         let waits = (held.allocation.abandon, id);
         self.turns.first.push_back(waits);
         self.turns.ends.insert(waits);
@@ -254,7 +294,9 @@
 
     /// Asked of the decisions for one in hand, and again for one that they answered "not yet".
     pub fn ask(&mut self, now: Tenths, id: AllocationId, wire: &mut impl Wire<T>) {
-        let Some(held) = self.held.get_mut(&id).filter(|held| !held.over) else { return };
+        let Some(held) = self.held.get_mut(&id).filter(|held| !held.over) else {
+            return;
+        };
         if !std::mem::replace(&mut held.asked, true) {
             // What the decisions learn of it they learn once, when it first comes before them.
             held.allocation.taken = now;
@@ -262,7 +304,11 @@
         match self.scheduler.place(now, &held.allocation) {
             Placement::Send { machine, time_out } => {
                 wire.send(&mut held.own, &held.allocation, machine, time_out);
-                held.allocation.shots.push(Shot { machine, sent: now, fate: Fate::Pending });
+                held.allocation.shots.push(Shot {
+                    machine,
+                    sent: now,
+                    fate: Fate::Pending,
+                });
                 held.pending += 1;
             }
             Placement::NotYet => {
@@ -274,16 +320,30 @@
         }
     }
 
-    /// Its last shot has left only now, later than it was sent on its way: a connection had to come up first.
+    /// Its last shot has left only now, later than it was sent on its way: a connection had to come
+    /// up first.
     pub fn left(&mut self, now: Tenths, id: AllocationId) {
-        if let Some(shot) = self.held.get(&id).and_then(|held| held.allocation.shots.last()) {
+        if let Some(shot) = self
+            .held
+            .get(&id)
+            .and_then(|held| held.allocation.shots.last())
+        {
             self.scheduler.left(now, shot.machine, shot.sent);
         }
     }
 
-    /// A shot is placed. False where the answer is of no use: the allocation is over, or has been answered.
-    pub fn placed(&mut self, now: Tenths, id: AllocationId, shot: usize, wire: &mut impl Wire<T>) -> bool {
-        let Some(held) = self.held.get_mut(&id) else { return false };
+    /// A shot is placed. False where the answer is of no use: the allocation is over, or has been
+    /// answered.
+    pub fn placed(
+        &mut self,
+        now: Tenths,
+        id: AllocationId,
+        shot: usize,
+        wire: &mut impl Wire<T>,
+    ) -> bool {
+        let Some(held) = self.held.get_mut(&id) else {
+            return false;
+        };
         let first = !held.over && !held.placed;
         held.placed = true;
         self.outcome(now, id, shot, Outcome::Placed, wire);
@@ -303,15 +363,30 @@
         report: Option<Report>,
         wire: &mut impl Wire<T>,
     ) -> bool {
-        let Some(held) = self.held.get_mut(&id) else { return true };
-        let Some(made) = held.allocation.shots.get_mut(shot) else { return false };
+        let Some(held) = self.held.get_mut(&id) else {
+            return true;
+        };
+        let Some(made) = held.allocation.shots.get_mut(shot) else {
+            return false;
+        };
         made.fate = match ending {
             Ending::Refused | Ending::Unconnected | Ending::NotSent => Fate::NeverRan,
             _ => Fate::MayHaveRun,
         };
         held.pending = held.pending.saturating_sub(1);
         let over = over || held.over;
-        self.outcome(now, id, shot, Outcome::Returned { ending, reason, over, report }, wire);
+        self.outcome(
+            now,
+            id,
+            shot,
+            Outcome::Returned {
+                ending,
+                reason,
+                over,
+                report,
+            },
+            wire,
+        );
         if over {
             self.finish(id);
         }
@@ -322,7 +397,13 @@
         self.scheduler.noted(now, id, note);
     }
 
-    pub fn probed(&mut self, now: Tenths, machine: MachineId, ending: Ending, report: Option<Report>) {
+    pub fn probed(
+        &mut self,
+        now: Tenths,
+        machine: MachineId,
+        ending: Ending,
+        report: Option<Report>,
+    ) {
         self.scheduler.probed(now, machine, ending, report);
     }
 
@@ -360,7 +441,8 @@
                 }
             }
             if let Some(upto) = wait.ends {
-                while let Some(&(_, id)) = self.not_yet_ends.first().filter(|(end, _)| *end <= upto) {
+                while let Some(&(_, id)) = self.not_yet_ends.first().filter(|(end, _)| *end <= upto)
+                {
                     self.not_yet_ends.pop_first();
                     self.ask(now, id, wire);
                 }
@@ -375,7 +457,12 @@
             }
             if wait.ask_again && self.slice == Slice::BY_TURNS {
                 for id in self.not_yet.drain(..) {
-                    let waits = (self.held.get(&id).map_or(now, |held| held.allocation.abandon), id);
+                    let waits = (
+                        self.held
+                            .get(&id)
+                            .map_or(now, |held| held.allocation.abandon),
+                        id,
+                    );
                     self.turns.again.push_back(waits);
                     self.turns.ends.insert(waits);
                 }
@@ -409,7 +496,9 @@
 
     /// The owner wants it no longer: no answer is owed from here on, nothing more is sent.
     pub fn finish(&mut self, id: AllocationId) {
-        let Some(held) = self.held.get_mut(&id) else { return };
+        let Some(held) = self.held.get_mut(&id) else {
+            return;
+        };
         held.over = true;
         self.not_yet_ends.remove(&(held.allocation.abandon, id));
         if held.pending == 0
@@ -419,10 +508,15 @@
         }
     }
 
-    /// The caller stops: each one that is owed an answer gets one as soon as its shot out, if any, has returned.
+    /// The caller stops: each one that is owed an answer gets one as soon as its shot out, if any,
+    /// has returned.
     pub fn stop(&mut self, now: Tenths, wire: &mut impl Wire<T>) {
         let mut waits = Vec::new();
-        for (&id, held) in self.held.iter_mut().filter(|(_, held)| !held.over && !held.placed) {
+        for (&id, held) in self
+            .held
+            .iter_mut()
+            .filter(|(_, held)| !held.over && !held.placed)
+        {
             held.allocation.abandon = held.allocation.abandon.min(now);
             if held.pending == 0 {
                 waits.push(id);
@@ -437,8 +531,12 @@
 
     /// Those that are owed an answer while a shot of theirs is out, with the number of that shot.
     pub fn unanswered(&self) -> Vec<(AllocationId, usize)> {
-        let owed = self.held.iter().filter(|(_, held)| !held.over && !held.placed && held.pending > 0);
-        owed.map(|(&id, held)| (id, held.allocation.shots.len() - 1)).collect()
+        let owed = self
+            .held
+            .iter()
+            .filter(|(_, held)| !held.over && !held.placed && held.pending > 0);
+        owed.map(|(&id, held)| (id, held.allocation.shots.len() - 1))
+            .collect()
     }
 
     pub fn find(&self, name: &str) -> Option<AllocationId> {
@@ -450,8 +548,12 @@
         if !self.held.contains_key(&one) {
             return;
         }
-        let Some(name) = self.held.get(&other).map(|held| held.name.clone()) else { return };
-        let Some(held) = self.held.get_mut(&one) else { return };
+        let Some(name) = self.held.get(&other).map(|held| held.name.clone()) else {
+            return;
+        };
+        let Some(held) = self.held.get_mut(&one) else {
+            return;
+        };
         let former = std::mem::replace(&mut held.name, name.clone());
         self.by_name.insert(name, one);
         self.by_name.insert(former.clone(), other);
@@ -462,21 +564,29 @@
 
     /// What the caller keeps with one in hand, and the allocation.
     pub fn own(&mut self, id: AllocationId) -> Option<(&mut T, &Allocation)> {
-        self.held.get_mut(&id).map(|held| (&mut held.own, &held.allocation))
+        self.held
+            .get_mut(&id)
+            .map(|held| (&mut held.own, &held.allocation))
     }
 
     pub fn all(&mut self) -> impl Iterator<Item = (AllocationId, &mut T, bool)> {
-        self.held.iter_mut().map(|(&id, held)| (id, &mut held.own, held.placed && !held.over))
+        self.held
+            .iter_mut()
+            .map(|(&id, held)| (id, &mut held.own, held.placed && !held.over))
     }
 
     /// How much is kept in all: in hand, by name, waiting, and in the decisions.
     pub fn kept(&self) -> usize {
-        let waiting = self.not_yet.len() + self.again.len() + self.turns.len() + self.turns.ends.len();
+        let waiting =
+            self.not_yet.len() + self.again.len() + self.turns.len() + self.turns.ends.len();
         self.held.len() + self.by_name.len() + waiting + self.scheduler.kept().iter().sum::<usize>()
     }
 
     pub fn counts(&self) -> Counts {
-        let mut counts = Counts { in_hand: self.held.len(), ..Counts::default() };
+        let mut counts = Counts {
+            in_hand: self.held.len(),
+            ..Counts::default()
+        };
         for held in self.held.values() {
             counts.placed += usize::from(held.placed && !held.over);
             counts.shots_out += usize::from(held.pending > 0 && !held.placed);
@@ -493,7 +603,9 @@
         outcome: Outcome,
         wire: &mut impl Wire<T>,
     ) {
-        let Some(held) = self.held.get(&id) else { return };
+        let Some(held) = self.held.get(&id) else {
+            return;
+        };
         match self.scheduler.after(now, &held.allocation, shot, outcome) {
             After::Rest => {}
             After::PlaceAgain => self.place(now, id, wire),
--- a/crates/host/tests/stories.rs
+++ b/crates/host/tests/stories.rs
@@ -9,8 +9,18 @@
 struct Noted(Vec<String>);
 
 impl Wire<&'static str> for Noted {
-    fn send(&mut self, own: &mut &'static str, allocation: &Allocation, machine: MachineId, _: Tenths) {
-        self.0.push(format!("{own}: shot {} to {}", allocation.shots.len(), machine.0));
+    fn send(
+        &mut self,
+        own: &mut &'static str,
+        allocation: &Allocation,
+        machine: MachineId,
+        _: Tenths,
+    ) {
+        self.0.push(format!(
+            "{own}: shot {} to {}",
+            allocation.shots.len(),
+            machine.0
+        ));
     }
     fn shed(&mut self, own: &mut &'static str, _: &Allocation) {
         self.0.push(format!("{own}: shed"));
@@ -47,8 +57,18 @@
 }
 
 fn sliced(repeat: Repeat, machines: u32, most: usize, slice: Slice) -> Host<&'static str> {
-    let size = Amount { cores: 40.0, memory: 100.0 };
-    let track = Track { repeat, contract_time: SECOND, calm: 1.0, priority: 0, kind: None, spread: None };
+    let size = Amount {
+        cores: 40.0,
+        memory: 100.0,
+    };
+    let track = Track {
+        repeat,
+        contract_time: SECOND,
+        calm: 1.0,
+        priority: 0,
+        kind: None,
+        spread: None,
+    };
     let cluster = Cluster {
         hall: HallId(0),
         number: 0,
@@ -56,20 +76,30 @@
         kinds: vec![size],
         tracks: vec![track],
         accounts: Vec::new(),
-        accepts: Amount { cores: 2.0, memory: 1.5 },
+        accepts: Amount {
+            cores: 2.0,
+            memory: 1.5,
+        },
         makes_room: false,
         shots: 3,
         placed_runs: false,
         shows_room: false,
         may_probe: false,
         ask_list: Some(10 * SECOND),
-        cold: Cold { lasts: SECOND, window: SECOND, offers: 5.0 },
+        cold: Cold {
+            lasts: SECOND,
+            window: SECOND,
+            offers: 5.0,
+        },
         opens_within: 0,
         other_hall_price: 0.0,
         tells_loss: true,
     };
     let mut host = Host::new(cluster, 1, 0, most, slice);
-    host.listed(Scope::Remembered, &(0..machines).map(entry).collect::<Vec<_>>());
+    host.listed(
+        Scope::Remembered,
+        &(0..machines).map(entry).collect::<Vec<_>>(),
+    );
     host
 }
 
@@ -86,12 +116,36 @@
 }
 
 fn asked(abandon: Tenths) -> Asked {
-    let asks = Amount { cores: 1.0, memory: 1.0 };
-    Asked { service: service("s"), track: TrackId(0), account: AccountId(0), asks, abandon }
+    let asks = Amount {
+        cores: 1.0,
+        memory: 1.0,
+    };
+    Asked {
+        service: service("s"),
+        track: TrackId(0),
+        account: AccountId(0),
+        asks,
+        abandon,
+    }
 }
 
-fn refused(host: &mut Host<&'static str>, now: Tenths, id: AllocationId, shot: usize, wire: &mut Noted) {
-    host.returned(now, id, shot, Ending::Refused, Some(Reason::NoCores), false, None, wire);
+fn refused(
+    host: &mut Host<&'static str>,
+    now: Tenths,
+    id: AllocationId,
+    shot: usize,
+    wire: &mut Noted,
+) {
+    host.returned(
+        now,
+        id,
+        shot,
+        Ending::Refused,
+        Some(Reason::NoCores),
+        false,
+        None,
+        wire,
+    );
 }
 
 #[test]
@@ -106,7 +160,10 @@
 fn beyond_the_most_in_hand_none_is_taken_until_one_is_over() {
     let mut host = host(Repeat::Idempotent, 0, 1);
     let id = host.take(0, "a", asked(SECOND), "a").expect("room");
-    assert_eq!(host.take(0, "b", asked(SECOND), "b").err(), Some((NotTaken::Full, "b")));
+    assert_eq!(
+        host.take(0, "b", asked(SECOND), "b").err(),
+        Some((NotTaken::Full, "b"))
+    );
     host.finish(id);
     assert!(host.take(0, "b", asked(SECOND), "b").is_ok());
 }
@@ -145,8 +202,14 @@
             slices.push((now, sent));
         }
     }
-    assert_eq!(slices.iter().map(|(_, sent)| sent).collect::<Vec<_>>(), [&2, &2, &1]);
-    assert!(slices.windows(2).all(|two| two[1].0 >= two[0].0 + 20), "with time between: {slices:?}");
+    assert_eq!(
+        slices.iter().map(|(_, sent)| sent).collect::<Vec<_>>(),
+        [&2, &2, &1]
+    );
+    assert!(
+        slices.windows(2).all(|two| two[1].0 >= two[0].0 + 20),
+        "with time between: {slices:?}"
+    );
 }
 
 #[test]
@@ -155,7 +218,10 @@
     let old = host.take(0, "task", asked(SECOND), "old").expect("room");
     let new = host.take(0, "beside", asked(SECOND), "new").expect("room");
     host.swap_names(old, new);
-    assert_eq!((host.find("task"), host.find("beside")), (Some(new), Some(old)));
+    assert_eq!(
+        (host.find("task"), host.find("beside")),
+        (Some(new), Some(old))
+    );
     host.finish(old);
     assert_eq!((host.find("task"), host.find("beside")), (Some(new), None));
 }
@@ -166,9 +232,16 @@
     let id = host.take(0, "a", asked(SECOND), "a").expect("room");
     host.place(0, id, &mut wire);
     host.finish(id);
-    assert_eq!(host.take(1, "a", asked(SECOND), "again").err(), Some((NotTaken::SameName, "again")));
+    assert_eq!(
+        host.take(1, "a", asked(SECOND), "again").err(),
+        Some((NotTaken::SameName, "again"))
+    );
     refused(&mut host, 2, id, 0, &mut wire);
-    assert_eq!(wire.said(), "a: shot 0 to 0", "nothing is sent for one that is over");
+    assert_eq!(
+        wire.said(),
+        "a: shot 0 to 0",
+        "nothing is sent for one that is over"
+    );
     assert!(host.take(3, "a", asked(SECOND), "again").is_ok());
 }
 
@@ -203,24 +276,41 @@
     let out = host.take(0, "out", asked(9 * SECOND), "out").expect("room");
     host.place(0, out, &mut wire);
     host.listed(Scope::Whole, &[]);
-    let waits = host.take(0, "waits", asked(9 * SECOND), "waits").expect("room");
+    let waits = host
+        .take(0, "waits", asked(9 * SECOND), "waits")
+        .expect("room");
     host.place(0, waits, &mut wire);
     wire.said();
     host.stop(10, &mut wire);
     assert_eq!(wire.said(), "waits: shed");
     assert_eq!(host.unanswered(), [(out, 0)]);
     host.returned(20, out, 0, Ending::TimedOut, None, false, None, &mut wire);
-    assert_eq!(wire.said(), "out: scrapped", "a shot that may have run promises nothing");
+    assert_eq!(
+        wire.said(),
+        "out: scrapped",
+        "a shot that may have run promises nothing"
+    );
     assert_eq!(host.counts().in_hand, 0);
 }
 
 #[test]
 fn one_taken_over_owes_no_answer_and_goes_with_its_return() {
     let (mut host, mut wire) = (host(Repeat::Unrepeatable, 1, 10), Noted::default());
-    let id = host.take_running(0, "a", asked(0), MachineId(0), "a").expect("room");
+    let id = host
+        .take_running(0, "a", asked(0), MachineId(0), "a")
+        .expect("room");
     host.rest(100, &mut wire);
     assert!(host.unanswered().is_empty());
-    host.returned(200, id, 0, Ending::Reset, Some(Reason::Evicted), true, None, &mut wire);
+    host.returned(
+        200,
+        id,
+        0,
+        Ending::Reset,
+        Some(Reason::Evicted),
+        true,
+        None,
+        &mut wire,
+    );
     assert!(!wire.said().contains("a:"), "no answer and no further shot");
     assert_eq!(host.counts().in_hand, 0);
 }
@@ -236,7 +326,9 @@
     let mut host = sliced(Repeat::Idempotent, machines, 10_000, Slice::BY_TURNS);
     let mut wire = Noted::default();
     for number in 0..many {
-        let id = host.take(0, &number.to_string(), asked(SECOND), "a").expect("room");
+        let id = host
+            .take(0, &number.to_string(), asked(SECOND), "a")
+            .expect("room");
         host.place(0, id, &mut wire);
     }
     (host, wire)
@@ -249,7 +341,11 @@
     assert!(!wire.said().contains("shot"), "none by itself");
     for more in [true, true, true, false] {
         assert_eq!(turn(&mut host, 2, &mut wire), more);
-        assert_eq!(wire.said().matches("shot").count(), usize::from(more), "one a turn");
+        assert_eq!(
+            wire.said().matches("shot").count(),
+            usize::from(more),
+            "one a turn"
+        );
     }
 }
 
@@ -262,7 +358,11 @@
     host.rest(SECOND, &mut wire);
     assert_eq!(wire.said().matches("a: shed").count(), 500);
     while turn(&mut host, SECOND, &mut wire) {}
-    assert_eq!((wire.said(), host.counts()), (String::new(), Default::default()), "once each");
+    assert_eq!(
+        (wire.said(), host.counts()),
+        (String::new(), Default::default()),
+        "once each"
+    );
 }
 
 #[test]
@@ -272,40 +372,69 @@
     host.rest(SECOND / 20 + 1, &mut wire);
     host.listed(Scope::Whole, &[entry(7)]);
     for number in 0..100 {
-        let id = host.take(600, &format!("new {number}"), asked(SECOND), "new").expect("room");
+        let id = host
+            .take(600, &format!("new {number}"), asked(SECOND), "new")
+            .expect("room");
         host.place(600, id, &mut wire);
     }
     wire.said();
     (0..20).for_each(|_| assert!(turn(&mut host, 600, &mut wire)));
     let said = wire.said();
-    assert_eq!((said.matches("a: shot").count(), said.matches("new: shot").count()), (10, 10), "{said}");
+    assert_eq!(
+        (
+            said.matches("a: shot").count(),
+            said.matches("new: shot").count()
+        ),
+        (10, 10),
+        "{said}"
+    );
 }
 
 #[test]
 fn asks_that_their_owners_give_up_before_their_turn_do_not_pile_up() {
     let (mut host, mut wire) = by_turns(1, 0);
     for number in 0..10_000 {
-        let id = host.take(0, &number.to_string(), asked(SECOND), "a").expect("room");
+        let id = host
+            .take(0, &number.to_string(), asked(SECOND), "a")
+            .expect("room");
         host.place(0, id, &mut wire);
         host.finish(id);
     }
     assert!(host.kept() < 200, "{} kept", host.kept());
 }
 
-/// All wait as a zone goes, and all at once there is room. What is asked meanwhile goes with the views, not with time.
+/// All wait as a zone goes, and all at once there is room. What is asked meanwhile goes with the
+/// views, not with time.
 #[test]
 fn a_thousand_that_wait_are_left_alone_until_there_is_room_and_then_all_are_asked_for_at_once() {
     let mut host = sliced(Repeat::Idempotent, 100, 10_000, Slice::BY_TURNS);
     let report = |host: &mut Host<&'static str>, now, cores| {
-        let report = Some(Report { unused: Amount { cores, memory: 2.0 * cores } });
+        let report = Some(Report {
+            unused: Amount {
+                cores,
+                memory: 2.0 * cores,
+            },
+        });
         (0..100).for_each(|id| host.probed(now, MachineId(id), Ending::Ended, report));
     };
     report(&mut host, 0, 0.0);
     let mut wire = Noted::default();
     for number in 0..1_000 {
-        let asks = Amount { cores: 0.5 + f64::from(number % 7) / 10.0, memory: 1.0 };
+        let asks = Amount {
+            cores: 0.5 + f64::from(number % 7) / 10.0,
+            memory: 1.0,
+        };
         let service = service(&(number % 50).to_string());
-        let id = host.take(0, &number.to_string(), Asked { service, asks, ..asked(SECOND * 60) }, "a");
+        let id = host.take(
+            0,
+            &number.to_string(),
+            Asked {
+                service,
+                asks,
+                ..asked(SECOND * 60)
+            },
+            "a",
+        );
         host.place(0, id.expect("room"), &mut wire);
     }
     let turns = |host: &mut Host<&'static str>, now, wire: &mut Noted| {
@@ -313,7 +442,9 @@
         host.rest(now, wire);
         std::iter::from_fn(|| turn(host, now, wire).then_some(())).count()
     };
-    let asked: usize = (1..=100).map(|step| turns(&mut host, step * SECOND / 100, &mut wire)).sum();
+    let asked: usize = (1..=100)
+        .map(|step| turns(&mut host, step * SECOND / 100, &mut wire))
+        .sum();
     assert!(
         (2_000..=6_000).contains(&asked),
         "a thousand with each view in a second, and once at first: {asked}"
--- a/crates/lab/examples/asks.rs
+++ b/crates/lab/examples/asks.rs
@@ -1,11 +1,16 @@
-//! Prints what asks cost the decisions alone: one of them, and a second of many that wait. Virtual clock, real
-//! processor time of one thread. `--quick`: fewer virtual seconds.
+//! Prints what asks cost the decisions alone: one of them, and a second of many that wait. Virtual
+//! clock, real processor time of one thread. `--quick`: fewer virtual seconds.
 
 use corkspan_lab::capacity::asks::{Changes, Likes, Point, Waiting, one_ask};
 
 fn print(place: &str, point: Option<Point>) {
     match point {
-        Some(Point { figure, x, value, unit }) => {
+        Some(Point {
+            figure,
+            x,
+            value,
+            unit,
+        }) => {
             println!("| {figure} | {place} | {x} | {value:.3} {unit} |")
         }
         None => println!("| spoilt | {place} | - | - |"),
@@ -24,7 +29,11 @@
         for likes in [Likes::Few, Likes::None] {
             for waiting in [100, 300, 1_000, 3_000, 4_300] {
                 // Where all are looked at whole, seconds of thousands take minutes.
-                let seconds = if waiting > 300 { seconds.min(2) } else { seconds };
+                let seconds = if waiting > 300 {
+                    seconds.min(2)
+                } else {
+                    seconds
+                };
                 let changes = match waiting {
                     300 => vec![
                         Changes::Nothing,
@@ -37,11 +46,19 @@
                     _ => vec![Changes::Nothing],
                 };
                 for changes in changes {
-                    let place =
-                        format!("1,300 machines, likes: {likes:?}, by turns: {by_turns}, {changes:?}");
+                    let place = format!(
+                        "1,300 machines, likes: {likes:?}, by turns: {by_turns}, {changes:?}"
+                    );
                     print(
                         &place,
-                        Waiting { machines: 1_300, waiting, likes, changes, by_turns }.share_of_core(seconds),
+                        Waiting {
+                            machines: 1_300,
+                            waiting,
+                            likes,
+                            changes,
+                            by_turns,
+                        }
+                        .share_of_core(seconds),
                     );
                 }
             }
--- a/crates/lab/src/capacity/asks.rs
+++ b/crates/lab/src/capacity/asks.rs
@@ -1,15 +1,24 @@
-//! What the decisions alone cost where allocations wait for room: one ask, and a second of so many that wait. The clock
-//! is virtual, the processor time that of the thread.
+//! What the decisions alone cost where allocations wait for room: one ask, and a second of so many
+//! that wait. The clock is virtual, the processor time that of the thread.
 
 use corkspan::interface::*;
 use corkspan::rules::Scheduler;
 use corkspan_host::{Asked, Host, Slice, Wire};
 
 const SECOND: Tenths = 10_000;
-const SIZE: Amount = Amount { cores: 64.0, memory: 256.0 };
+const SIZE: Amount = Amount {
+    cores: 64.0,
+    memory: 256.0,
+};
 /// What each machine reports as unused where none has room.
-const CRAMPED: Amount = Amount { cores: 1.0, memory: 4.0 };
-const ROOMY: Amount = Amount { cores: 40.0, memory: 160.0 };
+const CRAMPED: Amount = Amount {
+    cores: 1.0,
+    memory: 4.0,
+};
+const ROOMY: Amount = Amount {
+    cores: 40.0,
+    memory: 160.0,
+};
 /// Of ours that run meanwhile: one of a hundred dispatchers' part of 4,300.
 const RUNNING: usize = 43;
 const SERVICES: u64 = 150;
@@ -47,7 +56,11 @@
 /// Processor time of this thread, in seconds. None where the system doesn't tell.
 fn spent() -> Option<f64> {
     let told = std::fs::read_to_string("/proc/thread-self/schedstat").ok()?;
-    told.split_whitespace().next()?.parse::<f64>().ok().map(|ns| ns / 1e9)
+    told.split_whitespace()
+        .next()?
+        .parse::<f64>()
+        .ok()
+        .map(|ns| ns / 1e9)
 }
 
 fn cluster() -> Cluster {
@@ -66,14 +79,21 @@
         kinds: vec![SIZE],
         tracks: vec![track(0), track(1)],
         accounts: Vec::new(),
-        accepts: Amount { cores: 3.0, memory: 1.5 },
+        accepts: Amount {
+            cores: 3.0,
+            memory: 1.5,
+        },
         makes_room: true,
         shots: 3,
         placed_runs: true,
         shows_room: false,
         may_probe: false,
         ask_list: None,
-        cold: Cold { lasts: SECOND, window: SECOND, offers: 5.0 },
+        cold: Cold {
+            lasts: SECOND,
+            window: SECOND,
+            offers: 5.0,
+        },
         opens_within: 0,
         other_hall_price: 0.0,
         tells_loss: true,
@@ -95,21 +115,43 @@
 
 fn asked(service: u64, asks: Amount, abandon: Tenths) -> Asked {
     let track = TrackId(service as usize % 2);
-    Asked { service: ServiceId(service), track, account: AccountId(0), asks, abandon }
+    Asked {
+        service: ServiceId(service),
+        track,
+        account: AccountId(0),
+        asks,
+        abandon,
+    }
 }
 
 /// The system tells a thread's time some milliseconds late: less than this much is not measured.
 const LEAST: f64 = 0.02;
 
-/// The time of one ask, in the mean over `least` of them or more: in vain, or one that finds a machine.
+/// The time of one ask, in the mean over `least` of them or more: in vain, or one that finds a
+/// machine.
 pub fn one_ask(machines: u32, in_vain: bool, least: u64) -> Option<Point> {
     let mut scheduler = Scheduler::new(cluster(), 1, 0);
     scheduler.listed(Scope::Remembered, &entries(machines));
     let unused = if in_vain { CRAMPED } else { ROOMY };
     for id in 0..machines {
-        scheduler.probed(SECOND, MachineId(id), Ending::Ended, Some(Report { unused }));
+        scheduler.probed(
+            SECOND,
+            MachineId(id),
+            Ending::Ended,
+            Some(Report { unused }),
+        );
     }
-    let size = if in_vain { Amount { cores: 4.0, memory: 16.0 } } else { Amount { cores: 0.1, memory: 0.1 } };
+    let size = if in_vain {
+        Amount {
+            cores: 4.0,
+            memory: 16.0,
+        }
+    } else {
+        Amount {
+            cores: 0.1,
+            memory: 0.1,
+        }
+    };
     let (mut now, since) = (2 * SECOND, spent()?);
     let (mut answered, mut asks) = (0, 0);
     // One that goes out stays: too many would fill the machines.
@@ -118,16 +160,38 @@
         asks += 1;
         // Reports must not be old before all have been asked for.
         now += 1;
-        let Asked { service, track, account, asks, abandon } =
-            asked(number % SERVICES, size, now + 10 * SECOND);
+        let Asked {
+            service,
+            track,
+            account,
+            asks,
+            abandon,
+        } = asked(number % SERVICES, size, now + 10 * SECOND);
         let id = AllocationId(number);
-        let allocation =
-            Allocation { id, service, track, account, asks, taken: now, abandon, shots: Vec::new() };
+        let allocation = Allocation {
+            id,
+            service,
+            track,
+            account,
+            asks,
+            taken: now,
+            abandon,
+            shots: Vec::new(),
+        };
         answered += u64::from((scheduler.place(now, &allocation) == Placement::NotYet) == in_vain);
     }
     let value = (spent()? - since) * 1e6 / asks as f64;
-    let figure = if in_vain { "one ask in vain" } else { "one ask that finds a machine" };
-    (answered == asks).then_some(Point { figure, x: f64::from(machines), value, unit: "us" })
+    let figure = if in_vain {
+        "one ask in vain"
+    } else {
+        "one ask that finds a machine"
+    };
+    (answered == asks).then_some(Point {
+        figure,
+        x: f64::from(machines),
+        value,
+        unit: "us",
+    })
 }
 
 /// What the host says goes nowhere, but for the timer.
@@ -175,8 +239,8 @@
 }
 
 impl Waiting {
-    /// Share of a core, in percent, over so many virtual seconds. None where one found a machine, or the system
-    /// doesn't tell the thread's time.
+    /// Share of a core, in percent, over so many virtual seconds. None where one found a machine,
+    /// or the system doesn't tell the thread's time.
     pub fn share_of_core(&self, seconds: u64) -> Option<Point> {
         let mut stage = self.stage();
         // The first looks are not what waiting costs.
@@ -184,7 +248,9 @@
         let before = (spent()?, stage.timer.sent);
         let rate = match self.changes {
             Changes::Nothing => 0,
-            Changes::Reports(rate) | Changes::Ends(rate) | Changes::Deadlines(rate) => u64::from(rate),
+            Changes::Reports(rate) | Changes::Ends(rate) | Changes::Deadlines(rate) => {
+                u64::from(rate)
+            }
         };
         for number in 0..seconds * rate {
             stage.until(4 * SECOND + number * SECOND / rate);
@@ -199,14 +265,28 @@
             Changes::Deadlines(_) => "waiting to the end",
         };
         let still = stage.timer.sent == before.1;
-        still.then_some(Point { figure, x: f64::from(self.waiting), value, unit: "% of a core" })
+        still.then_some(Point {
+            figure,
+            x: f64::from(self.waiting),
+            value,
+            unit: "% of a core",
+        })
     }
 
     fn stage(&self) -> Stage {
-        let slice = if self.by_turns { Slice::BY_TURNS } else { Slice::ALL };
+        let slice = if self.by_turns {
+            Slice::BY_TURNS
+        } else {
+            Slice::ALL
+        };
         let mut host = Host::new(cluster(), 1, 0, usize::MAX, slice);
         host.listed(Scope::Remembered, &entries(self.machines));
-        let mut stage = Stage { host, timer: Timer::default(), running: Vec::new(), came: 0 };
+        let mut stage = Stage {
+            host,
+            timer: Timer::default(),
+            running: Vec::new(),
+            came: 0,
+        };
         for _ in 0..RUNNING {
             stage.runs(0, self.machines);
         }
@@ -221,7 +301,12 @@
     }
 
     fn reports(&self, stage: &mut Stage, now: Tenths, id: u32) {
-        stage.host.probed(now, MachineId(id), Ending::Ended, Some(Report { unused: CRAMPED }));
+        stage.host.probed(
+            now,
+            MachineId(id),
+            Ending::Ended,
+            Some(Report { unused: CRAMPED }),
+        );
     }
 
     fn comes(&self, stage: &mut Stage, abandon: Tenths) {
@@ -231,9 +316,14 @@
             Likes::Few => number % 5,
             Likes::None => number,
         };
-        let asks = Amount { cores: 4.0, memory: 16.0 } * (1.0 + own as f64 % 97.0 / 100.0);
+        let asks = Amount {
+            cores: 4.0,
+            memory: 16.0,
+        } * (1.0 + own as f64 % 97.0 / 100.0);
         stage.came += 1;
-        let taken = stage.host.take(now, &format!("w{number}"), asked(own, asks, abandon), ());
+        let taken = stage
+            .host
+            .take(now, &format!("w{number}"), asked(own, asks, abandon), ());
         if let Ok(id) = taken {
             stage.host.place(now, id, &mut stage.timer);
         }
@@ -244,10 +334,21 @@
         let now = stage.timer.now;
         match self.changes {
             Changes::Nothing => {}
-            Changes::Reports(_) => self.reports(stage, now, (number % u64::from(self.machines)) as u32),
+            Changes::Reports(_) => {
+                self.reports(stage, now, (number % u64::from(self.machines)) as u32)
+            }
             Changes::Ends(_) => {
                 let (id, machine) = stage.running.remove(0);
-                stage.host.returned(now, id, 0, Ending::Ended, None, true, None, &mut stage.timer);
+                stage.host.returned(
+                    now,
+                    id,
+                    0,
+                    Ending::Ended,
+                    None,
+                    true,
+                    None,
+                    &mut stage.timer,
+                );
                 stage.runs(now, machine.0 + 1);
             }
             Changes::Deadlines(_) => self.comes(stage, now + SECOND),
@@ -260,11 +361,21 @@
     /// One of ours runs on the last of so many machines, or on any before.
     fn runs(&mut self, now: Tenths, machines: u32) {
         let number = self.running.len() as u32 + self.came as u32;
-        let machine = MachineId(if now > 0 { machines - 1 } else { number * 31 % machines });
-        let asks = Amount { cores: 1.0, memory: 4.0 };
+        let machine = MachineId(if now > 0 {
+            machines - 1
+        } else {
+            number * 31 % machines
+        });
+        let asks = Amount {
+            cores: 1.0,
+            memory: 4.0,
+        };
         self.came += 1;
         let asked = asked(u64::from(number) % SERVICES, asks, 3_600 * SECOND);
-        if let Ok(id) = self.host.take_running(now, &format!("r{}", self.came), asked, machine, ()) {
+        if let Ok(id) = self
+            .host
+            .take_running(now, &format!("r{}", self.came), asked, machine, ())
+        {
             self.host.noted(now, id, Note::Cores(0.5));
             self.host.noted(now, id, Note::Memory(3.0));
             self.running.push((id, machine));
--- a/crates/lab/src/capacity/busy.rs
+++ b/crates/lab/src/capacity/busy.rs
@@ -6,7 +6,10 @@
 use tonic::{Request, Response, Status};
 
 /// What it reports as unused: too little memory for anything to be sent there.
-const UNUSED: v1::Load = v1::Load { cores: 1.0, memory: 4.0 };
+const UNUSED: v1::Load = v1::Load {
+    cores: 1.0,
+    memory: 4.0,
+};
 
 #[derive(Clone)]
 pub struct Busy;
@@ -18,13 +21,22 @@
     type OfferStream = Words;
     type AttendStream = Words;
 
-    async fn greet(&self, request: Request<v1::Greeting>) -> Result<Response<v1::Greeting>, Status> {
+    async fn greet(
+        &self,
+        request: Request<v1::Greeting>,
+    ) -> Result<Response<v1::Greeting>, Status> {
         Ok(Response::new(request.into_inner()))
     }
 
     async fn offer(&self, _: Request<v1::Shot>) -> Result<Response<Words>, Status> {
-        let refused = Said::Refused(v1::Turned { why: Why::NoMemory.into(), floor: None });
-        let said = v1::Said { said: Some(refused), load: Some(UNUSED) };
+        let refused = Said::Refused(v1::Turned {
+            why: Why::NoMemory.into(),
+            floor: None,
+        });
+        let said = v1::Said {
+            said: Some(refused),
+            load: Some(UNUSED),
+        };
         Ok(Response::new(Box::pin(stream::once(Ok(said)))))
     }
 
--- a/crates/lab/src/capacity/kernel.rs
+++ b/crates/lab/src/capacity/kernel.rs
@@ -13,21 +13,33 @@
 
 impl Ran {
     pub fn since(self, before: Ran) -> Ran {
-        Ran { ran: self.ran.saturating_sub(before.ran), waited: self.waited.saturating_sub(before.waited) }
+        Ran {
+            ran: self.ran.saturating_sub(before.ran),
+            waited: self.waited.saturating_sub(before.waited),
+        }
     }
 }
 
 fn schedstat(path: &Path) -> Option<Ran> {
     let text = fs::read_to_string(path).ok()?;
     let mut fields = text.split_whitespace().map(|field| field.parse().ok());
-    Some(Ran { ran: fields.next()??, waited: fields.next()?? })
+    Some(Ran {
+        ran: fields.next()??,
+        waited: fields.next()??,
+    })
 }
 
 /// Of all threads of a process that live now.
 pub fn process(id: u32) -> Result<Ran, String> {
-    let threads = fs::read_dir(format!("/proc/{id}/task")).map_err(|why| format!("process {id}: {why}"))?;
-    let each = threads.flatten().filter_map(|thread| schedstat(&thread.path().join("schedstat")));
-    Ok(each.fold(Ran::default(), |sum, own| Ran { ran: sum.ran + own.ran, waited: sum.waited + own.waited }))
+    let threads =
+        fs::read_dir(format!("/proc/{id}/task")).map_err(|why| format!("process {id}: {why}"))?;
+    let each = threads
+        .flatten()
+        .filter_map(|thread| schedstat(&thread.path().join("schedstat")));
+    Ok(each.fold(Ran::default(), |sum, own| Ran {
+        ran: sum.ran + own.ran,
+        waited: sum.waited + own.waited,
+    }))
 }
 
 pub fn this_thread() -> Result<i32, String> {
@@ -46,7 +58,11 @@
 pub fn ticks() -> Result<(u64, u64), String> {
     let text = fs::read_to_string("/proc/stat").map_err(|why| why.to_string())?;
     let line = text.lines().next().unwrap_or("");
-    let all: Vec<u64> = line.split_whitespace().skip(1).filter_map(|field| field.parse().ok()).collect();
+    let all: Vec<u64> = line
+        .split_whitespace()
+        .skip(1)
+        .filter_map(|field| field.parse().ok())
+        .collect();
     match all.get(7) {
         Some(stolen) => Ok((all[..8].iter().sum(), *stolen)),
         None => Err("the kernel does not tell its ticks".into()),
@@ -55,7 +71,10 @@
 
 pub fn load() -> f64 {
     let text = fs::read_to_string("/proc/loadavg").unwrap_or_default();
-    text.split_whitespace().next().and_then(|field| field.parse().ok()).unwrap_or(0.0)
+    text.split_whitespace()
+        .next()
+        .and_then(|field| field.parse().ok())
+        .unwrap_or(0.0)
 }
 
 pub fn cores() -> usize {
@@ -66,8 +85,14 @@
 pub fn machine() -> Machine {
     let text = fs::read_to_string("/proc/meminfo").unwrap_or_default();
     let line = text.lines().find_map(|line| line.strip_prefix("MemTotal:"));
-    let kib = line.and_then(|rest| rest.split_whitespace().next()?.parse::<u64>().ok()).unwrap_or(0);
-    let most = |which| rustix::process::getrlimit(which).current.unwrap_or(u64::MAX);
+    let kib = line
+        .and_then(|rest| rest.split_whitespace().next()?.parse::<u64>().ok())
+        .unwrap_or(0);
+    let most = |which| {
+        rustix::process::getrlimit(which)
+            .current
+            .unwrap_or(u64::MAX)
+    };
     Machine {
         memory_mib: kib / 1_024,
         processes: most(rustix::process::Resource::Nproc),
--- a/crates/lab/src/capacity/meter.rs
+++ b/crates/lab/src/capacity/meter.rs
@@ -34,7 +34,11 @@
 }
 
 /// The same, counted on a meter that others may share.
-pub async fn relay_onto(tasks: &Tasks, to: SocketAddr, meter: Arc<Meter>) -> std::io::Result<SocketAddr> {
+pub async fn relay_onto(
+    tasks: &Tasks,
+    to: SocketAddr,
+    meter: Arc<Meter>,
+) -> std::io::Result<SocketAddr> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let address = listener.local_addr()?;
     let own = Arc::clone(tasks);
@@ -43,7 +47,9 @@
             meter.opened.fetch_add(1, Relaxed);
             let meter = Arc::clone(&meter);
             own.spawn(async move {
-                let Ok(onward) = TcpStream::connect(to).await else { return };
+                let Ok(onward) = TcpStream::connect(to).await else {
+                    return;
+                };
                 let _ = (from.set_nodelay(true), onward.set_nodelay(true));
                 let there = pass(from.clone(), onward.clone(), &meter.there);
                 let back = pass(onward, from, &meter.back);
--- a/crates/lab/src/capacity/mod.rs
+++ b/crates/lab/src/capacity/mod.rs
@@ -1,5 +1,6 @@
-//! What each role costs by machines, dispatchers, tasks, waiting allocations and versions: one axis at a time, several
-//! places each, in rounds side by side. Real dispatchers before stand-ins; the arithmetic is `corkspan_capacity`'s.
+//! What each role costs by machines, dispatchers, tasks, waiting allocations and versions: one axis
+//! at a time, several places each, in rounds side by side. Real dispatchers before stand-ins; the
+//! arithmetic is `corkspan_capacity`'s.
 
 pub mod asks;
 mod busy;
@@ -57,11 +58,13 @@
 impl Measured {
     fn put(&mut self, name: &str, value: f64) {
         // Digits beyond these are noise, and make a kept file hard to read.
-        self.figures.insert(name.into(), (value * 1e4).round() / 1e4);
+        self.figures
+            .insert(name.into(), (value * 1e4).round() / 1e4);
     }
 
     fn spoils(&mut self, what: &str, watched: &Watched) {
-        self.spoilt.extend(watched.spoilt.iter().map(|why| format!("{what}: {why}")));
+        self.spoilt
+            .extend(watched.spoilt.iter().map(|why| format!("{what}: {why}")));
     }
 }
 
@@ -83,12 +86,17 @@
                 axis,
                 name: "control",
                 fixed: format!("1 dispatcher of {}, 3 keepers, no asks", size.dispatchers),
-                places: some(&[140.0, 400.0, machines, machines * 2.0], &[140.0, 400.0, machines]),
+                places: some(
+                    &[140.0, 400.0, machines, machines * 2.0],
+                    &[140.0, 400.0, machines],
+                ),
             }],
             Axis::Dispatchers => vec![Series {
                 axis,
                 name: "control",
-                fixed: format!("{FEW_MACHINES} machines, each one's room told each 5 s, 3 keepers, no asks"),
+                fixed: format!(
+                    "{FEW_MACHINES} machines, each one's room told each 5 s, 3 keepers, no asks"
+                ),
                 places: some(&[5.0, 20.0, 60.0, 150.0, 300.0], &[5.0, 10.0, 20.0]),
             }],
             Axis::Tasks => vec![
@@ -99,7 +107,10 @@
                         "1 dispatcher of {}, {machines} machines, no further asks",
                         size.dispatchers
                     ),
-                    places: some(&[200.0, 500.0, 1_000.0, 2_000.0, size.running], &[100.0, 300.0, 600.0]),
+                    places: some(
+                        &[200.0, 500.0, 1_000.0, 2_000.0, size.running],
+                        &[100.0, 300.0, 600.0],
+                    ),
                 },
                 Series {
                     axis,
@@ -108,25 +119,38 @@
                         "1 dispatcher of {}, {machines} machines with room, tasks that end at once",
                         size.dispatchers
                     ),
-                    places: [0.1, 0.3, 0.6, 1.0].map(|part| (part * size.starts_a_second).round()).to_vec(),
+                    places: [0.1, 0.3, 0.6, 1.0]
+                        .map(|part| (part * size.starts_a_second).round())
+                        .to_vec(),
                 },
             ],
             Axis::Waiting => {
                 let series = |name, how| Series {
                     axis,
                     name,
-                    fixed: format!("1 dispatcher of {}, {machines} machines {how}", size.dispatchers),
-                    places: [0.0, 0.1, 0.3, 1.0].map(|part| (part * size.waiting).round()).to_vec(),
+                    fixed: format!(
+                        "1 dispatcher of {}, {machines} machines {how}",
+                        size.dispatchers
+                    ),
+                    places: [0.0, 0.1, 0.3, 1.0]
+                        .map(|part| (part * size.waiting).round())
+                        .to_vec(),
                 };
                 vec![
-                    series("full by asks", "on which as much is asked for as they accept"),
+                    series(
+                        "full by asks",
+                        "on which as much is asked for as they accept",
+                    ),
                     series("full by use", "whose memory is in use"),
                 ]
             }
             Axis::Versions => vec![Series {
                 axis,
                 name: "pushed",
-                fixed: format!("1 dispatcher of {}, {FEW_MACHINES} machines, no asks", size.dispatchers),
+                fixed: format!(
+                    "1 dispatcher of {}, {FEW_MACHINES} machines, no asks",
+                    size.dispatchers
+                ),
                 places: vec![0.0, 1.0, 2.0, 5.0],
             }],
         };
@@ -149,8 +173,11 @@
                 .map_err(|why| format!("{} / {}: {why}", series.axis.name(), series.name))?;
         }
         // What the size itself says stands as processes.
-        let whole =
-            need::needs(self.size.dispatchers as u64, self.size.machines as u64, self.size.running as u64);
+        let whole = need::needs(
+            self.size.dispatchers as u64,
+            self.size.machines as u64,
+            self.size.running as u64,
+        );
         need::fits(whole, has).map_err(|why| format!("the size: {why}"))
     }
 
@@ -175,7 +202,10 @@
                     let mut point = self.point(&series, at, round)?;
                     for _ in 0..AGAIN {
                         if point.spoilt.is_some() {
-                            run.points.push(std::mem::replace(&mut point, self.point(&series, at, round)?));
+                            run.points.push(std::mem::replace(
+                                &mut point,
+                                self.point(&series, at, round)?,
+                            ));
                         }
                     }
                     run.points.push(point);
@@ -190,7 +220,9 @@
         let (before, tasks) = (kernel::load(), Tasks::default());
         let measured = match (series.axis, series.name) {
             (Axis::Machines, _) => future::block_on(tasks.clone().run(self.machines(tasks, at))),
-            (Axis::Dispatchers, _) => future::block_on(tasks.clone().run(self.dispatchers(tasks, at))),
+            (Axis::Dispatchers, _) => {
+                future::block_on(tasks.clone().run(self.dispatchers(tasks, at)))
+            }
             (Axis::Tasks, "held") => future::block_on(tasks.clone().run(self.held(tasks, at))),
             (Axis::Tasks, _) => future::block_on(tasks.clone().run(self.starts(tasks, at))),
             (Axis::Waiting, "full by asks") => {
@@ -201,21 +233,39 @@
             }
             (Axis::Versions, _) => future::block_on(tasks.clone().run(self.versions(tasks, at))),
         };
-        let measured =
-            measured.map_err(|why| format!("{} / {} at {at}: {why}", series.axis.name(), series.name))?;
+        let measured = measured
+            .map_err(|why| format!("{} / {} at {at}: {why}", series.axis.name(), series.name))?;
         let spoilt = (!measured.spoilt.is_empty()).then(|| measured.spoilt.join("; "));
         let load = before.max(kernel::load());
-        let told = spoilt.as_ref().map_or(String::new(), |why| format!("  SPOILT: {why}"));
-        println!("{} / {} at {at}, round {round}, load {load:.1}{told}", series.axis.name(), series.name);
+        let told = spoilt
+            .as_ref()
+            .map_or(String::new(), |why| format!("  SPOILT: {why}"));
+        println!(
+            "{} / {} at {at}, round {round}, load {load:.1}{told}",
+            series.axis.name(),
+            series.name
+        );
         for (name, value) in &measured.figures {
             println!("    {name:<32} {value:>14.3}");
         }
-        Ok(Point { at, round, load, spoilt, figures: measured.figures })
+        Ok(Point {
+            at,
+            round,
+            load,
+            spoilt,
+            figures: measured.figures,
+        })
     }
 
     fn setting(&self, machines: u32, dispatchers: usize) -> Setting {
         let schedulers = dispatchers.max(self.size.dispatchers as usize);
-        Setting { machines, dispatchers, schedulers, room: Room::Plenty, seed: self.seed }
+        Setting {
+            machines,
+            dispatchers,
+            schedulers,
+            room: Room::Plenty,
+            seed: self.seed,
+        }
     }
 
     async fn machines(&self, tasks: Tasks, at: f64) -> Result<Measured, String> {
@@ -234,7 +284,9 @@
             for end in [End::Roster, End::Keepers, End::Control, End::Nodes] {
                 let kind = format!("{end:?}").to_lowercase();
                 out.put(&format!("{name}, {kind}, bytes/s"), watched.bytes[&end]);
-                if let Some([bytes, came, went]) = watched.counted.as_ref().and_then(|own| own.get(&end)) {
+                if let Some([bytes, came, went]) =
+                    watched.counted.as_ref().and_then(|own| own.get(&end))
+                {
                     out.put(&format!("{name}, {kind}, bytes/s by its own count"), *bytes);
                     out.put(&format!("{name}, {kind}, messages/s"), came + went);
                 }
@@ -264,7 +316,10 @@
             let kind = format!("{end:?}").to_lowercase();
             out.put(&format!("{kind}, bytes/s"), told.bytes[&end]);
             out.put(
-                &format!("{kind}{} thread, core %", if end == End::Keepers { "'" } else { "'s" }),
+                &format!(
+                    "{kind}{} thread, core %",
+                    if end == End::Keepers { "'" } else { "'s" }
+                ),
                 told.threads[&end],
             );
         }
@@ -281,11 +336,17 @@
     }
 
     async fn held(&self, tasks: Tasks, at: f64) -> Result<Measured, String> {
-        let stage = Stage::up(&tasks, &self.program, self.setting(self.size.machines as u32, 1)).await?;
+        let stage = Stage::up(
+            &tasks,
+            &self.program,
+            self.setting(self.size.machines as u32, 1),
+        )
+        .await?;
         let mut words = stage.wait(at as usize).await?;
         for own in &mut words {
             let word = within(Duration::from_secs(60), own.message()).await;
-            word.ok_or("a task is not placed in 60 s")?.map_err(|why| why.to_string())?;
+            word.ok_or("a task is not placed in 60 s")?
+                .map_err(|why| why.to_string())?;
         }
         Timer::after(SETTLE).await;
         let watched = stage.watch(self.watch).await?;
@@ -299,22 +360,35 @@
     }
 
     async fn starts(&self, tasks: Tasks, at: f64) -> Result<Measured, String> {
-        let stage = Stage::up(&tasks, &self.program, self.setting(self.size.machines as u32, 1)).await?;
+        let stage = Stage::up(
+            &tasks,
+            &self.program,
+            self.setting(self.size.machines as u32, 1),
+        )
+        .await?;
         let client = stage.owner().await?;
         let late: Arc<Mutex<Vec<Duration>>> = Arc::default();
         let before = stage.status().await?;
         let asking = {
-            let (tasks, late, apart) = (tasks.clone(), Arc::clone(&late), Duration::from_secs_f64(1.0 / at));
+            let (tasks, late, apart) = (
+                tasks.clone(),
+                Arc::clone(&late),
+                Duration::from_secs_f64(1.0 / at),
+            );
             tasks.clone().spawn(async move {
                 let mut due = Instant::now();
                 for number in 0u64.. {
                     due += apart;
                     Timer::at(due).await;
-                    late.lock().expect("no one panics over the times").push(due.elapsed());
+                    late.lock()
+                        .expect("no one panics over the times")
+                        .push(due.elapsed());
                     let mut client = client.clone();
                     tasks
                         .spawn(async move {
-                            let placed = client.place(ask(&format!("start{number}"), 1, 10_000)).await;
+                            let placed = client
+                                .place(ask(&format!("start{number}"), 1, 10_000))
+                                .await;
                             let Ok(words) = placed else { return };
                             let mut words = words.into_inner();
                             while let Ok(Some(_)) = words.message().await {}
@@ -334,7 +408,10 @@
         late.sort();
         let p99 = late.get(late.len() * 99 / 100).copied().unwrap_or_default();
         if p99 > LATE {
-            out.spoilt.push(format!("asks left {} ms late at the 99th percentile", p99.as_millis()));
+            out.spoilt.push(format!(
+                "asks left {} ms late at the 99th percentile",
+                p99.as_millis()
+            ));
         }
         let placed = (ended.placed - began.placed) as f64 / watched.seconds;
         if placed < at * WHOLE {
@@ -342,22 +419,32 @@
         }
         out.put("core %", watched.core);
         out.put("core us a start", watched.core * 1e4 / placed.max(1.0));
-        out.put("nodes, bytes/s", watched.bytes[&End::Nodes] + watched.bytes[&End::Keepers]);
+        out.put(
+            "nodes, bytes/s",
+            watched.bytes[&End::Nodes] + watched.bytes[&End::Keepers],
+        );
         out.put("owners, bytes/s", watched.bytes[&End::Owners]);
         out.put("placed a second", placed);
         out.put("links to nodes opened", stage.opened()[&End::Nodes] as f64);
-        out.put("asked before it was watched", (began.asked - before.asked) as f64);
+        out.put(
+            "asked before it was watched",
+            (began.asked - before.asked) as f64,
+        );
         out.put("memory, MiB", watched.mib);
         Ok(out)
     }
 
     async fn waiting(&self, tasks: Tasks, at: f64, room: Room) -> Result<Measured, String> {
-        let setting = Setting { room, ..self.setting(self.size.machines as u32, 1) };
+        let setting = Setting {
+            room,
+            ..self.setting(self.size.machines as u32, 1)
+        };
         let stage = Stage::up(&tasks, &self.program, setting).await?;
         let many = at as usize;
         let (mut held, mut owners) = (Vec::new(), Vec::new());
         match room {
-            // Some of these are offered until the dispatcher has heard of enough machines, and come back refused.
+            // Some of these are offered until the dispatcher has heard of enough machines, and come
+            // back refused.
             Room::NoneByUse => owners = stage.return_again(many).await?,
             _ => held = stage.wait(many).await?,
         }
@@ -367,16 +454,26 @@
         let status = stage.status().await?;
         let mut out = Measured::default();
         out.spoils("waiting", &watched);
-        let least = if room == Room::NoneByUse { at * 0.8 } else { at };
+        let least = if room == Room::NoneByUse {
+            at * 0.8
+        } else {
+            at
+        };
         if status.placed > 0 || (status.in_hand as f64) < least {
-            out.spoilt.push(format!("{} were placed and {} are in hand", status.placed, status.in_hand));
+            out.spoilt.push(format!(
+                "{} were placed and {} are in hand",
+                status.placed, status.in_hand
+            ));
         }
         drop((held, owners));
         out.put("core %", watched.core);
         out.put("memory, MiB", watched.mib);
         out.put("bytes/s", watched.control_bytes(1));
         out.put("in hand", status.in_hand as f64);
-        out.put("asked anew a second", (status.asked - before.asked) as f64 / watched.seconds);
+        out.put(
+            "asked anew a second",
+            (status.asked - before.asked) as f64 / watched.seconds,
+        );
         Ok(out)
     }
 
@@ -412,9 +509,10 @@
     let place = |why: String| format!("{}: {why}", path.display());
     let mut kept = match std::fs::read_to_string(path) {
         Ok(text) => Kept::read(&text).map_err(|why| place(why.to_string()))?,
-        Err(why) if why.kind() == std::io::ErrorKind::NotFound => {
-            Kept { size: size.clone(), runs: Vec::new() }
-        }
+        Err(why) if why.kind() == std::io::ErrorKind::NotFound => Kept {
+            size: size.clone(),
+            runs: Vec::new(),
+        },
         Err(why) => return Err(place(why.to_string())),
     };
     if kept.size != *size {
--- a/crates/lab/src/capacity/stage.rs
+++ b/crates/lab/src/capacity/stage.rs
@@ -1,4 +1,5 @@
-//! Real dispatchers, each a process, before stand-ins that run on a thread a role, with every link counted.
+//! Real dispatchers, each a process, before stand-ins that run on a thread a role, with every link
+//! counted.
 
 use super::busy::Busy;
 use super::kernel::{self, Ran};
@@ -11,7 +12,9 @@
 use async_io::Timer;
 use async_net::TcpListener;
 use corkspan::interface::Amount;
-use corkspan_api::v1::{self, link_count::Kind, node_server::NodeServer, placement_client::PlacementClient};
+use corkspan_api::v1::{
+    self, link_count::Kind, node_server::NodeServer, placement_client::PlacementClient,
+};
 use corkspan_deployment::version::{Stamp, Texts};
 use corkspan_rpc::{Bounds, Link, Tasks, within};
 use futures_lite::future;
@@ -31,7 +34,8 @@
 const SLICES: u32 = 10;
 /// A thread of stand-ins that is busier than this part of the time may be what is measured.
 const BUSY: f64 = 0.7;
-/// A dispatcher that waits for a processor longer than this part of the time is not measured as it would run.
+/// A dispatcher that waits for a processor longer than this part of the time is not measured as it
+/// would run.
 const WAITS: f64 = 0.25;
 const STOLEN: f64 = 0.1;
 const CLOSES: Duration = Duration::from_millis(500);
@@ -39,7 +43,8 @@
 const AGAIN_AFTER: Duration = Duration::from_millis(500);
 /// Dispatchers whose own counts are asked for at both ends of a watch.
 const ASKED: usize = 20;
-/// Their counts and the relays' may differ by this part, and by what is on its way at the two moments.
+/// Their counts and the relays' may differ by this part, and by what is on its way at the two
+/// moments.
 const APART: f64 = 0.02;
 const UNDER_WAY: f64 = 16_000.0;
 const KINDS: [(End, Kind); 4] = [
@@ -154,8 +159,14 @@
         kind: "wide".into(),
         hall: "hall".into(),
         cell: u64::from(id / 4),
-        size: Amount { cores: 64.0, memory: 256.0 },
-        accepts: Amount { cores: 2.0, memory: 1.5 },
+        size: Amount {
+            cores: 64.0,
+            memory: 256.0,
+        },
+        accepts: Amount {
+            cores: 2.0,
+            memory: 1.5,
+        },
         look: Duration::from_millis(1),
         line: 24,
         start: Duration::from_millis(15),
@@ -163,13 +174,22 @@
         starts_at_once: 4,
         keeps: 6,
         makes_room: false,
-        cold: Cold { lasts: Duration::from_secs(5), window: Duration::from_secs(1), most: 16, pace: 0.25 },
+        cold: Cold {
+            lasts: Duration::from_secs(5),
+            window: Duration::from_secs(1),
+            most: 16,
+            pace: 0.25,
+        },
         seed,
     }
 }
 
 impl Stage {
-    pub async fn up(tasks: &Tasks, program: &[OsString], setting: Setting) -> Result<Stage, String> {
+    pub async fn up(
+        tasks: &Tasks,
+        program: &[OsString],
+        setting: Setting,
+    ) -> Result<Stage, String> {
         let mut threads = BTreeMap::new();
         for end in [End::Roster, End::Control, End::Keepers, End::Nodes] {
             threads.insert(end, Thread::up()?);
@@ -186,10 +206,14 @@
         let tasks_there = &threads[&End::Nodes].tasks;
         if setting.room == Room::NoneByUse {
             let served = corkspan_rpc::serve(nodes, NodeServer::new(Busy), Bounds::default());
-            tasks_there.spawn(async move { drop(served.await) }).detach();
+            tasks_there
+                .spawn(async move { drop(served.await) })
+                .detach();
         } else {
             let served = corkspan_rpc::serve(nodes, NodeServer::new(Prompt), Bounds::default());
-            tasks_there.spawn(async move { drop(served.await) }).detach();
+            tasks_there
+                .spawn(async move { drop(served.await) })
+                .detach();
         }
         let mut meters = BTreeMap::new();
         let mut metered = async |end: End, to: SocketAddr| {
@@ -210,26 +234,38 @@
                     let node = Node::new(keeper(id, setting.seed), &keepers_world);
                     let at = node.up(false).await.map_err(text)?;
                     let to = (at, Arc::clone(&keepers_meter));
-                    meter::relay_onto(&relays.tasks, to.0, to.1).await.map_err(text)?
+                    meter::relay_onto(&relays.tasks, to.0, to.1)
+                        .await
+                        .map_err(text)?
                 }
                 false => nodes_there,
             };
-            // Full by asks: what nodes accept is twice the cores and one and a half times the memory of a machine.
+            // Full by asks: what nodes accept is twice the cores and one and a half times the
+            // memory of a machine.
             let full = setting.room == Room::NoneByAsks;
             let (cores, memory) = if full { (-64.0, -128.0) } else { (30.0, 30.0) };
             // Keepers' stand-ins would take some.
-            let (cores, memory) =
-                if setting.room == Room::Plenty || id >= KEEPERS { (cores, memory) } else { (-64.0, -128.0) };
+            let (cores, memory) = if setting.room == Room::Plenty || id >= KEEPERS {
+                (cores, memory)
+            } else {
+                (-64.0, -128.0)
+            };
             let unasked = Some(v1::Room { cores, memory });
-            entries.push(v1::Entry { unasked, ..measure::entry(id, address) });
+            entries.push(v1::Entry {
+                unasked,
+                ..measure::entry(id, address)
+            });
         }
         meters.insert(End::Keepers, keepers_meter);
-        entries.iter().for_each(|entry| roster.change(Duration::ZERO, entry.clone()));
+        entries
+            .iter()
+            .for_each(|entry| roster.change(Duration::ZERO, entry.clone()));
         let folder = tempfile::tempdir().map_err(text)?;
         let (mut dispatchers, mut owners, mut texts) = (Vec::new(), Vec::new(), None);
         let owners_meter = Arc::new(Meter::default());
         for number in 0..setting.dispatchers {
-            // A dispatcher writes beside its file, under the same name but for what stands after the dot.
+            // A dispatcher writes beside its file, under the same name but for what stands after
+            // the dot.
             let at = |name: &str| folder.path().join(format!("{number}-{name}"));
             let (versions, rolls, list): (PathBuf, PathBuf, PathBuf) =
                 (at("versions.json"), at("rolls.redb"), at("list.json"));
@@ -240,10 +276,14 @@
             );
             let file = measure::deployment(roster_there, &more)
                 .replace("(number 0)", &format!("(number {number})"))
-                .replace("(schedulers 1)", &format!("(schedulers {})", setting.schedulers));
+                .replace(
+                    "(schedulers 1)",
+                    &format!("(schedulers {})", setting.schedulers),
+                );
             texts = Some(Texts::of("the first", &file).map_err(|why| why.to_string())?);
             let process = Process::start_in(program, &at("file.sexp"), &file)?;
-            let there = meter::relay_onto(&relays.tasks, process.address, Arc::clone(&owners_meter)).await;
+            let there =
+                meter::relay_onto(&relays.tasks, process.address, Arc::clone(&owners_meter)).await;
             owners.push(there.map_err(text)?);
             dispatchers.push(process);
         }
@@ -271,9 +311,13 @@
     async fn until_ready(&self) -> Result<(), String> {
         let ready = async {
             for process in &self.dispatchers {
-                let mut client = PlacementClient::new(measure::link(&self.tasks, process.address).await?);
+                let mut client =
+                    PlacementClient::new(measure::link(&self.tasks, process.address).await?);
                 loop {
-                    let word = client.status(v1::StatusAsk {}).await.map_err(|why| why.to_string())?;
+                    let word = client
+                        .status(v1::StatusAsk {})
+                        .await
+                        .map_err(|why| why.to_string())?;
                     if word.get_ref().machines_serving >= u64::from(self.setting.machines) {
                         break;
                     }
@@ -285,18 +329,26 @@
             }
             Ok(())
         };
-        within(PATIENCE, ready).await.ok_or("the dispatchers don't hear of all machines")?
+        within(PATIENCE, ready)
+            .await
+            .ok_or("the dispatchers don't hear of all machines")?
     }
 
     pub async fn status(&self) -> Result<v1::StatusWord, String> {
-        let mut client = PlacementClient::new(measure::link(&self.tasks, self.dispatchers[0].address).await?);
-        let word = client.status(v1::StatusAsk {}).await.map_err(|why| why.to_string())?;
+        let mut client =
+            PlacementClient::new(measure::link(&self.tasks, self.dispatchers[0].address).await?);
+        let word = client
+            .status(v1::StatusAsk {})
+            .await
+            .map_err(|why| why.to_string())?;
         Ok(word.into_inner())
     }
 
     /// A link to the first dispatcher, as owners have it.
     pub async fn owner(&self) -> Result<PlacementClient<Link>, String> {
-        Ok(PlacementClient::new(measure::link(&self.tasks, self.owners[0]).await?))
+        Ok(PlacementClient::new(
+            measure::link(&self.tasks, self.owners[0]).await?,
+        ))
     }
 
     /// So many asks that nobody ends; dropped, they are no longer wanted.
@@ -305,7 +357,14 @@
         let mut held = Vec::new();
         for number in 0..many {
             let ask = ask(&format!("waits{number}"), 3_600_000, 600_000);
-            held.push(client.clone().place(ask).await.map_err(|why| why.to_string())?.into_inner());
+            held.push(
+                client
+                    .clone()
+                    .place(ask)
+                    .await
+                    .map_err(|why| why.to_string())?
+                    .into_inner(),
+            );
         }
         Ok(held)
     }
@@ -317,7 +376,8 @@
             let mut client = client.clone();
             self.tasks.spawn(async move {
                 for turn in 0u64.. {
-                    let placed = client.place(ask(&format!("returns{number}-{turn}"), 3_600_000, 600_000));
+                    let placed =
+                        client.place(ask(&format!("returns{number}-{turn}"), 3_600_000, 600_000));
                     if let Ok(words) = placed.await {
                         let mut words = words.into_inner();
                         while let Ok(Some(_)) = words.message().await {}
@@ -340,9 +400,16 @@
                     due += every / SLICES;
                     Timer::at(due).await;
                     for entry in entries.iter().filter(|entry| entry.node % SLICES == slice) {
-                        let (cores, memory) = (rng.random_range(1.0..60.0), rng.random_range(1.0..200.0));
+                        let (cores, memory) =
+                            (rng.random_range(1.0..60.0), rng.random_range(1.0..200.0));
                         let unasked = Some(v1::Room { cores, memory });
-                        roster.change(Duration::ZERO, v1::Entry { unasked, ..entry.clone() });
+                        roster.change(
+                            Duration::ZERO,
+                            v1::Entry {
+                                unasked,
+                                ..entry.clone()
+                            },
+                        );
                     }
                 }
             }
@@ -352,8 +419,17 @@
     /// Tells each machine's room once, and how many lines that was.
     pub fn tell_once(&self, cores: f64) -> u64 {
         for entry in &self.entries {
-            let unasked = Some(v1::Room { cores, memory: cores });
-            self.roster.change(Duration::ZERO, v1::Entry { unasked, ..entry.clone() });
+            let unasked = Some(v1::Room {
+                cores,
+                memory: cores,
+            });
+            self.roster.change(
+                Duration::ZERO,
+                v1::Entry {
+                    unasked,
+                    ..entry.clone()
+                },
+            );
         }
         self.entries.len() as u64
     }
@@ -381,7 +457,10 @@
     pub fn publish(&self, which: u64) -> Stamp {
         let accounts = format!("(accounts (a (share-cores {})))", 1_000_000 + which);
         let changes = [("accounts".to_string(), accounts)];
-        self.control.publish(self.texts.changed(&changes.into_iter().collect(), &[]), false)
+        self.control.publish(
+            self.texts.changed(&changes.into_iter().collect(), &[]),
+            false,
+        )
     }
 
     /// Until each has answered that it is in force.
@@ -397,18 +476,29 @@
             .ok_or_else(|| format!("{stamp} is not in force everywhere in {PATIENCE:?}"))
     }
 
-    /// What dispatchers counted themselves, all together; none where they are too many to ask beside a watch.
+    /// What dispatchers counted themselves, all together; none where they are too many to ask
+    /// beside a watch.
     async fn counted(&self) -> Result<Option<BTreeMap<End, [u64; 3]>>, String> {
         if self.dispatchers.len() > ASKED {
             return Ok(None);
         }
-        let mut sums: BTreeMap<End, [u64; 3]> = KINDS.iter().map(|(end, _)| (*end, [0; 3])).collect();
+        let mut sums: BTreeMap<End, [u64; 3]> =
+            KINDS.iter().map(|(end, _)| (*end, [0; 3])).collect();
         for process in &self.dispatchers {
-            let mut client = PlacementClient::new(measure::link(&self.tasks, process.address).await?);
-            let word = client.status(v1::StatusAsk {}).await.map_err(|why| why.to_string())?.into_inner();
+            let mut client =
+                PlacementClient::new(measure::link(&self.tasks, process.address).await?);
+            let word = client
+                .status(v1::StatusAsk {})
+                .await
+                .map_err(|why| why.to_string())?
+                .into_inner();
             for (end, kind) in KINDS {
                 let own = crate::counts::of(&word.link_counts, kind);
-                let own = [own.bytes_in + own.bytes_out, own.messages_in, own.messages_out];
+                let own = [
+                    own.bytes_in + own.bytes_out,
+                    own.messages_in,
+                    own.messages_out,
+                ];
                 let sum = sums.entry(end).or_default();
                 std::iter::zip(sum, own).for_each(|(sum, own)| *sum += own);
             }
@@ -418,8 +508,15 @@
 
     async fn look(&self) -> Result<Look, String> {
         let counted = self.counted().await?;
-        let ran = self.dispatchers.iter().map(|own| kernel::process(own.id())).collect::<Result<_, _>>()?;
-        let threads = self.threads.iter().map(|(end, own)| Ok((*end, kernel::thread(own.id)?)));
+        let ran = self
+            .dispatchers
+            .iter()
+            .map(|own| kernel::process(own.id()))
+            .collect::<Result<_, _>>()?;
+        let threads = self
+            .threads
+            .iter()
+            .map(|(end, own)| Ok((*end, kernel::thread(own.id)?)));
         Ok(Look {
             counted,
             at: Instant::now(),
@@ -427,7 +524,11 @@
             threads: threads.collect::<Result<_, String>>()?,
             relays: kernel::thread(self.relays.id)?,
             ticks: kernel::ticks()?,
-            bytes: self.meters.iter().map(|(end, meter)| (*end, meter.bytes())).collect(),
+            bytes: self
+                .meters
+                .iter()
+                .map(|(end, meter)| (*end, meter.bytes()))
+                .collect(),
         })
     }
 
@@ -445,13 +546,16 @@
 
     /// Links that dispatchers ever opened, by their other end.
     pub fn opened(&self) -> BTreeMap<End, u64> {
-        self.meters.iter().map(|(end, meter)| (*end, meter.opened())).collect()
+        self.meters
+            .iter()
+            .map(|(end, meter)| (*end, meter.opened()))
+            .collect()
     }
 }
 
 impl Drop for Stage {
-    /// The dispatchers end first and the threads go on for a moment, so that relays and stand-ins see their links end
-    /// and close them: hundreds of descriptors a place were left open.
+    /// The dispatchers end first and the threads go on for a moment, so that relays and stand-ins
+    /// see their links end and close them: hundreds of descriptors a place were left open.
     fn drop(&mut self) {
         self.dispatchers.clear();
         std::thread::sleep(CLOSES);
@@ -490,42 +594,66 @@
         let percent = |ran: u64| ran as f64 / 1e7 / seconds;
         let many = before.dispatchers.len().max(1) as f64;
         let own = std::iter::zip(&after.dispatchers, &before.dispatchers).map(|(a, b)| a.since(*b));
-        let own = own
-            .fold(Ran::default(), |sum, own| Ran { ran: sum.ran + own.ran, waited: sum.waited + own.waited });
+        let own = own.fold(Ran::default(), |sum, own| Ran {
+            ran: sum.ran + own.ran,
+            waited: sum.waited + own.waited,
+        });
         let threads: BTreeMap<End, f64> = (after.threads.iter())
             .map(|(end, ran)| (*end, percent(ran.since(before.threads[end]).ran)))
             .collect();
         let mut spoilt = Vec::new();
         let relays = percent(after.relays.since(before.relays).ran);
-        for (name, busy) in
-            threads.iter().map(|(end, busy)| (format!("{end:?}"), *busy)).chain([("relays".into(), relays)])
+        for (name, busy) in threads
+            .iter()
+            .map(|(end, busy)| (format!("{end:?}"), *busy))
+            .chain([("relays".into(), relays)])
         {
             if busy > BUSY * 100.0 {
-                spoilt.push(format!("the thread of the stand-ins ({name}) was busy {busy:.0}% of the time"));
+                spoilt.push(format!(
+                    "the thread of the stand-ins ({name}) was busy {busy:.0}% of the time"
+                ));
             }
         }
         let waited = own.waited as f64 / 1e9 / seconds / many;
         if waited > WAITS {
-            spoilt.push(format!("a dispatcher waited for a processor {:.0}% of the time", waited * 100.0));
+            spoilt.push(format!(
+                "a dispatcher waited for a processor {:.0}% of the time",
+                waited * 100.0
+            ));
         }
-        let (all, stolen) = (after.ticks.0 - before.ticks.0, after.ticks.1 - before.ticks.1);
+        let (all, stolen) = (
+            after.ticks.0 - before.ticks.0,
+            after.ticks.1 - before.ticks.1,
+        );
         if stolen as f64 > STOLEN * all.max(1) as f64 {
-            spoilt.push(format!("{:.0}% of the machine was stolen", 100.0 * stolen as f64 / all as f64));
+            spoilt.push(format!(
+                "{:.0}% of the machine was stolen",
+                100.0 * stolen as f64 / all as f64
+            ));
         }
         let bytes: BTreeMap<End, f64> = (after.bytes.iter())
             .map(|(end, bytes)| (*end, (bytes - before.bytes[end]) as f64 / seconds))
             .collect();
-        let counted = after.counted.as_ref().zip(before.counted.as_ref()).map(|(after, before)| {
-            let rates = |end: &End| {
-                let (after, before) = (after[end], before[end]);
-                [0, 1, 2].map(|which| (after[which] - before[which]) as f64 / seconds)
-            };
-            after.keys().map(|end| (*end, rates(end))).collect::<BTreeMap<End, [f64; 3]>>()
-        });
+        let counted = after
+            .counted
+            .as_ref()
+            .zip(before.counted.as_ref())
+            .map(|(after, before)| {
+                let rates = |end: &End| {
+                    let (after, before) = (after[end], before[end]);
+                    [0, 1, 2].map(|which| (after[which] - before[which]) as f64 / seconds)
+                };
+                after
+                    .keys()
+                    .map(|end| (*end, rates(end)))
+                    .collect::<BTreeMap<End, [f64; 3]>>()
+            });
         for (end, [own, ..]) in counted.iter().flatten() {
             if (own - bytes[end]).abs() > bytes[end] * APART + UNDER_WAY / seconds {
                 let seen = bytes[end];
-                spoilt.push(format!("{end:?}: dispatchers count {own:.0} bytes/s, relays {seen:.0}"));
+                spoilt.push(format!(
+                    "{end:?}: dispatchers count {own:.0} bytes/s, relays {seen:.0}"
+                ));
             }
         }
         Watched {
--- a/crates/lab/src/capture.rs
+++ b/crates/lab/src/capture.rs
@@ -39,7 +39,8 @@
         call: u64,
         word: Word,
     },
-    /// An owner's call is over. `broken`: the link broke; else the stream ended or the owner ended it.
+    /// An owner's call is over. `broken`: the link broke; else the stream ended or the owner ended
+    /// it.
     Closed {
         call: u64,
         broken: bool,
@@ -63,7 +64,8 @@
         #[serde(default)]
         decided: u64,
     },
-    /// A node has a floor on its disk: what was decided under a lower version must not take effect there.
+    /// A node has a floor on its disk: what was decided under a lower version must not take effect
+    /// there.
     Floor {
         node: u32,
         lowest: u64,
@@ -81,8 +83,8 @@
         placing: String,
         number: u32,
     },
-    /// A copy says that it is ready, or is so no longer. `done`: it has come to its end and is not wanted.
-    /// `stopped`: by its dispatcher, and not by what befell it.
+    /// A copy says that it is ready, or is so no longer. `done`: it has come to its end and is not
+    /// wanted. `stopped`: by its dispatcher, and not by what befell it.
     Ready {
         node: u32,
         task: String,
@@ -101,8 +103,8 @@
         /// New copies run beside old ones, never more than `unready_most` of them.
         #[serde(default)]
         start_first: bool,
-        /// A copy fails that is not ready after so long, or dies within `ready_for_us`; more than `failures_most`
-        /// at one dispatcher halt the roll.
+        /// A copy fails that is not ready after so long, or dies within `ready_for_us`; more than
+        /// `failures_most` at one dispatcher halt the roll.
         #[serde(default = "unending")]
         ready_within_us: u64,
         #[serde(default)]
@@ -111,7 +113,8 @@
     Probed {
         node: u32,
     },
-    /// A node's process starts, drains, is gone or fell over; all its allocations are gone with it if so.
+    /// A node's process starts, drains, is gone or fell over; all its allocations are gone with it
+    /// if so.
     Node {
         node: u32,
         state: NodeState,
@@ -143,7 +146,8 @@
         at_a_time: usize,
         by_hall: usize,
     },
-    /// The worker begins or ends his work on a node. `runs`: what stands there then, which must be nothing.
+    /// The worker begins or ends his work on a node. `runs`: what stands there then, which must be
+    /// nothing.
     Worked {
         node: u32,
         begins: bool,
@@ -179,9 +183,10 @@
         mean_kib: u64,
         most_kib: u64,
     },
-    /// The stand-ins' one thread over the day: for which share of it it ran, and waited for a processor; and by how much it
-    /// was late at the worst. `hollow`: the largest share of a second for which a hollow process ran or waited. Whether
-    /// all that spoils the day's figures.
+    /// The stand-ins' one thread over the day: for which share of it it ran, and waited for a
+    /// processor; and by how much it was late at the worst. `hollow`: the largest share of a
+    /// second for which a hollow process ran or waited. Whether all that spoils the day's
+    /// figures.
     StandIns {
         busy: f64,
         waited: f64,
@@ -264,7 +269,8 @@
     /// Nothing new to a node so long after a dispatcher was told that it drains or is gone.
     pub grace_us: u64,
     pub cold: Cold,
-    /// Between two sockets of one machine: what one end did may be seen so much later at the other.
+    /// Between two sockets of one machine: what one end did may be seen so much later at the
+    /// other.
     pub slack_us: u64,
 }
 
@@ -317,14 +323,26 @@
 impl Capture {
     /// Into a file, if one is given, and memory.
     pub fn new(file: Option<&Path>) -> std::io::Result<Self> {
-        let file = file.map(std::fs::File::create).transpose()?.map(std::io::BufWriter::new);
-        Ok(Capture { start: Instant::now(), to: Mutex::new(To { file, lines: Vec::new() }) })
+        let file = file
+            .map(std::fs::File::create)
+            .transpose()?
+            .map(std::io::BufWriter::new);
+        Ok(Capture {
+            start: Instant::now(),
+            to: Mutex::new(To {
+                file,
+                lines: Vec::new(),
+            }),
+        })
     }
 
     pub fn see(&self, seen: Seen) {
         let mut to = self.to.lock().expect("no one panics while writing a line");
         // The time is taken in here: lines stand in the order of their times.
-        let line = Line { t: self.start.elapsed().as_micros() as u64, seen };
+        let line = Line {
+            t: self.start.elapsed().as_micros() as u64,
+            seen,
+        };
         if let Some(file) = &mut to.file {
             let written = serde_json::to_writer(&mut *file, &line).map_err(Into::into);
             if let Err(why) = written.and_then(|()| file.write_all(b"\n")) {
@@ -356,7 +374,8 @@
     let file = std::fs::File::open(path).map_err(|why| format!("{}: {why}", path.display()))?;
     let mut lines = Vec::new();
     for (index, text) in std::io::BufReader::new(file).lines().enumerate() {
-        let place = |why: &dyn std::fmt::Display| format!("{}:{}: {why}", path.display(), index + 1);
+        let place =
+            |why: &dyn std::fmt::Display| format!("{}:{}: {why}", path.display(), index + 1);
         let text = text.map_err(|why| place(&why))?;
         lines.push(serde_json::from_str(&text).map_err(|why| place(&why))?);
     }
--- a/crates/lab/src/control.rs
+++ b/crates/lab/src/control.rs
@@ -1,5 +1,5 @@
-//! A stand-in control service: streams what its books say to each subscriber, or what a story puts on the wire, and
-//! keeps every reply.
+//! A stand-in control service: streams what its books say to each subscriber, or what a story puts
+//! on the wire, and keeps every reply.
 
 use crate::capture::Seen;
 use crate::node::World;
@@ -59,8 +59,11 @@
 
     pub async fn up_at(world: &Arc<World>, address: &str) -> std::io::Result<(Control, Up)> {
         let listener = TcpListener::bind(address).await?;
-        let control =
-            Control { state: Arc::default(), world: Arc::clone(world), address: listener.local_addr()? };
+        let control = Control {
+            state: Arc::default(),
+            world: Arc::clone(world),
+            address: listener.local_addr()?,
+        };
         let up = control.serve(world, listener);
         Ok((control, up))
     }
@@ -72,7 +75,8 @@
     }
 
     fn serve(&self, world: &Arc<World>, listener: TcpListener) -> Up {
-        let service = control_server::ControlServer::new(Service(self.clone(), Arc::clone(&world.tasks)));
+        let service =
+            control_server::ControlServer::new(Service(self.clone(), Arc::clone(&world.tasks)));
         let tasks = &world.tasks;
         Up(tasks.spawn(async move {
             corkspan_rpc::serve(listener, service, corkspan_rpc::Bounds::default()).await;
@@ -92,7 +96,9 @@
     pub fn publish(&self, texts: Texts, cuts: bool) -> Stamp {
         self.with(|state| {
             let stamp = state.books.publish(texts, cuts);
-            self.world.capture.see(Seen::Pushed { number: stamp.number });
+            self.world.capture.see(Seen::Pushed {
+                number: stamp.number,
+            });
             state.flush();
             stamp
         })
@@ -100,7 +106,12 @@
 
     /// Puts a push on one subscriber's stream, whatever the books say. False where none stands.
     pub fn send(&self, who: u32, push: v1::Push) -> bool {
-        self.with(|state| state.open.get(&who).is_some_and(|open| open.try_send(push).is_ok()))
+        self.with(|state| {
+            state
+                .open
+                .get(&who)
+                .is_some_and(|open| open.try_send(push).is_ok())
+        })
     }
 
     /// Ends all streams.
@@ -120,7 +131,10 @@
     pub fn reply_to(&self, nonce: u64) -> Option<v1::Told> {
         self.with(|state| {
             let replies = state.replies.iter().rev();
-            replies.map(|reply| &reply.told).find(|told| told.nonce == nonce).cloned()
+            replies
+                .map(|reply| &reply.told)
+                .find(|told| told.nonce == nonce)
+                .cloned()
         })
     }
 
@@ -140,7 +154,12 @@
         if self.scripted {
             return;
         }
-        let State { books, open, pushes, .. } = self;
+        let State {
+            books,
+            open,
+            pushes,
+            ..
+        } = self;
         open.retain(|who, open| {
             if let Some(push) = books.push_for(*who) {
                 pushes.push(message(&push));
@@ -153,11 +172,17 @@
 }
 
 pub fn stamp_message(stamp: Stamp) -> v1::Stamp {
-    v1::Stamp { number: stamp.number, digest: stamp.digest.to_string() }
+    v1::Stamp {
+        number: stamp.number,
+        digest: stamp.digest.to_string(),
+    }
 }
 
 pub fn stamp_of(message: &v1::Stamp) -> Option<Stamp> {
-    Some(Stamp { number: message.number, digest: Digest::read(&message.digest)? })
+    Some(Stamp {
+        number: message.number,
+        digest: Digest::read(&message.digest)?,
+    })
 }
 
 pub fn message(push: &Push) -> v1::Push {
@@ -166,7 +191,11 @@
         stamp: Some(stamp_message(push.stamp)),
         follows: push.follows.iter().copied().map(stamp_message).collect(),
         onto: push.onto.map(stamp_message),
-        parts: push.changes.iter().map(|(name, text)| (name.into(), text.into())).collect(),
+        parts: push
+            .changes
+            .iter()
+            .map(|(name, text)| (name.into(), text.into()))
+            .collect(),
         removed: push.removed.clone(),
         cuts: push.cuts,
     }
@@ -193,14 +222,22 @@
         request: Request<Streaming<v1::Told>>,
     ) -> Result<Response<Self::StreamStream>, Status> {
         let mut tells = request.into_inner();
-        let first = tells.message().await?.ok_or_else(|| Status::invalid_argument("nothing is told"))?;
+        let first = tells
+            .message()
+            .await?
+            .ok_or_else(|| Status::invalid_argument("nothing is told"))?;
         let who = first.dispatcher;
         let running = first.running.as_ref().and_then(stamp_of);
-        let running = running.ok_or_else(|| Status::invalid_argument("it does not tell what it runs"))?;
+        let running =
+            running.ok_or_else(|| Status::invalid_argument("it does not tell what it runs"))?;
         let (to, from) = async_channel::bounded(WAITING);
         let control = self.0.clone();
         control.with(|state| {
-            state.replies.push(Reply { told: first, heard: Heard::Counted, at: std::time::Instant::now() });
+            state.replies.push(Reply {
+                told: first,
+                heard: Heard::Counted,
+                at: std::time::Instant::now(),
+            });
             state.opened += 1;
             state.books.opened(who, running);
             state.open.insert(who, to);
@@ -211,15 +248,24 @@
                 control.with(|state| {
                     if let Some(running) = &told.running {
                         let (dispatcher, number) = (told.dispatcher, running.number);
-                        control.world.capture.see(Seen::InForce { dispatcher, number });
+                        control
+                            .world
+                            .capture
+                            .see(Seen::InForce { dispatcher, number });
                     }
                     let heard = match told.running.as_ref().and_then(stamp_of) {
                         Some(running) => {
-                            state.books.heard(told.dispatcher, told.nonce, &said(&told), running)
+                            state
+                                .books
+                                .heard(told.dispatcher, told.nonce, &said(&told), running)
                         }
                         None => Heard::Unknown,
                     };
-                    state.replies.push(Reply { told, heard, at: std::time::Instant::now() });
+                    state.replies.push(Reply {
+                        told,
+                        heard,
+                        at: std::time::Instant::now(),
+                    });
                     state.flush();
                 });
             }
--- a/crates/lab/src/cost.rs
+++ b/crates/lab/src/cost.rs
@@ -1,5 +1,5 @@
-//! What dispatchers cost: processor time and memory as the kernel counts them by process, and what they counted on their
-//! links.
+//! What dispatchers cost: processor time and memory as the kernel counts them by process, and what
+//! they counted on their links.
 
 use crate::counts::of;
 use corkspan_api::v1::{LinkCount, link_count::Kind};
@@ -9,8 +9,14 @@
 use std::ops::Range;
 use std::time::{Duration, Instant};
 
-/// Kinds of link that carry control, and not placing. Keepers are nodes: what is placed on these few is with them.
-pub const CONTROL: [Kind; 4] = [Kind::Roster, Kind::Control, Kind::Keepers, Kind::Dispatchers];
+/// Kinds of link that carry control, and not placing. Keepers are nodes: what is placed on these
+/// few is with them.
+pub const CONTROL: [Kind; 4] = [
+    Kind::Roster,
+    Kind::Control,
+    Kind::Keepers,
+    Kind::Dispatchers,
+];
 
 /// One process at one moment.
 #[derive(Clone, Debug)]
@@ -37,17 +43,28 @@
     pub cpu_s: f64,
     /// At the later moment.
     pub resident_kib: u64,
-    /// By kind of link, in this order: roster, control, keepers, dispatchers, nodes, owners; each bytes in and out, and
-    /// messages in and out.
+    /// By kind of link, in this order: roster, control, keepers, dispatchers, nodes, owners; each
+    /// bytes in and out, and messages in and out.
     pub links: [[u64; 4]; 6],
 }
 
-pub const KINDS: [Kind; 6] =
-    [Kind::Roster, Kind::Control, Kind::Keepers, Kind::Dispatchers, Kind::Nodes, Kind::Owners];
+pub const KINDS: [Kind; 6] = [
+    Kind::Roster,
+    Kind::Control,
+    Kind::Keepers,
+    Kind::Dispatchers,
+    Kind::Nodes,
+    Kind::Owners,
+];
 
 fn figures(counts: &[LinkCount], kind: Kind) -> [u64; 4] {
     let count = of(counts, kind);
-    [count.bytes_in, count.bytes_out, count.messages_in, count.messages_out]
+    [
+        count.bytes_in,
+        count.bytes_out,
+        count.messages_in,
+        count.messages_out,
+    ]
 }
 
 impl Cost {
@@ -75,7 +92,9 @@
         self.cpu_s += after.cpu.saturating_sub(before.cpu).as_secs_f64();
         self.resident_kib += after.resident_kib;
         for (number, counts) in &after.counts {
-            let Some(former) = before.counts.get(number) else { continue };
+            let Some(former) = before.counts.get(number) else {
+                continue;
+            };
             self.told += 1;
             for (sum, kind) in std::iter::zip(&mut self.links, KINDS) {
                 let (now, then) = (figures(counts, kind), figures(former, kind));
@@ -96,7 +115,10 @@
 
 /// A process that was started meanwhile has no former figures, and is left out.
 pub fn between(before: &[Reading], after: &[Reading]) -> Costs {
-    let Costs { mut real, mut hollow } = Costs::default();
+    let Costs {
+        mut real,
+        mut hollow,
+    } = Costs::default();
     for after in after {
         if let Some(before) = before.iter().find(|before| before.process == after.process) {
             if after.hollow { &mut hollow } else { &mut real }.add(before, after);
@@ -127,13 +149,16 @@
     line.split_whitespace().nth(1)?.parse().ok()
 }
 
-/// Processor time of all threads below a folder of /proc, to the nanosecond, as far as they still run.
+/// Processor time of all threads below a folder of /proc, to the nanosecond, as far as they still
+/// run.
 pub fn cpu(folder: &str) -> Option<Duration> {
     let mut sum = 0;
     for thread in std::fs::read_dir(format!("{folder}/task")).ok()? {
         let path = thread.ok()?.path().join("schedstat");
         // A thread that ends as we look is passed over.
-        let Ok(text) = std::fs::read_to_string(path) else { continue };
+        let Ok(text) = std::fs::read_to_string(path) else {
+            continue;
+        };
         sum += text.split_whitespace().next()?.parse::<u64>().ok()?;
     }
     Some(Duration::from_nanos(sum))
--- a/crates/lab/src/counts.rs
+++ b/crates/lab/src/counts.rs
@@ -1,5 +1,5 @@
-//! What a dispatcher counted on its links held against what relays saw pass, kind by kind. The relays know nothing of the
-//! dispatcher's counters.
+//! What a dispatcher counted on its links held against what relays saw pass, kind by kind. The
+//! relays know nothing of the dispatcher's counters.
 
 use crate::day::{ENDS, End};
 use crate::wires::Wires;
@@ -20,7 +20,11 @@
 impl fmt::Display for Difference {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Difference { end, told, seen } = self;
-        write!(f, "{end:?}: told {} in, {} out; seen {}, {}", told[0], told[1], seen[0], seen[1])
+        write!(
+            f,
+            "{end:?}: told {} in, {} out; seen {}, {}",
+            told[0], told[1], seen[0], seen[1]
+        )
     }
 }
 
@@ -36,12 +40,18 @@
 
 /// What a dispatcher tells of a kind; nothing passed where it tells nothing.
 pub fn of(counts: &[v1::LinkCount], kind: Kind) -> v1::LinkCount {
-    counts.iter().find(|count| count.kind() == kind).copied().unwrap_or_default()
+    counts
+        .iter()
+        .find(|count| count.kind() == kind)
+        .copied()
+        .unwrap_or_default()
 }
 
 /// What passed the relays of one dispatcher at each end.
 pub fn seen(wires: &Wires, dispatcher: usize) -> Vec<(End, Passed)> {
-    ENDS.iter().map(|&(_, end)| (end, wires.passed(dispatcher, end))).collect()
+    ENDS.iter()
+        .map(|&(_, end)| (end, wires.passed(dispatcher, end)))
+        .collect()
 }
 
 pub fn differences(told: &[v1::LinkCount], seen: &[(End, Passed)]) -> Vec<Difference> {
--- a/crates/lab/src/day.rs
+++ b/crates/lab/src/day.rs
@@ -33,7 +33,8 @@
     pub roll: Option<Roll>,
     /// The control service pushes a sound version so often; none where there is no such service.
     pub versions: Option<Duration>,
-    /// An operator raises the floor to the newest version then, and audits the fleet at the end of the day.
+    /// An operator raises the floor to the newest version then, and audits the fleet at the end of
+    /// the day.
     pub floor: Option<Duration>,
     pub audit: bool,
     /// All machines that may be are taken out for work, and a worker works on each.
@@ -205,12 +206,21 @@
                 None => (0, A_PROCESS),
             };
             let most = day.nodes.min(100) as u64;
-            let zones = parts.find("zones").map(|form| form.whole(2, most)).transpose()?;
-            let day = Day { hollow, a_process, zones: zones.map(|zones| zones as usize), ..day };
+            let zones = parts
+                .find("zones")
+                .map(|form| form.whole(2, most))
+                .transpose()?;
+            let day = Day {
+                hollow,
+                a_process,
+                zones: zones.map(|zones| zones as usize),
+                ..day
+            };
             if let (Some(form), 0) = (parts.find("roll"), day.copies) {
                 return Err(form.fault("stands only beside `(copies …)`"));
             }
-            if let (Some(form), None) = (parts.find("floor").or(parts.find("audit")), day.versions) {
+            if let (Some(form), None) = (parts.find("floor").or(parts.find("audit")), day.versions)
+            {
                 return Err(form.fault("stands only beside `(versions …)`"));
             }
             if day.deduplicated + day.unrepeatable > 100.0 {
@@ -218,7 +228,10 @@
             }
             let kinds = KINDS.map(|(name, _)| name);
             let troubles = parts.or("troubles", Vec::new(), |form| form.all(&kinds))?;
-            let troubles = troubles.iter().map(|form| trouble(form, &day)).collect::<Result<_, _>>()?;
+            let troubles = troubles
+                .iter()
+                .map(|form| trouble(form, &day))
+                .collect::<Result<_, _>>()?;
             let day = Day { troubles, ..day };
             if let Some(form) = parts.find("hollow").filter(|_| day.needs_disks()) {
                 return Err(form.fault(
@@ -243,10 +256,14 @@
         let real = self.dispatchers - self.hollow;
         let hollow = (real..self.dispatchers).step_by(self.a_process);
         let hollow = hollow.map(|first| first..(first + self.a_process).min(self.dispatchers));
-        (0..real).map(|number| number..number + 1).chain(hollow).collect()
+        (0..real)
+            .map(|number| number..number + 1)
+            .chain(hollow)
+            .collect()
     }
 
-    /// Cell and hall of the node that is the how-manieth. A zone is in one hall; without zones a cell is in both.
+    /// Cell and hall of the node that is the how-manieth. A zone is in one hall; without zones a
+    /// cell is in both.
     pub fn place(&self, node: usize) -> (u64, usize) {
         let cell = (node / 4) as u64;
         match self.zones {
@@ -263,22 +280,32 @@
     /// Whether the dispatchers' links run through relays.
     pub fn has_wires(&self) -> bool {
         let on_links = |trouble: &Trouble| {
-            matches!(trouble.kind, Kind::CutDispatchers | Kind::DelayDispatchers | Kind::HoldVersions)
+            matches!(
+                trouble.kind,
+                Kind::CutDispatchers | Kind::DelayDispatchers | Kind::HoldVersions
+            )
         };
         self.troubles.iter().any(on_links)
     }
 
     pub fn strikes(&self, end: End) -> bool {
-        self.troubles.iter().any(|trouble| trouble.from.contains(&end))
+        self.troubles
+            .iter()
+            .any(|trouble| trouble.from.contains(&end))
     }
 
     pub fn fills_disks(&self) -> bool {
-        self.troubles.iter().any(|trouble| trouble.kind == Kind::FullDisk)
+        self.troubles
+            .iter()
+            .any(|trouble| trouble.kind == Kind::FullDisk)
     }
 
     /// Tasks a second at this time of the day.
     pub fn rate_at(&self, at: Duration) -> f64 {
-        let steps = self.troubles.iter().filter(|trouble| trouble.kind == Kind::Demand);
+        let steps = self
+            .troubles
+            .iter()
+            .filter(|trouble| trouble.kind == Kind::Demand);
         let now = steps.filter(|step| at >= step.at && at < step.at + step.lasts);
         now.fold(self.rate, |rate, step| rate * step.times)
     }
@@ -297,7 +324,9 @@
     let parts = form.parts(&["many", "a-process"])?;
     let most = day.dispatchers as u64 - 1;
     if most == 0 {
-        return Err(form.fault("at least one dispatcher is a process of its own, and there is one alone"));
+        return Err(
+            form.fault("at least one dispatcher is a process of its own, and there is one alone")
+        );
     }
     let many = parts.need("many")?.whole(1, most)?;
     let a_process = parts.or("a-process", A_PROCESS as u64, |form| form.whole(1, 100))?;
@@ -311,7 +340,11 @@
     Ok(Maintenance {
         at: span(parts.need("at")?, 600)?,
         at_a_time,
-        by_hall: parts.or("by-hall", at_a_time, |form| Ok(form.whole(1, 1_000)? as u32))?,
+        by_hall: parts.or(
+            "by-hall",
+            at_a_time,
+            |form| Ok(form.whole(1, 1_000)? as u32),
+        )?,
         takes: parts.or("takes", Duration::from_secs(1), |form| span(form, 600))?,
     })
 }
@@ -324,9 +357,14 @@
 /// `(from keepers control)`
 fn ends(form: &Form) -> Result<Vec<End>, Fault> {
     let end = |name: &str| {
-        let known = ENDS.iter().find(|(known, _)| *known == name).map(|(_, end)| *end);
+        let known = ENDS
+            .iter()
+            .find(|(known, _)| *known == name)
+            .map(|(_, end)| *end);
         known.ok_or_else(|| {
-            form.fault(format!("`{name}` is none of dispatchers, keepers, control, roster, nodes"))
+            form.fault(format!(
+                "`{name}` is none of dispatchers, keepers, control, roster, nodes"
+            ))
         })
     };
     form.words()?.into_iter().map(end).collect()
@@ -343,7 +381,10 @@
 }
 
 fn trouble(form: &Form, day: &Day) -> Result<Trouble, Fault> {
-    let kind = KINDS.iter().find(|(name, _)| *name == form.name).map(|(_, kind)| *kind);
+    let kind = KINDS
+        .iter()
+        .find(|(name, _)| *name == form.name)
+        .map(|(_, kind)| *kind);
     let kind = kind.ok_or_else(|| form.fault("unknown"))?;
     let parts = form.parts(&["at", "for", "many", "times", "from", "way", "by"])?;
     let of = match kind {
--- a/crates/lab/src/disk.rs
+++ b/crates/lab/src/disk.rs
@@ -23,7 +23,12 @@
     let full = full.clone();
     Store::over(move || {
         let mut open = std::fs::OpenOptions::new();
-        let file = open.read(true).write(true).create(true).truncate(false).open(&path)?;
+        let file = open
+            .read(true)
+            .write(true)
+            .create(true)
+            .truncate(false)
+            .open(&path)?;
         Ok(Database::builder().create_with_backend(Disk(FileBackend::new(file)?, full.clone()))?)
     })
 }
--- a/crates/lab/src/hollow.rs
+++ b/crates/lab/src/hollow.rs
@@ -1,5 +1,6 @@
-//! Hollow dispatchers: many share a process and its one thread. Each decides, listens, and speaks over loopback sockets as a
-//! real one does, by the same code; none has a process, a disk or a log of its own.
+//! Hollow dispatchers: many share a process and its one thread. Each decides, listens, and speaks
+//! over loopback sockets as a real one does, by the same code; none has a process, a disk or a log
+//! of its own.
 
 pub mod fleet;
 
@@ -26,7 +27,8 @@
         #[arg(required = true)]
         files: Vec<PathBuf>,
     },
-    /// Holds hollow dispatchers against real ones, at a size at which both fit, without asks and with them.
+    /// Holds hollow dispatchers against real ones, at a size at which both fit, without asks and
+    /// with them.
     Against(fleet::Against),
 }
 
@@ -41,10 +43,17 @@
     let mut deployments = Vec::new();
     for file in files {
         let deployment = Deployment::load(file).map_err(|why| why.to_string())?;
-        let Deployment { remembered, rolls, versions, .. } = &deployment;
+        let Deployment {
+            remembered,
+            rolls,
+            versions,
+            ..
+        } = &deployment;
         if remembered.is_some() || rolls.is_some() || versions.is_some() {
             let file = file.display();
-            return Err(format!("{file}: a hollow dispatcher has no disk for its list, rolls or versions"));
+            return Err(format!(
+                "{file}: a hollow dispatcher has no disk for its list, rolls or versions"
+            ));
         }
         deployments.push(deployment);
     }
@@ -63,7 +72,8 @@
                 let _ = writeln!(std::io::stdout(), "listening {which} {address}");
             };
             let store = Store::open(None);
-            let run = corkspan_dispatcher::run_over(store, tasks.clone(), deployment, ready, stopped);
+            let run =
+                corkspan_dispatcher::run_over(store, tasks.clone(), deployment, ready, stopped);
             own.push(tasks.spawn(run));
         }
         let ended = async {
@@ -77,7 +87,9 @@
             drop(stop);
             future::pending().await
         };
-        future::or(ended, asked).await.map_err(|why| why.to_string())
+        future::or(ended, asked)
+            .await
+            .map_err(|why| why.to_string())
     };
     future::block_on(tasks.run(all))
 }
--- a/crates/lab/src/hollow/fleet.rs
+++ b/crates/lab/src/hollow/fleet.rs
@@ -1,4 +1,5 @@
-//! A fleet of dispatchers before stand-ins of nodes, run for a while without asks or with them, and read.
+//! A fleet of dispatchers before stand-ins of nodes, run for a while without asks or with them, and
+//! read.
 
 use crate::capture::Seen;
 use crate::cost::{CONTROL, Cost, Costs, KINDS, between};
@@ -36,8 +37,8 @@
     pub placed: usize,
 }
 
-/// Dispatchers and stand-ins, up. Nothing of the stand-ins moves but within [`Fleet::run`], so calls are to follow one
-/// another closely.
+/// Dispatchers and stand-ins, up. Nothing of the stand-ins moves but within [`Fleet::run`], so
+/// calls are to follow one another closely.
 pub struct Fleet {
     tasks: Tasks,
     stage: Stage,
@@ -45,10 +46,14 @@
 }
 
 impl Fleet {
-    /// Refused at once, with what is short, where it does not fit the machine. Each dispatcher knows all nodes when this
-    /// returns.
+    /// Refused at once, with what is short, where it does not fit the machine. Each dispatcher
+    /// knows all nodes when this returns.
     pub fn up(size: Size, seed: u64, programs: &Programs) -> Result<Fleet, String> {
-        let Size { real, hollow, nodes } = size;
+        let Size {
+            real,
+            hollow,
+            nodes,
+        } = size;
         if real == 0 || real + hollow > 300 || !(1..=2600).contains(&nodes) {
             return Err(format!(
                 "1 to 300 dispatchers with a real one among them, and 1 to 2600 nodes, not {size:?}"
@@ -65,15 +70,30 @@
         let mut day = Day::read("fleet", &script).map_err(|why| why.to_string())?;
         day.rate = 0.0;
         let (tell, programs) = ((|text| text) as fn(String) -> String, programs.clone());
-        let play = Play { day, seed, programs, capture: None, tell, logs: None };
+        let play = Play {
+            day,
+            seed,
+            programs,
+            capture: None,
+            tell,
+            logs: None,
+        };
         let tasks = Tasks::default();
         let stage = future::block_on(tasks.run(play.up(&tasks)))?;
-        let room = tasks.spawn(tell_room(stage.roster.clone(), stage.nodes.clone(), stage.day.clone()));
-        Ok(Fleet { tasks, stage, _room: room })
+        let room = tasks.spawn(tell_room(
+            stage.roster.clone(),
+            stage.nodes.clone(),
+            stage.day.clone(),
+        ));
+        Ok(Fleet {
+            tasks,
+            stage,
+            _room: room,
+        })
     }
 
-    /// Runs for so long while owners ask so many times a second, each for a task of a mean life of so long; at a rate of 0
-    /// nobody asks.
+    /// Runs for so long while owners ask so many times a second, each for a task of a mean life of
+    /// so long; at a rate of 0 nobody asks.
     pub fn run(&mut self, time: Duration, rate: f64, life: Duration) -> Result<Span, String> {
         let tasks = self.tasks.clone();
         let stage = &mut self.stage;
@@ -89,14 +109,34 @@
             // Those that are still here when the span is over are not waited for.
             drop(owners);
             let Costs { real, hollow } = between(&before, &after);
-            let mut span = Span { real, hollow, ..Span::default() };
-            if let Seen::StandIns { busy, waited, late_us, hollow, spoilt } = seen {
-                span.stand_ins = StandIns { busy, waited, late_us, hollow, spoilt };
+            let mut span = Span {
+                real,
+                hollow,
+                ..Span::default()
+            };
+            if let Seen::StandIns {
+                busy,
+                waited,
+                late_us,
+                hollow,
+                spoilt,
+            } = seen
+            {
+                span.stand_ins = StandIns {
+                    busy,
+                    waited,
+                    late_us,
+                    hollow,
+                    spoilt,
+                };
             }
             for line in &stage.front.world.capture.lines()[from..] {
                 match line.seen {
                     Seen::Asked(_) => span.asked += 1,
-                    Seen::Heard { word: crate::capture::Word::Placed, .. } => span.placed += 1,
+                    Seen::Heard {
+                        word: crate::capture::Word::Placed,
+                        ..
+                    } => span.placed += 1,
                     _ => {}
                 }
             }
@@ -104,7 +144,8 @@
         };
         let most = time + Duration::from_secs(60);
         let whole = within(most, Box::pin(whole));
-        future::block_on(self.tasks.run(whole)).ok_or("a span of a fleet does not come to its end")?
+        future::block_on(self.tasks.run(whole))
+            .ok_or("a span of a fleet does not come to its end")?
     }
 
     /// All processes end, and each with 0.
@@ -140,7 +181,8 @@
 /// Mean life of a task.
 const LIFE: Duration = Duration::from_secs(4);
 
-/// Real ones alone and hollow ones with one real among them, in turn, so that both meet the same machine.
+/// Real ones alone and hollow ones with one real among them, in turn, so that both meet the same
+/// machine.
 impl Against {
     pub fn run(self) -> Result<(), String> {
         let programs = Programs::here()?;
@@ -148,7 +190,9 @@
             || !(0.5..=600.0).contains(&self.seconds)
             || !(0.0..=5_000.0).contains(&self.rate)
         {
-            return Err("2 dispatchers or more, 0.5 to 600 seconds and 0 to 5000 asks a second".into());
+            return Err(
+                "2 dispatchers or more, 0.5 to 600 seconds and 0 to 5000 asks a second".into(),
+            );
         }
         let time = Duration::from_secs_f64(self.seconds);
         let (mut spoilt, mut apart) = (0, 0);
@@ -156,7 +200,11 @@
         for round in 0..self.rounds.clamp(1, 100) as u64 {
             let mut spans = Vec::new();
             for hollow in [0, self.dispatchers - 1] {
-                let size = Size { real: self.dispatchers - hollow, hollow, nodes: self.nodes };
+                let size = Size {
+                    real: self.dispatchers - hollow,
+                    hollow,
+                    nodes: self.nodes,
+                };
                 let mut fleet = Fleet::up(size, round + 1, &programs)?;
                 for rate in rates {
                     // What was learnt at the start, or of another rate, settles first.
@@ -178,7 +226,8 @@
                         span.stand_ins, span.asked, span.placed
                     );
                 }
-                let ratio = |cost: &Cost, kinds: &[Kind]| cost.bytes(kinds) / first.real.bytes(kinds);
+                let ratio =
+                    |cost: &Cost, kinds: &[Kind]| cost.bytes(kinds) / first.real.bytes(kinds);
                 let (ratio, beside, control) = (
                     ratio(&second.hollow, &KINDS),
                     ratio(&second.real, &KINDS),
--- a/crates/lab/src/judge.rs
+++ b/crates/lab/src/judge.rs
@@ -1,5 +1,5 @@
-//! Judges a capture by the five rules. It knows what crossed the sockets and nothing of dispatchers or
-//! decisions.
+//! Judges a capture by the five rules. It knows what crossed the sockets and nothing of dispatchers
+//! or decisions.
 
 use crate::capture::*;
 use std::collections::{BTreeMap, HashMap, HashSet};
@@ -26,8 +26,11 @@
     }
 }
 
-/// The brief's five, the limit of a roll, that a failed one halts by itself, and the floor of versions.
-pub const NAMES: [&str; 8] = ["lost", "twice", "drains", "cold", "spread", "unready", "halts", "floor"];
+/// The brief's five, the limit of a roll, that a failed one halts by itself, and the floor of
+/// versions.
+pub const NAMES: [&str; 8] = [
+    "lost", "twice", "drains", "cold", "spread", "unready", "halts", "floor",
+];
 
 /// One call of an owner.
 struct Call<'a> {
@@ -78,16 +81,29 @@
 }
 
 impl Rolled<'_> {
-    /// Whether it must have halted by now: more than may have failed at one dispatcher, and that `within` ago.
+    /// Whether it must have halted by now: more than may have failed at one dispatcher, and that
+    /// `within` ago.
     fn halted(&mut self, now: u64, within: u64) {
-        for copy in self.copies.iter_mut().filter(|copy| !copy.over && copy.ready.is_none()) {
+        for copy in self
+            .copies
+            .iter_mut()
+            .filter(|copy| !copy.over && copy.ready.is_none())
+        {
             let due = copy.accepted.saturating_add(self.ready_within);
             copy.failed = copy.failed.or((now >= due).then_some(due));
         }
         let long_ago = |copy: &&New| copy.failed.is_some_and(|at| now >= at + within);
-        let at =
-            |which: u32| self.copies.iter().filter(|copy| copy.dispatcher == which).filter(long_ago).count();
-        self.halts |= self.copies.iter().any(|copy| at(copy.dispatcher) > self.failures_most);
+        let at = |which: u32| {
+            self.copies
+                .iter()
+                .filter(|copy| copy.dispatcher == which)
+                .filter(long_ago)
+                .count()
+        };
+        self.halts |= self
+            .copies
+            .iter()
+            .any(|copy| at(copy.dispatcher) > self.failures_most);
     }
 }
 
@@ -102,12 +118,26 @@
 fn struck(lines: &[Line]) -> Vec<Struck> {
     let mut all: Vec<Struck> = Vec::new();
     for Line { t, seen } in lines {
-        let Seen::Wires { dispatcher, struck, late_us } = *seen else { continue };
+        let Seen::Wires {
+            dispatcher,
+            struck,
+            late_us,
+        } = *seen
+        else {
+            continue;
+        };
         match struck {
-            true => all.push(Struck { dispatcher, from: *t, to: u64::MAX, late: late_us }),
+            true => all.push(Struck {
+                dispatcher,
+                from: *t,
+                to: u64::MAX,
+                late: late_us,
+            }),
             false => {
                 // Of two troubles at once the first that began is taken to end first.
-                let open = all.iter_mut().find(|own| own.dispatcher == dispatcher && own.to == u64::MAX);
+                let open = all
+                    .iter_mut()
+                    .find(|own| own.dispatcher == dispatcher && own.to == u64::MAX);
                 open.into_iter().for_each(|own| own.to = *t);
             }
         }
@@ -117,7 +147,11 @@
 
 /// All broken rules of a capture, or what makes it unreadable.
 pub fn judge(lines: &[Line]) -> Result<Vec<Breach>, String> {
-    let Some(Line { seen: Seen::Day(rules), .. }) = lines.first() else {
+    let Some(Line {
+        seen: Seen::Day(rules),
+        ..
+    }) = lines.first()
+    else {
         return Err("the first line does not tell the day's rules".into());
     };
     let mut judge = Judge {
@@ -137,7 +171,9 @@
     judge.unready();
     judge.halts();
     judge.floor();
-    judge.breaches.sort_by_key(|breach| (breach.rule, breach.lines.first().copied()));
+    judge
+        .breaches
+        .sort_by_key(|breach| (breach.rule, breach.lines.first().copied()));
     Ok(judge.breaches)
 }
 
@@ -156,15 +192,35 @@
     fn floor(&mut self) {
         let (mut floors, mut decided) = (HashMap::new(), HashMap::new());
         let mut breaches = Vec::new();
-        for (line, seen) in self.lines.iter().enumerate().map(|(index, line)| (index + 1, &line.seen)) {
+        for (line, seen) in self
+            .lines
+            .iter()
+            .enumerate()
+            .map(|(index, line)| (index + 1, &line.seen))
+        {
             match seen {
                 Seen::Floor { node, lowest } => drop(floors.insert(*node, (*lowest, line))),
-                Seen::Offered { node, placing, number, decided: version, dispatcher, .. } => {
+                Seen::Offered {
+                    node,
+                    placing,
+                    number,
+                    decided: version,
+                    dispatcher,
+                    ..
+                } => {
                     decided.insert((*node, placing, *number), (*version, *dispatcher, line));
                 }
-                Seen::Said { node, placing, number, word: Word::Accepted } => {
-                    let Some(&(lowest, told)) = floors.get(node) else { continue };
-                    let Some(&(version, dispatcher, offered)) = decided.get(&(*node, placing, *number))
+                Seen::Said {
+                    node,
+                    placing,
+                    number,
+                    word: Word::Accepted,
+                } => {
+                    let Some(&(lowest, told)) = floors.get(node) else {
+                        continue;
+                    };
+                    let Some(&(version, dispatcher, offered)) =
+                        decided.get(&(*node, placing, *number))
                     else {
                         continue;
                     };
@@ -178,7 +234,9 @@
                 _ => {}
             }
         }
-        breaches.into_iter().for_each(|(what, lines)| self.breach(8, what, lines));
+        breaches
+            .into_iter()
+            .for_each(|(what, lines)| self.breach(8, what, lines));
     }
 
     fn breach(&mut self, rule: u8, what: String, lines: Vec<usize>) {
@@ -211,7 +269,10 @@
                     };
                     self.calls.insert(asked.call, call);
                 }
-                Seen::Heard { call, word: word @ (Word::Placed | Word::Refused | Word::Failed) } => {
+                Seen::Heard {
+                    call,
+                    word: word @ (Word::Placed | Word::Refused | Word::Failed),
+                } => {
                     if let Some(call) = self.calls.get_mut(call) {
                         call.finals.push((t, line, *word));
                     }
@@ -226,7 +287,13 @@
                         call.cancelled = Some(t);
                     }
                 }
-                Seen::Offered { node, placing, number, dispatcher, .. } => {
+                Seen::Offered {
+                    node,
+                    placing,
+                    number,
+                    dispatcher,
+                    ..
+                } => {
                     let offer = Offer {
                         node: *node,
                         dispatcher: *dispatcher,
@@ -240,11 +307,22 @@
                     };
                     let early = early.remove(&(*node, &placing[..], *number));
                     let let_go = early.then_some(t);
-                    let offer = Offer { let_go, over: let_go, ..offer };
+                    let offer = Offer {
+                        let_go,
+                        over: let_go,
+                        ..offer
+                    };
                     self.offers.entry(placing).or_default().push(offer);
                 }
-                Seen::Said { node, placing, number, word } => {
-                    let Some(offer) = find(&mut self.offers, placing, *number, *node) else { continue };
+                Seen::Said {
+                    node,
+                    placing,
+                    number,
+                    word,
+                } => {
+                    let Some(offer) = find(&mut self.offers, placing, *number, *node) else {
+                        continue;
+                    };
                     match word {
                         Word::Accepted => offer.accepted = Some(t),
                         Word::Running => offer.accepted = offer.accepted.or(Some(t)),
@@ -253,19 +331,34 @@
                         _ => offer.over = offer.over.or(Some(t)),
                     }
                 }
-                Seen::LetGo { node, placing, number } => {
+                Seen::LetGo {
+                    node,
+                    placing,
+                    number,
+                } => {
                     if let Some(offer) = find(&mut self.offers, placing, *number, *node) {
                         (offer.let_go, offer.over) = (Some(t), offer.over.or(Some(t)));
                     } else {
                         early.insert((*node, placing, *number));
                     }
                 }
-                Seen::Node { node, state: NodeState::Gone | NodeState::FellOver } => {
-                    let there = self.offers.values_mut().flatten().filter(|offer| offer.node == *node);
+                Seen::Node {
+                    node,
+                    state: NodeState::Gone | NodeState::FellOver,
+                } => {
+                    let there = self
+                        .offers
+                        .values_mut()
+                        .flatten()
+                        .filter(|offer| offer.node == *node);
                     there.for_each(|offer| offer.over = offer.over.or(Some(t)));
                 }
                 Seen::Cut { node } => {
-                    let there = self.offers.values_mut().flatten().filter(|offer| offer.node == *node);
+                    let there = self
+                        .offers
+                        .values_mut()
+                        .flatten()
+                        .filter(|offer| offer.node == *node);
                     // The dispatcher's shot is over with its link, whatever the node goes on to do.
                     there.for_each(|offer| offer.over = offer.over.or(Some(t)));
                 }
@@ -275,12 +368,18 @@
         Ok(())
     }
 
-    /// Whether a dispatcher stood still or was dead at some time between these two: what it owed then is not
-    /// held against it.
+    /// Whether a dispatcher stood still or was dead at some time between these two: what it owed
+    /// then is not held against it.
     fn away(&self, dispatcher: u32, from: u64, to: u64) -> bool {
         let mut since = None;
         for Line { t, seen } in self.lines {
-            let Seen::Dispatcher { dispatcher: which, state } = seen else { continue };
+            let Seen::Dispatcher {
+                dispatcher: which,
+                state,
+            } = seen
+            else {
+                continue;
+            };
             if *which != dispatcher {
                 continue;
             }
@@ -305,13 +404,19 @@
             let latest = call.t + asked.abandon_us + self.rules.slack_us;
             let name = &asked.placing;
             if let [first, second, ..] = call.finals[..] {
-                found.push((format!("{name} has two final answers"), vec![call.line, first.1, second.1]));
+                found.push((
+                    format!("{name} has two final answers"),
+                    vec![call.line, first.1, second.1],
+                ));
             }
             if let Some((t, line, _)) = call.finals.first()
                 && *t > latest
                 && !self.away(asked.dispatcher, call.t, *t)
             {
-                found.push((format!("{name} is answered after its owner's time"), vec![call.line, *line]));
+                found.push((
+                    format!("{name} is answered after its owner's time"),
+                    vec![call.line, *line],
+                ));
             }
             let over_by_owner = call.cancelled.is_some_and(|at| at <= latest);
             if call.finals.is_empty()
@@ -324,27 +429,42 @@
             {
                 found.push((format!("{name} has no final answer"), vec![call.line]));
             }
-            // An offer under way crosses the answer only where the link, not the dispatcher, made it late.
-            let Some((t, line, _)) = call.finals.first() else { continue };
+            // An offer under way crosses the answer only where the link, not the dispatcher, made
+            // it late.
+            let Some((t, line, _)) = call.finals.first() else {
+                continue;
+            };
             let after = |offer: &&Offer| offer.t > t + self.rules.slack_us && !self.stale(offer);
             if let Some(offer) = self.offers.get(&name[..]).into_iter().flatten().find(after) {
-                found.push((format!("{name} is offered after its answer"), vec![*line, offer.line]));
+                found.push((
+                    format!("{name} is offered after its answer"),
+                    vec![*line, offer.line],
+                ));
             }
         }
-        found.into_iter().for_each(|(what, lines)| self.breach(1, what, lines));
+        found
+            .into_iter()
+            .for_each(|(what, lines)| self.breach(1, what, lines));
     }
 
-    /// One that was given up while it was on its way: its node sees it, and at once that it is let go. Where links were
-    /// held, both come when they are no longer, and the node may have taken it in between.
+    /// One that was given up while it was on its way: its node sees it, and at once that it is let
+    /// go. Where links were held, both come when they are no longer, and the node may have
+    /// taken it in between.
     fn stale(&self, offer: &Offer) -> bool {
-        let at_once = offer.let_go.is_some_and(|at| at <= offer.t + self.rules.slack_us);
+        let at_once = offer
+            .let_go
+            .is_some_and(|at| at <= offer.t + self.rules.slack_us);
         at_once && (offer.accepted.is_none() || self.heard_by(offer.dispatcher, offer.t).is_some())
     }
 
-    /// By when what a dispatcher has given up at this time is seen at nodes; none where its links were whole.
+    /// By when what a dispatcher has given up at this time is seen at nodes; none where its links
+    /// were whole.
     fn heard_by(&self, dispatcher: u32, t: u64) -> Option<u64> {
         let slack = self.rules.slack_us;
-        let mine = self.struck.iter().filter(|own| own.dispatcher == dispatcher);
+        let mine = self
+            .struck
+            .iter()
+            .filter(|own| own.dispatcher == dispatcher);
         let over = mine.filter(|own| own.from <= t && t <= own.to.saturating_add(slack));
         let by = over.map(|own| match own.late {
             0 => own.to.saturating_add(slack),
@@ -355,10 +475,15 @@
 
     fn twice(&mut self) {
         let mut found = Vec::new();
-        let tracks: HashMap<&str, usize> =
-            self.calls.values().map(|call| (&call.asked.placing[..], call.asked.track)).collect();
+        let tracks: HashMap<&str, usize> = self
+            .calls
+            .values()
+            .map(|call| (&call.asked.placing[..], call.asked.track))
+            .collect();
         for (name, offers) in &self.offers {
-            let Some(track) = tracks.get(name).map(|&track| &self.rules.tracks[track]) else { continue };
+            let Some(track) = tracks.get(name).map(|&track| &self.rules.tracks[track]) else {
+                continue;
+            };
             let mut sent: Vec<&Offer> = offers.iter().filter(|offer| !self.stale(offer)).collect();
             sent.sort_by_key(|offer| (offer.number, offer.t));
             for (index, later) in sent.iter().enumerate() {
@@ -373,8 +498,10 @@
                     let over = earlier.over.unwrap_or(u64::MAX);
                     let heard = self.heard_by(earlier.dispatcher, later.t);
                     if over > heard.unwrap_or(0).max(later.t + self.rules.slack_us) {
-                        let what =
-                            format!("{name}: shot {} while shot {} is out", later.number, earlier.number);
+                        let what = format!(
+                            "{name}: shot {} while shot {} is out",
+                            later.number, earlier.number
+                        );
                         found.push((what, vec![earlier.line, later.line]));
                     }
                     let never_ran = earlier.refused.is_some();
@@ -383,35 +510,51 @@
                         Repeat::Unrepeatable => never_ran,
                         Repeat::Deduplicated { window_us } => {
                             let hall = self.hall(earlier.node) == self.hall(later.node);
-                            never_ran || hall && later.t <= earlier.t + window_us + self.rules.slack_us
+                            never_ran
+                                || hall && later.t <= earlier.t + window_us + self.rules.slack_us
                         }
                     };
                     if !allowed {
-                        let what =
-                            format!("{name}: shot {} may run beside shot {}", later.number, earlier.number);
+                        let what = format!(
+                            "{name}: shot {} may run beside shot {}",
+                            later.number, earlier.number
+                        );
                         found.push((what, vec![earlier.line, later.line]));
                     }
                 }
             }
         }
         for call in self.calls.values() {
-            let Some((t, line, Word::Refused)) = call.finals.first() else { continue };
+            let Some((t, line, Word::Refused)) = call.finals.first() else {
+                continue;
+            };
             if self.rules.tracks[call.asked.track].repeat == Repeat::Idempotent {
                 continue;
             }
-            for offer in self.offers.get(&call.asked.placing[..]).into_iter().flatten() {
-                if offer.refused.is_none() && offer.accepted.is_some_and(|at| at <= t + self.rules.slack_us) {
+            for offer in self
+                .offers
+                .get(&call.asked.placing[..])
+                .into_iter()
+                .flatten()
+            {
+                if offer.refused.is_none()
+                    && offer
+                        .accepted
+                        .is_some_and(|at| at <= t + self.rules.slack_us)
+                {
                     let what = format!("{} is refused, though a shot may run", call.asked.placing);
                     found.push((what, vec![offer.line, *line]));
                 }
             }
         }
-        found.into_iter().for_each(|(what, lines)| self.breach(2, what, lines));
+        found
+            .into_iter()
+            .for_each(|(what, lines)| self.breach(2, what, lines));
     }
 
-    /// While a roll is on, a copy is stopped only where that leaves no more than so many not ready, of those that
-    /// were ready once and are still wanted. What dies by itself counts once it has been down for so long that
-    /// its owner has asked again and a roll must have given way.
+    /// While a roll is on, a copy is stopped only where that leaves no more than so many not ready,
+    /// of those that were ready once and are still wanted. What dies by itself counts once it
+    /// has been down for so long that its owner has asked again and a roll must have given way.
     fn unready(&mut self) {
         const GIVES_WAY: u64 = 5_000_000;
         struct Copy {
@@ -436,43 +579,69 @@
                         tasks.remove(task);
                     }
                 }
-                Seen::Roll { service, unready_most, start_first, .. } => {
+                Seen::Roll {
+                    service,
+                    unready_most,
+                    start_first,
+                    ..
+                } => {
                     limits.insert(service, *unready_most);
                     beside.insert(service, *start_first);
                 }
-                Seen::Ready { task, service, ready, done, stopped, .. } => {
+                Seen::Ready {
+                    task,
+                    service,
+                    ready,
+                    done,
+                    stopped,
+                    ..
+                } => {
                     let tasks = copies.entry(service).or_default();
                     if *done {
                         tasks.remove(&task[..]);
                     } else if *ready {
-                        let copy = tasks.entry(task).or_insert(Copy { ready: 0, down: None });
+                        let copy = tasks.entry(task).or_insert(Copy {
+                            ready: 0,
+                            down: None,
+                        });
                         (copy.ready, copy.down) = (copy.ready + 1, None);
                     } else if let Some(copy) = tasks.get_mut(&task[..]) {
                         copy.ready = copy.ready.saturating_sub(1);
                         copy.down = (copy.ready == 0).then_some((*t, *stopped));
                     }
                     let counts = |copy: &&Copy| {
-                        copy.down.is_some_and(|(since, stopped)| stopped || t - since > GIVES_WAY)
+                        copy.down
+                            .is_some_and(|(since, stopped)| stopped || t - since > GIVES_WAY)
                     };
-                    let twice: usize = tasks.values().map(|copy| copy.ready.saturating_sub(1)).sum();
-                    let own = limits.get(&service[..]).filter(|_| beside.get(&service[..]) == Some(&true));
+                    let twice: usize = tasks
+                        .values()
+                        .map(|copy| copy.ready.saturating_sub(1))
+                        .sum();
+                    let own = limits
+                        .get(&service[..])
+                        .filter(|_| beside.get(&service[..]) == Some(&true));
                     if *ready && own.is_some_and(|most| twice > *most) {
                         let what = format!("{twice} copies of {service} run beside others");
                         found.push((what, vec![index + 1]));
                     }
                     let unready = tasks.values().filter(counts).count();
                     if *stopped && limits.get(&service[..]).is_some_and(|most| unready > *most) {
-                        found.push((format!("{unready} copies of {service} are not ready"), vec![index + 1]));
+                        found.push((
+                            format!("{unready} copies of {service} are not ready"),
+                            vec![index + 1],
+                        ));
                     }
                 }
                 _ => {}
             }
         }
-        found.into_iter().for_each(|(what, lines)| self.breach(6, what, lines));
+        found
+            .into_iter()
+            .for_each(|(what, lines)| self.breach(6, what, lines));
     }
 
-    /// Once more new copies than may have failed at one dispatcher, the roll halts: some time after that no copy of
-    /// another version is stopped any more, unless an operator begins anew.
+    /// Once more new copies than may have failed at one dispatcher, the roll halts: some time after
+    /// that no copy of another version is stopped any more, unless an operator begins anew.
     fn halts(&mut self) {
         const HALTS_WITHIN: u64 = 5_000_000;
         let mut found = Vec::new();
@@ -481,7 +650,14 @@
         let mut offered: HashMap<(u32, &str), (&str, &str, &str, u32)> = HashMap::new();
         for (index, Line { t, seen }) in self.lines.iter().enumerate() {
             match seen {
-                Seen::Roll { service, version, ready_for_us, ready_within_us, failures_most, .. } => {
+                Seen::Roll {
+                    service,
+                    version,
+                    ready_for_us,
+                    ready_within_us,
+                    failures_most,
+                    ..
+                } => {
                     let rolled = Rolled {
                         version,
                         ready_for: *ready_for_us,
@@ -492,15 +668,31 @@
                     };
                     rolls.insert(service, rolled);
                 }
-                Seen::Offered { node, placing, dispatcher, service, task, version, .. } => {
+                Seen::Offered {
+                    node,
+                    placing,
+                    dispatcher,
+                    service,
+                    task,
+                    version,
+                    ..
+                } => {
                     offered.insert((*node, placing), (task, service, version, *dispatcher));
                 }
-                Seen::Said { node, placing, word: Word::Accepted, .. } => {
-                    let Some((task, service, version, dispatcher)) = offered.get(&(*node, &placing[..]))
+                Seen::Said {
+                    node,
+                    placing,
+                    word: Word::Accepted,
+                    ..
+                } => {
+                    let Some((task, service, version, dispatcher)) =
+                        offered.get(&(*node, &placing[..]))
                     else {
                         continue;
                     };
-                    let Some(rolled) = rolls.get_mut(service).filter(|rolled| rolled.version == *version)
+                    let Some(rolled) = rolls
+                        .get_mut(service)
+                        .filter(|rolled| rolled.version == *version)
                     else {
                         continue;
                     };
@@ -514,15 +706,28 @@
                         over: false,
                     });
                 }
-                Seen::Dispatcher { dispatcher, state: DispatcherState::Killed | DispatcherState::Broke } => {
+                Seen::Dispatcher {
+                    dispatcher,
+                    state: DispatcherState::Killed | DispatcherState::Broke,
+                } => {
                     // What it has counted goes with it, unless it had the time to halt.
                     for rolled in rolls.values_mut() {
                         rolled.halted(*t, HALTS_WITHIN);
                         rolled.copies.retain(|copy| copy.dispatcher != *dispatcher);
                     }
                 }
-                Seen::Ready { task, service, version, ready, done, stopped, .. } => {
-                    let Some(rolled) = rolls.get_mut(&service[..]) else { continue };
+                Seen::Ready {
+                    task,
+                    service,
+                    version,
+                    ready,
+                    done,
+                    stopped,
+                    ..
+                } => {
+                    let Some(rolled) = rolls.get_mut(&service[..]) else {
+                        continue;
+                    };
                     rolled.halted(*t, HALTS_WITHIN);
                     if version != rolled.version {
                         if rolled.halts && *stopped && !*ready {
@@ -536,7 +741,11 @@
                         continue;
                     }
                     let ready_for = rolled.ready_for;
-                    let own = rolled.copies.iter_mut().rev().find(|copy| copy.task == task && !copy.over);
+                    let own = rolled
+                        .copies
+                        .iter_mut()
+                        .rev()
+                        .find(|copy| copy.task == task && !copy.over);
                     let Some(copy) = own else { continue };
                     if *ready {
                         // Late, but no longer missing.
@@ -552,11 +761,17 @@
                 _ => {}
             }
         }
-        found.into_iter().for_each(|(what, lines)| self.breach(7, what, lines));
+        found
+            .into_iter()
+            .for_each(|(what, lines)| self.breach(7, what, lines));
     }
 
     fn hall(&self, node: u32) -> Option<&str> {
-        self.rules.nodes.iter().find(|home| home.node == node).map(|home| &home.hall[..])
+        self.rules
+            .nodes
+            .iter()
+            .find(|home| home.node == node)
+            .map(|home| &home.hall[..])
     }
 
     fn drains(&mut self) {
@@ -565,32 +780,63 @@
         let mut told: HashMap<(u32, u32), (u64, usize)> = HashMap::new();
         for (index, Line { t, seen }) in self.lines.iter().enumerate() {
             match seen {
-                Seen::Told { dispatcher, node, state: NodeState::Draining | NodeState::Gone } => {
+                Seen::Told {
+                    dispatcher,
+                    node,
+                    state: NodeState::Draining | NodeState::Gone,
+                } => {
                     told.entry((*dispatcher, *node)).or_insert((*t, index + 1));
                 }
-                Seen::Told { dispatcher, node, .. } => drop(told.remove(&(*dispatcher, *node))),
-                Seen::Dispatcher { dispatcher, state: DispatcherState::GoesOn }
-                | Seen::Wires { dispatcher, struck: false, .. } => {
+                Seen::Told {
+                    dispatcher, node, ..
+                } => drop(told.remove(&(*dispatcher, *node))),
+                Seen::Dispatcher {
+                    dispatcher,
+                    state: DispatcherState::GoesOn,
+                }
+                | Seen::Wires {
+                    dispatcher,
+                    struck: false,
+                    ..
+                } => {
                     // While it stood still, or its links were held, it was told nothing.
-                    let own = told.iter_mut().filter(|((which, _), _)| which == dispatcher);
+                    let own = told
+                        .iter_mut()
+                        .filter(|((which, _), _)| which == dispatcher);
                     own.for_each(|(_, (since, _))| *since = *t);
                 }
-                Seen::Dispatcher { dispatcher, state: DispatcherState::Up } => {
+                Seen::Dispatcher {
+                    dispatcher,
+                    state: DispatcherState::Up,
+                } => {
                     told.retain(|(which, _), _| which != dispatcher);
                 }
-                Seen::Offered { node, placing, dispatcher, number, .. } => {
-                    let Some((since, line)) = told.get(&(*dispatcher, *node)) else { continue };
+                Seen::Offered {
+                    node,
+                    placing,
+                    dispatcher,
+                    number,
+                    ..
+                } => {
+                    let Some((since, line)) = told.get(&(*dispatcher, *node)) else {
+                        continue;
+                    };
                     let offer = self.offers.get(&placing[..]).into_iter().flatten();
-                    let stale = offer.filter(|offer| offer.line == index + 1).any(|offer| self.stale(offer));
+                    let stale = offer
+                        .filter(|offer| offer.line == index + 1)
+                        .any(|offer| self.stale(offer));
                     if *t > since + self.rules.grace_us + self.rules.slack_us && !stale {
-                        let what = format!("{placing}: shot {number} to node {node}, told of as leaving");
+                        let what =
+                            format!("{placing}: shot {number} to node {node}, told of as leaving");
                         found.push((what, vec![*line, index + 1]));
                     }
                 }
                 _ => {}
             }
         }
-        found.into_iter().for_each(|(what, lines)| self.breach(3, what, lines));
+        found
+            .into_iter()
+            .for_each(|(what, lines)| self.breach(3, what, lines));
     }
 
     fn cold(&mut self) {
@@ -601,30 +847,49 @@
         let cold = &self.rules.cold;
         for (index, Line { t, seen }) in self.lines.iter().enumerate() {
             match seen {
-                Seen::Node { node, state: NodeState::Cold } => {
+                Seen::Node {
+                    node,
+                    state: NodeState::Cold,
+                } => {
                     started.insert(*node, (*t, index + 1));
                     offers.remove(node);
                 }
-                Seen::Told { dispatcher, node, state: NodeState::Cold } => {
+                Seen::Told {
+                    dispatcher,
+                    node,
+                    state: NodeState::Cold,
+                } => {
                     told.insert((*dispatcher, *node), *t);
                 }
-                Seen::Dispatcher { dispatcher, state: DispatcherState::Killed | DispatcherState::Broke } => {
+                Seen::Dispatcher {
+                    dispatcher,
+                    state: DispatcherState::Killed | DispatcherState::Broke,
+                } => {
                     // A new life knows what its remembered list says, or is told anew.
                     told.retain(|(which, _), _| which != dispatcher);
                 }
-                Seen::Offered { node, dispatcher, .. } => {
-                    let Some((since, line)) = started.get(node).copied() else { continue };
+                Seen::Offered {
+                    node, dispatcher, ..
+                } => {
+                    let Some((since, line)) = started.get(node).copied() else {
+                        continue;
+                    };
                     if *t > since + cold.lasts_us {
                         continue;
                     }
-                    let knows = told.get(&(*dispatcher, *node)).is_some_and(|at| *at >= since && at <= t);
+                    let knows = told
+                        .get(&(*dispatcher, *node))
+                        .is_some_and(|at| *at >= since && at <= t);
                     let window = offers.entry(*node).or_default();
                     window.retain(|(at, _, _)| at + cold.window_us > *t);
                     window.push((*t, index + 1, knows));
                     let knowing = window.iter().filter(|(_, _, knows)| *knows).count();
                     // Held against the dispatchers where two thirds came from such as knew.
                     if window.len() > cold.most && knowing * 3 >= window.len() * 2 {
-                        let what = format!("node {node} got {} offers in a window while cold", window.len());
+                        let what = format!(
+                            "node {node} got {} offers in a window while cold",
+                            window.len()
+                        );
                         let first = window.first().map_or(0, |(_, line, _)| *line);
                         found.push((what, vec![line, first, index + 1]));
                         window.clear();
@@ -633,50 +898,85 @@
                 _ => {}
             }
         }
-        found.into_iter().for_each(|(what, lines)| self.breach(4, what, lines));
+        found
+            .into_iter()
+            .for_each(|(what, lines)| self.breach(4, what, lines));
     }
 
     fn spread(&mut self) {
         let mut found = Vec::new();
         let mut by_service: HashMap<(u32, &str, u32), Vec<&Offer>> = HashMap::new();
         let limits: HashMap<&str, usize> = (self.calls.values())
-            .filter_map(|call| Some((&call.asked.service[..], self.rules.tracks[call.asked.track].spread?)))
+            .filter_map(|call| {
+                Some((
+                    &call.asked.service[..],
+                    self.rules.tracks[call.asked.track].spread?,
+                ))
+            })
+            .collect();
+        let services: HashMap<&str, &str> = self
+            .calls
+            .values()
+            .map(|call| (&call.asked.placing[..], &call.asked.service[..]))
             .collect();
-        let services: HashMap<&str, &str> =
-            self.calls.values().map(|call| (&call.asked.placing[..], &call.asked.service[..])).collect();
         for Line { seen, .. } in self.lines {
             let (node, placing, number, dispatcher, service) = match seen {
-                Seen::Offered { node, placing, number, dispatcher, service, .. } => {
-                    (node, placing, number, dispatcher, service)
-                }
-                Seen::Dispatcher { dispatcher, state: DispatcherState::Up } => {
+                Seen::Offered {
+                    node,
+                    placing,
+                    number,
+                    dispatcher,
+                    service,
+                    ..
+                } => (node, placing, number, dispatcher, service),
+                Seen::Dispatcher {
+                    dispatcher,
+                    state: DispatcherState::Up,
+                } => {
                     // A new life holds what it is handed, and nothing else.
                     by_service.retain(|(which, _, _), _| which != dispatcher);
                     continue;
                 }
-                Seen::HandedOver { placing, dispatcher, .. } => {
+                Seen::HandedOver {
+                    placing,
+                    dispatcher,
+                    ..
+                } => {
                     let offers = self.offers.get(&placing[..]).into_iter().flatten();
                     let service = services.get(&placing[..]).copied().unwrap_or_default();
                     if let Some(offer) = offers.rev().find(|offer| offer.accepted.is_some()) {
-                        by_service.entry((*dispatcher, service, offer.node)).or_default().push(offer);
+                        by_service
+                            .entry((*dispatcher, service, offer.node))
+                            .or_default()
+                            .push(offer);
                     }
                     continue;
                 }
                 _ => continue,
             };
-            let Some(&most) = limits.get(&service[..]) else { continue };
+            let Some(&most) = limits.get(&service[..]) else {
+                continue;
+            };
             let mut offers = self.offers.get(&placing[..]).into_iter().flatten();
-            let Some(offer) = offers.find(|o| o.number == *number && o.node == *node) else { continue };
+            let Some(offer) = offers.find(|o| o.number == *number && o.node == *node) else {
+                continue;
+            };
             let held = by_service.entry((*dispatcher, service, *node)).or_default();
-            // What is over a little later may be told here before the dispatcher's next offer overtakes it.
+            // What is over a little later may be told here before the dispatcher's next offer
+            // overtakes it.
             held.retain(|other| other.over.is_none_or(|over| over > offer.t));
             held.push(offer);
             if held.len() > most && !self.stale(offer) {
-                let what = format!("{} of {service} on node {node} from dispatcher {dispatcher}", held.len());
+                let what = format!(
+                    "{} of {service} on node {node} from dispatcher {dispatcher}",
+                    held.len()
+                );
                 found.push((what, held.iter().map(|other| other.line).collect()));
             }
         }
-        found.into_iter().for_each(|(what, lines)| self.breach(5, what, lines));
+        found
+            .into_iter()
+            .for_each(|(what, lines)| self.breach(5, what, lines));
     }
 }
 
@@ -687,5 +987,8 @@
     node: u32,
 ) -> Option<&'o mut Offer> {
     let offers = offers.get_mut(placing)?;
-    offers.iter_mut().rev().find(|offer| offer.number == number && offer.node == node)
+    offers
+        .iter_mut()
+        .rev()
+        .find(|offer| offer.number == number && offer.node == node)
 }
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,5 +1,6 @@
-//! The laboratory: stand-ins of nodes, roster and owners, scripted days of trouble played through real
-//! dispatchers, and the judge of what crossed the sockets. Figures from here are from stand-ins, not machines.
+//! The laboratory: stand-ins of nodes, roster and owners, scripted days of trouble played through
+//! real dispatchers, and the judge of what crossed the sockets. Figures from here are from
+//! stand-ins, not machines.
 
 pub mod capacity;
 pub mod capture;
--- a/crates/lab/src/loads.rs
+++ b/crates/lab/src/loads.rs
@@ -1,4 +1,5 @@
-//! The load generator against what it is to be trusted with: its own error, and a dispatcher that stands still.
+//! The load generator against what it is to be trusted with: its own error, and a dispatcher that
+//! stands still.
 
 use crate::capture::Capture;
 use crate::measure::{self, Measure, Process, Prompt};
@@ -53,11 +54,21 @@
 
     async fn place(&self, request: Request<v1::Ask>) -> Result<Response<Words>, Status> {
         let at = Instant::now();
-        let number = request.get_ref().task.rsplit('-').next().and_then(|number| number.parse().ok());
+        let number = request
+            .get_ref()
+            .task
+            .rsplit('-')
+            .next()
+            .and_then(|number| number.parse().ok());
         let number = number.ok_or_else(|| Status::invalid_argument("no number"))?;
-        self.0.lock().expect("no one panics over the times").push((number, at));
+        self.0
+            .lock()
+            .expect("no one panics over the times")
+            .push((number, at));
         let words = [Word::Placed(v1::Placed { node: 0, shots: 1 })];
-        Ok(Response::new(Box::pin(stream::iter(words.map(|word| Ok(v1::Word { word: Some(word) }))))))
+        Ok(Response::new(Box::pin(stream::iter(
+            words.map(|word| Ok(v1::Word { word: Some(word) })),
+        ))))
     }
 
     async fn hand_over(&self, _: Request<v1::Running>) -> Result<Response<Words>, Status> {
@@ -73,14 +84,17 @@
 pub fn error(rate: u32) -> Result<String, String> {
     let catch = Catch::default();
     let served = catch.clone();
-    let to = [measure::apart(|| v1::placement_server::PlacementServer::new(served))?];
+    let to = [measure::apart(|| {
+        v1::placement_server::PlacementServer::new(served)
+    })?];
     let plan = plan(&format!("(constant (for 5 s) (rate {rate}))"), 1)?;
     let intended: Vec<Duration> = plan.shape.arrivals(plan.seed).collect();
     let tasks = Tasks::default();
     let began = Instant::now() + Duration::from_millis(200);
     let sent = run(&tasks, plan, &to, Loop::Open, began, |_, _| {});
     let report = future::block_on(tasks.run(sent)).map_err(|why| why.to_string())?;
-    let mut off = Histogram::<u64>::new_with_bounds(1, 60_000_000, 3).map_err(|why| why.to_string())?;
+    let mut off =
+        Histogram::<u64>::new_with_bounds(1, 60_000_000, 3).map_err(|why| why.to_string())?;
     let caught = catch.0.lock().expect("no one panics over the times");
     for (number, at) in &*caught {
         let due = began + *intended.get(*number).ok_or("an ask that was not meant")?;
@@ -95,12 +109,16 @@
         us(0.5),
         us(0.99),
         us(1.0),
-        if report.behind { "it fell behind" } else { "it kept up" }
+        if report.behind {
+            "it fell behind"
+        } else {
+            "it kept up"
+        }
     ))
 }
 
-/// A dispatcher that stands still for so long in the middle of a load: what the load tells, and what one owner that
-/// waits for its answers tells of the same time.
+/// A dispatcher that stands still for so long in the middle of a load: what the load tells, and
+/// what one owner that waits for its answers tells of the same time.
 pub fn stalled(program: &[OsString], pause: Duration) -> Result<(Report, Report), String> {
     let node = measure::apart(|| v1::node_server::NodeServer::new(Prompt))?;
     let tasks = Tasks::default();
@@ -114,14 +132,30 @@
         let folder = tempfile::tempdir().map_err(text)?;
         let file = folder.path().join("dispatcher.sexp");
         let process = Process::start_in(program, &file, &measure::deployment(address, ""))?;
-        let measure =
-            Measure { program: program.to_vec(), rounds: 1, seconds: 1.0, at_once: 1, nodes: 8, held: 0 };
+        let measure = Measure {
+            program: program.to_vec(),
+            rounds: 1,
+            seconds: 1.0,
+            at_once: 1,
+            nodes: 8,
+            held: 0,
+        };
         measure.until_ready(&tasks, process.address).await?;
         let began = Instant::now();
-        let phases = format!("(constant (for {} ms) (rate 100))", 2 * pause.as_millis() + 1_000);
+        let phases = format!(
+            "(constant (for {} ms) (rate 100))",
+            2 * pause.as_millis() + 1_000
+        );
         let to = [process.address];
         let open = run(&tasks, plan(&phases, 1)?, &to, Loop::Open, began, |_, _| {});
-        let closed = run(&tasks, plan(&phases, 1)?, &to, Loop::Closed(1), began, |_, _| {});
+        let closed = run(
+            &tasks,
+            plan(&phases, 1)?,
+            &to,
+            Loop::Closed(1),
+            began,
+            |_, _| {},
+        );
         let still = async {
             Timer::at(began + Duration::from_millis(500)).await;
             process.stand_still(true)?;
@@ -130,7 +164,10 @@
         };
         let ((open, closed), still) = future::zip(future::zip(open, closed), still).await;
         still?;
-        Ok((open.map_err(|why| why.to_string())?, closed.map_err(|why| why.to_string())?))
+        Ok((
+            open.map_err(|why| why.to_string())?,
+            closed.map_err(|why| why.to_string())?,
+        ))
     };
     future::block_on(tasks.run(whole))
 }
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -4,8 +4,8 @@
 use corkspan_capacity::kept::{self, Axis};
 use corkspan_lab::capacity::Capacity;
 use corkspan_lab::{
-    capture, day::Day, hollow, judge, loads, measure::Measure, play::Play, process::Programs, pushes::Pushes,
-    table::Table,
+    capture, day::Day, hollow, judge, loads, measure::Measure, play::Play, process::Programs,
+    pushes::Pushes, table::Table,
 };
 use std::ffi::OsString;
 use std::path::{Path, PathBuf};
@@ -40,7 +40,8 @@
         #[arg(long)]
         logs: Option<PathBuf>,
     },
-    /// Hollow dispatchers: many in a process, without a disk or a log, for the laboratory alone; see docs/days.md.
+    /// Hollow dispatchers: many in a process, without a disk or a log, for the laboratory alone;
+    /// see docs/days.md.
     Hollow(hollow::Line),
     /// Judges a capture alone.
     Judge { capture: PathBuf },
@@ -60,8 +61,8 @@
         #[arg(long, default_value_t = 3000)]
         held: usize,
     },
-    /// Streams versions to dispatchers: random exchanges with kills, a flood, time to effect, returns, and placing
-    /// meanwhile beside placing without.
+    /// Streams versions to dispatchers: random exchanges with kills, a flood, time to effect,
+    /// returns, and placing meanwhile beside placing without.
     Versions {
         #[arg(long, default_value_t = 5)]
         rounds: usize,
@@ -104,7 +105,8 @@
         #[arg(long, required = true, num_args = 1..)]
         new: Vec<PathBuf>,
     },
-    /// Measures the load generator itself: intended against captured arrivals, and a dispatcher that stands still.
+    /// Measures the load generator itself: intended against captured arrivals, and a dispatcher
+    /// that stands still.
     LoadError {
         /// Asks a second of each round.
         #[arg(long, value_delimiter = ',', default_value = "50,500,5000")]
@@ -160,12 +162,21 @@
     let all = || Axis::ALL.iter();
     let names: Vec<&str> = all().map(|axis| axis.name()).collect();
     let found = all().find(|axis| axis.name() == name);
-    found.copied().ok_or_else(|| format!("the axes are {}", names.join(", ")))
+    found
+        .copied()
+        .ok_or_else(|| format!("the axes are {}", names.join(", ")))
 }
 
 fn main() -> ExitCode {
     let result = match Line::parse().call {
-        Call::Day { file, seed, short, capture, program, logs } => {
+        Call::Day {
+            file,
+            seed,
+            short,
+            capture,
+            program,
+            logs,
+        } => {
             let day = match (&file, short) {
                 (Some(file), _) => Day::load(file),
                 (None, true) => Day::read("the short day", corkspan_lab::day::SHORT),
@@ -176,38 +187,93 @@
                     Some(program) => vec![program.into_os_string()],
                     None => own()?,
                 };
-                let programs = Programs { real, ..Programs::here()? };
-                let lines = Play { day, seed, programs, capture, tell: |text| text, logs }.run()?;
+                let programs = Programs {
+                    real,
+                    ..Programs::here()?
+                };
+                let lines = Play {
+                    day,
+                    seed,
+                    programs,
+                    capture,
+                    tell: |text| text,
+                    logs,
+                }
+                .run()?;
                 println!("{}", Table::of(&lines));
                 judged(&lines)
             })
         }
-        Call::Measure { rounds, seconds, at_once, nodes, held } => own().and_then(|program| {
+        Call::Measure {
+            rounds,
+            seconds,
+            at_once,
+            nodes,
+            held,
+        } => own().and_then(|program| {
             let rounds = rounds.clamp(1, 1_000);
-            Measure { program, rounds, seconds, at_once, nodes, held }.run()
+            Measure {
+                program,
+                rounds,
+                seconds,
+                at_once,
+                nodes,
+                held,
+            }
+            .run()
         }),
-        Call::Versions { rounds, seconds, instances, returns, seeds, versions } => {
-            own().and_then(|program| {
-                let rounds = rounds.clamp(1, 1_000);
-                Pushes { program, rounds, seconds, instances, returns, seeds, versions }.run()
-            })
-        }
-        Call::Load { file, to, closed, out } => load(&file, &to, closed, out.as_deref()),
+        Call::Versions {
+            rounds,
+            seconds,
+            instances,
+            returns,
+            seeds,
+            versions,
+        } => own().and_then(|program| {
+            let rounds = rounds.clamp(1, 1_000);
+            Pushes {
+                program,
+                rounds,
+                seconds,
+                instances,
+                returns,
+                seeds,
+                versions,
+            }
+            .run()
+        }),
+        Call::Load {
+            file,
+            to,
+            closed,
+            out,
+        } => load(&file, &to, closed, out.as_deref()),
         Call::Compare { old, new } => compare(&old, &new),
         Call::LoadError { rates, pause_ms } => own().and_then(|program| {
             for rate in rates {
                 println!("{}", loads::error(rate)?);
             }
-            let (open, closed) = loads::stalled(&program, std::time::Duration::from_millis(pause_ms))?;
+            let (open, closed) =
+                loads::stalled(&program, std::time::Duration::from_millis(pause_ms))?;
             println!("a dispatcher that stands still for {pause_ms} ms, open loop:\n{open}");
-            println!("the same, at the same time, by one owner that waits for its answers:\n{closed}");
+            println!(
+                "the same, at the same time, by one owner that waits for its answers:\n{closed}"
+            );
             Ok(())
         }),
         Call::Hollow(line) => hollow::run(line),
-        Call::Capacity { page: Some(page), .. } => tables(page),
-        Call::Capacity { page: None, quick, axis, size, rounds, seed, json } => {
-            measured(quick, axis, size, rounds, seed, json)
-        }
+        Call::Capacity {
+            page: Some(page), ..
+        } => tables(page),
+        Call::Capacity {
+            page: None,
+            quick,
+            axis,
+            size,
+            rounds,
+            seed,
+            json,
+        } => measured(quick, axis, size, rounds, seed, json),
         Call::Judge { capture } => judge_file(&capture),
         Call::Corkspan { line } => {
             return corkspan_cli::run(std::iter::once("corkspan".into()).chain(line));
@@ -238,7 +304,11 @@
     let how = closed.map_or(Loop::Open, Loop::Closed);
     let tell = |at: std::time::Duration, asks: usize| {
         let left = lasts.saturating_sub(at).as_secs();
-        eprintln!("{} s of {}, {asks} asks, {left} s left", at.as_secs(), lasts.as_secs());
+        eprintln!(
+            "{} s of {}, {asks} asks, {left} s left",
+            at.as_secs(),
+            lasts.as_secs()
+        );
     };
     let report = loads::send(plan, to, how, tell)?;
     print!("{report}");
@@ -254,7 +324,11 @@
 fn compare(old: &[PathBuf], new: &[PathBuf]) -> Result<(), String> {
     use corkspan_load::compare::{Figure, compare};
     if old.len() != new.len() {
-        return Err(format!("{} old runs and {} new ones are no pairs", old.len(), new.len()));
+        return Err(format!(
+            "{} old runs and {} new ones are no pairs",
+            old.len(),
+            new.len()
+        ));
     }
     let read = |folder: &PathBuf| {
         let path = folder.join("report.json");
@@ -270,8 +344,9 @@
     let old = old.iter().map(read).collect::<Result<Vec<_>, _>>()?;
     let new = new.iter().map(read).collect::<Result<Vec<_>, _>>()?;
     for figure in Figure::ALL {
-        let pairs: Vec<(f64, f64)> =
-            std::iter::zip(&old, &new).map(|(old, new)| (figure.of(old), figure.of(new))).collect();
+        let pairs: Vec<(f64, f64)> = std::iter::zip(&old, &new)
+            .map(|(old, new)| (figure.of(old), figure.of(new)))
+            .collect();
         let told = compare(&pairs, 1);
         println!(
             "{:<28} {:+10.3}, from {:+.3} to {:+.3}: {:?}",
@@ -305,8 +380,12 @@
     let all: Vec<String> = std::env::args().skip(2).collect();
     let kept_at = all.iter().position(|word| word == "--json");
     let apart = |at: usize| kept_at.is_none_or(|own| at != own && at != own + 1);
-    let line: Vec<String> =
-        all.into_iter().enumerate().filter(|(at, _)| apart(*at)).map(|(_, word)| word).collect();
+    let line: Vec<String> = all
+        .into_iter()
+        .enumerate()
+        .filter(|(at, _)| apart(*at))
+        .map(|(_, word)| word)
+        .collect();
     let capacity = Capacity {
         program: own()?,
         axes: axis.map_or(Axis::ALL.to_vec(), |axis| vec![axis]),
@@ -315,9 +394,14 @@
         size: size.clone(),
         quick,
         seed,
-        command: format!("corkspan-lab capacity {}", line.join(" ")).trim().into(),
+        command: format!("corkspan-lab capacity {}", line.join(" "))
+            .trim()
+            .into(),
+    };
+    let mut all = kept::Kept {
+        size: size.clone(),
+        runs: Vec::new(),
     };
-    let mut all = kept::Kept { size: size.clone(), runs: Vec::new() };
     capacity.run(|run| {
         if let Some(path) = &json {
             corkspan_lab::capacity::put(path, &size, run.clone())?;
@@ -333,17 +417,22 @@
 
 fn tables(Page::Page { file, check, write }: Page) -> Result<(), String> {
     use corkspan_capacity::page;
-    let read =
-        |path: &Path| std::fs::read_to_string(path).map_err(|why| format!("{}: {why}", path.display()));
-    let kept = kept::Kept::read(&read(&file)?).map_err(|why| format!("{}: {why}", file.display()))?;
+    let read = |path: &Path| {
+        std::fs::read_to_string(path).map_err(|why| format!("{}: {why}", path.display()))
+    };
+    let kept =
+        kept::Kept::read(&read(&file)?).map_err(|why| format!("{}: {why}", file.display()))?;
     if let Some(path) = check {
         page::check(&read(&path)?, &kept).map_err(|why| format!("{}: {why}", path.display()))?;
         println!("{} is as {} has it", path.display(), file.display());
     } else if let Some(path) = write {
-        let page = page::fill(&read(&path)?, &kept).map_err(|why| format!("{}: {why}", path.display()))?;
+        let page =
+            page::fill(&read(&path)?, &kept).map_err(|why| format!("{}: {why}", path.display()))?;
         std::fs::write(&path, page).map_err(|why| format!("{}: {why}", path.display()))?;
     } else {
-        page::tables(&kept).iter().for_each(|(_, table)| println!("{table}"));
+        page::tables(&kept)
+            .iter()
+            .for_each(|(_, table)| println!("{table}"));
     }
     Ok(())
 }
