--- a/crates/lab/src/measure.rs
+++ b/crates/lab/src/measure.rs
@@ -1,5 +1,5 @@
-//! What a dispatcher costs against the RPC stack alone, side by side in one run. Nodes answer at once here: the
-//! figures are the dispatcher's, not a cluster's.
+//! What a dispatcher costs against the RPC stack alone, side by side in one run. Nodes answer at
+//! once here: the figures are the dispatcher's, not a cluster's.
 
 use crate::capture::Capture;
 use crate::node::World;
@@ -58,12 +58,20 @@
         future::block_on(tasks.run(whole))
     }
 
-    async fn compare(&self, tasks: &Tasks, echo: SocketAddr, dispatcher: &mut Process) -> Result<(), String> {
+    async fn compare(
+        &self,
+        tasks: &Tasks,
+        echo: SocketAddr,
+        dispatcher: &mut Process,
+    ) -> Result<(), String> {
         let (mut floor, mut own) = (Vec::new(), Vec::new());
         let before = self.until_ready(tasks, dispatcher.address).await?;
         println!("idle: {} KiB resident", dispatcher.resident()?);
         let cpu = dispatcher.cpu()?;
-        println!("{:>10} {:>12} {:>10} {:>10}", "", "asks/s", "p50 us", "p99 us");
+        println!(
+            "{:>10} {:>12} {:>10} {:>10}",
+            "", "asks/s", "p50 us", "p99 us"
+        );
         for _ in 0..self.rounds {
             floor.push(self.round(tasks, "echo", echo).await?);
             own.push(self.round(tasks, "dispatcher", dispatcher.address).await?);
@@ -88,7 +96,11 @@
             "the stamp, life and floor of its shot: {stamp:.2} us, {:.1}% of that",
             100.0 * stamp / whole
         );
-        println!("placed {} of {} asked", after.placed - before.placed, after.asked - before.asked);
+        println!(
+            "placed {} of {} asked",
+            after.placed - before.placed,
+            after.asked - before.asked
+        );
         Ok(())
     }
 
@@ -98,34 +110,56 @@
         let mut held = Vec::new();
         for number in 0..self.held {
             let ask = ask(&format!("held{number}"), 3_600_000);
-            let words = client.clone().place(ask).await.map_err(|why| why.to_string())?;
+            let words = client
+                .clone()
+                .place(ask)
+                .await
+                .map_err(|why| why.to_string())?;
             held.push(words.into_inner());
         }
         for words in &mut held {
             words.message().await.map_err(|why| why.to_string())?;
         }
         let status = self.until_ready(tasks, dispatcher.address).await?;
-        println!("with {} in hand: {} KiB resident", status.in_hand, dispatcher.resident()?);
+        println!(
+            "with {} in hand: {} KiB resident",
+            status.in_hand,
+            dispatcher.resident()?
+        );
         Ok(())
     }
 
-    pub(crate) async fn until_ready(&self, tasks: &Tasks, at: SocketAddr) -> Result<v1::StatusWord, String> {
+    pub(crate) async fn until_ready(
+        &self,
+        tasks: &Tasks,
+        at: SocketAddr,
+    ) -> Result<v1::StatusWord, String> {
         let ready = async {
             let mut client = PlacementClient::new(link(tasks, at).await?);
             loop {
-                let status =
-                    client.status(v1::StatusAsk {}).await.map_err(|why| why.to_string())?.into_inner();
+                let status = client
+                    .status(v1::StatusAsk {})
+                    .await
+                    .map_err(|why| why.to_string())?
+                    .into_inner();
                 if status.machines_serving >= u64::from(self.nodes) {
                     return Ok(status);
                 }
                 Timer::after(Duration::from_millis(20)).await;
             }
         };
-        within(Duration::from_secs(10), ready).await.ok_or("the dispatcher does not hear of its nodes")?
+        within(Duration::from_secs(10), ready)
+            .await
+            .ok_or("the dispatcher does not hear of its nodes")?
     }
 
     /// Closed loop, named so: so many owners that each ask again as soon as they are answered.
-    pub(crate) async fn round(&self, tasks: &Tasks, name: &str, at: SocketAddr) -> Result<Round, String> {
+    pub(crate) async fn round(
+        &self,
+        tasks: &Tasks,
+        name: &str,
+        at: SocketAddr,
+    ) -> Result<Round, String> {
         let client = PlacementClient::new(link(tasks, at).await?);
         let began = Instant::now();
         let until = began + Duration::from_secs_f64(self.seconds);
@@ -136,32 +170,54 @@
                     let mut times = Vec::new();
                     while Instant::now() < until {
                         let asked = Instant::now();
-                        let name =
-                            format!("{owner}-{}-{:x}", times.len(), corkspan_dispatcher::clock::wall_ms());
-                        let words = client.place(ask(&name, 1)).await.map_err(|why| why.to_string())?;
+                        let name = format!(
+                            "{owner}-{}-{:x}",
+                            times.len(),
+                            corkspan_dispatcher::clock::wall_ms()
+                        );
+                        let words = client
+                            .place(ask(&name, 1))
+                            .await
+                            .map_err(|why| why.to_string())?;
                         let mut words = words.into_inner();
-                        match words.message().await.map_err(|why| why.to_string())?.and_then(|word| word.word)
+                        match words
+                            .message()
+                            .await
+                            .map_err(|why| why.to_string())?
+                            .and_then(|word| word.word)
                         {
                             Some(Word::Placed(_)) => times.push(asked.elapsed().as_micros() as u64),
                             other => return Err(format!("not placed: {other:?}")),
                         }
                         // To its end, so that nothing is cancelled.
-                        while words.message().await.map_err(|why| why.to_string())?.is_some() {}
+                        while words
+                            .message()
+                            .await
+                            .map_err(|why| why.to_string())?
+                            .is_some()
+                        {}
                     }
                     Ok(times)
                 })
             })
             .collect();
-        let mut times = Histogram::<u64>::new_with_bounds(1, 60_000_000, 3).map_err(|why| why.to_string())?;
+        let mut times =
+            Histogram::<u64>::new_with_bounds(1, 60_000_000, 3).map_err(|why| why.to_string())?;
         for owner in owners {
-            owner.await?.into_iter().for_each(|time| times.saturating_record(time.max(1)));
+            owner
+                .await?
+                .into_iter()
+                .for_each(|time| times.saturating_record(time.max(1)));
         }
         let round = Round {
             a_second: times.len() as f64 / began.elapsed().as_secs_f64(),
             p50_us: times.value_at_quantile(0.5) as f64,
             p99_us: times.value_at_quantile(0.99) as f64,
         };
-        println!("{name:>10} {:>12.0} {:>10.0} {:>10.0}", round.a_second, round.p50_us, round.p99_us);
+        println!(
+            "{name:>10} {:>12.0} {:>10.0} {:>10.0}",
+            round.a_second, round.p50_us, round.p99_us
+        );
         Ok(round)
     }
 }
@@ -173,8 +229,13 @@
 }
 
 pub(crate) async fn link(tasks: &Tasks, to: SocketAddr) -> Result<Link, String> {
-    let bounds = Bounds { connect_within: Duration::from_secs(2), ..Bounds::default() };
-    Link::open(tasks, to, &bounds).await.map_err(|why| why.to_string())
+    let bounds = Bounds {
+        connect_within: Duration::from_secs(2),
+        ..Bounds::default()
+    };
+    Link::open(tasks, to, &bounds)
+        .await
+        .map_err(|why| why.to_string())
 }
 
 fn ask(task: &str, life_ms: u64) -> v1::Ask {
@@ -218,7 +279,8 @@
         + 'static,
     S::Future: Send + 'static,
 {
-    let listener = future::block_on(TcpListener::bind("127.0.0.1:0")).map_err(|why| why.to_string())?;
+    let listener =
+        future::block_on(TcpListener::bind("127.0.0.1:0")).map_err(|why| why.to_string())?;
     let address = listener.local_addr().map_err(|why| why.to_string())?;
     std::thread::spawn(move || {
         let tasks = Tasks::default();
@@ -242,13 +304,18 @@
         let words = [
             Word::Placed(v1::Placed { node: 0, shots: 1 }),
             Word::Runs(v1::Runs {}),
-            Word::Ended(v1::Ended { how: v1::ended::How::Ended.into() }),
+            Word::Ended(v1::Ended {
+                how: v1::ended::How::Ended.into(),
+            }),
         ];
         let words = words.map(|word| Ok(v1::Word { word: Some(word) }));
         Ok(Response::new(Box::pin(stream::iter(words))))
     }
 
-    async fn hand_over(&self, _: Request<v1::Running>) -> Result<Response<Self::HandOverStream>, Status> {
+    async fn hand_over(
+        &self,
+        _: Request<v1::Running>,
+    ) -> Result<Response<Self::HandOverStream>, Status> {
         Err(Status::unimplemented("an echo holds nothing"))
     }
 
@@ -266,17 +333,35 @@
     type OfferStream = Words<v1::Said>;
     type AttendStream = Words<v1::Said>;
 
-    async fn greet(&self, request: Request<v1::Greeting>) -> Result<Response<v1::Greeting>, Status> {
+    async fn greet(
+        &self,
+        request: Request<v1::Greeting>,
+    ) -> Result<Response<v1::Greeting>, Status> {
         Ok(Response::new(request.into_inner()))
     }
 
-    async fn offer(&self, request: Request<v1::Shot>) -> Result<Response<Self::OfferStream>, Status> {
+    async fn offer(
+        &self,
+        request: Request<v1::Shot>,
+    ) -> Result<Response<Self::OfferStream>, Status> {
         use v1::said::Said;
-        let load = Some(v1::Load { cores: 30.0, memory: 40.0 });
-        let say = move |said| Ok(v1::Said { said: Some(said), load });
-        let first =
-            stream::iter([say(Said::Accepted(v1::Accepted {})), say(Said::Running(v1::Started::default()))]);
-        let over = say(Said::Ended(v1::Over { how: v1::over::How::Ended.into() }));
+        let load = Some(v1::Load {
+            cores: 30.0,
+            memory: 40.0,
+        });
+        let say = move |said| {
+            Ok(v1::Said {
+                said: Some(said),
+                load,
+            })
+        };
+        let first = stream::iter([
+            say(Said::Accepted(v1::Accepted {})),
+            say(Said::Running(v1::Started::default())),
+        ]);
+        let over = say(Said::Ended(v1::Over {
+            how: v1::over::How::Ended.into(),
+        }));
         let long = request.into_inner().life_ms > 1_000;
         let rest = stream::once_future(async move {
             if long {
@@ -284,7 +369,10 @@
             }
             over
         });
-        Ok(Response::new(Box::pin(stream::StreamExt::chain(first, Box::pin(rest)))))
+        Ok(Response::new(Box::pin(stream::StreamExt::chain(
+            first,
+            Box::pin(rest),
+        ))))
     }
 
     async fn attend(&self, _: Request<v1::Shot>) -> Result<Response<Self::AttendStream>, Status> {
@@ -345,23 +433,40 @@
         std::fs::write(file, deployment).map_err(text)?;
         let (first, rest) = program.split_first().ok_or("no program is given")?;
         let mut command = Command::new(first);
-        command.args(rest).arg("serve").arg(file).arg("--level").arg("warn").stdout(Stdio::piped());
+        command
+            .args(rest)
+            .arg("serve")
+            .arg(file)
+            .arg("--level")
+            .arg("warn")
+            .stdout(Stdio::piped());
         let mut child = command.spawn().map_err(text)?;
         let mut line = String::new();
         if let Some(out) = child.stdout.take() {
             BufReader::new(out).read_line(&mut line).map_err(text)?;
         }
-        let address = line.trim().strip_prefix("listening ").and_then(|address| address.parse().ok());
+        let address = line
+            .trim()
+            .strip_prefix("listening ")
+            .and_then(|address| address.parse().ok());
         let Some(address) = address else {
             let _ = child.kill().and_then(|()| child.wait());
             return Err(format!("the dispatcher did not start: `{}`", line.trim()));
         };
-        Ok(Process { child, address, _folder: None })
+        Ok(Process {
+            child,
+            address,
+            _folder: None,
+        })
     }
 
     /// Stands still, or goes on.
     pub fn stand_still(&self, still: bool) -> Result<(), String> {
-        let signal = if still { rustix::process::Signal::STOP } else { rustix::process::Signal::CONT };
+        let signal = if still {
+            rustix::process::Signal::STOP
+        } else {
+            rustix::process::Signal::CONT
+        };
         let pid = rustix::process::Pid::from_child(&self.child);
         rustix::process::kill_process(pid, signal).map_err(|why| why.to_string())
     }
@@ -384,9 +489,20 @@
         let path = format!("/proc/{}/stat", self.child.id());
         let stat = std::fs::read_to_string(path).map_err(|why| why.to_string())?;
         // Counted from behind the name, which may hold spaces.
-        let fields: Vec<&str> = stat.rsplit(')').next().unwrap_or("").split_whitespace().collect();
-        let ticks = |index: usize| fields.get(index).and_then(|field| field.parse::<u64>().ok());
-        let ticks = ticks(11).zip(ticks(12)).ok_or("the kernel does not tell its time")?;
+        let fields: Vec<&str> = stat
+            .rsplit(')')
+            .next()
+            .unwrap_or("")
+            .split_whitespace()
+            .collect();
+        let ticks = |index: usize| {
+            fields
+                .get(index)
+                .and_then(|field| field.parse::<u64>().ok())
+        };
+        let ticks = ticks(11)
+            .zip(ticks(12))
+            .ok_or("the kernel does not tell its time")?;
         Ok(Duration::from_millis((ticks.0 + ticks.1) * 10))
     }
 }
@@ -402,7 +518,8 @@
     all.get(all.len() / 2).copied().unwrap_or(0.0)
 }
 
-/// What it costs a shot to carry who decided it under which version, counted and written, over one that tells nothing.
+/// What it costs a shot to carry who decided it under which version, counted and written, over one
+/// that tells nothing.
 fn stamp_us() -> f64 {
     use prost::Message;
     const MANY: u32 = 100_000;
@@ -411,12 +528,27 @@
     let mut time = |stamped: bool| {
         let (began, mut bytes) = (Instant::now(), Vec::with_capacity(1_024));
         for number in 0..MANY {
-            let mut shot = v1::Shot { placing: "p1234#0".into(), number, ..v1::Shot::default() };
+            let mut shot = v1::Shot {
+                placing: "p1234#0".into(),
+                number,
+                ..v1::Shot::default()
+            };
             if stamped {
                 record.acts(12, corkspan_fleet::acts::Kind::Shot, 1);
-                let stamp = Some(v1::Stamp { number: 12, digest: digest.clone() });
-                shot.by = Some(v1::By { stamp, life: u64::from(number) << 32, dispatcher: 7 });
-                shot.floor = Some(v1::Floor { number: 3, asker: 1 << 60, lowest: 11 });
+                let stamp = Some(v1::Stamp {
+                    number: 12,
+                    digest: digest.clone(),
+                });
+                shot.by = Some(v1::By {
+                    stamp,
+                    life: u64::from(number) << 32,
+                    dispatcher: 7,
+                });
+                shot.floor = Some(v1::Floor {
+                    number: 3,
+                    asker: 1 << 60,
+                    lowest: 11,
+                });
             }
             bytes.clear();
             shot.encode(&mut bytes).expect("a vector has room");
--- a/crates/lab/src/needs.rs
+++ b/crates/lab/src/needs.rs
@@ -1,15 +1,16 @@
-//! What a day needs of the machine, worked out before anything is started, and what the machine has. Plain arithmetic, but
-//! for [`Limits::here`].
+//! What a day needs of the machine, worked out before anything is started, and what the machine
+//! has. Plain arithmetic, but for [`Limits::here`].
 
 use crate::day::{Day, End, Kind};
 use std::time::Duration;
 
-/// Real dispatchers and hollow ones with a thousand nodes' records, and what a task takes at its dispatcher while its link
-/// stands, with the links' windows: above what was seen.
+/// Real dispatchers and hollow ones with a thousand nodes' records, and what a task takes at its
+/// dispatcher while its link stands, with the links' windows: above what was seen.
 const REAL_KIB: u64 = 24 * 1024;
 const HOLLOW_KIB: u64 = 8 * 1024;
 const LINK_KIB: u64 = 200;
-/// The stand-ins: at the start, a node, and a task from its first ask on, with its lines of the capture.
+/// The stand-ins: at the start, a node, and a task from its first ask on, with its lines of the
+/// capture.
 const LAB_KIB: u64 = 128 * 1024;
 const NODE_KIB: u64 = 64;
 const TASK_KIB: u64 = 16;
@@ -41,12 +42,20 @@
 
 impl Needs {
     pub fn of(day: &Day) -> Needs {
-        let (dispatchers, hollow, nodes) = (day.dispatchers as u64, day.hollow as u64, day.nodes as u64);
-        let highest = day.troubles.iter().filter(|trouble| trouble.kind == Kind::Demand);
+        let (dispatchers, hollow, nodes) =
+            (day.dispatchers as u64, day.hollow as u64, day.nodes as u64);
+        let highest = day
+            .troubles
+            .iter()
+            .filter(|trouble| trouble.kind == Kind::Demand);
         let rate = highest.fold(day.rate, |rate, step| rate.max(day.rate * step.times));
-        let burst = day.troubles.iter().filter(|trouble| trouble.kind == Kind::Burst);
+        let burst = day
+            .troubles
+            .iter()
+            .filter(|trouble| trouble.kind == Kind::Burst);
         let burst: u64 = burst.map(|trouble| trouble.many as u64).sum();
-        // Each task may have a link of its own, from its offer to its end and until that has been idle for long.
+        // Each task may have a link of its own, from its offer to its end and until that has been
+        // idle for long.
         let stands = day.length.min(day.life.mul_f64(1.7) + IDLE);
         let tasks = (rate * stands.as_secs_f64()) as u64 + burst + day.copies as u64;
         let links = tasks.min(dispatchers * nodes);
@@ -75,30 +84,49 @@
     /// What is short, all of it.
     pub fn fit(&self, limits: &Limits) -> Result<(), String> {
         let rows = [
-            ("KiB of memory, half of the machine's", self.memory_kib, limits.memory_kib),
+            (
+                "KiB of memory, half of the machine's",
+                self.memory_kib,
+                limits.memory_kib,
+            ),
             ("processes", self.processes, limits.processes),
-            ("descriptors of one process", self.descriptors.max(self.hollow_descriptors), limits.descriptors),
+            (
+                "descriptors of one process",
+                self.descriptors.max(self.hollow_descriptors),
+                limits.descriptors,
+            ),
         ];
         let short = rows.iter().filter(|(_, wanted, there)| wanted > there);
-        let short: Vec<String> =
-            short.map(|(what, wanted, there)| format!("{wanted} {what}, and {there} may be used")).collect();
+        let short: Vec<String> = short
+            .map(|(what, wanted, there)| format!("{wanted} {what}, and {there} may be used"))
+            .collect();
         match short.is_empty() {
             true => Ok(()),
-            false => Err(format!("too large for this machine: it may need {}", short.join("; "))),
+            false => Err(format!(
+                "too large for this machine: it may need {}",
+                short.join("; ")
+            )),
         }
     }
 }
 
 impl Limits {
     pub fn here() -> Result<Limits, String> {
-        let text = std::fs::read_to_string("/proc/meminfo").map_err(|why| format!("/proc/meminfo: {why}"))?;
+        let text = std::fs::read_to_string("/proc/meminfo")
+            .map_err(|why| format!("/proc/meminfo: {why}"))?;
         let line = text.lines().find_map(|line| line.strip_prefix("MemTotal:"));
         let all: Option<u64> = line.and_then(|rest| rest.split_whitespace().next()?.parse().ok());
         let all = all.ok_or("the kernel does not tell the machine's memory")?;
         // A container may have less than the machine.
         let own = std::fs::read_to_string("/sys/fs/cgroup/memory.max").ok();
-        let own = own.and_then(|text| text.trim().parse::<u64>().ok()).map_or(all, |bytes| bytes / 1024);
-        let limit = |resource| rustix::process::getrlimit(resource).current.unwrap_or(u64::MAX);
+        let own = own
+            .and_then(|text| text.trim().parse::<u64>().ok())
+            .map_or(all, |bytes| bytes / 1024);
+        let limit = |resource| {
+            rustix::process::getrlimit(resource)
+                .current
+                .unwrap_or(u64::MAX)
+        };
         Ok(Limits {
             memory_kib: all.min(own) / 2,
             processes: PROCESSES.min(limit(rustix::process::Resource::Nproc)),
--- a/crates/lab/src/node.rs
+++ b/crates/lab/src/node.rs
@@ -1,5 +1,5 @@
-//! A node's stand-in: it looks at one ask at a time, accepts or refuses, starts, runs, evicts, and fails as the
-//! day's script says. Several live in one process, each behind a listener of its own.
+//! A node's stand-in: it looks at one ask at a time, accepts or refuses, starts, runs, evicts, and
+//! fails as the day's script says. Several live in one process, each behind a listener of its own.
 
 use crate::capture::{Capture, NodeState, Seen, Word};
 use async_io::Timer;
@@ -86,11 +86,20 @@
 impl World {
     pub fn new(capture: Capture, tasks: &Tasks, dedup_track: Option<String>) -> Arc<Self> {
         let (stand, bad) = Default::default();
-        Arc::new(World { capture, tasks: Arc::clone(tasks), stand, dedup_track, bad })
+        Arc::new(World {
+            capture,
+            tasks: Arc::clone(tasks),
+            stand,
+            dedup_track,
+            bad,
+        })
     }
 
     pub fn spoil(&self, version: &str, how: Bad) {
-        self.bad.lock().expect("unshared").insert(version.into(), how);
+        self.bad
+            .lock()
+            .expect("unshared")
+            .insert(version.into(), how);
     }
 
     fn bad(&self, version: &str) -> Option<Bad> {
@@ -168,7 +177,9 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
-        self.state.lock().expect("no one panics while a node's state is held")
+        self.state
+            .lock()
+            .expect("no one panics while a node's state is held")
     }
 
     /// Starts the process, warm at the start of a day and cold otherwise. Where it listens.
@@ -177,19 +188,32 @@
         let address = listener.local_addr()?;
         {
             let mut state = self.lock();
-            *state = State { life: state.life + 1, up: true, ..State::default() };
+            *state = State {
+                life: state.life + 1,
+                up: true,
+                ..State::default()
+            };
             state.started = cold.then(Instant::now);
             self.door().1 = Instant::now();
         }
-        let seen = if cold { NodeState::Cold } else { NodeState::Serving };
-        self.world.capture.see(Seen::Node { node: self.plan.id, state: seen });
+        let seen = if cold {
+            NodeState::Cold
+        } else {
+            NodeState::Serving
+        };
+        self.world.capture.see(Seen::Node {
+            node: self.plan.id,
+            state: seen,
+        });
         *self.listener.lock().expect("unshared") = Some(listener);
         self.listen();
         Ok(address)
     }
 
     fn listen(self: &Arc<Self>) {
-        let Some(listener) = self.listener.lock().expect("unshared").clone() else { return };
+        let Some(listener) = self.listener.lock().expect("unshared").clone() else {
+            return;
+        };
         let service = NodeServer::new(Service(Arc::clone(self)));
         let served = corkspan_rpc::serve(listener, service, Bounds::default());
         let server = self.world.tasks.spawn(async move {
@@ -204,12 +228,18 @@
         let server = self.server.lock().expect("unshared").take();
         let mut state = self.lock();
         if state.up {
-            self.world.capture.see(Seen::Node { node: self.plan.id, state: why });
+            self.world.capture.see(Seen::Node {
+                node: self.plan.id,
+                state: why,
+            });
         }
         for guest in state.guests.values().filter(|guest| guest.ready) {
             self.see_ready(&guest.shot, false, false, false);
         }
-        *state = State { life: state.life, ..State::default() };
+        *state = State {
+            life: state.life,
+            ..State::default()
+        };
         drop(state);
         drop(server);
         self.stand().retain(|_, node| *node != self.plan.id);
@@ -252,7 +282,10 @@
     /// Takes nothing new from here on.
     pub fn drain(&self) {
         self.lock().draining = true;
-        self.world.capture.see(Seen::Node { node: self.plan.id, state: NodeState::Draining });
+        self.world.capture.see(Seen::Node {
+            node: self.plan.id,
+            state: NodeState::Draining,
+        });
     }
 
     pub fn is_up(&self) -> bool {
@@ -262,7 +295,10 @@
     /// The copies of a task that are here, by their placings.
     pub fn holds(&self, task: &str) -> Vec<String> {
         let state = self.lock();
-        let own = state.guests.iter().filter(|(_, guest)| guest.shot.task == task);
+        let own = state
+            .guests
+            .iter()
+            .filter(|(_, guest)| guest.shot.task == task);
         own.map(|(placing, _)| placing.clone()).collect()
     }
 
@@ -272,7 +308,10 @@
     }
 
     fn stand(&self) -> MutexGuard<'_, HashMap<(String, String), u32>> {
-        self.world.stand.lock().expect("no one panics while it is held")
+        self.world
+            .stand
+            .lock()
+            .expect("no one panics while it is held")
     }
 
     fn mark(&self, shot: &v1::Shot) -> Option<(String, String)> {
@@ -283,11 +322,25 @@
     /// What is not in use, as of a little while ago, and longer where reports are late.
     fn load(&self, state: &mut State) -> v1::Load {
         let now = Instant::now();
-        let used: Amount = state.guests.values().filter(|guest| guest.runs).map(|guest| guest.used).sum();
+        let used: Amount = state
+            .guests
+            .values()
+            .filter(|guest| guest.runs)
+            .map(|guest| guest.used)
+            .sum();
         let free = self.plan.size - used;
-        state.loads.push_back((now, v1::Load { cores: free.cores, memory: free.memory }));
+        state.loads.push_back((
+            now,
+            v1::Load {
+                cores: free.cores,
+                memory: free.memory,
+            },
+        ));
         let usual = Duration::from_millis(200);
-        let age = state.lag_until.filter(|(until, _)| *until > now).map_or(usual, |(_, by)| usual + by);
+        let age = state
+            .lag_until
+            .filter(|(until, _)| *until > now)
+            .map_or(usual, |(_, by)| usual + by);
         while state.loads.len() > 2 && state.loads[1].0 + age <= now {
             state.loads.pop_front();
         }
@@ -295,7 +348,13 @@
         state.loads[0].1
     }
 
-    fn say(&self, state: &mut State, shot: &v1::Shot, words: &async_channel::Sender<v1::Said>, said: Said) {
+    fn say(
+        &self,
+        state: &mut State,
+        shot: &v1::Shot,
+        words: &async_channel::Sender<v1::Said>,
+        said: Said,
+    ) {
         let word = match &said {
             Said::Accepted(_) => Some(Word::Accepted),
             Said::Running(_) => Some(Word::Running),
@@ -314,17 +373,43 @@
         let load = Some(self.load(state));
         if let Some(word) = word {
             let (node, placing) = (self.plan.id, shot.placing.clone());
-            self.world.capture.see(Seen::Said { node, placing, number: shot.number, word });
+            self.world.capture.see(Seen::Said {
+                node,
+                placing,
+                number: shot.number,
+                word,
+            });
         }
         if state.mute_until.is_none_or(|until| until <= Instant::now()) {
             // Notes that a dispatcher doesn't read are left out.
-            let _ = words.try_send(v1::Said { said: Some(said), load });
+            let _ = words.try_send(v1::Said {
+                said: Some(said),
+                load,
+            });
         }
     }
 
-    fn refuse(&self, state: &mut State, shot: &v1::Shot, words: &async_channel::Sender<v1::Said>, why: Why) {
-        let floor = self.fence().floor().filter(|_| why == Why::BelowFloor).map(fleet::message);
-        self.say(state, shot, words, Said::Refused(v1::Turned { why: why.into(), floor }));
+    fn refuse(
+        &self,
+        state: &mut State,
+        shot: &v1::Shot,
+        words: &async_channel::Sender<v1::Said>,
+        why: Why,
+    ) {
+        let floor = self
+            .fence()
+            .floor()
+            .filter(|_| why == Why::BelowFloor)
+            .map(fleet::message);
+        self.say(
+            state,
+            shot,
+            words,
+            Said::Refused(v1::Turned {
+                why: why.into(),
+                floor,
+            }),
+        );
         words.close();
     }
 
@@ -348,12 +433,22 @@
     fn see_ready(&self, shot: &v1::Shot, ready: bool, done: bool, stopped: bool) {
         let (task, service) = (shot.task.clone(), shot.service.clone());
         let (node, version) = (self.plan.id, shot.version.clone());
-        self.world.capture.see(Seen::Ready { node, task, service, version, ready, done, stopped });
+        self.world.capture.see(Seen::Ready {
+            node,
+            task,
+            service,
+            version,
+            ready,
+            done,
+            stopped,
+        });
     }
 
     /// Ends one that is here, in this way.
     fn end(&self, state: &mut State, placing: &str, how: v1::over::How) {
-        let Some(guest) = state.guests.remove(placing) else { return };
+        let Some(guest) = state.guests.remove(placing) else {
+            return;
+        };
         if guest.ready {
             let (done, stopped) = (how == v1::over::How::Ended, how == v1::over::How::Stopped);
             self.see_ready(&guest.shot, false, done, stopped);
@@ -369,7 +464,12 @@
                 state.kept.pop_front();
             }
         }
-        self.say(state, &guest.shot, &guest.words, Said::Ended(v1::Over { how: how.into() }));
+        self.say(
+            state,
+            &guest.shot,
+            &guest.words,
+            Said::Ended(v1::Over { how: how.into() }),
+        );
         guest.words.close();
     }
 
@@ -386,10 +486,12 @@
         }
     }
 
-    /// An offer is here: counts it, and says whether the node bears it, and in which life. Called as its call is served, not
-    /// in a task of its own: one that a process saw after its death would be out for good, as the judge sees it.
+    /// An offer is here: counts it, and says whether the node bears it, and in which life. Called
+    /// as its call is served, not in a task of its own: one that a process saw after its death
+    /// would be out for good, as the judge sees it.
     fn arrives(self: &Arc<Self>, shot: &v1::Shot) -> Option<u64> {
-        self.acts().saw(by(shot.by.as_ref(), shot.dispatcher), Kind::Shot);
+        self.acts()
+            .saw(by(shot.by.as_ref(), shot.dispatcher), Kind::Shot);
         self.world.capture.see(Seen::Offered {
             node: self.plan.id,
             placing: shot.placing.clone(),
@@ -404,27 +506,44 @@
             let mut fence = self.fence();
             if fence.wants(floor) {
                 fence.keep(floor);
-                self.world.capture.see(Seen::Floor { node: self.plan.id, lowest: floor.lowest });
+                self.world.capture.see(Seen::Floor {
+                    node: self.plan.id,
+                    lowest: floor.lowest,
+                });
             }
         }
         let mut state = self.lock();
         let now = Instant::now();
         state.offers.push_back(now);
-        while state.offers.front().is_some_and(|&at| at + self.plan.cold.window <= now) {
+        while state
+            .offers
+            .front()
+            .is_some_and(|&at| at + self.plan.cold.window <= now)
+        {
             state.offers.pop_front();
         }
-        let cold = state.started.is_some_and(|at| now < at + self.plan.cold.lasts);
+        let cold = state
+            .started
+            .is_some_and(|at| now < at + self.plan.cold.lasts);
         if cold && state.offers.len() > self.plan.cold.most {
             drop(state);
             let node = Arc::clone(self);
             // Not from within its own server.
-            self.world.tasks.spawn(async move { node.kill(NodeState::FellOver) }).detach();
+            self.world
+                .tasks
+                .spawn(async move { node.kill(NodeState::FellOver) })
+                .detach();
             return None;
         }
         state.up.then_some(state.life)
     }
 
-    async fn consider(self: Arc<Self>, life: u64, shot: v1::Shot, words: async_channel::Sender<v1::Said>) {
+    async fn consider(
+        self: Arc<Self>,
+        life: u64,
+        shot: v1::Shot,
+        words: async_channel::Sender<v1::Said>,
+    ) {
         {
             let mut state = self.lock();
             if !state.up || state.life != life {
@@ -437,8 +556,8 @@
         }
         let looked = async {
             let _turn = self.look.lock().await;
-            // One that its dispatcher has let go of while it waited is not looked at: a node that spent its time
-            // on such would be late for all others too.
+            // One that its dispatcher has let go of while it waited is not looked at: a node that
+            // spent its time on such would be late for all others too.
             if !words.is_closed() {
                 Timer::after(self.plan.look).await;
             }
@@ -469,7 +588,8 @@
         };
         if let Some(why) = below {
             if why == Why::BelowFloor {
-                self.acts().turned_away(by(shot.by.as_ref(), shot.dispatcher), Kind::Shot);
+                self.acts()
+                    .turned_away(by(shot.by.as_ref(), shot.dispatcher), Kind::Shot);
             }
             self.refuse(&mut state, shot, words, why);
             return false;
@@ -485,9 +605,22 @@
             }
             self.stand().insert(mark, self.plan.id);
         }
-        let ask = Amount { cores: shot.cores, memory: shot.memory };
-        let used = ask * Amount { cores: 0.5, memory: 0.7 };
-        let guest = Guest { shot: shot.clone(), used, runs: false, ready: false, words: words.clone() };
+        let ask = Amount {
+            cores: shot.cores,
+            memory: shot.memory,
+        };
+        let used = ask
+            * Amount {
+                cores: 0.5,
+                memory: 0.7,
+            };
+        let guest = Guest {
+            shot: shot.clone(),
+            used,
+            runs: false,
+            ready: false,
+            words: words.clone(),
+        };
         state.guests.insert(shot.placing.clone(), guest);
         self.say(&mut state, shot, words, Said::Accepted(v1::Accepted {}));
         true
@@ -499,17 +632,28 @@
             return Err(Why::NotHere);
         }
         let most = self.plan.size * self.plan.accepts;
-        let mut sum = asked(state) + Amount { cores: shot.cores, memory: shot.memory };
+        let mut sum = asked(state)
+            + Amount {
+                cores: shot.cores,
+                memory: shot.memory,
+            };
         let mut out = Vec::new();
         if self.plan.makes_room {
-            let mut lower: Vec<_> =
-                state.guests.iter().filter(|(_, guest)| guest.shot.priority < shot.priority).collect();
+            let mut lower: Vec<_> = state
+                .guests
+                .iter()
+                .filter(|(_, guest)| guest.shot.priority < shot.priority)
+                .collect();
             lower.sort_by_key(|(_, guest)| guest.shot.priority);
             for (placing, guest) in lower {
                 if sum.within(most) {
                     break;
                 }
-                sum = sum - Amount { cores: guest.shot.cores, memory: guest.shot.memory };
+                sum = sum
+                    - Amount {
+                        cores: guest.shot.cores,
+                        memory: guest.shot.memory,
+                    };
                 out.push(placing.clone());
             }
         }
@@ -519,7 +663,8 @@
         if sum.cores > most.cores {
             return Err(Why::NoCores);
         }
-        out.iter().for_each(|placing| self.end(state, placing, v1::over::How::PushedOut));
+        out.iter()
+            .for_each(|placing| self.end(state, placing, v1::over::How::PushedOut));
         Ok(())
     }
 
@@ -529,11 +674,19 @@
             let state = self.lock();
             let near = |guest: &Guest| guest.shot.service == shot.service && guest.runs;
             let has = state.kept.contains(&shot.service) || state.guests.values().any(near);
-            let warm =
-                state.started.map_or(1.0, |at| at.elapsed().div_duration_f64(self.plan.cold.lasts).min(1.0));
-            (has, self.plan.cold.pace + (1.0 - self.plan.cold.pace) * warm)
+            let warm = state.started.map_or(1.0, |at| {
+                at.elapsed().div_duration_f64(self.plan.cold.lasts).min(1.0)
+            });
+            (
+                has,
+                self.plan.cold.pace + (1.0 - self.plan.cold.pace) * warm,
+            )
+        };
+        let time = if has {
+            self.plan.start
+        } else {
+            self.plan.start * self.plan.loads
         };
-        let time = if has { self.plan.start } else { self.plan.start * self.plan.loads };
         Timer::after(time.div_f64(pace)).await;
         if !self.gate(life).await {
             return;
@@ -542,23 +695,42 @@
         if state.life != life {
             return;
         }
-        let Some(guest) = state.guests.get_mut(&shot.placing) else { return };
+        let Some(guest) = state.guests.get_mut(&shot.placing) else {
+            return;
+        };
         guest.runs = true;
         let words = guest.words.clone();
-        self.say(&mut state, shot, &words, Said::Running(v1::Started { version: shot.version.clone() }));
+        self.say(
+            &mut state,
+            shot,
+            &words,
+            Said::Running(v1::Started {
+                version: shot.version.clone(),
+            }),
+        );
     }
 
     /// Runs it to its end: notes of its use, eviction where memory runs out.
     async fn run(&self, life: u64, shot: v1::Shot) {
-        let mut rng = Pcg64Mcg::seed_from_u64(self.plan.seed ^ corkspan_host::service(&shot.placing).0);
-        let ask = Amount { cores: shot.cores, memory: shot.memory };
+        let mut rng =
+            Pcg64Mcg::seed_from_u64(self.plan.seed ^ corkspan_host::service(&shot.placing).0);
+        let ask = Amount {
+            cores: shot.cores,
+            memory: shot.memory,
+        };
         let until = Instant::now() + Duration::from_millis(shot.life_ms.max(1));
         let bad = self.world.bad(&shot.version);
         let mut dies = None;
         if bad != Some(Bad::NeverReady) {
             Timer::after(self.plan.start / 2).await;
             let mut state = self.lock();
-            let Some(guest) = state.guests.get_mut(&shot.placing).filter(|guest| guest.runs) else { return };
+            let Some(guest) = state
+                .guests
+                .get_mut(&shot.placing)
+                .filter(|guest| guest.runs)
+            else {
+                return;
+            };
             guest.ready = true;
             let words = guest.words.clone();
             self.see_ready(&shot, true, false, false);
@@ -576,7 +748,9 @@
             if state.life != life {
                 return;
             }
-            let Some(guest) = state.guests.get_mut(&shot.placing) else { return };
+            let Some(guest) = state.guests.get_mut(&shot.placing) else {
+                return;
+            };
             if dies.is_some_and(|at| Instant::now() >= at) {
                 return self.end(&mut state, &shot.placing, v1::over::How::Error);
             }
@@ -590,18 +764,26 @@
                 memory: guest.used.memory.max(memory),
             };
             let (words, used) = (guest.words.clone(), guest.used);
-            let said = Said::Use(v1::Use { cores: used.cores, memory: used.memory });
+            let said = Said::Use(v1::Use {
+                cores: used.cores,
+                memory: used.memory,
+            });
             self.say(&mut state, &shot, &words, said);
-            let in_use: Amount =
-                state.guests.values().filter(|guest| guest.runs).map(|guest| guest.used).sum();
+            let in_use: Amount = state
+                .guests
+                .values()
+                .filter(|guest| guest.runs)
+                .map(|guest| guest.used)
+                .sum();
             if in_use.cores > self.plan.size.cores {
                 let part = self.plan.size.cores / in_use.cores;
                 self.say(&mut state, &shot, &words, Said::Served(part));
             }
             if in_use.memory > self.plan.size.memory {
                 let lowest = state.guests.iter().filter(|(_, guest)| guest.runs);
-                let lowest =
-                    lowest.min_by_key(|(_, guest)| guest.shot.priority).map(|(placing, _)| placing.clone());
+                let lowest = lowest
+                    .min_by_key(|(_, guest)| guest.shot.priority)
+                    .map(|(placing, _)| placing.clone());
                 if let Some(placing) = lowest {
                     self.end(&mut state, &placing, v1::over::How::Evicted);
                 }
@@ -617,14 +799,22 @@
 
 /// Who acts. One that tells nothing counts as on its own file, in no life that is known.
 fn by(told: Option<&v1::By>, dispatcher: u32) -> By {
-    let version = told.and_then(|by| by.stamp.as_ref()).map_or(0, |stamp| stamp.number);
+    let version = told
+        .and_then(|by| by.stamp.as_ref())
+        .map_or(0, |stamp| stamp.number);
     let (life, dispatcher) = told.map_or((0, dispatcher), |by| (by.life, by.dispatcher));
-    By { dispatcher, life, version }
+    By {
+        dispatcher,
+        life,
+        version,
+    }
 }
 
 fn asked(state: &State) -> Amount {
-    let asks =
-        state.guests.values().map(|guest| Amount { cores: guest.shot.cores, memory: guest.shot.memory });
+    let asks = state.guests.values().map(|guest| Amount {
+        cores: guest.shot.cores,
+        memory: guest.shot.memory,
+    });
     asks.sum()
 }
 
@@ -647,12 +837,17 @@
 }
 
 impl Drop for Saying {
-    /// A stream that goes before its node has closed it: the dispatcher has let go, or its link broke.
+    /// A stream that goes before its node has closed it: the dispatcher has let go, or its link
+    /// broke.
     fn drop(&mut self) {
         if let Some((node, placing, number)) = self.offer.take()
             && !self.said.is_closed()
         {
-            node.world.capture.see(Seen::LetGo { node: node.plan.id, placing, number });
+            node.world.capture.see(Seen::LetGo {
+                node: node.plan.id,
+                placing,
+                number,
+            });
         }
     }
 }
@@ -671,7 +866,10 @@
     type AttendStream = Saying;
 
     async fn greet(&self, _: Request<v1::Greeting>) -> Result<Response<v1::Greeting>, Status> {
-        Ok(Response::new(v1::Greeting { node: self.0.plan.id, dispatcher: 0 }))
+        Ok(Response::new(v1::Greeting {
+            node: self.0.plan.id,
+            dispatcher: 0,
+        }))
     }
 
     async fn offer(&self, request: Request<v1::Shot>) -> Result<Response<Saying>, Status> {
@@ -679,14 +877,23 @@
         let (node, shot) = (Arc::clone(&self.0), request.into_inner());
         let offer = Some((Arc::clone(&node), shot.placing.clone(), shot.number));
         if let Some(life) = node.arrives(&shot) {
-            node.world.tasks.clone().spawn(node.consider(life, shot, words)).detach();
+            node.world
+                .tasks
+                .clone()
+                .spawn(node.consider(life, shot, words))
+                .detach();
         }
-        Ok(Response::new(Saying { said: Box::pin(said), offer }))
+        Ok(Response::new(Saying {
+            said: Box::pin(said),
+            offer,
+        }))
     }
 
     async fn attend(&self, request: Request<v1::Shot>) -> Result<Response<Saying>, Status> {
         let shot = request.into_inner();
-        self.0.acts().saw(by(shot.by.as_ref(), shot.dispatcher), Kind::Attend);
+        self.0
+            .acts()
+            .saw(by(shot.by.as_ref(), shot.dispatcher), Kind::Attend);
         let (words, said) = async_channel::bounded(WORDS);
         let mut state = self.0.lock();
         match state.guests.get_mut(&shot.placing) {
@@ -695,19 +902,33 @@
                 let (runs, ready, shot) = (guest.runs, guest.ready, guest.shot.clone());
                 if runs {
                     let version = shot.version.clone();
-                    self.0.say(&mut state, &shot, &words, Said::Running(v1::Started { version }));
+                    self.0.say(
+                        &mut state,
+                        &shot,
+                        &words,
+                        Said::Running(v1::Started { version }),
+                    );
                 }
                 if ready {
                     self.0.say(&mut state, &shot, &words, Said::Ready(true));
                 }
             }
             None => {
-                let turned = v1::Turned { why: Why::NotHere.into(), floor: None };
-                let _ = words.try_send(v1::Said { said: Some(Said::Refused(turned)), load: None });
+                let turned = v1::Turned {
+                    why: Why::NotHere.into(),
+                    floor: None,
+                };
+                let _ = words.try_send(v1::Said {
+                    said: Some(Said::Refused(turned)),
+                    load: None,
+                });
                 words.close();
             }
         }
-        Ok(Response::new(Saying { said: Box::pin(said), offer: None }))
+        Ok(Response::new(Saying {
+            said: Box::pin(said),
+            offer: None,
+        }))
     }
 
     async fn keep(&self, request: Request<v1::KeepAsk>) -> Result<Response<v1::KeepWord>, Status> {
@@ -716,20 +937,33 @@
             roll: Some(corkspan_dispatcher::rolls::message(roll)),
             slots,
         };
-        let mut keeper = self.0.keeper.lock().expect("no one panics while it is held");
+        let mut keeper = self
+            .0
+            .keeper
+            .lock()
+            .expect("no one panics while it is held");
         let mut word = v1::KeepWord::default();
         match request.into_inner().ask {
             Some(Ask::Propose(roll)) => {
                 let roll = corkspan_dispatcher::rolls::roll_of(&roll);
                 let roll = roll.ok_or_else(|| Status::invalid_argument("no roll"))?;
-                word.kept.extend(keeper.propose(roll).map(|roll| kept(roll, Vec::new())));
+                word.kept
+                    .extend(keeper.propose(roll).map(|roll| kept(roll, Vec::new())));
             }
             Some(Ask::Claim(claim)) => {
                 let dispatcher = claim.slot.as_ref().map_or(u32::MAX, |slot| slot.dispatcher);
-                self.0.acts().saw(by(claim.by.as_ref(), dispatcher), Kind::Claim);
-                let slot = claim.slot.ok_or_else(|| Status::invalid_argument("no slot"))?;
+                self.0
+                    .acts()
+                    .saw(by(claim.by.as_ref(), dispatcher), Kind::Claim);
+                let slot = claim
+                    .slot
+                    .ok_or_else(|| Status::invalid_argument("no slot"))?;
                 let own = corkspan_roll::ClaimId(slot.claim);
-                let grant = Grant { claim: own, task: slot.task, dispatcher: slot.dispatcher };
+                let grant = Grant {
+                    claim: own,
+                    task: slot.task,
+                    dispatcher: slot.dispatcher,
+                };
                 let claimed = keeper.claim(&claim.service, claim.number, slot.slot, grant);
                 word.granted = claimed == Claimed::Granted;
             }
@@ -737,11 +971,19 @@
                 keeper.release(&release.service, corkspan_roll::ClaimId(release.claim));
             }
             Some(Ask::Floor(floor)) => {
-                let mut floors = self.0.floors.lock().expect("no one panics while it is held");
-                word.floor = floors.propose(fleet::read(&floor)).copied().map(fleet::message);
+                let mut floors = self
+                    .0
+                    .floors
+                    .lock()
+                    .expect("no one panics while it is held");
+                word.floor = floors
+                    .propose(fleet::read(&floor))
+                    .copied()
+                    .map(fleet::message);
             }
             Some(Ask::Work(work)) => {
-                let wish = outings::wish(&work).ok_or_else(|| Status::invalid_argument("four limits"))?;
+                let wish =
+                    outings::wish(&work).ok_or_else(|| Status::invalid_argument("four limits"))?;
                 let mut board = self.0.board.lock().expect("no one panics while it is held");
                 board.propose(wish);
                 word.board = Some(outings::board(&board, u32::MAX));
@@ -751,15 +993,22 @@
                 word.granted = outings::claimed(&mut board, &claim);
             }
             Some(Ask::Step(step)) => {
-                outings::arrives(&mut self.0.board.lock().expect("no one panics while it is held"), &step);
+                outings::arrives(
+                    &mut self.0.board.lock().expect("no one panics while it is held"),
+                    &step,
+                );
             }
             Some(Ask::Bids(bids)) => {
-                let costs = bids.costs.iter().map(|(node, cost)| (Machine(*node), *cost));
+                let costs = bids
+                    .costs
+                    .iter()
+                    .map(|(node, cost)| (Machine(*node), *cost));
                 let mut board = self.0.board.lock().expect("no one panics while it is held");
                 board.bid(bids.dispatcher, costs);
             }
             Some(Ask::Lay(push)) => {
-                let push = control::push_of(push).ok_or_else(|| Status::invalid_argument("no version"))?;
+                let push =
+                    control::push_of(push).ok_or_else(|| Status::invalid_argument("no version"))?;
                 let mut shelf = self.0.shelf.lock().expect("no one panics while it is held");
                 shelf.lay(push.stamp, push.changes, push.cuts, &push.follows);
                 word.lies = shelf.lies().map(control::message);
@@ -771,13 +1020,30 @@
                 word.given = shelf.push_for(theirs).map(control::push_message);
             }
             Some(Ask::Tell(tell)) => {
-                let floors = self.0.floors.lock().expect("no one panics while it is held");
+                let floors = self
+                    .0
+                    .floors
+                    .lock()
+                    .expect("no one panics while it is held");
                 word.floor = floors.all().next().map(|kept| fleet::message(kept.wish));
                 let mut rows = self.0.rows.lock().expect("no one panics while it is held");
-                if let Some(v1::InForce { dispatcher, stamp: Some(stamp), on_trial }) = tell.runs {
-                    rows.tells(dispatcher, Runs { version: stamp.number, on_trial });
+                if let Some(v1::InForce {
+                    dispatcher,
+                    stamp: Some(stamp),
+                    on_trial,
+                }) = tell.runs
+                {
+                    rows.tells(
+                        dispatcher,
+                        Runs {
+                            version: stamp.number,
+                            on_trial,
+                        },
+                    );
                 }
-                word.taken = (tell.part > 0).then(|| rows.taken(tell.fleet as usize, tell.part)).flatten();
+                word.taken = (tell.part > 0)
+                    .then(|| rows.taken(tell.fleet as usize, tell.part))
+                    .flatten();
                 let shelf = self.0.shelf.lock().expect("no one panics while it is held");
                 word.lies = shelf.lies().map(control::message);
                 if tell.board {
@@ -814,20 +1080,30 @@
             v1::door_ask::What::Open => door.0.open(claim),
             v1::door_ask::What::Stop if before == Some(claim) => {
                 let guests: Vec<String> = state.guests.keys().cloned().collect();
-                guests.iter().for_each(|name| self.0.end(&mut state, name, v1::over::How::SentAway));
+                guests
+                    .iter()
+                    .for_each(|name| self.0.end(&mut state, name, v1::over::How::SentAway));
             }
             v1::door_ask::What::Stop => {}
         }
         let closed = door.0.closed();
         if before != closed {
             door.1 = Instant::now();
-            self.0.world.capture.see(Seen::Door { node: self.0.plan.id, closed: closed.is_some() });
+            self.0.world.capture.see(Seen::Door {
+                node: self.0.plan.id,
+                closed: closed.is_some(),
+            });
         }
         // One that waits to be looked at may still be taken.
         let runs = (state.guests.len() + state.waiting) as u32;
         let since_ms = door.1.elapsed().as_millis() as u64;
         let (closed, over) = (closed.map_or(0, |claim| claim.0), door.0.is_over(claim));
-        Ok(Response::new(v1::DoorWord { closed, over, runs, since_ms }))
+        Ok(Response::new(v1::DoorWord {
+            closed,
+            over,
+            runs,
+            since_ms,
+        }))
     }
 
     async fn acts(&self, _: Request<v1::ActsAsk>) -> Result<Response<v1::ActsWord>, Status> {
@@ -862,19 +1138,29 @@
         self.0.acts().saw(by(ask.by.as_ref(), u32::MAX), kind);
         let mut state = self.0.lock();
         let was_here = state.guests.contains_key(&ask.placing);
-        let how = if ask.moved { v1::over::How::Moved } else { v1::over::How::Stopped };
+        let how = if ask.moved {
+            v1::over::How::Moved
+        } else {
+            v1::over::How::Stopped
+        };
         self.0.end(&mut state, &ask.placing, how);
         if ask.placing.is_empty() && !ask.but.is_empty() {
-            let others =
-                state.guests.iter().filter(|(name, own)| own.shot.task == ask.task && **name != ask.but);
+            let others = state
+                .guests
+                .iter()
+                .filter(|(name, own)| own.shot.task == ask.task && **name != ask.but);
             let others: Vec<String> = others.map(|(name, _)| name.clone()).collect();
-            others.iter().for_each(|name| self.0.end(&mut state, name, how));
+            others
+                .iter()
+                .for_each(|name| self.0.end(&mut state, name, how));
         }
         Ok(Response::new(v1::StopWord { was_here }))
     }
 
     async fn probe(&self, _: Request<v1::ProbeAsk>) -> Result<Response<v1::ProbeWord>, Status> {
-        self.0.world.capture.see(Seen::Probed { node: self.0.plan.id });
+        self.0.world.capture.see(Seen::Probed {
+            node: self.0.plan.id,
+        });
         let life = self.0.lock().life;
         {
             let _turn = self.0.look.lock().await;
--- a/crates/lab/src/owner.rs
+++ b/crates/lab/src/owner.rs
@@ -4,8 +4,8 @@
 use crate::node::{Node, World};
 use async_io::Timer;
 use corkspan_api::v1::{
-    self, placement_client::PlacementClient, rolls_client::RollsClient, versions_client::VersionsClient,
-    word::Word as Said,
+    self, placement_client::PlacementClient, rolls_client::RollsClient,
+    versions_client::VersionsClient, word::Word as Said,
 };
 use corkspan_rpc::{Bounds, Link, within};
 use rand::RngExt;
@@ -16,7 +16,8 @@
 use std::time::{Duration, Instant};
 use tonic::Streaming;
 
-/// The way to the dispatchers, as a plain front layer has it: where each listens now, and one link to each.
+/// The way to the dispatchers, as a plain front layer has it: where each listens now, and one link
+/// to each.
 pub struct Front {
     pub world: Arc<World>,
     pub nodes: Vec<Arc<Node>>,
@@ -41,7 +42,10 @@
     }
 
     pub fn open(&self, dispatcher: usize, address: Option<SocketAddr>) {
-        *self.doors[dispatcher].lock().expect("unshared") = Door { address, link: None };
+        *self.doors[dispatcher].lock().expect("unshared") = Door {
+            address,
+            link: None,
+        };
     }
 
     pub async fn client(&self, dispatcher: usize) -> Option<PlacementClient<Link>> {
@@ -68,7 +72,10 @@
         let link = match (link, address) {
             (Some(link), _) => link,
             (None, Some(address)) => {
-                let bounds = Bounds { connect_within: Duration::from_secs(1), ..Bounds::default() };
+                let bounds = Bounds {
+                    connect_within: Duration::from_secs(1),
+                    ..Bounds::default()
+                };
                 let link = Link::open(&self.world.tasks, address, &bounds).await.ok()?;
                 let mut door = self.doors[dispatcher].lock().expect("unshared");
                 if door.address == Some(address) {
@@ -81,15 +88,20 @@
         Some(link)
     }
 
-    /// Where a task runs, and by which placing: the truth, as the owner's own runtime would know it. The one that
-    /// it was told of last goes before any other.
+    /// Where a task runs, and by which placing: the truth, as the owner's own runtime would know
+    /// it. The one that it was told of last goes before any other.
     fn runs_at(&self, task: &str, known: &str) -> Option<(u32, String)> {
-        let copies = self
-            .nodes
-            .iter()
-            .flat_map(|node| node.holds(task).into_iter().map(|placing| (node.plan.id, placing)));
+        let copies = self.nodes.iter().flat_map(|node| {
+            node.holds(task)
+                .into_iter()
+                .map(|placing| (node.plan.id, placing))
+        });
         let copies: Vec<(u32, String)> = copies.collect();
-        copies.iter().find(|(_, placing)| placing == known).or(copies.first()).cloned()
+        copies
+            .iter()
+            .find(|(_, placing)| placing == known)
+            .or(copies.first())
+            .cloned()
     }
 }
 
@@ -177,7 +189,9 @@
     rng: &mut Pcg64Mcg,
 ) -> Came {
     let dispatcher = rng.random_range(0..front.doors.len());
-    let Some(mut client) = front.client(dispatcher).await else { return Came::AskAgain };
+    let Some(mut client) = front.client(dispatcher).await else {
+        return Came::AskAgain;
+    };
     let call = front.calls.fetch_add(1, Ordering::Relaxed);
     let placing = format!("{}#{}", task.name, *asks);
     known.clone_from(&placing);
@@ -193,14 +207,24 @@
         abandon_us: task.abandon.as_micros() as u64,
         first,
     }));
-    let mut open = Open { front, call, closed: false };
+    let mut open = Open {
+        front,
+        call,
+        closed: false,
+    };
     let began = Instant::now();
     let talk = async {
-        let Ok(words) = client.place(message(task, placing, !first)).await else { return Came::InDoubt };
+        let Ok(words) = client.place(message(task, placing, !first)).await else {
+            return Came::InDoubt;
+        };
         let mut words = words.into_inner();
         // A little more than its time: what comes later is none of its business.
         let patience = task.abandon + Duration::from_millis(250);
-        let answer = within(patience.saturating_sub(began.elapsed()), answer(front, call, &mut words)).await;
+        let answer = within(
+            patience.saturating_sub(began.elapsed()),
+            answer(front, call, &mut words),
+        )
+        .await;
         match answer {
             Some(Some(Word::Placed)) => follow(front, call, &mut words, known).await,
             Some(Some(Word::Refused)) => Came::AskAgain,
@@ -218,7 +242,10 @@
         None => talk.await,
     };
     open.closed = true;
-    front.world.capture.see(Seen::Closed { call, broken: matches!(came, Came::InDoubt) });
+    front.world.capture.see(Seen::Closed {
+        call,
+        broken: matches!(came, Came::InDoubt),
+    });
     came
 }
 
@@ -232,7 +259,10 @@
 impl Open<'_> {
     fn cancelled(&mut self) {
         if !std::mem::replace(&mut self.closed, true) {
-            self.front.world.capture.see(Seen::Cancelled { call: self.call });
+            self.front
+                .world
+                .capture
+                .see(Seen::Cancelled { call: self.call });
         }
     }
 }
@@ -277,14 +307,21 @@
     }
 }
 
-async fn follow(front: &Front, call: u64, words: &mut Streaming<v1::Word>, known: &mut String) -> Came {
+async fn follow(
+    front: &Front,
+    call: u64,
+    words: &mut Streaming<v1::Word>,
+    known: &mut String,
+) -> Came {
     while let Ok(Some(v1::Word { word: Some(said) })) = words.message().await {
         if let Said::Replaced(by) = &said {
             known.clone_from(&by.placing);
         }
         match hear(front, call, &said) {
             Some(Word::Ended) => return Came::Done,
-            Some(Word::Evicted | Word::PushedOut | Word::SentAway | Word::Moved) => return Came::AskAgain,
+            Some(Word::Evicted | Word::PushedOut | Word::SentAway | Word::Moved) => {
+                return Came::AskAgain;
+            }
             Some(Word::Lost | Word::HandedBack) => return Came::InDoubt,
             _ => {}
         }
@@ -301,7 +338,9 @@
     rng: &mut Pcg64Mcg,
 ) -> Came {
     let dispatcher = rng.random_range(0..front.doors.len());
-    let Some(mut client) = front.client(dispatcher).await else { return Came::InDoubt };
+    let Some(mut client) = front.client(dispatcher).await else {
+        return Came::InDoubt;
+    };
     let call = front.calls.fetch_add(1, Ordering::Relaxed);
     let seen = Seen::HandedOver {
         call,
@@ -310,8 +349,15 @@
         task: task.name.clone(),
     };
     front.world.capture.see(seen);
-    let mut open = Open { front, call, closed: false };
-    let running = v1::Running { ask: Some(message(task, placing, true)), node };
+    let mut open = Open {
+        front,
+        call,
+        closed: false,
+    };
+    let running = v1::Running {
+        ask: Some(message(task, placing, true)),
+        node,
+    };
     let came = match client.hand_over(running).await {
         Ok(words) => follow(front, call, &mut words.into_inner(), known).await,
         Err(_) => Came::InDoubt,
--- a/crates/lab/src/pace.rs
+++ b/crates/lab/src/pace.rs
@@ -1,5 +1,6 @@
-//! Whether the laboratory kept up: stand-ins share one thread, and hollow dispatchers one in each process, and a day in which
-//! such a thread was the bottleneck measures it, and not the dispatchers.
+//! Whether the laboratory kept up: stand-ins share one thread, and hollow dispatchers one in each
+//! process, and a day in which such a thread was the bottleneck measures it, and not the
+//! dispatchers.
 
 use crate::capture::Seen;
 use async_io::Timer;
@@ -21,7 +22,8 @@
     began: Instant,
     own: Threads,
     late: Arc<AtomicU64>,
-    /// The largest share of a window, in parts of a million, for which a hollow process ran or wanted to.
+    /// The largest share of a window, in parts of a million, for which a hollow process ran or
+    /// wanted to.
     hollow: Arc<AtomicU64>,
     _looks: [async_executor::Task<()>; 2],
 }
@@ -35,7 +37,8 @@
 
 impl Pace {
     /// On the thread that carries the stand-ins.
-    /// `hollow`: processes whose dispatchers share one thread, which must not be the bottleneck either.
+    /// `hollow`: processes whose dispatchers share one thread, which must not be the bottleneck
+    /// either.
     pub fn begin(tasks: &Tasks, hollow: Vec<u32>) -> Result<Pace, String> {
         let late = Arc::new(AtomicU64::new(0));
         let most = Arc::new(AtomicU64::new(0));
@@ -49,17 +52,36 @@
             }
         });
         let (began, own) = (Instant::now(), thread(OWN).ok_or(UNTOLD)?);
-        Ok(Pace { began, own, late, hollow: most, _looks: [looks, watched] })
+        Ok(Pace {
+            began,
+            own,
+            late,
+            hollow: most,
+            _looks: [looks, watched],
+        })
     }
 
     pub fn end(self) -> Result<Seen, String> {
-        let (now, took) = (thread(OWN).ok_or(UNTOLD)?, self.began.elapsed().as_secs_f64());
-        let share = |now: Duration, then: Duration| now.saturating_sub(then).as_secs_f64() / took.max(1e-3);
-        let (busy, waited) = (share(now.ran, self.own.ran), share(now.waited, self.own.waited));
+        let (now, took) = (
+            thread(OWN).ok_or(UNTOLD)?,
+            self.began.elapsed().as_secs_f64(),
+        );
+        let share =
+            |now: Duration, then: Duration| now.saturating_sub(then).as_secs_f64() / took.max(1e-3);
+        let (busy, waited) = (
+            share(now.ran, self.own.ran),
+            share(now.waited, self.own.waited),
+        );
         let late_us = self.late.load(Ordering::Relaxed);
         let hollow = self.hollow.load(Ordering::Relaxed) as f64 / 1e6;
         let spoilt = busy > BUSY || Duration::from_micros(late_us) > LATE || hollow > BUSY;
-        Ok(Seen::StandIns { busy, waited, late_us, hollow, spoilt })
+        Ok(Seen::StandIns {
+            busy,
+            waited,
+            late_us,
+            hollow,
+            spoilt,
+        })
     }
 }
 
@@ -69,15 +91,23 @@
 /// As the kernel counts a thread; none where it is gone.
 fn thread(path: &str) -> Option<Threads> {
     let text = std::fs::read_to_string(path).ok()?;
-    let mut times = text.split_whitespace().map_while(|nanoseconds| nanoseconds.parse().ok());
+    let mut times = text
+        .split_whitespace()
+        .map_while(|nanoseconds| nanoseconds.parse().ok());
     let (ran, waited) = (times.next()?, times.next()?);
-    Some(Threads { ran: Duration::from_nanos(ran), waited: Duration::from_nanos(waited) })
+    Some(Threads {
+        ran: Duration::from_nanos(ran),
+        waited: Duration::from_nanos(waited),
+    })
 }
 
 async fn watch(processes: Vec<u32>, most: Arc<AtomicU64>) {
     let read = || -> Vec<Option<Threads>> {
         let path = |process: &u32| format!("/proc/{process}/task/{process}/schedstat");
-        processes.iter().map(|process| thread(&path(process))).collect()
+        processes
+            .iter()
+            .map(|process| thread(&path(process)))
+            .collect()
     };
     let (mut before, mut since) = (read(), Instant::now());
     loop {
@@ -85,9 +115,14 @@
         let (now, took) = (read(), since.elapsed().as_secs_f64());
         since = Instant::now();
         for (now, before) in std::iter::zip(&now, &before) {
-            let (Some(now), Some(before)) = (now, before) else { continue };
+            let (Some(now), Some(before)) = (now, before) else {
+                continue;
+            };
             let wanted = (now.ran + now.waited).saturating_sub(before.ran + before.waited);
-            most.fetch_max((1e6 * wanted.as_secs_f64() / took) as u64, Ordering::Relaxed);
+            most.fetch_max(
+                (1e6 * wanted.as_secs_f64() / took) as u64,
+                Ordering::Relaxed,
+            );
         }
         before = now;
     }
--- a/crates/lab/src/play.rs
+++ b/crates/lab/src/play.rs
@@ -1,5 +1,5 @@
-//! Plays a day: starts real dispatchers, each a process of its own, and the stand-ins around them, and lets the
-//! script's troubles strike.
+//! Plays a day: starts real dispatchers, each a process of its own, and the stand-ins around them,
+//! and lets the script's troubles strike.
 
 use crate::capture::{self, Capture, DispatcherState, NodeState, Repeat, Rules, Seen};
 use crate::control::{self, Control};
@@ -50,9 +50,14 @@
 pub const HELD: &str = "held";
 const SPREAD: usize = 4;
 const DEDUP_WINDOW: Duration = Duration::from_secs(6);
-const COLD: Cold =
-    Cold { lasts: Duration::from_secs(5), window: Duration::from_secs(1), most: 16, pace: 0.25 };
-/// What dispatchers are told that a cold node bears: less than pushes it over, for the way is uneven.
+const COLD: Cold = Cold {
+    lasts: Duration::from_secs(5),
+    window: Duration::from_secs(1),
+    most: 16,
+    pace: 0.25,
+};
+/// What dispatchers are told that a cold node bears: less than pushes it over, for the way is
+/// uneven.
 const BEARS: usize = 12;
 
 impl Play {
@@ -73,7 +78,11 @@
             ],
             nodes: plans
                 .iter()
-                .map(|plan| capture::Home { node: plan.id, hall: plan.hall.clone(), cell: plan.cell })
+                .map(|plan| capture::Home {
+                    node: plan.id,
+                    hall: plan.hall.clone(),
+                    cell: plan.cell,
+                })
                 .collect(),
             grace_us: 1_000_000,
             cold: capture::Cold {
@@ -124,7 +133,10 @@
                 hall: HALLS[hall].into(),
                 cell,
                 size: Amount { cores, memory },
-                accepts: Amount { cores: 2.0, memory: 1.5 },
+                accepts: Amount {
+                    cores: 2.0,
+                    memory: 1.5,
+                },
                 look: Duration::from_micros(rng.random_range(4_000..12_000)),
                 line: 24,
                 start: Duration::from_millis(rng.random_range(15..40)),
@@ -147,9 +159,19 @@
 
     async fn play(self, tasks: Tasks) -> Result<Vec<capture::Line>, String> {
         let mut stage = self.up(&tasks).await?;
-        let Stage { roster, nodes, front, start, .. } = &stage;
+        let Stage {
+            roster,
+            nodes,
+            front,
+            start,
+            ..
+        } = &stage;
         let (front, until) = (Arc::clone(front), *start + self.day.length);
-        let room = tasks.spawn(tell_room(Arc::clone(roster), nodes.clone(), self.day.clone()));
+        let room = tasks.spawn(tell_room(
+            Arc::clone(roster),
+            nodes.clone(),
+            self.day.clone(),
+        ));
         let versions = self.day.versions.map(|every| {
             let text = self.deployment(0, roster.address, "", stage.folder.path());
             let texts = Texts::of("day", &text).map_err(|why| why.to_string());
@@ -160,7 +182,10 @@
         let owners = stage.through(until).await?;
         let after = stage.read().await?;
         front.world.capture.see(pace.end()?);
-        front.world.capture.see(Seen::Cost(Box::new(cost::between(&before, &after))));
+        front
+            .world
+            .capture
+            .see(Seen::Cost(Box::new(cost::between(&before, &after))));
         // Whoever still waits or runs has so long to come to an end.
         let rest = async {
             for owner in owners {
@@ -194,7 +219,10 @@
         capture.see(Seen::Day(self.rules(&plans)));
         let world = World::new(capture, tasks, Some(TRACKS[1].into()));
         let (roster, roster_address) = Roster::up(&world).await.map_err(text)?;
-        let nodes: Vec<Arc<Node>> = plans.into_iter().map(|plan| Node::new(plan, &world)).collect();
+        let nodes: Vec<Arc<Node>> = plans
+            .into_iter()
+            .map(|plan| Node::new(plan, &world))
+            .collect();
         for node in &nodes {
             let address = node.up(false).await.map_err(text)?;
             roster.change(Duration::ZERO, entry(node, address, 0));
@@ -204,7 +232,9 @@
             true => {
                 let service = self.day.versions.map(|_| control.address);
                 let all = self.day.strikes(End::Nodes);
-                let struck = nodes.iter().filter(|node| all || KEEPERS.contains(&node.plan.id));
+                let struck = nodes
+                    .iter()
+                    .filter(|node| all || KEEPERS.contains(&node.plan.id));
                 let listed: Vec<(u32, SocketAddr)> = struck
                     .filter_map(|node| {
                         let entry = roster.entry(node.plan.id)?;
@@ -212,7 +242,11 @@
                     })
                     .collect();
                 let many = self.day.dispatchers;
-                Some(Wires::up(tasks, many, &roster, service, &listed, &KEEPERS).await.map_err(text)?)
+                Some(
+                    Wires::up(tasks, many, &roster, service, &listed, &KEEPERS)
+                        .await
+                        .map_err(text)?,
+                )
             }
             false => None,
         };
@@ -227,9 +261,15 @@
                     folder.path().join(format!("versions-{number}.json")),
                     wired(End::Control).unwrap_or(control.address),
                 );
-                let peers = wires.iter().flat_map(|wires| wires.addresses(number, End::Dispatchers));
+                let peers = wires
+                    .iter()
+                    .flat_map(|wires| wires.addresses(number, End::Dispatchers));
                 let peers: String = peers.map(|peer| format!(" \"{peer}\"")).collect();
-                let peers = if peers.is_empty() { peers } else { format!("(peers{peers})") };
+                let peers = if peers.is_empty() {
+                    peers
+                } else {
+                    format!("(peers{peers})")
+                };
                 let versions = match self.day.is_hollow(number) {
                     true => String::new(),
                     false => format!("(versions {kept:?})"),
@@ -247,12 +287,27 @@
         let mut fleet = Vec::new();
         for numbers in self.day.processes() {
             let hollow = self.day.is_hollow(numbers.start);
-            let log = self.logs.as_ref().map(|logs| logs.join(format!("dispatcher-{}.log", numbers.start)));
-            let program = if hollow { &self.programs.hollow } else { &self.programs.real };
+            let log = self
+                .logs
+                .as_ref()
+                .map(|logs| logs.join(format!("dispatcher-{}.log", numbers.start)));
+            let program = if hollow {
+                &self.programs.hollow
+            } else {
+                &self.programs.real
+            };
             let files = files[numbers.clone()].to_vec();
             let (program, log) = (program.clone(), log.filter(|_| !hollow));
             let fills = self.day.fills_disks();
-            let mut process = Process { numbers, hollow, files, program, log, fills, child: None };
+            let mut process = Process {
+                numbers,
+                hollow,
+                files,
+                program,
+                log,
+                fills,
+                child: None,
+            };
             process.up(&front, wires.as_ref()).await?;
             fleet.push(process);
         }
@@ -264,7 +319,9 @@
                 }
             }
         };
-        within(Duration::from_secs(30), heard).await.ok_or("the dispatchers don't hear of the nodes")?;
+        within(Duration::from_secs(30), heard)
+            .await
+            .ok_or("the dispatchers don't hear of the nodes")?;
         let (day, start) = (self.day.clone(), Instant::now());
         let up = control_up;
         Ok(Stage {
@@ -286,8 +343,13 @@
 
 impl Front {
     async fn serving(&self, dispatcher: usize) -> u64 {
-        let Some(mut client) = self.client(dispatcher).await else { return 0 };
-        client.status(v1::StatusAsk {}).await.map_or(0, |word| word.into_inner().machines_serving)
+        let Some(mut client) = self.client(dispatcher).await else {
+            return 0;
+        };
+        client
+            .status(v1::StatusAsk {})
+            .await
+            .map_or(0, |word| word.into_inner().machines_serving)
     }
 }
 
@@ -301,11 +363,15 @@
         cell: node.plan.cell,
         state: v1::entry::State::Serving.into(),
         started_ms,
-        unasked: Some(v1::Room { cores: unasked.cores, memory: unasked.memory }),
+        unasked: Some(v1::Room {
+            cores: unasked.cores,
+            memory: unasked.memory,
+        }),
     }
 }
 
-/// The worker: asks one dispatcher after the other which machines are his, restarts each, and says that it is done.
+/// The worker: asks one dispatcher after the other which machines are his, restarts each, and says
+/// that it is done.
 async fn works(
     front: Arc<Front>,
     nodes: Vec<Arc<Node>>,
@@ -318,21 +384,34 @@
     let mut under_way: BTreeMap<u32, (Instant, bool)> = BTreeMap::new();
     loop {
         Timer::after(Duration::from_millis(300)).await;
-        let Some(mut client) = front.rolls(rng.random_range(0..dispatchers)).await else { continue };
+        let Some(mut client) = front.rolls(rng.random_range(0..dispatchers)).await else {
+            continue;
+        };
         let ask = v1::MaintainAsk::default();
         let word = within(Duration::from_secs(10), Box::pin(client.maintain(ask))).await;
         let Some(Ok(word)) = word else { continue };
         let word = word.into_inner();
         // While it is worked on it does not answer, and so is not told as the worker's: he knows.
         under_way.retain(|id, _| !word.worked.contains(id));
-        let mine: BTreeSet<u32> = word.in_work.iter().copied().chain(under_way.keys().copied()).collect();
+        let mine: BTreeSet<u32> = word
+            .in_work
+            .iter()
+            .copied()
+            .chain(under_way.keys().copied())
+            .collect();
         let mut done = Vec::new();
         for id in &mine {
-            let Some(node) = nodes.iter().find(|node| node.plan.id == *id) else { continue };
+            let Some(node) = nodes.iter().find(|node| node.plan.id == *id) else {
+                continue;
+            };
             match under_way.get_mut(id) {
                 None => {
                     let runs = node.guests();
-                    front.world.capture.see(Seen::Worked { node: *id, begins: true, runs });
+                    front.world.capture.see(Seen::Worked {
+                        node: *id,
+                        begins: true,
+                        runs,
+                    });
                     node.kill(NodeState::Gone);
                     under_way.insert(*id, (Instant::now() + work.takes, false));
                 }
@@ -340,7 +419,11 @@
                     let address = node.up(true).await.map_err(|why| why.to_string())?;
                     let entry = entry(node, address, corkspan_dispatcher::clock::wall_ms());
                     roster.change(Duration::from_millis(rng.random_range(50..500)), entry);
-                    front.world.capture.see(Seen::Worked { node: *id, begins: false, runs: node.guests() });
+                    front.world.capture.see(Seen::Worked {
+                        node: *id,
+                        begins: false,
+                        runs: node.guests(),
+                    });
                     *up = true;
                 }
                 Some((_, true)) if word.in_work.contains(id) => done.push(*id),
@@ -349,10 +432,17 @@
         }
         if !done.is_empty() {
             let what = v1::maintain_ask::What::Done.into();
-            let ask = v1::MaintainAsk { what, nodes: done, ..v1::MaintainAsk::default() };
+            let ask = v1::MaintainAsk {
+                what,
+                nodes: done,
+                ..v1::MaintainAsk::default()
+            };
             within(Duration::from_secs(10), Box::pin(client.maintain(ask))).await;
         }
-        let all = word.stands.as_ref().map_or(usize::MAX, |work| work.machines.len());
+        let all = word
+            .stands
+            .as_ref()
+            .map_or(usize::MAX, |work| work.machines.len());
         if word.worked.len() + word.skipped.len() >= all && word.out.is_empty() {
             return Ok(());
         }
@@ -372,8 +462,8 @@
 /// Lines a second that the roster tells all dispatchers together of room alone.
 const ROOM_LINES: usize = 10_000;
 
-/// Tells the roster again and again what nobody has asked for: as often as the day says, or every second, and less often to
-/// a large fleet.
+/// Tells the roster again and again what nobody has asked for: as often as the day says, or every
+/// second, and less often to a large fleet.
 pub(crate) async fn tell_room(roster: Arc<Roster>, nodes: Vec<Arc<Node>>, day: Day) {
     let lines = nodes.len() * day.dispatchers;
     let usual = Duration::from_secs_f64((lines as f64 / ROOM_LINES as f64).max(1.0));
@@ -383,7 +473,10 @@
         for node in nodes.iter().filter(|node| node.is_up()) {
             if let Some(entry) = roster.entry(node.plan.id) {
                 let unasked = node.unasked();
-                let unasked = Some(v1::Room { cores: unasked.cores, memory: unasked.memory });
+                let unasked = Some(v1::Room {
+                    cores: unasked.cores,
+                    memory: unasked.memory,
+                });
                 roster.change(Duration::from_millis(300), v1::Entry { unasked, ..entry });
             }
         }
@@ -417,7 +510,10 @@
 
 impl Stage {
     /// Lets owners ask and troubles strike until the day is over.
-    pub async fn through(&mut self, until: Instant) -> Result<Vec<async_executor::Task<()>>, String> {
+    pub async fn through(
+        &mut self,
+        until: Instant,
+    ) -> Result<Vec<async_executor::Task<()>>, String> {
         let mut troubles = self.day.troubles.clone();
         troubles.sort_by_key(|trouble| trouble.at);
         let mut troubles = troubles.into_iter().peekable();
@@ -428,7 +524,8 @@
         for copy in 0..self.day.copies {
             owners.push(self.hold(copy, until));
         }
-        let (mut roll, mut floor, mut maintenance) = (self.day.roll, self.day.floor, self.day.maintenance);
+        let (mut roll, mut floor, mut maintenance) =
+            (self.day.roll, self.day.floor, self.day.maintenance);
         loop {
             let rolls = roll.map(|roll| self.start + roll.at);
             let floors = floor.map(|at| self.start + at);
@@ -436,7 +533,11 @@
             let trouble = troubles.peek().map(|trouble| self.start + trouble.at);
             let undo = undos.iter().map(|(at, _)| *at).min();
             let asks = (next < until && self.day.rate > 0.0).then_some(next);
-            let Some(at) = [trouble, undo, asks, rolls, floors, works].into_iter().flatten().min() else {
+            let Some(at) = [trouble, undo, asks, rolls, floors, works]
+                .into_iter()
+                .flatten()
+                .min()
+            else {
                 return Ok(owners);
             };
             Timer::at(at).await;
@@ -452,14 +553,21 @@
                 floor = None;
                 self.raise().await?;
             } else if undo == Some(at) {
-                let index = undos.iter().position(|(when, _)| *when == at).unwrap_or_default();
+                let index = undos
+                    .iter()
+                    .position(|(when, _)| *when == at)
+                    .unwrap_or_default();
                 let (_, undo) = undos.swap_remove(index);
                 self.undo(undo).await?;
             } else if trouble == Some(at)
                 && let Some(trouble) = troubles.next()
             {
                 let ends = Instant::now() + trouble.lasts;
-                let burst = if trouble.kind == Kind::Burst { trouble.many } else { 0 };
+                let burst = if trouble.kind == Kind::Burst {
+                    trouble.many
+                } else {
+                    0
+                };
                 for _ in 0..burst {
                     owners.push(self.ask(number, until));
                     number += 1;
@@ -493,7 +601,11 @@
         let own = Pcg64Mcg::seed_from_u64(self.rng.random());
         let lives = owner::live(Arc::clone(&self.front), task, own, until);
         self.front.world.tasks.spawn(async move {
-            within(until.saturating_duration_since(Instant::now()), Box::pin(lives)).await;
+            within(
+                until.saturating_duration_since(Instant::now()),
+                Box::pin(lives),
+            )
+            .await;
         })
     }
 
@@ -533,7 +645,8 @@
         Err("no dispatcher has taken the roll".into())
     }
 
-    /// An operator has all machines taken out for work but so many keepers that a majority stays, and the worker begins.
+    /// An operator has all machines taken out for work but so many keepers that a majority stays,
+    /// and the worker begins.
     async fn maintain(&mut self, work: crate::day::Maintenance) -> Result<(), String> {
         let nodes = self.nodes.iter().map(|node| node.plan.id);
         let nodes: Vec<u32> = nodes.filter(|id| !KEEPERS[1..].contains(id)).collect();
@@ -549,14 +662,24 @@
         };
         for dispatcher in 0..self.day.dispatchers {
             if let Some(mut client) = self.front.rolls(dispatcher).await
-                && let Some(Ok(word)) =
-                    within(Duration::from_secs(5), Box::pin(client.maintain(ask.clone()))).await
+                && let Some(Ok(word)) = within(
+                    Duration::from_secs(5),
+                    Box::pin(client.maintain(ask.clone())),
+                )
+                .await
                 && word.into_inner().taken
             {
                 let (at_a_time, by_hall) = (at_a_time as usize, by_hall as usize);
-                self.front.world.capture.see(Seen::Maintenance { machines, at_a_time, by_hall });
-                let (front, nodes, roster) =
-                    (Arc::clone(&self.front), self.nodes.clone(), Arc::clone(&self.roster));
+                self.front.world.capture.see(Seen::Maintenance {
+                    machines,
+                    at_a_time,
+                    by_hall,
+                });
+                let (front, nodes, roster) = (
+                    Arc::clone(&self.front),
+                    self.nodes.clone(),
+                    Arc::clone(&self.roster),
+                );
                 let seed = self.rng.random();
                 let works = works(front, nodes, roster, self.day.dispatchers, work, seed);
                 self.worker = Some(self.front.world.tasks.spawn(works));
@@ -568,15 +691,25 @@
 
     /// An operator raises the floor to the newest version, asking one dispatcher after the other.
     async fn raise(&mut self) -> Result<(), String> {
-        let newest = self.front.world.capture.lines().iter().rev().find_map(|line| match line.seen {
-            Seen::Pushed { number } => Some(number),
-            _ => None,
-        });
+        let newest = self
+            .front
+            .world
+            .capture
+            .lines()
+            .iter()
+            .rev()
+            .find_map(|line| match line.seen {
+                Seen::Pushed { number } => Some(number),
+                _ => None,
+            });
         let lowest = newest.ok_or("no version has been pushed yet")?;
         for dispatcher in 0..self.day.dispatchers {
             if let Some(mut client) = self.front.versions(dispatcher).await
-                && let Some(Ok(word)) =
-                    within(Duration::from_secs(5), Box::pin(client.raise(v1::FloorAsk { lowest }))).await
+                && let Some(Ok(word)) = within(
+                    Duration::from_secs(5),
+                    Box::pin(client.raise(v1::FloorAsk { lowest })),
+                )
+                .await
                 && word.get_ref().taken
             {
                 self.front.world.capture.see(Seen::Raised { lowest });
@@ -586,7 +719,8 @@
         Err("no dispatcher has had the floor raised".into())
     }
 
-    /// The operator's command line over the whole fleet, and its acts against what the nodes' sockets saw.
+    /// The operator's command line over the whole fleet, and its acts against what the nodes'
+    /// sockets saw.
     async fn audit(&self, program: &[OsString]) -> Result<(), String> {
         let (first, rest) = program.split_first().ok_or("no program is given")?;
         let mut command = Command::new(first);
@@ -599,35 +733,65 @@
         let addresses = (0..self.day.dispatchers).filter_map(|number| self.front.address(number));
         command.args(addresses.map(|address| address.to_string()));
         let began = Instant::now();
-        let output = blocking::unblock(move || command.output()).await.map_err(|why| why.to_string())?;
+        let output = blocking::unblock(move || command.output())
+            .await
+            .map_err(|why| why.to_string())?;
         let took_ms = began.elapsed().as_millis() as u64;
         let told: serde_json::Value = serde_json::from_slice(&output.stdout)
             .map_err(|why| format!("the audit tells no JSON: {why}"))?;
         let mut sockets: BTreeMap<(u64, u64), u64> = BTreeMap::new();
         for line in self.front.world.capture.lines() {
-            if let Seen::Offered { dispatcher, decided, .. } = line.seen {
+            if let Seen::Offered {
+                dispatcher,
+                decided,
+                ..
+            } = line.seen
+            {
                 *sockets.entry((u64::from(dispatcher), decided)).or_default() += 1;
             }
         }
         let number = |row: &serde_json::Value, name: &str| row[name].as_u64().unwrap_or(u64::MAX);
         let rows = told["acts"].as_array().into_iter().flatten();
-        let rows =
-            rows.map(|row| ((number(row, "dispatcher"), number(row, "version")), number(row, "shots")));
-        let equal = rows.filter(|(_, shots)| *shots > 0).collect::<BTreeMap<_, _>>() == sockets;
+        let rows = rows.map(|row| {
+            (
+                (number(row, "dispatcher"), number(row, "version")),
+                number(row, "shots"),
+            )
+        });
+        let equal = rows
+            .filter(|(_, shots)| *shots > 0)
+            .collect::<BTreeMap<_, _>>()
+            == sockets;
         let capture = &self.front.world.capture;
         // What runs where at the end: those that were brought up by others told no control service.
         for own in told["dispatchers"].as_array().into_iter().flatten() {
-            if let (Some(dispatcher), Some(version)) = (own["number"].as_u64(), own["version"].as_u64()) {
-                capture.see(Seen::InForce { dispatcher: dispatcher as u32, number: version });
+            if let (Some(dispatcher), Some(version)) =
+                (own["number"].as_u64(), own["version"].as_u64())
+            {
+                capture.see(Seen::InForce {
+                    dispatcher: dispatcher as u32,
+                    number: version,
+                });
             }
         }
         let findings = told["findings"].as_array().map_or(0, Vec::len);
         let bytes = output.stdout.len() as u64;
-        capture.see(Seen::Audited { took_ms, bytes, findings, equal });
+        capture.see(Seen::Audited {
+            took_ms,
+            bytes,
+            findings,
+            equal,
+        });
         let pages = self.fleet.iter().filter_map(Process::resident_kib);
         let kib: Vec<u64> = pages.collect();
-        let (mean_kib, most_kib) = (kib.iter().sum::<u64>() / kib.len().max(1) as u64, kib.iter().max());
-        capture.see(Seen::Memory { mean_kib, most_kib: most_kib.copied().unwrap_or(0) });
+        let (mean_kib, most_kib) = (
+            kib.iter().sum::<u64>() / kib.len().max(1) as u64,
+            kib.iter().max(),
+        );
+        capture.see(Seen::Memory {
+            mean_kib,
+            most_kib: most_kib.copied().unwrap_or(0),
+        });
         Ok(())
     }
 
@@ -649,7 +813,11 @@
             service: format!("{}-{service}", TRACKS[track]),
             track,
             track_name: TRACKS[track].into(),
-            repeat: [Repeat::Idempotent, Repeat::Deduplicated { window_us }, Repeat::Unrepeatable][track],
+            repeat: [
+                Repeat::Idempotent,
+                Repeat::Deduplicated { window_us },
+                Repeat::Unrepeatable,
+            ][track],
             cores,
             memory,
             life,
@@ -658,20 +826,31 @@
             cancels: cancels.then(|| Duration::from_millis(rng.random_range(0..3000))),
         };
         let own = Pcg64Mcg::seed_from_u64(rng.random());
-        self.front.world.tasks.spawn(owner::live(Arc::clone(&self.front), task, own, until))
+        self.front
+            .world
+            .tasks
+            .spawn(owner::live(Arc::clone(&self.front), task, own, until))
     }
 
     fn strike(&mut self, trouble: &Trouble) -> Result<Vec<Undo>, String> {
-        let name =
-            crate::day::KINDS.iter().find(|(_, kind)| *kind == trouble.kind).map_or("", |(name, _)| name);
-        self.front.world.capture.see(Seen::Trouble { name: name.into() });
+        let name = crate::day::KINDS
+            .iter()
+            .find(|(_, kind)| *kind == trouble.kind)
+            .map_or("", |(name, _)| name);
+        self.front
+            .world
+            .capture
+            .see(Seen::Trouble { name: name.into() });
         let time = trouble.lasts;
-        let mut up: Vec<usize> = (0..self.nodes.len()).filter(|&index| self.nodes[index].is_up()).collect();
+        let mut up: Vec<usize> = (0..self.nodes.len())
+            .filter(|&index| self.nodes[index].is_up())
+            .collect();
         up.shuffle(&mut self.rng);
         up.truncate(trouble.many);
         // Processes, each with all its dispatchers.
-        let mut running: Vec<usize> =
-            (0..self.fleet.len()).filter(|&index| self.fleet[index].child.is_some()).collect();
+        let mut running: Vec<usize> = (0..self.fleet.len())
+            .filter(|&index| self.fleet[index].child.is_some())
+            .collect();
         running.shuffle(&mut self.rng);
         running.truncate(trouble.many);
         let mut undos = Vec::new();
@@ -691,8 +870,11 @@
                 }
             }
             Kind::LoseZone => {
-                let zone = up.first().map(|&index| self.day.zone(self.nodes[index].plan.cell));
-                let lost = |index: &usize| Some(self.day.zone(self.nodes[*index].plan.cell)) == zone;
+                let zone = up
+                    .first()
+                    .map(|&index| self.day.zone(self.nodes[index].plan.cell));
+                let lost =
+                    |index: &usize| Some(self.day.zone(self.nodes[*index].plan.cell)) == zone;
                 for index in (0..self.nodes.len()).filter(lost).collect::<Vec<_>>() {
                     self.kill(index);
                     undos.push(Undo::Up(index));
@@ -705,14 +887,19 @@
                     undos.push(Undo::Undrain(index));
                 }
             }
-            Kind::StallNodes => up.iter().for_each(|&index| self.nodes[index].stand_still(time)),
+            Kind::StallNodes => up
+                .iter()
+                .for_each(|&index| self.nodes[index].stand_still(time)),
             Kind::CutLinks => up.iter().for_each(|&index| self.nodes[index].cut(time)),
             Kind::LoseAnswers => up.iter().for_each(|&index| self.nodes[index].mute(time)),
             Kind::DelayReports => {
                 let by = Duration::from_millis(self.rng.random_range(700..4000));
-                up.iter().for_each(|&index| self.nodes[index].delay_reports(time, by));
+                up.iter()
+                    .for_each(|&index| self.nodes[index].delay_reports(time, by));
             }
-            Kind::LosePrograms => up.iter().for_each(|&index| self.nodes[index].lose_programs()),
+            Kind::LosePrograms => up
+                .iter()
+                .for_each(|&index| self.nodes[index].lose_programs()),
             Kind::RosterAway => self.roster.away(Some(time)),
             Kind::Demand | Kind::Burst => {}
             Kind::KillDispatchers => {
@@ -722,8 +909,12 @@
                 }
             }
             Kind::CutDispatchers | Kind::DelayDispatchers | Kind::HoldVersions => {
-                let Some(wires) = &self.wires else { return Err("no relays stand".into()) };
-                let numbers = running.iter().flat_map(|&index| self.fleet[index].numbers.clone());
+                let Some(wires) = &self.wires else {
+                    return Err("no relays stand".into());
+                };
+                let numbers = running
+                    .iter()
+                    .flat_map(|&index| self.fleet[index].numbers.clone());
                 for index in numbers.take(trouble.many) {
                     self.see_wires(index, true, trouble.by);
                     if trouble.kind == Kind::HoldVersions {
@@ -758,22 +949,29 @@
     /// Hollow processes that run.
     pub fn hollow(&self) -> Vec<u32> {
         let hollow = self.fleet.iter().filter(|process| process.hollow);
-        hollow.filter_map(|process| Some(process.child.as_ref()?.id())).collect()
+        hollow
+            .filter_map(|process| Some(process.child.as_ref()?.id()))
+            .collect()
     }
 
     /// What each process has cost so far, and what its dispatchers counted.
     pub async fn read(&self) -> Result<Vec<cost::Reading>, String> {
         let mut read = Vec::new();
         for process in &self.fleet {
-            let Some(mut own) = process.cost() else { continue };
+            let Some(mut own) = process.cost() else {
+                continue;
+            };
             for number in process.numbers.clone() {
                 let told = async {
                     let mut client = self.front.client(number).await?;
                     client.status(v1::StatusAsk {}).await.ok()
                 };
                 // One that stands still, or is away, tells nothing: it is left out of the figures.
-                let told = within(Duration::from_secs(5), Box::pin(told)).await.flatten();
-                own.counts.extend(told.map(|word| (number, word.into_inner().link_counts)));
+                let told = within(Duration::from_secs(5), Box::pin(told))
+                    .await
+                    .flatten();
+                own.counts
+                    .extend(told.map(|word| (number, word.into_inner().link_counts)));
             }
             read.push(own);
         }
@@ -782,7 +980,11 @@
 
     fn see_wires(&self, index: usize, struck: bool, late: Duration) {
         let (dispatcher, late_us) = (index as u32, late.as_micros() as u64);
-        self.front.world.capture.see(Seen::Wires { dispatcher, struck, late_us });
+        self.front.world.capture.see(Seen::Wires {
+            dispatcher,
+            struck,
+            late_us,
+        });
     }
 
     fn kill(&mut self, index: usize) {
@@ -794,7 +996,13 @@
     fn tell(&mut self, index: usize, state: v1::entry::State) {
         let late = Duration::from_millis(self.rng.random_range(100..900));
         if let Some(entry) = self.roster.entry(self.nodes[index].plan.id) {
-            self.roster.change(late, v1::Entry { state: state.into(), ..entry });
+            self.roster.change(
+                late,
+                v1::Entry {
+                    state: state.into(),
+                    ..entry
+                },
+            );
         }
     }
 
@@ -818,7 +1026,9 @@
             }
             Undo::Restart(index) => {
                 if self.fleet[index].child.is_none() {
-                    self.fleet[index].up(&self.front, self.wires.as_ref()).await?;
+                    self.fleet[index]
+                        .up(&self.front, self.wires.as_ref())
+                        .await?;
                 }
             }
             Undo::Heal(index, ends) => {
--- a/crates/lab/src/process.rs
+++ b/crates/lab/src/process.rs
@@ -1,5 +1,5 @@
-//! The dispatchers' processes: real ones, a dispatcher each, and hollow ones, with many. What strikes a process strikes all
-//! dispatchers in it.
+//! The dispatchers' processes: real ones, a dispatcher each, and hollow ones, with many. What
+//! strikes a process strikes all dispatchers in it.
 
 use crate::capture::{DispatcherState, Seen};
 use crate::cost;
@@ -36,7 +36,9 @@
     }
 
     pub fn here() -> Result<Programs, String> {
-        std::env::current_exe().map(|own| Programs::of(&own)).map_err(|why| why.to_string())
+        std::env::current_exe()
+            .map(|own| Programs::of(&own))
+            .map_err(|why| why.to_string())
     }
 }
 
@@ -55,7 +57,10 @@
 impl Process {
     fn see(&self, front: &Front, state: DispatcherState) {
         for number in self.numbers.clone() {
-            front.world.capture.see(Seen::Dispatcher { dispatcher: number as u32, state });
+            front.world.capture.see(Seen::Dispatcher {
+                dispatcher: number as u32,
+                state,
+            });
         }
     }
 
@@ -63,10 +68,13 @@
         let (program, first) = self.program.split_first().ok_or("no program is given")?;
         let mut command = match self.fills {
             false => Command::new(program),
-            // A write beyond what its files may hold fails as on a full disk, once the signal for it is passed over.
+            // A write beyond what its files may hold fails as on a full disk, once the signal for
+            // it is passed over.
             true => {
                 let mut shell = Command::new("sh");
-                shell.args(["-c", "trap '' XFSZ; exec \"$0\" \"$@\""]).arg(program);
+                shell
+                    .args(["-c", "trap '' XFSZ; exec \"$0\" \"$@\""])
+                    .arg(program);
                 shell
             }
         };
@@ -74,16 +82,24 @@
         if !self.hollow {
             command.arg("serve");
         }
-        command.args(&self.files).stdin(Stdio::null()).stdout(Stdio::piped());
+        command
+            .args(&self.files)
+            .stdin(Stdio::null())
+            .stdout(Stdio::piped());
         match &self.log {
             Some(log) => {
-                let file = std::fs::OpenOptions::new().create(true).append(true).open(log);
+                let file = std::fs::OpenOptions::new()
+                    .create(true)
+                    .append(true)
+                    .open(log);
                 command.stderr(file.map_err(|why| format!("{}: {why}", log.display()))?);
             }
             None if self.hollow => drop(command.stderr(Stdio::inherit())),
             None => drop(command.arg("--level").arg("error").stderr(Stdio::inherit())),
         }
-        let mut child = command.spawn().map_err(|why| format!("{}: {why}", program.display()))?;
+        let mut child = command
+            .spawn()
+            .map_err(|why| format!("{}: {why}", program.display()))?;
         let out = child.stdout.take().ok_or("no standard output")?;
         self.child = Some(child);
         let many = self.numbers.len();
@@ -92,7 +108,9 @@
             lines.collect::<std::io::Result<Vec<String>>>()
         });
         let lines = within(Duration::from_secs(20), lines).await;
-        let lines = lines.ok_or("a dispatcher does not start to listen")?.map_err(|why| why.to_string())?;
+        let lines = lines
+            .ok_or("a dispatcher does not start to listen")?
+            .map_err(|why| why.to_string())?;
         let mut listens: Vec<(usize, SocketAddr)> = Vec::new();
         for line in &lines {
             let why = || format!("a dispatcher did not start: `{line}`");
@@ -103,37 +121,59 @@
                 _ => return Err(why()),
             };
             let which = which.filter(|which| *which < many).ok_or_else(why)?;
-            listens.push((self.numbers.start + which, address.parse().map_err(|_| why())?));
+            listens.push((
+                self.numbers.start + which,
+                address.parse().map_err(|_| why())?,
+            ));
         }
         if listens.len() < many {
-            return Err(format!("{} of {many} dispatchers of a process listen", listens.len()));
+            return Err(format!(
+                "{} of {many} dispatchers of a process listen",
+                listens.len()
+            ));
         }
         self.see(front, DispatcherState::Up);
         for (number, address) in listens {
             front.open(number, Some(address));
-            wires.iter().for_each(|wires| wires.listens(number, address));
+            wires
+                .iter()
+                .for_each(|wires| wires.listens(number, address));
         }
         Ok(())
     }
 
     fn close(&self, front: &Front) {
-        self.numbers.clone().for_each(|number| front.open(number, None));
+        self.numbers
+            .clone()
+            .for_each(|number| front.open(number, None));
     }
 
     pub fn kill(&mut self, front: &Front) -> Result<(), String> {
-        let Some(mut child) = self.child.take() else { return Ok(()) };
+        let Some(mut child) = self.child.take() else {
+            return Ok(());
+        };
         self.see(front, DispatcherState::Killed);
         self.close(front);
-        child.kill().and_then(|()| child.wait()).map(drop).map_err(|why| why.to_string())
+        child
+            .kill()
+            .and_then(|()| child.wait())
+            .map(drop)
+            .map_err(|why| why.to_string())
     }
 
     /// Its files may hold so many bytes from now on; none: as many as they like.
     pub fn disk(&mut self, most: Option<u64>) -> Result<(), String> {
-        let Some(child) = &self.child else { return Ok(()) };
-        let limit = rustix::process::Rlimit { current: most, maximum: None };
+        let Some(child) = &self.child else {
+            return Ok(());
+        };
+        let limit = rustix::process::Rlimit {
+            current: most,
+            maximum: None,
+        };
         let pid = rustix::process::Pid::from_child(child);
         let set = rustix::process::prlimit(Some(pid), rustix::process::Resource::Fsize, limit);
-        set.map(drop).map_err(|why| format!("a disk can't be filled: {why}"))
+        set.map(drop)
+            .map_err(|why| format!("a disk can't be filled: {why}"))
     }
 
     pub fn signal(
@@ -142,8 +182,11 @@
         signal: rustix::process::Signal,
         state: DispatcherState,
     ) -> Result<(), String> {
-        let Some(child) = &self.child else { return Ok(()) };
-        // Going on counts from before it does, standing still from before it does: neither flatters it.
+        let Some(child) = &self.child else {
+            return Ok(());
+        };
+        // Going on counts from before it does, standing still from before it does: neither flatters
+        // it.
         self.see(front, state);
         rustix::process::kill_process(rustix::process::Pid::from_child(child), signal)
             .map_err(|why| why.to_string())
@@ -151,8 +194,14 @@
 
     /// Asks it to stop and waits for it.
     pub async fn down(&mut self, front: &Front) -> Result<(), String> {
-        self.signal(front, rustix::process::Signal::TERM, DispatcherState::Stopping)?;
-        let Some(mut child) = self.child.take() else { return Ok(()) };
+        self.signal(
+            front,
+            rustix::process::Signal::TERM,
+            DispatcherState::Stopping,
+        )?;
+        let Some(mut child) = self.child.take() else {
+            return Ok(());
+        };
         self.close(front);
         let until = Instant::now() + Duration::from_secs(15);
         let status = loop {
@@ -170,7 +219,10 @@
         if status.is_none() {
             let _ = child.kill().and_then(|()| child.wait());
         }
-        Err(format!("dispatchers {:?} did not stop with 0: {status:?}", self.numbers))
+        Err(format!(
+            "dispatchers {:?} did not stop with 0: {status:?}",
+            self.numbers
+        ))
     }
 
     pub fn resident_kib(&self) -> Option<u64> {
--- a/crates/lab/src/pushes.rs
+++ b/crates/lab/src/pushes.rs
@@ -1,5 +1,6 @@
-//! What streamed versions cost and whether they hold, with dispatchers as processes of their own: random exchanges
-//! with kills, a flood, time from push to effect, returns after a service was away, placing while versions come.
+//! What streamed versions cost and whether they hold, with dispatchers as processes of their own:
+//! random exchanges with kills, a flood, time from push to effect, returns after a service was
+//! away, placing while versions come.
 
 use crate::capture::Capture;
 use crate::control::{Control, Up, message, stamp_of};
@@ -61,7 +62,11 @@
             let process = stage.start(number, dispatchers)?;
             stage.dispatchers.push(process);
         }
-        stage.until("all streams stand", |stage| stage.control.opened() >= dispatchers).await?;
+        stage
+            .until("all streams stand", |stage| {
+                stage.control.opened() >= dispatchers
+            })
+            .await?;
         story(stage).await
     };
     future::block_on(tasks.run(whole))
@@ -81,14 +86,21 @@
         Process::start_in(&self.program, &path, &self.file(number, of))
     }
 
-    /// The file's shared parts with one more track, and other shots: always another version, and a sound one.
+    /// The file's shared parts with one more track, and other shots: always another version, and a
+    /// sound one.
     fn texts(&self, dispatchers: usize, which: u64) -> Texts {
         let shared = Texts::of("file", &self.file(0, dispatchers)).expect("the file is sound");
         let tracks = shared.get("tracks").unwrap_or_default();
-        let more = format!("(t{} (repeat idempotent) (contract-time 300 ms))", which % 9);
+        let more = format!(
+            "(t{} (repeat idempotent) (contract-time 300 ms))",
+            which % 9
+        );
         let tracks = format!("{} {more})", &tracks[..tracks.len() - 1]);
         let accounts = format!("(accounts (a (share-cores {})))", 1_000_000 + which);
-        let changes = [("tracks".to_string(), tracks), ("accounts".to_string(), accounts)];
+        let changes = [
+            ("tracks".to_string(), tracks),
+            ("accounts".to_string(), accounts),
+        ];
         shared.changed(&changes.into_iter().collect(), &[])
     }
 
@@ -98,13 +110,19 @@
                 Timer::after(Duration::from_millis(2)).await;
             }
         };
-        within(PATIENCE, waits).await.ok_or_else(|| format!("waited {PATIENCE:?} in vain: {what}"))
+        within(PATIENCE, waits)
+            .await
+            .ok_or_else(|| format!("waited {PATIENCE:?} in vain: {what}"))
     }
 
     async fn status(&self, dispatcher: usize) -> Result<v1::VersionStatus, String> {
         let link = measure::link(&self.tasks, self.dispatchers[dispatcher].address).await?;
-        let status = VersionsClient::new(link).status(v1::VersionStatusAsk {}).await;
-        Ok(status.map_err(|why| why.message().to_string())?.into_inner())
+        let status = VersionsClient::new(link)
+            .status(v1::VersionStatusAsk {})
+            .await;
+        Ok(status
+            .map_err(|why| why.message().to_string())?
+            .into_inner())
     }
 }
 
@@ -120,16 +138,22 @@
     pub given_up: usize,
 }
 
-/// So many versions at random, sound, unsound, stale, split and foreign, in bursts, with kills in between and in the
-/// middle. What is in force, by status, must always be what was acknowledged last; after a kill that, a sound one sent
-/// after it, or the one before where it was given up for its many starts.
+/// So many versions at random, sound, unsound, stale, split and foreign, in bursts, with kills in
+/// between and in the middle. What is in force, by status, must always be what was acknowledged
+/// last; after a kill that, a sound one sent after it, or the one before where it was given up for
+/// its many starts.
 pub fn exchange(program: &[OsString], seed: u64, versions: usize) -> Result<Exchange, String> {
     on_stage(program, 1, async |mut stage| {
         stage.control.scripted();
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let mut out = Exchange::default();
-        let mut acknowledged =
-            stage.status(0).await?.running.as_ref().and_then(stamp_of).ok_or("no stamp")?;
+        let mut acknowledged = stage
+            .status(0)
+            .await?
+            .running
+            .as_ref()
+            .and_then(stamp_of)
+            .ok_or("no stamp")?;
         while out.sent < versions {
             let burst: Vec<(Push, bool)> = (0..rng.random_range(1..40))
                 .map(|at| {
@@ -138,10 +162,17 @@
                 })
                 .collect();
             out.sent += burst.len();
-            if !burst.iter().all(|(push, _)| stage.control.send(0, message(push))) {
+            if !burst
+                .iter()
+                .all(|(push, _)| stage.control.send(0, message(push)))
+            {
                 return Err("the stream does not stand".into());
             }
-            let sound = |stamp: Stamp| burst.iter().any(|(push, sound)| *sound && push.stamp == stamp);
+            let sound = |stamp: Stamp| {
+                burst
+                    .iter()
+                    .any(|(push, sound)| *sound && push.stamp == stamp)
+            };
             let killed = rng.random_range(0..6) == 0;
             if killed {
                 // In the middle of it, at no time in particular.
@@ -151,16 +182,22 @@
                 let again = stage.start(0, 1)?;
                 stage.dispatchers.push(again);
                 out.kills += 1;
-                stage.until("it comes back", |stage| stage.control.opened() > opened).await?;
+                stage
+                    .until("it comes back", |stage| stage.control.opened() > opened)
+                    .await?;
             } else {
                 let answered = |stage: &Stage| {
-                    burst.iter().all(|(push, _)| stage.control.reply_to(push.nonce).is_some())
+                    burst
+                        .iter()
+                        .all(|(push, _)| stage.control.reply_to(push.nonce).is_some())
                 };
                 stage.until("each push is answered", answered).await?;
                 for (push, sound) in &burst {
                     let told = stage.control.reply_to(push.nonce).ok_or("no reply")?;
                     match told.answer() {
-                        Answer::Applied if !sound => return Err(format!("unsound, and in force: {push:?}")),
+                        Answer::Applied if !sound => {
+                            return Err(format!("unsound, and in force: {push:?}"));
+                        }
                         Answer::Applied => {
                             out.applied += 1;
                             acknowledged = push.stamp;
@@ -176,16 +213,26 @@
                 }
             }
             let status = stage.status(0).await?;
-            let running = status.running.as_ref().and_then(stamp_of).ok_or("no stamp")?;
+            let running = status
+                .running
+                .as_ref()
+                .and_then(stamp_of)
+                .ok_or("no stamp")?;
             let in_force = Texts::of("in force", &status.text).map_err(|why| why.to_string())?;
             // Three starts under a version on trial, and it is given up: it may be what ended them.
-            let given_up =
-                killed && status.given_up.iter().filter_map(stamp_of).any(|own| own == acknowledged);
+            let given_up = killed
+                && status
+                    .given_up
+                    .iter()
+                    .filter_map(stamp_of)
+                    .any(|own| own == acknowledged);
             out.given_up += usize::from(given_up);
             let newer = killed && sound(running) && running.number > acknowledged.number;
             let may = running == acknowledged || given_up || newer;
             if !may || in_force.digest() != running.digest {
-                return Err(format!("{running} is in force, {acknowledged} was acknowledged last; {out:?}"));
+                return Err(format!(
+                    "{running} is in force, {acknowledged} was acknowledged last; {out:?}"
+                ));
             }
             acknowledged = running;
         }
@@ -197,7 +244,10 @@
 fn random_push(stage: &Stage, rng: &mut Pcg64Mcg, nonce: u64, after: Stamp) -> (Push, bool) {
     let sound = stage.texts(1, rng.random_range(0..1_000));
     let change = |name: &str, text: &str| {
-        sound.changed(&[(name.to_string(), text.to_string())].into_iter().collect(), &[])
+        sound.changed(
+            &[(name.to_string(), text.to_string())].into_iter().collect(),
+            &[],
+        )
     };
     let (changes, fit) = match rng.random_range(0..8) {
         0 => (change("shots", "(shots 0)"), false),
@@ -206,11 +256,31 @@
         3 => (change("cold", "(cold (lasts"), false),
         _ => (sound.clone(), true),
     };
-    let number = (after.number + rng.random_range(0..20)).saturating_sub(3).max(1);
-    let follows = if rng.random_range(0..6) > 0 { vec![after] } else { Vec::new() };
-    let stamp = Stamp { number, digest: changes.digest() };
+    let number = (after.number + rng.random_range(0..20))
+        .saturating_sub(3)
+        .max(1);
+    let follows = if rng.random_range(0..6) > 0 {
+        vec![after]
+    } else {
+        Vec::new()
+    };
+    let stamp = Stamp {
+        number,
+        digest: changes.digest(),
+    };
     let fit = fit && (!follows.is_empty() || after.number == 0);
-    (Push { nonce, stamp, follows, onto: None, changes, removed: Vec::new(), cuts: true }, fit)
+    (
+        Push {
+            nonce,
+            stamp,
+            follows,
+            onto: None,
+            changes,
+            removed: Vec::new(),
+            cuts: true,
+        },
+        fit,
+    )
 }
 
 /// How it is measured.
@@ -235,8 +305,8 @@
 
     fn exchanges(&self) -> Result<(), String> {
         for seed in 1..=self.seeds {
-            let out =
-                exchange(&self.program, seed, self.versions).map_err(|why| format!("seed {seed}: {why}"))?;
+            let out = exchange(&self.program, seed, self.versions)
+                .map_err(|why| format!("seed {seed}: {why}"))?;
             println!("random exchange, seed {seed}: {out:?}");
         }
         Ok(())
@@ -253,14 +323,29 @@
                 Timer::at(began + apart * (number as u32 + 1)).await;
             }
             let published = began.elapsed();
-            stage.until("the newest is in force", |stage| stage.control.running(0) == newest).await?;
+            stage
+                .until("the newest is in force", |stage| {
+                    stage.control.running(0) == newest
+                })
+                .await?;
             let caught_up = began.elapsed() - published;
             let pushes = stage.control.pushes().len();
-            let answers =
-                |answer| stage.control.replies().iter().filter(|own| own.told.answer() == answer).count();
+            let answers = |answer| {
+                stage
+                    .control
+                    .replies()
+                    .iter()
+                    .filter(|own| own.told.answer() == answer)
+                    .count()
+            };
             stage
                 .until("each is answered", |stage| {
-                    stage.control.replies().iter().filter(|reply| reply.told.nonce > 0).count()
+                    stage
+                        .control
+                        .replies()
+                        .iter()
+                        .filter(|reply| reply.told.nonce > 0)
+                        .count()
                         >= stage.control.pushes().len()
                 })
                 .await?;
@@ -285,8 +370,9 @@
             for which in 0..20 {
                 let (before, began) = (stage.control.replies().len(), Instant::now());
                 let stamp = stage.control.publish(stage.texts(many, which), true);
-                let all =
-                    |stage: &Stage| (0..many).all(|who| stage.control.running(who as u32) == Some(stamp));
+                let all = |stage: &Stage| {
+                    (0..many).all(|who| stage.control.running(who as u32) == Some(stamp))
+                };
                 stage.until("all have it", all).await?;
                 for reply in &stage.control.replies()[before..] {
                     if reply.told.answer() == Answer::Applied {
@@ -296,7 +382,10 @@
                 // Not paced by the one before.
                 Timer::after(Duration::from_millis(100)).await;
             }
-            println!("push to effect over {many} instances, 20 versions: {}", quantiles(&times));
+            println!(
+                "push to effect over {many} instances, 20 versions: {}",
+                quantiles(&times)
+            );
             Ok(())
         })
     }
@@ -311,11 +400,26 @@
             // Long enough for every one to have failed some times.
             Timer::after(Duration::from_secs(4)).await;
             let began = Instant::now();
-            stage.up = Some(stage.control.up_again(&stage.world).await.map_err(|why| why.to_string())?);
-            stage.until("all are back", |stage| stage.control.opened() >= opened + many).await?;
+            stage.up = Some(
+                stage
+                    .control
+                    .up_again(&stage.world)
+                    .await
+                    .map_err(|why| why.to_string())?,
+            );
+            stage
+                .until("all are back", |stage| {
+                    stage.control.opened() >= opened + many
+                })
+                .await?;
             let mut times = histogram()?;
             let mut by_second = std::collections::BTreeMap::<u64, usize>::new();
-            for reply in stage.control.replies().iter().filter(|own| own.told.nonce == 0 && own.at > began) {
+            for reply in stage
+                .control
+                .replies()
+                .iter()
+                .filter(|own| own.told.nonce == 0 && own.at > began)
+            {
                 times.saturating_record((reply.at - began).as_micros() as u64);
                 *by_second.entry((reply.at - began).as_secs()).or_default() += 1;
             }
@@ -362,7 +466,9 @@
             let process = stage.start(0, 1)?;
             let at = process.address;
             stage.dispatchers.push(process);
-            stage.until("its stream stands", |stage| stage.control.opened() == 1).await?;
+            stage
+                .until("its stream stands", |stage| stage.control.opened() == 1)
+                .await?;
             measure.until_ready(&tasks, at).await?;
             let mut which = 0;
             for _ in 0..self.rounds {
@@ -397,5 +503,11 @@
 
 fn quantiles(times: &Histogram<u64>) -> String {
     let ms = |quantile| times.value_at_quantile(quantile) as f64 / 1_000.0;
-    format!("p50 {:.1} ms, p99 {:.1} ms, last {:.1} ms of {}", ms(0.5), ms(0.99), ms(1.0), times.len())
+    format!(
+        "p50 {:.1} ms, p99 {:.1} ms, last {:.1} ms of {}",
+        ms(0.5),
+        ms(0.99),
+        ms(1.0),
+        times.len()
+    )
 }
--- a/crates/lab/src/relay.rs
+++ b/crates/lab/src/relay.rs
@@ -1,6 +1,7 @@
-//! A relay on loopback between two processes, which can be made to fail as a network does: hold what goes one way or
-//! both while links stand open in silence, hold new links alone, delay, and reset. What it holds it passes on when it
-//! is healed, as a network that comes back does; what it is told to reset is gone.
+//! A relay on loopback between two processes, which can be made to fail as a network does: hold
+//! what goes one way or both while links stand open in silence, hold new links alone, delay, and
+//! reset. What it holds it passes on when it is healed, as a network that comes back does; what it
+//! is told to reset is gone.
 
 use async_io::Timer;
 use async_net::{TcpListener, TcpStream};
@@ -39,7 +40,8 @@
     to: Option<SocketAddr>,
     /// Links that stand: dropped, they are reset.
     links: Vec<async_channel::Sender<()>>,
-    /// Bytes to and from the process that opens links, in the order of [`Way`], counted at its side.
+    /// Bytes to and from the process that opens links, in the order of [`Way`], counted at its
+    /// side.
     passed: [u64; 2],
     /// Wakes what is held.
     changed: event::Changed,
@@ -60,7 +62,10 @@
 impl Relay {
     pub async fn up(tasks: &Tasks, to: SocketAddr) -> std::io::Result<Relay> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
-        let state = State { to: Some(to), ..State::default() };
+        let state = State {
+            to: Some(to),
+            ..State::default()
+        };
         let (address, state) = (listener.local_addr()?, Arc::new(Mutex::new(state)));
         let listens = {
             let (tasks, state) = (Arc::clone(tasks), Arc::clone(&state));
@@ -71,7 +76,11 @@
                 }
             })
         };
-        Ok(Relay { address, state, _listens: listens })
+        Ok(Relay {
+            address,
+            state,
+            _listens: listens,
+        })
     }
 
     fn set(&self, change: impl FnOnce(&mut State)) {
@@ -87,11 +96,17 @@
 
     /// From here on nothing passes these ways, on links that stand and on new ones.
     pub fn hold(&self, ways: &[Way]) {
-        self.set(|state| ways.iter().for_each(|&way| state.ways[way as usize] = Fault::Held));
+        self.set(|state| {
+            ways.iter()
+                .for_each(|&way| state.ways[way as usize] = Fault::Held)
+        });
     }
 
     pub fn delay(&self, ways: &[Way], by: Duration) {
-        self.set(|state| ways.iter().for_each(|&way| state.ways[way as usize] = Fault::Late(by)));
+        self.set(|state| {
+            ways.iter()
+                .for_each(|&way| state.ways[way as usize] = Fault::Late(by))
+        });
     }
 
     /// Links that stand go on; no other comes to stand.
@@ -99,7 +114,8 @@
         self.set(|state| state.no_new = true);
     }
 
-    /// Bytes that came to the process that opens links through it, and that it sent, as far as this end has taken them.
+    /// Bytes that came to the process that opens links through it, and that it sent, as far as this
+    /// end has taken them.
     pub fn passed(&self) -> [u64; 2] {
         lock(&self.state).passed
     }
@@ -132,10 +148,13 @@
         links.push(stands);
     }
     let carried = async {
-        // Accepted by the kernel, and so far as the other end can see by nobody: held before its other half exists.
+        // Accepted by the kernel, and so far as the other end can see by nobody: held before its
+        // other half exists.
         until(&state, |state| (!state.no_new).then_some(())).await;
         let Some(to) = lock(&state).to else { return };
-        let Ok(onward) = TcpStream::connect(to).await else { return };
+        let Ok(onward) = TcpStream::connect(to).await else {
+            return;
+        };
         let _ = (from.set_nodelay(true), onward.set_nodelay(true));
         let out = pass(&state, Way::Out, from.clone(), onward.clone());
         let back = pass(&state, Way::In, onward.clone(), from.clone());
@@ -148,8 +167,8 @@
     let _ = from.shutdown(Shutdown::Both);
 }
 
-/// Passes bytes on until their end, and then the end. Read apart from where they are written: what is late must not hold up
-/// what comes after it, or each piece would be later than the one before.
+/// Passes bytes on until their end, and then the end. Read apart from where they are written: what
+/// is late must not hold up what comes after it, or each piece would be later than the one before.
 async fn pass(state: &Mutex<State>, way: Way, mut from: TcpStream, mut to: TcpStream) {
     let (pieces, queued) = async_channel::bounded::<(Instant, Vec<u8>)>(PIECES);
     let read = async {
@@ -158,7 +177,11 @@
             if way == Way::Out {
                 lock(state).passed[way as usize] += count as u64;
             }
-            if pieces.send((Instant::now(), bytes[..count].to_vec())).await.is_err() {
+            if pieces
+                .send((Instant::now(), bytes[..count].to_vec()))
+                .await
+                .is_err()
+            {
                 break;
             }
         }
--- a/crates/lab/src/roster.rs
+++ b/crates/lab/src/roster.rs
@@ -44,8 +44,15 @@
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
         let (server, log, told, ways) = Default::default();
-        let roster =
-            Arc::new(Roster { world: Arc::clone(world), address, listener, server, log, told, ways });
+        let roster = Arc::new(Roster {
+            world: Arc::clone(world),
+            address,
+            listener,
+            server,
+            log,
+            told,
+            ways,
+        });
         roster.listen();
         Ok((roster, address))
     }
@@ -76,23 +83,41 @@
     pub fn change(&self, late: Duration, entry: v1::Entry) {
         if let Ok(to) = entry.address.parse() {
             let ways = self.ways.lock().expect("no one panics while it is held");
-            ways.iter().filter(|((_, node), _)| *node == entry.node).for_each(|(_, relay)| relay.lead(to));
+            ways.iter()
+                .filter(|((_, node), _)| *node == entry.node)
+                .for_each(|(_, relay)| relay.lead(to));
         }
         let mut log = self.log.lock().expect("no one panics while it is held");
         let earliest = log.changes.last().map_or_else(Instant::now, |(at, _)| *at);
         // Changes are told in their order.
-        log.changes.push(((Instant::now() + late).max(earliest), entry.clone()));
+        log.changes
+            .push(((Instant::now() + late).max(earliest), entry.clone()));
         log.entries.insert(entry.node, entry);
-        log.wakes.retain(|wake| !matches!(wake.try_send(()), Err(async_channel::TrySendError::Closed(()))));
+        log.wakes.retain(|wake| {
+            !matches!(
+                wake.try_send(()),
+                Err(async_channel::TrySendError::Closed(()))
+            )
+        });
     }
 
     pub fn entry(&self, node: u32) -> Option<v1::Entry> {
-        self.log.lock().expect("no one panics while it is held").entries.get(&node).cloned()
+        self.log
+            .lock()
+            .expect("no one panics while it is held")
+            .entries
+            .get(&node)
+            .cloned()
     }
 
     /// Listings that a dispatcher was told.
     pub fn told(&self, dispatcher: u32) -> u64 {
-        self.told.lock().expect("unshared").get(&dispatcher).copied().unwrap_or(0)
+        self.told
+            .lock()
+            .expect("unshared")
+            .get(&dispatcher)
+            .copied()
+            .unwrap_or(0)
     }
 
     /// `told` is what this watch was told before: only what differs is worth a line of the capture.
@@ -109,11 +134,18 @@
             let state = match entry.state() {
                 State::Draining => NodeState::Draining,
                 State::Gone => NodeState::Gone,
-                _ if entry.started_ms > 0 && entry.started_ms + RECENT_MS > now_ms => NodeState::Cold,
+                _ if entry.started_ms > 0 && entry.started_ms + RECENT_MS > now_ms => {
+                    NodeState::Cold
+                }
                 _ => NodeState::Serving,
             };
-            if told.insert(entry.node, (state, entry.started_ms)) != Some((state, entry.started_ms)) {
-                self.world.capture.see(Seen::Told { dispatcher, node: entry.node, state });
+            if told.insert(entry.node, (state, entry.started_ms)) != Some((state, entry.started_ms))
+            {
+                self.world.capture.see(Seen::Told {
+                    dispatcher,
+                    node: entry.node,
+                    state,
+                });
             }
         }
         let ways = self.ways.lock().expect("no one panics while it is held");
@@ -122,7 +154,12 @@
                 entry.address = relay.address.to_string();
             }
         }
-        v1::Listing { version, whole, now_ms, entries }
+        v1::Listing {
+            version,
+            whole,
+            now_ms,
+            entries,
+        }
     }
 
     async fn watch(self: Arc<Self>, ask: v1::ListAsk, to: async_channel::Sender<v1::Listing>) {
@@ -137,19 +174,33 @@
             // What may be told by now, whole.
             let entries = {
                 let log = self.log.lock().expect("no one panics while it is held");
-                at = log.changes.iter().take_while(|(when, _)| *when <= Instant::now()).count();
-                let told: BTreeMap<u32, v1::Entry> =
-                    log.changes[..at].iter().map(|(_, entry)| (entry.node, entry.clone())).collect();
-                told.into_values().filter(|entry| entry.state() != State::Gone).collect()
+                at = log
+                    .changes
+                    .iter()
+                    .take_while(|(when, _)| *when <= Instant::now())
+                    .count();
+                let told: BTreeMap<u32, v1::Entry> = log.changes[..at]
+                    .iter()
+                    .map(|(_, entry)| (entry.node, entry.clone()))
+                    .collect();
+                told.into_values()
+                    .filter(|entry| entry.state() != State::Gone)
+                    .collect()
             };
-            if to.send(self.listing(ask.dispatcher, at as u64, true, entries, &mut told)).await.is_err() {
+            if to
+                .send(self.listing(ask.dispatcher, at as u64, true, entries, &mut told))
+                .await
+                .is_err()
+            {
                 return;
             }
         }
         loop {
             let (due, next) = {
                 let log = self.log.lock().expect("no one panics while it is held");
-                let due = log.changes[at..].iter().take_while(|(when, _)| *when <= Instant::now());
+                let due = log.changes[at..]
+                    .iter()
+                    .take_while(|(when, _)| *when <= Instant::now());
                 let due: Vec<v1::Entry> = due.map(|(_, entry)| entry.clone()).collect();
                 let next = log.changes.get(at + due.len()).map(|(when, _)| *when);
                 (due, next)
@@ -187,7 +238,10 @@
     async fn list(&self, request: Request<v1::ListAsk>) -> Result<Response<v1::Listing>, Status> {
         let (entries, version) = {
             let log = self.0.log.lock().expect("no one panics while it is held");
-            (log.entries.values().cloned().collect(), log.changes.len() as u64)
+            (
+                log.entries.values().cloned().collect(),
+                log.changes.len() as u64,
+            )
         };
         Ok(Response::new(self.0.listing(
             request.into_inner().dispatcher,
@@ -210,7 +264,12 @@
             let roster = Arc::clone(&roster);
             async move {
                 let listing = listings.recv().await.ok()?;
-                *roster.told.lock().expect("unshared").entry(dispatcher).or_default() += 1;
+                *roster
+                    .told
+                    .lock()
+                    .expect("unshared")
+                    .entry(dispatcher)
+                    .or_default() += 1;
                 Some((Ok(listing), (listings, task)))
             }
         });
--- a/crates/lab/src/table.rs
+++ b/crates/lab/src/table.rs
@@ -58,7 +58,11 @@
             self.waited * 100.0,
             self.late_us / 1000,
             self.hollow * 100.0,
-            if self.spoilt { ": SPOILT, the figures are the laboratory's" } else { "" }
+            if self.spoilt {
+                ": SPOILT, the figures are the laboratory's"
+            } else {
+                ""
+            }
         )
     }
 }
@@ -81,21 +85,42 @@
 impl RollFigures {
     fn of(lines: &[Line]) -> Option<Self> {
         let rolled = |line: &Line| match &line.seen {
-            Seen::Roll { service, version, unready_most, ready_for_us, start_first, .. } => {
-                Some((line.t, service.clone(), version.clone(), *unready_most, *ready_for_us, *start_first))
-            }
+            Seen::Roll {
+                service,
+                version,
+                unready_most,
+                ready_for_us,
+                start_first,
+                ..
+            } => Some((
+                line.t,
+                service.clone(),
+                version.clone(),
+                *unready_most,
+                *ready_for_us,
+                *start_first,
+            )),
             _ => None,
         };
         let (start, service, version, limit, ready_for, beside) = lines.iter().find_map(rolled)?;
-        let mut own = RollFigures { limit, ..RollFigures::default() };
-        // Ready copies of each task, as node and version; since when it has none; when one was offered to a node.
+        let mut own = RollFigures {
+            limit,
+            ..RollFigures::default()
+        };
+        // Ready copies of each task, as node and version; since when it has none; when one was
+        // offered to a node.
         let mut ready: BTreeMap<&str, Vec<(u32, &str)>> = BTreeMap::new();
         let (mut down, mut offered) = (HashMap::<&str, u64>::new(), HashMap::new());
         let (mut times, mut last) = (Vec::new(), start);
         let (mut calls, mut once) = (BTreeSet::new(), BTreeSet::new());
         for Line { t, seen } in lines {
             let (task, node, runs, is) = match seen {
-                Seen::Offered { node, placing, service: of, .. } if *of == service => {
+                Seen::Offered {
+                    node,
+                    placing,
+                    service: of,
+                    ..
+                } if *of == service => {
                     let task = placing.split('#').next().unwrap_or_default();
                     offered.insert((*node, task), *t);
                     continue;
@@ -106,9 +131,14 @@
                 }
                 // The day is over: its owners want them no longer.
                 Seen::Cancelled { call } if calls.contains(call) => break,
-                Seen::Ready { task, node, service: of, version, ready, .. } if *of == service => {
-                    (&task[..], *node, &version[..], *ready)
-                }
+                Seen::Ready {
+                    task,
+                    node,
+                    service: of,
+                    version,
+                    ready,
+                    ..
+                } if *of == service => (&task[..], *node, &version[..], *ready),
                 _ => continue,
             };
             let copies = ready.entry(task).or_default();
@@ -116,14 +146,18 @@
                 // One that comes back later, since its node was struck, was rolled before.
                 if runs == version && once.insert(task) {
                     last = *t;
-                    let since =
-                        if beside { offered.get(&(node, task)).copied() } else { down.get(task).copied() };
+                    let since = if beside {
+                        offered.get(&(node, task)).copied()
+                    } else {
+                        down.get(task).copied()
+                    };
                     times.extend(since.map(|since| (t - since) as f64 / 1e6));
                 }
                 down.remove(task);
                 copies.push((node, runs));
             } else {
-                // One of them: a dispatcher killed and the one after it may each have begun one on this node.
+                // One of them: a dispatcher killed and the one after it may each have begun one on
+                // this node.
                 if let Some(gone) = copies.iter().position(|other| *other == (node, runs)) {
                     copies.swap_remove(gone);
                 }
@@ -135,7 +169,10 @@
             let new = |copies: &&Vec<(u32, &str)>| copies.iter().any(|(_, runs)| *runs == version);
             own.rolled = ready.values().filter(new).count();
             own.unready_most = own.unready_most.max(down.len());
-            let more = ready.values().map(|copies| copies.len().saturating_sub(1)).sum();
+            let more = ready
+                .values()
+                .map(|copies| copies.len().saturating_sub(1))
+                .sum();
             own.beside_most = own.beside_most.max(if *t > start { more } else { 0 });
         }
         times.sort_by(f64::total_cmp);
@@ -169,17 +206,32 @@
         if all.is_empty() {
             return None;
         }
-        let (mut own, mut since) = (CopyFigures { copies: all.len(), ..CopyFigures::default() }, None);
+        let (mut own, mut since) = (
+            CopyFigures {
+                copies: all.len(),
+                ..CopyFigures::default()
+            },
+            None,
+        );
         for Line { t, seen } in lines {
             match seen {
-                Seen::Asked(asked) if asked.service == HELD => drop(held.insert(asked.call, &asked.task)),
+                Seen::Asked(asked) if asked.service == HELD => {
+                    drop(held.insert(asked.call, &asked.task))
+                }
                 Seen::HandedOver { call, task, .. } if all.contains(&task[..]) => {
                     held.insert(*call, task);
                 }
-                Seen::Ready { task, service, ready: is, .. } if *service == HELD => {
+                Seen::Ready {
+                    task,
+                    service,
+                    ready: is,
+                    ..
+                } if *service == HELD => {
                     own.until(*t, &mut since, &ready);
                     *ready.entry(task).or_default() += if *is { 1 } else { -1 };
-                    if since.is_none() && ready.values().filter(|many| **many > 0).count() == all.len() {
+                    if since.is_none()
+                        && ready.values().filter(|many| **many > 0).count() == all.len()
+                    {
                         since = Some(*t);
                     }
                 }
@@ -209,7 +261,10 @@
         // A minute at the most, to three figures.
         let mut times = Histogram::<u64>::new_with_bounds(1, 60_000_000, 3).ok();
         let tracks = match lines.first() {
-            Some(Line { seen: Seen::Day(rules), .. }) => rules.tracks.clone(),
+            Some(Line {
+                seen: Seen::Day(rules),
+                ..
+            }) => rules.tracks.clone(),
             _ => Vec::new(),
         };
         for Line { t, seen } in lines {
@@ -252,12 +307,30 @@
                 Seen::Closed { call, .. } => drop(standing.remove(call)),
                 Seen::Offered { .. } => table.offers += 1,
                 Seen::Probed { .. } => table.probes += 1,
-                Seen::Said { word: Word::Refused, .. } => table.refusals += 1,
-                Seen::Node { state: NodeState::FellOver, .. } => table.fell_over += 1,
+                Seen::Said {
+                    word: Word::Refused,
+                    ..
+                } => table.refusals += 1,
+                Seen::Node {
+                    state: NodeState::FellOver,
+                    ..
+                } => table.fell_over += 1,
                 Seen::Cost(costs) => table.cost = Some((**costs).clone()),
-                Seen::StandIns { busy, waited, late_us, hollow, spoilt } => {
+                Seen::StandIns {
+                    busy,
+                    waited,
+                    late_us,
+                    hollow,
+                    spoilt,
+                } => {
                     let (busy, waited, late_us, hollow) = (*busy, *waited, *late_us, *hollow);
-                    table.stand_ins = Some(StandIns { busy, waited, late_us, hollow, spoilt: *spoilt });
+                    table.stand_ins = Some(StandIns {
+                        busy,
+                        waited,
+                        late_us,
+                        hollow,
+                        spoilt: *spoilt,
+                    });
                 }
                 Seen::Trouble { name } => *table.troubles.entry(name.clone()).or_default() += 1,
                 _ => {}
@@ -278,15 +351,37 @@
 
 impl fmt::Display for Table {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        let part = |some: u64, of: u64| if of == 0 { 0.0 } else { 100.0 * some as f64 / of as f64 };
-        writeln!(f, "asked                {} ({} tasks)", self.asked, self.first_asks)?;
+        let part = |some: u64, of: u64| {
+            if of == 0 {
+                0.0
+            } else {
+                100.0 * some as f64 / of as f64
+            }
+        };
+        writeln!(
+            f,
+            "asked                {} ({} tasks)",
+            self.asked, self.first_asks
+        )?;
         writeln!(f, "placed               {}", self.placed)?;
         writeln!(f, "refused              {}", self.refused)?;
         writeln!(f, "failed               {}", self.failed)?;
         writeln!(f, "cancelled            {}", self.cancelled)?;
-        writeln!(f, "unanswered           {} (their dispatcher was killed or stood still)", self.unanswered)?;
-        writeln!(f, "timely placings      {:.1}% of the placed", part(self.timely, self.placed))?;
-        writeln!(f, "time to placed       p50 {:.0} ms, p99 {:.0} ms", self.p50_ms, self.p99_ms)?;
+        writeln!(
+            f,
+            "unanswered           {} (their dispatcher was killed or stood still)",
+            self.unanswered
+        )?;
+        writeln!(
+            f,
+            "timely placings      {:.1}% of the placed",
+            part(self.timely, self.placed)
+        )?;
+        writeln!(
+            f,
+            "time to placed       p50 {:.0} ms, p99 {:.0} ms",
+            self.p50_ms, self.p99_ms
+        )?;
         writeln!(
             f,
             "offers               {}, {:.1}% refused by nodes",
@@ -299,17 +394,36 @@
         writeln!(f, "evicted, pushed out  {}", self.evictions)?;
         writeln!(f, "nodes fallen over    {}", self.fell_over)?;
         if let Some(roll) = &self.roll {
-            let RollFigures { copies, rolled, seconds, best, unready_most, beside_most, limit } = roll;
+            let RollFigures {
+                copies,
+                rolled,
+                seconds,
+                best,
+                unready_most,
+                beside_most,
+                limit,
+            } = roll;
             let ratio = seconds / best.max(1e-3);
             writeln!(
                 f,
                 "roll                 {rolled} of {copies} copies in {seconds:.1} s, at best {best:.1} s: {ratio:.2}"
             )?;
-            writeln!(f, "not ready at a time  {unready_most}, {limit} allowed; beside others {beside_most}")?;
+            writeln!(
+                f,
+                "not ready at a time  {unready_most}, {limit} allowed; beside others {beside_most}"
+            )?;
         }
-        if let Some(CopyFigures { copies, lost_s, all_s }) = &self.copies {
+        if let Some(CopyFigures {
+            copies,
+            lost_s,
+            all_s,
+        }) = &self.copies
+        {
             let part = 100.0 * lost_s / all_s.max(1e-3);
-            writeln!(f, "copies' time lost    {lost_s:.1} of {all_s:.0} s of {copies} copies, {part:.2}%")?;
+            writeln!(
+                f,
+                "copies' time lost    {lost_s:.1} of {all_s:.0} s of {copies} copies, {part:.2}%"
+            )?;
         }
         if let Some(versions) = &self.versions {
             write!(f, "{versions}")?;
@@ -327,12 +441,19 @@
         if let Some(stand_ins) = &self.stand_ins {
             writeln!(f, "stand-ins            {stand_ins}")?;
         }
-        let troubles: Vec<String> =
-            self.troubles.iter().map(|(name, many)| format!("{name} {many}")).collect();
+        let troubles: Vec<String> = self
+            .troubles
+            .iter()
+            .map(|(name, many)| format!("{name} {many}"))
+            .collect();
         write!(
             f,
             "troubles             {}",
-            if troubles.is_empty() { "none".into() } else { troubles.join(", ") }
+            if troubles.is_empty() {
+                "none".into()
+            } else {
+                troubles.join(", ")
+            }
         )
     }
 }
--- a/crates/lab/src/versions.rs
+++ b/crates/lab/src/versions.rs
@@ -1,5 +1,6 @@
-//! What a day with versions and a floor came to, by its capture: how long from a push to all, from a raise to the last act
-//! below it, how stragglers came back, and what an audit told against the nodes' sockets.
+//! What a day with versions and a floor came to, by its capture: how long from a push to all, from
+//! a raise to the last act below it, how stragglers came back, and what an audit told against the
+//! nodes' sockets.
 
 use crate::capture::*;
 use std::collections::{BTreeMap, BTreeSet};
@@ -8,8 +9,8 @@
 #[derive(Default)]
 pub struct VersionFigures {
     pub pushed: usize,
-    /// From a push to its effect at half and at six tenths of the dispatchers, in ms: the middle one of all pushes. Where
-    /// a third is held up, six tenths are nearly all that hear of it.
+    /// From a push to its effect at half and at six tenths of the dispatchers, in ms: the middle
+    /// one of all pushes. Where a third is held up, six tenths are nearly all that hear of it.
     pub half: f64,
     pub six_tenths: f64,
     /// From each raise of the floor.
@@ -22,12 +23,14 @@
 #[derive(Default)]
 pub struct Raise {
     pub lowest: u64,
-    /// To the last shot below it that a node took, and to the last that reached one, in ms; none where none did.
+    /// To the last shot below it that a node took, and to the last that reached one, in ms; none
+    /// where none did.
     pub taken: Option<f64>,
     pub reached: Option<f64>,
     /// That have it.
     pub nodes: usize,
-    /// Below it at the raise, and of these up within the day; how long the last of them took, in s.
+    /// Below it at the raise, and of these up within the day; how long the last of them took, in
+    /// s.
     pub below: usize,
     pub up: usize,
     pub last_up: f64,
@@ -55,7 +58,8 @@
                     if let Some((at, times)) = pushed.get_mut(number) {
                         times.push(since(*at));
                     }
-                    let (Some((at, below)), Some(raise)) = (&mut raised, own.raises.last_mut()) else {
+                    let (Some((at, below)), Some(raise)) = (&mut raised, own.raises.last_mut())
+                    else {
                         continue;
                     };
                     if *number >= raise.lowest && below.remove(dispatcher) {
@@ -63,19 +67,38 @@
                     }
                 }
                 Seen::Raised { lowest } => {
-                    let below = runs.iter().filter(|(_, runs)| **runs < *lowest).map(|(own, _)| *own);
+                    let below = runs
+                        .iter()
+                        .filter(|(_, runs)| **runs < *lowest)
+                        .map(|(own, _)| *own);
                     let below: BTreeSet<u32> = below.collect();
-                    own.raises.push(Raise { lowest: *lowest, below: below.len(), ..Raise::default() });
+                    own.raises.push(Raise {
+                        lowest: *lowest,
+                        below: below.len(),
+                        ..Raise::default()
+                    });
                     raised = Some((*t, below));
                     has.clear();
                 }
                 Seen::Floor { node, .. } => {
                     has.insert(*node);
-                    own.raises.iter_mut().last().into_iter().for_each(|raise| raise.nodes = has.len());
+                    own.raises
+                        .iter_mut()
+                        .last()
+                        .into_iter()
+                        .for_each(|raise| raise.nodes = has.len());
                 }
-                Seen::Offered { node, placing, number, decided, dispatcher, .. } => {
+                Seen::Offered {
+                    node,
+                    placing,
+                    number,
+                    decided,
+                    dispatcher,
+                    ..
+                } => {
                     shots.insert((*node, placing, *number), *decided);
-                    let (Some((at, below)), Some(raise)) = (&mut raised, own.raises.last_mut()) else {
+                    let (Some((at, below)), Some(raise)) = (&mut raised, own.raises.last_mut())
+                    else {
                         continue;
                     };
                     if *decided < raise.lowest {
@@ -85,7 +108,12 @@
                         (raise.up, raise.last_up) = (raise.up + 1, since(*at) / 1_000.0);
                     }
                 }
-                Seen::Said { node, placing, number, word: Word::Accepted } => {
+                Seen::Said {
+                    node,
+                    placing,
+                    number,
+                    word: Word::Accepted,
+                } => {
                     if let (Some((at, _)), Some(raise)) = (&raised, own.raises.last_mut())
                         && shots
                             .get(&(*node, placing, *number))
@@ -94,7 +122,12 @@
                         raise.taken = Some(since(*at));
                     }
                 }
-                Seen::Audited { took_ms, bytes, findings, equal } => {
+                Seen::Audited {
+                    took_ms,
+                    bytes,
+                    findings,
+                    equal,
+                } => {
                     own.audit = Some((*took_ms, *bytes, *findings, *equal));
                 }
                 Seen::Memory { mean_kib, most_kib } => {
@@ -105,7 +138,10 @@
         }
         own.pushed = pushed.len();
         let part = |part: f64| {
-            let all = pushed.values().map(|(_, times)| times).filter(|times| !times.is_empty());
+            let all = pushed
+                .values()
+                .map(|(_, times)| times)
+                .filter(|times| !times.is_empty());
             let most = runs.len();
             let at = |times: &Vec<f64>| times.get((most as f64 * part) as usize).copied();
             middle(all.filter_map(at).collect())
@@ -117,16 +153,32 @@
 
 impl fmt::Display for VersionFigures {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        let VersionFigures { pushed, half, six_tenths, .. } = self;
+        let VersionFigures {
+            pushed,
+            half,
+            six_tenths,
+            ..
+        } = self;
         writeln!(
             f,
             "versions             {pushed} pushed; in force at half after {half:.0} ms, at 6 of 10 after {six_tenths:.0} ms"
         )?;
         for raise in &self.raises {
-            let ms = |time: Option<f64>| time.map_or("never".into(), |time| format!("{time:.0} ms"));
-            let Raise { lowest, nodes, below, up, last_up, .. } = raise;
+            let ms =
+                |time: Option<f64>| time.map_or("never".into(), |time| format!("{time:.0} ms"));
+            let Raise {
+                lowest,
+                nodes,
+                below,
+                up,
+                last_up,
+                ..
+            } = raise;
             let (taken, reached) = (ms(raise.taken), ms(raise.reached));
-            writeln!(f, "floor {lowest:<14} last shot below taken after {taken}, arrived after {reached}")?;
+            writeln!(
+                f,
+                "floor {lowest:<14} last shot below taken after {taken}, arrived after {reached}"
+            )?;
             writeln!(
                 f,
                 "                     {nodes} nodes have it; {up} of {below} below are up, the last after {last_up:.1} s"
@@ -141,7 +193,10 @@
             )?;
         }
         if let Some((mean, most)) = self.memory {
-            writeln!(f, "memory a dispatcher  {mean:.1} MiB, {most:.1} at the most")?;
+            writeln!(
+                f,
+                "memory a dispatcher  {mean:.1} MiB, {most:.1} at the most"
+            )?;
         }
         Ok(())
     }
--- a/crates/lab/src/wires.rs
+++ b/crates/lab/src/wires.rs
@@ -1,4 +1,5 @@
-//! The links of a day's dispatchers, each through a relay of its own, so that a day's troubles can strike them one by one.
+//! The links of a day's dispatchers, each through a relay of its own, so that a day's troubles can
+//! strike them one by one.
 
 use crate::day::{End, Trouble};
 use crate::relay::{Relay, Way};
@@ -35,12 +36,17 @@
     ) -> io::Result<Wires> {
         let (mut relays, mut peers) = (BTreeMap::new(), Vec::new());
         for own in 0..dispatchers {
-            relays.insert((own, End::Roster), vec![Relay::up(tasks, roster.address).await?]);
+            relays.insert(
+                (own, End::Roster),
+                vec![Relay::up(tasks, roster.address).await?],
+            );
             if let Some(control) = control {
                 relays.insert((own, End::Control), vec![Relay::up(tasks, control).await?]);
             }
-            let others: Vec<usize> =
-                (1..dispatchers).take(PEERS).map(|step| (own + step * step) % dispatchers).collect();
+            let others: Vec<usize> = (1..dispatchers)
+                .take(PEERS)
+                .map(|step| (own + step * step) % dispatchers)
+                .collect();
             let mut links = Vec::new();
             for _ in &others {
                 links.push(Relay::up(tasks, NOBODY).await?);
@@ -50,10 +56,19 @@
             // Thousands of links where all nodes have theirs: only those that a trouble strikes.
             for &(node, address) in nodes {
                 let relay = Relay::up(tasks, address).await?;
-                roster.ways.lock().expect("unshared").insert((own as u32, node), relay);
+                roster
+                    .ways
+                    .lock()
+                    .expect("unshared")
+                    .insert((own as u32, node), relay);
             }
         }
-        Ok(Wires { relays, peers, keepers: keepers.to_vec(), roster: Arc::clone(roster) })
+        Ok(Wires {
+            relays,
+            peers,
+            keepers: keepers.to_vec(),
+            roster: Arc::clone(roster),
+        })
     }
 
     /// Where a dispatcher finds the one that is at this end; none where there is none.
@@ -62,14 +77,26 @@
     }
 
     pub fn addresses(&self, dispatcher: usize, end: End) -> Vec<SocketAddr> {
-        self.relays.get(&(dispatcher, end)).into_iter().flatten().map(|relay| relay.address).collect()
+        self.relays
+            .get(&(dispatcher, end))
+            .into_iter()
+            .flatten()
+            .map(|relay| relay.address)
+            .collect()
     }
 
     /// A dispatcher listens here from now on.
     pub fn listens(&self, dispatcher: usize, at: SocketAddr) {
         for (own, peers) in self.peers.iter().enumerate() {
-            let links = self.relays.get(&(own, End::Dispatchers)).into_iter().flatten();
-            links.zip(peers).filter(|(_, peer)| **peer == dispatcher).for_each(|(relay, _)| relay.lead(at));
+            let links = self
+                .relays
+                .get(&(own, End::Dispatchers))
+                .into_iter()
+                .flatten();
+            links
+                .zip(peers)
+                .filter(|(_, peer)| **peer == dispatcher)
+                .for_each(|(relay, _)| relay.lead(at));
         }
     }
 
@@ -83,11 +110,22 @@
         passed.get()
     }
 
-    /// Does it to each link of a dispatcher that ends there. Keepers are nodes: links to these alone, or to the others.
+    /// Does it to each link of a dispatcher that ends there. Keepers are nodes: links to these
+    /// alone, or to the others.
     fn each(&self, dispatcher: usize, end: End, what: impl Fn(&Relay)) {
-        self.relays.get(&(dispatcher, end)).into_iter().flatten().for_each(&what);
-        let ways = self.roster.ways.lock().expect("no one panics while it is held");
-        let mine = ways.iter().filter(|((own, _), _)| *own as usize == dispatcher);
+        self.relays
+            .get(&(dispatcher, end))
+            .into_iter()
+            .flatten()
+            .for_each(&what);
+        let ways = self
+            .roster
+            .ways
+            .lock()
+            .expect("no one panics while it is held");
+        let mine = ways
+            .iter()
+            .filter(|((own, _), _)| *own as usize == dispatcher);
         let there = mine.filter(|((_, node), _)| match end {
             End::Keepers => self.keepers.contains(node),
             End::Nodes => !self.keepers.contains(node),
@@ -111,6 +149,7 @@
     }
 
     pub fn heal(&self, dispatcher: usize, ends: &[End]) {
-        ends.iter().for_each(|&end| self.each(dispatcher, end, Relay::heal));
+        ends.iter()
+            .for_each(|&end| self.each(dispatcher, end, Relay::heal));
     }
 }
--- a/crates/lab/tests/capacity.rs
+++ b/crates/lab/tests/capacity.rs
@@ -1,4 +1,5 @@
-//! What control costs by counts and bytes, in a small form: nothing here depends on how fast the machine is.
+//! What control costs by counts and bytes, in a small form: nothing here depends on how fast the
+//! machine is.
 
 use corkspan_api::v1::link_count::Kind;
 use corkspan_capacity::{kept::Kept, page};
@@ -22,9 +23,20 @@
 ) {
     let tasks = Tasks::default();
     let program: [OsString; 2] = [LAB.into(), "corkspan".into()];
-    let setting = Setting { machines, dispatchers, schedulers: dispatchers, room, seed: 1 };
+    let setting = Setting {
+        machines,
+        dispatchers,
+        schedulers: dispatchers,
+        room,
+        seed: 1,
+    };
     let whole = async {
-        story(Stage::up(&tasks, &program, setting).await.expect("it comes up")).await;
+        story(
+            Stage::up(&tasks, &program, setting)
+                .await
+                .expect("it comes up"),
+        )
+        .await;
     };
     future::block_on(tasks.run(within(PATIENCE, whole))).expect("the story comes to its end");
 }
@@ -37,9 +49,14 @@
     on_stage(machines, dispatchers, Room::Plenty, async |stage| {
         for cores in [20.5, 21.5] {
             let mut lines = 0;
-            let bytes = stage.brings(End::Roster, || lines = stage.tell_once(cores)).await;
+            let bytes = stage
+                .brings(End::Roster, || lines = stage.tell_once(cores))
+                .await;
             let a_line = bytes as f64 / lines as f64 / dispatchers as f64;
-            assert!((40.0..=110.0).contains(&a_line), "{a_line} bytes a line, {lines} lines");
+            assert!(
+                (40.0..=110.0).contains(&a_line),
+                "{a_line} bytes a line, {lines} lines"
+            );
         }
     });
 }
@@ -50,24 +67,38 @@
         let mut costs = Vec::new();
         for which in 0..4 {
             let mut stamp = None;
-            let bytes = stage.brings(End::Control, || stamp = Some(stage.publish(which))).await;
-            stage.until_in_force(stamp.expect("published")).await.expect("in force at both");
+            let bytes = stage
+                .brings(End::Control, || stamp = Some(stage.publish(which)))
+                .await;
+            stage
+                .until_in_force(stamp.expect("published"))
+                .await
+                .expect("in force at both");
             costs.push(bytes / 2);
         }
         let (first, rest) = (costs[0], &costs[1..]);
-        assert!(rest.iter().all(|bytes| *bytes < first && *bytes < 1_500), "bytes a dispatcher: {costs:?}");
+        assert!(
+            rest.iter().all(|bytes| *bytes < first && *bytes < 1_500),
+            "bytes a dispatcher: {costs:?}"
+        );
         // Versions in its line are named: it grows by a stamp, not by a text.
-        assert!(rest.windows(2).all(|two| two[1] <= two[0] + 100), "bytes a dispatcher: {costs:?}");
+        assert!(
+            rest.windows(2).all(|two| two[1] <= two[0] + 100),
+            "bytes a dispatcher: {costs:?}"
+        );
     });
 }
 
-/// Asked for again each 50 ms, they may cost the dispatcher, and not the machines: a greeting and a probe for each that
-/// was taken, however long it waits.
+/// Asked for again each 50 ms, they may cost the dispatcher, and not the machines: a greeting and a
+/// probe for each that was taken, however long it waits.
 #[test]
 fn those_that_wait_before_full_machines_send_them_probes_alone() {
     on_stage(40, 1, Room::NoneByAsks, async |stage| {
         let held = stage.wait(30).await.expect("all are taken in hand");
-        stage.watch(Duration::from_secs(2)).await.expect("the kernel tells");
+        stage
+            .watch(Duration::from_secs(2))
+            .await
+            .expect("the kernel tells");
         let status = stage.status().await.expect("it answers");
         assert_eq!((status.in_hand, status.placed), (30, 0));
         let sent = counts::of(&status.link_counts, Kind::Nodes).messages_out;
@@ -79,7 +110,8 @@
 /// The file and the page as they stand in docs/.
 fn documents() -> (String, String) {
     let docs = concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs");
-    let read = |name: &str| std::fs::read_to_string(format!("{docs}/{name}")).expect("it stands there");
+    let read =
+        |name: &str| std::fs::read_to_string(format!("{docs}/{name}")).expect("it stands there");
     (read("capacity/result.json"), read("CAPACITY.md"))
 }
 
@@ -101,7 +133,10 @@
 
 fn lab(line: &[&str]) -> (bool, String) {
     let out = Command::new(LAB).args(line).output().expect("it starts");
-    (out.status.success(), String::from_utf8_lossy(&out.stderr).into_owned())
+    (
+        out.status.success(),
+        String::from_utf8_lossy(&out.stderr).into_owned(),
+    )
 }
 
 #[test]
@@ -116,24 +151,43 @@
     std::fs::write(&path, serde_json::to_string(&size).expect("numbers")).expect("written");
     let path = path.to_str().expect("plain");
     let (well, told) = lab(&["capacity", "--axis", "versions", "--size", path]);
-    assert!(!well && told.contains("the size: asks for too much"), "{told}");
-    assert!(told.contains("processes") && told.contains("descriptors") && told.contains("MiB"), "{told}");
+    assert!(
+        !well && told.contains("the size: asks for too much"),
+        "{told}"
+    );
+    assert!(
+        told.contains("processes") && told.contains("descriptors") && told.contains("MiB"),
+        "{told}"
+    );
     std::fs::write(path, "{\n\"machines\": 12,\n\"machine\": 3}").expect("written");
     let (well, told) = lab(&["capacity", "--axis", "versions", "--size", path]);
-    assert!(!well && told.contains("size.json") && told.contains("line 3"), "{told}");
+    assert!(
+        !well && told.contains("size.json") && told.contains("line 3"),
+        "{told}"
+    );
 }
 
 #[test]
 fn a_page_that_differs_is_an_error_with_its_line() {
     let folder = tempfile::tempdir().expect("a folder");
     let (result, page) = documents();
-    let (file, own) = (folder.path().join("result.json"), folder.path().join("page.md"));
+    let (file, own) = (
+        folder.path().join("result.json"),
+        folder.path().join("page.md"),
+    );
     std::fs::write(&file, result).expect("written");
     std::fs::write(&own, page.replacen("| 1 | ", "| 1 | no ", 1)).expect("written");
-    let line = page.lines().position(|line| line.starts_with("| 1 | ")).expect("the first of the list") + 1;
+    let line = page
+        .lines()
+        .position(|line| line.starts_with("| 1 | "))
+        .expect("the first of the list")
+        + 1;
     let (file, own) = (file.to_str().expect("plain"), own.to_str().expect("plain"));
     let (well, told) = lab(&["capacity", "page", file, "--check", own]);
-    assert!(!well && told.contains(&format!("page.md: line {line}: ")), "{told}");
+    assert!(
+        !well && told.contains(&format!("page.md: line {line}: ")),
+        "{told}"
+    );
     std::fs::write(file, "{\"size\": {},\n\"runs\": 4}").expect("written");
     let (well, told) = lab(&["capacity", "page", file]);
     assert!(!well && told.contains("result.json: line 1: "), "{told}");
--- a/crates/lab/tests/days.rs
+++ b/crates/lab/tests/days.rs
@@ -9,7 +9,8 @@
 use std::sync::{PoisonError, RwLock};
 use test_case::test_case;
 
-/// Days are played side by side, but for one that needs the machine to itself: it judges to the tenth of a second.
+/// Days are played side by side, but for one that needs the machine to itself: it judges to the
+/// tenth of a second.
 static ALONE: RwLock<()> = RwLock::new(());
 
 fn play(script: &str, seed: u64, tell: fn(String) -> String) -> Vec<Line> {
@@ -20,12 +21,24 @@
 fn play_here(script: &str, seed: u64, tell: fn(String) -> String) -> Vec<Line> {
     let day = Day::read("day", script).unwrap_or_else(|why| panic!("{why}"));
     let programs = Programs::of(env!("CARGO_BIN_EXE_corkspan-lab").as_ref());
-    let played = Play { day, seed, programs, capture: None, tell, logs: None }.run();
+    let played = Play {
+        day,
+        seed,
+        programs,
+        capture: None,
+        tell,
+        logs: None,
+    }
+    .run();
     played.unwrap_or_else(|why| panic!("{why}"))
 }
 
 fn broken(lines: &[Line]) -> Vec<u8> {
-    let mut rules: Vec<u8> = judge(lines).expect("readable").iter().map(|breach| breach.rule).collect();
+    let mut rules: Vec<u8> = judge(lines)
+        .expect("readable")
+        .iter()
+        .map(|breach| breach.rule)
+        .collect();
     rules.dedup();
     rules
 }
@@ -35,8 +48,14 @@
     let lines = play(SHORT, 1, |text| text);
     assert_eq!(broken(&lines), [0; 0]);
     let table = Table::of(&lines);
-    assert!(table.first_asks > 200 && table.placed > 200 && table.probes > 10, "{table}");
-    assert_eq!(table.asked, table.placed + table.refused + table.failed + table.cancelled + table.unanswered);
+    assert!(
+        table.first_asks > 200 && table.placed > 200 && table.probes > 10,
+        "{table}"
+    );
+    assert_eq!(
+        table.asked,
+        table.placed + table.refused + table.failed + table.cancelled + table.unanswered
+    );
 }
 
 /// Eight processes whose links run through relays.
@@ -51,7 +70,9 @@
         _ => None,
     });
     assert!(newest.max() >= Some(5), "versions came, and were acted on");
-    let struck = lines.iter().filter(|line| matches!(line.seen, Seen::Wires { struck: true, .. }));
+    let struck = lines
+        .iter()
+        .filter(|line| matches!(line.seen, Seen::Wires { struck: true, .. }));
     assert!(struck.count() >= 12);
 }
 
@@ -61,8 +82,20 @@
     assert_eq!(broken(&lines), [0; 0]);
     let work = Table::of(&lines).work.expect("machines were taken out");
     // The other two are keepers, and stay.
-    assert_eq!((work.worked.len(), work.times, work.left_closed, work.unsound), (22, 22, 0, 0), "{work}");
-    assert!((2..=6).contains(&work.most) && work.most_of_a_hall <= 4, "{work}");
+    assert_eq!(
+        (
+            work.worked.len(),
+            work.times,
+            work.left_closed,
+            work.unsound
+        ),
+        (22, 22, 0, 0),
+        "{work}"
+    );
+    assert!(
+        (2..=6).contains(&work.most) && work.most_of_a_hall <= 4,
+        "{work}"
+    );
 }
 
 const UNREPEATABLE: &str = "(day (length 4 s) (dispatchers 2) (nodes 4) (rate 40) (unrepeatable 80)
@@ -94,20 +127,36 @@
 #[test_case(UNREPEATABLE, repeats_what_must_not, 2; "one that repeats what must not run twice")]
 #[test_case(UNREPEATABLE, knows_no_spread, 5; "one that knows no spread")]
 #[test_case(RACK, knows_no_cold, 4; "one that floods what has just started")]
-fn a_dispatcher_with_wrong_decisions_is_found_out(script: &str, wrong: fn(String) -> String, rule: u8) {
-    assert!(broken(&play(script, 1, wrong)).contains(&rule), "the judge finds rule {rule} broken");
-    assert_eq!(broken(&play(script, 1, |text| text)), [0; 0], "and the right one keeps all");
+fn a_dispatcher_with_wrong_decisions_is_found_out(
+    script: &str,
+    wrong: fn(String) -> String,
+    rule: u8,
+) {
+    assert!(
+        broken(&play(script, 1, wrong)).contains(&rule),
+        "the judge finds rule {rule} broken"
+    );
+    assert_eq!(
+        broken(&play(script, 1, |text| text)),
+        [0; 0],
+        "and the right one keeps all"
+    );
 }
 
-/// Far more than fits, so that nearly all wait to the end of their time; and a second of standing still.
-const CROWDED: &str = "(day (length 6 s) (dispatchers 2) (nodes 2) (rate 120) (life 20 s) (cancels 0)
+/// Far more than fits, so that nearly all wait to the end of their time; and a second of standing
+/// still.
+const CROWDED: &str =
+    "(day (length 6 s) (dispatchers 2) (nodes 2) (rate 120) (life 20 s) (cancels 0)
     (troubles (pause-dispatchers (at 4900 ms) (for 1 s) (many 2))))";
 
 #[test]
 fn a_second_of_standing_still_makes_no_answer_late() {
     let _alone = ALONE.write().unwrap_or_else(PoisonError::into_inner);
     let mut lines = play_here(CROWDED, 1, |text| text);
-    assert!(Table::of(&lines).refused > 50, "many are refused at the end of their time");
+    assert!(
+        Table::of(&lines).refused > 50,
+        "many are refused at the end of their time"
+    );
     // Without its excuse: the judge is not told that it stood still.
     let excuse = |line: &Line| matches!(line.seen, Seen::Dispatcher { .. });
     lines.retain(|line| !excuse(line));
--- a/crates/lab/tests/full_path/counts.rs
+++ b/crates/lab/tests/full_path/counts.rs
@@ -26,8 +26,9 @@
 }
 
 impl Stage {
-    /// What differs at a moment at which nothing passes; as long as something does, some bytes are in the kernel, counted
-    /// at one end and not yet at the other, so such a moment is waited for.
+    /// What differs at a moment at which nothing passes; as long as something does, some bytes are
+    /// in the kernel, counted at one end and not yet at the other, so such a moment is waited
+    /// for.
     async fn differences(&self) -> (Vec<Difference>, Vec<v1::LinkCount>) {
         let mut last = (Vec::new(), Vec::new());
         for _ in 0..400 {
@@ -44,44 +45,71 @@
     }
 }
 
-/// A dispatcher whose links all run through relays, but for that to the control service where `past` is set.
+/// A dispatcher whose links all run through relays, but for that to the control service where
+/// `past` is set.
 fn story<F: Future<Output = ()>>(past: bool, story: impl FnOnce(Stage) -> F) {
-    Rig::run(Layout { nodes: 5, ..Layout::default() }, async |rig| {
-        let folder = tempfile::tempdir().expect("a folder");
-        let (control, _up) = Control::up(&rig.world).await.expect("a port");
-        let listed: Vec<(u32, SocketAddr)> = rig
-            .nodes
-            .iter()
-            .map(|node| {
-                let entry = rig.roster.entry(node.plan.id).expect("listed");
-                (node.plan.id, entry.address.parse().expect("an address"))
+    Rig::run(
+        Layout {
+            nodes: 5,
+            ..Layout::default()
+        },
+        async |rig| {
+            let folder = tempfile::tempdir().expect("a folder");
+            let (control, _up) = Control::up(&rig.world).await.expect("a port");
+            let listed: Vec<(u32, SocketAddr)> = rig
+                .nodes
+                .iter()
+                .map(|node| {
+                    let entry = rig.roster.entry(node.plan.id).expect("listed");
+                    (node.plan.id, entry.address.parse().expect("an address"))
+                })
+                .collect();
+            let wires = Wires::up(
+                &rig.tasks,
+                1,
+                &rig.roster,
+                Some(control.address),
+                &listed,
+                &KEEPERS,
+            );
+            let wires = wires.await.expect("ports");
+            let way = |end| wires.address(0, end).expect("a relay");
+            let service = if past {
+                control.address
+            } else {
+                way(End::Control)
+            };
+            let kept = folder.path().join("versions.json");
+            let more = format!("(keepers 0 3 4) (control \"{service}\") (versions {kept:?})");
+            let told = rig.roster.told(0);
+            let rig = rig
+                .kill_and_restart(&deployment(way(End::Roster), &more))
+                .await;
+            rig.until_serving(5).await;
+            until(async || control.opened() == 1).await;
+            let mut calls = Vec::new();
+            for task in 0..30 {
+                let mut words = rig.ask(ask(&format!("t{task}"), "web")).await;
+                placed(&mut words).await;
+                calls.push(words);
+            }
+            drop(calls);
+            story(Stage {
+                rig,
+                control,
+                wires,
+                told,
             })
-            .collect();
-        let wires = Wires::up(&rig.tasks, 1, &rig.roster, Some(control.address), &listed, &KEEPERS);
-        let wires = wires.await.expect("ports");
-        let way = |end| wires.address(0, end).expect("a relay");
-        let service = if past { control.address } else { way(End::Control) };
-        let kept = folder.path().join("versions.json");
-        let more = format!("(keepers 0 3 4) (control \"{service}\") (versions {kept:?})");
-        let told = rig.roster.told(0);
-        let rig = rig.kill_and_restart(&deployment(way(End::Roster), &more)).await;
-        rig.until_serving(5).await;
-        until(async || control.opened() == 1).await;
-        let mut calls = Vec::new();
-        for task in 0..30 {
-            let mut words = rig.ask(ask(&format!("t{task}"), "web")).await;
-            placed(&mut words).await;
-            calls.push(words);
-        }
-        drop(calls);
-        story(Stage { rig, control, wires, told }).await;
-    });
+            .await;
+        },
+    );
 }
 
 #[test]
 fn a_dispatcher_counts_each_byte_that_its_relays_pass() {
     story(false, async |stage| {
-        // One that is placed costs its offer and its stop, and a link its greeting: to three keepers and a node at least.
+        // One that is placed costs its offer and its stop, and a link its greeting: to three
+        // keepers and a node at least.
         until(async || {
             let told = stage.rig.status().await.link_counts;
             let sent = |kind| of(&told, kind).messages_out;
@@ -92,10 +120,16 @@
         assert_eq!(differ, []);
         for kind in [Kind::Roster, Kind::Control, Kind::Keepers, Kind::Nodes] {
             let count = of(&told, kind);
-            assert!(count.bytes_in > 0 && count.bytes_out > 0, "{kind:?}: {count:?}");
+            assert!(
+                count.bytes_in > 0 && count.bytes_out > 0,
+                "{kind:?}: {count:?}"
+            );
         }
         let roster = of(&told, Kind::Roster);
-        assert_eq!((roster.messages_in, roster.messages_out), (stage.rig.roster.told(0) - stage.told, 1));
+        assert_eq!(
+            (roster.messages_in, roster.messages_out),
+            (stage.rig.roster.told(0) - stage.told, 1)
+        );
         let control = of(&told, Kind::Control);
         assert_eq!(control.messages_out as usize, stage.control.replies().len());
         assert_eq!(control.messages_in as usize, stage.control.pushes().len());
@@ -106,7 +140,10 @@
 fn a_link_past_its_relay_is_found_and_nothing_else() {
     story(true, async |stage| {
         let (differ, _) = stage.differences().await;
-        assert_eq!(differ.iter().map(|other| other.end).collect::<Vec<_>>(), [End::Control]);
+        assert_eq!(
+            differ.iter().map(|other| other.end).collect::<Vec<_>>(),
+            [End::Control]
+        );
     });
 }
 
@@ -114,48 +151,94 @@
 #[test_case(1, 1; "a byte out")]
 #[test_case(0, 1 << 20; "a megabyte in")]
 fn one_kind_told_too_low_is_found(way: usize, by: u64) {
-    let told = v1::LinkCount { kind: Kind::Nodes.into(), bytes_in: 7, bytes_out: 9, ..Default::default() };
+    let told = v1::LinkCount {
+        kind: Kind::Nodes.into(),
+        bytes_in: 7,
+        bytes_out: 9,
+        ..Default::default()
+    };
     let mut passed = [7, 9];
     assert_eq!(differences(&[told], &[(End::Nodes, passed)]), []);
     passed[way] += by;
     let found = differences(&[told], &[(End::Nodes, passed)]);
-    assert_eq!(found, [Difference { end: End::Nodes, told: [7, 9], seen: passed }]);
+    assert_eq!(
+        found,
+        [Difference {
+            end: End::Nodes,
+            told: [7, 9],
+            seen: passed
+        }]
+    );
 }
 
-/// Links of others are told apart by their first call, and what passed before it counts with the rest.
+/// Links of others are told apart by their first call, and what passed before it counts with the
+/// rest.
 #[test]
 fn links_from_owners_and_from_dispatchers_are_counted_apart() {
     // Without a list nobody has asked it for its status yet.
-    Rig::run(Layout { roster_away: true, ..Layout::default() }, async |rig| {
-        let owner = Relay::up(&rig.tasks, rig.address).await.expect("a port");
-        let peer = Relay::up(&rig.tasks, rig.address).await.expect("a port");
-        let open = async |relay: &Relay| {
-            let bounds = Bounds { connect_within: PATIENCE, ..Bounds::default() };
-            Link::open(&rig.tasks, relay.address, &bounds).await.expect("it listens")
-        };
-        let mut gives = VersionsClient::new(open(&peer).await);
-        for _ in 0..3 {
-            let running = Some(v1::Stamp { number: 0, digest: "0".repeat(64) });
-            let _ = gives.give(v1::GiveAsk { running, dispatcher: 1 }).await;
-        }
-        let mut client = PlacementClient::new(open(&owner).await);
-        let (mut told, mut between) = (Vec::new(), false);
-        for _ in 0..400 {
-            let before = owner.passed();
-            told = client.status(v1::StatusAsk {}).await.expect("a status").into_inner().link_counts;
-            let (after, own, others) =
-                (owner.passed(), of(&told, Kind::Owners), of(&told, Kind::Dispatchers));
-            // As the relay sees it, in is to who opened: to the owner. The status itself is under way as it is counted, so
-            // owners' counts lie between what had passed before it and after; the other link is still.
-            let lies = |told, way: usize| before[way] <= told && told <= after[way];
-            let still = [others.bytes_out, others.bytes_in] == peer.passed();
-            between = still && lies(own.bytes_in, 1) && lies(own.bytes_out, 0);
-            if between {
-                break;
+    Rig::run(
+        Layout {
+            roster_away: true,
+            ..Layout::default()
+        },
+        async |rig| {
+            let owner = Relay::up(&rig.tasks, rig.address).await.expect("a port");
+            let peer = Relay::up(&rig.tasks, rig.address).await.expect("a port");
+            let open = async |relay: &Relay| {
+                let bounds = Bounds {
+                    connect_within: PATIENCE,
+                    ..Bounds::default()
+                };
+                Link::open(&rig.tasks, relay.address, &bounds)
+                    .await
+                    .expect("it listens")
+            };
+            let mut gives = VersionsClient::new(open(&peer).await);
+            for _ in 0..3 {
+                let running = Some(v1::Stamp {
+                    number: 0,
+                    digest: "0".repeat(64),
+                });
+                let _ = gives
+                    .give(v1::GiveAsk {
+                        running,
+                        dispatcher: 1,
+                    })
+                    .await;
             }
-            Timer::after(Duration::from_millis(10)).await;
-        }
-        assert!(between, "{told:?}, {:?}, {:?}", owner.passed(), peer.passed());
-        assert_eq!(of(&told, Kind::Dispatchers).messages_in, 3);
-    });
+            let mut client = PlacementClient::new(open(&owner).await);
+            let (mut told, mut between) = (Vec::new(), false);
+            for _ in 0..400 {
+                let before = owner.passed();
+                told = client
+                    .status(v1::StatusAsk {})
+                    .await
+                    .expect("a status")
+                    .into_inner()
+                    .link_counts;
+                let (after, own, others) = (
+                    owner.passed(),
+                    of(&told, Kind::Owners),
+                    of(&told, Kind::Dispatchers),
+                );
+                // As the relay sees it, in is to who opened: to the owner. The status itself is
+                // under way as it is counted, so owners' counts lie between what
+                // had passed before it and after; the other link is still.
+                let lies = |told, way: usize| before[way] <= told && told <= after[way];
+                let still = [others.bytes_out, others.bytes_in] == peer.passed();
+                between = still && lies(own.bytes_in, 1) && lies(own.bytes_out, 0);
+                if between {
+                    break;
+                }
+                Timer::after(Duration::from_millis(10)).await;
+            }
+            assert!(
+                between,
+                "{told:?}, {:?}, {:?}",
+                owner.passed(),
+                peer.passed()
+            );
+            assert_eq!(of(&told, Kind::Dispatchers).messages_in, 3);
+        },
+    );
 }
