--- a/crates/lab/tests/full_path/fleet.rs
+++ b/crates/lab/tests/full_path/fleet.rs
@@ -1,5 +1,5 @@
-//! The floor of versions among processes of the program, each started by its command line, with some that hear nothing
-//! of newer versions. Judged by what crossed the nodes' sockets.
+//! The floor of versions among processes of the program, each started by its command line, with
+//! some that hear nothing of newer versions. Judged by what crossed the nodes' sockets.
 
 use crate::rig::*;
 use corkspan_api::v1::node_client::NodeClient;
@@ -50,9 +50,18 @@
                 .stderr(log);
             let mut child = command.spawn().expect("it starts");
             let mut line = String::new();
-            BufReader::new(child.stdout.take().expect("piped")).read_line(&mut line).expect("a line");
-            let address = line.trim().strip_prefix("listening ").expect("it listens").parse();
-            Process { child, address: address.expect("an address") }
+            BufReader::new(child.stdout.take().expect("piped"))
+                .read_line(&mut line)
+                .expect("a line");
+            let address = line
+                .trim()
+                .strip_prefix("listening ")
+                .expect("it listens")
+                .parse();
+            Process {
+                child,
+                address: address.expect("an address"),
+            }
         })
         .await
     }
@@ -62,7 +71,8 @@
     }
 }
 
-/// Processes before the nodes of a rig, some of which take their versions from a service that has stood still.
+/// Processes before the nodes of a rig, some of which take their versions from a service that has
+/// stood still.
 struct Stage {
     rig: Rig,
     newest: (Control, Up),
@@ -102,7 +112,8 @@
     }
 
     async fn start(&mut self, control: SocketAddr, keepers: &str) {
-        self.start_by(self.rig.roster.address, control, keepers).await;
+        self.start_by(self.rig.roster.address, control, keepers)
+            .await;
     }
 
     /// One more under the number of another, with a disk of its own.
@@ -113,10 +124,17 @@
 
     /// One that knows the nodes by another roster.
     async fn start_by(&mut self, roster: SocketAddr, control: SocketAddr, keepers: &str) {
-        self.start_all(self.fleet.len(), roster, control, keepers).await;
+        self.start_all(self.fleet.len(), roster, control, keepers)
+            .await;
     }
 
-    async fn start_all(&mut self, number: usize, roster: SocketAddr, control: SocketAddr, keepers: &str) {
+    async fn start_all(
+        &mut self,
+        number: usize,
+        roster: SocketAddr,
+        control: SocketAddr,
+        keepers: &str,
+    ) {
         let disk = self.fleet.len();
         let kept = self.folder.path().join(format!("versions-{disk}.json"));
         let store = self.folder.path().join(format!("store-{disk}.redb"));
@@ -124,7 +142,9 @@
             "(control \"{control}\") (versions {kept:?}) (rolls {store:?}) {keepers} (floor (every 1 s) {})",
             self.floor
         );
-        let text = self.deployment(&more).replace(&self.rig.roster.address.to_string(), &roster.to_string());
+        let text = self
+            .deployment(&more)
+            .replace(&self.rig.roster.address.to_string(), &roster.to_string());
         let text = text.replace("(number 0)", &format!("(number {number})"));
         let file = self.folder.path().join(format!("{disk}.sexp"));
         std::fs::write(&file, text).expect("written");
@@ -140,29 +160,51 @@
     }
 
     async fn link(&self, number: usize) -> Link {
-        let bounds = Bounds { connect_within: PATIENCE, ..Bounds::default() };
-        Link::open(&self.rig.tasks, self.fleet[number].address, &bounds).await.expect("it listens")
+        let bounds = Bounds {
+            connect_within: PATIENCE,
+            ..Bounds::default()
+        };
+        Link::open(&self.rig.tasks, self.fleet[number].address, &bounds)
+            .await
+            .expect("it listens")
     }
 
     async fn asks(&self, number: usize, task: &str) -> tonic::Streaming<v1::Word> {
         let mut client = PlacementClient::new(self.link(number).await);
-        client.place(ask(task, "web")).await.expect("the call is taken").into_inner()
+        client
+            .place(ask(task, "web"))
+            .await
+            .expect("the call is taken")
+            .into_inner()
     }
 
     /// The first word on an ask, and the call, which must stay for the allocation to.
-    async fn answered(&self, number: usize, task: &str) -> (Option<Word>, tonic::Streaming<v1::Word>) {
+    async fn answered(
+        &self,
+        number: usize,
+        task: &str,
+    ) -> (Option<Word>, tonic::Streaming<v1::Word>) {
         let mut words = self.asks(number, task).await;
         (next(&mut words).await, words)
     }
 
     async fn status(&self, number: usize) -> v1::VersionStatus {
         let mut client = VersionsClient::new(self.link(number).await);
-        client.status(v1::VersionStatusAsk {}).await.expect("a status").into_inner()
+        client
+            .status(v1::VersionStatusAsk {})
+            .await
+            .expect("a status")
+            .into_inner()
     }
 
     async fn until_in_force(&self, number: usize, version: u64) {
-        until(async || self.status(number).await.running.is_some_and(|running| running.number == version))
-            .await;
+        until(async || {
+            self.status(number)
+                .await
+                .running
+                .is_some_and(|running| running.number == version)
+        })
+        .await;
     }
 
     /// Goes on asking through one that is up until all nodes have the floor.
@@ -174,7 +216,9 @@
             calls.push(call);
             let lines = self.rig.world.capture.lines();
             let has = |id: u32| {
-                lines.iter().any(|line| matches!(line.seen, Seen::Floor { node, .. } if node == id))
+                lines
+                    .iter()
+                    .any(|line| matches!(line.seen, Seen::Floor { node, .. } if node == id))
             };
             self.rig.nodes.iter().all(|node| has(node.plan.id))
         })
@@ -183,24 +227,48 @@
 
     /// The audit's table of acts against the nodes' sockets: no shot more or less.
     async fn audit_equals_the_sockets(&self) {
-        let nodes =
-            self.rig.nodes.iter().map(|node| self.rig.roster.entry(node.plan.id).expect("listed").address);
-        let nodes: Vec<String> = nodes.flat_map(|address| ["--node".into(), address]).collect();
-        let line: Vec<&str> = ["audit"].into_iter().chain(nodes.iter().map(String::as_str)).collect();
+        let nodes = self
+            .rig
+            .nodes
+            .iter()
+            .map(|node| self.rig.roster.entry(node.plan.id).expect("listed").address);
+        let nodes: Vec<String> = nodes
+            .flat_map(|address| ["--node".into(), address])
+            .collect();
+        let line: Vec<&str> = ["audit"]
+            .into_iter()
+            .chain(nodes.iter().map(String::as_str))
+            .collect();
         let audit = self.operator(&line).await;
         let text = String::from_utf8_lossy(&audit.stdout).into_owned();
-        assert!(audit.status.code() == Some(1) && text.contains("were turned away by the floor"), "{text}");
-        let table = text.lines().skip_while(|line| !line.contains("acts of dispatcher")).skip(1);
+        assert!(
+            audit.status.code() == Some(1) && text.contains("were turned away by the floor"),
+            "{text}"
+        );
+        let table = text
+            .lines()
+            .skip_while(|line| !line.contains("acts of dispatcher"))
+            .skip(1);
         let rows: BTreeMap<(u32, u64), u64> = table
             .map_while(|line| {
-                let row: Vec<u64> = line.split_whitespace().map_while(|word| word.parse().ok()).collect();
-                let [dispatcher, version, shots, _, _] = row[..] else { return None };
+                let row: Vec<u64> = line
+                    .split_whitespace()
+                    .map_while(|word| word.parse().ok())
+                    .collect();
+                let [dispatcher, version, shots, _, _] = row[..] else {
+                    return None;
+                };
                 Some(((dispatcher as u32, version), shots))
             })
             .collect();
         let mut sockets: BTreeMap<(u32, u64), u64> = BTreeMap::new();
         for line in self.rig.world.capture.lines() {
-            if let Seen::Offered { dispatcher, decided, .. } = line.seen {
+            if let Seen::Offered {
+                dispatcher,
+                decided,
+                ..
+            } = line.seen
+            {
                 *sockets.entry((dispatcher, decided)).or_default() += 1;
             }
         }
@@ -209,12 +277,29 @@
 
     /// What the judge finds of the floor in what crossed the sockets.
     fn judged(&self) -> (Vec<String>, Vec<Line>) {
-        let cold = Cold { lasts_us: 0, window_us: 0, most: usize::MAX };
+        let cold = Cold {
+            lasts_us: 0,
+            window_us: 0,
+            most: usize::MAX,
+        };
         let (tracks, nodes) = (Vec::new(), Vec::new());
-        let rules = Rules { seed: 1, tracks, nodes, grace_us: u64::MAX, cold, slack_us: 0 };
-        let mut lines = vec![Line { t: 0, seen: Seen::Day(rules) }];
+        let rules = Rules {
+            seed: 1,
+            tracks,
+            nodes,
+            grace_us: u64::MAX,
+            cold,
+            slack_us: 0,
+        };
+        let mut lines = vec![Line {
+            t: 0,
+            seen: Seen::Day(rules),
+        }];
         lines.extend(self.rig.world.capture.lines());
-        let found = judge(&lines).expect("readable").into_iter().filter(|breach| breach.rule == 8);
+        let found = judge(&lines)
+            .expect("readable")
+            .into_iter()
+            .filter(|breach| breach.rule == 8);
         (found.map(|breach| breach.to_string()).collect(), lines)
     }
 }
@@ -227,24 +312,30 @@
 }
 
 fn story<F: Future<Output = ()>>(story: impl FnOnce(Stage) -> F) {
-    Rig::run(Layout { nodes: 3, ..Layout::default() }, async |rig| {
-        let mut stage = Stage::new(rig).await;
-        let (newest, stale) = (stage.newest.0.address, stage.stale.0.address);
-        for _ in 0..3 {
-            stage.start(newest, KEEPERS).await;
-        }
-        stage.start(stale, KEEPERS).await;
-        // Of this one's links all but those to nodes are cut, and the roster's.
-        stage.start(stale, "").await;
-        for number in 0..5 {
-            stage.until_in_force(number, 1).await;
-        }
-        assert_eq!(stage.newest.0.publish(stage.texts(5), false).number, 2);
-        for number in 0..3 {
-            stage.until_in_force(number, 2).await;
-        }
-        story(stage).await;
-    });
+    Rig::run(
+        Layout {
+            nodes: 3,
+            ..Layout::default()
+        },
+        async |rig| {
+            let mut stage = Stage::new(rig).await;
+            let (newest, stale) = (stage.newest.0.address, stage.stale.0.address);
+            for _ in 0..3 {
+                stage.start(newest, KEEPERS).await;
+            }
+            stage.start(stale, KEEPERS).await;
+            // Of this one's links all but those to nodes are cut, and the roster's.
+            stage.start(stale, "").await;
+            for number in 0..5 {
+                stage.until_in_force(number, 1).await;
+            }
+            assert_eq!(stage.newest.0.publish(stage.texts(5), false).number, 2);
+            for number in 0..3 {
+                stage.until_in_force(number, 2).await;
+            }
+            story(stage).await;
+        },
+    );
 }
 
 #[test]
@@ -255,23 +346,40 @@
         assert!(matches!(before, Some(Word::Placed(_))), "{before:?}");
         let asked = stage.operator(&["floor", "2"]).await;
         let why = String::from_utf8_lossy(&asked.stderr).into_owned();
-        assert!(!asked.status.success() && why.contains("for good; 3 are wanted"), "on trial yet: {why}");
+        assert!(
+            !asked.status.success() && why.contains("for good; 3 are wanted"),
+            "on trial yet: {why}"
+        );
         let asked = stage.operator(&["floor", "2", "--part", "0"]).await;
-        assert!(asked.status.success(), "{}", String::from_utf8_lossy(&asked.stderr));
+        assert!(
+            asked.status.success(),
+            "{}",
+            String::from_utf8_lossy(&asked.stderr)
+        );
         // One hears of it from the keepers.
-        until(async || refused_as(&stage.answered(3, "by-keepers").await.0) == Some(Why::Behind)).await;
+        until(async || refused_as(&stage.answered(3, "by-keepers").await.0) == Some(Why::Behind))
+            .await;
         stage.until_nodes_have_it().await;
-        // The other from the node that it asks first: the ask in hand gets its one answer, the next is refused at once.
+        // The other from the node that it asks first: the ask in hand gets its one answer, the next
+        // is refused at once.
         let first = stage.answered(4, "by-node").await.0;
         assert!(refused_as(&first).is_some(), "{first:?}");
-        assert_eq!(refused_as(&stage.answered(4, "next").await.0), Some(Why::Behind));
+        assert_eq!(
+            refused_as(&stage.answered(4, "next").await.0),
+            Some(Why::Behind)
+        );
         let audit = stage.operator(&["audit"]).await;
         let told = String::from_utf8_lossy(&audit.stdout).into_owned();
         assert_eq!(audit.status.code(), Some(1), "{told}");
         for straggler in [3, 4] {
             let address = stage.fleet[straggler].address;
             assert!(told.contains(&format!("{address} is shut out")), "{told}");
-            assert!(told.contains(&format!("{address} is behind: on version 1, the newest is 2")), "{told}");
+            assert!(
+                told.contains(&format!(
+                    "{address} is behind: on version 1, the newest is 2"
+                )),
+                "{told}"
+            );
         }
         // Brought up, they act again by themselves.
         assert_eq!(stage.stale.0.publish(stage.texts(5), false).number, 2);
@@ -281,12 +389,24 @@
             assert!(matches!(word, Some(Word::Placed(_))), "{word:?}");
         }
         let audit = stage.operator(&["audit"]).await;
-        assert!(audit.status.success(), "{}", String::from_utf8_lossy(&audit.stdout));
+        assert!(
+            audit.status.success(),
+            "{}",
+            String::from_utf8_lossy(&audit.stdout)
+        );
         stage.audit_equals_the_sockets().await;
         let (breaches, lines) = stage.judged();
         assert_eq!(breaches, [""; 0]);
-        let below =
-            lines.iter().filter(|line| matches!(line.seen, Seen::Offered { decided: 1, dispatcher: 4, .. }));
+        let below = lines.iter().filter(|line| {
+            matches!(
+                line.seen,
+                Seen::Offered {
+                    decided: 1,
+                    dispatcher: 4,
+                    ..
+                }
+            )
+        });
         assert!(below.count() >= 2, "the judge has seen shots from below");
     });
 }
@@ -301,12 +421,23 @@
         let link = stage.link(4).await;
         stopped.signal(Signal::STOP);
         let call = stage.rig.tasks.spawn(async move {
-            let asked = v1::Ask { abandon_ms: 10_000, ..ask("across", "web") };
-            let mut words = PlacementClient::new(link).place(asked).await.expect("taken").into_inner();
+            let asked = v1::Ask {
+                abandon_ms: 10_000,
+                ..ask("across", "web")
+            };
+            let mut words = PlacementClient::new(link)
+                .place(asked)
+                .await
+                .expect("taken")
+                .into_inner();
             next(&mut words).await
         });
         let asked = stage.operator(&["floor", "2", "--part", "0"]).await;
-        assert!(asked.status.success(), "{}", String::from_utf8_lossy(&asked.stderr));
+        assert!(
+            asked.status.success(),
+            "{}",
+            String::from_utf8_lossy(&asked.stderr)
+        );
         stage.until_nodes_have_it().await;
         stopped.signal(Signal::CONT);
         let word = call.await;
@@ -316,107 +447,149 @@
     });
 }
 
-/// All links of one process but the roster's run through relays: it hears no more of versions, nodes and keepers while
-/// its links stand open, and what it says still gets through.
+/// All links of one process but the roster's run through relays: it hears no more of versions,
+/// nodes and keepers while its links stand open, and what it says still gets through.
 #[test]
 fn one_that_hears_nothing_on_links_that_stand_is_shut_out_and_its_owners_get_their_answers() {
-    Rig::run(Layout { nodes: 3, ..Layout::default() }, async |rig| {
-        let mut stage = Stage::new(rig).await;
-        let tasks = stage.rig.tasks.clone();
-        let newest = stage.newest.0.address;
-        let control = Relay::up(&tasks, newest).await.expect("a port");
-        // The same nodes, by addresses of relays to them.
-        let (roster, by) = Roster::up(&stage.rig.world).await.expect("a port");
-        let mut nodes = Vec::new();
-        for node in &stage.rig.nodes {
-            let listed = stage.rig.roster.entry(node.plan.id).expect("listed");
-            let relay = Relay::up(&tasks, listed.address.parse().expect("an address")).await.expect("a port");
-            roster.change(Duration::ZERO, v1::Entry { address: relay.address.to_string(), ..listed });
-            nodes.push(relay);
-        }
-        for _ in 0..4 {
-            stage.start(newest, KEEPERS).await;
-        }
-        stage.start_by(by, control.address, KEEPERS).await;
-        for number in 0..5 {
-            stage.until_in_force(number, 1).await;
-        }
-        let (before, _call) = stage.answered(4, "before").await;
-        assert!(matches!(before, Some(Word::Placed(_))), "{before:?}");
-
-        control.hold(&[Way::In]);
-        nodes.iter().for_each(|node| node.hold(&[Way::In]));
-        assert_eq!(stage.newest.0.publish(stage.texts(5), false).number, 2);
-        for number in 0..4 {
-            stage.until_in_force(number, 2).await;
-        }
-        let asked = stage.operator(&["floor", "2", "--part", "0"]).await;
-        assert!(asked.status.success(), "{}", String::from_utf8_lossy(&asked.stderr));
-        stage.until_nodes_have_it().await;
-        // It reaches nodes that know the floor and hears neither them nor the keepers among them.
-        let deaf = stage.answered(4, "deaf").await.0;
-        assert!(
-            matches!(deaf, Some(Word::Refused(_) | Word::Failed(_))),
-            "one answer, in its time: {deaf:?}"
-        );
-        nodes.iter().for_each(Relay::heal);
-        until(async || refused_as(&stage.answered(4, "heard").await.0) == Some(Why::Behind)).await;
-        control.heal();
-        stage.until_in_force(4, 2).await;
-        let (after, _call) = stage.answered(4, "after").await;
-        assert!(matches!(after, Some(Word::Placed(_))), "{after:?}");
-        let (breaches, lines) = stage.judged();
-        assert_eq!(breaches, [""; 0]);
-        let ran = lines.iter().filter(|line| match &line.seen {
-            Seen::Said { placing, word, .. } => placing == "deaf#0" && *word == SaidWord::Accepted,
-            _ => false,
-        });
-        assert_eq!(ran.count(), 0, "what it sent from below took effect nowhere");
-    });
+    Rig::run(
+        Layout {
+            nodes: 3,
+            ..Layout::default()
+        },
+        async |rig| {
+            let mut stage = Stage::new(rig).await;
+            let tasks = stage.rig.tasks.clone();
+            let newest = stage.newest.0.address;
+            let control = Relay::up(&tasks, newest).await.expect("a port");
+            // The same nodes, by addresses of relays to them.
+            let (roster, by) = Roster::up(&stage.rig.world).await.expect("a port");
+            let mut nodes = Vec::new();
+            for node in &stage.rig.nodes {
+                let listed = stage.rig.roster.entry(node.plan.id).expect("listed");
+                let relay = Relay::up(&tasks, listed.address.parse().expect("an address"))
+                    .await
+                    .expect("a port");
+                roster.change(
+                    Duration::ZERO,
+                    v1::Entry {
+                        address: relay.address.to_string(),
+                        ..listed
+                    },
+                );
+                nodes.push(relay);
+            }
+            for _ in 0..4 {
+                stage.start(newest, KEEPERS).await;
+            }
+            stage.start_by(by, control.address, KEEPERS).await;
+            for number in 0..5 {
+                stage.until_in_force(number, 1).await;
+            }
+            let (before, _call) = stage.answered(4, "before").await;
+            assert!(matches!(before, Some(Word::Placed(_))), "{before:?}");
+
+            control.hold(&[Way::In]);
+            nodes.iter().for_each(|node| node.hold(&[Way::In]));
+            assert_eq!(stage.newest.0.publish(stage.texts(5), false).number, 2);
+            for number in 0..4 {
+                stage.until_in_force(number, 2).await;
+            }
+            let asked = stage.operator(&["floor", "2", "--part", "0"]).await;
+            assert!(
+                asked.status.success(),
+                "{}",
+                String::from_utf8_lossy(&asked.stderr)
+            );
+            stage.until_nodes_have_it().await;
+            // It reaches nodes that know the floor and hears neither them nor the keepers among
+            // them.
+            let deaf = stage.answered(4, "deaf").await.0;
+            assert!(
+                matches!(deaf, Some(Word::Refused(_) | Word::Failed(_))),
+                "one answer, in its time: {deaf:?}"
+            );
+            nodes.iter().for_each(Relay::heal);
+            until(async || refused_as(&stage.answered(4, "heard").await.0) == Some(Why::Behind))
+                .await;
+            control.heal();
+            stage.until_in_force(4, 2).await;
+            let (after, _call) = stage.answered(4, "after").await;
+            assert!(matches!(after, Some(Word::Placed(_))), "{after:?}");
+            let (breaches, lines) = stage.judged();
+            assert_eq!(breaches, [""; 0]);
+            let ran = lines.iter().filter(|line| match &line.seen {
+                Seen::Said { placing, word, .. } => {
+                    placing == "deaf#0" && *word == SaidWord::Accepted
+                }
+                _ => false,
+            });
+            assert_eq!(
+                ran.count(),
+                0,
+                "what it sent from below took effect nowhere"
+            );
+        },
+    );
 }
 
 /// Its first life ends by a kill after a second version has come.
 #[test]
 fn which_versions_were_in_force_is_told_over_a_kill_and_by_the_next_life() {
-    Rig::run(Layout { nodes: 3, ..Layout::default() }, async |rig| {
-        let mut stage = Stage::new(rig).await;
-        stage.start(stage.newest.0.address, KEEPERS).await;
-        stage.until_in_force(0, 1).await;
-        assert_eq!(stage.newest.0.publish(stage.texts(5), false).number, 2);
-        stage.until_in_force(0, 2).await;
-        let over_time = async |stage: &Stage| {
-            let audit = stage.operator(&["audit", "--since", "600"]).await;
-            let text = String::from_utf8_lossy(&audit.stdout).into_owned();
-            let spans = text.lines().filter_map(|line| line.split_once(": version ")?.1.split_once(" from "));
-            spans
-                .map(|(span, rest)| (span.to_string(), rest.rsplit(' ').next().map(String::from)))
-                .collect::<Vec<_>>()
-        };
-        let before = over_time(&stage).await;
-        let names: Vec<&str> = before.iter().map(|(span, _)| &span[..]).collect();
-        assert_eq!(names, ["0 (its own file)", "1 (pushed)", "2 (pushed)"]);
-        until(async || !stage.status(0).await.unwritten).await;
-        stage.fleet.clear();
-        stage.start(stage.newest.0.address, KEEPERS).await;
-        let after = over_time(&stage).await;
-        assert_eq!(after[..3], before, "of the life that was killed");
-        assert_eq!((&after[3].0[..], after.len()), ("2 (kept, at a start)", 4));
-        assert_ne!(after[3].1, after[2].1, "another life");
-    });
+    Rig::run(
+        Layout {
+            nodes: 3,
+            ..Layout::default()
+        },
+        async |rig| {
+            let mut stage = Stage::new(rig).await;
+            stage.start(stage.newest.0.address, KEEPERS).await;
+            stage.until_in_force(0, 1).await;
+            assert_eq!(stage.newest.0.publish(stage.texts(5), false).number, 2);
+            stage.until_in_force(0, 2).await;
+            let over_time = async |stage: &Stage| {
+                let audit = stage.operator(&["audit", "--since", "600"]).await;
+                let text = String::from_utf8_lossy(&audit.stdout).into_owned();
+                let spans = text
+                    .lines()
+                    .filter_map(|line| line.split_once(": version ")?.1.split_once(" from "));
+                spans
+                    .map(|(span, rest)| {
+                        (span.to_string(), rest.rsplit(' ').next().map(String::from))
+                    })
+                    .collect::<Vec<_>>()
+            };
+            let before = over_time(&stage).await;
+            let names: Vec<&str> = before.iter().map(|(span, _)| &span[..]).collect();
+            assert_eq!(names, ["0 (its own file)", "1 (pushed)", "2 (pushed)"]);
+            until(async || !stage.status(0).await.unwritten).await;
+            stage.fleet.clear();
+            stage.start(stage.newest.0.address, KEEPERS).await;
+            let after = over_time(&stage).await;
+            assert_eq!(after[..3], before, "of the life that was killed");
+            assert_eq!((&after[3].0[..], after.len()), ("2 (kept, at a start)", 4));
+            assert_ne!(after[3].1, after[2].1, "another life");
+        },
+    );
 }
 
 /// Two processes that take their versions from the service that goes on.
 fn pair<F: Future<Output = ()>>(story: impl FnOnce(Stage) -> F) {
-    Rig::run(Layout { nodes: 3, ..Layout::default() }, async |rig| {
-        let mut stage = Stage::new(rig).await;
-        for _ in 0..2 {
-            stage.start(stage.newest.0.address, KEEPERS).await;
-        }
-        for number in 0..2 {
-            stage.until_in_force(number, 1).await;
-        }
-        story(stage).await;
-    });
+    Rig::run(
+        Layout {
+            nodes: 3,
+            ..Layout::default()
+        },
+        async |rig| {
+            let mut stage = Stage::new(rig).await;
+            for _ in 0..2 {
+                stage.start(stage.newest.0.address, KEEPERS).await;
+            }
+            for number in 0..2 {
+                stage.until_in_force(number, 1).await;
+            }
+            story(stage).await;
+        },
+    );
 }
 
 #[test]
@@ -424,7 +597,10 @@
     pair(async |stage| {
         let floor = async |stage: &Stage, version: &str| {
             let asked = stage.operator(&["floor", version, "--part", "0"]).await;
-            (asked.status.success(), String::from_utf8_lossy(&asked.stderr).into_owned())
+            (
+                asked.status.success(),
+                String::from_utf8_lossy(&asked.stderr).into_owned(),
+            )
         };
         let long = Duration::from_secs(3_600);
         stage.rig.nodes[0].cut(long);
@@ -437,8 +613,13 @@
         until(async || floor(&stage, "1").await.0).await;
         // Known to both before, it stays so with all keepers but one away.
         until(async || {
-            let heard =
-                async |number| stage.status(number).await.floor.is_some_and(|floor| floor.lowest == 1);
+            let heard = async |number| {
+                stage
+                    .status(number)
+                    .await
+                    .floor
+                    .is_some_and(|floor| floor.lowest == 1)
+            };
             heard(0).await && heard(1).await
         })
         .await;
@@ -461,13 +642,23 @@
                 floors[0].is_some() && floors[0] == floors[1]
             })
             .await;
-            let stands = stage.status(0).await.floor.map(|floor| (floor.number, floor.lowest));
+            let stands = stage
+                .status(0)
+                .await
+                .floor
+                .map(|floor| (floor.number, floor.lowest));
             let told = |taken: &Output| String::from_utf8_lossy(&taken.stdout).into_owned();
             let (number, lowest) = stands.expect("one stands");
             let last = format!("floor {lowest} by wish {number}");
             let says = [&raise, &lower].map(|asked| told(asked).contains(&last));
-            // Nobody is told that what stands is another's; of the two at most one is told that it is his.
-            assert!(says != [true, true], "round {round}: {} {}", told(&raise), told(&lower));
+            // Nobody is told that what stands is another's; of the two at most one is told that it
+            // is his.
+            assert!(
+                says != [true, true],
+                "round {round}: {} {}",
+                told(&raise),
+                told(&lower)
+            );
         }
         stage.start_as(0, stage.newest.0.address).await;
         let audit = stage.operator(&["audit"]).await;
@@ -477,11 +668,17 @@
             "{text}"
         );
         let audit = stage.operator(&["audit", "--json", "--since", "600"]).await;
-        let told: serde_json::Value = serde_json::from_slice(&audit.stdout).expect("one JSON object");
+        let told: serde_json::Value =
+            serde_json::from_slice(&audit.stdout).expect("one JSON object");
         let dispatchers = told["dispatchers"].as_array().expect("a list");
-        let numbers: Vec<_> =
-            dispatchers.iter().map(|own| own["number"].as_u64().expect("a number")).collect();
-        assert_eq!((numbers, dispatchers[1]["spans"][1]["version"].as_u64()), (vec![0, 1, 0], Some(1)));
+        let numbers: Vec<_> = dispatchers
+            .iter()
+            .map(|own| own["number"].as_u64().expect("a number"))
+            .collect();
+        assert_eq!(
+            (numbers, dispatchers[1]["spans"][1]["version"].as_u64()),
+            (vec![0, 1, 0], Some(1))
+        );
         assert_eq!(audit.status.code(), Some(1));
     });
 }
@@ -489,127 +686,211 @@
 /// The newest version whole, as a dispatcher would lay it on a keeper's shelf.
 fn whole(stage: &Stage, number: u64, shots: usize, follows: u64) -> v1::Push {
     let stamp = |number, shots| {
-        let stamp = Stamp { number, digest: stage.texts(shots).digest() };
+        let stamp = Stamp {
+            number,
+            digest: stage.texts(shots).digest(),
+        };
         corkspan_lab::control::stamp_message(stamp)
     };
     v1::Push {
         stamp: Some(stamp(number, shots)),
         follows: vec![stamp(follows, 4)],
-        parts: stage.texts(shots).iter().map(|(name, text)| (name.into(), text.into())).collect(),
+        parts: stage
+            .texts(shots)
+            .iter()
+            .map(|(name, text)| (name.into(), text.into()))
+            .collect(),
         ..v1::Push::default()
     }
 }
 
 #[test]
 fn those_that_no_service_brings_up_have_the_newest_from_another_dispatcher_or_a_keepers_shelf() {
-    Rig::run(Layout { nodes: 3, ..Layout::default() }, async |rig| {
-        let mut stage = Stage::new(rig).await;
-        let (newest, stale) = (stage.newest.0.address, stage.stale.0.address);
-        for _ in 0..3 {
-            stage.start(newest, KEEPERS).await;
-        }
-        // A link to a peer is cut at first, and one peer is gone: those that are left are asked.
-        let relay = Relay::up(&stage.rig.tasks, stage.fleet[1].address).await.expect("a port");
-        relay.hold(&[Way::In]);
-        stage.floor = format!("(peers \"127.0.0.1:1\" \"{}\" \"{}\")", relay.address, stage.fleet[0].address);
-        stage.start(stale, KEEPERS).await;
-        stage.floor = String::new();
-        stage.start(stale, KEEPERS).await;
-        for number in 0..5 {
-            stage.until_in_force(number, 1).await;
-        }
-        assert_eq!(stage.newest.0.publish(stage.texts(5), false).number, 2);
-        for number in 0..3 {
-            stage.until_in_force(number, 2).await;
-        }
-        let asked = stage.operator(&["floor", "2", "--part", "0"]).await;
-        assert!(asked.status.success(), "{}", String::from_utf8_lossy(&asked.stderr));
-        stage.until_in_force(3, 2).await;
-        // The other knows keepers alone, and on their shelves lies a rival's version, which it can't take.
-        until(async || refused_as(&stage.answered(4, "out").await.0) == Some(Why::Behind)).await;
-        let lay = async |keeper: usize, push: v1::Push| {
-            let entry = stage.rig.roster.entry(stage.rig.nodes[keeper].plan.id).expect("listed");
-            let address = entry.address.parse().expect("an address");
-            let link = Link::open(&stage.rig.tasks, address, &Bounds::default()).await.expect("it listens");
-            let ask = v1::KeepAsk { ask: Some(v1::keep_ask::Ask::Lay(push)) };
-            NodeClient::new(link).keep(ask).await.expect("a word").into_inner().lies
-        };
-        let rival = whole(&stage, 3, 3, 9);
-        assert_eq!(lay(0, rival.clone()).await, rival.stamp);
-        until(async || stage.status(4).await.refused_last == rival.stamp).await;
-        assert!(stage.status(4).await.why[0].contains("split"));
-        let mut liar = whole(&stage, 2, 5, 1);
-        liar.parts.insert("tracks".into(), "(tracks)".into());
-        assert_eq!(lay(1, liar).await, None, "a keeper takes no version whose digest is another");
-        assert!(lay(2, whole(&stage, 2, 5, 1)).await.is_some());
-        stage.until_in_force(4, 2).await;
-        for straggler in [3, 4] {
-            let (word, _call) = stage.answered(straggler, &format!("up-{straggler}")).await;
-            assert!(matches!(word, Some(Word::Placed(_))), "{word:?}");
-        }
-        let audit = stage.operator(&["audit", "--since", "600"]).await;
-        let text = String::from_utf8_lossy(&audit.stdout).into_owned();
-        assert_eq!(text.matches("version 2 (brought by another)").count(), 2, "{text}");
-        assert_eq!(stage.judged().0, [""; 0]);
-    });
+    Rig::run(
+        Layout {
+            nodes: 3,
+            ..Layout::default()
+        },
+        async |rig| {
+            let mut stage = Stage::new(rig).await;
+            let (newest, stale) = (stage.newest.0.address, stage.stale.0.address);
+            for _ in 0..3 {
+                stage.start(newest, KEEPERS).await;
+            }
+            // A link to a peer is cut at first, and one peer is gone: those that are left are
+            // asked.
+            let relay = Relay::up(&stage.rig.tasks, stage.fleet[1].address)
+                .await
+                .expect("a port");
+            relay.hold(&[Way::In]);
+            stage.floor = format!(
+                "(peers \"127.0.0.1:1\" \"{}\" \"{}\")",
+                relay.address, stage.fleet[0].address
+            );
+            stage.start(stale, KEEPERS).await;
+            stage.floor = String::new();
+            stage.start(stale, KEEPERS).await;
+            for number in 0..5 {
+                stage.until_in_force(number, 1).await;
+            }
+            assert_eq!(stage.newest.0.publish(stage.texts(5), false).number, 2);
+            for number in 0..3 {
+                stage.until_in_force(number, 2).await;
+            }
+            let asked = stage.operator(&["floor", "2", "--part", "0"]).await;
+            assert!(
+                asked.status.success(),
+                "{}",
+                String::from_utf8_lossy(&asked.stderr)
+            );
+            stage.until_in_force(3, 2).await;
+            // The other knows keepers alone, and on their shelves lies a rival's version, which it
+            // can't take.
+            until(async || refused_as(&stage.answered(4, "out").await.0) == Some(Why::Behind))
+                .await;
+            let lay = async |keeper: usize, push: v1::Push| {
+                let entry = stage
+                    .rig
+                    .roster
+                    .entry(stage.rig.nodes[keeper].plan.id)
+                    .expect("listed");
+                let address = entry.address.parse().expect("an address");
+                let link = Link::open(&stage.rig.tasks, address, &Bounds::default())
+                    .await
+                    .expect("it listens");
+                let ask = v1::KeepAsk {
+                    ask: Some(v1::keep_ask::Ask::Lay(push)),
+                };
+                NodeClient::new(link)
+                    .keep(ask)
+                    .await
+                    .expect("a word")
+                    .into_inner()
+                    .lies
+            };
+            let rival = whole(&stage, 3, 3, 9);
+            assert_eq!(lay(0, rival.clone()).await, rival.stamp);
+            until(async || stage.status(4).await.refused_last == rival.stamp).await;
+            assert!(stage.status(4).await.why[0].contains("split"));
+            let mut liar = whole(&stage, 2, 5, 1);
+            liar.parts.insert("tracks".into(), "(tracks)".into());
+            assert_eq!(
+                lay(1, liar).await,
+                None,
+                "a keeper takes no version whose digest is another"
+            );
+            assert!(lay(2, whole(&stage, 2, 5, 1)).await.is_some());
+            stage.until_in_force(4, 2).await;
+            for straggler in [3, 4] {
+                let (word, _call) = stage.answered(straggler, &format!("up-{straggler}")).await;
+                assert!(matches!(word, Some(Word::Placed(_))), "{word:?}");
+            }
+            let audit = stage.operator(&["audit", "--since", "600"]).await;
+            let text = String::from_utf8_lossy(&audit.stdout).into_owned();
+            assert_eq!(
+                text.matches("version 2 (brought by another)").count(),
+                2,
+                "{text}"
+            );
+            assert_eq!(stage.judged().0, [""; 0]);
+        },
+    );
 }
 
 #[test]
 fn a_floor_is_raised_by_its_rule_once_enough_run_a_version_for_good() {
-    Rig::run(Layout { nodes: 3, ..Layout::default() }, async |rig| {
-        let mut stage = Stage::new(rig).await;
-        stage.floor = "(behind 3) (part 600)".into();
-        let kept = |stage: &Stage, number, shots| {
-            let texts = stage.texts(shots);
-            let stamp = Stamp { number, digest: texts.digest() };
-            Kept { good: Some(Version { stamp, texts }), ..Kept::default() }
-        };
-        // Two of five run 9 for good: not enough. Nobody streams.
-        let nobody: SocketAddr = "127.0.0.1:1".parse().expect("an address");
-        for number in 0..5 {
-            let version = if number < 2 { 9 } else { 2 };
-            let path = stage.folder.path().join(format!("versions-{number}.json"));
-            keep(&path, &kept(&stage, version, 4)).expect("kept");
+    Rig::run(
+        Layout {
+            nodes: 3,
+            ..Layout::default()
+        },
+        async |rig| {
+            let mut stage = Stage::new(rig).await;
+            stage.floor = "(behind 3) (part 600)".into();
+            let kept = |stage: &Stage, number, shots| {
+                let texts = stage.texts(shots);
+                let stamp = Stamp {
+                    number,
+                    digest: texts.digest(),
+                };
+                Kept {
+                    good: Some(Version { stamp, texts }),
+                    ..Kept::default()
+                }
+            };
+            // Two of five run 9 for good: not enough. Nobody streams.
+            let nobody: SocketAddr = "127.0.0.1:1".parse().expect("an address");
+            for number in 0..5 {
+                let version = if number < 2 { 9 } else { 2 };
+                let path = stage.folder.path().join(format!("versions-{number}.json"));
+                keep(&path, &kept(&stage, version, 4)).expect("kept");
+                stage.start(nobody, KEEPERS).await;
+            }
+            // Each has told its version in two rounds at least once all are known to all.
+            until(async || {
+                let told = stage.operator(&["audit"]).await;
+                String::from_utf8_lossy(&told.stdout)
+                    .matches(" acts")
+                    .count()
+                    >= 5
+            })
+            .await;
+            let (word, _call) = stage.answered(4, "before").await;
+            assert!(matches!(word, Some(Word::Placed(_))), "{word:?}");
+            assert_eq!(stage.status(0).await.floor, None);
+            // A third one comes back with it.
+            stage.fleet.truncate(4);
+            let path = stage.folder.path().join("versions-4.json");
+            keep(&path, &kept(&stage, 9, 4)).expect("kept");
             stage.start(nobody, KEEPERS).await;
-        }
-        // Each has told its version in two rounds at least once all are known to all.
-        until(async || {
-            let told = stage.operator(&["audit"]).await;
-            String::from_utf8_lossy(&told.stdout).matches(" acts").count() >= 5
-        })
-        .await;
-        let (word, _call) = stage.answered(4, "before").await;
-        assert!(matches!(word, Some(Word::Placed(_))), "{word:?}");
-        assert_eq!(stage.status(0).await.floor, None);
-        // A third one comes back with it.
-        stage.fleet.truncate(4);
-        let path = stage.folder.path().join("versions-4.json");
-        keep(&path, &kept(&stage, 9, 4)).expect("kept");
-        stage.start(nobody, KEEPERS).await;
-        until(async || stage.status(0).await.floor.is_some_and(|floor| floor.lowest == 6)).await;
-        until(async || refused_as(&stage.answered(3, "behind").await.0) == Some(Why::Behind)).await;
-        let (word, _call) = stage.answered(4, "after").await;
-        assert!(matches!(word, Some(Word::Placed(_))), "{word:?}");
-        assert_eq!(stage.judged().0, [""; 0]);
-    });
+            until(async || {
+                stage
+                    .status(0)
+                    .await
+                    .floor
+                    .is_some_and(|floor| floor.lowest == 6)
+            })
+            .await;
+            until(async || refused_as(&stage.answered(3, "behind").await.0) == Some(Why::Behind))
+                .await;
+            let (word, _call) = stage.answered(4, "after").await;
+            assert!(matches!(word, Some(Word::Placed(_))), "{word:?}");
+            assert_eq!(stage.judged().0, [""; 0]);
+        },
+    );
 }
 
 /// Each line that could not be written was told on the same full disk, which ended the process.
 #[test]
 fn a_dispatcher_whose_log_lies_on_a_full_disk_goes_on_placing() {
-    Rig::run(Layout { nodes: 3, ..Layout::default() }, async |rig| {
-        let mut stage = Stage::new(rig).await;
-        let file = stage.folder.path().join("full.sexp");
-        std::fs::write(&file, stage.deployment("")).expect("written");
-        let full = std::fs::OpenOptions::new().write(true).open("/dev/full").expect("a full disk");
-        stage.fleet.push(Process::start_logging(file, "debug", full.into()).await);
-        until(async || {
-            let mut client = PlacementClient::new(stage.link(0).await);
-            let status = client.status(v1::StatusAsk {}).await.expect("it goes on").into_inner();
-            status.machines_serving == 3
-        })
-        .await;
-        let (word, _call) = stage.answered(0, "placed").await;
-        assert!(matches!(word, Some(Word::Placed(_))), "{word:?}");
-    });
+    Rig::run(
+        Layout {
+            nodes: 3,
+            ..Layout::default()
+        },
+        async |rig| {
+            let mut stage = Stage::new(rig).await;
+            let file = stage.folder.path().join("full.sexp");
+            std::fs::write(&file, stage.deployment("")).expect("written");
+            let full = std::fs::OpenOptions::new()
+                .write(true)
+                .open("/dev/full")
+                .expect("a full disk");
+            stage
+                .fleet
+                .push(Process::start_logging(file, "debug", full.into()).await);
+            until(async || {
+                let mut client = PlacementClient::new(stage.link(0).await);
+                let status = client
+                    .status(v1::StatusAsk {})
+                    .await
+                    .expect("it goes on")
+                    .into_inner();
+                status.machines_serving == 3
+            })
+            .await;
+            let (word, _call) = stage.answered(0, "placed").await;
+            assert!(matches!(word, Some(Word::Placed(_))), "{word:?}");
+        },
+    );
 }
--- a/crates/lab/tests/full_path/hard_cases.rs
+++ b/crates/lab/tests/full_path/hard_cases.rs
@@ -18,11 +18,19 @@
 #[test]
 fn an_ask_is_placed_runs_and_ends() {
     Rig::run(Layout::default(), async |rig| {
-        let mut words = rig.ask(v1::Ask { life_ms: 50, ..ask("a", "web") }).await;
+        let mut words = rig
+            .ask(v1::Ask {
+                life_ms: 50,
+                ..ask("a", "web")
+            })
+            .await;
         placed(&mut words).await;
         assert!(matches!(next(&mut words).await, Some(Word::Runs(_))));
         assert_eq!(ended(next_of_weight(&mut words).await), How::Ended);
-        assert!(next(&mut words).await.is_none(), "the call ends with its allocation");
+        assert!(
+            next(&mut words).await.is_none(),
+            "the call ends with its allocation"
+        );
         until(async || rig.status().await.in_hand == 0).await;
     });
 }
@@ -32,15 +40,26 @@
     Rig::run(Layout::default(), async |rig| {
         rig.nodes[0].drain();
         let early = placed(&mut rig.ask(ask("early", "once")).await).await;
-        assert_eq!(early, 1, "the node itself turns it away, the other takes it");
+        assert_eq!(
+            early, 1,
+            "the node itself turns it away, the other takes it"
+        );
         rig.tell(0, State::Draining);
         rig.until_serving(1).await;
-        let before = rig.offers().iter().filter(|(_, _, node)| *node == 0).count();
+        let before = rig
+            .offers()
+            .iter()
+            .filter(|(_, _, node)| *node == 0)
+            .count();
         for number in 0..10 {
             let mut words = rig.ask(ask(&format!("late{number}"), "web")).await;
             assert_eq!(placed(&mut words).await, 1);
         }
-        let after = rig.offers().iter().filter(|(_, _, node)| *node == 0).count();
+        let after = rig
+            .offers()
+            .iter()
+            .filter(|(_, _, node)| *node == 0)
+            .count();
         assert_eq!(after, before, "nothing new goes to it");
     });
 }
@@ -58,7 +77,10 @@
 
 #[test]
 fn a_link_cut_before_the_answer_fails_what_must_not_run_twice() {
-    let layout = Layout { look: Duration::from_millis(400), ..Layout::default() };
+    let layout = Layout {
+        look: Duration::from_millis(400),
+        ..Layout::default()
+    };
     Rig::run(layout, async |rig| {
         let mut words = rig.ask(ask("a", "once")).await;
         until(async || rig.offers().len() == 1).await;
@@ -71,10 +93,18 @@
 #[test_case(2_000, true; "within its hall's window")]
 #[test_case(100, false; "after its hall's window")]
 fn a_deduplicated_one_cut_off_is_tried_again(window: u64, again: bool) {
-    let layout = Layout { nodes: 4, look: Duration::from_millis(400), ..Layout::default() };
+    let layout = Layout {
+        nodes: 4,
+        look: Duration::from_millis(400),
+        ..Layout::default()
+    };
     Rig::run(layout, async |rig| {
         let text = deployment(rig.roster.address, "");
-        let short = Rig::beside(&rig, &text.replace("(window 2 s)", &format!("(window {window} ms)"))).await;
+        let short = Rig::beside(
+            &rig,
+            &text.replace("(window 2 s)", &format!("(window {window} ms)")),
+        )
+        .await;
         short.until_serving(4).await;
         let mut words = short.ask(ask("a", "jobs")).await;
         until(async || rig.offers().len() == 1).await;
@@ -84,7 +114,11 @@
         rig.nodes[first as usize].cut(Duration::from_millis(50));
         match next(&mut words).await {
             Some(Word::Placed(placed)) if again => {
-                assert_eq!(placed.node / 2, first / 2, "only in its hall are repeats dropped");
+                assert_eq!(
+                    placed.node / 2,
+                    first / 2,
+                    "only in its hall are repeats dropped"
+                );
             }
             Some(Word::Failed(_)) if !again => assert_eq!(rig.offers().len(), 1),
             other => panic!("not {other:?}"),
@@ -108,9 +142,17 @@
             assert_eq!(placed(words).await, 1, "the one that answers");
         }
         let offers = rig.offers();
-        assert!(offers.iter().any(|(_, number, node)| (*number, *node) == (1, 1)), "a second shot was made");
+        assert!(
+            offers
+                .iter()
+                .any(|(_, number, node)| (*number, *node) == (1, 1)),
+            "a second shot was made"
+        );
         for words in &mut calls {
-            assert!(matches!(next(words).await, Some(Word::Runs(_))), "no second answer");
+            assert!(
+                matches!(next(words).await, Some(Word::Runs(_))),
+                "no second answer"
+            );
         }
     });
 }
@@ -118,12 +160,18 @@
 #[test]
 fn one_end_that_takes_the_link_for_broken_can_be_handed_what_runs_on() {
     Rig::run(Layout::default(), async |rig| {
-        let ask = v1::Ask { life_ms: 1_500, ..ask("a", "once") };
+        let ask = v1::Ask {
+            life_ms: 1_500,
+            ..ask("a", "once")
+        };
         let mut words = rig.ask(ask.clone()).await;
         let node = placed(&mut words).await;
         rig.nodes[node as usize].cut(Duration::from_millis(20));
         assert_eq!(ended(next_of_weight(&mut words).await), How::Lost);
-        assert!(!rig.nodes[node as usize].holds("a").is_empty(), "it runs on");
+        assert!(
+            !rig.nodes[node as usize].holds("a").is_empty(),
+            "it runs on"
+        );
         let mut again = rig.hand_over(ask, node).await;
         assert_eq!(ended(next_of_weight(&mut again).await), How::Ended);
         assert_eq!(rig.offers().len(), 1, "and is not started again");
@@ -136,44 +184,84 @@
         let mut words = rig.hand_over(ask("a", "once"), 1).await;
         assert_eq!(ended(next(&mut words).await), How::Lost);
         let mut words = rig.hand_over(ask("a", "once"), 77).await;
-        assert_eq!(ended(next(&mut words).await), How::Lost, "nor on a node that nobody knows");
+        assert_eq!(
+            ended(next(&mut words).await),
+            How::Lost,
+            "nor on a node that nobody knows"
+        );
     });
 }
 
 #[test]
 fn a_node_started_anew_under_its_id_is_met_at_its_new_address_and_as_cold() {
-    Rig::run(Layout { nodes: 1, ..Layout::default() }, async |rig| {
-        let mut words = rig.ask(ask("a", "once")).await;
-        placed(&mut words).await;
-        rig.nodes[0].kill(NodeState::Gone);
-        let address = rig.nodes[0].up(true).await.expect("a port");
-        let now_ms = corkspan_dispatcher::clock::wall_ms();
-        rig.roster.change(Duration::ZERO, entry(&rig.nodes[0], address, State::Serving, now_ms));
-        assert_eq!(ended(next_of_weight(&mut words).await), How::Lost);
-        let mut calls = Vec::new();
-        for number in 0..40 {
-            calls.push(rig.ask(ask(&format!("b{number}"), "web")).await);
-        }
-        for words in &mut calls {
-            placed(words).await;
-        }
-        assert!(rig.nodes[0].is_up(), "it was not pushed over");
-    });
+    Rig::run(
+        Layout {
+            nodes: 1,
+            ..Layout::default()
+        },
+        async |rig| {
+            let mut words = rig.ask(ask("a", "once")).await;
+            placed(&mut words).await;
+            rig.nodes[0].kill(NodeState::Gone);
+            let address = rig.nodes[0].up(true).await.expect("a port");
+            let now_ms = corkspan_dispatcher::clock::wall_ms();
+            rig.roster.change(
+                Duration::ZERO,
+                entry(&rig.nodes[0], address, State::Serving, now_ms),
+            );
+            assert_eq!(ended(next_of_weight(&mut words).await), How::Lost);
+            let mut calls = Vec::new();
+            for number in 0..40 {
+                calls.push(rig.ask(ask(&format!("b{number}"), "web")).await);
+            }
+            for words in &mut calls {
+                placed(words).await;
+            }
+            assert!(rig.nodes[0].is_up(), "it was not pushed over");
+        },
+    );
 }
 
 #[test]
 fn a_stranger_at_a_nodes_old_address_is_offered_nothing() {
-    Rig::run(Layout { nodes: 1, ..Layout::default() }, async |rig| {
-        let old = rig.roster.entry(0).expect("listed");
-        let id = 9;
-        rig.roster.change(Duration::ZERO, v1::Entry { node: id, ..old.clone() });
-        rig.roster.change(Duration::ZERO, v1::Entry { state: State::Gone.into(), ..old });
-        until(async || rig.status().await.machines_known == 2).await;
-        rig.until_serving(1).await;
-        let mut words = rig.ask(v1::Ask { abandon_ms: 900, ..ask("a", "once") }).await;
-        assert_eq!(refused(&mut words).await, Why::NoRoom, "it never ran, so another try is harmless");
-        assert!(rig.offers().is_empty());
-    });
+    Rig::run(
+        Layout {
+            nodes: 1,
+            ..Layout::default()
+        },
+        async |rig| {
+            let old = rig.roster.entry(0).expect("listed");
+            let id = 9;
+            rig.roster.change(
+                Duration::ZERO,
+                v1::Entry {
+                    node: id,
+                    ..old.clone()
+                },
+            );
+            rig.roster.change(
+                Duration::ZERO,
+                v1::Entry {
+                    state: State::Gone.into(),
+                    ..old
+                },
+            );
+            until(async || rig.status().await.machines_known == 2).await;
+            rig.until_serving(1).await;
+            let mut words = rig
+                .ask(v1::Ask {
+                    abandon_ms: 900,
+                    ..ask("a", "once")
+                })
+                .await;
+            assert_eq!(
+                refused(&mut words).await,
+                Why::NoRoom,
+                "it never ran, so another try is harmless"
+            );
+            assert!(rig.offers().is_empty());
+        },
+    );
 }
 
 #[test]
@@ -181,9 +269,17 @@
     Rig::run(Layout::default(), async |rig| {
         let mut first = rig.ask(ask("a", "once")).await;
         placed(&mut first).await;
-        let mut second = rig.ask(v1::Ask { placing: "a#1".into(), ..ask("a", "once") }).await;
+        let mut second = rig
+            .ask(v1::Ask {
+                placing: "a#1".into(),
+                ..ask("a", "once")
+            })
+            .await;
         assert_eq!(refused(&mut second).await, Why::InHand);
-        assert!(rig.nodes.iter().any(|node| !node.holds("a").is_empty()), "the first runs on");
+        assert!(
+            rig.nodes.iter().any(|node| !node.holds("a").is_empty()),
+            "the first runs on"
+        );
     });
 }
 
@@ -201,7 +297,10 @@
 
 #[test]
 fn an_owner_that_hangs_up_while_its_shot_is_out_leaves_no_copy() {
-    let layout = Layout { look: Duration::from_millis(300), ..Layout::default() };
+    let layout = Layout {
+        look: Duration::from_millis(300),
+        ..Layout::default()
+    };
     Rig::run(layout, async |rig| {
         let words = rig.ask(ask("a", "once")).await;
         until(async || rig.offers().len() == 1).await;
@@ -214,26 +313,49 @@
 #[test]
 fn a_calls_own_deadline_is_heeded_and_its_passing_stops_nothing() {
     Rig::run(Layout::default(), async |rig| {
-        let mut request = tonic::Request::new(v1::Ask { abandon_ms: 0, ..ask("a", "once") });
+        let mut request = tonic::Request::new(v1::Ask {
+            abandon_ms: 0,
+            ..ask("a", "once")
+        });
         request.set_timeout(Duration::from_millis(600));
-        let mut words = rig.client().await.place(request).await.expect("taken").into_inner();
+        let mut words = rig
+            .client()
+            .await
+            .place(request)
+            .await
+            .expect("taken")
+            .into_inner();
         let node = placed(&mut words).await as usize;
         Timer::after(Duration::from_millis(650)).await;
         drop(words);
         // Another call after it, so that the end of the first has been seen.
         placed(&mut rig.ask(ask("b", "once")).await).await;
-        assert!(!rig.nodes[node].holds("a").is_empty(), "its owner's call has ended as agreed");
+        assert!(
+            !rig.nodes[node].holds("a").is_empty(),
+            "its owner's call has ended as agreed"
+        );
     });
 }
 
 #[test]
 fn without_room_it_is_refused_before_the_owners_time_is_up() {
-    Rig::run(Layout { nodes: 0, ..Layout::default() }, async |rig| {
-        let began = Instant::now();
-        let mut words = rig.ask(v1::Ask { abandon_ms: 1_000, ..ask("a", "once") }).await;
-        assert_eq!(refused(&mut words).await, Why::NoRoom);
-        assert!(began.elapsed() < Duration::from_millis(1_000));
-    });
+    Rig::run(
+        Layout {
+            nodes: 0,
+            ..Layout::default()
+        },
+        async |rig| {
+            let began = Instant::now();
+            let mut words = rig
+                .ask(v1::Ask {
+                    abandon_ms: 1_000,
+                    ..ask("a", "once")
+                })
+                .await;
+            assert_eq!(refused(&mut words).await, Why::NoRoom);
+            assert!(began.elapsed() < Duration::from_millis(1_000));
+        },
+    );
 }
 
 #[test_case(v1::Ask { abandon_ms: 0, ..ask("a", "web") }, "deadline"; "without a deadline")]
@@ -260,15 +382,28 @@
 #[test]
 fn garbage_and_too_large_a_message_harm_nobody_else() {
     Rig::run(Layout::default(), async |rig| {
-        let mut wild = async_net::TcpStream::connect(rig.address).await.expect("it listens");
+        let mut wild = async_net::TcpStream::connect(rig.address)
+            .await
+            .expect("it listens");
         wild.write_all(&[0xa5; 4096]).await.expect("written");
         let mut rest = Vec::new();
         let closed = corkspan_rpc::within(PATIENCE, wild.read_to_end(&mut rest)).await;
         assert!(closed.is_some(), "the link is closed");
-        let large = v1::Ask { service: "x".repeat(1 << 20), ..ask("a", "web") };
-        let status = rig.client().await.place(large).await.expect_err("turned down");
+        let large = v1::Ask {
+            service: "x".repeat(1 << 20),
+            ..ask("a", "web")
+        };
+        let status = rig
+            .client()
+            .await
+            .place(large)
+            .await
+            .expect_err("turned down");
         assert!(
-            matches!(status.code(), tonic::Code::OutOfRange | tonic::Code::ResourceExhausted),
+            matches!(
+                status.code(),
+                tonic::Code::OutOfRange | tonic::Code::ResourceExhausted
+            ),
             "{status}"
         );
         placed(&mut rig.ask(ask("sound", "web")).await).await;
@@ -280,13 +415,19 @@
     let folder = tempfile::tempdir().expect("a folder");
     let list = folder.path().join("list.json");
     let more = format!("(remembered {list:?})");
-    Rig::run(Layout { more: more.clone(), ..Layout::default() }, async |rig| {
-        until(async || list.exists()).await;
-        rig.roster.away(None);
-        let text = deployment("127.0.0.1:1".parse().expect("an address"), &more);
-        let second = Rig::beside(&rig, &text).await;
-        placed(&mut second.ask(ask("a", "web")).await).await;
-    });
+    Rig::run(
+        Layout {
+            more: more.clone(),
+            ..Layout::default()
+        },
+        async |rig| {
+            until(async || list.exists()).await;
+            rig.roster.away(None);
+            let text = deployment("127.0.0.1:1".parse().expect("an address"), &more);
+            let second = Rig::beside(&rig, &text).await;
+            placed(&mut second.ask(ask("a", "web")).await).await;
+        },
+    );
 }
 
 #[test_case(&[][..]; "empty")]
@@ -298,32 +439,57 @@
     let list = folder.path().join("list.json");
     std::fs::write(&list, torn).expect("written");
     let more = format!("(remembered {list:?})");
-    Rig::run(Layout { more, ..Layout::default() }, async |rig| {
-        assert!(folder.path().join("list.aside").exists(), "it is kept for whoever looks into it");
-        placed(&mut rig.ask(ask("a", "web")).await).await;
-        until(async || list.exists()).await;
-    });
+    Rig::run(
+        Layout {
+            more,
+            ..Layout::default()
+        },
+        async |rig| {
+            assert!(
+                folder.path().join("list.aside").exists(),
+                "it is kept for whoever looks into it"
+            );
+            placed(&mut rig.ask(ask("a", "web")).await).await;
+            until(async || list.exists()).await;
+        },
+    );
 }
 
 #[test]
 fn a_full_disk_under_the_remembered_list_stops_nothing() {
     // A folder where the file should be can't be written to, whoever tries.
     let folder = tempfile::tempdir().expect("a folder");
-    let more = format!("(remembered {:?})", folder.path().join("missing").join("list.json"));
-    Rig::run(Layout { more, ..Layout::default() }, async |rig| {
-        placed(&mut rig.ask(ask("a", "web")).await).await;
-    });
+    let more = format!(
+        "(remembered {:?})",
+        folder.path().join("missing").join("list.json")
+    );
+    Rig::run(
+        Layout {
+            more,
+            ..Layout::default()
+        },
+        async |rig| {
+            placed(&mut rig.ask(ask("a", "web")).await).await;
+        },
+    );
 }
 
 #[test]
 fn a_burst_of_five_thousand_gets_one_answer_each() {
-    let layout = Layout { more: "(bounds (in-hand 1000))".into(), ..Layout::default() };
+    let layout = Layout {
+        more: "(bounds (in-hand 1000))".into(),
+        ..Layout::default()
+    };
     Rig::run(layout, async |rig| {
         let client = rig.client().await;
         let mut calls = Vec::new();
         for number in 0..5_000 {
-            // A slow machine takes seconds to read 5,000 asks; those without room wait to the end of their time.
-            let ask = v1::Ask { abandon_ms: 12_000, ..ask(&format!("t{number}"), "web") };
+            // A slow machine takes seconds to read 5,000 asks; those without room wait to the end
+            // of their time.
+            let ask = v1::Ask {
+                abandon_ms: 12_000,
+                ..ask(&format!("t{number}"), "web")
+            };
             let mut client = client.clone();
             calls.push(rig.tasks.spawn(async move {
                 let mut words = client.place(ask).await.expect("taken").into_inner();
@@ -344,9 +510,15 @@
             }
         }
         assert_eq!(placed + too_many + no_room, 5_000);
-        assert!(placed >= 100 && too_many >= 3_000, "{placed} placed, {too_many} beyond the most in hand");
+        assert!(
+            placed >= 100 && too_many >= 3_000,
+            "{placed} placed, {too_many} beyond the most in hand"
+        );
         let status = rig.status().await;
-        assert_eq!((status.asked, status.placed, status.running), (5_000, placed, placed));
+        assert_eq!(
+            (status.asked, status.placed, status.running),
+            (5_000, placed, placed)
+        );
     });
 }
 
@@ -368,14 +540,23 @@
 
 #[test]
 fn a_dispatcher_that_stops_answers_everything_in_hand() {
-    let layout = Layout { nodes: 1, look: Duration::from_millis(100), ..Layout::default() };
+    let layout = Layout {
+        nodes: 1,
+        look: Duration::from_millis(100),
+        ..Layout::default()
+    };
     Rig::run(layout, async |rig| {
         let mut running = rig.ask(ask("running", "once")).await;
         placed(&mut running).await;
         let mut out = rig.ask(ask("out", "once")).await;
         until(async || rig.offers().len() == 2).await;
         // Larger than all that the node accepts.
-        let mut waits = rig.ask(v1::Ask { cores: 500.0, ..ask("waits", "once") }).await;
+        let mut waits = rig
+            .ask(v1::Ask {
+                cores: 500.0,
+                ..ask("waits", "once")
+            })
+            .await;
         until(async || rig.status().await.not_yet == 1).await;
         let mut late = rig.client().await;
         let stopping = rig.tasks.clone().spawn(rig.stop());
@@ -388,8 +569,15 @@
             assert_eq!(ended(next_of_weight(words).await), How::HandedBack);
         }
         let lines = stopping.await;
-        let stopped =
-            |line: &capture::Line| matches!(line.seen, Seen::Said { word: capture::Word::Stopped, .. });
+        let stopped = |line: &capture::Line| {
+            matches!(
+                line.seen,
+                Seen::Said {
+                    word: capture::Word::Stopped,
+                    ..
+                }
+            )
+        };
         assert!(!lines.iter().any(stopped), "what runs, runs on");
     });
 }
@@ -399,8 +587,12 @@
     Rig::run(Layout::default(), async |rig| {
         let text = deployment(rig.address, "").replace("127.0.0.1:0", &rig.address.to_string());
         let deployment = corkspan_deployment::Deployment::read("rig", &text).expect("sound");
-        let run =
-            corkspan_dispatcher::run(rig.tasks.clone(), deployment, |_| {}, futures_lite::future::pending());
+        let run = corkspan_dispatcher::run(
+            rig.tasks.clone(),
+            deployment,
+            |_| {},
+            futures_lite::future::pending(),
+        );
         let why = run.await.expect_err("the port is taken").to_string();
         assert!(why.contains(&rig.address.to_string()), "{why}");
     });
@@ -409,11 +601,22 @@
 #[test]
 fn links_with_nothing_on_them_are_closed() {
     let more = "(bounds (idle-close 200 ms))".to_string();
-    Rig::run(Layout { more, ..Layout::default() }, async |rig| {
-        let mut words = rig.ask(v1::Ask { life_ms: 600, ..ask("a", "web") }).await;
-        placed(&mut words).await;
-        assert_eq!(rig.status().await.links, 1);
-        assert_eq!(ended(next_of_weight(&mut words).await), How::Ended);
-        until(async || rig.status().await.links == 0).await;
-    });
+    Rig::run(
+        Layout {
+            more,
+            ..Layout::default()
+        },
+        async |rig| {
+            let mut words = rig
+                .ask(v1::Ask {
+                    life_ms: 600,
+                    ..ask("a", "web")
+                })
+                .await;
+            placed(&mut words).await;
+            assert_eq!(rig.status().await.links, 1);
+            assert_eq!(ended(next_of_weight(&mut words).await), How::Ended);
+            until(async || rig.status().await.links == 0).await;
+        },
+    );
 }
--- a/crates/lab/tests/full_path/maintenance.rs
+++ b/crates/lab/tests/full_path/maintenance.rs
@@ -1,5 +1,5 @@
-//! Machines taken out for work by processes of the program, with some killed and cut off meanwhile. Judged by the nodes'
-//! own doors and sockets.
+//! Machines taken out for work by processes of the program, with some killed and cut off meanwhile.
+//! Judged by the nodes' own doors and sockets.
 
 use crate::fleet::Process;
 use crate::rig::*;
@@ -28,7 +28,11 @@
         let more = format!("(keepers 0 1 2) (rolls {store:?}) (maintenance (every 100 ms))");
         let text = deployment(roster, &more).replace("(schedulers 1)", "(schedulers 5)");
         let file = self.folder.path().join(format!("{number}.sexp"));
-        std::fs::write(&file, text.replace("(number 0)", &format!("(number {number})"))).expect("written");
+        std::fs::write(
+            &file,
+            text.replace("(number 0)", &format!("(number {number})")),
+        )
+        .expect("written");
         let process = Process::start(file).await;
         match self.fleet.get_mut(number) {
             Some(place) => *place = Some(process),
@@ -42,33 +46,61 @@
 
     async fn operator(&self, number: usize, call: &str, rest: &[&str]) -> Output {
         let mut command = Command::new(PROGRAM);
-        command.args(["corkspan", "maintenance", call, &self.address(number).to_string()]).args(rest);
+        command
+            .args([
+                "corkspan",
+                "maintenance",
+                call,
+                &self.address(number).to_string(),
+            ])
+            .args(rest);
         blocking::unblock(move || command.output().expect("it runs")).await
     }
 
-    /// The worker: says of each machine that is his that it is done, once he has seen that nothing runs there.
+    /// The worker: says of each machine that is his that it is done, once he has seen that nothing
+    /// runs there.
     async fn works(&self, number: usize) -> String {
-        let text = String::from_utf8_lossy(&self.operator(number, "status", &[]).await.stdout).into_owned();
-        let mine = text.lines().filter_map(|line| line.strip_prefix("machine ")?.strip_suffix(": in work"));
+        let text = String::from_utf8_lossy(&self.operator(number, "status", &[]).await.stdout)
+            .into_owned();
+        let mine = text
+            .lines()
+            .filter_map(|line| line.strip_prefix("machine ")?.strip_suffix(": in work"));
         for machine in mine {
             let index: usize = machine.parse().expect("a number");
             let node = &self.rig.nodes[index];
-            assert_eq!(node.guests(), 0, "machine {machine} is the worker's, and something runs there");
+            assert_eq!(
+                node.guests(),
+                0,
+                "machine {machine} is the worker's, and something runs there"
+            );
             self.operator(number, "done", &[machine]).await;
         }
         text
     }
 
     async fn ask(&self, number: usize, task: &str) -> Option<tonic::Streaming<v1::Word>> {
-        let bounds = Bounds { connect_within: PATIENCE, ..Bounds::default() };
-        let link = Link::open(&self.rig.tasks, self.address(number), &bounds).await.ok()?;
-        let asked = v1::Ask { life_ms: 3_000, ..ask(task, "web") };
-        let mut words = PlacementClient::new(link).place(asked).await.ok()?.into_inner();
+        let bounds = Bounds {
+            connect_within: PATIENCE,
+            ..Bounds::default()
+        };
+        let link = Link::open(&self.rig.tasks, self.address(number), &bounds)
+            .await
+            .ok()?;
+        let asked = v1::Ask {
+            life_ms: 3_000,
+            ..ask(task, "web")
+        };
+        let mut words = PlacementClient::new(link)
+            .place(asked)
+            .await
+            .ok()?
+            .into_inner();
         let placed = next(&mut words).await;
         matches!(placed, Some(Word::Placed(_))).then_some(words)
     }
 
-    /// How many nodes were closed at a time at the most, and how often each was; and that no closed one accepted anything.
+    /// How many nodes were closed at a time at the most, and how often each was; and that no closed
+    /// one accepted anything.
     fn doors(&self) -> (usize, BTreeMap<u32, usize>) {
         let (mut closed, mut most, mut times) = (BTreeSet::new(), 0, BTreeMap::new());
         for line in self.rig.world.capture.lines() {
@@ -78,9 +110,19 @@
                     *times.entry(node).or_default() += 1;
                     most = most.max(closed.len());
                 }
-                Seen::Door { node, closed: false } => drop(closed.remove(&node)),
-                Seen::Said { node, word: Said::Accepted, .. } => {
-                    assert!(!closed.contains(&node), "node {node} takes work while it is closed");
+                Seen::Door {
+                    node,
+                    closed: false,
+                } => drop(closed.remove(&node)),
+                Seen::Said {
+                    node,
+                    word: Said::Accepted,
+                    ..
+                } => {
+                    assert!(
+                        !closed.contains(&node),
+                        "node {node} takes work while it is closed"
+                    );
                 }
                 _ => {}
             }
@@ -92,67 +134,118 @@
 
 #[test]
 fn all_machines_have_their_work_two_at_a_time_whoever_is_killed_or_cut_off() {
-    Rig::run(Layout { nodes: 8, ..Layout::default() }, async |rig| {
-        let tasks = rig.tasks.clone();
-        // One knows the nodes by relays: it is cut off from all of them for a while.
-        let (roster, by) = Roster::up(&rig.world).await.expect("a port");
-        let mut relays = Vec::new();
-        for node in &rig.nodes {
-            let listed = rig.roster.entry(node.plan.id).expect("listed");
-            let relay = Relay::up(&tasks, listed.address.parse().expect("an address")).await.expect("a port");
-            roster.change(Duration::ZERO, v1::Entry { address: relay.address.to_string(), ..listed });
-            relays.push(relay);
-        }
-        let mut stage = Stage { rig, folder: tempfile::tempdir().expect("a folder"), fleet: Vec::new() };
-        for number in 0..5 {
-            let roster = if number == 4 { by } else { stage.rig.roster.address };
-            stage.start(number, roster).await;
-        }
-        // Each keeps something placed, on whichever node takes it.
-        let mut calls = Vec::new();
-        until(async || {
-            calls.extend(stage.ask(calls.len() % 5, &format!("early-{}", calls.len())).await);
-            calls.len() >= 20
-        })
-        .await;
-        let all: Vec<String> = (0..8).map(|node| node.to_string()).collect();
-        let mut line: Vec<&str> = all.iter().map(String::as_str).collect();
-        line.extend(["--at-a-time", "2", "--by-hall", "1", "--warm-s", "0"]);
-        let keepers = stage.operator(0, "start", &line).await;
-        let why = String::from_utf8_lossy(&keepers.stderr).into_owned();
-        assert!(!keepers.status.success() && why.contains("of these 1 may be out"), "{why}");
-        // Without the keepers but one.
-        let line: Vec<&str> =
-            line.into_iter().filter(|word| !["0", "1"].contains(word) || *word == "--").collect();
-        let line: Vec<&str> = line.into_iter().take_while(|word| *word != "--at-a-time").collect();
-        let line = [&line[..], &["--at-a-time", "2", "--by-hall", "2", "--warm-s", "0"]].concat();
-        let started = stage.operator(0, "start", &line).await;
-        assert!(started.status.success(), "{}", String::from_utf8_lossy(&started.stderr));
-        let mut round = 0;
-        let finished = async |stage: &mut Stage, round: &mut usize| {
-            *round += 1;
-            match *round {
-                3 => relays.iter().for_each(|relay| relay.hold(&[Way::In])),
-                // Whoever holds what: killed where it stands, and started anew later.
-                5 => drop(stage.fleet[1].take()),
-                9 => relays.iter().for_each(Relay::heal),
-                11 => stage.start(1, stage.rig.roster.address).await,
-                13 => drop(stage.fleet[2].take()),
-                _ => {}
+    Rig::run(
+        Layout {
+            nodes: 8,
+            ..Layout::default()
+        },
+        async |rig| {
+            let tasks = rig.tasks.clone();
+            // One knows the nodes by relays: it is cut off from all of them for a while.
+            let (roster, by) = Roster::up(&rig.world).await.expect("a port");
+            let mut relays = Vec::new();
+            for node in &rig.nodes {
+                let listed = rig.roster.entry(node.plan.id).expect("listed");
+                let relay = Relay::up(&tasks, listed.address.parse().expect("an address"))
+                    .await
+                    .expect("a port");
+                roster.change(
+                    Duration::ZERO,
+                    v1::Entry {
+                        address: relay.address.to_string(),
+                        ..listed
+                    },
+                );
+                relays.push(relay);
             }
-            let told = stage.works(0).await;
-            let asked = stage.ask(3, &format!("late-{round}")).await;
-            drop(asked);
-            Timer::after(Duration::from_millis(50)).await;
-            told.contains("6 of 6 machines worked on") && !told.contains("machine ")
-        };
-        let began = std::time::Instant::now();
-        while !finished(&mut stage, &mut round).await {
-            assert!(began.elapsed() < 2 * PATIENCE, "{}", stage.works(0).await);
-        }
-        assert!(round >= 13, "over after {round} rounds, before all had been provoked");
-        let (most, times) = stage.doors();
-        assert_eq!((most, times.keys().copied().collect::<Vec<_>>()), (2, vec![2, 3, 4, 5, 6, 7]));
-        assert!(times.values().all(|many| *many == 1), "each once: {times:?}");
-    });
+            let mut stage = Stage {
+                rig,
+                folder: tempfile::tempdir().expect("a folder"),
+                fleet: Vec::new(),
+            };
+            for number in 0..5 {
+                let roster = if number == 4 {
+                    by
+                } else {
+                    stage.rig.roster.address
+                };
+                stage.start(number, roster).await;
+            }
+            // Each keeps something placed, on whichever node takes it.
+            let mut calls = Vec::new();
+            until(async || {
+                calls.extend(
+                    stage
+                        .ask(calls.len() % 5, &format!("early-{}", calls.len()))
+                        .await,
+                );
+                calls.len() >= 20
+            })
+            .await;
+            let all: Vec<String> = (0..8).map(|node| node.to_string()).collect();
+            let mut line: Vec<&str> = all.iter().map(String::as_str).collect();
+            line.extend(["--at-a-time", "2", "--by-hall", "1", "--warm-s", "0"]);
+            let keepers = stage.operator(0, "start", &line).await;
+            let why = String::from_utf8_lossy(&keepers.stderr).into_owned();
+            assert!(
+                !keepers.status.success() && why.contains("of these 1 may be out"),
+                "{why}"
+            );
+            // Without the keepers but one.
+            let line: Vec<&str> = line
+                .into_iter()
+                .filter(|word| !["0", "1"].contains(word) || *word == "--")
+                .collect();
+            let line: Vec<&str> = line
+                .into_iter()
+                .take_while(|word| *word != "--at-a-time")
+                .collect();
+            let line = [
+                &line[..],
+                &["--at-a-time", "2", "--by-hall", "2", "--warm-s", "0"],
+            ]
+            .concat();
+            let started = stage.operator(0, "start", &line).await;
+            assert!(
+                started.status.success(),
+                "{}",
+                String::from_utf8_lossy(&started.stderr)
+            );
+            let mut round = 0;
+            let finished = async |stage: &mut Stage, round: &mut usize| {
+                *round += 1;
+                match *round {
+                    3 => relays.iter().for_each(|relay| relay.hold(&[Way::In])),
+                    // Whoever holds what: killed where it stands, and started anew later.
+                    5 => drop(stage.fleet[1].take()),
+                    9 => relays.iter().for_each(Relay::heal),
+                    11 => stage.start(1, stage.rig.roster.address).await,
+                    13 => drop(stage.fleet[2].take()),
+                    _ => {}
+                }
+                let told = stage.works(0).await;
+                let asked = stage.ask(3, &format!("late-{round}")).await;
+                drop(asked);
+                Timer::after(Duration::from_millis(50)).await;
+                told.contains("6 of 6 machines worked on") && !told.contains("machine ")
+            };
+            let began = std::time::Instant::now();
+            while !finished(&mut stage, &mut round).await {
+                assert!(began.elapsed() < 2 * PATIENCE, "{}", stage.works(0).await);
+            }
+            assert!(
+                round >= 13,
+                "over after {round} rounds, before all had been provoked"
+            );
+            let (most, times) = stage.doors();
+            assert_eq!(
+                (most, times.keys().copied().collect::<Vec<_>>()),
+                (2, vec![2, 3, 4, 5, 6, 7])
+            );
+            assert!(
+                times.values().all(|many| *many == 1),
+                "each once: {times:?}"
+            );
+        },
+    );
 }
--- a/crates/lab/tests/full_path/rig.rs
+++ b/crates/lab/tests/full_path/rig.rs
@@ -88,7 +88,10 @@
         for id in 0..layout.nodes {
             let node = Node::new(plan(id, layout.look), &world);
             let address = node.up(false).await.expect("a port");
-            roster.change(Duration::ZERO, entry(&node, address, v1::entry::State::Serving, 0));
+            roster.change(
+                Duration::ZERO,
+                entry(&node, address, v1::entry::State::Serving, 0),
+            );
             nodes.push(node);
         }
         if layout.roster_away {
@@ -105,7 +108,14 @@
     /// A second dispatcher with another deployment, before the same nodes.
     pub async fn beside(rig: &Rig, text: &str) -> Rig {
         let (nodes, roster) = (rig.nodes.clone(), Arc::clone(&rig.roster));
-        Rig::start(rig.tasks.clone(), Arc::clone(&rig.world), nodes, roster, text).await
+        Rig::start(
+            rig.tasks.clone(),
+            Arc::clone(&rig.world),
+            nodes,
+            roster,
+            text,
+        )
+        .await
     }
 
     async fn start(
@@ -139,25 +149,51 @@
         std::thread::spawn(move || {
             let own = Tasks::default();
             let store = store.unwrap_or_else(|| Store::open(deployment.rolls.as_deref()));
-            let run = corkspan_dispatcher::run_over(store, own.clone(), deployment, ready_call, stopped);
-            // Dropped with all its tasks where it is killed: its sockets close, and it says nothing more.
+            let run =
+                corkspan_dispatcher::run_over(store, own.clone(), deployment, ready_call, stopped);
+            // Dropped with all its tasks where it is killed: its sockets close, and it says nothing
+            // more.
             let killed = async {
                 let _ = killed.recv().await;
                 Ok(())
             };
             let _ = ended.try_send(future::block_on(own.run(future::or(run, killed))));
         });
-        let address = within(PATIENCE, ready.recv()).await.expect("it listens").expect("an address");
-        Rig { tasks, world, nodes, roster, address, stop, kill, dispatcher }
+        let address = within(PATIENCE, ready.recv())
+            .await
+            .expect("it listens")
+            .expect("an address");
+        Rig {
+            tasks,
+            world,
+            nodes,
+            roster,
+            address,
+            stop,
+            kill,
+            dispatcher,
+        }
     }
 
     pub async fn client(&self) -> PlacementClient<Link> {
-        let bounds = Bounds { connect_within: PATIENCE, ..Bounds::default() };
-        PlacementClient::new(Link::open(&self.tasks, self.address, &bounds).await.expect("it listens"))
+        let bounds = Bounds {
+            connect_within: PATIENCE,
+            ..Bounds::default()
+        };
+        PlacementClient::new(
+            Link::open(&self.tasks, self.address, &bounds)
+                .await
+                .expect("it listens"),
+        )
     }
 
     pub async fn status(&self) -> v1::StatusWord {
-        self.client().await.status(v1::StatusAsk {}).await.expect("a status").into_inner()
+        self.client()
+            .await
+            .status(v1::StatusAsk {})
+            .await
+            .expect("a status")
+            .into_inner()
     }
 
     pub async fn until_serving(&self, many: u64) {
@@ -171,15 +207,27 @@
     }
 
     pub async fn hand_over(&self, ask: v1::Ask, node: u32) -> Streaming<v1::Word> {
-        let running = v1::Running { ask: Some(ask), node };
-        self.client().await.hand_over(running).await.expect("the call is taken").into_inner()
+        let running = v1::Running {
+            ask: Some(ask),
+            node,
+        };
+        self.client()
+            .await
+            .hand_over(running)
+            .await
+            .expect("the call is taken")
+            .into_inner()
     }
 
     /// Asks the dispatcher to stop and waits until it has.
     pub async fn stop(self) -> Vec<Line> {
         let _ = self.stop.send(()).await;
-        let stopped = within(PATIENCE, self.dispatcher.recv()).await.expect("it stops");
-        stopped.expect("its thread ends").expect("it stops without a failure");
+        let stopped = within(PATIENCE, self.dispatcher.recv())
+            .await
+            .expect("it stops");
+        stopped
+            .expect("its thread ends")
+            .expect("it stops without a failure");
         self.world.capture.lines()
     }
 
@@ -195,8 +243,12 @@
 
     /// The same, and starts it again with this deployment.
     pub async fn kill_and_restart(self, text: &str) -> Rig {
-        let (tasks, world, nodes, roster) =
-            (self.tasks.clone(), Arc::clone(&self.world), self.nodes.clone(), Arc::clone(&self.roster));
+        let (tasks, world, nodes, roster) = (
+            self.tasks.clone(),
+            Arc::clone(&self.world),
+            self.nodes.clone(),
+            Arc::clone(&self.roster),
+        );
         self.kill().await;
         Rig::start(tasks, world, nodes, roster, text).await
     }
@@ -204,7 +256,13 @@
     pub fn tell(&self, index: usize, state: v1::entry::State) {
         let node = &self.nodes[index];
         let old = self.roster.entry(node.plan.id).expect("the node is listed");
-        self.roster.change(Duration::ZERO, v1::Entry { state: state.into(), ..old });
+        self.roster.change(
+            Duration::ZERO,
+            v1::Entry {
+                state: state.into(),
+                ..old
+            },
+        );
     }
 
     /// Offers that nodes have seen, as (placing, number, node).
@@ -212,7 +270,12 @@
         let lines = self.world.capture.lines().into_iter();
         lines
             .filter_map(|line| match line.seen {
-                Seen::Offered { node, placing, number, .. } => Some((placing, number, node)),
+                Seen::Offered {
+                    node,
+                    placing,
+                    number,
+                    ..
+                } => Some((placing, number, node)),
                 _ => None,
             })
             .collect()
@@ -225,8 +288,14 @@
         kind: "small".into(),
         hall: if id < 2 { "a" } else { "b" }.into(),
         cell: u64::from(id),
-        size: Amount { cores: 40.0, memory: 80.0 },
-        accepts: Amount { cores: 2.0, memory: 1.5 },
+        size: Amount {
+            cores: 40.0,
+            memory: 80.0,
+        },
+        accepts: Amount {
+            cores: 2.0,
+            memory: 1.5,
+        },
         look,
         line: 10_000,
         start: Duration::from_millis(5),
@@ -234,12 +303,22 @@
         starts_at_once: 64,
         keeps: 4,
         makes_room: false,
-        cold: Cold { lasts: Duration::from_secs(2), window: Duration::from_secs(1), most: 12, pace: 0.5 },
+        cold: Cold {
+            lasts: Duration::from_secs(2),
+            window: Duration::from_secs(1),
+            most: 12,
+            pace: 0.5,
+        },
         seed: 1,
     }
 }
 
-pub fn entry(node: &Node, address: SocketAddr, state: v1::entry::State, started_ms: u64) -> v1::Entry {
+pub fn entry(
+    node: &Node,
+    address: SocketAddr,
+    state: v1::entry::State,
+    started_ms: u64,
+) -> v1::Entry {
     v1::Entry {
         node: node.plan.id,
         address: address.to_string(),
@@ -269,7 +348,9 @@
 
 /// The next word, or none where the stream ends.
 pub async fn next(words: &mut Streaming<v1::Word>) -> Option<Word> {
-    let word = within(PATIENCE, words.message()).await.expect("a word or an end");
+    let word = within(PATIENCE, words.message())
+        .await
+        .expect("a word or an end");
     word.ok().flatten().and_then(|word| word.word)
 }
 
@@ -304,5 +385,7 @@
             Timer::after(Duration::from_millis(5)).await;
         }
     };
-    within(PATIENCE, waits).await.expect("the condition comes to hold");
+    within(PATIENCE, waits)
+        .await
+        .expect("the condition comes to hold");
 }
--- a/crates/lab/tests/full_path/rolls.rs
+++ b/crates/lab/tests/full_path/rolls.rs
@@ -1,4 +1,5 @@
-//! Rolling updates over real sockets: the limit is counted by the judge from what copies say of themselves.
+//! Rolling updates over real sockets: the limit is counted by the judge from what copies say of
+//! themselves.
 
 use crate::rig::*;
 use corkspan_api::v1::{self, roll::Phase, rolls_client::RollsClient};
@@ -17,7 +18,10 @@
 use test_case::test_case;
 
 fn more(folder: &Path, number: usize) -> String {
-    format!("(keepers 0 1 2) (rolls {:?})", folder.join(format!("rolls-{number}.redb")))
+    format!(
+        "(keepers 0 1 2) (rolls {:?})",
+        folder.join(format!("rolls-{number}.redb"))
+    )
 }
 
 /// Some dispatchers before ten nodes, and owners of so many copies of one service.
@@ -41,7 +45,8 @@
         for number in 1..dispatchers {
             let text = deployment(rigs[0].roster.address, &more(folder.path(), number));
             let text = text.replace("(number 0)", &format!("(number {number})"));
-            // Each knows how many there are; the first was told of itself alone, which only makes it bolder.
+            // Each knows how many there are; the first was told of itself alone, which only makes
+            // it bolder.
             let text = text.replace("(schedulers 1)", &format!("(schedulers {dispatchers})"));
             let rig = Rig::beside(&rigs[0], &text).await;
             rig.until_serving(10).await;
@@ -64,9 +69,16 @@
                 cancels: None,
             };
             let rng = Pcg64Mcg::seed_from_u64(number as u64);
-            rigs[0].tasks.spawn(live(Arc::clone(&front), task, rng, until)).detach();
+            rigs[0]
+                .tasks
+                .spawn(live(Arc::clone(&front), task, rng, until))
+                .detach();
         }
-        let stage = Stage { rigs, front, folder };
+        let stage = Stage {
+            rigs,
+            front,
+            folder,
+        };
         until_ready(&stage, "", copies).await;
         stage
     }
@@ -76,13 +88,21 @@
     }
 
     async fn rolls(&self, dispatcher: usize) -> RollsClient<Link> {
-        let bounds = Bounds { connect_within: PATIENCE, ..Bounds::default() };
+        let bounds = Bounds {
+            connect_within: PATIENCE,
+            ..Bounds::default()
+        };
         let rig = &self.rigs[dispatcher];
-        RollsClient::new(Link::open(&rig.tasks, rig.address, &bounds).await.expect("it listens"))
+        RollsClient::new(
+            Link::open(&rig.tasks, rig.address, &bounds)
+                .await
+                .expect("it listens"),
+        )
     }
 
     async fn start(&self, dispatcher: usize, version: &str, unready_most: u32) -> v1::RollWord {
-        self.start_in(dispatcher, version, unready_most, false).await
+        self.start_in(dispatcher, version, unready_most, false)
+            .await
     }
 
     async fn start_in(
@@ -113,17 +133,37 @@
             failures_most: 1,
             start_first,
         };
-        self.rolls(dispatcher).await.start(ask).await.expect("an answer").into_inner()
+        self.rolls(dispatcher)
+            .await
+            .start(ask)
+            .await
+            .expect("an answer")
+            .into_inner()
     }
 
     async fn change(&self, what: v1::change_ask::What) -> v1::RollWord {
-        let ask = v1::ChangeAsk { service: "s".into(), what: what.into() };
-        self.rolls(0).await.change(ask).await.expect("an answer").into_inner()
+        let ask = v1::ChangeAsk {
+            service: "s".into(),
+            what: what.into(),
+        };
+        self.rolls(0)
+            .await
+            .change(ask)
+            .await
+            .expect("an answer")
+            .into_inner()
     }
 
     async fn status(&self, dispatcher: usize) -> v1::RollStatus {
-        let ask = v1::RollStatusAsk { service: "s".into() };
-        self.rolls(dispatcher).await.status(ask).await.expect("an answer").into_inner()
+        let ask = v1::RollStatusAsk {
+            service: "s".into(),
+        };
+        self.rolls(dispatcher)
+            .await
+            .status(ask)
+            .await
+            .expect("an answer")
+            .into_inner()
     }
 
     /// Ready copies by version, and the most not ready at a time since the roll began.
@@ -133,7 +173,12 @@
         for Line { seen, .. } in self.lines() {
             match seen {
                 Seen::Roll { .. } => rolling = true,
-                Seen::Ready { task, version, ready: true, .. } => {
+                Seen::Ready {
+                    task,
+                    version,
+                    ready: true,
+                    ..
+                } => {
                     copies.insert(task, version);
                 }
                 Seen::Ready { task, .. } => drop(copies.remove(&task)),
@@ -145,28 +190,47 @@
             }
         }
         let mut by_version = BTreeMap::new();
-        copies.into_values().for_each(|version| *by_version.entry(version).or_default() += 1);
+        copies
+            .into_values()
+            .for_each(|version| *by_version.entry(version).or_default() += 1);
         (by_version, most)
     }
 
-    /// Ready copies by version now; and since the roll began, tasks without any ready copy at a time and copies
-    /// beside others, the most of each.
+    /// Ready copies by version now; and since the roll began, tasks without any ready copy at a
+    /// time and copies beside others, the most of each.
     fn ready_now(&self) -> (BTreeMap<String, usize>, usize, usize) {
-        let (mut copies, mut tasks) = (BTreeMap::<(String, u32, String), usize>::new(), BTreeSet::new());
+        let (mut copies, mut tasks) = (
+            BTreeMap::<(String, u32, String), usize>::new(),
+            BTreeSet::new(),
+        );
         let (mut unready, mut beside, mut rolling) = (0, 0, false);
         for Line { seen, .. } in self.lines() {
             match seen {
                 Seen::Roll { .. } => rolling = true,
-                Seen::Ready { task, node, version, ready, .. } => {
+                Seen::Ready {
+                    task,
+                    node,
+                    version,
+                    ready,
+                    ..
+                } => {
                     tasks.insert(task.clone());
                     let many = copies.entry((task, node, version)).or_default();
-                    *many = if ready { *many + 1 } else { many.saturating_sub(1) };
+                    *many = if ready {
+                        *many + 1
+                    } else {
+                        many.saturating_sub(1)
+                    };
                 }
                 _ => {}
             }
             if rolling {
                 let many = |task: &String| -> usize {
-                    copies.iter().filter(|((own, _, _), _)| own == task).map(|(_, many)| many).sum()
+                    copies
+                        .iter()
+                        .filter(|((own, _, _), _)| own == task)
+                        .map(|(_, many)| many)
+                        .sum()
                 };
                 unready = unready.max(tasks.iter().filter(|task| many(task) == 0).count());
                 beside = beside.max(tasks.iter().map(|task| many(task).saturating_sub(1)).sum());
@@ -181,27 +245,57 @@
 
     /// Copies of each task on all nodes, whoever knows of them: one each, and no more.
     fn one_each(&self, copies: usize) -> bool {
-        let held =
-            |task: String| self.rigs[0].nodes.iter().map(|node| node.holds(&task).len()).sum::<usize>();
+        let held = |task: String| {
+            self.rigs[0]
+                .nodes
+                .iter()
+                .map(|node| node.holds(&task).len())
+                .sum::<usize>()
+        };
         (0..copies).all(|number| held(format!("c{number}")) == 1)
     }
 
     fn breaches(&self) -> Vec<String> {
         // The rig has no day of its own: the limit of a roll needs no figure of one.
-        let mut lines = vec![Line { t: 0, seen: Seen::Day(rules()) }];
+        let mut lines = vec![Line {
+            t: 0,
+            seen: Seen::Day(rules()),
+        }];
         lines.extend(self.lines());
-        judge(&lines).expect("readable").iter().filter(|it| it.rule == 6).map(ToString::to_string).collect()
+        judge(&lines)
+            .expect("readable")
+            .iter()
+            .filter(|it| it.rule == 6)
+            .map(ToString::to_string)
+            .collect()
     }
 }
 
 fn rules() -> corkspan_lab::capture::Rules {
     use corkspan_lab::capture::{Cold, Rules, Track};
-    let track = Track { name: "web".into(), repeat: Repeat::Idempotent, contract_us: 1, spread: None };
-    let cold = Cold { lasts_us: 0, window_us: 0, most: usize::MAX };
-    Rules { seed: 0, tracks: vec![track], nodes: Vec::new(), grace_us: 0, cold, slack_us: 1_000_000 }
+    let track = Track {
+        name: "web".into(),
+        repeat: Repeat::Idempotent,
+        contract_us: 1,
+        spread: None,
+    };
+    let cold = Cold {
+        lasts_us: 0,
+        window_us: 0,
+        most: usize::MAX,
+    };
+    Rules {
+        seed: 0,
+        tracks: vec![track],
+        nodes: Vec::new(),
+        grace_us: 0,
+        cold,
+        slack_us: 1_000_000,
+    }
 }
 
-/// Waits for what takes a whole roll, which may be ten waves of nearly two seconds: more than `until` gives.
+/// Waits for what takes a whole roll, which may be ten waves of nearly two seconds: more than
+/// `until` gives.
 async fn within_a_roll(mut condition: impl AsyncFnMut() -> bool) -> bool {
     let waits = corkspan_rpc::within(Duration::from_secs(50), async {
         while !condition().await {
@@ -212,18 +306,36 @@
 }
 
 async fn until_ready(stage: &Stage, version: &str, copies: usize) {
-    let are =
-        within_a_roll(async || stage.ready().0.get(version).is_some_and(|&ready| ready >= copies)).await;
+    let are = within_a_roll(async || {
+        stage
+            .ready()
+            .0
+            .get(version)
+            .is_some_and(|&ready| ready >= copies)
+    })
+    .await;
     let (ready, most) = stage.ready();
-    assert!(are, "{copies} of `{version}` are awaited; ready are {ready:?}, at most {most} were not");
+    assert!(
+        are,
+        "{copies} of `{version}` are awaited; ready are {ready:?}, at most {most} were not"
+    );
 }
 
 /// Waits until all copies are of the former version: placed before the roll, or put back.
 async fn until_unrolled(stage: &Stage, copies: usize) {
-    let former = |ready: BTreeMap<String, usize>| ready.get("").unwrap_or(&0) + ready.get("v1").unwrap_or(&0);
-    assert!(within_a_roll(async || former(stage.ready().0) >= copies).await, "{:?}", stage.ready());
+    let former = |ready: BTreeMap<String, usize>| {
+        ready.get("").unwrap_or(&0) + ready.get("v1").unwrap_or(&0)
+    };
+    assert!(
+        within_a_roll(async || former(stage.ready().0) >= copies).await,
+        "{:?}",
+        stage.ready()
+    );
     let untouched = stage.ready().0.get("").copied().unwrap_or(0);
-    assert!(untouched >= copies / 2, "an undo leaves alone what was not rolled: {untouched}");
+    assert!(
+        untouched >= copies / 2,
+        "an undo leaves alone what was not rolled: {untouched}"
+    );
 }
 
 fn story<F: Future<Output = ()>>(
@@ -233,8 +345,14 @@
     story: impl FnOnce(Stage) -> F,
 ) {
     let folder = tempfile::tempdir().expect("a folder");
-    let layout = Layout { nodes: 10, more: more(folder.path(), 0), ..Layout::default() };
-    Rig::run(layout, async |rig| story(Stage::set(rig, folder, dispatchers, copies, track).await).await);
+    let layout = Layout {
+        nodes: 10,
+        more: more(folder.path(), 0),
+        ..Layout::default()
+    };
+    Rig::run(layout, async |rig| {
+        story(Stage::set(rig, folder, dispatchers, copies, track).await).await
+    });
 }
 
 #[test_case(1, 100, 20, "web"; "one dispatcher, a hundred copies")]
@@ -252,7 +370,10 @@
         until_ready(&stage, "v2", copies).await;
         let (ready, unready) = stage.ready();
         assert_eq!(ready, BTreeMap::from([("v2".into(), copies)]));
-        assert!(unready >= 1 && unready <= most as usize, "{unready} were not ready at a time");
+        assert!(
+            unready >= 1 && unready <= most as usize,
+            "{unready} were not ready at a time"
+        );
         assert_eq!(stage.breaches(), [""; 0]);
         // All slots come back.
         until(async || stage.status(0).await.held.is_empty()).await;
@@ -265,7 +386,13 @@
     story(2, 20, "web", async |stage| {
         stage.rigs[0].world.spoil("v2", how);
         assert!(stage.start(0, "v2", 4).await.taken);
-        let halted = async || stage.status(1).await.roll.is_some_and(|roll| roll.phase() == Phase::Halted);
+        let halted = async || {
+            stage
+                .status(1)
+                .await
+                .roll
+                .is_some_and(|roll| roll.phase() == Phase::Halted)
+        };
         until(halted).await;
         let (ready, unready) = stage.ready();
         assert!(unready <= 4, "{unready} were not ready");
@@ -279,20 +406,29 @@
 #[test]
 fn of_two_operators_at_once_one_wins() {
     story(3, 6, "web", async |stage| {
-        let (one, two) = futures_lite::future::zip(stage.start(1, "v2", 2), stage.start(2, "v3", 2)).await;
+        let (one, two) =
+            futures_lite::future::zip(stage.start(1, "v2", 2), stage.start(2, "v3", 2)).await;
         let number = |word: &v1::RollWord| word.stands.as_ref().map_or(0, |roll| roll.number);
         let wins = match (one.taken, two.taken) {
             // One came after the other was done, and takes over from it as a later wish does.
             (true, true) => {
                 assert_ne!(number(&one), number(&two), "two winners of one number");
-                Some(if number(&one) > number(&two) { "v2" } else { "v3" })
+                Some(if number(&one) > number(&two) {
+                    "v2"
+                } else {
+                    "v3"
+                })
             }
             (true, false) => Some("v2"),
             (false, true) => Some("v3"),
             (false, false) => None,
         };
         for loser in [&one, &two].into_iter().filter(|word| !word.taken) {
-            assert!(loser.text.contains(wins.unwrap_or("no majority")), "it is told: {}", loser.text);
+            assert!(
+                loser.text.contains(wins.unwrap_or("no majority")),
+                "it is told: {}",
+                loser.text
+            );
         }
         if let Some(wins) = wins {
             until_ready(&stage, wins, 6).await;
@@ -307,10 +443,21 @@
         assert!(stage.start(0, "v2", 2).await.taken);
         until(async || stage.ready().0.contains_key("v2")).await;
         assert!(stage.change(v1::change_ask::What::Pause).await.taken);
-        until(async || stage.status(0).await.roll.is_some_and(|roll| roll.phase() == Phase::Paused)).await;
+        until(async || {
+            stage
+                .status(0)
+                .await
+                .roll
+                .is_some_and(|roll| roll.phase() == Phase::Paused)
+        })
+        .await;
         until(async || stage.status(0).await.held.is_empty()).await;
         let before = stage.ready().0;
-        assert_eq!(before.values().sum::<usize>(), 20, "what was down has come back");
+        assert_eq!(
+            before.values().sum::<usize>(),
+            20,
+            "what was down has come back"
+        );
         async_io::Timer::after(Duration::from_millis(1_500)).await;
         assert_eq!(stage.ready().0, before);
         assert!(stage.change(v1::change_ask::What::Resume).await.taken);
@@ -322,7 +469,10 @@
 fn a_keeper_that_dies_stops_nothing_and_two_stop_the_roll() {
     story(1, 12, "web", async |stage| {
         stage.rigs[0].nodes[0].kill(NodeState::Gone);
-        assert!(stage.start(0, "v2", 3).await.taken, "two of three are a majority");
+        assert!(
+            stage.start(0, "v2", 3).await.taken,
+            "two of three are a majority"
+        );
         until_ready(&stage, "v2", 12).await;
         stage.rigs[0].nodes[1].kill(NodeState::Gone);
         let ask = v1::RollAsk {
@@ -333,8 +483,17 @@
             ready_within_ms: 3_000,
             ..v1::RollAsk::default()
         };
-        let why = stage.rolls(0).await.start(ask).await.expect_err("no majority");
-        assert!(why.message().contains("1 of 3 keepers"), "{}", why.message());
+        let why = stage
+            .rolls(0)
+            .await
+            .start(ask)
+            .await
+            .expect_err("no majority");
+        assert!(
+            why.message().contains("1 of 3 keepers"),
+            "{}",
+            why.message()
+        );
     });
 }
 
@@ -352,12 +511,23 @@
 fn a_dispatcher_killed_while_it_conducts_leaves_no_slot_behind() {
     story(2, 16, "web", async |mut stage| {
         assert!(stage.start(0, "v2", 2).await.taken);
-        until(async || stage.status(0).await.held.iter().any(|slot| slot.dispatcher == 1)).await;
-        // Its links break as they would at a kill; owners hand over what runs, and ask again for what doesn't.
+        until(async || {
+            stage
+                .status(0)
+                .await
+                .held
+                .iter()
+                .any(|slot| slot.dispatcher == 1)
+        })
+        .await;
+        // Its links break as they would at a kill; owners hand over what runs, and ask again for
+        // what doesn't.
         let killed = stage.rigs.pop().expect("two");
         stage.front.open(1, None);
         let text = deployment(killed.roster.address, &more(stage.folder.path(), 1));
-        let text = text.replace("(number 0)", "(number 1)").replace("(schedulers 1)", "(schedulers 2)");
+        let text = text
+            .replace("(number 0)", "(number 1)")
+            .replace("(schedulers 1)", "(schedulers 2)");
         killed.kill().await;
         let again = Rig::beside(&stage.rigs[0], &text).await;
         stage.front.open(1, Some(again.address));
@@ -365,7 +535,11 @@
         until_ready(&stage, "v2", 16).await;
         assert_eq!(stage.breaches(), [""; 0]);
         until(async || stage.status(0).await.held.is_empty()).await;
-        assert_eq!(stage.ready().0, BTreeMap::from([("v2".into(), 16)]), "one copy each, of one version");
+        assert_eq!(
+            stage.ready().0,
+            BTreeMap::from([("v2".into(), 16)]),
+            "one copy each, of one version"
+        );
     });
 }
 
@@ -373,7 +547,11 @@
 fn a_torn_store_is_set_aside_and_said() {
     let folder = tempfile::tempdir().expect("a folder");
     std::fs::write(folder.path().join("rolls-0.redb"), vec![0x5a; 9000]).expect("written");
-    let layout = Layout { nodes: 10, more: more(folder.path(), 0), ..Layout::default() };
+    let layout = Layout {
+        nodes: 10,
+        more: more(folder.path(), 0),
+        ..Layout::default()
+    };
     Rig::run(layout, async |rig| {
         assert!(folder.path().join("rolls-0.aside").exists());
         let stage = Stage::set(rig, folder, 1, 6, "web").await;
@@ -395,13 +573,28 @@
     Rig::run(layout, async |rig| {
         let stage = Stage::set(rig, folder, 1, 8, "web").await;
         assert!(stage.start(0, "v2", 4).await.taken);
-        let stopped = |line: &Line| matches!(line.seen, Seen::Said { word: capture::Word::Stopped, .. });
+        let stopped = |line: &Line| {
+            matches!(
+                line.seen,
+                Seen::Said {
+                    word: capture::Word::Stopped,
+                    ..
+                }
+            )
+        };
         until(async || stage.lines().iter().any(stopped)).await;
         assert!(stage.change(v1::change_ask::What::Undo).await.taken);
         until_unrolled(&stage, 8).await;
         let lines = stage.lines();
-        let placed =
-            lines.iter().filter(|line| matches!(line.seen, Seen::Heard { word: capture::Word::Placed, .. }));
+        let placed = lines.iter().filter(|line| {
+            matches!(
+                line.seen,
+                Seen::Heard {
+                    word: capture::Word::Placed,
+                    ..
+                }
+            )
+        });
         assert_eq!(placed.count(), 8, "one final answer each");
         assert_eq!(stage.breaches(), [""; 0]);
     });
@@ -412,7 +605,11 @@
     let folder = tempfile::tempdir().expect("a folder");
     // No file can be made in a folder that is not there, whoever tries.
     let more = more(&folder.path().join("missing"), 0);
-    let layout = Layout { nodes: 10, more, ..Layout::default() };
+    let layout = Layout {
+        nodes: 10,
+        more,
+        ..Layout::default()
+    };
     Rig::run(layout, async |rig| {
         let stage = Stage::set(rig, folder, 1, 4, "web").await;
         assert!(stage.start(0, "v2", 2).await.taken, "the keepers have it");
@@ -436,7 +633,10 @@
         until(async || stage.one_each(copies)).await;
         let (_, unready, beside) = stage.ready_now();
         assert_eq!(unready, 0, "none was missing at any time");
-        assert!(beside >= 1 && beside <= most as usize, "{beside} stood beside others");
+        assert!(
+            beside >= 1 && beside <= most as usize,
+            "{beside} stood beside others"
+        );
         assert_eq!(stage.breaches(), [""; 0]);
         until(async || stage.status(0).await.held.is_empty()).await;
     });
@@ -449,7 +649,10 @@
         assert!(stage.start_in(0, "v2", 2, true).await.taken);
         until_ready(&stage, "v2", 8).await;
         let (_, unready, beside) = stage.ready_now();
-        assert!(beside == 0 && (1..=2).contains(&unready), "{beside} beside others, {unready} not ready");
+        assert!(
+            beside == 0 && (1..=2).contains(&unready),
+            "{beside} beside others, {unready} not ready"
+        );
         assert_eq!(stage.breaches(), [""; 0]);
     });
 }
@@ -460,10 +663,21 @@
     story(2, 20, "web", async |stage| {
         stage.rigs[0].world.spoil("v2", how);
         assert!(stage.start_in(0, "v2", 4, true).await.taken);
-        until(async || stage.status(1).await.roll.is_some_and(|roll| roll.phase() == Phase::Halted)).await;
+        until(async || {
+            stage
+                .status(1)
+                .await
+                .roll
+                .is_some_and(|roll| roll.phase() == Phase::Halted)
+        })
+        .await;
         until(async || stage.one_each(20)).await;
         let (ready, unready, _) = stage.ready_now();
-        assert_eq!((ready, unready), (BTreeMap::from([(String::new(), 20)]), 0), "all old ones run on");
+        assert_eq!(
+            (ready, unready),
+            (BTreeMap::from([(String::new(), 20)]), 0),
+            "all old ones run on"
+        );
         until(async || stage.status(0).await.held.is_empty()).await;
         assert_eq!(stage.breaches(), [""; 0]);
     });
@@ -477,17 +691,36 @@
         stage.rigs[0].nodes.iter().for_each(|node| node.drain());
         assert!(stage.start_in(0, "v2", 3, start_first).await.taken);
         if start_first {
-            let halted =
-                async || stage.status(0).await.roll.is_some_and(|roll| roll.phase() == Phase::Halted);
+            let halted = async || {
+                stage
+                    .status(0)
+                    .await
+                    .roll
+                    .is_some_and(|roll| roll.phase() == Phase::Halted)
+            };
             until(halted).await;
             let why = stage.status(0).await.roll.expect("there is one").why;
-            assert!(why.contains("without room") && !why.contains(" 0 without room"), "{why}");
+            assert!(
+                why.contains("without room") && !why.contains(" 0 without room"),
+                "{why}"
+            );
             assert_eq!(stage.ready_now().0, BTreeMap::from([(String::new(), 12)]));
         } else {
-            let sent_away =
-                |line: &Line| matches!(line.seen, Seen::Heard { word: capture::Word::SentAway, .. });
+            let sent_away = |line: &Line| {
+                matches!(
+                    line.seen,
+                    Seen::Heard {
+                        word: capture::Word::SentAway,
+                        ..
+                    }
+                )
+            };
             until(async || stage.lines().iter().filter(|line| sent_away(line)).count() >= 3).await;
-            assert_eq!(stage.ready_now().0, BTreeMap::from([(String::new(), 9)]), "the others run on");
+            assert_eq!(
+                stage.ready_now().0,
+                BTreeMap::from([(String::new(), 9)]),
+                "the others run on"
+            );
         }
         assert_eq!(stage.breaches(), [""; 0]);
     });
@@ -514,11 +747,29 @@
     story(2, 8, "web", async |mut stage| {
         assert!(stage.start_in(0, "v2", 2, start_first).await.taken);
         let is_it = |line: &Line| match (&line.seen, step) {
-            (Seen::Said { word: capture::Word::Stopped, .. }, Step::OldStopped) => true,
-            (Seen::Said { word: capture::Word::Accepted, placing, .. }, Step::NewAccepted) => {
-                placing.contains('~')
-            }
-            (Seen::Ready { ready: true, version, .. }, Step::NewReady) => version == "v2",
+            (
+                Seen::Said {
+                    word: capture::Word::Stopped,
+                    ..
+                },
+                Step::OldStopped,
+            ) => true,
+            (
+                Seen::Said {
+                    word: capture::Word::Accepted,
+                    placing,
+                    ..
+                },
+                Step::NewAccepted,
+            ) => placing.contains('~'),
+            (
+                Seen::Ready {
+                    ready: true,
+                    version,
+                    ..
+                },
+                Step::NewReady,
+            ) => version == "v2",
             _ => false,
         };
         match step {
@@ -547,7 +798,12 @@
             }
         });
         let done = done.await;
-        assert!(done.is_some(), "{:?} {:?}", stage.ready_now(), stage.status(0).await);
+        assert!(
+            done.is_some(),
+            "{:?} {:?}",
+            stage.ready_now(),
+            stage.status(0).await
+        );
         assert_eq!(stage.breaches(), [""; 0]);
     });
 }
@@ -559,19 +815,27 @@
     let full = Full::default();
     let store = disk::store(folder.path().join("rolls-0.redb"), &full);
     let more = more(folder.path(), 0);
-    let layout = Layout { nodes: 10, more, store: Some(store), ..Layout::default() };
+    let layout = Layout {
+        nodes: 10,
+        more,
+        store: Some(store),
+        ..Layout::default()
+    };
     Rig::run(layout, async |rig| {
         let stage = Stage::set(rig, folder, 1, 12, "web").await;
         assert!(stage.start_in(0, "v2", 2, start_first).await.taken);
         until(async || stage.ready_now().0.contains_key("v2")).await;
         full.set(true);
-        // Nothing is begun. What was begun comes to its end, or stands beside an old copy until there is room.
+        // Nothing is begun. What was begun comes to its end, or stands beside an old copy until
+        // there is room.
         let claims = async || stage.status(0).await.held;
         if start_first {
             async_io::Timer::after(Duration::from_millis(2_000)).await;
         } else {
-            until(async || stage.ready_now().0.values().sum::<usize>() == 12 && claims().await.is_empty())
-                .await;
+            until(async || {
+                stage.ready_now().0.values().sum::<usize>() == 12 && claims().await.is_empty()
+            })
+            .await;
         }
         let before = stage.ready_now().0;
         async_io::Timer::after(Duration::from_millis(1_000)).await;
--- a/crates/lab/tests/full_path/stores.rs
+++ b/crates/lab/tests/full_path/stores.rs
@@ -5,13 +5,28 @@
 use corkspan_roll::ClaimId;
 
 fn held(claim: u64, won: bool, pair: Option<bool>) -> Held {
-    let pair = pair.map(|retires| Pair { old: "c#0".into(), new: "c#0~1".into(), retires });
-    Held { claim: ClaimId(claim), service: "s".into(), task: format!("c{claim}"), won, pair }
+    let pair = pair.map(|retires| Pair {
+        old: "c#0".into(),
+        new: "c#0~1".into(),
+        retires,
+    });
+    Held {
+        claim: ClaimId(claim),
+        service: "s".into(),
+        task: format!("c{claim}"),
+        won,
+        pair,
+    }
 }
 
 /// All that a replacing writes of its claim, in its order.
 fn steps() -> Vec<Held> {
-    vec![held(7, false, None), held(7, true, None), held(7, true, Some(false)), held(7, true, Some(true))]
+    vec![
+        held(7, false, None),
+        held(7, true, None),
+        held(7, true, Some(false)),
+        held(7, true, Some(true)),
+    ]
 }
 
 #[test]
@@ -29,13 +44,21 @@
                     store.claim(&step).expect_err("the disk is full");
                 }
                 full.set(false);
-                assert_eq!(Store::open(Some(&path)).read().1, before, "what a kill then leaves");
+                assert_eq!(
+                    Store::open(Some(&path)).read().1,
+                    before,
+                    "what a kill then leaves"
+                );
             }
             store.claim(&step).expect("there is room");
             before = vec![step];
             assert_eq!(store.read().1, before);
         }
         drop(store);
-        assert_eq!(Store::open(Some(&path)).read().1, before, "the next life reads it");
+        assert_eq!(
+            Store::open(Some(&path)).read().1,
+            before,
+            "the next life reads it"
+        );
     }
 }
--- a/crates/lab/tests/full_path/versions.rs
+++ b/crates/lab/tests/full_path/versions.rs
@@ -1,8 +1,10 @@
-//! Versions streamed to a running dispatcher over real sockets. What is in force is read by another way than the
-//! stream: asks of tracks that only one version names, and the operators' status.
+//! Versions streamed to a running dispatcher over real sockets. What is in force is read by another
+//! way than the stream: asks of tracks that only one version names, and the operators' status.
 
 use crate::rig::*;
-use corkspan_api::v1::{self, refused::Why, told::Answer, versions_client::VersionsClient, word::Word};
+use corkspan_api::v1::{
+    self, refused::Why, told::Answer, versions_client::VersionsClient, word::Word,
+};
 use corkspan_control::Push;
 use corkspan_deployment::version::{Stamp, Texts};
 use corkspan_lab::control::{Control, Up, message, stamp_of};
@@ -22,7 +24,10 @@
 
 fn more(control: &Control, folder: &Path) -> String {
     let kept = folder.join("versions.json");
-    format!("(accounts (one (share-cores 100))) (control \"{}\") (versions {kept:?})", control.address)
+    format!(
+        "(accounts (one (share-cores 100))) (control \"{}\") (versions {kept:?})",
+        control.address
+    )
 }
 
 fn story<F: Future<Output = ()>>(story: impl FnOnce(Stage) -> F) {
@@ -32,7 +37,12 @@
         let text = deployment(rig.roster.address, &more(&control, folder.path()));
         let rig = rig.kill_and_restart(&text).await;
         rig.until_serving(2).await;
-        let stage = Stage { rig, control, up: Some(up), folder };
+        let stage = Stage {
+            rig,
+            control,
+            up: Some(up),
+            folder,
+        };
         until(async || stage.control.opened() == 1).await;
         story(stage).await;
     });
@@ -40,32 +50,56 @@
 
 impl Stage {
     fn file(&self) -> String {
-        deployment(self.rig.roster.address, &more(&self.control, self.folder.path()))
+        deployment(
+            self.rig.roster.address,
+            &more(&self.control, self.folder.path()),
+        )
     }
 
     /// The file's shared parts, with these changed.
     fn texts(&self, changes: &str) -> Texts {
         let shared = Texts::of("file", &self.file()).expect("sound");
-        shared.changed(&Texts::of("changes", &format!("(deployment {changes})")).expect("forms"), &[])
+        shared.changed(
+            &Texts::of("changes", &format!("(deployment {changes})")).expect("forms"),
+            &[],
+        )
     }
 
     /// The file's, with more tracks.
     fn with_tracks(&self, names: &[&str]) -> Texts {
         let texts = self.texts("");
         let tracks = texts.get("tracks").expect("there are");
-        let more = names.iter().map(|name| format!(" ({name} (repeat idempotent) (contract-time 300 ms))"));
-        let tracks = format!("{}{})", &tracks[..tracks.len() - 1], more.collect::<String>());
+        let more = names
+            .iter()
+            .map(|name| format!(" ({name} (repeat idempotent) (contract-time 300 ms))"));
+        let tracks = format!(
+            "{}{})",
+            &tracks[..tracks.len() - 1],
+            more.collect::<String>()
+        );
         texts.changed(&[("tracks".to_string(), tracks)].into_iter().collect(), &[])
     }
 
     async fn status(&self) -> v1::VersionStatus {
-        let bounds = Bounds { connect_within: PATIENCE, ..Bounds::default() };
-        let link = Link::open(&self.rig.tasks, self.rig.address, &bounds).await.expect("it listens");
-        VersionsClient::new(link).status(v1::VersionStatusAsk {}).await.expect("a status").into_inner()
+        let bounds = Bounds {
+            connect_within: PATIENCE,
+            ..Bounds::default()
+        };
+        let link = Link::open(&self.rig.tasks, self.rig.address, &bounds)
+            .await
+            .expect("it listens");
+        VersionsClient::new(link)
+            .status(v1::VersionStatusAsk {})
+            .await
+            .expect("a status")
+            .into_inner()
     }
 
     async fn in_force(&self) -> u64 {
-        self.status().await.running.map_or(u64::MAX, |running| running.number)
+        self.status()
+            .await
+            .running
+            .map_or(u64::MAX, |running| running.number)
     }
 
     async fn until_in_force(&self, stamp: Stamp) {
@@ -97,9 +131,20 @@
 }
 
 fn push(nonce: u64, number: u64, texts: &Texts, follows: &[Stamp]) -> Push {
-    let stamp = Stamp { number, digest: texts.digest() };
+    let stamp = Stamp {
+        number,
+        digest: texts.digest(),
+    };
     let (changes, follows) = (texts.clone(), follows.to_vec());
-    Push { nonce, stamp, follows, onto: None, changes, removed: Vec::new(), cuts: false }
+    Push {
+        nonce,
+        stamp,
+        follows,
+        onto: None,
+        changes,
+        removed: Vec::new(),
+        cuts: false,
+    }
 }
 
 #[test]
@@ -110,7 +155,9 @@
         stage.until_in_force(one).await;
         assert!(stage.knows("extra", "b").await);
         until(async || stage.control.running(0) == Some(one)).await;
-        let two = stage.control.publish(stage.with_tracks(&["extra", "other"]), false);
+        let two = stage
+            .control
+            .publish(stage.with_tracks(&["extra", "other"]), false);
         stage.until_in_force(two).await;
         assert!(stage.knows("other", "c").await && stage.knows("extra", "d").await);
         let pushes = stage.control.pushes();
@@ -130,38 +177,82 @@
         assert_eq!(stage.reply(&first).await.answer(), Answer::Applied);
         let five = first.stamp;
         let broken = stage.texts("(shots 0) (cold (lasts 1 s) (window 1 s) (offers -1))");
-        let wrong_digest = Push { changes: stage.texts("(shots 4)"), ..push(3, 7, &sound, &[five]) };
-        let foreign =
-            sound.changed(&[("listen".into(), "(listen \"127.0.0.1:1\")".into())].into_iter().collect(), &[]);
-        let nested = sound.changed(&[("cold".into(), "(".repeat(5 << 20))].into_iter().collect(), &[]);
-        let cut = stage
-            .with_tracks(&["extra"])
-            .changed(&Texts::of("c", "(deployment (bounds (in-hand 100)))").expect("a form"), &[]);
-        let halls = sound.changed(&Texts::of("c", "(deployment (halls a b c))").expect("a form"), &[]);
+        let wrong_digest = Push {
+            changes: stage.texts("(shots 4)"),
+            ..push(3, 7, &sound, &[five])
+        };
+        let foreign = sound.changed(
+            &[("listen".into(), "(listen \"127.0.0.1:1\")".into())]
+                .into_iter()
+                .collect(),
+            &[],
+        );
+        let nested = sound.changed(
+            &[("cold".into(), "(".repeat(5 << 20))].into_iter().collect(),
+            &[],
+        );
+        let cut = stage.with_tracks(&["extra"]).changed(
+            &Texts::of("c", "(deployment (bounds (in-hand 100)))").expect("a form"),
+            &[],
+        );
+        let halls = sound.changed(
+            &Texts::of("c", "(deployment (halls a b c))").expect("a form"),
+            &[],
+        );
         for (push, why) in [
             (push(2, 6, &broken, &[five]), "shots: must be 1 or more"),
-            (push(12, 6, &broken, &[five]), "cold/offers: must be 0 or more"),
+            (
+                push(12, 6, &broken, &[five]),
+                "cold/offers: must be 0 or more",
+            ),
             (push(14, 6, &nested, &[five]), "4194304 is the most"),
             (wrong_digest, "digest"),
             (push(4, 4, &sound, &[five]), "stale"),
             (push(5, 5, &stage.texts(""), &[five]), "same number"),
             (push(6, 6, &stage.texts("(shots 4)"), &[]), "split"),
-            (push(7, 6, &foreign, &[five]), "listen: is each dispatcher's own"),
-            (push(8, 6, &cut, &[five]), "bounds/in-hand: cut from 20000 to 100"),
-            (push(9, 6, &halls, &[five]), "halls: a change needs a restart"),
+            (
+                push(7, 6, &foreign, &[five]),
+                "listen: is each dispatcher's own",
+            ),
+            (
+                push(8, 6, &cut, &[five]),
+                "bounds/in-hand: cut from 20000 to 100",
+            ),
+            (
+                push(9, 6, &halls, &[five]),
+                "halls: a change needs a restart",
+            ),
         ] {
             let told = stage.reply(&push).await;
             assert_eq!(told.answer(), Answer::Refused, "{why}");
-            assert!(told.why.iter().any(|line| line.contains(why)), "{why}: {:?}", told.why);
-            assert_eq!(told.running.as_ref().and_then(stamp_of), Some(five), "the last good one stays");
+            assert!(
+                told.why.iter().any(|line| line.contains(why)),
+                "{why}: {:?}",
+                told.why
+            );
+            assert_eq!(
+                told.running.as_ref().and_then(stamp_of),
+                Some(five),
+                "the last good one stays"
+            );
         }
         assert!(stage.knows("extra", "a").await);
         let again = stage.reply(&push(10, 5, &sound, &[])).await;
         assert_eq!(again.answer(), Answer::Running, "a repeat is harmless");
-        let meant = Push { cuts: true, ..push(11, 6, &cut, &[five]) };
+        let meant = Push {
+            cuts: true,
+            ..push(11, 6, &cut, &[five])
+        };
         assert_eq!(stage.reply(&meant).await.answer(), Answer::Applied, "meant");
-        let onto = Push { onto: Some(five), ..push(13, 7, &sound, &[meant.stamp]) };
-        assert_eq!(stage.reply(&onto).await.answer(), Answer::WantsWhole, "changes to another version");
+        let onto = Push {
+            onto: Some(five),
+            ..push(13, 7, &sound, &[meant.stamp])
+        };
+        assert_eq!(
+            stage.reply(&onto).await.answer(),
+            Answer::WantsWhole,
+            "changes to another version"
+        );
         let status = stage.status().await;
         assert_eq!((status.applied, status.refused), (2, 10));
     });
@@ -177,8 +268,15 @@
         let gone = stage.control.publish(stage.texts("(shots 4)"), true);
         until(async || stage.status().await.refused == 1).await;
         let status = stage.status().await;
-        assert_eq!(status.refused_last.and_then(|last| stamp_of(&last)), Some(gone));
-        assert!(status.why[0].contains("tracks/extra: removed, and 1 allocations"), "{:?}", status.why);
+        assert_eq!(
+            status.refused_last.and_then(|last| stamp_of(&last)),
+            Some(gone)
+        );
+        assert!(
+            status.why[0].contains("tracks/extra: removed, and 1 allocations"),
+            "{:?}",
+            status.why
+        );
         // What shrinks below what is placed stops nothing that runs.
         let small = stage.with_tracks(&["extra"]).changed(
             &Texts::of("c", "(deployment (accounts (one (share-cores 0.5))))").expect("a form"),
@@ -200,7 +298,9 @@
 #[test]
 fn of_two_services_the_one_that_answers_streams() {
     story(async |stage| {
-        let text = stage.file().replace("(control ", "(control \"127.0.0.1:1\" ");
+        let text = stage
+            .file()
+            .replace("(control ", "(control \"127.0.0.1:1\" ");
         let opened = stage.control.opened();
         let rig = stage.rig.kill_and_restart(&text).await;
         let stage = Stage { rig, ..stage };
@@ -218,11 +318,26 @@
         drop(stage.up.take());
         until(async || stage.status().await.service.is_empty()).await;
         assert!(stage.knows("extra", "a").await);
-        let two = stage.control.publish(stage.with_tracks(&["extra", "other"]), false);
-        stage.up = Some(stage.control.up_again(&stage.rig.world).await.expect("its port"));
+        let two = stage
+            .control
+            .publish(stage.with_tracks(&["extra", "other"]), false);
+        stage.up = Some(
+            stage
+                .control
+                .up_again(&stage.rig.world)
+                .await
+                .expect("its port"),
+        );
         stage.until_in_force(two).await;
-        let first = stage.control.replies().into_iter().rev().find(|reply| reply.told.nonce == 0);
-        let told = first.and_then(|reply| reply.told.running).and_then(|running| stamp_of(&running));
+        let first = stage
+            .control
+            .replies()
+            .into_iter()
+            .rev()
+            .find(|reply| reply.told.nonce == 0);
+        let told = first
+            .and_then(|reply| reply.told.running)
+            .and_then(|running| stamp_of(&running));
         assert_eq!(told, Some(one), "a new stream says what runs");
     });
 }
@@ -232,9 +347,16 @@
     story(async |mut stage| {
         let one = stage.control.publish(stage.with_tracks(&["extra"]), false);
         stage.until_in_force(one).await;
-        let accounts: String = (0..9_000).map(|number| format!(" (a{number} (share-cores 1))")).collect();
-        let large = Texts::of("c", &format!("(deployment (accounts (one (share-cores 100)){accounts}))"));
-        let large = stage.with_tracks(&["extra"]).changed(&large.expect("a form"), &[]);
+        let accounts: String = (0..9_000)
+            .map(|number| format!(" (a{number} (share-cores 1))"))
+            .collect();
+        let large = Texts::of(
+            "c",
+            &format!("(deployment (accounts (one (share-cores 100)){accounts}))"),
+        );
+        let large = stage
+            .with_tracks(&["extra"])
+            .changed(&large.expect("a form"), &[]);
         let two = stage.control.publish(large.clone(), false);
         // Its links are cut with it, wherever in the message they are.
         drop(stage.up.take());
@@ -244,7 +366,13 @@
         let running = status.running.as_ref().and_then(stamp_of).expect("a stamp");
         assert!(running == one || running == two, "{running}");
         assert_eq!(whole, running.digest);
-        stage.up = Some(stage.control.up_again(&stage.rig.world).await.expect("its port"));
+        stage.up = Some(
+            stage
+                .control
+                .up_again(&stage.rig.world)
+                .await
+                .expect("its port"),
+        );
         stage.until_in_force(two).await;
     });
 }
@@ -254,14 +382,17 @@
     story(async |mut stage| {
         let one = stage.control.publish(stage.with_tracks(&["one"]), false);
         stage.until_in_force(one).await;
-        let two = stage.control.publish(stage.with_tracks(&["one", "two"]), false);
+        let two = stage
+            .control
+            .publish(stage.with_tracks(&["one", "two"]), false);
         stage.until_in_force(two).await;
         drop(stage.up.take());
         let stage = stage.restart().await;
         assert_eq!(stage.in_force().await, two.number);
         stage.rig.until_serving(2).await;
         assert!(stage.knows("two", "a").await);
-        // The start counted itself, so two files say two; torn, the one before does; both torn, the file does.
+        // The start counted itself, so two files say two; torn, the one before does; both torn, the
+        // file does.
         let path = stage.folder.path().join("versions.json");
         let whole = std::fs::read(&path).expect("kept");
         std::fs::write(&path, &whole[..whole.len() / 2]).expect("torn");
@@ -283,17 +414,27 @@
         let one = stage.control.publish(stage.with_tracks(&["one"]), false);
         stage.until_in_force(one).await;
         let path = stage.folder.path().join("versions.new");
-        // Where a folder stands no file can be made, whoever tries; the other is a disk without room.
+        // Where a folder stands no file can be made, whoever tries; the other is a disk without
+        // room.
         match full {
             true => std::os::unix::fs::symlink("/dev/full", &path).expect("made"),
             false => std::fs::create_dir(&path).expect("made"),
         }
-        stage.control.publish(stage.with_tracks(&["one", "two"]), false);
+        stage
+            .control
+            .publish(stage.with_tracks(&["one", "two"]), false);
         until(async || stage.status().await.refused == 1).await;
         assert!(stage.status().await.why[0].contains("can't be kept on disk"));
         assert!(stage.knows("one", "a").await && !stage.knows("two", "b").await);
-        if full { std::fs::remove_file(&path) } else { std::fs::remove_dir(&path) }.expect("removed");
-        let three = stage.control.publish(stage.with_tracks(&["one", "three"]), false);
+        if full {
+            std::fs::remove_file(&path)
+        } else {
+            std::fs::remove_dir(&path)
+        }
+        .expect("removed");
+        let three = stage
+            .control
+            .publish(stage.with_tracks(&["one", "three"]), false);
         stage.until_in_force(three).await;
     });
 }
@@ -315,16 +456,34 @@
             stage.in_force().await == 0
         })
         .await;
-        assert!(number >= 50, "not before there is enough to tell by: {number}");
+        assert!(
+            number >= 50,
+            "not before there is enough to tell by: {number}"
+        );
         assert!(stage.knows("web", "after").await);
         let gave_up = |told: &v1::Told| told.answer() == Answer::GaveUp;
-        until(async || stage.control.replies().iter().any(|reply| gave_up(&reply.told))).await;
+        until(async || {
+            stage
+                .control
+                .replies()
+                .iter()
+                .any(|reply| gave_up(&reply.told))
+        })
+        .await;
         let replies = stage.control.replies();
-        let told = replies.iter().map(|reply| &reply.told).find(|told| gave_up(told)).expect("told");
+        let told = replies
+            .iter()
+            .map(|reply| &reply.told)
+            .find(|told| gave_up(told))
+            .expect("told");
         assert!(told.why[0].contains("% of"), "{:?}", told.why);
         stage.control.scripted();
         let again = stage.reply(&push(999, bad.number, &texts, &[])).await;
-        assert!(again.why.iter().any(|why| why.contains("given up")), "{:?}", again.why);
+        assert!(
+            again.why.iter().any(|why| why.contains("given up")),
+            "{:?}",
+            again.why
+        );
         let stage = stage.restart().await;
         assert_eq!(stage.in_force().await, 0, "nor after a restart");
     });
@@ -336,13 +495,23 @@
         let closed = stage.texts("(allow \"10.0.0.0/8\")");
         let closed = stage.control.publish(closed, false);
         until(async || stage.control.running(0) == Some(closed)).await;
-        let bounds = Bounds { connect_within: Duration::from_secs(2), ..Bounds::default() };
+        let bounds = Bounds {
+            connect_within: Duration::from_secs(2),
+            ..Bounds::default()
+        };
         let call = async {
-            let link = Link::open(&stage.rig.tasks, stage.rig.address, &bounds).await.ok()?;
-            VersionsClient::new(link).status(v1::VersionStatusAsk {}).await.ok()
+            let link = Link::open(&stage.rig.tasks, stage.rig.address, &bounds)
+                .await
+                .ok()?;
+            VersionsClient::new(link)
+                .status(v1::VersionStatusAsk {})
+                .await
+                .ok()
         };
         assert!(call.await.is_none(), "turned away");
-        let open = stage.control.publish(stage.texts("(allow \"127.0.0.0/8\")"), false);
+        let open = stage
+            .control
+            .publish(stage.texts("(allow \"127.0.0.0/8\")"), false);
         until(async || stage.control.running(0) == Some(open)).await;
         stage.until_in_force(open).await;
     });
@@ -354,5 +523,8 @@
 fn of_hundreds_at_random_with_kills_what_is_in_force_is_what_was_acknowledged_last(seed: u64) {
     let program = [env!("CARGO_BIN_EXE_corkspan-lab").into(), "corkspan".into()];
     let out = pushes::exchange(&program, seed, 300).unwrap_or_else(|why| panic!("{why}"));
-    assert!(out.applied > 0 && out.refused > 0 && out.superseded > 0 && out.kills > 0, "{out:?}");
+    assert!(
+        out.applied > 0 && out.refused > 0 && out.superseded > 0 && out.kills > 0,
+        "{out:?}"
+    );
 }
--- a/crates/lab/tests/hollow.rs
+++ b/crates/lab/tests/hollow.rs
@@ -20,39 +20,71 @@
 
 fn play(script: &str) -> Result<Vec<Line>, String> {
     let day = Day::read("day", script).unwrap_or_else(|why| panic!("{why}"));
-    Play { day, seed: 1, programs: programs(), capture: None, tell: |text| text, logs: None }.run()
+    Play {
+        day,
+        seed: 1,
+        programs: programs(),
+        capture: None,
+        tell: |text| text,
+        logs: None,
+    }
+    .run()
 }
 
 /// In and out, bytes and messages, of one dispatcher.
 fn each(cost: &Cost, kind: Kind) -> [f64; 4] {
-    let index = KINDS.iter().position(|other| *other == kind).expect("a kind");
+    let index = KINDS
+        .iter()
+        .position(|other| *other == kind)
+        .expect("a kind");
     cost.links[index].map(|many| many as f64 / cost.told as f64)
 }
 
 #[test]
 fn hollow_dispatchers_hear_and_say_what_real_ones_do() {
-    let size = Size { real: 2, hollow: 4, nodes: 40 };
+    let size = Size {
+        real: 2,
+        hollow: 4,
+        nodes: 40,
+    };
     let mut fleet = Fleet::up(size, 1, &programs()).unwrap_or_else(|why| panic!("{why}"));
-    let idle =
-        fleet.run(Duration::from_secs(4), 0.0, Duration::from_secs(1)).unwrap_or_else(|why| panic!("{why}"));
+    let idle = fleet
+        .run(Duration::from_secs(4), 0.0, Duration::from_secs(1))
+        .unwrap_or_else(|why| panic!("{why}"));
     assert_eq!((idle.real.told, idle.hollow.told, idle.asked), (2, 4, 0));
-    let (real, hollow) = (each(&idle.real, Kind::Roster), each(&idle.hollow, Kind::Roster));
+    let (real, hollow) = (
+        each(&idle.real, Kind::Roster),
+        each(&idle.hollow, Kind::Roster),
+    );
     assert!(real[0] > 1_000.0, "the roster tells of room: {real:?}");
     for (real, hollow) in std::iter::zip(real, hollow) {
         // A listing more or less: the moments of reading differ a little.
-        assert!((real - hollow).abs() <= 0.1 * real.max(10.0) + 1_500.0, "{real} and {hollow}");
+        assert!(
+            (real - hollow).abs() <= 0.1 * real.max(10.0) + 1_500.0,
+            "{real} and {hollow}"
+        );
     }
     assert_eq!(
         each(&idle.hollow, Kind::Nodes),
         [0.0; 4],
         "nobody asks, so nothing passes to nodes that are no keepers"
     );
-    let busy =
-        fleet.run(Duration::from_secs(3), 60.0, Duration::from_secs(1)).unwrap_or_else(|why| panic!("{why}"));
-    assert!(busy.asked > 100 && busy.placed > 90, "{} asked, {} placed", busy.asked, busy.placed);
+    let busy = fleet
+        .run(Duration::from_secs(3), 60.0, Duration::from_secs(1))
+        .unwrap_or_else(|why| panic!("{why}"));
+    assert!(
+        busy.asked > 100 && busy.placed > 90,
+        "{} asked, {} placed",
+        busy.asked,
+        busy.placed
+    );
     for cost in [&busy.real, &busy.hollow] {
-        let ([_, _, heard, _], [_, _, _, offered]) = (each(cost, Kind::Owners), each(cost, Kind::Nodes));
-        assert!(heard > 5.0 && offered > 5.0, "{heard} asks and {offered} offers a dispatcher");
+        let ([_, _, heard, _], [_, _, _, offered]) =
+            (each(cost, Kind::Owners), each(cost, Kind::Nodes));
+        assert!(
+            heard > 5.0 && offered > 5.0,
+            "{heard} asks and {offered} offers a dispatcher"
+        );
     }
     fleet.down().unwrap_or_else(|why| panic!("{why}"));
 }
@@ -70,29 +102,45 @@
             _ => None,
         })
     };
-    let (gone, cold): (BTreeSet<u32>, BTreeSet<u32>) =
-        (struck(NodeState::Gone).collect(), struck(NodeState::Cold).collect());
+    let (gone, cold): (BTreeSet<u32>, BTreeSet<u32>) = (
+        struck(NodeState::Gone).collect(),
+        struck(NodeState::Cold).collect(),
+    );
     assert_eq!(gone.len(), 8, "56 nodes in 7 zones");
     assert_eq!(gone, cold);
     let cells: BTreeSet<u32> = gone.iter().map(|node| (node - 100) / 4 % 7).collect();
     assert_eq!(cells.len(), 1, "all of one zone");
     let paused = lines.iter().filter_map(|line| match line.seen {
-        Seen::Dispatcher { dispatcher, state: DispatcherState::Paused } => Some(dispatcher),
+        Seen::Dispatcher {
+            dispatcher,
+            state: DispatcherState::Paused,
+        } => Some(dispatcher),
         _ => None,
     });
     assert_eq!(paused.collect::<BTreeSet<_>>().len(), 6);
     let table = Table::of(&lines);
     let Costs { real, hollow } = table.cost.as_ref().expect("costs are told");
-    assert_eq!((real.dispatchers, hollow.dispatchers, hollow.processes), (1, 5, 1));
+    assert_eq!(
+        (real.dispatchers, hollow.dispatchers, hollow.processes),
+        (1, 5, 1)
+    );
     assert!(table.placed > 300, "{table}");
 }
 
-const PLENTY: Limits = Limits { memory_kib: 12 << 20, processes: 400, descriptors: 20_000 };
+const PLENTY: Limits = Limits {
+    memory_kib: 12 << 20,
+    processes: 400,
+    descriptors: 20_000,
+};
 const SIZE: &str = include_str!("../days/size.sexp");
 
 #[test]
 fn the_days_of_the_size_fit_a_machine_of_24_gib() {
-    for script in [SIZE, include_str!("../days/size-zone.sexp"), include_str!("../days/hollow-still.sexp")] {
+    for script in [
+        SIZE,
+        include_str!("../days/size-zone.sexp"),
+        include_str!("../days/hollow-still.sexp"),
+    ] {
         let day = Day::read("size", script).unwrap_or_else(|why| panic!("{why}"));
         assert_eq!(Needs::of(&day).fit(&PLENTY), Ok(()));
     }
@@ -111,11 +159,17 @@
 
 #[test]
 fn a_day_too_large_is_refused_before_anything_is_started() {
-    let why =
-        play("(day (length 600 s) (dispatchers 300) (nodes 2600) (rate 1000000))").expect_err("too large");
+    let why = play("(day (length 600 s) (dispatchers 300) (nodes 2600) (rate 1000000))")
+        .expect_err("too large");
     assert!(why.starts_with("too large for this machine"), "{why}");
-    let nothing = Size { real: 0, hollow: 5, nodes: 5 };
-    assert!(Fleet::up(nothing, 1, &programs()).is_err_and(|why| why.contains("a real one among them")));
+    let nothing = Size {
+        real: 0,
+        hollow: 5,
+        nodes: 5,
+    };
+    assert!(
+        Fleet::up(nothing, 1, &programs()).is_err_and(|why| why.contains("a real one among them"))
+    );
 }
 
 #[test]
@@ -129,6 +183,12 @@
     let zones: BTreeSet<usize> = places.iter().map(|(zone, _)| *zone).collect();
     assert_eq!((zones.len(), places.len()), (7, 7));
     let processes = day.processes();
-    assert_eq!(processes.iter().map(ExactSizeIterator::len).collect::<Vec<_>>(), [1, 1, 1, 1, 4, 4, 4, 4]);
+    assert_eq!(
+        processes
+            .iter()
+            .map(ExactSizeIterator::len)
+            .collect::<Vec<_>>(),
+        [1, 1, 1, 1, 4, 4, 4, 4]
+    );
     assert!(!day.is_hollow(3) && day.is_hollow(4) && day.is_hollow(19));
 }
--- a/crates/lab/tests/judge.rs
+++ b/crates/lab/tests/judge.rs
@@ -11,21 +11,43 @@
 
 impl Script {
     fn new() -> Self {
-        let track = |name: &str, repeat, spread| Track { name: name.into(), repeat, contract_us: 1, spread };
-        let home = |node, hall: &str| Home { node, hall: hall.into(), cell: 0 };
+        let track = |name: &str, repeat, spread| Track {
+            name: name.into(),
+            repeat,
+            contract_us: 1,
+            spread,
+        };
+        let home = |node, hall: &str| Home {
+            node,
+            hall: hall.into(),
+            cell: 0,
+        };
         let rules = Rules {
             seed: 0,
             tracks: vec![
                 track("web", Repeat::Idempotent, None),
-                track("jobs", Repeat::Deduplicated { window_us: 6_000_000 }, None),
+                track(
+                    "jobs",
+                    Repeat::Deduplicated {
+                        window_us: 6_000_000,
+                    },
+                    None,
+                ),
                 track("once", Repeat::Unrepeatable, Some(2)),
             ],
             nodes: vec![home(7, "a"), home(8, "a"), home(9, "b")],
             grace_us: 1_000_000,
-            cold: Cold { lasts_us: 5_000_000, window_us: 1_000_000, most: 4 },
+            cold: Cold {
+                lasts_us: 5_000_000,
+                window_us: 1_000_000,
+                most: 4,
+            },
             slack_us: 200_000,
         };
-        Script(vec![Line { t: 0, seen: Seen::Day(rules) }])
+        Script(vec![Line {
+            t: 0,
+            seen: Seen::Day(rules),
+        }])
     }
 
     fn see(mut self, ms: u64, seen: Seen) -> Self {
@@ -56,16 +78,40 @@
         let version = "v2".into();
         self.see(
             ms,
-            Seen::Offered { node, placing, number, dispatcher: 0, service, task, version, decided: 0 },
+            Seen::Offered {
+                node,
+                placing,
+                number,
+                dispatcher: 0,
+                service,
+                task,
+                version,
+                decided: 0,
+            },
         )
     }
 
     fn says(self, ms: u64, call: u64, number: u32, node: u32, word: Word) -> Self {
-        self.see(ms, Seen::Said { node, placing: format!("p{call}"), number, word })
+        self.see(
+            ms,
+            Seen::Said {
+                node,
+                placing: format!("p{call}"),
+                number,
+                word,
+            },
+        )
     }
 
     fn lets_go(self, ms: u64, call: u64, number: u32, node: u32) -> Self {
-        self.see(ms, Seen::LetGo { node, placing: format!("p{call}"), number })
+        self.see(
+            ms,
+            Seen::LetGo {
+                node,
+                placing: format!("p{call}"),
+                number,
+            },
+        )
     }
 
     fn node(self, ms: u64, state: NodeState) -> Self {
@@ -73,17 +119,33 @@
     }
 
     fn told(self, ms: u64, state: NodeState) -> Self {
-        self.see(ms, Seen::Told { dispatcher: 0, node: NODE, state })
+        self.see(
+            ms,
+            Seen::Told {
+                dispatcher: 0,
+                node: NODE,
+                state,
+            },
+        )
     }
 
     fn dispatcher(self, ms: u64, state: DispatcherState) -> Self {
-        self.see(ms, Seen::Dispatcher { dispatcher: 0, state })
+        self.see(
+            ms,
+            Seen::Dispatcher {
+                dispatcher: 0,
+                state,
+            },
+        )
     }
 
     /// The rules that are broken, with the lines that show it.
     fn broken(&self) -> Vec<(u8, Vec<usize>)> {
         let breaches = judge(&self.0).expect("a readable capture");
-        breaches.into_iter().map(|breach| (breach.rule, breach.lines)).collect()
+        breaches
+            .into_iter()
+            .map(|breach| (breach.rule, breach.lines))
+            .collect()
     }
 
     fn breaks(self, rule: u8, lines: &[usize]) {
@@ -97,13 +159,22 @@
 
 /// One that was placed as it should be, by two shots.
 fn placed() -> Script {
-    let script = Script::new().asks(10, 1, 2).offer(20, 1, 0, 8).says(30, 1, 0, 8, Refused);
-    script.offer(40, 1, 1, NODE).says(50, 1, 1, NODE, Accepted).hears(60, 1, Placed)
+    let script = Script::new()
+        .asks(10, 1, 2)
+        .offer(20, 1, 0, 8)
+        .says(30, 1, 0, 8, Refused);
+    script
+        .offer(40, 1, 1, NODE)
+        .says(50, 1, 1, NODE, Accepted)
+        .hears(60, 1, Placed)
 }
 
 #[test]
 fn a_sound_capture_breaks_nothing() {
-    placed().says(900, 1, 1, NODE, Ended).hears(910, 1, Ended).keeps_all();
+    placed()
+        .says(900, 1, 1, NODE, Ended)
+        .hears(910, 1, Ended)
+        .keeps_all();
 }
 
 #[test]
@@ -114,17 +185,33 @@
 #[test]
 fn one_whose_dispatcher_was_killed_is_not_held_against_it() {
     let script = Script::new().asks(10, 1, 0).dispatcher(100, D::Killed);
-    script.see(101, Seen::Closed { call: 1, broken: true }).dispatcher(900, D::Up).keeps_all();
+    script
+        .see(
+            101,
+            Seen::Closed {
+                call: 1,
+                broken: true,
+            },
+        )
+        .dispatcher(900, D::Up)
+        .keeps_all();
 }
 
 #[test]
 fn a_kill_long_before_is_no_excuse() {
-    Script::new().dispatcher(1, D::Killed).dispatcher(5, D::Up).asks(10, 1, 0).breaks(1, &[4]);
+    Script::new()
+        .dispatcher(1, D::Killed)
+        .dispatcher(5, D::Up)
+        .asks(10, 1, 0)
+        .breaks(1, &[4]);
 }
 
 #[test]
 fn a_cancelled_one_is_owed_nothing() {
-    Script::new().asks(10, 1, 0).see(20, Seen::Cancelled { call: 1 }).keeps_all();
+    Script::new()
+        .asks(10, 1, 0)
+        .see(20, Seen::Cancelled { call: 1 })
+        .keeps_all();
 }
 
 #[test]
@@ -135,31 +222,57 @@
 #[test_case(5_150, &[]; "within the slack")]
 #[test_case(5_300, &[(1, vec![2, 3])]; "later")]
 fn an_answer_after_the_owners_time(ms: u64, broken: &[(u8, Vec<usize>)]) {
-    assert_eq!(Script::new().asks(10, 1, 0).hears(ms, 1, Failed).broken(), broken);
+    assert_eq!(
+        Script::new().asks(10, 1, 0).hears(ms, 1, Failed).broken(),
+        broken
+    );
 }
 
 #[test]
 fn an_offer_after_the_answer_is_too_much() {
-    Script::new().asks(10, 1, 0).hears(20, 1, Refused).offer(400, 1, 0, 8).breaks(1, &[3, 4]);
+    Script::new()
+        .asks(10, 1, 0)
+        .hears(20, 1, Refused)
+        .offer(400, 1, 0, 8)
+        .breaks(1, &[3, 4]);
 }
 
 #[test]
 fn a_second_shot_while_the_first_is_out() {
-    let script = Script::new().asks(10, 1, 0).offer(20, 1, 0, 8).offer(30, 1, 1, NODE);
-    script.says(900, 1, 1, NODE, Accepted).hears(910, 1, Placed).breaks(2, &[3, 4]);
+    let script = Script::new()
+        .asks(10, 1, 0)
+        .offer(20, 1, 0, 8)
+        .offer(30, 1, 1, NODE);
+    script
+        .says(900, 1, 1, NODE, Accepted)
+        .hears(910, 1, Placed)
+        .breaks(2, &[3, 4]);
 }
 
 #[test]
 fn a_shot_let_go_before_the_next_is_over() {
-    let script =
-        Script::new().asks(10, 1, 0).offer(20, 1, 0, 8).says(25, 1, 0, 8, Accepted).lets_go(700, 1, 0, 8);
-    script.offer(710, 1, 1, NODE).says(720, 1, 1, NODE, Accepted).hears(730, 1, Placed).keeps_all();
+    let script = Script::new()
+        .asks(10, 1, 0)
+        .offer(20, 1, 0, 8)
+        .says(25, 1, 0, 8, Accepted)
+        .lets_go(700, 1, 0, 8);
+    script
+        .offer(710, 1, 1, NODE)
+        .says(720, 1, 1, NODE, Accepted)
+        .hears(730, 1, Placed)
+        .keeps_all();
 }
 
 #[test]
 fn an_unrepeatable_one_that_may_run_is_sent_again() {
-    let script = Script::new().asks(10, 1, 2).offer(20, 1, 0, 8).says(30, 1, 0, 8, Accepted);
-    let script = script.lets_go(40, 1, 0, 8).offer(50, 1, 1, NODE).says(60, 1, 1, NODE, Refused);
+    let script = Script::new()
+        .asks(10, 1, 2)
+        .offer(20, 1, 0, 8)
+        .says(30, 1, 0, 8, Accepted);
+    let script = script
+        .lets_go(40, 1, 0, 8)
+        .offer(50, 1, 1, NODE)
+        .says(60, 1, 1, NODE, Refused);
     script.hears(70, 1, Failed).breaks(2, &[3, 6]);
 }
 
@@ -167,42 +280,71 @@
 #[test_case(9, 5_000, false; "in another hall")]
 #[test_case(8, 6_500, false; "after the window")]
 fn a_deduplicated_one_that_may_run_is_sent_again(node: u32, ms: u64, sound: bool) {
-    let script = Script::new().asks(10, 1, 1).offer(20, 1, 0, NODE).see(30, Seen::Cut { node: NODE });
-    let script = script.hears(40, 1, Failed).asks(41, 2, 0).hears(42, 2, Refused).offer(ms, 1, 1, node);
+    let script = Script::new()
+        .asks(10, 1, 1)
+        .offer(20, 1, 0, NODE)
+        .see(30, Seen::Cut { node: NODE });
+    let script = script
+        .hears(40, 1, Failed)
+        .asks(41, 2, 0)
+        .hears(42, 2, Refused)
+        .offer(ms, 1, 1, node);
     let twice = script.broken().into_iter().any(|(rule, _)| rule == 2);
     assert_eq!(twice, !sound);
 }
 
 #[test]
 fn one_that_may_run_is_called_harmless() {
-    let script = Script::new().asks(10, 1, 2).offer(20, 1, 0, 8).says(30, 1, 0, 8, Accepted);
-    script.lets_go(40, 1, 0, 8).hears(50, 1, Refused).breaks(2, &[3, 6]);
+    let script = Script::new()
+        .asks(10, 1, 2)
+        .offer(20, 1, 0, 8)
+        .says(30, 1, 0, 8, Accepted);
+    script
+        .lets_go(40, 1, 0, 8)
+        .hears(50, 1, Refused)
+        .breaks(2, &[3, 6]);
 }
 
 #[test_case(1_100, &[]; "within the grace and slack")]
 #[test_case(1_500, &[(3, vec![3, 4])]; "later")]
 fn an_offer_to_a_node_told_of_as_draining(ms: u64, broken: &[(u8, Vec<usize>)]) {
-    let script = Script::new().asks(5, 1, 0).told(10, N::Draining).offer(ms, 1, 0, NODE);
+    let script = Script::new()
+        .asks(5, 1, 0)
+        .told(10, N::Draining)
+        .offer(ms, 1, 0, NODE);
     assert_eq!(script.hears(ms + 1, 1, Placed).broken(), broken);
 }
 
 #[test]
 fn what_is_told_while_it_stands_still_counts_from_when_it_goes_on() {
-    let script = Script::new().dispatcher(1, D::Paused).told(10, N::Gone).dispatcher(3_000, D::GoesOn);
-    script.asks(3_001, 1, 0).offer(3_500, 1, 0, NODE).hears(3_600, 1, Placed).keeps_all();
+    let script = Script::new()
+        .dispatcher(1, D::Paused)
+        .told(10, N::Gone)
+        .dispatcher(3_000, D::GoesOn);
+    script
+        .asks(3_001, 1, 0)
+        .offer(3_500, 1, 0, NODE)
+        .hears(3_600, 1, Placed)
+        .keeps_all();
 }
 
 #[test]
 fn a_node_told_of_as_serving_again_may_be_offered() {
-    let script =
-        Script::new().asks(5, 1, 0).told(10, N::Gone).told(1_400, N::Serving).offer(1_500, 1, 0, NODE);
+    let script = Script::new()
+        .asks(5, 1, 0)
+        .told(10, N::Gone)
+        .told(1_400, N::Serving)
+        .offer(1_500, 1, 0, NODE);
     script.hears(1_501, 1, Placed).keeps_all();
 }
 
 fn five_offers(mut script: Script, apart: u64) -> Script {
     for call in 1..=5 {
         let ms = 100 + call * apart;
-        script = script.asks(ms, call, 0).offer(ms, call, 0, NODE).says(ms, call, 0, NODE, Refused);
+        script = script
+            .asks(ms, call, 0)
+            .offer(ms, call, 0, NODE)
+            .says(ms, call, 0, NODE, Refused);
         script = script.hears(ms, call, Refused);
     }
     script
@@ -232,7 +374,11 @@
     let mut script = script;
     for call in 1..=3 {
         let ms = call * 100;
-        script = script.asks(ms, call, 2).offer(ms, call, 0, NODE).says(ms + 1, call, 0, NODE, Accepted);
+        script =
+            script
+                .asks(ms, call, 2)
+                .offer(ms, call, 0, NODE)
+                .says(ms + 1, call, 0, NODE, Accepted);
         script = script.hears(ms + 2, call, Placed);
         if call == 2 && first_ends {
             script = script.says(ms + 3, 1, 0, NODE, Ended);
@@ -257,7 +403,10 @@
     let mut script = Script::new();
     for call in 1..=2 {
         let ms = call * 100;
-        script = script.asks(ms, call, 2).offer(ms, call, 0, NODE).says(ms, call, 0, NODE, Accepted);
+        script = script
+            .asks(ms, call, 2)
+            .offer(ms, call, 0, NODE)
+            .says(ms, call, 0, NODE, Accepted);
         script = script.hears(ms, call, Placed);
     }
     script = script.dispatcher(300, D::Killed).dispatcher(310, D::Up);
@@ -274,7 +423,10 @@
             );
         }
     }
-    script = script.asks(400, 3, 2).offer(400, 3, 0, NODE).hears(401, 3, Placed);
+    script = script
+        .asks(400, 3, 2)
+        .offer(400, 3, 0, NODE)
+        .hears(401, 3, Placed);
     assert_eq!(script.broken(), broken);
 }
 
@@ -292,7 +444,18 @@
 
 fn says_ready(script: Script, ms: u64, task: u64, ready: bool, done: bool) -> Script {
     let (task, service, version) = (format!("t{task}"), "s".into(), "v2".into());
-    script.see(ms, Seen::Ready { node: NODE, task, service, version, ready, done, stopped: !ready && !done })
+    script.see(
+        ms,
+        Seen::Ready {
+            node: NODE,
+            task,
+            service,
+            version,
+            ready,
+            done,
+            stopped: !ready && !done,
+        },
+    )
 }
 
 fn roll(unready_most: usize, start_first: bool) -> Seen {
@@ -309,7 +472,9 @@
 
 /// Three copies that are ready, and a roll that lets one be down.
 fn rolling() -> Script {
-    let script = (1..=3).fold(Script::new(), |script, task| says_ready(script, 10, task, true, false));
+    let script = (1..=3).fold(Script::new(), |script, task| {
+        says_ready(script, 10, task, true, false)
+    });
     let roll = roll(1, false);
     says_ready(script.see(20, roll), 30, 1, false, false)
 }
@@ -329,8 +494,11 @@
 #[test_case(true, &[(6, vec![7])]; "for long, the roll must have given way")]
 fn a_copy_that_died_by_itself(long_ago: bool, broken: &[(u8, Vec<usize>)]) {
     let roll = roll(1, false);
-    let script =
-        (1..=3).fold(Script::new(), |script, task| says_ready(script, 10, task, true, false)).see(20, roll);
+    let script = (1..=3)
+        .fold(Script::new(), |script, task| {
+            says_ready(script, 10, task, true, false)
+        })
+        .see(20, roll);
     let died = Seen::Ready {
         node: NODE,
         task: "t1".into(),
@@ -341,14 +509,19 @@
         stopped: false,
     };
     let later = if long_ago { 9_000 } else { 40 };
-    assert_eq!(says_ready(script.see(30, died), later, 2, false, false).broken(), broken);
+    assert_eq!(
+        says_ready(script.see(30, died), later, 2, false, false).broken(),
+        broken
+    );
 }
 
 #[test_case(3, &[]; "as many as may be")]
 #[test_case(2, &[(6, vec![6])]; "one more")]
 fn copies_beside_others(most: usize, broken: &[(u8, Vec<usize>)]) {
     let roll = roll(most - 1, true);
-    let script = (1..=2).fold(Script::new(), |script, task| says_ready(script, 10, task, true, false));
+    let script = (1..=2).fold(Script::new(), |script, task| {
+        says_ready(script, 10, task, true, false)
+    });
     let script = says_ready(script.see(20, roll), 30, 1, true, false);
     assert_eq!(says_ready(script, 40, 2, true, false).broken(), broken);
 }
@@ -361,14 +534,27 @@
 /// A copy of what ran before the roll says that it is ready, or that it was stopped.
 fn old(script: Script, ms: u64, task: u64, ready: bool) -> Script {
     let (task, service, version) = (format!("t{task}"), "s".into(), String::new());
-    script.see(ms, Seen::Ready { node: NODE, task, service, version, ready, done: false, stopped: !ready })
+    script.see(
+        ms,
+        Seen::Ready {
+            node: NODE,
+            task,
+            service,
+            version,
+            ready,
+            done: false,
+            stopped: !ready,
+        },
+    )
 }
 
 #[test_case(8_900, &[]; "a little later, it may not have been heard of")]
 #[test_case(9_000, &[(7, vec![7, 8])]; "long after, the roll should have halted")]
 fn a_roll_goes_on_after_a_copy_that_never_got_ready(ms: u64, broken: &[(u8, Vec<usize>)]) {
     let script = old(old(Script::new(), 10, 1, true), 11, 2, true).see(20, roll(2, false));
-    let script = old(script, 30, 1, false).offer(990, 1, 0, NODE).says(1_000, 1, 0, NODE, Accepted);
+    let script = old(script, 30, 1, false)
+        .offer(990, 1, 0, NODE)
+        .says(1_000, 1, 0, NODE, Accepted);
     assert_eq!(old(script, ms, 2, false).broken(), broken);
 }
 
@@ -376,20 +562,53 @@
 #[test_case(true, &[]; "and its dispatcher dies with what it counted, it may go on")]
 fn a_copy_died_right_after_it_got_ready(dies: bool, broken: &[(u8, Vec<usize>)]) {
     let script = old(old(Script::new(), 10, 1, true), 11, 2, true).see(20, roll(2, false));
-    let script = old(script, 30, 1, false).offer(990, 1, 0, NODE).says(1_000, 1, 0, NODE, Accepted);
+    let script = old(script, 30, 1, false)
+        .offer(990, 1, 0, NODE)
+        .says(1_000, 1, 0, NODE, Accepted);
     let (task, service, version) = ("t1".into(), "s".into(), "v2".into());
-    let died = Seen::Ready { node: NODE, task, service, version, ready: false, done: false, stopped: false };
+    let died = Seen::Ready {
+        node: NODE,
+        task,
+        service,
+        version,
+        ready: false,
+        done: false,
+        stopped: false,
+    };
     let script = script.see(1_100, died);
-    let script = if dies { script.dispatcher(1_200, D::Killed).dispatcher(1_300, D::Up) } else { script };
+    let script = if dies {
+        script.dispatcher(1_200, D::Killed).dispatcher(1_300, D::Up)
+    } else {
+        script
+    };
     assert_eq!(old(script, 9_000, 2, false).broken(), broken);
 }
 
 #[test_case(false; "below the floor")]
 #[test_case(true; "before the node had it, or after it was lowered")]
 fn what_is_below_the_floor_of_a_node_must_not_be_accepted_there(lowered: bool) {
-    let script = Script::new().asks(10, 1, 2).see(15, Seen::Floor { node: NODE, lowest: 3 });
-    let script = if lowered { script.see(16, Seen::Floor { node: NODE, lowest: 0 }) } else { script };
-    let script = script.offer(20, 1, 0, NODE).says(50, 1, 0, NODE, Accepted).hears(60, 1, Placed);
+    let script = Script::new().asks(10, 1, 2).see(
+        15,
+        Seen::Floor {
+            node: NODE,
+            lowest: 3,
+        },
+    );
+    let script = if lowered {
+        script.see(
+            16,
+            Seen::Floor {
+                node: NODE,
+                lowest: 0,
+            },
+        )
+    } else {
+        script
+    };
+    let script = script
+        .offer(20, 1, 0, NODE)
+        .says(50, 1, 0, NODE, Accepted)
+        .hears(60, 1, Placed);
     match lowered {
         true => script.keeps_all(),
         false => script.breaks(8, &[3, 4, 5]),
@@ -398,22 +617,35 @@
 
 /// A second shot 1 s after the first, which its node sees let go after this long.
 fn two_shots(wires: &[(u64, bool, u64)], over: u64) -> Vec<u8> {
-    let mut script = Script::new().asks(0, 1, 0).offer(1_000, 1, 0, 7).says(1_010, 1, 0, 7, Accepted);
-    let mut all: Vec<(u64, Option<(bool, u64)>)> =
-        wires.iter().map(|(at, struck, late)| (*at, Some((*struck, *late)))).collect();
+    let mut script = Script::new()
+        .asks(0, 1, 0)
+        .offer(1_000, 1, 0, 7)
+        .says(1_010, 1, 0, 7, Accepted);
+    let mut all: Vec<(u64, Option<(bool, u64)>)> = wires
+        .iter()
+        .map(|(at, struck, late)| (*at, Some((*struck, *late))))
+        .collect();
     all.extend([(2_000, None), (over, None)]);
     all.sort_by_key(|(at, _)| *at);
     for (at, wires) in all {
         script = match wires {
-            Some((struck, late)) => {
-                script.see(at, Seen::Wires { dispatcher: 0, struck, late_us: late * 1_000 })
-            }
+            Some((struck, late)) => script.see(
+                at,
+                Seen::Wires {
+                    dispatcher: 0,
+                    struck,
+                    late_us: late * 1_000,
+                },
+            ),
             None if at == over => script.lets_go(at, 1, 0, 7),
             None => script.offer(at, 1, 1, 8),
         };
     }
     let found = judge(&script.0).expect("readable").into_iter();
-    found.filter(|breach| breach.rule == 2).map(|breach| breach.rule).collect()
+    found
+        .filter(|breach| breach.rule == 2)
+        .map(|breach| breach.rule)
+        .collect()
 }
 
 #[test_case(&[], 2_100, 0; "seen within the slack")]
--- a/crates/lab/tests/relay.rs
+++ b/crates/lab/tests/relay.rs
@@ -23,10 +23,19 @@
     let tasks = Tasks::default();
     let whole = async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let relay = Relay::up(&tasks, listener.local_addr().expect("bound")).await.expect("a port");
+        let relay = Relay::up(&tasks, listener.local_addr().expect("bound"))
+            .await
+            .expect("a port");
         let opener = TcpStream::connect(relay.address).await.expect("it listens");
         let (other, _) = listener.accept().await.expect("passed on");
-        story(Link { tasks: tasks.clone(), relay, opener, other, listener }).await;
+        story(Link {
+            tasks: tasks.clone(),
+            relay,
+            opener,
+            other,
+            listener,
+        })
+        .await;
     };
     future::block_on(tasks.run(within(PATIENCE, whole))).expect("the story comes to its end");
 }
@@ -49,7 +58,10 @@
         link.other.write_all(b"i").await.expect("taken");
         let out = within(A_WHILE, hears(&mut link.other)).await;
         let back = within(A_WHILE, hears(&mut link.opener)).await;
-        assert_eq!((out.is_none(), back.is_none()), (ways.contains(&Way::Out), ways.contains(&Way::In)));
+        assert_eq!(
+            (out.is_none(), back.is_none()),
+            (ways.contains(&Way::Out), ways.contains(&Way::In))
+        );
         link.relay.heal();
         let out = match out {
             Some(byte) => byte,
@@ -67,7 +79,9 @@
 fn new_links_alone_are_held_while_one_that_stands_goes_on() {
     story(async |mut link| {
         link.relay.hold_new();
-        let mut late = TcpStream::connect(link.relay.address).await.expect("the relay itself is there");
+        let mut late = TcpStream::connect(link.relay.address)
+            .await
+            .expect("the relay itself is there");
         late.write_all(b"n").await.expect("taken");
         assert!(within(A_WHILE, link.listener.accept()).await.is_none());
         link.opener.write_all(b"o").await.expect("taken");
@@ -83,9 +97,14 @@
     story(async |mut link| {
         link.relay.hold(&[Way::In, Way::Out]);
         link.relay.reset();
-        assert_eq!((hears(&mut link.opener).await, hears(&mut link.other).await), (None, None));
+        assert_eq!(
+            (hears(&mut link.opener).await, hears(&mut link.other).await),
+            (None, None)
+        );
         link.relay.heal();
-        let mut again = TcpStream::connect(link.relay.address).await.expect("it listens");
+        let mut again = TcpStream::connect(link.relay.address)
+            .await
+            .expect("it listens");
         again.write_all(b"a").await.expect("taken");
         let (mut other, _) = link.listener.accept().await.expect("passed on");
         assert_eq!(hears(&mut other).await, Some(b'a'));
--- a/crates/load/src/compare.rs
+++ b/crates/load/src/compare.rs
@@ -7,7 +7,8 @@
 /// Resamples that the interval is read from, and the part of them that it holds.
 const RESAMPLES: usize = 4_000;
 const SURE: f64 = 0.95;
-/// Pairs from which anything can be told: with fewer even the plainest order comes by chance too often.
+/// Pairs from which anything can be told: with fewer even the plainest order comes by chance too
+/// often.
 const FEWEST: usize = 5;
 
 /// What is compared, smaller being better in all.
@@ -33,15 +34,23 @@
 
     pub fn of(self, report: &Report) -> f64 {
         let worst = |of: fn(&crate::tally::Quantiles) -> u64| {
-            report.kinds.iter().map(|kind| of(&kind.from_intended)).max().unwrap_or(0) as f64 / 1_000.0
+            report
+                .kinds
+                .iter()
+                .map(|kind| of(&kind.from_intended))
+                .max()
+                .unwrap_or(0) as f64
+                / 1_000.0
         };
         match self {
             Figure::P50 => worst(|own| own.p50),
             Figure::P99 => worst(|own| own.p99),
             Figure::NotPlaced => {
                 let fates = || report.kinds.iter().flat_map(|kind| &kind.fates);
-                let placed: u64 =
-                    fates().filter(|(fate, _)| **fate == Fate::Placed).map(|(_, many)| many).sum();
+                let placed: u64 = fates()
+                    .filter(|(fate, _)| **fate == Fate::Placed)
+                    .map(|(_, many)| many)
+                    .sum();
                 let all: u64 = fates().map(|(_, many)| many).sum();
                 1.0 - placed as f64 / all.max(1) as f64
             }
@@ -65,20 +74,30 @@
     pub verdict: Verdict,
 }
 
-/// Compares pairs of (old, new) on the same load. The interval is read from the pairs drawn anew many times, the
-/// same for the same seed.
+/// Compares pairs of (old, new) on the same load. The interval is read from the pairs drawn anew
+/// many times, the same for the same seed.
 pub fn compare(pairs: &[(f64, f64)], seed: u64) -> Compared {
     let differences: Vec<f64> = pairs.iter().map(|(old, new)| new - old).collect();
-    let mean = |values: &mut dyn Iterator<Item = f64>| values.sum::<f64>() / differences.len().max(1) as f64;
+    let mean = |values: &mut dyn Iterator<Item = f64>| {
+        values.sum::<f64>() / differences.len().max(1) as f64
+    };
     let difference = mean(&mut differences.iter().copied());
     if differences.len() < FEWEST {
         let (from, to) = (f64::NEG_INFINITY, f64::INFINITY);
-        return Compared { difference, from, to, verdict: Verdict::CanNotTell };
+        return Compared {
+            difference,
+            from,
+            to,
+            verdict: Verdict::CanNotTell,
+        };
     }
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut means: Vec<f64> = (0..RESAMPLES)
         .map(|_| {
-            mean(&mut (0..differences.len()).map(|_| differences[rng.random_range(0..differences.len())]))
+            mean(
+                &mut (0..differences.len())
+                    .map(|_| differences[rng.random_range(0..differences.len())]),
+            )
         })
         .collect();
     means.sort_by(f64::total_cmp);
@@ -89,5 +108,10 @@
         (from, _) if from > 0.0 => Verdict::Worse,
         _ => Verdict::CanNotTell,
     };
-    Compared { difference, from, to, verdict }
+    Compared {
+        difference,
+        from,
+        to,
+        verdict,
+    }
 }
--- a/crates/load/src/mix.rs
+++ b/crates/load/src/mix.rs
@@ -28,7 +28,11 @@
     pub fn new(kinds: &'a [Kind], seed: u64) -> Self {
         let whole = kinds.iter().map(|kind| kind.weight).sum();
         // Apart from the times: another mix must not move them.
-        Mix { kinds, whole, rng: Pcg64Mcg::seed_from_u64(seed ^ 0x6d69_7800) }
+        Mix {
+            kinds,
+            whole,
+            rng: Pcg64Mcg::seed_from_u64(seed ^ 0x6d69_7800),
+        }
     }
 
     /// A kind by index, and one of its services.
--- a/crates/load/src/plan.rs
+++ b/crates/load/src/plan.rs
@@ -29,12 +29,23 @@
     /// `folder`: where recorded times are looked for.
     pub fn read(file: &str, text: &str, folder: &Path) -> Result<Plan, Fault> {
         sexp::with_form(file, text, "load", |form| {
-            let parts =
-                form.parts(&["phases", "spacing", "recorded", "kinds", "seed", "under-way", "links"])?;
+            let parts = form.parts(&[
+                "phases",
+                "spacing",
+                "recorded",
+                "kinds",
+                "seed",
+                "under-way",
+                "links",
+            ])?;
             let shape = match (parts.find("phases"), parts.find("recorded")) {
                 (Some(phases), None) => {
-                    let spacing = parts.or("spacing", 1, |form| form.one_of(&["even", "poisson"]))?;
-                    Shape::Phases(self::phases(phases)?, [Spacing::Even, Spacing::Poisson][spacing])
+                    let spacing =
+                        parts.or("spacing", 1, |form| form.one_of(&["even", "poisson"]))?;
+                    Shape::Phases(
+                        self::phases(phases)?,
+                        [Spacing::Even, Spacing::Poisson][spacing],
+                    )
                 }
                 (None, Some(recorded)) => Shape::Recorded(self::recorded(recorded, folder)?),
                 _ => return Err(form.fault("needs either `(phases …)` or `(recorded …)`")),
@@ -48,7 +59,9 @@
                 shape,
                 kinds,
                 seed: parts.or("seed", 1, |form| form.whole(0, u64::MAX))?,
-                under_way: parts.or("under-way", 20_000, |form| Ok(form.whole(1, 1_000_000)? as usize))?,
+                under_way: parts.or("under-way", 20_000, |form| {
+                    Ok(form.whole(1, 1_000_000)? as usize)
+                })?,
                 links: parts.or("links", 4, |form| Ok(form.whole(1, 1_000)? as usize))?,
             })
         })
@@ -75,20 +88,36 @@
             "constant" => {
                 let parts = form.parts(&["for", "rate"])?;
                 let rate = parts.need("rate")?.amount()?;
-                Phase { lasts: span(parts.need("for")?)?, from: rate, to: rate, at_once: 0 }
+                Phase {
+                    lasts: span(parts.need("for")?)?,
+                    from: rate,
+                    to: rate,
+                    at_once: 0,
+                }
             }
             "ramp" => {
                 let parts = form.parts(&["for", "from", "to"])?;
                 let (from, to) = (parts.need("from")?.amount()?, parts.need("to")?.amount()?);
-                Phase { lasts: span(parts.need("for")?)?, from, to, at_once: 0 }
+                Phase {
+                    lasts: span(parts.need("for")?)?,
+                    from,
+                    to,
+                    at_once: 0,
+                }
             }
             _ => {
                 let parts = form.parts(&["asks"])?;
                 let asks = parts.need("asks")?.whole(1, 1_000_000)? as u32;
-                Phase { lasts: Duration::ZERO, from: 0.0, to: 0.0, at_once: asks }
+                Phase {
+                    lasts: Duration::ZERO,
+                    from: 0.0,
+                    to: 0.0,
+                    at_once: asks,
+                }
             }
         };
-        asks += (phase.from + phase.to) / 2.0 * phase.lasts.as_secs_f64() + f64::from(phase.at_once);
+        asks +=
+            (phase.from + phase.to) / 2.0 * phase.lasts.as_secs_f64() + f64::from(phase.at_once);
         if asks > MOST {
             return Err(form.fault(format!("comes to more than {MOST} asks")));
         }
@@ -101,10 +130,20 @@
 }
 
 fn kind(form: &Form) -> Result<Kind, Fault> {
-    let parts = form.parts(&["account", "services", "weight", "cores", "memory", "life", "abandon-time"])?;
+    let parts = form.parts(&[
+        "account",
+        "services",
+        "weight",
+        "cores",
+        "memory",
+        "life",
+        "abandon-time",
+    ])?;
     Ok(Kind {
         track: form.name.into(),
-        account: parts.or("account", String::new(), |form| Ok(form.word()?.to_string()))?,
+        account: parts.or("account", String::new(), |form| {
+            Ok(form.word()?.to_string())
+        })?,
         services: parts.or("services", 10, |form| Ok(form.whole(1, 1_000_000)? as u32))?,
         weight: parts.or("weight", 1.0, Form::above_zero)?,
         cores: parts.need("cores")?.above_zero()?,
@@ -127,7 +166,10 @@
         let record = record.map_err(|why| fault(why.to_string()))?;
         let line = record.position().map_or(0, csv::Position::line);
         let text = record.get(column).unwrap_or_default().trim();
-        let ms = text.parse::<f64>().ok().filter(|ms| (0.0..=1e12).contains(ms));
+        let ms = text
+            .parse::<f64>()
+            .ok()
+            .filter(|ms| (0.0..=1e12).contains(ms));
         let ms = ms.ok_or_else(|| fault(format!("line {line}: `{text}` is no time in ms")))?;
         let time = Duration::from_secs_f64(ms / 1_000.0);
         if times.last().is_some_and(|last| *last > time) {
--- a/crates/load/src/run.rs
+++ b/crates/load/src/run.rs
@@ -26,8 +26,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Loop {
     Open,
-    /// So many owners, each of which asks again as soon as it has its answer, for as long as the load lasts. For
-    /// comparison alone: its figures leave out whatever nobody was there to ask.
+    /// So many owners, each of which asks again as soon as it has its answer, for as long as the
+    /// load lasts. For comparison alone: its figures leave out whatever nobody was there to
+    /// ask.
     Closed(usize),
 }
 
@@ -45,19 +46,28 @@
 
 impl Ways {
     async fn open(tasks: &Tasks, to: &[SocketAddr], links: usize) -> Result<Self, NotRun> {
-        let bounds = Bounds { connect_within: Duration::from_secs(5), ..Bounds::default() };
+        let bounds = Bounds {
+            connect_within: Duration::from_secs(5),
+            ..Bounds::default()
+        };
         let mut all = Vec::new();
         for &to in to {
             let mut own = Vec::new();
             for _ in 0..links {
-                let link = Link::open(tasks, to, &bounds).await.map_err(|why| NotRun::NoLink(to, why))?;
+                let link = Link::open(tasks, to, &bounds)
+                    .await
+                    .map_err(|why| NotRun::NoLink(to, why))?;
                 own.push(Mutex::new(link));
             }
             all.push(Way { to, links: own });
         }
         match all.is_empty() {
             true => Err(NotRun::NoDispatcher),
-            false => Ok(Ways { tasks: Arc::clone(tasks), bounds, all }),
+            false => Ok(Ways {
+                tasks: Arc::clone(tasks),
+                bounds,
+                all,
+            }),
         }
     }
 
@@ -87,7 +97,10 @@
 
 impl Books {
     fn count(&self, shot: &Shot) {
-        self.tally.lock().unwrap_or_else(PoisonError::into_inner).count(shot);
+        self.tally
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .count(shot);
     }
 
     /// One ask up to its answer; what was placed lives on for as long as its words are listened to.
@@ -115,7 +128,11 @@
         let sent = self.began.elapsed();
         let answer = async {
             let link = self.ways.link(number).await?;
-            let mut words = PlacementClient::new(link).place(ask).await.ok()?.into_inner();
+            let mut words = PlacementClient::new(link)
+                .place(ask)
+                .await
+                .ok()?
+                .into_inner();
             let first = words.message().await.ok()??.word?;
             Some((first, words))
         };
@@ -128,9 +145,17 @@
             Some((Word::Failed(_), _)) => Fate::Failed,
             _ => Fate::Unanswered,
         };
-        self.count(&Shot { kind, intended, sent, answered, fate });
+        self.count(&Shot {
+            kind,
+            intended,
+            sent,
+            answered,
+            fate,
+        });
         let life = Duration::from_millis(own.life_ms);
-        answer.filter(|_| fate == Fate::Placed).map(|(_, words)| (words, life))
+        answer
+            .filter(|_| fate == Fate::Placed)
+            .map(|(_, words)| (words, life))
     }
 }
 
@@ -140,8 +165,8 @@
     within(life + Duration::from_secs(60), Box::pin(rest)).await;
 }
 
-/// Sends a load, its times counted from `began` on, and waits for its last answer. `tell` is called each second with
-/// how far it is.
+/// Sends a load, its times counted from `began` on, and waits for its last answer. `tell` is called
+/// each second with how far it is.
 pub async fn run(
     tasks: &Tasks,
     plan: Plan,
@@ -155,19 +180,36 @@
     let run = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
     let run = run.map_or(0, |since| since.as_micros() as u64);
     let tally = Mutex::new(Tally::new(plan.kinds.len()));
-    let books = Arc::new(Books { plan, ways, began, run, tally, under_way: Arc::new(()) });
+    let books = Arc::new(Books {
+        plan,
+        ways,
+        began,
+        run,
+        tally,
+        under_way: Arc::new(()),
+    });
     match how {
         Loop::Open => open(tasks, &books, &mut tell).await,
         Loop::Closed(owners) => closed(tasks, &books, owners, lasts).await,
     }
     // Lives go on after the last answer: they are let go with the links.
-    let latest = books.plan.kinds.iter().map(|kind| kind.abandon_ms).max().unwrap_or(0);
+    let latest = books
+        .plan
+        .kinds
+        .iter()
+        .map(|kind| kind.abandon_ms)
+        .max()
+        .unwrap_or(0);
     let latest = Instant::now() + Duration::from_millis(latest) + 2 * LATE;
     let all = || {
         let tally = books.tally.lock().unwrap_or_else(PoisonError::into_inner);
         tally.counted()
     };
-    let sent = books.tally.lock().unwrap_or_else(PoisonError::into_inner).begun();
+    let sent = books
+        .tally
+        .lock()
+        .unwrap_or_else(PoisonError::into_inner)
+        .begun();
     while all() < sent && Instant::now() < latest {
         Timer::after(Duration::from_millis(10)).await;
     }
@@ -188,10 +230,20 @@
             told = intended.as_secs();
             tell(intended, number);
         }
-        books.tally.lock().unwrap_or_else(PoisonError::into_inner).begin();
+        books
+            .tally
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .begin();
         if Arc::strong_count(&books.under_way) > books.plan.under_way {
             let at = books.began.elapsed();
-            books.count(&Shot { kind, intended, sent: at, answered: at, fate: Fate::NotSent });
+            books.count(&Shot {
+                kind,
+                intended,
+                sent: at,
+                answered: at,
+                fate: Fate::NotSent,
+            });
             continue;
         }
         let (books, under_way) = (Arc::clone(books), Arc::clone(&books.under_way));
@@ -217,7 +269,11 @@
                 let mut number = owner << 32;
                 while books.began.elapsed() < lasts {
                     let (kind, service) = mix.draw();
-                    books.tally.lock().unwrap_or_else(PoisonError::into_inner).begin();
+                    books
+                        .tally
+                        .lock()
+                        .unwrap_or_else(PoisonError::into_inner)
+                        .begin();
                     // Meant to go out when it does: that is what is wrong with it.
                     let intended = books.began.elapsed();
                     if let Some((words, life)) = books.ask(number, kind, service, intended).await {
--- a/crates/load/src/shape.rs
+++ b/crates/load/src/shape.rs
@@ -87,7 +87,11 @@
         loop {
             let phase = phases.get(self.index)?;
             let length = phase.lasts.as_secs_f64();
-            let steeper = if length > 0.0 { (phase.to - phase.from) / length } else { 0.0 };
+            let steeper = if length > 0.0 {
+                (phase.to - phase.from) / length
+            } else {
+                0.0
+            };
             let rate = phase.from + steeper * self.at;
             let left = length - self.at;
             let whole = rate * left + steeper * left * left / 2.0;
--- a/crates/load/src/tally.rs
+++ b/crates/load/src/tally.rs
@@ -1,4 +1,5 @@
-//! What came of a load: latencies from the intended send time, by kind and second, and the generator's own lag.
+//! What came of a load: latencies from the intended send time, by kind and second, and the
+//! generator's own lag.
 
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
@@ -28,7 +29,8 @@
     pub fate: Fate,
 }
 
-/// A generator whose asks leave so late, at the 99th percentile, has not offered the load that it was to.
+/// A generator whose asks leave so late, at the 99th percentile, has not offered the load that it
+/// was to.
 pub const BEHIND: Duration = Duration::from_millis(10);
 
 pub struct Tally {
@@ -92,7 +94,13 @@
 
 fn quantiles(of: &Histogram<u64>) -> Quantiles {
     let at = |quantile| of.value_at_quantile(quantile);
-    Quantiles { count: of.len(), p50: at(0.5), p99: at(0.99), p999: at(0.999), most: of.max() }
+    Quantiles {
+        count: of.len(),
+        p50: at(0.5),
+        p99: at(0.99),
+        p999: at(0.999),
+        most: of.max(),
+    }
 }
 
 fn micros(time: Duration) -> u64 {
@@ -127,7 +135,10 @@
 
     pub fn count(&mut self, shot: &Shot) {
         let at = shot.intended.as_secs();
-        let second = self.seconds.entry(at).or_insert_with(|| Second { at, ..Second::default() });
+        let second = self.seconds.entry(at).or_insert_with(|| Second {
+            at,
+            ..Second::default()
+        });
         second.intended += 1;
         *self.fates[shot.kind].entry(shot.fate).or_default() += 1;
         if shot.fate == Fate::NotSent {
@@ -135,7 +146,8 @@
             return;
         }
         self.last_sent = self.last_sent.max(shot.sent);
-        self.lag.saturating_record(micros(shot.sent.saturating_sub(shot.intended)));
+        self.lag
+            .saturating_record(micros(shot.sent.saturating_sub(shot.intended)));
         let late = micros(shot.answered.saturating_sub(shot.intended));
         second.slowest_us = second.slowest_us.max(late);
         match shot.fate {
@@ -143,9 +155,11 @@
             Fate::Refused => second.refused += 1,
             Fate::Failed | Fate::Unanswered | Fate::NotSent => second.lost += 1,
         }
-        // One without an answer took at least as long as it was waited for: left out, it would flatter.
+        // One without an answer took at least as long as it was waited for: left out, it would
+        // flatter.
         self.from_intended[shot.kind].saturating_record(late);
-        self.from_sent[shot.kind].saturating_record(micros(shot.answered.saturating_sub(shot.sent)));
+        self.from_sent[shot.kind]
+            .saturating_record(micros(shot.answered.saturating_sub(shot.sent)));
     }
 
     /// `lasts`: of the load as intended.
@@ -157,7 +171,11 @@
             from_sent: quantiles(&self.from_sent[kind]),
         });
         let intended: u64 = self.seconds.values().map(|second| second.intended).sum();
-        let not_sent: u64 = self.fates.iter().filter_map(|fates| fates.get(&Fate::NotSent)).sum();
+        let not_sent: u64 = self
+            .fates
+            .iter()
+            .filter_map(|fates| fates.get(&Fate::NotSent))
+            .sum();
         let lag = quantiles(&self.lag);
         let seconds = |time: Duration| time.as_secs_f64().max(1e-6);
         Report {
@@ -174,7 +192,11 @@
 impl std::fmt::Display for Report {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         let ms = |us: u64| us as f64 / 1_000.0;
-        writeln!(f, "intended {:.1} asks/s, sent {:.1}", self.intended_a_second, self.sent_a_second)?;
+        writeln!(
+            f,
+            "intended {:.1} asks/s, sent {:.1}",
+            self.intended_a_second, self.sent_a_second
+        )?;
         writeln!(
             f,
             "lag of the generator: p50 {:.1} ms, p99 {:.1}, most {:.1}",
@@ -183,7 +205,10 @@
             ms(self.lag.most)
         )?;
         if self.behind {
-            writeln!(f, "THE GENERATOR FELL BEHIND: these figures are not the dispatcher's alone")?;
+            writeln!(
+                f,
+                "THE GENERATOR FELL BEHIND: these figures are not the dispatcher's alone"
+            )?;
         }
         for kind in &self.kinds {
             let count = |fate| kind.fates.get(&fate).copied().unwrap_or(0);
@@ -197,7 +222,10 @@
                 count(Fate::Unanswered),
                 count(Fate::NotSent)
             )?;
-            for (from, own) in [("intended time", kind.from_intended), ("send", kind.from_sent)] {
+            for (from, own) in [
+                ("intended time", kind.from_intended),
+                ("send", kind.from_sent),
+            ] {
                 writeln!(
                     f,
                     "  from {from:<13} p50 {:9.1} ms, p99 {:9.1}, p99.9 {:9.1}, most {:9.1}",
--- a/crates/load/tests/stories.rs
+++ b/crates/load/tests/stories.rs
@@ -17,7 +17,12 @@
 }
 
 fn phase(seconds: u64, from: f64, to: f64) -> Phase {
-    Phase { lasts: Duration::from_secs(seconds), from, to, at_once: 0 }
+    Phase {
+        lasts: Duration::from_secs(seconds),
+        from,
+        to,
+        at_once: 0,
+    }
 }
 
 fn times(phases: Vec<Phase>, spacing: Spacing) -> Vec<Duration> {
@@ -26,7 +31,10 @@
 
 #[test]
 fn a_step_takes_its_new_rate_at_once() {
-    let times = times(vec![phase(2, 50.0, 50.0), phase(2, 5_000.0, 5_000.0)], Spacing::Even);
+    let times = times(
+        vec![phase(2, 50.0, 50.0), phase(2, 5_000.0, 5_000.0)],
+        Spacing::Even,
+    );
     let before = times.iter().filter(|at| **at < ms(2_000)).count();
     assert!((99..=100).contains(&before), "{before}");
     assert!((10_098..=10_100).contains(&times.len()), "{}", times.len());
@@ -36,15 +44,30 @@
 fn a_ramp_comes_to_the_mean_of_its_rates_and_most_of_it_late() {
     let times = times(vec![phase(10, 0.0, 200.0)], Spacing::Even);
     let half = times.iter().filter(|at| **at < ms(5_000)).count();
-    assert!((999..=1_000).contains(&times.len()) && (249..=251).contains(&half), "{half} of {}", times.len());
+    assert!(
+        (999..=1_000).contains(&times.len()) && (249..=251).contains(&half),
+        "{half} of {}",
+        times.len()
+    );
 }
 
 #[test]
 fn a_burst_comes_all_at_its_moment() {
-    let burst = Phase { lasts: Duration::ZERO, from: 0.0, to: 0.0, at_once: 300 };
-    let times = times(vec![phase(1, 10.0, 10.0), burst, phase(1, 10.0, 10.0)], Spacing::Even);
+    let burst = Phase {
+        lasts: Duration::ZERO,
+        from: 0.0,
+        to: 0.0,
+        at_once: 300,
+    };
+    let times = times(
+        vec![phase(1, 10.0, 10.0), burst, phase(1, 10.0, 10.0)],
+        Spacing::Even,
+    );
     let then = times.iter().filter(|at| **at == ms(1_000)).count();
-    assert!((300..=301).contains(&then), "{then}, with the last before it");
+    assert!(
+        (300..=301).contains(&then),
+        "{then}, with the last before it"
+    );
 }
 
 proptest! {
@@ -91,7 +114,13 @@
 }
 
 fn shot(intended: u64, sent: u64, answered: u64, fate: Fate) -> Shot {
-    Shot { kind: 0, intended: ms(intended), sent: ms(sent), answered: ms(answered), fate }
+    Shot {
+        kind: 0,
+        intended: ms(intended),
+        sent: ms(sent),
+        answered: ms(answered),
+        fate,
+    }
 }
 
 #[test]
@@ -100,7 +129,10 @@
     (0..100).for_each(|at| tally.count(&shot(at * 10, 1_000, 1_005, Fate::Placed)));
     let report = tally.report(&["web".into()], ms(1_000));
     let own = &report.kinds[0];
-    assert!(own.from_intended.p50 > 500_000 && own.from_sent.most < 5_100, "{own:?}");
+    assert!(
+        own.from_intended.p50 > 500_000 && own.from_sent.most < 5_100,
+        "{own:?}"
+    );
     assert!(report.behind, "and the generator says that it was late");
 }
 
@@ -124,8 +156,10 @@
 #[test_case("(phases", "(recorded \"no.csv\") (phases", "either"; "two shapes")]
 #[test_case("(phases (constant (for 1 s) (rate 50)))", "(recorded \"no.csv\")", "no.csv"; "no such file")]
 fn a_plan_that_is_none_is_told_with_its_place(from: &str, to: &str, why: &str) {
-    let fault =
-        Plan::read("p", &PLAN.replace(from, to), Path::new("")).map(drop).expect_err("a fault").to_string();
+    let fault = Plan::read("p", &PLAN.replace(from, to), Path::new(""))
+        .map(drop)
+        .expect_err("a fault")
+        .to_string();
     assert!(fault.starts_with("p:1:") && fault.contains(why), "{fault}");
 }
 
@@ -137,7 +171,10 @@
 fn recorded_times(text: &str, wanted: Result<usize, &str>) {
     let folder = tempfile::tempdir().expect("a folder");
     std::fs::write(folder.path().join("times.csv"), text).expect("written");
-    let plan = PLAN.replace("(phases (constant (for 1 s) (rate 50)))", "(recorded \"times.csv\")");
+    let plan = PLAN.replace(
+        "(phases (constant (for 1 s) (rate 50)))",
+        "(recorded \"times.csv\")",
+    );
     let read = Plan::read("p", &plan, folder.path()).map_err(|why| why.to_string());
     match (read, wanted) {
         (Ok(plan), Ok(many)) => assert_eq!(plan.shape.arrivals(1).count(), many),
@@ -153,17 +190,28 @@
     // Days between 100 and 500, each variant off by up to 5 of its own.
     let noise = |at: usize| ((at * 7919) % 11) as f64 - 5.0;
     let pairs: Vec<(f64, f64)> = (0..10)
-        .map(|day| (100.0 + 44.0 * day as f64, 100.0 + 44.0 * day as f64 + more + noise(day)))
+        .map(|day| {
+            (
+                100.0 + 44.0 * day as f64,
+                100.0 + 44.0 * day as f64 + more + noise(day),
+            )
+        })
         .collect();
     assert_eq!(compare(&pairs, 1).verdict, verdict);
-    assert_eq!(compare(&pairs[..4], 1).verdict, Verdict::CanNotTell, "four days tell nothing");
+    assert_eq!(
+        compare(&pairs[..4], 1).verdict,
+        Verdict::CanNotTell,
+        "four days tell nothing"
+    );
 }
 
 #[test]
 fn two_equal_variants_are_seldom_told_apart() {
     let mut rng = Pcg64Mcg::seed_from_u64(1);
     let told = (0..200).filter(|&round| {
-        let pairs: Vec<(f64, f64)> = (0..10).map(|_| (rng.random::<f64>(), rng.random::<f64>())).collect();
+        let pairs: Vec<(f64, f64)> = (0..10)
+            .map(|_| (rng.random::<f64>(), rng.random::<f64>()))
+            .collect();
         compare(&pairs, round).verdict != Verdict::CanNotTell
     });
     let told = told.count();
--- a/crates/maintenance/src/door.rs
+++ b/crates/maintenance/src/door.rs
@@ -4,8 +4,8 @@
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
-/// Outings that a machine remembers as over. Word to close for one of them comes late; one further back than these has
-/// been on its way through as many outings.
+/// Outings that a machine remembers as over. Word to close for one of them comes late; one further
+/// back than these has been on its way through as many outings.
 const OVER: usize = 64;
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
