--- a/crates/rpc/src/counts.rs
+++ b/crates/rpc/src/counts.rs
@@ -1,5 +1,5 @@
-//! What passes a link, counted: bytes at the socket, as the kernel took and gave them, and whole gRPC messages in the
-//! bodies of calls. Which links are counted together is the caller's affair.
+//! What passes a link, counted: bytes at the socket, as the kernel took and gave them, and whole
+//! gRPC messages in the bodies of calls. Which links are counted together is the caller's affair.
 
 use async_net::TcpStream;
 use bytes::{Buf, Bytes};
@@ -30,8 +30,8 @@
 /// Tells by the path of its first call with which others a served link is counted.
 pub type Sorts = Arc<dyn Fn(&str) -> Meter + Send + Sync>;
 
-/// One link's way to its counters. A served one has none until its first call: what passes before is kept, and counted
-/// with the rest then, or at the link's end.
+/// One link's way to its counters. A served one has none until its first call: what passes before
+/// is kept, and counted with the rest then, or at the link's end.
 #[derive(Clone)]
 pub(crate) struct Tap(Arc<Inner>);
 
@@ -43,12 +43,20 @@
 
 impl Tap {
     pub fn of(meter: &Meter) -> Tap {
-        Tap(Arc::new(Inner { meter: OnceLock::from(meter.clone()), early: Default::default(), sorts: None }))
+        Tap(Arc::new(Inner {
+            meter: OnceLock::from(meter.clone()),
+            early: Default::default(),
+            sorts: None,
+        }))
     }
 
     pub fn sorted(sorts: &Sorts) -> Tap {
         let (meter, early) = Default::default();
-        Tap(Arc::new(Inner { meter, early, sorts: Some(Arc::clone(sorts)) }))
+        Tap(Arc::new(Inner {
+            meter,
+            early,
+            sorts: Some(Arc::clone(sorts)),
+        }))
     }
 
     fn bytes(&self, way: Way, many: usize) {
@@ -60,7 +68,13 @@
 
     /// A call of this path is on the link.
     pub fn called(&self, path: &str) -> &Meter {
-        let sorted = || self.0.sorts.as_ref().map(|sorts| sorts(path)).unwrap_or_default();
+        let sorted = || {
+            self.0
+                .sorts
+                .as_ref()
+                .map(|sorts| sorts(path))
+                .unwrap_or_default()
+        };
         let meter = self.0.meter.get_or_init(sorted);
         self.0.settle(meter);
         meter
@@ -80,7 +94,12 @@
 
 impl Drop for Inner {
     fn drop(&mut self) {
-        let sorted = || self.sorts.as_ref().map(|sorts| sorts("")).unwrap_or_default();
+        let sorted = || {
+            self.sorts
+                .as_ref()
+                .map(|sorts| sorts(""))
+                .unwrap_or_default()
+        };
         let meter = self.meter.get().cloned().unwrap_or_else(sorted);
         self.settle(&meter);
     }
@@ -110,7 +129,11 @@
 }
 
 impl AsyncRead for Socket {
-    fn poll_read(mut self: Pin<&mut Self>, cx: &mut Context<'_>, to: &mut [u8]) -> Poll<Result<usize>> {
+    fn poll_read(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        to: &mut [u8],
+    ) -> Poll<Result<usize>> {
         let passed = Pin::new(&mut self.stream).poll_read(cx, to);
         self.saw(Way::In, &passed);
         passed
@@ -118,7 +141,11 @@
 }
 
 impl AsyncWrite for Socket {
-    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, from: &[u8]) -> Poll<Result<usize>> {
+    fn poll_write(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        from: &[u8],
+    ) -> Poll<Result<usize>> {
         let passed = Pin::new(&mut self.stream).poll_write(cx, from);
         self.saw(Way::Out, &passed);
         passed
@@ -151,7 +178,10 @@
 
 impl<B> Counted<B> {
     pub(crate) fn new(body: B, counter: Option<Counter>) -> Self {
-        Counted { body, count: counter.map(|counter| (Messages::default(), counter)) }
+        Counted {
+            body,
+            count: counter.map(|counter| (Messages::default(), counter)),
+        }
     }
 }
 
@@ -164,7 +194,8 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<std::result::Result<Frame<Bytes>, B::Error>>> {
         let polled = Pin::new(&mut self.body).poll_frame(cx);
-        if let (Some((messages, counter)), Poll::Ready(Some(Ok(frame)))) = (&mut self.count, &polled)
+        if let (Some((messages, counter)), Poll::Ready(Some(Ok(frame)))) =
+            (&mut self.count, &polled)
             && let Some(data) = frame.data_ref()
         {
             counter.inc_by(messages.passed(data.clone()));
@@ -181,7 +212,8 @@
     }
 }
 
-/// Where in its messages a body stands: each is five bytes, the last four its length, and so many more.
+/// Where in its messages a body stands: each is five bytes, the last four its length, and so many
+/// more.
 #[derive(Default)]
 struct Messages {
     prefix: [u8; 5],
--- a/crates/rpc/src/lib.rs
+++ b/crates/rpc/src/lib.rs
@@ -1,5 +1,6 @@
-//! gRPC over smol: HTTP/2 links for tonic's clients and services, without a tokio runtime. Everything here is
-//! bounded and timed by what the caller hands over; what a broken link means is the caller's affair.
+//! gRPC over smol: HTTP/2 links for tonic's clients and services, without a tokio runtime.
+//! Everything here is bounded and timed by what the caller hands over; what a broken link means is
+//! the caller's affair.
 
 mod counts;
 
@@ -42,8 +43,8 @@
 #[derive(Clone, Debug)]
 pub struct Bounds {
     pub connect_within: Duration,
-    /// A link with calls on it that is silent for so long is asked for a sign of life, and cut after as long
-    /// again without one.
+    /// A link with calls on it that is silent for so long is asked for a sign of life, and cut
+    /// after as long again without one.
     pub keep_alive: Duration,
     /// Calls at a time that a serving end allows each link.
     pub calls: u32,
@@ -66,9 +67,10 @@
 }
 
 impl Bounds {
-    /// The window of a whole link. HTTP/2 closes a link on which more small frames wait than half of it bears, at
-    /// 256 bytes each: with the usual window a burst of some hundred asks, or as many words from a node while we
-    /// stand still, would end every allocation on it. So there is room for one such frame a call.
+    /// The window of a whole link. HTTP/2 closes a link on which more small frames wait than half
+    /// of it bears, at 256 bytes each: with the usual window a burst of some hundred asks, or
+    /// as many words from a node while we stand still, would end every allocation on it. So
+    /// there is room for one such frame a call.
     fn window(&self) -> u32 {
         self.calls.saturating_mul(512).clamp(64 * 1024, 64 << 20)
     }
@@ -116,14 +118,24 @@
                 .initial_max_send_streams(bounds.calls as usize)
                 .initial_connection_window_size(bounds.window())
                 .max_header_list_size(16 * 1024);
-            let socket = Socket { stream, tap: meter.map(Tap::of) };
-            builder.handshake(FuturesIo::new(socket)).await.map_err(NoLink::NotHttp)
+            let socket = Socket {
+                stream,
+                tap: meter.map(Tap::of),
+            };
+            builder
+                .handshake(FuturesIo::new(socket))
+                .await
+                .map_err(NoLink::NotHttp)
         };
         let (sender, connection) = within(bounds.connect_within, opened)
             .await
             .unwrap_or(Err(NoLink::TimedOut(bounds.connect_within)))?;
         tasks.spawn(async move { drop(connection.await) }).detach();
-        Ok(Link { to, sender, meter: meter.cloned() })
+        Ok(Link {
+            to,
+            sender,
+            meter: meter.cloned(),
+        })
     }
 
     /// Whether calls may still be sent on it.
@@ -142,15 +154,24 @@
     }
 
     fn call(&mut self, mut request: http::Request<Body>) -> Self::Future {
-        let path = request.uri().path_and_query().map_or("/", |path| path.as_str());
+        let path = request
+            .uri()
+            .path_and_query()
+            .map_or("/", |path| path.as_str());
         match format!("http://{}{path}", self.to).parse() {
             Ok(uri) => *request.uri_mut() = uri,
             // A path that was a path stays one beside an address.
             Err(_) => unreachable!("an address and a path make a URI"),
         }
-        let counter = |which: fn(&Meter) -> &Counter| self.meter.as_ref().map(|meter| which(meter).clone());
-        let (sent, heard) = (counter(|meter| &meter.messages_out), counter(|meter| &meter.messages_in));
-        let answered = self.sender.send_request(request.map(|body| Counted::new(body, sent)));
+        let counter =
+            |which: fn(&Meter) -> &Counter| self.meter.as_ref().map(|meter| which(meter).clone());
+        let (sent, heard) = (
+            counter(|meter| &meter.messages_out),
+            counter(|meter| &meter.messages_in),
+        );
+        let answered = self
+            .sender
+            .send_request(request.map(|body| Counted::new(body, sent)));
         Box::pin(async move { Ok(answered.await?.map(|body| Counted::new(body, heard))) })
     }
 }
@@ -168,8 +189,8 @@
     serve_to(|_| true, None, listener, service, bounds).await
 }
 
-/// The same to peers at such addresses alone; others are closed unread. What passes is counted where it is said how
-/// links are sorted.
+/// The same to peers at such addresses alone; others are closed unread. What passes is counted
+/// where it is said how links are sorted.
 pub async fn serve_to<S>(
     admits: impl Fn(IpAddr) -> bool,
     sorts: Option<Sorts>,
@@ -193,7 +214,8 @@
             let stream = match listener.accept().await {
                 Ok((stream, peer)) if admits(peer.ip()) => stream,
                 Ok(_) => continue,
-                // Out of file descriptors, or a peer gone before it was taken: the listener itself is sound.
+                // Out of file descriptors, or a peer gone before it was taken: the listener itself
+                // is sound.
                 Err(why)
                     if why.raw_os_error() == Some(24)
                         || why.kind() == std::io::ErrorKind::ConnectionAborted =>
@@ -220,8 +242,8 @@
     accept.or(own.run(future::pending())).await
 }
 
-/// Spawns what a link needs into its listener's own executor. Weak: tasks that kept their executor alive would
-/// keep their sockets open after the listener is gone.
+/// Spawns what a link needs into its listener's own executor. Weak: tasks that kept their executor
+/// alive would keep their sockets open after the listener is gone.
 #[derive(Clone)]
 struct Own(Weak<Executor<'static>>);
 
@@ -244,7 +266,11 @@
     if socket.stream.set_nodelay(true).is_err() {
         return;
     }
-    let service = ToBody { inner: service, most: bounds.message, tap: socket.tap.clone() };
+    let service = ToBody {
+        inner: service,
+        most: bounds.message,
+        tap: socket.tap.clone(),
+    };
     let mut builder = hyper::server::conn::http2::Builder::new(tasks);
     builder
         .timer(SmolTimer::new())
@@ -254,7 +280,8 @@
         .max_send_buf_size(64 * 1024)
         .keep_alive_interval(bounds.keep_alive)
         .keep_alive_timeout(bounds.keep_alive);
-    let served = builder.serve_connection(FuturesIo::new(socket), TowerToHyperService::new(service));
+    let served =
+        builder.serve_connection(FuturesIo::new(socket), TowerToHyperService::new(service));
     // A link that ends badly is its peer's affair: garbage, a reset, silence.
     drop(served.await);
 }
@@ -283,7 +310,8 @@
     fn call(&mut self, request: http::Request<hyper::body::Incoming>) -> Self::Future {
         // A unary body that says it is too large need not be read to be turned down.
         if request.body().size_hint().lower() > self.most as u64 + 5 {
-            let status = tonic::Status::resource_exhausted(format!("a message over {} bytes", self.most));
+            let status =
+                tonic::Status::resource_exhausted(format!("a message over {} bytes", self.most));
             return Box::pin(future::ready(Ok(status.into_http())));
         }
         let Some(tap) = &self.tap else {
@@ -291,7 +319,13 @@
         };
         let meter = tap.called(request.uri().path());
         let (heard, sent) = (meter.messages_in.clone(), meter.messages_out.clone());
-        let answered = self.inner.call(request.map(|body| Body::new(Counted::new(body, Some(heard)))));
-        Box::pin(async move { Ok(answered.await?.map(|body| Body::new(Counted::new(body, Some(sent))))) })
+        let answered = self
+            .inner
+            .call(request.map(|body| Body::new(Counted::new(body, Some(heard)))));
+        Box::pin(async move {
+            Ok(answered
+                .await?
+                .map(|body| Body::new(Counted::new(body, Some(sent)))))
+        })
     }
 }
--- a/crates/runtime/src/clock.rs
+++ b/crates/runtime/src/clock.rs
@@ -3,8 +3,8 @@
 use corkspan::interface::Tenths;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Starts at the time of day, so that moments told by others stand on the same scale, and from then on follows
-/// the monotonic clock alone: a time of day that is set back must not move a deadline.
+/// Starts at the time of day, so that moments told by others stand on the same scale, and from then
+/// on follows the monotonic clock alone: a time of day that is set back must not move a deadline.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Instant,
@@ -13,7 +13,10 @@
 
 impl Clock {
     pub fn start() -> Self {
-        Clock { start: Instant::now(), base: wall_ms() * 10 }
+        Clock {
+            start: Instant::now(),
+            base: wall_ms() * 10,
+        }
     }
 
     /// Now, rounded down.
@@ -28,7 +31,9 @@
 
 /// Milliseconds since 1970 by the time of day.
 pub fn wall_ms() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as u64)
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0, |since| since.as_millis() as u64)
 }
 
 /// Whole tenths of a millisecond, never more than was given.
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -1,5 +1,5 @@
-//! What every front of a dispatcher runs on: the clock, the executor, time limits, the one timer of the decisions
-//! and signals. It knows nothing of allocations.
+//! What every front of a dispatcher runs on: the clock, the executor, time limits, the one timer of
+//! the decisions and signals. It knows nothing of allocations.
 
 pub mod clock;
 
@@ -50,7 +50,10 @@
 
 /// The value, or none if it takes longer.
 pub fn within<F: Future>(time: Duration, value: F) -> Within<F> {
-    Within { value, timer: Timer::after(time) }
+    Within {
+        value,
+        timer: Timer::after(time),
+    }
 }
 
 pin_project_lite::pin_project! {
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -35,14 +35,23 @@
 }
 
 impl Amount {
-    pub const ONE: Amount = Amount { cores: 1.0, memory: 1.0 };
+    pub const ONE: Amount = Amount {
+        cores: 1.0,
+        memory: 1.0,
+    };
 
     pub fn most(self, other: Amount) -> Amount {
-        Amount { cores: self.cores.max(other.cores), memory: self.memory.max(other.memory) }
+        Amount {
+            cores: self.cores.max(other.cores),
+            memory: self.memory.max(other.memory),
+        }
     }
 
     pub fn least(self, other: Amount) -> Amount {
-        Amount { cores: self.cores.min(other.cores), memory: self.memory.min(other.memory) }
+        Amount {
+            cores: self.cores.min(other.cores),
+            memory: self.memory.min(other.memory),
+        }
     }
 
     pub fn within(self, limit: Amount) -> bool {
@@ -71,7 +80,10 @@
 impl std::ops::Mul<f64> for Amount {
     type Output = Amount;
     fn mul(self, times: f64) -> Amount {
-        Amount { cores: self.cores * times, memory: self.memory * times }
+        Amount {
+            cores: self.cores * times,
+            memory: self.memory * times,
+        }
     }
 }
 
@@ -85,8 +97,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Repeat {
     Idempotent,
-    /// The machines of one such place, or all where none is named, drop repeats for `window` from the first
-    /// send that may have run.
+    /// The machines of one such place, or all where none is named, drop repeats for `window` from
+    /// the first send that may have run.
     Deduplicated {
         within: Option<Place>,
         window: Tenths,
@@ -197,7 +209,10 @@
 /// Where to send an allocation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Placement {
-    Send { machine: MachineId, time_out: Tenths },
+    Send {
+        machine: MachineId,
+        time_out: Tenths,
+    },
     NotYet,
     Shed,
     Scrap,
@@ -260,13 +275,15 @@
     pub time: Tenths,
     /// Allocations answered with "not yet" are worth another call now.
     pub ask_again: bool,
-    /// Where told, only such of them are that are abandoned up to then: the others would find no machine.
-    /// [`crate::rules::Scheduler::none_waits`] is the answer where there are no others.
+    /// Where told, only such of them are that are abandoned up to then: the others would find no
+    /// machine. [`crate::rules::Scheduler::none_waits`] is the answer where there are no
+    /// others.
     pub ends: Option<Tenths>,
     pub watch_list: bool,
     pub probes: Vec<MachineId>,
     pub moves: Vec<AllocationId>,
-    /// Placed ones that are lost with their machines, where the caller doesn't learn that by itself.
+    /// Placed ones that are lost with their machines, where the caller doesn't learn that by
+    /// itself.
     pub lost: Vec<AllocationId>,
 }
 
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -1,9 +1,10 @@
 //! All decisions of corkspan: PrV-WorstFit of docs/design.md and the guards around it.
 //!
-//! Called from one dispatcher, types in interface.rs. Three calls ask: [`Scheduler::place`] where to send an
-//! allocation (or not yet, or never), [`Scheduler::after`] what to do after an outcome of its last shot,
-//! [`Scheduler::wait`] how long to wait and what to set going meanwhile. The rest hand over plain facts.
-//! The caller keeps the allocations in hand and the timers, and decides nothing.
+//! Called from one dispatcher, types in interface.rs. Three calls ask: [`Scheduler::place`] where
+//! to send an allocation (or not yet, or never), [`Scheduler::after`] what to do after an outcome
+//! of its last shot, [`Scheduler::wait`] how long to wait and what to set going meanwhile. The rest
+//! hand over plain facts. The caller keeps the allocations in hand and the timers, and decides
+//! nothing.
 
 use crate::interface::*;
 use crate::state::*;
@@ -19,11 +20,13 @@
 /// The paper's figures for the share of draws that may cross the line and for the number of draws.
 const THETA: f64 = 0.01;
 const DRAWS: usize = 100;
-/// f for memory, below the size since machines slow down before they evict; f for cores is the track's calm.
+/// f for memory, below the size since machines slow down before they evict; f for cores is the
+/// track's calm.
 const F_MEMORY: f64 = 0.9;
 const TIE: f64 = 0.02;
-/// Share of memory that a machine is filled to when none is under theta: beyond, all slow down, then some
-/// are evicted. Cores may pass the calm share by some: crowded ones serve worse, but serve.
+/// Share of memory that a machine is filled to when none is under theta: beyond, all slow down,
+/// then some are evicted. Cores may pass the calm share by some: crowded ones serve worse, but
+/// serve.
 const LIMIT: f64 = 0.92;
 const FADE: f64 = 0.25;
 /// Part of the use of lower priorities that stays.
@@ -36,7 +39,8 @@
 const RECORDS: usize = 48;
 /// Services of which records are kept.
 const SERVICES: usize = 1_024;
-/// From this long after its send an allocation is taken to be in reports and in the room that the list tells.
+/// From this long after its send an allocation is taken to be in reports and in the room that the
+/// list tells.
 const LAG: Tenths = SECOND * 3 / 2;
 /// In this time a report loses half its weight against what is expected of the machine without it.
 const REPORT_HALF: f64 = 4.0 * SECOND as f64;
@@ -53,15 +57,17 @@
 const LARGE: f64 = 4.0;
 /// So many times its share is well beyond it: the front is not even.
 const BEYOND: f64 = 1.3;
-/// Share of memory past which some are moved away, if a machine under the second share could take them.
+/// Share of memory past which some are moved away, if a machine under the second share could take
+/// them.
 const OVER: f64 = 0.95;
 const SPARE: f64 = 0.8;
 /// So many times the usual answer time without one is silence.
 const PATIENCE: f64 = 8.0;
 /// Left before the abandon time, so that the answer itself is not late.
 const MARGIN: Tenths = 40;
-/// In this time room comes and goes: so long a machine that refused is not offered as much again, one is kept
-/// free for a large allocation, and one may be silent before it is probed, where it may be.
+/// In this time room comes and goes: so long a machine that refused is not offered as much again,
+/// one is kept free for a large allocation, and one may be silent before it is probed, where it may
+/// be.
 const TURNOVER: Tenths = 2 * SECOND;
 /// So long without a sign of life, probes notwithstanding, and what is placed on a machine is lost.
 const VANISHED: Tenths = 5 * SECOND;
@@ -125,12 +131,14 @@
         }
     }
 
-    /// Other figures are in force from here on, for the same kinds and halls. What was learnt stays; so do the ids
-    /// of tracks and accounts that allocations in hand have.
+    /// Other figures are in force from here on, for the same kinds and halls. What was learnt
+    /// stays; so do the ids of tracks and accounts that allocations in hand have.
     pub fn adopt(&mut self, now: Tenths, cluster: Cluster) {
-        // Offers older than the former window are forgotten: as after a restart, a longer one is waited for first.
-        // Where there are more or fewer of us, the parts of others change too, and not at one moment.
-        let others = cluster.schedulers != self.cluster.schedulers || cluster.number != self.cluster.number;
+        // Offers older than the former window are forgotten: as after a restart, a longer one is
+        // waited for first. Where there are more or fewer of us, the parts of others change
+        // too, and not at one moment.
+        let others =
+            cluster.schedulers != self.cluster.schedulers || cluster.number != self.cluster.number;
         if others || cluster.cold.window > self.cluster.cold.window {
             self.born = now;
         }
@@ -162,19 +170,25 @@
             match self.cluster.tracks[allocation.track.0].repeat {
                 // A copy may stand where a shot broke: that machine would take no second one.
                 Repeat::Idempotent => {
-                    let ran =
-                        |id| allocation.shots.iter().any(|s| s.machine == id && s.fate != Fate::NeverRan);
-                    let others: Vec<MachineId> = ids.iter().copied().filter(|&id| !ran(id)).collect();
+                    let ran = |id| {
+                        allocation
+                            .shots
+                            .iter()
+                            .any(|s| s.machine == id && s.fate != Fate::NeverRan)
+                    };
+                    let others: Vec<MachineId> =
+                        ids.iter().copied().filter(|&id| !ran(id)).collect();
                     ids = if others.is_empty() { ids } else { others };
                 }
                 Repeat::Unrepeatable => return self.give_up(allocation),
-                // Past the window its repeats are no longer dropped, and outside the group never were.
+                // Past the window its repeats are no longer dropped, and outside the group never
+                // were.
                 Repeat::Deduplicated { window, .. } if latest + MARGIN >= shot.sent + window => {
                     return self.give_up(allocation);
                 }
-                Repeat::Deduplicated { within, .. } => {
-                    ids.retain(|&machine| within.is_none_or(|place| self.same(place, machine, shot.machine)))
-                }
+                Repeat::Deduplicated { within, .. } => ids.retain(|&machine| {
+                    within.is_none_or(|place| self.same(place, machine, shot.machine))
+                }),
             }
             scan = Some(ids);
         }
@@ -182,50 +196,85 @@
         self.near = self.near(allocation);
         // Where others wait, this one most likely finds no machine either.
         let waited = self.waits.since(now.saturating_sub(2 * LOOK));
-        let until = if waited { self.vain_until(now, allocation) } else { now };
+        let until = if waited {
+            self.vain_until(now, allocation)
+        } else {
+            now
+        };
         if until > now {
             return self.not_yet(now, allocation, until);
         }
         let turn = |(&id, machine)| (self.turn(allocation.service, id, machine), id);
         let scan: Vec<_> = match scan {
             None => self.machines.iter().map(turn).collect(),
-            Some(ids) => ids.iter().map(|id| turn((id, &self.machines[id]))).collect(),
+            Some(ids) => ids
+                .iter()
+                .map(|id| turn((id, &self.machines[id])))
+                .collect(),
         };
-        let promised = self.promise().filter(|(_, _, to)| *to == allocation.id).map(|(id, ..)| id);
+        let promised = self
+            .promise()
+            .filter(|(_, _, to)| *to == allocation.id)
+            .map(|(id, ..)| id);
         let promised = promised.filter(|&id| scan.iter().any(|&(_, other)| other == id));
         let promised = promised.filter(|&id| self.opens(now, id, allocation) <= now);
-        // First under theta those first in the service's order: all schedulers then send it to the same few
-        // machines, which so hold its program. It also spares weighing them all.
-        // A heap: mostly a few are looked at, and to sort them all would cost as much as all the rest.
+        // First under theta those first in the service's order: all schedulers then send it to the
+        // same few machines, which so hold its program. It also spares weighing them all.
+        // A heap: mostly a few are looked at, and to sort them all would cost as much as all the
+        // rest.
         let mut heap = BinaryHeap::from_iter(scan.into_iter().map(Reverse));
         let (mut first, mut scan) = (Vec::new(), Vec::new());
         while first.len() < SCAN
             && let Some(Reverse((_, id))) = heap.pop()
         {
-            let Some(weighed) = self.weigh(now, id, allocation, false) else { continue };
+            let Some(weighed) = self.weigh(now, id, allocation, false) else {
+                continue;
+            };
             scan.push(id);
             if weighed.rank < HELD_BACK {
-                first.push(Weighed { rank: 0, bears: false, ..weighed });
+                first.push(Weighed {
+                    rank: 0,
+                    bears: false,
+                    ..weighed
+                });
             }
         }
         let chosen = promised.or_else(|| self.choose(now, first, allocation));
         // Lower priorities are made to yield only where no machine is under theta without that.
-        let passes: &[bool] = if self.stays(allocation.track, None) < 1.0 { &[false, true] } else { &[true] };
+        let passes: &[bool] = if self.stays(allocation.track, None) < 1.0 {
+            &[false, true]
+        } else {
+            &[true]
+        };
         let chosen = chosen.or_else(|| {
             // Of those looked at only such as the filters let through; then the rest of the order.
-            scan.extend(heap.into_sorted_vec().into_iter().rev().map(|Reverse((_, id))| id));
-            passes.iter().find_map(|&last| self.pick(now, &scan, allocation, last))
+            scan.extend(
+                heap.into_sorted_vec()
+                    .into_iter()
+                    .rev()
+                    .map(|Reverse((_, id))| id),
+            );
+            passes
+                .iter()
+                .find_map(|&last| self.pick(now, &scan, allocation, last))
         });
         let Some(machine) = chosen else {
             if bound.is_none() && waited {
-                self.rooms.keep(Kind::of(allocation), allocation.asks, now + 1, SERVICES);
+                self.rooms
+                    .keep(Kind::of(allocation), allocation.asks, now + 1, SERVICES);
             }
             return self.not_yet(now, allocation, now + 1);
         };
         self.send(now, machine, allocation)
     }
 
-    fn pick(&self, now: Tenths, scan: &[MachineId], new: &Allocation, last: bool) -> Option<MachineId> {
+    fn pick(
+        &self,
+        now: Tenths,
+        scan: &[MachineId],
+        new: &Allocation,
+        last: bool,
+    ) -> Option<MachineId> {
         let weigh = |&id: &MachineId| self.weigh(now, id, new, last);
         let mut weighed: Vec<Weighed> = scan.iter().filter_map(weigh).collect();
         let bears = weighed.iter().any(|w| w.bears);
@@ -256,12 +305,27 @@
     }
 
     /// What to do after this outcome of the allocation's last shot.
-    pub fn after(&mut self, now: Tenths, allocation: &Allocation, shot: usize, outcome: Outcome) -> After {
-        let Some(machine) = allocation.shots.get(shot).map(|shot| shot.machine) else { return After::Rest };
-        let Outcome::Returned { ending, reason, over, report } = outcome else {
+    pub fn after(
+        &mut self,
+        now: Tenths,
+        allocation: &Allocation,
+        shot: usize,
+        outcome: Outcome,
+    ) -> After {
+        let Some(machine) = allocation.shots.get(shot).map(|shot| shot.machine) else {
+            return After::Rest;
+        };
+        let Outcome::Returned {
+            ending,
+            reason,
+            over,
+            report,
+        } = outcome
+        else {
             let at = self.machines.entry(machine).or_default();
             (at.silent, at.heard) = (0, now);
-            // Only now is it known that the errors before were their machines' and not the allocation's.
+            // Only now is it known that the errors before were their machines' and not the
+            // allocation's.
             for earlier in &allocation.shots[..shot] {
                 let at = self.machines.entry(earlier.machine).or_default();
                 if at.doubted.take_if(|of| *of == allocation.id).is_some() {
@@ -293,17 +357,29 @@
             Ending::Refused => {
                 at.silent = 0;
                 // Room comes back only as allocations end; a line of offers is short again soon.
-                let rest = if reason == Some(Reason::QueueFull) { TURNOVER / 10 } else { TURNOVER };
+                let rest = if reason == Some(Reason::QueueFull) {
+                    TURNOVER / 10
+                } else {
+                    TURNOVER
+                };
                 let short = matches!(reason, Some(Reason::NoCores | Reason::NoMemory));
-                at.full = Some((now + rest, if short { allocation.asks } else { Amount::default() }));
+                at.full = Some((
+                    now + rest,
+                    if short {
+                        allocation.asks
+                    } else {
+                        Amount::default()
+                    },
+                ));
             }
             Ending::Reset if was_placed && reason.is_some() => {}
-            // A machine that answers is alive. What it can't use no other can either: shunned for that, all
-            // would soon be shut by a few bad asks.
+            // A machine that answers is alive. What it can't use no other can either: shunned for
+            // that, all would soon be shut by a few bad asks.
             Ending::Error => at.doubted = Some(allocation.id),
             // One answer that breaks on its way tells nothing of the machine; two in a row may.
             Ending::Reset if !was_placed && at.silent == 0 => at.silent = 1,
-            // A machine that leaves shots unanswered, whatever the cause: dead, cut off, standing still.
+            // A machine that leaves shots unanswered, whatever the cause: dead, cut off, standing
+            // still.
             Ending::TimedOut | Ending::Unconnected | Ending::Reset => at.fault(now, UNWELL),
         }
         if over { After::Rest } else { After::PlaceAgain }
@@ -311,7 +387,10 @@
 
     /// How long to wait before asking again, and what to set going meanwhile.
     pub fn wait(&mut self, now: Tenths) -> Wait {
-        let mut wait = Wait { time: SECOND, ..Wait::default() };
+        let mut wait = Wait {
+            time: SECOND,
+            ..Wait::default()
+        };
         wait.watch_list = self.watch_at.take_if(|at| *at <= now).is_some();
         if self.waits.due(now) {
             let changed = self.waits.looks_always || self.changed(now);
@@ -322,17 +401,26 @@
             wait.ends = (!changed).then_some(now + MARGIN);
             wait.ask_again = changed || self.waits.end(now, now + ASK_AGAIN);
         }
-        let due = [self.watch_at, self.waits.next()].into_iter().flatten().min();
+        let due = [self.watch_at, self.waits.next()]
+            .into_iter()
+            .flatten()
+            .min();
         wait.time = due.map_or(wait.time, |at| wait.time.min(at.saturating_sub(now)));
         if self.cluster.may_probe && self.probes >= 1.0 {
-            let heard = |machine: &Machine| machine.base.map_or(0, |(at, _)| at).max(machine.probed);
+            let heard =
+                |machine: &Machine| machine.base.map_or(0, |(at, _)| at).max(machine.probed);
             let unheard = |machine: &Machine| machine.serving() && heard(machine) + TURNOVER <= now;
-            let mut probes: Vec<_> =
-                self.machines.iter_mut().filter(|(_, machine)| unheard(machine)).collect();
+            let mut probes: Vec<_> = self
+                .machines
+                .iter_mut()
+                .filter(|(_, machine)| unheard(machine))
+                .collect();
             probes.sort_by_key(|(_, machine)| heard(machine));
             probes.truncate(self.probes as usize);
             self.probes -= probes.len() as f64;
-            probes.iter_mut().for_each(|(_, machine)| machine.probed = now);
+            probes
+                .iter_mut()
+                .for_each(|(_, machine)| machine.probed = now);
             wait.probes = probes.into_iter().map(|(&id, _)| id).collect();
         }
         if self.look_at <= now {
@@ -345,15 +433,24 @@
         wait
     }
 
-    /// What is placed on a machine that has vanished or is cut off ends without a word. One that says nothing is
-    /// probed, and after a while without an answer either what is placed there is lost.
+    /// What is placed on a machine that has vanished or is cut off ends without a word. One that
+    /// says nothing is probed, and after a while without an answer either what is placed there
+    /// is lost.
     fn lost(&mut self, now: Tenths, probes: &mut Vec<MachineId>) -> Vec<AllocationId> {
         let mut lost = Vec::new();
         for (&id, machine) in &mut self.machines {
-            let placed = machine.guests.iter().filter(|(_, guest)| guest.placed).map(|(&id, _)| id);
+            let placed = machine
+                .guests
+                .iter()
+                .filter(|(_, guest)| guest.placed)
+                .map(|(&id, _)| id);
             let placed: Vec<AllocationId> = placed.collect();
             let silence = now.saturating_sub(machine.heard);
-            if self.cluster.tells_loss || !self.cluster.may_probe || placed.is_empty() || silence < TURNOVER {
+            if self.cluster.tells_loss
+                || !self.cluster.may_probe
+                || placed.is_empty()
+                || silence < TURNOVER
+            {
                 continue;
             }
             if silence >= VANISHED {
@@ -372,57 +469,99 @@
         asks.cores > LARGE * self.learnt.ask.or(f64::INFINITY)
     }
 
-    /// Ours there that may be moved, low priorities first: such as run, are not large and may start again.
+    /// Ours there that may be moved, low priorities first: such as run, are not large and may start
+    /// again.
     fn movable(&self, machine: &Machine) -> Vec<AllocationId> {
         let track = |guest: &Guest| &self.cluster.tracks[guest.track.0];
         let may = |guest: &Guest| {
             let again = track(guest).repeat != Repeat::Unrepeatable;
             guest.placed && guest.runs && !guest.moved && again && !self.large(guest.asks)
         };
-        let mut guests: Vec<_> = machine.guests.iter().filter(|(_, guest)| may(guest)).collect();
+        let mut guests: Vec<_> = machine
+            .guests
+            .iter()
+            .filter(|(_, guest)| may(guest))
+            .collect();
         guests.sort_by_key(|(_, guest)| track(guest).priority);
         guests.into_iter().map(|(&id, _)| id).collect()
     }
 
-    /// The paper moves where a machine is over the line or an allocation fits only in pieces. So do we. All
-    /// schedulers see the same machine: each of ours goes by the chance that makes as many as must go in all.
+    /// The paper moves where a machine is over the line or an allocation fits only in pieces. So do
+    /// we. All schedulers see the same machine: each of ours goes by the chance that makes as
+    /// many as must go in all.
     fn moves(&mut self, now: Tenths) -> Vec<AllocationId> {
         let mut moves = self.make_room(now);
         let size = |machine: &Machine| self.size(machine).unwrap_or_default();
         let over = |machine: &&Machine| {
-            !machine.guests.is_empty() && self.present_use(now, machine).memory > size(machine).memory * OVER
+            !machine.guests.is_empty()
+                && self.present_use(now, machine).memory > size(machine).memory * OVER
         };
-        let part = |machine| 1.0 - size(machine).memory * OVER / self.present_use(now, machine).memory;
-        let over = self.machines.values().filter(over).map(|machine| (part(machine), self.movable(machine)));
+        let part =
+            |machine| 1.0 - size(machine).memory * OVER / self.present_use(now, machine).memory;
+        let over = self
+            .machines
+            .values()
+            .filter(over)
+            .map(|machine| (part(machine), self.movable(machine)));
         let over: Vec<_> = over.collect();
-        let spare = |machine: &Machine| self.present_use(now, machine).share_of(size(machine)) < SPARE;
+        let spare =
+            |machine: &Machine| self.present_use(now, machine).share_of(size(machine)) < SPARE;
         let room = self.view.open.iter().any(|id| spare(&self.machines[id]));
         if !over.is_empty() && room {
             for (part, movable) in over {
-                moves.extend(movable.into_iter().filter(|_| self.rng.random::<f64>() < part).take(4));
+                moves.extend(
+                    movable
+                        .into_iter()
+                        .filter(|_| self.rng.random::<f64>() < part)
+                        .take(4),
+                );
             }
         }
-        // What stands on a draining machine may go down with it. The owner of a deduplicated one would then wait
-        // until it is sure that it runs no longer; after a move it comes again at once.
-        let drains = |machine: &&Machine| machine.entry.is_some_and(|entry| entry.state == State::Draining);
-        let held = self.machines.values().filter(drains).flat_map(|machine| &machine.guests);
-        let waits =
-            |guest: &Guest| matches!(self.cluster.tracks[guest.track.0].repeat, Repeat::Deduplicated { .. });
+        // What stands on a draining machine may go down with it. The owner of a deduplicated one
+        // would then wait until it is sure that it runs no longer; after a move it comes
+        // again at once.
+        let drains = |machine: &&Machine| {
+            machine
+                .entry
+                .is_some_and(|entry| entry.state == State::Draining)
+        };
+        let held = self
+            .machines
+            .values()
+            .filter(drains)
+            .flat_map(|machine| &machine.guests);
+        let waits = |guest: &Guest| {
+            matches!(
+                self.cluster.tracks[guest.track.0].repeat,
+                Repeat::Deduplicated { .. }
+            )
+        };
         let held = held.filter(|(_, guest)| room && guest.placed && !guest.moved && waits(guest));
         moves.extend(held.map(|(&id, _)| id).collect::<Vec<_>>());
-        moves.iter().for_each(|&id| self.guest(id).into_iter().for_each(|guest| guest.moved = true));
+        moves.iter().for_each(|&id| {
+            self.guest(id)
+                .into_iter()
+                .for_each(|guest| guest.moved = true)
+        });
         moves
     }
 
-    /// Clears the machine on which the fewest moves make a large allocation fit, and promises it the room.
+    /// Clears the machine on which the fewest moves make a large allocation fit, and promises it
+    /// the room.
     fn make_room(&mut self, now: Tenths) -> Vec<AllocationId> {
-        let Some(starved) = self.starved.take() else { return Vec::new() };
+        let Some(starved) = self.starved.take() else {
+            return Vec::new();
+        };
         let mut best: Option<(MachineId, Vec<AllocationId>)> = None;
         for (&id, machine) in &self.machines {
             let usable = machine.serving() && machine.shunned <= now;
-            let Some(size) = self.size(machine).filter(|_| usable) else { continue };
-            let mut asked = self.asked(now, machine, || self.others(now, now, machine)) + starved.asks;
-            let mut used = self.present_use(now, machine) + starved.asks * self.learnt.usual.or_one();
+            let Some(size) = self.size(machine).filter(|_| usable) else {
+                continue;
+            };
+            let mut asked =
+                self.asked(now, machine, || self.others(now, now, machine)) + starved.asks;
+            let mut used =
+                self.present_use(now, machine) + starved.asks * self.learnt.usual.or_one();
             let fits = |asked: Amount, used: Amount| {
                 asked.within(size * self.cluster.accepts) && used.within(size * LIMIT)
             };
@@ -434,12 +573,22 @@
                 (asked, used) = (asked - guest.asks, used - self.use_of(guest));
                 cleared.push(id);
             }
-            if fits(asked, used) && best.as_ref().is_none_or(|(_, fewest)| cleared.len() < fewest.len()) {
+            if fits(asked, used)
+                && best
+                    .as_ref()
+                    .is_none_or(|(_, fewest)| cleared.len() < fewest.len())
+            {
                 best = Some((id, cleared));
             }
         }
-        let Some((id, cleared)) = best else { return Vec::new() };
-        if let Some(former) = self.promise.replace(id).and_then(|id| self.machines.get_mut(&id)) {
+        let Some((id, cleared)) = best else {
+            return Vec::new();
+        };
+        if let Some(former) = self
+            .promise
+            .replace(id)
+            .and_then(|id| self.machines.get_mut(&id))
+        {
             former.promised = None;
         }
         self.machines.entry(id).or_default().promised = Some((now + TURNOVER, starved.id));
@@ -455,11 +604,19 @@
         }
     }
 
-    pub fn probed(&mut self, now: Tenths, machine: MachineId, ending: Ending, report: Option<Report>) {
+    pub fn probed(
+        &mut self,
+        now: Tenths,
+        machine: MachineId,
+        ending: Ending,
+        report: Option<Report>,
+    ) {
         let at = self.machines.entry(machine).or_default();
         match ending {
             Ending::Ended => (at.silent, at.heard) = (0, now),
-            Ending::TimedOut | Ending::Unconnected if !self.cluster.tells_loss => at.fault(now, UNWELL),
+            Ending::TimedOut | Ending::Unconnected if !self.cluster.tells_loss => {
+                at.fault(now, UNWELL)
+            }
             _ => {}
         }
         self.rooms.touch(machine, true);
@@ -467,50 +624,80 @@
     }
 
     fn reported(&mut self, now: Tenths, id: MachineId, report: Option<Report>) {
-        let Some(machine) = self.machines.get(&id) else { return };
-        let Some((size, report)) = self.size(machine).zip(report) else { return };
+        let Some(machine) = self.machines.get(&id) else {
+            return;
+        };
+        let Some((size, report)) = self.size(machine).zip(report) else {
+            return;
+        };
         // One too young to be in the report would be taken off a sum that never held it.
-        let old = machine.guests.values().filter(|guest| guest.runs && guest.sent + LAG <= now);
-        let base = (size - report.unused - old.map(|guest| self.use_of(guest)).sum()).most(Amount::default());
+        let old = machine
+            .guests
+            .values()
+            .filter(|guest| guest.runs && guest.sent + LAG <= now);
+        let base = (size - report.unused - old.map(|guest| self.use_of(guest)).sum())
+            .most(Amount::default());
         self.machines.entry(id).or_default().base = Some((now, base));
     }
 
-    /// The smallest promise that holds: a shed reply only where no shot may have run or a repeat is harmless.
+    /// The smallest promise that holds: a shed reply only where no shot may have run or a repeat is
+    /// harmless.
     fn give_up(&self, allocation: &Allocation) -> Placement {
         let unproven = allocation.bound().is_some();
-        let anywhere =
-            |repeat| matches!(repeat, Repeat::Idempotent | Repeat::Deduplicated { within: None, .. });
+        let anywhere = |repeat| {
+            matches!(
+                repeat,
+                Repeat::Idempotent | Repeat::Deduplicated { within: None, .. }
+            )
+        };
         let harmless = !unproven || anywhere(self.cluster.tracks[allocation.track.0].repeat);
-        if harmless { Placement::Shed } else { Placement::Scrap }
+        if harmless {
+            Placement::Shed
+        } else {
+            Placement::Scrap
+        }
     }
 
-    /// The filters: state, kind, health, cold limit, accept limit, spread. From when the machine passes them,
-    /// as far as that comes by itself: `now` or before where it does already.
+    /// The filters: state, kind, health, cold limit, accept limit, spread. From when the machine
+    /// passes them, as far as that comes by itself: `now` or before where it does already.
     fn opens(&self, now: Tenths, id: MachineId, allocation: &Allocation) -> Tenths {
         let machine = &self.machines[&id];
         let track = &self.cluster.tracks[allocation.track.0];
-        let (Some(entry), Some(size)) = (machine.entry, self.size(machine)) else { return NEVER };
+        let (Some(entry), Some(size)) = (machine.entry, self.size(machine)) else {
+            return NEVER;
+        };
         let wrong = track.kind.is_some_and(|kind| kind != entry.kind);
         if !machine.serving() || wrong || !self.spread_holds(id, allocation) {
             return NEVER;
         }
-        let full =
-            machine.full.filter(|(_, asks)| asks.within(allocation.asks)).map_or(0, |(until, _)| until);
+        let full = machine
+            .full
+            .filter(|(_, asks)| asks.within(allocation.asks))
+            .map_or(0, |(until, _)| until);
         let room = match machine.promised.filter(|&(until, _)| until > now) {
-            Some((_, to)) if to == allocation.id && !machine.guests.values().any(|guest| guest.moved) => 0,
+            Some((_, to))
+                if to == allocation.id && !machine.guests.values().any(|guest| guest.moved) =>
+            {
+                0
+            }
             Some((until, _)) => until,
             None if !self.cluster.shows_room || self.fits(now, machine, size, allocation.asks) => 0,
             None => now + 1,
         };
-        full.max(machine.shunned).max(room).max(self.cold_opens(now, id, entry))
+        full.max(machine.shunned)
+            .max(room)
+            .max(self.cold_opens(now, id, entry))
     }
 
-    /// A just started machine falls over under too many offers, and those of others are not known. So each
-    /// keeps to its part of what is always borne, in any window; what whole parts leave over goes to as many
-    /// schedulers, by the machine's id. The sum is borne however many there are.
+    /// A just started machine falls over under too many offers, and those of others are not known.
+    /// So each keeps to its part of what is always borne, in any window; what whole parts leave
+    /// over goes to as many schedulers, by the machine's id. The sum is borne however many
+    /// there are.
     fn cold_opens(&self, now: Tenths, id: MachineId, entry: Entry) -> Tenths {
         let cold = &self.cluster.cold;
-        let Some(started) = entry.started else { return 0 };
+        let Some(started) = entry.started else {
+            return 0;
+        };
         let warm = started + cold.lasts + MARGIN + 1;
         if now >= warm {
             return 0;
@@ -527,27 +714,45 @@
         warm.min(self.machines[&id].offers_below(part, now, window + MARGIN))
     }
 
-    /// Where a machine stands in the order of a service, the same at every scheduler: larger ones earlier in
-    /// proportion, and hardly changed when a machine comes or goes.
+    /// Where a machine stands in the order of a service, the same at every scheduler: larger ones
+    /// earlier in proportion, and hardly changed when a machine comes or goes.
     fn turn(&self, service: ServiceId, id: MachineId, machine: &Machine) -> u64 {
         let chance = (mix(service.0 ^ mix(u64::from(id.0))) as f64 + 1.0) / (u64::MAX as f64 + 2.0);
-        let size = machine.entry.and_then(|entry| self.cluster.kinds.get(entry.kind.0));
+        let size = machine
+            .entry
+            .and_then(|entry| self.cluster.kinds.get(entry.kind.0));
         (-chance.ln() / size.map_or(1.0, |size| size.cores) * 1e12) as u64
     }
 
-    /// What all schedulers' allocations on a machine ask for. The listed room is late: what was sent since
-    /// counts on top. Where no room is listed, others' asks are guessed from what they use.
+    /// What all schedulers' allocations on a machine ask for. The listed room is late: what was
+    /// sent since counts on top. Where no room is listed, others' asks are guessed from what
+    /// they use.
     fn asked(&self, now: Tenths, machine: &Machine, others: impl Fn() -> Amount) -> Amount {
         let since = machine.listed.map_or(0, |_| now.saturating_sub(LAG));
-        let own = machine.guests.values().filter(|guest| guest.sent >= since).map(|guest| guest.asks);
-        machine.listed.unwrap_or_else(|| others() / self.learnt.present.or_one()) + own.sum()
+        let own = machine
+            .guests
+            .values()
+            .filter(|guest| guest.sent >= since)
+            .map(|guest| guest.asks);
+        machine
+            .listed
+            .unwrap_or_else(|| others() / self.learnt.present.or_one())
+            + own.sum()
     }
 
-    /// Part of a track's use, or of others' unknown, that counts where one of another track comes: a machine
-    /// takes from lower priorities what it is short of, if only in use. Those it pushes out would come again.
+    /// Part of a track's use, or of others' unknown, that counts where one of another track comes:
+    /// a machine takes from lower priorities what it is short of, if only in use. Those it
+    /// pushes out would come again.
     fn stays(&self, new: TrackId, of: Option<TrackId>) -> f64 {
         let priority = |track: TrackId| self.cluster.tracks[track.0].priority;
-        let lowest = || self.cluster.tracks.iter().map(|track| track.priority).min().unwrap_or(0);
+        let lowest = || {
+            self.cluster
+                .tracks
+                .iter()
+                .map(|track| track.priority)
+                .min()
+                .unwrap_or(0)
+        };
         let yields = !self.cluster.makes_room && of.map_or_else(lowest, priority) < priority(new);
         if yields { YIELDS } else { 1.0 }
     }
@@ -557,26 +762,42 @@
         (asked + asks).within(size * self.cluster.accepts)
     }
 
-    /// How many of its service we hold in each place of the kind that its track spreads by. Counted once for an ask:
-    /// where a service has all that its places may hold, each of hundreds of machines is asked about.
+    /// How many of its service we hold in each place of the kind that its track spreads by. Counted
+    /// once for an ask: where a service has all that its places may hold, each of hundreds of
+    /// machines is asked about.
     fn near(&self, allocation: &Allocation) -> Vec<(u64, usize)> {
-        let Some((place, _)) = self.cluster.tracks[allocation.track.0].spread else { return Vec::new() };
-        self.at_service.by_place(allocation.service, |id| self.place_of(place, id))
+        let Some((place, _)) = self.cluster.tracks[allocation.track.0].spread else {
+            return Vec::new();
+        };
+        self.at_service
+            .by_place(allocation.service, |id| self.place_of(place, id))
     }
 
     fn spread_holds(&self, id: MachineId, allocation: &Allocation) -> bool {
-        let Some((place, most)) = self.cluster.tracks[allocation.track.0].spread else { return true };
+        let Some((place, most)) = self.cluster.tracks[allocation.track.0].spread else {
+            return true;
+        };
         let there = self.place_of(place, id);
         let near = self.near.iter().find(|(other, _)| Some(*other) == there);
         near.is_none_or(|&(_, many)| many < most)
     }
 
-    /// Whether the account holds well over its share of cores, if it has as much at each other scheduler. A
-    /// standard error is left out: one of many holds a few of its allocations by chance.
+    /// Whether the account holds well over its share of cores, if it has as much at each other
+    /// scheduler. A standard error is left out: one of many holds a few of its allocations by
+    /// chance.
     fn beyond_share(&self, allocation: &Allocation) -> bool {
-        let share = self.cluster.accounts.get(allocation.account.0).and_then(|own| own.share_cores);
-        let guests = self.machines.values().flat_map(|machine| machine.guests.values());
-        let held = guests.filter(|guest| guest.account == allocation.account).map(|guest| guest.asks.cores);
+        let share = self
+            .cluster
+            .accounts
+            .get(allocation.account.0)
+            .and_then(|own| own.share_cores);
+        let guests = self
+            .machines
+            .values()
+            .flat_map(|machine| machine.guests.values());
+        let held = guests
+            .filter(|guest| guest.account == allocation.account)
+            .map(|guest| guest.asks.cores);
         let held = allocation.asks.cores + held.sum::<f64>();
         let sure = held - (held * self.learnt.ask.or(0.0)).sqrt();
         share.is_some_and(|share| sure * self.cluster.schedulers as f64 > share * BEYOND)
@@ -584,24 +805,39 @@
 
     /// What a guest of ours uses now, by its last notes or as usual.
     fn use_of(&self, guest: &Guest) -> Amount {
-        guest.present.unwrap_or(guest.asks * self.learnt.usual.or_one())
+        guest
+            .present
+            .unwrap_or(guest.asks * self.learnt.usual.or_one())
     }
 
-    /// Present use of a machine by others: what it last reported and, as that ages, what the list leads us to
-    /// expect, or the average. One of many schedulers hears of a machine only now and then.
+    /// Present use of a machine by others: what it last reported and, as that ages, what the list
+    /// leads us to expect, or the average. One of many schedulers hears of a machine only now
+    /// and then.
     fn others(&self, aged: Tenths, now: Tenths, machine: &Machine) -> Amount {
         let size = self.size(machine).unwrap_or_default();
-        let old = machine.guests.values().filter(|guest| guest.sent + LAG <= aged);
-        let listed = machine.listed.filter(|_| self.learnt.present.cores.or(0.0) > 0.0);
+        let old = machine
+            .guests
+            .values()
+            .filter(|guest| guest.sent + LAG <= aged);
+        let listed = machine
+            .listed
+            .filter(|_| self.learnt.present.cores.or(0.0) > 0.0);
         let expected = listed.map_or(self.view.average * size, |asked| {
             let others = asked - old.map(|guest| guest.asks).sum();
             others.most(Amount::default()) * self.learnt.present.or_one()
         });
-        machine.base.map_or(expected, |(at, base)| expected + (base - expected) * weight(now - at))
+        machine.base.map_or(expected, |(at, base)| {
+            expected + (base - expected) * weight(now - at)
+        })
     }
 
     fn present_use(&self, now: Tenths, machine: &Machine) -> Amount {
-        self.others(now, now, machine) + machine.guests.values().map(|guest| self.use_of(guest)).sum()
+        self.others(now, now, machine)
+            + machine
+                .guests
+                .values()
+                .map(|guest| self.use_of(guest))
+                .sum()
     }
 
     /// Takes the view over all machines anew when it is old.
@@ -612,34 +848,55 @@
         let (mut all, mut own) = (Amount::ONE * 1e-9, Amount::default());
         let (mut reported, mut weights) = (Amount::default(), 0.0);
         for machine in self.machines.values() {
-            let Some(size) = self.size(machine).filter(|_| machine.serving()) else { continue };
+            let Some(size) = self.size(machine).filter(|_| machine.serving()) else {
+                continue;
+            };
             all = all + size;
-            own = own + machine.guests.values().map(|guest| self.use_of(guest)).sum();
+            own = own
+                + machine
+                    .guests
+                    .values()
+                    .map(|guest| self.use_of(guest))
+                    .sum();
             if let Some((at, base)) = machine.base {
-                (reported, weights) = (reported + base / size * weight(now - at), weights + weight(now - at));
+                (reported, weights) = (
+                    reported + base / size * weight(now - at),
+                    weights + weight(now - at),
+                );
             }
         }
         let others = self.cluster.schedulers.saturating_sub(1) as f64;
-        // Where hardly anything was told, as at start, each of the others is taken to use as much as we do.
+        // Where hardly anything was told, as at start, each of the others is taken to use as much
+        // as we do.
         let guess = own / all * others;
         self.view.average = (reported + guess * FAINT) * (1.0 / (weights + FAINT));
         self.view.taken = Some(now);
-        // Held back are those that present need does not fill, the last by id: an order common to all.
+        // Held back are those that present need does not fill, the last by id: an order common to
+        // all.
         let mut order = Vec::new();
         let (mut need, mut asked) = (Amount::default(), Amount::default());
         for (&id, machine) in &self.machines {
-            let Some(size) = self.size(machine) else { continue };
+            let Some(size) = self.size(machine) else {
+                continue;
+            };
             need = need + self.present_use(now, machine);
             asked = asked + self.asked(now, machine, || self.others(now, now, machine));
             if machine.serving() && machine.shunned <= now {
                 order.push((id, size));
             }
         }
-        // What one of many schedulers knows of need is chance, the more so the fewer it holds. A machine that
-        // only some hold back costs as much as one that none does.
+        // What one of many schedulers knows of need is chance, the more so the fewer it holds. A
+        // machine that only some hold back costs as much as one that none does.
         // Machines that have just reported tell it without chance.
         let known = self.at.len() as f64 + 1.0;
-        let unheard = 1.0 - weights / (self.machines.values().filter(|m| m.serving()).count().max(1) as f64);
+        let unheard = 1.0
+            - weights
+                / (self
+                    .machines
+                    .values()
+                    .filter(|m| m.serving())
+                    .count()
+                    .max(1) as f64);
         let doubt = (DOUBT / known.sqrt()) * unheard.max(0.0);
         need = need.most(asked / self.cluster.accepts) * (1.0 + doubt) + all * (1.0 / known);
         let mut room = Amount::default();
@@ -651,8 +908,8 @@
         self.view.open = order.into_iter().map(|(id, _)| id).collect();
     }
 
-    /// Cores for a start, which takes far more where the program must be loaded: those that do it in contract
-    /// time.
+    /// Cores for a start, which takes far more where the program must be loaded: those that do it
+    /// in contract time.
     fn start(&self, has: bool, track: &Track) -> f64 {
         let time = self.learnt.start_time[usize::from(has)].or(self.learnt.start_time[1].or(0.0));
         time / track.contract_time.max(1) as f64
@@ -660,28 +917,51 @@
 
     /// W Max with the allocation's expected start use, before any draw.
     fn weigh(&self, now: Tenths, id: MachineId, new: &Allocation, yields: bool) -> Option<Weighed> {
-        let stays = |of| if yields { self.stays(new.track, of) } else { 1.0 };
+        let stays = |of| {
+            if yields {
+                self.stays(new.track, of)
+            } else {
+                1.0
+            }
+        };
         let machine = &self.machines[&id];
-        let size = self.size(machine).filter(|_| self.opens(now, id, new) <= now)?;
+        let size = self
+            .size(machine)
+            .filter(|_| self.opens(now, id, new) <= now)?;
         let track = &self.cluster.tracks[new.track.0];
         let base = self.others(now, now, machine) * stays(None);
-        let start = |has: bool, track: &Track| Amount { cores: self.start(has, track), memory: 0.0 };
+        let start = |has: bool, track: &Track| Amount {
+            cores: self.start(has, track),
+            memory: 0.0,
+        };
         let own = machine.guests.values().map(|guest| {
             let starts = start(guest.had_program, &self.cluster.tracks[guest.track.0]);
-            self.use_of(guest) * stays(Some(guest.track)) + starts * f64::from(u8::from(!guest.runs))
+            self.use_of(guest) * stays(Some(guest.track))
+                + starts * f64::from(u8::from(!guest.runs))
         });
         let load = base
             + own.sum()
             + new.asks * self.learnt.usual.or_one()
             + start(machine.has_program(new.service), track);
-        let near = machine.entry.is_some_and(|entry| entry.hall == self.cluster.hall);
+        let near = machine
+            .entry
+            .is_some_and(|entry| entry.hall == self.cluster.hall);
         Some(Weighed {
             machine: id,
             yields,
             base,
-            line: size * Amount { cores: track.calm, memory: F_MEMORY },
+            line: size
+                * Amount {
+                    cores: track.calm,
+                    memory: F_MEMORY,
+                },
             load: load.share_of(size),
-            bears: load.within(size * Amount { cores: track.calm + FADE, memory: LIMIT }),
+            bears: load.within(
+                size * Amount {
+                    cores: track.calm + FADE,
+                    memory: LIMIT,
+                },
+            ),
             rank: match self.view.open.contains(&id) && self.fits(now, machine, size, new.asks) {
                 true => 1 + u8::from(!near && self.cluster.other_hall_price > 0.0),
                 false => HELD_BACK,
@@ -689,20 +969,34 @@
         })
     }
 
-    /// Shares of draws that cross the line, with and without the allocation: the base, and for the new one
-    /// and each guest of ours a peak from the records that fit it.
+    /// Shares of draws that cross the line, with and without the allocation: the base, and for the
+    /// new one and each guest of ours a peak from the records that fit it.
     fn risk(&self, now: Tenths, weighed: &Weighed, new: &Allocation) -> (f64, f64) {
-        let guests = self.machines[&weighed.machine].guests.values().map(|guest| {
-            let highest = guest.highest / guest.asks;
-            // Where no record reaches what it uses: its own highest use, or its ask while nothing is known.
-            let own = guest.present.map_or(Amount::ONE, |_| highest);
-            let stays = if weighed.yields { self.stays(new.track, Some(guest.track)) } else { 1.0 };
-            (self.records.fitting(guest.service, now - guest.sent, highest, own), guest.asks * stays)
-        });
+        let guests = self.machines[&weighed.machine]
+            .guests
+            .values()
+            .map(|guest| {
+                let highest = guest.highest / guest.asks;
+                // Where no record reaches what it uses: its own highest use, or its ask while
+                // nothing is known.
+                let own = guest.present.map_or(Amount::ONE, |_| highest);
+                let stays = if weighed.yields {
+                    self.stays(new.track, Some(guest.track))
+                } else {
+                    1.0
+                };
+                (
+                    self.records
+                        .fitting(guest.service, now - guest.sent, highest, own),
+                    guest.asks * stays,
+                )
+            });
         let pools: Vec<(Vec<Amount>, Amount)> = guests.collect();
-        let pool = self.records.fitting(new.service, 0, Amount::default(), Amount::ONE);
-        // Of its own for each machine, service and moment: a look that is left out moves no later draw, and
-        // likes that ask for more draw alike.
+        let pool = self
+            .records
+            .fitting(new.service, 0, Amount::default(), Amount::ONE);
+        // Of its own for each machine, service and moment: a look that is left out moves no later
+        // draw, and likes that ask for more draw alike.
         let dice = mix(new.service.0 ^ mix(now ^ mix(u64::from(weighed.machine.0) ^ self.seed)));
         let mut rng = Pcg64Mcg::seed_from_u64(dice);
         let (mut with, mut without) = (0, 0);
@@ -722,15 +1016,24 @@
         (with as f64 / DRAWS as f64, without as f64 / DRAWS as f64)
     }
 
-    /// Lowest W Max among those under theta and not held back; else among the held back under theta; else
-    /// the smallest rise in risk. Near ties at random, so that schedulers with one view don't herd.
-    fn choose(&self, now: Tenths, mut weighed: Vec<Weighed>, new: &Allocation) -> Option<MachineId> {
+    /// Lowest W Max among those under theta and not held back; else among the held back under
+    /// theta; else the smallest rise in risk. Near ties at random, so that schedulers with one
+    /// view don't herd.
+    fn choose(
+        &self,
+        now: Tenths,
+        mut weighed: Vec<Weighed>,
+        new: &Allocation,
+    ) -> Option<MachineId> {
         weighed.sort_by(|a, b| a.rank.cmp(&b.rank).then(a.load.total_cmp(&b.load)));
         let mut group: Vec<&Weighed> = Vec::new();
         let mut rises = Vec::new();
         for w in &weighed {
             // Drawn from the lowest load up: no later one can win any more.
-            if group.first().is_some_and(|first| w.rank > first.rank || w.load > first.load * (1.0 + TIE)) {
+            if group
+                .first()
+                .is_some_and(|first| w.rank > first.rank || w.load > first.load * (1.0 + TIE))
+            {
                 break;
             }
             let (with, without) = self.risk(now, w, new);
@@ -740,10 +1043,16 @@
             }
         }
         if group.is_empty() {
-            // A machine over the line already rises by nothing: unless left out it would draw all to it.
+            // A machine over the line already rises by nothing: unless left out it would draw all
+            // to it.
             let bearable = || std::iter::zip(&weighed, &rises).filter(|(w, _)| w.bears);
-            let least = bearable().map(|(_, rise)| *rise).fold(f64::INFINITY, f64::min);
-            group = bearable().filter(|(_, rise)| **rise <= least + TIE).map(|(w, _)| w).collect();
+            let least = bearable()
+                .map(|(_, rise)| *rise)
+                .fold(f64::INFINITY, f64::min);
+            group = bearable()
+                .filter(|(_, rise)| **rise <= least + TIE)
+                .map(|(w, _)| w)
+                .collect();
             let lowest = group.iter().map(|w| w.load).fold(f64::INFINITY, f64::min);
             group.retain(|w| w.load <= lowest * (1.0 + TIE));
         }
@@ -756,14 +1065,21 @@
         let (cold, opens) = (&self.cluster.cold, self.cluster.opens_within);
         let at = self.machines.entry(machine).or_default();
         at.offers.push_back(now);
-        at.offers.retain(|&sent| sent + cold.window.max(opens) + MARGIN >= now);
+        at.offers
+            .retain(|&sent| sent + cold.window.max(opens) + MARGIN >= now);
         let left = allocation.abandon - MARGIN / 2 - now;
         let track = &self.cluster.tracks[allocation.track.0];
-        // Giving up on a shot that waits in a queue leaves a copy behind and binds what may not run twice. So
-        // only a machine far slower than all usually are counts as silent, and only for what may run again.
+        // Giving up on a shot that waits in a queue leaves a copy behind and binds what may not run
+        // twice. So only a machine far slower than all usually are counts as silent, and
+        // only for what may run again.
         let patience = (self.learnt.answer_time.or(left as f64) * PATIENCE) as Tenths;
-        let again = track.repeat == Repeat::Idempotent && allocation.shots.len() + 1 < self.cluster.shots;
-        let time_out = if again { left.min(patience.max(2 * track.contract_time)) } else { left };
+        let again =
+            track.repeat == Repeat::Idempotent && allocation.shots.len() + 1 < self.cluster.shots;
+        let time_out = if again {
+            left.min(patience.max(2 * track.contract_time))
+        } else {
+            left
+        };
         Placement::Send { machine, time_out }
     }
 }
--- a/src/rules/books.rs
+++ b/src/rules/books.rs
@@ -1,5 +1,5 @@
-//! The books: what is handed over is entered, and looked up again. Nothing is decided here; the figures are those of
-//! `rules`.
+//! The books: what is handed over is entered, and looked up again. Nothing is decided here; the
+//! figures are those of `rules`.
 
 use super::*;
 
@@ -7,7 +7,10 @@
     /// The last promise, if it still stands: where, until when, to which.
     pub(super) fn promise(&self) -> Option<(MachineId, Tenths, AllocationId)> {
         let id = self.promise?;
-        self.machines.get(&id)?.promised.map(|(until, to)| (id, until, to))
+        self.machines
+            .get(&id)?
+            .promised
+            .map(|(until, to)| (id, until, to))
     }
 
     /// How much is kept: machines, allocations, and services with records.
@@ -16,12 +19,19 @@
     }
 
     pub(super) fn guest(&mut self, id: AllocationId) -> Option<&mut Guest> {
-        self.machines.get_mut(self.at.get(&id)?)?.guests.get_mut(&id)
+        self.machines
+            .get_mut(self.at.get(&id)?)?
+            .guests
+            .get_mut(&id)
     }
 
     pub(super) fn same(&self, place: Place, a: MachineId, b: MachineId) -> bool {
         let (one, other) = (self.place_of(place, a), self.place_of(place, b));
-        if one.is_some() && other.is_some() { one == other } else { a == b }
+        if one.is_some() && other.is_some() {
+            one == other
+        } else {
+            a == b
+        }
     }
 
     pub(super) fn size(&self, machine: &Machine) -> Option<Amount> {
@@ -43,12 +53,17 @@
         self.waits.ask_at = None;
     }
 
-    /// A machine that has gone and holds nothing of ours is forgotten: where machines are replaced all the time,
-    /// what is kept of them would grow without end.
+    /// A machine that has gone and holds nothing of ours is forgotten: where machines are replaced
+    /// all the time, what is kept of them would grow without end.
     pub(super) fn forget(&mut self) {
-        let known = |machine: &Machine| machine.entry.is_some_and(|entry| entry.state != State::Gone);
+        let known = |machine: &Machine| {
+            machine
+                .entry
+                .is_some_and(|entry| entry.state != State::Gone)
+        };
         let many = self.machines.len();
-        self.machines.retain(|_, machine| known(machine) || !machine.guests.is_empty());
+        self.machines
+            .retain(|_, machine| known(machine) || !machine.guests.is_empty());
         self.view.open.retain(|id| self.machines.contains_key(id));
         if self.machines.len() < many {
             self.rooms.void();
@@ -71,12 +86,21 @@
                 self.rooms.void();
             }
             self.rooms.touch(entry.machine, false);
-            if machine.entry.is_some_and(|old| old.started != entry.started) {
+            if machine
+                .entry
+                .is_some_and(|old| old.started != entry.started)
+            {
                 machine.restart();
             }
             machine.entry = Some(entry);
-            let size = self.cluster.kinds.get(entry.kind.0).filter(|_| self.cluster.shows_room);
-            machine.listed = size.zip(entry.unasked).map(|(&size, unasked)| size - unasked);
+            let size = self
+                .cluster
+                .kinds
+                .get(entry.kind.0)
+                .filter(|_| self.cluster.shows_room);
+            machine.listed = size
+                .zip(entry.unasked)
+                .map(|(&size, unasked)| size - unasked);
         }
     }
 
@@ -88,9 +112,16 @@
         }
     }
 
-    /// A shot sent on its way earlier has left only now. A cold machine gets it in this window, not in that one.
+    /// A shot sent on its way earlier has left only now. A cold machine gets it in this window, not
+    /// in that one.
     pub fn left(&mut self, now: Tenths, machine: MachineId, sent: Tenths) {
-        let Some(offers) = self.machines.get_mut(&machine).map(|machine| &mut machine.offers) else { return };
+        let Some(offers) = self
+            .machines
+            .get_mut(&machine)
+            .map(|machine| &mut machine.offers)
+        else {
+            return;
+        };
         if let Some(at) = offers.iter().position(|&at| at == sent) {
             offers.remove(at);
             offers.push_back(now);
@@ -99,19 +130,32 @@
 
     pub fn noted(&mut self, now: Tenths, id: AllocationId, note: Note) {
         let usual = self.learnt.usual.or_one();
-        let Some(machine) = self.at.get(&id).and_then(|at| self.machines.get_mut(at)) else { return };
+        let Some(machine) = self.at.get(&id).and_then(|at| self.machines.get_mut(at)) else {
+            return;
+        };
         machine.heard = now;
-        let Some(guest) = machine.guests.get_mut(&id) else { return };
+        let Some(guest) = machine.guests.get_mut(&id) else {
+            return;
+        };
         guest.noted(note, usual);
         match note {
             Note::Runs if !guest.runs => {
                 guest.runs = true;
-                self.learnt.start_time[usize::from(guest.had_program)].add((now - guest.sent) as f64, KEEP);
+                self.learnt.start_time[usize::from(guest.had_program)]
+                    .add((now - guest.sent) as f64, KEEP);
                 // What any start is taken to need has changed.
                 self.rooms.again(|_| true);
             }
-            Note::Cores(cores) => self.learnt.present.cores.add(cores / guest.asks.cores, KEEP),
-            Note::Memory(memory) => self.learnt.present.memory.add(memory / guest.asks.memory, KEEP),
+            Note::Cores(cores) => self
+                .learnt
+                .present
+                .cores
+                .add(cores / guest.asks.cores, KEEP),
+            Note::Memory(memory) => self
+                .learnt
+                .present
+                .memory
+                .add(memory / guest.asks.memory, KEEP),
             _ => {}
         }
     }
@@ -124,21 +168,32 @@
             at.heard = now;
         }
         at.guests.insert(allocation.id, guest);
-        let kept = at.promised.take_if(|(_, to)| *to == allocation.id).is_some();
+        let kept = at
+            .promised
+            .take_if(|(_, to)| *to == allocation.id)
+            .is_some();
         self.at_service.add(allocation.service, machine);
         self.rooms.touch(machine, kept);
     }
 
     /// The machine has answered for a guest: it is gone from there. An ended one leaves a record.
     pub(super) fn leave(&mut self, now: Tenths, id: AllocationId, ended: bool) {
-        let Some(at) = self.at.remove(&id) else { return };
-        let Some(machine) = self.machines.get_mut(&at) else { return };
-        let Some(mut guest) = machine.guests.remove(&id) else { return };
+        let Some(at) = self.at.remove(&id) else {
+            return;
+        };
+        let Some(machine) = self.machines.get_mut(&at) else {
+            return;
+        };
+        let Some(mut guest) = machine.guests.remove(&id) else {
+            return;
+        };
         self.at_service.remove(guest.service, at);
         self.rooms.touch(at, false);
         // Its service may have a place more, and what is drawn for its likes may be less.
         self.rooms.again(|kind| kind.service == guest.service);
-        self.at_service.of(guest.service).for_each(|(id, _)| self.rooms.touch(id, false));
+        self.at_service
+            .of(guest.service)
+            .for_each(|(id, _)| self.rooms.touch(id, false));
         if guest.runs {
             machine.keep(guest.service, KEPT);
         }
@@ -150,7 +205,11 @@
         let memory = guest.highest.memory / guest.asks.memory;
         self.learnt.usual.cores.add(cores, KEEP);
         self.learnt.usual.memory.add(memory, KEEP);
-        let record = Record { peak: Amount { cores, memory }, life: now - guest.sent, ended: now };
+        let record = Record {
+            peak: Amount { cores, memory },
+            life: now - guest.sent,
+            ended: now,
+        };
         self.records.push(guest.service, record, RECORDS, SERVICES);
     }
 }
--- a/src/rules/vain.rs
+++ b/src/rules/vain.rs
@@ -1,16 +1,20 @@
-//! Which looks would be in vain. Nothing is decided here: a look is left out only where the whole one in `rules`
-//! would end in "not yet", which tests hold against it call by call. The figures are those of `rules`.
+//! Which looks would be in vain. Nothing is decided here: a look is left out only where the whole
+//! one in `rules` would end in "not yet", which tests hold against it call by call. The figures are
+//! those of `rules`.
 
 use super::*;
 
 /// What rounding may take off, in parts.
 const ROUNDING: f64 = 1e-9;
-const NO_ROOM: Amount = Amount { cores: f64::NEG_INFINITY, memory: f64::NEG_INFINITY };
+const NO_ROOM: Amount = Amount {
+    cores: f64::NEG_INFINITY,
+    memory: f64::NEG_INFINITY,
+};
 
 impl Scheduler {
-    /// Until when no machine can take this one if nothing happens meanwhile; `now` where one may. Machines are
-    /// held against their rooms, and only those that pass are weighed; of a kind that has been in vain before,
-    /// only the machines that have gained since.
+    /// Until when no machine can take this one if nothing happens meanwhile; `now` where one may.
+    /// Machines are held against their rooms, and only those that pass are weighed; of a kind
+    /// that has been in vain before, only the machines that have gained since.
     pub(super) fn vain_until(&mut self, now: Tenths, new: &Allocation) -> Tenths {
         if self.promise().is_some_and(|(_, _, to)| to == new.id) {
             return now;
@@ -20,7 +24,10 @@
         let kind = Kind::of(new);
         let least = self.records.least(new.service);
         let track = &self.cluster.tracks[new.track.0];
-        let start = Amount { cores: self.start(true, track).min(self.start(false, track)), memory: 0.0 };
+        let start = Amount {
+            cores: self.start(true, track).min(self.start(false, track)),
+            memory: 0.0,
+        };
         let need = Room {
             bears: new.asks * self.learnt.usual.or_one() + start,
             line: new.asks * least,
@@ -39,17 +46,38 @@
         until
     }
 
-    /// The first moment from which the machine might take it, weighed now, if nothing happens meanwhile.
-    fn open_from(&self, now: Tenths, id: MachineId, new: &Allocation, beyond: &mut Option<bool>) -> Tenths {
+    /// The first moment from which the machine might take it, weighed now, if nothing happens
+    /// meanwhile.
+    fn open_from(
+        &self,
+        now: Tenths,
+        id: MachineId,
+        new: &Allocation,
+        beyond: &mut Option<bool>,
+    ) -> Tenths {
         let opens = self.opens(now, id, new);
         let yields = self.stays(new.track, None) < 1.0;
-        let Some(weighed) = self.weigh(now, id, new, yields).filter(|_| opens <= now) else { return opens };
+        let Some(weighed) = self.weigh(now, id, new, yields).filter(|_| opens <= now) else {
+            return opens;
+        };
         let bears = weighed.bears && !*beyond.get_or_insert_with(|| self.beyond_share(new));
-        let may = bears || self.risk(now, &Weighed { bears: false, ..weighed }, new).0 <= THETA;
+        let may = bears
+            || self
+                .risk(
+                    now,
+                    &Weighed {
+                        bears: false,
+                        ..weighed
+                    },
+                    new,
+                )
+                .0
+                <= THETA;
         now + Tenths::from(!may)
     }
 
-    /// Brings the rooms up to date: all of them with each new view and when what is learnt has changed.
+    /// Brings the rooms up to date: all of them with each new view and when what is learnt has
+    /// changed.
     fn refresh(&mut self, now: Tenths) {
         let until = self.view.taken.unwrap_or(now) + LOOK;
         let learnt = [self.learnt.usual, self.learnt.present];
@@ -59,22 +87,33 @@
                 self.rooms.renew(id, room);
             }
         } else {
-            let all: Vec<_> = self.machines.keys().map(|&id| (id, self.room(now, until, id))).collect();
+            let all: Vec<_> = self
+                .machines
+                .keys()
+                .map(|&id| (id, self.room(now, until, id)))
+                .collect();
             self.rooms.build(until, learnt, all);
         }
     }
 
-    /// What the machine has room for until then at the most, for each track, unless something happens to it. Its use
-    /// by others lies between its ends, and guests that come of age meanwhile count as of age.
+    /// What the machine has room for until then at the most, for each track, unless something
+    /// happens to it. Its use by others lies between its ends, and guests that come of age
+    /// meanwhile count as of age.
     fn room(&self, now: Tenths, until: Tenths, id: MachineId) -> Vec<Room> {
-        let none = Room { bears: NO_ROOM, line: NO_ROOM, asked: NO_ROOM };
+        let none = Room {
+            bears: NO_ROOM,
+            line: NO_ROOM,
+            asked: NO_ROOM,
+        };
         let Some(machine) = self.machines.get(&id).filter(|machine| machine.serving()) else {
             return vec![none; self.cluster.tracks.len()];
         };
         let Some((size, entry)) = self.size(machine).zip(machine.entry) else {
             return vec![none; self.cluster.tracks.len()];
         };
-        let others = self.others(until, now, machine).least(self.others(until, until, machine));
+        let others = self
+            .others(until, now, machine)
+            .least(self.others(until, until, machine));
         let asked = size * self.cluster.accepts - self.asked(until, machine, || others);
         let rooms = self.cluster.tracks.iter().enumerate().map(|(track, of)| {
             if of.kind.is_some_and(|kind| kind != entry.kind) {
@@ -84,16 +123,36 @@
             let (mut uses, mut least) = (others * stays(None), others * stays(None));
             for guest in machine.guests.values() {
                 let own = self.use_of(guest);
-                let drawn =
-                    guest.present.map_or(guest.asks * self.records.least(guest.service), |_| guest.highest);
-                (uses, least) =
-                    (uses + own * stays(Some(guest.track)), least + drawn * stays(Some(guest.track)));
+                let drawn = guest
+                    .present
+                    .map_or(guest.asks * self.records.least(guest.service), |_| {
+                        guest.highest
+                    });
+                (uses, least) = (
+                    uses + own * stays(Some(guest.track)),
+                    least + drawn * stays(Some(guest.track)),
+                );
+            }
+            let asked = if self.cluster.shows_room {
+                asked + size * ROUNDING
+            } else {
+                Amount::ONE * f64::INFINITY
+            };
+            let most = size
+                * Amount {
+                    cores: of.calm + FADE + ROUNDING,
+                    memory: LIMIT + ROUNDING,
+                };
+            let line = size
+                * Amount {
+                    cores: of.calm + ROUNDING,
+                    memory: F_MEMORY + ROUNDING,
+                };
+            Room {
+                bears: most - uses,
+                line: line - least,
+                asked,
             }
-            let asked =
-                if self.cluster.shows_room { asked + size * ROUNDING } else { Amount::ONE * f64::INFINITY };
-            let most = size * Amount { cores: of.calm + FADE + ROUNDING, memory: LIMIT + ROUNDING };
-            let line = size * Amount { cores: of.calm + ROUNDING, memory: F_MEMORY + ROUNDING };
-            Room { bears: most - uses, line: line - least, asked }
         });
         rooms.collect()
     }
--- a/src/state.rs
+++ b/src/state.rs
@@ -98,7 +98,8 @@
 
 impl Machine {
     pub fn serving(&self) -> bool {
-        self.entry.is_some_and(|entry| entry.state == State::Serving)
+        self.entry
+            .is_some_and(|entry| entry.state == State::Serving)
     }
 
     /// Left out of a whole list.
@@ -111,7 +112,11 @@
     /// Another process under the same id: of what was learnt only our own shots still count.
     pub fn restart(&mut self) {
         let Machine { guests, offers, .. } = std::mem::take(self);
-        *self = Machine { guests, offers, ..Machine::default() };
+        *self = Machine {
+            guests,
+            offers,
+            ..Machine::default()
+        };
     }
 
     /// From when on fewer than `part` of our offers are so recent, if none is added. 0: they are.
@@ -158,7 +163,11 @@
     }
 
     pub fn or(&self, default: f64) -> f64 {
-        if self.weight > 0.0 { self.sum / self.weight } else { default }
+        if self.weight > 0.0 {
+            self.sum / self.weight
+        } else {
+            default
+        }
     }
 }
 
@@ -171,7 +180,10 @@
 
 impl Means {
     pub fn or_one(&self) -> Amount {
-        Amount { cores: self.cores.or(1.0), memory: self.memory.or(1.0) }
+        Amount {
+            cores: self.cores.or(1.0),
+            memory: self.memory.or(1.0),
+        }
     }
 }
 
@@ -196,11 +208,18 @@
 
 impl Services {
     pub fn add(&mut self, service: ServiceId, machine: MachineId) {
-        *self.0.entry(service).or_default().entry(machine).or_default() += 1;
+        *self
+            .0
+            .entry(service)
+            .or_default()
+            .entry(machine)
+            .or_default() += 1;
     }
 
     pub fn remove(&mut self, service: ServiceId, machine: MachineId) {
-        let Some(at) = self.0.get_mut(&service) else { return };
+        let Some(at) = self.0.get_mut(&service) else {
+            return;
+        };
         at.entry(machine).and_modify(|many| *many -= 1);
         at.retain(|_, many| *many > 0);
         if at.is_empty() {
@@ -215,7 +234,10 @@
         place: impl Fn(MachineId) -> Option<u64>,
     ) -> Vec<(u64, usize)> {
         let mut places: Vec<(u64, usize)> = Vec::new();
-        for (there, many) in self.of(service).filter_map(|(id, many)| Some((place(id)?, many))) {
+        for (there, many) in self
+            .of(service)
+            .filter_map(|(id, many)| Some((place(id)?, many)))
+        {
             match places.iter_mut().find(|(other, _)| *other == there) {
                 Some((_, sum)) => *sum += many,
                 None => places.push((there, many)),
@@ -225,7 +247,11 @@
     }
 
     pub fn of(&self, service: ServiceId) -> impl Iterator<Item = (MachineId, usize)> {
-        self.0.get(&service).into_iter().flatten().map(|(&id, &many)| (id, many))
+        self.0
+            .get(&service)
+            .into_iter()
+            .flatten()
+            .map(|(&id, &many)| (id, many))
     }
 }
 
@@ -234,21 +260,32 @@
 pub struct Records(BTreeMap<ServiceId, VecDeque<Record>>);
 
 impl Records {
-    /// Keeps so many of a service, and so many services: they come and go without end, and the one longest
-    /// without an end gives way.
+    /// Keeps so many of a service, and so many services: they come and go without end, and the one
+    /// longest without an end gives way.
     pub fn push(&mut self, service: ServiceId, record: Record, most: usize, services: usize) {
         let records = self.0.entry(service).or_default();
         records.push_front(record);
         records.truncate(most);
         if self.0.len() > services {
             let ended = |records: &VecDeque<Record>| records.front().map(|record| record.ended);
-            let oldest = self.0.iter().min_by_key(|(_, records)| ended(records)).map(|(&id, _)| id);
+            let oldest = self
+                .0
+                .iter()
+                .min_by_key(|(_, records)| ended(records))
+                .map(|(&id, _)| id);
             oldest.map(|id| self.0.remove(&id));
         }
     }
 
-    /// Peaks of those that fit a guest of this age and highest use by asked unit, else the one given.
-    pub fn fitting(&self, service: ServiceId, age: Tenths, highest: Amount, none: Amount) -> Vec<Amount> {
+    /// Peaks of those that fit a guest of this age and highest use by asked unit, else the one
+    /// given.
+    pub fn fitting(
+        &self,
+        service: ServiceId,
+        age: Tenths,
+        highest: Amount,
+        none: Amount,
+    ) -> Vec<Amount> {
         let records = self.0.get(&service).into_iter().flatten();
         let fits = records.filter(|record| record.life >= age && highest.within(record.peak));
         let peaks: Vec<Amount> = fits.map(|record| record.peak).collect();
@@ -291,8 +328,8 @@
     pub rank: u8,
 }
 
-/// What a machine has room for, or an allocation needs: by what is likely in use, by the least that may be drawn, and
-/// by what is asked.
+/// What a machine has room for, or an allocation needs: by what is likely in use, by the least that
+/// may be drawn, and by what is asked.
 #[derive(Clone, Copy)]
 pub struct Room {
     pub bears: Amount,
@@ -312,7 +349,8 @@
     }
 }
 
-/// Likes: what one of them finds no machine for, another that asks for no less finds none for either.
+/// Likes: what one of them finds no machine for, another that asks for no less finds none for
+/// either.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Kind {
     pub service: ServiceId,
@@ -322,11 +360,16 @@
 
 impl Kind {
     pub fn of(allocation: &Allocation) -> Self {
-        Kind { service: allocation.service, track: allocation.track, account: allocation.account }
+        Kind {
+            service: allocation.service,
+            track: allocation.track,
+            account: allocation.account,
+        }
     }
 }
 
-/// So much was asked for in vain, and will be until then but for machines that gain after so many changes.
+/// So much was asked for in vain, and will be until then but for machines that gain after so many
+/// changes.
 struct Vain {
     asks: Amount,
     until: Tenths,
@@ -341,7 +384,8 @@
     ids: Vec<MachineId>,
     /// Of each machine, one for each track.
     rooms: Vec<Room>,
-    /// Machines that something happened to, and whether they may have gained what rooms don't tell.
+    /// Machines that something happened to, and whether they may have gained what rooms don't
+    /// tell.
     touched: BTreeMap<MachineId, bool>,
     /// The machines that gained, the last ones of so many changes.
     gained: VecDeque<MachineId>,
@@ -352,7 +396,10 @@
 impl Rooms {
     /// Nothing of it holds any more.
     pub fn void(&mut self) {
-        *self = Rooms { changes: self.changes + 1, ..Rooms::default() };
+        *self = Rooms {
+            changes: self.changes + 1,
+            ..Rooms::default()
+        };
     }
 
     pub fn build(&mut self, until: Tenths, learnt: [Means; 2], all: Vec<(MachineId, Vec<Room>)>) {
@@ -383,7 +430,9 @@
 
     pub fn renew(&mut self, id: MachineId, rooms: Vec<Room>) {
         let gains = self.touched.remove(&id).unwrap_or(true);
-        let Ok(at) = self.ids.binary_search(&id) else { return self.void() };
+        let Ok(at) = self.ids.binary_search(&id) else {
+            return self.void();
+        };
         let former = &mut self.rooms[at * rooms.len()..][..rooms.len()];
         if gains || std::iter::zip(&rooms, &*former).any(|(now, former)| now.gains(former)) {
             self.changes += 1;
@@ -401,11 +450,15 @@
         self.changes += 1;
     }
 
-    /// The machines that one of this kind with this need is to be weighed for, and until when it is in vain but for them.
+    /// The machines that one of this kind with this need is to be weighed for, and until when it is
+    /// in vain but for them.
     pub fn passing(&self, now: Tenths, kind: Kind, need: Room) -> (Tenths, Vec<MachineId>) {
         let tracks = self.rooms.len() / self.ids.len().max(1);
         let passes = |at: usize| need.within(&self.rooms[at * tracks + kind.track.0]);
-        let known = self.vain.get(&kind).filter(|vain| vain.asks.within(need.asked) && vain.until > now);
+        let known = self
+            .vain
+            .get(&kind)
+            .filter(|vain| vain.asks.within(need.asked) && vain.until > now);
         let since = known.map(|vain| (vain.until, (self.changes - vain.changes) as usize));
         match since.filter(|(_, since)| *since <= self.gained.len()) {
             Some((until, since)) => {
@@ -423,14 +476,22 @@
     /// In vain until then, as of the changes so far. Of so many kinds at the most.
     pub fn keep(&mut self, kind: Kind, asks: Amount, until: Tenths, most: usize) {
         let changes = self.changes;
-        let same = |vain: &Vain| vain.changes == changes && vain.until == until && vain.asks.within(asks);
+        let same =
+            |vain: &Vain| vain.changes == changes && vain.until == until && vain.asks.within(asks);
         if self.vain.get(&kind).is_some_and(same) {
             return;
         }
         if self.vain.len() >= most {
             self.vain.clear();
         }
-        self.vain.insert(kind, Vain { asks, until, changes });
+        self.vain.insert(
+            kind,
+            Vain {
+                asks,
+                until,
+                changes,
+            },
+        );
     }
 }
 
@@ -442,8 +503,8 @@
     pub open_at: Tenths,
     /// Last moments to answer, of those that come before all are looked at again.
     ends: BTreeSet<Tenths>,
-    /// The changes that the last round of looks began with, and whether its first look is still to come: that takes
-    /// the view anew, which is no change after it.
+    /// The changes that the last round of looks began with, and whether its first look is still to
+    /// come: that takes the view anew, which is no change after it.
     pub changes: u64,
     begins: bool,
     last: Option<Tenths>,
@@ -480,7 +541,10 @@
     }
 
     pub fn next(&self) -> Option<Tenths> {
-        [self.ask_at, self.ends.first().copied()].into_iter().flatten().min()
+        [self.ask_at, self.ends.first().copied()]
+            .into_iter()
+            .flatten()
+            .min()
     }
 
     pub fn due(&self, now: Tenths) -> bool {
@@ -489,8 +553,16 @@
 
     /// All are looked at again.
     pub fn round(&mut self, changes: u64) {
-        let Waits { last, looks_always, .. } = *self;
-        *self = Waits { changes, begins: true, last, looks_always, ..Waits::default() };
+        let Waits {
+            last, looks_always, ..
+        } = *self;
+        *self = Waits {
+            changes,
+            begins: true,
+            last,
+            looks_always,
+            ..Waits::default()
+        };
     }
 
     /// With this look, of so many changes.
--- a/tests/host/mod.rs
+++ b/tests/host/mod.rs
@@ -4,10 +4,20 @@
 use corkspan::rules::Scheduler;
 
 pub const SECOND: Tenths = 10_000;
-pub const SIZE: Amount = Amount { cores: 40.0, memory: 100.0 };
+pub const SIZE: Amount = Amount {
+    cores: 40.0,
+    memory: 100.0,
+};
 
 pub fn track(repeat: Repeat) -> Track {
-    Track { repeat, contract_time: SECOND, calm: 1.0, priority: 0, kind: None, spread: None }
+    Track {
+        repeat,
+        contract_time: SECOND,
+        calm: 1.0,
+        priority: 0,
+        kind: None,
+        spread: None,
+    }
 }
 
 pub fn cluster(track: Track) -> Cluster {
@@ -18,14 +28,21 @@
         kinds: vec![SIZE],
         tracks: vec![track],
         accounts: Vec::new(),
-        accepts: Amount { cores: 3.0, memory: 1.5 },
+        accepts: Amount {
+            cores: 3.0,
+            memory: 1.5,
+        },
         makes_room: false,
         shots: 3,
         placed_runs: true,
         shows_room: false,
         may_probe: false,
         ask_list: Some(10 * SECOND),
-        cold: Cold { lasts: 10 * SECOND, window: SECOND, offers: 6.0 },
+        cold: Cold {
+            lasts: 10 * SECOND,
+            window: SECOND,
+            offers: 6.0,
+        },
         opens_within: 0,
         other_hall_price: 0.0,
         tells_loss: true,
@@ -55,7 +72,11 @@
         let mut scheduler = Scheduler::new(cluster, seed, 100 * SECOND);
         let entries: Vec<Entry> = (0..machines).map(entry).collect();
         scheduler.listed(Scope::Remembered, &entries);
-        Host { scheduler, now: 100 * SECOND, asked: 0 }
+        Host {
+            scheduler,
+            now: 100 * SECOND,
+            asked: 0,
+        }
     }
 
     pub fn ask(&mut self, service: u64, cores: f64, memory: f64) -> Allocation {
@@ -75,7 +96,11 @@
     pub fn place(&mut self, allocation: &mut Allocation) -> Placement {
         let placement = self.scheduler.place(self.now, allocation);
         if let Placement::Send { machine, .. } = placement {
-            allocation.shots.push(Shot { machine, sent: self.now, fate: Fate::Pending });
+            allocation.shots.push(Shot {
+                machine,
+                sent: self.now,
+                fate: Fate::Pending,
+            });
         }
         placement
     }
@@ -95,14 +120,36 @@
     }
 
     pub fn seated(&mut self, allocation: &Allocation) {
-        self.scheduler.after(self.now, allocation, allocation.shots.len() - 1, Outcome::Placed);
+        self.scheduler.after(
+            self.now,
+            allocation,
+            allocation.shots.len() - 1,
+            Outcome::Placed,
+        );
     }
 
-    pub fn returned(&mut self, allocation: &mut Allocation, ending: Ending, reason: Option<Reason>) -> After {
+    pub fn returned(
+        &mut self,
+        allocation: &mut Allocation,
+        ending: Ending,
+        reason: Option<Reason>,
+    ) -> After {
         let shot = allocation.shots.len() - 1;
-        let never = matches!(ending, Ending::Refused | Ending::Unconnected | Ending::NotSent);
-        allocation.shots[shot].fate = if never { Fate::NeverRan } else { Fate::MayHaveRun };
-        let outcome = Outcome::Returned { ending, reason, over: ending == Ending::Ended, report: None };
+        let never = matches!(
+            ending,
+            Ending::Refused | Ending::Unconnected | Ending::NotSent
+        );
+        allocation.shots[shot].fate = if never {
+            Fate::NeverRan
+        } else {
+            Fate::MayHaveRun
+        };
+        let outcome = Outcome::Returned {
+            ending,
+            reason,
+            over: ending == Ending::Ended,
+            report: None,
+        };
         self.scheduler.after(self.now, allocation, shot, outcome)
     }
 
@@ -116,30 +163,41 @@
         ago: Tenths,
     ) -> Allocation {
         let mut allocation = self.ask(service, asks.cores, asks.memory);
-        allocation.shots.push(Shot { machine: MachineId(machine), sent: self.now, fate: Fate::MayHaveRun });
+        allocation.shots.push(Shot {
+            machine: MachineId(machine),
+            sent: self.now,
+            fate: Fate::MayHaveRun,
+        });
         self.now -= ago;
-        self.scheduler.taken_over(self.now, &allocation, MachineId(machine));
+        self.scheduler
+            .taken_over(self.now, &allocation, MachineId(machine));
         self.now += ago;
         self.note(&allocation, uses);
         allocation
     }
 
     pub fn note(&mut self, allocation: &Allocation, uses: Amount) {
-        self.scheduler.noted(self.now, allocation.id, Note::Cores(uses.cores));
-        self.scheduler.noted(self.now, allocation.id, Note::Memory(uses.memory));
+        self.scheduler
+            .noted(self.now, allocation.id, Note::Cores(uses.cores));
+        self.scheduler
+            .noted(self.now, allocation.id, Note::Memory(uses.memory));
     }
 
     /// A machine reports so much in use.
     pub fn reports(&mut self, machine: u32, cores: f64, memory: f64) {
         let unused = SIZE - Amount { cores, memory };
         let report = Report { unused };
-        self.scheduler.probed(self.now, MachineId(machine), Ending::Ended, Some(report));
+        self.scheduler
+            .probed(self.now, MachineId(machine), Ending::Ended, Some(report));
     }
 
     /// The service comes to have records of this use by asked unit.
     pub fn has_records(&mut self, service: u64, share: f64) {
         for _ in 0..5 {
-            let asks = Amount { cores: 2.0, memory: 4.0 };
+            let asks = Amount {
+                cores: 2.0,
+                memory: 4.0,
+            };
             let mut ended = self.runs(service, asks, asks * share, 0, 30 * SECOND);
             self.returned(&mut ended, Ending::Ended, None);
         }
