--- /dev/null
+++ b/crates/fleet/tests/stored.rs
@@ -0,0 +1,93 @@
+//! Stored forms, as an earlier program wrote them: read to the same content, written back to the same
+//! bytes, and refused with the same message where they are cut short or foreign.
+
+use corkspan_fleet::Floor;
+use corkspan_fleet::record::{How, Span};
+use corkspan_keeper::{Keeper, Kept};
+use serde::{Serialize, de::DeserializeOwned};
+use std::collections::VecDeque;
+use std::fmt::Debug;
+
+const MINIMUM: &str = include_str!("data/minimum_version.json");
+const ENTRY: &str = include_str!("data/quorum_entry.json");
+const SPANS: &str = include_str!("data/version_spans.json");
+/// Pairs of lines: a kind and what was stored, and the message of the refusal.
+const REFUSED: &str = include_str!("data/refused.txt");
+
+/// Reads a stored text and writes it again.
+fn round_trip<T: DeserializeOwned + Serialize + PartialEq + Debug>(stored: &str, content: T) {
+    let stored = stored.trim_end();
+    let read: T = serde_json::from_str(stored).expect("what was stored can be read");
+    assert_eq!(read, content);
+    assert_eq!(
+        serde_json::to_string(&read).expect("it can be written"),
+        stored
+    );
+}
+
+fn minimum() -> Floor {
+    Floor {
+        number: 4,
+        asker: 11_400_714_819_323_198_485,
+        lowest: 17,
+    }
+}
+
+#[test]
+fn a_stored_minimum_version_keeps_content_and_bytes() {
+    round_trip(MINIMUM, minimum());
+}
+
+#[test]
+fn a_quorum_members_stored_entry_keeps_content_and_bytes() {
+    let mut member = Keeper::default();
+    member.propose(minimum());
+    let entry: Kept<Floor> = member.all().next().expect("it was proposed").clone();
+    round_trip(ENTRY, entry);
+}
+
+/// There is one key, and it is no string: as JSON a member is stored by its entries.
+#[test]
+fn a_quorum_member_as_a_whole_is_json_only_while_it_is_empty() {
+    round_trip(r#"{"matters":{}}"#, Keeper::<Floor>::default());
+    let mut member = Keeper::default();
+    member.propose(minimum());
+    let error = serde_json::to_string(&member).expect_err("its key is no string");
+    assert_eq!(error.to_string(), "key must be a string");
+}
+
+#[test]
+fn stored_version_spans_keep_content_and_bytes() {
+    let ways = [How::File, How::Kept, How::Push, How::GaveUp, How::Brought];
+    let span = |(index, how): (usize, How)| Span {
+        version: index as u64 * 3,
+        digest: format!("{index}").repeat(8),
+        how,
+        life: u64::MAX - index as u64,
+        from_ms: 1_764_000_000_000 + index as u64,
+    };
+    let spans: VecDeque<Span> = ways.into_iter().enumerate().map(span).collect();
+    round_trip(SPANS, spans);
+}
+
+fn refusal<T: DeserializeOwned + Debug>(stored: &str) -> String {
+    let read = serde_json::from_str::<T>(stored);
+    read.expect_err("it is refused").to_string()
+}
+
+#[test]
+fn what_is_cut_short_or_foreign_is_refused_with_the_same_message() {
+    let lines: Vec<&str> = REFUSED.lines().collect();
+    for pair in lines.chunks(2) {
+        let (kind, stored) = pair[0].split_once(' ').expect("a kind and a text");
+        let message = match kind {
+            "minimum" => refusal::<Floor>(stored),
+            "entry" => refusal::<Kept<Floor>>(stored),
+            "member" => refusal::<Keeper<Floor>>(stored),
+            "spans" => refusal::<VecDeque<Span>>(stored),
+            other => panic!("no such kind: {other}"),
+        };
+        assert_eq!(message, pair[1], "{}", pair[0]);
+    }
+    assert!(lines.len() >= 40, "{} lines", lines.len());
+}
