--- /dev/null
+++ b/crates/api/tests/wire_contract.rs
@@ -0,0 +1,243 @@
+//! `corkspan.v1` on the wire stays as released. `data/contract.txt` records services, rpcs, field
+//! numbers, types and enum values; `data/messages.txt` holds bytes that the released program wrote.
+//!
+//! Names of messages and fields are not on the wire, so the record does not hold them: a message is
+//! called by the first path from an rpc that reaches it, such as `Node.Keep.request.2.3`.
+
+use corkspan_api::v1;
+use prost::Message;
+use protox::prost_reflect::{DescriptorPool, FieldDescriptor, Kind, MessageDescriptor};
+use std::collections::{BTreeMap, VecDeque};
+use std::path::{Path, PathBuf};
+
+const CONTRACT: &str = include_str!("data/contract.txt");
+const MESSAGES: &str = include_str!("data/messages.txt");
+
+fn descriptors() -> DescriptorPool {
+    let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("proto");
+    let folder = root.join("corkspan/v1");
+    let mut files: Vec<PathBuf> = std::fs::read_dir(folder)
+        .expect("the folder of .proto files")
+        .map(|entry| entry.expect("a folder entry").path())
+        .collect();
+    files.sort();
+    let set = protox::compile(files, [root]).expect("the .proto files compile");
+    DescriptorPool::from_file_descriptor_set(set).expect("a complete set")
+}
+
+/// Messages by full name, each with the first path that reaches it, breadth first from the rpcs in
+/// the order of their names.
+struct Paths {
+    by_name: BTreeMap<String, String>,
+    in_order: Vec<(String, MessageDescriptor)>,
+}
+
+impl Paths {
+    fn of(pool: &DescriptorPool) -> Self {
+        let mut queue = VecDeque::new();
+        for (rpc, method) in rpcs(pool) {
+            queue.push_back((format!("{rpc}.request"), method.input()));
+            queue.push_back((format!("{rpc}.response"), method.output()));
+        }
+        let mut paths = Paths {
+            by_name: BTreeMap::new(),
+            in_order: Vec::new(),
+        };
+        while let Some((path, message)) = queue.pop_front() {
+            if paths.by_name.contains_key(message.full_name()) {
+                continue;
+            }
+            paths
+                .by_name
+                .insert(message.full_name().to_string(), path.clone());
+            for field in message.fields() {
+                if let Kind::Message(inner) = field.kind() {
+                    queue.push_back((format!("{path}.{}", field.number()), inner));
+                }
+            }
+            paths.in_order.push((path, message));
+        }
+        paths
+    }
+}
+
+fn rpcs(pool: &DescriptorPool) -> BTreeMap<String, protox::prost_reflect::MethodDescriptor> {
+    let services: Vec<_> = pool.services().collect();
+    let methods = services.iter().flat_map(|service| {
+        let named = |method: protox::prost_reflect::MethodDescriptor| {
+            (format!("{}.{}", service.name(), method.name()), method)
+        };
+        service.methods().map(named).collect::<Vec<_>>()
+    });
+    methods.collect()
+}
+
+fn field_line(field: &FieldDescriptor, paths: &Paths) -> String {
+    let label = if field.is_map() {
+        "map"
+    } else if field.is_list() {
+        "repeated"
+    } else if field.supports_presence() && field.containing_oneof().is_none() {
+        "optional"
+    } else {
+        "single"
+    };
+    let kind = match field.kind() {
+        Kind::Message(message) => format!("message {}", paths.by_name[message.full_name()]),
+        Kind::Enum(each) => {
+            let numbers: Vec<String> = each
+                .values()
+                .map(|value| value.number().to_string())
+                .collect();
+            format!("enum {}", numbers.join(","))
+        }
+        other => format!("{other:?}").to_lowercase(),
+    };
+    let oneof = field.containing_oneof().map_or(String::new(), |oneof| {
+        let first = oneof.fields().map(|each| each.number()).min();
+        format!(" oneof-from-{}", first.expect("a oneof has fields"))
+    });
+    let packed = if field.is_packed() { " packed" } else { "" };
+    format!("  {} {label} {kind}{packed}{oneof}", field.number())
+}
+
+fn contract(pool: &DescriptorPool) -> String {
+    let paths = Paths::of(pool);
+    let mut lines = Vec::new();
+    let packages: std::collections::BTreeSet<String> = pool
+        .files()
+        .map(|file| format!("package {} {:?}", file.package_name(), file.syntax()))
+        .collect();
+    lines.extend(packages);
+    let stream = |streams: bool| if streams { "stream " } else { "" };
+    for (rpc, method) in rpcs(pool) {
+        let (input, output) = (method.input(), method.output());
+        lines.push(format!(
+            "rpc {rpc} {}{} -> {}{}",
+            stream(method.is_client_streaming()),
+            paths.by_name[input.full_name()],
+            stream(method.is_server_streaming()),
+            paths.by_name[output.full_name()]
+        ));
+    }
+    for (path, message) in &paths.in_order {
+        lines.push(format!("message {path}"));
+        lines.extend(message.fields().map(|field| field_line(&field, &paths)));
+    }
+    // None that no rpc reaches: such a one would stand in no line above.
+    let declared = pool
+        .all_messages()
+        .filter(|message| message.package_name() == "corkspan.v1");
+    let unreached: Vec<_> = declared
+        .filter(|message| !paths.by_name.contains_key(message.full_name()))
+        .collect();
+    assert!(unreached.is_empty(), "reached by no rpc: {unreached:?}");
+    lines.join("\n") + "\n"
+}
+
+#[test]
+fn services_field_numbers_types_and_enum_values_are_as_recorded() {
+    let now = contract(&descriptors());
+    let changed: Vec<_> = now
+        .lines()
+        .zip(CONTRACT.lines())
+        .filter(|(now, recorded)| now != recorded)
+        .take(5)
+        .collect();
+    assert!(now == CONTRACT, "now, and as recorded: {changed:#?}");
+}
+
+/// These names are printed by `corkspan status` and `corkspan place`, and label metrics.
+#[test]
+fn names_of_enum_values_that_are_shown_are_as_recorded() {
+    let names = |numbers: std::ops::Range<i32>, name: &dyn Fn(i32) -> String| {
+        numbers.map(name).collect::<Vec<_>>().join(" ")
+    };
+    let links = names(0..6, &|number| {
+        let kind = v1::link_count::Kind::try_from(number).expect("a known number");
+        kind.as_str_name().to_string()
+    });
+    assert_eq!(links, "ROSTER CONTROL KEEPERS DISPATCHERS NODES OWNERS");
+    let refusals = names(0..7, &|number| {
+        let why = v1::refused::Why::try_from(number).expect("a known number");
+        format!("{why:?}")
+    });
+    assert_eq!(
+        refusals,
+        "NotTold NoRoom TooMany Stopping BadAsk InHand Behind"
+    );
+    let ends = names(0..8, &|number| {
+        let how = v1::ended::How::try_from(number).expect("a known number");
+        format!("{how:?}")
+    });
+    assert_eq!(
+        ends,
+        "Lost Ended Evicted PushedOut SentAway Moved Error HandedBack"
+    );
+}
+
+/// Decodes what is recorded for a message and encodes it again.
+fn check<M: Message + Default>(path: &str, checked: &mut Vec<String>) {
+    for line in MESSAGES.lines() {
+        let (name, hex) = line.split_once(' ').expect("a path and bytes");
+        if name.split_once('#').map_or(name, |(path, _)| path) != path {
+            continue;
+        }
+        let hex = hex.trim_matches('-');
+        let byte = |at: usize| u8::from_str_radix(&hex[at..at + 2], 16).expect("hexadecimal");
+        let bytes: Vec<u8> = (0..hex.len()).step_by(2).map(byte).collect();
+        let message = M::decode(&bytes[..]).unwrap_or_else(|why| panic!("{name}: {why}"));
+        assert_eq!(message.encode_to_vec(), bytes, "{name}");
+        if bytes.len() > 2 {
+            assert!(M::decode(&bytes[..bytes.len() - 1]).is_err(), "{name}: cut");
+        }
+        checked.push(name.to_string());
+    }
+}
+
+#[test]
+fn recorded_messages_are_read_and_written_back_to_the_same_bytes() {
+    let mut checked = Vec::new();
+    let all = &mut checked;
+    check::<v1::Told>("Control.Stream.request", all);
+    check::<v1::Push>("Control.Stream.response", all);
+    check::<v1::ActsAsk>("Node.Acts.request", all);
+    check::<v1::ActsWord>("Node.Acts.response", all);
+    check::<v1::Shot>("Node.Attend.request", all);
+    check::<v1::Said>("Node.Attend.response", all);
+    check::<v1::DoorAsk>("Node.Door.request", all);
+    check::<v1::DoorWord>("Node.Door.response", all);
+    check::<v1::Greeting>("Node.Greet.request", all);
+    check::<v1::KeepAsk>("Node.Keep.request", all);
+    check::<v1::KeepWord>("Node.Keep.response", all);
+    check::<v1::ProbeAsk>("Node.Probe.request", all);
+    check::<v1::ProbeWord>("Node.Probe.response", all);
+    check::<v1::StopAsk>("Node.Stop.request", all);
+    check::<v1::StopWord>("Node.Stop.response", all);
+    check::<v1::Running>("Placement.HandOver.request", all);
+    check::<v1::Word>("Placement.HandOver.response", all);
+    check::<v1::Ask>("Placement.Place.request", all);
+    check::<v1::StatusAsk>("Placement.Status.request", all);
+    check::<v1::StatusWord>("Placement.Status.response", all);
+    check::<v1::ChangeAsk>("Rolls.Change.request", all);
+    check::<v1::RollWord>("Rolls.Change.response", all);
+    check::<v1::MaintainAsk>("Rolls.Maintain.request", all);
+    check::<v1::MaintainWord>("Rolls.Maintain.response", all);
+    check::<v1::RollAsk>("Rolls.Start.request", all);
+    check::<v1::RollStatusAsk>("Rolls.Status.request", all);
+    check::<v1::RollStatus>("Rolls.Status.response", all);
+    check::<v1::ListAsk>("Roster.List.request", all);
+    check::<v1::Listing>("Roster.List.response", all);
+    check::<v1::GiveAsk>("Versions.Give.request", all);
+    check::<v1::FloorAsk>("Versions.Raise.request", all);
+    check::<v1::FloorWord>("Versions.Raise.response", all);
+    check::<v1::VersionStatusAsk>("Versions.Status.request", all);
+    check::<v1::VersionStatus>("Versions.Status.response", all);
+    let mut recorded: Vec<&str> = MESSAGES
+        .lines()
+        .map(|line| line.split(' ').next().expect("a path"))
+        .collect();
+    checked.sort();
+    recorded.sort_unstable();
+    assert_eq!(checked, recorded, "every recorded message is checked");
+}
