--- /dev/null
+++ b/crates/facts/tests/recorded.rs
@@ -0,0 +1,181 @@
+//! Settings recorded under `tests/data`: every keyword is read to the same content, and what can't
+//! be used is refused in the same words.
+
+use corkspan::interface::{Amount, Cluster, Place, Repeat, Track};
+use corkspan_facts::Facts;
+use serde_json::Value;
+use std::fmt::Write;
+use std::path::Path;
+
+fn data(name: &str) -> String {
+    let path = Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/data")
+        .join(name);
+    std::fs::read_to_string(&path).unwrap_or_else(|why| panic!("{}: {why}", path.display()))
+}
+
+fn place(place: Place) -> &'static str {
+    match place {
+        Place::Machine => "machine",
+        Place::Cell => "cell",
+        Place::Hall => "zone",
+    }
+}
+
+fn amount(amount: Amount) -> String {
+    format!("{:?} cores {:?} memory", amount.cores, amount.memory)
+}
+
+fn track_content(track: &Track) -> String {
+    let repeat = match track.repeat {
+        Repeat::Idempotent => "idempotent".to_string(),
+        Repeat::Unrepeatable => "unrepeatable".to_string(),
+        Repeat::Deduplicated { within, window } => {
+            format!("deduplicated within {:?} for {window}", within.map(place))
+        }
+    };
+    let spread = track.spread.map(|(by, most)| (place(by), most));
+    format!(
+        "{repeat} contract-time {} calm {:?} priority {} kind {:?} spread {spread:?}",
+        track.contract_time,
+        track.calm,
+        track.priority,
+        track.kind.map(|kind| kind.0),
+    )
+}
+
+fn cluster_content(cluster: &Cluster) -> String {
+    let mut text = String::new();
+    let mut line = |name: &str, value: String| writeln!(text, "{name} {value}").expect("written");
+    line("hall", cluster.hall.0.to_string());
+    line("number", cluster.number.to_string());
+    line("schedulers", cluster.schedulers.to_string());
+    for kind in &cluster.kinds {
+        line("kind", amount(*kind));
+    }
+    for track in &cluster.tracks {
+        line("track", track_content(track));
+    }
+    for account in &cluster.accounts {
+        line("account", format!("{:?}", account.share_cores));
+    }
+    line("accepts", amount(cluster.accepts));
+    line("makes-room", cluster.makes_room.to_string());
+    line("shots", cluster.shots.to_string());
+    line("placed-runs", cluster.placed_runs.to_string());
+    line("shows-room", cluster.shows_room.to_string());
+    line("may-probe", cluster.may_probe.to_string());
+    line("ask-list", format!("{:?}", cluster.ask_list));
+    let cold = &cluster.cold;
+    line(
+        "cold",
+        format!("{} {} {:?}", cold.lasts, cold.window, cold.offers),
+    );
+    line("opens-within", cluster.opens_within.to_string());
+    line("other-hall", format!("{:?}", cluster.other_hall_price));
+    line("tells-loss", cluster.tells_loss.to_string());
+    text
+}
+
+fn content(text: &str) -> String {
+    let facts: Facts = match serde_json::from_str(text) {
+        Ok(facts) => facts,
+        Err(why) => return format!("unreadable: {why}\n"),
+    };
+    let mut text = match facts.cluster() {
+        Ok(cluster) => cluster_content(&cluster),
+        Err(why) => return format!("refused: {why}\n"),
+    };
+    for (index, class) in facts.classes.iter().enumerate() {
+        writeln!(text, "class {} keyed {}", class.name, facts.keyed(index)).expect("written");
+    }
+    let tenants: Vec<&String> = facts.tenants.iter().map(|tenant| &tenant.name).collect();
+    writeln!(
+        text,
+        "zones {:?}\nskus {:?}\ntenants {tenants:?}\nidle-close-us {:?}\nconnect-timeout-us {:?}\n\
+         opens-within {}\nlongest-deadline {:?}\nlargest {:?}",
+        facts.zones,
+        facts.skus,
+        facts.limits.idle_close_us,
+        facts.limits.connect_timeout_us,
+        facts.opens_within(),
+        facts.longest_deadline(),
+        facts.largest().map(amount),
+    )
+    .expect("written");
+    text
+}
+
+#[test]
+fn settings_with_each_keyword_are_read_to_the_same_content() {
+    assert_eq!(content(&data("settings.json")), data("settings_read.txt"));
+}
+
+#[test]
+fn settings_with_no_more_than_they_must_hold_are_read_to_the_same_content() {
+    assert_eq!(
+        content(&data("settings_least.json")),
+        data("settings_least_read.txt")
+    );
+}
+
+/// Each key is taken out in turn: what is read is another content, or a refusal.
+#[test]
+fn each_keyword_of_the_recorded_settings_is_read() {
+    let whole: Value = serde_json::from_str(&data("settings.json")).expect("JSON");
+    let read = content(&whole.to_string());
+    let mut paths = Vec::new();
+    keys(&whole, String::new(), &mut paths);
+    assert_eq!(paths.len(), 50, "{paths:?}");
+    for path in paths {
+        let mut cut = whole.clone();
+        let (parent, key) = path.rsplit_once('/').expect("a path");
+        let parent = cut.pointer_mut(parent).expect("there");
+        assert!(parent.as_object_mut().expect("a map").remove(key).is_some());
+        assert_ne!(content(&cut.to_string()), read, "{path}");
+    }
+}
+
+/// Pointers to all keys.
+fn keys(value: &Value, at: String, paths: &mut Vec<String>) {
+    match value {
+        Value::Object(map) => {
+            for (key, value) in map {
+                paths.push(format!("{at}/{key}"));
+                keys(value, format!("{at}/{key}"), paths);
+            }
+        }
+        Value::Array(list) => {
+            for (index, value) in list.iter().enumerate() {
+                keys(value, format!("{at}/{index}"), paths);
+            }
+        }
+        _ => {}
+    }
+}
+
+#[test]
+fn half_a_file_of_settings_is_refused_in_the_same_words() {
+    let whole = data("settings.json");
+    assert_eq!(
+        content(&whole[..whole.len() / 2]),
+        data("settings_half_read.txt")
+    );
+}
+
+#[test]
+fn recorded_malformed_settings_are_refused_in_the_same_words() {
+    let sound = data("settings.json");
+    let cases = data("settings_malformed.txt");
+    assert!(cases.lines().count() >= 12);
+    for line in cases.lines() {
+        let (replaced, refusal) = line.split_once('\t').expect("a tab");
+        let (old, new) = replaced.split_once(" -> ").expect("an arrow");
+        assert!(sound.contains(old), "the file holds {old}");
+        assert_eq!(
+            content(&sound.replacen(old, new, 1)),
+            format!("{refusal}\n"),
+            "{replaced}"
+        );
+    }
+}
--- /dev/null
+++ b/crates/platform-wire/tests/recorded.rs
@@ -0,0 +1,316 @@
+//! Messages recorded under `tests/data`, one a line with what is read of it: what is read must stay
+//! the same content, what is written the same bytes, and what is refused refused in the same words.
+
+use corkspan_platform_wire::file::Posting;
+use corkspan_platform_wire::owner::{self, Kind, SetUp};
+use corkspan_platform_wire::{feed, node};
+use std::fmt::Write;
+use std::path::Path;
+
+const CLIENT_KINDS: [(&str, Kind); 9] = [
+    ("set-up", Kind::SetUp),
+    ("progress", Kind::Progress),
+    ("answer", Kind::Answer),
+    ("release", Kind::Release),
+    ("heard", Kind::Heard),
+    ("note", Kind::Note),
+    ("move", Kind::Move),
+    ("test", Kind::Test),
+    ("tested", Kind::Tested),
+];
+
+fn data(name: &str) -> String {
+    let path = Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/data")
+        .join(name);
+    std::fs::read_to_string(&path).unwrap_or_else(|why| panic!("{}: {why}", path.display()))
+}
+
+/// The lines of a file, each with what is recorded behind its tab.
+fn pairs(name: &str, at_least: usize) -> Vec<(String, String)> {
+    let pairs: Vec<(String, String)> = data(name)
+        .lines()
+        .map(|line| line.split_once('\t').expect("a tab"))
+        .map(|(bytes, read)| (bytes.into(), read.into()))
+        .collect();
+    assert!(
+        pairs.len() >= at_least,
+        "{name} holds {} lines",
+        pairs.len()
+    );
+    pairs
+}
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+fn unhex(text: &str) -> Vec<u8> {
+    let digits: Vec<char> = text.chars().collect();
+    let byte = |pair: &[char]| u8::from_str_radix(&String::from_iter(pair), 16).expect("hex");
+    digits.chunks(2).map(byte).collect()
+}
+
+fn read_client(bytes: &[u8]) -> Result<owner::Message, String> {
+    let mut reader = owner::Reader::default();
+    reader.push(bytes);
+    let message = reader.message().map_err(|why| why.to_string())?;
+    assert!(message.is_none() || reader.held() == 0, "nothing is left");
+    message.ok_or_else(|| "unfinished".to_string())
+}
+
+fn client_content(message: &owner::Message) -> String {
+    let kind = CLIENT_KINDS.iter().find(|(_, kind)| *kind == message.kind);
+    let mut text = format!("{} {:016x}", kind.expect("a kind").0, message.task);
+    for code in 0..=u8::MAX {
+        if let Some(value) = message.bytes(code) {
+            write!(text, " {code}={}", hex(value)).expect("written");
+        }
+    }
+    text
+}
+
+/// The message that a content stands for, as bytes.
+fn client_bytes(content: &str) -> Vec<u8> {
+    let mut words = content.split(' ');
+    let kind = words.next().expect("a kind");
+    let (_, kind) = CLIENT_KINDS
+        .iter()
+        .find(|(name, _)| *name == kind)
+        .expect("a kind");
+    let task = u64::from_str_radix(words.next().expect("a task"), 16).expect("hex");
+    let parameters: Vec<(u8, Vec<u8>)> = words
+        .map(|word| word.split_once('=').expect("a parameter"))
+        .map(|(code, value)| (code.parse().expect("a code"), unhex(value)))
+        .collect();
+    let parameters: Vec<(u8, &[u8])> = parameters
+        .iter()
+        .map(|(code, value)| (*code, &value[..]))
+        .collect();
+    owner::message(*kind, task, &parameters).expect("short enough")
+}
+
+#[test]
+fn recorded_client_frames_are_read_and_written_back_byte_for_byte() {
+    let frames = pairs("client_frames.txt", 18);
+    for (_, kind) in CLIENT_KINDS.iter().map(|(name, kind)| (name, *kind)) {
+        let of_kind = |(bytes, _): &&(String, String)| {
+            read_client(&unhex(bytes)).expect("sound").kind == kind
+        };
+        assert!(
+            frames.iter().any(|frame| of_kind(&frame)),
+            "{kind:?} is recorded"
+        );
+    }
+    for (bytes, content) in frames {
+        let message = read_client(&unhex(&bytes)).expect("sound");
+        assert_eq!(client_content(&message), content);
+        assert_eq!(hex(&client_bytes(&content)), bytes);
+    }
+}
+
+#[test]
+fn recorded_malformed_client_frames_are_refused_in_the_same_words() {
+    for (bytes, refusal) in pairs("client_malformed.txt", 8) {
+        assert_eq!(read_client(&unhex(&bytes)), Err(refusal), "{bytes}");
+    }
+}
+
+fn set_up_content(bytes: &[u8]) -> String {
+    let message = read_client(bytes).expect("sound");
+    match SetUp::read(&message) {
+        Err(why) => format!("refused: {why}"),
+        Ok(SetUp {
+            task,
+            class,
+            left_ms,
+            tenant,
+            name,
+            mark,
+            cores,
+            memory,
+            service,
+            at,
+            description,
+        }) => format!(
+            "task={task:x} class={class:?} left_ms={left_ms} tenant={tenant:?} name={name:?} \
+             key={mark:?} cores={cores:?} memory={memory:?} service={service:?} at={at:?} \
+             description={description:?}"
+        ),
+    }
+}
+
+#[test]
+fn recorded_set_ups_are_read_to_the_same_content_or_refused_in_the_same_words() {
+    for (bytes, content) in pairs("set_ups.txt", 20) {
+        assert_eq!(set_up_content(&unhex(&bytes)), content, "{bytes}");
+    }
+}
+
+fn read_node(line: &str) -> Result<node::Message, String> {
+    let mut reader = node::Reader::default();
+    reader.push(line.as_bytes());
+    reader.push(b"\n");
+    let message = reader.message().map_err(|why| why.to_string())?;
+    Ok(message.expect("a whole line"))
+}
+
+fn node_content(message: &node::Message) -> String {
+    let kind = serde_json::to_string(&message.kind).expect("a name");
+    let mut text = format!("{kind} id={:?}", message.sid);
+    for (name, value) in &message.attrs {
+        let (text_value, number) = (value.text(), value.number());
+        write!(text, " {name}={text_value:?}/{number:?}").expect("written");
+    }
+    write!(text, " code={:?} text={:?}", message.code, message.text).expect("written");
+    text
+}
+
+#[test]
+fn recorded_node_lines_are_read_to_the_same_content() {
+    for (line, content) in pairs("node_lines.txt", 14) {
+        assert_eq!(
+            node_content(&read_node(&line).expect("sound")),
+            content,
+            "{line}"
+        );
+    }
+}
+
+#[test]
+fn recorded_node_lines_as_written_are_written_back_byte_for_byte() {
+    let lines = data("node_lines_written.jsonl");
+    assert!(lines.lines().count() >= 12);
+    for line in lines.lines() {
+        let message = read_node(line).expect("sound");
+        assert_eq!(message.line(), Some(format!("{line}\n").into_bytes()));
+    }
+}
+
+#[test]
+fn recorded_malformed_node_lines_are_refused_in_the_same_words() {
+    for (line, refusal) in pairs("node_malformed.txt", 8) {
+        assert_eq!(read_node(&line).map(|_| ()), Err(refusal), "{line}");
+    }
+}
+
+fn phase(phase: feed::Phase) -> &'static str {
+    match phase {
+        feed::Phase::Active => "active",
+        feed::Phase::Leaving => "leaving",
+        feed::Phase::Left => "left",
+    }
+}
+
+fn event_content(event: &feed::Event) -> String {
+    let mut text = format!("event {}", event.n);
+    let Some(members) = &event.members else {
+        return text + " without members\n";
+    };
+    writeln!(text, " complete={}", members.complete).expect("written");
+    for entry in &members.members {
+        let line = match entry {
+            feed::Entry::Unreadable(what) => format!("unreadable {what}"),
+            feed::Entry::Member(member) => format!(
+                "{} at {} in {:?} of {:?} cell {} {} since {} unrequested {:?}",
+                member.id,
+                member.host_port,
+                member.locality,
+                member.flavor,
+                member.cell,
+                phase(member.phase),
+                member.up_since_ms,
+                member.unasked,
+            ),
+        };
+        writeln!(text, "  {line}").expect("written");
+    }
+    text
+}
+
+/// What a stream tells, and how it ends.
+fn feed_content(stream: &[u8]) -> String {
+    let mut reader = feed::Reader::default();
+    reader.push(stream);
+    let mut text = String::new();
+    loop {
+        match reader.told() {
+            Ok(Some(feed::Told::Alive)) => text += "alive\n",
+            Ok(Some(feed::Told::Event(event))) => text += &event_content(&event),
+            Ok(None) => return text + "no more\n",
+            Err(why) => return format!("{text}refused: {why}\n"),
+        }
+    }
+}
+
+#[test]
+fn a_recorded_feed_with_each_kind_of_list_is_read_to_the_same_content() {
+    assert_eq!(
+        feed_content(data("feed_stream.txt").as_bytes()),
+        data("feed_stream_read.txt")
+    );
+}
+
+#[test]
+fn recorded_malformed_feeds_are_refused_in_the_same_words() {
+    for (stream, refusal) in pairs("feed_malformed.txt", 5) {
+        let stream = stream.replace("\\n", "\n");
+        assert_eq!(
+            feed_content(stream.as_bytes()),
+            format!("{refusal}\n"),
+            "{stream}"
+        );
+    }
+}
+
+fn node_config_content(text: &str) -> String {
+    let posting = match Posting::read(text.as_bytes()) {
+        Ok(posting) => posting,
+        Err(why) => return format!("refused: {why}\n"),
+    };
+    let mut text = format!(
+        "name {}\nlisten {}\nseed {} = {}\nsockets {}\nfeed {}\nknown {}\n",
+        posting.name,
+        posting.listen,
+        posting.seed,
+        posting.chance().expect("hex"),
+        posting.limits.sockets,
+        posting.feed,
+        posting.known.n,
+    );
+    let events = posting.known.events.iter().map(event_content);
+    text.extend(events);
+    writeln!(text, "zones {:?}", posting.settings.zones).expect("written");
+    text
+}
+
+#[test]
+fn a_recorded_file_of_node_config_is_read_to_the_same_content() {
+    assert_eq!(
+        node_config_content(&data("node_config.json")),
+        data("node_config_read.txt")
+    );
+}
+
+#[test]
+fn half_a_file_of_node_config_is_refused_in_the_same_words() {
+    let whole = data("node_config.json");
+    assert_eq!(
+        node_config_content(&whole[..whole.len() / 2]),
+        data("node_config_half_read.txt")
+    );
+}
+
+#[test]
+fn recorded_malformed_files_of_node_config_are_refused_in_the_same_words() {
+    let sound = data("node_config.json");
+    for (replaced, refusal) in pairs("node_config_malformed.txt", 6) {
+        let (old, new) = replaced.split_once(" -> ").expect("an arrow");
+        assert!(sound.contains(old), "the file holds {old}");
+        assert_eq!(
+            node_config_content(&sound.replacen(old, new, 1)),
+            format!("{refusal}\n"),
+            "{replaced}"
+        );
+    }
+}
