--- /dev/null
+++ b/crates/fleet/tests/decisions/main.rs
@@ -0,0 +1,96 @@
+//! Every decision of this package on seeded inputs, held byte for byte against the transcripts under
+//! `tests/data`. The transcripts use words of their own, so that a renamed type changes nothing in
+//! them. Where one differs, what was decided now is left beside the build's temporary files.
+
+mod fencing;
+mod raising;
+mod reports;
+
+use corkspan_fleet::Floor;
+use corkspan_fleet::acts::Kind;
+use rand::{RngExt, SeedableRng};
+use rand_pcg::Pcg64Mcg;
+use std::path::Path;
+use test_case::test_case;
+
+const MEMBERS: usize = 3;
+
+pub fn generator(seed: u64) -> Pcg64Mcg {
+    Pcg64Mcg::seed_from_u64(seed)
+}
+
+pub fn draw(rng: &mut Pcg64Mcg, below: u64) -> u64 {
+    rng.random_range(0..below)
+}
+
+pub fn minimum(rng: &mut Pcg64Mcg) -> Floor {
+    Floor {
+        number: draw(rng, 6),
+        asker: draw(rng, 2),
+        lowest: draw(rng, 8),
+    }
+}
+
+/// What some members of the quorum reply. Few values, so that majorities are met often.
+pub fn replies(rng: &mut Pcg64Mcg) -> Vec<Option<Floor>> {
+    let usual = minimum(rng);
+    let reply = |rng: &mut Pcg64Mcg| match draw(rng, 5) {
+        0 => None,
+        1 => Some(minimum(rng)),
+        _ => Some(usual),
+    };
+    (0..draw(rng, 4)).map(|_| reply(rng)).collect()
+}
+
+pub fn text(minimum: Option<Floor>) -> String {
+    minimum.map_or("-".into(), |own| {
+        format!("{}/{}/{}", own.number, own.asker, own.lowest)
+    })
+}
+
+pub fn texts(replies: &[Option<Floor>]) -> String {
+    let all: Vec<String> = replies.iter().map(|reply| text(*reply)).collect();
+    format!("[{}]", all.join(" "))
+}
+
+pub fn operation(kind: Kind) -> &'static str {
+    match kind {
+        Kind::Shot => "start",
+        Kind::Attend => "attend",
+        Kind::Stop => "stop",
+        Kind::Move => "move",
+        Kind::Claim => "claim",
+    }
+}
+
+pub fn kind(rng: &mut Pcg64Mcg) -> Kind {
+    Kind::ALL[draw(rng, 5) as usize]
+}
+
+#[test_case("fence", fencing::fence)]
+#[test_case("gate", fencing::gate)]
+#[test_case("raise", fencing::raise)]
+#[test_case("policy", raising::policy)]
+#[test_case("catch_up", raising::catch_up)]
+#[test_case("audit", reports::audits)]
+#[test_case("counts", reports::counts)]
+fn decisions_are_those_on_file(name: &str, decide: fn(&mut String)) {
+    let (mut decided, file) = (String::new(), format!("{name}.txt"));
+    decide(&mut decided);
+    let data = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data");
+    let kept = std::fs::read_to_string(data.join(&file)).unwrap_or_default();
+    if decided == kept {
+        return;
+    }
+    let now = Path::new(env!("CARGO_TARGET_TMPDIR")).join(&file);
+    std::fs::write(&now, &decided).expect("the temporary folder can be written");
+    let differ = decided.lines().zip(kept.lines());
+    let line = differ.take_while(|(one, other)| one == other).count();
+    panic!(
+        "{file} line {}: decided {:?}, on file {:?}; all of it in {}",
+        line + 1,
+        decided.lines().nth(line),
+        kept.lines().nth(line),
+        now.display()
+    );
+}
