--- /dev/null
+++ b/crates/capacity/tests/stored.rs
@@ -0,0 +1,198 @@
+//! The kept result and what is computed from it, held against files of an earlier program: the
+//! result and its page as they stand in docs/, refusals of spoilt results, and fits of seeded points.
+
+use corkspan_capacity::fit::{Fit, How};
+use corkspan_capacity::kept::{COMING, Kept, Size};
+use corkspan_capacity::need::{Machine, fits, needs};
+use corkspan_capacity::page;
+use std::fmt::Write;
+use std::path::Path;
+use test_case::test_case;
+
+fn document(name: &str) -> String {
+    let docs = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs");
+    std::fs::read_to_string(docs.join(name)).expect("it stands there")
+}
+
+fn result() -> Kept {
+    Kept::read(&document("capacity/result.json")).expect("it is whole")
+}
+
+/// The size is written with its keys in alphabetical order, all else as it is on file.
+#[test]
+fn the_result_on_file_is_written_back_to_the_same_bytes() {
+    let (stored, written) = (document("capacity/result.json"), result().text());
+    let size = include_str!("data/size_in_result.json").trim_end();
+    let lines: Vec<&str> = stored.split('\n').collect();
+    let sized = format!("\"size\": {size},");
+    let expected = [&lines[..1], &[&sized[..]], &lines[2..]].concat();
+    assert_eq!(written.split('\n').collect::<Vec<_>>(), expected);
+    assert_eq!(Kept::read(&written), Ok(result()));
+}
+
+#[test]
+fn the_page_on_file_is_filled_to_the_same_bytes() {
+    let page = document("CAPACITY.md");
+    assert_eq!(page::fill(&page, &result()).expect("it is whole"), page);
+}
+
+#[test]
+fn a_size_is_read_and_written_back_to_the_same_bytes() {
+    let stored = include_str!("data/size.json").trim_end();
+    let size: Size = serde_json::from_str(stored).expect("it is whole");
+    assert_eq!(size, COMING);
+    assert_eq!(
+        serde_json::to_string(&size).expect("it can be written"),
+        stored
+    );
+}
+
+/// The result on file cut short, and with one text replaced at its first place.
+fn refusals(out: &mut String) {
+    let whole = document("capacity/result.json");
+    for part in 1..24 {
+        let cut = whole.len() * part / 24;
+        let error = Kept::read(&whole[..cut]).expect_err("it is cut short");
+        let _ = writeln!(out, "cut at {cut}: {error}");
+    }
+    for (text, instead) in [
+        ("\"size\"", "\"sise\""),
+        ("\"runs\"", "\"ruins\""),
+        ("\"machines\":1300.0", "\"machines\":0"),
+        ("\"machines\":1300.0", "\"machines\":2e9"),
+        ("\"waiting\":300.0,", ""),
+        ("\"teams\"", "\"groups\""),
+        ("\"axis\": \"machines\"", "\"axis\": \"teams\""),
+        ("\"series\": ", "\"serie\": "),
+        ("\"command\": ", "\"line\": "),
+        ("\"seed\": 1", "\"seed\": -1"),
+        ("\"cores\": ", "\"core\": "),
+        ("\"fixed\": ", "\"fix\": "),
+        ("\"places\": [", "\"places\": [null,"),
+        ("\"rounds\": 1", "\"rounds\": 1.5"),
+        ("\"at\":140.0", "\"at\":-140.0"),
+        ("\"round\":0", "\"around\":0"),
+        ("\"load\":16.04,", ""),
+        ("\"figures\":{", "\"figures\":{\"x\":\"y\","),
+        ("\"series\": \"held\"", "\"series\": \"starts\""),
+    ] {
+        assert!(whole.contains(text), "{text}");
+        let spoilt = whole.replacen(text, instead, 1);
+        let error = Kept::read(&spoilt).expect_err("it is spoilt");
+        let _ = writeln!(out, "{text} as {instead}: {error}");
+    }
+    let page = document("CAPACITY.md");
+    for (text, instead) in [
+        ("<!-- by role -->", ""),
+        ("<!-- links -->", "<!-- by role -->"),
+        ("| 1 | ", "| 2 | "),
+    ] {
+        let spoilt = page.replacen(text, instead, 1);
+        let error = page::check(&spoilt, &result()).expect_err("it differs");
+        let _ = writeln!(out, "{text} as {instead}: {error}");
+    }
+    let machine = Machine {
+        memory_mib: 24_000,
+        processes: 1_000,
+        descriptors: 20_000,
+    };
+    for (dispatchers, machines, tasks) in [(1, 140, 0), (600, 1_300, 300), (500, 900_000, 9_999)] {
+        let checked = fits(needs(dispatchers, machines, tasks), machine);
+        let text = checked.map_or_else(|error| error.to_string(), |()| "enough".into());
+        let _ = writeln!(out, "{dispatchers}, {machines}, {tasks}: {text}");
+    }
+}
+
+/// A fraction from 0 to 1: no generator of a library, whose draws might change.
+fn fraction(state: &mut u64) -> f64 {
+    *state = state
+        .wrapping_mul(6_364_136_223_846_793_005)
+        .wrapping_add(1_442_695_040_888_963_407);
+    (*state >> 11) as f64 / (1u64 << 53) as f64
+}
+
+fn points(state: &mut u64, shape: u32) -> Vec<(f64, f64)> {
+    let noise = [0.0, 0.02, 0.2, 1.0][(fraction(state) * 4.0) as usize];
+    let rounds = 1 + (fraction(state) * 3.0) as u32;
+    let places = 2 + (fraction(state) * 5.0) as u32;
+    let value = |at: f64| match shape % 4 {
+        0 => 10.0 + 3.0 * at,
+        1 => 1.0 + 0.01 * at * at,
+        2 => 7.0,
+        _ => 100.0 / (1.0 + at),
+    };
+    (0..places * rounds)
+        .map(|own| {
+            let at = f64::from(own % places) * 40.0;
+            (at, value(at) * (1.0 + noise * (fraction(state) - 0.5)))
+        })
+        .collect()
+}
+
+/// Nine digits: the last ones may differ between processors.
+fn fitted(out: &mut String) {
+    let mut state = 1;
+    for shape in 0..48 {
+        let points = points(&mut state, shape);
+        let fit = match Fit::of(&points) {
+            Ok(fit) => fit,
+            Err(error) => {
+                let _ = writeln!(out, "{shape}: {error}");
+                continue;
+            }
+        };
+        let noise_free = fit.residual < 1e-9;
+        let error = |value: f64| if noise_free { 0.0 } else { value };
+        let _ = writeln!(
+            out,
+            "{shape}: {} points, slope {:.8e} error {:.8e} residual {:.8e}, straight {}, range {:?}",
+            fit.points,
+            if fit.slope.abs() < 1e-9 {
+                0.0
+            } else {
+                fit.slope
+            },
+            error(fit.slope_error),
+            error(fit.residual),
+            fit.straight,
+            fit.range
+        );
+        for at in [-1.0, 0.0, 55.0, 300.0, 1e4] {
+            let text = match fit.at(at) {
+                Ok(value) => {
+                    let how = match value.how {
+                        How::Line => "line",
+                        How::Beyond => "beyond",
+                        How::Between => "between",
+                    };
+                    format!("{:.8e} error {:.8e} {how}", value.value, error(value.error))
+                }
+                Err(error) => error.to_string(),
+            };
+            let _ = writeln!(out, "  at {at}: {text}");
+        }
+    }
+}
+
+#[test_case("refusals", refusals)]
+#[test_case("fits", fitted)]
+fn what_is_computed_is_as_on_file(name: &str, compute: fn(&mut String)) {
+    let (mut computed, file) = (String::new(), format!("{name}.txt"));
+    compute(&mut computed);
+    let data = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data");
+    let on_file = std::fs::read_to_string(data.join(&file)).unwrap_or_default();
+    if computed == on_file {
+        return;
+    }
+    let now = Path::new(env!("CARGO_TARGET_TMPDIR")).join(&file);
+    std::fs::write(&now, &computed).expect("the temporary folder can be written");
+    let differ = computed.lines().zip(on_file.lines());
+    let line = differ.take_while(|(one, other)| one == other).count();
+    panic!(
+        "{file} line {}: now {:?}, on file {:?}; all of it in {}",
+        line + 1,
+        computed.lines().nth(line),
+        on_file.lines().nth(line),
+        now.display()
+    );
+}
