--- /dev/null
+++ b/crates/deployment/tests/recorded.rs
@@ -0,0 +1,247 @@
+//! The deployment file is read as released. `data/every-keyword.sexp` uses every keyword, and
+//! `data/every-keyword.txt` is what the released program read from it. Each file of `data/refused`
+//! is refused with the messages beside it, and the schema has the keys, types and limits recorded.
+
+use corkspan::interface::{Place, Repeat};
+use corkspan_deployment::Deployment;
+use corkspan_deployment::schema::{self, Of};
+use corkspan_deployment::version::Texts;
+use serde_json::Value;
+use std::collections::BTreeSet;
+use std::fmt::Write;
+use std::path::{Path, PathBuf};
+
+const FILE: &str = include_str!("data/every-keyword.sexp");
+const VERSION: &str = include_str!("data/version.sexp");
+
+fn data(name: &str) -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/data")
+        .join(name)
+}
+
+fn recorded(name: &str) -> String {
+    std::fs::read_to_string(data(name)).unwrap_or_else(|why| panic!("{name}: {why}"))
+}
+
+fn place(place: Place) -> &'static str {
+    match place {
+        Place::Machine => "machine",
+        Place::Cell => "cell",
+        Place::Hall => "hall",
+    }
+}
+
+/// What was read, by the keywords of the file. Times are in tenths of a millisecond.
+fn content(read: &Deployment) -> String {
+    let mut text = String::new();
+    let mut line =
+        |keyword: &str, value: String| writeln!(text, "{keyword}: {value}").expect("text");
+    line("listen", read.listen.to_string());
+    line("roster", read.roster.to_string());
+    line("remembered", format!("{:?}", read.remembered));
+    let keepers: Vec<u32> = read.keepers.iter().map(|id| id.0).collect();
+    line("keepers", format!("{keepers:?}"));
+    line("rolls", format!("{:?}", read.rolls));
+    line("control", format!("{:?}", read.control));
+    line("versions", format!("{:?}", read.versions));
+    if let Some(floor) = &read.floor {
+        line("floor/every", floor.every.to_string());
+        line("floor/behind", format!("{:?}", floor.behind));
+        line("floor/after", format!("{:?}", floor.after));
+        line("floor/part", floor.part.to_string());
+        line("floor/peers", format!("{:?}", floor.peers));
+    }
+    line("maintenance/every", format!("{:?}", read.maintenance));
+    line("seed", read.seed.to_string());
+    let cluster = &read.cluster;
+    line("hall", read.halls[cluster.hall.0].clone());
+    line("number", cluster.number.to_string());
+    line("schedulers", cluster.schedulers.to_string());
+    line("halls", read.halls.join(" "));
+    for (name, kind) in read.kinds.iter().zip(&cluster.kinds) {
+        line(
+            &format!("kinds/{name}"),
+            format!("{} {}", kind.cores, kind.memory),
+        );
+    }
+    for (name, track) in read.tracks.iter().zip(&cluster.tracks) {
+        let repeat = match track.repeat {
+            Repeat::Idempotent => "idempotent".to_string(),
+            Repeat::Deduplicated { within, window } => {
+                format!(
+                    "deduplicated within {:?} window {window}",
+                    within.map(place)
+                )
+            }
+            Repeat::Unrepeatable => "unrepeatable".to_string(),
+        };
+        line(&format!("tracks/{name}/repeat"), repeat);
+        line(
+            &format!("tracks/{name}/contract-time"),
+            track.contract_time.to_string(),
+        );
+        line(&format!("tracks/{name}/calm"), track.calm.to_string());
+        line(
+            &format!("tracks/{name}/priority"),
+            track.priority.to_string(),
+        );
+        let kind = track.kind.map(|id| &read.kinds[id.0]);
+        line(&format!("tracks/{name}/kind"), format!("{kind:?}"));
+        let spread = track.spread.map(|(domain, most)| (place(domain), most));
+        line(
+            &format!("tracks/{name}/spread, most"),
+            format!("{spread:?}"),
+        );
+    }
+    for (name, account) in read.accounts.iter().zip(&cluster.accounts) {
+        line(
+            &format!("accounts/{name}"),
+            format!("{:?}", account.share_cores),
+        );
+    }
+    line(
+        "accepts",
+        format!("{} {}", cluster.accepts.cores, cluster.accepts.memory),
+    );
+    line("makes-room", cluster.makes_room.to_string());
+    line("shots", cluster.shots.to_string());
+    line("placed-when running", cluster.placed_runs.to_string());
+    line("shows-room", cluster.shows_room.to_string());
+    line("may-probe", cluster.may_probe.to_string());
+    line("ask-list", format!("{:?}", cluster.ask_list));
+    line("cold/lasts", cluster.cold.lasts.to_string());
+    line("cold/window", cluster.cold.window.to_string());
+    line("cold/offers", cluster.cold.offers.to_string());
+    line("other-hall-price", cluster.other_hall_price.to_string());
+    line(
+        "(no keyword) opens within",
+        cluster.opens_within.to_string(),
+    );
+    line("(no keyword) tells loss", cluster.tells_loss.to_string());
+    let bounds = &read.bounds;
+    line("bounds/in-hand", bounds.in_hand.to_string());
+    line("bounds/calls", bounds.calls.to_string());
+    line("bounds/links", bounds.links.to_string());
+    line("bounds/offers-a-node", bounds.offers_a_node.to_string());
+    line("bounds/words-a-client", bounds.words_a_client.to_string());
+    line("bounds/message", bounds.message.to_string());
+    line("bounds/connect-within", bounds.connect_within.to_string());
+    line("bounds/keep-alive", bounds.keep_alive.to_string());
+    line("bounds/idle-close", bounds.idle_close.to_string());
+    line("bounds/answer-ahead", bounds.answer_ahead.to_string());
+    line("bounds/stop-within", bounds.stop_within.to_string());
+    let allow: Vec<String> = read
+        .allow
+        .iter()
+        .map(|network| network.to_string())
+        .collect();
+    line("allow", allow.join(" "));
+    line("(version) number", read.stamp.number.to_string());
+    line("(version) digest", read.stamp.digest.to_string());
+    text + &read.texts.whole()
+}
+
+fn released() -> Deployment {
+    Deployment::read("every-keyword.sexp", FILE).expect("sound")
+}
+
+#[test]
+fn a_file_of_every_keyword_is_read_as_recorded() {
+    assert_eq!(content(&released()), recorded("every-keyword.txt"));
+}
+
+#[test]
+fn a_version_over_that_file_is_read_as_recorded() {
+    let texts = Texts::of("version.sexp", VERSION).expect("sound");
+    let read = released().with_version("version.sexp", &texts);
+    assert_eq!(content(&read.expect("sound")), recorded("version.txt"));
+}
+
+/// Keys of every `properties` in the schema, and the values of every `enum`.
+fn words(schema: &Value, keys: &mut BTreeSet<String>, values: &mut BTreeSet<String>) {
+    match schema {
+        Value::Object(map) => {
+            for (key, value) in map {
+                match (key.as_str(), value) {
+                    ("properties", Value::Object(own)) => keys.extend(own.keys().cloned()),
+                    ("enum", Value::Array(own)) => {
+                        values.extend(own.iter().filter_map(Value::as_str).map(String::from));
+                    }
+                    _ => {}
+                }
+                words(value, keys, values);
+            }
+        }
+        Value::Array(list) => list.iter().for_each(|each| words(each, keys, values)),
+        _ => {}
+    }
+}
+
+#[test]
+fn the_recorded_files_use_every_keyword_and_every_value_of_a_choice() {
+    let (mut keys, mut values) = (BTreeSet::new(), BTreeSet::new());
+    let mut definitions = schema::published(Of::File);
+    // The definition of the whole of a version holds nothing that that of a file does not.
+    definitions["$defs"]
+        .as_object_mut()
+        .expect("definitions")
+        .remove("version");
+    words(&definitions, &mut keys, &mut values);
+    assert!(keys.len() > 50, "{keys:?}");
+    for key in keys {
+        assert!(
+            FILE.contains(&format!("({key} ")) || FILE.contains(&format!("({key}\n")),
+            "{key}"
+        );
+    }
+    for value in values {
+        let used = |text: &str| text.contains(&format!(" {value})"));
+        assert!(used(FILE) || used(VERSION), "{value}");
+    }
+}
+
+#[test]
+fn each_file_of_the_refused_is_refused_with_the_messages_recorded() {
+    let mut refused = 0;
+    for entry in std::fs::read_dir(data("refused")).expect("a folder") {
+        let path = entry.expect("an entry").path();
+        if path.extension().is_none_or(|extension| extension != "sexp") {
+            continue;
+        }
+        let name = path
+            .file_name()
+            .and_then(|name| name.to_str())
+            .expect("a name");
+        let text = std::fs::read_to_string(&path).expect("readable");
+        let faults = Deployment::read(name, &text).map(drop).expect_err(name);
+        let messages = recorded(&format!("refused/{}", name.replace(".sexp", ".txt")));
+        assert_eq!(faults.to_string() + "\n", messages, "{name}");
+        refused += 1;
+    }
+    assert_eq!(refused, 8);
+}
+
+fn without_descriptions(schema: &mut Value) {
+    match schema {
+        Value::Object(map) => {
+            map.retain(|key, value| key != "description" || !value.is_string());
+            map.values_mut().for_each(without_descriptions);
+        }
+        Value::Array(list) => list.iter_mut().for_each(without_descriptions),
+        _ => {}
+    }
+}
+
+#[test]
+fn the_schemas_have_the_keys_types_and_limits_recorded() {
+    for (of, name) in [
+        (Of::File, "schema-file.json"),
+        (Of::Version, "schema-version.json"),
+    ] {
+        let mut schema = schema::published(of);
+        without_descriptions(&mut schema);
+        let text = serde_json::to_string_pretty(&schema).expect("JSON");
+        assert_eq!(text + "\n", recorded(name), "{name}");
+    }
+}
