--- a/crates/platform/src/desk.rs
+++ b/crates/platform/src/desk.rs
@@ -32,6 +32,9 @@
 #[path = "../tests/desk/crossings.rs"]
 mod crossings;
 mod standing;
+#[cfg(test)]
+#[path = "../tests/desk/transcript.rs"]
+mod transcript;
 
 /// A connection of an owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -209,6 +212,9 @@
     watches: async_channel::Sender<()>,
     /// Some wait for their turn.
     turns: async_channel::Sender<()>,
+    /// Where a test sets the time: 0 otherwise.
+    #[cfg(test)]
+    set_time: std::sync::atomic::AtomicU64,
 }
 
 /// The control feed must be asked for, whatever the settings say of another way, and nobody tells
@@ -282,6 +288,8 @@
             wakes,
             watches,
             turns,
+            #[cfg(test)]
+            set_time: std::sync::atomic::AtomicU64::new(0),
         });
         desk.with(|now, host, port| {
             known
@@ -298,6 +306,14 @@
         self.with(|_, _, _| ());
     }
 
+    fn now(&self) -> Tenths {
+        #[cfg(test)]
+        if let at @ 1.. = self.set_time.load(std::sync::atomic::Ordering::Relaxed) {
+            return at;
+        }
+        self.clock.now()
+    }
+
     fn lock(&self) -> MutexGuard<'_, Inner> {
         // A panic under the lock would leave the books in doubt: go down with it rather than guess.
         self.inner.lock().expect("the desk's books are whole")
@@ -307,7 +323,7 @@
     fn with<R>(&self, call: impl FnOnce(Tenths, &mut Host<Placing>, &mut Port) -> R) -> R {
         let mut inner = self.lock();
         let Inner { host, port } = &mut *inner;
-        let now = self.clock.now();
+        let now = self.now();
         port.now = now;
         let result = call(now, host, port);
         loop {
@@ -347,7 +363,7 @@
     pub fn turn(&self) -> bool {
         self.with(|now, host, port| {
             // In this order: one that has been taken from the queue must have its turn.
-            while self.clock.now() < now + TURN
+            while self.now() < now + TURN
                 && let Some(id) = host.next_turn()
             {
                 port.catch_up(now, host, id);
--- a/crates/platform/src/nodes.rs
+++ b/crates/platform/src/nodes.rs
@@ -251,6 +251,9 @@
     most: usize,
     connect_within: Tenths,
     idle: Tenths,
+    /// The reading ends of all that have been opened, for a test that stands in for their tasks.
+    #[cfg(test)]
+    pub tapped: Vec<(LinkId, Inbox)>,
 }
 
 impl Links {
@@ -264,6 +267,8 @@
             most,
             connect_within,
             idle,
+            #[cfg(test)]
+            tapped: Vec::new(),
         }
     }
 
@@ -290,6 +295,8 @@
         self.opened += 1;
         let id = LinkId(self.opened);
         let (to, inbox) = outbox();
+        #[cfg(test)]
+        self.tapped.push((id, inbox.tapped()));
         let open = BTreeSet::new();
         self.links.insert(
             id,
--- a/crates/platform/src/outbox.rs
+++ b/crates/platform/src/outbox.rs
@@ -121,6 +121,32 @@
         std::iter::from_fn(|| self.from.try_recv().ok().map(|words| words.bytes)).collect()
     }
 
+    /// The next message that waits to be written, taken out, and the attempt that it begins.
+    #[cfg(test)]
+    pub fn next(&self) -> Option<(Option<AttemptId>, Vec<u8>)> {
+        let Words { what, bytes } = self.from.try_recv().ok()?;
+        match what {
+            What::Begins(attempt) => Some((Some(attempt), bytes)),
+            What::Over | What::Other => Some((None, bytes)),
+        }
+    }
+
+    /// Whether the other end is gone and all has been written, and whether its peer is heard out.
+    #[cfg(test)]
+    pub fn ended(&self) -> Option<bool> {
+        let ended = self.from.is_closed() && self.from.is_empty();
+        ended.then(|| self.kept.hears_out.load(Ordering::Relaxed))
+    }
+
+    /// The same reading end once more.
+    #[cfg(test)]
+    pub fn tapped(&self) -> Inbox {
+        Inbox {
+            from: self.from.clone(),
+            kept: Arc::clone(&self.kept),
+        }
+    }
+
     pub fn is_void(&self) -> bool {
         self.kept.void.load(Ordering::Relaxed)
     }
--- /dev/null
+++ b/crates/platform/tests/desk/transcript.rs
@@ -0,0 +1,622 @@
+//! Everything that goes out for a seeded course of everything that comes in, under a time that the
+//! test sets: bytes to clients and nodes, timers and counts, compared with those recorded under
+//! `tests/data`. No task that reads or writes is run; the test stands in for them.
+
+use super::*;
+use std::collections::BTreeMap;
+use std::fmt::Write;
+use std::path::Path;
+use std::sync::atomic::Ordering;
+use test_case::test_case;
+
+/// When each course begins.
+const BEGIN: Tenths = 1_000_000;
+const STEPS: usize = 700;
+const NODES: u64 = 6;
+
+const SETTINGS: &str = r#"{"name":"n0","listen":"127.0.0.1:0","seed":"5eed","limits":{"sockets":48},
+"feed":"127.0.0.1:1","known":{"n":0},"settings":{"classes":[
+{"effect":"pure","name":"batch","on-time-us":600000,"deadline-us":6000000},
+{"effect":"token","name":"web","on-time-us":300000,"deadline-us":4000000,"dedup-scope":"cell","memory-span-us":1500000},
+{"effect":"side_effect","name":"edge","on-time-us":200000,"deadline-us":5000000}],
+"discovery":"on_request","family-info":{"accepts-memory":1.5,"ack":"accepted","admit-cores":1.5,"class-calm":[1.0,0.8,0.7],
+"class-most":[4,2,3],"kind-cores":[16,32],"kind-memory":[32.0,64.0],"needs-kind":[-1,-1,1],"makes-room":true,
+"priority-by-class":[0,1,2],"spread-by":["silent","machine","zone"],"view":false,"young-limit":40.0,"share-cores":[64.0]},
+"fleet-size":1,"limits":{"max-attempts":3,"probes":true,"idle-close-us":6000000,"connect-timeout-us":500000},
+"locality":0,"me":0,"penalties":{"cross-zone":0.1},"rules":{"ask-every-us":10000000,"cold-us":2000000,"fall-us":1000000},
+"skus":["std","big"],"tenants":[{"name":"acme"},{"name":"bolt"}],"zones":["east","west"]}}"#;
+
+/// Numbers that look like chance and are the same on every machine.
+struct Draws(u64);
+
+impl Draws {
+    fn next(&mut self) -> u64 {
+        self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
+        let mixed = (self.0 ^ self.0 >> 30).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+        let mixed = (mixed ^ mixed >> 27).wrapping_mul(0x94d0_49bb_1331_11eb);
+        mixed ^ mixed >> 31
+    }
+
+    fn below(&mut self, end: u64) -> u64 {
+        self.next() % end
+    }
+
+    fn one_in(&mut self, many: u64) -> bool {
+        self.below(many) == 0
+    }
+
+    fn pick<T: Copy>(&mut self, all: &[T]) -> Option<T> {
+        let at = self.below(all.len().max(1) as u64) as usize;
+        all.get(at).copied()
+    }
+
+    fn of<T: Copy>(&mut self, all: &[T]) -> T {
+        self.pick(all).expect("some")
+    }
+}
+
+/// A connection to a node as its task would hold it.
+struct Connection {
+    inbox: Inbox,
+    up: bool,
+    ended: bool,
+    /// The tasks that were written on it, and the tests.
+    tasks: Vec<u64>,
+    tests: Vec<u64>,
+}
+
+struct Course {
+    desk: Arc<Desk>,
+    draws: Draws,
+    now: Tenths,
+    swept: Tenths,
+    watching: async_channel::Receiver<()>,
+    clients: BTreeMap<OwnerId, Inbox>,
+    connections: BTreeMap<LinkId, Connection>,
+    last_task: u64,
+    last_event: u64,
+    text: String,
+    /// What was last written of timers and counts.
+    shown: String,
+}
+
+impl Course {
+    fn new(seed: u64) -> Course {
+        let (wakes, _waking) = async_channel::bounded(1);
+        let (watches, watching) = async_channel::bounded(1);
+        let (turns, _turning) = async_channel::bounded(1);
+        let posting = Posting::read(SETTINGS.as_bytes()).expect("sound");
+        let asked = cluster(&posting.settings).expect("sound");
+        let places = Places::of(posting.limits.sockets);
+        let desk =
+            Desk::new(posting, &Tasks::default(), wakes, watches, turns, &places).expect("sound");
+        desk.set_time.store(BEGIN, Ordering::Relaxed);
+        {
+            // The desk was made by the machine's clock: it begins anew by the test's.
+            let Inner { host, port } = &mut *desk.lock();
+            *host = Host::new(asked, seed, BEGIN, IN_HAND, Slice::BY_TURNS);
+            (port.now, port.last_test) = (BEGIN, seed);
+            (port.host_wakes, port.armed) = (None, None);
+        }
+        let _ = watching.try_recv();
+        let mut course = Course {
+            desk,
+            draws: Draws(seed),
+            now: BEGIN,
+            swept: BEGIN,
+            watching,
+            clients: BTreeMap::new(),
+            connections: BTreeMap::new(),
+            last_task: 0,
+            last_event: 0,
+            text: String::new(),
+            shown: String::new(),
+        };
+        course.desk.begin();
+        course.feed_tells_all();
+        for _ in 0..3 {
+            course.client_comes();
+        }
+        course
+    }
+
+    fn note(&mut self, text: std::fmt::Arguments<'_>) {
+        writeln!(self.text, "{text}").expect("written");
+    }
+
+    fn member(&mut self, number: u64, phase: &str, since: u64) -> String {
+        let (zone, kind) = if number.is_multiple_of(3) {
+            ("west", "big")
+        } else {
+            ("east", "std")
+        };
+        format!(
+            r#"{{"id":"s-{number}","host_port":"127.0.0.1:{number}","locality":"{zone}","flavor":"{kind}","cell":{},"phase":"{phase}","up_since_ms":{since}}}"#,
+            number % 2
+        )
+    }
+
+    fn feed_tells(&mut self, complete: bool, members: &[String]) {
+        self.last_event += 1;
+        let event = format!(
+            r#"{{"n":{},"members":{{"complete":{complete},"members":[{}]}}}}"#,
+            self.last_event,
+            members.join(",")
+        );
+        self.note(format_args!("feed {event}"));
+        self.desk
+            .told(serde_json::from_str(&event).expect("an event"));
+    }
+
+    fn feed_tells_all(&mut self) {
+        let members: Vec<String> = (1..=NODES)
+            .map(|number| self.member(number, "active", 1))
+            .collect();
+        self.feed_tells(true, &members);
+    }
+
+    fn feed_changes(&mut self) {
+        let number = 1 + self.draws.below(NODES);
+        let since = if self.draws.one_in(3) {
+            self.now / 10
+        } else {
+            1
+        };
+        let phase = self
+            .draws
+            .of(&["active", "active", "leaving", "leaving", "left"]);
+        let member = self.member(number, phase, since);
+        match self.draws.below(8) {
+            0 => self.feed_tells_all(),
+            1 => self.feed_tells(false, &["7".into(), member]),
+            _ => self.feed_tells(false, &[member]),
+        }
+    }
+
+    fn client_comes(&mut self) {
+        match self.desk.owner_came() {
+            Some((id, inbox)) => {
+                self.note(format_args!("client {} comes", id.0));
+                self.clients.insert(id, inbox);
+            }
+            None => self.note(format_args!("a client finds no place")),
+        }
+    }
+
+    fn some_client(&mut self) -> Option<OwnerId> {
+        let all: Vec<OwnerId> = self.clients.keys().copied().collect();
+        self.draws.pick(&all)
+    }
+
+    fn client_leaves(&mut self) {
+        if let Some(id) = self.some_client() {
+            self.note(format_args!("client {} leaves", id.0));
+            self.desk.owner_left(id);
+        }
+    }
+
+    fn client_says(&mut self, id: OwnerId, kind: Kind, task: u64, parameters: &[(u8, &[u8])]) {
+        let bytes = owner::message(kind, task, parameters).expect("short");
+        let mut reader = owner::Reader::default();
+        reader.push(&bytes);
+        let message = reader.message().expect("sound").expect("whole");
+        let goes_on = self.desk.owner_said(id, &message);
+        self.note(format_args!("client {} {} {goes_on}", id.0, hex(&bytes)));
+        if !goes_on {
+            self.desk.owner_left(id);
+        }
+    }
+
+    fn client_sets_up(&mut self) {
+        let Some(id) = self.some_client() else {
+            return self.client_comes();
+        };
+        let task = if self.draws.one_in(20) && self.last_task > 0 {
+            1 + self.draws.below(self.last_task)
+        } else {
+            self.last_task += 1;
+            self.last_task
+        };
+        let class = self
+            .draws
+            .of(&["batch", "web", "edge", "batch", "web", "edge"]);
+        let left = self.draws.of(&["6000", "5000", "3000", "900", "300"]);
+        let cores = self.draws.of(&["0.5", "1", "2", "4", "8", "12"]);
+        let service = self.draws.of(&["a", "b", "c", "d", "e"]);
+        let (class, cores) = match self.draws.below(40) {
+            0 => ("none", cores),
+            1 => (class, "1000"),
+            2 => (class, "nan"),
+            _ => (class, cores),
+        };
+        let mut figures = format!("cores:{cores};memory:1;service:{service}");
+        if self.draws.one_in(8) {
+            let node = 1 + self.draws.below(NODES + 1);
+            write!(figures, ";at:s-{node}").expect("written");
+        }
+        let tenant = self
+            .draws
+            .of(&["acme", "bolt", "acme", "bolt", "acme", "nobody"]);
+        let mut parameters: Vec<(u8, &[u8])> = vec![
+            (owner::CLASS, class.as_bytes()),
+            (owner::LEFT, left.as_bytes()),
+            (owner::NAME, b"7f"),
+            (owner::EXTRAS, figures.as_bytes()),
+            (owner::DESCRIPTION, b"what\r\n"),
+        ];
+        if self.draws.one_in(2) {
+            parameters.push((owner::TENANT, tenant.as_bytes()));
+        }
+        if !self.draws.one_in(12) {
+            parameters.push((owner::MARK, b"k-1"));
+        }
+        self.client_says(id, Kind::SetUp, task, &parameters);
+    }
+
+    fn client_says_more(&mut self) {
+        let Some(id) = self.some_client() else { return };
+        let task = 1 + self.draws.below(self.last_task + 2);
+        match self.draws.below(24) {
+            0..14 => {
+                let cause = [self.draws.of(&[16u8, 31, 47])];
+                self.client_says(id, Kind::Release, task, &[(owner::CAUSE, &cause)]);
+            }
+            14..17 => self.client_says(id, Kind::Release, task, &[]),
+            17..20 => self.client_says(id, Kind::Test, task, &[(owner::CAUSE, &[0])]),
+            20 => self.client_says(id, Kind::Progress, task, &[]),
+            21 => self.client_says(id, Kind::Heard, task, &[]),
+            22 => self.client_says(id, Kind::Answer, task, &[]),
+            _ => self.client_says(id, Kind::Move, task, &[]),
+        }
+    }
+
+    fn some_connection(&mut self, up: bool) -> Option<LinkId> {
+        let all = self.connections.iter();
+        let all: Vec<LinkId> = all
+            .filter(|(_, connection)| connection.up == up && !connection.ended)
+            .map(|(&id, _)| id)
+            .collect();
+        self.draws.pick(&all)
+    }
+
+    fn connection_comes_up(&mut self) {
+        let Some(id) = self.some_connection(false) else {
+            return;
+        };
+        let connection = self.connections.get_mut(&id).expect("there");
+        if connection.inbox.is_void() {
+            connection.ended = true;
+            return self.note(format_args!("link {} is void", id.0));
+        }
+        connection.up = true;
+        self.note(format_args!("link {} is up", id.0));
+        self.desk.link_up(id);
+    }
+
+    fn connection_ends(&mut self, id: LinkId, end: End) {
+        self.note(format_args!("link {} ends: {end:?}", id.0));
+        self.connections.get_mut(&id).expect("there").ended = true;
+        self.desk.link_ended(id, end);
+    }
+
+    fn some_connection_ends(&mut self) {
+        let up = self.draws.one_in(2);
+        let Some(id) = self.some_connection(up) else {
+            return;
+        };
+        let end = match (up, self.draws.below(3)) {
+            (true, _) => End::Broke,
+            (false, 0) => End::Refused,
+            (false, _) => End::NotUp,
+        };
+        self.connection_ends(id, end);
+    }
+
+    fn node_says(&mut self) {
+        let Some(id) = self.some_connection(true) else {
+            return self.connection_comes_up();
+        };
+        let (tasks, tests) = {
+            let connection = &mut self.connections.get_mut(&id).expect("there");
+            (
+                connection.tasks.clone(),
+                std::mem::take(&mut connection.tests),
+            )
+        };
+        for test in tests {
+            let code = self.draws.of(&[1, 1, 1, 0]);
+            let message = node::Message::new(node::Kind::Probed, test).code(code);
+            let message = self.with_load(message);
+            self.node_says_this(id, message);
+        }
+        let stray = 1 + self.draws.below(self.last_task + 1);
+        let one = self.draws.pick(&tasks).filter(|_| !self.draws.one_in(8));
+        let task = one.unwrap_or(stray);
+        let message = self.node_message(task);
+        self.node_says_this(id, message);
+    }
+
+    fn node_says_this(&mut self, id: LinkId, message: node::Message) {
+        let line = message.line().expect("short");
+        let line = String::from_utf8(line).expect("text");
+        let goes_on = self.desk.node_said(id, message);
+        self.note(format_args!(
+            "link {} says {} {goes_on}",
+            id.0,
+            line.trim_end()
+        ));
+        if !goes_on && !self.connections[&id].ended {
+            self.connection_ends(id, End::Broke);
+        }
+    }
+
+    fn with_load(&mut self, mut message: node::Message) -> node::Message {
+        let load = self
+            .draws
+            .of(&["", "x0:3;x1:20", "x0:0.5;x1:1", "x0:12", "x"]);
+        if !load.is_empty() {
+            message
+                .attrs
+                .insert("load".into(), Value::Text(load.into()));
+        }
+        message
+    }
+
+    fn node_message(&mut self, task: u64) -> node::Message {
+        let mut message = node::Message::new(node::Kind::Ready, task);
+        match self.draws.below(20) {
+            0..11 => message.text = Some("made".into()),
+            11 if self.draws.one_in(4) => {}
+            11..14 => {
+                message.kind = node::Kind::Close;
+                message.code = Some(self.draws.of(&[34, 34, 34, 16, 16, 47, 102, 41, 31]));
+                let notes = [
+                    "",
+                    "lack_cpu",
+                    "lack_ram",
+                    "backlog",
+                    "unfit",
+                    "killed",
+                    "displaced",
+                ];
+                let note = self.draws.of(&notes);
+                if !note.is_empty() {
+                    message
+                        .attrs
+                        .insert("note".into(), Value::Text(note.into()));
+                }
+                message = self.with_load(message);
+            }
+            14 => message.kind = node::Kind::Closed,
+            15 => message.kind = node::Kind::Trying,
+            16 if self.draws.one_in(2) => message.sid = None,
+            _ => {
+                message.kind = node::Kind::Event;
+                let notes = [
+                    "running", "use_cpu", "use_ram", "health", "ram_high", "later",
+                ];
+                let note = self.draws.of(&notes);
+                message
+                    .attrs
+                    .insert("note".into(), Value::Text(note.into()));
+                let value = [0.1, 0.5, 0.9, 1.0][self.draws.below(4) as usize];
+                message.attrs.insert("value".into(), Value::Number(value));
+            }
+        }
+        message
+    }
+
+    /// The clock goes on, and timers go off.
+    fn time_passes(&mut self) {
+        let step = match self.draws.below(12) {
+            0 if self.draws.one_in(3) => 1 + self.draws.below(6_000),
+            0..4 => 1 + self.draws.below(800),
+            _ => self.draws.below(60),
+        };
+        let end = self.now + step;
+        loop {
+            let armed = self.desk.lock().port.armed;
+            let next = armed.unwrap_or(end).min(self.swept + SECOND / 4).min(end);
+            self.now = self.now.max(next);
+            self.desk.set_time.store(self.now, Ordering::Relaxed);
+            if self.swept + SECOND / 4 <= self.now {
+                self.swept = self.now;
+                self.desk.sweep();
+            } else if armed.is_some_and(|at| at <= self.now) {
+                self.desk.woken();
+            } else if self.now >= end {
+                break;
+            }
+            self.outputs();
+        }
+    }
+
+    /// All that has gone out since, as the tasks of the connections would write it.
+    fn outputs(&mut self) {
+        let tapped = std::mem::take(&mut self.desk.lock().port.links.tapped);
+        for (id, inbox) in tapped {
+            self.note(format_args!("link {} opens", id.0));
+            let connection = Connection {
+                inbox,
+                up: false,
+                ended: false,
+                tasks: Vec::new(),
+                tests: Vec::new(),
+            };
+            self.connections.insert(id, connection);
+        }
+        let ids: Vec<LinkId> = self.connections.keys().copied().collect();
+        for id in ids {
+            self.write_to_node(id);
+        }
+        let clients = std::mem::take(&mut self.clients);
+        for (id, inbox) in clients {
+            while let Some((_, bytes)) = inbox.next() {
+                self.note(format_args!("> client {} {}", id.0, hex(&bytes)));
+            }
+            if inbox.ended().is_some() {
+                self.note(format_args!("> client {} closed", id.0));
+            } else {
+                self.clients.insert(id, inbox);
+            }
+        }
+        while self.watching.try_recv().is_ok() {
+            self.note(format_args!("> the list is asked for"));
+        }
+        self.show();
+    }
+
+    fn write_to_node(&mut self, id: LinkId) {
+        let connection = &self.connections[&id];
+        if connection.ended || !connection.up {
+            return;
+        }
+        let inbox = connection.inbox.tapped();
+        while let Some((attempt, bytes)) = inbox.next() {
+            if inbox.is_void() || attempt.is_some_and(|attempt| !self.desk.begins(id, attempt)) {
+                self.note(format_args!(
+                    "> link {} leaves out {} bytes",
+                    id.0,
+                    bytes.len()
+                ));
+                continue;
+            }
+            let line = String::from_utf8(bytes).expect("text");
+            self.note(format_args!("> link {} {}", id.0, line.trim_end()));
+            let message: node::Message = serde_json::from_str(&line).expect("a message");
+            let connection = self.connections.get_mut(&id).expect("there");
+            match message.kind {
+                node::Kind::Open => connection.tasks.extend(message.sid),
+                node::Kind::Probe => connection.tests.extend(message.sid),
+                _ => {}
+            }
+        }
+        if let Some(heard_out) = inbox.ended() {
+            if !heard_out {
+                self.connections.get_mut(&id).expect("there").ended = true;
+                self.note(format_args!("> link {} closed", id.0));
+                self.desk.link_ended(id, End::Broke);
+            } else if self.draws.one_in(6) {
+                self.note(format_args!("> link {} heard out", id.0));
+                self.connection_ends(id, End::Broke);
+            }
+        }
+    }
+
+    /// Timers and counts, where they are others than before.
+    fn show(&mut self) {
+        let (counts, armed, open, closing) = {
+            let inner = self.desk.lock();
+            let (open, closing) = inner.port.links.counts();
+            (inner.host.counts(), inner.port.armed, open, closing)
+        };
+        let armed = armed.map(|at| at - BEGIN);
+        let shown = format!(
+            "= timer {armed:?} in hand {} waiting {} out {} placed {} links {open}+{closing} \
+             unanswered {} kept {}",
+            counts.in_hand,
+            counts.not_yet,
+            counts.shots_out,
+            counts.placed,
+            self.desk.unanswered(),
+            self.desk.kept(),
+        );
+        if shown != self.shown {
+            self.note(format_args!("{shown}"));
+            self.shown = shown;
+        }
+    }
+
+    fn step(&mut self) {
+        let now = self.now - BEGIN;
+        self.note(format_args!("@ {now}"));
+        match self.draws.below(100) {
+            0..4 => self.client_comes(),
+            4..32 => self.client_sets_up(),
+            32..36 => self.client_says_more(),
+            36 => self.client_leaves(),
+            37..58 => self.connection_comes_up(),
+            58..90 => self.node_says(),
+            90..93 => self.some_connection_ends(),
+            93..96 => self.feed_changes(),
+            96 => self.desk.list_failed(),
+            97 => self.desk.watched(),
+            _ => {}
+        }
+        self.outputs();
+        if !self.draws.one_in(4) {
+            while self.desk.turn() {}
+            self.outputs();
+        }
+        self.time_passes();
+        self.outputs();
+    }
+
+    fn end(&mut self) {
+        self.note(format_args!("stop"));
+        self.desk.stop();
+        self.outputs();
+        self.client_sets_up();
+        for _ in 0..6 {
+            self.time_passes();
+            self.outputs();
+        }
+        self.note(format_args!("let go"));
+        self.desk.let_go();
+        self.outputs();
+    }
+}
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+/// What goes in and out for this seed.
+fn transcript(seed: u64, steps: usize) -> String {
+    let mut course = Course::new(seed);
+    course.outputs();
+    for _ in 0..steps {
+        course.step();
+    }
+    course.end();
+    course.text
+}
+
+fn recorded(name: &str) -> String {
+    let path = Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/data")
+        .join(name);
+    std::fs::read_to_string(&path).unwrap_or_else(|why| panic!("{}: {why}", path.display()))
+}
+
+#[test]
+fn a_seeded_course_gives_the_recorded_transcript() {
+    let (made, recorded) = (transcript(1, 250), recorded("transcript.txt"));
+    let other = std::iter::zip(made.lines(), recorded.lines())
+        .enumerate()
+        .find(|(_, (made, recorded))| made != recorded);
+    assert_eq!(other, None, "the first line that differs");
+    assert_eq!(made.len(), recorded.len());
+}
+
+/// Longer courses, held by a sum over their transcripts: seed, lines and FNV-1a of each.
+#[test_case(2)]
+#[test_case(3)]
+#[test_case(4)]
+#[test_case(5)]
+#[test_case(6)]
+#[test_case(7)]
+#[test_case(8)]
+#[test_case(9)]
+fn a_longer_course_gives_a_transcript_of_the_recorded_sum(seed: u64) {
+    use std::hash::Hasher;
+    let made = transcript(seed, STEPS);
+    let mut hasher = fnv::FnvHasher::default();
+    hasher.write(made.as_bytes());
+    let sum = format!("{seed} {} {:016x}", made.lines().count(), hasher.finish());
+    let sums = recorded("transcript_sums.txt");
+    assert!(
+        sums.lines().any(|line| line == sum),
+        "{sum} is not among\n{sums}"
+    );
+}
