--- /dev/null
+++ b/crates/control/tests/recorded/changes.rs
@@ -0,0 +1,95 @@
+//! What differs between one deployment and the next, what stands against it, and which ids stay.
+
+use crate::transcript::*;
+use corkspan::interface::{Cluster, Repeat, TrackId};
+use corkspan_control::change;
+use corkspan_deployment::Deployment;
+use corkspan_deployment::version::Texts;
+use std::fmt::Write;
+
+pub const FILE: &str = include_str!("../data/deployment.sexp");
+
+/// What replaces what in the file, one next version a line: parts with `=>` between, or several
+/// such with `&&` between.
+const EDITS: &str = include_str!("../data/edits.txt");
+
+fn next_versions(file: &Deployment) -> Vec<(&'static str, Deployment)> {
+    let edits = EDITS.lines().filter(|line| !line.is_empty());
+    let next = edits.map(|edit| {
+        let mut text = FILE.to_string();
+        for step in edit.split("&&") {
+            let (from, to) = step.split_once("=>").expect("an edit has two sides");
+            assert!(text.contains(from.trim()), "the file lacks `{from}`");
+            text = text.replace(from.trim(), to.trim());
+        }
+        let texts = Texts::of("v", &text).unwrap_or_else(|why| panic!("{edit}: {why}"));
+        let next = file
+            .with_version("v", &texts)
+            .unwrap_or_else(|why| panic!("{edit}: {why}"));
+        (edit, next)
+    });
+    next.collect()
+}
+
+#[test]
+fn changes_between_deployments() {
+    let mut out = String::new();
+    let file = Deployment::read("d", FILE).unwrap_or_else(|why| panic!("{why}"));
+    let mut running = file.clone();
+    for (edit, next) in next_versions(&file) {
+        writeln!(out, "edit {edit}").unwrap();
+        for (cuts, in_use) in [(false, 0), (true, 0), (false, 3)] {
+            for obstacle in change::obstacles(&file, &next, cuts, |_| in_use) {
+                writeln!(out, "  obstacle, cuts {cuts}, {in_use} in use: {obstacle}").unwrap();
+            }
+        }
+        for difference in change::told(&file, &next) {
+            writeln!(out, "  differs: {difference}").unwrap();
+        }
+        let odd = |id: TrackId| id.0 % 2;
+        let alone = change::with_ids(&file, next.clone(), odd).expect("rows are left");
+        writeln!(out, "  ids {}", ids_of(&alone)).unwrap();
+        running = change::with_ids(&running, next, odd).expect("rows are left");
+        writeln!(out, "  ids in a row {}", ids_of(&running)).unwrap();
+    }
+    compare("changes.txt", &out);
+}
+
+/// More names than rows are kept for.
+#[test]
+fn too_many_names_are_refused() {
+    let file = Deployment::read("d", FILE).unwrap_or_else(|why| panic!("{why}"));
+    let with_rows = |rows: usize| {
+        let names = (0..rows).map(|row| format!("x{row}")).collect();
+        let tracks = vec![file.cluster.tracks[0].clone(); rows];
+        let cluster = Cluster {
+            tracks,
+            ..file.cluster.clone()
+        };
+        Deployment {
+            cluster,
+            tracks: names,
+            ..file.clone()
+        }
+    };
+    let fits = |rows| change::with_ids(&with_rows(rows), file.clone(), |_| 1).is_some();
+    let known = file.tracks.len();
+    assert!(fits(20_000 - known) && !fits(20_001 - known));
+}
+
+fn ids_of(deployment: &Deployment) -> String {
+    let tracks = std::iter::zip(&deployment.tracks, &deployment.cluster.tracks);
+    let tracks = tracks.map(|(name, track)| {
+        let repeat = match &track.repeat {
+            Repeat::Idempotent => "idempotent".to_string(),
+            Repeat::Deduplicated { window, .. } => format!("deduplicated for {window}"),
+            Repeat::Unrepeatable => "unrepeatable".to_string(),
+        };
+        format!("{name:?} {repeat} {}", track.contract_time)
+    });
+    let tracks: Vec<String> = tracks.collect();
+    let accounts = std::iter::zip(&deployment.accounts, &deployment.cluster.accounts);
+    let accounts = accounts.map(|(name, account)| format!("{name:?} {:?}", account.share_cores));
+    let accounts: Vec<String> = accounts.collect();
+    format!("{} | {}", tracks.join(", "), accounts.join(", "))
+}
--- /dev/null
+++ b/crates/control/tests/recorded/dispatcher.rs
@@ -0,0 +1,155 @@
+//! A dispatcher as these tests drive it: a subscriber, its disk, a clock and request counts.
+
+use crate::transcript::*;
+use corkspan_control::{Admitted, Counts, Kept, Pace, Push, Said, Subscriber};
+use corkspan_deployment::version::{Stamp, Texts};
+use std::fmt::Write;
+
+pub const SECOND: u64 = 10_000;
+
+/// A parts text of this content.
+pub fn parts(content: u64) -> Texts {
+    let shots = ("shots".to_string(), format!("(shots {content})"));
+    let halls = ("halls".to_string(), format!("(halls a{})", content % 3));
+    let extra = ("cold".to_string(), format!("(cold {content})"));
+    let all = [
+        Some(shots),
+        Some(halls),
+        (content % 2 == 1).then_some(extra),
+    ];
+    all.into_iter().flatten().collect()
+}
+
+pub fn version_id(number: u64, content: u64) -> Stamp {
+    let digest = parts(content).digest();
+    Stamp { number, digest }
+}
+
+pub fn full_push(nonce: u64, version: Stamp, content: u64, follows: &[Stamp]) -> Push {
+    Push {
+        nonce,
+        stamp: version,
+        follows: follows.to_vec(),
+        onto: None,
+        changes: parts(content),
+        removed: Vec::new(),
+        cuts: false,
+    }
+}
+
+/// A subscriber with the disk and the request counts that its dispatcher would have.
+pub struct Dispatcher {
+    pub subscriber: Subscriber,
+    pub disk: Kept,
+    pub now: u64,
+    pub counts: Counts,
+}
+
+impl Dispatcher {
+    pub fn start(disk: Kept, now: u64, out: &mut String) -> Self {
+        let (subscriber, changed) = Subscriber::start(parts(0), disk.clone(), now);
+        writeln!(
+            out,
+            "start at {now}: to disk {}",
+            optional(changed.as_ref(), disk_text)
+        )
+        .unwrap();
+        let disk = changed.unwrap_or(disk);
+        let counts = Counts::default();
+        Dispatcher {
+            subscriber,
+            disk,
+            now,
+            counts,
+        }
+    }
+
+    pub fn receive(&mut self, push: Push, out: &mut String) {
+        let text = push_text(&push);
+        let reply = self.subscriber.heard(push);
+        let reply = optional(reply.as_ref(), |(nonce, reply)| {
+            format!("{} to nonce {nonce}", reply_text(reply))
+        });
+        writeln!(out, "receive {text}: {reply}").unwrap();
+    }
+
+    /// Admits a push and puts it into force where it is to be checked.
+    pub fn evaluate(&mut self, push: &Push, out: &mut String) -> Said {
+        let admitted = self.subscriber.admit(push);
+        writeln!(
+            out,
+            "admit {}: {}",
+            push_text(push),
+            admission_text(&admitted)
+        )
+        .unwrap();
+        match admitted {
+            Admitted::Answer(reply) => reply,
+            Admitted::Check(whole) => {
+                self.disk = self
+                    .subscriber
+                    .to_keep(self.now, self.counts, push.stamp, whole);
+                self.subscriber
+                    .applied(self.now, self.disk.clone(), self.counts);
+                self.state(out);
+                Said::Applied
+            }
+        }
+    }
+
+    pub fn observe(&mut self, out: &mut String) {
+        let outcome = self.subscriber.watch(self.now, self.counts);
+        let text = optional(outcome.as_ref(), |(disk, reason)| {
+            format!(
+                "{}; {}",
+                disk_text(disk),
+                optional(reason.as_ref(), |why| format!("given up: {why}"))
+            )
+        });
+        let Counts { asked, refused } = self.counts;
+        writeln!(
+            out,
+            "observe at {} after {asked} requests, {refused} rejected: {text}",
+            self.now
+        )
+        .unwrap();
+        if let Some((disk, _)) = outcome {
+            self.disk = disk.clone();
+            self.subscriber.decided(self.now, disk, self.counts);
+            self.state(out);
+        }
+    }
+
+    pub fn pace(&self, out: &mut String) {
+        let next = match self.subscriber.pace(self.now) {
+            Pace::Idle => "idle".to_string(),
+            Pace::Wait(time) => format!("in {time}"),
+            Pace::Now => "now".to_string(),
+        };
+        writeln!(out, "next push at {}: {next}", self.now).unwrap();
+    }
+
+    pub fn state(&self, out: &mut String) {
+        let (running, texts) = self.subscriber.running();
+        assert_eq!(self.subscriber.kept(), &self.disk);
+        let trial = if self.subscriber.on_trial() {
+            "on trial"
+        } else {
+            "confirmed"
+        };
+        let disk = disk_text(&self.disk);
+        writeln!(
+            out,
+            "  runs {} {} {trial}; disk {disk}",
+            id_text(running),
+            parts_text(texts)
+        )
+        .unwrap();
+    }
+
+    pub fn pass(&mut self, time: u64, asked: u64, refused: u64) {
+        self.now += time;
+        self.counts.asked += asked;
+        self.counts.refused += refused;
+    }
+}
--- /dev/null
+++ b/crates/control/tests/recorded/stored_forms.rs
@@ -0,0 +1,82 @@
+//! Digests and JSON as earlier builds made them.
+
+use crate::changes::FILE;
+use crate::dispatcher::*;
+use crate::transcript::reply_text;
+use corkspan_control::{Kept, Said, Subscriber, Version};
+use corkspan_deployment::version::{Digest, Stamp, Texts};
+
+/// Number, digest, parts and the text of all of one version.
+#[test]
+fn digests_and_texts_of_versions() {
+    let recorded = include_str!("../data/digests.json");
+    let samples: Vec<serde_json::Value> = serde_json::from_str(recorded).expect("JSON");
+    assert_eq!(samples.len(), 6);
+    for sample in &samples {
+        let entries = sample["parts"].as_object().expect("parts by name");
+        let texts: Texts = entries
+            .iter()
+            .map(|(name, text)| (name.clone(), text.as_str().expect("a text").to_string()))
+            .collect();
+        let digest = texts.digest();
+        assert_eq!(digest.to_string(), sample["digest"], "{sample}");
+        assert_eq!(texts.whole(), sample["text"], "{sample}");
+        assert_eq!(Digest::read(&digest.to_string()), Some(digest));
+        let number = sample["number"].as_u64().expect("a number");
+        assert_eq!(
+            Stamp { number, digest }.to_string(),
+            sample["shown"],
+            "{sample}"
+        );
+        let half = &digest.to_string()[..32];
+        assert_eq!(Digest::read(half), None, "half a digest is none");
+    }
+    let file = Texts::of("d", FILE).expect("the file is sound");
+    assert_eq!(
+        file.digest().to_string(),
+        samples[5]["digest"],
+        "comments do not count"
+    );
+    assert_eq!(Texts::of("w", &file.whole()).expect("sound"), file);
+}
+
+/// The JSON of each answer to a push, read and written back.
+#[test]
+fn replies_as_json() {
+    let recorded = include_str!("../data/replies.json");
+    let replies: Vec<Said> = serde_json::from_str(recorded).expect("each is known");
+    let known: Vec<String> = replies.iter().map(reply_text).collect();
+    let expected = [
+        "applied",
+        "unchanged",
+        "rejected for one / two",
+        "superseded by 18446744073709551615",
+        "full required",
+    ];
+    assert_eq!(known, expected);
+    assert_eq!(
+        serde_json::to_string(&replies).expect("JSON") + "\n",
+        recorded
+    );
+    let half = serde_json::from_str::<Vec<Said>>(&recorded[..recorded.len() / 2]);
+    let refusal = half.expect_err("half of it is refused").to_string();
+    assert_eq!(refusal, "EOF while parsing an object at line 1 column 48");
+}
+
+/// A version on disk is named by its id: what a dispatcher starts with and what it runs.
+#[test]
+fn a_kept_version_is_in_force_after_a_start() {
+    let good = Version {
+        stamp: version_id(7, 7),
+        texts: parts(7),
+    };
+    let kept = Kept {
+        good: Some(good),
+        ..Kept::default()
+    };
+    let (own, changed) = Subscriber::start(parts(0), kept, 0);
+    assert_eq!(
+        (own.running(), changed),
+        ((version_id(7, 7), &parts(7)), None)
+    );
+}
