--- a/crates/dispatcher/src/bring.rs
+++ b/crates/dispatcher/src/bring.rs
@@ -38,7 +38,7 @@
         };
         match straggler.look(desk.clock.now(), sees) {
             Next::Wait(time) => {
-                drop(async_io::Timer::after(crate::clock::duration(time.max(1))).await)
+                async_io::Timer::after(crate::clock::duration(time.max(1))).await;
             }
             Next::Ask(source) => {
                 let came = bring(&desk, &own.peers, source).await;
--- a/crates/lab/src/table.rs
+++ b/crates/lab/src/table.rs
@@ -216,7 +216,7 @@
         for Line { t, seen } in lines {
             match seen {
                 Seen::Asked(asked) if asked.service == HELD => {
-                    drop(held.insert(asked.call, &asked.task))
+                    held.insert(asked.call, &asked.task);
                 }
                 Seen::HandedOver { call, task, .. } if all.contains(&task[..]) => {
                     held.insert(*call, task);
