--- /dev/null
+++ b/crates/roll/tests/decisions.rs
@@ -0,0 +1,416 @@
+//! What the controllers of three dispatchers decide over a scripted, seeded run is compared byte for
+//! byte with the transcript that an earlier version of this program wrote.
+
+use corkspan_roll::conductor::{Conductor, Look, Votes, Withdrawn};
+use corkspan_roll::{ClaimId, Claimed, Grant, Keeper, Order, Phase, Roll};
+use rand::{RngExt, SeedableRng};
+use rand_pcg::Pcg64Mcg;
+use std::collections::BTreeMap;
+use std::fmt::Write;
+
+const STEPS: usize = 420;
+const DISPATCHERS: usize = 3;
+const MEMBERS: usize = 3;
+
+fn first_rollout(order: Order) -> Roll {
+    Roll {
+        service: "s".into(),
+        number: 1,
+        asker: 1,
+        version: "v2".into(),
+        former: "v1".into(),
+        unversioned: "v1".into(),
+        unready_most: 4,
+        batch: 2,
+        order,
+        ready_for: 20_000,
+        ready_within: 100_000,
+        failures_most: 1,
+        phase: Phase::Rolling,
+    }
+}
+
+/// A slot that quorum members report, its grant and how many members report it.
+type Reported = (u32, Grant, usize);
+
+struct Run {
+    random: Pcg64Mcg,
+    now: u64,
+    rollout: Roll,
+    members: Vec<Keeper>,
+    controllers: Vec<Conductor>,
+    /// Replicas that are being started, by task: when, and whether beside the old one.
+    starting: BTreeMap<String, (u64, bool)>,
+    /// Claims that a dispatcher knows from its disk: dispatcher, task and whether it was won.
+    on_disk: BTreeMap<ClaimId, (usize, String, bool)>,
+    text: String,
+}
+
+impl Run {
+    fn new(order: Order) -> Self {
+        let rollout = first_rollout(order);
+        let mut members = vec![Keeper::default(); MEMBERS];
+        members
+            .iter_mut()
+            .for_each(|member| assert!(member.propose(rollout.clone()).is_some()));
+        let controllers = (0..DISPATCHERS).map(|index| {
+            let mut controller =
+                Conductor::new(index as u32, 40 + index as u64, rollout.clone(), 0);
+            for number in 0..6 {
+                let task = format!("d{index}t{number}");
+                controller.copy(0, &task, if number == 3 { "" } else { "v1" }, false);
+                controller.ready(0, &task);
+            }
+            controller.only_once(&format!("d{index}t2"));
+            controller
+        });
+        Run {
+            random: Pcg64Mcg::seed_from_u64(8),
+            now: 0,
+            controllers: controllers.collect(),
+            rollout,
+            members,
+            starting: BTreeMap::new(),
+            on_disk: BTreeMap::new(),
+            text: String::new(),
+        }
+    }
+
+    /// The slots that all members but the first so many report.
+    fn reported(&self, without: usize) -> Vec<Reported> {
+        let mut reported: Vec<Reported> = Vec::new();
+        let members = self.members[without..].iter();
+        for (slot, grant) in members
+            .flat_map(|member| member.all())
+            .flat_map(|entry| &entry.slots)
+        {
+            match reported
+                .iter_mut()
+                .find(|(other, known, _)| other == slot && known == grant)
+            {
+                Some((_, _, count)) => *count += 1,
+                None => reported.push((*slot, grant.clone(), 1)),
+            }
+        }
+        reported
+    }
+
+    fn say(&mut self, index: usize, text: &str) {
+        writeln!(self.text, "{:>7} d{index} {text}", self.now).expect("text");
+    }
+
+    fn release(&mut self, claims: Vec<ClaimId>) {
+        for claim in claims {
+            // A dispatcher killed right now would still know the claim.
+            if self.random.random_range(0..2) > 0 {
+                self.on_disk.remove(&claim);
+            }
+            for member in &mut self.members {
+                // Some do not hear it, and report the slot again.
+                if self.random.random_range(0..4) > 0 {
+                    member.release("s", claim);
+                }
+            }
+        }
+    }
+
+    fn propose(&mut self, next: Roll) {
+        let text = format!(
+            "rollout {} to {} phase {}",
+            next.number,
+            next.wanted(),
+            match &next.phase {
+                Phase::Rolling => "rolling",
+                Phase::Paused => "paused",
+                Phase::Halted(_) => "halted",
+            }
+        );
+        writeln!(self.text, "{:>7} -- {text}", self.now).expect("text");
+        for member in &mut self.members {
+            member.propose(next.clone());
+        }
+        for controller in &mut self.controllers {
+            controller.adopt(next.clone());
+        }
+        self.rollout = next;
+    }
+
+    /// What happens to one replica, drawn.
+    fn happen(&mut self, index: usize) {
+        let (now, task) = (
+            self.now,
+            format!("d{index}t{}", self.random.random_range(0..6)),
+        );
+        match self.random.random_range(0..24) {
+            0 => {
+                let failed = self.controllers[index].unready(now, &task);
+                self.say(index, &format!("{task} unready, failed {failed}"));
+            }
+            1 => self.controllers[index].ready(now, &task),
+            2 => {
+                self.starting.remove(&task);
+                let released = self.controllers[index].gone(&task);
+                self.say(
+                    index,
+                    &format!("{task} gone, releases {}", claims(&released)),
+                );
+                self.release(released);
+                let version = self.rollout.wanted().to_string();
+                self.controllers[index].copy(now, &task, &version, false);
+                self.starting.insert(task, (now + 8_000, false));
+            }
+            3 => {
+                self.starting.remove(&task);
+                self.controllers[index].died(now, &task);
+                let released = self.controllers[index].withdrawn(now, &task, Withdrawn::NotWanted);
+                self.say(
+                    index,
+                    &format!("{task} died, releases {}", claims(&released)),
+                );
+                self.release(released);
+                let version = self.rollout.wanted().to_string();
+                self.controllers[index].copy(now, &task, &version, true);
+                self.starting.insert(task, (now + 12_000, false));
+            }
+            _ => {}
+        }
+    }
+
+    /// Replicas that have become ready by now, or failed while they were started.
+    fn started(&mut self, index: usize) {
+        let due: Vec<(String, bool)> = self
+            .starting
+            .iter()
+            .filter(|(task, (at, _))| task.starts_with(&format!("d{index}")) && *at <= self.now)
+            .map(|(task, (_, beside))| (task.clone(), *beside))
+            .collect();
+        for (task, beside) in due {
+            self.starting.remove(&task);
+            let outcome = self.random.random_range(0..9);
+            let controller = &mut self.controllers[index];
+            if beside && controller.grows(&task) && outcome < 5 {
+                let why = [Withdrawn::Failed, Withdrawn::NoRoom][outcome % 2];
+                let released = controller.withdrawn(self.now, &task, why);
+                let text = format!(
+                    "{task} surge failed {outcome}, releases {}",
+                    claims(&released)
+                );
+                self.say(index, &text);
+                self.release(released);
+            } else if beside {
+                controller.grown(self.now, &task, true);
+            } else if outcome > 0 {
+                controller.ready(self.now, &task);
+            }
+        }
+    }
+
+    fn start(&mut self, index: usize, tasks: Vec<String>, beside: bool) {
+        let version = self.rollout.wanted().to_string();
+        for task in tasks {
+            if beside && self.random.random_range(0..12) == 0 {
+                self.controllers[index].grow_later(&task);
+                continue;
+            }
+            if !beside {
+                self.controllers[index].copy(self.now, &task, &version, false);
+            }
+            let later = self.random.random_range(3_000..15_000);
+            self.starting.insert(task, (self.now + later, beside));
+        }
+    }
+
+    /// One round of one dispatcher, with its decisions carried out.
+    fn round(&mut self, index: usize) {
+        let without = usize::from(self.random.random_range(0..3) == 0);
+        let reported = self.reported(without);
+        let controller = &mut self.controllers[index];
+        let recalled = controller.recall(&reported, MEMBERS - without, MEMBERS);
+        let mut actions = controller.look(self.now, &reported);
+        let (replicas, wanted, unready) = controller.counts();
+        let text = format!(
+            "{}; {replicas} replicas, {wanted} wanted, {unready} unready, steps {}",
+            describe(&actions),
+            controller.has_steps()
+        );
+        self.say(index, &text);
+        for (claim, slot, task) in &recalled.again {
+            let text = format!("claim again {:016x} slot {slot} for {task}", claim.0);
+            self.say(index, &text);
+        }
+        if !recalled.gone.is_empty() {
+            self.say(index, &format!("no longer held {}", claims(&recalled.gone)));
+        }
+        actions.release.extend(recalled.gone);
+        actions.claims.extend(recalled.again);
+        let released = std::mem::take(&mut actions.release);
+        self.release(released);
+        for (claim, _) in &actions.clear {
+            self.controllers[index].cleared(*claim);
+            self.release(vec![*claim]);
+        }
+        if let Some(why) = actions.halt.take() {
+            self.propose(self.rollout.with_phase(Phase::Halted(why), 5));
+        }
+        for task in &actions.withdraw {
+            self.starting.remove(task);
+            let released = self.controllers[index].withdrawn(self.now, task, Withdrawn::NotWanted);
+            self.release(released);
+        }
+        for task in &actions.retire {
+            if self.random.random_range(0..3) > 0 {
+                let released = self.controllers[index].retired(task);
+                self.say(
+                    index,
+                    &format!("{task} taken over, releases {}", claims(&released)),
+                );
+                self.release(released);
+            }
+        }
+        self.start(index, actions.grow, true);
+        self.start(index, actions.replace, false);
+        for (claim, slot, task) in actions.claims {
+            self.claim(index, claim, slot, task);
+        }
+    }
+
+    fn claim(&mut self, index: usize, claim: ClaimId, slot: u32, task: String) {
+        let mut granted = 0;
+        for member in &mut self.members {
+            let grant = Grant {
+                claim,
+                task: task.clone(),
+                dispatcher: index as u32,
+            };
+            let heard = self.random.random_range(0..4) > 0;
+            let claimed = member.claim("s", self.rollout.number, slot, grant);
+            granted += usize::from(heard && claimed == Claimed::Granted);
+        }
+        let votes = Votes {
+            granted,
+            keepers: MEMBERS,
+        };
+        let won = self.controllers[index].claimed(self.now, claim, votes);
+        self.say(index, &format!("claim {} won {won}", claims(&[claim])));
+        if !won {
+            self.release(vec![claim]);
+            return;
+        }
+        self.on_disk.insert(claim, (index, task, true));
+        let surge = self.controllers[index].look_to_grow(self.now);
+        let replace = self.controllers[index].look_at_held(self.now);
+        self.say(
+            index,
+            &format!("at once: surge {surge:?} replace {replace:?}"),
+        );
+        self.start(index, surge, true);
+        self.start(index, replace, false);
+    }
+
+    /// A dispatcher is killed and comes back with what is on its disk.
+    fn restart(&mut self, index: usize) {
+        let now = self.now;
+        let mut controller = Conductor::new(index as u32, 90, self.rollout.clone(), now);
+        for (number, (claim, (owner, task, won))) in self.on_disk.iter().enumerate() {
+            if *owner == index {
+                controller.remember(*claim, task, *won && number % 3 < 2);
+            }
+        }
+        let wanted = self.rollout.wanted().to_string();
+        for number in 0..6 {
+            let version = if number < 2 { &wanted[..] } else { "v1" };
+            controller.copy(now, &format!("d{index}t{number}"), version, number == 0);
+        }
+        self.controllers[index] = controller;
+        self.say(index, "restarted");
+    }
+
+    fn transcript(order: Order) -> String {
+        let mut run = Run::new(order);
+        for step in 0..STEPS {
+            run.now += run.random.random_range(0..4_000);
+            let index = run.random.random_range(0..DISPATCHERS);
+            run.happen(index);
+            run.started(index);
+            run.round(index);
+            match step {
+                60 => run.propose(run.rollout.with_phase(Phase::Paused, 2)),
+                75 => run.propose(run.rollout.with_phase(Phase::Rolling, 2)),
+                95 | 220 | 230 => run.restart(0),
+                30 | 130 | 150 | 200 | 270 => run.propose(run.rollout.undone(3)),
+                170 | 250 | 330 => run.restart(1),
+                180 | 300 => run.propose(Roll {
+                    version: format!("v{step}"),
+                    unready_most: 3,
+                    number: run.rollout.number + 1,
+                    phase: Phase::Rolling,
+                    ..run.rollout.clone()
+                }),
+                240 => run.propose(run.rollout.with_phase(Phase::Rolling, 4)),
+                _ => {}
+            }
+        }
+        run.text
+    }
+}
+
+fn claims(claims: &[ClaimId]) -> String {
+    let claims: Vec<String> = claims
+        .iter()
+        .map(|claim| format!("{:016x}", claim.0))
+        .collect();
+    claims.join("+")
+}
+
+/// One line for what a controller wants done, whatever its types are called.
+fn describe(actions: &Look) -> String {
+    let mut text = String::new();
+    for (claim, slot, task) in &actions.claims {
+        write!(text, "claim {:016x} slot {slot} for {task}, ", claim.0).expect("text");
+    }
+    for (what, tasks) in [
+        ("replace", &actions.replace),
+        ("surge", &actions.grow),
+        ("stop old", &actions.retire),
+        ("cancel surge", &actions.withdraw),
+    ] {
+        if !tasks.is_empty() {
+            write!(text, "{what} {}, ", tasks.join("+")).expect("text");
+        }
+    }
+    if !actions.release.is_empty() {
+        write!(text, "release {}, ", claims(&actions.release)).expect("text");
+    }
+    for (claim, task) in &actions.clear {
+        write!(text, "clean up {:016x} for {task}, ", claim.0).expect("text");
+    }
+    if let Some(why) = &actions.halt {
+        write!(text, "halt: {why}, ").expect("text");
+    }
+    write!(text, "wait {}", actions.wait).expect("text");
+    text
+}
+
+/// The first line that differs, so that a failure can be read.
+fn assert_same(transcript: &str, reference: &str) {
+    for (number, (new, old)) in transcript.lines().zip(reference.lines()).enumerate() {
+        assert_eq!(new, old, "line {}", number + 1);
+    }
+    assert!(transcript == reference, "one is longer");
+}
+
+#[test]
+fn decisions_that_stop_the_old_replica_first_are_those_of_the_earlier_version() {
+    assert_same(
+        &Run::transcript(Order::StopFirst),
+        include_str!("data/decisions-stop-first.txt"),
+    );
+}
+
+#[test]
+fn decisions_that_start_the_new_replica_first_are_those_of_the_earlier_version() {
+    assert_same(
+        &Run::transcript(Order::StartFirst),
+        include_str!("data/decisions-start-first.txt"),
+    );
+}
--- /dev/null
+++ b/crates/roll/tests/stored_state.rs
@@ -0,0 +1,136 @@
+//! What keepers have stored of rolling updates, written by an earlier version of this program, is
+//! read to the same content and written back byte for byte; a half-written file is refused with the
+//! same message.
+
+use corkspan_roll::{ClaimId, Grant, Keeper, Order, Phase, Roll};
+
+const STORED: &str = include_str!("data/stored-state.json");
+
+/// Where the stored text is cut, in bytes, and the message that it is then refused with.
+const HALF_WRITTEN: &str = include_str!("data/half-written.txt");
+
+fn stored() -> &'static str {
+    STORED.trim_end()
+}
+
+fn quotes() -> Roll {
+    Roll {
+        service: "quotes".into(),
+        number: 7,
+        asker: 18_446_744_073_709_551_615,
+        version: "v2".into(),
+        former: "v1".into(),
+        unversioned: "v0".into(),
+        unready_most: 5,
+        batch: 2,
+        order: Order::StopFirst,
+        ready_for: 100_000,
+        ready_within: 600_000,
+        failures_most: 3,
+        phase: Phase::Rolling,
+    }
+}
+
+/// Services in the order of their names: four rolling updates, with the slots held under each.
+fn expected() -> Keeper {
+    let mut member = Keeper::default();
+    let paused = Roll {
+        service: "billing".into(),
+        number: 2,
+        order: Order::StartFirst,
+        phase: Phase::Paused,
+        ..quotes()
+    };
+    let halted = Roll {
+        service: "search \"east\" ü".into(),
+        number: 4,
+        unready_most: 1,
+        phase: Phase::Halted("4 copies of v2 failed at dispatcher 3, 1 not ready in time".into()),
+        ..quotes()
+    };
+    let undone = Roll {
+        service: "web".into(),
+        asker: 0,
+        unversioned: String::new(),
+        ..quotes().undone(9)
+    };
+    for update in [quotes(), paused, halted, undone] {
+        assert!(member.propose(update).is_some());
+    }
+    for (service, number, slot, claim, dispatcher) in [
+        ("quotes", 7, 0, 1, 0),
+        ("quotes", 7, 3, u64::MAX, 7),
+        ("quotes", 7, 4, 2, 4_294_967_295),
+        ("search \"east\" ü", 4, 0, 3, 3),
+    ] {
+        let grant = Grant {
+            claim: ClaimId(claim),
+            task: format!("{service}/{slot}"),
+            dispatcher,
+        };
+        let _ = member.claim(service, number, slot, grant);
+    }
+    member
+}
+
+#[test]
+fn state_stored_by_an_earlier_version_is_read_to_the_same_content() {
+    let read: Keeper = serde_json::from_str(stored()).expect("readable");
+    assert_eq!(read, expected());
+    assert_eq!(read.all().count(), 4, "one entry a service");
+}
+
+#[test]
+fn stored_state_is_written_back_byte_for_byte() {
+    let read: Keeper = serde_json::from_str(stored()).expect("readable");
+    assert_eq!(serde_json::to_string(&read).expect("writable"), stored());
+    assert_eq!(
+        serde_json::to_string(&expected()).expect("writable"),
+        stored()
+    );
+}
+
+#[test]
+fn half_written_state_is_refused_with_the_same_message() {
+    let mut cases = 0;
+    for line in HALF_WRITTEN.lines() {
+        let (cut, message) = line.split_once(' ').expect("a cut and a message");
+        let half = &stored()[..cut.parse().expect("a number of bytes")];
+        let refused = serde_json::from_str::<Keeper>(half).expect_err("half of it is no state");
+        assert_eq!(refused.to_string(), message, "cut after {cut} bytes");
+        cases += 1;
+    }
+    assert!(cases >= 8, "{cases} cuts");
+}
+
+#[test]
+fn state_without_a_key_is_refused_with_the_stored_name_of_that_key() {
+    for key in [
+        "wish",
+        "slots",
+        "service",
+        "number",
+        "asker",
+        "version",
+        "former",
+        "unversioned",
+        "unready_most",
+        "batch",
+        "order",
+        "ready_for",
+        "ready_within",
+        "failures_most",
+        "phase",
+        "claim",
+        "task",
+        "dispatcher",
+    ] {
+        let other = stored().replace(&format!("\"{key}\":"), "\"other\":");
+        let refused = serde_json::from_str::<Keeper>(&other).expect_err("a key is missing");
+        let message = refused.to_string();
+        assert!(
+            message.starts_with(&format!("missing field `{key}` at line 1 column ")),
+            "{message}"
+        );
+    }
+}
