--- /dev/null
+++ b/src/rules/liveness.rs
@@ -0,0 +1,84 @@
+//! Health checks, reports, lost machines, and the watch on the list.
+
+use super::*;
+
+/// So long without a sign of life, probes notwithstanding, and what is placed on a machine is lost.
+const VANISHED: Tenths = 5 * SECOND;
+
+impl Scheduler {
+    /// What is placed on a machine that has vanished or is cut off ends without a word. One that
+    /// says nothing is probed, and after a while without an answer either what is placed there
+    /// is lost.
+    pub(super) fn lost(&mut self, now: Tenths, probes: &mut Vec<MachineId>) -> Vec<AllocationId> {
+        let mut lost = Vec::new();
+        for (&id, machine) in &mut self.machines {
+            let placed = machine
+                .guests
+                .iter()
+                .filter(|(_, guest)| guest.placed)
+                .map(|(&id, _)| id);
+            let placed: Vec<AllocationId> = placed.collect();
+            let silence = now.saturating_sub(machine.heard);
+            if self.cluster.tells_loss
+                || !self.cluster.may_probe
+                || placed.is_empty()
+                || silence < TURNOVER
+            {
+                continue;
+            }
+            if silence >= VANISHED {
+                lost.extend(placed);
+                machine.heard = now;
+            } else if machine.probed + SECOND <= now {
+                machine.probed = now;
+                probes.push(id);
+            }
+        }
+        lost
+    }
+
+    /// Asking for the list failed, or the watch on it broke: it doesn't say which.
+    pub fn list_failed(&mut self, now: Tenths) {
+        if self.cluster.ask_list.is_some() && self.watch_at.is_none() {
+            let longest = SECOND << self.watch_fails.min(2);
+            self.watch_fails += 1;
+            self.watch_at = Some(now + longest / 2 + self.rng.random_range(0..longest));
+        }
+    }
+
+    pub fn probed(
+        &mut self,
+        now: Tenths,
+        machine: MachineId,
+        ending: Ending,
+        report: Option<Report>,
+    ) {
+        let at = self.machines.entry(machine).or_default();
+        match ending {
+            Ending::Ended => (at.silent, at.heard) = (0, now),
+            Ending::TimedOut | Ending::Unconnected if !self.cluster.tells_loss => {
+                at.fault(now, UNWELL)
+            }
+            _ => {}
+        }
+        self.rooms.touch(machine, true);
+        self.reported(now, machine, report);
+    }
+
+    pub(super) fn reported(&mut self, now: Tenths, id: MachineId, report: Option<Report>) {
+        let Some(machine) = self.machines.get(&id) else {
+            return;
+        };
+        let Some((size, report)) = self.size(machine).zip(report) else {
+            return;
+        };
+        // One too young to be in the report would be taken off a sum that never held it.
+        let old = machine
+            .guests
+            .values()
+            .filter(|guest| guest.runs && guest.sent + LAG <= now);
+        let base = (size - report.unused - old.map(|guest| self.use_of(guest)).sum())
+            .most(Amount::default());
+        self.machines.entry(id).or_default().base = Some((now, base));
+    }
+}
--- /dev/null
+++ b/src/rules/migration.rs
@@ -0,0 +1,144 @@
+//! Which placed allocations are moved away: from machines over their memory, for a large one, and from draining ones.
+
+use super::overload::LIMIT;
+use super::*;
+
+/// So many times the usual ask is large.
+const LARGE: f64 = 4.0;
+/// Share of memory past which some are moved away, if a machine under the second share could take
+/// them.
+const OVER: f64 = 0.95;
+const SPARE: f64 = 0.8;
+
+impl Scheduler {
+    /// Far larger than the usual, so that room for it comes in pieces.
+    pub(super) fn large(&self, asks: Amount) -> bool {
+        asks.cores > LARGE * self.learnt.ask.or(f64::INFINITY)
+    }
+
+    /// Ours there that may be moved, low priorities first: such as run, are not large and may start
+    /// again.
+    pub(super) fn movable(&self, machine: &Machine) -> Vec<AllocationId> {
+        let track = |guest: &Guest| &self.cluster.tracks[guest.track.0];
+        let may = |guest: &Guest| {
+            let again = track(guest).repeat != Repeat::Unrepeatable;
+            guest.placed && guest.runs && !guest.moved && again && !self.large(guest.asks)
+        };
+        let mut guests: Vec<_> = machine
+            .guests
+            .iter()
+            .filter(|(_, guest)| may(guest))
+            .collect();
+        guests.sort_by_key(|(_, guest)| track(guest).priority);
+        guests.into_iter().map(|(&id, _)| id).collect()
+    }
+
+    /// The paper moves where a machine is over the line or an allocation fits only in pieces. So do
+    /// we. All schedulers see the same machine: each of ours goes by the chance that makes as
+    /// many as must go in all.
+    pub(super) fn moves(&mut self, now: Tenths) -> Vec<AllocationId> {
+        let mut moves = self.make_room(now);
+        let size = |machine: &Machine| self.size(machine).unwrap_or_default();
+        let over = |machine: &&Machine| {
+            !machine.guests.is_empty()
+                && self.present_use(now, machine).memory > size(machine).memory * OVER
+        };
+        let part =
+            |machine| 1.0 - size(machine).memory * OVER / self.present_use(now, machine).memory;
+        let over = self
+            .machines
+            .values()
+            .filter(over)
+            .map(|machine| (part(machine), self.movable(machine)));
+        let over: Vec<_> = over.collect();
+        let spare =
+            |machine: &Machine| self.present_use(now, machine).share_of(size(machine)) < SPARE;
+        let room = self.view.open.iter().any(|id| spare(&self.machines[id]));
+        if !over.is_empty() && room {
+            for (part, movable) in over {
+                moves.extend(
+                    movable
+                        .into_iter()
+                        .filter(|_| self.rng.random::<f64>() < part)
+                        .take(4),
+                );
+            }
+        }
+        // What stands on a draining machine may go down with it. The owner of a deduplicated one
+        // would then wait until it is sure that it runs no longer; after a move it comes
+        // again at once.
+        let drains = |machine: &&Machine| {
+            machine
+                .entry
+                .is_some_and(|entry| entry.state == State::Draining)
+        };
+        let held = self
+            .machines
+            .values()
+            .filter(drains)
+            .flat_map(|machine| &machine.guests);
+        let waits = |guest: &Guest| {
+            matches!(
+                self.cluster.tracks[guest.track.0].repeat,
+                Repeat::Deduplicated { .. }
+            )
+        };
+        let held = held.filter(|(_, guest)| room && guest.placed && !guest.moved && waits(guest));
+        moves.extend(held.map(|(&id, _)| id).collect::<Vec<_>>());
+        moves.iter().for_each(|&id| {
+            self.guest(id)
+                .into_iter()
+                .for_each(|guest| guest.moved = true)
+        });
+        moves
+    }
+
+    /// Clears the machine on which the fewest moves make a large allocation fit, and promises it
+    /// the room.
+    pub(super) fn make_room(&mut self, now: Tenths) -> Vec<AllocationId> {
+        let Some(starved) = self.starved.take() else {
+            return Vec::new();
+        };
+        let mut best: Option<(MachineId, Vec<AllocationId>)> = None;
+        for (&id, machine) in &self.machines {
+            let usable = machine.serving() && machine.shunned <= now;
+            let Some(size) = self.size(machine).filter(|_| usable) else {
+                continue;
+            };
+            let mut asked =
+                self.asked(now, machine, || self.others(now, now, machine)) + starved.asks;
+            let mut used =
+                self.present_use(now, machine) + starved.asks * self.learnt.usual.or_one();
+            let fits = |asked: Amount, used: Amount| {
+                asked.within(size * self.cluster.accepts) && used.within(size * LIMIT)
+            };
+            let (mut cleared, mut movable) = (Vec::new(), self.movable(machine).into_iter());
+            while !fits(asked, used)
+                && let Some(id) = movable.next()
+            {
+                let guest = &machine.guests[&id];
+                (asked, used) = (asked - guest.asks, used - self.use_of(guest));
+                cleared.push(id);
+            }
+            if fits(asked, used)
+                && best
+                    .as_ref()
+                    .is_none_or(|(_, fewest)| cleared.len() < fewest.len())
+            {
+                best = Some((id, cleared));
+            }
+        }
+        let Some((id, cleared)) = best else {
+            return Vec::new();
+        };
+        if let Some(former) = self
+            .promise
+            .replace(id)
+            .and_then(|id| self.machines.get_mut(&id))
+        {
+            former.promised = None;
+        }
+        self.machines.entry(id).or_default().promised = Some((now + TURNOVER, starved.id));
+        cleared
+    }
+}
--- /dev/null
+++ b/src/rules/placement.rs
@@ -0,0 +1,267 @@
+//! Where an allocation goes: PrV-WorstFit over the machines that the filters let through.
+
+use super::overload::{HELD_BACK, THETA};
+use super::*;
+use std::cmp::Reverse;
+use std::collections::BinaryHeap;
+
+const TIE: f64 = 0.02;
+/// So many open machines of a service's order are scanned first.
+const SCAN: usize = 2;
+/// So many times the usual answer time without one is silence.
+const PATIENCE: f64 = 8.0;
+/// Probes for each allocation taken.
+const PROBES: f64 = 1.0;
+
+impl Scheduler {
+    /// Where to send this allocation, or not yet, or never.
+    pub fn place(&mut self, now: Tenths, allocation: &Allocation) -> Placement {
+        if now + MARGIN >= allocation.abandon || allocation.shots.len() >= self.cluster.shots {
+            return self.give_up(allocation);
+        }
+        if allocation.shots.is_empty() && allocation.taken == now {
+            // One that waits may be large from here on.
+            if allocation.asks.cores < self.learnt.ask.or(0.0) {
+                self.waits.open_at = now;
+            }
+            self.learnt.ask.add(allocation.asks.cores, KEEP);
+            self.probes = (self.probes + PROBES).min(self.machines.len() as f64);
+        }
+        let bound = allocation.bound();
+        // None: all machines.
+        let mut scan: Option<Vec<MachineId>> = None;
+        if let Some(shot) = bound {
+            let mut ids: Vec<MachineId> = self.machines.keys().copied().collect();
+            let latest = now + self.cluster.opens_within;
+            match self.cluster.tracks[allocation.track.0].repeat {
+                // A copy may stand where a shot broke: that machine would take no second one.
+                Repeat::Idempotent => {
+                    let ran = |id| {
+                        allocation
+                            .shots
+                            .iter()
+                            .any(|s| s.machine == id && s.fate != Fate::NeverRan)
+                    };
+                    let others: Vec<MachineId> =
+                        ids.iter().copied().filter(|&id| !ran(id)).collect();
+                    ids = if others.is_empty() { ids } else { others };
+                }
+                Repeat::Unrepeatable => return self.give_up(allocation),
+                // Past the window its repeats are no longer dropped, and outside the group never
+                // were.
+                Repeat::Deduplicated { window, .. } if latest + MARGIN >= shot.sent + window => {
+                    return self.give_up(allocation);
+                }
+                Repeat::Deduplicated { within, .. } => ids.retain(|&machine| {
+                    within.is_none_or(|place| self.same(place, machine, shot.machine))
+                }),
+            }
+            scan = Some(ids);
+        }
+        self.look(now);
+        self.near = self.near(allocation);
+        // Where others wait, this one most likely finds no machine either.
+        let waited = self.waits.since(now.saturating_sub(2 * LOOK));
+        let until = if waited {
+            self.vain_until(now, allocation)
+        } else {
+            now
+        };
+        if until > now {
+            return self.not_yet(now, allocation, until);
+        }
+        let turn = |(&id, machine)| (self.turn(allocation.service, id, machine), id);
+        let scan: Vec<_> = match scan {
+            None => self.machines.iter().map(turn).collect(),
+            Some(ids) => ids
+                .iter()
+                .map(|id| turn((id, &self.machines[id])))
+                .collect(),
+        };
+        let promised = self
+            .promise()
+            .filter(|(_, _, to)| *to == allocation.id)
+            .map(|(id, ..)| id);
+        let promised = promised.filter(|&id| scan.iter().any(|&(_, other)| other == id));
+        let promised = promised.filter(|&id| self.opens(now, id, allocation) <= now);
+        // First under theta those first in the service's order: all schedulers then send it to the
+        // same few machines, which so hold its program. It also spares weighing them all.
+        // A heap: mostly a few are looked at, and to sort them all would cost as much as all the
+        // rest.
+        let mut heap = BinaryHeap::from_iter(scan.into_iter().map(Reverse));
+        let (mut first, mut scan) = (Vec::new(), Vec::new());
+        while first.len() < SCAN
+            && let Some(Reverse((_, id))) = heap.pop()
+        {
+            let Some(weighed) = self.weigh(now, id, allocation, false) else {
+                continue;
+            };
+            scan.push(id);
+            if weighed.rank < HELD_BACK {
+                first.push(Weighed {
+                    rank: 0,
+                    bears: false,
+                    ..weighed
+                });
+            }
+        }
+        let chosen = promised.or_else(|| self.choose(now, first, allocation));
+        // Lower priorities are made to yield only where no machine is under theta without that.
+        let passes: &[bool] = if self.stays(allocation.track, None) < 1.0 {
+            &[false, true]
+        } else {
+            &[true]
+        };
+        let chosen = chosen.or_else(|| {
+            // Of those looked at only such as the filters let through; then the rest of the order.
+            scan.extend(
+                heap.into_sorted_vec()
+                    .into_iter()
+                    .rev()
+                    .map(|Reverse((_, id))| id),
+            );
+            passes
+                .iter()
+                .find_map(|&last| self.pick(now, &scan, allocation, last))
+        });
+        let Some(machine) = chosen else {
+            if bound.is_none() && waited {
+                self.rooms
+                    .keep(Kind::of(allocation), allocation.asks, now + 1, SERVICES);
+            }
+            return self.not_yet(now, allocation, now + 1);
+        };
+        self.send(now, machine, allocation)
+    }
+
+    fn pick(
+        &self,
+        now: Tenths,
+        scan: &[MachineId],
+        new: &Allocation,
+        last: bool,
+    ) -> Option<MachineId> {
+        let weigh = |&id: &MachineId| self.weigh(now, id, new, last);
+        let mut weighed: Vec<Weighed> = scan.iter().filter_map(weigh).collect();
+        let bears = weighed.iter().any(|w| w.bears);
+        let beyond = !last || bears && self.beyond_share(new);
+        weighed.iter_mut().for_each(|w| w.bears &= !beyond);
+        bears.then(|| self.choose(now, weighed, new)).flatten()
+    }
+
+    fn not_yet(&mut self, now: Tenths, new: &Allocation, until: Tenths) -> Placement {
+        // One that is bound is given up once its window is over.
+        let gives_up = match (self.cluster.tracks[new.track.0].repeat, new.bound()) {
+            (Repeat::Deduplicated { window, .. }, Some(shot)) => shot.sent + window,
+            _ => NEVER,
+        };
+        let until = until.min(gives_up.saturating_sub(self.cluster.opens_within + MARGIN));
+        // With the next view all are looked at again.
+        let end = Some(new.abandon - MARGIN).filter(|end| *end <= now + LOOK + ASK_AGAIN);
+        self.waits.not_yet(now, now + ASK_AGAIN, until, end);
+        if self.large(new.asks) {
+            // Room is asked for anew once what was made is gone, or none could be made.
+            let promised = self.promise().map_or(0, |(_, until, _)| until);
+            if promised <= now {
+                self.starved = Some(new.clone());
+            }
+            self.waits.open_at = self.waits.open_at.min(self.look_at.max(promised));
+        }
+        Placement::NotYet
+    }
+
+    /// The smallest promise that holds: a shed reply only where no shot may have run or a repeat is
+    /// harmless.
+    fn give_up(&self, allocation: &Allocation) -> Placement {
+        let unproven = allocation.bound().is_some();
+        let anywhere = |repeat| {
+            matches!(
+                repeat,
+                Repeat::Idempotent | Repeat::Deduplicated { within: None, .. }
+            )
+        };
+        let harmless = !unproven || anywhere(self.cluster.tracks[allocation.track.0].repeat);
+        if harmless {
+            Placement::Shed
+        } else {
+            Placement::Scrap
+        }
+    }
+
+    /// Where a machine stands in the order of a service, the same at every scheduler: larger ones
+    /// earlier in proportion, and hardly changed when a machine comes or goes.
+    fn turn(&self, service: ServiceId, id: MachineId, machine: &Machine) -> u64 {
+        let chance = (mix(service.0 ^ mix(u64::from(id.0))) as f64 + 1.0) / (u64::MAX as f64 + 2.0);
+        let size = machine
+            .entry
+            .and_then(|entry| self.cluster.kinds.get(entry.kind.0));
+        (-chance.ln() / size.map_or(1.0, |size| size.cores) * 1e12) as u64
+    }
+
+    /// Lowest W Max among those under theta and not held back; else among the held back under
+    /// theta; else the smallest rise in risk. Near ties at random, so that schedulers with one
+    /// view don't herd.
+    fn choose(
+        &self,
+        now: Tenths,
+        mut weighed: Vec<Weighed>,
+        new: &Allocation,
+    ) -> Option<MachineId> {
+        weighed.sort_by(|a, b| a.rank.cmp(&b.rank).then(a.load.total_cmp(&b.load)));
+        let mut group: Vec<&Weighed> = Vec::new();
+        let mut rises = Vec::new();
+        for w in &weighed {
+            // Drawn from the lowest load up: no later one can win any more.
+            if group
+                .first()
+                .is_some_and(|first| w.rank > first.rank || w.load > first.load * (1.0 + TIE))
+            {
+                break;
+            }
+            let (with, without) = self.risk(now, w, new);
+            rises.push(with - without);
+            if with <= THETA {
+                group.push(w);
+            }
+        }
+        if group.is_empty() {
+            // A machine over the line already rises by nothing: unless left out it would draw all
+            // to it.
+            let bearable = || std::iter::zip(&weighed, &rises).filter(|(w, _)| w.bears);
+            let least = bearable()
+                .map(|(_, rise)| *rise)
+                .fold(f64::INFINITY, f64::min);
+            group = bearable()
+                .filter(|(_, rise)| **rise <= least + TIE)
+                .map(|(w, _)| w)
+                .collect();
+            let lowest = group.iter().map(|w| w.load).fold(f64::INFINITY, f64::min);
+            group.retain(|w| w.load <= lowest * (1.0 + TIE));
+        }
+        let mut rng = Pcg64Mcg::seed_from_u64(mix(new.id.0 ^ mix(now ^ self.seed)));
+        (!group.is_empty()).then(|| group[rng.random_range(0..group.len())].machine)
+    }
+
+    fn send(&mut self, now: Tenths, machine: MachineId, allocation: &Allocation) -> Placement {
+        self.arrive(now, allocation, machine);
+        let (cold, opens) = (&self.cluster.cold, self.cluster.opens_within);
+        let at = self.machines.entry(machine).or_default();
+        at.offers.push_back(now);
+        at.offers
+            .retain(|&sent| sent + cold.window.max(opens) + MARGIN >= now);
+        let left = allocation.abandon - MARGIN / 2 - now;
+        let track = &self.cluster.tracks[allocation.track.0];
+        // Giving up on a shot that waits in a queue leaves a copy behind and binds what may not run
+        // twice. So only a machine far slower than all usually are counts as silent, and
+        // only for what may run again.
+        let patience = (self.learnt.answer_time.or(left as f64) * PATIENCE) as Tenths;
+        let again =
+            track.repeat == Repeat::Idempotent && allocation.shots.len() + 1 < self.cluster.shots;
+        let time_out = if again {
+            left.min(patience.max(2 * track.contract_time))
+        } else {
+            left
+        };
+        Placement::Send { machine, time_out }
+    }
+}
--- a/src/rules/vain.rs
+++ b/src/rules/vain.rs
@@ -2,6 +2,7 @@
 //! one in `rules` would end in "not yet", which tests hold against it call by call. The figures are
 //! those of `rules`.
 
+use super::overload::{F_MEMORY, FADE, LIMIT, THETA};
 use super::*;
 
 /// What rounding may take off, in parts.
