--- /dev/null
+++ b/crates/lab/tests/day_scripts.rs
@@ -0,0 +1,172 @@
+//! Day scripts as users have written them: each keyword is read as before, and an unknown one is
+//! refused with the same message and place (`tests/data/days`).
+
+use corkspan_lab::day::{Day, ENDS, End, KINDS};
+use corkspan_lab::relay::Way;
+use std::fmt::Write;
+use std::time::Duration;
+
+const EVERY_KEYWORD: &str = include_str!("data/days/every-keyword.sexp");
+const HOLLOW: &str = include_str!("data/days/hollow.sexp");
+
+fn read(name: &str, text: &str) -> Day {
+    Day::read(name, text).unwrap_or_else(|fault| panic!("{fault}"))
+}
+
+/// A day as lines of text, in the words of the scripts.
+fn described(day: &Day) -> String {
+    let mut out = String::new();
+    let millis = |time: Duration| format!("{} ms", time.as_millis());
+    let mut line = |name: &str, value: String| writeln!(out, "{name}: {value}").expect("a string");
+    line("length", millis(day.length));
+    line("dispatchers", day.dispatchers.to_string());
+    line(
+        "hollow",
+        format!("{}, {} a process", day.hollow, day.a_process),
+    );
+    line("nodes", day.nodes.to_string());
+    line("zones", format!("{:?}", day.zones));
+    line("room", format!("{:?}", day.room.map(millis)));
+    line("rate", day.rate.to_string());
+    line("deduplicated", day.deduplicated.to_string());
+    line("unrepeatable", day.unrepeatable.to_string());
+    line("cancels", day.cancels.to_string());
+    line("life", millis(day.life));
+    line("copies", day.copies.to_string());
+    let roll = day.roll.map(|roll| {
+        let (at, ready_for) = (millis(roll.at), millis(roll.ready_for));
+        format!(
+            "at {at}, unready-most {}, ready-for {ready_for}, start-first {}",
+            roll.unready_most, roll.start_first
+        )
+    });
+    line("roll", format!("{roll:?}"));
+    line("versions", format!("{:?}", day.versions.map(millis)));
+    line("floor", format!("{:?}", day.floor.map(millis)));
+    line("audit", day.audit.to_string());
+    let maintenance = day.maintenance.map(|work| {
+        let (at, takes) = (millis(work.at), millis(work.takes));
+        format!(
+            "at {at}, at-a-time {}, by-hall {}, takes {takes}",
+            work.at_a_time, work.by_hall
+        )
+    });
+    line("maintenance", format!("{maintenance:?}"));
+    for trouble in &day.troubles {
+        let name = KINDS
+            .iter()
+            .find(|(_, kind)| *kind == trouble.kind)
+            .expect("a known kind")
+            .0;
+        let ends: Vec<&str> = trouble.from.iter().map(|end| end_name(*end)).collect();
+        let ways: Vec<&str> = trouble.ways.iter().map(|way| way_name(*way)).collect();
+        let (at, lasts, by) = (
+            millis(trouble.at),
+            millis(trouble.lasts),
+            millis(trouble.by),
+        );
+        let (many, times) = (trouble.many, trouble.times);
+        line(
+            name,
+            format!(
+                "at {at}, for {lasts}, many {many}, times {times}, from {ends:?}, way {ways:?}, by {by}"
+            ),
+        );
+    }
+    out
+}
+
+fn end_name(end: End) -> &'static str {
+    ENDS.iter()
+        .find(|(_, known)| *known == end)
+        .expect("a known end")
+        .0
+}
+
+fn way_name(way: Way) -> &'static str {
+    match way {
+        Way::In => "in",
+        Way::Out => "out",
+    }
+}
+
+/// What was got is left beside the test for a look.
+fn compare(name: &str, got: &str, recorded: &str) {
+    let lines = std::iter::zip(got.lines(), recorded.lines());
+    let same = lines.take_while(|(got, recorded)| got == recorded).count();
+    let left = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
+    if got != recorded {
+        std::fs::write(&left, got).expect("the folder for temporary files takes it");
+        let (got, recorded) = (got.lines().nth(same), recorded.lines().nth(same));
+        panic!(
+            "{name}, line {}: got {got:?}, recorded {recorded:?}; all of it: {}",
+            same + 1,
+            left.display()
+        );
+    }
+}
+
+#[test]
+fn each_keyword_is_read_as_before() {
+    let day = read("every-keyword", EVERY_KEYWORD);
+    let hollow = read("hollow", HOLLOW);
+    let got = format!("{}\n{}", described(&day), described(&hollow));
+    compare("read.txt", &got, include_str!("data/days/read.txt"));
+}
+
+/// The script above leaves out none that is known.
+#[test]
+fn the_script_uses_every_kind_of_fault_and_every_end() {
+    let day = read("every-keyword", EVERY_KEYWORD);
+    for (name, kind) in KINDS {
+        let uses = day.troubles.iter().filter(|trouble| trouble.kind == kind);
+        assert_eq!(uses.count(), 1, "{name}");
+    }
+    for (name, end) in ENDS {
+        assert!(day.strikes(end), "{name}");
+    }
+}
+
+/// Each keyword in turn by another name: refused, with its place.
+#[test]
+fn an_unknown_keyword_is_refused_with_its_place() {
+    let mut out = String::new();
+    for (file, text) in [("every-keyword", EVERY_KEYWORD), ("hollow", HOLLOW)] {
+        let code = text
+            .lines()
+            .map(|line| if line.starts_with(';') { "" } else { line });
+        let code = code.collect::<Vec<_>>().join("\n");
+        for (open, _) in code.match_indices('(') {
+            let (before, from) = code.split_at(open + 1);
+            let changed = format!("{before}x{from}");
+            let end = from.find([' ', '\n', ')']).expect("a keyword ends");
+            let fault = Day::read(file, &changed).expect_err(&from[..end]);
+            writeln!(out, "x{}: {fault}", &from[..end]).expect("a string");
+        }
+        for word in ["dispatchers keepers", "in)", "#t", " ms)", " min)"] {
+            for (at, _) in code.match_indices(word) {
+                let changed = format!(
+                    "{}{}",
+                    &code[..at],
+                    code[at..].replacen(word, &format!("y{word}"), 1)
+                );
+                let fault = Day::read(file, &changed).expect_err(word);
+                writeln!(out, "y{word}: {fault}").expect("a string");
+            }
+        }
+    }
+    compare("refused.txt", &out, include_str!("data/days/refused.txt"));
+}
+
+/// Half a script is refused at the place where it ends.
+#[test]
+fn half_a_script_is_refused() {
+    let half = &EVERY_KEYWORD[..EVERY_KEYWORD.len() / 2];
+    let fault = Day::read("every-keyword", half)
+        .expect_err("half of it")
+        .to_string();
+    assert_eq!(
+        fault,
+        "every-keyword:24:11: file: EOF while parsing a list at line 24 column 11"
+    );
+}
