--- a/src/rules.rs
+++ b/src/rules.rs
@@ -123,13 +123,7 @@
         };
         wait.watch_list = self.watch_at.take_if(|at| *at <= now).is_some();
         if self.waits.due(now) {
-            let changed = self.waits.looks_always || self.changed(now);
-            if changed {
-                self.waits.round(self.rooms.changes());
-            }
-            // Else those whose time is up, at the moments at which a round would have been.
-            wait.ends = (!changed).then_some(now + MARGIN);
-            wait.ask_again = changed || self.waits.end(now, now + ASK_AGAIN);
+            self.retries(now, &mut wait);
         }
         let due = [self.watch_at, self.waits.next()]
             .into_iter()
@@ -137,21 +131,7 @@
             .min();
         wait.time = due.map_or(wait.time, |at| wait.time.min(at.saturating_sub(now)));
         if self.cluster.may_probe && self.probes >= 1.0 {
-            let heard =
-                |machine: &Machine| machine.base.map_or(0, |(at, _)| at).max(machine.probed);
-            let unheard = |machine: &Machine| machine.serving() && heard(machine) + TURNOVER <= now;
-            let mut probes: Vec<_> = self
-                .machines
-                .iter_mut()
-                .filter(|(_, machine)| unheard(machine))
-                .collect();
-            probes.sort_by_key(|(_, machine)| heard(machine));
-            probes.truncate(self.probes as usize);
-            self.probes -= probes.len() as f64;
-            probes
-                .iter_mut()
-                .for_each(|(_, machine)| machine.probed = now);
-            wait.probes = probes.into_iter().map(|(&id, _)| id).collect();
+            wait.probes = self.health_checks(now);
         }
         if self.look_at <= now {
             self.look_at = now + LOOK;
@@ -162,4 +142,15 @@
         wait.time = wait.time.min(self.look_at - now);
         wait
     }
+
+    /// Which of those that were answered "not yet" are worth another call.
+    fn retries(&mut self, now: Tenths, wait: &mut Wait) {
+        let changed = self.waits.looks_always || self.changed(now);
+        if changed {
+            self.waits.round(self.rooms.changes());
+        }
+        // Else those whose time is up, at the moments at which a round would have been.
+        wait.ends = (!changed).then_some(now + MARGIN);
+        wait.ask_again = changed || self.waits.end(now, now + ASK_AGAIN);
+    }
 }
--- a/src/rules/liveness.rs
+++ b/src/rules/liveness.rs
@@ -6,6 +6,24 @@
 const VANISHED: Tenths = 5 * SECOND;
 
 impl Scheduler {
+    /// The machines longest unheard of, as many as may be probed.
+    pub(super) fn health_checks(&mut self, now: Tenths) -> Vec<MachineId> {
+        let heard = |machine: &Machine| machine.base.map_or(0, |(at, _)| at).max(machine.probed);
+        let unheard = |machine: &Machine| machine.serving() && heard(machine) + TURNOVER <= now;
+        let mut probes: Vec<_> = self
+            .machines
+            .iter_mut()
+            .filter(|(_, machine)| unheard(machine))
+            .collect();
+        probes.sort_by_key(|(_, machine)| heard(machine));
+        probes.truncate(self.probes as usize);
+        self.probes -= probes.len() as f64;
+        probes
+            .iter_mut()
+            .for_each(|(_, machine)| machine.probed = now);
+        probes.into_iter().map(|(&id, _)| id).collect()
+    }
+
     /// What is placed on a machine that has vanished or is cut off ends without a word. One that
     /// says nothing is probed, and after a while without an answer either what is placed there
     /// is lost.
--- a/src/rules/migration.rs
+++ b/src/rules/migration.rs
@@ -9,6 +9,8 @@
 /// them.
 const OVER: f64 = 0.95;
 const SPARE: f64 = 0.8;
+/// Allocations moved off a machine at a time, at the most.
+const MOST_MOVES: usize = 4;
 
 impl Scheduler {
     /// Far larger than the usual, so that room for it comes in pieces.
@@ -34,63 +36,60 @@
     }
 
     /// The paper moves where a machine is over the line or an allocation fits only in pieces. So do
-    /// we. All schedulers see the same machine: each of ours goes by the chance that makes as
-    /// many as must go in all.
+    /// we, and off draining machines.
     pub(super) fn moves(&mut self, now: Tenths) -> Vec<AllocationId> {
         let mut moves = self.make_room(now);
         let size = |machine: &Machine| self.size(machine).unwrap_or_default();
-        let over = |machine: &&Machine| {
-            !machine.guests.is_empty()
-                && self.present_use(now, machine).memory > size(machine).memory * OVER
-        };
-        let part =
-            |machine| 1.0 - size(machine).memory * OVER / self.present_use(now, machine).memory;
-        let over = self
-            .machines
-            .values()
-            .filter(over)
-            .map(|machine| (part(machine), self.movable(machine)));
-        let over: Vec<_> = over.collect();
         let spare =
             |machine: &Machine| self.present_use(now, machine).share_of(size(machine)) < SPARE;
-        let room = self.view.open.iter().any(|id| spare(&self.machines[id]));
-        if !over.is_empty() && room {
-            for (part, movable) in over {
-                moves.extend(
-                    movable
-                        .into_iter()
-                        .filter(|_| self.rng.random::<f64>() < part)
-                        .take(4),
-                );
+        if self.view.open.iter().any(|id| spare(&self.machines[id])) {
+            moves.extend(self.relief(now));
+            moves.extend(self.on_draining());
+        }
+        for id in &moves {
+            if let Some(guest) = self.guest(*id) {
+                guest.moved = true;
+            }
+        }
+        moves
+    }
+
+    /// Off machines over their memory. All schedulers see the same machine: each of ours goes by the
+    /// chance that makes as many as must go in all.
+    fn relief(&mut self, now: Tenths) -> Vec<AllocationId> {
+        let mut crowded = Vec::new();
+        for machine in self.machines.values() {
+            let limit = self.size(machine).unwrap_or_default().memory * OVER;
+            let used = || self.present_use(now, machine).memory;
+            if !machine.guests.is_empty() && used() > limit {
+                crowded.push((1.0 - limit / used(), self.movable(machine)));
             }
         }
-        // What stands on a draining machine may go down with it. The owner of a deduplicated one
-        // would then wait until it is sure that it runs no longer; after a move it comes
-        // again at once.
+        let mut moves = Vec::new();
+        for (part, movable) in crowded {
+            let chosen = movable
+                .into_iter()
+                .filter(|_| self.rng.random::<f64>() < part);
+            moves.extend(chosen.take(MOST_MOVES));
+        }
+        moves
+    }
+
+    /// What stands on a draining machine may go down with it. The owner of a deduplicated one would
+    /// then wait until it is sure that it runs no longer; after a move it comes again at once.
+    fn on_draining(&self) -> Vec<AllocationId> {
         let drains = |machine: &&Machine| {
-            machine
-                .entry
-                .is_some_and(|entry| entry.state == State::Draining)
+            let state = machine.entry.map(|entry| entry.state);
+            state == Some(State::Draining)
         };
-        let held = self
-            .machines
-            .values()
-            .filter(drains)
-            .flat_map(|machine| &machine.guests);
         let waits = |guest: &Guest| {
-            matches!(
-                self.cluster.tracks[guest.track.0].repeat,
-                Repeat::Deduplicated { .. }
-            )
+            let repeat = self.cluster.tracks[guest.track.0].repeat;
+            matches!(repeat, Repeat::Deduplicated { .. })
         };
-        let held = held.filter(|(_, guest)| room && guest.placed && !guest.moved && waits(guest));
-        moves.extend(held.map(|(&id, _)| id).collect::<Vec<_>>());
-        moves.iter().for_each(|&id| {
-            self.guest(id)
-                .into_iter()
-                .for_each(|guest| guest.moved = true)
-        });
-        moves
+        let draining = self.machines.values().filter(drains);
+        let held = draining.flat_map(|machine| &machine.guests);
+        let held = held.filter(|(_, guest)| guest.placed && !guest.moved && waits(guest));
+        held.map(|(&id, _)| id).collect()
     }
 
     /// Clears the machine on which the fewest moves make a large allocation fit, and promises it
--- a/src/rules/overload.rs
+++ b/src/rules/overload.rs
@@ -120,9 +120,12 @@
 
     /// Cores for a start, which takes far more where the program must be loaded: those that do it
     /// in contract time.
-    pub(super) fn start(&self, has: bool, track: &Track) -> f64 {
+    pub(super) fn start(&self, has: bool, track: &Track) -> Amount {
         let time = self.learnt.start_time[usize::from(has)].or(self.learnt.start_time[1].or(0.0));
-        time / track.contract_time.max(1) as f64
+        Amount {
+            cores: time / track.contract_time.max(1) as f64,
+            memory: 0.0,
+        }
     }
 
     /// W Max with the allocation's expected start use, before any draw.
@@ -133,12 +136,9 @@
         new: &Allocation,
         yields: bool,
     ) -> Option<Weighed> {
-        let stays = |of| {
-            if yields {
-                self.stays(new.track, of)
-            } else {
-                1.0
-            }
+        let stays = |of| match yields {
+            true => self.stays(new.track, of),
+            false => 1.0,
         };
         let machine = &self.machines[&id];
         let size = self
@@ -146,38 +146,33 @@
             .filter(|_| self.opens(now, id, new) <= now)?;
         let track = &self.cluster.tracks[new.track.0];
         let base = self.others(now, now, machine) * stays(None);
-        let start = |has: bool, track: &Track| Amount {
-            cores: self.start(has, track),
-            memory: 0.0,
-        };
         let own = machine.guests.values().map(|guest| {
-            let starts = start(guest.had_program, &self.cluster.tracks[guest.track.0]);
+            let starts = self.start(guest.had_program, &self.cluster.tracks[guest.track.0]);
             self.use_of(guest) * stays(Some(guest.track))
                 + starts * f64::from(u8::from(!guest.runs))
         });
         let load = base
             + own.sum()
             + new.asks * self.learnt.usual.or_one()
-            + start(machine.has_program(new.service), track);
+            + self.start(machine.has_program(new.service), track);
         let near = machine
             .entry
             .is_some_and(|entry| entry.hall == self.cluster.hall);
+        let line = Amount {
+            cores: track.calm,
+            memory: F_MEMORY,
+        };
+        let limit = Amount {
+            cores: track.calm + FADE,
+            memory: LIMIT,
+        };
         Some(Weighed {
             machine: id,
             yields,
             base,
-            line: size
-                * Amount {
-                    cores: track.calm,
-                    memory: F_MEMORY,
-                },
+            line: size * line,
             load: load.share_of(size),
-            bears: load.within(
-                size * Amount {
-                    cores: track.calm + FADE,
-                    memory: LIMIT,
-                },
-            ),
+            bears: load.within(size * limit),
             rank: match self.view.open.contains(&id) && self.fits(now, machine, size, new.asks) {
                 true => 1 + u8::from(!near && self.cluster.other_hall_price > 0.0),
                 false => HELD_BACK,
--- a/src/rules/placement.rs
+++ b/src/rules/placement.rs
@@ -13,6 +13,12 @@
 /// Probes for each allocation taken.
 const PROBES: f64 = 1.0;
 
+/// The machines that an allocation may go to.
+enum Eligible {
+    All,
+    Only(Vec<MachineId>),
+}
+
 impl Scheduler {
     /// Where to send this allocation, or not yet, or never.
     pub fn place(&mut self, now: Tenths, allocation: &Allocation) -> Placement {
@@ -20,78 +26,114 @@
             return self.give_up(allocation);
         }
         if allocation.shots.is_empty() && allocation.taken == now {
-            // One that waits may be large from here on.
-            if allocation.asks.cores < self.learnt.ask.or(0.0) {
-                self.waits.open_at = now;
-            }
-            self.learnt.ask.add(allocation.asks.cores, KEEP);
-            self.probes = (self.probes + PROBES).min(self.machines.len() as f64);
-        }
-        let bound = allocation.bound();
-        // None: all machines.
-        let mut scan: Option<Vec<MachineId>> = None;
-        if let Some(shot) = bound {
-            let mut ids: Vec<MachineId> = self.machines.keys().copied().collect();
-            let latest = now + self.cluster.opens_within;
-            match self.cluster.tracks[allocation.track.0].repeat {
-                // A copy may stand where a shot broke: that machine would take no second one.
-                Repeat::Idempotent => {
-                    let ran = |id| {
-                        allocation
-                            .shots
-                            .iter()
-                            .any(|s| s.machine == id && s.fate != Fate::NeverRan)
-                    };
-                    let others: Vec<MachineId> =
-                        ids.iter().copied().filter(|&id| !ran(id)).collect();
-                    ids = if others.is_empty() { ids } else { others };
-                }
-                Repeat::Unrepeatable => return self.give_up(allocation),
-                // Past the window its repeats are no longer dropped, and outside the group never
-                // were.
-                Repeat::Deduplicated { window, .. } if latest + MARGIN >= shot.sent + window => {
-                    return self.give_up(allocation);
-                }
-                Repeat::Deduplicated { within, .. } => ids.retain(|&machine| {
-                    within.is_none_or(|place| self.same(place, machine, shot.machine))
-                }),
-            }
-            scan = Some(ids);
+            self.count_new(now, allocation);
         }
+        let Some(eligible) = self.eligible(now, allocation) else {
+            return self.give_up(allocation);
+        };
         self.look(now);
         self.near = self.near(allocation);
         // Where others wait, this one most likely finds no machine either.
         let waited = self.waits.since(now.saturating_sub(2 * LOOK));
-        let until = if waited {
-            self.vain_until(now, allocation)
-        } else {
-            now
+        if waited {
+            let until = self.vain_until(now, allocation);
+            if until > now {
+                return self.not_yet(now, allocation, until);
+            }
+        }
+        let reserved = self.reserved(now, allocation, &eligible);
+        match reserved.or_else(|| self.choose_by_rank(now, allocation, &eligible)) {
+            Some(machine) => self.send(now, machine, allocation),
+            None => {
+                if allocation.bound().is_none() && waited {
+                    let kind = Kind::of(allocation);
+                    self.rooms.keep(kind, allocation.asks, now + 1, SERVICES);
+                }
+                self.not_yet(now, allocation, now + 1)
+            }
+        }
+    }
+
+    fn count_new(&mut self, now: Tenths, allocation: &Allocation) {
+        // One that waits may be large from here on.
+        if allocation.asks.cores < self.learnt.ask.or(0.0) {
+            self.waits.open_at = now;
+        }
+        self.learnt.ask.add(allocation.asks.cores, KEEP);
+        self.probes = (self.probes + PROBES).min(self.machines.len() as f64);
+    }
+
+    /// The machines at which an attempt has no effect beyond the one wanted; none where no attempt
+    /// is safe any more.
+    fn eligible(&self, now: Tenths, allocation: &Allocation) -> Option<Eligible> {
+        let Some(shot) = allocation.bound() else {
+            return Some(Eligible::All);
         };
-        if until > now {
-            return self.not_yet(now, allocation, until);
+        let ids = self.machines.keys().copied();
+        let latest = now + self.cluster.opens_within;
+        match self.cluster.tracks[allocation.track.0].repeat {
+            // A copy may stand where a shot broke: that machine would take no second one.
+            Repeat::Idempotent => {
+                let may_have_run = |shot: &Shot| shot.fate != Fate::NeverRan;
+                let ran = |id| {
+                    let mut shots = allocation.shots.iter();
+                    shots.any(|shot| shot.machine == id && may_have_run(shot))
+                };
+                let others: Vec<MachineId> = ids.filter(|&id| !ran(id)).collect();
+                Some(if others.is_empty() {
+                    Eligible::All
+                } else {
+                    Eligible::Only(others)
+                })
+            }
+            Repeat::Unrepeatable => None,
+            // Past the window its repeats are no longer dropped, and outside the group never were.
+            Repeat::Deduplicated { window, .. } if latest + MARGIN >= shot.sent + window => None,
+            Repeat::Deduplicated { within, .. } => {
+                let same =
+                    |&id: &MachineId| within.is_none_or(|place| self.same(place, id, shot.machine));
+                Some(Eligible::Only(ids.filter(same).collect()))
+            }
         }
-        let turn = |(&id, machine)| (self.turn(allocation.service, id, machine), id);
-        let scan: Vec<_> = match scan {
-            None => self.machines.iter().map(turn).collect(),
-            Some(ids) => ids
-                .iter()
-                .map(|id| turn((id, &self.machines[id])))
-                .collect(),
+    }
+
+    /// The machine that keeps room for this allocation, if it is open to it.
+    fn reserved(
+        &self,
+        now: Tenths,
+        allocation: &Allocation,
+        eligible: &Eligible,
+    ) -> Option<MachineId> {
+        let (id, _, to) = self.promise()?;
+        let eligible = match eligible {
+            Eligible::All => true,
+            Eligible::Only(ids) => ids.contains(&id),
         };
-        let promised = self
-            .promise()
-            .filter(|(_, _, to)| *to == allocation.id)
-            .map(|(id, ..)| id);
-        let promised = promised.filter(|&id| scan.iter().any(|&(_, other)| other == id));
-        let promised = promised.filter(|&id| self.opens(now, id, allocation) <= now);
-        // First under theta those first in the service's order: all schedulers then send it to the
-        // same few machines, which so hold its program. It also spares weighing them all.
+        let open = || self.opens(now, id, allocation) <= now;
+        (to == allocation.id && eligible && open()).then_some(id)
+    }
+
+    /// First under theta those first in the service's order: all schedulers then send it to the
+    /// same few machines, which so hold its program. It also spares weighing them all.
+    fn choose_by_rank(
+        &self,
+        now: Tenths,
+        allocation: &Allocation,
+        eligible: &Eligible,
+    ) -> Option<MachineId> {
+        let rank = |id, machine| Reverse((self.turn(allocation.service, id, machine), id));
         // A heap: mostly a few are looked at, and to sort them all would cost as much as all the
         // rest.
-        let mut heap = BinaryHeap::from_iter(scan.into_iter().map(Reverse));
+        let mut ranked: BinaryHeap<_> = match eligible {
+            Eligible::All => self.machines.iter().map(|(&id, m)| rank(id, m)).collect(),
+            Eligible::Only(ids) => ids
+                .iter()
+                .map(|&id| rank(id, &self.machines[&id]))
+                .collect(),
+        };
         let (mut first, mut scan) = (Vec::new(), Vec::new());
         while first.len() < SCAN
-            && let Some(Reverse((_, id))) = heap.pop()
+            && let Some(Reverse((_, id))) = ranked.pop()
         {
             let Some(weighed) = self.weigh(now, id, allocation, false) else {
                 continue;
@@ -105,33 +147,21 @@
                 });
             }
         }
-        let chosen = promised.or_else(|| self.choose(now, first, allocation));
+        if let Some(machine) = self.choose(now, first, allocation) {
+            return Some(machine);
+        }
+        // Of those looked at only such as the filters let through; then the rest of the order.
+        let rest = ranked.into_sorted_vec().into_iter().rev();
+        scan.extend(rest.map(|Reverse((_, id))| id));
         // Lower priorities are made to yield only where no machine is under theta without that.
         let passes: &[bool] = if self.stays(allocation.track, None) < 1.0 {
             &[false, true]
         } else {
             &[true]
         };
-        let chosen = chosen.or_else(|| {
-            // Of those looked at only such as the filters let through; then the rest of the order.
-            scan.extend(
-                heap.into_sorted_vec()
-                    .into_iter()
-                    .rev()
-                    .map(|Reverse((_, id))| id),
-            );
-            passes
-                .iter()
-                .find_map(|&last| self.pick(now, &scan, allocation, last))
-        });
-        let Some(machine) = chosen else {
-            if bound.is_none() && waited {
-                self.rooms
-                    .keep(Kind::of(allocation), allocation.asks, now + 1, SERVICES);
-            }
-            return self.not_yet(now, allocation, now + 1);
-        };
-        self.send(now, machine, allocation)
+        passes
+            .iter()
+            .find_map(|&last| self.pick(now, &scan, allocation, last))
     }
 
     fn pick(
--- a/src/rules/summary.rs
+++ b/src/rules/summary.rs
@@ -2,6 +2,7 @@
 
 use super::overload::weight;
 use super::*;
+use std::collections::BTreeSet;
 
 /// Load share that present need should fill on the machines not held back.
 const FILL: f64 = 0.7;
@@ -42,8 +43,12 @@
         let guess = own / all * others;
         self.view.average = (reported + guess * FAINT) * (1.0 / (weights + FAINT));
         self.view.taken = Some(now);
-        // Held back are those that present need does not fill, the last by id: an order common to
-        // all.
+        self.view.open = self.needed(now, all, weights);
+    }
+
+    /// The machines that are not held back. Held back are those that present need does not fill,
+    /// the last by id: an order common to all.
+    fn needed(&self, now: Tenths, all: Amount, reported: f64) -> BTreeSet<MachineId> {
         let mut order = Vec::new();
         let (mut need, mut asked) = (Amount::default(), Amount::default());
         for (&id, machine) in &self.machines {
@@ -61,7 +66,7 @@
         // Machines that have just reported tell it without chance.
         let known = self.at.len() as f64 + 1.0;
         let unheard = 1.0
-            - weights
+            - reported
                 / (self
                     .machines
                     .values()
@@ -76,6 +81,6 @@
             need.within(room * FILL)
         });
         order.truncate(enough.map_or(order.len(), |last| last + 1));
-        self.view.open = order.into_iter().map(|(id, _)| id).collect();
+        order.into_iter().map(|(id, _)| id).collect()
     }
 }
--- a/src/rules/vain.rs
+++ b/src/rules/vain.rs
@@ -25,10 +25,7 @@
         let kind = Kind::of(new);
         let least = self.records.least(new.service);
         let track = &self.cluster.tracks[new.track.0];
-        let start = Amount {
-            cores: self.start(true, track).min(self.start(false, track)),
-            memory: 0.0,
-        };
+        let start = self.start(true, track).least(self.start(false, track));
         let need = Room {
             bears: new.asks * self.learnt.usual.or_one() + start,
             line: new.asks * least,
@@ -116,29 +113,16 @@
             .others(until, now, machine)
             .least(self.others(until, until, machine));
         let asked = size * self.cluster.accepts - self.asked(until, machine, || others);
+        let asked = if self.cluster.shows_room {
+            asked + size * ROUNDING
+        } else {
+            Amount::ONE * f64::INFINITY
+        };
         let rooms = self.cluster.tracks.iter().enumerate().map(|(track, of)| {
             if of.kind.is_some_and(|kind| kind != entry.kind) {
                 return none;
             }
-            let stays = |of| self.stays(TrackId(track), of);
-            let (mut uses, mut least) = (others * stays(None), others * stays(None));
-            for guest in machine.guests.values() {
-                let own = self.use_of(guest);
-                let drawn = guest
-                    .present
-                    .map_or(guest.asks * self.records.least(guest.service), |_| {
-                        guest.highest
-                    });
-                (uses, least) = (
-                    uses + own * stays(Some(guest.track)),
-                    least + drawn * stays(Some(guest.track)),
-                );
-            }
-            let asked = if self.cluster.shows_room {
-                asked + size * ROUNDING
-            } else {
-                Amount::ONE * f64::INFINITY
-            };
+            let (uses, least) = self.likely_use(machine, TrackId(track), others);
             let most = size
                 * Amount {
                     cores: of.calm + FADE + ROUNDING,
@@ -158,6 +142,22 @@
         rooms.collect()
     }
 
+    /// What one of this track finds in use, and the least that may be drawn.
+    fn likely_use(&self, machine: &Machine, track: TrackId, others: Amount) -> (Amount, Amount) {
+        let stays = |of| self.stays(track, of);
+        let (mut uses, mut least) = (others * stays(None), others * stays(None));
+        for guest in machine.guests.values() {
+            let own = self.use_of(guest);
+            let least_drawn = || guest.asks * self.records.least(guest.service);
+            let drawn = guest.present.map_or_else(least_drawn, |_| guest.highest);
+            (uses, least) = (
+                uses + own * stays(Some(guest.track)),
+                least + drawn * stays(Some(guest.track)),
+            );
+        }
+        (uses, least)
+    }
+
     /// Whether one of those that wait might find a machine now that found none in the last round.
     pub(super) fn changed(&mut self, now: Tenths) -> bool {
         let old = self.view.taken.is_none_or(|taken| taken + LOOK <= now);
