--- /dev/null
+++ b/crates/platform/src/core/engine_effects.rs
@@ -0,0 +1,131 @@
+//! What the decisions have done.
+
+use super::tasks::{Out, Placing, Stage, sid};
+use super::*;
+use corkspan_host::Wire;
+use corkspan_platform_wire::node::Value;
+use corkspan_platform_wire::owner::{self, Kind};
+use tracing::debug;
+
+impl Wire<Placing> for Port {
+    fn send(
+        &mut self,
+        placing: &mut Placing,
+        allocation: &Allocation,
+        machine: MachineId,
+        time_out: Tenths,
+    ) {
+        let (id, number) = (allocation.id, allocation.shots.len());
+        let mut message = node::Message::new(node::Kind::Open, placing.task);
+        let text = |text: &str| Value::Text(text.into());
+        message.attrs.insert("class".into(), text(&placing.class));
+        message.attrs.insert("key".into(), text(&placing.name));
+        message
+            .attrs
+            .insert("left".into(), text(&(time_out / 10).to_string()));
+        if let Some(mark) = &placing.mark {
+            message.attrs.insert("idem".into(), text(mark));
+        }
+        message.text = Some(placing.description.clone());
+        let attempt = AttemptId {
+            allocation: id,
+            number,
+        };
+        let free = self.links.free(machine, self.now, &placing.links);
+        let link = free.or_else(|| self.open_link(machine, Takes::Any));
+        let link = link.or_else(|| self.links.least(machine, &placing.links));
+        let Some(link) = link.filter(|&link| self.links.send_set_up(link, attempt, &message))
+        else {
+            return self
+                .deferred
+                .push_back(Deferred::Returned(id, number, Ending::NotSent));
+        };
+        self.links.begin(link, id, self.now);
+        let until = self.now + time_out;
+        placing.out = Some(Out {
+            number,
+            machine,
+            link: Some(link),
+            sent: self.now,
+            until,
+            left: false,
+        });
+        placing.links.push(link);
+        self.due.insert((until, Due::Attempt(id, number)));
+        let Placing {
+            task,
+            class,
+            name,
+            description,
+            ..
+        } = placing;
+        debug!(
+            task = sid(*task),
+            ?machine,
+            number,
+            class,
+            name,
+            description,
+            time_out,
+            "sent"
+        );
+    }
+
+    fn shed(&mut self, placing: &mut Placing, allocation: &Allocation) {
+        if self.answer(placing, allocation.id, Stage::Over) {
+            debug!(task = sid(placing.task), shots = ?allocation.shots, "shed");
+            let cause = [owner::CAUSE_REFUSED];
+            self.say(
+                placing.owner,
+                Kind::Release,
+                placing.task,
+                &[(owner::CAUSE, &cause)],
+            );
+        }
+    }
+
+    fn scrap(&mut self, placing: &mut Placing, allocation: &Allocation) {
+        if self.answer(placing, allocation.id, Stage::Over) {
+            debug!(task = sid(placing.task), shots = ?allocation.shots, "scrapped");
+            let cause = [owner::CAUSE_FAILED];
+            self.say(
+                placing.owner,
+                Kind::Release,
+                placing.task,
+                &[(owner::CAUSE, &cause)],
+            );
+        }
+    }
+
+    fn relocate(&mut self, placing: &mut Placing, allocation: &Allocation) {
+        debug!(task = sid(placing.task), "moved away");
+        if self.stood(placing) {
+            self.say_over(placing.owner, Kind::Move, placing.task, &[]);
+            self.due
+                .insert((self.now + CUT_WITHIN, Due::Cut(allocation.id)));
+        }
+    }
+
+    fn lost(&mut self, _: &mut Placing, allocation: &Allocation) {
+        self.deferred.push_back(Deferred::Lost(allocation.id));
+    }
+
+    fn probe(&mut self, machine: MachineId) {
+        self.last_test = self.last_test.wrapping_add(0x9e37_79b9_7f4a_7c15);
+        let message = node::Message::new(node::Kind::Probe, self.last_test).code(0);
+        if let Some(link) = self.tell_node(machine, None, &message, Takes::Spare) {
+            self.tests.insert(self.last_test, (machine, link));
+            self.due
+                .insert((self.now + TEST_WITHIN, Due::Test(self.last_test)));
+        }
+    }
+
+    fn watch_list(&mut self) {
+        self.effects.watch_list();
+    }
+
+    fn wake(&mut self, after: Tenths) {
+        let at = self.now + after;
+        self.host_wakes = Some(self.host_wakes.map_or(at, |other| other.min(at)));
+    }
+}
--- /dev/null
+++ b/crates/platform/src/core/node_list.rs
@@ -0,0 +1,34 @@
+//! Changes to the list of nodes.
+
+use super::tasks::Placing;
+use super::*;
+use tracing::info;
+
+impl Port {
+    /// A change to the list of nodes, once each.
+    pub(super) fn apply(&mut self, now: Tenths, host: &mut Host<Placing>, event: Event) {
+        if event.n <= self.last_event {
+            return;
+        }
+        self.last_event = event.n;
+        let Some(members) = event.members else { return };
+        let listed = self.nodes.listed(&members, &self.facts);
+        let scope = if listed.whole {
+            Scope::Whole
+        } else {
+            Scope::Changes
+        };
+        host.listed(scope, &listed.entries);
+        for machine in listed.gone {
+            info!(?machine, "a node has gone");
+            self.machine_lost(now, host, machine, Tenths::MAX);
+            for link in self.links.all_of(machine) {
+                self.drop_link(now, host, link, End::NotUp);
+            }
+            self.nodes.forget(machine);
+        }
+        for (machine, started) in listed.restarted {
+            self.machine_lost(now, host, machine, started);
+        }
+    }
+}
--- a/crates/platform/src/desk/standing.rs
+++ b/crates/platform/src/core/running_tasks.rs
@@ -1,6 +1,9 @@
-//! What stands on nodes: its end, and the changes to the list of nodes.
+//! What stands on nodes, and its end.
 
+use super::tasks::{Out, Placing, sid};
 use super::*;
+use corkspan_platform_wire::owner::{self, Kind};
+use tracing::debug;
 
 impl Port {
     /// Has the node cut a task that stands.
@@ -75,31 +78,4 @@
         }
         self.ends.push_back((now, task, machine));
     }
-
-    /// A change to the list of nodes, once each.
-    pub(super) fn apply(&mut self, now: Tenths, host: &mut Host<Placing>, event: Event) {
-        if event.n <= self.last_event {
-            return;
-        }
-        self.last_event = event.n;
-        let Some(members) = event.members else { return };
-        let listed = self.nodes.listed(&members, &self.facts);
-        let scope = if listed.whole {
-            Scope::Whole
-        } else {
-            Scope::Changes
-        };
-        host.listed(scope, &listed.entries);
-        for machine in listed.gone {
-            info!(?machine, "a node has gone");
-            self.machine_lost(now, host, machine, Tenths::MAX);
-            for link in self.links.all_of(machine) {
-                self.drop_link(now, host, link, End::NotUp);
-            }
-            self.nodes.forget(machine);
-        }
-        for (machine, started) in listed.restarted {
-            self.machine_lost(now, host, machine, started);
-        }
-    }
 }
--- a/crates/platform/src/feed.rs
+++ b/crates/platform/src/feed.rs
@@ -1,7 +1,7 @@
 //! Follows the control feed. When to ask it again is the decisions' affair; where to, the
 //! posting's.
 
-use crate::desk::Desk;
+use crate::handle::Desk;
 use async_net::TcpStream;
 use bytes::Bytes;
 use corkspan_platform_wire::Garbled;
--- a/crates/platform/src/front.rs
+++ b/crates/platform/src/front.rs
@@ -1,6 +1,7 @@
 //! The owners' front: one listener, and a task for each connection.
 
-use crate::desk::{Desk, OwnerId};
+use crate::handle::Desk;
+use crate::ids::OwnerId;
 use crate::input::Input;
 use crate::outbox::{Inbox, carry};
 use async_io::Timer;
--- /dev/null
+++ b/crates/platform/src/ids.rs
@@ -0,0 +1,18 @@
+//! What tells connections and attempts apart.
+
+use corkspan::interface::AllocationId;
+
+/// A connection of an owner.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct OwnerId(pub u64);
+
+/// A connection to a node.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct LinkId(pub u64);
+
+/// One of the attempts at an allocation.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct AttemptId {
+    pub allocation: AllocationId,
+    pub number: usize,
+}
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -2,22 +2,29 @@
 //! of [`corkspan::rules`] say where to, nodes get them as JSON lines, and the control feed tells
 //! which nodes there are. docs/platform.md says how and why.
 
-mod desk;
+mod connections;
+mod core;
+mod effects;
 mod feed;
 mod front;
+mod handle;
+mod ids;
 mod input;
 mod links;
 mod nodes;
 mod outbox;
 mod places;
 
+use crate::core::Start;
 use async_io::Timer;
 use async_lock::Semaphore;
 use async_net::TcpListener;
 use corkspan_platform_wire::file::{Posting, Unreadable};
+use corkspan_runtime::clock::Clock;
 use corkspan_runtime::{Signal, Tasks, signals, within};
-use desk::Desk;
+use effects::{Calls, TaskEffects};
 use futures_lite::{FutureExt, Stream, StreamExt, future};
+use handle::Desk;
 use places::Places;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -95,12 +102,24 @@
     let (watches, asked) = async_channel::bounded(1);
     let (moves, moved) = async_channel::bounded(1);
     let (turns, turning) = async_channel::bounded(1);
-    let desk = Desk::new(posting, &tasks, wakes, watches, turns, &places).map_err(|why| {
-        Failure::Facts {
-            path: path.into(),
-            why: format!("settings: {why}"),
-        }
+    let start = Start::new(posting, &places).map_err(|why| Failure::Facts {
+        path: path.into(),
+        why: format!("settings: {why}"),
     })?;
+    let clock = Clock::start();
+    let desk = Desk::new(start, clock, |desk| {
+        Box::new(TaskEffects {
+            desk,
+            clock,
+            tasks: Arc::clone(&tasks),
+            calls: Calls {
+                wakes,
+                watches,
+                turns,
+            },
+            node_places: Arc::clone(&places.nodes),
+        })
+    });
     let listener = bind(address, Ends::after(desk.longest_deadline()).killed + SPARE).await;
     let listener = listener.map_err(|why| Failure::Listen { address, why })?;
     // The usual backlog of 128 would make some of a burst of hundreds wait for a second.
--- a/crates/platform/src/links.rs
+++ b/crates/platform/src/links.rs
@@ -1,43 +1,31 @@
 //! Connections to nodes: a task for each, from the attempt to open it to its end.
 
-use crate::desk::{Desk, LinkId};
+use crate::core::{End, NewConnection};
+use crate::handle::Desk;
 use crate::input::{Came, Heard, Input};
-use crate::outbox::{Inbox, carry};
+use crate::outbox::carry;
 use async_lock::Semaphore;
 use async_net::TcpStream;
 use corkspan_platform_wire::node::Reader;
+use corkspan_runtime::clock::duration;
 use corkspan_runtime::within;
 use std::io::ErrorKind;
-use std::net::SocketAddr;
 use std::sync::Arc;
-use std::time::Duration;
 use tracing::debug;
 
-/// How a connection to a node came to its end.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
-    /// Nobody listens there: the process is dead.
-    Refused,
-    /// It did not come up in time.
-    NotUp,
-    /// It stood, and broke or was closed.
-    Broke,
-}
-
-pub async fn run(
-    desk: Arc<Desk>,
-    id: LinkId,
-    to: SocketAddr,
-    connect_within: Duration,
-    inbox: Inbox,
-    places: Arc<Semaphore>,
-) {
+pub async fn run(desk: Arc<Desk>, connection: NewConnection, places: Arc<Semaphore>) {
+    let NewConnection {
+        id,
+        address,
+        within: connect_within,
+        inbox,
+    } = connection;
     // Those that are being closed hold their descriptors to the end.
     let connected = async {
         let place = places.acquire_arc().await;
-        (place, TcpStream::connect(to).await)
+        (place, TcpStream::connect(address).await)
     };
-    let (_place, connected) = within(connect_within, connected).await.unzip();
+    let (_place, connected) = within(duration(connect_within), connected).await.unzip();
     let stream = match connected {
         // Its node has gone meanwhile, and another may have its address.
         _ if inbox.is_void() => return,
--- a/crates/platform/src/outbox.rs
+++ b/crates/platform/src/outbox.rs
@@ -1,7 +1,7 @@
 //! What waits to be written on a connection, and the loop that moves its bytes. What to make of
 //! them is the callers'.
 
-use crate::desk::AttemptId;
+use crate::ids::AttemptId;
 use async_net::TcpStream;
 use corkspan_runtime::within;
 use futures_lite::{AsyncWriteExt, FutureExt};
--- a/crates/platform/tests/desk/bounds.rs
+++ b/crates/platform/tests/desk/bounds.rs
@@ -1,8 +1,13 @@
 //! Nothing that is kept grows with all that was ever met.
 
+use super::tasks::{Due, sid};
 use super::*;
-use crate::places::Places;
-use corkspan_platform_wire::owner::Reader;
+use crate::effects::{Calls, TaskEffects};
+use crate::handle::Desk;
+use corkspan_platform_wire::node::Value;
+use corkspan_platform_wire::owner::{self, Kind, Message, Reader};
+use corkspan_runtime::Tasks;
+use corkspan_runtime::clock::Clock;
 
 pub(super) const POSTING: &str = r#"{"name":"n0","listen":"127.0.0.1:0","seed":"1","limits":{"sockets":256},
 "feed":"127.0.0.1:1","known":{"n":0},"settings":{"classes":[{"effect":"pure","name":"batch","on-time-us":600000}],
@@ -38,19 +43,34 @@
 }
 
 pub(super) fn posted(posting: &str) -> Arc<Desk> {
-    let (wakes, _waking) = async_channel::bounded(1);
-    let (watches, _asked) = async_channel::bounded(1);
     let posting = Posting::read(posting.as_bytes()).expect("sound");
+    started(posting, &Places::of(256)).0
+}
+
+/// A desk whose effects nobody carries out, and what asks for the list to be watched.
+pub(super) fn started(
+    posting: Posting,
+    places: &Places,
+) -> (Arc<Desk>, async_channel::Receiver<()>) {
+    let (wakes, _waking) = async_channel::bounded(1);
+    let (watches, watching) = async_channel::bounded(1);
     let (turns, _turning) = async_channel::bounded(1);
-    Desk::new(
-        posting,
-        &Tasks::default(),
-        wakes,
-        watches,
-        turns,
-        &Places::of(256),
-    )
-    .expect("sound")
+    let clock = Clock::start();
+    let start = Start::new(posting, places).expect("sound");
+    let desk = Desk::new(start, clock, |desk| {
+        Box::new(TaskEffects {
+            desk,
+            clock,
+            tasks: Tasks::default(),
+            calls: Calls {
+                wakes,
+                watches,
+                turns,
+            },
+            node_places: Arc::clone(&places.nodes),
+        })
+    });
+    (desk, watching)
 }
 
 /// An owner says it, and all that wait for a turn have theirs.
@@ -97,7 +117,9 @@
         desk.owner_left(id);
         if round % 100 == 0 {
             // The decisions look around by the clock, which this test outruns.
-            desk.with(|now, host, port| host.rest(now + round * SECOND, port));
+            desk.enter(|core, now| {
+                core.with(now, |host, port| host.rest(now + round * SECOND, port));
+            });
             desk.sweep();
             most = most.max(desk.kept());
         }
@@ -153,7 +175,7 @@
 }
 
 /// All connections stand, and each node answers the tests that have reached it.
-fn answer_tests(Inner { host, port }: &mut Inner) {
+fn answer_tests(Core { host, port }: &mut Core) {
     port.links.all_up(port.now);
     for (test, (machine, _)) in std::mem::take(&mut port.tests) {
         port.due.retain(|(_, due)| *due != Due::Test(test));
@@ -194,7 +216,7 @@
     let mut inner = desk.lock();
     let began = inner.port.now;
     for step in 1..=60 {
-        let Inner { host, port } = &mut *inner;
+        let Core { host, port } = &mut *inner;
         port.now = began + step * SECOND / 4;
         port.sweep(port.now, host);
         host.woken(port.now);
@@ -216,7 +238,7 @@
     let machine = inner.port.nodes.find("s-1").expect("listed");
     let link = inner.port.links.of(machine);
     for step in 1..=24 {
-        let Inner { host, port } = &mut *inner;
+        let Core { host, port } = &mut *inner;
         port.now += step * SECOND / 4;
         port.sweep(port.now, host);
         port.links.all_up(port.now);
@@ -230,7 +252,7 @@
 fn a_release_under_way_on_a_connection_that_gives_way_is_told_at_once() {
     let (desk, owner, inbox) = crowded(200);
     let stood: Vec<(LinkId, u64)> = {
-        let Inner { host, port } = &mut *desk.lock();
+        let Core { host, port } = &mut *desk.lock();
         let links = |task: &u64| {
             port.links
                 .of(port.nodes.find(&format!("s-{task:x}")).expect("listed"))
--- a/crates/platform/tests/desk/crossings.rs
+++ b/crates/platform/tests/desk/crossings.rs
@@ -3,9 +3,16 @@
 //! which one of them has its turn.
 
 use super::bounds::{POSTING, member, posted, set_up};
+use super::tasks::sid;
 use super::*;
+use crate::handle::Desk;
+use async_lock::Semaphore;
+use corkspan_platform_wire::node::Value;
+use corkspan_platform_wire::owner::{self, Kind};
+use corkspan_runtime::clock::duration;
 use std::io::Write;
 use std::net::{Shutdown, TcpListener, TcpStream};
+use std::time::Duration;
 use test_case::test_case;
 
 /// A desk with one node, by these settings but for what is replaced.
@@ -188,7 +195,7 @@
     assert!(desk.owner_said(id, &set_up(7)));
     while desk.turn() {}
     let (link, attempt) = out(&desk, 7).expect("on its way");
-    let Inner { host, port } = &mut *desk.lock();
+    let Core { host, port } = &mut *desk.lock();
     let until = host
         .own(attempt.allocation)
         .and_then(|(placing, _)| placing.out)
@@ -228,7 +235,7 @@
     assert_eq!(again, link, "the connection that is free");
     inbox.waiting();
     if time_out {
-        let Inner { host, port } = &mut *desk.lock();
+        let Core { host, port } = &mut *desk.lock();
         port.timed_out(port.now, host, attempt.allocation, attempt.number);
     } else {
         desk.link_ended(link, End::Broke);
@@ -253,7 +260,11 @@
         async_net::TcpStream::try_from(listener.accept().expect("accepted").0).expect("a stream");
     let (id, inbox) = desk.owner_came().expect("there is room");
     assert!(desk.owner_said(id, &set_up(7)));
-    desk.with(|_, _, port| while port.say(id, Kind::Tested, 1, &[(owner::CAUSE, &[1])]) {});
+    desk.enter(|core, now| {
+        core.with(now, |_, port| {
+            while port.say(id, Kind::Tested, 1, &[(owner::CAUSE, &[1])]) {}
+        });
+    });
     let place = Arc::new(Semaphore::new(1)).try_acquire_arc().expect("free");
     let carried = crate::front::owner(Arc::clone(&desk), stream, id, inbox, place);
     futures_lite::future::block_on(carried);
@@ -276,7 +287,7 @@
     desk.link_up(link);
     assert!(desk.begins(link, attempt));
     inbox.waiting();
-    let Inner { host, port } = &mut *desk.lock();
+    let Core { host, port } = &mut *desk.lock();
     let (placing, _) = host.own(attempt.allocation).expect("in hand");
     let (until, machine) = (placing.until, placing.out.expect("out").machine);
     port.now = until;
--- a/crates/platform/tests/desk/transcript.rs
+++ b/crates/platform/tests/desk/transcript.rs
@@ -2,7 +2,11 @@
 //! test sets: bytes to clients and nodes, timers and counts, compared with those recorded under
 //! `tests/data`. No task that reads or writes is run; the test stands in for them.
 
+use super::bounds::started;
 use super::*;
+use crate::handle::Desk;
+use corkspan_platform_wire::node::Value;
+use corkspan_platform_wire::owner::{self, Kind};
 use std::collections::BTreeMap;
 use std::fmt::Write;
 use std::path::Path;
@@ -82,18 +86,14 @@
 
 impl Course {
     fn new(seed: u64) -> Course {
-        let (wakes, _waking) = async_channel::bounded(1);
-        let (watches, watching) = async_channel::bounded(1);
-        let (turns, _turning) = async_channel::bounded(1);
         let posting = Posting::read(SETTINGS.as_bytes()).expect("sound");
         let asked = cluster(&posting.settings).expect("sound");
         let places = Places::of(posting.limits.sockets);
-        let desk =
-            Desk::new(posting, &Tasks::default(), wakes, watches, turns, &places).expect("sound");
+        let (desk, watching) = started(posting, &places);
         desk.set_time.store(BEGIN, Ordering::Relaxed);
         {
             // The desk was made by the machine's clock: it begins anew by the test's.
-            let Inner { host, port } = &mut *desk.lock();
+            let Core { host, port } = &mut *desk.lock();
             *host = Host::new(asked, seed, BEGIN, IN_HAND, Slice::BY_TURNS);
             (port.now, port.last_test) = (BEGIN, seed);
             (port.host_wakes, port.armed) = (None, None);
--- a/crates/platform/tests/outbox/turns.rs
+++ b/crates/platform/tests/outbox/turns.rs
@@ -1,7 +1,7 @@
 //! Whose turn it is, told by counts and not by times.
 
 use super::*;
-use crate::desk::AttemptId;
+use crate::ids::AttemptId;
 use crate::input::{Came, Heard, Input};
 use corkspan::interface::AllocationId;
 use futures_lite::future;
