--- a/crates/dispatcher/src/conductors.rs
+++ b/crates/dispatcher/src/conductors.rs
@@ -3,24 +3,21 @@
 
 use crate::store::{Held, Kept};
 use corkspan::interface::Tenths;
-use corkspan_roll::conductor::Conductor;
-use corkspan_roll::{Grant, Roll};
+use corkspan_roll::Roll;
+use corkspan_roll::conductor::{Conductor, ReportedSlot};
 use std::collections::BTreeMap;
 use tracing::warn;
 
 /// Services with a roll that one dispatcher follows at the most.
 const MOST: usize = 10_000;
 
-/// Slots that keepers tell of, each with how many tell it.
-pub type Told = Vec<(u32, Grant, usize)>;
-
 /// The rolls that a dispatcher knows of, by service.
 pub struct Rolls {
     me: u32,
     seed: u64,
     pub conductors: BTreeMap<String, Conductor>,
     /// What keepers told last.
-    pub held: BTreeMap<String, Told>,
+    pub held: BTreeMap<String, Vec<ReportedSlot>>,
     pub heard: usize,
 }
 
--- a/crates/dispatcher/src/rolls.rs
+++ b/crates/dispatcher/src/rolls.rs
@@ -1,14 +1,13 @@
 //! Rolling updates: the conductors' answers carried out, keepers asked, claims kept on disk before
 //! the step that depends on them. What is decided stands in `corkspan_roll`.
 
-use crate::conductors::Told;
 use crate::desk::Desk;
 use crate::keepers::ask_all;
 pub use crate::store::{Closes, Held, Kept, Pair, Store};
 use corkspan_api::v1;
 use corkspan_fleet::acts::Kind;
 use corkspan_roll::Grant;
-use corkspan_roll::conductor::{Conductor, Look, Votes};
+use corkspan_roll::conductor::{ClaimRequest, Conductor, Look, ReportedSlot, Votes};
 use corkspan_roll::{ClaimId, Order, Phase, Roll, in_force, majority, to_follow};
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -63,7 +62,7 @@
 async fn round(desk: &Arc<Desk>) {
     let told = ask_all(desk, Ask::Tell(v1::Tell::default())).await;
     let keepers = desk.deployment().keepers.len();
-    let mut by_service: BTreeMap<String, (Vec<Roll>, Told)> = BTreeMap::new();
+    let mut by_service: BTreeMap<String, (Vec<Roll>, Vec<ReportedSlot>)> = BTreeMap::new();
     for kept in told.iter().flat_map(|word| &word.kept) {
         let Some(roll) = kept.roll.as_ref().and_then(roll_of) else {
             continue;
@@ -78,10 +77,14 @@
             };
             match held
                 .iter_mut()
-                .find(|(other, own, _)| *other == slot.slot && *own == grant)
+                .find(|known| known.slot == slot.slot && known.grant == grant)
             {
-                Some((_, _, many)) => *many += 1,
-                None => held.push((slot.slot, grant, 1)),
+                Some(known) => known.members += 1,
+                None => held.push(ReportedSlot {
+                    slot: slot.slot,
+                    grant,
+                    members: 1,
+                }),
             }
         }
     }
@@ -148,8 +151,8 @@
     for claim in look.release {
         release(desk, service, claim).await;
     }
-    for (claim, task) in look.clear {
-        desk.clear(service, &task, claim);
+    for left in look.clear {
+        desk.clear(service, &left.task, left.claim);
     }
     if let Some(why) = look.halt {
         warn!(service, version = roll.version, why, "the roll halts");
@@ -171,7 +174,7 @@
     for task in look.replace {
         desk.replace(&task);
     }
-    for (claim, slot, task) in look.claims {
+    for ClaimRequest { claim, slot, task } in look.claims {
         let mut granted = 0;
         if keep_claim(desk, claim, service, &task, false, None).await {
             let dispatcher = desk.deployment().cluster.number as u32;
@@ -514,7 +517,7 @@
         let keepers = self.0.deployment().keepers.len() as u32;
         Ok(Response::new(self.0.with_rolls(|_, rolls| {
             let held = rolls.held.get(&service).into_iter().flatten();
-            let held = held.map(|(slot, grant, _)| v1::Slot {
+            let held = held.map(|ReportedSlot { slot, grant, .. }| v1::Slot {
                 slot: *slot,
                 claim: grant.claim.0,
                 task: grant.task.clone(),
@@ -522,12 +525,12 @@
             });
             let held = held.collect();
             let conductor = rolls.conductors.get(&service);
-            let (copies, wanted, unready) = conductor.map_or((0, 0, 0), Conductor::counts);
+            let counts = conductor.map(Conductor::counts).unwrap_or_default();
             v1::RollStatus {
                 roll: conductor.map(|conductor| message(conductor.roll())),
-                copies: copies as u32,
-                wanted: wanted as u32,
-                unready: unready as u32,
+                copies: counts.total as u32,
+                wanted: counts.desired as u32,
+                unready: counts.unready as u32,
                 held,
                 keepers,
                 keepers_heard: rolls.heard as u32,
--- /dev/null
+++ b/crates/roll/src/conductor/replica.rs
@@ -0,0 +1,60 @@
+//! What a controller keeps of one replica and of one claim.
+
+use crate::ClaimId;
+use corkspan::interface::Tenths;
+
+/// One replica of this dispatcher.
+#[derive(Clone, Debug, PartialEq)]
+pub(super) struct Copy {
+    pub(super) version: String,
+    /// Since when it reports itself ready.
+    pub(super) ready: Option<Tenths>,
+    /// Since when it has not been ready.
+    pub(super) unready: Tenths,
+    /// It ran here or elsewhere before, and is down now for a reason outside the rollout.
+    pub(super) returning: bool,
+    /// The claim under which it is replaced.
+    pub(super) claim: Option<ClaimId>,
+    pub(super) step: Step,
+}
+
+/// A claim that was sent, or is held.
+#[derive(Clone, Debug, PartialEq)]
+pub(super) struct Claim {
+    pub(super) task: String,
+    /// A majority has granted it.
+    pub(super) won: bool,
+}
+
+/// How far the replacing of a replica has come.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub(super) enum Step {
+    /// It is left as it is.
+    Stays,
+    /// A slot is being claimed for it.
+    Claims,
+    /// It is being replaced, and the slot is held.
+    Replaced,
+    /// A surge replica is being started beside it, and the slot is held.
+    Grows {
+        /// Version of the surge replica.
+        version: String,
+        since: Tenths,
+        /// Since when the surge replica is ready.
+        ready: Option<Tenths>,
+    },
+    /// The surge replica has stayed ready for its time, and the old replica is being stopped.
+    Retires {
+        /// Version of the surge replica.
+        version: String,
+        /// Since when the surge replica is ready.
+        ready: Tenths,
+    },
+}
+
+impl Copy {
+    /// Whether it has been ready for this long.
+    pub(super) fn ready_for(&self, time: Tenths, now: Tenths) -> bool {
+        self.ready.is_some_and(|since| now >= since + time)
+    }
+}
--- a/crates/roll/tests/conductor.rs
+++ b/crates/roll/tests/conductor.rs
@@ -1,6 +1,8 @@
 //! What one dispatcher decides of a roll, whatever comes in whatever order.
 
-use corkspan_roll::conductor::{Conductor, Look, Recalled, Votes, Withdrawn};
+use corkspan_roll::conductor::{
+    ClaimRequest, Conductor, Look, Recalled, ReplicaCounts, ReportedSlot, Votes, Withdrawn,
+};
 use corkspan_roll::{ClaimId, Order, Phase, Roll};
 use corkspan_roll::{Claimed, Grant, Keeper};
 use proptest::prelude::*;
@@ -53,13 +55,30 @@
     }
 }
 
+/// A slot that so many quorum members report.
+fn reported(slot: u32, grant: Grant, members: usize) -> ReportedSlot {
+    ReportedSlot {
+        slot,
+        grant,
+        members,
+    }
+}
+
+fn counts(total: usize, desired: usize, unready: usize) -> ReplicaCounts {
+    ReplicaCounts {
+        total,
+        desired,
+        unready,
+    }
+}
+
 /// Wins a slot for one copy and takes it down. Its claim and task.
 fn takes_down(conductor: &mut Conductor, now: u64) -> (ClaimId, String) {
     let look = conductor.look(now, &[]);
-    let (claim, _, task) = look.claims[0].clone();
+    let ClaimRequest { claim, task, .. } = look.claims[0].clone();
     assert!(conductor.claimed(now, claim, WON));
-    for (other, _, _) in &look.claims[1..] {
-        conductor.claimed(now, *other, LOST);
+    for other in &look.claims[1..] {
+        assert!(!conductor.claimed(now, other.claim, LOST));
     }
     assert_eq!(conductor.look_at_held(now), std::slice::from_ref(&task));
     (claim, task)
@@ -70,7 +89,7 @@
     let mut conductor = conductor(5);
     let look = conductor.look(0, &[]);
     assert_eq!(look.claims.len(), 2);
-    let slots: BTreeSet<u32> = look.claims.iter().map(|(_, slot, _)| *slot).collect();
+    let slots: BTreeSet<u32> = look.claims.iter().map(|request| request.slot).collect();
     assert_eq!(slots, BTreeSet::from([0, 1]), "not twice the same");
     assert!(
         conductor.look(1, &[]).claims.is_empty(),
@@ -84,11 +103,11 @@
         dispatcher: 7,
         ..grant(ClaimId(9), "x")
     };
-    let look = conductor(5).look(0, &[(0, other, 2)]);
+    let look = conductor(5).look(0, &[reported(0, other, 2)]);
     assert_eq!(
         look.claims
             .iter()
-            .map(|(_, slot, _)| *slot)
+            .map(|request| request.slot)
             .collect::<Vec<_>>(),
         [1]
     );
@@ -97,7 +116,7 @@
 #[test]
 fn a_lost_claim_takes_nothing_down_and_waits() {
     let mut conductor = conductor(1);
-    let (claim, _, _) = conductor.look(0, &[]).claims[0].clone();
+    let claim = conductor.look(0, &[]).claims[0].claim;
     assert!(!conductor.claimed(0, claim, LOST), "to be given back");
     assert!(conductor.look_at_held(0).is_empty());
     let look = conductor.look(1, &[]);
@@ -114,7 +133,7 @@
     let mut conductor = conductor(1);
     let (claim, task) = takes_down(&mut conductor, 0);
     conductor.copy(SECOND, &task, "v2", false);
-    let held = [(0, grant(claim, &task), 3)];
+    let held = [reported(0, grant(claim, &task), 3)];
     conductor.ready(2 * SECOND, &task);
     assert!(conductor.look(3 * SECOND, &held).release.is_empty());
     conductor.unready(3 * SECOND, &task);
@@ -129,7 +148,7 @@
 #[test]
 fn a_copy_gone_while_its_claim_is_out_uses_no_slot() {
     let mut conductor = conductor(1);
-    let (claim, _, task) = conductor.look(0, &[]).claims[0].clone();
+    let ClaimRequest { claim, task, .. } = conductor.look(0, &[]).claims[0].clone();
     assert_eq!(conductor.gone(&task), [claim], "given back at once");
     assert!(!conductor.claimed(0, claim, WON));
 }
@@ -137,7 +156,7 @@
 #[test]
 fn a_pause_while_a_claim_is_out_takes_nothing_down() {
     let mut conductor = conductor(1);
-    let (claim, _, _) = conductor.look(0, &[]).claims[0].clone();
+    let claim = conductor.look(0, &[]).claims[0].claim;
     conductor.adopt(roll(1, "v2").with_phase(Phase::Paused, 1));
     assert!(!conductor.claimed(0, claim, WON));
     assert_eq!(
@@ -157,7 +176,7 @@
     conductor.died(SECOND, &first.1);
     let (_, second) = takes_down(&mut conductor, 5 * SECOND);
     conductor.copy(5 * SECOND, &second, "v2", false);
-    let held = [(0, grant(first.0, &first.1), 3)];
+    let held = [reported(0, grant(first.0, &first.1), 3)];
     assert_eq!(
         conductor.look(14 * SECOND, &held).halt,
         None,
@@ -219,14 +238,14 @@
     conductor.copy(0, "a-ready", "v1", false);
     conductor.ready(0, "a-ready");
     conductor.copy(0, "z-lost", "v2", true);
-    let (claim, _, task) = conductor.look(0, &[]).claims[0].clone();
+    let ClaimRequest { claim, task, .. } = conductor.look(0, &[]).claims[0].clone();
     assert_eq!(task, "z-lost");
     assert!(conductor.claimed(0, claim, WON));
     assert!(
         conductor.look_at_held(0).is_empty(),
         "it needs no replacing"
     );
-    let held = [(0, grant(claim, "z-lost"), 3)];
+    let held = [reported(0, grant(claim, "z-lost"), 3)];
     assert!(
         conductor.look(SECOND, &held).claims.is_empty(),
         "the one slot is used"
@@ -239,7 +258,7 @@
 #[test]
 fn a_slot_left_behind_by_another_comes_back_once_its_copy_is_ready_here() {
     let mut conductor = conductor(0);
-    let left = [(
+    let left = [reported(
         0,
         Grant {
             dispatcher: 7,
@@ -260,7 +279,7 @@
 #[test]
 fn an_earlier_lifes_slot_comes_back_when_nobody_came_for_it() {
     let mut conductor = conductor(0);
-    let left = [(0, grant(ClaimId(9), "x"), 2)];
+    let left = [reported(0, grant(ClaimId(9), "x"), 2)];
     assert!(conductor.look(0, &left).release.is_empty());
     assert!(conductor.look(29 * SECOND, &left).release.is_empty());
     assert_eq!(conductor.look(30 * SECOND, &left).release, [ClaimId(9)]);
@@ -278,7 +297,7 @@
 #[test_case(2, 2; "a majority tells it, one is out of reach")]
 fn a_claim_remembered_goes_on_with_its_copy_once_it_is_known_to_hold(told: usize, heard: usize) {
     let mut conductor = remembers();
-    let held = [(0, grant(ClaimId(9), "x"), told)];
+    let held = [reported(0, grant(ClaimId(9), "x"), told)];
     assert!(
         conductor.look(0, &held).replace.is_empty(),
         "not before the keepers were asked"
@@ -299,9 +318,16 @@
     wins: bool,
 ) {
     let mut conductor = remembers();
-    let held = [(1, grant(ClaimId(9), "x"), 1)];
+    let held = [reported(1, grant(ClaimId(9), "x"), 1)];
     let recalled = conductor.recall(&held, 2, 3);
-    assert_eq!(recalled.again, [(ClaimId(9), 1, "x".to_string())]);
+    assert_eq!(
+        recalled.again,
+        [ClaimRequest {
+            claim: ClaimId(9),
+            slot: 1,
+            task: "x".into()
+        }]
+    );
     assert!(conductor.look(0, &held).replace.is_empty(), "not before");
     assert_eq!(conductor.claimed(0, ClaimId(9), votes), wins);
     assert_eq!(
@@ -321,7 +347,7 @@
 #[test_case(1, 3; "one didn't hear that it was given back")]
 fn a_claim_given_back_right_before_a_kill_takes_nothing_down(told: usize, heard: usize) {
     let mut conductor = remembers();
-    let held = [(0, grant(ClaimId(9), "x"), told)];
+    let held = [reported(0, grant(ClaimId(9), "x"), told)];
     let held = if told == 0 { &held[..0] } else { &held[..] };
     assert_eq!(conductor.recall(held, heard, 3).gone, [ClaimId(9)]);
     let look = conductor.look(0, held);
@@ -334,14 +360,14 @@
     let mut conductor = conductor(0);
     conductor.remember(ClaimId(9), "x", false);
     conductor.copy(0, "x", "v1", false);
-    let look = conductor.look(0, &[(0, grant(ClaimId(9), "x"), 3)]);
+    let look = conductor.look(0, &[reported(0, grant(ClaimId(9), "x"), 3)]);
     assert_eq!((look.replace, look.release), (Vec::new(), vec![ClaimId(9)]));
 }
 
 #[test]
 fn a_copy_told_of_anew_while_its_claim_is_out_has_no_slot_yet() {
     let mut conductor = conductor(1);
-    let (claim, _, task) = conductor.look(0, &[]).claims[0].clone();
+    let ClaimRequest { claim, task, .. } = conductor.look(0, &[]).claims[0].clone();
     conductor.copy(0, &task, "v1", false);
     assert!(conductor.look_at_held(0).is_empty());
     assert!(conductor.claimed(0, claim, WON));
@@ -393,7 +419,7 @@
     );
     conductor.copy(0, "c0", "v1", false);
     conductor.ready(0, "c0");
-    let (claim, _, task) = conductor.look(0, &[]).claims[0].clone();
+    let ClaimRequest { claim, task, .. } = conductor.look(0, &[]).claims[0].clone();
     assert!(conductor.claimed(0, claim, WON));
     assert_eq!(conductor.look_to_grow(0), std::slice::from_ref(&task));
     assert!(
@@ -425,7 +451,7 @@
         "said again until then"
     );
     assert_eq!(conductor.retired(&task), [claim]);
-    assert_eq!(conductor.counts(), (1, 1, 0));
+    assert_eq!(conductor.counts(), counts(1, 1, 0));
 }
 
 #[test_case::test_case(Withdrawn::Failed; "it died")]
@@ -435,7 +461,7 @@
     assert_eq!(conductor.withdrawn(SECOND, &task, why), [claim]);
     assert_eq!(
         conductor.counts(),
-        (1, 0, 0),
+        counts(1, 0, 0),
         "the old one is ready as before"
     );
     let look = conductor.look(SECOND, &[]);
@@ -444,9 +470,9 @@
         "not at once again; one failure may be"
     );
     let look = conductor.look(4 * SECOND, &[]);
-    assert!(conductor.claimed(4 * SECOND, look.claims[0].0, WON));
+    assert!(conductor.claimed(4 * SECOND, look.claims[0].claim, WON));
     assert_eq!(conductor.look_to_grow(4 * SECOND).len(), 1);
-    conductor.withdrawn(5 * SECOND, &task, why);
+    assert_eq!(conductor.withdrawn(5 * SECOND, &task, why).len(), 1);
     let halt = conductor
         .look(9 * SECOND, &[])
         .halt
@@ -489,7 +515,7 @@
     conductor.copy(0, "c0", "v1", false);
     conductor.only_once("c0");
     conductor.ready(0, "c0");
-    let claim = conductor.look(0, &[]).claims[0].0;
+    let claim = conductor.look(0, &[]).claims[0].claim;
     assert!(conductor.claimed(0, claim, WON));
     assert!(conductor.look_to_grow(0).is_empty());
     assert_eq!(conductor.look_at_held(0), ["c0"]);
@@ -507,7 +533,7 @@
     );
     conductor.copy(2 * SECOND, &task, "v2", true);
     conductor.ready(2 * SECOND, &task);
-    let held = [(0, grant(claim, &task), 3)];
+    let held = [reported(0, grant(claim, &task), 3)];
     assert!(conductor.look(3 * SECOND, &held).release.is_empty());
     assert_eq!(conductor.look(4 * SECOND, &held).release, [claim]);
 }
@@ -553,11 +579,11 @@
                     own[who].ready(now, &task);
                 }
             }
-            let mut told: Vec<(u32, Grant, usize)> = Vec::new();
+            let mut told: Vec<ReportedSlot> = Vec::new();
             for (slot, grant) in keepers.iter().flat_map(|keeper| keeper.all()).flat_map(|kept| &kept.slots) {
-                match told.iter_mut().find(|(other, own, _)| other == slot && own == grant) {
-                    Some((_, _, many)) => *many += 1,
-                    None => told.push((*slot, grant.clone(), 1)),
+                match told.iter_mut().find(|known| known.slot == *slot && known.grant == *grant) {
+                    Some(known) => known.members += 1,
+                    None => told.push(reported(*slot, grant.clone(), 1)),
                 }
             }
             let look = own[who].look(now, &told);
@@ -567,7 +593,7 @@
                 under_way.remove(&task);
                 release.extend(own[who].retired(&task));
             }
-            for (claim, slot, task) in look.claims {
+            for ClaimRequest { claim, slot, task } in look.claims {
                 let granted = keepers.iter_mut().filter_map(|keeper| {
                     let grant = Grant { claim, task: task.clone(), dispatcher: who as u32 };
                     (keeper.claim("s", 1, slot, grant) == Claimed::Granted).then_some(())
@@ -599,7 +625,7 @@
             prop_assert!(most <= 2, "{most} at a time where 2 may be");
         }
         let left: Vec<_> = own.iter().map(Conductor::counts).collect();
-        prop_assert_eq!(left, vec![(3, 3, 0), (3, 3, 0)], "all are replaced in the end");
+        prop_assert_eq!(left, vec![counts(3, 3, 0), counts(3, 3, 0)], "all are replaced in the end");
         prop_assert!(most >= 1);
     }
 
@@ -627,13 +653,13 @@
                 Comes::Died(copy) => conductor.died(now, &name(copy)),
                 Comes::Look => {
                     let view: Vec<_> = held.iter().enumerate()
-                        .map(|(slot, (claim, task))| (slot as u32, grant(*claim, task), 2)).collect();
+                        .map(|(slot, (claim, task))| reported(slot as u32, grant(*claim, task), 2)).collect();
                     let look = conductor.look(now, &view);
                     for claim in &look.release {
                         held.remove(claim);
                     }
                     down = look.replace;
-                    out.extend(look.claims.into_iter().map(|(claim, _, task)| (claim, task)));
+                    out.extend(look.claims.into_iter().map(|request| (request.claim, request.task)));
                     prop_assert!(look.wait <= 5_000);
                 }
                 Comes::Vote(won) => {
--- a/crates/roll/tests/decisions.rs
+++ b/crates/roll/tests/decisions.rs
@@ -1,7 +1,7 @@
 //! What the controllers of three dispatchers decide over a scripted, seeded run is compared byte for
 //! byte with the transcript that an earlier version of this program wrote.
 
-use corkspan_roll::conductor::{Conductor, Look, Votes, Withdrawn};
+use corkspan_roll::conductor::{ClaimRequest, Conductor, Look, ReportedSlot, Votes, Withdrawn};
 use corkspan_roll::{ClaimId, Claimed, Grant, Keeper, Order, Phase, Roll};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -30,9 +30,6 @@
     }
 }
 
-/// A slot that quorum members report, its grant and how many members report it.
-type Reported = (u32, Grant, usize);
-
 struct Run {
     random: Pcg64Mcg,
     now: u64,
@@ -77,8 +74,8 @@
     }
 
     /// The slots that all members but the first so many report.
-    fn reported(&self, without: usize) -> Vec<Reported> {
-        let mut reported: Vec<Reported> = Vec::new();
+    fn reported(&self, without: usize) -> Vec<ReportedSlot> {
+        let mut reported: Vec<ReportedSlot> = Vec::new();
         let members = self.members[without..].iter();
         for (slot, grant) in members
             .flat_map(|member| member.all())
@@ -86,10 +83,14 @@
         {
             match reported
                 .iter_mut()
-                .find(|(other, known, _)| other == slot && known == grant)
+                .find(|known| known.slot == *slot && known.grant == *grant)
             {
-                Some((_, _, count)) => *count += 1,
-                None => reported.push((*slot, grant.clone(), 1)),
+                Some(known) => known.members += 1,
+                None => reported.push(ReportedSlot {
+                    slot: *slot,
+                    grant: grant.clone(),
+                    members: 1,
+                }),
             }
         }
         reported
@@ -227,14 +228,17 @@
         let controller = &mut self.controllers[index];
         let recalled = controller.recall(&reported, MEMBERS - without, MEMBERS);
         let mut actions = controller.look(self.now, &reported);
-        let (replicas, wanted, unready) = controller.counts();
+        let counts = controller.counts();
         let text = format!(
-            "{}; {replicas} replicas, {wanted} wanted, {unready} unready, steps {}",
+            "{}; {} replicas, {} wanted, {} unready, steps {}",
             describe(&actions),
+            counts.total,
+            counts.desired,
+            counts.unready,
             controller.has_steps()
         );
         self.say(index, &text);
-        for (claim, slot, task) in &recalled.again {
+        for ClaimRequest { claim, slot, task } in &recalled.again {
             let text = format!("claim again {:016x} slot {slot} for {task}", claim.0);
             self.say(index, &text);
         }
@@ -245,9 +249,9 @@
         actions.claims.extend(recalled.again);
         let released = std::mem::take(&mut actions.release);
         self.release(released);
-        for (claim, _) in &actions.clear {
-            self.controllers[index].cleared(*claim);
-            self.release(vec![*claim]);
+        for left in &actions.clear {
+            self.controllers[index].cleared(left.claim);
+            self.release(vec![left.claim]);
         }
         if let Some(why) = actions.halt.take() {
             self.propose(self.rollout.with_phase(Phase::Halted(why), 5));
@@ -269,12 +273,13 @@
         }
         self.start(index, actions.grow, true);
         self.start(index, actions.replace, false);
-        for (claim, slot, task) in actions.claims {
-            self.claim(index, claim, slot, task);
+        for request in actions.claims {
+            self.claim(index, request);
         }
     }
 
-    fn claim(&mut self, index: usize, claim: ClaimId, slot: u32, task: String) {
+    fn claim(&mut self, index: usize, request: ClaimRequest) {
+        let ClaimRequest { claim, slot, task } = request;
         let mut granted = 0;
         for member in &mut self.members {
             let grant = Grant {
@@ -365,7 +370,7 @@
 /// One line for what a controller wants done, whatever its types are called.
 fn describe(actions: &Look) -> String {
     let mut text = String::new();
-    for (claim, slot, task) in &actions.claims {
+    for ClaimRequest { claim, slot, task } in &actions.claims {
         write!(text, "claim {:016x} slot {slot} for {task}, ", claim.0).expect("text");
     }
     for (what, tasks) in [
@@ -381,8 +386,8 @@
     if !actions.release.is_empty() {
         write!(text, "release {}, ", claims(&actions.release)).expect("text");
     }
-    for (claim, task) in &actions.clear {
-        write!(text, "clean up {:016x} for {task}, ", claim.0).expect("text");
+    for left in &actions.clear {
+        write!(text, "clean up {:016x} for {}, ", left.claim.0, left.task).expect("text");
     }
     if let Some(why) = &actions.halt {
         write!(text, "halt: {why}, ").expect("text");
