--- a/crates/cli/src/lib.rs
+++ b/crates/cli/src/lib.rs
@@ -3,7 +3,7 @@
 mod fleet;
 mod maintenance;
 
-use clap::{Args, Parser, Subcommand, ValueEnum};
+use clap::{Args, CommandFactory as _, Parser, Subcommand, ValueEnum};
 use corkspan_api::v1::{
     self, placement_client::PlacementClient, rolls_client::RollsClient,
     versions_client::VersionsClient, word::Word as Said,
@@ -197,6 +197,11 @@
     stay: bool,
 }
 
+/// All commands and their arguments, as clap knows them.
+pub fn command() -> clap::Command {
+    Line::command()
+}
+
 /// Runs the command line given, the program's name first.
 pub fn run(line: impl IntoIterator<Item = OsString>) -> ExitCode {
     let line = match Line::try_parse_from(line) {
--- /dev/null
+++ b/crates/cli/tests/command_line.rs
@@ -0,0 +1,92 @@
+//! The command line stays as released: `data/accepted.txt` holds lines that are taken,
+//! `data/refused.txt` lines that are not, and `data/arguments.txt` every command and argument with
+//! its default and its choices. Commands and arguments may be added.
+
+use clap::{Arg, Command};
+use std::collections::BTreeSet;
+
+fn parse(line: &str) -> Result<(), clap::error::ErrorKind> {
+    let words = std::iter::once("corkspan").chain(line.split_whitespace());
+    corkspan_cli::command()
+        .try_get_matches_from(words)
+        .map(drop)
+        .map_err(|why| why.kind())
+}
+
+#[test]
+fn recorded_lines_are_still_accepted() {
+    for line in include_str!("data/accepted.txt").lines() {
+        match parse(line) {
+            Ok(()) | Err(clap::error::ErrorKind::DisplayHelp) => {}
+            Err(why) => panic!("{line}: {why}"),
+        }
+    }
+}
+
+#[test]
+fn recorded_lines_are_still_refused() {
+    for line in include_str!("data/refused.txt").lines() {
+        assert!(parse(line).is_err(), "{line}");
+    }
+}
+
+fn describe(arg: &Arg) -> String {
+    let name = match arg.get_long() {
+        Some(long) => format!("--{long}"),
+        None => format!("argument {}", arg.get_index().expect("positional")),
+    };
+    let defaults = arg.get_default_values().iter();
+    let defaults: Vec<_> = defaults.map(|value| value.to_string_lossy()).collect();
+    let choices = arg.get_possible_values();
+    let choices: Vec<&str> = choices.iter().map(|value| value.get_name()).collect();
+    let required = if arg.is_required_set() {
+        " required"
+    } else {
+        ""
+    };
+    format!(
+        "{name} {:?}{required} default {defaults:?} choices {choices:?}",
+        arg.get_action()
+    )
+}
+
+/// Each command, and each argument of it, a line.
+fn arguments(command: &Command, path: &str, lines: &mut BTreeSet<String>) {
+    lines.insert(path.to_string());
+    let described = command.get_arguments().map(describe);
+    lines.extend(described.map(|argument| format!("{path} {argument}")));
+    for inner in command.get_subcommands() {
+        arguments(inner, &format!("{path} {}", inner.get_name()), lines);
+    }
+}
+
+#[test]
+fn every_recorded_command_and_argument_is_there_with_its_default_and_choices() {
+    let mut command = corkspan_cli::command();
+    command.build();
+    let mut lines = BTreeSet::new();
+    arguments(&command, "corkspan", &mut lines);
+    for recorded in include_str!("data/arguments.txt").lines() {
+        assert!(lines.contains(recorded), "{recorded}, of {lines:#?}");
+    }
+}
+
+/// What parsing gives is handed on: the schema is the one command that needs no dispatcher.
+#[test]
+fn schema_prints_the_schema_of_files_or_of_versions() {
+    for (arguments, of) in [
+        (&["schema"][..], "#/$defs/file"),
+        (&["schema", "--version-only"], "#/$defs/version"),
+    ] {
+        let run = std::process::Command::new(env!("CARGO_BIN_EXE_corkspan"))
+            .args(arguments)
+            .output()
+            .expect("started");
+        assert!(run.status.success());
+        let text = String::from_utf8(run.stdout).expect("text");
+        let schema: serde_json::Value = serde_json::from_str(&text).expect("JSON");
+        assert_eq!(schema["$ref"], of);
+        let pretty = serde_json::to_string_pretty(&schema).expect("JSON");
+        assert_eq!(text, pretty + "\n", "pretty, with a line's end");
+    }
+}
