--- a/crates/control/src/change.rs
+++ b/crates/control/src/compatibility.rs
@@ -1,7 +1,6 @@
-//! One deployment against the next: what can change in service, what cuts too deep, and which ids
-//! stay.
+//! Which changes between two deployments can't be made in service.
 
-use corkspan::interface::{Account, Cluster, Track, TrackId};
+use corkspan::interface::{Account, Track, TrackId};
 use corkspan_deployment::Deployment;
 
 /// What a version says may shrink to this part of what it was; below, its author must say that it
@@ -125,98 +124,3 @@
     })
     .collect()
 }
-
-/// The next deployment with ids that still mean what allocations in hand were taken under. A name
-/// keeps its id; one that is gone leaves its row behind, without a name, until nothing is of it any
-/// more. A track whose repeats would be treated otherwise gets another id: what is in hand keeps
-/// the promise that it was taken under. None where more names have come and gone than rows are kept
-/// for.
-pub fn with_ids(
-    now: &Deployment,
-    next: Deployment,
-    in_use: impl Fn(TrackId) -> usize,
-) -> Option<Deployment> {
-    let (mut names, mut tracks) = (now.tracks.clone(), now.cluster.tracks.clone());
-    for (name, track) in std::iter::zip(&next.tracks, &next.cluster.tracks) {
-        let stays = names.iter().position(|own| own == name);
-        if let Some(at) = stays.filter(|&at| tracks[at].repeat == track.repeat) {
-            tracks[at] = track.clone();
-            continue;
-        }
-        if let Some(at) = stays {
-            names[at].clear();
-        }
-        put(&mut names, &mut tracks, name, track, |at| {
-            in_use(TrackId(at)) == 0
-        });
-    }
-    for name in &mut names {
-        if !next.tracks.contains(name) {
-            name.clear();
-        }
-    }
-    // Nothing is promised by account, but guests are counted by it: its row stays its own.
-    let (mut account_names, mut accounts) = (now.accounts.clone(), now.cluster.accounts.clone());
-    for (name, account) in std::iter::zip(&next.accounts, &next.cluster.accounts) {
-        match account_names.iter().position(|own| own == name) {
-            Some(at) => accounts[at] = account.clone(),
-            None => put(&mut account_names, &mut accounts, name, account, |_| false),
-        }
-    }
-    for (name, account) in std::iter::zip(&mut account_names, &mut accounts) {
-        if !next.accounts.contains(name) {
-            name.clear();
-            account.share_cores = Some(0.0);
-        }
-    }
-    if names.len().max(account_names.len()) > ROWS {
-        return None;
-    }
-    let cluster = Cluster {
-        tracks,
-        accounts,
-        ..next.cluster
-    };
-    Some(Deployment {
-        cluster,
-        tracks: names,
-        accounts: account_names,
-        ..next
-    })
-}
-
-/// Into a row that has no name and is free, or a new one.
-fn put<T: Clone>(
-    names: &mut Vec<String>,
-    rows: &mut Vec<T>,
-    name: &str,
-    row: &T,
-    free: impl Fn(usize) -> bool,
-) {
-    match (0..names.len()).find(|&at| names[at].is_empty() && free(at)) {
-        Some(at) => (names[at], rows[at]) = (name.into(), row.clone()),
-        None => {
-            names.push(name.into());
-            rows.push(row.clone());
-        }
-    }
-}
-
-/// Rows at the most, those of names that are gone among them.
-const ROWS: usize = 20_000;
-
-/// What is different in force, for on-call staff: a line for each part.
-pub fn told(now: &Deployment, next: &Deployment) -> Vec<String> {
-    let (changes, removed) = now.texts.changes_to(&next.texts);
-    let was = |name: &str| now.texts.get(name).unwrap_or("(absent)").to_string();
-    let changed = changes
-        .iter()
-        .map(|(name, text)| format!("{} -> {text}", was(name)));
-    changed
-        .chain(
-            removed
-                .iter()
-                .map(|name| format!("{} -> (absent)", was(name))),
-        )
-        .collect()
-}
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -6,15 +6,25 @@
 //! deployment against the next: what needs a restart, what cuts too deep, which ids stay.
 //! [`Publisher`] keeps the other end's books. [`Retry`] spreads the returns of a stream that broke.
 
-pub mod change;
-mod line;
+mod compatibility;
+mod differences;
+mod lineage;
 mod publisher;
 mod retry;
+mod stable_ids;
 mod subscriber;
 mod trial;
+mod version_cache;
+
+/// One deployment against the next.
+pub mod change {
+    pub use crate::compatibility::obstacles;
+    pub use crate::differences::told;
+    pub use crate::stable_ids::with_ids;
+}
 
-pub use line::{Laid, Shelf};
 pub use publisher::{Heard, Publisher};
 pub use retry::Retry;
 pub use subscriber::{Admitted, Kept, Pace, Push, Said, Subscriber, Version};
 pub use trial::{Counts, Verdict};
+pub use version_cache::{Laid, Shelf};
--- a/crates/control/src/line.rs
+++ b/crates/control/src/version_cache.rs
@@ -1,37 +1,8 @@
-//! What is known of the line of versions, and the newest of it, for those that no control service
-//! reaches.
+//! The newest version of a lineage, for those that no control service reaches.
 
+use crate::lineage::Line;
 use crate::subscriber::{Push, Version};
 use corkspan_deployment::version::{Digest, Stamp, Texts};
-use std::collections::BTreeMap;
-
-/// Stamps of a line that are remembered; 48 bytes each, so 5 MB at the most. One further behind
-/// than these can be vouched for by a control service alone.
-const MOST: usize = 100_000;
-
-/// Versions known to stand in one line, by number.
-#[derive(Clone, Debug, Default, PartialEq, Eq)]
-struct Line(BTreeMap<u64, Digest>);
-
-impl Line {
-    fn learn(&mut self, stamps: impl Iterator<Item = Stamp>) {
-        for stamp in stamps {
-            let known = self.0.insert(stamp.number, stamp.digest);
-            if known.is_some_and(|known| known != stamp.digest) {
-                // Another line: to vouch by both would lead a straggler from one into the other.
-                self.0.clear();
-                self.0.insert(stamp.number, stamp.digest);
-            }
-            if self.0.len() > MOST {
-                self.0.pop_first();
-            }
-        }
-    }
-
-    fn holds(&self, stamp: Stamp) -> bool {
-        self.0.get(&stamp.number) == Some(&stamp.digest)
-    }
-}
 
 /// What became of a version that was laid on a shelf.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
