--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -1,13 +1,13 @@
 //! What an operator asks of all dispatchers at once. What is wrong, and whether a floor may be
-//! raised, is decided in `corkspan_fleet`.
+//! raised, is decided in `corkspan_version_fencing`.
 
 use clap::Subcommand;
 use corkspan_api::v1::{self, node_client::NodeClient, versions_client::VersionsClient};
 use corkspan_dispatcher::clock::wall_ms;
-use corkspan_fleet::acts::Kind;
-use corkspan_fleet::audit::{Acted, Acts, Finding, Told, acts, findings, node_findings};
-use corkspan_fleet::{Runs, taken_by_enough};
 use corkspan_rpc::{Bounds, Link, Tasks, within};
+use corkspan_version_fencing::acts::Kind;
+use corkspan_version_fencing::audit::{Acted, Acts, Finding, Told, acts, findings, node_findings};
+use corkspan_version_fencing::{Runs, taken_by_enough};
 use futures_lite::future;
 use serde_json::json;
 use std::net::SocketAddr;
--- a/crates/cli/src/lib.rs
+++ b/crates/cli/src/lib.rs
@@ -8,8 +8,8 @@
     self, placement_client::PlacementClient, rolls_client::RollsClient,
     versions_client::VersionsClient, word::Word as Said,
 };
-use corkspan_deployment::version::Texts;
-use corkspan_deployment::{Deployment, schema, sexp};
+use corkspan_config::version::Texts;
+use corkspan_config::{Deployment, schema, sexp};
 use corkspan_dispatcher::control::RUNNING;
 use corkspan_rpc::{Bounds, Link, Tasks, within};
 use futures_lite::future;
--- a/crates/control/src/compatibility.rs
+++ b/crates/config-sync/src/compatibility.rs
@@ -1,7 +1,7 @@
 //! Which changes between two deployments can't be made in service.
 
-use corkspan::interface::{Account, Track, TrackId};
-use corkspan_deployment::Deployment;
+use corkspan_config::Deployment;
+use corkspan_scheduler::interface::{Account, Track, TrackId};
 
 /// What a version says may shrink to this part of what it was; below, its author must say that it
 /// is meant.
--- a/crates/control/src/differences.rs
+++ b/crates/config-sync/src/differences.rs
@@ -1,6 +1,6 @@
 //! What differs between two deployments, for on-call staff.
 
-use corkspan_deployment::Deployment;
+use corkspan_config::Deployment;
 
 /// What is different in force, for on-call staff: a line for each part.
 pub fn told(now: &Deployment, next: &Deployment) -> Vec<String> {
--- a/crates/control/src/lineage.rs
+++ b/crates/config-sync/src/lineage.rs
@@ -1,6 +1,6 @@
 //! Versions known to follow one another.
 
-use corkspan_deployment::version::{Digest, Stamp};
+use corkspan_config::version::{Digest, Stamp};
 use std::collections::BTreeMap;
 
 /// Stamps of a line that are remembered; 48 bytes each, so 5 MB at the most. One further behind
--- a/crates/control/src/publisher.rs
+++ b/crates/config-sync/src/publisher.rs
@@ -1,7 +1,7 @@
 //! A control service's end of the stream: its versions, and what it knows of each subscriber.
 
 use crate::subscriber::{Push, Said, Version};
-use corkspan_deployment::version::{Stamp, Texts};
+use corkspan_config::version::{Stamp, Texts};
 use std::collections::{BTreeMap, VecDeque};
 
 /// Versions that are remembered whole, to make changes from. A subscriber that runs an older one is
--- a/crates/control/src/retry.rs
+++ b/crates/config-sync/src/retry.rs
@@ -1,6 +1,6 @@
 //! When to try a broken stream again.
 
-use corkspan::interface::Tenths;
+use corkspan_scheduler::interface::Tenths;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
--- a/crates/control/src/stable_ids.rs
+++ b/crates/config-sync/src/stable_ids.rs
@@ -1,7 +1,7 @@
 //! Ids that keep their meaning from one deployment to the next.
 
-use corkspan::interface::{Cluster, TrackId};
-use corkspan_deployment::Deployment;
+use corkspan_config::Deployment;
+use corkspan_scheduler::interface::{Cluster, TrackId};
 
 /// Rows at the most, those of names that are gone among them.
 const ROWS: usize = 20_000;
--- a/crates/control/src/subscriber/pushes.rs
+++ b/crates/config-sync/src/subscriber/pushes.rs
@@ -2,7 +2,7 @@
 
 use super::state::Subscriber;
 use super::types::{Admitted, Pace, Push, Said};
-use corkspan::interface::Tenths;
+use corkspan_scheduler::interface::Tenths;
 
 /// Between two versions that take effect: a flood of them is passed over for the newest.
 const APART: Tenths = 500;
--- a/crates/control/src/subscriber/state.rs
+++ b/crates/config-sync/src/subscriber/state.rs
@@ -2,8 +2,8 @@
 
 use super::types::{Kept, Push};
 use crate::trial::{Counts, Trial, Usual};
-use corkspan::interface::Tenths;
-use corkspan_deployment::version::{Stamp, Texts};
+use corkspan_config::version::{Stamp, Texts};
+use corkspan_scheduler::interface::Tenths;
 
 /// Versions remembered as given up at the most.
 const GIVEN_UP: usize = 32;
--- a/crates/control/src/subscriber/trials.rs
+++ b/crates/config-sync/src/subscriber/trials.rs
@@ -3,8 +3,8 @@
 use super::state::{Subscriber, give_up};
 use super::types::{Kept, Version};
 use crate::trial::{Counts, Trial, Verdict};
-use corkspan::interface::Tenths;
-use corkspan_deployment::version::{Stamp, Texts};
+use corkspan_config::version::{Stamp, Texts};
+use corkspan_scheduler::interface::Tenths;
 
 impl Subscriber {
     /// It was found sound and is to take effect: what must be on disk first. The one on trial that
--- a/crates/control/src/subscriber/types.rs
+++ b/crates/config-sync/src/subscriber/types.rs
@@ -1,7 +1,7 @@
 //! What a subscriber is handed and hands back.
 
-use corkspan::interface::Tenths;
-use corkspan_deployment::version::{Stamp, Texts};
+use corkspan_config::version::{Stamp, Texts};
+use corkspan_scheduler::interface::Tenths;
 use serde::{Deserialize, Serialize};
 
 /// One version whole, as it is kept.
--- a/crates/control/src/trial.rs
+++ b/crates/config-sync/src/trial.rs
@@ -1,6 +1,6 @@
 //! Whether a version does harm: asks are refused far more often under it than before.
 
-use corkspan::interface::Tenths;
+use corkspan_scheduler::interface::Tenths;
 
 /// A trial lasts so long, and longer while fewer asks came than tell anything, up to so many times
 /// that.
--- a/crates/control/src/version_cache.rs
+++ b/crates/config-sync/src/version_cache.rs
@@ -2,7 +2,7 @@
 
 use crate::lineage::Line;
 use crate::subscriber::{Push, Version};
-use corkspan_deployment::version::{Digest, Stamp, Texts};
+use corkspan_config::version::{Digest, Stamp, Texts};
 
 /// What became of a version that was laid on a shelf.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/control/tests/line.rs
+++ b/crates/config-sync/tests/line.rs
@@ -1,7 +1,7 @@
 //! What one dispatcher or keeper vouches for to another, without a control service.
 
-use corkspan_control::{Admitted, Kept, Laid, Push, Said, Shelf, Subscriber};
-use corkspan_deployment::version::{Stamp, Texts};
+use corkspan_config::version::{Stamp, Texts};
+use corkspan_config_sync::{Admitted, Kept, Laid, Push, Said, Shelf, Subscriber};
 
 fn texts(what: u64) -> Texts {
     [("tracks".to_string(), format!("(tracks {what})"))]
--- a/crates/control/tests/recorded/changes.rs
+++ b/crates/config-sync/tests/recorded/changes.rs
@@ -1,10 +1,10 @@
 //! What differs between one deployment and the next, what stands against it, and which ids stay.
 
 use crate::transcript::*;
-use corkspan::interface::{Cluster, Repeat, TrackId};
-use corkspan_control::change;
-use corkspan_deployment::Deployment;
-use corkspan_deployment::version::Texts;
+use corkspan_config::Deployment;
+use corkspan_config::version::Texts;
+use corkspan_config_sync::change;
+use corkspan_scheduler::interface::{Cluster, Repeat, TrackId};
 use std::fmt::Write;
 
 pub const FILE: &str = include_str!("../data/deployment.sexp");
--- a/crates/control/tests/recorded/dispatcher.rs
+++ b/crates/config-sync/tests/recorded/dispatcher.rs
@@ -1,8 +1,8 @@
 //! A dispatcher as these tests drive it: a subscriber, its disk, a clock and request counts.
 
 use crate::transcript::*;
-use corkspan_control::{Admitted, Counts, Kept, Pace, Push, Said, Subscriber};
-use corkspan_deployment::version::{Stamp, Texts};
+use corkspan_config::version::{Stamp, Texts};
+use corkspan_config_sync::{Admitted, Counts, Kept, Pace, Push, Said, Subscriber};
 use std::fmt::Write;
 
 pub const SECOND: u64 = 10_000;
--- a/crates/control/tests/recorded/stored_forms.rs
+++ b/crates/config-sync/tests/recorded/stored_forms.rs
@@ -3,8 +3,8 @@
 use crate::changes::FILE;
 use crate::dispatcher::*;
 use crate::transcript::reply_text;
-use corkspan_control::{Kept, Said, Subscriber, Version};
-use corkspan_deployment::version::{Digest, Stamp, Texts};
+use corkspan_config::version::{Digest, Stamp, Texts};
+use corkspan_config_sync::{Kept, Said, Subscriber, Version};
 
 /// Number, digest, parts and the text of all of one version.
 #[test]
--- a/crates/control/tests/recorded/subscriber.rs
+++ b/crates/config-sync/tests/recorded/subscriber.rs
@@ -2,7 +2,7 @@
 
 use crate::dispatcher::*;
 use crate::transcript::*;
-use corkspan_control::{Kept, Pace, Push, Subscriber};
+use corkspan_config_sync::{Kept, Pace, Push, Subscriber};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::fmt::Write;
--- a/crates/control/tests/recorded/transcript.rs
+++ b/crates/config-sync/tests/recorded/transcript.rs
@@ -1,7 +1,7 @@
 //! Decisions as lines of text, in words that do not depend on the names of types.
 
-use corkspan_control::{Admitted, Heard, Kept, Laid, Push, Said, Version};
-use corkspan_deployment::version::{Stamp, Texts};
+use corkspan_config::version::{Stamp, Texts};
+use corkspan_config_sync::{Admitted, Heard, Kept, Laid, Push, Said, Version};
 use std::path::Path;
 
 /// Compares with what is recorded; what was got is left beside the test for a look.
--- a/crates/control/tests/recorded/version_cache.rs
+++ b/crates/config-sync/tests/recorded/version_cache.rs
@@ -2,8 +2,8 @@
 
 use crate::dispatcher::*;
 use crate::transcript::*;
-use corkspan_control::Shelf;
-use corkspan_deployment::version::Stamp;
+use corkspan_config::version::Stamp;
+use corkspan_config_sync::Shelf;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::fmt::Write;
--- a/crates/control/tests/search.rs
+++ b/crates/config-sync/tests/search.rs
@@ -7,8 +7,8 @@
 //! what is in force; and no sound version stands as turned down, but for one that does not follow
 //! what runs.
 
-use corkspan_control::{Admitted, Counts, Kept, Publisher, Push, Said, Subscriber};
-use corkspan_deployment::version::{Stamp, Texts};
+use corkspan_config::version::{Stamp, Texts};
+use corkspan_config_sync::{Admitted, Counts, Kept, Publisher, Push, Said, Subscriber};
 use std::collections::HashSet;
 use std::hash::{DefaultHasher, Hash, Hasher};
 use test_case::test_case;
--- a/crates/control/tests/stories.rs
+++ b/crates/config-sync/tests/stories.rs
@@ -1,11 +1,11 @@
 //! What a dispatcher does about versions, one story for each failure.
 
-use corkspan::interface::*;
-use corkspan_control::{
+use corkspan_config::Deployment;
+use corkspan_config::version::{Stamp, Texts};
+use corkspan_config_sync::{
     Admitted, Counts, Kept, Pace, Publisher, Push, Retry, Said, Subscriber, change,
 };
-use corkspan_deployment::Deployment;
-use corkspan_deployment::version::{Stamp, Texts};
+use corkspan_scheduler::interface::*;
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 use test_case::test_case;
--- a/crates/deployment/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -6,7 +6,7 @@
 pub mod sexp;
 pub mod version;
 
-use corkspan::interface::*;
+use corkspan_scheduler::interface::*;
 use ipnet::IpNet;
 use schema::Of;
 use sexp::{Fault, Faults, Form, Parts};
--- a/crates/deployment/src/sexp.rs
+++ b/crates/config/src/sexp.rs
@@ -3,7 +3,7 @@
 //! A form is a list whose first element is its name: `(cold (lasts 14 s) (offers 29))`. `;` starts
 //! a comment.
 
-use corkspan::interface::Tenths;
+use corkspan_scheduler::interface::Tenths;
 use lexpr::datum::Ref;
 use std::collections::BTreeSet;
 use std::path::Path;
@@ -428,9 +428,9 @@
     }
 
     /// `(name (cores 2) (memory 4))`
-    pub fn cores_and_memory(&self) -> Result<corkspan::interface::Amount, Fault> {
+    pub fn cores_and_memory(&self) -> Result<corkspan_scheduler::interface::Amount, Fault> {
         let parts = self.parts(&["cores", "memory"])?;
-        Ok(corkspan::interface::Amount {
+        Ok(corkspan_scheduler::interface::Amount {
             cores: parts.need("cores")?.above_zero()?,
             memory: parts.need("memory")?.above_zero()?,
         })
--- a/crates/deployment/tests/faults.rs
+++ b/crates/config/tests/faults.rs
@@ -1,10 +1,10 @@
 //! What is wrong with a file is told with its place and the part; what is right is read as it
 //! stands.
 
-use corkspan::interface::*;
-use corkspan_deployment::Deployment;
-use corkspan_deployment::schema::{self, Of};
-use corkspan_deployment::version::Texts;
+use corkspan_config::Deployment;
+use corkspan_config::schema::{self, Of};
+use corkspan_config::version::Texts;
+use corkspan_scheduler::interface::*;
 use proptest::prelude::*;
 use std::time::{Duration, Instant};
 use test_case::test_case;
--- a/crates/deployment/tests/recorded.rs
+++ b/crates/config/tests/recorded.rs
@@ -2,10 +2,10 @@
 //! `data/every-keyword.txt` is what the released program read from it. Each file of `data/refused`
 //! is refused with the messages beside it, and the schema has the keys, types and limits recorded.
 
-use corkspan::interface::{Place, Repeat};
-use corkspan_deployment::Deployment;
-use corkspan_deployment::schema::{self, Of};
-use corkspan_deployment::version::Texts;
+use corkspan_config::Deployment;
+use corkspan_config::schema::{self, Of};
+use corkspan_config::version::Texts;
+use corkspan_scheduler::interface::{Place, Repeat};
 use serde_json::Value;
 use std::collections::BTreeSet;
 use std::fmt::Write;
--- a/crates/dispatcher/src/bring.rs
+++ b/crates/dispatcher/src/bring.rs
@@ -1,6 +1,6 @@
 //! A straggler's way up without a control service: the newest version asked of other dispatchers,
 //! then of keepers, and taken as a pushed one is. Whom to ask when is decided in
-//! `corkspan_fleet::bring`.
+//! `corkspan_version_fencing::bring`.
 
 use crate::control::apply;
 use crate::counts::LinkKind;
@@ -8,10 +8,10 @@
 use crate::keepers;
 use crate::running::{message, push_of};
 use corkspan_api::v1::{self, keep_ask::Ask, versions_client::VersionsClient};
-use corkspan_control::{Push, Said};
-use corkspan_fleet::bring::{Came, Next, Pace, Sees, Source, Straggler};
-use corkspan_fleet::record::How;
+use corkspan_config_sync::{Push, Said};
 use corkspan_rpc::{Link, within};
+use corkspan_version_fencing::bring::{Came, Next, Pace, Sees, Source, Straggler};
+use corkspan_version_fencing::record::How;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/dispatcher/src/conductors.rs
+++ b/crates/dispatcher/src/conductors.rs
@@ -2,9 +2,9 @@
 //! and `rolls` asks them what to do next.
 
 use crate::store::{Held, Kept};
-use corkspan::interface::Tenths;
-use corkspan_roll::Roll;
-use corkspan_roll::conductor::{Conductor, ReportedSlot};
+use corkspan_rollout::Roll;
+use corkspan_rollout::conductor::{Conductor, ReportedSlot};
+use corkspan_scheduler::interface::Tenths;
 use std::collections::BTreeMap;
 use tracing::warn;
 
@@ -74,7 +74,7 @@
         match self.conductors.get_mut(&roll.service) {
             Some(conductor) => conductor.adopt(roll),
             None if !full => {
-                let seed = self.seed ^ corkspan_host::service(&roll.service).0;
+                let seed = self.seed ^ corkspan_engine::service(&roll.service).0;
                 self.conductors.insert(
                     roll.service.clone(),
                     Conductor::new(self.me, seed, roll, now),
--- a/crates/dispatcher/src/control.rs
+++ b/crates/dispatcher/src/control.rs
@@ -1,5 +1,5 @@
 //! The stream of versions: pushes read, answers written, what is in force changed. What is decided
-//! stands in `corkspan_control`.
+//! stands in `corkspan_config_sync`.
 
 use crate::clock::{duration, tenths};
 use crate::counts::LinkKind;
@@ -7,9 +7,9 @@
 use crate::fleet;
 pub use crate::running::{RUNNING, Versions, message, push_message, push_of, stamp};
 use corkspan_api::v1::{self, control_client::ControlClient};
-use corkspan_control::{Admitted, Counts, Pace, Push, Retry, Said, Shelf};
-use corkspan_fleet::record::How;
+use corkspan_config_sync::{Admitted, Counts, Pace, Push, Retry, Said, Shelf};
 use corkspan_rpc::Link;
+use corkspan_version_fencing::record::How;
 use futures_lite::{FutureExt, future};
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/crates/dispatcher/src/desk.rs
+++ b/crates/dispatcher/src/desk.rs
@@ -18,16 +18,16 @@
 use crate::store::Store;
 pub use client::Current;
 use client::{Client, Orphan, Then};
-use corkspan::interface::*;
 use corkspan_api::v1;
-use corkspan_control::change;
-use corkspan_deployment::Deployment;
-use corkspan_deployment::version::{Digest, Stamp};
-use corkspan_fleet::acts::Kind;
-use corkspan_host::{Asked, Host, NotTaken, Slice, service};
-use corkspan_roll::ClaimId;
-use corkspan_roll::conductor::Withdrawn;
+use corkspan_config::Deployment;
+use corkspan_config::version::{Digest, Stamp};
+use corkspan_config_sync::change;
+use corkspan_engine::{Asked, Host, NotTaken, Slice, service};
+use corkspan_rollout::ClaimId;
+use corkspan_rollout::conductor::Withdrawn;
 use corkspan_rpc::Tasks;
+use corkspan_scheduler::interface::*;
+use corkspan_version_fencing::acts::Kind;
 use port::{Counters, Port};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError, RwLock};
@@ -444,7 +444,7 @@
     }
 
     /// The floor of versions that shuts this dispatcher out, if one does.
-    pub fn shut_out(&self) -> Option<corkspan_fleet::Floor> {
+    pub fn shut_out(&self) -> Option<corkspan_version_fencing::Floor> {
         self.fleet.shut_out(self.deployment().stamp)
     }
 
--- a/crates/dispatcher/src/desk/client.rs
+++ b/crates/dispatcher/src/desk/client.rs
@@ -1,10 +1,10 @@
 //! What is kept of an allocation for its owner, and of what a roll has left somewhere.
 
 use crate::store::Pair;
-use corkspan::interface::*;
 use corkspan_api::v1;
-use corkspan_roll::ClaimId;
-use corkspan_roll::conductor::Withdrawn;
+use corkspan_rollout::ClaimId;
+use corkspan_rollout::conductor::Withdrawn;
+use corkspan_scheduler::interface::*;
 use std::collections::BTreeSet;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
--- a/crates/dispatcher/src/desk/outcomes.rs
+++ b/crates/dispatcher/src/desk/outcomes.rs
@@ -3,10 +3,10 @@
 use super::Desk;
 use super::client::Client;
 use crate::shots::Follows;
-use corkspan::interface::*;
 use corkspan_api::v1;
-use corkspan_roll::conductor::Withdrawn;
+use corkspan_rollout::conductor::Withdrawn;
 use corkspan_rpc::{Bounds, Tasks};
+use corkspan_scheduler::interface::*;
 use std::sync::Arc;
 use tracing::warn;
 use v1::word::Word as Said;
--- a/crates/dispatcher/src/fleet.rs
+++ b/crates/dispatcher/src/fleet.rs
@@ -1,5 +1,5 @@
 //! The floor of versions: keepers asked for it, and what is heard of it kept. What is decided
-//! stands in `corkspan_fleet`.
+//! stands in `corkspan_version_fencing`.
 
 use crate::clock::duration;
 use crate::desk::Desk;
@@ -8,11 +8,11 @@
 use crate::standing::say;
 pub use crate::standing::{message, read};
 use corkspan_api::v1::{self, keep_ask::Ask};
-use corkspan_deployment::FloorWatch;
-use corkspan_fleet::bring::lays;
-use corkspan_fleet::rule::{Rule, Watch};
-use corkspan_fleet::{Floor, next};
-use corkspan_keeper::{in_force, of_a_few};
+use corkspan_config::FloorWatch;
+use corkspan_quorum::{in_force, of_a_few};
+use corkspan_version_fencing::bring::lays;
+use corkspan_version_fencing::rule::{Rule, Watch};
+use corkspan_version_fencing::{Floor, next};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::sync::Arc;
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -1,4 +1,4 @@
-//! The dispatcher daemon: owners ask over gRPC, the decisions of [`corkspan::rules`] say where to,
+//! The dispatcher daemon: owners ask over gRPC, the decisions of [`corkspan_scheduler::rules`] say where to,
 //! nodes are offered the work, and the answers go back. It turns what it reads straight into calls,
 //! and answers straight into messages; docs/dispatcher.md says how and why.
 
@@ -27,7 +27,7 @@
 use corkspan_api::v1::{
     placement_server::PlacementServer, rolls_server::RollsServer, versions_server::VersionsServer,
 };
-use corkspan_deployment::Deployment;
+use corkspan_config::Deployment;
 use corkspan_rpc::Tasks;
 pub use corkspan_runtime::clock;
 use corkspan_runtime::{Signal, signals};
@@ -107,7 +107,7 @@
     let mut roster = path.as_deref().map(Roster::remembered).unwrap_or_default();
     let entries = roster.entries(&desk);
     info!(%address, remembered = entries.len(), "listening");
-    desk.listed(corkspan::interface::Scope::Remembered, &entries);
+    desk.listed(corkspan_scheduler::interface::Scope::Remembered, &entries);
 
     let service = All {
         placement: PlacementServer::new(Clients(Arc::clone(&desk)))
--- a/crates/dispatcher/src/links.rs
+++ b/crates/dispatcher/src/links.rs
@@ -3,7 +3,7 @@
 use crate::clock::duration;
 use async_lock::Mutex as AsyncMutex;
 use corkspan_api::v1::{self, node_client::NodeClient};
-use corkspan_deployment::Bounds;
+use corkspan_config::Bounds;
 use corkspan_rpc::{Link, Meter, NoLink, Tasks, within};
 use futures_lite::future;
 use std::net::SocketAddr;
--- a/crates/dispatcher/src/rolls.rs
+++ b/crates/dispatcher/src/rolls.rs
@@ -1,14 +1,14 @@
 //! Rolling updates: the conductors' answers carried out, keepers asked, claims kept on disk before
-//! the step that depends on them. What is decided stands in `corkspan_roll`.
+//! the step that depends on them. What is decided stands in `corkspan_rollout`.
 
 use crate::desk::Desk;
 use crate::keepers::ask_all;
 pub use crate::store::{Closes, Held, Kept, Pair, Store};
 use corkspan_api::v1;
-use corkspan_fleet::acts::Kind;
-use corkspan_roll::Grant;
-use corkspan_roll::conductor::{ClaimRequest, Conductor, Look, ReportedSlot, Votes};
-use corkspan_roll::{ClaimId, Order, Phase, Roll, in_force, majority, to_follow};
+use corkspan_rollout::Grant;
+use corkspan_rollout::conductor::{ClaimRequest, Conductor, Look, ReportedSlot, Votes};
+use corkspan_rollout::{ClaimId, Order, Phase, Roll, in_force, majority, to_follow};
+use corkspan_version_fencing::acts::Kind;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/dispatcher/src/roster.rs
+++ b/crates/dispatcher/src/roster.rs
@@ -5,9 +5,9 @@
 use crate::counts::LinkKind;
 use crate::desk::Desk;
 use async_io::Timer;
-use corkspan::interface::*;
 use corkspan_api::v1::{self, roster_client::RosterClient};
 use corkspan_rpc::Link;
+use corkspan_scheduler::interface::*;
 use futures_lite::{FutureExt, future};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -220,7 +220,7 @@
 
 fn sum(lines: &[Line]) -> u64 {
     let text = serde_json::to_string(lines).unwrap_or_default();
-    corkspan_host::service(&text).0
+    corkspan_engine::service(&text).0
 }
 
 fn read(path: &Path) -> Result<Option<Kept>, String> {
--- a/crates/dispatcher/src/running.rs
+++ b/crates/dispatcher/src/running.rs
@@ -2,9 +2,9 @@
 
 use crate::versions;
 use corkspan_api::v1;
-use corkspan_control::{Kept, Push, Shelf, Subscriber};
-use corkspan_deployment::Deployment;
-use corkspan_deployment::version::{Digest, Stamp, Texts};
+use corkspan_config::Deployment;
+use corkspan_config::version::{Digest, Stamp, Texts};
+use corkspan_config_sync::{Kept, Push, Shelf, Subscriber};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -38,7 +38,10 @@
 
 impl Versions {
     /// Reads what an earlier life kept, and the deployment that is in force by it.
-    pub fn start(file: Deployment, now: corkspan::interface::Tenths) -> (Self, Deployment) {
+    pub fn start(
+        file: Deployment,
+        now: corkspan_scheduler::interface::Tenths,
+    ) -> (Self, Deployment) {
         let path = file.versions.clone();
         let mut kept = path.as_deref().map(versions::read).unwrap_or_default();
         let mut start = loop {
--- a/crates/dispatcher/src/shots.rs
+++ b/crates/dispatcher/src/shots.rs
@@ -3,9 +3,9 @@
 //! have, unless the node itself says no.
 
 use crate::links::{Counted, NodeLink};
-use corkspan::interface::*;
 use corkspan_api::v1::{self, node_client::NodeClient, said::Said as Word};
 use corkspan_rpc::{Bounds, Link, Tasks, within};
+use corkspan_scheduler::interface::*;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
--- a/crates/dispatcher/src/standing.rs
+++ b/crates/dispatcher/src/standing.rs
@@ -3,10 +3,10 @@
 
 use crate::clock::wall_ms;
 use corkspan_api::v1;
-use corkspan_deployment::version::Stamp;
-use corkspan_fleet::acts::Kind;
-use corkspan_fleet::record::{How, Record, Span};
-use corkspan_fleet::{Floor, Standing};
+use corkspan_config::version::Stamp;
+use corkspan_version_fencing::acts::Kind;
+use corkspan_version_fencing::record::{How, Record, Span};
+use corkspan_version_fencing::{Floor, Standing};
 use std::collections::VecDeque;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
--- a/crates/dispatcher/src/store.rs
+++ b/crates/dispatcher/src/store.rs
@@ -1,8 +1,8 @@
 //! What a dispatcher keeps on disk beside its list and its versions: rolls, claims, and which
 //! versions were in force.
 
-use corkspan_fleet::record::Span;
-use corkspan_roll::{ClaimId, Roll};
+use corkspan_rollout::{ClaimId, Roll};
+use corkspan_version_fencing::record::Span;
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
--- a/crates/dispatcher/src/versions.rs
+++ b/crates/dispatcher/src/versions.rs
@@ -1,8 +1,8 @@
 //! The last good version on disk, and the one on trial: written before either is in force. The file
 //! before is kept beside, so that a torn one costs one step and no guess.
 
-use corkspan_control::{Kept, Version};
-use corkspan_deployment::version::{Digest, Stamp, Texts};
+use corkspan_config::version::{Digest, Stamp, Texts};
+use corkspan_config_sync::{Kept, Version};
 use serde::{Deserialize, Serialize};
 use std::path::{Path, PathBuf};
 use tracing::warn;
--- a/crates/dispatcher/tests/store.rs
+++ b/crates/dispatcher/tests/store.rs
@@ -1,8 +1,8 @@
 //! The store of rolls, killed at each of its steps and torn.
 
 use corkspan_dispatcher::rolls::{Held, Pair, Store};
-use corkspan_fleet::record::{How, Span};
-use corkspan_roll::{ClaimId, Order, Phase, Roll};
+use corkspan_rollout::{ClaimId, Order, Phase, Roll};
+use corkspan_version_fencing::record::{How, Span};
 use std::collections::VecDeque;
 use std::path::Path;
 use test_case::test_case;
--- a/crates/host/tests/stories.rs
+++ b/crates/engine/tests/stories.rs
@@ -1,7 +1,7 @@
 //! What a caller relies on, one story each, against a wire that writes down what it is told.
 
-use corkspan::interface::*;
-use corkspan_host::{Asked, Host, NotTaken, Slice, Wire, service};
+use corkspan_engine::{Asked, Host, NotTaken, Slice, Wire, service};
+use corkspan_scheduler::interface::*;
 
 const SECOND: Tenths = 10_000;
 
--- a/crates/lab/src/capacity/asks.rs
+++ b/crates/lab/src/capacity/asks.rs
@@ -1,9 +1,9 @@
 //! What the decisions alone cost where allocations wait for room: one ask, and a second of so many
 //! that wait. The clock is virtual, the processor time that of the thread.
 
-use corkspan::interface::*;
-use corkspan::rules::Scheduler;
-use corkspan_host::{Asked, Host, Slice, Wire};
+use corkspan_engine::{Asked, Host, Slice, Wire};
+use corkspan_scheduler::interface::*;
+use corkspan_scheduler::rules::Scheduler;
 
 const SECOND: Tenths = 10_000;
 const SIZE: Amount = Amount {
--- a/crates/lab/src/capacity/stage.rs
+++ b/crates/lab/src/capacity/stage.rs
@@ -11,12 +11,12 @@
 use crate::roster::Roster;
 use async_io::Timer;
 use async_net::TcpListener;
-use corkspan::interface::Amount;
 use corkspan_api::v1::{
     self, link_count::Kind, node_server::NodeServer, placement_client::PlacementClient,
 };
-use corkspan_deployment::version::{Stamp, Texts};
+use corkspan_config::version::{Stamp, Texts};
 use corkspan_rpc::{Bounds, Link, Tasks, within};
+use corkspan_scheduler::interface::Amount;
 use futures_lite::future;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
--- a/crates/lab/src/day.rs
+++ b/crates/lab/src/day.rs
@@ -1,7 +1,7 @@
 //! Day scripts: what happens when. The grammar is written down in docs/days.md.
 
 use crate::relay::Way;
-use corkspan_deployment::sexp::{self, Fault, Form};
+use corkspan_config::sexp::{self, Fault, Form};
 use std::ops::Range;
 use std::path::Path;
 use std::time::Duration;
--- a/crates/lab/src/hollow.rs
+++ b/crates/lab/src/hollow.rs
@@ -5,7 +5,7 @@
 pub mod fleet;
 
 use clap::{Parser, Subcommand};
-use corkspan_deployment::Deployment;
+use corkspan_config::Deployment;
 use corkspan_dispatcher::{Failure, rolls::Store};
 use corkspan_rpc::Tasks;
 use corkspan_runtime::{Signal, signals};
--- a/crates/lab/src/node.rs
+++ b/crates/lab/src/node.rs
@@ -5,18 +5,18 @@
 use async_io::Timer;
 use async_lock::{Mutex as AsyncMutex, Semaphore};
 use async_net::TcpListener;
-use corkspan::interface::Amount;
 use corkspan_api::v1::{self, node_server::NodeServer, said::Said, turned::Why};
-use corkspan_control::Shelf;
+use corkspan_config_sync::Shelf;
 use corkspan_dispatcher::{control, fleet, outings};
-use corkspan_fleet::acts::{Acts, By, Kind};
-use corkspan_fleet::rule::Rows;
-use corkspan_fleet::{Disk, Fence, Floor, Look, Runs};
 use corkspan_maintenance::board::Board;
 use corkspan_maintenance::door::Door;
 use corkspan_maintenance::{ClaimId, Machine};
-use corkspan_roll::{Claimed, Grant, Keeper};
+use corkspan_rollout::{Claimed, Grant, Keeper};
 use corkspan_rpc::{Bounds, Tasks};
+use corkspan_scheduler::interface::Amount;
+use corkspan_version_fencing::acts::{Acts, By, Kind};
+use corkspan_version_fencing::rule::Rows;
+use corkspan_version_fencing::{Disk, Fence, Floor, Look, Runs};
 use futures_lite::Stream;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -142,7 +142,7 @@
     listener: Mutex<Option<TcpListener>>,
     /// On its disk: it survives the process.
     keeper: Mutex<Keeper>,
-    floors: Mutex<corkspan_keeper::Keeper<Floor>>,
+    floors: Mutex<corkspan_quorum::Keeper<Floor>>,
     rows: Mutex<Rows>,
     shelf: Mutex<Shelf>,
     board: Mutex<Board>,
@@ -713,7 +713,7 @@
     /// Runs it to its end: notes of its use, eviction where memory runs out.
     async fn run(&self, life: u64, shot: v1::Shot) {
         let mut rng =
-            Pcg64Mcg::seed_from_u64(self.plan.seed ^ corkspan_host::service(&shot.placing).0);
+            Pcg64Mcg::seed_from_u64(self.plan.seed ^ corkspan_engine::service(&shot.placing).0);
         let ask = Amount {
             cores: shot.cores,
             memory: shot.memory,
@@ -933,7 +933,7 @@
 
     async fn keep(&self, request: Request<v1::KeepAsk>) -> Result<Response<v1::KeepWord>, Status> {
         use v1::keep_ask::Ask;
-        let kept = |roll: &corkspan_roll::Roll, slots| v1::Kept {
+        let kept = |roll: &corkspan_rollout::Roll, slots| v1::Kept {
             roll: Some(corkspan_dispatcher::rolls::message(roll)),
             slots,
         };
@@ -958,7 +958,7 @@
                 let slot = claim
                     .slot
                     .ok_or_else(|| Status::invalid_argument("no slot"))?;
-                let own = corkspan_roll::ClaimId(slot.claim);
+                let own = corkspan_rollout::ClaimId(slot.claim);
                 let grant = Grant {
                     claim: own,
                     task: slot.task,
@@ -968,7 +968,7 @@
                 word.granted = claimed == Claimed::Granted;
             }
             Some(Ask::Release(release)) => {
-                keeper.release(&release.service, corkspan_roll::ClaimId(release.claim));
+                keeper.release(&release.service, corkspan_rollout::ClaimId(release.claim));
             }
             Some(Ask::Floor(floor)) => {
                 let mut floors = self
--- a/crates/lab/tests/full_path/rig.rs
+++ b/crates/lab/tests/full_path/rig.rs
@@ -1,15 +1,15 @@
 //! One dispatcher, some nodes and a roster on one executor, all on loopback.
 
 use async_io::Timer;
-use corkspan::interface::Amount;
 use corkspan_api::v1::{self, placement_client::PlacementClient, word::Word};
-use corkspan_deployment::Deployment;
+use corkspan_config::Deployment;
 use corkspan_dispatcher::Failure;
 use corkspan_dispatcher::rolls::Store;
 use corkspan_lab::capture::{Capture, Line, Seen};
 use corkspan_lab::node::{Cold, Node, Plan, World};
 use corkspan_lab::roster::Roster;
 use corkspan_rpc::{Bounds, Link, Tasks, within};
+use corkspan_scheduler::interface::Amount;
 use futures_lite::future;
 use std::future::Future;
 use std::net::SocketAddr;
--- a/crates/lab/tests/full_path/stores.rs
+++ b/crates/lab/tests/full_path/stores.rs
@@ -2,7 +2,7 @@
 
 use corkspan_dispatcher::rolls::{Held, Pair, Store};
 use corkspan_lab::disk::{self, Full};
-use corkspan_roll::ClaimId;
+use corkspan_rollout::ClaimId;
 
 fn held(claim: u64, won: bool, pair: Option<bool>) -> Held {
     let pair = pair.map(|retires| Pair {
--- a/crates/lab/tests/full_path/versions.rs
+++ b/crates/lab/tests/full_path/versions.rs
@@ -5,8 +5,8 @@
 use corkspan_api::v1::{
     self, refused::Why, told::Answer, versions_client::VersionsClient, word::Word,
 };
-use corkspan_control::Push;
-use corkspan_deployment::version::{Stamp, Texts};
+use corkspan_config::version::{Stamp, Texts};
+use corkspan_config_sync::Push;
 use corkspan_lab::control::{Control, Up, message, stamp_of};
 use corkspan_lab::pushes;
 use corkspan_rpc::{Bounds, Link};
--- a/crates/lab/tests/stand_in_node.rs
+++ b/crates/lab/tests/stand_in_node.rs
@@ -8,11 +8,11 @@
 //! error is `! CODE TEXT`; or `restart`. Left out are what depends on the clock: notes of use, load
 //! reports beside other news, and how long a cordon has been as it is.
 
-use corkspan::interface::Amount;
 use corkspan_api::v1;
 use corkspan_lab::capture::{Capture, NodeState};
 use corkspan_lab::node::{Cold, Node, Plan, World};
 use corkspan_rpc::{Bounds, Link, Tasks};
+use corkspan_scheduler::interface::Amount;
 use futures_lite::{StreamExt, future};
 use prost::Message;
 use prost::bytes::{Buf, BufMut};
--- a/crates/load/src/plan.rs
+++ b/crates/load/src/plan.rs
@@ -2,7 +2,7 @@
 
 use crate::mix::Kind;
 use crate::shape::{Phase, Shape, Spacing};
-use corkspan_deployment::sexp::{self, Fault, Form};
+use corkspan_config::sexp::{self, Fault, Form};
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
--- a/crates/maintenance/src/lib.rs
+++ b/crates/maintenance/src/lib.rs
@@ -12,7 +12,7 @@
 pub mod look;
 pub mod order;
 
-pub use corkspan_keeper::{ClaimId, majority};
+pub use corkspan_quorum::{ClaimId, majority};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -101,7 +101,7 @@
     pub course: Course,
 }
 
-impl corkspan_keeper::Wish for Wish {
+impl corkspan_quorum::Wish for Wish {
     /// There is one.
     type Matter = ();
 
--- a/crates/maintenance/src/look.rs
+++ b/crates/maintenance/src/look.rs
@@ -6,7 +6,7 @@
 use crate::{
     At, ClaimId, Course, Limits, Machine, Outing, Phase, Slots, Then, Wish, majority, shares,
 };
-use corkspan_keeper::in_force;
+use corkspan_quorum::in_force;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What one keeper tells.
--- a/crates/platform-wire/src/file.rs
+++ b/crates/platform-wire/src/file.rs
@@ -1,7 +1,7 @@
 //! The file that a dispatcher is told its place by, at its start and again while it runs.
 
 use crate::feed::Event;
-use corkspan_facts::Facts;
+use corkspan_settings::Facts;
 use serde::Deserialize;
 use std::net::SocketAddr;
 
--- a/crates/platform/src/connections.rs
+++ b/crates/platform/src/connections.rs
@@ -4,8 +4,8 @@
 use crate::nodes::Nodes;
 use crate::outbox::{Inbox, Outbox, outbox};
 use crate::places::HEARD_OUT;
-use corkspan::interface::*;
 use corkspan_platform_wire::node;
+use corkspan_scheduler::interface::*;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Connections to one node at the most.
--- a/crates/platform/src/core.rs
+++ b/crates/platform/src/core.rs
@@ -9,14 +9,14 @@
 use crate::outbox::{Inbox, outbox};
 use crate::places::Places;
 use clients::Owner;
-use corkspan::interface::*;
-use corkspan_facts::Facts;
-use corkspan_host::{Host, Slice};
+use corkspan_engine::{Host, Slice};
 use corkspan_platform_wire::feed::Event;
 use corkspan_platform_wire::file::{Known, Posting};
 use corkspan_platform_wire::node;
 #[cfg(test)]
 use corkspan_platform_wire::owner::Message;
+use corkspan_scheduler::interface::*;
+use corkspan_settings::Facts;
 use limits::*;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -147,7 +147,7 @@
 impl Core {
     pub fn new(start: Start, now: Tenths, effects: Box<dyn Effects>) -> Core {
         let limits = &start.facts.limits;
-        let time = |us: Option<u64>, absent| us.map_or(absent, corkspan_facts::tenths);
+        let time = |us: Option<u64>, absent| us.map_or(absent, corkspan_settings::tenths);
         let links = Links::new(
             start.nodes_most,
             start.facts.opens_within(),
--- a/crates/platform/src/core/engine_effects.rs
+++ b/crates/platform/src/core/engine_effects.rs
@@ -2,7 +2,7 @@
 
 use super::tasks::{Out, Placing, Stage, sid};
 use super::*;
-use corkspan_host::Wire;
+use corkspan_engine::Wire;
 use corkspan_platform_wire::node::Value;
 use corkspan_platform_wire::owner::{self, Kind};
 use tracing::debug;
--- a/crates/platform/src/core/limits.rs
+++ b/crates/platform/src/core/limits.rs
@@ -1,6 +1,6 @@
 //! How much is kept and how long is waited.
 
-use corkspan::interface::Tenths;
+use corkspan_scheduler::interface::Tenths;
 
 pub(super) const SECOND: Tenths = 10_000;
 /// An attempt that begins over 0.1 s after its client has gone is one too many: a tenth of that may
--- a/crates/platform/src/core/set_ups.rs
+++ b/crates/platform/src/core/set_ups.rs
@@ -2,7 +2,7 @@
 
 use super::tasks::{Out, Placing, Stage, sid};
 use super::*;
-use corkspan_host::{Asked, service};
+use corkspan_engine::{Asked, service};
 use corkspan_platform_wire::owner::{self, Message, SetUp};
 use tracing::debug;
 
--- a/crates/platform/src/core/tasks.rs
+++ b/crates/platform/src/core/tasks.rs
@@ -1,8 +1,8 @@
 //! What is kept for an allocation in hand, and what falls due for it.
 
 use crate::ids::{LinkId, OwnerId};
-use corkspan::interface::*;
 use corkspan_platform_wire::owner::SetUp;
+use corkspan_scheduler::interface::*;
 
 /// How far an allocation has come with its owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/platform/src/effects.rs
+++ b/crates/platform/src/effects.rs
@@ -4,9 +4,9 @@
 use crate::handle::Desk;
 use crate::links;
 use async_lock::Semaphore;
-use corkspan::interface::Tenths;
 use corkspan_runtime::Tasks;
 use corkspan_runtime::clock::Clock;
+use corkspan_scheduler::interface::Tenths;
 use std::sync::{Arc, Weak};
 use std::time::Instant;
 
--- a/crates/platform/src/handle.rs
+++ b/crates/platform/src/handle.rs
@@ -4,13 +4,13 @@
 use crate::ids::{AttemptId, LinkId, OwnerId};
 use crate::input::{Heard, Input};
 use crate::outbox::Inbox;
-use corkspan::interface::Tenths;
 use corkspan_platform_wire::feed::Event;
 use corkspan_platform_wire::file::{Known, Posting};
 use corkspan_platform_wire::node;
 #[cfg(test)]
 use corkspan_platform_wire::owner::Message;
 use corkspan_runtime::clock::{Clock, duration};
+use corkspan_scheduler::interface::Tenths;
 use std::sync::{Arc, Mutex, MutexGuard, Weak};
 use std::time::Duration;
 
--- a/crates/platform/src/ids.rs
+++ b/crates/platform/src/ids.rs
@@ -1,6 +1,6 @@
 //! What tells connections and attempts apart.
 
-use corkspan::interface::AllocationId;
+use corkspan_scheduler::interface::AllocationId;
 
 /// A connection of an owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,5 +1,5 @@
 //! A dispatcher on the platform's protocol: owners set tasks up over binary messages, the decisions
-//! of [`corkspan::rules`] say where to, nodes get them as JSON lines, and the control feed tells
+//! of [`corkspan_scheduler::rules`] say where to, nodes get them as JSON lines, and the control feed tells
 //! which nodes there are. docs/platform.md says how and why.
 
 mod connections;
--- a/crates/platform/src/nodes.rs
+++ b/crates/platform/src/nodes.rs
@@ -1,8 +1,8 @@
 //! The nodes by name and address, and what stands on them.
 
-use corkspan::interface::*;
-use corkspan_facts::Facts;
 use corkspan_platform_wire::feed::{self, Member, Members, Phase};
+use corkspan_scheduler::interface::*;
+use corkspan_settings::Facts;
 use fnv::FnvHasher;
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::Hasher;
--- a/crates/platform/tests/outbox/turns.rs
+++ b/crates/platform/tests/outbox/turns.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::ids::AttemptId;
 use crate::input::{Came, Heard, Input};
-use corkspan::interface::AllocationId;
+use corkspan_scheduler::interface::AllocationId;
 use futures_lite::future;
 use std::io::Write;
 use std::net::{TcpListener, TcpStream as Peer};
--- a/crates/roll/src/conductor.rs
+++ b/crates/rollout/src/conductor.rs
@@ -11,7 +11,7 @@
 pub mod types;
 
 use crate::{ClaimId, Phase, Roll};
-use corkspan::interface::Tenths;
+use corkspan_scheduler::interface::Tenths;
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use replica::{Claim, Copy, Step};
--- a/crates/roll/src/conductor/claims.rs
+++ b/crates/rollout/src/conductor/claims.rs
@@ -4,7 +4,7 @@
 use super::types::{ClaimRequest, Recalled, ReportedSlot, Votes};
 use super::{BACK_OFF, Conductor, LONGEST_BACK_OFF};
 use crate::{ClaimId, majority};
-use corkspan::interface::Tenths;
+use corkspan_scheduler::interface::Tenths;
 use rand::RngExt;
 
 impl Conductor {
--- a/crates/roll/src/conductor/events.rs
+++ b/crates/rollout/src/conductor/events.rs
@@ -4,7 +4,7 @@
 use super::types::Withdrawn;
 use super::{Conductor, LONGEST_BACK_OFF};
 use crate::ClaimId;
-use corkspan::interface::Tenths;
+use corkspan_scheduler::interface::Tenths;
 
 impl Conductor {
     /// A replica is this dispatcher's, of this version and not known to be ready: placed, being
--- a/crates/roll/src/conductor/replica.rs
+++ b/crates/rollout/src/conductor/replica.rs
@@ -1,7 +1,7 @@
 //! What a controller keeps of one replica and of one claim.
 
 use crate::ClaimId;
-use corkspan::interface::Tenths;
+use corkspan_scheduler::interface::Tenths;
 
 /// One replica of this dispatcher.
 #[derive(Clone, Debug, PartialEq)]
--- a/crates/roll/src/conductor/steps.rs
+++ b/crates/rollout/src/conductor/steps.rs
@@ -4,7 +4,7 @@
 use super::types::{ClaimRequest, Look, OrphanedSurge, ReportedSlot};
 use super::{Conductor, FORGET, LOOK, SAY};
 use crate::{ClaimId, Order, Phase};
-use corkspan::interface::Tenths;
+use corkspan_scheduler::interface::Tenths;
 use rand::RngExt;
 
 impl Conductor {
--- a/crates/roll/src/conductor/types.rs
+++ b/crates/rollout/src/conductor/types.rs
@@ -1,7 +1,7 @@
 //! What a controller is told and what it wants done.
 
 use crate::{ClaimId, Grant};
-use corkspan::interface::Tenths;
+use corkspan_scheduler::interface::Tenths;
 
 /// A slot that quorum members report as held, and how many report this same grant.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/crates/roll/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -2,14 +2,14 @@
 //!
 //! A roll replaces the copies of a service by a new version, so that never more than a stated
 //! number of them are not ready, over all dispatchers together, which share nothing. The keepers of
-//! [`corkspan_keeper`] are the place of truth: they keep each service's latest roll and who holds
+//! [`corkspan_quorum`] are the place of truth: they keep each service's latest roll and who holds
 //! its slots. A copy may be taken down only by who holds a slot at a majority of them.
 //! [`conductor`] decides for one dispatcher: which copy next, when to wait, when to halt.
 
 pub mod conductor;
 
-use corkspan::interface::Tenths;
-pub use corkspan_keeper::{ClaimId, Claimed, Grant, in_force, majority, to_follow};
+pub use corkspan_quorum::{ClaimId, Claimed, Grant, in_force, majority, to_follow};
+use corkspan_scheduler::interface::Tenths;
 use serde::{Deserialize, Serialize};
 
 /// A service's roll, as its operator wants it.
@@ -56,9 +56,9 @@
 }
 
 /// What a node keeps of rolls.
-pub type Keeper = corkspan_keeper::Keeper<Roll>;
+pub type Keeper = corkspan_quorum::Keeper<Roll>;
 
-impl corkspan_keeper::Wish for Roll {
+impl corkspan_quorum::Wish for Roll {
     /// Its service.
     type Matter = String;
 
--- a/crates/roll/tests/conductor.rs
+++ b/crates/rollout/tests/conductor.rs
@@ -1,10 +1,10 @@
 //! What one dispatcher decides of a roll, whatever comes in whatever order.
 
-use corkspan_roll::conductor::{
+use corkspan_rollout::conductor::{
     ClaimRequest, Conductor, Look, Recalled, ReplicaCounts, ReportedSlot, Votes, Withdrawn,
 };
-use corkspan_roll::{ClaimId, Order, Phase, Roll};
-use corkspan_roll::{Claimed, Grant, Keeper};
+use corkspan_rollout::{ClaimId, Order, Phase, Roll};
+use corkspan_rollout::{Claimed, Grant, Keeper};
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 use test_case::test_case;
--- a/crates/roll/tests/decisions.rs
+++ b/crates/rollout/tests/decisions.rs
@@ -1,8 +1,8 @@
 //! What the controllers of three dispatchers decide over a scripted, seeded run is compared byte for
 //! byte with the transcript that an earlier version of this program wrote.
 
-use corkspan_roll::conductor::{ClaimRequest, Conductor, Look, ReportedSlot, Votes, Withdrawn};
-use corkspan_roll::{ClaimId, Claimed, Grant, Keeper, Order, Phase, Roll};
+use corkspan_rollout::conductor::{ClaimRequest, Conductor, Look, ReportedSlot, Votes, Withdrawn};
+use corkspan_rollout::{ClaimId, Claimed, Grant, Keeper, Order, Phase, Roll};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
--- a/crates/roll/tests/search.rs
+++ b/crates/rollout/tests/search.rs
@@ -3,8 +3,8 @@
 //! in a small case. And that the search is able to find a protocol that can: turns in time, and
 //! keepers asked without a majority.
 
-use corkspan_roll::{ClaimId, Order, Phase, Roll, in_force, majority, to_follow};
-use corkspan_roll::{Claimed, Grant, Keeper};
+use corkspan_rollout::{ClaimId, Order, Phase, Roll, in_force, majority, to_follow};
+use corkspan_rollout::{Claimed, Grant, Keeper};
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 use test_case::test_case;
 
--- a/crates/roll/tests/stored_state.rs
+++ b/crates/rollout/tests/stored_state.rs
@@ -2,7 +2,7 @@
 //! read to the same content and written back byte for byte; a half-written file is refused with the
 //! same message.
 
-use corkspan_roll::{ClaimId, Grant, Keeper, Order, Phase, Roll};
+use corkspan_rollout::{ClaimId, Grant, Keeper, Order, Phase, Roll};
 
 const STORED: &str = include_str!("data/stored-state.json");
 
--- a/crates/runtime/src/clock.rs
+++ b/crates/runtime/src/clock.rs
@@ -1,6 +1,6 @@
 //! The clock handed to the decisions: monotonic, in whole tenths of a millisecond.
 
-use corkspan::interface::Tenths;
+use corkspan_scheduler::interface::Tenths;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 /// Starts at the time of day, so that moments told by others stand on the same scale, and from then
--- a/tests/host/mod.rs
+++ b/crates/scheduler/tests/host/mod.rs
@@ -1,7 +1,7 @@
 //! A fake host: a handful of machines and whoever asks, with nothing decided in it.
 
-use corkspan::interface::*;
-use corkspan::rules::Scheduler;
+use corkspan_scheduler::interface::*;
+use corkspan_scheduler::rules::Scheduler;
 
 pub const SECOND: Tenths = 10_000;
 pub const SIZE: Amount = Amount {
--- a/crates/facts/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,6 +1,6 @@
 //! The settings that an instance is handed at its start, and what the decisions are handed of them.
 
-use corkspan::interface::*;
+use corkspan_scheduler::interface::*;
 use serde::Deserialize;
 
 #[derive(Deserialize)]
--- a/crates/facts/tests/recorded.rs
+++ b/crates/settings/tests/recorded.rs
@@ -1,8 +1,8 @@
 //! Settings recorded under `tests/data`: every keyword is read to the same content, and what can't
 //! be used is refused in the same words.
 
-use corkspan::interface::{Amount, Cluster, Place, Repeat, Track};
-use corkspan_facts::Facts;
+use corkspan_scheduler::interface::{Amount, Cluster, Place, Repeat, Track};
+use corkspan_settings::Facts;
 use serde_json::Value;
 use std::fmt::Write;
 use std::path::Path;
--- a/crates/benchlink/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -1,9 +1,9 @@
 //! One dispatcher on the simulator's wire: lines to calls on the host, its answers to lines.
 
 use crate::wire::{Fault, Message};
-use corkspan::interface::*;
-use corkspan_facts::{Facts, tenths};
-use corkspan_host::{Asked, Host, Slice, Wire, service};
+use corkspan_engine::{Asked, Host, Slice, Wire, service};
+use corkspan_scheduler::interface::*;
+use corkspan_settings::{Facts, tenths};
 use std::fmt::Write;
 
 pub struct Instance {
--- a/crates/benchlink/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -3,8 +3,8 @@
 mod instance;
 mod wire;
 
-use corkspan::interface::*;
-use corkspan_facts::tenths;
+use corkspan_scheduler::interface::*;
+use corkspan_settings::tenths;
 use instance::Instance;
 use std::collections::BTreeMap;
 use std::io::{BufRead, Write};
@@ -18,7 +18,7 @@
     match run(std::io::stdin().lock(), std::io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(fault) => {
-            eprintln!("corkspan-benchlink: {fault}");
+            eprintln!("corkspan-simulator-adapter: {fault}");
             ExitCode::FAILURE
         }
     }
--- a/crates/benchlink/tests/conversation.rs
+++ b/crates/simulator-adapter/tests/conversation.rs
@@ -4,7 +4,7 @@
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
-const ADAPTER: &str = env!("CARGO_BIN_EXE_corkspan-benchlink");
+const ADAPTER: &str = env!("CARGO_BIN_EXE_corkspan-simulator-adapter");
 const CONVERSATION: &str = include_str!("data/conversation.in");
 const ANSWERS: &str = include_str!("data/conversation.out");
 /// Inputs, each followed by the complaint about it after `=> `.
--- a/crates/fleet/src/bring.rs
+++ b/crates/version-fencing/src/bring.rs
@@ -1,7 +1,7 @@
 //! How a straggler is brought up: from whom it asks for the newest version next, and when. Without
 //! a clock: moments are told, in any unit that [`Pace`] is told in too.
 
-use corkspan_keeper::of_a_few;
+use corkspan_quorum::of_a_few;
 use rand::seq::SliceRandom;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
--- a/crates/fleet/src/lib.rs
+++ b/crates/version-fencing/src/lib.rs
@@ -14,7 +14,7 @@
 pub mod record;
 pub mod rule;
 
-use corkspan_keeper::{Wish, in_force, majority, to_follow};
+use corkspan_quorum::{Wish, in_force, majority, to_follow};
 use serde::{Deserialize, Serialize};
 
 /// The lowest version that may act. Lowering it is a wish like any other: the later number counts.
--- a/crates/fleet/src/rule.rs
+++ b/crates/version-fencing/src/rule.rs
@@ -2,7 +2,7 @@
 //! keepers, and the rule that is applied to it. Times are told, in any unit.
 
 use crate::Runs;
-use corkspan_keeper::majority;
+use corkspan_quorum::majority;
 use std::collections::{BTreeMap, VecDeque};
 
 /// Dispatchers whose version one keeper remembers.
--- a/crates/fleet/tests/audit.rs
+++ b/crates/version-fencing/tests/audit.rs
@@ -1,9 +1,9 @@
 //! What an audit tells of a fleet, and what keeps a floor from being raised.
 
-use corkspan_fleet::acts::{Acts as Seen, By, Kind, Many};
-use corkspan_fleet::audit::{Acted, Finding, Told, Why, findings, node_findings};
-use corkspan_fleet::record::{How, Record, Span};
-use corkspan_fleet::{Floor, NotRaised, Runs, next, taken_by_enough};
+use corkspan_version_fencing::acts::{Acts as Seen, By, Kind, Many};
+use corkspan_version_fencing::audit::{Acted, Finding, Told, Why, findings, node_findings};
+use corkspan_version_fencing::record::{How, Record, Span};
+use corkspan_version_fencing::{Floor, NotRaised, Runs, next, taken_by_enough};
 use std::collections::VecDeque;
 use test_case::test_case;
 
--- a/crates/fleet/tests/decisions/fencing.rs
+++ b/crates/version-fencing/tests/decisions/fencing.rs
@@ -1,7 +1,9 @@
 //! Fences at nodes, gates at dispatchers, and proposals of another minimum version.
 
 use crate::{MEMBERS, draw, generator, minimum, replies, text, texts};
-use corkspan_fleet::{Disk, Fence, Look, NotRaised, Runs, Standing, next, taken_by_enough};
+use corkspan_version_fencing::{
+    Disk, Fence, Look, NotRaised, Runs, Standing, next, taken_by_enough,
+};
 use std::fmt::Write;
 
 /// A node's fence: restarts, lost disks, quorum replies and versions of arriving attempts.
--- a/crates/fleet/tests/decisions/main.rs
+++ b/crates/version-fencing/tests/decisions/main.rs
@@ -6,8 +6,8 @@
 mod raising;
 mod reports;
 
-use corkspan_fleet::Floor;
-use corkspan_fleet::acts::Kind;
+use corkspan_version_fencing::Floor;
+use corkspan_version_fencing::acts::Kind;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::path::Path;
--- a/crates/fleet/tests/decisions/raising.rs
+++ b/crates/version-fencing/tests/decisions/raising.rs
@@ -1,9 +1,9 @@
 //! Raises by policy, and how one that is behind catches up.
 
 use crate::{MEMBERS, draw, generator};
-use corkspan_fleet::Runs;
-use corkspan_fleet::bring::{Came, Next, Pace, Sees, Source, Straggler, lays};
-use corkspan_fleet::rule::{Rows, Rule, Watch};
+use corkspan_version_fencing::Runs;
+use corkspan_version_fencing::bring::{Came, Next, Pace, Sees, Source, Straggler, lays};
+use corkspan_version_fencing::rule::{Rows, Rule, Watch};
 use std::fmt::Write;
 
 /// What a quorum member counts as taken by enough, and what a dispatcher's watch makes of it.
--- a/crates/fleet/tests/decisions/reports.rs
+++ b/crates/version-fencing/tests/decisions/reports.rs
@@ -1,9 +1,9 @@
 //! What an audit finds, and what nodes and dispatchers count and remember.
 
 use crate::{draw, generator, kind, operation};
-use corkspan_fleet::acts::{Acts as Seen, By};
-use corkspan_fleet::audit::{self, Acted, Finding, Told, Why, findings, node_findings};
-use corkspan_fleet::record::{How, Record, Span};
+use corkspan_version_fencing::acts::{Acts as Seen, By};
+use corkspan_version_fencing::audit::{self, Acted, Finding, Told, Why, findings, node_findings};
+use corkspan_version_fencing::record::{How, Record, Span};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt::Write;
--- a/crates/fleet/tests/rule.rs
+++ b/crates/version-fencing/tests/rule.rs
@@ -1,8 +1,8 @@
 //! When a floor is raised by itself, and how stragglers ask to be brought up.
 
-use corkspan_fleet::Runs;
-use corkspan_fleet::bring::{Came, Next, Pace, Sees, Source, Straggler, lays};
-use corkspan_fleet::rule::{Rows, Rule, Watch};
+use corkspan_version_fencing::Runs;
+use corkspan_version_fencing::bring::{Came, Next, Pace, Sees, Source, Straggler, lays};
+use corkspan_version_fencing::rule::{Rows, Rule, Watch};
 use test_case::test_case;
 
 fn rows(versions: &[(u64, bool)]) -> Rows {
--- a/crates/fleet/tests/rule_search.rs
+++ b/crates/version-fencing/tests/rule_search.rs
@@ -5,8 +5,8 @@
 
 mod states;
 
-use corkspan_fleet::Runs;
-use corkspan_fleet::rule::{Rows, Rule, Watch};
+use corkspan_version_fencing::Runs;
+use corkspan_version_fencing::rule::{Rows, Rule, Watch};
 use test_case::test_case;
 
 const FLEET: usize = 3;
--- a/crates/fleet/tests/search.rs
+++ b/crates/version-fencing/tests/search.rs
@@ -5,8 +5,8 @@
 
 mod states;
 
-use corkspan_fleet::{Disk, Fence, Floor, Look, Standing};
-use corkspan_keeper::Keeper;
+use corkspan_quorum::Keeper;
+use corkspan_version_fencing::{Disk, Fence, Floor, Look, Standing};
 use test_case::test_case;
 
 const KEEPERS: usize = 3;
@@ -174,7 +174,7 @@
                 .iter()
                 .filter(|keeper| stands(keeper) == Some(WISHES[wish]))
                 .count();
-            *ever |= corkspan_keeper::majority(holds, KEEPERS);
+            *ever |= corkspan_quorum::majority(holds, KEEPERS);
         }
         all.push(next);
     };
--- a/crates/fleet/tests/stored.rs
+++ b/crates/version-fencing/tests/stored.rs
@@ -1,9 +1,9 @@
 //! Stored forms, as an earlier program wrote them: read to the same content, written back to the same
 //! bytes, and refused with the same message where they are cut short or foreign.
 
-use corkspan_fleet::Floor;
-use corkspan_fleet::record::{How, Span};
-use corkspan_keeper::{Keeper, Kept};
+use corkspan_quorum::{Keeper, Kept};
+use corkspan_version_fencing::Floor;
+use corkspan_version_fencing::record::{How, Span};
 use serde::{Serialize, de::DeserializeOwned};
 use std::collections::VecDeque;
 use std::fmt::Debug;
