--- a/crates/config-sync/src/compatibility.rs
+++ b/crates/config-sync/src/compatibility.rs
@@ -1,7 +1,7 @@
 //! Which changes between two deployments can't be made in service.
 
 use corkspan_config::Deployment;
-use corkspan_scheduler::interface::{Account, Track, TrackId};
+use corkspan_scheduler::interface::{ServiceClass, ServiceClassId, Tenant};
 
 /// What a version says may shrink to this part of what it was; below, its author must say that it
 /// is meant.
@@ -13,11 +13,11 @@
     now: &Deployment,
     next: &Deployment,
     cuts: bool,
-    in_use: impl Fn(TrackId) -> usize,
+    in_use: impl Fn(ServiceClassId) -> usize,
 ) -> Vec<String> {
     let mut why = restarts(now, next);
     for (id, name) in now.tracks.iter().enumerate() {
-        let many = in_use(TrackId(id));
+        let many = in_use(ServiceClassId(id));
         if !name.is_empty() && many > 0 && !next.tracks.contains(name) {
             why.push(format!(
                 "tracks/{name}: removed, and {many} allocations in hand are of it"
@@ -35,12 +35,21 @@
 fn restarts(now: &Deployment, next: &Deployment) -> Vec<String> {
     let (a, b) = (&now.cluster, &next.cluster);
     let same = [
-        ("schedulers", a.schedulers == b.schedulers),
+        ("schedulers", a.scheduler_count == b.scheduler_count),
         ("halls", now.halls == next.halls),
-        ("kinds", now.kinds == next.kinds && a.kinds == b.kinds),
-        ("placed-when", a.placed_runs == b.placed_runs),
-        ("makes-room", a.makes_room == b.makes_room),
-        ("shows-room", a.shows_room == b.shows_room),
+        (
+            "kinds",
+            now.kinds == next.kinds && a.machine_types == b.machine_types,
+        ),
+        (
+            "placed-when",
+            a.placed_means_running == b.placed_means_running,
+        ),
+        ("makes-room", a.preempts == b.preempts),
+        (
+            "shows-room",
+            a.list_reports_capacity == b.list_reports_capacity,
+        ),
         (
             "bounds/connect-within",
             now.bounds.connect_within == next.bounds.connect_within,
@@ -65,10 +74,22 @@
     let mut all: Vec<(String, f64, f64)> = Vec::new();
     let (a, b) = (&now.cluster, &next.cluster);
     let mut both = |name: &str, before: f64, after: f64| all.push((name.into(), before, after));
-    both("accepts/cores", a.accepts.cores, b.accepts.cores);
-    both("accepts/memory", a.accepts.memory, b.accepts.memory);
-    both("shots", a.shots as f64, b.shots as f64);
-    both("cold/offers", a.cold.offers, b.cold.offers);
+    both(
+        "accepts/cores",
+        a.admission_limit.cores,
+        b.admission_limit.cores,
+    );
+    both(
+        "accepts/memory",
+        a.admission_limit.memory,
+        b.admission_limit.memory,
+    );
+    both("shots", a.max_attempts as f64, b.max_attempts as f64);
+    both(
+        "cold/offers",
+        a.slow_start.max_offers,
+        b.slow_start.max_offers,
+    );
     both(
         "bounds/in-hand",
         now.bounds.in_hand as f64,
@@ -80,14 +101,14 @@
         next.bounds.offers_a_node as f64,
     );
     for (name, account) in
-        std::iter::zip(&now.accounts, &a.accounts).filter(|(name, _)| !name.is_empty())
+        std::iter::zip(&now.accounts, &a.tenants).filter(|(name, _)| !name.is_empty())
     {
         let later = next
             .accounts
             .iter()
             .position(|other| other == name)
-            .map(|at| &b.accounts[at]);
-        let share = |account: &Account| account.share_cores.unwrap_or(f64::INFINITY);
+            .map(|at| &b.tenants[at]);
+        let share = |account: &Tenant| account.quota_cores.unwrap_or(f64::INFINITY);
         // One that is gone can ask for nothing any more.
         both(
             &format!("accounts/{name}"),
@@ -95,7 +116,8 @@
             later.map_or(0.0, share),
         );
     }
-    for (name, track) in std::iter::zip(&now.tracks, &a.tracks).filter(|(name, _)| !name.is_empty())
+    for (name, track) in
+        std::iter::zip(&now.tracks, &a.service_classes).filter(|(name, _)| !name.is_empty())
     {
         let Some(at) = next.tracks.iter().position(|other| other == name) else {
             both(&format!("tracks/{name}"), 1.0, 0.0);
@@ -103,14 +125,15 @@
         };
         both(
             &format!("tracks/{name}/calm"),
-            track.calm,
-            b.tracks[at].calm,
+            track.target_utilization,
+            b.service_classes[at].target_utilization,
         );
-        let most = |track: &Track| track.spread.map_or(f64::INFINITY, |(_, most)| most as f64);
+        let most =
+            |track: &ServiceClass| track.spread.map_or(f64::INFINITY, |(_, most)| most as f64);
         both(
             &format!("tracks/{name}/most"),
             most(track),
-            most(&b.tracks[at]),
+            most(&b.service_classes[at]),
         );
     }
     // From no limit to any is a cut too, but one that says what it means.
--- a/crates/config-sync/src/retry.rs
+++ b/crates/config-sync/src/retry.rs
@@ -1,14 +1,14 @@
 //! When to try a broken stream again.
 
-use corkspan_scheduler::interface::Tenths;
+use corkspan_scheduler::interface::Ticks;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
 /// The first wait at the most, and the longest.
-const FIRST: Tenths = 5_000;
-const LONGEST: Tenths = 200_000;
+const FIRST: Ticks = 5_000;
+const LONGEST: Ticks = 200_000;
 /// A stream that stood for so long begins anew with the first wait.
-const STOOD: Tenths = 100_000;
+const STOOD: Ticks = 100_000;
 
 /// Waits that grow and are drawn by chance: hundreds that lost the same service at once come back
 /// one by one.
@@ -27,7 +27,7 @@
 
     /// How long to wait before the next try, after a stream that stood for so long; 0 for none that
     /// stood at all.
-    pub fn wait(&mut self, stood: Tenths) -> Tenths {
+    pub fn wait(&mut self, stood: Ticks) -> Ticks {
         self.fails = if stood >= STOOD {
             0
         } else {
--- a/crates/config-sync/src/stable_ids.rs
+++ b/crates/config-sync/src/stable_ids.rs
@@ -1,7 +1,7 @@
 //! Ids that keep their meaning from one deployment to the next.
 
 use corkspan_config::Deployment;
-use corkspan_scheduler::interface::{Cluster, TrackId};
+use corkspan_scheduler::interface::{Cluster, ServiceClassId};
 
 /// Rows at the most, those of names that are gone among them.
 const ROWS: usize = 20_000;
@@ -14,12 +14,12 @@
 pub fn with_ids(
     now: &Deployment,
     next: Deployment,
-    in_use: impl Fn(TrackId) -> usize,
+    in_use: impl Fn(ServiceClassId) -> usize,
 ) -> Option<Deployment> {
-    let (mut names, mut tracks) = (now.tracks.clone(), now.cluster.tracks.clone());
-    for (name, track) in std::iter::zip(&next.tracks, &next.cluster.tracks) {
+    let (mut names, mut tracks) = (now.tracks.clone(), now.cluster.service_classes.clone());
+    for (name, track) in std::iter::zip(&next.tracks, &next.cluster.service_classes) {
         let stays = names.iter().position(|own| own == name);
-        if let Some(at) = stays.filter(|&at| tracks[at].repeat == track.repeat) {
+        if let Some(at) = stays.filter(|&at| tracks[at].retry_safety == track.retry_safety) {
             tracks[at] = track.clone();
             continue;
         }
@@ -27,7 +27,7 @@
             names[at].clear();
         }
         put(&mut names, &mut tracks, name, track, |at| {
-            in_use(TrackId(at)) == 0
+            in_use(ServiceClassId(at)) == 0
         });
     }
     for name in &mut names {
@@ -36,8 +36,8 @@
         }
     }
     // Nothing is promised by account, but guests are counted by it: its row stays its own.
-    let (mut account_names, mut accounts) = (now.accounts.clone(), now.cluster.accounts.clone());
-    for (name, account) in std::iter::zip(&next.accounts, &next.cluster.accounts) {
+    let (mut account_names, mut accounts) = (now.accounts.clone(), now.cluster.tenants.clone());
+    for (name, account) in std::iter::zip(&next.accounts, &next.cluster.tenants) {
         match account_names.iter().position(|own| own == name) {
             Some(at) => accounts[at] = account.clone(),
             None => put(&mut account_names, &mut accounts, name, account, |_| false),
@@ -46,15 +46,15 @@
     for (name, account) in std::iter::zip(&mut account_names, &mut accounts) {
         if !next.accounts.contains(name) {
             name.clear();
-            account.share_cores = Some(0.0);
+            account.quota_cores = Some(0.0);
         }
     }
     if names.len().max(account_names.len()) > ROWS {
         return None;
     }
     let cluster = Cluster {
-        tracks,
-        accounts,
+        service_classes: tracks,
+        tenants: accounts,
         ..next.cluster
     };
     Some(Deployment {
--- a/crates/config-sync/src/subscriber/pushes.rs
+++ b/crates/config-sync/src/subscriber/pushes.rs
@@ -2,10 +2,10 @@
 
 use super::state::Subscriber;
 use super::types::{Admitted, Pace, Push, Said};
-use corkspan_scheduler::interface::Tenths;
+use corkspan_scheduler::interface::Ticks;
 
 /// Between two versions that take effect: a flood of them is passed over for the newest.
-const APART: Tenths = 500;
+const APART: Ticks = 500;
 impl Subscriber {
     /// A push has come. The answer to the one that it passes over, by nonce.
     pub fn heard(&mut self, push: Push) -> Option<(u64, Said)> {
@@ -30,7 +30,7 @@
         self.waits = None;
     }
 
-    pub fn pace(&self, now: Tenths) -> Pace {
+    pub fn pace(&self, now: Ticks) -> Pace {
         match (&self.waits, self.applied_at) {
             (None, _) => Pace::Idle,
             (Some(_), Some(at)) if now < at + APART => Pace::Wait(at + APART - now),
--- a/crates/config-sync/src/subscriber/state.rs
+++ b/crates/config-sync/src/subscriber/state.rs
@@ -3,7 +3,7 @@
 use super::types::{Kept, Push};
 use crate::trial::{Counts, Trial, Usual};
 use corkspan_config::version::{Stamp, Texts};
-use corkspan_scheduler::interface::Tenths;
+use corkspan_scheduler::interface::Ticks;
 
 /// Versions remembered as given up at the most.
 const GIVEN_UP: usize = 32;
@@ -20,13 +20,13 @@
     pub(super) trial: Option<Trial>,
     /// The newest push that was not looked at.
     pub(super) waits: Option<Push>,
-    pub(super) applied_at: Option<Tenths>,
+    pub(super) applied_at: Option<Ticks>,
 }
 
 impl Subscriber {
     /// `texts` are the shared parts of the dispatcher's own file. What to have on disk before it
     /// starts, if that is not `kept` as it was.
-    pub fn start(texts: Texts, kept: Kept, now: Tenths) -> (Self, Option<Kept>) {
+    pub fn start(texts: Texts, kept: Kept, now: Ticks) -> (Self, Option<Kept>) {
         let mut kept = kept;
         let before = kept.clone();
         if let Some((version, starts)) = &mut kept.trial {
--- a/crates/config-sync/src/subscriber/types.rs
+++ b/crates/config-sync/src/subscriber/types.rs
@@ -1,7 +1,7 @@
 //! What a subscriber is handed and hands back.
 
 use corkspan_config::version::{Stamp, Texts};
-use corkspan_scheduler::interface::Tenths;
+use corkspan_scheduler::interface::Ticks;
 use serde::{Deserialize, Serialize};
 
 /// One version whole, as it is kept.
@@ -75,6 +75,6 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Pace {
     Idle,
-    Wait(Tenths),
+    Wait(Ticks),
     Now,
 }
--- a/crates/config-sync/src/trial.rs
+++ b/crates/config-sync/src/trial.rs
@@ -1,11 +1,11 @@
 //! Whether a version does harm: asks are refused far more often under it than before.
 
-use corkspan_scheduler::interface::Tenths;
+use corkspan_scheduler::interface::Ticks;
 
 /// A trial lasts so long, and longer while fewer asks came than tell anything, up to so many times
 /// that.
-const LASTS: Tenths = 300_000;
-const LONGEST: Tenths = 5 * LASTS;
+const LASTS: Ticks = 300_000;
+const LONGEST: Ticks = 5 * LASTS;
 const TELLING: f64 = 50.0;
 /// The part of asks refused may rise by this, and by so many standard errors, before the version is
 /// given up.
@@ -34,14 +34,14 @@
 /// Two sums that decay, brought up to date when read.
 #[derive(Clone, Debug, Default)]
 pub struct Usual {
-    at: Tenths,
+    at: Ticks,
     asked: f64,
     refused: f64,
     counted: Counts,
 }
 
 impl Usual {
-    pub fn add(&mut self, now: Tenths, counts: Counts) {
+    pub fn add(&mut self, now: Ticks, counts: Counts) {
         let left = (-(now.saturating_sub(self.at) as f64) / HALF).exp2();
         let since = |now: u64, then: u64| now.saturating_sub(then) as f64;
         self.asked = self.asked * left + since(counts.asked, self.counted.asked);
@@ -65,14 +65,14 @@
 
 #[derive(Clone, Debug)]
 pub struct Trial {
-    began: Tenths,
+    began: Ticks,
     from: Counts,
     /// Part of asks refused before it.
     usual: f64,
 }
 
 impl Trial {
-    pub fn begin(now: Tenths, counts: Counts, usual: &Usual) -> Self {
+    pub fn begin(now: Ticks, counts: Counts, usual: &Usual) -> Self {
         Trial {
             began: now,
             from: counts,
@@ -81,7 +81,7 @@
     }
 
     /// The next version takes its place: what was usual before this one is still the measure.
-    pub fn next(&self, now: Tenths, counts: Counts) -> Self {
+    pub fn next(&self, now: Ticks, counts: Counts) -> Self {
         Trial {
             began: now,
             from: counts,
@@ -90,12 +90,12 @@
     }
 
     /// As many asks as tell anything, and no harm.
-    pub fn does_no_harm(&self, now: Tenths, counts: Counts) -> bool {
+    pub fn does_no_harm(&self, now: Ticks, counts: Counts) -> bool {
         let asked = counts.asked.saturating_sub(self.from.asked) as f64;
         asked >= TELLING && !matches!(self.verdict(now, counts), Verdict::Harm(_))
     }
 
-    pub fn verdict(&self, now: Tenths, counts: Counts) -> Verdict {
+    pub fn verdict(&self, now: Ticks, counts: Counts) -> Verdict {
         let asked = counts.asked.saturating_sub(self.from.asked) as f64;
         let refused = counts.refused.saturating_sub(self.from.refused) as f64;
         let lasted = now.saturating_sub(self.began);
--- a/crates/config-sync/tests/recorded/changes.rs
+++ b/crates/config-sync/tests/recorded/changes.rs
@@ -4,7 +4,7 @@
 use corkspan_config::Deployment;
 use corkspan_config::version::Texts;
 use corkspan_config_sync::change;
-use corkspan_scheduler::interface::{Cluster, Repeat, TrackId};
+use corkspan_scheduler::interface::{Cluster, RetrySafety, ServiceClassId};
 use std::fmt::Write;
 
 pub const FILE: &str = include_str!("../data/deployment.sexp");
@@ -46,7 +46,7 @@
         for difference in change::told(&file, &next) {
             writeln!(out, "  differs: {difference}").unwrap();
         }
-        let odd = |id: TrackId| id.0 % 2;
+        let odd = |id: ServiceClassId| id.0 % 2;
         let alone = change::with_ids(&file, next.clone(), odd).expect("rows are left");
         writeln!(out, "  ids {}", ids_of(&alone)).unwrap();
         running = change::with_ids(&running, next, odd).expect("rows are left");
@@ -61,9 +61,9 @@
     let file = Deployment::read("d", FILE).unwrap_or_else(|why| panic!("{why}"));
     let with_rows = |rows: usize| {
         let names = (0..rows).map(|row| format!("x{row}")).collect();
-        let tracks = vec![file.cluster.tracks[0].clone(); rows];
+        let tracks = vec![file.cluster.service_classes[0].clone(); rows];
         let cluster = Cluster {
-            tracks,
+            service_classes: tracks,
             ..file.cluster.clone()
         };
         Deployment {
@@ -78,18 +78,18 @@
 }
 
 fn ids_of(deployment: &Deployment) -> String {
-    let tracks = std::iter::zip(&deployment.tracks, &deployment.cluster.tracks);
+    let tracks = std::iter::zip(&deployment.tracks, &deployment.cluster.service_classes);
     let tracks = tracks.map(|(name, track)| {
-        let repeat = match &track.repeat {
-            Repeat::Idempotent => "idempotent".to_string(),
-            Repeat::Deduplicated { window, .. } => format!("deduplicated for {window}"),
-            Repeat::Unrepeatable => "unrepeatable".to_string(),
+        let repeat = match &track.retry_safety {
+            RetrySafety::Idempotent => "idempotent".to_string(),
+            RetrySafety::Deduplicated { window, .. } => format!("deduplicated for {window}"),
+            RetrySafety::NotRetryable => "unrepeatable".to_string(),
         };
-        format!("{name:?} {repeat} {}", track.contract_time)
+        format!("{name:?} {repeat} {}", track.latency_objective)
     });
     let tracks: Vec<String> = tracks.collect();
-    let accounts = std::iter::zip(&deployment.accounts, &deployment.cluster.accounts);
-    let accounts = accounts.map(|(name, account)| format!("{name:?} {:?}", account.share_cores));
+    let accounts = std::iter::zip(&deployment.accounts, &deployment.cluster.tenants);
+    let accounts = accounts.map(|(name, account)| format!("{name:?} {:?}", account.quota_cores));
     let accounts: Vec<String> = accounts.collect();
     format!("{} | {}", tracks.join(", "), accounts.join(", "))
 }
--- a/crates/config-sync/tests/stories.rs
+++ b/crates/config-sync/tests/stories.rs
@@ -10,7 +10,7 @@
 use std::collections::BTreeMap;
 use test_case::test_case;
 
-const SECOND: Tenths = 10_000;
+const SECOND: Ticks = 10_000;
 
 fn texts(number: u64) -> Texts {
     [("shots".to_string(), format!("(shots {number})"))]
@@ -40,7 +40,7 @@
 }
 
 /// Puts a version in force.
-fn takes(own: &mut Subscriber, now: Tenths, number: u64, counts: Counts) -> Stamp {
+fn takes(own: &mut Subscriber, now: Ticks, number: u64, counts: Counts) -> Stamp {
     let running = own.running().0;
     let push = push(number, number, &[running]);
     assert!(matches!(own.admit(&push), Admitted::Check(_)));
@@ -168,7 +168,7 @@
             let mut retry = Retry::new(seed ^ own << 32);
             (0..fails).map(|_| retry.wait(0)).last().unwrap_or(0)
         });
-        let mut seconds: BTreeMap<Tenths, usize> = BTreeMap::new();
+        let mut seconds: BTreeMap<Ticks, usize> = BTreeMap::new();
         waits.for_each(|wait| *seconds.entry(wait / SECOND).or_default() += 1);
         let span = (5_000u64 << fails).min(200_000) / SECOND;
         let most = seconds.values().max().copied().unwrap_or(0);
@@ -228,21 +228,31 @@
         &FILE[FILE.find("(tracks").expect("there")..FILE.find("\n  (accounts").expect("there")];
     let ids = change::with_ids(&file(), next(from, tracks), |_| 1).expect("room");
     assert_eq!(ids.tracks, ["web", "once", "new"]);
-    assert_eq!(ids.cluster.tracks[0].contract_time, 7_000);
+    assert_eq!(ids.cluster.service_classes[0].latency_objective, 7_000);
 }
 
 #[test]
 fn a_track_whose_promise_changes_leaves_what_is_in_hand_under_the_old_one() {
     let loose = next("(once (repeat unrepeatable)", "(once (repeat idempotent)");
-    let ids =
-        change::with_ids(&file(), loose, |track| usize::from(track == TrackId(1))).expect("room");
+    let ids = change::with_ids(&file(), loose, |track| {
+        usize::from(track == ServiceClassId(1))
+    })
+    .expect("room");
     assert_eq!(ids.tracks, ["web", "", "once"]);
-    assert_eq!(ids.cluster.tracks[1].repeat, Repeat::Unrepeatable);
-    assert_eq!(ids.cluster.tracks[2].repeat, Repeat::Idempotent);
+    assert_eq!(
+        ids.cluster.service_classes[1].retry_safety,
+        RetrySafety::NotRetryable
+    );
+    assert_eq!(
+        ids.cluster.service_classes[2].retry_safety,
+        RetrySafety::Idempotent
+    );
     // Once nothing is of it any more, the row is another's.
     let strict = next("(accepts", "(accepts");
-    let ids =
-        change::with_ids(&ids, strict, |track| usize::from(track == TrackId(2))).expect("room");
+    let ids = change::with_ids(&ids, strict, |track| {
+        usize::from(track == ServiceClassId(2))
+    })
+    .expect("room");
     assert_eq!(ids.tracks, ["web", "once", ""]);
 }
 
@@ -250,7 +260,7 @@
 fn an_account_that_is_gone_keeps_its_row_and_bears_nothing_more() {
     let ids = change::with_ids(&file(), next("(one (share-cores 10)) ", ""), |_| 0).expect("room");
     assert_eq!(
-        (&ids.accounts[..], ids.cluster.accounts[0].share_cores),
+        (&ids.accounts[..], ids.cluster.tenants[0].quota_cores),
         (&["".into(), "two".into()][..], Some(0.0))
     );
 }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -18,11 +18,11 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FloorWatch {
     /// Between two asks of the keepers.
-    pub every: Tenths,
+    pub every: Ticks,
     /// The floor is raised to so far behind what enough of the fleet run for good, or to what they
     /// ran so long ago.
     pub behind: Option<u64>,
-    pub after: Option<Tenths>,
+    pub after: Option<Ticks>,
     /// How many are enough, in thousandths of the fleet.
     pub part: u32,
     /// Dispatchers that a newer version may be had from.
@@ -56,7 +56,7 @@
     /// How the floor of versions is followed; none where it is not.
     pub floor: Option<FloorWatch>,
     /// Between two looks at machines taken out for work; none where none are.
-    pub maintenance: Option<Tenths>,
+    pub maintenance: Option<Ticks>,
     /// What it shares with the others, as written.
     pub texts: Texts,
     /// What names that: number 0 for a file.
@@ -77,16 +77,16 @@
     pub words_a_client: usize,
     /// Bytes of one message.
     pub message: usize,
-    pub connect_within: Tenths,
-    pub keep_alive: Tenths,
+    pub connect_within: Ticks,
+    pub keep_alive: Ticks,
     /// A link to a node with nothing on it is closed after so long.
-    pub idle_close: Tenths,
+    pub idle_close: Ticks,
     /// The final answer is aimed at so long before the owner's time is up, or at half of the
     /// owner's time where that is less: a dispatcher that stands still for so long answers in
     /// time all the same.
-    pub answer_ahead: Tenths,
+    pub answer_ahead: Ticks,
     /// After a signal to stop, shots still out are given up after so long.
-    pub stop_within: Tenths,
+    pub stop_within: Ticks,
 }
 
 impl Deployment {
@@ -103,8 +103,8 @@
             let parts = form.parts(&known)?;
             let shared = Shared::read(&parts)?;
             let cluster = Cluster {
-                hall: HallId(parts.need("hall")?.one_of(&shared.halls)?),
-                number: parts.need("number")?.whole(0, 99_999)? as usize,
+                zone: ZoneId(parts.need("hall")?.one_of(&shared.halls)?),
+                scheduler_index: parts.need("number")?.whole(0, 99_999)? as usize,
                 ..shared.cluster
             };
             let control = parts.or("control", Vec::new(), |form| {
@@ -167,7 +167,7 @@
         let read = sexp::with_form(name, &text, "deployment", |form| {
             let parts = form.parts(&known)?;
             let shared = Shared::read(&parts)?;
-            let hall = &self.halls[self.cluster.hall.0];
+            let hall = &self.halls[self.cluster.zone.0];
             let position = shared.halls.iter().position(|known| known == hall);
             let lacks = || {
                 parts
@@ -175,12 +175,12 @@
                     .map(|form| form.fault(format!("lacks `{hall}`, where this one is")))
             };
             let hall = match position {
-                Some(position) => HallId(position),
+                Some(position) => ZoneId(position),
                 None => return Err(lacks()?),
             };
             let cluster = Cluster {
-                hall,
-                number: self.cluster.number,
+                zone: hall,
+                scheduler_index: self.cluster.scheduler_index,
                 ..shared.cluster
             };
             Ok(Deployment {
@@ -235,30 +235,30 @@
         let tracks = track_forms.iter().map(|form| track(form, &kind_names));
         let account_forms = parts.or("accounts", Vec::new(), Form::own_names)?;
         let cluster = Cluster {
-            hall: HallId(0),
-            number: 0,
-            schedulers: parts.need("schedulers")?.whole(1, 100_000)? as usize,
-            kinds,
-            tracks: tracks.collect::<Result<Vec<_>, _>>()?,
-            accounts: account_forms
+            zone: ZoneId(0),
+            scheduler_index: 0,
+            scheduler_count: parts.need("schedulers")?.whole(1, 100_000)? as usize,
+            machine_types: kinds,
+            service_classes: tracks.collect::<Result<Vec<_>, _>>()?,
+            tenants: account_forms
                 .iter()
                 .map(account)
                 .collect::<Result<Vec<_>, _>>()?,
-            accepts: parts.need("accepts")?.cores_and_memory()?,
-            makes_room: parts.or("makes-room", false, Form::truth)?,
-            shots: parts.or("shots", 3, |form| Ok(form.whole(1, 100)? as usize))?,
-            placed_runs: parts
+            admission_limit: parts.need("accepts")?.cores_and_memory()?,
+            preempts: parts.or("makes-room", false, Form::truth)?,
+            max_attempts: parts.or("shots", 3, |form| Ok(form.whole(1, 100)? as usize))?,
+            placed_means_running: parts
                 .need("placed-when")?
                 .one_of(&["accepted", "running"])?
                 == 1,
-            shows_room: parts.or("shows-room", false, Form::truth)?,
-            may_probe: parts.or("may-probe", false, Form::truth)?,
-            ask_list: Some(parts.or("ask-list", 100_000, Form::time)?),
-            cold: cold(parts.need("cold")?)?,
+            list_reports_capacity: parts.or("shows-room", false, Form::truth)?,
+            health_checks: parts.or("may-probe", false, Form::truth)?,
+            list_poll_interval: Some(parts.or("ask-list", 100_000, Form::time)?),
+            slow_start: cold(parts.need("cold")?)?,
             // This front does not tell when a shot that waited for its link has left.
-            opens_within: 0,
-            other_hall_price: parts.or("other-hall-price", 0.0, Form::amount)?,
-            tells_loss: true,
+            connect_timeout: 0,
+            cross_zone_cost: parts.or("other-hall-price", 0.0, Form::amount)?,
+            reports_losses: true,
         };
         Ok(Shared {
             cluster,
@@ -347,7 +347,7 @@
 }
 
 /// `(maintenance (every 500 ms))`
-fn maintenance(form: &Form) -> Result<Tenths, Fault> {
+fn maintenance(form: &Form) -> Result<Ticks, Fault> {
     form.parts(&["every"])?
         .or("every", 5_000, |form| match form.time()? {
             time if time >= 1_000 => Ok(time),
@@ -360,23 +360,23 @@
     Ok(ids.into_iter().map(|id| MachineId(id as u32)).collect())
 }
 
-fn cold(form: &Form) -> Result<Cold, Fault> {
+fn cold(form: &Form) -> Result<SlowStart, Fault> {
     let parts = form.parts(&["lasts", "window", "offers"])?;
-    Ok(Cold {
-        lasts: parts.need("lasts")?.time()?,
+    Ok(SlowStart {
+        duration: parts.need("lasts")?.time()?,
         window: parts.need("window")?.time()?,
-        offers: parts.need("offers")?.amount()?,
+        max_offers: parts.need("offers")?.amount()?,
     })
 }
 
-fn account(form: &Form) -> Result<Account, Fault> {
+fn account(form: &Form) -> Result<Tenant, Fault> {
     let parts = form.parts(&["share-cores"])?;
-    Ok(Account {
-        share_cores: parts.find("share-cores").map(Form::amount).transpose()?,
+    Ok(Tenant {
+        quota_cores: parts.find("share-cores").map(Form::amount).transpose()?,
     })
 }
 
-fn track(form: &Form, kinds: &[String]) -> Result<Track, Fault> {
+fn track(form: &Form, kinds: &[String]) -> Result<ServiceClass, Fault> {
     let known = [
         "repeat",
         "within",
@@ -389,21 +389,20 @@
         "most",
     ];
     let parts = form.parts(&known)?;
-    let place =
-        |form: &Form| {
-            Ok([Place::Machine, Place::Cell, Place::Hall]
-                [form.one_of(&["machine", "cell", "hall"])?])
-        };
+    let place = |form: &Form| {
+        Ok([Domain::Machine, Domain::Cell, Domain::Zone]
+            [form.one_of(&["machine", "cell", "hall"])?])
+    };
     let repeat_form = parts.need("repeat")?;
     let repeat = match repeat_form.one_of(&["idempotent", "deduplicated", "unrepeatable"])? {
-        0 => Repeat::Idempotent,
-        1 => Repeat::Deduplicated {
-            within: parts.find("within").map(place).transpose()?,
+        0 => RetrySafety::Idempotent,
+        1 => RetrySafety::Deduplicated {
+            scope: parts.find("within").map(place).transpose()?,
             window: parts.need("window")?.time()?,
         },
-        _ => Repeat::Unrepeatable,
+        _ => RetrySafety::NotRetryable,
     };
-    if !matches!(repeat, Repeat::Deduplicated { .. })
+    if !matches!(repeat, RetrySafety::Deduplicated { .. })
         && let Some(part) = parts.find("within").or(parts.find("window"))
     {
         return Err(part.fault("stands only beside `(repeat deduplicated)`"));
@@ -418,14 +417,14 @@
     if let (None, Some(part)) = (spread, parts.find("most")) {
         return Err(part.fault("stands only beside `(spread …)`"));
     }
-    Ok(Track {
-        repeat,
-        contract_time: parts.need("contract-time")?.time()?,
-        calm: parts.or("calm", 1.0, Form::above_zero)?,
+    Ok(ServiceClass {
+        retry_safety: repeat,
+        latency_objective: parts.need("contract-time")?.time()?,
+        target_utilization: parts.or("calm", 1.0, Form::above_zero)?,
         priority: parts.or("priority", 0, |form| Ok(form.whole(0, 3)? as u8))?,
-        kind: parts
+        machine_type: parts
             .find("kind")
-            .map(|form| form.one_of(kinds).map(KindId))
+            .map(|form| form.one_of(kinds).map(MachineTypeId))
             .transpose()?,
         spread,
     })
@@ -449,7 +448,7 @@
     let count = |name, absent: usize, least, most| {
         parts.or(name, absent, |form| Ok(form.whole(least, most)? as usize))
     };
-    let time = |name, absent, least: Tenths| {
+    let time = |name, absent, least: Ticks| {
         let read = |form: &Form| match form.time()? {
             time if time >= least => Ok(time),
             _ => Err(form.fault(format!("must be {} ms or more", least / 10))),
--- a/crates/config/src/sexp.rs
+++ b/crates/config/src/sexp.rs
@@ -3,7 +3,7 @@
 //! A form is a list whose first element is its name: `(cold (lasts 14 s) (offers 29))`. `;` starts
 //! a comment.
 
-use corkspan_scheduler::interface::Tenths;
+use corkspan_scheduler::interface::Ticks;
 use lexpr::datum::Ref;
 use std::collections::BTreeSet;
 use std::path::Path;
@@ -410,7 +410,7 @@
 
     /// `(name 600 ms)`, `(name 14 s)` or `(name 2 min)`: whole tenths of a millisecond, rounded
     /// down, a year at the most.
-    pub fn time(&self) -> Result<Tenths, Fault> {
+    pub fn time(&self) -> Result<Ticks, Fault> {
         let [number, unit] = self.rest[..] else {
             return Err(self.fault("a number and its unit (ms, s or min) must follow"));
         };
@@ -424,13 +424,13 @@
         if value > 315_360_000_000.0 {
             return Err(self.fault_in(number, "a time of a year at the most"));
         }
-        Ok(value as Tenths)
+        Ok(value as Ticks)
     }
 
     /// `(name (cores 2) (memory 4))`
-    pub fn cores_and_memory(&self) -> Result<corkspan_scheduler::interface::Amount, Fault> {
+    pub fn cores_and_memory(&self) -> Result<corkspan_scheduler::interface::Resources, Fault> {
         let parts = self.parts(&["cores", "memory"])?;
-        Ok(corkspan_scheduler::interface::Amount {
+        Ok(corkspan_scheduler::interface::Resources {
             cores: parts.need("cores")?.above_zero()?,
             memory: parts.need("memory")?.above_zero()?,
         })
--- a/crates/config/tests/faults.rs
+++ b/crates/config/tests/faults.rs
@@ -33,22 +33,22 @@
 fn a_sound_file_is_read_as_it_stands() {
     let read = Deployment::read("d.sexp", SOUND).expect("sound");
     assert_eq!(read.tracks, ["web", "jobs"]);
-    assert_eq!(read.cluster.number, 1);
-    assert!(read.cluster.placed_runs);
-    let jobs = &read.cluster.tracks[1];
-    assert_eq!(jobs.contract_time, 25_000);
+    assert_eq!(read.cluster.scheduler_index, 1);
+    assert!(read.cluster.placed_means_running);
+    let jobs = &read.cluster.service_classes[1];
+    assert_eq!(jobs.latency_objective, 25_000);
     assert_eq!(
-        jobs.repeat,
-        Repeat::Deduplicated {
-            within: Some(Place::Hall),
+        jobs.retry_safety,
+        RetrySafety::Deduplicated {
+            scope: Some(Domain::Zone),
             window: 60_000
         }
     );
     assert_eq!(
-        (jobs.kind, jobs.spread),
-        (Some(KindId(0)), Some((Place::Cell, 2)))
+        (jobs.machine_type, jobs.spread),
+        (Some(MachineTypeId(0)), Some((Domain::Cell, 2)))
     );
-    assert_eq!(read.cluster.accounts[0].share_cores, Some(10.0));
+    assert_eq!(read.cluster.tenants[0].quota_cores, Some(10.0));
     assert_eq!(read.bounds, Default::default());
 }
 
@@ -134,8 +134,8 @@
         .expect("sound");
     assert_eq!(
         (
-            changed.cluster.shots,
-            changed.cluster.number,
+            changed.cluster.max_attempts,
+            changed.cluster.scheduler_index,
             changed.listen
         ),
         (5, 1, file.listen)
@@ -147,7 +147,7 @@
     assert!(file.allows("127.0.0.1".parse().expect("an address")));
     let back = changed.with_version("v3", &shared()).expect("sound");
     assert_eq!(
-        (back.cluster.shots, back.texts.digest()),
+        (back.cluster.max_attempts, back.texts.digest()),
         (3, file.texts.digest())
     );
 }
--- a/crates/config/tests/recorded.rs
+++ b/crates/config/tests/recorded.rs
@@ -5,7 +5,7 @@
 use corkspan_config::Deployment;
 use corkspan_config::schema::{self, Of};
 use corkspan_config::version::Texts;
-use corkspan_scheduler::interface::{Place, Repeat};
+use corkspan_scheduler::interface::{Domain, RetrySafety};
 use serde_json::Value;
 use std::collections::BTreeSet;
 use std::fmt::Write;
@@ -24,11 +24,11 @@
     std::fs::read_to_string(data(name)).unwrap_or_else(|why| panic!("{name}: {why}"))
 }
 
-fn place(place: Place) -> &'static str {
+fn place(place: Domain) -> &'static str {
     match place {
-        Place::Machine => "machine",
-        Place::Cell => "cell",
-        Place::Hall => "hall",
+        Domain::Machine => "machine",
+        Domain::Cell => "cell",
+        Domain::Zone => "hall",
     }
 }
 
@@ -55,38 +55,38 @@
     line("maintenance/every", format!("{:?}", read.maintenance));
     line("seed", read.seed.to_string());
     let cluster = &read.cluster;
-    line("hall", read.halls[cluster.hall.0].clone());
-    line("number", cluster.number.to_string());
-    line("schedulers", cluster.schedulers.to_string());
+    line("hall", read.halls[cluster.zone.0].clone());
+    line("number", cluster.scheduler_index.to_string());
+    line("schedulers", cluster.scheduler_count.to_string());
     line("halls", read.halls.join(" "));
-    for (name, kind) in read.kinds.iter().zip(&cluster.kinds) {
+    for (name, kind) in read.kinds.iter().zip(&cluster.machine_types) {
         line(
             &format!("kinds/{name}"),
             format!("{} {}", kind.cores, kind.memory),
         );
     }
-    for (name, track) in read.tracks.iter().zip(&cluster.tracks) {
-        let repeat = match track.repeat {
-            Repeat::Idempotent => "idempotent".to_string(),
-            Repeat::Deduplicated { within, window } => {
-                format!(
-                    "deduplicated within {:?} window {window}",
-                    within.map(place)
-                )
+    for (name, track) in read.tracks.iter().zip(&cluster.service_classes) {
+        let repeat = match track.retry_safety {
+            RetrySafety::Idempotent => "idempotent".to_string(),
+            RetrySafety::Deduplicated { scope, window } => {
+                format!("deduplicated within {:?} window {window}", scope.map(place))
             }
-            Repeat::Unrepeatable => "unrepeatable".to_string(),
+            RetrySafety::NotRetryable => "unrepeatable".to_string(),
         };
         line(&format!("tracks/{name}/repeat"), repeat);
         line(
             &format!("tracks/{name}/contract-time"),
-            track.contract_time.to_string(),
+            track.latency_objective.to_string(),
+        );
+        line(
+            &format!("tracks/{name}/calm"),
+            track.target_utilization.to_string(),
         );
-        line(&format!("tracks/{name}/calm"), track.calm.to_string());
         line(
             &format!("tracks/{name}/priority"),
             track.priority.to_string(),
         );
-        let kind = track.kind.map(|id| &read.kinds[id.0]);
+        let kind = track.machine_type.map(|id| &read.kinds[id.0]);
         line(&format!("tracks/{name}/kind"), format!("{kind:?}"));
         let spread = track.spread.map(|(domain, most)| (place(domain), most));
         line(
@@ -94,31 +94,40 @@
             format!("{spread:?}"),
         );
     }
-    for (name, account) in read.accounts.iter().zip(&cluster.accounts) {
+    for (name, account) in read.accounts.iter().zip(&cluster.tenants) {
         line(
             &format!("accounts/{name}"),
-            format!("{:?}", account.share_cores),
+            format!("{:?}", account.quota_cores),
         );
     }
     line(
         "accepts",
-        format!("{} {}", cluster.accepts.cores, cluster.accepts.memory),
+        format!(
+            "{} {}",
+            cluster.admission_limit.cores, cluster.admission_limit.memory
+        ),
+    );
+    line("makes-room", cluster.preempts.to_string());
+    line("shots", cluster.max_attempts.to_string());
+    line(
+        "placed-when running",
+        cluster.placed_means_running.to_string(),
     );
-    line("makes-room", cluster.makes_room.to_string());
-    line("shots", cluster.shots.to_string());
-    line("placed-when running", cluster.placed_runs.to_string());
-    line("shows-room", cluster.shows_room.to_string());
-    line("may-probe", cluster.may_probe.to_string());
-    line("ask-list", format!("{:?}", cluster.ask_list));
-    line("cold/lasts", cluster.cold.lasts.to_string());
-    line("cold/window", cluster.cold.window.to_string());
-    line("cold/offers", cluster.cold.offers.to_string());
-    line("other-hall-price", cluster.other_hall_price.to_string());
+    line("shows-room", cluster.list_reports_capacity.to_string());
+    line("may-probe", cluster.health_checks.to_string());
+    line("ask-list", format!("{:?}", cluster.list_poll_interval));
+    line("cold/lasts", cluster.slow_start.duration.to_string());
+    line("cold/window", cluster.slow_start.window.to_string());
+    line("cold/offers", cluster.slow_start.max_offers.to_string());
+    line("other-hall-price", cluster.cross_zone_cost.to_string());
     line(
         "(no keyword) opens within",
-        cluster.opens_within.to_string(),
+        cluster.connect_timeout.to_string(),
+    );
+    line(
+        "(no keyword) tells loss",
+        cluster.reports_losses.to_string(),
     );
-    line("(no keyword) tells loss", cluster.tells_loss.to_string());
     let bounds = &read.bounds;
     line("bounds/in-hand", bounds.in_hand.to_string());
     line("bounds/calls", bounds.calls.to_string());
--- a/crates/dispatcher/src/bring.rs
+++ b/crates/dispatcher/src/bring.rs
@@ -50,7 +50,7 @@
 
 async fn bring(desk: &Arc<Desk>, peers: &[SocketAddr], source: Source) -> Came {
     let running = desk.deployment().stamp;
-    let dispatcher = desk.deployment().cluster.number as u32;
+    let dispatcher = desk.deployment().cluster.scheduler_index as u32;
     let ask = v1::GiveAsk {
         running: Some(message(running)),
         dispatcher,
--- a/crates/dispatcher/src/conductors.rs
+++ b/crates/dispatcher/src/conductors.rs
@@ -4,7 +4,7 @@
 use crate::store::{Held, Kept};
 use corkspan_rollout::Roll;
 use corkspan_rollout::conductor::{Conductor, ReportedSlot};
-use corkspan_scheduler::interface::Tenths;
+use corkspan_scheduler::interface::Ticks;
 use std::collections::BTreeMap;
 use tracing::warn;
 
@@ -22,7 +22,7 @@
 }
 
 impl Rolls {
-    pub fn new(me: u32, seed: u64, now: Tenths, (rolls, claims): Kept) -> Self {
+    pub fn new(me: u32, seed: u64, now: Ticks, (rolls, claims): Kept) -> Self {
         let mut own = Rolls {
             me,
             seed,
@@ -69,7 +69,7 @@
         self.conductors.get_mut(service)
     }
 
-    pub fn adopt(&mut self, now: Tenths, roll: Roll) {
+    pub fn adopt(&mut self, now: Ticks, roll: Roll) {
         let full = self.conductors.len() >= MOST;
         match self.conductors.get_mut(&roll.service) {
             Some(conductor) => conductor.adopt(roll),
--- a/crates/dispatcher/src/control.rs
+++ b/crates/dispatcher/src/control.rs
@@ -96,7 +96,7 @@
         if services.is_empty() {
             return future::pending().await;
         }
-        let number = desk.deployment().cluster.number;
+        let number = desk.deployment().cluster.scheduler_index;
         let mut retry = Retry::new(desk.clock.now() ^ (number as u64) << 32);
         // Hundreds that start at once don't all come at once.
         async_io::Timer::after(duration(retry.wait(0)) / 4).await;
@@ -130,7 +130,7 @@
     let (to, from) = async_channel::bounded(ANSWERS);
     let answers = Answers {
         to,
-        dispatcher: desk.deployment().cluster.number as u32,
+        dispatcher: desk.deployment().cluster.scheduler_index as u32,
     };
     answers.tell(&desk.versions, Answer::Nothing, Vec::new());
     let mut client = ControlClient::new(link).max_decoding_message_size(PUSH);
@@ -353,7 +353,10 @@
         let floor = self.0.fleet.floor().map(fleet::message);
         let shut_out = self.0.shut_out().is_some();
         let status = self.0.versions.status(&self.0.deployment());
-        let (dispatcher, life) = (self.0.deployment().cluster.number as u32, self.0.fleet.life);
+        let (dispatcher, life) = (
+            self.0.deployment().cluster.scheduler_index as u32,
+            self.0.fleet.life,
+        );
         let (unwritten, (spans, counted)) = (self.0.fleet.unwritten(), self.0.fleet.told());
         // For an audit of an earlier program, which knows no kinds.
         let mut acts = std::collections::HashMap::new();
--- a/crates/dispatcher/src/desk.rs
+++ b/crates/dispatcher/src/desk.rs
@@ -124,7 +124,7 @@
                 stopping: false,
                 decided: Duration::ZERO,
                 serving: 0,
-                rolls: Rolls::new(deployment.cluster.number as u32, seed, now, kept),
+                rolls: Rolls::new(deployment.cluster.scheduler_index as u32, seed, now, kept),
                 orphans,
                 gives_back,
             };
@@ -185,7 +185,7 @@
     }
 
     /// Hands something over and sets going what follows from it.
-    fn with<R>(&self, call: impl FnOnce(Tenths, &mut Host<Client>, &mut Port) -> R) -> R {
+    fn with<R>(&self, call: impl FnOnce(Ticks, &mut Host<Client>, &mut Port) -> R) -> R {
         let mut inner = self.lock();
         let Inner { host, port } = &mut *inner;
         let (now, began) = (self.clock.now(), Instant::now());
@@ -357,7 +357,7 @@
     }
 
     /// What an ask is to the decisions, or what is wrong with it. Its abandon time is not set.
-    fn asked(&self, now: Tenths, ask: &v1::Ask) -> Result<Asked, String> {
+    fn asked(&self, now: Ticks, ask: &v1::Ask) -> Result<Asked, String> {
         // A row without a name is of one that is gone.
         let index = |names: &[String], name: &str| {
             names
@@ -392,11 +392,9 @@
         }
         Ok(Asked {
             service: service(&ask.service),
-            track: TrackId(track.ok_or_else(|| format!("unknown track `{}`", ask.track))?),
-            account: AccountId(
-                account.ok_or_else(|| format!("unknown account `{}`", ask.account))?,
-            ),
-            asks: Amount {
+            track: ServiceClassId(track.ok_or_else(|| format!("unknown track `{}`", ask.track))?),
+            account: TenantId(account.ok_or_else(|| format!("unknown account `{}`", ask.account))?),
+            asks: Resources {
                 cores: ask.cores,
                 memory: ask.memory,
             },
@@ -422,8 +420,8 @@
             cores: ask.cores,
             memory: ask.memory,
             life_ms: ask.life_ms,
-            dispatcher: self.deployment().cluster.number as u32,
-            priority: u32::from(self.deployment().cluster.tracks[asked.track.0].priority),
+            dispatcher: self.deployment().cluster.scheduler_index as u32,
+            priority: u32::from(self.deployment().cluster.service_classes[asked.track.0].priority),
             version,
             by: Some(self.by(kind, 1)),
             floor: self.fleet.floor().map(standing::message),
@@ -439,7 +437,7 @@
         v1::By {
             stamp,
             life: self.fleet.life,
-            dispatcher: deployment.cluster.number as u32,
+            dispatcher: deployment.cluster.scheduler_index as u32,
         }
     }
 
@@ -468,7 +466,7 @@
         let Some((client, allocation)) = host.own(id) else {
             return;
         };
-        if let Some(machine) = allocation.shots.last().map(|shot| shot.machine) {
+        if let Some(machine) = allocation.attempts.last().map(|shot| shot.machine) {
             port.stop(self, client, machine, false);
         }
         if client.beside.is_some() {
@@ -488,19 +486,19 @@
     }
 
     /// The list of machines, or changes of it, with their addresses.
-    pub fn listed(&self, scope: Scope, entries: &[(Entry, std::net::SocketAddr)]) {
+    pub fn listed(&self, scope: ListUpdate, entries: &[(Endpoint, std::net::SocketAddr)]) {
         self.with(|_, host, port| {
-            if scope == Scope::Whole {
+            if scope == ListUpdate::Complete {
                 port.nodes
                     .retain(|id, _| entries.iter().any(|(entry, _)| entry.machine == *id));
             }
-            let dispatcher = self.deployment().cluster.number as u32;
-            if scope == Scope::Whole {
+            let dispatcher = self.deployment().cluster.scheduler_index as u32;
+            if scope == ListUpdate::Complete {
                 port.entries.clear();
             }
             for (entry, address) in entries {
                 match entry.state {
-                    State::Gone => drop(port.entries.remove(&entry.machine)),
+                    MachineState::Removed => drop(port.entries.remove(&entry.machine)),
                     _ => drop(port.entries.insert(entry.machine, *entry)),
                 }
                 if port
@@ -518,13 +516,13 @@
                     port.nodes.insert(entry.machine, node);
                 }
             }
-            let list: Vec<Entry> = entries.iter().map(|(entry, _)| *entry).collect();
+            let list: Vec<Endpoint> = entries.iter().map(|(entry, _)| *entry).collect();
             host.listed(scope, &list);
         });
     }
 
     /// The machines that the roster names.
-    pub fn entries(&self) -> BTreeMap<MachineId, Entry> {
+    pub fn entries(&self) -> BTreeMap<MachineId, Endpoint> {
         self.lock().port.entries.clone()
     }
 
@@ -539,13 +537,13 @@
         held
     }
 
-    fn once(&self, track: TrackId) -> bool {
+    fn once(&self, track: ServiceClassId) -> bool {
         let deployment = self.deployment();
         deployment
             .cluster
-            .tracks
+            .service_classes
             .get(track.0)
-            .is_none_or(|track| track.repeat == Repeat::Unrepeatable)
+            .is_none_or(|track| track.retry_safety == RetrySafety::NotRetryable)
     }
 
     /// Moves what may be moved off a machine that is taken out: its owner asks for it anew. Told
@@ -581,8 +579,8 @@
         let (counts, port) = (inner.host.counts(), &inner.port);
         let idle = duration(self.deployment().bounds.idle_close);
         v1::StatusWord {
-            number: self.deployment().cluster.number as u32,
-            schedulers: self.deployment().cluster.schedulers as u32,
+            number: self.deployment().cluster.scheduler_index as u32,
+            schedulers: self.deployment().cluster.scheduler_count as u32,
             in_hand: counts.in_hand as u64,
             not_yet: counts.not_yet as u64,
             shots_out: counts.shots_out as u64,
@@ -632,7 +630,16 @@
         self.with(|now, host, port| {
             for (id, shot) in host.unanswered() {
                 warn!(?id, shot, "no answer from a node before the stop");
-                host.returned(now, id, shot, Ending::TimedOut, None, false, None, port);
+                host.returned(
+                    now,
+                    id,
+                    shot,
+                    AttemptResult::TimedOut,
+                    None,
+                    false,
+                    None,
+                    port,
+                );
             }
             for (_, client, runs) in host.all() {
                 if runs && client.beside.is_none() {
@@ -656,7 +663,7 @@
 /// they were decided.
 fn cluster(deployment: &Deployment) -> Cluster {
     let mut cluster = deployment.cluster.clone();
-    cluster.cold.window += deployment.bounds.connect_within;
+    cluster.slow_start.window += deployment.bounds.connect_within;
     cluster
 }
 
@@ -667,7 +674,7 @@
 };
 
 /// What stands, and where.
-fn standing(host: &mut Host<Client>) -> Vec<(AllocationId, MachineId, TrackId)> {
+fn standing(host: &mut Host<Client>) -> Vec<(AllocationId, MachineId, ServiceClassId)> {
     let placed: Vec<AllocationId> = host
         .all()
         .filter(|(_, _, placed)| *placed)
@@ -675,13 +682,17 @@
         .collect();
     let at = |id| {
         let (_, allocation) = host.own(id)?;
-        Some((id, allocation.shots.last()?.machine, allocation.track))
+        Some((
+            id,
+            allocation.attempts.last()?.machine,
+            allocation.service_class,
+        ))
     };
     placed.into_iter().filter_map(at).collect()
 }
 
 /// No owner waits longer for a placing.
-const LONGEST: Tenths = 24 * 3600 * 10_000;
+const LONGEST: Ticks = 24 * 3600 * 10_000;
 
 fn refusal(why: NotTaken) -> v1::refused::Why {
     match why {
--- a/crates/dispatcher/src/desk/client.rs
+++ b/crates/dispatcher/src/desk/client.rs
@@ -16,15 +16,15 @@
     pub ask: v1::Ask,
     pub words: async_channel::Sender<v1::Word>,
     /// When the owner stops waiting; none for one handed over.
-    pub deadline: Option<Tenths>,
+    pub deadline: Option<Ticks>,
     /// The call itself has a deadline: that it ends then says nothing of the allocation.
-    pub hangs_up: Option<Tenths>,
+    pub hangs_up: Option<Ticks>,
     pub moving: bool,
     /// Its id now: a roll gives it another with each copy.
     pub current: Current,
     pub version: String,
     /// Since when its copy is ready, by its own word.
-    pub ready: Option<Tenths>,
+    pub ready: Option<Ticks>,
     /// A roll is having its copy stopped, to place another.
     pub stopping: bool,
     /// It is being placed in the place of a copy that a roll has stopped: its owner had its answer
--- a/crates/dispatcher/src/desk/copies.rs
+++ b/crates/dispatcher/src/desk/copies.rs
@@ -60,11 +60,15 @@
             old.ask.task.clone(),
             old.ask.placing.clone(),
         );
-        let nodes = allocation.shots.iter().map(|shot| shot.machine).collect();
+        let nodes = allocation
+            .attempts
+            .iter()
+            .map(|shot| shot.machine)
+            .collect();
         let Some((new, allocation)) = host.own(next) else {
             return false;
         };
-        let Some(machine) = allocation.shots.last().map(|shot| shot.machine) else {
+        let Some(machine) = allocation.attempts.last().map(|shot| shot.machine) else {
             return false;
         };
         (new.beside, new.current, new.hangs_up) = (None, current, hangs_up);
@@ -114,7 +118,7 @@
                 if let Some(at) = client.ready {
                     conductor.ready(at, &client.ask.task);
                 }
-                if !self.may_run_twice(allocation.track) {
+                if !self.may_run_twice(allocation.service_class) {
                     conductor.only_once(&client.ask.task);
                 }
             }
@@ -129,19 +133,19 @@
                 return;
             };
             client.stopping = true;
-            if let Some(shot) = allocation.shots.last() {
+            if let Some(shot) = allocation.attempts.last() {
                 port.stop(self, client, shot.machine, false);
             }
         });
     }
 
-    pub(super) fn may_run_twice(&self, track: TrackId) -> bool {
+    pub(super) fn may_run_twice(&self, track: ServiceClassId) -> bool {
         let deployment = self.deployment();
         deployment
             .cluster
-            .tracks
+            .service_classes
             .get(track.0)
-            .is_some_and(|track| track.repeat == Repeat::Idempotent)
+            .is_some_and(|track| track.retry_safety == RetrySafety::Idempotent)
     }
 
     /// The two of a copy that grows: to be kept on disk before the new one is offered anywhere.
@@ -199,9 +203,9 @@
             };
             let asked = Asked {
                 service: allocation.service,
-                track: allocation.track,
-                account: allocation.account,
-                asks: allocation.asks,
+                track: allocation.service_class,
+                account: allocation.tenant,
+                asks: allocation.requested,
                 abandon: now + within,
             };
             let fresh = Client::new(ask, &client.words);
@@ -403,7 +407,7 @@
         tasks.iter().for_each(|task| self.replace(task));
     }
 
-    pub fn with_rolls<R>(&self, call: impl FnOnce(Tenths, &mut Rolls) -> R) -> R {
+    pub fn with_rolls<R>(&self, call: impl FnOnce(Ticks, &mut Rolls) -> R) -> R {
         let mut inner = self.lock();
         call(self.clock.now(), &mut inner.port.rolls)
     }
--- a/crates/dispatcher/src/desk/outcomes.rs
+++ b/crates/dispatcher/src/desk/outcomes.rs
@@ -21,7 +21,7 @@
     }
 
     fn placed_when_running(&self) -> bool {
-        self.deployment().cluster.placed_runs
+        self.deployment().cluster.placed_means_running
     }
 
     fn shut_out(&self) -> bool {
@@ -61,7 +61,7 @@
                     return;
                 }
                 port.counters.placed += 1;
-                let shots = allocation.shots.len() as u32;
+                let shots = allocation.attempts.len() as u32;
                 client.say(Said::Placed(v1::Placed {
                     node: machine.0,
                     shots,
@@ -80,10 +80,10 @@
         self: &Arc<Self>,
         id: AllocationId,
         shot: usize,
-        ending: Ending,
-        reason: Option<Reason>,
+        ending: AttemptResult,
+        reason: Option<ReturnReason>,
         over: Option<v1::ended::How>,
-        report: Option<Report>,
+        report: Option<LoadReport>,
     ) {
         self.with(|now, host, port| {
             let mut anew = None;
@@ -95,13 +95,13 @@
             } else if host
                 .own(id)
                 .is_some_and(|(client, _)| over.is_some() && client.retiring)
-                && self.take_over(id, ending == Ending::Cancelled, host, port)
+                && self.take_over(id, ending == AttemptResult::Cancelled, host, port)
             {
                 // Its owner goes on with the new one.
             } else if let (Some(how), Some((client, allocation))) = (over, host.own(id)) {
                 // Known to be gone, since its node says so: now a copy of the version wanted may be
                 // placed.
-                if client.stopping && ending == Ending::Cancelled && !port.stopping {
+                if client.stopping && ending == AttemptResult::Cancelled && !port.stopping {
                     anew = port.anew(client, allocation);
                 } else {
                     let how = if client.moving && how == v1::ended::How::Lost {
@@ -110,7 +110,7 @@
                         how
                     };
                     let successor = client.successor.take();
-                    port.copy_gone(client, ending == Ending::Ended);
+                    port.copy_gone(client, ending == AttemptResult::Completed);
                     client.say(Said::Ended(v1::Ended { how: how.into() }));
                     client.words.close();
                     if let Some(next) = successor {
@@ -171,21 +171,21 @@
         });
     }
 
-    fn noted(&self, id: AllocationId, note: Note) {
+    fn noted(&self, id: AllocationId, note: Metric) {
         self.with(|now, host, _| {
             host.noted(now, id, note);
             let Some((client, _)) = host.own(id) else {
                 return;
             };
             match note {
-                Note::Runs => client.note(Said::Runs(v1::Runs {})),
-                Note::Served(part) => client.note(Said::Served(v1::Served { part })),
+                Metric::Running => client.note(Said::Runs(v1::Runs {})),
+                Metric::Served(part) => client.note(Said::Served(v1::Served { part })),
                 _ => {}
             }
         });
     }
 
-    fn probed(&self, machine: MachineId, ending: Ending, report: Option<Report>) {
+    fn probed(&self, machine: MachineId, ending: AttemptResult, report: Option<LoadReport>) {
         self.with(|now, host, _| host.probed(now, machine, ending, report));
     }
 }
--- a/crates/dispatcher/src/desk/port.rs
+++ b/crates/dispatcher/src/desk/port.rs
@@ -30,10 +30,10 @@
 /// The ways out: to nodes, owners and the timer.
 pub struct Port {
     pub desk: Weak<Desk>,
-    pub now: Tenths,
+    pub now: Ticks,
     pub nodes: BTreeMap<MachineId, Arc<NodeLink>>,
     /// As the roster told last.
-    pub entries: BTreeMap<MachineId, Entry>,
+    pub entries: BTreeMap<MachineId, Endpoint>,
     pub counters: Counters,
     pub stopping: bool,
     pub decided: Duration,
@@ -73,9 +73,9 @@
         let abandon = self.now + within;
         let asked = Asked {
             service: allocation.service,
-            track: allocation.track,
-            account: allocation.account,
-            asks: allocation.asks,
+            track: allocation.service_class,
+            account: allocation.tenant,
+            asks: allocation.requested,
             abandon,
         };
         let placing = next_placing(&client.ask.placing);
@@ -120,7 +120,13 @@
             task: client.ask.task.clone(),
             placings: vec![client.ask.placing.clone()],
             but: None,
-            nodes: Some(allocation.shots.iter().map(|shot| shot.machine).collect()),
+            nodes: Some(
+                allocation
+                    .attempts
+                    .iter()
+                    .map(|shot| shot.machine)
+                    .collect(),
+            ),
             told: BTreeSet::new(),
             then: Then::Withdrawn(why),
         });
@@ -193,17 +199,17 @@
         client: &mut Client,
         allocation: &Allocation,
         machine: MachineId,
-        time_out: Tenths,
+        time_out: Ticks,
     ) {
         let Some(desk) = self.desk.upgrade() else {
             return;
         };
         let asked = Asked {
             service: allocation.service,
-            track: allocation.track,
-            account: allocation.account,
-            asks: allocation.asks,
-            abandon: allocation.abandon,
+            track: allocation.service_class,
+            account: allocation.tenant,
+            asks: allocation.requested,
+            abandon: allocation.deadline,
         };
         client.version = self.rolls.wanted(&client.ask.service);
         (client.ready, client.stopping) = (None, false);
@@ -218,21 +224,21 @@
                 &client.version,
                 client.ask.again && !client.anew,
             );
-            if !desk.may_run_twice(allocation.track) {
+            if !desk.may_run_twice(allocation.service_class) {
                 conductor.only_once(&client.ask.task);
             }
         }
         let shot = desk.shot(
             &client.ask,
             &asked,
-            allocation.shots.len(),
+            allocation.attempts.len(),
             client.version.clone(),
             Kind::Shot,
         );
         let node = self.node(machine);
         let most = desk.deployment().bounds.offers_a_node;
         let open: Option<Counted> = node.as_ref().and_then(|node| node.offer(most));
-        let (id, number, decided) = (allocation.id, allocation.shots.len(), Instant::now());
+        let (id, number, decided) = (allocation.id, allocation.attempts.len(), Instant::now());
         let offer = shots::Offer {
             id,
             number,
@@ -254,7 +260,7 @@
         }
         let (why, shots) = (
             v1::refused::Why::NoRoom.into(),
-            allocation.shots.len() as u32,
+            allocation.attempts.len() as u32,
         );
         let text = "no machine could take it in its time".into();
         if self.answer(client, Said::Refused(v1::Refused { why, text, shots })) {
@@ -266,7 +272,7 @@
         if client.beside.is_some() {
             return self.put_away(client, allocation, Withdrawn::NoRoom);
         }
-        let shots = allocation.shots.len() as u32;
+        let shots = allocation.attempts.len() as u32;
         let text = "a shot may have run, and a further one is not allowed".into();
         if self.answer(client, Said::Failed(v1::Failed { text, shots })) {
             self.counters.failed += 1;
@@ -274,7 +280,7 @@
     }
 
     fn relocate(&mut self, client: &mut Client, allocation: &Allocation) {
-        let (Some(desk), Some(shot)) = (self.desk.upgrade(), allocation.shots.last()) else {
+        let (Some(desk), Some(shot)) = (self.desk.upgrade(), allocation.attempts.last()) else {
             return;
         };
         client.moving = true;
@@ -296,7 +302,7 @@
         }
     }
 
-    fn wake(&mut self, after: Tenths) {
+    fn wake(&mut self, after: Ticks) {
         if let Some(desk) = self.desk.upgrade() {
             // Always earlier than what is waited for, so it may take its place.
             let _ = desk.wakes.force_send(Instant::now() + duration(after));
--- a/crates/dispatcher/src/fleet.rs
+++ b/crates/dispatcher/src/fleet.rs
@@ -82,7 +82,7 @@
             let taken: Vec<Option<u64>> = words.iter().map(|word| word.taken).collect();
             let stands = in_force(told.iter().flatten(), keepers).map(|floor| floor.lowest);
             // Hundreds see it in the same round: a few that ask are enough.
-            let chance = of_a_few(deployment.cluster.schedulers, rng.random());
+            let chance = of_a_few(deployment.cluster.scheduler_count, rng.random());
             let lowest = watch
                 .look(now, rule, &taken, keepers, stands)
                 .filter(|_| chance);
@@ -115,7 +115,10 @@
         .versions
         .with(|state| (state.subscriber.running().0, state.subscriber.on_trial()));
     let cluster = &desk.deployment().cluster;
-    let (dispatcher, fleet) = (cluster.number as u32, cluster.schedulers as u32);
+    let (dispatcher, fleet) = (
+        cluster.scheduler_index as u32,
+        cluster.scheduler_count as u32,
+    );
     let runs = Some(v1::InForce {
         dispatcher,
         stamp: Some(running::message(running)),
@@ -149,7 +152,7 @@
         .map(|word| word.lies.as_ref().and_then(running::stamp))
         .min();
     let Some(theirs) = oldest else { return };
-    let fleet = desk.deployment().cluster.schedulers;
+    let fleet = desk.deployment().cluster.scheduler_count;
     if !lays(good.number, theirs.map(|stamp| stamp.number), fleet, chance) {
         return;
     }
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -96,8 +96,9 @@
     let clock = clock::Clock::start();
     // Another life must not draw the same chances: one that was killed for a bad draw would repeat
     // it.
-    let seed =
-        deployment.seed ^ clock.now().rotate_left(20) ^ (deployment.cluster.number as u64) << 48;
+    let seed = deployment.seed
+        ^ clock.now().rotate_left(20)
+        ^ (deployment.cluster.scheduler_index as u64) << 48;
     let (wakes, waking) = async_channel::bounded(1);
     let (watches, asked) = async_channel::bounded(1);
     let path = deployment.remembered.clone();
@@ -107,7 +108,7 @@
     let mut roster = path.as_deref().map(Roster::remembered).unwrap_or_default();
     let entries = roster.entries(&desk);
     info!(%address, remembered = entries.len(), "listening");
-    desk.listed(corkspan_scheduler::interface::Scope::Remembered, &entries);
+    desk.listed(corkspan_scheduler::interface::ListUpdate::Cached, &entries);
 
     let service = All {
         placement: PlacementServer::new(Clients(Arc::clone(&desk)))
--- a/crates/dispatcher/src/maintenance.rs
+++ b/crates/dispatcher/src/maintenance.rs
@@ -12,7 +12,7 @@
 use corkspan_maintenance::{At, ClaimId, Course, Limits, Machine, Phase, Wish};
 use corkspan_quorum::{in_force, majority, of_a_few};
 use corkspan_rpc::within;
-use corkspan_scheduler::interface::{MachineId, Tenths};
+use corkspan_scheduler::interface::{MachineId, Ticks};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet};
@@ -21,9 +21,9 @@
 use tracing::info;
 
 /// A claim that no majority holds after so long has been left behind by whoever made it.
-const LEFT_BEHIND: Tenths = 100_000;
+const LEFT_BEHIND: Ticks = 100_000;
 /// Between two bids.
-const BID_EVERY: Tenths = 50_000;
+const BID_EVERY: Ticks = 50_000;
 /// Machines that are asked in one look whether they could be taken next: of the cheapest, and by
 /// chance.
 const CANDIDATES: usize = 8;
@@ -31,7 +31,7 @@
 /// Looks again and again, for as long as it is polled.
 pub async fn run(desk: Arc<Desk>) {
     let mut rng = Pcg64Mcg::seed_from_u64(desk.fleet.life ^ 2);
-    let mut first_seen: BTreeMap<ClaimId, Tenths> = BTreeMap::new();
+    let mut first_seen: BTreeMap<ClaimId, Ticks> = BTreeMap::new();
     let mut bid_at = 0;
     while let Some(every) = desk.deployment().maintenance {
         if let Some(view) = view(&desk).await {
@@ -59,7 +59,7 @@
                 bid_at = now + BID_EVERY;
                 bids(&desk, wish).await;
             }
-            if of_a_few(desk.deployment().cluster.schedulers, rng.random()) {
+            if of_a_few(desk.deployment().cluster.scheduler_count, rng.random()) {
                 act(&desk, &view, &old, &mut rng).await;
             }
         }
@@ -69,7 +69,7 @@
 
 /// What the keepers come to; none without a majority.
 async fn view(desk: &Arc<Desk>) -> Option<View> {
-    let fleet = desk.deployment().cluster.schedulers as u32;
+    let fleet = desk.deployment().cluster.scheduler_count as u32;
     let tell = v1::Tell {
         floor_only: true,
         board: true,
@@ -92,7 +92,7 @@
     let costs = held
         .map(|(own, (movable, once))| (own.0, bid(movable, once)))
         .collect();
-    let dispatcher = desk.deployment().cluster.number as u32;
+    let dispatcher = desk.deployment().cluster.scheduler_index as u32;
     ask_all(desk, Ask::Bids(v1::Bids { dispatcher, costs })).await;
 }
 
@@ -342,9 +342,9 @@
         let entry =
             entry.ok_or_else(|| wrong(format!("machine {node} is not in the roster's list")))?;
         let at = At {
-            hall: entry.hall.0 as u32,
+            hall: entry.zone.0 as u32,
             cell: entry.cell.0,
-            kind: entry.kind.0 as u32,
+            kind: entry.machine_type.0 as u32,
         };
         machines.insert(Machine(*node), at);
     }
--- a/crates/dispatcher/src/rolls.rs
+++ b/crates/dispatcher/src/rolls.rs
@@ -158,7 +158,7 @@
         warn!(service, version = roll.version, why, "the roll halts");
         let halted = roll.with_phase(
             Phase::Halted(why),
-            u64::from(desk.deployment().cluster.number as u32),
+            u64::from(desk.deployment().cluster.scheduler_index as u32),
         );
         let _ = propose(desk, halted).await;
     }
@@ -177,7 +177,7 @@
     for ClaimRequest { claim, slot, task } in look.claims {
         let mut granted = 0;
         if keep_claim(desk, claim, service, &task, false, None).await {
-            let dispatcher = desk.deployment().cluster.number as u32;
+            let dispatcher = desk.deployment().cluster.scheduler_index as u32;
             let slot = v1::Slot {
                 slot,
                 claim: claim.0,
@@ -541,5 +541,5 @@
 
 /// Tells two who ask at once apart.
 fn asker(desk: &Desk) -> u64 {
-    desk.clock.now().rotate_left(24) ^ desk.deployment().cluster.number as u64
+    desk.clock.now().rotate_left(24) ^ desk.deployment().cluster.scheduler_index as u64
 }
--- a/crates/dispatcher/src/roster.rs
+++ b/crates/dispatcher/src/roster.rs
@@ -54,7 +54,7 @@
     lines: BTreeMap<u32, Line>,
     /// When each process started by our clock, fixed when first told: a moment worked out anew
     /// with each list would wander with the way, and look like another start.
-    starts: BTreeMap<u32, (u64, Tenths)>,
+    starts: BTreeMap<u32, (u64, Ticks)>,
 }
 
 /// Between two writes of the list: each is a sync of the disk, and a large cluster changes all the
@@ -94,7 +94,7 @@
     }
 
     /// The lines as the decisions take them.
-    pub fn entries(&mut self, desk: &Desk) -> Vec<(Entry, SocketAddr)> {
+    pub fn entries(&mut self, desk: &Desk) -> Vec<(Endpoint, SocketAddr)> {
         let lines: Vec<Line> = self.lines.values().cloned().collect();
         let now_ms = wall_ms();
         lines
@@ -108,12 +108,12 @@
         &mut self,
         desk: &Desk,
         listing: v1::Listing,
-    ) -> (Scope, Vec<(Entry, SocketAddr)>, bool) {
+    ) -> (ListUpdate, Vec<(Endpoint, SocketAddr)>, bool) {
         let mut matters = listing.whole;
         let scope = if listing.whole {
-            Scope::Whole
+            ListUpdate::Complete
         } else {
-            Scope::Changes
+            ListUpdate::Incremental
         };
         if listing.whole {
             self.lines.clear();
@@ -148,7 +148,7 @@
         (scope, entries, matters)
     }
 
-    fn entry(&mut self, desk: &Desk, line: &Line, now_ms: u64) -> Option<(Entry, SocketAddr)> {
+    fn entry(&mut self, desk: &Desk, line: &Line, now_ms: u64) -> Option<(Endpoint, SocketAddr)> {
         let index = |names: &[String], name: &str| names.iter().position(|known| known == name);
         let (kind, hall) = (
             index(&desk.deployment().kinds, &line.kind),
@@ -164,18 +164,20 @@
             return None;
         };
         Some((
-            Entry {
+            Endpoint {
                 machine: MachineId(line.node),
-                kind: KindId(kind),
-                hall: HallId(hall),
+                machine_type: MachineTypeId(kind),
+                zone: ZoneId(hall),
                 cell: CellId(line.cell),
                 state: match line.state {
-                    Known::Serving => State::Serving,
-                    Known::Draining => State::Draining,
-                    Known::Gone => State::Gone,
+                    Known::Serving => MachineState::Serving,
+                    Known::Draining => MachineState::Draining,
+                    Known::Gone => MachineState::Removed,
                 },
-                started: self.started(&desk.clock, line, now_ms),
-                unasked: line.unasked.map(|(cores, memory)| Amount { cores, memory }),
+                started_at: self.started(&desk.clock, line, now_ms),
+                unreserved: line
+                    .unasked
+                    .map(|(cores, memory)| Resources { cores, memory }),
             },
             line.address,
         ))
@@ -184,7 +186,7 @@
     /// By the roster's clock a start was so long ago; by ours that is never earlier, since the list
     /// took a while to come: a cold machine is taken to be cold for longer rather than too
     /// short.
-    fn started(&mut self, clock: &Clock, line: &Line, now_ms: u64) -> Option<Tenths> {
+    fn started(&mut self, clock: &Clock, line: &Line, now_ms: u64) -> Option<Ticks> {
         if line.started_ms == 0 {
             return None;
         }
@@ -289,7 +291,7 @@
     let mut client = RosterClient::new(link).max_decoding_message_size(LARGEST as usize);
     let ask = v1::ListAsk {
         version: roster.version,
-        dispatcher: desk.deployment().cluster.number as u32,
+        dispatcher: desk.deployment().cluster.scheduler_index as u32,
     };
     let mut listings = client
         .watch(ask)
--- a/crates/dispatcher/src/running.rs
+++ b/crates/dispatcher/src/running.rs
@@ -40,7 +40,7 @@
     /// Reads what an earlier life kept, and the deployment that is in force by it.
     pub fn start(
         file: Deployment,
-        now: corkspan_scheduler::interface::Tenths,
+        now: corkspan_scheduler::interface::Ticks,
     ) -> (Self, Deployment) {
         let path = file.versions.clone();
         let mut kept = path.as_deref().map(versions::read).unwrap_or_default();
--- a/crates/dispatcher/src/shots.rs
+++ b/crates/dispatcher/src/shots.rs
@@ -30,16 +30,16 @@
         self: &Arc<Self>,
         id: AllocationId,
         shot: usize,
-        ending: Ending,
-        reason: Option<Reason>,
+        ending: AttemptResult,
+        reason: Option<ReturnReason>,
         over: Option<v1::ended::How>,
-        report: Option<Report>,
+        report: Option<LoadReport>,
     );
     /// A copy says which version of its program it runs.
     fn runs(&self, id: AllocationId, version: String);
     fn ready(&self, id: AllocationId, ready: bool);
-    fn noted(&self, id: AllocationId, note: Note);
-    fn probed(&self, machine: MachineId, ending: Ending, report: Option<Report>);
+    fn noted(&self, id: AllocationId, note: Metric);
+    fn probed(&self, machine: MachineId, ending: AttemptResult, report: Option<LoadReport>);
 }
 
 /// An offer about to be made.
@@ -57,14 +57,14 @@
 
 /// How a shot has returned, before it was placed or after.
 struct Back {
-    ending: Ending,
-    reason: Option<Reason>,
+    ending: AttemptResult,
+    reason: Option<ReturnReason>,
     how: v1::ended::How,
-    report: Option<Report>,
+    report: Option<LoadReport>,
 }
 
 impl Back {
-    fn plain(ending: Ending) -> Self {
+    fn plain(ending: AttemptResult) -> Self {
         Back {
             ending,
             reason: None,
@@ -93,15 +93,15 @@
         desk.returned(id, number, back.ending, back.reason, over, back.report)
     };
     let Some(node) = node else {
-        return back(Back::plain(Ending::Unconnected), None);
+        return back(Back::plain(AttemptResult::ConnectFailed), None);
     };
     let Some(open) = open else {
         // As the node itself would say: too many wait for it, here already.
-        let reason = Some(Reason::QueueFull);
+        let reason = Some(ReturnReason::QueueFull);
         return back(
             Back {
                 reason,
-                ..Back::plain(Ending::Refused)
+                ..Back::plain(AttemptResult::Rejected)
             },
             None,
         );
@@ -109,7 +109,7 @@
     // Decided under a version that may act no more: the nodes would turn it away, and its owner is
     // told in time.
     if desk.shut_out() {
-        return back(Back::plain(Ending::NotSent), None);
+        return back(Back::plain(AttemptResult::NotSent), None);
     }
     let _call = node.call();
     // Until the offer is handed to the link, it can't have reached the node.
@@ -127,7 +127,7 @@
         // window, and who drains, are counted from the decision. So a process that stood
         // still in between sends nothing.
         if decided.elapsed() > latest {
-            return First::Back(Back::plain(Ending::NotSent));
+            return First::Back(Back::plain(AttemptResult::NotSent));
         }
         written.store(true, Ordering::Relaxed);
         match client(&*desk, link).offer(shot).await {
@@ -139,7 +139,7 @@
     // small.
     let first = within(time_out, Box::pin(first)).await.unwrap_or_else(|| {
         let ending = if written.load(Ordering::Relaxed) {
-            Ending::TimedOut
+            AttemptResult::TimedOut
         } else {
             no_link(decided, time_out)
         };
@@ -158,11 +158,11 @@
 /// What it says of a node that no link to it came to stand. Where that is noticed long after its
 /// time was up, this process was too busy to see one stand: then it says nothing of the node, and
 /// blaming it would empty the list of a dispatcher under a burst.
-fn no_link(decided: Instant, latest: Duration) -> Ending {
+fn no_link(decided: Instant, latest: Duration) -> AttemptResult {
     if decided.elapsed() > latest + latest / 2 {
-        Ending::NotSent
+        AttemptResult::NotSent
     } else {
-        Ending::Unconnected
+        AttemptResult::ConnectFailed
     }
 }
 
@@ -178,7 +178,7 @@
         desk.returned(
             id,
             0,
-            Ending::Reset,
+            AttemptResult::Reset,
             reason,
             Some(v1::ended::How::Lost),
             None,
@@ -220,7 +220,7 @@
                     if let Some(floor) = &turned.floor {
                         desk.below(floor);
                     }
-                    let back = Back::plain(Ending::Refused);
+                    let back = Back::plain(AttemptResult::Rejected);
                     return First::Back(Back {
                         reason: reason(turned.why()),
                         report: report(load),
@@ -237,7 +237,7 @@
             },
             Ok(Some(_)) => {}
             // The stream ended without a word that binds: the node may have accepted it.
-            Ok(None) => return First::Back(Back::plain(Ending::Reset)),
+            Ok(None) => return First::Back(Back::plain(AttemptResult::Reset)),
             Err(why) => return First::Back(Back::plain(broken(&why))),
         }
     }
@@ -249,27 +249,27 @@
     number: usize,
     mut words: Streaming<v1::Said>,
 ) {
-    let mut back = Back::plain(Ending::Reset);
+    let mut back = Back::plain(AttemptResult::Reset);
     while let Ok(Some(word)) = words.message().await {
         match word.said {
             Some(Word::Running(started)) => {
                 desk.runs(id, started.version);
-                desk.noted(id, Note::Runs);
+                desk.noted(id, Metric::Running);
             }
             Some(Word::Ready(ready)) => desk.ready(id, ready),
             Some(Word::Use(used)) => {
                 for (note, value) in [
-                    (Note::Cores as fn(f64) -> Note, used.cores),
-                    (Note::Memory, used.memory),
+                    (Metric::Cores as fn(f64) -> Metric, used.cores),
+                    (Metric::Memory, used.memory),
                 ] {
                     if sound(value) {
                         desk.noted(id, note(value));
                     }
                 }
             }
-            Some(Word::Served(part)) if sound(part) => desk.noted(id, Note::Served(part)),
+            Some(Word::Served(part)) if sound(part) => desk.noted(id, Metric::Served(part)),
             Some(Word::MemoryShare(share)) if sound(share) => {
-                desk.noted(id, Note::MachineMemory(share))
+                desk.noted(id, Metric::MachineMemory(share))
             }
             Some(Word::Ended(over)) => {
                 back = Back {
@@ -280,7 +280,7 @@
             }
             Some(Word::Refused(turned)) => {
                 // It doesn't run there: nothing is known against the node.
-                back.reason = reason(turned.why()).or(Some(Reason::NotHere));
+                back.reason = reason(turned.why()).or(Some(ReturnReason::Unfit));
                 break;
             }
             _ => {}
@@ -318,16 +318,20 @@
         let link = node
             .ready(desk.tasks(), desk.bounds())
             .await
-            .map_err(|_| Ending::Unconnected)?;
+            .map_err(|_| AttemptResult::ConnectFailed)?;
         client(&*desk, link)
             .probe(v1::ProbeAsk {})
             .await
             .map_err(|why| broken(&why))
     });
     match word.await {
-        Some(Ok(word)) => desk.probed(machine, Ending::Ended, report(word.into_inner().load)),
+        Some(Ok(word)) => desk.probed(
+            machine,
+            AttemptResult::Completed,
+            report(word.into_inner().load),
+        ),
         Some(Err(ending)) => desk.probed(machine, ending, None),
-        None => desk.probed(machine, Ending::TimedOut, None),
+        None => desk.probed(machine, AttemptResult::TimedOut, None),
     }
 }
 
@@ -336,10 +340,10 @@
 }
 
 /// An error that the link made up, or one that the node gave.
-fn broken(why: &Status) -> Ending {
+fn broken(why: &Status) -> AttemptResult {
     match std::error::Error::source(why) {
-        Some(_) => Ending::Reset,
-        None => Ending::Error,
+        Some(_) => AttemptResult::Reset,
+        None => AttemptResult::Error,
     }
 }
 
@@ -348,36 +352,48 @@
 }
 
 /// The load report, where there is one that holds numbers.
-fn report(load: Option<v1::Load>) -> Option<Report> {
+fn report(load: Option<v1::Load>) -> Option<LoadReport> {
     let load = load.filter(|load| load.cores.is_finite() && load.memory.is_finite())?;
-    Some(Report {
-        unused: Amount {
+    Some(LoadReport {
+        available: Resources {
             cores: load.cores,
             memory: load.memory,
         },
     })
 }
 
-fn reason(why: v1::turned::Why) -> Option<Reason> {
+fn reason(why: v1::turned::Why) -> Option<ReturnReason> {
     match why {
         v1::turned::Why::NotTold => None,
-        v1::turned::Why::NoCores => Some(Reason::NoCores),
-        v1::turned::Why::NoMemory => Some(Reason::NoMemory),
-        v1::turned::Why::QueueFull => Some(Reason::QueueFull),
-        v1::turned::Why::NotHere | v1::turned::Why::BelowFloor => Some(Reason::NotHere),
+        v1::turned::Why::NoCores => Some(ReturnReason::NoCores),
+        v1::turned::Why::NoMemory => Some(ReturnReason::NoMemory),
+        v1::turned::Why::QueueFull => Some(ReturnReason::QueueFull),
+        v1::turned::Why::NotHere | v1::turned::Why::BelowFloor => Some(ReturnReason::Unfit),
     }
 }
 
 fn ended(how: v1::over::How) -> Back {
     use v1::ended::How;
     let (ending, reason, how) = match how {
-        v1::over::How::Error => (Ending::Error, None, How::Error),
-        v1::over::How::Ended => (Ending::Ended, None, How::Ended),
-        v1::over::How::Evicted => (Ending::Reset, Some(Reason::Evicted), How::Evicted),
-        v1::over::How::PushedOut => (Ending::Reset, Some(Reason::PushedOut), How::PushedOut),
-        v1::over::How::SentAway => (Ending::Reset, Some(Reason::SentAway), How::SentAway),
-        v1::over::How::Stopped => (Ending::Cancelled, None, How::Ended),
-        v1::over::How::Moved => (Ending::Cancelled, None, How::Moved),
+        v1::over::How::Error => (AttemptResult::Error, None, How::Error),
+        v1::over::How::Ended => (AttemptResult::Completed, None, How::Ended),
+        v1::over::How::Evicted => (
+            AttemptResult::Reset,
+            Some(ReturnReason::Evicted),
+            How::Evicted,
+        ),
+        v1::over::How::PushedOut => (
+            AttemptResult::Reset,
+            Some(ReturnReason::Preempted),
+            How::PushedOut,
+        ),
+        v1::over::How::SentAway => (
+            AttemptResult::Reset,
+            Some(ReturnReason::Migrated),
+            How::SentAway,
+        ),
+        v1::over::How::Stopped => (AttemptResult::Cancelled, None, How::Ended),
+        v1::over::How::Moved => (AttemptResult::Cancelled, None, How::Moved),
     };
     Back {
         ending,
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -13,7 +13,7 @@
 pub trait Wire<T> {
     /// Offers the allocation to a machine, as the shot of this number, and waits `time_out` for its
     /// answer.
-    fn send(&mut self, held: &mut T, allocation: &Allocation, machine: MachineId, time_out: Tenths);
+    fn send(&mut self, held: &mut T, allocation: &Allocation, machine: MachineId, time_out: Ticks);
     /// The final answer that another try is harmless.
     fn shed(&mut self, held: &mut T, allocation: &Allocation);
     /// The final answer that promises nothing.
@@ -26,7 +26,7 @@
     fn probe(&mut self, machine: MachineId);
     fn watch_list(&mut self);
     /// Calls for [`Host::woken`] after so long; never 0.
-    fn wake(&mut self, after: Tenths);
+    fn wake(&mut self, after: Ticks);
 }
 
 /// The id of a service. No instance sees all services, so it comes from the name and not from the
@@ -62,11 +62,11 @@
 #[derive(Clone, Debug)]
 pub struct Asked {
     pub service: ServiceId,
-    pub track: TrackId,
-    pub account: AccountId,
-    pub asks: Amount,
+    pub track: ServiceClassId,
+    pub account: TenantId,
+    pub asks: Resources,
     /// When the owner stops waiting for the final answer.
-    pub abandon: Tenths,
+    pub abandon: Ticks,
 }
 
 /// How many allocations stand where.
@@ -84,7 +84,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Slice {
     pub most: usize,
-    pub apart: Tenths,
+    pub apart: Ticks,
 }
 
 impl Slice {
@@ -103,12 +103,12 @@
 #[derive(Default)]
 struct Turns {
     /// New ones and those whose shot has come back, with their abandon times.
-    first: VecDeque<(Tenths, AllocationId)>,
+    first: VecDeque<(Ticks, AllocationId)>,
     /// Such as were answered "not yet".
-    again: VecDeque<(Tenths, AllocationId)>,
+    again: VecDeque<(Ticks, AllocationId)>,
     again_next: bool,
     /// All of them. However many wait, each is answered once its time is up.
-    ends: BTreeSet<(Tenths, AllocationId)>,
+    ends: BTreeSet<(Ticks, AllocationId)>,
 }
 
 impl Turns {
@@ -137,23 +137,23 @@
     /// Answered with "not yet", in the order taken.
     not_yet: Vec<AllocationId>,
     /// The same with their abandon times: some are asked for again alone, as their time is up.
-    not_yet_ends: BTreeSet<(Tenths, AllocationId)>,
+    not_yet_ends: BTreeSet<(Ticks, AllocationId)>,
     /// Of those, the ones to be asked for again now, slice by slice.
     again: VecDeque<AllocationId>,
     turns: Turns,
     slice: Slice,
     /// No slice is begun before.
-    slice_at: Tenths,
+    slice_at: Ticks,
     taken: u64,
     most: usize,
     /// When the earliest timer under way falls due.
-    armed: Option<Tenths>,
+    armed: Option<Ticks>,
 }
 
 impl<T> Host<T> {
     /// `most` allocations are in hand at a time at the most; usize::MAX where the caller is bounded
     /// otherwise.
-    pub fn new(cluster: Cluster, seed: u64, now: Tenths, most: usize, slice: Slice) -> Self {
+    pub fn new(cluster: Cluster, seed: u64, now: Ticks, most: usize, slice: Slice) -> Self {
         Host {
             scheduler: Scheduler::new(cluster, seed, now),
             held: BTreeMap::new(),
@@ -172,24 +172,24 @@
 
     /// Other figures are in force from here on. Ids of tracks and accounts in hand must mean what
     /// they meant.
-    pub fn adopt(&mut self, now: Tenths, cluster: Cluster, most: usize) {
-        self.scheduler.adopt(now, cluster);
+    pub fn adopt(&mut self, now: Ticks, cluster: Cluster, most: usize) {
+        self.scheduler.reconfigure(now, cluster);
         self.most = most;
     }
 
     /// How many in hand are of each track; none where there is no such track among them.
-    pub fn by_track(&self) -> BTreeMap<TrackId, usize> {
+    pub fn by_track(&self) -> BTreeMap<ServiceClassId, usize> {
         let mut counts = BTreeMap::new();
         self.held
             .values()
-            .for_each(|held| *counts.entry(held.allocation.track).or_default() += 1);
+            .for_each(|held| *counts.entry(held.allocation.service_class).or_default() += 1);
         counts
     }
 
     /// Takes an allocation into hand. It is not yet placed: [`Host::place`] is the next call.
     pub fn take(
         &mut self,
-        now: Tenths,
+        now: Ticks,
         name: &str,
         asked: Asked,
         own: T,
@@ -212,12 +212,12 @@
         let allocation = Allocation {
             id,
             service,
-            track,
-            account,
-            asks,
-            taken: now,
-            abandon,
-            shots: Vec::new(),
+            service_class: track,
+            tenant: account,
+            requested: asks,
+            accepted_at: now,
+            deadline: abandon,
+            attempts: Vec::new(),
         };
         self.by_name.insert(name.into(), id);
         let (name, pending, placed, over, asked) = (name.into(), 0, false, false, false);
@@ -238,7 +238,7 @@
     /// return.
     pub fn take_running(
         &mut self,
-        now: Tenths,
+        now: Ticks,
         name: &str,
         asked: Asked,
         machine: MachineId,
@@ -247,26 +247,26 @@
         let id = self.take(now, name, asked, own)?;
         if let Some(held) = self.held.get_mut(&id) {
             // The attempt that started it counts as made, though not by us.
-            held.allocation.shots.push(Shot {
+            held.allocation.attempts.push(Attempt {
                 machine,
-                sent: now,
-                fate: Fate::MayHaveRun,
+                sent_at: now,
+                state: AttemptState::PossiblyExecuted,
             });
             (held.pending, held.placed) = (1, true);
-            self.scheduler.taken_over(now, &held.allocation, machine);
+            self.scheduler.adopt_running(now, &held.allocation, machine);
         }
         Ok(id)
     }
 
     /// Where to: for one in hand. By turns, it waits for its own.
-    pub fn place(&mut self, now: Tenths, id: AllocationId, wire: &mut impl Wire<T>) {
+    pub fn place(&mut self, now: Ticks, id: AllocationId, wire: &mut impl Wire<T>) {
         if self.slice != Slice::BY_TURNS {
             return self.ask(now, id, wire);
         }
         let Some(held) = self.held.get(&id) else {
             return;
         };
-        let waits = (held.allocation.abandon, id);
+        let waits = (held.allocation.deadline, id);
         self.turns.first.push_back(waits);
         self.turns.ends.insert(waits);
         // Such as owners gave up meanwhile must not pile up behind those that are wanted.
@@ -293,42 +293,43 @@
     }
 
     /// Asked of the decisions for one in hand, and again for one that they answered "not yet".
-    pub fn ask(&mut self, now: Tenths, id: AllocationId, wire: &mut impl Wire<T>) {
+    pub fn ask(&mut self, now: Ticks, id: AllocationId, wire: &mut impl Wire<T>) {
         let Some(held) = self.held.get_mut(&id).filter(|held| !held.over) else {
             return;
         };
         if !std::mem::replace(&mut held.asked, true) {
             // What the decisions learn of it they learn once, when it first comes before them.
-            held.allocation.taken = now;
+            held.allocation.accepted_at = now;
         }
         match self.scheduler.place(now, &held.allocation) {
-            Placement::Send { machine, time_out } => {
-                wire.send(&mut held.own, &held.allocation, machine, time_out);
-                held.allocation.shots.push(Shot {
+            Placement::Dispatch { machine, timeout } => {
+                wire.send(&mut held.own, &held.allocation, machine, timeout);
+                held.allocation.attempts.push(Attempt {
                     machine,
-                    sent: now,
-                    fate: Fate::Pending,
+                    sent_at: now,
+                    state: AttemptState::Pending,
                 });
                 held.pending += 1;
             }
-            Placement::NotYet => {
-                self.not_yet_ends.insert((held.allocation.abandon, id));
+            Placement::Deferred => {
+                self.not_yet_ends.insert((held.allocation.deadline, id));
                 self.not_yet.push(id);
             }
             Placement::Shed => self.shed(id, wire),
-            Placement::Scrap => self.scrap(id, wire),
+            Placement::Indeterminate => self.scrap(id, wire),
         }
     }
 
     /// Its last shot has left only now, later than it was sent on its way: a connection had to come
     /// up first.
-    pub fn left(&mut self, now: Tenths, id: AllocationId) {
+    pub fn left(&mut self, now: Ticks, id: AllocationId) {
         if let Some(shot) = self
             .held
             .get(&id)
-            .and_then(|held| held.allocation.shots.last())
+            .and_then(|held| held.allocation.attempts.last())
         {
-            self.scheduler.left(now, shot.machine, shot.sent);
+            self.scheduler
+                .record_departure(now, shot.machine, shot.sent_at);
         }
     }
 
@@ -336,7 +337,7 @@
     /// answered.
     pub fn placed(
         &mut self,
-        now: Tenths,
+        now: Ticks,
         id: AllocationId,
         shot: usize,
         wire: &mut impl Wire<T>,
@@ -354,24 +355,26 @@
     #[allow(clippy::too_many_arguments)]
     pub fn returned(
         &mut self,
-        now: Tenths,
+        now: Ticks,
         id: AllocationId,
         shot: usize,
-        ending: Ending,
-        reason: Option<Reason>,
+        ending: AttemptResult,
+        reason: Option<ReturnReason>,
         over: bool,
-        report: Option<Report>,
+        report: Option<LoadReport>,
         wire: &mut impl Wire<T>,
     ) -> bool {
         let Some(held) = self.held.get_mut(&id) else {
             return true;
         };
-        let Some(made) = held.allocation.shots.get_mut(shot) else {
+        let Some(made) = held.allocation.attempts.get_mut(shot) else {
             return false;
         };
-        made.fate = match ending {
-            Ending::Refused | Ending::Unconnected | Ending::NotSent => Fate::NeverRan,
-            _ => Fate::MayHaveRun,
+        made.state = match ending {
+            AttemptResult::Rejected | AttemptResult::ConnectFailed | AttemptResult::NotSent => {
+                AttemptState::NotExecuted
+            }
+            _ => AttemptState::PossiblyExecuted,
         };
         held.pending = held.pending.saturating_sub(1);
         let over = over || held.over;
@@ -393,44 +396,47 @@
         true
     }
 
-    pub fn noted(&mut self, now: Tenths, id: AllocationId, note: Note) {
-        self.scheduler.noted(now, id, note);
+    pub fn noted(&mut self, now: Ticks, id: AllocationId, note: Metric) {
+        self.scheduler.record_metric(now, id, note);
     }
 
     pub fn probed(
         &mut self,
-        now: Tenths,
+        now: Ticks,
         machine: MachineId,
-        ending: Ending,
-        report: Option<Report>,
+        ending: AttemptResult,
+        report: Option<LoadReport>,
     ) {
-        self.scheduler.probed(now, machine, ending, report);
+        self.scheduler
+            .record_health_check(now, machine, ending, report);
     }
 
-    pub fn listed(&mut self, scope: Scope, entries: &[Entry]) {
-        self.scheduler.listed(scope, entries);
+    pub fn listed(&mut self, scope: ListUpdate, entries: &[Endpoint]) {
+        self.scheduler.apply_endpoint_list(scope, entries);
     }
 
-    pub fn list_failed(&mut self, now: Tenths) {
-        self.scheduler.list_failed(now);
+    pub fn list_failed(&mut self, now: Ticks) {
+        self.scheduler.endpoint_watch_failed(now);
     }
 
     /// The timer of [`Wire::wake`] went off. An earlier one may still be under way.
-    pub fn woken(&mut self, now: Tenths) {
+    pub fn woken(&mut self, now: Ticks) {
         if self.armed.is_some_and(|at| at <= now) {
             self.armed = None;
         }
     }
 
     /// After whatever was handed over: what is to be set going, and the timer for the next look.
-    pub fn rest(&mut self, now: Tenths, wire: &mut impl Wire<T>) {
+    pub fn rest(&mut self, now: Ticks, wire: &mut impl Wire<T>) {
         loop {
-            let wait = self.scheduler.wait(now);
-            if wait.watch_list {
+            let wait = self.scheduler.poll(now);
+            if wait.watch_endpoints {
                 wire.watch_list();
             }
-            wait.probes.iter().for_each(|&machine| wire.probe(machine));
-            for id in &wait.moves {
+            wait.health_checks
+                .iter()
+                .for_each(|&machine| wire.probe(machine));
+            for id in &wait.migrations {
                 if let Some(held) = self.held.get_mut(id) {
                     wire.relocate(&mut held.own, &held.allocation);
                 }
@@ -440,33 +446,33 @@
                     wire.lost(&mut held.own, &held.allocation);
                 }
             }
-            if let Some(upto) = wait.ends {
+            if let Some(upto) = wait.deadlines_until {
                 while let Some(&(_, id)) = self.not_yet_ends.first().filter(|(end, _)| *end <= upto)
                 {
                     self.not_yet_ends.pop_first();
                     self.ask(now, id, wire);
                 }
                 if self.not_yet_ends.is_empty() {
-                    self.scheduler.none_waits();
+                    self.scheduler.no_deferred_left();
                 }
-                if wait.ask_again {
+                if wait.retry_deferred {
                     continue;
                 }
-            } else if wait.ask_again {
+            } else if wait.retry_deferred {
                 self.not_yet_ends.clear();
             }
-            if wait.ask_again && self.slice == Slice::BY_TURNS {
+            if wait.retry_deferred && self.slice == Slice::BY_TURNS {
                 for id in self.not_yet.drain(..) {
                     let waits = (
                         self.held
                             .get(&id)
-                            .map_or(now, |held| held.allocation.abandon),
+                            .map_or(now, |held| held.allocation.deadline),
                         id,
                     );
                     self.turns.again.push_back(waits);
                     self.turns.ends.insert(waits);
                 }
-            } else if wait.ask_again {
+            } else if wait.retry_deferred {
                 self.again.extend(self.not_yet.drain(..));
             }
             if let Some(&(_, id)) = self.turns.ends.first().filter(|(at, _)| *at <= now) {
@@ -484,7 +490,9 @@
             let slice = (!self.again.is_empty()).then_some(self.slice_at);
             let end = self.turns.ends.first().map(|(at, _)| *at);
             let sooner = [slice, end].into_iter().flatten().min();
-            let time = sooner.map_or(wait.time, |at| wait.time.min(at.saturating_sub(now)));
+            let time = sooner.map_or(wait.next_poll, |at| {
+                wait.next_poll.min(at.saturating_sub(now))
+            });
             let at = now + time.max(1);
             if self.armed.is_none_or(|armed| armed > at) {
                 wire.wake(time.max(1));
@@ -500,7 +508,7 @@
             return;
         };
         held.over = true;
-        self.not_yet_ends.remove(&(held.allocation.abandon, id));
+        self.not_yet_ends.remove(&(held.allocation.deadline, id));
         if held.pending == 0
             && let Some(held) = self.held.remove(&id)
         {
@@ -510,14 +518,14 @@
 
     /// The caller stops: each one that is owed an answer gets one as soon as its shot out, if any,
     /// has returned.
-    pub fn stop(&mut self, now: Tenths, wire: &mut impl Wire<T>) {
+    pub fn stop(&mut self, now: Ticks, wire: &mut impl Wire<T>) {
         let mut waits = Vec::new();
         for (&id, held) in self
             .held
             .iter_mut()
             .filter(|(_, held)| !held.over && !held.placed)
         {
-            held.allocation.abandon = held.allocation.abandon.min(now);
+            held.allocation.deadline = held.allocation.deadline.min(now);
             if held.pending == 0 {
                 waits.push(id);
             }
@@ -535,7 +543,7 @@
             .held
             .iter()
             .filter(|(_, held)| !held.over && !held.placed && held.pending > 0);
-        owed.map(|(&id, held)| (id, held.allocation.shots.len() - 1))
+        owed.map(|(&id, held)| (id, held.allocation.attempts.len() - 1))
             .collect()
     }
 
@@ -579,7 +587,10 @@
     pub fn kept(&self) -> usize {
         let waiting =
             self.not_yet.len() + self.again.len() + self.turns.len() + self.turns.ends.len();
-        self.held.len() + self.by_name.len() + waiting + self.scheduler.kept().iter().sum::<usize>()
+        self.held.len()
+            + self.by_name.len()
+            + waiting
+            + self.scheduler.state_sizes().iter().sum::<usize>()
     }
 
     pub fn counts(&self) -> Counts {
@@ -597,7 +608,7 @@
 
     fn outcome(
         &mut self,
-        now: Tenths,
+        now: Ticks,
         id: AllocationId,
         shot: usize,
         outcome: Outcome,
@@ -606,11 +617,14 @@
         let Some(held) = self.held.get(&id) else {
             return;
         };
-        match self.scheduler.after(now, &held.allocation, shot, outcome) {
-            After::Rest => {}
-            After::PlaceAgain => self.place(now, id, wire),
-            After::Shed => self.shed(id, wire),
-            After::Scrap => self.scrap(id, wire),
+        match self
+            .scheduler
+            .on_outcome(now, &held.allocation, shot, outcome)
+        {
+            NextStep::Done => {}
+            NextStep::Retry => self.place(now, id, wire),
+            NextStep::Shed => self.shed(id, wire),
+            NextStep::Indeterminate => self.scrap(id, wire),
         }
     }
 
--- a/crates/engine/tests/stories.rs
+++ b/crates/engine/tests/stories.rs
@@ -3,7 +3,7 @@
 use corkspan_engine::{Asked, Host, NotTaken, Slice, Wire, service};
 use corkspan_scheduler::interface::*;
 
-const SECOND: Tenths = 10_000;
+const SECOND: Ticks = 10_000;
 
 #[derive(Default)]
 struct Noted(Vec<String>);
@@ -14,11 +14,11 @@
         own: &mut &'static str,
         allocation: &Allocation,
         machine: MachineId,
-        _: Tenths,
+        _: Ticks,
     ) {
         self.0.push(format!(
             "{own}: shot {} to {}",
-            allocation.shots.len(),
+            allocation.attempts.len(),
             machine.0
         ));
     }
@@ -35,7 +35,7 @@
     fn watch_list(&mut self) {
         self.0.push("watch".into());
     }
-    fn wake(&mut self, after: Tenths) {
+    fn wake(&mut self, after: Ticks) {
         assert!(after > 0, "a timer of 0 would spin");
         self.0.push("wake".into());
     }
@@ -47,83 +47,83 @@
     }
 }
 
-fn host(repeat: Repeat, machines: u32, most: usize) -> Host<&'static str> {
+fn host(repeat: RetrySafety, machines: u32, most: usize) -> Host<&'static str> {
     sliced(repeat, machines, most, Slice { most: 2, apart: 20 })
 }
 
 /// The next that waits has its turn; false where none does.
-fn turn(host: &mut Host<&'static str>, now: Tenths, wire: &mut Noted) -> bool {
+fn turn(host: &mut Host<&'static str>, now: Ticks, wire: &mut Noted) -> bool {
     host.next_turn().map(|id| host.ask(now, id, wire)).is_some()
 }
 
-fn sliced(repeat: Repeat, machines: u32, most: usize, slice: Slice) -> Host<&'static str> {
-    let size = Amount {
+fn sliced(repeat: RetrySafety, machines: u32, most: usize, slice: Slice) -> Host<&'static str> {
+    let size = Resources {
         cores: 40.0,
         memory: 100.0,
     };
-    let track = Track {
-        repeat,
-        contract_time: SECOND,
-        calm: 1.0,
+    let track = ServiceClass {
+        retry_safety: repeat,
+        latency_objective: SECOND,
+        target_utilization: 1.0,
         priority: 0,
-        kind: None,
+        machine_type: None,
         spread: None,
     };
     let cluster = Cluster {
-        hall: HallId(0),
-        number: 0,
-        schedulers: 1,
-        kinds: vec![size],
-        tracks: vec![track],
-        accounts: Vec::new(),
-        accepts: Amount {
+        zone: ZoneId(0),
+        scheduler_index: 0,
+        scheduler_count: 1,
+        machine_types: vec![size],
+        service_classes: vec![track],
+        tenants: Vec::new(),
+        admission_limit: Resources {
             cores: 2.0,
             memory: 1.5,
         },
-        makes_room: false,
-        shots: 3,
-        placed_runs: false,
-        shows_room: false,
-        may_probe: false,
-        ask_list: Some(10 * SECOND),
-        cold: Cold {
-            lasts: SECOND,
+        preempts: false,
+        max_attempts: 3,
+        placed_means_running: false,
+        list_reports_capacity: false,
+        health_checks: false,
+        list_poll_interval: Some(10 * SECOND),
+        slow_start: SlowStart {
+            duration: SECOND,
             window: SECOND,
-            offers: 5.0,
+            max_offers: 5.0,
         },
-        opens_within: 0,
-        other_hall_price: 0.0,
-        tells_loss: true,
+        connect_timeout: 0,
+        cross_zone_cost: 0.0,
+        reports_losses: true,
     };
     let mut host = Host::new(cluster, 1, 0, most, slice);
     host.listed(
-        Scope::Remembered,
+        ListUpdate::Cached,
         &(0..machines).map(entry).collect::<Vec<_>>(),
     );
     host
 }
 
-fn entry(id: u32) -> Entry {
-    Entry {
+fn entry(id: u32) -> Endpoint {
+    Endpoint {
         machine: MachineId(id),
-        kind: KindId(0),
-        hall: HallId(0),
+        machine_type: MachineTypeId(0),
+        zone: ZoneId(0),
         cell: CellId(0),
-        state: State::Serving,
-        started: None,
-        unasked: None,
+        state: MachineState::Serving,
+        started_at: None,
+        unreserved: None,
     }
 }
 
-fn asked(abandon: Tenths) -> Asked {
-    let asks = Amount {
+fn asked(abandon: Ticks) -> Asked {
+    let asks = Resources {
         cores: 1.0,
         memory: 1.0,
     };
     Asked {
         service: service("s"),
-        track: TrackId(0),
-        account: AccountId(0),
+        track: ServiceClassId(0),
+        account: TenantId(0),
         asks,
         abandon,
     }
@@ -131,7 +131,7 @@
 
 fn refused(
     host: &mut Host<&'static str>,
-    now: Tenths,
+    now: Ticks,
     id: AllocationId,
     shot: usize,
     wire: &mut Noted,
@@ -140,8 +140,8 @@
         now,
         id,
         shot,
-        Ending::Refused,
-        Some(Reason::NoCores),
+        AttemptResult::Rejected,
+        Some(ReturnReason::NoCores),
         false,
         None,
         wire,
@@ -150,7 +150,7 @@
 
 #[test]
 fn a_second_of_the_same_name_is_not_taken_and_its_owner_gets_its_own_back() {
-    let mut host = host(Repeat::Idempotent, 1, 10);
+    let mut host = host(RetrySafety::Idempotent, 1, 10);
     host.take(0, "a", asked(SECOND), "first").expect("room");
     let again = host.take(0, "a", asked(SECOND), "second");
     assert_eq!(again.err(), Some((NotTaken::SameName, "second")));
@@ -158,7 +158,7 @@
 
 #[test]
 fn beyond_the_most_in_hand_none_is_taken_until_one_is_over() {
-    let mut host = host(Repeat::Idempotent, 0, 1);
+    let mut host = host(RetrySafety::Idempotent, 0, 1);
     let id = host.take(0, "a", asked(SECOND), "a").expect("room");
     assert_eq!(
         host.take(0, "b", asked(SECOND), "b").err(),
@@ -170,7 +170,7 @@
 
 #[test]
 fn one_that_no_machine_takes_waits_and_is_shed_in_its_time() {
-    let (mut host, mut wire) = (host(Repeat::Idempotent, 0, 10), Noted::default());
+    let (mut host, mut wire) = (host(RetrySafety::Idempotent, 0, 10), Noted::default());
     let id = host.take(0, "a", asked(SECOND), "a").expect("room");
     host.place(0, id, &mut wire);
     assert_eq!(host.counts().not_yet, 1);
@@ -186,13 +186,13 @@
 
 #[test]
 fn many_that_wait_are_asked_for_again_a_few_at_a_time_and_all_of_them() {
-    let (mut host, mut wire) = (host(Repeat::Idempotent, 0, 10), Noted::default());
+    let (mut host, mut wire) = (host(RetrySafety::Idempotent, 0, 10), Noted::default());
     for name in ["a", "b", "c", "d", "e"] {
         let id = host.take(0, name, asked(10 * SECOND), name).expect("room");
         host.place(0, id, &mut wire);
     }
     assert_eq!((wire.said(), host.counts().not_yet), (String::new(), 5));
-    host.listed(Scope::Whole, &[entry(7)]);
+    host.listed(ListUpdate::Complete, &[entry(7)]);
     let mut slices = Vec::new();
     for now in 1..2 * SECOND {
         host.woken(now);
@@ -214,7 +214,7 @@
 
 #[test]
 fn two_that_swap_names_are_each_found_by_the_others_and_leave_only_their_own() {
-    let mut host = host(Repeat::Idempotent, 1, 10);
+    let mut host = host(RetrySafety::Idempotent, 1, 10);
     let old = host.take(0, "task", asked(SECOND), "old").expect("room");
     let new = host.take(0, "beside", asked(SECOND), "new").expect("room");
     host.swap_names(old, new);
@@ -228,7 +228,7 @@
 
 #[test]
 fn the_name_of_a_cancelled_one_is_kept_while_its_shot_is_out() {
-    let (mut host, mut wire) = (host(Repeat::Unrepeatable, 1, 10), Noted::default());
+    let (mut host, mut wire) = (host(RetrySafety::NotRetryable, 1, 10), Noted::default());
     let id = host.take(0, "a", asked(SECOND), "a").expect("room");
     host.place(0, id, &mut wire);
     host.finish(id);
@@ -247,7 +247,7 @@
 
 #[test]
 fn an_answer_that_comes_after_the_end_is_no_answer() {
-    let (mut host, mut wire) = (host(Repeat::Idempotent, 1, 10), Noted::default());
+    let (mut host, mut wire) = (host(RetrySafety::Idempotent, 1, 10), Noted::default());
     let id = host.take(0, "a", asked(SECOND), "a").expect("room");
     host.place(0, id, &mut wire);
     host.finish(id);
@@ -256,7 +256,7 @@
 
 #[test]
 fn only_the_first_placed_answer_counts() {
-    let (mut host, mut wire) = (host(Repeat::Idempotent, 1, 10), Noted::default());
+    let (mut host, mut wire) = (host(RetrySafety::Idempotent, 1, 10), Noted::default());
     let id = host.take(0, "a", asked(SECOND), "a").expect("room");
     host.place(0, id, &mut wire);
     assert!(host.placed(5, id, 0, &mut wire));
@@ -265,17 +265,26 @@
 
 #[test]
 fn a_shot_that_was_never_made_is_told_apart() {
-    let (mut host, mut wire) = (host(Repeat::Idempotent, 1, 10), Noted::default());
+    let (mut host, mut wire) = (host(RetrySafety::Idempotent, 1, 10), Noted::default());
     let id = host.take(0, "a", asked(SECOND), "a").expect("room");
-    assert!(!host.returned(1, id, 7, Ending::Ended, None, true, None, &mut wire));
+    assert!(!host.returned(
+        1,
+        id,
+        7,
+        AttemptResult::Completed,
+        None,
+        true,
+        None,
+        &mut wire
+    ));
 }
 
 #[test]
 fn at_a_stop_the_waiting_are_answered_at_once_and_the_others_after_their_shot() {
-    let (mut host, mut wire) = (host(Repeat::Unrepeatable, 1, 10), Noted::default());
+    let (mut host, mut wire) = (host(RetrySafety::NotRetryable, 1, 10), Noted::default());
     let out = host.take(0, "out", asked(9 * SECOND), "out").expect("room");
     host.place(0, out, &mut wire);
-    host.listed(Scope::Whole, &[]);
+    host.listed(ListUpdate::Complete, &[]);
     let waits = host
         .take(0, "waits", asked(9 * SECOND), "waits")
         .expect("room");
@@ -284,7 +293,16 @@
     host.stop(10, &mut wire);
     assert_eq!(wire.said(), "waits: shed");
     assert_eq!(host.unanswered(), [(out, 0)]);
-    host.returned(20, out, 0, Ending::TimedOut, None, false, None, &mut wire);
+    host.returned(
+        20,
+        out,
+        0,
+        AttemptResult::TimedOut,
+        None,
+        false,
+        None,
+        &mut wire,
+    );
     assert_eq!(
         wire.said(),
         "out: scrapped",
@@ -295,7 +313,7 @@
 
 #[test]
 fn one_taken_over_owes_no_answer_and_goes_with_its_return() {
-    let (mut host, mut wire) = (host(Repeat::Unrepeatable, 1, 10), Noted::default());
+    let (mut host, mut wire) = (host(RetrySafety::NotRetryable, 1, 10), Noted::default());
     let id = host
         .take_running(0, "a", asked(0), MachineId(0), "a")
         .expect("room");
@@ -305,8 +323,8 @@
         200,
         id,
         0,
-        Ending::Reset,
-        Some(Reason::Evicted),
+        AttemptResult::Reset,
+        Some(ReturnReason::Evicted),
         true,
         None,
         &mut wire,
@@ -323,7 +341,7 @@
 
 /// So many that wait for their turn, all with the same abandon time.
 fn by_turns(machines: u32, many: usize) -> (Host<&'static str>, Noted) {
-    let mut host = sliced(Repeat::Idempotent, machines, 10_000, Slice::BY_TURNS);
+    let mut host = sliced(RetrySafety::Idempotent, machines, 10_000, Slice::BY_TURNS);
     let mut wire = Noted::default();
     for number in 0..many {
         let id = host
@@ -370,7 +388,7 @@
     let (mut host, mut wire) = by_turns(0, 100);
     while turn(&mut host, 1, &mut wire) {}
     host.rest(SECOND / 20 + 1, &mut wire);
-    host.listed(Scope::Whole, &[entry(7)]);
+    host.listed(ListUpdate::Complete, &[entry(7)]);
     for number in 0..100 {
         let id = host
             .take(600, &format!("new {number}"), asked(SECOND), "new")
@@ -407,20 +425,20 @@
 /// views, not with time.
 #[test]
 fn a_thousand_that_wait_are_left_alone_until_there_is_room_and_then_all_are_asked_for_at_once() {
-    let mut host = sliced(Repeat::Idempotent, 100, 10_000, Slice::BY_TURNS);
+    let mut host = sliced(RetrySafety::Idempotent, 100, 10_000, Slice::BY_TURNS);
     let report = |host: &mut Host<&'static str>, now, cores| {
-        let report = Some(Report {
-            unused: Amount {
+        let report = Some(LoadReport {
+            available: Resources {
                 cores,
                 memory: 2.0 * cores,
             },
         });
-        (0..100).for_each(|id| host.probed(now, MachineId(id), Ending::Ended, report));
+        (0..100).for_each(|id| host.probed(now, MachineId(id), AttemptResult::Completed, report));
     };
     report(&mut host, 0, 0.0);
     let mut wire = Noted::default();
     for number in 0..1_000 {
-        let asks = Amount {
+        let asks = Resources {
             cores: 0.5 + f64::from(number % 7) / 10.0,
             memory: 1.0,
         };
--- a/crates/lab/src/capacity/asks.rs
+++ b/crates/lab/src/capacity/asks.rs
@@ -5,17 +5,17 @@
 use corkspan_scheduler::interface::*;
 use corkspan_scheduler::rules::Scheduler;
 
-const SECOND: Tenths = 10_000;
-const SIZE: Amount = Amount {
+const SECOND: Ticks = 10_000;
+const SIZE: Resources = Resources {
     cores: 64.0,
     memory: 256.0,
 };
 /// What each machine reports as unused where none has room.
-const CRAMPED: Amount = Amount {
+const CRAMPED: Resources = Resources {
     cores: 1.0,
     memory: 4.0,
 };
-const ROOMY: Amount = Amount {
+const ROOMY: Resources = Resources {
     cores: 40.0,
     memory: 160.0,
 };
@@ -64,61 +64,61 @@
 }
 
 fn cluster() -> Cluster {
-    let track = |priority| Track {
-        repeat: Repeat::Idempotent,
-        contract_time: SECOND,
-        calm: 0.9,
+    let track = |priority| ServiceClass {
+        retry_safety: RetrySafety::Idempotent,
+        latency_objective: SECOND,
+        target_utilization: 0.9,
         priority,
-        kind: None,
+        machine_type: None,
         spread: None,
     };
     Cluster {
-        hall: HallId(0),
-        number: 0,
-        schedulers: 100,
-        kinds: vec![SIZE],
-        tracks: vec![track(0), track(1)],
-        accounts: Vec::new(),
-        accepts: Amount {
+        zone: ZoneId(0),
+        scheduler_index: 0,
+        scheduler_count: 100,
+        machine_types: vec![SIZE],
+        service_classes: vec![track(0), track(1)],
+        tenants: Vec::new(),
+        admission_limit: Resources {
             cores: 3.0,
             memory: 1.5,
         },
-        makes_room: true,
-        shots: 3,
-        placed_runs: true,
-        shows_room: false,
-        may_probe: false,
-        ask_list: None,
-        cold: Cold {
-            lasts: SECOND,
+        preempts: true,
+        max_attempts: 3,
+        placed_means_running: true,
+        list_reports_capacity: false,
+        health_checks: false,
+        list_poll_interval: None,
+        slow_start: SlowStart {
+            duration: SECOND,
             window: SECOND,
-            offers: 5.0,
+            max_offers: 5.0,
         },
-        opens_within: 0,
-        other_hall_price: 0.0,
-        tells_loss: true,
+        connect_timeout: 0,
+        cross_zone_cost: 0.0,
+        reports_losses: true,
     }
 }
 
-fn entries(machines: u32) -> Vec<Entry> {
-    let entry = |id| Entry {
+fn entries(machines: u32) -> Vec<Endpoint> {
+    let entry = |id| Endpoint {
         machine: MachineId(id),
-        kind: KindId(0),
-        hall: HallId(0),
+        machine_type: MachineTypeId(0),
+        zone: ZoneId(0),
         cell: CellId(u64::from(id / 8)),
-        state: State::Serving,
-        started: None,
-        unasked: None,
+        state: MachineState::Serving,
+        started_at: None,
+        unreserved: None,
     };
     (0..machines).map(entry).collect()
 }
 
-fn asked(service: u64, asks: Amount, abandon: Tenths) -> Asked {
-    let track = TrackId(service as usize % 2);
+fn asked(service: u64, asks: Resources, abandon: Ticks) -> Asked {
+    let track = ServiceClassId(service as usize % 2);
     Asked {
         service: ServiceId(service),
         track,
-        account: AccountId(0),
+        account: TenantId(0),
         asks,
         abandon,
     }
@@ -131,23 +131,23 @@
 /// machine.
 pub fn one_ask(machines: u32, in_vain: bool, least: u64) -> Option<Point> {
     let mut scheduler = Scheduler::new(cluster(), 1, 0);
-    scheduler.listed(Scope::Remembered, &entries(machines));
+    scheduler.apply_endpoint_list(ListUpdate::Cached, &entries(machines));
     let unused = if in_vain { CRAMPED } else { ROOMY };
     for id in 0..machines {
-        scheduler.probed(
+        scheduler.record_health_check(
             SECOND,
             MachineId(id),
-            Ending::Ended,
-            Some(Report { unused }),
+            AttemptResult::Completed,
+            Some(LoadReport { available: unused }),
         );
     }
     let size = if in_vain {
-        Amount {
+        Resources {
             cores: 4.0,
             memory: 16.0,
         }
     } else {
-        Amount {
+        Resources {
             cores: 0.1,
             memory: 0.1,
         }
@@ -171,14 +171,15 @@
         let allocation = Allocation {
             id,
             service,
-            track,
-            account,
-            asks,
-            taken: now,
-            abandon,
-            shots: Vec::new(),
+            service_class: track,
+            tenant: account,
+            requested: asks,
+            accepted_at: now,
+            deadline: abandon,
+            attempts: Vec::new(),
         };
-        answered += u64::from((scheduler.place(now, &allocation) == Placement::NotYet) == in_vain);
+        answered +=
+            u64::from((scheduler.place(now, &allocation) == Placement::Deferred) == in_vain);
     }
     let value = (spent()? - since) * 1e6 / asks as f64;
     let figure = if in_vain {
@@ -197,14 +198,14 @@
 /// What the host says goes nowhere, but for the timer.
 #[derive(Default)]
 struct Timer {
-    due: Option<Tenths>,
-    now: Tenths,
+    due: Option<Ticks>,
+    now: Ticks,
     sent: u64,
     answered: u64,
 }
 
 impl Wire<()> for Timer {
-    fn send(&mut self, _: &mut (), _: &Allocation, _: MachineId, _: Tenths) {
+    fn send(&mut self, _: &mut (), _: &Allocation, _: MachineId, _: Ticks) {
         self.sent += 1;
     }
     fn shed(&mut self, _: &mut (), _: &Allocation) {
@@ -216,7 +217,7 @@
     fn relocate(&mut self, _: &mut (), _: &Allocation) {}
     fn probe(&mut self, _: MachineId) {}
     fn watch_list(&mut self) {}
-    fn wake(&mut self, after: Tenths) {
+    fn wake(&mut self, after: Ticks) {
         let at = self.now + after;
         self.due = Some(self.due.map_or(at, |due| due.min(at)));
     }
@@ -280,7 +281,7 @@
             Slice::ALL
         };
         let mut host = Host::new(cluster(), 1, 0, usize::MAX, slice);
-        host.listed(Scope::Remembered, &entries(self.machines));
+        host.listed(ListUpdate::Cached, &entries(self.machines));
         let mut stage = Stage {
             host,
             timer: Timer::default(),
@@ -300,23 +301,23 @@
         stage
     }
 
-    fn reports(&self, stage: &mut Stage, now: Tenths, id: u32) {
+    fn reports(&self, stage: &mut Stage, now: Ticks, id: u32) {
         stage.host.probed(
             now,
             MachineId(id),
-            Ending::Ended,
-            Some(Report { unused: CRAMPED }),
+            AttemptResult::Completed,
+            Some(LoadReport { available: CRAMPED }),
         );
     }
 
-    fn comes(&self, stage: &mut Stage, abandon: Tenths) {
+    fn comes(&self, stage: &mut Stage, abandon: Ticks) {
         let now = stage.timer.now;
         let number = stage.came;
         let own = match self.likes {
             Likes::Few => number % 5,
             Likes::None => number,
         };
-        let asks = Amount {
+        let asks = Resources {
             cores: 4.0,
             memory: 16.0,
         } * (1.0 + own as f64 % 97.0 / 100.0);
@@ -343,7 +344,7 @@
                     now,
                     id,
                     0,
-                    Ending::Ended,
+                    AttemptResult::Completed,
                     None,
                     true,
                     None,
@@ -359,14 +360,14 @@
 
 impl Stage {
     /// One of ours runs on the last of so many machines, or on any before.
-    fn runs(&mut self, now: Tenths, machines: u32) {
+    fn runs(&mut self, now: Ticks, machines: u32) {
         let number = self.running.len() as u32 + self.came as u32;
         let machine = MachineId(if now > 0 {
             machines - 1
         } else {
             number * 31 % machines
         });
-        let asks = Amount {
+        let asks = Resources {
             cores: 1.0,
             memory: 4.0,
         };
@@ -376,8 +377,8 @@
             .host
             .take_running(now, &format!("r{}", self.came), asked, machine, ())
         {
-            self.host.noted(now, id, Note::Cores(0.5));
-            self.host.noted(now, id, Note::Memory(3.0));
+            self.host.noted(now, id, Metric::Cores(0.5));
+            self.host.noted(now, id, Metric::Memory(3.0));
             self.running.push((id, machine));
         }
     }
@@ -392,7 +393,7 @@
         self.host.rest(now, &mut self.timer);
     }
 
-    fn until(&mut self, end: Tenths) {
+    fn until(&mut self, end: Ticks) {
         while let Some(at) = self.timer.due.filter(|at| *at <= end) {
             self.timer.due = None;
             self.timer.now = at.max(self.timer.now);
--- a/crates/lab/src/capacity/stage.rs
+++ b/crates/lab/src/capacity/stage.rs
@@ -16,7 +16,7 @@
 };
 use corkspan_config::version::{Stamp, Texts};
 use corkspan_rpc::{Bounds, Link, Tasks, within};
-use corkspan_scheduler::interface::Amount;
+use corkspan_scheduler::interface::Resources;
 use futures_lite::future;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -159,11 +159,11 @@
         kind: "wide".into(),
         hall: "hall".into(),
         cell: u64::from(id / 4),
-        size: Amount {
+        size: Resources {
             cores: 64.0,
             memory: 256.0,
         },
-        accepts: Amount {
+        accepts: Resources {
             cores: 2.0,
             memory: 1.5,
         },
--- a/crates/lab/src/node.rs
+++ b/crates/lab/src/node.rs
@@ -13,7 +13,7 @@
 use corkspan_maintenance::{ClaimId, Machine};
 use corkspan_rollout::{Claimed, Grant, Keeper};
 use corkspan_rpc::{Bounds, Tasks};
-use corkspan_scheduler::interface::Amount;
+use corkspan_scheduler::interface::Resources;
 use corkspan_version_fencing::acts::{Acts, By, Kind};
 use corkspan_version_fencing::rule::Rows;
 use corkspan_version_fencing::{Disk, Fence, Floor, Look, Runs};
@@ -35,9 +35,9 @@
     pub kind: String,
     pub hall: String,
     pub cell: u64,
-    pub size: Amount,
+    pub size: Resources,
     /// Accepts until the asks reach this multiple of its size.
-    pub accepts: Amount,
+    pub accepts: Resources,
     /// To look at one ask.
     pub look: Duration,
     /// Asks that may wait to be looked at.
@@ -109,7 +109,7 @@
 
 struct Guest {
     shot: v1::Shot,
-    used: Amount,
+    used: Resources,
     runs: bool,
     ready: bool,
     words: async_channel::Sender<v1::Said>,
@@ -303,7 +303,7 @@
     }
 
     /// What nobody has asked for.
-    pub fn unasked(&self) -> Amount {
+    pub fn unasked(&self) -> Resources {
         self.plan.size - asked(&self.lock())
     }
 
@@ -322,7 +322,7 @@
     /// What is not in use, as of a little while ago, and longer where reports are late.
     fn load(&self, state: &mut State) -> v1::Load {
         let now = Instant::now();
-        let used: Amount = state
+        let used: Resources = state
             .guests
             .values()
             .filter(|guest| guest.runs)
@@ -605,12 +605,12 @@
             }
             self.stand().insert(mark, self.plan.id);
         }
-        let ask = Amount {
+        let ask = Resources {
             cores: shot.cores,
             memory: shot.memory,
         };
         let used = ask
-            * Amount {
+            * Resources {
                 cores: 0.5,
                 memory: 0.7,
             };
@@ -633,7 +633,7 @@
         }
         let most = self.plan.size * self.plan.accepts;
         let mut sum = asked(state)
-            + Amount {
+            + Resources {
                 cores: shot.cores,
                 memory: shot.memory,
             };
@@ -646,11 +646,11 @@
                 .collect();
             lower.sort_by_key(|(_, guest)| guest.shot.priority);
             for (placing, guest) in lower {
-                if sum.within(most) {
+                if sum.fits_in(most) {
                     break;
                 }
                 sum = sum
-                    - Amount {
+                    - Resources {
                         cores: guest.shot.cores,
                         memory: guest.shot.memory,
                     };
@@ -714,7 +714,7 @@
     async fn run(&self, life: u64, shot: v1::Shot) {
         let mut rng =
             Pcg64Mcg::seed_from_u64(self.plan.seed ^ corkspan_engine::service(&shot.placing).0);
-        let ask = Amount {
+        let ask = Resources {
             cores: shot.cores,
             memory: shot.memory,
         };
@@ -759,7 +759,7 @@
             }
             let swing = |least: f64, most: f64, rng: &mut Pcg64Mcg| rng.random_range(least..most);
             let memory = swing(0.55, 0.9, &mut rng) * ask.memory;
-            guest.used = Amount {
+            guest.used = Resources {
                 cores: swing(0.3, 0.8, &mut rng) * ask.cores,
                 memory: guest.used.memory.max(memory),
             };
@@ -769,7 +769,7 @@
                 memory: used.memory,
             });
             self.say(&mut state, &shot, &words, said);
-            let in_use: Amount = state
+            let in_use: Resources = state
                 .guests
                 .values()
                 .filter(|guest| guest.runs)
@@ -810,8 +810,8 @@
     }
 }
 
-fn asked(state: &State) -> Amount {
-    let asks = state.guests.values().map(|guest| Amount {
+fn asked(state: &State) -> Resources {
+    let asks = state.guests.values().map(|guest| Resources {
         cores: guest.shot.cores,
         memory: guest.shot.memory,
     });
--- a/crates/lab/src/play.rs
+++ b/crates/lab/src/play.rs
@@ -16,7 +16,7 @@
 use corkspan_api::v1;
 use corkspan_config::version::Texts;
 use corkspan_rpc::{Tasks, within};
-use corkspan_scheduler::interface::Amount;
+use corkspan_scheduler::interface::Resources;
 use futures_lite::future;
 use rand::seq::SliceRandom;
 use rand::{RngExt, SeedableRng};
@@ -132,8 +132,8 @@
                 kind: if wide { "wide" } else { "compact" }.into(),
                 hall: HALLS[hall].into(),
                 cell,
-                size: Amount { cores, memory },
-                accepts: Amount {
+                size: Resources { cores, memory },
+                accepts: Resources {
                     cores: 2.0,
                     memory: 1.5,
                 },
--- a/crates/lab/tests/full_path/rig.rs
+++ b/crates/lab/tests/full_path/rig.rs
@@ -9,7 +9,7 @@
 use corkspan_lab::node::{Cold, Node, Plan, World};
 use corkspan_lab::roster::Roster;
 use corkspan_rpc::{Bounds, Link, Tasks, within};
-use corkspan_scheduler::interface::Amount;
+use corkspan_scheduler::interface::Resources;
 use futures_lite::future;
 use std::future::Future;
 use std::net::SocketAddr;
@@ -288,11 +288,11 @@
         kind: "small".into(),
         hall: if id < 2 { "a" } else { "b" }.into(),
         cell: u64::from(id),
-        size: Amount {
+        size: Resources {
             cores: 40.0,
             memory: 80.0,
         },
-        accepts: Amount {
+        accepts: Resources {
             cores: 2.0,
             memory: 1.5,
         },
--- a/crates/lab/tests/stand_in_node.rs
+++ b/crates/lab/tests/stand_in_node.rs
@@ -12,7 +12,7 @@
 use corkspan_lab::capture::{Capture, NodeState};
 use corkspan_lab::node::{Cold, Node, Plan, World};
 use corkspan_rpc::{Bounds, Link, Tasks};
-use corkspan_scheduler::interface::Amount;
+use corkspan_scheduler::interface::Resources;
 use futures_lite::{StreamExt, future};
 use prost::Message;
 use prost::bytes::{Buf, BufMut};
@@ -70,11 +70,11 @@
         kind: "small".into(),
         hall: "a".into(),
         cell: 1,
-        size: Amount {
+        size: Resources {
             cores: 40.0,
             memory: 80.0,
         },
-        accepts: Amount {
+        accepts: Resources {
             cores: 2.0,
             memory: 1.5,
         },
--- a/crates/platform/src/connections.rs
+++ b/crates/platform/src/connections.rs
@@ -19,7 +19,7 @@
     /// No further set-up is to be sent on it.
     retired: bool,
     pub open: BTreeSet<AllocationId>,
-    used: Tenths,
+    used: Ticks,
 }
 
 /// Whose place a new connection may take where as many as may be are open.
@@ -38,15 +38,15 @@
     closing: BTreeMap<LinkId, MachineId>,
     opened: u64,
     most: usize,
-    connect_within: Tenths,
-    idle: Tenths,
+    connect_within: Ticks,
+    idle: Ticks,
     /// The reading ends of all that have been opened, for a test that stands in for their tasks.
     #[cfg(test)]
     pub tapped: Vec<(LinkId, Inbox)>,
 }
 
 impl Links {
-    pub fn new(most: usize, connect_within: Tenths, idle: Tenths) -> Self {
+    pub fn new(most: usize, connect_within: Ticks, idle: Ticks) -> Self {
         let (links, by_machine, closing) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
         Links {
             links,
@@ -77,7 +77,7 @@
     }
 
     /// None where as many as may be are open.
-    pub fn open(&mut self, machine: MachineId, now: Tenths) -> Option<(LinkId, Inbox, Tenths)> {
+    pub fn open(&mut self, machine: MachineId, now: Ticks) -> Option<(LinkId, Inbox, Ticks)> {
         if self.full() || self.crowded(machine) {
             return None;
         }
@@ -145,7 +145,7 @@
     }
 
     #[cfg(test)]
-    pub fn all_up(&mut self, now: Tenths) {
+    pub fn all_up(&mut self, now: Ticks) {
         self.links
             .values_mut()
             .filter(|link| !link.up)
@@ -154,7 +154,7 @@
 
     /// One that nothing is open on, so that if it breaks nothing else breaks with it, and none of
     /// those given.
-    pub fn free(&self, machine: MachineId, now: Tenths, but: &[LinkId]) -> Option<LinkId> {
+    pub fn free(&self, machine: MachineId, now: Ticks, but: &[LinkId]) -> Option<LinkId> {
         let others = self.of(machine).into_iter().filter(|id| !but.contains(id));
         let links = others.map(|id| (id, &self.links[&id]));
         let free = links
@@ -169,21 +169,21 @@
             .min_by_key(|id| self.links[id].open.len())
     }
 
-    pub fn begin(&mut self, id: LinkId, allocation: AllocationId, now: Tenths) {
+    pub fn begin(&mut self, id: LinkId, allocation: AllocationId, now: Ticks) {
         if let Some(link) = self.links.get_mut(&id) {
             link.open.insert(allocation);
             link.used = now;
         }
     }
 
-    pub fn done(&mut self, id: LinkId, allocation: AllocationId, now: Tenths) {
+    pub fn done(&mut self, id: LinkId, allocation: AllocationId, now: Ticks) {
         if let Some(link) = self.links.get_mut(&id) {
             link.open.remove(&allocation);
             link.used = now;
         }
     }
 
-    pub fn up(&mut self, id: LinkId, now: Tenths) {
+    pub fn up(&mut self, id: LinkId, now: Ticks) {
         if let Some(link) = self.links.get_mut(&id) {
             (link.up, link.used) = (true, now);
         }
@@ -196,7 +196,7 @@
     }
 
     /// The machine at its other end; none where the connection is done with.
-    pub fn heard(&mut self, id: LinkId, now: Tenths) -> Option<MachineId> {
+    pub fn heard(&mut self, id: LinkId, now: Ticks) -> Option<MachineId> {
         let Some(link) = self.links.get_mut(&id) else {
             return self.closing.get(&id).copied();
         };
@@ -253,7 +253,7 @@
     }
 
     /// All that have been idle for long, but one to each machine that something stands on.
-    pub fn close_idle(&mut self, now: Tenths, nodes: &Nodes) {
+    pub fn close_idle(&mut self, now: Ticks, nodes: &Nodes) {
         let idle =
             |link: &Link| link.open.is_empty() && (link.retired || link.used + self.idle <= now);
         let ids: Vec<(LinkId, MachineId)> = self
--- a/crates/platform/src/core.rs
+++ b/crates/platform/src/core.rs
@@ -61,7 +61,7 @@
     pub id: LinkId,
     pub address: SocketAddr,
     /// So long it may take to come up.
-    pub within: Tenths,
+    pub within: Ticks,
     pub inbox: Inbox,
 }
 
@@ -73,7 +73,7 @@
     /// Asks for the list of nodes to be watched, if it is not yet.
     fn watch_list(&self);
     /// Sets the one timer, which calls [`Core::woken`].
-    fn arm_timer(&self, at: Tenths);
+    fn arm_timer(&self, at: Ticks);
     /// Calls for [`Core::turn`].
     fn request_turn(&self);
 }
@@ -104,23 +104,23 @@
 /// The ways out: to nodes, owners and the timer.
 struct Port {
     effects: Box<dyn Effects>,
-    now: Tenths,
+    now: Ticks,
     owners: BTreeMap<OwnerId, Owner>,
     owners_most: usize,
     came: u64,
     untold: VecDeque<Vec<u8>>,
     /// With when they were told, the oldest first.
-    ends: VecDeque<(Tenths, u64, MachineId)>,
+    ends: VecDeque<(Ticks, u64, MachineId)>,
     nodes: Nodes,
     links: Links,
     tests: BTreeMap<u64, (MachineId, LinkId)>,
     last_test: u64,
-    due: BTreeSet<(Tenths, Due)>,
+    due: BTreeSet<(Ticks, Due)>,
     deferred: VecDeque<Deferred>,
     /// Those that are owed a final answer.
     owed: BTreeSet<AllocationId>,
-    host_wakes: Option<Tenths>,
-    armed: Option<Tenths>,
+    host_wakes: Option<Ticks>,
+    armed: Option<Ticks>,
     last_event: u64,
     /// No more set-ups are taken.
     stops: bool,
@@ -138,14 +138,14 @@
 fn cluster(facts: &Facts) -> Result<Cluster, String> {
     let cluster = facts.cluster()?;
     Ok(Cluster {
-        ask_list: cluster.ask_list.or(Some(0)),
-        tells_loss: false,
+        list_poll_interval: cluster.list_poll_interval.or(Some(0)),
+        reports_losses: false,
         ..cluster
     })
 }
 
 impl Core {
-    pub fn new(start: Start, now: Tenths, effects: Box<dyn Effects>) -> Core {
+    pub fn new(start: Start, now: Ticks, effects: Box<dyn Effects>) -> Core {
         let limits = &start.facts.limits;
         let time = |us: Option<u64>, absent| us.map_or(absent, corkspan_settings::tenths);
         let links = Links::new(
@@ -182,7 +182,7 @@
     }
 
     /// Hands something over and sets going what follows from it.
-    fn with<R>(&mut self, now: Tenths, call: impl FnOnce(&mut Host<Placing>, &mut Port) -> R) -> R {
+    fn with<R>(&mut self, now: Ticks, call: impl FnOnce(&mut Host<Placing>, &mut Port) -> R) -> R {
         let Core { host, port } = self;
         port.now = now;
         let result = call(host, port);
@@ -192,7 +192,9 @@
                     Deferred::Returned(id, shot, ending) => {
                         host.returned(now, id, shot, ending, None, false, None, port);
                     }
-                    Deferred::Lost(id) => port.over(now, host, id, Ending::Reset, None, None),
+                    Deferred::Lost(id) => {
+                        port.over(now, host, id, AttemptResult::Reset, None, None)
+                    }
                 }
             }
             host.rest(now, port);
--- a/crates/platform/src/core/attempts.rs
+++ b/crates/platform/src/core/attempts.rs
@@ -10,7 +10,7 @@
     /// its owner has gone or its time is up, whatever waits to be handled before that is known.
     pub(super) fn begins(
         &mut self,
-        now: Tenths,
+        now: Ticks,
         host: &mut Host<Placing>,
         link: LinkId,
         attempt: AttemptId,
@@ -55,7 +55,7 @@
     }
 
     /// A node has answered an attempt: its time no longer counts, and its connection is free.
-    pub(super) fn attempt_returned(&mut self, now: Tenths, id: AllocationId, out: Out) {
+    pub(super) fn attempt_returned(&mut self, now: Ticks, id: AllocationId, out: Out) {
         self.due.remove(&(out.until, Due::Attempt(id, out.number)));
         out.link
             .into_iter()
@@ -64,7 +64,7 @@
 
     pub(super) fn timed_out(
         &mut self,
-        now: Tenths,
+        now: Ticks,
         host: &mut Host<Placing>,
         id: AllocationId,
         number: usize,
@@ -82,9 +82,9 @@
         let task = placing.task;
         self.withdraw(id, out, task);
         let ending = if out.left {
-            Ending::TimedOut
+            AttemptResult::TimedOut
         } else {
-            Ending::Unconnected
+            AttemptResult::ConnectFailed
         };
         host.returned(now, id, number, ending, None, false, None, self);
         // It may be one that is open and will stay silent for good.
@@ -95,7 +95,7 @@
 
     pub(super) fn ready(
         &mut self,
-        now: Tenths,
+        now: Ticks,
         host: &mut Host<Placing>,
         id: AllocationId,
         out: Out,
--- a/crates/platform/src/core/clients.rs
+++ b/crates/platform/src/core/clients.rs
@@ -13,23 +13,23 @@
     pub(super) input: Option<Input>,
     pub(super) reader: owner::Reader,
     /// When all that had come was last read.
-    pub(super) dry: Tenths,
+    pub(super) dry: Ticks,
     /// Its set-ups without an answer.
     pub(super) open: BTreeSet<u64>,
     /// How many tasks stand that were set up on it.
     pub(super) stands: usize,
-    pub(super) came: Tenths,
-    pub(super) heard: Tenths,
+    pub(super) came: Ticks,
+    pub(super) heard: Ticks,
     /// It has said something that could be used.
     pub(super) sound: bool,
     /// Since when a message has been begun and not ended.
-    pub(super) midway: Option<Tenths>,
+    pub(super) midway: Option<Ticks>,
 }
 
 impl Port {
     /// Handles the next message of an owner. What has come after it is read too, if not all is
     /// known yet: the end of a connection must not wait behind the set-ups that it ends.
-    pub(super) fn hear(&mut self, now: Tenths, host: &mut Host<Placing>, id: OwnerId) -> Heard {
+    pub(super) fn hear(&mut self, now: Ticks, host: &mut Host<Placing>, id: OwnerId) -> Heard {
         loop {
             let Some(owner) = self.owners.get_mut(&id) else {
                 return Heard::Enough;
@@ -61,7 +61,7 @@
     }
 
     /// Before an attempt: what has come on its owner's connection by now is known.
-    pub(super) fn catch_up(&mut self, now: Tenths, host: &mut Host<Placing>, id: AllocationId) {
+    pub(super) fn catch_up(&mut self, now: Ticks, host: &mut Host<Placing>, id: AllocationId) {
         let Some(from) = host.own(id).map(|(placing, _)| placing.owner) else {
             return;
         };
@@ -82,7 +82,7 @@
 
     /// The peer has ended its side. What it set up is not wanted any longer; what it has ended
     /// still is to be.
-    fn end_owner(&mut self, now: Tenths, host: &mut Host<Placing>, id: OwnerId) {
+    fn end_owner(&mut self, now: Ticks, host: &mut Host<Placing>, id: OwnerId) {
         let reader = self
             .owners
             .get_mut(&id)
@@ -99,7 +99,7 @@
     /// A message of an owner. False where its connection is to be closed.
     pub(super) fn owner_said(
         &mut self,
-        now: Tenths,
+        now: Ticks,
         host: &mut Host<Placing>,
         id: OwnerId,
         message: &Message,
@@ -136,7 +136,7 @@
     }
 
     /// Looks for connections that are silent, idle or missing.
-    pub(super) fn sweep(&mut self, now: Tenths, host: &mut Host<Placing>) {
+    pub(super) fn sweep(&mut self, now: Ticks, host: &mut Host<Placing>) {
         let useless = |owner: &Owner| {
             let silent = !owner.sound && owner.came + SILENT <= now;
             let cut = owner.midway.is_some_and(|since| since + SILENT <= now);
@@ -165,7 +165,7 @@
     }
 
     /// Closes the owner's connection that is of the least use: silent ones first, then idle ones.
-    pub(super) fn make_way(&mut self, now: Tenths, host: &mut Host<Placing>) -> bool {
+    pub(super) fn make_way(&mut self, now: Ticks, host: &mut Host<Placing>) -> bool {
         let free = self
             .owners
             .iter()
@@ -178,7 +178,7 @@
         true
     }
 
-    pub(super) fn close_owner(&mut self, now: Tenths, host: &mut Host<Placing>, id: OwnerId) {
+    pub(super) fn close_owner(&mut self, now: Ticks, host: &mut Host<Placing>, id: OwnerId) {
         let Some(owner) = self.owners.remove(&id) else {
             return;
         };
@@ -192,7 +192,7 @@
 
 impl Owner {
     /// Reads what has come, up to so much.
-    fn read_ahead(&mut self, now: Tenths) -> Came {
+    fn read_ahead(&mut self, now: Ticks) -> Came {
         let Some(input) = &self.input else {
             return Came::Nothing;
         };
--- a/crates/platform/src/core/engine_effects.rs
+++ b/crates/platform/src/core/engine_effects.rs
@@ -13,9 +13,9 @@
         placing: &mut Placing,
         allocation: &Allocation,
         machine: MachineId,
-        time_out: Tenths,
+        time_out: Ticks,
     ) {
-        let (id, number) = (allocation.id, allocation.shots.len());
+        let (id, number) = (allocation.id, allocation.attempts.len());
         let message = open_message(placing, time_out);
         let attempt = AttemptId {
             allocation: id,
@@ -28,7 +28,7 @@
         else {
             return self
                 .deferred
-                .push_back(Deferred::Returned(id, number, Ending::NotSent));
+                .push_back(Deferred::Returned(id, number, AttemptResult::NotSent));
         };
         self.links.begin(link, id, self.now);
         let until = self.now + time_out;
@@ -56,14 +56,14 @@
 
     fn shed(&mut self, placing: &mut Placing, allocation: &Allocation) {
         if self.answer(placing, allocation.id, Stage::Over) {
-            debug!(task = sid(placing.task), shots = ?allocation.shots, "shed");
+            debug!(task = sid(placing.task), shots = ?allocation.attempts, "shed");
             self.release(placing.owner, placing.task, owner::CAUSE_REFUSED);
         }
     }
 
     fn scrap(&mut self, placing: &mut Placing, allocation: &Allocation) {
         if self.answer(placing, allocation.id, Stage::Over) {
-            debug!(task = sid(placing.task), shots = ?allocation.shots, "scrapped");
+            debug!(task = sid(placing.task), shots = ?allocation.attempts, "scrapped");
             self.release(placing.owner, placing.task, owner::CAUSE_FAILED);
         }
     }
@@ -95,14 +95,14 @@
         self.effects.watch_list();
     }
 
-    fn wake(&mut self, after: Tenths) {
+    fn wake(&mut self, after: Ticks) {
         let at = self.now + after;
         self.host_wakes = Some(self.host_wakes.map_or(at, |other| other.min(at)));
     }
 }
 
 /// A set-up as the node gets it.
-fn open_message(placing: &Placing, time_out: Tenths) -> node::Message {
+fn open_message(placing: &Placing, time_out: Ticks) -> node::Message {
     let mut message = node::Message::new(node::Kind::Open, placing.task);
     let text = |text: &str| Value::Text(text.into());
     message.attrs.insert("class".into(), text(&placing.class));
--- a/crates/platform/src/core/inputs.rs
+++ b/crates/platform/src/core/inputs.rs
@@ -6,7 +6,7 @@
 
 impl Core {
     /// Takes over what the file says at the start that the feed has told.
-    pub fn known_at_start(&mut self, now: Tenths, known: Known) {
+    pub fn known_at_start(&mut self, now: Ticks, known: Known) {
         self.with(now, |host, port| {
             known
                 .events
@@ -17,14 +17,14 @@
     }
 
     /// Sets going what is to be done from the start on.
-    pub fn begin(&mut self, now: Tenths) {
+    pub fn begin(&mut self, now: Ticks) {
         self.with(now, |_, _| ());
     }
 
     /// Asks the decisions for those that wait, for a moment. True where some still do: between two
     /// turns all connections are read, so that what nodes and owners say waits for one turn and
     /// not for all set-ups.
-    pub fn turn(&mut self, now: Tenths, has_time: impl Fn() -> bool) -> bool {
+    pub fn turn(&mut self, now: Ticks, has_time: impl Fn() -> bool) -> bool {
         self.with(now, |host, port| {
             // In this order: one that has been taken from the queue must have its turn.
             while has_time()
@@ -38,7 +38,7 @@
     }
 
     /// The timer went off.
-    pub fn woken(&mut self, now: Tenths) {
+    pub fn woken(&mut self, now: Ticks) {
         self.with(now, |host, port| {
             port.armed = None;
             if port.host_wakes.is_some_and(|at| at <= now) {
@@ -49,12 +49,12 @@
                 port.due.remove(&(at, due));
                 match due {
                     Due::Attempt(id, number) => port.timed_out(now, host, id, number),
-                    Due::Cut(id) => port.over(now, host, id, Ending::Cancelled, None, None),
+                    Due::Cut(id) => port.over(now, host, id, AttemptResult::Cancelled, None, None),
                     Due::Lost(machine) => port.machine_lost(now, host, machine, at),
                     Due::Test(test) => {
                         if let Some((machine, link)) = port.tests.remove(&test) {
                             port.links.retire(link);
-                            host.probed(now, machine, Ending::TimedOut, None);
+                            host.probed(now, machine, AttemptResult::TimedOut, None);
                         }
                     }
                 }
@@ -63,7 +63,7 @@
     }
 
     /// An owner has connected. None where there are as many as may be and each has a set-up open.
-    pub fn owner_came(&mut self, now: Tenths) -> Option<(OwnerId, Inbox)> {
+    pub fn owner_came(&mut self, now: Ticks) -> Option<(OwnerId, Inbox)> {
         let (to, inbox) = outbox();
         self.with(now, |host, port| {
             if port.owners.len() >= port.owners_most && !port.make_way(now, host) {
@@ -89,11 +89,11 @@
     }
 
     /// Descriptors have run out.
-    pub fn make_way(&mut self, now: Tenths) {
+    pub fn make_way(&mut self, now: Ticks) {
         self.with(now, |host, port| port.make_way(now, host));
     }
 
-    pub fn owner_left(&mut self, now: Tenths, id: OwnerId) {
+    pub fn owner_left(&mut self, now: Ticks, id: OwnerId) {
         self.with(now, |host, port| port.close_owner(now, host, id));
     }
 
@@ -107,38 +107,38 @@
     }
 
     /// Handles the next message of an owner.
-    pub fn owner_heard(&mut self, now: Tenths, id: OwnerId) -> Heard {
+    pub fn owner_heard(&mut self, now: Ticks, id: OwnerId) -> Heard {
         self.with(now, |host, port| port.hear(now, host, id))
     }
 
     /// A message of an owner. False where its connection is to be closed.
     #[cfg(test)]
-    pub fn owner_said(&mut self, now: Tenths, id: OwnerId, message: &Message) -> bool {
+    pub fn owner_said(&mut self, now: Ticks, id: OwnerId, message: &Message) -> bool {
         self.with(now, |host, port| port.owner_said(now, host, id, message))
     }
 
     /// Ends of what stood that their owner's connection could not take any longer.
-    pub fn retell(&mut self, now: Tenths, words: Vec<Vec<u8>>) {
+    pub fn retell(&mut self, now: Ticks, words: Vec<Vec<u8>>) {
         self.with(now, |_, port| {
             words.into_iter().for_each(|words| port.tell_any(words))
         });
     }
 
-    pub fn link_up(&mut self, now: Tenths, id: LinkId) {
+    pub fn link_up(&mut self, now: Ticks, id: LinkId) {
         self.with(now, |_, port| port.links.up(id, now));
     }
 
     /// The first byte of a set-up is about to be written. False where that must not be any more.
-    pub fn begins(&mut self, now: Tenths, link: LinkId, attempt: AttemptId) -> bool {
+    pub fn begins(&mut self, now: Ticks, link: LinkId, attempt: AttemptId) -> bool {
         self.with(now, |host, port| port.begins(now, host, link, attempt))
     }
 
-    pub fn link_ended(&mut self, now: Tenths, id: LinkId, end: End) {
+    pub fn link_ended(&mut self, now: Ticks, id: LinkId, end: End) {
         self.with(now, |host, port| port.drop_link(now, host, id, end));
     }
 
     /// A message of a node. False where its connection is of no more use.
-    pub fn node_said(&mut self, now: Tenths, link: LinkId, message: node::Message) -> bool {
+    pub fn node_said(&mut self, now: Ticks, link: LinkId, message: node::Message) -> bool {
         self.with(now, |host, port| {
             let Some(machine) = port.links.heard(link, now) else {
                 return false;
@@ -152,20 +152,20 @@
     }
 
     /// The feed has taken our call.
-    pub fn watched(&mut self, now: Tenths) {
-        self.with(now, |host, _| host.listed(Scope::Changes, &[]));
+    pub fn watched(&mut self, now: Ticks) {
+        self.with(now, |host, _| host.listed(ListUpdate::Incremental, &[]));
     }
 
-    pub fn told(&mut self, now: Tenths, event: Event) {
+    pub fn told(&mut self, now: Ticks, event: Event) {
         self.with(now, |host, port| port.apply(now, host, event));
     }
 
-    pub fn list_failed(&mut self, now: Tenths) {
+    pub fn list_failed(&mut self, now: Ticks) {
         self.with(now, |host, _| host.list_failed(now));
     }
 
     /// The file has been replaced: other settings may be in force from here on.
-    pub fn reposted(&mut self, now: Tenths, posting: Posting) -> Result<(), String> {
+    pub fn reposted(&mut self, now: Ticks, posting: Posting) -> Result<(), String> {
         let cluster = cluster(&posting.settings)?;
         self.with(now, |host, port| {
             let names = |facts: &Facts| -> Vec<String> {
@@ -186,7 +186,7 @@
     }
 
     /// Closes what is silent, idle or of no more use, and opens what is missing.
-    pub fn sweep(&mut self, now: Tenths) {
+    pub fn sweep(&mut self, now: Ticks) {
         self.with(now, |host, port| port.sweep(now, host));
     }
 
@@ -208,7 +208,7 @@
 
     /// Each one that is owed an answer gets it as soon as its attempt out has returned; what comes
     /// from here on is refused at once.
-    pub fn stop(&mut self, now: Tenths) {
+    pub fn stop(&mut self, now: Ticks) {
         self.with(now, |host, port| {
             port.stops = true;
             host.stop(now, port);
@@ -216,13 +216,13 @@
     }
 
     /// The longest that owners wait for an answer, where the settings say.
-    pub fn longest_deadline(&self) -> Option<Tenths> {
+    pub fn longest_deadline(&self) -> Option<Ticks> {
         self.port.facts.longest_deadline()
     }
 
     /// What another file says that the feed has told. Only what follows on what is known already,
     /// or is whole: the rest is told by the feed.
-    pub fn known(&mut self, now: Tenths, known: Known) {
+    pub fn known(&mut self, now: Ticks, known: Known) {
         self.with(now, |host, port| {
             for event in known.events {
                 let whole = event
@@ -238,7 +238,7 @@
 
     /// Those whose attempts have not returned yet get their answers without. All connections close
     /// once all is written.
-    pub fn let_go(&mut self, now: Tenths) {
+    pub fn let_go(&mut self, now: Ticks) {
         self.with(now, |host, port| {
             for (id, shot) in host.unanswered() {
                 port.timed_out(now, host, id, shot);
--- a/crates/platform/src/core/limits.rs
+++ b/crates/platform/src/core/limits.rs
@@ -1,11 +1,11 @@
 //! How much is kept and how long is waited.
 
-use corkspan_scheduler::interface::Tenths;
+use corkspan_scheduler::interface::Ticks;
 
-pub(super) const SECOND: Tenths = 10_000;
+pub(super) const SECOND: Ticks = 10_000;
 /// An attempt that begins over 0.1 s after its client has gone is one too many: a tenth of that may
 /// pass between the last look at a client's connection and an attempt.
-pub(super) const LATELY: Tenths = 100;
+pub(super) const LATELY: Ticks = 100;
 /// So much is read ahead on an owner's connection, and so many messages are handled in one go
 /// before an attempt: where more is on its way, it is a flood.
 pub(super) const READ_AHEAD: usize = 2 * corkspan_platform_wire::LONGEST;
@@ -16,26 +16,26 @@
 pub(super) const OPEN_A_CONNECTION: usize = 256;
 /// An owner's connection that has said nothing whole and sound is closed after so long: within 3 s
 /// it must be.
-pub(super) const SILENT: Tenths = SECOND * 2;
+pub(super) const SILENT: Ticks = SECOND * 2;
 /// One without a task, after so long without a word.
-pub(super) const IDLE: Tenths = SECOND * 8;
+pub(super) const IDLE: Ticks = SECOND * 8;
 /// No deadline of an owner is further away.
 pub(super) const LONGEST: u64 = 600_000;
 /// Taken off an owner's deadline for the way of its set-up to us and of our answer back.
-pub(super) const ON_THE_WAY: Tenths = 50;
+pub(super) const ON_THE_WAY: Ticks = 50;
 /// So long a node may take to say that a task is cut.
-pub(super) const CUT_WITHIN: Tenths = SECOND;
+pub(super) const CUT_WITHIN: Ticks = SECOND;
 /// So long a test of a node may take.
-pub(super) const TEST_WITHIN: Tenths = SECOND;
+pub(super) const TEST_WITHIN: Ticks = SECOND;
 /// What can't be told by its node any longer must be told within 8 s of its end.
-pub(super) const UNREACHABLE: Tenths = SECOND * 6;
+pub(super) const UNREACHABLE: Ticks = SECOND * 6;
 /// So long a node with tasks goes unheard before it takes the place of another with tasks. The
 /// decisions test a silent node each second and give up what stands there after 5 s: of its tests
 /// at least one must find a connection.
-pub(super) const UNHEARD: Tenths = SECOND;
+pub(super) const UNHEARD: Ticks = SECOND;
 /// Ends that nodes told of tasks which nobody here knows: after a start they may be handed over a
 /// moment later.
 pub(super) const ENDS: usize = 1_024;
-pub(super) const ENDS_FOR: Tenths = SECOND * 10;
+pub(super) const ENDS_FOR: Ticks = SECOND * 10;
 /// Words for owners that no connection could take, kept for the next one that comes.
 pub(super) const UNTOLD: usize = 1_024;
--- a/crates/platform/src/core/node_connections.rs
+++ b/crates/platform/src/core/node_connections.rs
@@ -47,13 +47,7 @@
     }
 
     /// What was open on a connection that has ended is told, and what stands on a dead machine.
-    pub(super) fn drop_link(
-        &mut self,
-        now: Tenths,
-        host: &mut Host<Placing>,
-        id: LinkId,
-        end: End,
-    ) {
+    pub(super) fn drop_link(&mut self, now: Ticks, host: &mut Host<Placing>, id: LinkId, end: End) {
         let Some(link) = self.links.remove(id) else {
             return;
         };
@@ -72,9 +66,9 @@
             self.due
                 .remove(&(out.until, Due::Attempt(allocation, out.number)));
             let ending = if out.left {
-                Ending::Reset
+                AttemptResult::Reset
             } else {
-                Ending::Unconnected
+                AttemptResult::ConnectFailed
             };
             host.returned(now, allocation, out.number, ending, None, false, None, self);
         }
@@ -87,14 +81,14 @@
         for test in tests {
             self.tests.remove(&test);
             self.due.retain(|(_, due)| *due != Due::Test(test));
-            host.probed(now, link.machine, Ending::Unconnected, None);
+            host.probed(now, link.machine, AttemptResult::ConnectFailed, None);
         }
         if end == End::Refused && self.nodes.refused(link.machine) {
             self.due
                 .insert((now + UNREACHABLE, Due::Lost(link.machine)));
         } else if end == End::Refused {
             // The process is dead, and its tasks are cut.
-            self.machine_lost(now, host, link.machine, Tenths::MAX);
+            self.machine_lost(now, host, link.machine, Ticks::MAX);
         } else if self.links.of(link.machine).is_empty()
             && self.nodes.holds(link.machine)
             && end == End::Broke
--- a/crates/platform/src/core/node_list.rs
+++ b/crates/platform/src/core/node_list.rs
@@ -6,7 +6,7 @@
 
 impl Port {
     /// A change to the list of nodes, once each.
-    pub(super) fn apply(&mut self, now: Tenths, host: &mut Host<Placing>, event: Event) {
+    pub(super) fn apply(&mut self, now: Ticks, host: &mut Host<Placing>, event: Event) {
         if event.n <= self.last_event {
             return;
         }
@@ -14,14 +14,14 @@
         let Some(members) = event.members else { return };
         let listed = self.nodes.listed(&members, &self.facts);
         let scope = if listed.whole {
-            Scope::Whole
+            ListUpdate::Complete
         } else {
-            Scope::Changes
+            ListUpdate::Incremental
         };
         host.listed(scope, &listed.entries);
         for machine in listed.gone {
             info!(?machine, "a node has gone");
-            self.machine_lost(now, host, machine, Tenths::MAX);
+            self.machine_lost(now, host, machine, Ticks::MAX);
             for link in self.links.all_of(machine) {
                 self.drop_link(now, host, link, End::NotUp);
             }
--- a/crates/platform/src/core/node_messages.rs
+++ b/crates/platform/src/core/node_messages.rs
@@ -28,7 +28,7 @@
     /// A message of a node. False where its connection is of no more use.
     pub(super) fn node_said(
         &mut self,
-        now: Tenths,
+        now: Ticks,
         host: &mut Host<Placing>,
         link: LinkId,
         machine: MachineId,
@@ -64,7 +64,7 @@
                 self.node_closed(now, host, origin, named, &message);
             }
             (node::Kind::Closed, Some(named)) if named.stage == Stage::Over => {
-                self.over(now, host, named.id, Ending::Cancelled, None, None);
+                self.over(now, host, named.id, AttemptResult::Cancelled, None, None);
             }
             (node::Kind::Event, Some(named)) if named.stage != Stage::Asked => {
                 let Some(note) = note(&message) else {
@@ -80,7 +80,7 @@
 
     fn node_probed(
         &mut self,
-        now: Tenths,
+        now: Ticks,
         host: &mut Host<Placing>,
         test: u64,
         message: &node::Message,
@@ -90,9 +90,9 @@
         };
         self.due.retain(|(_, due)| *due != Due::Test(test));
         let ending = if message.code == Some(1) {
-            Ending::Ended
+            AttemptResult::Completed
         } else {
-            Ending::Error
+            AttemptResult::Error
         };
         host.probed(now, machine, ending, load(message));
     }
@@ -132,7 +132,7 @@
 
     fn node_closed(
         &mut self,
-        now: Tenths,
+        now: Ticks,
         host: &mut Host<Placing>,
         origin: Origin,
         named: Option<Named>,
@@ -162,9 +162,9 @@
         };
         if stage != Stage::Asked {
             let ending = match code {
-                16 => Ending::Ended,
-                31 => Ending::Cancelled,
-                _ => Ending::Reset,
+                16 => AttemptResult::Completed,
+                31 => AttemptResult::Cancelled,
+                _ => AttemptResult::Reset,
             };
             self.over(now, host, id, ending, reason(message), load);
             if matches!(code, 34 | 47 | 102) {
@@ -175,10 +175,10 @@
             return;
         }
         let ending = match code {
-            34 => Ending::Refused,
-            47 => Ending::Error,
-            102 => Ending::NotSent,
-            _ => Ending::Reset,
+            34 => AttemptResult::Rejected,
+            47 => AttemptResult::Error,
+            102 => AttemptResult::NotSent,
+            _ => AttemptResult::Reset,
         };
         if let Some((placing, _)) = host.own(id) {
             placing.out = None;
@@ -190,19 +190,19 @@
     }
 }
 
-fn note(message: &node::Message) -> Option<Note> {
+fn note(message: &node::Message) -> Option<Metric> {
     let value = message.attr("value").and_then(Value::number);
     Some(match (message.attr("note").and_then(Value::text)?, value) {
-        ("running", _) => Note::Runs,
-        ("use_cpu", Some(value)) => Note::Cores(value),
-        ("use_ram", Some(value)) => Note::Memory(value),
-        ("health", Some(value)) => Note::Served(value),
-        ("ram_high", Some(value)) => Note::MachineMemory(value),
+        ("running", _) => Metric::Running,
+        ("use_cpu", Some(value)) => Metric::Cores(value),
+        ("use_ram", Some(value)) => Metric::Memory(value),
+        ("health", Some(value)) => Metric::Served(value),
+        ("ram_high", Some(value)) => Metric::MachineMemory(value),
         _ => return None,
     })
 }
 
-fn load(message: &node::Message) -> Option<Report> {
+fn load(message: &node::Message) -> Option<LoadReport> {
     let pairs = report(message.attr("load")?.text()?).ok()?;
     let value = |name| {
         pairs
@@ -210,23 +210,23 @@
             .find(|(other, _)| *other == name)
             .map(|&(_, value)| value)
     };
-    Some(Report {
-        unused: Amount {
+    Some(LoadReport {
+        available: Resources {
             cores: value("x0")?,
             memory: value("x1")?,
         },
     })
 }
 
-fn reason(message: &node::Message) -> Option<Reason> {
+fn reason(message: &node::Message) -> Option<ReturnReason> {
     Some(match message.attr("note")?.text()? {
-        "lack_cpu" => Reason::NoCores,
-        "lack_ram" => Reason::NoMemory,
-        "backlog" => Reason::QueueFull,
-        "unfit" => Reason::NotHere,
-        "killed" => Reason::Evicted,
-        "displaced" => Reason::PushedOut,
-        "dismissed" => Reason::SentAway,
+        "lack_cpu" => ReturnReason::NoCores,
+        "lack_ram" => ReturnReason::NoMemory,
+        "backlog" => ReturnReason::QueueFull,
+        "unfit" => ReturnReason::Unfit,
+        "killed" => ReturnReason::Evicted,
+        "displaced" => ReturnReason::Preempted,
+        "dismissed" => ReturnReason::Migrated,
         _ => return None,
     })
 }
--- a/crates/platform/src/core/running_tasks.rs
+++ b/crates/platform/src/core/running_tasks.rs
@@ -9,7 +9,7 @@
     /// Has the node cut a task that stands.
     pub(super) fn cut(
         &mut self,
-        now: Tenths,
+        now: Ticks,
         id: AllocationId,
         task: u64,
         out: Option<Out>,
@@ -25,10 +25,10 @@
     /// Tasks sent there before then are over.
     pub(super) fn machine_lost(
         &mut self,
-        now: Tenths,
+        now: Ticks,
         host: &mut Host<Placing>,
         machine: MachineId,
-        before: Tenths,
+        before: Ticks,
     ) {
         for id in self.nodes.standing(machine) {
             let sent = host
@@ -36,7 +36,7 @@
                 .and_then(|(placing, _)| placing.out)
                 .map_or(0, |out| out.sent);
             if sent < before {
-                self.over(now, host, id, Ending::Reset, None, None);
+                self.over(now, host, id, AttemptResult::Reset, None, None);
             }
         }
     }
@@ -44,12 +44,12 @@
     /// What stood is over: its owner is told, where it is owed that.
     pub(super) fn over(
         &mut self,
-        now: Tenths,
+        now: Ticks,
         host: &mut Host<Placing>,
         id: AllocationId,
-        ending: Ending,
-        reason: Option<Reason>,
-        report: Option<Report>,
+        ending: AttemptResult,
+        reason: Option<ReturnReason>,
+        report: Option<LoadReport>,
     ) {
         let Some((placing, _)) = host.own(id) else {
             return;
@@ -60,15 +60,19 @@
         let (task, to) = (placing.task, placing.owner);
         self.due.retain(|(_, due)| *due != Due::Cut(id));
         debug!(task = sid(task), machine = ?out.machine, ?ending, ?reason, "over");
-        if self.stood(placing) && ending != Ending::Cancelled {
-            let cause = if ending == Ending::Ended { 16 } else { 41 };
+        if self.stood(placing) && ending != AttemptResult::Cancelled {
+            let cause = if ending == AttemptResult::Completed {
+                16
+            } else {
+                41
+            };
             self.say_over(to, Kind::Release, task, &[(owner::CAUSE, &[cause])]);
         }
         self.nodes.stands_no_more(out.machine, id);
         host.returned(now, id, out.number, ending, reason, true, report, self);
     }
 
-    pub(super) fn keep_end(&mut self, now: Tenths, task: u64, machine: MachineId) {
+    pub(super) fn keep_end(&mut self, now: Ticks, task: u64, machine: MachineId) {
         while self
             .ends
             .front()
--- a/crates/platform/src/core/set_ups.rs
+++ b/crates/platform/src/core/set_ups.rs
@@ -10,7 +10,7 @@
     /// Err where the connection must be closed, else whether the message could be used.
     pub(super) fn set_up(
         &mut self,
-        now: Tenths,
+        now: Ticks,
         host: &mut Host<Placing>,
         from: OwnerId,
         message: &Message,
@@ -57,7 +57,7 @@
     /// A task that stands already, handed over by another process. Always of use.
     fn take_running(
         &mut self,
-        now: Tenths,
+        now: Ticks,
         host: &mut Host<Placing>,
         from: OwnerId,
         set_up: SetUp,
@@ -85,7 +85,7 @@
             machine,
             link: None,
             sent: now,
-            until: Tenths::MAX,
+            until: Ticks::MAX,
             left: true,
         });
         if let Ok(id) = host.take_running(now, &sid(task), asked, machine, placing) {
@@ -104,7 +104,7 @@
     /// True where it was taken.
     fn take_new(
         &mut self,
-        now: Tenths,
+        now: Ticks,
         host: &mut Host<Placing>,
         from: OwnerId,
         set_up: SetUp,
@@ -125,7 +125,7 @@
     }
 
     /// What a set-up is to the decisions, or what is wrong with it.
-    pub(super) fn asked(&self, now: Tenths, set_up: &SetUp) -> Result<Asked, String> {
+    pub(super) fn asked(&self, now: Ticks, set_up: &SetUp) -> Result<Asked, String> {
         let facts = &self.facts;
         let track = facts
             .classes
@@ -155,12 +155,12 @@
         if facts.keyed(track) && set_up.mark.is_none() && set_up.at.is_none() {
             return Err("no key, which its class needs".into());
         }
-        let asks = Amount {
+        let asks = Resources {
             cores: set_up.cores,
             memory: set_up.memory,
         };
         // More than any machine accepts would only spoil what is learnt of asks.
-        if !facts.largest().is_some_and(|largest| asks.within(largest)) {
+        if !facts.largest().is_some_and(|largest| asks.fits_in(largest)) {
             return Err(format!(
                 "{} cores and {} of memory fit on no machine",
                 asks.cores, asks.memory
@@ -169,8 +169,8 @@
         let left = left_ms * 10;
         Ok(Asked {
             service: service(&set_up.service),
-            track: TrackId(track),
-            account: AccountId(account.ok_or("no such tenant")?),
+            track: ServiceClassId(track),
+            account: TenantId(account.ok_or("no such tenant")?),
             asks,
             abandon: now + left - ON_THE_WAY.min(left / 2),
         })
@@ -179,7 +179,7 @@
     /// An owner gives a set-up up, or ends its task. False where nothing of that id is in hand.
     pub(super) fn owner_released(
         &mut self,
-        now: Tenths,
+        now: Ticks,
         host: &mut Host<Placing>,
         message: &Message,
     ) -> bool {
@@ -204,7 +204,7 @@
     }
 
     /// The owner waits no longer: no answer is owed, and what is out is given up.
-    pub(super) fn give_up(&mut self, now: Tenths, host: &mut Host<Placing>, id: AllocationId) {
+    pub(super) fn give_up(&mut self, now: Ticks, host: &mut Host<Placing>, id: AllocationId) {
         let Some((placing, _)) = host.own(id) else {
             return;
         };
@@ -218,7 +218,7 @@
             now,
             id,
             out.number,
-            Ending::Cancelled,
+            AttemptResult::Cancelled,
             None,
             true,
             None,
--- a/crates/platform/src/core/tasks.rs
+++ b/crates/platform/src/core/tasks.rs
@@ -21,8 +21,8 @@
     pub(super) number: usize,
     pub(super) machine: MachineId,
     pub(super) link: Option<LinkId>,
-    pub(super) sent: Tenths,
-    pub(super) until: Tenths,
+    pub(super) sent: Ticks,
+    pub(super) until: Ticks,
     /// Its first byte has been written: from here on it may have run.
     pub(super) left: bool,
 }
@@ -35,7 +35,7 @@
     pub(super) name: String,
     pub(super) mark: Option<String>,
     pub(super) description: String,
-    pub(super) until: Tenths,
+    pub(super) until: Ticks,
     pub(super) stage: Stage,
     pub(super) out: Option<Out>,
     /// The connections that its attempts went on. A node's words name the task and not the
@@ -48,7 +48,7 @@
 
 impl Placing {
     /// One that is owed an answer, and has no attempt out.
-    pub(super) fn new(owner: OwnerId, set_up: SetUp, until: Tenths) -> Placing {
+    pub(super) fn new(owner: OwnerId, set_up: SetUp, until: Ticks) -> Placing {
         Placing {
             task: set_up.task,
             owner,
@@ -79,7 +79,7 @@
 
 /// What came to be known while the decisions were still being asked.
 pub(super) enum Deferred {
-    Returned(AllocationId, usize, Ending),
+    Returned(AllocationId, usize, AttemptResult),
     Lost(AllocationId),
 }
 
--- a/crates/platform/src/effects.rs
+++ b/crates/platform/src/effects.rs
@@ -6,7 +6,7 @@
 use async_lock::Semaphore;
 use corkspan_runtime::Tasks;
 use corkspan_runtime::clock::Clock;
-use corkspan_scheduler::interface::Tenths;
+use corkspan_scheduler::interface::Ticks;
 use std::sync::{Arc, Weak};
 use std::time::Instant;
 
@@ -43,7 +43,7 @@
         let _ = self.calls.watches.try_send(());
     }
 
-    fn arm_timer(&self, at: Tenths) {
+    fn arm_timer(&self, at: Ticks) {
         let _ = self.calls.wakes.force_send(self.clock.instant(at));
     }
 
--- a/crates/platform/src/handle.rs
+++ b/crates/platform/src/handle.rs
@@ -10,12 +10,12 @@
 #[cfg(test)]
 use corkspan_platform_wire::owner::Message;
 use corkspan_runtime::clock::{Clock, duration};
-use corkspan_scheduler::interface::Tenths;
+use corkspan_scheduler::interface::Ticks;
 use std::sync::{Arc, Mutex, MutexGuard, Weak};
 use std::time::Duration;
 
 /// So long the decisions are asked for those that wait before the connections are read again.
-const TURN: Tenths = 20;
+const TURN: Ticks = 20;
 
 pub struct Desk {
     core: Mutex<Core>,
@@ -43,7 +43,7 @@
         desk
     }
 
-    fn now(&self) -> Tenths {
+    fn now(&self) -> Ticks {
         #[cfg(test)]
         if let at @ 1.. = self.set_time.load(std::sync::atomic::Ordering::Relaxed) {
             return at;
@@ -57,7 +57,7 @@
     }
 
     /// Calls in with the time, which is taken under the lock: it never goes back between two calls.
-    pub fn enter<R>(&self, call: impl FnOnce(&mut Core, Tenths) -> R) -> R {
+    pub fn enter<R>(&self, call: impl FnOnce(&mut Core, Ticks) -> R) -> R {
         let mut core = self.lock();
         let now = self.now();
         call(&mut core, now)
--- a/crates/platform/src/nodes.rs
+++ b/crates/platform/src/nodes.rs
@@ -10,7 +10,7 @@
 use tracing::warn;
 
 /// Some thousand years from now.
-const LATEST: Tenths = 1 << 50;
+const LATEST: Ticks = 1 << 50;
 
 struct Node {
     name: String,
@@ -20,7 +20,7 @@
     /// It takes no connection any longer.
     shut: bool,
     /// Since when tasks stand there and no connection does.
-    unheard: Option<Tenths>,
+    unheard: Option<Ticks>,
     standing: BTreeSet<AllocationId>,
 }
 
@@ -32,13 +32,13 @@
 /// What a change to the list comes to.
 #[derive(Default)]
 pub struct Listed {
-    pub entries: Vec<Entry>,
+    pub entries: Vec<Endpoint>,
     /// It is the whole list: a node that it doesn't name has gone. Not so where an entry could not
     /// be read.
     pub whole: bool,
     pub gone: Vec<MachineId>,
     /// With the moment of the new start.
-    pub restarted: Vec<(MachineId, Tenths)>,
+    pub restarted: Vec<(MachineId, Ticks)>,
 }
 
 /// The id of a node comes from its name alone, so that it is the same at every dispatcher.
@@ -116,8 +116,8 @@
     pub fn unheard(
         &mut self,
         connected: impl Fn(MachineId) -> bool,
-        now: Tenths,
-    ) -> Vec<(Tenths, MachineId)> {
+        now: Ticks,
+    ) -> Vec<(Ticks, MachineId)> {
         let mut unheard = Vec::new();
         for (&id, node) in &mut self.nodes {
             let heard = node.standing.is_empty() || node.shut || connected(id);
@@ -150,7 +150,7 @@
             };
             listed.entries.push(entry);
             let id = entry.machine;
-            if entry.state == State::Gone {
+            if entry.state == MachineState::Removed {
                 listed.gone.push(id);
                 continue;
             }
@@ -164,7 +164,7 @@
                 standing: BTreeSet::new(),
             });
             node.address = member.host_port;
-            node.leaving = entry.state == State::Draining;
+            node.leaving = entry.state == MachineState::Draining;
             node.shut &= node.leaving;
             if std::mem::replace(&mut node.started, member.up_since_ms) != member.up_since_ms {
                 listed
@@ -187,16 +187,16 @@
         self.nodes.remove(&machine);
     }
 
-    fn entry(&self, member: &Member, facts: &Facts) -> Option<Entry> {
+    fn entry(&self, member: &Member, facts: &Facts) -> Option<Endpoint> {
         let id = machine(&member.id);
         let stranger = self
             .nodes
             .get(&id)
             .is_some_and(|node| node.name != member.id);
-        Some(Entry {
+        Some(Endpoint {
             machine: id,
-            kind: KindId(facts.skus.iter().position(|kind| *kind == member.flavor)?),
-            hall: HallId(
+            machine_type: MachineTypeId(facts.skus.iter().position(|kind| *kind == member.flavor)?),
+            zone: ZoneId(
                 facts
                     .zones
                     .iter()
@@ -204,16 +204,16 @@
             ),
             cell: CellId(member.cell),
             state: match member.phase {
-                Phase::Active => State::Serving,
-                Phase::Leaving => State::Draining,
-                Phase::Left => State::Gone,
+                Phase::Active => MachineState::Serving,
+                Phase::Leaving => MachineState::Draining,
+                Phase::Left => MachineState::Removed,
             },
             // No sum with a time that was told may pass the end of the scale.
-            started: (member.up_since_ms > 0)
+            started_at: (member.up_since_ms > 0)
                 .then(|| member.up_since_ms.saturating_mul(10).min(LATEST)),
-            unasked: member
+            unreserved: member
                 .unasked
-                .map(|(cores, memory)| Amount { cores, memory }),
+                .map(|(cores, memory)| Resources { cores, memory }),
         })
         .filter(|_| !stranger)
     }
--- a/crates/platform/tests/desk/bounds.rs
+++ b/crates/platform/tests/desk/bounds.rs
@@ -179,7 +179,7 @@
     port.links.all_up(port.now);
     for (test, (machine, _)) in std::mem::take(&mut port.tests) {
         port.due.retain(|(_, due)| *due != Due::Test(test));
-        host.probed(port.now, machine, Ending::Ended, None);
+        host.probed(port.now, machine, AttemptResult::Completed, None);
     }
 }
 
--- a/crates/platform/tests/desk/transcript.rs
+++ b/crates/platform/tests/desk/transcript.rs
@@ -14,7 +14,7 @@
 use test_case::test_case;
 
 /// When each course begins.
-const BEGIN: Tenths = 1_000_000;
+const BEGIN: Ticks = 1_000_000;
 const STEPS: usize = 700;
 const NODES: u64 = 6;
 
@@ -72,8 +72,8 @@
 struct Course {
     desk: Arc<Desk>,
     draws: Draws,
-    now: Tenths,
-    swept: Tenths,
+    now: Ticks,
+    swept: Ticks,
     watching: async_channel::Receiver<()>,
     clients: BTreeMap<OwnerId, Inbox>,
     connections: BTreeMap<LinkId, Connection>,
--- a/crates/rollout/src/conductor.rs
+++ b/crates/rollout/src/conductor.rs
@@ -11,7 +11,7 @@
 pub mod types;
 
 use crate::{ClaimId, Phase, Roll};
-use corkspan_scheduler::interface::Tenths;
+use corkspan_scheduler::interface::Ticks;
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use replica::{Claim, Copy, Step};
@@ -21,14 +21,14 @@
 };
 
 /// Between two calls where nothing falls due before.
-const LOOK: Tenths = 5_000;
+const LOOK: Ticks = 5_000;
 /// Shortest wait after a first lost claim before the next one is sent; it doubles with each further
 /// loss, and up to as much again is added by chance.
-const BACK_OFF: Tenths = 500;
+const BACK_OFF: Ticks = 500;
 /// Longest wait after lost claims.
-const LONGEST_BACK_OFF: Tenths = 20_000;
+const LONGEST_BACK_OFF: Ticks = 20_000;
 /// A replica that was handed over reports within this time whether it is ready.
-const SAY: Tenths = 10_000;
+const SAY: Ticks = 10_000;
 /// A grant that its holder was not seen to use is released after this many times the time that a
 /// replica has to get ready.
 const FORGET: u64 = 3;
@@ -58,17 +58,17 @@
     halted: bool,
     lost_in_a_row: u32,
     /// No claim is sent before.
-    claim_at: Tenths,
+    claim_at: Ticks,
     /// Claims of others that are being cleaned up, and for which task.
     clearing: BTreeMap<ClaimId, String>,
     /// Grants that nobody was seen to use, and since when.
-    idle: BTreeMap<ClaimId, Tenths>,
+    idle: BTreeMap<ClaimId, Ticks>,
 }
 
 impl Conductor {
     /// A controller that knows of no replica yet. `me` is the dispatcher's number; `seed` fixes
     /// its random draws.
-    pub fn new(me: u32, seed: u64, roll: Roll, now: Tenths) -> Self {
+    pub fn new(me: u32, seed: u64, roll: Roll, now: Ticks) -> Self {
         Conductor {
             me,
             rng: Pcg64Mcg::seed_from_u64(seed),
--- a/crates/rollout/src/conductor/claims.rs
+++ b/crates/rollout/src/conductor/claims.rs
@@ -4,7 +4,7 @@
 use super::types::{ClaimRequest, Recalled, ReportedSlot, Votes};
 use super::{BACK_OFF, Conductor, LONGEST_BACK_OFF};
 use crate::{ClaimId, majority};
-use corkspan_scheduler::interface::Tenths;
+use corkspan_scheduler::interface::Ticks;
 use rand::RngExt;
 
 impl Conductor {
@@ -78,7 +78,7 @@
     /// Takes a claim's outcome. False where it is lost: it is to be released at all members, for
     /// some may have granted it, or may still.
     #[must_use]
-    pub fn claimed(&mut self, now: Tenths, claim: ClaimId, votes: Votes) -> bool {
+    pub fn claimed(&mut self, now: Ticks, claim: ClaimId, votes: Votes) -> bool {
         let Some(task) = self.claims.get(&claim).map(|claim| claim.task.clone()) else {
             return false;
         };
@@ -111,7 +111,7 @@
     }
 
     /// Sends no claim for half of this time at the least, and all of it at the most.
-    pub(super) fn back_off(&mut self, now: Tenths, longest: Tenths) {
+    pub(super) fn back_off(&mut self, now: Ticks, longest: Ticks) {
         self.claim_at = now + longest / 2 + self.rng.random_range(0..longest / 2);
     }
 }
--- a/crates/rollout/src/conductor/events.rs
+++ b/crates/rollout/src/conductor/events.rs
@@ -4,13 +4,13 @@
 use super::types::Withdrawn;
 use super::{Conductor, LONGEST_BACK_OFF};
 use crate::ClaimId;
-use corkspan_scheduler::interface::Tenths;
+use corkspan_scheduler::interface::Ticks;
 
 impl Conductor {
     /// A replica is this dispatcher's, of this version and not known to be ready: placed, being
     /// placed, or handed over. An empty version is what ran before the first rollout. `returning`:
     /// its client asks for it again after it was lost, evicted or sent away.
-    pub fn copy(&mut self, now: Tenths, task: &str, version: &str, returning: bool) {
+    pub fn copy(&mut self, now: Ticks, task: &str, version: &str, returning: bool) {
         let own = self.claims.iter().find(|(_, own)| own.task == task);
         let (claim, step) = match own {
             Some((claim, own)) if own.won => (Some(*claim), Step::Replaced),
@@ -42,7 +42,7 @@
     }
 
     /// The surge replica reports itself ready, or no longer ready.
-    pub fn grown(&mut self, now: Tenths, task: &str, is_ready: bool) {
+    pub fn grown(&mut self, now: Ticks, task: &str, is_ready: bool) {
         let copy = self.copies.get_mut(task);
         if let Some(Step::Grows { ready, .. }) = copy.map(|copy| &mut copy.step) {
             *ready = if is_ready { ready.or(Some(now)) } else { None };
@@ -52,7 +52,7 @@
     /// The surge replica is known to be gone, or was never placed. `why` says whether that counts
     /// as a failure of the version. Returns the claims to release.
     #[must_use]
-    pub fn withdrawn(&mut self, now: Tenths, task: &str, why: Withdrawn) -> Vec<ClaimId> {
+    pub fn withdrawn(&mut self, now: Ticks, task: &str, why: Withdrawn) -> Vec<ClaimId> {
         let Some(copy) = self.copies.get_mut(task) else {
             return Vec::new();
         };
@@ -110,7 +110,7 @@
     }
 
     /// The replica reports itself ready.
-    pub fn ready(&mut self, now: Tenths, task: &str) {
+    pub fn ready(&mut self, now: Ticks, task: &str) {
         if let Some(copy) = self.copies.get_mut(task) {
             copy.ready.get_or_insert(now);
         }
@@ -119,7 +119,7 @@
     /// The replica reports itself unready, or its node is lost, evicts it, or sends it away. True
     /// where that is a failure of the version being rolled out: it had not yet stayed ready for its
     /// time.
-    pub fn unready(&mut self, now: Tenths, task: &str) -> bool {
+    pub fn unready(&mut self, now: Ticks, task: &str) -> bool {
         let Some(copy) = self.copies.get_mut(task) else {
             return false;
         };
@@ -146,7 +146,7 @@
     /// The replica is no longer here: lost with its node, evicted, sent away, or without a machine
     /// for the new one. Its client asks for it again, here or at another dispatcher, and a slot
     /// that it holds stays held until it is ready there.
-    pub fn died(&mut self, now: Tenths, task: &str) {
+    pub fn died(&mut self, now: Ticks, task: &str) {
         let Some(copy) = self.copies.remove(task) else {
             return;
         };
--- a/crates/rollout/src/conductor/replica.rs
+++ b/crates/rollout/src/conductor/replica.rs
@@ -1,16 +1,16 @@
 //! What a controller keeps of one replica and of one claim.
 
 use crate::ClaimId;
-use corkspan_scheduler::interface::Tenths;
+use corkspan_scheduler::interface::Ticks;
 
 /// One replica of this dispatcher.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct Copy {
     pub(super) version: String,
     /// Since when it reports itself ready.
-    pub(super) ready: Option<Tenths>,
+    pub(super) ready: Option<Ticks>,
     /// Since when it has not been ready.
-    pub(super) unready: Tenths,
+    pub(super) unready: Ticks,
     /// It ran here or elsewhere before, and is down now for a reason outside the rollout.
     pub(super) returning: bool,
     /// The claim under which it is replaced.
@@ -39,22 +39,22 @@
     Grows {
         /// Version of the surge replica.
         version: String,
-        since: Tenths,
+        since: Ticks,
         /// Since when the surge replica is ready.
-        ready: Option<Tenths>,
+        ready: Option<Ticks>,
     },
     /// The surge replica has stayed ready for its time, and the old replica is being stopped.
     Retires {
         /// Version of the surge replica.
         version: String,
         /// Since when the surge replica is ready.
-        ready: Tenths,
+        ready: Ticks,
     },
 }
 
 impl Copy {
     /// Whether it has been ready for this long.
-    pub(super) fn ready_for(&self, time: Tenths, now: Tenths) -> bool {
+    pub(super) fn ready_for(&self, time: Ticks, now: Ticks) -> bool {
         self.ready.is_some_and(|since| now >= since + time)
     }
 }
--- a/crates/rollout/src/conductor/steps.rs
+++ b/crates/rollout/src/conductor/steps.rs
@@ -4,13 +4,13 @@
 use super::types::{ClaimRequest, Look, OrphanedSurge, ReportedSlot};
 use super::{Conductor, FORGET, LOOK, SAY};
 use crate::{ClaimId, Order, Phase};
-use corkspan_scheduler::interface::Tenths;
+use corkspan_scheduler::interface::Ticks;
 use rand::RngExt;
 
 impl Conductor {
     /// What to do now. `held` are the slots that quorum members report.
     #[must_use]
-    pub fn look(&mut self, now: Tenths, held: &[ReportedSlot]) -> Look {
+    pub fn look(&mut self, now: Ticks, held: &[ReportedSlot]) -> Look {
         let mut look = Look {
             wait: LOOK,
             release: std::mem::take(&mut self.unwon),
@@ -82,7 +82,7 @@
     /// Tasks that hold a slot and beside whose replica a surge replica is to be started now. A
     /// replica that is down has nothing to keep: it is replaced as in the other order.
     #[must_use]
-    pub fn look_to_grow(&mut self, now: Tenths) -> Vec<String> {
+    pub fn look_to_grow(&mut self, now: Ticks) -> Vec<String> {
         let mut grow = Vec::new();
         if !self.in_progress() || self.roll.order != Order::StartFirst {
             return grow;
@@ -105,7 +105,7 @@
     /// Tasks that hold a slot and whose replica is to be replaced now: it is of another version
     /// than desired, since the slot was just won or the rollout has changed.
     #[must_use]
-    pub fn look_at_held(&mut self, now: Tenths) -> Vec<String> {
+    pub fn look_at_held(&mut self, now: Ticks) -> Vec<String> {
         let mut replace = Vec::new();
         if !self.in_progress() {
             return replace;
@@ -128,7 +128,7 @@
 
     /// Surge replicas take over once they have stayed ready for their time, and are cancelled once
     /// their version is no longer desired.
-    fn settle_surges(&mut self, now: Tenths, look: &mut Look) {
+    fn settle_surges(&mut self, now: Ticks, look: &mut Look) {
         let desired = self.roll.wanted();
         for (task, copy) in &mut self.copies {
             match &copy.step {
@@ -159,7 +159,7 @@
     }
 
     /// Replicas that have stayed ready for their time release their slots.
-    fn settle(&mut self, now: Tenths, look: &mut Look) {
+    fn settle(&mut self, now: Ticks, look: &mut Look) {
         let desired = self.roll.wanted();
         for copy in self.copies.values_mut() {
             let Some(since) = copy.ready.filter(|_| copy.step == Step::Replaced) else {
@@ -193,7 +193,7 @@
     /// Releases slots that others left behind. A replica that is ready here for its time holds
     /// none, whoever claimed it; and what an earlier incarnation claimed for a client that never
     /// came back is not wanted any more.
-    fn give_back(&mut self, now: Tenths, held: &[ReportedSlot], look: &mut Look) {
+    fn give_back(&mut self, now: Ticks, held: &[ReportedSlot], look: &mut Look) {
         for grant in held.iter().map(|reported| &reported.grant) {
             if self.claims.contains_key(&grant.claim)
                 || look.release.contains(&grant.claim)
@@ -223,7 +223,7 @@
     }
 
     /// Halts after too many failures, by replicas that do not get ready or do not stay so.
-    fn halt(&mut self, now: Tenths, look: &mut Look) {
+    fn halt(&mut self, now: Ticks, look: &mut Look) {
         let version = &self.roll.version;
         let mut late = 0;
         for copy in self.copies.values() {
--- a/crates/rollout/src/conductor/types.rs
+++ b/crates/rollout/src/conductor/types.rs
@@ -1,7 +1,7 @@
 //! What a controller is told and what it wants done.
 
 use crate::{ClaimId, Grant};
-use corkspan_scheduler::interface::Tenths;
+use corkspan_scheduler::interface::Ticks;
 
 /// A slot that quorum members report as held, and how many report this same grant.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -58,7 +58,7 @@
     /// The rollout is to halt, for this reason.
     pub halt: Option<String>,
     /// Time until the next call at the latest.
-    pub wait: Tenths,
+    pub wait: Ticks,
 }
 
 /// What became of claims that an earlier incarnation of this dispatcher had won.
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -9,7 +9,7 @@
 pub mod conductor;
 
 pub use corkspan_quorum::{ClaimId, Claimed, Grant, in_force, majority, to_follow};
-use corkspan_scheduler::interface::Tenths;
+use corkspan_scheduler::interface::Ticks;
 use serde::{Deserialize, Serialize};
 
 /// A service's roll, as its operator wants it.
@@ -31,9 +31,9 @@
     pub batch: u32,
     pub order: Order,
     /// So long a copy must be ready before the next takes its slot.
-    pub ready_for: Tenths,
+    pub ready_for: Ticks,
     /// So long a copy may take to get ready.
-    pub ready_within: Tenths,
+    pub ready_within: Ticks,
     /// Copies that may fail at one dispatcher before the roll halts.
     pub failures_most: u32,
     pub phase: Phase,
--- a/crates/runtime/src/clock.rs
+++ b/crates/runtime/src/clock.rs
@@ -1,6 +1,6 @@
 //! The clock handed to the decisions: monotonic, in whole tenths of a millisecond.
 
-use corkspan_scheduler::interface::Tenths;
+use corkspan_scheduler::interface::Ticks;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 /// Starts at the time of day, so that moments told by others stand on the same scale, and from then
@@ -8,7 +8,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Instant,
-    base: Tenths,
+    base: Ticks,
 }
 
 impl Clock {
@@ -20,11 +20,11 @@
     }
 
     /// Now, rounded down.
-    pub fn now(&self) -> Tenths {
+    pub fn now(&self) -> Ticks {
         self.base + tenths(self.start.elapsed())
     }
 
-    pub fn instant(&self, at: Tenths) -> Instant {
+    pub fn instant(&self, at: Ticks) -> Instant {
         self.start + duration(at.saturating_sub(self.base))
     }
 }
@@ -37,10 +37,10 @@
 }
 
 /// Whole tenths of a millisecond, never more than was given.
-pub fn tenths(time: Duration) -> Tenths {
-    (time.as_micros() / 100) as Tenths
+pub fn tenths(time: Duration) -> Ticks {
+    (time.as_micros() / 100) as Ticks
 }
 
-pub fn duration(time: Tenths) -> Duration {
+pub fn duration(time: Ticks) -> Duration {
     Duration::from_micros(time.saturating_mul(100))
 }
