--- a/crates/scheduler/src/interface.rs
+++ b/crates/scheduler/src/interface.rs
@@ -2,7 +2,7 @@
 
 /// A moment or a length of time in whole tenths of a millisecond. Callers round moments down and
 /// allowances down, so that "earlier than" here is never later than in the caller's finer time.
-pub type Tenths = u64;
+pub type Ticks = u64;
 
 macro_rules! id {
     ($($(#[$doc:meta])* $name:ident($of:ty);)*) => {$(
@@ -19,57 +19,57 @@
     MachineId(u32);
     /// The allocations of a service have one track, one shape and one program. The same at every scheduler.
     ServiceId(u64);
-    TrackId(usize);
-    AccountId(usize);
-    KindId(usize);
-    HallId(usize);
+    ServiceClassId(usize);
+    TenantId(usize);
+    MachineTypeId(usize);
+    ZoneId(usize);
     /// A small group of related machines.
     CellId(u64);
 }
 
 /// Cores and memory, asked, used or offered.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Amount {
+pub struct Resources {
     pub cores: f64,
     pub memory: f64,
 }
 
-impl Amount {
-    pub const ONE: Amount = Amount {
+impl Resources {
+    pub const ONE: Resources = Resources {
         cores: 1.0,
         memory: 1.0,
     };
 
-    pub fn most(self, other: Amount) -> Amount {
-        Amount {
+    pub fn max(self, other: Resources) -> Resources {
+        Resources {
             cores: self.cores.max(other.cores),
             memory: self.memory.max(other.memory),
         }
     }
 
-    pub fn least(self, other: Amount) -> Amount {
-        Amount {
+    pub fn min(self, other: Resources) -> Resources {
+        Resources {
             cores: self.cores.min(other.cores),
             memory: self.memory.min(other.memory),
         }
     }
 
-    pub fn within(self, limit: Amount) -> bool {
+    pub fn fits_in(self, limit: Resources) -> bool {
         self.cores <= limit.cores && self.memory <= limit.memory
     }
 
     /// The larger of the two shares.
-    pub fn share_of(self, size: Amount) -> f64 {
+    pub fn fraction_of(self, size: Resources) -> f64 {
         (self.cores / size.cores).max(self.memory / size.memory)
     }
 }
 
 macro_rules! each {
     ($($operator:ident $call:ident $sign:tt;)*) => {$(
-        impl std::ops::$operator for Amount {
-            type Output = Amount;
-            fn $call(self, other: Amount) -> Amount {
-                Amount { cores: self.cores $sign other.cores, memory: self.memory $sign other.memory }
+        impl std::ops::$operator for Resources {
+            type Output = Resources;
+            fn $call(self, other: Resources) -> Resources {
+                Resources { cores: self.cores $sign other.cores, memory: self.memory $sign other.memory }
             }
         }
     )*};
@@ -77,113 +77,113 @@
 
 each! { Add add +; Sub sub -; Mul mul *; Div div /; }
 
-impl std::ops::Mul<f64> for Amount {
-    type Output = Amount;
-    fn mul(self, times: f64) -> Amount {
-        Amount {
+impl std::ops::Mul<f64> for Resources {
+    type Output = Resources;
+    fn mul(self, times: f64) -> Resources {
+        Resources {
             cores: self.cores * times,
             memory: self.memory * times,
         }
     }
 }
 
-impl std::iter::Sum for Amount {
-    fn sum<I: Iterator<Item = Amount>>(all: I) -> Amount {
-        all.fold(Amount::default(), |sum, each| sum + each)
+impl std::iter::Sum for Resources {
+    fn sum<I: Iterator<Item = Resources>>(all: I) -> Resources {
+        all.fold(Resources::default(), |sum, each| sum + each)
     }
 }
 
 /// What a second run of an allocation would do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Repeat {
+pub enum RetrySafety {
     Idempotent,
     /// The machines of one such place, or all where none is named, drop repeats for `window` from
     /// the first send that may have run.
     Deduplicated {
-        within: Option<Place>,
-        window: Tenths,
+        scope: Option<Domain>,
+        window: Ticks,
     },
-    Unrepeatable,
+    NotRetryable,
 }
 
 /// A place in which repeats are dropped, or a service's allocations limited.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Place {
+pub enum Domain {
     Machine,
     Cell,
-    Hall,
+    Zone,
 }
 
 #[derive(Clone, Debug)]
-pub struct Track {
-    pub repeat: Repeat,
-    pub contract_time: Tenths,
+pub struct ServiceClass {
+    pub retry_safety: RetrySafety,
+    pub latency_objective: Ticks,
     /// Served in full while the cores are busy up to this share.
-    pub calm: f64,
+    pub target_utilization: f64,
     pub priority: u8,
-    pub kind: Option<KindId>,
-    pub spread: Option<(Place, usize)>,
+    pub machine_type: Option<MachineTypeId>,
+    pub spread: Option<(Domain, usize)>,
 }
 
 #[derive(Clone, Debug)]
-pub struct Account {
+pub struct Tenant {
     /// Cores asked at a time, over all schedulers, that lie within the account's share.
-    pub share_cores: Option<f64>,
+    pub quota_cores: Option<f64>,
 }
 
 /// Offers that a just started machine bears.
 #[derive(Clone, Debug)]
-pub struct Cold {
-    pub lasts: Tenths,
-    pub window: Tenths,
+pub struct SlowStart {
+    pub duration: Ticks,
+    pub window: Ticks,
     /// Always borne within a window, from all schedulers together.
-    pub offers: f64,
+    pub max_offers: f64,
 }
 
 /// What is read at start.
 #[derive(Clone, Debug)]
 pub struct Cluster {
-    pub hall: HallId,
+    pub zone: ZoneId,
     /// Our number among the schedulers that share the machines, from 0, and how many there are.
-    pub number: usize,
-    pub schedulers: usize,
-    pub kinds: Vec<Amount>,
-    pub tracks: Vec<Track>,
-    pub accounts: Vec<Account>,
+    pub scheduler_index: usize,
+    pub scheduler_count: usize,
+    pub machine_types: Vec<Resources>,
+    pub service_classes: Vec<ServiceClass>,
+    pub tenants: Vec<Tenant>,
     /// Machines accept until the asks reach this multiple of their size.
-    pub accepts: Amount,
+    pub admission_limit: Resources,
     /// Machines push out lower priorities where an ask would not fit.
-    pub makes_room: bool,
-    pub shots: usize,
+    pub preempts: bool,
+    pub max_attempts: usize,
     /// Placed is answered when the allocation runs, not when it is accepted.
-    pub placed_runs: bool,
+    pub placed_means_running: bool,
     /// The list tells the room that nobody has asked for.
-    pub shows_room: bool,
-    pub may_probe: bool,
+    pub list_reports_capacity: bool,
+    pub health_checks: bool,
     /// Whether the list must be asked for, and how long it may go unasked.
-    pub ask_list: Option<Tenths>,
-    pub cold: Cold,
+    pub list_poll_interval: Option<Ticks>,
+    pub slow_start: SlowStart,
     /// A shot may wait so long for a connection before it leaves; 0 where it leaves at once.
-    pub opens_within: Tenths,
+    pub connect_timeout: Ticks,
     /// Part of the result that running in another hall costs.
-    pub other_hall_price: f64,
+    pub cross_zone_cost: f64,
     /// The caller learns by itself when what stands on a machine is lost with it.
-    pub tells_loss: bool,
+    pub reports_losses: bool,
 }
 
 /// What one shot has come to. Only some of it proves that the allocation never ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
+pub enum AttemptState {
     Pending,
-    NeverRan,
-    MayHaveRun,
+    NotExecuted,
+    PossiblyExecuted,
 }
 
 #[derive(Clone, Debug)]
-pub struct Shot {
+pub struct Attempt {
     pub machine: MachineId,
-    pub sent: Tenths,
-    pub fate: Fate,
+    pub sent_at: Ticks,
+    pub state: AttemptState,
 }
 
 /// An allocation in the caller's hands.
@@ -191,58 +191,57 @@
 pub struct Allocation {
     pub id: AllocationId,
     pub service: ServiceId,
-    pub track: TrackId,
-    pub account: AccountId,
-    pub asks: Amount,
-    pub taken: Tenths,
-    pub abandon: Tenths,
-    pub shots: Vec<Shot>,
+    pub service_class: ServiceClassId,
+    pub tenant: TenantId,
+    pub requested: Resources,
+    pub accepted_at: Ticks,
+    pub deadline: Ticks,
+    pub attempts: Vec<Attempt>,
 }
 
 impl Allocation {
     /// The first shot of which it is not proven that it never ran.
-    pub fn bound(&self) -> Option<&Shot> {
-        self.shots.iter().find(|shot| shot.fate != Fate::NeverRan)
+    pub fn possibly_executed_attempt(&self) -> Option<&Attempt> {
+        self.attempts
+            .iter()
+            .find(|attempt| attempt.state != AttemptState::NotExecuted)
     }
 }
 
 /// Where to send an allocation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Placement {
-    Send {
-        machine: MachineId,
-        time_out: Tenths,
-    },
-    NotYet,
+    Dispatch { machine: MachineId, timeout: Ticks },
+    Deferred,
     Shed,
-    Scrap,
+    Indeterminate,
 }
 
 /// Why a machine refused or ended an allocation, where it says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reason {
+pub enum ReturnReason {
     NoCores,
     NoMemory,
     QueueFull,
-    NotHere,
+    Unfit,
     Evicted,
-    PushedOut,
-    SentAway,
+    Preempted,
+    Migrated,
 }
 
 /// What a machine reports of itself: room not in use.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Report {
-    pub unused: Amount,
+pub struct LoadReport {
+    pub available: Resources,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
-    Ended,
+pub enum AttemptResult {
+    Completed,
     Error,
-    Refused,
+    Rejected,
     TimedOut,
-    Unconnected,
+    ConnectFailed,
     Reset,
     Cancelled,
     NotSent,
@@ -253,43 +252,43 @@
     /// Accepted or running, as [`Cluster::placed_runs`] says.
     Placed,
     Returned {
-        ending: Ending,
-        reason: Option<Reason>,
+        ending: AttemptResult,
+        reason: Option<ReturnReason>,
         over: bool,
-        report: Option<Report>,
+        report: Option<LoadReport>,
     },
 }
 
 /// What to do after an outcome.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum After {
-    Rest,
-    PlaceAgain,
+pub enum NextStep {
+    Done,
+    Retry,
     Shed,
-    Scrap,
+    Indeterminate,
 }
 
 /// How long to wait before asking again, and what to set going meanwhile.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Wait {
-    pub time: Tenths,
+pub struct PollResult {
+    pub next_poll: Ticks,
     /// Allocations answered with "not yet" are worth another call now.
-    pub ask_again: bool,
+    pub retry_deferred: bool,
     /// Where told, only such of them are that are abandoned up to then: the others would find no
     /// machine. [`crate::rules::Scheduler::none_waits`] is the answer where there are no
     /// others.
-    pub ends: Option<Tenths>,
-    pub watch_list: bool,
-    pub probes: Vec<MachineId>,
-    pub moves: Vec<AllocationId>,
+    pub deadlines_until: Option<Ticks>,
+    pub watch_endpoints: bool,
+    pub health_checks: Vec<MachineId>,
+    pub migrations: Vec<AllocationId>,
     /// Placed ones that are lost with their machines, where the caller doesn't learn that by
     /// itself.
     pub lost: Vec<AllocationId>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Note {
-    Runs,
+pub enum Metric {
+    Running,
     Cores(f64),
     Memory(f64),
     Served(f64),
@@ -297,41 +296,41 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum State {
+pub enum MachineState {
     Serving,
     Draining,
-    Gone,
+    Removed,
 }
 
 /// One line of the list of machines.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Entry {
+pub struct Endpoint {
     pub machine: MachineId,
-    pub kind: KindId,
-    pub hall: HallId,
+    pub machine_type: MachineTypeId,
+    pub zone: ZoneId,
     pub cell: CellId,
-    pub state: State,
+    pub state: MachineState,
     /// When its process last started; none means long ago.
-    pub started: Option<Tenths>,
+    pub started_at: Option<Ticks>,
     /// Room that nobody has asked for, where the list tells it.
-    pub unasked: Option<Amount>,
+    pub unreserved: Option<Resources>,
 }
 
-impl Entry {
+impl Endpoint {
     /// Which place of this kind it is.
-    pub fn of(&self, place: Place) -> u64 {
+    pub fn domain(&self, place: Domain) -> u64 {
         match place {
-            Place::Machine => u64::from(self.machine.0),
-            Place::Cell => self.cell.0,
-            Place::Hall => self.hall.0 as u64,
+            Domain::Machine => u64::from(self.machine.0),
+            Domain::Cell => self.cell.0,
+            Domain::Zone => self.zone.0 as u64,
         }
     }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Scope {
-    Changes,
-    Whole,
+pub enum ListUpdate {
+    Incremental,
+    Complete,
     /// The last list of an earlier life.
-    Remembered,
+    Cached,
 }
--- a/crates/scheduler/src/rules.rs
+++ b/crates/scheduler/src/rules.rs
@@ -22,30 +22,30 @@
 mod summary;
 mod vain;
 
-const SECOND: Tenths = 10_000;
+const SECOND: Ticks = 10_000;
 /// Records kept of a service: enough to draw from, few enough to forget a use that has changed.
 const RECORDS: usize = 48;
 /// Services of which records are kept.
 const SERVICES: usize = 1_024;
 /// From this long after its send an allocation is taken to be in reports and in the room that the
 /// list tells.
-const LAG: Tenths = SECOND * 3 / 2;
+const LAG: Ticks = SECOND * 3 / 2;
 /// Programs remembered as kept by a machine after our last allocation of the service there.
 const KEPT: usize = 10;
 /// Weight that a learnt mean keeps with each new value.
 const KEEP: f64 = 0.95;
 /// Between two looks over all machines, or for allocations to move.
-const LOOK: Tenths = SECOND / 4;
+const LOOK: Ticks = SECOND / 4;
 /// Between two looks at an allocation that no machine could take, at the least.
-const ASK_AGAIN: Tenths = SECOND / 20;
+const ASK_AGAIN: Ticks = SECOND / 20;
 /// Left before the abandon time, so that the answer itself is not late.
-const MARGIN: Tenths = 40;
+const MARGIN: Ticks = 40;
 /// In this time room comes and goes: so long a machine that refused is not offered as much again,
 /// one is kept free for a large allocation, and one may be silent before it is probed, where it may
 /// be.
-const TURNOVER: Tenths = 2 * SECOND;
+const TURNOVER: Ticks = 2 * SECOND;
 /// A machine is left alone for so long after a fault, doubled with each further one in a row.
-const UNWELL: Tenths = SECOND;
+const UNWELL: Ticks = SECOND;
 
 pub struct Scheduler {
     cluster: Cluster,
@@ -59,24 +59,24 @@
     near: Vec<(u64, usize)>,
     records: Records,
     learnt: Learnt,
-    born: Tenths,
-    watch_at: Option<Tenths>,
+    born: Ticks,
+    watch_at: Option<Ticks>,
     watch_fails: u32,
     waits: Waits,
     rooms: Rooms,
     /// A large allocation that fits nowhere, though the room that it needs may be there in pieces.
     starved: Option<Allocation>,
     promise: Option<MachineId>,
-    look_at: Tenths,
+    look_at: Ticks,
     view: View,
     /// Probes that may be sent: what they cost stays in step with what is placed.
     probes: f64,
 }
 
 impl Scheduler {
-    pub fn new(cluster: Cluster, seed: u64, now: Tenths) -> Self {
+    pub fn new(cluster: Cluster, seed: u64, now: Ticks) -> Self {
         Scheduler {
-            watch_at: cluster.ask_list.map(|_| now),
+            watch_at: cluster.list_poll_interval.map(|_| now),
             cluster,
             rng: Pcg64Mcg::seed_from_u64(seed),
             seed: mix(seed),
@@ -100,13 +100,13 @@
 
     /// Other figures are in force from here on, for the same kinds and halls. What was learnt
     /// stays; so do the ids of tracks and accounts that allocations in hand have.
-    pub fn adopt(&mut self, now: Tenths, cluster: Cluster) {
+    pub fn reconfigure(&mut self, now: Ticks, cluster: Cluster) {
         // Offers older than the former window are forgotten: as after a restart, a longer one is
         // waited for first. Where there are more or fewer of us, the parts of others change
         // too, and not at one moment.
-        let others =
-            cluster.schedulers != self.cluster.schedulers || cluster.number != self.cluster.number;
-        if others || cluster.cold.window > self.cluster.cold.window {
+        let others = cluster.scheduler_count != self.cluster.scheduler_count
+            || cluster.scheduler_index != self.cluster.scheduler_index;
+        if others || cluster.slow_start.window > self.cluster.slow_start.window {
             self.born = now;
         }
         self.cluster = cluster;
@@ -116,12 +116,12 @@
     }
 
     /// How long to wait before asking again, and what to set going meanwhile.
-    pub fn wait(&mut self, now: Tenths) -> Wait {
-        let mut wait = Wait {
-            time: SECOND,
-            ..Wait::default()
+    pub fn poll(&mut self, now: Ticks) -> PollResult {
+        let mut wait = PollResult {
+            next_poll: SECOND,
+            ..PollResult::default()
         };
-        wait.watch_list = self.watch_at.take_if(|at| *at <= now).is_some();
+        wait.watch_endpoints = self.watch_at.take_if(|at| *at <= now).is_some();
         if self.waits.due(now) {
             self.retries(now, &mut wait);
         }
@@ -129,28 +129,30 @@
             .into_iter()
             .flatten()
             .min();
-        wait.time = due.map_or(wait.time, |at| wait.time.min(at.saturating_sub(now)));
-        if self.cluster.may_probe && self.probes >= 1.0 {
-            wait.probes = self.health_checks(now);
+        wait.next_poll = due.map_or(wait.next_poll, |at| {
+            wait.next_poll.min(at.saturating_sub(now))
+        });
+        if self.cluster.health_checks && self.probes >= 1.0 {
+            wait.health_checks = self.health_checks(now);
         }
         if self.look_at <= now {
             self.look_at = now + LOOK;
             self.forget();
-            wait.moves = self.moves(now);
-            wait.lost = self.lost(now, &mut wait.probes);
+            wait.migrations = self.moves(now);
+            wait.lost = self.lost(now, &mut wait.health_checks);
         }
-        wait.time = wait.time.min(self.look_at - now);
+        wait.next_poll = wait.next_poll.min(self.look_at - now);
         wait
     }
 
     /// Which of those that were answered "not yet" are worth another call.
-    fn retries(&mut self, now: Tenths, wait: &mut Wait) {
+    fn retries(&mut self, now: Ticks, wait: &mut PollResult) {
         let changed = self.waits.looks_always || self.changed(now);
         if changed {
             self.waits.round(self.rooms.changes());
         }
         // Else those whose time is up, at the moments at which a round would have been.
-        wait.ends = (!changed).then_some(now + MARGIN);
-        wait.ask_again = changed || self.waits.end(now, now + ASK_AGAIN);
+        wait.deadlines_until = (!changed).then_some(now + MARGIN);
+        wait.retry_deferred = changed || self.waits.end(now, now + ASK_AGAIN);
     }
 }
--- a/crates/scheduler/src/rules/books.rs
+++ b/crates/scheduler/src/rules/books.rs
@@ -5,7 +5,7 @@
 
 impl Scheduler {
     /// The last promise, if it still stands: where, until when, to which.
-    pub(super) fn promise(&self) -> Option<(MachineId, Tenths, AllocationId)> {
+    pub(super) fn promise(&self) -> Option<(MachineId, Ticks, AllocationId)> {
         let id = self.promise?;
         self.machines
             .get(&id)?
@@ -14,7 +14,7 @@
     }
 
     /// How much is kept: machines, allocations, and services with records.
-    pub fn kept(&self) -> [usize; 3] {
+    pub fn state_sizes(&self) -> [usize; 3] {
         [self.machines.len(), self.at.len(), self.records.len()]
     }
 
@@ -25,7 +25,7 @@
             .get_mut(&id)
     }
 
-    pub(super) fn same(&self, place: Place, a: MachineId, b: MachineId) -> bool {
+    pub(super) fn same(&self, place: Domain, a: MachineId, b: MachineId) -> bool {
         let (one, other) = (self.place_of(place, a), self.place_of(place, b));
         if one.is_some() && other.is_some() {
             one == other
@@ -34,22 +34,28 @@
         }
     }
 
-    pub(super) fn size(&self, machine: &Machine) -> Option<Amount> {
-        self.cluster.kinds.get(machine.entry?.kind.0).copied()
+    pub(super) fn size(&self, machine: &Machine) -> Option<Resources> {
+        self.cluster
+            .machine_types
+            .get(machine.entry?.machine_type.0)
+            .copied()
     }
 
-    pub(super) fn place_of(&self, place: Place, id: MachineId) -> Option<u64> {
-        self.machines.get(&id)?.entry.map(|entry| entry.of(place))
+    pub(super) fn place_of(&self, place: Domain, id: MachineId) -> Option<u64> {
+        self.machines
+            .get(&id)?
+            .entry
+            .map(|entry| entry.domain(place))
     }
 
     /// For comparison only: each ask is a whole look, each round comes.
-    pub fn always_looking(mut self) -> Self {
+    pub fn evaluating_always(mut self) -> Self {
         self.waits.looks_always = true;
         self
     }
 
     /// After a time told by [`Wait::ends`]: none is left that was answered "not yet".
-    pub fn none_waits(&mut self) {
+    pub fn no_deferred_left(&mut self) {
         self.waits.ask_at = None;
     }
 
@@ -59,7 +65,7 @@
         let known = |machine: &Machine| {
             machine
                 .entry
-                .is_some_and(|entry| entry.state != State::Gone)
+                .is_some_and(|entry| entry.state != MachineState::Removed)
         };
         let many = self.machines.len();
         self.machines
@@ -71,41 +77,43 @@
     }
 
     /// The list of machines, or what has changed in it.
-    pub fn listed(&mut self, scope: Scope, entries: &[Entry]) {
-        if scope == Scope::Whole {
+    pub fn apply_endpoint_list(&mut self, scope: ListUpdate, entries: &[Endpoint]) {
+        if scope == ListUpdate::Complete {
             self.machines.values_mut().for_each(Machine::leave_list);
         }
-        if scope != Scope::Remembered {
+        if scope != ListUpdate::Cached {
             self.watch_fails = 0;
         }
         for &entry in entries {
             let machine = self.machines.entry(entry.machine).or_default();
             // Where it stands counts for what all of its place may hold.
-            let was = machine.entry.map(|old| (old.cell, old.hall, old.started));
-            if was != Some((entry.cell, entry.hall, entry.started)) {
+            let was = machine
+                .entry
+                .map(|old| (old.cell, old.zone, old.started_at));
+            if was != Some((entry.cell, entry.zone, entry.started_at)) {
                 self.rooms.void();
             }
             self.rooms.touch(entry.machine, false);
             if machine
                 .entry
-                .is_some_and(|old| old.started != entry.started)
+                .is_some_and(|old| old.started_at != entry.started_at)
             {
                 machine.restart();
             }
             machine.entry = Some(entry);
             let size = self
                 .cluster
-                .kinds
-                .get(entry.kind.0)
-                .filter(|_| self.cluster.shows_room);
+                .machine_types
+                .get(entry.machine_type.0)
+                .filter(|_| self.cluster.list_reports_capacity);
             machine.listed = size
-                .zip(entry.unasked)
+                .zip(entry.unreserved)
                 .map(|(&size, unasked)| size - unasked);
         }
     }
 
     /// An allocation that already runs has passed into our care.
-    pub fn taken_over(&mut self, now: Tenths, allocation: &Allocation, machine: MachineId) {
+    pub fn adopt_running(&mut self, now: Ticks, allocation: &Allocation, machine: MachineId) {
         self.arrive(now, allocation, machine);
         if let Some(guest) = self.guest(allocation.id) {
             (guest.placed, guest.runs, guest.sent) = (true, true, now.saturating_sub(LAG));
@@ -114,7 +122,7 @@
 
     /// A shot sent on its way earlier has left only now. A cold machine gets it in this window, not
     /// in that one.
-    pub fn left(&mut self, now: Tenths, machine: MachineId, sent: Tenths) {
+    pub fn record_departure(&mut self, now: Ticks, machine: MachineId, sent: Ticks) {
         let Some(offers) = self
             .machines
             .get_mut(&machine)
@@ -128,7 +136,7 @@
         }
     }
 
-    pub fn noted(&mut self, now: Tenths, id: AllocationId, note: Note) {
+    pub fn record_metric(&mut self, now: Ticks, id: AllocationId, note: Metric) {
         let usual = self.learnt.usual.or_one();
         let Some(machine) = self.at.get(&id).and_then(|at| self.machines.get_mut(at)) else {
             return;
@@ -139,19 +147,19 @@
         };
         guest.noted(note, usual);
         match note {
-            Note::Runs if !guest.runs => {
+            Metric::Running if !guest.runs => {
                 guest.runs = true;
                 self.learnt.start_time[usize::from(guest.had_program)]
                     .add((now - guest.sent) as f64, KEEP);
                 // What any start is taken to need has changed.
                 self.rooms.again(|_| true);
             }
-            Note::Cores(cores) => self
+            Metric::Cores(cores) => self
                 .learnt
                 .present
                 .cores
                 .add(cores / guest.asks.cores, KEEP),
-            Note::Memory(memory) => self
+            Metric::Memory(memory) => self
                 .learnt
                 .present
                 .memory
@@ -160,7 +168,7 @@
         }
     }
 
-    pub(super) fn arrive(&mut self, now: Tenths, allocation: &Allocation, machine: MachineId) {
+    pub(super) fn arrive(&mut self, now: Ticks, allocation: &Allocation, machine: MachineId) {
         self.at.insert(allocation.id, machine);
         let at = self.machines.entry(machine).or_default();
         let guest = Guest::new(allocation, now, at.has_program(allocation.service));
@@ -177,7 +185,7 @@
     }
 
     /// The machine has answered for a guest: it is gone from there. An ended one leaves a record.
-    pub(super) fn leave(&mut self, now: Tenths, id: AllocationId, ended: bool) {
+    pub(super) fn leave(&mut self, now: Ticks, id: AllocationId, ended: bool) {
         let Some(at) = self.at.remove(&id) else {
             return;
         };
@@ -206,7 +214,7 @@
         self.learnt.usual.cores.add(cores, KEEP);
         self.learnt.usual.memory.add(memory, KEEP);
         let record = Record {
-            peak: Amount { cores, memory },
+            peak: Resources { cores, memory },
             life: now - guest.sent,
             ended: now,
         };
--- a/crates/scheduler/src/rules/filters.rs
+++ b/crates/scheduler/src/rules/filters.rs
@@ -5,19 +5,21 @@
 impl Scheduler {
     /// The filters: state, kind, health, cold limit, accept limit, spread. From when the machine
     /// passes them, as far as that comes by itself: `now` or before where it does already.
-    pub(super) fn opens(&self, now: Tenths, id: MachineId, allocation: &Allocation) -> Tenths {
+    pub(super) fn opens(&self, now: Ticks, id: MachineId, allocation: &Allocation) -> Ticks {
         let machine = &self.machines[&id];
-        let track = &self.cluster.tracks[allocation.track.0];
+        let track = &self.cluster.service_classes[allocation.service_class.0];
         let (Some(entry), Some(size)) = (machine.entry, self.size(machine)) else {
             return NEVER;
         };
-        let wrong = track.kind.is_some_and(|kind| kind != entry.kind);
+        let wrong = track
+            .machine_type
+            .is_some_and(|kind| kind != entry.machine_type);
         if !machine.serving() || wrong || !self.spread_holds(id, allocation) {
             return NEVER;
         }
         let full = machine
             .full
-            .filter(|(_, asks)| asks.within(allocation.asks))
+            .filter(|(_, asks)| asks.fits_in(allocation.requested))
             .map_or(0, |(until, _)| until);
         let room = match machine.promised.filter(|&(until, _)| until > now) {
             Some((_, to))
@@ -26,7 +28,11 @@
                 0
             }
             Some((until, _)) => until,
-            None if !self.cluster.shows_room || self.fits(now, machine, size, allocation.asks) => 0,
+            None if !self.cluster.list_reports_capacity
+                || self.fits(now, machine, size, allocation.requested) =>
+            {
+                0
+            }
             None => now + 1,
         };
         full.max(machine.shunned)
@@ -38,12 +44,12 @@
     /// So each keeps to its part of what is always borne, in any window; what whole parts leave
     /// over goes to as many schedulers, by the machine's id. The sum is borne however many
     /// there are.
-    pub(super) fn cold_opens(&self, now: Tenths, id: MachineId, entry: Entry) -> Tenths {
-        let cold = &self.cluster.cold;
-        let Some(started) = entry.started else {
+    pub(super) fn cold_opens(&self, now: Ticks, id: MachineId, entry: Endpoint) -> Ticks {
+        let cold = &self.cluster.slow_start;
+        let Some(started) = entry.started_at else {
             return 0;
         };
-        let warm = started + cold.lasts + MARGIN + 1;
+        let warm = started + cold.duration + MARGIN + 1;
         if now >= warm {
             return 0;
         }
@@ -51,24 +57,35 @@
         if now < self.born + cold.window && started < self.born {
             return warm.min(self.born + cold.window);
         }
-        let (offers, schedulers) = (cold.offers as usize, self.cluster.schedulers.max(1));
-        let place = (mix(u64::from(id.0)) as usize % schedulers + self.cluster.number) % schedulers;
+        let (offers, schedulers) = (
+            cold.max_offers as usize,
+            self.cluster.scheduler_count.max(1),
+        );
+        let place = (mix(u64::from(id.0)) as usize % schedulers + self.cluster.scheduler_index)
+            % schedulers;
         let part = offers / schedulers + usize::from(place < offers % schedulers);
         // One that still waits for its connection may leave any moment until that must be up.
-        let window = cold.window.max(self.cluster.opens_within);
+        let window = cold.window.max(self.cluster.connect_timeout);
         warm.min(self.machines[&id].offers_below(part, now, window + MARGIN))
     }
 
-    pub(super) fn fits(&self, now: Tenths, machine: &Machine, size: Amount, asks: Amount) -> bool {
+    pub(super) fn fits(
+        &self,
+        now: Ticks,
+        machine: &Machine,
+        size: Resources,
+        asks: Resources,
+    ) -> bool {
         let asked = self.asked(now, machine, || self.others(now, now, machine));
-        (asked + asks).within(size * self.cluster.accepts)
+        (asked + asks).fits_in(size * self.cluster.admission_limit)
     }
 
     /// How many of its service we hold in each place of the kind that its track spreads by. Counted
     /// once for an ask: where a service has all that its places may hold, each of hundreds of
     /// machines is asked about.
     pub(super) fn near(&self, allocation: &Allocation) -> Vec<(u64, usize)> {
-        let Some((place, _)) = self.cluster.tracks[allocation.track.0].spread else {
+        let Some((place, _)) = self.cluster.service_classes[allocation.service_class.0].spread
+        else {
             return Vec::new();
         };
         self.at_service
@@ -76,7 +93,8 @@
     }
 
     pub(super) fn spread_holds(&self, id: MachineId, allocation: &Allocation) -> bool {
-        let Some((place, most)) = self.cluster.tracks[allocation.track.0].spread else {
+        let Some((place, most)) = self.cluster.service_classes[allocation.service_class.0].spread
+        else {
             return true;
         };
         let there = self.place_of(place, id);
--- a/crates/scheduler/src/rules/liveness.rs
+++ b/crates/scheduler/src/rules/liveness.rs
@@ -3,11 +3,11 @@
 use super::*;
 
 /// So long without a sign of life, probes notwithstanding, and what is placed on a machine is lost.
-const VANISHED: Tenths = 5 * SECOND;
+const VANISHED: Ticks = 5 * SECOND;
 
 impl Scheduler {
     /// The machines longest unheard of, as many as may be probed.
-    pub(super) fn health_checks(&mut self, now: Tenths) -> Vec<MachineId> {
+    pub(super) fn health_checks(&mut self, now: Ticks) -> Vec<MachineId> {
         let heard = |machine: &Machine| machine.base.map_or(0, |(at, _)| at).max(machine.probed);
         let unheard = |machine: &Machine| machine.serving() && heard(machine) + TURNOVER <= now;
         let mut probes: Vec<_> = self
@@ -27,7 +27,7 @@
     /// What is placed on a machine that has vanished or is cut off ends without a word. One that
     /// says nothing is probed, and after a while without an answer either what is placed there
     /// is lost.
-    pub(super) fn lost(&mut self, now: Tenths, probes: &mut Vec<MachineId>) -> Vec<AllocationId> {
+    pub(super) fn lost(&mut self, now: Ticks, probes: &mut Vec<MachineId>) -> Vec<AllocationId> {
         let mut lost = Vec::new();
         for (&id, machine) in &mut self.machines {
             let placed = machine
@@ -37,8 +37,8 @@
                 .map(|(&id, _)| id);
             let placed: Vec<AllocationId> = placed.collect();
             let silence = now.saturating_sub(machine.heard);
-            if self.cluster.tells_loss
-                || !self.cluster.may_probe
+            if self.cluster.reports_losses
+                || !self.cluster.health_checks
                 || placed.is_empty()
                 || silence < TURNOVER
             {
@@ -56,25 +56,27 @@
     }
 
     /// Asking for the list failed, or the watch on it broke: it doesn't say which.
-    pub fn list_failed(&mut self, now: Tenths) {
-        if self.cluster.ask_list.is_some() && self.watch_at.is_none() {
+    pub fn endpoint_watch_failed(&mut self, now: Ticks) {
+        if self.cluster.list_poll_interval.is_some() && self.watch_at.is_none() {
             let longest = SECOND << self.watch_fails.min(2);
             self.watch_fails += 1;
             self.watch_at = Some(now + longest / 2 + self.rng.random_range(0..longest));
         }
     }
 
-    pub fn probed(
+    pub fn record_health_check(
         &mut self,
-        now: Tenths,
+        now: Ticks,
         machine: MachineId,
-        ending: Ending,
-        report: Option<Report>,
+        ending: AttemptResult,
+        report: Option<LoadReport>,
     ) {
         let at = self.machines.entry(machine).or_default();
         match ending {
-            Ending::Ended => (at.silent, at.heard) = (0, now),
-            Ending::TimedOut | Ending::Unconnected if !self.cluster.tells_loss => {
+            AttemptResult::Completed => (at.silent, at.heard) = (0, now),
+            AttemptResult::TimedOut | AttemptResult::ConnectFailed
+                if !self.cluster.reports_losses =>
+            {
                 at.fault(now, UNWELL)
             }
             _ => {}
@@ -83,7 +85,7 @@
         self.reported(now, machine, report);
     }
 
-    pub(super) fn reported(&mut self, now: Tenths, id: MachineId, report: Option<Report>) {
+    pub(super) fn reported(&mut self, now: Ticks, id: MachineId, report: Option<LoadReport>) {
         let Some(machine) = self.machines.get(&id) else {
             return;
         };
@@ -95,8 +97,8 @@
             .guests
             .values()
             .filter(|guest| guest.runs && guest.sent + LAG <= now);
-        let base = (size - report.unused - old.map(|guest| self.use_of(guest)).sum())
-            .most(Amount::default());
+        let base = (size - report.available - old.map(|guest| self.use_of(guest)).sum())
+            .max(Resources::default());
         self.machines.entry(id).or_default().base = Some((now, base));
     }
 }
--- a/crates/scheduler/src/rules/migration.rs
+++ b/crates/scheduler/src/rules/migration.rs
@@ -14,16 +14,16 @@
 
 impl Scheduler {
     /// Far larger than the usual, so that room for it comes in pieces.
-    pub(super) fn large(&self, asks: Amount) -> bool {
+    pub(super) fn large(&self, asks: Resources) -> bool {
         asks.cores > LARGE * self.learnt.ask.or(f64::INFINITY)
     }
 
     /// Ours there that may be moved, low priorities first: such as run, are not large and may start
     /// again.
     pub(super) fn movable(&self, machine: &Machine) -> Vec<AllocationId> {
-        let track = |guest: &Guest| &self.cluster.tracks[guest.track.0];
+        let track = |guest: &Guest| &self.cluster.service_classes[guest.track.0];
         let may = |guest: &Guest| {
-            let again = track(guest).repeat != Repeat::Unrepeatable;
+            let again = track(guest).retry_safety != RetrySafety::NotRetryable;
             guest.placed && guest.runs && !guest.moved && again && !self.large(guest.asks)
         };
         let mut guests: Vec<_> = machine
@@ -37,11 +37,11 @@
 
     /// The paper moves where a machine is over the line or an allocation fits only in pieces. So do
     /// we, and off draining machines.
-    pub(super) fn moves(&mut self, now: Tenths) -> Vec<AllocationId> {
+    pub(super) fn moves(&mut self, now: Ticks) -> Vec<AllocationId> {
         let mut moves = self.make_room(now);
         let size = |machine: &Machine| self.size(machine).unwrap_or_default();
         let spare =
-            |machine: &Machine| self.present_use(now, machine).share_of(size(machine)) < SPARE;
+            |machine: &Machine| self.present_use(now, machine).fraction_of(size(machine)) < SPARE;
         if self.view.open.iter().any(|id| spare(&self.machines[id])) {
             moves.extend(self.relief(now));
             moves.extend(self.on_draining());
@@ -56,7 +56,7 @@
 
     /// Off machines over their memory. All schedulers see the same machine: each of ours goes by the
     /// chance that makes as many as must go in all.
-    fn relief(&mut self, now: Tenths) -> Vec<AllocationId> {
+    fn relief(&mut self, now: Ticks) -> Vec<AllocationId> {
         let mut crowded = Vec::new();
         for machine in self.machines.values() {
             let limit = self.size(machine).unwrap_or_default().memory * OVER;
@@ -80,11 +80,11 @@
     fn on_draining(&self) -> Vec<AllocationId> {
         let drains = |machine: &&Machine| {
             let state = machine.entry.map(|entry| entry.state);
-            state == Some(State::Draining)
+            state == Some(MachineState::Draining)
         };
         let waits = |guest: &Guest| {
-            let repeat = self.cluster.tracks[guest.track.0].repeat;
-            matches!(repeat, Repeat::Deduplicated { .. })
+            let repeat = self.cluster.service_classes[guest.track.0].retry_safety;
+            matches!(repeat, RetrySafety::Deduplicated { .. })
         };
         let draining = self.machines.values().filter(drains);
         let held = draining.flat_map(|machine| &machine.guests);
@@ -94,7 +94,7 @@
 
     /// Clears the machine on which the fewest moves make a large allocation fit, and promises it
     /// the room.
-    pub(super) fn make_room(&mut self, now: Tenths) -> Vec<AllocationId> {
+    pub(super) fn make_room(&mut self, now: Ticks) -> Vec<AllocationId> {
         let Some(starved) = self.starved.take() else {
             return Vec::new();
         };
@@ -105,11 +105,11 @@
                 continue;
             };
             let mut asked =
-                self.asked(now, machine, || self.others(now, now, machine)) + starved.asks;
+                self.asked(now, machine, || self.others(now, now, machine)) + starved.requested;
             let mut used =
-                self.present_use(now, machine) + starved.asks * self.learnt.usual.or_one();
-            let fits = |asked: Amount, used: Amount| {
-                asked.within(size * self.cluster.accepts) && used.within(size * LIMIT)
+                self.present_use(now, machine) + starved.requested * self.learnt.usual.or_one();
+            let fits = |asked: Resources, used: Resources| {
+                asked.fits_in(size * self.cluster.admission_limit) && used.fits_in(size * LIMIT)
             };
             let (mut cleared, mut movable) = (Vec::new(), self.movable(machine).into_iter());
             while !fits(asked, used)
--- a/crates/scheduler/src/rules/overload.rs
+++ b/crates/scheduler/src/rules/overload.rs
@@ -23,7 +23,7 @@
 
 impl Scheduler {
     /// What a guest of ours uses now, by its last notes or as usual.
-    pub(super) fn use_of(&self, guest: &Guest) -> Amount {
+    pub(super) fn use_of(&self, guest: &Guest) -> Resources {
         guest
             .present
             .unwrap_or(guest.asks * self.learnt.usual.or_one())
@@ -32,7 +32,7 @@
     /// Present use of a machine by others: what it last reported and, as that ages, what the list
     /// leads us to expect, or the average. One of many schedulers hears of a machine only now
     /// and then.
-    pub(super) fn others(&self, aged: Tenths, now: Tenths, machine: &Machine) -> Amount {
+    pub(super) fn others(&self, aged: Ticks, now: Ticks, machine: &Machine) -> Resources {
         let size = self.size(machine).unwrap_or_default();
         let old = machine
             .guests
@@ -43,14 +43,14 @@
             .filter(|_| self.learnt.present.cores.or(0.0) > 0.0);
         let expected = listed.map_or(self.view.average * size, |asked| {
             let others = asked - old.map(|guest| guest.asks).sum();
-            others.most(Amount::default()) * self.learnt.present.or_one()
+            others.max(Resources::default()) * self.learnt.present.or_one()
         });
         machine.base.map_or(expected, |(at, base)| {
             expected + (base - expected) * weight(now - at)
         })
     }
 
-    pub(super) fn present_use(&self, now: Tenths, machine: &Machine) -> Amount {
+    pub(super) fn present_use(&self, now: Ticks, machine: &Machine) -> Resources {
         self.others(now, now, machine)
             + machine
                 .guests
@@ -64,10 +64,10 @@
     /// they use.
     pub(super) fn asked(
         &self,
-        now: Tenths,
+        now: Ticks,
         machine: &Machine,
-        others: impl Fn() -> Amount,
-    ) -> Amount {
+        others: impl Fn() -> Resources,
+    ) -> Resources {
         let since = machine.listed.map_or(0, |_| now.saturating_sub(LAG));
         let own = machine
             .guests
@@ -83,17 +83,17 @@
     /// Part of a track's use, or of others' unknown, that counts where one of another track comes:
     /// a machine takes from lower priorities what it is short of, if only in use. Those it
     /// pushes out would come again.
-    pub(super) fn stays(&self, new: TrackId, of: Option<TrackId>) -> f64 {
-        let priority = |track: TrackId| self.cluster.tracks[track.0].priority;
+    pub(super) fn stays(&self, new: ServiceClassId, of: Option<ServiceClassId>) -> f64 {
+        let priority = |track: ServiceClassId| self.cluster.service_classes[track.0].priority;
         let lowest = || {
             self.cluster
-                .tracks
+                .service_classes
                 .iter()
                 .map(|track| track.priority)
                 .min()
                 .unwrap_or(0)
         };
-        let yields = !self.cluster.makes_room && of.map_or_else(lowest, priority) < priority(new);
+        let yields = !self.cluster.preempts && of.map_or_else(lowest, priority) < priority(new);
         if yields { YIELDS } else { 1.0 }
     }
 
@@ -103,27 +103,27 @@
     pub(super) fn beyond_share(&self, allocation: &Allocation) -> bool {
         let share = self
             .cluster
-            .accounts
-            .get(allocation.account.0)
-            .and_then(|own| own.share_cores);
+            .tenants
+            .get(allocation.tenant.0)
+            .and_then(|own| own.quota_cores);
         let guests = self
             .machines
             .values()
             .flat_map(|machine| machine.guests.values());
         let held = guests
-            .filter(|guest| guest.account == allocation.account)
+            .filter(|guest| guest.account == allocation.tenant)
             .map(|guest| guest.asks.cores);
-        let held = allocation.asks.cores + held.sum::<f64>();
+        let held = allocation.requested.cores + held.sum::<f64>();
         let sure = held - (held * self.learnt.ask.or(0.0)).sqrt();
-        share.is_some_and(|share| sure * self.cluster.schedulers as f64 > share * BEYOND)
+        share.is_some_and(|share| sure * self.cluster.scheduler_count as f64 > share * BEYOND)
     }
 
     /// Cores for a start, which takes far more where the program must be loaded: those that do it
     /// in contract time.
-    pub(super) fn start(&self, has: bool, track: &Track) -> Amount {
+    pub(super) fn start(&self, has: bool, track: &ServiceClass) -> Resources {
         let time = self.learnt.start_time[usize::from(has)].or(self.learnt.start_time[1].or(0.0));
-        Amount {
-            cores: time / track.contract_time.max(1) as f64,
+        Resources {
+            cores: time / track.latency_objective.max(1) as f64,
             memory: 0.0,
         }
     }
@@ -131,39 +131,42 @@
     /// W Max with the allocation's expected start use, before any draw.
     pub(super) fn weigh(
         &self,
-        now: Tenths,
+        now: Ticks,
         id: MachineId,
         new: &Allocation,
         yields: bool,
     ) -> Option<Weighed> {
         let stays = |of| match yields {
-            true => self.stays(new.track, of),
+            true => self.stays(new.service_class, of),
             false => 1.0,
         };
         let machine = &self.machines[&id];
         let size = self
             .size(machine)
             .filter(|_| self.opens(now, id, new) <= now)?;
-        let track = &self.cluster.tracks[new.track.0];
+        let track = &self.cluster.service_classes[new.service_class.0];
         let base = self.others(now, now, machine) * stays(None);
         let own = machine.guests.values().map(|guest| {
-            let starts = self.start(guest.had_program, &self.cluster.tracks[guest.track.0]);
+            let starts = self.start(
+                guest.had_program,
+                &self.cluster.service_classes[guest.track.0],
+            );
             self.use_of(guest) * stays(Some(guest.track))
                 + starts * f64::from(u8::from(!guest.runs))
         });
         let load = base
             + own.sum()
-            + new.asks * self.learnt.usual.or_one()
+            + new.requested * self.learnt.usual.or_one()
             + self.start(machine.has_program(new.service), track);
         let near = machine
             .entry
-            .is_some_and(|entry| entry.hall == self.cluster.hall);
-        let line = Amount {
-            cores: track.calm,
+            .is_some_and(|entry| entry.zone == self.cluster.zone);
+        let line = Resources {
+            cores: track.target_utilization,
             memory: F_MEMORY,
         };
-        let limit = Amount {
-            cores: track.calm + FADE,
+        let limit = Resources {
+            cores: track.target_utilization + FADE,
             memory: LIMIT,
         };
         Some(Weighed {
@@ -171,10 +174,11 @@
             yields,
             base,
             line: size * line,
-            load: load.share_of(size),
-            bears: load.within(size * limit),
-            rank: match self.view.open.contains(&id) && self.fits(now, machine, size, new.asks) {
-                true => 1 + u8::from(!near && self.cluster.other_hall_price > 0.0),
+            load: load.fraction_of(size),
+            bears: load.fits_in(size * limit),
+            rank: match self.view.open.contains(&id) && self.fits(now, machine, size, new.requested)
+            {
+                true => 1 + u8::from(!near && self.cluster.cross_zone_cost > 0.0),
                 false => HELD_BACK,
             },
         })
@@ -182,7 +186,7 @@
 
     /// Shares of draws that cross the line, with and without the allocation: the base, and for the
     /// new one and each guest of ours a peak from the records that fit it.
-    pub(super) fn risk(&self, now: Tenths, weighed: &Weighed, new: &Allocation) -> (f64, f64) {
+    pub(super) fn risk(&self, now: Ticks, weighed: &Weighed, new: &Allocation) -> (f64, f64) {
         let guests = self.machines[&weighed.machine]
             .guests
             .values()
@@ -190,9 +194,9 @@
                 let highest = guest.highest / guest.asks;
                 // Where no record reaches what it uses: its own highest use, or its ask while
                 // nothing is known.
-                let own = guest.present.map_or(Amount::ONE, |_| highest);
+                let own = guest.present.map_or(Resources::ONE, |_| highest);
                 let stays = if weighed.yields {
-                    self.stays(new.track, Some(guest.track))
+                    self.stays(new.service_class, Some(guest.track))
                 } else {
                     1.0
                 };
@@ -202,10 +206,10 @@
                     guest.asks * stays,
                 )
             });
-        let pools: Vec<(Vec<Amount>, Amount)> = guests.collect();
+        let pools: Vec<(Vec<Resources>, Resources)> = guests.collect();
         let pool = self
             .records
-            .fitting(new.service, 0, Amount::default(), Amount::ONE);
+            .fitting(new.service, 0, Resources::default(), Resources::ONE);
         // Of its own for each machine, service and moment: a look that is left out moves no later
         // draw, and likes that ask for more draw alike.
         let dice = mix(new.service.0 ^ mix(now ^ mix(u64::from(weighed.machine.0) ^ self.seed)));
@@ -216,9 +220,9 @@
             for (pool, asks) in &pools {
                 sum = sum + *asks * pool[rng.random_range(0..pool.len())];
             }
-            without += usize::from(!sum.within(weighed.line));
-            sum = sum + new.asks * pool[rng.random_range(0..pool.len())];
-            with += usize::from(!sum.within(weighed.line));
+            without += usize::from(!sum.fits_in(weighed.line));
+            sum = sum + new.requested * pool[rng.random_range(0..pool.len())];
+            with += usize::from(!sum.fits_in(weighed.line));
             // It is out of the question, and how far is asked only of those that could bear it.
             if !weighed.bears && with as f64 > THETA * DRAWS as f64 {
                 break;
@@ -229,6 +233,6 @@
 }
 
 /// What is left of a report's weight at this age.
-pub(super) fn weight(age: Tenths) -> f64 {
+pub(super) fn weight(age: Ticks) -> f64 {
     (-(age as f64) / REPORT_HALF).exp2()
 }
--- a/crates/scheduler/src/rules/placement.rs
+++ b/crates/scheduler/src/rules/placement.rs
@@ -21,11 +21,13 @@
 
 impl Scheduler {
     /// Where to send this allocation, or not yet, or never.
-    pub fn place(&mut self, now: Tenths, allocation: &Allocation) -> Placement {
-        if now + MARGIN >= allocation.abandon || allocation.shots.len() >= self.cluster.shots {
+    pub fn place(&mut self, now: Ticks, allocation: &Allocation) -> Placement {
+        if now + MARGIN >= allocation.deadline
+            || allocation.attempts.len() >= self.cluster.max_attempts
+        {
             return self.give_up(allocation);
         }
-        if allocation.shots.is_empty() && allocation.taken == now {
+        if allocation.attempts.is_empty() && allocation.accepted_at == now {
             self.count_new(now, allocation);
         }
         let Some(eligible) = self.eligible(now, allocation) else {
@@ -45,38 +47,39 @@
         match reserved.or_else(|| self.choose_by_rank(now, allocation, &eligible)) {
             Some(machine) => self.send(now, machine, allocation),
             None => {
-                if allocation.bound().is_none() && waited {
+                if allocation.possibly_executed_attempt().is_none() && waited {
                     let kind = Kind::of(allocation);
-                    self.rooms.keep(kind, allocation.asks, now + 1, SERVICES);
+                    self.rooms
+                        .keep(kind, allocation.requested, now + 1, SERVICES);
                 }
                 self.not_yet(now, allocation, now + 1)
             }
         }
     }
 
-    fn count_new(&mut self, now: Tenths, allocation: &Allocation) {
+    fn count_new(&mut self, now: Ticks, allocation: &Allocation) {
         // One that waits may be large from here on.
-        if allocation.asks.cores < self.learnt.ask.or(0.0) {
+        if allocation.requested.cores < self.learnt.ask.or(0.0) {
             self.waits.open_at = now;
         }
-        self.learnt.ask.add(allocation.asks.cores, KEEP);
+        self.learnt.ask.add(allocation.requested.cores, KEEP);
         self.probes = (self.probes + PROBES).min(self.machines.len() as f64);
     }
 
     /// The machines at which an attempt has no effect beyond the one wanted; none where no attempt
     /// is safe any more.
-    fn eligible(&self, now: Tenths, allocation: &Allocation) -> Option<Eligible> {
-        let Some(shot) = allocation.bound() else {
+    fn eligible(&self, now: Ticks, allocation: &Allocation) -> Option<Eligible> {
+        let Some(shot) = allocation.possibly_executed_attempt() else {
             return Some(Eligible::All);
         };
         let ids = self.machines.keys().copied();
-        let latest = now + self.cluster.opens_within;
-        match self.cluster.tracks[allocation.track.0].repeat {
+        let latest = now + self.cluster.connect_timeout;
+        match self.cluster.service_classes[allocation.service_class.0].retry_safety {
             // A copy may stand where a shot broke: that machine would take no second one.
-            Repeat::Idempotent => {
-                let may_have_run = |shot: &Shot| shot.fate != Fate::NeverRan;
+            RetrySafety::Idempotent => {
+                let may_have_run = |shot: &Attempt| shot.state != AttemptState::NotExecuted;
                 let ran = |id| {
-                    let mut shots = allocation.shots.iter();
+                    let mut shots = allocation.attempts.iter();
                     shots.any(|shot| shot.machine == id && may_have_run(shot))
                 };
                 let others: Vec<MachineId> = ids.filter(|&id| !ran(id)).collect();
@@ -86,12 +89,16 @@
                     Eligible::Only(others)
                 })
             }
-            Repeat::Unrepeatable => None,
+            RetrySafety::NotRetryable => None,
             // Past the window its repeats are no longer dropped, and outside the group never were.
-            Repeat::Deduplicated { window, .. } if latest + MARGIN >= shot.sent + window => None,
-            Repeat::Deduplicated { within, .. } => {
+            RetrySafety::Deduplicated { window, .. }
+                if latest + MARGIN >= shot.sent_at + window =>
+            {
+                None
+            }
+            RetrySafety::Deduplicated { scope, .. } => {
                 let same =
-                    |&id: &MachineId| within.is_none_or(|place| self.same(place, id, shot.machine));
+                    |&id: &MachineId| scope.is_none_or(|place| self.same(place, id, shot.machine));
                 Some(Eligible::Only(ids.filter(same).collect()))
             }
         }
@@ -100,7 +107,7 @@
     /// The machine that keeps room for this allocation, if it is open to it.
     fn reserved(
         &self,
-        now: Tenths,
+        now: Ticks,
         allocation: &Allocation,
         eligible: &Eligible,
     ) -> Option<MachineId> {
@@ -117,7 +124,7 @@
     /// same few machines, which so hold its program. It also spares weighing them all.
     fn choose_by_rank(
         &self,
-        now: Tenths,
+        now: Ticks,
         allocation: &Allocation,
         eligible: &Eligible,
     ) -> Option<MachineId> {
@@ -154,7 +161,7 @@
         let rest = ranked.into_sorted_vec().into_iter().rev();
         scan.extend(rest.map(|Reverse((_, id))| id));
         // Lower priorities are made to yield only where no machine is under theta without that.
-        let passes: &[bool] = if self.stays(allocation.track, None) < 1.0 {
+        let passes: &[bool] = if self.stays(allocation.service_class, None) < 1.0 {
             &[false, true]
         } else {
             &[true]
@@ -166,7 +173,7 @@
 
     fn pick(
         &self,
-        now: Tenths,
+        now: Ticks,
         scan: &[MachineId],
         new: &Allocation,
         last: bool,
@@ -179,17 +186,20 @@
         bears.then(|| self.choose(now, weighed, new)).flatten()
     }
 
-    fn not_yet(&mut self, now: Tenths, new: &Allocation, until: Tenths) -> Placement {
+    fn not_yet(&mut self, now: Ticks, new: &Allocation, until: Ticks) -> Placement {
         // One that is bound is given up once its window is over.
-        let gives_up = match (self.cluster.tracks[new.track.0].repeat, new.bound()) {
-            (Repeat::Deduplicated { window, .. }, Some(shot)) => shot.sent + window,
+        let gives_up = match (
+            self.cluster.service_classes[new.service_class.0].retry_safety,
+            new.possibly_executed_attempt(),
+        ) {
+            (RetrySafety::Deduplicated { window, .. }, Some(shot)) => shot.sent_at + window,
             _ => NEVER,
         };
-        let until = until.min(gives_up.saturating_sub(self.cluster.opens_within + MARGIN));
+        let until = until.min(gives_up.saturating_sub(self.cluster.connect_timeout + MARGIN));
         // With the next view all are looked at again.
-        let end = Some(new.abandon - MARGIN).filter(|end| *end <= now + LOOK + ASK_AGAIN);
+        let end = Some(new.deadline - MARGIN).filter(|end| *end <= now + LOOK + ASK_AGAIN);
         self.waits.not_yet(now, now + ASK_AGAIN, until, end);
-        if self.large(new.asks) {
+        if self.large(new.requested) {
             // Room is asked for anew once what was made is gone, or none could be made.
             let promised = self.promise().map_or(0, |(_, until, _)| until);
             if promised <= now {
@@ -197,24 +207,25 @@
             }
             self.waits.open_at = self.waits.open_at.min(self.look_at.max(promised));
         }
-        Placement::NotYet
+        Placement::Deferred
     }
 
     /// The smallest promise that holds: a shed reply only where no shot may have run or a repeat is
     /// harmless.
     fn give_up(&self, allocation: &Allocation) -> Placement {
-        let unproven = allocation.bound().is_some();
+        let unproven = allocation.possibly_executed_attempt().is_some();
         let anywhere = |repeat| {
             matches!(
                 repeat,
-                Repeat::Idempotent | Repeat::Deduplicated { within: None, .. }
+                RetrySafety::Idempotent | RetrySafety::Deduplicated { scope: None, .. }
             )
         };
-        let harmless = !unproven || anywhere(self.cluster.tracks[allocation.track.0].repeat);
+        let harmless = !unproven
+            || anywhere(self.cluster.service_classes[allocation.service_class.0].retry_safety);
         if harmless {
             Placement::Shed
         } else {
-            Placement::Scrap
+            Placement::Indeterminate
         }
     }
 
@@ -224,19 +235,14 @@
         let chance = (mix(service.0 ^ mix(u64::from(id.0))) as f64 + 1.0) / (u64::MAX as f64 + 2.0);
         let size = machine
             .entry
-            .and_then(|entry| self.cluster.kinds.get(entry.kind.0));
+            .and_then(|entry| self.cluster.machine_types.get(entry.machine_type.0));
         (-chance.ln() / size.map_or(1.0, |size| size.cores) * 1e12) as u64
     }
 
     /// Lowest W Max among those under theta and not held back; else among the held back under
     /// theta; else the smallest rise in risk. Near ties at random, so that schedulers with one
     /// view don't herd.
-    fn choose(
-        &self,
-        now: Tenths,
-        mut weighed: Vec<Weighed>,
-        new: &Allocation,
-    ) -> Option<MachineId> {
+    fn choose(&self, now: Ticks, mut weighed: Vec<Weighed>, new: &Allocation) -> Option<MachineId> {
         weighed.sort_by(|a, b| a.rank.cmp(&b.rank).then(a.load.total_cmp(&b.load)));
         let mut group: Vec<&Weighed> = Vec::new();
         let mut rises = Vec::new();
@@ -272,26 +278,29 @@
         (!group.is_empty()).then(|| group[rng.random_range(0..group.len())].machine)
     }
 
-    fn send(&mut self, now: Tenths, machine: MachineId, allocation: &Allocation) -> Placement {
+    fn send(&mut self, now: Ticks, machine: MachineId, allocation: &Allocation) -> Placement {
         self.arrive(now, allocation, machine);
-        let (cold, opens) = (&self.cluster.cold, self.cluster.opens_within);
+        let (cold, opens) = (&self.cluster.slow_start, self.cluster.connect_timeout);
         let at = self.machines.entry(machine).or_default();
         at.offers.push_back(now);
         at.offers
             .retain(|&sent| sent + cold.window.max(opens) + MARGIN >= now);
-        let left = allocation.abandon - MARGIN / 2 - now;
-        let track = &self.cluster.tracks[allocation.track.0];
+        let left = allocation.deadline - MARGIN / 2 - now;
+        let track = &self.cluster.service_classes[allocation.service_class.0];
         // Giving up on a shot that waits in a queue leaves a copy behind and binds what may not run
         // twice. So only a machine far slower than all usually are counts as silent, and
         // only for what may run again.
-        let patience = (self.learnt.answer_time.or(left as f64) * PATIENCE) as Tenths;
-        let again =
-            track.repeat == Repeat::Idempotent && allocation.shots.len() + 1 < self.cluster.shots;
+        let patience = (self.learnt.answer_time.or(left as f64) * PATIENCE) as Ticks;
+        let again = track.retry_safety == RetrySafety::Idempotent
+            && allocation.attempts.len() + 1 < self.cluster.max_attempts;
         let time_out = if again {
-            left.min(patience.max(2 * track.contract_time))
+            left.min(patience.max(2 * track.latency_objective))
         } else {
             left
         };
-        Placement::Send { machine, time_out }
+        Placement::Dispatch {
+            machine,
+            timeout: time_out,
+        }
     }
 }
--- a/crates/scheduler/src/rules/summary.rs
+++ b/crates/scheduler/src/rules/summary.rs
@@ -13,12 +13,12 @@
 
 impl Scheduler {
     /// Takes the view over all machines anew when it is old.
-    pub(super) fn look(&mut self, now: Tenths) {
+    pub(super) fn look(&mut self, now: Ticks) {
         if self.view.taken.is_some_and(|taken| taken + LOOK > now) {
             return;
         }
-        let (mut all, mut own) = (Amount::ONE * 1e-9, Amount::default());
-        let (mut reported, mut weights) = (Amount::default(), 0.0);
+        let (mut all, mut own) = (Resources::ONE * 1e-9, Resources::default());
+        let (mut reported, mut weights) = (Resources::default(), 0.0);
         for machine in self.machines.values() {
             let Some(size) = self.size(machine).filter(|_| machine.serving()) else {
                 continue;
@@ -37,7 +37,7 @@
                 );
             }
         }
-        let others = self.cluster.schedulers.saturating_sub(1) as f64;
+        let others = self.cluster.scheduler_count.saturating_sub(1) as f64;
         // Where hardly anything was told, as at start, each of the others is taken to use as much
         // as we do.
         let guess = own / all * others;
@@ -48,9 +48,9 @@
 
     /// The machines that are not held back. Held back are those that present need does not fill,
     /// the last by id: an order common to all.
-    fn needed(&self, now: Tenths, all: Amount, reported: f64) -> BTreeSet<MachineId> {
+    fn needed(&self, now: Ticks, all: Resources, reported: f64) -> BTreeSet<MachineId> {
         let mut order = Vec::new();
-        let (mut need, mut asked) = (Amount::default(), Amount::default());
+        let (mut need, mut asked) = (Resources::default(), Resources::default());
         for (&id, machine) in &self.machines {
             let Some(size) = self.size(machine) else {
                 continue;
@@ -74,11 +74,11 @@
                     .count()
                     .max(1) as f64);
         let doubt = (DOUBT / known.sqrt()) * unheard.max(0.0);
-        need = need.most(asked / self.cluster.accepts) * (1.0 + doubt) + all * (1.0 / known);
-        let mut room = Amount::default();
+        need = need.max(asked / self.cluster.admission_limit) * (1.0 + doubt) + all * (1.0 / known);
+        let mut room = Resources::default();
         let enough = order.iter().position(|&(_, size)| {
             room = room + size;
-            need.within(room * FILL)
+            need.fits_in(room * FILL)
         });
         order.truncate(enough.map_or(order.len(), |last| last + 1));
         order.into_iter().map(|(id, _)| id).collect()
--- a/crates/scheduler/src/rules/vain.rs
+++ b/crates/scheduler/src/rules/vain.rs
@@ -7,7 +7,7 @@
 
 /// What rounding may take off, in parts.
 const ROUNDING: f64 = 1e-9;
-const NO_ROOM: Amount = Amount {
+const NO_ROOM: Resources = Resources {
     cores: f64::NEG_INFINITY,
     memory: f64::NEG_INFINITY,
 };
@@ -16,7 +16,7 @@
     /// Until when no machine can take this one if nothing happens meanwhile; `now` where one may.
     /// Machines are held against their rooms, and only those that pass are weighed; of a kind
     /// that has been in vain before, only the machines that have gained since.
-    pub(super) fn vain_until(&mut self, now: Tenths, new: &Allocation) -> Tenths {
+    pub(super) fn vain_until(&mut self, now: Ticks, new: &Allocation) -> Ticks {
         if self.promise().is_some_and(|(_, _, to)| to == new.id) {
             return now;
         }
@@ -24,12 +24,12 @@
         self.waits.begun(self.rooms.changes());
         let kind = Kind::of(new);
         let least = self.records.least(new.service);
-        let track = &self.cluster.tracks[new.track.0];
-        let start = self.start(true, track).least(self.start(false, track));
+        let track = &self.cluster.service_classes[new.service_class.0];
+        let start = self.start(true, track).min(self.start(false, track));
         let need = Room {
-            bears: new.asks * self.learnt.usual.or_one() + start,
-            line: new.asks * least,
-            asked: new.asks,
+            bears: new.requested * self.learnt.usual.or_one() + start,
+            line: new.requested * least,
+            asked: new.requested,
         };
         let (mut until, ids) = self.rooms.passing(now, kind, need);
         let mut beyond = None;
@@ -40,7 +40,7 @@
             }
             until = until.min(at);
         }
-        self.rooms.keep(kind, new.asks, until, SERVICES);
+        self.rooms.keep(kind, new.requested, until, SERVICES);
         until
     }
 
@@ -48,13 +48,13 @@
     /// meanwhile.
     fn open_from(
         &self,
-        now: Tenths,
+        now: Ticks,
         id: MachineId,
         new: &Allocation,
         beyond: &mut Option<bool>,
-    ) -> Tenths {
+    ) -> Ticks {
         let opens = self.opens(now, id, new);
-        let yields = self.stays(new.track, None) < 1.0;
+        let yields = self.stays(new.service_class, None) < 1.0;
         let Some(weighed) = self.weigh(now, id, new, yields).filter(|_| opens <= now) else {
             return opens;
         };
@@ -71,12 +71,12 @@
                 )
                 .0
                 <= THETA;
-        now + Tenths::from(!may)
+        now + Ticks::from(!may)
     }
 
     /// Brings the rooms up to date: all of them with each new view and when what is learnt has
     /// changed.
-    fn refresh(&mut self, now: Tenths) {
+    fn refresh(&mut self, now: Ticks) {
         let until = self.view.taken.unwrap_or(now) + LOOK;
         let learnt = [self.learnt.usual, self.learnt.present];
         if self.rooms.stand(until, learnt) {
@@ -97,53 +97,66 @@
     /// What the machine has room for until then at the most, for each track, unless something
     /// happens to it. Its use by others lies between its ends, and guests that come of age
     /// meanwhile count as of age.
-    fn room(&self, now: Tenths, until: Tenths, id: MachineId) -> Vec<Room> {
+    fn room(&self, now: Ticks, until: Ticks, id: MachineId) -> Vec<Room> {
         let none = Room {
             bears: NO_ROOM,
             line: NO_ROOM,
             asked: NO_ROOM,
         };
         let Some(machine) = self.machines.get(&id).filter(|machine| machine.serving()) else {
-            return vec![none; self.cluster.tracks.len()];
+            return vec![none; self.cluster.service_classes.len()];
         };
         let Some((size, entry)) = self.size(machine).zip(machine.entry) else {
-            return vec![none; self.cluster.tracks.len()];
+            return vec![none; self.cluster.service_classes.len()];
         };
         let others = self
             .others(until, now, machine)
-            .least(self.others(until, until, machine));
-        let asked = size * self.cluster.accepts - self.asked(until, machine, || others);
-        let asked = if self.cluster.shows_room {
+            .min(self.others(until, until, machine));
+        let asked = size * self.cluster.admission_limit - self.asked(until, machine, || others);
+        let asked = if self.cluster.list_reports_capacity {
             asked + size * ROUNDING
         } else {
-            Amount::ONE * f64::INFINITY
+            Resources::ONE * f64::INFINITY
         };
-        let rooms = self.cluster.tracks.iter().enumerate().map(|(track, of)| {
-            if of.kind.is_some_and(|kind| kind != entry.kind) {
-                return none;
-            }
-            let (uses, least) = self.likely_use(machine, TrackId(track), others);
-            let most = size
-                * Amount {
-                    cores: of.calm + FADE + ROUNDING,
-                    memory: LIMIT + ROUNDING,
-                };
-            let line = size
-                * Amount {
-                    cores: of.calm + ROUNDING,
-                    memory: F_MEMORY + ROUNDING,
-                };
-            Room {
-                bears: most - uses,
-                line: line - least,
-                asked,
-            }
-        });
+        let rooms = self
+            .cluster
+            .service_classes
+            .iter()
+            .enumerate()
+            .map(|(track, of)| {
+                if of
+                    .machine_type
+                    .is_some_and(|kind| kind != entry.machine_type)
+                {
+                    return none;
+                }
+                let (uses, least) = self.likely_use(machine, ServiceClassId(track), others);
+                let most = size
+                    * Resources {
+                        cores: of.target_utilization + FADE + ROUNDING,
+                        memory: LIMIT + ROUNDING,
+                    };
+                let line = size
+                    * Resources {
+                        cores: of.target_utilization + ROUNDING,
+                        memory: F_MEMORY + ROUNDING,
+                    };
+                Room {
+                    bears: most - uses,
+                    line: line - least,
+                    asked,
+                }
+            });
         rooms.collect()
     }
 
     /// What one of this track finds in use, and the least that may be drawn.
-    fn likely_use(&self, machine: &Machine, track: TrackId, others: Amount) -> (Amount, Amount) {
+    fn likely_use(
+        &self,
+        machine: &Machine,
+        track: ServiceClassId,
+        others: Resources,
+    ) -> (Resources, Resources) {
         let stays = |of| self.stays(track, of);
         let (mut uses, mut least) = (others * stays(None), others * stays(None));
         for guest in machine.guests.values() {
@@ -159,7 +172,7 @@
     }
 
     /// Whether one of those that wait might find a machine now that found none in the last round.
-    pub(super) fn changed(&mut self, now: Tenths) -> bool {
+    pub(super) fn changed(&mut self, now: Ticks) -> bool {
         let old = self.view.taken.is_none_or(|taken| taken + LOOK <= now);
         if old || self.waits.open_at <= now {
             return true;
--- a/crates/scheduler/src/state.rs
+++ b/crates/scheduler/src/state.rs
@@ -18,14 +18,14 @@
 pub use usage_history::{Record, Records};
 
 /// A moment that never comes by itself.
-pub const NEVER: Tenths = Tenths::MAX;
+pub const NEVER: Ticks = Ticks::MAX;
 
 /// What holds over all machines.
 #[derive(Default)]
 pub struct View {
-    pub taken: Option<Tenths>,
+    pub taken: Option<Ticks>,
     /// Use by others as a share of size, in the mean.
-    pub average: Amount,
+    pub average: Resources,
     /// The machines not held back.
     pub open: BTreeSet<MachineId>,
 }
@@ -39,8 +39,8 @@
     pub load: f64,
     /// Whether it can bear the allocation by present use, draws aside.
     pub bears: bool,
-    pub base: Amount,
-    pub line: Amount,
+    pub base: Resources,
+    pub line: Resources,
     /// 0: to be used first; held-back machines come last.
     pub rank: u8,
 }
--- a/crates/scheduler/src/state/capacity_index.rs
+++ b/crates/scheduler/src/state/capacity_index.rs
@@ -8,20 +8,20 @@
 /// may be drawn, and by what is asked.
 #[derive(Clone, Copy)]
 pub struct Room {
-    pub bears: Amount,
-    pub line: Amount,
-    pub asked: Amount,
+    pub bears: Resources,
+    pub line: Resources,
+    pub asked: Resources,
 }
 
 impl Room {
     fn within(&self, room: &Room) -> bool {
-        let uses = self.bears.within(room.bears) || self.line.within(room.line);
-        uses && self.asked.within(room.asked)
+        let uses = self.bears.fits_in(room.bears) || self.line.fits_in(room.line);
+        uses && self.asked.fits_in(room.asked)
     }
 
     fn gains(&self, former: &Room) -> bool {
         let of = |room: &Room| [room.bears, room.line, room.asked];
-        std::iter::zip(of(self), of(former)).any(|(now, former)| !now.within(former))
+        std::iter::zip(of(self), of(former)).any(|(now, former)| !now.fits_in(former))
     }
 }
 
@@ -30,16 +30,16 @@
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Kind {
     pub service: ServiceId,
-    track: TrackId,
-    account: AccountId,
+    track: ServiceClassId,
+    account: TenantId,
 }
 
 impl Kind {
     pub fn of(allocation: &Allocation) -> Self {
         Kind {
             service: allocation.service,
-            track: allocation.track,
-            account: allocation.account,
+            track: allocation.service_class,
+            account: allocation.tenant,
         }
     }
 }
@@ -47,15 +47,15 @@
 /// So much was asked for in vain, and will be until then but for machines that gain after so many
 /// changes.
 struct Vain {
-    asks: Amount,
-    until: Tenths,
+    asks: Resources,
+    until: Ticks,
     changes: u64,
 }
 
 /// The room that each machine has at the most until a moment, and what was asked for in vain.
 #[derive(Default)]
 pub struct Rooms {
-    until: Tenths,
+    until: Ticks,
     learnt: [Means; 2],
     ids: Vec<MachineId>,
     /// Of each machine, one for each track.
@@ -78,14 +78,14 @@
         };
     }
 
-    pub fn build(&mut self, until: Tenths, learnt: [Means; 2], all: Vec<(MachineId, Vec<Room>)>) {
+    pub fn build(&mut self, until: Ticks, learnt: [Means; 2], all: Vec<(MachineId, Vec<Room>)>) {
         self.void();
         (self.until, self.learnt) = (until, learnt);
         self.ids = all.iter().map(|(id, _)| *id).collect();
         self.rooms = all.into_iter().flat_map(|(_, rooms)| rooms).collect();
     }
 
-    pub fn stand(&self, until: Tenths, learnt: [Means; 2]) -> bool {
+    pub fn stand(&self, until: Ticks, learnt: [Means; 2]) -> bool {
         (self.until, self.learnt) == (until, learnt)
     }
 
@@ -128,13 +128,13 @@
 
     /// The machines that one of this kind with this need is to be weighed for, and until when it is
     /// in vain but for them.
-    pub fn passing(&self, now: Tenths, kind: Kind, need: Room) -> (Tenths, Vec<MachineId>) {
+    pub fn passing(&self, now: Ticks, kind: Kind, need: Room) -> (Ticks, Vec<MachineId>) {
         let tracks = self.rooms.len() / self.ids.len().max(1);
         let passes = |at: usize| need.within(&self.rooms[at * tracks + kind.track.0]);
         let known = self
             .vain
             .get(&kind)
-            .filter(|vain| vain.asks.within(need.asked) && vain.until > now);
+            .filter(|vain| vain.asks.fits_in(need.asked) && vain.until > now);
         let since = known.map(|vain| (vain.until, (self.changes - vain.changes) as usize));
         match since.filter(|(_, since)| *since <= self.gained.len()) {
             Some((until, since)) => {
@@ -150,10 +150,10 @@
     }
 
     /// In vain until then, as of the changes so far. Of so many kinds at the most.
-    pub fn keep(&mut self, kind: Kind, asks: Amount, until: Tenths, most: usize) {
+    pub fn keep(&mut self, kind: Kind, asks: Resources, until: Ticks, most: usize) {
         let changes = self.changes;
         let same =
-            |vain: &Vain| vain.changes == changes && vain.until == until && vain.asks.within(asks);
+            |vain: &Vain| vain.changes == changes && vain.until == until && vain.asks.fits_in(asks);
         if self.vain.get(&kind).is_some_and(same) {
             return;
         }
--- a/crates/scheduler/src/state/machine.rs
+++ b/crates/scheduler/src/state/machine.rs
@@ -7,35 +7,35 @@
 /// An allocation of ours on a machine, from the shot on until the machine has answered for it.
 pub struct Guest {
     pub service: ServiceId,
-    pub track: TrackId,
-    pub account: AccountId,
-    pub asks: Amount,
-    pub sent: Tenths,
+    pub track: ServiceClassId,
+    pub account: TenantId,
+    pub asks: Resources,
+    pub sent: Ticks,
     pub placed: bool,
     pub runs: bool,
     /// Whether the machine was thought to hold the program when it was sent.
     pub had_program: bool,
     pub moved: bool,
-    pub present: Option<Amount>,
-    pub highest: Amount,
+    pub present: Option<Resources>,
+    pub highest: Resources,
     /// Noted uses of cores, for the percentile.
     pub cores: Vec<f64>,
 }
 
 impl Guest {
-    pub fn new(allocation: &Allocation, sent: Tenths, had_program: bool) -> Self {
+    pub fn new(allocation: &Allocation, sent: Ticks, had_program: bool) -> Self {
         Guest {
             service: allocation.service,
-            track: allocation.track,
-            account: allocation.account,
-            asks: allocation.asks,
+            track: allocation.service_class,
+            account: allocation.tenant,
+            asks: allocation.requested,
             sent,
             placed: false,
             runs: false,
             had_program,
             moved: false,
             present: None,
-            highest: Amount::default(),
+            highest: Resources::default(),
             cores: Vec::new(),
         }
     }
@@ -43,16 +43,16 @@
 
 impl Guest {
     /// Notes its use now; what is not told yet is taken to be as usual by asked unit.
-    pub fn noted(&mut self, note: Note, usual: Amount) {
+    pub fn noted(&mut self, note: Metric, usual: Resources) {
         let present = self.present.unwrap_or(self.asks * usual);
         match note {
-            Note::Cores(cores) => {
-                self.present = Some(Amount { cores, ..present });
+            Metric::Cores(cores) => {
+                self.present = Some(Resources { cores, ..present });
                 self.highest.cores = self.highest.cores.max(cores);
                 self.cores.push(cores);
             }
-            Note::Memory(memory) => {
-                self.present = Some(Amount { memory, ..present });
+            Metric::Memory(memory) => {
+                self.present = Some(Resources { memory, ..present });
                 self.highest.memory = self.highest.memory.max(memory);
             }
             _ => {}
@@ -62,40 +62,40 @@
 
 #[derive(Default)]
 pub struct Machine {
-    pub entry: Option<Entry>,
+    pub entry: Option<Endpoint>,
     /// Use by others: what was reported, less our own part of it.
-    pub base: Option<(Tenths, Amount)>,
+    pub base: Option<(Ticks, Resources)>,
     /// What the list tells that all have asked for there.
-    pub listed: Option<Amount>,
+    pub listed: Option<Resources>,
     pub guests: BTreeMap<AllocationId, Guest>,
     /// Programs kept after our last allocation of the service there.
     pub kept: VecDeque<ServiceId>,
     /// Our offers within the last cold window.
-    pub offers: VecDeque<Tenths>,
+    pub offers: VecDeque<Ticks>,
     /// Shots in a row that it left without an answer, and until when it is left alone for that.
     pub silent: u32,
-    pub shunned: Tenths,
+    pub shunned: Ticks,
     /// The last allocation that it answered with an error.
     pub doubted: Option<AllocationId>,
     /// Until when an ask of at least this much is not offered again, after a refusal.
-    pub full: Option<(Tenths, Amount)>,
+    pub full: Option<(Ticks, Resources)>,
     /// Kept free until then for an allocation that fits nowhere.
-    pub promised: Option<(Tenths, AllocationId)>,
-    pub probed: Tenths,
+    pub promised: Option<(Ticks, AllocationId)>,
+    pub probed: Ticks,
     /// The last sign of life, or when we first had something there.
-    pub heard: Tenths,
+    pub heard: Ticks,
 }
 
 impl Machine {
     pub fn serving(&self) -> bool {
         self.entry
-            .is_some_and(|entry| entry.state == State::Serving)
+            .is_some_and(|entry| entry.state == MachineState::Serving)
     }
 
     /// Left out of a whole list.
     pub fn leave_list(&mut self) {
         if let Some(entry) = self.entry.as_mut() {
-            entry.state = State::Gone;
+            entry.state = MachineState::Removed;
         }
     }
 
@@ -110,7 +110,7 @@
     }
 
     /// From when on fewer than `part` of our offers are so recent, if none is added. 0: they are.
-    pub fn offers_below(&self, part: usize, now: Tenths, recent: Tenths) -> Tenths {
+    pub fn offers_below(&self, part: usize, now: Ticks, recent: Ticks) -> Ticks {
         let offers = self.offers.iter().filter(|&&at| at + recent >= now);
         let over = (offers.clone().count() + 1).saturating_sub(part);
         match over {
@@ -121,7 +121,7 @@
     }
 
     /// Counts one more fault in a row, and leaves the machine alone for `rest`, doubled with each.
-    pub fn fault(&mut self, now: Tenths, rest: Tenths) {
+    pub fn fault(&mut self, now: Ticks, rest: Ticks) {
         self.shunned = now + (rest << self.silent.min(4));
         self.silent += 1;
     }
--- a/crates/scheduler/src/state/statistics.rs
+++ b/crates/scheduler/src/state/statistics.rs
@@ -1,6 +1,6 @@
 //! Means in which what came earlier decays.
 
-use crate::interface::Amount;
+use crate::interface::Resources;
 
 /// A mean in which what came earlier decays by `keep` with each value.
 #[derive(Default, Clone, Copy, PartialEq)]
@@ -31,8 +31,8 @@
 }
 
 impl Means {
-    pub fn or_one(&self) -> Amount {
-        Amount {
+    pub fn or_one(&self) -> Resources {
+        Resources {
             cores: self.cores.or(1.0),
             memory: self.memory.or(1.0),
         }
--- a/crates/scheduler/src/state/usage_history.rs
+++ b/crates/scheduler/src/state/usage_history.rs
@@ -6,9 +6,9 @@
 /// What an ended allocation of a service came to use, by asked unit, and how long it ran.
 #[derive(Clone, Copy)]
 pub struct Record {
-    pub peak: Amount,
-    pub life: Tenths,
-    pub ended: Tenths,
+    pub peak: Resources,
+    pub life: Ticks,
+    pub ended: Ticks,
 }
 
 /// The records of each service, the last one first.
@@ -38,20 +38,20 @@
     pub fn fitting(
         &self,
         service: ServiceId,
-        age: Tenths,
-        highest: Amount,
-        none: Amount,
-    ) -> Vec<Amount> {
+        age: Ticks,
+        highest: Resources,
+        none: Resources,
+    ) -> Vec<Resources> {
         let records = self.0.get(&service).into_iter().flatten();
-        let fits = records.filter(|record| record.life >= age && highest.within(record.peak));
-        let peaks: Vec<Amount> = fits.map(|record| record.peak).collect();
+        let fits = records.filter(|record| record.life >= age && highest.fits_in(record.peak));
+        let peaks: Vec<Resources> = fits.map(|record| record.peak).collect();
         if peaks.is_empty() { vec![none] } else { peaks }
     }
 
     /// No peak of the service is below this, nor the one taken where none is known.
-    pub fn least(&self, service: ServiceId) -> Amount {
+    pub fn least(&self, service: ServiceId) -> Resources {
         let records = self.0.get(&service).into_iter().flatten();
-        records.fold(Amount::ONE, |least, record| least.least(record.peak))
+        records.fold(Resources::ONE, |least, record| least.min(record.peak))
     }
 
     pub fn len(&self) -> usize {
--- a/crates/scheduler/tests/decisions.rs
+++ b/crates/scheduler/tests/decisions.rs
@@ -20,12 +20,12 @@
 const RECORDING: &str = include_str!("data/decisions.txt");
 const KEPT_EVERY: usize = 500;
 const MACHINES: u32 = 9;
-const KINDS: [Amount; 2] = [
-    Amount {
+const KINDS: [Resources; 2] = [
+    Resources {
         cores: 16.0,
         memory: 40.0,
     },
-    Amount {
+    Resources {
         cores: 32.0,
         memory: 64.0,
     },
@@ -40,7 +40,7 @@
 }
 
 impl Transcript {
-    fn add(&mut self, now: Tenths, answer: &str) {
+    fn add(&mut self, now: Ticks, answer: &str) {
         let line = format!("{now} {answer}\n");
         self.hasher.write(line.as_bytes());
         if self.count.is_multiple_of(KEPT_EVERY) {
@@ -84,24 +84,24 @@
     cluster: Cluster,
     load: Load,
     rng: Pcg64Mcg,
-    now: Tenths,
+    now: Ticks,
     ids: u64,
-    started: Vec<Option<Tenths>>,
+    started: Vec<Option<Ticks>>,
     waiting: Vec<Allocation>,
     pending: Vec<Allocation>,
     placed: Vec<Allocation>,
     transcript: Transcript,
 }
 
-fn machine(id: u32) -> Entry {
-    Entry {
+fn machine(id: u32) -> Endpoint {
+    Endpoint {
         machine: MachineId(id),
-        kind: KindId(id as usize % 2),
-        hall: HallId(id as usize / 2 % 2),
+        machine_type: MachineTypeId(id as usize % 2),
+        zone: ZoneId(id as usize / 2 % 2),
         cell: CellId(u64::from(id / 3)),
-        state: State::Serving,
-        started: None,
-        unasked: None,
+        state: MachineState::Serving,
+        started_at: None,
+        unreserved: None,
     }
 }
 
@@ -109,8 +109,8 @@
     fn new(cluster: &Cluster, load: Load, seed: u64) -> Self {
         let now = 100 * SECOND;
         let mut scheduler = Scheduler::new(cluster.clone(), seed, now);
-        let entries: Vec<Entry> = (0..MACHINES - 2).map(machine).collect();
-        scheduler.listed(Scope::Remembered, &entries);
+        let entries: Vec<Endpoint> = (0..MACHINES - 2).map(machine).collect();
+        scheduler.apply_endpoint_list(ListUpdate::Cached, &entries);
         Walk {
             scheduler,
             cluster: cluster.clone(),
@@ -130,22 +130,24 @@
         self.rng.random_range(0..many)
     }
 
-    fn share(&mut self) -> Amount {
-        Amount {
+    fn share(&mut self) -> Resources {
+        Resources {
             cores: self.rng.random(),
             memory: self.rng.random(),
         }
     }
 
-    fn report(&mut self, id: u32) -> Option<Report> {
+    fn report(&mut self, id: u32) -> Option<LoadReport> {
         let (least, most) = self.load.unused;
         let mut share = || self.rng.random_range(least..most);
-        let unused = Amount {
+        let unused = Resources {
             cores: share(),
             memory: share(),
         };
         let unused = unused * KINDS[id as usize % 2];
-        self.rng.random_bool(0.6).then_some(Report { unused })
+        self.rng
+            .random_bool(0.6)
+            .then_some(LoadReport { available: unused })
     }
 
     fn new_allocation(&mut self) -> Allocation {
@@ -155,80 +157,86 @@
             1..=4 => 0.25,
             _ => 0.1,
         };
-        let track = self.any(self.cluster.tracks.len());
+        let track = self.any(self.cluster.service_classes.len());
         Allocation {
             id: AllocationId(self.ids),
             service: ServiceId(
-                (track + self.cluster.tracks.len() * self.any(self.load.services)) as u64,
+                (track + self.cluster.service_classes.len() * self.any(self.load.services)) as u64,
             ),
-            track: TrackId(track),
-            account: AccountId(self.any(self.cluster.accounts.len())),
-            asks: (self.share() * 0.9 + Amount::ONE * 0.1) * KINDS[1] * (large * self.load.asks),
-            taken: self.now,
-            abandon: self.now + self.rng.random_range(30..6 * SECOND),
-            shots: Vec::new(),
+            service_class: ServiceClassId(track),
+            tenant: TenantId(self.any(self.cluster.tenants.len())),
+            requested: (self.share() * 0.9 + Resources::ONE * 0.1)
+                * KINDS[1]
+                * (large * self.load.asks),
+            accepted_at: self.now,
+            deadline: self.now + self.rng.random_range(30..6 * SECOND),
+            attempts: Vec::new(),
         }
     }
 
     fn place(&mut self, mut allocation: Allocation) {
         let placement = self.scheduler.place(self.now, &allocation);
         let answer = match placement {
-            Placement::Send { machine, time_out } => {
-                allocation.shots.push(Shot {
+            Placement::Dispatch { machine, timeout } => {
+                allocation.attempts.push(Attempt {
                     machine,
-                    sent: self.now,
-                    fate: Fate::Pending,
+                    sent_at: self.now,
+                    state: AttemptState::Pending,
                 });
-                format!("dispatch to {} within {time_out}", machine.0)
+                format!("dispatch to {} within {timeout}", machine.0)
             }
-            Placement::NotYet => "defer".into(),
+            Placement::Deferred => "defer".into(),
             Placement::Shed => "shed".into(),
-            Placement::Scrap => "indeterminate".into(),
+            Placement::Indeterminate => "indeterminate".into(),
         };
         let answer = format!("place {}: {answer}", allocation.id.0);
         self.transcript.add(self.now, &answer);
         match placement {
-            Placement::Send { .. } => self.pending.push(allocation),
-            Placement::NotYet => self.waiting.push(allocation),
+            Placement::Dispatch { .. } => self.pending.push(allocation),
+            Placement::Deferred => self.waiting.push(allocation),
             _ => {}
         }
     }
 
     fn after(&mut self, allocation: Allocation, outcome: Outcome) {
-        let shot = allocation.shots.len() - 1;
-        let next = self.scheduler.after(self.now, &allocation, shot, outcome);
+        let shot = allocation.attempts.len() - 1;
+        let next = self
+            .scheduler
+            .on_outcome(self.now, &allocation, shot, outcome);
         let answer = match next {
-            After::Rest => "nothing",
-            After::PlaceAgain => "place again",
-            After::Shed => "shed",
-            After::Scrap => "indeterminate",
+            NextStep::Done => "nothing",
+            NextStep::Retry => "place again",
+            NextStep::Shed => "shed",
+            NextStep::Indeterminate => "indeterminate",
         };
         let answer = format!("after {}: {answer}", allocation.id.0);
         self.transcript.add(self.now, &answer);
         match (next, outcome) {
-            (After::PlaceAgain, _) => self.place(allocation),
+            (NextStep::Retry, _) => self.place(allocation),
             (_, Outcome::Placed) => self.placed.push(allocation),
             _ => {}
         }
     }
 
-    fn returned(&mut self, mut allocation: Allocation, ending: Ending, over: bool) {
+    fn returned(&mut self, mut allocation: Allocation, ending: AttemptResult, over: bool) {
         let reasons = [
             None,
-            Some(Reason::NoCores),
-            Some(Reason::NoMemory),
-            Some(Reason::QueueFull),
-            Some(Reason::NotHere),
-            Some(Reason::Evicted),
-            Some(Reason::PushedOut),
-            Some(Reason::SentAway),
+            Some(ReturnReason::NoCores),
+            Some(ReturnReason::NoMemory),
+            Some(ReturnReason::QueueFull),
+            Some(ReturnReason::Unfit),
+            Some(ReturnReason::Evicted),
+            Some(ReturnReason::Preempted),
+            Some(ReturnReason::Migrated),
         ];
         let reason = reasons[self.any(reasons.len())];
-        let shot = allocation.shots.last_mut().unwrap();
+        let shot = allocation.attempts.last_mut().unwrap();
         let report = self.report(shot.machine.0);
-        shot.fate = match ending {
-            Ending::Refused | Ending::Unconnected | Ending::NotSent => Fate::NeverRan,
-            _ => Fate::MayHaveRun,
+        shot.state = match ending {
+            AttemptResult::Rejected | AttemptResult::ConnectFailed | AttemptResult::NotSent => {
+                AttemptState::NotExecuted
+            }
+            _ => AttemptState::PossiblyExecuted,
         };
         let outcome = Outcome::Returned {
             ending,
@@ -240,124 +248,131 @@
     }
 
     /// Asks how long to wait until nothing more is to be looked at.
-    fn rest(&mut self) -> Tenths {
+    fn rest(&mut self) -> Ticks {
         loop {
-            let wait = self.scheduler.wait(self.now);
-            let mut answer = format!("wait {}", wait.time);
-            if wait.watch_list {
+            let wait = self.scheduler.poll(self.now);
+            let mut answer = format!("wait {}", wait.next_poll);
+            if wait.watch_endpoints {
                 answer.push_str(" watch");
             }
-            if wait.ask_again {
+            if wait.retry_deferred {
                 answer.push_str(" retry");
             }
-            if let Some(end) = wait.ends {
+            if let Some(end) = wait.deadlines_until {
                 let _ = write!(answer, " up to {end}");
             }
-            for id in &wait.probes {
+            for id in &wait.health_checks {
                 let _ = write!(answer, " probe {}", id.0);
             }
-            for id in &wait.moves {
+            for id in &wait.migrations {
                 let _ = write!(answer, " move {}", id.0);
             }
             for id in &wait.lost {
                 let _ = write!(answer, " lost {}", id.0);
             }
             self.transcript.add(self.now, &answer);
-            let gone: Vec<AllocationId> = wait.moves.iter().chain(&wait.lost).copied().collect();
+            let gone: Vec<AllocationId> =
+                wait.migrations.iter().chain(&wait.lost).copied().collect();
             for id in gone {
                 // Some take their time; the rest are met by whatever comes by chance.
                 let at = self.placed.iter().position(|one| one.id == id);
                 if let Some(at) = at.filter(|_| self.rng.random_bool(0.7)) {
                     let allocation = self.placed.swap_remove(at);
-                    self.returned(allocation, Ending::Cancelled, true);
+                    self.returned(allocation, AttemptResult::Cancelled, true);
                 }
             }
-            if wait.ask_again || wait.ends.is_some() {
+            if wait.retry_deferred || wait.deadlines_until.is_some() {
                 for allocation in std::mem::take(&mut self.waiting) {
-                    if wait.ends.is_none_or(|end| allocation.abandon <= end) {
+                    if wait
+                        .deadlines_until
+                        .is_none_or(|end| allocation.deadline <= end)
+                    {
                         self.place(allocation);
                     } else {
                         self.waiting.push(allocation);
                     }
                 }
-                if wait.ends.is_some() && self.waiting.is_empty() {
-                    self.scheduler.none_waits();
+                if wait.deadlines_until.is_some() && self.waiting.is_empty() {
+                    self.scheduler.no_deferred_left();
                 }
             }
-            if !wait.ask_again {
-                return wait.time;
+            if !wait.retry_deferred {
+                return wait.next_poll;
             }
         }
     }
 
     fn list(&mut self, id: u32) {
         let states = [
-            State::Serving,
-            State::Serving,
-            State::Serving,
-            State::Draining,
-            State::Gone,
+            MachineState::Serving,
+            MachineState::Serving,
+            MachineState::Serving,
+            MachineState::Draining,
+            MachineState::Removed,
         ];
         let state = states[self.any(states.len())];
         if self.rng.random_bool(0.4) {
             self.started[id as usize] = Some(self.now.saturating_sub(self.rng.random_range(0..50)));
         }
         let unasked = KINDS[id as usize % 2] * self.rng.random_range(self.load.unused.0 - 0.2..1.5);
-        let entry = Entry {
+        let entry = Endpoint {
             state,
-            started: self.started[id as usize],
-            unasked: self.rng.random_bool(0.8).then_some(unasked),
+            started_at: self.started[id as usize],
+            unreserved: self.rng.random_bool(0.8).then_some(unasked),
             ..machine(id)
         };
         if !self.rng.random_bool(0.05) {
-            return self.scheduler.listed(Scope::Changes, &[entry]);
+            return self
+                .scheduler
+                .apply_endpoint_list(ListUpdate::Incremental, &[entry]);
         }
         let others = (0..MACHINES)
             .filter(|&other| other != id)
-            .map(|other| Entry {
-                started: self.started[other as usize],
+            .map(|other| Endpoint {
+                started_at: self.started[other as usize],
                 ..machine(other)
             });
-        let entries: Vec<Entry> = others.chain([entry]).collect();
-        self.scheduler.listed(Scope::Whole, &entries);
+        let entries: Vec<Endpoint> = others.chain([entry]).collect();
+        self.scheduler
+            .apply_endpoint_list(ListUpdate::Complete, &entries);
     }
 
     fn adopt(&mut self) {
         let mut cluster = self.cluster.clone();
-        cluster.accepts.cores = self.rng.random_range(1.0..3.0);
-        cluster.cold.offers = self.rng.random_range(2.0..9.0);
+        cluster.admission_limit.cores = self.rng.random_range(1.0..3.0);
+        cluster.slow_start.max_offers = self.rng.random_range(2.0..9.0);
         if self.rng.random_bool(0.2) {
-            cluster.schedulers = 1 + self.any(4);
-            cluster.number = self.any(cluster.schedulers);
+            cluster.scheduler_count = 1 + self.any(4);
+            cluster.scheduler_index = self.any(cluster.scheduler_count);
         }
-        self.scheduler.adopt(self.now, cluster);
+        self.scheduler.reconfigure(self.now, cluster);
     }
 
     fn take_over(&mut self) {
         let mut allocation = self.new_allocation();
         let machine = MachineId(self.rng.random_range(0..MACHINES));
-        allocation.shots.push(Shot {
+        allocation.attempts.push(Attempt {
             machine,
-            sent: self.now,
-            fate: Fate::MayHaveRun,
+            sent_at: self.now,
+            state: AttemptState::PossiblyExecuted,
         });
-        self.scheduler.taken_over(self.now, &allocation, machine);
+        self.scheduler.adopt_running(self.now, &allocation, machine);
         self.placed.push(allocation);
     }
 
     fn note(&mut self) {
         let at = self.any(self.placed.len());
-        let (id, asks) = (self.placed[at].id, self.placed[at].asks);
+        let (id, asks) = (self.placed[at].id, self.placed[at].requested);
         let uses = asks * self.rng.random_range(0.1..1.3);
         let notes = [
-            Note::Runs,
-            Note::Cores(uses.cores),
-            Note::Memory(uses.memory),
-            Note::Served(0.5),
-            Note::MachineMemory(0.9),
+            Metric::Running,
+            Metric::Cores(uses.cores),
+            Metric::Memory(uses.memory),
+            Metric::Served(0.5),
+            Metric::MachineMemory(0.9),
         ];
         let note = notes[self.any(notes.len())];
-        self.scheduler.noted(self.now, id, note);
+        self.scheduler.record_metric(self.now, id, note);
     }
 
     /// Something that happens to one of those that are out or placed.
@@ -366,14 +381,14 @@
             let at = self.any(self.pending.len());
             let allocation = self.pending.swap_remove(at);
             let endings = [
-                Ending::Refused,
-                Ending::Refused,
-                Ending::TimedOut,
-                Ending::Error,
-                Ending::Unconnected,
-                Ending::Reset,
-                Ending::NotSent,
-                Ending::Cancelled,
+                AttemptResult::Rejected,
+                AttemptResult::Rejected,
+                AttemptResult::TimedOut,
+                AttemptResult::Error,
+                AttemptResult::ConnectFailed,
+                AttemptResult::Reset,
+                AttemptResult::NotSent,
+                AttemptResult::Cancelled,
             ];
             if self.rng.random_bool(0.7) {
                 return self.after(allocation, Outcome::Placed);
@@ -384,13 +399,18 @@
         if !self.placed.is_empty() {
             let at = self.any(self.placed.len());
             let allocation = self.placed.swap_remove(at);
-            let endings = [Ending::Ended, Ending::Ended, Ending::Ended, Ending::Reset];
+            let endings = [
+                AttemptResult::Completed,
+                AttemptResult::Completed,
+                AttemptResult::Completed,
+                AttemptResult::Reset,
+            ];
             let ending = endings[self.any(endings.len())];
             self.returned(allocation, ending, true);
         }
     }
 
-    fn step(&mut self, longest: Tenths) {
+    fn step(&mut self, longest: Ticks) {
         self.now += match self.rng.random_range(0..200) {
             0 => self.rng.random_range(0..6 * SECOND),
             1..=60 => 0,
@@ -407,74 +427,75 @@
             70..=74 => {
                 let report = self.report(id);
                 let endings = [
-                    Ending::Ended,
-                    Ending::Ended,
-                    Ending::TimedOut,
-                    Ending::Error,
+                    AttemptResult::Completed,
+                    AttemptResult::Completed,
+                    AttemptResult::TimedOut,
+                    AttemptResult::Error,
                 ];
                 let ending = endings[self.any(endings.len())];
                 self.scheduler
-                    .probed(self.now, MachineId(id), ending, report);
+                    .record_health_check(self.now, MachineId(id), ending, report);
             }
             75..=78 => self.list(id),
-            79 if self.rng.random_bool(0.3) => self.scheduler.list_failed(self.now),
+            79 if self.rng.random_bool(0.3) => self.scheduler.endpoint_watch_failed(self.now),
             80 if self.rng.random_bool(0.3) => self.adopt(),
             81 => self.take_over(),
             82..=83 => {
                 let shot = self
                     .pending
                     .last()
-                    .and_then(|one| one.shots.last())
+                    .and_then(|one| one.attempts.last())
                     .cloned();
                 if let Some(shot) = shot {
-                    self.scheduler.left(self.now, shot.machine, shot.sent);
+                    self.scheduler
+                        .record_departure(self.now, shot.machine, shot.sent_at);
                 }
             }
             84 => {
                 let now = self.now;
-                self.waiting.pop_if(|one| now + SECOND < one.abandon);
+                self.waiting.pop_if(|one| now + SECOND < one.deadline);
             }
             _ => {}
         }
     }
 }
 
-fn tracks() -> Vec<Track> {
-    let plain = Track {
-        contract_time: 2 * SECOND,
-        calm: 0.9,
-        ..track(Repeat::Idempotent)
+fn tracks() -> Vec<ServiceClass> {
+    let plain = ServiceClass {
+        latency_objective: 2 * SECOND,
+        target_utilization: 0.9,
+        ..track(RetrySafety::Idempotent)
     };
-    let deduplicated = |within| Repeat::Deduplicated {
-        within,
+    let deduplicated = |within| RetrySafety::Deduplicated {
+        scope: within,
         window: 2 * SECOND,
     };
     vec![
         plain.clone(),
-        Track {
-            repeat: deduplicated(None),
+        ServiceClass {
+            retry_safety: deduplicated(None),
             priority: 1,
-            spread: Some((Place::Hall, 4)),
+            spread: Some((Domain::Zone, 4)),
             ..plain.clone()
         },
-        Track {
-            repeat: deduplicated(Some(Place::Cell)),
+        ServiceClass {
+            retry_safety: deduplicated(Some(Domain::Cell)),
             priority: 2,
-            spread: Some((Place::Cell, 3)),
+            spread: Some((Domain::Cell, 3)),
             ..plain.clone()
         },
-        Track {
-            repeat: deduplicated(Some(Place::Hall)),
-            calm: 0.7,
+        ServiceClass {
+            retry_safety: deduplicated(Some(Domain::Zone)),
+            target_utilization: 0.7,
             ..plain.clone()
         },
-        Track {
-            repeat: Repeat::Unrepeatable,
-            spread: Some((Place::Machine, 2)),
+        ServiceClass {
+            retry_safety: RetrySafety::NotRetryable,
+            spread: Some((Domain::Machine, 2)),
             ..plain.clone()
         },
-        Track {
-            kind: Some(KindId(1)),
+        ServiceClass {
+            machine_type: Some(MachineTypeId(1)),
             priority: 3,
             ..plain
         },
@@ -483,38 +504,40 @@
 
 /// What differs between clusters: what machines and the list tell, and how many share them.
 fn clusters() -> Vec<(&'static str, Cluster)> {
-    let account = |share_cores| Account { share_cores };
+    let account = |share_cores| Tenant {
+        quota_cores: share_cores,
+    };
     let alone = Cluster {
-        kinds: KINDS.to_vec(),
-        tracks: tracks(),
-        accounts: vec![account(None), account(Some(30.0)), account(Some(4.0))],
-        accepts: Amount {
+        machine_types: KINDS.to_vec(),
+        service_classes: tracks(),
+        tenants: vec![account(None), account(Some(30.0)), account(Some(4.0))],
+        admission_limit: Resources {
             cores: 2.0,
             memory: 1.3,
         },
-        shots: 4,
-        may_probe: true,
-        other_hall_price: 0.1,
-        ..host::cluster(track(Repeat::Idempotent))
+        max_attempts: 4,
+        health_checks: true,
+        cross_zone_cost: 0.1,
+        ..host::cluster(track(RetrySafety::Idempotent))
     };
     let listed = Cluster {
-        shows_room: true,
-        placed_runs: false,
+        list_reports_capacity: true,
+        placed_means_running: false,
         ..alone.clone()
     };
     let shared = Cluster {
-        number: 1,
-        schedulers: 3,
-        opens_within: 2_500,
-        tells_loss: false,
+        scheduler_index: 1,
+        scheduler_count: 3,
+        connect_timeout: 2_500,
+        reports_losses: false,
         ..alone.clone()
     };
     let pushed_out = Cluster {
-        makes_room: true,
-        may_probe: false,
-        ask_list: None,
-        other_hall_price: 0.0,
-        shots: 2,
+        preempts: true,
+        health_checks: false,
+        list_poll_interval: None,
+        cross_zone_cost: 0.0,
+        max_attempts: 2,
         ..listed.clone()
     };
     vec![
--- a/crates/scheduler/tests/host/mod.rs
+++ b/crates/scheduler/tests/host/mod.rs
@@ -3,75 +3,75 @@
 use corkspan_scheduler::interface::*;
 use corkspan_scheduler::rules::Scheduler;
 
-pub const SECOND: Tenths = 10_000;
-pub const SIZE: Amount = Amount {
+pub const SECOND: Ticks = 10_000;
+pub const SIZE: Resources = Resources {
     cores: 40.0,
     memory: 100.0,
 };
 
-pub fn track(repeat: Repeat) -> Track {
-    Track {
-        repeat,
-        contract_time: SECOND,
-        calm: 1.0,
+pub fn track(repeat: RetrySafety) -> ServiceClass {
+    ServiceClass {
+        retry_safety: repeat,
+        latency_objective: SECOND,
+        target_utilization: 1.0,
         priority: 0,
-        kind: None,
+        machine_type: None,
         spread: None,
     }
 }
 
-pub fn cluster(track: Track) -> Cluster {
+pub fn cluster(track: ServiceClass) -> Cluster {
     Cluster {
-        hall: HallId(0),
-        number: 0,
-        schedulers: 1,
-        kinds: vec![SIZE],
-        tracks: vec![track],
-        accounts: Vec::new(),
-        accepts: Amount {
+        zone: ZoneId(0),
+        scheduler_index: 0,
+        scheduler_count: 1,
+        machine_types: vec![SIZE],
+        service_classes: vec![track],
+        tenants: Vec::new(),
+        admission_limit: Resources {
             cores: 3.0,
             memory: 1.5,
         },
-        makes_room: false,
-        shots: 3,
-        placed_runs: true,
-        shows_room: false,
-        may_probe: false,
-        ask_list: Some(10 * SECOND),
-        cold: Cold {
-            lasts: 10 * SECOND,
+        preempts: false,
+        max_attempts: 3,
+        placed_means_running: true,
+        list_reports_capacity: false,
+        health_checks: false,
+        list_poll_interval: Some(10 * SECOND),
+        slow_start: SlowStart {
+            duration: 10 * SECOND,
             window: SECOND,
-            offers: 6.0,
+            max_offers: 6.0,
         },
-        opens_within: 0,
-        other_hall_price: 0.0,
-        tells_loss: true,
+        connect_timeout: 0,
+        cross_zone_cost: 0.0,
+        reports_losses: true,
     }
 }
 
-pub fn entry(id: u32) -> Entry {
-    Entry {
+pub fn entry(id: u32) -> Endpoint {
+    Endpoint {
         machine: MachineId(id),
-        kind: KindId(0),
-        hall: HallId(id as usize % 2),
+        machine_type: MachineTypeId(0),
+        zone: ZoneId(id as usize % 2),
         cell: CellId(u64::from(id / 2)),
-        state: State::Serving,
-        started: None,
-        unasked: None,
+        state: MachineState::Serving,
+        started_at: None,
+        unreserved: None,
     }
 }
 
 pub struct Host {
     pub scheduler: Scheduler,
-    pub now: Tenths,
+    pub now: Ticks,
     asked: u64,
 }
 
 impl Host {
     pub fn new(cluster: Cluster, seed: u64, machines: u32) -> Self {
         let mut scheduler = Scheduler::new(cluster, seed, 100 * SECOND);
-        let entries: Vec<Entry> = (0..machines).map(entry).collect();
-        scheduler.listed(Scope::Remembered, &entries);
+        let entries: Vec<Endpoint> = (0..machines).map(entry).collect();
+        scheduler.apply_endpoint_list(ListUpdate::Cached, &entries);
         Host {
             scheduler,
             now: 100 * SECOND,
@@ -84,22 +84,22 @@
         Allocation {
             id: AllocationId(self.asked),
             service: ServiceId(service),
-            track: TrackId(0),
-            account: AccountId(0),
-            asks: Amount { cores, memory },
-            taken: self.now,
-            abandon: self.now + 6 * SECOND,
-            shots: Vec::new(),
+            service_class: ServiceClassId(0),
+            tenant: TenantId(0),
+            requested: Resources { cores, memory },
+            accepted_at: self.now,
+            deadline: self.now + 6 * SECOND,
+            attempts: Vec::new(),
         }
     }
 
     pub fn place(&mut self, allocation: &mut Allocation) -> Placement {
         let placement = self.scheduler.place(self.now, allocation);
-        if let Placement::Send { machine, .. } = placement {
-            allocation.shots.push(Shot {
+        if let Placement::Dispatch { machine, .. } = placement {
+            allocation.attempts.push(Attempt {
                 machine,
-                sent: self.now,
-                fate: Fate::Pending,
+                sent_at: self.now,
+                state: AttemptState::Pending,
             });
         }
         placement
@@ -108,7 +108,7 @@
     /// Where a further allocation goes, or none.
     pub fn sent_to(&mut self, allocation: &mut Allocation) -> Option<u32> {
         match self.place(allocation) {
-            Placement::Send { machine, .. } => Some(machine.0),
+            Placement::Dispatch { machine, .. } => Some(machine.0),
             _ => None,
         }
     }
@@ -120,10 +120,10 @@
     }
 
     pub fn seated(&mut self, allocation: &Allocation) {
-        self.scheduler.after(
+        self.scheduler.on_outcome(
             self.now,
             allocation,
-            allocation.shots.len() - 1,
+            allocation.attempts.len() - 1,
             Outcome::Placed,
         );
     }
@@ -131,75 +131,80 @@
     pub fn returned(
         &mut self,
         allocation: &mut Allocation,
-        ending: Ending,
-        reason: Option<Reason>,
-    ) -> After {
-        let shot = allocation.shots.len() - 1;
+        ending: AttemptResult,
+        reason: Option<ReturnReason>,
+    ) -> NextStep {
+        let shot = allocation.attempts.len() - 1;
         let never = matches!(
             ending,
-            Ending::Refused | Ending::Unconnected | Ending::NotSent
+            AttemptResult::Rejected | AttemptResult::ConnectFailed | AttemptResult::NotSent
         );
-        allocation.shots[shot].fate = if never {
-            Fate::NeverRan
+        allocation.attempts[shot].state = if never {
+            AttemptState::NotExecuted
         } else {
-            Fate::MayHaveRun
+            AttemptState::PossiblyExecuted
         };
         let outcome = Outcome::Returned {
             ending,
             reason,
-            over: ending == Ending::Ended,
+            over: ending == AttemptResult::Completed,
             report: None,
         };
-        self.scheduler.after(self.now, allocation, shot, outcome)
+        self.scheduler
+            .on_outcome(self.now, allocation, shot, outcome)
     }
 
     /// An allocation of ours that runs on a machine since `ago`, using so much.
     pub fn runs(
         &mut self,
         service: u64,
-        asks: Amount,
-        uses: Amount,
+        asks: Resources,
+        uses: Resources,
         machine: u32,
-        ago: Tenths,
+        ago: Ticks,
     ) -> Allocation {
         let mut allocation = self.ask(service, asks.cores, asks.memory);
-        allocation.shots.push(Shot {
+        allocation.attempts.push(Attempt {
             machine: MachineId(machine),
-            sent: self.now,
-            fate: Fate::MayHaveRun,
+            sent_at: self.now,
+            state: AttemptState::PossiblyExecuted,
         });
         self.now -= ago;
         self.scheduler
-            .taken_over(self.now, &allocation, MachineId(machine));
+            .adopt_running(self.now, &allocation, MachineId(machine));
         self.now += ago;
         self.note(&allocation, uses);
         allocation
     }
 
-    pub fn note(&mut self, allocation: &Allocation, uses: Amount) {
+    pub fn note(&mut self, allocation: &Allocation, uses: Resources) {
         self.scheduler
-            .noted(self.now, allocation.id, Note::Cores(uses.cores));
+            .record_metric(self.now, allocation.id, Metric::Cores(uses.cores));
         self.scheduler
-            .noted(self.now, allocation.id, Note::Memory(uses.memory));
+            .record_metric(self.now, allocation.id, Metric::Memory(uses.memory));
     }
 
     /// A machine reports so much in use.
     pub fn reports(&mut self, machine: u32, cores: f64, memory: f64) {
-        let unused = SIZE - Amount { cores, memory };
-        let report = Report { unused };
-        self.scheduler
-            .probed(self.now, MachineId(machine), Ending::Ended, Some(report));
+        let unused = SIZE - Resources { cores, memory };
+        let report = LoadReport { available: unused };
+        self.scheduler.record_health_check(
+            self.now,
+            MachineId(machine),
+            AttemptResult::Completed,
+            Some(report),
+        );
     }
 
     /// The service comes to have records of this use by asked unit.
     pub fn has_records(&mut self, service: u64, share: f64) {
         for _ in 0..5 {
-            let asks = Amount {
+            let asks = Resources {
                 cores: 2.0,
                 memory: 4.0,
             };
             let mut ended = self.runs(service, asks, asks * share, 0, 30 * SECOND);
-            self.returned(&mut ended, Ending::Ended, None);
+            self.returned(&mut ended, AttemptResult::Completed, None);
         }
     }
 }
--- a/crates/scheduler/tests/waiting.rs
+++ b/crates/scheduler/tests/waiting.rs
@@ -16,11 +16,11 @@
 struct Both {
     leaves_out: Scheduler,
     looks: Scheduler,
-    now: Tenths,
+    now: Ticks,
     waiting: Vec<Allocation>,
     running: Vec<Allocation>,
     /// When the one that leaves out wants to be asked at the latest.
-    due: Tenths,
+    due: Ticks,
     /// Looks by the one and by the other, and what was placed for those that had waited.
     counts: [usize; 3],
 }
@@ -30,13 +30,13 @@
         let now = 100 * SECOND;
         let new = || {
             let mut scheduler = Scheduler::new(cluster.clone(), seed, now);
-            scheduler.listed(
-                Scope::Remembered,
+            scheduler.apply_endpoint_list(
+                ListUpdate::Cached,
                 &(0..machines).map(entry).collect::<Vec<_>>(),
             );
             scheduler
         };
-        let (leaves_out, looks) = (new(), new().always_looking());
+        let (leaves_out, looks) = (new(), new().evaluating_always());
         Both {
             leaves_out,
             looks,
@@ -64,15 +64,15 @@
     fn answered(&mut self, mut allocation: Allocation, answer: Placement) {
         match answer {
             // Asked for again at the moment at which it came it would count as one more.
-            Placement::NotYet => self.waiting.push(Allocation {
-                taken: 0,
+            Placement::Deferred => self.waiting.push(Allocation {
+                accepted_at: 0,
                 ..allocation
             }),
-            Placement::Send { machine, .. } => {
-                allocation.shots.push(Shot {
+            Placement::Dispatch { machine, .. } => {
+                allocation.attempts.push(Attempt {
                     machine,
-                    sent: self.now,
-                    fate: Fate::Pending,
+                    sent_at: self.now,
+                    state: AttemptState::Pending,
                 });
                 self.running.push(allocation);
             }
@@ -83,58 +83,64 @@
     fn returns(
         &mut self,
         index: usize,
-        ending: Ending,
-        reason: Option<Reason>,
-        report: Option<Report>,
+        ending: AttemptResult,
+        reason: Option<ReturnReason>,
+        report: Option<LoadReport>,
     ) {
         let mut allocation = self.running.swap_remove(index);
-        let (now, shot) = (self.now, allocation.shots.len() - 1);
-        let never = matches!(ending, Ending::Refused | Ending::Unconnected);
-        allocation.shots[shot].fate = if never {
-            Fate::NeverRan
+        let (now, shot) = (self.now, allocation.attempts.len() - 1);
+        let never = matches!(
+            ending,
+            AttemptResult::Rejected | AttemptResult::ConnectFailed
+        );
+        allocation.attempts[shot].state = if never {
+            AttemptState::NotExecuted
         } else {
-            Fate::MayHaveRun
+            AttemptState::PossiblyExecuted
         };
         let outcome = Outcome::Returned {
             ending,
             reason,
-            over: ending == Ending::Ended,
+            over: ending == AttemptResult::Completed,
             report,
         };
         let answers = [&mut self.leaves_out, &mut self.looks]
-            .map(|one| one.after(now, &allocation, shot, outcome));
+            .map(|one| one.on_outcome(now, &allocation, shot, outcome));
         assert_eq!(answers[0], answers[1]);
-        if answers[0] == After::PlaceAgain {
+        if answers[0] == NextStep::Retry {
             self.comes(allocation);
         }
     }
 
     /// Both are asked how long to wait. A look that the one leaves out must be in vain at the
     /// other.
-    fn rests(&mut self, nothing_said: bool) -> Wait {
-        let [one, other] = [&mut self.leaves_out, &mut self.looks].map(|one| one.wait(self.now));
+    fn rests(&mut self, nothing_said: bool) -> PollResult {
+        let [one, other] = [&mut self.leaves_out, &mut self.looks].map(|one| one.poll(self.now));
         assert!(
-            !one.ask_again || other.ask_again,
+            !one.retry_deferred || other.retry_deferred,
             "at {}: a look that is not due",
             self.now
         );
         assert!(
-            !(one.ask_again && nothing_said) || self.due <= self.now,
+            !(one.retry_deferred && nothing_said) || self.due <= self.now,
             "it would have slept"
         );
         assert_eq!(
-            (&one.probes, &one.moves, &one.lost),
-            (&other.probes, &other.moves, &other.lost)
+            (&one.health_checks, &one.migrations, &one.lost),
+            (&other.health_checks, &other.migrations, &other.lost)
         );
-        self.due = self.now + one.time;
-        if other.ask_again {
+        self.due = self.now + one.next_poll;
+        if other.retry_deferred {
             for allocation in std::mem::take(&mut self.waiting) {
-                let asked = one.ask_again && one.ends.is_none_or(|end| allocation.abandon <= end);
+                let asked = one.retry_deferred
+                    && one
+                        .deadlines_until
+                        .is_none_or(|end| allocation.deadline <= end);
                 let answer = self.looks.place(self.now, &allocation);
                 let mine = if asked {
                     self.leaves_out.place(self.now, &allocation)
                 } else {
-                    Placement::NotYet
+                    Placement::Deferred
                 };
                 assert_eq!(
                     mine, answer,
@@ -143,14 +149,14 @@
                 );
                 self.counts[0] += usize::from(asked);
                 self.counts[1] += 1;
-                self.counts[2] += usize::from(matches!(answer, Placement::Send { .. }));
+                self.counts[2] += usize::from(matches!(answer, Placement::Dispatch { .. }));
                 self.answered(allocation, answer);
             }
         }
-        if one.ends.is_some() && self.waiting.is_empty() {
-            self.leaves_out.none_waits();
+        if one.deadlines_until.is_some() && self.waiting.is_empty() {
+            self.leaves_out.no_deferred_left();
         }
-        if other.ask_again && one.ask_again {
+        if other.retry_deferred && one.retry_deferred {
             return self.rests(false);
         }
         other
@@ -167,17 +173,19 @@
         let most = if rng.random_bool(0.01) {
             3 * SECOND
         } else {
-            wait.time.max(1)
+            wait.next_poll.max(1)
         };
         // A clock that stands still, moves on, or has jumped.
         both.now += rng.random_range(0..=most);
         let id = rng.random_range(0..machines);
-        let share = |rng: &mut Pcg64Mcg| Amount {
+        let share = |rng: &mut Pcg64Mcg| Resources {
             cores: rng.random(),
             memory: rng.random(),
         };
         let unused = share(&mut rng) * SIZE * if rng.random_bool(0.7) { 0.2 } else { 0.8 };
-        let report = rng.random_bool(0.5).then_some(Report { unused });
+        let report = rng
+            .random_bool(0.5)
+            .then_some(LoadReport { available: unused });
         let (now, running) = (both.now, both.running.len());
         let event = if rng.random_bool(0.9) {
             99
@@ -190,37 +198,47 @@
                 let allocation = Allocation {
                     id: AllocationId(number),
                     service: ServiceId(rng.random_range(0..4)),
-                    track: TrackId(0),
-                    account: AccountId(rng.random_range(0..2)),
-                    asks: (share(&mut rng) + Amount::ONE * 0.05) * SIZE * large,
-                    taken: now,
-                    abandon: now + rng.random_range(50..8 * SECOND),
-                    shots: Vec::new(),
+                    service_class: ServiceClassId(0),
+                    tenant: TenantId(rng.random_range(0..2)),
+                    requested: (share(&mut rng) + Resources::ONE * 0.05) * SIZE * large,
+                    accepted_at: now,
+                    deadline: now + rng.random_range(50..8 * SECOND),
+                    attempts: Vec::new(),
                 };
-                let track = TrackId(allocation.service.0 as usize % cluster.tracks.len());
+                let track =
+                    ServiceClassId(allocation.service.0 as usize % cluster.service_classes.len());
                 both.comes(Allocation {
-                    track,
+                    service_class: track,
                     ..allocation
                 });
             }
-            3 => both
-                .tell(|one| one.probed(now, MachineId(id), Ending::Ended, Some(Report { unused }))),
-            4 if running > 0 => {
-                both.returns(rng.random_range(0..running), Ending::Ended, None, report)
-            }
+            3 => both.tell(|one| {
+                one.record_health_check(
+                    now,
+                    MachineId(id),
+                    AttemptResult::Completed,
+                    Some(LoadReport { available: unused }),
+                )
+            }),
+            4 if running > 0 => both.returns(
+                rng.random_range(0..running),
+                AttemptResult::Completed,
+                None,
+                report,
+            ),
             5 if running > 0 => {
                 let endings = [
-                    Ending::Refused,
-                    Ending::TimedOut,
-                    Ending::Error,
-                    Ending::Unconnected,
-                    Ending::Reset,
+                    AttemptResult::Rejected,
+                    AttemptResult::TimedOut,
+                    AttemptResult::Error,
+                    AttemptResult::ConnectFailed,
+                    AttemptResult::Reset,
                 ];
                 let reasons = [
                     None,
-                    Some(Reason::NoCores),
-                    Some(Reason::QueueFull),
-                    Some(Reason::Evicted),
+                    Some(ReturnReason::NoCores),
+                    Some(ReturnReason::QueueFull),
+                    Some(ReturnReason::Evicted),
                 ];
                 let ending = endings[rng.random_range(0..endings.len())];
                 let reason = reasons[rng.random_range(0..reasons.len())];
@@ -228,60 +246,68 @@
             }
             6..=8 if running > 0 => {
                 let allocation = both.running[rng.random_range(0..running)].clone();
-                let use_ = allocation.asks * rng.random_range(0.1..1.2);
+                let use_ = allocation.requested * rng.random_range(0.1..1.2);
                 let notes = [
-                    Note::Runs,
-                    Note::Cores(use_.cores),
-                    Note::Memory(use_.memory),
+                    Metric::Running,
+                    Metric::Cores(use_.cores),
+                    Metric::Memory(use_.memory),
                 ];
                 let note = notes[rng.random_range(0..notes.len())];
-                let shot = allocation.shots.len() - 1;
+                let shot = allocation.attempts.len() - 1;
                 both.tell(|one| {
-                    one.after(now, &allocation, shot, Outcome::Placed);
-                    one.noted(now, allocation.id, note);
+                    one.on_outcome(now, &allocation, shot, Outcome::Placed);
+                    one.record_metric(now, allocation.id, note);
                 });
             }
             9 => {
-                let states = [State::Serving, State::Serving, State::Draining, State::Gone];
+                let states = [
+                    MachineState::Serving,
+                    MachineState::Serving,
+                    MachineState::Draining,
+                    MachineState::Removed,
+                ];
                 let state = states[rng.random_range(0..states.len())];
                 if rng.random_bool(0.3) {
                     started[id as usize] = Some(now);
                 }
                 let unasked = rng.random_bool(0.7).then_some(unused);
-                let entry = Entry {
+                let entry = Endpoint {
                     state,
-                    started: started[id as usize],
-                    unasked,
+                    started_at: started[id as usize],
+                    unreserved: unasked,
                     ..entry(id)
                 };
                 let scope = if rng.random_bool(0.1) {
-                    Scope::Whole
+                    ListUpdate::Complete
                 } else {
-                    Scope::Changes
+                    ListUpdate::Incremental
                 };
-                both.tell(|one| one.listed(scope, &[entry]));
+                both.tell(|one| one.apply_endpoint_list(scope, &[entry]));
             }
             10 if rng.random_bool(0.2) => {
-                let accepts = Amount {
+                let accepts = Resources {
                     cores: rng.random_range(1.0..3.0),
                     memory: 1.5,
                 };
                 let cluster = Cluster {
-                    accepts,
+                    admission_limit: accepts,
                     ..cluster.clone()
                 };
-                both.tell(|one| one.adopt(now, cluster.clone()));
+                both.tell(|one| one.reconfigure(now, cluster.clone()));
             }
             11 if running > 0 => {
-                let last = both.running[running - 1].shots.last().cloned();
-                last.into_iter()
-                    .for_each(|shot| both.tell(|one| one.left(now, shot.machine, shot.sent)));
+                let last = both.running[running - 1].attempts.last().cloned();
+                last.into_iter().for_each(|shot| {
+                    both.tell(|one| one.record_departure(now, shot.machine, shot.sent_at))
+                });
             }
-            12 => both.tell(|one| one.probed(now, MachineId(id), Ending::TimedOut, None)),
+            12 => both.tell(|one| {
+                one.record_health_check(now, MachineId(id), AttemptResult::TimedOut, None)
+            }),
             13 if rng.random_bool(0.1) => {
                 // Its owner wants it no longer, and not in its last moment.
                 both.waiting
-                    .pop_if(|allocation| now + SECOND < allocation.abandon);
+                    .pop_if(|allocation| now + SECOND < allocation.deadline);
             }
             _ => {}
         }
@@ -290,29 +316,29 @@
     both.counts
 }
 
-fn tracks() -> Vec<Track> {
-    let plain = Track {
-        contract_time: 2 * SECOND,
-        calm: 0.9,
-        ..track(Repeat::Idempotent)
+fn tracks() -> Vec<ServiceClass> {
+    let plain = ServiceClass {
+        latency_objective: 2 * SECOND,
+        target_utilization: 0.9,
+        ..track(RetrySafety::Idempotent)
     };
-    let again = Repeat::Deduplicated {
-        within: Some(Place::Cell),
+    let again = RetrySafety::Deduplicated {
+        scope: Some(Domain::Cell),
         window: 5 * SECOND,
     };
-    let spread = Track {
-        spread: Some((Place::Hall, 2)),
-        repeat: again,
+    let spread = ServiceClass {
+        spread: Some((Domain::Zone, 2)),
+        retry_safety: again,
         ..plain.clone()
     };
     vec![
         plain.clone(),
-        Track {
+        ServiceClass {
             priority: 1,
             ..spread
         },
-        Track {
-            repeat: Repeat::Unrepeatable,
+        ServiceClass {
+            retry_safety: RetrySafety::NotRetryable,
             ..plain
         },
     ]
@@ -326,18 +352,18 @@
     makes_room: bool,
     schedulers: usize,
 ) {
-    let account = |share| Account {
-        share_cores: Some(share),
+    let account = |share| Tenant {
+        quota_cores: Some(share),
     };
     let cluster = Cluster {
-        schedulers,
-        tracks: tracks(),
-        accounts: vec![account(20.0), account(200.0)],
-        shows_room,
-        makes_room,
-        may_probe: true,
-        tells_loss: false,
-        ..cluster(track(Repeat::Idempotent))
+        scheduler_count: schedulers,
+        service_classes: tracks(),
+        tenants: vec![account(20.0), account(200.0)],
+        list_reports_capacity: shows_room,
+        preempts: makes_room,
+        health_checks: true,
+        reports_losses: false,
+        ..cluster(track(RetrySafety::Idempotent))
     };
     let mut all = [0; 3];
     for seed in 0..150 {
@@ -354,7 +380,7 @@
 /// changes that.
 #[test]
 fn one_that_waits_is_looked_at_again_when_starts_turn_out_to_be_short() {
-    let mut host = Host::new(cluster(track(Repeat::Idempotent)), 1, 1);
+    let mut host = Host::new(cluster(track(RetrySafety::Idempotent)), 1, 1);
     let sends = |host: &mut Host, services: &[u64]| -> Vec<Allocation> {
         let mut sent: Vec<_> = services
             .iter()
@@ -367,23 +393,26 @@
     // With and without the program in place.
     let long = sends(&mut host, &[1, 1]);
     host.now += 20 * SECOND;
-    long.iter()
-        .for_each(|allocation| host.scheduler.noted(host.now, allocation.id, Note::Runs));
+    long.iter().for_each(|allocation| {
+        host.scheduler
+            .record_metric(host.now, allocation.id, Metric::Running)
+    });
     let short = sends(&mut host, &[2, 2, 2, 4, 4, 4]);
     host.reports(0, 39.5, 10.0);
     host.now += SECOND / 4;
     let mut waits = host.ask(3, 0.5, 1.0);
-    assert_eq!(host.place(&mut waits), Placement::NotYet);
+    assert_eq!(host.place(&mut waits), Placement::Deferred);
     let step = |host: &mut Host| {
         host.now += SECOND / 20;
-        host.scheduler.wait(host.now).ask_again
+        host.scheduler.poll(host.now).retry_deferred
     };
     assert!(step(&mut host));
-    assert_eq!(host.place(&mut waits), Placement::NotYet);
+    assert_eq!(host.place(&mut waits), Placement::Deferred);
     assert!(!step(&mut host), "nothing has changed");
-    short
-        .iter()
-        .for_each(|allocation| host.scheduler.noted(host.now, allocation.id, Note::Runs));
+    short.iter().for_each(|allocation| {
+        host.scheduler
+            .record_metric(host.now, allocation.id, Metric::Running)
+    });
     assert!(step(&mut host));
     assert!(host.sent_to(&mut waits).is_some());
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -13,7 +13,7 @@
     pub zones: Vec<String>,
     pub skus: Vec<String>,
     #[serde(default)]
-    pub tenants: Vec<Tenant>,
+    pub tenants: Vec<TenantSettings>,
     discovery: String,
     family_info: Family,
     pub limits: Limits,
@@ -35,7 +35,8 @@
 }
 
 #[derive(Deserialize)]
-pub struct Tenant {
+#[serde(rename = "Tenant")]
+pub struct TenantSettings {
     #[serde(default)]
     pub name: String,
 }
@@ -89,7 +90,7 @@
 }
 
 /// Microseconds as whole tenths of a millisecond, never more than was given.
-pub fn tenths(us: u64) -> Tenths {
+pub fn tenths(us: u64) -> Ticks {
     us / 100
 }
 
@@ -106,44 +107,45 @@
             return Err("locality names none of zones".into());
         }
         Ok(Cluster {
-            hall: HallId(self.locality),
-            number: self.me,
-            schedulers: self.fleet_size,
-            kinds: std::iter::zip(&family.kind_cores, &family.kind_memory)
-                .map(|(&cores, &memory)| Amount { cores, memory })
+            zone: ZoneId(self.locality),
+            scheduler_index: self.me,
+            scheduler_count: self.fleet_size,
+            machine_types: std::iter::zip(&family.kind_cores, &family.kind_memory)
+                .map(|(&cores, &memory)| Resources { cores, memory })
                 .collect(),
-            tracks: (0..self.classes.len())
+            service_classes: (0..self.classes.len())
                 .map(|index| self.track(index))
                 .collect::<Result<_, _>>()?,
-            accounts: (0..self.tenants.len())
-                .map(|index| Account {
-                    share_cores: family.share_cores.get(index).copied(),
+            tenants: (0..self.tenants.len())
+                .map(|index| Tenant {
+                    quota_cores: family.share_cores.get(index).copied(),
                 })
                 .collect(),
-            accepts: Amount {
+            admission_limit: Resources {
                 cores: family.admit_cores,
                 memory: family.accepts_memory,
             },
-            makes_room: family.makes_room,
-            shots: self.limits.max_attempts,
-            placed_runs: family.ack == "running",
-            shows_room: family.view,
-            may_probe: self.limits.probes,
-            ask_list: (self.discovery == "on_request").then(|| tenths(self.rules.ask_every_us)),
-            cold: Cold {
-                lasts: tenths(self.rules.cold_us),
+            preempts: family.makes_room,
+            max_attempts: self.limits.max_attempts,
+            placed_means_running: family.ack == "running",
+            list_reports_capacity: family.view,
+            health_checks: self.limits.probes,
+            list_poll_interval: (self.discovery == "on_request")
+                .then(|| tenths(self.rules.ask_every_us)),
+            slow_start: SlowStart {
+                duration: tenths(self.rules.cold_us),
                 window: tenths(self.rules.fall_us),
-                offers: family.young_limit,
+                max_offers: family.young_limit,
             },
-            opens_within: self.opens_within(),
-            other_hall_price: self.penalties.cross_zone,
-            tells_loss: true,
+            connect_timeout: self.opens_within(),
+            cross_zone_cost: self.penalties.cross_zone,
+            reports_losses: true,
         })
     }
 
     /// So long a connection may take to come up. Where the settings don't say, no more than a
     /// quarter of what the most impatient owners wait: another try must still be worth it.
-    pub fn opens_within(&self) -> Tenths {
+    pub fn opens_within(&self) -> Ticks {
         let shortest = self
             .classes
             .iter()
@@ -158,7 +160,7 @@
     }
 
     /// The longest that owners wait for an answer; none where the settings don't say.
-    pub fn longest_deadline(&self) -> Option<Tenths> {
+    pub fn longest_deadline(&self) -> Option<Ticks> {
         self.classes
             .iter()
             .map(|class| class.deadline_us.map(tenths))
@@ -175,31 +177,31 @@
     }
 
     /// The most that any machine accepts in all.
-    pub fn largest(&self) -> Option<Amount> {
+    pub fn largest(&self) -> Option<Resources> {
         let family = &self.family_info;
         let kinds = std::iter::zip(&family.kind_cores, &family.kind_memory);
-        let sizes = kinds.map(|(&cores, &memory)| Amount { cores, memory });
-        let largest = sizes.reduce(|one, other| one.most(other))?;
+        let sizes = kinds.map(|(&cores, &memory)| Resources { cores, memory });
+        let largest = sizes.reduce(|one, other| one.max(other))?;
         Some(
             largest
-                * Amount {
+                * Resources {
                     cores: family.admit_cores,
                     memory: family.accepts_memory,
                 },
         )
     }
 
-    fn track(&self, index: usize) -> Result<Track, String> {
+    fn track(&self, index: usize) -> Result<ServiceClass, String> {
         let (class, family) = (&self.classes[index], &self.family_info);
         let lacks = |part: &str| format!("{part} has no entry for class {index}");
         let repeat = match class.effect.as_str() {
-            "pure" => Repeat::Idempotent,
-            "side_effect" => Repeat::Unrepeatable,
-            "token" => Repeat::Deduplicated {
-                within: match class.dedup_scope.as_deref() {
+            "pure" => RetrySafety::Idempotent,
+            "side_effect" => RetrySafety::NotRetryable,
+            "token" => RetrySafety::Deduplicated {
+                scope: match class.dedup_scope.as_deref() {
                     Some("all") => None,
-                    Some("zone") => Some(Place::Hall),
-                    Some("cell") => Some(Place::Cell),
+                    Some("zone") => Some(Domain::Zone),
+                    Some("cell") => Some(Domain::Cell),
                     other => {
                         return Err(format!("dedup-scope of class {index} can't be {other:?}"));
                     }
@@ -223,19 +225,19 @@
             .as_str()
         {
             "silent" => None,
-            "machine" => Some((Place::Machine, most)),
-            "cell" => Some((Place::Cell, most)),
-            "zone" => Some((Place::Hall, most)),
+            "machine" => Some((Domain::Machine, most)),
+            "cell" => Some((Domain::Cell, most)),
+            "zone" => Some((Domain::Zone, most)),
             other => return Err(format!("spread-by of class {index} can't be `{other}`")),
         };
         let kind = *family
             .needs_kind
             .get(index)
             .ok_or_else(|| lacks("needs-kind"))?;
-        Ok(Track {
-            repeat,
-            contract_time: tenths(class.on_time_us),
-            calm: *family
+        Ok(ServiceClass {
+            retry_safety: repeat,
+            latency_objective: tenths(class.on_time_us),
+            target_utilization: *family
                 .class_calm
                 .get(index)
                 .ok_or_else(|| lacks("class-calm"))?,
@@ -243,7 +245,7 @@
                 .priority_by_class
                 .get(index)
                 .ok_or_else(|| lacks("priority-by-class"))?,
-            kind: usize::try_from(kind).ok().map(KindId),
+            machine_type: usize::try_from(kind).ok().map(MachineTypeId),
             spread,
         })
     }
--- a/crates/settings/tests/recorded.rs
+++ b/crates/settings/tests/recorded.rs
@@ -1,7 +1,7 @@
 //! Settings recorded under `tests/data`: every keyword is read to the same content, and what can't
 //! be used is refused in the same words.
 
-use corkspan_scheduler::interface::{Amount, Cluster, Place, Repeat, Track};
+use corkspan_scheduler::interface::{Cluster, Domain, Resources, RetrySafety, ServiceClass};
 use corkspan_settings::Facts;
 use serde_json::Value;
 use std::fmt::Write;
@@ -14,66 +14,66 @@
     std::fs::read_to_string(&path).unwrap_or_else(|why| panic!("{}: {why}", path.display()))
 }
 
-fn place(place: Place) -> &'static str {
+fn place(place: Domain) -> &'static str {
     match place {
-        Place::Machine => "machine",
-        Place::Cell => "cell",
-        Place::Hall => "zone",
+        Domain::Machine => "machine",
+        Domain::Cell => "cell",
+        Domain::Zone => "zone",
     }
 }
 
-fn amount(amount: Amount) -> String {
+fn amount(amount: Resources) -> String {
     format!("{:?} cores {:?} memory", amount.cores, amount.memory)
 }
 
-fn track_content(track: &Track) -> String {
-    let repeat = match track.repeat {
-        Repeat::Idempotent => "idempotent".to_string(),
-        Repeat::Unrepeatable => "unrepeatable".to_string(),
-        Repeat::Deduplicated { within, window } => {
-            format!("deduplicated within {:?} for {window}", within.map(place))
+fn track_content(track: &ServiceClass) -> String {
+    let repeat = match track.retry_safety {
+        RetrySafety::Idempotent => "idempotent".to_string(),
+        RetrySafety::NotRetryable => "unrepeatable".to_string(),
+        RetrySafety::Deduplicated { scope, window } => {
+            format!("deduplicated within {:?} for {window}", scope.map(place))
         }
     };
     let spread = track.spread.map(|(by, most)| (place(by), most));
     format!(
         "{repeat} contract-time {} calm {:?} priority {} kind {:?} spread {spread:?}",
-        track.contract_time,
-        track.calm,
+        track.latency_objective,
+        track.target_utilization,
         track.priority,
-        track.kind.map(|kind| kind.0),
+        track.machine_type.map(|kind| kind.0),
     )
 }
 
 fn cluster_content(cluster: &Cluster) -> String {
     let mut text = String::new();
     let mut line = |name: &str, value: String| writeln!(text, "{name} {value}").expect("written");
-    line("hall", cluster.hall.0.to_string());
-    line("number", cluster.number.to_string());
-    line("schedulers", cluster.schedulers.to_string());
-    for kind in &cluster.kinds {
+    line("hall", cluster.zone.0.to_string());
+    line("number", cluster.scheduler_index.to_string());
+    line("schedulers", cluster.scheduler_count.to_string());
+    for kind in &cluster.machine_types {
         line("kind", amount(*kind));
     }
-    for track in &cluster.tracks {
+    for track in &cluster.service_classes {
         line("track", track_content(track));
     }
-    for account in &cluster.accounts {
-        line("account", format!("{:?}", account.share_cores));
+    for account in &cluster.tenants {
+        line("account", format!("{:?}", account.quota_cores));
     }
-    line("accepts", amount(cluster.accepts));
-    line("makes-room", cluster.makes_room.to_string());
-    line("shots", cluster.shots.to_string());
-    line("placed-runs", cluster.placed_runs.to_string());
-    line("shows-room", cluster.shows_room.to_string());
-    line("may-probe", cluster.may_probe.to_string());
-    line("ask-list", format!("{:?}", cluster.ask_list));
-    let cold = &cluster.cold;
+    line("accepts", amount(cluster.admission_limit));
+    line("makes-room", cluster.preempts.to_string());
+    line("shots", cluster.max_attempts.to_string());
+    line("placed-runs", cluster.placed_means_running.to_string());
+    line("shows-room", cluster.list_reports_capacity.to_string());
+    line("may-probe", cluster.health_checks.to_string());
+    line("ask-list", format!("{:?}", cluster.list_poll_interval));
+    let cold = &cluster.slow_start;
     line(
         "cold",
-        format!("{} {} {:?}", cold.lasts, cold.window, cold.offers),
+        format!("{} {} {:?}", cold.duration, cold.window, cold.max_offers),
     );
-    line("opens-within", cluster.opens_within.to_string());
-    line("other-hall", format!("{:?}", cluster.other_hall_price));
-    line("tells-loss", cluster.tells_loss.to_string());
+    line("opens-within", cluster.connect_timeout.to_string());
+    line("other-hall", format!("{:?}", cluster.cross_zone_cost));
+    line("tells-loss", cluster.reports_losses.to_string());
     text
 }
 
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -21,7 +21,7 @@
 }
 
 impl Wire<String> for Lines<'_> {
-    fn send(&mut self, name: &mut String, _: &Allocation, machine: MachineId, time_out: Tenths) {
+    fn send(&mut self, name: &mut String, _: &Allocation, machine: MachineId, time_out: Ticks) {
         let (node, us) = (machine.0, time_out * 100);
         let _ = writeln!(
             self.0,
@@ -49,19 +49,19 @@
         self.0.push_str("KEEP_INFORMED\ton=1\n");
     }
 
-    fn wake(&mut self, after: Tenths) {
+    fn wake(&mut self, after: Ticks) {
         let _ = writeln!(self.0, "SCHEDULE\tdelay-us={}\tkey-back=0", after * 100);
     }
 }
 
 impl Instance {
-    pub fn boot(now: Tenths, message: &Message) -> Result<Self, Fault> {
+    pub fn boot(now: Ticks, message: &Message) -> Result<Self, Fault> {
         let facts: Facts =
             serde_json::from_str(message.text("facts")?).map_err(|why| message.wrong(why))?;
         let cluster = facts.cluster().map_err(|why| message.wrong(why))?;
         // In the simulator what is sent has left.
         let cluster = Cluster {
-            opens_within: 0,
+            connect_timeout: 0,
             ..cluster
         };
         // The simulator itself turns away what is beyond its cap.
@@ -80,7 +80,7 @@
         &mut self,
         us: u64,
         message: &Message,
-        pools: &[Vec<Entry>],
+        pools: &[Vec<Endpoint>],
         out: &mut String,
     ) -> Result<(), Fault> {
         let now = tenths(us);
@@ -110,11 +110,11 @@
             "INTERIM" => {
                 let x = message.get_or("x", 0.0)?;
                 let note = match message.get::<u8>("kind")? {
-                    1 => Some(Note::Runs),
-                    2 => Some(Note::Cores(x)),
-                    3 => Some(Note::Memory(x)),
-                    4 => Some(Note::Served(x)),
-                    5 => Some(Note::MachineMemory(x)),
+                    1 => Some(Metric::Running),
+                    2 => Some(Metric::Cores(x)),
+                    3 => Some(Metric::Memory(x)),
+                    4 => Some(Metric::Served(x)),
+                    5 => Some(Metric::MachineMemory(x)),
                     _ => None,
                 };
                 if let (Some(id), Some(note)) = (self.find(message)?, note) {
@@ -142,21 +142,21 @@
     }
 
     /// After the events of a batch: what is to be set going, and the timer for the next look.
-    pub fn rest(&mut self, now: Tenths, out: &mut String) {
+    pub fn rest(&mut self, now: Ticks, out: &mut String) {
         self.host.rest(now, &mut Lines(out));
     }
 
-    fn returned(&mut self, now: Tenths, message: &Message, out: &mut String) -> Result<(), Fault> {
+    fn returned(&mut self, now: Ticks, message: &Message, out: &mut String) -> Result<(), Fault> {
         let shot: usize = message.get("leg")?;
         let ending = ending(message)?;
         let reason = match message.get_or("note", 0u8)? {
-            1 => Some(Reason::NoCores),
-            2 => Some(Reason::NoMemory),
-            3 => Some(Reason::QueueFull),
-            4 => Some(Reason::NotHere),
-            5 => Some(Reason::Evicted),
-            6 => Some(Reason::PushedOut),
-            7 => Some(Reason::SentAway),
+            1 => Some(ReturnReason::NoCores),
+            2 => Some(ReturnReason::NoMemory),
+            3 => Some(ReturnReason::QueueFull),
+            4 => Some(ReturnReason::Unfit),
+            5 => Some(ReturnReason::Evicted),
+            6 => Some(ReturnReason::Preempted),
+            7 => Some(ReturnReason::Migrated),
             _ => None,
         };
         let over = message.get_or("final", 0u8)? == 1;
@@ -180,13 +180,9 @@
     fn asked<'a>(&self, us: u64, message: &Message<'a>) -> Result<(&'a str, Asked), Fault> {
         let asked = Asked {
             service: service(message.text("owner-set")?),
-            track: TrackId(message.index("tier-class", None, self.facts.classes.len())?),
-            account: AccountId(message.index(
-                "tenant",
-                Some(0),
-                self.facts.tenants.len().max(1),
-            )?),
-            asks: Amount {
+            track: ServiceClassId(message.index("tier-class", None, self.facts.classes.len())?),
+            account: TenantId(message.index("tenant", Some(0), self.facts.tenants.len().max(1))?),
+            asks: Resources {
                 cores: message.amount("cores-asked")?,
                 memory: message.amount("mem")?,
             },
@@ -195,11 +191,16 @@
         Ok((message.text("request-id")?, asked))
     }
 
-    fn list(&mut self, now: Tenths, message: &Message, pools: &[Vec<Entry>]) -> Result<(), Fault> {
+    fn list(
+        &mut self,
+        now: Ticks,
+        message: &Message,
+        pools: &[Vec<Endpoint>],
+    ) -> Result<(), Fault> {
         let scope = match message.text("scope")? {
-            "delta" => Scope::Changes,
-            "full" => Scope::Whole,
-            "cached" => Scope::Remembered,
+            "delta" => ListUpdate::Incremental,
+            "full" => ListUpdate::Complete,
+            "cached" => ListUpdate::Cached,
             "failed" => {
                 self.host.list_failed(now);
                 return Ok(());
@@ -208,7 +209,9 @@
         };
         let entries = &pools[message.index("page", None, pools.len())?];
         for entry in entries {
-            if entry.kind.0 >= self.facts.skus.len() || entry.hall.0 >= self.facts.zones.len() {
+            if entry.machine_type.0 >= self.facts.skus.len()
+                || entry.zone.0 >= self.facts.zones.len()
+            {
                 return Err(message.wrong(format!(
                     "node {} has an unknown flavor or site",
                     entry.machine.0
@@ -220,22 +223,22 @@
     }
 }
 
-fn ending(message: &Message) -> Result<Ending, Fault> {
+fn ending(message: &Message) -> Result<AttemptResult, Fault> {
     Ok(match message.get::<u16>("disposition")? {
-        200 => Ending::Ended,
-        500 => Ending::Error,
-        503 => Ending::Refused,
-        504 => Ending::TimedOut,
-        502 => Ending::Unconnected,
-        598 => Ending::Reset,
-        499 => Ending::Cancelled,
-        410 => Ending::NotSent,
+        200 => AttemptResult::Completed,
+        500 => AttemptResult::Error,
+        503 => AttemptResult::Rejected,
+        504 => AttemptResult::TimedOut,
+        502 => AttemptResult::ConnectFailed,
+        598 => AttemptResult::Reset,
+        499 => AttemptResult::Cancelled,
+        410 => AttemptResult::NotSent,
         other => return Err(message.unreadable("disposition", &other.to_string())),
     })
 }
 
 /// The load report, where one is attached that tells both kinds of room.
-fn report(message: &Message) -> Result<Option<Report>, Fault> {
+fn report(message: &Message) -> Result<Option<LoadReport>, Fault> {
     let (mut cores, mut memory) = (None, None);
     for pair in message
         .get_or("metrics", String::new())?
@@ -252,7 +255,7 @@
             None => return Err(message.unreadable("metrics", pair)),
         }
     }
-    Ok(cores.zip(memory).map(|(cores, memory)| Report {
-        unused: Amount { cores, memory },
+    Ok(cores.zip(memory).map(|(cores, memory)| LoadReport {
+        available: Resources { cores, memory },
     }))
 }
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -59,7 +59,7 @@
     lines: &mut Lines,
     input: &mut impl BufRead,
     instances: &mut BTreeMap<String, Instance>,
-    pools: &mut [Vec<Entry>],
+    pools: &mut [Vec<Endpoint>],
     reply: &mut String,
 ) -> Result<(), Fault> {
     let mut selected: Option<String> = None;
@@ -123,25 +123,25 @@
     Ok(())
 }
 
-fn entry(message: &Message) -> Result<Entry, Fault> {
+fn entry(message: &Message) -> Result<Endpoint, Fault> {
     let started: u64 = message.get_or("start-time-us", 0)?;
     let room = (
         message.get_or("cores-free", f64::NAN)?,
         message.get_or("memory-free", f64::NAN)?,
     );
-    Ok(Entry {
+    Ok(Endpoint {
         machine: MachineId(message.get("node")?),
-        kind: KindId(message.get("flavor")?),
-        hall: HallId(message.get("site")?),
+        machine_type: MachineTypeId(message.get("flavor")?),
+        zone: ZoneId(message.get("site")?),
         cell: CellId(message.get_or("cell", 0)?),
         state: match message.text("availability")? {
-            "SERVING" => State::Serving,
-            "DRAINING" => State::Draining,
-            "DELETED" => State::Gone,
+            "SERVING" => MachineState::Serving,
+            "DRAINING" => MachineState::Draining,
+            "DELETED" => MachineState::Removed,
             other => return Err(message.unreadable("availability", other)),
         },
-        started: (started > 0).then(|| tenths(started)),
-        unasked: (room.0.is_finite() && room.1.is_finite()).then_some(Amount {
+        started_at: (started > 0).then(|| tenths(started)),
+        unreserved: (room.0.is_finite() && room.1.is_finite()).then_some(Resources {
             cores: room.0,
             memory: room.1,
         }),
