--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -35,7 +35,7 @@
 }
 
 #[derive(Deserialize)]
-#[serde(rename = "Tenant")]
+#[serde(expecting = "struct Tenant")]
 pub struct TenantSettings {
     #[serde(default)]
     pub name: String,
