--- a/crates/dispatcher/src/maintenance.rs
+++ b/crates/dispatcher/src/maintenance.rs
@@ -7,9 +7,11 @@
 use crate::outings;
 use corkspan_api::v1::door_ask::What as Do;
 use corkspan_api::v1::{self, keep_ask::Ask, maintain_ask::What, node_client::NodeClient};
-use corkspan_maintenance::look::{Own, Says, View, look};
-use corkspan_maintenance::order::bid;
-use corkspan_maintenance::{At, ClaimId, Course, Limits, Machine, Phase, Wish};
+use corkspan_maintenance::cost::estimate_cost;
+use corkspan_maintenance::reconcile::{MachineStatus, QuorumView, ReconcileContext, reconcile};
+use corkspan_maintenance::{
+    ClaimId, DisruptionLimits, LeasePhase, Machine, MachineDomains, MaintenanceRequest, RunState,
+};
 use corkspan_quorum::{in_force, majority, of_a_few};
 use corkspan_rpc::within;
 use corkspan_scheduler::interface::{MachineId, Ticks};
@@ -36,16 +38,17 @@
     while let Some(every) = desk.deployment().maintenance {
         if let Some(view) = view(&desk).await {
             let now = desk.clock.now();
-            for (machine, _, phase) in view.out() {
-                if matches!(phase, Phase::Closed) {
+            for (machine, _, phase) in view.unavailable() {
+                if matches!(phase, LeasePhase::Cordoned) {
                     desk.empty(MachineId(machine.0));
                 }
             }
-            let waiting = view
-                .outings
-                .iter()
-                .filter(|(_, known)| known.phase.is_none_or(|phase| phase == Phase::Asked));
-            let waiting: BTreeSet<ClaimId> = waiting.map(|(_, known)| known.outing.claim).collect();
+            let waiting = view.leases.iter().filter(|(_, known)| {
+                known
+                    .phase
+                    .is_none_or(|phase| phase == LeasePhase::Requested)
+            });
+            let waiting: BTreeSet<ClaimId> = waiting.map(|(_, known)| known.lease.claim).collect();
             first_seen.retain(|claim, _| waiting.contains(claim));
             for claim in waiting {
                 first_seen.entry(claim).or_insert(now);
@@ -55,7 +58,7 @@
                 .filter(|(_, at)| **at + LEFT_BEHIND <= now)
                 .map(|(claim, _)| *claim);
             let old: BTreeSet<ClaimId> = old.collect();
-            if let Some(wish) = view.wish.as_ref().filter(|_| bid_at <= now) {
+            if let Some(wish) = view.request.as_ref().filter(|_| bid_at <= now) {
                 bid_at = now + BID_EVERY;
                 bids(&desk, wish).await;
             }
@@ -68,7 +71,7 @@
 }
 
 /// What the keepers come to; none without a majority.
-async fn view(desk: &Arc<Desk>) -> Option<View> {
+async fn view(desk: &Arc<Desk>) -> Option<QuorumView> {
     let fleet = desk.deployment().cluster.scheduler_count as u32;
     let tell = v1::Tell {
         floor_only: true,
@@ -81,16 +84,16 @@
         .iter()
         .filter_map(|word| word.board.as_ref().map(outings::word))
         .collect();
-    View::of(&words, desk.deployment().keepers.len())
+    QuorumView::from_replies(&words, desk.deployment().keepers.len())
 }
 
-async fn bids(desk: &Arc<Desk>, wish: &Wish) {
+async fn bids(desk: &Arc<Desk>, wish: &MaintenanceRequest) {
     let held = desk
         .held()
         .into_iter()
         .filter(|(own, _)| wish.machines.contains_key(&Machine(own.0)));
     let costs = held
-        .map(|(own, (movable, once))| (own.0, bid(movable, once)))
+        .map(|(own, (movable, once))| (own.0, estimate_cost(movable, once)))
         .collect();
     let dispatcher = desk.deployment().cluster.scheduler_index as u32;
     ask_all(desk, Ask::Bids(v1::Bids { dispatcher, costs })).await;
@@ -100,7 +103,7 @@
 async fn says(
     desk: &Arc<Desk>,
     asks: BTreeMap<Machine, Option<ClaimId>>,
-) -> BTreeMap<Machine, Says> {
+) -> BTreeMap<Machine, MachineStatus> {
     let mut calls = Vec::new();
     for (machine, claim) in asks {
         let (claim, own) = (claim.unwrap_or(ClaimId(0)), Arc::clone(desk));
@@ -118,11 +121,11 @@
             let over = word.over.then_some(claim).into_iter().collect();
             says.insert(
                 machine,
-                Says {
-                    closed,
-                    over,
-                    runs: word.runs,
-                    since_ms: word.since_ms,
+                MachineStatus {
+                    cordoned_by: closed,
+                    finished: over,
+                    running: word.runs,
+                    unchanged_ms: word.since_ms,
                 },
             );
         }
@@ -155,29 +158,33 @@
         .flatten()
 }
 
-async fn act(desk: &Arc<Desk>, view: &View, old: &BTreeSet<ClaimId>, rng: &mut Pcg64Mcg) {
-    let says = says(desk, view.to_ask(CANDIDATES, |of| rng.random_range(0..of))).await;
+async fn act(desk: &Arc<Desk>, view: &QuorumView, old: &BTreeSet<ClaimId>, rng: &mut Pcg64Mcg) {
+    let says = says(
+        desk,
+        view.machines_to_poll(CANDIDATES, |of| rng.random_range(0..of)),
+    )
+    .await;
     let claim = ClaimId(rng.random_range(1..=u64::MAX));
     let lost = BTreeMap::new();
     let keepers = desk.deployment().keepers.len();
     // A roll needs its copies: while one goes on nothing further is taken.
     let gives_way = desk.with_rolls(|_, rolls| rolls.goes_on());
-    let own = Own {
-        keepers,
-        claim,
-        claims: true,
-        old,
-        lost: &lost,
-        gives_way,
+    let own = ReconcileContext {
+        members: keepers,
+        next_claim: claim,
+        may_claim: true,
+        expired: old,
+        unreachable: &lost,
+        hold_claims: gives_way,
     };
-    let next = look(view, &says, &own);
+    let next = reconcile(view, &says, &own);
     // Machines first: what keepers are told in this look does not depend on what they answer.
     for (machine, claim, what) in next
-        .close
+        .cordon
         .iter()
         .map(|(machine, claim)| (*machine, *claim, Do::Close))
         .chain(
-            next.open
+            next.uncordon
                 .iter()
                 .map(|(machine, claim)| (*machine, *claim, Do::Open)),
         )
@@ -230,18 +237,18 @@
         "turned down: another wish stands, or no majority has taken it"
     };
     let after = self::view(desk).await.unwrap_or(view);
-    let says = says(desk, after.to_ask(0, |_| 0)).await;
-    let phase = |(machine, claim, phase): (Machine, ClaimId, Phase)| {
+    let says = says(desk, after.machines_to_poll(0, |_| 0)).await;
+    let phase = |(machine, claim, phase): (Machine, ClaimId, LeasePhase)| {
         let known = after
-            .outings
+            .leases
             .iter()
-            .find(|(own, known)| *own == machine && known.outing.claim == claim);
-        known.map(|(_, known)| outings::outing(machine, &known.outing, phase))
+            .find(|(own, known)| *own == machine && known.lease.claim == claim);
+        known.map(|(_, known)| outings::outing(machine, &known.lease, phase))
     };
-    use corkspan_maintenance::board::End;
+    use corkspan_maintenance::lease_table::LeaseOutcome;
     let ended = |end| {
         after
-            .ended
+            .outcomes
             .iter()
             .filter(move |(_, own)| **own == end)
             .map(|(machine, _)| machine.0)
@@ -249,12 +256,12 @@
     Ok(v1::MaintainWord {
         taken,
         text: text.into(),
-        stands: after.wish.as_ref().map(outings::work),
-        out: after.out().filter_map(phase).collect(),
-        worked: ended(End::Worked).collect(),
-        skipped: ended(End::Skipped).collect(),
+        stands: after.request.as_ref().map(outings::work),
+        out: after.unavailable().filter_map(phase).collect(),
+        worked: ended(LeaseOutcome::Completed).collect(),
+        skipped: ended(LeaseOutcome::Skipped).collect(),
         in_work: after
-            .in_work(&says)
+            .drained(&says)
             .into_iter()
             .map(|(machine, _)| machine.0)
             .collect(),
@@ -262,9 +269,9 @@
 }
 
 /// The worker's word on each machine named.
-async fn done(desk: &Arc<Desk>, view: &View, ask: &v1::MaintainAsk) -> Result<bool, Status> {
-    let says = says(desk, view.to_ask(0, |_| 0)).await;
-    let in_work: BTreeMap<Machine, ClaimId> = view.in_work(&says).into_iter().collect();
+async fn done(desk: &Arc<Desk>, view: &QuorumView, ask: &v1::MaintainAsk) -> Result<bool, Status> {
+    let says = says(desk, view.machines_to_poll(0, |_| 0)).await;
+    let in_work: BTreeMap<Machine, ClaimId> = view.drained(&says).into_iter().collect();
     for node in &ask.nodes {
         let machine = Machine(*node);
         let Some(claim) = in_work.get(&machine) else {
@@ -290,47 +297,51 @@
     Ok(true)
 }
 
-async fn propose(desk: &Arc<Desk>, view: &View, ask: v1::MaintainAsk) -> Result<bool, Status> {
+async fn propose(
+    desk: &Arc<Desk>,
+    view: &QuorumView,
+    ask: v1::MaintainAsk,
+) -> Result<bool, Status> {
     let asker = desk.clock.now().rotate_left(24) ^ desk.fleet.life;
-    let number = view.highest.saturating_add(1);
-    let wish = match (ask.what(), &view.wish) {
+    let number = view.highest_revision.saturating_add(1);
+    let wish = match (ask.what(), &view.request) {
         (What::Start, _) => start(desk, view, ask, number, asker)?,
         (_, None) => return Err(Status::not_found("there is no work under way")),
-        (What::Pause, Some(wish)) => Wish {
-            number,
-            asker,
-            course: Course::Paused,
+        (What::Pause, Some(wish)) => MaintenanceRequest {
+            revision: number,
+            proposer: asker,
+            run_state: RunState::Paused,
             ..wish.clone()
         },
-        (What::Resume, Some(wish)) => Wish {
-            number,
-            asker,
-            course: Course::Going,
+        (What::Resume, Some(wish)) => MaintenanceRequest {
+            revision: number,
+            proposer: asker,
+            run_state: RunState::Running,
             ..wish.clone()
         },
-        (_, Some(wish)) => Wish {
-            number,
-            asker,
-            course: Course::Aborted,
+        (_, Some(wish)) => MaintenanceRequest {
+            revision: number,
+            proposer: asker,
+            run_state: RunState::Aborted,
             ..wish.clone()
         },
     };
     let words = ask_all(desk, Ask::Work(outings::work(&wish))).await;
-    let stands: Vec<Wish> = words
+    let stands: Vec<MaintenanceRequest> = words
         .iter()
         .filter_map(|word| outings::wish(word.board.as_ref()?.work.as_ref()?))
         .collect();
-    info!(number, course = ?wish.course, machines = wish.machines.len(), "a wish for work on machines");
+    info!(number, course = ?wish.run_state, machines = wish.machines.len(), "a wish for work on machines");
     Ok(in_force(&stands, desk.deployment().keepers.len()) == Some(&wish))
 }
 
 fn start(
     desk: &Arc<Desk>,
-    view: &View,
+    view: &QuorumView,
     ask: v1::MaintainAsk,
     number: u64,
     asker: u64,
-) -> Result<Wish, Status> {
+) -> Result<MaintenanceRequest, Status> {
     let wrong = |why: String| Status::invalid_argument(why);
     let [all, hall, cell, kind] = ask.limits[..] else {
         return Err(wrong("limits: four are wanted".into()));
@@ -341,18 +352,18 @@
         let entry = entries.get(&MachineId(*node));
         let entry =
             entry.ok_or_else(|| wrong(format!("machine {node} is not in the roster's list")))?;
-        let at = At {
-            hall: entry.zone.0 as u32,
+        let at = MachineDomains {
+            zone: entry.zone.0 as u32,
             cell: entry.cell.0,
-            kind: entry.machine_type.0 as u32,
+            machine_type: entry.machine_type.0 as u32,
         };
         machines.insert(Machine(*node), at);
     }
-    let limits = Limits {
-        all,
-        hall,
+    let limits = DisruptionLimits {
+        total: all,
+        zone: hall,
         cell,
-        kind,
+        machine_type: kind,
     };
     let keepers: Vec<Machine> = desk
         .deployment()
@@ -360,20 +371,20 @@
         .iter()
         .map(|own| Machine(own.0))
         .collect();
-    let begun = view.may_begin(&machines, &limits, &keepers);
+    let begun = view.check_start(&machines, &limits, &keepers);
     begun.map_err(|why| Status::failed_precondition(why.to_string()))?;
     let (warm_ms, empty_within_ms) = (ask.warm_ms, ask.empty_within_ms);
     let then = outings::then(ask.then());
     let job = asker;
-    Ok(Wish {
-        number,
-        asker,
+    Ok(MaintenanceRequest {
+        revision: number,
+        proposer: asker,
         job,
         machines,
         limits,
-        warm_ms,
-        empty_within_ms,
-        then,
-        course: Course::Going,
+        warm_up_ms: warm_ms,
+        drain_timeout_ms: empty_within_ms,
+        on_drain_timeout: then,
+        run_state: RunState::Running,
     })
 }
--- a/crates/dispatcher/src/outings.rs
+++ b/crates/dispatcher/src/outings.rs
@@ -1,60 +1,61 @@
 //! Words on machines taken out for work, between messages and what decides.
 
 use corkspan_api::v1::{self, work_step::Step};
-use corkspan_maintenance::board::{Board, Claimed, End};
-use corkspan_maintenance::look::{Look, Release, Word};
+use corkspan_maintenance::lease_table::{ClaimOutcome, LeaseOutcome, LeaseTable};
+use corkspan_maintenance::reconcile::{Actions, MemberReply, Release};
 use corkspan_maintenance::{
-    At, ClaimId, Course, Limits, Machine, Outing, Phase, Slots, Then, Wish,
+    ClaimId, DisruptionLimits, DrainTimeoutAction, LeasePhase, Machine, MachineDomains,
+    MaintenanceLease, MaintenanceRequest, RunState, Slots,
 };
 use std::collections::BTreeMap;
 
-fn phase(step: Step) -> Option<Phase> {
+fn phase(step: Step) -> Option<LeasePhase> {
     Some(match step {
-        Step::None => Phase::Asked,
-        Step::Held => Phase::Held,
-        Step::Closed => Phase::Closed,
-        Step::Handed => Phase::Handed,
-        Step::Done => Phase::Done,
-        Step::Returned => Phase::Returned,
+        Step::None => LeasePhase::Requested,
+        Step::Held => LeasePhase::Granted,
+        Step::Closed => LeasePhase::Cordoned,
+        Step::Handed => LeasePhase::Drained,
+        Step::Done => LeasePhase::Completed,
+        Step::Returned => LeasePhase::Cancelled,
         Step::Withdrawn | Step::Released => return None,
     })
 }
 
-fn step(phase: Phase) -> Step {
+fn step(phase: LeasePhase) -> Step {
     match phase {
-        Phase::Asked => Step::None,
-        Phase::Held => Step::Held,
-        Phase::Closed => Step::Closed,
-        Phase::Handed => Step::Handed,
-        Phase::Done => Step::Done,
-        Phase::Returned => Step::Returned,
+        LeasePhase::Requested => Step::None,
+        LeasePhase::Granted => Step::Held,
+        LeasePhase::Cordoned => Step::Closed,
+        LeasePhase::Drained => Step::Handed,
+        LeasePhase::Completed => Step::Done,
+        LeasePhase::Cancelled => Step::Returned,
     }
 }
 
-fn place(machine: Machine, at: At) -> v1::WorkMachine {
+fn place(machine: Machine, at: MachineDomains) -> v1::WorkMachine {
     v1::WorkMachine {
         node: machine.0,
-        hall: at.hall,
+        hall: at.zone,
         cell: at.cell,
-        kind: at.kind,
+        kind: at.machine_type,
     }
 }
 
-fn placed(own: &v1::WorkMachine) -> (Machine, At) {
+fn placed(own: &v1::WorkMachine) -> (Machine, MachineDomains) {
     (
         Machine(own.node),
-        At {
-            hall: own.hall,
+        MachineDomains {
+            zone: own.hall,
             cell: own.cell,
-            kind: own.kind,
+            machine_type: own.kind,
         },
     )
 }
 
-pub fn work(wish: &Wish) -> v1::Work {
+pub fn work(wish: &MaintenanceRequest) -> v1::Work {
     v1::Work {
-        number: wish.number,
-        asker: wish.asker,
+        number: wish.revision,
+        asker: wish.proposer,
         job: wish.job,
         machines: wish
             .machines
@@ -62,61 +63,61 @@
             .map(|(machine, at)| place(*machine, *at))
             .collect(),
         limits: wish.limits.each().to_vec(),
-        warm_ms: wish.warm_ms,
-        empty_within_ms: wish.empty_within_ms,
-        then: match wish.then {
-            Then::Wait => v1::work::Then::Wait,
-            Then::Skip => v1::work::Then::Skip,
-            Then::Stop => v1::work::Then::Stop,
+        warm_ms: wish.warm_up_ms,
+        empty_within_ms: wish.drain_timeout_ms,
+        then: match wish.on_drain_timeout {
+            DrainTimeoutAction::Wait => v1::work::Then::Wait,
+            DrainTimeoutAction::Skip => v1::work::Then::Skip,
+            DrainTimeoutAction::Stop => v1::work::Then::Stop,
         }
         .into(),
-        course: match wish.course {
-            Course::Going => v1::work::Course::Going,
-            Course::Paused => v1::work::Course::Paused,
-            Course::Aborted => v1::work::Course::Aborted,
+        course: match wish.run_state {
+            RunState::Running => v1::work::Course::Going,
+            RunState::Paused => v1::work::Course::Paused,
+            RunState::Aborted => v1::work::Course::Aborted,
         }
         .into(),
     }
 }
 
 /// None where its limits are not four.
-pub fn wish(work: &v1::Work) -> Option<Wish> {
+pub fn wish(work: &v1::Work) -> Option<MaintenanceRequest> {
     let [all, hall, cell, kind] = work.limits[..] else {
         return None;
     };
-    Some(Wish {
-        number: work.number,
-        asker: work.asker,
+    Some(MaintenanceRequest {
+        revision: work.number,
+        proposer: work.asker,
         job: work.job,
         machines: work.machines.iter().map(placed).collect(),
-        limits: Limits {
-            all,
-            hall,
+        limits: DisruptionLimits {
+            total: all,
+            zone: hall,
             cell,
-            kind,
+            machine_type: kind,
         },
-        warm_ms: work.warm_ms,
-        empty_within_ms: work.empty_within_ms,
-        then: then(work.then()),
-        course: match work.course() {
-            v1::work::Course::Going => Course::Going,
-            v1::work::Course::Paused => Course::Paused,
-            v1::work::Course::Aborted => Course::Aborted,
+        warm_up_ms: work.warm_ms,
+        drain_timeout_ms: work.empty_within_ms,
+        on_drain_timeout: then(work.then()),
+        run_state: match work.course() {
+            v1::work::Course::Going => RunState::Running,
+            v1::work::Course::Paused => RunState::Paused,
+            v1::work::Course::Aborted => RunState::Aborted,
         },
     })
 }
 
-pub fn then(then: v1::work::Then) -> Then {
+pub fn then(then: v1::work::Then) -> DrainTimeoutAction {
     match then {
-        v1::work::Then::Wait => Then::Wait,
-        v1::work::Then::Skip => Then::Skip,
-        v1::work::Then::Stop => Then::Stop,
+        v1::work::Then::Wait => DrainTimeoutAction::Wait,
+        v1::work::Then::Skip => DrainTimeoutAction::Skip,
+        v1::work::Then::Stop => DrainTimeoutAction::Stop,
     }
 }
 
-pub fn outing(machine: Machine, outing: &Outing, told: Phase) -> v1::Outing {
+pub fn outing(machine: Machine, outing: &MaintenanceLease, told: LeasePhase) -> v1::Outing {
     v1::Outing {
-        machine: Some(place(machine, outing.at)),
+        machine: Some(place(machine, outing.domains)),
         claim: outing.claim.0,
         job: outing.job,
         slots: outing.slots.to_vec(),
@@ -125,10 +126,10 @@
 }
 
 /// All that a keeper keeps, for a fleet of so many.
-pub fn board(board: &Board, fleet: u32) -> v1::Board {
+pub fn board(board: &LeaseTable, fleet: u32) -> v1::Board {
     let ended = |which| {
         board
-            .ended()
+            .outcomes()
             .filter(move |(_, end)| *end == which)
             .map(|(machine, _)| machine.0)
     };
@@ -139,37 +140,37 @@
             .map(|(claim, _)| claim.0)
     };
     let costs = board
-        .bids(fleet)
+        .total_costs(fleet)
         .into_iter()
         .map(|(machine, cost)| (machine.0, cost));
     v1::Board {
-        work: board.wish().map(work),
+        work: board.request().map(work),
         outings: board
-            .outings()
+            .leases()
             .iter()
             .map(|(own, out)| outing(*own, out, out.phase))
             .collect(),
-        worked: ended(End::Worked).collect(),
-        skipped: ended(End::Skipped).collect(),
+        worked: ended(LeaseOutcome::Completed).collect(),
+        skipped: ended(LeaseOutcome::Skipped).collect(),
         withdrawn: board.withdrawn().map(|claim| claim.0).collect(),
-        handed: votes(Phase::Handed).collect(),
-        returned: votes(Phase::Returned).collect(),
+        handed: votes(LeasePhase::Drained).collect(),
+        returned: votes(LeasePhase::Cancelled).collect(),
         costs: costs.collect(),
     }
 }
 
 /// What a keeper told. What can't be read of it is left out.
-pub fn word(told: &v1::Board) -> Word {
+pub fn word(told: &v1::Board) -> MemberReply {
     let outing = |own: &v1::Outing| {
         let (machine, at) = placed(own.machine.as_ref()?);
         let slots = Slots::try_from(own.slots.clone()).ok()?;
         let phase = phase(own.phase())?;
         Some((
             machine,
-            Outing {
+            MaintenanceLease {
                 claim: ClaimId(own.claim),
                 job: own.job,
-                at,
+                domains: at,
                 slots,
                 phase,
             },
@@ -188,19 +189,19 @@
             .collect::<Vec<_>>()
     };
     let cost = |(node, cost): (&u32, &f64)| cost.is_finite().then_some((Machine(*node), *cost));
-    Word {
-        wish: told.work.as_ref().and_then(wish),
-        outings: told.outings.iter().filter_map(outing).collect(),
-        ended: ended(&told.worked, End::Worked)
+    MemberReply {
+        request: told.work.as_ref().and_then(wish),
+        leases: told.outings.iter().filter_map(outing).collect(),
+        outcomes: ended(&told.worked, LeaseOutcome::Completed)
             .into_iter()
-            .chain(ended(&told.skipped, End::Skipped))
+            .chain(ended(&told.skipped, LeaseOutcome::Skipped))
             .collect(),
         withdrawn: told.withdrawn.iter().map(|claim| ClaimId(*claim)).collect(),
-        votes: votes(&told.handed, Phase::Handed)
+        votes: votes(&told.handed, LeasePhase::Drained)
             .into_iter()
-            .chain(votes(&told.returned, Phase::Returned))
+            .chain(votes(&told.returned, LeasePhase::Cancelled))
             .collect(),
-        bids: told
+        costs: told
             .costs
             .iter()
             .filter_map(cost)
@@ -209,7 +210,7 @@
 }
 
 /// The steps that keepers are to be told.
-pub fn steps(look: &Look) -> Vec<v1::WorkStep> {
+pub fn steps(look: &Actions) -> Vec<v1::WorkStep> {
     let plain = |machine: Machine, claim: ClaimId, step: Step| v1::WorkStep {
         node: machine.0,
         claim: claim.0,
@@ -228,11 +229,11 @@
         |Release {
              machine,
              claim,
-             ended,
+             outcome,
          }| v1::WorkStep {
-            job: ended.map_or(0, |(job, _)| job),
-            worked: ended.is_some_and(|(_, end)| end == End::Worked),
-            skipped: ended.is_some_and(|(_, end)| end == End::Skipped),
+            job: outcome.map_or(0, |(job, _)| job),
+            worked: outcome.is_some_and(|(_, end)| end == LeaseOutcome::Completed),
+            skipped: outcome.is_some_and(|(_, end)| end == LeaseOutcome::Skipped),
             ..plain(*machine, *claim, Step::Released)
         },
     );
@@ -240,11 +241,11 @@
 }
 
 /// A step arrives at a keeper.
-pub fn arrives(board: &mut Board, told: &v1::WorkStep) {
+pub fn arrives(board: &mut LeaseTable, told: &v1::WorkStep) {
     let (machine, claim) = (Machine(told.node), ClaimId(told.claim));
     let end = match (told.worked, told.skipped) {
-        (true, _) => Some(End::Worked),
-        (false, true) => Some(End::Skipped),
+        (true, _) => Some(LeaseOutcome::Completed),
+        (false, true) => Some(LeaseOutcome::Skipped),
         (false, false) => None,
     };
     match (told.step(), phase(told.step())) {
@@ -256,7 +257,7 @@
 }
 
 /// A claim arrives at a keeper; whether it is granted.
-pub fn claimed(board: &mut Board, told: &v1::WorkClaim) -> bool {
+pub fn claimed(board: &mut LeaseTable, told: &v1::WorkClaim) -> bool {
     let Ok(slots) = Slots::try_from(told.slots.clone()) else {
         return false;
     };
@@ -265,5 +266,5 @@
         return false;
     }
     let claim = board.claim(told.number, Machine(told.node), ClaimId(told.claim), slots);
-    claim == Claimed::Granted
+    claim == ClaimOutcome::Granted
 }
--- a/crates/lab/src/node.rs
+++ b/crates/lab/src/node.rs
@@ -8,8 +8,8 @@
 use corkspan_api::v1::{self, node_server::NodeServer, said::Said, turned::Why};
 use corkspan_config_sync::Shelf;
 use corkspan_dispatcher::{control, fleet, outings};
-use corkspan_maintenance::board::Board;
-use corkspan_maintenance::door::Door;
+use corkspan_maintenance::cordon::Cordon;
+use corkspan_maintenance::lease_table::LeaseTable;
 use corkspan_maintenance::{ClaimId, Machine};
 use corkspan_rollout::{Claimed, Grant, Keeper};
 use corkspan_rpc::{Bounds, Tasks};
@@ -145,9 +145,9 @@
     floors: Mutex<corkspan_quorum::Keeper<Floor>>,
     rows: Mutex<Rows>,
     shelf: Mutex<Shelf>,
-    board: Mutex<Board>,
+    board: Mutex<LeaseTable>,
     /// With since when it is as it is.
-    door: Mutex<(Door, Instant)>,
+    door: Mutex<(Cordon, Instant)>,
     fence: Mutex<Fence>,
     /// On its disk too.
     acts: Mutex<Acts>,
@@ -170,7 +170,7 @@
             rows: Mutex::default(),
             shelf: Mutex::default(),
             board: Mutex::default(),
-            door: Mutex::new((Door::default(), Instant::now())),
+            door: Mutex::new((Cordon::default(), Instant::now())),
             fence: Mutex::new(Fence::start(Disk::Whole(None))),
             acts: Mutex::default(),
         })
@@ -418,7 +418,7 @@
         self.lock().guests.len()
     }
 
-    fn door(&self) -> MutexGuard<'_, (Door, Instant)> {
+    fn door(&self) -> MutexGuard<'_, (Cordon, Instant)> {
         self.door.lock().expect("no one panics while it is held")
     }
 
@@ -627,7 +627,7 @@
     }
 
     fn fits(&self, state: &mut State, shot: &v1::Shot) -> Result<(), Why> {
-        let closed = self.door().0.closed().is_some();
+        let closed = self.door().0.active().is_some();
         if closed || state.draining || state.guests.contains_key(&shot.placing) {
             return Err(Why::NotHere);
         }
@@ -1004,7 +1004,7 @@
                     .iter()
                     .map(|(node, cost)| (Machine(*node), *cost));
                 let mut board = self.0.board.lock().expect("no one panics while it is held");
-                board.bid(bids.dispatcher, costs);
+                board.record_cost_estimates(bids.dispatcher, costs);
             }
             Some(Ask::Lay(push)) => {
                 let push =
@@ -1073,11 +1073,11 @@
         let claim = ClaimId(ask.claim);
         let mut state = self.0.lock();
         let mut door = self.0.door();
-        let before = door.0.closed();
+        let before = door.0.active();
         match ask.what() {
             v1::door_ask::What::Look => {}
-            v1::door_ask::What::Close => drop(door.0.close(claim)),
-            v1::door_ask::What::Open => door.0.open(claim),
+            v1::door_ask::What::Close => drop(door.0.cordon(claim)),
+            v1::door_ask::What::Open => door.0.uncordon(claim),
             v1::door_ask::What::Stop if before == Some(claim) => {
                 let guests: Vec<String> = state.guests.keys().cloned().collect();
                 guests
@@ -1086,7 +1086,7 @@
             }
             v1::door_ask::What::Stop => {}
         }
-        let closed = door.0.closed();
+        let closed = door.0.active();
         if before != closed {
             door.1 = Instant::now();
             self.0.world.capture.see(Seen::Door {
@@ -1097,7 +1097,7 @@
         // One that waits to be looked at may still be taken.
         let runs = (state.guests.len() + state.waiting) as u32;
         let since_ms = door.1.elapsed().as_millis() as u64;
-        let (closed, over) = (closed.map_or(0, |claim| claim.0), door.0.is_over(claim));
+        let (closed, over) = (closed.map_or(0, |claim| claim.0), door.0.is_finished(claim));
         Ok(Response::new(v1::DoorWord {
             closed,
             over,
--- a/crates/maintenance/src/lib.rs
+++ b/crates/maintenance/src/lib.rs
@@ -1,16 +1,16 @@
 //! What taking machines out for work decides, without I/O and without a clock. docs/maintenance.md
 //! says why it is so.
 //!
-//! An operator's [`Wish`] names machines and limits; a majority of the keepers holds it. A machine
-//! is out by an [`Outing`] at a majority, which holds numbered slots under each limit; nobody leads
+//! An operator's [`MaintenanceRequest`] names machines and limits; a majority of the keepers holds it. A machine
+//! is out by an [`MaintenanceLease`] at a majority, which holds numbered slots under each limit; nobody leads
 //! and nobody owns an outing: whoever sees what a majority tells may take the next step
-//! ([`look::look`]), and each step may come late, doubled or never. The fence is at the machine, in
-//! its [`door::Door`].
+//! ([`reconcile::reconcile`]), and each step may come late, doubled or never. The fence is at the machine, in
+//! its [`cordon::Cordon`].
 
-pub mod board;
-pub mod door;
-pub mod look;
-pub mod order;
+pub mod cordon;
+pub mod cost;
+pub mod lease_table;
+pub mod reconcile;
 
 pub use corkspan_quorum::{ClaimId, majority};
 use serde::{Deserialize, Serialize};
@@ -21,29 +21,34 @@
 pub struct Machine(pub u32);
 
 /// Machines that one wish may name.
-pub const MOST: usize = 2_000;
+pub const MAX_MACHINES: usize = 2_000;
 
 /// Where a machine stands and what it is, as the roster told when it was wished for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct At {
-    pub hall: u32,
+pub struct MachineDomains {
+    #[serde(rename = "hall")]
+    pub zone: u32,
     pub cell: u64,
-    pub kind: u32,
+    #[serde(rename = "kind")]
+    pub machine_type: u32,
 }
 
 /// So many may be out at a time: in all, and of those of one hall, cell and kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Limits {
-    pub all: u32,
-    pub hall: u32,
+pub struct DisruptionLimits {
+    #[serde(rename = "all")]
+    pub total: u32,
+    #[serde(rename = "hall")]
+    pub zone: u32,
     pub cell: u32,
-    pub kind: u32,
+    #[serde(rename = "kind")]
+    pub machine_type: u32,
 }
 
-impl Limits {
+impl DisruptionLimits {
     /// In the order of [`Slots`].
     pub fn each(&self) -> [u32; 4] {
-        [self.all, self.hall, self.cell, self.kind]
+        [self.total, self.zone, self.cell, self.machine_type]
     }
 }
 
@@ -52,12 +57,12 @@
 pub type Slots = [u32; 4];
 
 /// Whether two machines fall under one limit, by its place in [`Slots`].
-pub fn shares(limit: usize, one: At, other: At) -> bool {
+pub fn shares(limit: usize, one: MachineDomains, other: MachineDomains) -> bool {
     match limit {
         0 => true,
-        1 => one.hall == other.hall,
+        1 => one.zone == other.zone,
         2 => one.cell == other.cell,
-        _ => one.kind == other.kind,
+        _ => one.machine_type == other.machine_type,
     }
 }
 
@@ -65,7 +70,7 @@
 /// machine is up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Then {
+pub enum DrainTimeoutAction {
     Wait,
     /// The machine is opened again and left out of this wish.
     Skip,
@@ -74,8 +79,9 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Course {
-    Going,
+pub enum RunState {
+    #[serde(rename = "going")]
+    Running,
     /// No further machine is taken; those that are out go on.
     Paused,
     /// Those that have not been handed to the work are opened again.
@@ -85,73 +91,86 @@
 /// What an operator wants. One is in force at a time; adding to it, pausing and ending are wishes
 /// of the next number.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Wish {
-    pub number: u64,
+pub struct MaintenanceRequest {
+    #[serde(rename = "number")]
+    pub revision: u64,
     /// Drawn by who asks: two who ask at once with one number are told apart by it.
-    pub asker: u64,
+    #[serde(rename = "asker")]
+    pub proposer: u64,
     /// Of the first wish of this work: what was done for an earlier one is not done for this.
     pub job: u64,
-    pub machines: BTreeMap<Machine, At>,
-    pub limits: Limits,
+    pub machines: BTreeMap<Machine, MachineDomains>,
+    pub limits: DisruptionLimits,
     /// So long a machine that is back counts as out still, in ms.
-    pub warm_ms: u64,
+    #[serde(rename = "warm_ms")]
+    pub warm_up_ms: u64,
     /// So long it may take to empty one, in ms.
-    pub empty_within_ms: u64,
-    pub then: Then,
-    pub course: Course,
+    #[serde(rename = "empty_within_ms")]
+    pub drain_timeout_ms: u64,
+    #[serde(rename = "then")]
+    pub on_drain_timeout: DrainTimeoutAction,
+    #[serde(rename = "course")]
+    pub run_state: RunState,
 }
 
-impl corkspan_quorum::Wish for Wish {
+impl corkspan_quorum::Wish for MaintenanceRequest {
     /// There is one.
     type Matter = ();
 
     fn matter(&self) {}
 
     fn number(&self) -> u64 {
-        self.number
+        self.revision
     }
 
     fn numbered(&self, number: u64) -> Self {
-        Wish {
-            number,
+        MaintenanceRequest {
+            revision: number,
             ..self.clone()
         }
     }
 
     fn slots(&self) -> u32 {
-        self.limits.all
+        self.limits.total
     }
 }
 
 /// How far a machine has come. Each is told to a majority before the next is begun, and none is
-/// taken back. From [`Phase::Closed`] it is either handed over or returned.
+/// taken back. From [`LeasePhase::Cordoned`] it is either handed over or returned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Phase {
+pub enum LeasePhase {
     /// A claim that may yet fail.
-    Asked,
+    #[serde(rename = "asked")]
+    Requested,
     /// Its slots stand at a majority: the machine may be closed.
-    Held,
+    #[serde(rename = "held")]
+    Granted,
     /// It takes nothing new, by its own word.
-    Closed,
+    #[serde(rename = "closed")]
+    Cordoned,
     /// Nothing runs there, by its own word: it is the worker's now.
-    Handed,
+    #[serde(rename = "handed")]
+    Drained,
     /// The worker says that the work is done.
-    Done,
+    #[serde(rename = "done")]
+    Completed,
     /// It is to be opened again unworked. Of each outing a keeper votes once, for this or for
-    /// [`Phase::Handed`], and all keepers vote, also one that never held it: or one who has
+    /// [`LeasePhase::Drained`], and all keepers vote, also one that never held it: or one who has
     /// seen a wish ended could open what another has just handed over, and a keeper without a
     /// vote could leave the two even for good.
-    Returned,
+    #[serde(rename = "returned")]
+    Cancelled,
 }
 
 /// A machine that is out, or about to be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Outing {
+pub struct MaintenanceLease {
     pub claim: ClaimId,
     /// Of the wish that it was claimed under.
     pub job: u64,
-    pub at: At,
+    #[serde(rename = "at")]
+    pub domains: MachineDomains,
     pub slots: Slots,
-    pub phase: Phase,
+    pub phase: LeasePhase,
 }
--- a/crates/maintenance/tests/decisions.rs
+++ b/crates/maintenance/tests/decisions.rs
@@ -2,10 +2,15 @@
 //! machines, and what follows from them for one that has heard some of the members. The text names
 //! stored words and numbers only, so that it outlives any renaming in the code.
 
-use corkspan_maintenance::board::{Board, Claimed, End};
-use corkspan_maintenance::look::{Own, Says, View, Word, look};
-use corkspan_maintenance::order::{bid, order};
-use corkspan_maintenance::{At, ClaimId, Course, Limits, Machine, Phase, Then, Wish};
+use corkspan_maintenance::cost::{drain_order, estimate_cost};
+use corkspan_maintenance::lease_table::{ClaimOutcome, LeaseOutcome, LeaseTable};
+use corkspan_maintenance::reconcile::{
+    MachineStatus, MemberReply, QuorumView, ReconcileContext, reconcile,
+};
+use corkspan_maintenance::{
+    ClaimId, DisruptionLimits, DrainTimeoutAction, LeasePhase, Machine, MachineDomains,
+    MaintenanceRequest, RunState,
+};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use serde::Serialize;
@@ -23,37 +28,42 @@
         .replace('"', "")
 }
 
-fn wish(number: u64, rng: &mut Pcg64Mcg) -> Wish {
-    let at = |own: u32| At {
-        hall: own % 2,
+fn wish(number: u64, rng: &mut Pcg64Mcg) -> MaintenanceRequest {
+    let at = |own: u32| MachineDomains {
+        zone: own % 2,
         cell: u64::from(own / 2),
-        kind: own % 3,
+        machine_type: own % 3,
     };
     // Not all machines are in each request.
     let left_out = rng.random_range(0..MACHINES * 2);
-    Wish {
-        number,
-        asker: 1,
+    MaintenanceRequest {
+        revision: number,
+        proposer: 1,
         job: 1 + number / 4,
         machines: (0..MACHINES)
             .filter(|own| *own != left_out)
             .map(|own| (Machine(own), at(own)))
             .collect(),
-        limits: Limits {
-            all: rng.random_range(3..8),
-            hall: rng.random_range(2..5),
+        limits: DisruptionLimits {
+            total: rng.random_range(3..8),
+            zone: rng.random_range(2..5),
             cell: rng.random_range(1..3),
-            kind: rng.random_range(2..5),
+            machine_type: rng.random_range(2..5),
         },
-        warm_ms: 1_000,
-        empty_within_ms: 2_000,
-        then: [Then::Wait, Then::Skip, Then::Stop, Then::Stop][rng.random_range(0..4)],
-        course: [
-            Course::Going,
-            Course::Going,
-            Course::Going,
-            Course::Paused,
-            Course::Aborted,
+        warm_up_ms: 1_000,
+        drain_timeout_ms: 2_000,
+        on_drain_timeout: [
+            DrainTimeoutAction::Wait,
+            DrainTimeoutAction::Skip,
+            DrainTimeoutAction::Stop,
+            DrainTimeoutAction::Stop,
+        ][rng.random_range(0..4)],
+        run_state: [
+            RunState::Running,
+            RunState::Running,
+            RunState::Running,
+            RunState::Paused,
+            RunState::Aborted,
         ][rng.random_range(0..5)],
     }
 }
@@ -65,12 +75,12 @@
         .collect()
 }
 
-fn boards(rng: &mut Pcg64Mcg) -> Vec<Board> {
-    let mut boards = vec![Board::default(); MEMBERS];
+fn boards(rng: &mut Pcg64Mcg) -> Vec<LeaseTable> {
+    let mut boards = vec![LeaseTable::default(); MEMBERS];
     // With how far each has been told to have come.
     let mut claims: Vec<(Machine, ClaimId, usize)> = Vec::new();
-    let first = Wish {
-        course: Course::Going,
+    let first = MaintenanceRequest {
+        run_state: RunState::Running,
         ..wish(1, rng)
     };
     for board in &mut boards {
@@ -89,15 +99,24 @@
                 let mut granted = false;
                 for member in reached {
                     let answer = boards[member].claim(number, machine, claim, slots);
-                    granted |= answer == Claimed::Granted;
+                    granted |= answer == ClaimOutcome::Granted;
                 }
                 if granted {
                     claims.push((machine, claim, 0));
                 }
             }
             (7..=18, Some((known, machine, claim))) => {
-                let last = [Phase::Handed, Phase::Handed, Phase::Returned][claim.0 as usize % 3];
-                let phases = [Phase::Held, Phase::Closed, last, Phase::Done];
+                let last = [
+                    LeasePhase::Drained,
+                    LeasePhase::Drained,
+                    LeasePhase::Cancelled,
+                ][claim.0 as usize % 3];
+                let phases = [
+                    LeasePhase::Granted,
+                    LeasePhase::Cordoned,
+                    last,
+                    LeasePhase::Completed,
+                ];
                 let phase = phases[claims[known].2];
                 // Some come no further than held, others no further than closed, and so on.
                 let furthest = [0, 1, 1, 2, 2, 3][(claim.0 + u64::from(machine.0)) as usize % 6];
@@ -113,8 +132,11 @@
             }
             (20, Some((_, machine, claim))) => {
                 let job = rng.random_range(1..3);
-                let ended = [None, Some((job, End::Worked)), Some((job, End::Skipped))]
-                    [rng.random_range(0..3)];
+                let ended = [
+                    None,
+                    Some((job, LeaseOutcome::Completed)),
+                    Some((job, LeaseOutcome::Skipped)),
+                ][rng.random_range(0..3)];
                 for member in reached {
                     boards[member].release(machine, claim, ended);
                 }
@@ -123,12 +145,12 @@
                 let dispatcher = rng.random_range(0..4);
                 let costs: Vec<(Machine, f64)> = (0..MACHINES)
                     .map(|own| {
-                        let cost = bid(rng.random_range(0..4), rng.random_range(0..2));
+                        let cost = estimate_cost(rng.random_range(0..4), rng.random_range(0..2));
                         (Machine(own), cost)
                     })
                     .collect();
                 for member in reached {
-                    boards[member].bid(dispatcher, costs.clone());
+                    boards[member].record_cost_estimates(dispatcher, costs.clone());
                 }
             }
             _ => {
@@ -143,34 +165,34 @@
     boards
 }
 
-fn word(board: &Board) -> Word {
-    Word {
-        wish: board.wish().cloned(),
-        outings: board.outings().clone(),
-        ended: board.ended().collect(),
+fn word(board: &LeaseTable) -> MemberReply {
+    MemberReply {
+        request: board.request().cloned(),
+        leases: board.leases().clone(),
+        outcomes: board.outcomes().collect(),
         withdrawn: board.withdrawn().collect(),
         votes: board.votes().collect(),
-        bids: board.bids(3),
+        costs: board.total_costs(3),
     }
 }
 
-fn says(boards: &[Board], rng: &mut Pcg64Mcg) -> BTreeMap<Machine, Says> {
+fn says(boards: &[LeaseTable], rng: &mut Pcg64Mcg) -> BTreeMap<Machine, MachineStatus> {
     let mut says = BTreeMap::new();
     for machine in (0..MACHINES).map(Machine) {
         let claims: BTreeSet<ClaimId> = boards
             .iter()
-            .filter_map(|board| Some(board.outings().get(&machine)?.claim))
+            .filter_map(|board| Some(board.leases().get(&machine)?.claim))
             .collect();
         let closed = claims
             .first()
             .copied()
             .filter(|_| rng.random_range(0..5) > 0);
         let over = claims.into_iter().filter(|_| rng.random_range(0..6) == 0);
-        let answer = Says {
-            closed,
-            over: over.collect(),
-            runs: rng.random_range(0..2),
-            since_ms: rng.random_range(0..4_000),
+        let answer = MachineStatus {
+            cordoned_by: closed,
+            finished: over.collect(),
+            running: rng.random_range(0..2),
+            unchanged_ms: rng.random_range(0..4_000),
         };
         if rng.random_range(0..6) > 0 {
             says.insert(machine, answer);
@@ -179,12 +201,17 @@
     says
 }
 
-fn seen(out: &mut String, view: &View, says: &BTreeMap<Machine, Says>) {
-    let request = view.wish.as_ref().map(|wish| wish.number);
-    writeln!(out, " request {request:?} highest {}", view.highest).expect("a string");
-    for (machine, known) in &view.outings {
-        let (lease, phase) = (stored(&known.outing), stored(&known.phase));
-        let (withdrawn, ended) = (known.withdrawn, stored(&known.ended));
+fn seen(out: &mut String, view: &QuorumView, says: &BTreeMap<Machine, MachineStatus>) {
+    let request = view.request.as_ref().map(|wish| wish.revision);
+    writeln!(
+        out,
+        " request {request:?} highest {}",
+        view.highest_revision
+    )
+    .expect("a string");
+    for (machine, known) in &view.leases {
+        let (lease, phase) = (stored(&known.lease), stored(&known.phase));
+        let (withdrawn, ended) = (known.withdrawals, stored(&known.outcome));
         let number = machine.0;
         writeln!(
             out,
@@ -192,27 +219,32 @@
         )
         .expect("a string");
     }
-    writeln!(out, " ended {}", stored(&view.ended)).expect("a string");
-    for (machine, claim, phase) in view.out() {
+    writeln!(out, " ended {}", stored(&view.outcomes)).expect("a string");
+    for (machine, claim, phase) in view.unavailable() {
         writeln!(out, " out {} {} {}", machine.0, claim.0, stored(&phase)).expect("a string");
     }
-    for (machine, claim) in view.in_work(says) {
+    for (machine, claim) in view.drained(says) {
         writeln!(out, " in-work {} {}", machine.0, claim.0).expect("a string");
     }
-    let machines: BTreeMap<Machine, At> = view
-        .wish
+    let machines: BTreeMap<Machine, MachineDomains> = view
+        .request
         .iter()
         .flat_map(|wish| wish.machines.clone())
         .collect();
-    if let Some(wish) = &view.wish {
-        let begins = view.may_begin(&machines, &wish.limits, &[0, 2, 9].map(Machine));
+    if let Some(wish) = &view.request {
+        let begins = view.check_start(&machines, &wish.limits, &[0, 2, 9].map(Machine));
         let begins = begins.map_or_else(|why| why.to_string(), |()| "yes".to_owned());
         writeln!(out, " may-begin {begins}").expect("a string");
     }
 }
 
-fn decided(out: &mut String, view: &View, says: &BTreeMap<Machine, Says>, own: &Own) {
-    let next = look(view, says, own);
+fn decided(
+    out: &mut String,
+    view: &QuorumView,
+    says: &BTreeMap<Machine, MachineStatus>,
+    own: &ReconcileContext,
+) {
+    let next = reconcile(view, says, own);
     let pairs = |out: &mut String, what: &str, pairs: &[(Machine, ClaimId)]| {
         for (machine, claim) in pairs {
             writeln!(out, " do {what} {} {}", machine.0, claim.0).expect("a string");
@@ -243,12 +275,12 @@
         writeln!(
             out,
             " do release {machine} {claim} {}",
-            stored(&release.ended)
+            stored(&release.outcome)
         )
         .expect("a string");
     }
-    pairs(out, "close", &next.close);
-    pairs(out, "open", &next.open);
+    pairs(out, "close", &next.cordon);
+    pairs(out, "open", &next.uncordon);
     pairs(out, "stop", &next.stop);
 }
 
@@ -259,39 +291,39 @@
         let boards = boards(&mut rng);
         let heard = [&[0, 1, 2][..], &[0, 1], &[1, 2], &[0, 2], &[1]][rng.random_range(0..9) / 2];
         writeln!(out, "case {seed} heard {heard:?}").expect("a string");
-        let words: Vec<Word> = heard.iter().map(|&member| word(&boards[member])).collect();
-        let Some(view) = View::of(&words, MEMBERS) else {
+        let words: Vec<MemberReply> = heard.iter().map(|&member| word(&boards[member])).collect();
+        let Some(view) = QuorumView::from_replies(&words, MEMBERS) else {
             out.push_str(" no majority\n");
             continue;
         };
         let says = says(&boards, &mut rng);
         seen(&mut out, &view, &says);
-        let mut asked = view.to_ask(2, |of| rng.random_range(0..of));
+        let mut asked = view.machines_to_poll(2, |of| rng.random_range(0..of));
         asked.retain(|_, claim| claim.is_none());
         let asked: Vec<u32> = asked.keys().map(|machine| machine.0).collect();
         let costs: Vec<BTreeMap<Machine, f64>> =
-            words.iter().map(|word| word.bids.clone()).collect();
-        let order = order((0..MACHINES).map(Machine), &costs);
+            words.iter().map(|word| word.costs.clone()).collect();
+        let order = drain_order((0..MACHINES).map(Machine), &costs);
         let order: Vec<u32> = order.into_iter().map(|machine| machine.0).collect();
         writeln!(out, " candidates {asked:?} order {order:?}").expect("a string");
-        let known = view.outings.iter().map(|(_, known)| known.outing.claim);
+        let known = view.leases.iter().map(|(_, known)| known.lease.claim);
         let old: BTreeSet<ClaimId> = known.filter(|_| rng.random_range(0..4) == 0).collect();
         let mut lost = BTreeMap::new();
         if rng.random_range(0..4) == 0 {
-            let at = At {
-                hall: 1,
+            let at = MachineDomains {
+                zone: 1,
                 cell: 2,
-                kind: 1,
+                machine_type: 1,
             };
             lost.insert(Machine(rng.random_range(0..12)), at);
         }
-        let own = Own {
-            keepers: MEMBERS,
-            claim: ClaimId(1_000 + seed),
-            claims: rng.random_range(0..5) > 0,
-            old: &old,
-            lost: &lost,
-            gives_way: rng.random_range(0..6) == 0,
+        let own = ReconcileContext {
+            members: MEMBERS,
+            next_claim: ClaimId(1_000 + seed),
+            may_claim: rng.random_range(0..5) > 0,
+            expired: &old,
+            unreachable: &lost,
+            hold_claims: rng.random_range(0..6) == 0,
         };
         decided(&mut out, &view, &says, &own);
     }
--- a/crates/maintenance/tests/search.rs
+++ b/crates/maintenance/tests/search.rs
@@ -3,10 +3,15 @@
 //! long drawn walks beyond, with word late, lost and doubled, whoever looks having seen any
 //! majority. And that the search finds a protocol that is not so.
 
-use corkspan_maintenance::board::{Board, Claimed, End};
-use corkspan_maintenance::door::Door;
-use corkspan_maintenance::look::{Look, Own, Release, Says, View, Word, look};
-use corkspan_maintenance::{At, ClaimId, Course, Limits, Machine, Phase, Slots, Then, Wish};
+use corkspan_maintenance::cordon::Cordon;
+use corkspan_maintenance::lease_table::{ClaimOutcome, LeaseOutcome, LeaseTable};
+use corkspan_maintenance::reconcile::{
+    Actions, MachineStatus, MemberReply, QuorumView, ReconcileContext, Release, reconcile,
+};
+use corkspan_maintenance::{
+    ClaimId, DisruptionLimits, DrainTimeoutAction, LeasePhase, Machine, MachineDomains,
+    MaintenanceRequest, RunState, Slots,
+};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet, HashSet};
@@ -39,7 +44,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum Message {
     Claim(u64, Machine, ClaimId, Slots),
-    Advance(Machine, ClaimId, Phase),
+    Advance(Machine, ClaimId, LeasePhase),
     Withdraw(Machine, ClaimId),
     Release(Machine, ClaimId, Option<u64>),
     Abort,
@@ -47,8 +52,8 @@
 
 #[derive(Clone, Debug)]
 struct World {
-    boards: Vec<Board>,
-    doors: Vec<Door>,
+    boards: Vec<LeaseTable>,
+    doors: Vec<Cordon>,
     runs: Vec<u32>,
     /// Sent ever to a keeper: each may arrive at any time, or again.
     sent: BTreeSet<Message>,
@@ -63,36 +68,36 @@
     breach: Option<&'static str>,
 }
 
-fn wish(number: u64, course: Course) -> Wish {
-    let at = At {
-        hall: 0,
+fn wish(number: u64, course: RunState) -> MaintenanceRequest {
+    let at = MachineDomains {
+        zone: 0,
         cell: 0,
-        kind: 0,
+        machine_type: 0,
     };
-    Wish {
-        number,
-        asker: 1,
+    MaintenanceRequest {
+        revision: number,
+        proposer: 1,
         job: 1,
         machines: (0..MACHINES).map(|own| (Machine(own), at)).collect(),
-        limits: Limits {
-            all: 1,
-            hall: 9,
+        limits: DisruptionLimits {
+            total: 1,
+            zone: 9,
             cell: 9,
-            kind: 9,
+            machine_type: 9,
         },
-        warm_ms: 0,
-        empty_within_ms: u64::MAX,
-        then: Then::Wait,
-        course,
+        warm_up_ms: 0,
+        drain_timeout_ms: u64::MAX,
+        on_drain_timeout: DrainTimeoutAction::Wait,
+        run_state: course,
     }
 }
 
 fn start() -> World {
-    let mut board = Board::default();
-    board.propose(wish(1, Course::Going));
+    let mut board = LeaseTable::default();
+    board.propose(wish(1, RunState::Running));
     World {
         boards: vec![board; KEEPERS],
-        doors: vec![Door::default(); MACHINES as usize],
+        doors: vec![Cordon::default(); MACHINES as usize],
         runs: vec![1, 0],
         sent: BTreeSet::new(),
         closes: BTreeSet::new(),
@@ -105,44 +110,44 @@
     }
 }
 
-fn words(world: &World, part: usize) -> Vec<Word> {
+fn words(world: &World, part: usize) -> Vec<MemberReply> {
     let answer = world
         .boards
         .iter()
         .enumerate()
         .filter(|(keeper, _)| part >> keeper & 1 == 1);
     answer
-        .map(|(_, board)| Word {
-            wish: board.wish().cloned(),
-            outings: board.outings().clone(),
-            ended: board.ended().collect(),
+        .map(|(_, board)| MemberReply {
+            request: board.request().cloned(),
+            leases: board.leases().clone(),
+            outcomes: board.outcomes().collect(),
             withdrawn: board.withdrawn().collect(),
             votes: board.votes().collect(),
-            bids: BTreeMap::new(),
+            costs: BTreeMap::new(),
         })
         .collect()
 }
 
-fn says(world: &World, mistake: Mistake) -> BTreeMap<Machine, Says> {
+fn says(world: &World, mistake: Mistake) -> BTreeMap<Machine, MachineStatus> {
     let of = |own: u32| {
         let (door, runs) = (&world.doors[own as usize], world.runs[own as usize]);
         // One that forgets is believed by whoever has told it to open.
         let told = |claim: &ClaimId| {
             let open =
-                door.closed() != Some(*claim) && world.opens.contains(&(Machine(own), *claim));
+                door.active() != Some(*claim) && world.opens.contains(&(Machine(own), *claim));
             mistake == Mistake::ForgetfulDoor && open
         };
         let over = (0..8)
             .map(ClaimId)
-            .filter(|claim| door.is_over(*claim) || told(claim))
+            .filter(|claim| door.is_finished(*claim) || told(claim))
             .collect();
         (
             Machine(own),
-            Says {
-                closed: door.closed(),
-                over,
-                runs,
-                since_ms: 0,
+            MachineStatus {
+                cordoned_by: door.active(),
+                finished: over,
+                running: runs,
+                unchanged_ms: 0,
             },
         )
     };
@@ -150,59 +155,62 @@
 }
 
 /// What one who has heard this part of the keepers does.
-fn looks(world: &mut World, part: usize, impatient: bool, mistake: Mistake) -> Look {
+fn looks(world: &mut World, part: usize, impatient: bool, mistake: Mistake) -> Actions {
     let words = words(world, part);
     let keepers = if mistake == Mistake::OneKeeper {
         1
     } else {
         KEEPERS
     };
-    let Some(mut view) = View::of(&words, keepers) else {
-        return Look::default();
+    let Some(mut view) = QuorumView::from_replies(&words, keepers) else {
+        return Actions::default();
     };
     if mistake == Mistake::OneKeeper {
-        view.wish = View::of(&words, KEEPERS).and_then(|view| view.wish);
+        view.request = QuorumView::from_replies(&words, KEEPERS).and_then(|view| view.request);
     }
     if mistake == Mistake::ClosesWhenAsked {
-        let asked = |known: &Option<Phase>| *known == Some(Phase::Asked);
+        let asked = |known: &Option<LeasePhase>| *known == Some(LeasePhase::Requested);
         let all = view
-            .outings
+            .leases
             .iter_mut()
             .filter(|(_, known)| asked(&known.phase));
-        all.for_each(|(_, known)| known.phase = Some(Phase::Held));
+        all.for_each(|(_, known)| known.phase = Some(LeasePhase::Granted));
     }
     let old: BTreeSet<ClaimId> = match impatient {
         true => view
-            .outings
+            .leases
             .iter()
-            .map(|(_, known)| known.outing.claim)
+            .map(|(_, known)| known.lease.claim)
             .collect(),
         false => BTreeSet::new(),
     };
     let lost = BTreeMap::new();
     let claims = world.claims < 4;
-    let own = Own {
-        keepers,
-        claim: ClaimId(world.claims),
-        claims,
-        old: &old,
-        lost: &lost,
-        gives_way: false,
+    let own = ReconcileContext {
+        members: keepers,
+        next_claim: ClaimId(world.claims),
+        may_claim: claims,
+        expired: &old,
+        unreachable: &lost,
+        hold_claims: false,
     };
     let mut says = says(world, mistake);
     if mistake == Mistake::HandedWhileRunning {
-        says.values_mut().for_each(|says| says.runs = 0);
+        says.values_mut().for_each(|says| says.running = 0);
     }
-    let mut all = look(&view, &says, &own);
+    let mut all = reconcile(&view, &says, &own);
     if mistake == Mistake::ReleasedEarly {
-        for (machine, known) in &view.outings {
-            if known.phase == Some(Phase::Done) {
-                let (machine, claim, ended) =
-                    (*machine, known.outing.claim, Some((1, End::Worked)));
+        for (machine, known) in &view.leases {
+            if known.phase == Some(LeasePhase::Completed) {
+                let (machine, claim, ended) = (
+                    *machine,
+                    known.lease.claim,
+                    Some((1, LeaseOutcome::Completed)),
+                );
                 all.release.push(Release {
                     machine,
                     claim,
-                    ended,
+                    outcome: ended,
                 });
             }
         }
@@ -211,17 +219,17 @@
         let returns = all
             .advance
             .iter()
-            .filter(|(_, _, phase)| *phase == Phase::Returned);
+            .filter(|(_, _, phase)| *phase == LeasePhase::Cancelled);
         let opens: Vec<(Machine, ClaimId)> = returns
             .map(|(machine, claim, _)| (*machine, *claim))
             .collect();
-        all.open.extend(opens);
+        all.uncordon.extend(opens);
     }
     world.claims += u64::from(all.claim.is_some());
     all
 }
 
-fn messages(all: &Look) -> Vec<Message> {
+fn messages(all: &Actions) -> Vec<Message> {
     let mut messages = Vec::new();
     messages.extend(
         all.claim
@@ -239,16 +247,16 @@
         |&Release {
              machine,
              claim,
-             ended,
-         }| { Message::Release(machine, claim, ended.map(|(job, _)| job)) },
+             outcome,
+         }| { Message::Release(machine, claim, outcome.map(|(job, _)| job)) },
     ));
     messages
 }
 
-fn arrives(board: &mut Board, message: &Message, mistake: Mistake) {
+fn arrives(board: &mut LeaseTable, message: &Message, mistake: Mistake) {
     match *message {
         Message::Claim(number, machine, claim, slots) => {
-            let _: Claimed = board.claim(number, machine, claim, slots);
+            let _: ClaimOutcome = board.claim(number, machine, claim, slots);
         }
         Message::Advance(machine, claim, phase) => board.advance(machine, claim, phase),
         Message::Withdraw(machine, claim) => {
@@ -258,28 +266,32 @@
             board.withdraw(machine, claim);
         }
         Message::Release(machine, claim, job) => {
-            board.release(machine, claim, job.map(|job| (job, End::Worked)));
+            board.release(
+                machine,
+                claim,
+                job.map(|job| (job, LeaseOutcome::Completed)),
+            );
         }
-        Message::Abort => drop(board.propose(wish(2, Course::Aborted)).cloned()),
+        Message::Abort => drop(board.propose(wish(2, RunState::Aborted)).cloned()),
     }
 }
 
 /// Sends all of it, of which so much arrives at once: of keepers those in the part, at machines all
 /// or nothing.
-fn sends(world: &mut World, all: &Look, part: usize, machines: bool, mistake: Mistake) {
+fn sends(world: &mut World, all: &Actions, part: usize, machines: bool, mistake: Mistake) {
     for message in messages(all) {
         for keeper in (0..KEEPERS).filter(|keeper| part >> keeper & 1 == 1) {
             arrives(&mut world.boards[keeper], &message, mistake);
         }
         world.sent.insert(message);
     }
-    world.closes.extend(&all.close);
-    world.opens.extend(&all.open);
+    world.closes.extend(&all.cordon);
+    world.opens.extend(&all.uncordon);
     if machines {
-        for &(machine, claim) in &all.close {
-            world.doors[machine.0 as usize].close(claim);
+        for &(machine, claim) in &all.cordon {
+            world.doors[machine.0 as usize].cordon(claim);
         }
-        all.open
+        all.uncordon
             .iter()
             .for_each(|&(machine, claim)| opens(world, machine, claim, mistake));
     }
@@ -288,11 +300,11 @@
 fn opens(world: &mut World, machine: Machine, claim: ClaimId, mistake: Mistake) {
     let door = &mut world.doors[machine.0 as usize];
     if mistake == Mistake::ForgetfulDoor {
-        if door.closed() == Some(claim) {
-            *door = Door::default();
+        if door.active() == Some(claim) {
+            *door = Cordon::default();
         }
     } else {
-        door.open(claim);
+        door.uncordon(claim);
     }
 }
 
@@ -300,9 +312,9 @@
 fn handed(world: &World) -> BTreeSet<(Machine, ClaimId)> {
     let views = PARTS
         .iter()
-        .filter_map(|part| View::of(&words(world, *part), KEEPERS));
+        .filter_map(|part| QuorumView::from_replies(&words(world, *part), KEEPERS));
     views
-        .flat_map(|view| view.in_work(&says(world, Mistake::None)))
+        .flat_map(|view| view.drained(&says(world, Mistake::None)))
         .collect()
 }
 
@@ -310,7 +322,7 @@
     if world
         .doors
         .iter()
-        .filter(|door| door.closed().is_some())
+        .filter(|door| door.active().is_some())
         .count()
         > 1
     {
@@ -320,7 +332,7 @@
     let given: Vec<_> = world.given.difference(&world.done).copied().collect();
     for (machine, claim) in given {
         let own = machine.0 as usize;
-        if world.runs[own] > 0 || world.doors[own].closed() != Some(claim) {
+        if world.runs[own] > 0 || world.doors[own].active() != Some(claim) {
             world.breach = Some("a machine is worked on while something may run there");
         }
     }
@@ -349,7 +361,7 @@
         arrives(&mut world.boards[at % KEEPERS], &message, mistake);
     } else if which < closes {
         let (machine, claim) = *world.closes.iter().nth(which - late).expect("so many");
-        world.doors[machine.0 as usize].close(claim);
+        world.doors[machine.0 as usize].cordon(claim);
     } else if which < opened {
         let (machine, claim) = *world.opens.iter().nth(which - closes).expect("so many");
         opens(world, machine, claim, mistake);
@@ -358,15 +370,15 @@
         let at = which - opened;
         if world.runs[at] > 0 {
             world.runs[at] -= 1;
-        } else if world.doors[at].closed().is_none() && world.arrivals < 2 {
+        } else if world.doors[at].active().is_none() && world.arrivals < 2 {
             (world.runs[at], world.arrivals) = (1, world.arrivals + 1);
         }
     } else if which == ends {
         for (machine, claim) in world.given.clone() {
             world.done.insert((machine, claim));
-            let done = Look {
-                advance: vec![(machine, claim, Phase::Done)],
-                ..Look::default()
+            let done = Actions {
+                advance: vec![(machine, claim, LeasePhase::Completed)],
+                ..Actions::default()
             };
             sends(world, &done, 0b011, false, mistake);
         }
@@ -441,14 +453,14 @@
         world.given.extend(handed(world));
         for (machine, claim) in world.given.clone() {
             world.done.insert((machine, claim));
-            let done = Look {
-                advance: vec![(machine, claim, Phase::Done)],
-                ..Look::default()
+            let done = Actions {
+                advance: vec![(machine, claim, LeasePhase::Completed)],
+                ..Actions::default()
             };
             sends(world, &done, 0b111, false, Mistake::None);
         }
-        let free = world.boards.iter().all(|board| board.outings().is_empty());
-        if free && world.doors.iter().all(|door| door.closed().is_none()) {
+        let free = world.boards.iter().all(|board| board.leases().is_empty());
+        if free && world.doors.iter().all(|door| door.active().is_none()) {
             return true;
         }
     }
@@ -467,7 +479,7 @@
         let ended = world
             .boards
             .iter()
-            .map(|board| board.ended().count())
+            .map(|board| board.outcomes().count())
             .max()
             .unwrap_or(0);
         (worked, most) = (worked + usize::from(ended > 0), most.max(ended));
