--- a/crates/dispatcher/src/maintenance.rs
+++ b/crates/dispatcher/src/maintenance.rs
@@ -8,9 +8,11 @@
 use corkspan_api::v1::door_ask::What as Do;
 use corkspan_api::v1::{self, keep_ask::Ask, maintain_ask::What, node_client::NodeClient};
 use corkspan_maintenance::cost::estimate_cost;
-use corkspan_maintenance::reconcile::{MachineStatus, QuorumView, ReconcileContext, reconcile};
+use corkspan_maintenance::quorum_view::{MachineStatus, QuorumView};
+use corkspan_maintenance::reconcile::{ReconcileContext, reconcile};
 use corkspan_maintenance::{
-    ClaimId, DisruptionLimits, LeasePhase, Machine, MachineDomains, MaintenanceRequest, RunState,
+    ClaimId, DisruptionLimits, LeaseOutcome, LeasePhase, LeaseProgress, Machine, MachineDomains,
+    MaintenanceRequest, RunState,
 };
 use corkspan_quorum::{in_force, majority, of_a_few};
 use corkspan_rpc::within;
@@ -38,17 +40,17 @@
     while let Some(every) = desk.deployment().maintenance {
         if let Some(view) = view(&desk).await {
             let now = desk.clock.now();
-            for (machine, _, phase) in view.unavailable() {
-                if matches!(phase, LeasePhase::Cordoned) {
-                    desk.empty(MachineId(machine.0));
+            for progress in view.unavailable() {
+                if progress.phase == LeasePhase::Cordoned {
+                    desk.empty(MachineId(progress.lease.machine.0));
                 }
             }
-            let waiting = view.leases.iter().filter(|(_, known)| {
-                known
+            let waiting = view.leases.iter().filter(|observed| {
+                observed
                     .phase
                     .is_none_or(|phase| phase == LeasePhase::Requested)
             });
-            let waiting: BTreeSet<ClaimId> = waiting.map(|(_, known)| known.lease.claim).collect();
+            let waiting: BTreeSet<ClaimId> = waiting.map(|observed| observed.lease.claim).collect();
             first_seen.retain(|claim, _| waiting.contains(claim));
             for claim in waiting {
                 first_seen.entry(claim).or_insert(now);
@@ -179,38 +181,23 @@
     };
     let next = reconcile(view, &says, &own);
     // Machines first: what keepers are told in this look does not depend on what they answer.
-    for (machine, claim, what) in next
-        .cordon
-        .iter()
-        .map(|(machine, claim)| (*machine, *claim, Do::Close))
-        .chain(
-            next.uncordon
-                .iter()
-                .map(|(machine, claim)| (*machine, *claim, Do::Open)),
-        )
-        .chain(
-            next.stop
-                .iter()
-                .map(|(machine, claim)| (*machine, *claim, Do::Stop)),
-        )
-    {
-        door(desk, machine, claim, what).await;
+    let cordon = next.cordon.iter().map(|lease| (lease, Do::Close));
+    let uncordon = next.uncordon.iter().map(|lease| (lease, Do::Open));
+    let stop = next.stop.iter().map(|lease| (lease, Do::Stop));
+    for (lease, what) in cordon.chain(uncordon).chain(stop) {
+        door(desk, lease.machine, lease.claim, what).await;
     }
     for step in outings::steps(&next) {
         ask_all(desk, Ask::Step(step)).await;
     }
-    if let Some((number, machine, claim, slots)) = next.claim {
-        let (node, claim, slots) = (machine.0, claim.0, slots.to_vec());
-        ask_all(
-            desk,
-            Ask::Take(v1::WorkClaim {
-                number,
-                node,
-                claim,
-                slots,
-            }),
-        )
-        .await;
+    if let Some(claim) = next.claim {
+        let message = v1::WorkClaim {
+            number: claim.revision,
+            node: claim.lease.machine.0,
+            claim: claim.lease.claim.0,
+            slots: claim.slots.each().to_vec(),
+        };
+        ask_all(desk, Ask::Take(message)).await;
     }
 }
 
@@ -238,14 +225,10 @@
     };
     let after = self::view(desk).await.unwrap_or(view);
     let says = says(desk, after.machines_to_poll(0, |_| 0)).await;
-    let phase = |(machine, claim, phase): (Machine, ClaimId, LeasePhase)| {
-        let known = after
-            .leases
-            .iter()
-            .find(|(own, known)| *own == machine && known.lease.claim == claim);
-        known.map(|(_, known)| outings::outing(machine, &known.lease, phase))
+    let phase = |LeaseProgress { lease, phase }| {
+        let observed = after.leases.iter().find(|observed| observed.id() == lease);
+        observed.map(|observed| outings::outing(lease.machine, &observed.lease, phase))
     };
-    use corkspan_maintenance::lease_table::LeaseOutcome;
     let ended = |end| {
         after
             .outcomes
@@ -263,7 +246,7 @@
         in_work: after
             .drained(&says)
             .into_iter()
-            .map(|(machine, _)| machine.0)
+            .map(|lease| lease.machine.0)
             .collect(),
     })
 }
@@ -271,7 +254,9 @@
 /// The worker's word on each machine named.
 async fn done(desk: &Arc<Desk>, view: &QuorumView, ask: &v1::MaintainAsk) -> Result<bool, Status> {
     let says = says(desk, view.machines_to_poll(0, |_| 0)).await;
-    let in_work: BTreeMap<Machine, ClaimId> = view.drained(&says).into_iter().collect();
+    let in_work = view.drained(&says).into_iter();
+    let in_work: BTreeMap<Machine, ClaimId> =
+        in_work.map(|lease| (lease.machine, lease.claim)).collect();
     for node in &ask.nodes {
         let machine = Machine(*node);
         let Some(claim) = in_work.get(&machine) else {
--- a/crates/dispatcher/src/outings.rs
+++ b/crates/dispatcher/src/outings.rs
@@ -1,11 +1,12 @@
 //! Words on machines taken out for work, between messages and what decides.
 
 use corkspan_api::v1::{self, work_step::Step};
-use corkspan_maintenance::lease_table::{ClaimOutcome, LeaseOutcome, LeaseTable};
-use corkspan_maintenance::reconcile::{Actions, MemberReply, Release};
+use corkspan_maintenance::lease_table::{ClaimOutcome, LeaseTable};
+use corkspan_maintenance::quorum_view::MemberReply;
+use corkspan_maintenance::reconcile::Actions;
 use corkspan_maintenance::{
-    ClaimId, DisruptionLimits, DrainTimeoutAction, LeasePhase, Machine, MachineDomains,
-    MaintenanceLease, MaintenanceRequest, RunState, Slots,
+    ClaimId, DisruptionLimits, DrainTimeoutAction, JobOutcome, LeaseId, LeaseOutcome, LeasePhase,
+    Machine, MachineDomains, MaintenanceLease, MaintenanceRequest, RunState, Slots,
 };
 use std::collections::BTreeMap;
 
@@ -120,7 +121,7 @@
         machine: Some(place(machine, outing.domains)),
         claim: outing.claim.0,
         job: outing.job,
-        slots: outing.slots.to_vec(),
+        slots: outing.slots.each().to_vec(),
         phase: step(told).into(),
     }
 }
@@ -163,7 +164,7 @@
 pub fn word(told: &v1::Board) -> MemberReply {
     let outing = |own: &v1::Outing| {
         let (machine, at) = placed(own.machine.as_ref()?);
-        let slots = Slots::try_from(own.slots.clone()).ok()?;
+        let slots = Slots::try_from(&own.slots[..]).ok()?;
         let phase = phase(own.phase())?;
         Some((
             machine,
@@ -211,32 +212,29 @@
 
 /// The steps that keepers are to be told.
 pub fn steps(look: &Actions) -> Vec<v1::WorkStep> {
-    let plain = |machine: Machine, claim: ClaimId, step: Step| v1::WorkStep {
-        node: machine.0,
-        claim: claim.0,
+    let plain = |lease: LeaseId, step: Step| v1::WorkStep {
+        node: lease.machine.0,
+        claim: lease.claim.0,
         step: step.into(),
         ..v1::WorkStep::default()
     };
     let withdrawn = look
         .withdraw
         .iter()
-        .map(|(machine, claim)| plain(*machine, *claim, Step::Withdrawn));
+        .map(|lease| plain(*lease, Step::Withdrawn));
     let advance = look
         .advance
         .iter()
-        .map(|(machine, claim, phase)| plain(*machine, *claim, step(*phase)));
-    let released = look.release.iter().map(
-        |Release {
-             machine,
-             claim,
-             outcome,
-         }| v1::WorkStep {
-            job: outcome.map_or(0, |(job, _)| job),
-            worked: outcome.is_some_and(|(_, end)| end == LeaseOutcome::Completed),
-            skipped: outcome.is_some_and(|(_, end)| end == LeaseOutcome::Skipped),
-            ..plain(*machine, *claim, Step::Released)
-        },
-    );
+        .map(|progress| plain(progress.lease, step(progress.phase)));
+    let released = look.release.iter().map(|release| {
+        let outcome = release.outcome.map(|of| of.outcome);
+        v1::WorkStep {
+            job: release.outcome.map_or(0, |of| of.job),
+            worked: outcome == Some(LeaseOutcome::Completed),
+            skipped: outcome == Some(LeaseOutcome::Skipped),
+            ..plain(release.lease, Step::Released)
+        }
+    });
     withdrawn.chain(advance).chain(released).collect()
 }
 
@@ -250,7 +248,14 @@
     };
     match (told.step(), phase(told.step())) {
         (Step::Withdrawn, _) => board.withdraw(machine, claim),
-        (Step::Released, _) => board.release(machine, claim, end.map(|end| (told.job, end))),
+        (Step::Released, _) => board.release(
+            machine,
+            claim,
+            end.map(|outcome| JobOutcome {
+                job: told.job,
+                outcome,
+            }),
+        ),
         (_, Some(phase)) => board.advance(machine, claim, phase),
         (_, None) => {}
     }
@@ -258,7 +263,7 @@
 
 /// A claim arrives at a keeper; whether it is granted.
 pub fn claimed(board: &mut LeaseTable, told: &v1::WorkClaim) -> bool {
-    let Ok(slots) = Slots::try_from(told.slots.clone()) else {
+    let Ok(slots) = Slots::try_from(&told.slots[..]) else {
         return false;
     };
     // No claim: a door tells by 0 that it is open.
--- a/crates/maintenance/src/cordon.rs
+++ b/crates/maintenance/src/cordon.rs
@@ -1,13 +1,15 @@
-//! A machine's own part: whether it takes new work. Kept on its disk before it is answered.
+//! A machine's own part: whether it accepts allocations. It must be on the machine's disk before
+//! the machine answers.
 
 use crate::ClaimId;
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
-/// Outings that a machine remembers as over. Word to close for one of them comes late; one further
-/// back than these has been on its way through as many outings.
+/// Claims that a machine remembers as finished. A late message to cordon names one of these; an
+/// older one would have been on its way through as many leases.
 const MAX_FINISHED_CLAIMS: usize = 64;
 
+/// The fence at the machine.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Cordon {
     #[serde(rename = "closed")]
@@ -17,21 +19,22 @@
 }
 
 impl Cordon {
-    /// For an outing. False where that is over already, or it is closed for another.
+    /// Cordons the machine for a claim. False where the claim is finished already, or the machine
+    /// is cordoned for another.
     pub fn cordon(&mut self, claim: ClaimId) -> bool {
-        if self.finished.contains(&claim) || self.active.is_some_and(|closed| closed != claim) {
+        if self.is_finished(claim) || self.active.is_some_and(|active| active != claim) {
             return false;
         }
         self.active = Some(claim);
         true
     }
 
-    /// The outing is over here, whether word to close has come yet or not.
+    /// The claim is finished here, whether the message to cordon has arrived yet or not.
     pub fn uncordon(&mut self, claim: ClaimId) {
         if self.active == Some(claim) {
             self.active = None;
         }
-        if !self.finished.contains(&claim) {
+        if !self.is_finished(claim) {
             self.finished.push_back(claim);
         }
         if self.finished.len() > MAX_FINISHED_CLAIMS {
@@ -39,10 +42,12 @@
         }
     }
 
+    /// The claim that the machine is cordoned for, if it is.
     pub fn active(&self) -> Option<ClaimId> {
         self.active
     }
 
+    /// Whether the machine was uncordoned for this claim, as far as it remembers.
     pub fn is_finished(&self, claim: ClaimId) -> bool {
         self.finished.contains(&claim)
     }
--- a/crates/maintenance/src/lease_table.rs
+++ b/crates/maintenance/src/lease_table.rs
@@ -1,176 +1,181 @@
-//! A keeper's part: the wish, the outings with their slots, and what has come of them. Answered
-//! from what survives its own restart.
+//! The state of a quorum member: the request, the leases with their slots, and what became of the
+//! machines. The member must answer from what survives its own restart.
 
 use crate::{
-    ClaimId, LeasePhase, Machine, MaintenanceLease, MaintenanceRequest, RunState, Slots, shares,
+    ClaimId, JobOutcome, LeaseOutcome, LeasePhase, LimitScope, MAX_MACHINES, Machine,
+    MachineDomains, MaintenanceLease, MaintenanceRequest, RunState, Slots,
 };
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Claims that a keeper remembers as withdrawn.
+/// Claims that a member remembers as withdrawn.
 const MAX_WITHDRAWN_CLAIMS: usize = 1_024;
-/// Votes that are remembered on outings which are not here: of those that are, each is, however
-/// many come meanwhile, or this keeper could vote twice on one.
-const MAX_VOTES: usize = 4 * crate::MAX_MACHINES;
-/// Votes of those that are told at a time: word is asked for twice a second by each of hundreds.
+/// Votes kept in all before those on leases that are not held here are dropped. A vote on a lease
+/// that is held here always stays, or this member could vote twice on it.
+const MAX_VOTES: usize = 4 * MAX_MACHINES;
+/// The latest votes that are reported beside those on leases held here: hundreds of dispatchers
+/// poll twice a second.
 const MAX_REPORTED_VOTES: usize = 512;
-/// Dispatchers whose bids a keeper remembers, and machines that one may bid for.
+/// Dispatchers whose cost estimates a member keeps.
 const MAX_ESTIMATORS: usize = 1_024;
-/// No bid counts for more: one that is not a number, or huge, must not hold a machine back for
-/// good.
+/// No estimate counts for more, so that no dispatcher can hold a machine back for good.
 pub const MAX_COST: f64 = 1e6;
 
-/// What became of a machine.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-#[serde(rename_all = "kebab-case")]
-pub enum LeaseOutcome {
-    #[serde(rename = "worked")]
-    Completed,
-    /// It could not be emptied in its time.
-    Skipped,
-}
-
-/// What a keeper says to a claim.
+/// How a member answers a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[must_use = "a claim may not have been granted"]
 pub enum ClaimOutcome {
+    /// The lease is held here.
     Granted,
-    /// A slot is held by another, or is none under its limit; or the machine is out, or has been.
+    /// A slot is held by another lease or is beyond its limit, or the machine is out or has been.
     Occupied,
-    /// Another wish stands here, or none that takes machines out.
+    /// Another revision stands here, or the request takes no machines out.
     StaleRevision,
 }
 
+/// What one quorum member holds of maintenance.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LeaseTable {
     #[serde(rename = "wish")]
     request: Option<MaintenanceRequest>,
     #[serde(rename = "outings")]
     leases: BTreeMap<Machine, MaintenanceLease>,
-    /// With the job that each belongs to.
     #[serde(rename = "ended")]
-    outcomes: BTreeMap<Machine, (u64, LeaseOutcome)>,
+    outcomes: BTreeMap<Machine, JobOutcome>,
     withdrawn: VecDeque<ClaimId>,
-    /// Whether an outing is to be handed over or returned.
+    /// Whether a lease is to be drained or cancelled, oldest first.
     votes: VecDeque<(ClaimId, LeasePhase)>,
+    /// By dispatcher.
     #[serde(rename = "bids")]
     cost_estimates: BTreeMap<u32, BTreeMap<Machine, f64>>,
 }
 
 impl LeaseTable {
-    /// Takes the wish if it is later than what stands. What stands after.
-    pub fn propose(&mut self, wish: MaintenanceRequest) -> Option<&MaintenanceRequest> {
+    /// Accepts the request if its revision is later than the one held. Returns what is held after.
+    pub fn propose(&mut self, request: MaintenanceRequest) -> Option<&MaintenanceRequest> {
         let later = self
             .request
             .as_ref()
-            .is_none_or(|stands| stands.revision < wish.revision);
-        if later && wish.machines.len() <= crate::MAX_MACHINES {
-            self.outcomes.retain(|_, (job, _)| *job == wish.job);
-            self.request = Some(wish);
+            .is_none_or(|held| held.revision < request.revision);
+        if later && request.machines.len() <= MAX_MACHINES {
+            self.outcomes
+                .retain(|_, outcome| outcome.job == request.job);
+            self.request = Some(request);
         }
         self.request.as_ref()
     }
 
-    /// Slots of outings that are here stay theirs over any wish: limits that have shrunk let nobody
-    /// in until fewer are out.
+    /// Grants a lease on a machine if all its slots are free. Leases that are held keep their slots
+    /// over any new revision: limits that have shrunk admit none until fewer are out.
     pub fn claim(
         &mut self,
-        number: u64,
+        revision: u64,
         machine: Machine,
         claim: ClaimId,
         slots: Slots,
     ) -> ClaimOutcome {
-        let Some(wish) = self.request.as_ref().filter(|wish| wish.revision == number) else {
+        let Some(request) = self
+            .request
+            .as_ref()
+            .filter(|held| held.revision == revision && held.run_state == RunState::Running)
+        else {
             return ClaimOutcome::StaleRevision;
         };
-        let Some(&at) = wish
-            .machines
-            .get(&machine)
-            .filter(|_| wish.run_state == RunState::Running)
-        else {
+        let Some(&domains) = request.machines.get(&machine) else {
             return ClaimOutcome::StaleRevision;
         };
-        if let Some(outing) = self.leases.get(&machine) {
-            let same = outing.claim == claim && outing.slots == slots;
-            return if same {
+        if let Some(held) = self.leases.get(&machine) {
+            return if held.claim == claim && held.slots == slots {
                 ClaimOutcome::Granted
             } else {
                 ClaimOutcome::Occupied
             };
         }
-        let limits = wish.limits.each();
-        let taken = |limit: usize| {
-            let mut others = self
-                .leases
-                .values()
-                .filter(|other| shares(limit, other.domains, at));
-            slots[limit] >= limits[limit] || others.any(|other| other.slots[limit] == slots[limit])
-        };
         if self.outcomes.contains_key(&machine)
             || self.withdrawn.contains(&claim)
-            || (0..4).any(taken)
+            || LimitScope::ALL
+                .iter()
+                .any(|&scope| self.is_occupied(request, domains, scope, slots))
         {
             return ClaimOutcome::Occupied;
         }
-        let job = wish.job;
-        self.leases.insert(
-            machine,
-            MaintenanceLease {
-                claim,
-                job,
-                domains: at,
-                slots,
-                phase: LeasePhase::Requested,
-            },
-        );
+        let lease = MaintenanceLease {
+            claim,
+            job: request.job,
+            domains,
+            slots,
+            phase: LeasePhase::Requested,
+        };
+        self.leases.insert(machine, lease);
         ClaimOutcome::Granted
     }
 
-    /// An outing has come so far. One that this keeper has not heard of is none here, but for its
-    /// vote: it may have been withdrawn, and another may hold its slots.
+    /// Whether the slot of this scope is beyond the limit or held by another lease.
+    fn is_occupied(
+        &self,
+        request: &MaintenanceRequest,
+        domains: MachineDomains,
+        scope: LimitScope,
+        slots: Slots,
+    ) -> bool {
+        let slot = slots.of(scope);
+        let mut others = self
+            .leases
+            .values()
+            .filter(|other| scope.is_shared(other.domains, domains));
+        slot >= request.limits.of(scope) || others.any(|other| other.slots.of(scope) == slot)
+    }
+
+    /// A lease has reached a phase. Of a lease that is not held here only the vote is recorded: it
+    /// may have been withdrawn, and another may hold its slots.
     pub fn advance(&mut self, machine: Machine, claim: ClaimId, phase: LeasePhase) {
         if matches!(phase, LeasePhase::Drained | LeasePhase::Cancelled) {
-            if !self.votes.iter().any(|(of, _)| *of == claim) {
-                self.votes.push_back((claim, phase));
-            }
-            if self.votes.len() > MAX_VOTES {
-                let here = |claim| self.leases.values().any(|outing| outing.claim == claim);
-                let oldest = self.votes.iter().position(|(claim, _)| !here(*claim));
-                oldest.map(|oldest| self.votes.remove(oldest));
-            }
-        } else if let Some(outing) = self
+            self.vote(claim, phase);
+        } else if let Some(lease) = self
             .leases
             .get_mut(&machine)
-            .filter(|outing| outing.claim == claim)
+            .filter(|lease| lease.claim == claim)
         {
-            outing.phase = outing.phase.max(phase);
+            lease.phase = lease.phase.max(phase);
+        }
+    }
+
+    /// Records the first vote on a lease.
+    fn vote(&mut self, claim: ClaimId, phase: LeasePhase) {
+        if !self.votes.iter().any(|(voted, _)| *voted == claim) {
+            self.votes.push_back((claim, phase));
+        }
+        if self.votes.len() > MAX_VOTES {
+            let is_held = |claim| self.leases.values().any(|lease| lease.claim == claim);
+            let oldest = self.votes.iter().position(|(claim, _)| !is_held(*claim));
+            oldest.map(|oldest| self.votes.remove(oldest));
         }
     }
 
-    /// On the outings that are here, and the latest of the others.
+    /// The votes on leases that are held here, and the latest of the others.
     pub fn votes(&self) -> impl Iterator<Item = (ClaimId, LeasePhase)> {
-        let here: BTreeSet<ClaimId> = self.leases.values().map(|outing| outing.claim).collect();
-        let old = self.votes.len().saturating_sub(MAX_REPORTED_VOTES);
-        let told = self
-            .votes
+        let held: BTreeSet<ClaimId> = self.leases.values().map(|lease| lease.claim).collect();
+        let first_recent = self.votes.len().saturating_sub(MAX_REPORTED_VOTES);
+        self.votes
             .iter()
             .enumerate()
-            .filter(move |(index, (claim, _))| *index >= old || here.contains(claim));
-        told.map(|(_, vote)| *vote)
+            .filter(move |(index, (claim, _))| *index >= first_recent || held.contains(claim))
+            .map(|(_, vote)| *vote)
     }
 
-    /// A claim that a majority has never held is never to be held: from here on this keeper does
-    /// not let it.
+    /// Withdraws a claim that no majority has ever held: this member never grants it from here on.
+    /// Does nothing where the lease is further than requested.
     pub fn withdraw(&mut self, machine: Machine, claim: ClaimId) {
-        let here = self
+        let held = self
             .leases
             .get(&machine)
-            .filter(|outing| outing.claim == claim);
-        if here.is_some_and(|outing| outing.phase > LeasePhase::Requested)
+            .filter(|lease| lease.claim == claim);
+        if held.is_some_and(|lease| lease.phase > LeasePhase::Requested)
             || self.withdrawn.contains(&claim)
         {
             return;
         }
-        if here.is_some() {
+        if held.is_some() {
             self.leases.remove(&machine);
         }
         self.withdrawn.push_back(claim);
@@ -179,73 +184,72 @@
         }
     }
 
-    /// The outing is over, or a majority has withdrawn it: its slots are free. `ended` for this
-    /// job, if it has.
-    pub fn release(
-        &mut self,
-        machine: Machine,
-        claim: ClaimId,
-        ended: Option<(u64, LeaseOutcome)>,
-    ) {
+    /// The lease has ended, or a majority has withdrawn it: its slots are free. `outcome` is what
+    /// became of the machine, if it is done with; of another job than the one held it is ignored.
+    pub fn release(&mut self, machine: Machine, claim: ClaimId, outcome: Option<JobOutcome>) {
         if self
             .leases
             .get(&machine)
-            .is_some_and(|outing| outing.claim == claim)
+            .is_some_and(|lease| lease.claim == claim)
         {
             self.leases.remove(&machine);
         }
-        // Late word of an earlier job says nothing of this one.
-        let job = self.request.as_ref().map(|wish| wish.job);
-        if let Some(ended) = ended.filter(|(of, _)| Some(*of) == job) {
-            self.outcomes.entry(machine).or_insert(ended);
+        let job = self.request.as_ref().map(|request| request.job);
+        if let Some(outcome) = outcome.filter(|outcome| Some(outcome.job) == job) {
+            self.outcomes.entry(machine).or_insert(outcome);
         }
     }
 
-    /// What taking out each machine would cost, as a dispatcher sees it. Bids that are no numbers,
-    /// or below 0, are left out.
+    /// Records what draining each machine would cost, as a dispatcher estimates it. Estimates that
+    /// are not numbers, or below 0, are left out.
     pub fn record_cost_estimates(
         &mut self,
         dispatcher: u32,
-        bids: impl IntoIterator<Item = (Machine, f64)>,
+        estimates: impl IntoIterator<Item = (Machine, f64)>,
     ) {
         if self.cost_estimates.len() >= MAX_ESTIMATORS
             && !self.cost_estimates.contains_key(&dispatcher)
         {
             return;
         }
-        let sound = bids
+        let valid = estimates
             .into_iter()
-            .filter(|(_, cost)| cost.is_finite() && *cost >= 0.0);
-        let own = sound
-            .take(crate::MAX_MACHINES)
+            .filter(|(_, cost)| cost.is_finite() && *cost >= 0.0)
+            .take(MAX_MACHINES)
             .map(|(machine, cost)| (machine, cost.min(MAX_COST)));
-        self.cost_estimates.insert(dispatcher, own.collect());
+        self.cost_estimates.insert(dispatcher, valid.collect());
     }
 
+    /// The request held here.
     pub fn request(&self) -> Option<&MaintenanceRequest> {
         self.request.as_ref()
     }
 
+    /// The leases held here.
     pub fn leases(&self) -> &BTreeMap<Machine, MaintenanceLease> {
         &self.leases
     }
 
+    /// What became of machines in the current job.
     pub fn outcomes(&self) -> impl Iterator<Item = (Machine, LeaseOutcome)> {
         self.outcomes
             .iter()
-            .map(|(machine, (_, end))| (*machine, *end))
+            .map(|(machine, of)| (*machine, of.outcome))
     }
 
+    /// The claims that are known to be withdrawn, oldest first.
     pub fn withdrawn(&self) -> impl Iterator<Item = ClaimId> {
         self.withdrawn.iter().copied()
     }
 
-    /// Of dispatchers numbered below `fleet`: one that does not exist has no say.
-    pub fn total_costs(&self, fleet: u32) -> BTreeMap<Machine, f64> {
+    /// The sums of the estimates by machine, of dispatchers numbered below `fleet_size`: one that
+    /// does not exist has no say.
+    pub fn total_costs(&self, fleet_size: u32) -> BTreeMap<Machine, f64> {
         let mut sums = BTreeMap::new();
-        for bids in self.cost_estimates.range(..fleet).map(|(_, bids)| bids) {
-            bids.iter()
-                .for_each(|(machine, cost)| *sums.entry(*machine).or_default() += cost);
+        for estimates in self.cost_estimates.range(..fleet_size).map(|(_, own)| own) {
+            for (machine, cost) in estimates {
+                *sums.entry(*machine).or_default() += cost;
+            }
         }
         sums
     }
--- /dev/null
+++ b/crates/maintenance/src/limits.rs
@@ -0,0 +1,147 @@
+//! Machines, the domains that they belong to, and how many of each domain may be out at a time.
+
+use serde::{Deserialize, Serialize};
+use std::array::TryFromSliceError;
+
+/// A machine, by the number that service discovery gives it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+pub struct Machine(pub u32);
+
+/// The domains of a machine, as service discovery reported them when the request was made.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
+pub struct MachineDomains {
+    /// The zone, stored as `hall`.
+    #[serde(rename = "hall")]
+    pub zone: u32,
+    /// The cell.
+    pub cell: u64,
+    /// The machine type, stored as `kind`.
+    #[serde(rename = "kind")]
+    pub machine_type: u32,
+}
+
+/// What a limit counts over.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum LimitScope {
+    /// All machines of the request.
+    Total,
+    /// Machines of one zone.
+    Zone,
+    /// Machines of one cell.
+    Cell,
+    /// Machines of one type.
+    MachineType,
+}
+
+impl LimitScope {
+    /// Every scope, in the order in which limits and slots are stored and sent.
+    pub const ALL: [LimitScope; 4] = [
+        LimitScope::Total,
+        LimitScope::Zone,
+        LimitScope::Cell,
+        LimitScope::MachineType,
+    ];
+
+    /// Whether two machines count towards the same limit of this scope.
+    pub fn is_shared(self, one: MachineDomains, other: MachineDomains) -> bool {
+        match self {
+            LimitScope::Total => true,
+            LimitScope::Zone => one.zone == other.zone,
+            LimitScope::Cell => one.cell == other.cell,
+            LimitScope::MachineType => one.machine_type == other.machine_type,
+        }
+    }
+}
+
+/// How many machines may be out at a time.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
+pub struct DisruptionLimits {
+    /// Of all machines, stored as `all`.
+    #[serde(rename = "all")]
+    pub total: u32,
+    /// Of one zone, stored as `hall`.
+    #[serde(rename = "hall")]
+    pub zone: u32,
+    /// Of one cell.
+    pub cell: u32,
+    /// Of one machine type, stored as `kind`.
+    #[serde(rename = "kind")]
+    pub machine_type: u32,
+}
+
+impl DisruptionLimits {
+    /// The limit of one scope.
+    pub fn of(&self, scope: LimitScope) -> u32 {
+        match scope {
+            LimitScope::Total => self.total,
+            LimitScope::Zone => self.zone,
+            LimitScope::Cell => self.cell,
+            LimitScope::MachineType => self.machine_type,
+        }
+    }
+
+    /// The limits in the order of [`LimitScope::ALL`].
+    pub fn each(&self) -> [u32; 4] {
+        LimitScope::ALL.map(|scope| self.of(scope))
+    }
+}
+
+/// The numbered slot that a lease occupies under each limit, from 0. Slots are numbered and not
+/// merely counted: of three members that each count to two, two majorities may admit three.
+///
+/// Stored and sent as four numbers in the order of [`LimitScope::ALL`].
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[serde(from = "[u32; 4]", into = "[u32; 4]")]
+pub struct Slots {
+    /// Among all machines.
+    pub total: u32,
+    /// Among those of the zone.
+    pub zone: u32,
+    /// Among those of the cell.
+    pub cell: u32,
+    /// Among those of the machine type.
+    pub machine_type: u32,
+}
+
+impl Slots {
+    /// The slot under the limit of one scope.
+    pub fn of(&self, scope: LimitScope) -> u32 {
+        match scope {
+            LimitScope::Total => self.total,
+            LimitScope::Zone => self.zone,
+            LimitScope::Cell => self.cell,
+            LimitScope::MachineType => self.machine_type,
+        }
+    }
+
+    /// The slots in the order of [`LimitScope::ALL`].
+    pub fn each(&self) -> [u32; 4] {
+        LimitScope::ALL.map(|scope| self.of(scope))
+    }
+}
+
+impl TryFrom<&[u32]> for Slots {
+    type Error = TryFromSliceError;
+
+    /// Fails unless there are four numbers.
+    fn try_from(slots: &[u32]) -> Result<Self, Self::Error> {
+        <[u32; 4]>::try_from(slots).map(Slots::from)
+    }
+}
+
+impl From<[u32; 4]> for Slots {
+    fn from([total, zone, cell, machine_type]: [u32; 4]) -> Self {
+        Slots {
+            total,
+            zone,
+            cell,
+            machine_type,
+        }
+    }
+}
+
+impl From<Slots> for [u32; 4] {
+    fn from(slots: Slots) -> Self {
+        slots.each()
+    }
+}
--- a/crates/maintenance/tests/stored_state.rs
+++ b/crates/maintenance/tests/stored_state.rs
@@ -3,18 +3,18 @@
 //! the first release that stored them; they never change.
 
 use corkspan_maintenance::cordon::Cordon;
-use corkspan_maintenance::lease_table::{LeaseOutcome, LeaseTable};
+use corkspan_maintenance::lease_table::LeaseTable;
 use corkspan_maintenance::{
-    ClaimId, DisruptionLimits, DrainTimeoutAction, LeasePhase, Machine, MachineDomains,
-    MaintenanceLease, MaintenanceRequest, RunState,
+    ClaimId, DisruptionLimits, DrainTimeoutAction, LeaseOutcome, LeasePhase, Machine,
+    MachineDomains, MaintenanceLease, MaintenanceRequest, RunState,
 };
 use serde::{Serialize, de::DeserializeOwned};
 use std::fmt::Debug;
 use test_case::test_case;
 
-const BOARD: &str = include_str!("data/quorum-member.json");
-const EMPTY_BOARD: &str = include_str!("data/quorum-member-empty.json");
-const DOOR: &str = include_str!("data/cordon.json");
+const LEASE_TABLE: &str = include_str!("data/quorum-member.json");
+const EMPTY_LEASE_TABLE: &str = include_str!("data/quorum-member-empty.json");
+const CORDON: &str = include_str!("data/cordon.json");
 const PARTS: &str = include_str!("data/parts.txt");
 const REFUSALS: &str = include_str!("data/refusals.txt");
 
@@ -30,12 +30,18 @@
 
 #[test]
 fn a_quorum_members_state_is_read_to_the_same_content() {
-    let board: LeaseTable = read(BOARD.trim_end());
-    let wish = board.request().expect("one stands");
-    assert_eq!((wish.revision, wish.proposer, wish.job), (7, 11, 5));
-    assert_eq!((wish.warm_up_ms, wish.drain_timeout_ms), (60_000, 900_000));
+    let table: LeaseTable = read(LEASE_TABLE.trim_end());
+    let request = table.request().expect("one stands");
     assert_eq!(
-        (wish.on_drain_timeout, wish.run_state),
+        (request.revision, request.proposer, request.job),
+        (7, 11, 5)
+    );
+    assert_eq!(
+        (request.warm_up_ms, request.drain_timeout_ms),
+        (60_000, 900_000)
+    );
+    assert_eq!(
+        (request.on_drain_timeout, request.run_state),
         (DrainTimeoutAction::Skip, RunState::Paused)
     );
     let limits = DisruptionLimits {
@@ -44,19 +50,19 @@
         cell: 18,
         machine_type: 17,
     };
-    assert_eq!(wish.limits, limits);
-    assert_eq!(wish.machines.len(), 12);
-    let at = MachineDomains {
+    assert_eq!(request.limits, limits);
+    assert_eq!(request.machines.len(), 12);
+    let domains = MachineDomains {
         zone: 1,
         cell: 103,
         machine_type: 0,
     };
-    assert_eq!(wish.machines[&Machine(3)], at);
+    assert_eq!(request.machines[&Machine(3)], domains);
 
-    let phases: Vec<(u32, u64, LeasePhase)> = board
+    let phases: Vec<(u32, u64, LeasePhase)> = table
         .leases()
         .iter()
-        .map(|(machine, outing)| (machine.0, outing.claim.0, outing.phase))
+        .map(|(machine, lease)| (machine.0, lease.claim.0, lease.phase))
         .collect();
     let expected = [
         (0, 100, LeasePhase::Requested),
@@ -66,26 +72,26 @@
         (4, 104, LeasePhase::Completed),
     ];
     assert_eq!(phases, expected);
-    let outing = MaintenanceLease {
+    let lease = MaintenanceLease {
         claim: ClaimId(103),
         job: 5,
-        domains: at,
-        slots: [3, 3, 3, 3],
+        domains,
+        slots: [3, 3, 3, 3].into(),
         phase: LeasePhase::Cordoned,
     };
-    assert_eq!(board.leases()[&Machine(3)], outing);
+    assert_eq!(table.leases()[&Machine(3)], lease);
 
-    let ended: Vec<(Machine, LeaseOutcome)> = board.outcomes().collect();
+    let outcomes: Vec<(Machine, LeaseOutcome)> = table.outcomes().collect();
     assert_eq!(
-        ended,
+        outcomes,
         [
             (Machine(7), LeaseOutcome::Completed),
             (Machine(8), LeaseOutcome::Skipped)
         ]
     );
-    let withdrawn: Vec<ClaimId> = board.withdrawn().collect();
+    let withdrawn: Vec<ClaimId> = table.withdrawn().collect();
     assert_eq!(withdrawn, [ClaimId(109), ClaimId(u64::MAX)]);
-    let votes: Vec<(ClaimId, LeasePhase)> = board.votes().collect();
+    let votes: Vec<(ClaimId, LeasePhase)> = table.votes().collect();
     assert_eq!(
         votes,
         [
@@ -93,33 +99,33 @@
             (ClaimId(103), LeasePhase::Cancelled)
         ]
     );
-    let costs: Vec<(u32, f64)> = board
+    let costs: Vec<(u32, f64)> = table
         .total_costs(4)
         .into_iter()
         .map(|(machine, cost)| (machine.0, cost))
         .collect();
     assert_eq!(costs, [(0, 3.5), (1, 1e6 + 0.25), (5, 10.0)]);
-    assert_eq!(board.total_costs(1).len(), 2, "of one dispatcher alone");
+    assert_eq!(table.total_costs(1).len(), 2, "of one dispatcher alone");
 }
 
 #[test]
 fn an_empty_quorum_member_is_read_as_the_default() {
     assert_eq!(
-        read::<LeaseTable>(EMPTY_BOARD.trim_end()),
+        read::<LeaseTable>(EMPTY_LEASE_TABLE.trim_end()),
         LeaseTable::default()
     );
 }
 
 #[test]
 fn a_cordon_is_read_to_the_same_content() {
-    let lines: Vec<&str> = DOOR.lines().collect();
+    let lines: Vec<&str> = CORDON.lines().collect();
     assert_eq!(read::<Cordon>(lines[0]), Cordon::default());
-    let door: Cordon = read(lines[1]);
-    assert_eq!(door.active(), Some(ClaimId(70)));
-    let over: Vec<u64> = (0..80)
-        .filter(|own| door.is_finished(ClaimId(*own)))
+    let cordon: Cordon = read(lines[1]);
+    assert_eq!(cordon.active(), Some(ClaimId(70)));
+    let finished: Vec<u64> = (0..80)
+        .filter(|own| cordon.is_finished(ClaimId(*own)))
         .collect();
-    assert_eq!(over, (6..70).collect::<Vec<u64>>());
+    assert_eq!(finished, (6..70).collect::<Vec<u64>>());
 }
 
 /// The lines of one kind in the file of parts.
@@ -144,12 +150,12 @@
         phases
     );
     assert!(phases.is_sorted(), "in the order in which they follow");
-    let courses = [RunState::Running, RunState::Paused, RunState::Aborted];
+    let run_states = [RunState::Running, RunState::Paused, RunState::Aborted];
     assert_eq!(
         parts("run-state").map(read::<RunState>).collect::<Vec<_>>(),
-        courses
+        run_states
     );
-    let thens = [
+    let timeout_actions = [
         DrainTimeoutAction::Wait,
         DrainTimeoutAction::Skip,
         DrainTimeoutAction::Stop,
@@ -158,7 +164,7 @@
         parts("drain-timeout")
             .map(read::<DrainTimeoutAction>)
             .collect::<Vec<_>>(),
-        thens
+        timeout_actions
     );
     let ends = [LeaseOutcome::Completed, LeaseOutcome::Skipped];
     assert_eq!(
@@ -171,16 +177,16 @@
     assert_eq!(machines, [Machine(0), Machine(u32::MAX)]);
     let limits: Vec<DisruptionLimits> = parts("limits").map(read).collect();
     assert_eq!(limits[0].each(), [1, 2, 3, 4]);
-    let places: Vec<MachineDomains> = parts("domains").map(read).collect();
+    let domains: Vec<MachineDomains> = parts("domains").map(read).collect();
     assert_eq!(
-        (places[0].zone, places[0].cell, places[0].machine_type),
+        (domains[0].zone, domains[0].cell, domains[0].machine_type),
         (5, u64::MAX, 7)
     );
-    let outings: Vec<MaintenanceLease> = parts("lease").map(read).collect();
-    assert_eq!((outings[0].slots, outings[0].job), ([0, 1, 2, 3], 9));
-    let wishes: Vec<MaintenanceRequest> = parts("request").map(read).collect();
-    assert_eq!(wishes[0].run_state, RunState::Aborted);
-    assert_eq!(wishes[0].machines.len(), 2);
+    let leases: Vec<MaintenanceLease> = parts("lease").map(read).collect();
+    assert_eq!((leases[0].slots.each(), leases[0].job), ([0, 1, 2, 3], 9));
+    let requests: Vec<MaintenanceRequest> = parts("request").map(read).collect();
+    assert_eq!(requests[0].run_state, RunState::Aborted);
+    assert_eq!(requests[0].machines.len(), 2);
     assert_eq!(parts("").count(), 0, "no line is left out");
     assert_eq!(PARTS.lines().count(), 20);
 }
@@ -192,11 +198,13 @@
 #[test_case("request", 3; "a request without its limits")]
 fn what_is_half_written_is_refused_with_the_same_message(kind: &str, line: usize) {
     let refused = match kind {
-        "quorum-member" => serde_json::from_str::<LeaseTable>(&BOARD[..BOARD.len() / 2])
-            .expect_err("half of it")
-            .to_string(),
+        "quorum-member" => {
+            serde_json::from_str::<LeaseTable>(&LEASE_TABLE[..LEASE_TABLE.len() / 2])
+                .expect_err("half of it")
+                .to_string()
+        }
         "cordon" => {
-            let text = DOOR.lines().last().expect("two lines");
+            let text = CORDON.lines().last().expect("two lines");
             serde_json::from_str::<Cordon>(&text[..text.len() / 2])
                 .expect_err("half of it")
                 .to_string()
