--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -5,9 +5,12 @@
 use corkspan_api::v1::{self, node_client::NodeClient, versions_client::VersionsClient};
 use corkspan_dispatcher::clock::wall_ms;
 use corkspan_rpc::{Bounds, Link, Tasks, within};
-use corkspan_version_fencing::acts::Kind;
-use corkspan_version_fencing::audit::{Acted, Acts, Finding, Told, acts, findings, node_findings};
-use corkspan_version_fencing::{Runs, taken_by_enough};
+use corkspan_version_fencing::audit::{
+    DispatcherReport, Finding, NodeObservation, OperationTotals, dispatcher_findings,
+    node_findings, operation_totals,
+};
+use corkspan_version_fencing::operations::OperationKind;
+use corkspan_version_fencing::{ReportedVersion, check_adoption};
 use futures_lite::future;
 use serde_json::json;
 use std::net::SocketAddr;
@@ -19,7 +22,7 @@
 const ANSWER: usize = 16 << 20;
 
 /// Nodes by address, each with what it has seen; none of who does not answer.
-type Seen = Vec<(String, Option<Vec<Acted>>)>;
+type Seen = Vec<(String, Option<Vec<NodeObservation>>)>;
 
 #[derive(Subcommand)]
 pub enum Fleet {
@@ -72,7 +75,7 @@
                     .map(SocketAddr::to_string)
                     .zip(all.iter().map(|own| own.as_ref().map(told)))
                     .collect();
-                let mut found = findings(&named);
+                let mut found = dispatcher_findings(&named);
                 found.extend(node_findings(&named, &acted));
                 match json {
                     true => as_json(&dispatchers, &all, &acted, since, &found),
@@ -152,13 +155,13 @@
     for (address, ask) in addresses.iter().zip(asked) {
         let acts = ask.await.flatten().map(|word| {
             let acts = word.acts.iter();
-            acts.map(|act| Acted {
+            acts.map(|act| NodeObservation {
                 dispatcher: act.dispatcher,
-                life: act.life,
+                incarnation: act.life,
                 version: act.version,
                 kind: kind(act.kind),
                 seen: act.seen,
-                below: act.below,
+                rejected: act.below,
             })
             .collect()
         });
@@ -169,31 +172,31 @@
 
 /// One that a later program tells of and this one does not know counts among claims, which nobody
 /// is shown apart.
-fn kind(kind: i32) -> Kind {
+fn kind(kind: i32) -> OperationKind {
     usize::try_from(kind)
         .ok()
-        .and_then(|kind| Kind::ALL.get(kind))
+        .and_then(|kind| OperationKind::ALL.get(kind))
         .copied()
-        .unwrap_or(Kind::Claim)
+        .unwrap_or(OperationKind::Claim)
 }
 
-fn told(status: &v1::VersionStatus) -> Told {
+fn told(status: &v1::VersionStatus) -> DispatcherReport {
     let running = status.running.clone().unwrap_or_default();
     let turned_down = status
         .refused_last
         .as_ref()
         .map(|stamp| (stamp.number, status.why.join("; ")));
-    Told {
+    DispatcherReport {
         dispatcher: status.dispatcher,
-        life: status.life,
+        incarnation: status.life,
         version: running.number,
         digest: running.digest,
         on_trial: status.on_trial,
-        streams: !status.service.is_empty(),
-        turned_down,
-        given_up: status.given_up.iter().map(|stamp| stamp.number).collect(),
-        shut_out: status.shut_out,
-        acts: status
+        has_stream: !status.service.is_empty(),
+        last_rejected: turned_down,
+        rolled_back: status.given_up.iter().map(|stamp| stamp.number).collect(),
+        fenced: status.shut_out,
+        operations: status
             .counted
             .iter()
             .map(|own| ((own.version, kind(own.kind as i32)), own.many))
@@ -231,8 +234,8 @@
     span.stamp.as_ref().map_or(0, |stamp| stamp.number)
 }
 
-fn state(told: &Told) -> &'static str {
-    match (told.shut_out, told.on_trial) {
+fn state(told: &DispatcherReport) -> &'static str {
+    match (told.fenced, told.on_trial) {
         (true, _) => "shut out",
         (false, true) => "on trial",
         (false, false) => "acts",
@@ -301,12 +304,12 @@
         );
         for (
             (dispatcher, version),
-            Acts {
-                shots,
+            OperationTotals {
+                attempts: shots,
                 others,
-                below,
+                rejected: below,
             },
-        ) in acts(acted)
+        ) in operation_totals(acted)
         {
             println!("{dispatcher:>22} {version:>8} {shots:>10} {others:>10} {below:>11}");
         }
@@ -331,12 +334,12 @@
                 "from_ms": span.from_ms, "to_ms": end })
         });
         json!({
-            "address": address, "answers": true, "number": told.dispatcher, "life": format!("{:x}", told.life),
+            "address": address, "answers": true, "number": told.dispatcher, "life": format!("{:x}", told.incarnation),
             "version": told.version, "digest": told.digest, "state": state(&told),
             "floor": status.floor.as_ref().map(|floor| floor.lowest), "spans": spans.collect::<Vec<_>>(),
         })
     });
-    let acts = acts(acted).into_iter().map(|((dispatcher, version), Acts { shots, others, below })| {
+    let acts = operation_totals(acted).into_iter().map(|((dispatcher, version), OperationTotals { attempts: shots, others, rejected: below })| {
         json!({ "dispatcher": dispatcher, "version": version, "shots": shots, "others": others, "below": below })
     });
     let findings: Vec<String> = found.iter().map(Finding::to_string).collect();
@@ -361,14 +364,15 @@
         .max_by_key(|floor| floor.number);
     let runs = |status: &v1::VersionStatus| {
         let version = status.running.as_ref().map_or(0, |running| running.number);
-        Runs {
+        ReportedVersion {
             version,
             on_trial: status.on_trial,
         }
     };
-    let runs: Vec<Option<Runs>> = all.iter().map(|status| status.as_ref().map(runs)).collect();
+    let runs: Vec<Option<ReportedVersion>> =
+        all.iter().map(|status| status.as_ref().map(runs)).collect();
     let stands = stands.map(|floor| floor.lowest);
-    taken_by_enough(&runs, stands, version, part).map_err(|why| why.to_string())?;
+    check_adoption(&runs, stands, version, part).map_err(|why| why.to_string())?;
     let answers = addresses
         .iter()
         .zip(&all)
--- a/crates/dispatcher/src/bring.rs
+++ b/crates/dispatcher/src/bring.rs
@@ -1,6 +1,6 @@
 //! A straggler's way up without a control service: the newest version asked of other dispatchers,
 //! then of keepers, and taken as a pushed one is. Whom to ask when is decided in
-//! `corkspan_version_fencing::bring`.
+//! `corkspan_version_fencing::catch_up`.
 
 use crate::control::apply;
 use crate::counts::LinkKind;
@@ -10,17 +10,19 @@
 use corkspan_api::v1::{self, keep_ask::Ask, versions_client::VersionsClient};
 use corkspan_config_sync::{Push, Said};
 use corkspan_rpc::{Link, within};
-use corkspan_version_fencing::bring::{Came, Next, Pace, Sees, Source, Straggler};
-use corkspan_version_fencing::record::How;
+use corkspan_version_fencing::catch_up::{
+    CatchUp, CatchUpStatus, NextStep, RequestIntervals, RequestOutcome, VersionSource,
+};
+use corkspan_version_fencing::history::VersionOrigin;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
 use tracing::{info, warn};
 
 /// In tenths of a millisecond.
-const PACE: Pace = Pace {
-    first: 10_000,
-    longest: 200_000,
+const PACE: RequestIntervals = RequestIntervals {
+    initial: 10_000,
+    max: 200_000,
     idle: 200_000,
 };
 /// Of one version, with all its parts.
@@ -28,27 +30,27 @@
 
 /// Asks as long as it is polled, whenever it must.
 pub async fn run(desk: Arc<Desk>) {
-    let mut straggler = Straggler::new(desk.fleet.life ^ 1, PACE);
+    let mut straggler = CatchUp::new(desk.fleet.life ^ 1, PACE);
     while let Some(own) = desk.deployment().floor.clone() {
-        let sees = Sees {
-            streams: desk.versions.with(|state| state.service.is_some()),
-            shut_out: desk.shut_out().is_some(),
+        let sees = CatchUpStatus {
+            has_stream: desk.versions.with(|state| state.service.is_some()),
+            fenced: desk.shut_out().is_some(),
             peers: own.peers.len(),
-            keepers: desk.deployment().keepers.len(),
+            members: desk.deployment().keepers.len(),
         };
-        match straggler.look(desk.clock.now(), sees) {
-            Next::Wait(time) => {
+        match straggler.poll(desk.clock.now(), sees) {
+            NextStep::Wait(time) => {
                 async_io::Timer::after(crate::clock::duration(time.max(1))).await;
             }
-            Next::Ask(source) => {
+            NextStep::Request(source) => {
                 let came = bring(&desk, &own.peers, source).await;
-                straggler.came(desk.clock.now(), came);
+                straggler.complete(desk.clock.now(), came);
             }
         }
     }
 }
 
-async fn bring(desk: &Arc<Desk>, peers: &[SocketAddr], source: Source) -> Came {
+async fn bring(desk: &Arc<Desk>, peers: &[SocketAddr], source: VersionSource) -> RequestOutcome {
     let running = desk.deployment().stamp;
     let dispatcher = desk.deployment().cluster.scheduler_index as u32;
     let ask = v1::GiveAsk {
@@ -56,24 +58,24 @@
         dispatcher,
     };
     let push = match source {
-        Source::Peer(which) => match peers.get(which) {
+        VersionSource::Peer(which) => match peers.get(which) {
             Some(&peer) => from_peer(desk, peer, ask).await,
             None => None,
         },
-        Source::Keeper(which) => keepers::ask_one(desk, which, Ask::Fetch(ask))
+        VersionSource::QuorumMember(which) => keepers::ask_one(desk, which, Ask::Fetch(ask))
             .await
             .and_then(|word| word.given),
     };
     // No stamp: nothing later is there.
     let Some(push) = push.filter(|push| push.stamp.is_some()) else {
-        return Came::Nothing;
+        return RequestOutcome::Unchanged;
     };
     let Some(push) = push_of(push) else {
         warn!(
             ?source,
             "a version from another whose stamp is none: a number above 0 and 64 hexadecimal digits"
         );
-        return Came::Nothing;
+        return RequestOutcome::Unchanged;
     };
     // Whole, or it could be made to something that never ran here.
     let push = Push {
@@ -81,10 +83,10 @@
         removed: Vec::new(),
         ..push
     };
-    match apply(desk, &push, How::Brought).await {
+    match apply(desk, &push, VersionOrigin::CatchUp).await {
         Said::Applied => {
             info!(number = push.stamp.number, ?source, "brought up");
-            Came::Up
+            RequestOutcome::Advanced
         }
         Said::Refused(why) => {
             warn!(
@@ -95,9 +97,9 @@
             );
             desk.versions
                 .with(|state| state.refused_last = Some((push.stamp, why)));
-            Came::Nothing
+            RequestOutcome::Unchanged
         }
-        Said::Running | Said::Superseded(_) | Said::WantsWhole => Came::Nothing,
+        Said::Running | Said::Superseded(_) | Said::WantsWhole => RequestOutcome::Unchanged,
     }
 }
 
--- a/crates/dispatcher/src/control.rs
+++ b/crates/dispatcher/src/control.rs
@@ -9,7 +9,7 @@
 use corkspan_api::v1::{self, control_client::ControlClient};
 use corkspan_config_sync::{Admitted, Counts, Pace, Push, Retry, Said, Shelf};
 use corkspan_rpc::Link;
-use corkspan_version_fencing::record::How;
+use corkspan_version_fencing::history::VersionOrigin;
 use futures_lite::{FutureExt, future};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -162,7 +162,7 @@
             let Some(push) = desk.versions.with(|state| state.subscriber.take()) else {
                 continue;
             };
-            let said = apply(desk, &push, How::Push).await;
+            let said = apply(desk, &push, VersionOrigin::Push).await;
             if let Said::Refused(why) = &said {
                 warn!(
                     version = push.stamp.number,
@@ -227,7 +227,7 @@
 }
 
 /// Checks a version, keeps it on disk and puts it in force, on trial.
-pub async fn apply(desk: &Desk, push: &Push, how: How) -> Said {
+pub async fn apply(desk: &Desk, push: &Push, how: VersionOrigin) -> Said {
     let versions = &desk.versions;
     let _step = versions.step.lock().await;
     let texts = match versions.with(|state| state.subscriber.admit(push)) {
@@ -328,7 +328,8 @@
         });
         match why {
             Some(why) => {
-                desk.fleet.began(desk.deployment().stamp, How::GaveUp);
+                desk.fleet
+                    .began(desk.deployment().stamp, VersionOrigin::Rollback);
                 warn!(
                     number = before.number,
                     why, "a version is given up for the last good one"
--- a/crates/dispatcher/src/desk.rs
+++ b/crates/dispatcher/src/desk.rs
@@ -27,7 +27,7 @@
 use corkspan_rollout::conductor::Withdrawn;
 use corkspan_rpc::Tasks;
 use corkspan_scheduler::interface::*;
-use corkspan_version_fencing::acts::Kind;
+use corkspan_version_fencing::operations::OperationKind;
 use port::{Counters, Port};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError, RwLock};
@@ -227,7 +227,7 @@
         if let Some(floor) = self.shut_out() {
             let text = format!(
                 "this dispatcher is behind: version {} is the lowest that may act",
-                floor.lowest
+                floor.version
             );
             refuse(v1::refused::Why::Behind, text);
             return taken;
@@ -321,7 +321,7 @@
             }
             let (task, shot) = (
                 ask.task.clone(),
-                self.shot(&ask, &asked, 0, String::new(), Kind::Attend),
+                self.shot(&ask, &asked, 0, String::new(), OperationKind::Attend),
             );
             let service_name = ask.service.clone();
             let client = Client::new(ask, &words);
@@ -408,7 +408,7 @@
         asked: &Asked,
         number: usize,
         version: String,
-        kind: Kind,
+        kind: OperationKind,
     ) -> v1::Shot {
         v1::Shot {
             placing: ask.placing.clone(),
@@ -430,7 +430,7 @@
 
     /// Who acts, and under which version: told with each act, from what is in force as it is
     /// decided. `many`: nodes that it goes to.
-    pub fn by(&self, kind: Kind, many: usize) -> v1::By {
+    pub fn by(&self, kind: OperationKind, many: usize) -> v1::By {
         let deployment = self.deployment();
         self.fleet.acts(deployment.stamp, kind, many);
         let stamp = Some(running::message(deployment.stamp));
@@ -442,7 +442,7 @@
     }
 
     /// The floor of versions that shuts this dispatcher out, if one does.
-    pub fn shut_out(&self) -> Option<corkspan_version_fencing::Floor> {
+    pub fn shut_out(&self) -> Option<corkspan_version_fencing::MinimumVersion> {
         self.fleet.shut_out(self.deployment().stamp)
     }
 
--- a/crates/dispatcher/src/desk/copies.rs
+++ b/crates/dispatcher/src/desk/copies.rs
@@ -12,7 +12,7 @@
 use corkspan_rollout::conductor::Withdrawn;
 use corkspan_rollout::{ClaimId, Roll};
 use corkspan_scheduler::interface::*;
-use corkspan_version_fencing::acts::Kind;
+use corkspan_version_fencing::operations::OperationKind;
 use std::collections::BTreeSet;
 use std::sync::Arc;
 use tracing::warn;
@@ -317,7 +317,7 @@
                         task: orphan.task.clone(),
                         moved: true,
                         but: String::new(),
-                        by: Some(self.by(Kind::Move, 1)),
+                        by: Some(self.by(OperationKind::Migrate, 1)),
                     };
                     let mut stops: Vec<v1::StopAsk> = orphan.placings.iter().map(stop).collect();
                     stops.extend(orphan.but.iter().map(|but| v1::StopAsk {
@@ -325,7 +325,7 @@
                         task: orphan.task.clone(),
                         moved: true,
                         but: but.clone(),
-                        by: Some(self.by(Kind::Move, 1)),
+                        by: Some(self.by(OperationKind::Migrate, 1)),
                     }));
                     (index, *machine, Arc::clone(node), stops)
                 })
--- a/crates/dispatcher/src/desk/port.rs
+++ b/crates/dispatcher/src/desk/port.rs
@@ -11,7 +11,7 @@
 use corkspan_rollout::ClaimId;
 use corkspan_rollout::conductor::Withdrawn;
 use corkspan_scheduler::interface::*;
-use corkspan_version_fencing::acts::Kind;
+use corkspan_version_fencing::operations::OperationKind;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Weak};
 use std::time::{Duration, Instant};
@@ -54,7 +54,11 @@
             return;
         };
         let (placing, task) = (client.ask.placing.clone(), client.ask.task.clone());
-        let kind = if moved { Kind::Move } else { Kind::Stop };
+        let kind = if moved {
+            OperationKind::Migrate
+        } else {
+            OperationKind::Stop
+        };
         let stop = v1::StopAsk {
             placing,
             task,
@@ -233,7 +237,7 @@
             &asked,
             allocation.attempts.len(),
             client.version.clone(),
-            Kind::Shot,
+            OperationKind::Attempt,
         );
         let node = self.node(machine);
         let most = desk.deployment().bounds.offers_a_node;
--- a/crates/dispatcher/src/fleet.rs
+++ b/crates/dispatcher/src/fleet.rs
@@ -10,9 +10,9 @@
 use corkspan_api::v1::{self, keep_ask::Ask};
 use corkspan_config::FloorWatch;
 use corkspan_quorum::{in_force, of_a_few};
-use corkspan_version_fencing::bring::lays;
-use corkspan_version_fencing::rule::{Rule, Watch};
-use corkspan_version_fencing::{Floor, next};
+use corkspan_version_fencing::catch_up::should_store;
+use corkspan_version_fencing::policy::{MinimumVersionPolicy, PolicyWatch};
+use corkspan_version_fencing::{MinimumVersion, propose};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::sync::Arc;
@@ -35,7 +35,10 @@
         if desk.fleet.unwritten() {
             // Taken before the record: what changes meanwhile is written in the next round.
             let changed = desk.fleet.changed.load(Ordering::Relaxed);
-            let (spans, store) = (desk.fleet.record().spans().clone(), Arc::clone(&desk.store));
+            let (spans, store) = (
+                desk.fleet.record().intervals().clone(),
+                Arc::clone(&desk.store),
+            );
             let kept = blocking::unblock(move || store.record(&spans)).await;
             match &kept {
                 Ok(()) => desk.fleet.written.store(changed, Ordering::Relaxed),
@@ -60,31 +63,34 @@
     if desk.deployment().floor.is_none() {
         return;
     }
-    let (mut watch, mut rng) = (Watch::default(), Pcg64Mcg::seed_from_u64(desk.fleet.life));
+    let (mut watch, mut rng) = (
+        PolicyWatch::default(),
+        Pcg64Mcg::seed_from_u64(desk.fleet.life),
+    );
     while let Some(own) = desk.deployment().floor.clone() {
         let words = tell(&desk, &own).await;
         let deployment = desk.deployment();
         let (keepers, now) = (deployment.keepers.len(), desk.clock.now());
-        let told: Vec<Option<Floor>> = words
+        let told: Vec<Option<MinimumVersion>> = words
             .iter()
             .map(|word| word.floor.as_ref().map(read))
             .collect();
-        let news = desk.fleet.standing().keepers_tell(&told, keepers);
+        let news = desk.fleet.standing().apply_quorum_replies(&told, keepers);
         if let Some(floor) = desk.fleet.floor().filter(|_| news) {
             say(floor, deployment.stamp, "the keepers");
         }
         if own.behind.is_some() || own.after.is_some() {
-            let rule = Rule {
-                behind: own.behind,
-                after: own.after,
-                part: own.part,
+            let rule = MinimumVersionPolicy {
+                max_behind: own.behind,
+                max_age: own.after,
+                adoption_permille: own.part,
             };
             let taken: Vec<Option<u64>> = words.iter().map(|word| word.taken).collect();
-            let stands = in_force(told.iter().flatten(), keepers).map(|floor| floor.lowest);
+            let stands = in_force(told.iter().flatten(), keepers).map(|floor| floor.version);
             // Hundreds see it in the same round: a few that ask are enough.
             let chance = of_a_few(deployment.cluster.scheduler_count, rng.random());
             let lowest = watch
-                .look(now, rule, &taken, keepers, stands)
+                .evaluate(now, rule, &taken, keepers, stands)
                 .filter(|_| chance);
             if let Some(lowest) = lowest {
                 match raise(&desk, lowest).await {
@@ -153,7 +159,7 @@
         .min();
     let Some(theirs) = oldest else { return };
     let fleet = desk.deployment().cluster.scheduler_count;
-    if !lays(good.number, theirs.map(|stamp| stamp.number), fleet, chance) {
+    if !should_store(good.number, theirs.map(|stamp| stamp.number), fleet, chance) {
         return;
     }
     let Some(push) = desk.versions.with(|state| state.shelf.push_to(theirs)) else {
@@ -167,7 +173,7 @@
 }
 
 /// The wishes that stand at those keepers that answer.
-async fn ask(desk: &Arc<Desk>) -> Vec<Option<Floor>> {
+async fn ask(desk: &Arc<Desk>) -> Vec<Option<MinimumVersion>> {
     let tell = v1::Tell {
         floor_only: true,
         ..v1::Tell::default()
@@ -188,7 +194,7 @@
         ));
     }
     let asker = desk.clock.now().rotate_left(24) ^ desk.fleet.life;
-    let wish = match next(&ask(desk).await, keepers, lowest, asker) {
+    let wish = match propose(&ask(desk).await, keepers, lowest, asker) {
         Ok(wish) => wish,
         Err(why) => {
             let stands = desk.fleet.floor().map(message);
@@ -200,7 +206,7 @@
         }
     };
     let words = ask_all(desk, Ask::Floor(message(wish))).await;
-    let told: Vec<Floor> = words
+    let told: Vec<MinimumVersion> = words
         .iter()
         .filter_map(|word| word.floor.as_ref().map(read))
         .collect();
--- a/crates/dispatcher/src/rolls.rs
+++ b/crates/dispatcher/src/rolls.rs
@@ -8,7 +8,7 @@
 use corkspan_rollout::Grant;
 use corkspan_rollout::conductor::{ClaimRequest, Conductor, Look, ReportedSlot, Votes};
 use corkspan_rollout::{ClaimId, Order, Phase, Roll, in_force, majority, to_follow};
-use corkspan_version_fencing::acts::Kind;
+use corkspan_version_fencing::operations::OperationKind;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
@@ -184,7 +184,7 @@
                 task: task.clone(),
                 dispatcher,
             };
-            let by = Some(desk.by(Kind::Claim, desk.deployment().keepers.len()));
+            let by = Some(desk.by(OperationKind::Claim, desk.deployment().keepers.len()));
             let ask = v1::Claim {
                 service: service.into(),
                 number: roll.number,
--- a/crates/dispatcher/src/standing.rs
+++ b/crates/dispatcher/src/standing.rs
@@ -4,9 +4,9 @@
 use crate::clock::wall_ms;
 use corkspan_api::v1;
 use corkspan_config::version::Stamp;
-use corkspan_version_fencing::acts::Kind;
-use corkspan_version_fencing::record::{How, Record, Span};
-use corkspan_version_fencing::{Floor, Standing};
+use corkspan_version_fencing::history::{VersionHistory, VersionInterval, VersionOrigin};
+use corkspan_version_fencing::operations::OperationKind;
+use corkspan_version_fencing::{MinimumVersion, VersionGate};
 use std::collections::VecDeque;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -19,10 +19,10 @@
 pub struct Fleet {
     /// Told with each act: another after each start.
     pub life: u64,
-    standing: Mutex<Standing>,
+    standing: Mutex<VersionGate>,
     /// One for each that is brought up from here at this moment, and one of its own.
     gives: Arc<()>,
-    record: Mutex<Record>,
+    record: Mutex<VersionHistory>,
     /// Changes of the record, and how many of them are on disk.
     pub changed: AtomicU64,
     pub written: AtomicU64,
@@ -30,8 +30,8 @@
 
 impl Fleet {
     /// `spans`: of earlier lives; `running`: what is in force at the start.
-    pub fn new(life: u64, spans: VecDeque<Span>, running: Stamp) -> Self {
-        let record = Mutex::new(Record::after(spans));
+    pub fn new(life: u64, spans: VecDeque<VersionInterval>, running: Stamp) -> Self {
+        let record = Mutex::new(VersionHistory::restore(spans));
         let (standing, gives, changed, written) = Default::default();
         let fleet = Fleet {
             life,
@@ -44,26 +44,26 @@
         fleet.began(
             running,
             if running.number == 0 {
-                How::File
+                VersionOrigin::File
             } else {
-                How::Kept
+                VersionOrigin::Restored
             },
         );
         fleet
     }
 
-    pub fn record(&self) -> MutexGuard<'_, Record> {
+    pub fn record(&self) -> MutexGuard<'_, VersionHistory> {
         self.record.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// A version is in force from now on.
-    pub fn began(&self, stamp: Stamp, how: How) {
+    pub fn began(&self, stamp: Stamp, how: VersionOrigin) {
         let (version, digest, from_ms) = (stamp.number, stamp.digest.to_string(), wall_ms());
-        self.record().began(Span {
+        self.record().begin(VersionInterval {
             version,
             digest,
-            how,
-            life: self.life,
+            origin: how,
+            incarnation: self.life,
             from_ms,
         });
         self.changed.fetch_add(1, Ordering::Relaxed);
@@ -81,27 +81,28 @@
     }
 
     /// So many acts are about to be sent.
-    pub fn acts(&self, stamp: Stamp, kind: Kind, many: usize) {
-        self.record().acts(stamp.number, kind, many as u64);
+    pub fn acts(&self, stamp: Stamp, kind: OperationKind, many: usize) {
+        self.record()
+            .count_operations(stamp.number, kind, many as u64);
     }
 
     /// What operators are told.
     pub fn told(&self) -> (Vec<v1::Span>, Vec<v1::ActCount>) {
         let record = self.record();
-        let span = |span: &Span| v1::Span {
+        let span = |span: &VersionInterval| v1::Span {
             stamp: Some(v1::Stamp {
                 number: span.version,
                 digest: span.digest.clone(),
             }),
-            how: match span.how {
-                How::File => v1::span::How::File,
-                How::Kept => v1::span::How::Kept,
-                How::Push => v1::span::How::Push,
-                How::GaveUp => v1::span::How::GaveUp,
-                How::Brought => v1::span::How::Brought,
+            how: match span.origin {
+                VersionOrigin::File => v1::span::How::File,
+                VersionOrigin::Restored => v1::span::How::Kept,
+                VersionOrigin::Push => v1::span::How::Push,
+                VersionOrigin::Rollback => v1::span::How::GaveUp,
+                VersionOrigin::CatchUp => v1::span::How::Brought,
             }
             .into(),
-            life: span.life,
+            life: span.incarnation,
             from_ms: span.from_ms,
         };
         let count = |(version, kind, many)| v1::ActCount {
@@ -110,35 +111,39 @@
             many,
         };
         (
-            record.spans().iter().map(span).collect(),
-            record.by_version().map(count).collect(),
+            record.intervals().iter().map(span).collect(),
+            record.operations_by_version().map(count).collect(),
         )
     }
 
-    pub fn standing(&self) -> MutexGuard<'_, Standing> {
+    pub fn standing(&self) -> MutexGuard<'_, VersionGate> {
         self.standing.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub fn floor(&self) -> Option<Floor> {
-        self.standing().floor()
+    pub fn floor(&self) -> Option<MinimumVersion> {
+        self.standing().minimum()
     }
 
     /// The floor that shuts a dispatcher out that runs this version.
-    pub fn shut_out(&self, running: Stamp) -> Option<Floor> {
-        self.standing().shut_out(running.number)
+    pub fn shut_out(&self, running: Stamp) -> Option<MinimumVersion> {
+        self.standing().fenced_by(running.number)
     }
 
     /// A node has turned a shot away.
-    pub fn node_tells(&self, floor: Floor, running: Stamp) {
-        if self.standing().node_tells(floor) {
+    pub fn node_tells(&self, floor: MinimumVersion, running: Stamp) {
+        if self.standing().apply_node_report(floor) {
             say(floor, running, "a node");
         }
     }
 }
 
 /// For the log.
-pub fn say(floor: Floor, running: Stamp, from: &str) {
-    let Floor { number, lowest, .. } = floor;
+pub fn say(floor: MinimumVersion, running: Stamp, from: &str) {
+    let MinimumVersion {
+        revision: number,
+        version: lowest,
+        ..
+    } = floor;
     if running.number < lowest {
         warn!(
             number,
@@ -155,18 +160,18 @@
     }
 }
 
-pub fn message(floor: Floor) -> v1::Floor {
+pub fn message(floor: MinimumVersion) -> v1::Floor {
     v1::Floor {
-        number: floor.number,
-        asker: floor.asker,
-        lowest: floor.lowest,
+        number: floor.revision,
+        asker: floor.proposer,
+        lowest: floor.version,
     }
 }
 
-pub fn read(floor: &v1::Floor) -> Floor {
-    Floor {
-        number: floor.number,
-        asker: floor.asker,
-        lowest: floor.lowest,
+pub fn read(floor: &v1::Floor) -> MinimumVersion {
+    MinimumVersion {
+        revision: floor.number,
+        proposer: floor.asker,
+        version: floor.lowest,
     }
 }
--- a/crates/dispatcher/src/store.rs
+++ b/crates/dispatcher/src/store.rs
@@ -2,7 +2,7 @@
 //! versions were in force.
 
 use corkspan_rollout::{ClaimId, Roll};
-use corkspan_version_fencing::record::Span;
+use corkspan_version_fencing::history::VersionInterval;
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
@@ -164,7 +164,7 @@
     }
 
     /// Spans of versions.
-    pub fn record(&self, spans: &VecDeque<Span>) -> Result<(), String> {
+    pub fn record(&self, spans: &VecDeque<VersionInterval>) -> Result<(), String> {
         let text = serde_json::to_string(spans).map_err(|why| why.to_string())?;
         self.write(|transaction| {
             transaction.open_table(RECORD)?.insert("spans", &text[..])?;
@@ -173,12 +173,12 @@
     }
 
     /// What earlier lives kept of their versions; nothing where that can't be read, which is said.
-    pub fn spans(&self) -> VecDeque<Span> {
+    pub fn spans(&self) -> VecDeque<VersionInterval> {
         let open = self.open.read().unwrap_or_else(PoisonError::into_inner);
         let Some(database) = &*open else {
             return VecDeque::new();
         };
-        let read = || -> Result<VecDeque<Span>, String> {
+        let read = || -> Result<VecDeque<VersionInterval>, String> {
             let transaction = database.begin_read().map_err(|why| why.to_string())?;
             let table = transaction
                 .open_table(RECORD)
--- a/crates/dispatcher/tests/store.rs
+++ b/crates/dispatcher/tests/store.rs
@@ -2,7 +2,7 @@
 
 use corkspan_dispatcher::rolls::{Held, Pair, Store};
 use corkspan_rollout::{ClaimId, Order, Phase, Roll};
-use corkspan_version_fencing::record::{How, Span};
+use corkspan_version_fencing::history::{VersionInterval, VersionOrigin};
 use std::collections::VecDeque;
 use std::path::Path;
 use test_case::test_case;
@@ -156,11 +156,11 @@
     drop(database);
     let store = Store::open(Some(&path));
     assert_eq!((store.spans().len(), store.read().0), (spans, vec![roll()]));
-    let next = VecDeque::from([Span {
+    let next = VecDeque::from([VersionInterval {
         version: 4,
         digest: "e".into(),
-        how: How::GaveUp,
-        life: 10,
+        origin: VersionOrigin::Rollback,
+        incarnation: 10,
         from_ms: 2,
     }]);
     store.record(&next).expect("written");
--- a/crates/lab/src/measure.rs
+++ b/crates/lab/src/measure.rs
@@ -523,7 +523,7 @@
 fn stamp_us() -> f64 {
     use prost::Message;
     const MANY: u32 = 100_000;
-    let mut record = corkspan_version_fencing::record::Record::default();
+    let mut record = corkspan_version_fencing::history::VersionHistory::default();
     let digest = "0f".repeat(32);
     let mut time = |stamped: bool| {
         let (began, mut bytes) = (Instant::now(), Vec::with_capacity(1_024));
@@ -534,7 +534,11 @@
                 ..v1::Shot::default()
             };
             if stamped {
-                record.acts(12, corkspan_version_fencing::acts::Kind::Shot, 1);
+                record.count_operations(
+                    12,
+                    corkspan_version_fencing::operations::OperationKind::Attempt,
+                    1,
+                );
                 let stamp = Some(v1::Stamp {
                     number: 12,
                     digest: digest.clone(),
--- a/crates/lab/src/node.rs
+++ b/crates/lab/src/node.rs
@@ -14,9 +14,11 @@
 use corkspan_rollout::{Claimed, Grant, Keeper};
 use corkspan_rpc::{Bounds, Tasks};
 use corkspan_scheduler::interface::Resources;
-use corkspan_version_fencing::acts::{Acts, By, Kind};
-use corkspan_version_fencing::rule::Rows;
-use corkspan_version_fencing::{Disk, Fence, Floor, Look, Runs};
+use corkspan_version_fencing::operations::{OperationCounts, OperationKind, OperationSource};
+use corkspan_version_fencing::policy::ReportedVersions;
+use corkspan_version_fencing::{
+    Fence, FenceDecision, MinimumVersion, ReportedVersion, StoredState,
+};
 use futures_lite::Stream;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -142,15 +144,15 @@
     listener: Mutex<Option<TcpListener>>,
     /// On its disk: it survives the process.
     keeper: Mutex<Keeper>,
-    floors: Mutex<corkspan_quorum::Keeper<Floor>>,
-    rows: Mutex<Rows>,
+    floors: Mutex<corkspan_quorum::Keeper<MinimumVersion>>,
+    rows: Mutex<ReportedVersions>,
     shelf: Mutex<Shelf>,
     board: Mutex<LeaseTable>,
     /// With since when it is as it is.
     door: Mutex<(Cordon, Instant)>,
     fence: Mutex<Fence>,
     /// On its disk too.
-    acts: Mutex<Acts>,
+    acts: Mutex<OperationCounts>,
 }
 
 const NOTES: Duration = Duration::from_millis(250);
@@ -171,7 +173,7 @@
             shelf: Mutex::default(),
             board: Mutex::default(),
             door: Mutex::new((Cordon::default(), Instant::now())),
-            fence: Mutex::new(Fence::start(Disk::Whole(None))),
+            fence: Mutex::new(Fence::restore(StoredState::Intact(None))),
             acts: Mutex::default(),
         })
     }
@@ -398,7 +400,7 @@
     ) {
         let floor = self
             .fence()
-            .floor()
+            .minimum()
             .filter(|_| why == Why::BelowFloor)
             .map(fleet::message);
         self.say(
@@ -422,7 +424,7 @@
         self.door.lock().expect("no one panics while it is held")
     }
 
-    fn acts(&self) -> MutexGuard<'_, Acts> {
+    fn acts(&self) -> MutexGuard<'_, OperationCounts> {
         self.acts.lock().expect("no one panics while it is held")
     }
 
@@ -490,8 +492,10 @@
     /// as its call is served, not in a task of its own: one that a process saw after its death
     /// would be out for good, as the judge sees it.
     fn arrives(self: &Arc<Self>, shot: &v1::Shot) -> Option<u64> {
-        self.acts()
-            .saw(by(shot.by.as_ref(), shot.dispatcher), Kind::Shot);
+        self.acts().record(
+            by(shot.by.as_ref(), shot.dispatcher),
+            OperationKind::Attempt,
+        );
         self.world.capture.see(Seen::Offered {
             node: self.plan.id,
             placing: shot.placing.clone(),
@@ -504,11 +508,11 @@
         });
         if let Some(floor) = shot.floor.as_ref().map(fleet::read) {
             let mut fence = self.fence();
-            if fence.wants(floor) {
-                fence.keep(floor);
+            if fence.should_store(floor) {
+                fence.apply_stored(floor);
                 self.world.capture.see(Seen::Floor {
                     node: self.plan.id,
-                    lowest: floor.lowest,
+                    lowest: floor.version,
                 });
             }
         }
@@ -581,15 +585,17 @@
             return false;
         }
         // Here and not as it arrives: while it waited to be looked at, the floor may have come.
-        let below = match self.fence().look(decided(shot)) {
-            Look::Passes => None,
-            Look::Below(_) => Some(Why::BelowFloor),
-            Look::NotYet => Some(Why::NotHere),
+        let below = match self.fence().decide(decided(shot)) {
+            FenceDecision::Accepted => None,
+            FenceDecision::Fenced(_) => Some(Why::BelowFloor),
+            FenceDecision::Unknown => Some(Why::NotHere),
         };
         if let Some(why) = below {
             if why == Why::BelowFloor {
-                self.acts()
-                    .turned_away(by(shot.by.as_ref(), shot.dispatcher), Kind::Shot);
+                self.acts().record_rejected(
+                    by(shot.by.as_ref(), shot.dispatcher),
+                    OperationKind::Attempt,
+                );
             }
             self.refuse(&mut state, shot, words, why);
             return false;
@@ -798,14 +804,14 @@
 }
 
 /// Who acts. One that tells nothing counts as on its own file, in no life that is known.
-fn by(told: Option<&v1::By>, dispatcher: u32) -> By {
+fn by(told: Option<&v1::By>, dispatcher: u32) -> OperationSource {
     let version = told
         .and_then(|by| by.stamp.as_ref())
         .map_or(0, |stamp| stamp.number);
     let (life, dispatcher) = told.map_or((0, dispatcher), |by| (by.life, by.dispatcher));
-    By {
+    OperationSource {
         dispatcher,
-        life,
+        incarnation: life,
         version,
     }
 }
@@ -893,7 +899,7 @@
         let shot = request.into_inner();
         self.0
             .acts()
-            .saw(by(shot.by.as_ref(), shot.dispatcher), Kind::Attend);
+            .record(by(shot.by.as_ref(), shot.dispatcher), OperationKind::Attend);
         let (words, said) = async_channel::bounded(WORDS);
         let mut state = self.0.lock();
         match state.guests.get_mut(&shot.placing) {
@@ -954,7 +960,7 @@
                 let dispatcher = claim.slot.as_ref().map_or(u32::MAX, |slot| slot.dispatcher);
                 self.0
                     .acts()
-                    .saw(by(claim.by.as_ref(), dispatcher), Kind::Claim);
+                    .record(by(claim.by.as_ref(), dispatcher), OperationKind::Claim);
                 let slot = claim
                     .slot
                     .ok_or_else(|| Status::invalid_argument("no slot"))?;
@@ -1033,16 +1039,16 @@
                     on_trial,
                 }) = tell.runs
                 {
-                    rows.tells(
+                    rows.report(
                         dispatcher,
-                        Runs {
+                        ReportedVersion {
                             version: stamp.number,
                             on_trial,
                         },
                     );
                 }
                 word.taken = (tell.part > 0)
-                    .then(|| rows.taken(tell.fleet as usize, tell.part))
+                    .then(|| rows.adopted(tell.fleet as usize, tell.part))
                     .flatten();
                 let shelf = self.0.shelf.lock().expect("no one panics while it is held");
                 word.lies = shelf.lies().map(control::message);
@@ -1107,26 +1113,26 @@
     }
 
     async fn acts(&self, _: Request<v1::ActsAsk>) -> Result<Response<v1::ActsWord>, Status> {
-        let (acts, floor) = (self.0.acts().clone(), self.0.fence().floor());
+        let (acts, floor) = (self.0.acts().clone(), self.0.fence().minimum());
         let rows = acts.rows().map(|(by, kind, many)| v1::Act {
             dispatcher: by.dispatcher,
-            life: by.life,
+            life: by.incarnation,
             version: by.version,
             kind: match kind {
-                Kind::Shot => v1::act::Kind::Shot,
-                Kind::Attend => v1::act::Kind::Attend,
-                Kind::Stop => v1::act::Kind::Stop,
-                Kind::Move => v1::act::Kind::Move,
-                Kind::Claim => v1::act::Kind::Claim,
+                OperationKind::Attempt => v1::act::Kind::Shot,
+                OperationKind::Attend => v1::act::Kind::Attend,
+                OperationKind::Stop => v1::act::Kind::Stop,
+                OperationKind::Migrate => v1::act::Kind::Move,
+                OperationKind::Claim => v1::act::Kind::Claim,
             }
             .into(),
             seen: many.seen,
-            below: many.below,
+            below: many.rejected,
         });
         Ok(Response::new(v1::ActsWord {
             node: self.0.plan.id,
             acts: rows.collect(),
-            left_out: acts.left_out(),
+            left_out: acts.uncounted(),
             floor: floor.map(fleet::message),
         }))
     }
@@ -1134,8 +1140,12 @@
     async fn stop(&self, request: Request<v1::StopAsk>) -> Result<Response<v1::StopWord>, Status> {
         let ask = request.into_inner();
         // Whoever acts is told by the stop alone: an older dispatcher tells none.
-        let kind = if ask.moved { Kind::Move } else { Kind::Stop };
-        self.0.acts().saw(by(ask.by.as_ref(), u32::MAX), kind);
+        let kind = if ask.moved {
+            OperationKind::Migrate
+        } else {
+            OperationKind::Stop
+        };
+        self.0.acts().record(by(ask.by.as_ref(), u32::MAX), kind);
         let mut state = self.0.lock();
         let was_here = state.guests.contains_key(&ask.placing);
         let how = if ask.moved {
--- a/crates/version-fencing/tests/decisions/fencing.rs
+++ b/crates/version-fencing/tests/decisions/fencing.rs
@@ -2,92 +2,95 @@
 
 use crate::{MEMBERS, draw, generator, minimum, replies, text, texts};
 use corkspan_version_fencing::{
-    Disk, Fence, Look, NotRaised, Runs, Standing, next, taken_by_enough,
+    Fence, FenceDecision, RaiseError, ReportedVersion, StoredState, VersionGate, check_adoption,
+    propose,
 };
 use std::fmt::Write;
 
 /// A node's fence: restarts, lost disks, quorum replies and versions of arriving attempts.
 pub fn fence(out: &mut String) {
     let mut rng = generator(1);
-    let mut fence = Fence::start(Disk::Lost);
+    let mut fence = Fence::restore(StoredState::Lost);
     for step in 0..200 {
         let line = match draw(&mut rng, 8) {
             0 => {
                 let kept = (draw(&mut rng, 2) == 0).then(|| minimum(&mut rng));
-                fence = Fence::start(Disk::Whole(kept));
+                fence = Fence::restore(StoredState::Intact(kept));
                 format!("restart with {}", text(kept))
             }
             1 => {
-                fence = Fence::start(Disk::Lost);
+                fence = Fence::restore(StoredState::Lost);
                 "restart with a lost disk".into()
             }
             2 | 3 => {
                 let replies = replies(&mut rng);
-                let known = fence.asked(&replies, MEMBERS);
+                let known = fence.apply_quorum_replies(&replies, MEMBERS);
                 format!("quorum {} known {known}", texts(&replies))
             }
             4 => {
-                let told = minimum(&mut rng);
-                let wanted = fence.wants(told);
+                let reported = minimum(&mut rng);
+                let newer = fence.should_store(reported);
                 if draw(&mut rng, 2) == 0 {
-                    fence.keep(told);
+                    fence.apply_stored(reported);
                 }
-                format!("told {} wanted {wanted}", text(Some(told)))
+                format!("told {} wanted {newer}", text(Some(reported)))
             }
             _ => {
                 let version = draw(&mut rng, 8);
-                let decision = match fence.look(version) {
-                    Look::Passes => "accepted".into(),
-                    Look::Below(by) => format!("fenced by {}", text(Some(by))),
-                    Look::NotYet => "unknown".into(),
+                let decision = match fence.decide(version) {
+                    FenceDecision::Accepted => "accepted".into(),
+                    FenceDecision::Fenced(by) => format!("fenced by {}", text(Some(by))),
+                    FenceDecision::Unknown => "unknown".into(),
                 };
                 format!("attempt under {version}: {decision}")
             }
         };
-        let _ = writeln!(out, "{step}: {line}; holds {}", text(fence.floor()));
+        let _ = writeln!(out, "{step}: {line}; holds {}", text(fence.minimum()));
     }
 }
 
 /// A dispatcher's gate: what the quorum and the nodes report, and which versions it stops.
 pub fn gate(out: &mut String) {
     let mut rng = generator(2);
-    let mut gate = Standing::default();
+    let mut gate = VersionGate::default();
     for step in 0..150 {
         if draw(&mut rng, 40) == 0 {
-            gate = Standing::default();
+            gate = VersionGate::default();
         }
         let line = if draw(&mut rng, 2) == 0 {
             let replies = replies(&mut rng);
-            let changed = gate.keepers_tell(&replies, MEMBERS);
+            let changed = gate.apply_quorum_replies(&replies, MEMBERS);
             format!("quorum {} changed {changed}", texts(&replies))
         } else {
-            let told = minimum(&mut rng);
-            let changed = gate.node_tells(told);
-            format!("node {} changed {changed}", text(Some(told)))
+            let reported = minimum(&mut rng);
+            let changed = gate.apply_node_report(reported);
+            format!("node {} changed {changed}", text(Some(reported)))
         };
         let stopped: Vec<String> = (0..8)
-            .filter(|version| gate.shut_out(*version).is_some())
+            .filter(|version| gate.fenced_by(*version).is_some())
             .map(|version| version.to_string())
             .collect();
         let _ = writeln!(
             out,
             "{step}: {line}; holds {}; stops [{}]",
-            text(gate.floor()),
+            text(gate.minimum()),
             stopped.join(" ")
         );
     }
 }
 
-fn raise_error(error: NotRaised) -> String {
+fn raise_error(error: RaiseError) -> String {
     match error {
-        NotRaised::Keepers { heard, keepers } => format!("no majority: {heard} of {keepers}"),
-        NotRaised::Fleet {
-            taken,
+        RaiseError::NoMajority { replies, members } => {
+            format!("no majority: {replies} of {members}")
+        }
+        RaiseError::NotAdopted {
+            adopted,
             fleet,
-            wanted,
-            lowest,
-        } => format!("too few: {taken} of {fleet} at {lowest}, {wanted} needed"),
-        NotRaised::Stands(lowest) => format!("unchanged: {lowest}"),
+            required,
+            minimum,
+        } => format!("too few: {adopted} of {fleet} at {minimum}, {required} needed"),
+        RaiseError::Unchanged(minimum) => format!("unchanged: {minimum}"),
     }
 }
 
@@ -95,27 +98,27 @@
 pub fn raise(out: &mut String) {
     let mut rng = generator(3);
     for step in 0..150 {
-        let (replies, lowest) = (replies(&mut rng), draw(&mut rng, 8));
-        let proposal = match next(&replies, MEMBERS, lowest, step) {
+        let (replies, minimum) = (replies(&mut rng), draw(&mut rng, 8));
+        let proposal = match propose(&replies, MEMBERS, minimum, step) {
             Ok(proposal) => text(Some(proposal)),
             Err(error) => raise_error(error),
         };
         let _ = writeln!(
             out,
-            "{step}: raise to {lowest} over {}: {proposal}",
+            "{step}: raise to {minimum} over {}: {proposal}",
             texts(&replies)
         );
-        let fleet: Vec<Option<Runs>> = (0..draw(&mut rng, 9))
+        let fleet: Vec<Option<ReportedVersion>> = (0..draw(&mut rng, 9))
             .map(|_| {
-                (draw(&mut rng, 5) > 0).then(|| Runs {
-                    version: lowest + draw(&mut rng, 3) - draw(&mut rng, 2).min(lowest),
+                (draw(&mut rng, 5) > 0).then(|| ReportedVersion {
+                    version: minimum + draw(&mut rng, 3) - draw(&mut rng, 2).min(minimum),
                     on_trial: draw(&mut rng, 4) == 0,
                 })
             })
             .collect();
-        let part = [0, 333, 500, 900, 1_000, 2_000][draw(&mut rng, 6) as usize];
-        let stands = (draw(&mut rng, 3) > 0).then(|| draw(&mut rng, 10));
-        let allowed = taken_by_enough(&fleet, stands, lowest, part);
+        let permille = [0, 333, 500, 900, 1_000, 2_000][draw(&mut rng, 6) as usize];
+        let current = (draw(&mut rng, 3) > 0).then(|| draw(&mut rng, 10));
+        let allowed = check_adoption(&fleet, current, minimum, permille);
         let runs: Vec<String> = fleet
             .iter()
             .map(|own| {
@@ -126,7 +129,7 @@
             .collect();
         let _ = writeln!(
             out,
-            "{step}: fleet [{}] part {part} minimum {stands:?}: {}",
+            "{step}: fleet [{}] part {permille} minimum {current:?}: {}",
             runs.join(" "),
             allowed.map_or_else(raise_error, |()| "allowed".into())
         );
--- a/crates/version-fencing/tests/decisions/main.rs
+++ b/crates/version-fencing/tests/decisions/main.rs
@@ -6,8 +6,8 @@
 mod raising;
 mod reports;
 
-use corkspan_version_fencing::Floor;
-use corkspan_version_fencing::acts::Kind;
+use corkspan_version_fencing::MinimumVersion;
+use corkspan_version_fencing::operations::OperationKind;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::path::Path;
@@ -23,16 +23,16 @@
     rng.random_range(0..below)
 }
 
-pub fn minimum(rng: &mut Pcg64Mcg) -> Floor {
-    Floor {
-        number: draw(rng, 6),
-        asker: draw(rng, 2),
-        lowest: draw(rng, 8),
+pub fn minimum(rng: &mut Pcg64Mcg) -> MinimumVersion {
+    MinimumVersion {
+        revision: draw(rng, 6),
+        proposer: draw(rng, 2),
+        version: draw(rng, 8),
     }
 }
 
 /// What some members of the quorum reply. Few values, so that majorities are met often.
-pub fn replies(rng: &mut Pcg64Mcg) -> Vec<Option<Floor>> {
+pub fn replies(rng: &mut Pcg64Mcg) -> Vec<Option<MinimumVersion>> {
     let usual = minimum(rng);
     let reply = |rng: &mut Pcg64Mcg| match draw(rng, 5) {
         0 => None,
@@ -42,29 +42,29 @@
     (0..draw(rng, 4)).map(|_| reply(rng)).collect()
 }
 
-pub fn text(minimum: Option<Floor>) -> String {
+pub fn text(minimum: Option<MinimumVersion>) -> String {
     minimum.map_or("-".into(), |own| {
-        format!("{}/{}/{}", own.number, own.asker, own.lowest)
+        format!("{}/{}/{}", own.revision, own.proposer, own.version)
     })
 }
 
-pub fn texts(replies: &[Option<Floor>]) -> String {
+pub fn texts(replies: &[Option<MinimumVersion>]) -> String {
     let all: Vec<String> = replies.iter().map(|reply| text(*reply)).collect();
     format!("[{}]", all.join(" "))
 }
 
-pub fn operation(kind: Kind) -> &'static str {
+pub fn operation(kind: OperationKind) -> &'static str {
     match kind {
-        Kind::Shot => "start",
-        Kind::Attend => "attend",
-        Kind::Stop => "stop",
-        Kind::Move => "move",
-        Kind::Claim => "claim",
+        OperationKind::Attempt => "start",
+        OperationKind::Attend => "attend",
+        OperationKind::Stop => "stop",
+        OperationKind::Migrate => "move",
+        OperationKind::Claim => "claim",
     }
 }
 
-pub fn kind(rng: &mut Pcg64Mcg) -> Kind {
-    Kind::ALL[draw(rng, 5) as usize]
+pub fn kind(rng: &mut Pcg64Mcg) -> OperationKind {
+    OperationKind::ALL[draw(rng, 5) as usize]
 }
 
 #[test_case("fence", fencing::fence)]
--- a/crates/version-fencing/tests/decisions/reports.rs
+++ b/crates/version-fencing/tests/decisions/reports.rs
@@ -1,88 +1,97 @@
 //! What an audit finds, and what nodes and dispatchers count and remember.
 
 use crate::{draw, generator, kind, operation};
-use corkspan_version_fencing::acts::{Acts as Seen, By};
-use corkspan_version_fencing::audit::{self, Acted, Finding, Told, Why, findings, node_findings};
-use corkspan_version_fencing::record::{How, Record, Span};
+use corkspan_version_fencing::audit::{
+    self, DispatcherReport, Finding, LagReason, NodeObservation, dispatcher_findings, node_findings,
+};
+use corkspan_version_fencing::history::{VersionHistory, VersionInterval, VersionOrigin};
+use corkspan_version_fencing::operations::{OperationCounts, OperationSource};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt::Write;
 
-fn reason(why: &Why) -> String {
-    match why {
-        Why::GaveUp(version) => format!("rolled back {version}"),
-        Why::TurnedDown(version, why) => format!("rejected {version}: {why}"),
-        Why::NoStream => "no stream".into(),
-        Why::NotTold => "unknown".into(),
+fn lag_reason(reason: &LagReason) -> String {
+    match reason {
+        LagReason::RolledBack(version) => format!("rolled back {version}"),
+        LagReason::Rejected(version, reason) => format!("rejected {version}: {reason}"),
+        LagReason::NoStream => "no stream".into(),
+        LagReason::Unknown => "unknown".into(),
     }
 }
 
 fn finding(finding: &Finding) -> String {
     match finding {
-        Finding::Silent(who) => format!("silent {who}"),
+        Finding::Unreachable(address) => format!("silent {address}"),
         Finding::Behind {
-            who,
+            address,
             version,
             newest,
-            why,
-        } => format!("behind {who}: {version} of {newest}, {}", reason(why)),
-        Finding::ShutOut(who) => format!("fenced {who}"),
-        Finding::OneNumber {
-            who,
+            reason,
+        } => format!(
+            "behind {address}: {version} of {newest}, {}",
+            lag_reason(reason)
+        ),
+        Finding::Fenced(address) => format!("fenced {address}"),
+        Finding::DuplicateNumber {
+            address,
             other,
             dispatcher,
-        } => format!("duplicate number {dispatcher}: {who} and {other}"),
-        Finding::Below {
+        } => format!("duplicate number {dispatcher}: {address} and {other}"),
+        Finding::RejectedOperations {
             dispatcher,
             version,
-            below,
-        } => format!("rejected operations of {dispatcher} under {version}: {below}"),
-        Finding::Ahead { who, version, told } => format!("ahead {who}: {version} over {told}"),
-        Finding::More {
-            who,
+            rejected,
+        } => format!("rejected operations of {dispatcher} under {version}: {rejected}"),
+        Finding::Ahead {
+            address,
+            version,
+            reported,
+        } => format!("ahead {address}: {version} over {reported}"),
+        Finding::ExcessOperations {
+            address,
             version,
             kind,
             seen,
             counted,
         } => {
             let kind = operation(*kind);
-            format!("surplus {who} under {version}: {kind} {seen} over {counted}")
+            format!("surplus {address} under {version}: {kind} {seen} over {counted}")
         }
-        Finding::TwoDigests {
-            who,
+        Finding::DigestMismatch {
+            address,
             other,
             version,
-        } => format!("digests differ at {version}: {who} and {other}"),
+        } => format!("digests differ at {version}: {address} and {other}"),
     }
 }
 
-fn reported(rng: &mut Pcg64Mcg, dispatcher: u32) -> Told {
+fn reported(rng: &mut Pcg64Mcg, dispatcher: u32) -> DispatcherReport {
     let version = 6 + draw(rng, 3);
-    Told {
+    DispatcherReport {
         dispatcher: dispatcher - u32::from(dispatcher > 0 && draw(rng, 8) == 0),
-        life: 100 + draw(rng, 2),
+        incarnation: 100 + draw(rng, 2),
         version,
         digest: format!("d{}", version + 10 * (draw(rng, 6) / 5)),
         on_trial: draw(rng, 4) == 0,
-        streams: draw(rng, 3) > 0,
-        turned_down: (draw(rng, 3) == 0).then(|| (6 + draw(rng, 4), "split".into())),
-        given_up: (0..draw(rng, 2)).map(|_| 6 + draw(rng, 4)).collect(),
-        shut_out: draw(rng, 5) == 0,
-        acts: (0..draw(rng, 4))
+        has_stream: draw(rng, 3) > 0,
+        last_rejected: (draw(rng, 3) == 0).then(|| (6 + draw(rng, 4), "split".into())),
+        rolled_back: (0..draw(rng, 2)).map(|_| 6 + draw(rng, 4)).collect(),
+        fenced: draw(rng, 5) == 0,
+        operations: (0..draw(rng, 4))
             .map(|_| ((6 + draw(rng, 3), kind(rng)), draw(rng, 9)))
             .collect(),
     }
 }
 
-fn observed(rng: &mut Pcg64Mcg) -> Acted {
+fn observed(rng: &mut Pcg64Mcg) -> NodeObservation {
     let seen = draw(rng, 9);
-    Acted {
+    NodeObservation {
         dispatcher: draw(rng, 4) as u32,
-        life: 100 + draw(rng, 2),
+        incarnation: 100 + draw(rng, 2),
         version: 6 + draw(rng, 3),
         kind: kind(rng),
         seen,
-        below: draw(rng, seen + 1) / 3,
+        rejected: draw(rng, seen + 1) / 3,
     }
 }
 
@@ -90,7 +99,7 @@
 pub fn audits(out: &mut String) {
     let mut rng = generator(5);
     for step in 0..60 {
-        let fleet: Vec<(String, Option<Told>)> = (0..4)
+        let fleet: Vec<(String, Option<DispatcherReport>)> = (0..4)
             .map(|own| {
                 let answers = draw(&mut rng, 8) > 0;
                 (
@@ -99,25 +108,25 @@
                 )
             })
             .collect();
-        let nodes: Vec<(String, Option<Vec<Acted>>)> = (0..2)
+        let nodes: Vec<(String, Option<Vec<NodeObservation>>)> = (0..2)
             .map(|own| {
                 let seen = (0..draw(&mut rng, 6)).map(|_| observed(&mut rng)).collect();
                 (format!("n{own}"), (draw(&mut rng, 6) > 0).then_some(seen))
             })
             .collect();
-        let found = findings(&fleet);
+        let found = dispatcher_findings(&fleet);
         for found in found.iter().chain(&node_findings(&fleet, &nodes)) {
             let _ = writeln!(out, "{step}: {}", finding(found));
         }
-        for ((dispatcher, version), sum) in audit::acts(&nodes) {
-            let audit::Acts {
-                shots,
+        for ((dispatcher, version), sum) in audit::operation_totals(&nodes) {
+            let audit::OperationTotals {
+                attempts,
                 others,
-                below,
+                rejected,
             } = sum;
             let _ = writeln!(
                 out,
-                "{step}: sums of {dispatcher} under {version}: {shots} {others} {below}"
+                "{step}: sums of {dispatcher} under {version}: {attempts} {others} {rejected}"
             );
         }
     }
@@ -126,52 +135,61 @@
 /// What a node counts of operations, and what a dispatcher remembers of its versions.
 pub fn counts(out: &mut String) {
     let mut rng = generator(6);
-    let mut seen = Seen::default();
-    let mut record = Record::after(VecDeque::new());
+    let mut seen = OperationCounts::default();
+    let mut history = VersionHistory::restore(VecDeque::new());
     for step in 0..400 {
-        let by = By {
+        let source = OperationSource {
             dispatcher: draw(&mut rng, 3) as u32,
-            life: draw(&mut rng, 2),
+            incarnation: draw(&mut rng, 2),
             version: draw(&mut rng, 3),
         };
         let kind = kind(&mut rng);
         if draw(&mut rng, 4) == 0 {
-            seen.turned_away(by, kind);
+            seen.record_rejected(source, kind);
         } else {
-            seen.saw(by, kind);
+            seen.record(source, kind);
         }
-        record.acts(step / 90, kind, draw(&mut rng, 5));
-        record.began(Span {
+        history.count_operations(step / 90, kind, draw(&mut rng, 5));
+        history.begin(VersionInterval {
             version: step,
             digest: format!("d{step}"),
-            how: [How::File, How::Kept, How::Push, How::GaveUp, How::Brought]
-                [draw(&mut rng, 5) as usize],
-            life: step / 100,
+            origin: [
+                VersionOrigin::File,
+                VersionOrigin::Restored,
+                VersionOrigin::Push,
+                VersionOrigin::Rollback,
+                VersionOrigin::CatchUp,
+            ][draw(&mut rng, 5) as usize],
+            incarnation: step / 100,
             from_ms: 10 * step,
         });
     }
-    for (by, kind, count) in seen.rows() {
+    for (source, kind, count) in seen.rows() {
         let kind = operation(kind);
         let _ = writeln!(
             out,
             "{} {} {} {kind}: {} of them rejected {}",
-            by.dispatcher, by.life, by.version, count.seen, count.below
+            source.dispatcher, source.incarnation, source.version, count.seen, count.rejected
         );
     }
-    for (version, kind, count) in record.by_version() {
+    for (version, kind, count) in history.operations_by_version() {
         let _ = writeln!(out, "{version} {}: {count}", operation(kind));
     }
     let mut ways: BTreeMap<&str, u64> = BTreeMap::new();
-    for span in record.spans() {
-        let way = match span.how {
-            How::File => "file",
-            How::Kept => "kept",
-            How::Push => "push",
-            How::GaveUp => "rollback",
-            How::Brought => "caught up",
+    for interval in history.intervals() {
+        let way = match interval.origin {
+            VersionOrigin::File => "file",
+            VersionOrigin::Restored => "kept",
+            VersionOrigin::Push => "push",
+            VersionOrigin::Rollback => "rollback",
+            VersionOrigin::CatchUp => "caught up",
         };
-        *ways.entry(way).or_default() += span.version;
+        *ways.entry(way).or_default() += interval.version;
     }
-    let first = record.spans().front().map(|span| span.version);
-    let _ = writeln!(out, "{} from {first:?}: {ways:?}", record.spans().len());
+    let first = history.intervals().front().map(|interval| interval.version);
+    let _ = writeln!(
+        out,
+        "{} from {first:?}: {ways:?}",
+        history.intervals().len()
+    );
 }
--- a/crates/version-fencing/tests/search.rs
+++ b/crates/version-fencing/tests/fence_search.rs
@@ -6,7 +6,7 @@
 mod states;
 
 use corkspan_quorum::Keeper;
-use corkspan_version_fencing::{Disk, Fence, Floor, Look, Standing};
+use corkspan_version_fencing::{Fence, FenceDecision, MinimumVersion, StoredState, VersionGate};
 use test_case::test_case;
 
 const KEEPERS: usize = 3;
@@ -14,21 +14,21 @@
 const NEW: u64 = 2;
 
 /// Two operators who ask at once, and a later one who lowers the floor again.
-const WISHES: [Floor; 3] = [
-    Floor {
-        number: 1,
-        asker: 1,
-        lowest: NEW,
+const WISHES: [MinimumVersion; 3] = [
+    MinimumVersion {
+        revision: 1,
+        proposer: 1,
+        version: NEW,
     },
-    Floor {
-        number: 1,
-        asker: 2,
-        lowest: OLD,
+    MinimumVersion {
+        revision: 1,
+        proposer: 2,
+        version: OLD,
     },
-    Floor {
-        number: 2,
-        asker: 1,
-        lowest: OLD,
+    MinimumVersion {
+        revision: 2,
+        proposer: 1,
+        version: OLD,
     },
 ];
 
@@ -61,8 +61,8 @@
 
 #[derive(Clone, Debug)]
 struct World {
-    keepers: Vec<Keeper<Floor>>,
-    standing: [Standing; 2],
+    keepers: Vec<Keeper<MinimumVersion>>,
+    gates: [VersionGate; 2],
     running: [u64; 2],
     fence: Fence,
     disk: Option<usize>,
@@ -81,19 +81,19 @@
     breach: Option<&'static str>,
 }
 
-fn index(floor: Floor) -> usize {
+fn index(floor: MinimumVersion) -> usize {
     WISHES
         .iter()
         .position(|wish| *wish == floor)
         .expect("one of ours")
 }
 
-fn stands(keeper: &Keeper<Floor>) -> Option<Floor> {
+fn stands(keeper: &Keeper<MinimumVersion>) -> Option<MinimumVersion> {
     keeper.all().next().map(|kept| kept.wish)
 }
 
 /// What a part of the keepers tells, each by its bit.
-fn told(keepers: &[Keeper<Floor>], part: usize) -> Vec<Option<Floor>> {
+fn told(keepers: &[Keeper<MinimumVersion>], part: usize) -> Vec<Option<MinimumVersion>> {
     let answer = keepers
         .iter()
         .enumerate()
@@ -104,9 +104,9 @@
 fn start() -> World {
     World {
         keepers: vec![Keeper::default(); KEEPERS],
-        standing: [Standing::default(); 2],
+        gates: [VersionGate::default(); 2],
         running: [OLD, NEW],
-        fence: Fence::start(Disk::Whole(None)),
+        fence: Fence::restore(StoredState::Intact(None)),
         disk: None,
         losses: 0,
         lost: false,
@@ -123,9 +123,9 @@
         if !world.ever[told] {
             world.breach = Some("a floor that no majority has held");
         }
-        if world.fence.wants(WISHES[told]) {
+        if world.fence.should_store(WISHES[told]) {
             if mistake == Mistake::BeforeTheDisk {
-                world.fence.keep(WISHES[told]);
+                world.fence.apply_stored(WISHES[told]);
             }
             world.pending = Some(told);
         }
@@ -135,31 +135,31 @@
     } else {
         shot.version
     };
-    match world.fence.look(judged) {
-        Look::Passes => {
-            let below = |by: usize| shot.version < WISHES[by].lowest;
+    match world.fence.decide(judged) {
+        FenceDecision::Accepted => {
+            let below = |by: usize| shot.version < WISHES[by].version;
             // What the node once turned away by, or has on disk, holds until a later wish is there.
             if world
                 .turned_by
                 .into_iter()
                 .chain(world.disk)
-                .max_by_key(|&by| WISHES[by].number)
+                .max_by_key(|&by| WISHES[by].revision)
                 .is_some_and(below)
             {
                 world.breach = Some("a shot below the floor has passed");
             }
         }
-        Look::Below(floor) => {
+        FenceDecision::Fenced(floor) => {
             let by = index(floor);
             if world
                 .turned_by
-                .is_none_or(|known| WISHES[known].number <= floor.number)
+                .is_none_or(|known| WISHES[known].revision <= floor.revision)
             {
                 world.turned_by = Some(by);
             }
-            world.standing[shot.from].node_tells(floor);
+            world.gates[shot.from].apply_node_report(floor);
         }
-        Look::NotYet => {}
+        FenceDecision::Unknown => {}
     }
 }
 
@@ -195,15 +195,15 @@
                 } else {
                     KEEPERS
                 };
-                next.standing[dispatcher].keepers_tell(&told, keepers);
+                next.gates[dispatcher].apply_quorum_replies(&told, keepers);
             });
         }
-        if world.standing[dispatcher]
-            .shut_out(world.running[dispatcher])
+        if world.gates[dispatcher]
+            .fenced_by(world.running[dispatcher])
             .is_none()
         {
             step(&|next| {
-                let tells = next.standing[dispatcher].floor().map(index);
+                let tells = next.gates[dispatcher].minimum().map(index);
                 let shot = Shot {
                     from: dispatcher,
                     version: next.running[dispatcher],
@@ -216,7 +216,7 @@
             });
         }
         // Starts anew, and has forgotten what it had heard.
-        step(&|next| next.standing[dispatcher] = Standing::default());
+        step(&|next| next.gates[dispatcher] = VersionGate::default());
     }
     step(&|next| next.running[0] = NEW);
     for shot in &world.shots {
@@ -226,9 +226,9 @@
         step(&|next| {
             // A later one may have come meanwhile by way of the keepers: an older one must not take
             // its place on disk.
-            if next.fence.wants(WISHES[pending]) {
+            if next.fence.should_store(WISHES[pending]) {
                 next.disk = Some(pending);
-                next.fence.keep(WISHES[pending]);
+                next.fence.apply_stored(WISHES[pending]);
             }
             next.pending = None;
         });
@@ -239,17 +239,21 @@
             .filter(|_| mistake != Mistake::NodeForgets)
             .map(|wish| WISHES[wish]);
         let lost = next.lost && mistake != Mistake::EmptyIsWhole;
-        next.fence = Fence::start(if lost { Disk::Lost } else { Disk::Whole(kept) });
+        next.fence = Fence::restore(if lost {
+            StoredState::Lost
+        } else {
+            StoredState::Intact(kept)
+        });
         next.pending = None;
     });
     if world.losses == 0 {
         step(&|next| {
             let lost = if mistake == Mistake::LostDiskLetsIn {
-                Disk::Whole(None)
+                StoredState::Intact(None)
             } else {
-                Disk::Lost
+                StoredState::Lost
             };
-            next.fence = Fence::start(lost);
+            next.fence = Fence::restore(lost);
             (next.disk, next.pending, next.losses, next.lost) = (None, None, 1, true);
         });
     }
@@ -260,13 +264,13 @@
                 let highest = told
                     .iter()
                     .flatten()
-                    .max_by_key(|floor| floor.number)
+                    .max_by_key(|floor| floor.revision)
                     .copied();
                 if let Some(highest) = highest.filter(|_| mistake == Mistake::TakesTheHighest) {
-                    next.fence = Fence::start(Disk::Whole(Some(highest)));
+                    next.fence = Fence::restore(StoredState::Intact(Some(highest)));
                     (next.disk, next.lost) = (Some(index(highest)), false);
-                } else if next.fence.asked(&told, KEEPERS) {
-                    (next.disk, next.lost) = (next.fence.floor().map(index), false);
+                } else if next.fence.apply_quorum_replies(&told, KEEPERS) {
+                    (next.disk, next.lost) = (next.fence.minimum().map(index), false);
                 }
             });
         }
--- a/crates/version-fencing/tests/rule_search.rs
+++ b/crates/version-fencing/tests/policy_search.rs
@@ -5,17 +5,17 @@
 
 mod states;
 
-use corkspan_version_fencing::Runs;
-use corkspan_version_fencing::rule::{Rows, Rule, Watch};
+use corkspan_version_fencing::ReportedVersion;
+use corkspan_version_fencing::policy::{MinimumVersionPolicy, PolicyWatch, ReportedVersions};
 use test_case::test_case;
 
 const FLEET: usize = 3;
 const KEEPERS: usize = 3;
 const NEWEST: u64 = 3;
-const RULE: Rule = Rule {
-    behind: Some(1),
-    after: Some(2),
-    part: 600,
+const POLICY: MinimumVersionPolicy = MinimumVersionPolicy {
+    max_behind: Some(1),
+    max_age: Some(2),
+    adoption_permille: 600,
 };
 /// Two of three.
 const ENOUGH: usize = 2;
@@ -36,13 +36,13 @@
 #[derive(Clone, Debug)]
 struct World {
     now: u64,
-    runs: [Runs; FLEET],
+    runs: [ReportedVersion; FLEET],
     /// The highest that each ever ran for good.
     ever: [u64; FLEET],
     /// Of the two that tell what they were told.
-    rows: [Rows; KEEPERS - 1],
+    reported: [ReportedVersions; KEEPERS - 1],
     told: [usize; KEEPERS - 1],
-    watch: Watch,
+    watch: PolicyWatch,
     /// With how many ran so much for good at each moment, for the judge: by version from 0.
     good_since: [Option<u64>; NEWEST as usize + 1],
     breach: Option<&'static str>,
@@ -51,20 +51,20 @@
 fn start() -> World {
     World {
         now: 0,
-        runs: [Runs {
+        runs: [ReportedVersion {
             version: 1,
             on_trial: false,
         }; FLEET],
         ever: [1; FLEET],
-        rows: [Rows::default(), Rows::default()],
+        reported: [ReportedVersions::default(), ReportedVersions::default()],
         told: [0; KEEPERS - 1],
-        watch: Watch::default(),
+        watch: PolicyWatch::default(),
         good_since: [None; NEWEST as usize + 1],
         breach: None,
     }
 }
 
-fn look(world: &mut World, part: usize, mistake: Mistake) {
+fn evaluate(world: &mut World, part: usize, mistake: Mistake) {
     let fleet = |keeper: usize| match mistake {
         Mistake::OfThoseWhoTold => world.told[keeper],
         _ => FLEET,
@@ -74,7 +74,7 @@
         .filter(|keeper| part >> keeper & 1 == 1)
         .map(|keeper| match keeper {
             2 => Some(NEWEST + 5),
-            own => world.rows[own].taken(fleet(own), RULE.part),
+            own => world.reported[own].adopted(fleet(own), POLICY.adoption_permille),
         });
     let words: Vec<Option<u64>> = words.collect();
     let keepers = if mistake == Mistake::OneKeeper {
@@ -83,25 +83,28 @@
         KEEPERS
     };
     if mistake == Mistake::NeverAnew {
-        world.watch = Watch::default();
+        world.watch = PolicyWatch::default();
         let highest = *world.ever.iter().max().expect("three");
         world
             .watch
-            .look(0, RULE, &[Some(highest); KEEPERS], KEEPERS, None);
+            .evaluate(0, POLICY, &[Some(highest); KEEPERS], KEEPERS, None);
     }
-    let Some(lowest) = world.watch.look(world.now, RULE, &words, keepers, None) else {
+    let Some(minimum) = world
+        .watch
+        .evaluate(world.now, POLICY, &words, keepers, None)
+    else {
         return;
     };
-    let had = world.ever.iter().filter(|ever| **ever >= lowest).count();
+    let had = world.ever.iter().filter(|ever| **ever >= minimum).count();
     if had < ENOUGH {
         world.breach = Some("a floor that too few ever had for good");
     }
     // By the rule of far behind it is one below what enough have told; by that of long, what they
     // told long enough ago.
-    let far = world.ever.iter().filter(|ever| **ever > lowest).count() >= ENOUGH;
-    let long = usize::try_from(lowest)
+    let far = world.ever.iter().filter(|ever| **ever > minimum).count() >= ENOUGH;
+    let long = usize::try_from(minimum)
         .ok()
-        .and_then(|lowest| world.good_since.get(lowest).copied().flatten());
+        .and_then(|minimum| world.good_since.get(minimum).copied().flatten());
     if !far && long.is_none_or(|since| since + 2 > world.now) {
         world.breach = Some("a floor neither far nor long enough behind");
     }
@@ -132,14 +135,14 @@
                 next.ever[own] = next.ever[own].max(runs.version);
             });
             step(&|next| {
-                next.runs[own] = Runs {
+                next.runs[own] = ReportedVersion {
                     version: runs.version - 1,
                     on_trial: false,
                 }
             });
         } else if runs.version < NEWEST {
             step(&|next| {
-                next.runs[own] = Runs {
+                next.runs[own] = ReportedVersion {
                     version: runs.version + 1,
                     on_trial: true,
                 }
@@ -148,9 +151,9 @@
         for keeper in 0..KEEPERS - 1 {
             step(&|next| {
                 let on_trial = next.runs[own].on_trial && mistake != Mistake::Trials;
-                next.rows[keeper].tells(
+                next.reported[keeper].report(
                     own as u32,
-                    Runs {
+                    ReportedVersion {
                         on_trial,
                         ..next.runs[own]
                     },
@@ -171,7 +174,7 @@
                 .map(|told| told.count_ones() as usize)
                 .collect();
             let bits = std::mem::replace(&mut next.told, [counts[0], counts[1]]);
-            look(next, part, mistake);
+            evaluate(next, part, mistake);
             next.told = bits;
         });
     }
--- a/crates/version-fencing/tests/stored.rs
+++ b/crates/version-fencing/tests/stored.rs
@@ -2,8 +2,8 @@
 //! bytes, and refused with the same message where they are cut short or foreign.
 
 use corkspan_quorum::{Keeper, Kept};
-use corkspan_version_fencing::Floor;
-use corkspan_version_fencing::record::{How, Span};
+use corkspan_version_fencing::MinimumVersion;
+use corkspan_version_fencing::history::{VersionInterval, VersionOrigin};
 use serde::{Serialize, de::DeserializeOwned};
 use std::collections::VecDeque;
 use std::fmt::Debug;
@@ -25,11 +25,11 @@
     );
 }
 
-fn minimum() -> Floor {
-    Floor {
-        number: 4,
-        asker: 11_400_714_819_323_198_485,
-        lowest: 17,
+fn minimum() -> MinimumVersion {
+    MinimumVersion {
+        revision: 4,
+        proposer: 11_400_714_819_323_198_485,
+        version: 17,
     }
 }
 
@@ -42,14 +42,14 @@
 fn a_quorum_members_stored_entry_keeps_content_and_bytes() {
     let mut member = Keeper::default();
     member.propose(minimum());
-    let entry: Kept<Floor> = member.all().next().expect("it was proposed").clone();
+    let entry: Kept<MinimumVersion> = member.all().next().expect("it was proposed").clone();
     round_trip(ENTRY, entry);
 }
 
 /// There is one key, and it is no string: as JSON a member is stored by its entries.
 #[test]
 fn a_quorum_member_as_a_whole_is_json_only_while_it_is_empty() {
-    round_trip(r#"{"matters":{}}"#, Keeper::<Floor>::default());
+    round_trip(r#"{"matters":{}}"#, Keeper::<MinimumVersion>::default());
     let mut member = Keeper::default();
     member.propose(minimum());
     let error = serde_json::to_string(&member).expect_err("its key is no string");
@@ -58,16 +58,22 @@
 
 #[test]
 fn stored_version_spans_keep_content_and_bytes() {
-    let ways = [How::File, How::Kept, How::Push, How::GaveUp, How::Brought];
-    let span = |(index, how): (usize, How)| Span {
+    let ways = [
+        VersionOrigin::File,
+        VersionOrigin::Restored,
+        VersionOrigin::Push,
+        VersionOrigin::Rollback,
+        VersionOrigin::CatchUp,
+    ];
+    let interval = |(index, origin): (usize, VersionOrigin)| VersionInterval {
         version: index as u64 * 3,
         digest: format!("{index}").repeat(8),
-        how,
-        life: u64::MAX - index as u64,
+        origin,
+        incarnation: u64::MAX - index as u64,
         from_ms: 1_764_000_000_000 + index as u64,
     };
-    let spans: VecDeque<Span> = ways.into_iter().enumerate().map(span).collect();
-    round_trip(SPANS, spans);
+    let intervals: VecDeque<VersionInterval> = ways.into_iter().enumerate().map(interval).collect();
+    round_trip(SPANS, intervals);
 }
 
 fn refusal<T: DeserializeOwned + Debug>(stored: &str) -> String {
@@ -81,10 +87,10 @@
     for pair in lines.chunks(2) {
         let (kind, stored) = pair[0].split_once(' ').expect("a kind and a text");
         let message = match kind {
-            "minimum" => refusal::<Floor>(stored),
-            "entry" => refusal::<Kept<Floor>>(stored),
-            "member" => refusal::<Keeper<Floor>>(stored),
-            "spans" => refusal::<VecDeque<Span>>(stored),
+            "minimum" => refusal::<MinimumVersion>(stored),
+            "entry" => refusal::<Kept<MinimumVersion>>(stored),
+            "member" => refusal::<Keeper<MinimumVersion>>(stored),
+            "spans" => refusal::<VecDeque<VersionInterval>>(stored),
             other => panic!("no such kind: {other}"),
         };
         assert_eq!(message, pair[1], "{}", pair[0]);
