--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -6,10 +6,10 @@
 use corkspan_dispatcher::clock::wall_ms;
 use corkspan_rpc::{Bounds, Link, Tasks, within};
 use corkspan_version_fencing::audit::{
-    DispatcherReport, Finding, NodeObservation, OperationTotals, dispatcher_findings,
-    node_findings, operation_totals,
+    DispatcherReport, DispatcherVersion, Finding, NodeObservation, OperationTotals,
+    RejectedVersion, Reply, dispatcher_findings, node_findings, operation_totals,
 };
-use corkspan_version_fencing::operations::OperationKind;
+use corkspan_version_fencing::operations::{OperationKind, VersionedOperation};
 use corkspan_version_fencing::{ReportedVersion, check_adoption};
 use futures_lite::future;
 use serde_json::json;
@@ -22,7 +22,7 @@
 const ANSWER: usize = 16 << 20;
 
 /// Nodes by address, each with what it has seen; none of who does not answer.
-type Seen = Vec<(String, Option<Vec<NodeObservation>>)>;
+type Seen = Vec<Reply<Vec<NodeObservation>>>;
 
 #[derive(Subcommand)]
 pub enum Fleet {
@@ -72,8 +72,11 @@
                 let all = ask_all(&tasks, &dispatchers).await;
                 let named: Vec<_> = dispatchers
                     .iter()
-                    .map(SocketAddr::to_string)
-                    .zip(all.iter().map(|own| own.as_ref().map(told)))
+                    .zip(&all)
+                    .map(|(address, own)| Reply {
+                        address: address.to_string(),
+                        report: own.as_ref().map(told),
+                    })
                     .collect();
                 let mut found = dispatcher_findings(&named);
                 found.extend(node_findings(&named, &acted));
@@ -165,7 +168,10 @@
             })
             .collect()
         });
-        told.push((address.to_string(), acts));
+        told.push(Reply {
+            address: address.to_string(),
+            report: acts,
+        });
     }
     told
 }
@@ -182,10 +188,10 @@
 
 fn told(status: &v1::VersionStatus) -> DispatcherReport {
     let running = status.running.clone().unwrap_or_default();
-    let turned_down = status
-        .refused_last
-        .as_ref()
-        .map(|stamp| (stamp.number, status.why.join("; ")));
+    let turned_down = status.refused_last.as_ref().map(|stamp| RejectedVersion {
+        version: stamp.number,
+        reason: status.why.join("; "),
+    });
     DispatcherReport {
         dispatcher: status.dispatcher,
         incarnation: status.life,
@@ -199,7 +205,15 @@
         operations: status
             .counted
             .iter()
-            .map(|own| ((own.version, kind(own.kind as i32)), own.many))
+            .map(|own| {
+                (
+                    VersionedOperation {
+                        version: own.version,
+                        kind: kind(own.kind as i32),
+                    },
+                    own.many,
+                )
+            })
             .collect(),
     }
 }
@@ -303,7 +317,10 @@
             head[0], head[1], head[2], head[3], head[4]
         );
         for (
-            (dispatcher, version),
+            DispatcherVersion {
+                dispatcher,
+                version,
+            },
             OperationTotals {
                 attempts: shots,
                 others,
@@ -339,7 +356,7 @@
             "floor": status.floor.as_ref().map(|floor| floor.lowest), "spans": spans.collect::<Vec<_>>(),
         })
     });
-    let acts = operation_totals(acted).into_iter().map(|((dispatcher, version), OperationTotals { attempts: shots, others, rejected: below })| {
+    let acts = operation_totals(acted).into_iter().map(|(DispatcherVersion { dispatcher, version }, OperationTotals { attempts: shots, others, rejected: below })| {
         json!({ "dispatcher": dispatcher, "version": version, "shots": shots, "others": others, "below": below })
     });
     let findings: Vec<String> = found.iter().map(Finding::to_string).collect();
--- a/crates/dispatcher/src/standing.rs
+++ b/crates/dispatcher/src/standing.rs
@@ -5,7 +5,7 @@
 use corkspan_api::v1;
 use corkspan_config::version::Stamp;
 use corkspan_version_fencing::history::{VersionHistory, VersionInterval, VersionOrigin};
-use corkspan_version_fencing::operations::OperationKind;
+use corkspan_version_fencing::operations::{OperationKind, VersionedOperation};
 use corkspan_version_fencing::{MinimumVersion, VersionGate};
 use std::collections::VecDeque;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -105,14 +105,14 @@
             life: span.incarnation,
             from_ms: span.from_ms,
         };
-        let count = |(version, kind, many)| v1::ActCount {
-            version,
-            kind: kind as u32,
+        let count = |(operation, many): (VersionedOperation, u64)| v1::ActCount {
+            version: operation.version,
+            kind: operation.kind as u32,
             many,
         };
         (
             record.intervals().iter().map(span).collect(),
-            record.operations_by_version().map(count).collect(),
+            record.operations().map(count).collect(),
         )
     }
 
--- a/crates/lab/src/node.rs
+++ b/crates/lab/src/node.rs
@@ -14,7 +14,9 @@
 use corkspan_rollout::{Claimed, Grant, Keeper};
 use corkspan_rpc::{Bounds, Tasks};
 use corkspan_scheduler::interface::Resources;
-use corkspan_version_fencing::operations::{OperationCounts, OperationKind, OperationSource};
+use corkspan_version_fencing::operations::{
+    OperationCounts, OperationKind, OperationRow, OperationSource,
+};
 use corkspan_version_fencing::policy::ReportedVersions;
 use corkspan_version_fencing::{
     Fence, FenceDecision, MinimumVersion, ReportedVersion, StoredState,
@@ -1114,21 +1116,27 @@
 
     async fn acts(&self, _: Request<v1::ActsAsk>) -> Result<Response<v1::ActsWord>, Status> {
         let (acts, floor) = (self.0.acts().clone(), self.0.fence().minimum());
-        let rows = acts.rows().map(|(by, kind, many)| v1::Act {
-            dispatcher: by.dispatcher,
-            life: by.incarnation,
-            version: by.version,
-            kind: match kind {
-                OperationKind::Attempt => v1::act::Kind::Shot,
-                OperationKind::Attend => v1::act::Kind::Attend,
-                OperationKind::Stop => v1::act::Kind::Stop,
-                OperationKind::Migrate => v1::act::Kind::Move,
-                OperationKind::Claim => v1::act::Kind::Claim,
-            }
-            .into(),
-            seen: many.seen,
-            below: many.rejected,
-        });
+        let rows = acts.rows().map(
+            |OperationRow {
+                 source: by,
+                 kind,
+                 count: many,
+             }| v1::Act {
+                dispatcher: by.dispatcher,
+                life: by.incarnation,
+                version: by.version,
+                kind: match kind {
+                    OperationKind::Attempt => v1::act::Kind::Shot,
+                    OperationKind::Attend => v1::act::Kind::Attend,
+                    OperationKind::Stop => v1::act::Kind::Stop,
+                    OperationKind::Migrate => v1::act::Kind::Move,
+                    OperationKind::Claim => v1::act::Kind::Claim,
+                }
+                .into(),
+                seen: many.seen,
+                below: many.rejected,
+            },
+        );
         Ok(Response::new(v1::ActsWord {
             node: self.0.plan.id,
             acts: rows.collect(),
--- a/crates/version-fencing/src/audit.rs
+++ b/crates/version-fencing/src/audit.rs
@@ -1,268 +1,378 @@
-//! What is wrong in a fleet, by what its dispatchers tell of themselves.
+//! What is wrong in a fleet, by the reports of its dispatchers and the counts of nodes.
 
-use crate::operations::OperationKind;
+use crate::operations::{OperationKind, VersionedOperation};
 use std::collections::BTreeMap;
 
-/// What one dispatcher tells.
+/// What one process replied to the audit.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Reply<T> {
+    /// The address that was asked, as the operator gave it.
+    pub address: String,
+    /// None where it did not reply.
+    pub report: Option<T>,
+}
+
+/// What one dispatcher reports of itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DispatcherReport {
     /// Its number in the fleet.
     pub dispatcher: u32,
-    /// Which process it is.
+    /// Incarnation of the process.
     pub incarnation: u64,
+    /// The version in force.
     pub version: u64,
+    /// Digest of that version, in hexadecimal.
     pub digest: String,
+    /// The version in force is on trial.
     pub on_trial: bool,
     /// A control service streams versions to it.
     pub has_stream: bool,
-    /// What it turned down last, with the reasons, where that is later than what it runs.
-    pub last_rejected: Option<(u64, String)>,
-    /// Versions that it gave up by itself.
+    /// The version that it rejected last.
+    pub last_rejected: Option<RejectedVersion>,
+    /// Versions that it rolled back by itself.
     pub rolled_back: Vec<u64>,
+    /// Its version is below the minimum that it knows of.
     pub fenced: bool,
-    /// Its acts in this life, as it counts them itself.
-    pub operations: BTreeMap<(u64, OperationKind), u64>,
+    /// Operations of this incarnation, by its own count.
+    pub operations: BTreeMap<VersionedOperation, u64>,
+}
+
+/// A version that a dispatcher did not put in force.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct RejectedVersion {
+    /// The version.
+    pub version: u64,
+    /// Why, as the dispatcher says.
+    pub reason: String,
 }
 
-/// Why a dispatcher is behind, as far as it can tell.
+/// What one node reports of one process's operations of one kind under one version.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct NodeObservation {
+    /// Number of the dispatcher.
+    pub dispatcher: u32,
+    /// Incarnation of the dispatcher's process.
+    pub incarnation: u64,
+    /// The version that the operations were decided under.
+    pub version: u64,
+    /// What they do.
+    pub kind: OperationKind,
+    /// How many arrived.
+    pub seen: u64,
+    /// Of them, rejected as below the minimum version.
+    pub rejected: u64,
+}
+
+/// Why a dispatcher is behind, as far as its report tells.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LagReason {
+    /// It rolled a later version back.
     #[error("it gave version {0} up")]
     RolledBack(u64),
-    #[error("it turned version {0} down: {1}")]
-    Rejected(u64, String),
+    /// It rejected a later version.
+    #[error("it turned version {} down: {}", .0.version, .0.reason)]
+    Rejected(RejectedVersion),
+    /// Nobody sends versions to it.
     #[error("no control service streams to it")]
     NoStream,
+    /// The report does not tell.
     #[error("it does not tell why")]
     Unknown,
 }
 
-/// One thing that is wrong. Dispatchers are named as they were asked for.
+/// One thing that is wrong. `address` is that of the process concerned, as it was asked.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Finding {
+    /// A process did not reply.
     #[error("{0} does not answer")]
     Unreachable(String),
+    /// A dispatcher runs an earlier version than another.
     #[error("{address} is behind: on version {version}, the newest is {newest}; {reason}")]
     Behind {
+        /// The dispatcher.
         address: String,
+        /// The version that it runs.
         version: u64,
+        /// The newest version that any dispatcher runs.
         newest: u64,
+        /// Why it does not run that.
         reason: LagReason,
     },
+    /// A dispatcher may not act.
     #[error("{0} is shut out by the floor of versions")]
     Fenced(String),
+    /// Two processes run under one number.
     #[error("{address} and {other} are two processes under the number {dispatcher}")]
     DuplicateNumber {
+        /// The process asked later.
         address: String,
+        /// The process asked first.
         other: String,
+        /// Their number.
         dispatcher: u32,
     },
+    /// Nodes have rejected operations of a dispatcher.
     #[error(
         "{rejected} acts of dispatcher {dispatcher} under version {version} were turned away by the floor"
     )]
     RejectedOperations {
+        /// Number of the dispatcher.
         dispatcher: u32,
+        /// The version that the operations were decided under.
         version: u64,
+        /// How many were rejected.
         rejected: u64,
     },
+    /// Nodes have seen operations under a later version than a dispatcher reports.
     #[error(
         "{address} says that it runs version {reported}, and nodes have seen acts of it under version {version}"
     )]
     Ahead {
+        /// The dispatcher.
         address: String,
+        /// The version that nodes have seen.
         version: u64,
+        /// The version that it reports.
         reported: u64,
     },
+    /// Nodes have seen more operations than a dispatcher has sent.
     #[error(
         "nodes have seen {seen} {kind} of {address} under version {version}, and it counts {counted}"
     )]
     ExcessOperations {
+        /// The dispatcher.
         address: String,
+        /// The version that the operations were decided under.
         version: u64,
+        /// What they do.
         kind: OperationKind,
+        /// How many nodes have seen.
         seen: u64,
+        /// How many the dispatcher counts.
         counted: u64,
     },
+    /// Two dispatchers run one version with different contents.
     #[error("{address} and {other} run version {version} with different digests")]
     DigestMismatch {
+        /// The dispatcher asked later.
         address: String,
+        /// The dispatcher asked first.
         other: String,
+        /// The version that both run.
         version: u64,
     },
 }
 
-/// What one node tells of one process's acts of one kind under one version.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct NodeObservation {
+/// The operations of one dispatcher under one version, over all its incarnations.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct DispatcherVersion {
+    /// Number of the dispatcher.
     pub dispatcher: u32,
-    pub incarnation: u64,
+    /// The version that the operations were decided under.
     pub version: u64,
-    pub kind: OperationKind,
-    pub seen: u64,
-    /// Of them, turned away by the floor.
-    pub rejected: u64,
 }
 
-/// How many acts.
+/// How many operations nodes have seen.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct OperationTotals {
+    /// Attempts to start a task.
     pub attempts: u64,
-    /// Attendances, stops, moves and claims.
+    /// Operations of all other kinds.
     pub others: u64,
-    /// Of all, turned away by the floor.
+    /// Of all, rejected as below the minimum version.
     pub rejected: u64,
 }
 
-/// What nodes have seen by dispatcher and version, over all lives and nodes.
+fn observations(nodes: &[Reply<Vec<NodeObservation>>]) -> impl Iterator<Item = &NodeObservation> {
+    nodes.iter().flat_map(|node| &node.report).flatten()
+}
+
+/// What nodes have seen, summed over nodes and incarnations.
 pub fn operation_totals(
-    nodes: &[(String, Option<Vec<NodeObservation>>)],
-) -> BTreeMap<(u32, u64), OperationTotals> {
-    let mut sums: BTreeMap<(u32, u64), OperationTotals> = BTreeMap::new();
-    for observation in nodes
-        .iter()
-        .flat_map(|(_, operations)| operations)
-        .flatten()
-    {
-        let sum = sums
-            .entry((observation.dispatcher, observation.version))
+    nodes: &[Reply<Vec<NodeObservation>>],
+) -> BTreeMap<DispatcherVersion, OperationTotals> {
+    let mut totals: BTreeMap<DispatcherVersion, OperationTotals> = BTreeMap::new();
+    for observation in observations(nodes) {
+        let total = totals
+            .entry(DispatcherVersion {
+                dispatcher: observation.dispatcher,
+                version: observation.version,
+            })
             .or_default();
-        let of_kind = if observation.kind == OperationKind::Attempt {
-            &mut sum.attempts
-        } else {
-            &mut sum.others
+        let of_kind = match observation.kind {
+            OperationKind::Attempt => &mut total.attempts,
+            _ => &mut total.others,
         };
         *of_kind = of_kind.saturating_add(observation.seen);
-        sum.rejected = sum.rejected.saturating_add(observation.rejected);
+        total.rejected = total.rejected.saturating_add(observation.rejected);
     }
-    sums
+    totals
 }
 
-/// What nodes tell that is wrong by itself, or against what the dispatchers tell of themselves.
+/// What the nodes' reports show to be wrong, by themselves or against the dispatchers' reports.
 pub fn node_findings(
-    reports: &[(String, Option<DispatcherReport>)],
-    nodes: &[(String, Option<Vec<NodeObservation>>)],
+    dispatchers: &[Reply<DispatcherReport>],
+    nodes: &[Reply<Vec<NodeObservation>>],
 ) -> Vec<Finding> {
     let unreachable = nodes
         .iter()
-        .filter(|(_, operations)| operations.is_none())
-        .map(|(address, _)| Finding::Unreachable(address.clone()));
+        .filter(|node| node.report.is_none())
+        .map(|node| Finding::Unreachable(node.address.clone()));
     let mut findings: Vec<Finding> = unreachable.collect();
-    for ((dispatcher, version), OperationTotals { rejected, .. }) in operation_totals(nodes) {
-        if rejected > 0 {
+    for (operations, totals) in operation_totals(nodes) {
+        if totals.rejected > 0 {
             findings.push(Finding::RejectedOperations {
-                dispatcher,
-                version,
-                rejected,
+                dispatcher: operations.dispatcher,
+                version: operations.version,
+                rejected: totals.rejected,
             });
         }
     }
-    for (address, report) in reports {
-        let Some(report) = report else { continue };
-        let seen = nodes
-            .iter()
-            .flat_map(|(_, operations)| operations)
-            .flatten();
-        let own = seen.filter(|observation| {
-            observation.dispatcher == report.dispatcher
-                && observation.incarnation == report.incarnation
-        });
-        let mut sums: BTreeMap<(u64, OperationKind), u64> = BTreeMap::new();
-        for observation in own {
-            let sum = sums
-                .entry((observation.version, observation.kind))
-                .or_default();
-            *sum = sum.saturating_add(observation.seen);
-        }
-        // Of a version that it counts no more, it tells nothing.
-        for (&(version, kind), &counted) in &report.operations {
-            let seen = sums.get(&(version, kind)).copied().unwrap_or(0);
-            if seen > counted {
-                findings.push(Finding::ExcessOperations {
-                    address: address.clone(),
-                    version,
-                    kind,
-                    seen,
-                    counted,
-                });
-            }
-        }
-        let versions = sums.keys().map(|(version, _)| *version);
-        let ahead = versions.filter(|version| *version > report.version).max();
-        // It may have given that one up since.
-        if let Some(version) = ahead.filter(|version| !report.rolled_back.contains(version)) {
-            findings.push(Finding::Ahead {
-                address: address.clone(),
-                version,
-                reported: report.version,
-            });
+    for dispatcher in dispatchers {
+        if let Some(report) = &dispatcher.report {
+            let seen = seen_by_nodes(report, nodes);
+            findings.extend(excess_operations(&dispatcher.address, report, &seen));
+            findings.extend(ahead(&dispatcher.address, report, &seen));
         }
     }
     findings
 }
 
-/// All findings, in the order in which the dispatchers were asked for.
-pub fn dispatcher_findings(reports: &[(String, Option<DispatcherReport>)]) -> Vec<Finding> {
-    let newest = reports
+/// The operations of one process, over all nodes.
+fn seen_by_nodes(
+    report: &DispatcherReport,
+    nodes: &[Reply<Vec<NodeObservation>>],
+) -> BTreeMap<VersionedOperation, u64> {
+    let mut sums: BTreeMap<VersionedOperation, u64> = BTreeMap::new();
+    let of_process = observations(nodes).filter(|observation| {
+        observation.dispatcher == report.dispatcher && observation.incarnation == report.incarnation
+    });
+    for observation in of_process {
+        let sum = sums
+            .entry(VersionedOperation {
+                version: observation.version,
+                kind: observation.kind,
+            })
+            .or_default();
+        *sum = sum.saturating_add(observation.seen);
+    }
+    sums
+}
+
+/// Operations of which nodes have seen more than the dispatcher counts. It reports no counts of
+/// versions that it has forgotten; those are not compared.
+fn excess_operations<'a>(
+    address: &'a str,
+    report: &'a DispatcherReport,
+    seen: &'a BTreeMap<VersionedOperation, u64>,
+) -> impl Iterator<Item = Finding> + 'a {
+    report
+        .operations
         .iter()
-        .filter_map(|(_, report)| report.as_ref())
-        .map(|report| report.version)
-        .max()
-        .unwrap_or(0);
-    let mut numbers: BTreeMap<u32, (&String, u64)> = BTreeMap::new();
-    let mut digests: BTreeMap<u64, (&String, &String)> = BTreeMap::new();
+        .filter_map(move |(operation, &counted)| {
+            let seen = seen.get(operation).copied().unwrap_or(0);
+            (seen > counted).then(|| Finding::ExcessOperations {
+                address: address.into(),
+                version: operation.version,
+                kind: operation.kind,
+                seen,
+                counted,
+            })
+        })
+}
+
+/// The latest version that nodes have seen beyond the reported one, unless the dispatcher has
+/// rolled it back since.
+fn ahead(
+    address: &str,
+    report: &DispatcherReport,
+    seen: &BTreeMap<VersionedOperation, u64>,
+) -> Option<Finding> {
+    let versions = seen.keys().map(|operation| operation.version);
+    let latest = versions.filter(|version| *version > report.version).max()?;
+    (!report.rolled_back.contains(&latest)).then(|| Finding::Ahead {
+        address: address.into(),
+        version: latest,
+        reported: report.version,
+    })
+}
+
+/// What the dispatchers' reports show to be wrong, in the order in which they were asked.
+pub fn dispatcher_findings(dispatchers: &[Reply<DispatcherReport>]) -> Vec<Finding> {
+    let reports = dispatchers.iter().filter_map(|reply| reply.report.as_ref());
+    let newest = reports.map(|report| report.version).max().unwrap_or(0);
+    let mut comparison = Comparison::default();
     let mut findings = Vec::new();
-    for (address, report) in reports {
+    for Reply { address, report } in dispatchers {
         let Some(report) = report else {
             findings.push(Finding::Unreachable(address.clone()));
             continue;
         };
-        let (dispatcher, version) = (report.dispatcher, report.version);
-        if version < newest {
+        if report.version < newest {
             findings.push(Finding::Behind {
                 address: address.clone(),
-                version,
+                version: report.version,
                 newest,
-                reason: reason(report),
+                reason: lag_reason(report),
             });
         }
         if report.fenced {
             findings.push(Finding::Fenced(address.clone()));
         }
-        // One that is named twice by two addresses is the same life.
-        let (other, incarnation) = *numbers
-            .entry(dispatcher)
-            .or_insert((address, report.incarnation));
-        if incarnation != report.incarnation {
-            findings.push(Finding::DuplicateNumber {
-                address: address.clone(),
-                other: other.clone(),
-                dispatcher,
-            });
-        }
-        // Version 0 is each one's own file, and may well differ.
-        let (other, digest) = *digests.entry(version).or_insert((address, &report.digest));
-        if version > 0 && *digest != report.digest {
-            findings.push(Finding::DigestMismatch {
-                address: address.clone(),
-                other: other.clone(),
-                version,
-            });
-        }
+        findings.extend(comparison.duplicate_number(address, report));
+        findings.extend(comparison.digest_mismatch(address, report));
     }
     findings
 }
 
-fn reason(report: &DispatcherReport) -> LagReason {
-    let rolled_back = report
-        .rolled_back
-        .iter()
-        .copied()
-        .filter(|rolled_back| *rolled_back > report.version)
-        .max();
-    match (rolled_back, &report.last_rejected) {
+/// The first dispatcher seen with each number, and with each version.
+#[derive(Default)]
+struct Comparison<'a> {
+    by_number: BTreeMap<u32, (&'a str, u64)>,
+    by_version: BTreeMap<u64, (&'a str, &'a str)>,
+}
+
+impl<'a> Comparison<'a> {
+    /// Another process under the same number. One that is asked at two addresses is the same
+    /// incarnation.
+    fn duplicate_number(&mut self, address: &'a str, report: &DispatcherReport) -> Option<Finding> {
+        let (other, incarnation) = *self
+            .by_number
+            .entry(report.dispatcher)
+            .or_insert((address, report.incarnation));
+        (incarnation != report.incarnation).then(|| Finding::DuplicateNumber {
+            address: address.into(),
+            other: other.into(),
+            dispatcher: report.dispatcher,
+        })
+    }
+
+    /// Other contents under the same version. Version 0 is each dispatcher's own file and may well
+    /// differ.
+    fn digest_mismatch(
+        &mut self,
+        address: &'a str,
+        report: &'a DispatcherReport,
+    ) -> Option<Finding> {
+        let (other, digest) = *self
+            .by_version
+            .entry(report.version)
+            .or_insert((address, &report.digest));
+        (report.version > 0 && digest != report.digest).then(|| Finding::DigestMismatch {
+            address: address.into(),
+            other: other.into(),
+            version: report.version,
+        })
+    }
+}
+
+fn lag_reason(report: &DispatcherReport) -> LagReason {
+    let rolled_back = report.rolled_back.iter().copied();
+    let later = rolled_back.filter(|version| *version > report.version);
+    match (later.max(), &report.last_rejected) {
         (Some(version), _) => LagReason::RolledBack(version),
-        (None, Some((version, reason))) if *version > report.version => {
-            LagReason::Rejected(*version, reason.clone())
+        (None, Some(rejected)) if rejected.version > report.version => {
+            LagReason::Rejected(rejected.clone())
         }
         _ if !report.has_stream => LagReason::NoStream,
         _ => LagReason::Unknown,
--- a/crates/version-fencing/src/catch_up.rs
+++ b/crates/version-fencing/src/catch_up.rs
@@ -1,144 +1,167 @@
-//! How a straggler is brought up: from whom it asks for the newest version next, and when. Without
-//! a clock: moments are told, in any unit that [`RequestIntervals`] is told in too.
+//! How a dispatcher that is behind catches up: whom it requests the newest version from next, and
+//! when. Without a clock: times are passed in, in the unit of [`RequestIntervals`].
 
 use corkspan_quorum::of_a_few;
 use rand::seq::SliceRandom;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// Times between asks, in the caller's unit.
+/// The backoff doubles no further than this: the interval would be beyond any maximum.
+const MAX_DOUBLINGS: u32 = 16;
+
+/// Times between requests, in the caller's unit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestIntervals {
-    /// The first ask comes within so long after it is known that one is needed, and the waits grow
-    /// from here.
+    /// The first request follows within this time of a dispatcher being fenced, and the backoff
+    /// starts from it.
     pub initial: u64,
+    /// The backoff grows no further than this.
     pub max: u64,
-    /// Who is not known to be behind, and hears of no control service, asks about so often.
+    /// The mean time between requests of a dispatcher that no control service streams to, and that
+    /// is not known to be behind.
     pub idle: u64,
 }
 
-/// From whom the newest version may be had: the how-manieth of those that the deployment names.
+/// Whom the newest version may be requested from, by index in the deployment's list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VersionSource {
+    /// Another dispatcher.
     Peer(usize),
+    /// A member of the quorum.
     QuorumMember(usize),
 }
 
 /// What a dispatcher knows of its own state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CatchUpStatus {
-    /// A control service streams to it.
+    /// A control service streams versions to it.
     pub has_stream: bool,
-    /// The floor of versions shuts it out.
+    /// Its version is below the minimum.
     pub fenced: bool,
+    /// Other dispatchers that the deployment names.
     pub peers: usize,
+    /// Members of the quorum.
     pub members: usize,
 }
 
-/// What came of an ask.
+/// What a request led to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// It runs a later version now.
+    /// A later version is in force now.
     Advanced,
-    /// No answer, nothing later, or a version that it had to turn down.
+    /// No reply, no later version, or one that was rejected here.
     Unchanged,
 }
 
+/// What to do next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[must_use]
 pub enum NextStep {
+    /// Request the newest version, and pass the outcome to [`CatchUp::complete`].
     Request(VersionSource),
-    /// Look again after so long.
+    /// Poll again after this time.
     Wait(u64),
 }
 
-/// One dispatcher's part. Hundreds of stragglers at once ask each at its own time, each in an order
-/// of its own.
+/// One dispatcher's requests. Times and order are drawn at random, so that hundreds that are behind
+/// at once do not all ask the same peer at the same time.
 pub struct CatchUp {
     rng: Pcg64Mcg,
     intervals: RequestIntervals,
-    /// Rounds in vain.
+    /// Rounds over all sources that brought nothing, in a row.
     failed_rounds: u32,
-    /// Whether the ask that is due was wanted by one that is shut out.
+    /// Whether the dispatcher was fenced when the next request was scheduled.
     was_fenced: bool,
     next_request_at: Option<u64>,
-    /// Still to be asked in this round.
+    /// Sources still to be asked in this round; the next one is last.
     remaining: Vec<VersionSource>,
 }
 
 impl CatchUp {
+    /// Starts with nothing scheduled.
     pub fn new(seed: u64, intervals: RequestIntervals) -> Self {
-        let (rng, remaining) = (Pcg64Mcg::seed_from_u64(seed), Vec::new());
         CatchUp {
-            rng,
+            rng: Pcg64Mcg::seed_from_u64(seed),
             intervals,
             failed_rounds: 0,
             was_fenced: false,
             next_request_at: None,
-            remaining,
+            remaining: Vec::new(),
         }
     }
 
+    /// What to do at this time, in this state.
     pub fn poll(&mut self, now: u64, status: CatchUpStatus) -> NextStep {
         let RequestIntervals { initial, idle, .. } = self.intervals;
-        // Whom a control service reaches is brought up by it, unless it is shut out all the same:
-        // then what streams to it has stood still, or was turned down.
-        if status.has_stream && !status.fenced || status.peers + status.members == 0 {
-            (self.next_request_at, self.failed_rounds, self.was_fenced) = (None, 0, false);
-            self.remaining.clear();
+        // A control service brings a dispatcher up to date, unless it is fenced all the same: then
+        // the service stands still, or its version was rejected here.
+        let served = status.has_stream && !status.fenced;
+        if served || status.peers + status.members == 0 {
+            self.reset();
             return NextStep::Wait(initial);
         }
         if status.fenced && !self.was_fenced {
             (self.next_request_at, self.failed_rounds) = (None, 0);
         }
         self.was_fenced = status.fenced;
-        let next_request_at = match self.next_request_at {
-            Some(next_request_at) => next_request_at,
+        let request_at = match self.next_request_at {
+            Some(at) => at,
             None => {
                 let within = if status.fenced { initial } else { idle };
                 now + self.rng.random_range(0..=within)
             }
         };
-        self.next_request_at = Some(next_request_at);
-        if now < next_request_at {
-            return NextStep::Wait((next_request_at - now).min(initial));
+        self.next_request_at = Some(request_at);
+        if now < request_at {
+            return NextStep::Wait((request_at - now).min(initial));
         }
         if self.remaining.is_empty() {
-            // Keepers last: they are few, and have more to do.
-            let (mut peers, mut members): (Vec<VersionSource>, Vec<VersionSource>) = (
-                (0..status.peers).map(VersionSource::Peer).collect(),
-                (0..status.members)
-                    .map(VersionSource::QuorumMember)
-                    .collect(),
-            );
-            peers.shuffle(&mut self.rng);
-            members.shuffle(&mut self.rng);
-            self.remaining = members.into_iter().chain(peers).collect();
+            self.remaining = self.shuffled_sources(status);
         }
         let source = self.remaining.pop();
         source.map_or(NextStep::Wait(initial), NextStep::Request)
     }
 
-    /// What came of the ask that [`CatchUp::poll`] wanted.
+    fn reset(&mut self) {
+        (self.next_request_at, self.failed_rounds, self.was_fenced) = (None, 0, false);
+        self.remaining.clear();
+    }
+
+    /// All sources in a random order, to be taken from the end: quorum members after all peers,
+    /// since they are few and have more to do.
+    fn shuffled_sources(&mut self, status: CatchUpStatus) -> Vec<VersionSource> {
+        let mut peers: Vec<_> = (0..status.peers).map(VersionSource::Peer).collect();
+        let mut members: Vec<_> = (0..status.members)
+            .map(VersionSource::QuorumMember)
+            .collect();
+        peers.shuffle(&mut self.rng);
+        members.shuffle(&mut self.rng);
+        members.into_iter().chain(peers).collect()
+    }
+
+    /// Schedules the next request after the one that [`CatchUp::poll`] returned.
     pub fn complete(&mut self, now: u64, outcome: RequestOutcome) {
-        let RequestIntervals { initial, max, idle } = self.intervals;
         if outcome == RequestOutcome::Advanced {
             (self.failed_rounds, self.remaining) = (0, Vec::new());
         } else if self.remaining.is_empty() {
             self.failed_rounds = self.failed_rounds.saturating_add(1);
         }
-        // All that may have it are asked soon, whoever of them is gone; only then it is worth
-        // waiting longer.
-        let longest_wait = match (self.was_fenced, self.remaining.is_empty()) {
+        let RequestIntervals { initial, max, idle } = self.intervals;
+        let round_complete = self.remaining.is_empty();
+        // Within a round all sources are asked soon, since any of them may be down; only between
+        // rounds it is worth waiting longer.
+        let longest = match (self.was_fenced, round_complete) {
             (true, false) => initial,
-            (true, true) => (initial << self.failed_rounds.min(16)).min(max),
+            (true, true) => (initial << self.failed_rounds.min(MAX_DOUBLINGS)).min(max),
             (false, _) => idle * 2,
         };
-        self.next_request_at = Some(now + self.rng.random_range(longest_wait / 2..=longest_wait));
+        self.next_request_at = Some(now + self.rng.random_range(longest / 2..=longest));
     }
 }
 
-/// Whether a dispatcher lays its good version on a keeper's shelf in this round: all of a fleet
-/// know at once that one is wanted there, and a few are enough. `chance` is drawn from 0 to 1.
+/// Whether a dispatcher stores its good version at the quorum members in this round, where the
+/// oldest of theirs is `stored`. The whole fleet sees at once that one is missing there, and a few
+/// are enough. `chance` is drawn from 0 to 1.
 pub fn should_store(version: u64, stored: Option<u64>, fleet: usize, chance: f64) -> bool {
     version > stored.unwrap_or(0) && of_a_few(fleet, chance)
 }
--- a/crates/version-fencing/src/history.rs
+++ b/crates/version-fencing/src/history.rs
@@ -1,56 +1,64 @@
-//! What a dispatcher remembers of itself: which version was in force from when to when, how it
-//! came, and its acts. Bounded; times are told by the caller, in milliseconds since 1970.
+//! What a dispatcher remembers of itself: which version was in force from when on, where it came
+//! from, and how many operations it sent. Bounded in memory. Times are passed by the caller, in
+//! milliseconds since 1970.
 
-use crate::operations::OperationKind;
+use crate::operations::{OperationKind, VersionedOperation};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Spans that are kept: of older ones nothing is known any more.
+/// Intervals that are remembered; the oldest are dropped first.
 const MAX_INTERVALS: usize = 256;
-/// Versions of this life whose acts are counted.
+/// Versions of this incarnation whose operations are counted.
 const MAX_COUNTED_VERSIONS: usize = 256;
-const OPERATION_KINDS: usize = 5;
+const MAX_COUNTS: usize = MAX_COUNTED_VERSIONS * OperationKind::ALL.len();
 
-/// How a version came to be in force.
+/// Where a version in force came from. Stored under the names that it had before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum VersionOrigin {
     /// The dispatcher's own file, at a start.
     File,
-    /// Kept from an earlier life, at a start.
+    /// The one that an earlier incarnation had stored, at a start.
     #[serde(rename = "kept")]
     Restored,
+    /// Pushed by the control service.
     Push,
-    /// The one in force before it was given up.
+    /// The last good one, after a later one was rolled back.
     #[serde(rename = "gave-up")]
     Rollback,
-    /// Brought by another dispatcher or a keeper.
+    /// Fetched from another dispatcher or a quorum member.
     #[serde(rename = "brought")]
     CatchUp,
 }
 
+/// A version in force, until the next interval begins. Stored as JSON.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionInterval {
+    /// The version.
     pub version: u64,
+    /// Its digest, in hexadecimal.
     pub digest: String,
+    /// Where it came from.
     #[serde(rename = "how")]
     pub origin: VersionOrigin,
-    /// Of the process.
+    /// Incarnation of the process that put it in force.
     #[serde(rename = "life")]
     pub incarnation: u64,
+    /// When it came in force, in milliseconds since 1970.
     pub from_ms: u64,
 }
 
+/// The versions that a dispatcher had in force over its incarnations, and the operations of the
+/// present one.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct VersionHistory {
-    /// The oldest first; each goes on until the next begins.
+    /// The oldest first.
     intervals: VecDeque<VersionInterval>,
-    /// Acts of the life that goes on.
-    operations: BTreeMap<(u64, OperationKind), u64>,
+    operations: BTreeMap<VersionedOperation, u64>,
 }
 
 impl VersionHistory {
-    /// A new life goes on from the spans that an earlier one kept.
+    /// The history of a new incarnation, which continues the intervals of earlier ones.
     pub fn restore(mut intervals: VecDeque<VersionInterval>) -> VersionHistory {
         let surplus = intervals.len().saturating_sub(MAX_INTERVALS);
         intervals.drain(..surplus);
@@ -60,6 +68,7 @@
         }
     }
 
+    /// Begins an interval, which ends the one before.
     pub fn begin(&mut self, interval: VersionInterval) {
         if self.intervals.len() >= MAX_INTERVALS {
             self.intervals.pop_front();
@@ -67,25 +76,25 @@
         self.intervals.push_back(interval);
     }
 
-    /// So many acts are about to be sent. Counted before they can reach anybody, so nobody can have
-    /// seen more.
+    /// Counts operations that are about to be sent. Before they can reach anybody, so that no node
+    /// can have seen more than are counted.
     pub fn count_operations(&mut self, version: u64, kind: OperationKind, count: u64) {
-        if self.operations.len() >= MAX_COUNTED_VERSIONS * OPERATION_KINDS
-            && !self.operations.contains_key(&(version, kind))
-        {
+        let operation = VersionedOperation { version, kind };
+        if self.operations.len() >= MAX_COUNTS && !self.operations.contains_key(&operation) {
             self.operations.pop_first();
         }
-        *self.operations.entry((version, kind)).or_default() += count;
+        *self.operations.entry(operation).or_default() += count;
     }
 
+    /// The intervals, the oldest first.
     pub fn intervals(&self) -> &VecDeque<VersionInterval> {
         &self.intervals
     }
 
-    /// Acts of this life, by version and kind.
-    pub fn operations_by_version(&self) -> impl Iterator<Item = (u64, OperationKind, u64)> {
+    /// How many operations of each version and kind this incarnation has sent.
+    pub fn operations(&self) -> impl Iterator<Item = (VersionedOperation, u64)> {
         self.operations
             .iter()
-            .map(|(&(version, kind), &count)| (version, kind, count))
+            .map(|(&operation, &count)| (operation, count))
     }
 }
--- /dev/null
+++ b/crates/version-fencing/src/minimum.rs
@@ -0,0 +1,163 @@
+//! The minimum version as a proposal to the quorum, and what a raise by an operator needs.
+
+use corkspan_quorum::{Wish, in_force, majority, to_follow};
+use serde::{Deserialize, Serialize};
+
+/// Fractions of a fleet are given in thousandths.
+pub(crate) const PERMILLE: usize = 1_000;
+
+/// The lowest version of the deployment that may act. Lowering it is a proposal like any other: the
+/// higher revision counts.
+///
+/// Stored as JSON by quorum members and nodes under the keys `number`, `asker` and `lowest`.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct MinimumVersion {
+    /// Orders the proposals.
+    #[serde(rename = "number")]
+    pub revision: u64,
+    /// Drawn at random by the proposer: tells apart two proposals of the same revision.
+    #[serde(rename = "asker")]
+    pub proposer: u64,
+    /// The version itself. 0 is the dispatcher's own file; an operation that carries no version
+    /// counts as 0.
+    #[serde(rename = "lowest")]
+    pub version: u64,
+}
+
+impl MinimumVersion {
+    /// Whether it replaces the one that is known, if any is.
+    pub(crate) fn is_newer_than(&self, known: Option<MinimumVersion>) -> bool {
+        known.is_none_or(|known| known.revision < self.revision)
+    }
+}
+
+impl Wish for MinimumVersion {
+    /// A fleet has one minimum version.
+    type Matter = ();
+
+    fn matter(&self) {}
+
+    fn number(&self) -> u64 {
+        self.revision
+    }
+
+    fn numbered(&self, revision: u64) -> Self {
+        MinimumVersion { revision, ..*self }
+    }
+
+    /// Nothing is claimed under it.
+    fn slots(&self) -> u32 {
+        0
+    }
+}
+
+/// The version that a dispatcher reports to run.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ReportedVersion {
+    /// The version in force there.
+    pub version: u64,
+    /// It is on trial, and may yet be rolled back.
+    pub on_trial: bool,
+}
+
+/// Why no other minimum version is proposed.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum RaiseError {
+    /// Too few members of the quorum reply.
+    #[error("{replies} of {members} keepers answer; a majority is needed")]
+    NoMajority {
+        /// Members that reply.
+        replies: usize,
+        /// Members of the quorum.
+        members: usize,
+    },
+    /// Too few dispatchers run the version, or a later one, past its trial.
+    #[error(
+        "{adopted} of {fleet} dispatchers run version {minimum} or a later one for good; {required} are wanted"
+    )]
+    NotAdopted {
+        /// Dispatchers that run it.
+        adopted: usize,
+        /// Dispatchers asked, whether they replied or not.
+        fleet: usize,
+        /// Dispatchers that must run it.
+        required: usize,
+        /// The minimum version asked for.
+        minimum: u64,
+    },
+    /// It is the minimum version already.
+    #[error("the floor is {0} already")]
+    Unchanged(u64),
+}
+
+/// How many dispatchers of a fleet are `permille` thousandths of it, rounded up.
+pub(crate) fn share_of(fleet: usize, permille: u32) -> usize {
+    let permille = (permille as usize).min(PERMILLE);
+    (fleet * permille).div_ceil(PERMILLE)
+}
+
+/// Checks that enough of a fleet run a version, past its trial, for it to become the minimum.
+///
+/// `reports` has an entry for each dispatcher asked, none where it did not reply; `current` is the
+/// minimum version that they know of. A minimum that is not above `current` fences nobody else and
+/// is always allowed.
+///
+/// # Errors
+///
+/// [`RaiseError::NotAdopted`] where fewer than `permille` thousandths of the fleet run it.
+pub fn check_adoption(
+    reports: &[Option<ReportedVersion>],
+    current: Option<u64>,
+    minimum: u64,
+    permille: u32,
+) -> Result<(), RaiseError> {
+    if current.is_some_and(|current| current >= minimum) {
+        return Ok(());
+    }
+    let has_adopted = |report: &&ReportedVersion| report.version >= minimum && !report.on_trial;
+    let adopted = reports.iter().flatten().filter(has_adopted).count();
+    let required = share_of(reports.len(), permille);
+    if adopted >= required {
+        return Ok(());
+    }
+    Err(RaiseError::NotAdopted {
+        adopted,
+        fleet: reports.len(),
+        required,
+        minimum,
+    })
+}
+
+/// The proposal of another minimum version, after the members' replies.
+///
+/// # Errors
+///
+/// [`RaiseError::NoMajority`] where too few members reply, [`RaiseError::Unchanged`] where a
+/// majority holds this minimum already.
+pub fn propose(
+    replies: &[Option<MinimumVersion>],
+    members: usize,
+    minimum: u64,
+    proposer: u64,
+) -> Result<MinimumVersion, RaiseError> {
+    if !majority(replies.len(), members) {
+        return Err(RaiseError::NoMajority {
+            replies: replies.len(),
+            members,
+        });
+    }
+    let known: Vec<MinimumVersion> = replies.iter().flatten().copied().collect();
+    if in_force(&known, members).is_some_and(|current| current.version == minimum) {
+        return Err(RaiseError::Unchanged(minimum));
+    }
+    // A member that reports the largest revision there is leaves none above it. The proposal is
+    // then not accepted, but nothing overflows.
+    let revision = to_follow(&known, members)
+        .map_or(0, |latest| latest.revision)
+        .saturating_add(1);
+    Ok(MinimumVersion {
+        revision,
+        proposer,
+        version: minimum,
+    })
+}
--- a/crates/version-fencing/src/operations.rs
+++ b/crates/version-fencing/src/operations.rs
@@ -1,22 +1,30 @@
-//! What a node has seen of acts: how many of each kind, by whom, under which version. Bounded,
-//! whatever comes.
+//! What a node counts of operations: how many of each kind, by whom, under which version. Bounded
+//! in memory, whatever arrives.
 
 use std::collections::BTreeMap;
+use std::fmt;
 
-/// Rows at the most: a life for each of 300 dispatchers with some versions and kinds fits, and a
-/// peer that invents lives can't fill the memory.
+/// Rows of a node's counts. An incarnation for each of 300 dispatchers with some versions and kinds
+/// fits, and a peer that invents incarnations can't fill the memory.
 const MAX_ROWS: usize = 8_192;
 
+/// The kinds of operations that dispatchers send to nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum OperationKind {
+    /// An attempt to start a task.
     Attempt,
+    /// Following a task that a node already has.
     Attend,
+    /// Stopping a task.
     Stop,
+    /// Stopping a task because it has migrated to another node.
     Migrate,
+    /// Claiming a slot at a quorum member.
     Claim,
 }
 
 impl OperationKind {
+    /// All kinds, in the order of their numbers on the wire.
     pub const ALL: [OperationKind; 5] = [
         OperationKind::Attempt,
         OperationKind::Attend,
@@ -26,8 +34,9 @@
     ];
 }
 
-impl std::fmt::Display for OperationKind {
-    fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
+/// The plural, as an audit prints it.
+impl fmt::Display for OperationKind {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(match self {
             OperationKind::Attempt => "shots",
             OperationKind::Attend => "attendances",
@@ -38,21 +47,47 @@
     }
 }
 
-/// Who acted: the process, and the version that it had decided under.
+/// A kind of operation under one version.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct VersionedOperation {
+    /// The version that it was decided under.
+    pub version: u64,
+    /// What it does.
+    pub kind: OperationKind,
+}
+
+/// Who sent an operation: the process, and the version that it decided under.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct OperationSource {
+    /// Number of the dispatcher in its fleet.
     pub dispatcher: u32,
+    /// Incarnation of the process, another after each start.
     pub incarnation: u64,
+    /// The version decided under.
     pub version: u64,
 }
 
+/// How many operations of one source and kind arrived at a node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct OperationCount {
+    /// All that arrived.
     pub seen: u64,
-    /// Of them, turned away by the floor.
+    /// Of them, rejected as below the minimum version.
     pub rejected: u64,
 }
 
+/// One row of a node's counts.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct OperationRow {
+    /// Who sent them.
+    pub source: OperationSource,
+    /// What they do.
+    pub kind: OperationKind,
+    /// How many they are.
+    pub count: OperationCount,
+}
+
+/// A node's counts of operations.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct OperationCounts {
     rows: BTreeMap<(OperationSource, OperationKind), OperationCount>,
@@ -60,6 +95,7 @@
 }
 
 impl OperationCounts {
+    /// Counts an operation that arrived.
     pub fn record(&mut self, source: OperationSource, kind: OperationKind) {
         match self.row(source, kind) {
             Some(count) => count.seen += 1,
@@ -67,7 +103,7 @@
         }
     }
 
-    /// One that was seen has been turned away.
+    /// Counts an operation that was recorded before as rejected.
     pub fn record_rejected(&mut self, source: OperationSource, kind: OperationKind) {
         if let Some(count) = self.rows.get_mut(&(source, kind)) {
             count.rejected += 1;
@@ -81,13 +117,18 @@
         Some(self.rows.entry((source, kind)).or_default())
     }
 
-    pub fn rows(&self) -> impl Iterator<Item = (OperationSource, OperationKind, OperationCount)> {
+    /// All rows, by dispatcher, incarnation, version and kind.
+    pub fn rows(&self) -> impl Iterator<Item = OperationRow> {
         self.rows
             .iter()
-            .map(|(&(source, kind), &count)| (source, kind, count))
+            .map(|(&(source, kind), &count)| OperationRow {
+                source,
+                kind,
+                count,
+            })
     }
 
-    /// Acts of which there is no row: there were as many as may be.
+    /// Operations that were not counted because all rows were taken.
     pub fn uncounted(&self) -> u64 {
         self.uncounted
     }
--- a/crates/version-fencing/src/policy.rs
+++ b/crates/version-fencing/src/policy.rs
@@ -1,68 +1,77 @@
-//! When the floor is raised without an operator: what enough of the fleet have taken, told by
-//! keepers, and the rule that is applied to it. Times are told, in any unit.
+//! Raising the minimum version without an operator: what enough of a fleet have adopted, as quorum
+//! members report it, and the policy that is applied to it. Times are passed in, in any unit.
 
 use crate::ReportedVersion;
+use crate::minimum::share_of;
 use corkspan_quorum::majority;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Dispatchers whose version one keeper remembers.
+/// Dispatchers whose version one quorum member remembers.
 const MAX_DISPATCHERS: usize = 4_096;
-/// Versions whose moment is remembered.
+/// Adopted versions that a watch remembers with their times.
 const MAX_ADOPTED: usize = 64;
 
-/// What a keeper was told last by each dispatcher of what it runs. One that is gone stays with what
-/// it told last, and so holds a rule back rather than on: it may be cut off and still act.
+/// The version that each dispatcher last reported to a quorum member. One that is gone stays with
+/// its last report, and so holds a policy back rather than advancing it: it may be cut off and still
+/// act.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ReportedVersions(BTreeMap<u32, ReportedVersion>);
 
 impl ReportedVersions {
+    /// Remembers a dispatcher's report in place of its earlier one.
     pub fn report(&mut self, dispatcher: u32, reported: ReportedVersion) {
         if self.0.len() < MAX_DISPATCHERS || self.0.contains_key(&dispatcher) {
             self.0.insert(dispatcher, reported);
         }
     }
 
-    /// The highest version that so many thousandths of a fleet run, or a later one, for good. None
-    /// where as many have never told.
-    /// A dispatcher beyond the fleet's size has no say.
+    /// The highest version that `permille` thousandths of a fleet run past its trial, or a later
+    /// one. None where fewer than that have ever reported. Dispatchers whose number is beyond the
+    /// size of the fleet do not count.
     pub fn adopted(&self, fleet: usize, permille: u32) -> Option<u64> {
-        let own = self
-            .0
-            .range(..u32::try_from(fleet).unwrap_or(u32::MAX))
-            .map(|(_, reported)| reported);
-        let mut versions: Vec<u64> = own
+        let numbers = ..u32::try_from(fleet).unwrap_or(u32::MAX);
+        let reports = self.0.range(numbers).map(|(_, reported)| reported);
+        let mut versions: Vec<u64> = reports
             .filter(|reported| !reported.on_trial)
             .map(|reported| reported.version)
             .collect();
         versions.sort_unstable_by(|a, b| b.cmp(a));
-        let required = (fleet * permille.min(1_000) as usize)
-            .div_ceil(1_000)
-            .max(1);
+        let required = share_of(fleet, permille).max(1);
         versions.get(required - 1).copied()
     }
 }
 
-/// `(floor … (behind 10) (after 60 s) (part 900))`: none who is so far behind what enough have
-/// taken may act, nor one that runs none of what enough have taken so long ago.
+/// When the minimum version is raised, as the deployment file has it:
+/// `(floor … (behind 10) (after 60 s) (part 900))`. With neither limit it never is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MinimumVersionPolicy {
+    /// Versions further than this behind the adopted one may not act.
     pub max_behind: Option<u64>,
+    /// Versions older than one that was adopted this long ago may not act.
     pub max_age: Option<u64>,
-    /// In thousandths of the fleet.
+    /// A version is adopted once so many thousandths of the fleet run it.
     pub adoption_permille: u32,
 }
 
-/// One dispatcher's watch over a rule. Any of them may ask for the raise: wishes of many come to
-/// one.
+/// A version that was adopted.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+struct Adopted {
+    version: u64,
+    /// When that was first seen.
+    since: u64,
+}
+
+/// One dispatcher's watch over a policy. Any dispatcher may propose the raise: the quorum settles
+/// on one of several proposals.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PolicyWatch {
-    /// Versions that came to be taken by enough, with when that was seen first, the oldest first.
-    adopted_since: VecDeque<(u64, u64)>,
+    /// The oldest first.
+    adopted: VecDeque<Adopted>,
 }
 
 impl PolicyWatch {
-    /// The floor to ask for. `told`: what each keeper that answers says enough have taken;
-    /// `stands`: the floor in force.
+    /// The minimum version to propose now, if the policy wants another. `replies` has the version
+    /// that each quorum member which replies counts as adopted; `current` is the minimum in force.
     pub fn evaluate(
         &mut self,
         now: u64,
@@ -74,35 +83,41 @@
         if !majority(replies.len(), members) {
             return None;
         }
-        // Taken by what a majority says at least: no minority that tells what is not so can shut
-        // anybody out.
-        let mut all: Vec<Option<u64>> = replies.to_vec();
-        all.sort_unstable_by(|a, b| b.cmp(a));
-        let adopted = all[members / 2]?;
-        // Given up by some meanwhile: it counts from anew.
-        self.adopted_since
-            .retain(|(version, _)| *version <= adopted);
-        if self
-            .adopted_since
-            .back()
-            .is_none_or(|(version, _)| *version < adopted)
-        {
-            self.adopted_since.push_back((adopted, now));
-        }
-        if self.adopted_since.len() > MAX_ADOPTED {
-            self.adopted_since.pop_front();
-        }
+        // What a majority reports at least: a minority with wrong reports can fence nobody.
+        let mut highest_first: Vec<Option<u64>> = replies.to_vec();
+        highest_first.sort_unstable_by(|a, b| b.cmp(a));
+        let adopted = highest_first[members / 2]?;
+        self.observe(now, adopted);
         let by_distance = policy
             .max_behind
             .map(|max_behind| adopted.saturating_sub(max_behind));
-        let by_age = policy.max_age.and_then(|max_age| {
-            let old = self
-                .adopted_since
-                .iter()
-                .filter(|(_, at)| at.saturating_add(max_age) <= now);
-            old.map(|(version, _)| *version).max()
-        });
+        let by_age = policy.max_age.and_then(|max_age| self.aged(now, max_age));
         let minimum = by_distance.max(by_age)?;
         (minimum > current.unwrap_or(0)).then_some(minimum)
     }
+
+    /// Remembers the adopted version. Later ones, which some have rolled back meanwhile, are
+    /// forgotten: their time starts again when they are adopted again.
+    fn observe(&mut self, now: u64, version: u64) {
+        self.adopted.retain(|adopted| adopted.version <= version);
+        let latest = self.adopted.back();
+        if latest.is_none_or(|latest| latest.version < version) {
+            self.adopted.push_back(Adopted {
+                version,
+                since: now,
+            });
+        }
+        if self.adopted.len() > MAX_ADOPTED {
+            self.adopted.pop_front();
+        }
+    }
+
+    /// The highest version that was adopted at least so long ago.
+    fn aged(&self, now: u64, age: u64) -> Option<u64> {
+        let aged = self
+            .adopted
+            .iter()
+            .filter(|adopted| adopted.since.saturating_add(age) <= now);
+        aged.map(|adopted| adopted.version).max()
+    }
 }
--- a/crates/version-fencing/tests/decisions/reports.rs
+++ b/crates/version-fencing/tests/decisions/reports.rs
@@ -2,10 +2,11 @@
 
 use crate::{draw, generator, kind, operation};
 use corkspan_version_fencing::audit::{
-    self, DispatcherReport, Finding, LagReason, NodeObservation, dispatcher_findings, node_findings,
+    self, DispatcherReport, Finding, LagReason, NodeObservation, RejectedVersion, Reply,
+    dispatcher_findings, node_findings,
 };
 use corkspan_version_fencing::history::{VersionHistory, VersionInterval, VersionOrigin};
-use corkspan_version_fencing::operations::{OperationCounts, OperationSource};
+use corkspan_version_fencing::operations::{OperationCounts, OperationSource, VersionedOperation};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt::Write;
@@ -13,7 +14,9 @@
 fn lag_reason(reason: &LagReason) -> String {
     match reason {
         LagReason::RolledBack(version) => format!("rolled back {version}"),
-        LagReason::Rejected(version, reason) => format!("rejected {version}: {reason}"),
+        LagReason::Rejected(rejected) => {
+            format!("rejected {}: {}", rejected.version, rejected.reason)
+        }
         LagReason::NoStream => "no stream".into(),
         LagReason::Unknown => "unknown".into(),
     }
@@ -74,11 +77,22 @@
         digest: format!("d{}", version + 10 * (draw(rng, 6) / 5)),
         on_trial: draw(rng, 4) == 0,
         has_stream: draw(rng, 3) > 0,
-        last_rejected: (draw(rng, 3) == 0).then(|| (6 + draw(rng, 4), "split".into())),
+        last_rejected: (draw(rng, 3) == 0).then(|| RejectedVersion {
+            version: 6 + draw(rng, 4),
+            reason: "split".into(),
+        }),
         rolled_back: (0..draw(rng, 2)).map(|_| 6 + draw(rng, 4)).collect(),
         fenced: draw(rng, 5) == 0,
         operations: (0..draw(rng, 4))
-            .map(|_| ((6 + draw(rng, 3), kind(rng)), draw(rng, 9)))
+            .map(|_| {
+                (
+                    VersionedOperation {
+                        version: 6 + draw(rng, 3),
+                        kind: kind(rng),
+                    },
+                    draw(rng, 9),
+                )
+            })
             .collect(),
     }
 }
@@ -99,31 +113,38 @@
 pub fn audits(out: &mut String) {
     let mut rng = generator(5);
     for step in 0..60 {
-        let fleet: Vec<(String, Option<DispatcherReport>)> = (0..4)
+        let fleet: Vec<Reply<DispatcherReport>> = (0..4)
             .map(|own| {
-                let answers = draw(&mut rng, 8) > 0;
-                (
-                    format!("d{own}"),
-                    answers.then(|| reported(&mut rng, own as u32)),
-                )
+                let replies = draw(&mut rng, 8) > 0;
+                Reply {
+                    address: format!("d{own}"),
+                    report: replies.then(|| reported(&mut rng, own as u32)),
+                }
             })
             .collect();
-        let nodes: Vec<(String, Option<Vec<NodeObservation>>)> = (0..2)
+        let nodes: Vec<Reply<Vec<NodeObservation>>> = (0..2)
             .map(|own| {
                 let seen = (0..draw(&mut rng, 6)).map(|_| observed(&mut rng)).collect();
-                (format!("n{own}"), (draw(&mut rng, 6) > 0).then_some(seen))
+                Reply {
+                    address: format!("n{own}"),
+                    report: (draw(&mut rng, 6) > 0).then_some(seen),
+                }
             })
             .collect();
         let found = dispatcher_findings(&fleet);
         for found in found.iter().chain(&node_findings(&fleet, &nodes)) {
             let _ = writeln!(out, "{step}: {}", finding(found));
         }
-        for ((dispatcher, version), sum) in audit::operation_totals(&nodes) {
+        for (operations, total) in audit::operation_totals(&nodes) {
+            let audit::DispatcherVersion {
+                dispatcher,
+                version,
+            } = operations;
             let audit::OperationTotals {
                 attempts,
                 others,
                 rejected,
-            } = sum;
+            } = total;
             let _ = writeln!(
                 out,
                 "{step}: sums of {dispatcher} under {version}: {attempts} {others} {rejected}"
@@ -164,32 +185,37 @@
             from_ms: 10 * step,
         });
     }
-    for (source, kind, count) in seen.rows() {
-        let kind = operation(kind);
+    for row in seen.rows() {
+        let (source, count, kind) = (row.source, row.count, operation(row.kind));
         let _ = writeln!(
             out,
             "{} {} {} {kind}: {} of them rejected {}",
             source.dispatcher, source.incarnation, source.version, count.seen, count.rejected
         );
     }
-    for (version, kind, count) in history.operations_by_version() {
-        let _ = writeln!(out, "{version} {}: {count}", operation(kind));
+    for (counted, count) in history.operations() {
+        let _ = writeln!(
+            out,
+            "{} {}: {count}",
+            counted.version,
+            operation(counted.kind)
+        );
     }
-    let mut ways: BTreeMap<&str, u64> = BTreeMap::new();
+    let mut origins: BTreeMap<&str, u64> = BTreeMap::new();
     for interval in history.intervals() {
-        let way = match interval.origin {
+        let origin = match interval.origin {
             VersionOrigin::File => "file",
             VersionOrigin::Restored => "kept",
             VersionOrigin::Push => "push",
             VersionOrigin::Rollback => "rollback",
             VersionOrigin::CatchUp => "caught up",
         };
-        *ways.entry(way).or_default() += interval.version;
+        *origins.entry(origin).or_default() += interval.version;
     }
     let first = history.intervals().front().map(|interval| interval.version);
     let _ = writeln!(
         out,
-        "{} from {first:?}: {ways:?}",
+        "{} from {first:?}: {origins:?}",
         history.intervals().len()
     );
 }
--- a/crates/version-fencing/tests/fence_search.rs
+++ b/crates/version-fencing/tests/fence_search.rs
@@ -1,109 +1,108 @@
-//! That nothing below the floor takes effect at a node that has it: every state of a small fleet
-//! that messages late, lost and doubled, keepers asked in any part, and nodes and dispatchers that
-//! start anew can lead to. And that the search is able to find a protocol that lets something
-//! through, by mistakes planted in it.
+//! Shows that nothing below the minimum version takes effect at a node that knows it, in every
+//! state of a small fleet: messages late, lost and duplicated, quorum members asked in any subset,
+//! nodes and dispatchers restarting at any time. And that the search is able to find a protocol that
+//! accepts something, by mistakes planted in it.
 
 mod states;
 
-use corkspan_quorum::Keeper;
+use corkspan_quorum::{Keeper, majority};
 use corkspan_version_fencing::{Fence, FenceDecision, MinimumVersion, StoredState, VersionGate};
 use test_case::test_case;
 
-const KEEPERS: usize = 3;
+const MEMBERS: usize = 3;
 const OLD: u64 = 1;
 const NEW: u64 = 2;
 
-/// Two operators who ask at once, and a later one who lowers the floor again.
-const WISHES: [MinimumVersion; 3] = [
-    MinimumVersion {
-        revision: 1,
-        proposer: 1,
-        version: NEW,
-    },
-    MinimumVersion {
-        revision: 1,
-        proposer: 2,
-        version: OLD,
-    },
-    MinimumVersion {
-        revision: 2,
-        proposer: 1,
-        version: OLD,
-    },
+/// Two operators who propose at the same time, and a later one who lowers the minimum again.
+const PROPOSALS: [MinimumVersion; 3] = [
+    proposal(1, 1, NEW),
+    proposal(1, 2, OLD),
+    proposal(2, 1, OLD),
 ];
 
+const fn proposal(revision: u64, proposer: u64, version: u64) -> MinimumVersion {
+    MinimumVersion {
+        revision,
+        proposer,
+        version,
+    }
+}
+
+const UNCOMMITTED: &str = "a minimum version that no majority has held";
+const ACCEPTED_BELOW: &str = "an attempt below the minimum version was accepted";
+
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Mistake {
     None,
-    /// One keeper's word is enough for a dispatcher.
+    /// One member's reply is enough for a dispatcher.
     NoMajority,
-    /// A node that starts anew has no floor.
+    /// A node that restarts has no minimum version.
     NodeForgets,
-    /// A node turns away by a floor that is not on its disk yet.
+    /// A node rejects by a minimum version that is not on its disk yet.
     BeforeTheDisk,
-    /// A node judges by what the sender runs now.
+    /// A node decides by what the sender runs now.
     BySender,
-    /// A node whose disk was lost lets in what comes before it has asked.
-    LostDiskLetsIn,
-    /// One that starts anew before it has asked takes its empty disk for a whole one.
-    EmptyIsWhole,
-    /// A node whose disk was lost takes the highest that any keeper tells.
+    /// A node whose disk was lost accepts what arrives before it has asked the quorum.
+    LostDiskAccepts,
+    /// A node that restarts before it has asked takes its empty disk for an intact one.
+    EmptyIsIntact,
+    /// A node whose disk was lost takes the highest minimum that any member reports.
     TakesTheHighest,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-struct Shot {
+struct Attempt {
     from: usize,
     version: u64,
-    /// Index of the wish told with it.
-    tells: Option<usize>,
+    /// Index of the proposal that it carries.
+    carries: Option<usize>,
 }
 
 #[derive(Clone, Debug)]
 struct World {
-    keepers: Vec<Keeper<MinimumVersion>>,
+    members: Vec<Keeper<MinimumVersion>>,
     gates: [VersionGate; 2],
     running: [u64; 2],
     fence: Fence,
     disk: Option<usize>,
-    /// How often it was lost, and whether it is.
+    /// How often the disk was lost, and whether it is.
     losses: u8,
     lost: bool,
-    /// Told of, and not on disk.
+    /// Reported to the node, and not on disk.
     pending: Option<usize>,
     /// Sent ever: each may arrive at any time, never, or again.
-    shots: Vec<Shot>,
-    // What the judge keeps beside.
-    /// Wishes that a majority has held at some time.
-    ever: [bool; 3],
-    /// The latest wish by which the node has turned anything away.
-    turned_by: Option<usize>,
+    attempts: Vec<Attempt>,
+    // Kept for the check alone.
+    /// Proposals that a majority has held at some time.
+    committed: [bool; 3],
+    /// The latest proposal by which the node has rejected anything.
+    rejected_by: Option<usize>,
     breach: Option<&'static str>,
 }
 
-fn index(floor: MinimumVersion) -> usize {
-    WISHES
+fn index(minimum: MinimumVersion) -> usize {
+    PROPOSALS
         .iter()
-        .position(|wish| *wish == floor)
-        .expect("one of ours")
+        .position(|proposal| *proposal == minimum)
+        .expect("one of the proposals")
 }
 
-fn stands(keeper: &Keeper<MinimumVersion>) -> Option<MinimumVersion> {
-    keeper.all().next().map(|kept| kept.wish)
+fn held_by(member: &Keeper<MinimumVersion>) -> Option<MinimumVersion> {
+    member.all().next().map(|kept| kept.wish)
 }
 
-/// What a part of the keepers tells, each by its bit.
-fn told(keepers: &[Keeper<MinimumVersion>], part: usize) -> Vec<Option<MinimumVersion>> {
-    let answer = keepers
+/// The replies of a subset of the members, each given by its bit.
+fn replies(members: &[Keeper<MinimumVersion>], subset: usize) -> Vec<Option<MinimumVersion>> {
+    let replying = members
         .iter()
         .enumerate()
-        .filter(|(keeper, _)| part >> keeper & 1 == 1);
-    answer.map(|(_, keeper)| stands(keeper)).collect()
+        .filter(|(member, _)| subset >> member & 1 == 1);
+    replying.map(|(_, member)| held_by(member)).collect()
 }
 
 fn start() -> World {
     World {
-        keepers: vec![Keeper::default(); KEEPERS],
+        members: vec![Keeper::default(); MEMBERS],
         gates: [VersionGate::default(); 2],
         running: [OLD, NEW],
         fence: Fence::restore(StoredState::Intact(None)),
@@ -111,171 +110,193 @@
         losses: 0,
         lost: false,
         pending: None,
-        shots: Vec::new(),
-        ever: [false; 3],
-        turned_by: None,
+        attempts: Vec::new(),
+        committed: [false; 3],
+        rejected_by: None,
         breach: None,
     }
 }
 
-fn arrives(world: &mut World, shot: &Shot, mistake: Mistake) {
-    if let Some(told) = shot.tells {
-        if !world.ever[told] {
-            world.breach = Some("a floor that no majority has held");
+fn arrive(world: &mut World, attempt: &Attempt, mistake: Mistake) {
+    if let Some(carried) = attempt.carries {
+        if !world.committed[carried] {
+            world.breach = Some(UNCOMMITTED);
         }
-        if world.fence.should_store(WISHES[told]) {
+        if world.fence.should_store(PROPOSALS[carried]) {
             if mistake == Mistake::BeforeTheDisk {
-                world.fence.apply_stored(WISHES[told]);
+                world.fence.apply_stored(PROPOSALS[carried]);
             }
-            world.pending = Some(told);
+            world.pending = Some(carried);
         }
     }
-    let judged = if mistake == Mistake::BySender {
-        world.running[shot.from]
+    let decided_by = if mistake == Mistake::BySender {
+        world.running[attempt.from]
     } else {
-        shot.version
+        attempt.version
     };
-    match world.fence.decide(judged) {
-        FenceDecision::Accepted => {
-            let below = |by: usize| shot.version < WISHES[by].version;
-            // What the node once turned away by, or has on disk, holds until a later wish is there.
-            if world
-                .turned_by
-                .into_iter()
-                .chain(world.disk)
-                .max_by_key(|&by| WISHES[by].revision)
-                .is_some_and(below)
-            {
-                world.breach = Some("a shot below the floor has passed");
-            }
-        }
-        FenceDecision::Fenced(floor) => {
-            let by = index(floor);
+    match world.fence.decide(decided_by) {
+        FenceDecision::Accepted => check_accepted(world, attempt),
+        FenceDecision::Fenced(minimum) => {
+            let by = index(minimum);
             if world
-                .turned_by
-                .is_none_or(|known| WISHES[known].revision <= floor.revision)
+                .rejected_by
+                .is_none_or(|known| PROPOSALS[known].revision <= minimum.revision)
             {
-                world.turned_by = Some(by);
+                world.rejected_by = Some(by);
             }
-            world.gates[shot.from].apply_node_report(floor);
+            world.gates[attempt.from].apply_node_report(minimum);
         }
         FenceDecision::Unknown => {}
     }
 }
 
-fn follow(world: &World, mistake: Mistake) -> Vec<World> {
-    let mut all = Vec::new();
-    let mut step = |change: &dyn Fn(&mut World)| {
-        let mut next = world.clone();
+/// What the node once rejected by, or has on disk, holds until it has a later one.
+fn check_accepted(world: &mut World, attempt: &Attempt) {
+    let known = world.rejected_by.into_iter().chain(world.disk);
+    let latest = known.max_by_key(|&by| PROPOSALS[by].revision);
+    if latest.is_some_and(|by| attempt.version < PROPOSALS[by].version) {
+        world.breach = Some(ACCEPTED_BELOW);
+    }
+}
+
+/// The states that may follow one, in a fixed order.
+struct Successors<'a> {
+    world: &'a World,
+    mistake: Mistake,
+    all: Vec<World>,
+}
+
+impl Successors<'_> {
+    fn step(&mut self, change: impl Fn(&mut World)) {
+        let mut next = self.world.clone();
         change(&mut next);
-        for (wish, ever) in next.ever.iter_mut().enumerate() {
+        for (proposal, committed) in next.committed.iter_mut().enumerate() {
             let holds = next
-                .keepers
+                .members
                 .iter()
-                .filter(|keeper| stands(keeper) == Some(WISHES[wish]))
+                .filter(|member| held_by(member) == Some(PROPOSALS[proposal]))
                 .count();
-            *ever |= corkspan_quorum::majority(holds, KEEPERS);
+            *committed |= majority(holds, MEMBERS);
         }
-        all.push(next);
-    };
-    for keeper in 0..KEEPERS {
-        for wish in WISHES {
-            step(&|next| {
-                next.keepers[keeper].propose(wish);
-            });
+        self.all.push(next);
+    }
+
+    fn quorum(&mut self) {
+        for member in 0..MEMBERS {
+            for proposal in PROPOSALS {
+                self.step(|next| {
+                    next.members[member].propose(proposal);
+                });
+            }
         }
     }
-    for dispatcher in 0..2 {
-        // Each part of the keepers that may answer.
-        for part in 1..1 << KEEPERS {
-            step(&|next| {
-                let told = told(&next.keepers, part);
-                let keepers = if mistake == Mistake::NoMajority {
-                    1
-                } else {
-                    KEEPERS
-                };
-                next.gates[dispatcher].apply_quorum_replies(&told, keepers);
+
+    fn dispatcher(&mut self, dispatcher: usize) {
+        let members = match self.mistake {
+            Mistake::NoMajority => 1,
+            _ => MEMBERS,
+        };
+        for subset in 1..1 << MEMBERS {
+            self.step(|next| {
+                let replies = replies(&next.members, subset);
+                next.gates[dispatcher].apply_quorum_replies(&replies, members);
             });
         }
-        if world.gates[dispatcher]
-            .fenced_by(world.running[dispatcher])
-            .is_none()
-        {
-            step(&|next| {
-                let tells = next.gates[dispatcher].minimum().map(index);
-                let shot = Shot {
+        let running = self.world.running[dispatcher];
+        if self.world.gates[dispatcher].fenced_by(running).is_none() {
+            self.step(|next| {
+                let attempt = Attempt {
                     from: dispatcher,
-                    version: next.running[dispatcher],
-                    tells,
+                    version: running,
+                    carries: next.gates[dispatcher].minimum().map(index),
                 };
-                if !next.shots.contains(&shot) {
-                    next.shots.push(shot);
-                    next.shots.sort();
+                if !next.attempts.contains(&attempt) {
+                    next.attempts.push(attempt);
+                    next.attempts.sort();
                 }
             });
         }
-        // Starts anew, and has forgotten what it had heard.
-        step(&|next| next.gates[dispatcher] = VersionGate::default());
+        // Restarts, and has forgotten what it knew.
+        self.step(|next| next.gates[dispatcher] = VersionGate::default());
     }
-    step(&|next| next.running[0] = NEW);
-    for shot in &world.shots {
-        step(&|next| arrives(next, shot, mistake));
+
+    fn messages(&mut self) {
+        let mistake = self.mistake;
+        for attempt in &self.world.attempts {
+            self.step(|next| arrive(next, attempt, mistake));
+        }
     }
-    if let Some(pending) = world.pending {
-        step(&|next| {
-            // A later one may have come meanwhile by way of the keepers: an older one must not take
-            // its place on disk.
-            if next.fence.should_store(WISHES[pending]) {
-                next.disk = Some(pending);
-                next.fence.apply_stored(WISHES[pending]);
-            }
+
+    fn disk(&mut self) {
+        let mistake = self.mistake;
+        if let Some(pending) = self.world.pending {
+            self.step(|next| {
+                // A later one may have arrived meanwhile from the quorum: an older one must not
+                // replace it on disk.
+                if next.fence.should_store(PROPOSALS[pending]) {
+                    next.disk = Some(pending);
+                    next.fence.apply_stored(PROPOSALS[pending]);
+                }
+                next.pending = None;
+            });
+        }
+        self.step(|next| {
+            let on_disk = next
+                .disk
+                .filter(|_| mistake != Mistake::NodeForgets)
+                .map(|proposal| PROPOSALS[proposal]);
+            let lost = next.lost && mistake != Mistake::EmptyIsIntact;
+            next.fence = Fence::restore(match lost {
+                true => StoredState::Lost,
+                false => StoredState::Intact(on_disk),
+            });
             next.pending = None;
         });
+        if self.world.losses == 0 {
+            self.step(|next| {
+                next.fence = Fence::restore(match mistake {
+                    Mistake::LostDiskAccepts => StoredState::Intact(None),
+                    _ => StoredState::Lost,
+                });
+                (next.disk, next.pending, next.losses, next.lost) = (None, None, 1, true);
+            });
+        }
     }
-    step(&|next| {
-        let kept = next
-            .disk
-            .filter(|_| mistake != Mistake::NodeForgets)
-            .map(|wish| WISHES[wish]);
-        let lost = next.lost && mistake != Mistake::EmptyIsWhole;
-        next.fence = Fence::restore(if lost {
-            StoredState::Lost
-        } else {
-            StoredState::Intact(kept)
-        });
-        next.pending = None;
-    });
-    if world.losses == 0 {
-        step(&|next| {
-            let lost = if mistake == Mistake::LostDiskLetsIn {
-                StoredState::Intact(None)
-            } else {
-                StoredState::Lost
-            };
-            next.fence = Fence::restore(lost);
-            (next.disk, next.pending, next.losses, next.lost) = (None, None, 1, true);
-        });
-    }
-    if world.lost {
-        for part in 1..1 << KEEPERS {
-            step(&|next| {
-                let told = told(&next.keepers, part);
-                let highest = told
-                    .iter()
-                    .flatten()
-                    .max_by_key(|floor| floor.revision)
-                    .copied();
+
+    fn recovery(&mut self) {
+        let mistake = self.mistake;
+        for subset in 1..1 << MEMBERS {
+            self.step(|next| {
+                let replies = replies(&next.members, subset);
+                let known = replies.iter().flatten();
+                let highest = known.max_by_key(|minimum| minimum.revision).copied();
                 if let Some(highest) = highest.filter(|_| mistake == Mistake::TakesTheHighest) {
                     next.fence = Fence::restore(StoredState::Intact(Some(highest)));
                     (next.disk, next.lost) = (Some(index(highest)), false);
-                } else if next.fence.apply_quorum_replies(&told, KEEPERS) {
+                } else if next.fence.apply_quorum_replies(&replies, MEMBERS) {
                     (next.disk, next.lost) = (next.fence.minimum().map(index), false);
                 }
             });
         }
     }
-    all
+}
+
+fn follow(world: &World, mistake: Mistake) -> Vec<World> {
+    let mut successors = Successors {
+        world,
+        mistake,
+        all: Vec::new(),
+    };
+    successors.quorum();
+    successors.dispatcher(0);
+    successors.dispatcher(1);
+    successors.step(|next| next.running[0] = NEW);
+    successors.messages();
+    successors.disk();
+    if world.lost {
+        successors.recovery();
+    }
+    successors.all
 }
 
 fn search(mistake: Mistake, depth: usize) -> (Option<&'static str>, usize) {
@@ -288,19 +309,19 @@
 }
 
 #[test]
-fn nothing_below_the_floor_takes_effect_where_it_is_known() {
+fn nothing_below_the_minimum_version_takes_effect_where_it_is_known() {
     let (breach, states) = search(Mistake::None, 11);
     assert_eq!(breach, None);
     assert!(states > 50_000, "only {states} states");
 }
 
-#[test_case(Mistake::NoMajority, "a floor that no majority has held")]
-#[test_case(Mistake::NodeForgets, "a shot below the floor has passed")]
-#[test_case(Mistake::BeforeTheDisk, "a shot below the floor has passed")]
-#[test_case(Mistake::BySender, "a shot below the floor has passed")]
-#[test_case(Mistake::LostDiskLetsIn, "a shot below the floor has passed")]
-#[test_case(Mistake::EmptyIsWhole, "a shot below the floor has passed")]
-#[test_case(Mistake::TakesTheHighest, "a floor that no majority has held")]
+#[test_case(Mistake::NoMajority, UNCOMMITTED)]
+#[test_case(Mistake::NodeForgets, ACCEPTED_BELOW)]
+#[test_case(Mistake::BeforeTheDisk, ACCEPTED_BELOW)]
+#[test_case(Mistake::BySender, ACCEPTED_BELOW)]
+#[test_case(Mistake::LostDiskAccepts, ACCEPTED_BELOW)]
+#[test_case(Mistake::EmptyIsIntact, ACCEPTED_BELOW)]
+#[test_case(Mistake::TakesTheHighest, UNCOMMITTED)]
 fn a_planted_mistake_is_found(mistake: Mistake, breach: &str) {
     assert_eq!(search(mistake, 12).0, Some(breach));
 }
--- a/crates/version-fencing/tests/policy.rs
+++ b/crates/version-fencing/tests/policy.rs
@@ -1,4 +1,4 @@
-//! When a floor is raised by itself, and how stragglers ask to be brought up.
+//! When a policy raises the minimum version, and how dispatchers that are behind catch up.
 
 use corkspan_version_fencing::ReportedVersion;
 use corkspan_version_fencing::catch_up::{
@@ -7,35 +7,35 @@
 use corkspan_version_fencing::policy::{MinimumVersionPolicy, PolicyWatch, ReportedVersions};
 use test_case::test_case;
 
-fn reported_by(versions: &[(u64, bool)]) -> ReportedVersions {
-    let mut reported_by = ReportedVersions::default();
+fn reports_of(versions: &[(u64, bool)]) -> ReportedVersions {
+    let mut reports = ReportedVersions::default();
     for (dispatcher, &(version, on_trial)) in versions.iter().enumerate() {
-        reported_by.report(dispatcher as u32, ReportedVersion { version, on_trial });
+        reports.report(dispatcher as u32, ReportedVersion { version, on_trial });
     }
-    reported_by
+    reports
 }
 
 #[test_case(&[(9, false), (9, false), (5, false)], 3, 600, Some(9); "two of three are enough")]
-#[test_case(&[(9, false), (9, true), (5, false)], 3, 600, Some(5); "one may yet give it up")]
-#[test_case(&[(9, false), (9, false)], 4, 750, None; "who never told counts as not having it")]
+#[test_case(&[(9, false), (9, true), (5, false)], 3, 600, Some(5); "one may yet roll it back")]
+#[test_case(&[(9, false), (9, false)], 4, 750, None; "one that never reported counts as not having it")]
 #[test_case(&[(9, false), (8, false), (7, false)], 3, 1000, Some(7); "all")]
-fn what_enough_have_taken(
+fn a_version_is_adopted_once_enough_run_it_for_good(
     versions: &[(u64, bool)],
     fleet: usize,
     adoption_permille: u32,
     adopted: Option<u64>,
 ) {
     assert_eq!(
-        reported_by(versions).adopted(fleet, adoption_permille),
+        reports_of(versions).adopted(fleet, adoption_permille),
         adopted
     );
 }
 
 #[test]
-fn dispatchers_beyond_the_fleet_have_no_say() {
-    let mut reported_by = reported_by(&[(4, false), (4, false)]);
+fn dispatchers_beyond_the_size_of_the_fleet_do_not_count() {
+    let mut reports = reports_of(&[(4, false), (4, false)]);
     (90..99).for_each(|own| {
-        reported_by.report(
+        reports.report(
             own,
             ReportedVersion {
                 version: 9,
@@ -43,20 +43,20 @@
             },
         )
     });
-    assert_eq!(reported_by.adopted(2, 1000), Some(4));
+    assert_eq!(reports.adopted(2, 1000), Some(4));
 }
 
 #[test]
-fn one_that_falls_back_to_an_older_version_holds_the_floor_back() {
-    let mut reported_by = reported_by(&[(9, false), (9, false)]);
-    reported_by.report(
+fn a_rollback_holds_the_minimum_version_back() {
+    let mut reports = reports_of(&[(9, false), (9, false)]);
+    reports.report(
         1,
         ReportedVersion {
             version: 4,
             on_trial: false,
         },
     );
-    assert_eq!(reported_by.adopted(2, 1000), Some(4));
+    assert_eq!(reports.adopted(2, 1000), Some(4));
 }
 
 const POLICY: MinimumVersionPolicy = MinimumVersionPolicy {
@@ -65,20 +65,20 @@
     adoption_permille: 900,
 };
 
-#[test_case(&[Some(30)], None; "one keeper of three")]
+#[test_case(&[Some(30)], None; "one member of three")]
 #[test_case(&[Some(30), Some(30)], Some(20); "two agree")]
-#[test_case(&[Some(90), Some(30), Some(30)], Some(20); "one that tells too much")]
-#[test_case(&[Some(30), None, None], None; "two have not heard of enough")]
-#[test_case(&[Some(12), Some(12), Some(12)], None; "no further than the floor that stands")]
-fn a_rule_needs_a_majority_of_keepers(told: &[Option<u64>], minimum: Option<u64>) {
+#[test_case(&[Some(90), Some(30), Some(30)], Some(20); "one member reports too much")]
+#[test_case(&[Some(30), None, None], None; "two have reports of too few")]
+#[test_case(&[Some(12), Some(12), Some(12)], None; "no further than the minimum in force")]
+fn a_policy_needs_a_majority_of_the_quorum(replies: &[Option<u64>], minimum: Option<u64>) {
     assert_eq!(
-        PolicyWatch::default().evaluate(0, POLICY, told, 3, Some(2)),
+        PolicyWatch::default().evaluate(0, POLICY, replies, 3, Some(2)),
         minimum
     );
 }
 
 #[test]
-fn so_long_counts_from_when_enough_had_it_and_anew_once_they_gave_it_up() {
+fn an_age_counts_from_adoption_and_starts_again_after_a_rollback() {
     let policy = MinimumVersionPolicy {
         max_behind: None,
         max_age: Some(60),
@@ -93,7 +93,7 @@
     assert_eq!(
         (evaluate(70, 5), evaluate(120, 6)),
         (Some(5), Some(5)),
-        "6 was given up at 70, and counts from 120"
+        "6 was rolled back at 70, and counts from 120"
     );
     assert_eq!((evaluate(179, 6), evaluate(180, 6)), (Some(5), Some(6)));
 }
@@ -103,15 +103,15 @@
     max: 200,
     idle: 100,
 };
-const OUT: CatchUpStatus = CatchUpStatus {
+const FENCED: CatchUpStatus = CatchUpStatus {
     has_stream: false,
     fenced: true,
     peers: 3,
     members: 2,
 };
 
-/// When each ask comes, and of whom, until `until`.
-fn asks(
+/// When each request is made, and of whom, until `until`.
+fn requests(
     catch_up: &mut CatchUp,
     until: u64,
     status: CatchUpStatus,
@@ -131,8 +131,8 @@
 }
 
 #[test]
-fn one_that_is_shut_out_asks_each_peer_and_then_each_keeper_soon_and_then_ever_less_often() {
-    let all = asks(&mut CatchUp::new(1, INTERVALS), 2_000, OUT, || {
+fn a_fenced_dispatcher_asks_all_peers_then_all_members_soon_and_then_backs_off() {
+    let all = requests(&mut CatchUp::new(1, INTERVALS), 2_000, FENCED, || {
         RequestOutcome::Unchanged
     });
     let peers = all[..3]
@@ -150,11 +150,11 @@
 }
 
 #[test]
-fn three_hundred_at_once_spread_over_time_and_peers() {
+fn requests_of_three_hundred_at_once_spread_over_time_and_peers() {
     let mut all: Vec<(u64, VersionSource)> = Vec::new();
     for seed in 0..300 {
         all.extend(
-            asks(
+            requests(
                 &mut CatchUp::new(
                     seed,
                     RequestIntervals {
@@ -163,47 +163,47 @@
                     },
                 ),
                 1_000,
-                OUT,
+                FENCED,
                 || RequestOutcome::Advanced,
             )
             .first(),
         );
     }
     for tenth in 0..10 {
-        let many = all.iter().filter(|(at, _)| at / 100 == tenth).count();
-        assert!(many < 60, "{many} in one tenth");
+        let requests = all.iter().filter(|(at, _)| at / 100 == tenth).count();
+        assert!(requests < 60, "{requests} in one tenth");
     }
-    let of = |one| {
+    let asked = |peer| {
         all.iter()
-            .filter(|(_, source)| *source == VersionSource::Peer(one))
+            .filter(|(_, source)| *source == VersionSource::Peer(peer))
             .count()
     };
     assert!(
-        (0..3).all(|peer| of(peer) > 60),
+        (0..3).all(|peer| asked(peer) > 60),
         "{:?}",
-        [of(0), of(1), of(2)]
+        [asked(0), asked(1), asked(2)]
     );
 }
 
 #[test]
-fn whom_a_control_service_reaches_asks_nobody_unless_it_is_shut_out() {
+fn a_dispatcher_with_a_stream_asks_nobody_unless_it_is_fenced() {
     let status = CatchUpStatus {
         has_stream: true,
         fenced: false,
-        ..OUT
+        ..FENCED
     };
     assert_eq!(
-        asks(&mut CatchUp::new(1, INTERVALS), 5_000, status, || {
+        requests(&mut CatchUp::new(1, INTERVALS), 5_000, status, || {
             RequestOutcome::Unchanged
         }),
         []
     );
     let stale = CatchUpStatus {
         has_stream: true,
-        ..OUT
+        ..FENCED
     };
     assert!(
-        !asks(&mut CatchUp::new(1, INTERVALS), 50, stale, || {
+        !requests(&mut CatchUp::new(1, INTERVALS), 50, stale, || {
             RequestOutcome::Unchanged
         })
         .is_empty()
@@ -211,24 +211,24 @@
 }
 
 #[test]
-fn one_without_a_stream_that_is_not_known_to_be_behind_asks_now_and_then() {
+fn a_dispatcher_without_a_stream_asks_at_the_idle_interval() {
     let status = CatchUpStatus {
         fenced: false,
-        ..OUT
+        ..FENCED
     };
-    let all = asks(&mut CatchUp::new(1, INTERVALS), 10_000, status, || {
+    let all = requests(&mut CatchUp::new(1, INTERVALS), 10_000, status, || {
         RequestOutcome::Unchanged
     });
     assert!((40..110).contains(&all.len()), "{}", all.len());
 }
 
 #[test]
-fn a_few_of_a_fleet_lay_a_new_version_on_a_shelf_and_none_an_old_one() {
-    let many = |good| {
+fn a_few_of_a_fleet_store_a_new_version_at_the_quorum_and_none_an_old_one() {
+    let stores = |version| {
         (0..300)
-            .filter(|own| should_store(good, Some(7), 300, f64::from(*own) / 300.0))
+            .filter(|own| should_store(version, Some(7), 300, f64::from(*own) / 300.0))
             .count()
     };
-    assert_eq!((many(8), many(7), many(6)), (3, 0, 0));
+    assert_eq!((stores(8), stores(7), stores(6)), (3, 0, 0));
     assert!(should_store(1, None, 1, 0.99));
 }
--- a/crates/version-fencing/tests/policy_search.rs
+++ b/crates/version-fencing/tests/policy_search.rs
@@ -1,7 +1,7 @@
-//! That no rule shuts out by a version that too few had for good: every state of three dispatchers
-//! that take versions, stand trials and give up, before three keepers of which one tells what is
-//! not so, with words lost and late. And that the search is able to find a rule that does, by
-//! mistakes planted in it.
+//! Shows that no policy fences by a version that too few had for good: every state of three
+//! dispatchers that take versions, keep them on trial and roll back, before three quorum members of
+//! which one reports wrongly, with messages lost and late. And that the search is able to find a
+//! policy that does, by mistakes planted in it.
 
 mod states;
 
@@ -10,11 +10,12 @@
 use test_case::test_case;
 
 const FLEET: usize = 3;
-const KEEPERS: usize = 3;
+const MEMBERS: usize = 3;
 const NEWEST: u64 = 3;
+const MAX_AGE: u64 = 2;
 const POLICY: MinimumVersionPolicy = MinimumVersionPolicy {
     max_behind: Some(1),
-    max_age: Some(2),
+    max_age: Some(MAX_AGE),
     adoption_permille: 600,
 };
 /// Two of three.
@@ -23,162 +24,177 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Mistake {
     None,
-    /// A version on trial counts as taken.
+    /// A version on trial counts as adopted.
     Trials,
-    /// One keeper's word is enough.
-    OneKeeper,
-    /// The rule looks at who has told only, and not at how many there are.
-    OfThoseWhoTold,
-    /// What was taken once counts for good, whoever has given it up since.
-    NeverAnew,
+    /// One member's reply is enough.
+    OneMember,
+    /// The policy counts those who reported only, not how many there are.
+    OfThoseWhoReported,
+    /// What was adopted once counts for good, whoever has rolled it back since.
+    NeverForgets,
 }
 
 #[derive(Clone, Debug)]
 struct World {
     now: u64,
-    runs: [ReportedVersion; FLEET],
-    /// The highest that each ever ran for good.
-    ever: [u64; FLEET],
-    /// Of the two that tell what they were told.
-    reported: [ReportedVersions; KEEPERS - 1],
-    told: [usize; KEEPERS - 1],
+    running: [ReportedVersion; FLEET],
+    /// The highest that each ever ran past its trial.
+    highest: [u64; FLEET],
+    /// At the two members that report correctly.
+    reported: [ReportedVersions; MEMBERS - 1],
+    /// The dispatchers that have reported to each of them, by their bits.
+    reporters: [usize; MEMBERS - 1],
     watch: PolicyWatch,
-    /// With how many ran so much for good at each moment, for the judge: by version from 0.
-    good_since: [Option<u64>; NEWEST as usize + 1],
+    /// Since when enough have run each version past its trial, for the check alone.
+    adopted_since: [Option<u64>; NEWEST as usize + 1],
     breach: Option<&'static str>,
 }
 
 fn start() -> World {
     World {
         now: 0,
-        runs: [ReportedVersion {
+        running: [ReportedVersion {
             version: 1,
             on_trial: false,
         }; FLEET],
-        ever: [1; FLEET],
+        highest: [1; FLEET],
         reported: [ReportedVersions::default(), ReportedVersions::default()],
-        told: [0; KEEPERS - 1],
+        reporters: [0; MEMBERS - 1],
         watch: PolicyWatch::default(),
-        good_since: [None; NEWEST as usize + 1],
+        adopted_since: [None; NEWEST as usize + 1],
         breach: None,
     }
 }
 
-fn evaluate(world: &mut World, part: usize, mistake: Mistake) {
-    let fleet = |keeper: usize| match mistake {
-        Mistake::OfThoseWhoTold => world.told[keeper],
+/// The replies of a subset of the members, each given by its bit. The last member reports that all
+/// run a version that nobody has.
+fn replies(world: &World, subset: usize, mistake: Mistake) -> Vec<Option<u64>> {
+    let fleet = |member: usize| match mistake {
+        Mistake::OfThoseWhoReported => world.reporters[member].count_ones() as usize,
         _ => FLEET,
     };
-    // The last one says that all run a version that nobody has.
-    let words = (0..KEEPERS)
-        .filter(|keeper| part >> keeper & 1 == 1)
-        .map(|keeper| match keeper {
-            2 => Some(NEWEST + 5),
-            own => world.reported[own].adopted(fleet(own), POLICY.adoption_permille),
-        });
-    let words: Vec<Option<u64>> = words.collect();
-    let keepers = if mistake == Mistake::OneKeeper {
-        1
-    } else {
-        KEEPERS
+    let replies =
+        (0..MEMBERS)
+            .filter(|member| subset >> member & 1 == 1)
+            .map(|member| match member {
+                2 => Some(NEWEST + 5),
+                _ => world.reported[member].adopted(fleet(member), POLICY.adoption_permille),
+            });
+    replies.collect()
+}
+
+fn evaluate(world: &mut World, subset: usize, mistake: Mistake) {
+    let replies = replies(world, subset, mistake);
+    let members = match mistake {
+        Mistake::OneMember => 1,
+        _ => MEMBERS,
     };
-    if mistake == Mistake::NeverAnew {
+    if mistake == Mistake::NeverForgets {
         world.watch = PolicyWatch::default();
-        let highest = *world.ever.iter().max().expect("three");
+        let highest = *world.highest.iter().max().expect("three");
         world
             .watch
-            .evaluate(0, POLICY, &[Some(highest); KEEPERS], KEEPERS, None);
+            .evaluate(0, POLICY, &[Some(highest); MEMBERS], MEMBERS, None);
     }
-    let Some(minimum) = world
+    let minimum = world
         .watch
-        .evaluate(world.now, POLICY, &words, keepers, None)
-    else {
-        return;
-    };
-    let had = world.ever.iter().filter(|ever| **ever >= minimum).count();
-    if had < ENOUGH {
-        world.breach = Some("a floor that too few ever had for good");
+        .evaluate(world.now, POLICY, &replies, members, None);
+    if let Some(minimum) = minimum {
+        check(world, minimum);
     }
-    // By the rule of far behind it is one below what enough have told; by that of long, what they
-    // told long enough ago.
-    let far = world.ever.iter().filter(|ever| **ever > minimum).count() >= ENOUGH;
-    let long = usize::try_from(minimum)
+}
+
+fn check(world: &mut World, minimum: u64) {
+    let reached = |version: u64| {
+        let highest = world.highest.iter();
+        highest.filter(|highest| **highest >= version).count()
+    };
+    // By distance it is one below what enough have adopted; by age, what they adopted long enough
+    // ago.
+    let far_behind = reached(minimum + 1) >= ENOUGH;
+    let adopted_since = usize::try_from(minimum)
         .ok()
-        .and_then(|minimum| world.good_since.get(minimum).copied().flatten());
-    if !far && long.is_none_or(|since| since + 2 > world.now) {
-        world.breach = Some("a floor neither far nor long enough behind");
+        .and_then(|minimum| world.adopted_since.get(minimum).copied().flatten());
+    let recent = adopted_since.is_none_or(|since| since + MAX_AGE > world.now);
+    if !far_behind && recent {
+        world.breach = Some("a minimum version neither far nor long enough behind");
+    } else if reached(minimum) < ENOUGH {
+        world.breach = Some("a minimum version that too few ever had for good");
     }
 }
 
-fn follow(world: &World, mistake: Mistake) -> Vec<World> {
-    let mut all = Vec::new();
-    let mut step = |change: &dyn Fn(&mut World)| {
-        let mut next = world.clone();
+/// The states that may follow one, in a fixed order.
+struct Successors<'a> {
+    world: &'a World,
+    mistake: Mistake,
+    all: Vec<World>,
+}
+
+impl Successors<'_> {
+    fn step(&mut self, change: impl Fn(&mut World)) {
+        let mut next = self.world.clone();
         change(&mut next);
         for version in 1..=NEWEST as usize {
-            let good = next
-                .ever
-                .iter()
-                .filter(|ever| **ever >= version as u64)
-                .count();
-            if good >= ENOUGH && next.good_since[version].is_none() {
-                next.good_since[version] = Some(next.now);
+            let reached = next.highest.iter();
+            let reached = reached.filter(|highest| **highest >= version as u64);
+            if reached.count() >= ENOUGH && next.adopted_since[version].is_none() {
+                next.adopted_since[version] = Some(next.now);
             }
         }
-        all.push(next);
-    };
-    for own in 0..FLEET {
-        let runs = world.runs[own];
-        if runs.on_trial {
-            step(&|next| {
-                next.runs[own].on_trial = false;
-                next.ever[own] = next.ever[own].max(runs.version);
+        self.all.push(next);
+    }
+
+    fn dispatcher(&mut self, dispatcher: usize) {
+        let running = self.world.running[dispatcher];
+        if running.on_trial {
+            self.step(|next| {
+                next.running[dispatcher].on_trial = false;
+                next.highest[dispatcher] = next.highest[dispatcher].max(running.version);
             });
-            step(&|next| {
-                next.runs[own] = ReportedVersion {
-                    version: runs.version - 1,
+            self.step(|next| {
+                next.running[dispatcher] = ReportedVersion {
+                    version: running.version - 1,
                     on_trial: false,
                 }
             });
-        } else if runs.version < NEWEST {
-            step(&|next| {
-                next.runs[own] = ReportedVersion {
-                    version: runs.version + 1,
+        } else if running.version < NEWEST {
+            self.step(|next| {
+                next.running[dispatcher] = ReportedVersion {
+                    version: running.version + 1,
                     on_trial: true,
                 }
             });
         }
-        for keeper in 0..KEEPERS - 1 {
-            step(&|next| {
-                let on_trial = next.runs[own].on_trial && mistake != Mistake::Trials;
-                next.reported[keeper].report(
-                    own as u32,
-                    ReportedVersion {
-                        on_trial,
-                        ..next.runs[own]
-                    },
-                );
-                next.told[keeper] |= 1 << own;
-                next.told[keeper] = next.told[keeper].min(7);
+        let on_trial = running.on_trial && self.mistake != Mistake::Trials;
+        for member in 0..MEMBERS - 1 {
+            self.step(|next| {
+                let reported = ReportedVersion {
+                    on_trial,
+                    ..running
+                };
+                next.reported[member].report(dispatcher as u32, reported);
+                next.reporters[member] |= 1 << dispatcher;
             });
         }
     }
+}
+
+fn follow(world: &World, mistake: Mistake) -> Vec<World> {
+    let mut successors = Successors {
+        world,
+        mistake,
+        all: Vec::new(),
+    };
+    for dispatcher in 0..FLEET {
+        successors.dispatcher(dispatcher);
+    }
     if world.now < 3 {
-        step(&|next| next.now += 1);
+        successors.step(|next| next.now += 1);
     }
-    for part in 1..1 << KEEPERS {
-        step(&|next| {
-            let counts: Vec<usize> = next
-                .told
-                .iter()
-                .map(|told| told.count_ones() as usize)
-                .collect();
-            let bits = std::mem::replace(&mut next.told, [counts[0], counts[1]]);
-            evaluate(next, part, mistake);
-            next.told = bits;
-        });
+    for subset in 1..1 << MEMBERS {
+        successors.step(|next| evaluate(next, subset, mistake));
     }
-    all
+    successors.all
 }
 
 fn search(mistake: Mistake, depth: usize) -> (Option<&'static str>, usize) {
@@ -191,16 +207,16 @@
 }
 
 #[test]
-fn no_rule_raises_the_floor_above_what_enough_had_for_good() {
+fn no_policy_raises_the_minimum_above_what_enough_had_for_good() {
     let (breach, states) = search(Mistake::None, 9);
     assert_eq!(breach, None);
     assert!(states > 50_000, "only {states} states");
 }
 
 #[test_case(Mistake::Trials, 12)]
-#[test_case(Mistake::OneKeeper, 6)]
-#[test_case(Mistake::OfThoseWhoTold, 9)]
-#[test_case(Mistake::NeverAnew, 9)]
+#[test_case(Mistake::OneMember, 6)]
+#[test_case(Mistake::OfThoseWhoReported, 9)]
+#[test_case(Mistake::NeverForgets, 9)]
 fn a_planted_mistake_is_found(mistake: Mistake, depth: usize) {
     assert!(search(mistake, depth).0.is_some());
 }
