--- a/crates/cli/tests/process.rs
+++ b/crates/cli/tests/process.rs
@@ -1,7 +1,7 @@
 //! The program as a process: under a real limit on descriptors, from its start, to its end by a
 //! signal.
 
-use corkspan_platform_wire::owner::{self, Kind};
+use corkspan_platform_wire::client::{self, MessageType};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::process::{Child, Command, Stdio};
@@ -119,7 +119,8 @@
     let feed = down.local_addr().expect("bound");
     drop(down);
     let program = Program::start(48, feed, 1, node.local_addr().expect("bound"));
-    let test = owner::message(Kind::Test, 1, &[(owner::CAUSE, &[0])]).expect("short");
+    let test =
+        client::encode(MessageType::HealthCheck, 1, &[(client::CAUSE, &[0])]).expect("short");
     let mut crowd = Vec::new();
     for _ in 0..60 {
         let mut idle = program.connects();
@@ -130,13 +131,13 @@
     }
     let mut owner = program.connects();
     let parameters: [(u8, &[u8]); 4] = [
-        (owner::CLASS, b"batch"),
-        (owner::LEFT, b"6000"),
-        (owner::NAME, b"a"),
-        (owner::EXTRAS, b"cores:1;memory:1;service:a"),
+        (client::CLASS, b"batch"),
+        (client::TIME_LEFT, b"6000"),
+        (client::TASK_NAME, b"a"),
+        (client::REQUIREMENTS, b"cores:1;memory:1;service:a"),
     ];
     owner
-        .write_all(&owner::message(Kind::SetUp, 7, &parameters).expect("short"))
+        .write_all(&client::encode(MessageType::SetUp, 7, &parameters).expect("short"))
         .expect("written");
     let mut link = accepted(&node);
     assert!(link.read(&mut [0; 1_024]).expect("a set-up") > 0);
@@ -159,7 +160,8 @@
     drop(down);
     let since = Instant::now();
     let mut program = Program::start(256, feed, 400, node.local_addr().expect("bound"));
-    let test = owner::message(Kind::Test, 1, &[(owner::CAUSE, &[0])]).expect("short");
+    let test =
+        client::encode(MessageType::HealthCheck, 1, &[(client::CAUSE, &[0])]).expect("short");
     let mut front = program.connects();
     front.write_all(&test).expect("written");
     assert!(front.read(&mut [0; 64]).expect("an answer") > 0);
--- a/crates/platform-wire/src/lib.rs
+++ b/crates/platform-wire/src/lib.rs
@@ -2,46 +2,46 @@
 //! reader is fed piece by piece, keeps no more than one message and says at once when what it reads
 //! can't become one.
 
-pub mod feed;
-pub mod file;
+pub mod client;
+pub mod discovery;
 pub mod node;
-pub mod owner;
+pub mod node_config;
 
 /// No message holds more.
-pub const LONGEST: usize = 16 * 1024;
+pub const MAX_MESSAGE_BYTES: usize = 16 * 1024;
 
 /// What can't be read as messages at all: nothing after it on the connection can be trusted.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Garbled {
-    #[error("a message of {0} bytes, where at most {LONGEST} may be")]
+pub enum ProtocolError {
+    #[error("a message of {0} bytes, where at most {MAX_MESSAGE_BYTES} may be")]
     TooLong(usize),
     #[error("a message of {0} bytes is too short for its type and id")]
     TooShort(usize),
     #[error("no message has the type {0}")]
-    Type(u8),
+    UnknownType(u8),
     #[error("parameter {0} runs past the end of its message")]
-    Cut(u8),
+    TruncatedParameter(u8),
     #[error("parameter {0} stands twice in a message")]
-    Twice(u8),
+    DuplicateParameter(u8),
     #[error("no line of JSON as nodes send it: {0}")]
-    Line(String),
+    InvalidLine(String),
     #[error("not what a control feed sends: {0}")]
-    Feed(String),
+    InvalidEvent(String),
 }
 
 /// A message that could be read, with something in it that can't be used.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Unusable {
+pub enum InvalidField {
     #[error("no {0}")]
-    Lacks(&'static str),
+    Missing(&'static str),
     #[error("`{text}` is no {what}")]
-    Unreadable { what: &'static str, text: String },
+    Invalid { what: &'static str, text: String },
 }
 
-impl Unusable {
+impl InvalidField {
     /// Quotes no more than the beginning of what it was given.
-    fn unreadable(what: &'static str, text: &str) -> Self {
-        Unusable::Unreadable {
+    fn invalid(what: &'static str, text: &str) -> Self {
+        InvalidField::Invalid {
             what,
             text: text.chars().take(40).collect(),
         }
@@ -49,7 +49,7 @@
 }
 
 /// A load report: pairs of name and value, set apart by semicolons.
-pub fn report(text: &str) -> Result<Vec<(&str, f64)>, Unusable> {
+pub fn parse_load_report(text: &str) -> Result<Vec<(&str, f64)>, InvalidField> {
     text.split(';')
         .filter(|pair| !pair.is_empty())
         .map(|pair| {
@@ -58,31 +58,31 @@
                 .and_then(|(name, value)| Some((name, value.parse().ok()?)));
             value
                 .filter(|(_, value): &(&str, f64)| value.is_finite())
-                .ok_or_else(|| Unusable::unreadable("load", pair))
+                .ok_or_else(|| InvalidField::invalid("load", pair))
         })
         .collect()
 }
 
 /// What has been read on a connection and not yet made into messages.
 #[derive(Default)]
-struct Bytes {
+struct ReceiveBuffer {
     bytes: Vec<u8>,
     at: usize,
 }
 
-impl Bytes {
-    fn push(&mut self, bytes: &[u8]) {
+impl ReceiveBuffer {
+    fn append(&mut self, bytes: &[u8]) {
         self.bytes.drain(..self.at);
         self.at = 0;
         self.bytes.extend_from_slice(bytes);
     }
 
-    fn rest(&self) -> &[u8] {
+    fn unread(&self) -> &[u8] {
         &self.bytes[self.at..]
     }
 
     /// So much of the rest has been made into a message.
-    fn taken(&mut self, length: usize) {
+    fn consume(&mut self, length: usize) {
         self.at += length;
     }
 }
--- a/crates/platform-wire/src/node.rs
+++ b/crates/platform-wire/src/node.rs
@@ -1,12 +1,12 @@
 //! Nodes' messages: one JSON object a line.
 
-use crate::{Bytes, Garbled, LONGEST};
+use crate::{MAX_MESSAGE_BYTES, ProtocolError, ReceiveBuffer};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Kind {
+pub enum MessageType {
     Open,
     Trying,
     Ready,
@@ -19,24 +19,29 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(untagged)]
-pub enum Value {
+#[serde(
+    untagged,
+    expecting = "data did not match any variant of untagged enum Value"
+)]
+pub enum AttributeValue {
     Text(String),
     Number(f64),
 }
 
-impl Value {
+impl AttributeValue {
     pub fn number(&self) -> Option<f64> {
         match self {
-            Value::Number(number) => Some(*number),
-            Value::Text(text) => text.parse().ok().filter(|number: &f64| number.is_finite()),
+            AttributeValue::Number(number) => Some(*number),
+            AttributeValue::Text(text) => {
+                text.parse().ok().filter(|number: &f64| number.is_finite())
+            }
         }
     }
 
     pub fn text(&self) -> Option<&str> {
         match self {
-            Value::Text(text) => Some(text),
-            Value::Number(_) => None,
+            AttributeValue::Text(text) => Some(text),
+            AttributeValue::Number(_) => None,
         }
     }
 }
@@ -44,46 +49,46 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Message {
     #[serde(rename = "msg")]
-    pub kind: Kind,
+    pub message_type: MessageType,
     /// None where the id is none that a dispatcher could have given: it stands for no task of
     /// ours, and the rest of the connection is sound all the same.
-    #[serde(with = "hex")]
-    pub sid: Option<u64>,
-    #[serde(default)]
-    pub attrs: BTreeMap<String, Value>,
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub code: Option<u32>,
+    #[serde(rename = "sid", with = "hex")]
+    pub task_id: Option<u64>,
+    #[serde(rename = "attrs", default)]
+    pub attributes: BTreeMap<String, AttributeValue>,
+    #[serde(rename = "code", default, skip_serializing_if = "Option::is_none")]
+    pub cause: Option<u32>,
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub text: Option<String>,
 }
 
 impl Message {
-    pub fn new(kind: Kind, sid: u64) -> Self {
+    pub fn new(message_type: MessageType, task_id: u64) -> Self {
         Message {
-            kind,
-            sid: Some(sid),
-            attrs: BTreeMap::new(),
-            code: None,
+            message_type,
+            task_id: Some(task_id),
+            attributes: BTreeMap::new(),
+            cause: None,
             text: None,
         }
     }
 
-    pub fn code(self, code: u32) -> Self {
+    pub fn with_cause(self, cause: u32) -> Self {
         Message {
-            code: Some(code),
+            cause: Some(cause),
             ..self
         }
     }
 
-    pub fn attr(&self, name: &str) -> Option<&Value> {
-        self.attrs.get(name)
+    pub fn attribute(&self, name: &str) -> Option<&AttributeValue> {
+        self.attributes.get(name)
     }
 
     /// As a line; none where it would be longer than any may be.
-    pub fn line(&self) -> Option<Vec<u8>> {
+    pub fn to_line(&self) -> Option<Vec<u8>> {
         let mut line = serde_json::to_vec(self).ok()?;
         line.push(b'\n');
-        (line.len() <= LONGEST).then_some(line)
+        (line.len() <= MAX_MESSAGE_BYTES).then_some(line)
     }
 }
 
@@ -104,31 +109,31 @@
 /// Makes messages of the bytes of one connection.
 #[derive(Default)]
 pub struct Reader {
-    bytes: Bytes,
+    bytes: ReceiveBuffer,
 }
 
 impl Reader {
     pub fn push(&mut self, bytes: &[u8]) {
-        self.bytes.push(bytes);
+        self.bytes.append(bytes);
     }
 
     /// The next whole message. A line that never ends is told as soon as it is too long.
-    pub fn message(&mut self) -> Result<Option<Message>, Garbled> {
-        let bytes = self.bytes.rest();
+    pub fn next_message(&mut self) -> Result<Option<Message>, ProtocolError> {
+        let bytes = self.bytes.unread();
         let end = bytes
             .iter()
-            .take(LONGEST + 1)
+            .take(MAX_MESSAGE_BYTES + 1)
             .position(|&byte| byte == b'\n');
         let Some(end) = end else {
-            return if bytes.len() > LONGEST {
-                Err(Garbled::TooLong(bytes.len()))
+            return if bytes.len() > MAX_MESSAGE_BYTES {
+                Err(ProtocolError::TooLong(bytes.len()))
             } else {
                 Ok(None)
             };
         };
-        let message =
-            serde_json::from_slice(&bytes[..end]).map_err(|why| Garbled::Line(why.to_string()))?;
-        self.bytes.taken(end + 1);
+        let message = serde_json::from_slice(&bytes[..end])
+            .map_err(|why| ProtocolError::InvalidLine(why.to_string()))?;
+        self.bytes.consume(end + 1);
         Ok(Some(message))
     }
 }
--- a/crates/platform-wire/tests/garbling.rs
+++ b/crates/platform-wire/tests/garbling.rs
@@ -1,23 +1,25 @@
 //! What readers make of bytes that are cut, spoilt or meant to harm.
 
-use corkspan_platform_wire::owner::{self, CAUSE, Kind, SetUp, message};
-use corkspan_platform_wire::{Garbled, LONGEST, feed, node, report};
+use corkspan_platform_wire::client::{self, CAUSE, MessageType, SetUp, encode};
+use corkspan_platform_wire::{
+    MAX_MESSAGE_BYTES, ProtocolError, discovery, node, parse_load_report,
+};
 use proptest::prelude::*;
 use test_case::test_case;
 
-fn set_up(extras: &str, left: &str) -> owner::Message {
+fn set_up(extras: &str, left: &str) -> client::Message {
     let parameters: [(u8, &[u8]); 6] = [
-        (owner::CLASS, b"batch"),
-        (owner::LEFT, left.as_bytes()),
-        (owner::NAME, b"7f3a9c21e0b4d655"),
-        (owner::EXTRAS, extras.as_bytes()),
-        (owner::TENANT, b"acme"),
-        (owner::DESCRIPTION, b"9d41\r\n"),
+        (client::CLASS, b"batch"),
+        (client::TIME_LEFT, left.as_bytes()),
+        (client::TASK_NAME, b"7f3a9c21e0b4d655"),
+        (client::REQUIREMENTS, extras.as_bytes()),
+        (client::TENANT, b"acme"),
+        (client::DESCRIPTION, b"9d41\r\n"),
     ];
-    let bytes = message(Kind::SetUp, 0x9b1f, &parameters).expect("short enough");
-    let mut reader = owner::Reader::default();
+    let bytes = encode(MessageType::SetUp, 0x9b1f, &parameters).expect("short enough");
+    let mut reader = client::Reader::default();
     reader.push(&bytes);
-    reader.message().expect("sound").expect("whole")
+    reader.next_message().expect("sound").expect("whole")
 }
 
 #[test_case("cores:1;memory:2;service:0b", "1500", true; "sound")]
@@ -33,14 +35,14 @@
     assert_eq!(SetUp::read(&set_up(extras, left)).is_ok(), sound);
 }
 
-#[test_case(&[0xff, 0xff], Garbled::TooLong(0xffff); "a length beyond any message")]
-#[test_case(&[0, 2], Garbled::TooShort(2); "a length below any message")]
-#[test_case(b"\x01\x00{", Garbled::Type(123); "a type that does not exist, before the rest has come")]
-#[test_case(&[0, 12, 1, 0, 0, 0, 0, 0, 0, 0, 1, 180, 9, 9], Garbled::Cut(180); "a parameter past the end")]
-fn lengths_that_lie_are_told_at_once(bytes: &[u8], fault: Garbled) {
-    let mut reader = owner::Reader::default();
+#[test_case(&[0xff, 0xff], ProtocolError::TooLong(0xffff); "a length beyond any message")]
+#[test_case(&[0, 2], ProtocolError::TooShort(2); "a length below any message")]
+#[test_case(b"\x01\x00{", ProtocolError::UnknownType(123); "a type that does not exist, before the rest has come")]
+#[test_case(&[0, 12, 1, 0, 0, 0, 0, 0, 0, 0, 1, 180, 9, 9], ProtocolError::TruncatedParameter(180); "a parameter past the end")]
+fn lengths_that_lie_are_told_at_once(bytes: &[u8], fault: ProtocolError) {
+    let mut reader = client::Reader::default();
     reader.push(bytes);
-    assert_eq!(reader.message(), Err(fault));
+    assert_eq!(reader.next_message(), Err(fault));
 }
 
 #[test]
@@ -52,13 +54,13 @@
     );
     assert_eq!(
         reader
-            .message()
-            .map(|message| message.map(|message| message.sid)),
+            .next_message()
+            .map(|message| message.map(|message| message.task_id)),
         Ok(Some(None))
     );
-    let good = reader.message().expect("sound").expect("whole");
+    let good = reader.next_message().expect("sound").expect("whole");
     assert_eq!(
-        (good.sid, good.text.as_deref()),
+        (good.task_id, good.text.as_deref()),
         (Some(0x9b1f_03aa_5c7e_2d41), Some("y"))
     );
 }
@@ -68,69 +70,75 @@
     let mut reader = node::Reader::default();
     let faults = (0..1_000).find_map(|_| {
         reader.push(&[b'a'; 1024]);
-        reader.message().err()
+        reader.next_message().err()
     });
-    assert_eq!(faults, Some(Garbled::TooLong(LONGEST + 1024)));
+    assert_eq!(
+        faults,
+        Some(ProtocolError::TooLong(MAX_MESSAGE_BYTES + 1024))
+    );
 }
 
 #[test]
 fn an_event_that_breaks_off_is_not_told_and_the_next_call_tells_it() {
     let whole = b"id: 4\ndata: {\"n\":4}\n\n: alive\n";
-    let mut reader = feed::Reader::default();
+    let mut reader = discovery::Reader::default();
     reader.push(&whole[..15]);
-    assert_eq!(reader.told(), Ok(None));
-    let mut reader = feed::Reader::default();
+    assert_eq!(reader.next_item(), Ok(None));
+    let mut reader = discovery::Reader::default();
     reader.push(whole);
     assert_eq!(
-        reader.told(),
-        Ok(Some(feed::Told::Event(feed::Event {
-            n: 4,
-            members: None
+        reader.next_item(),
+        Ok(Some(discovery::FeedItem::Event(discovery::Event {
+            number: 4,
+            list: None
         })))
     );
-    assert_eq!(reader.told(), Ok(Some(feed::Told::Alive)));
+    assert_eq!(reader.next_item(), Ok(Some(discovery::FeedItem::KeepAlive)));
 }
 
 #[test]
 fn an_entry_that_can_not_be_read_costs_no_other_one() {
     let sound =
         r#"{"id":"a","host_port":"10.1.0.9:5080","locality":"e","flavor":"s","phase":"left"}"#;
-    let mut reader = feed::Reader::default();
+    let mut reader = discovery::Reader::default();
     reader
         .push(format!("data: {{\"n\":2,\"members\":{{\"members\":[7,{sound}]}}}}\n\n").as_bytes());
-    let Ok(Some(feed::Told::Event(feed::Event {
-        members: Some(members),
+    let Ok(Some(discovery::FeedItem::Event(discovery::Event {
+        list: Some(members),
         ..
-    }))) = reader.told()
+    }))) = reader.next_item()
     else {
         panic!("not read")
     };
     let readable = members
-        .members
+        .entries
         .iter()
-        .map(|entry| matches!(entry, feed::Entry::Member(_)));
+        .map(|entry| matches!(entry, discovery::ListEntry::Node(_)));
     assert_eq!(readable.collect::<Vec<bool>>(), [false, true]);
 }
 
-#[test_case(LONGEST - 9 - 3, true; "as long as may be")]
-#[test_case(LONGEST - 9 - 2, false; "one byte longer")]
+#[test_case(MAX_MESSAGE_BYTES - 9 - 3, true; "as long as may be")]
+#[test_case(MAX_MESSAGE_BYTES - 9 - 2, false; "one byte longer")]
 fn no_message_is_written_that_may_not_be_read(description: usize, may: bool) {
-    let written = message(
-        Kind::Answer,
+    let written = encode(
+        MessageType::Answer,
         1,
-        &[(owner::DESCRIPTION, &vec![0; description])],
+        &[(client::DESCRIPTION, &vec![0; description])],
     );
     assert_eq!(written.is_some(), may);
-    let mut reader = owner::Reader::default();
+    let mut reader = client::Reader::default();
     reader.push(&written.unwrap_or_default());
-    assert_eq!(reader.message().map(|message| message.is_some()), Ok(may));
+    assert_eq!(
+        reader.next_message().map(|message| message.is_some()),
+        Ok(may)
+    );
 }
 
 #[test_case("x0:12;x1:-0.5", Some(2); "sound")]
 #[test_case("x0:inf", None; "no number to count with")]
 #[test_case("x0", None; "no value")]
 fn reports_hold_numbers_only(text: &str, pairs: Option<usize>) {
-    assert_eq!(report(text).ok().map(|pairs| pairs.len()), pairs);
+    assert_eq!(parse_load_report(text).ok().map(|pairs| pairs.len()), pairs);
 }
 
 /// Reads all that comes in pieces; how many messages there were, or that a fault ended it. Never
@@ -154,10 +162,10 @@
 }
 
 fn owner_messages(bytes: &[u8], cuts: &[usize]) -> Option<usize> {
-    let mut reader = owner::Reader::default();
+    let mut reader = client::Reader::default();
     pieces(bytes, cuts, |piece| {
         reader.push(piece);
-        std::iter::from_fn(|| reader.message().map_err(|_| ()).transpose())
+        std::iter::from_fn(|| reader.next_message().map_err(|_| ()).transpose())
             .take(1_000)
             .collect()
     })
@@ -167,7 +175,7 @@
     let mut reader = node::Reader::default();
     pieces(bytes, cuts, |piece| {
         reader.push(piece);
-        std::iter::from_fn(|| reader.message().map_err(|_| ()).transpose())
+        std::iter::from_fn(|| reader.next_message().map_err(|_| ()).transpose())
             .take(1_000)
             .collect()
     })
@@ -182,7 +190,7 @@
     ) {
         let bytes: Vec<u8> = tasks
             .iter()
-            .flat_map(|&task| message(Kind::Release, task, &[(CAUSE, &[34]), (owner::NAME, &value)]).expect("short"))
+            .flat_map(|&task| encode(MessageType::Release, task, &[(CAUSE, &[34]), (client::TASK_NAME, &value)]).expect("short"))
             .collect();
         prop_assert_eq!(owner_messages(&bytes, &cuts), Some(tasks.len()));
     }
@@ -194,8 +202,8 @@
         cuts in prop::collection::vec(0usize..200, 0..20),
     ) {
         let line = |&sid: &u64| {
-            let message = node::Message::new(node::Kind::Ready, sid).code(16);
-            node::Message { text: Some(text.clone()), ..message }.line().expect("short")
+            let message = node::Message::new(node::MessageType::Ready, sid).with_cause(16);
+            node::Message { text: Some(text.clone()), ..message }.to_line().expect("short")
         };
         let bytes: Vec<u8> = sids.iter().flat_map(line).collect();
         prop_assert_eq!(node_messages(&bytes, &cuts), Some(sids.len()));
@@ -208,14 +216,14 @@
         spoilt in any::<u8>(),
         at in any::<prop::sample::Index>(),
     ) {
-        let mut sound = message(Kind::SetUp, 1, &[(owner::CLASS, b"batch")]).expect("short");
+        let mut sound = encode(MessageType::SetUp, 1, &[(client::CLASS, b"batch")]).expect("short");
         let place = at.index(sound.len());
         sound[place] = spoilt;
         bytes.splice(0..0, sound);
         owner_messages(&bytes, &cuts);
         node_messages(&bytes, &cuts);
-        let mut reader = feed::Reader::default();
+        let mut reader = discovery::Reader::default();
         reader.push(&bytes);
-        while let Ok(Some(_)) = reader.told() {}
+        while let Ok(Some(_)) = reader.next_item() {}
     }
 }
--- a/crates/platform-wire/tests/recorded.rs
+++ b/crates/platform-wire/tests/recorded.rs
@@ -1,22 +1,22 @@
 //! Messages recorded under `tests/data`, one a line with what is read of it: what is read must stay
 //! the same content, what is written the same bytes, and what is refused refused in the same words.
 
-use corkspan_platform_wire::file::Posting;
-use corkspan_platform_wire::owner::{self, Kind, SetUp};
-use corkspan_platform_wire::{feed, node};
+use corkspan_platform_wire::client::{self, MessageType, SetUp};
+use corkspan_platform_wire::node_config::NodeConfig;
+use corkspan_platform_wire::{discovery, node};
 use std::fmt::Write;
 use std::path::Path;
 
-const CLIENT_KINDS: [(&str, Kind); 9] = [
-    ("set-up", Kind::SetUp),
-    ("progress", Kind::Progress),
-    ("answer", Kind::Answer),
-    ("release", Kind::Release),
-    ("heard", Kind::Heard),
-    ("note", Kind::Note),
-    ("move", Kind::Move),
-    ("test", Kind::Test),
-    ("tested", Kind::Tested),
+const CLIENT_KINDS: [(&str, MessageType); 9] = [
+    ("set-up", MessageType::SetUp),
+    ("progress", MessageType::Progress),
+    ("answer", MessageType::Answer),
+    ("release", MessageType::Release),
+    ("heard", MessageType::Acknowledge),
+    ("note", MessageType::Notification),
+    ("move", MessageType::Migrate),
+    ("test", MessageType::HealthCheck),
+    ("tested", MessageType::HealthCheckReply),
 ];
 
 fn data(name: &str) -> String {
@@ -51,19 +51,24 @@
     digits.chunks(2).map(byte).collect()
 }
 
-fn read_client(bytes: &[u8]) -> Result<owner::Message, String> {
-    let mut reader = owner::Reader::default();
+fn read_client(bytes: &[u8]) -> Result<client::Message, String> {
+    let mut reader = client::Reader::default();
     reader.push(bytes);
-    let message = reader.message().map_err(|why| why.to_string())?;
-    assert!(message.is_none() || reader.held() == 0, "nothing is left");
+    let message = reader.next_message().map_err(|why| why.to_string())?;
+    assert!(
+        message.is_none() || reader.buffered_bytes() == 0,
+        "nothing is left"
+    );
     message.ok_or_else(|| "unfinished".to_string())
 }
 
-fn client_content(message: &owner::Message) -> String {
-    let kind = CLIENT_KINDS.iter().find(|(_, kind)| *kind == message.kind);
+fn client_content(message: &client::Message) -> String {
+    let kind = CLIENT_KINDS
+        .iter()
+        .find(|(_, kind)| *kind == message.message_type);
     let mut text = format!("{} {:016x}", kind.expect("a kind").0, message.task);
     for code in 0..=u8::MAX {
-        if let Some(value) = message.bytes(code) {
+        if let Some(value) = message.parameter(code) {
             write!(text, " {code}={}", hex(value)).expect("written");
         }
     }
@@ -87,7 +92,7 @@
         .iter()
         .map(|(code, value)| (*code, &value[..]))
         .collect();
-    owner::message(*kind, task, &parameters).expect("short enough")
+    client::encode(*kind, task, &parameters).expect("short enough")
 }
 
 #[test]
@@ -95,7 +100,7 @@
     let frames = pairs("client_frames.txt", 18);
     for (_, kind) in CLIENT_KINDS.iter().map(|(name, kind)| (name, *kind)) {
         let of_kind = |(bytes, _): &&(String, String)| {
-            read_client(&unhex(bytes)).expect("sound").kind == kind
+            read_client(&unhex(bytes)).expect("sound").message_type == kind
         };
         assert!(
             frames.iter().any(|frame| of_kind(&frame)),
@@ -123,18 +128,18 @@
         Ok(SetUp {
             task,
             class,
-            left_ms,
+            time_left_ms,
             tenant,
             name,
-            mark,
+            idempotency_key,
             cores,
             memory,
             service,
-            at,
+            running_on,
             description,
         }) => format!(
-            "task={task:x} class={class:?} left_ms={left_ms} tenant={tenant:?} name={name:?} \
-             key={mark:?} cores={cores:?} memory={memory:?} service={service:?} at={at:?} \
+            "task={task:x} class={class:?} left_ms={time_left_ms} tenant={tenant:?} name={name:?} \
+             key={idempotency_key:?} cores={cores:?} memory={memory:?} service={service:?} at={running_on:?} \
              description={description:?}"
         ),
     }
@@ -151,18 +156,18 @@
     let mut reader = node::Reader::default();
     reader.push(line.as_bytes());
     reader.push(b"\n");
-    let message = reader.message().map_err(|why| why.to_string())?;
+    let message = reader.next_message().map_err(|why| why.to_string())?;
     Ok(message.expect("a whole line"))
 }
 
 fn node_content(message: &node::Message) -> String {
-    let kind = serde_json::to_string(&message.kind).expect("a name");
-    let mut text = format!("{kind} id={:?}", message.sid);
-    for (name, value) in &message.attrs {
+    let kind = serde_json::to_string(&message.message_type).expect("a name");
+    let mut text = format!("{kind} id={:?}", message.task_id);
+    for (name, value) in &message.attributes {
         let (text_value, number) = (value.text(), value.number());
         write!(text, " {name}={text_value:?}/{number:?}").expect("written");
     }
-    write!(text, " code={:?} text={:?}", message.code, message.text).expect("written");
+    write!(text, " code={:?} text={:?}", message.cause, message.text).expect("written");
     text
 }
 
@@ -183,7 +188,7 @@
     assert!(lines.lines().count() >= 12);
     for line in lines.lines() {
         let message = read_node(line).expect("sound");
-        assert_eq!(message.line(), Some(format!("{line}\n").into_bytes()));
+        assert_eq!(message.to_line(), Some(format!("{line}\n").into_bytes()));
     }
 }
 
@@ -194,33 +199,33 @@
     }
 }
 
-fn phase(phase: feed::Phase) -> &'static str {
+fn phase(phase: discovery::Phase) -> &'static str {
     match phase {
-        feed::Phase::Active => "active",
-        feed::Phase::Leaving => "leaving",
-        feed::Phase::Left => "left",
+        discovery::Phase::Active => "active",
+        discovery::Phase::Draining => "leaving",
+        discovery::Phase::Gone => "left",
     }
 }
 
-fn event_content(event: &feed::Event) -> String {
-    let mut text = format!("event {}", event.n);
-    let Some(members) = &event.members else {
+fn event_content(event: &discovery::Event) -> String {
+    let mut text = format!("event {}", event.number);
+    let Some(members) = &event.list else {
         return text + " without members\n";
     };
     writeln!(text, " complete={}", members.complete).expect("written");
-    for entry in &members.members {
+    for entry in &members.entries {
         let line = match entry {
-            feed::Entry::Unreadable(what) => format!("unreadable {what}"),
-            feed::Entry::Member(member) => format!(
+            discovery::ListEntry::Unreadable(what) => format!("unreadable {what}"),
+            discovery::ListEntry::Node(member) => format!(
                 "{} at {} in {:?} of {:?} cell {} {} since {} unrequested {:?}",
                 member.id,
-                member.host_port,
-                member.locality,
-                member.flavor,
+                member.address,
+                member.zone,
+                member.machine_type,
                 member.cell,
                 phase(member.phase),
                 member.up_since_ms,
-                member.unasked,
+                member.unrequested,
             ),
         };
         writeln!(text, "  {line}").expect("written");
@@ -230,13 +235,13 @@
 
 /// What a stream tells, and how it ends.
 fn feed_content(stream: &[u8]) -> String {
-    let mut reader = feed::Reader::default();
+    let mut reader = discovery::Reader::default();
     reader.push(stream);
     let mut text = String::new();
     loop {
-        match reader.told() {
-            Ok(Some(feed::Told::Alive)) => text += "alive\n",
-            Ok(Some(feed::Told::Event(event))) => text += &event_content(&event),
+        match reader.next_item() {
+            Ok(Some(discovery::FeedItem::KeepAlive)) => text += "alive\n",
+            Ok(Some(discovery::FeedItem::Event(event))) => text += &event_content(&event),
             Ok(None) => return text + "no more\n",
             Err(why) => return format!("{text}refused: {why}\n"),
         }
@@ -264,7 +269,7 @@
 }
 
 fn node_config_content(text: &str) -> String {
-    let posting = match Posting::read(text.as_bytes()) {
+    let posting = match NodeConfig::from_json(text.as_bytes()) {
         Ok(posting) => posting,
         Err(why) => return format!("refused: {why}\n"),
     };
@@ -273,12 +278,12 @@
         posting.name,
         posting.listen,
         posting.seed,
-        posting.chance().expect("hex"),
+        posting.seed_number().expect("hex"),
         posting.limits.sockets,
-        posting.feed,
-        posting.known.n,
+        posting.discovery_address,
+        posting.discovery_state.last_event,
     );
-    let events = posting.known.events.iter().map(event_content);
+    let events = posting.discovery_state.events.iter().map(event_content);
     text.extend(events);
     writeln!(text, "zones {:?}", posting.settings.zones).expect("written");
     text
--- a/crates/platform/src/connections.rs
+++ b/crates/platform/src/connections.rs
@@ -205,12 +205,12 @@
     }
 
     pub fn send(&mut self, id: LinkId, message: &node::Message) -> bool {
-        let line = message.line();
+        let line = message.to_line();
         line.is_some_and(|line| self.links.get(&id).is_some_and(|link| link.to.send(line)))
     }
 
     pub fn send_set_up(&mut self, id: LinkId, attempt: AttemptId, message: &node::Message) -> bool {
-        let line = message.line();
+        let line = message.to_line();
         line.is_some_and(|line| {
             self.links
                 .get(&id)
--- a/crates/platform/src/core.rs
+++ b/crates/platform/src/core.rs
@@ -10,11 +10,11 @@
 use crate::places::Places;
 use clients::Owner;
 use corkspan_engine::{Host, Slice};
-use corkspan_platform_wire::feed::Event;
-use corkspan_platform_wire::file::{Known, Posting};
-use corkspan_platform_wire::node;
 #[cfg(test)]
-use corkspan_platform_wire::owner::Message;
+use corkspan_platform_wire::client::Message;
+use corkspan_platform_wire::discovery::Event;
+use corkspan_platform_wire::node;
+use corkspan_platform_wire::node_config::{DiscoveryState, NodeConfig};
 use corkspan_scheduler::interface::*;
 use corkspan_settings::Facts;
 use limits::*;
@@ -83,18 +83,18 @@
     cluster: Cluster,
     seed: u64,
     facts: Facts,
-    pub known: Known,
+    pub known: DiscoveryState,
     owners_most: usize,
     nodes_most: usize,
 }
 
 impl Start {
-    pub fn new(posting: Posting, places: &Places) -> Result<Start, String> {
+    pub fn new(posting: NodeConfig, places: &Places) -> Result<Start, String> {
         Ok(Start {
-            seed: posting.chance().map_err(|why| why.to_string())?,
+            seed: posting.seed_number().map_err(|why| why.to_string())?,
             cluster: cluster(&posting.settings)?,
             facts: posting.settings,
-            known: posting.known,
+            known: posting.discovery_state,
             owners_most: places.owners_most,
             nodes_most: places.nodes_most,
         })
--- a/crates/platform/src/core/attempts.rs
+++ b/crates/platform/src/core/attempts.rs
@@ -2,7 +2,7 @@
 
 use super::tasks::{Out, Placing, Stage, sid};
 use super::*;
-use corkspan_platform_wire::owner::{self, Kind};
+use corkspan_platform_wire::client::{self, MessageType};
 use tracing::debug;
 
 impl Port {
@@ -49,9 +49,9 @@
 
     /// A node is told to end a task that nobody wants.
     pub(super) fn end_on(&mut self, link: LinkId, task: u64) {
-        let message = node::Message::new(node::Kind::Close, task);
+        let message = node::Message::new(node::MessageType::Close, task);
         self.links
-            .send(link, &message.code(u32::from(owner::CAUSE_GIVEN_UP)));
+            .send(link, &message.with_cause(u32::from(client::CAUSE_NORMAL)));
     }
 
     /// A node has answered an attempt: its time no longer counts, and its connection is free.
@@ -113,9 +113,9 @@
             // owed all the same.
             let (to, task) = (placing.owner, placing.task);
             if self.answer(placing, id, Stage::Over) {
-                self.release(to, task, owner::CAUSE_FAILED);
+                self.release(to, task, client::CAUSE_FAILED);
             }
-            self.cut(now, id, task, Some(out), u32::from(owner::CAUSE_GIVEN_UP));
+            self.cut(now, id, task, Some(out), u32::from(client::CAUSE_NORMAL));
             return host.finish(id);
         }
         self.answer(placing, id, Stage::Stands);
@@ -125,9 +125,9 @@
         debug!(task = sid(task), machine = ?out.machine, after = now - out.sent, "placed");
         self.say(
             to,
-            Kind::Answer,
+            MessageType::Answer,
             task,
-            &[(owner::DESCRIPTION, description.as_bytes())],
+            &[(client::DESCRIPTION, description.as_bytes())],
         );
     }
 }
--- a/crates/platform/src/core/clients.rs
+++ b/crates/platform/src/core/clients.rs
@@ -3,7 +3,7 @@
 use super::tasks::sid;
 use super::*;
 use crate::outbox::Outbox;
-use corkspan_platform_wire::owner::{self, Kind, Message};
+use corkspan_platform_wire::client::{self, Message, MessageType};
 use tracing::debug;
 
 /// An owner's connection.
@@ -11,7 +11,7 @@
     pub(super) to: Outbox,
     /// None until its task has begun.
     pub(super) input: Option<Input>,
-    pub(super) reader: owner::Reader,
+    pub(super) reader: client::Reader,
     /// When all that had come was last read.
     pub(super) dry: Ticks,
     /// Its set-ups without an answer.
@@ -42,13 +42,16 @@
                 self.end_owner(now, host, id);
                 return Heard::Enough;
             }
-            match owner.reader.message() {
+            match owner.reader.next_message() {
                 Ok(Some(message)) => {
                     let goes_on = self.owner_said(now, host, id, &message);
                     return if goes_on { Heard::One } else { Heard::Enough };
                 }
                 Ok(None) if came == Came::Nothing => {
-                    owner.midway = owner.reader.midway().then(|| owner.midway.unwrap_or(now));
+                    owner.midway = owner
+                        .reader
+                        .has_partial_message()
+                        .then(|| owner.midway.unwrap_or(now));
                     return Heard::All;
                 }
                 Ok(None) => owner.dry = 0,
@@ -66,7 +69,8 @@
             return;
         };
         let behind = |owner: &Owner| {
-            owner.input.is_some() && (owner.dry + LATELY <= now || owner.reader.held() > 0)
+            owner.input.is_some()
+                && (owner.dry + LATELY <= now || owner.reader.buffered_bytes() > 0)
         };
         for _ in 0..AT_ONCE {
             if !self.owners.get(&from).is_some_and(behind) {
@@ -89,8 +93,8 @@
             .map(|owner| std::mem::take(&mut owner.reader));
         self.close_owner(now, host, id);
         let mut reader = reader.unwrap_or_default();
-        while let Ok(Some(message)) = reader.message() {
-            if message.kind == Kind::Release {
+        while let Ok(Some(message)) = reader.next_message() {
+            if message.message_type == MessageType::Release {
                 self.owner_released(now, host, &message);
             }
         }
@@ -108,18 +112,26 @@
             return false;
         };
         owner.midway = None;
-        let sound = match message.kind {
-            Kind::SetUp => self.set_up(now, host, id, message),
-            Kind::Release => Ok(self.owner_released(now, host, message)),
-            Kind::Test => {
-                self.say(id, Kind::Tested, message.task, &[(owner::CAUSE, &[1])]);
+        let sound = match message.message_type {
+            MessageType::SetUp => self.set_up(now, host, id, message),
+            MessageType::Release => Ok(self.owner_released(now, host, message)),
+            MessageType::HealthCheck => {
+                self.say(
+                    id,
+                    MessageType::HealthCheckReply,
+                    message.task,
+                    &[(client::CAUSE, &[1])],
+                );
                 Ok(true)
             }
-            Kind::Progress | Kind::Heard => Ok(false),
-            Kind::Answer | Kind::Note | Kind::Move | Kind::Tested => Err(()),
+            MessageType::Progress | MessageType::Acknowledge => Ok(false),
+            MessageType::Answer
+            | MessageType::Notification
+            | MessageType::Migrate
+            | MessageType::HealthCheckReply => Err(()),
         };
         let Ok(sound) = sound else {
-            debug!(?id, ?message.kind, "closing an owner's connection that says what no owner says");
+            debug!(?id, ?message.message_type, "closing an owner's connection that says what no owner says");
             return false;
         };
         if let Some(owner) = self.owners.get_mut(&id).filter(|_| sound) {
@@ -196,7 +208,7 @@
         let Some(input) = &self.input else {
             return Came::Nothing;
         };
-        while self.reader.held() < READ_AHEAD {
+        while self.reader.buffered_bytes() < READ_AHEAD {
             match input.read(|bytes| self.reader.push(bytes)) {
                 Came::Some => {}
                 Came::Nothing => {
--- a/crates/platform/src/core/engine_effects.rs
+++ b/crates/platform/src/core/engine_effects.rs
@@ -3,8 +3,8 @@
 use super::tasks::{Out, Placing, Stage, sid};
 use super::*;
 use corkspan_engine::Wire;
-use corkspan_platform_wire::node::Value;
-use corkspan_platform_wire::owner::{self, Kind};
+use corkspan_platform_wire::client::{self, MessageType};
+use corkspan_platform_wire::node::AttributeValue;
 use tracing::debug;
 
 impl Wire<Placing> for Port {
@@ -57,21 +57,21 @@
     fn shed(&mut self, placing: &mut Placing, allocation: &Allocation) {
         if self.answer(placing, allocation.id, Stage::Over) {
             debug!(task = sid(placing.task), shots = ?allocation.attempts, "shed");
-            self.release(placing.owner, placing.task, owner::CAUSE_REFUSED);
+            self.release(placing.owner, placing.task, client::CAUSE_REJECTED);
         }
     }
 
     fn scrap(&mut self, placing: &mut Placing, allocation: &Allocation) {
         if self.answer(placing, allocation.id, Stage::Over) {
             debug!(task = sid(placing.task), shots = ?allocation.attempts, "scrapped");
-            self.release(placing.owner, placing.task, owner::CAUSE_FAILED);
+            self.release(placing.owner, placing.task, client::CAUSE_FAILED);
         }
     }
 
     fn relocate(&mut self, placing: &mut Placing, allocation: &Allocation) {
         debug!(task = sid(placing.task), "moved away");
         if self.stood(placing) {
-            self.say_over(placing.owner, Kind::Move, placing.task, &[]);
+            self.say_over(placing.owner, MessageType::Migrate, placing.task, &[]);
             self.due
                 .insert((self.now + CUT_WITHIN, Due::Cut(allocation.id)));
         }
@@ -83,7 +83,7 @@
 
     fn probe(&mut self, machine: MachineId) {
         self.last_test = self.last_test.wrapping_add(0x9e37_79b9_7f4a_7c15);
-        let message = node::Message::new(node::Kind::Probe, self.last_test).code(0);
+        let message = node::Message::new(node::MessageType::Probe, self.last_test).with_cause(0);
         if let Some(link) = self.tell_node(machine, None, &message, Takes::Spare) {
             self.tests.insert(self.last_test, (machine, link));
             self.due
@@ -103,15 +103,17 @@
 
 /// A set-up as the node gets it.
 fn open_message(placing: &Placing, time_out: Ticks) -> node::Message {
-    let mut message = node::Message::new(node::Kind::Open, placing.task);
-    let text = |text: &str| Value::Text(text.into());
-    message.attrs.insert("class".into(), text(&placing.class));
-    message.attrs.insert("key".into(), text(&placing.name));
+    let mut message = node::Message::new(node::MessageType::Open, placing.task);
+    let text = |text: &str| AttributeValue::Text(text.into());
     message
-        .attrs
+        .attributes
+        .insert("class".into(), text(&placing.class));
+    message.attributes.insert("key".into(), text(&placing.name));
+    message
+        .attributes
         .insert("left".into(), text(&(time_out / 10).to_string()));
     if let Some(mark) = &placing.mark {
-        message.attrs.insert("idem".into(), text(mark));
+        message.attributes.insert("idem".into(), text(mark));
     }
     message.text = Some(placing.description.clone());
     message
--- a/crates/platform/src/core/inputs.rs
+++ b/crates/platform/src/core/inputs.rs
@@ -2,17 +2,17 @@
 //! calls in here directly.
 
 use super::*;
-use corkspan_platform_wire::owner::Reader;
+use corkspan_platform_wire::client::Reader;
 
 impl Core {
     /// Takes over what the file says at the start that the feed has told.
-    pub fn known_at_start(&mut self, now: Ticks, known: Known) {
+    pub fn known_at_start(&mut self, now: Ticks, known: DiscoveryState) {
         self.with(now, |host, port| {
             known
                 .events
                 .into_iter()
                 .for_each(|event| port.apply(now, host, event));
-            port.last_event = port.last_event.max(known.n);
+            port.last_event = port.last_event.max(known.last_event);
         });
     }
 
@@ -165,7 +165,7 @@
     }
 
     /// The file has been replaced: other settings may be in force from here on.
-    pub fn reposted(&mut self, now: Ticks, posting: Posting) -> Result<(), String> {
+    pub fn reposted(&mut self, now: Ticks, posting: NodeConfig) -> Result<(), String> {
         let cluster = cluster(&posting.settings)?;
         self.with(now, |host, port| {
             let names = |facts: &Facts| -> Vec<String> {
@@ -222,14 +222,11 @@
 
     /// What another file says that the feed has told. Only what follows on what is known already,
     /// or is whole: the rest is told by the feed.
-    pub fn known(&mut self, now: Ticks, known: Known) {
+    pub fn known(&mut self, now: Ticks, known: DiscoveryState) {
         self.with(now, |host, port| {
             for event in known.events {
-                let whole = event
-                    .members
-                    .as_ref()
-                    .is_some_and(|members| members.complete);
-                if whole || event.n == port.last_event + 1 {
+                let whole = event.list.as_ref().is_some_and(|members| members.complete);
+                if whole || event.number == port.last_event + 1 {
                     port.apply(now, host, event);
                 }
             }
--- a/crates/platform/src/core/limits.rs
+++ b/crates/platform/src/core/limits.rs
@@ -8,7 +8,7 @@
 pub(super) const LATELY: Ticks = 100;
 /// So much is read ahead on an owner's connection, and so many messages are handled in one go
 /// before an attempt: where more is on its way, it is a flood.
-pub(super) const READ_AHEAD: usize = 2 * corkspan_platform_wire::LONGEST;
+pub(super) const READ_AHEAD: usize = 2 * corkspan_platform_wire::MAX_MESSAGE_BYTES;
 pub(super) const AT_ONCE: usize = 2 * OPEN_A_CONNECTION;
 /// Allocations in hand at a time, those that stand among them.
 pub(super) const IN_HAND: usize = 8_192;
--- a/crates/platform/src/core/node_list.rs
+++ b/crates/platform/src/core/node_list.rs
@@ -7,11 +7,11 @@
 impl Port {
     /// A change to the list of nodes, once each.
     pub(super) fn apply(&mut self, now: Ticks, host: &mut Host<Placing>, event: Event) {
-        if event.n <= self.last_event {
+        if event.number <= self.last_event {
             return;
         }
-        self.last_event = event.n;
-        let Some(members) = event.members else { return };
+        self.last_event = event.number;
+        let Some(members) = event.list else { return };
         let listed = self.nodes.listed(&members, &self.facts);
         let scope = if listed.whole {
             ListUpdate::Complete
--- a/crates/platform/src/core/node_messages.rs
+++ b/crates/platform/src/core/node_messages.rs
@@ -2,8 +2,8 @@
 
 use super::tasks::{Out, Placing, Stage, sid};
 use super::*;
-use corkspan_platform_wire::node::Value;
-use corkspan_platform_wire::report;
+use corkspan_platform_wire::node::AttributeValue;
+use corkspan_platform_wire::parse_load_report;
 use tracing::debug;
 
 /// Where a node's message came from, and the task that it names.
@@ -34,8 +34,10 @@
         machine: MachineId,
         message: node::Message,
     ) -> bool {
-        let Some(task) = message.sid else { return true };
-        if message.kind == node::Kind::Probed {
+        let Some(task) = message.task_id else {
+            return true;
+        };
+        if message.message_type == node::MessageType::Probed {
             self.node_probed(now, host, task, &message);
             return true;
         }
@@ -46,11 +48,11 @@
         };
         let named = self.named(host, origin, &message);
         if named.as_ref().is_some_and(|named| named.earlier) {
-            debug!(task = sid(task), ?machine, ?message.kind, "told of an earlier attempt");
+            debug!(task = sid(task), ?machine, ?message.message_type, "told of an earlier attempt");
             return true;
         }
-        match (message.kind, named) {
-            (node::Kind::Ready, Some(named))
+        match (message.message_type, named) {
+            (node::MessageType::Ready, Some(named))
                 if named.stage == Stage::Asked && named.out.link == Some(link) =>
             {
                 let Some(description) = message.text else {
@@ -59,14 +61,14 @@
                 self.ready(now, host, named.id, named.out, &description);
             }
             // One that was given up meanwhile: nobody waits for it.
-            (node::Kind::Ready, None) => self.end_on(link, task),
-            (node::Kind::Close, named) => {
+            (node::MessageType::Ready, None) => self.end_on(link, task),
+            (node::MessageType::Close, named) => {
                 self.node_closed(now, host, origin, named, &message);
             }
-            (node::Kind::Closed, Some(named)) if named.stage == Stage::Over => {
+            (node::MessageType::Closed, Some(named)) if named.stage == Stage::Over => {
                 self.over(now, host, named.id, AttemptResult::Cancelled, None, None);
             }
-            (node::Kind::Event, Some(named)) if named.stage != Stage::Asked => {
+            (node::MessageType::Event, Some(named)) if named.stage != Stage::Asked => {
                 let Some(note) = note(&message) else {
                     return true;
                 };
@@ -89,7 +91,7 @@
             return;
         };
         self.due.retain(|(_, due)| *due != Due::Test(test));
-        let ending = if message.code == Some(1) {
+        let ending = if message.cause == Some(1) {
             AttemptResult::Completed
         } else {
             AttemptResult::Error
@@ -118,9 +120,9 @@
         let moved = stands && !out.link.is_some_and(|own| self.links.stands(own));
         let ended = placing.ended.iter().find(|(on, _)| *on == link);
         let of_this = moved
-            && ended.is_some_and(|&(_, cause)| match message.kind {
-                node::Kind::Close => message.code != Some(cause),
-                kind => kind == node::Kind::Event,
+            && ended.is_some_and(|&(_, cause)| match message.message_type {
+                node::MessageType::Close => message.cause != Some(cause),
+                kind => kind == node::MessageType::Event,
             });
         Some(Named {
             id,
@@ -144,10 +146,10 @@
             task,
         } = origin;
         self.links
-            .send(link, &node::Message::new(node::Kind::Closed, task));
-        let (code, load) = (message.code.unwrap_or(0), load(message));
+            .send(link, &node::Message::new(node::MessageType::Closed, task));
+        let (code, load) = (message.cause.unwrap_or(0), load(message));
         let stage = named.as_ref().map(|named| named.stage);
-        let note = message.attr("note");
+        let note = message.attribute("note");
         debug!(
             task = sid(task),
             ?machine,
@@ -191,19 +193,24 @@
 }
 
 fn note(message: &node::Message) -> Option<Metric> {
-    let value = message.attr("value").and_then(Value::number);
-    Some(match (message.attr("note").and_then(Value::text)?, value) {
-        ("running", _) => Metric::Running,
-        ("use_cpu", Some(value)) => Metric::Cores(value),
-        ("use_ram", Some(value)) => Metric::Memory(value),
-        ("health", Some(value)) => Metric::Served(value),
-        ("ram_high", Some(value)) => Metric::MachineMemory(value),
-        _ => return None,
-    })
+    let value = message.attribute("value").and_then(AttributeValue::number);
+    Some(
+        match (
+            message.attribute("note").and_then(AttributeValue::text)?,
+            value,
+        ) {
+            ("running", _) => Metric::Running,
+            ("use_cpu", Some(value)) => Metric::Cores(value),
+            ("use_ram", Some(value)) => Metric::Memory(value),
+            ("health", Some(value)) => Metric::Served(value),
+            ("ram_high", Some(value)) => Metric::MachineMemory(value),
+            _ => return None,
+        },
+    )
 }
 
 fn load(message: &node::Message) -> Option<LoadReport> {
-    let pairs = report(message.attr("load")?.text()?).ok()?;
+    let pairs = parse_load_report(message.attribute("load")?.text()?).ok()?;
     let value = |name| {
         pairs
             .iter()
@@ -219,7 +226,7 @@
 }
 
 fn reason(message: &node::Message) -> Option<ReturnReason> {
-    Some(match message.attr("note")?.text()? {
+    Some(match message.attribute("note")?.text()? {
         "lack_cpu" => ReturnReason::NoCores,
         "lack_ram" => ReturnReason::NoMemory,
         "backlog" => ReturnReason::QueueFull,
--- a/crates/platform/src/core/replies.rs
+++ b/crates/platform/src/core/replies.rs
@@ -3,17 +3,17 @@
 use super::clients::Owner;
 use super::tasks::{Placing, Stage};
 use super::*;
-use corkspan_platform_wire::owner::{self, Kind};
+use corkspan_platform_wire::client::{self, MessageType};
 
 impl Port {
     pub(super) fn say(
         &mut self,
         to: OwnerId,
-        kind: Kind,
+        kind: MessageType,
         task: u64,
         parameters: &[(u8, &[u8])],
     ) -> bool {
-        let Some(bytes) = owner::message(kind, task, parameters) else {
+        let Some(bytes) = client::encode(kind, task, parameters) else {
             return false;
         };
         self.owners
@@ -23,7 +23,7 @@
 
     /// A set-up has failed, or was refused.
     pub(super) fn release(&mut self, to: OwnerId, task: u64, cause: u8) {
-        self.say(to, Kind::Release, task, &[(owner::CAUSE, &[cause])]);
+        self.say(to, MessageType::Release, task, &[(client::CAUSE, &[cause])]);
     }
 
     /// The end of what stood: on the connection of its set-up, else on any, else on the next that
@@ -31,11 +31,11 @@
     pub(super) fn say_over(
         &mut self,
         to: OwnerId,
-        kind: Kind,
+        kind: MessageType,
         task: u64,
         parameters: &[(u8, &[u8])],
     ) {
-        let Some(bytes) = owner::message(kind, task, parameters) else {
+        let Some(bytes) = client::encode(kind, task, parameters) else {
             return;
         };
         if !self
--- a/crates/platform/src/core/running_tasks.rs
+++ b/crates/platform/src/core/running_tasks.rs
@@ -2,7 +2,7 @@
 
 use super::tasks::{Out, Placing, sid};
 use super::*;
-use corkspan_platform_wire::owner::{self, Kind};
+use corkspan_platform_wire::client::{self, MessageType};
 use tracing::debug;
 
 impl Port {
@@ -16,7 +16,7 @@
         cause: u32,
     ) {
         if let Some(out) = out {
-            let message = node::Message::new(node::Kind::Close, task).code(cause);
+            let message = node::Message::new(node::MessageType::Close, task).with_cause(cause);
             self.tell_node(out.machine, out.link, &message, Takes::Any);
         }
         self.due.insert((now + CUT_WITHIN, Due::Cut(id)));
@@ -66,7 +66,7 @@
             } else {
                 41
             };
-            self.say_over(to, Kind::Release, task, &[(owner::CAUSE, &[cause])]);
+            self.say_over(to, MessageType::Release, task, &[(client::CAUSE, &[cause])]);
         }
         self.nodes.stands_no_more(out.machine, id);
         host.returned(now, id, out.number, ending, reason, true, report, self);
--- a/crates/platform/src/core/set_ups.rs
+++ b/crates/platform/src/core/set_ups.rs
@@ -3,7 +3,7 @@
 use super::tasks::{Out, Placing, Stage, sid};
 use super::*;
 use corkspan_engine::{Asked, service};
-use corkspan_platform_wire::owner::{self, Message, SetUp};
+use corkspan_platform_wire::client::{self, Message, SetUp};
 use tracing::debug;
 
 impl Port {
@@ -30,25 +30,25 @@
             Err(_) if mine => return Err(()),
             Err(why) => {
                 debug!(%why, "a set-up that can't be used");
-                self.release(from, task, owner::CAUSE_FAILED);
+                self.release(from, task, client::CAUSE_FAILED);
                 return Ok(false);
             }
         };
-        if known && set_up.at.is_some() {
+        if known && set_up.running_on.is_some() {
             return Ok(true);
         }
         if mine {
             return Err(());
         }
         if known {
-            self.release(from, task, owner::CAUSE_FAILED);
+            self.release(from, task, client::CAUSE_FAILED);
             return Ok(false);
         }
-        if open >= OPEN_A_CONNECTION || self.stops && set_up.at.is_none() {
-            self.release(from, task, owner::CAUSE_REFUSED);
+        if open >= OPEN_A_CONNECTION || self.stops && set_up.running_on.is_none() {
+            self.release(from, task, client::CAUSE_REJECTED);
             return Ok(false);
         }
-        Ok(match set_up.at.take() {
+        Ok(match set_up.running_on.take() {
             Some(at) => self.take_running(now, host, from, set_up, asked, &at),
             None => self.take_new(now, host, from, set_up, asked),
         })
@@ -113,7 +113,7 @@
         let task = set_up.task;
         let placing = Placing::new(from, set_up, asked.abandon + ON_THE_WAY);
         let Ok(id) = host.take(now, &sid(task), asked, placing) else {
-            self.release(from, task, owner::CAUSE_REFUSED);
+            self.release(from, task, client::CAUSE_REJECTED);
             return false;
         };
         self.owed.insert(id);
@@ -137,10 +137,10 @@
         };
         // A task that stands already has no deadline: what is told as time left there means
         // nothing.
-        let left_ms = if set_up.at.is_some() {
+        let left_ms = if set_up.running_on.is_some() {
             LONGEST
         } else {
-            set_up.left_ms
+            set_up.time_left_ms
         };
         if left_ms == 0 || left_ms > LONGEST {
             return Err(format!("no owner waits for {left_ms} ms"));
@@ -152,7 +152,7 @@
             return Err("a name of over 256 bytes".into());
         }
         let track = track.ok_or_else(|| format!("no class `{:.40}`", set_up.class))?;
-        if facts.keyed(track) && set_up.mark.is_none() && set_up.at.is_none() {
+        if facts.keyed(track) && set_up.idempotency_key.is_none() && set_up.running_on.is_none() {
             return Err("no key, which its class needs".into());
         }
         let asks = Resources {
@@ -192,7 +192,7 @@
         match placing.stage {
             Stage::Asked => self.give_up(now, host, id),
             Stage::Stands => {
-                let cause = u32::from(message.cause().unwrap_or(owner::CAUSE_GIVEN_UP));
+                let cause = u32::from(message.cause().unwrap_or(client::CAUSE_NORMAL));
                 self.stood(placing);
                 let out = placing.out;
                 self.cut(now, id, message.task, out, cause);
--- a/crates/platform/src/core/tasks.rs
+++ b/crates/platform/src/core/tasks.rs
@@ -1,7 +1,7 @@
 //! What is kept for an allocation in hand, and what falls due for it.
 
 use crate::ids::{LinkId, OwnerId};
-use corkspan_platform_wire::owner::SetUp;
+use corkspan_platform_wire::client::SetUp;
 use corkspan_scheduler::interface::*;
 
 /// How far an allocation has come with its owner.
@@ -54,7 +54,7 @@
             owner,
             class: set_up.class,
             name: set_up.name,
-            mark: set_up.mark,
+            mark: set_up.idempotency_key,
             description: set_up.description,
             until,
             stage: Stage::Asked,
--- a/crates/platform/src/feed.rs
+++ b/crates/platform/src/feed.rs
@@ -4,8 +4,8 @@
 use crate::handle::Desk;
 use async_net::TcpStream;
 use bytes::Bytes;
-use corkspan_platform_wire::Garbled;
-use corkspan_platform_wire::feed::{Reader, Told};
+use corkspan_platform_wire::ProtocolError;
+use corkspan_platform_wire::discovery::{FeedItem, Reader};
 use corkspan_runtime::within;
 use futures_lite::FutureExt;
 use http_body_util::{BodyExt, Empty};
@@ -35,7 +35,7 @@
     #[error("status {0}")]
     Status(http::StatusCode),
     #[error(transparent)]
-    Garbled(#[from] Garbled),
+    ProtocolError(#[from] ProtocolError),
     #[error("no HTTP: {0}")]
     NotHttp(#[from] hyper::Error),
     #[error("no request: {0}")]
@@ -116,10 +116,10 @@
                 .ok_or(Broken::Silent)?
                 .ok_or(Broken::Ended)??;
             reader.push(frame.data_ref().map_or(&[][..], |bytes| bytes));
-            while let Some(told) = reader.told()? {
+            while let Some(told) = reader.next_item()? {
                 heard = Instant::now();
-                if let Told::Event(event) = told {
-                    let (last, n) = (desk.last_event(), event.n);
+                if let FeedItem::Event(event) = told {
+                    let (last, n) = (desk.last_event(), event.number);
                     // What is missing between them is told after another call. If it is missing
                     // there too, the feed has no more to tell of it.
                     if n > last + 1 && !std::mem::take(&mut first) {
--- a/crates/platform/src/handle.rs
+++ b/crates/platform/src/handle.rs
@@ -4,11 +4,11 @@
 use crate::ids::{AttemptId, LinkId, OwnerId};
 use crate::input::{Heard, Input};
 use crate::outbox::Inbox;
-use corkspan_platform_wire::feed::Event;
-use corkspan_platform_wire::file::{Known, Posting};
-use corkspan_platform_wire::node;
 #[cfg(test)]
-use corkspan_platform_wire::owner::Message;
+use corkspan_platform_wire::client::Message;
+use corkspan_platform_wire::discovery::Event;
+use corkspan_platform_wire::node;
+use corkspan_platform_wire::node_config::{DiscoveryState, NodeConfig};
 use corkspan_runtime::clock::{Clock, duration};
 use corkspan_scheduler::interface::Ticks;
 use std::sync::{Arc, Mutex, MutexGuard, Weak};
@@ -151,7 +151,7 @@
     }
 
     /// The file has been replaced: other settings may be in force from here on.
-    pub fn reposted(&self, posting: Posting) -> Result<(), String> {
+    pub fn reposted(&self, posting: NodeConfig) -> Result<(), String> {
         self.enter(|core, now| core.reposted(now, posting))
     }
 
@@ -182,7 +182,7 @@
 
     /// What another file says that the feed has told. Only what follows on what is known already,
     /// or is whole: the rest is told by the feed.
-    pub fn known(&self, known: Known) {
+    pub fn known(&self, known: DiscoveryState) {
         self.enter(|core, now| core.known(now, known))
     }
 
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -19,7 +19,7 @@
 use crate::core::Start;
 use async_io::Timer;
 use async_net::TcpListener;
-use corkspan_platform_wire::file::{Posting, Unreadable};
+use corkspan_platform_wire::node_config::{NodeConfig, NodeConfigError};
 use corkspan_runtime::clock::Clock;
 use corkspan_runtime::{Signal, Tasks, signals};
 use effects::{Calls, TaskEffects};
@@ -39,7 +39,7 @@
     #[error("can't read {path}: {why}")]
     File { path: PathBuf, why: std::io::Error },
     #[error("{path}: {why}")]
-    Posting { path: PathBuf, why: Unreadable },
+    NodeConfig { path: PathBuf, why: NodeConfigError },
     #[error("{path}: {why}")]
     Facts { path: PathBuf, why: String },
     #[error("can't listen on {address}: {why}")]
@@ -55,12 +55,12 @@
 /// Between two looks for connections that are silent, idle or missing.
 const SWEEP: Duration = Duration::from_millis(250);
 
-fn read(path: &Path) -> Result<Posting, Failure> {
+fn read(path: &Path) -> Result<NodeConfig, Failure> {
     let text = std::fs::read(path).map_err(|why| Failure::File {
         path: path.into(),
         why,
     })?;
-    Posting::read(&text).map_err(|why| Failure::Posting {
+    NodeConfig::from_json(&text).map_err(|why| Failure::NodeConfig {
         path: path.into(),
         why,
     })
@@ -96,7 +96,7 @@
             why,
         });
     }
-    let (address, feed) = (posting.listen, posting.feed);
+    let (address, feed) = (posting.listen, posting.discovery_address);
     let (calls, called) = calls();
     let (moves, moved) = async_channel::bounded(1);
     let start = Start::new(posting, &places).map_err(|why| Failure::Facts {
@@ -220,8 +220,8 @@
 fn reread(desk: &Arc<Desk>, path: &Path, moves: &async_channel::Sender<SocketAddr>) {
     match read(path) {
         Ok(posting) => {
-            let _ = moves.force_send(posting.feed);
-            desk.known(posting.known.clone());
+            let _ = moves.force_send(posting.discovery_address);
+            desk.known(posting.discovery_state.clone());
             if let Err(why) = desk.reposted(posting) {
                 warn!(%why, "the new file's settings are not taken over");
             }
--- a/crates/platform/src/links.rs
+++ b/crates/platform/src/links.rs
@@ -39,7 +39,7 @@
     desk.link_up(id);
     let (input, mut reader) = (Input::new(stream.clone()), Reader::default());
     let hear = || loop {
-        match reader.message() {
+        match reader.next_message() {
             Ok(Some(message)) => {
                 return if desk.node_said(id, message) {
                     Heard::One
--- a/crates/platform/src/nodes.rs
+++ b/crates/platform/src/nodes.rs
@@ -1,6 +1,6 @@
 //! The nodes by name and address, and what stands on them.
 
-use corkspan_platform_wire::feed::{self, Member, Members, Phase};
+use corkspan_platform_wire::discovery::{self, NodeEntry, NodeList, Phase};
 use corkspan_scheduler::interface::*;
 use corkspan_settings::Facts;
 use fnv::FnvHasher;
@@ -49,10 +49,10 @@
     MachineId((hash ^ hash >> 32) as u32)
 }
 
-fn readable(entry: &feed::Entry) -> Option<&Member> {
+fn readable(entry: &discovery::ListEntry) -> Option<&NodeEntry> {
     match entry {
-        feed::Entry::Member(member) => Some(member),
-        feed::Entry::Unreadable(what) => {
+        discovery::ListEntry::Node(member) => Some(member),
+        discovery::ListEntry::Unreadable(what) => {
             warn!(%what, "an entry of the list that can't be read is left out");
             None
         }
@@ -132,10 +132,10 @@
         unheard
     }
 
-    pub fn listed(&mut self, members: &Members, facts: &Facts) -> Listed {
+    pub fn listed(&mut self, members: &NodeList, facts: &Facts) -> Listed {
         let mut listed = Listed::default();
-        let told: Vec<&Member> = members.members.iter().filter_map(readable).collect();
-        listed.whole = members.complete && told.len() == members.members.len();
+        let told: Vec<&NodeEntry> = members.entries.iter().filter_map(readable).collect();
+        listed.whole = members.complete && told.len() == members.entries.len();
         if listed.whole {
             let told = |id: &MachineId| told.iter().any(|member| machine(&member.id) == *id);
             listed.gone = self.nodes.keys().copied().filter(|id| !told(id)).collect();
@@ -156,14 +156,14 @@
             }
             let node = self.nodes.entry(id).or_insert_with(|| Node {
                 name: member.id.clone(),
-                address: member.host_port,
+                address: member.address,
                 started: member.up_since_ms,
                 leaving: false,
                 shut: false,
                 unheard: None,
                 standing: BTreeSet::new(),
             });
-            node.address = member.host_port;
+            node.address = member.address;
             node.leaving = entry.state == MachineState::Draining;
             node.shut &= node.leaving;
             if std::mem::replace(&mut node.started, member.up_since_ms) != member.up_since_ms {
@@ -187,7 +187,7 @@
         self.nodes.remove(&machine);
     }
 
-    fn entry(&self, member: &Member, facts: &Facts) -> Option<Endpoint> {
+    fn entry(&self, member: &NodeEntry, facts: &Facts) -> Option<Endpoint> {
         let id = machine(&member.id);
         let stranger = self
             .nodes
@@ -195,24 +195,24 @@
             .is_some_and(|node| node.name != member.id);
         Some(Endpoint {
             machine: id,
-            machine_type: MachineTypeId(facts.skus.iter().position(|kind| *kind == member.flavor)?),
-            zone: ZoneId(
+            machine_type: MachineTypeId(
                 facts
-                    .zones
+                    .skus
                     .iter()
-                    .position(|zone| *zone == member.locality)?,
+                    .position(|kind| *kind == member.machine_type)?,
             ),
+            zone: ZoneId(facts.zones.iter().position(|zone| *zone == member.zone)?),
             cell: CellId(member.cell),
             state: match member.phase {
                 Phase::Active => MachineState::Serving,
-                Phase::Leaving => MachineState::Draining,
-                Phase::Left => MachineState::Removed,
+                Phase::Draining => MachineState::Draining,
+                Phase::Gone => MachineState::Removed,
             },
             // No sum with a time that was told may pass the end of the scale.
             started_at: (member.up_since_ms > 0)
                 .then(|| member.up_since_ms.saturating_mul(10).min(LATEST)),
             unreserved: member
-                .unasked
+                .unrequested
                 .map(|(cores, memory)| Resources { cores, memory }),
         })
         .filter(|_| !stranger)
--- a/crates/platform/tests/crossings/mod.rs
+++ b/crates/platform/tests/crossings/mod.rs
@@ -2,8 +2,8 @@
 //! answer or a signal.
 
 use crate::world::*;
+use corkspan_platform_wire::client::{CAUSE, DESCRIPTION, MessageType, REQUIREMENTS, TIME_LEFT};
 use corkspan_platform_wire::node;
-use corkspan_platform_wire::owner::{CAUSE, DESCRIPTION, EXTRAS, Kind, LEFT};
 use corkspan_runtime::Signal;
 use std::io::Write;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -11,13 +11,13 @@
 use test_case::test_case;
 
 fn close(task: u64, cause: u32) -> node::Message {
-    node::Message::new(node::Kind::Close, task).code(cause)
+    node::Message::new(node::MessageType::Close, task).with_cause(cause)
 }
 
 fn note(mut message: node::Message, note: &str) -> node::Message {
     message
-        .attrs
-        .insert("note".into(), node::Value::Text(note.into()));
+        .attributes
+        .insert("note".into(), node::AttributeValue::Text(note.into()));
     message
 }
 
@@ -25,14 +25,17 @@
 fn attempt(world: &mut World, task: u64) -> Link {
     let mut link = world.nodes[0].opened();
     let open = link.hears();
-    assert_eq!((open.kind, open.sid), (node::Kind::Open, Some(task)));
+    assert_eq!(
+        (open.message_type, open.task_id),
+        (node::MessageType::Open, Some(task))
+    );
     link
 }
 
 /// Its line is full for a moment: the next attempt goes to the same node, the only one.
 fn refused(link: &mut Link, task: u64) {
     link.says(note(close(task, 34), "backlog"));
-    assert_eq!(link.hears().kind, node::Kind::Closed);
+    assert_eq!(link.hears().message_type, node::MessageType::Closed);
 }
 
 /// The first attempt was refused, and the second is out at the same node: the owner, and both
@@ -67,7 +70,7 @@
 #[test_case(close(7, 16); "ended")]
 #[test_case(close(7, 41); "broken off")]
 #[test_case(ready(7, "late"); "answered")]
-#[test_case(node::Message::new(node::Kind::Event, 7); "noted")]
+#[test_case(node::Message::new(node::MessageType::Event, 7); "noted")]
 fn what_a_node_says_late_of_an_earlier_attempt_is_not_taken_for_the_next(late: node::Message) {
     let (_world, mut owner, mut first, mut second) = attempted_twice();
     first.says(late);
@@ -77,7 +80,7 @@
         "it is still waited for, and no other goes out beside it"
     );
     second.says(ready(7, "made"));
-    assert_eq!(owner.hears().bytes(DESCRIPTION), Some(&b"made"[..]));
+    assert_eq!(owner.hears().parameter(DESCRIPTION), Some(&b"made"[..]));
 }
 
 #[test_case(close(7, 34))]
@@ -86,11 +89,11 @@
 fn what_a_node_says_late_of_an_earlier_attempt_ends_nothing_that_stands(late: node::Message) {
     let (_world, mut owner, mut first, mut second) = attempted_twice();
     second.says(ready(7, "made"));
-    assert_eq!(owner.hears().kind, Kind::Answer);
+    assert_eq!(owner.hears().message_type, MessageType::Answer);
     first.says(late);
     assert!(owner.silent_for(Duration::from_millis(200)), "it stands");
     second.says(close(7, 16));
-    assert_eq!(owner.hears().kind, Kind::Release);
+    assert_eq!(owner.hears().message_type, MessageType::Release);
 }
 
 /// The connection of its set-up ends, and its node tells its end on the other one that is open.
@@ -103,7 +106,7 @@
 ) {
     let (_world, mut owner, mut first, mut second) = attempted_twice();
     second.says(ready(7, "made"));
-    assert_eq!(owner.hears().kind, Kind::Answer);
+    assert_eq!(owner.hears().message_type, MessageType::Answer);
     drop(second);
     // Loopback keeps no order between connections: the end of the other one is read by then.
     assert!(owner.silent_for(Duration::from_millis(100)));
@@ -115,8 +118,8 @@
     first.says(release);
     let told = owner.hears();
     assert_eq!(
-        (told.kind, told.bytes(CAUSE)),
-        (Kind::Release, Some(&[cause][..]))
+        (told.message_type, told.parameter(CAUSE)),
+        (MessageType::Release, Some(&[cause][..]))
     );
 }
 
@@ -127,10 +130,10 @@
     link.says(close(7, 34));
     let release = owner.hears();
     assert_eq!(
-        (release.kind, release.bytes(CAUSE)),
-        (Kind::Release, Some(&[41][..]))
+        (release.message_type, release.parameter(CAUSE)),
+        (MessageType::Release, Some(&[41][..]))
     );
-    assert_eq!(link.hears().kind, node::Kind::Closed);
+    assert_eq!(link.hears().message_type, node::MessageType::Closed);
     assert_eq!(
         link.hears(),
         close(7, 16),
@@ -174,7 +177,7 @@
     world.tell(0, "active");
     let mut new = attempt(&mut world, 7);
     new.says(ready(7, "made"));
-    assert_eq!(owner.hears().bytes(DESCRIPTION), Some(&b"made"[..]));
+    assert_eq!(owner.hears().parameter(DESCRIPTION), Some(&b"made"[..]));
     let mut old = old;
     assert!(old.ends(), "nothing was written on the other");
 }
@@ -185,12 +188,12 @@
     let (owner, mut link) = world.placed(7);
     drop(owner);
     link.says(close(7, 16));
-    assert_eq!(link.hears().kind, node::Kind::Closed);
+    assert_eq!(link.hears().message_type, node::MessageType::Closed);
     let mut next = world.owner();
-    next.says(Kind::Test, 1, &[(CAUSE, &[0])]);
-    let said = [next.hears().kind, next.hears().kind];
+    next.says(MessageType::HealthCheck, 1, &[(CAUSE, &[0])]);
+    let said = [next.hears().message_type, next.hears().message_type];
     assert!(
-        said.contains(&Kind::Release) && said.contains(&Kind::Tested),
+        said.contains(&MessageType::Release) && said.contains(&MessageType::HealthCheckReply),
         "{said:?}"
     );
 }
@@ -211,9 +214,9 @@
     world.signal(Signal::Term);
     std::thread::sleep(Duration::from_millis(550));
     let mut late = world.owner();
-    late.sets_up(8, &[(LEFT, b"800")]);
-    assert_eq!(owner.hears().kind, Kind::Release);
-    assert_eq!(late.hears().kind, Kind::Release);
+    late.sets_up(8, &[(TIME_LEFT, b"800")]);
+    assert_eq!(owner.hears().message_type, MessageType::Release);
+    assert_eq!(late.hears().message_type, MessageType::Release);
     assert!(world.ended());
     assert!(
         since.elapsed() < Duration::from_millis(1_500),
@@ -237,7 +240,7 @@
     }
     let first = owner.hears();
     assert!(
-        first.task > 8 && first.bytes(CAUSE) == Some(&[34]),
+        first.task > 8 && first.parameter(CAUSE) == Some(&[34]),
         "{first:?} before all that have attempts out"
     );
     assert!(world.ended());
@@ -258,7 +261,7 @@
     world.signal(Signal::Term);
     world.signal(Signal::Term);
     link.says(ready(7, "made"));
-    assert_eq!(owner.hears().kind, Kind::Answer);
+    assert_eq!(owner.hears().message_type, MessageType::Answer);
     assert!(world.ended());
 }
 
@@ -273,7 +276,7 @@
     world.move_feed();
     world.signal(Signal::Hup);
     assert_eq!(world.feed.asked(), 1);
-    assert_eq!(owner.hears().kind, Kind::Release);
+    assert_eq!(owner.hears().message_type, MessageType::Release);
     assert!(world.ended());
 }
 
@@ -292,7 +295,7 @@
     assert!(world.ended());
     for owner in &mut owners {
         for _ in 0..4 {
-            assert_eq!(owner.hears().kind, Kind::Release);
+            assert_eq!(owner.hears().message_type, MessageType::Release);
         }
         assert!(owner.closed());
     }
@@ -309,8 +312,8 @@
     let world = World::by(1, false, 256, address, &[]);
     gone.join().expect("it stopped");
     let mut owner = world.owner();
-    owner.says(Kind::Test, 1, &[(CAUSE, &[0])]);
-    assert_eq!(owner.hears().kind, Kind::Tested);
+    owner.says(MessageType::HealthCheck, 1, &[(CAUSE, &[0])]);
+    assert_eq!(owner.hears().message_type, MessageType::HealthCheckReply);
 }
 
 #[test]
@@ -328,8 +331,11 @@
 fn a_task_on_a_node_whose_name_is_unknown_is_told_over_and_held_by_nobody() {
     let world = World::new(1);
     let mut owner = world.owner();
-    owner.sets_up(7, &[(EXTRAS, b"cores:1;memory:1;service:a;at:s-ffffffff")]);
-    assert_eq!(owner.hears().kind, Kind::Release);
+    owner.sets_up(
+        7,
+        &[(REQUIREMENTS, b"cores:1;memory:1;service:a;at:s-ffffffff")],
+    );
+    assert_eq!(owner.hears().message_type, MessageType::Release);
 }
 
 const HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n";
@@ -402,7 +408,7 @@
             close(task, 34)
         }
     });
-    assert_eq!(owner.hears().kind, Kind::Answer);
+    assert_eq!(owner.hears().message_type, MessageType::Answer);
     assert!(
         since.elapsed() < Duration::from_secs(5),
         "{:?}",
--- a/crates/platform/tests/desk/bounds.rs
+++ b/crates/platform/tests/desk/bounds.rs
@@ -4,8 +4,8 @@
 use super::*;
 use crate::effects::{Calls, TaskEffects};
 use crate::handle::Desk;
-use corkspan_platform_wire::node::Value;
-use corkspan_platform_wire::owner::{self, Kind, Message, Reader};
+use corkspan_platform_wire::client::{self, Message, MessageType, Reader};
+use corkspan_platform_wire::node::AttributeValue;
 use corkspan_runtime::Tasks;
 use corkspan_runtime::clock::Clock;
 
@@ -28,14 +28,14 @@
 
 pub(super) fn message(task: u64, figures: &str) -> Message {
     let parameters: [(u8, &[u8]); 4] = [
-        (owner::CLASS, b"batch"),
-        (owner::LEFT, b"6000"),
-        (owner::NAME, b"a"),
-        (owner::EXTRAS, figures.as_bytes()),
+        (client::CLASS, b"batch"),
+        (client::TIME_LEFT, b"6000"),
+        (client::TASK_NAME, b"a"),
+        (client::REQUIREMENTS, figures.as_bytes()),
     ];
     let mut reader = Reader::default();
-    reader.push(&owner::message(Kind::SetUp, task, &parameters).expect("short"));
-    reader.message().expect("sound").expect("whole")
+    reader.push(&client::encode(MessageType::SetUp, task, &parameters).expect("short"));
+    reader.next_message().expect("sound").expect("whole")
 }
 
 pub(super) fn desk() -> Arc<Desk> {
@@ -43,13 +43,13 @@
 }
 
 pub(super) fn posted(posting: &str) -> Arc<Desk> {
-    let posting = Posting::read(posting.as_bytes()).expect("sound");
+    let posting = NodeConfig::from_json(posting.as_bytes()).expect("sound");
     started(posting, &Places::of(256)).0
 }
 
 /// A desk whose effects nobody carries out, and what asks for the list to be watched.
 pub(super) fn started(
-    posting: Posting,
+    posting: NodeConfig,
     places: &Places,
 ) -> (Arc<Desk>, async_channel::Receiver<()>) {
     let (wakes, _waking) = async_channel::bounded(1);
@@ -104,16 +104,20 @@
             link,
             node::Message {
                 text: Some("made".into()),
-                ..said(node::Kind::Ready)
+                ..said(node::MessageType::Ready)
             }
         ));
         for (note, value) in [("running", 1.0), ("use_cpu", 0.5), ("use_ram", 0.5)] {
-            let mut event = said(node::Kind::Event);
-            event.attrs.insert("note".into(), Value::Text(note.into()));
-            event.attrs.insert("value".into(), Value::Number(value));
+            let mut event = said(node::MessageType::Event);
+            event
+                .attributes
+                .insert("note".into(), AttributeValue::Text(note.into()));
+            event
+                .attributes
+                .insert("value".into(), AttributeValue::Number(value));
             assert!(desk.node_said(link, event));
         }
-        assert!(desk.node_said(link, said(node::Kind::Close).code(16)));
+        assert!(desk.node_said(link, said(node::MessageType::Close).with_cause(16)));
         desk.owner_left(id);
         if round % 100 == 0 {
             // The decisions look around by the clock, which this test outruns.
@@ -204,7 +208,7 @@
         answer_tests(&mut desk.lock());
         let made = node::Message {
             text: Some("made".into()),
-            ..node::Message::new(node::Kind::Ready, task)
+            ..node::Message::new(node::MessageType::Ready, task)
         };
         assert!(desk.node_said(link, made));
     }
@@ -271,9 +275,12 @@
     for (link, task) in stood {
         if !desk.lock().port.links.stands(link) {
             gone += 1;
-            assert!(desk.node_said(link, node::Message::new(node::Kind::Close, task).code(16)));
-            let released =
-                owner::message(Kind::Release, task, &[(owner::CAUSE, &[16])]).expect("short");
+            assert!(desk.node_said(
+                link,
+                node::Message::new(node::MessageType::Close, task).with_cause(16)
+            ));
+            let released = client::encode(MessageType::Release, task, &[(client::CAUSE, &[16])])
+                .expect("short");
             assert_eq!(inbox.waiting().last(), Some(&released), "task {task}");
         }
     }
@@ -290,7 +297,7 @@
         answer_tests(&mut desk.lock());
         let made = node::Message {
             text: Some("made".into()),
-            ..node::Message::new(node::Kind::Ready, task)
+            ..node::Message::new(node::MessageType::Ready, task)
         };
         assert!(desk.node_said(link, made));
         let (open, closing) = desk.lock().port.links.counts();
@@ -311,8 +318,12 @@
     for task in 1_000..1_200 {
         assert!(desk.owner_said(owner, &set_up(task)));
     }
-    assert!(desk.node_said(link, node::Message::new(node::Kind::Close, 20).code(16)));
-    let released = owner::message(Kind::Release, 20, &[(owner::CAUSE, &[16])]).expect("short");
+    assert!(desk.node_said(
+        link,
+        node::Message::new(node::MessageType::Close, 20).with_cause(16)
+    ));
+    let released =
+        client::encode(MessageType::Release, 20, &[(client::CAUSE, &[16])]).expect("short");
     assert_eq!(inbox.waiting(), [released]);
     let waits = || desk.lock().host.counts();
     assert_eq!(
--- a/crates/platform/tests/desk/crossings.rs
+++ b/crates/platform/tests/desk/crossings.rs
@@ -7,8 +7,8 @@
 use super::*;
 use crate::handle::Desk;
 use async_lock::Semaphore;
-use corkspan_platform_wire::node::Value;
-use corkspan_platform_wire::owner::{self, Kind};
+use corkspan_platform_wire::client::{self, MessageType};
+use corkspan_platform_wire::node::AttributeValue;
 use corkspan_runtime::clock::duration;
 use std::io::Write;
 use std::net::{Shutdown, TcpListener, TcpStream};
@@ -34,12 +34,12 @@
 
 fn bytes(task: u64) -> Vec<u8> {
     let parameters: [(u8, &[u8]); 4] = [
-        (owner::CLASS, b"batch"),
-        (owner::LEFT, b"6000"),
-        (owner::NAME, b"a"),
-        (owner::EXTRAS, b"cores:1;memory:1;service:a"),
+        (client::CLASS, b"batch"),
+        (client::TIME_LEFT, b"6000"),
+        (client::TASK_NAME, b"a"),
+        (client::REQUIREMENTS, b"cores:1;memory:1;service:a"),
     ];
-    owner::message(Kind::SetUp, task, &parameters).expect("short")
+    client::encode(MessageType::SetUp, task, &parameters).expect("short")
 }
 
 /// An owner's connection whose first set-up has been heard, and the owner's end of it.
@@ -82,9 +82,9 @@
             None
         }
         Goes::Cancels => {
-            let cause = [owner::CAUSE_GIVEN_UP];
-            let release =
-                owner::message(Kind::Release, task, &[(owner::CAUSE, &cause)]).expect("short");
+            let cause = [client::CAUSE_NORMAL];
+            let release = client::encode(MessageType::Release, task, &[(client::CAUSE, &cause)])
+                .expect("short");
             peer.write_all(&release).expect("written");
             Some(peer)
         }
@@ -151,11 +151,11 @@
     desk.link_up(link);
     assert!(desk.begins(link, attempt));
     let _kept = goes(how, 7, peer);
-    let mut refusal = node::Message::new(node::Kind::Close, 7).code(34);
+    let mut refusal = node::Message::new(node::MessageType::Close, 7).with_cause(34);
     // Its line is full for a moment: the only node there is may be asked again soon.
     refusal
-        .attrs
-        .insert("note".into(), Value::Text("backlog".into()));
+        .attributes
+        .insert("note".into(), AttributeValue::Text("backlog".into()));
     assert!(desk.node_said(link, refusal));
     std::thread::sleep(duration(SECOND / 4));
     desk.woken();
@@ -174,10 +174,11 @@
     assert!(desk.begins(link, attempt));
     let made = node::Message {
         text: Some("made".into()),
-        ..node::Message::new(node::Kind::Ready, 7)
+        ..node::Message::new(node::MessageType::Ready, 7)
     };
     assert!(desk.node_said(link, made));
-    let release = owner::message(Kind::Release, 7, &[(owner::CAUSE, &[16])]).expect("short");
+    let release =
+        client::encode(MessageType::Release, 7, &[(client::CAUSE, &[16])]).expect("short");
     peer.write_all(&release).expect("written");
     drop(peer);
     while desk.owner_heard(id) != Heard::Enough {}
@@ -226,7 +227,7 @@
     assert!(desk.begins(link, attempt));
     let made = node::Message {
         text: Some("made".into()),
-        ..node::Message::new(node::Kind::Ready, 6)
+        ..node::Message::new(node::MessageType::Ready, 6)
     };
     assert!(desk.node_said(link, made));
     assert!(desk.owner_said(id, &set_up(7)));
@@ -241,8 +242,12 @@
         desk.link_ended(link, End::Broke);
     }
     while desk.turn() {}
-    let failed =
-        owner::message(Kind::Release, 7, &[(owner::CAUSE, &[owner::CAUSE_FAILED])]).expect("short");
+    let failed = client::encode(
+        MessageType::Release,
+        7,
+        &[(client::CAUSE, &[client::CAUSE_FAILED])],
+    )
+    .expect("short");
     assert!(
         !inbox.waiting().contains(&failed),
         "it is tried again or refused, not failed"
@@ -262,7 +267,12 @@
     assert!(desk.owner_said(id, &set_up(7)));
     desk.enter(|core, now| {
         core.with(now, |_, port| {
-            while port.say(id, Kind::Tested, 1, &[(owner::CAUSE, &[1])]) {}
+            while port.say(
+                id,
+                MessageType::HealthCheckReply,
+                1,
+                &[(client::CAUSE, &[1])],
+            ) {}
         });
     });
     let place = Arc::new(Semaphore::new(1)).try_acquire_arc().expect("free");
@@ -293,10 +303,14 @@
     port.now = until;
     let made = node::Message {
         text: Some("made".into()),
-        ..node::Message::new(node::Kind::Ready, 7)
+        ..node::Message::new(node::MessageType::Ready, 7)
     };
     assert!(port.node_said(until, host, link, machine, made));
-    let failed =
-        owner::message(Kind::Release, 7, &[(owner::CAUSE, &[owner::CAUSE_FAILED])]).expect("short");
+    let failed = client::encode(
+        MessageType::Release,
+        7,
+        &[(client::CAUSE, &[client::CAUSE_FAILED])],
+    )
+    .expect("short");
     assert_eq!(inbox.waiting(), [failed]);
 }
--- a/crates/platform/tests/desk/transcript.rs
+++ b/crates/platform/tests/desk/transcript.rs
@@ -5,8 +5,8 @@
 use super::bounds::started;
 use super::*;
 use crate::handle::Desk;
-use corkspan_platform_wire::node::Value;
-use corkspan_platform_wire::owner::{self, Kind};
+use corkspan_platform_wire::client::{self, MessageType};
+use corkspan_platform_wire::node::AttributeValue;
 use std::collections::BTreeMap;
 use std::fmt::Write;
 use std::path::Path;
@@ -86,7 +86,7 @@
 
 impl Course {
     fn new(seed: u64) -> Course {
-        let posting = Posting::read(SETTINGS.as_bytes()).expect("sound");
+        let posting = NodeConfig::from_json(SETTINGS.as_bytes()).expect("sound");
         let asked = cluster(&posting.settings).expect("sound");
         let places = Places::of(posting.limits.sockets);
         let (desk, watching) = started(posting, &places);
@@ -195,11 +195,17 @@
         }
     }
 
-    fn client_says(&mut self, id: OwnerId, kind: Kind, task: u64, parameters: &[(u8, &[u8])]) {
-        let bytes = owner::message(kind, task, parameters).expect("short");
-        let mut reader = owner::Reader::default();
+    fn client_says(
+        &mut self,
+        id: OwnerId,
+        kind: MessageType,
+        task: u64,
+        parameters: &[(u8, &[u8])],
+    ) {
+        let bytes = client::encode(kind, task, parameters).expect("short");
+        let mut reader = client::Reader::default();
         reader.push(&bytes);
-        let message = reader.message().expect("sound").expect("whole");
+        let message = reader.next_message().expect("sound").expect("whole");
         let goes_on = self.desk.owner_said(id, &message);
         self.note(format_args!("client {} {} {goes_on}", id.0, hex(&bytes)));
         if !goes_on {
@@ -238,19 +244,19 @@
             .draws
             .of(&["acme", "bolt", "acme", "bolt", "acme", "nobody"]);
         let mut parameters: Vec<(u8, &[u8])> = vec![
-            (owner::CLASS, class.as_bytes()),
-            (owner::LEFT, left.as_bytes()),
-            (owner::NAME, b"7f"),
-            (owner::EXTRAS, figures.as_bytes()),
-            (owner::DESCRIPTION, b"what\r\n"),
+            (client::CLASS, class.as_bytes()),
+            (client::TIME_LEFT, left.as_bytes()),
+            (client::TASK_NAME, b"7f"),
+            (client::REQUIREMENTS, figures.as_bytes()),
+            (client::DESCRIPTION, b"what\r\n"),
         ];
         if self.draws.one_in(2) {
-            parameters.push((owner::TENANT, tenant.as_bytes()));
+            parameters.push((client::TENANT, tenant.as_bytes()));
         }
         if !self.draws.one_in(12) {
-            parameters.push((owner::MARK, b"k-1"));
+            parameters.push((client::IDEMPOTENCY_KEY, b"k-1"));
         }
-        self.client_says(id, Kind::SetUp, task, &parameters);
+        self.client_says(id, MessageType::SetUp, task, &parameters);
     }
 
     fn client_says_more(&mut self) {
@@ -259,14 +265,16 @@
         match self.draws.below(24) {
             0..14 => {
                 let cause = [self.draws.of(&[16u8, 31, 47])];
-                self.client_says(id, Kind::Release, task, &[(owner::CAUSE, &cause)]);
+                self.client_says(id, MessageType::Release, task, &[(client::CAUSE, &cause)]);
             }
-            14..17 => self.client_says(id, Kind::Release, task, &[]),
-            17..20 => self.client_says(id, Kind::Test, task, &[(owner::CAUSE, &[0])]),
-            20 => self.client_says(id, Kind::Progress, task, &[]),
-            21 => self.client_says(id, Kind::Heard, task, &[]),
-            22 => self.client_says(id, Kind::Answer, task, &[]),
-            _ => self.client_says(id, Kind::Move, task, &[]),
+            14..17 => self.client_says(id, MessageType::Release, task, &[]),
+            17..20 => {
+                self.client_says(id, MessageType::HealthCheck, task, &[(client::CAUSE, &[0])])
+            }
+            20 => self.client_says(id, MessageType::Progress, task, &[]),
+            21 => self.client_says(id, MessageType::Acknowledge, task, &[]),
+            22 => self.client_says(id, MessageType::Answer, task, &[]),
+            _ => self.client_says(id, MessageType::Migrate, task, &[]),
         }
     }
 
@@ -325,7 +333,7 @@
         };
         for test in tests {
             let code = self.draws.of(&[1, 1, 1, 0]);
-            let message = node::Message::new(node::Kind::Probed, test).code(code);
+            let message = node::Message::new(node::MessageType::Probed, test).with_cause(code);
             let message = self.with_load(message);
             self.node_says_this(id, message);
         }
@@ -337,7 +345,7 @@
     }
 
     fn node_says_this(&mut self, id: LinkId, message: node::Message) {
-        let line = message.line().expect("short");
+        let line = message.to_line().expect("short");
         let line = String::from_utf8(line).expect("text");
         let goes_on = self.desk.node_said(id, message);
         self.note(format_args!(
@@ -356,20 +364,20 @@
             .of(&["", "x0:3;x1:20", "x0:0.5;x1:1", "x0:12", "x"]);
         if !load.is_empty() {
             message
-                .attrs
-                .insert("load".into(), Value::Text(load.into()));
+                .attributes
+                .insert("load".into(), AttributeValue::Text(load.into()));
         }
         message
     }
 
     fn node_message(&mut self, task: u64) -> node::Message {
-        let mut message = node::Message::new(node::Kind::Ready, task);
+        let mut message = node::Message::new(node::MessageType::Ready, task);
         match self.draws.below(20) {
             0..11 => message.text = Some("made".into()),
             11 if self.draws.one_in(4) => {}
             11..14 => {
-                message.kind = node::Kind::Close;
-                message.code = Some(self.draws.of(&[34, 34, 34, 16, 16, 47, 102, 41, 31]));
+                message.message_type = node::MessageType::Close;
+                message.cause = Some(self.draws.of(&[34, 34, 34, 16, 16, 47, 102, 41, 31]));
                 let notes = [
                     "",
                     "lack_cpu",
@@ -382,25 +390,27 @@
                 let note = self.draws.of(&notes);
                 if !note.is_empty() {
                     message
-                        .attrs
-                        .insert("note".into(), Value::Text(note.into()));
+                        .attributes
+                        .insert("note".into(), AttributeValue::Text(note.into()));
                 }
                 message = self.with_load(message);
             }
-            14 => message.kind = node::Kind::Closed,
-            15 => message.kind = node::Kind::Trying,
-            16 if self.draws.one_in(2) => message.sid = None,
+            14 => message.message_type = node::MessageType::Closed,
+            15 => message.message_type = node::MessageType::Trying,
+            16 if self.draws.one_in(2) => message.task_id = None,
             _ => {
-                message.kind = node::Kind::Event;
+                message.message_type = node::MessageType::Event;
                 let notes = [
                     "running", "use_cpu", "use_ram", "health", "ram_high", "later",
                 ];
                 let note = self.draws.of(&notes);
                 message
-                    .attrs
-                    .insert("note".into(), Value::Text(note.into()));
+                    .attributes
+                    .insert("note".into(), AttributeValue::Text(note.into()));
                 let value = [0.1, 0.5, 0.9, 1.0][self.draws.below(4) as usize];
-                message.attrs.insert("value".into(), Value::Number(value));
+                message
+                    .attributes
+                    .insert("value".into(), AttributeValue::Number(value));
             }
         }
         message
@@ -485,9 +495,9 @@
             self.note(format_args!("> link {} {}", id.0, line.trim_end()));
             let message: node::Message = serde_json::from_str(&line).expect("a message");
             let connection = self.connections.get_mut(&id).expect("there");
-            match message.kind {
-                node::Kind::Open => connection.tasks.extend(message.sid),
-                node::Kind::Probe => connection.tests.extend(message.sid),
+            match message.message_type {
+                node::MessageType::Open => connection.tasks.extend(message.task_id),
+                node::MessageType::Probe => connection.tests.extend(message.task_id),
                 _ => {}
             }
         }
--- a/crates/platform/tests/stories.rs
+++ b/crates/platform/tests/stories.rs
@@ -3,8 +3,10 @@
 mod crossings;
 mod world;
 
+use corkspan_platform_wire::client::{
+    CAUSE, CLASS, DESCRIPTION, MessageType, REQUIREMENTS, TASK_NAME, TENANT, TIME_LEFT,
+};
 use corkspan_platform_wire::node;
-use corkspan_platform_wire::owner::{CAUSE, CLASS, DESCRIPTION, EXTRAS, Kind, LEFT, NAME, TENANT};
 use corkspan_runtime::Signal;
 use std::time::{Duration, Instant};
 use test_case::test_case;
@@ -18,19 +20,19 @@
     let mut link = world.nodes[0].opened();
     let open = link.hears();
     assert_eq!(
-        (open.kind, open.sid, open.text.as_deref()),
-        (node::Kind::Open, Some(7), Some("what\r\n"))
+        (open.message_type, open.task_id, open.text.as_deref()),
+        (node::MessageType::Open, Some(7), Some("what\r\n"))
     );
     link.says(ready(7, "made here"));
     let answer = owner.hears();
     assert_eq!(
-        (answer.kind, answer.bytes(DESCRIPTION)),
-        (Kind::Answer, Some(&b"made here"[..]))
+        (answer.message_type, answer.parameter(DESCRIPTION)),
+        (MessageType::Answer, Some(&b"made here"[..]))
     );
-    link.says(node::Message::new(node::Kind::Close, 7).code(16));
+    link.says(node::Message::new(node::MessageType::Close, 7).with_cause(16));
     assert_eq!(
-        (owner.hears().kind, link.hears().kind),
-        (Kind::Release, node::Kind::Closed)
+        (owner.hears().message_type, link.hears().message_type),
+        (MessageType::Release, node::MessageType::Closed)
     );
 }
 
@@ -39,10 +41,13 @@
     let mut world = World::new(1);
     let mut owner = world.owner();
     let extras = format!("{FIGURES};at:{}", world.nodes[0].name);
-    owner.sets_up(7, &[(EXTRAS, extras.as_bytes()), (LEFT, b"4294967")]);
+    owner.sets_up(
+        7,
+        &[(REQUIREMENTS, extras.as_bytes()), (TIME_LEFT, b"4294967")],
+    );
     let mut link = world.nodes[0].opened();
-    link.says(node::Message::new(node::Kind::Close, 7).code(16));
-    assert_eq!(owner.hears().kind, Kind::Release);
+    link.says(node::Message::new(node::MessageType::Close, 7).with_cause(16));
+    assert_eq!(owner.hears().message_type, MessageType::Release);
 }
 
 #[test_case(b"{]\n", true; "noise")]
@@ -59,10 +64,10 @@
     if lost {
         drop(link);
         link = world.opened();
-        assert_eq!(link.hears().sid, Some(7));
+        assert_eq!(link.hears().task_id, Some(7));
     }
     link.says(ready(7, "good"));
-    assert_eq!(owner.hears().bytes(DESCRIPTION), Some(&b"good"[..]));
+    assert_eq!(owner.hears().parameter(DESCRIPTION), Some(&b"good"[..]));
 }
 
 #[test]
@@ -77,7 +82,7 @@
         "it may well run"
     );
     world.tell(0, "left");
-    assert_eq!(owner.hears().kind, Kind::Release);
+    assert_eq!(owner.hears().message_type, MessageType::Release);
 }
 
 #[test]
@@ -88,25 +93,25 @@
     drop(link);
     let release = owner.hears();
     assert_eq!(
-        (release.kind, release.bytes(CAUSE)),
-        (Kind::Release, Some(&[41][..]))
+        (release.message_type, release.parameter(CAUSE)),
+        (MessageType::Release, Some(&[41][..]))
     );
 }
 
 #[test_case(CLASS, b"none such"; "a class that does not exist")]
 #[test_case(TENANT, b"none such"; "a tenant that does not exist")]
-#[test_case(EXTRAS, b"cores:nan;memory:1;service:a"; "a figure that is no number")]
-#[test_case(EXTRAS, b"cores:1e9;memory:1;service:a"; "more than any machine has")]
-#[test_case(LEFT, b"-5"; "a deadline in the past")]
-#[test_case(NAME, b""; "no name")]
+#[test_case(REQUIREMENTS, b"cores:nan;memory:1;service:a"; "a figure that is no number")]
+#[test_case(REQUIREMENTS, b"cores:1e9;memory:1;service:a"; "more than any machine has")]
+#[test_case(TIME_LEFT, b"-5"; "a deadline in the past")]
+#[test_case(TASK_NAME, b""; "no name")]
 fn what_can_not_be_used_is_answered_with_an_error(code: u8, value: &[u8]) {
     let world = World::new(1);
     let mut owner = world.owner();
     owner.sets_up(7, &[(code, value)]);
     let answer = owner.hears();
     assert_eq!(
-        (answer.kind, answer.task, answer.bytes(CAUSE)),
-        (Kind::Release, 7, Some(&[47][..]))
+        (answer.message_type, answer.task, answer.parameter(CAUSE)),
+        (MessageType::Release, 7, Some(&[47][..]))
     );
 }
 
@@ -132,8 +137,8 @@
     assert!(owner.closed());
     let given_up = link.hears();
     assert_eq!(
-        (given_up.kind, given_up.code),
-        (node::Kind::Close, Some(16))
+        (given_up.message_type, given_up.cause),
+        (node::MessageType::Close, Some(16))
     );
 }
 
@@ -159,7 +164,11 @@
     let mut link = world.nodes[0].opened();
     link.hears();
     world.signal(Signal::Term);
-    assert_eq!(owner.hears().kind, Kind::Release, "its node never answers");
+    assert_eq!(
+        owner.hears().message_type,
+        MessageType::Release,
+        "its node never answers"
+    );
     assert!(world.ended());
 }
 
@@ -172,16 +181,16 @@
     // A probe may come first, on the same connection or another.
     while links
         .iter_mut()
-        .all(|link| link.hears().kind != node::Kind::Open)
+        .all(|link| link.hears().message_type != node::MessageType::Open)
     {
         links.push(world.nodes[0].opened());
     }
     for link in &mut links {
         link.says(ready(7, "made"));
     }
-    assert_eq!(owner.hears().kind, Kind::Answer);
+    assert_eq!(owner.hears().message_type, MessageType::Answer);
     let since = Instant::now();
-    assert_eq!(owner.hears().kind, Kind::Release);
+    assert_eq!(owner.hears().message_type, MessageType::Release);
     assert!(since.elapsed() < Duration::from_secs(8));
 }
 
@@ -191,12 +200,12 @@
     let (mut owner, _old) = world.placed(7);
     world.replace(0);
     assert_eq!(
-        owner.hears().kind,
-        Kind::Release,
+        owner.hears().message_type,
+        MessageType::Release,
         "it went with the old one"
     );
     owner.sets_up(8, &[]);
-    assert_eq!(world.nodes[0].opened().hears().sid, Some(8));
+    assert_eq!(world.nodes[0].opened().hears().task_id, Some(8));
 }
 
 #[test]
@@ -205,7 +214,7 @@
     let crowd: Vec<Owner> = (0..60).map(|_| world.owner()).collect();
     let mut owner = world.owner();
     owner.sets_up(7, &[]);
-    assert_eq!(world.nodes[0].opened().hears().sid, Some(7));
+    assert_eq!(world.nodes[0].opened().hears().task_id, Some(7));
     for mut silent in crowd {
         assert!(silent.closed());
     }
@@ -222,9 +231,9 @@
     let mut late = world.owner();
     late.sets_up(8, &[]);
     let mut second = world.nodes[0].opened();
-    assert_eq!(second.hears().sid, Some(8));
+    assert_eq!(second.hears().task_id, Some(8));
     second.says(ready(8, "late"));
-    assert_eq!(late.hears().kind, Kind::Answer);
+    assert_eq!(late.hears().message_type, MessageType::Answer);
     drop(link);
     assert!(world.ended());
 }
@@ -237,9 +246,9 @@
     let mut link = world.nodes[0].opened();
     link.hears();
     second.sets_up(7, &[(DESCRIPTION, b"another")]);
-    assert_eq!(second.hears().bytes(CAUSE), Some(&[47][..]));
+    assert_eq!(second.hears().parameter(CAUSE), Some(&[47][..]));
     link.says(ready(7, "made"));
-    assert_eq!(first.hears().kind, Kind::Answer);
+    assert_eq!(first.hears().message_type, MessageType::Answer);
 }
 
 #[test]
@@ -250,7 +259,7 @@
     world.tell(0, "active");
     let mut owner = world.owner();
     owner.sets_up(7, &[]);
-    assert_eq!(world.nodes[0].opened().hears().sid, Some(7));
+    assert_eq!(world.nodes[0].opened().hears().task_id, Some(7));
 }
 
 /// Its connection's set-up timed out, so that it is used no more; the task that stands was set up
@@ -259,19 +268,23 @@
 fn a_release_that_crosses_the_close_of_its_connection_is_told_though_another_stands() {
     let mut world = World::new(1);
     let (mut owner, mut first) = world.placed(7);
-    owner.sets_up(8, &[(LEFT, b"600")]);
-    assert_eq!(first.hears().sid, Some(8), "on the connection that is free");
+    owner.sets_up(8, &[(TIME_LEFT, b"600")]);
+    assert_eq!(
+        first.hears().task_id,
+        Some(8),
+        "on the connection that is free"
+    );
     owner.sets_up(9, &[]);
     let mut second = world.nodes[0].opened();
     second.hears();
     second.says(ready(9, "made"));
-    assert_eq!(owner.hears().kind, Kind::Answer);
+    assert_eq!(owner.hears().message_type, MessageType::Answer);
     // Nothing comes of the set-up: it is given up, and then the connection is closed.
     while !first.ends() {}
-    first.says(node::Message::new(node::Kind::Close, 7).code(16));
+    first.says(node::Message::new(node::MessageType::Close, 7).with_cause(16));
     loop {
         let said = owner.hears();
-        assert_eq!(said.kind, Kind::Release);
+        assert_eq!(said.message_type, MessageType::Release);
         if said.task == 7 {
             break;
         }
@@ -286,21 +299,24 @@
     let mut owner = world.owner();
     let at = |node: &str| format!("{FIGURES};at:{node}");
     let (here, elsewhere) = (at(&world.nodes[0].name), at(&world.nodes[1].name));
-    owner.sets_up(7, &[(EXTRAS, here.as_bytes())]);
+    owner.sets_up(7, &[(REQUIREMENTS, here.as_bytes())]);
     let mut link = world.nodes[0].opened();
-    link.says(node::Message::new(node::Kind::Close, 8).code(16));
-    assert_eq!(link.hears().kind, node::Kind::Closed);
-    owner.sets_up(8, &[(EXTRAS, elsewhere.as_bytes())]);
+    link.says(node::Message::new(node::MessageType::Close, 8).with_cause(16));
+    assert_eq!(link.hears().message_type, node::MessageType::Closed);
+    owner.sets_up(8, &[(REQUIREMENTS, elsewhere.as_bytes())]);
     assert!(
         owner.silent_for(Duration::from_millis(100)),
         "what another node says of it is no end there"
     );
-    owner.says(Kind::Release, 8, &[(CAUSE, &[16])]);
+    owner.says(MessageType::Release, 8, &[(CAUSE, &[16])]);
     let mut second = world.owner();
-    second.sets_up(9, &[(EXTRAS, here.as_bytes())]);
-    link.says(node::Message::new(node::Kind::Close, 10).code(16));
-    assert_eq!(link.hears().sid, Some(10));
-    second.sets_up(10, &[(EXTRAS, here.as_bytes())]);
+    second.sets_up(9, &[(REQUIREMENTS, here.as_bytes())]);
+    link.says(node::Message::new(node::MessageType::Close, 10).with_cause(16));
+    assert_eq!(link.hears().task_id, Some(10));
+    second.sets_up(10, &[(REQUIREMENTS, here.as_bytes())]);
     let release = second.hears();
-    assert_eq!((release.kind, release.task), (Kind::Release, 10));
+    assert_eq!(
+        (release.message_type, release.task),
+        (MessageType::Release, 10)
+    );
 }
--- a/crates/platform/tests/world/mod.rs
+++ b/crates/platform/tests/world/mod.rs
@@ -1,8 +1,10 @@
 //! Stand-ins on loopback for all that a dispatcher on the platform speaks to, by its published
 //! protocol.
 
-use corkspan_platform_wire::owner::{self, CLASS, DESCRIPTION, EXTRAS, Kind, LEFT, NAME, TENANT};
-use corkspan_platform_wire::{LONGEST, node};
+use corkspan_platform_wire::client::{
+    self, CLASS, DESCRIPTION, MessageType, REQUIREMENTS, TASK_NAME, TENANT, TIME_LEFT,
+};
+use corkspan_platform_wire::{MAX_MESSAGE_BYTES, node};
 use corkspan_runtime::Signal;
 use futures_lite::future;
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
@@ -198,7 +200,7 @@
             .expect("a socket option");
         Owner {
             stream,
-            reader: owner::Reader::default(),
+            reader: client::Reader::default(),
         }
     }
 
@@ -209,7 +211,7 @@
         let mut link = self.nodes[0].opened();
         link.hears();
         link.says(ready(task, "made"));
-        assert_eq!(owner.hears().kind, Kind::Answer);
+        assert_eq!(owner.hears().message_type, MessageType::Answer);
         (owner, link)
     }
 
@@ -241,8 +243,8 @@
         // time it needs.
         for _ in 0..2 {
             let mut owner = self.owner();
-            owner.says(Kind::Test, 1, &[(owner::CAUSE, &[0])]);
-            assert_eq!(owner.hears().kind, Kind::Tested);
+            owner.says(MessageType::HealthCheck, 1, &[(client::CAUSE, &[0])]);
+            assert_eq!(owner.hears().message_type, MessageType::HealthCheckReply);
             std::thread::sleep(Duration::from_millis(20));
         }
     }
@@ -334,14 +336,14 @@
             for stream in listener.incoming().map_while(Result::ok) {
                 let (mut link, with) = (Link::new(stream), with.clone());
                 std::thread::spawn(move || {
-                    let mut bytes = vec![0; LONGEST];
+                    let mut bytes = vec![0; MAX_MESSAGE_BYTES];
                     while let Ok(count @ 1..) = link.stream.read(&mut bytes) {
                         link.reader.push(&bytes[..count]);
-                        while let Ok(Some(message)) = link.reader.message() {
-                            let open = (message.kind == node::Kind::Open)
-                                .then_some(message.sid)
+                        while let Ok(Some(message)) = link.reader.next_message() {
+                            let open = (message.message_type == node::MessageType::Open)
+                                .then_some(message.task_id)
                                 .flatten();
-                            let line = open.and_then(|task| with(task).line());
+                            let line = open.and_then(|task| with(task).to_line());
                             if line.is_some_and(|line| link.stream.write_all(&line).is_err()) {
                                 return;
                             }
@@ -379,7 +381,7 @@
 pub fn ready(task: u64, description: &str) -> node::Message {
     node::Message {
         text: Some(description.into()),
-        ..node::Message::new(node::Kind::Ready, task)
+        ..node::Message::new(node::MessageType::Ready, task)
     }
 }
 
@@ -402,7 +404,7 @@
 
     pub fn hears(&mut self) -> node::Message {
         loop {
-            if let Some(message) = self.reader.message().expect("sound") {
+            if let Some(message) = self.reader.next_message().expect("sound") {
                 return message;
             }
             self.reader.push(&more(&mut self.stream));
@@ -420,7 +422,7 @@
     }
 
     pub fn says(&mut self, message: node::Message) {
-        self.says_bytes(&message.line().expect("short"));
+        self.says_bytes(&message.to_line().expect("short"));
     }
 
     pub fn says_bytes(&mut self, bytes: &[u8]) {
@@ -441,7 +443,7 @@
 }
 
 fn more(stream: &mut TcpStream) -> Vec<u8> {
-    let mut bytes = vec![0; LONGEST];
+    let mut bytes = vec![0; MAX_MESSAGE_BYTES];
     let count = stream.read(&mut bytes).expect("a message");
     assert!(count > 0, "closed");
     bytes.truncate(count);
@@ -450,7 +452,7 @@
 
 pub struct Owner {
     stream: TcpStream,
-    reader: owner::Reader,
+    reader: client::Reader,
 }
 
 impl Owner {
@@ -458,10 +460,10 @@
     pub fn sets_up(&mut self, task: u64, others: &[(u8, &[u8])]) {
         let sound: [(u8, &[u8]); 6] = [
             (CLASS, b"batch"),
-            (LEFT, b"6000"),
+            (TIME_LEFT, b"6000"),
             (TENANT, b"acme"),
-            (NAME, b"7f3a9c21e0b4d655"),
-            (EXTRAS, FIGURES.as_bytes()),
+            (TASK_NAME, b"7f3a9c21e0b4d655"),
+            (REQUIREMENTS, FIGURES.as_bytes()),
             (DESCRIPTION, b"what\r\n"),
         ];
         let other = |code| {
@@ -474,33 +476,33 @@
             .iter()
             .map(|&(code, value)| (code, other(code).unwrap_or(value)))
             .collect();
-        self.says(Kind::SetUp, task, &parameters);
+        self.says(MessageType::SetUp, task, &parameters);
     }
 
     /// A set-up sent to whoever may have closed: false where it could not be.
     pub fn tries(&mut self, task: u64) -> bool {
         let sound: [(u8, &[u8]); 4] = [
             (CLASS, b"batch"),
-            (LEFT, b"6000"),
-            (NAME, b"a"),
-            (EXTRAS, FIGURES.as_bytes()),
+            (TIME_LEFT, b"6000"),
+            (TASK_NAME, b"a"),
+            (REQUIREMENTS, FIGURES.as_bytes()),
         ];
         self.stream
-            .write_all(&owner::message(Kind::SetUp, task, &sound).expect("short"))
+            .write_all(&client::encode(MessageType::SetUp, task, &sound).expect("short"))
             .is_ok()
     }
 
-    pub fn says(&mut self, kind: Kind, task: u64, parameters: &[(u8, &[u8])]) {
-        self.says_bytes(&owner::message(kind, task, parameters).expect("short"));
+    pub fn says(&mut self, kind: MessageType, task: u64, parameters: &[(u8, &[u8])]) {
+        self.says_bytes(&client::encode(kind, task, parameters).expect("short"));
     }
 
     pub fn says_bytes(&mut self, bytes: &[u8]) {
         self.stream.write_all(bytes).expect("written");
     }
 
-    pub fn hears(&mut self) -> owner::Message {
+    pub fn hears(&mut self) -> client::Message {
         loop {
-            if let Some(message) = self.reader.message().expect("sound") {
+            if let Some(message) = self.reader.next_message().expect("sound") {
                 return message;
             }
             self.reader.push(&more(&mut self.stream));
