--- a/crates/platform-wire/src/client.rs
+++ b/crates/platform-wire/src/client.rs
@@ -1,21 +1,39 @@
-//! Owners' messages: binary, a length, a type, the task's id and parameters.
+//! Clients' messages: binary frames of a length, a type, the task's id and parameters.
+//!
+//! A frame is a length (2 bytes, big endian, not counting itself), a message type (1 byte), the id
+//! of the task (8 bytes, big endian) and parameters, each a code (1 byte), a length (2 bytes, big
+//! endian) and a value.
 
 use crate::{InvalidField, MAX_MESSAGE_BYTES, ProtocolError, ReceiveBuffer};
 
+mod set_up;
+
+pub use set_up::SetUp;
+
+/// What a frame is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MessageType {
+    /// A client requests a task, or hands over one that is running already.
     SetUp,
+    /// A client's set-up is under way; carries nothing that a dispatcher needs.
     Progress,
+    /// A dispatcher's answer: the task is running.
     Answer,
+    /// The end of a set-up or of a running task, either way.
     Release,
+    /// A client's acknowledgement of an answer.
     Acknowledge,
+    /// A notification about a running task.
     Notification,
+    /// A dispatcher's request that the client sets its task up elsewhere.
     Migrate,
+    /// A client's question whether the dispatcher is alive.
     HealthCheck,
+    /// The reply to that.
     HealthCheckReply,
 }
 
-const TYPES: [(u8, MessageType); 9] = [
+const TYPE_CODES: [(u8, MessageType); 9] = [
     (1, MessageType::SetUp),
     (6, MessageType::Progress),
     (9, MessageType::Answer),
@@ -27,33 +45,78 @@
     (53, MessageType::HealthCheckReply),
 ];
 
+impl MessageType {
+    fn code(self) -> Option<u8> {
+        TYPE_CODES
+            .iter()
+            .find(|(_, known)| *known == self)
+            .map(|(code, _)| *code)
+    }
+}
+
+impl TryFrom<u8> for MessageType {
+    type Error = ProtocolError;
+
+    fn try_from(code: u8) -> Result<Self, ProtocolError> {
+        TYPE_CODES
+            .iter()
+            .find(|(known, _)| *known == code)
+            .map(|(_, message_type)| *message_type)
+            .ok_or(ProtocolError::UnknownType(code))
+    }
+}
+
+/// Parameter: the name of the service class.
 pub const CLASS: u8 = 180;
+/// Parameter: how long the client still waits, in milliseconds, as decimal digits.
 pub const TIME_LEFT: u8 = 182;
+/// Parameter: the name of the tenant.
 pub const TENANT: u8 = 184;
+/// Parameter: the client's name of the task.
 pub const TASK_NAME: u8 = 188;
+/// Parameter: what the task requires, as `name:value` pairs separated by semicolons.
 pub const REQUIREMENTS: u8 = 190;
+/// Parameter: the idempotency key.
 pub const IDEMPOTENCY_KEY: u8 = 206;
+/// Parameter: why something ends, one of the `CAUSE_...` values; of a health check, its result.
 pub const CAUSE: u8 = 208;
+/// Parameter: what the node is to run, or what it says of the task that runs.
 pub const DESCRIPTION: u8 = 210;
 
-/// Refused: the platform's cause for "no room", and that for a set-up given up.
+/// Normal end: a task that has ended, or a set-up that its client has cancelled.
+pub const CAUSE_NORMAL: u8 = 16;
+/// A running task was cancelled.
+pub const CAUSE_CANCELLED: u8 = 31;
+/// Rejected for lack of capacity.
 pub const CAUSE_REJECTED: u8 = 34;
+/// Interrupted: a running task that was lost.
+pub const CAUSE_INTERRUPTED: u8 = 41;
+/// Failed, for any other reason.
 pub const CAUSE_FAILED: u8 = 47;
-pub const CAUSE_NORMAL: u8 = 16;
+/// The set-up did not arrive.
+pub const CAUSE_NOT_SENT: u8 = 102;
 
-/// The type and the id.
+/// Bytes of the length in front of a frame.
+const LENGTH_BYTES: usize = 2;
+/// Bytes of the type and the task's id.
 const HEADER_BYTES: usize = 9;
-/// No message of the protocol has as many.
+/// Bytes of a parameter's code and length.
+const PARAMETER_HEADER_BYTES: usize = 3;
+/// No message of the protocol has as many parameters.
 const MAX_PARAMETERS: usize = 32;
 
+/// A frame that has been read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Message {
+    /// What it is for.
     pub message_type: MessageType,
+    /// The id of the task, given by the client.
     pub task: u64,
     parameters: Vec<(u8, Vec<u8>)>,
 }
 
 impl Message {
+    /// The value of a parameter, if the message has it.
     pub fn parameter(&self, code: u8) -> Option<&[u8]> {
         self.parameters
             .iter()
@@ -61,6 +124,7 @@
             .map(|(_, value)| &value[..])
     }
 
+    /// Why something ends, if the message says so.
     pub fn cause(&self) -> Option<u8> {
         self.parameter(CAUSE)
             .and_then(|value| value.first().copied())
@@ -71,16 +135,13 @@
         text.map_err(|_| InvalidField::invalid(what, "bytes that are no text"))
     }
 
-    fn read(body: &[u8]) -> Result<Message, ProtocolError> {
-        let Some((head, mut rest)) = body.split_at_checked(HEADER_BYTES) else {
-            return Err(ProtocolError::TooShort(body.len()));
+    /// From a frame without its length.
+    fn decode(frame: &[u8]) -> Result<Message, ProtocolError> {
+        let Some((header, mut rest)) = frame.split_at_checked(HEADER_BYTES) else {
+            return Err(ProtocolError::TooShort(frame.len()));
         };
-        let message_type = TYPES
-            .iter()
-            .find(|(code, _)| *code == head[0])
-            .ok_or(ProtocolError::UnknownType(head[0]))?
-            .1;
-        let task = head[1..]
+        let message_type = MessageType::try_from(header[0])?;
+        let task = header[1..]
             .iter()
             .fold(0, |id, &byte| id << 8 | u64::from(byte));
         let mut parameters: Vec<(u8, Vec<u8>)> = Vec::new();
@@ -115,14 +176,19 @@
 }
 
 impl Reader {
+    /// Adds bytes that have been read from the connection.
     pub fn push(&mut self, bytes: &[u8]) {
         self.bytes.append(bytes);
     }
 
-    /// The next whole message. A length that can't be right is told before its message has come.
+    /// The next complete message, none where more bytes are needed.
+    ///
+    /// # Errors
+    ///
+    /// Whatever can't become a message. A length or type that can't be right is reported before
+    /// its message has arrived.
     pub fn next_message(&mut self) -> Result<Option<Message>, ProtocolError> {
-        let bytes = self.bytes.unread();
-        let [high, low, rest @ ..] = bytes else {
+        let [high, low, rest @ ..] = self.bytes.unread() else {
             return Ok(None);
         };
         let length = usize::from(u16::from_be_bytes([*high, *low]));
@@ -132,49 +198,41 @@
         if length < HEADER_BYTES {
             return Err(ProtocolError::TooShort(length));
         }
-        if let Some(code) = rest
-            .first()
-            .filter(|code| TYPES.iter().all(|(known, _)| known != *code))
-        {
-            return Err(ProtocolError::UnknownType(*code));
+        if let Some(&code) = rest.first() {
+            MessageType::try_from(code)?;
         }
-        let Some(body) = rest.get(..length) else {
+        let Some(frame) = rest.get(..length) else {
             return Ok(None);
         };
-        let message = Message::read(body)?;
-        self.bytes.consume(2 + length);
+        let message = Message::decode(frame)?;
+        self.bytes.consume(LENGTH_BYTES + length);
         Ok(Some(message))
     }
 
-    /// How many bytes have come that are not made into messages yet.
+    /// How many bytes have arrived that are not made into messages yet.
     pub fn buffered_bytes(&self) -> usize {
         self.bytes.unread().len()
     }
 
-    /// Whether a part of a message has come and the rest has not.
+    /// Whether a part of a message has arrived and the rest has not.
     pub fn has_partial_message(&self) -> bool {
         !self.bytes.unread().is_empty()
     }
 }
 
-/// A message as bytes; none where it would be longer than any may be.
+/// A message as bytes; none where it would be longer than [`MAX_MESSAGE_BYTES`].
 pub fn encode(message_type: MessageType, task: u64, parameters: &[(u8, &[u8])]) -> Option<Vec<u8>> {
     let length = HEADER_BYTES
         + parameters
             .iter()
-            .map(|(_, value)| 3 + value.len())
+            .map(|(_, value)| PARAMETER_HEADER_BYTES + value.len())
             .sum::<usize>();
     if length > MAX_MESSAGE_BYTES {
         return None;
     }
-    let mut bytes = Vec::with_capacity(2 + length);
+    let mut bytes = Vec::with_capacity(LENGTH_BYTES + length);
     bytes.extend((length as u16).to_be_bytes());
-    bytes.extend(
-        TYPES
-            .iter()
-            .find(|(_, other)| *other == message_type)
-            .map(|(code, _)| *code),
-    );
+    bytes.extend(message_type.code());
     bytes.extend(task.to_be_bytes());
     for (code, value) in parameters {
         bytes.push(*code);
@@ -183,77 +241,3 @@
     }
     Some(bytes)
 }
-
-/// What a set-up asks for, in the platform's names.
-#[derive(Clone, Debug, PartialEq)]
-pub struct SetUp {
-    pub task: u64,
-    pub class: String,
-    pub time_left_ms: u64,
-    pub tenant: Option<String>,
-    pub name: String,
-    pub idempotency_key: Option<String>,
-    pub cores: f64,
-    pub memory: f64,
-    pub service: String,
-    /// The node that holds it already.
-    pub running_on: Option<String>,
-    pub description: String,
-}
-
-impl SetUp {
-    pub fn read(message: &Message) -> Result<SetUp, InvalidField> {
-        let needed = |code, what| {
-            message
-                .text(code, what)?
-                .filter(|text| !text.is_empty())
-                .ok_or(InvalidField::Missing(what))
-        };
-        let mut figures: [Option<f64>; 2] = [None, None];
-        let (mut service, mut at) = (None, None);
-        for pair in needed(REQUIREMENTS, "figures")?
-            .split(';')
-            .filter(|pair| !pair.is_empty())
-        {
-            let amount = |value: &str| match value.parse::<f64>() {
-                Ok(value) if value.is_finite() && value > 0.0 => Ok(Some(value)),
-                _ => Err(InvalidField::invalid("amount", pair)),
-            };
-            match pair.split_once(':') {
-                Some(("cores", value)) => figures[0] = amount(value)?,
-                Some(("memory", value)) => figures[1] = amount(value)?,
-                Some(("service", value)) => service = Some(value),
-                Some(("at", value)) => at = Some(value.to_string()),
-                Some(_) => {}
-                None => return Err(InvalidField::invalid("figure", pair)),
-            }
-        }
-        let left = message.text(TIME_LEFT, "time left")?;
-        let time_left_ms = match (left, &at) {
-            (Some(left), _) => left
-                .parse()
-                .map_err(|_| InvalidField::invalid("time left", left))?,
-            (None, Some(_)) => 0,
-            (None, None) => return Err(InvalidField::Missing("time left")),
-        };
-        Ok(SetUp {
-            task: message.task,
-            class: needed(CLASS, "class")?.into(),
-            time_left_ms,
-            tenant: message.text(TENANT, "tenant")?.map(str::to_string),
-            name: needed(TASK_NAME, "name of the task")?.into(),
-            idempotency_key: message.text(IDEMPOTENCY_KEY, "key")?.map(str::to_string),
-            cores: figures[0].ok_or(InvalidField::Missing("cores"))?,
-            memory: figures[1].ok_or(InvalidField::Missing("memory"))?,
-            service: service
-                .filter(|name| !name.is_empty())
-                .ok_or(InvalidField::Missing("service"))?
-                .into(),
-            running_on: at,
-            description: message
-                .text(DESCRIPTION, "description")?
-                .unwrap_or_default()
-                .into(),
-        })
-    }
-}
--- a/crates/platform-wire/src/node.rs
+++ b/crates/platform-wire/src/node.rs
@@ -4,31 +4,45 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
+/// What a line is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MessageType {
+    /// A dispatcher's set-up of a task.
     Open,
+    /// A node's set-up is under way.
     Trying,
+    /// A node's answer: the task is running.
     Ready,
+    /// The end of a task, either way.
     Close,
+    /// The acknowledgement of an end.
     Closed,
+    /// A dispatcher's health check.
     Probe,
+    /// A node's reply to it.
     Probed,
+    /// A node's notification about a running task.
     Event,
+    /// A request to run a task elsewhere.
     Relocate,
 }
 
+/// The value of an attribute.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(
     untagged,
     expecting = "data did not match any variant of untagged enum Value"
 )]
 pub enum AttributeValue {
+    /// A JSON string.
     Text(String),
+    /// A JSON number.
     Number(f64),
 }
 
 impl AttributeValue {
+    /// As a number, also of a text that holds a finite one.
     pub fn number(&self) -> Option<f64> {
         match self {
             AttributeValue::Number(number) => Some(*number),
@@ -38,6 +52,7 @@
         }
     }
 
+    /// The text, none where it is a number.
     pub fn text(&self) -> Option<&str> {
         match self {
             AttributeValue::Text(text) => Some(text),
@@ -46,23 +61,29 @@
     }
 }
 
+/// One line.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Message {
+    /// What it is for.
     #[serde(rename = "msg")]
     pub message_type: MessageType,
-    /// None where the id is none that a dispatcher could have given: it stands for no task of
-    /// ours, and the rest of the connection is sound all the same.
+    /// None where the id is none that a dispatcher could have given: it is of no task of ours, and
+    /// the rest of the connection is sound all the same.
     #[serde(rename = "sid", with = "hex")]
     pub task_id: Option<u64>,
+    /// By name.
     #[serde(rename = "attrs", default)]
     pub attributes: BTreeMap<String, AttributeValue>,
+    /// Why a task ends, or the result of a health check.
     #[serde(rename = "code", default, skip_serializing_if = "Option::is_none")]
     pub cause: Option<u32>,
+    /// The description of a task: what is to run, or what runs.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub text: Option<String>,
 }
 
 impl Message {
+    /// A message with nothing but its type and id.
     pub fn new(message_type: MessageType, task_id: u64) -> Self {
         Message {
             message_type,
@@ -73,6 +94,8 @@
         }
     }
 
+    /// The same message with this cause.
+    #[must_use]
     pub fn with_cause(self, cause: u32) -> Self {
         Message {
             cause: Some(cause),
@@ -80,11 +103,12 @@
         }
     }
 
+    /// The attribute of this name.
     pub fn attribute(&self, name: &str) -> Option<&AttributeValue> {
         self.attributes.get(name)
     }
 
-    /// As a line; none where it would be longer than any may be.
+    /// As a line; none where it would be longer than [`MAX_MESSAGE_BYTES`].
     pub fn to_line(&self) -> Option<Vec<u8>> {
         let mut line = serde_json::to_vec(self).ok()?;
         line.push(b'\n');
@@ -92,15 +116,16 @@
     }
 }
 
+/// Ids as 16 hexadecimal digits.
 mod hex {
     use serde::{Deserialize, Deserializer, Serializer};
 
-    pub fn serialize<S: Serializer>(id: &Option<u64>, to: S) -> Result<S::Ok, S::Error> {
-        to.collect_str(&format_args!("{:016x}", id.unwrap_or(0)))
+    pub fn serialize<S: Serializer>(id: &Option<u64>, serializer: S) -> Result<S::Ok, S::Error> {
+        serializer.collect_str(&format_args!("{:016x}", id.unwrap_or(0)))
     }
 
-    pub fn deserialize<'a, D: Deserializer<'a>>(from: D) -> Result<Option<u64>, D::Error> {
-        let text = std::borrow::Cow::<str>::deserialize(from)?;
+    pub fn deserialize<'a, D: Deserializer<'a>>(deserializer: D) -> Result<Option<u64>, D::Error> {
+        let text = std::borrow::Cow::<str>::deserialize(deserializer)?;
         let hex = text.len() == 16 && text.bytes().all(|byte| byte.is_ascii_hexdigit());
         Ok(u64::from_str_radix(&text, 16).ok().filter(|_| hex))
     }
@@ -113,11 +138,16 @@
 }
 
 impl Reader {
+    /// Adds bytes that have been read from the connection.
     pub fn push(&mut self, bytes: &[u8]) {
         self.bytes.append(bytes);
     }
 
-    /// The next whole message. A line that never ends is told as soon as it is too long.
+    /// The next complete message, none where more bytes are needed.
+    ///
+    /// # Errors
+    ///
+    /// A line that is no message, or that has no end within [`MAX_MESSAGE_BYTES`].
     pub fn next_message(&mut self) -> Result<Option<Message>, ProtocolError> {
         let bytes = self.bytes.unread();
         let end = bytes
@@ -132,7 +162,7 @@
             };
         };
         let message = serde_json::from_slice(&bytes[..end])
-            .map_err(|why| ProtocolError::InvalidLine(why.to_string()))?;
+            .map_err(|error| ProtocolError::InvalidLine(error.to_string()))?;
         self.bytes.consume(end + 1);
         Ok(Some(message))
     }
--- a/crates/platform-wire/tests/garbling.rs
+++ b/crates/platform-wire/tests/malformed_input.rs
@@ -1,4 +1,4 @@
-//! What readers make of bytes that are cut, spoilt or meant to harm.
+//! What readers make of bytes that are split, damaged or malicious.
 
 use corkspan_platform_wire::client::{self, CAUSE, MessageType, SetUp, encode};
 use corkspan_platform_wire::{
@@ -23,30 +23,30 @@
 }
 
 #[test_case("cores:1;memory:2;service:0b", "1500", true; "sound")]
-#[test_case("cores:1;memory:2;service:0b;rack:7", "1500", true; "with a figure of later days")]
+#[test_case("cores:1;memory:2;service:0b;rack:7", "1500", true; "with an unknown requirement")]
 #[test_case("cores:nan;memory:2;service:0b", "1500", false; "no number")]
-#[test_case("cores:-1;memory:2;service:0b", "1500", false; "below nothing")]
+#[test_case("cores:-1;memory:2;service:0b", "1500", false; "negative")]
 #[test_case("cores:1;service:0b", "1500", false; "no memory")]
 #[test_case("cores:1;memory:2;service:0b", "soon", false; "no time")]
-#[test_case("cores:1;memory:2;service:0b", "-5", false; "time gone by")]
-#[test_case("cores:1;memory:2;service:0b", "99999999999999999999999", false; "time without end")]
-#[test_case("x", "1500", false; "no figures at all")]
-fn figures_that_mean_nothing_are_told_from_sound_ones(extras: &str, left: &str, sound: bool) {
-    assert_eq!(SetUp::read(&set_up(extras, left)).is_ok(), sound);
+#[test_case("cores:1;memory:2;service:0b", "-5", false; "a negative time")]
+#[test_case("cores:1;memory:2;service:0b", "99999999999999999999999", false; "too long a time")]
+#[test_case("x", "1500", false; "no requirements at all")]
+fn invalid_requirements_and_times_are_rejected(extras: &str, left: &str, sound: bool) {
+    assert_eq!(SetUp::try_from(&set_up(extras, left)).is_ok(), sound);
 }
 
 #[test_case(&[0xff, 0xff], ProtocolError::TooLong(0xffff); "a length beyond any message")]
 #[test_case(&[0, 2], ProtocolError::TooShort(2); "a length below any message")]
 #[test_case(b"\x01\x00{", ProtocolError::UnknownType(123); "a type that does not exist, before the rest has come")]
 #[test_case(&[0, 12, 1, 0, 0, 0, 0, 0, 0, 0, 1, 180, 9, 9], ProtocolError::TruncatedParameter(180); "a parameter past the end")]
-fn lengths_that_lie_are_told_at_once(bytes: &[u8], fault: ProtocolError) {
+fn a_wrong_length_or_type_is_reported_at_once(bytes: &[u8], error: ProtocolError) {
     let mut reader = client::Reader::default();
     reader.push(bytes);
-    assert_eq!(reader.next_message(), Err(fault));
+    assert_eq!(reader.next_message(), Err(error));
 }
 
 #[test]
-fn an_answer_ahead_under_a_strange_id_costs_the_good_one_nothing() {
+fn an_answer_under_an_unknown_id_does_not_affect_the_next_one() {
     let mut reader = node::Reader::default();
     reader.push(b"{\"msg\":\"ready\",\"sid\":\"not-ours\",\"attrs\":{},\"text\":\"x\"}\n");
     reader.push(
@@ -66,20 +66,20 @@
 }
 
 #[test]
-fn a_line_without_an_end_is_told_before_it_fills_the_memory() {
+fn a_line_without_an_end_is_reported_before_it_fills_the_memory() {
     let mut reader = node::Reader::default();
-    let faults = (0..1_000).find_map(|_| {
+    let error = (0..1_000).find_map(|_| {
         reader.push(&[b'a'; 1024]);
         reader.next_message().err()
     });
     assert_eq!(
-        faults,
+        error,
         Some(ProtocolError::TooLong(MAX_MESSAGE_BYTES + 1024))
     );
 }
 
 #[test]
-fn an_event_that_breaks_off_is_not_told_and_the_next_call_tells_it() {
+fn an_event_that_is_cut_off_is_not_reported_and_a_complete_one_is() {
     let whole = b"id: 4\ndata: {\"n\":4}\n\n: alive\n";
     let mut reader = discovery::Reader::default();
     reader.push(&whole[..15]);
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn an_entry_that_can_not_be_read_costs_no_other_one() {
+fn an_unreadable_list_entry_does_not_affect_the_others() {
     let sound =
         r#"{"id":"a","host_port":"10.1.0.9:5080","locality":"e","flavor":"s","phase":"left"}"#;
     let mut reader = discovery::Reader::default();
@@ -119,7 +119,7 @@
 
 #[test_case(MAX_MESSAGE_BYTES - 9 - 3, true; "as long as may be")]
 #[test_case(MAX_MESSAGE_BYTES - 9 - 2, false; "one byte longer")]
-fn no_message_is_written_that_may_not_be_read(description: usize, may: bool) {
+fn no_message_is_encoded_that_is_too_long_to_be_read(description: usize, may: bool) {
     let written = encode(
         MessageType::Answer,
         1,
@@ -137,13 +137,12 @@
 #[test_case("x0:12;x1:-0.5", Some(2); "sound")]
 #[test_case("x0:inf", None; "no number to count with")]
 #[test_case("x0", None; "no value")]
-fn reports_hold_numbers_only(text: &str, pairs: Option<usize>) {
+fn load_reports_hold_finite_numbers_only(text: &str, pairs: Option<usize>) {
     assert_eq!(parse_load_report(text).ok().map(|pairs| pairs.len()), pairs);
 }
 
-/// Reads all that comes in pieces; how many messages there were, or that a fault ended it. Never
-/// holds more than one message and one piece.
-fn pieces<M>(
+/// How many messages come of bytes that arrive in pieces; none where an error ends them.
+fn count_messages<M>(
     bytes: &[u8],
     cuts: &[usize],
     mut push: impl FnMut(&[u8]) -> Vec<Result<M, ()>>,
@@ -161,9 +160,9 @@
     Some(count)
 }
 
-fn owner_messages(bytes: &[u8], cuts: &[usize]) -> Option<usize> {
+fn client_messages(bytes: &[u8], cuts: &[usize]) -> Option<usize> {
     let mut reader = client::Reader::default();
-    pieces(bytes, cuts, |piece| {
+    count_messages(bytes, cuts, |piece| {
         reader.push(piece);
         std::iter::from_fn(|| reader.next_message().map_err(|_| ()).transpose())
             .take(1_000)
@@ -173,7 +172,7 @@
 
 fn node_messages(bytes: &[u8], cuts: &[usize]) -> Option<usize> {
     let mut reader = node::Reader::default();
-    pieces(bytes, cuts, |piece| {
+    count_messages(bytes, cuts, |piece| {
         reader.push(piece);
         std::iter::from_fn(|| reader.next_message().map_err(|_| ()).transpose())
             .take(1_000)
@@ -183,7 +182,7 @@
 
 proptest! {
     #[test]
-    fn owners_messages_survive_any_cut(
+    fn client_messages_survive_any_split(
         tasks in prop::collection::vec(any::<u64>(), 1..20),
         value in prop::collection::vec(any::<u8>(), 0..300),
         cuts in prop::collection::vec(0usize..200, 0..20),
@@ -192,35 +191,35 @@
             .iter()
             .flat_map(|&task| encode(MessageType::Release, task, &[(CAUSE, &[34]), (client::TASK_NAME, &value)]).expect("short"))
             .collect();
-        prop_assert_eq!(owner_messages(&bytes, &cuts), Some(tasks.len()));
+        prop_assert_eq!(client_messages(&bytes, &cuts), Some(tasks.len()));
     }
 
     #[test]
-    fn nodes_lines_survive_any_cut(
-        sids in prop::collection::vec(any::<u64>(), 1..20),
+    fn node_lines_survive_any_split(
+        ids in prop::collection::vec(any::<u64>(), 1..20),
         text in ".{0,80}",
         cuts in prop::collection::vec(0usize..200, 0..20),
     ) {
-        let line = |&sid: &u64| {
-            let message = node::Message::new(node::MessageType::Ready, sid).with_cause(16);
+        let line = |&id: &u64| {
+            let message = node::Message::new(node::MessageType::Ready, id).with_cause(16);
             node::Message { text: Some(text.clone()), ..message }.to_line().expect("short")
         };
-        let bytes: Vec<u8> = sids.iter().flat_map(line).collect();
-        prop_assert_eq!(node_messages(&bytes, &cuts), Some(sids.len()));
+        let bytes: Vec<u8> = ids.iter().flat_map(line).collect();
+        prop_assert_eq!(node_messages(&bytes, &cuts), Some(ids.len()));
     }
 
     #[test]
-    fn no_garbling_brings_a_reader_down(
+    fn no_damaged_input_makes_a_reader_panic(
         mut bytes in prop::collection::vec(any::<u8>(), 0..4_000),
         cuts in prop::collection::vec(0usize..500, 0..10),
-        spoilt in any::<u8>(),
+        damaged in any::<u8>(),
         at in any::<prop::sample::Index>(),
     ) {
         let mut sound = encode(MessageType::SetUp, 1, &[(client::CLASS, b"batch")]).expect("short");
         let place = at.index(sound.len());
-        sound[place] = spoilt;
+        sound[place] = damaged;
         bytes.splice(0..0, sound);
-        owner_messages(&bytes, &cuts);
+        client_messages(&bytes, &cuts);
         node_messages(&bytes, &cuts);
         let mut reader = discovery::Reader::default();
         reader.push(&bytes);
--- a/crates/platform-wire/tests/recorded.rs
+++ b/crates/platform-wire/tests/recorded.rs
@@ -23,7 +23,7 @@
     let path = Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("tests/data")
         .join(name);
-    std::fs::read_to_string(&path).unwrap_or_else(|why| panic!("{}: {why}", path.display()))
+    std::fs::read_to_string(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()))
 }
 
 /// The lines of a file, each with what is recorded behind its tab.
@@ -54,7 +54,7 @@
 fn read_client(bytes: &[u8]) -> Result<client::Message, String> {
     let mut reader = client::Reader::default();
     reader.push(bytes);
-    let message = reader.next_message().map_err(|why| why.to_string())?;
+    let message = reader.next_message().map_err(|error| error.to_string())?;
     assert!(
         message.is_none() || reader.buffered_bytes() == 0,
         "nothing is left"
@@ -123,8 +123,8 @@
 
 fn set_up_content(bytes: &[u8]) -> String {
     let message = read_client(bytes).expect("sound");
-    match SetUp::read(&message) {
-        Err(why) => format!("refused: {why}"),
+    match SetUp::try_from(&message) {
+        Err(error) => format!("refused: {error}"),
         Ok(SetUp {
             task,
             class,
@@ -156,7 +156,7 @@
     let mut reader = node::Reader::default();
     reader.push(line.as_bytes());
     reader.push(b"\n");
-    let message = reader.next_message().map_err(|why| why.to_string())?;
+    let message = reader.next_message().map_err(|error| error.to_string())?;
     Ok(message.expect("a whole line"))
 }
 
@@ -243,7 +243,7 @@
             Ok(Some(discovery::FeedItem::KeepAlive)) => text += "alive\n",
             Ok(Some(discovery::FeedItem::Event(event))) => text += &event_content(&event),
             Ok(None) => return text + "no more\n",
-            Err(why) => return format!("{text}refused: {why}\n"),
+            Err(error) => return format!("{text}refused: {error}\n"),
         }
     }
 }
@@ -269,23 +269,23 @@
 }
 
 fn node_config_content(text: &str) -> String {
-    let posting = match NodeConfig::from_json(text.as_bytes()) {
-        Ok(posting) => posting,
-        Err(why) => return format!("refused: {why}\n"),
+    let config = match NodeConfig::from_json(text.as_bytes()) {
+        Ok(config) => config,
+        Err(error) => return format!("refused: {error}\n"),
     };
     let mut text = format!(
         "name {}\nlisten {}\nseed {} = {}\nsockets {}\nfeed {}\nknown {}\n",
-        posting.name,
-        posting.listen,
-        posting.seed,
-        posting.seed_number().expect("hex"),
-        posting.limits.sockets,
-        posting.discovery_address,
-        posting.discovery_state.last_event,
+        config.name,
+        config.listen,
+        config.seed,
+        config.seed_number().expect("hex"),
+        config.limits.sockets,
+        config.discovery_address,
+        config.discovery_state.last_event,
     );
-    let events = posting.discovery_state.events.iter().map(event_content);
+    let events = config.discovery_state.events.iter().map(event_content);
     text.extend(events);
-    writeln!(text, "zones {:?}", posting.settings.zones).expect("written");
+    writeln!(text, "zones {:?}", config.settings.zones).expect("written");
     text
 }
 
--- a/crates/platform/src/core/set_ups.rs
+++ b/crates/platform/src/core/set_ups.rs
@@ -20,7 +20,7 @@
         let owner = self.owners.get(&from);
         let open = owner.map_or(0, |owner| owner.open.len());
         let mine = owner.is_some_and(|owner| owner.open.contains(&task));
-        let read = SetUp::read(message).map_err(|why| why.to_string());
+        let read = SetUp::try_from(message).map_err(|why| why.to_string());
         let (mut set_up, asked) = match read.and_then(|set_up| {
             let asked = self.asked(now, &set_up)?;
             Ok((set_up, asked))
