--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -59,7 +59,7 @@
 
 /// A tenant.
 #[derive(Deserialize)]
-#[serde(rename = "Tenant")]
+#[serde(expecting = "struct Tenant")]
 pub struct TenantSettings {
     /// Its name in set-ups.
     #[serde(default)]
