--- a/crates/capacity/tests/fits.rs
+++ b/crates/capacity-model/tests/fits.rs
@@ -1,6 +1,6 @@
 //! Lines that are told, and lines that must not be.
 
-use corkspan_capacity::fit::{Fit, How, NoFit, NotTold};
+use corkspan_capacity_model::fit::{Fit, How, NoFit, NotTold};
 use test_case::test_case;
 
 const PLACES: [f64; 4] = [140.0, 400.0, 1_300.0, 2_600.0];
--- a/crates/capacity/tests/results.rs
+++ b/crates/capacity-model/tests/results.rs
@@ -1,9 +1,9 @@
 //! Kept results that don't fit, pages that differ, machines that are too small.
 
-use corkspan_capacity::kept::{Axis, COMING, Kept, Point, Run};
-use corkspan_capacity::need::{Machine, fits, needs};
-use corkspan_capacity::page;
-use corkspan_capacity::rows::{self, Out};
+use corkspan_capacity_model::kept::{Axis, COMING, Kept, Point, Run};
+use corkspan_capacity_model::need::{Machine, fits, needs};
+use corkspan_capacity_model::page;
+use corkspan_capacity_model::rows::{self, Out};
 use test_case::test_case;
 
 /// Bytes grow by 50 a machine; processor time by its square.
--- a/crates/capacity/tests/stored.rs
+++ b/crates/capacity-model/tests/stored.rs
@@ -1,10 +1,10 @@
 //! The kept result and what is computed from it, held against files of an earlier program: the
 //! result and its page as they stand in docs/, refusals of spoilt results, and fits of seeded points.
 
-use corkspan_capacity::fit::{Fit, How};
-use corkspan_capacity::kept::{COMING, Kept, Size};
-use corkspan_capacity::need::{Machine, fits, needs};
-use corkspan_capacity::page;
+use corkspan_capacity_model::fit::{Fit, How};
+use corkspan_capacity_model::kept::{COMING, Kept, Size};
+use corkspan_capacity_model::need::{Machine, fits, needs};
+use corkspan_capacity_model::page;
 use std::fmt::Write;
 use std::path::Path;
 use test_case::test_case;
--- a/crates/lab/src/capacity/kernel.rs
+++ b/crates/lab/src/capacity/kernel.rs
@@ -1,6 +1,6 @@
 //! What the kernel tells of processes, threads and the machine.
 
-use corkspan_capacity::need::Machine;
+use corkspan_capacity_model::need::Machine;
 use std::fs;
 use std::path::Path;
 
--- a/crates/lab/src/capacity/mod.rs
+++ b/crates/lab/src/capacity/mod.rs
@@ -1,6 +1,6 @@
 //! What each role costs by machines, dispatchers, tasks, waiting allocations and versions: one axis
 //! at a time, several places each, in rounds side by side. Real dispatchers before stand-ins; the
-//! arithmetic is `corkspan_capacity`'s.
+//! arithmetic is `corkspan_capacity_model`'s.
 
 pub mod asks;
 mod busy;
@@ -9,8 +9,8 @@
 mod stage;
 
 use async_io::Timer;
-use corkspan_capacity::kept::{Axis, Kept, Point, Run, Size};
-use corkspan_capacity::need;
+use corkspan_capacity_model::kept::{Axis, Kept, Point, Run, Size};
+use corkspan_capacity_model::need;
 use corkspan_rpc::{Tasks, within};
 use futures_lite::future;
 use stage::ask;
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,7 +1,7 @@
 //! `corkspan-lab`: days of trouble, their judge, and measurements.
 
 use clap::{Parser, Subcommand};
-use corkspan_capacity::kept::{self, Axis};
+use corkspan_capacity_model::kept::{self, Axis};
 use corkspan_lab::capacity::Capacity;
 use corkspan_lab::{
     capture, day::Day, hollow, judge, loads, measure::Measure, play::Play, process::Programs,
@@ -409,14 +409,14 @@
         all.put(run);
         Ok(())
     })?;
-    for (_, table) in corkspan_capacity::page::tables(&all) {
+    for (_, table) in corkspan_capacity_model::page::tables(&all) {
         println!("{table}");
     }
     Ok(())
 }
 
 fn tables(Page::Page { file, check, write }: Page) -> Result<(), String> {
-    use corkspan_capacity::page;
+    use corkspan_capacity_model::page;
     let read = |path: &Path| {
         std::fs::read_to_string(path).map_err(|why| format!("{}: {why}", path.display()))
     };
--- a/crates/lab/tests/capacity.rs
+++ b/crates/lab/tests/capacity.rs
@@ -2,7 +2,7 @@
 //! machine is.
 
 use corkspan_api::v1::link_count::Kind;
-use corkspan_capacity::{kept::Kept, page};
+use corkspan_capacity_model::{kept::Kept, page};
 use corkspan_lab::capacity::{End, Room, Setting, Stage};
 use corkspan_lab::counts;
 use corkspan_rpc::{Tasks, within};
@@ -143,10 +143,10 @@
 fn a_size_that_asks_for_too_much_is_refused_at_once() {
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("size.json");
-    let size = corkspan_capacity::kept::Size {
+    let size = corkspan_capacity_model::kept::Size {
         dispatchers: 3_000.0,
         machines: 900_000.0,
-        ..corkspan_capacity::kept::COMING
+        ..corkspan_capacity_model::kept::COMING
     };
     std::fs::write(&path, serde_json::to_string(&size).expect("numbers")).expect("written");
     let path = path.to_str().expect("plain");
