--- a/crates/dispatcher/src/control.rs
+++ b/crates/dispatcher/src/control.rs
@@ -1,7 +1,7 @@
 //! The stream of versions: pushes read, answers written, what is in force changed. What is decided
 //! stands in `corkspan_config_sync`.
 
-use crate::clock::{duration, tenths};
+use crate::clock::{duration, ticks};
 use crate::counts::LinkKind;
 use crate::desk::Desk;
 use crate::fleet;
@@ -107,7 +107,7 @@
                 state.service = None;
                 state.subscriber.broke();
             });
-            let stood = began.map_or(0, |began: Instant| tenths(began.elapsed()));
+            let stood = began.map_or(0, |began: Instant| ticks(began.elapsed()));
             let wait = retry.wait(stood);
             warn!(%service, why = ended, again_in_ms = wait / 10, "no stream of versions; the one in force stays");
             async_io::Timer::after(duration(wait)).await;
--- a/crates/dispatcher/src/desk.rs
+++ b/crates/dispatcher/src/desk.rs
@@ -241,7 +241,7 @@
         }
         let now = self.clock.now();
         let left = [
-            hangs_up.map(crate::clock::tenths),
+            hangs_up.map(crate::clock::ticks),
             Some(ask.abandon_ms.saturating_mul(10)).filter(|&ms| ms > 0),
         ];
         let asked = match (self.asked(now, &ask), left.into_iter().flatten().min()) {
@@ -267,7 +267,7 @@
             ..asked
         };
         let task = ask.task.clone();
-        let hangs_up = hangs_up.map(|after| now + crate::clock::tenths(after));
+        let hangs_up = hangs_up.map(|after| now + crate::clock::ticks(after));
         let client = Client {
             deadline: Some(now + left),
             hangs_up,
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -130,7 +130,7 @@
         desk.link_bounds.clone(),
     );
     let background = [
-        tasks.spawn(corkspan_runtime::wake(waking, {
+        tasks.spawn(corkspan_runtime::run_timer(waking, {
             let desk = Arc::clone(&desk);
             move || desk.woken()
         })),
--- a/crates/dispatcher/src/roster.rs
+++ b/crates/dispatcher/src/roster.rs
@@ -1,7 +1,7 @@
 //! The list of machines: watched at the roster when the decisions ask for it, kept on disk for the
 //! next start.
 
-use crate::clock::{Clock, tenths, wall_ms};
+use crate::clock::{Clock, ticks, wall_ms};
 use crate::counts::LinkKind;
 use crate::desk::Desk;
 use async_io::Timer;
@@ -193,7 +193,7 @@
         match self.starts.get(&line.node) {
             Some(&(told, at)) if told == line.started_ms => Some(at),
             _ => {
-                let ago = tenths(Duration::from_millis(
+                let ago = ticks(Duration::from_millis(
                     now_ms.saturating_sub(line.started_ms),
                 ));
                 let at = clock.now().saturating_sub(ago);
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -101,7 +101,7 @@
     info!(%address, "listening");
     ready(address);
     let background = [
-        tasks.spawn(corkspan_runtime::wake(woken.timer, {
+        tasks.spawn(corkspan_runtime::run_timer(woken.timer, {
             let handle = Arc::clone(&handle);
             move || handle.timer_fired()
         })),
--- a/crates/runtime/src/clock.rs
+++ b/crates/runtime/src/clock.rs
@@ -21,7 +21,7 @@
 
     /// Now, rounded down.
     pub fn now(&self) -> Ticks {
-        self.base + tenths(self.start.elapsed())
+        self.base + ticks(self.start.elapsed())
     }
 
     pub fn instant(&self, at: Ticks) -> Instant {
@@ -37,7 +37,7 @@
 }
 
 /// Whole tenths of a millisecond, never more than was given.
-pub fn tenths(time: Duration) -> Ticks {
+pub fn ticks(time: Duration) -> Ticks {
     (time.as_micros() / 100) as Ticks
 }
 
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -26,7 +26,7 @@
 }
 
 /// The one timer: calls `woken` at the earliest moment told, and then waits to be told of another.
-pub async fn wake(waking: async_channel::Receiver<Instant>, mut woken: impl FnMut()) {
+pub async fn run_timer(waking: async_channel::Receiver<Instant>, mut woken: impl FnMut()) {
     let mut due: Option<Instant> = None;
     loop {
         let told = async { waking.recv().await.ok().map(Some) };
