--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -1,5 +1,7 @@
-//! What every front of a dispatcher runs on: the clock, the executor, time limits, the one timer of
-//! the decisions and signals. It knows nothing of allocations.
+//! What every dispatcher process runs on: the clock, the executor, timeouts, the one timer of the
+//! decisions and signals. It knows nothing of allocations.
+
+#![warn(missing_docs)]
 
 pub mod clock;
 
@@ -20,35 +22,45 @@
 /// The executor that carries all tasks of a process.
 pub type Tasks = Arc<Executor<'static>>;
 
-/// Takes these signals from here on: they no longer end the process.
+/// Receives these signals from here on: they no longer end the process.
+///
+/// # Errors
+///
+/// A signal can't be received.
 pub fn signals(which: impl IntoIterator<Item = Signal>) -> std::io::Result<Signals> {
     Signals::new(which)
 }
 
-/// The one timer: calls `woken` at the earliest moment told, and then waits to be told of another.
-pub async fn run_timer(waking: async_channel::Receiver<Instant>, mut woken: impl FnMut()) {
+/// The one timer of the decisions: calls `fired` at the earliest instant that it has been armed
+/// for, and then waits to be armed again. Ends when nobody can arm it any more.
+pub async fn run_timer(armed: async_channel::Receiver<Instant>, mut fired: impl FnMut()) {
+    enum Event {
+        Armed(Instant),
+        Fired,
+        Closed,
+    }
     let mut due: Option<Instant> = None;
     loop {
-        let told = async { waking.recv().await.ok().map(Some) };
-        let rung = async {
+        let arming = async { armed.recv().await.map_or(Event::Closed, Event::Armed) };
+        let firing = async {
             match due {
                 Some(at) => drop(Timer::at(at).await),
                 None => future::pending().await,
             }
-            Some(None)
+            Event::Fired
         };
-        match told.or(rung).await {
-            Some(Some(at)) => due = Some(due.map_or(at, |other| other.min(at))),
-            Some(None) => {
+        match arming.or(firing).await {
+            Event::Armed(at) => due = Some(due.map_or(at, |other| other.min(at))),
+            Event::Fired => {
                 due = None;
-                woken();
+                fired();
             }
-            None => return,
+            Event::Closed => return,
         }
     }
 }
 
-/// The value, or none if it takes longer.
+/// The value of a future, or none if it takes longer.
 pub fn within<F: Future>(time: Duration, value: F) -> Within<F> {
     Within {
         value,
@@ -57,8 +69,8 @@
 }
 
 pin_project_lite::pin_project! {
-    /// See [`within`]. Written out: an async block would hold the value's state twice, and states of gRPC calls
-    /// are large.
+    /// The future of [`within`]. Written out: an async block would hold the value's state twice,
+    /// and states of gRPC calls are large.
     pub struct Within<F> {
         #[pin]
         value: F,
@@ -70,7 +82,7 @@
 impl<F: Future> Future for Within<F> {
     type Output = Option<F::Output>;
 
-    /// The value first: an answer that is there when we look late is an answer.
+    /// The value first: an answer that is there when it is polled late is an answer.
     fn poll(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Self::Output> {
         let this = self.project();
         match (this.value.poll(cx), this.timer.poll(cx)) {
