--- a/crates/lab/src/capacity/stage.rs
+++ b/crates/lab/src/capacity/stage.rs
@@ -7,7 +7,7 @@
 use crate::capture::Capture;
 use crate::control::{Control, Up};
 use crate::measure::{self, Process, Prompt};
-use crate::node::{Cold, Node, Plan, World};
+use crate::node::{Node, NodeConfig, SlowStart, World};
 use crate::roster::Roster;
 use async_io::Timer;
 use async_net::TcpListener;
@@ -153,32 +153,32 @@
     why.to_string()
 }
 
-fn keeper(id: u32, seed: u64) -> Plan {
-    Plan {
+fn keeper(id: u32, seed: u64) -> NodeConfig {
+    NodeConfig {
         id,
-        kind: "wide".into(),
-        hall: "hall".into(),
+        machine_type: "wide".into(),
+        zone: "hall".into(),
         cell: u64::from(id / 4),
-        size: Resources {
+        capacity: Resources {
             cores: 64.0,
             memory: 256.0,
         },
-        accepts: Resources {
+        admission_limit: Resources {
             cores: 2.0,
             memory: 1.5,
         },
-        look: Duration::from_millis(1),
-        line: 24,
-        start: Duration::from_millis(15),
-        loads: 8,
-        starts_at_once: 4,
-        keeps: 6,
-        makes_room: false,
-        cold: Cold {
-            lasts: Duration::from_secs(5),
+        review_time: Duration::from_millis(1),
+        max_queued: 24,
+        start_time: Duration::from_millis(15),
+        load_factor: 8,
+        max_concurrent_starts: 4,
+        max_cached_programs: 6,
+        preempts: false,
+        slow_start: SlowStart {
+            duration: Duration::from_secs(5),
             window: Duration::from_secs(1),
-            most: 16,
-            pace: 0.25,
+            max_offers: 16,
+            initial_rate: 0.25,
         },
         seed,
     }
@@ -232,7 +232,7 @@
             let address = match id < KEEPERS {
                 true => {
                     let node = Node::new(keeper(id, setting.seed), &keepers_world);
-                    let at = node.up(false).await.map_err(text)?;
+                    let at = node.start_process(false).await.map_err(text)?;
                     let to = (at, Arc::clone(&keepers_meter));
                     meter::relay_onto(&relays.tasks, to.0, to.1)
                         .await
--- a/crates/lab/src/node.rs
+++ b/crates/lab/src/node.rs
@@ -34,38 +34,38 @@
 
 /// What a node is.
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct NodeConfig {
     pub id: u32,
-    pub kind: String,
-    pub hall: String,
+    pub machine_type: String,
+    pub zone: String,
     pub cell: u64,
-    pub size: Resources,
+    pub capacity: Resources,
     /// Accepts until the asks reach this multiple of its size.
-    pub accepts: Resources,
+    pub admission_limit: Resources,
     /// To look at one ask.
-    pub look: Duration,
+    pub review_time: Duration,
     /// Asks that may wait to be looked at.
-    pub line: usize,
+    pub max_queued: usize,
     /// A start with the program in place, warm; without it takes `loads` times as long.
-    pub start: Duration,
-    pub loads: u32,
-    pub starts_at_once: usize,
-    pub keeps: usize,
+    pub start_time: Duration,
+    pub load_factor: u32,
+    pub max_concurrent_starts: usize,
+    pub max_cached_programs: usize,
     /// Pushes out lower priorities for a higher one.
-    pub makes_room: bool,
-    pub cold: Cold,
+    pub preempts: bool,
+    pub slow_start: SlowStart,
     pub seed: u64,
 }
 
 /// How a node is that has just started.
 #[derive(Clone, Copy, Debug)]
-pub struct Cold {
-    pub lasts: Duration,
+pub struct SlowStart {
+    pub duration: Duration,
     pub window: Duration,
     /// With more offers within a window it falls over.
-    pub most: usize,
+    pub max_offers: usize,
     /// Its pace at first, growing to 1.
-    pub pace: f64,
+    pub initial_rate: f64,
 }
 
 /// What all stand-ins share: the capture, and what nodes of a hall know together.
@@ -74,17 +74,17 @@
     pub tasks: Tasks,
     /// Copies of deduplicated tasks that stand, by hall and task.
     stand: Mutex<HashMap<(String, String), u32>>,
-    pub dedup_track: Option<String>,
+    pub dedup_class: Option<String>,
     /// Versions of programs that are no good.
-    bad: Mutex<HashMap<String, Bad>>,
+    bad: Mutex<HashMap<String, VersionFault>>,
 }
 
 /// What is wrong with a version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Bad {
+pub enum VersionFault {
     NeverReady,
     /// Ready, and so long later it fails.
-    DiesAfter(Duration),
+    FailsAfter(Duration),
 }
 
 impl World {
@@ -94,19 +94,19 @@
             capture,
             tasks: Arc::clone(tasks),
             stand,
-            dedup_track,
+            dedup_class: dedup_track,
             bad,
         })
     }
 
-    pub fn spoil(&self, version: &str, how: Bad) {
+    pub fn inject_version_fault(&self, version: &str, how: VersionFault) {
         self.bad
             .lock()
             .expect("unshared")
             .insert(version.into(), how);
     }
 
-    fn bad(&self, version: &str) -> Option<Bad> {
+    fn bad(&self, version: &str) -> Option<VersionFault> {
         self.bad.lock().expect("unshared").get(version).copied()
     }
 }
@@ -137,7 +137,7 @@
 }
 
 pub struct Node {
-    pub plan: Plan,
+    pub config: NodeConfig,
     world: Arc<World>,
     state: Mutex<State>,
     look: AsyncMutex<()>,
@@ -160,10 +160,10 @@
 const NOTES: Duration = Duration::from_millis(250);
 
 impl Node {
-    pub fn new(plan: Plan, world: &Arc<World>) -> Arc<Self> {
+    pub fn new(plan: NodeConfig, world: &Arc<World>) -> Arc<Self> {
         Arc::new(Node {
-            starts: Semaphore::new(plan.starts_at_once),
-            plan,
+            starts: Semaphore::new(plan.max_concurrent_starts),
+            config: plan,
             world: Arc::clone(world),
             state: Mutex::default(),
             look: AsyncMutex::new(()),
@@ -187,7 +187,7 @@
     }
 
     /// Starts the process, warm at the start of a day and cold otherwise. Where it listens.
-    pub async fn up(self: &Arc<Self>, cold: bool) -> std::io::Result<SocketAddr> {
+    pub async fn start_process(self: &Arc<Self>, cold: bool) -> std::io::Result<SocketAddr> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
         {
@@ -206,7 +206,7 @@
             NodeState::Serving
         };
         self.world.capture.see(Seen::Node {
-            node: self.plan.id,
+            node: self.config.id,
             state: seen,
         });
         *self.listener.lock().expect("unshared") = Some(listener);
@@ -233,7 +233,7 @@
         let mut state = self.lock();
         if state.up {
             self.world.capture.see(Seen::Node {
-                node: self.plan.id,
+                node: self.config.id,
                 state: why,
             });
         }
@@ -246,13 +246,15 @@
         };
         drop(state);
         drop(server);
-        self.stand().retain(|_, node| *node != self.plan.id);
+        self.stand().retain(|_, node| *node != self.config.id);
     }
 
     /// All links break and for so long none comes to stand; what runs goes on.
-    pub fn cut(self: &Arc<Self>, time: Duration) {
+    pub fn cut_connections(self: &Arc<Self>, time: Duration) {
         let server = self.server.lock().expect("unshared").take();
-        self.world.capture.see(Seen::Cut { node: self.plan.id });
+        self.world.capture.see(Seen::Cut {
+            node: self.config.id,
+        });
         drop(server);
         let node = Arc::clone(self);
         let life = self.lock().life;
@@ -265,7 +267,7 @@
         self.world.tasks.spawn(again).detach();
     }
 
-    pub fn stand_still(&self, time: Duration) {
+    pub fn stall(&self, time: Duration) {
         self.lock().still_until = Some(Instant::now() + time);
     }
 
@@ -279,7 +281,7 @@
         self.lock().lag_until = Some((Instant::now() + time, by));
     }
 
-    pub fn lose_programs(&self) {
+    pub fn clear_program_cache(&self) {
         self.lock().kept.clear();
     }
 
@@ -287,17 +289,17 @@
     pub fn drain(&self) {
         self.lock().draining = true;
         self.world.capture.see(Seen::Node {
-            node: self.plan.id,
+            node: self.config.id,
             state: NodeState::Draining,
         });
     }
 
-    pub fn is_up(&self) -> bool {
+    pub fn is_running(&self) -> bool {
         self.lock().up
     }
 
     /// The copies of a task that are here, by their placings.
-    pub fn holds(&self, task: &str) -> Vec<String> {
+    pub fn allocations_of(&self, task: &str) -> Vec<String> {
         let state = self.lock();
         let own = state
             .guests
@@ -307,8 +309,8 @@
     }
 
     /// What nobody has asked for.
-    pub fn unasked(&self) -> Resources {
-        self.plan.size - asked(&self.lock())
+    pub fn unrequested(&self) -> Resources {
+        self.config.capacity - asked(&self.lock())
     }
 
     fn stand(&self) -> MutexGuard<'_, HashMap<(String, String), u32>> {
@@ -319,8 +321,8 @@
     }
 
     fn mark(&self, shot: &v1::Shot) -> Option<(String, String)> {
-        let deduplicated = self.world.dedup_track.as_ref() == Some(&shot.track);
-        deduplicated.then(|| (self.plan.hall.clone(), shot.task.clone()))
+        let deduplicated = self.world.dedup_class.as_ref() == Some(&shot.track);
+        deduplicated.then(|| (self.config.zone.clone(), shot.task.clone()))
     }
 
     /// What is not in use, as of a little while ago, and longer where reports are late.
@@ -332,7 +334,7 @@
             .filter(|guest| guest.runs)
             .map(|guest| guest.used)
             .sum();
-        let free = self.plan.size - used;
+        let free = self.config.capacity - used;
         state.loads.push_back((
             now,
             v1::Load {
@@ -376,7 +378,7 @@
         };
         let load = Some(self.load(state));
         if let Some(word) = word {
-            let (node, placing) = (self.plan.id, shot.placing.clone());
+            let (node, placing) = (self.config.id, shot.placing.clone());
             self.world.capture.see(Seen::Said {
                 node,
                 placing,
@@ -418,7 +420,7 @@
     }
 
     /// Allocations that stand here.
-    pub fn guests(&self) -> usize {
+    pub fn allocation_count(&self) -> usize {
         self.lock().guests.len()
     }
 
@@ -436,7 +438,7 @@
 
     fn see_ready(&self, shot: &v1::Shot, ready: bool, done: bool, stopped: bool) {
         let (task, service) = (shot.task.clone(), shot.service.clone());
-        let (node, version) = (self.plan.id, shot.version.clone());
+        let (node, version) = (self.config.id, shot.version.clone());
         self.world.capture.see(Seen::Ready {
             node,
             task,
@@ -464,7 +466,7 @@
             let service = guest.shot.service.clone();
             state.kept.retain(|other| *other != service);
             state.kept.push_back(service);
-            if state.kept.len() > self.plan.keeps {
+            if state.kept.len() > self.config.max_cached_programs {
                 state.kept.pop_front();
             }
         }
@@ -499,7 +501,7 @@
             OperationKind::Attempt,
         );
         self.world.capture.see(Seen::Offered {
-            node: self.plan.id,
+            node: self.config.id,
             placing: shot.placing.clone(),
             number: shot.number,
             dispatcher: shot.dispatcher,
@@ -513,7 +515,7 @@
             if fence.should_store(floor) {
                 fence.apply_stored(floor);
                 self.world.capture.see(Seen::Floor {
-                    node: self.plan.id,
+                    node: self.config.id,
                     lowest: floor.version,
                 });
             }
@@ -524,14 +526,14 @@
         while state
             .offers
             .front()
-            .is_some_and(|&at| at + self.plan.cold.window <= now)
+            .is_some_and(|&at| at + self.config.slow_start.window <= now)
         {
             state.offers.pop_front();
         }
         let cold = state
             .started
-            .is_some_and(|at| now < at + self.plan.cold.lasts);
-        if cold && state.offers.len() > self.plan.cold.most {
+            .is_some_and(|at| now < at + self.config.slow_start.duration);
+        if cold && state.offers.len() > self.config.slow_start.max_offers {
             drop(state);
             let node = Arc::clone(self);
             // Not from within its own server.
@@ -555,7 +557,7 @@
             if !state.up || state.life != life {
                 return;
             }
-            if state.waiting >= self.plan.line {
+            if state.waiting >= self.config.max_queued {
                 return self.refuse(&mut state, &shot, &words, Why::QueueFull);
             }
             state.waiting += 1;
@@ -565,7 +567,7 @@
             // One that its dispatcher has let go of while it waited is not looked at: a node that
             // spent its time on such would be late for all others too.
             if !words.is_closed() {
-                Timer::after(self.plan.look).await;
+                Timer::after(self.config.review_time).await;
             }
             self.gate(life).await
         };
@@ -611,7 +613,7 @@
                 self.refuse(&mut state, shot, words, Why::NotHere);
                 return false;
             }
-            self.stand().insert(mark, self.plan.id);
+            self.stand().insert(mark, self.config.id);
         }
         let ask = Resources {
             cores: shot.cores,
@@ -639,14 +641,14 @@
         if closed || state.draining || state.guests.contains_key(&shot.placing) {
             return Err(Why::NotHere);
         }
-        let most = self.plan.size * self.plan.accepts;
+        let most = self.config.capacity * self.config.admission_limit;
         let mut sum = asked(state)
             + Resources {
                 cores: shot.cores,
                 memory: shot.memory,
             };
         let mut out = Vec::new();
-        if self.plan.makes_room {
+        if self.config.preempts {
             let mut lower: Vec<_> = state
                 .guests
                 .iter()
@@ -683,17 +685,20 @@
             let near = |guest: &Guest| guest.shot.service == shot.service && guest.runs;
             let has = state.kept.contains(&shot.service) || state.guests.values().any(near);
             let warm = state.started.map_or(1.0, |at| {
-                at.elapsed().div_duration_f64(self.plan.cold.lasts).min(1.0)
+                at.elapsed()
+                    .div_duration_f64(self.config.slow_start.duration)
+                    .min(1.0)
             });
             (
                 has,
-                self.plan.cold.pace + (1.0 - self.plan.cold.pace) * warm,
+                self.config.slow_start.initial_rate
+                    + (1.0 - self.config.slow_start.initial_rate) * warm,
             )
         };
         let time = if has {
-            self.plan.start
+            self.config.start_time
         } else {
-            self.plan.start * self.plan.loads
+            self.config.start_time * self.config.load_factor
         };
         Timer::after(time.div_f64(pace)).await;
         if !self.gate(life).await {
@@ -721,7 +726,7 @@
     /// Runs it to its end: notes of its use, eviction where memory runs out.
     async fn run(&self, life: u64, shot: v1::Shot) {
         let mut rng =
-            Pcg64Mcg::seed_from_u64(self.plan.seed ^ corkspan_engine::service(&shot.placing).0);
+            Pcg64Mcg::seed_from_u64(self.config.seed ^ corkspan_engine::service(&shot.placing).0);
         let ask = Resources {
             cores: shot.cores,
             memory: shot.memory,
@@ -729,8 +734,8 @@
         let until = Instant::now() + Duration::from_millis(shot.life_ms.max(1));
         let bad = self.world.bad(&shot.version);
         let mut dies = None;
-        if bad != Some(Bad::NeverReady) {
-            Timer::after(self.plan.start / 2).await;
+        if bad != Some(VersionFault::NeverReady) {
+            Timer::after(self.config.start_time / 2).await;
             let mut state = self.lock();
             let Some(guest) = state
                 .guests
@@ -743,7 +748,7 @@
             let words = guest.words.clone();
             self.see_ready(&shot, true, false, false);
             self.say(&mut state, &shot, &words, Said::Ready(true));
-            if let Some(Bad::DiesAfter(time)) = bad {
+            if let Some(VersionFault::FailsAfter(time)) = bad {
                 dies = Some(Instant::now() + time);
             }
         }
@@ -783,11 +788,11 @@
                 .filter(|guest| guest.runs)
                 .map(|guest| guest.used)
                 .sum();
-            if in_use.cores > self.plan.size.cores {
-                let part = self.plan.size.cores / in_use.cores;
+            if in_use.cores > self.config.capacity.cores {
+                let part = self.config.capacity.cores / in_use.cores;
                 self.say(&mut state, &shot, &words, Said::Served(part));
             }
-            if in_use.memory > self.plan.size.memory {
+            if in_use.memory > self.config.capacity.memory {
                 let lowest = state.guests.iter().filter(|(_, guest)| guest.runs);
                 let lowest = lowest
                     .min_by_key(|(_, guest)| guest.shot.priority)
@@ -852,7 +857,7 @@
             && !self.said.is_closed()
         {
             node.world.capture.see(Seen::LetGo {
-                node: node.plan.id,
+                node: node.config.id,
                 placing,
                 number,
             });
@@ -875,7 +880,7 @@
 
     async fn greet(&self, _: Request<v1::Greeting>) -> Result<Response<v1::Greeting>, Status> {
         Ok(Response::new(v1::Greeting {
-            node: self.0.plan.id,
+            node: self.0.config.id,
             dispatcher: 0,
         }))
     }
@@ -1098,7 +1103,7 @@
         if before != closed {
             door.1 = Instant::now();
             self.0.world.capture.see(Seen::Door {
-                node: self.0.plan.id,
+                node: self.0.config.id,
                 closed: closed.is_some(),
             });
         }
@@ -1138,7 +1143,7 @@
             },
         );
         Ok(Response::new(v1::ActsWord {
-            node: self.0.plan.id,
+            node: self.0.config.id,
             acts: rows.collect(),
             left_out: acts.uncounted(),
             floor: floor.map(fleet::message),
@@ -1177,12 +1182,12 @@
 
     async fn probe(&self, _: Request<v1::ProbeAsk>) -> Result<Response<v1::ProbeWord>, Status> {
         self.0.world.capture.see(Seen::Probed {
-            node: self.0.plan.id,
+            node: self.0.config.id,
         });
         let life = self.0.lock().life;
         {
             let _turn = self.0.look.lock().await;
-            Timer::after(self.0.plan.look / 8).await;
+            Timer::after(self.0.config.review_time / 8).await;
         }
         if !self.0.gate(life).await {
             return Err(Status::unavailable("gone"));
--- a/crates/lab/src/owner.rs
+++ b/crates/lab/src/owner.rs
@@ -92,9 +92,9 @@
     /// it. The one that it was told of last goes before any other.
     fn runs_at(&self, task: &str, known: &str) -> Option<(u32, String)> {
         let copies = self.nodes.iter().flat_map(|node| {
-            node.holds(task)
+            node.allocations_of(task)
                 .into_iter()
-                .map(|placing| (node.plan.id, placing))
+                .map(|placing| (node.config.id, placing))
         });
         let copies: Vec<(u32, String)> = copies.collect();
         copies
--- a/crates/lab/src/play.rs
+++ b/crates/lab/src/play.rs
@@ -6,7 +6,7 @@
 use crate::cost;
 use crate::day::{Day, End, Kind, Trouble};
 use crate::needs::{Limits, Needs};
-use crate::node::{Cold, Node, Plan, World};
+use crate::node::{Node, NodeConfig, SlowStart, World};
 use crate::owner::{self, Front, Task};
 use crate::pace::Pace;
 use crate::process::{Process, Programs};
@@ -50,18 +50,18 @@
 pub const HELD: &str = "held";
 const SPREAD: usize = 4;
 const DEDUP_WINDOW: Duration = Duration::from_secs(6);
-const COLD: Cold = Cold {
-    lasts: Duration::from_secs(5),
+const COLD: SlowStart = SlowStart {
+    duration: Duration::from_secs(5),
     window: Duration::from_secs(1),
-    most: 16,
-    pace: 0.25,
+    max_offers: 16,
+    initial_rate: 0.25,
 };
 /// What dispatchers are told that a cold node bears: less than pushes it over, for the way is
 /// uneven.
 const BEARS: usize = 12;
 
 impl Play {
-    fn rules(&self, plans: &[Plan]) -> Rules {
+    fn rules(&self, plans: &[NodeConfig]) -> Rules {
         let track = |name: &str, repeat, contract_ms: u64, spread| capture::Track {
             name: name.into(),
             repeat,
@@ -80,15 +80,15 @@
                 .iter()
                 .map(|plan| capture::Home {
                     node: plan.id,
-                    hall: plan.hall.clone(),
+                    hall: plan.zone.clone(),
                     cell: plan.cell,
                 })
                 .collect(),
             grace_us: 1_000_000,
             cold: capture::Cold {
-                lasts_us: COLD.lasts.as_micros() as u64,
+                lasts_us: COLD.duration.as_micros() as u64,
                 window_us: COLD.window.as_micros() as u64,
-                most: COLD.most,
+                most: COLD.max_offers,
             },
             slack_us: 250_000,
         }
@@ -122,29 +122,29 @@
         (self.tell)(text)
     }
 
-    fn plans(&self, rng: &mut Pcg64Mcg) -> Vec<Plan> {
+    fn plans(&self, rng: &mut Pcg64Mcg) -> Vec<NodeConfig> {
         let plan = |id: usize| {
             let wide = id % 2 == 1;
             let (cores, memory) = if wide { (40.0, 60.0) } else { (24.0, 40.0) };
             let (cell, hall) = self.day.place(id);
-            Plan {
+            NodeConfig {
                 id: 100 + id as u32,
-                kind: if wide { "wide" } else { "compact" }.into(),
-                hall: HALLS[hall].into(),
+                machine_type: if wide { "wide" } else { "compact" }.into(),
+                zone: HALLS[hall].into(),
                 cell,
-                size: Resources { cores, memory },
-                accepts: Resources {
+                capacity: Resources { cores, memory },
+                admission_limit: Resources {
                     cores: 2.0,
                     memory: 1.5,
                 },
-                look: Duration::from_micros(rng.random_range(4_000..12_000)),
-                line: 24,
-                start: Duration::from_millis(rng.random_range(15..40)),
-                loads: 8,
-                starts_at_once: 4,
-                keeps: 6,
-                makes_room: true,
-                cold: COLD,
+                review_time: Duration::from_micros(rng.random_range(4_000..12_000)),
+                max_queued: 24,
+                start_time: Duration::from_millis(rng.random_range(15..40)),
+                load_factor: 8,
+                max_concurrent_starts: 4,
+                max_cached_programs: 6,
+                preempts: true,
+                slow_start: COLD,
                 seed: rng.random(),
             }
         };
@@ -224,7 +224,7 @@
             .map(|plan| Node::new(plan, &world))
             .collect();
         for node in &nodes {
-            let address = node.up(false).await.map_err(text)?;
+            let address = node.start_process(false).await.map_err(text)?;
             roster.change(Duration::ZERO, entry(node, address, 0));
         }
         let (control, control_up) = Control::up(&world).await.map_err(text)?;
@@ -234,10 +234,10 @@
                 let all = self.day.strikes(End::Nodes);
                 let struck = nodes
                     .iter()
-                    .filter(|node| all || KEEPERS.contains(&node.plan.id));
+                    .filter(|node| all || KEEPERS.contains(&node.config.id));
                 let listed: Vec<(u32, SocketAddr)> = struck
                     .filter_map(|node| {
-                        let entry = roster.entry(node.plan.id)?;
+                        let entry = roster.entry(node.config.id)?;
                         Some((entry.node, entry.address.parse().ok()?))
                     })
                     .collect();
@@ -354,13 +354,13 @@
 }
 
 fn entry(node: &Node, address: SocketAddr, started_ms: u64) -> v1::Entry {
-    let unasked = node.unasked();
+    let unasked = node.unrequested();
     v1::Entry {
-        node: node.plan.id,
+        node: node.config.id,
         address: address.to_string(),
-        kind: node.plan.kind.clone(),
-        hall: node.plan.hall.clone(),
-        cell: node.plan.cell,
+        kind: node.config.machine_type.clone(),
+        hall: node.config.zone.clone(),
+        cell: node.config.cell,
         state: v1::entry::State::Serving.into(),
         started_ms,
         unasked: Some(v1::Room {
@@ -401,12 +401,12 @@
             .collect();
         let mut done = Vec::new();
         for id in &mine {
-            let Some(node) = nodes.iter().find(|node| node.plan.id == *id) else {
+            let Some(node) = nodes.iter().find(|node| node.config.id == *id) else {
                 continue;
             };
             match under_way.get_mut(id) {
                 None => {
-                    let runs = node.guests();
+                    let runs = node.allocation_count();
                     front.world.capture.see(Seen::Worked {
                         node: *id,
                         begins: true,
@@ -416,13 +416,16 @@
                     under_way.insert(*id, (Instant::now() + work.takes, false));
                 }
                 Some((until, up)) if !*up && Instant::now() >= *until => {
-                    let address = node.up(true).await.map_err(|why| why.to_string())?;
+                    let address = node
+                        .start_process(true)
+                        .await
+                        .map_err(|why| why.to_string())?;
                     let entry = entry(node, address, corkspan_dispatcher::clock::wall_ms());
                     roster.change(Duration::from_millis(rng.random_range(50..500)), entry);
                     front.world.capture.see(Seen::Worked {
                         node: *id,
                         begins: false,
-                        runs: node.guests(),
+                        runs: node.allocation_count(),
                     });
                     *up = true;
                 }
@@ -470,9 +473,9 @@
     let apart = day.room.unwrap_or(usual);
     loop {
         Timer::after(apart).await;
-        for node in nodes.iter().filter(|node| node.is_up()) {
-            if let Some(entry) = roster.entry(node.plan.id) {
-                let unasked = node.unasked();
+        for node in nodes.iter().filter(|node| node.is_running()) {
+            if let Some(entry) = roster.entry(node.config.id) {
+                let unasked = node.unrequested();
                 let unasked = Some(v1::Room {
                     cores: unasked.cores,
                     memory: unasked.memory,
@@ -648,7 +651,7 @@
     /// An operator has all machines taken out for work but so many keepers that a majority stays,
     /// and the worker begins.
     async fn maintain(&mut self, work: crate::day::Maintenance) -> Result<(), String> {
-        let nodes = self.nodes.iter().map(|node| node.plan.id);
+        let nodes = self.nodes.iter().map(|node| node.config.id);
         let nodes: Vec<u32> = nodes.filter(|id| !KEEPERS[1..].contains(id)).collect();
         let machines = nodes.len();
         let (at_a_time, by_hall) = (work.at_a_time, work.by_hall);
@@ -656,7 +659,7 @@
             what: v1::maintain_ask::What::Start.into(),
             nodes,
             limits: vec![at_a_time, by_hall, at_a_time, at_a_time],
-            warm_ms: COLD.lasts.as_millis() as u64,
+            warm_ms: COLD.duration.as_millis() as u64,
             empty_within_ms: 3_600_000,
             ..v1::MaintainAsk::default()
         };
@@ -726,7 +729,11 @@
         let mut command = Command::new(first);
         command.args(rest).args(["fleet", "audit", "--json"]);
         for node in &self.nodes {
-            if let Some(entry) = self.roster.entry(node.plan.id).filter(|_| node.is_up()) {
+            if let Some(entry) = self
+                .roster
+                .entry(node.config.id)
+                .filter(|_| node.is_running())
+            {
                 command.args(["--node", &entry.address]);
             }
         }
@@ -843,7 +850,7 @@
             .see(Seen::Trouble { name: name.into() });
         let time = trouble.lasts;
         let mut up: Vec<usize> = (0..self.nodes.len())
-            .filter(|&index| self.nodes[index].is_up())
+            .filter(|&index| self.nodes[index].is_running())
             .collect();
         up.shuffle(&mut self.rng);
         up.truncate(trouble.many);
@@ -862,8 +869,8 @@
                 }
             }
             Kind::RestartRack => {
-                let cell = up.first().map(|&index| self.nodes[index].plan.cell);
-                let of = |index: &usize| Some(self.nodes[*index].plan.cell) == cell;
+                let cell = up.first().map(|&index| self.nodes[index].config.cell);
+                let of = |index: &usize| Some(self.nodes[*index].config.cell) == cell;
                 for index in (0..self.nodes.len()).filter(of).collect::<Vec<_>>() {
                     self.kill(index);
                     undos.push(Undo::Up(index));
@@ -872,9 +879,9 @@
             Kind::LoseZone => {
                 let zone = up
                     .first()
-                    .map(|&index| self.day.zone(self.nodes[index].plan.cell));
+                    .map(|&index| self.day.zone(self.nodes[index].config.cell));
                 let lost =
-                    |index: &usize| Some(self.day.zone(self.nodes[*index].plan.cell)) == zone;
+                    |index: &usize| Some(self.day.zone(self.nodes[*index].config.cell)) == zone;
                 for index in (0..self.nodes.len()).filter(lost).collect::<Vec<_>>() {
                     self.kill(index);
                     undos.push(Undo::Up(index));
@@ -887,10 +894,10 @@
                     undos.push(Undo::Undrain(index));
                 }
             }
-            Kind::StallNodes => up
+            Kind::StallNodes => up.iter().for_each(|&index| self.nodes[index].stall(time)),
+            Kind::CutLinks => up
                 .iter()
-                .for_each(|&index| self.nodes[index].stand_still(time)),
-            Kind::CutLinks => up.iter().for_each(|&index| self.nodes[index].cut(time)),
+                .for_each(|&index| self.nodes[index].cut_connections(time)),
             Kind::LoseAnswers => up.iter().for_each(|&index| self.nodes[index].mute(time)),
             Kind::DelayReports => {
                 let by = Duration::from_millis(self.rng.random_range(700..4000));
@@ -899,7 +906,7 @@
             }
             Kind::LosePrograms => up
                 .iter()
-                .for_each(|&index| self.nodes[index].lose_programs()),
+                .for_each(|&index| self.nodes[index].clear_program_cache()),
             Kind::RosterAway => self.roster.away(Some(time)),
             Kind::Demand | Kind::Burst => {}
             Kind::KillDispatchers => {
@@ -995,7 +1002,7 @@
     /// The roster hears of it late.
     fn tell(&mut self, index: usize, state: v1::entry::State) {
         let late = Duration::from_millis(self.rng.random_range(100..900));
-        if let Some(entry) = self.roster.entry(self.nodes[index].plan.id) {
+        if let Some(entry) = self.roster.entry(self.nodes[index].config.id) {
             self.roster.change(
                 late,
                 v1::Entry {
@@ -1010,8 +1017,11 @@
         match undo {
             Undo::Up(index) => {
                 let node = &self.nodes[index];
-                if !node.is_up() {
-                    let address = node.up(true).await.map_err(|why| why.to_string())?;
+                if !node.is_running() {
+                    let address = node
+                        .start_process(true)
+                        .await
+                        .map_err(|why| why.to_string())?;
                     let entry = entry(node, address, corkspan_dispatcher::clock::wall_ms());
                     let late = Duration::from_millis(self.rng.random_range(50..500));
                     self.roster.change(late, entry);
@@ -1019,7 +1029,7 @@
             }
             Undo::Undrain(index) => {
                 // Its process goes at the end of the drain, and comes back anew.
-                if self.nodes[index].is_up() {
+                if self.nodes[index].is_running() {
                     self.kill(index);
                 }
                 Box::pin(self.undo(Undo::Up(index))).await?;
--- a/crates/lab/tests/full_path/counts.rs
+++ b/crates/lab/tests/full_path/counts.rs
@@ -60,8 +60,8 @@
                 .nodes
                 .iter()
                 .map(|node| {
-                    let entry = rig.roster.entry(node.plan.id).expect("listed");
-                    (node.plan.id, entry.address.parse().expect("an address"))
+                    let entry = rig.roster.entry(node.config.id).expect("listed");
+                    (node.config.id, entry.address.parse().expect("an address"))
                 })
                 .collect();
             let wires = Wires::up(
--- a/crates/lab/tests/full_path/fleet.rs
+++ b/crates/lab/tests/full_path/fleet.rs
@@ -220,18 +220,20 @@
                     .iter()
                     .any(|line| matches!(line.seen, Seen::Floor { node, .. } if node == id))
             };
-            self.rig.nodes.iter().all(|node| has(node.plan.id))
+            self.rig.nodes.iter().all(|node| has(node.config.id))
         })
         .await;
     }
 
     /// The audit's table of acts against the nodes' sockets: no shot more or less.
     async fn audit_equals_the_sockets(&self) {
-        let nodes = self
-            .rig
-            .nodes
-            .iter()
-            .map(|node| self.rig.roster.entry(node.plan.id).expect("listed").address);
+        let nodes = self.rig.nodes.iter().map(|node| {
+            self.rig
+                .roster
+                .entry(node.config.id)
+                .expect("listed")
+                .address
+        });
         let nodes: Vec<String> = nodes
             .flat_map(|address| ["--node".into(), address])
             .collect();
@@ -465,7 +467,7 @@
             let (roster, by) = Roster::up(&stage.rig.world).await.expect("a port");
             let mut nodes = Vec::new();
             for node in &stage.rig.nodes {
-                let listed = stage.rig.roster.entry(node.plan.id).expect("listed");
+                let listed = stage.rig.roster.entry(node.config.id).expect("listed");
                 let relay = Relay::up(&tasks, listed.address.parse().expect("an address"))
                     .await
                     .expect("a port");
@@ -603,13 +605,13 @@
             )
         };
         let long = Duration::from_secs(3_600);
-        stage.rig.nodes[0].cut(long);
-        stage.rig.nodes[1].cut(long);
+        stage.rig.nodes[0].cut_connections(long);
+        stage.rig.nodes[1].cut_connections(long);
         let (taken, why) = floor(&stage, "1").await;
         assert!(!taken && why.contains("1 of 3 keepers answer"), "{why}");
         let (word, _call) = stage.answered(1, "alone").await;
         assert!(matches!(word, Some(Word::Placed(_))), "{word:?}");
-        stage.rig.nodes[1].cut(Duration::ZERO);
+        stage.rig.nodes[1].cut_connections(Duration::ZERO);
         until(async || floor(&stage, "1").await.0).await;
         // Known to both before, it stays so with all keepers but one away.
         until(async || {
@@ -623,7 +625,7 @@
             heard(0).await && heard(1).await
         })
         .await;
-        stage.rig.nodes[1].cut(long);
+        stage.rig.nodes[1].cut_connections(long);
         let (taken, why) = floor(&stage, "0").await;
         assert!(!taken && why.contains("1 of 3 keepers answer"), "{why}");
         assert!(!stage.status(0).await.shut_out);
@@ -752,7 +754,7 @@
                 let entry = stage
                     .rig
                     .roster
-                    .entry(stage.rig.nodes[keeper].plan.id)
+                    .entry(stage.rig.nodes[keeper].config.id)
                     .expect("listed");
                 let address = entry.address.parse().expect("an address");
                 let link = Link::open(&stage.rig.tasks, address, &Bounds::default())
--- a/crates/lab/tests/full_path/hard_cases.rs
+++ b/crates/lab/tests/full_path/hard_cases.rs
@@ -84,7 +84,7 @@
     Rig::run(layout, async |rig| {
         let mut words = rig.ask(ask("a", "once")).await;
         until(async || rig.offers().len() == 1).await;
-        rig.nodes[rig.offers()[0].2 as usize].cut(Duration::from_millis(50));
+        rig.nodes[rig.offers()[0].2 as usize].cut_connections(Duration::from_millis(50));
         assert!(matches!(next(&mut words).await, Some(Word::Failed(_))));
         assert_eq!(rig.offers().len(), 1);
     });
@@ -111,7 +111,7 @@
         // Long enough for the shorter window to pass, and not the longer.
         Timer::after(Duration::from_millis(150)).await;
         let first = rig.offers()[0].2;
-        rig.nodes[first as usize].cut(Duration::from_millis(50));
+        rig.nodes[first as usize].cut_connections(Duration::from_millis(50));
         match next(&mut words).await {
             Some(Word::Placed(placed)) if again => {
                 assert_eq!(
@@ -133,7 +133,7 @@
         for number in 0..20 {
             placed(&mut rig.ask(ask(&format!("quick{number}"), "web")).await).await;
         }
-        rig.nodes[0].stand_still(Duration::from_millis(2_500));
+        rig.nodes[0].stall(Duration::from_millis(2_500));
         let mut calls = Vec::new();
         for number in 0..12 {
             calls.push(rig.ask(ask(&format!("slow{number}"), "web")).await);
@@ -166,10 +166,10 @@
         };
         let mut words = rig.ask(ask.clone()).await;
         let node = placed(&mut words).await;
-        rig.nodes[node as usize].cut(Duration::from_millis(20));
+        rig.nodes[node as usize].cut_connections(Duration::from_millis(20));
         assert_eq!(ended(next_of_weight(&mut words).await), How::Lost);
         assert!(
-            !rig.nodes[node as usize].holds("a").is_empty(),
+            !rig.nodes[node as usize].allocations_of("a").is_empty(),
             "it runs on"
         );
         let mut again = rig.hand_over(ask, node).await;
@@ -203,7 +203,7 @@
             let mut words = rig.ask(ask("a", "once")).await;
             placed(&mut words).await;
             rig.nodes[0].kill(NodeState::Gone);
-            let address = rig.nodes[0].up(true).await.expect("a port");
+            let address = rig.nodes[0].start_process(true).await.expect("a port");
             let now_ms = corkspan_dispatcher::clock::wall_ms();
             rig.roster.change(
                 Duration::ZERO,
@@ -217,7 +217,7 @@
             for words in &mut calls {
                 placed(words).await;
             }
-            assert!(rig.nodes[0].is_up(), "it was not pushed over");
+            assert!(rig.nodes[0].is_running(), "it was not pushed over");
         },
     );
 }
@@ -277,7 +277,9 @@
             .await;
         assert_eq!(refused(&mut second).await, Why::InHand);
         assert!(
-            rig.nodes.iter().any(|node| !node.holds("a").is_empty()),
+            rig.nodes
+                .iter()
+                .any(|node| !node.allocations_of("a").is_empty()),
             "the first runs on"
         );
     });
@@ -289,7 +291,7 @@
         let mut words = rig.ask(ask("a", "once")).await;
         let node = placed(&mut words).await as usize;
         drop(words);
-        until(async || rig.nodes[node].holds("a").is_empty()).await;
+        until(async || rig.nodes[node].allocations_of("a").is_empty()).await;
         until(async || rig.status().await.in_hand == 0).await;
         assert_eq!(rig.status().await.cancelled, 1);
     });
@@ -306,7 +308,11 @@
         until(async || rig.offers().len() == 1).await;
         drop(words);
         until(async || rig.status().await.in_hand == 0).await;
-        assert!(rig.nodes.iter().all(|node| node.holds("a").is_empty()));
+        assert!(
+            rig.nodes
+                .iter()
+                .all(|node| node.allocations_of("a").is_empty())
+        );
     });
 }
 
@@ -331,7 +337,7 @@
         // Another call after it, so that the end of the first has been seen.
         placed(&mut rig.ask(ask("b", "once")).await).await;
         assert!(
-            !rig.nodes[node].holds("a").is_empty(),
+            !rig.nodes[node].allocations_of("a").is_empty(),
             "its owner's call has ended as agreed"
         );
     });
--- a/crates/lab/tests/full_path/maintenance.rs
+++ b/crates/lab/tests/full_path/maintenance.rs
@@ -69,7 +69,7 @@
             let index: usize = machine.parse().expect("a number");
             let node = &self.rig.nodes[index];
             assert_eq!(
-                node.guests(),
+                node.allocation_count(),
                 0,
                 "machine {machine} is the worker's, and something runs there"
             );
@@ -145,7 +145,7 @@
             let (roster, by) = Roster::up(&rig.world).await.expect("a port");
             let mut relays = Vec::new();
             for node in &rig.nodes {
-                let listed = rig.roster.entry(node.plan.id).expect("listed");
+                let listed = rig.roster.entry(node.config.id).expect("listed");
                 let relay = Relay::up(&tasks, listed.address.parse().expect("an address"))
                     .await
                     .expect("a port");
--- a/crates/lab/tests/full_path/rig.rs
+++ b/crates/lab/tests/full_path/rig.rs
@@ -6,7 +6,7 @@
 use corkspan_dispatcher::Failure;
 use corkspan_dispatcher::rolls::Store;
 use corkspan_lab::capture::{Capture, Line, Seen};
-use corkspan_lab::node::{Cold, Node, Plan, World};
+use corkspan_lab::node::{Node, NodeConfig, SlowStart, World};
 use corkspan_lab::roster::Roster;
 use corkspan_rpc::{Bounds, Link, Tasks, within};
 use corkspan_scheduler::interface::Resources;
@@ -87,7 +87,7 @@
         let mut nodes = Vec::new();
         for id in 0..layout.nodes {
             let node = Node::new(plan(id, layout.look), &world);
-            let address = node.up(false).await.expect("a port");
+            let address = node.start_process(false).await.expect("a port");
             roster.change(
                 Duration::ZERO,
                 entry(&node, address, v1::entry::State::Serving, 0),
@@ -255,7 +255,10 @@
 
     pub fn tell(&self, index: usize, state: v1::entry::State) {
         let node = &self.nodes[index];
-        let old = self.roster.entry(node.plan.id).expect("the node is listed");
+        let old = self
+            .roster
+            .entry(node.config.id)
+            .expect("the node is listed");
         self.roster.change(
             Duration::ZERO,
             v1::Entry {
@@ -282,32 +285,32 @@
     }
 }
 
-pub fn plan(id: u32, look: Duration) -> Plan {
-    Plan {
+pub fn plan(id: u32, look: Duration) -> NodeConfig {
+    NodeConfig {
         id,
-        kind: "small".into(),
-        hall: if id < 2 { "a" } else { "b" }.into(),
+        machine_type: "small".into(),
+        zone: if id < 2 { "a" } else { "b" }.into(),
         cell: u64::from(id),
-        size: Resources {
+        capacity: Resources {
             cores: 40.0,
             memory: 80.0,
         },
-        accepts: Resources {
+        admission_limit: Resources {
             cores: 2.0,
             memory: 1.5,
         },
-        look,
-        line: 10_000,
-        start: Duration::from_millis(5),
-        loads: 2,
-        starts_at_once: 64,
-        keeps: 4,
-        makes_room: false,
-        cold: Cold {
-            lasts: Duration::from_secs(2),
+        review_time: look,
+        max_queued: 10_000,
+        start_time: Duration::from_millis(5),
+        load_factor: 2,
+        max_concurrent_starts: 64,
+        max_cached_programs: 4,
+        preempts: false,
+        slow_start: SlowStart {
+            duration: Duration::from_secs(2),
             window: Duration::from_secs(1),
-            most: 12,
-            pace: 0.5,
+            max_offers: 12,
+            initial_rate: 0.5,
         },
         seed: 1,
     }
@@ -320,11 +323,11 @@
     started_ms: u64,
 ) -> v1::Entry {
     v1::Entry {
-        node: node.plan.id,
+        node: node.config.id,
         address: address.to_string(),
         kind: "small".into(),
-        hall: node.plan.hall.clone(),
-        cell: node.plan.cell,
+        hall: node.config.zone.clone(),
+        cell: node.config.cell,
         state: state.into(),
         started_ms,
         unasked: None,
--- a/crates/lab/tests/full_path/rolls.rs
+++ b/crates/lab/tests/full_path/rolls.rs
@@ -6,7 +6,7 @@
 use corkspan_lab::capture::{self, Line, NodeState, Repeat, Seen};
 use corkspan_lab::disk::{self, Full};
 use corkspan_lab::judge::judge;
-use corkspan_lab::node::Bad;
+use corkspan_lab::node::VersionFault;
 use corkspan_lab::owner::{Front, Task, live};
 use corkspan_rpc::{Bounds, Link};
 use rand::SeedableRng;
@@ -249,7 +249,7 @@
             self.rigs[0]
                 .nodes
                 .iter()
-                .map(|node| node.holds(&task).len())
+                .map(|node| node.allocations_of(&task).len())
                 .sum::<usize>()
         };
         (0..copies).all(|number| held(format!("c{number}")) == 1)
@@ -380,11 +380,11 @@
     });
 }
 
-#[test_case(Bad::NeverReady; "that never gets ready")]
-#[test_case(Bad::DiesAfter(Duration::from_millis(300)); "that gets ready and dies")]
-fn a_version_halts_the_roll_by_itself_and_is_undone(how: Bad) {
+#[test_case(VersionFault::NeverReady; "that never gets ready")]
+#[test_case(VersionFault::FailsAfter(Duration::from_millis(300)); "that gets ready and dies")]
+fn a_version_halts_the_roll_by_itself_and_is_undone(how: VersionFault) {
     story(2, 20, "web", async |stage| {
-        stage.rigs[0].world.spoil("v2", how);
+        stage.rigs[0].world.inject_version_fault("v2", how);
         assert!(stage.start(0, "v2", 4).await.taken);
         let halted = async || {
             stage
@@ -657,11 +657,11 @@
     });
 }
 
-#[test_case(Bad::NeverReady; "that never gets ready")]
-#[test_case(Bad::DiesAfter(Duration::from_millis(300)); "that gets ready and dies")]
-fn a_bad_version_beside_the_old_one_costs_no_copy(how: Bad) {
+#[test_case(VersionFault::NeverReady; "that never gets ready")]
+#[test_case(VersionFault::FailsAfter(Duration::from_millis(300)); "that gets ready and dies")]
+fn a_bad_version_beside_the_old_one_costs_no_copy(how: VersionFault) {
     story(2, 20, "web", async |stage| {
-        stage.rigs[0].world.spoil("v2", how);
+        stage.rigs[0].world.inject_version_fault("v2", how);
         assert!(stage.start_in(0, "v2", 4, true).await.taken);
         until(async || {
             stage
--- a/crates/lab/tests/stand_in_node.rs
+++ b/crates/lab/tests/stand_in_node.rs
@@ -10,7 +10,7 @@
 
 use corkspan_api::v1;
 use corkspan_lab::capture::{Capture, NodeState};
-use corkspan_lab::node::{Cold, Node, Plan, World};
+use corkspan_lab::node::{Node, NodeConfig, SlowStart, World};
 use corkspan_rpc::{Bounds, Link, Tasks};
 use corkspan_scheduler::interface::Resources;
 use futures_lite::{StreamExt, future};
@@ -64,32 +64,32 @@
     }
 }
 
-fn plan() -> Plan {
-    Plan {
+fn plan() -> NodeConfig {
+    NodeConfig {
         id: 3,
-        kind: "small".into(),
-        hall: "a".into(),
+        machine_type: "small".into(),
+        zone: "a".into(),
         cell: 1,
-        size: Resources {
+        capacity: Resources {
             cores: 40.0,
             memory: 80.0,
         },
-        accepts: Resources {
+        admission_limit: Resources {
             cores: 2.0,
             memory: 1.5,
         },
-        look: Duration::from_millis(1),
-        line: 100,
-        start: Duration::from_millis(4),
-        loads: 2,
-        starts_at_once: 4,
-        keeps: 4,
-        makes_room: true,
-        cold: Cold {
-            lasts: Duration::from_secs(2),
+        review_time: Duration::from_millis(1),
+        max_queued: 100,
+        start_time: Duration::from_millis(4),
+        load_factor: 2,
+        max_concurrent_starts: 4,
+        max_cached_programs: 4,
+        preempts: true,
+        slow_start: SlowStart {
+            duration: Duration::from_secs(2),
             window: Duration::from_secs(1),
-            most: 12,
-            pace: 0.5,
+            max_offers: 12,
+            initial_rate: 0.5,
         },
         seed: 1,
     }
@@ -134,7 +134,7 @@
     }
 
     async fn connect(tasks: &Tasks, node: &Arc<Node>) -> Link {
-        let address = node.up(false).await.expect("a port");
+        let address = node.start_process(false).await.expect("a port");
         let link = Link::open(tasks, address, &Bounds::default()).await;
         link.expect("it listens")
     }
