--- a/crates/dispatcher/src/fleet.rs
+++ b/crates/dispatcher/src/fleet.rs
@@ -9,7 +9,7 @@
 pub use crate::standing::{message, read};
 use corkspan_api::v1::{self, keep_ask::Ask};
 use corkspan_config::FloorWatch;
-use corkspan_quorum::{in_force, of_a_few};
+use corkspan_quorum::{committed, sampled};
 use corkspan_version_fencing::catch_up::should_store;
 use corkspan_version_fencing::policy::{MinimumVersionPolicy, PolicyWatch};
 use corkspan_version_fencing::{MinimumVersion, propose};
@@ -86,9 +86,9 @@
                 adoption_permille: own.part,
             };
             let taken: Vec<Option<u64>> = words.iter().map(|word| word.taken).collect();
-            let stands = in_force(told.iter().flatten(), keepers).map(|floor| floor.version);
+            let stands = committed(told.iter().flatten(), keepers).map(|floor| floor.version);
             // Hundreds see it in the same round: a few that ask are enough.
-            let chance = of_a_few(deployment.cluster.scheduler_count, rng.random());
+            let chance = sampled(deployment.cluster.scheduler_count, rng.random());
             let lowest = watch
                 .evaluate(now, rule, &taken, keepers, stands)
                 .filter(|_| chance);
@@ -210,7 +210,7 @@
         .iter()
         .filter_map(|word| word.floor.as_ref().map(read))
         .collect();
-    let stands = in_force(&told, keepers).copied();
+    let stands = committed(&told, keepers).copied();
     let text = match stands {
         Some(floor) if floor == wish => String::new(),
         Some(_) => "turned down: another floor was asked for at the same time".into(),
--- a/crates/dispatcher/src/maintenance.rs
+++ b/crates/dispatcher/src/maintenance.rs
@@ -14,7 +14,7 @@
     ClaimId, DisruptionLimits, LeaseOutcome, LeasePhase, LeaseProgress, Machine, MachineDomains,
     MaintenanceRequest, RunState,
 };
-use corkspan_quorum::{in_force, majority, of_a_few};
+use corkspan_quorum::{committed, is_majority, sampled};
 use corkspan_rpc::within;
 use corkspan_scheduler::interface::{MachineId, Ticks};
 use rand::{RngExt, SeedableRng};
@@ -64,7 +64,7 @@
                 bid_at = now + BID_EVERY;
                 bids(&desk, wish).await;
             }
-            if of_a_few(desk.deployment().cluster.scheduler_count, rng.random()) {
+            if sampled(desk.deployment().cluster.scheduler_count, rng.random()) {
                 act(&desk, &view, &old, &mut rng).await;
             }
         }
@@ -272,7 +272,7 @@
         };
         let heard = ask_all(desk, Ask::Step(step)).await.len();
         let keepers = desk.deployment().keepers.len();
-        if !majority(heard, keepers) {
+        if !is_majority(heard, keepers) {
             let text = format!(
                 "{heard} of {keepers} keepers have heard that machine {node} is done: say it again"
             );
@@ -317,7 +317,7 @@
         .filter_map(|word| outings::wish(word.board.as_ref()?.work.as_ref()?))
         .collect();
     info!(number, course = ?wish.run_state, machines = wish.machines.len(), "a wish for work on machines");
-    Ok(in_force(&stands, desk.deployment().keepers.len()) == Some(&wish))
+    Ok(committed(&stands, desk.deployment().keepers.len()) == Some(&wish))
 }
 
 fn start(
--- a/crates/dispatcher/src/rolls.rs
+++ b/crates/dispatcher/src/rolls.rs
@@ -7,7 +7,7 @@
 use corkspan_api::v1;
 use corkspan_rollout::Grant;
 use corkspan_rollout::conductor::{ClaimRequest, Conductor, Look, ReportedSlot, Votes};
-use corkspan_rollout::{ClaimId, Order, Phase, Roll, in_force, majority, to_follow};
+use corkspan_rollout::{ClaimId, Order, Phase, Roll, base_proposal, committed, is_majority};
 use corkspan_version_fencing::operations::OperationKind;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -97,7 +97,7 @@
                 .get(&service)
                 .map_or(0, |own| own.roll().number);
             later.extend(
-                in_force(&told, keepers)
+                committed(&told, keepers)
                     .filter(|roll| roll.number > known)
                     .cloned(),
             );
@@ -127,7 +127,7 @@
     }
     // Without a majority what they tell is not the whole truth, and nothing can be won.
     let looks: Vec<(String, Roll, Look)> = desk.with_rolls(|now, rolls| {
-        if !majority(rolls.heard, keepers) {
+        if !is_majority(rolls.heard, keepers) {
             return Vec::new();
         }
         let held = &rolls.held;
@@ -197,7 +197,8 @@
         let keepers = desk.deployment().keepers.len();
         // On disk before anything is taken down under it: a restart must know that the slot is
         // used.
-        if majority(granted, keepers) && !keep_claim(desk, claim, service, &task, true, None).await
+        if is_majority(granted, keepers)
+            && !keep_claim(desk, claim, service, &task, true, None).await
         {
             granted = 0;
         }
@@ -319,7 +320,7 @@
         .flat_map(|word| &word.kept)
         .filter_map(|kept| kept.roll.as_ref().and_then(roll_of))
         .collect();
-    in_force(&stands, desk.deployment().keepers.len()).cloned()
+    committed(&stands, desk.deployment().keepers.len()).cloned()
 }
 
 pub fn message(roll: &Roll) -> v1::Roll {
@@ -401,7 +402,7 @@
     async fn stands(&self, service: &str) -> Result<Option<Roll>, Status> {
         let keepers = self.0.deployment().keepers.len();
         let told = ask_all(&self.0, Ask::Tell(v1::Tell::default())).await;
-        if !majority(told.len(), keepers) {
+        if !is_majority(told.len(), keepers) {
             let text = format!(
                 "{} of {keepers} keepers answer; a majority is needed",
                 told.len()
@@ -413,7 +414,7 @@
             .flat_map(|word| &word.kept)
             .filter_map(|kept| kept.roll.as_ref().and_then(roll_of));
         let rolls: Vec<Roll> = rolls.filter(|roll| roll.service == service).collect();
-        Ok(to_follow(&rolls, keepers))
+        Ok(base_proposal(&rolls, keepers))
     }
 }
 
--- a/crates/lab/src/node.rs
+++ b/crates/lab/src/node.rs
@@ -11,7 +11,7 @@
 use corkspan_maintenance::cordon::Cordon;
 use corkspan_maintenance::lease_table::LeaseTable;
 use corkspan_maintenance::{ClaimId, Machine};
-use corkspan_rollout::{Claimed, Grant, Keeper};
+use corkspan_rollout::{ClaimOutcome, Grant, QuorumMember};
 use corkspan_rpc::{Bounds, Tasks};
 use corkspan_scheduler::interface::Resources;
 use corkspan_version_fencing::operations::{
@@ -145,8 +145,8 @@
     server: Mutex<Option<async_executor::Task<()>>>,
     listener: Mutex<Option<TcpListener>>,
     /// On its disk: it survives the process.
-    keeper: Mutex<Keeper>,
-    floors: Mutex<corkspan_quorum::Keeper<MinimumVersion>>,
+    keeper: Mutex<QuorumMember>,
+    floors: Mutex<corkspan_quorum::QuorumMember<MinimumVersion>>,
     rows: Mutex<ReportedVersions>,
     shelf: Mutex<Shelf>,
     board: Mutex<LeaseTable>,
@@ -978,7 +978,7 @@
                     dispatcher: slot.dispatcher,
                 };
                 let claimed = keeper.claim(&claim.service, claim.number, slot.slot, grant);
-                word.granted = claimed == Claimed::Granted;
+                word.granted = claimed == ClaimOutcome::Granted;
             }
             Some(Ask::Release(release)) => {
                 keeper.release(&release.service, corkspan_rollout::ClaimId(release.claim));
@@ -1038,7 +1038,10 @@
                     .floors
                     .lock()
                     .expect("no one panics while it is held");
-                word.floor = floors.all().next().map(|kept| fleet::message(kept.wish));
+                word.floor = floors
+                    .entries()
+                    .next()
+                    .map(|kept| fleet::message(kept.proposal));
                 let mut rows = self.0.rows.lock().expect("no one panics while it is held");
                 if let Some(v1::InForce {
                     dispatcher,
@@ -1066,14 +1069,14 @@
                 if tell.floor_only {
                     return Ok(Response::new(word));
                 }
-                for own in keeper.all() {
+                for own in keeper.entries() {
                     let slots = own.slots.iter().map(|(slot, grant)| v1::Slot {
                         slot: *slot,
                         claim: grant.claim.0,
                         task: grant.task.clone(),
                         dispatcher: grant.dispatcher,
                     });
-                    word.kept.push(kept(&own.wish, slots.collect()));
+                    word.kept.push(kept(&own.proposal, slots.collect()));
                 }
             }
             None => return Err(Status::invalid_argument("nothing is asked")),
--- a/crates/maintenance/src/lib.rs
+++ b/crates/maintenance/src/lib.rs
@@ -18,7 +18,7 @@
 pub mod reconcile;
 mod request;
 
-pub use corkspan_quorum::{ClaimId, majority};
+pub use corkspan_quorum::{ClaimId, is_majority};
 pub use lease::{JobOutcome, LeaseId, LeaseOutcome, LeasePhase, LeaseProgress, MaintenanceLease};
 pub use limits::{DisruptionLimits, LimitScope, Machine, MachineDomains, Slots};
 pub use request::{DrainTimeoutAction, MAX_MACHINES, MaintenanceRequest, RunState};
--- a/crates/maintenance/src/quorum_view.rs
+++ b/crates/maintenance/src/quorum_view.rs
@@ -3,9 +3,9 @@
 use crate::cost::drain_order;
 use crate::{
     ClaimId, DisruptionLimits, LeaseId, LeaseOutcome, LeasePhase, LeaseProgress, MAX_MACHINES,
-    Machine, MachineDomains, MaintenanceLease, MaintenanceRequest, majority,
+    Machine, MachineDomains, MaintenanceLease, MaintenanceRequest, is_majority,
 };
-use corkspan_quorum::in_force;
+use corkspan_quorum::committed;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What one quorum member reports.
@@ -81,7 +81,7 @@
 impl QuorumView {
     /// Puts the replies together. None without a majority of `members`: then nothing is known.
     pub fn from_replies(replies: &[MemberReply], members: usize) -> Option<QuorumView> {
-        if !majority(replies.len(), members) {
+        if !is_majority(replies.len(), members) {
             return None;
         }
         let requests: Vec<MaintenanceRequest> = replies
@@ -99,7 +99,7 @@
             .map(|(id, reported)| observe(id, &reported, replies, members));
         Some(QuorumView {
             highest_revision: requests.iter().map(|held| held.revision).max().unwrap_or(0),
-            request: in_force(&requests, members).cloned(),
+            request: committed(&requests, members).cloned(),
             leases: leases.collect(),
             outcomes: agreed_outcomes(replies, members),
             costs: replies.iter().map(|reply| reply.costs.clone()).collect(),
@@ -213,7 +213,7 @@
         let votes = replies
             .iter()
             .filter(|reply| reply.votes.get(&claim) == Some(&phase));
-        majority(votes.count(), members)
+        is_majority(votes.count(), members)
     };
     let phase = phases.get(members / 2).map(|&phase| match phase {
         LeasePhase::Granted | LeasePhase::Cordoned if is_voted(LeasePhase::Cancelled) => {
@@ -256,7 +256,7 @@
             .iter()
             .filter_map(|reply| reply.outcomes.get(&machine).copied())
             .collect();
-        majority(reported.len(), members).then(|| (machine, reported[0]))
+        is_majority(reported.len(), members).then(|| (machine, reported[0]))
     });
     agreed.collect()
 }
--- a/crates/maintenance/src/reconcile.rs
+++ b/crates/maintenance/src/reconcile.rs
@@ -5,7 +5,7 @@
 use crate::{
     ClaimId, DrainTimeoutAction, JobOutcome, LeaseId, LeaseOutcome, LeasePhase, LeaseProgress,
     LimitScope, Machine, MachineDomains, MaintenanceLease, MaintenanceRequest, RunState, Slots,
-    majority,
+    is_majority,
 };
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -94,7 +94,7 @@
 ) {
     let lease = observed.id();
     // A majority will never hold it: what a minority holds of it is released.
-    if majority(observed.withdrawals, context.members) {
+    if is_majority(observed.withdrawals, context.members) {
         let outcome = None;
         return actions.release.push(Release { lease, outcome });
     }
--- a/crates/maintenance/src/request.rs
+++ b/crates/maintenance/src/request.rs
@@ -1,7 +1,7 @@
 //! What an operator asks for: which machines, how many at a time, and how long each may take.
 
 use crate::{DisruptionLimits, Machine, MachineDomains};
-use corkspan_quorum::Wish;
+use corkspan_quorum::Proposal;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -66,24 +66,24 @@
     pub run_state: RunState,
 }
 
-impl Wish for MaintenanceRequest {
+impl Proposal for MaintenanceRequest {
     /// There is one request at a time.
-    type Matter = ();
+    type Key = ();
 
-    fn matter(&self) {}
+    fn key(&self) {}
 
-    fn number(&self) -> u64 {
+    fn revision(&self) -> u64 {
         self.revision
     }
 
-    fn numbered(&self, number: u64) -> Self {
+    fn with_revision(&self, revision: u64) -> Self {
         MaintenanceRequest {
-            revision: number,
+            revision,
             ..self.clone()
         }
     }
 
-    fn slots(&self) -> u32 {
+    fn max_slots(&self) -> u32 {
         self.limits.total
     }
 }
--- a/crates/quorum/src/lib.rs
+++ b/crates/quorum/src/lib.rs
@@ -1,12 +1,12 @@
 //! Agreement at a majority of a few nodes, without I/O and without a clock. docs/roll.md says why
 //! it is done this way.
 //!
-//! Dispatchers share nothing, and none of them leads. What they must agree on is a [`Wish`] with a
+//! Dispatchers share nothing, and none of them leads. What they must agree on is a [`Proposal`] with a
 //! revision: it is committed once a majority of the quorum members, a few nodes that the deployment
 //! names, holds it. Under a committed proposal a limited number of slots may be claimed. A slot is
 //! held by whoever a majority has granted it to, whichever other nodes die or hear nothing.
 //!
-//! A [`Keeper`] is the state of one of these nodes. It must survive the node's restart; a node that
+//! A [`QuorumMember`] is the state of one of these nodes. It must survive the node's restart; a node that
 //! has lost it must come back as another member. What a proposal is about is for its user to say:
 //! rolling updates, the minimum version, or maintenance.
 
@@ -15,21 +15,21 @@
 mod member;
 mod proposal;
 
-pub use member::{ClaimId, Claimed, Grant, Keeper, Kept};
-pub use proposal::{Wish, in_force, to_follow};
+pub use member::{ClaimId, ClaimOutcome, Entry, Grant, QuorumMember};
+pub use proposal::{Proposal, base_proposal, committed};
 
 /// Whether this many of all members are more than half of them.
 #[must_use]
-pub fn majority(count: usize, members: usize) -> bool {
+pub fn is_majority(count: usize, members: usize) -> bool {
     2 * count > members
 }
 
-/// Whether one of `fleet` dispatchers acts on what all of them see in the same round: a few are
-/// enough, and more would only get in each other's way at the quorum. `chance` is drawn evenly from
+/// Whether one of `dispatchers` of them acts on what all of them see in the same round: a few are
+/// enough, and more would only get in each other's way at the quorum. `draw` is drawn evenly from
 /// 0 to 1.
 #[must_use]
-pub fn of_a_few(fleet: usize, chance: f64) -> bool {
+pub fn sampled(dispatchers: usize, draw: f64) -> bool {
     /// Dispatchers that act, on average.
-    const FEW: f64 = 3.0;
-    chance < FEW / fleet.max(1) as f64
+    const EXPECTED_ACTORS: f64 = 3.0;
+    draw < EXPECTED_ACTORS / dispatchers.max(1) as f64
 }
--- a/crates/quorum/src/member.rs
+++ b/crates/quorum/src/member.rs
@@ -1,13 +1,13 @@
 //! One quorum member: the proposals that it holds, and who holds their slots.
 
-use crate::proposal::Wish;
+use crate::proposal::Proposal;
 use serde::{Deserialize, Serialize};
 use std::borrow::Borrow;
 use std::collections::BTreeMap;
 
 /// Keys of one kind that a member holds at the most: what others may ask of it over a wire must not
 /// grow without end.
-const MOST: usize = 10_000;
+const MAX_KEYS: usize = 10_000;
 
 /// One claim of a slot. It is drawn anew for each claim, so that a late message about an earlier
 /// one can't be taken for a later one.
@@ -28,28 +28,29 @@
 /// A member's answer to a claim.
 #[must_use]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Claimed {
+pub enum ClaimOutcome {
     /// This claim holds the slot here.
     Granted,
     /// Another claim holds it, or as many slots are held as may be.
-    Taken,
+    Occupied,
     /// The member holds another proposal for the key, or none.
-    OtherWish,
+    StaleRevision,
 }
 
 /// What a member holds for one key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Kept<W> {
+pub struct Entry<P> {
     /// The latest proposal that was taken here.
-    pub wish: W,
+    #[serde(rename = "wish")]
+    pub proposal: P,
     /// The slots that are held here, by index.
     pub slots: BTreeMap<u32, Grant>,
 }
 
-impl<W> Kept<W> {
-    fn new(wish: W) -> Self {
-        Kept {
-            wish,
+impl<P> Entry<P> {
+    fn new(proposal: P) -> Self {
+        Entry {
+            proposal,
             slots: BTreeMap::new(),
         }
     }
@@ -58,83 +59,86 @@
 /// The state of one quorum member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(bound(
-    serialize = "W: Serialize, W::Matter: Serialize",
-    deserialize = "W: Deserialize<'de>, W::Matter: Deserialize<'de>"
+    serialize = "P: Serialize, P::Key: Serialize",
+    deserialize = "P: Deserialize<'de>, P::Key: Deserialize<'de>"
 ))]
-pub struct Keeper<W: Wish> {
-    matters: BTreeMap<W::Matter, Kept<W>>,
+pub struct QuorumMember<P: Proposal> {
+    #[serde(rename = "matters")]
+    entries: BTreeMap<P::Key, Entry<P>>,
 }
 
-impl<W: Wish> Default for Keeper<W> {
+impl<P: Proposal> Default for QuorumMember<P> {
     fn default() -> Self {
-        Keeper {
-            matters: BTreeMap::new(),
+        QuorumMember {
+            entries: BTreeMap::new(),
         }
     }
 }
 
-impl<W: Wish> Keeper<W> {
+impl<P: Proposal> QuorumMember<P> {
     /// Takes a proposal if its revision is above that of the one held. Returns what is held
     /// afterwards: the proposal itself where it was taken, now or before; none where no more keys
     /// can be held. Claims under the earlier proposal go on holding their slots.
-    pub fn propose(&mut self, wish: W) -> Option<&W> {
-        let matter = wish.matter();
-        if !self.matters.contains_key(&matter) && self.matters.len() >= MOST {
+    pub fn propose(&mut self, proposal: P) -> Option<&P> {
+        let key = proposal.key();
+        if !self.entries.contains_key(&key) && self.entries.len() >= MAX_KEYS {
             return None;
         }
-        let kept = self
-            .matters
-            .entry(matter)
-            .or_insert_with(|| Kept::new(wish.clone()));
-        if kept.wish.number() < wish.number() {
-            kept.wish = wish;
+        let entry = self
+            .entries
+            .entry(key)
+            .or_insert_with(|| Entry::new(proposal.clone()));
+        if entry.proposal.revision() < proposal.revision() {
+            entry.proposal = proposal;
         }
-        Some(&kept.wish)
+        Some(&entry.proposal)
     }
 
-    /// Claims a slot under the proposal held for the key, if that has this number. A limit below
+    /// Claims a slot under the proposal held for the key, if that has this revision. A limit below
     /// the one before holds for slots granted under that too: none is granted until enough have
     /// been released.
-    pub fn claim<M>(&mut self, matter: &M, number: u64, slot: u32, grant: Grant) -> Claimed
+    pub fn claim<K>(&mut self, key: &K, revision: u64, slot: u32, grant: Grant) -> ClaimOutcome
     where
-        W::Matter: Borrow<M>,
-        M: Ord + ?Sized,
+        P::Key: Borrow<K>,
+        K: Ord + ?Sized,
     {
-        let Some(kept) = self
-            .matters
-            .get_mut(matter)
-            .filter(|kept| kept.wish.number() == number)
+        let Some(entry) = self
+            .entries
+            .get_mut(key)
+            .filter(|entry| entry.proposal.revision() == revision)
         else {
-            return Claimed::OtherWish;
+            return ClaimOutcome::StaleRevision;
         };
-        if let Some(holder) = kept.slots.get(&slot) {
+        if let Some(holder) = entry.slots.get(&slot) {
             return if holder.claim == grant.claim {
-                Claimed::Granted
+                ClaimOutcome::Granted
             } else {
-                Claimed::Taken
+                ClaimOutcome::Occupied
             };
         }
-        if slot >= kept.wish.slots() || kept.slots.len() >= kept.wish.slots() as usize {
-            return Claimed::Taken;
+        if slot >= entry.proposal.max_slots()
+            || entry.slots.len() >= entry.proposal.max_slots() as usize
+        {
+            return ClaimOutcome::Occupied;
         }
-        kept.slots.insert(slot, grant);
-        Claimed::Granted
+        entry.slots.insert(slot, grant);
+        ClaimOutcome::Granted
     }
 
     /// Frees what this claim holds, and nothing else: a late or repeated message frees no later
     /// claim's slot.
-    pub fn release<M>(&mut self, matter: &M, claim: ClaimId)
+    pub fn release<K>(&mut self, key: &K, claim: ClaimId)
     where
-        W::Matter: Borrow<M>,
-        M: Ord + ?Sized,
+        P::Key: Borrow<K>,
+        K: Ord + ?Sized,
     {
-        if let Some(kept) = self.matters.get_mut(matter) {
-            kept.slots.retain(|_, grant| grant.claim != claim);
+        if let Some(entry) = self.entries.get_mut(key) {
+            entry.slots.retain(|_, grant| grant.claim != claim);
         }
     }
 
     /// What is held, in the order of the keys.
-    pub fn all(&self) -> impl Iterator<Item = &Kept<W>> {
-        self.matters.values()
+    pub fn entries(&self) -> impl Iterator<Item = &Entry<P>> {
+        self.entries.values()
     }
 }
--- a/crates/rollout/src/conductor/claims.rs
+++ b/crates/rollout/src/conductor/claims.rs
@@ -3,7 +3,7 @@
 use super::replica::{Claim, Step};
 use super::types::{ClaimRequest, Recalled, ReportedSlot, Votes};
 use super::{BACK_OFF, Conductor, LONGEST_BACK_OFF};
-use crate::{ClaimId, majority};
+use crate::{ClaimId, is_majority};
 use corkspan_scheduler::interface::Ticks;
 use rand::RngExt;
 
@@ -35,8 +35,8 @@
                 .max();
             let members = reported.map_or(0, |(members, _)| members);
             let silent = keepers.saturating_sub(heard);
-            let holds = majority(members, keepers);
-            if holds || !majority(members + silent, keepers) {
+            let holds = is_majority(members, keepers);
+            if holds || !is_majority(members + silent, keepers) {
                 self.recalled.remove(&claim);
                 if !(holds && self.use_again(claim)) {
                     self.forget(claim);
@@ -82,7 +82,7 @@
         let Some(task) = self.claims.get(&claim).map(|claim| claim.task.clone()) else {
             return false;
         };
-        let won = majority(votes.granted, votes.keepers);
+        let won = is_majority(votes.granted, votes.keepers);
         let in_progress = self.in_progress();
         let copy = self
             .copies
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -13,8 +13,8 @@
 pub mod conductor;
 mod rollout;
 
-pub use corkspan_quorum::{ClaimId, Claimed, Grant, in_force, majority, to_follow};
+pub use corkspan_quorum::{ClaimId, ClaimOutcome, Grant, base_proposal, committed, is_majority};
 pub use rollout::{Order, Phase, Roll};
 
 /// What a quorum member holds of rollouts.
-pub type Keeper = corkspan_quorum::Keeper<Roll>;
+pub type QuorumMember = corkspan_quorum::QuorumMember<Roll>;
--- a/crates/rollout/src/rollout.rs
+++ b/crates/rollout/src/rollout.rs
@@ -1,6 +1,6 @@
 //! A service's rollout as its operator wants it.
 
-use corkspan_quorum::Wish;
+use corkspan_quorum::Proposal;
 use corkspan_scheduler::interface::Ticks;
 use serde::{Deserialize, Serialize};
 
@@ -58,26 +58,26 @@
     Halted(String),
 }
 
-impl Wish for Roll {
+impl Proposal for Roll {
     /// The service.
-    type Matter = String;
+    type Key = String;
 
-    fn matter(&self) -> String {
+    fn key(&self) -> String {
         self.service.clone()
     }
 
-    fn number(&self) -> u64 {
+    fn revision(&self) -> u64 {
         self.number
     }
 
-    fn numbered(&self, number: u64) -> Self {
+    fn with_revision(&self, revision: u64) -> Self {
         Roll {
-            number,
+            number: revision,
             ..self.clone()
         }
     }
 
-    fn slots(&self) -> u32 {
+    fn max_slots(&self) -> u32 {
         self.unready_most
     }
 }
--- a/crates/rollout/tests/conductor.rs
+++ b/crates/rollout/tests/conductor.rs
@@ -4,7 +4,7 @@
     ClaimRequest, Conductor, Look, Recalled, ReplicaCounts, ReportedSlot, Votes, Withdrawn,
 };
 use corkspan_rollout::{ClaimId, Order, Phase, Roll};
-use corkspan_rollout::{Claimed, Grant, Keeper};
+use corkspan_rollout::{ClaimOutcome, Grant, QuorumMember};
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 use test_case::test_case;
@@ -549,7 +549,7 @@
     ) {
         let order = if start_first { Order::StartFirst } else { Order::StopFirst };
         let wish = Roll { order, failures_most: 1_000, ..roll(1, "v2") };
-        let mut keepers = vec![Keeper::default(); 3];
+        let mut keepers = vec![QuorumMember::default(); 3];
         keepers.iter_mut().for_each(|keeper| drop(keeper.propose(wish.clone()).cloned()));
         let mut own: Vec<Conductor> = (0..2).map(|me| {
             let now = me as u64 * apart;
@@ -580,7 +580,7 @@
                 }
             }
             let mut told: Vec<ReportedSlot> = Vec::new();
-            for (slot, grant) in keepers.iter().flat_map(|keeper| keeper.all()).flat_map(|kept| &kept.slots) {
+            for (slot, grant) in keepers.iter().flat_map(|keeper| keeper.entries()).flat_map(|kept| &kept.slots) {
                 match told.iter_mut().find(|known| known.slot == *slot && known.grant == *grant) {
                     Some(known) => known.members += 1,
                     None => told.push(reported(*slot, grant.clone(), 1)),
@@ -596,7 +596,7 @@
             for ClaimRequest { claim, slot, task } in look.claims {
                 let granted = keepers.iter_mut().filter_map(|keeper| {
                     let grant = Grant { claim, task: task.clone(), dispatcher: who as u32 };
-                    (keeper.claim("s", 1, slot, grant) == Claimed::Granted).then_some(())
+                    (keeper.claim("s", 1, slot, grant) == ClaimOutcome::Granted).then_some(())
                 }).count();
                 if !own[who].claimed(now, claim, Votes { granted, keepers: 3 }) {
                     release.push(claim);
--- a/crates/rollout/tests/decisions.rs
+++ b/crates/rollout/tests/decisions.rs
@@ -2,7 +2,7 @@
 //! byte with the transcript that an earlier version of this program wrote.
 
 use corkspan_rollout::conductor::{ClaimRequest, Conductor, Look, ReportedSlot, Votes, Withdrawn};
-use corkspan_rollout::{ClaimId, Claimed, Grant, Keeper, Order, Phase, Roll};
+use corkspan_rollout::{ClaimId, ClaimOutcome, Grant, Order, Phase, QuorumMember, Roll};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
@@ -34,7 +34,7 @@
     random: Pcg64Mcg,
     now: u64,
     rollout: Roll,
-    members: Vec<Keeper>,
+    members: Vec<QuorumMember>,
     controllers: Vec<Conductor>,
     /// Replicas that are being started, by task: when, and whether beside the old one.
     starting: BTreeMap<String, (u64, bool)>,
@@ -46,7 +46,7 @@
 impl Run {
     fn new(order: Order) -> Self {
         let rollout = first_rollout(order);
-        let mut members = vec![Keeper::default(); MEMBERS];
+        let mut members = vec![QuorumMember::default(); MEMBERS];
         members
             .iter_mut()
             .for_each(|member| assert!(member.propose(rollout.clone()).is_some()));
@@ -78,7 +78,7 @@
         let mut reported: Vec<ReportedSlot> = Vec::new();
         let members = self.members[without..].iter();
         for (slot, grant) in members
-            .flat_map(|member| member.all())
+            .flat_map(|member| member.entries())
             .flat_map(|entry| &entry.slots)
         {
             match reported
@@ -289,7 +289,7 @@
             };
             let heard = self.random.random_range(0..4) > 0;
             let claimed = member.claim("s", self.rollout.number, slot, grant);
-            granted += usize::from(heard && claimed == Claimed::Granted);
+            granted += usize::from(heard && claimed == ClaimOutcome::Granted);
         }
         let votes = Votes {
             granted,
--- a/crates/rollout/tests/search.rs
+++ b/crates/rollout/tests/search.rs
@@ -3,8 +3,8 @@
 //! in a small case. And that the search is able to find a protocol that can: turns in time, and
 //! keepers asked without a majority.
 
-use corkspan_rollout::{ClaimId, Order, Phase, Roll, in_force, majority, to_follow};
-use corkspan_rollout::{Claimed, Grant, Keeper};
+use corkspan_rollout::{ClaimId, Order, Phase, Roll, base_proposal, committed, is_majority};
+use corkspan_rollout::{ClaimOutcome, Grant, QuorumMember};
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 use test_case::test_case;
 
@@ -199,64 +199,64 @@
 
 #[test]
 fn the_keeper_itself_keeps_the_rule_of_the_search() {
-    let mut keeper = Keeper::default();
+    let mut keeper = QuorumMember::default();
     assert_eq!(
         keeper.claim("s", 1, 0, grant(1)),
-        Claimed::OtherWish,
+        ClaimOutcome::StaleRevision,
         "of a roll it doesn't know"
     );
     assert_eq!(keeper.propose(roll(1, 1)), Some(&roll(1, 1)));
-    assert_eq!(keeper.claim("s", 1, 0, grant(1)), Claimed::Granted);
+    assert_eq!(keeper.claim("s", 1, 0, grant(1)), ClaimOutcome::Granted);
     assert_eq!(
         keeper.claim("s", 1, 0, grant(1)),
-        Claimed::Granted,
+        ClaimOutcome::Granted,
         "asked twice"
     );
-    assert_eq!(keeper.claim("s", 1, 0, grant(2)), Claimed::Taken);
+    assert_eq!(keeper.claim("s", 1, 0, grant(2)), ClaimOutcome::Occupied);
     assert_eq!(
         keeper.claim("s", 1, 1, grant(2)),
-        Claimed::Taken,
+        ClaimOutcome::Occupied,
         "no slot of this roll"
     );
     keeper.release("s", ClaimId(2));
     assert_eq!(
         keeper.claim("s", 1, 0, grant(3)),
-        Claimed::Taken,
+        ClaimOutcome::Occupied,
         "another's release frees nothing"
     );
     keeper.release("s", ClaimId(1));
-    assert_eq!(keeper.claim("s", 1, 0, grant(3)), Claimed::Granted);
+    assert_eq!(keeper.claim("s", 1, 0, grant(3)), ClaimOutcome::Granted);
 }
 
 #[test]
 fn a_smaller_limit_counts_what_the_larger_one_let_down() {
-    let mut keeper = Keeper::default();
+    let mut keeper = QuorumMember::default();
     assert_eq!(keeper.propose(roll(1, 3)), Some(&roll(1, 3)));
     for claim in 1..=3 {
         assert_eq!(
             keeper.claim("s", 1, claim - 1, grant(u64::from(claim))),
-            Claimed::Granted
+            ClaimOutcome::Granted
         );
     }
     assert_eq!(keeper.propose(roll(2, 2)), Some(&roll(2, 2)));
     assert_eq!(
         keeper.claim("s", 1, 0, grant(9)),
-        Claimed::OtherWish,
+        ClaimOutcome::StaleRevision,
         "under the earlier one none is granted"
     );
     keeper.release("s", ClaimId(1));
     assert_eq!(
         keeper.claim("s", 2, 0, grant(9)),
-        Claimed::Taken,
+        ClaimOutcome::Occupied,
         "two are still down"
     );
     keeper.release("s", ClaimId(2));
-    assert_eq!(keeper.claim("s", 2, 0, grant(9)), Claimed::Granted);
+    assert_eq!(keeper.claim("s", 2, 0, grant(9)), ClaimOutcome::Granted);
 }
 
 #[test]
 fn of_two_operators_at_once_one_wins_and_the_other_is_told() {
-    let mut keepers = vec![Keeper::default(); KEEPERS];
+    let mut keepers = vec![QuorumMember::default(); KEEPERS];
     let (one, two) = (
         Roll {
             asker: 1,
@@ -278,11 +278,11 @@
     assert_eq!(keepers[0].propose(two.clone()), Some(&one));
     let told: Vec<Roll> = keepers
         .iter()
-        .flat_map(|keeper| keeper.all().map(|kept| kept.wish.clone()))
+        .flat_map(|keeper| keeper.entries().map(|kept| kept.proposal.clone()))
         .collect();
-    assert_eq!(in_force(&told, KEEPERS), Some(&two));
+    assert_eq!(committed(&told, KEEPERS), Some(&two));
     assert_eq!(
-        in_force(&told[..2], KEEPERS),
+        committed(&told[..2], KEEPERS),
         None,
         "with one keeper away nobody can tell"
     );
@@ -294,12 +294,13 @@
         version: "v9".into(),
         ..roll(5, 1)
     };
-    let next = to_follow(&[roll(4, 2), stray.clone(), roll(4, 2)], KEEPERS).expect("one in force");
+    let next =
+        base_proposal(&[roll(4, 2), stray.clone(), roll(4, 2)], KEEPERS).expect("one in force");
     assert_eq!((&next.version[..], next.number), ("v2", 5));
-    assert_eq!(to_follow::<Roll>(&[], KEEPERS), None);
+    assert_eq!(base_proposal::<Roll>(&[], KEEPERS), None);
 }
 
 #[test]
 fn half_is_no_majority() {
-    assert!(!majority(1, 2) && majority(2, 3) && !majority(2, 4));
+    assert!(!is_majority(1, 2) && is_majority(2, 3) && !is_majority(2, 4));
 }
--- a/crates/rollout/tests/stored_state.rs
+++ b/crates/rollout/tests/stored_state.rs
@@ -2,7 +2,7 @@
 //! read to the same content and written back byte for byte; a half-written file is refused with the
 //! same message.
 
-use corkspan_rollout::{ClaimId, Grant, Keeper, Order, Phase, Roll};
+use corkspan_rollout::{ClaimId, Grant, Order, Phase, QuorumMember, Roll};
 
 const STORED: &str = include_str!("data/stored-state.json");
 
@@ -32,8 +32,8 @@
 }
 
 /// Services in the order of their names: four rolling updates, with the slots held under each.
-fn expected() -> Keeper {
-    let mut member = Keeper::default();
+fn expected() -> QuorumMember {
+    let mut member = QuorumMember::default();
     let paused = Roll {
         service: "billing".into(),
         number: 2,
@@ -75,14 +75,14 @@
 
 #[test]
 fn state_stored_by_an_earlier_version_is_read_to_the_same_content() {
-    let read: Keeper = serde_json::from_str(stored()).expect("readable");
+    let read: QuorumMember = serde_json::from_str(stored()).expect("readable");
     assert_eq!(read, expected());
-    assert_eq!(read.all().count(), 4, "one entry a service");
+    assert_eq!(read.entries().count(), 4, "one entry a service");
 }
 
 #[test]
 fn stored_state_is_written_back_byte_for_byte() {
-    let read: Keeper = serde_json::from_str(stored()).expect("readable");
+    let read: QuorumMember = serde_json::from_str(stored()).expect("readable");
     assert_eq!(serde_json::to_string(&read).expect("writable"), stored());
     assert_eq!(
         serde_json::to_string(&expected()).expect("writable"),
@@ -96,7 +96,8 @@
     for line in HALF_WRITTEN.lines() {
         let (cut, message) = line.split_once(' ').expect("a cut and a message");
         let half = &stored()[..cut.parse().expect("a number of bytes")];
-        let refused = serde_json::from_str::<Keeper>(half).expect_err("half of it is no state");
+        let refused =
+            serde_json::from_str::<QuorumMember>(half).expect_err("half of it is no state");
         assert_eq!(refused.to_string(), message, "cut after {cut} bytes");
         cases += 1;
     }
@@ -126,7 +127,7 @@
         "dispatcher",
     ] {
         let other = stored().replace(&format!("\"{key}\":"), "\"other\":");
-        let refused = serde_json::from_str::<Keeper>(&other).expect_err("a key is missing");
+        let refused = serde_json::from_str::<QuorumMember>(&other).expect_err("a key is missing");
         let message = refused.to_string();
         assert!(
             message.starts_with(&format!("missing field `{key}` at line 1 column ")),
--- a/crates/version-fencing/src/catch_up.rs
+++ b/crates/version-fencing/src/catch_up.rs
@@ -1,7 +1,7 @@
 //! How a dispatcher that is behind catches up: whom it requests the newest version from next, and
 //! when. Without a clock: times are passed in, in the unit of [`RequestIntervals`].
 
-use corkspan_quorum::of_a_few;
+use corkspan_quorum::sampled;
 use rand::seq::SliceRandom;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -163,5 +163,5 @@
 /// oldest of theirs is `stored`. The whole fleet sees at once that one is missing there, and a few
 /// are enough. `chance` is drawn from 0 to 1.
 pub fn should_store(version: u64, stored: Option<u64>, fleet: usize, chance: f64) -> bool {
-    version > stored.unwrap_or(0) && of_a_few(fleet, chance)
+    version > stored.unwrap_or(0) && sampled(fleet, chance)
 }
--- a/crates/version-fencing/src/fence.rs
+++ b/crates/version-fencing/src/fence.rs
@@ -1,7 +1,7 @@
 //! The fence of a node: whether an operation takes effect there.
 
 use crate::MinimumVersion;
-use corkspan_quorum::{in_force, majority};
+use corkspan_quorum::{committed, is_majority};
 
 /// What a node finds on its disk at a start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -78,8 +78,8 @@
         // Whatever was committed is held by at least one member of any majority: where a majority
         // holds none, there never was one.
         let never_committed =
-            majority(replies.len(), members) && replies.iter().all(Option::is_none);
-        let committed = in_force(replies.iter().flatten(), members).copied();
+            is_majority(replies.len(), members) && replies.iter().all(Option::is_none);
+        let committed = committed(replies.iter().flatten(), members).copied();
         if let Some(minimum) = committed {
             self.apply_stored(minimum);
         }
--- a/crates/version-fencing/src/gate.rs
+++ b/crates/version-fencing/src/gate.rs
@@ -1,7 +1,7 @@
 //! The gate of a dispatcher: whether it may act, as far as it knows.
 
 use crate::MinimumVersion;
-use corkspan_quorum::in_force;
+use corkspan_quorum::committed;
 
 /// What a dispatcher knows of the minimum version. It spares operations that the nodes would
 /// reject; correctness rests on their fences alone.
@@ -18,7 +18,7 @@
         replies: &[Option<MinimumVersion>],
         members: usize,
     ) -> bool {
-        in_force(replies.iter().flatten(), members)
+        committed(replies.iter().flatten(), members)
             .copied()
             .is_some_and(|minimum| self.apply(minimum))
     }
--- a/crates/version-fencing/src/minimum.rs
+++ b/crates/version-fencing/src/minimum.rs
@@ -1,6 +1,6 @@
 //! The minimum version as a proposal to the quorum, and what a raise by an operator needs.
 
-use corkspan_quorum::{Wish, in_force, majority, to_follow};
+use corkspan_quorum::{Proposal, base_proposal, committed, is_majority};
 use serde::{Deserialize, Serialize};
 
 /// Fractions of a fleet are given in thousandths.
@@ -31,22 +31,22 @@
     }
 }
 
-impl Wish for MinimumVersion {
+impl Proposal for MinimumVersion {
     /// A fleet has one minimum version.
-    type Matter = ();
+    type Key = ();
 
-    fn matter(&self) {}
+    fn key(&self) {}
 
-    fn number(&self) -> u64 {
+    fn revision(&self) -> u64 {
         self.revision
     }
 
-    fn numbered(&self, revision: u64) -> Self {
+    fn with_revision(&self, revision: u64) -> Self {
         MinimumVersion { revision, ..*self }
     }
 
     /// Nothing is claimed under it.
-    fn slots(&self) -> u32 {
+    fn max_slots(&self) -> u32 {
         0
     }
 }
@@ -140,19 +140,19 @@
     minimum: u64,
     proposer: u64,
 ) -> Result<MinimumVersion, RaiseError> {
-    if !majority(replies.len(), members) {
+    if !is_majority(replies.len(), members) {
         return Err(RaiseError::NoMajority {
             replies: replies.len(),
             members,
         });
     }
     let known: Vec<MinimumVersion> = replies.iter().flatten().copied().collect();
-    if in_force(&known, members).is_some_and(|current| current.version == minimum) {
+    if committed(&known, members).is_some_and(|current| current.version == minimum) {
         return Err(RaiseError::Unchanged(minimum));
     }
     // A member that reports the largest revision there is leaves none above it. The proposal is
     // then not accepted, but nothing overflows.
-    let revision = to_follow(&known, members)
+    let revision = base_proposal(&known, members)
         .map_or(0, |latest| latest.revision)
         .saturating_add(1);
     Ok(MinimumVersion {
--- a/crates/version-fencing/src/policy.rs
+++ b/crates/version-fencing/src/policy.rs
@@ -3,7 +3,7 @@
 
 use crate::ReportedVersion;
 use crate::minimum::share_of;
-use corkspan_quorum::majority;
+use corkspan_quorum::is_majority;
 use std::collections::{BTreeMap, VecDeque};
 
 /// Dispatchers whose version one quorum member remembers.
@@ -80,7 +80,7 @@
         members: usize,
         current: Option<u64>,
     ) -> Option<u64> {
-        if !majority(replies.len(), members) {
+        if !is_majority(replies.len(), members) {
             return None;
         }
         // What a majority reports at least: a minority with wrong reports can fence nobody.
--- a/crates/version-fencing/tests/fence_search.rs
+++ b/crates/version-fencing/tests/fence_search.rs
@@ -5,7 +5,7 @@
 
 mod states;
 
-use corkspan_quorum::{Keeper, majority};
+use corkspan_quorum::{QuorumMember, is_majority};
 use corkspan_version_fencing::{Fence, FenceDecision, MinimumVersion, StoredState, VersionGate};
 use test_case::test_case;
 
@@ -60,7 +60,7 @@
 
 #[derive(Clone, Debug)]
 struct World {
-    members: Vec<Keeper<MinimumVersion>>,
+    members: Vec<QuorumMember<MinimumVersion>>,
     gates: [VersionGate; 2],
     running: [u64; 2],
     fence: Fence,
@@ -87,12 +87,12 @@
         .expect("one of the proposals")
 }
 
-fn held_by(member: &Keeper<MinimumVersion>) -> Option<MinimumVersion> {
-    member.all().next().map(|kept| kept.wish)
+fn held_by(member: &QuorumMember<MinimumVersion>) -> Option<MinimumVersion> {
+    member.entries().next().map(|kept| kept.proposal)
 }
 
 /// The replies of a subset of the members, each given by its bit.
-fn replies(members: &[Keeper<MinimumVersion>], subset: usize) -> Vec<Option<MinimumVersion>> {
+fn replies(members: &[QuorumMember<MinimumVersion>], subset: usize) -> Vec<Option<MinimumVersion>> {
     let replying = members
         .iter()
         .enumerate()
@@ -102,7 +102,7 @@
 
 fn start() -> World {
     World {
-        members: vec![Keeper::default(); MEMBERS],
+        members: vec![QuorumMember::default(); MEMBERS],
         gates: [VersionGate::default(); 2],
         running: [OLD, NEW],
         fence: Fence::restore(StoredState::Intact(None)),
@@ -176,7 +176,7 @@
                 .iter()
                 .filter(|member| held_by(member) == Some(PROPOSALS[proposal]))
                 .count();
-            *committed |= majority(holds, MEMBERS);
+            *committed |= is_majority(holds, MEMBERS);
         }
         self.all.push(next);
     }
--- a/crates/version-fencing/tests/stored.rs
+++ b/crates/version-fencing/tests/stored.rs
@@ -1,7 +1,7 @@
 //! Stored forms, as an earlier program wrote them: read to the same content, written back to the same
 //! bytes, and refused with the same message where they are cut short or foreign.
 
-use corkspan_quorum::{Keeper, Kept};
+use corkspan_quorum::{Entry, QuorumMember};
 use corkspan_version_fencing::MinimumVersion;
 use corkspan_version_fencing::history::{VersionInterval, VersionOrigin};
 use serde::{Serialize, de::DeserializeOwned};
@@ -40,17 +40,20 @@
 
 #[test]
 fn a_quorum_members_stored_entry_keeps_content_and_bytes() {
-    let mut member = Keeper::default();
+    let mut member = QuorumMember::default();
     member.propose(minimum());
-    let entry: Kept<MinimumVersion> = member.all().next().expect("it was proposed").clone();
+    let entry: Entry<MinimumVersion> = member.entries().next().expect("it was proposed").clone();
     round_trip(ENTRY, entry);
 }
 
 /// There is one key, and it is no string: as JSON a member is stored by its entries.
 #[test]
 fn a_quorum_member_as_a_whole_is_json_only_while_it_is_empty() {
-    round_trip(r#"{"matters":{}}"#, Keeper::<MinimumVersion>::default());
-    let mut member = Keeper::default();
+    round_trip(
+        r#"{"matters":{}}"#,
+        QuorumMember::<MinimumVersion>::default(),
+    );
+    let mut member = QuorumMember::default();
     member.propose(minimum());
     let error = serde_json::to_string(&member).expect_err("its key is no string");
     assert_eq!(error.to_string(), "key must be a string");
@@ -88,8 +91,8 @@
         let (kind, stored) = pair[0].split_once(' ').expect("a kind and a text");
         let message = match kind {
             "minimum" => refusal::<MinimumVersion>(stored),
-            "entry" => refusal::<Kept<MinimumVersion>>(stored),
-            "member" => refusal::<Keeper<MinimumVersion>>(stored),
+            "entry" => refusal::<Entry<MinimumVersion>>(stored),
+            "member" => refusal::<QuorumMember<MinimumVersion>>(stored),
             "spans" => refusal::<VecDeque<VersionInterval>>(stored),
             other => panic!("no such kind: {other}"),
         };
