--- a/crates/dispatcher/src/conductors.rs
+++ b/crates/dispatcher/src/conductors.rs
@@ -2,8 +2,8 @@
 //! and `rolls` asks them what to do next.
 
 use crate::store::{Held, Kept};
-use corkspan_rollout::Roll;
-use corkspan_rollout::conductor::{Conductor, ReportedSlot};
+use corkspan_rollout::Rollout;
+use corkspan_rollout::controller::{ReportedSlot, RolloutController};
 use corkspan_scheduler::interface::Ticks;
 use std::collections::BTreeMap;
 use tracing::warn;
@@ -15,7 +15,7 @@
 pub struct Rolls {
     me: u32,
     seed: u64,
-    pub conductors: BTreeMap<String, Conductor>,
+    pub conductors: BTreeMap<String, RolloutController>,
     /// What keepers told last.
     pub held: BTreeMap<String, Vec<ReportedSlot>>,
     pub heard: usize,
@@ -40,7 +40,7 @@
         } in claims
         {
             match own.conductors.get_mut(&service) {
-                Some(conductor) => conductor.remember(claim, &task, won),
+                Some(conductor) => conductor.restore_claim(claim, &task, won),
                 None => warn!(
                     service,
                     task, "a claim of a roll that the store doesn't know"
@@ -55,21 +55,23 @@
     pub fn wanted(&self, service: &str) -> String {
         self.conductors
             .get(service)
-            .map_or_else(String::new, |conductor| conductor.roll().wanted().into())
+            .map_or_else(String::new, |conductor| {
+                conductor.rollout().desired_version().into()
+            })
     }
 
     /// Whether any roll has steps left to take: copies of another version, slots in use, or claims
     /// of ours.
     pub fn goes_on(&self) -> bool {
-        let steps = |own: &Conductor| own.claims().next().is_some() || own.has_steps();
+        let steps = |own: &RolloutController| own.claims().next().is_some() || own.has_work();
         self.conductors.values().any(steps) || self.held.values().any(|held| !held.is_empty())
     }
 
-    pub fn of(&mut self, service: &str) -> Option<&mut Conductor> {
+    pub fn of(&mut self, service: &str) -> Option<&mut RolloutController> {
         self.conductors.get_mut(service)
     }
 
-    pub fn adopt(&mut self, now: Ticks, roll: Roll) {
+    pub fn adopt(&mut self, now: Ticks, roll: Rollout) {
         let full = self.conductors.len() >= MOST;
         match self.conductors.get_mut(&roll.service) {
             Some(conductor) => conductor.adopt(roll),
@@ -77,7 +79,7 @@
                 let seed = self.seed ^ corkspan_engine::service(&roll.service).0;
                 self.conductors.insert(
                     roll.service.clone(),
-                    Conductor::new(self.me, seed, roll, now),
+                    RolloutController::new(self.me, seed, roll, now),
                 );
             }
             None => warn!(
--- a/crates/dispatcher/src/desk.rs
+++ b/crates/dispatcher/src/desk.rs
@@ -24,7 +24,7 @@
 use corkspan_config_sync::change;
 use corkspan_engine::{Asked, Host, NotTaken, Slice, service};
 use corkspan_rollout::ClaimId;
-use corkspan_rollout::conductor::Withdrawn;
+use corkspan_rollout::controller::SurgeEnd;
 use corkspan_rpc::Tasks;
 use corkspan_scheduler::interface::*;
 use corkspan_version_fencing::operations::OperationKind;
@@ -339,7 +339,7 @@
                         .detach();
                     current.set(id);
                     if let Some(conductor) = port.rolls.of(&service_name) {
-                        conductor.copy(now, &task, "", false);
+                        conductor.replica_assigned(now, &task, "", false);
                     }
                     Some(current)
                 }
@@ -470,14 +470,14 @@
             port.stop(self, client, machine, false);
         }
         if client.beside.is_some() {
-            return self.withdraw(id, Withdrawn::NoRoom, host, port);
+            return self.withdraw(id, SurgeEnd::NoCapacity, host, port);
         }
         let successor = client.successor.take();
         port.copy_gone(client, true);
         port.counters.cancelled += 1;
         host.finish(id);
         if let Some(next) = successor {
-            self.withdraw(next, Withdrawn::NotWanted, host, port);
+            self.withdraw(next, SurgeEnd::Cancelled, host, port);
         }
     }
 
--- a/crates/dispatcher/src/desk/client.rs
+++ b/crates/dispatcher/src/desk/client.rs
@@ -3,7 +3,7 @@
 use crate::store::Pair;
 use corkspan_api::v1;
 use corkspan_rollout::ClaimId;
-use corkspan_rollout::conductor::Withdrawn;
+use corkspan_rollout::controller::SurgeEnd;
 use corkspan_scheduler::interface::*;
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -58,7 +58,7 @@
 pub enum Then {
     /// The old one is gone, the new one has taken over.
     Retired,
-    Withdrawn(Withdrawn),
+    Withdrawn(SurgeEnd),
     /// Of an earlier life: only its claim is left, without the two.
     Forgotten(ClaimId, Pair),
     /// A claim of another, dead or gone, goes back.
--- a/crates/dispatcher/src/desk/copies.rs
+++ b/crates/dispatcher/src/desk/copies.rs
@@ -9,8 +9,8 @@
 use crate::store::Pair;
 use corkspan_api::v1;
 use corkspan_engine::{Asked, Host};
-use corkspan_rollout::conductor::Withdrawn;
-use corkspan_rollout::{ClaimId, Roll};
+use corkspan_rollout::controller::SurgeEnd;
+use corkspan_rollout::{ClaimId, Rollout};
 use corkspan_scheduler::interface::*;
 use corkspan_version_fencing::operations::OperationKind;
 use std::collections::BTreeSet;
@@ -24,7 +24,7 @@
     pub(super) fn withdraw(
         self: &Arc<Self>,
         id: AllocationId,
-        why: Withdrawn,
+        why: SurgeEnd,
         host: &mut Host<Client>,
         port: &mut Port,
     ) {
@@ -98,7 +98,7 @@
     }
 
     /// A later roll is in force. Copies that were here before it are its own from now on.
-    pub fn adopt(&self, roll: Roll) {
+    pub fn adopt(&self, roll: Rollout) {
         self.with(|now, host, port| {
             let known = port.rolls.of(&roll.service).is_some();
             let service = roll.service.clone();
@@ -114,12 +114,12 @@
                 let Some((client, allocation)) = host.own(id) else {
                     continue;
                 };
-                conductor.copy(now, &client.ask.task, &client.version, false);
+                conductor.replica_assigned(now, &client.ask.task, &client.version, false);
                 if let Some(at) = client.ready {
-                    conductor.ready(at, &client.ask.task);
+                    conductor.replica_ready(at, &client.ask.task);
                 }
                 if !self.may_run_twice(allocation.service_class) {
-                    conductor.only_once(&client.ask.task);
+                    conductor.forbid_surge(&client.ask.task);
                 }
             }
         });
@@ -197,7 +197,7 @@
             let Some(within) = port
                 .rolls
                 .of(&ask.service)
-                .map(|own| own.roll().ready_within)
+                .map(|own| own.rollout().progress_deadline)
             else {
                 return;
             };
@@ -224,7 +224,7 @@
                 }
                 Err((why, client)) => {
                     warn!(task, %why, "no new copy can be placed beside an old one here");
-                    port.withdrawn(&client.ask.service, task, Withdrawn::NoRoom);
+                    port.withdrawn(&client.ask.service, task, SurgeEnd::NoCapacity);
                 }
             }
         });
@@ -245,7 +245,7 @@
     /// A new copy that could not even be begun.
     pub fn not_grown(&self, service: &str, task: &str) {
         // That it can't be kept on disk says nothing of the version: it must not halt the roll.
-        self.with(|_, _, port| port.withdrawn(service, task, Withdrawn::NotWanted));
+        self.with(|_, _, port| port.withdrawn(service, task, SurgeEnd::Cancelled));
     }
 
     /// Puts away a new copy that is not wanted any more.
@@ -256,7 +256,7 @@
                 .and_then(|id| host.own(id))
                 .and_then(|(client, _)| client.successor);
             if let Some(next) = next {
-                self.withdraw(next, Withdrawn::NotWanted, host, port);
+                self.withdraw(next, SurgeEnd::Cancelled, host, port);
             }
         });
     }
@@ -385,7 +385,7 @@
                     Then::Forgotten(claim, pair) => Some((claim, pair)),
                     Then::Cleared(claim) => {
                         if let Some(conductor) = port.rolls.of(&orphan.service) {
-                            conductor.cleared(claim);
+                            conductor.cleaned_up(claim);
                         }
                         port.give_back(&orphan.service, vec![claim]);
                         None
--- a/crates/dispatcher/src/desk/outcomes.rs
+++ b/crates/dispatcher/src/desk/outcomes.rs
@@ -4,7 +4,7 @@
 use super::client::Client;
 use crate::shots::Follows;
 use corkspan_api::v1;
-use corkspan_rollout::conductor::Withdrawn;
+use corkspan_rollout::controller::SurgeEnd;
 use corkspan_rpc::{Bounds, Tasks};
 use corkspan_scheduler::interface::*;
 use std::sync::Arc;
@@ -91,7 +91,7 @@
                 && over.is_some()
                 && client.beside.is_some()
             {
-                self.withdraw(id, Withdrawn::Failed, host, port);
+                self.withdraw(id, SurgeEnd::Failed, host, port);
             } else if host
                 .own(id)
                 .is_some_and(|(client, _)| over.is_some() && client.retiring)
@@ -114,7 +114,7 @@
                     client.say(Said::Ended(v1::Ended { how: how.into() }));
                     client.words.close();
                     if let Some(next) = successor {
-                        self.withdraw(next, Withdrawn::NotWanted, host, port);
+                        self.withdraw(next, SurgeEnd::Cancelled, host, port);
                     }
                 }
             }
@@ -142,7 +142,7 @@
                 return;
             };
             if let Some(conductor) = port.rolls.of(&client.ask.service) {
-                conductor.copy(now, &client.ask.task, &version, false);
+                conductor.replica_assigned(now, &client.ask.task, &version, false);
             }
             client.version = version;
         });
@@ -162,10 +162,10 @@
             match port.rolls.of(&client.ask.service) {
                 Some(_) if client.withdrawn => {}
                 Some(conductor) if client.beside.is_some() => {
-                    conductor.grown(now, &client.ask.task, ready)
+                    conductor.surge_readiness(now, &client.ask.task, ready)
                 }
-                Some(conductor) if ready => conductor.ready(now, &client.ask.task),
-                Some(conductor) => drop(conductor.unready(now, &client.ask.task)),
+                Some(conductor) if ready => conductor.replica_ready(now, &client.ask.task),
+                Some(conductor) => drop(conductor.replica_unready(now, &client.ask.task)),
                 None => {}
             }
         });
--- a/crates/dispatcher/src/desk/port.rs
+++ b/crates/dispatcher/src/desk/port.rs
@@ -9,7 +9,7 @@
 use corkspan_api::v1;
 use corkspan_engine::{Asked, Wire};
 use corkspan_rollout::ClaimId;
-use corkspan_rollout::conductor::Withdrawn;
+use corkspan_rollout::controller::SurgeEnd;
 use corkspan_scheduler::interface::*;
 use corkspan_version_fencing::operations::OperationKind;
 use std::collections::{BTreeMap, BTreeSet};
@@ -73,7 +73,11 @@
 
     /// What is placed anew in the place of a copy that a roll has stopped.
     pub fn anew(&mut self, client: &Client, allocation: &Allocation) -> Option<(Asked, Client)> {
-        let within = self.rolls.of(&client.ask.service)?.roll().ready_within;
+        let within = self
+            .rolls
+            .of(&client.ask.service)?
+            .rollout()
+            .progress_deadline;
         let abandon = self.now + within;
         let asked = Asked {
             service: allocation.service,
@@ -108,14 +112,14 @@
         let claims = self
             .rolls
             .of(service)
-            .map(|own| own.retired(task))
+            .map(|own| own.surge_took_over(task))
             .unwrap_or_default();
         self.give_back(service, claims);
     }
 
     /// From here on a new copy beside an old one counts for nothing; its slot comes back when it is
     /// known to be gone.
-    pub fn put_away(&mut self, client: &mut Client, allocation: &Allocation, why: Withdrawn) {
+    pub fn put_away(&mut self, client: &mut Client, allocation: &Allocation, why: SurgeEnd) {
         if std::mem::replace(&mut client.withdrawn, true) {
             return;
         }
@@ -137,12 +141,12 @@
     }
 
     /// A new copy beside an old one is no more.
-    pub fn withdrawn(&mut self, service: &str, task: &str, why: Withdrawn) {
+    pub fn withdrawn(&mut self, service: &str, task: &str, why: SurgeEnd) {
         let now = self.now;
         let claims = self
             .rolls
             .of(service)
-            .map(|own| own.withdrawn(now, task, why))
+            .map(|own| own.surge_ended(now, task, why))
             .unwrap_or_default();
         self.give_back(service, claims);
     }
@@ -170,9 +174,9 @@
             return;
         };
         if !wanted_no_more {
-            return conductor.died(self.now, task);
+            return conductor.replica_lost(self.now, task);
         }
-        let claims = conductor.gone(task);
+        let claims = conductor.replica_removed(task);
         self.give_back(service, claims);
     }
 
@@ -222,14 +226,14 @@
             .of(&client.ask.service)
             .filter(|_| client.beside.is_none())
         {
-            conductor.copy(
+            conductor.replica_assigned(
                 self.now,
                 &client.ask.task,
                 &client.version,
                 client.ask.again && !client.anew,
             );
             if !desk.may_run_twice(allocation.service_class) {
-                conductor.only_once(&client.ask.task);
+                conductor.forbid_surge(&client.ask.task);
             }
         }
         let shot = desk.shot(
@@ -260,7 +264,7 @@
     fn shed(&mut self, client: &mut Client, allocation: &Allocation) {
         if client.beside.is_some() {
             // Its owner has the old one, and knows of none other.
-            return self.put_away(client, allocation, Withdrawn::NoRoom);
+            return self.put_away(client, allocation, SurgeEnd::NoCapacity);
         }
         let (why, shots) = (
             v1::refused::Why::NoRoom.into(),
@@ -274,7 +278,7 @@
 
     fn scrap(&mut self, client: &mut Client, allocation: &Allocation) {
         if client.beside.is_some() {
-            return self.put_away(client, allocation, Withdrawn::NoRoom);
+            return self.put_away(client, allocation, SurgeEnd::NoCapacity);
         }
         let shots = allocation.attempts.len() as u32;
         let text = "a shot may have run, and a further one is not allowed".into();
--- a/crates/dispatcher/src/rolls.rs
+++ b/crates/dispatcher/src/rolls.rs
@@ -6,8 +6,8 @@
 pub use crate::store::{Closes, Held, Kept, Pair, Store};
 use corkspan_api::v1;
 use corkspan_rollout::Grant;
-use corkspan_rollout::conductor::{ClaimRequest, Conductor, Look, ReportedSlot, Votes};
-use corkspan_rollout::{ClaimId, Order, Phase, Roll, base_proposal, committed, is_majority};
+use corkspan_rollout::controller::{Actions, ClaimRequest, ReportedSlot, RolloutController, Votes};
+use corkspan_rollout::{ClaimId, Order, Phase, Rollout, base_proposal, committed, is_majority};
 use corkspan_version_fencing::operations::OperationKind;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -62,7 +62,7 @@
 async fn round(desk: &Arc<Desk>) {
     let told = ask_all(desk, Ask::Tell(v1::Tell::default())).await;
     let keepers = desk.deployment().keepers.len();
-    let mut by_service: BTreeMap<String, (Vec<Roll>, Vec<ReportedSlot>)> = BTreeMap::new();
+    let mut by_service: BTreeMap<String, (Vec<Rollout>, Vec<ReportedSlot>)> = BTreeMap::new();
     for kept in told.iter().flat_map(|word| &word.kept) {
         let Some(roll) = kept.roll.as_ref().and_then(roll_of) else {
             continue;
@@ -95,10 +95,10 @@
             let known = rolls
                 .conductors
                 .get(&service)
-                .map_or(0, |own| own.roll().number);
+                .map_or(0, |own| own.rollout().revision);
             later.extend(
                 committed(&told, keepers)
-                    .filter(|roll| roll.number > known)
+                    .filter(|roll| roll.revision > known)
                     .cloned(),
             );
             rolls.held.insert(service, held);
@@ -111,7 +111,7 @@
             Ok(()) => {
                 info!(
                     service = roll.service,
-                    number = roll.number,
+                    number = roll.revision,
                     version = roll.version,
                     "a roll is in force"
                 );
@@ -126,18 +126,18 @@
         }
     }
     // Without a majority what they tell is not the whole truth, and nothing can be won.
-    let looks: Vec<(String, Roll, Look)> = desk.with_rolls(|now, rolls| {
+    let looks: Vec<(String, Rollout, Actions)> = desk.with_rolls(|now, rolls| {
         if !is_majority(rolls.heard, keepers) {
             return Vec::new();
         }
         let held = &rolls.held;
         let all = rolls.conductors.iter_mut().map(|(service, conductor)| {
             let held = held.get(service).map_or(&[][..], |held| &held[..]);
-            let recalled = conductor.recall(held, rolls.heard, keepers);
-            let mut look = conductor.look(now, held);
-            look.release.extend(recalled.gone);
-            look.claims.extend(recalled.again);
-            (service.clone(), conductor.roll().clone(), look)
+            let recalled = conductor.verify_restored_claims(held, rolls.heard, keepers);
+            let mut look = conductor.reconcile(now, held);
+            look.release.extend(recalled.lost);
+            look.claims.extend(recalled.retry);
+            (service.clone(), conductor.rollout().clone(), look)
         });
         all.collect()
     });
@@ -147,11 +147,11 @@
     desk.stop_old_copies();
 }
 
-async fn carry_out(desk: &Arc<Desk>, service: &str, roll: Roll, look: Look) {
+async fn carry_out(desk: &Arc<Desk>, service: &str, roll: Rollout, look: Actions) {
     for claim in look.release {
         release(desk, service, claim).await;
     }
-    for left in look.clear {
+    for left in look.clean_up {
         desk.clear(service, &left.task, left.claim);
     }
     if let Some(why) = look.halt {
@@ -162,15 +162,17 @@
         );
         let _ = propose(desk, halted).await;
     }
-    look.withdraw.iter().for_each(|task| desk.put_away(task));
-    for task in look.retire {
+    look.cancel_surge
+        .iter()
+        .for_each(|task| desk.put_away(task));
+    for task in look.stop_old {
         // On disk before the old one is stopped: a restart can't know which of the two the owner
         // has.
         if keep_pair(desk, service, &task, true).await.is_some() {
             desk.retire(&task);
         }
     }
-    grow(desk, service, look.grow).await;
+    grow(desk, service, look.surge).await;
     for task in look.replace {
         desk.replace(&task);
     }
@@ -187,7 +189,7 @@
             let by = Some(desk.by(OperationKind::Claim, desk.deployment().keepers.len()));
             let ask = v1::Claim {
                 service: service.into(),
-                number: roll.number,
+                number: roll.revision,
                 slot: Some(slot),
                 by,
             };
@@ -202,11 +204,14 @@
         {
             granted = 0;
         }
-        let votes = Votes { granted, keepers };
+        let votes = Votes {
+            granted,
+            members: keepers,
+        };
         let won = desk.with_rolls(|now, rolls| {
             rolls
                 .of(service)
-                .is_some_and(|conductor| conductor.claimed(now, claim, votes))
+                .is_some_and(|conductor| conductor.claim_decided(now, claim, votes))
         });
         if !won {
             release(desk, service, claim).await;
@@ -216,7 +221,7 @@
         let (grown, replace) = desk.with_rolls(|now, rolls| {
             let both = rolls
                 .of(service)
-                .map(|own| (own.look_to_grow(now), own.look_at_held(now)));
+                .map(|own| (own.start_surges(now), own.start_replacements(now)));
             both.unwrap_or_default()
         });
         grow(desk, service, grown).await;
@@ -248,7 +253,7 @@
             desk.with_rolls(|_, rolls| {
                 rolls
                     .of(service)
-                    .map(|conductor| conductor.grow_later(&task))
+                    .map(|conductor| conductor.postpone_surge(&task))
             });
             continue;
         }
@@ -313,9 +318,9 @@
 }
 
 /// Proposes a wish to all keepers. What stands at a majority afterwards, if anything does.
-async fn propose(desk: &Arc<Desk>, roll: Roll) -> Option<Roll> {
+async fn propose(desk: &Arc<Desk>, roll: Rollout) -> Option<Rollout> {
     let words = ask_all(desk, Ask::Propose(message(&roll))).await;
-    let stands: Vec<Roll> = words
+    let stands: Vec<Rollout> = words
         .iter()
         .flat_map(|word| &word.kept)
         .filter_map(|kept| kept.roll.as_ref().and_then(roll_of))
@@ -323,7 +328,7 @@
     committed(&stands, desk.deployment().keepers.len()).cloned()
 }
 
-pub fn message(roll: &Roll) -> v1::Roll {
+pub fn message(roll: &Rollout) -> v1::Roll {
     let (phase, why) = match &roll.phase {
         Phase::Rolling => (v1::roll::Phase::Rolling, String::new()),
         Phase::Paused => (v1::roll::Phase::Paused, String::new()),
@@ -331,16 +336,16 @@
     };
     v1::Roll {
         service: roll.service.clone(),
-        number: roll.number,
-        asker: roll.asker,
+        number: roll.revision,
+        asker: roll.proposer,
         version: roll.version.clone(),
-        former: roll.former.clone(),
-        unversioned: roll.unversioned.clone(),
-        unready_most: roll.unready_most,
-        batch: roll.batch,
-        ready_for: roll.ready_for,
-        ready_within: roll.ready_within,
-        failures_most: roll.failures_most,
+        former: roll.previous_version.clone(),
+        unversioned: roll.initial_version.clone(),
+        unready_most: roll.max_unavailable,
+        batch: roll.max_in_progress,
+        ready_for: roll.min_ready,
+        ready_within: roll.progress_deadline,
+        failures_most: roll.max_failures,
         phase: phase.into(),
         why,
         start_first: roll.order == Order::StartFirst,
@@ -348,25 +353,25 @@
 }
 
 /// None where it is no roll that can be followed.
-pub fn roll_of(roll: &v1::Roll) -> Option<Roll> {
+pub fn roll_of(roll: &v1::Roll) -> Option<Rollout> {
     let sound = !roll.service.is_empty() && !roll.version.is_empty() && roll.unready_most > 0;
-    sound.then(|| Roll {
+    sound.then(|| Rollout {
         service: roll.service.clone(),
-        number: roll.number,
-        asker: roll.asker,
+        revision: roll.number,
+        proposer: roll.asker,
         version: roll.version.clone(),
-        former: roll.former.clone(),
-        unversioned: roll.unversioned.clone(),
-        unready_most: roll.unready_most,
-        batch: roll.batch.max(1),
+        previous_version: roll.former.clone(),
+        initial_version: roll.unversioned.clone(),
+        max_unavailable: roll.unready_most,
+        max_in_progress: roll.batch.max(1),
         order: if roll.start_first {
             Order::StartFirst
         } else {
             Order::StopFirst
         },
-        ready_for: roll.ready_for,
-        ready_within: roll.ready_within,
-        failures_most: roll.failures_most,
+        min_ready: roll.ready_for,
+        progress_deadline: roll.ready_within,
+        max_failures: roll.failures_most,
         phase: match roll.phase() {
             v1::roll::Phase::Rolling => Phase::Rolling,
             v1::roll::Phase::Paused => Phase::Paused,
@@ -380,14 +385,14 @@
 pub struct Operators(pub Arc<Desk>);
 
 impl Operators {
-    async fn wish(&self, roll: Roll) -> Result<Response<v1::RollWord>, Status> {
+    async fn wish(&self, roll: Rollout) -> Result<Response<v1::RollWord>, Status> {
         let stands = propose(&self.0, roll.clone()).await;
         let taken = stands.as_ref() == Some(&roll);
         let text = match &stands {
             _ if taken => String::new(),
             Some(other) => format!(
                 "turned down: roll {} of {} to {} stands, asked for at the same time or before",
-                other.number, other.service, other.version
+                other.revision, other.service, other.version
             ),
             None => "no majority of the keepers has taken it; nothing is known to stand".into(),
         };
@@ -399,7 +404,7 @@
     }
 
     /// The roll in force as a majority of the keepers tells it now, not as we heard last.
-    async fn stands(&self, service: &str) -> Result<Option<Roll>, Status> {
+    async fn stands(&self, service: &str) -> Result<Option<Rollout>, Status> {
         let keepers = self.0.deployment().keepers.len();
         let told = ask_all(&self.0, Ask::Tell(v1::Tell::default())).await;
         if !is_majority(told.len(), keepers) {
@@ -413,7 +418,7 @@
             .iter()
             .flat_map(|word| &word.kept)
             .filter_map(|kept| kept.roll.as_ref().and_then(roll_of));
-        let rolls: Vec<Roll> = rolls.filter(|roll| roll.service == service).collect();
+        let rolls: Vec<Rollout> = rolls.filter(|roll| roll.service == service).collect();
         Ok(base_proposal(&rolls, keepers))
     }
 }
@@ -445,29 +450,29 @@
         }
         let before = self.stands(&ask.service).await?;
         let former = match &before {
-            Some(roll) if ask.former.is_empty() => roll.wanted().to_string(),
+            Some(roll) if ask.former.is_empty() => roll.desired_version().to_string(),
             _ => ask.former,
         };
         let unversioned = before
             .as_ref()
-            .map_or_else(|| former.clone(), |roll| roll.unversioned.clone());
-        self.wish(Roll {
+            .map_or_else(|| former.clone(), |roll| roll.initial_version.clone());
+        self.wish(Rollout {
             service: ask.service,
-            unversioned,
-            number: before.map_or(1, |roll| roll.number + 1),
-            asker: asker(&self.0),
+            initial_version: unversioned,
+            revision: before.map_or(1, |roll| roll.revision + 1),
+            proposer: asker(&self.0),
             version: ask.version,
-            former,
-            unready_most: ask.unready_most,
-            batch: ask.batch.max(1),
+            previous_version: former,
+            max_unavailable: ask.unready_most,
+            max_in_progress: ask.batch.max(1),
             order: if ask.start_first {
                 Order::StartFirst
             } else {
                 Order::StopFirst
             },
-            ready_for: ask.ready_for_ms * 10,
-            ready_within: ask.ready_within_ms * 10,
-            failures_most: ask.failures_most,
+            min_ready: ask.ready_for_ms * 10,
+            progress_deadline: ask.ready_within_ms * 10,
+            max_failures: ask.failures_most,
             phase: Phase::Rolling,
         })
         .await
@@ -497,12 +502,12 @@
         let wish = match ask.what() {
             v1::change_ask::What::Pause => roll.with_phase(Phase::Paused, asker),
             v1::change_ask::What::Resume => roll.with_phase(Phase::Rolling, asker),
-            v1::change_ask::What::Undo if roll.former.is_empty() => {
+            v1::change_ask::What::Undo if roll.previous_version.is_empty() => {
                 return Err(Status::failed_precondition(
                     "what ran before has no version to go back to",
                 ));
             }
-            v1::change_ask::What::Undo => roll.undone(asker),
+            v1::change_ask::What::Undo => roll.rolled_back(asker),
             v1::change_ask::What::Nothing => {
                 return Err(Status::invalid_argument("nothing is asked for"));
             }
@@ -526,9 +531,9 @@
             });
             let held = held.collect();
             let conductor = rolls.conductors.get(&service);
-            let counts = conductor.map(Conductor::counts).unwrap_or_default();
+            let counts = conductor.map(RolloutController::counts).unwrap_or_default();
             v1::RollStatus {
-                roll: conductor.map(|conductor| message(conductor.roll())),
+                roll: conductor.map(|conductor| message(conductor.rollout())),
                 copies: counts.total as u32,
                 wanted: counts.desired as u32,
                 unready: counts.unready as u32,
--- a/crates/dispatcher/src/store.rs
+++ b/crates/dispatcher/src/store.rs
@@ -1,7 +1,7 @@
 //! What a dispatcher keeps on disk beside its list and its versions: rolls, claims, and which
 //! versions were in force.
 
-use corkspan_rollout::{ClaimId, Roll};
+use corkspan_rollout::{ClaimId, Rollout};
 use corkspan_version_fencing::history::VersionInterval;
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 use serde::{Deserialize, Serialize};
@@ -153,7 +153,7 @@
         })
     }
 
-    pub fn roll(&self, roll: &Roll) -> Result<(), String> {
+    pub fn roll(&self, roll: &Rollout) -> Result<(), String> {
         let text = serde_json::to_string(roll).map_err(|why| why.to_string())?;
         self.write(|transaction| {
             transaction
@@ -266,4 +266,4 @@
 }
 
 /// What the store held at the start.
-pub type Kept = (Vec<Roll>, Vec<Held>);
+pub type Kept = (Vec<Rollout>, Vec<Held>);
--- a/crates/dispatcher/tests/store.rs
+++ b/crates/dispatcher/tests/store.rs
@@ -1,26 +1,26 @@
 //! The store of rolls, killed at each of its steps and torn.
 
 use corkspan_dispatcher::rolls::{Held, Pair, Store};
-use corkspan_rollout::{ClaimId, Order, Phase, Roll};
+use corkspan_rollout::{ClaimId, Order, Phase, Rollout};
 use corkspan_version_fencing::history::{VersionInterval, VersionOrigin};
 use std::collections::VecDeque;
 use std::path::Path;
 use test_case::test_case;
 
-fn roll() -> Roll {
-    Roll {
+fn roll() -> Rollout {
+    Rollout {
         service: "s".into(),
-        number: 1,
-        asker: 1,
+        revision: 1,
+        proposer: 1,
         version: "v2".into(),
-        former: "v1".into(),
-        unversioned: "v1".into(),
-        unready_most: 2,
-        batch: 2,
+        previous_version: "v1".into(),
+        initial_version: "v1".into(),
+        max_unavailable: 2,
+        max_in_progress: 2,
         order: Order::StartFirst,
-        ready_for: 10_000,
-        ready_within: 10_000,
-        failures_most: 1,
+        min_ready: 10_000,
+        progress_deadline: 10_000,
+        max_failures: 1,
         phase: Phase::Rolling,
     }
 }
@@ -71,7 +71,7 @@
     ]
 }
 
-fn read(path: &Path) -> (Vec<Roll>, Vec<Held>) {
+fn read(path: &Path) -> (Vec<Rollout>, Vec<Held>) {
     Store::open(Some(path)).read()
 }
 
--- a/crates/lab/src/node.rs
+++ b/crates/lab/src/node.rs
@@ -946,7 +946,7 @@
 
     async fn keep(&self, request: Request<v1::KeepAsk>) -> Result<Response<v1::KeepWord>, Status> {
         use v1::keep_ask::Ask;
-        let kept = |roll: &corkspan_rollout::Roll, slots| v1::Kept {
+        let kept = |roll: &corkspan_rollout::Rollout, slots| v1::Kept {
             roll: Some(corkspan_dispatcher::rolls::message(roll)),
             slots,
         };
--- a/crates/rollout/src/conductor.rs
+++ b/crates/rollout/src/controller.rs
@@ -10,137 +10,141 @@
 mod steps;
 pub mod types;
 
-use crate::{ClaimId, Phase, Roll};
+use crate::{ClaimId, Phase, Rollout};
 use corkspan_scheduler::interface::Ticks;
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
-use replica::{Claim, Copy, Step};
+use replica::{Claim, Replica, Step};
 use std::collections::{BTreeMap, BTreeSet};
 pub use types::{
-    ClaimRequest, Look, OrphanedSurge, Recalled, ReplicaCounts, ReportedSlot, Votes, Withdrawn,
+    Actions, ClaimRequest, OrphanedSurge, ReplicaCounts, ReportedSlot, RestoredClaims, SurgeEnd,
+    Votes,
 };
 
 /// Between two calls where nothing falls due before.
-const LOOK: Ticks = 5_000;
+const RECONCILE_INTERVAL: Ticks = 5_000;
 /// Shortest wait after a first lost claim before the next one is sent; it doubles with each further
 /// loss, and up to as much again is added by chance.
-const BACK_OFF: Ticks = 500;
+const MIN_BACKOFF: Ticks = 500;
 /// Longest wait after lost claims.
-const LONGEST_BACK_OFF: Ticks = 20_000;
+const MAX_BACKOFF: Ticks = 20_000;
 /// A replica that was handed over reports within this time whether it is ready.
-const SAY: Ticks = 10_000;
+const READINESS_REPORT_TIMEOUT: Ticks = 10_000;
 /// A grant that its holder was not seen to use is released after this many times the time that a
 /// replica has to get ready.
-const FORGET: u64 = 3;
+const UNUSED_GRANT_DEADLINES: u64 = 3;
 
 /// One dispatcher's part of a service's rollout.
-pub struct Conductor {
+pub struct RolloutController {
     /// This dispatcher's number.
-    me: u32,
+    dispatcher: u32,
     rng: Pcg64Mcg,
-    roll: Roll,
+    rollout: Rollout,
     /// Replicas of this dispatcher, by task.
-    copies: BTreeMap<String, Copy>,
+    replicas: BTreeMap<String, Replica>,
     /// Own claims that were sent or are held.
     claims: BTreeMap<ClaimId, Claim>,
     /// Claims of an earlier incarnation that was never known to have won: nothing was stopped
     /// under them.
-    unwon: Vec<ClaimId>,
+    never_won: Vec<ClaimId>,
     /// Tasks of which two replicas must never run at a time, whatever the rollout's order.
-    once: BTreeSet<String>,
+    no_surge: BTreeSet<String>,
     /// Claims of an earlier incarnation that may or may not still hold their slots.
-    recalled: BTreeSet<ClaimId>,
+    unverified: BTreeSet<ClaimId>,
     /// Replicas of this version that failed here.
     failures: u32,
     /// Of those, surge replicas that found no machine.
-    without_room: u32,
+    failed_without_capacity: u32,
     /// It asked for a halt, which has not come in force yet.
-    halted: bool,
-    lost_in_a_row: u32,
+    halt_requested: bool,
+    consecutive_losses: u32,
     /// No claim is sent before.
-    claim_at: Ticks,
+    next_claim_at: Ticks,
     /// Claims of others that are being cleaned up, and for which task.
-    clearing: BTreeMap<ClaimId, String>,
+    cleaning_up: BTreeMap<ClaimId, String>,
     /// Grants that nobody was seen to use, and since when.
-    idle: BTreeMap<ClaimId, Ticks>,
+    unused_since: BTreeMap<ClaimId, Ticks>,
 }
 
-impl Conductor {
-    /// A controller that knows of no replica yet. `me` is the dispatcher's number; `seed` fixes
+impl RolloutController {
+    /// A controller that knows of no replica yet. `dispatcher` is the dispatcher's number; `seed` fixes
     /// its random draws.
-    pub fn new(me: u32, seed: u64, roll: Roll, now: Ticks) -> Self {
-        Conductor {
-            me,
+    pub fn new(dispatcher: u32, seed: u64, rollout: Rollout, now: Ticks) -> Self {
+        RolloutController {
+            dispatcher,
             rng: Pcg64Mcg::seed_from_u64(seed),
-            roll,
-            copies: BTreeMap::new(),
+            rollout,
+            replicas: BTreeMap::new(),
             claims: BTreeMap::new(),
-            unwon: Vec::new(),
-            once: BTreeSet::new(),
-            recalled: BTreeSet::new(),
+            never_won: Vec::new(),
+            no_surge: BTreeSet::new(),
+            unverified: BTreeSet::new(),
             failures: 0,
-            without_room: 0,
-            halted: false,
-            lost_in_a_row: 0,
-            claim_at: now,
-            clearing: BTreeMap::new(),
-            idle: BTreeMap::new(),
+            failed_without_capacity: 0,
+            halt_requested: false,
+            consecutive_losses: 0,
+            next_claim_at: now,
+            cleaning_up: BTreeMap::new(),
+            unused_since: BTreeMap::new(),
         }
     }
 
     /// The rollout that it follows.
-    pub fn roll(&self) -> &Roll {
-        &self.roll
+    pub fn rollout(&self) -> &Rollout {
+        &self.rollout
     }
 
     /// Follows a later revision of the rollout. What is being replaced goes on under the slot that
     /// it holds. An earlier revision is ignored.
-    pub fn adopt(&mut self, roll: Roll) {
-        if roll.number > self.roll.number {
+    pub fn adopt(&mut self, rollout: Rollout) {
+        if rollout.revision > self.rollout.revision {
             // Only a change of version begins anew: a pause must not forget what has failed.
-            if roll.version != self.roll.version {
-                (self.failures, self.without_room) = (0, 0);
+            if rollout.version != self.rollout.version {
+                (self.failures, self.failed_without_capacity) = (0, 0);
             }
-            self.halted = false;
-            self.lost_in_a_row = 0;
-            self.roll = roll;
+            self.halt_requested = false;
+            self.consecutive_losses = 0;
+            self.rollout = rollout;
         }
     }
 
     /// Whether a surge replica is wanted beside the task's replica.
-    pub fn grows(&self, task: &str) -> bool {
-        self.copies
+    pub fn is_surging(&self, task: &str) -> bool {
+        self.replicas
             .get(task)
-            .is_some_and(|copy| matches!(copy.step, Step::Grows { .. }))
+            .is_some_and(|replica| matches!(replica.step, Step::Surging { .. }))
     }
 
     /// The claim under which the task's replica is replaced.
     pub fn claim_of(&self, task: &str) -> Option<ClaimId> {
-        self.copies.get(task)?.claim
+        self.replicas.get(task)?.claim
     }
 
     /// Counts the replicas here.
     pub fn counts(&self) -> ReplicaCounts {
-        let desired = self.roll.wanted();
-        let count = |counted: &dyn Fn(&Copy) -> bool| {
-            self.copies.values().filter(|copy| counted(copy)).count()
+        let desired = self.rollout.desired_version();
+        let count = |counted: &dyn Fn(&Replica) -> bool| {
+            self.replicas
+                .values()
+                .filter(|replica| counted(replica))
+                .count()
         };
         ReplicaCounts {
-            total: self.copies.len(),
-            desired: count(&|copy| copy.version == desired),
-            unready: count(&|copy| copy.ready.is_none()),
+            total: self.replicas.len(),
+            desired: count(&|replica| replica.version == desired),
+            unready: count(&|replica| replica.ready_since.is_none()),
         }
     }
 
     /// Whether, while the rollout is in progress, a replica here is of another version than desired
     /// or is not ready.
-    pub fn has_steps(&self) -> bool {
-        let desired = self.roll.wanted();
+    pub fn has_work(&self) -> bool {
+        let desired = self.rollout.desired_version();
         self.in_progress()
             && self
-                .copies
+                .replicas
                 .values()
-                .any(|copy| copy.version != desired || copy.ready.is_none())
+                .any(|replica| replica.version != desired || replica.ready_since.is_none())
     }
 
     /// Own claims that were sent or are held.
@@ -150,6 +154,6 @@
 
     /// Whether steps may be begun: neither paused nor halted.
     fn in_progress(&self) -> bool {
-        self.roll.phase == Phase::Rolling && !self.halted
+        self.rollout.phase == Phase::Rolling && !self.halt_requested
     }
 }
--- a/crates/rollout/src/conductor/replica.rs
+++ b/crates/rollout/src/controller/replica.rs
@@ -5,12 +5,12 @@
 
 /// One replica of this dispatcher.
 #[derive(Clone, Debug, PartialEq)]
-pub(super) struct Copy {
+pub(super) struct Replica {
     pub(super) version: String,
     /// Since when it reports itself ready.
-    pub(super) ready: Option<Ticks>,
+    pub(super) ready_since: Option<Ticks>,
     /// Since when it has not been ready.
-    pub(super) unready: Ticks,
+    pub(super) unready_since: Ticks,
     /// It ran here or elsewhere before, and is down now for a reason outside the rollout.
     pub(super) returning: bool,
     /// The claim under which it is replaced.
@@ -30,13 +30,13 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Step {
     /// It is left as it is.
-    Stays,
+    Idle,
     /// A slot is being claimed for it.
-    Claims,
+    Claiming,
     /// It is being replaced, and the slot is held.
-    Replaced,
+    Replacing,
     /// A surge replica is being started beside it, and the slot is held.
-    Grows {
+    Surging {
         /// Version of the surge replica.
         version: String,
         since: Ticks,
@@ -44,7 +44,7 @@
         ready: Option<Ticks>,
     },
     /// The surge replica has stayed ready for its time, and the old replica is being stopped.
-    Retires {
+    TakingOver {
         /// Version of the surge replica.
         version: String,
         /// Since when the surge replica is ready.
@@ -52,9 +52,9 @@
     },
 }
 
-impl Copy {
+impl Replica {
     /// Whether it has been ready for this long.
-    pub(super) fn ready_for(&self, time: Ticks, now: Ticks) -> bool {
-        self.ready.is_some_and(|since| now >= since + time)
+    pub(super) fn stayed_ready(&self, time: Ticks, now: Ticks) -> bool {
+        self.ready_since.is_some_and(|since| now >= since + time)
     }
 }
--- a/crates/rollout/src/conductor/types.rs
+++ b/crates/rollout/src/controller/types.rs
@@ -37,24 +37,24 @@
 
 /// What to do now.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Look {
+pub struct Actions {
     /// Claims to send to all quorum members.
     pub claims: Vec<ClaimRequest>,
     /// Tasks whose replica is to be stopped and then replaced by the desired version, in this
     /// order.
     pub replace: Vec<String>,
     /// Tasks beside whose replica a surge replica of the desired version is to be started.
-    pub grow: Vec<String>,
+    pub surge: Vec<String>,
     /// Tasks whose surge replica takes over: the old replica is to be stopped, and this is
     /// repeated until it is gone.
-    pub retire: Vec<String>,
+    pub stop_old: Vec<String>,
     /// Tasks whose surge replica is to be stopped: its version is no longer desired.
-    pub withdraw: Vec<String>,
+    pub cancel_surge: Vec<String>,
     /// Claims to release at all quorum members.
     pub release: Vec<ClaimId>,
     /// Slots to release once every node has stopped what was started under them; answered by
-    /// [`super::Conductor::cleared`].
-    pub clear: Vec<OrphanedSurge>,
+    /// [`super::RolloutController::cleaned_up`].
+    pub clean_up: Vec<OrphanedSurge>,
     /// The rollout is to halt, for this reason.
     pub halt: Option<String>,
     /// Time until the next call at the latest.
@@ -63,22 +63,22 @@
 
 /// What became of claims that an earlier incarnation of this dispatcher had won.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Recalled {
+pub struct RestoredClaims {
     /// They hold no slot any more and are to be released.
-    pub gone: Vec<ClaimId>,
+    pub lost: Vec<ClaimId>,
     /// Too few members answer to know: to be sent to all members once more, as the same claims.
-    pub again: Vec<ClaimRequest>,
+    pub retry: Vec<ClaimRequest>,
 }
 
 /// Why a surge replica is no more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Withdrawn {
+pub enum SurgeEnd {
     /// It was cancelled by this dispatcher.
-    NotWanted,
+    Cancelled,
     /// It died before it had taken over.
     Failed,
     /// No machine took it in time.
-    NoRoom,
+    NoCapacity,
 }
 
 /// How quorum members answered a claim.
@@ -87,7 +87,7 @@
     /// Members that granted it.
     pub granted: usize,
     /// Members that there are.
-    pub keepers: usize,
+    pub members: usize,
 }
 
 /// Replicas of the service at one dispatcher.
--- a/crates/rollout/src/rollout.rs
+++ b/crates/rollout/src/rollout.rs
@@ -7,32 +7,41 @@
 /// A service's rollout. It is stored as JSON by quorum members and dispatchers, under the keys that
 /// `serde` is given here.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Roll {
+pub struct Rollout {
     /// The service whose replicas are replaced.
     pub service: String,
     /// Counts the proposals for a service; the highest that a majority of members holds is in
     /// force.
-    pub number: u64,
+    #[serde(rename = "number")]
+    pub revision: u64,
     /// Drawn by the proposer: tells apart two who propose the same revision at once.
-    pub asker: u64,
+    #[serde(rename = "asker")]
+    pub proposer: u64,
     /// Version to replace by.
     pub version: String,
     /// Version that an undo or a halt goes back to.
-    pub former: String,
+    #[serde(rename = "former")]
+    pub previous_version: String,
     /// Version of a replica that reports none: it was placed before the first rollout.
-    pub unversioned: String,
+    #[serde(rename = "unversioned")]
+    pub initial_version: String,
     /// Replicas of the service that may be unavailable at a time.
-    pub unready_most: u32,
+    #[serde(rename = "unready_most")]
+    pub max_unavailable: u32,
     /// Replicas that one dispatcher replaces at a time.
-    pub batch: u32,
+    #[serde(rename = "batch")]
+    pub max_in_progress: u32,
     /// Which of the old and the new replica comes first.
     pub order: Order,
     /// Time for which a new replica must stay ready before its slot is released.
-    pub ready_for: Ticks,
+    #[serde(rename = "ready_for")]
+    pub min_ready: Ticks,
     /// Time in which a new replica must get ready.
-    pub ready_within: Ticks,
+    #[serde(rename = "ready_within")]
+    pub progress_deadline: Ticks,
     /// Replicas that may fail at one dispatcher before the rollout halts.
-    pub failures_most: u32,
+    #[serde(rename = "failures_most")]
+    pub max_failures: u32,
     /// Whether it goes on.
     pub phase: Phase,
 }
@@ -58,7 +67,7 @@
     Halted(String),
 }
 
-impl Proposal for Roll {
+impl Proposal for Rollout {
     /// The service.
     type Key = String;
 
@@ -67,37 +76,37 @@
     }
 
     fn revision(&self) -> u64 {
-        self.number
+        self.revision
     }
 
     fn with_revision(&self, revision: u64) -> Self {
-        Roll {
-            number: revision,
+        Rollout {
+            revision,
             ..self.clone()
         }
     }
 
     fn max_slots(&self) -> u32 {
-        self.unready_most
+        self.max_unavailable
     }
 }
 
-impl Roll {
+impl Rollout {
     /// The version that a replica placed now gets. While halted it is the previous one: nobody
     /// knows whether the new one works.
-    pub fn wanted(&self) -> &str {
+    pub fn desired_version(&self) -> &str {
         match self.phase {
             Phase::Rolling | Phase::Paused => &self.version,
-            Phase::Halted(_) => &self.former,
+            Phase::Halted(_) => &self.previous_version,
         }
     }
 
     /// The next revision, with another phase.
     #[must_use]
-    pub fn with_phase(&self, phase: Phase, asker: u64) -> Roll {
-        Roll {
-            number: self.number + 1,
-            asker,
+    pub fn with_phase(&self, phase: Phase, proposer: u64) -> Rollout {
+        Rollout {
+            revision: self.revision + 1,
+            proposer,
             phase,
             ..self.clone()
         }
@@ -105,12 +114,12 @@
 
     /// The next revision, back to the previous version.
     #[must_use]
-    pub fn undone(&self, asker: u64) -> Roll {
-        Roll {
-            number: self.number + 1,
-            asker,
-            version: self.former.clone(),
-            former: self.version.clone(),
+    pub fn rolled_back(&self, proposer: u64) -> Rollout {
+        Rollout {
+            revision: self.revision + 1,
+            proposer,
+            version: self.previous_version.clone(),
+            previous_version: self.version.clone(),
             phase: Phase::Rolling,
             ..self.clone()
         }
--- a/crates/rollout/tests/decisions.rs
+++ b/crates/rollout/tests/decisions.rs
@@ -1,8 +1,10 @@
 //! What the controllers of three dispatchers decide over a scripted, seeded run is compared byte for
 //! byte with the transcript that an earlier version of this program wrote.
 
-use corkspan_rollout::conductor::{ClaimRequest, Conductor, Look, ReportedSlot, Votes, Withdrawn};
-use corkspan_rollout::{ClaimId, ClaimOutcome, Grant, Order, Phase, QuorumMember, Roll};
+use corkspan_rollout::controller::{
+    Actions, ClaimRequest, ReportedSlot, RolloutController, SurgeEnd, Votes,
+};
+use corkspan_rollout::{ClaimId, ClaimOutcome, Grant, Order, Phase, QuorumMember, Rollout};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
@@ -12,20 +14,20 @@
 const DISPATCHERS: usize = 3;
 const MEMBERS: usize = 3;
 
-fn first_rollout(order: Order) -> Roll {
-    Roll {
+fn first_rollout(order: Order) -> Rollout {
+    Rollout {
         service: "s".into(),
-        number: 1,
-        asker: 1,
+        revision: 1,
+        proposer: 1,
         version: "v2".into(),
-        former: "v1".into(),
-        unversioned: "v1".into(),
-        unready_most: 4,
-        batch: 2,
+        previous_version: "v1".into(),
+        initial_version: "v1".into(),
+        max_unavailable: 4,
+        max_in_progress: 2,
         order,
-        ready_for: 20_000,
-        ready_within: 100_000,
-        failures_most: 1,
+        min_ready: 20_000,
+        progress_deadline: 100_000,
+        max_failures: 1,
         phase: Phase::Rolling,
     }
 }
@@ -33,9 +35,9 @@
 struct Run {
     random: Pcg64Mcg,
     now: u64,
-    rollout: Roll,
+    rollout: Rollout,
     members: Vec<QuorumMember>,
-    controllers: Vec<Conductor>,
+    controllers: Vec<RolloutController>,
     /// Replicas that are being started, by task: when, and whether beside the old one.
     starting: BTreeMap<String, (u64, bool)>,
     /// Claims that a dispatcher knows from its disk: dispatcher, task and whether it was won.
@@ -52,13 +54,13 @@
             .for_each(|member| assert!(member.propose(rollout.clone()).is_some()));
         let controllers = (0..DISPATCHERS).map(|index| {
             let mut controller =
-                Conductor::new(index as u32, 40 + index as u64, rollout.clone(), 0);
+                RolloutController::new(index as u32, 40 + index as u64, rollout.clone(), 0);
             for number in 0..6 {
                 let task = format!("d{index}t{number}");
-                controller.copy(0, &task, if number == 3 { "" } else { "v1" }, false);
-                controller.ready(0, &task);
+                controller.replica_assigned(0, &task, if number == 3 { "" } else { "v1" }, false);
+                controller.replica_ready(0, &task);
             }
-            controller.only_once(&format!("d{index}t2"));
+            controller.forbid_surge(&format!("d{index}t2"));
             controller
         });
         Run {
@@ -115,11 +117,11 @@
         }
     }
 
-    fn propose(&mut self, next: Roll) {
+    fn propose(&mut self, next: Rollout) {
         let text = format!(
             "rollout {} to {} phase {}",
-            next.number,
-            next.wanted(),
+            next.revision,
+            next.desired_version(),
             match &next.phase {
                 Phase::Rolling => "rolling",
                 Phase::Paused => "paused",
@@ -144,33 +146,33 @@
         );
         match self.random.random_range(0..24) {
             0 => {
-                let failed = self.controllers[index].unready(now, &task);
+                let failed = self.controllers[index].replica_unready(now, &task);
                 self.say(index, &format!("{task} unready, failed {failed}"));
             }
-            1 => self.controllers[index].ready(now, &task),
+            1 => self.controllers[index].replica_ready(now, &task),
             2 => {
                 self.starting.remove(&task);
-                let released = self.controllers[index].gone(&task);
+                let released = self.controllers[index].replica_removed(&task);
                 self.say(
                     index,
                     &format!("{task} gone, releases {}", claims(&released)),
                 );
                 self.release(released);
-                let version = self.rollout.wanted().to_string();
-                self.controllers[index].copy(now, &task, &version, false);
+                let version = self.rollout.desired_version().to_string();
+                self.controllers[index].replica_assigned(now, &task, &version, false);
                 self.starting.insert(task, (now + 8_000, false));
             }
             3 => {
                 self.starting.remove(&task);
-                self.controllers[index].died(now, &task);
-                let released = self.controllers[index].withdrawn(now, &task, Withdrawn::NotWanted);
+                self.controllers[index].replica_lost(now, &task);
+                let released = self.controllers[index].surge_ended(now, &task, SurgeEnd::Cancelled);
                 self.say(
                     index,
                     &format!("{task} died, releases {}", claims(&released)),
                 );
                 self.release(released);
-                let version = self.rollout.wanted().to_string();
-                self.controllers[index].copy(now, &task, &version, true);
+                let version = self.rollout.desired_version().to_string();
+                self.controllers[index].replica_assigned(now, &task, &version, true);
                 self.starting.insert(task, (now + 12_000, false));
             }
             _ => {}
@@ -189,9 +191,9 @@
             self.starting.remove(&task);
             let outcome = self.random.random_range(0..9);
             let controller = &mut self.controllers[index];
-            if beside && controller.grows(&task) && outcome < 5 {
-                let why = [Withdrawn::Failed, Withdrawn::NoRoom][outcome % 2];
-                let released = controller.withdrawn(self.now, &task, why);
+            if beside && controller.is_surging(&task) && outcome < 5 {
+                let why = [SurgeEnd::Failed, SurgeEnd::NoCapacity][outcome % 2];
+                let released = controller.surge_ended(self.now, &task, why);
                 let text = format!(
                     "{task} surge failed {outcome}, releases {}",
                     claims(&released)
@@ -199,22 +201,22 @@
                 self.say(index, &text);
                 self.release(released);
             } else if beside {
-                controller.grown(self.now, &task, true);
+                controller.surge_readiness(self.now, &task, true);
             } else if outcome > 0 {
-                controller.ready(self.now, &task);
+                controller.replica_ready(self.now, &task);
             }
         }
     }
 
     fn start(&mut self, index: usize, tasks: Vec<String>, beside: bool) {
-        let version = self.rollout.wanted().to_string();
+        let version = self.rollout.desired_version().to_string();
         for task in tasks {
             if beside && self.random.random_range(0..12) == 0 {
-                self.controllers[index].grow_later(&task);
+                self.controllers[index].postpone_surge(&task);
                 continue;
             }
             if !beside {
-                self.controllers[index].copy(self.now, &task, &version, false);
+                self.controllers[index].replica_assigned(self.now, &task, &version, false);
             }
             let later = self.random.random_range(3_000..15_000);
             self.starting.insert(task, (self.now + later, beside));
@@ -226,8 +228,8 @@
         let without = usize::from(self.random.random_range(0..3) == 0);
         let reported = self.reported(without);
         let controller = &mut self.controllers[index];
-        let recalled = controller.recall(&reported, MEMBERS - without, MEMBERS);
-        let mut actions = controller.look(self.now, &reported);
+        let recalled = controller.verify_restored_claims(&reported, MEMBERS - without, MEMBERS);
+        let mut actions = controller.reconcile(self.now, &reported);
         let counts = controller.counts();
         let text = format!(
             "{}; {} replicas, {} wanted, {} unready, steps {}",
@@ -235,35 +237,35 @@
             counts.total,
             counts.desired,
             counts.unready,
-            controller.has_steps()
+            controller.has_work()
         );
         self.say(index, &text);
-        for ClaimRequest { claim, slot, task } in &recalled.again {
+        for ClaimRequest { claim, slot, task } in &recalled.retry {
             let text = format!("claim again {:016x} slot {slot} for {task}", claim.0);
             self.say(index, &text);
         }
-        if !recalled.gone.is_empty() {
-            self.say(index, &format!("no longer held {}", claims(&recalled.gone)));
+        if !recalled.lost.is_empty() {
+            self.say(index, &format!("no longer held {}", claims(&recalled.lost)));
         }
-        actions.release.extend(recalled.gone);
-        actions.claims.extend(recalled.again);
+        actions.release.extend(recalled.lost);
+        actions.claims.extend(recalled.retry);
         let released = std::mem::take(&mut actions.release);
         self.release(released);
-        for left in &actions.clear {
-            self.controllers[index].cleared(left.claim);
+        for left in &actions.clean_up {
+            self.controllers[index].cleaned_up(left.claim);
             self.release(vec![left.claim]);
         }
         if let Some(why) = actions.halt.take() {
             self.propose(self.rollout.with_phase(Phase::Halted(why), 5));
         }
-        for task in &actions.withdraw {
+        for task in &actions.cancel_surge {
             self.starting.remove(task);
-            let released = self.controllers[index].withdrawn(self.now, task, Withdrawn::NotWanted);
+            let released = self.controllers[index].surge_ended(self.now, task, SurgeEnd::Cancelled);
             self.release(released);
         }
-        for task in &actions.retire {
+        for task in &actions.stop_old {
             if self.random.random_range(0..3) > 0 {
-                let released = self.controllers[index].retired(task);
+                let released = self.controllers[index].surge_took_over(task);
                 self.say(
                     index,
                     &format!("{task} taken over, releases {}", claims(&released)),
@@ -271,7 +273,7 @@
                 self.release(released);
             }
         }
-        self.start(index, actions.grow, true);
+        self.start(index, actions.surge, true);
         self.start(index, actions.replace, false);
         for request in actions.claims {
             self.claim(index, request);
@@ -288,22 +290,22 @@
                 dispatcher: index as u32,
             };
             let heard = self.random.random_range(0..4) > 0;
-            let claimed = member.claim("s", self.rollout.number, slot, grant);
+            let claimed = member.claim("s", self.rollout.revision, slot, grant);
             granted += usize::from(heard && claimed == ClaimOutcome::Granted);
         }
         let votes = Votes {
             granted,
-            keepers: MEMBERS,
+            members: MEMBERS,
         };
-        let won = self.controllers[index].claimed(self.now, claim, votes);
+        let won = self.controllers[index].claim_decided(self.now, claim, votes);
         self.say(index, &format!("claim {} won {won}", claims(&[claim])));
         if !won {
             self.release(vec![claim]);
             return;
         }
         self.on_disk.insert(claim, (index, task, true));
-        let surge = self.controllers[index].look_to_grow(self.now);
-        let replace = self.controllers[index].look_at_held(self.now);
+        let surge = self.controllers[index].start_surges(self.now);
+        let replace = self.controllers[index].start_replacements(self.now);
         self.say(
             index,
             &format!("at once: surge {surge:?} replace {replace:?}"),
@@ -315,16 +317,16 @@
     /// A dispatcher is killed and comes back with what is on its disk.
     fn restart(&mut self, index: usize) {
         let now = self.now;
-        let mut controller = Conductor::new(index as u32, 90, self.rollout.clone(), now);
+        let mut controller = RolloutController::new(index as u32, 90, self.rollout.clone(), now);
         for (number, (claim, (owner, task, won))) in self.on_disk.iter().enumerate() {
             if *owner == index {
-                controller.remember(*claim, task, *won && number % 3 < 2);
+                controller.restore_claim(*claim, task, *won && number % 3 < 2);
             }
         }
-        let wanted = self.rollout.wanted().to_string();
+        let wanted = self.rollout.desired_version().to_string();
         for number in 0..6 {
             let version = if number < 2 { &wanted[..] } else { "v1" };
-            controller.copy(now, &format!("d{index}t{number}"), version, number == 0);
+            controller.replica_assigned(now, &format!("d{index}t{number}"), version, number == 0);
         }
         self.controllers[index] = controller;
         self.say(index, "restarted");
@@ -342,12 +344,12 @@
                 60 => run.propose(run.rollout.with_phase(Phase::Paused, 2)),
                 75 => run.propose(run.rollout.with_phase(Phase::Rolling, 2)),
                 95 | 220 | 230 => run.restart(0),
-                30 | 130 | 150 | 200 | 270 => run.propose(run.rollout.undone(3)),
+                30 | 130 | 150 | 200 | 270 => run.propose(run.rollout.rolled_back(3)),
                 170 | 250 | 330 => run.restart(1),
-                180 | 300 => run.propose(Roll {
+                180 | 300 => run.propose(Rollout {
                     version: format!("v{step}"),
-                    unready_most: 3,
-                    number: run.rollout.number + 1,
+                    max_unavailable: 3,
+                    revision: run.rollout.revision + 1,
                     phase: Phase::Rolling,
                     ..run.rollout.clone()
                 }),
@@ -368,16 +370,16 @@
 }
 
 /// One line for what a controller wants done, whatever its types are called.
-fn describe(actions: &Look) -> String {
+fn describe(actions: &Actions) -> String {
     let mut text = String::new();
     for ClaimRequest { claim, slot, task } in &actions.claims {
         write!(text, "claim {:016x} slot {slot} for {task}, ", claim.0).expect("text");
     }
     for (what, tasks) in [
         ("replace", &actions.replace),
-        ("surge", &actions.grow),
-        ("stop old", &actions.retire),
-        ("cancel surge", &actions.withdraw),
+        ("surge", &actions.surge),
+        ("stop old", &actions.stop_old),
+        ("cancel surge", &actions.cancel_surge),
     ] {
         if !tasks.is_empty() {
             write!(text, "{what} {}, ", tasks.join("+")).expect("text");
@@ -386,7 +388,7 @@
     if !actions.release.is_empty() {
         write!(text, "release {}, ", claims(&actions.release)).expect("text");
     }
-    for left in &actions.clear {
+    for left in &actions.clean_up {
         write!(text, "clean up {:016x} for {}, ", left.claim.0, left.task).expect("text");
     }
     if let Some(why) = &actions.halt {
--- a/crates/rollout/tests/search.rs
+++ b/crates/rollout/tests/search.rs
@@ -3,27 +3,27 @@
 //! in a small case. And that the search is able to find a protocol that can: turns in time, and
 //! keepers asked without a majority.
 
-use corkspan_rollout::{ClaimId, Order, Phase, Roll, base_proposal, committed, is_majority};
+use corkspan_rollout::{ClaimId, Order, Phase, Rollout, base_proposal, committed, is_majority};
 use corkspan_rollout::{ClaimOutcome, Grant, QuorumMember};
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 use test_case::test_case;
 
 const KEEPERS: usize = 3;
 
-fn roll(number: u64, unready_most: u32) -> Roll {
-    Roll {
+fn rollout(number: u64, max_unavailable: u32) -> Rollout {
+    Rollout {
         service: "s".into(),
-        number,
-        asker: 1,
+        revision: number,
+        proposer: 1,
         version: "v2".into(),
-        former: "v1".into(),
-        unversioned: "v1".into(),
-        unready_most,
-        batch: 1,
+        previous_version: "v1".into(),
+        initial_version: "v1".into(),
+        max_unavailable,
+        max_in_progress: 1,
         order: Order::StopFirst,
-        ready_for: 10_000,
-        ready_within: 100_000,
-        failures_most: 1,
+        min_ready: 10_000,
+        progress_deadline: 100_000,
+        max_failures: 1,
         phase: Phase::Rolling,
     }
 }
@@ -40,7 +40,7 @@
 #[derive(Clone, PartialEq, Eq, Hash)]
 struct World {
     /// Slots of each keeper: claim by slot.
-    keepers: [BTreeMap<u8, u8>; KEEPERS],
+    members: [BTreeMap<u8, u8>; KEEPERS],
     dispatchers: Vec<(At, u8)>,
     /// Claims sent (claim, slot), releases sent (claim), grants ever answered (claim, keeper). A
     /// message once sent may arrive at any time, never, or again.
@@ -53,7 +53,7 @@
 /// not ready at a time, and how many states there were.
 fn most_unready(dispatchers: usize, claims_each: u8, slots: u8, votes: usize) -> (usize, usize) {
     let start = World {
-        keepers: Default::default(),
+        members: Default::default(),
         dispatchers: vec![(At::Rests, 0); dispatchers],
         claims: BTreeSet::new(),
         releases: BTreeSet::new(),
@@ -121,19 +121,19 @@
     for keeper in 0..KEEPERS {
         for &(claim, slot) in &world.claims {
             let mut next = world.clone();
-            let held = next.keepers[keeper].get(&slot).copied();
+            let held = next.members[keeper].get(&slot).copied();
             // The rule of the real keeper, which the test below holds against it.
             if held == Some(claim)
-                || held.is_none() && next.keepers[keeper].len() < usize::from(slots)
+                || held.is_none() && next.members[keeper].len() < usize::from(slots)
             {
-                next.keepers[keeper].insert(slot, claim);
+                next.members[keeper].insert(slot, claim);
                 next.granted.insert((claim, keeper as u8));
                 all.push(next);
             }
         }
         for &claim in &world.releases {
             let mut next = world.clone();
-            next.keepers[keeper].retain(|_, held| *held != claim);
+            next.members[keeper].retain(|_, held| *held != claim);
             all.push(next);
         }
     }
@@ -205,7 +205,7 @@
         ClaimOutcome::StaleRevision,
         "of a roll it doesn't know"
     );
-    assert_eq!(keeper.propose(roll(1, 1)), Some(&roll(1, 1)));
+    assert_eq!(keeper.propose(rollout(1, 1)), Some(&rollout(1, 1)));
     assert_eq!(keeper.claim("s", 1, 0, grant(1)), ClaimOutcome::Granted);
     assert_eq!(
         keeper.claim("s", 1, 0, grant(1)),
@@ -231,14 +231,14 @@
 #[test]
 fn a_smaller_limit_counts_what_the_larger_one_let_down() {
     let mut keeper = QuorumMember::default();
-    assert_eq!(keeper.propose(roll(1, 3)), Some(&roll(1, 3)));
+    assert_eq!(keeper.propose(rollout(1, 3)), Some(&rollout(1, 3)));
     for claim in 1..=3 {
         assert_eq!(
             keeper.claim("s", 1, claim - 1, grant(u64::from(claim))),
             ClaimOutcome::Granted
         );
     }
-    assert_eq!(keeper.propose(roll(2, 2)), Some(&roll(2, 2)));
+    assert_eq!(keeper.propose(rollout(2, 2)), Some(&rollout(2, 2)));
     assert_eq!(
         keeper.claim("s", 1, 0, grant(9)),
         ClaimOutcome::StaleRevision,
@@ -258,13 +258,13 @@
 fn of_two_operators_at_once_one_wins_and_the_other_is_told() {
     let mut keepers = vec![QuorumMember::default(); KEEPERS];
     let (one, two) = (
-        Roll {
-            asker: 1,
-            ..roll(1, 1)
+        Rollout {
+            proposer: 1,
+            ..rollout(1, 1)
         },
-        Roll {
-            asker: 2,
-            ..roll(1, 2)
+        Rollout {
+            proposer: 2,
+            ..rollout(1, 2)
         },
     );
     assert_eq!(keepers[0].propose(one.clone()), Some(&one));
@@ -276,7 +276,7 @@
         "the first there stands"
     );
     assert_eq!(keepers[0].propose(two.clone()), Some(&one));
-    let told: Vec<Roll> = keepers
+    let told: Vec<Rollout> = keepers
         .iter()
         .flat_map(|keeper| keeper.entries().map(|kept| kept.proposal.clone()))
         .collect();
@@ -290,14 +290,14 @@
 
 #[test]
 fn a_wish_that_no_majority_took_is_passed_by_number_and_not_followed() {
-    let stray = Roll {
+    let stray = Rollout {
         version: "v9".into(),
-        ..roll(5, 1)
+        ..rollout(5, 1)
     };
-    let next =
-        base_proposal(&[roll(4, 2), stray.clone(), roll(4, 2)], KEEPERS).expect("one in force");
-    assert_eq!((&next.version[..], next.number), ("v2", 5));
-    assert_eq!(base_proposal::<Roll>(&[], KEEPERS), None);
+    let next = base_proposal(&[rollout(4, 2), stray.clone(), rollout(4, 2)], KEEPERS)
+        .expect("one in force");
+    assert_eq!((&next.version[..], next.revision), ("v2", 5));
+    assert_eq!(base_proposal::<Rollout>(&[], KEEPERS), None);
 }
 
 #[test]
--- a/crates/rollout/tests/stored_state.rs
+++ b/crates/rollout/tests/stored_state.rs
@@ -2,7 +2,7 @@
 //! read to the same content and written back byte for byte; a half-written file is refused with the
 //! same message.
 
-use corkspan_rollout::{ClaimId, Grant, Order, Phase, QuorumMember, Roll};
+use corkspan_rollout::{ClaimId, Grant, Order, Phase, QuorumMember, Rollout};
 
 const STORED: &str = include_str!("data/stored-state.json");
 
@@ -13,20 +13,20 @@
     STORED.trim_end()
 }
 
-fn quotes() -> Roll {
-    Roll {
+fn quotes() -> Rollout {
+    Rollout {
         service: "quotes".into(),
-        number: 7,
-        asker: 18_446_744_073_709_551_615,
+        revision: 7,
+        proposer: 18_446_744_073_709_551_615,
         version: "v2".into(),
-        former: "v1".into(),
-        unversioned: "v0".into(),
-        unready_most: 5,
-        batch: 2,
+        previous_version: "v1".into(),
+        initial_version: "v0".into(),
+        max_unavailable: 5,
+        max_in_progress: 2,
         order: Order::StopFirst,
-        ready_for: 100_000,
-        ready_within: 600_000,
-        failures_most: 3,
+        min_ready: 100_000,
+        progress_deadline: 600_000,
+        max_failures: 3,
         phase: Phase::Rolling,
     }
 }
@@ -34,27 +34,27 @@
 /// Services in the order of their names: four rolling updates, with the slots held under each.
 fn expected() -> QuorumMember {
     let mut member = QuorumMember::default();
-    let paused = Roll {
+    let paused = Rollout {
         service: "billing".into(),
-        number: 2,
+        revision: 2,
         order: Order::StartFirst,
         phase: Phase::Paused,
         ..quotes()
     };
-    let halted = Roll {
+    let halted = Rollout {
         service: "search \"east\" ü".into(),
-        number: 4,
-        unready_most: 1,
+        revision: 4,
+        max_unavailable: 1,
         phase: Phase::Halted("4 copies of v2 failed at dispatcher 3, 1 not ready in time".into()),
         ..quotes()
     };
-    let undone = Roll {
+    let rolled_back = Rollout {
         service: "web".into(),
-        asker: 0,
-        unversioned: String::new(),
-        ..quotes().undone(9)
+        proposer: 0,
+        initial_version: String::new(),
+        ..quotes().rolled_back(9)
     };
-    for update in [quotes(), paused, halted, undone] {
+    for update in [quotes(), paused, halted, rolled_back] {
         assert!(member.propose(update).is_some());
     }
     for (service, number, slot, claim, dispatcher) in [
