--- a/crates/quorum/src/lib.rs
+++ b/crates/quorum/src/lib.rs
@@ -1,4 +1,4 @@
-//! Agreement at a majority of a few nodes, without I/O and without a clock. docs/roll.md says why
+//! Agreement at a majority of a few nodes, without I/O and without a clock. docs/rollout.md says why
 //! it is done this way.
 //!
 //! Dispatchers share nothing, and none of them leads. What they must agree on is a [`Proposal`] with a
