--- a/crates/config-sync/src/compatibility.rs
+++ b/crates/config-sync/src/compatibility.rs
@@ -5,17 +5,17 @@
 
 /// What a version says may shrink to this part of what it was; below, its author must say that it
 /// is meant.
-const CUT: f64 = 0.5;
+const MIN_REMAINING_FRACTION: f64 = 0.5;
 
 /// Why the next deployment can't take the place of the one in force; nothing where it can. `cuts`:
 /// its author means it to cut limits. `in_use` counts the allocations in hand of a track.
-pub fn obstacles(
+pub fn violations(
     now: &Deployment,
     next: &Deployment,
     cuts: bool,
     in_use: impl Fn(ServiceClassId) -> usize,
 ) -> Vec<String> {
-    let mut why = restarts(now, next);
+    let mut why = restart_only_changes(now, next);
     for (id, name) in now.tracks.iter().enumerate() {
         let many = in_use(ServiceClassId(id));
         if !name.is_empty() && many > 0 && !next.tracks.contains(name) {
@@ -32,7 +32,7 @@
 
 /// What a running dispatcher can't change: sockets, names that other programs know machines by, and
 /// what nodes do.
-fn restarts(now: &Deployment, next: &Deployment) -> Vec<String> {
+fn restart_only_changes(now: &Deployment, next: &Deployment) -> Vec<String> {
     let (a, b) = (&now.cluster, &next.cluster);
     let same = [
         ("schedulers", a.scheduler_count == b.scheduler_count),
@@ -137,12 +137,12 @@
         );
     }
     // From no limit to any is a cut too, but one that says what it means.
-    let deep = all
-        .into_iter()
-        .filter(|(_, before, after)| before.is_finite() && *after < before * CUT);
+    let deep = all.into_iter().filter(|(_, before, after)| {
+        before.is_finite() && *after < before * MIN_REMAINING_FRACTION
+    });
     deep.map(|(name, before, after)| {
         format!(
-            "{name}: cut from {before} to {after}; below {CUT} of it only with the mark of intent"
+            "{name}: cut from {before} to {after}; below {MIN_REMAINING_FRACTION} of it only with the mark of intent"
         )
     })
     .collect()
--- a/crates/config-sync/src/lineage.rs
+++ b/crates/config-sync/src/lineage.rs
@@ -1,18 +1,18 @@
 //! Versions known to follow one another.
 
-use corkspan_config::version::{Digest, Stamp};
+use corkspan_config::version::{Digest, VersionId};
 use std::collections::BTreeMap;
 
 /// Stamps of a line that are remembered; 48 bytes each, so 5 MB at the most. One further behind
 /// than these can be vouched for by a control service alone.
-const MOST: usize = 100_000;
+const MAX_IDS: usize = 100_000;
 
 /// Versions known to stand in one line, by number.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub(crate) struct Line(BTreeMap<u64, Digest>);
+pub(crate) struct Lineage(BTreeMap<u64, Digest>);
 
-impl Line {
-    pub(crate) fn learn(&mut self, stamps: impl Iterator<Item = Stamp>) {
+impl Lineage {
+    pub(crate) fn extend(&mut self, stamps: impl Iterator<Item = VersionId>) {
         for stamp in stamps {
             let known = self.0.insert(stamp.number, stamp.digest);
             if known.is_some_and(|known| known != stamp.digest) {
@@ -20,13 +20,13 @@
                 self.0.clear();
                 self.0.insert(stamp.number, stamp.digest);
             }
-            if self.0.len() > MOST {
+            if self.0.len() > MAX_IDS {
                 self.0.pop_first();
             }
         }
     }
 
-    pub(crate) fn holds(&self, stamp: Stamp) -> bool {
+    pub(crate) fn contains(&self, stamp: VersionId) -> bool {
         self.0.get(&stamp.number) == Some(&stamp.digest)
     }
 }
--- a/crates/config-sync/src/publisher.rs
+++ b/crates/config-sync/src/publisher.rs
@@ -1,37 +1,37 @@
 //! A control service's end of the stream: its versions, and what it knows of each subscriber.
 
-use crate::subscriber::{Push, Said, Version};
-use corkspan_config::version::{Stamp, Texts};
+use crate::subscriber::{PushReply, Version, VersionPush};
+use corkspan_config::version::{Texts, VersionId};
 use std::collections::{BTreeMap, VecDeque};
 
 /// Versions that are remembered whole, to make changes from. A subscriber that runs an older one is
 /// sent the whole.
-const HISTORY: usize = 1_000;
+const MAX_FULL_VERSIONS: usize = 1_000;
 /// Versions whose stamps alone are remembered: by these a subscriber however far behind is told
 /// that what it runs stands in the line, and one whose version does not is left to find the split.
 /// 40 bytes each, so 40 MB at the most.
-const LINE: usize = 1_000_000;
-const SUBSCRIBERS: usize = 100_000;
+const MAX_LINEAGE_IDS: usize = 1_000_000;
+const MAX_SUBSCRIBERS: usize = 100_000;
 
 #[derive(Clone, Debug, Default)]
 struct Subscriber {
-    running: Option<Stamp>,
+    running: Option<VersionId>,
     /// Of the line, what the push sent last names: this one, and all from that number on.
-    named: Option<(Stamp, u64)>,
+    named_predecessors: Option<(VersionId, u64)>,
     /// Of the push sent last on its stream, and which it was.
-    nonce: u64,
-    sent: Option<Stamp>,
-    refused: Option<(Stamp, Vec<String>)>,
-    whole: bool,
+    sent_nonce: u64,
+    last_sent: Option<VersionId>,
+    last_rejection: Option<(VersionId, Vec<String>)>,
+    needs_full: bool,
 }
 
 /// What a reply was worth.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Heard {
-    Counted,
+pub enum ReplyStatus {
+    Accepted,
     /// It answers an older push than the last: what it says of it is passed over.
-    Older,
-    Unknown,
+    StaleNonce,
+    UnknownSubscriber,
 }
 
 #[derive(Clone, Debug, Default)]
@@ -39,15 +39,15 @@
     /// In their order; stamps alone for all but the newest, whose texts all changes are made from.
     versions: VecDeque<(Version, bool)>,
     /// Stamps of all, the newest among them.
-    line: VecDeque<Stamp>,
+    lineage: VecDeque<VersionId>,
     subscribers: BTreeMap<u32, Subscriber>,
-    nonces: u64,
+    last_nonce: u64,
 }
 
 impl Publisher {
     /// The next version. Its number is one more than the highest there is, of this service or told
     /// by a subscriber: a service that lost its state must not count from 1 again.
-    pub fn publish(&mut self, texts: Texts, cuts: bool) -> Stamp {
+    pub fn publish(&mut self, texts: Texts, cuts: bool) -> VersionId {
         let told = self
             .subscribers
             .values()
@@ -58,29 +58,30 @@
             .max()
             .unwrap_or(0)
             + 1;
-        let stamp = Stamp {
+        let stamp = VersionId {
             number,
             digest: texts.digest(),
         };
-        self.versions.push_back((Version { stamp, texts }, cuts));
-        if self.versions.len() > HISTORY {
+        self.versions
+            .push_back((Version { id: stamp, texts }, cuts));
+        if self.versions.len() > MAX_FULL_VERSIONS {
             self.versions.pop_front();
         }
-        self.line.push_back(stamp);
-        if self.line.len() > LINE {
-            self.line.pop_front();
+        self.lineage.push_back(stamp);
+        if self.lineage.len() > MAX_LINEAGE_IDS {
+            self.lineage.pop_front();
         }
         stamp
     }
 
-    pub fn newest(&self) -> Option<Stamp> {
-        self.versions.back().map(|(version, _)| version.stamp)
+    pub fn newest(&self) -> Option<VersionId> {
+        self.versions.back().map(|(version, _)| version.id)
     }
 
     /// A subscriber opens a stream and tells what it runs. Nothing of an earlier stream counts any
     /// more.
-    pub fn opened(&mut self, who: u32, running: Stamp) {
-        if self.subscribers.len() < SUBSCRIBERS || self.subscribers.contains_key(&who) {
+    pub fn subscriber_connected(&mut self, who: u32, running: VersionId) {
+        if self.subscribers.len() < MAX_SUBSCRIBERS || self.subscribers.contains_key(&who) {
             let fresh = Subscriber {
                 running: Some(running),
                 ..Subscriber::default()
@@ -90,100 +91,106 @@
     }
 
     /// A reply, with what runs there now.
-    pub fn heard(&mut self, who: u32, nonce: u64, said: &Said, running: Stamp) -> Heard {
+    pub fn receive_reply(
+        &mut self,
+        who: u32,
+        nonce: u64,
+        said: &PushReply,
+        running: VersionId,
+    ) -> ReplyStatus {
         let Some(own) = self.subscribers.get_mut(&who) else {
-            return Heard::Unknown;
+            return ReplyStatus::UnknownSubscriber;
         };
         // That it runs is so, whichever push it answers.
         own.running = Some(running);
-        if nonce != own.nonce {
-            return Heard::Older;
+        if nonce != own.sent_nonce {
+            return ReplyStatus::StaleNonce;
         }
-        match (said, own.sent) {
-            (Said::Refused(why), Some(sent)) => {
-                own.refused = Some((sent, why.clone()));
+        match (said, own.last_sent) {
+            (PushReply::Rejected(why), Some(sent)) => {
+                own.last_rejection = Some((sent, why.clone()));
                 // It ran another by the time that it read that push than was known when it was
                 // sent, and took the line for split: now that this is known, it is
                 // told again, once for what it runs.
                 let named = own
-                    .named
+                    .named_predecessors
                     .is_some_and(|(told, from)| running == told || running.number >= from);
-                if !named && stands(&self.line, running) {
-                    own.sent = None;
+                if !named && in_lineage(&self.lineage, running) {
+                    own.last_sent = None;
                 }
             }
-            (Said::WantsWhole, _) => (own.whole, own.sent) = (true, None),
+            (PushReply::FullRequired, _) => (own.needs_full, own.last_sent) = (true, None),
             _ => {}
         }
-        Heard::Counted
+        ReplyStatus::Accepted
     }
 
     /// What to push to it now, if it hasn't got the newest and hasn't turned it down.
-    pub fn push_for(&mut self, who: u32) -> Option<Push> {
+    pub fn push_for(&mut self, who: u32) -> Option<VersionPush> {
         let (newest, cuts) = self.versions.back()?;
         let own = self.subscribers.get_mut(&who)?;
         let running = own.running?;
-        if own.sent == Some(newest.stamp) || running == newest.stamp {
+        if own.last_sent == Some(newest.id) || running == newest.id {
             return None;
         }
         let at = self
             .versions
             .iter()
-            .position(|(version, _)| version.stamp == running);
+            .position(|(version, _)| version.id == running);
         let theirs = at.map(|at| &self.versions[at].0);
         // All from theirs on: those that are on their way may be in force there by the time that it
         // reads this. Of one that is further behind than that, all that is remembered.
         let first = match at {
             Some(at) => at,
-            None if stands(&self.line, running) => 0,
+            None if in_lineage(&self.lineage, running) => 0,
             None => self.versions.len().saturating_sub(2),
         };
         let before = self.versions.len() - 1;
         let recent = self
             .versions
             .range(first.min(before)..before)
-            .map(|(version, _)| version.stamp);
-        let far = Some(running).filter(|_| at.is_none() && stands(&self.line, running));
-        let follows: Vec<Stamp> = far.into_iter().chain(recent).collect();
-        own.named = Some((
+            .map(|(version, _)| version.id);
+        let far = Some(running).filter(|_| at.is_none() && in_lineage(&self.lineage, running));
+        let predecessors: Vec<VersionId> = far.into_iter().chain(recent).collect();
+        own.named_predecessors = Some((
             running,
-            follows
+            predecessors
                 .iter()
                 .map(|stamp| stamp.number)
                 .nth(far.iter().len())
                 .unwrap_or(u64::MAX),
         ));
-        let base = theirs.filter(|_| !own.whole);
+        let base = theirs.filter(|_| !own.needs_full);
         let (changes, removed) = match base {
             Some(base) => base.texts.changes_to(&newest.texts),
             None => (newest.texts.clone(), Vec::new()),
         };
-        self.nonces += 1;
-        (own.nonce, own.sent, own.whole) = (self.nonces, Some(newest.stamp), false);
-        Some(Push {
-            nonce: self.nonces,
-            stamp: newest.stamp,
-            follows,
-            onto: base.map(|version| version.stamp),
+        self.last_nonce += 1;
+        (own.sent_nonce, own.last_sent, own.needs_full) = (self.last_nonce, Some(newest.id), false);
+        Some(VersionPush {
+            nonce: self.last_nonce,
+            version: newest.id,
+            predecessors,
+            base: base.map(|version| version.id),
             changes,
             removed,
-            cuts: *cuts,
+            allows_cuts: *cuts,
         })
     }
 
     /// What a subscriber runs, as it told last.
-    pub fn running(&self, who: u32) -> Option<Stamp> {
+    pub fn active_version(&self, who: u32) -> Option<VersionId> {
         self.subscribers.get(&who)?.running
     }
 
     /// What a subscriber turned down last on the stream that stands, and why.
-    pub fn turned_down(&self, who: u32) -> Option<&(Stamp, Vec<String>)> {
-        self.subscribers.get(&who)?.refused.as_ref()
+    pub fn last_rejection(&self, who: u32) -> Option<&(VersionId, Vec<String>)> {
+        self.subscribers.get(&who)?.last_rejection.as_ref()
     }
 }
 
 /// Whether a version stands in the line. Numbers grow along it.
-fn stands(line: &VecDeque<Stamp>, stamp: Stamp) -> bool {
+fn in_lineage(line: &VecDeque<VersionId>, stamp: VersionId) -> bool {
     line.binary_search_by_key(&stamp.number, |other| other.number)
         .is_ok_and(|at| line[at] == stamp)
 }
--- a/crates/config-sync/src/stable_ids.rs
+++ b/crates/config-sync/src/stable_ids.rs
@@ -4,14 +4,14 @@
 use corkspan_scheduler::interface::{Cluster, ServiceClassId};
 
 /// Rows at the most, those of names that are gone among them.
-const ROWS: usize = 20_000;
+const MAX_ROWS: usize = 20_000;
 
 /// The next deployment with ids that still mean what allocations in hand were taken under. A name
 /// keeps its id; one that is gone leaves its row behind, without a name, until nothing is of it any
 /// more. A track whose repeats would be treated otherwise gets another id: what is in hand keeps
 /// the promise that it was taken under. None where more names have come and gone than rows are kept
 /// for.
-pub fn with_ids(
+pub fn assign(
     now: &Deployment,
     next: Deployment,
     in_use: impl Fn(ServiceClassId) -> usize,
@@ -26,7 +26,7 @@
         if let Some(at) = stays {
             names[at].clear();
         }
-        put(&mut names, &mut tracks, name, track, |at| {
+        insert_row(&mut names, &mut tracks, name, track, |at| {
             in_use(ServiceClassId(at)) == 0
         });
     }
@@ -40,7 +40,7 @@
     for (name, account) in std::iter::zip(&next.accounts, &next.cluster.tenants) {
         match account_names.iter().position(|own| own == name) {
             Some(at) => accounts[at] = account.clone(),
-            None => put(&mut account_names, &mut accounts, name, account, |_| false),
+            None => insert_row(&mut account_names, &mut accounts, name, account, |_| false),
         }
     }
     for (name, account) in std::iter::zip(&mut account_names, &mut accounts) {
@@ -49,7 +49,7 @@
             account.quota_cores = Some(0.0);
         }
     }
-    if names.len().max(account_names.len()) > ROWS {
+    if names.len().max(account_names.len()) > MAX_ROWS {
         return None;
     }
     let cluster = Cluster {
@@ -66,7 +66,7 @@
 }
 
 /// Into a row that has no name and is free, or a new one.
-fn put<T: Clone>(
+fn insert_row<T: Clone>(
     names: &mut Vec<String>,
     rows: &mut Vec<T>,
     name: &str,
--- a/crates/config-sync/src/subscriber/mod.rs
+++ b/crates/config-sync/src/subscriber/mod.rs
@@ -6,4 +6,4 @@
 mod types;
 
 pub use state::Subscriber;
-pub use types::{Admitted, Kept, Pace, Push, Said, Version};
+pub use types::{NextPush, PersistedVersions, PushAdmission, PushReply, Version, VersionPush};
--- a/crates/config-sync/src/subscriber/pushes.rs
+++ b/crates/config-sync/src/subscriber/pushes.rs
@@ -1,57 +1,59 @@
 //! Steps with a push: received, chosen, admitted.
 
 use super::state::Subscriber;
-use super::types::{Admitted, Pace, Push, Said};
+use super::types::{NextPush, PushAdmission, PushReply, VersionPush};
 use corkspan_scheduler::interface::Ticks;
 
 /// Between two versions that take effect: a flood of them is passed over for the newest.
-const APART: Ticks = 500;
+const MIN_APPLY_INTERVAL: Ticks = 500;
 impl Subscriber {
     /// A push has come. The answer to the one that it passes over, by nonce.
-    pub fn heard(&mut self, push: Push) -> Option<(u64, Said)> {
+    pub fn receive(&mut self, push: VersionPush) -> Option<(u64, PushReply)> {
         let newer = self
-            .waits
+            .waiting
             .as_ref()
-            .is_none_or(|waits| push.stamp.number >= waits.stamp.number);
+            .is_none_or(|waits| push.version.number >= waits.version.number);
         if newer {
             let nonce = push.nonce;
-            self.waits
+            self.waiting
                 .replace(push)
-                .map(|passed| (passed.nonce, Said::Superseded(nonce)))
+                .map(|passed| (passed.nonce, PushReply::Superseded(nonce)))
         } else {
-            self.waits
+            self.waiting
                 .as_ref()
-                .map(|waits| (push.nonce, Said::Superseded(waits.nonce)))
+                .map(|waits| (push.nonce, PushReply::Superseded(waits.nonce)))
         }
     }
 
     /// What waits belongs to a stream that broke.
-    pub fn broke(&mut self) {
-        self.waits = None;
+    pub fn stream_closed(&mut self) {
+        self.waiting = None;
     }
 
-    pub fn pace(&self, now: Ticks) -> Pace {
-        match (&self.waits, self.applied_at) {
-            (None, _) => Pace::Idle,
-            (Some(_), Some(at)) if now < at + APART => Pace::Wait(at + APART - now),
-            _ => Pace::Now,
+    pub fn next_push(&self, now: Ticks) -> NextPush {
+        match (&self.waiting, self.applied_at) {
+            (None, _) => NextPush::None,
+            (Some(_), Some(at)) if now < at + MIN_APPLY_INTERVAL => {
+                NextPush::After(at + MIN_APPLY_INTERVAL - now)
+            }
+            _ => NextPush::Now,
         }
     }
 
     /// Takes the push that waits.
-    pub fn take(&mut self) -> Option<Push> {
-        self.waits.take()
+    pub fn take_push(&mut self) -> Option<VersionPush> {
+        self.waiting.take()
     }
 
     /// Whether it is worth reading, by its stamp alone.
-    pub fn admit(&self, push: &Push) -> Admitted {
-        let (running, texts) = self.running();
-        let refuse = |why: String| Admitted::Answer(Said::Refused(vec![why]));
-        let stamp = push.stamp;
+    pub fn admit(&self, push: &VersionPush) -> PushAdmission {
+        let (running, texts) = self.active_version();
+        let refuse = |why: String| PushAdmission::Reply(PushReply::Rejected(vec![why]));
+        let stamp = push.version;
         if stamp == running {
-            return Admitted::Answer(Said::Running);
+            return PushAdmission::Reply(PushReply::Unchanged);
         }
-        if self.kept.given_up.contains(&stamp) {
+        if self.persisted.rolled_back.contains(&stamp) {
             return refuse(format!(
                 "version {stamp} was given up here; a next one is needed"
             ));
@@ -65,15 +67,15 @@
             return refuse(format!("stale: {running} runs here"));
         }
         // A service that was cut off from the others may count on from an older state.
-        if running.number > 0 && !push.follows.contains(&running) {
+        if running.number > 0 && !push.predecessors.contains(&running) {
             return refuse(format!(
                 "split: it does not follow {running}, which runs here"
             ));
         }
-        let whole = match push.onto {
+        let whole = match push.base {
             None => push.changes.clone(),
-            Some(onto) if onto == running => texts.changed(&push.changes, &push.removed),
-            Some(_) => return Admitted::Answer(Said::WantsWhole),
+            Some(base) if base == running => texts.changed(&push.changes, &push.removed),
+            Some(_) => return PushAdmission::Reply(PushReply::FullRequired),
         };
         if whole.digest() != stamp.digest {
             return refuse(format!(
@@ -82,6 +84,6 @@
                 stamp.digest
             ));
         }
-        Admitted::Check(whole)
+        PushAdmission::Validate(whole)
     }
 }
--- a/crates/config-sync/src/version_cache.rs
+++ b/crates/config-sync/src/version_cache.rs
@@ -1,83 +1,96 @@
 //! The newest version of a lineage, for those that no control service reaches.
 
-use crate::lineage::Line;
-use crate::subscriber::{Push, Version};
-use corkspan_config::version::{Digest, Stamp, Texts};
+use crate::lineage::Lineage;
+use crate::subscriber::{Version, VersionPush};
+use corkspan_config::version::{Digest, Texts, VersionId};
 
 /// What became of a version that was laid on a shelf.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Laid {
-    Taken,
+pub enum StoreOutcome {
+    Stored,
     /// As new a one lies there.
-    Older,
+    NotNewer,
     /// It does not stand in the line of what lies there.
-    Split,
+    OtherLineage,
     /// What it says has another digest than it tells.
-    Liar,
+    DigestMismatch,
 }
 
 /// The newest version of a line, whole, held for others: at a dispatcher the one that it runs, at a
 /// keeper one that a dispatcher has laid there.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Shelf {
-    lies: Option<(Version, bool)>,
-    line: Line,
+pub struct VersionCache {
+    newest: Option<(Version, bool)>,
+    lineage: Lineage,
 }
 
-impl Shelf {
+impl VersionCache {
     /// What the caller runs from now on, and what its push told of the line. Checked by who took
     /// it.
-    pub fn runs(&mut self, stamp: Stamp, texts: Texts, cuts: bool, follows: &[Stamp]) {
-        self.line.learn(follows.iter().copied().chain([stamp]));
-        self.lies = Some((Version { stamp, texts }, cuts));
+    pub fn record_active(
+        &mut self,
+        stamp: VersionId,
+        texts: Texts,
+        cuts: bool,
+        predecessors: &[VersionId],
+    ) {
+        self.lineage
+            .extend(predecessors.iter().copied().chain([stamp]));
+        self.newest = Some((Version { id: stamp, texts }, cuts));
     }
 
-    /// What another lays here. `follows`: earlier versions in whose line it stands, as it says.
-    pub fn lay(&mut self, stamp: Stamp, texts: Texts, cuts: bool, follows: &[Stamp]) -> Laid {
+    /// What another lays here. `predecessors`: earlier versions in whose line it stands, as it says.
+    pub fn store(
+        &mut self,
+        stamp: VersionId,
+        texts: Texts,
+        cuts: bool,
+        predecessors: &[VersionId],
+    ) -> StoreOutcome {
         if texts.digest() != stamp.digest {
-            return Laid::Liar;
+            return StoreOutcome::DigestMismatch;
         }
-        if let Some((version, _)) = &self.lies {
-            if version.stamp.number >= stamp.number {
-                return Laid::Older;
+        if let Some((version, _)) = &self.newest {
+            if version.id.number >= stamp.number {
+                return StoreOutcome::NotNewer;
             }
             // A rival's version would be handed to stragglers that could never take it.
-            if !follows.contains(&version.stamp) {
-                return Laid::Split;
+            if !predecessors.contains(&version.id) {
+                return StoreOutcome::OtherLineage;
             }
         }
-        self.runs(stamp, texts, cuts, follows);
-        Laid::Taken
+        self.record_active(stamp, texts, cuts, predecessors);
+        StoreOutcome::Stored
     }
 
-    pub fn lies(&self) -> Option<Stamp> {
-        self.lies.as_ref().map(|(version, _)| version.stamp)
+    pub fn newest(&self) -> Option<VersionId> {
+        self.newest.as_ref().map(|(version, _)| version.id)
     }
 
     /// For one that runs `theirs`: the whole of what lies here, if that is later. Named among what
-    /// it follows only where it is known to: the rest is for the straggler to refuse.
-    pub fn push_for(&self, theirs: Stamp) -> Option<Push> {
+    /// it predecessors only where it is known to: the rest is for the straggler to refuse.
+    pub fn push_for(&self, theirs: VersionId) -> Option<VersionPush> {
         let (version, cuts) = self
-            .lies
+            .newest
             .as_ref()
-            .filter(|(lies, _)| lies.stamp.number > theirs.number)?;
-        Some(Push {
+            .filter(|(lies, _)| lies.id.number > theirs.number)?;
+        Some(VersionPush {
             nonce: 0,
-            stamp: version.stamp,
-            follows: Some(theirs)
-                .filter(|&theirs| self.line.holds(theirs))
+            version: version.id,
+            predecessors: Some(theirs)
+                .filter(|&theirs| self.lineage.contains(theirs))
                 .into_iter()
                 .collect(),
-            onto: None,
+            base: None,
             changes: version.texts.clone(),
             removed: Vec::new(),
-            cuts: *cuts,
+            allows_cuts: *cuts,
         })
     }
 
     /// The same, to be laid on a shelf where `theirs` lies, if anything does.
-    pub fn push_to(&self, theirs: Option<Stamp>) -> Option<Push> {
-        let none = Stamp {
+    pub fn push_to_store(&self, theirs: Option<VersionId>) -> Option<VersionPush> {
+        let none = VersionId {
             number: 0,
             digest: Digest([0; 32]),
         };
--- a/crates/config-sync/tests/stories.rs
+++ b/crates/config-sync/tests/decisions.rs
@@ -1,9 +1,10 @@
 //! What a dispatcher does about versions, one story for each failure.
 
 use corkspan_config::Deployment;
-use corkspan_config::version::{Stamp, Texts};
+use corkspan_config::version::{Texts, VersionId};
 use corkspan_config_sync::{
-    Admitted, Counts, Kept, Pace, Publisher, Push, Retry, Said, Subscriber, change,
+    NextPush, PersistedVersions, Publisher, PushAdmission, PushReply, ReconnectBackoff,
+    RequestCounts, Subscriber, VersionPush, compatibility, stable_ids,
 };
 use corkspan_scheduler::interface::*;
 use proptest::prelude::*;
@@ -18,94 +19,100 @@
         .collect()
 }
 
-fn push(nonce: u64, number: u64, follows: &[Stamp]) -> Push {
+fn push(nonce: u64, number: u64, predecessors: &[VersionId]) -> VersionPush {
     let changes = texts(number);
-    let stamp = Stamp {
+    let stamp = VersionId {
         number,
         digest: changes.digest(),
     };
-    Push {
+    VersionPush {
         nonce,
-        stamp,
-        follows: follows.to_vec(),
-        onto: None,
+        version: stamp,
+        predecessors: predecessors.to_vec(),
+        base: None,
         changes,
         removed: Vec::new(),
-        cuts: false,
+        allows_cuts: false,
     }
 }
 
 fn subscriber() -> Subscriber {
-    Subscriber::start(texts(0), Kept::default(), 0).0
+    Subscriber::restore(texts(0), PersistedVersions::default(), 0).0
 }
 
 /// Puts a version in force.
-fn takes(own: &mut Subscriber, now: Ticks, number: u64, counts: Counts) -> Stamp {
-    let running = own.running().0;
+fn takes(own: &mut Subscriber, now: Ticks, number: u64, counts: RequestCounts) -> VersionId {
+    let running = own.active_version().0;
     let push = push(number, number, &[running]);
-    assert!(matches!(own.admit(&push), Admitted::Check(_)));
-    let kept = own.to_keep(now, counts, push.stamp, push.changes);
-    own.applied(now, kept, counts);
-    push.stamp
+    assert!(matches!(own.admit(&push), PushAdmission::Validate(_)));
+    let kept = own.prepare_trial(now, counts, push.version, push.changes);
+    own.start_trial(now, kept, counts);
+    push.version
 }
 
-fn counts(asked: u64, refused: u64) -> Counts {
-    Counts { asked, refused }
+fn counts(asked: u64, refused: u64) -> RequestCounts {
+    RequestCounts {
+        requests: asked,
+        rejected: refused,
+    }
 }
 
 #[test]
 fn of_a_flood_the_newest_is_looked_at_and_each_other_is_told_so() {
     let mut own = subscriber();
-    takes(&mut own, 0, 1, Counts::default());
-    assert_eq!(own.heard(push(10, 2, &[])), None);
+    takes(&mut own, 0, 1, RequestCounts::default());
+    assert_eq!(own.receive(push(10, 2, &[])), None);
     assert_eq!(
-        own.heard(push(11, 4, &[])),
-        Some((10, Said::Superseded(11)))
+        own.receive(push(11, 4, &[])),
+        Some((10, PushReply::Superseded(11)))
     );
     assert_eq!(
-        own.heard(push(12, 3, &[])),
-        Some((12, Said::Superseded(11))),
+        own.receive(push(12, 3, &[])),
+        Some((12, PushReply::Superseded(11))),
         "late, and older"
     );
-    assert_eq!(own.pace(100), Pace::Wait(400));
-    assert_eq!(own.pace(500), Pace::Now);
-    assert_eq!(own.take().map(|push| push.nonce), Some(11));
-    assert_eq!(own.pace(500), Pace::Idle);
+    assert_eq!(own.next_push(100), NextPush::After(400));
+    assert_eq!(own.next_push(500), NextPush::Now);
+    assert_eq!(own.take_push().map(|push| push.nonce), Some(11));
+    assert_eq!(own.next_push(500), NextPush::None);
 }
 
 #[test]
 fn what_waits_of_a_broken_stream_is_not_looked_at() {
     let mut own = subscriber();
-    own.heard(push(10, 2, &[]));
-    own.broke();
-    assert_eq!(own.take(), None);
+    own.receive(push(10, 2, &[]));
+    own.stream_closed();
+    assert_eq!(own.take_push(), None);
 }
 
 #[test]
 fn a_version_under_which_the_dispatcher_ends_again_and_again_is_given_up() {
     let mut own = subscriber();
-    let one = takes(&mut own, 0, 1, Counts::default());
+    let one = takes(&mut own, 0, 1, RequestCounts::default());
     let two = takes(&mut own, 40 * SECOND, 2, counts(100, 0));
-    let mut kept = own.kept().clone();
+    let mut kept = own.persisted().clone();
     assert_eq!(
-        kept.good.as_ref().map(|good| good.stamp),
+        kept.last_good.as_ref().map(|good| good.id),
         Some(one),
         "it did no harm to a hundred asks"
     );
     for start in 0..3 {
-        let (own, changed) = Subscriber::start(texts(0), kept.clone(), 0);
+        let (own, changed) = Subscriber::restore(texts(0), kept.clone(), 0);
         kept = changed.expect("each start is counted on disk");
-        assert_eq!(own.running().0, if start < 2 { two } else { one });
+        assert_eq!(own.active_version().0, if start < 2 { two } else { one });
     }
-    let (own, changed) = Subscriber::start(texts(0), kept, 0);
+    let (own, changed) = Subscriber::restore(texts(0), kept, 0);
     assert_eq!(changed, None);
     assert_eq!(
         own.admit(&push(9, 2, &[one])),
-        Admitted::Answer(Said::Refused(vec![format!(
+        PushAdmission::Reply(PushReply::Rejected(vec![format!(
             "version {two} was given up here; a next one is needed"
         )]))
     );
-    assert!(matches!(own.admit(&push(9, 3, &[one])), Admitted::Check(_)));
+    assert!(matches!(
+        own.admit(&push(9, 3, &[one])),
+        PushAdmission::Validate(_)
+    ));
 }
 
 #[test_case(20, 0, 12; "from few, much more")]
@@ -116,18 +123,22 @@
     spared: u64,
 ) {
     let mut own = subscriber();
-    assert_eq!(own.watch(SECOND, counts(asked, refused)), None);
+    assert_eq!(own.evaluate_trial(SECOND, counts(asked, refused)), None);
     takes(&mut own, SECOND, 1, counts(asked, refused));
     let some = counts(asked + 49, refused + 49);
-    assert_eq!(own.watch(2 * SECOND, some), None, "not enough to tell by");
+    assert_eq!(
+        own.evaluate_trial(2 * SECOND, some),
+        None,
+        "not enough to tell by"
+    );
     let all = counts(asked + 400, refused + 400 - spared);
-    let (kept, why) = own.watch(2 * SECOND, all).expect("it is decided");
+    let (kept, why) = own.evaluate_trial(2 * SECOND, all).expect("it is decided");
     assert!(
         why.expect("with a reason")
             .contains("of 400 asks refused in 1.0 s")
     );
-    own.decided(2 * SECOND, kept, all);
-    assert_eq!((own.running().0.number, own.on_trial()), (0, false));
+    own.finish_trial(2 * SECOND, kept, all);
+    assert_eq!((own.active_version().0.number, own.on_trial()), (0, false));
 }
 
 #[test_case(1_000, 500, 1_000, 600; "of a crowded hour, a little more")]
@@ -140,13 +151,13 @@
     turned: u64,
 ) {
     let mut own = subscriber();
-    own.watch(SECOND, counts(asked, refused));
+    own.evaluate_trial(SECOND, counts(asked, refused));
     let one = takes(&mut own, SECOND, 1, counts(asked, refused));
     let after = counts(asked + more, refused + turned);
-    assert_eq!(own.watch(30 * SECOND, after), None, "not yet");
-    let (kept, why) = own.watch(151 * SECOND, after).expect("decided");
+    assert_eq!(own.evaluate_trial(30 * SECOND, after), None, "not yet");
+    let (kept, why) = own.evaluate_trial(151 * SECOND, after).expect("decided");
     assert_eq!(
-        (kept.good.as_ref().map(|good| good.stamp), why),
+        (kept.last_good.as_ref().map(|good| good.id), why),
         (Some(one), None)
     );
 }
@@ -154,10 +165,12 @@
 #[test]
 fn the_measure_of_a_version_that_takes_a_bad_ones_place_is_from_before_both() {
     let mut own = subscriber();
-    own.watch(SECOND, counts(1_000, 0));
+    own.evaluate_trial(SECOND, counts(1_000, 0));
     takes(&mut own, SECOND, 1, counts(1_000, 0));
     takes(&mut own, 2 * SECOND, 2, counts(1_040, 40));
-    let (_, why) = own.watch(3 * SECOND, counts(1_140, 140)).expect("decided");
+    let (_, why) = own
+        .evaluate_trial(3 * SECOND, counts(1_140, 140))
+        .expect("decided");
     assert!(why.expect("a reason").contains("0% before"));
 }
 
@@ -165,8 +178,8 @@
     #[test]
     fn hundreds_that_lost_a_service_at_once_come_back_spread(seed in any::<u64>(), fails in 1..6u32) {
         let waits = (0..300u64).map(|own| {
-            let mut retry = Retry::new(seed ^ own << 32);
-            (0..fails).map(|_| retry.wait(0)).last().unwrap_or(0)
+            let mut retry = ReconnectBackoff::new(seed ^ own << 32);
+            (0..fails).map(|_| retry.next_delay(0)).last().unwrap_or(0)
         });
         let mut seconds: BTreeMap<Ticks, usize> = BTreeMap::new();
         waits.for_each(|wait| *seconds.entry(wait / SECOND).or_default() += 1);
@@ -202,13 +215,16 @@
 #[test_case("(cores 2)", "(cores 1)", ""; "half is borne")]
 fn limits_cut_deep_need_the_mark_of_intent(from: &str, to: &str, why: &str) {
     let next = next(from, to);
-    let told = change::obstacles(&file(), &next, false, |_| 0);
+    let told = compatibility::violations(&file(), &next, false, |_| 0);
     assert_eq!(
         told.first()
             .map_or("", |told| &told[..why.len().min(told.len())]),
         why
     );
-    assert_eq!(change::obstacles(&file(), &next, true, |_| 0), [""; 0]);
+    assert_eq!(
+        compatibility::violations(&file(), &next, true, |_| 0),
+        [""; 0]
+    );
 }
 
 #[test_case("(schedulers 3)", "(schedulers 4)", "schedulers: a change needs a restart"; "how many there are")]
@@ -216,7 +232,7 @@
 #[test_case("(placed-when running)", "(placed-when accepted)", "placed-when: a change needs a restart"; "what placed means")]
 fn what_needs_a_restart_is_turned_down(from: &str, to: &str, why: &str) {
     assert_eq!(
-        change::obstacles(&file(), &next(from, to), true, |_| 0),
+        compatibility::violations(&file(), &next(from, to), true, |_| 0),
         [why]
     );
 }
@@ -226,7 +242,7 @@
     let tracks = "(tracks (once (repeat unrepeatable) (contract-time 1 s)) (new (repeat idempotent) (contract-time 1 s)) (web (repeat idempotent) (contract-time 700 ms)))";
     let from =
         &FILE[FILE.find("(tracks").expect("there")..FILE.find("\n  (accounts").expect("there")];
-    let ids = change::with_ids(&file(), next(from, tracks), |_| 1).expect("room");
+    let ids = stable_ids::assign(&file(), next(from, tracks), |_| 1).expect("room");
     assert_eq!(ids.tracks, ["web", "once", "new"]);
     assert_eq!(ids.cluster.service_classes[0].latency_objective, 7_000);
 }
@@ -234,7 +250,7 @@
 #[test]
 fn a_track_whose_promise_changes_leaves_what_is_in_hand_under_the_old_one() {
     let loose = next("(once (repeat unrepeatable)", "(once (repeat idempotent)");
-    let ids = change::with_ids(&file(), loose, |track| {
+    let ids = stable_ids::assign(&file(), loose, |track| {
         usize::from(track == ServiceClassId(1))
     })
     .expect("room");
@@ -249,7 +265,7 @@
     );
     // Once nothing is of it any more, the row is another's.
     let strict = next("(accepts", "(accepts");
-    let ids = change::with_ids(&ids, strict, |track| {
+    let ids = stable_ids::assign(&ids, strict, |track| {
         usize::from(track == ServiceClassId(2))
     })
     .expect("room");
@@ -258,7 +274,8 @@
 
 #[test]
 fn an_account_that_is_gone_keeps_its_row_and_bears_nothing_more() {
-    let ids = change::with_ids(&file(), next("(one (share-cores 10)) ", ""), |_| 0).expect("room");
+    let ids =
+        stable_ids::assign(&file(), next("(one (share-cores 10)) ", ""), |_| 0).expect("room");
     assert_eq!(
         (&ids.accounts[..], ids.cluster.tenants[0].quota_cores),
         (&["".into(), "two".into()][..], Some(0.0))
@@ -276,16 +293,16 @@
     for number in 1..=ALL {
         books.publish(texts(number), false);
         if number + behind == ALL {
-            takes(&mut own, 0, number, Counts::default());
+            takes(&mut own, 0, number, RequestCounts::default());
         }
     }
-    let running = own.running().0;
-    books.opened(
+    let running = own.active_version().0;
+    books.subscriber_connected(
         7,
         if ours {
             running
         } else {
-            Stamp {
+            VersionId {
                 digest: texts(1).digest(),
                 ..running
             }
@@ -293,8 +310,8 @@
     );
     let push = books.push_for(7).expect("it has not got the newest");
     match own.admit(&push) {
-        Admitted::Check(whole) => assert!(ours && whole == texts(ALL)),
-        Admitted::Answer(Said::Refused(why)) => {
+        PushAdmission::Validate(whole) => assert!(ours && whole == texts(ALL)),
+        PushAdmission::Reply(PushReply::Rejected(why)) => {
             assert!(!ours && why[0].starts_with("split"), "{why:?}")
         }
         other => panic!("{other:?}"),
@@ -306,20 +323,20 @@
 #[test]
 fn one_that_is_known_too_late_to_run_another_is_told_again_and_once() {
     let mut books = Publisher::default();
-    let stamps: Vec<Stamp> = (1..=5_000)
+    let stamps: Vec<VersionId> = (1..=5_000)
         .map(|number| books.publish(texts(number), false))
         .collect();
-    books.opened(7, stamps[0]);
+    books.subscriber_connected(7, stamps[0]);
     let first = books.push_for(7).expect("a push");
     assert!(
-        !first.follows.contains(&stamps[2_000]),
+        !first.predecessors.contains(&stamps[2_000]),
         "of those between, not all are told"
     );
-    let split = Said::Refused(vec!["split".into()]);
-    books.heard(7, first.nonce, &split, stamps[2_000]);
+    let split = PushReply::Rejected(vec!["split".into()]);
+    books.receive_reply(7, first.nonce, &split, stamps[2_000]);
     let again = books.push_for(7).expect("once more");
-    assert!(again.follows.contains(&stamps[2_000]));
-    books.heard(7, again.nonce, &split, stamps[2_000]);
+    assert!(again.predecessors.contains(&stamps[2_000]));
+    books.receive_reply(7, again.nonce, &split, stamps[2_000]);
     assert_eq!(
         books.push_for(7),
         None,
--- a/crates/config-sync/tests/recorded/changes.rs
+++ b/crates/config-sync/tests/recorded/changes.rs
@@ -3,7 +3,7 @@
 use crate::transcript::*;
 use corkspan_config::Deployment;
 use corkspan_config::version::Texts;
-use corkspan_config_sync::change;
+use corkspan_config_sync::{compatibility, differences, stable_ids};
 use corkspan_scheduler::interface::{Cluster, RetrySafety, ServiceClassId};
 use std::fmt::Write;
 
@@ -39,17 +39,17 @@
     for (edit, next) in next_versions(&file) {
         writeln!(out, "edit {edit}").unwrap();
         for (cuts, in_use) in [(false, 0), (true, 0), (false, 3)] {
-            for obstacle in change::obstacles(&file, &next, cuts, |_| in_use) {
+            for obstacle in compatibility::violations(&file, &next, cuts, |_| in_use) {
                 writeln!(out, "  obstacle, cuts {cuts}, {in_use} in use: {obstacle}").unwrap();
             }
         }
-        for difference in change::told(&file, &next) {
+        for difference in differences::describe(&file, &next) {
             writeln!(out, "  differs: {difference}").unwrap();
         }
         let odd = |id: ServiceClassId| id.0 % 2;
-        let alone = change::with_ids(&file, next.clone(), odd).expect("rows are left");
+        let alone = stable_ids::assign(&file, next.clone(), odd).expect("rows are left");
         writeln!(out, "  ids {}", ids_of(&alone)).unwrap();
-        running = change::with_ids(&running, next, odd).expect("rows are left");
+        running = stable_ids::assign(&running, next, odd).expect("rows are left");
         writeln!(out, "  ids in a row {}", ids_of(&running)).unwrap();
     }
     compare("changes.txt", &out);
@@ -72,7 +72,7 @@
             ..file.clone()
         }
     };
-    let fits = |rows| change::with_ids(&with_rows(rows), file.clone(), |_| 1).is_some();
+    let fits = |rows| stable_ids::assign(&with_rows(rows), file.clone(), |_| 1).is_some();
     let known = file.tracks.len();
     assert!(fits(20_000 - known) && !fits(20_001 - known));
 }
--- a/crates/config-sync/tests/recorded/dispatcher.rs
+++ b/crates/config-sync/tests/recorded/dispatcher.rs
@@ -1,8 +1,10 @@
 //! A dispatcher as these tests drive it: a subscriber, its disk, a clock and request counts.
 
 use crate::transcript::*;
-use corkspan_config::version::{Stamp, Texts};
-use corkspan_config_sync::{Admitted, Counts, Kept, Pace, Push, Said, Subscriber};
+use corkspan_config::version::{Texts, VersionId};
+use corkspan_config_sync::{
+    NextPush, PersistedVersions, PushAdmission, PushReply, RequestCounts, Subscriber, VersionPush,
+};
 use std::fmt::Write;
 
 pub const SECOND: u64 = 10_000;
@@ -20,34 +22,39 @@
     all.into_iter().flatten().collect()
 }
 
-pub fn version_id(number: u64, content: u64) -> Stamp {
+pub fn version_id(number: u64, content: u64) -> VersionId {
     let digest = parts(content).digest();
-    Stamp { number, digest }
+    VersionId { number, digest }
 }
 
-pub fn full_push(nonce: u64, version: Stamp, content: u64, follows: &[Stamp]) -> Push {
-    Push {
+pub fn full_push(
+    nonce: u64,
+    version: VersionId,
+    content: u64,
+    predecessors: &[VersionId],
+) -> VersionPush {
+    VersionPush {
         nonce,
-        stamp: version,
-        follows: follows.to_vec(),
-        onto: None,
+        version,
+        predecessors: predecessors.to_vec(),
+        base: None,
         changes: parts(content),
         removed: Vec::new(),
-        cuts: false,
+        allows_cuts: false,
     }
 }
 
 /// A subscriber with the disk and the request counts that its dispatcher would have.
 pub struct Dispatcher {
     pub subscriber: Subscriber,
-    pub disk: Kept,
+    pub disk: PersistedVersions,
     pub now: u64,
-    pub counts: Counts,
+    pub counts: RequestCounts,
 }
 
 impl Dispatcher {
-    pub fn start(disk: Kept, now: u64, out: &mut String) -> Self {
-        let (subscriber, changed) = Subscriber::start(parts(0), disk.clone(), now);
+    pub fn start(disk: PersistedVersions, now: u64, out: &mut String) -> Self {
+        let (subscriber, changed) = Subscriber::restore(parts(0), disk.clone(), now);
         writeln!(
             out,
             "start at {now}: to disk {}",
@@ -55,7 +62,7 @@
         )
         .unwrap();
         let disk = changed.unwrap_or(disk);
-        let counts = Counts::default();
+        let counts = RequestCounts::default();
         Dispatcher {
             subscriber,
             disk,
@@ -64,9 +71,9 @@
         }
     }
 
-    pub fn receive(&mut self, push: Push, out: &mut String) {
+    pub fn receive(&mut self, push: VersionPush, out: &mut String) {
         let text = push_text(&push);
-        let reply = self.subscriber.heard(push);
+        let reply = self.subscriber.receive(push);
         let reply = optional(reply.as_ref(), |(nonce, reply)| {
             format!("{} to nonce {nonce}", reply_text(reply))
         });
@@ -74,7 +81,7 @@
     }
 
     /// Admits a push and puts it into force where it is to be checked.
-    pub fn evaluate(&mut self, push: &Push, out: &mut String) -> Said {
+    pub fn evaluate(&mut self, push: &VersionPush, out: &mut String) -> PushReply {
         let admitted = self.subscriber.admit(push);
         writeln!(
             out,
@@ -84,21 +91,21 @@
         )
         .unwrap();
         match admitted {
-            Admitted::Answer(reply) => reply,
-            Admitted::Check(whole) => {
-                self.disk = self
-                    .subscriber
-                    .to_keep(self.now, self.counts, push.stamp, whole);
+            PushAdmission::Reply(reply) => reply,
+            PushAdmission::Validate(whole) => {
+                self.disk =
+                    self.subscriber
+                        .prepare_trial(self.now, self.counts, push.version, whole);
                 self.subscriber
-                    .applied(self.now, self.disk.clone(), self.counts);
+                    .start_trial(self.now, self.disk.clone(), self.counts);
                 self.state(out);
-                Said::Applied
+                PushReply::Applied
             }
         }
     }
 
     pub fn observe(&mut self, out: &mut String) {
-        let outcome = self.subscriber.watch(self.now, self.counts);
+        let outcome = self.subscriber.evaluate_trial(self.now, self.counts);
         let text = optional(outcome.as_ref(), |(disk, reason)| {
             format!(
                 "{}; {}",
@@ -106,32 +113,32 @@
                 optional(reason.as_ref(), |why| format!("given up: {why}"))
             )
         });
-        let Counts { asked, refused } = self.counts;
+        let RequestCounts { requests, rejected } = self.counts;
         writeln!(
             out,
-            "observe at {} after {asked} requests, {refused} rejected: {text}",
+            "observe at {} after {requests} requests, {rejected} rejected: {text}",
             self.now
         )
         .unwrap();
         if let Some((disk, _)) = outcome {
             self.disk = disk.clone();
-            self.subscriber.decided(self.now, disk, self.counts);
+            self.subscriber.finish_trial(self.now, disk, self.counts);
             self.state(out);
         }
     }
 
-    pub fn pace(&self, out: &mut String) {
-        let next = match self.subscriber.pace(self.now) {
-            Pace::Idle => "idle".to_string(),
-            Pace::Wait(time) => format!("in {time}"),
-            Pace::Now => "now".to_string(),
+    pub fn next_push(&self, out: &mut String) {
+        let next = match self.subscriber.next_push(self.now) {
+            NextPush::None => "idle".to_string(),
+            NextPush::After(time) => format!("in {time}"),
+            NextPush::Now => "now".to_string(),
         };
         writeln!(out, "next push at {}: {next}", self.now).unwrap();
     }
 
     pub fn state(&self, out: &mut String) {
-        let (running, texts) = self.subscriber.running();
-        assert_eq!(self.subscriber.kept(), &self.disk);
+        let (running, texts) = self.subscriber.active_version();
+        assert_eq!(self.subscriber.persisted(), &self.disk);
         let trial = if self.subscriber.on_trial() {
             "on trial"
         } else {
@@ -149,7 +156,7 @@
 
     pub fn pass(&mut self, time: u64, asked: u64, refused: u64) {
         self.now += time;
-        self.counts.asked += asked;
-        self.counts.refused += refused;
+        self.counts.requests += asked;
+        self.counts.rejected += refused;
     }
 }
--- a/crates/config-sync/tests/recorded/publisher.rs
+++ b/crates/config-sync/tests/recorded/publisher.rs
@@ -2,7 +2,7 @@
 
 use crate::dispatcher::*;
 use crate::transcript::*;
-use corkspan_config_sync::{Kept, Publisher, Retry, Said};
+use corkspan_config_sync::{PersistedVersions, Publisher, PushReply, ReconnectBackoff};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::fmt::Write;
@@ -15,7 +15,7 @@
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let mut publisher = Publisher::default();
         let mut peers: Vec<Dispatcher> = (0..3)
-            .map(|_| Dispatcher::start(Kept::default(), 0, &mut out))
+            .map(|_| Dispatcher::start(PersistedVersions::default(), 0, &mut out))
             .collect();
         let mut old_nonce = 0;
         writeln!(out, "seed {seed}").unwrap();
@@ -29,13 +29,14 @@
                     writeln!(out, "publish {}", id_text(version)).unwrap();
                 }
                 4 | 5 => {
-                    let running = peer.subscriber.running().0;
-                    publisher.opened(who, running);
+                    let running = peer.subscriber.active_version().0;
+                    publisher.subscriber_connected(who, running);
                     writeln!(out, "{who} opens with {}", id_text(running)).unwrap();
                 }
                 6 => {
-                    let running = peer.subscriber.running().0;
-                    let credited = publisher.heard(who, old_nonce, &Said::Running, running);
+                    let running = peer.subscriber.active_version().0;
+                    let credited =
+                        publisher.receive_reply(who, old_nonce, &PushReply::Unchanged, running);
                     writeln!(
                         out,
                         "{who} answers nonce {old_nonce}: {}",
@@ -52,14 +53,14 @@
                     let mut reply = peer.evaluate(&push, &mut out);
                     if rng.random_range(0..4) == 0 {
                         reply = match rng.random_range(0..3) {
-                            0 => Said::WantsWhole,
-                            1 => Said::Refused(vec!["unsound".into(), "twice".into()]),
-                            _ => Said::Superseded(push.nonce + 1),
+                            0 => PushReply::FullRequired,
+                            1 => PushReply::Rejected(vec!["unsound".into(), "twice".into()]),
+                            _ => PushReply::Superseded(push.nonce + 1),
                         };
                     }
                     old_nonce = push.nonce;
-                    let running = peer.subscriber.running().0;
-                    let credited = publisher.heard(who, push.nonce, &reply, running);
+                    let running = peer.subscriber.active_version().0;
+                    let credited = publisher.receive_reply(who, push.nonce, &reply, running);
                     writeln!(
                         out,
                         "{who} answers {}: {}",
@@ -70,8 +71,8 @@
                 }
             }
             for who in 0..3 {
-                let running = optional(publisher.running(who).as_ref(), |id| id_text(*id));
-                let rejected = optional(publisher.turned_down(who), |(id, why)| {
+                let running = optional(publisher.active_version(who).as_ref(), |id| id_text(*id));
+                let rejected = optional(publisher.last_rejection(who), |(id, why)| {
                     format!("{} for {}", id_text(*id), why.join(" / "))
                 });
                 writeln!(out, "  {who} runs {running}, rejected {rejected}").unwrap();
@@ -87,9 +88,9 @@
 fn retry_delays() {
     let mut out = String::new();
     for seed in [0, 1, 7, u64::MAX] {
-        let mut retry = Retry::new(seed);
-        let short: Vec<u64> = (0..12).map(|_| retry.wait(0)).collect();
-        let stood = [99_999, 100_000, 0, 1_000_000, 5].map(|time| retry.wait(time));
+        let mut retry = ReconnectBackoff::new(seed);
+        let short: Vec<u64> = (0..12).map(|_| retry.next_delay(0)).collect();
+        let stood = [99_999, 100_000, 0, 1_000_000, 5].map(|time| retry.next_delay(time));
         writeln!(
             out,
             "seed {seed}: {short:?}, after streams that lasted: {stood:?}"
--- a/crates/config-sync/tests/recorded/stored_forms.rs
+++ b/crates/config-sync/tests/recorded/stored_forms.rs
@@ -3,8 +3,8 @@
 use crate::changes::FILE;
 use crate::dispatcher::*;
 use crate::transcript::reply_text;
-use corkspan_config::version::{Digest, Stamp, Texts};
-use corkspan_config_sync::{Kept, Said, Subscriber, Version};
+use corkspan_config::version::{Digest, Texts, VersionId};
+use corkspan_config_sync::{PersistedVersions, PushReply, Subscriber, Version};
 
 /// Number, digest, parts and the text of all of one version.
 #[test]
@@ -24,7 +24,7 @@
         assert_eq!(Digest::read(&digest.to_string()), Some(digest));
         let number = sample["number"].as_u64().expect("a number");
         assert_eq!(
-            Stamp { number, digest }.to_string(),
+            VersionId { number, digest }.to_string(),
             sample["shown"],
             "{sample}"
         );
@@ -44,7 +44,7 @@
 #[test]
 fn replies_as_json() {
     let recorded = include_str!("../data/replies.json");
-    let replies: Vec<Said> = serde_json::from_str(recorded).expect("each is known");
+    let replies: Vec<PushReply> = serde_json::from_str(recorded).expect("each is known");
     let known: Vec<String> = replies.iter().map(reply_text).collect();
     let expected = [
         "applied",
@@ -58,7 +58,7 @@
         serde_json::to_string(&replies).expect("JSON") + "\n",
         recorded
     );
-    let half = serde_json::from_str::<Vec<Said>>(&recorded[..recorded.len() / 2]);
+    let half = serde_json::from_str::<Vec<PushReply>>(&recorded[..recorded.len() / 2]);
     let refusal = half.expect_err("half of it is refused").to_string();
     assert_eq!(refusal, "EOF while parsing an object at line 1 column 48");
 }
@@ -67,16 +67,16 @@
 #[test]
 fn a_kept_version_is_in_force_after_a_start() {
     let good = Version {
-        stamp: version_id(7, 7),
+        id: version_id(7, 7),
         texts: parts(7),
     };
-    let kept = Kept {
-        good: Some(good),
-        ..Kept::default()
+    let kept = PersistedVersions {
+        last_good: Some(good),
+        ..PersistedVersions::default()
     };
-    let (own, changed) = Subscriber::start(parts(0), kept, 0);
+    let (own, changed) = Subscriber::restore(parts(0), kept, 0);
     assert_eq!(
-        (own.running(), changed),
+        (own.active_version(), changed),
         ((version_id(7, 7), &parts(7)), None)
     );
 }
--- a/crates/config-sync/tests/recorded/subscriber.rs
+++ b/crates/config-sync/tests/recorded/subscriber.rs
@@ -2,7 +2,7 @@
 
 use crate::dispatcher::*;
 use crate::transcript::*;
-use corkspan_config_sync::{Kept, Pace, Push, Subscriber};
+use corkspan_config_sync::{NextPush, PersistedVersions, Subscriber, VersionPush};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::fmt::Write;
@@ -11,12 +11,12 @@
 #[test]
 fn subscriber_replies_and_trials() {
     let mut out = String::new();
-    let mut own = Dispatcher::start(Kept::default(), 0, &mut out);
+    let mut own = Dispatcher::start(PersistedVersions::default(), 0, &mut out);
     own.state(&mut out);
     let (one, two, four) = (version_id(1, 1), version_id(2, 2), version_id(4, 4));
     own.pass(SECOND, 200, 10);
     own.observe(&mut out);
-    // In force: the first follows nothing, and the file has no number to follow.
+    // In force: the first predecessors nothing, and the file has no number to follow.
     own.evaluate(&full_push(1, one, 1, &[]), &mut out);
     own.evaluate(&full_push(2, one, 1, &[]), &mut out);
     own.evaluate(&full_push(3, version_id(1, 5), 5, &[one]), &mut out);
@@ -24,30 +24,30 @@
     own.evaluate(&full_push(5, two, 2, &[]), &mut out);
     own.evaluate(&full_push(6, two, 3, &[one]), &mut out);
     let (changes, removed) = parts(1).changes_to(&parts(2));
-    let delta = |onto| Push {
-        onto: Some(onto),
+    let delta = |base| VersionPush {
+        base: Some(base),
         changes: changes.clone(),
         removed: removed.clone(),
-        cuts: true,
+        allows_cuts: true,
         ..full_push(7, two, 2, &[one])
     };
     own.evaluate(&delta(version_id(9, 9)), &mut out);
     own.evaluate(&delta(one), &mut out);
     // One more while one is on trial, and received pushes in between.
     own.pass(100, 60, 3);
-    own.pace(&mut out);
+    own.next_push(&mut out);
     own.receive(full_push(10, version_id(3, 3), 3, &[two]), &mut out);
     own.receive(full_push(11, four, 4, &[two]), &mut out);
     own.receive(full_push(12, version_id(3, 3), 3, &[two]), &mut out);
-    own.pace(&mut out);
+    own.next_push(&mut out);
     own.pass(400, 0, 0);
-    own.pace(&mut out);
-    let taken = own.subscriber.take().expect("the newest is left");
+    own.next_push(&mut out);
+    let taken = own.subscriber.take_push().expect("the newest is left");
     own.evaluate(&taken, &mut out);
     own.receive(full_push(13, version_id(5, 5), 5, &[four]), &mut out);
-    own.subscriber.broke();
+    own.subscriber.stream_closed();
     own.pass(SECOND, 0, 0);
-    own.pace(&mut out);
+    own.next_push(&mut out);
     // Too few requests, then enough of them rejected: given up, and not taken again.
     own.pass(SECOND, 49, 49);
     own.observe(&mut out);
@@ -78,7 +78,7 @@
         own = Dispatcher::start(own.disk, start * SECOND, &mut out);
         own.state(&mut out);
     }
-    let kept = own.disk.clone().before_newest();
+    let kept = own.disk.clone().without_newest();
     writeln!(out, "without the newest: {}", disk_text(&kept)).unwrap();
     compare("subscriber.txt", &out);
 }
@@ -90,12 +90,12 @@
     for seed in 1..=4 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         writeln!(out, "seed {seed}").unwrap();
-        let mut own = Dispatcher::start(Kept::default(), 0, &mut out);
+        let mut own = Dispatcher::start(PersistedVersions::default(), 0, &mut out);
         for nonce in 1..=120 {
             own.pass(rng.random_range(0..40_000), rng.random_range(0..80), 0);
             match rng.random_range(0..12) {
                 0 => own = Dispatcher::start(own.disk, own.now, &mut out),
-                1 => own.subscriber.broke(),
+                1 => own.subscriber.stream_closed(),
                 2..4 => {
                     let asked = rng.random_range(20..200);
                     own.pass(SECOND, asked, rng.random_range(0..=asked));
@@ -104,9 +104,9 @@
                 4 => own.observe(&mut out),
                 _ => own.receive(random_push(&mut rng, nonce, &own.subscriber), &mut out),
             }
-            own.pace(&mut out);
-            if own.subscriber.pace(own.now) == Pace::Now {
-                let push = own.subscriber.take().expect("a push waits");
+            own.next_push(&mut out);
+            if own.subscriber.next_push(own.now) == NextPush::Now {
+                let push = own.subscriber.take_push().expect("a push waits");
                 own.evaluate(&push, &mut out);
             }
         }
@@ -115,20 +115,20 @@
     compare("subscriber-seeded.txt", &out);
 }
 
-fn random_push(rng: &mut Pcg64Mcg, nonce: u64, own: &Subscriber) -> Push {
-    let (running, texts) = own.running();
+fn random_push(rng: &mut Pcg64Mcg, nonce: u64, own: &Subscriber) -> VersionPush {
+    let (running, texts) = own.active_version();
     let number = (running.number + rng.random_range(0..6)).saturating_sub(1);
     let content = rng.random_range(0..12);
     let version = version_id(number, content);
     let mut push = full_push(nonce, version, content, &[]);
     if rng.random_range(0..5) > 0 {
-        push.follows = vec![version_id(number.saturating_sub(9), 3), running];
+        push.predecessors = vec![version_id(number.saturating_sub(9), 3), running];
     }
     match rng.random_range(0..6) {
-        0 => push.onto = Some(version_id(number, content + 1)),
+        0 => push.base = Some(version_id(number, content + 1)),
         1 | 2 => {
             (push.changes, push.removed) = texts.changes_to(&parts(content));
-            push.onto = Some(running);
+            push.base = Some(running);
         }
         3 => push.changes = parts(content + 1),
         _ => {}
--- a/crates/config-sync/tests/recorded/transcript.rs
+++ b/crates/config-sync/tests/recorded/transcript.rs
@@ -1,7 +1,9 @@
 //! Decisions as lines of text, in words that do not depend on the names of types.
 
-use corkspan_config::version::{Stamp, Texts};
-use corkspan_config_sync::{Admitted, Heard, Kept, Laid, Push, Said, Version};
+use corkspan_config::version::{Texts, VersionId};
+use corkspan_config_sync::{
+    PersistedVersions, PushAdmission, PushReply, ReplyStatus, StoreOutcome, Version, VersionPush,
+};
 use std::path::Path;
 
 /// Compares with what is recorded; what was got is left beside the test for a look.
@@ -28,11 +30,11 @@
     value.map_or_else(|| "-".to_string(), text)
 }
 
-pub fn id_text(id: Stamp) -> String {
+pub fn id_text(id: VersionId) -> String {
     format!("{}:{}", id.number, &id.digest.to_string()[..8])
 }
 
-pub fn ids_text(ids: &[Stamp]) -> String {
+pub fn ids_text(ids: &[VersionId]) -> String {
     let ids: Vec<String> = ids.iter().copied().map(id_text).collect();
     match &ids[..] {
         [first, .., last] if ids.len() > 6 => format!("[{first} .. {last}, {}]", ids.len()),
@@ -48,64 +50,64 @@
     format!("{{{}}}", parts.join(", "))
 }
 
-pub fn push_text(push: &Push) -> String {
+pub fn push_text(push: &VersionPush) -> String {
     format!(
         "nonce {} version {} follows {} base {} parts {} removed {:?} cuts {}",
         push.nonce,
-        id_text(push.stamp),
-        ids_text(&push.follows),
-        optional(push.onto, id_text),
+        id_text(push.version),
+        ids_text(&push.predecessors),
+        optional(push.base, id_text),
         parts_text(&push.changes),
         push.removed,
-        push.cuts
+        push.allows_cuts
     )
 }
 
-pub fn reply_text(reply: &Said) -> String {
+pub fn reply_text(reply: &PushReply) -> String {
     match reply {
-        Said::Applied => "applied".into(),
-        Said::Running => "unchanged".into(),
-        Said::Refused(reasons) => format!("rejected for {}", reasons.join(" / ")),
-        Said::Superseded(nonce) => format!("superseded by {nonce}"),
-        Said::WantsWhole => "full required".into(),
+        PushReply::Applied => "applied".into(),
+        PushReply::Unchanged => "unchanged".into(),
+        PushReply::Rejected(reasons) => format!("rejected for {}", reasons.join(" / ")),
+        PushReply::Superseded(nonce) => format!("superseded by {nonce}"),
+        PushReply::FullRequired => "full required".into(),
     }
 }
 
-pub fn admission_text(admitted: &Admitted) -> String {
+pub fn admission_text(admitted: &PushAdmission) -> String {
     match admitted {
-        Admitted::Answer(reply) => reply_text(reply),
-        Admitted::Check(parts) => format!("check {}", parts_text(parts)),
+        PushAdmission::Reply(reply) => reply_text(reply),
+        PushAdmission::Validate(parts) => format!("check {}", parts_text(parts)),
     }
 }
 
-pub fn receipt_text(receipt: Heard) -> &'static str {
+pub fn receipt_text(receipt: ReplyStatus) -> &'static str {
     match receipt {
-        Heard::Counted => "counted",
-        Heard::Older => "to an older push",
-        Heard::Unknown => "of no subscriber",
+        ReplyStatus::Accepted => "counted",
+        ReplyStatus::StaleNonce => "to an older push",
+        ReplyStatus::UnknownSubscriber => "of no subscriber",
     }
 }
 
-pub fn store_text(stored: Laid) -> &'static str {
+pub fn store_text(stored: StoreOutcome) -> &'static str {
     match stored {
-        Laid::Taken => "stored",
-        Laid::Older => "not newer",
-        Laid::Split => "another lineage",
-        Laid::Liar => "digest mismatch",
+        StoreOutcome::Stored => "stored",
+        StoreOutcome::NotNewer => "not newer",
+        StoreOutcome::OtherLineage => "another lineage",
+        StoreOutcome::DigestMismatch => "digest mismatch",
     }
 }
 
 fn version_text(version: &Version) -> String {
-    format!("{} {}", id_text(version.stamp), parts_text(&version.texts))
+    format!("{} {}", id_text(version.id), parts_text(&version.texts))
 }
 
-pub fn disk_text(disk: &Kept) -> String {
+pub fn disk_text(disk: &PersistedVersions) -> String {
     format!(
         "good {}, trial {}, given up {}",
-        optional(disk.good.as_ref(), version_text),
+        optional(disk.last_good.as_ref(), version_text),
         optional(disk.trial.as_ref(), |(version, starts)| {
             format!("{} started {starts}", version_text(version))
         }),
-        ids_text(&disk.given_up)
+        ids_text(&disk.rolled_back)
     )
 }
--- a/crates/config-sync/tests/recorded/version_cache.rs
+++ b/crates/config-sync/tests/recorded/version_cache.rs
@@ -2,8 +2,8 @@
 
 use crate::dispatcher::*;
 use crate::transcript::*;
-use corkspan_config::version::Stamp;
-use corkspan_config_sync::Shelf;
+use corkspan_config::version::VersionId;
+use corkspan_config_sync::VersionCache;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::fmt::Write;
@@ -13,10 +13,10 @@
     let mut out = String::new();
     for seed in 1..=3 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let mut cache = Shelf::default();
+        let mut cache = VersionCache::default();
         writeln!(out, "seed {seed}").unwrap();
         for _ in 0..60 {
-            let newest = cache.lies().map_or(0, |newest| newest.number);
+            let newest = cache.newest().map_or(0, |newest| newest.number);
             let number = (newest + rng.random_range(0..4)).saturating_sub(1);
             let lineage = if rng.random_range(0..6) == 0 {
                 1_000
@@ -24,19 +24,19 @@
                 0
             };
             let version = version_id(number, number + lineage);
-            let follows: Vec<Stamp> = cache
-                .lies()
+            let predecessors: Vec<VersionId> = cache
+                .newest()
                 .into_iter()
                 .filter(|_| rng.random_range(0..5) > 0)
                 .chain([version_id(number / 2, number / 2 + lineage)])
                 .collect();
             let content = number + lineage + u64::from(rng.random_range(0..8) == 0);
-            let (id, before) = (id_text(version), ids_text(&follows));
+            let (id, before) = (id_text(version), ids_text(&predecessors));
             if rng.random_range(0..4) == 0 {
-                cache.runs(version, parts(content), number % 2 == 0, &follows);
+                cache.record_active(version, parts(content), number % 2 == 0, &predecessors);
                 writeln!(out, "runs {id} after {before}").unwrap();
             } else {
-                let stored = cache.lay(version, parts(content), number % 2 == 0, &follows);
+                let stored = cache.store(version, parts(content), number % 2 == 0, &predecessors);
                 let stored = store_text(stored);
                 writeln!(out, "store {id} after {before}: {stored}").unwrap();
             }
@@ -45,7 +45,7 @@
             let offered = optional(cache.push_for(theirs).as_ref(), push_text);
             writeln!(out, "  for {}: {offered}", id_text(theirs)).unwrap();
             let other = Some(theirs).filter(|_| number % 3 > 0);
-            let offered = optional(cache.push_to(other).as_ref(), push_text);
+            let offered = optional(cache.push_to_store(other).as_ref(), push_text);
             writeln!(
                 out,
                 "  to {}: {offered}",
--- a/crates/config-sync/tests/search.rs
+++ b/crates/config-sync/tests/state_space.rs
@@ -7,8 +7,10 @@
 //! what is in force; and no sound version stands as turned down, but for one that does not follow
 //! what runs.
 
-use corkspan_config::version::{Stamp, Texts};
-use corkspan_config_sync::{Admitted, Counts, Kept, Publisher, Push, Said, Subscriber};
+use corkspan_config::version::{Texts, VersionId};
+use corkspan_config_sync::{
+    PersistedVersions, Publisher, PushAdmission, PushReply, RequestCounts, Subscriber, VersionPush,
+};
 use std::collections::HashSet;
 use std::hash::{DefaultHasher, Hash, Hasher};
 use test_case::test_case;
@@ -37,21 +39,21 @@
 #[derive(Clone, Debug)]
 enum Step {
     Idle,
-    ToKeep(Push, Kept),
-    ToApply(Push, Kept),
+    ToKeep(VersionPush, PersistedVersions),
+    ToApply(VersionPush, PersistedVersions),
 }
 
 #[derive(Clone, Debug)]
 struct Peer {
-    disk: Kept,
+    disk: PersistedVersions,
     /// None: killed.
     own: Option<Subscriber>,
     step: Step,
     open: bool,
     /// Its stream is the rival's, whose books are not looked at.
     rival: bool,
-    pushes: Vec<Push>,
-    answers: Vec<(u64, Said, Stamp)>,
+    pushes: Vec<VersionPush>,
+    answers: Vec<(u64, PushReply, VersionId)>,
     kills: u8,
     breaks: u8,
 }
@@ -80,9 +82,9 @@
 }
 
 fn start() -> World {
-    let (own, _) = Subscriber::start(texts(0), Kept::default(), 0);
+    let (own, _) = Subscriber::restore(texts(0), PersistedVersions::default(), 0);
     let peer = Peer {
-        disk: Kept::default(),
+        disk: PersistedVersions::default(),
         own: Some(own),
         step: Step::Idle,
         open: false,
@@ -130,7 +132,7 @@
             Event::Open(who) => {
                 let peer = &mut peers[who];
                 let own = peer.own.as_ref().filter(|_| !peer.open)?;
-                books.opened(who as u32, own.running().0);
+                books.subscriber_connected(who as u32, own.active_version().0);
                 peer.open = true;
             }
             Event::Rival(who) => {
@@ -138,7 +140,7 @@
                 let own = peer.own.as_ref().filter(|_| !peer.open)?;
                 let mut rival = Publisher::default();
                 rival.publish(texts(4), false);
-                rival.opened(0, own.running().0);
+                rival.subscriber_connected(0, own.active_version().0);
                 peer.pushes.extend(rival.push_for(0));
                 (peer.open, peer.rival) = (true, true);
             }
@@ -156,7 +158,7 @@
                     return None;
                 }
                 let push = peer.pushes.remove(0);
-                if let Some((nonce, said)) = peer.own.as_mut()?.heard(push) {
+                if let Some((nonce, said)) = peer.own.as_mut()?.receive(push) {
                     peer.say(nonce, said);
                 }
             }
@@ -165,7 +167,7 @@
                 if !matches!(peer.step, Step::Idle) {
                     return None;
                 }
-                let push = peer.own.as_mut()?.take()?;
+                let push = peer.own.as_mut()?.take_push()?;
                 peer.look(push, wrong);
             }
             Event::Keep(who) => {
@@ -205,7 +207,7 @@
                 } else {
                     nonce
                 };
-                books.heard(who as u32, nonce, &said, running);
+                books.receive_reply(who as u32, nonce, &said, running);
             }
             Event::Harm(who) => {
                 let peer = &mut peers[who];
@@ -213,17 +215,17 @@
                 if !matches!(peer.step, Step::Idle) {
                     return None;
                 }
-                let all = Counts {
-                    asked: 1_000,
-                    refused: 1_000,
+                let all = RequestCounts {
+                    requests: 1_000,
+                    rejected: 1_000,
                 };
-                let (kept, _) = own.watch(0, all)?;
+                let (kept, _) = own.evaluate_trial(0, all)?;
                 peer.disk = kept.clone();
-                own.decided(0, kept, all);
-                let running = own.running().0;
+                own.finish_trial(0, kept, all);
+                let running = own.active_version().0;
                 // Told unasked: no push is answered by it.
                 if peer.open {
-                    peer.answers.push((0, Said::Running, running));
+                    peer.answers.push((0, PushReply::Unchanged, running));
                 }
             }
             Event::Kill(who) => {
@@ -241,7 +243,7 @@
                 if peer.own.is_some() {
                     return None;
                 }
-                let (own, changed) = Subscriber::start(texts(0), peer.disk.clone(), 0);
+                let (own, changed) = Subscriber::restore(texts(0), peer.disk.clone(), 0);
                 peer.disk = changed.unwrap_or(peer.disk.clone());
                 peer.own = Some(own);
             }
@@ -253,33 +255,36 @@
     fn sound(&self, before: &World, event: Event) -> Result<(), String> {
         for (who, (peer, earlier)) in std::iter::zip(&self.peers, &before.peers).enumerate() {
             let Some(own) = &peer.own else { continue };
-            let (running, whole) = own.running();
+            let (running, whole) = own.active_version();
             if !sound(whole) {
                 return Err(format!("{running} is unsound and in force at {who}"));
             }
-            let on_disk = |kept: &Kept| {
-                let trial = kept.trial.as_ref().map(|(version, _)| version.stamp);
+            let on_disk = |kept: &PersistedVersions| {
+                let trial = kept.trial.as_ref().map(|(version, _)| version.id);
                 running.number == 0
                     || trial == Some(running)
-                    || kept.good.as_ref().map(|good| good.stamp) == Some(running)
+                    || kept.last_good.as_ref().map(|good| good.id) == Some(running)
             };
             // The next one is kept before it is in force: a kill in between starts under that.
             if !on_disk(&peer.disk) && !matches!(peer.step, Step::ToApply(..)) {
                 return Err(format!("{running} is in force at {who} and not on disk"));
             }
-            let former = earlier.own.as_ref().map_or(running, |own| own.running().0);
+            let former = earlier
+                .own
+                .as_ref()
+                .map_or(running, |own| own.active_version().0);
             let gives_up = matches!(event, Event::Harm(_));
             if former != running && former.number >= running.number && !gives_up {
                 return Err(format!("{who} went from {former} to {running}"));
             }
             let quiet = peer.open && !peer.rival && peer.answers.is_empty();
-            if quiet && self.books.running(who as u32) != Some(running) {
+            if quiet && self.books.active_version(who as u32) != Some(running) {
                 return Err(format!(
                     "the books say {:?} of {who}, {running} runs",
-                    self.books.running(who as u32)
+                    self.books.active_version(who as u32)
                 ));
             }
-            if let Some((stamp, why)) = self.books.turned_down(who as u32)
+            if let Some((stamp, why)) = self.books.last_rejection(who as u32)
                 && stamp.digest != texts(2).digest()
                 && !why.iter().any(|why| why.contains("given up"))
                 && !(running.digest == texts(4).digest() && running.number > 0)
@@ -296,33 +301,33 @@
         (self.open, self.rival) = (false, false);
         self.pushes.clear();
         self.answers.clear();
-        self.own.iter_mut().for_each(Subscriber::broke);
+        self.own.iter_mut().for_each(Subscriber::stream_closed);
     }
 
-    fn say(&mut self, nonce: u64, said: Said) {
-        let running = self.own.as_ref().map(|own| own.running().0);
+    fn say(&mut self, nonce: u64, said: PushReply) {
+        let running = self.own.as_ref().map(|own| own.active_version().0);
         if let Some(running) = running.filter(|_| self.open) {
             self.answers.push((nonce, said, running));
         }
     }
 
-    fn look(&mut self, push: Push, wrong: Wrong) {
+    fn look(&mut self, push: VersionPush, wrong: Wrong) {
         let Some(own) = &self.own else { return };
         let admitted = match own.admit(&push) {
-            Admitted::Answer(Said::Refused(_))
-                if wrong == Wrong::TakesAnyNumber && push.onto.is_none() =>
+            PushAdmission::Reply(PushReply::Rejected(_))
+                if wrong == Wrong::TakesAnyNumber && push.base.is_none() =>
             {
-                Admitted::Check(push.changes.clone())
+                PushAdmission::Validate(push.changes.clone())
             }
             other => other,
         };
         match admitted {
-            Admitted::Answer(said) => self.say(push.nonce, said),
-            Admitted::Check(whole) if !sound(&whole) && wrong != Wrong::ChecksNothing => {
-                self.say(push.nonce, Said::Refused(vec!["unsound".into()]));
+            PushAdmission::Reply(said) => self.say(push.nonce, said),
+            PushAdmission::Validate(whole) if !sound(&whole) && wrong != Wrong::ChecksNothing => {
+                self.say(push.nonce, PushReply::Rejected(vec!["unsound".into()]));
             }
-            Admitted::Check(whole) => {
-                let kept = own.to_keep(0, Counts::default(), push.stamp, whole);
+            PushAdmission::Validate(whole) => {
+                let kept = own.prepare_trial(0, RequestCounts::default(), push.version, whole);
                 self.step = match wrong {
                     Wrong::AnswersBeforeTheDisk => Step::ToApply(push, kept),
                     _ => Step::ToKeep(push, kept),
@@ -331,11 +336,11 @@
         }
     }
 
-    fn apply(&mut self, push: &Push, kept: Kept) {
+    fn apply(&mut self, push: &VersionPush, kept: PersistedVersions) {
         if let Some(own) = &mut self.own {
-            own.applied(0, kept, Counts::default());
+            own.start_trial(0, kept, RequestCounts::default());
         }
-        self.say(push.nonce, Said::Applied);
+        self.say(push.nonce, PushReply::Applied);
     }
 }
 
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -12,7 +12,7 @@
 use sexp::{Fault, Faults, Form, Parts};
 use std::net::{IpAddr, SocketAddr};
 use std::path::{Path, PathBuf};
-use version::{Stamp, Texts};
+use version::{Texts, VersionId};
 
 /// How a dispatcher follows the floor of versions.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -60,7 +60,7 @@
     /// What it shares with the others, as written.
     pub texts: Texts,
     /// What names that: number 0 for a file.
-    pub stamp: Stamp,
+    pub stamp: VersionId,
 }
 
 /// What a dispatcher holds at the most, and how long it waits.
@@ -143,7 +143,7 @@
                 allow: shared.allow,
                 floor: parts.find("floor").map(floor).transpose()?,
                 maintenance: parts.find("maintenance").map(maintenance).transpose()?,
-                stamp: Stamp {
+                stamp: VersionId {
                     number: 0,
                     digest: shared.texts.digest(),
                 },
@@ -191,7 +191,7 @@
                 accounts: shared.accounts,
                 bounds: shared.bounds,
                 allow: shared.allow,
-                stamp: Stamp {
+                stamp: VersionId {
                     number: self.stamp.number,
                     digest: shared.texts.digest(),
                 },
--- a/crates/config/src/version.rs
+++ b/crates/config/src/version.rs
@@ -123,12 +123,12 @@
 
 /// A version's number and what it says, by digest. Number 0 is a dispatcher's own file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Stamp {
+pub struct VersionId {
     pub number: u64,
     pub digest: Digest,
 }
 
-impl std::fmt::Display for Stamp {
+impl std::fmt::Display for VersionId {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         write!(f, "{} ({:?})", self.number, self.digest)
     }
--- a/crates/dispatcher/src/bring.rs
+++ b/crates/dispatcher/src/bring.rs
@@ -8,7 +8,7 @@
 use crate::keepers;
 use crate::running::{message, push_of};
 use corkspan_api::v1::{self, keep_ask::Ask, versions_client::VersionsClient};
-use corkspan_config_sync::{Push, Said};
+use corkspan_config_sync::{PushReply, VersionPush};
 use corkspan_rpc::{Link, within};
 use corkspan_version_fencing::catch_up::{
     CatchUp, CatchUpStatus, NextStep, RequestIntervals, RequestOutcome, VersionSource,
@@ -78,28 +78,30 @@
         return RequestOutcome::Unchanged;
     };
     // Whole, or it could be made to something that never ran here.
-    let push = Push {
-        onto: None,
+    let push = VersionPush {
+        base: None,
         removed: Vec::new(),
         ..push
     };
     match apply(desk, &push, VersionOrigin::CatchUp).await {
-        Said::Applied => {
-            info!(number = push.stamp.number, ?source, "brought up");
+        PushReply::Applied => {
+            info!(number = push.version.number, ?source, "brought up");
             RequestOutcome::Advanced
         }
-        Said::Refused(why) => {
+        PushReply::Rejected(why) => {
             warn!(
-                number = push.stamp.number,
+                number = push.version.number,
                 ?source,
                 ?why,
                 "a version from another is turned down"
             );
             desk.versions
-                .with(|state| state.refused_last = Some((push.stamp, why)));
+                .with(|state| state.refused_last = Some((push.version, why)));
+            RequestOutcome::Unchanged
+        }
+        PushReply::Unchanged | PushReply::Superseded(_) | PushReply::FullRequired => {
             RequestOutcome::Unchanged
         }
-        Said::Running | Said::Superseded(_) | Said::WantsWhole => RequestOutcome::Unchanged,
     }
 }
 
--- a/crates/dispatcher/src/control.rs
+++ b/crates/dispatcher/src/control.rs
@@ -7,7 +7,9 @@
 use crate::fleet;
 pub use crate::running::{RUNNING, Versions, message, push_message, push_of, stamp};
 use corkspan_api::v1::{self, control_client::ControlClient};
-use corkspan_config_sync::{Admitted, Counts, Pace, Push, Retry, Said, Shelf};
+use corkspan_config_sync::{
+    NextPush, PushAdmission, PushReply, ReconnectBackoff, RequestCounts, VersionCache, VersionPush,
+};
 use corkspan_rpc::Link;
 use corkspan_version_fencing::history::VersionOrigin;
 use futures_lite::{FutureExt, future};
@@ -26,9 +28,12 @@
 /// Bytes of one push at the most.
 const PUSH: usize = 8 << 20;
 
-fn counts(desk: &Desk) -> Counts {
+fn counts(desk: &Desk) -> RequestCounts {
     let (asked, refused) = desk.asked_and_refused();
-    Counts { asked, refused }
+    RequestCounts {
+        requests: asked,
+        rejected: refused,
+    }
 }
 
 /// Answers on one stream.
@@ -39,22 +44,25 @@
 
 impl Answers {
     /// False where the service does not read.
-    fn say(&self, versions: &Versions, nonce: u64, said: &Said) -> bool {
+    fn say(&self, versions: &Versions, nonce: u64, said: &PushReply) -> bool {
         let (running, on_trial) = versions.with(|state| {
             match said {
-                Said::Applied => state.applied += 1,
-                Said::Refused(_) => state.refused += 1,
-                Said::Superseded(_) => state.superseded += 1,
-                Said::Running | Said::WantsWhole => {}
+                PushReply::Applied => state.applied += 1,
+                PushReply::Rejected(_) => state.refused += 1,
+                PushReply::Superseded(_) => state.superseded += 1,
+                PushReply::Unchanged | PushReply::FullRequired => {}
             }
-            (state.subscriber.running().0, state.subscriber.on_trial())
+            (
+                state.subscriber.active_version().0,
+                state.subscriber.on_trial(),
+            )
         });
         let (answer, why, superseded_by) = match said {
-            Said::Applied => (Answer::Applied, Vec::new(), 0),
-            Said::Running => (Answer::Running, Vec::new(), 0),
-            Said::Refused(why) => (Answer::Refused, why.clone(), 0),
-            Said::Superseded(by) => (Answer::Superseded, Vec::new(), *by),
-            Said::WantsWhole => (Answer::WantsWhole, Vec::new(), 0),
+            PushReply::Applied => (Answer::Applied, Vec::new(), 0),
+            PushReply::Unchanged => (Answer::Running, Vec::new(), 0),
+            PushReply::Rejected(why) => (Answer::Refused, why.clone(), 0),
+            PushReply::Superseded(by) => (Answer::Superseded, Vec::new(), *by),
+            PushReply::FullRequired => (Answer::WantsWhole, Vec::new(), 0),
         };
         let told = v1::Told {
             dispatcher: self.dispatcher,
@@ -70,8 +78,12 @@
 
     /// What runs, unasked.
     fn tell(&self, versions: &Versions, answer: Answer, why: Vec<String>) -> bool {
-        let (running, on_trial) =
-            versions.with(|state| (state.subscriber.running().0, state.subscriber.on_trial()));
+        let (running, on_trial) = versions.with(|state| {
+            (
+                state.subscriber.active_version().0,
+                state.subscriber.on_trial(),
+            )
+        });
         let (dispatcher, running) = (self.dispatcher, Some(message(running)));
         let told = v1::Told {
             dispatcher,
@@ -97,15 +109,15 @@
             return future::pending().await;
         }
         let number = desk.deployment().cluster.scheduler_index;
-        let mut retry = Retry::new(desk.clock.now() ^ (number as u64) << 32);
+        let mut retry = ReconnectBackoff::new(desk.clock.now() ^ (number as u64) << 32);
         // Hundreds that start at once don't all come at once.
-        async_io::Timer::after(duration(retry.wait(0)) / 4).await;
+        async_io::Timer::after(duration(retry.next_delay(0)) / 4).await;
         for service in services.iter().cycle() {
             let mut began = None;
             let ended = stream(&desk, *service, &given_up, &mut began).await;
             desk.versions.with(|state| {
                 state.service = None;
-                state.subscriber.broke();
+                state.subscriber.stream_closed();
             });
             let stood = began.map_or(0, |began: Instant| ticks(began.elapsed()));
             let wait = retry.wait(stood);
@@ -151,26 +163,26 @@
     loop {
         let pace = desk
             .versions
-            .with(|state| state.subscriber.pace(desk.clock.now()));
-        if pace == Pace::Now {
+            .with(|state| state.subscriber.next_push(desk.clock.now()));
+        if pace == NextPush::Now {
             // What has come meanwhile passes over what waits.
             while let Some(push) = future::poll_once(pushes.message()).await {
                 if let Err(why) = take(desk, &answers, push) {
                     return why;
                 }
             }
-            let Some(push) = desk.versions.with(|state| state.subscriber.take()) else {
+            let Some(push) = desk.versions.with(|state| state.subscriber.take_push()) else {
                 continue;
             };
             let said = apply(desk, &push, VersionOrigin::Push).await;
-            if let Said::Refused(why) = &said {
+            if let PushReply::Rejected(why) = &said {
                 warn!(
-                    version = push.stamp.number,
+                    version = push.version.number,
                     ?why,
                     "a version is turned down"
                 );
                 desk.versions
-                    .with(|state| state.refused_last = Some((push.stamp, why.clone())));
+                    .with(|state| state.refused_last = Some((push.version, why.clone())));
             }
             if !answers.say(&desk.versions, push.nonce, &said) {
                 return "it does not read its answers".into();
@@ -180,7 +192,7 @@
         let pushed = async { Some(pushes.message().await) };
         let due = async {
             match pace {
-                Pace::Wait(time) => drop(async_io::Timer::after(duration(time)).await),
+                NextPush::After(time) => drop(async_io::Timer::after(duration(time)).await),
                 _ => future::pending().await,
             }
             None
@@ -210,7 +222,7 @@
         .ok_or("the service ended the stream")?;
     let nonce = push.nonce;
     let Some(push) = push_of(push) else {
-        let said = Said::Refused(vec![
+        let said = PushReply::Rejected(vec![
             "its stamp is none: a number above 0 and 64 hexadecimal digits".into(),
         ]);
         let read = answers.say(&desk.versions, nonce, &said);
@@ -218,7 +230,7 @@
             .then_some(())
             .ok_or_else(|| "it does not read its answers".into());
     };
-    if let Some((passed, said)) = desk.versions.with(|state| state.subscriber.heard(push))
+    if let Some((passed, said)) = desk.versions.with(|state| state.subscriber.receive(push))
         && !answers.say(&desk.versions, passed, &said)
     {
         return Err("it does not read its answers".into());
@@ -227,52 +239,52 @@
 }
 
 /// Checks a version, keeps it on disk and puts it in force, on trial.
-pub async fn apply(desk: &Desk, push: &Push, how: VersionOrigin) -> Said {
+pub async fn apply(desk: &Desk, push: &VersionPush, how: VersionOrigin) -> PushReply {
     let versions = &desk.versions;
     let _step = versions.step.lock().await;
     let texts = match versions.with(|state| state.subscriber.admit(push)) {
-        Admitted::Answer(said) => return said,
-        Admitted::Check(texts) => texts,
+        PushAdmission::Reply(said) => return said,
+        PushAdmission::Validate(texts) => texts,
     };
-    let next = match versions.deployment(push.stamp, &texts) {
+    let next = match versions.deployment(push.version, &texts) {
         Ok(next) => next,
-        Err(why) => return Said::Refused(why),
+        Err(why) => return PushReply::Rejected(why),
     };
-    let why = desk.obstacles(&next, push.cuts);
+    let why = desk.obstacles(&next, push.allows_cuts);
     if !why.is_empty() {
-        return Said::Refused(why);
+        return PushReply::Rejected(why);
     }
     let (now, counted) = (desk.clock.now(), counts(desk));
     let kept = versions.with(|state| {
         state
             .subscriber
-            .to_keep(now, counted, push.stamp, texts.clone())
+            .prepare_trial(now, counted, push.version, texts.clone())
     });
     if let Err(why) = versions.keep(&kept).await {
-        return Said::Refused(vec![format!("it can't be kept on disk: {why}")]);
+        return PushReply::Rejected(vec![format!("it can't be kept on disk: {why}")]);
     }
     if !desk.put_in_force(next) {
         // Not in force, so it must not be on disk either.
-        let former = versions.with(|state| state.subscriber.kept().clone());
+        let former = versions.with(|state| state.subscriber.persisted().clone());
         if let Err(why) = versions.keep(&former).await {
             warn!(why, "a version that is not in force stays on disk");
         }
-        return Said::Refused(vec![
+        return PushReply::Rejected(vec![
             "more names have come and gone than are kept; a restart is needed".into(),
         ]);
     }
     versions.with(|state| {
         state
             .subscriber
-            .applied(desk.clock.now(), kept, counts(desk));
+            .start_trial(desk.clock.now(), kept, counts(desk));
         state
             .shelf
-            .runs(push.stamp, texts, push.cuts, &push.follows);
+            .record_active(push.version, texts, push.allows_cuts, &push.predecessors);
     });
-    RUNNING.store(push.stamp.number, Ordering::Relaxed);
-    desk.fleet.began(push.stamp, how);
-    info!(number = push.stamp.number, ?how, digest = ?push.stamp.digest, "a version is in force, on trial");
-    Said::Applied
+    RUNNING.store(push.version.number, Ordering::Relaxed);
+    desk.fleet.began(push.version, how);
+    info!(number = push.version.number, ?how, digest = ?push.version.digest, "a version is in force, on trial");
+    PushReply::Applied
 }
 
 /// Looks at the version on trial again and again.
@@ -282,17 +294,18 @@
         let versions = &desk.versions;
         let _step = versions.step.lock().await;
         let now = desk.clock.now();
-        let Some((kept, why)) = versions.with(|state| state.subscriber.watch(now, counts(&desk)))
+        let Some((kept, why)) =
+            versions.with(|state| state.subscriber.evaluate_trial(now, counts(&desk)))
         else {
             continue;
         };
-        let before = versions.with(|state| state.subscriber.running().0);
+        let before = versions.with(|state| state.subscriber.active_version().0);
         if let Some(why) = &why {
             // In force before it is on disk: what does harm must not go on because a disk is full.
             let version = kept
-                .good
+                .last_good
                 .as_ref()
-                .map(|good| (good.stamp, good.texts.clone()));
+                .map(|good| (good.id, good.texts.clone()));
             let back = match &version {
                 Some((stamp, texts)) => versions.deployment(*stamp, texts),
                 None => Ok(versions.file.clone()),
@@ -314,15 +327,15 @@
         versions.with(|state| {
             state
                 .subscriber
-                .decided(desk.clock.now(), kept, counts(&desk));
-            let (stamp, texts) = state.subscriber.running();
+                .finish_trial(desk.clock.now(), kept, counts(&desk));
+            let (stamp, texts) = state.subscriber.active_version();
             RUNNING.store(stamp.number, Ordering::Relaxed);
             if why.is_some() {
                 // What was given up here is not handed on.
                 let texts = texts.clone();
-                state.shelf = Shelf::default();
+                state.shelf = VersionCache::default();
                 if stamp.number > 0 {
-                    state.shelf.runs(stamp, texts, false, &[]);
+                    state.shelf.record_active(stamp, texts, false, &[]);
                 }
             }
         });
--- a/crates/dispatcher/src/desk.rs
+++ b/crates/dispatcher/src/desk.rs
@@ -20,8 +20,8 @@
 use client::{Client, Orphan, Then};
 use corkspan_api::v1;
 use corkspan_config::Deployment;
-use corkspan_config::version::{Digest, Stamp};
-use corkspan_config_sync::change;
+use corkspan_config::version::{Digest, VersionId};
+use corkspan_config_sync::{compatibility, stable_ids};
 use corkspan_engine::{Asked, Host, NotTaken, Slice, service};
 use corkspan_rollout::ClaimId;
 use corkspan_rollout::controller::SurgeEnd;
@@ -87,7 +87,7 @@
         let spans = store.spans();
         versions.learn(spans.iter().filter_map(|span| {
             let (number, digest) = (span.version, Digest::read(&span.digest)?);
-            Some(Stamp { number, digest })
+            Some(VersionId { number, digest })
         }));
         let fleet = Fleet::new(seed, spans, deployment.stamp);
         let kept = store.read();
@@ -154,7 +154,7 @@
     pub fn obstacles(&self, next: &Deployment, cuts: bool) -> Vec<String> {
         let by_track = self.lock().host.by_track();
         let in_use = |track| by_track.get(&track).copied().unwrap_or(0);
-        change::obstacles(&self.deployment(), next, cuts, in_use)
+        compatibility::violations(&self.deployment(), next, cuts, in_use)
     }
 
     /// Puts it in force between two decisions. False where it can't be, and the former stays.
@@ -162,7 +162,7 @@
         self.with(|now, host, _| {
             let by_track = host.by_track();
             let in_use = |track| by_track.get(&track).copied().unwrap_or(0);
-            let Some(next) = change::with_ids(&self.deployment(), next, in_use) else {
+            let Some(next) = stable_ids::assign(&self.deployment(), next, in_use) else {
                 return false;
             };
             host.adopt(now, cluster(&next), next.bounds.in_hand);
--- a/crates/dispatcher/src/fleet.rs
+++ b/crates/dispatcher/src/fleet.rs
@@ -117,9 +117,12 @@
 
 /// What the keepers that answer hold of the fleet, told what runs here.
 async fn tell(desk: &Arc<Desk>, own: &FloorWatch) -> Vec<v1::KeepWord> {
-    let (running, on_trial) = desk
-        .versions
-        .with(|state| (state.subscriber.running().0, state.subscriber.on_trial()));
+    let (running, on_trial) = desk.versions.with(|state| {
+        (
+            state.subscriber.active_version().0,
+            state.subscriber.on_trial(),
+        )
+    });
     let cluster = &desk.deployment().cluster;
     let (dispatcher, fleet) = (
         cluster.scheduler_index as u32,
@@ -150,7 +153,7 @@
         .versions
         .with(|state| match state.subscriber.on_trial() {
             true => None,
-            false => state.shelf.lies(),
+            false => state.shelf.newest(),
         });
     let Some(good) = good else { return };
     let oldest = words
@@ -162,7 +165,10 @@
     if !should_store(good.number, theirs.map(|stamp| stamp.number), fleet, chance) {
         return;
     }
-    let Some(push) = desk.versions.with(|state| state.shelf.push_to(theirs)) else {
+    let Some(push) = desk
+        .versions
+        .with(|state| state.shelf.push_to_store(theirs))
+    else {
         return;
     };
     ask_all(desk, Ask::Lay(running::push_message(push))).await;
--- a/crates/dispatcher/src/running.rs
+++ b/crates/dispatcher/src/running.rs
@@ -3,8 +3,8 @@
 use crate::versions;
 use corkspan_api::v1;
 use corkspan_config::Deployment;
-use corkspan_config::version::{Digest, Stamp, Texts};
-use corkspan_config_sync::{Kept, Push, Shelf, Subscriber};
+use corkspan_config::version::{Digest, Texts, VersionId};
+use corkspan_config_sync::{PersistedVersions, Subscriber, VersionCache, VersionPush};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -31,9 +31,9 @@
     pub applied: u64,
     pub refused: u64,
     pub superseded: u64,
-    pub refused_last: Option<(Stamp, Vec<String>)>,
+    pub refused_last: Option<(VersionId, Vec<String>)>,
     /// What runs, for stragglers that ask for it.
-    pub shelf: Shelf,
+    pub shelf: VersionCache,
 }
 
 impl Versions {
@@ -45,8 +45,8 @@
         let path = file.versions.clone();
         let mut kept = path.as_deref().map(versions::read).unwrap_or_default();
         let mut start = loop {
-            let (subscriber, changed) = Subscriber::start(file.texts.clone(), kept.clone(), now);
-            let (stamp, texts) = subscriber.running();
+            let (subscriber, changed) = Subscriber::restore(file.texts.clone(), kept.clone(), now);
+            let (stamp, texts) = subscriber.active_version();
             let in_force = match stamp.number {
                 0 => Ok(file.clone()),
                 _ => file
@@ -59,7 +59,7 @@
                 // at.
                 Err(why) => {
                     warn!(version = stamp.number, %why, "the kept version does not fit; the one before is taken");
-                    kept = kept.before_newest();
+                    kept = kept.without_newest();
                 }
             }
         };
@@ -74,7 +74,7 @@
                 "a version on trial is given up: this dispatcher was started under it again and again"
             );
         }
-        RUNNING.store(subscriber.running().0.number, Ordering::Relaxed);
+        RUNNING.store(subscriber.active_version().0.number, Ordering::Relaxed);
         let (service, applied, refused, superseded, refused_last, shelf) = Default::default();
         let state = State {
             subscriber,
@@ -97,14 +97,16 @@
     }
 
     /// Versions that earlier lives had in force: each was taken as one that follows the one before.
-    pub fn learn(&self, earlier: impl Iterator<Item = Stamp>) {
+    pub fn learn(&self, earlier: impl Iterator<Item = VersionId>) {
         self.with(|state| {
-            let (stamp, texts) = state.subscriber.running();
-            let before: Vec<Stamp> = earlier
+            let (stamp, texts) = state.subscriber.active_version();
+            let before: Vec<VersionId> = earlier
                 .filter(|own| (1..stamp.number).contains(&own.number))
                 .collect();
             if stamp.number > 0 {
-                state.shelf.runs(stamp, texts.clone(), false, &before);
+                state
+                    .shelf
+                    .record_active(stamp, texts.clone(), false, &before);
             }
         });
     }
@@ -114,7 +116,7 @@
     }
 
     /// On disk before it is in force.
-    pub async fn keep(&self, kept: &Kept) -> Result<(), String> {
+    pub async fn keep(&self, kept: &PersistedVersions) -> Result<(), String> {
         let Some(path) = self.path.clone() else {
             return Ok(());
         };
@@ -125,7 +127,7 @@
     }
 
     /// The deployment that these parts make of the file.
-    pub fn deployment(&self, stamp: Stamp, texts: &Texts) -> Result<Deployment, Vec<String>> {
+    pub fn deployment(&self, stamp: VersionId, texts: &Texts) -> Result<Deployment, Vec<String>> {
         if stamp.number == 0 {
             return Ok(self.file.clone());
         }
@@ -140,19 +142,19 @@
     /// answered on the stream.
     pub fn status(&self, in_force: &Deployment) -> v1::VersionStatus {
         self.with(|state| {
-            let running = state.subscriber.running().0;
-            let kept = state.subscriber.kept();
+            let running = state.subscriber.active_version().0;
+            let kept = state.subscriber.persisted();
             let (refused_last, why) = state.refused_last.clone().unzip();
             v1::VersionStatus {
                 running: Some(message(running)),
                 on_trial: state.subscriber.on_trial(),
-                good: kept.good.as_ref().map(|version| message(version.stamp)),
+                good: kept.last_good.as_ref().map(|version| message(version.id)),
                 service: state
                     .service
                     .map(|service| service.to_string())
                     .unwrap_or_default(),
                 text: in_force.texts.whole(),
-                given_up: kept.given_up.iter().copied().map(message).collect(),
+                given_up: kept.rolled_back.iter().copied().map(message).collect(),
                 applied: state.applied,
                 refused: state.refused,
                 superseded: state.superseded,
@@ -164,7 +166,7 @@
     }
 }
 
-pub fn message(stamp: Stamp) -> v1::Stamp {
+pub fn message(stamp: VersionId) -> v1::Stamp {
     v1::Stamp {
         number: stamp.number,
         digest: stamp.digest.to_string(),
@@ -172,40 +174,40 @@
 }
 
 /// A whole version on its way to a straggler or a keeper.
-pub fn push_message(push: Push) -> v1::Push {
+pub fn push_message(push: VersionPush) -> v1::Push {
     v1::Push {
         nonce: push.nonce,
-        stamp: Some(message(push.stamp)),
-        follows: push.follows.into_iter().map(message).collect(),
-        onto: push.onto.map(message),
+        stamp: Some(message(push.version)),
+        follows: push.predecessors.into_iter().map(message).collect(),
+        onto: push.base.map(message),
         parts: push
             .changes
             .iter()
             .map(|(name, text)| (name.into(), text.into()))
             .collect(),
         removed: push.removed,
-        cuts: push.cuts,
+        cuts: push.allows_cuts,
     }
 }
 
 /// None where its stamps are none.
-pub fn push_of(push: v1::Push) -> Option<Push> {
-    Some(Push {
+pub fn push_of(push: v1::Push) -> Option<VersionPush> {
+    Some(VersionPush {
         nonce: push.nonce,
-        stamp: stamp(push.stamp.as_ref()?).filter(|stamp| stamp.number > 0)?,
-        follows: push.follows.iter().filter_map(stamp).collect(),
-        onto: match &push.onto {
+        version: stamp(push.stamp.as_ref()?).filter(|stamp| stamp.number > 0)?,
+        predecessors: push.follows.iter().filter_map(stamp).collect(),
+        base: match &push.onto {
             Some(onto) => Some(stamp(onto)?),
             None => None,
         },
         changes: push.parts.into_iter().collect(),
         removed: push.removed,
-        cuts: push.cuts,
+        allows_cuts: push.cuts,
     })
 }
 
-pub fn stamp(message: &v1::Stamp) -> Option<Stamp> {
-    Some(Stamp {
+pub fn stamp(message: &v1::Stamp) -> Option<VersionId> {
+    Some(VersionId {
         number: message.number,
         digest: Digest::read(&message.digest)?,
     })
--- a/crates/dispatcher/src/standing.rs
+++ b/crates/dispatcher/src/standing.rs
@@ -3,7 +3,7 @@
 
 use crate::clock::wall_ms;
 use corkspan_api::v1;
-use corkspan_config::version::Stamp;
+use corkspan_config::version::VersionId;
 use corkspan_version_fencing::history::{VersionHistory, VersionInterval, VersionOrigin};
 use corkspan_version_fencing::operations::{OperationKind, VersionedOperation};
 use corkspan_version_fencing::{MinimumVersion, VersionGate};
@@ -30,7 +30,7 @@
 
 impl Fleet {
     /// `spans`: of earlier lives; `running`: what is in force at the start.
-    pub fn new(life: u64, spans: VecDeque<VersionInterval>, running: Stamp) -> Self {
+    pub fn new(life: u64, spans: VecDeque<VersionInterval>, running: VersionId) -> Self {
         let record = Mutex::new(VersionHistory::restore(spans));
         let (standing, gives, changed, written) = Default::default();
         let fleet = Fleet {
@@ -57,7 +57,7 @@
     }
 
     /// A version is in force from now on.
-    pub fn began(&self, stamp: Stamp, how: VersionOrigin) {
+    pub fn began(&self, stamp: VersionId, how: VersionOrigin) {
         let (version, digest, from_ms) = (stamp.number, stamp.digest.to_string(), wall_ms());
         self.record().begin(VersionInterval {
             version,
@@ -81,7 +81,7 @@
     }
 
     /// So many acts are about to be sent.
-    pub fn acts(&self, stamp: Stamp, kind: OperationKind, many: usize) {
+    pub fn acts(&self, stamp: VersionId, kind: OperationKind, many: usize) {
         self.record()
             .count_operations(stamp.number, kind, many as u64);
     }
@@ -125,12 +125,12 @@
     }
 
     /// The floor that shuts a dispatcher out that runs this version.
-    pub fn shut_out(&self, running: Stamp) -> Option<MinimumVersion> {
+    pub fn shut_out(&self, running: VersionId) -> Option<MinimumVersion> {
         self.standing().fenced_by(running.number)
     }
 
     /// A node has turned a shot away.
-    pub fn node_tells(&self, floor: MinimumVersion, running: Stamp) {
+    pub fn node_tells(&self, floor: MinimumVersion, running: VersionId) {
         if self.standing().apply_node_report(floor) {
             say(floor, running, "a node");
         }
@@ -138,7 +138,7 @@
 }
 
 /// For the log.
-pub fn say(floor: MinimumVersion, running: Stamp, from: &str) {
+pub fn say(floor: MinimumVersion, running: VersionId, from: &str) {
     let MinimumVersion {
         revision: number,
         version: lowest,
--- a/crates/dispatcher/src/versions.rs
+++ b/crates/dispatcher/src/versions.rs
@@ -1,8 +1,8 @@
 //! The last good version on disk, and the one on trial: written before either is in force. The file
 //! before is kept beside, so that a torn one costs one step and no guess.
 
-use corkspan_config::version::{Digest, Stamp, Texts};
-use corkspan_config_sync::{Kept, Version};
+use corkspan_config::version::{Digest, Texts, VersionId};
+use corkspan_config_sync::{PersistedVersions, Version};
 use serde::{Deserialize, Serialize};
 use std::path::{Path, PathBuf};
 use tracing::warn;
@@ -39,8 +39,8 @@
             .map(|(name, text)| (name.into(), text.into()))
             .collect();
         Whole {
-            number: version.stamp.number,
-            digest: version.stamp.digest.to_string(),
+            number: version.id.number,
+            digest: version.id.digest.to_string(),
             parts,
         }
     }
@@ -48,12 +48,12 @@
     fn version(self) -> Option<Version> {
         let stamp = stamp(self.number, &self.digest)?;
         let texts: Texts = self.parts.into_iter().collect();
-        (texts.digest() == stamp.digest).then_some(Version { stamp, texts })
+        (texts.digest() == stamp.digest).then_some(Version { id: stamp, texts })
     }
 }
 
-fn stamp(number: u64, digest: &str) -> Option<Stamp> {
-    Some(Stamp {
+fn stamp(number: u64, digest: &str) -> Option<VersionId> {
+    Some(VersionId {
         number,
         digest: Digest::read(digest)?,
     })
@@ -69,15 +69,15 @@
 }
 
 /// Writes it beside the one that stands, which becomes the one before.
-pub fn keep(path: &Path, kept: &Kept) -> std::io::Result<()> {
+pub fn keep(path: &Path, kept: &PersistedVersions) -> std::io::Result<()> {
     let body = Body {
-        good: kept.good.as_ref().map(Whole::of),
+        good: kept.last_good.as_ref().map(Whole::of),
         trial: kept
             .trial
             .as_ref()
             .map(|(version, starts)| (Whole::of(version), *starts)),
         given_up: kept
-            .given_up
+            .rolled_back
             .iter()
             .map(|stamp| (stamp.number, stamp.digest.to_string()))
             .collect(),
@@ -109,7 +109,7 @@
 
 /// What an earlier life kept. A file that can't be read is set aside and said, and the one before
 /// is taken.
-pub fn read(path: &Path) -> Kept {
+pub fn read(path: &Path) -> PersistedVersions {
     match read_one(path) {
         Ok(Some(kept)) => return kept,
         Ok(None) => {}
@@ -124,7 +124,7 @@
     let before = before(path);
     read_one(&before).map(Option::unwrap_or_default).unwrap_or_else(|why| {
         warn!(path = %before.display(), why, "nor can the one before; the deployment file is in force");
-        Kept::default()
+        PersistedVersions::default()
     })
 }
 
@@ -138,7 +138,7 @@
     }
 }
 
-fn read_one(path: &Path) -> Result<Option<Kept>, String> {
+fn read_one(path: &Path) -> Result<Option<PersistedVersions>, String> {
     let Some(text) = bounded(path)? else {
         return Ok(None);
     };
@@ -160,9 +160,9 @@
         .iter()
         .filter_map(|(number, digest)| stamp(*number, digest))
         .collect();
-    Ok(Some(Kept {
-        good,
+    Ok(Some(PersistedVersions {
+        last_good: good,
         trial: trial.transpose()?,
-        given_up,
+        rolled_back: given_up,
     }))
 }
--- a/crates/lab/src/capacity/stage.rs
+++ b/crates/lab/src/capacity/stage.rs
@@ -14,7 +14,7 @@
 use corkspan_api::v1::{
     self, link_count::Kind, node_server::NodeServer, placement_client::PlacementClient,
 };
-use corkspan_config::version::{Stamp, Texts};
+use corkspan_config::version::{Texts, VersionId};
 use corkspan_rpc::{Bounds, Link, Tasks, within};
 use corkspan_scheduler::interface::Resources;
 use futures_lite::future;
@@ -454,7 +454,7 @@
     }
 
     /// The next version, streamed to all: one that changes what nobody feels.
-    pub fn publish(&self, which: u64) -> Stamp {
+    pub fn publish(&self, which: u64) -> VersionId {
         let accounts = format!("(accounts (a (share-cores {})))", 1_000_000 + which);
         let changes = [("accounts".to_string(), accounts)];
         self.control.publish(
@@ -464,7 +464,7 @@
     }
 
     /// Until each has answered that it is in force.
-    pub async fn until_in_force(&self, stamp: Stamp) -> Result<(), String> {
+    pub async fn until_in_force(&self, stamp: VersionId) -> Result<(), String> {
         let many = self.dispatchers.len() as u32;
         let all = async {
             while !(0..many).all(|who| self.control.running(who) == Some(stamp)) {
--- a/crates/lab/src/control.rs
+++ b/crates/lab/src/control.rs
@@ -5,8 +5,8 @@
 use crate::node::World;
 use async_net::TcpListener;
 use corkspan_api::v1::{self, control_server};
-use corkspan_config::version::{Digest, Stamp, Texts};
-use corkspan_config_sync::{Heard, Publisher, Push, Said};
+use corkspan_config::version::{Digest, Texts, VersionId};
+use corkspan_config_sync::{Publisher, PushReply, ReplyStatus, VersionPush};
 use corkspan_rpc::Tasks;
 use futures_lite::{Stream, StreamExt};
 use std::collections::BTreeMap;
@@ -21,7 +21,7 @@
 pub struct Reply {
     pub told: v1::Told,
     /// What the books say of it.
-    pub heard: Heard,
+    pub heard: ReplyStatus,
     pub at: std::time::Instant,
 }
 
@@ -93,7 +93,7 @@
     }
 
     /// The next version, streamed to all.
-    pub fn publish(&self, texts: Texts, cuts: bool) -> Stamp {
+    pub fn publish(&self, texts: Texts, cuts: bool) -> VersionId {
         self.with(|state| {
             let stamp = state.books.publish(texts, cuts);
             self.world.capture.see(Seen::Pushed {
@@ -139,8 +139,8 @@
     }
 
     /// What each subscriber told last of what runs there.
-    pub fn running(&self, who: u32) -> Option<Stamp> {
-        self.with(|state| state.books.running(who))
+    pub fn running(&self, who: u32) -> Option<VersionId> {
+        self.with(|state| state.books.active_version(who))
     }
 
     /// Streams that were opened ever.
@@ -171,43 +171,48 @@
     }
 }
 
-pub fn stamp_message(stamp: Stamp) -> v1::Stamp {
+pub fn stamp_message(stamp: VersionId) -> v1::Stamp {
     v1::Stamp {
         number: stamp.number,
         digest: stamp.digest.to_string(),
     }
 }
 
-pub fn stamp_of(message: &v1::Stamp) -> Option<Stamp> {
-    Some(Stamp {
+pub fn stamp_of(message: &v1::Stamp) -> Option<VersionId> {
+    Some(VersionId {
         number: message.number,
         digest: Digest::read(&message.digest)?,
     })
 }
 
-pub fn message(push: &Push) -> v1::Push {
+pub fn message(push: &VersionPush) -> v1::Push {
     v1::Push {
         nonce: push.nonce,
-        stamp: Some(stamp_message(push.stamp)),
-        follows: push.follows.iter().copied().map(stamp_message).collect(),
-        onto: push.onto.map(stamp_message),
+        stamp: Some(stamp_message(push.version)),
+        follows: push
+            .predecessors
+            .iter()
+            .copied()
+            .map(stamp_message)
+            .collect(),
+        onto: push.base.map(stamp_message),
         parts: push
             .changes
             .iter()
             .map(|(name, text)| (name.into(), text.into()))
             .collect(),
         removed: push.removed.clone(),
-        cuts: push.cuts,
+        cuts: push.allows_cuts,
     }
 }
 
-fn said(told: &v1::Told) -> Said {
+fn said(told: &v1::Told) -> PushReply {
     match told.answer() {
-        Answer::Applied => Said::Applied,
-        Answer::Refused => Said::Refused(told.why.clone()),
-        Answer::Superseded => Said::Superseded(told.superseded_by),
-        Answer::WantsWhole => Said::WantsWhole,
-        Answer::Nothing | Answer::Running | Answer::GaveUp => Said::Running,
+        Answer::Applied => PushReply::Applied,
+        Answer::Refused => PushReply::Rejected(told.why.clone()),
+        Answer::Superseded => PushReply::Superseded(told.superseded_by),
+        Answer::WantsWhole => PushReply::FullRequired,
+        Answer::Nothing | Answer::Running | Answer::GaveUp => PushReply::Unchanged,
     }
 }
 
@@ -235,11 +240,11 @@
         control.with(|state| {
             state.replies.push(Reply {
                 told: first,
-                heard: Heard::Counted,
+                heard: ReplyStatus::Accepted,
                 at: std::time::Instant::now(),
             });
             state.opened += 1;
-            state.books.opened(who, running);
+            state.books.subscriber_connected(who, running);
             state.open.insert(who, to);
             state.flush();
         });
@@ -254,12 +259,13 @@
                             .see(Seen::InForce { dispatcher, number });
                     }
                     let heard = match told.running.as_ref().and_then(stamp_of) {
-                        Some(running) => {
-                            state
-                                .books
-                                .heard(told.dispatcher, told.nonce, &said(&told), running)
-                        }
-                        None => Heard::Unknown,
+                        Some(running) => state.books.receive_reply(
+                            told.dispatcher,
+                            told.nonce,
+                            &said(&told),
+                            running,
+                        ),
+                        None => ReplyStatus::UnknownSubscriber,
                     };
                     state.replies.push(Reply {
                         told,
--- a/crates/lab/src/node.rs
+++ b/crates/lab/src/node.rs
@@ -6,7 +6,7 @@
 use async_lock::{Mutex as AsyncMutex, Semaphore};
 use async_net::TcpListener;
 use corkspan_api::v1::{self, node_server::NodeServer, said::Said, turned::Why};
-use corkspan_config_sync::Shelf;
+use corkspan_config_sync::VersionCache;
 use corkspan_dispatcher::{control, fleet, outings};
 use corkspan_maintenance::cordon::Cordon;
 use corkspan_maintenance::lease_table::LeaseTable;
@@ -148,7 +148,7 @@
     keeper: Mutex<QuorumMember>,
     floors: Mutex<corkspan_quorum::QuorumMember<MinimumVersion>>,
     rows: Mutex<ReportedVersions>,
-    shelf: Mutex<Shelf>,
+    shelf: Mutex<VersionCache>,
     board: Mutex<LeaseTable>,
     /// With since when it is as it is.
     door: Mutex<(Cordon, Instant)>,
@@ -1023,8 +1023,13 @@
                 let push =
                     control::push_of(push).ok_or_else(|| Status::invalid_argument("no version"))?;
                 let mut shelf = self.0.shelf.lock().expect("no one panics while it is held");
-                shelf.lay(push.stamp, push.changes, push.cuts, &push.follows);
-                word.lies = shelf.lies().map(control::message);
+                shelf.store(
+                    push.version,
+                    push.changes,
+                    push.allows_cuts,
+                    &push.predecessors,
+                );
+                word.lies = shelf.newest().map(control::message);
             }
             Some(Ask::Fetch(ask)) => {
                 let theirs = ask.running.as_ref().and_then(control::stamp);
@@ -1061,7 +1066,7 @@
                     .then(|| rows.adopted(tell.fleet as usize, tell.part))
                     .flatten();
                 let shelf = self.0.shelf.lock().expect("no one panics while it is held");
-                word.lies = shelf.lies().map(control::message);
+                word.lies = shelf.newest().map(control::message);
                 if tell.board {
                     let board = self.0.board.lock().expect("no one panics while it is held");
                     word.board = Some(outings::board(&board, tell.fleet));
--- a/crates/lab/src/pushes.rs
+++ b/crates/lab/src/pushes.rs
@@ -9,8 +9,8 @@
 use crate::roster::Roster;
 use async_io::Timer;
 use corkspan_api::v1::{self, told::Answer, versions_client::VersionsClient};
-use corkspan_config::version::{Stamp, Texts};
-use corkspan_config_sync::Push;
+use corkspan_config::version::{Texts, VersionId};
+use corkspan_config_sync::VersionPush;
 use corkspan_rpc::{Tasks, within};
 use futures_lite::future;
 use hdrhistogram::Histogram;
@@ -155,7 +155,7 @@
             .and_then(stamp_of)
             .ok_or("no stamp")?;
         while out.sent < versions {
-            let burst: Vec<(Push, bool)> = (0..rng.random_range(1..40))
+            let burst: Vec<(VersionPush, bool)> = (0..rng.random_range(1..40))
                 .map(|at| {
                     let nonce = (out.sent + at + 1) as u64;
                     random_push(&stage, &mut rng, nonce, acknowledged)
@@ -168,10 +168,10 @@
             {
                 return Err("the stream does not stand".into());
             }
-            let sound = |stamp: Stamp| {
+            let sound = |stamp: VersionId| {
                 burst
                     .iter()
-                    .any(|(push, sound)| *sound && push.stamp == stamp)
+                    .any(|(push, sound)| *sound && push.version == stamp)
             };
             let killed = rng.random_range(0..6) == 0;
             if killed {
@@ -200,7 +200,7 @@
                         }
                         Answer::Applied => {
                             out.applied += 1;
-                            acknowledged = push.stamp;
+                            acknowledged = push.version;
                         }
                         Answer::Refused if told.why.is_empty() => {
                             return Err("refused without a reason".into());
@@ -241,7 +241,12 @@
 }
 
 /// A push, and whether it may ever be in force.
-fn random_push(stage: &Stage, rng: &mut Pcg64Mcg, nonce: u64, after: Stamp) -> (Push, bool) {
+fn random_push(
+    stage: &Stage,
+    rng: &mut Pcg64Mcg,
+    nonce: u64,
+    after: VersionId,
+) -> (VersionPush, bool) {
     let sound = stage.texts(1, rng.random_range(0..1_000));
     let change = |name: &str, text: &str| {
         sound.changed(
@@ -264,20 +269,20 @@
     } else {
         Vec::new()
     };
-    let stamp = Stamp {
+    let stamp = VersionId {
         number,
         digest: changes.digest(),
     };
     let fit = fit && (!follows.is_empty() || after.number == 0);
     (
-        Push {
+        VersionPush {
             nonce,
-            stamp,
-            follows,
-            onto: None,
+            version: stamp,
+            predecessors: follows,
+            base: None,
             changes,
             removed: Vec::new(),
-            cuts: true,
+            allows_cuts: true,
         },
         fit,
     )
--- a/crates/lab/tests/full_path/fleet.rs
+++ b/crates/lab/tests/full_path/fleet.rs
@@ -5,8 +5,8 @@
 use corkspan_api::v1::node_client::NodeClient;
 use corkspan_api::v1::versions_client::VersionsClient;
 use corkspan_api::v1::{self, placement_client::PlacementClient, refused::Why, word::Word};
-use corkspan_config::version::{Stamp, Texts};
-use corkspan_config_sync::{Kept, Version};
+use corkspan_config::version::{Texts, VersionId};
+use corkspan_config_sync::{PersistedVersions, Version};
 use corkspan_dispatcher::versions::keep;
 use corkspan_lab::capture::{Cold, Line, Rules, Seen, Word as SaidWord};
 use corkspan_lab::control::{Control, Up};
@@ -688,7 +688,7 @@
 /// The newest version whole, as a dispatcher would lay it on a keeper's shelf.
 fn whole(stage: &Stage, number: u64, shots: usize, follows: u64) -> v1::Push {
     let stamp = |number, shots| {
-        let stamp = Stamp {
+        let stamp = VersionId {
             number,
             digest: stage.texts(shots).digest(),
         };
@@ -811,13 +811,13 @@
             stage.floor = "(behind 3) (part 600)".into();
             let kept = |stage: &Stage, number, shots| {
                 let texts = stage.texts(shots);
-                let stamp = Stamp {
+                let stamp = VersionId {
                     number,
                     digest: texts.digest(),
                 };
-                Kept {
-                    good: Some(Version { stamp, texts }),
-                    ..Kept::default()
+                PersistedVersions {
+                    last_good: Some(Version { id: stamp, texts }),
+                    ..PersistedVersions::default()
                 }
             };
             // Two of five run 9 for good: not enough. Nobody streams.
--- a/crates/lab/tests/full_path/versions.rs
+++ b/crates/lab/tests/full_path/versions.rs
@@ -5,8 +5,8 @@
 use corkspan_api::v1::{
     self, refused::Why, told::Answer, versions_client::VersionsClient, word::Word,
 };
-use corkspan_config::version::{Stamp, Texts};
-use corkspan_config_sync::Push;
+use corkspan_config::version::{Texts, VersionId};
+use corkspan_config_sync::VersionPush;
 use corkspan_lab::control::{Control, Up, message, stamp_of};
 use corkspan_lab::pushes;
 use corkspan_rpc::{Bounds, Link};
@@ -102,12 +102,12 @@
             .map_or(u64::MAX, |running| running.number)
     }
 
-    async fn until_in_force(&self, stamp: Stamp) {
+    async fn until_in_force(&self, stamp: VersionId) {
         until(async || self.in_force().await == stamp.number).await;
     }
 
     /// The reply to a push put on the stream as it is.
-    async fn reply(&self, push: &Push) -> v1::Told {
+    async fn reply(&self, push: &VersionPush) -> v1::Told {
         assert!(self.control.send(0, message(push)), "a stream stands");
         until(async || self.control.reply_to(push.nonce).is_some()).await;
         self.control.reply_to(push.nonce).expect("it is there")
@@ -130,20 +130,20 @@
     }
 }
 
-fn push(nonce: u64, number: u64, texts: &Texts, follows: &[Stamp]) -> Push {
-    let stamp = Stamp {
+fn push(nonce: u64, number: u64, texts: &Texts, follows: &[VersionId]) -> VersionPush {
+    let stamp = VersionId {
         number,
         digest: texts.digest(),
     };
     let (changes, follows) = (texts.clone(), follows.to_vec());
-    Push {
+    VersionPush {
         nonce,
-        stamp,
-        follows,
-        onto: None,
+        version: stamp,
+        predecessors: follows,
+        base: None,
         changes,
         removed: Vec::new(),
-        cuts: false,
+        allows_cuts: false,
     }
 }
 
@@ -175,9 +175,9 @@
         let sound = stage.with_tracks(&["extra"]);
         let first = push(1, 5, &sound, &[]);
         assert_eq!(stage.reply(&first).await.answer(), Answer::Applied);
-        let five = first.stamp;
+        let five = first.version;
         let broken = stage.texts("(shots 0) (cold (lasts 1 s) (window 1 s) (offers -1))");
-        let wrong_digest = Push {
+        let wrong_digest = VersionPush {
             changes: stage.texts("(shots 4)"),
             ..push(3, 7, &sound, &[five])
         };
@@ -239,14 +239,14 @@
         assert!(stage.knows("extra", "a").await);
         let again = stage.reply(&push(10, 5, &sound, &[])).await;
         assert_eq!(again.answer(), Answer::Running, "a repeat is harmless");
-        let meant = Push {
-            cuts: true,
+        let meant = VersionPush {
+            allows_cuts: true,
             ..push(11, 6, &cut, &[five])
         };
         assert_eq!(stage.reply(&meant).await.answer(), Answer::Applied, "meant");
-        let onto = Push {
-            onto: Some(five),
-            ..push(13, 7, &sound, &[meant.stamp])
+        let onto = VersionPush {
+            base: Some(five),
+            ..push(13, 7, &sound, &[meant.version])
         };
         assert_eq!(
             stage.reply(&onto).await.answer(),
