--- a/crates/dispatcher/src/control.rs
+++ b/crates/dispatcher/src/control.rs
@@ -120,7 +120,7 @@
                 state.subscriber.stream_closed();
             });
             let stood = began.map_or(0, |began: Instant| ticks(began.elapsed()));
-            let wait = retry.wait(stood);
+            let wait = retry.next_delay(stood);
             warn!(%service, why = ended, again_in_ms = wait / 10, "no stream of versions; the one in force stays");
             async_io::Timer::after(duration(wait)).await;
         }
