--- a/crates/platform/src/core/engine_effects.rs
+++ b/crates/platform/src/core/engine_effects.rs
@@ -21,12 +21,7 @@
             allocation: id,
             number,
         };
-        let free = self
-            .connections
-            .find_idle(machine, self.now, &pending.connections);
-        let connection = free.or_else(|| self.open_connection(machine, Eviction::Any));
-        let connection =
-            connection.or_else(|| self.connections.least_loaded(machine, &pending.connections));
+        let connection = self.connection_for(machine, &pending.connections);
         let Some(connection) = connection
             .filter(|&connection| self.connections.send_set_up(connection, attempt, &message))
         else {
@@ -111,6 +106,20 @@
     }
 }
 
+impl PlatformState {
+    /// The connection for an attempt, none of `except`: an idle one, else a new one, else
+    /// the least loaded one.
+    fn connection_for(
+        &mut self,
+        machine: MachineId,
+        except: &[ConnectionId],
+    ) -> Option<ConnectionId> {
+        let idle = self.connections.find_idle(machine, self.now, except);
+        let connection = idle.or_else(|| self.open_connection(machine, Eviction::Any));
+        connection.or_else(|| self.connections.least_loaded(machine, except))
+    }
+}
+
 /// A set-up as it is sent to a node.
 fn open_message(pending: &PendingTask, time_out: Ticks) -> node::Message {
     let mut message = node::Message::new(node::MessageType::Open, pending.task);
--- a/crates/platform/src/core/node_connections.rs
+++ b/crates/platform/src/core/node_connections.rs
@@ -1,6 +1,6 @@
 //! Which connection a message to a node goes on, and what follows from a connection's end.
 
-use super::pending_task::PendingTask;
+use super::pending_task::{ActiveAttempt, PendingTask};
 use super::*;
 use tracing::debug;
 
@@ -74,60 +74,72 @@
             // one.
             connection.to.discard();
         }
-        for allocation in connection.open_attempts {
+        self.fail_attempts(now, engine, id, connection.open_attempts);
+        self.fail_health_checks(now, engine, id, connection.machine);
+        if end == ConnectionEnd::Refused && self.nodes.connection_refused(connection.machine) {
+            self.timers.insert((
+                now + UNREACHABLE_TIMEOUT,
+                Timer::Unreachable(connection.machine),
+            ));
+        } else if end == ConnectionEnd::Refused {
+            // The process is dead, and its tasks with it.
+            self.machine_lost(now, engine, connection.machine, Ticks::MAX);
+        } else if self.connections.of(connection.machine).is_empty()
+            && self.nodes.has_tasks(connection.machine)
+            && end == ConnectionEnd::Broken
+        {
+            // Ends of the tasks there are reported on the next connection.
+            self.open_connection(connection.machine, Eviction::SpareOnly);
+        }
+    }
+
+    /// The attempts on a connection that has ended have failed.
+    fn fail_attempts(
+        &mut self,
+        now: Ticks,
+        engine: &mut Host<PendingTask>,
+        connection: ConnectionId,
+        attempts: BTreeSet<AllocationId>,
+    ) {
+        for allocation in attempts {
             let Some((pending, _)) = engine.own(allocation) else {
                 continue;
             };
-            let Some(active) = pending
-                .active
-                .take_if(|active| active.connection == Some(id))
-            else {
+            let on_this = |active: &mut ActiveAttempt| active.connection == Some(connection);
+            let Some(active) = pending.active.take_if(on_this) else {
                 continue;
             };
+            let number = active.number;
             self.timers
-                .remove(&(active.deadline, Timer::Attempt(allocation, active.number)));
-            let ending = if active.started {
+                .remove(&(active.deadline, Timer::Attempt(allocation, number)));
+            let result = if active.started {
                 AttemptResult::Reset
             } else {
                 AttemptResult::ConnectFailed
             };
-            engine.returned(
-                now,
-                allocation,
-                active.number,
-                ending,
-                None,
-                false,
-                None,
-                self,
-            );
+            engine.returned(now, allocation, number, result, None, false, None, self);
         }
-        let tests: Vec<u64> = self
+    }
+
+    /// The health checks on a connection that has ended have failed.
+    fn fail_health_checks(
+        &mut self,
+        now: Ticks,
+        engine: &mut Host<PendingTask>,
+        connection: ConnectionId,
+        machine: MachineId,
+    ) {
+        let checks: Vec<u64> = self
             .health_checks
             .iter()
-            .filter(|(_, (_, on))| *on == id)
+            .filter(|(_, (_, on))| *on == connection)
             .map(|(&check, _)| check)
             .collect();
-        for check in tests {
+        for check in checks {
             self.health_checks.remove(&check);
             self.timers
                 .retain(|(_, timer)| *timer != Timer::HealthCheck(check));
-            engine.probed(now, connection.machine, AttemptResult::ConnectFailed, None);
-        }
-        if end == ConnectionEnd::Refused && self.nodes.connection_refused(connection.machine) {
-            self.timers.insert((
-                now + UNREACHABLE_TIMEOUT,
-                Timer::Unreachable(connection.machine),
-            ));
-        } else if end == ConnectionEnd::Refused {
-            // The process is dead, and its tasks with it.
-            self.machine_lost(now, engine, connection.machine, Ticks::MAX);
-        } else if self.connections.of(connection.machine).is_empty()
-            && self.nodes.has_tasks(connection.machine)
-            && end == ConnectionEnd::Broken
-        {
-            // Ends of the tasks there are reported on the next connection.
-            self.open_connection(connection.machine, Eviction::SpareOnly);
+            engine.probed(now, machine, AttemptResult::ConnectFailed, None);
         }
     }
 }
--- a/crates/platform/src/core/node_messages.rs
+++ b/crates/platform/src/core/node_messages.rs
@@ -74,6 +74,12 @@
     earlier: bool,
 }
 
+impl MatchedAttempt {
+    fn awaits_answer_on(&self, connection: ConnectionId) -> bool {
+        self.stage == TaskStage::Pending && self.active.connection == Some(connection)
+    }
+}
+
 impl PlatformState {
     /// Handles a message of a node. False where its connection is to be closed.
     pub(super) fn handle_node_message(
@@ -101,11 +107,25 @@
             debug!(task = task_key(task), ?machine, ?message.message_type, "told of an earlier attempt");
             return true;
         }
+        self.handle_for_task(now, engine, origin, matched, message)
+    }
+
+    /// Handles a message about a task, or about none that is known.
+    fn handle_for_task(
+        &mut self,
+        now: Ticks,
+        engine: &mut Host<PendingTask>,
+        origin: MessageOrigin,
+        matched: Option<MatchedAttempt>,
+        message: node::Message,
+    ) -> bool {
+        let MessageOrigin {
+            connection,
+            machine,
+            task,
+        } = origin;
         match (message.message_type, matched) {
-            (node::MessageType::Ready, Some(matched))
-                if matched.stage == TaskStage::Pending
-                    && matched.active.connection == Some(connection) =>
-            {
+            (node::MessageType::Ready, Some(matched)) if matched.awaits_answer_on(connection) => {
                 let Some(description) = message.text else {
                     return false;
                 };
@@ -127,17 +147,17 @@
                 );
             }
             (node::MessageType::Event, Some(matched)) if matched.stage != TaskStage::Pending => {
-                let Some(note) = note(&message) else {
-                    return true;
-                };
-                debug!(task = task_key(task), ?machine, ?note, "noted");
-                engine.noted(now, matched.id, note);
+                if let Some(metric) = metric(&message) {
+                    debug!(task = task_key(task), ?machine, ?metric, "noted");
+                    engine.noted(now, matched.id, metric);
+                }
             }
             _ => {}
         }
         true
     }
 
+    /// A node has replied to a health check.
     fn handle_health_check_reply(
         &mut self,
         now: Ticks,
@@ -158,6 +178,7 @@
         engine.probed(now, machine, ending, load(message));
     }
 
+    /// The attempt that a message is about; none where its task is unknown here or on another node.
     fn matched_attempt(
         &self,
         engine: &mut Host<PendingTask>,
@@ -196,6 +217,7 @@
         })
     }
 
+    /// Handles a release: the end of an attempt, of a running task, or of an unknown one.
     fn handle_close(
         &mut self,
         now: Ticks,
@@ -204,15 +226,9 @@
         matched: Option<MatchedAttempt>,
         message: &node::Message,
     ) {
-        let MessageOrigin {
-            connection,
-            machine,
-            task,
-        } = origin;
-        self.connections.send(
-            connection,
-            &node::Message::new(node::MessageType::Closed, task),
-        );
+        let (machine, task) = (origin.machine, origin.task);
+        let closed = node::Message::new(node::MessageType::Closed, task);
+        self.connections.send(origin.connection, &closed);
         let (cause, load) = (message.cause.unwrap_or(0), load(message));
         let stage = matched.as_ref().map(|matched| matched.stage);
         let note = message.attribute("note");
@@ -231,29 +247,28 @@
         else {
             return self.remember_early_end(now, task, machine);
         };
-        let end = End::from(cause);
+        let (end, reason) = (End::from(cause), reason(message));
         if stage != TaskStage::Pending {
-            let ending = end.of_running_task();
-            self.task_ended(now, engine, id, ending, reason(message), load);
+            let result = end.of_running_task();
+            self.task_ended(now, engine, id, result, reason, load);
             if end.is_rejection() {
                 // A rejection after an answer: the client has been told that the task has ended, so
                 // it must end.
-                self.send_close(connection, task);
+                self.send_close(origin.connection, task);
             }
             return;
         }
-        let ending = end.of_attempt();
         if let Some((pending, _)) = engine.own(id) {
             pending.active = None;
-            pending.ended.push((connection, cause));
+            pending.ended.push((origin.connection, cause));
         }
         self.attempt_returned(now, id, active);
-        let reason = reason(message);
-        engine.returned(now, id, active.number, ending, reason, false, load, self);
+        let result = end.of_attempt();
+        engine.returned(now, id, active.number, result, reason, false, load, self);
     }
 }
 
-fn note(message: &node::Message) -> Option<Metric> {
+fn metric(message: &node::Message) -> Option<Metric> {
     let value = message.attribute("value").and_then(AttributeValue::number);
     Some(
         match (
--- a/crates/platform/src/core/set_ups.rs
+++ b/crates/platform/src/core/set_ups.rs
@@ -150,59 +150,51 @@
     /// The engine's request for a set-up, or what is wrong with it.
     pub(super) fn to_request(&self, now: Ticks, set_up: &SetUp) -> Result<Asked, RequestError> {
         let settings = &self.settings;
-        let track = settings
+        let class = settings
             .classes
             .iter()
-            .position(|class| class.name == set_up.class);
-        let account = match &set_up.tenant {
+            .position(|known| known.name == set_up.class);
+        let tenant = match &set_up.tenant {
             None => Some(0),
             Some(name) => settings
                 .tenants
                 .iter()
-                .position(|tenant| tenant.name == *name),
+                .position(|known| known.name == *name),
         };
-        // A task that is running already has no deadline: its time left means nothing.
-        let left_ms = if set_up.running_on.is_some() {
-            MAX_DEADLINE_MS
-        } else {
-            set_up.time_left_ms
-        };
-        if left_ms == 0 || left_ms > MAX_DEADLINE_MS {
-            return Err(RequestError::Deadline(left_ms));
-        }
+        let left_ms = time_left_ms(set_up)?;
         if [&set_up.name, &set_up.service]
             .iter()
             .any(|text| text.len() > MAX_NAME_BYTES)
         {
             return Err(RequestError::LongName);
         }
-        let track = track.ok_or_else(|| RequestError::UnknownClass(set_up.class.clone()))?;
-        if settings.needs_idempotency_key(track)
+        let class = class.ok_or_else(|| RequestError::UnknownClass(set_up.class.clone()))?;
+        if settings.needs_idempotency_key(class)
             && set_up.idempotency_key.is_none()
             && set_up.running_on.is_none()
         {
             return Err(RequestError::MissingKey);
         }
-        let asks = Resources {
+        let requested = Resources {
             cores: set_up.cores,
             memory: set_up.memory,
         };
         // More than any machine accepts would only distort the statistics of requests.
         if !settings
             .largest_acceptable()
-            .is_some_and(|largest| asks.fits_in(largest))
+            .is_some_and(|largest| requested.fits_in(largest))
         {
             return Err(RequestError::TooLarge {
-                cores: asks.cores,
-                memory: asks.memory,
+                cores: requested.cores,
+                memory: requested.memory,
             });
         }
         let left = left_ms * 10;
         Ok(Asked {
             service: service(&set_up.service),
-            track: ServiceClassId(track),
-            account: TenantId(account.ok_or(RequestError::UnknownTenant)?),
-            asks,
+            track: ServiceClassId(class),
+            account: TenantId(tenant.ok_or(RequestError::UnknownTenant)?),
+            asks: requested,
             abandon: now + left - TRANSIT_ALLOWANCE.min(left / 2),
         })
     }
@@ -257,3 +249,13 @@
         );
     }
 }
+
+/// How long the client waits. A task that is running already has no deadline: its time left means
+/// nothing.
+fn time_left_ms(set_up: &SetUp) -> Result<u64, RequestError> {
+    match set_up.time_left_ms {
+        _ if set_up.running_on.is_some() => Ok(MAX_DEADLINE_MS),
+        left_ms @ 1..=MAX_DEADLINE_MS => Ok(left_ms),
+        left_ms => Err(RequestError::Deadline(left_ms)),
+    }
+}
--- a/crates/platform/src/descriptor_budget.rs
+++ b/crates/platform/src/descriptor_budget.rs
@@ -14,6 +14,11 @@
 /// Of so many connections to nodes one more may be half-closed.
 pub const CONNECTIONS_PER_HALF_CLOSED: usize = 5;
 
+/// The limit allows for fewer file descriptors than a dispatcher needs.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("limits: {0} sockets, where {MIN_DESCRIPTORS} are the least")]
+pub struct TooFewDescriptors(pub usize);
+
 /// Each connection holds a permit until its descriptor is closed, even where the core has removed
 /// it before.
 pub struct DescriptorBudget {
@@ -29,16 +34,23 @@
 impl DescriptorBudget {
     /// A third of the limit is for nodes, since clients hold a third by the protocol; clients get
     /// the rest, since misbehaving clients connect too.
-    pub fn new(limit: usize) -> Self {
+    ///
+    /// # Errors
+    ///
+    /// Fewer descriptors than [`MIN_DESCRIPTORS`].
+    pub fn new(limit: usize) -> Result<Self, TooFewDescriptors> {
+        if limit < MIN_DESCRIPTORS {
+            return Err(TooFewDescriptors(limit));
+        }
         let max_node_connections = limit / 3;
         let nodes_all = max_node_connections + max_node_connections / CONNECTIONS_PER_HALF_CLOSED;
         let client_descriptors = limit.saturating_sub(RESERVED_DESCRIPTORS + nodes_all);
-        DescriptorBudget {
+        Ok(DescriptorBudget {
             clients: Arc::new(Semaphore::new(client_descriptors)),
             client_descriptors,
             max_clients: client_descriptors.min(limit / 2),
             nodes: Arc::new(Semaphore::new(nodes_all)),
             max_node_connections,
-        }
+        })
     }
 }
--- a/crates/platform/src/discovery.rs
+++ b/crates/platform/src/discovery.rs
@@ -9,6 +9,7 @@
 use corkspan_runtime::within;
 use futures_lite::FutureExt;
 use http_body_util::{BodyExt, Empty};
+use hyper::client::conn::http1::SendRequest;
 use smol_hyper::rt::FuturesIo;
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -35,7 +36,7 @@
     #[error("status {0}")]
     Status(http::StatusCode),
     #[error(transparent)]
-    ProtocolError(#[from] ProtocolError),
+    Protocol(#[from] ProtocolError),
     #[error("no HTTP: {0}")]
     NotHttp(#[from] hyper::Error),
     #[error("no request: {0}")]
@@ -46,13 +47,13 @@
 pub async fn run(
     handle: Arc<PlatformHandle>,
     mut feed: SocketAddr,
-    asked: async_channel::Receiver<()>,
-    moved: async_channel::Receiver<SocketAddr>,
+    calls: async_channel::Receiver<()>,
+    new_addresses: async_channel::Receiver<SocketAddr>,
 ) {
     loop {
-        let asks = async { asked.recv().await.ok().map(|()| None) };
-        let moves = async { moved.recv().await.ok().map(Some) };
-        match asks.or(moves).await {
+        let called = async { calls.recv().await.ok().map(|()| None) };
+        let moved = async { new_addresses.recv().await.ok().map(Some) };
+        match called.or(moved).await {
             None => return,
             Some(to) => feed = to.unwrap_or(feed),
         }
@@ -63,13 +64,13 @@
                     Ok(never) => match never {},
                 }
             };
-            let moves = async {
-                match moved.recv().await {
+            let moved = async {
+                match new_addresses.recv().await {
                     Ok(to) => Ok(to),
                     Err(_) => Err(DiscoveryError::Ended),
                 }
             };
-            match moves.or(followed).await {
+            match moved.or(followed).await {
                 Ok(to) => {
                     info!(%to, "the control feed has moved");
                     feed = to;
@@ -84,56 +85,15 @@
     }
 }
 
-async fn follow(
-    handle: &Arc<PlatformHandle>,
-    feed: SocketAddr,
-) -> Result<Infallible, DiscoveryError> {
+/// Connects and applies events until the connection breaks.
+async fn follow(handle: &PlatformHandle, feed: SocketAddr) -> Result<Infallible, DiscoveryError> {
     let stream = within(CONNECT_TIMEOUT, TcpStream::connect(feed)).await;
     let stream = stream
         .and_then(Result::ok)
         .ok_or(DiscoveryError::NoConnection(feed))?;
     let _ = stream.set_nodelay(true);
-    let (mut sender, connection) =
+    let (sender, connection) =
         hyper::client::conn::http1::handshake(FuturesIo::new(stream)).await?;
-    let told = async {
-        let request = http::Request::get("/v1/events")
-            .header("Host", feed.to_string())
-            .header("Accept", "text/event-stream")
-            .header("Last-Event-ID", handle.last_event().to_string())
-            .body(Empty::<Bytes>::new())?;
-        let response = within(SILENCE_TIMEOUT, sender.send_request(request))
-            .await
-            .ok_or(DiscoveryError::Silent)??;
-        if response.status() != http::StatusCode::OK {
-            return Err(DiscoveryError::Status(response.status()));
-        }
-        handle.discovery_connected();
-        let (mut body, mut reader, mut first) = (response.into_body(), Reader::default(), true);
-        let mut heard = Instant::now();
-        loop {
-            // Since the last complete item: bytes that trickle in and complete nothing are silence
-            // too.
-            let left = SILENCE_TIMEOUT.saturating_sub(heard.elapsed());
-            let frame = within(left, body.frame())
-                .await
-                .ok_or(DiscoveryError::Silent)?
-                .ok_or(DiscoveryError::Ended)??;
-            reader.push(frame.data_ref().map_or(&[][..], |bytes| bytes));
-            while let Some(told) = reader.next_item()? {
-                heard = Instant::now();
-                if let FeedItem::Event(event) = told {
-                    let (last, n) = (handle.last_event(), event.number);
-                    // Missing events are sent after another connection. Where they are missing
-                    // there too, the feed has no more to say of them.
-                    if n > last + 1 && !std::mem::take(&mut first) {
-                        return Err(DiscoveryError::Gap(last, n));
-                    }
-                    first = false;
-                    handle.apply_event(event);
-                }
-            }
-        }
-    };
     let carried = async {
         let ended = connection.await;
         // What has been read is handled first: the other side sees the end of the body by itself.
@@ -141,5 +101,49 @@
         drop(ended);
         Err(DiscoveryError::Ended)
     };
-    told.or(carried).await
+    watch(handle, feed, sender).or(carried).await
+}
+
+/// Requests the events after the last known one and applies them as they arrive.
+async fn watch(
+    handle: &PlatformHandle,
+    feed: SocketAddr,
+    mut sender: SendRequest<Empty<Bytes>>,
+) -> Result<Infallible, DiscoveryError> {
+    let request = http::Request::get("/v1/events")
+        .header("Host", feed.to_string())
+        .header("Accept", "text/event-stream")
+        .header("Last-Event-ID", handle.last_event().to_string())
+        .body(Empty::<Bytes>::new())?;
+    let response = within(SILENCE_TIMEOUT, sender.send_request(request))
+        .await
+        .ok_or(DiscoveryError::Silent)??;
+    if response.status() != http::StatusCode::OK {
+        return Err(DiscoveryError::Status(response.status()));
+    }
+    handle.discovery_connected();
+    let (mut body, mut reader, mut first) = (response.into_body(), Reader::default(), true);
+    let mut last_item_at = Instant::now();
+    loop {
+        // Since the last complete item: bytes that trickle in and complete nothing are silence too.
+        let left = SILENCE_TIMEOUT.saturating_sub(last_item_at.elapsed());
+        let frame = within(left, body.frame())
+            .await
+            .ok_or(DiscoveryError::Silent)?
+            .ok_or(DiscoveryError::Ended)??;
+        reader.push(frame.data_ref().map_or(&[][..], |bytes| bytes));
+        while let Some(item) = reader.next_item()? {
+            last_item_at = Instant::now();
+            if let FeedItem::Event(event) = item {
+                let (last, number) = (handle.last_event(), event.number);
+                // Missing events are sent after another connection. Where they are missing there
+                // too, the feed has no more to say of them.
+                if number > last + 1 && !std::mem::take(&mut first) {
+                    return Err(DiscoveryError::Gap(last, number));
+                }
+                first = false;
+                handle.apply_event(event);
+            }
+        }
+    }
 }
--- a/crates/platform/src/errors.rs
+++ b/crates/platform/src/errors.rs
@@ -1,6 +1,6 @@
 //! Why a dispatcher does not start, or does not take over another configuration.
 
-use crate::descriptor_budget::MIN_DESCRIPTORS;
+use crate::descriptor_budget::TooFewDescriptors;
 use corkspan_platform_wire::node_config::NodeConfigError;
 use corkspan_settings::SettingsError;
 use std::net::SocketAddr;
@@ -50,8 +50,8 @@
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
     /// Fewer file descriptors than a dispatcher needs.
-    #[error("limits: {0} sockets, where {MIN_DESCRIPTORS} are the least")]
-    TooFewDescriptors(usize),
+    #[error(transparent)]
+    Descriptors(#[from] TooFewDescriptors),
     /// The seed is no number.
     #[error("settings: {0}")]
     Seed(#[from] NodeConfigError),
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -26,6 +26,7 @@
 use corkspan_runtime::clock::Clock;
 use corkspan_runtime::{Signal, Tasks, signals};
 use descriptor_budget::DescriptorBudget;
+pub use descriptor_budget::TooFewDescriptors;
 pub use errors::{ConfigError, ServeError};
 
 use effects::{TaskEffects, WakeSenders};
@@ -78,42 +79,19 @@
         path: path.into(),
         source,
     };
-    if config.limits.sockets < descriptor_budget::MIN_DESCRIPTORS {
-        return Err(invalid(ConfigError::TooFewDescriptors(
-            config.limits.sockets,
-        )));
-    }
-    let budget = DescriptorBudget::new(config.limits.sockets);
+    let budget =
+        DescriptorBudget::new(config.limits.sockets).map_err(|error| invalid(error.into()))?;
     let (address, feed) = (config.listen, config.discovery_address);
     let (wakes, woken) = wakes();
     let (feed_moves, feed_moved) = async_channel::bounded(1);
     let options = CoreOptions::new(config, &budget).map_err(invalid)?;
     let handle = handle(options, &tasks, wakes, &budget);
-    let listener = listen(
-        address,
-        ShutdownSchedule::after(handle.longest_deadline()).killed_after + SHUTDOWN_MARGIN,
-    )
-    .await;
-    let listener = listener.map_err(|source| ServeError::Listen { address, source })?;
-    let address = listener
-        .local_addr()
-        .map_err(|source| ServeError::Listen { address, source })?;
+    let patience = ShutdownSchedule::after(handle.longest_deadline()).killed_after;
+    let listening = listen(address, patience + SHUTDOWN_MARGIN).await;
+    let (listener, address) = listening.map_err(|source| ServeError::Listen { address, source })?;
     info!(%address, "listening");
     ready(address);
-    let background = [
-        tasks.spawn(corkspan_runtime::run_timer(woken.timer, {
-            let handle = Arc::clone(&handle);
-            move || handle.timer_fired()
-        })),
-        tasks.spawn(run_turns(Arc::clone(&handle), woken.run_turn)),
-        tasks.spawn(discovery::run(
-            Arc::clone(&handle),
-            feed,
-            woken.watch_list,
-            feed_moved,
-        )),
-        tasks.spawn(sweep(Arc::clone(&handle))),
-    ];
+    let background = spawn_background(&tasks, &handle, woken, feed, feed_moved);
     let front = tasks.spawn(listener::run(
         Arc::clone(&handle),
         Arc::clone(&tasks),
@@ -123,21 +101,46 @@
     handle.start();
     let mut signals = signals;
     wait_for_stop(&mut signals, || reload(&handle, path, &feed_moves)).await;
-    let stops = shutdown::stop(&handle, &budget, Instant::now(), front);
+    let stop = shutdown::stop(&handle, &budget, Instant::now(), front);
     // The feed's address may still change; another signal to stop changes nothing.
-    let heeds = async {
-        while signals.next().await.is_some_and(|signal| {
-            matches!(signal, Ok(Signal::Hup)).then(|| reload(&handle, path, &feed_moves));
-            true
-        }) {}
+    let heed_signals = async {
+        while let Some(signal) = signals.next().await {
+            if matches!(signal, Ok(Signal::Hup)) {
+                reload(&handle, path, &feed_moves);
+            }
+        }
         future::pending().await
     };
-    stops.or(heeds).await;
+    stop.or(heed_signals).await;
     drop(background);
     info!("stopped");
     Ok(())
 }
 
+/// Starts the tasks that run beside the listener. Dropping what is returned ends them.
+fn spawn_background(
+    tasks: &Tasks,
+    handle: &Arc<PlatformHandle>,
+    woken: WakeReceivers,
+    feed: SocketAddr,
+    feed_moved: async_channel::Receiver<SocketAddr>,
+) -> impl Sized + use<> {
+    let fired = Arc::clone(handle);
+    [
+        tasks.spawn(corkspan_runtime::run_timer(woken.timer, move || {
+            fired.timer_fired()
+        })),
+        tasks.spawn(run_turns(Arc::clone(handle), woken.run_turn)),
+        tasks.spawn(discovery::run(
+            Arc::clone(handle),
+            feed,
+            woken.watch_list,
+            feed_moved,
+        )),
+        tasks.spawn(sweep(Arc::clone(handle))),
+    ]
+}
+
 /// The receiving ends of [`WakeSenders`].
 struct WakeReceivers {
     timer: async_channel::Receiver<Instant>,
@@ -181,11 +184,15 @@
 }
 
 /// Listens with a backlog for bursts: with the usual 128 some of a burst of hundreds would wait for
-/// a second.
-async fn listen(address: SocketAddr, within: Duration) -> std::io::Result<TcpListener> {
-    let listener = bind(address, within).await?;
+/// a second. Also returns the address, whose port the system may have chosen.
+async fn listen(
+    address: SocketAddr,
+    patience: Duration,
+) -> std::io::Result<(TcpListener, SocketAddr)> {
+    let listener = bind(address, patience).await?;
     rustix::net::listen(&listener, LISTEN_BACKLOG)?;
-    Ok(listener)
+    let address = listener.local_addr()?;
+    Ok((listener, address))
 }
 
 /// Waits for the address where a former process has not ended yet.
--- a/crates/platform/src/node_connection_task.rs
+++ b/crates/platform/src/node_connection_task.rs
@@ -2,6 +2,7 @@
 
 use crate::core::{ConnectionEnd, NewConnection};
 use crate::handle::PlatformHandle;
+use crate::ids::ConnectionId;
 use crate::reader::{ConnectionInput, ReadOutcome, ReadProgress};
 use crate::writer::carry;
 use async_lock::Semaphore;
@@ -13,7 +14,8 @@
 use std::sync::Arc;
 use tracing::debug;
 
-/// Opens a connection and carries it to its end. `budget` are the descriptors of connections to nodes.
+/// Opens a connection and carries it to its end. `budget` are the descriptors of connections to
+/// nodes.
 pub async fn run(handle: Arc<PlatformHandle>, connection: NewConnection, budget: Arc<Semaphore>) {
     let NewConnection {
         id,
@@ -23,10 +25,10 @@
     } = connection;
     // Connections that are being closed hold their descriptors to the end.
     let connected = async {
-        let place = budget.acquire_arc().await;
-        (place, TcpStream::connect(address).await)
+        let permit = budget.acquire_arc().await;
+        (permit, TcpStream::connect(address).await)
     };
-    let (_place, connected) = within(duration(connect_timeout), connected).await.unzip();
+    let (_permit, connected) = within(duration(connect_timeout), connected).await.unzip();
     let stream = match connected {
         // Its node is gone meanwhile, and another may have its address.
         _ if queue.is_discarded() => return,
@@ -39,7 +41,25 @@
     let _ = stream.set_nodelay(true);
     handle.connection_established(id);
     let (input, mut reader) = (ConnectionInput::new(stream.clone()), Reader::default());
-    let hear = || loop {
+    let reading = async {
+        input
+            .read_messages(|| handle_next(&handle, id, &input, &mut reader))
+            .await;
+        handle.connection_ended(id, ConnectionEnd::Broken);
+    };
+    let may_write_set_up = |attempt| handle.may_write_set_up(id, attempt);
+    carry(stream, queue, may_write_set_up, reading).await;
+    handle.connection_ended(id, ConnectionEnd::Broken);
+}
+
+/// Handles the next message of the node.
+fn handle_next(
+    handle: &PlatformHandle,
+    id: ConnectionId,
+    input: &ConnectionInput,
+    reader: &mut Reader,
+) -> ReadProgress {
+    loop {
         match reader.next_message() {
             Ok(Some(message)) => {
                 return if handle.handle_node_message(id, message) {
@@ -59,16 +79,5 @@
                 return ReadProgress::Done;
             }
         }
-    };
-    carry(
-        stream,
-        queue,
-        |attempt| handle.may_write_set_up(id, attempt),
-        async {
-            input.read_messages(hear).await;
-            handle.connection_ended(id, ConnectionEnd::Broken);
-        },
-    )
-    .await;
-    handle.connection_ended(id, ConnectionEnd::Broken);
+    }
 }
--- a/crates/platform/tests/core/bounds.rs
+++ b/crates/platform/tests/core/bounds.rs
@@ -44,7 +44,7 @@
 
 pub(super) fn posted(config: &str) -> Arc<PlatformHandle> {
     let config = NodeConfig::from_json(config.as_bytes()).expect("sound");
-    started(config, &DescriptorBudget::new(256)).0
+    started(config, &DescriptorBudget::new(256).expect("enough")).0
 }
 
 /// A core whose effects nobody carries out, and what asks for the list to be watched.
--- a/crates/platform/tests/core/transcript.rs
+++ b/crates/platform/tests/core/transcript.rs
@@ -88,7 +88,7 @@
     fn new(seed: u64) -> Course {
         let config = NodeConfig::from_json(SETTINGS.as_bytes()).expect("sound");
         let asked = cluster(&config.settings).expect("sound");
-        let budget = DescriptorBudget::new(config.limits.sockets);
+        let budget = DescriptorBudget::new(config.limits.sockets).expect("enough");
         let (handle, watching) = started(config, &budget);
         handle.set_time.store(BEGIN, Ordering::Relaxed);
         {
