--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -1,9 +1,9 @@
 //! What every caller of the decisions keeps and nothing else: the allocations in hand, their shots,
 //! the "not yet" queue and the one timer. No I/O, no clock of its own, and no decision: those are
-//! asked of [`corkspan_scheduler::rules::Scheduler`], whose answers go straight to the caller's [`Wire`].
+//! asked of [`corkspan_scheduler::Scheduler`], whose answers go straight to the caller's [`Wire`].
 
 use corkspan_scheduler::interface::*;
-use corkspan_scheduler::rules::Scheduler;
+use corkspan_scheduler::Scheduler;
 use fnv::FnvHasher;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::hash::Hasher;
--- a/crates/lab/src/capacity/asks.rs
+++ b/crates/lab/src/capacity/asks.rs
@@ -3,7 +3,7 @@
 
 use corkspan_engine::{Asked, Host, Slice, Wire};
 use corkspan_scheduler::interface::*;
-use corkspan_scheduler::rules::Scheduler;
+use corkspan_scheduler::Scheduler;
 
 const SECOND: Ticks = 10_000;
 const SIZE: Resources = Resources {
--- /dev/null
+++ b/crates/scheduler/src/interface/resources.rs
@@ -0,0 +1,80 @@
+//! Cores and memory.
+
+use std::iter::Sum;
+use std::ops::{Add, Div, Mul, Sub};
+
+/// Cores and memory: requested, used or available, or a share of each.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct Resources {
+    /// Cores.
+    pub cores: f64,
+    /// Memory, in the unit of the settings.
+    pub memory: f64,
+}
+
+impl Resources {
+    /// One of each: the whole as a share.
+    pub const ONE: Resources = Resources {
+        cores: 1.0,
+        memory: 1.0,
+    };
+
+    /// The larger of both cores, and of both memories.
+    #[must_use]
+    pub fn max(self, other: Resources) -> Resources {
+        Resources {
+            cores: self.cores.max(other.cores),
+            memory: self.memory.max(other.memory),
+        }
+    }
+
+    /// The smaller of both cores, and of both memories.
+    #[must_use]
+    pub fn min(self, other: Resources) -> Resources {
+        Resources {
+            cores: self.cores.min(other.cores),
+            memory: self.memory.min(other.memory),
+        }
+    }
+
+    /// Whether neither exceeds the limit.
+    #[must_use]
+    pub fn fits_in(self, limit: Resources) -> bool {
+        self.cores <= limit.cores && self.memory <= limit.memory
+    }
+
+    /// The larger of the two shares of a machine's size.
+    #[must_use]
+    pub fn fraction_of(self, size: Resources) -> f64 {
+        (self.cores / size.cores).max(self.memory / size.memory)
+    }
+}
+
+macro_rules! apply_to_each {
+    ($($operator:ident $call:ident $sign:tt;)*) => {$(
+        impl $operator for Resources {
+            type Output = Resources;
+            fn $call(self, other: Resources) -> Resources {
+                Resources { cores: self.cores $sign other.cores, memory: self.memory $sign other.memory }
+            }
+        }
+    )*};
+}
+
+apply_to_each! { Add add +; Sub sub -; Mul mul *; Div div /; }
+
+impl Mul<f64> for Resources {
+    type Output = Resources;
+    fn mul(self, times: f64) -> Resources {
+        Resources {
+            cores: self.cores * times,
+            memory: self.memory * times,
+        }
+    }
+}
+
+impl Sum for Resources {
+    fn sum<I: Iterator<Item = Resources>>(all: I) -> Resources {
+        all.fold(Resources::default(), |sum, each| sum + each)
+    }
+}
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -1,7 +1,72 @@
-//! corkspan: a cluster scheduler that fills machines by likely use, not by asks.
+//! corkspan: a cluster scheduler that fills machines by expected usage, not by requests.
 //!
-//! [`rules`] holds every decision, [`interface`] the plain types it is asked and answers with.
+//! [`Scheduler`] makes every decision; [`interface`] has the plain types of its calls and answers.
+//! `policy` decides, `updates` records what is reported, and `state` is what they remember.
+
+#![warn(missing_docs)]
 
 pub mod interface;
-pub mod rules;
+mod policy;
 mod state;
+mod updates;
+
+use interface::{Allocation, AllocationId, Cluster, MachineId, Ticks};
+use rand::SeedableRng;
+use rand_pcg::Pcg64Mcg;
+use state::*;
+use std::collections::BTreeMap;
+
+/// The decisions of one dispatcher, and what they remember.
+pub struct Scheduler {
+    cluster: Cluster,
+    rng: Pcg64Mcg,
+    seed: u64,
+    machines: BTreeMap<MachineId, Machine>,
+    /// The machine of each of our allocations.
+    machine_of: BTreeMap<AllocationId, MachineId>,
+    service_placements: ServicePlacements,
+    /// Replicas of the service that is being placed, in the domains that its class spreads over.
+    replicas_by_domain: Vec<ReplicaCount>,
+    usage_history: UsageHistory,
+    learned: LearnedStatistics,
+    started_at: Ticks,
+    watch_retry_at: Option<Ticks>,
+    watch_failures: u32,
+    retry_schedule: RetrySchedule,
+    capacity_index: CapacityIndex,
+    /// A large allocation that fits nowhere, though its capacity may be there in pieces.
+    starved: Option<Allocation>,
+    /// The machine of the last reservation.
+    reserved_machine: Option<MachineId>,
+    next_sweep_at: Ticks,
+    summary: ClusterSummary,
+    /// Health checks that may be sent: their cost stays in step with what is placed.
+    health_check_budget: f64,
+}
+
+impl Scheduler {
+    /// A scheduler that has seen nothing yet. Its random draws depend on `seed` alone.
+    pub fn new(cluster: Cluster, seed: u64, now: Ticks) -> Self {
+        Scheduler {
+            watch_retry_at: cluster.list_poll_interval.map(|_| now),
+            cluster,
+            rng: Pcg64Mcg::seed_from_u64(seed),
+            seed: hash_id(seed),
+            machines: BTreeMap::new(),
+            machine_of: BTreeMap::new(),
+            service_placements: ServicePlacements::default(),
+            replicas_by_domain: Vec::new(),
+            usage_history: UsageHistory::default(),
+            learned: LearnedStatistics::default(),
+            started_at: now,
+            watch_failures: 0,
+            retry_schedule: RetrySchedule::default(),
+            capacity_index: CapacityIndex::default(),
+            starved: None,
+            reserved_machine: None,
+            next_sweep_at: now,
+            summary: ClusterSummary::default(),
+            health_check_budget: 0.0,
+        }
+    }
+}
--- /dev/null
+++ b/crates/scheduler/src/policy/infeasible.rs
@@ -0,0 +1,180 @@
+//! Which evaluations would find no machine. Nothing is decided here: an evaluation is left out only
+//! where the complete one would defer the allocation, which tests compare call by call.
+
+use super::overload::{Candidate, THETA, line, overload_limit};
+use super::*;
+
+/// What rounding may take off, as a part.
+const ROUNDING_ALLOWANCE: f64 = 1e-9;
+const NO_CAPACITY: Resources = Resources {
+    cores: f64::NEG_INFINITY,
+    memory: f64::NEG_INFINITY,
+};
+
+/// Usage of a machine as an allocation of one class finds it.
+struct UsageBounds {
+    expected: Resources,
+    least_draw: Resources,
+}
+
+impl Scheduler {
+    /// Until when no machine can take this one if nothing happens meanwhile; `now` where one may.
+    /// Only the machines whose bounds allow it are weighed; of a group that was infeasible before,
+    /// only those that have gained capacity since.
+    pub(super) fn infeasible_until(&mut self, now: Ticks, new: &Allocation) -> Ticks {
+        let reservation = self.reservation();
+        if reservation.is_some_and(|(_, one)| one.allocation == new.id) {
+            return now;
+        }
+        self.refresh_capacity(now);
+        let changes = self.capacity_index.changes();
+        self.retry_schedule.note_evaluation(changes);
+        let group = AllocationGroup::of(new);
+        let service_class = &self.cluster.service_classes[new.service_class.0];
+        let start = self.start_usage(true, service_class);
+        let start = start.min(self.start_usage(false, service_class));
+        let need = AvailableCapacity {
+            by_expected_usage: new.requested * self.learned.peak_usage.mean_or_one() + start,
+            by_least_draw: new.requested * self.usage_history.least_peak(new.service),
+            by_requests: new.requested,
+        };
+        let possible = self.capacity_index.possible_machines(now, group, need);
+        let mut until = possible.until;
+        let mut over_quota = None;
+        for id in possible.machines {
+            let at = self.feasible_from(now, id, new, &mut over_quota);
+            if at <= now {
+                return now;
+            }
+            until = until.min(at);
+        }
+        let index = &mut self.capacity_index;
+        index.record_infeasible(group, new.requested, until, MAX_SERVICES);
+        until
+    }
+
+    /// From when the machine might take it, weighed now, if nothing happens meanwhile.
+    fn feasible_from(
+        &self,
+        now: Ticks,
+        id: MachineId,
+        new: &Allocation,
+        over_quota: &mut Option<bool>,
+    ) -> Ticks {
+        let opens_at = self.opens_at(now, id, new);
+        let discounts = self.counted_part(new.service_class, None) < 1.0;
+        let weighed = self.weigh(now, id, new, discounts);
+        let Some(candidate) = weighed.filter(|_| opens_at <= now) else {
+            return opens_at;
+        };
+        let mut within_quota = || !*over_quota.get_or_insert_with(|| self.over_quota(new));
+        if candidate.bearable && within_quota() {
+            return now;
+        }
+        let candidate = Candidate {
+            bearable: false,
+            ..candidate
+        };
+        let under_theta = self.violation_risk(now, &candidate, new).with <= THETA;
+        now + Ticks::from(!under_theta)
+    }
+
+    /// Brings the bounds up to date: all of them with each new summary and when the means that they
+    /// rest on have changed.
+    fn refresh_capacity(&mut self, now: Ticks) {
+        let until = self.summary.computed_at.unwrap_or(now) + SUMMARY_INTERVAL;
+        let means = [self.learned.peak_usage, self.learned.current_usage];
+        if self.capacity_index.is_current(until, means) {
+            for id in self.capacity_index.changed_machines() {
+                let bounds = self.available_capacity(now, until, id);
+                self.capacity_index.update(id, bounds);
+            }
+        } else {
+            let ids = self.machines.keys();
+            let bounds = ids.map(|&id| (id, self.available_capacity(now, until, id)));
+            let bounds = bounds.collect();
+            self.capacity_index.rebuild(until, means, bounds);
+        }
+    }
+
+    /// The most that the machine has available until then, for each service class, unless something
+    /// happens to it. Usage by others lies between its values at both ends, and our allocations
+    /// that come of age meanwhile count as of age.
+    fn available_capacity(
+        &self,
+        now: Ticks,
+        until: Ticks,
+        id: MachineId,
+    ) -> Vec<AvailableCapacity> {
+        let none = AvailableCapacity {
+            by_expected_usage: NO_CAPACITY,
+            by_least_draw: NO_CAPACITY,
+            by_requests: NO_CAPACITY,
+        };
+        let machine = self.machines.get(&id).filter(|one| one.is_serving());
+        let known = machine.and_then(|one| Some((one, self.size(one)?, one.endpoint?)));
+        let Some((machine, size, endpoint)) = known else {
+            return vec![none; self.cluster.service_classes.len()];
+        };
+        let others = self
+            .usage_by_others(until, now, machine)
+            .min(self.usage_by_others(until, until, machine));
+        let requested = self.total_requested(until, machine, || others);
+        let by_requests = match self.cluster.list_reports_capacity {
+            true => size * self.cluster.admission_limit - requested + size * ROUNDING_ALLOWANCE,
+            false => Resources::ONE * f64::INFINITY,
+        };
+        let rounding = Resources::ONE * ROUNDING_ALLOWANCE;
+        let service_classes = self.cluster.service_classes.iter().enumerate();
+        let bounds = service_classes.map(|(index, service_class)| {
+            if service_class
+                .machine_type
+                .is_some_and(|machine_type| machine_type != endpoint.machine_type)
+            {
+                return none;
+            }
+            let usage = self.usage_bounds(machine, ServiceClassId(index), others);
+            AvailableCapacity {
+                by_expected_usage: size * (overload_limit(service_class) + rounding)
+                    - usage.expected,
+                by_least_draw: size * (line(service_class) + rounding) - usage.least_draw,
+                by_requests,
+            }
+        });
+        bounds.collect()
+    }
+
+    fn usage_bounds(
+        &self,
+        machine: &Machine,
+        service_class: ServiceClassId,
+        others: Resources,
+    ) -> UsageBounds {
+        let part = |of| self.counted_part(service_class, of);
+        let mut usage = UsageBounds {
+            expected: others * part(None),
+            least_draw: others * part(None),
+        };
+        for placed in machine.allocations.values() {
+            let least_drawn = || placed.requested * self.usage_history.least_peak(placed.service);
+            let drawn = placed
+                .current_usage
+                .map_or_else(least_drawn, |_| placed.peak_usage);
+            let part = part(Some(placed.service_class));
+            usage.expected = usage.expected + self.usage_of(placed) * part;
+            usage.least_draw = usage.least_draw + drawn * part;
+        }
+        usage
+    }
+
+    /// Whether a deferred allocation that found no machine in the last round might find one now.
+    pub(super) fn retry_worthwhile(&mut self, now: Ticks) -> bool {
+        let computed_at = self.summary.computed_at;
+        let old = computed_at.is_none_or(|at| at + SUMMARY_INTERVAL <= now);
+        if old || self.retry_schedule.may_open_at <= now {
+            return true;
+        }
+        self.refresh_capacity(now);
+        self.capacity_index.changes() != self.retry_schedule.changes
+    }
+}
--- /dev/null
+++ b/crates/scheduler/src/policy/overload.rs
@@ -0,0 +1,264 @@
+//! What is used and requested on a machine, and the probability that it is overloaded.
+
+use super::*;
+
+/// The paper's theta: the part of the draws that may cross the line.
+pub(super) const THETA: f64 = 0.01;
+/// The paper's number of draws.
+const DRAWS: usize = 100;
+/// The paper's f for memory: below the size, since machines slow down before they evict. For cores
+/// it is the class's target utilization.
+pub(super) const F_MEMORY: f64 = 0.9;
+/// Part of the memory filled when no machine is under theta: beyond it all slow down, then some are
+/// evicted.
+pub(super) const MAX_MEMORY_SHARE: f64 = 0.92;
+/// Part of the cores by which the target utilization may then be passed: a crowded machine serves
+/// worse, but serves.
+pub(super) const CORE_OVERLOAD_ALLOWANCE: f64 = 0.25;
+/// Part of the usage of lower priorities that counts where it is discounted.
+const LOWER_PRIORITY_PART: f64 = 0.5;
+/// In this time a load report loses half its weight against what is expected without it.
+const REPORT_HALF_LIFE: f64 = 4.0 * SECOND as f64;
+/// So many times its quota is well over it: requests are not spread evenly over the schedulers.
+const OVER_QUOTA_FACTOR: f64 = 1.3;
+/// The tier of candidates that are used last.
+pub(super) const HELD_BACK: u8 = 3;
+
+/// A machine weighed for one allocation.
+#[derive(Clone, Copy)]
+pub(super) struct Candidate {
+    pub machine: MachineId,
+    /// Whether the usage of lower priorities was discounted.
+    pub discounts: bool,
+    /// The paper's W Max: the larger share of cores and memory in use with the allocation.
+    pub w_max: f64,
+    /// Whether it can take the allocation by present usage, whatever the draws come to.
+    pub bearable: bool,
+    /// Usage by other schedulers' allocations.
+    pub others: Resources,
+    /// f times the size.
+    pub line: Resources,
+    /// The order in which machines are used: 0 first, [`HELD_BACK`] last.
+    pub tier: u8,
+}
+
+/// The part of the draws that cross the line, with and without the allocation.
+pub(super) struct Risk {
+    pub with: f64,
+    pub without: f64,
+}
+
+impl Scheduler {
+    /// What an allocation of ours uses now, as last reported or as usual.
+    pub(crate) fn usage_of(&self, placed: &PlacedAllocation) -> Resources {
+        placed
+            .current_usage
+            .unwrap_or(placed.requested * self.learned.peak_usage.mean_or_one())
+    }
+
+    /// Usage by the others' allocations: what was last reported and, as that ages, what the list or
+    /// the average leads us to expect. One of many schedulers seldom gets a report of a machine.
+    /// `aged`: the moment at which the ages of our own allocations are taken.
+    pub(super) fn usage_by_others(&self, aged: Ticks, now: Ticks, machine: &Machine) -> Resources {
+        let size = self.size(machine).unwrap_or_default();
+        let old = machine
+            .allocations
+            .values()
+            .filter(|placed| placed.sent_at + REPORT_DELAY <= aged);
+        let listed = machine
+            .listed_requested
+            .filter(|_| self.learned.current_usage.cores.mean_or(0.0) > 0.0);
+        let expected = listed.map_or(self.summary.average_usage * size, |requested| {
+            let others = requested - old.map(|placed| placed.requested).sum();
+            others.max(Resources::default()) * self.learned.current_usage.mean_or_one()
+        });
+        machine.reported_usage.map_or(expected, |report| {
+            expected + (report.usage - expected) * report_weight(now - report.at)
+        })
+    }
+
+    /// What all allocations on the machine use.
+    pub(super) fn total_usage(&self, now: Ticks, machine: &Machine) -> Resources {
+        let own = machine.allocations.values();
+        self.usage_by_others(now, now, machine) + own.map(|placed| self.usage_of(placed)).sum()
+    }
+
+    /// What all schedulers' allocations on a machine request. The list is late: what was dispatched
+    /// since comes on top. Without it the others' requests are estimated from their usage.
+    pub(super) fn total_requested(
+        &self,
+        now: Ticks,
+        machine: &Machine,
+        others: impl Fn() -> Resources,
+    ) -> Resources {
+        let listed = machine.listed_requested;
+        let since = listed.map_or(0, |_| now.saturating_sub(REPORT_DELAY));
+        let own = machine
+            .allocations
+            .values()
+            .filter(|placed| placed.sent_at >= since)
+            .map(|placed| placed.requested);
+        let estimated = || others() / self.learned.current_usage.mean_or_one();
+        listed.unwrap_or_else(estimated) + own.sum()
+    }
+
+    /// The part of a class's usage, or of unknown usage by others, that counts for an allocation of
+    /// another class: a machine takes from lower priorities what it is short of, if only in use.
+    /// Where it evicts them they count in full, since they would come again.
+    pub(super) fn counted_part(&self, new: ServiceClassId, of: Option<ServiceClassId>) -> f64 {
+        let service_classes = &self.cluster.service_classes;
+        let priority = |service_class: ServiceClassId| service_classes[service_class.0].priority;
+        let lowest = || {
+            service_classes
+                .iter()
+                .map(|service_class| service_class.priority)
+                .min()
+                .unwrap_or(0)
+        };
+        let lower = !self.cluster.preempts && of.map_or_else(lowest, priority) < priority(new);
+        if lower { LOWER_PRIORITY_PART } else { 1.0 }
+    }
+
+    /// Whether the tenant holds well over its quota of cores, if it holds as much at each other
+    /// scheduler. A standard error is taken off: one of many holds a few allocations by chance.
+    pub(super) fn over_quota(&self, allocation: &Allocation) -> bool {
+        let tenant = self.cluster.tenants.get(allocation.tenant.0);
+        let quota = tenant.and_then(|tenant| tenant.quota_cores);
+        let machines = self.machines.values();
+        let own = machines
+            .flat_map(|machine| machine.allocations.values())
+            .filter(|placed| placed.tenant == allocation.tenant)
+            .map(|placed| placed.requested.cores);
+        let held = allocation.requested.cores + own.sum::<f64>();
+        let certain = held - (held * self.learned.requested_cores.mean_or(0.0)).sqrt();
+        let total = certain * self.cluster.scheduler_count as f64;
+        quota.is_some_and(|quota| total > quota * OVER_QUOTA_FACTOR)
+    }
+
+    /// Cores that a start takes to be done in the class's time. It takes far longer where the
+    /// program must be loaded.
+    pub(super) fn start_usage(&self, cached: bool, service_class: &ServiceClass) -> Resources {
+        let times = &self.learned.start_time;
+        let time = times[usize::from(cached)].mean_or(times[1].mean_or(0.0));
+        Resources {
+            cores: time / service_class.latency_objective.max(1) as f64,
+            memory: 0.0,
+        }
+    }
+
+    /// The machine with the allocation on it, starting, before any draw; none if it is filtered out.
+    pub(super) fn weigh(
+        &self,
+        now: Ticks,
+        id: MachineId,
+        new: &Allocation,
+        discounts: bool,
+    ) -> Option<Candidate> {
+        let part = |of| match discounts {
+            true => self.counted_part(new.service_class, of),
+            false => 1.0,
+        };
+        let machine = &self.machines[&id];
+        let size = self
+            .size(machine)
+            .filter(|_| self.opens_at(now, id, new) <= now)?;
+        let service_class = &self.cluster.service_classes[new.service_class.0];
+        let others = self.usage_by_others(now, now, machine) * part(None);
+        let own = machine.allocations.values().map(|placed| {
+            let class = &self.cluster.service_classes[placed.service_class.0];
+            let start = self.start_usage(placed.program_was_cached, class);
+            self.usage_of(placed) * part(Some(placed.service_class))
+                + start * f64::from(u8::from(!placed.running))
+        });
+        let load = others
+            + own.sum()
+            + new.requested * self.learned.peak_usage.mean_or_one()
+            + self.start_usage(machine.has_program(new.service), service_class);
+        let own_hall = machine
+            .endpoint
+            .is_some_and(|endpoint| endpoint.zone == self.cluster.zone);
+        let open = self.summary.open_machines.contains(&id);
+        Some(Candidate {
+            machine: id,
+            discounts,
+            others,
+            line: size * line(service_class),
+            w_max: load.fraction_of(size),
+            bearable: load.fits_in(size * overload_limit(service_class)),
+            tier: match open && self.accepts(now, machine, size, new.requested) {
+                true => 1 + u8::from(!own_hall && self.cluster.cross_zone_cost > 0.0),
+                false => HELD_BACK,
+            },
+        })
+    }
+
+    /// Draws a peak for the new allocation and for each of ours from the records that match it.
+    pub(super) fn violation_risk(
+        &self,
+        now: Ticks,
+        candidate: &Candidate,
+        new: &Allocation,
+    ) -> Risk {
+        let history = &self.usage_history;
+        let placed = self.machines[&candidate.machine].allocations.values();
+        let pools = placed.map(|placed| {
+            let peak = placed.peak_usage / placed.requested;
+            // Where no record reaches what it uses: its own peak, or its request while nothing is
+            // known.
+            let fallback = placed.current_usage.map_or(Resources::ONE, |_| peak);
+            let part = match candidate.discounts {
+                true => self.counted_part(new.service_class, Some(placed.service_class)),
+                false => 1.0,
+            };
+            let age = now - placed.sent_at;
+            let peaks = history.matching_peaks(placed.service, age, peak, fallback);
+            (peaks, placed.requested * part)
+        });
+        let pools: Vec<(Vec<Resources>, Resources)> = pools.collect();
+        let pool = history.matching_peaks(new.service, 0, Resources::default(), Resources::ONE);
+        // A generator for each machine, service and moment: an evaluation that is left out moves no
+        // later draw, and alike allocations draw alike.
+        let machine = u64::from(candidate.machine.0);
+        let seed = hash_id(new.service.0 ^ hash_id(now ^ hash_id(machine ^ self.seed)));
+        let mut rng = Pcg64Mcg::seed_from_u64(seed);
+        let (mut with, mut without) = (0, 0);
+        for _ in 0..DRAWS {
+            let mut sum = candidate.others;
+            for (pool, requested) in &pools {
+                sum = sum + *requested * pool[rng.random_range(0..pool.len())];
+            }
+            without += usize::from(!sum.fits_in(candidate.line));
+            sum = sum + new.requested * pool[rng.random_range(0..pool.len())];
+            with += usize::from(!sum.fits_in(candidate.line));
+            // Out of the question; how far over theta matters only for one that is bearable.
+            if !candidate.bearable && with as f64 > THETA * DRAWS as f64 {
+                break;
+            }
+        }
+        Risk {
+            with: with as f64 / DRAWS as f64,
+            without: without as f64 / DRAWS as f64,
+        }
+    }
+}
+
+/// The paper's f, for each resource.
+pub(super) fn line(service_class: &ServiceClass) -> Resources {
+    Resources {
+        cores: service_class.target_utilization,
+        memory: F_MEMORY,
+    }
+}
+
+/// The share of a machine that may be in use where none is under theta.
+pub(super) fn overload_limit(service_class: &ServiceClass) -> Resources {
+    Resources {
+        cores: service_class.target_utilization + CORE_OVERLOAD_ALLOWANCE,
+        memory: MAX_MEMORY_SHARE,
+    }
+}
+
+/// What is left of a load report's weight at this age.
+pub(super) fn report_weight(age: Ticks) -> f64 {
+    (-(age as f64) / REPORT_HALF_LIFE).exp2()
+}
--- a/crates/scheduler/src/state/capacity_index.rs
+++ b/crates/scheduler/src/state/capacity_index.rs
@@ -1,172 +1,216 @@
-//! What each machine has left at the most, and what was asked for in vain.
+//! An upper bound of each machine's available capacity, and which requests were infeasible.
 
-use super::statistics::Means;
+use super::statistics::ResourceMeans;
 use crate::interface::*;
 use std::collections::{BTreeMap, VecDeque};
 
-/// What a machine has room for, or an allocation needs: by what is likely in use, by the least that
-/// may be drawn, and by what is asked.
+/// What a machine has available, or an allocation needs. It fits by either of the first two, and by
+/// the third.
 #[derive(Clone, Copy)]
-pub struct Room {
-    pub bears: Resources,
-    pub line: Resources,
-    pub asked: Resources,
+pub struct AvailableCapacity {
+    /// By the expected usage.
+    pub by_expected_usage: Resources,
+    /// By the least that draws may come to.
+    pub by_least_draw: Resources,
+    /// By what is requested.
+    pub by_requests: Resources,
 }
 
-impl Room {
-    fn within(&self, room: &Room) -> bool {
-        let uses = self.bears.fits_in(room.bears) || self.line.fits_in(room.line);
-        uses && self.asked.fits_in(room.asked)
+impl AvailableCapacity {
+    fn fits(&self, available: &AvailableCapacity) -> bool {
+        let usage_fits = self.by_expected_usage.fits_in(available.by_expected_usage)
+            || self.by_least_draw.fits_in(available.by_least_draw);
+        usage_fits && self.by_requests.fits_in(available.by_requests)
     }
 
-    fn gains(&self, former: &Room) -> bool {
-        let of = |room: &Room| [room.bears, room.line, room.asked];
-        std::iter::zip(of(self), of(former)).any(|(now, former)| !now.fits_in(former))
+    fn exceeds_any(&self, former: &AvailableCapacity) -> bool {
+        !self.by_expected_usage.fits_in(former.by_expected_usage)
+            || !self.by_least_draw.fits_in(former.by_least_draw)
+            || !self.by_requests.fits_in(former.by_requests)
     }
 }
 
-/// Likes: what one of them finds no machine for, another that asks for no less finds none for
-/// either.
+/// Allocations that are alike: where one of them is infeasible, so is another that requests as much
+/// or more.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Kind {
+pub struct AllocationGroup {
+    /// The service of all of them.
     pub service: ServiceId,
-    track: ServiceClassId,
-    account: TenantId,
+    service_class: ServiceClassId,
+    tenant: TenantId,
 }
 
-impl Kind {
+impl AllocationGroup {
+    /// The group of this allocation.
     pub fn of(allocation: &Allocation) -> Self {
-        Kind {
+        AllocationGroup {
             service: allocation.service,
-            track: allocation.service_class,
-            account: allocation.tenant,
+            service_class: allocation.service_class,
+            tenant: allocation.tenant,
         }
     }
 }
 
-/// So much was asked for in vain, and will be until then but for machines that gain after so many
-/// changes.
-struct Vain {
-    asks: Resources,
+/// No machine takes a request of at least this size until then, but for those that have gained
+/// capacity after so many changes.
+struct Infeasible {
+    requested: Resources,
     until: Ticks,
     changes: u64,
 }
 
-/// The room that each machine has at the most until a moment, and what was asked for in vain.
+/// The machines that may take an allocation, and until when no other does.
+pub struct PossibleMachines {
+    /// Until when it is infeasible elsewhere.
+    pub until: Ticks,
+    /// The machines to be evaluated.
+    pub machines: Vec<MachineId>,
+}
+
+/// An upper bound of each machine's available capacity until a moment, and infeasible requests.
 #[derive(Default)]
-pub struct Rooms {
+pub struct CapacityIndex {
     until: Ticks,
-    learnt: [Means; 2],
+    /// The means that the bounds rest on.
+    means: [ResourceMeans; 2],
     ids: Vec<MachineId>,
-    /// Of each machine, one for each track.
-    rooms: Vec<Room>,
-    /// Machines that something happened to, and whether they may have gained what rooms don't
-    /// tell.
-    touched: BTreeMap<MachineId, bool>,
+    /// For each machine in the order of `ids`, one bound for each service class.
+    bounds: Vec<AvailableCapacity>,
+    /// Machines to be bounded anew, and whether they may have gained what bounds don't show.
+    changed: BTreeMap<MachineId, bool>,
     /// The machines that gained, the last ones of so many changes.
     gained: VecDeque<MachineId>,
     changes: u64,
-    vain: BTreeMap<Kind, Vain>,
+    infeasible: BTreeMap<AllocationGroup, Infeasible>,
 }
 
-impl Rooms {
-    /// Nothing of it holds any more.
-    pub fn void(&mut self) {
-        *self = Rooms {
+impl CapacityIndex {
+    /// Nothing in it is true any more.
+    pub fn invalidate(&mut self) {
+        *self = CapacityIndex {
             changes: self.changes + 1,
-            ..Rooms::default()
+            ..CapacityIndex::default()
         };
     }
 
-    pub fn build(&mut self, until: Ticks, learnt: [Means; 2], all: Vec<(MachineId, Vec<Room>)>) {
-        self.void();
-        (self.until, self.learnt) = (until, learnt);
-        self.ids = all.iter().map(|(id, _)| *id).collect();
-        self.rooms = all.into_iter().flat_map(|(_, rooms)| rooms).collect();
+    /// Replaces all bounds. `machines` is in the order of ids.
+    pub fn rebuild(
+        &mut self,
+        until: Ticks,
+        means: [ResourceMeans; 2],
+        machines: Vec<(MachineId, Vec<AvailableCapacity>)>,
+    ) {
+        self.invalidate();
+        (self.until, self.means) = (until, means);
+        self.ids = machines.iter().map(|(id, _)| *id).collect();
+        self.bounds = machines.into_iter().flat_map(|(_, all)| all).collect();
     }
 
-    pub fn stand(&self, until: Ticks, learnt: [Means; 2]) -> bool {
-        (self.until, self.learnt) == (until, learnt)
+    /// Whether the bounds were made for this moment and these means.
+    pub fn is_current(&self, until: Ticks, means: [ResourceMeans; 2]) -> bool {
+        (self.until, self.means) == (until, means)
     }
 
+    /// How often capacity was gained, or may have been.
     pub fn changes(&self) -> u64 {
         self.changes
     }
 
-    pub fn touch(&mut self, id: MachineId, gains: bool) {
+    /// Something happened to the machine. `gains`: it may take what it would not before, whatever
+    /// its bounds are.
+    pub fn mark_changed(&mut self, id: MachineId, gains: bool) {
         match self.ids.binary_search(&id) {
-            Ok(_) => *self.touched.entry(id).or_default() |= gains,
-            Err(_) => self.void(),
+            Ok(_) => *self.changed.entry(id).or_default() |= gains,
+            Err(_) => self.invalidate(),
         }
     }
 
-    pub fn touched(&self) -> Vec<MachineId> {
-        self.touched.keys().copied().collect()
+    /// The machines marked as changed.
+    pub fn changed_machines(&self) -> Vec<MachineId> {
+        self.changed.keys().copied().collect()
     }
 
-    pub fn renew(&mut self, id: MachineId, rooms: Vec<Room>) {
-        let gains = self.touched.remove(&id).unwrap_or(true);
+    /// Replaces the bounds of a machine.
+    pub fn update(&mut self, id: MachineId, bounds: Vec<AvailableCapacity>) {
+        let gains = self.changed.remove(&id).unwrap_or(true);
         let Ok(at) = self.ids.binary_search(&id) else {
-            return self.void();
+            return self.invalidate();
         };
-        let former = &mut self.rooms[at * rooms.len()..][..rooms.len()];
-        if gains || std::iter::zip(&rooms, &*former).any(|(now, former)| now.gains(former)) {
+        let former = &mut self.bounds[at * bounds.len()..][..bounds.len()];
+        let mut pairs = std::iter::zip(&bounds, &*former);
+        if gains || pairs.any(|(bound, former)| bound.exceeds_any(former)) {
             self.changes += 1;
             self.gained.push_back(id);
             if self.gained.len() > self.ids.len() {
                 self.gained.pop_front();
             }
         }
-        former.copy_from_slice(&rooms);
+        former.copy_from_slice(&bounds);
     }
 
-    /// Such kinds may find a machine though none has gained room.
-    pub fn again(&mut self, which: impl Fn(&Kind) -> bool) {
-        self.vain.retain(|kind, _| !which(kind));
+    /// Such groups may be feasible though no machine has gained capacity.
+    pub fn reconsider(&mut self, which: impl Fn(&AllocationGroup) -> bool) {
+        self.infeasible.retain(|group, _| !which(group));
         self.changes += 1;
     }
 
-    /// The machines that one of this kind with this need is to be weighed for, and until when it is
-    /// in vain but for them.
-    pub fn passing(&self, now: Ticks, kind: Kind, need: Room) -> (Ticks, Vec<MachineId>) {
-        let tracks = self.rooms.len() / self.ids.len().max(1);
-        let passes = |at: usize| need.within(&self.rooms[at * tracks + kind.track.0]);
-        let known = self
-            .vain
-            .get(&kind)
-            .filter(|vain| vain.asks.fits_in(need.asked) && vain.until > now);
-        let since = known.map(|vain| (vain.until, (self.changes - vain.changes) as usize));
-        match since.filter(|(_, since)| *since <= self.gained.len()) {
-            Some((until, since)) => {
-                let gained = self.gained.iter().rev().take(since);
-                let at = |id: &&MachineId| self.ids.binary_search(id).is_ok_and(passes);
-                (until, gained.filter(at).copied().collect())
+    /// The machines that may take one of this group with this need.
+    pub fn possible_machines(
+        &self,
+        now: Ticks,
+        group: AllocationGroup,
+        need: AvailableCapacity,
+    ) -> PossibleMachines {
+        let classes = self.bounds.len() / self.ids.len().max(1);
+        let fits = |at: usize| need.fits(&self.bounds[at * classes + group.service_class.0]);
+        let known = self.infeasible.get(&group).filter(|infeasible| {
+            infeasible.requested.fits_in(need.by_requests) && infeasible.until > now
+        });
+        let since = known.map(|infeasible| {
+            let changes = self.changes - infeasible.changes;
+            (infeasible.until, changes as usize)
+        });
+        match since.filter(|(_, changes)| *changes <= self.gained.len()) {
+            Some((until, changes)) => {
+                let gained = self.gained.iter().rev().take(changes);
+                let fits = |id: &&MachineId| self.ids.binary_search(id).is_ok_and(fits);
+                let machines = gained.filter(fits).copied().collect();
+                PossibleMachines { until, machines }
             }
             None => {
-                let all = (0..self.ids.len()).filter(|&at| passes(at));
-                (self.until, all.map(|at| self.ids[at]).collect())
+                let fitting = (0..self.ids.len()).filter(|&at| fits(at));
+                PossibleMachines {
+                    until: self.until,
+                    machines: fitting.map(|at| self.ids[at]).collect(),
+                }
             }
         }
     }
 
-    /// In vain until then, as of the changes so far. Of so many kinds at the most.
-    pub fn keep(&mut self, kind: Kind, asks: Resources, until: Ticks, most: usize) {
+    /// The group is infeasible until then, as of the changes so far. Past `max_groups` all known
+    /// groups are forgotten.
+    pub fn record_infeasible(
+        &mut self,
+        group: AllocationGroup,
+        requested: Resources,
+        until: Ticks,
+        max_groups: usize,
+    ) {
         let changes = self.changes;
-        let same =
-            |vain: &Vain| vain.changes == changes && vain.until == until && vain.asks.fits_in(asks);
-        if self.vain.get(&kind).is_some_and(same) {
+        let known = self.infeasible.get(&group).is_some_and(|known| {
+            known.changes == changes && known.until == until && known.requested.fits_in(requested)
+        });
+        if known {
             return;
         }
-        if self.vain.len() >= most {
-            self.vain.clear();
+        if self.infeasible.len() >= max_groups {
+            self.infeasible.clear();
         }
-        self.vain.insert(
-            kind,
-            Vain {
-                asks,
-                until,
-                changes,
-            },
-        );
+        let infeasible = Infeasible {
+            requested,
+            until,
+            changes,
+        };
+        self.infeasible.insert(group, infeasible);
     }
 }
--- a/crates/scheduler/src/state/machine.rs
+++ b/crates/scheduler/src/state/machine.rs
@@ -1,141 +1,201 @@
-//! Machines and what we have placed on them.
+//! Machines, and our allocations on them.
 
 use super::NEVER;
 use crate::interface::*;
 use std::collections::{BTreeMap, VecDeque};
 
-/// An allocation of ours on a machine, from the shot on until the machine has answered for it.
-pub struct Guest {
+/// An allocation of ours on a machine, from its dispatch until the machine has reported its end.
+pub struct PlacedAllocation {
+    /// The service that it belongs to.
     pub service: ServiceId,
-    pub track: ServiceClassId,
-    pub account: TenantId,
-    pub asks: Resources,
-    pub sent: Ticks,
+    /// Its service class.
+    pub service_class: ServiceClassId,
+    /// The tenant who requested it.
+    pub tenant: TenantId,
+    /// What was requested.
+    pub requested: Resources,
+    /// When it was dispatched.
+    pub sent_at: Ticks,
+    /// The machine has accepted it.
     pub placed: bool,
-    pub runs: bool,
-    /// Whether the machine was thought to hold the program when it was sent.
-    pub had_program: bool,
+    /// It runs.
+    pub running: bool,
+    /// Whether the machine was expected to have the program cached when it was dispatched.
+    pub program_was_cached: bool,
+    /// It was told to move.
     pub moved: bool,
-    pub present: Option<Resources>,
-    pub highest: Resources,
-    /// Noted uses of cores, for the percentile.
-    pub cores: Vec<f64>,
+    /// What it uses, once a metric has told it.
+    pub current_usage: Option<Resources>,
+    /// The most that it has used so far.
+    pub peak_usage: Resources,
+    /// Reported uses of cores, for the percentile.
+    pub core_samples: Vec<f64>,
 }
 
-impl Guest {
-    pub fn new(allocation: &Allocation, sent: Ticks, had_program: bool) -> Self {
-        Guest {
+impl PlacedAllocation {
+    /// An allocation just dispatched.
+    pub fn new(allocation: &Allocation, sent_at: Ticks, program_was_cached: bool) -> Self {
+        PlacedAllocation {
             service: allocation.service,
-            track: allocation.service_class,
-            account: allocation.tenant,
-            asks: allocation.requested,
-            sent,
+            service_class: allocation.service_class,
+            tenant: allocation.tenant,
+            requested: allocation.requested,
+            sent_at,
             placed: false,
-            runs: false,
-            had_program,
+            running: false,
+            program_was_cached,
             moved: false,
-            present: None,
-            highest: Resources::default(),
-            cores: Vec::new(),
+            current_usage: None,
+            peak_usage: Resources::default(),
+            core_samples: Vec::new(),
         }
     }
-}
 
-impl Guest {
-    /// Notes its use now; what is not told yet is taken to be as usual by asked unit.
-    pub fn noted(&mut self, note: Metric, usual: Resources) {
-        let present = self.present.unwrap_or(self.asks * usual);
+    /// Records what it uses now. A resource not reported yet is taken to be used as `usual`, a
+    /// share of what was requested.
+    pub fn record_metric(&mut self, note: Metric, usual: Resources) {
+        let current = self.current_usage.unwrap_or(self.requested * usual);
         match note {
             Metric::Cores(cores) => {
-                self.present = Some(Resources { cores, ..present });
-                self.highest.cores = self.highest.cores.max(cores);
-                self.cores.push(cores);
+                self.current_usage = Some(Resources { cores, ..current });
+                self.peak_usage.cores = self.peak_usage.cores.max(cores);
+                self.core_samples.push(cores);
             }
             Metric::Memory(memory) => {
-                self.present = Some(Resources { memory, ..present });
-                self.highest.memory = self.highest.memory.max(memory);
+                self.current_usage = Some(Resources { memory, ..current });
+                self.peak_usage.memory = self.peak_usage.memory.max(memory);
             }
             _ => {}
         }
     }
 }
 
+/// Usage by other schedulers' allocations, as last reported.
+#[derive(Clone, Copy)]
+pub struct ReportedUsage {
+    /// When it was reported.
+    pub at: Ticks,
+    /// Usage without that of our own allocations.
+    pub usage: Resources,
+}
+
+/// A machine refused an allocation: one that requests as much or more is not offered until then.
+#[derive(Clone, Copy)]
+pub struct Refusal {
+    /// The end of the refusal.
+    pub until: Ticks,
+    /// The least request that it covers.
+    pub requested: Resources,
+}
+
+/// Capacity kept free for one allocation.
+#[derive(Clone, Copy)]
+pub struct Reservation {
+    /// The end of the reservation.
+    pub until: Ticks,
+    /// The allocation that it is kept for.
+    pub allocation: AllocationId,
+}
+
+/// What is known of a machine.
 #[derive(Default)]
 pub struct Machine {
-    pub entry: Option<Endpoint>,
-    /// Use by others: what was reported, less our own part of it.
-    pub base: Option<(Ticks, Resources)>,
-    /// What the list tells that all have asked for there.
-    pub listed: Option<Resources>,
-    pub guests: BTreeMap<AllocationId, Guest>,
-    /// Programs kept after our last allocation of the service there.
-    pub kept: VecDeque<ServiceId>,
-    /// Our offers within the last cold window.
-    pub offers: VecDeque<Ticks>,
-    /// Shots in a row that it left without an answer, and until when it is left alone for that.
-    pub silent: u32,
-    pub shunned: Ticks,
-    /// The last allocation that it answered with an error.
-    pub doubted: Option<AllocationId>,
-    /// Until when an ask of at least this much is not offered again, after a refusal.
-    pub full: Option<(Ticks, Resources)>,
-    /// Kept free until then for an allocation that fits nowhere.
-    pub promised: Option<(Ticks, AllocationId)>,
-    pub probed: Ticks,
-    /// The last sign of life, or when we first had something there.
-    pub heard: Ticks,
+    /// Its line of the endpoint list; none while only an outcome or a metric has named it.
+    pub endpoint: Option<Endpoint>,
+    /// Usage by other schedulers' allocations, as last reported.
+    pub reported_usage: Option<ReportedUsage>,
+    /// What all schedulers' allocations request there, by the endpoint list.
+    pub listed_requested: Option<Resources>,
+    /// Our allocations there.
+    pub allocations: BTreeMap<AllocationId, PlacedAllocation>,
+    /// Services whose program it should still have cached, the last one last.
+    pub cached_programs: VecDeque<ServiceId>,
+    /// When we dispatched to it within the last slow-start window.
+    pub recent_dispatches: VecDeque<Ticks>,
+    /// Attempts in a row that it left unanswered.
+    pub consecutive_timeouts: u32,
+    /// Nothing is dispatched to it before.
+    pub ejected_until: Ticks,
+    /// The last allocation that it answered with an error, until it is known whose fault that was.
+    pub unconfirmed_error: Option<AllocationId>,
+    /// Its last refusal.
+    pub refusal: Option<Refusal>,
+    /// Capacity kept for an allocation that fits nowhere.
+    pub reservation: Option<Reservation>,
+    /// When its last health check was sent.
+    pub last_health_check: Ticks,
+    /// When it last answered, or when we first had an allocation there.
+    pub last_heard_at: Ticks,
 }
 
 impl Machine {
-    pub fn serving(&self) -> bool {
-        self.entry
-            .is_some_and(|entry| entry.state == MachineState::Serving)
+    /// Whether the list says that it takes allocations.
+    pub fn is_serving(&self) -> bool {
+        self.endpoint
+            .is_some_and(|endpoint| endpoint.state == MachineState::Serving)
+    }
+
+    /// Whether the list says that it is draining.
+    pub fn is_draining(&self) -> bool {
+        self.endpoint
+            .is_some_and(|endpoint| endpoint.state == MachineState::Draining)
     }
 
-    /// Left out of a whole list.
-    pub fn leave_list(&mut self) {
-        if let Some(entry) = self.entry.as_mut() {
-            entry.state = MachineState::Removed;
+    /// It was left out of a complete list.
+    pub fn mark_gone(&mut self) {
+        if let Some(endpoint) = self.endpoint.as_mut() {
+            endpoint.state = MachineState::Removed;
         }
     }
 
-    /// Another process under the same id: of what was learnt only our own shots still count.
-    pub fn restart(&mut self) {
-        let Machine { guests, offers, .. } = std::mem::take(self);
+    /// Another process runs under the same id: only our own allocations and dispatches still count.
+    pub fn reset_after_restart(&mut self) {
+        let former = std::mem::take(self);
         *self = Machine {
-            guests,
-            offers,
+            allocations: former.allocations,
+            recent_dispatches: former.recent_dispatches,
             ..Machine::default()
         };
     }
 
-    /// From when on fewer than `part` of our offers are so recent, if none is added. 0: they are.
-    pub fn offers_below(&self, part: usize, now: Ticks, recent: Ticks) -> Ticks {
-        let offers = self.offers.iter().filter(|&&at| at + recent >= now);
-        let over = (offers.clone().count() + 1).saturating_sub(part);
-        match over {
+    /// From when on fewer than `quota` of our dispatches lie within `window`, if none is added; 0
+    /// if that is so already.
+    pub fn dispatches_below(&self, quota: usize, now: Ticks, window: Ticks) -> Ticks {
+        let recent = self
+            .recent_dispatches
+            .iter()
+            .filter(|&&at| at + window >= now);
+        let excess = (recent.clone().count() + 1).saturating_sub(quota);
+        match excess {
             0 => 0,
-            _ if part == 0 => NEVER,
-            _ => offers.take(over).max().map_or(NEVER, |at| at + recent + 1),
+            _ if quota == 0 => NEVER,
+            _ => recent
+                .take(excess)
+                .max()
+                .map_or(NEVER, |at| at + window + 1),
         }
     }
 
-    /// Counts one more fault in a row, and leaves the machine alone for `rest`, doubled with each.
-    pub fn fault(&mut self, now: Ticks, rest: Ticks) {
-        self.shunned = now + (rest << self.silent.min(4));
-        self.silent += 1;
+    /// Counts one more fault in a row and ejects the machine for `time`, doubled with each up to
+    /// `max_doublings`.
+    pub fn record_fault(&mut self, now: Ticks, time: Ticks, max_doublings: u32) {
+        let doublings = self.consecutive_timeouts.min(max_doublings);
+        self.ejected_until = now + (time << doublings);
+        self.consecutive_timeouts += 1;
     }
 
-    /// Notes a program as the last one kept, of so many at the most.
-    pub fn keep(&mut self, service: ServiceId, most: usize) {
-        self.kept.retain(|&other| other != service);
-        self.kept.push_back(service);
-        if self.kept.len() > most {
-            self.kept.pop_front();
+    /// The service's program is the one cached last, of `max_programs` at most.
+    pub fn cache_program(&mut self, service: ServiceId, max_programs: usize) {
+        self.cached_programs.retain(|&other| other != service);
+        self.cached_programs.push_back(service);
+        if self.cached_programs.len() > max_programs {
+            self.cached_programs.pop_front();
         }
     }
 
+    /// Whether it should have the service's program, in use or cached.
     pub fn has_program(&self, service: ServiceId) -> bool {
-        self.kept.contains(&service) || self.guests.values().any(|guest| guest.service == service)
+        let in_use = |placed: &PlacedAllocation| placed.service == service;
+        self.cached_programs.contains(&service) || self.allocations.values().any(in_use)
     }
 }
--- a/crates/scheduler/src/state/retry_schedule.rs
+++ b/crates/scheduler/src/state/retry_schedule.rs
@@ -1,91 +1,97 @@
-//! When those that were answered "not yet" are to be looked at again.
+//! When deferred allocations are worth another evaluation.
 
 use super::NEVER;
 use crate::interface::Ticks;
 use std::collections::BTreeSet;
 
-/// When those that were answered "not yet" are to be looked at again.
-pub struct Waits {
-    /// The next moment for it, if anything has changed by then or `open_at` has come.
-    pub ask_at: Option<Ticks>,
-    /// From here on one might find a machine though nothing happens.
-    pub open_at: Ticks,
-    /// Last moments to answer, of those that come before all are looked at again.
-    ends: BTreeSet<Ticks>,
-    /// The changes that the last round of looks began with, and whether its first look is still to
-    /// come: that takes the view anew, which is no change after it.
+/// When deferred allocations are to be evaluated again.
+pub struct RetrySchedule {
+    /// The next round, if anything has changed by then or `may_open_at` has come.
+    pub next_round_at: Option<Ticks>,
+    /// From here on a machine might take one of them though nothing happens.
+    pub may_open_at: Ticks,
+    /// Last moments to answer, of those that come before the next summary.
+    deadlines: BTreeSet<Ticks>,
+    /// The changes of the capacity index when the last round began.
     pub changes: u64,
-    begins: bool,
-    last: Option<Ticks>,
-    /// Only to compare with: each ask is a whole look.
-    pub looks_always: bool,
+    /// The first evaluation of the round is still to come: it computes the summary anew, which
+    /// is no change after the round began.
+    awaits_first_evaluation: bool,
+    last_deferred_at: Option<Ticks>,
+    /// Nothing is left out. Only for tests to compare with.
+    pub exhaustive: bool,
 }
 
-impl Default for Waits {
+impl Default for RetrySchedule {
     fn default() -> Self {
-        let ends = BTreeSet::new();
-        Waits {
-            ask_at: None,
-            open_at: NEVER,
-            ends,
+        RetrySchedule {
+            next_round_at: None,
+            may_open_at: NEVER,
+            deadlines: BTreeSet::new(),
             changes: 0,
-            begins: false,
-            last: None,
-            looks_always: false,
+            awaits_first_evaluation: false,
+            last_deferred_at: None,
+            exhaustive: false,
         }
     }
 }
 
-impl Waits {
-    /// Whether one was answered "not yet" after that moment, and looks may be left out.
-    pub fn since(&self, moment: Ticks) -> bool {
-        !self.looks_always && self.last.is_some_and(|at| at >= moment)
+impl RetrySchedule {
+    /// Whether one was deferred at that moment or later, and evaluations may be left out.
+    pub fn deferred_since(&self, moment: Ticks) -> bool {
+        !self.exhaustive && self.last_deferred_at.is_some_and(|at| at >= moment)
     }
 
-    pub fn not_yet(&mut self, now: Ticks, ask_at: Ticks, open_at: Ticks, end: Option<Ticks>) {
-        self.last = Some(now);
-        self.ask_at = Some(self.ask_at.map_or(ask_at, |other| other.min(ask_at)));
-        self.open_at = self.open_at.min(open_at);
-        self.ends.extend(end);
+    /// One was deferred. It may be placed from `may_open_at` on, and must be answered by `deadline`
+    /// if that comes soon.
+    pub fn defer(
+        &mut self,
+        now: Ticks,
+        round_at: Ticks,
+        may_open_at: Ticks,
+        deadline: Option<Ticks>,
+    ) {
+        self.last_deferred_at = Some(now);
+        let earlier = |other: Ticks| other.min(round_at);
+        self.next_round_at = Some(self.next_round_at.map_or(round_at, earlier));
+        self.may_open_at = self.may_open_at.min(may_open_at);
+        self.deadlines.extend(deadline);
     }
 
-    pub fn next(&self) -> Option<Ticks> {
-        [self.ask_at, self.ends.first().copied()]
-            .into_iter()
-            .flatten()
-            .min()
+    /// When it is next to be asked, by a round or a deadline.
+    pub fn next_at(&self) -> Option<Ticks> {
+        let deadline = self.deadlines.first().copied();
+        [self.next_round_at, deadline].into_iter().flatten().min()
     }
 
-    pub fn due(&self, now: Ticks) -> bool {
-        self.next().is_some_and(|at| at <= now)
+    /// Whether a round or a deadline has come.
+    pub fn is_due(&self, now: Ticks) -> bool {
+        self.next_at().is_some_and(|at| at <= now)
     }
 
-    /// All are looked at again.
-    pub fn round(&mut self, changes: u64) {
-        let Waits {
-            last, looks_always, ..
-        } = *self;
-        *self = Waits {
+    /// All deferred allocations are evaluated again.
+    pub fn begin_round(&mut self, changes: u64) {
+        *self = RetrySchedule {
             changes,
-            begins: true,
-            last,
-            looks_always,
-            ..Waits::default()
+            awaits_first_evaluation: true,
+            last_deferred_at: self.last_deferred_at,
+            exhaustive: self.exhaustive,
+            ..RetrySchedule::default()
         };
     }
 
-    /// With this look, of so many changes.
-    pub fn begun(&mut self, changes: u64) {
-        if std::mem::take(&mut self.begins) {
+    /// An evaluation begins; the changes up to the first one of a round belong to the round.
+    pub fn note_evaluation(&mut self, changes: u64) {
+        if std::mem::take(&mut self.awaits_first_evaluation) {
             self.changes = changes;
         }
     }
 
-    /// None but those whose last moment has come, if any.
-    pub fn end(&mut self, now: Ticks, ask_at: Ticks) -> bool {
-        let many = self.ends.len();
-        self.ends = self.ends.split_off(&(now + 1));
-        self.ask_at = Some(ask_at);
-        self.ends.len() < many
+    /// The round is left out. Whether a deadline has come: then some are evaluated all the same.
+    pub fn skip_round(&mut self, now: Ticks, next_round_at: Ticks) -> bool {
+        let before = self.deadlines.len();
+        self.deadlines = self.deadlines.split_off(&(now + 1));
+        self.next_round_at = Some(next_round_at);
+        self.deadlines.len() < before
     }
 }
--- a/crates/scheduler/tests/decisions.rs
+++ b/crates/scheduler/tests/decisions.rs
@@ -8,8 +8,8 @@
 #[allow(dead_code)]
 mod host;
 
+use corkspan_scheduler::Scheduler;
 use corkspan_scheduler::interface::*;
-use corkspan_scheduler::rules::Scheduler;
 use fnv::FnvHasher;
 use host::{SECOND, track};
 use rand::{Rng, RngExt, SeedableRng};
--- a/crates/scheduler/tests/host/mod.rs
+++ b/crates/scheduler/tests/host/mod.rs
@@ -1,7 +1,7 @@
 //! A fake host: a handful of machines and whoever asks, with nothing decided in it.
 
+use corkspan_scheduler::Scheduler;
 use corkspan_scheduler::interface::*;
-use corkspan_scheduler::rules::Scheduler;
 
 pub const SECOND: Ticks = 10_000;
 pub const SIZE: Resources = Resources {
--- a/crates/scheduler/tests/waiting.rs
+++ b/crates/scheduler/tests/waiting.rs
@@ -5,8 +5,8 @@
 #[allow(dead_code)]
 mod host;
 
+use corkspan_scheduler::Scheduler;
 use corkspan_scheduler::interface::*;
-use corkspan_scheduler::rules::Scheduler;
 use host::*;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
