--- a/crates/capacity-model/src/rows.rs
+++ b/crates/capacity-model/src/figures.rs
@@ -1,8 +1,8 @@
 //! What is asked of each role at the size: from which measured line, times what, against which
 //! limit.
 
-use crate::fit::{Fit, How, Value};
-use crate::kept::{Axis, Kept, Size};
+use crate::fit::{Estimate, EstimateSource, LinearFit};
+use crate::result::{Axis, CapacityResult, FleetSize};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Role {
@@ -48,7 +48,7 @@
 }
 
 /// One figure of a role.
-pub struct Row {
+pub struct FigureDefinition {
     pub role: Role,
     pub what: &'static str,
     pub unit: &'static str,
@@ -56,9 +56,9 @@
     pub series: &'static str,
     pub figure: &'static str,
     /// The place on the axis.
-    pub at: fn(&Size) -> f64,
+    pub at: fn(&FleetSize) -> f64,
     /// What the line's value there is multiplied by.
-    pub times: fn(&Size) -> f64,
+    pub times: fn(&FleetSize) -> f64,
     pub limit: Limit,
     /// What carries it, or `missing`.
     pub mechanism: &'static str,
@@ -66,15 +66,15 @@
 
 const DAY_S: f64 = 86_400.0;
 /// That hold wishes and floors.
-pub const KEEPERS: f64 = 3.0;
+pub const QUORUM_MEMBERS: f64 = 3.0;
 
-fn one(_: &Size) -> f64 {
+fn one(_: &FleetSize) -> f64 {
     1.0
 }
 
-fn row(role: Role, what: &'static str, unit: &'static str) -> Row {
-    let (axis, series, at) = (Axis::Machines, "control", |size: &Size| size.machines);
-    Row {
+fn definition(role: Role, what: &'static str, unit: &'static str) -> FigureDefinition {
+    let (axis, series, at) = (Axis::Machines, "control", |size: &FleetSize| size.machines);
+    FigureDefinition {
         role,
         what,
         unit,
@@ -89,264 +89,264 @@
 }
 
 /// All that is told, by role.
-pub fn all() -> Vec<Row> {
+pub fn definitions() -> Vec<FigureDefinition> {
     use Role::*;
-    let starts: fn(&Size) -> f64 = |size| size.starts_a_second / size.dispatchers;
-    let versions: fn(&Size) -> f64 = |size| size.versions_a_day / DAY_S;
+    let starts: fn(&FleetSize) -> f64 = |size| size.starts_a_second / size.dispatchers;
+    let versions: fn(&FleetSize) -> f64 = |size| size.versions_a_day / DAY_S;
     vec![
-        Row {
+        FigureDefinition {
             figure: "told, bytes/s",
             limit: Limit::Bytes,
-            times: |size| size.room_told_a_second,
+            times: |size| size.capacity_reports_a_second,
             mechanism: "the roster tells each line to each dispatcher",
-            ..row(
+            ..definition(
                 Dispatcher,
                 "control, all links, each machine's room told once a second",
                 "bytes/s",
             )
         },
-        Row {
+        FigureDefinition {
             figure: "quiet, bytes/s",
             limit: Limit::Bytes,
             mechanism: "keepers asked each 2 s, and for the floor",
-            ..row(Dispatcher, "control, all links, nothing told", "bytes/s")
+            ..definition(Dispatcher, "control, all links, nothing told", "bytes/s")
         },
-        Row {
+        FigureDefinition {
             figure: "told, core %",
             limit: Limit::Core,
-            times: |size| size.room_told_a_second,
+            times: |size| size.capacity_reports_a_second,
             mechanism: "each line told is taken by the one thread",
-            ..row(
+            ..definition(
                 Dispatcher,
                 "processor, each machine's room told once a second",
                 "% of a core",
             )
         },
-        Row {
+        FigureDefinition {
             figure: "quiet, core %",
             limit: Limit::Core,
             mechanism: "rounds to keepers, the timer of the decisions",
-            ..row(
+            ..definition(
                 Dispatcher,
                 "processor, nothing told, no asks",
                 "% of a core",
             )
         },
-        Row {
+        FigureDefinition {
             figure: "memory, MiB",
             limit: Limit::Memory,
             mechanism: "the list of machines, links to keepers",
-            ..row(Dispatcher, "memory, no asks", "MiB")
+            ..definition(Dispatcher, "memory, no asks", "MiB")
         },
-        Row {
+        FigureDefinition {
             axis: Axis::Tasks,
             series: "held",
             figure: "memory, MiB",
             at: |size| size.running / size.dispatchers,
             limit: Limit::Memory,
             mechanism: "bound `in-hand`",
-            ..row(Dispatcher, "memory, its part of the tasks running", "MiB")
+            ..definition(Dispatcher, "memory, its part of the tasks running", "MiB")
         },
-        Row {
+        FigureDefinition {
             axis: Axis::Tasks,
             series: "held",
             figure: "core %",
             at: |size| size.running / size.dispatchers,
             limit: Limit::Core,
             mechanism: "a stream a task, silent while it runs",
-            ..row(
+            ..definition(
                 Dispatcher,
                 "processor, its part of the tasks running, no asks",
                 "% of a core",
             )
         },
-        Row {
+        FigureDefinition {
             axis: Axis::Waiting,
             series: "full by use",
             figure: "core %",
             at: |size| size.waiting,
             limit: Limit::Core,
             mechanism: "looks in vain are left out until something has changed (design.md)",
-            ..row(
+            ..definition(
                 Dispatcher,
                 "processor, asks in vain: those that wait, machines full by use",
                 "% of a core",
             )
         },
-        Row {
+        FigureDefinition {
             axis: Axis::Waiting,
             series: "full by asks",
             figure: "core %",
             at: |size| size.waiting,
             limit: Limit::Core,
             mechanism: "the same",
-            ..row(
+            ..definition(
                 Dispatcher,
                 "processor, asks in vain: those that wait, machines full by asks",
                 "% of a core",
             )
         },
-        Row {
+        FigureDefinition {
             axis: Axis::Waiting,
             series: "full by use, before",
             figure: "core %",
             at: |size| size.waiting,
             mechanism: "as it was: each that waits asked for again each 50 ms",
-            ..row(
+            ..definition(
                 Dispatcher,
                 "processor, asks in vain as it was, machines full by use",
                 "% of a core",
             )
         },
-        Row {
+        FigureDefinition {
             axis: Axis::Waiting,
             series: "full by asks, before",
             figure: "core %",
             at: |size| size.waiting,
             mechanism: "as it was",
-            ..row(
+            ..definition(
                 Dispatcher,
                 "processor, asks in vain as it was, machines full by asks",
                 "% of a core",
             )
         },
-        Row {
+        FigureDefinition {
             axis: Axis::Waiting,
             series: "full by use",
             figure: "bytes/s",
             at: |size| size.waiting,
             limit: Limit::Bytes,
             mechanism: "probes and offers in vain",
-            ..row(
+            ..definition(
                 Dispatcher,
                 "links to nodes and keepers while they wait, machines full by use",
                 "bytes/s",
             )
         },
-        Row {
+        FigureDefinition {
             axis: Axis::Waiting,
             series: "full by use",
             figure: "memory, MiB",
             at: |size| size.waiting,
             limit: Limit::Memory,
             mechanism: "bound `in-hand`",
-            ..row(
+            ..definition(
                 Dispatcher,
                 "memory, those that wait, machines full by use",
                 "MiB",
             )
         },
-        Row {
+        FigureDefinition {
             axis: Axis::Tasks,
             series: "starts",
             figure: "core %",
             at: starts,
             mechanism: "placing; one thread a dispatcher",
-            ..row(
+            ..definition(
                 Dispatcher,
                 "placing, its part of the starts at the peak",
                 "% of a core",
             )
         },
-        Row {
+        FigureDefinition {
             axis: Axis::Tasks,
             series: "starts",
             figure: "nodes, bytes/s",
             at: starts,
             mechanism: "offers over links that stand",
-            ..row(
+            ..definition(
                 Dispatcher,
                 "placing, links to nodes, its part of the starts",
                 "bytes/s",
             )
         },
-        Row {
+        FigureDefinition {
             axis: Axis::Versions,
             series: "pushed",
             figure: "control, bytes/s",
             at: versions,
             limit: Limit::Bytes,
             mechanism: "versions streamed, changes alone (control.md)",
-            ..row(
+            ..definition(
                 Dispatcher,
                 "versions, link to the control service",
                 "bytes/s",
             )
         },
-        Row {
+        FigureDefinition {
             axis: Axis::Versions,
             series: "pushed",
             figure: "core %",
             at: versions,
             limit: Limit::Core,
             mechanism: "a check, a digest and a write to disk a version",
-            ..row(Dispatcher, "processor, versions, no asks", "% of a core")
+            ..definition(Dispatcher, "processor, versions, no asks", "% of a core")
         },
-        Row {
+        FigureDefinition {
             axis: Axis::Dispatchers,
             figure: "in force, s",
             at: |size| size.dispatchers,
             limit: Limit::InForce,
             mechanism: "versions streamed to all that hear; peers and keepers for others",
-            ..row(Dispatcher, "a version in force everywhere", "s")
+            ..definition(Dispatcher, "a version in force everywhere", "s")
         },
-        Row {
+        FigureDefinition {
             axis: Axis::Tasks,
             series: "starts",
             figure: "nodes, bytes/s",
             at: |size| size.starts_a_second,
             times: |size| 1.0 / size.machines,
             mechanism: "an offer's stream, from one dispatcher",
-            ..row(NodeAgent, "its part of the starts at the peak", "bytes/s")
+            ..definition(NodeAgent, "its part of the starts at the peak", "bytes/s")
         },
-        Row {
+        FigureDefinition {
             figure: "roster, bytes/s",
-            times: |size| size.dispatchers * size.room_told_a_second,
+            times: |size| size.dispatchers * size.capacity_reports_a_second,
             mechanism: "missing: no roster but the stand-in's",
-            ..row(
+            ..definition(
                 Roster,
                 "each machine's room told once a second to all dispatchers",
                 "bytes/s",
             )
         },
-        Row {
+        FigureDefinition {
             figure: "roster's thread, core %",
-            times: |size| size.dispatchers * size.room_told_a_second,
+            times: |size| size.dispatchers * size.capacity_reports_a_second,
             mechanism: "missing: no roster but the stand-in's",
-            ..row(Roster, "processor, the same", "% of a core")
+            ..definition(Roster, "processor, the same", "% of a core")
         },
-        Row {
+        FigureDefinition {
             axis: Axis::Versions,
             series: "pushed",
             figure: "control, bytes/s",
             at: versions,
             times: |size| size.dispatchers,
             mechanism: "missing: no control service but the stand-in's",
-            ..row(ControlService, "versions to all dispatchers", "bytes/s")
+            ..definition(ControlService, "versions to all dispatchers", "bytes/s")
         },
-        Row {
+        FigureDefinition {
             axis: Axis::Dispatchers,
             figure: "keepers, bytes/s",
             at: |size| size.dispatchers,
-            times: |_| 1.0 / KEEPERS,
+            times: |_| 1.0 / QUORUM_MEMBERS,
             mechanism: "each dispatcher asks each 2 s, and for the floor",
-            ..row(Keeper, "all dispatchers' rounds", "bytes/s")
+            ..definition(Keeper, "all dispatchers' rounds", "bytes/s")
         },
-        Row {
+        FigureDefinition {
             axis: Axis::Dispatchers,
             figure: "keepers' thread, core %",
             at: |size| size.dispatchers,
-            times: |_| 1.0 / KEEPERS,
+            times: |_| 1.0 / QUORUM_MEMBERS,
             mechanism: "part of the node agent; the figure is the stand-in's",
-            ..row(Keeper, "processor, the same", "% of a core")
+            ..definition(Keeper, "processor, the same", "% of a core")
         },
-        Row {
+        FigureDefinition {
             axis: Axis::Tasks,
             series: "starts",
             figure: "owners, bytes/s",
             at: |size| size.starts_a_second,
             mechanism: "one stream a task",
-            ..row(
+            ..definition(
                 OwnersClient,
                 "all owners together, starts at the peak",
                 "bytes/s",
@@ -356,7 +356,7 @@
 }
 
 /// What carries nothing yet, and why that matters at the size.
-pub const MISSING: [(&str, &str); 10] = [
+pub const MISSING_MECHANISMS: [(&str, &str); 10] = [
     (
         "gangs of up to 128",
         "missing: each ask is placed alone; nothing holds room for a whole gang, and none starts or fails as one",
@@ -398,19 +398,19 @@
 
 /// A row as it comes out.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Out {
-    Told {
-        value: Value,
-        fit: Fit,
+pub enum Outcome {
+    Estimated {
+        value: Estimate,
+        fit: LinearFit,
     },
     /// Why nothing is told.
-    Not(String),
+    Unavailable(String),
 }
 
 /// A row at the size.
-pub struct Told {
-    pub row: Row,
-    pub out: Out,
+pub struct EvaluatedFigure {
+    pub definition: FigureDefinition,
+    pub outcome: Outcome,
     /// None where the size tells none.
     pub limit: Option<f64>,
     /// Which run, by its place on the page's list, and how many of its points were spoilt.
@@ -418,104 +418,118 @@
     pub partial: bool,
 }
 
-impl Told {
+impl EvaluatedFigure {
     /// How often the limit is used up: above 1 it is passed.
     pub fn factor(&self) -> Option<f64> {
-        match &self.out {
-            Out::Told { value, .. } => Some(value.value / self.limit?),
-            Out::Not(_) => None,
+        match &self.outcome {
+            Outcome::Estimated { value, .. } => Some(value.value / self.limit?),
+            Outcome::Unavailable(_) => None,
         }
     }
 
-    pub fn how(&self) -> &'static str {
-        match &self.out {
-            Out::Told {
-                value: Value { how: How::Line, .. },
+    pub fn source_name(&self) -> &'static str {
+        match &self.outcome {
+            Outcome::Estimated {
+                value:
+                    Estimate {
+                        source: EstimateSource::Line,
+                        ..
+                    },
                 ..
             } => "line",
-            Out::Told {
-                value: Value {
-                    how: How::Beyond, ..
-                },
+            Outcome::Estimated {
+                value:
+                    Estimate {
+                        source: EstimateSource::Extrapolated,
+                        ..
+                    },
                 ..
             } => "line, beyond its points",
-            Out::Told {
-                value: Value {
-                    how: How::Between, ..
-                },
+            Outcome::Estimated {
+                value:
+                    Estimate {
+                        source: EstimateSource::Interpolated,
+                        ..
+                    },
                 ..
             } => "not straight: between two points",
-            Out::Not(_) => "not told",
+            Outcome::Unavailable(_) => "not told",
         }
     }
 }
 
 /// All rows at a result's size.
-pub fn told(kept: &Kept) -> Vec<Told> {
-    all().into_iter().map(|row| one_told(kept, row)).collect()
+pub fn evaluate(result: &CapacityResult) -> Vec<EvaluatedFigure> {
+    definitions()
+        .into_iter()
+        .map(|definition| evaluate_figure(result, definition))
+        .collect()
 }
 
-fn one_told(kept: &Kept, row: Row) -> Told {
-    let size = &kept.size;
-    let limit = match row.limit {
+fn evaluate_figure(result: &CapacityResult, definition: FigureDefinition) -> EvaluatedFigure {
+    let size = &result.size;
+    let limit = match definition.limit {
         Limit::Core => Some(size.core_percent),
         Limit::Memory => Some(size.memory_mib),
         Limit::Bytes => Some(size.bytes_a_second),
         Limit::InForce => Some(size.in_force_s),
         Limit::None => None,
     };
-    let Some(run) = kept.run(row.axis, row.series) else {
-        return Told {
-            row,
-            out: Out::Not("not measured".into()),
+    let Some(run) = result.run(definition.axis, definition.series) else {
+        return EvaluatedFigure {
+            definition,
+            outcome: Outcome::Unavailable("not measured".into()),
             limit,
             run: None,
             partial: false,
         };
     };
-    let place = kept
+    let run_place = result
         .runs
         .iter()
         .position(|own| std::ptr::eq(own, run))
-        .map(|at| (at + 1, run.spoilt()));
-    let lacks = run.lacks();
-    let points = run.figure(row.figure);
-    let out = match Fit::of(&points) {
-        _ if points.is_empty() => Out::Not("not measured".into()),
-        _ if !lacks.is_empty() => {
-            let lacks: Vec<String> = lacks.iter().map(f64::to_string).collect();
-            Out::Not(format!("partial: nothing sound at {}", lacks.join(", ")))
+        .map(|at| (at + 1, run.invalid_points()));
+    let missing_places = run.missing_places();
+    let points = run.figure(definition.figure);
+    let outcome = match LinearFit::through(&points) {
+        _ if points.is_empty() => Outcome::Unavailable("not measured".into()),
+        _ if !missing_places.is_empty() => {
+            let missing_places: Vec<String> = missing_places.iter().map(f64::to_string).collect();
+            Outcome::Unavailable(format!(
+                "partial: nothing sound at {}",
+                missing_places.join(", ")
+            ))
         }
-        Err(why) => Out::Not(why.to_string()),
-        Ok(fit) => match fit.at((row.at)(size)) {
-            Err(why) => Out::Not(why.to_string()),
+        Err(reason) => Outcome::Unavailable(reason.to_string()),
+        Ok(fit) => match fit.estimate((definition.at)(size)) {
+            Err(reason) => Outcome::Unavailable(reason.to_string()),
             Ok(value) => {
-                let times = (row.times)(size);
-                let value = Value {
+                let times = (definition.times)(size);
+                let value = Estimate {
                     value: value.value * times,
                     error: value.error * times,
-                    how: value.how,
+                    source: value.source,
                 };
-                Out::Told { value, fit }
+                Outcome::Estimated { value, fit }
             }
         },
     };
-    Told {
-        row,
-        out,
+    EvaluatedFigure {
+        definition,
+        outcome,
         limit,
-        run: place,
-        partial: !lacks.is_empty(),
+        run: run_place,
+        partial: !missing_places.is_empty(),
     }
 }
 
 /// Those with a limit, the one that passes it by the most first; then those of which nothing is
 /// told.
-pub fn by_factor(mut all: Vec<Told>) -> Vec<Told> {
-    all.retain(|told| told.limit.is_some());
-    all.sort_by(|one, other| {
-        let factor = |told: &Told| told.factor().unwrap_or(f64::NEG_INFINITY);
+pub fn by_factor(mut figures: Vec<EvaluatedFigure>) -> Vec<EvaluatedFigure> {
+    figures.retain(|figure| figure.limit.is_some());
+    figures.sort_by(|one, other| {
+        let factor = |figure: &EvaluatedFigure| figure.factor().unwrap_or(f64::NEG_INFINITY);
         factor(other).total_cmp(&factor(one))
     });
-    all
+    figures
 }
--- a/crates/capacity-model/src/fit.rs
+++ b/crates/capacity-model/src/fit.rs
@@ -4,18 +4,18 @@
 use statrs::distribution::{ContinuousCDF, FisherSnedecor, StudentsT};
 
 /// A line is told at most so many times beyond the largest place that was measured.
-pub const BEYOND: f64 = 2.0;
+pub const MAX_EXTRAPOLATION: f64 = 2.0;
 /// Chance of so large a lack of fit by noise alone, below which a line is not straight.
-const CHANCE: f64 = 0.01;
+const SIGNIFICANCE: f64 = 0.01;
 /// What no one plans by: a bend below this part of the span, or of the mean, is none.
-const OF_SPAN: f64 = 0.05;
-const OF_MEAN: f64 = 0.05;
+const NEGLIGIBLE_OF_SPAN: f64 = 0.05;
+const NEGLIGIBLE_OF_MEAN: f64 = 0.05;
 /// Errors are told for this level, both sides.
-const LEVEL: f64 = 0.95;
+const CONFIDENCE: f64 = 0.95;
 
 /// A line through points, each a place and what was measured there.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Fit {
+pub struct LinearFit {
     pub intercept: f64,
     pub slope: f64,
     /// Of the slope, at 95%.
@@ -23,8 +23,8 @@
     /// The usual residual, as a standard error.
     pub residual: f64,
     /// The largest distance of a place's mean from the line.
-    pub bend: f64,
-    pub straight: bool,
+    pub max_deviation: f64,
+    pub is_straight: bool,
     /// Of the places measured.
     pub range: (f64, f64),
     pub points: usize,
@@ -37,55 +37,55 @@
 
 /// Why there is no line.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
-pub enum NoFit {
+pub enum FitError {
     #[error("a line needs three places, and {0} were measured")]
-    Places(usize),
+    TooFewPlaces(usize),
     #[error("a point is no number")]
-    NoNumber,
+    NotFinite,
 }
 
 /// How a value at a place came to be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum How {
+pub enum EstimateSource {
     /// By the line, within what was measured.
     Line,
     /// By the line, beyond what was measured.
-    Beyond,
+    Extrapolated,
     /// The points are on no line: between the two nearest places.
-    Between,
+    Interpolated,
 }
 
 /// What is told at a place, and its error at 95%.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Value {
+pub struct Estimate {
     pub value: f64,
     pub error: f64,
-    pub how: How,
+    pub source: EstimateSource,
 }
 
 /// Why nothing is told at a place.
 #[derive(Clone, Copy, Debug, PartialEq, thiserror::Error)]
-pub enum NotTold {
+pub enum EstimateError {
     #[error("not straight: not extrapolated")]
     NotStraight,
     #[error("measured to {0} only: not extrapolated")]
     TooFar(f64),
 }
 
-impl Fit {
-    pub fn of(points: &[(f64, f64)]) -> Result<Fit, NoFit> {
+impl LinearFit {
+    pub fn through(points: &[(f64, f64)]) -> Result<LinearFit, FitError> {
         if points
             .iter()
             .any(|(at, value)| !at.is_finite() || !value.is_finite())
         {
-            return Err(NoFit::NoNumber);
+            return Err(FitError::NotFinite);
         }
         let places = places(points);
         if places.len() < 3 {
-            return Err(NoFit::Places(places.len()));
+            return Err(FitError::TooFewPlaces(places.len()));
         }
-        let many = points.len() as f64;
-        let centre = points.iter().map(|(at, _)| at).sum::<f64>() / many;
+        let count = points.len() as f64;
+        let centre = points.iter().map(|(at, _)| at).sum::<f64>() / count;
         let spread: f64 = points.iter().map(|(at, _)| (at - centre).powi(2)).sum();
         // About the centre, so that the two columns are independent and large places lose no
         // digits.
@@ -101,25 +101,26 @@
             .clone()
             .svd(true, true)
             .solve(&measured, 1e-12)
-            .map_err(|_| NoFit::NoNumber)?;
+            .map_err(|_| FitError::NotFinite)?;
         let (middle, slope) = (found[0], found[1]);
-        let free = many - 2.0;
+        let degrees_of_freedom = count - 2.0;
         let squares = (measured - design * found).norm_squared();
-        let residual = (squares / free).sqrt();
-        let student = StudentsT::new(0.0, 1.0, free).map_err(|_| NoFit::NoNumber)?;
-        let student = student.inverse_cdf(0.5 + LEVEL / 2.0);
+        let residual = (squares / degrees_of_freedom).sqrt();
+        let student =
+            StudentsT::new(0.0, 1.0, degrees_of_freedom).map_err(|_| FitError::NotFinite)?;
+        let student = student.inverse_cdf(0.5 + CONFIDENCE / 2.0);
         let line = |at: f64| middle + slope * (at - centre);
-        let bend = places
+        let max_deviation = places
             .iter()
             .map(|(at, mean, _)| (mean - line(*at)).abs())
             .fold(0.0, f64::max);
-        Ok(Fit {
+        Ok(LinearFit {
             intercept: line(0.0),
             slope,
             slope_error: student * residual / spread.sqrt(),
             residual,
-            bend,
-            straight: straight(points, &places, squares, bend),
+            max_deviation,
+            is_straight: is_straight(points, &places, squares, max_deviation),
             range: (places[0].0, places[places.len() - 1].0),
             points: points.len(),
             centre,
@@ -130,29 +131,33 @@
     }
 
     /// What is to be expected at a place.
-    pub fn at(&self, at: f64) -> Result<Value, NotTold> {
+    pub fn estimate(&self, at: f64) -> Result<Estimate, EstimateError> {
         let within = at >= self.range.0 && at <= self.range.1;
-        if !self.straight {
+        if !self.is_straight {
             return if within {
-                Ok(self.between(at))
+                Ok(self.interpolate(at))
             } else {
-                Err(NotTold::NotStraight)
+                Err(EstimateError::NotStraight)
             };
         }
-        if at < 0.0 || at > self.range.1 * BEYOND {
-            return Err(NotTold::TooFar(self.range.1));
+        if at < 0.0 || at > self.range.1 * MAX_EXTRAPOLATION {
+            return Err(EstimateError::TooFar(self.range.1));
         }
         let value = self.intercept + self.slope * at;
         let part = 1.0 / self.points as f64 + (at - self.centre).powi(2) / self.spread;
         let error = self.student * self.residual * part.sqrt();
-        Ok(Value {
+        Ok(Estimate {
             value,
             error,
-            how: if within { How::Line } else { How::Beyond },
+            source: if within {
+                EstimateSource::Line
+            } else {
+                EstimateSource::Extrapolated
+            },
         })
     }
 
-    fn between(&self, at: f64) -> Value {
+    fn interpolate(&self, at: f64) -> Estimate {
         let above = self
             .places
             .iter()
@@ -164,10 +169,10 @@
         } else {
             0.0
         };
-        Value {
+        Estimate {
             value: low.1 + (high.1 - low.1) * part,
             error: low.2.max(high.2),
-            how: How::Between,
+            source: EstimateSource::Interpolated,
         }
     }
 }
@@ -178,11 +183,11 @@
     sorted.sort_by(|one, other| one.0.total_cmp(&other.0));
     let one = |own: &[(f64, f64)]| {
         let mean = own.iter().map(|(_, value)| value).sum::<f64>() / own.len() as f64;
-        let far = own
+        let spread = own
             .iter()
             .map(|(_, value)| (value - mean).abs())
             .fold(0.0, f64::max);
-        (own[0].0, mean, far)
+        (own[0].0, mean, spread)
     };
     sorted
         .chunk_by(|one, other| one.0 == other.0)
@@ -193,11 +198,16 @@
 /// The usual test for lack of fit: what the places' means miss the line by against what rounds at a
 /// place differ by. A bend too small to plan by is none, however sure; nor is one that the rounds'
 /// own noise may be.
-fn straight(points: &[(f64, f64)], places: &[(f64, f64, f64)], squares: f64, bend: f64) -> bool {
+fn is_straight(
+    points: &[(f64, f64)],
+    places: &[(f64, f64, f64)],
+    squares: f64,
+    max_deviation: f64,
+) -> bool {
     let means = || places.iter().map(|(_, mean, _)| *mean);
     let span = means().fold(f64::MIN, f64::max) - means().fold(f64::MAX, f64::min);
     let mean = means().map(f64::abs).sum::<f64>() / places.len() as f64;
-    if bend <= (span * OF_SPAN).max(mean * OF_MEAN) {
+    if max_deviation <= (span * NEGLIGIBLE_OF_SPAN).max(mean * NEGLIGIBLE_OF_MEAN) {
         return true;
     }
     let mean_at = |at: f64| {
@@ -219,5 +229,5 @@
         return false;
     }
     let ratio = ((squares - pure).max(0.0) / lacking) / (pure / rounds);
-    FisherSnedecor::new(lacking, rounds).is_ok_and(|noise| noise.sf(ratio) >= CHANCE)
+    FisherSnedecor::new(lacking, rounds).is_ok_and(|noise| noise.sf(ratio) >= SIGNIFICANCE)
 }
--- a/crates/capacity-model/src/lib.rs
+++ b/crates/capacity-model/src/lib.rs
@@ -2,8 +2,8 @@
 //! they are straight, what each role costs at the size against its limit, and the tables of
 //! docs/CAPACITY.md. It reads and writes no file.
 
+pub mod figures;
 pub mod fit;
-pub mod kept;
-pub mod need;
 pub mod page;
-pub mod rows;
+pub mod requirements;
+pub mod result;
--- a/crates/capacity-model/src/page.rs
+++ b/crates/capacity-model/src/page.rs
@@ -1,23 +1,23 @@
 //! The tables of docs/CAPACITY.md, printed from a kept result, and a page held against them.
 
-use crate::fit::{Fit, How};
-use crate::kept::{Axis, Kept};
-use crate::rows::{self, MISSING, Out, Role, Told};
+use crate::figures::{self, EvaluatedFigure, MISSING_MECHANISMS, Outcome, Role};
+use crate::fit::{EstimateSource, LinearFit};
+use crate::result::{Axis, CapacityResult};
 use std::fmt::Write;
 
 /// Tables by name; each stands on the page between `<!-- NAME -->` and `<!-- end -->`.
-pub fn tables(kept: &Kept) -> Vec<(&'static str, String)> {
+pub fn tables(result: &CapacityResult) -> Vec<(&'static str, String)> {
     vec![
-        ("by factor", by_factor(kept)),
-        ("by role", by_role(kept)),
-        ("links", links(kept)),
+        ("by factor", by_factor(result)),
+        ("by role", by_role(result)),
+        ("links", links(result)),
         ("missing", missing()),
-        ("runs", runs(kept)),
+        ("runs", runs(result)),
     ]
 }
 
 /// Three digits that count, thousands apart.
-pub fn number(value: f64) -> String {
+pub fn format_number(value: f64) -> String {
     let size = value.abs();
     let digits = match size {
         _ if size >= 100.0 || size == 0.0 => 0,
@@ -45,22 +45,26 @@
     }
 }
 
-fn run(told: &Told) -> String {
+fn run(told: &EvaluatedFigure) -> String {
     told.run.map_or("none".into(), |(run, _)| format!("R{run}"))
 }
 
-fn by_factor(kept: &Kept) -> String {
+fn by_factor(result: &CapacityResult) -> String {
     let mut out = String::from(
         "| | role | figure | at the size | limit | factor | run |\n| --- | --- | --- | --- | --- | --- | --- |\n",
     );
-    for (at, told) in rows::by_factor(rows::told(kept)).iter().enumerate() {
-        let limit = told.limit.map(number).unwrap_or_default();
-        let (row, unit) = (&told.row, told.row.unit);
-        let (value, factor) = match (&told.out, told.factor()) {
-            (Out::Told { value, .. }, Some(factor)) => {
-                (format!("{} {unit}", number(value.value)), number(factor))
-            }
-            (Out::Not(why), _) => (why.clone(), "not told".into()),
+    for (at, told) in figures::by_factor(figures::evaluate(result))
+        .iter()
+        .enumerate()
+    {
+        let limit = told.limit.map(format_number).unwrap_or_default();
+        let (definition, unit) = (&told.definition, told.definition.unit);
+        let (value, factor) = match (&told.outcome, told.factor()) {
+            (Outcome::Estimated { value, .. }, Some(factor)) => (
+                format!("{} {unit}", format_number(value.value)),
+                format_number(factor),
+            ),
+            (Outcome::Unavailable(reason), _) => (reason.clone(), "not told".into()),
             _ => Default::default(),
         };
         let passes = if told.factor().is_some_and(|factor| factor > 1.0) {
@@ -68,7 +72,7 @@
         } else {
             ""
         };
-        let (role, what) = (row.role.name(), row.what);
+        let (role, what) = (definition.role.name(), definition.what);
         let _ = writeln!(
             out,
             "| {} | {role} | {what} | {value} | {limit} {unit} | {passes}{factor}{passes} | {} |",
@@ -79,16 +83,16 @@
     out
 }
 
-fn by_role(kept: &Kept) -> String {
+fn by_role(result: &CapacityResult) -> String {
     let mut out = String::new();
-    let all = rows::told(kept);
+    let all = figures::evaluate(result);
     for role in Role::ALL {
         let _ = writeln!(out, "**{}**\n", role.name());
         out.push_str(
             "| figure | at the size | slope | measured over | limit | room left | how | carried by | run |\n",
         );
         out.push_str("| --- | --- | --- | --- | --- | --- | --- | --- | --- |\n");
-        for told in all.iter().filter(|told| told.row.role == role) {
+        for told in all.iter().filter(|told| told.definition.role == role) {
             let _ = writeln!(out, "{}", role_line(told));
         }
         out.push('\n');
@@ -96,59 +100,72 @@
     out
 }
 
-fn role_line(told: &Told) -> String {
-    let (row, unit) = (&told.row, told.row.unit);
+fn role_line(told: &EvaluatedFigure) -> String {
+    let (definition, unit) = (&told.definition, told.definition.unit);
     let limit = told.limit.map_or("none told".into(), |limit| {
-        format!("{} {unit}", number(limit))
+        format!("{} {unit}", format_number(limit))
     });
-    let Out::Told { value, fit } = &told.out else {
-        let Out::Not(why) = &told.out else {
+    let Outcome::Estimated { value, fit } = &told.outcome else {
+        let Outcome::Unavailable(reason) = &told.outcome else {
             return String::new();
         };
         return format!(
-            "| {} | {why} | | | {limit} | | not told | {} | {} |",
-            row.what,
-            row.mechanism,
+            "| {} | {reason} | | | {limit} | | not told | {} | {} |",
+            definition.what,
+            definition.mechanism,
             run(told)
         );
     };
-    let at = format!("{} ± {} {unit}", number(value.value), number(value.error));
-    let slope = match value.how {
-        How::Between => "none".into(),
-        _ => format!("{} ± {}", number(fit.slope), number(fit.slope_error)),
+    let at = format!(
+        "{} ± {} {unit}",
+        format_number(value.value),
+        format_number(value.error)
+    );
+    let slope = match value.source {
+        EstimateSource::Interpolated => "none".into(),
+        _ => format!(
+            "{} ± {}",
+            format_number(fit.slope),
+            format_number(fit.slope_error)
+        ),
     };
     let range = format!(
         "{} to {} {}",
-        number(fit.range.0),
-        number(fit.range.1),
-        row.axis.name()
+        format_number(fit.range.0),
+        format_number(fit.range.1),
+        definition.axis.name()
     );
     let room = match told.limit {
-        Some(limit) if limit > value.value => format!("{} {unit}", number(limit - value.value)),
-        Some(limit) => format!("none: {} times the limit", number(value.value / limit)),
+        Some(limit) if limit > value.value => {
+            format!("{} {unit}", format_number(limit - value.value))
+        }
+        Some(limit) => format!(
+            "none: {} times the limit",
+            format_number(value.value / limit)
+        ),
         None => String::new(),
     };
-    let how = told.how();
+    let how = told.source_name();
     format!(
         "| {} | {at} | {slope} | {range} | {limit} | {room} | {how} | {} | {} |",
-        row.what,
-        row.mechanism,
+        definition.what,
+        definition.mechanism,
         run(told)
     )
 }
 
 /// What control costs a dispatcher at the size by kind of link, as relays saw it and as it counted
 /// itself.
-fn links(kept: &Kept) -> String {
+fn links(result: &CapacityResult) -> String {
     let mut out = String::from(
         "| link to | told of room | bytes/s, relays | bytes/s, its own count | messages/s, its own count |\n| --- | --- | --- | --- | --- |\n",
     );
-    let run = kept.run(Axis::Machines, "control");
+    let run = result.run(Axis::Machines, "control");
     let told = |figure: String| {
-        let fit = Fit::of(&run.map(|run| run.figure(&figure)).unwrap_or_default());
+        let fit = LinearFit::through(&run.map(|run| run.figure(&figure)).unwrap_or_default());
         fit.ok()
-            .and_then(|fit| fit.at(kept.size.machines).ok())
-            .map_or("not told".into(), |told| number(told.value))
+            .and_then(|fit| fit.estimate(result.size.machines).ok())
+            .map_or("not told".into(), |estimate| format_number(estimate.value))
     };
     for kind in ["roster", "control", "keepers", "nodes"] {
         for (name, how) in [("quiet", "nothing"), ("told", "each machine once a second")] {
@@ -167,31 +184,31 @@
 
 fn missing() -> String {
     let mut out = String::from("| what the size asks for | mechanism |\n| --- | --- |\n");
-    for (what, how) in MISSING {
+    for (what, how) in MISSING_MECHANISMS {
         let _ = writeln!(out, "| {what} | {how} |");
     }
     out
 }
 
-fn runs(kept: &Kept) -> String {
+fn runs(result: &CapacityResult) -> String {
     let mut out = String::from(
         "| run | axis, series | command | seed | places, rounds | the same at each point | spoilt points | load | machine |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- |\n",
     );
-    for (at, run) in kept.runs.iter().enumerate() {
-        let places: Vec<String> = run.places.iter().copied().map(number).collect();
+    for (at, run) in result.runs.iter().enumerate() {
+        let places: Vec<String> = run.places.iter().copied().map(format_number).collect();
         let loads = || run.points.iter().map(|point| point.load);
         let (least, most) = (
             loads().fold(f64::MAX, f64::min),
             loads().fold(0.0, f64::max),
         );
-        let lacks = if run.lacks().is_empty() {
+        let missing_places = if run.missing_places().is_empty() {
             ""
         } else {
             ", **partial**"
         };
         let _ = writeln!(
             out,
-            "| R{} | {}, {} | `{}` | {} | {}; {} | {} | {} of {}{lacks} | {least:.1} to {most:.1} | {} cores, {} MiB |",
+            "| R{} | {}, {} | `{}` | {} | {}; {} | {} | {} of {}{missing_places} | {least:.1} to {most:.1} | {} cores, {} MiB |",
             at + 1,
             run.axis.name(),
             run.series,
@@ -200,10 +217,10 @@
             places.join(" / "),
             run.rounds,
             run.fixed,
-            run.spoilt(),
+            run.invalid_points(),
             run.points.len(),
             run.cores,
-            number(run.memory_mib as f64)
+            format_number(run.memory_mib as f64)
         );
     }
     out
@@ -211,18 +228,18 @@
 
 /// Where a page differs.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("line {line}: {why}")]
-pub struct Differs {
+#[error("line {line}: {reason}")]
+pub struct PageError {
     pub line: usize,
-    pub why: String,
+    pub reason: String,
 }
 
 const END: &str = "<!-- end -->";
 
 /// The page with its tables as the result has them.
-pub fn fill(page: &str, kept: &Kept) -> Result<String, Differs> {
-    let tables = tables(kept);
-    let mut stood = vec![false; tables.len()];
+pub fn fill(page: &str, result: &CapacityResult) -> Result<String, PageError> {
+    let tables = tables(result);
+    let mut filled = vec![false; tables.len()];
     let mut out = String::new();
     let mut lines = page.lines().enumerate();
     while let Some((at, line)) = lines.next() {
@@ -232,16 +249,16 @@
         let Some(which) = tables.iter().position(|(name, _)| named(name)) else {
             continue;
         };
-        if std::mem::replace(&mut stood[which], true) {
-            return Err(Differs {
+        if std::mem::replace(&mut filled[which], true) {
+            return Err(PageError {
                 line: at + 1,
-                why: format!("a second table `{}`", tables[which].0),
+                reason: format!("a second table `{}`", tables[which].0),
             });
         }
         if !lines.any(|(_, line)| line.trim() == END) {
-            return Err(Differs {
+            return Err(PageError {
                 line: at + 1,
-                why: format!("`{}` has no {END}", tables[which].0),
+                reason: format!("`{}` has no {END}", tables[which].0),
             });
         }
         out.push('\n');
@@ -254,12 +271,12 @@
         out.push_str(END);
         out.push('\n');
     }
-    match stood.iter().position(|stood| !stood) {
+    match filled.iter().position(|filled| !filled) {
         Some(which) => {
-            let why = format!("the page has no table `{}`", tables[which].0);
-            Err(Differs {
+            let reason = format!("the page has no table `{}`", tables[which].0);
+            Err(PageError {
                 line: page.lines().count(),
-                why,
+                reason,
             })
         }
         None => Ok(out),
@@ -267,8 +284,8 @@
 }
 
 /// The first line of a page that is not as the result has it.
-pub fn check(page: &str, kept: &Kept) -> Result<(), Differs> {
-    let filled = fill(page, kept)?;
+pub fn check(page: &str, result: &CapacityResult) -> Result<(), PageError> {
+    let filled = fill(page, result)?;
     let (mut own, mut wanted) = (page.lines(), filled.lines());
     for line in 1.. {
         match (own.next(), wanted.next()) {
@@ -277,8 +294,8 @@
             (has, wants) => {
                 let text =
                     |line: Option<&str>| line.map_or("nothing".into(), |line| format!("`{line}`"));
-                let why = format!("the page has {}, the result {}", text(has), text(wants));
-                return Err(Differs { line, why });
+                let reason = format!("the page has {}, the result {}", text(has), text(wants));
+                return Err(PageError { line, reason });
             }
         }
     }
--- a/crates/capacity-model/src/kept.rs
+++ b/crates/capacity-model/src/result.rs
@@ -7,8 +7,8 @@
 
 /// What the fleet is to grow to, and what it may cost there.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(deny_unknown_fields, try_from = "Unchecked")]
-pub struct Size {
+#[serde(deny_unknown_fields, try_from = "UncheckedSize")]
+pub struct FleetSize {
     pub machines: f64,
     pub starts_a_second: f64,
     pub running: f64,
@@ -25,12 +25,13 @@
     pub dispatchers: f64,
     pub waiting: f64,
     /// Times that each machine's room is told a second, to each dispatcher.
-    pub room_told_a_second: f64,
+    #[serde(rename = "room_told_a_second")]
+    pub capacity_reports_a_second: f64,
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Unchecked {
+struct UncheckedSize {
     machines: f64,
     starts_a_second: f64,
     running: f64,
@@ -43,17 +44,18 @@
     in_force_s: f64,
     dispatchers: f64,
     waiting: f64,
-    room_told_a_second: f64,
+    #[serde(rename = "room_told_a_second")]
+    capacity_reports_a_second: f64,
 }
 
 /// No figure of a size is larger: beyond, it is a slip of the pen.
-const LARGEST: f64 = 1e9;
+const MAX_FIGURE: f64 = 1e9;
 
-impl TryFrom<Unchecked> for Size {
+impl TryFrom<UncheckedSize> for FleetSize {
     type Error = String;
 
-    fn try_from(own: Unchecked) -> Result<Size, String> {
-        let size = Size {
+    fn try_from(own: UncheckedSize) -> Result<FleetSize, String> {
+        let size = FleetSize {
             machines: own.machines,
             starts_a_second: own.starts_a_second,
             running: own.running,
@@ -66,7 +68,7 @@
             in_force_s: own.in_force_s,
             dispatchers: own.dispatchers,
             waiting: own.waiting,
-            room_told_a_second: own.room_told_a_second,
+            capacity_reports_a_second: own.capacity_reports_a_second,
         };
         let all = [
             ("machines", size.machines),
@@ -81,14 +83,14 @@
             ("in_force_s", size.in_force_s),
             ("dispatchers", size.dispatchers),
             ("waiting", size.waiting),
-            ("room_told_a_second", size.room_told_a_second),
+            ("room_told_a_second", size.capacity_reports_a_second),
         ];
         match all
             .iter()
-            .find(|(_, value)| !(*value > 0.0 && *value <= LARGEST))
+            .find(|(_, value)| !(*value > 0.0 && *value <= MAX_FIGURE))
         {
             Some((name, value)) => Err(format!(
-                "`{name}` is {value}, not above 0 and at most {LARGEST} of a size"
+                "`{name}` is {value}, not above 0 and at most {MAX_FIGURE} of a size"
             )),
             None => Ok(size),
         }
@@ -96,7 +98,7 @@
 }
 
 /// The size of issue 37.
-pub const COMING: Size = Size {
+pub const PLANNED_SIZE: FleetSize = FleetSize {
     machines: 1_300.0,
     starts_a_second: 330.0,
     running: 4_300.0,
@@ -109,7 +111,7 @@
     in_force_s: 14.0,
     dispatchers: 10.0,
     waiting: 300.0,
-    room_told_a_second: 1.0,
+    capacity_reports_a_second: 1.0,
 };
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -152,8 +154,8 @@
     /// Processes that ran or waited for a processor, by the machine's own mean over a minute.
     pub load: f64,
     /// Why it tells nothing, if it does not.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub spoilt: Option<String>,
+    #[serde(rename = "spoilt", default, skip_serializing_if = "Option::is_none")]
+    pub invalid: Option<String>,
     #[serde(deserialize_with = "figures")]
     pub figures: BTreeMap<String, f64>,
 }
@@ -162,7 +164,7 @@
 // line.
 fn place<'a, D: Deserializer<'a>>(from: D) -> Result<f64, D::Error> {
     let at = f64::deserialize(from)?;
-    (0.0..=LARGEST)
+    (0.0..=MAX_FIGURE)
         .contains(&at)
         .then_some(at)
         .ok_or_else(|| D::Error::custom(format!("a point is at {at}, which is no place")))
@@ -196,25 +198,25 @@
 impl Run {
     /// Points of one figure that were not spoilt.
     pub fn figure(&self, name: &str) -> Vec<(f64, f64)> {
-        let sound = self.points.iter().filter(|point| point.spoilt.is_none());
+        let sound = self.points.iter().filter(|point| point.invalid.is_none());
         sound
             .filter_map(|point| Some((point.at, *point.figures.get(name)?)))
             .collect()
     }
 
-    pub fn spoilt(&self) -> usize {
+    pub fn invalid_points(&self) -> usize {
         self.points
             .iter()
-            .filter(|point| point.spoilt.is_some())
+            .filter(|point| point.invalid.is_some())
             .count()
     }
 
     /// Places with no sound point: a line without them is not what was to be measured.
-    pub fn lacks(&self) -> Vec<f64> {
+    pub fn missing_places(&self) -> Vec<f64> {
         let sound = |place: &f64| {
             self.points
                 .iter()
-                .any(|point| point.at == *place && point.spoilt.is_none())
+                .any(|point| point.at == *place && point.invalid.is_none())
         };
         self.places
             .iter()
@@ -226,51 +228,55 @@
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Kept {
-    pub size: Size,
+pub struct CapacityResult {
+    pub size: FleetSize,
     pub runs: Vec<Run>,
 }
 
 /// A file that is no kept result.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("line {line}: {why}")]
-pub struct Unreadable {
+#[error("line {line}: {reason}")]
+pub struct ResultError {
     pub line: usize,
-    pub why: String,
+    pub reason: String,
 }
 
-impl Kept {
-    pub fn read(text: &str) -> Result<Kept, Unreadable> {
-        let kept: Kept = serde_json::from_str(text).map_err(|why| {
-            let told = why.to_string();
-            let short = told
+impl CapacityResult {
+    pub fn read(text: &str) -> Result<CapacityResult, ResultError> {
+        let result: CapacityResult = serde_json::from_str(text).map_err(|reason| {
+            let message = reason.to_string();
+            let short = message
                 .rsplit_once(" at line ")
-                .map_or(told.as_str(), |(short, _)| short);
-            Unreadable {
-                line: why.line(),
-                why: short.into(),
+                .map_or(message.as_str(), |(short, _)| short);
+            ResultError {
+                line: reason.line(),
+                reason: short.into(),
             }
         })?;
         let mut seen = BTreeSet::new();
-        match kept
+        match result
             .runs
             .iter()
             .find(|run| !seen.insert((run.axis, run.series.clone())))
         {
-            Some(twice) => {
-                let named = format!("\"series\": \"{}\"", twice.series);
+            Some(duplicate) => {
+                let named = format!("\"series\": \"{}\"", duplicate.series);
                 let line = text
                     .lines()
                     .enumerate()
                     .filter(|(_, own)| own.contains(&named))
                     .last();
-                let why = format!("a second run of {} / {}", twice.axis.name(), twice.series);
-                Err(Unreadable {
+                let reason = format!(
+                    "a second run of {} / {}",
+                    duplicate.axis.name(),
+                    duplicate.series
+                );
+                Err(ResultError {
                     line: line.map_or(0, |(at, _)| at + 1),
-                    why,
+                    reason,
                 })
             }
-            None => Ok(kept),
+            None => Ok(result),
         }
     }
 
@@ -281,7 +287,7 @@
     }
 
     /// In the place of an earlier run of the same series.
-    pub fn put(&mut self, run: Run) {
+    pub fn insert(&mut self, run: Run) {
         self.runs
             .retain(|own| (own.axis, &own.series) != (run.axis, &run.series));
         self.runs.push(run);
@@ -290,7 +296,7 @@
     }
 
     /// One point a line, so that what does not fit is found.
-    pub fn text(&self) -> String {
+    pub fn to_json(&self) -> String {
         let whole = serde_json::to_value(self).expect("numbers and texts alone");
         let mut out = format!("{{\n\"size\": {},\n\"runs\": [", whole["size"]);
         for (at, run) in self.runs.iter().enumerate() {
--- a/crates/capacity-model/tests/fits.rs
+++ b/crates/capacity-model/tests/fits.rs
@@ -1,6 +1,6 @@
 //! Lines that are told, and lines that must not be.
 
-use corkspan_capacity_model::fit::{Fit, How, NoFit, NotTold};
+use corkspan_capacity_model::fit::{EstimateError, EstimateSource, FitError, LinearFit};
 use test_case::test_case;
 
 const PLACES: [f64; 4] = [140.0, 400.0, 1_300.0, 2_600.0];
@@ -16,19 +16,19 @@
 
 #[test]
 fn the_line_that_made_the_points_is_found() {
-    let fit = Fit::of(&rounds(|at| 200.0 + 3.0 * at, 0.0)).expect("twelve points");
+    let fit = LinearFit::through(&rounds(|at| 200.0 + 3.0 * at, 0.0)).expect("twelve points");
     assert!(
         (fit.slope - 3.0).abs() < 1e-9 && (fit.intercept - 200.0).abs() < 1e-6,
         "{fit:?}"
     );
-    assert!(fit.straight && fit.bend < 1e-6);
+    assert!(fit.is_straight && fit.max_deviation < 1e-6);
 }
 
 /// By hand: places 0, 1, 2 and values 0, 2, 1 have slope 1/2, squares 3/2 with one degree of
 /// freedom.
 #[test]
 fn residuals_are_those_worked_out_by_hand() {
-    let fit = Fit::of(&[(0.0, 0.0), (1.0, 2.0), (2.0, 1.0)]).expect("three places");
+    let fit = LinearFit::through(&[(0.0, 0.0), (1.0, 2.0), (2.0, 1.0)]).expect("three places");
     assert!((fit.slope - 0.5).abs() < 1e-12);
     assert!((fit.residual - 1.5_f64.sqrt()).abs() < 1e-12);
     // Student's quantile for one degree at 97.5% is 12.706.
@@ -43,11 +43,11 @@
 #[test_case(|at| if at > 1_000.0 { at * 5.0 } else { at } ; "a step")]
 #[test_case(|at| 10_000.0 / at ; "a fall that ends")]
 fn a_bend_is_no_line(value: fn(f64) -> f64) {
-    let fit = Fit::of(&rounds(value, 0.02)).expect("twelve points");
-    assert!(!fit.straight);
-    assert_eq!(fit.at(2_601.0), Err(NotTold::NotStraight));
-    let told = fit.at(1_300.0).expect("it was measured there");
-    assert_eq!(told.how, How::Between);
+    let fit = LinearFit::through(&rounds(value, 0.02)).expect("twelve points");
+    assert!(!fit.is_straight);
+    assert_eq!(fit.estimate(2_601.0), Err(EstimateError::NotStraight));
+    let told = fit.estimate(1_300.0).expect("it was measured there");
+    assert_eq!(told.source, EstimateSource::Interpolated);
     assert!((told.value - value(1_300.0)).abs() < 1e-6 * value(1_300.0));
 }
 
@@ -57,22 +57,28 @@
         8.0, 12.0, 10.0, 11.0, 9.0, 10.5, 10.0, 8.5, 11.5, 9.0, 12.5, 9.5,
     ];
     let points: Vec<(f64, f64)> = (0..12).map(|own| (PLACES[own / 3], noisy[own])).collect();
-    assert!(Fit::of(&points).expect("twelve points").straight);
+    assert!(
+        LinearFit::through(&points)
+            .expect("twelve points")
+            .is_straight
+    );
 }
 
 #[test_case(5_200.0, true ; "twice as far as was measured")]
 #[test_case(5_201.0, false ; "further")]
 fn a_straight_line_ends_too(at: f64, told: bool) {
-    let fit = Fit::of(&rounds(|at| 200.0 + 3.0 * at, 0.01)).expect("twelve points");
-    match fit.at(at) {
-        Ok(value) => assert!(told && value.how == How::Beyond && value.error > 0.0),
-        Err(why) => assert!(!told && why == NotTold::TooFar(2_600.0)),
+    let fit = LinearFit::through(&rounds(|at| 200.0 + 3.0 * at, 0.01)).expect("twelve points");
+    match fit.estimate(at) {
+        Ok(value) => {
+            assert!(told && value.source == EstimateSource::Extrapolated && value.error > 0.0)
+        }
+        Err(reason) => assert!(!told && reason == EstimateError::TooFar(2_600.0)),
     }
 }
 
-#[test_case(&[(1.0, 1.0), (2.0, 2.0), (2.0, 2.1)], NoFit::Places(2) ; "two places")]
-#[test_case(&[], NoFit::Places(0) ; "nothing")]
-#[test_case(&[(1.0, 1.0), (2.0, f64::NAN), (3.0, 2.0)], NoFit::NoNumber ; "no number")]
-fn points_that_make_no_line_are_told(points: &[(f64, f64)], why: NoFit) {
-    assert_eq!(Fit::of(points), Err(why));
+#[test_case(&[(1.0, 1.0), (2.0, 2.0), (2.0, 2.1)], FitError::TooFewPlaces(2) ; "two places")]
+#[test_case(&[], FitError::TooFewPlaces(0) ; "nothing")]
+#[test_case(&[(1.0, 1.0), (2.0, f64::NAN), (3.0, 2.0)], FitError::NotFinite ; "no number")]
+fn points_that_make_no_line_are_told(points: &[(f64, f64)], reason: FitError) {
+    assert_eq!(LinearFit::through(points), Err(reason));
 }
--- a/crates/capacity-model/tests/results.rs
+++ b/crates/capacity-model/tests/results.rs
@@ -1,19 +1,19 @@
 //! Kept results that don't fit, pages that differ, machines that are too small.
 
-use corkspan_capacity_model::kept::{Axis, COMING, Kept, Point, Run};
-use corkspan_capacity_model::need::{Machine, fits, needs};
+use corkspan_capacity_model::figures::{self, Outcome};
 use corkspan_capacity_model::page;
-use corkspan_capacity_model::rows::{self, Out};
+use corkspan_capacity_model::requirements::{MachineResources, check, required_for};
+use corkspan_capacity_model::result::{Axis, CapacityResult, PLANNED_SIZE, Point, Run};
 use test_case::test_case;
 
 /// Bytes grow by 50 a machine; processor time by its square.
-fn kept() -> Kept {
+fn kept() -> CapacityResult {
     let places = vec![140.0, 400.0, 1_300.0, 2_600.0];
     let point = |at: f64, round: u32| Point {
         at,
         round,
         load: 1.5,
-        spoilt: None,
+        invalid: None,
         figures: [
             (
                 "told, bytes/s".to_string(),
@@ -40,22 +40,22 @@
         places,
         rounds: 3,
     };
-    Kept {
-        size: COMING,
+    CapacityResult {
+        size: PLANNED_SIZE,
         runs: vec![run],
     }
 }
 
-fn told(kept: &Kept, figure: &str) -> rows::Told {
-    let mut all = rows::told(kept);
+fn told(kept: &CapacityResult, figure: &str) -> figures::EvaluatedFigure {
+    let mut all = figures::evaluate(kept);
     let at = all
         .iter()
-        .position(|told| told.row.figure == figure)
+        .position(|told| told.definition.figure == figure)
         .expect("a row");
     all.swap_remove(at)
 }
 
-fn page_of(kept: &Kept) -> String {
+fn page_of(kept: &CapacityResult) -> String {
     let names = page::tables(kept)
         .into_iter()
         .map(|(name, _)| format!("<!-- {name} -->\n<!-- end -->\n"));
@@ -68,8 +68,8 @@
 #[test]
 fn a_line_is_told_at_the_size_against_its_limit() {
     let told = told(&kept(), "told, bytes/s");
-    let Out::Told { value, .. } = &told.out else {
-        panic!("{:?}", told.out)
+    let Outcome::Estimated { value, .. } = &told.outcome else {
+        panic!("{:?}", told.outcome)
     };
     assert!((value.value - 65_601.0).abs() < 1e-6 && value.error > 0.0);
     assert!((told.factor().expect("a limit") - 6.5601).abs() < 1e-6);
@@ -77,13 +77,13 @@
 
 #[test]
 fn the_largest_factor_comes_first_and_what_is_not_measured_last() {
-    let list = rows::by_factor(rows::told(&kept()));
-    assert_eq!(list[0].row.figure, "told, core %");
-    assert_eq!(list[1].row.figure, "told, bytes/s");
+    let list = figures::by_factor(figures::evaluate(&kept()));
+    assert_eq!(list[0].definition.figure, "told, core %");
+    assert_eq!(list[1].definition.figure, "told, bytes/s");
     assert!(
         list[2..]
             .iter()
-            .all(|told| told.out == Out::Not("not measured".into()))
+            .all(|told| told.outcome == Outcome::Unavailable("not measured".into()))
     );
     assert!(!list[2..].is_empty());
 }
@@ -96,11 +96,11 @@
         .iter_mut()
         .filter(|point| point.at == 400.0)
     {
-        point.spoilt = Some("stolen".into());
+        point.invalid = Some("stolen".into());
     }
     assert_eq!(
-        told(&kept, "told, bytes/s").out,
-        Out::Not("partial: nothing sound at 400".into())
+        told(&kept, "told, bytes/s").outcome,
+        Outcome::Unavailable("partial: nothing sound at 400".into())
     );
     let runs = page::tables(&kept).pop().expect("tables").1;
     assert!(runs.contains("3 of 12, **partial**"), "{runs}");
@@ -110,9 +110,9 @@
 fn a_spoilt_point_counts_for_nothing() {
     let mut kept = kept();
     let point = &mut kept.runs[0].points[2];
-    point.spoilt = Some("the generator was late".into());
+    point.invalid = Some("the generator was late".into());
     point.figures.insert("told, bytes/s".into(), 1e9);
-    let Out::Told { value, .. } = told(&kept, "told, bytes/s").out else {
+    let Outcome::Estimated { value, .. } = told(&kept, "told, bytes/s").outcome else {
         panic!("it is told")
     };
     assert!((value.value - 65_601.0).abs() < 1.0);
@@ -121,7 +121,7 @@
 #[test]
 fn what_is_kept_is_read_again() {
     let kept = kept();
-    assert_eq!(Kept::read(&kept.text()), Ok(kept));
+    assert_eq!(CapacityResult::read(&kept.to_json()), Ok(kept));
 }
 
 #[test_case("\"at\":1300.0", "\"at\":-4", "is no place" ; "a place below zero")]
@@ -130,24 +130,24 @@
 #[test_case("\"figures\":{", "\"figures\":{\"x\":null,", "invalid type" ; "no number")]
 #[test_case("\"machines\"", "\"machine\"", "unknown variant `machine`" ; "an axis that is none")]
 #[test_case("\"waiting\":300.0", "\"waiting\":0", "not above 0" ; "a size of nothing")]
-fn a_spoilt_file_is_told_with_its_line(sound: &str, spoilt: &str, why: &str) {
-    let text = kept().text();
+fn a_spoilt_file_is_told_with_its_line(sound: &str, invalid: &str, reason: &str) {
+    let text = kept().to_json();
     // Of the size's own fields the first is met, of points the last.
     let at = match sound {
         "\"machines\"" => text.find("\"axis\": \"machines\"").expect("stands") + 8,
         _ => text.rfind(sound).expect("it stands there"),
     };
     let line = text[..at].lines().count();
-    let text = format!("{}{spoilt}{}", &text[..at], &text[at + sound.len()..]);
-    let told = Kept::read(&text).expect_err("it is spoilt");
-    assert!(told.why.contains(why), "{told}");
+    let text = format!("{}{invalid}{}", &text[..at], &text[at + sound.len()..]);
+    let told = CapacityResult::read(&text).expect_err("it is spoilt");
+    assert!(told.reason.contains(reason), "{told}");
     assert_eq!(told.line, line, "{told}");
 }
 
 #[test]
 fn a_file_that_ends_early_is_told_with_its_line() {
-    let text = kept().text();
-    let told = Kept::read(&text[..text.len() / 2]).expect_err("half of it");
+    let text = kept().to_json();
+    let told = CapacityResult::read(&text[..text.len() / 2]).expect_err("half of it");
     assert_eq!(told.line, text[..text.len() / 2].lines().count(), "{told}");
 }
 
@@ -155,9 +155,9 @@
 fn a_run_that_stands_twice_is_told() {
     let mut kept = kept();
     kept.runs.push(kept.runs[0].clone());
-    let told = Kept::read(&kept.text()).expect_err("twice");
+    let told = CapacityResult::read(&kept.to_json()).expect_err("twice");
     assert!(
-        told.line > 15 && told.why.contains("machines / control"),
+        told.line > 15 && told.reason.contains("machines / control"),
         "{told}"
     );
 }
@@ -179,21 +179,21 @@
     let told = page::check(&page.replacen("65,601", "65,600", 1), &kept).expect_err("it differs");
     assert_eq!(told.line, line + 1);
     assert!(
-        told.why.contains("65,600") && told.why.contains("65,601"),
+        told.reason.contains("65,600") && told.reason.contains("65,601"),
         "{told}"
     );
 }
 
 #[test_case("<!-- runs -->", "", "no table `runs`" ; "a table is missing")]
 #[test_case("<!-- missing -->", "<!-- runs -->", "a second table `runs`" ; "a table stands twice")]
-fn a_page_without_its_tables_is_told(has: &str, instead: &str, why: &str) {
+fn a_page_without_its_tables_is_told(has: &str, instead: &str, reason: &str) {
     let kept = kept();
     let told =
         page::check(&page_of(&kept).replacen(has, instead, 1), &kept).expect_err("it does not fit");
-    assert!(told.why.contains(why), "{told}");
+    assert!(told.reason.contains(reason), "{told}");
 }
 
-const SMALL: Machine = Machine {
+const SMALL: MachineResources = MachineResources {
     memory_mib: 2_000,
     processes: 100,
     descriptors: 1_024,
@@ -205,11 +205,11 @@
 #[test_case(1, 140, 60_000, &["MiB of memory"] ; "too many tasks")]
 #[test_case(u64::MAX, 140, 0, &["MiB of memory", "processes", "descriptors"] ; "more than there are numbers")]
 fn what_is_short_is_told_at_once(dispatchers: u64, machines: u64, tasks: u64, short: &[&str]) {
-    match fits(needs(dispatchers, machines, tasks), SMALL) {
+    match check(required_for(dispatchers, machines, tasks), SMALL) {
         Ok(()) => assert!(short.is_empty()),
-        Err(why) => assert!(
-            !short.is_empty() && short.iter().all(|one| why.contains(one)),
-            "{why}"
+        Err(reason) => assert!(
+            !short.is_empty() && short.iter().all(|one| reason.contains(one)),
+            "{reason}"
         ),
     }
 }
--- a/crates/capacity-model/tests/stored.rs
+++ b/crates/capacity-model/tests/stored.rs
@@ -1,10 +1,10 @@
 //! The kept result and what is computed from it, held against files of an earlier program: the
 //! result and its page as they stand in docs/, refusals of spoilt results, and fits of seeded points.
 
-use corkspan_capacity_model::fit::{Fit, How};
-use corkspan_capacity_model::kept::{COMING, Kept, Size};
-use corkspan_capacity_model::need::{Machine, fits, needs};
+use corkspan_capacity_model::fit::{EstimateSource, LinearFit};
 use corkspan_capacity_model::page;
+use corkspan_capacity_model::requirements::{MachineResources, check, required_for};
+use corkspan_capacity_model::result::{CapacityResult, FleetSize, PLANNED_SIZE};
 use std::fmt::Write;
 use std::path::Path;
 use test_case::test_case;
@@ -14,20 +14,20 @@
     std::fs::read_to_string(docs.join(name)).expect("it stands there")
 }
 
-fn result() -> Kept {
-    Kept::read(&document("capacity/result.json")).expect("it is whole")
+fn result() -> CapacityResult {
+    CapacityResult::read(&document("capacity/result.json")).expect("it is whole")
 }
 
 /// The size is written with its keys in alphabetical order, all else as it is on file.
 #[test]
 fn the_result_on_file_is_written_back_to_the_same_bytes() {
-    let (stored, written) = (document("capacity/result.json"), result().text());
+    let (stored, written) = (document("capacity/result.json"), result().to_json());
     let size = include_str!("data/size_in_result.json").trim_end();
     let lines: Vec<&str> = stored.split('\n').collect();
     let sized = format!("\"size\": {size},");
     let expected = [&lines[..1], &[&sized[..]], &lines[2..]].concat();
     assert_eq!(written.split('\n').collect::<Vec<_>>(), expected);
-    assert_eq!(Kept::read(&written), Ok(result()));
+    assert_eq!(CapacityResult::read(&written), Ok(result()));
 }
 
 #[test]
@@ -39,8 +39,8 @@
 #[test]
 fn a_size_is_read_and_written_back_to_the_same_bytes() {
     let stored = include_str!("data/size.json").trim_end();
-    let size: Size = serde_json::from_str(stored).expect("it is whole");
-    assert_eq!(size, COMING);
+    let size: FleetSize = serde_json::from_str(stored).expect("it is whole");
+    assert_eq!(size, PLANNED_SIZE);
     assert_eq!(
         serde_json::to_string(&size).expect("it can be written"),
         stored
@@ -52,7 +52,7 @@
     let whole = document("capacity/result.json");
     for part in 1..24 {
         let cut = whole.len() * part / 24;
-        let error = Kept::read(&whole[..cut]).expect_err("it is cut short");
+        let error = CapacityResult::read(&whole[..cut]).expect_err("it is cut short");
         let _ = writeln!(out, "cut at {cut}: {error}");
     }
     for (text, instead) in [
@@ -78,7 +78,7 @@
     ] {
         assert!(whole.contains(text), "{text}");
         let spoilt = whole.replacen(text, instead, 1);
-        let error = Kept::read(&spoilt).expect_err("it is spoilt");
+        let error = CapacityResult::read(&spoilt).expect_err("it is spoilt");
         let _ = writeln!(out, "{text} as {instead}: {error}");
     }
     let page = document("CAPACITY.md");
@@ -91,13 +91,13 @@
         let error = page::check(&spoilt, &result()).expect_err("it differs");
         let _ = writeln!(out, "{text} as {instead}: {error}");
     }
-    let machine = Machine {
+    let machine = MachineResources {
         memory_mib: 24_000,
         processes: 1_000,
         descriptors: 20_000,
     };
     for (dispatchers, machines, tasks) in [(1, 140, 0), (600, 1_300, 300), (500, 900_000, 9_999)] {
-        let checked = fits(needs(dispatchers, machines, tasks), machine);
+        let checked = check(required_for(dispatchers, machines, tasks), machine);
         let text = checked.map_or_else(|error| error.to_string(), |()| "enough".into());
         let _ = writeln!(out, "{dispatchers}, {machines}, {tasks}: {text}");
     }
@@ -134,7 +134,7 @@
     let mut state = 1;
     for shape in 0..48 {
         let points = points(&mut state, shape);
-        let fit = match Fit::of(&points) {
+        let fit = match LinearFit::through(&points) {
             Ok(fit) => fit,
             Err(error) => {
                 let _ = writeln!(out, "{shape}: {error}");
@@ -154,18 +154,22 @@
             },
             error(fit.slope_error),
             error(fit.residual),
-            fit.straight,
+            fit.is_straight,
             fit.range
         );
         for at in [-1.0, 0.0, 55.0, 300.0, 1e4] {
-            let text = match fit.at(at) {
+            let text = match fit.estimate(at) {
                 Ok(value) => {
-                    let how = match value.how {
-                        How::Line => "line",
-                        How::Beyond => "beyond",
-                        How::Between => "between",
+                    let source = match value.source {
+                        EstimateSource::Line => "line",
+                        EstimateSource::Extrapolated => "beyond",
+                        EstimateSource::Interpolated => "between",
                     };
-                    format!("{:.8e} error {:.8e} {how}", value.value, error(value.error))
+                    format!(
+                        "{:.8e} error {:.8e} {source}",
+                        value.value,
+                        error(value.error)
+                    )
                 }
                 Err(error) => error.to_string(),
             };
--- a/crates/lab/src/capacity/kernel.rs
+++ b/crates/lab/src/capacity/kernel.rs
@@ -1,6 +1,6 @@
 //! What the kernel tells of processes, threads and the machine.
 
-use corkspan_capacity_model::need::Machine;
+use corkspan_capacity_model::requirements::MachineResources;
 use std::fs;
 use std::path::Path;
 
@@ -82,7 +82,7 @@
 }
 
 /// What this machine has.
-pub fn machine() -> Machine {
+pub fn machine() -> MachineResources {
     let text = fs::read_to_string("/proc/meminfo").unwrap_or_default();
     let line = text.lines().find_map(|line| line.strip_prefix("MemTotal:"));
     let kib = line
@@ -93,7 +93,7 @@
             .current
             .unwrap_or(u64::MAX)
     };
-    Machine {
+    MachineResources {
         memory_mib: kib / 1_024,
         processes: most(rustix::process::Resource::Nproc),
         descriptors: most(rustix::process::Resource::Nofile),
--- a/crates/lab/src/capacity/mod.rs
+++ b/crates/lab/src/capacity/mod.rs
@@ -9,8 +9,8 @@
 mod stage;
 
 use async_io::Timer;
-use corkspan_capacity_model::kept::{Axis, Kept, Point, Run, Size};
-use corkspan_capacity_model::need;
+use corkspan_capacity_model::requirements;
+use corkspan_capacity_model::result::{Axis, CapacityResult, FleetSize, Point, Run};
 use corkspan_rpc::{Tasks, within};
 use futures_lite::future;
 use stage::ask;
@@ -23,7 +23,7 @@
 /// How it is measured.
 pub struct Capacity {
     pub program: Vec<OsString>,
-    pub size: Size,
+    pub size: FleetSize,
     pub axes: Vec<Axis>,
     pub rounds: u32,
     /// Of each watch; keepers are asked each 2 s.
@@ -164,21 +164,21 @@
             let most = series.places.iter().copied().fold(0.0, f64::max) as u64;
             let machines = self.size.machines as u64;
             let needs = match series.axis {
-                Axis::Machines => need::needs(1, most, 0),
-                Axis::Dispatchers => need::needs(most, u64::from(FEW_MACHINES), 0),
-                Axis::Tasks | Axis::Waiting => need::needs(1, machines, most),
-                Axis::Versions => need::needs(1, u64::from(FEW_MACHINES), 0),
+                Axis::Machines => requirements::required_for(1, most, 0),
+                Axis::Dispatchers => requirements::required_for(most, u64::from(FEW_MACHINES), 0),
+                Axis::Tasks | Axis::Waiting => requirements::required_for(1, machines, most),
+                Axis::Versions => requirements::required_for(1, u64::from(FEW_MACHINES), 0),
             };
-            need::fits(needs, has)
+            requirements::check(needs, has)
                 .map_err(|why| format!("{} / {}: {why}", series.axis.name(), series.name))?;
         }
         // What the size itself says stands as processes.
-        let whole = need::needs(
+        let whole = requirements::required_for(
             self.size.dispatchers as u64,
             self.size.machines as u64,
             self.size.running as u64,
         );
-        need::fits(whole, has).map_err(|why| format!("the size: {why}"))
+        requirements::check(whole, has).map_err(|why| format!("the size: {why}"))
     }
 
     /// Measures, telling each run as soon as it is whole.
@@ -201,7 +201,7 @@
                 for &at in &series.places {
                     let mut point = self.point(&series, at, round)?;
                     for _ in 0..AGAIN {
-                        if point.spoilt.is_some() {
+                        if point.invalid.is_some() {
                             run.points.push(std::mem::replace(
                                 &mut point,
                                 self.point(&series, at, round)?,
@@ -252,7 +252,7 @@
             at,
             round,
             load,
-            spoilt,
+            invalid: spoilt,
             figures: measured.figures,
         })
     }
@@ -505,11 +505,11 @@
 }
 
 /// A kept result with this run in it.
-pub fn put(path: &std::path::Path, size: &Size, run: Run) -> Result<(), String> {
+pub fn put(path: &std::path::Path, size: &FleetSize, run: Run) -> Result<(), String> {
     let place = |why: String| format!("{}: {why}", path.display());
     let mut kept = match std::fs::read_to_string(path) {
-        Ok(text) => Kept::read(&text).map_err(|why| place(why.to_string()))?,
-        Err(why) if why.kind() == std::io::ErrorKind::NotFound => Kept {
+        Ok(text) => CapacityResult::read(&text).map_err(|why| place(why.to_string()))?,
+        Err(why) if why.kind() == std::io::ErrorKind::NotFound => CapacityResult {
             size: size.clone(),
             runs: Vec::new(),
         },
@@ -518,8 +518,8 @@
     if kept.size != *size {
         return Err(place("it is of another size".into()));
     }
-    kept.put(run);
+    kept.insert(run);
     let new = path.with_extension("new");
-    std::fs::write(&new, kept.text()).map_err(|why| place(why.to_string()))?;
+    std::fs::write(&new, kept.to_json()).map_err(|why| place(why.to_string()))?;
     std::fs::rename(&new, path).map_err(|why| place(why.to_string()))
 }
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,7 +1,7 @@
 //! `corkspan-lab`: days of trouble, their judge, and measurements.
 
 use clap::{Parser, Subcommand};
-use corkspan_capacity_model::kept::{self, Axis};
+use corkspan_capacity_model::result::{self, Axis};
 use corkspan_lab::capacity::Capacity;
 use corkspan_lab::{
     capture, day::Day, hollow, judge, loads, measure::Measure, play::Play, process::Programs,
@@ -369,7 +369,7 @@
     json: Option<PathBuf>,
 ) -> Result<(), String> {
     let size = match size {
-        None => kept::COMING,
+        None => result::PLANNED_SIZE,
         Some(path) => {
             let place = |why: String| format!("{}: {why}", path.display());
             let text = std::fs::read_to_string(&path).map_err(|why| place(why.to_string()))?;
@@ -398,7 +398,7 @@
             .trim()
             .into(),
     };
-    let mut all = kept::Kept {
+    let mut all = result::CapacityResult {
         size: size.clone(),
         runs: Vec::new(),
     };
@@ -406,7 +406,7 @@
         if let Some(path) = &json {
             corkspan_lab::capacity::put(path, &size, run.clone())?;
         }
-        all.put(run);
+        all.insert(run);
         Ok(())
     })?;
     for (_, table) in corkspan_capacity_model::page::tables(&all) {
@@ -420,8 +420,8 @@
     let read = |path: &Path| {
         std::fs::read_to_string(path).map_err(|why| format!("{}: {why}", path.display()))
     };
-    let kept =
-        kept::Kept::read(&read(&file)?).map_err(|why| format!("{}: {why}", file.display()))?;
+    let kept = result::CapacityResult::read(&read(&file)?)
+        .map_err(|why| format!("{}: {why}", file.display()))?;
     if let Some(path) = check {
         page::check(&read(&path)?, &kept).map_err(|why| format!("{}: {why}", path.display()))?;
         println!("{} is as {} has it", path.display(), file.display());
--- a/crates/lab/tests/capacity.rs
+++ b/crates/lab/tests/capacity.rs
@@ -2,7 +2,7 @@
 //! machine is.
 
 use corkspan_api::v1::link_count::Kind;
-use corkspan_capacity_model::{kept::Kept, page};
+use corkspan_capacity_model::{page, result::CapacityResult};
 use corkspan_lab::capacity::{End, Room, Setting, Stage};
 use corkspan_lab::counts;
 use corkspan_rpc::{Tasks, within};
@@ -118,14 +118,15 @@
 #[test]
 fn the_page_is_as_the_kept_result_has_it() {
     let (result, page) = documents();
-    let kept = Kept::read(&result).unwrap_or_else(|why| panic!("docs/capacity/result.json: {why}"));
+    let kept = CapacityResult::read(&result)
+        .unwrap_or_else(|why| panic!("docs/capacity/result.json: {why}"));
     page::check(&page, &kept).unwrap_or_else(|why| panic!("docs/CAPACITY.md: {why}"));
 }
 
 #[test]
 fn a_result_that_was_changed_no_longer_fits_the_page() {
     let (result, page) = documents();
-    let mut kept = Kept::read(&result).expect("the test before this one");
+    let mut kept = CapacityResult::read(&result).expect("the test before this one");
     kept.size.waiting /= 2.0;
     kept.size.bytes_a_second += 1.0;
     assert!(page::check(&page, &kept).is_err());
@@ -143,10 +144,10 @@
 fn a_size_that_asks_for_too_much_is_refused_at_once() {
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("size.json");
-    let size = corkspan_capacity_model::kept::Size {
+    let size = corkspan_capacity_model::result::FleetSize {
         dispatchers: 3_000.0,
         machines: 900_000.0,
-        ..corkspan_capacity_model::kept::COMING
+        ..corkspan_capacity_model::result::PLANNED_SIZE
     };
     std::fs::write(&path, serde_json::to_string(&size).expect("numbers")).expect("written");
     let path = path.to_str().expect("plain");
