--- a/crates/rollout/src/controller.rs
+++ b/crates/rollout/src/controller.rs
@@ -67,8 +67,8 @@
 }
 
 impl RolloutController {
-    /// A controller that knows of no replica yet. `dispatcher` is the dispatcher's number; `seed` fixes
-    /// its random draws.
+    /// A controller that knows of no replica yet. `dispatcher` is the dispatcher's number; `seed`
+    /// fixes its random draws.
     pub fn new(dispatcher: u32, seed: u64, rollout: Rollout, now: Ticks) -> Self {
         RolloutController {
             dispatcher,
--- a/crates/rollout/src/controller/claims.rs
+++ b/crates/rollout/src/controller/claims.rs
@@ -9,8 +9,8 @@
 
 impl RolloutController {
     /// Takes over a claim that an earlier incarnation had stored. One that was known to be won is
-    /// used again once [`RolloutController::verify_restored_claims`] finds that it still holds its slot: it may have been
-    /// released right before the restart.
+    /// used again once [`RolloutController::verify_restored_claims`] finds that it still holds its
+    /// slot: it may have been released right before the restart.
     pub fn restore_claim(&mut self, claim: ClaimId, task: &str, won: bool) {
         if won {
             let task = task.into();
@@ -21,8 +21,8 @@
         }
     }
 
-    /// Finds out what became of the claims of an earlier incarnation, by the slots that `answering` of
-    /// the members report. Where a member is gone for good, waiting for its answer would leave
+    /// Finds out what became of the claims of an earlier incarnation, by the slots that `answering`
+    /// of all `members` report. Where a member is gone for good, waiting for its answer would leave
     /// their replicas as they are for good: such claims are made again instead.
     #[must_use]
     pub fn verify_restored_claims(
--- a/crates/rollout/src/controller/steps.rs
+++ b/crates/rollout/src/controller/steps.rs
@@ -42,10 +42,10 @@
         let free: Vec<u32> = (0..self.rollout.max_unavailable)
             .filter(|slot| !taken(*slot))
             .collect();
-        let batch = (self.rollout.max_in_progress.max(1) as usize)
+        let limit = (self.rollout.max_in_progress.max(1) as usize)
             .saturating_sub(self.claims.len())
             .min(free.len());
-        let next = self.next_replicas(batch);
+        let next = self.next_replicas(limit);
         // Each dispatcher begins at another slot, so that not all go for the same.
         let first = self.rng.random_range(0..free.len().max(1));
         let mut requests = Vec::new();
@@ -65,7 +65,7 @@
         requests
     }
 
-    /// So many tasks at the most whose replica is to be replaced next. Those down for another
+    /// Up to `limit` tasks whose replica is to be replaced next. Those down for another
     /// reason come first, of the desired version too: they take a slot while they are down, so that
     /// all dispatchers slow down. Then old ones that are ready.
     fn next_replicas(&self, limit: usize) -> Vec<String> {
--- a/crates/rollout/src/controller/types.rs
+++ b/crates/rollout/src/controller/types.rs
@@ -86,7 +86,7 @@
 pub struct Votes {
     /// Members that granted it.
     pub granted: usize,
-    /// Members that there are.
+    /// Members in the quorum.
     pub members: usize,
 }
 
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -1,12 +1,12 @@
-//! Decisions of rolling updates, without I/O and without a clock. docs/rollout.md says why it is done
-//! this way.
+//! Decisions of rolling updates, without I/O and without a clock. docs/rollout.md says why it is
+//! done this way.
 //!
-//! A [`Rollout`] replaces the replicas of a service by a new version, so that at no time more than a
-//! stated number of them are unavailable over all dispatchers together, which share nothing. The
+//! A [`Rollout`] replaces the replicas of a service by a new version, so that at no time more than
+//! a stated number of them are unavailable over all dispatchers together, which share nothing. The
 //! quorum members of [`corkspan_quorum`] hold each service's latest rollout and who holds its
 //! slots. A replica may be stopped only by the dispatcher that holds a slot at a majority of them.
-//! A [`controller::RolloutController`] decides for one dispatcher: which replica next, when to wait, when to
-//! halt.
+//! A [`controller::RolloutController`] decides for one dispatcher: which replica next, when to
+//! wait, when to halt.
 
 #![warn(missing_docs)]
 
--- /dev/null
+++ b/crates/rollout/tests/controller/main.rs
@@ -0,0 +1,7 @@
+//! What one dispatcher decides of a rollout.
+
+mod claims;
+mod failures;
+mod restarts;
+mod support;
+mod surges;
--- a/crates/rollout/tests/decisions.rs
+++ b/crates/rollout/tests/decisions/main.rs
@@ -1,14 +1,17 @@
-//! What the controllers of three dispatchers decide over a scripted, seeded run is compared byte for
-//! byte with the transcript that an earlier version of this program wrote.
+//! What the controllers of three dispatchers decide over a scripted, seeded run is compared byte
+//! for byte with the transcript that an earlier version of this program wrote.
+
+mod text;
 
 use corkspan_rollout::controller::{
-    Actions, ClaimRequest, ReportedSlot, RolloutController, SurgeEnd, Votes,
+    ClaimRequest, ReportedSlot, RolloutController, SurgeEnd, Votes,
 };
 use corkspan_rollout::{ClaimId, ClaimOutcome, Grant, Order, Phase, QuorumMember, Rollout};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
 use std::fmt::Write;
+use text::{assert_same, claims, describe};
 
 const STEPS: usize = 420;
 const DISPATCHERS: usize = 3;
@@ -98,7 +101,7 @@
         reported
     }
 
-    fn say(&mut self, index: usize, text: &str) {
+    fn write(&mut self, index: usize, text: &str) {
         writeln!(self.text, "{:>7} d{index} {text}", self.now).expect("text");
     }
 
@@ -147,13 +150,13 @@
         match self.random.random_range(0..24) {
             0 => {
                 let failed = self.controllers[index].replica_unready(now, &task);
-                self.say(index, &format!("{task} unready, failed {failed}"));
+                self.write(index, &format!("{task} unready, failed {failed}"));
             }
             1 => self.controllers[index].replica_ready(now, &task),
             2 => {
                 self.starting.remove(&task);
                 let released = self.controllers[index].replica_removed(&task);
-                self.say(
+                self.write(
                     index,
                     &format!("{task} gone, releases {}", claims(&released)),
                 );
@@ -166,7 +169,7 @@
                 self.starting.remove(&task);
                 self.controllers[index].replica_lost(now, &task);
                 let released = self.controllers[index].surge_ended(now, &task, SurgeEnd::Cancelled);
-                self.say(
+                self.write(
                     index,
                     &format!("{task} died, releases {}", claims(&released)),
                 );
@@ -198,7 +201,7 @@
                     "{task} surge failed {outcome}, releases {}",
                     claims(&released)
                 );
-                self.say(index, &text);
+                self.write(index, &text);
                 self.release(released);
             } else if beside {
                 controller.surge_readiness(self.now, &task, true);
@@ -239,13 +242,13 @@
             counts.unready,
             controller.has_work()
         );
-        self.say(index, &text);
+        self.write(index, &text);
         for ClaimRequest { claim, slot, task } in &recalled.retry {
             let text = format!("claim again {:016x} slot {slot} for {task}", claim.0);
-            self.say(index, &text);
+            self.write(index, &text);
         }
         if !recalled.lost.is_empty() {
-            self.say(index, &format!("no longer held {}", claims(&recalled.lost)));
+            self.write(index, &format!("no longer held {}", claims(&recalled.lost)));
         }
         actions.release.extend(recalled.lost);
         actions.claims.extend(recalled.retry);
@@ -266,7 +269,7 @@
         for task in &actions.stop_old {
             if self.random.random_range(0..3) > 0 {
                 let released = self.controllers[index].surge_took_over(task);
-                self.say(
+                self.write(
                     index,
                     &format!("{task} taken over, releases {}", claims(&released)),
                 );
@@ -289,16 +292,16 @@
                 task: task.clone(),
                 dispatcher: index as u32,
             };
-            let heard = self.random.random_range(0..4) > 0;
+            let answers = self.random.random_range(0..4) > 0;
             let claimed = member.claim("s", self.rollout.revision, slot, grant);
-            granted += usize::from(heard && claimed == ClaimOutcome::Granted);
+            granted += usize::from(answers && claimed == ClaimOutcome::Granted);
         }
         let votes = Votes {
             granted,
             members: MEMBERS,
         };
         let won = self.controllers[index].claim_decided(self.now, claim, votes);
-        self.say(index, &format!("claim {} won {won}", claims(&[claim])));
+        self.write(index, &format!("claim {} won {won}", claims(&[claim])));
         if !won {
             self.release(vec![claim]);
             return;
@@ -306,7 +309,7 @@
         self.on_disk.insert(claim, (index, task, true));
         let surge = self.controllers[index].start_surges(self.now);
         let replace = self.controllers[index].start_replacements(self.now);
-        self.say(
+        self.write(
             index,
             &format!("at once: surge {surge:?} replace {replace:?}"),
         );
@@ -318,8 +321,8 @@
     fn restart(&mut self, index: usize) {
         let now = self.now;
         let mut controller = RolloutController::new(index as u32, 90, self.rollout.clone(), now);
-        for (number, (claim, (owner, task, won))) in self.on_disk.iter().enumerate() {
-            if *owner == index {
+        for (number, (claim, (dispatcher, task, won))) in self.on_disk.iter().enumerate() {
+            if *dispatcher == index {
                 controller.restore_claim(*claim, task, *won && number % 3 < 2);
             }
         }
@@ -329,7 +332,7 @@
             controller.replica_assigned(now, &format!("d{index}t{number}"), version, number == 0);
         }
         self.controllers[index] = controller;
-        self.say(index, "restarted");
+        self.write(index, "restarted");
     }
 
     fn transcript(order: Order) -> String {
@@ -361,56 +364,11 @@
     }
 }
 
-fn claims(claims: &[ClaimId]) -> String {
-    let claims: Vec<String> = claims
-        .iter()
-        .map(|claim| format!("{:016x}", claim.0))
-        .collect();
-    claims.join("+")
-}
-
-/// One line for what a controller wants done, whatever its types are called.
-fn describe(actions: &Actions) -> String {
-    let mut text = String::new();
-    for ClaimRequest { claim, slot, task } in &actions.claims {
-        write!(text, "claim {:016x} slot {slot} for {task}, ", claim.0).expect("text");
-    }
-    for (what, tasks) in [
-        ("replace", &actions.replace),
-        ("surge", &actions.surge),
-        ("stop old", &actions.stop_old),
-        ("cancel surge", &actions.cancel_surge),
-    ] {
-        if !tasks.is_empty() {
-            write!(text, "{what} {}, ", tasks.join("+")).expect("text");
-        }
-    }
-    if !actions.release.is_empty() {
-        write!(text, "release {}, ", claims(&actions.release)).expect("text");
-    }
-    for left in &actions.clean_up {
-        write!(text, "clean up {:016x} for {}, ", left.claim.0, left.task).expect("text");
-    }
-    if let Some(why) = &actions.halt {
-        write!(text, "halt: {why}, ").expect("text");
-    }
-    write!(text, "wait {}", actions.wait).expect("text");
-    text
-}
-
-/// The first line that differs, so that a failure can be read.
-fn assert_same(transcript: &str, reference: &str) {
-    for (number, (new, old)) in transcript.lines().zip(reference.lines()).enumerate() {
-        assert_eq!(new, old, "line {}", number + 1);
-    }
-    assert!(transcript == reference, "one is longer");
-}
-
 #[test]
 fn decisions_that_stop_the_old_replica_first_are_those_of_the_earlier_version() {
     assert_same(
         &Run::transcript(Order::StopFirst),
-        include_str!("data/decisions-stop-first.txt"),
+        include_str!("../data/decisions-stop-first.txt"),
     );
 }
 
@@ -418,6 +376,6 @@
 fn decisions_that_start_the_new_replica_first_are_those_of_the_earlier_version() {
     assert_same(
         &Run::transcript(Order::StartFirst),
-        include_str!("data/decisions-start-first.txt"),
+        include_str!("../data/decisions-start-first.txt"),
     );
 }
--- /dev/null
+++ b/crates/rollout/tests/decisions/text.rs
@@ -0,0 +1,51 @@
+//! The transcript's text, which names no type of the program.
+
+use corkspan_rollout::ClaimId;
+use corkspan_rollout::controller::{Actions, ClaimRequest};
+use std::fmt::Write;
+
+/// Claims in hexadecimal.
+pub fn claims(claims: &[ClaimId]) -> String {
+    let claims: Vec<String> = claims
+        .iter()
+        .map(|claim| format!("{:016x}", claim.0))
+        .collect();
+    claims.join("+")
+}
+
+/// One line for what a controller wants done, whatever its types are called.
+pub fn describe(actions: &Actions) -> String {
+    let mut text = String::new();
+    for ClaimRequest { claim, slot, task } in &actions.claims {
+        write!(text, "claim {:016x} slot {slot} for {task}, ", claim.0).expect("text");
+    }
+    for (what, tasks) in [
+        ("replace", &actions.replace),
+        ("surge", &actions.surge),
+        ("stop old", &actions.stop_old),
+        ("cancel surge", &actions.cancel_surge),
+    ] {
+        if !tasks.is_empty() {
+            write!(text, "{what} {}, ", tasks.join("+")).expect("text");
+        }
+    }
+    if !actions.release.is_empty() {
+        write!(text, "release {}, ", claims(&actions.release)).expect("text");
+    }
+    for left in &actions.clean_up {
+        write!(text, "clean up {:016x} for {}, ", left.claim.0, left.task).expect("text");
+    }
+    if let Some(why) = &actions.halt {
+        write!(text, "halt: {why}, ").expect("text");
+    }
+    write!(text, "wait {}", actions.wait).expect("text");
+    text
+}
+
+/// The first line that differs, so that a failure can be read.
+pub fn assert_same(transcript: &str, reference: &str) {
+    for (number, (new, old)) in transcript.lines().zip(reference.lines()).enumerate() {
+        assert_eq!(new, old, "line {}", number + 1);
+    }
+    assert!(transcript == reference, "one is longer");
+}
--- a/crates/rollout/tests/search.rs
+++ b/crates/rollout/tests/search.rs
@@ -1,14 +1,14 @@
-//! That slots at a majority of keepers can't be held by more than the limit: every state that
-//! messages late, lost, doubled and out of order, and dispatchers killed at any point, can lead to
-//! in a small case. And that the search is able to find a protocol that can: turns in time, and
-//! keepers asked without a majority.
+//! No more slots than the limit can be held at a majority of quorum members: every state of a small
+//! case is visited that messages late, lost, duplicated and out of order, and dispatchers killed at
+//! any point, can lead to. The search is shown to find protocols that fail: time slices, and claims
+//! granted without a majority.
 
 use corkspan_rollout::{ClaimId, Order, Phase, Rollout, base_proposal, committed, is_majority};
 use corkspan_rollout::{ClaimOutcome, Grant, QuorumMember};
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 use test_case::test_case;
 
-const KEEPERS: usize = 3;
+const MEMBERS: usize = 3;
 
 fn rollout(number: u64, max_unavailable: u32) -> Rollout {
     Rollout {
@@ -28,55 +28,60 @@
     }
 }
 
-/// What one dispatcher is at: its copy is not ready while it holds.
+/// What one dispatcher is doing: its replica is not ready while it holds a slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-enum At {
-    Rests,
-    /// Claims a slot by its so many-th claim.
-    Claims(u8, u8),
-    Holds(u8),
+enum State {
+    Idle,
+    /// Claims a slot, by claim and slot.
+    Claiming(u8, u8),
+    Holding(u8),
 }
 
 #[derive(Clone, PartialEq, Eq, Hash)]
 struct World {
-    /// Slots of each keeper: claim by slot.
-    members: [BTreeMap<u8, u8>; KEEPERS],
-    dispatchers: Vec<(At, u8)>,
-    /// Claims sent (claim, slot), releases sent (claim), grants ever answered (claim, keeper). A
+    /// Slots of each member: claim by slot.
+    members: [BTreeMap<u8, u8>; MEMBERS],
+    dispatchers: Vec<(State, u8)>,
+    /// Claims sent (claim, slot), releases sent (claim), grants ever answered (claim, member). A
     /// message once sent may arrive at any time, never, or again.
     claims: BTreeSet<(u8, u8)>,
     releases: BTreeSet<u8>,
     granted: BTreeSet<(u8, u8)>,
 }
 
-/// Explores all that may follow, with this many votes for a claim to be won. The most copies seen
-/// not ready at a time, and how many states there were.
-fn most_unready(dispatchers: usize, claims_each: u8, slots: u8, votes: usize) -> (usize, usize) {
+/// Visits every state, with this many votes for a claim to be won. Returns the highest number of
+/// replicas that were not ready at a time, and the number of states.
+fn max_unavailable_reached(
+    dispatchers: usize,
+    claims_each: u8,
+    slots: u8,
+    votes: usize,
+) -> (usize, usize) {
     let start = World {
         members: Default::default(),
-        dispatchers: vec![(At::Rests, 0); dispatchers],
+        dispatchers: vec![(State::Idle, 0); dispatchers],
         claims: BTreeSet::new(),
         releases: BTreeSet::new(),
         granted: BTreeSet::new(),
     };
-    let (mut seen, mut open, mut most) = (HashSet::from([start.clone()]), vec![start], 0);
+    let (mut seen, mut open, mut highest) = (HashSet::from([start.clone()]), vec![start], 0);
     while let Some(world) = open.pop() {
         let holding = world
             .dispatchers
             .iter()
-            .filter(|(at, _)| matches!(at, At::Holds(_)))
+            .filter(|(at, _)| matches!(at, State::Holding(_)))
             .count();
-        most = most.max(holding);
-        for next in follow(&world, claims_each, slots, votes) {
+        highest = highest.max(holding);
+        for next in successors(&world, claims_each, slots, votes) {
             if seen.insert(next.clone()) {
                 open.push(next);
             }
         }
     }
-    (most, seen.len())
+    (highest, seen.len())
 }
 
-fn follow(world: &World, claims_each: u8, slots: u8, votes: usize) -> Vec<World> {
+fn successors(world: &World, claims_each: u8, slots: u8, votes: usize) -> Vec<World> {
     let mut all = Vec::new();
     for (index, &(at, used)) in world.dispatchers.iter().enumerate() {
         let claim = index as u8 * 8 + used;
@@ -86,54 +91,54 @@
             all.push(next);
         };
         match at {
-            At::Rests if used < claims_each => {
+            State::Idle if used < claims_each => {
                 for slot in 0..slots {
                     step(&|next| {
                         next.claims.insert((claim, slot));
-                        next.dispatchers[index] = (At::Claims(claim, slot), used + 1);
+                        next.dispatchers[index] = (State::Claiming(claim, slot), used + 1);
                     });
                 }
             }
-            At::Rests => {}
-            At::Claims(claim, _) => {
+            State::Idle => {}
+            State::Claiming(claim, _) => {
                 let granted = world
                     .granted
                     .iter()
                     .filter(|(other, _)| *other == claim)
                     .count();
                 if granted >= votes {
-                    step(&|next| next.dispatchers[index].0 = At::Holds(claim));
+                    step(&|next| next.dispatchers[index].0 = State::Holding(claim));
                 }
                 // Given up at any time: refused, out of patience, or killed before the hold was on
                 // disk.
                 step(&|next| {
                     next.releases.insert(claim);
-                    next.dispatchers[index].0 = At::Rests;
+                    next.dispatchers[index].0 = State::Idle;
                 });
             }
-            // Killed while it holds, it holds on: the step is on disk and its copy is down.
-            At::Holds(claim) => step(&|next| {
+            // Killed while it holds, it holds on: the step is on disk and its replica is down.
+            State::Holding(claim) => step(&|next| {
                 next.releases.insert(claim);
-                next.dispatchers[index].0 = At::Rests;
+                next.dispatchers[index].0 = State::Idle;
             }),
         }
     }
-    for keeper in 0..KEEPERS {
+    for member in 0..MEMBERS {
         for &(claim, slot) in &world.claims {
             let mut next = world.clone();
-            let held = next.members[keeper].get(&slot).copied();
-            // The rule of the real keeper, which the test below holds against it.
+            let held = next.members[member].get(&slot).copied();
+            // The rule of the real member, which a test below checks.
             if held == Some(claim)
-                || held.is_none() && next.members[keeper].len() < usize::from(slots)
+                || held.is_none() && next.members[member].len() < usize::from(slots)
             {
-                next.members[keeper].insert(slot, claim);
-                next.granted.insert((claim, keeper as u8));
+                next.members[member].insert(slot, claim);
+                next.granted.insert((claim, member as u8));
                 all.push(next);
             }
         }
         for &claim in &world.releases {
             let mut next = world.clone();
-            next.members[keeper].retain(|_, held| *held != claim);
+            next.members[member].retain(|_, held| *held != claim);
             all.push(next);
         }
     }
@@ -143,25 +148,25 @@
 #[test_case(2, 2, 1; "one slot, two dispatchers, two claims each")]
 #[test_case(3, 1, 1; "one slot, three dispatchers")]
 #[test_case(3, 1, 2; "two slots, three dispatchers")]
-fn a_majority_never_passes_the_limit(dispatchers: usize, claims_each: u8, slots: u8) {
-    let (most, states) = most_unready(dispatchers, claims_each, slots, 2);
+fn a_majority_never_exceeds_the_limit(dispatchers: usize, claims_each: u8, slots: u8) {
+    let (highest, states) = max_unavailable_reached(dispatchers, claims_each, slots, 2);
     assert!(states > 100, "{states} states are no search");
     assert_eq!(
-        most,
+        highest,
         usize::from(slots),
-        "reached, and never passed, in {states} states"
+        "reached, and never exceeded, in {states} states"
     );
 }
 
 #[test]
-fn without_a_majority_the_search_finds_the_limit_passed() {
-    let (most, _) = most_unready(2, 1, 1, 1);
-    assert_eq!(most, 2);
+fn without_a_majority_the_search_finds_the_limit_exceeded() {
+    let (highest, _) = max_unavailable_reached(2, 1, 1, 1);
+    assert_eq!(highest, 2);
 }
 
-/// The option turned down: turns in time. Each may take a copy down in its own turn and wants it
-/// ready within it; clocks differ by up to `skew`, and a copy may take `long` to get ready.
-fn turns_overlap(turn: i32, guard: i32, skew: i32, long: i32) -> bool {
+/// The rejected option: time slices. Each dispatcher may stop a replica in its own slice and needs
+/// it ready within it; clocks differ by up to `skew`, and a replica may take `long` to get ready.
+fn time_slices_overlap(turn: i32, guard: i32, skew: i32, long: i32) -> bool {
     let down = |offset: i32, begins: i32| {
         (0..turn - guard)
             .map(move |late| begins + late - offset)
@@ -174,18 +179,18 @@
 }
 
 #[test]
-fn turns_in_time_hold_only_while_clocks_and_copies_keep_to_them() {
+fn time_slices_hold_only_while_clocks_and_replicas_keep_to_them() {
     assert!(
-        !turns_overlap(10, 6, 2, 3),
+        !time_slices_overlap(10, 6, 2, 3),
         "a guard of skew and time to get ready is enough"
     );
     assert!(
-        turns_overlap(10, 6, 5, 3),
-        "clocks further apart than the guard pass the limit"
+        time_slices_overlap(10, 6, 5, 3),
+        "clocks further apart than the guard exceed the limit"
     );
     assert!(
-        turns_overlap(10, 6, 2, 30),
-        "and so does a copy that does not get ready"
+        time_slices_overlap(10, 6, 2, 30),
+        "and so does a replica that does not get ready"
     );
 }
 
@@ -198,65 +203,65 @@
 }
 
 #[test]
-fn the_keeper_itself_keeps_the_rule_of_the_search() {
-    let mut keeper = QuorumMember::default();
+fn a_quorum_member_keeps_the_rule_that_the_search_assumes() {
+    let mut member = QuorumMember::default();
     assert_eq!(
-        keeper.claim("s", 1, 0, grant(1)),
+        member.claim("s", 1, 0, grant(1)),
         ClaimOutcome::StaleRevision,
-        "of a roll it doesn't know"
+        "of an unknown rollout"
     );
-    assert_eq!(keeper.propose(rollout(1, 1)), Some(&rollout(1, 1)));
-    assert_eq!(keeper.claim("s", 1, 0, grant(1)), ClaimOutcome::Granted);
+    assert_eq!(member.propose(rollout(1, 1)), Some(&rollout(1, 1)));
+    assert_eq!(member.claim("s", 1, 0, grant(1)), ClaimOutcome::Granted);
     assert_eq!(
-        keeper.claim("s", 1, 0, grant(1)),
+        member.claim("s", 1, 0, grant(1)),
         ClaimOutcome::Granted,
-        "asked twice"
+        "a repeated request"
     );
-    assert_eq!(keeper.claim("s", 1, 0, grant(2)), ClaimOutcome::Occupied);
+    assert_eq!(member.claim("s", 1, 0, grant(2)), ClaimOutcome::Occupied);
     assert_eq!(
-        keeper.claim("s", 1, 1, grant(2)),
+        member.claim("s", 1, 1, grant(2)),
         ClaimOutcome::Occupied,
-        "no slot of this roll"
+        "no slot of this rollout"
     );
-    keeper.release("s", ClaimId(2));
+    member.release("s", ClaimId(2));
     assert_eq!(
-        keeper.claim("s", 1, 0, grant(3)),
+        member.claim("s", 1, 0, grant(3)),
         ClaimOutcome::Occupied,
         "another's release frees nothing"
     );
-    keeper.release("s", ClaimId(1));
-    assert_eq!(keeper.claim("s", 1, 0, grant(3)), ClaimOutcome::Granted);
+    member.release("s", ClaimId(1));
+    assert_eq!(member.claim("s", 1, 0, grant(3)), ClaimOutcome::Granted);
 }
 
 #[test]
-fn a_smaller_limit_counts_what_the_larger_one_let_down() {
-    let mut keeper = QuorumMember::default();
-    assert_eq!(keeper.propose(rollout(1, 3)), Some(&rollout(1, 3)));
+fn a_lower_limit_counts_slots_granted_under_a_higher_one() {
+    let mut member = QuorumMember::default();
+    assert_eq!(member.propose(rollout(1, 3)), Some(&rollout(1, 3)));
     for claim in 1..=3 {
         assert_eq!(
-            keeper.claim("s", 1, claim - 1, grant(u64::from(claim))),
+            member.claim("s", 1, claim - 1, grant(u64::from(claim))),
             ClaimOutcome::Granted
         );
     }
-    assert_eq!(keeper.propose(rollout(2, 2)), Some(&rollout(2, 2)));
+    assert_eq!(member.propose(rollout(2, 2)), Some(&rollout(2, 2)));
     assert_eq!(
-        keeper.claim("s", 1, 0, grant(9)),
+        member.claim("s", 1, 0, grant(9)),
         ClaimOutcome::StaleRevision,
         "under the earlier one none is granted"
     );
-    keeper.release("s", ClaimId(1));
+    member.release("s", ClaimId(1));
     assert_eq!(
-        keeper.claim("s", 2, 0, grant(9)),
+        member.claim("s", 2, 0, grant(9)),
         ClaimOutcome::Occupied,
         "two are still down"
     );
-    keeper.release("s", ClaimId(2));
-    assert_eq!(keeper.claim("s", 2, 0, grant(9)), ClaimOutcome::Granted);
+    member.release("s", ClaimId(2));
+    assert_eq!(member.claim("s", 2, 0, grant(9)), ClaimOutcome::Granted);
 }
 
 #[test]
-fn of_two_operators_at_once_one_wins_and_the_other_is_told() {
-    let mut keepers = vec![QuorumMember::default(); KEEPERS];
+fn of_two_concurrent_proposals_one_is_committed_and_the_other_is_shown_it() {
+    let mut members = vec![QuorumMember::default(); MEMBERS];
     let (one, two) = (
         Rollout {
             proposer: 1,
@@ -267,37 +272,37 @@
             ..rollout(1, 2)
         },
     );
-    assert_eq!(keepers[0].propose(one.clone()), Some(&one));
-    assert_eq!(keepers[1].propose(two.clone()), Some(&two));
-    assert_eq!(keepers[2].propose(two.clone()), Some(&two));
+    assert_eq!(members[0].propose(one.clone()), Some(&one));
+    assert_eq!(members[1].propose(two.clone()), Some(&two));
+    assert_eq!(members[2].propose(two.clone()), Some(&two));
     assert_eq!(
-        keepers[1].propose(one.clone()),
+        members[1].propose(one.clone()),
         Some(&two),
-        "the first there stands"
+        "the first one there is kept"
     );
-    assert_eq!(keepers[0].propose(two.clone()), Some(&one));
-    let told: Vec<Rollout> = keepers
+    assert_eq!(members[0].propose(two.clone()), Some(&one));
+    let reported: Vec<Rollout> = members
         .iter()
-        .flat_map(|keeper| keeper.entries().map(|kept| kept.proposal.clone()))
+        .flat_map(|member| member.entries().map(|entry| entry.proposal.clone()))
         .collect();
-    assert_eq!(committed(&told, KEEPERS), Some(&two));
+    assert_eq!(committed(&reported, MEMBERS), Some(&two));
     assert_eq!(
-        committed(&told[..2], KEEPERS),
+        committed(&reported[..2], MEMBERS),
         None,
-        "with one keeper away nobody can tell"
+        "with one member away nobody can tell"
     );
 }
 
 #[test]
-fn a_wish_that_no_majority_took_is_passed_by_number_and_not_followed() {
+fn an_uncommitted_proposal_counts_for_its_revision_alone() {
     let stray = Rollout {
         version: "v9".into(),
         ..rollout(5, 1)
     };
-    let next = base_proposal(&[rollout(4, 2), stray.clone(), rollout(4, 2)], KEEPERS)
+    let next = base_proposal(&[rollout(4, 2), stray.clone(), rollout(4, 2)], MEMBERS)
         .expect("one in force");
     assert_eq!((&next.version[..], next.revision), ("v2", 5));
-    assert_eq!(base_proposal::<Rollout>(&[], KEEPERS), None);
+    assert_eq!(base_proposal::<Rollout>(&[], MEMBERS), None);
 }
 
 #[test]
