--- a/crates/platform/tests/core/bounds.rs
+++ b/crates/platform/tests/core/bounds.rs
@@ -74,7 +74,7 @@
 }
 
 /// A client says it, and all that wait for a turn have theirs.
-fn has_its_turn(handle: &PlatformHandle, client: ClientId, message: &Message) -> bool {
+fn send_and_run_turns(handle: &PlatformHandle, client: ClientId, message: &Message) -> bool {
     let keep_open = handle.handle_client_message(client, message);
     while handle.run_turn() {}
     keep_open
@@ -83,7 +83,7 @@
 /// Clients, services, tasks and nodes that come once and never again, on a core whose connections
 /// nobody carries.
 #[test]
-fn tables_hold_what_is_there_and_not_what_has_been() {
+fn tables_do_not_grow_with_past_clients_nodes_and_tasks() {
     let handle = handle();
     let mut most = 0;
     for round in 1..=6_000u64 {
@@ -96,7 +96,7 @@
             handle.apply_event(serde_json::from_str(&event).expect("an event"));
         }
         let (id, _inbox) = handle.client_connected().expect("there is room");
-        assert!(has_its_turn(&handle, id, &set_up(round)));
+        assert!(send_and_run_turns(&handle, id, &set_up(round)));
         let connection = handle.lock().state.connections.newest();
         handle.connection_established(connection);
         let said = |kind| node::Message::new(kind, round);
@@ -151,12 +151,16 @@
 }
 
 #[test]
-fn owners_that_all_have_a_set_up_open_leave_no_room_for_one_more() {
+fn a_client_is_not_accepted_while_all_others_have_set_ups_open() {
     let handle = handle();
     let mut queues = Vec::new();
     while let Some((id, queue)) = handle.client_connected() {
         assert!(queues.len() < 128, "half of the 256 descriptors");
-        assert!(has_its_turn(&handle, id, &set_up(queues.len() as u64)));
+        assert!(send_and_run_turns(
+            &handle,
+            id,
+            &set_up(queues.len() as u64)
+        ));
         queues.push(queue);
     }
     assert_eq!(queues.len(), 128);
@@ -164,7 +168,7 @@
 
 /// A task stands on each of more nodes than there may be connections, and so large a one that none
 /// is held back.
-fn crowded(nodes: u64) -> (Arc<PlatformHandle>, ClientId, MessageQueue) {
+fn full_pool(nodes: u64) -> (Arc<PlatformHandle>, ClientId, MessageQueue) {
     let handle = handle();
     let members: Vec<String> = (1..=nodes).map(|number| member(number, "active")).collect();
     let event = format!(
@@ -175,7 +179,11 @@
     let (client, queue) = handle.client_connected().expect("there is room");
     for node in 1..=nodes {
         let figures = format!("cores:20;memory:1;service:a;at:s-{node:x}");
-        assert!(has_its_turn(&handle, client, &message(node, &figures)));
+        assert!(send_and_run_turns(
+            &handle,
+            client,
+            &message(node, &figures)
+        ));
         let connection = handle.lock().state.connections.newest();
         handle.connection_established(connection);
     }
@@ -183,7 +191,7 @@
 }
 
 /// All connections stand, and each node answers the tests that have reached it.
-fn answer_tests(PlatformCore { engine, state }: &mut PlatformCore) {
+fn answer_health_checks(PlatformCore { engine, state }: &mut PlatformCore) {
     state.connections.all_up(state.now);
     for (test, (machine, _)) in std::mem::take(&mut state.health_checks) {
         state
@@ -194,10 +202,10 @@
 }
 
 #[test]
-fn tasks_on_more_nodes_than_connections_keep_no_set_up_from_its_node() {
-    let (handle, client, _inbox) = crowded(200);
+fn a_full_connection_pool_still_opens_connections_for_set_ups() {
+    let (handle, client, _inbox) = full_pool(200);
     for task in 1_000..1_100 {
-        assert!(has_its_turn(&handle, client, &set_up(task)));
+        assert!(send_and_run_turns(&handle, client, &set_up(task)));
         assert_eq!(
             handle.lock().engine.counts().shots_out,
             1,
@@ -212,7 +220,7 @@
                 .expect("on a connection")
         };
         handle.connection_established(connection);
-        answer_tests(&mut handle.lock());
+        answer_health_checks(&mut handle.lock());
         let made = node::Message {
             text: Some("made".into()),
             ..node::Message::new(node::MessageType::Ready, task)
@@ -222,8 +230,8 @@
 }
 
 #[test]
-fn nothing_is_given_up_as_lost_on_nodes_that_answer_each_test_where_connections_are_fewer() {
-    let (handle, _owner, _inbox) = crowded(130);
+fn no_task_is_lost_on_a_node_that_answers_health_checks_with_a_full_pool() {
+    let (handle, _owner, _inbox) = full_pool(130);
     let mut inner = handle.lock();
     let began = inner.state.now;
     for step in 1..=60 {
@@ -233,13 +241,13 @@
         engine.woken(state.now);
         engine.rest(state.now, state);
         assert!(state.deferred.is_empty(), "after {} ms", step * 250);
-        answer_tests(&mut inner);
+        answer_health_checks(&mut inner);
     }
 }
 
 #[test]
-fn the_only_connection_to_a_draining_node_is_kept_since_it_may_take_no_other() {
-    let (handle, _owner, _inbox) = crowded(200);
+fn the_only_connection_to_a_draining_node_is_kept() {
+    let (handle, _owner, _inbox) = full_pool(200);
     let event = format!(
         r#"{{"n":2,"members":{{"members":[{}]}}}}"#,
         member(1, "leaving")
@@ -263,8 +271,8 @@
 /// The table of connections is full, so each set-up for another node closes one. The messages under
 /// way on it count.
 #[test]
-fn a_release_under_way_on_a_connection_that_gives_way_is_told_at_once() {
-    let (handle, client, queue) = crowded(200);
+fn a_release_under_way_on_an_evicted_connection_is_passed_on_at_once() {
+    let (handle, client, queue) = full_pool(200);
     let was_running: Vec<(ConnectionId, u64)> = {
         let PlatformCore { engine, state } = &mut *handle.lock();
         let connections = |task: &u64| {
@@ -280,8 +288,8 @@
     };
     let mut gone = 0;
     for task in 1_000..1_010 {
-        assert!(has_its_turn(&handle, client, &set_up(task)));
-        answer_tests(&mut handle.lock());
+        assert!(send_and_run_turns(&handle, client, &set_up(task)));
+        answer_health_checks(&mut handle.lock());
     }
     for (connection, task) in was_running {
         if !handle.lock().state.connections.is_established(connection) {
@@ -299,13 +307,13 @@
 }
 
 #[test]
-fn connections_that_are_heard_out_are_bounded() {
-    let (handle, client, _inbox) = crowded(200);
+fn half_closed_connections_are_bounded() {
+    let (handle, client, _inbox) = full_pool(200);
     for task in 1_000..1_100 {
-        assert!(has_its_turn(&handle, client, &set_up(task)));
+        assert!(send_and_run_turns(&handle, client, &set_up(task)));
         let connection = handle.lock().state.connections.newest();
         handle.connection_established(connection);
-        answer_tests(&mut handle.lock());
+        answer_health_checks(&mut handle.lock());
         let made = node::Message {
             text: Some("made".into()),
             ..node::Message::new(node::MessageType::Ready, task)
@@ -323,7 +331,7 @@
 /// release from its client for over the second that is left to pass it on.
 #[test]
 fn a_release_is_passed_on_before_set_ups_that_came_earlier() {
-    let (handle, client, queue) = crowded(20);
+    let (handle, client, queue) = full_pool(20);
     let connection = handle.lock().state.connections.newest();
     queue.waiting();
     for task in 1_000..1_200 {
@@ -349,8 +357,8 @@
 /// A turn whose time is up once dropped the one that would have been next, which then never had an
 /// answer.
 #[test]
-fn each_that_waits_has_its_turn_however_many_turns_that_takes() {
-    let (handle, _owner, _inbox) = crowded(60);
+fn every_waiting_set_up_is_placed_however_many_turns_that_takes() {
+    let (handle, _owner, _inbox) = full_pool(60);
     let clients: Vec<(ClientId, MessageQueue)> = (0..4)
         .map(|_| handle.client_connected().expect("there is room"))
         .collect();
--- a/crates/platform/tests/core/races.rs
+++ b/crates/platform/tests/core/races.rs
@@ -58,7 +58,7 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-enum Goes {
+enum Departure {
     Closes,
     Halves,
     Resets,
@@ -66,22 +66,22 @@
 }
 
 /// The client goes, behind a burst of other set-ups. Returns once that has arrived, unread.
-fn goes(how: Goes, task: u64, mut peer: TcpStream) -> Option<TcpStream> {
+fn depart(how: Departure, task: u64, mut peer: TcpStream) -> Option<TcpStream> {
     for other in 1_000..1_040 {
         peer.write_all(&bytes(other)).expect("written");
     }
     let kept = match how {
-        Goes::Closes => None,
-        Goes::Halves => {
+        Departure::Closes => None,
+        Departure::Halves => {
             peer.shutdown(Shutdown::Write).expect("shut");
             Some(peer)
         }
-        Goes::Resets => {
+        Departure::Resets => {
             rustix::net::sockopt::set_socket_linger(&peer, Some(Duration::ZERO))
                 .expect("a socket option");
             None
         }
-        Goes::Cancels => {
+        Departure::Cancels => {
             let cause = [client::CAUSE_NORMAL];
             let release = client::encode(MessageType::Release, task, &[(client::CAUSE, &cause)])
                 .expect("short");
@@ -109,14 +109,14 @@
     ))
 }
 
-#[test_case(Goes::Closes)]
-#[test_case(Goes::Halves)]
-#[test_case(Goes::Resets)]
-#[test_case(Goes::Cancels)]
-fn a_first_attempt_that_waited_for_its_turn_does_not_begin_once_its_client_has_gone(how: Goes) {
+#[test_case(Departure::Closes)]
+#[test_case(Departure::Halves)]
+#[test_case(Departure::Resets)]
+#[test_case(Departure::Cancels)]
+fn a_first_attempt_does_not_start_once_its_client_is_gone(how: Departure) {
     let handle = handle(&[]);
     let (_, _inbox, peer) = client(&handle, 7);
-    let _kept = goes(how, 7, peer);
+    let _kept = depart(how, 7, peer);
     while handle.run_turn() {}
     assert_eq!(active(&handle, 7), None);
     assert!(
@@ -125,32 +125,32 @@
     );
 }
 
-#[test_case(Goes::Closes)]
-#[test_case(Goes::Halves)]
-#[test_case(Goes::Resets)]
-#[test_case(Goes::Cancels)]
-fn a_set_up_whose_client_goes_while_its_connection_comes_up_is_never_written(how: Goes) {
+#[test_case(Departure::Closes)]
+#[test_case(Departure::Halves)]
+#[test_case(Departure::Resets)]
+#[test_case(Departure::Cancels)]
+fn a_set_up_whose_client_goes_before_its_connection_is_established_is_not_written(how: Departure) {
     let handle = handle(&[]);
     let (_, _inbox, peer) = client(&handle, 7);
     while handle.run_turn() {}
     let (connection, attempt) = active(&handle, 7).expect("on its way");
-    let _kept = goes(how, 7, peer);
+    let _kept = depart(how, 7, peer);
     handle.connection_established(connection);
     assert!(!handle.may_write_set_up(connection, attempt));
 }
 
-#[test_case(Goes::Closes)]
-#[test_case(Goes::Halves)]
-#[test_case(Goes::Resets)]
-#[test_case(Goes::Cancels)]
-fn a_further_attempt_does_not_begin_once_its_client_has_gone(how: Goes) {
+#[test_case(Departure::Closes)]
+#[test_case(Departure::Halves)]
+#[test_case(Departure::Resets)]
+#[test_case(Departure::Cancels)]
+fn a_retry_does_not_start_once_its_client_is_gone(how: Departure) {
     let handle = handle(&[]);
     let (_, _inbox, peer) = client(&handle, 7);
     while handle.run_turn() {}
     let (connection, attempt) = active(&handle, 7).expect("on its way");
     handle.connection_established(connection);
     assert!(handle.may_write_set_up(connection, attempt));
-    let _kept = goes(how, 7, peer);
+    let _kept = depart(how, 7, peer);
     let mut refusal = node::Message::new(node::MessageType::Close, 7).with_cause(34);
     // Its line is full for a moment: the only node there is may be asked again soon.
     refusal
@@ -165,7 +165,7 @@
 
 /// A client that ends a task and closes at once has still ended it.
 #[test]
-fn the_end_of_a_task_that_comes_right_before_its_clients_is_heeded() {
+fn a_release_right_before_its_clients_close_is_handled() {
     let handle = handle(&[]);
     let (id, _inbox, mut peer) = client(&handle, 7);
     while handle.run_turn() {}
@@ -190,7 +190,7 @@
 }
 
 #[test]
-fn a_set_up_whose_time_is_up_while_its_connection_comes_up_is_never_written() {
+fn a_set_up_whose_deadline_passes_before_its_connection_is_established_is_not_written() {
     let handle = handle(&[]);
     let (id, _inbox) = handle.client_connected().expect("there is room");
     assert!(handle.handle_client_message(id, &set_up(7)));
@@ -217,7 +217,7 @@
 /// What may not be repeated was written on no connection, though others were written on this one.
 #[test_case(false; "its connection breaks")]
 #[test_case(true; "its time is up")]
-fn what_never_left_on_a_used_connection_surely_did_not_run(time_out: bool) {
+fn an_unwritten_attempt_on_a_used_connection_counts_as_not_executed(time_out: bool) {
     let handle = handle(&[("\"pure\"", "\"side_effect\"")]);
     let (id, queue) = handle.client_connected().expect("there is room");
     assert!(handle.handle_client_message(id, &set_up(6)));
@@ -257,7 +257,7 @@
 /// It reads nothing, so that more waits for it than may: its connection is closed, and it is gone
 /// like any other.
 #[test]
-fn a_client_that_is_cut_off_because_it_reads_nothing_has_gone() {
+fn a_client_that_reads_nothing_is_disconnected() {
     let handle = handle(&[]);
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port of the system's choice");
     let _peer = TcpStream::connect(listener.local_addr().expect("bound")).expect("connected");
@@ -288,7 +288,7 @@
 /// A node's answer is handled when its client's time is up, and before the late timer: nobody
 /// answered then.
 #[test]
-fn an_answer_that_is_too_late_is_no_answer_and_a_final_one_is_given() {
+fn an_answer_after_the_deadline_is_answered_with_a_failure() {
     let handle = handle(&[]);
     let (id, queue) = handle.client_connected().expect("there is room");
     assert!(handle.handle_client_message(id, &set_up(7)));
--- a/crates/platform/tests/core/transcript.rs
+++ b/crates/platform/tests/core/transcript.rs
@@ -69,7 +69,7 @@
     health_checks: Vec<u64>,
 }
 
-struct Course {
+struct Run {
     handle: Arc<PlatformHandle>,
     draws: Draws,
     now: Ticks,
@@ -84,8 +84,8 @@
     shown: String,
 }
 
-impl Course {
-    fn new(seed: u64) -> Course {
+impl Run {
+    fn new(seed: u64) -> Run {
         let config = NodeConfig::from_json(SETTINGS.as_bytes()).expect("sound");
         let asked = cluster(&config.settings).expect("sound");
         let budget = DescriptorBudget::new(config.limits.sockets).expect("enough");
@@ -99,7 +99,7 @@
             (state.engine_timer, state.armed_timer) = (None, None);
         }
         let _ = watching.try_recv();
-        let mut course = Course {
+        let mut run = Run {
             handle,
             draws: Draws(seed),
             now: BEGIN,
@@ -112,12 +112,12 @@
             text: String::new(),
             shown: String::new(),
         };
-        course.handle.start();
-        course.feed_tells_all();
+        run.handle.start();
+        run.send_complete_list();
         for _ in 0..3 {
-            course.client_comes();
+            run.connect_client();
         }
-        course
+        run
     }
 
     fn note(&mut self, text: std::fmt::Arguments<'_>) {
@@ -136,7 +136,7 @@
         )
     }
 
-    fn feed_tells(&mut self, complete: bool, members: &[String]) {
+    fn send_event(&mut self, complete: bool, members: &[String]) {
         self.last_event += 1;
         let event = format!(
             r#"{{"n":{},"members":{{"complete":{complete},"members":[{}]}}}}"#,
@@ -148,14 +148,14 @@
             .apply_event(serde_json::from_str(&event).expect("an event"));
     }
 
-    fn feed_tells_all(&mut self) {
+    fn send_complete_list(&mut self) {
         let members: Vec<String> = (1..=NODES)
             .map(|number| self.member(number, "active", 1))
             .collect();
-        self.feed_tells(true, &members);
+        self.send_event(true, &members);
     }
 
-    fn feed_changes(&mut self) {
+    fn send_change(&mut self) {
         let number = 1 + self.draws.below(NODES);
         let since = if self.draws.one_in(3) {
             self.now / 10
@@ -167,13 +167,13 @@
             .of(&["active", "active", "leaving", "leaving", "left"]);
         let member = self.member(number, phase, since);
         match self.draws.below(8) {
-            0 => self.feed_tells_all(),
-            1 => self.feed_tells(false, &["7".into(), member]),
-            _ => self.feed_tells(false, &[member]),
+            0 => self.send_complete_list(),
+            1 => self.send_event(false, &["7".into(), member]),
+            _ => self.send_event(false, &[member]),
         }
     }
 
-    fn client_comes(&mut self) {
+    fn connect_client(&mut self) {
         match self.handle.client_connected() {
             Some((id, queue)) => {
                 self.note(format_args!("client {} comes", id.0));
@@ -188,14 +188,14 @@
         self.draws.pick(&all)
     }
 
-    fn client_leaves(&mut self) {
+    fn disconnect_client(&mut self) {
         if let Some(id) = self.some_client() {
             self.note(format_args!("client {} leaves", id.0));
             self.handle.client_disconnected(id);
         }
     }
 
-    fn client_says(
+    fn client_sends(
         &mut self,
         id: ClientId,
         message_type: MessageType,
@@ -213,9 +213,9 @@
         }
     }
 
-    fn client_sets_up(&mut self) {
+    fn client_sends_set_up(&mut self) {
         let Some(id) = self.some_client() else {
-            return self.client_comes();
+            return self.connect_client();
         };
         let task = if self.draws.one_in(20) && self.last_task > 0 {
             1 + self.draws.below(self.last_task)
@@ -256,25 +256,25 @@
         if !self.draws.one_in(12) {
             parameters.push((client::IDEMPOTENCY_KEY, b"k-1"));
         }
-        self.client_says(id, MessageType::SetUp, task, &parameters);
+        self.client_sends(id, MessageType::SetUp, task, &parameters);
     }
 
-    fn client_says_more(&mut self) {
+    fn client_sends_other(&mut self) {
         let Some(id) = self.some_client() else { return };
         let task = 1 + self.draws.below(self.last_task + 2);
         match self.draws.below(24) {
             0..14 => {
                 let cause = [self.draws.of(&[16u8, 31, 47])];
-                self.client_says(id, MessageType::Release, task, &[(client::CAUSE, &cause)]);
+                self.client_sends(id, MessageType::Release, task, &[(client::CAUSE, &cause)]);
             }
-            14..17 => self.client_says(id, MessageType::Release, task, &[]),
+            14..17 => self.client_sends(id, MessageType::Release, task, &[]),
             17..20 => {
-                self.client_says(id, MessageType::HealthCheck, task, &[(client::CAUSE, &[0])])
+                self.client_sends(id, MessageType::HealthCheck, task, &[(client::CAUSE, &[0])])
             }
-            20 => self.client_says(id, MessageType::Progress, task, &[]),
-            21 => self.client_says(id, MessageType::Acknowledge, task, &[]),
-            22 => self.client_says(id, MessageType::Answer, task, &[]),
-            _ => self.client_says(id, MessageType::Migrate, task, &[]),
+            20 => self.client_sends(id, MessageType::Progress, task, &[]),
+            21 => self.client_sends(id, MessageType::Acknowledge, task, &[]),
+            22 => self.client_sends(id, MessageType::Answer, task, &[]),
+            _ => self.client_sends(id, MessageType::Migrate, task, &[]),
         }
     }
 
@@ -287,7 +287,7 @@
         self.draws.pick(&all)
     }
 
-    fn connection_comes_up(&mut self) {
+    fn establish_connection(&mut self) {
         let Some(id) = self.some_connection(false) else {
             return;
         };
@@ -301,13 +301,13 @@
         self.handle.connection_established(id);
     }
 
-    fn connection_ends(&mut self, id: ConnectionId, end: ConnectionEnd) {
+    fn end_connection(&mut self, id: ConnectionId, end: ConnectionEnd) {
         self.note(format_args!("link {} ends: {}", id.0, end_name(end)));
         self.connections.get_mut(&id).expect("there").ended = true;
         self.handle.connection_ended(id, end);
     }
 
-    fn some_connection_ends(&mut self) {
+    fn end_some_connection(&mut self) {
         let up = self.draws.one_in(2);
         let Some(id) = self.some_connection(up) else {
             return;
@@ -317,12 +317,12 @@
             (false, 0) => ConnectionEnd::Refused,
             (false, _) => ConnectionEnd::ConnectTimeout,
         };
-        self.connection_ends(id, end);
+        self.end_connection(id, end);
     }
 
-    fn node_says(&mut self) {
+    fn node_sends(&mut self) {
         let Some(id) = self.some_connection(true) else {
-            return self.connection_comes_up();
+            return self.establish_connection();
         };
         let (tasks, tests) = {
             let connection = &mut self.connections.get_mut(&id).expect("there");
@@ -335,16 +335,16 @@
             let code = self.draws.of(&[1, 1, 1, 0]);
             let message = node::Message::new(node::MessageType::Probed, test).with_cause(code);
             let message = self.with_load(message);
-            self.node_says_this(id, message);
+            self.node_sends_message(id, message);
         }
         let stray = 1 + self.draws.below(self.last_task + 1);
         let one = self.draws.pick(&tasks).filter(|_| !self.draws.one_in(8));
         let task = one.unwrap_or(stray);
         let message = self.node_message(task);
-        self.node_says_this(id, message);
+        self.node_sends_message(id, message);
     }
 
-    fn node_says_this(&mut self, id: ConnectionId, message: node::Message) {
+    fn node_sends_message(&mut self, id: ConnectionId, message: node::Message) {
         let line = message.to_line().expect("short");
         let line = String::from_utf8(line).expect("text");
         let keep_open = self.handle.handle_node_message(id, message);
@@ -354,7 +354,7 @@
             line.trim_end()
         ));
         if !keep_open && !self.connections[&id].ended {
-            self.connection_ends(id, ConnectionEnd::Broken);
+            self.end_connection(id, ConnectionEnd::Broken);
         }
     }
 
@@ -417,7 +417,7 @@
     }
 
     /// The clock goes on, and timers go off.
-    fn time_passes(&mut self) {
+    fn advance_time(&mut self) {
         let step = match self.draws.below(12) {
             0 if self.draws.one_in(3) => 1 + self.draws.below(6_000),
             0..4 => 1 + self.draws.below(800),
@@ -437,12 +437,12 @@
             } else if self.now >= end {
                 break;
             }
-            self.outputs();
+            self.record_outputs();
         }
     }
 
     /// All that is gone out since, as the tasks of the connections would write it.
-    fn outputs(&mut self) {
+    fn record_outputs(&mut self) {
         let tapped = std::mem::take(&mut self.handle.lock().state.connections.tapped);
         for (id, queue) in tapped {
             self.note(format_args!("link {} opens", id.0));
@@ -473,7 +473,7 @@
         while self.watch_list.try_recv().is_ok() {
             self.note(format_args!("> the list is asked for"));
         }
-        self.show();
+        self.record_counts();
     }
 
     fn write_to_node(&mut self, id: ConnectionId) {
@@ -510,13 +510,13 @@
                 self.handle.connection_ended(id, ConnectionEnd::Broken);
             } else if self.draws.one_in(6) {
                 self.note(format_args!("> link {} heard out", id.0));
-                self.connection_ends(id, ConnectionEnd::Broken);
+                self.end_connection(id, ConnectionEnd::Broken);
             }
         }
     }
 
     /// Timers and counts, where they are others than before.
-    fn show(&mut self) {
+    fn record_counts(&mut self) {
         let (counts, armed, open, closing) = {
             let inner = self.handle.lock();
             let (open, closing) = inner.state.connections.counts();
@@ -548,39 +548,39 @@
         let now = self.now - BEGIN;
         self.note(format_args!("@ {now}"));
         match self.draws.below(100) {
-            0..4 => self.client_comes(),
-            4..32 => self.client_sets_up(),
-            32..36 => self.client_says_more(),
-            36 => self.client_leaves(),
-            37..58 => self.connection_comes_up(),
-            58..90 => self.node_says(),
-            90..93 => self.some_connection_ends(),
-            93..96 => self.feed_changes(),
+            0..4 => self.connect_client(),
+            4..32 => self.client_sends_set_up(),
+            32..36 => self.client_sends_other(),
+            36 => self.disconnect_client(),
+            37..58 => self.establish_connection(),
+            58..90 => self.node_sends(),
+            90..93 => self.end_some_connection(),
+            93..96 => self.send_change(),
             96 => self.handle.list_failed(),
             97 => self.handle.discovery_connected(),
             _ => {}
         }
-        self.outputs();
+        self.record_outputs();
         if !self.draws.one_in(4) {
             while self.handle.run_turn() {}
-            self.outputs();
+            self.record_outputs();
         }
-        self.time_passes();
-        self.outputs();
+        self.advance_time();
+        self.record_outputs();
     }
 
     fn end(&mut self) {
         self.note(format_args!("stop"));
         self.handle.stop();
-        self.outputs();
-        self.client_sets_up();
+        self.record_outputs();
+        self.client_sends_set_up();
         for _ in 0..6 {
-            self.time_passes();
-            self.outputs();
+            self.advance_time();
+            self.record_outputs();
         }
         self.note(format_args!("let go"));
         self.handle.abandon_all();
-        self.outputs();
+        self.record_outputs();
     }
 }
 
@@ -599,13 +599,13 @@
 
 /// What goes in and out for this seed.
 fn transcript(seed: u64, steps: usize) -> String {
-    let mut course = Course::new(seed);
-    course.outputs();
+    let mut run = Run::new(seed);
+    run.record_outputs();
     for _ in 0..steps {
-        course.step();
+        run.step();
     }
-    course.end();
-    course.text
+    run.end();
+    run.text
 }
 
 fn recorded(name: &str) -> String {
@@ -616,7 +616,7 @@
 }
 
 #[test]
-fn a_seeded_course_gives_the_recorded_transcript() {
+fn a_seeded_run_gives_the_recorded_transcript() {
     let (made, recorded) = (transcript(1, 250), recorded("transcript.txt"));
     let other = std::iter::zip(made.lines(), recorded.lines())
         .enumerate()
@@ -634,7 +634,7 @@
 #[test_case(7)]
 #[test_case(8)]
 #[test_case(9)]
-fn a_longer_course_gives_a_transcript_of_the_recorded_sum(seed: u64) {
+fn a_longer_run_gives_a_transcript_of_the_recorded_sum(seed: u64) {
     use std::hash::Hasher;
     let made = transcript(seed, STEPS);
     let mut hasher = fnv::FnvHasher::default();
--- a/crates/platform/tests/harness/mod.rs
+++ b/crates/platform/tests/harness/mod.rs
@@ -65,7 +65,7 @@
 }
 
 /// What comes of a look, repeated until something does.
-fn waited<T>(mut look: impl FnMut() -> Option<T>) -> T {
+fn wait_for<T>(mut look: impl FnMut() -> Option<T>) -> T {
     let since = Instant::now();
     loop {
         if let Some(found) = look() {
@@ -145,7 +145,7 @@
             settings,
             listen,
         };
-        harness.post();
+        harness.write_config();
         let path = harness.dir.path().join("posting.json");
         harness.runs = Some(std::thread::spawn(move || {
             let tasks: corkspan_runtime::Tasks = Arc::default();
@@ -179,7 +179,7 @@
         )
     }
 
-    fn post(&self) {
+    fn write_config(&self) {
         let posting = format!(
             r#"{{"name":"n0","listen":"{}","seed":"8c1f","limits":{{"sockets":{}}},"feed":"{}",
             "known":{{"n":1,"events":[{}]}},"settings":{}}}"#,
@@ -207,17 +207,17 @@
     /// A task that stands on the first node: its client's connection and its node's.
     pub fn running_task(&mut self, task: u64) -> (TestClient, NodeConnection) {
         let mut client = self.client();
-        client.sets_up(task, &[]);
-        let mut connection = self.nodes[0].opened();
-        connection.hears();
-        connection.says(ready(task, "made"));
-        assert_eq!(client.hears().message_type, MessageType::Answer);
+        client.send_set_up(task, &[]);
+        let mut connection = self.nodes[0].accept_connection();
+        connection.receive();
+        connection.send(ready(task, "made"));
+        assert_eq!(client.receive().message_type, MessageType::Answer);
         (client, connection)
     }
 
     /// The next connection that any node gets.
-    pub fn opened(&mut self) -> NodeConnection {
-        waited(|| {
+    pub fn accept_connection(&mut self) -> NodeConnection {
+        wait_for(|| {
             self.nodes
                 .iter()
                 .find_map(|node| accept(node.listener.as_ref()?))
@@ -226,7 +226,7 @@
     }
 
     /// Discovery tells a node's state; returns once the dispatcher must have read it.
-    pub fn tell(&mut self, node: usize, phase: &str) {
+    pub fn send_event(&mut self, node: usize, phase: &str) {
         self.told += 1;
         let event = format!(
             "id: {}\ndata: {}\n\n",
@@ -234,7 +234,7 @@
             self.members(Some(node), phase)
         );
         if self.feed.streams.is_empty() {
-            self.feed.asked();
+            self.feed.accept_and_stream();
         }
         for stream in &mut self.feed.streams {
             let _ = stream.write_all(event.as_bytes());
@@ -243,20 +243,20 @@
         // time it needs.
         for _ in 0..2 {
             let mut client = self.client();
-            client.says(MessageType::HealthCheck, 1, &[(client::CAUSE, &[0])]);
-            assert_eq!(client.hears().message_type, MessageType::HealthCheckReply);
+            client.send(MessageType::HealthCheck, 1, &[(client::CAUSE, &[0])]);
+            assert_eq!(client.receive().message_type, MessageType::HealthCheckReply);
             std::thread::sleep(Duration::from_millis(20));
         }
     }
 
     /// A node under another name takes over the address of one that is gone.
     pub fn replace(&mut self, node: usize) {
-        self.tell(node, "left");
+        self.send_event(node, "left");
         self.nodes[node].name = format!("s-{:08x}", 1_000 + node);
-        self.tell(node, "active");
+        self.send_event(node, "active");
     }
 
-    pub fn spoil_posting(&self) {
+    pub fn write_invalid_config(&self) {
         std::fs::write(self.dir.path().join("posting.json"), "{\"name\":").expect("written");
     }
 
@@ -265,16 +265,16 @@
             listener: listener(),
             streams: Vec::new(),
         };
-        self.post();
+        self.write_config();
     }
 
     /// The configuration is written anew, with what discovery has told so far.
-    pub fn repost(&self) {
-        self.post();
+    pub fn rewrite_config(&self) {
+        self.write_config();
     }
 
     /// An event is told to nobody: it stands in the next configuration alone.
-    pub fn tell_nobody(&mut self) {
+    pub fn skip_event(&mut self) {
         self.told += 1;
     }
 
@@ -289,13 +289,13 @@
 
 impl Feed {
     /// The next call of the dispatcher, which is not answered.
-    pub fn called(&self) -> TcpStream {
-        waited(|| accept(&self.listener))
+    pub fn accept(&self) -> TcpStream {
+        wait_for(|| accept(&self.listener))
     }
 
     /// The next call of the dispatcher: the last event that it knows.
-    pub fn asked(&mut self) -> u64 {
-        let mut stream = waited(|| accept(&self.listener));
+    pub fn accept_and_stream(&mut self) -> u64 {
+        let mut stream = wait_for(|| accept(&self.listener));
         let mut head = BufReader::new(stream.try_clone().expect("cloned"));
         let mut last = None;
         loop {
@@ -323,13 +323,13 @@
 }
 
 impl Node {
-    pub fn opened(&mut self) -> NodeConnection {
+    pub fn accept_connection(&mut self) -> NodeConnection {
         let listener = self.listener.as_ref().expect("it listens");
-        NodeConnection::new(waited(|| accept(listener)))
+        NodeConnection::new(wait_for(|| accept(listener)))
     }
 
     /// Answers each set-up on every connection from here on.
-    pub fn answers(&mut self, with: impl Fn(u64) -> node::Message + Clone + Send + 'static) {
+    pub fn answer_set_ups(&mut self, with: impl Fn(u64) -> node::Message + Clone + Send + 'static) {
         let listener = self.listener.take().expect("it listens");
         std::thread::spawn(move || {
             listener.set_nonblocking(false).expect("a socket option");
@@ -364,10 +364,10 @@
     pub fn hold_connections(&mut self) -> Vec<TcpStream> {
         let listener = self.listener.as_ref().expect("it listens");
         rustix::net::listen(listener, 0).expect("a smaller backlog");
-        let more = std::iter::repeat_with(|| {
+        let read_more = std::iter::repeat_with(|| {
             TcpStream::connect_timeout(&self.address, Duration::from_millis(200))
         });
-        more.map_while(Result::ok).collect()
+        read_more.map_while(Result::ok).collect()
     }
 
     /// They come up again.
@@ -403,12 +403,12 @@
         }
     }
 
-    pub fn hears(&mut self) -> node::Message {
+    pub fn receive(&mut self) -> node::Message {
         loop {
             if let Some(message) = self.reader.next_message().expect("sound") {
                 return message;
             }
-            self.reader.push(&more(&mut self.stream));
+            self.reader.push(&read_more(&mut self.stream));
         }
     }
 
@@ -418,15 +418,15 @@
     }
 
     /// The dispatcher has ended its side.
-    pub fn ends(&mut self) -> bool {
+    pub fn is_closed(&mut self) -> bool {
         self.stream.read(&mut [0; 64]).expect("words or an end") == 0
     }
 
-    pub fn says(&mut self, message: node::Message) {
-        self.says_bytes(&message.to_line().expect("short"));
+    pub fn send(&mut self, message: node::Message) {
+        self.send_bytes(&message.to_line().expect("short"));
     }
 
-    pub fn says_bytes(&mut self, bytes: &[u8]) {
+    pub fn send_bytes(&mut self, bytes: &[u8]) {
         self.stream.write_all(bytes).expect("written");
     }
 }
@@ -443,7 +443,7 @@
     silent
 }
 
-fn more(stream: &mut TcpStream) -> Vec<u8> {
+fn read_more(stream: &mut TcpStream) -> Vec<u8> {
     let mut bytes = vec![0; MAX_MESSAGE_BYTES];
     let count = stream.read(&mut bytes).expect("a message");
     assert!(count > 0, "closed");
@@ -458,7 +458,7 @@
 
 impl TestClient {
     /// A valid set-up but for the parameters given.
-    pub fn sets_up(&mut self, task: u64, others: &[(u8, &[u8])]) {
+    pub fn send_set_up(&mut self, task: u64, others: &[(u8, &[u8])]) {
         let sound: [(u8, &[u8]); 6] = [
             (CLASS, b"batch"),
             (TIME_LEFT, b"6000"),
@@ -477,11 +477,11 @@
             .iter()
             .map(|&(code, value)| (code, other(code).unwrap_or(value)))
             .collect();
-        self.says(MessageType::SetUp, task, &parameters);
+        self.send(MessageType::SetUp, task, &parameters);
     }
 
     /// A set-up sent to whoever may have closed: false where it could not be.
-    pub fn tries(&mut self, task: u64) -> bool {
+    pub fn try_set_up(&mut self, task: u64) -> bool {
         let sound: [(u8, &[u8]); 4] = [
             (CLASS, b"batch"),
             (TIME_LEFT, b"6000"),
@@ -493,25 +493,25 @@
             .is_ok()
     }
 
-    pub fn says(&mut self, kind: MessageType, task: u64, parameters: &[(u8, &[u8])]) {
-        self.says_bytes(&client::encode(kind, task, parameters).expect("short"));
+    pub fn send(&mut self, kind: MessageType, task: u64, parameters: &[(u8, &[u8])]) {
+        self.send_bytes(&client::encode(kind, task, parameters).expect("short"));
     }
 
-    pub fn says_bytes(&mut self, bytes: &[u8]) {
+    pub fn send_bytes(&mut self, bytes: &[u8]) {
         self.stream.write_all(bytes).expect("written");
     }
 
-    pub fn hears(&mut self) -> client::Message {
+    pub fn receive(&mut self) -> client::Message {
         loop {
             if let Some(message) = self.reader.next_message().expect("sound") {
                 return message;
             }
-            self.reader.push(&more(&mut self.stream));
+            self.reader.push(&read_more(&mut self.stream));
         }
     }
 
     /// Closed by the other side, in whatever way.
-    pub fn closed(&mut self) -> bool {
+    pub fn is_closed(&mut self) -> bool {
         let mut bytes = [0; 64];
         loop {
             match self.stream.read(&mut bytes) {
--- a/crates/platform/tests/modules.rs
+++ b/crates/platform/tests/modules.rs
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn no_module_is_reached_again_from_what_it_imports() {
+fn no_module_imports_itself_through_others() {
     let modules = imports();
     assert!(
         modules.len() > 10 && modules["handle"].contains("core"),
--- a/crates/platform/tests/races/mod.rs
+++ b/crates/platform/tests/races/mod.rs
@@ -23,8 +23,8 @@
 
 /// The next set-up that the node gets, and its connection.
 fn attempt(harness: &mut Harness, task: u64) -> NodeConnection {
-    let mut connection = harness.nodes[0].opened();
-    let open = connection.hears();
+    let mut connection = harness.nodes[0].accept_connection();
+    let open = connection.receive();
     assert_eq!(
         (open.message_type, open.task_id),
         (node::MessageType::Open, Some(task))
@@ -33,25 +33,25 @@
 }
 
 /// Its line is full for a moment: the next attempt goes to the same node, the only one.
-fn refused(connection: &mut NodeConnection, task: u64) {
-    connection.says(note(close(task, 34), "backlog"));
-    assert_eq!(connection.hears().message_type, node::MessageType::Closed);
+fn reject_attempt(connection: &mut NodeConnection, task: u64) {
+    connection.send(note(close(task, 34), "backlog"));
+    assert_eq!(connection.receive().message_type, node::MessageType::Closed);
 }
 
 /// The first attempt was refused, and the second is out at the same node: the client, and both
 /// connections.
-fn attempted_twice() -> (Harness, TestClient, NodeConnection, NodeConnection) {
+fn second_attempt() -> (Harness, TestClient, NodeConnection, NodeConnection) {
     let mut harness = Harness::new(1);
     let mut client = harness.client();
-    client.sets_up(7, &[]);
+    client.send_set_up(7, &[]);
     let mut first = attempt(&mut harness, 7);
-    refused(&mut first, 7);
+    reject_attempt(&mut first, 7);
     let second = attempt(&mut harness, 7);
     (harness, client, first, second)
 }
 
 /// A set-up is out on a connection that does not come up yet; what holds it back, and the client.
-fn on_its_way() -> (Harness, Vec<TcpStream>, TestClient) {
+fn set_up_while_connecting() -> (Harness, Vec<TcpStream>, TestClient) {
     let mut harness = Harness::with(
         1,
         &[(
@@ -61,62 +61,62 @@
     );
     let held = harness.nodes[0].hold_connections();
     let mut client = harness.client();
-    client.sets_up(7, &[]);
+    client.send_set_up(7, &[]);
     assert!(client.silent_for(Duration::from_millis(100)));
     (harness, held, client)
 }
 
-#[test_case(close(7, 34); "refused twice")]
+#[test_case(close(7, 34); "rejected twice")]
 #[test_case(close(7, 16); "ended")]
-#[test_case(close(7, 41); "broken off")]
+#[test_case(close(7, 41); "interrupted")]
 #[test_case(ready(7, "late"); "answered")]
-#[test_case(node::Message::new(node::MessageType::Event, 7); "noted")]
-fn what_a_node_says_late_of_an_earlier_attempt_is_not_taken_for_the_next(late: node::Message) {
-    let (_world, mut client, mut first, mut second) = attempted_twice();
-    first.says(late);
+#[test_case(node::Message::new(node::MessageType::Event, 7); "notified")]
+fn a_late_message_about_an_earlier_attempt_is_not_taken_for_the_next(late: node::Message) {
+    let (_world, mut client, mut first, mut second) = second_attempt();
+    first.send(late);
     assert!(client.silent_for(Duration::from_millis(100)));
     assert!(
         second.silent_for(Duration::from_millis(300)),
         "it is still waited for, and no other goes out beside it"
     );
-    second.says(ready(7, "made"));
-    assert_eq!(client.hears().parameter(DESCRIPTION), Some(&b"made"[..]));
+    second.send(ready(7, "made"));
+    assert_eq!(client.receive().parameter(DESCRIPTION), Some(&b"made"[..]));
 }
 
 #[test_case(close(7, 34))]
 #[test_case(close(7, 16))]
 #[test_case(close(7, 41))]
-fn what_a_node_says_late_of_an_earlier_attempt_ends_nothing_that_stands(late: node::Message) {
-    let (_world, mut client, mut first, mut second) = attempted_twice();
-    second.says(ready(7, "made"));
-    assert_eq!(client.hears().message_type, MessageType::Answer);
-    first.says(late);
+fn a_late_message_about_an_earlier_attempt_does_not_end_a_running_task(late: node::Message) {
+    let (_world, mut client, mut first, mut second) = second_attempt();
+    second.send(ready(7, "made"));
+    assert_eq!(client.receive().message_type, MessageType::Answer);
+    first.send(late);
     assert!(client.silent_for(Duration::from_millis(200)), "it stands");
-    second.says(close(7, 16));
-    assert_eq!(client.hears().message_type, MessageType::Release);
+    second.send(close(7, 16));
+    assert_eq!(client.receive().message_type, MessageType::Release);
 }
 
 /// The connection of its set-up ends, and its node tells its end on the other one that is open.
 /// That was once taken for the attempt which the node had refused there.
 #[test_case(close(7, 16), 16; "ended")]
-#[test_case(close(7, 41), 41; "cut")]
-fn a_release_on_the_connection_of_an_earlier_attempt_is_told_once_its_own_has_ended(
+#[test_case(close(7, 41), 41; "interrupted")]
+fn a_release_on_the_connection_of_an_earlier_attempt_counts_once_its_own_has_ended(
     release: node::Message,
     cause: u8,
 ) {
-    let (_world, mut client, mut first, mut second) = attempted_twice();
-    second.says(ready(7, "made"));
-    assert_eq!(client.hears().message_type, MessageType::Answer);
+    let (_world, mut client, mut first, mut second) = second_attempt();
+    second.send(ready(7, "made"));
+    assert_eq!(client.receive().message_type, MessageType::Answer);
     drop(second);
     // Loopback keeps no order between connections: the end of the other one is read by then.
     assert!(client.silent_for(Duration::from_millis(100)));
-    first.says(note(close(7, 34), "backlog"));
+    first.send(note(close(7, 34), "backlog"));
     assert!(
         client.silent_for(Duration::from_millis(100)),
         "a copy of the refusal ends nothing"
     );
-    first.says(release);
-    let told = client.hears();
+    first.send(release);
+    let told = client.receive();
     assert_eq!(
         (told.message_type, told.parameter(CAUSE)),
         (MessageType::Release, Some(&[cause][..]))
@@ -124,28 +124,28 @@
 }
 
 #[test]
-fn a_refusal_after_an_answer_ends_the_task_on_both_sides() {
+fn a_rejection_after_an_answer_ends_the_task_on_both_sides() {
     let mut harness = Harness::new(1);
     let (mut client, mut connection) = harness.running_task(7);
-    connection.says(close(7, 34));
-    let release = client.hears();
+    connection.send(close(7, 34));
+    let release = client.receive();
     assert_eq!(
         (release.message_type, release.parameter(CAUSE)),
         (MessageType::Release, Some(&[41][..]))
     );
-    assert_eq!(connection.hears().message_type, node::MessageType::Closed);
+    assert_eq!(connection.receive().message_type, node::MessageType::Closed);
     assert_eq!(
-        connection.hears(),
+        connection.receive(),
         close(7, 16),
         "what its owner was told is over must be"
     );
 }
 
 #[test]
-fn a_second_answer_is_passed_over() {
+fn a_second_answer_is_ignored() {
     let mut harness = Harness::new(1);
     let (mut client, mut connection) = harness.running_task(7);
-    connection.says(ready(7, "again"));
+    connection.send(ready(7, "again"));
     assert!(
         client.silent_for(Duration::from_millis(200))
             && connection.silent_for(Duration::from_millis(50))
@@ -155,44 +155,44 @@
 /// A client that goes while the connection to its node comes up, late, leaves nothing to be written
 /// on it.
 #[test]
-fn a_set_up_is_not_written_on_a_connection_that_comes_up_after_its_client_has_gone() {
-    let (mut harness, held, client) = on_its_way();
+fn a_set_up_is_not_written_on_a_connection_established_after_its_client_is_gone() {
+    let (mut harness, held, client) = set_up_while_connecting();
     drop(client);
     // Time for the close to be read; the connection is asked for again by the system after 1 s.
     std::thread::sleep(Duration::from_millis(200));
     drop(held);
     harness.nodes[0].take_connections();
-    let mut connection = harness.nodes[0].opened();
+    let mut connection = harness.nodes[0].accept_connection();
     assert!(connection.silent_for(Duration::from_millis(500)));
 }
 
 /// Its system asks for the connection again when another node has the address already.
 #[test]
-fn what_was_meant_for_a_node_that_has_gone_is_not_written_to_the_next_at_its_address() {
-    let (mut harness, held, mut client) = on_its_way();
-    harness.tell(0, "left");
+fn messages_for_a_node_that_is_gone_are_not_written_to_the_next_at_its_address() {
+    let (mut harness, held, mut client) = set_up_while_connecting();
+    harness.send_event(0, "left");
     drop(held);
     harness.nodes[0].take_connections();
-    let old = harness.nodes[0].opened();
+    let old = harness.nodes[0].accept_connection();
     harness.nodes[0].name = "s-00001000".into();
-    harness.tell(0, "active");
+    harness.send_event(0, "active");
     let mut new = attempt(&mut harness, 7);
-    new.says(ready(7, "made"));
-    assert_eq!(client.hears().parameter(DESCRIPTION), Some(&b"made"[..]));
+    new.send(ready(7, "made"));
+    assert_eq!(client.receive().parameter(DESCRIPTION), Some(&b"made"[..]));
     let mut old = old;
-    assert!(old.ends(), "nothing was written on the other");
+    assert!(old.is_closed(), "nothing was written on the other");
 }
 
 #[test]
-fn a_task_that_is_told_over_as_its_owner_closes_is_told_on_another_connection() {
+fn an_end_that_crosses_its_clients_close_is_sent_on_another_connection() {
     let mut harness = Harness::new(1);
     let (client, mut connection) = harness.running_task(7);
     drop(client);
-    connection.says(close(7, 16));
-    assert_eq!(connection.hears().message_type, node::MessageType::Closed);
+    connection.send(close(7, 16));
+    assert_eq!(connection.receive().message_type, node::MessageType::Closed);
     let mut next = harness.client();
-    next.says(MessageType::HealthCheck, 1, &[(CAUSE, &[0])]);
-    let said = [next.hears().message_type, next.hears().message_type];
+    next.send(MessageType::HealthCheck, 1, &[(CAUSE, &[0])]);
+    let said = [next.receive().message_type, next.receive().message_type];
     assert!(
         said.contains(&MessageType::Release) && said.contains(&MessageType::HealthCheckReply),
         "{said:?}"
@@ -206,18 +206,18 @@
 
 /// SIGKILL may come 1.5 s after SIGTERM where no client waits for longer than 0.8 s.
 #[test]
-fn where_owners_wait_for_less_a_dispatcher_stops_sooner_and_answers_all() {
+fn with_shorter_deadlines_a_dispatcher_stops_sooner_and_answers_all() {
     let mut harness = Harness::with(1, SHORT);
     let mut client = harness.client();
-    client.sets_up(7, &[]);
+    client.send_set_up(7, &[]);
     let _held = attempt(&mut harness, 7);
     let since = Instant::now();
     harness.signal(Signal::Term);
     std::thread::sleep(Duration::from_millis(550));
     let mut late = harness.client();
-    late.sets_up(8, &[(TIME_LEFT, b"800")]);
-    assert_eq!(client.hears().message_type, MessageType::Release);
-    assert_eq!(late.hears().message_type, MessageType::Release);
+    late.send_set_up(8, &[(TIME_LEFT, b"800")]);
+    assert_eq!(client.receive().message_type, MessageType::Release);
+    assert_eq!(late.receive().message_type, MessageType::Release);
     assert!(harness.ended());
     assert!(
         since.elapsed() < Duration::from_millis(1_500),
@@ -227,19 +227,19 @@
 }
 
 #[test]
-fn what_comes_when_no_more_is_taken_is_refused_at_once() {
+fn set_ups_late_in_a_shutdown_are_rejected_at_once() {
     let mut harness = Harness::with(1, SHORT);
     let mut client = harness.client();
-    client.sets_up(7, &[]);
+    client.send_set_up(7, &[]);
     let _held = attempt(&mut harness, 7);
     harness.signal(Signal::Term);
     // Some come before that moment and some after it, whenever it is.
     let since = Instant::now();
     for task in (8..).take_while(|_| since.elapsed() < Duration::from_millis(1_200)) {
-        client.sets_up(task, &[]);
+        client.send_set_up(task, &[]);
         std::thread::sleep(Duration::from_millis(10));
     }
-    let first = client.hears();
+    let first = client.receive();
     assert!(
         first.task > 8 && first.parameter(CAUSE) == Some(&[34]),
         "{first:?} before all that have attempts out"
@@ -248,7 +248,7 @@
 }
 
 #[test]
-fn a_second_signal_to_stop_and_a_feed_that_is_away_change_nothing() {
+fn a_second_signal_to_stop_and_an_absent_feed_change_nothing() {
     let mut harness = Harness::with(1, SHORT);
     harness.move_feed();
     drop(std::mem::replace(
@@ -257,53 +257,55 @@
     ));
     harness.signal(Signal::Hup);
     let mut client = harness.client();
-    client.sets_up(7, &[]);
+    client.send_set_up(7, &[]);
     let mut connection = attempt(&mut harness, 7);
     harness.signal(Signal::Term);
     harness.signal(Signal::Term);
-    connection.says(ready(7, "made"));
-    assert_eq!(client.hears().message_type, MessageType::Answer);
+    connection.send(ready(7, "made"));
+    assert_eq!(client.receive().message_type, MessageType::Answer);
     assert!(harness.ended());
 }
 
 #[test]
 fn a_feed_that_moves_while_a_dispatcher_stops_is_followed() {
     let mut harness = Harness::new(1);
-    harness.feed.asked();
+    harness.feed.accept_and_stream();
     let mut client = harness.client();
-    client.sets_up(7, &[]);
+    client.send_set_up(7, &[]);
     let _held = attempt(&mut harness, 7);
     harness.signal(Signal::Term);
     harness.move_feed();
     harness.signal(Signal::Hup);
-    assert_eq!(harness.feed.asked(), 1);
-    assert_eq!(client.hears().message_type, MessageType::Release);
+    assert_eq!(harness.feed.accept_and_stream(), 1);
+    assert_eq!(client.receive().message_type, MessageType::Release);
     assert!(harness.ended());
 }
 
 /// Hundreds of answers at the last moment are written, not only queued.
 #[test]
-fn all_that_is_owed_at_the_end_is_written_before_it() {
+fn all_final_answers_are_written_before_the_process_ends() {
     let mut harness = Harness::with(1, SHORT);
     let mut clients: Vec<TestClient> = (0..60).map(|_| harness.client()).collect();
     for (number, client) in clients.iter_mut().enumerate() {
         for task in 0..4 {
-            client.sets_up(1 + number as u64 * 4 + task, &[]);
+            client.send_set_up(1 + number as u64 * 4 + task, &[]);
         }
     }
-    let _held: Vec<NodeConnection> = (0..20).map(|_| harness.nodes[0].opened()).collect();
+    let _held: Vec<NodeConnection> = (0..20)
+        .map(|_| harness.nodes[0].accept_connection())
+        .collect();
     harness.signal(Signal::Term);
     assert!(harness.ended());
     for client in &mut clients {
         for _ in 0..4 {
-            assert_eq!(client.hears().message_type, MessageType::Release);
+            assert_eq!(client.receive().message_type, MessageType::Release);
         }
-        assert!(client.closed());
+        assert!(client.is_closed());
     }
 }
 
 #[test]
-fn a_start_beside_one_that_still_stops_waits_for_its_address() {
+fn a_start_waits_for_the_address_of_a_process_that_still_stops() {
     let former = TcpListener::bind("127.0.0.1:0").expect("a port of the system's choice");
     let address: SocketAddr = former.local_addr().expect("bound");
     let gone = std::thread::spawn(move || {
@@ -313,34 +315,34 @@
     let harness = Harness::by(1, false, 256, address, &[]);
     gone.join().expect("it stopped");
     let mut client = harness.client();
-    client.says(MessageType::HealthCheck, 1, &[(CAUSE, &[0])]);
-    assert_eq!(client.hears().message_type, MessageType::HealthCheckReply);
+    client.send(MessageType::HealthCheck, 1, &[(CAUSE, &[0])]);
+    assert_eq!(client.receive().message_type, MessageType::HealthCheckReply);
 }
 
 #[test]
-fn what_a_new_file_says_that_the_feed_has_told_is_known_at_once() {
+fn events_in_a_new_file_are_applied_at_once() {
     let mut harness = Harness::new(1);
-    assert_eq!(harness.feed.asked(), 1);
-    harness.tell_nobody();
-    harness.repost();
+    assert_eq!(harness.feed.accept_and_stream(), 1);
+    harness.skip_event();
+    harness.rewrite_config();
     harness.move_feed();
     harness.signal(Signal::Hup);
     assert_eq!(
-        harness.feed.asked(),
+        harness.feed.accept_and_stream(),
         2,
         "the second event stands in the file"
     );
 }
 
 #[test]
-fn a_task_on_a_node_whose_name_is_unknown_is_told_over_and_held_by_nobody() {
+fn a_task_handed_over_on_an_unknown_node_is_released() {
     let harness = Harness::new(1);
     let mut client = harness.client();
-    client.sets_up(
+    client.send_set_up(
         7,
         &[(REQUIREMENTS, b"cores:1;memory:1;service:a;at:s-ffffffff")],
     );
-    assert_eq!(client.hears().message_type, MessageType::Release);
+    assert_eq!(client.receive().message_type, MessageType::Release);
 }
 
 const HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n";
@@ -350,21 +352,21 @@
 #[test_case(b"", b""; "right after the call")]
 #[test_case(b"HTTP/1.1 200 OK\r\nContent-", b""; "within the headers")]
 #[test_case(HEAD, b""; "after the headers")]
-#[test_case(HEAD, b":"; "but for bytes that end nothing")]
+#[test_case(HEAD, b":"; "but for bytes that complete nothing")]
 #[test_case(HEAD, b"id: 2\ndata: {\"n\":2"; "within an event")]
-fn a_feed_that_falls_silent_is_asked_again_within_four_seconds(said: &[u8], more: &[u8]) {
+fn a_silent_feed_is_reconnected_within_four_seconds(said: &[u8], read_more: &[u8]) {
     let harness = Harness::new(1);
-    let mut silent = harness.feed.called();
+    let mut silent = harness.feed.accept();
     let since = Instant::now();
     silent.write_all(said).expect("written");
     let mut drips = silent.try_clone().expect("cloned");
-    let more = more.to_vec();
+    let read_more = read_more.to_vec();
     std::thread::spawn(move || {
-        while !more.is_empty() && drips.write_all(&more).is_ok() {
+        while !read_more.is_empty() && drips.write_all(&read_more).is_ok() {
             std::thread::sleep(Duration::from_millis(400));
         }
     });
-    let _again = harness.feed.called();
+    let _again = harness.feed.accept();
     assert!(
         since.elapsed() < Duration::from_secs(4),
         "{:?}",
@@ -375,45 +377,45 @@
 /// The connection breaks between an event's data and its end: it was not told, and is asked for
 /// again.
 #[test]
-fn an_event_that_is_cut_off_counts_as_not_told() {
+fn an_event_that_is_cut_off_is_requested_again() {
     let mut harness = Harness::new(1);
-    let mut cut = harness.feed.called();
+    let mut cut = harness.feed.accept();
     cut.write_all(HEAD).expect("written");
     cut.write_all(b"id: 2\ndata: {\"n\":2}\n").expect("written");
     drop(cut);
-    assert_eq!(harness.feed.asked(), 1);
+    assert_eq!(harness.feed.accept_and_stream(), 1);
 }
 
 /// Such a one sends thousands of set-ups and reads nothing; others come by the hundred and say
 /// nothing whole.
 #[test]
-fn a_flood_keeps_nobody_else_from_being_served() {
+fn a_flood_does_not_keep_others_from_being_served() {
     let mut harness = Harness::new(1);
     let mut flood = harness.client();
     let floods = std::thread::spawn(move || {
         (1_000..21_000)
-            .take_while(|&task| flood.tries(task))
+            .take_while(|&task| flood.try_set_up(task))
             .count()
     });
     let crowd: Vec<TestClient> = (0..300)
         .map(|_| {
             let mut half = harness.client();
-            half.says_bytes(&[0]);
+            half.send_bytes(&[0]);
             half
         })
         .collect();
     let since = Instant::now();
     let mut client = harness.client();
-    client.sets_up(7, &[]);
+    client.send_set_up(7, &[]);
     // The node has room for one.
-    harness.nodes[0].answers(|task| {
+    harness.nodes[0].answer_set_ups(|task| {
         if task == 7 {
             ready(7, "made")
         } else {
             close(task, 34)
         }
     });
-    assert_eq!(client.hears().message_type, MessageType::Answer);
+    assert_eq!(client.receive().message_type, MessageType::Answer);
     assert!(
         since.elapsed() < Duration::from_secs(5),
         "{:?}",
--- a/crates/platform/tests/scenarios.rs
+++ b/crates/platform/tests/scenarios.rs
@@ -13,76 +13,79 @@
 use test_case::test_case;
 
 #[test]
-fn a_set_up_is_placed_answered_in_the_nodes_words_and_released_when_it_ends() {
+fn a_set_up_is_placed_answered_with_the_nodes_description_and_released_at_its_end() {
     let mut harness = Harness::new(1);
     let mut client = harness.client();
-    client.sets_up(7, &[]);
-    let mut connection = harness.nodes[0].opened();
-    let open = connection.hears();
+    client.send_set_up(7, &[]);
+    let mut connection = harness.nodes[0].accept_connection();
+    let open = connection.receive();
     assert_eq!(
         (open.message_type, open.task_id, open.text.as_deref()),
         (node::MessageType::Open, Some(7), Some("what\r\n"))
     );
-    connection.says(ready(7, "made here"));
-    let answer = client.hears();
+    connection.send(ready(7, "made here"));
+    let answer = client.receive();
     assert_eq!(
         (answer.message_type, answer.parameter(DESCRIPTION)),
         (MessageType::Answer, Some(&b"made here"[..]))
     );
-    connection.says(node::Message::new(node::MessageType::Close, 7).with_cause(16));
+    connection.send(node::Message::new(node::MessageType::Close, 7).with_cause(16));
     assert_eq!(
-        (client.hears().message_type, connection.hears().message_type),
+        (
+            client.receive().message_type,
+            connection.receive().message_type
+        ),
         (MessageType::Release, node::MessageType::Closed)
     );
 }
 
 #[test]
-fn a_task_that_stands_is_taken_over_whatever_time_left_is_told() {
+fn a_running_task_is_taken_over_whatever_its_time_left() {
     let mut harness = Harness::new(1);
     let mut client = harness.client();
     let extras = format!("{FIGURES};at:{}", harness.nodes[0].name);
-    client.sets_up(
+    client.send_set_up(
         7,
         &[(REQUIREMENTS, extras.as_bytes()), (TIME_LEFT, b"4294967")],
     );
-    let mut connection = harness.nodes[0].opened();
-    connection.says(node::Message::new(node::MessageType::Close, 7).with_cause(16));
-    assert_eq!(client.hears().message_type, MessageType::Release);
+    let mut connection = harness.nodes[0].accept_connection();
+    connection.send(node::Message::new(node::MessageType::Close, 7).with_cause(16));
+    assert_eq!(client.receive().message_type, MessageType::Release);
 }
 
-#[test_case(b"{]\n", true; "noise")]
+#[test_case(b"{]\n", true; "no JSON")]
 #[test_case(b"{\"msg\":\"ready\",\"sid\":\"0000000000000007\",\"attrs\":{}}\n", true; "an answer without its description")]
 #[test_case(b"", true; "a connection that breaks")]
-#[test_case(b"{\"msg\":\"ready\",\"sid\":\"strange\",\"attrs\":{},\"text\":\"x\"}\n", false; "more than belongs to it")]
-fn a_spoilt_answer_costs_one_shot_and_what_is_only_more_costs_none(spoilt: &[u8], lost: bool) {
+#[test_case(b"{\"msg\":\"ready\",\"sid\":\"strange\",\"attrs\":{},\"text\":\"x\"}\n", false; "an answer under an unknown id")]
+fn a_damaged_answer_costs_one_attempt_and_an_unrelated_one_costs_none(spoilt: &[u8], lost: bool) {
     let mut harness = Harness::new(2);
     let mut client = harness.client();
-    client.sets_up(7, &[]);
-    let mut connection = harness.opened();
-    connection.hears();
-    connection.says_bytes(spoilt);
+    client.send_set_up(7, &[]);
+    let mut connection = harness.accept_connection();
+    connection.receive();
+    connection.send_bytes(spoilt);
     if lost {
         drop(connection);
-        connection = harness.opened();
-        assert_eq!(connection.hears().task_id, Some(7));
+        connection = harness.accept_connection();
+        assert_eq!(connection.receive().task_id, Some(7));
     }
-    connection.says(ready(7, "good"));
-    assert_eq!(client.hears().parameter(DESCRIPTION), Some(&b"good"[..]));
+    connection.send(ready(7, "good"));
+    assert_eq!(client.receive().parameter(DESCRIPTION), Some(&b"good"[..]));
 }
 
 #[test]
 fn a_draining_node_that_refuses_connections_has_not_lost_its_tasks() {
     let mut harness = Harness::new(1);
     let (mut client, connection) = harness.running_task(7);
-    harness.tell(0, "leaving");
+    harness.send_event(0, "leaving");
     harness.nodes[0].stop_listening();
     drop(connection);
     assert!(
         client.silent_for(Duration::from_millis(600)),
         "it may well run"
     );
-    harness.tell(0, "left");
-    assert_eq!(client.hears().message_type, MessageType::Release);
+    harness.send_event(0, "left");
+    assert_eq!(client.receive().message_type, MessageType::Release);
 }
 
 #[test]
@@ -91,7 +94,7 @@
     let (mut client, connection) = harness.running_task(7);
     harness.nodes[0].stop_listening();
     drop(connection);
-    let release = client.hears();
+    let release = client.receive();
     assert_eq!(
         (release.message_type, release.parameter(CAUSE)),
         (MessageType::Release, Some(&[41][..]))
@@ -100,15 +103,15 @@
 
 #[test_case(CLASS, b"none such"; "a class that does not exist")]
 #[test_case(TENANT, b"none such"; "a tenant that does not exist")]
-#[test_case(REQUIREMENTS, b"cores:nan;memory:1;service:a"; "a figure that is no number")]
+#[test_case(REQUIREMENTS, b"cores:nan;memory:1;service:a"; "a requirement that is no number")]
 #[test_case(REQUIREMENTS, b"cores:1e9;memory:1;service:a"; "more than any machine has")]
 #[test_case(TIME_LEFT, b"-5"; "a deadline in the past")]
 #[test_case(TASK_NAME, b""; "no name")]
-fn what_can_not_be_used_is_answered_with_an_error(code: u8, value: &[u8]) {
+fn an_invalid_set_up_is_answered_with_a_failure(code: u8, value: &[u8]) {
     let harness = Harness::new(1);
     let mut client = harness.client();
-    client.sets_up(7, &[(code, value)]);
-    let answer = client.hears();
+    client.send_set_up(7, &[(code, value)]);
+    let answer = client.receive();
     assert_eq!(
         (answer.message_type, answer.task, answer.parameter(CAUSE)),
         (MessageType::Release, 7, Some(&[47][..]))
@@ -119,23 +122,23 @@
 #[test_case(&[0xff; 64]; "a length beyond any message")]
 #[test_case(&[0, 12, 1, 0]; "half a message")]
 #[test_case(b""; "nothing at all")]
-fn what_can_not_be_read_is_closed_within_three_seconds(bytes: &[u8]) {
+fn an_unreadable_connection_is_closed_within_three_seconds(bytes: &[u8]) {
     let harness = Harness::new(1);
     let (mut client, since) = (harness.client(), Instant::now());
-    client.says_bytes(bytes);
-    assert!(client.closed() && since.elapsed() < Duration::from_secs(3));
+    client.send_bytes(bytes);
+    assert!(client.is_closed() && since.elapsed() < Duration::from_secs(3));
 }
 
 #[test]
-fn a_second_set_up_under_an_open_id_gives_up_both() {
+fn a_second_set_up_under_an_open_id_cancels_both() {
     let mut harness = Harness::new(1);
     let mut client = harness.client();
-    client.sets_up(7, &[]);
-    let mut connection = harness.nodes[0].opened();
-    connection.hears();
-    client.sets_up(7, &[(DESCRIPTION, b"another")]);
-    assert!(client.closed());
-    let given_up = connection.hears();
+    client.send_set_up(7, &[]);
+    let mut connection = harness.nodes[0].accept_connection();
+    connection.receive();
+    client.send_set_up(7, &[(DESCRIPTION, b"another")]);
+    assert!(client.is_closed());
+    let given_up = connection.receive();
     assert_eq!(
         (given_up.message_type, given_up.cause),
         (node::MessageType::Close, Some(16))
@@ -143,29 +146,29 @@
 }
 
 #[test]
-fn another_feed_is_followed_from_the_same_event_on() {
+fn another_feed_is_followed_from_the_last_event_on() {
     let mut harness = Harness::new(1);
-    assert_eq!(harness.feed.asked(), 1);
-    harness.tell(0, "active");
+    assert_eq!(harness.feed.accept_and_stream(), 1);
+    harness.send_event(0, "active");
     harness.move_feed();
     harness.signal(Signal::Hup);
     assert_eq!(
-        harness.feed.asked(),
+        harness.feed.accept_and_stream(),
         2,
         "what was told before is not asked for again"
     );
 }
 
 #[test]
-fn after_sigterm_what_was_taken_is_answered_and_the_program_ends() {
+fn after_sigterm_open_set_ups_are_answered_and_the_process_ends() {
     let mut harness = Harness::new(1);
     let mut client = harness.client();
-    client.sets_up(7, &[]);
-    let mut connection = harness.nodes[0].opened();
-    connection.hears();
+    client.send_set_up(7, &[]);
+    let mut connection = harness.nodes[0].accept_connection();
+    connection.receive();
     harness.signal(Signal::Term);
     assert_eq!(
-        client.hears().message_type,
+        client.receive().message_type,
         MessageType::Release,
         "its node never answers"
     );
@@ -173,24 +176,24 @@
 }
 
 #[test]
-fn what_stands_on_a_node_that_vanished_is_told_over_within_eight_seconds() {
+fn tasks_on_a_vanished_node_are_released_within_eight_seconds() {
     let mut harness = Harness::start(1, true, 256);
     let mut client = harness.client();
-    client.sets_up(7, &[]);
-    let mut connections = vec![harness.nodes[0].opened()];
+    client.send_set_up(7, &[]);
+    let mut connections = vec![harness.nodes[0].accept_connection()];
     // A probe may come first, on the same connection or another.
     while connections
         .iter_mut()
-        .all(|connection| connection.hears().message_type != node::MessageType::Open)
+        .all(|connection| connection.receive().message_type != node::MessageType::Open)
     {
-        connections.push(harness.nodes[0].opened());
+        connections.push(harness.nodes[0].accept_connection());
     }
     for connection in &mut connections {
-        connection.says(ready(7, "made"));
+        connection.send(ready(7, "made"));
     }
-    assert_eq!(client.hears().message_type, MessageType::Answer);
+    assert_eq!(client.receive().message_type, MessageType::Answer);
     let since = Instant::now();
-    assert_eq!(client.hears().message_type, MessageType::Release);
+    assert_eq!(client.receive().message_type, MessageType::Release);
     assert!(since.elapsed() < Duration::from_secs(8));
 }
 
@@ -200,23 +203,29 @@
     let (mut client, _old) = harness.running_task(7);
     harness.replace(0);
     assert_eq!(
-        client.hears().message_type,
+        client.receive().message_type,
         MessageType::Release,
         "it went with the old one"
     );
-    client.sets_up(8, &[]);
-    assert_eq!(harness.nodes[0].opened().hears().task_id, Some(8));
+    client.send_set_up(8, &[]);
+    assert_eq!(
+        harness.nodes[0].accept_connection().receive().task_id,
+        Some(8)
+    );
 }
 
 #[test]
-fn a_silent_crowd_at_a_low_limit_of_descriptors_keeps_no_owner_out() {
+fn silent_connections_at_a_low_descriptor_limit_keep_no_client_out() {
     let mut harness = Harness::start(1, false, 48);
     let crowd: Vec<TestClient> = (0..60).map(|_| harness.client()).collect();
     let mut client = harness.client();
-    client.sets_up(7, &[]);
-    assert_eq!(harness.nodes[0].opened().hears().task_id, Some(7));
+    client.send_set_up(7, &[]);
+    assert_eq!(
+        harness.nodes[0].accept_connection().receive().task_id,
+        Some(7)
+    );
     for mut silent in crowd {
-        assert!(silent.closed());
+        assert!(silent.is_closed());
     }
 }
 
@@ -224,66 +233,69 @@
 fn a_set_up_that_comes_after_sigterm_is_answered_too() {
     let mut harness = Harness::new(1);
     let mut client = harness.client();
-    client.sets_up(7, &[]);
-    let mut connection = harness.nodes[0].opened();
-    connection.hears();
+    client.send_set_up(7, &[]);
+    let mut connection = harness.nodes[0].accept_connection();
+    connection.receive();
     harness.signal(Signal::Term);
     let mut late = harness.client();
-    late.sets_up(8, &[]);
-    let mut second = harness.nodes[0].opened();
-    assert_eq!(second.hears().task_id, Some(8));
-    second.says(ready(8, "late"));
-    assert_eq!(late.hears().message_type, MessageType::Answer);
+    late.send_set_up(8, &[]);
+    let mut second = harness.nodes[0].accept_connection();
+    assert_eq!(second.receive().task_id, Some(8));
+    second.send(ready(8, "late"));
+    assert_eq!(late.receive().message_type, MessageType::Answer);
     drop(connection);
     assert!(harness.ended());
 }
 
 #[test]
-fn another_owner_under_an_open_id_gets_an_error_and_the_first_its_answer() {
+fn another_client_under_an_open_id_gets_a_failure_and_the_first_its_answer() {
     let mut harness = Harness::new(1);
     let (mut first, mut second) = (harness.client(), harness.client());
-    first.sets_up(7, &[]);
-    let mut connection = harness.nodes[0].opened();
-    connection.hears();
-    second.sets_up(7, &[(DESCRIPTION, b"another")]);
-    assert_eq!(second.hears().parameter(CAUSE), Some(&[47][..]));
-    connection.says(ready(7, "made"));
-    assert_eq!(first.hears().message_type, MessageType::Answer);
+    first.send_set_up(7, &[]);
+    let mut connection = harness.nodes[0].accept_connection();
+    connection.receive();
+    second.send_set_up(7, &[(DESCRIPTION, b"another")]);
+    assert_eq!(second.receive().parameter(CAUSE), Some(&[47][..]));
+    connection.send(ready(7, "made"));
+    assert_eq!(first.receive().message_type, MessageType::Answer);
 }
 
 #[test]
 fn a_new_file_that_can_not_be_read_changes_nothing() {
     let mut harness = Harness::new(1);
-    harness.spoil_posting();
+    harness.write_invalid_config();
     harness.signal(Signal::Hup);
-    harness.tell(0, "active");
+    harness.send_event(0, "active");
     let mut client = harness.client();
-    client.sets_up(7, &[]);
-    assert_eq!(harness.nodes[0].opened().hears().task_id, Some(7));
+    client.send_set_up(7, &[]);
+    assert_eq!(
+        harness.nodes[0].accept_connection().receive().task_id,
+        Some(7)
+    );
 }
 
 /// Its connection's set-up timed out, so that it is used no more; the task that stands was set up
 /// on it as well.
 #[test]
-fn a_release_that_crosses_the_close_of_its_connection_is_told_though_another_stands() {
+fn a_release_that_crosses_the_close_of_its_connection_is_passed_on() {
     let mut harness = Harness::new(1);
     let (mut client, mut first) = harness.running_task(7);
-    client.sets_up(8, &[(TIME_LEFT, b"600")]);
+    client.send_set_up(8, &[(TIME_LEFT, b"600")]);
     assert_eq!(
-        first.hears().task_id,
+        first.receive().task_id,
         Some(8),
         "on the connection that is free"
     );
-    client.sets_up(9, &[]);
-    let mut second = harness.nodes[0].opened();
-    second.hears();
-    second.says(ready(9, "made"));
-    assert_eq!(client.hears().message_type, MessageType::Answer);
+    client.send_set_up(9, &[]);
+    let mut second = harness.nodes[0].accept_connection();
+    second.receive();
+    second.send(ready(9, "made"));
+    assert_eq!(client.receive().message_type, MessageType::Answer);
     // Nothing comes of the set-up: it is cancelled, and then the connection is closed.
-    while !first.ends() {}
-    first.says(node::Message::new(node::MessageType::Close, 7).with_cause(16));
+    while !first.is_closed() {}
+    first.send(node::Message::new(node::MessageType::Close, 7).with_cause(16));
     loop {
-        let said = client.hears();
+        let said = client.receive();
         assert_eq!(said.message_type, MessageType::Release);
         if said.task == 7 {
             break;
@@ -294,27 +306,27 @@
 /// After a start: its node tells the end of all that ended meanwhile on the first connection,
 /// whoever it is opened for.
 #[test]
-fn an_end_that_is_told_before_its_task_is_handed_over_is_passed_on_then() {
+fn an_end_reported_before_its_task_is_handed_over_is_passed_on_then() {
     let mut harness = Harness::new(2);
     let mut client = harness.client();
     let at = |node: &str| format!("{FIGURES};at:{node}");
     let (here, elsewhere) = (at(&harness.nodes[0].name), at(&harness.nodes[1].name));
-    client.sets_up(7, &[(REQUIREMENTS, here.as_bytes())]);
-    let mut connection = harness.nodes[0].opened();
-    connection.says(node::Message::new(node::MessageType::Close, 8).with_cause(16));
-    assert_eq!(connection.hears().message_type, node::MessageType::Closed);
-    client.sets_up(8, &[(REQUIREMENTS, elsewhere.as_bytes())]);
+    client.send_set_up(7, &[(REQUIREMENTS, here.as_bytes())]);
+    let mut connection = harness.nodes[0].accept_connection();
+    connection.send(node::Message::new(node::MessageType::Close, 8).with_cause(16));
+    assert_eq!(connection.receive().message_type, node::MessageType::Closed);
+    client.send_set_up(8, &[(REQUIREMENTS, elsewhere.as_bytes())]);
     assert!(
         client.silent_for(Duration::from_millis(100)),
         "what another node says of it is no end there"
     );
-    client.says(MessageType::Release, 8, &[(CAUSE, &[16])]);
+    client.send(MessageType::Release, 8, &[(CAUSE, &[16])]);
     let mut second = harness.client();
-    second.sets_up(9, &[(REQUIREMENTS, here.as_bytes())]);
-    connection.says(node::Message::new(node::MessageType::Close, 10).with_cause(16));
-    assert_eq!(connection.hears().task_id, Some(10));
-    second.sets_up(10, &[(REQUIREMENTS, here.as_bytes())]);
-    let release = second.hears();
+    second.send_set_up(9, &[(REQUIREMENTS, here.as_bytes())]);
+    connection.send(node::Message::new(node::MessageType::Close, 10).with_cause(16));
+    assert_eq!(connection.receive().task_id, Some(10));
+    second.send_set_up(10, &[(REQUIREMENTS, here.as_bytes())]);
+    let release = second.receive();
     assert_eq!(
         (release.message_type, release.task),
         (MessageType::Release, 10)
--- a/crates/platform/tests/writer/fairness.rs
+++ b/crates/platform/tests/writer/fairness.rs
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_burst_on_every_owners_connection_lets_a_nodes_word_through() {
+fn a_nodes_message_passes_a_burst_on_every_clients_connection() {
     const OWNERS: usize = 20;
     let tasks = corkspan_runtime::Tasks::default();
     let (clients, node) = (Arc::new(AtomicU32::new(0)), Arc::new(AtomicU32::new(0)));
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn a_set_up_that_was_given_up_before_it_was_written_never_is() {
+fn a_set_up_cancelled_before_it_is_written_never_is() {
     let tasks = corkspan_runtime::Tasks::default();
     let ((stream, mut peer), (sender, queue)) = (told(b""), message_queue());
     assert!(
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn nothing_meant_for_a_node_that_has_gone_is_written_at_its_address() {
+fn nothing_is_written_once_the_connection_is_discarded() {
     let tasks = corkspan_runtime::Tasks::default();
     let ((stream, mut peer), (sender, queue)) = (told(b""), message_queue());
     assert!(sender.send_set_up(attempt(1), b"one".to_vec()) && sender.send(b"cut".to_vec()));
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn the_end_of_what_stood_is_handed_back_where_its_owner_has_gone() {
+fn undelivered_task_ends_are_returned_when_the_peer_is_gone() {
     let tasks = corkspan_runtime::Tasks::default();
     let ((stream, peer), (sender, queue)) = (told(b""), message_queue());
     drop(peer);
