--- a/crates/platform/tests/core/bounds.rs
+++ b/crates/platform/tests/core/bounds.rs
@@ -1,4 +1,4 @@
-//! Nothing that is kept grows with all that was ever met.
+//! Nothing that is kept grows with everything that ever happened.
 
 use super::pending_task::{Timer, task_key};
 use super::*;
@@ -47,7 +47,7 @@
     started(config, &DescriptorBudget::new(256).expect("enough")).0
 }
 
-/// A core whose effects nobody carries out, and what asks for the list to be watched.
+/// A core whose tasks are not run, and the calls for the list to be watched.
 pub(super) fn started(
     config: NodeConfig,
     budget: &DescriptorBudget,
@@ -73,14 +73,14 @@
     (handle, watching)
 }
 
-/// A client says it, and all that wait for a turn have theirs.
+/// A client sends a message, and all waiting set-ups are placed.
 fn send_and_run_turns(handle: &PlatformHandle, client: ClientId, message: &Message) -> bool {
     let keep_open = handle.handle_client_message(client, message);
     while handle.run_turn() {}
     keep_open
 }
 
-/// Clients, services, tasks and nodes that come once and never again, on a core whose connections
+/// Clients, services, tasks and nodes that come once and never again, at a core whose connections
 /// nobody carries.
 #[test]
 fn tables_do_not_grow_with_past_clients_nodes_and_tasks() {
@@ -122,7 +122,7 @@
         );
         handle.client_disconnected(id);
         if round % 100 == 0 {
-            // The scheduler look around by the clock, which this test outruns.
+            // The scheduler evaluates by the clock, which this test outruns.
             handle.enter(|core, now| {
                 core.with(now, |engine, state| {
                     engine.rest(now + round * SECOND, state)
@@ -166,8 +166,8 @@
     assert_eq!(queues.len(), 128);
 }
 
-/// A task stands on each of more nodes than there may be connections, and so large a one that none
-/// is held back.
+/// A task runs on each of more nodes than there may be connections, and so large a one that none is
+/// held back.
 fn full_pool(nodes: u64) -> (Arc<PlatformHandle>, ClientId, MessageQueue) {
     let handle = handle();
     let members: Vec<String> = (1..=nodes).map(|number| member(number, "active")).collect();
@@ -190,7 +190,7 @@
     (handle, client, queue)
 }
 
-/// All connections stand, and each node answers the tests that have reached it.
+/// All connections are established, and each node answers the health checks that have reached it.
 fn answer_health_checks(PlatformCore { engine, state }: &mut PlatformCore) {
     state.connections.all_up(state.now);
     for (test, (machine, _)) in std::mem::take(&mut state.health_checks) {
@@ -268,8 +268,8 @@
     }
 }
 
-/// The table of connections is full, so each set-up for another node closes one. The messages under
-/// way on it count.
+/// The connection pool is full, so each set-up for another node closes a connection. The messages
+/// under way on it count.
 #[test]
 fn a_release_under_way_on_an_evicted_connection_is_passed_on_at_once() {
     let (handle, client, queue) = full_pool(200);
@@ -354,8 +354,8 @@
     assert!(waits().shots_out > 0);
 }
 
-/// A turn whose time is up once dropped the one that would have been next, which then never had an
-/// answer.
+/// A turn whose time is up once dropped the set-up that would have been next, which then never had
+/// an answer.
 #[test]
 fn every_waiting_set_up_is_placed_however_many_turns_that_takes() {
     let (handle, _owner, _inbox) = full_pool(60);
--- a/crates/platform/tests/core/races.rs
+++ b/crates/platform/tests/core/races.rs
@@ -1,6 +1,5 @@
-//! What comes between two lines: a client that goes, or a connection that breaks, at the worst
-//! moment. The tasks that would read and write are not run: each call stands for the moment at
-//! which one of them has its turn.
+//! Races: a client that goes, or a connection that breaks, at the worst moment. The tasks that
+//! would read and write are not run: each call stands for the moment at which one of them runs.
 
 use super::bounds::{POSTING, member, posted, set_up};
 use super::pending_task::task_key;
@@ -42,7 +41,7 @@
     client::encode(MessageType::SetUp, task, &parameters).expect("short")
 }
 
-/// A client's connection whose first set-up has been heard, and the client's end of it.
+/// A client's connection whose first set-up has been read, and the client's end of it.
 fn client(handle: &PlatformHandle, task: u64) -> (ClientId, MessageQueue, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port of the system's choice");
     let mut peer = TcpStream::connect(listener.local_addr().expect("bound")).expect("connected");
@@ -89,13 +88,12 @@
             Some(peer)
         }
     };
-    // Loopback delivers within the call; what was known a moment ago counts for a tenth of what the
-    // term leaves.
+    // Loopback delivers within the call; the last read of the connection is too old by then.
     std::thread::sleep(duration(2 * INPUT_FRESHNESS));
     kept
 }
 
-/// The set-up of this task that is out, and its connection.
+/// The attempt of this task that is under way, and its connection.
 fn active(handle: &PlatformHandle, task: u64) -> Option<(ConnectionId, AttemptId)> {
     let engine = &mut handle.lock().engine;
     let id = engine.find(&task_key(task))?;
@@ -152,7 +150,7 @@
     assert!(handle.may_write_set_up(connection, attempt));
     let _kept = depart(how, 7, peer);
     let mut refusal = node::Message::new(node::MessageType::Close, 7).with_cause(34);
-    // Its line is full for a moment: the only node there is may be asked again soon.
+    // The node's queue is full for a moment: the only node there is may be tried again soon.
     refusal
         .attributes
         .insert("note".into(), AttributeValue::Text("backlog".into()));
@@ -214,7 +212,8 @@
     );
 }
 
-/// What may not be repeated was written on no connection, though others were written on this one.
+/// A set-up that may not be retried was written on no connection, though others were written on
+/// this one.
 #[test_case(false; "its connection breaks")]
 #[test_case(true; "its time is up")]
 fn an_unwritten_attempt_on_a_used_connection_counts_as_not_executed(time_out: bool) {
@@ -254,8 +253,8 @@
     );
 }
 
-/// It reads nothing, so that more waits for it than may: its connection is closed, and it is gone
-/// like any other.
+/// It reads nothing, so that more is queued for it than may be: its connection is closed, and it is
+/// gone like any other.
 #[test]
 fn a_client_that_reads_nothing_is_disconnected() {
     let handle = handle(&[]);
@@ -285,7 +284,7 @@
     );
 }
 
-/// A node's answer is handled when its client's time is up, and before the late timer: nobody
+/// A node's answer is handled after the client's deadline, and before the late timer: nobody had
 /// answered then.
 #[test]
 fn an_answer_after_the_deadline_is_answered_with_a_failure() {
--- a/crates/platform/tests/core/transcript.rs
+++ b/crates/platform/tests/core/transcript.rs
@@ -1,4 +1,4 @@
-//! Everything that goes out for a seeded course of everything that comes in, under a time that the
+//! Everything that goes out for a seeded run of everything that comes in, under a time that the
 //! test sets: bytes to clients and nodes, timers and counts, compared with those recorded under
 //! `tests/data`. No task that reads or writes is run; the test stands in for them.
 
@@ -13,7 +13,7 @@
 use std::sync::atomic::Ordering;
 use test_case::test_case;
 
-/// When each course begins.
+/// When each run begins.
 const BEGIN: Ticks = 1_000_000;
 const STEPS: usize = 700;
 const NODES: u64 = 6;
@@ -30,7 +30,7 @@
 "locality":0,"me":0,"penalties":{"cross-zone":0.1},"rules":{"ask-every-us":10000000,"cold-us":2000000,"fall-us":1000000},
 "skus":["std","big"],"tenants":[{"name":"acme"},{"name":"bolt"}],"zones":["east","west"]}}"#;
 
-/// Numbers that look like chance and are the same on every machine.
+/// Pseudo-random numbers that are the same on every machine.
 struct Draws(u64);
 
 impl Draws {
@@ -64,7 +64,7 @@
     queue: MessageQueue,
     up: bool,
     ended: bool,
-    /// The tasks that were written on it, and the tests.
+    /// The tasks that were written on it, and the health checks.
     tasks: Vec<u64>,
     health_checks: Vec<u64>,
 }
@@ -416,7 +416,7 @@
         message
     }
 
-    /// The clock goes on, and timers go off.
+    /// The clock advances, and timers fire.
     fn advance_time(&mut self) {
         let step = match self.draws.below(12) {
             0 if self.draws.one_in(3) => 1 + self.draws.below(6_000),
@@ -441,7 +441,7 @@
         }
     }
 
-    /// All that is gone out since, as the tasks of the connections would write it.
+    /// Records all that has gone out, as the tasks of the connections would write it.
     fn record_outputs(&mut self) {
         let tapped = std::mem::take(&mut self.handle.lock().state.connections.tapped);
         for (id, queue) in tapped {
@@ -515,7 +515,7 @@
         }
     }
 
-    /// Timers and counts, where they are others than before.
+    /// Records timers and counts, where they have changed.
     fn record_counts(&mut self) {
         let (counts, armed, open, closing) = {
             let inner = self.handle.lock();
@@ -625,7 +625,7 @@
     assert_eq!(made.len(), recorded.len());
 }
 
-/// Longer courses, held by a sum over their transcripts: seed, lines and FNV-1a of each.
+/// Longer runs, held by a sum over their transcripts: seed, lines and FNV-1a of each.
 #[test_case(2)]
 #[test_case(3)]
 #[test_case(4)]
--- a/crates/platform/tests/harness/mod.rs
+++ b/crates/platform/tests/harness/mod.rs
@@ -1,5 +1,4 @@
-//! Stand-ins on loopback for all that a dispatcher on the platform speaks to, by its published
-//! protocol.
+//! Stand-ins on loopback for all peers of a dispatcher on the platform, by its published protocol.
 
 use corkspan_platform_wire::client::{
     self, CLASS, DESCRIPTION, MessageType, REQUIREMENTS, TASK_NAME, TENANT, TIME_LEFT,
@@ -64,7 +63,7 @@
     }
 }
 
-/// What comes of a look, repeated until something does.
+/// Polls until there is a result.
 fn wait_for<T>(mut look: impl FnMut() -> Option<T>) -> T {
     let since = Instant::now();
     loop {
@@ -81,7 +80,7 @@
         Harness::start(nodes, false, 256)
     }
 
-    /// With or without leave to probe, and so many descriptors.
+    /// With or without health checks, and with this limit of descriptors.
     pub fn start(nodes: usize, probes: bool, sockets: usize) -> Harness {
         Harness::by(
             nodes,
@@ -92,7 +91,7 @@
         )
     }
 
-    /// By other settings, each with what it stands in place of.
+    /// With other settings: pairs of what is replaced and what replaces it.
     pub fn with(nodes: usize, replaced: &[(&str, &str)]) -> Harness {
         Harness::by(
             nodes,
@@ -204,7 +203,7 @@
         }
     }
 
-    /// A task that stands on the first node: its client's connection and its node's.
+    /// A task that runs on the first node: its client's connection and its node's.
     pub fn running_task(&mut self, task: u64) -> (TestClient, NodeConnection) {
         let mut client = self.client();
         client.send_set_up(task, &[]);
@@ -215,7 +214,7 @@
         (client, connection)
     }
 
-    /// The next connection that any node gets.
+    /// The next connection that any node accepts.
     pub fn accept_connection(&mut self) -> NodeConnection {
         wait_for(|| {
             self.nodes
@@ -225,7 +224,7 @@
         })
     }
 
-    /// Discovery tells a node's state; returns once the dispatcher must have read it.
+    /// Sends an event about a node; returns once the dispatcher must have read it.
     pub fn send_event(&mut self, node: usize, phase: &str) {
         self.told += 1;
         let event = format!(
@@ -239,7 +238,7 @@
         for stream in &mut self.feed.streams {
             let _ = stream.write_all(event.as_bytes());
         }
-        // Loopback keeps no order between connections: two messages to and fro leave the event the
+        // Loopback keeps no order between connections: two messages to and fro give the event the
         // time it needs.
         for _ in 0..2 {
             let mut client = self.client();
@@ -268,12 +267,12 @@
         self.write_config();
     }
 
-    /// The configuration is written anew, with what discovery has told so far.
+    /// Writes the configuration anew, with the events sent so far.
     pub fn rewrite_config(&self) {
         self.write_config();
     }
 
-    /// An event is told to nobody: it stands in the next configuration alone.
+    /// An event that is sent to nobody: it is in the next configuration file alone.
     pub fn skip_event(&mut self) {
         self.told += 1;
     }
@@ -288,12 +287,12 @@
 }
 
 impl Feed {
-    /// The next call of the dispatcher, which is not answered.
+    /// The dispatcher's next connection, which is not answered.
     pub fn accept(&self) -> TcpStream {
         wait_for(|| accept(&self.listener))
     }
 
-    /// The next call of the dispatcher: the last event that it knows.
+    /// The dispatcher's next connection, answered with a stream: the last event that it knows.
     pub fn accept_and_stream(&mut self) -> u64 {
         let mut stream = wait_for(|| accept(&self.listener));
         let mut head = BufReader::new(stream.try_clone().expect("cloned"));
@@ -359,8 +358,8 @@
         self.listener = None;
     }
 
-    /// Connections to it do not come up, and nobody says why: those that its system takes in its
-    /// stead are all taken. What is returned holds them.
+    /// Connections to it are not established, and nobody says why: the system's backlog is full.
+    /// What is returned holds it.
     pub fn hold_connections(&mut self) -> Vec<TcpStream> {
         let listener = self.listener.as_ref().expect("it listens");
         rustix::net::listen(listener, 0).expect("a smaller backlog");
@@ -370,7 +369,7 @@
         read_more.map_while(Result::ok).collect()
     }
 
-    /// They come up again.
+    /// Connections are established again.
     pub fn take_connections(&mut self) {
         let listener = self.listener.as_ref().expect("it listens");
         rustix::net::listen(listener, 128).expect("a larger backlog");
@@ -412,12 +411,12 @@
         }
     }
 
-    /// Nothing comes for so long.
+    /// Nothing arrives for this time.
     pub fn silent_for(&mut self, time: Duration) -> bool {
         silent_for(&mut self.stream, time)
     }
 
-    /// The dispatcher has ended its side.
+    /// The dispatcher has closed its side.
     pub fn is_closed(&mut self) -> bool {
         self.stream.read(&mut [0; 64]).expect("words or an end") == 0
     }
@@ -480,7 +479,7 @@
         self.send(MessageType::SetUp, task, &parameters);
     }
 
-    /// A set-up sent to whoever may have closed: false where it could not be.
+    /// Sends a set-up to a peer that may have closed; false where it could not be sent.
     pub fn try_set_up(&mut self, task: u64) -> bool {
         let sound: [(u8, &[u8]); 4] = [
             (CLASS, b"batch"),
--- a/crates/platform/tests/races/mod.rs
+++ b/crates/platform/tests/races/mod.rs
@@ -1,5 +1,4 @@
-//! What comes between two lines, forced over loopback: one story for each crossing of a request, an
-//! answer or a signal.
+//! Races, forced over loopback: one test for each crossing of a request, an answer or a signal.
 
 use crate::harness::*;
 use corkspan_platform_wire::client::{CAUSE, DESCRIPTION, MessageType, REQUIREMENTS, TIME_LEFT};
@@ -32,14 +31,14 @@
     connection
 }
 
-/// Its line is full for a moment: the next attempt goes to the same node, the only one.
+/// The node's queue is full for a moment: the next attempt goes to the same node, the only one.
 fn reject_attempt(connection: &mut NodeConnection, task: u64) {
     connection.send(note(close(task, 34), "backlog"));
     assert_eq!(connection.receive().message_type, node::MessageType::Closed);
 }
 
-/// The first attempt was refused, and the second is out at the same node: the client, and both
-/// connections.
+/// The first attempt was rejected, and the second is under way at the same node: the client, and
+/// both connections.
 fn second_attempt() -> (Harness, TestClient, NodeConnection, NodeConnection) {
     let mut harness = Harness::new(1);
     let mut client = harness.client();
@@ -50,7 +49,7 @@
     (harness, client, first, second)
 }
 
-/// A set-up is out on a connection that does not come up yet; what holds it back, and the client.
+/// A set-up waits for a connection that is not established yet; what holds it back, and the client.
 fn set_up_while_connecting() -> (Harness, Vec<TcpStream>, TestClient) {
     let mut harness = Harness::with(
         1,
@@ -96,8 +95,8 @@
     assert_eq!(client.receive().message_type, MessageType::Release);
 }
 
-/// The connection of its set-up ends, and its node tells its end on the other one that is open.
-/// That was once taken for the attempt which the node had refused there.
+/// The connection of the task's set-up ends, and its node reports the end on the other one that is
+/// open. That was once taken for the attempt that the node had rejected there.
 #[test_case(close(7, 16), 16; "ended")]
 #[test_case(close(7, 41), 41; "interrupted")]
 fn a_release_on_the_connection_of_an_earlier_attempt_counts_once_its_own_has_ended(
@@ -152,13 +151,13 @@
     );
 }
 
-/// A client that goes while the connection to its node comes up, late, leaves nothing to be written
-/// on it.
+/// A client that goes while the connection to its node is established, late, leaves nothing to be
+/// written on it.
 #[test]
 fn a_set_up_is_not_written_on_a_connection_established_after_its_client_is_gone() {
     let (mut harness, held, client) = set_up_while_connecting();
     drop(client);
-    // Time for the close to be read; the connection is asked for again by the system after 1 s.
+    // Time for the close to be read; the system retries the connection after 1 s.
     std::thread::sleep(Duration::from_millis(200));
     drop(held);
     harness.nodes[0].take_connections();
@@ -166,7 +165,7 @@
     assert!(connection.silent_for(Duration::from_millis(500)));
 }
 
-/// Its system asks for the connection again when another node has the address already.
+/// The system retries the connection when another node has the address already.
 #[test]
 fn messages_for_a_node_that_is_gone_are_not_written_to_the_next_at_its_address() {
     let (mut harness, held, mut client) = set_up_while_connecting();
@@ -233,7 +232,7 @@
     client.send_set_up(7, &[]);
     let _held = attempt(&mut harness, 7);
     harness.signal(Signal::Term);
-    // Some come before that moment and some after it, whenever it is.
+    // Some arrive before that moment and some after it, whenever it is.
     let since = Instant::now();
     for task in (8..).take_while(|_| since.elapsed() < Duration::from_millis(1_200)) {
         client.send_set_up(task, &[]);
@@ -347,8 +346,8 @@
 
 const HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n";
 
-/// What a control feed that has stopped would tell counts as told 4 s later, or as soon as it is asked
-/// again.
+/// What a feed that has stopped would send counts as sent 4 s later, or as soon as it is connected
+/// to again.
 #[test_case(b"", b""; "right after the call")]
 #[test_case(b"HTTP/1.1 200 OK\r\nContent-", b""; "within the headers")]
 #[test_case(HEAD, b""; "after the headers")]
@@ -374,7 +373,7 @@
     );
 }
 
-/// The connection breaks between an event's data and its end: it was not told, and is asked for
+/// The connection breaks between an event's data and its end: it was not reported, and is requested
 /// again.
 #[test]
 fn an_event_that_is_cut_off_is_requested_again() {
@@ -386,8 +385,8 @@
     assert_eq!(harness.feed.accept_and_stream(), 1);
 }
 
-/// Such a one sends thousands of set-ups and reads nothing; others come by the hundred and say
-/// nothing whole.
+/// One client sends thousands of set-ups and reads nothing; hundreds of others send nothing
+/// complete.
 #[test]
 fn a_flood_does_not_keep_others_from_being_served() {
     let mut harness = Harness::new(1);
--- a/crates/platform/tests/scenarios.rs
+++ b/crates/platform/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! One story for each failure met, told by the sockets of a dispatcher in service.
+//! One test for each failure, seen at the sockets of a dispatcher in service.
 
 mod harness;
 mod races;
@@ -181,7 +181,7 @@
     let mut client = harness.client();
     client.send_set_up(7, &[]);
     let mut connections = vec![harness.nodes[0].accept_connection()];
-    // A probe may come first, on the same connection or another.
+    // A health check may come first, on the same connection or another.
     while connections
         .iter_mut()
         .all(|connection| connection.receive().message_type != node::MessageType::Open)
@@ -274,8 +274,8 @@
     );
 }
 
-/// Its connection's set-up timed out, so that it is used no more; the task that stands was set up
-/// on it as well.
+/// The connection's set-up timed out, so that it is used no more; the running task was set up on it
+/// as well.
 #[test]
 fn a_release_that_crosses_the_close_of_its_connection_is_passed_on() {
     let mut harness = Harness::new(1);
@@ -303,8 +303,8 @@
     }
 }
 
-/// After a start: its node tells the end of all that ended meanwhile on the first connection,
-/// whoever it is opened for.
+/// After a start: the node reports all ends that it could not report on the first connection,
+/// whichever task that is opened for.
 #[test]
 fn an_end_reported_before_its_task_is_handed_over_is_passed_on_then() {
     let mut harness = Harness::new(2);
--- a/crates/platform/tests/writer/fairness.rs
+++ b/crates/platform/tests/writer/fairness.rs
@@ -1,4 +1,4 @@
-//! Whose turn it is, told by counts and not by times.
+//! Fairness between connections, by counts and not by times.
 
 use super::*;
 use crate::ids::AttemptId;
@@ -10,7 +10,7 @@
 use std::sync::Mutex;
 use std::sync::atomic::AtomicU32;
 
-/// A connection on which these bytes have come already, and the peer's end of it.
+/// A connection on which these bytes have arrived already, and the peer's end of it.
 fn told(bytes: &[u8]) -> (TcpStream, Peer) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port of the system's choice");
     let mut peer = Peer::connect(listener.local_addr().expect("bound")).expect("connected");
@@ -19,7 +19,7 @@
     (TcpStream::try_from(stream).expect("a stream"), peer)
 }
 
-/// Each byte that comes counts as a message.
+/// Each byte that arrives counts as a message.
 async fn carried(stream: TcpStream, queue: MessageQueue, counts: Arc<AtomicU32>) {
     let (input, mut left) = (ConnectionInput::new(stream.clone()), 0);
     let hear = || loop {
