--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -14,7 +14,7 @@
 mod maintenance;
 pub mod outings;
 pub mod rolls;
-mod roster;
+pub mod roster;
 mod running;
 mod shots;
 mod standing;
--- a/crates/dispatcher/src/roster.rs
+++ b/crates/dispatcher/src/roster.rs
@@ -205,7 +205,7 @@
 
     /// Writes the list beside the old one and puts it in its place, so that a stop in between loses
     /// neither.
-    fn keep(&self, path: &Path) -> std::io::Result<()> {
+    pub fn keep(&self, path: &Path) -> std::io::Result<()> {
         let lines: Vec<Line> = self.lines.values().cloned().collect();
         let kept = Kept {
             version: self.version,
--- /dev/null
+++ b/crates/dispatcher/tests/stored_files.rs
@@ -0,0 +1,277 @@
+//! What earlier releases left on disk is read, and written back byte for byte. The files under
+//! tests/data were written by release 0.2.0; they are never written anew.
+
+use corkspan_config::version::{Stamp, Texts};
+use corkspan_config_sync::{Kept, Version};
+use corkspan_dispatcher::rolls::{Held, Pair, Store};
+use corkspan_dispatcher::roster::Roster;
+use corkspan_dispatcher::versions;
+use corkspan_rollout::{ClaimId, Order, Phase, Roll};
+use corkspan_version_fencing::record::{How, Span};
+use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
+use std::path::{Path, PathBuf};
+use std::sync::Arc;
+use tempfile::TempDir;
+
+fn data(name: &str) -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/data")
+        .join(name)
+}
+
+/// A copy of a stored file, in a directory of its own.
+fn copy_of(name: &str) -> (TempDir, PathBuf) {
+    let directory = tempfile::tempdir().expect("a directory");
+    let path = directory.path().join(name);
+    std::fs::copy(data(name), &path).expect("copied");
+    (directory, path)
+}
+
+/// The same, cut in the middle.
+fn half_of(name: &str) -> (TempDir, PathBuf) {
+    let (directory, path) = copy_of(name);
+    let whole = std::fs::read(&path).expect("read");
+    std::fs::write(&path, &whole[..whole.len() / 2]).expect("written");
+    (directory, path)
+}
+
+/// What `act` returns, and the log lines that it wrote.
+fn logged<T>(directory: &TempDir, act: impl FnOnce() -> T) -> (T, String) {
+    let path = directory.path().join("log");
+    let file = Arc::new(std::fs::File::create(&path).expect("created"));
+    let subscriber = tracing_subscriber::fmt()
+        .with_ansi(false)
+        .with_writer(file)
+        .finish();
+    let result = tracing::subscriber::with_default(subscriber, act);
+    (result, std::fs::read_to_string(path).expect("read"))
+}
+
+/// Each row of a database as `table key value`, in the order of tables and keys.
+fn rows(path: &Path) -> String {
+    let database = Database::open(path).expect("a database");
+    let transaction = database.begin_read().expect("readable");
+    let mut rows = String::new();
+    let claims = TableDefinition::<u64, &str>::new("claims");
+    let table = transaction.open_table(claims).expect("claims");
+    for row in table.iter().expect("rows") {
+        let (key, value) = row.expect("a row");
+        rows += &format!("claims {} {}\n", key.value(), value.value());
+    }
+    for name in ["rolls", "record"] {
+        let definition = TableDefinition::<&str, &str>::new(name);
+        let table = transaction.open_table(definition).expect("a table");
+        for row in table.iter().expect("rows") {
+            let (key, value) = row.expect("a row");
+            rows += &format!("{name} {} {}\n", key.value(), value.value());
+        }
+    }
+    rows
+}
+
+fn roll(service: &str, order: Order, phase: Phase) -> Roll {
+    Roll {
+        service: service.into(),
+        number: 3,
+        asker: 0x0123_4567_89ab_cdef,
+        version: "v3".into(),
+        former: "v2".into(),
+        unversioned: "v1".into(),
+        unready_most: 4,
+        batch: 2,
+        order,
+        ready_for: 10_000,
+        ready_within: 600_000,
+        failures_most: 1,
+        phase,
+    }
+}
+
+fn rolls() -> Vec<Roll> {
+    vec![
+        roll("mail", Order::StopFirst, Phase::Rolling),
+        roll("search", Order::StartFirst, Phase::Paused),
+        roll(
+            "video",
+            Order::StopFirst,
+            Phase::Halted("2 copies failed".into()),
+        ),
+    ]
+}
+
+fn claim(claim: u64, won: bool, pair: Option<bool>) -> Held {
+    let pair = pair.map(|retires| Pair {
+        old: "mail#0".into(),
+        new: "mail#0~1".into(),
+        retires,
+    });
+    Held {
+        claim: ClaimId(claim),
+        service: "mail".into(),
+        task: format!("mail#{claim}"),
+        won,
+        pair,
+    }
+}
+
+fn claims() -> Vec<Held> {
+    vec![
+        claim(7, false, None),
+        claim(8, true, None),
+        claim(9, true, Some(false)),
+        claim(u64::MAX, true, Some(true)),
+    ]
+}
+
+fn spans() -> Vec<Span> {
+    let hows = [How::File, How::Kept, How::Push, How::GaveUp, How::Brought];
+    let spans = (0..).zip(hows).map(|(version, how)| Span {
+        version,
+        digest: format!("{version:064x}"),
+        how,
+        life: 77,
+        from_ms: 1_700_000_000_000 + version,
+    });
+    spans.collect()
+}
+
+#[test]
+fn a_stored_database_is_read_and_its_rows_are_written_back_unchanged() {
+    let stored = std::fs::read_to_string(data("rollouts.txt")).expect("text");
+    let (directory, path) = copy_of("rollouts.redb");
+    assert_eq!(rows(&path), stored, "before anything is opened by our code");
+    let store = Store::open(Some(&path));
+    let (read_rolls, read_claims) = store.read();
+    let read_spans = store.spans();
+    assert_eq!(read_rolls, rolls());
+    assert_eq!(read_claims, claims());
+    assert_eq!(Vec::from(read_spans.clone()), spans());
+
+    let fresh_path = directory.path().join("fresh.redb");
+    let fresh = Store::open(Some(&fresh_path));
+    for store in [&store, &fresh] {
+        read_rolls
+            .iter()
+            .for_each(|roll| store.roll(roll).expect("written"));
+        read_claims
+            .iter()
+            .for_each(|claim| store.claim(claim).expect("written"));
+        store.record(&read_spans).expect("written");
+    }
+    drop((store, fresh));
+    assert_eq!(rows(&path), stored, "written over the old rows");
+    assert_eq!(rows(&fresh_path), stored, "written to a new database");
+
+    let again = Store::open(Some(&path));
+    assert_eq!(again.read(), (rolls(), claims()));
+    again.release(ClaimId(8)).expect("written");
+    drop(again);
+    let kept = stored.lines().filter(|row| !row.starts_with("claims 8 "));
+    assert!(kept.eq(rows(&path).lines()), "a released claim is removed");
+}
+
+#[test]
+fn half_a_stored_database_is_reported_and_set_aside() {
+    let (directory, path) = half_of("rollouts.redb");
+    let half = std::fs::read(&path).expect("read");
+    let (store, log) = logged(&directory, || Store::open(Some(&path)));
+    assert!(
+        log.contains(" WARN ") && log.contains("the store of rolls can't be read; set aside"),
+        "{log}"
+    );
+    let aside = std::fs::read(path.with_extension("aside")).expect("set aside");
+    assert_eq!(aside.len(), half.len());
+    assert_eq!(store.read(), (vec![], vec![]));
+    store.claim(&claim(8, true, None)).expect("written");
+    assert_eq!(store.read().1, [claim(8, true, None)]);
+}
+
+#[test]
+fn a_stored_list_is_read_and_written_back_unchanged() {
+    let (directory, path) = copy_of("endpoint-list.json");
+    let (roster, log) = logged(&directory, || Roster::remembered(&path));
+    assert_eq!(log, "");
+    let fresh = directory.path().join("fresh.json");
+    roster.keep(&fresh).expect("written");
+    let stored = std::fs::read_to_string(data("endpoint-list.json")).expect("text");
+    assert_eq!(std::fs::read_to_string(fresh).expect("text"), stored);
+    roster.keep(&path).expect("written over the old one");
+    assert_eq!(std::fs::read_to_string(path).expect("text"), stored);
+}
+
+#[test]
+fn half_a_stored_list_is_reported_and_set_aside() {
+    let (directory, path) = half_of("endpoint-list.json");
+    let half = std::fs::read(&path).expect("read");
+    let (roster, log) = logged(&directory, || Roster::remembered(&path));
+    assert!(
+        log.contains(" WARN ") && log.contains("the remembered list can't be read; set aside"),
+        "{log}"
+    );
+    let aside = std::fs::read(path.with_extension("aside")).expect("set aside");
+    assert_eq!((aside, path.exists()), (half, false));
+    roster.keep(&path).expect("written");
+    let empty = std::fs::read_to_string(path).expect("text");
+    assert!(
+        empty.starts_with(r#"{"version":0,"sum":"#) && empty.ends_with(r#","lines":[]}"#),
+        "{empty}"
+    );
+}
+
+fn version(number: u64, track: &str) -> Version {
+    let texts: Texts = [("bounds/in-hand", "(in-hand 100)"), ("tracks/x", track)]
+        .map(|(name, text)| (name.to_string(), text.to_string()))
+        .into_iter()
+        .collect();
+    Version {
+        stamp: Stamp {
+            number,
+            digest: texts.digest(),
+        },
+        texts,
+    }
+}
+
+fn kept() -> Kept {
+    Kept {
+        good: Some(version(4, "(calm 0.5)")),
+        trial: Some((version(6, "(calm 0.75)"), 2)),
+        given_up: vec![version(3, "a").stamp, version(5, "b").stamp],
+    }
+}
+
+#[test]
+fn stored_versions_are_read_and_written_back_unchanged() {
+    let (directory, path) = copy_of("versions.json");
+    let (read, log) = logged(&directory, || versions::read(&path));
+    assert_eq!((&read, log.as_str()), (&kept(), ""));
+    versions::keep(&path, &read).expect("written");
+    let stored = std::fs::read_to_string(data("versions.json")).expect("text");
+    for written in [&path, &path.with_extension("before")] {
+        assert_eq!(std::fs::read_to_string(written).expect("text"), stored);
+    }
+}
+
+#[test]
+fn half_of_the_stored_versions_is_reported_and_set_aside_and_the_file_before_is_read() {
+    let (directory, path) = half_of("versions.json");
+    let half = std::fs::read(&path).expect("read");
+    std::fs::copy(data("versions.json"), path.with_extension("before")).expect("copied");
+    let (read, log) = logged(&directory, || versions::read(&path));
+    assert_eq!(read, kept());
+    let message = "the kept version can't be read; set aside, and the one before taken";
+    assert!(log.contains(" WARN ") && log.contains(message), "{log}");
+    let aside = std::fs::read(path.with_extension("aside")).expect("set aside");
+    assert_eq!((aside, path.exists()), (half, false));
+}
+
+#[test]
+fn half_of_the_stored_versions_and_of_the_file_before_leave_the_deployment_file() {
+    let (directory, path) = half_of("versions.json");
+    std::fs::copy(&path, path.with_extension("before")).expect("copied");
+    let (read, log) = logged(&directory, || versions::read(&path));
+    assert_eq!(read, Kept::default());
+    let message = "nor can the one before; the deployment file is in force";
+    assert!(log.contains(" WARN ") && log.contains(message), "{log}");
+    assert!(path.with_extension("before").exists(), "it stays in place");
+}
