--- a/crates/cli/src/lib.rs
+++ b/crates/cli/src/lib.rs
@@ -10,7 +10,7 @@
 };
 use corkspan_config::version::Texts;
 use corkspan_config::{Deployment, schema, sexp};
-use corkspan_dispatcher::control::RUNNING;
+use corkspan_dispatcher::config_stream::RUNNING;
 use corkspan_rpc::{Bounds, Link, Tasks, within};
 use futures_lite::future;
 use std::ffi::OsString;
--- a/crates/dispatcher/src/running.rs
+++ b/crates/dispatcher/src/active_version.rs
@@ -1,6 +1,6 @@
 //! Which version a dispatcher runs: what it keeps of it, and what it tells.
 
-use crate::versions;
+use crate::version_files;
 use corkspan_api::v1;
 use corkspan_config::Deployment;
 use corkspan_config::version::{Digest, Texts, VersionId};
@@ -43,7 +43,7 @@
         now: corkspan_scheduler::interface::Ticks,
     ) -> (Self, Deployment) {
         let path = file.versions.clone();
-        let mut kept = path.as_deref().map(versions::read).unwrap_or_default();
+        let mut kept = path.as_deref().map(version_files::read).unwrap_or_default();
         let mut start = loop {
             let (subscriber, changed) = Subscriber::restore(file.texts.clone(), kept.clone(), now);
             let (stamp, texts) = subscriber.active_version();
@@ -64,7 +64,7 @@
             }
         };
         if let (Some(path), Some(changed)) = (&path, start.1.take())
-            && let Err(why) = versions::keep(path, &changed)
+            && let Err(why) = version_files::keep(path, &changed)
         {
             warn!(path = %path.display(), %why, "that this version was started under once more can't be kept");
         }
@@ -121,7 +121,7 @@
             return Ok(());
         };
         let kept = kept.clone();
-        blocking::unblock(move || versions::keep(&path, &kept))
+        blocking::unblock(move || version_files::keep(&path, &kept))
             .await
             .map_err(|why| why.to_string())
     }
--- a/crates/dispatcher/src/shots.rs
+++ b/crates/dispatcher/src/attempts.rs
@@ -2,7 +2,7 @@
 //! told by what crossed the link: an offer that was never written can't have run; one that was, may
 //! have, unless the node itself says no.
 
-use crate::links::{Counted, NodeLink};
+use crate::node_links::{Counted, NodeLink};
 use corkspan_api::v1::{self, node_client::NodeClient, said::Said as Word};
 use corkspan_rpc::{Bounds, Link, Tasks, within};
 use corkspan_scheduler::interface::*;
--- a/crates/dispatcher/src/bring.rs
+++ b/crates/dispatcher/src/catch_up.rs
@@ -2,11 +2,11 @@
 //! then of keepers, and taken as a pushed one is. Whom to ask when is decided in
 //! `corkspan_version_fencing::catch_up`.
 
-use crate::control::apply;
-use crate::counts::LinkKind;
-use crate::desk::Desk;
-use crate::keepers;
-use crate::running::{message, push_of};
+use crate::active_version::{message, push_of};
+use crate::config_stream::apply;
+use crate::core::Desk;
+use crate::link_counters::LinkKind;
+use crate::quorum_client;
 use corkspan_api::v1::{self, keep_ask::Ask, versions_client::VersionsClient};
 use corkspan_config_sync::{PushReply, VersionPush};
 use corkspan_rpc::{Link, within};
@@ -62,7 +62,7 @@
             Some(&peer) => from_peer(desk, peer, ask).await,
             None => None,
         },
-        VersionSource::QuorumMember(which) => keepers::ask_one(desk, which, Ask::Fetch(ask))
+        VersionSource::QuorumMember(which) => quorum_client::ask_one(desk, which, Ask::Fetch(ask))
             .await
             .and_then(|word| word.given),
     };
--- a/crates/dispatcher/src/control.rs
+++ b/crates/dispatcher/src/config_stream.rs
@@ -1,11 +1,11 @@
 //! The stream of versions: pushes read, answers written, what is in force changed. What is decided
 //! stands in `corkspan_config_sync`.
 
+pub use crate::active_version::{RUNNING, Versions, message, push_message, push_of, stamp};
 use crate::clock::{duration, ticks};
-use crate::counts::LinkKind;
-use crate::desk::Desk;
-use crate::fleet;
-pub use crate::running::{RUNNING, Versions, message, push_message, push_of, stamp};
+use crate::core::Desk;
+use crate::link_counters::LinkKind;
+use crate::minimum_version;
 use corkspan_api::v1::{self, control_client::ControlClient};
 use corkspan_config_sync::{
     NextPush, PushAdmission, PushReply, ReconnectBackoff, RequestCounts, VersionCache, VersionPush,
@@ -364,7 +364,7 @@
         &self,
         _: Request<v1::VersionStatusAsk>,
     ) -> Result<Response<v1::VersionStatus>, Status> {
-        let floor = self.0.fleet.floor().map(fleet::message);
+        let floor = self.0.fleet.floor().map(minimum_version::message);
         let shut_out = self.0.shut_out().is_some();
         let status = self.0.versions.status(&self.0.deployment());
         let (dispatcher, life) = (
@@ -406,7 +406,7 @@
         &self,
         request: Request<v1::FloorAsk>,
     ) -> Result<Response<v1::FloorWord>, Status> {
-        fleet::raise(&self.0, request.into_inner().lowest)
+        minimum_version::raise(&self.0, request.into_inner().lowest)
             .await
             .map(Response::new)
     }
--- a/crates/dispatcher/src/desk.rs
+++ b/crates/dispatcher/src/core.rs
@@ -3,19 +3,19 @@
 //! call returns. What uses the desk stands above it and is not known here: the rolls, the streams
 //! of versions, the floor.
 
+mod attempt_events;
 mod client;
-mod copies;
-mod outcomes;
-mod port;
+mod effects;
+mod replicas;
 
+use crate::active_version::{self, Versions};
+use crate::attempts;
 use crate::clock::{Clock, duration};
-use crate::conductors::Rolls;
-use crate::counts::{Counts, LinkKind};
-use crate::links::NodeLink;
-use crate::running::{self, Versions};
-use crate::shots;
-use crate::standing::{self, Fleet};
+use crate::link_counters::{Counts, LinkKind};
+use crate::node_links::NodeLink;
+use crate::rollouts::Rolls;
 use crate::store::Store;
+use crate::version_gate::{self, Fleet};
 pub use client::Current;
 use client::{Client, Orphan, Then};
 use corkspan_api::v1;
@@ -28,7 +28,7 @@
 use corkspan_rpc::Tasks;
 use corkspan_scheduler::interface::*;
 use corkspan_version_fencing::operations::OperationKind;
-use port::{Counters, Port};
+use effects::{Counters, Port};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError, RwLock};
 use std::time::{Duration, Instant};
@@ -131,7 +131,7 @@
             Desk {
                 inner: Mutex::new(Inner { host, port }),
                 clock,
-                link_bounds: crate::links::bounds(&deployment.bounds),
+                link_bounds: crate::node_links::bounds(&deployment.bounds),
                 counts: Counts::default(),
                 in_force: RwLock::new(Arc::new(deployment)),
                 versions,
@@ -329,7 +329,7 @@
             match host.take_running(now, &task, asked, machine, client) {
                 Ok(id) => {
                     self.tasks
-                        .spawn(shots::attend(
+                        .spawn(attempts::attend(
                             self.clone(),
                             id,
                             port.node(machine),
@@ -424,7 +424,7 @@
             priority: u32::from(self.deployment().cluster.service_classes[asked.track.0].priority),
             version,
             by: Some(self.by(kind, 1)),
-            floor: self.fleet.floor().map(standing::message),
+            floor: self.fleet.floor().map(version_gate::message),
         }
     }
 
@@ -433,7 +433,7 @@
     pub fn by(&self, kind: OperationKind, many: usize) -> v1::By {
         let deployment = self.deployment();
         self.fleet.acts(deployment.stamp, kind, many);
-        let stamp = Some(running::message(deployment.stamp));
+        let stamp = Some(active_version::message(deployment.stamp));
         v1::By {
             stamp,
             life: self.fleet.life,
--- a/crates/dispatcher/src/desk/outcomes.rs
+++ b/crates/dispatcher/src/core/attempt_events.rs
@@ -2,7 +2,7 @@
 
 use super::Desk;
 use super::client::Client;
-use crate::shots::Follows;
+use crate::attempts::Follows;
 use corkspan_api::v1;
 use corkspan_rollout::controller::SurgeEnd;
 use corkspan_rpc::{Bounds, Tasks};
@@ -30,7 +30,7 @@
 
     fn below(&self, floor: &v1::Floor) {
         self.fleet
-            .node_tells(crate::standing::read(floor), self.deployment().stamp);
+            .node_tells(crate::version_gate::read(floor), self.deployment().stamp);
     }
 
     /// A node has placed a shot. False where the shot need not be followed any longer.
--- a/crates/dispatcher/src/desk/port.rs
+++ b/crates/dispatcher/src/core/effects.rs
@@ -2,10 +2,10 @@
 
 use super::client::{Client, Orphan, Then};
 use super::{Desk, next_placing};
+use crate::attempts;
 use crate::clock::duration;
-use crate::conductors::Rolls;
-use crate::links::{Counted, NodeLink};
-use crate::shots;
+use crate::node_links::{Counted, NodeLink};
+use crate::rollouts::Rolls;
 use corkspan_api::v1;
 use corkspan_engine::{Asked, Wire};
 use corkspan_rollout::ClaimId;
@@ -67,7 +67,7 @@
             by: Some(desk.by(kind, 1)),
         };
         desk.tasks
-            .spawn(shots::stop(desk.clone(), node, stop))
+            .spawn(attempts::stop(desk.clone(), node, stop))
             .detach();
     }
 
@@ -247,7 +247,7 @@
         let most = desk.deployment().bounds.offers_a_node;
         let open: Option<Counted> = node.as_ref().and_then(|node| node.offer(most));
         let (id, number, decided) = (allocation.id, allocation.attempts.len(), Instant::now());
-        let offer = shots::Offer {
+        let offer = attempts::Offer {
             id,
             number,
             machine,
@@ -257,7 +257,7 @@
         };
         let tasks = Arc::clone(&desk.tasks);
         tasks
-            .spawn(shots::offer(desk, offer, shot, duration(time_out)))
+            .spawn(attempts::offer(desk, offer, shot, duration(time_out)))
             .detach();
     }
 
@@ -300,7 +300,7 @@
             return;
         };
         let tasks = Arc::clone(&desk.tasks);
-        tasks.spawn(shots::probe(desk, machine, node)).detach();
+        tasks.spawn(attempts::probe(desk, machine, node)).detach();
     }
 
     fn watch_list(&mut self) {
--- a/crates/dispatcher/src/desk/copies.rs
+++ b/crates/dispatcher/src/core/replicas.rs
@@ -1,11 +1,11 @@
 //! Copies of a service under a roll: what the rolls ask for, and what they learn.
 
 use super::client::{Client, Orphan, Then};
-use super::port::Port;
+use super::effects::Port;
 use super::{Desk, Inner, next_placing};
-use crate::conductors::Rolls;
-use crate::links::NodeLink;
-use crate::shots;
+use crate::attempts;
+use crate::node_links::NodeLink;
+use crate::rollouts::Rolls;
 use crate::store::Pair;
 use corkspan_api::v1;
 use corkspan_engine::{Asked, Host};
@@ -339,7 +339,7 @@
                 let tasks = Arc::clone(&self.tasks);
                 tasks.spawn(async move {
                     for stop in stops {
-                        shots::stop(desk.clone(), node.clone(), stop).await?;
+                        attempts::stop(desk.clone(), node.clone(), stop).await?;
                     }
                     Some((index, machine))
                 })
--- a/crates/dispatcher/src/roster.rs
+++ b/crates/dispatcher/src/endpoint_list.rs
@@ -2,8 +2,8 @@
 //! next start.
 
 use crate::clock::{Clock, ticks, wall_ms};
-use crate::counts::LinkKind;
-use crate::desk::Desk;
+use crate::core::Desk;
+use crate::link_counters::LinkKind;
 use async_io::Timer;
 use corkspan_api::v1::{self, roster_client::RosterClient};
 use corkspan_rpc::Link;
@@ -226,7 +226,7 @@
 }
 
 fn read(path: &Path) -> Result<Option<Kept>, String> {
-    let Some(text) = crate::versions::bounded(path)? else {
+    let Some(text) = crate::version_files::bounded(path)? else {
         return Ok(None);
     };
     let kept: Kept = serde_json::from_slice(&text).map_err(|why| why.to_string())?;
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -2,28 +2,28 @@
 //! nodes are offered the work, and the answers go back. It turns what it reads straight into calls,
 //! and answers straight into messages; docs/dispatcher.md says how and why.
 
-mod bring;
-mod clients;
-mod conductors;
-pub mod control;
-mod counts;
-mod desk;
-pub mod fleet;
-mod keepers;
-mod links;
+mod active_version;
+mod attempts;
+mod catch_up;
+pub mod config_stream;
+mod core;
+pub mod endpoint_list;
+mod link_counters;
 mod maintenance;
-pub mod outings;
-pub mod rolls;
-pub mod roster;
-mod running;
-mod shots;
-mod standing;
+pub mod maintenance_messages;
+pub mod minimum_version;
+mod node_links;
+mod placement_service;
+mod quorum_client;
+pub mod rollout_control;
+mod rollouts;
 mod store;
-pub mod versions;
+pub mod version_files;
+mod version_gate;
 
 use async_io::Timer;
 use async_net::TcpListener;
-use clients::Clients;
+use core::Desk;
 use corkspan_api::v1::{
     placement_server::PlacementServer, rolls_server::RollsServer, versions_server::VersionsServer,
 };
@@ -31,9 +31,9 @@
 use corkspan_rpc::Tasks;
 pub use corkspan_runtime::clock;
 use corkspan_runtime::{Signal, signals};
-use desk::Desk;
+use endpoint_list::Roster;
 use futures_lite::{FutureExt, StreamExt, future};
-use roster::Roster;
+use placement_service::Clients;
 use std::future::Future;
 use std::net::SocketAddr;
 use std::pin::Pin;
@@ -74,13 +74,13 @@
     ready: impl FnOnce(SocketAddr),
     stop: impl Future<Output = ()>,
 ) -> Result<(), Failure> {
-    let store = rolls::Store::open(deployment.rolls.as_deref());
+    let store = rollout_control::Store::open(deployment.rolls.as_deref());
     run_over(store, tasks, deployment, ready, stop).await
 }
 
 /// The same over a store of rolls of the caller's.
 pub async fn run_over(
-    store: rolls::Store,
+    store: rollout_control::Store,
     tasks: Tasks,
     deployment: Deployment,
     ready: impl FnOnce(SocketAddr),
@@ -104,7 +104,7 @@
     let path = deployment.remembered.clone();
     let bounds = deployment.bounds.clone();
     let desk = Desk::new(deployment, seed, clock, &tasks, wakes, watches, store);
-    let _closes = rolls::Closes(Arc::clone(&desk.store));
+    let _closes = rollout_control::Closes(Arc::clone(&desk.store));
     let mut roster = path.as_deref().map(Roster::remembered).unwrap_or_default();
     let entries = roster.entries(&desk);
     info!(%address, remembered = entries.len(), "listening");
@@ -113,9 +113,9 @@
     let service = All {
         placement: PlacementServer::new(Clients(Arc::clone(&desk)))
             .max_decoding_message_size(bounds.message),
-        rolls: RollsServer::new(rolls::Operators(Arc::clone(&desk)))
+        rolls: RollsServer::new(rollout_control::Operators(Arc::clone(&desk)))
             .max_decoding_message_size(bounds.message),
-        versions: VersionsServer::new(control::Operators(Arc::clone(&desk)))
+        versions: VersionsServer::new(config_stream::Operators(Arc::clone(&desk)))
             .max_decoding_message_size(bounds.message),
     };
     let admits = {
@@ -134,12 +134,12 @@
             let desk = Arc::clone(&desk);
             move || desk.woken()
         })),
-        tasks.spawn(roster::run(Arc::clone(&desk), roster, asked, path)),
-        tasks.spawn(rolls::run(Arc::clone(&desk))),
-        tasks.spawn(control::run(Arc::clone(&desk))),
-        tasks.spawn(fleet::run(Arc::clone(&desk))),
-        tasks.spawn(fleet::keep(Arc::clone(&desk))),
-        tasks.spawn(bring::run(Arc::clone(&desk))),
+        tasks.spawn(endpoint_list::run(Arc::clone(&desk), roster, asked, path)),
+        tasks.spawn(rollout_control::run(Arc::clone(&desk))),
+        tasks.spawn(config_stream::run(Arc::clone(&desk))),
+        tasks.spawn(minimum_version::run(Arc::clone(&desk))),
+        tasks.spawn(minimum_version::keep(Arc::clone(&desk))),
+        tasks.spawn(catch_up::run(Arc::clone(&desk))),
         tasks.spawn(maintenance::run(Arc::clone(&desk))),
         tasks.spawn(sweep(
             Arc::clone(&desk),
@@ -186,8 +186,8 @@
 #[derive(Clone)]
 struct All {
     placement: PlacementServer<Clients>,
-    rolls: RollsServer<rolls::Operators>,
-    versions: VersionsServer<control::Operators>,
+    rolls: RollsServer<rollout_control::Operators>,
+    versions: VersionsServer<config_stream::Operators>,
 }
 
 impl tower_service::Service<http::Request<tonic::body::Body>> for All {
--- a/crates/dispatcher/src/maintenance.rs
+++ b/crates/dispatcher/src/maintenance.rs
@@ -2,9 +2,9 @@
 //! `corkspan_maintenance`; whoever looks takes the next step, whoever took the one before.
 
 use crate::clock::duration;
-use crate::desk::Desk;
-use crate::keepers::ask_all;
-use crate::outings;
+use crate::core::Desk;
+use crate::maintenance_messages;
+use crate::quorum_client::ask_all;
 use corkspan_api::v1::door_ask::What as Do;
 use corkspan_api::v1::{self, keep_ask::Ask, maintain_ask::What, node_client::NodeClient};
 use corkspan_maintenance::cost::estimate_cost;
@@ -84,7 +84,7 @@
     let words = ask_all(desk, Ask::Tell(tell)).await;
     let words: Vec<_> = words
         .iter()
-        .filter_map(|word| word.board.as_ref().map(outings::word))
+        .filter_map(|word| word.board.as_ref().map(maintenance_messages::word))
         .collect();
     QuorumView::from_replies(&words, desk.deployment().keepers.len())
 }
@@ -187,7 +187,7 @@
     for (lease, what) in cordon.chain(uncordon).chain(stop) {
         door(desk, lease.machine, lease.claim, what).await;
     }
-    for step in outings::steps(&next) {
+    for step in maintenance_messages::steps(&next) {
         ask_all(desk, Ask::Step(step)).await;
     }
     if let Some(claim) = next.claim {
@@ -227,7 +227,7 @@
     let says = says(desk, after.machines_to_poll(0, |_| 0)).await;
     let phase = |LeaseProgress { lease, phase }| {
         let observed = after.leases.iter().find(|observed| observed.id() == lease);
-        observed.map(|observed| outings::outing(lease.machine, &observed.lease, phase))
+        observed.map(|observed| maintenance_messages::outing(lease.machine, &observed.lease, phase))
     };
     let ended = |end| {
         after
@@ -239,7 +239,7 @@
     Ok(v1::MaintainWord {
         taken,
         text: text.into(),
-        stands: after.request.as_ref().map(outings::work),
+        stands: after.request.as_ref().map(maintenance_messages::work),
         out: after.unavailable().filter_map(phase).collect(),
         worked: ended(LeaseOutcome::Completed).collect(),
         skipped: ended(LeaseOutcome::Skipped).collect(),
@@ -311,10 +311,10 @@
             ..wish.clone()
         },
     };
-    let words = ask_all(desk, Ask::Work(outings::work(&wish))).await;
+    let words = ask_all(desk, Ask::Work(maintenance_messages::work(&wish))).await;
     let stands: Vec<MaintenanceRequest> = words
         .iter()
-        .filter_map(|word| outings::wish(word.board.as_ref()?.work.as_ref()?))
+        .filter_map(|word| maintenance_messages::wish(word.board.as_ref()?.work.as_ref()?))
         .collect();
     info!(number, course = ?wish.run_state, machines = wish.machines.len(), "a wish for work on machines");
     Ok(committed(&stands, desk.deployment().keepers.len()) == Some(&wish))
@@ -359,7 +359,7 @@
     let begun = view.check_start(&machines, &limits, &keepers);
     begun.map_err(|why| Status::failed_precondition(why.to_string()))?;
     let (warm_ms, empty_within_ms) = (ask.warm_ms, ask.empty_within_ms);
-    let then = outings::then(ask.then());
+    let then = maintenance_messages::then(ask.then());
     let job = asker;
     Ok(MaintenanceRequest {
         revision: number,
--- a/crates/dispatcher/src/fleet.rs
+++ b/crates/dispatcher/src/minimum_version.rs
@@ -1,12 +1,12 @@
 //! The floor of versions: keepers asked for it, and what is heard of it kept. What is decided
 //! stands in `corkspan_version_fencing`.
 
+use crate::active_version;
 use crate::clock::duration;
-use crate::desk::Desk;
-use crate::keepers::ask_all;
-use crate::running;
-use crate::standing::say;
-pub use crate::standing::{message, read};
+use crate::core::Desk;
+use crate::quorum_client::ask_all;
+use crate::version_gate::say;
+pub use crate::version_gate::{message, read};
 use corkspan_api::v1::{self, keep_ask::Ask};
 use corkspan_config::FloorWatch;
 use corkspan_quorum::{committed, sampled};
@@ -130,7 +130,7 @@
     );
     let runs = Some(v1::InForce {
         dispatcher,
-        stamp: Some(running::message(running)),
+        stamp: Some(active_version::message(running)),
         on_trial,
     });
     ask_all(
@@ -158,7 +158,7 @@
     let Some(good) = good else { return };
     let oldest = words
         .iter()
-        .map(|word| word.lies.as_ref().and_then(running::stamp))
+        .map(|word| word.lies.as_ref().and_then(active_version::stamp))
         .min();
     let Some(theirs) = oldest else { return };
     let fleet = desk.deployment().cluster.scheduler_count;
@@ -171,7 +171,7 @@
     else {
         return;
     };
-    ask_all(desk, Ask::Lay(running::push_message(push))).await;
+    ask_all(desk, Ask::Lay(active_version::push_message(push))).await;
     info!(
         number = good.number,
         "a version is laid on the keepers' shelves for stragglers"
--- a/crates/dispatcher/src/clients.rs
+++ b/crates/dispatcher/src/placement_service.rs
@@ -1,6 +1,6 @@
 //! The placement service: what owners say, straight to the desk.
 
-use crate::desk::{Desk, Taken};
+use crate::core::{Desk, Taken};
 use corkspan_api::v1::{self, placement_server::Placement};
 use futures_lite::Stream;
 use std::pin::Pin;
@@ -15,7 +15,7 @@
 /// The words to one owner. Its end, whoever ends it, is told to the desk.
 pub struct Words {
     words: Pin<Box<async_channel::Receiver<v1::Word>>>,
-    id: Option<crate::desk::Current>,
+    id: Option<crate::core::Current>,
     desk: Arc<Desk>,
     _open: Arc<()>,
 }
--- a/crates/dispatcher/src/keepers.rs
+++ b/crates/dispatcher/src/quorum_client.rs
@@ -1,7 +1,7 @@
 //! Asking the keepers, all at once.
 
-use crate::desk::Desk;
-use crate::links::NodeLink;
+use crate::core::Desk;
+use crate::node_links::NodeLink;
 use corkspan_api::v1::{self, keep_ask::Ask};
 use corkspan_rpc::within;
 use std::sync::Arc;
--- a/crates/dispatcher/src/rolls.rs
+++ b/crates/dispatcher/src/rollout_control.rs
@@ -1,8 +1,8 @@
 //! Rolling updates: the conductors' answers carried out, keepers asked, claims kept on disk before
 //! the step that depends on them. What is decided stands in `corkspan_rollout`.
 
-use crate::desk::Desk;
-use crate::keepers::ask_all;
+use crate::core::Desk;
+use crate::quorum_client::ask_all;
 pub use crate::store::{Closes, Held, Kept, Pair, Store};
 use corkspan_api::v1;
 use corkspan_rollout::Grant;
--- a/crates/dispatcher/tests/store.rs
+++ b/crates/dispatcher/tests/store.rs
@@ -1,6 +1,6 @@
 //! The store of rolls, killed at each of its steps and torn.
 
-use corkspan_dispatcher::rolls::{Held, Pair, Store};
+use corkspan_dispatcher::rollout_control::{Held, Pair, Store};
 use corkspan_rollout::{ClaimId, Order, Phase, Rollout};
 use corkspan_version_fencing::history::{VersionInterval, VersionOrigin};
 use std::collections::VecDeque;
--- a/crates/dispatcher/tests/stored_files.rs
+++ b/crates/dispatcher/tests/stored_files.rs
@@ -1,13 +1,13 @@
 //! What earlier releases left on disk is read, and written back byte for byte. The files under
 //! tests/data were written by release 0.2.0; they are never written anew.
 
-use corkspan_config::version::{Stamp, Texts};
-use corkspan_config_sync::{Kept, Version};
-use corkspan_dispatcher::rolls::{Held, Pair, Store};
-use corkspan_dispatcher::roster::Roster;
-use corkspan_dispatcher::versions;
-use corkspan_rollout::{ClaimId, Order, Phase, Roll};
-use corkspan_version_fencing::record::{How, Span};
+use corkspan_config::version::{Texts, VersionId};
+use corkspan_config_sync::{PersistedVersions, Version};
+use corkspan_dispatcher::endpoint_list::Roster;
+use corkspan_dispatcher::rollout_control::{Held, Pair, Store};
+use corkspan_dispatcher::version_files;
+use corkspan_rollout::{ClaimId, Order, Phase, Rollout};
+use corkspan_version_fencing::history::{VersionInterval, VersionOrigin};
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -69,25 +69,25 @@
     rows
 }
 
-fn roll(service: &str, order: Order, phase: Phase) -> Roll {
-    Roll {
+fn roll(service: &str, order: Order, phase: Phase) -> Rollout {
+    Rollout {
         service: service.into(),
-        number: 3,
-        asker: 0x0123_4567_89ab_cdef,
+        revision: 3,
+        proposer: 0x0123_4567_89ab_cdef,
         version: "v3".into(),
-        former: "v2".into(),
-        unversioned: "v1".into(),
-        unready_most: 4,
-        batch: 2,
+        previous_version: "v2".into(),
+        initial_version: "v1".into(),
+        max_unavailable: 4,
+        max_in_progress: 2,
         order,
-        ready_for: 10_000,
-        ready_within: 600_000,
-        failures_most: 1,
+        min_ready: 10_000,
+        progress_deadline: 600_000,
+        max_failures: 1,
         phase,
     }
 }
 
-fn rolls() -> Vec<Roll> {
+fn rolls() -> Vec<Rollout> {
     vec![
         roll("mail", Order::StopFirst, Phase::Rolling),
         roll("search", Order::StartFirst, Phase::Paused),
@@ -123,13 +123,19 @@
     ]
 }
 
-fn spans() -> Vec<Span> {
-    let hows = [How::File, How::Kept, How::Push, How::GaveUp, How::Brought];
-    let spans = (0..).zip(hows).map(|(version, how)| Span {
+fn spans() -> Vec<VersionInterval> {
+    let origins = [
+        VersionOrigin::File,
+        VersionOrigin::Restored,
+        VersionOrigin::Push,
+        VersionOrigin::Rollback,
+        VersionOrigin::CatchUp,
+    ];
+    let spans = (0..).zip(origins).map(|(version, origin)| VersionInterval {
         version,
         digest: format!("{version:064x}"),
-        how,
-        life: 77,
+        origin,
+        incarnation: 77,
         from_ms: 1_700_000_000_000 + version,
     });
     spans.collect()
@@ -224,7 +230,7 @@
         .into_iter()
         .collect();
     Version {
-        stamp: Stamp {
+        id: VersionId {
             number,
             digest: texts.digest(),
         },
@@ -232,20 +238,20 @@
     }
 }
 
-fn kept() -> Kept {
-    Kept {
-        good: Some(version(4, "(calm 0.5)")),
+fn kept() -> PersistedVersions {
+    PersistedVersions {
+        last_good: Some(version(4, "(calm 0.5)")),
         trial: Some((version(6, "(calm 0.75)"), 2)),
-        given_up: vec![version(3, "a").stamp, version(5, "b").stamp],
+        rolled_back: vec![version(3, "a").id, version(5, "b").id],
     }
 }
 
 #[test]
 fn stored_versions_are_read_and_written_back_unchanged() {
     let (directory, path) = copy_of("versions.json");
-    let (read, log) = logged(&directory, || versions::read(&path));
+    let (read, log) = logged(&directory, || version_files::read(&path));
     assert_eq!((&read, log.as_str()), (&kept(), ""));
-    versions::keep(&path, &read).expect("written");
+    version_files::keep(&path, &read).expect("written");
     let stored = std::fs::read_to_string(data("versions.json")).expect("text");
     for written in [&path, &path.with_extension("before")] {
         assert_eq!(std::fs::read_to_string(written).expect("text"), stored);
@@ -257,7 +263,7 @@
     let (directory, path) = half_of("versions.json");
     let half = std::fs::read(&path).expect("read");
     std::fs::copy(data("versions.json"), path.with_extension("before")).expect("copied");
-    let (read, log) = logged(&directory, || versions::read(&path));
+    let (read, log) = logged(&directory, || version_files::read(&path));
     assert_eq!(read, kept());
     let message = "the kept version can't be read; set aside, and the one before taken";
     assert!(log.contains(" WARN ") && log.contains(message), "{log}");
@@ -269,8 +275,8 @@
 fn half_of_the_stored_versions_and_of_the_file_before_leave_the_deployment_file() {
     let (directory, path) = half_of("versions.json");
     std::fs::copy(&path, path.with_extension("before")).expect("copied");
-    let (read, log) = logged(&directory, || versions::read(&path));
-    assert_eq!(read, Kept::default());
+    let (read, log) = logged(&directory, || version_files::read(&path));
+    assert_eq!(read, PersistedVersions::default());
     let message = "nor can the one before; the deployment file is in force";
     assert!(log.contains(" WARN ") && log.contains(message), "{log}");
     assert!(path.with_extension("before").exists(), "it stays in place");
--- a/crates/lab/src/disk.rs
+++ b/crates/lab/src/disk.rs
@@ -1,6 +1,6 @@
 //! A disk that can be full, for the stores of dispatchers.
 
-use corkspan_dispatcher::rolls::Store;
+use corkspan_dispatcher::rollout_control::Store;
 use redb::backends::FileBackend;
 use redb::{Database, StorageBackend};
 use std::io;
--- a/crates/lab/src/hollow.rs
+++ b/crates/lab/src/hollow.rs
@@ -6,7 +6,7 @@
 
 use clap::{Parser, Subcommand};
 use corkspan_config::Deployment;
-use corkspan_dispatcher::{Failure, rolls::Store};
+use corkspan_dispatcher::{Failure, rollout_control::Store};
 use corkspan_rpc::Tasks;
 use corkspan_runtime::{Signal, signals};
 use futures_lite::{StreamExt, future};
--- a/crates/lab/src/node.rs
+++ b/crates/lab/src/node.rs
@@ -7,7 +7,7 @@
 use async_net::TcpListener;
 use corkspan_api::v1::{self, node_server::NodeServer, said::Said, turned::Why};
 use corkspan_config_sync::VersionCache;
-use corkspan_dispatcher::{control, fleet, outings};
+use corkspan_dispatcher::{config_stream, maintenance_messages, minimum_version};
 use corkspan_maintenance::cordon::Cordon;
 use corkspan_maintenance::lease_table::LeaseTable;
 use corkspan_maintenance::{ClaimId, Machine};
@@ -406,7 +406,7 @@
             .fence()
             .minimum()
             .filter(|_| why == Why::BelowFloor)
-            .map(fleet::message);
+            .map(minimum_version::message);
         self.say(
             state,
             shot,
@@ -510,7 +510,7 @@
             version: shot.version.clone(),
             decided: decided(shot),
         });
-        if let Some(floor) = shot.floor.as_ref().map(fleet::read) {
+        if let Some(floor) = shot.floor.as_ref().map(minimum_version::read) {
             let mut fence = self.fence();
             if fence.should_store(floor) {
                 fence.apply_stored(floor);
@@ -947,7 +947,7 @@
     async fn keep(&self, request: Request<v1::KeepAsk>) -> Result<Response<v1::KeepWord>, Status> {
         use v1::keep_ask::Ask;
         let kept = |roll: &corkspan_rollout::Rollout, slots| v1::Kept {
-            roll: Some(corkspan_dispatcher::rolls::message(roll)),
+            roll: Some(corkspan_dispatcher::rollout_control::message(roll)),
             slots,
         };
         let mut keeper = self
@@ -958,7 +958,7 @@
         let mut word = v1::KeepWord::default();
         match request.into_inner().ask {
             Some(Ask::Propose(roll)) => {
-                let roll = corkspan_dispatcher::rolls::roll_of(&roll);
+                let roll = corkspan_dispatcher::rollout_control::roll_of(&roll);
                 let roll = roll.ok_or_else(|| Status::invalid_argument("no roll"))?;
                 word.kept
                     .extend(keeper.propose(roll).map(|roll| kept(roll, Vec::new())));
@@ -990,23 +990,23 @@
                     .lock()
                     .expect("no one panics while it is held");
                 word.floor = floors
-                    .propose(fleet::read(&floor))
+                    .propose(minimum_version::read(&floor))
                     .copied()
-                    .map(fleet::message);
+                    .map(minimum_version::message);
             }
             Some(Ask::Work(work)) => {
-                let wish =
-                    outings::wish(&work).ok_or_else(|| Status::invalid_argument("four limits"))?;
+                let wish = maintenance_messages::wish(&work)
+                    .ok_or_else(|| Status::invalid_argument("four limits"))?;
                 let mut board = self.0.board.lock().expect("no one panics while it is held");
                 board.propose(wish);
-                word.board = Some(outings::board(&board, u32::MAX));
+                word.board = Some(maintenance_messages::board(&board, u32::MAX));
             }
             Some(Ask::Take(claim)) => {
                 let mut board = self.0.board.lock().expect("no one panics while it is held");
-                word.granted = outings::claimed(&mut board, &claim);
+                word.granted = maintenance_messages::claimed(&mut board, &claim);
             }
             Some(Ask::Step(step)) => {
-                outings::arrives(
+                maintenance_messages::arrives(
                     &mut self.0.board.lock().expect("no one panics while it is held"),
                     &step,
                 );
@@ -1020,8 +1020,8 @@
                 board.record_cost_estimates(bids.dispatcher, costs);
             }
             Some(Ask::Lay(push)) => {
-                let push =
-                    control::push_of(push).ok_or_else(|| Status::invalid_argument("no version"))?;
+                let push = config_stream::push_of(push)
+                    .ok_or_else(|| Status::invalid_argument("no version"))?;
                 let mut shelf = self.0.shelf.lock().expect("no one panics while it is held");
                 shelf.store(
                     push.version,
@@ -1029,13 +1029,13 @@
                     push.allows_cuts,
                     &push.predecessors,
                 );
-                word.lies = shelf.newest().map(control::message);
+                word.lies = shelf.newest().map(config_stream::message);
             }
             Some(Ask::Fetch(ask)) => {
-                let theirs = ask.running.as_ref().and_then(control::stamp);
+                let theirs = ask.running.as_ref().and_then(config_stream::stamp);
                 let theirs = theirs.ok_or_else(|| Status::invalid_argument("no stamp"))?;
                 let shelf = self.0.shelf.lock().expect("no one panics while it is held");
-                word.given = shelf.push_for(theirs).map(control::push_message);
+                word.given = shelf.push_for(theirs).map(config_stream::push_message);
             }
             Some(Ask::Tell(tell)) => {
                 let floors = self
@@ -1046,7 +1046,7 @@
                 word.floor = floors
                     .entries()
                     .next()
-                    .map(|kept| fleet::message(kept.proposal));
+                    .map(|kept| minimum_version::message(kept.proposal));
                 let mut rows = self.0.rows.lock().expect("no one panics while it is held");
                 if let Some(v1::InForce {
                     dispatcher,
@@ -1066,10 +1066,10 @@
                     .then(|| rows.adopted(tell.fleet as usize, tell.part))
                     .flatten();
                 let shelf = self.0.shelf.lock().expect("no one panics while it is held");
-                word.lies = shelf.newest().map(control::message);
+                word.lies = shelf.newest().map(config_stream::message);
                 if tell.board {
                     let board = self.0.board.lock().expect("no one panics while it is held");
-                    word.board = Some(outings::board(&board, tell.fleet));
+                    word.board = Some(maintenance_messages::board(&board, tell.fleet));
                 }
                 if tell.floor_only {
                     return Ok(Response::new(word));
@@ -1154,7 +1154,7 @@
             node: self.0.config.id,
             acts: rows.collect(),
             left_out: acts.uncounted(),
-            floor: floor.map(fleet::message),
+            floor: floor.map(minimum_version::message),
         }))
     }
 
--- a/crates/lab/tests/full_path/fleet.rs
+++ b/crates/lab/tests/full_path/fleet.rs
@@ -7,7 +7,7 @@
 use corkspan_api::v1::{self, placement_client::PlacementClient, refused::Why, word::Word};
 use corkspan_config::version::{Texts, VersionId};
 use corkspan_config_sync::{PersistedVersions, Version};
-use corkspan_dispatcher::versions::keep;
+use corkspan_dispatcher::version_files::keep;
 use corkspan_lab::capture::{Cold, Line, Rules, Seen, Word as SaidWord};
 use corkspan_lab::control::{Control, Up};
 use corkspan_lab::judge::judge;
--- a/crates/lab/tests/full_path/rig.rs
+++ b/crates/lab/tests/full_path/rig.rs
@@ -4,7 +4,7 @@
 use corkspan_api::v1::{self, placement_client::PlacementClient, word::Word};
 use corkspan_config::Deployment;
 use corkspan_dispatcher::Failure;
-use corkspan_dispatcher::rolls::Store;
+use corkspan_dispatcher::rollout_control::Store;
 use corkspan_lab::capture::{Capture, Line, Seen};
 use corkspan_lab::node::{Node, NodeConfig, SlowStart, World};
 use corkspan_lab::roster::Roster;
--- a/crates/lab/tests/full_path/stores.rs
+++ b/crates/lab/tests/full_path/stores.rs
@@ -1,6 +1,6 @@
 //! Stores of dispatchers on a disk that fills up.
 
-use corkspan_dispatcher::rolls::{Held, Pair, Store};
+use corkspan_dispatcher::rollout_control::{Held, Pair, Store};
 use corkspan_lab::disk::{self, Full};
 use corkspan_rollout::ClaimId;
 
