--- a/crates/lab/src/capacity/asks.rs
+++ b/crates/lab/src/capacity/asks.rs
@@ -2,8 +2,8 @@
 //! that wait. The clock is virtual, the processor time that of the thread.
 
 use corkspan_engine::{Asked, Host, Slice, Wire};
-use corkspan_scheduler::interface::*;
 use corkspan_scheduler::Scheduler;
+use corkspan_scheduler::interface::*;
 
 const SECOND: Ticks = 10_000;
 const SIZE: Resources = Resources {
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -294,8 +294,8 @@
     closed: Option<usize>,
     out: Option<&Path>,
 ) -> Result<(), String> {
-    use corkspan_load::run::Loop;
-    let plan = corkspan_load::plan::Plan::load(file).map_err(|why| why.to_string())?;
+    use corkspan_load_generator::run::Loop;
+    let plan = corkspan_load_generator::plan::Plan::load(file).map_err(|why| why.to_string())?;
     let lasts = plan.shape.lasts();
     // Said now: a load that is lost at its end for want of a folder is dear.
     if let Some(out) = out {
@@ -316,13 +316,13 @@
         let text = serde_json::to_string_pretty(&report).map_err(|why| why.to_string())?;
         let path = out.join("report.json");
         std::fs::write(&path, text).map_err(|why| format!("{}: {why}", path.display()))?;
-        corkspan_load::plot::draw(&report, &out.join("report.svg"))?;
+        corkspan_load_generator::plot::draw(&report, &out.join("report.svg"))?;
     }
     Ok(())
 }
 
 fn compare(old: &[PathBuf], new: &[PathBuf]) -> Result<(), String> {
-    use corkspan_load::compare::{Figure, compare};
+    use corkspan_load_generator::compare::{Figure, compare};
     if old.len() != new.len() {
         return Err(format!(
             "{} old runs and {} new ones are no pairs",
@@ -334,7 +334,7 @@
         let path = folder.join("report.json");
         let place = |why: String| format!("{}: {why}", path.display());
         let text = std::fs::read(&path).map_err(|why| place(why.to_string()))?;
-        let report: corkspan_load::tally::Report =
+        let report: corkspan_load_generator::tally::Report =
             serde_json::from_slice(&text).map_err(|why| place(why.to_string()))?;
         if report.behind {
             eprintln!("{}: its generator fell behind", path.display());
--- a/crates/lab/tests/full_path/loads.rs
+++ b/crates/lab/tests/full_path/loads.rs
@@ -1,7 +1,7 @@
 //! What the load generator tells of a dispatcher that stands still.
 
 use corkspan_lab::loads;
-use corkspan_load::tally::Fate;
+use corkspan_load_generator::tally::Fate;
 use std::time::Duration;
 
 #[test]
--- a/crates/load/tests/recorded.rs
+++ b/crates/load-generator/tests/recorded.rs
@@ -1,10 +1,10 @@
 //! Arrivals, draws, reports and verdicts as an earlier version of this program wrote them: the same
 //! seeds must come to the same bytes, and a kept report must be read and written back unchanged.
 
-use corkspan_load::compare::{Figure, compare};
-use corkspan_load::mix::Mix;
-use corkspan_load::plan::Plan;
-use corkspan_load::tally::{Fate, Report, Shot, Tally};
+use corkspan_load_generator::compare::{Figure, compare};
+use corkspan_load_generator::mix::Mix;
+use corkspan_load_generator::plan::Plan;
+use corkspan_load_generator::tally::{Fate, Report, Shot, Tally};
 use std::fmt::Write;
 use std::path::Path;
 use std::time::Duration;
--- a/crates/load/tests/stories.rs
+++ b/crates/load-generator/tests/stories.rs
@@ -1,10 +1,10 @@
 //! When asks go out and what is counted of them, one story for each way that a load can lie.
 
-use corkspan_load::compare::{Verdict, compare};
-use corkspan_load::mix::{Kind, Mix};
-use corkspan_load::plan::Plan;
-use corkspan_load::shape::{Phase, Shape, Spacing};
-use corkspan_load::tally::{Fate, Shot, Tally};
+use corkspan_load_generator::compare::{Verdict, compare};
+use corkspan_load_generator::mix::{Kind, Mix};
+use corkspan_load_generator::plan::Plan;
+use corkspan_load_generator::shape::{Phase, Shape, Spacing};
+use corkspan_load_generator::tally::{Fate, Shot, Tally};
 use proptest::prelude::*;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
