--- a/crates/platform-wire/src/lib.rs
+++ b/crates/platform-wire/src/lib.rs
@@ -2,7 +2,7 @@
 //! reader is given bytes piece by piece, buffers no more than one message and reports as soon as it
 //! can when what it reads can't become one.
 
-#![warn(missing_docs)]
+#![warn(missing_docs, clippy::too_many_lines)]
 
 pub mod client;
 pub mod discovery;
--- a/crates/platform/src/core.rs
+++ b/crates/platform/src/core.rs
@@ -19,7 +19,7 @@
 use corkspan_scheduler::interface::*;
 use corkspan_settings::{Settings, SettingsError};
 use limits::*;
-use pending_task::{DeferredEvent, PendingTask, Timer};
+use pending_task::{DeferredEvent, EarlyEnd, HealthCheck, PendingTask, Timer};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -62,7 +62,7 @@
     pub id: ConnectionId,
     pub address: SocketAddr,
     /// How long it may take to be established.
-    pub within: Ticks,
+    pub connect_timeout: Ticks,
     pub queue: MessageQueue,
 }
 
@@ -112,11 +112,11 @@
     max_clients: usize,
     clients_accepted: u64,
     undelivered: VecDeque<Vec<u8>>,
-    /// With the time of their arrival, the oldest first.
-    early_ends: VecDeque<(Ticks, u64, MachineId)>,
+    /// The oldest first.
+    early_ends: VecDeque<EarlyEnd>,
     nodes: Nodes,
     connections: NodeConnections,
-    health_checks: BTreeMap<u64, (MachineId, ConnectionId)>,
+    health_checks: BTreeMap<u64, HealthCheck>,
     last_health_check: u64,
     timers: BTreeSet<(Ticks, Timer)>,
     deferred: VecDeque<DeferredEvent>,
--- a/crates/platform/src/core/client_connections.rs
+++ b/crates/platform/src/core/client_connections.rs
@@ -26,6 +26,17 @@
     pub(super) partial_since: Option<Ticks>,
 }
 
+/// What a client's message came to.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum MessageVerdict {
+    /// It was valid, and its connection is of use.
+    Valid,
+    /// It could not be used.
+    Unusable,
+    /// It breaks the protocol: the connection must be closed.
+    Violation,
+}
+
 impl PlatformState {
     /// Handles the next message of a client. What has arrived behind it is read first, if that was
     /// not done a moment ago: the end of a connection must not wait behind the set-ups that it
@@ -128,28 +139,30 @@
             return false;
         };
         client.partial_since = None;
-        let valid = match message.message_type {
+        let verdict = match message.message_type {
             MessageType::SetUp => self.handle_set_up(now, engine, id, message),
-            MessageType::Release => Ok(self.handle_release(now, engine, message)),
+            MessageType::Release => {
+                if self.handle_release(now, engine, message) {
+                    MessageVerdict::Valid
+                } else {
+                    MessageVerdict::Unusable
+                }
+            }
             MessageType::HealthCheck => {
-                self.send_to_client(
-                    id,
-                    MessageType::HealthCheckReply,
-                    message.task,
-                    &[(client::CAUSE, &[1])],
-                );
-                Ok(true)
+                self.reply_to_health_check(id, message.task);
+                MessageVerdict::Valid
             }
-            MessageType::Progress | MessageType::Acknowledge => Ok(false),
+            MessageType::Progress | MessageType::Acknowledge => MessageVerdict::Unusable,
             MessageType::Answer
             | MessageType::Notification
             | MessageType::Migrate
-            | MessageType::HealthCheckReply => Err(()),
+            | MessageType::HealthCheckReply => MessageVerdict::Violation,
         };
-        let Ok(valid) = valid else {
+        if verdict == MessageVerdict::Violation {
             debug!(?id, ?message.message_type, "closing a client's connection that sent what no client sends");
             return false;
-        };
+        }
+        let valid = verdict == MessageVerdict::Valid;
         if let Some(client) = self.clients.get_mut(&id).filter(|_| valid) {
             (client.valid, client.last_active_at) = (true, now);
             while self
--- a/crates/platform/src/core/engine_effects.rs
+++ b/crates/platform/src/core/engine_effects.rs
@@ -87,8 +87,13 @@
         let message =
             node::Message::new(node::MessageType::Probe, self.last_health_check).with_cause(0);
         if let Some(connection) = self.send_to_node(machine, None, &message, Eviction::SpareOnly) {
-            self.health_checks
-                .insert(self.last_health_check, (machine, connection));
+            self.health_checks.insert(
+                self.last_health_check,
+                HealthCheck {
+                    machine,
+                    connection,
+                },
+            );
             self.timers.insert((
                 self.now + HEALTH_CHECK_TIMEOUT,
                 Timer::HealthCheck(self.last_health_check),
--- a/crates/platform/src/core/inputs.rs
+++ b/crates/platform/src/core/inputs.rs
@@ -54,7 +54,11 @@
                     }
                     Timer::Unreachable(machine) => state.machine_lost(now, engine, machine, at),
                     Timer::HealthCheck(check) => {
-                        if let Some((machine, connection)) = state.health_checks.remove(&check) {
+                        if let Some(HealthCheck {
+                            machine,
+                            connection,
+                        }) = state.health_checks.remove(&check)
+                        {
                             state.connections.retire(connection);
                             engine.probed(now, machine, AttemptResult::TimedOut, None);
                         }
--- a/crates/platform/src/core/node_connections.rs
+++ b/crates/platform/src/core/node_connections.rs
@@ -42,15 +42,15 @@
             let tested: BTreeSet<ConnectionId> = self
                 .health_checks
                 .values()
-                .map(|&(_, connection)| connection)
+                .map(|check| check.connection)
                 .collect();
             self.connections.evict(&self.nodes, &tested, eviction);
         }
-        let (id, queue, within) = self.connections.open(machine, self.now)?;
+        let (id, queue) = self.connections.open(machine, self.now)?;
         self.effects.connect(NewConnection {
             id,
             address,
-            within,
+            connect_timeout: self.connections.connect_timeout(),
             queue,
         });
         Some(id)
@@ -132,13 +132,13 @@
         let checks: Vec<u64> = self
             .health_checks
             .iter()
-            .filter(|(_, (_, on))| *on == connection)
-            .map(|(&check, _)| check)
+            .filter(|(_, check)| check.connection == connection)
+            .map(|(&id, _)| id)
             .collect();
-        for check in checks {
-            self.health_checks.remove(&check);
+        for id in checks {
+            self.health_checks.remove(&id);
             self.timers
-                .retain(|(_, timer)| *timer != Timer::HealthCheck(check));
+                .retain(|(_, timer)| *timer != Timer::HealthCheck(id));
             engine.probed(now, machine, AttemptResult::ConnectFailed, None);
         }
     }
--- a/crates/platform/src/core/node_messages.rs
+++ b/crates/platform/src/core/node_messages.rs
@@ -1,6 +1,6 @@
 //! Messages of nodes.
 
-use super::pending_task::{ActiveAttempt, PendingTask, TaskStage, task_key};
+use super::pending_task::{ActiveAttempt, EndedAttempt, PendingTask, TaskStage, task_key};
 use super::*;
 use corkspan_platform_wire::node::AttributeValue;
 use corkspan_platform_wire::{client, parse_load_report};
@@ -165,7 +165,7 @@
         check: u64,
         message: &node::Message,
     ) {
-        let Some((machine, _)) = self.health_checks.remove(&check) else {
+        let Some(HealthCheck { machine, .. }) = self.health_checks.remove(&check) else {
             return;
         };
         self.timers
@@ -201,10 +201,13 @@
             && !active
                 .connection
                 .is_some_and(|own| self.connections.is_established(own));
-        let ended = pending.ended.iter().find(|(on, _)| *on == connection);
+        let ended = pending
+            .ended
+            .iter()
+            .find(|ended| ended.connection == connection);
         let of_this_attempt = moved
-            && ended.is_some_and(|&(_, cause)| match message.message_type {
-                node::MessageType::Close => message.cause != Some(cause),
+            && ended.is_some_and(|ended| match message.message_type {
+                node::MessageType::Close => message.cause != Some(ended.cause),
                 kind => kind == node::MessageType::Event,
             });
         Some(MatchedAttempt {
@@ -260,7 +263,10 @@
         }
         if let Some((pending, _)) = engine.own(id) {
             pending.active = None;
-            pending.ended.push((origin.connection, cause));
+            pending.ended.push(EndedAttempt {
+                connection: origin.connection,
+                cause,
+            });
         }
         self.attempt_returned(now, id, active);
         let result = end.of_attempt();
--- a/crates/platform/src/core/pending_task.rs
+++ b/crates/platform/src/core/pending_task.rs
@@ -27,6 +27,29 @@
     pub(super) started: bool,
 }
 
+/// An attempt that the node itself has ended.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct EndedAttempt {
+    pub(super) connection: ConnectionId,
+    /// The cause of the node's release.
+    pub(super) cause: u32,
+}
+
+/// A health check that is under way.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct HealthCheck {
+    pub(super) machine: MachineId,
+    pub(super) connection: ConnectionId,
+}
+
+/// The end of an unknown task that its node has reported.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct EarlyEnd {
+    pub(super) reported_at: Ticks,
+    pub(super) task: u64,
+    pub(super) machine: MachineId,
+}
+
 /// A task from its set-up to its end.
 pub(super) struct PendingTask {
     pub(super) task: u64,
@@ -42,7 +65,7 @@
     /// attempt, so none of them may carry two.
     pub(super) connections: Vec<ConnectionId>,
     /// Those among them on which the node itself has ended the attempt, and with which cause.
-    pub(super) ended: Vec<(ConnectionId, u32)>,
+    pub(super) ended: Vec<EndedAttempt>,
 }
 
 impl PendingTask {
--- a/crates/platform/src/core/replies.rs
+++ b/crates/platform/src/core/replies.rs
@@ -21,6 +21,12 @@
             .is_some_and(|client| client.to.send(bytes))
     }
 
+    /// Tells a client that the dispatcher is alive.
+    pub(super) fn reply_to_health_check(&mut self, to: ClientId, check: u64) {
+        let healthy = [(client::CAUSE, &[1][..])];
+        self.send_to_client(to, MessageType::HealthCheckReply, check, &healthy);
+    }
+
     /// Reports to a client that its set-up has failed or was rejected.
     pub(super) fn release(&mut self, to: ClientId, task: u64, cause: u8) {
         self.send_to_client(to, MessageType::Release, task, &[(client::CAUSE, &[cause])]);
--- a/crates/platform/src/core/running_tasks.rs
+++ b/crates/platform/src/core/running_tasks.rs
@@ -73,11 +73,15 @@
     }
 
     pub(super) fn remember_early_end(&mut self, now: Ticks, task: u64, machine: MachineId) {
-        while self.early_ends.front().is_some_and(|&(at, _, _)| {
-            self.early_ends.len() >= MAX_EARLY_ENDS || at + EARLY_END_LIFETIME <= now
+        while self.early_ends.front().is_some_and(|end| {
+            self.early_ends.len() >= MAX_EARLY_ENDS || end.reported_at + EARLY_END_LIFETIME <= now
         }) {
             self.early_ends.pop_front();
         }
-        self.early_ends.push_back((now, task, machine));
+        self.early_ends.push_back(EarlyEnd {
+            reported_at: now,
+            task,
+            machine,
+        });
     }
 }
--- a/crates/platform/src/core/set_ups.rs
+++ b/crates/platform/src/core/set_ups.rs
@@ -1,5 +1,6 @@
 //! Clients' set-ups and releases.
 
+use super::client_connections::MessageVerdict;
 use super::pending_task::{ActiveAttempt, PendingTask, TaskStage, task_key};
 use super::*;
 use corkspan_engine::{Asked, service};
@@ -30,15 +31,14 @@
 }
 
 impl PlatformState {
-    /// Handles a set-up. Err where the connection must be closed, else whether the message was
-    /// valid.
+    /// Handles a set-up.
     pub(super) fn handle_set_up(
         &mut self,
         now: Ticks,
         engine: &mut Host<PendingTask>,
         from: ClientId,
         message: &Message,
-    ) -> Result<bool, ()> {
+    ) -> MessageVerdict {
         let task = message.task;
         let exists = engine.find(&task_key(task)).is_some();
         let client = self.clients.get(&from);
@@ -51,31 +51,31 @@
         }) {
             Ok(read) => read,
             // The answer could not be told from that of the open set-up under the same id.
-            Err(_) if is_open_here => return Err(()),
+            Err(_) if is_open_here => return MessageVerdict::Violation,
             Err(error) => {
                 debug!(%error, "a set-up that can't be used");
                 self.release(from, task, client::CAUSE_FAILED);
-                return Ok(false);
+                return MessageVerdict::Unusable;
             }
         };
         if exists && set_up.running_on.is_some() {
-            return Ok(true);
+            return MessageVerdict::Valid;
         }
         if is_open_here {
-            return Err(());
+            return MessageVerdict::Violation;
         }
         if exists {
             self.release(from, task, client::CAUSE_FAILED);
-            return Ok(false);
+            return MessageVerdict::Unusable;
         }
         if open >= MAX_SET_UPS_PER_CONNECTION || self.stopping && set_up.running_on.is_none() {
             self.release(from, task, client::CAUSE_REJECTED);
-            return Ok(false);
+            return MessageVerdict::Unusable;
         }
-        Ok(match set_up.running_on.take() {
-            Some(at) => self.take_running(now, engine, from, set_up, request, &at),
+        match set_up.running_on.take() {
+            Some(node) => self.take_running(now, engine, from, set_up, request, &node),
             None => self.take_new(now, engine, from, set_up, request),
-        })
+        }
     }
 
     /// Takes over a task that is running already, which another process has set up.
@@ -87,18 +87,18 @@
         set_up: SetUp,
         request: Asked,
         at: &str,
-    ) -> bool {
+    ) -> MessageVerdict {
         let task = set_up.task;
         let ended = |machine| {
             self.early_ends
                 .iter()
-                .any(|&(_, ended, on)| (ended, on) == (task, machine))
+                .any(|end| (end.task, end.machine) == (task, machine))
         };
         let Some(machine) = self.nodes.find(at).filter(|&machine| !ended(machine)) else {
             // The node is gone, and the task with it; or the node has reported the end already, on
             // a connection that was opened for another task, and does not report it again.
             self.release(from, task, client::CAUSE_INTERRUPTED);
-            return true;
+            return MessageVerdict::Valid;
         };
         let mut pending = PendingTask::new(from, set_up, request.abandon + TRANSIT_ALLOWANCE);
         pending.stage = TaskStage::Running;
@@ -121,10 +121,10 @@
                 self.open_connection(machine, Eviction::SpareOnly);
             }
         }
-        true
+        MessageVerdict::Valid
     }
 
-    /// Takes a new task; true where it was accepted.
+    /// Takes a new task.
     fn take_new(
         &mut self,
         now: Ticks,
@@ -132,19 +132,19 @@
         from: ClientId,
         set_up: SetUp,
         request: Asked,
-    ) -> bool {
+    ) -> MessageVerdict {
         let task = set_up.task;
         let pending = PendingTask::new(from, set_up, request.abandon + TRANSIT_ALLOWANCE);
         let Ok(id) = engine.take(now, &task_key(task), request, pending) else {
             self.release(from, task, client::CAUSE_REJECTED);
-            return false;
+            return MessageVerdict::Unusable;
         };
         self.unanswered.insert(id);
         self.clients.get_mut(&from).into_iter().for_each(|client| {
             client.open_set_ups.insert(task);
         });
         engine.place(now, id, self);
-        true
+        MessageVerdict::Valid
     }
 
     /// The engine's request for a set-up, or what is wrong with it.
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,8 +1,8 @@
-//! A dispatcher on the platform's protocol: clients set tasks up over binary messages, the
-//! decisions of [`corkspan_scheduler::rules`] say on which node, nodes get them as JSON lines, and
-//! the control feed lists the nodes. docs/platform.md describes how and why.
+//! A dispatcher on the platform's protocol: clients set tasks up over binary messages, the decisions
+//! of the scheduler say on which node, nodes get them as JSON lines, and the control feed lists the
+//! nodes. docs/platform.md describes how and why.
 
-#![warn(missing_docs)]
+#![warn(missing_docs, clippy::too_many_lines)]
 
 mod core;
 mod descriptor_budget;
--- a/crates/platform/src/node_connection_task.rs
+++ b/crates/platform/src/node_connection_task.rs
@@ -20,7 +20,7 @@
     let NewConnection {
         id,
         address,
-        within: connect_timeout,
+        connect_timeout,
         queue,
     } = connection;
     // Connections that are being closed hold their descriptors to the end.
--- a/crates/platform/src/node_connections.rs
+++ b/crates/platform/src/node_connections.rs
@@ -84,11 +84,7 @@
     }
 
     /// None where the pool or the node's part of it is full.
-    pub fn open(
-        &mut self,
-        machine: MachineId,
-        now: Ticks,
-    ) -> Option<(ConnectionId, MessageQueue, Ticks)> {
+    pub fn open(&mut self, machine: MachineId, now: Ticks) -> Option<(ConnectionId, MessageQueue)> {
         if self.is_full() || self.is_crowded(machine) {
             return None;
         }
@@ -110,7 +106,12 @@
             },
         );
         self.by_machine.entry(machine).or_default().insert(id);
-        Some((id, queue, self.connect_timeout))
+        Some((id, queue))
+    }
+
+    /// How long a new connection may take to be established.
+    pub fn connect_timeout(&self) -> Ticks {
+        self.connect_timeout
     }
 
     /// Whether no further connection may be opened at all.
--- a/crates/platform/tests/core/bounds.rs
+++ b/crates/platform/tests/core/bounds.rs
@@ -80,6 +80,29 @@
     keep_open
 }
 
+/// A node answers a set-up, sends metrics of the task and releases it.
+fn run_task(handle: &PlatformHandle, connection: ConnectionId, task: u64) {
+    let said = |kind| node::Message::new(kind, task);
+    assert!(handle.handle_node_message(
+        connection,
+        node::Message {
+            text: Some("made".into()),
+            ..said(node::MessageType::Ready)
+        }
+    ));
+    for (note, value) in [("running", 1.0), ("use_cpu", 0.5), ("use_ram", 0.5)] {
+        let mut event = said(node::MessageType::Event);
+        event
+            .attributes
+            .insert("note".into(), AttributeValue::Text(note.into()));
+        event
+            .attributes
+            .insert("value".into(), AttributeValue::Number(value));
+        assert!(handle.handle_node_message(connection, event));
+    }
+    assert!(handle.handle_node_message(connection, said(node::MessageType::Close).with_cause(16)));
+}
+
 /// Clients, services, tasks and nodes that come once and never again, at a core whose connections
 /// nobody carries.
 #[test]
@@ -99,27 +122,7 @@
         assert!(send_and_run_turns(&handle, id, &set_up(round)));
         let connection = handle.lock().state.connections.newest();
         handle.connection_established(connection);
-        let said = |kind| node::Message::new(kind, round);
-        assert!(handle.handle_node_message(
-            connection,
-            node::Message {
-                text: Some("made".into()),
-                ..said(node::MessageType::Ready)
-            }
-        ));
-        for (note, value) in [("running", 1.0), ("use_cpu", 0.5), ("use_ram", 0.5)] {
-            let mut event = said(node::MessageType::Event);
-            event
-                .attributes
-                .insert("note".into(), AttributeValue::Text(note.into()));
-            event
-                .attributes
-                .insert("value".into(), AttributeValue::Number(value));
-            assert!(handle.handle_node_message(connection, event));
-        }
-        assert!(
-            handle.handle_node_message(connection, said(node::MessageType::Close).with_cause(16))
-        );
+        run_task(&handle, connection, round);
         handle.client_disconnected(id);
         if round % 100 == 0 {
             // The scheduler evaluates by the clock, which this test outruns.
@@ -193,11 +196,11 @@
 /// All connections are established, and each node answers the health checks that have reached it.
 fn answer_health_checks(PlatformCore { engine, state }: &mut PlatformCore) {
     state.connections.all_up(state.now);
-    for (test, (machine, _)) in std::mem::take(&mut state.health_checks) {
+    for (test, check) in std::mem::take(&mut state.health_checks) {
         state
             .timers
             .retain(|(_, due)| *due != Timer::HealthCheck(test));
-        engine.probed(state.now, machine, AttemptResult::Completed, None);
+        engine.probed(state.now, check.machine, AttemptResult::Completed, None);
     }
 }
 
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -1,7 +1,7 @@
 //! What every dispatcher process runs on: the clock, the executor, timeouts, the one timer of the
 //! decisions and signals. It knows nothing of allocations.
 
-#![warn(missing_docs)]
+#![warn(missing_docs, clippy::too_many_lines)]
 
 pub mod clock;
 
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,7 +1,7 @@
 //! The platform's settings, as a dispatcher is handed them at its start, and what the scheduler is
 //! handed of them. Fields are named by the keys of the settings; durations are microseconds.
 
-#![warn(missing_docs)]
+#![warn(missing_docs, clippy::too_many_lines)]
 
 mod class;
 mod error;
