--- a/crates/config-sync/src/compatibility.rs
+++ b/crates/config-sync/src/compatibility.rs
@@ -1,66 +1,70 @@
-//! Which changes between two deployments can't be made in service.
+//! Which changes between two deployments can't take effect in service.
 
 use corkspan_config::Deployment;
 use corkspan_scheduler::interface::{ServiceClass, ServiceClassId, Tenant};
 
-/// What a version says may shrink to this part of what it was; below, its author must say that it
-/// is meant.
+/// A limit may shrink to this fraction of its value; below, the push must allow cuts.
 const MIN_REMAINING_FRACTION: f64 = 0.5;
 
-/// Why the next deployment can't take the place of the one in force; nothing where it can. `cuts`:
-/// its author means it to cut limits. `in_use` counts the allocations in hand of a track.
+/// Why the next deployment can't replace the current one; empty where it can. `allows_cuts`: its
+/// author intends to cut limits deep. `in_use` counts the allocations of a service class.
+#[must_use]
 pub fn violations(
-    now: &Deployment,
+    current: &Deployment,
     next: &Deployment,
-    cuts: bool,
+    allows_cuts: bool,
     in_use: impl Fn(ServiceClassId) -> usize,
 ) -> Vec<String> {
-    let mut why = restart_only_changes(now, next);
-    for (id, name) in now.tracks.iter().enumerate() {
-        let many = in_use(ServiceClassId(id));
-        if !name.is_empty() && many > 0 && !next.tracks.contains(name) {
-            why.push(format!(
-                "tracks/{name}: removed, and {many} allocations in hand are of it"
+    let mut violations = restart_only_changes(current, next);
+    for (id, name) in current.tracks.iter().enumerate() {
+        let allocations = in_use(ServiceClassId(id));
+        if !name.is_empty() && allocations > 0 && !next.tracks.contains(name) {
+            violations.push(format!(
+                "tracks/{name}: removed, and {allocations} allocations in hand are of it"
             ));
         }
     }
-    if !cuts {
-        why.extend(deep_cuts(now, next));
+    if !allows_cuts {
+        violations.extend(deep_cuts(current, next));
     }
-    why
+    violations
 }
 
-/// What a running dispatcher can't change: sockets, names that other programs know machines by, and
-/// what nodes do.
-fn restart_only_changes(now: &Deployment, next: &Deployment) -> Vec<String> {
-    let (a, b) = (&now.cluster, &next.cluster);
+/// What a running dispatcher can't change: sockets, names by which other programs know machines,
+/// and what nodes do. The names are those of the deployment file.
+fn restart_only_changes(current: &Deployment, next: &Deployment) -> Vec<String> {
+    let (before, after) = (&current.cluster, &next.cluster);
+    let (bounds, next_bounds) = (&current.bounds, &next.bounds);
     let same = [
-        ("schedulers", a.scheduler_count == b.scheduler_count),
-        ("halls", now.halls == next.halls),
+        (
+            "schedulers",
+            before.scheduler_count == after.scheduler_count,
+        ),
+        ("halls", current.halls == next.halls),
         (
             "kinds",
-            now.kinds == next.kinds && a.machine_types == b.machine_types,
+            current.kinds == next.kinds && before.machine_types == after.machine_types,
         ),
         (
             "placed-when",
-            a.placed_means_running == b.placed_means_running,
+            before.placed_means_running == after.placed_means_running,
         ),
-        ("makes-room", a.preempts == b.preempts),
+        ("makes-room", before.preempts == after.preempts),
         (
             "shows-room",
-            a.list_reports_capacity == b.list_reports_capacity,
+            before.list_reports_capacity == after.list_reports_capacity,
         ),
         (
             "bounds/connect-within",
-            now.bounds.connect_within == next.bounds.connect_within,
+            bounds.connect_within == next_bounds.connect_within,
         ),
         (
             "bounds/keep-alive",
-            now.bounds.keep_alive == next.bounds.keep_alive,
+            bounds.keep_alive == next_bounds.keep_alive,
         ),
-        ("bounds/calls", now.bounds.calls == next.bounds.calls),
-        ("bounds/links", now.bounds.links == next.bounds.links),
-        ("bounds/message", now.bounds.message == next.bounds.message),
+        ("bounds/calls", bounds.calls == next_bounds.calls),
+        ("bounds/links", bounds.links == next_bounds.links),
+        ("bounds/message", bounds.message == next_bounds.message),
     ];
     let changed = same.iter().filter(|(_, same)| !same);
     changed
@@ -68,82 +72,116 @@
         .collect()
 }
 
-/// Limits that would fall below a part of what they are: a slip of the pen there stops a fleet at
-/// once.
-fn deep_cuts(now: &Deployment, next: &Deployment) -> Vec<String> {
-    let mut all: Vec<(String, f64, f64)> = Vec::new();
-    let (a, b) = (&now.cluster, &next.cluster);
-    let mut both = |name: &str, before: f64, after: f64| all.push((name.into(), before, after));
-    both(
-        "accepts/cores",
-        a.admission_limit.cores,
-        b.admission_limit.cores,
-    );
-    both(
-        "accepts/memory",
-        a.admission_limit.memory,
-        b.admission_limit.memory,
-    );
-    both("shots", a.max_attempts as f64, b.max_attempts as f64);
-    both(
-        "cold/offers",
-        a.slow_start.max_offers,
-        b.slow_start.max_offers,
-    );
-    both(
-        "bounds/in-hand",
-        now.bounds.in_hand as f64,
-        next.bounds.in_hand as f64,
-    );
-    both(
-        "bounds/offers-a-node",
-        now.bounds.offers_a_node as f64,
-        next.bounds.offers_a_node as f64,
-    );
-    for (name, account) in
-        std::iter::zip(&now.accounts, &a.tenants).filter(|(name, _)| !name.is_empty())
-    {
-        let later = next
-            .accounts
-            .iter()
-            .position(|other| other == name)
-            .map(|at| &b.tenants[at]);
-        let share = |account: &Tenant| account.quota_cores.unwrap_or(f64::INFINITY);
-        // One that is gone can ask for nothing any more.
-        both(
-            &format!("accounts/{name}"),
-            share(account),
-            later.map_or(0.0, share),
-        );
+/// A limit before and after a change. No limit is infinite.
+struct LimitChange {
+    name: String,
+    before: f64,
+    after: f64,
+}
+
+impl LimitChange {
+    fn new(name: impl Into<String>, before: f64, after: f64) -> Self {
+        LimitChange {
+            name: name.into(),
+            before,
+            after,
+        }
     }
-    for (name, track) in
-        std::iter::zip(&now.tracks, &a.service_classes).filter(|(name, _)| !name.is_empty())
-    {
-        let Some(at) = next.tracks.iter().position(|other| other == name) else {
-            both(&format!("tracks/{name}"), 1.0, 0.0);
-            continue;
-        };
-        both(
-            &format!("tracks/{name}/calm"),
-            track.target_utilization,
-            b.service_classes[at].target_utilization,
-        );
-        let most =
-            |track: &ServiceClass| track.spread.map_or(f64::INFINITY, |(_, most)| most as f64);
-        both(
-            &format!("tracks/{name}/most"),
-            most(track),
-            most(&b.service_classes[at]),
-        );
+
+    /// From no limit to any is no deep cut: it says what it means.
+    fn is_deep_cut(&self) -> bool {
+        self.before.is_finite() && self.after < self.before * MIN_REMAINING_FRACTION
     }
-    // From no limit to any is a cut too, but one that says what it means.
-    let deep = all.into_iter().filter(|(_, before, after)| {
-        before.is_finite() && *after < before * MIN_REMAINING_FRACTION
-    });
-    deep.map(|(name, before, after)| {
+}
+
+/// Limits that would shrink to less than half: a slip of the pen there stops a fleet at once.
+fn deep_cuts(current: &Deployment, next: &Deployment) -> Vec<String> {
+    let mut changes = limit_changes(current, next);
+    changes.extend(tenant_changes(current, next));
+    changes.extend(class_changes(current, next));
+    changes.retain(LimitChange::is_deep_cut);
+    let described = changes.iter().map(|change| {
+        let LimitChange { name, before, after } = change;
         format!(
             "{name}: cut from {before} to {after}; below {MIN_REMAINING_FRACTION} of it only with the mark of intent"
         )
-    })
-    .collect()
+    });
+    described.collect()
+}
+
+fn limit_changes(current: &Deployment, next: &Deployment) -> Vec<LimitChange> {
+    let (before, after) = (&current.cluster, &next.cluster);
+    let (bounds, next_bounds) = (&current.bounds, &next.bounds);
+    vec![
+        LimitChange::new(
+            "accepts/cores",
+            before.admission_limit.cores,
+            after.admission_limit.cores,
+        ),
+        LimitChange::new(
+            "accepts/memory",
+            before.admission_limit.memory,
+            after.admission_limit.memory,
+        ),
+        LimitChange::new(
+            "shots",
+            before.max_attempts as f64,
+            after.max_attempts as f64,
+        ),
+        LimitChange::new(
+            "cold/offers",
+            before.slow_start.max_offers,
+            after.slow_start.max_offers,
+        ),
+        LimitChange::new(
+            "bounds/in-hand",
+            bounds.in_hand as f64,
+            next_bounds.in_hand as f64,
+        ),
+        LimitChange::new(
+            "bounds/offers-a-node",
+            bounds.offers_a_node as f64,
+            next_bounds.offers_a_node as f64,
+        ),
+    ]
+}
+
+/// Quotas. A removed tenant has none left.
+fn tenant_changes(current: &Deployment, next: &Deployment) -> Vec<LimitChange> {
+    let quota = |tenant: &Tenant| tenant.quota_cores.unwrap_or(f64::INFINITY);
+    let named = std::iter::zip(&current.accounts, &current.cluster.tenants)
+        .filter(|(name, _)| !name.is_empty());
+    let changes = named.map(|(name, tenant)| {
+        let row = next.accounts.iter().position(|other| other == name);
+        let after = row.map_or(0.0, |row| quota(&next.cluster.tenants[row]));
+        LimitChange::new(format!("accounts/{name}"), quota(tenant), after)
+    });
+    changes.collect()
+}
+
+/// Target utilization and spread. A removed class counts as one limit that falls to 0.
+fn class_changes(current: &Deployment, next: &Deployment) -> Vec<LimitChange> {
+    let max_by_domain =
+        |class: &ServiceClass| class.spread.map_or(f64::INFINITY, |(_, max)| max as f64);
+    let named = std::iter::zip(&current.tracks, &current.cluster.service_classes)
+        .filter(|(name, _)| !name.is_empty());
+    let changes = named.flat_map(|(name, class)| {
+        let Some(row) = next.tracks.iter().position(|other| other == name) else {
+            return vec![LimitChange::new(format!("tracks/{name}"), 1.0, 0.0)];
+        };
+        let after = &next.cluster.service_classes[row];
+        vec![
+            LimitChange::new(
+                format!("tracks/{name}/calm"),
+                class.target_utilization,
+                after.target_utilization,
+            ),
+            LimitChange::new(
+                format!("tracks/{name}/most"),
+                max_by_domain(class),
+                max_by_domain(after),
+            ),
+        ]
+    });
+    changes.collect()
 }
--- a/crates/config-sync/src/differences.rs
+++ b/crates/config-sync/src/differences.rs
@@ -2,18 +2,17 @@
 
 use corkspan_config::Deployment;
 
-/// What is different in force, for on-call staff: a line for each part.
-pub fn describe(now: &Deployment, next: &Deployment) -> Vec<String> {
-    let (changes, removed) = now.texts.changes_to(&next.texts);
-    let was = |name: &str| now.texts.get(name).unwrap_or("(absent)").to_string();
+/// A line for each shared part that differs: its text before and after, `(absent)` where there is
+/// none.
+#[must_use]
+pub fn describe(current: &Deployment, next: &Deployment) -> Vec<String> {
+    let before = |name: &str| current.texts.get(name).unwrap_or("(absent)").to_string();
+    let (changes, removed) = current.texts.changes_to(&next.texts);
     let changed = changes
         .iter()
-        .map(|(name, text)| format!("{} -> {text}", was(name)));
-    changed
-        .chain(
-            removed
-                .iter()
-                .map(|name| format!("{} -> (absent)", was(name))),
-        )
-        .collect()
+        .map(|(name, text)| format!("{} -> {text}", before(name)));
+    let removed = removed
+        .iter()
+        .map(|name| format!("{} -> (absent)", before(name)));
+    changed.chain(removed).collect()
 }
--- a/crates/config-sync/src/lib.rs
+++ b/crates/config-sync/src/lib.rs
@@ -1,10 +1,17 @@
-//! What streamed versions of a deployment decide, without I/O and without a clock. docs/control.md
-//! says why it is so.
+//! Distribution of configuration versions: what a dispatcher and a control service decide, without
+//! I/O and without a clock. `docs/config-sync.md` explains the design.
 //!
-//! [`Subscriber`] decides for a dispatcher: which push is worth checking, what is turned down
-//! unread and why, when a version is on trial and when it is given up. [`change`] weighs one
-//! deployment against the next: what needs a restart, what cuts too deep, which ids stay.
-//! [`Publisher`] keeps the other end's books. [`ReconnectBackoff`] spreads the returns of a stream that broke.
+//! * [`Subscriber`] decides for a dispatcher: which push is validated, which is rejected unread and
+//!   why, when a version is on trial, and when it is rolled back.
+//! * [`Publisher`] is the bookkeeping of a control service: its versions and what each subscriber
+//!   runs.
+//! * [`VersionCache`] holds the newest version for dispatchers that no control service reaches.
+//! * [`compatibility`], [`stable_ids`] and [`differences`] compare one deployment with the next.
+//! * [`ReconnectBackoff`] spreads the reconnects of a stream that broke.
+//!
+//! Times are [`Ticks`](corkspan_scheduler::interface::Ticks) of 0.1 ms.
+
+#![warn(missing_docs, clippy::too_many_lines)]
 
 pub mod compatibility;
 pub mod differences;
@@ -16,10 +23,11 @@
 mod trial;
 mod version_cache;
 
-pub use publisher::{Publisher, ReplyStatus};
+pub use publisher::{Publisher, Rejection, ReplyStatus};
 pub use reconnect_backoff::ReconnectBackoff;
 pub use subscriber::{
-    NextPush, PersistedVersions, PushAdmission, PushReply, Subscriber, Version, VersionPush,
+    AddressedReply, NextPush, PersistedVersions, PushAdmission, PushReply, RejectionReason,
+    Subscriber, TrialOutcome, TrialVersion, Version, VersionPush,
 };
 pub use trial::{RequestCounts, TrialVerdict};
 pub use version_cache::{StoreOutcome, VersionCache};
--- a/crates/config-sync/src/lineage.rs
+++ b/crates/config-sync/src/lineage.rs
@@ -3,30 +3,32 @@
 use corkspan_config::version::{Digest, VersionId};
 use std::collections::BTreeMap;
 
-/// Stamps of a line that are remembered; 48 bytes each, so 5 MB at the most. One further behind
-/// than these can be vouched for by a control service alone.
+/// Versions of a lineage that are remembered (48 bytes each, so 5 MB at most). Only a control
+/// service can vouch for a subscriber that is further behind.
 const MAX_IDS: usize = 100_000;
 
-/// Versions known to stand in one line, by number.
+/// Versions known to belong to one lineage: digests by number.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Lineage(BTreeMap<u64, Digest>);
 
 impl Lineage {
-    pub(crate) fn extend(&mut self, stamps: impl Iterator<Item = VersionId>) {
-        for stamp in stamps {
-            let known = self.0.insert(stamp.number, stamp.digest);
-            if known.is_some_and(|known| known != stamp.digest) {
-                // Another line: to vouch by both would lead a straggler from one into the other.
+    pub(crate) fn contains(&self, version: VersionId) -> bool {
+        self.0.get(&version.number) == Some(&version.digest)
+    }
+}
+
+impl Extend<VersionId> for Lineage {
+    fn extend<I: IntoIterator<Item = VersionId>>(&mut self, versions: I) {
+        for VersionId { number, digest } in versions {
+            let known = self.0.insert(number, digest);
+            if known.is_some_and(|known| known != digest) {
+                // Another lineage: to vouch for both would lead a subscriber from one to the other.
                 self.0.clear();
-                self.0.insert(stamp.number, stamp.digest);
+                self.0.insert(number, digest);
             }
             if self.0.len() > MAX_IDS {
                 self.0.pop_first();
             }
         }
     }
-
-    pub(crate) fn contains(&self, stamp: VersionId) -> bool {
-        self.0.get(&stamp.number) == Some(&stamp.digest)
-    }
 }
--- a/crates/config-sync/src/publisher.rs
+++ b/crates/config-sync/src/publisher.rs
@@ -1,196 +1,243 @@
 //! A control service's end of the stream: its versions, and what it knows of each subscriber.
 
-use crate::subscriber::{PushReply, Version, VersionPush};
+use crate::subscriber::{OfferedVersion, PushReply, Version, VersionPush};
 use corkspan_config::version::{Texts, VersionId};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Versions that are remembered whole, to make changes from. A subscriber that runs an older one is
-/// sent the whole.
+/// Versions that are remembered with their content, to make changes from. A subscriber that runs an
+/// older one is sent a complete push.
 const MAX_FULL_VERSIONS: usize = 1_000;
-/// Versions whose stamps alone are remembered: by these a subscriber however far behind is told
-/// that what it runs stands in the line, and one whose version does not is left to find the split.
-/// 40 bytes each, so 40 MB at the most.
+/// Versions of which only the id is remembered: by these a subscriber however far behind is told
+/// that its version belongs to the lineage. 40 bytes each, so 40 MB at most.
 const MAX_LINEAGE_IDS: usize = 1_000_000;
+/// Subscribers that are remembered; pushes go to none beyond.
 const MAX_SUBSCRIBERS: usize = 100_000;
 
+/// What a subscriber rejected, and why.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Rejection {
+    /// The version.
+    pub version: VersionId,
+    /// Why it is not active there.
+    pub reasons: Vec<String>,
+}
+
+/// Which predecessors a push named: one version, and all from a number on.
+#[derive(Clone, Copy, Debug)]
+struct NamedPredecessors {
+    active: VersionId,
+    from_number: u64,
+}
+
+impl NamedPredecessors {
+    fn include(&self, version: VersionId) -> bool {
+        version == self.active || version.number >= self.from_number
+    }
+}
+
+/// What is known of one subscriber, from the stream that is open or was open last.
 #[derive(Clone, Debug, Default)]
-struct Subscriber {
-    running: Option<VersionId>,
-    /// Of the line, what the push sent last names: this one, and all from that number on.
-    named_predecessors: Option<(VersionId, u64)>,
-    /// Of the push sent last on its stream, and which it was.
+struct SubscriberState {
+    active: Option<VersionId>,
+    /// Of the last push on the stream: its nonce, its version and the predecessors it named.
     sent_nonce: u64,
     last_sent: Option<VersionId>,
-    last_rejection: Option<(VersionId, Vec<String>)>,
+    named_predecessors: Option<NamedPredecessors>,
+    last_rejection: Option<Rejection>,
+    /// It asked for a complete push.
     needs_full: bool,
 }
 
-/// What a reply was worth.
+/// How a reply was taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplyStatus {
+    /// It answers the last push.
     Accepted,
-    /// It answers an older push than the last: what it says of it is passed over.
+    /// It answers an earlier push, of which it tells nothing any more.
     StaleNonce,
+    /// It comes from a subscriber that has not opened a stream.
     UnknownSubscriber,
 }
 
+/// The bookkeeping of a control service.
 #[derive(Clone, Debug, Default)]
 pub struct Publisher {
-    /// In their order; stamps alone for all but the newest, whose texts all changes are made from.
-    versions: VecDeque<(Version, bool)>,
-    /// Stamps of all, the newest among them.
+    /// The last versions, the newest at the back.
+    versions: VecDeque<OfferedVersion>,
+    /// Ids of all versions, the newest at the back; numbers grow along it.
     lineage: VecDeque<VersionId>,
-    subscribers: BTreeMap<u32, Subscriber>,
+    subscribers: BTreeMap<u32, SubscriberState>,
     last_nonce: u64,
 }
 
 impl Publisher {
-    /// The next version. Its number is one more than the highest there is, of this service or told
-    /// by a subscriber: a service that lost its state must not count from 1 again.
-    pub fn publish(&mut self, texts: Texts, cuts: bool) -> VersionId {
-        let told = self
-            .subscribers
-            .values()
-            .filter_map(|own| own.running)
-            .map(|running| running.number);
-        let number = told
-            .chain(self.newest().map(|stamp| stamp.number))
-            .max()
-            .unwrap_or(0)
-            + 1;
-        let stamp = VersionId {
-            number,
+    /// Publishes the next version. Its number is one more than the highest known, of this service
+    /// or reported by a subscriber: a service that lost its state must not count from 1 again.
+    pub fn publish(&mut self, texts: Texts, allows_cuts: bool) -> VersionId {
+        let reported = self.subscribers.values().filter_map(|known| known.active);
+        let highest = reported.chain(self.newest()).map(|id| id.number).max();
+        let id = VersionId {
+            number: highest.unwrap_or(0) + 1,
             digest: texts.digest(),
         };
-        self.versions
-            .push_back((Version { id: stamp, texts }, cuts));
+        self.versions.push_back(OfferedVersion {
+            version: Version { id, texts },
+            allows_cuts,
+        });
         if self.versions.len() > MAX_FULL_VERSIONS {
             self.versions.pop_front();
         }
-        self.lineage.push_back(stamp);
+        self.lineage.push_back(id);
         if self.lineage.len() > MAX_LINEAGE_IDS {
             self.lineage.pop_front();
         }
-        stamp
+        id
     }
 
+    /// The newest version.
+    #[must_use]
     pub fn newest(&self) -> Option<VersionId> {
-        self.versions.back().map(|(version, _)| version.id)
+        self.versions.back().map(|newest| newest.version.id)
     }
 
-    /// A subscriber opens a stream and tells what it runs. Nothing of an earlier stream counts any
-    /// more.
-    pub fn subscriber_connected(&mut self, who: u32, running: VersionId) {
-        if self.subscribers.len() < MAX_SUBSCRIBERS || self.subscribers.contains_key(&who) {
-            let fresh = Subscriber {
-                running: Some(running),
-                ..Subscriber::default()
+    /// A subscriber has opened a stream and reported its active version. What is known from an
+    /// earlier stream no longer counts.
+    pub fn subscriber_connected(&mut self, subscriber: u32, active: VersionId) {
+        let known = self.subscribers.contains_key(&subscriber);
+        if known || self.subscribers.len() < MAX_SUBSCRIBERS {
+            let state = SubscriberState {
+                active: Some(active),
+                ..SubscriberState::default()
             };
-            self.subscribers.insert(who, fresh);
+            self.subscribers.insert(subscriber, state);
         }
     }
 
-    /// A reply, with what runs there now.
+    /// A subscriber has replied to the push of this nonce, and reported its active version.
     pub fn receive_reply(
         &mut self,
-        who: u32,
+        subscriber: u32,
         nonce: u64,
-        said: &PushReply,
-        running: VersionId,
+        reply: &PushReply,
+        active: VersionId,
     ) -> ReplyStatus {
-        let Some(own) = self.subscribers.get_mut(&who) else {
+        let follows = self.in_lineage(active);
+        let Some(state) = self.subscribers.get_mut(&subscriber) else {
             return ReplyStatus::UnknownSubscriber;
         };
-        // That it runs is so, whichever push it answers.
-        own.running = Some(running);
-        if nonce != own.sent_nonce {
+        // The active version is a fact, whichever push the reply answers.
+        state.active = Some(active);
+        if nonce != state.sent_nonce {
             return ReplyStatus::StaleNonce;
         }
-        match (said, own.last_sent) {
-            (PushReply::Rejected(why), Some(sent)) => {
-                own.last_rejection = Some((sent, why.clone()));
-                // It ran another by the time that it read that push than was known when it was
-                // sent, and took the line for split: now that this is known, it is
-                // told again, once for what it runs.
-                let named = own
+        match (reply, state.last_sent) {
+            (PushReply::Rejected(reasons), Some(version)) => {
+                let reasons = reasons.clone();
+                state.last_rejection = Some(Rejection { version, reasons });
+                // By the time that it read the push, it ran another version than was known when
+                // the push was made, one that the push did not name: it is sent once more.
+                let named = state
                     .named_predecessors
-                    .is_some_and(|(told, from)| running == told || running.number >= from);
-                if !named && in_lineage(&self.lineage, running) {
-                    own.last_sent = None;
+                    .is_some_and(|named| named.include(active));
+                if !named && follows {
+                    state.last_sent = None;
                 }
             }
-            (PushReply::FullRequired, _) => (own.needs_full, own.last_sent) = (true, None),
+            (PushReply::FullRequired, _) => {
+                (state.needs_full, state.last_sent) = (true, None);
+            }
             _ => {}
         }
         ReplyStatus::Accepted
     }
 
-    /// What to push to it now, if it hasn't got the newest and hasn't turned it down.
-    pub fn push_for(&mut self, who: u32) -> Option<VersionPush> {
-        let (newest, cuts) = self.versions.back()?;
-        let own = self.subscribers.get_mut(&who)?;
-        let running = own.running?;
-        if own.last_sent == Some(newest.id) || running == newest.id {
+    /// What to push to a subscriber now; none if it runs the newest version or was sent it.
+    #[must_use]
+    pub fn push_for(&mut self, subscriber: u32) -> Option<VersionPush> {
+        let newest = self.versions.back()?;
+        let (id, allows_cuts) = (newest.version.id, newest.allows_cuts);
+        let state = self.subscribers.get(&subscriber)?;
+        let active = state.active?;
+        if state.last_sent == Some(id) || active == id {
             return None;
         }
-        let at = self
-            .versions
-            .iter()
-            .position(|(version, _)| version.id == running);
-        let theirs = at.map(|at| &self.versions[at].0);
-        // All from theirs on: those that are on their way may be in force there by the time that it
-        // reads this. Of one that is further behind than that, all that is remembered.
-        let first = match at {
-            Some(at) => at,
-            None if in_lineage(&self.lineage, running) => 0,
-            None => self.versions.len().saturating_sub(2),
-        };
-        let before = self.versions.len() - 1;
-        let recent = self
-            .versions
-            .range(first.min(before)..before)
-            .map(|(version, _)| version.id);
-        let far = Some(running).filter(|_| at.is_none() && in_lineage(&self.lineage, running));
-        let predecessors: Vec<VersionId> = far.into_iter().chain(recent).collect();
-        own.named_predecessors = Some((
-            running,
-            predecessors
-                .iter()
-                .map(|stamp| stamp.number)
-                .nth(far.iter().len())
-                .unwrap_or(u64::MAX),
-        ));
-        let base = theirs.filter(|_| !own.needs_full);
+        let position = self.position(active);
+        let base = position
+            .filter(|_| !state.needs_full)
+            .map(|position| &self.versions[position].version);
         let (changes, removed) = match base {
-            Some(base) => base.texts.changes_to(&newest.texts),
-            None => (newest.texts.clone(), Vec::new()),
+            Some(base) => base.texts.changes_to(&newest.version.texts),
+            None => (newest.version.texts.clone(), Vec::new()),
         };
+        let base = base.map(|version| version.id);
+        let (predecessors, named) = self.predecessors(active, position);
         self.last_nonce += 1;
-        (own.sent_nonce, own.last_sent, own.needs_full) = (self.last_nonce, Some(newest.id), false);
+        let nonce = self.last_nonce;
+        let state = self.subscribers.get_mut(&subscriber)?;
+        state.sent_nonce = nonce;
+        state.last_sent = Some(id);
+        state.named_predecessors = Some(named);
+        state.needs_full = false;
         Some(VersionPush {
-            nonce: self.last_nonce,
-            version: newest.id,
+            nonce,
+            version: id,
             predecessors,
-            base: base.map(|version| version.id),
+            base,
             changes,
             removed,
-            allows_cuts: *cuts,
+            allows_cuts,
         })
     }
 
-    /// What a subscriber runs, as it told last.
-    pub fn active_version(&self, who: u32) -> Option<VersionId> {
-        self.subscribers.get(&who)?.running
+    /// The versions that a push to a subscriber names, which runs `active` and is remembered at
+    /// this position.
+    fn predecessors(
+        &self,
+        active: VersionId,
+        position: Option<usize>,
+    ) -> (Vec<VersionId>, NamedPredecessors) {
+        let last = self.versions.len() - 1;
+        let far_behind = position.is_none() && self.in_lineage(active);
+        // All from the active version on: pushes on their way may be active there by the time that
+        // it reads this one. For one that is further behind, all that are remembered.
+        let first = match position {
+            Some(position) => position,
+            None if far_behind => 0,
+            None => self.versions.len().saturating_sub(2),
+        };
+        let recent = self.versions.range(first.min(last)..last);
+        let recent: Vec<VersionId> = recent.map(|offered| offered.version.id).collect();
+        let named = NamedPredecessors {
+            active,
+            from_number: recent.first().map_or(u64::MAX, |first| first.number),
+        };
+        let all = far_behind.then_some(active).into_iter().chain(recent);
+        (all.collect(), named)
     }
 
-    /// What a subscriber turned down last on the stream that stands, and why.
-    pub fn last_rejection(&self, who: u32) -> Option<&(VersionId, Vec<String>)> {
-        self.subscribers.get(&who)?.last_rejection.as_ref()
+    /// Where a version stands among those remembered with their content.
+    fn position(&self, id: VersionId) -> Option<usize> {
+        let mut ids = self.versions.iter().map(|offered| offered.version.id);
+        ids.position(|known| known == id)
     }
-}
 
-/// Whether a version stands in the line. Numbers grow along it.
-fn in_lineage(line: &VecDeque<VersionId>, stamp: VersionId) -> bool {
-    line.binary_search_by_key(&stamp.number, |other| other.number)
-        .is_ok_and(|at| line[at] == stamp)
+    /// Whether a version was published here.
+    fn in_lineage(&self, id: VersionId) -> bool {
+        let position = self
+            .lineage
+            .binary_search_by_key(&id.number, |known| known.number);
+        position.is_ok_and(|position| self.lineage[position] == id)
+    }
+
+    /// The active version of a subscriber, as it reported last.
+    #[must_use]
+    pub fn active_version(&self, subscriber: u32) -> Option<VersionId> {
+        self.subscribers.get(&subscriber)?.active
+    }
+
+    /// What a subscriber rejected last on its stream.
+    #[must_use]
+    pub fn last_rejection(&self, subscriber: u32) -> Option<&Rejection> {
+        self.subscribers.get(&subscriber)?.last_rejection.as_ref()
+    }
 }
--- a/crates/config-sync/src/stable_ids.rs
+++ b/crates/config-sync/src/stable_ids.rs
@@ -1,83 +1,117 @@
-//! Ids that keep their meaning from one deployment to the next.
+//! Ids of service classes and tenants that keep their meaning from one deployment to the next.
 
 use corkspan_config::Deployment;
-use corkspan_scheduler::interface::{Cluster, ServiceClassId};
+use corkspan_scheduler::interface::{Cluster, ServiceClass, ServiceClassId, Tenant};
 
-/// Rows at the most, those of names that are gone among them.
+/// Rows of either table, those of removed names among them.
 const MAX_ROWS: usize = 20_000;
 
-/// The next deployment with ids that still mean what allocations in hand were taken under. A name
-/// keeps its id; one that is gone leaves its row behind, without a name, until nothing is of it any
-/// more. A track whose repeats would be treated otherwise gets another id: what is in hand keeps
-/// the promise that it was taken under. None where more names have come and gone than rows are kept
-/// for.
+/// More names were added and removed than there are ids; a restart frees the ids of removed names.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("more names have come and gone than are kept; a restart is needed")]
+pub struct IdsExhausted;
+
+/// The next deployment with the ids of the current one. A name keeps its id. The row of a removed
+/// name stays, without a name, until no allocation uses it. A service class whose retry safety
+/// changes gets a new id: allocations keep the promise under which they were accepted. `in_use`
+/// counts the allocations of a service class.
+///
+/// # Errors
+/// Where either table would grow beyond 20,000 rows.
 pub fn assign(
-    now: &Deployment,
+    current: &Deployment,
     next: Deployment,
     in_use: impl Fn(ServiceClassId) -> usize,
-) -> Option<Deployment> {
-    let (mut names, mut tracks) = (now.tracks.clone(), now.cluster.service_classes.clone());
-    for (name, track) in std::iter::zip(&next.tracks, &next.cluster.service_classes) {
-        let stays = names.iter().position(|own| own == name);
-        if let Some(at) = stays.filter(|&at| tracks[at].retry_safety == track.retry_safety) {
-            tracks[at] = track.clone();
-            continue;
-        }
-        if let Some(at) = stays {
-            names[at].clear();
+) -> Result<Deployment, IdsExhausted> {
+    let classes = assign_classes(current, &next, in_use);
+    let tenants = assign_tenants(current, &next);
+    if classes.names.len().max(tenants.names.len()) > MAX_ROWS {
+        return Err(IdsExhausted);
+    }
+    let cluster = Cluster {
+        service_classes: classes.rows,
+        tenants: tenants.rows,
+        ..next.cluster
+    };
+    Ok(Deployment {
+        cluster,
+        tracks: classes.names,
+        accounts: tenants.names,
+        ..next
+    })
+}
+
+fn assign_classes(
+    current: &Deployment,
+    next: &Deployment,
+    in_use: impl Fn(ServiceClassId) -> usize,
+) -> Table<ServiceClass> {
+    let mut table = Table {
+        names: current.tracks.clone(),
+        rows: current.cluster.service_classes.clone(),
+    };
+    for (name, class) in std::iter::zip(&next.tracks, &next.cluster.service_classes) {
+        match table.position(name) {
+            Some(row) if table.rows[row].retry_safety == class.retry_safety => {
+                table.rows[row] = class.clone();
+                continue;
+            }
+            Some(row) => table.names[row].clear(),
+            None => {}
         }
-        insert_row(&mut names, &mut tracks, name, track, |at| {
-            in_use(ServiceClassId(at)) == 0
-        });
+        let unused = |row| in_use(ServiceClassId(row)) == 0;
+        table.insert(name, class, unused);
     }
-    for name in &mut names {
+    for name in &mut table.names {
         if !next.tracks.contains(name) {
             name.clear();
         }
     }
-    // Nothing is promised by account, but guests are counted by it: its row stays its own.
-    let (mut account_names, mut accounts) = (now.accounts.clone(), now.cluster.tenants.clone());
-    for (name, account) in std::iter::zip(&next.accounts, &next.cluster.tenants) {
-        match account_names.iter().position(|own| own == name) {
-            Some(at) => accounts[at] = account.clone(),
-            None => insert_row(&mut account_names, &mut accounts, name, account, |_| false),
+    table
+}
+
+/// Usage is counted by tenant, so that a row is never another tenant's; a removed one has a quota of
+/// 0.
+fn assign_tenants(current: &Deployment, next: &Deployment) -> Table<Tenant> {
+    let mut table = Table {
+        names: current.accounts.clone(),
+        rows: current.cluster.tenants.clone(),
+    };
+    for (name, tenant) in std::iter::zip(&next.accounts, &next.cluster.tenants) {
+        match table.position(name) {
+            Some(row) => table.rows[row] = tenant.clone(),
+            None => table.insert(name, tenant, |_| false),
         }
     }
-    for (name, account) in std::iter::zip(&mut account_names, &mut accounts) {
+    for (name, tenant) in std::iter::zip(&mut table.names, &mut table.rows) {
         if !next.accounts.contains(name) {
             name.clear();
-            account.quota_cores = Some(0.0);
+            tenant.quota_cores = Some(0.0);
         }
     }
-    if names.len().max(account_names.len()) > MAX_ROWS {
-        return None;
-    }
-    let cluster = Cluster {
-        service_classes: tracks,
-        tenants: accounts,
-        ..next.cluster
-    };
-    Some(Deployment {
-        cluster,
-        tracks: names,
-        accounts: account_names,
-        ..next
-    })
+    table
+}
+
+/// Rows by id, and their names; a row without a name is a removed one's.
+struct Table<T> {
+    names: Vec<String>,
+    rows: Vec<T>,
 }
 
-/// Into a row that has no name and is free, or a new one.
-fn insert_row<T: Clone>(
-    names: &mut Vec<String>,
-    rows: &mut Vec<T>,
-    name: &str,
-    row: &T,
-    free: impl Fn(usize) -> bool,
-) {
-    match (0..names.len()).find(|&at| names[at].is_empty() && free(at)) {
-        Some(at) => (names[at], rows[at]) = (name.into(), row.clone()),
-        None => {
-            names.push(name.into());
-            rows.push(row.clone());
+impl<T: Clone> Table<T> {
+    fn position(&self, name: &str) -> Option<usize> {
+        self.names.iter().position(|known| known == name)
+    }
+
+    /// Puts a row into the first one that has no name and is reusable, or a new one.
+    fn insert(&mut self, name: &str, row: &T, reusable: impl Fn(usize) -> bool) {
+        let free = (0..self.names.len()).find(|&at| self.names[at].is_empty() && reusable(at));
+        match free {
+            Some(at) => (self.names[at], self.rows[at]) = (name.into(), row.clone()),
+            None => {
+                self.names.push(name.into());
+                self.rows.push(row.clone());
+            }
         }
     }
 }
--- a/crates/config-sync/src/subscriber/mod.rs
+++ b/crates/config-sync/src/subscriber/mod.rs
@@ -1,4 +1,7 @@
 //! A dispatcher's end of the stream: which version it runs, and what it does about the next.
+//!
+//! The state is in [`Subscriber`]; the steps with a push (received, chosen, admitted) and the steps
+//! of a trial (prepared, started, evaluated, finished) have a module each.
 
 mod pushes;
 mod state;
@@ -6,4 +9,8 @@
 mod types;
 
 pub use state::Subscriber;
-pub use types::{NextPush, PersistedVersions, PushAdmission, PushReply, Version, VersionPush};
+pub(crate) use types::OfferedVersion;
+pub use types::{
+    AddressedReply, NextPush, PersistedVersions, PushAdmission, PushReply, RejectionReason,
+    TrialOutcome, TrialVersion, Version, VersionPush,
+};
--- a/crates/config-sync/src/subscriber/pushes.rs
+++ b/crates/config-sync/src/subscriber/pushes.rs
@@ -1,89 +1,98 @@
-//! Steps with a push: received, chosen, admitted.
+//! Steps with a push: received, taken, admitted.
 
 use super::state::Subscriber;
-use super::types::{NextPush, PushAdmission, PushReply, VersionPush};
+use super::types::{
+    AddressedReply, NextPush, PushAdmission, PushReply, RejectionReason, VersionPush,
+};
 use corkspan_scheduler::interface::Ticks;
 
-/// Between two versions that take effect: a flood of them is passed over for the newest.
+/// Least time between two versions that take effect (50 ms): of many pushes only the newest is
+/// validated.
 const MIN_APPLY_INTERVAL: Ticks = 500;
+
 impl Subscriber {
-    /// A push has come. The answer to the one that it passes over, by nonce.
-    pub fn receive(&mut self, push: VersionPush) -> Option<(u64, PushReply)> {
-        let newer = self
-            .waiting
-            .as_ref()
-            .is_none_or(|waits| push.version.number >= waits.version.number);
-        if newer {
-            let nonce = push.nonce;
-            self.waiting
-                .replace(push)
-                .map(|passed| (passed.nonce, PushReply::Superseded(nonce)))
-        } else {
-            self.waiting
-                .as_ref()
-                .map(|waits| (push.nonce, PushReply::Superseded(waits.nonce)))
+    /// A push was received. Of two that wait the one of the higher number is kept, and the later
+    /// one of the same number; the other is answered as superseded.
+    #[must_use]
+    pub fn receive(&mut self, push: VersionPush) -> Option<AddressedReply> {
+        let superseded = |older: &VersionPush, newer: &VersionPush| AddressedReply {
+            nonce: older.nonce,
+            reply: PushReply::Superseded(newer.nonce),
+        };
+        match &self.waiting {
+            Some(waiting) if push.version.number < waiting.version.number => {
+                Some(superseded(&push, waiting))
+            }
+            waiting => {
+                let reply = waiting.as_ref().map(|waiting| superseded(waiting, &push));
+                self.waiting = Some(push);
+                reply
+            }
         }
     }
 
-    /// What waits belongs to a stream that broke.
+    /// The stream broke: what waits belongs to it and is dropped.
     pub fn stream_closed(&mut self) {
         self.waiting = None;
     }
 
+    /// When the waiting push may be taken.
+    #[must_use]
     pub fn next_push(&self, now: Ticks) -> NextPush {
-        match (&self.waiting, self.applied_at) {
+        let earliest = self.applied_at.map(|at| at + MIN_APPLY_INTERVAL);
+        match (&self.waiting, earliest) {
             (None, _) => NextPush::None,
-            (Some(_), Some(at)) if now < at + MIN_APPLY_INTERVAL => {
-                NextPush::After(at + MIN_APPLY_INTERVAL - now)
-            }
+            (Some(_), Some(earliest)) if now < earliest => NextPush::After(earliest - now),
             _ => NextPush::Now,
         }
     }
 
-    /// Takes the push that waits.
+    /// Takes the waiting push.
+    #[must_use]
     pub fn take_push(&mut self) -> Option<VersionPush> {
         self.waiting.take()
     }
 
-    /// Whether it is worth reading, by its stamp alone.
+    /// Whether the content of a push is to be validated, or what to reply without.
+    #[must_use]
     pub fn admit(&self, push: &VersionPush) -> PushAdmission {
-        let (running, texts) = self.active_version();
-        let refuse = |why: String| PushAdmission::Reply(PushReply::Rejected(vec![why]));
-        let stamp = push.version;
-        if stamp == running {
+        let active = self.active_version();
+        if push.version == active {
             return PushAdmission::Reply(PushReply::Unchanged);
         }
-        if self.persisted.rolled_back.contains(&stamp) {
-            return refuse(format!(
-                "version {stamp} was given up here; a next one is needed"
-            ));
-        }
-        if stamp.number == running.number {
-            return refuse(format!(
-                "stale: {running} runs here, of the same number and another content"
-            ));
-        }
-        if stamp.number < running.number {
-            return refuse(format!("stale: {running} runs here"));
-        }
-        // A service that was cut off from the others may count on from an older state.
-        if running.number > 0 && !push.predecessors.contains(&running) {
-            return refuse(format!(
-                "split: it does not follow {running}, which runs here"
-            ));
+        if let Some(reason) = self.order_violation(push) {
+            return PushAdmission::Reply(reason.into());
         }
-        let whole = match push.base {
+        let content = match push.base {
             None => push.changes.clone(),
-            Some(base) if base == running => texts.changed(&push.changes, &push.removed),
+            Some(base) if base == active => {
+                let active = self.active_texts();
+                active.changed(&push.changes, &push.removed)
+            }
             Some(_) => return PushAdmission::Reply(PushReply::FullRequired),
         };
-        if whole.digest() != stamp.digest {
-            return refuse(format!(
-                "what it says has the digest {:?}, not {:?}",
-                whole.digest(),
-                stamp.digest
-            ));
+        let (actual, stated) = (content.digest(), push.version.digest);
+        if actual != stated {
+            let reason = RejectionReason::DigestMismatch { actual, stated };
+            return PushAdmission::Reply(reason.into());
+        }
+        PushAdmission::Validate(content)
+    }
+
+    /// Why the pushed version must not come after the active one, if so.
+    fn order_violation(&self, push: &VersionPush) -> Option<RejectionReason> {
+        let (active, version) = (self.active_version(), push.version);
+        if self.persisted.rolled_back.contains(&version) {
+            return Some(RejectionReason::RolledBack(version));
+        }
+        if version.number == active.number {
+            return Some(RejectionReason::SameNumber { active });
         }
-        PushAdmission::Validate(whole)
+        if version.number < active.number {
+            return Some(RejectionReason::Stale { active });
+        }
+        // A service that was cut off from the others may count on from an older state.
+        let follows = active.number == 0 || push.predecessors.contains(&active);
+        (!follows).then_some(RejectionReason::OtherLineage { active })
     }
 }
--- a/crates/config-sync/src/subscriber/state.rs
+++ b/crates/config-sync/src/subscriber/state.rs
@@ -1,16 +1,18 @@
 //! What a subscriber knows between two steps.
 
-use super::types::{PersistedVersions, VersionPush};
+use super::types::{PersistedVersions, TrialVersion, VersionPush};
 use crate::trial::{Baseline, RequestCounts, Trial};
 use corkspan_config::version::{Texts, VersionId};
 use corkspan_scheduler::interface::Ticks;
 
-/// Versions remembered as given up at the most.
+/// Rolled-back versions that are remembered; the oldest is forgotten first.
 const MAX_ROLLED_BACK: usize = 32;
-/// A version on trial under which the dispatcher was started so often is given up: it may be what
-/// ended it.
+
+/// A version on trial under which the dispatcher was started this often is rolled back: it may be
+/// what ended the dispatcher.
 const MAX_TRIAL_STARTS: u32 = 3;
 
+/// The versions of one dispatcher. See `docs/config-sync.md` for the order of the steps.
 #[derive(Clone, Debug)]
 pub struct Subscriber {
     pub(super) file: VersionId,
@@ -18,71 +20,87 @@
     pub(super) persisted: PersistedVersions,
     pub(super) baseline: Baseline,
     pub(super) trial: Option<Trial>,
-    /// The newest push that was not looked at.
+    /// The newest push that was not yet taken.
     pub(super) waiting: Option<VersionPush>,
     pub(super) applied_at: Option<Ticks>,
 }
 
 impl Subscriber {
-    /// `texts` are the shared parts of the dispatcher's own file. What to have on disk before it
-    /// starts, if that is not `kept` as it was.
+    /// The subscriber of a dispatcher that starts at `now` with this on its disk. `file_texts` are
+    /// the shared parts of its own file. The second value must be on disk before the dispatcher
+    /// serves; none where the disk stays as it is.
+    #[must_use]
     pub fn restore(
-        texts: Texts,
-        kept: PersistedVersions,
+        file_texts: Texts,
+        mut persisted: PersistedVersions,
         now: Ticks,
     ) -> (Self, Option<PersistedVersions>) {
-        let mut kept = kept;
-        let before = kept.clone();
-        if let Some((version, starts)) = &mut kept.trial {
+        let before = persisted.clone();
+        if let Some(TrialVersion { version, starts }) = &mut persisted.trial {
             *starts += 1;
             if *starts >= MAX_TRIAL_STARTS {
-                let stamp = version.id;
-                kept.trial = None;
-                roll_back(&mut kept, stamp);
+                let id = version.id;
+                persisted.trial = None;
+                roll_back(&mut persisted, id);
             }
         }
-        let trial = kept
+        let trial = persisted
             .trial
             .as_ref()
             .map(|_| Trial::start(now, RequestCounts::default(), &Baseline::default()));
-        let changed = (kept != before).then(|| kept.clone());
+        let changed = (persisted != before).then(|| persisted.clone());
         let file = VersionId {
             number: 0,
-            digest: texts.digest(),
+            digest: file_texts.digest(),
         };
-        let usual = Baseline::default();
-        let own = Subscriber {
+        let subscriber = Subscriber {
             file,
-            file_texts: texts,
-            persisted: kept,
-            baseline: usual,
+            file_texts,
+            persisted,
+            baseline: Baseline::default(),
             trial,
             waiting: None,
             applied_at: None,
         };
-        (own, changed)
+        (subscriber, changed)
+    }
+
+    /// The active version: the one on trial, else the last good one, else the file (number 0).
+    #[must_use]
+    pub fn active_version(&self) -> VersionId {
+        self.active().0
+    }
+
+    /// The shared parts of the active version.
+    #[must_use]
+    pub fn active_texts(&self) -> &Texts {
+        self.active().1
     }
 
-    /// The version in force, and its shared parts.
-    pub fn active_version(&self) -> (VersionId, &Texts) {
-        let trial = self.persisted.trial.as_ref().map(|(version, _)| version);
+    fn active(&self) -> (VersionId, &Texts) {
+        let trial = self.persisted.trial.as_ref().map(|trial| &trial.version);
         let version = trial.or(self.persisted.last_good.as_ref());
         version.map_or((self.file, &self.file_texts), |version| {
             (version.id, &version.texts)
         })
     }
 
+    /// Whether the active version is on trial.
+    #[must_use]
     pub fn on_trial(&self) -> bool {
         self.persisted.trial.is_some()
     }
 
+    /// What is on disk.
+    #[must_use]
     pub fn persisted(&self) -> &PersistedVersions {
         &self.persisted
     }
 }
 
-pub(super) fn roll_back(kept: &mut PersistedVersions, stamp: VersionId) {
-    kept.rolled_back.push(stamp);
-    let over = kept.rolled_back.len().saturating_sub(MAX_ROLLED_BACK);
-    kept.rolled_back.drain(..over);
+/// Remembers that this version was rolled back.
+pub(super) fn roll_back(persisted: &mut PersistedVersions, version: VersionId) {
+    persisted.rolled_back.push(version);
+    let excess = persisted.rolled_back.len().saturating_sub(MAX_ROLLED_BACK);
+    persisted.rolled_back.drain(..excess);
 }
--- a/crates/config-sync/src/subscriber/trials.rs
+++ b/crates/config-sync/src/subscriber/trials.rs
@@ -1,80 +1,94 @@
-//! Steps with a version in force: put on trial, observed, decided.
+//! Steps of a trial: prepared, started, evaluated, finished.
 
 use super::state::{Subscriber, roll_back};
-use super::types::{PersistedVersions, Version};
+use super::types::{PersistedVersions, TrialOutcome, TrialVersion, Version};
 use crate::trial::{RequestCounts, Trial, TrialVerdict};
 use corkspan_config::version::{Texts, VersionId};
 use corkspan_scheduler::interface::Ticks;
 
 impl Subscriber {
-    /// It was found sound and is to take effect: what must be on disk first. The one on trial that
-    /// it takes the place of counts as good if it did no harm to as many asks as tell anything.
+    /// A validated version is to take effect: what must be on disk first. A version on trial that
+    /// it replaces counts as good if it showed no regression over enough requests.
+    #[must_use]
     pub fn prepare_trial(
         &self,
         now: Ticks,
         counts: RequestCounts,
-        stamp: VersionId,
+        version: VersionId,
         texts: Texts,
     ) -> PersistedVersions {
-        let mut kept = self.persisted.clone();
-        let trial = kept.trial.replace((Version { id: stamp, texts }, 0));
-        let stood = self
+        let mut persisted = self.persisted.clone();
+        let next = TrialVersion {
+            version: Version { id: version, texts },
+            starts: 0,
+        };
+        let replaced = persisted.trial.replace(next);
+        let passed = self
             .trial
             .as_ref()
             .is_some_and(|trial| trial.shows_no_regression(now, counts));
-        if let Some((version, _)) = trial.filter(|_| stood) {
-            kept.last_good = Some(version);
+        if let Some(replaced) = replaced.filter(|_| passed) {
+            persisted.last_good = Some(replaced.version);
         }
-        kept
+        persisted
     }
 
-    /// It is on disk and takes effect now.
-    pub fn start_trial(&mut self, now: Ticks, kept: PersistedVersions, counts: RequestCounts) {
+    /// What [`Subscriber::prepare_trial`] gave is on disk, and the version takes effect now.
+    pub fn start_trial(&mut self, now: Ticks, persisted: PersistedVersions, counts: RequestCounts) {
         self.update_baseline(now, counts);
-        let trial = self.trial.as_ref().map(|trial| trial.restart(now, counts));
-        self.trial = trial.or_else(|| Some(Trial::start(now, counts, &self.baseline)));
-        self.persisted = kept;
+        self.trial = Some(match &self.trial {
+            Some(trial) => trial.restart(now, counts),
+            None => Trial::start(now, counts, &self.baseline),
+        });
+        self.persisted = persisted;
         self.applied_at = Some(now);
     }
 
-    /// A look at how the version in force does. What must be on disk, and in force once it is; with
-    /// a reason where the version is given up.
-    pub fn evaluate_trial(
-        &mut self,
-        now: Ticks,
-        counts: RequestCounts,
-    ) -> Option<(PersistedVersions, Option<String>)> {
+    /// Evaluates the version on trial by the requests so far; none while the trial goes on, and
+    /// where there is none.
+    #[must_use]
+    pub fn evaluate_trial(&mut self, now: Ticks, counts: RequestCounts) -> Option<TrialOutcome> {
         let Some(trial) = &self.trial else {
             self.update_baseline(now, counts);
             return None;
         };
-        let (version, _) = self.persisted.trial.as_ref()?;
-        let mut kept = PersistedVersions {
+        let version = &self.persisted.trial.as_ref()?.version;
+        let mut persisted = PersistedVersions {
             trial: None,
             ..self.persisted.clone()
         };
-        match trial.verdict(now, counts) {
-            TrialVerdict::Continue => None,
+        let rollback_reason = match trial.verdict(now, counts) {
+            TrialVerdict::Continue => return None,
             TrialVerdict::Passed => {
-                kept.last_good = Some(version.clone());
-                Some((kept, None))
+                persisted.last_good = Some(version.clone());
+                None
             }
-            TrialVerdict::Regressed(why) => {
-                roll_back(&mut kept, version.id);
-                Some((kept, Some(why)))
+            TrialVerdict::Regressed(reason) => {
+                roll_back(&mut persisted, version.id);
+                Some(reason)
             }
-        }
+        };
+        Some(TrialOutcome {
+            persisted,
+            rollback_reason,
+        })
     }
 
-    /// What [`Subscriber::evaluate_trial`] gave is on disk and in force.
-    pub fn finish_trial(&mut self, now: Ticks, kept: PersistedVersions, counts: RequestCounts) {
-        self.persisted = kept;
+    /// What [`Subscriber::evaluate_trial`] gave is on disk and active.
+    pub fn finish_trial(
+        &mut self,
+        now: Ticks,
+        persisted: PersistedVersions,
+        counts: RequestCounts,
+    ) {
+        self.persisted = persisted;
         self.trial = None;
-        // What was refused under a version that was given up is not what is usual.
+        // What was rejected under a version that was rolled back is no measure for the next.
         self.baseline.skip(counts);
         self.update_baseline(now, counts);
     }
 
+    /// The baseline counts what comes while no version is on trial.
     fn update_baseline(&mut self, now: Ticks, counts: RequestCounts) {
         if self.trial.is_none() {
             self.baseline.add(now, counts);
--- a/crates/config-sync/src/trial.rs
+++ b/crates/config-sync/src/trial.rs
@@ -1,39 +1,54 @@
-//! Whether a version does harm: asks are refused far more often under it than before.
+//! Whether a version on trial is a regression: far more requests are rejected under it than before.
 
 use corkspan_scheduler::interface::Ticks;
 
-/// A trial lasts so long, and longer while fewer asks came than tell anything, up to so many times
-/// that.
+const TICKS_PER_SECOND: f64 = 10_000.0;
+/// A trial lasts this long (30 s), and longer while there were too few requests to judge by.
 const TRIAL_DURATION: Ticks = 300_000;
+/// A trial with too few requests ends after this time (150 s), and the version passes.
 const MAX_TRIAL_DURATION: Ticks = 5 * TRIAL_DURATION;
+/// With fewer requests a trial is not judged.
 const MIN_REQUESTS: f64 = 50.0;
-/// The part of asks refused may rise by this, and by so many standard errors, before the version is
-/// given up.
-const MIN_REJECTION_RISE: f64 = 0.25;
-const STANDARD_ERRORS: f64 = 3.0;
-/// In this time what was counted before loses half its weight.
+/// The rejection rate may rise by this much above the baseline,
+const MAX_RATE_INCREASE: f64 = 0.25;
+/// or by this many of its standard errors, whichever is more.
+const MAX_STANDARD_ERRORS: f64 = 3.0;
+/// After this time what was counted has half its weight in the baseline (30 s).
 const BASELINE_HALF_LIFE: f64 = 300_000.0;
 
-/// Asks and refusals since the start.
+/// Requests since the dispatcher's start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RequestCounts {
+    /// All of them.
     pub requests: u64,
+    /// Those that were rejected.
     pub rejected: u64,
 }
 
+impl RequestCounts {
+    /// What was counted since `earlier`.
+    fn since(self, earlier: RequestCounts) -> RequestCounts {
+        RequestCounts {
+            requests: self.requests.saturating_sub(earlier.requests),
+            rejected: self.rejected.saturating_sub(earlier.rejected),
+        }
+    }
+}
+
 /// What a trial has come to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TrialVerdict {
+    /// It goes on.
     Continue,
-    /// It has stood its trial.
+    /// The version is good.
     Passed,
-    /// It does harm, for this reason.
+    /// The version is to be rolled back, for this reason.
     Regressed(String),
 }
 
-/// Two sums that decay, brought up to date when read.
+/// The usual rejection rate: two sums that decay, brought up to date when counts are added.
 #[derive(Clone, Debug, Default)]
-pub struct Baseline {
+pub(crate) struct Baseline {
     updated_at: Ticks,
     requests: f64,
     rejected: f64,
@@ -41,16 +56,18 @@
 }
 
 impl Baseline {
-    pub fn add(&mut self, now: Ticks, counts: RequestCounts) {
-        let left = (-(now.saturating_sub(self.updated_at) as f64) / BASELINE_HALF_LIFE).exp2();
-        let since = |now: u64, then: u64| now.saturating_sub(then) as f64;
-        self.requests = self.requests * left + since(counts.requests, self.last_counts.requests);
-        self.rejected = self.rejected * left + since(counts.rejected, self.last_counts.rejected);
+    /// Adds what was counted since the last call.
+    pub(crate) fn add(&mut self, now: Ticks, counts: RequestCounts) {
+        let elapsed = now.saturating_sub(self.updated_at) as f64;
+        let decay = (-elapsed / BASELINE_HALF_LIFE).exp2();
+        let new = counts.since(self.last_counts);
+        self.requests = self.requests * decay + new.requests as f64;
+        self.rejected = self.rejected * decay + new.rejected as f64;
         (self.updated_at, self.last_counts) = (now, counts);
     }
 
-    /// What came until now is not counted.
-    pub fn skip(&mut self, counts: RequestCounts) {
+    /// Leaves out what was counted since the last call.
+    pub(crate) fn skip(&mut self, counts: RequestCounts) {
         self.last_counts = counts;
     }
 
@@ -63,16 +80,17 @@
     }
 }
 
+/// The trial of one version.
 #[derive(Clone, Debug)]
-pub struct Trial {
+pub(crate) struct Trial {
     started_at: Ticks,
     counts_at_start: RequestCounts,
-    /// Part of asks refused before it.
+    /// The rejection rate before it.
     baseline: f64,
 }
 
 impl Trial {
-    pub fn start(now: Ticks, counts: RequestCounts, baseline: &Baseline) -> Self {
+    pub(crate) fn start(now: Ticks, counts: RequestCounts, baseline: &Baseline) -> Self {
         Trial {
             started_at: now,
             counts_at_start: counts,
@@ -80,8 +98,8 @@
         }
     }
 
-    /// The next version takes its place: what was usual before this one is still the measure.
-    pub fn restart(&self, now: Ticks, counts: RequestCounts) -> Self {
+    /// The trial of the version that replaces the one on trial, by the same baseline.
+    pub(crate) fn restart(&self, now: Ticks, counts: RequestCounts) -> Self {
         Trial {
             started_at: now,
             counts_at_start: counts,
@@ -89,38 +107,33 @@
         }
     }
 
-    /// As many asks as tell anything, and no harm.
-    pub fn shows_no_regression(&self, now: Ticks, counts: RequestCounts) -> bool {
-        let asked = counts
-            .requests
-            .saturating_sub(self.counts_at_start.requests) as f64;
-        asked >= MIN_REQUESTS && !matches!(self.verdict(now, counts), TrialVerdict::Regressed(_))
+    /// Whether there were enough requests to judge by, and no regression.
+    pub(crate) fn shows_no_regression(&self, now: Ticks, counts: RequestCounts) -> bool {
+        let requests = counts.since(self.counts_at_start).requests as f64;
+        let regressed = matches!(self.verdict(now, counts), TrialVerdict::Regressed(_));
+        requests >= MIN_REQUESTS && !regressed
     }
 
-    pub fn verdict(&self, now: Ticks, counts: RequestCounts) -> TrialVerdict {
-        let asked = counts
-            .requests
-            .saturating_sub(self.counts_at_start.requests) as f64;
-        let refused = counts
-            .rejected
-            .saturating_sub(self.counts_at_start.rejected) as f64;
+    pub(crate) fn verdict(&self, now: Ticks, counts: RequestCounts) -> TrialVerdict {
+        let counted = counts.since(self.counts_at_start);
+        let (requests, rejected) = (counted.requests as f64, counted.rejected as f64);
         let lasted = now.saturating_sub(self.started_at);
-        if asked >= MIN_REQUESTS {
-            let part = refused / asked;
-            let error = (part * (1.0 - part) / asked).sqrt();
-            if part - self.baseline > MIN_REJECTION_RISE.max(STANDARD_ERRORS * error) {
-                let percent = |part: f64| (part * 100.0).round();
+        let enough = requests >= MIN_REQUESTS;
+        if enough {
+            let rate = rejected / requests;
+            let standard_error = (rate * (1.0 - rate) / requests).sqrt();
+            let allowed = MAX_RATE_INCREASE.max(MAX_STANDARD_ERRORS * standard_error);
+            if rate - self.baseline > allowed {
+                let percent = |rate: f64| (rate * 100.0).round();
                 return TrialVerdict::Regressed(format!(
-                    "{}% of {asked} asks refused in {:.1} s, {}% before",
-                    percent(part),
-                    lasted as f64 / 10_000.0,
+                    "{}% of {requests} asks refused in {:.1} s, {}% before",
+                    percent(rate),
+                    lasted as f64 / TICKS_PER_SECOND,
                     percent(self.baseline)
                 ));
             }
         }
-        let over =
-            lasted >= TRIAL_DURATION && asked >= MIN_REQUESTS || lasted >= MAX_TRIAL_DURATION;
-        if over {
+        if enough && lasted >= TRIAL_DURATION || lasted >= MAX_TRIAL_DURATION {
             TrialVerdict::Passed
         } else {
             TrialVerdict::Continue
--- a/crates/config-sync/src/version_cache.rs
+++ b/crates/config-sync/src/version_cache.rs
@@ -1,99 +1,113 @@
-//! The newest version of a lineage, for those that no control service reaches.
+//! The newest version of a lineage, for dispatchers that no control service reaches.
 
 use crate::lineage::Lineage;
-use crate::subscriber::{Version, VersionPush};
+use crate::subscriber::{OfferedVersion, Version, VersionPush};
 use corkspan_config::version::{Digest, Texts, VersionId};
 
-/// What became of a version that was laid on a shelf.
+/// Sorts before each version there is.
+const NO_VERSION: VersionId = VersionId {
+    number: 0,
+    digest: Digest([0; 32]),
+};
+
+/// What became of a version that was to be stored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreOutcome {
+    /// It is the newest now.
     Stored,
-    /// As new a one lies there.
+    /// The cache has one of the same or a higher number.
     NotNewer,
-    /// It does not stand in the line of what lies there.
+    /// The version in the cache is none of its predecessors.
     OtherLineage,
-    /// What it says has another digest than it tells.
+    /// Its content has another digest than it states.
     DigestMismatch,
 }
 
-/// The newest version of a line, whole, held for others: at a dispatcher the one that it runs, at a
-/// keeper one that a dispatcher has laid there.
+/// The newest version of a lineage, complete: at a dispatcher the active one, at a quorum member
+/// the newest that a dispatcher has stored there.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct VersionCache {
-    newest: Option<(Version, bool)>,
+    newest: Option<OfferedVersion>,
     lineage: Lineage,
 }
 
 impl VersionCache {
-    /// What the caller runs from now on, and what its push told of the line. Checked by who took
-    /// it.
+    /// The version that is active here from now on, and the predecessors that its push named. The
+    /// caller has validated it.
     pub fn record_active(
         &mut self,
-        stamp: VersionId,
+        id: VersionId,
         texts: Texts,
-        cuts: bool,
+        allows_cuts: bool,
         predecessors: &[VersionId],
     ) {
         self.lineage
-            .extend(predecessors.iter().copied().chain([stamp]));
-        self.newest = Some((Version { id: stamp, texts }, cuts));
+            .extend(predecessors.iter().copied().chain([id]));
+        self.newest = Some(OfferedVersion {
+            version: Version { id, texts },
+            allows_cuts,
+        });
     }
 
-    /// What another lays here. `predecessors`: earlier versions in whose line it stands, as it says.
+    /// Stores a version that a dispatcher sends here. `predecessors` are earlier versions of its
+    /// lineage, as the sender says.
     pub fn store(
         &mut self,
-        stamp: VersionId,
+        id: VersionId,
         texts: Texts,
-        cuts: bool,
+        allows_cuts: bool,
         predecessors: &[VersionId],
     ) -> StoreOutcome {
-        if texts.digest() != stamp.digest {
+        if texts.digest() != id.digest {
             return StoreOutcome::DigestMismatch;
         }
-        if let Some((version, _)) = &self.newest {
-            if version.id.number >= stamp.number {
+        if let Some(newest) = self.newest() {
+            if newest.number >= id.number {
                 return StoreOutcome::NotNewer;
             }
-            // A rival's version would be handed to stragglers that could never take it.
-            if !predecessors.contains(&version.id) {
+            // Dispatchers of the lineage here could never take a version of another.
+            if !predecessors.contains(&newest) {
                 return StoreOutcome::OtherLineage;
             }
         }
-        self.record_active(stamp, texts, cuts, predecessors);
+        self.record_active(id, texts, allows_cuts, predecessors);
         StoreOutcome::Stored
     }
 
+    /// The version in the cache.
+    #[must_use]
     pub fn newest(&self) -> Option<VersionId> {
-        self.newest.as_ref().map(|(version, _)| version.id)
+        self.newest.as_ref().map(|newest| newest.version.id)
     }
 
-    /// For one that runs `theirs`: the whole of what lies here, if that is later. Named among what
-    /// it predecessors only where it is known to: the rest is for the straggler to refuse.
-    pub fn push_for(&self, theirs: VersionId) -> Option<VersionPush> {
-        let (version, cuts) = self
-            .newest
-            .as_ref()
-            .filter(|(lies, _)| lies.id.number > theirs.number)?;
+    /// A complete push for a dispatcher that runs `active`, if the version here is newer. `active`
+    /// is named as a predecessor only where it is known to be one; else the dispatcher rejects the
+    /// push.
+    #[must_use]
+    pub fn push_for(&self, active: VersionId) -> Option<VersionPush> {
+        let newest = self.newest.as_ref()?;
+        let OfferedVersion {
+            version: Version { id, texts },
+            allows_cuts,
+        } = newest;
+        if id.number <= active.number {
+            return None;
+        }
+        let known = self.lineage.contains(active).then_some(active);
         Some(VersionPush {
             nonce: 0,
-            version: version.id,
-            predecessors: Some(theirs)
-                .filter(|&theirs| self.lineage.contains(theirs))
-                .into_iter()
-                .collect(),
+            version: *id,
+            predecessors: known.into_iter().collect(),
             base: None,
-            changes: version.texts.clone(),
+            changes: texts.clone(),
             removed: Vec::new(),
-            allows_cuts: *cuts,
+            allows_cuts: *allows_cuts,
         })
     }
 
-    /// The same, to be laid on a shelf where `theirs` lies, if anything does.
-    pub fn push_to_store(&self, theirs: Option<VersionId>) -> Option<VersionPush> {
-        let none = VersionId {
-            number: 0,
-            digest: Digest([0; 32]),
-        };
-        self.push_for(theirs.unwrap_or(none))
+    /// A complete push for another cache that holds `newest`, if the version here is newer.
+    #[must_use]
+    pub fn push_to_store(&self, newest: Option<VersionId>) -> Option<VersionPush> {
+        self.push_for(newest.unwrap_or(NO_VERSION))
     }
 }
--- a/crates/config-sync/tests/decisions.rs
+++ b/crates/config-sync/tests/decisions.rs
@@ -3,8 +3,8 @@
 use corkspan_config::Deployment;
 use corkspan_config::version::{Texts, VersionId};
 use corkspan_config_sync::{
-    NextPush, PersistedVersions, Publisher, PushAdmission, PushReply, ReconnectBackoff,
-    RequestCounts, Subscriber, VersionPush, compatibility, stable_ids,
+    AddressedReply, NextPush, PersistedVersions, Publisher, PushAdmission, PushReply,
+    ReconnectBackoff, RequestCounts, Subscriber, VersionPush, compatibility, stable_ids,
 };
 use corkspan_scheduler::interface::*;
 use proptest::prelude::*;
@@ -42,7 +42,7 @@
 
 /// Puts a version in force.
 fn takes(own: &mut Subscriber, now: Ticks, number: u64, counts: RequestCounts) -> VersionId {
-    let running = own.active_version().0;
+    let running = own.active_version();
     let push = push(number, number, &[running]);
     assert!(matches!(own.admit(&push), PushAdmission::Validate(_)));
     let kept = own.prepare_trial(now, counts, push.version, push.changes);
@@ -50,6 +50,13 @@
     push.version
 }
 
+fn superseded(nonce: u64, by: u64) -> AddressedReply {
+    AddressedReply {
+        nonce,
+        reply: PushReply::Superseded(by),
+    }
+}
+
 fn counts(asked: u64, refused: u64) -> RequestCounts {
     RequestCounts {
         requests: asked,
@@ -62,13 +69,10 @@
     let mut own = subscriber();
     takes(&mut own, 0, 1, RequestCounts::default());
     assert_eq!(own.receive(push(10, 2, &[])), None);
-    assert_eq!(
-        own.receive(push(11, 4, &[])),
-        Some((10, PushReply::Superseded(11)))
-    );
+    assert_eq!(own.receive(push(11, 4, &[])), Some(superseded(10, 11)));
     assert_eq!(
         own.receive(push(12, 3, &[])),
-        Some((12, PushReply::Superseded(11))),
+        Some(superseded(12, 11)),
         "late, and older"
     );
     assert_eq!(own.next_push(100), NextPush::After(400));
@@ -80,7 +84,7 @@
 #[test]
 fn what_waits_of_a_broken_stream_is_not_looked_at() {
     let mut own = subscriber();
-    own.receive(push(10, 2, &[]));
+    assert_eq!(own.receive(push(10, 2, &[])), None);
     own.stream_closed();
     assert_eq!(own.take_push(), None);
 }
@@ -99,7 +103,7 @@
     for start in 0..3 {
         let (own, changed) = Subscriber::restore(texts(0), kept.clone(), 0);
         kept = changed.expect("each start is counted on disk");
-        assert_eq!(own.active_version().0, if start < 2 { two } else { one });
+        assert_eq!(own.active_version(), if start < 2 { two } else { one });
     }
     let (own, changed) = Subscriber::restore(texts(0), kept, 0);
     assert_eq!(changed, None);
@@ -132,13 +136,15 @@
         "not enough to tell by"
     );
     let all = counts(asked + 400, refused + 400 - spared);
-    let (kept, why) = own.evaluate_trial(2 * SECOND, all).expect("it is decided");
+    let outcome = own.evaluate_trial(2 * SECOND, all).expect("it is decided");
     assert!(
-        why.expect("with a reason")
+        outcome
+            .rollback_reason
+            .expect("with a reason")
             .contains("of 400 asks refused in 1.0 s")
     );
-    own.finish_trial(2 * SECOND, kept, all);
-    assert_eq!((own.active_version().0.number, own.on_trial()), (0, false));
+    own.finish_trial(2 * SECOND, outcome.persisted, all);
+    assert_eq!((own.active_version().number, own.on_trial()), (0, false));
 }
 
 #[test_case(1_000, 500, 1_000, 600; "of a crowded hour, a little more")]
@@ -151,13 +157,16 @@
     turned: u64,
 ) {
     let mut own = subscriber();
-    own.evaluate_trial(SECOND, counts(asked, refused));
+    assert_eq!(own.evaluate_trial(SECOND, counts(asked, refused)), None);
     let one = takes(&mut own, SECOND, 1, counts(asked, refused));
     let after = counts(asked + more, refused + turned);
     assert_eq!(own.evaluate_trial(30 * SECOND, after), None, "not yet");
-    let (kept, why) = own.evaluate_trial(151 * SECOND, after).expect("decided");
+    let outcome = own.evaluate_trial(151 * SECOND, after).expect("decided");
     assert_eq!(
-        (kept.last_good.as_ref().map(|good| good.id), why),
+        (
+            outcome.persisted.last_good.map(|good| good.id),
+            outcome.rollback_reason
+        ),
         (Some(one), None)
     );
 }
@@ -165,13 +174,14 @@
 #[test]
 fn the_measure_of_a_version_that_takes_a_bad_ones_place_is_from_before_both() {
     let mut own = subscriber();
-    own.evaluate_trial(SECOND, counts(1_000, 0));
+    assert_eq!(own.evaluate_trial(SECOND, counts(1_000, 0)), None);
     takes(&mut own, SECOND, 1, counts(1_000, 0));
     takes(&mut own, 2 * SECOND, 2, counts(1_040, 40));
-    let (_, why) = own
+    let outcome = own
         .evaluate_trial(3 * SECOND, counts(1_140, 140))
         .expect("decided");
-    assert!(why.expect("a reason").contains("0% before"));
+    let reason = outcome.rollback_reason.expect("a reason");
+    assert!(reason.contains("0% before"));
 }
 
 proptest! {
@@ -296,7 +306,7 @@
             takes(&mut own, 0, number, RequestCounts::default());
         }
     }
-    let running = own.active_version().0;
+    let running = own.active_version();
     books.subscriber_connected(
         7,
         if ours {
--- a/crates/config-sync/tests/recorded/changes.rs
+++ b/crates/config-sync/tests/recorded/changes.rs
@@ -72,7 +72,7 @@
             ..file.clone()
         }
     };
-    let fits = |rows| stable_ids::assign(&with_rows(rows), file.clone(), |_| 1).is_some();
+    let fits = |rows| stable_ids::assign(&with_rows(rows), file.clone(), |_| 1).is_ok();
     let known = file.tracks.len();
     assert!(fits(20_000 - known) && !fits(20_001 - known));
 }
--- a/crates/config-sync/tests/recorded/dispatcher.rs
+++ b/crates/config-sync/tests/recorded/dispatcher.rs
@@ -74,8 +74,12 @@
     pub fn receive(&mut self, push: VersionPush, out: &mut String) {
         let text = push_text(&push);
         let reply = self.subscriber.receive(push);
-        let reply = optional(reply.as_ref(), |(nonce, reply)| {
-            format!("{} to nonce {nonce}", reply_text(reply))
+        let reply = optional(reply.as_ref(), |answered| {
+            format!(
+                "{} to nonce {}",
+                reply_text(&answered.reply),
+                answered.nonce
+            )
         });
         writeln!(out, "receive {text}: {reply}").unwrap();
     }
@@ -106,11 +110,13 @@
 
     pub fn observe(&mut self, out: &mut String) {
         let outcome = self.subscriber.evaluate_trial(self.now, self.counts);
-        let text = optional(outcome.as_ref(), |(disk, reason)| {
+        let text = optional(outcome.as_ref(), |outcome| {
             format!(
                 "{}; {}",
-                disk_text(disk),
-                optional(reason.as_ref(), |why| format!("given up: {why}"))
+                disk_text(&outcome.persisted),
+                optional(outcome.rollback_reason.as_ref(), |why| format!(
+                    "given up: {why}"
+                ))
             )
         });
         let RequestCounts { requests, rejected } = self.counts;
@@ -120,7 +126,8 @@
             self.now
         )
         .unwrap();
-        if let Some((disk, _)) = outcome {
+        if let Some(outcome) = outcome {
+            let disk = outcome.persisted;
             self.disk = disk.clone();
             self.subscriber.finish_trial(self.now, disk, self.counts);
             self.state(out);
@@ -137,7 +144,8 @@
     }
 
     pub fn state(&self, out: &mut String) {
-        let (running, texts) = self.subscriber.active_version();
+        let running = self.subscriber.active_version();
+        let texts = self.subscriber.active_texts();
         assert_eq!(self.subscriber.persisted(), &self.disk);
         let trial = if self.subscriber.on_trial() {
             "on trial"
--- a/crates/config-sync/tests/recorded/publisher.rs
+++ b/crates/config-sync/tests/recorded/publisher.rs
@@ -29,12 +29,12 @@
                     writeln!(out, "publish {}", id_text(version)).unwrap();
                 }
                 4 | 5 => {
-                    let running = peer.subscriber.active_version().0;
+                    let running = peer.subscriber.active_version();
                     publisher.subscriber_connected(who, running);
                     writeln!(out, "{who} opens with {}", id_text(running)).unwrap();
                 }
                 6 => {
-                    let running = peer.subscriber.active_version().0;
+                    let running = peer.subscriber.active_version();
                     let credited =
                         publisher.receive_reply(who, old_nonce, &PushReply::Unchanged, running);
                     writeln!(
@@ -59,7 +59,7 @@
                         };
                     }
                     old_nonce = push.nonce;
-                    let running = peer.subscriber.active_version().0;
+                    let running = peer.subscriber.active_version();
                     let credited = publisher.receive_reply(who, push.nonce, &reply, running);
                     writeln!(
                         out,
@@ -72,8 +72,9 @@
             }
             for who in 0..3 {
                 let running = optional(publisher.active_version(who).as_ref(), |id| id_text(*id));
-                let rejected = optional(publisher.last_rejection(who), |(id, why)| {
-                    format!("{} for {}", id_text(*id), why.join(" / "))
+                let rejected = optional(publisher.last_rejection(who), |rejection| {
+                    let reasons = rejection.reasons.join(" / ");
+                    format!("{} for {reasons}", id_text(rejection.version))
                 });
                 writeln!(out, "  {who} runs {running}, rejected {rejected}").unwrap();
             }
--- a/crates/config-sync/tests/recorded/stored_forms.rs
+++ b/crates/config-sync/tests/recorded/stored_forms.rs
@@ -76,7 +76,7 @@
     };
     let (own, changed) = Subscriber::restore(parts(0), kept, 0);
     assert_eq!(
-        (own.active_version(), changed),
-        ((version_id(7, 7), &parts(7)), None)
+        (own.active_version(), own.active_texts(), changed),
+        (version_id(7, 7), &parts(7), None)
     );
 }
--- a/crates/config-sync/tests/recorded/subscriber.rs
+++ b/crates/config-sync/tests/recorded/subscriber.rs
@@ -116,7 +116,7 @@
 }
 
 fn random_push(rng: &mut Pcg64Mcg, nonce: u64, own: &Subscriber) -> VersionPush {
-    let (running, texts) = own.active_version();
+    let (running, texts) = (own.active_version(), own.active_texts());
     let number = (running.number + rng.random_range(0..6)).saturating_sub(1);
     let content = rng.random_range(0..12);
     let version = version_id(number, content);
--- a/crates/config-sync/tests/recorded/transcript.rs
+++ b/crates/config-sync/tests/recorded/transcript.rs
@@ -105,8 +105,8 @@
     format!(
         "good {}, trial {}, given up {}",
         optional(disk.last_good.as_ref(), version_text),
-        optional(disk.trial.as_ref(), |(version, starts)| {
-            format!("{} started {starts}", version_text(version))
+        optional(disk.trial.as_ref(), |trial| {
+            format!("{} started {}", version_text(&trial.version), trial.starts)
         }),
         ids_text(&disk.rolled_back)
     )
--- a/crates/config-sync/tests/state_space.rs
+++ b/crates/config-sync/tests/state_space.rs
@@ -9,7 +9,8 @@
 
 use corkspan_config::version::{Texts, VersionId};
 use corkspan_config_sync::{
-    PersistedVersions, Publisher, PushAdmission, PushReply, RequestCounts, Subscriber, VersionPush,
+    PersistedVersions, Publisher, PushAdmission, PushReply, Rejection, RequestCounts, Subscriber,
+    VersionPush,
 };
 use std::collections::HashSet;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -132,7 +133,7 @@
             Event::Open(who) => {
                 let peer = &mut peers[who];
                 let own = peer.own.as_ref().filter(|_| !peer.open)?;
-                books.subscriber_connected(who as u32, own.active_version().0);
+                books.subscriber_connected(who as u32, own.active_version());
                 peer.open = true;
             }
             Event::Rival(who) => {
@@ -140,7 +141,7 @@
                 let own = peer.own.as_ref().filter(|_| !peer.open)?;
                 let mut rival = Publisher::default();
                 rival.publish(texts(4), false);
-                rival.subscriber_connected(0, own.active_version().0);
+                rival.subscriber_connected(0, own.active_version());
                 peer.pushes.extend(rival.push_for(0));
                 (peer.open, peer.rival) = (true, true);
             }
@@ -158,8 +159,8 @@
                     return None;
                 }
                 let push = peer.pushes.remove(0);
-                if let Some((nonce, said)) = peer.own.as_mut()?.receive(push) {
-                    peer.say(nonce, said);
+                if let Some(answered) = peer.own.as_mut()?.receive(push) {
+                    peer.say(answered.nonce, answered.reply);
                 }
             }
             Event::Look(who) => {
@@ -219,10 +220,10 @@
                     requests: 1_000,
                     rejected: 1_000,
                 };
-                let (kept, _) = own.evaluate_trial(0, all)?;
+                let kept = own.evaluate_trial(0, all)?.persisted;
                 peer.disk = kept.clone();
                 own.finish_trial(0, kept, all);
-                let running = own.active_version().0;
+                let running = own.active_version();
                 // Told unasked: no push is answered by it.
                 if peer.open {
                     peer.answers.push((0, PushReply::Unchanged, running));
@@ -255,12 +256,12 @@
     fn sound(&self, before: &World, event: Event) -> Result<(), String> {
         for (who, (peer, earlier)) in std::iter::zip(&self.peers, &before.peers).enumerate() {
             let Some(own) = &peer.own else { continue };
-            let (running, whole) = own.active_version();
+            let (running, whole) = (own.active_version(), own.active_texts());
             if !sound(whole) {
                 return Err(format!("{running} is unsound and in force at {who}"));
             }
             let on_disk = |kept: &PersistedVersions| {
-                let trial = kept.trial.as_ref().map(|(version, _)| version.id);
+                let trial = kept.trial.as_ref().map(|trial| trial.version.id);
                 running.number == 0
                     || trial == Some(running)
                     || kept.last_good.as_ref().map(|good| good.id) == Some(running)
@@ -272,7 +273,7 @@
             let former = earlier
                 .own
                 .as_ref()
-                .map_or(running, |own| own.active_version().0);
+                .map_or(running, |own| own.active_version());
             let gives_up = matches!(event, Event::Harm(_));
             if former != running && former.number >= running.number && !gives_up {
                 return Err(format!("{who} went from {former} to {running}"));
@@ -284,7 +285,10 @@
                     self.books.active_version(who as u32)
                 ));
             }
-            if let Some((stamp, why)) = self.books.last_rejection(who as u32)
+            if let Some(Rejection {
+                version: stamp,
+                reasons: why,
+            }) = self.books.last_rejection(who as u32)
                 && stamp.digest != texts(2).digest()
                 && !why.iter().any(|why| why.contains("given up"))
                 && !(running.digest == texts(4).digest() && running.number > 0)
@@ -305,7 +309,7 @@
     }
 
     fn say(&mut self, nonce: u64, said: PushReply) {
-        let running = self.own.as_ref().map(|own| own.active_version().0);
+        let running = self.own.as_ref().map(|own| own.active_version());
         if let Some(running) = running.filter(|_| self.open) {
             self.answers.push((nonce, said, running));
         }
--- a/crates/dispatcher/src/active_version.rs
+++ b/crates/dispatcher/src/active_version.rs
@@ -46,7 +46,7 @@
         let mut kept = path.as_deref().map(version_files::read).unwrap_or_default();
         let mut start = loop {
             let (subscriber, changed) = Subscriber::restore(file.texts.clone(), kept.clone(), now);
-            let (stamp, texts) = subscriber.active_version();
+            let (stamp, texts) = (subscriber.active_version(), subscriber.active_texts());
             let in_force = match stamp.number {
                 0 => Ok(file.clone()),
                 _ => file
@@ -74,7 +74,7 @@
                 "a version on trial is given up: this dispatcher was started under it again and again"
             );
         }
-        RUNNING.store(subscriber.active_version().0.number, Ordering::Relaxed);
+        RUNNING.store(subscriber.active_version().number, Ordering::Relaxed);
         let (service, applied, refused, superseded, refused_last, shelf) = Default::default();
         let state = State {
             subscriber,
@@ -99,7 +99,8 @@
     /// Versions that earlier lives had in force: each was taken as one that follows the one before.
     pub fn learn(&self, earlier: impl Iterator<Item = VersionId>) {
         self.with(|state| {
-            let (stamp, texts) = state.subscriber.active_version();
+            let subscriber = &state.subscriber;
+            let (stamp, texts) = (subscriber.active_version(), subscriber.active_texts());
             let before: Vec<VersionId> = earlier
                 .filter(|own| (1..stamp.number).contains(&own.number))
                 .collect();
@@ -142,7 +143,7 @@
     /// answered on the stream.
     pub fn status(&self, in_force: &Deployment) -> v1::VersionStatus {
         self.with(|state| {
-            let running = state.subscriber.active_version().0;
+            let running = state.subscriber.active_version();
             let kept = state.subscriber.persisted();
             let (refused_last, why) = state.refused_last.clone().unzip();
             v1::VersionStatus {
--- a/crates/dispatcher/src/config_stream.rs
+++ b/crates/dispatcher/src/config_stream.rs
@@ -53,7 +53,7 @@
                 PushReply::Unchanged | PushReply::FullRequired => {}
             }
             (
-                state.subscriber.active_version().0,
+                state.subscriber.active_version(),
                 state.subscriber.on_trial(),
             )
         });
@@ -80,7 +80,7 @@
     fn tell(&self, versions: &Versions, answer: Answer, why: Vec<String>) -> bool {
         let (running, on_trial) = versions.with(|state| {
             (
-                state.subscriber.active_version().0,
+                state.subscriber.active_version(),
                 state.subscriber.on_trial(),
             )
         });
@@ -230,8 +230,8 @@
             .then_some(())
             .ok_or_else(|| "it does not read its answers".into());
     };
-    if let Some((passed, said)) = desk.versions.with(|state| state.subscriber.receive(push))
-        && !answers.say(&desk.versions, passed, &said)
+    if let Some(superseded) = desk.versions.with(|state| state.subscriber.receive(push))
+        && !answers.say(&desk.versions, superseded.nonce, &superseded.reply)
     {
         return Err("it does not read its answers".into());
     }
@@ -294,12 +294,13 @@
         let versions = &desk.versions;
         let _step = versions.step.lock().await;
         let now = desk.clock.now();
-        let Some((kept, why)) =
+        let Some(outcome) =
             versions.with(|state| state.subscriber.evaluate_trial(now, counts(&desk)))
         else {
             continue;
         };
-        let before = versions.with(|state| state.subscriber.active_version().0);
+        let (kept, why) = (outcome.persisted, outcome.rollback_reason);
+        let before = versions.with(|state| state.subscriber.active_version());
         if let Some(why) = &why {
             // In force before it is on disk: what does harm must not go on because a disk is full.
             let version = kept
@@ -328,11 +329,11 @@
             state
                 .subscriber
                 .finish_trial(desk.clock.now(), kept, counts(&desk));
-            let (stamp, texts) = state.subscriber.active_version();
+            let stamp = state.subscriber.active_version();
             RUNNING.store(stamp.number, Ordering::Relaxed);
             if why.is_some() {
                 // What was given up here is not handed on.
-                let texts = texts.clone();
+                let texts = state.subscriber.active_texts().clone();
                 state.shelf = VersionCache::default();
                 if stamp.number > 0 {
                     state.shelf.record_active(stamp, texts, false, &[]);
--- a/crates/dispatcher/src/core.rs
+++ b/crates/dispatcher/src/core.rs
@@ -162,7 +162,7 @@
         self.with(|now, host, _| {
             let by_track = host.by_track();
             let in_use = |track| by_track.get(&track).copied().unwrap_or(0);
-            let Some(next) = stable_ids::assign(&self.deployment(), next, in_use) else {
+            let Ok(next) = stable_ids::assign(&self.deployment(), next, in_use) else {
                 return false;
             };
             host.adopt(now, cluster(&next), next.bounds.in_hand);
--- a/crates/dispatcher/src/minimum_version.rs
+++ b/crates/dispatcher/src/minimum_version.rs
@@ -119,7 +119,7 @@
 async fn tell(desk: &Arc<Desk>, own: &FloorWatch) -> Vec<v1::KeepWord> {
     let (running, on_trial) = desk.versions.with(|state| {
         (
-            state.subscriber.active_version().0,
+            state.subscriber.active_version(),
             state.subscriber.on_trial(),
         )
     });
--- a/crates/dispatcher/src/version_files.rs
+++ b/crates/dispatcher/src/version_files.rs
@@ -2,7 +2,7 @@
 //! before is kept beside, so that a torn one costs one step and no guess.
 
 use corkspan_config::version::{Digest, Texts, VersionId};
-use corkspan_config_sync::{PersistedVersions, Version};
+use corkspan_config_sync::{PersistedVersions, TrialVersion, Version};
 use serde::{Deserialize, Serialize};
 use std::path::{Path, PathBuf};
 use tracing::warn;
@@ -75,7 +75,7 @@
         trial: kept
             .trial
             .as_ref()
-            .map(|(version, starts)| (Whole::of(version), *starts)),
+            .map(|trial| (Whole::of(&trial.version), trial.starts)),
         given_up: kept
             .rolled_back
             .iter()
@@ -152,9 +152,10 @@
         .good
         .map(|whole| whole.version().ok_or_else(wrong))
         .transpose()?;
-    let trial = body
-        .trial
-        .map(|(whole, starts)| Ok::<_, String>((whole.version().ok_or_else(wrong)?, starts)));
+    let trial = body.trial.map(|(whole, starts)| {
+        let version = whole.version().ok_or_else(wrong)?;
+        Ok::<_, String>(TrialVersion { version, starts })
+    });
     let given_up = body
         .given_up
         .iter()
--- a/crates/dispatcher/tests/stored_files.rs
+++ b/crates/dispatcher/tests/stored_files.rs
@@ -2,7 +2,7 @@
 //! tests/data were written by release 0.2.0; they are never written anew.
 
 use corkspan_config::version::{Texts, VersionId};
-use corkspan_config_sync::{PersistedVersions, Version};
+use corkspan_config_sync::{PersistedVersions, TrialVersion, Version};
 use corkspan_dispatcher::endpoint_list::Roster;
 use corkspan_dispatcher::rollout_control::{Held, Pair, Store};
 use corkspan_dispatcher::version_files;
@@ -241,7 +241,10 @@
 fn kept() -> PersistedVersions {
     PersistedVersions {
         last_good: Some(version(4, "(calm 0.5)")),
-        trial: Some((version(6, "(calm 0.75)"), 2)),
+        trial: Some(TrialVersion {
+            version: version(6, "(calm 0.75)"),
+            starts: 2,
+        }),
         rolled_back: vec![version(3, "a").id, version(5, "b").id],
     }
 }
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -2,8 +2,8 @@
 //! the "not yet" queue and the one timer. No I/O, no clock of its own, and no decision: those are
 //! asked of [`corkspan_scheduler::Scheduler`], whose answers go straight to the caller's [`Wire`].
 
-use corkspan_scheduler::interface::*;
 use corkspan_scheduler::Scheduler;
+use corkspan_scheduler::interface::*;
 use fnv::FnvHasher;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::hash::Hasher;
