--- a/crates/lab/src/loads.rs
+++ b/crates/lab/src/loads.rs
@@ -105,11 +105,11 @@
         "{rate} asks/s: {} of {} arrived, {:.1} a second sent; late by p50 {} us, p99 {} us, most {} us; {}",
         caught.len(),
         intended.len(),
-        report.sent_a_second,
+        report.sent_per_second,
         us(0.5),
         us(0.99),
         us(1.0),
-        if report.behind {
+        if report.fell_behind {
             "it fell behind"
         } else {
             "it kept up"
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -296,7 +296,7 @@
 ) -> Result<(), String> {
     use corkspan_load_generator::run::Loop;
     let plan = corkspan_load_generator::plan::Plan::load(file).map_err(|why| why.to_string())?;
-    let lasts = plan.shape.lasts();
+    let lasts = plan.shape.duration();
     // Said now: a load that is lost at its end for want of a folder is dear.
     if let Some(out) = out {
         std::fs::create_dir_all(out).map_err(|why| format!("{}: {why}", out.display()))?;
@@ -336,7 +336,7 @@
         let text = std::fs::read(&path).map_err(|why| place(why.to_string()))?;
         let report: corkspan_load_generator::tally::Report =
             serde_json::from_slice(&text).map_err(|why| place(why.to_string()))?;
-        if report.behind {
+        if report.fell_behind {
             eprintln!("{}: its generator fell behind", path.display());
         }
         Ok::<_, String>(report)
@@ -352,8 +352,8 @@
             "{:<28} {:+10.3}, from {:+.3} to {:+.3}: {:?}",
             figure.name(),
             told.difference,
-            told.from,
-            told.to,
+            told.low,
+            told.high,
             told.verdict
         );
     }
--- a/crates/lab/tests/full_path/loads.rs
+++ b/crates/lab/tests/full_path/loads.rs
@@ -1,7 +1,7 @@
 //! What the load generator tells of a dispatcher that stands still.
 
 use corkspan_lab::loads;
-use corkspan_load_generator::tally::Fate;
+use corkspan_load_generator::tally::Outcome;
 use std::time::Duration;
 
 #[test]
@@ -13,10 +13,10 @@
     let whole = pause.as_micros() as u64;
     // The first ask due after it began to stand waits for nearly all of it; one in a hundred is due
     // within 40 ms of that.
-    assert!(open.from_intended.most + 20_000 >= whole, "{open:?}");
+    assert!(open.from_intended.max + 20_000 >= whole, "{open:?}");
     assert!(open.from_intended.p99 * 10 >= whole * 9, "{open:?}");
     assert!(
-        open.fates.get(&Fate::Placed).copied().unwrap_or(0) >= 390,
+        open.outcomes.get(&Outcome::Placed).copied().unwrap_or(0) >= 390,
         "{open:?}"
     );
     assert!(
--- a/crates/load-generator/src/compare.rs
+++ b/crates/load-generator/src/compare.rs
@@ -1,15 +1,15 @@
 //! Two variants on the same loads: paired differences, how sure they are, and a plain verdict.
 
-use crate::tally::{Fate, Report};
+use crate::tally::{Outcome, Report};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
 /// Resamples that the interval is read from, and the part of them that it holds.
 const RESAMPLES: usize = 4_000;
-const SURE: f64 = 0.95;
+const CONFIDENCE: f64 = 0.95;
 /// Pairs from which anything can be told: with fewer even the plainest order comes by chance too
 /// often.
-const FEWEST: usize = 5;
+const MIN_PAIRS: usize = 5;
 
 /// What is compared, smaller being better in all.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -46,12 +46,12 @@
             Figure::P50 => worst(|own| own.p50),
             Figure::P99 => worst(|own| own.p99),
             Figure::NotPlaced => {
-                let fates = || report.kinds.iter().flat_map(|kind| &kind.fates);
-                let placed: u64 = fates()
-                    .filter(|(fate, _)| **fate == Fate::Placed)
-                    .map(|(_, many)| many)
+                let outcomes = || report.kinds.iter().flat_map(|kind| &kind.outcomes);
+                let placed: u64 = outcomes()
+                    .filter(|(outcome, _)| **outcome == Outcome::Placed)
+                    .map(|(_, count)| count)
                     .sum();
-                let all: u64 = fates().map(|(_, many)| many).sum();
+                let all: u64 = outcomes().map(|(_, count)| count).sum();
                 1.0 - placed as f64 / all.max(1) as f64
             }
         }
@@ -66,28 +66,28 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Compared {
+pub struct Comparison {
     /// Mean of new less old, pair by pair, and the interval that holds it.
     pub difference: f64,
-    pub from: f64,
-    pub to: f64,
+    pub low: f64,
+    pub high: f64,
     pub verdict: Verdict,
 }
 
 /// Compares pairs of (old, new) on the same load. The interval is read from the pairs drawn anew
 /// many times, the same for the same seed.
-pub fn compare(pairs: &[(f64, f64)], seed: u64) -> Compared {
+pub fn compare(pairs: &[(f64, f64)], seed: u64) -> Comparison {
     let differences: Vec<f64> = pairs.iter().map(|(old, new)| new - old).collect();
     let mean = |values: &mut dyn Iterator<Item = f64>| {
         values.sum::<f64>() / differences.len().max(1) as f64
     };
     let difference = mean(&mut differences.iter().copied());
-    if differences.len() < FEWEST {
-        let (from, to) = (f64::NEG_INFINITY, f64::INFINITY);
-        return Compared {
+    if differences.len() < MIN_PAIRS {
+        let (low, high) = (f64::NEG_INFINITY, f64::INFINITY);
+        return Comparison {
             difference,
-            from,
-            to,
+            low,
+            high,
             verdict: Verdict::CanNotTell,
         };
     }
@@ -102,16 +102,16 @@
         .collect();
     means.sort_by(f64::total_cmp);
     let at = |part: f64| means[((RESAMPLES as f64 * part) as usize).min(RESAMPLES - 1)];
-    let (from, to) = (at((1.0 - SURE) / 2.0), at((1.0 + SURE) / 2.0));
-    let verdict = match (from, to) {
-        (_, to) if to < 0.0 => Verdict::Better,
-        (from, _) if from > 0.0 => Verdict::Worse,
+    let (low, high) = (at((1.0 - CONFIDENCE) / 2.0), at((1.0 + CONFIDENCE) / 2.0));
+    let verdict = match (low, high) {
+        (_, high) if high < 0.0 => Verdict::Better,
+        (low, _) if low > 0.0 => Verdict::Worse,
         _ => Verdict::CanNotTell,
     };
-    Compared {
+    Comparison {
         difference,
-        from,
-        to,
+        low,
+        high,
         verdict,
     }
 }
--- a/crates/load-generator/src/plan.rs
+++ b/crates/load-generator/src/plan.rs
@@ -1,23 +1,23 @@
 //! The load file: an S-expression. docs/load.md has its grammar.
 
-use crate::mix::Kind;
+use crate::mix::WorkloadKind;
 use crate::shape::{Phase, Shape, Spacing};
 use corkspan_config::sexp::{self, Fault, Form};
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
 /// Asks of one load at the most.
-const MOST: f64 = 50_000_000.0;
+const MAX_REQUESTS: f64 = 50_000_000.0;
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
     pub shape: Shape,
-    pub kinds: Vec<Kind>,
+    pub kinds: Vec<WorkloadKind>,
     pub seed: u64,
     /// Asks under way at a time; what is due beyond them is counted as not sent.
-    pub under_way: usize,
+    pub max_in_flight: usize,
     /// Links to each dispatcher.
-    pub links: usize,
+    pub connections: usize,
 }
 
 impl Plan {
@@ -59,18 +59,18 @@
                 shape,
                 kinds,
                 seed: parts.or("seed", 1, |form| form.whole(0, u64::MAX))?,
-                under_way: parts.or("under-way", 20_000, |form| {
+                max_in_flight: parts.or("under-way", 20_000, |form| {
                     Ok(form.whole(1, 1_000_000)? as usize)
                 })?,
-                links: parts.or("links", 4, |form| Ok(form.whole(1, 1_000)? as usize))?,
+                connections: parts.or("links", 4, |form| Ok(form.whole(1, 1_000)? as usize))?,
             })
         })
     }
 
     pub fn names(&self) -> Vec<String> {
-        let name = |kind: &Kind| match &kind.account[..] {
-            "" => kind.track.clone(),
-            account => format!("{} of {account}", kind.track),
+        let name = |kind: &WorkloadKind| match &kind.tenant[..] {
+            "" => kind.service_class.clone(),
+            tenant => format!("{} of {tenant}", kind.service_class),
         };
         self.kinds.iter().map(name).collect()
     }
@@ -81,7 +81,7 @@
 }
 
 fn phases(form: &Form) -> Result<Vec<Phase>, Fault> {
-    let mut asks = 0.0;
+    let mut requests = 0.0;
     let mut phases = Vec::new();
     for form in form.all(&["constant", "ramp", "burst"])? {
         let phase = match form.name {
@@ -89,37 +89,37 @@
                 let parts = form.parts(&["for", "rate"])?;
                 let rate = parts.need("rate")?.amount()?;
                 Phase {
-                    lasts: span(parts.need("for")?)?,
+                    duration: span(parts.need("for")?)?,
                     from: rate,
                     to: rate,
-                    at_once: 0,
+                    burst: 0,
                 }
             }
             "ramp" => {
                 let parts = form.parts(&["for", "from", "to"])?;
                 let (from, to) = (parts.need("from")?.amount()?, parts.need("to")?.amount()?);
                 Phase {
-                    lasts: span(parts.need("for")?)?,
+                    duration: span(parts.need("for")?)?,
                     from,
                     to,
-                    at_once: 0,
+                    burst: 0,
                 }
             }
             _ => {
                 let parts = form.parts(&["asks"])?;
-                let asks = parts.need("asks")?.whole(1, 1_000_000)? as u32;
+                let burst = parts.need("asks")?.whole(1, 1_000_000)? as u32;
                 Phase {
-                    lasts: Duration::ZERO,
+                    duration: Duration::ZERO,
                     from: 0.0,
                     to: 0.0,
-                    at_once: asks,
+                    burst,
                 }
             }
         };
-        asks +=
-            (phase.from + phase.to) / 2.0 * phase.lasts.as_secs_f64() + f64::from(phase.at_once);
-        if asks > MOST {
-            return Err(form.fault(format!("comes to more than {MOST} asks")));
+        requests +=
+            (phase.from + phase.to) / 2.0 * phase.duration.as_secs_f64() + f64::from(phase.burst);
+        if requests > MAX_REQUESTS {
+            return Err(form.fault(format!("comes to more than {MAX_REQUESTS} asks")));
         }
         phases.push(phase);
     }
@@ -129,7 +129,7 @@
     }
 }
 
-fn kind(form: &Form) -> Result<Kind, Fault> {
+fn kind(form: &Form) -> Result<WorkloadKind, Fault> {
     let parts = form.parts(&[
         "account",
         "services",
@@ -139,16 +139,16 @@
         "life",
         "abandon-time",
     ])?;
-    Ok(Kind {
-        track: form.name.into(),
-        account: parts.or("account", String::new(), |form| {
+    Ok(WorkloadKind {
+        service_class: form.name.into(),
+        tenant: parts.or("account", String::new(), |form| {
             Ok(form.word()?.to_string())
         })?,
         services: parts.or("services", 10, |form| Ok(form.whole(1, 1_000_000)? as u32))?,
         weight: parts.or("weight", 1.0, Form::above_zero)?,
         cores: parts.need("cores")?.above_zero()?,
         memory: parts.need("memory")?.above_zero()?,
-        life_ms: parts.need("life")?.time()? / 10,
+        lifetime_ms: parts.need("life")?.time()? / 10,
         abandon_ms: (parts.need("abandon-time")?.time()? / 10).max(1),
     })
 }
@@ -175,8 +175,8 @@
         if times.last().is_some_and(|last| *last > time) {
             return Err(fault(format!("line {line}: before the line above it")));
         }
-        if times.len() as f64 >= MOST {
-            return Err(fault(format!("more than {MOST} times")));
+        if times.len() as f64 >= MAX_REQUESTS {
+            return Err(fault(format!("more than {MAX_REQUESTS} times")));
         }
         times.push(time);
     }
--- a/crates/load-generator/src/plot.rs
+++ b/crates/load-generator/src/plot.rs
@@ -4,7 +4,7 @@
 use plotters::prelude::*;
 use std::path::Path;
 
-type Failed = Box<dyn std::error::Error>;
+type DrawError = Box<dyn std::error::Error>;
 /// A line's name, its colour, and what it shows of a second.
 type Line = (&'static str, RGBColor, fn(&Second) -> u64);
 
@@ -13,7 +13,7 @@
     charts(report, path).map_err(|why| format!("{}: {why}", path.display()))
 }
 
-fn charts(report: &Report, path: &Path) -> Result<(), Failed> {
+fn charts(report: &Report, path: &Path) -> Result<(), DrawError> {
     let root = SVGBackend::new(path, (900, 640)).into_drawing_area();
     root.fill(&WHITE)?;
     let (upper, lower) = root.split_vertically(320);
@@ -39,7 +39,7 @@
     let lines: [Line; 4] = [
         ("intended", BLACK, |second| second.intended),
         ("placed", RGBColor(40, 120, 60), |second| second.placed),
-        ("refused", RGBColor(210, 130, 0), |second| second.refused),
+        ("refused", RGBColor(210, 130, 0), |second| second.rejected),
         ("lost", RED, |second| second.lost),
     ];
     for (name, colour, of) in lines {
--- a/crates/load-generator/src/run.rs
+++ b/crates/load-generator/src/run.rs
@@ -2,7 +2,7 @@
 
 use crate::mix::Mix;
 use crate::plan::Plan;
-use crate::tally::{Fate, Report, Shot, Tally};
+use crate::tally::{Outcome, Report, RequestRecord, Tally};
 use async_io::Timer;
 use corkspan_api::v1::{self, placement_client::PlacementClient, word::Word};
 use corkspan_rpc::{Bounds, Link, Tasks, within};
@@ -10,42 +10,42 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// An answer is waited for this much longer than its owner would.
-const LATE: Duration = Duration::from_secs(2);
+/// An answer is waited for this much longer than its client would.
+const ANSWER_GRACE: Duration = Duration::from_secs(2);
 
 /// Why a load was not sent.
 #[derive(Debug, thiserror::Error)]
-pub enum NotRun {
+pub enum RunError {
     #[error("no dispatcher is named")]
     NoDispatcher,
     #[error("{0}: {1}")]
-    NoLink(SocketAddr, corkspan_rpc::NoLink),
+    Connect(SocketAddr, corkspan_rpc::NoLink),
 }
 
 /// How asks follow each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Loop {
     Open,
-    /// So many owners, each of which asks again as soon as it has its answer, for as long as the
+    /// So many clients, each of which asks again as soon as it has its answer, for as long as the
     /// load lasts. For comparison alone: its figures leave out whatever nobody was there to
     /// ask.
     Closed(usize),
 }
 
-struct Way {
+struct DispatcherConnections {
     to: SocketAddr,
-    links: Vec<Mutex<Link>>,
+    pool: Vec<Mutex<Link>>,
 }
 
 /// Where asks leave: one dispatcher after the other, one link after the other.
-struct Ways {
+struct Connections {
     tasks: Tasks,
     bounds: Bounds,
-    all: Vec<Way>,
+    all: Vec<DispatcherConnections>,
 }
 
-impl Ways {
-    async fn open(tasks: &Tasks, to: &[SocketAddr], links: usize) -> Result<Self, NotRun> {
+impl Connections {
+    async fn open(tasks: &Tasks, to: &[SocketAddr], links: usize) -> Result<Self, RunError> {
         let bounds = Bounds {
             connect_within: Duration::from_secs(5),
             ..Bounds::default()
@@ -56,14 +56,14 @@
             for _ in 0..links {
                 let link = Link::open(tasks, to, &bounds)
                     .await
-                    .map_err(|why| NotRun::NoLink(to, why))?;
+                    .map_err(|why| RunError::Connect(to, why))?;
                 own.push(Mutex::new(link));
             }
-            all.push(Way { to, links: own });
+            all.push(DispatcherConnections { to, pool: own });
         }
         match all.is_empty() {
-            true => Err(NotRun::NoDispatcher),
-            false => Ok(Ways {
+            true => Err(RunError::NoDispatcher),
+            false => Ok(Connections {
                 tasks: Arc::clone(tasks),
                 bounds,
                 all,
@@ -73,38 +73,40 @@
 
     /// The link of this ask; one that broke is opened anew, once.
     async fn link(&self, number: usize) -> Option<Link> {
-        let way = &self.all[number % self.all.len()];
-        let place = &way.links[number / self.all.len() % way.links.len()];
+        let dispatcher = &self.all[number % self.all.len()];
+        let place = &dispatcher.pool[number / self.all.len() % dispatcher.pool.len()];
         let link = place.lock().unwrap_or_else(PoisonError::into_inner).clone();
         if link.stands() {
             return Some(link);
         }
-        let fresh = Link::open(&self.tasks, way.to, &self.bounds).await.ok()?;
+        let fresh = Link::open(&self.tasks, dispatcher.to, &self.bounds)
+            .await
+            .ok()?;
         *place.lock().unwrap_or_else(PoisonError::into_inner) = fresh.clone();
         Some(fresh)
     }
 }
 
-struct Books {
+struct RunContext {
     plan: Plan,
-    ways: Ways,
+    connections: Connections,
     began: Instant,
     /// Names of this run's asks are no other run's.
     run: u64,
     tally: Mutex<Tally>,
-    under_way: Arc<()>,
+    in_flight: Arc<()>,
 }
 
-impl Books {
-    fn count(&self, shot: &Shot) {
+impl RunContext {
+    fn record(&self, request: &RequestRecord) {
         self.tally
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
-            .count(shot);
+            .record(request);
     }
 
     /// One ask up to its answer; what was placed lives on for as long as its words are listened to.
-    async fn ask(
+    async fn send_request(
         &self,
         number: usize,
         kind: usize,
@@ -116,18 +118,18 @@
         let ask = v1::Ask {
             placing: name.clone(),
             task: name,
-            service: format!("{}-{service}", own.track),
-            track: own.track.clone(),
-            account: own.account.clone(),
+            service: format!("{}-{service}", own.service_class),
+            track: own.service_class.clone(),
+            account: own.tenant.clone(),
             cores: own.cores,
             memory: own.memory,
-            life_ms: own.life_ms,
+            life_ms: own.lifetime_ms,
             abandon_ms: own.abandon_ms,
             again: false,
         };
         let sent = self.began.elapsed();
         let answer = async {
-            let link = self.ways.link(number).await?;
+            let link = self.connections.link(number).await?;
             let mut words = PlacementClient::new(link)
                 .place(ask)
                 .await
@@ -136,31 +138,31 @@
             let first = words.message().await.ok()??.word?;
             Some((first, words))
         };
-        let latest = Duration::from_millis(own.abandon_ms) + LATE;
+        let latest = Duration::from_millis(own.abandon_ms) + ANSWER_GRACE;
         let answer = within(latest, Box::pin(answer)).await.flatten();
         let answered = self.began.elapsed();
-        let fate = match &answer {
-            Some((Word::Placed(_), _)) => Fate::Placed,
-            Some((Word::Refused(_), _)) => Fate::Refused,
-            Some((Word::Failed(_), _)) => Fate::Failed,
-            _ => Fate::Unanswered,
+        let outcome = match &answer {
+            Some((Word::Placed(_), _)) => Outcome::Placed,
+            Some((Word::Refused(_), _)) => Outcome::Rejected,
+            Some((Word::Failed(_), _)) => Outcome::Failed,
+            _ => Outcome::Unanswered,
         };
-        self.count(&Shot {
+        self.record(&RequestRecord {
             kind,
             intended,
             sent,
             answered,
-            fate,
+            outcome,
         });
-        let life = Duration::from_millis(own.life_ms);
+        let life = Duration::from_millis(own.lifetime_ms);
         answer
-            .filter(|_| fate == Fate::Placed)
+            .filter(|_| outcome == Outcome::Placed)
             .map(|(_, words)| (words, life))
     }
 }
 
 /// To end the call would be to say that the allocation is not wanted.
-async fn live(mut words: tonic::Streaming<v1::Word>, life: Duration) {
+async fn hold_open(mut words: tonic::Streaming<v1::Word>, life: Duration) {
     let rest = async { while let Ok(Some(_)) = words.message().await {} };
     within(life + Duration::from_secs(60), Box::pin(rest)).await;
 }
@@ -171,120 +173,126 @@
     tasks: &Tasks,
     plan: Plan,
     to: &[SocketAddr],
-    how: Loop,
+    model: Loop,
     began: Instant,
-    mut tell: impl FnMut(Duration, usize),
-) -> Result<Report, NotRun> {
-    let ways = Ways::open(tasks, to, plan.links).await?;
-    let (names, lasts) = (plan.names(), plan.shape.lasts());
+    mut progress: impl FnMut(Duration, usize),
+) -> Result<Report, RunError> {
+    let connections = Connections::open(tasks, to, plan.connections).await?;
+    let (names, duration) = (plan.names(), plan.shape.duration());
     let run = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
     let run = run.map_or(0, |since| since.as_micros() as u64);
     let tally = Mutex::new(Tally::new(plan.kinds.len()));
-    let books = Arc::new(Books {
+    let context = Arc::new(RunContext {
         plan,
-        ways,
+        connections,
         began,
         run,
         tally,
-        under_way: Arc::new(()),
+        in_flight: Arc::new(()),
     });
-    match how {
-        Loop::Open => open(tasks, &books, &mut tell).await,
-        Loop::Closed(owners) => closed(tasks, &books, owners, lasts).await,
+    match model {
+        Loop::Open => open(tasks, &context, &mut progress).await,
+        Loop::Closed(clients) => closed(tasks, &context, clients, duration).await,
     }
     // Lives go on after the last answer: they are let go with the links.
-    let latest = books
+    let latest = context
         .plan
         .kinds
         .iter()
         .map(|kind| kind.abandon_ms)
         .max()
         .unwrap_or(0);
-    let latest = Instant::now() + Duration::from_millis(latest) + 2 * LATE;
+    let latest = Instant::now() + Duration::from_millis(latest) + 2 * ANSWER_GRACE;
     let all = || {
-        let tally = books.tally.lock().unwrap_or_else(PoisonError::into_inner);
-        tally.counted()
+        let tally = context.tally.lock().unwrap_or_else(PoisonError::into_inner);
+        tally.recorded()
     };
-    let sent = books
+    let sent = context
         .tally
         .lock()
         .unwrap_or_else(PoisonError::into_inner)
-        .begun();
+        .started();
     while all() < sent && Instant::now() < latest {
         Timer::after(Duration::from_millis(10)).await;
     }
-    let tally = books.tally.lock().unwrap_or_else(PoisonError::into_inner);
-    Ok(tally.report(&names, lasts))
+    let tally = context.tally.lock().unwrap_or_else(PoisonError::into_inner);
+    Ok(tally.report(&names, duration))
 }
 
-async fn open(tasks: &Tasks, books: &Arc<Books>, tell: &mut impl FnMut(Duration, usize)) {
-    let mut mix = Mix::new(&books.plan.kinds, books.plan.seed);
-    let mut told = 0;
-    for (number, intended) in books.plan.shape.arrivals(books.plan.seed).enumerate() {
+async fn open(
+    tasks: &Tasks,
+    context: &Arc<RunContext>,
+    progress: &mut impl FnMut(Duration, usize),
+) {
+    let mut mix = Mix::new(&context.plan.kinds, context.plan.seed);
+    let mut reported = 0;
+    for (number, intended) in context.plan.shape.arrivals(context.plan.seed).enumerate() {
         let (kind, service) = mix.draw();
-        let due = books.began + intended;
+        let due = context.began + intended;
         if due > Instant::now() {
             Timer::at(due).await;
         }
-        if intended.as_secs() > told {
-            told = intended.as_secs();
-            tell(intended, number);
+        if intended.as_secs() > reported {
+            reported = intended.as_secs();
+            progress(intended, number);
         }
-        books
+        context
             .tally
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
-            .begin();
-        if Arc::strong_count(&books.under_way) > books.plan.under_way {
-            let at = books.began.elapsed();
-            books.count(&Shot {
+            .start();
+        if Arc::strong_count(&context.in_flight) > context.plan.max_in_flight {
+            let at = context.began.elapsed();
+            context.record(&RequestRecord {
                 kind,
                 intended,
                 sent: at,
                 answered: at,
-                fate: Fate::NotSent,
+                outcome: Outcome::NotSent,
             });
             continue;
         }
-        let (books, under_way) = (Arc::clone(books), Arc::clone(&books.under_way));
+        let (context, in_flight) = (Arc::clone(context), Arc::clone(&context.in_flight));
         let ask = async move {
-            let placed = books.ask(number, kind, service, intended).await;
-            drop((under_way, books));
+            let placed = context.send_request(number, kind, service, intended).await;
+            drop((in_flight, context));
             if let Some((words, life)) = placed {
-                live(words, life).await;
+                hold_open(words, life).await;
             }
         };
         tasks.spawn(ask).detach();
     }
 }
 
-async fn closed(tasks: &Tasks, books: &Arc<Books>, owners: usize, lasts: Duration) {
-    let owners: Vec<_> = (0..owners)
-        .map(|owner| {
-            let (books, own) = (Arc::clone(books), Arc::clone(tasks));
+async fn closed(tasks: &Tasks, context: &Arc<RunContext>, clients: usize, duration: Duration) {
+    let clients: Vec<_> = (0..clients)
+        .map(|client| {
+            let (context, own) = (Arc::clone(context), Arc::clone(tasks));
             tasks.spawn(async move {
-                let seed = books.plan.seed ^ (owner as u64) << 32;
-                let kinds = books.plan.kinds.clone();
+                let seed = context.plan.seed ^ (client as u64) << 32;
+                let kinds = context.plan.kinds.clone();
                 let mut mix = Mix::new(&kinds, seed);
-                let mut number = owner << 32;
-                while books.began.elapsed() < lasts {
+                let mut number = client << 32;
+                while context.began.elapsed() < duration {
                     let (kind, service) = mix.draw();
-                    books
+                    context
                         .tally
                         .lock()
                         .unwrap_or_else(PoisonError::into_inner)
-                        .begin();
+                        .start();
                     // Meant to go out when it does: that is what is wrong with it.
-                    let intended = books.began.elapsed();
-                    if let Some((words, life)) = books.ask(number, kind, service, intended).await {
-                        own.spawn(live(words, life)).detach();
+                    let intended = context.began.elapsed();
+                    if let Some((words, life)) =
+                        context.send_request(number, kind, service, intended).await
+                    {
+                        own.spawn(hold_open(words, life)).detach();
                     }
                     number += 1;
                 }
             })
         })
         .collect();
-    for owner in owners {
-        owner.await;
+    for client in clients {
+        client.await;
     }
 }
--- a/crates/load-generator/src/shape.rs
+++ b/crates/load-generator/src/shape.rs
@@ -7,11 +7,11 @@
 /// A stretch of time with a rate that stays or moves evenly, in asks a second.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Phase {
-    pub lasts: Duration,
+    pub duration: Duration,
     pub from: f64,
     pub to: f64,
     /// Asks that all come at its beginning, on top.
-    pub at_once: u32,
+    pub burst: u32,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -30,9 +30,9 @@
 }
 
 impl Shape {
-    pub fn lasts(&self) -> Duration {
+    pub fn duration(&self) -> Duration {
         match self {
-            Shape::Phases(phases, _) => phases.iter().map(|phase| phase.lasts).sum(),
+            Shape::Phases(phases, _) => phases.iter().map(|phase| phase.duration).sum(),
             Shape::Recorded(times) => times.last().copied().unwrap_or_default(),
         }
     }
@@ -45,8 +45,8 @@
             index: 0,
             at: 0.0,
             began: 0.0,
-            left_at_once: match self {
-                Shape::Phases(phases, _) => phases.first().map_or(0, |phase| phase.at_once),
+            left_in_burst: match self {
+                Shape::Phases(phases, _) => phases.first().map_or(0, |phase| phase.burst),
                 Shape::Recorded(_) => 0,
             },
         }
@@ -61,7 +61,7 @@
     /// Seconds since the phase began, and when that was.
     at: f64,
     began: f64,
-    left_at_once: u32,
+    left_in_burst: u32,
 }
 
 impl Iterator for Arrivals<'_> {
@@ -75,35 +75,35 @@
             }
             Shape::Phases(phases, spacing) => (phases, *spacing),
         };
-        if self.left_at_once > 0 {
-            self.left_at_once -= 1;
+        if self.left_in_burst > 0 {
+            self.left_in_burst -= 1;
             return Some(Duration::from_secs_f64(self.began));
         }
         // So much must come together of rate times time: one ask's worth, or as chance has it.
-        let mut wanted = match spacing {
+        let mut needed = match spacing {
             Spacing::Even => 1.0,
             Spacing::Poisson => -(1.0 - self.rng.random::<f64>()).ln(),
         };
         loop {
             let phase = phases.get(self.index)?;
-            let length = phase.lasts.as_secs_f64();
-            let steeper = if length > 0.0 {
+            let length = phase.duration.as_secs_f64();
+            let slope = if length > 0.0 {
                 (phase.to - phase.from) / length
             } else {
                 0.0
             };
-            let rate = phase.from + steeper * self.at;
+            let rate = phase.from + slope * self.at;
             let left = length - self.at;
-            let whole = rate * left + steeper * left * left / 2.0;
-            if whole > wanted {
-                self.at += time_for(wanted, rate, steeper).min(left);
+            let total = rate * left + slope * left * left / 2.0;
+            if total > needed {
+                self.at += time_for(needed, rate, slope).min(left);
                 return Some(Duration::from_secs_f64(self.began + self.at));
             }
-            wanted -= whole.max(0.0);
+            needed -= total.max(0.0);
             (self.index, self.began, self.at) = (self.index + 1, self.began + length, 0.0);
             let next = phases.get(self.index)?;
-            if next.at_once > 0 {
-                self.left_at_once = next.at_once - 1;
+            if next.burst > 0 {
+                self.left_in_burst = next.burst - 1;
                 return Some(Duration::from_secs_f64(self.began));
             }
         }
@@ -111,11 +111,11 @@
 }
 
 /// How long until so much has come together, at a rate that grows so.
-fn time_for(wanted: f64, rate: f64, steeper: f64) -> f64 {
-    if steeper.abs() < 1e-12 {
-        return wanted / rate;
+fn time_for(needed: f64, rate: f64, slope: f64) -> f64 {
+    if slope.abs() < 1e-12 {
+        return needed / rate;
     }
     // The smaller root, in the form that loses no digits where the slope is slight.
-    let root = (rate * rate + 2.0 * steeper * wanted).max(0.0).sqrt();
-    2.0 * wanted / (rate + root)
+    let root = (rate * rate + 2.0 * slope * needed).max(0.0).sqrt();
+    2.0 * needed / (rate + root)
 }
--- a/crates/load-generator/src/tally.rs
+++ b/crates/load-generator/src/tally.rs
@@ -9,9 +9,11 @@
 /// How an ask ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Fate {
+pub enum Outcome {
     Placed,
-    Refused,
+    /// Rejected, certain to have had no effect.
+    #[serde(rename = "refused")]
+    Rejected,
     Failed,
     /// No final answer: the link broke, or the owner's time was up.
     Unanswered,
@@ -21,27 +23,27 @@
 
 /// One ask, by times since the beginning.
 #[derive(Clone, Copy, Debug)]
-pub struct Shot {
+pub struct RequestRecord {
     pub kind: usize,
     pub intended: Duration,
     pub sent: Duration,
     pub answered: Duration,
-    pub fate: Fate,
+    pub outcome: Outcome,
 }
 
 /// A generator whose asks leave so late, at the 99th percentile, has not offered the load that it
 /// was to.
-pub const BEHIND: Duration = Duration::from_millis(10);
+pub const MAX_LAG: Duration = Duration::from_millis(10);
 
 pub struct Tally {
     /// By kind, of answered asks.
     from_intended: Vec<Histogram<u64>>,
     from_sent: Vec<Histogram<u64>>,
     lag: Histogram<u64>,
-    fates: Vec<BTreeMap<Fate, u64>>,
+    outcomes: Vec<BTreeMap<Outcome, u64>>,
     seconds: BTreeMap<u64, Second>,
     last_sent: Duration,
-    begun: u64,
+    started: u64,
 }
 
 /// One second of intended time.
@@ -50,7 +52,8 @@
     pub at: u64,
     pub intended: u64,
     pub placed: u64,
-    pub refused: u64,
+    #[serde(rename = "refused")]
+    pub rejected: u64,
     pub lost: u64,
     /// Slowest answer, from its intended time.
     pub slowest_us: u64,
@@ -63,7 +66,8 @@
     pub p50: u64,
     pub p99: u64,
     pub p999: u64,
-    pub most: u64,
+    #[serde(rename = "most")]
+    pub max: u64,
 }
 
 /// All of it, to keep.
@@ -72,17 +76,21 @@
     pub kinds: Vec<KindReport>,
     /// From the time that an ask was to go out until it did.
     pub lag: Quantiles,
-    pub intended_a_second: f64,
-    pub sent_a_second: f64,
+    #[serde(rename = "intended_a_second")]
+    pub intended_per_second: f64,
+    #[serde(rename = "sent_a_second")]
+    pub sent_per_second: f64,
     /// The generator did not keep up: what it tells is not the dispatcher's alone.
-    pub behind: bool,
+    #[serde(rename = "behind")]
+    pub fell_behind: bool,
     pub seconds: Vec<Second>,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct KindReport {
     pub name: String,
-    pub fates: BTreeMap<Fate, u64>,
+    #[serde(rename = "fates")]
+    pub outcomes: BTreeMap<Outcome, u64>,
     pub from_intended: Quantiles,
     /// What a client sees that counts from its own send: for comparison.
     pub from_sent: Quantiles,
@@ -99,7 +107,7 @@
         p50: at(0.5),
         p99: at(0.99),
         p999: at(0.999),
-        most: of.max(),
+        max: of.max(),
     }
 }
 
@@ -113,77 +121,79 @@
             from_intended: (0..kinds).map(|_| histogram()).collect(),
             from_sent: (0..kinds).map(|_| histogram()).collect(),
             lag: histogram(),
-            fates: vec![BTreeMap::new(); kinds],
+            outcomes: vec![BTreeMap::new(); kinds],
             seconds: BTreeMap::new(),
             last_sent: Duration::ZERO,
-            begun: 0,
+            started: 0,
         }
     }
 
     /// One is due, and will be counted.
-    pub fn begin(&mut self) {
-        self.begun += 1;
+    pub fn start(&mut self) {
+        self.started += 1;
     }
 
-    pub fn begun(&self) -> u64 {
-        self.begun
+    pub fn started(&self) -> u64 {
+        self.started
     }
 
-    pub fn counted(&self) -> u64 {
+    pub fn recorded(&self) -> u64 {
         self.seconds.values().map(|second| second.intended).sum()
     }
 
-    pub fn count(&mut self, shot: &Shot) {
-        let at = shot.intended.as_secs();
+    pub fn record(&mut self, request: &RequestRecord) {
+        let at = request.intended.as_secs();
         let second = self.seconds.entry(at).or_insert_with(|| Second {
             at,
             ..Second::default()
         });
         second.intended += 1;
-        *self.fates[shot.kind].entry(shot.fate).or_default() += 1;
-        if shot.fate == Fate::NotSent {
+        *self.outcomes[request.kind]
+            .entry(request.outcome)
+            .or_default() += 1;
+        if request.outcome == Outcome::NotSent {
             second.lost += 1;
             return;
         }
-        self.last_sent = self.last_sent.max(shot.sent);
+        self.last_sent = self.last_sent.max(request.sent);
         self.lag
-            .saturating_record(micros(shot.sent.saturating_sub(shot.intended)));
-        let late = micros(shot.answered.saturating_sub(shot.intended));
+            .saturating_record(micros(request.sent.saturating_sub(request.intended)));
+        let late = micros(request.answered.saturating_sub(request.intended));
         second.slowest_us = second.slowest_us.max(late);
-        match shot.fate {
-            Fate::Placed => second.placed += 1,
-            Fate::Refused => second.refused += 1,
-            Fate::Failed | Fate::Unanswered | Fate::NotSent => second.lost += 1,
+        match request.outcome {
+            Outcome::Placed => second.placed += 1,
+            Outcome::Rejected => second.rejected += 1,
+            Outcome::Failed | Outcome::Unanswered | Outcome::NotSent => second.lost += 1,
         }
         // One without an answer took at least as long as it was waited for: left out, it would
         // flatter.
-        self.from_intended[shot.kind].saturating_record(late);
-        self.from_sent[shot.kind]
-            .saturating_record(micros(shot.answered.saturating_sub(shot.sent)));
+        self.from_intended[request.kind].saturating_record(late);
+        self.from_sent[request.kind]
+            .saturating_record(micros(request.answered.saturating_sub(request.sent)));
     }
 
     /// `lasts`: of the load as intended.
-    pub fn report(&self, names: &[String], lasts: Duration) -> Report {
+    pub fn report(&self, names: &[String], duration: Duration) -> Report {
         let kinds = names.iter().enumerate().map(|(kind, name)| KindReport {
             name: name.clone(),
-            fates: self.fates[kind].clone(),
+            outcomes: self.outcomes[kind].clone(),
             from_intended: quantiles(&self.from_intended[kind]),
             from_sent: quantiles(&self.from_sent[kind]),
         });
         let intended: u64 = self.seconds.values().map(|second| second.intended).sum();
         let not_sent: u64 = self
-            .fates
+            .outcomes
             .iter()
-            .filter_map(|fates| fates.get(&Fate::NotSent))
+            .filter_map(|outcomes| outcomes.get(&Outcome::NotSent))
             .sum();
         let lag = quantiles(&self.lag);
         let seconds = |time: Duration| time.as_secs_f64().max(1e-6);
         Report {
             kinds: kinds.collect(),
             lag,
-            intended_a_second: intended as f64 / seconds(lasts),
-            sent_a_second: (intended - not_sent) as f64 / seconds(lasts.max(self.last_sent)),
-            behind: lag.p99 > BEHIND.as_micros() as u64 || not_sent > 0,
+            intended_per_second: intended as f64 / seconds(duration),
+            sent_per_second: (intended - not_sent) as f64 / seconds(duration.max(self.last_sent)),
+            fell_behind: lag.p99 > MAX_LAG.as_micros() as u64 || not_sent > 0,
             seconds: self.seconds.values().cloned().collect(),
         }
     }
@@ -195,32 +205,32 @@
         writeln!(
             f,
             "intended {:.1} asks/s, sent {:.1}",
-            self.intended_a_second, self.sent_a_second
+            self.intended_per_second, self.sent_per_second
         )?;
         writeln!(
             f,
             "lag of the generator: p50 {:.1} ms, p99 {:.1}, most {:.1}",
             ms(self.lag.p50),
             ms(self.lag.p99),
-            ms(self.lag.most)
+            ms(self.lag.max)
         )?;
-        if self.behind {
+        if self.fell_behind {
             writeln!(
                 f,
                 "THE GENERATOR FELL BEHIND: these figures are not the dispatcher's alone"
             )?;
         }
         for kind in &self.kinds {
-            let count = |fate| kind.fates.get(&fate).copied().unwrap_or(0);
+            let count = |outcome| kind.outcomes.get(&outcome).copied().unwrap_or(0);
             writeln!(
                 f,
                 "{}: placed {}, refused {}, failed {}, unanswered {}, not sent {}",
                 kind.name,
-                count(Fate::Placed),
-                count(Fate::Refused),
-                count(Fate::Failed),
-                count(Fate::Unanswered),
-                count(Fate::NotSent)
+                count(Outcome::Placed),
+                count(Outcome::Rejected),
+                count(Outcome::Failed),
+                count(Outcome::Unanswered),
+                count(Outcome::NotSent)
             )?;
             for (from, own) in [
                 ("intended time", kind.from_intended),
@@ -232,7 +242,7 @@
                     ms(own.p50),
                     ms(own.p99),
                     ms(own.p999),
-                    ms(own.most)
+                    ms(own.max)
                 )?;
             }
         }
--- a/crates/load-generator/tests/recorded.rs
+++ b/crates/load-generator/tests/recorded.rs
@@ -4,7 +4,7 @@
 use corkspan_load_generator::compare::{Figure, compare};
 use corkspan_load_generator::mix::Mix;
 use corkspan_load_generator::plan::Plan;
-use corkspan_load_generator::tally::{Fate, Report, Shot, Tally};
+use corkspan_load_generator::tally::{Outcome, Report, RequestRecord, Tally};
 use std::fmt::Write;
 use std::path::Path;
 use std::time::Duration;
@@ -48,25 +48,25 @@
         let (kind, _) = mix.draw();
         let number = number as u64;
         let sent = intended + Duration::from_micros(number * 37 % 20_000);
-        let fates = [
-            Fate::Placed,
-            Fate::Placed,
-            Fate::Refused,
-            Fate::Placed,
-            Fate::Failed,
-            Fate::Unanswered,
-            Fate::NotSent,
+        let outcomes = [
+            Outcome::Placed,
+            Outcome::Placed,
+            Outcome::Rejected,
+            Outcome::Placed,
+            Outcome::Failed,
+            Outcome::Unanswered,
+            Outcome::NotSent,
         ];
-        tally.begin();
-        tally.count(&Shot {
+        tally.start();
+        tally.record(&RequestRecord {
             kind,
             intended,
             sent,
             answered: sent + Duration::from_micros(500 + number * 7919 % 90_000),
-            fate: fates[number as usize % fates.len()],
+            outcome: outcomes[number as usize % outcomes.len()],
         });
     }
-    tally.report(&plan.names(), plan.shape.lasts())
+    tally.report(&plan.names(), plan.shape.duration())
 }
 
 /// The figures of the kept report, and the verdict on pairs made from each.
@@ -82,7 +82,7 @@
             })
             .collect();
         let compared = compare(&pairs, 3);
-        let (difference, from, to) = (compared.difference, compared.from, compared.to);
+        let (difference, from, to) = (compared.difference, compared.low, compared.high);
         let (name, verdict) = (figure.name(), compared.verdict);
         writeln!(text, "{name}: {value} {difference} {from} {to} {verdict:?}").expect("text");
     }
--- a/crates/load-generator/tests/stories.rs
+++ b/crates/load-generator/tests/stories.rs
@@ -1,10 +1,10 @@
 //! When asks go out and what is counted of them, one story for each way that a load can lie.
 
 use corkspan_load_generator::compare::{Verdict, compare};
-use corkspan_load_generator::mix::{Kind, Mix};
+use corkspan_load_generator::mix::{Mix, WorkloadKind};
 use corkspan_load_generator::plan::Plan;
 use corkspan_load_generator::shape::{Phase, Shape, Spacing};
-use corkspan_load_generator::tally::{Fate, Shot, Tally};
+use corkspan_load_generator::tally::{Outcome, RequestRecord, Tally};
 use proptest::prelude::*;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -18,10 +18,10 @@
 
 fn phase(seconds: u64, from: f64, to: f64) -> Phase {
     Phase {
-        lasts: Duration::from_secs(seconds),
+        duration: Duration::from_secs(seconds),
         from,
         to,
-        at_once: 0,
+        burst: 0,
     }
 }
 
@@ -54,10 +54,10 @@
 #[test]
 fn a_burst_comes_all_at_its_moment() {
     let burst = Phase {
-        lasts: Duration::ZERO,
+        duration: Duration::ZERO,
         from: 0.0,
         to: 0.0,
-        at_once: 300,
+        burst: 300,
     };
     let times = times(
         vec![phase(1, 10.0, 10.0), burst, phase(1, 10.0, 10.0)],
@@ -76,17 +76,17 @@
         rates in prop::collection::vec((0.0..500.0f64, 0.0..500.0f64, 1..4u64, 0..50u32), 1..6),
         seed in any::<u64>(),
     ) {
-        let phases: Vec<Phase> = rates.iter().map(|&(from, to, seconds, at_once)| {
-            Phase { lasts: Duration::from_secs(seconds), from, to, at_once }
+        let phases: Vec<Phase> = rates.iter().map(|&(from, to, seconds, burst)| {
+            Phase { duration: Duration::from_secs(seconds), from, to, burst }
         }).collect();
         let meant: f64 = phases.iter().map(|own| {
-            (own.from + own.to) / 2.0 * own.lasts.as_secs_f64() + f64::from(own.at_once)
+            (own.from + own.to) / 2.0 * own.duration.as_secs_f64() + f64::from(own.burst)
         }).sum();
         for spacing in [Spacing::Even, Spacing::Poisson] {
             let shape = Shape::Phases(phases.clone(), spacing);
             let times: Vec<Duration> = shape.arrivals(seed).collect();
             prop_assert!(times.is_sorted());
-            prop_assert!(times.last().is_none_or(|last| *last <= shape.lasts() + ms(1)));
+            prop_assert!(times.last().is_none_or(|last| *last <= shape.duration() + ms(1)));
             let off = (times.len() as f64 - meant).abs();
             let slack = if spacing == Spacing::Even { rates.len() as f64 + 1.0 } else { 6.0 * meant.sqrt() + 6.0 };
             prop_assert!(off <= slack, "{} for {meant}", times.len());
@@ -97,14 +97,14 @@
 
 #[test]
 fn kinds_come_by_their_weight() {
-    let kind = |track: &str, weight| Kind {
-        track: track.into(),
-        account: String::new(),
+    let kind = |service_class: &str, weight| WorkloadKind {
+        service_class: service_class.into(),
+        tenant: String::new(),
         services: 3,
         weight,
         cores: 1.0,
         memory: 1.0,
-        life_ms: 1,
+        lifetime_ms: 1,
         abandon_ms: 1,
     };
     let kinds = [kind("often", 99.0), kind("seldom", 1.0)];
@@ -113,38 +113,41 @@
     assert!((60..150).contains(&seldom), "{seldom}");
 }
 
-fn shot(intended: u64, sent: u64, answered: u64, fate: Fate) -> Shot {
-    Shot {
+fn request(intended: u64, sent: u64, answered: u64, outcome: Outcome) -> RequestRecord {
+    RequestRecord {
         kind: 0,
         intended: ms(intended),
         sent: ms(sent),
         answered: ms(answered),
-        fate,
+        outcome,
     }
 }
 
 #[test]
 fn an_ask_that_leaves_late_is_counted_from_when_it_was_meant_to() {
     let mut tally = Tally::new(1);
-    (0..100).for_each(|at| tally.count(&shot(at * 10, 1_000, 1_005, Fate::Placed)));
+    (0..100).for_each(|at| tally.record(&request(at * 10, 1_000, 1_005, Outcome::Placed)));
     let report = tally.report(&["web".into()], ms(1_000));
     let own = &report.kinds[0];
     assert!(
-        own.from_intended.p50 > 500_000 && own.from_sent.most < 5_100,
+        own.from_intended.p50 > 500_000 && own.from_sent.max < 5_100,
         "{own:?}"
     );
-    assert!(report.behind, "and the generator says that it was late");
+    assert!(
+        report.fell_behind,
+        "and the generator says that it was late"
+    );
 }
 
 #[test]
 fn what_was_never_answered_or_never_sent_is_not_left_out() {
     let mut tally = Tally::new(1);
-    (0..98).for_each(|at| tally.count(&shot(at, at, at + 1, Fate::Placed)));
-    tally.count(&shot(98, 98, 8_098, Fate::Unanswered));
-    tally.count(&shot(99, 99, 99, Fate::NotSent));
+    (0..98).for_each(|at| tally.record(&request(at, at, at + 1, Outcome::Placed)));
+    tally.record(&request(98, 98, 8_098, Outcome::Unanswered));
+    tally.record(&request(99, 99, 99, Outcome::NotSent));
     let report = tally.report(&["web".into()], ms(100));
-    assert!(report.kinds[0].from_intended.most >= 7_990_000);
-    assert!(report.behind && report.kinds[0].fates[&Fate::NotSent] == 1);
+    assert!(report.kinds[0].from_intended.max >= 7_990_000);
+    assert!(report.fell_behind && report.kinds[0].outcomes[&Outcome::NotSent] == 1);
     assert!(report.to_string().contains("FELL BEHIND"));
 }
 
