--- a/crates/api/tests/wire_contract.rs
+++ b/crates/api/tests/wire_contract.rs
@@ -154,12 +154,12 @@
         numbers.map(name).collect::<Vec<_>>().join(" ")
     };
     let links = names(0..6, &|number| {
-        let kind = v1::link_count::Kind::try_from(number).expect("a known number");
+        let kind = v1::connection_traffic::Kind::try_from(number).expect("a known number");
         kind.as_str_name().to_string()
     });
     assert_eq!(links, "ROSTER CONTROL KEEPERS DISPATCHERS NODES OWNERS");
     let refusals = names(0..7, &|number| {
-        let why = v1::refused::Why::try_from(number).expect("a known number");
+        let why = v1::rejected::RejectionReason::try_from(number).expect("a known number");
         format!("{why:?}")
     });
     assert_eq!(
@@ -167,7 +167,7 @@
         "NotTold NoRoom TooMany Stopping BadAsk InHand Behind"
     );
     let ends = names(0..8, &|number| {
-        let how = v1::ended::How::try_from(number).expect("a known number");
+        let how = v1::ended::EndReason::try_from(number).expect("a known number");
         format!("{how:?}")
     });
     assert_eq!(
@@ -199,39 +199,39 @@
 fn recorded_messages_are_read_and_written_back_to_the_same_bytes() {
     let mut checked = Vec::new();
     let all = &mut checked;
-    check::<v1::Told>("Control.Stream.request", all);
-    check::<v1::Push>("Control.Stream.response", all);
-    check::<v1::ActsAsk>("Node.Acts.request", all);
-    check::<v1::ActsWord>("Node.Acts.response", all);
-    check::<v1::Shot>("Node.Attend.request", all);
-    check::<v1::Said>("Node.Attend.response", all);
-    check::<v1::DoorAsk>("Node.Door.request", all);
-    check::<v1::DoorWord>("Node.Door.response", all);
+    check::<v1::PushReply>("Control.Stream.request", all);
+    check::<v1::VersionPush>("Control.Stream.response", all);
+    check::<v1::OperationsRequest>("Node.Acts.request", all);
+    check::<v1::OperationsResponse>("Node.Acts.response", all);
+    check::<v1::AttemptRequest>("Node.Attend.request", all);
+    check::<v1::AttemptEvent>("Node.Attend.response", all);
+    check::<v1::CordonRequest>("Node.Door.request", all);
+    check::<v1::CordonResponse>("Node.Door.response", all);
     check::<v1::Greeting>("Node.Greet.request", all);
-    check::<v1::KeepAsk>("Node.Keep.request", all);
-    check::<v1::KeepWord>("Node.Keep.response", all);
-    check::<v1::ProbeAsk>("Node.Probe.request", all);
-    check::<v1::ProbeWord>("Node.Probe.response", all);
-    check::<v1::StopAsk>("Node.Stop.request", all);
-    check::<v1::StopWord>("Node.Stop.response", all);
-    check::<v1::Running>("Placement.HandOver.request", all);
-    check::<v1::Word>("Placement.HandOver.response", all);
-    check::<v1::Ask>("Placement.Place.request", all);
-    check::<v1::StatusAsk>("Placement.Status.request", all);
-    check::<v1::StatusWord>("Placement.Status.response", all);
-    check::<v1::ChangeAsk>("Rolls.Change.request", all);
-    check::<v1::RollWord>("Rolls.Change.response", all);
-    check::<v1::MaintainAsk>("Rolls.Maintain.request", all);
-    check::<v1::MaintainWord>("Rolls.Maintain.response", all);
-    check::<v1::RollAsk>("Rolls.Start.request", all);
-    check::<v1::RollStatusAsk>("Rolls.Status.request", all);
-    check::<v1::RollStatus>("Rolls.Status.response", all);
-    check::<v1::ListAsk>("Roster.List.request", all);
-    check::<v1::Listing>("Roster.List.response", all);
-    check::<v1::GiveAsk>("Versions.Give.request", all);
-    check::<v1::FloorAsk>("Versions.Raise.request", all);
-    check::<v1::FloorWord>("Versions.Raise.response", all);
-    check::<v1::VersionStatusAsk>("Versions.Status.request", all);
+    check::<v1::QuorumRequest>("Node.Keep.request", all);
+    check::<v1::QuorumResponse>("Node.Keep.response", all);
+    check::<v1::HealthCheckRequest>("Node.Probe.request", all);
+    check::<v1::HealthCheckResponse>("Node.Probe.response", all);
+    check::<v1::StopRequest>("Node.Stop.request", all);
+    check::<v1::StopResponse>("Node.Stop.response", all);
+    check::<v1::HandOverRequest>("Placement.HandOver.request", all);
+    check::<v1::PlacementEvent>("Placement.HandOver.response", all);
+    check::<v1::PlacementRequest>("Placement.Place.request", all);
+    check::<v1::StatusRequest>("Placement.Status.request", all);
+    check::<v1::StatusResponse>("Placement.Status.response", all);
+    check::<v1::ChangeRolloutRequest>("Rolls.Change.request", all);
+    check::<v1::RolloutResponse>("Rolls.Change.response", all);
+    check::<v1::MaintenanceRequest>("Rolls.Maintain.request", all);
+    check::<v1::MaintenanceResponse>("Rolls.Maintain.response", all);
+    check::<v1::StartRolloutRequest>("Rolls.Start.request", all);
+    check::<v1::RolloutStatusRequest>("Rolls.Status.request", all);
+    check::<v1::RolloutStatus>("Rolls.Status.response", all);
+    check::<v1::ListRequest>("Roster.List.request", all);
+    check::<v1::EndpointList>("Roster.List.response", all);
+    check::<v1::FetchVersionRequest>("Versions.Give.request", all);
+    check::<v1::RaiseMinimumVersionRequest>("Versions.Raise.request", all);
+    check::<v1::RaiseMinimumVersionResponse>("Versions.Raise.response", all);
+    check::<v1::VersionStatusRequest>("Versions.Status.request", all);
     check::<v1::VersionStatus>("Versions.Status.response", all);
     let mut recorded: Vec<&str> = MESSAGES
         .lines()
--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -119,7 +119,7 @@
             tasks.spawn(within(ANSWERS_WITHIN, async move {
                 let mut client = link(&own, address).await.ok()?;
                 client
-                    .status(v1::VersionStatusAsk {})
+                    .status(v1::VersionStatusRequest {})
                     .await
                     .ok()
                     .map(tonic::Response::into_inner)
@@ -147,7 +147,7 @@
                 let link = Link::open(&own, address, &bounds).await.ok()?;
                 let mut client = NodeClient::new(link).max_decoding_message_size(ANSWER);
                 client
-                    .acts(v1::ActsAsk {})
+                    .acts(v1::OperationsRequest {})
                     .await
                     .ok()
                     .map(tonic::Response::into_inner)
@@ -157,14 +157,14 @@
     let mut told = Vec::new();
     for (address, ask) in addresses.iter().zip(asked) {
         let acts = ask.await.flatten().map(|word| {
-            let acts = word.acts.iter();
+            let acts = word.operations.iter();
             acts.map(|act| NodeObservation {
                 dispatcher: act.dispatcher,
-                incarnation: act.life,
+                incarnation: act.incarnation,
                 version: act.version,
                 kind: kind(act.kind),
-                seen: act.seen,
-                rejected: act.below,
+                seen: act.count,
+                rejected: act.fenced,
             })
             .collect()
         });
@@ -187,23 +187,23 @@
 }
 
 fn told(status: &v1::VersionStatus) -> DispatcherReport {
-    let running = status.running.clone().unwrap_or_default();
-    let turned_down = status.refused_last.as_ref().map(|stamp| RejectedVersion {
+    let running = status.active.clone().unwrap_or_default();
+    let turned_down = status.last_rejected.as_ref().map(|stamp| RejectedVersion {
         version: stamp.number,
-        reason: status.why.join("; "),
+        reason: status.reasons.join("; "),
     });
     DispatcherReport {
         dispatcher: status.dispatcher,
-        incarnation: status.life,
+        incarnation: status.incarnation,
         version: running.number,
         digest: running.digest,
         on_trial: status.on_trial,
-        has_stream: !status.service.is_empty(),
+        has_stream: !status.control_service.is_empty(),
         last_rejected: turned_down,
         rolled_back: status.given_up.iter().map(|stamp| stamp.number).collect(),
-        fenced: status.shut_out,
+        fenced: status.fenced,
         operations: status
-            .counted
+            .operation_counts
             .iter()
             .map(|own| {
                 (
@@ -211,7 +211,7 @@
                         version: own.version,
                         kind: kind(own.kind as i32),
                     },
-                    own.many,
+                    own.count,
                 )
             })
             .collect(),
@@ -220,7 +220,11 @@
 
 /// The versions of one dispatcher that were in force at any time within so many seconds, by its own
 /// clock: each with when that ended.
-fn over_time(spans: &[v1::Span], now_ms: u64, since_s: u64) -> Vec<(&v1::Span, Option<u64>)> {
+fn over_time(
+    spans: &[v1::VersionInterval],
+    now_ms: u64,
+    since_s: u64,
+) -> Vec<(&v1::VersionInterval, Option<u64>)> {
     let since = now_ms.saturating_sub(since_s.saturating_mul(1_000));
     let ends = spans
         .iter()
@@ -234,18 +238,18 @@
         .collect()
 }
 
-fn how(span: &v1::Span) -> &'static str {
-    match span.how() {
-        v1::span::How::File => "its own file",
-        v1::span::How::Kept => "kept, at a start",
-        v1::span::How::Push => "pushed",
-        v1::span::How::GaveUp => "after giving up",
-        v1::span::How::Brought => "brought by another",
+fn how(span: &v1::VersionInterval) -> &'static str {
+    match span.origin() {
+        v1::version_interval::Origin::File => "its own file",
+        v1::version_interval::Origin::Cached => "kept, at a start",
+        v1::version_interval::Origin::Push => "pushed",
+        v1::version_interval::Origin::Rollback => "after giving up",
+        v1::version_interval::Origin::CatchUp => "brought by another",
     }
 }
 
-fn number(span: &v1::Span) -> u64 {
-    span.stamp.as_ref().map_or(0, |stamp| stamp.number)
+fn number(span: &v1::VersionInterval) -> u64 {
+    span.version.as_ref().map_or(0, |stamp| stamp.number)
 }
 
 fn state(told: &DispatcherReport) -> &'static str {
@@ -278,9 +282,9 @@
         };
         let told = told(status);
         let floor = status
-            .floor
+            .minimum_version
             .as_ref()
-            .map_or("-".into(), |floor| floor.lowest.to_string());
+            .map_or("-".into(), |floor| floor.version.to_string());
         let (digest, state) = (told.digest.get(..8).unwrap_or_default(), state(&told));
         println!(
             "{address:<22} {:>6} {:>8} {digest:<9} {floor:>6} {state}",
@@ -293,13 +297,13 @@
         for (address, status) in addresses.iter().zip(all) {
             for (span, end) in status
                 .iter()
-                .flat_map(|status| over_time(&status.spans, now, since))
+                .flat_map(|status| over_time(&status.intervals, now, since))
             {
                 let to = end.map_or("now".into(), |end| format!("{:.1} s ago", ago(end)));
                 let (version, how, from) = (number(span), how(span), ago(span.from_ms));
                 println!(
                     "{address}: version {version} ({how}) from {from:.1} s ago to {to}, life {:x}",
-                    span.life
+                    span.incarnation
                 );
             }
         }
@@ -345,15 +349,15 @@
     let dispatchers = addresses.iter().zip(all).map(|(address, status)| {
         let Some(status) = status else { return json!({ "address": address, "answers": false }) };
         let told = told(status);
-        let spans = since.map(|since| over_time(&status.spans, now, since)).unwrap_or_default();
+        let spans = since.map(|since| over_time(&status.intervals, now, since)).unwrap_or_default();
         let spans = spans.into_iter().map(|(span, end)| {
-            json!({ "version": number(span), "how": how(span), "life": format!("{:x}", span.life),
+            json!({ "version": number(span), "how": how(span), "life": format!("{:x}", span.incarnation),
                 "from_ms": span.from_ms, "to_ms": end })
         });
         json!({
             "address": address, "answers": true, "number": told.dispatcher, "life": format!("{:x}", told.incarnation),
             "version": told.version, "digest": told.digest, "state": state(&told),
-            "floor": status.floor.as_ref().map(|floor| floor.lowest), "spans": spans.collect::<Vec<_>>(),
+            "floor": status.minimum_version.as_ref().map(|floor| floor.version), "spans": spans.collect::<Vec<_>>(),
         })
     });
     let acts = operation_totals(acted).into_iter().map(|(DispatcherVersion { dispatcher, version }, OperationTotals { attempts: shots, others, rejected: below })| {
@@ -377,10 +381,10 @@
     let stands = all
         .iter()
         .flatten()
-        .filter_map(|status| status.floor.as_ref())
-        .max_by_key(|floor| floor.number);
+        .filter_map(|status| status.minimum_version.as_ref())
+        .max_by_key(|floor| floor.revision);
     let runs = |status: &v1::VersionStatus| {
-        let version = status.running.as_ref().map_or(0, |running| running.number);
+        let version = status.active.as_ref().map_or(0, |running| running.number);
         ReportedVersion {
             version,
             on_trial: status.on_trial,
@@ -388,7 +392,7 @@
     };
     let runs: Vec<Option<ReportedVersion>> =
         all.iter().map(|status| status.as_ref().map(runs)).collect();
-    let stands = stands.map(|floor| floor.lowest);
+    let stands = stands.map(|floor| floor.version);
     check_adoption(&runs, stands, version, part).map_err(|why| why.to_string())?;
     let answers = addresses
         .iter()
@@ -398,21 +402,21 @@
     let mut client = link(tasks, *address).await?;
     let word = within(
         ANSWERS_WITHIN,
-        client.raise(v1::FloorAsk { lowest: version }),
+        client.raise(v1::RaiseMinimumVersionRequest { version: version }),
     )
     .await;
     let word = word
         .ok_or("no answer within 5 s")?
         .map_err(|why| why.message().to_string())?
         .into_inner();
-    match word.stands {
-        Some(floor) if word.taken => {
+    match word.current {
+        Some(floor) if word.accepted => {
             println!(
                 "floor {} by wish {}: no version below it may act",
-                floor.lowest, floor.number
+                floor.version, floor.revision
             );
             Ok(())
         }
-        _ => Err(word.text),
+        _ => Err(word.message),
     }
 }
--- a/crates/cli/src/lib.rs
+++ b/crates/cli/src/lib.rs
@@ -5,8 +5,8 @@
 
 use clap::{Args, CommandFactory as _, Parser, Subcommand, ValueEnum};
 use corkspan_api::v1::{
-    self, placement_client::PlacementClient, rolls_client::RollsClient,
-    versions_client::VersionsClient, word::Word as Said,
+    self, placement_client::PlacementClient, placement_event::Event as Said,
+    rolls_client::RollsClient, versions_client::VersionsClient,
 };
 use corkspan_config::version::Texts;
 use corkspan_config::{Deployment, schema, sexp};
@@ -339,11 +339,11 @@
 }
 
 fn roll(call: Roll) -> Result<(), String> {
-    let change = |dispatcher, service: String, what: v1::change_ask::What| {
+    let change = |dispatcher, service: String, what: v1::change_rollout_request::Action| {
         called(dispatcher, async |link| {
-            let ask = v1::ChangeAsk {
+            let ask = v1::ChangeRolloutRequest {
                 service,
-                what: what.into(),
+                action: what.into(),
             };
             taken(RollsClient::new(link).change(ask).await)
         })
@@ -361,16 +361,16 @@
             failures_most,
             start_first,
         } => called(dispatcher, async |link| {
-            let ask = v1::RollAsk {
+            let ask = v1::StartRolloutRequest {
                 service,
                 version: to,
-                former: from,
-                unready_most,
-                batch,
-                ready_for_ms,
-                ready_within_ms,
-                failures_most,
-                start_first,
+                previous_version: from,
+                max_unavailable: unready_most,
+                max_in_progress: batch,
+                min_ready_ms: ready_for_ms,
+                progress_deadline_ms: ready_within_ms,
+                max_failures: failures_most,
+                surge: start_first,
             };
             taken(RollsClient::new(link).start(ask).await)
         }),
@@ -379,26 +379,26 @@
             service,
         } => called(dispatcher, async |link| {
             let status = RollsClient::new(link)
-                .status(v1::RollStatusAsk { service })
+                .status(v1::RolloutStatusRequest { service })
                 .await;
             let status = status
                 .map_err(|why| why.message().to_string())?
                 .into_inner();
-            match &status.roll {
+            match &status.rollout {
                 Some(roll) => println!("{}", told(roll)),
                 None => println!("no roll is known here"),
             }
-            let v1::RollStatus {
-                copies,
-                wanted,
-                unready,
-                keepers,
-                keepers_heard,
+            let v1::RolloutStatus {
+                replicas: copies,
+                updated: wanted,
+                unavailable: unready,
+                quorum_members: keepers,
+                quorum_members_heard: keepers_heard,
                 ..
             } = status;
             println!("copies here {copies}, of the version wanted {wanted}, not ready {unready}");
             println!("keepers heard {keepers_heard} of {keepers}");
-            for slot in status.held {
+            for slot in status.held_slots {
                 println!(
                     "slot {} held for {} by dispatcher {}",
                     slot.slot, slot.task, slot.dispatcher
@@ -409,15 +409,27 @@
         Roll::Pause {
             dispatcher,
             service,
-        } => change(dispatcher, service, v1::change_ask::What::Pause),
+        } => change(
+            dispatcher,
+            service,
+            v1::change_rollout_request::Action::Pause,
+        ),
         Roll::Resume {
             dispatcher,
             service,
-        } => change(dispatcher, service, v1::change_ask::What::Resume),
+        } => change(
+            dispatcher,
+            service,
+            v1::change_rollout_request::Action::Resume,
+        ),
         Roll::Undo {
             dispatcher,
             service,
-        } => change(dispatcher, service, v1::change_ask::What::Undo),
+        } => change(
+            dispatcher,
+            service,
+            v1::change_rollout_request::Action::Undo,
+        ),
     }
 }
 
@@ -439,7 +451,7 @@
         let mut status = status;
         let status = within(
             Duration::from_secs(5),
-            status.status(v1::VersionStatusAsk {}),
+            status.status(v1::VersionStatusRequest {}),
         )
         .await;
         let status = status
@@ -450,7 +462,7 @@
     match call {
         Control::Status { dispatcher } => called(dispatcher, async |link| {
             let told = status(link).await?;
-            let name = |stamp: &Option<v1::Stamp>| match stamp {
+            let name = |stamp: &Option<v1::VersionId>| match stamp {
                 Some(stamp) if stamp.number > 0 => {
                     format!(
                         "{} ({})",
@@ -462,19 +474,19 @@
             };
             println!(
                 "in force: {}{}",
-                name(&told.running),
+                name(&told.active),
                 if told.on_trial { ", on trial" } else { "" }
             );
-            println!("last good: {}", name(&told.good));
-            let service = if told.service.is_empty() {
+            println!("last good: {}", name(&told.last_good));
+            let service = if told.control_service.is_empty() {
                 "none"
             } else {
-                &told.service
+                &told.control_service
             };
             println!("control service: {service}");
             let v1::VersionStatus {
                 applied,
-                refused,
+                rejected: refused,
                 superseded,
                 ..
             } = told;
@@ -482,9 +494,9 @@
             told.given_up
                 .iter()
                 .for_each(|stamp| println!("given up: {}", name(&Some(stamp.clone()))));
-            if told.refused_last.is_some() {
-                println!("turned down last: {}", name(&told.refused_last));
-                told.why.iter().for_each(|why| println!("  {why}"));
+            if told.last_rejected.is_some() {
+                println!("turned down last: {}", name(&told.last_rejected));
+                told.reasons.iter().for_each(|why| println!("  {why}"));
             }
             Ok(())
         }),
@@ -509,31 +521,31 @@
     }
 }
 
-fn taken(word: Result<tonic::Response<v1::RollWord>, tonic::Status>) -> Result<(), String> {
+fn taken(word: Result<tonic::Response<v1::RolloutResponse>, tonic::Status>) -> Result<(), String> {
     let word = word.map_err(|why| why.message().to_string())?.into_inner();
-    match word.stands {
-        Some(roll) if word.taken => {
+    match word.current {
+        Some(roll) if word.accepted => {
             println!("{}", told(&roll));
             Ok(())
         }
-        _ => Err(word.text),
+        _ => Err(word.message),
     }
 }
 
-fn told(roll: &v1::Roll) -> String {
-    let v1::Roll {
+fn told(roll: &v1::Rollout) -> String {
+    let v1::Rollout {
         service,
-        number,
+        revision: number,
         version,
-        former,
-        unready_most,
-        why,
+        previous_version: former,
+        max_unavailable: unready_most,
+        reason: why,
         ..
     } = roll;
     let phase = match roll.phase() {
-        v1::roll::Phase::Rolling => "rolling".into(),
-        v1::roll::Phase::Paused => "paused".into(),
-        v1::roll::Phase::Halted => format!("halted: {why}"),
+        v1::rollout::Phase::Rolling => "rolling".into(),
+        v1::rollout::Phase::Paused => "paused".into(),
+        v1::rollout::Phase::Halted => format!("halted: {why}"),
     };
     let former = if former.is_empty() { "none" } else { former };
     format!(
@@ -542,25 +554,25 @@
 }
 
 async fn status(mut client: PlacementClient<Link>) -> Result<(), String> {
-    let word = within(Duration::from_secs(5), client.status(v1::StatusAsk {})).await;
+    let word = within(Duration::from_secs(5), client.status(v1::StatusRequest {})).await;
     let word = word
         .ok_or("no answer within 5 s")?
         .map_err(|why| why.message().to_string())?
         .into_inner();
     let rows = [
-        ("in hand", word.in_hand),
-        ("not yet placed", word.not_yet),
-        ("shots out", word.shots_out),
+        ("in hand", word.in_flight),
+        ("not yet placed", word.deferred),
+        ("shots out", word.attempts_in_flight),
         ("running", word.running),
-        ("asked", word.asked),
+        ("asked", word.requested),
         ("placed", word.placed),
-        ("refused", word.refused),
+        ("refused", word.rejected),
         ("failed", word.failed),
         ("cancelled", word.cancelled),
-        ("links to nodes", word.links),
+        ("links to nodes", word.connections),
         ("machines serving", word.machines_serving),
         ("machines known", word.machines_known),
-        ("decided, us", word.decided_us),
+        ("decided, us", word.decision_time_us),
     ];
     println!(
         "dispatcher {} of {}{}",
@@ -570,7 +582,7 @@
     );
     rows.iter()
         .for_each(|(what, value)| println!("{what:>18} {value}"));
-    for count in &word.link_counts {
+    for count in &word.connection_traffic {
         println!(
             "{:>18} {} bytes in, {} out; {} messages in, {} out",
             count.kind().as_str_name().to_lowercase(),
@@ -598,17 +610,17 @@
         ..
     } = place;
     let placing = format!("{task}/{:x}", corkspan_dispatcher::clock::wall_ms());
-    let ask = v1::Ask {
-        placing,
+    let ask = v1::PlacementRequest {
+        placement_id: placing,
         task,
         service,
-        track,
-        account,
+        service_class: track,
+        tenant: account,
         cores,
         memory,
-        life_ms,
-        abandon_ms,
-        again,
+        expected_duration_ms: life_ms,
+        deadline_ms: abandon_ms,
+        retry: again,
     };
     let mut words = client
         .place(ask)
@@ -632,31 +644,33 @@
                 Err("the dispatcher gave no final answer".into())
             };
         };
-        match word.word {
+        match word.event {
             Some(Said::Placed(placed)) => {
-                println!("placed on node {} by shot {}", placed.node, placed.shots);
+                println!("placed on node {} by shot {}", placed.node, placed.attempts);
                 answered = true;
                 if !stay {
                     return Ok(());
                 }
             }
-            Some(Said::Refused(refused)) => {
+            Some(Said::Rejected(refused)) => {
                 return Err(format!(
                     "refused ({:?}): {}; another try is harmless",
-                    refused.why(),
-                    refused.text
+                    refused.reason(),
+                    refused.message
                 ));
             }
-            Some(Said::Failed(failed)) => return Err(format!("failed: {}", failed.text)),
-            Some(Said::Runs(_)) => println!("runs"),
-            Some(Said::Served(served)) => println!("served at {:.0}%", served.part * 100.0),
+            Some(Said::Failed(failed)) => return Err(format!("failed: {}", failed.message)),
+            Some(Said::Running(_)) => println!("runs"),
+            Some(Said::ServiceLevel(served)) => {
+                println!("served at {:.0}%", served.fraction * 100.0)
+            }
             Some(Said::Replaced(replaced)) => {
                 println!(
                     "replaced by version {} on node {}",
                     replaced.version, replaced.node
                 );
             }
-            Some(Said::Ended(ended)) => println!("ended: {:?}", ended.how()),
+            Some(Said::Ended(ended)) => println!("ended: {:?}", ended.reason()),
             None => {}
         }
     }
--- a/crates/cli/src/maintenance.rs
+++ b/crates/cli/src/maintenance.rs
@@ -1,7 +1,7 @@
 //! Machines taken out for work, as an operator and the worker see it.
 
 use clap::{Args, Subcommand, ValueEnum};
-use corkspan_api::v1::{self, maintain_ask::What, rolls_client::RollsClient};
+use corkspan_api::v1::{self, maintenance_request::Action, rolls_client::RollsClient};
 use corkspan_rpc::{Bounds, Link, Tasks, within};
 use futures_lite::future;
 use std::net::SocketAddr;
@@ -67,21 +67,21 @@
 }
 
 pub fn run(call: Maintenance) -> Result<(), String> {
-    let plain = |what: What, nodes: Vec<u32>| v1::MaintainAsk {
-        what: what.into(),
+    let plain = |what: Action, nodes: Vec<u32>| v1::MaintenanceRequest {
+        action: what.into(),
         nodes,
-        ..v1::MaintainAsk::default()
+        ..v1::MaintenanceRequest::default()
     };
     let (dispatcher, ask) = match call {
         Maintenance::Start(start) => (start.dispatcher, started(start)),
-        Maintenance::Status { dispatcher } => (dispatcher, plain(What::Status, Vec::new())),
-        Maintenance::Pause { dispatcher } => (dispatcher, plain(What::Pause, Vec::new())),
-        Maintenance::Resume { dispatcher } => (dispatcher, plain(What::Resume, Vec::new())),
-        Maintenance::Abort { dispatcher } => (dispatcher, plain(What::Abort, Vec::new())),
+        Maintenance::Status { dispatcher } => (dispatcher, plain(Action::Status, Vec::new())),
+        Maintenance::Pause { dispatcher } => (dispatcher, plain(Action::Pause, Vec::new())),
+        Maintenance::Resume { dispatcher } => (dispatcher, plain(Action::Resume, Vec::new())),
+        Maintenance::Abort { dispatcher } => (dispatcher, plain(Action::Abort, Vec::new())),
         Maintenance::Done {
             dispatcher,
             machines,
-        } => (dispatcher, plain(What::Done, machines)),
+        } => (dispatcher, plain(Action::Done, machines)),
     };
     let tasks = Tasks::default();
     let word = future::block_on(tasks.run(within(ANSWERS_WITHIN, async {
@@ -98,14 +98,18 @@
     })));
     let word = word.ok_or("no answer within 20 s")??;
     tell(&word);
-    if word.taken { Ok(()) } else { Err(word.text) }
+    if word.accepted {
+        Ok(())
+    } else {
+        Err(word.message)
+    }
 }
 
-fn started(start: Start) -> v1::MaintainAsk {
+fn started(start: Start) -> v1::MaintenanceRequest {
     let all = start.at_a_time;
     let or_all = |limit: Option<u32>| limit.unwrap_or(all);
-    v1::MaintainAsk {
-        what: What::Start.into(),
+    v1::MaintenanceRequest {
+        action: Action::Start.into(),
         nodes: start.machines,
         limits: vec![
             all,
@@ -113,41 +117,41 @@
             or_all(start.by_cell),
             or_all(start.by_kind),
         ],
-        warm_ms: start.warm_s.saturating_mul(1_000),
-        empty_within_ms: start.empty_within_s.saturating_mul(1_000),
-        then: match start.then {
-            Then::Wait => v1::work::Then::Wait,
-            Then::Skip => v1::work::Then::Skip,
-            Then::Stop => v1::work::Then::Stop,
+        warm_up_ms: start.warm_s.saturating_mul(1_000),
+        drain_timeout_ms: start.empty_within_s.saturating_mul(1_000),
+        on_drain_timeout: match start.then {
+            Then::Wait => v1::maintenance_plan::DrainTimeoutAction::Wait,
+            Then::Skip => v1::maintenance_plan::DrainTimeoutAction::Skip,
+            Then::Stop => v1::maintenance_plan::DrainTimeoutAction::Stop,
         }
         .into(),
     }
 }
 
-fn tell(word: &v1::MaintainWord) {
-    let Some(work) = &word.stands else {
+fn tell(word: &v1::MaintenanceResponse) {
+    let Some(work) = &word.current else {
         return println!("no work on machines is wished for");
     };
-    let course = match work.course() {
-        v1::work::Course::Going => "going",
-        v1::work::Course::Paused => "paused",
-        v1::work::Course::Aborted => "aborted",
+    let course = match work.run_state() {
+        v1::maintenance_plan::RunState::Running => "going",
+        v1::maintenance_plan::RunState::Paused => "paused",
+        v1::maintenance_plan::RunState::Aborted => "aborted",
     };
-    let (all, worked) = (work.machines.len(), word.worked.len());
+    let (all, worked) = (work.machines.len(), word.completed.len());
     println!(
         "wish {}: {course}, {worked} of {all} machines worked on, {} skipped",
-        work.number,
+        work.revision,
         word.skipped.len()
     );
-    for out in &word.out {
+    for out in &word.leases {
         let node = out.machine.as_ref().map_or(0, |machine| machine.node);
         let state = match out.phase() {
-            _ if word.in_work.contains(&node) => "in work",
-            v1::work_step::Step::Held => "to be closed",
-            v1::work_step::Step::Closed => "being emptied",
-            v1::work_step::Step::Handed => "handed over, and does not answer",
-            v1::work_step::Step::Done => "done, warming",
-            v1::work_step::Step::Returned => "to be opened unworked",
+            _ if word.in_maintenance.contains(&node) => "in work",
+            v1::maintenance_step::Step::Granted => "to be closed",
+            v1::maintenance_step::Step::Cordoned => "being emptied",
+            v1::maintenance_step::Step::Drained => "handed over, and does not answer",
+            v1::maintenance_step::Step::Completed => "done, warming",
+            v1::maintenance_step::Step::Cancelled => "to be opened unworked",
             _ => "out",
         };
         println!("machine {node}: {state}");
--- a/crates/dispatcher/src/active_version.rs
+++ b/crates/dispatcher/src/active_version.rs
@@ -147,67 +147,67 @@
             let kept = state.subscriber.persisted();
             let (refused_last, why) = state.refused_last.clone().unzip();
             v1::VersionStatus {
-                running: Some(message(running)),
+                active: Some(message(running)),
                 on_trial: state.subscriber.on_trial(),
-                good: kept.last_good.as_ref().map(|version| message(version.id)),
-                service: state
+                last_good: kept.last_good.as_ref().map(|version| message(version.id)),
+                control_service: state
                     .service
                     .map(|service| service.to_string())
                     .unwrap_or_default(),
                 text: in_force.texts.whole(),
                 given_up: kept.rolled_back.iter().copied().map(message).collect(),
                 applied: state.applied,
-                refused: state.refused,
+                rejected: state.refused,
                 superseded: state.superseded,
-                refused_last: refused_last.map(message),
-                why: why.unwrap_or_default(),
+                last_rejected: refused_last.map(message),
+                reasons: why.unwrap_or_default(),
                 ..v1::VersionStatus::default()
             }
         })
     }
 }
 
-pub fn message(stamp: VersionId) -> v1::Stamp {
-    v1::Stamp {
+pub fn message(stamp: VersionId) -> v1::VersionId {
+    v1::VersionId {
         number: stamp.number,
         digest: stamp.digest.to_string(),
     }
 }
 
 /// A whole version on its way to a straggler or a keeper.
-pub fn push_message(push: VersionPush) -> v1::Push {
-    v1::Push {
+pub fn push_message(push: VersionPush) -> v1::VersionPush {
+    v1::VersionPush {
         nonce: push.nonce,
-        stamp: Some(message(push.version)),
-        follows: push.predecessors.into_iter().map(message).collect(),
-        onto: push.base.map(message),
+        version: Some(message(push.version)),
+        ancestors: push.predecessors.into_iter().map(message).collect(),
+        base: push.base.map(message),
         parts: push
             .changes
             .iter()
             .map(|(name, text)| (name.into(), text.into()))
             .collect(),
         removed: push.removed,
-        cuts: push.allows_cuts,
+        allows_large_cuts: push.allows_cuts,
     }
 }
 
 /// None where its stamps are none.
-pub fn push_of(push: v1::Push) -> Option<VersionPush> {
+pub fn push_of(push: v1::VersionPush) -> Option<VersionPush> {
     Some(VersionPush {
         nonce: push.nonce,
-        version: stamp(push.stamp.as_ref()?).filter(|stamp| stamp.number > 0)?,
-        predecessors: push.follows.iter().filter_map(stamp).collect(),
-        base: match &push.onto {
+        version: stamp(push.version.as_ref()?).filter(|stamp| stamp.number > 0)?,
+        predecessors: push.ancestors.iter().filter_map(stamp).collect(),
+        base: match &push.base {
             Some(onto) => Some(stamp(onto)?),
             None => None,
         },
         changes: push.parts.into_iter().collect(),
         removed: push.removed,
-        allows_cuts: push.cuts,
+        allows_cuts: push.allows_large_cuts,
     })
 }
 
-pub fn stamp(message: &v1::Stamp) -> Option<VersionId> {
+pub fn stamp(message: &v1::VersionId) -> Option<VersionId> {
     Some(VersionId {
         number: message.number,
         digest: Digest::read(&message.digest)?,
--- a/crates/dispatcher/src/attempts.rs
+++ b/crates/dispatcher/src/attempts.rs
@@ -3,7 +3,7 @@
 //! have, unless the node itself says no.
 
 use crate::node_links::{Counted, NodeLink};
-use corkspan_api::v1::{self, node_client::NodeClient, said::Said as Word};
+use corkspan_api::v1::{self, attempt_event::Event as Word, node_client::NodeClient};
 use corkspan_rpc::{Bounds, Link, Tasks, within};
 use corkspan_scheduler::interface::*;
 use std::sync::Arc;
@@ -22,7 +22,7 @@
     /// Decided under a version that may act no more.
     fn shut_out(&self) -> bool;
     /// A node has turned a shot away by the floor of versions.
-    fn below(&self, floor: &v1::Floor);
+    fn below(&self, floor: &v1::MinimumVersion);
     fn placed(self: &Arc<Self>, id: AllocationId, shot: usize, machine: MachineId);
     /// A shot has returned. `over` where it was placed and the allocation ends with it, in this
     /// way.
@@ -32,7 +32,7 @@
         shot: usize,
         ending: AttemptResult,
         reason: Option<ReturnReason>,
-        over: Option<v1::ended::How>,
+        over: Option<v1::ended::EndReason>,
         report: Option<LoadReport>,
     );
     /// A copy says which version of its program it runs.
@@ -59,7 +59,7 @@
 struct Back {
     ending: AttemptResult,
     reason: Option<ReturnReason>,
-    how: v1::ended::How,
+    how: v1::ended::EndReason,
     report: Option<LoadReport>,
 }
 
@@ -68,19 +68,24 @@
         Back {
             ending,
             reason: None,
-            how: v1::ended::How::Lost,
+            how: v1::ended::EndReason::Lost,
             report: None,
         }
     }
 }
 
 enum First {
-    Placed(Streaming<v1::Said>),
+    Placed(Streaming<v1::AttemptEvent>),
     Back(Back),
 }
 
 /// Makes an offer and follows it to its end.
-pub async fn offer<D: Follows>(desk: Arc<D>, offer: Offer, shot: v1::Shot, time_out: Duration) {
+pub async fn offer<D: Follows>(
+    desk: Arc<D>,
+    offer: Offer,
+    shot: v1::AttemptRequest,
+    time_out: Duration,
+) {
     let Offer {
         id,
         number,
@@ -89,7 +94,7 @@
         open,
         decided,
     } = offer;
-    let back = |back: Back, over: Option<v1::ended::How>| {
+    let back = |back: Back, over: Option<v1::ended::EndReason>| {
         desk.returned(id, number, back.ending, back.reason, over, back.report)
     };
     let Some(node) = node else {
@@ -172,7 +177,7 @@
     id: AllocationId,
     node: Option<Arc<NodeLink>>,
     machine: MachineId,
-    shot: v1::Shot,
+    shot: v1::AttemptRequest,
 ) {
     let lost = |reason| {
         desk.returned(
@@ -180,7 +185,7 @@
             0,
             AttemptResult::Reset,
             reason,
-            Some(v1::ended::How::Lost),
+            Some(v1::ended::EndReason::Lost),
             None,
         )
     };
@@ -207,22 +212,22 @@
     }
 }
 
-async fn first_word<D: Follows>(desk: &D, mut words: Streaming<v1::Said>) -> First {
+async fn first_word<D: Follows>(desk: &D, mut words: Streaming<v1::AttemptEvent>) -> First {
     loop {
         match words.message().await {
-            Ok(Some(v1::Said {
-                said: Some(said),
-                load,
+            Ok(Some(v1::AttemptEvent {
+                event: Some(said),
+                load_report: load,
             })) => match said {
                 Word::Accepted(_) if !desk.placed_when_running() => return First::Placed(words),
                 Word::Running(_) => return First::Placed(words),
-                Word::Refused(turned) => {
-                    if let Some(floor) = &turned.floor {
+                Word::Rejected(turned) => {
+                    if let Some(floor) = &turned.minimum_version {
                         desk.below(floor);
                     }
                     let back = Back::plain(AttemptResult::Rejected);
                     return First::Back(Back {
-                        reason: reason(turned.why()),
+                        reason: reason(turned.reason()),
                         report: report(load),
                         ..back
                     });
@@ -230,7 +235,7 @@
                 Word::Ended(over) => {
                     return First::Back(Back {
                         report: report(load),
-                        ..ended(over.how())
+                        ..ended(over.outcome())
                     });
                 }
                 _ => {}
@@ -247,17 +252,17 @@
     desk: &Arc<D>,
     id: AllocationId,
     number: usize,
-    mut words: Streaming<v1::Said>,
+    mut words: Streaming<v1::AttemptEvent>,
 ) {
     let mut back = Back::plain(AttemptResult::Reset);
     while let Ok(Some(word)) = words.message().await {
-        match word.said {
+        match word.event {
             Some(Word::Running(started)) => {
                 desk.runs(id, started.version);
                 desk.noted(id, Metric::Running);
             }
             Some(Word::Ready(ready)) => desk.ready(id, ready),
-            Some(Word::Use(used)) => {
+            Some(Word::Usage(used)) => {
                 for (note, value) in [
                     (Metric::Cores as fn(f64) -> Metric, used.cores),
                     (Metric::Memory, used.memory),
@@ -267,20 +272,20 @@
                     }
                 }
             }
-            Some(Word::Served(part)) if sound(part) => desk.noted(id, Metric::Served(part)),
+            Some(Word::ServiceLevel(part)) if sound(part) => desk.noted(id, Metric::Served(part)),
             Some(Word::MemoryShare(share)) if sound(share) => {
                 desk.noted(id, Metric::MachineMemory(share))
             }
             Some(Word::Ended(over)) => {
                 back = Back {
-                    report: report(word.load),
-                    ..ended(over.how())
+                    report: report(word.load_report),
+                    ..ended(over.outcome())
                 };
                 break;
             }
-            Some(Word::Refused(turned)) => {
+            Some(Word::Rejected(turned)) => {
                 // It doesn't run there: nothing is known against the node.
-                back.reason = reason(turned.why()).or(Some(ReturnReason::Unfit));
+                back.reason = reason(turned.reason()).or(Some(ReturnReason::Unfit));
                 break;
             }
             _ => {}
@@ -297,7 +302,11 @@
 
 /// Tells a node that an allocation is not wanted there. One try: the word is about what may be gone
 /// already. None where the node has not answered.
-pub async fn stop<D: Follows>(desk: Arc<D>, node: Arc<NodeLink>, stop: v1::StopAsk) -> Option<()> {
+pub async fn stop<D: Follows>(
+    desk: Arc<D>,
+    node: Arc<NodeLink>,
+    stop: v1::StopRequest,
+) -> Option<()> {
     let _call = node.call();
     let patience = desk.bounds().keep_alive;
     let said = within(patience, async {
@@ -320,7 +329,7 @@
             .await
             .map_err(|_| AttemptResult::ConnectFailed)?;
         client(&*desk, link)
-            .probe(v1::ProbeAsk {})
+            .probe(v1::HealthCheckRequest {})
             .await
             .map_err(|why| broken(&why))
     });
@@ -328,7 +337,7 @@
         Some(Ok(word)) => desk.probed(
             machine,
             AttemptResult::Completed,
-            report(word.into_inner().load),
+            report(word.into_inner().load_report),
         ),
         Some(Err(ending)) => desk.probed(machine, ending, None),
         None => desk.probed(machine, AttemptResult::TimedOut, None),
@@ -352,7 +361,7 @@
 }
 
 /// The load report, where there is one that holds numbers.
-fn report(load: Option<v1::Load>) -> Option<LoadReport> {
+fn report(load: Option<v1::LoadReport>) -> Option<LoadReport> {
     let load = load.filter(|load| load.cores.is_finite() && load.memory.is_finite())?;
     Some(LoadReport {
         available: Resources {
@@ -362,38 +371,45 @@
     })
 }
 
-fn reason(why: v1::turned::Why) -> Option<ReturnReason> {
+fn reason(why: v1::attempt_rejected::Rejection) -> Option<ReturnReason> {
     match why {
-        v1::turned::Why::NotTold => None,
-        v1::turned::Why::NoCores => Some(ReturnReason::NoCores),
-        v1::turned::Why::NoMemory => Some(ReturnReason::NoMemory),
-        v1::turned::Why::QueueFull => Some(ReturnReason::QueueFull),
-        v1::turned::Why::NotHere | v1::turned::Why::BelowFloor => Some(ReturnReason::Unfit),
+        v1::attempt_rejected::Rejection::Unspecified => None,
+        v1::attempt_rejected::Rejection::NoCores => Some(ReturnReason::NoCores),
+        v1::attempt_rejected::Rejection::NoMemory => Some(ReturnReason::NoMemory),
+        v1::attempt_rejected::Rejection::QueueFull => Some(ReturnReason::QueueFull),
+        v1::attempt_rejected::Rejection::NotPresent
+        | v1::attempt_rejected::Rejection::BelowMinimumVersion => Some(ReturnReason::Unfit),
     }
 }
 
-fn ended(how: v1::over::How) -> Back {
-    use v1::ended::How;
+fn ended(how: v1::attempt_ended::AttemptOutcome) -> Back {
+    use corkspan_api::v1::ended::EndReason;
     let (ending, reason, how) = match how {
-        v1::over::How::Error => (AttemptResult::Error, None, How::Error),
-        v1::over::How::Ended => (AttemptResult::Completed, None, How::Ended),
-        v1::over::How::Evicted => (
+        v1::attempt_ended::AttemptOutcome::Error => (AttemptResult::Error, None, EndReason::Error),
+        v1::attempt_ended::AttemptOutcome::Ended => {
+            (AttemptResult::Completed, None, EndReason::Ended)
+        }
+        v1::attempt_ended::AttemptOutcome::Evicted => (
             AttemptResult::Reset,
             Some(ReturnReason::Evicted),
-            How::Evicted,
+            EndReason::Evicted,
         ),
-        v1::over::How::PushedOut => (
+        v1::attempt_ended::AttemptOutcome::Preempted => (
             AttemptResult::Reset,
             Some(ReturnReason::Preempted),
-            How::PushedOut,
+            EndReason::PushedOut,
         ),
-        v1::over::How::SentAway => (
+        v1::attempt_ended::AttemptOutcome::Drained => (
             AttemptResult::Reset,
             Some(ReturnReason::Migrated),
-            How::SentAway,
+            EndReason::SentAway,
         ),
-        v1::over::How::Stopped => (AttemptResult::Cancelled, None, How::Ended),
-        v1::over::How::Moved => (AttemptResult::Cancelled, None, How::Moved),
+        v1::attempt_ended::AttemptOutcome::Stopped => {
+            (AttemptResult::Cancelled, None, EndReason::Ended)
+        }
+        v1::attempt_ended::AttemptOutcome::Migrated => {
+            (AttemptResult::Cancelled, None, EndReason::Moved)
+        }
     };
     Back {
         ending,
--- a/crates/dispatcher/src/catch_up.rs
+++ b/crates/dispatcher/src/catch_up.rs
@@ -7,7 +7,7 @@
 use crate::core::Desk;
 use crate::link_counters::LinkKind;
 use crate::quorum_client;
-use corkspan_api::v1::{self, keep_ask::Ask, versions_client::VersionsClient};
+use corkspan_api::v1::{self, quorum_request::Operation, versions_client::VersionsClient};
 use corkspan_config_sync::{PushReply, VersionPush};
 use corkspan_rpc::{Link, within};
 use corkspan_version_fencing::catch_up::{
@@ -53,8 +53,8 @@
 async fn bring(desk: &Arc<Desk>, peers: &[SocketAddr], source: VersionSource) -> RequestOutcome {
     let running = desk.deployment().stamp;
     let dispatcher = desk.deployment().cluster.scheduler_index as u32;
-    let ask = v1::GiveAsk {
-        running: Some(message(running)),
+    let ask = v1::FetchVersionRequest {
+        active: Some(message(running)),
         dispatcher,
     };
     let push = match source {
@@ -62,12 +62,14 @@
             Some(&peer) => from_peer(desk, peer, ask).await,
             None => None,
         },
-        VersionSource::QuorumMember(which) => quorum_client::ask_one(desk, which, Ask::Fetch(ask))
-            .await
-            .and_then(|word| word.given),
+        VersionSource::QuorumMember(which) => {
+            quorum_client::ask_one(desk, which, Operation::FetchVersion(ask))
+                .await
+                .and_then(|word| word.fetched_version)
+        }
     };
     // No stamp: nothing later is there.
-    let Some(push) = push.filter(|push| push.stamp.is_some()) else {
+    let Some(push) = push.filter(|push| push.version.is_some()) else {
         return RequestOutcome::Unchanged;
     };
     let Some(push) = push_of(push) else {
@@ -105,7 +107,11 @@
     }
 }
 
-async fn from_peer(desk: &Arc<Desk>, peer: SocketAddr, ask: v1::GiveAsk) -> Option<v1::Push> {
+async fn from_peer(
+    desk: &Arc<Desk>,
+    peer: SocketAddr,
+    ask: v1::FetchVersionRequest,
+) -> Option<v1::VersionPush> {
     let patience = desk.link_bounds.connect_within * 4 + Duration::from_secs(1);
     let whole = async {
         let meter = desk.counts.meter(LinkKind::Dispatchers);
--- a/crates/dispatcher/src/config_stream.rs
+++ b/crates/dispatcher/src/config_stream.rs
@@ -6,6 +6,7 @@
 use crate::core::Desk;
 use crate::link_counters::LinkKind;
 use crate::minimum_version;
+use corkspan_api::v1::push_reply::Answer;
 use corkspan_api::v1::{self, control_client::ControlClient};
 use corkspan_config_sync::{
     NextPush, PushAdmission, PushReply, ReconnectBackoff, RequestCounts, VersionCache, VersionPush,
@@ -19,7 +20,6 @@
 use std::time::{Duration, Instant};
 use tonic::{Request, Response, Status};
 use tracing::{info, warn};
-use v1::told::Answer;
 
 /// Between two looks at how a version on trial does.
 const LOOK: Duration = Duration::from_millis(500);
@@ -38,7 +38,7 @@
 
 /// Answers on one stream.
 struct Answers {
-    to: async_channel::Sender<v1::Told>,
+    to: async_channel::Sender<v1::PushReply>,
     dispatcher: u32,
 }
 
@@ -59,17 +59,17 @@
         });
         let (answer, why, superseded_by) = match said {
             PushReply::Applied => (Answer::Applied, Vec::new(), 0),
-            PushReply::Unchanged => (Answer::Running, Vec::new(), 0),
-            PushReply::Rejected(why) => (Answer::Refused, why.clone(), 0),
+            PushReply::Unchanged => (Answer::Unchanged, Vec::new(), 0),
+            PushReply::Rejected(why) => (Answer::Rejected, why.clone(), 0),
             PushReply::Superseded(by) => (Answer::Superseded, Vec::new(), *by),
-            PushReply::FullRequired => (Answer::WantsWhole, Vec::new(), 0),
+            PushReply::FullRequired => (Answer::FullRequired, Vec::new(), 0),
         };
-        let told = v1::Told {
+        let told = v1::PushReply {
             dispatcher: self.dispatcher,
-            running: Some(message(running)),
+            active: Some(message(running)),
             nonce,
             answer: answer.into(),
-            why,
+            reasons: why,
             superseded_by,
             on_trial,
         };
@@ -85,13 +85,13 @@
             )
         });
         let (dispatcher, running) = (self.dispatcher, Some(message(running)));
-        let told = v1::Told {
+        let told = v1::PushReply {
             dispatcher,
-            running,
+            active: running,
             answer: answer.into(),
-            why,
+            reasons: why,
             on_trial,
-            ..v1::Told::default()
+            ..v1::PushReply::default()
         };
         self.to.try_send(told).is_ok()
     }
@@ -199,7 +199,7 @@
         };
         let gave_up = async {
             if let Ok(why) = given_up.recv().await {
-                answers.tell(&desk.versions, Answer::GaveUp, vec![why]);
+                answers.tell(&desk.versions, Answer::RolledBack, vec![why]);
             }
             None
         };
@@ -215,7 +215,7 @@
 fn take(
     desk: &Desk,
     answers: &Answers,
-    push: Result<Option<v1::Push>, Status>,
+    push: Result<Option<v1::VersionPush>, Status>,
 ) -> Result<(), String> {
     let push = push
         .map_err(|why| why.message().to_string())?
@@ -363,7 +363,7 @@
 impl v1::versions_server::Versions for Operators {
     async fn status(
         &self,
-        _: Request<v1::VersionStatusAsk>,
+        _: Request<v1::VersionStatusRequest>,
     ) -> Result<Response<v1::VersionStatus>, Status> {
         let floor = self.0.fleet.floor().map(minimum_version::message);
         let shut_out = self.0.shut_out().is_some();
@@ -377,27 +377,30 @@
         let mut acts = std::collections::HashMap::new();
         counted
             .iter()
-            .for_each(|own| *acts.entry(own.version).or_default() += own.many);
+            .for_each(|own| *acts.entry(own.version).or_default() += own.count);
         Ok(Response::new(v1::VersionStatus {
-            floor,
-            shut_out,
+            minimum_version: floor,
+            fenced: shut_out,
             dispatcher,
-            life,
-            spans,
-            acts,
-            counted,
-            unwritten,
+            incarnation: life,
+            intervals: spans,
+            operations: acts,
+            operation_counts: counted,
+            history_incomplete: unwritten,
             ..status
         }))
     }
 
-    async fn give(&self, request: Request<v1::GiveAsk>) -> Result<Response<v1::Push>, Status> {
+    async fn give(
+        &self,
+        request: Request<v1::FetchVersionRequest>,
+    ) -> Result<Response<v1::VersionPush>, Status> {
         let Some(_given) = self.0.fleet.gives() else {
             return Err(Status::resource_exhausted(
                 "as many as may be are brought up from here",
             ));
         };
-        let theirs = request.into_inner().running.as_ref().and_then(stamp);
+        let theirs = request.into_inner().active.as_ref().and_then(stamp);
         let theirs = theirs.ok_or_else(|| Status::invalid_argument("running: no stamp"))?;
         let push = self.0.versions.with(|state| state.shelf.push_for(theirs));
         Ok(Response::new(push.map(push_message).unwrap_or_default()))
@@ -405,9 +408,9 @@
 
     async fn raise(
         &self,
-        request: Request<v1::FloorAsk>,
-    ) -> Result<Response<v1::FloorWord>, Status> {
-        minimum_version::raise(&self.0, request.into_inner().lowest)
+        request: Request<v1::RaiseMinimumVersionRequest>,
+    ) -> Result<Response<v1::RaiseMinimumVersionResponse>, Status> {
+        minimum_version::raise(&self.0, request.into_inner().version)
             .await
             .map(Response::new)
     }
--- a/crates/dispatcher/src/core.rs
+++ b/crates/dispatcher/src/core.rs
@@ -33,7 +33,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError, RwLock};
 use std::time::{Duration, Instant};
 use tracing::{info, warn};
-use v1::word::Word as Said;
+use v1::placement_event::Event as Said;
 
 pub struct Inner {
     host: Host<Client>,
@@ -65,7 +65,7 @@
 
 /// What an owner's call gets: words, and the id where it was taken into hand.
 pub struct Taken {
-    pub words: async_channel::Receiver<v1::Word>,
+    pub words: async_channel::Receiver<v1::PlacementEvent>,
     pub id: Option<Current>,
     pub open: Arc<()>,
 }
@@ -197,21 +197,21 @@
     }
 
     /// An owner asks. The answer is among the words, at once or later.
-    pub fn ask(self: &Arc<Self>, ask: v1::Ask, hangs_up: Option<Duration>) -> Taken {
+    pub fn ask(self: &Arc<Self>, ask: v1::PlacementRequest, hangs_up: Option<Duration>) -> Taken {
         let (words, heard) = async_channel::bounded(self.deployment().bounds.words_a_client);
         let taken = Taken {
             words: heard,
             id: None,
             open: Arc::clone(&self.calls),
         };
-        let refuse = |why: v1::refused::Why, text: String| {
-            let word = v1::Refused {
-                why: why.into(),
-                text,
-                shots: 0,
+        let refuse = |why: v1::rejected::RejectionReason, text: String| {
+            let word = v1::Rejected {
+                reason: why.into(),
+                message: text,
+                attempts: 0,
             };
-            let _ = words.try_send(v1::Word {
-                word: Some(Said::Refused(word)),
+            let _ = words.try_send(v1::PlacementEvent {
+                event: Some(Said::Rejected(word)),
             });
         };
         let mut inner = self.lock();
@@ -219,7 +219,7 @@
         inner.port.counters.refused += 1;
         if inner.port.stopping {
             refuse(
-                v1::refused::Why::Stopping,
+                v1::rejected::RejectionReason::Stopping,
                 "this dispatcher is about to stop".into(),
             );
             return taken;
@@ -229,12 +229,12 @@
                 "this dispatcher is behind: version {} is the lowest that may act",
                 floor.version
             );
-            refuse(v1::refused::Why::Behind, text);
+            refuse(v1::rejected::RejectionReason::Behind, text);
             return taken;
         }
         if Arc::strong_count(&self.calls) > self.deployment().bounds.calls as usize {
             refuse(
-                v1::refused::Why::TooMany,
+                v1::rejected::RejectionReason::TooMany,
                 "as many calls as may be are open".into(),
             );
             return taken;
@@ -242,7 +242,7 @@
         let now = self.clock.now();
         let left = [
             hangs_up.map(crate::clock::ticks),
-            Some(ask.abandon_ms.saturating_mul(10)).filter(|&ms| ms > 0),
+            Some(ask.deadline_ms.saturating_mul(10)).filter(|&ms| ms > 0),
         ];
         let asked = match (self.asked(now, &ask), left.into_iter().flatten().min()) {
             (Err(why), _) => Err(why),
@@ -255,7 +255,7 @@
         let (asked, left) = match asked {
             Ok(asked) => asked,
             Err(why) => {
-                refuse(v1::refused::Why::BadAsk, why);
+                refuse(v1::rejected::RejectionReason::BadAsk, why);
                 return taken;
             }
         };
@@ -292,29 +292,29 @@
     }
 
     /// An owner hands over an allocation that already runs.
-    pub fn hand_over(self: &Arc<Self>, running: v1::Running) -> Taken {
+    pub fn hand_over(self: &Arc<Self>, running: v1::HandOverRequest) -> Taken {
         let (words, heard) = async_channel::bounded(self.deployment().bounds.words_a_client);
         let open = Arc::clone(&self.calls);
-        let refuse = |why: v1::refused::Why, text: String| {
-            let word = v1::Refused {
-                why: why.into(),
-                text,
-                shots: 0,
+        let refuse = |why: v1::rejected::RejectionReason, text: String| {
+            let word = v1::Rejected {
+                reason: why.into(),
+                message: text,
+                attempts: 0,
             };
-            let _ = words.try_send(v1::Word {
-                word: Some(Said::Refused(word)),
+            let _ = words.try_send(v1::PlacementEvent {
+                event: Some(Said::Rejected(word)),
             });
         };
-        let ask = running.ask.unwrap_or_default();
+        let ask = running.request.unwrap_or_default();
         let machine = MachineId(running.node);
         let id = self.with(|now, host, port| {
             let asked = self
                 .asked(now, &ask)
-                .map_err(|why| refuse(v1::refused::Why::BadAsk, why))
+                .map_err(|why| refuse(v1::rejected::RejectionReason::BadAsk, why))
                 .ok()?;
             if port.stopping {
                 refuse(
-                    v1::refused::Why::Stopping,
+                    v1::rejected::RejectionReason::Stopping,
                     "this dispatcher is about to stop".into(),
                 );
                 return None;
@@ -357,7 +357,7 @@
     }
 
     /// What an ask is to the decisions, or what is wrong with it. Its abandon time is not set.
-    fn asked(&self, now: Ticks, ask: &v1::Ask) -> Result<Asked, String> {
+    fn asked(&self, now: Ticks, ask: &v1::PlacementRequest) -> Result<Asked, String> {
         // A row without a name is of one that is gone.
         let index = |names: &[String], name: &str| {
             names
@@ -366,15 +366,15 @@
                 .filter(|_| !name.is_empty())
         };
         let deployment = self.deployment();
-        let track = index(&deployment.tracks, &ask.track);
-        let account = match (&ask.account[..], &deployment.accounts[..]) {
+        let track = index(&deployment.tracks, &ask.service_class);
+        let account = match (&ask.tenant[..], &deployment.accounts[..]) {
             ("", _) | (_, []) => Some(0),
             (name, names) => index(names, name),
         };
         let amount = |value: f64| value.is_finite() && value > 0.0 && value <= 1e9;
         for (what, text) in [
             ("task", &ask.task),
-            ("placing", &ask.placing),
+            ("placing", &ask.placement_id),
             ("service", &ask.service),
         ] {
             if text.is_empty() || text.len() > 256 {
@@ -392,8 +392,10 @@
         }
         Ok(Asked {
             service: service(&ask.service),
-            track: ServiceClassId(track.ok_or_else(|| format!("unknown track `{}`", ask.track))?),
-            account: TenantId(account.ok_or_else(|| format!("unknown account `{}`", ask.account))?),
+            track: ServiceClassId(
+                track.ok_or_else(|| format!("unknown track `{}`", ask.service_class))?,
+            ),
+            account: TenantId(account.ok_or_else(|| format!("unknown account `{}`", ask.tenant))?),
             asks: Resources {
                 cores: ask.cores,
                 memory: ask.memory,
@@ -404,39 +406,39 @@
 
     fn shot(
         &self,
-        ask: &v1::Ask,
+        ask: &v1::PlacementRequest,
         asked: &Asked,
         number: usize,
         version: String,
         kind: OperationKind,
-    ) -> v1::Shot {
-        v1::Shot {
-            placing: ask.placing.clone(),
-            number: number as u32,
+    ) -> v1::AttemptRequest {
+        v1::AttemptRequest {
+            placement_id: ask.placement_id.clone(),
+            attempt: number as u32,
             task: ask.task.clone(),
             service: ask.service.clone(),
-            track: ask.track.clone(),
-            account: ask.account.clone(),
+            service_class: ask.service_class.clone(),
+            tenant: ask.tenant.clone(),
             cores: ask.cores,
             memory: ask.memory,
-            life_ms: ask.life_ms,
+            expected_duration_ms: ask.expected_duration_ms,
             dispatcher: self.deployment().cluster.scheduler_index as u32,
             priority: u32::from(self.deployment().cluster.service_classes[asked.track.0].priority),
             version,
-            by: Some(self.by(kind, 1)),
-            floor: self.fleet.floor().map(version_gate::message),
+            decider: Some(self.by(kind, 1)),
+            minimum_version: self.fleet.floor().map(version_gate::message),
         }
     }
 
     /// Who acts, and under which version: told with each act, from what is in force as it is
     /// decided. `many`: nodes that it goes to.
-    pub fn by(&self, kind: OperationKind, many: usize) -> v1::By {
+    pub fn by(&self, kind: OperationKind, many: usize) -> v1::Decider {
         let deployment = self.deployment();
         self.fleet.acts(deployment.stamp, kind, many);
         let stamp = Some(active_version::message(deployment.stamp));
-        v1::By {
-            stamp,
-            life: self.fleet.life,
+        v1::Decider {
+            version: stamp,
+            incarnation: self.fleet.life,
             dispatcher: deployment.cluster.scheduler_index as u32,
         }
     }
@@ -574,32 +576,32 @@
         self.with(|now, host, _| host.woken(now));
     }
 
-    pub fn status(&self) -> v1::StatusWord {
+    pub fn status(&self) -> v1::StatusResponse {
         let inner = self.lock();
         let (counts, port) = (inner.host.counts(), &inner.port);
         let idle = duration(self.deployment().bounds.idle_close);
-        v1::StatusWord {
+        v1::StatusResponse {
             number: self.deployment().cluster.scheduler_index as u32,
             schedulers: self.deployment().cluster.scheduler_count as u32,
-            in_hand: counts.in_hand as u64,
-            not_yet: counts.not_yet as u64,
-            shots_out: counts.shots_out as u64,
+            in_flight: counts.in_hand as u64,
+            deferred: counts.not_yet as u64,
+            attempts_in_flight: counts.shots_out as u64,
             running: counts.placed as u64,
-            asked: port.counters.asked,
+            requested: port.counters.asked,
             placed: port.counters.placed,
-            refused: port.counters.refused,
+            rejected: port.counters.refused,
             failed: port.counters.failed,
             cancelled: port.counters.cancelled,
-            links: port
+            connections: port
                 .nodes
                 .values()
                 .filter(|node| node.close_idle(idle))
                 .count() as u64,
             machines_serving: port.serving as u64,
             machines_known: port.nodes.len() as u64,
-            decided_us: port.decided.as_micros() as u64,
+            decision_time_us: port.decided.as_micros() as u64,
             stopping: port.stopping,
-            link_counts: self.counts.told(),
+            connection_traffic: self.counts.told(),
         }
     }
 
@@ -644,7 +646,7 @@
             for (_, client, runs) in host.all() {
                 if runs && client.beside.is_none() {
                     client.say(Said::Ended(v1::Ended {
-                        how: v1::ended::How::HandedBack.into(),
+                        reason: v1::ended::EndReason::HandedBack.into(),
                     }));
                 }
                 client.words.close();
@@ -694,10 +696,10 @@
 /// No owner waits longer for a placing.
 const LONGEST: Ticks = 24 * 3600 * 10_000;
 
-fn refusal(why: NotTaken) -> v1::refused::Why {
+fn refusal(why: NotTaken) -> v1::rejected::RejectionReason {
     match why {
-        NotTaken::Full => v1::refused::Why::TooMany,
-        NotTaken::SameName => v1::refused::Why::InHand,
+        NotTaken::Full => v1::rejected::RejectionReason::TooMany,
+        NotTaken::SameName => v1::rejected::RejectionReason::InHand,
     }
 }
 
--- a/crates/dispatcher/src/core/attempt_events.rs
+++ b/crates/dispatcher/src/core/attempt_events.rs
@@ -9,7 +9,7 @@
 use corkspan_scheduler::interface::*;
 use std::sync::Arc;
 use tracing::warn;
-use v1::word::Word as Said;
+use v1::placement_event::Event as Said;
 
 impl Follows for Desk {
     fn tasks(&self) -> &Tasks {
@@ -28,7 +28,7 @@
         Desk::shut_out(self).is_some()
     }
 
-    fn below(&self, floor: &v1::Floor) {
+    fn below(&self, floor: &v1::MinimumVersion) {
         self.fleet
             .node_tells(crate::version_gate::read(floor), self.deployment().stamp);
     }
@@ -52,11 +52,12 @@
                     return;
                 }
                 if std::mem::take(&mut client.anew) {
-                    let (version, placing) = (client.version.clone(), client.ask.placing.clone());
+                    let (version, placing) =
+                        (client.version.clone(), client.ask.placement_id.clone());
                     client.say(Said::Replaced(v1::Replaced {
                         node: machine.0,
                         version,
-                        placing,
+                        placement_id: placing,
                     }));
                     return;
                 }
@@ -64,7 +65,7 @@
                 let shots = allocation.attempts.len() as u32;
                 client.say(Said::Placed(v1::Placed {
                     node: machine.0,
-                    shots,
+                    attempts: shots,
                 }));
             } else if let Some((client, _)) = host.own(id) {
                 // Wanted no longer by the time the node took it: an earlier word to stop found
@@ -82,7 +83,7 @@
         shot: usize,
         ending: AttemptResult,
         reason: Option<ReturnReason>,
-        over: Option<v1::ended::How>,
+        over: Option<v1::ended::EndReason>,
         report: Option<LoadReport>,
     ) {
         self.with(|now, host, port| {
@@ -104,14 +105,14 @@
                 if client.stopping && ending == AttemptResult::Cancelled && !port.stopping {
                     anew = port.anew(client, allocation);
                 } else {
-                    let how = if client.moving && how == v1::ended::How::Lost {
-                        v1::ended::How::Moved
+                    let how = if client.moving && how == v1::ended::EndReason::Lost {
+                        v1::ended::EndReason::Moved
                     } else {
                         how
                     };
                     let successor = client.successor.take();
                     port.copy_gone(client, ending == AttemptResult::Completed);
-                    client.say(Said::Ended(v1::Ended { how: how.into() }));
+                    client.say(Said::Ended(v1::Ended { reason: how.into() }));
                     client.words.close();
                     if let Some(next) = successor {
                         self.withdraw(next, SurgeEnd::Cancelled, host, port);
@@ -178,8 +179,10 @@
                 return;
             };
             match note {
-                Metric::Running => client.note(Said::Runs(v1::Runs {})),
-                Metric::Served(part) => client.note(Said::Served(v1::Served { part })),
+                Metric::Running => client.note(Said::Running(v1::Running {})),
+                Metric::Served(part) => {
+                    client.note(Said::ServiceLevel(v1::ServiceLevel { fraction: part }))
+                }
                 _ => {}
             }
         });
--- a/crates/dispatcher/src/core/client.rs
+++ b/crates/dispatcher/src/core/client.rs
@@ -9,12 +9,12 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 use tracing::debug;
-use v1::word::Word as Said;
+use v1::placement_event::Event as Said;
 
 /// What is kept for the owner of an allocation in hand.
 pub struct Client {
-    pub ask: v1::Ask,
-    pub words: async_channel::Sender<v1::Word>,
+    pub ask: v1::PlacementRequest,
+    pub words: async_channel::Sender<v1::PlacementEvent>,
     /// When the owner stops waiting; none for one handed over.
     pub deadline: Option<Ticks>,
     /// The call itself has a deadline: that it ends then says nothing of the allocation.
@@ -84,7 +84,10 @@
 }
 
 impl Client {
-    pub fn new(ask: v1::Ask, words: &async_channel::Sender<v1::Word>) -> Self {
+    pub fn new(
+        ask: v1::PlacementRequest,
+        words: &async_channel::Sender<v1::PlacementEvent>,
+    ) -> Self {
         Client {
             ask,
             words: words.clone(),
@@ -105,7 +108,11 @@
 
     /// A word that must arrive. There is always room: notes leave some.
     pub fn say(&self, said: Said) {
-        if self.words.try_send(v1::Word { word: Some(said) }).is_err() {
+        if self
+            .words
+            .try_send(v1::PlacementEvent { event: Some(said) })
+            .is_err()
+        {
             debug!(task = self.ask.task, "an owner is gone before its word");
         }
     }
@@ -114,7 +121,9 @@
     pub fn note(&self, said: Said) {
         const KEPT_FREE: usize = 4;
         if self.words.len() + KEPT_FREE < self.words.capacity().unwrap_or(usize::MAX) {
-            let _ = self.words.try_send(v1::Word { word: Some(said) });
+            let _ = self
+                .words
+                .try_send(v1::PlacementEvent { event: Some(said) });
         }
     }
 }
--- a/crates/dispatcher/src/core/effects.rs
+++ b/crates/dispatcher/src/core/effects.rs
@@ -16,7 +16,7 @@
 use std::sync::{Arc, Weak};
 use std::time::{Duration, Instant};
 use tracing::warn;
-use v1::word::Word as Said;
+use v1::placement_event::Event as Said;
 
 #[derive(Default)]
 pub struct Counters {
@@ -53,18 +53,18 @@
         let Some(node) = self.node(machine) else {
             return;
         };
-        let (placing, task) = (client.ask.placing.clone(), client.ask.task.clone());
+        let (placing, task) = (client.ask.placement_id.clone(), client.ask.task.clone());
         let kind = if moved {
             OperationKind::Migrate
         } else {
             OperationKind::Stop
         };
-        let stop = v1::StopAsk {
-            placing,
+        let stop = v1::StopRequest {
+            placement_id: placing,
             task,
-            moved,
-            but: String::new(),
-            by: Some(desk.by(kind, 1)),
+            migrated: moved,
+            except_placement_id: String::new(),
+            decider: Some(desk.by(kind, 1)),
         };
         desk.tasks
             .spawn(attempts::stop(desk.clone(), node, stop))
@@ -86,10 +86,10 @@
             asks: allocation.requested,
             abandon,
         };
-        let placing = next_placing(&client.ask.placing);
+        let placing = next_placing(&client.ask.placement_id);
         let fresh = Client::new(
-            v1::Ask {
-                placing,
+            v1::PlacementRequest {
+                placement_id: placing,
                 ..client.ask.clone()
             },
             &client.words,
@@ -126,7 +126,7 @@
         self.orphans.push(Orphan {
             service: client.ask.service.clone(),
             task: client.ask.task.clone(),
-            placings: vec![client.ask.placing.clone()],
+            placings: vec![client.ask.placement_id.clone()],
             but: None,
             nodes: Some(
                 allocation
@@ -186,7 +186,7 @@
             // Its owner had its answer long ago: to it the copy is sent away, and it comes again.
             self.copy_gone(client, false);
             client.say(Said::Ended(v1::Ended {
-                how: v1::ended::How::SentAway.into(),
+                reason: v1::ended::EndReason::SentAway.into(),
             }));
             client.words.close();
             return false;
@@ -230,7 +230,7 @@
                 self.now,
                 &client.ask.task,
                 &client.version,
-                client.ask.again && !client.anew,
+                client.ask.retry && !client.anew,
             );
             if !desk.may_run_twice(allocation.service_class) {
                 conductor.forbid_surge(&client.ask.task);
@@ -267,11 +267,18 @@
             return self.put_away(client, allocation, SurgeEnd::NoCapacity);
         }
         let (why, shots) = (
-            v1::refused::Why::NoRoom.into(),
+            v1::rejected::RejectionReason::NoRoom.into(),
             allocation.attempts.len() as u32,
         );
         let text = "no machine could take it in its time".into();
-        if self.answer(client, Said::Refused(v1::Refused { why, text, shots })) {
+        if self.answer(
+            client,
+            Said::Rejected(v1::Rejected {
+                reason: why,
+                message: text,
+                attempts: shots,
+            }),
+        ) {
             self.counters.refused += 1;
         }
     }
@@ -282,7 +289,13 @@
         }
         let shots = allocation.attempts.len() as u32;
         let text = "a shot may have run, and a further one is not allowed".into();
-        if self.answer(client, Said::Failed(v1::Failed { text, shots })) {
+        if self.answer(
+            client,
+            Said::Failed(v1::Failed {
+                message: text,
+                attempts: shots,
+            }),
+        ) {
             self.counters.failed += 1;
         }
     }
--- a/crates/dispatcher/src/core/replicas.rs
+++ b/crates/dispatcher/src/core/replicas.rs
@@ -16,7 +16,7 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 use tracing::warn;
-use v1::word::Word as Said;
+use v1::placement_event::Event as Said;
 
 impl Desk {
     /// Puts a new copy away that stands beside an old one. It is told to stop until it is known to
@@ -58,7 +58,7 @@
         let (service, task, placing) = (
             old.ask.service.clone(),
             old.ask.task.clone(),
-            old.ask.placing.clone(),
+            old.ask.placement_id.clone(),
         );
         let nodes = allocation
             .attempts
@@ -73,11 +73,11 @@
         };
         (new.beside, new.current, new.hangs_up) = (None, current, hangs_up);
         new.current.set(next);
-        let (version, name) = (new.version.clone(), new.ask.placing.clone());
+        let (version, name) = (new.version.clone(), new.ask.placement_id.clone());
         new.say(Said::Replaced(v1::Replaced {
             node: machine.0,
             version,
-            placing: name,
+            placement_id: name,
         }));
         host.swap_names(id, next);
         if gone {
@@ -154,14 +154,14 @@
         let id = inner.host.find(task)?;
         let (client, _) = inner.host.own(id)?;
         let (old, successor, retires) = (
-            client.ask.placing.clone(),
+            client.ask.placement_id.clone(),
             client.successor,
             client.retiring,
         );
         let new = successor.and_then(|next| inner.host.own(next));
         let new = new.map_or_else(
             || next_placing(&old),
-            |(client, _)| client.ask.placing.clone(),
+            |(client, _)| client.ask.placement_id.clone(),
         );
         Some(Pair { new, old, retires })
     }
@@ -190,8 +190,8 @@
             let Some((client, allocation)) = host.own(old) else {
                 return;
             };
-            let ask = v1::Ask {
-                placing: placing.into(),
+            let ask = v1::PlacementRequest {
+                placement_id: placing.into(),
                 ..client.ask.clone()
             };
             let Some(within) = port
@@ -278,7 +278,7 @@
                 service: service.into(),
                 task: task.into(),
                 placings: Vec::new(),
-                but: Some(client.ask.placing.clone()),
+                but: Some(client.ask.placement_id.clone()),
                 nodes: None,
                 told: BTreeSet::new(),
                 then: Then::Cleared(claim),
@@ -289,17 +289,16 @@
     /// Tells nodes of what is to be gone, each until it has answered; gives slots back whose copies
     /// are. What an earlier life had left and is put away by now.
     pub async fn clear_orphans(self: &Arc<Self>) -> Vec<(ClaimId, Pair)> {
-        let asks: Vec<(usize, MachineId, Arc<NodeLink>, Vec<v1::StopAsk>)> = {
+        let asks: Vec<(usize, MachineId, Arc<NodeLink>, Vec<v1::StopRequest>)> = {
             let mut inner = self.lock();
             let Inner { host, port } = &mut *inner;
             // A copy that has another placing by now is not to be stopped by word of the one
             // before.
             port.orphans.retain(|orphan| {
                 let own = host.find(&orphan.task).and_then(|id| host.own(id));
-                orphan
-                    .but
-                    .as_ref()
-                    .is_none_or(|but| own.is_some_and(|(client, _)| client.ask.placing == *but))
+                orphan.but.as_ref().is_none_or(|but| {
+                    own.is_some_and(|(client, _)| client.ask.placement_id == *but)
+                })
             });
             let port = &inner.port;
             let all = port.orphans.iter().enumerate().flat_map(|(index, orphan)| {
@@ -312,20 +311,21 @@
                 });
                 here.map(move |(machine, node)| {
                     // Whoever holds it by now hears that it moved, and asks again.
-                    let stop = |placing: &String| v1::StopAsk {
-                        placing: placing.clone(),
+                    let stop = |placing: &String| v1::StopRequest {
+                        placement_id: placing.clone(),
                         task: orphan.task.clone(),
-                        moved: true,
-                        but: String::new(),
-                        by: Some(self.by(OperationKind::Migrate, 1)),
+                        migrated: true,
+                        except_placement_id: String::new(),
+                        decider: Some(self.by(OperationKind::Migrate, 1)),
                     };
-                    let mut stops: Vec<v1::StopAsk> = orphan.placings.iter().map(stop).collect();
-                    stops.extend(orphan.but.iter().map(|but| v1::StopAsk {
-                        placing: String::new(),
+                    let mut stops: Vec<v1::StopRequest> =
+                        orphan.placings.iter().map(stop).collect();
+                    stops.extend(orphan.but.iter().map(|but| v1::StopRequest {
+                        placement_id: String::new(),
                         task: orphan.task.clone(),
-                        moved: true,
-                        but: but.clone(),
-                        by: Some(self.by(OperationKind::Migrate, 1)),
+                        migrated: true,
+                        except_placement_id: but.clone(),
+                        decider: Some(self.by(OperationKind::Migrate, 1)),
                     }));
                     (index, *machine, Arc::clone(node), stops)
                 })
--- a/crates/dispatcher/src/endpoint_list.rs
+++ b/crates/dispatcher/src/endpoint_list.rs
@@ -107,20 +107,20 @@
     fn take(
         &mut self,
         desk: &Desk,
-        listing: v1::Listing,
+        listing: v1::EndpointList,
     ) -> (ListUpdate, Vec<(Endpoint, SocketAddr)>, bool) {
-        let mut matters = listing.whole;
-        let scope = if listing.whole {
+        let mut matters = listing.complete;
+        let scope = if listing.complete {
             ListUpdate::Complete
         } else {
             ListUpdate::Incremental
         };
-        if listing.whole {
+        if listing.complete {
             self.lines.clear();
         }
         self.version = listing.version;
         let mut entries = Vec::new();
-        for entry in listing.entries {
+        for entry in listing.endpoints {
             match line(entry) {
                 Ok(line) => {
                     entries.extend(self.entry(desk, &line, listing.now_ms));
@@ -236,24 +236,26 @@
     Ok(Some(kept))
 }
 
-fn line(entry: v1::Entry) -> Result<Line, String> {
+fn line(entry: v1::Endpoint) -> Result<Line, String> {
     let state = match entry.state() {
-        v1::entry::State::Serving => Known::Serving,
-        v1::entry::State::Draining => Known::Draining,
-        v1::entry::State::Gone => Known::Gone,
-        v1::entry::State::Unknown => return Err(format!("node {} has no known state", entry.node)),
+        v1::endpoint::State::Serving => Known::Serving,
+        v1::endpoint::State::Draining => Known::Draining,
+        v1::endpoint::State::Gone => Known::Gone,
+        v1::endpoint::State::Unknown => {
+            return Err(format!("node {} has no known state", entry.node));
+        }
     };
     let address = entry.address.parse();
     let address =
         address.map_err(|_| format!("node {}: `{}` is no address", entry.node, entry.address))?;
     let room = entry
-        .unasked
+        .unreserved
         .filter(|room| room.cores.is_finite() && room.memory.is_finite());
     Ok(Line {
         node: entry.node,
         address,
-        kind: entry.kind,
-        hall: entry.hall,
+        kind: entry.machine_type,
+        hall: entry.zone,
         cell: entry.cell,
         state,
         started_ms: entry.started_ms,
@@ -289,7 +291,7 @@
     let link = link.map_err(|why| why.to_string())?;
     // A list is longer than a message of a client may be.
     let mut client = RosterClient::new(link).max_decoding_message_size(LARGEST as usize);
-    let ask = v1::ListAsk {
+    let ask = v1::ListRequest {
         version: roster.version,
         dispatcher: desk.deployment().cluster.scheduler_index as u32,
     };
--- a/crates/dispatcher/src/link_counters.rs
+++ b/crates/dispatcher/src/link_counters.rs
@@ -2,7 +2,7 @@
 //! several share a process.
 
 use corkspan_api::v1;
-pub use corkspan_api::v1::link_count::Kind as LinkKind;
+pub use corkspan_api::v1::connection_traffic::Kind as LinkKind;
 use corkspan_rpc::{Meter, Sorts};
 use prometheus_client::encoding::{EncodeLabelSet, EncodeLabelValue};
 use prometheus_client::metrics::counter::Counter;
@@ -66,10 +66,10 @@
         })
     }
 
-    pub fn told(&self) -> Vec<v1::LinkCount> {
+    pub fn told(&self) -> Vec<v1::ConnectionTraffic> {
         let told = |kind: LinkKind| {
             let meter = self.meter(kind);
-            v1::LinkCount {
+            v1::ConnectionTraffic {
                 kind: kind.into(),
                 bytes_in: meter.bytes_in.get(),
                 bytes_out: meter.bytes_out.get(),
--- a/crates/dispatcher/src/maintenance.rs
+++ b/crates/dispatcher/src/maintenance.rs
@@ -5,8 +5,10 @@
 use crate::core::Desk;
 use crate::maintenance_messages;
 use crate::quorum_client::ask_all;
-use corkspan_api::v1::door_ask::What as Do;
-use corkspan_api::v1::{self, keep_ask::Ask, maintain_ask::What, node_client::NodeClient};
+use corkspan_api::v1::cordon_request::CordonAction as Do;
+use corkspan_api::v1::{
+    self, maintenance_request::Action, node_client::NodeClient, quorum_request::Operation,
+};
 use corkspan_maintenance::cost::estimate_cost;
 use corkspan_maintenance::quorum_view::{MachineStatus, QuorumView};
 use corkspan_maintenance::reconcile::{ReconcileContext, reconcile};
@@ -75,16 +77,16 @@
 /// What the keepers come to; none without a majority.
 async fn view(desk: &Arc<Desk>) -> Option<QuorumView> {
     let fleet = desk.deployment().cluster.scheduler_count as u32;
-    let tell = v1::Tell {
-        floor_only: true,
-        board: true,
-        fleet,
-        ..v1::Tell::default()
+    let tell = v1::QuorumQuery {
+        minimum_version_only: true,
+        include_leases: true,
+        fleet_size: fleet,
+        ..v1::QuorumQuery::default()
     };
-    let words = ask_all(desk, Ask::Tell(tell)).await;
+    let words = ask_all(desk, Operation::Query(tell)).await;
     let words: Vec<_> = words
         .iter()
-        .filter_map(|word| word.board.as_ref().map(maintenance_messages::word))
+        .filter_map(|word| word.leases.as_ref().map(maintenance_messages::word))
         .collect();
     QuorumView::from_replies(&words, desk.deployment().keepers.len())
 }
@@ -98,7 +100,11 @@
         .map(|(own, (movable, once))| (own.0, estimate_cost(movable, once)))
         .collect();
     let dispatcher = desk.deployment().cluster.scheduler_index as u32;
-    ask_all(desk, Ask::Bids(v1::Bids { dispatcher, costs })).await;
+    ask_all(
+        desk,
+        Operation::CostEstimates(v1::CostEstimates { dispatcher, costs }),
+    )
+    .await;
 }
 
 /// What these machines say, each of the claim told.
@@ -113,20 +119,20 @@
             machine,
             claim,
             desk.tasks
-                .spawn(async move { door(&own, machine, claim, Do::Look).await }),
+                .spawn(async move { door(&own, machine, claim, Do::Get).await }),
         ));
     }
     let mut says = BTreeMap::new();
     for (machine, claim, call) in calls {
         if let Some(word) = call.await {
-            let closed = (word.closed != 0).then_some(ClaimId(word.closed));
-            let over = word.over.then_some(claim).into_iter().collect();
+            let closed = (word.cordoned_for != 0).then_some(ClaimId(word.cordoned_for));
+            let over = word.claim_ended.then_some(claim).into_iter().collect();
             says.insert(
                 machine,
                 MachineStatus {
                     cordoned_by: closed,
                     finished: over,
-                    running: word.runs,
+                    running: word.running,
                     unchanged_ms: word.since_ms,
                 },
             );
@@ -140,12 +146,12 @@
     machine: Machine,
     claim: ClaimId,
     what: Do,
-) -> Option<v1::DoorWord> {
+) -> Option<v1::CordonResponse> {
     let node = desk.node(MachineId(machine.0))?;
     let _call = node.call();
-    let ask = v1::DoorAsk {
+    let ask = v1::CordonRequest {
         claim: claim.0,
-        what: what.into(),
+        action: what.into(),
     };
     let whole = async {
         let link = node.ready(&desk.tasks, &desk.link_bounds).await.ok()?;
@@ -181,28 +187,31 @@
     };
     let next = reconcile(view, &says, &own);
     // Machines first: what keepers are told in this look does not depend on what they answer.
-    let cordon = next.cordon.iter().map(|lease| (lease, Do::Close));
-    let uncordon = next.uncordon.iter().map(|lease| (lease, Do::Open));
+    let cordon = next.cordon.iter().map(|lease| (lease, Do::Cordon));
+    let uncordon = next.uncordon.iter().map(|lease| (lease, Do::Uncordon));
     let stop = next.stop.iter().map(|lease| (lease, Do::Stop));
     for (lease, what) in cordon.chain(uncordon).chain(stop) {
         door(desk, lease.machine, lease.claim, what).await;
     }
     for step in maintenance_messages::steps(&next) {
-        ask_all(desk, Ask::Step(step)).await;
+        ask_all(desk, Operation::MaintenanceStep(step)).await;
     }
     if let Some(claim) = next.claim {
-        let message = v1::WorkClaim {
-            number: claim.revision,
+        let message = v1::MaintenanceClaim {
+            revision: claim.revision,
             node: claim.lease.machine.0,
             claim: claim.lease.claim.0,
             slots: claim.slots.each().to_vec(),
         };
-        ask_all(desk, Ask::Take(message)).await;
+        ask_all(desk, Operation::MaintenanceClaim(message)).await;
     }
 }
 
 /// What an operator asks.
-pub async fn maintain(desk: &Arc<Desk>, ask: v1::MaintainAsk) -> Result<v1::MaintainWord, Status> {
+pub async fn maintain(
+    desk: &Arc<Desk>,
+    ask: v1::MaintenanceRequest,
+) -> Result<v1::MaintenanceResponse, Status> {
     let keepers = desk.deployment().keepers.len();
     if keepers == 0 || desk.deployment().maintenance.is_none() {
         return Err(Status::failed_precondition(
@@ -212,10 +221,10 @@
     let Some(view) = view(desk).await else {
         return Err(Status::unavailable("no majority of the keepers answers"));
     };
-    let what = ask.what();
+    let what = ask.action();
     let taken = match what {
-        What::Status => true,
-        What::Done => done(desk, &view, &ask).await?,
+        Action::Status => true,
+        Action::Done => done(desk, &view, &ask).await?,
         _ => propose(desk, &view, ask).await?,
     };
     let text = if taken {
@@ -236,14 +245,14 @@
             .filter(move |(_, own)| **own == end)
             .map(|(machine, _)| machine.0)
     };
-    Ok(v1::MaintainWord {
-        taken,
-        text: text.into(),
-        stands: after.request.as_ref().map(maintenance_messages::work),
-        out: after.unavailable().filter_map(phase).collect(),
-        worked: ended(LeaseOutcome::Completed).collect(),
+    Ok(v1::MaintenanceResponse {
+        accepted: taken,
+        message: text.into(),
+        current: after.request.as_ref().map(maintenance_messages::work),
+        leases: after.unavailable().filter_map(phase).collect(),
+        completed: ended(LeaseOutcome::Completed).collect(),
         skipped: ended(LeaseOutcome::Skipped).collect(),
-        in_work: after
+        in_maintenance: after
             .drained(&says)
             .into_iter()
             .map(|lease| lease.machine.0)
@@ -252,7 +261,11 @@
 }
 
 /// The worker's word on each machine named.
-async fn done(desk: &Arc<Desk>, view: &QuorumView, ask: &v1::MaintainAsk) -> Result<bool, Status> {
+async fn done(
+    desk: &Arc<Desk>,
+    view: &QuorumView,
+    ask: &v1::MaintenanceRequest,
+) -> Result<bool, Status> {
     let says = says(desk, view.machines_to_poll(0, |_| 0)).await;
     let in_work = view.drained(&says).into_iter();
     let in_work: BTreeMap<Machine, ClaimId> =
@@ -264,13 +277,13 @@
                 "machine {node} is not in work"
             )));
         };
-        let step = v1::WorkStep {
+        let step = v1::MaintenanceStep {
             node: *node,
             claim: claim.0,
-            step: v1::work_step::Step::Done.into(),
-            ..v1::WorkStep::default()
+            step: v1::maintenance_step::Step::Completed.into(),
+            ..v1::MaintenanceStep::default()
         };
-        let heard = ask_all(desk, Ask::Step(step)).await.len();
+        let heard = ask_all(desk, Operation::MaintenanceStep(step)).await.len();
         let keepers = desk.deployment().keepers.len();
         if !is_majority(heard, keepers) {
             let text = format!(
@@ -285,20 +298,20 @@
 async fn propose(
     desk: &Arc<Desk>,
     view: &QuorumView,
-    ask: v1::MaintainAsk,
+    ask: v1::MaintenanceRequest,
 ) -> Result<bool, Status> {
     let asker = desk.clock.now().rotate_left(24) ^ desk.fleet.life;
     let number = view.highest_revision.saturating_add(1);
-    let wish = match (ask.what(), &view.request) {
-        (What::Start, _) => start(desk, view, ask, number, asker)?,
+    let wish = match (ask.action(), &view.request) {
+        (Action::Start, _) => start(desk, view, ask, number, asker)?,
         (_, None) => return Err(Status::not_found("there is no work under way")),
-        (What::Pause, Some(wish)) => MaintenanceRequest {
+        (Action::Pause, Some(wish)) => MaintenanceRequest {
             revision: number,
             proposer: asker,
             run_state: RunState::Paused,
             ..wish.clone()
         },
-        (What::Resume, Some(wish)) => MaintenanceRequest {
+        (Action::Resume, Some(wish)) => MaintenanceRequest {
             revision: number,
             proposer: asker,
             run_state: RunState::Running,
@@ -311,10 +324,14 @@
             ..wish.clone()
         },
     };
-    let words = ask_all(desk, Ask::Work(maintenance_messages::work(&wish))).await;
+    let words = ask_all(
+        desk,
+        Operation::Maintenance(maintenance_messages::work(&wish)),
+    )
+    .await;
     let stands: Vec<MaintenanceRequest> = words
         .iter()
-        .filter_map(|word| maintenance_messages::wish(word.board.as_ref()?.work.as_ref()?))
+        .filter_map(|word| maintenance_messages::wish(word.leases.as_ref()?.plan.as_ref()?))
         .collect();
     info!(number, course = ?wish.run_state, machines = wish.machines.len(), "a wish for work on machines");
     Ok(committed(&stands, desk.deployment().keepers.len()) == Some(&wish))
@@ -323,7 +340,7 @@
 fn start(
     desk: &Arc<Desk>,
     view: &QuorumView,
-    ask: v1::MaintainAsk,
+    ask: v1::MaintenanceRequest,
     number: u64,
     asker: u64,
 ) -> Result<MaintenanceRequest, Status> {
@@ -358,8 +375,8 @@
         .collect();
     let begun = view.check_start(&machines, &limits, &keepers);
     begun.map_err(|why| Status::failed_precondition(why.to_string()))?;
-    let (warm_ms, empty_within_ms) = (ask.warm_ms, ask.empty_within_ms);
-    let then = maintenance_messages::then(ask.then());
+    let (warm_ms, empty_within_ms) = (ask.warm_up_ms, ask.drain_timeout_ms);
+    let then = maintenance_messages::then(ask.on_drain_timeout());
     let job = asker;
     Ok(MaintenanceRequest {
         revision: number,
--- a/crates/dispatcher/src/maintenance_messages.rs
+++ b/crates/dispatcher/src/maintenance_messages.rs
@@ -1,6 +1,6 @@
 //! Words on machines taken out for work, between messages and what decides.
 
-use corkspan_api::v1::{self, work_step::Step};
+use corkspan_api::v1::{self, maintenance_step::Step};
 use corkspan_maintenance::lease_table::{ClaimOutcome, LeaseTable};
 use corkspan_maintenance::quorum_view::MemberReply;
 use corkspan_maintenance::reconcile::Actions;
@@ -13,11 +13,11 @@
 fn phase(step: Step) -> Option<LeasePhase> {
     Some(match step {
         Step::None => LeasePhase::Requested,
-        Step::Held => LeasePhase::Granted,
-        Step::Closed => LeasePhase::Cordoned,
-        Step::Handed => LeasePhase::Drained,
-        Step::Done => LeasePhase::Completed,
-        Step::Returned => LeasePhase::Cancelled,
+        Step::Granted => LeasePhase::Granted,
+        Step::Cordoned => LeasePhase::Cordoned,
+        Step::Drained => LeasePhase::Drained,
+        Step::Completed => LeasePhase::Completed,
+        Step::Cancelled => LeasePhase::Cancelled,
         Step::Withdrawn | Step::Released => return None,
     })
 }
@@ -25,38 +25,38 @@
 fn step(phase: LeasePhase) -> Step {
     match phase {
         LeasePhase::Requested => Step::None,
-        LeasePhase::Granted => Step::Held,
-        LeasePhase::Cordoned => Step::Closed,
-        LeasePhase::Drained => Step::Handed,
-        LeasePhase::Completed => Step::Done,
-        LeasePhase::Cancelled => Step::Returned,
+        LeasePhase::Granted => Step::Granted,
+        LeasePhase::Cordoned => Step::Cordoned,
+        LeasePhase::Drained => Step::Drained,
+        LeasePhase::Completed => Step::Completed,
+        LeasePhase::Cancelled => Step::Cancelled,
     }
 }
 
-fn place(machine: Machine, at: MachineDomains) -> v1::WorkMachine {
-    v1::WorkMachine {
+fn place(machine: Machine, at: MachineDomains) -> v1::MaintenanceMachine {
+    v1::MaintenanceMachine {
         node: machine.0,
-        hall: at.zone,
+        zone: at.zone,
         cell: at.cell,
-        kind: at.machine_type,
+        machine_type: at.machine_type,
     }
 }
 
-fn placed(own: &v1::WorkMachine) -> (Machine, MachineDomains) {
+fn placed(own: &v1::MaintenanceMachine) -> (Machine, MachineDomains) {
     (
         Machine(own.node),
         MachineDomains {
-            zone: own.hall,
+            zone: own.zone,
             cell: own.cell,
-            machine_type: own.kind,
+            machine_type: own.machine_type,
         },
     )
 }
 
-pub fn work(wish: &MaintenanceRequest) -> v1::Work {
-    v1::Work {
-        number: wish.revision,
-        asker: wish.proposer,
+pub fn work(wish: &MaintenanceRequest) -> v1::MaintenancePlan {
+    v1::MaintenancePlan {
+        revision: wish.revision,
+        proposer: wish.proposer,
         job: wish.job,
         machines: wish
             .machines
@@ -64,31 +64,31 @@
             .map(|(machine, at)| place(*machine, *at))
             .collect(),
         limits: wish.limits.each().to_vec(),
-        warm_ms: wish.warm_up_ms,
-        empty_within_ms: wish.drain_timeout_ms,
-        then: match wish.on_drain_timeout {
-            DrainTimeoutAction::Wait => v1::work::Then::Wait,
-            DrainTimeoutAction::Skip => v1::work::Then::Skip,
-            DrainTimeoutAction::Stop => v1::work::Then::Stop,
+        warm_up_ms: wish.warm_up_ms,
+        drain_timeout_ms: wish.drain_timeout_ms,
+        on_drain_timeout: match wish.on_drain_timeout {
+            DrainTimeoutAction::Wait => v1::maintenance_plan::DrainTimeoutAction::Wait,
+            DrainTimeoutAction::Skip => v1::maintenance_plan::DrainTimeoutAction::Skip,
+            DrainTimeoutAction::Stop => v1::maintenance_plan::DrainTimeoutAction::Stop,
         }
         .into(),
-        course: match wish.run_state {
-            RunState::Running => v1::work::Course::Going,
-            RunState::Paused => v1::work::Course::Paused,
-            RunState::Aborted => v1::work::Course::Aborted,
+        run_state: match wish.run_state {
+            RunState::Running => v1::maintenance_plan::RunState::Running,
+            RunState::Paused => v1::maintenance_plan::RunState::Paused,
+            RunState::Aborted => v1::maintenance_plan::RunState::Aborted,
         }
         .into(),
     }
 }
 
 /// None where its limits are not four.
-pub fn wish(work: &v1::Work) -> Option<MaintenanceRequest> {
+pub fn wish(work: &v1::MaintenancePlan) -> Option<MaintenanceRequest> {
     let [all, hall, cell, kind] = work.limits[..] else {
         return None;
     };
     Some(MaintenanceRequest {
-        revision: work.number,
-        proposer: work.asker,
+        revision: work.revision,
+        proposer: work.proposer,
         job: work.job,
         machines: work.machines.iter().map(placed).collect(),
         limits: DisruptionLimits {
@@ -97,27 +97,31 @@
             cell,
             machine_type: kind,
         },
-        warm_up_ms: work.warm_ms,
-        drain_timeout_ms: work.empty_within_ms,
-        on_drain_timeout: then(work.then()),
-        run_state: match work.course() {
-            v1::work::Course::Going => RunState::Running,
-            v1::work::Course::Paused => RunState::Paused,
-            v1::work::Course::Aborted => RunState::Aborted,
+        warm_up_ms: work.warm_up_ms,
+        drain_timeout_ms: work.drain_timeout_ms,
+        on_drain_timeout: then(work.on_drain_timeout()),
+        run_state: match work.run_state() {
+            v1::maintenance_plan::RunState::Running => RunState::Running,
+            v1::maintenance_plan::RunState::Paused => RunState::Paused,
+            v1::maintenance_plan::RunState::Aborted => RunState::Aborted,
         },
     })
 }
 
-pub fn then(then: v1::work::Then) -> DrainTimeoutAction {
+pub fn then(then: v1::maintenance_plan::DrainTimeoutAction) -> DrainTimeoutAction {
     match then {
-        v1::work::Then::Wait => DrainTimeoutAction::Wait,
-        v1::work::Then::Skip => DrainTimeoutAction::Skip,
-        v1::work::Then::Stop => DrainTimeoutAction::Stop,
+        v1::maintenance_plan::DrainTimeoutAction::Wait => DrainTimeoutAction::Wait,
+        v1::maintenance_plan::DrainTimeoutAction::Skip => DrainTimeoutAction::Skip,
+        v1::maintenance_plan::DrainTimeoutAction::Stop => DrainTimeoutAction::Stop,
     }
 }
 
-pub fn outing(machine: Machine, outing: &MaintenanceLease, told: LeasePhase) -> v1::Outing {
-    v1::Outing {
+pub fn outing(
+    machine: Machine,
+    outing: &MaintenanceLease,
+    told: LeasePhase,
+) -> v1::MaintenanceLease {
+    v1::MaintenanceLease {
         machine: Some(place(machine, outing.domains)),
         claim: outing.claim.0,
         job: outing.job,
@@ -127,7 +131,7 @@
 }
 
 /// All that a keeper keeps, for a fleet of so many.
-pub fn board(board: &LeaseTable, fleet: u32) -> v1::Board {
+pub fn board(board: &LeaseTable, fleet: u32) -> v1::LeaseTable {
     let ended = |which| {
         board
             .outcomes()
@@ -144,25 +148,25 @@
         .total_costs(fleet)
         .into_iter()
         .map(|(machine, cost)| (machine.0, cost));
-    v1::Board {
-        work: board.request().map(work),
-        outings: board
+    v1::LeaseTable {
+        plan: board.request().map(work),
+        leases: board
             .leases()
             .iter()
             .map(|(own, out)| outing(*own, out, out.phase))
             .collect(),
-        worked: ended(LeaseOutcome::Completed).collect(),
+        completed: ended(LeaseOutcome::Completed).collect(),
         skipped: ended(LeaseOutcome::Skipped).collect(),
         withdrawn: board.withdrawn().map(|claim| claim.0).collect(),
-        handed: votes(LeasePhase::Drained).collect(),
-        returned: votes(LeasePhase::Cancelled).collect(),
+        drained: votes(LeasePhase::Drained).collect(),
+        cancelled: votes(LeasePhase::Cancelled).collect(),
         costs: costs.collect(),
     }
 }
 
 /// What a keeper told. What can't be read of it is left out.
-pub fn word(told: &v1::Board) -> MemberReply {
-    let outing = |own: &v1::Outing| {
+pub fn word(told: &v1::LeaseTable) -> MemberReply {
+    let outing = |own: &v1::MaintenanceLease| {
         let (machine, at) = placed(own.machine.as_ref()?);
         let slots = Slots::try_from(&own.slots[..]).ok()?;
         let phase = phase(own.phase())?;
@@ -191,16 +195,16 @@
     };
     let cost = |(node, cost): (&u32, &f64)| cost.is_finite().then_some((Machine(*node), *cost));
     MemberReply {
-        request: told.work.as_ref().and_then(wish),
-        leases: told.outings.iter().filter_map(outing).collect(),
-        outcomes: ended(&told.worked, LeaseOutcome::Completed)
+        request: told.plan.as_ref().and_then(wish),
+        leases: told.leases.iter().filter_map(outing).collect(),
+        outcomes: ended(&told.completed, LeaseOutcome::Completed)
             .into_iter()
             .chain(ended(&told.skipped, LeaseOutcome::Skipped))
             .collect(),
         withdrawn: told.withdrawn.iter().map(|claim| ClaimId(*claim)).collect(),
-        votes: votes(&told.handed, LeasePhase::Drained)
+        votes: votes(&told.drained, LeasePhase::Drained)
             .into_iter()
-            .chain(votes(&told.returned, LeasePhase::Cancelled))
+            .chain(votes(&told.cancelled, LeasePhase::Cancelled))
             .collect(),
         costs: told
             .costs
@@ -211,12 +215,12 @@
 }
 
 /// The steps that keepers are to be told.
-pub fn steps(look: &Actions) -> Vec<v1::WorkStep> {
-    let plain = |lease: LeaseId, step: Step| v1::WorkStep {
+pub fn steps(look: &Actions) -> Vec<v1::MaintenanceStep> {
+    let plain = |lease: LeaseId, step: Step| v1::MaintenanceStep {
         node: lease.machine.0,
         claim: lease.claim.0,
         step: step.into(),
-        ..v1::WorkStep::default()
+        ..v1::MaintenanceStep::default()
     };
     let withdrawn = look
         .withdraw
@@ -228,9 +232,9 @@
         .map(|progress| plain(progress.lease, step(progress.phase)));
     let released = look.release.iter().map(|release| {
         let outcome = release.outcome.map(|of| of.outcome);
-        v1::WorkStep {
+        v1::MaintenanceStep {
             job: release.outcome.map_or(0, |of| of.job),
-            worked: outcome == Some(LeaseOutcome::Completed),
+            completed: outcome == Some(LeaseOutcome::Completed),
             skipped: outcome == Some(LeaseOutcome::Skipped),
             ..plain(release.lease, Step::Released)
         }
@@ -239,9 +243,9 @@
 }
 
 /// A step arrives at a keeper.
-pub fn arrives(board: &mut LeaseTable, told: &v1::WorkStep) {
+pub fn arrives(board: &mut LeaseTable, told: &v1::MaintenanceStep) {
     let (machine, claim) = (Machine(told.node), ClaimId(told.claim));
-    let end = match (told.worked, told.skipped) {
+    let end = match (told.completed, told.skipped) {
         (true, _) => Some(LeaseOutcome::Completed),
         (false, true) => Some(LeaseOutcome::Skipped),
         (false, false) => None,
@@ -262,7 +266,7 @@
 }
 
 /// A claim arrives at a keeper; whether it is granted.
-pub fn claimed(board: &mut LeaseTable, told: &v1::WorkClaim) -> bool {
+pub fn claimed(board: &mut LeaseTable, told: &v1::MaintenanceClaim) -> bool {
     let Ok(slots) = Slots::try_from(&told.slots[..]) else {
         return false;
     };
@@ -270,6 +274,11 @@
     if told.claim == 0 {
         return false;
     }
-    let claim = board.claim(told.number, Machine(told.node), ClaimId(told.claim), slots);
+    let claim = board.claim(
+        told.revision,
+        Machine(told.node),
+        ClaimId(told.claim),
+        slots,
+    );
     claim == ClaimOutcome::Granted
 }
--- a/crates/dispatcher/src/minimum_version.rs
+++ b/crates/dispatcher/src/minimum_version.rs
@@ -7,7 +7,7 @@
 use crate::quorum_client::ask_all;
 use crate::version_gate::say;
 pub use crate::version_gate::{message, read};
-use corkspan_api::v1::{self, keep_ask::Ask};
+use corkspan_api::v1::{self, quorum_request::Operation};
 use corkspan_config::FloorWatch;
 use corkspan_quorum::{committed, sampled};
 use corkspan_version_fencing::catch_up::should_store;
@@ -73,7 +73,7 @@
         let (keepers, now) = (deployment.keepers.len(), desk.clock.now());
         let told: Vec<Option<MinimumVersion>> = words
             .iter()
-            .map(|word| word.floor.as_ref().map(read))
+            .map(|word| word.minimum_version.as_ref().map(read))
             .collect();
         let news = desk.fleet.standing().apply_quorum_replies(&told, keepers);
         if let Some(floor) = desk.fleet.floor().filter(|_| news) {
@@ -85,7 +85,7 @@
                 max_age: own.after,
                 adoption_permille: own.part,
             };
-            let taken: Vec<Option<u64>> = words.iter().map(|word| word.taken).collect();
+            let taken: Vec<Option<u64>> = words.iter().map(|word| word.adopted_version).collect();
             let stands = committed(told.iter().flatten(), keepers).map(|floor| floor.version);
             // Hundreds see it in the same round: a few that ask are enough.
             let chance = sampled(deployment.cluster.scheduler_count, rng.random());
@@ -94,12 +94,12 @@
                 .filter(|_| chance);
             if let Some(lowest) = lowest {
                 match raise(&desk, lowest).await {
-                    Ok(word) if word.taken => {
+                    Ok(word) if word.accepted => {
                         info!(lowest, "the floor of versions is raised by its rule")
                     }
                     Ok(word) => info!(
                         lowest,
-                        why = word.text,
+                        why = word.message,
                         "the floor of versions is not raised"
                     ),
                     Err(why) => info!(
@@ -116,7 +116,7 @@
 }
 
 /// What the keepers that answer hold of the fleet, told what runs here.
-async fn tell(desk: &Arc<Desk>, own: &FloorWatch) -> Vec<v1::KeepWord> {
+async fn tell(desk: &Arc<Desk>, own: &FloorWatch) -> Vec<v1::QuorumResponse> {
     let (running, on_trial) = desk.versions.with(|state| {
         (
             state.subscriber.active_version(),
@@ -128,19 +128,19 @@
         cluster.scheduler_index as u32,
         cluster.scheduler_count as u32,
     );
-    let runs = Some(v1::InForce {
+    let runs = Some(v1::ActiveVersion {
         dispatcher,
-        stamp: Some(active_version::message(running)),
+        version: Some(active_version::message(running)),
         on_trial,
     });
     ask_all(
         desk,
-        Ask::Tell(v1::Tell {
-            floor_only: true,
-            runs,
-            part: own.part,
-            fleet,
-            board: false,
+        Operation::Query(v1::QuorumQuery {
+            minimum_version_only: true,
+            active_version: runs,
+            required_thousandths: own.part,
+            fleet_size: fleet,
+            include_leases: false,
         }),
     )
     .await
@@ -148,7 +148,7 @@
 
 /// Lays the version that has stood its trial here on the shelves of keepers where an older one
 /// lies, or none.
-async fn lay(desk: &Arc<Desk>, words: &[v1::KeepWord], chance: f64) {
+async fn lay(desk: &Arc<Desk>, words: &[v1::QuorumResponse], chance: f64) {
     let good = desk
         .versions
         .with(|state| match state.subscriber.on_trial() {
@@ -158,7 +158,7 @@
     let Some(good) = good else { return };
     let oldest = words
         .iter()
-        .map(|word| word.lies.as_ref().and_then(active_version::stamp))
+        .map(|word| word.stored_version.as_ref().and_then(active_version::stamp))
         .min();
     let Some(theirs) = oldest else { return };
     let fleet = desk.deployment().cluster.scheduler_count;
@@ -171,7 +171,11 @@
     else {
         return;
     };
-    ask_all(desk, Ask::Lay(active_version::push_message(push))).await;
+    ask_all(
+        desk,
+        Operation::StoreVersion(active_version::push_message(push)),
+    )
+    .await;
     info!(
         number = good.number,
         "a version is laid on the keepers' shelves for stragglers"
@@ -180,19 +184,22 @@
 
 /// The wishes that stand at those keepers that answer.
 async fn ask(desk: &Arc<Desk>) -> Vec<Option<MinimumVersion>> {
-    let tell = v1::Tell {
-        floor_only: true,
-        ..v1::Tell::default()
+    let tell = v1::QuorumQuery {
+        minimum_version_only: true,
+        ..v1::QuorumQuery::default()
     };
-    let words = ask_all(desk, Ask::Tell(tell)).await;
+    let words = ask_all(desk, Operation::Query(tell)).await;
     words
         .iter()
-        .map(|word| word.floor.as_ref().map(read))
+        .map(|word| word.minimum_version.as_ref().map(read))
         .collect()
 }
 
 /// Asks the keepers for another floor.
-pub async fn raise(desk: &Arc<Desk>, lowest: u64) -> Result<v1::FloorWord, Status> {
+pub async fn raise(
+    desk: &Arc<Desk>,
+    lowest: u64,
+) -> Result<v1::RaiseMinimumVersionResponse, Status> {
     let keepers = desk.deployment().keepers.len();
     if keepers == 0 {
         return Err(Status::failed_precondition(
@@ -204,17 +211,17 @@
         Ok(wish) => wish,
         Err(why) => {
             let stands = desk.fleet.floor().map(message);
-            return Ok(v1::FloorWord {
-                taken: false,
-                text: why.to_string(),
-                stands,
+            return Ok(v1::RaiseMinimumVersionResponse {
+                accepted: false,
+                message: why.to_string(),
+                current: stands,
             });
         }
     };
-    let words = ask_all(desk, Ask::Floor(message(wish))).await;
+    let words = ask_all(desk, Operation::MinimumVersion(message(wish))).await;
     let told: Vec<MinimumVersion> = words
         .iter()
-        .filter_map(|word| word.floor.as_ref().map(read))
+        .filter_map(|word| word.minimum_version.as_ref().map(read))
         .collect();
     let stands = committed(&told, keepers).copied();
     let text = match stands {
@@ -222,9 +229,9 @@
         Some(_) => "turned down: another floor was asked for at the same time".into(),
         None => "no majority of the keepers has taken it; nothing is known to stand".into(),
     };
-    Ok(v1::FloorWord {
-        taken: stands == Some(wish),
-        text,
-        stands: stands.map(message),
+    Ok(v1::RaiseMinimumVersionResponse {
+        accepted: stands == Some(wish),
+        message: text,
+        current: stands.map(message),
     })
 }
--- a/crates/dispatcher/src/placement_service.rs
+++ b/crates/dispatcher/src/placement_service.rs
@@ -14,7 +14,7 @@
 
 /// The words to one owner. Its end, whoever ends it, is told to the desk.
 pub struct Words {
-    words: Pin<Box<async_channel::Receiver<v1::Word>>>,
+    words: Pin<Box<async_channel::Receiver<v1::PlacementEvent>>>,
     id: Option<crate::core::Current>,
     desk: Arc<Desk>,
     _open: Arc<()>,
@@ -33,7 +33,7 @@
 }
 
 impl Stream for Words {
-    type Item = Result<v1::Word, Status>;
+    type Item = Result<v1::PlacementEvent, Status>;
 
     fn poll_next(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Self::Item>> {
         self.words.as_mut().poll_next(cx).map(|word| word.map(Ok))
@@ -53,7 +53,10 @@
     type PlaceStream = Words;
     type HandOverStream = Words;
 
-    async fn place(&self, request: Request<v1::Ask>) -> Result<Response<Words>, Status> {
+    async fn place(
+        &self,
+        request: Request<v1::PlacementRequest>,
+    ) -> Result<Response<Words>, Status> {
         let hangs_up = deadline(request.metadata())?;
         Ok(Words::new(
             self.0.ask(request.into_inner(), hangs_up),
@@ -61,11 +64,17 @@
         ))
     }
 
-    async fn hand_over(&self, request: Request<v1::Running>) -> Result<Response<Words>, Status> {
+    async fn hand_over(
+        &self,
+        request: Request<v1::HandOverRequest>,
+    ) -> Result<Response<Words>, Status> {
         Ok(Words::new(self.0.hand_over(request.into_inner()), &self.0))
     }
 
-    async fn status(&self, _: Request<v1::StatusAsk>) -> Result<Response<v1::StatusWord>, Status> {
+    async fn status(
+        &self,
+        _: Request<v1::StatusRequest>,
+    ) -> Result<Response<v1::StatusResponse>, Status> {
         Ok(Response::new(self.0.status()))
     }
 }
--- a/crates/dispatcher/src/quorum_client.rs
+++ b/crates/dispatcher/src/quorum_client.rs
@@ -2,20 +2,20 @@
 
 use crate::core::Desk;
 use crate::node_links::NodeLink;
-use corkspan_api::v1::{self, keep_ask::Ask};
+use corkspan_api::v1::{self, quorum_request::Operation};
 use corkspan_rpc::within;
 use std::sync::Arc;
 use tonic::Response;
 
 /// Asks all keepers at once; what those say that answer within a link's time.
-pub async fn ask_all(desk: &Arc<Desk>, ask: Ask) -> Vec<v1::KeepWord> {
+pub async fn ask_all(desk: &Arc<Desk>, ask: Operation) -> Vec<v1::QuorumResponse> {
     let calls: Vec<_> = (desk.deployment().keepers.iter())
         .filter_map(|keeper| desk.node(*keeper))
         .map(|node| {
             let (desk, ask) = (
                 Arc::clone(desk),
-                v1::KeepAsk {
-                    ask: Some(ask.clone()),
+                v1::QuorumRequest {
+                    operation: Some(ask.clone()),
                 },
             );
             let tasks = Arc::clone(&desk.tasks);
@@ -30,12 +30,23 @@
 }
 
 /// Asks the how-manieth keeper alone.
-pub async fn ask_one(desk: &Arc<Desk>, which: usize, ask: Ask) -> Option<v1::KeepWord> {
+pub async fn ask_one(desk: &Arc<Desk>, which: usize, ask: Operation) -> Option<v1::QuorumResponse> {
     let keeper = *desk.deployment().keepers.get(which)?;
-    keep(desk, &desk.node(keeper)?, v1::KeepAsk { ask: Some(ask) }).await
+    keep(
+        desk,
+        &desk.node(keeper)?,
+        v1::QuorumRequest {
+            operation: Some(ask),
+        },
+    )
+    .await
 }
 
-async fn keep(desk: &Desk, node: &Arc<NodeLink>, ask: v1::KeepAsk) -> Option<v1::KeepWord> {
+async fn keep(
+    desk: &Desk,
+    node: &Arc<NodeLink>,
+    ask: v1::QuorumRequest,
+) -> Option<v1::QuorumResponse> {
     let _call = node.call();
     let whole = async {
         let link = node.ready(&desk.tasks, &desk.link_bounds).await.ok()?;
--- a/crates/dispatcher/src/rollout_control.rs
+++ b/crates/dispatcher/src/rollout_control.rs
@@ -5,6 +5,7 @@
 use crate::quorum_client::ask_all;
 pub use crate::store::{Closes, Held, Kept, Pair, Store};
 use corkspan_api::v1;
+use corkspan_api::v1::quorum_request::Operation;
 use corkspan_rollout::Grant;
 use corkspan_rollout::controller::{Actions, ClaimRequest, ReportedSlot, RolloutController, Votes};
 use corkspan_rollout::{ClaimId, Order, Phase, Rollout, base_proposal, committed, is_majority};
@@ -14,7 +15,6 @@
 use std::time::Duration;
 use tonic::{Request, Response, Status};
 use tracing::{info, warn};
-use v1::keep_ask::Ask;
 
 /// Between two rounds to the keepers while a roll goes on.
 const ROUND: Duration = Duration::from_millis(300);
@@ -60,11 +60,11 @@
 }
 
 async fn round(desk: &Arc<Desk>) {
-    let told = ask_all(desk, Ask::Tell(v1::Tell::default())).await;
+    let told = ask_all(desk, Operation::Query(v1::QuorumQuery::default())).await;
     let keepers = desk.deployment().keepers.len();
     let mut by_service: BTreeMap<String, (Vec<Rollout>, Vec<ReportedSlot>)> = BTreeMap::new();
-    for kept in told.iter().flat_map(|word| &word.kept) {
-        let Some(roll) = kept.roll.as_ref().and_then(roll_of) else {
+    for kept in told.iter().flat_map(|word| &word.entries) {
+        let Some(roll) = kept.rollout.as_ref().and_then(roll_of) else {
             continue;
         };
         let (rolls, held) = by_service.entry(roll.service.clone()).or_default();
@@ -189,11 +189,11 @@
             let by = Some(desk.by(OperationKind::Claim, desk.deployment().keepers.len()));
             let ask = v1::Claim {
                 service: service.into(),
-                number: roll.revision,
+                revision: roll.revision,
                 slot: Some(slot),
-                by,
+                decider: by,
             };
-            let words = ask_all(desk, Ask::Claim(ask)).await;
+            let words = ask_all(desk, Operation::Claim(ask)).await;
             granted = words.iter().filter(|word| word.granted).count();
         }
         let keepers = desk.deployment().keepers.len();
@@ -310,7 +310,7 @@
         claim: claim.0,
     };
     // A keeper that doesn't hear tells of it again, and hears it again then.
-    ask_all(desk, Ask::Release(ask)).await;
+    ask_all(desk, Operation::Release(ask)).await;
     let store = Arc::clone(&desk.store);
     if let Err(why) = blocking::unblock(move || store.release(claim)).await {
         warn!(service, why, "a claim given back stays on disk");
@@ -319,63 +319,63 @@
 
 /// Proposes a wish to all keepers. What stands at a majority afterwards, if anything does.
 async fn propose(desk: &Arc<Desk>, roll: Rollout) -> Option<Rollout> {
-    let words = ask_all(desk, Ask::Propose(message(&roll))).await;
+    let words = ask_all(desk, Operation::Propose(message(&roll))).await;
     let stands: Vec<Rollout> = words
         .iter()
-        .flat_map(|word| &word.kept)
-        .filter_map(|kept| kept.roll.as_ref().and_then(roll_of))
+        .flat_map(|word| &word.entries)
+        .filter_map(|kept| kept.rollout.as_ref().and_then(roll_of))
         .collect();
     committed(&stands, desk.deployment().keepers.len()).cloned()
 }
 
-pub fn message(roll: &Rollout) -> v1::Roll {
+pub fn message(roll: &Rollout) -> v1::Rollout {
     let (phase, why) = match &roll.phase {
-        Phase::Rolling => (v1::roll::Phase::Rolling, String::new()),
-        Phase::Paused => (v1::roll::Phase::Paused, String::new()),
-        Phase::Halted(why) => (v1::roll::Phase::Halted, why.clone()),
+        Phase::Rolling => (v1::rollout::Phase::Rolling, String::new()),
+        Phase::Paused => (v1::rollout::Phase::Paused, String::new()),
+        Phase::Halted(why) => (v1::rollout::Phase::Halted, why.clone()),
     };
-    v1::Roll {
+    v1::Rollout {
         service: roll.service.clone(),
-        number: roll.revision,
-        asker: roll.proposer,
+        revision: roll.revision,
+        proposer: roll.proposer,
         version: roll.version.clone(),
-        former: roll.previous_version.clone(),
-        unversioned: roll.initial_version.clone(),
-        unready_most: roll.max_unavailable,
-        batch: roll.max_in_progress,
-        ready_for: roll.min_ready,
-        ready_within: roll.progress_deadline,
-        failures_most: roll.max_failures,
+        previous_version: roll.previous_version.clone(),
+        default_version: roll.initial_version.clone(),
+        max_unavailable: roll.max_unavailable,
+        max_in_progress: roll.max_in_progress,
+        min_ready: roll.min_ready,
+        progress_deadline: roll.progress_deadline,
+        max_failures: roll.max_failures,
         phase: phase.into(),
-        why,
-        start_first: roll.order == Order::StartFirst,
+        reason: why,
+        surge: roll.order == Order::StartFirst,
     }
 }
 
 /// None where it is no roll that can be followed.
-pub fn roll_of(roll: &v1::Roll) -> Option<Rollout> {
-    let sound = !roll.service.is_empty() && !roll.version.is_empty() && roll.unready_most > 0;
+pub fn roll_of(roll: &v1::Rollout) -> Option<Rollout> {
+    let sound = !roll.service.is_empty() && !roll.version.is_empty() && roll.max_unavailable > 0;
     sound.then(|| Rollout {
         service: roll.service.clone(),
-        revision: roll.number,
-        proposer: roll.asker,
+        revision: roll.revision,
+        proposer: roll.proposer,
         version: roll.version.clone(),
-        previous_version: roll.former.clone(),
-        initial_version: roll.unversioned.clone(),
-        max_unavailable: roll.unready_most,
-        max_in_progress: roll.batch.max(1),
-        order: if roll.start_first {
+        previous_version: roll.previous_version.clone(),
+        initial_version: roll.default_version.clone(),
+        max_unavailable: roll.max_unavailable,
+        max_in_progress: roll.max_in_progress.max(1),
+        order: if roll.surge {
             Order::StartFirst
         } else {
             Order::StopFirst
         },
-        min_ready: roll.ready_for,
-        progress_deadline: roll.ready_within,
-        max_failures: roll.failures_most,
+        min_ready: roll.min_ready,
+        progress_deadline: roll.progress_deadline,
+        max_failures: roll.max_failures,
         phase: match roll.phase() {
-            v1::roll::Phase::Rolling => Phase::Rolling,
-            v1::roll::Phase::Paused => Phase::Paused,
-            v1::roll::Phase::Halted => Phase::Halted(roll.why.clone()),
+            v1::rollout::Phase::Rolling => Phase::Rolling,
+            v1::rollout::Phase::Paused => Phase::Paused,
+            v1::rollout::Phase::Halted => Phase::Halted(roll.reason.clone()),
         },
     })
 }
@@ -385,7 +385,7 @@
 pub struct Operators(pub Arc<Desk>);
 
 impl Operators {
-    async fn wish(&self, roll: Rollout) -> Result<Response<v1::RollWord>, Status> {
+    async fn wish(&self, roll: Rollout) -> Result<Response<v1::RolloutResponse>, Status> {
         let stands = propose(&self.0, roll.clone()).await;
         let taken = stands.as_ref() == Some(&roll);
         let text = match &stands {
@@ -396,17 +396,17 @@
             ),
             None => "no majority of the keepers has taken it; nothing is known to stand".into(),
         };
-        Ok(Response::new(v1::RollWord {
-            taken,
-            text,
-            stands: stands.as_ref().map(message),
+        Ok(Response::new(v1::RolloutResponse {
+            accepted: taken,
+            message: text,
+            current: stands.as_ref().map(message),
         }))
     }
 
     /// The roll in force as a majority of the keepers tells it now, not as we heard last.
     async fn stands(&self, service: &str) -> Result<Option<Rollout>, Status> {
         let keepers = self.0.deployment().keepers.len();
-        let told = ask_all(&self.0, Ask::Tell(v1::Tell::default())).await;
+        let told = ask_all(&self.0, Operation::Query(v1::QuorumQuery::default())).await;
         if !is_majority(told.len(), keepers) {
             let text = format!(
                 "{} of {keepers} keepers answer; a majority is needed",
@@ -416,8 +416,8 @@
         }
         let rolls = told
             .iter()
-            .flat_map(|word| &word.kept)
-            .filter_map(|kept| kept.roll.as_ref().and_then(roll_of));
+            .flat_map(|word| &word.entries)
+            .filter_map(|kept| kept.rollout.as_ref().and_then(roll_of));
         let rolls: Vec<Rollout> = rolls.filter(|roll| roll.service == service).collect();
         Ok(base_proposal(&rolls, keepers))
     }
@@ -425,7 +425,10 @@
 
 #[tonic::async_trait]
 impl v1::rolls_server::Rolls for Operators {
-    async fn start(&self, request: Request<v1::RollAsk>) -> Result<Response<v1::RollWord>, Status> {
+    async fn start(
+        &self,
+        request: Request<v1::StartRolloutRequest>,
+    ) -> Result<Response<v1::RolloutResponse>, Status> {
         let ask = request.into_inner();
         let wrong = |why: &str| Err(Status::invalid_argument(why));
         if self.0.deployment().keepers.is_empty() {
@@ -439,19 +442,19 @@
         {
             return wrong("service and version: 1 to 256 bytes are wanted");
         }
-        if !(1..=100_000).contains(&ask.unready_most) {
+        if !(1..=100_000).contains(&ask.max_unavailable) {
             return wrong("unready-most: 1 to 100000 is wanted");
         }
         let most_ms = 24 * 3600 * 1000;
-        if !(1..=most_ms).contains(&ask.ready_within_ms)
-            || !(1000..=most_ms).contains(&ask.ready_for_ms)
+        if !(1..=most_ms).contains(&ask.progress_deadline_ms)
+            || !(1000..=most_ms).contains(&ask.min_ready_ms)
         {
             return wrong("ready-within: 1 ms to a day, ready-for: 1 s to a day are wanted");
         }
         let before = self.stands(&ask.service).await?;
         let former = match &before {
-            Some(roll) if ask.former.is_empty() => roll.desired_version().to_string(),
-            _ => ask.former,
+            Some(roll) if ask.previous_version.is_empty() => roll.desired_version().to_string(),
+            _ => ask.previous_version,
         };
         let unversioned = before
             .as_ref()
@@ -463,16 +466,16 @@
             proposer: asker(&self.0),
             version: ask.version,
             previous_version: former,
-            max_unavailable: ask.unready_most,
-            max_in_progress: ask.batch.max(1),
-            order: if ask.start_first {
+            max_unavailable: ask.max_unavailable,
+            max_in_progress: ask.max_in_progress.max(1),
+            order: if ask.surge {
                 Order::StartFirst
             } else {
                 Order::StopFirst
             },
-            min_ready: ask.ready_for_ms * 10,
-            progress_deadline: ask.ready_within_ms * 10,
-            max_failures: ask.failures_most,
+            min_ready: ask.min_ready_ms * 10,
+            progress_deadline: ask.progress_deadline_ms * 10,
+            max_failures: ask.max_failures,
             phase: Phase::Rolling,
         })
         .await
@@ -480,8 +483,8 @@
 
     async fn maintain(
         &self,
-        request: Request<v1::MaintainAsk>,
-    ) -> Result<Response<v1::MaintainWord>, Status> {
+        request: Request<v1::MaintenanceRequest>,
+    ) -> Result<Response<v1::MaintenanceResponse>, Status> {
         crate::maintenance::maintain(&self.0, request.into_inner())
             .await
             .map(Response::new)
@@ -489,8 +492,8 @@
 
     async fn change(
         &self,
-        request: Request<v1::ChangeAsk>,
-    ) -> Result<Response<v1::RollWord>, Status> {
+        request: Request<v1::ChangeRolloutRequest>,
+    ) -> Result<Response<v1::RolloutResponse>, Status> {
         let ask = request.into_inner();
         let Some(roll) = self.stands(&ask.service).await? else {
             return Err(Status::not_found(format!(
@@ -499,16 +502,16 @@
             )));
         };
         let asker = asker(&self.0);
-        let wish = match ask.what() {
-            v1::change_ask::What::Pause => roll.with_phase(Phase::Paused, asker),
-            v1::change_ask::What::Resume => roll.with_phase(Phase::Rolling, asker),
-            v1::change_ask::What::Undo if roll.previous_version.is_empty() => {
+        let wish = match ask.action() {
+            v1::change_rollout_request::Action::Pause => roll.with_phase(Phase::Paused, asker),
+            v1::change_rollout_request::Action::Resume => roll.with_phase(Phase::Rolling, asker),
+            v1::change_rollout_request::Action::Undo if roll.previous_version.is_empty() => {
                 return Err(Status::failed_precondition(
                     "what ran before has no version to go back to",
                 ));
             }
-            v1::change_ask::What::Undo => roll.rolled_back(asker),
-            v1::change_ask::What::Nothing => {
+            v1::change_rollout_request::Action::Undo => roll.rolled_back(asker),
+            v1::change_rollout_request::Action::Unspecified => {
                 return Err(Status::invalid_argument("nothing is asked for"));
             }
         };
@@ -517,8 +520,8 @@
 
     async fn status(
         &self,
-        request: Request<v1::RollStatusAsk>,
-    ) -> Result<Response<v1::RollStatus>, Status> {
+        request: Request<v1::RolloutStatusRequest>,
+    ) -> Result<Response<v1::RolloutStatus>, Status> {
         let service = request.into_inner().service;
         let keepers = self.0.deployment().keepers.len() as u32;
         Ok(Response::new(self.0.with_rolls(|_, rolls| {
@@ -532,14 +535,14 @@
             let held = held.collect();
             let conductor = rolls.conductors.get(&service);
             let counts = conductor.map(RolloutController::counts).unwrap_or_default();
-            v1::RollStatus {
-                roll: conductor.map(|conductor| message(conductor.rollout())),
-                copies: counts.total as u32,
-                wanted: counts.desired as u32,
-                unready: counts.unready as u32,
-                held,
-                keepers,
-                keepers_heard: rolls.heard as u32,
+            v1::RolloutStatus {
+                rollout: conductor.map(|conductor| message(conductor.rollout())),
+                replicas: counts.total as u32,
+                updated: counts.desired as u32,
+                unavailable: counts.unready as u32,
+                held_slots: held,
+                quorum_members: keepers,
+                quorum_members_heard: rolls.heard as u32,
             }
         })))
     }
--- a/crates/dispatcher/src/version_gate.rs
+++ b/crates/dispatcher/src/version_gate.rs
@@ -87,28 +87,28 @@
     }
 
     /// What operators are told.
-    pub fn told(&self) -> (Vec<v1::Span>, Vec<v1::ActCount>) {
+    pub fn told(&self) -> (Vec<v1::VersionInterval>, Vec<v1::OperationCount>) {
         let record = self.record();
-        let span = |span: &VersionInterval| v1::Span {
-            stamp: Some(v1::Stamp {
+        let span = |span: &VersionInterval| v1::VersionInterval {
+            version: Some(v1::VersionId {
                 number: span.version,
                 digest: span.digest.clone(),
             }),
-            how: match span.origin {
-                VersionOrigin::File => v1::span::How::File,
-                VersionOrigin::Restored => v1::span::How::Kept,
-                VersionOrigin::Push => v1::span::How::Push,
-                VersionOrigin::Rollback => v1::span::How::GaveUp,
-                VersionOrigin::CatchUp => v1::span::How::Brought,
+            origin: match span.origin {
+                VersionOrigin::File => v1::version_interval::Origin::File,
+                VersionOrigin::Restored => v1::version_interval::Origin::Cached,
+                VersionOrigin::Push => v1::version_interval::Origin::Push,
+                VersionOrigin::Rollback => v1::version_interval::Origin::Rollback,
+                VersionOrigin::CatchUp => v1::version_interval::Origin::CatchUp,
             }
             .into(),
-            life: span.incarnation,
+            incarnation: span.incarnation,
             from_ms: span.from_ms,
         };
-        let count = |(operation, many): (VersionedOperation, u64)| v1::ActCount {
+        let count = |(operation, many): (VersionedOperation, u64)| v1::OperationCount {
             version: operation.version,
             kind: operation.kind as u32,
-            many,
+            count: many,
         };
         (
             record.intervals().iter().map(span).collect(),
@@ -160,18 +160,18 @@
     }
 }
 
-pub fn message(floor: MinimumVersion) -> v1::Floor {
-    v1::Floor {
-        number: floor.revision,
-        asker: floor.proposer,
-        lowest: floor.version,
+pub fn message(floor: MinimumVersion) -> v1::MinimumVersion {
+    v1::MinimumVersion {
+        revision: floor.revision,
+        proposer: floor.proposer,
+        version: floor.version,
     }
 }
 
-pub fn read(floor: &v1::Floor) -> MinimumVersion {
+pub fn read(floor: &v1::MinimumVersion) -> MinimumVersion {
     MinimumVersion {
-        revision: floor.number,
-        proposer: floor.asker,
-        version: floor.lowest,
+        revision: floor.revision,
+        proposer: floor.proposer,
+        version: floor.version,
     }
 }
--- a/crates/lab/src/capacity/busy.rs
+++ b/crates/lab/src/capacity/busy.rs
@@ -1,12 +1,12 @@
 //! A machine that is full by use: it says so to whoever asks, and takes nothing.
 
-use corkspan_api::v1::{self, said::Said, turned::Why};
+use corkspan_api::v1::{self, attempt_event::Event, attempt_rejected::Rejection};
 use futures_lite::{Stream, stream};
 use std::pin::Pin;
 use tonic::{Request, Response, Status};
 
 /// What it reports as unused: too little memory for anything to be sent there.
-const UNUSED: v1::Load = v1::Load {
+const UNUSED: v1::LoadReport = v1::LoadReport {
     cores: 1.0,
     memory: 4.0,
 };
@@ -14,7 +14,7 @@
 #[derive(Clone)]
 pub struct Busy;
 
-type Words = Pin<Box<dyn Stream<Item = Result<v1::Said, Status>> + Send>>;
+type Words = Pin<Box<dyn Stream<Item = Result<v1::AttemptEvent, Status>> + Send>>;
 
 #[tonic::async_trait]
 impl v1::node_server::Node for Busy {
@@ -28,39 +28,56 @@
         Ok(Response::new(request.into_inner()))
     }
 
-    async fn offer(&self, _: Request<v1::Shot>) -> Result<Response<Words>, Status> {
-        let refused = Said::Refused(v1::Turned {
-            why: Why::NoMemory.into(),
-            floor: None,
+    async fn offer(&self, _: Request<v1::AttemptRequest>) -> Result<Response<Words>, Status> {
+        let refused = Event::Rejected(v1::AttemptRejected {
+            reason: Rejection::NoMemory.into(),
+            minimum_version: None,
         });
-        let said = v1::Said {
-            said: Some(refused),
-            load: Some(UNUSED),
+        let said = v1::AttemptEvent {
+            event: Some(refused),
+            load_report: Some(UNUSED),
         };
         Ok(Response::new(Box::pin(stream::once(Ok(said)))))
     }
 
-    async fn attend(&self, _: Request<v1::Shot>) -> Result<Response<Words>, Status> {
+    async fn attend(&self, _: Request<v1::AttemptRequest>) -> Result<Response<Words>, Status> {
         Err(Status::unimplemented("nothing stays here"))
     }
 
-    async fn keep(&self, _: Request<v1::KeepAsk>) -> Result<Response<v1::KeepWord>, Status> {
+    async fn keep(
+        &self,
+        _: Request<v1::QuorumRequest>,
+    ) -> Result<Response<v1::QuorumResponse>, Status> {
         Err(Status::unimplemented("no keeper"))
     }
 
-    async fn stop(&self, _: Request<v1::StopAsk>) -> Result<Response<v1::StopWord>, Status> {
-        Ok(Response::new(v1::StopWord { was_here: false }))
+    async fn stop(
+        &self,
+        _: Request<v1::StopRequest>,
+    ) -> Result<Response<v1::StopResponse>, Status> {
+        Ok(Response::new(v1::StopResponse { was_present: false }))
     }
 
-    async fn probe(&self, _: Request<v1::ProbeAsk>) -> Result<Response<v1::ProbeWord>, Status> {
-        Ok(Response::new(v1::ProbeWord { load: Some(UNUSED) }))
+    async fn probe(
+        &self,
+        _: Request<v1::HealthCheckRequest>,
+    ) -> Result<Response<v1::HealthCheckResponse>, Status> {
+        Ok(Response::new(v1::HealthCheckResponse {
+            load_report: Some(UNUSED),
+        }))
     }
 
-    async fn door(&self, _: Request<v1::DoorAsk>) -> Result<Response<v1::DoorWord>, Status> {
-        Ok(Response::new(v1::DoorWord::default()))
+    async fn door(
+        &self,
+        _: Request<v1::CordonRequest>,
+    ) -> Result<Response<v1::CordonResponse>, Status> {
+        Ok(Response::new(v1::CordonResponse::default()))
     }
 
-    async fn acts(&self, _: Request<v1::ActsAsk>) -> Result<Response<v1::ActsWord>, Status> {
+    async fn acts(
+        &self,
+        _: Request<v1::OperationsRequest>,
+    ) -> Result<Response<v1::OperationsResponse>, Status> {
         Err(Status::unimplemented("it keeps no record"))
     }
 }
--- a/crates/lab/src/capacity/mod.rs
+++ b/crates/lab/src/capacity/mod.rs
@@ -355,7 +355,7 @@
         out.put("core %", watched.core);
         out.put("memory, MiB", watched.mib);
         out.put("bytes/s", watched.control_bytes(1));
-        out.put("in hand", stage.status().await?.in_hand as f64);
+        out.put("in hand", stage.status().await?.in_flight as f64);
         Ok(out)
     }
 
@@ -428,7 +428,7 @@
         out.put("links to nodes opened", stage.opened()[&End::Nodes] as f64);
         out.put(
             "asked before it was watched",
-            (began.asked - before.asked) as f64,
+            (began.requested - before.requested) as f64,
         );
         out.put("memory, MiB", watched.mib);
         Ok(out)
@@ -459,20 +459,20 @@
         } else {
             at
         };
-        if status.placed > 0 || (status.in_hand as f64) < least {
+        if status.placed > 0 || (status.in_flight as f64) < least {
             out.spoilt.push(format!(
                 "{} were placed and {} are in hand",
-                status.placed, status.in_hand
+                status.placed, status.in_flight
             ));
         }
         drop((held, owners));
         out.put("core %", watched.core);
         out.put("memory, MiB", watched.mib);
         out.put("bytes/s", watched.control_bytes(1));
-        out.put("in hand", status.in_hand as f64);
+        out.put("in hand", status.in_flight as f64);
         out.put(
             "asked anew a second",
-            (status.asked - before.asked) as f64 / watched.seconds,
+            (status.requested - before.requested) as f64 / watched.seconds,
         );
         Ok(out)
     }
--- a/crates/lab/src/capacity/stage.rs
+++ b/crates/lab/src/capacity/stage.rs
@@ -12,7 +12,7 @@
 use async_io::Timer;
 use async_net::TcpListener;
 use corkspan_api::v1::{
-    self, link_count::Kind, node_server::NodeServer, placement_client::PlacementClient,
+    self, connection_traffic::Kind, node_server::NodeServer, placement_client::PlacementClient,
 };
 use corkspan_config::version::{Texts, VersionId};
 use corkspan_rpc::{Bounds, Link, Tasks, within};
@@ -119,7 +119,7 @@
     threads: BTreeMap<End, Thread>,
     relays: Thread,
     roster: Arc<Roster>,
-    entries: Vec<v1::Entry>,
+    entries: Vec<v1::Endpoint>,
     control: Control,
     _up: Up,
     meters: BTreeMap<End, Arc<Meter>>,
@@ -131,21 +131,21 @@
 }
 
 /// Words of tasks that are asked for; dropped, the tasks are no longer wanted.
-pub type Held = Vec<tonic::Streaming<v1::Word>>;
+pub type Held = Vec<tonic::Streaming<v1::PlacementEvent>>;
 
 /// An ask of half a core.
-pub fn ask(task: &str, life_ms: u64, abandon_ms: u64) -> v1::Ask {
-    v1::Ask {
-        placing: task.into(),
+pub fn ask(task: &str, life_ms: u64, abandon_ms: u64) -> v1::PlacementRequest {
+    v1::PlacementRequest {
+        placement_id: task.into(),
         task: task.into(),
         service: format!("s{}", task.len() % 7),
-        track: "web".into(),
-        account: String::new(),
+        service_class: "web".into(),
+        tenant: String::new(),
         cores: 0.5,
         memory: 1.0,
-        life_ms,
-        abandon_ms,
-        again: false,
+        expected_duration_ms: life_ms,
+        deadline_ms: abandon_ms,
+        retry: false,
     }
 }
 
@@ -250,9 +250,9 @@
             } else {
                 (-64.0, -128.0)
             };
-            let unasked = Some(v1::Room { cores, memory });
-            entries.push(v1::Entry {
-                unasked,
+            let unasked = Some(v1::Resources { cores, memory });
+            entries.push(v1::Endpoint {
+                unreserved: unasked,
                 ..measure::entry(id, address)
             });
         }
@@ -315,7 +315,7 @@
                     PlacementClient::new(measure::link(&self.tasks, process.address).await?);
                 loop {
                     let word = client
-                        .status(v1::StatusAsk {})
+                        .status(v1::StatusRequest {})
                         .await
                         .map_err(|why| why.to_string())?;
                     if word.get_ref().machines_serving >= u64::from(self.setting.machines) {
@@ -334,11 +334,11 @@
             .ok_or("the dispatchers don't hear of all machines")?
     }
 
-    pub async fn status(&self) -> Result<v1::StatusWord, String> {
+    pub async fn status(&self) -> Result<v1::StatusResponse, String> {
         let mut client =
             PlacementClient::new(measure::link(&self.tasks, self.dispatchers[0].address).await?);
         let word = client
-            .status(v1::StatusAsk {})
+            .status(v1::StatusRequest {})
             .await
             .map_err(|why| why.to_string())?;
         Ok(word.into_inner())
@@ -402,11 +402,11 @@
                     for entry in entries.iter().filter(|entry| entry.node % SLICES == slice) {
                         let (cores, memory) =
                             (rng.random_range(1.0..60.0), rng.random_range(1.0..200.0));
-                        let unasked = Some(v1::Room { cores, memory });
+                        let unasked = Some(v1::Resources { cores, memory });
                         roster.change(
                             Duration::ZERO,
-                            v1::Entry {
-                                unasked,
+                            v1::Endpoint {
+                                unreserved: unasked,
                                 ..entry.clone()
                             },
                         );
@@ -419,14 +419,14 @@
     /// Tells each machine's room once, and how many lines that was.
     pub fn tell_once(&self, cores: f64) -> u64 {
         for entry in &self.entries {
-            let unasked = Some(v1::Room {
+            let unasked = Some(v1::Resources {
                 cores,
                 memory: cores,
             });
             self.roster.change(
                 Duration::ZERO,
-                v1::Entry {
-                    unasked,
+                v1::Endpoint {
+                    unreserved: unasked,
                     ..entry.clone()
                 },
             );
@@ -488,12 +488,12 @@
             let mut client =
                 PlacementClient::new(measure::link(&self.tasks, process.address).await?);
             let word = client
-                .status(v1::StatusAsk {})
+                .status(v1::StatusRequest {})
                 .await
                 .map_err(|why| why.to_string())?
                 .into_inner();
             for (end, kind) in KINDS {
-                let own = crate::counts::of(&word.link_counts, kind);
+                let own = crate::counts::of(&word.connection_traffic, kind);
                 let own = [
                     own.bytes_in + own.bytes_out,
                     own.messages_in,
--- a/crates/lab/src/control.rs
+++ b/crates/lab/src/control.rs
@@ -4,6 +4,7 @@
 use crate::capture::Seen;
 use crate::node::World;
 use async_net::TcpListener;
+use corkspan_api::v1::push_reply::Answer;
 use corkspan_api::v1::{self, control_server};
 use corkspan_config::version::{Digest, Texts, VersionId};
 use corkspan_config_sync::{Publisher, PushReply, ReplyStatus, VersionPush};
@@ -14,12 +15,11 @@
 use std::pin::Pin;
 use std::sync::{Arc, Mutex};
 use tonic::{Request, Response, Status, Streaming};
-use v1::told::Answer;
 
 /// A reply or another word of a subscriber.
 #[derive(Clone, Debug)]
 pub struct Reply {
-    pub told: v1::Told,
+    pub told: v1::PushReply,
     /// What the books say of it.
     pub heard: ReplyStatus,
     pub at: std::time::Instant,
@@ -29,13 +29,13 @@
 struct State {
     books: Publisher,
     /// Ways to the subscribers whose streams stand.
-    open: BTreeMap<u32, async_channel::Sender<v1::Push>>,
+    open: BTreeMap<u32, async_channel::Sender<v1::VersionPush>>,
     replies: Vec<Reply>,
     /// Pushes go out as stories say alone.
     scripted: bool,
     opened: usize,
     /// What the books had pushed.
-    pushes: Vec<v1::Push>,
+    pushes: Vec<v1::VersionPush>,
 }
 
 /// One control service. Clones share it.
@@ -105,7 +105,7 @@
     }
 
     /// Puts a push on one subscriber's stream, whatever the books say. False where none stands.
-    pub fn send(&self, who: u32, push: v1::Push) -> bool {
+    pub fn send(&self, who: u32, push: v1::VersionPush) -> bool {
         self.with(|state| {
             state
                 .open
@@ -123,12 +123,12 @@
         self.with(|state| state.replies.clone())
     }
 
-    pub fn pushes(&self) -> Vec<v1::Push> {
+    pub fn pushes(&self) -> Vec<v1::VersionPush> {
         self.with(|state| state.pushes.clone())
     }
 
     /// The last reply to this push.
-    pub fn reply_to(&self, nonce: u64) -> Option<v1::Told> {
+    pub fn reply_to(&self, nonce: u64) -> Option<v1::PushReply> {
         self.with(|state| {
             let replies = state.replies.iter().rev();
             replies
@@ -171,48 +171,48 @@
     }
 }
 
-pub fn stamp_message(stamp: VersionId) -> v1::Stamp {
-    v1::Stamp {
+pub fn stamp_message(stamp: VersionId) -> v1::VersionId {
+    v1::VersionId {
         number: stamp.number,
         digest: stamp.digest.to_string(),
     }
 }
 
-pub fn stamp_of(message: &v1::Stamp) -> Option<VersionId> {
+pub fn stamp_of(message: &v1::VersionId) -> Option<VersionId> {
     Some(VersionId {
         number: message.number,
         digest: Digest::read(&message.digest)?,
     })
 }
 
-pub fn message(push: &VersionPush) -> v1::Push {
-    v1::Push {
+pub fn message(push: &VersionPush) -> v1::VersionPush {
+    v1::VersionPush {
         nonce: push.nonce,
-        stamp: Some(stamp_message(push.version)),
-        follows: push
+        version: Some(stamp_message(push.version)),
+        ancestors: push
             .predecessors
             .iter()
             .copied()
             .map(stamp_message)
             .collect(),
-        onto: push.base.map(stamp_message),
+        base: push.base.map(stamp_message),
         parts: push
             .changes
             .iter()
             .map(|(name, text)| (name.into(), text.into()))
             .collect(),
         removed: push.removed.clone(),
-        cuts: push.allows_cuts,
+        allows_large_cuts: push.allows_cuts,
     }
 }
 
-fn said(told: &v1::Told) -> PushReply {
+fn said(told: &v1::PushReply) -> PushReply {
     match told.answer() {
         Answer::Applied => PushReply::Applied,
-        Answer::Refused => PushReply::Rejected(told.why.clone()),
+        Answer::Rejected => PushReply::Rejected(told.reasons.clone()),
         Answer::Superseded => PushReply::Superseded(told.superseded_by),
-        Answer::WantsWhole => PushReply::FullRequired,
-        Answer::Nothing | Answer::Running | Answer::GaveUp => PushReply::Unchanged,
+        Answer::FullRequired => PushReply::FullRequired,
+        Answer::Nothing | Answer::Unchanged | Answer::RolledBack => PushReply::Unchanged,
     }
 }
 
@@ -220,11 +220,11 @@
 
 #[tonic::async_trait]
 impl control_server::Control for Service {
-    type StreamStream = Pin<Box<dyn Stream<Item = Result<v1::Push, Status>> + Send>>;
+    type StreamStream = Pin<Box<dyn Stream<Item = Result<v1::VersionPush, Status>> + Send>>;
 
     async fn stream(
         &self,
-        request: Request<Streaming<v1::Told>>,
+        request: Request<Streaming<v1::PushReply>>,
     ) -> Result<Response<Self::StreamStream>, Status> {
         let mut tells = request.into_inner();
         let first = tells
@@ -232,7 +232,7 @@
             .await?
             .ok_or_else(|| Status::invalid_argument("nothing is told"))?;
         let who = first.dispatcher;
-        let running = first.running.as_ref().and_then(stamp_of);
+        let running = first.active.as_ref().and_then(stamp_of);
         let running =
             running.ok_or_else(|| Status::invalid_argument("it does not tell what it runs"))?;
         let (to, from) = async_channel::bounded(WAITING);
@@ -251,14 +251,14 @@
         let replies = async move {
             while let Ok(Some(told)) = tells.message().await {
                 control.with(|state| {
-                    if let Some(running) = &told.running {
+                    if let Some(running) = &told.active {
                         let (dispatcher, number) = (told.dispatcher, running.number);
                         control
                             .world
                             .capture
                             .see(Seen::InForce { dispatcher, number });
                     }
-                    let heard = match told.running.as_ref().and_then(stamp_of) {
+                    let heard = match told.active.as_ref().and_then(stamp_of) {
                         Some(running) => state.books.receive_reply(
                             told.dispatcher,
                             told.nonce,
--- a/crates/lab/src/cost.rs
+++ b/crates/lab/src/cost.rs
@@ -2,7 +2,7 @@
 //! they counted on their links.
 
 use crate::counts::of;
-use corkspan_api::v1::{LinkCount, link_count::Kind};
+use corkspan_api::v1::{ConnectionTraffic, connection_traffic::Kind};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::fmt;
@@ -29,7 +29,7 @@
     pub cpu: Duration,
     pub resident_kib: u64,
     /// As its dispatchers told them, by their numbers; those that told nothing are left out.
-    pub counts: BTreeMap<usize, Vec<LinkCount>>,
+    pub counts: BTreeMap<usize, Vec<ConnectionTraffic>>,
 }
 
 /// Between two moments, of all processes of one sort that ran at both.
@@ -57,7 +57,7 @@
     Kind::Owners,
 ];
 
-fn figures(counts: &[LinkCount], kind: Kind) -> [u64; 4] {
+fn figures(counts: &[ConnectionTraffic], kind: Kind) -> [u64; 4] {
     let count = of(counts, kind);
     [
         count.bytes_in,
--- a/crates/lab/src/counts.rs
+++ b/crates/lab/src/counts.rs
@@ -3,7 +3,7 @@
 
 use crate::day::{ENDS, End};
 use crate::wires::Wires;
-use corkspan_api::v1::{self, link_count::Kind};
+use corkspan_api::v1::{self, connection_traffic::Kind};
 use std::fmt;
 
 /// Bytes to a dispatcher and from it.
@@ -39,7 +39,7 @@
 }
 
 /// What a dispatcher tells of a kind; nothing passed where it tells nothing.
-pub fn of(counts: &[v1::LinkCount], kind: Kind) -> v1::LinkCount {
+pub fn of(counts: &[v1::ConnectionTraffic], kind: Kind) -> v1::ConnectionTraffic {
     counts
         .iter()
         .find(|count| count.kind() == kind)
@@ -54,7 +54,7 @@
         .collect()
 }
 
-pub fn differences(told: &[v1::LinkCount], seen: &[(End, Passed)]) -> Vec<Difference> {
+pub fn differences(told: &[v1::ConnectionTraffic], seen: &[(End, Passed)]) -> Vec<Difference> {
     let differs = |&(end, seen): &(End, Passed)| {
         let count = of(told, kind(end));
         let told = [count.bytes_in, count.bytes_out];
--- a/crates/lab/src/hollow/fleet.rs
+++ b/crates/lab/src/hollow/fleet.rs
@@ -10,7 +10,7 @@
 use crate::table::StandIns;
 use async_io::Timer;
 use clap::Args;
-use corkspan_api::v1::link_count::Kind;
+use corkspan_api::v1::connection_traffic::Kind;
 use corkspan_rpc::{Tasks, within};
 use futures_lite::future;
 use std::time::{Duration, Instant};
--- a/crates/lab/src/loads.rs
+++ b/crates/lab/src/loads.rs
@@ -6,7 +6,7 @@
 use crate::node::World;
 use crate::roster::Roster;
 use async_io::Timer;
-use corkspan_api::v1::{self, word::Word};
+use corkspan_api::v1::{self, placement_event::Event};
 use corkspan_load_generator::plan::Plan;
 use corkspan_load_generator::run::{Loop, run};
 use corkspan_load_generator::tally::Report;
@@ -45,14 +45,17 @@
 #[derive(Clone, Default)]
 struct Catch(Arc<Mutex<Vec<(usize, Instant)>>>);
 
-type Words = Pin<Box<dyn Stream<Item = Result<v1::Word, Status>> + Send>>;
+type Words = Pin<Box<dyn Stream<Item = Result<v1::PlacementEvent, Status>> + Send>>;
 
 #[tonic::async_trait]
 impl v1::placement_server::Placement for Catch {
     type PlaceStream = Words;
     type HandOverStream = Words;
 
-    async fn place(&self, request: Request<v1::Ask>) -> Result<Response<Words>, Status> {
+    async fn place(
+        &self,
+        request: Request<v1::PlacementRequest>,
+    ) -> Result<Response<Words>, Status> {
         let at = Instant::now();
         let number = request
             .get_ref()
@@ -65,18 +68,24 @@
             .lock()
             .expect("no one panics over the times")
             .push((number, at));
-        let words = [Word::Placed(v1::Placed { node: 0, shots: 1 })];
-        Ok(Response::new(Box::pin(stream::iter(
-            words.map(|word| Ok(v1::Word { word: Some(word) })),
-        ))))
+        let words = [Event::Placed(v1::Placed {
+            node: 0,
+            attempts: 1,
+        })];
+        Ok(Response::new(Box::pin(stream::iter(words.map(|word| {
+            Ok(v1::PlacementEvent { event: Some(word) })
+        })))))
     }
 
-    async fn hand_over(&self, _: Request<v1::Running>) -> Result<Response<Words>, Status> {
+    async fn hand_over(&self, _: Request<v1::HandOverRequest>) -> Result<Response<Words>, Status> {
         Err(Status::unimplemented("it holds nothing"))
     }
 
-    async fn status(&self, _: Request<v1::StatusAsk>) -> Result<Response<v1::StatusWord>, Status> {
-        Ok(Response::new(v1::StatusWord::default()))
+    async fn status(
+        &self,
+        _: Request<v1::StatusRequest>,
+    ) -> Result<Response<v1::StatusResponse>, Status> {
+        Ok(Response::new(v1::StatusResponse::default()))
     }
 }
 
--- a/crates/lab/src/measure.rs
+++ b/crates/lab/src/measure.rs
@@ -6,7 +6,7 @@
 use crate::roster::Roster;
 use async_io::Timer;
 use async_net::TcpListener;
-use corkspan_api::v1::{self, placement_client::PlacementClient, word::Word};
+use corkspan_api::v1::{self, placement_client::PlacementClient, placement_event::Event};
 use corkspan_rpc::{Bounds, Link, Tasks, within};
 use futures_lite::{future, stream};
 use hdrhistogram::Histogram;
@@ -84,9 +84,9 @@
             ratio(|r| r.p50_us),
             ratio(|r| r.p99_us)
         );
-        let asks = (after.asked - before.asked).max(1) as f64;
+        let asks = (after.requested - before.requested).max(1) as f64;
         let whole = (dispatcher.cpu()? - cpu).as_micros() as f64 / asks;
-        let decided = (after.decided_us - before.decided_us) as f64 / asks;
+        let decided = (after.decision_time_us - before.decision_time_us) as f64 / asks;
         println!(
             "an ask: {whole:.1} us of CPU, {decided:.1} in the decisions and the host, {:.1} outside",
             whole - decided
@@ -99,7 +99,7 @@
         println!(
             "placed {} of {} asked",
             after.placed - before.placed,
-            after.asked - before.asked
+            after.requested - before.requested
         );
         Ok(())
     }
@@ -123,7 +123,7 @@
         let status = self.until_ready(tasks, dispatcher.address).await?;
         println!(
             "with {} in hand: {} KiB resident",
-            status.in_hand,
+            status.in_flight,
             dispatcher.resident()?
         );
         Ok(())
@@ -133,12 +133,12 @@
         &self,
         tasks: &Tasks,
         at: SocketAddr,
-    ) -> Result<v1::StatusWord, String> {
+    ) -> Result<v1::StatusResponse, String> {
         let ready = async {
             let mut client = PlacementClient::new(link(tasks, at).await?);
             loop {
                 let status = client
-                    .status(v1::StatusAsk {})
+                    .status(v1::StatusRequest {})
                     .await
                     .map_err(|why| why.to_string())?
                     .into_inner();
@@ -184,9 +184,11 @@
                             .message()
                             .await
                             .map_err(|why| why.to_string())?
-                            .and_then(|word| word.word)
+                            .and_then(|word| word.event)
                         {
-                            Some(Word::Placed(_)) => times.push(asked.elapsed().as_micros() as u64),
+                            Some(Event::Placed(_)) => {
+                                times.push(asked.elapsed().as_micros() as u64)
+                            }
                             other => return Err(format!("not placed: {other:?}")),
                         }
                         // To its end, so that nothing is cancelled.
@@ -238,31 +240,31 @@
         .map_err(|why| why.to_string())
 }
 
-fn ask(task: &str, life_ms: u64) -> v1::Ask {
-    v1::Ask {
-        placing: task.into(),
+fn ask(task: &str, life_ms: u64) -> v1::PlacementRequest {
+    v1::PlacementRequest {
+        placement_id: task.into(),
         task: task.into(),
         service: format!("s{}", task.len() % 7),
-        track: "web".into(),
-        account: String::new(),
+        service_class: "web".into(),
+        tenant: String::new(),
         cores: 0.5,
         memory: 1.0,
-        life_ms,
-        abandon_ms: 30_000,
-        again: false,
+        expected_duration_ms: life_ms,
+        deadline_ms: 30_000,
+        retry: false,
     }
 }
 
-pub(crate) fn entry(id: u32, address: SocketAddr) -> v1::Entry {
-    v1::Entry {
+pub(crate) fn entry(id: u32, address: SocketAddr) -> v1::Endpoint {
+    v1::Endpoint {
         node: id,
         address: address.to_string(),
-        kind: "wide".into(),
-        hall: "hall".into(),
+        machine_type: "wide".into(),
+        zone: "hall".into(),
         cell: u64::from(id / 4),
-        state: v1::entry::State::Serving.into(),
+        state: v1::endpoint::State::Serving.into(),
         started_ms: 0,
-        unasked: None,
+        unreserved: None,
     }
 }
 
@@ -297,30 +299,39 @@
 
 #[tonic::async_trait]
 impl v1::placement_server::Placement for Echo {
-    type PlaceStream = Words<v1::Word>;
-    type HandOverStream = Words<v1::Word>;
+    type PlaceStream = Words<v1::PlacementEvent>;
+    type HandOverStream = Words<v1::PlacementEvent>;
 
-    async fn place(&self, _: Request<v1::Ask>) -> Result<Response<Self::PlaceStream>, Status> {
+    async fn place(
+        &self,
+        _: Request<v1::PlacementRequest>,
+    ) -> Result<Response<Self::PlaceStream>, Status> {
         let words = [
-            Word::Placed(v1::Placed { node: 0, shots: 1 }),
-            Word::Runs(v1::Runs {}),
-            Word::Ended(v1::Ended {
-                how: v1::ended::How::Ended.into(),
+            Event::Placed(v1::Placed {
+                node: 0,
+                attempts: 1,
+            }),
+            Event::Running(v1::Running {}),
+            Event::Ended(v1::Ended {
+                reason: v1::ended::EndReason::Ended.into(),
             }),
         ];
-        let words = words.map(|word| Ok(v1::Word { word: Some(word) }));
+        let words = words.map(|word| Ok(v1::PlacementEvent { event: Some(word) }));
         Ok(Response::new(Box::pin(stream::iter(words))))
     }
 
     async fn hand_over(
         &self,
-        _: Request<v1::Running>,
+        _: Request<v1::HandOverRequest>,
     ) -> Result<Response<Self::HandOverStream>, Status> {
         Err(Status::unimplemented("an echo holds nothing"))
     }
 
-    async fn status(&self, _: Request<v1::StatusAsk>) -> Result<Response<v1::StatusWord>, Status> {
-        Ok(Response::new(v1::StatusWord::default()))
+    async fn status(
+        &self,
+        _: Request<v1::StatusRequest>,
+    ) -> Result<Response<v1::StatusResponse>, Status> {
+        Ok(Response::new(v1::StatusResponse::default()))
     }
 }
 
@@ -330,8 +341,8 @@
 
 #[tonic::async_trait]
 impl v1::node_server::Node for Prompt {
-    type OfferStream = Words<v1::Said>;
-    type AttendStream = Words<v1::Said>;
+    type OfferStream = Words<v1::AttemptEvent>;
+    type AttendStream = Words<v1::AttemptEvent>;
 
     async fn greet(
         &self,
@@ -342,27 +353,27 @@
 
     async fn offer(
         &self,
-        request: Request<v1::Shot>,
+        request: Request<v1::AttemptRequest>,
     ) -> Result<Response<Self::OfferStream>, Status> {
-        use v1::said::Said;
-        let load = Some(v1::Load {
+        use corkspan_api::v1::attempt_event::Event;
+        let load = Some(v1::LoadReport {
             cores: 30.0,
             memory: 40.0,
         });
         let say = move |said| {
-            Ok(v1::Said {
-                said: Some(said),
-                load,
+            Ok(v1::AttemptEvent {
+                event: Some(said),
+                load_report: load,
             })
         };
         let first = stream::iter([
-            say(Said::Accepted(v1::Accepted {})),
-            say(Said::Running(v1::Started::default())),
+            say(Event::Accepted(v1::Accepted {})),
+            say(Event::Running(v1::Started::default())),
         ]);
-        let over = say(Said::Ended(v1::Over {
-            how: v1::over::How::Ended.into(),
+        let over = say(Event::Ended(v1::AttemptEnded {
+            outcome: v1::attempt_ended::AttemptOutcome::Ended.into(),
         }));
-        let long = request.into_inner().life_ms > 1_000;
+        let long = request.into_inner().expected_duration_ms > 1_000;
         let rest = stream::once_future(async move {
             if long {
                 future::pending::<()>().await;
@@ -375,27 +386,45 @@
         ))))
     }
 
-    async fn attend(&self, _: Request<v1::Shot>) -> Result<Response<Self::AttendStream>, Status> {
+    async fn attend(
+        &self,
+        _: Request<v1::AttemptRequest>,
+    ) -> Result<Response<Self::AttendStream>, Status> {
         Err(Status::unimplemented("nothing stays here"))
     }
 
-    async fn keep(&self, _: Request<v1::KeepAsk>) -> Result<Response<v1::KeepWord>, Status> {
+    async fn keep(
+        &self,
+        _: Request<v1::QuorumRequest>,
+    ) -> Result<Response<v1::QuorumResponse>, Status> {
         Err(Status::unimplemented("no keeper"))
     }
 
-    async fn stop(&self, _: Request<v1::StopAsk>) -> Result<Response<v1::StopWord>, Status> {
-        Ok(Response::new(v1::StopWord { was_here: true }))
+    async fn stop(
+        &self,
+        _: Request<v1::StopRequest>,
+    ) -> Result<Response<v1::StopResponse>, Status> {
+        Ok(Response::new(v1::StopResponse { was_present: true }))
     }
 
-    async fn probe(&self, _: Request<v1::ProbeAsk>) -> Result<Response<v1::ProbeWord>, Status> {
-        Ok(Response::new(v1::ProbeWord { load: None }))
+    async fn probe(
+        &self,
+        _: Request<v1::HealthCheckRequest>,
+    ) -> Result<Response<v1::HealthCheckResponse>, Status> {
+        Ok(Response::new(v1::HealthCheckResponse { load_report: None }))
     }
 
-    async fn door(&self, _: Request<v1::DoorAsk>) -> Result<Response<v1::DoorWord>, Status> {
-        Ok(Response::new(v1::DoorWord::default()))
+    async fn door(
+        &self,
+        _: Request<v1::CordonRequest>,
+    ) -> Result<Response<v1::CordonResponse>, Status> {
+        Ok(Response::new(v1::CordonResponse::default()))
     }
 
-    async fn acts(&self, _: Request<v1::ActsAsk>) -> Result<Response<v1::ActsWord>, Status> {
+    async fn acts(
+        &self,
+        _: Request<v1::OperationsRequest>,
+    ) -> Result<Response<v1::OperationsResponse>, Status> {
         Err(Status::unimplemented("it keeps no record"))
     }
 }
@@ -528,10 +557,10 @@
     let mut time = |stamped: bool| {
         let (began, mut bytes) = (Instant::now(), Vec::with_capacity(1_024));
         for number in 0..MANY {
-            let mut shot = v1::Shot {
-                placing: "p1234#0".into(),
-                number,
-                ..v1::Shot::default()
+            let mut shot = v1::AttemptRequest {
+                placement_id: "p1234#0".into(),
+                attempt: number,
+                ..v1::AttemptRequest::default()
             };
             if stamped {
                 record.count_operations(
@@ -539,19 +568,19 @@
                     corkspan_version_fencing::operations::OperationKind::Attempt,
                     1,
                 );
-                let stamp = Some(v1::Stamp {
+                let stamp = Some(v1::VersionId {
                     number: 12,
                     digest: digest.clone(),
                 });
-                shot.by = Some(v1::By {
-                    stamp,
-                    life: u64::from(number) << 32,
+                shot.decider = Some(v1::Decider {
+                    version: stamp,
+                    incarnation: u64::from(number) << 32,
                     dispatcher: 7,
                 });
-                shot.floor = Some(v1::Floor {
-                    number: 3,
-                    asker: 1 << 60,
-                    lowest: 11,
+                shot.minimum_version = Some(v1::MinimumVersion {
+                    revision: 3,
+                    proposer: 1 << 60,
+                    version: 11,
                 });
             }
             bytes.clear();
