--- a/crates/lab/src/node.rs
+++ b/crates/lab/src/node.rs
@@ -5,7 +5,9 @@
 use async_io::Timer;
 use async_lock::{Mutex as AsyncMutex, Semaphore};
 use async_net::TcpListener;
-use corkspan_api::v1::{self, node_server::NodeServer, said::Said, turned::Why};
+use corkspan_api::v1::{
+    self, attempt_event::Event, attempt_rejected::Rejection, node_server::NodeServer,
+};
 use corkspan_config_sync::VersionCache;
 use corkspan_dispatcher::{config_stream, maintenance_messages, minimum_version};
 use corkspan_maintenance::cordon::Cordon;
@@ -112,11 +114,11 @@
 }
 
 struct Guest {
-    shot: v1::Shot,
+    shot: v1::AttemptRequest,
     used: Resources,
     runs: bool,
     ready: bool,
-    words: async_channel::Sender<v1::Said>,
+    words: async_channel::Sender<v1::AttemptEvent>,
 }
 
 #[derive(Default)]
@@ -133,7 +135,7 @@
     kept: VecDeque<String>,
     offers: VecDeque<Instant>,
     waiting: usize,
-    loads: VecDeque<(Instant, v1::Load)>,
+    loads: VecDeque<(Instant, v1::LoadReport)>,
 }
 
 pub struct Node {
@@ -320,13 +322,13 @@
             .expect("no one panics while it is held")
     }
 
-    fn mark(&self, shot: &v1::Shot) -> Option<(String, String)> {
-        let deduplicated = self.world.dedup_class.as_ref() == Some(&shot.track);
+    fn mark(&self, shot: &v1::AttemptRequest) -> Option<(String, String)> {
+        let deduplicated = self.world.dedup_class.as_ref() == Some(&shot.service_class);
         deduplicated.then(|| (self.config.zone.clone(), shot.task.clone()))
     }
 
     /// What is not in use, as of a little while ago, and longer where reports are late.
-    fn load(&self, state: &mut State) -> v1::Load {
+    fn load(&self, state: &mut State) -> v1::LoadReport {
         let now = Instant::now();
         let used: Resources = state
             .guests
@@ -337,7 +339,7 @@
         let free = self.config.capacity - used;
         state.loads.push_back((
             now,
-            v1::Load {
+            v1::LoadReport {
                 cores: free.cores,
                 memory: free.memory,
             },
@@ -357,40 +359,40 @@
     fn say(
         &self,
         state: &mut State,
-        shot: &v1::Shot,
-        words: &async_channel::Sender<v1::Said>,
-        said: Said,
+        shot: &v1::AttemptRequest,
+        words: &async_channel::Sender<v1::AttemptEvent>,
+        said: Event,
     ) {
         let word = match &said {
-            Said::Accepted(_) => Some(Word::Accepted),
-            Said::Running(_) => Some(Word::Running),
-            Said::Refused(_) => Some(Word::Refused),
-            Said::Ended(over) => Some(match over.how() {
-                v1::over::How::Evicted => Word::Evicted,
-                v1::over::How::PushedOut => Word::PushedOut,
-                v1::over::How::SentAway => Word::SentAway,
-                v1::over::How::Stopped => Word::Stopped,
-                v1::over::How::Moved => Word::Moved,
-                v1::over::How::Error => Word::Lost,
-                v1::over::How::Ended => Word::Ended,
+            Event::Accepted(_) => Some(Word::Accepted),
+            Event::Running(_) => Some(Word::Running),
+            Event::Rejected(_) => Some(Word::Refused),
+            Event::Ended(over) => Some(match over.outcome() {
+                v1::attempt_ended::AttemptOutcome::Evicted => Word::Evicted,
+                v1::attempt_ended::AttemptOutcome::Preempted => Word::PushedOut,
+                v1::attempt_ended::AttemptOutcome::Drained => Word::SentAway,
+                v1::attempt_ended::AttemptOutcome::Stopped => Word::Stopped,
+                v1::attempt_ended::AttemptOutcome::Migrated => Word::Moved,
+                v1::attempt_ended::AttemptOutcome::Error => Word::Lost,
+                v1::attempt_ended::AttemptOutcome::Ended => Word::Ended,
             }),
             _ => None,
         };
         let load = Some(self.load(state));
         if let Some(word) = word {
-            let (node, placing) = (self.config.id, shot.placing.clone());
+            let (node, placing) = (self.config.id, shot.placement_id.clone());
             self.world.capture.see(Seen::Said {
                 node,
                 placing,
-                number: shot.number,
+                number: shot.attempt,
                 word,
             });
         }
         if state.mute_until.is_none_or(|until| until <= Instant::now()) {
             // Notes that a dispatcher doesn't read are left out.
-            let _ = words.try_send(v1::Said {
-                said: Some(said),
-                load,
+            let _ = words.try_send(v1::AttemptEvent {
+                event: Some(said),
+                load_report: load,
             });
         }
     }
@@ -398,22 +400,22 @@
     fn refuse(
         &self,
         state: &mut State,
-        shot: &v1::Shot,
-        words: &async_channel::Sender<v1::Said>,
-        why: Why,
+        shot: &v1::AttemptRequest,
+        words: &async_channel::Sender<v1::AttemptEvent>,
+        why: Rejection,
     ) {
         let floor = self
             .fence()
             .minimum()
-            .filter(|_| why == Why::BelowFloor)
+            .filter(|_| why == Rejection::BelowMinimumVersion)
             .map(minimum_version::message);
         self.say(
             state,
             shot,
             words,
-            Said::Refused(v1::Turned {
-                why: why.into(),
-                floor,
+            Event::Rejected(v1::AttemptRejected {
+                reason: why.into(),
+                minimum_version: floor,
             }),
         );
         words.close();
@@ -436,7 +438,7 @@
         self.fence.lock().expect("no one panics while it is held")
     }
 
-    fn see_ready(&self, shot: &v1::Shot, ready: bool, done: bool, stopped: bool) {
+    fn see_ready(&self, shot: &v1::AttemptRequest, ready: bool, done: bool, stopped: bool) {
         let (task, service) = (shot.task.clone(), shot.service.clone());
         let (node, version) = (self.config.id, shot.version.clone());
         self.world.capture.see(Seen::Ready {
@@ -451,12 +453,15 @@
     }
 
     /// Ends one that is here, in this way.
-    fn end(&self, state: &mut State, placing: &str, how: v1::over::How) {
+    fn end(&self, state: &mut State, placing: &str, how: v1::attempt_ended::AttemptOutcome) {
         let Some(guest) = state.guests.remove(placing) else {
             return;
         };
         if guest.ready {
-            let (done, stopped) = (how == v1::over::How::Ended, how == v1::over::How::Stopped);
+            let (done, stopped) = (
+                how == v1::attempt_ended::AttemptOutcome::Ended,
+                how == v1::attempt_ended::AttemptOutcome::Stopped,
+            );
             self.see_ready(&guest.shot, false, done, stopped);
         }
         if let Some(mark) = self.mark(&guest.shot) {
@@ -474,7 +479,9 @@
             state,
             &guest.shot,
             &guest.words,
-            Said::Ended(v1::Over { how: how.into() }),
+            Event::Ended(v1::AttemptEnded {
+                outcome: how.into(),
+            }),
         );
         guest.words.close();
     }
@@ -495,22 +502,22 @@
     /// An offer is here: counts it, and says whether the node bears it, and in which life. Called
     /// as its call is served, not in a task of its own: one that a process saw after its death
     /// would be out for good, as the judge sees it.
-    fn arrives(self: &Arc<Self>, shot: &v1::Shot) -> Option<u64> {
+    fn arrives(self: &Arc<Self>, shot: &v1::AttemptRequest) -> Option<u64> {
         self.acts().record(
-            by(shot.by.as_ref(), shot.dispatcher),
+            by(shot.decider.as_ref(), shot.dispatcher),
             OperationKind::Attempt,
         );
         self.world.capture.see(Seen::Offered {
             node: self.config.id,
-            placing: shot.placing.clone(),
-            number: shot.number,
+            placing: shot.placement_id.clone(),
+            number: shot.attempt,
             dispatcher: shot.dispatcher,
             service: shot.service.clone(),
             task: shot.task.clone(),
             version: shot.version.clone(),
             decided: decided(shot),
         });
-        if let Some(floor) = shot.floor.as_ref().map(minimum_version::read) {
+        if let Some(floor) = shot.minimum_version.as_ref().map(minimum_version::read) {
             let mut fence = self.fence();
             if fence.should_store(floor) {
                 fence.apply_stored(floor);
@@ -549,8 +556,8 @@
     async fn consider(
         self: Arc<Self>,
         life: u64,
-        shot: v1::Shot,
-        words: async_channel::Sender<v1::Said>,
+        shot: v1::AttemptRequest,
+        words: async_channel::Sender<v1::AttemptEvent>,
     ) {
         {
             let mut state = self.lock();
@@ -558,7 +565,7 @@
                 return;
             }
             if state.waiting >= self.config.max_queued {
-                return self.refuse(&mut state, &shot, &words, Why::QueueFull);
+                return self.refuse(&mut state, &shot, &words, Rejection::QueueFull);
             }
             state.waiting += 1;
         }
@@ -579,7 +586,12 @@
     }
 
     /// Accepts an offer that has been looked at, or refuses it.
-    fn answer(&self, life: u64, shot: &v1::Shot, words: &async_channel::Sender<v1::Said>) -> bool {
+    fn answer(
+        &self,
+        life: u64,
+        shot: &v1::AttemptRequest,
+        words: &async_channel::Sender<v1::AttemptEvent>,
+    ) -> bool {
         let mut state = self.lock();
         if state.life != life {
             return false;
@@ -591,13 +603,13 @@
         // Here and not as it arrives: while it waited to be looked at, the floor may have come.
         let below = match self.fence().decide(decided(shot)) {
             FenceDecision::Accepted => None,
-            FenceDecision::Fenced(_) => Some(Why::BelowFloor),
-            FenceDecision::Unknown => Some(Why::NotHere),
+            FenceDecision::Fenced(_) => Some(Rejection::BelowMinimumVersion),
+            FenceDecision::Unknown => Some(Rejection::NotPresent),
         };
         if let Some(why) = below {
-            if why == Why::BelowFloor {
+            if why == Rejection::BelowMinimumVersion {
                 self.acts().record_rejected(
-                    by(shot.by.as_ref(), shot.dispatcher),
+                    by(shot.decider.as_ref(), shot.dispatcher),
                     OperationKind::Attempt,
                 );
             }
@@ -610,7 +622,7 @@
         }
         if let Some(mark) = self.mark(shot) {
             if self.stand().contains_key(&mark) {
-                self.refuse(&mut state, shot, words, Why::NotHere);
+                self.refuse(&mut state, shot, words, Rejection::NotPresent);
                 return false;
             }
             self.stand().insert(mark, self.config.id);
@@ -631,15 +643,15 @@
             ready: false,
             words: words.clone(),
         };
-        state.guests.insert(shot.placing.clone(), guest);
-        self.say(&mut state, shot, words, Said::Accepted(v1::Accepted {}));
+        state.guests.insert(shot.placement_id.clone(), guest);
+        self.say(&mut state, shot, words, Event::Accepted(v1::Accepted {}));
         true
     }
 
-    fn fits(&self, state: &mut State, shot: &v1::Shot) -> Result<(), Why> {
+    fn fits(&self, state: &mut State, shot: &v1::AttemptRequest) -> Result<(), Rejection> {
         let closed = self.door().0.active().is_some();
-        if closed || state.draining || state.guests.contains_key(&shot.placing) {
-            return Err(Why::NotHere);
+        if closed || state.draining || state.guests.contains_key(&shot.placement_id) {
+            return Err(Rejection::NotPresent);
         }
         let most = self.config.capacity * self.config.admission_limit;
         let mut sum = asked(state)
@@ -668,17 +680,18 @@
             }
         }
         if sum.memory > most.memory {
-            return Err(Why::NoMemory);
+            return Err(Rejection::NoMemory);
         }
         if sum.cores > most.cores {
-            return Err(Why::NoCores);
+            return Err(Rejection::NoCores);
         }
-        out.iter()
-            .for_each(|placing| self.end(state, placing, v1::over::How::PushedOut));
+        out.iter().for_each(|placing| {
+            self.end(state, placing, v1::attempt_ended::AttemptOutcome::Preempted)
+        });
         Ok(())
     }
 
-    async fn start(&self, life: u64, shot: &v1::Shot) {
+    async fn start(&self, life: u64, shot: &v1::AttemptRequest) {
         let _slot = self.starts.acquire().await;
         let (has, pace) = {
             let state = self.lock();
@@ -708,7 +721,7 @@
         if state.life != life {
             return;
         }
-        let Some(guest) = state.guests.get_mut(&shot.placing) else {
+        let Some(guest) = state.guests.get_mut(&shot.placement_id) else {
             return;
         };
         guest.runs = true;
@@ -717,21 +730,22 @@
             &mut state,
             shot,
             &words,
-            Said::Running(v1::Started {
+            Event::Running(v1::Started {
                 version: shot.version.clone(),
             }),
         );
     }
 
     /// Runs it to its end: notes of its use, eviction where memory runs out.
-    async fn run(&self, life: u64, shot: v1::Shot) {
-        let mut rng =
-            Pcg64Mcg::seed_from_u64(self.config.seed ^ corkspan_engine::service(&shot.placing).0);
+    async fn run(&self, life: u64, shot: v1::AttemptRequest) {
+        let mut rng = Pcg64Mcg::seed_from_u64(
+            self.config.seed ^ corkspan_engine::service(&shot.placement_id).0,
+        );
         let ask = Resources {
             cores: shot.cores,
             memory: shot.memory,
         };
-        let until = Instant::now() + Duration::from_millis(shot.life_ms.max(1));
+        let until = Instant::now() + Duration::from_millis(shot.expected_duration_ms.max(1));
         let bad = self.world.bad(&shot.version);
         let mut dies = None;
         if bad != Some(VersionFault::NeverReady) {
@@ -739,7 +753,7 @@
             let mut state = self.lock();
             let Some(guest) = state
                 .guests
-                .get_mut(&shot.placing)
+                .get_mut(&shot.placement_id)
                 .filter(|guest| guest.runs)
             else {
                 return;
@@ -747,7 +761,7 @@
             guest.ready = true;
             let words = guest.words.clone();
             self.see_ready(&shot, true, false, false);
-            self.say(&mut state, &shot, &words, Said::Ready(true));
+            self.say(&mut state, &shot, &words, Event::Ready(true));
             if let Some(VersionFault::FailsAfter(time)) = bad {
                 dies = Some(Instant::now() + time);
             }
@@ -761,14 +775,22 @@
             if state.life != life {
                 return;
             }
-            let Some(guest) = state.guests.get_mut(&shot.placing) else {
+            let Some(guest) = state.guests.get_mut(&shot.placement_id) else {
                 return;
             };
             if dies.is_some_and(|at| Instant::now() >= at) {
-                return self.end(&mut state, &shot.placing, v1::over::How::Error);
+                return self.end(
+                    &mut state,
+                    &shot.placement_id,
+                    v1::attempt_ended::AttemptOutcome::Error,
+                );
             }
             if Instant::now() >= until {
-                return self.end(&mut state, &shot.placing, v1::over::How::Ended);
+                return self.end(
+                    &mut state,
+                    &shot.placement_id,
+                    v1::attempt_ended::AttemptOutcome::Ended,
+                );
             }
             let swing = |least: f64, most: f64, rng: &mut Pcg64Mcg| rng.random_range(least..most);
             let memory = swing(0.55, 0.9, &mut rng) * ask.memory;
@@ -777,7 +799,7 @@
                 memory: guest.used.memory.max(memory),
             };
             let (words, used) = (guest.words.clone(), guest.used);
-            let said = Said::Use(v1::Use {
+            let said = Event::Usage(v1::Usage {
                 cores: used.cores,
                 memory: used.memory,
             });
@@ -790,7 +812,7 @@
                 .sum();
             if in_use.cores > self.config.capacity.cores {
                 let part = self.config.capacity.cores / in_use.cores;
-                self.say(&mut state, &shot, &words, Said::Served(part));
+                self.say(&mut state, &shot, &words, Event::ServiceLevel(part));
             }
             if in_use.memory > self.config.capacity.memory {
                 let lowest = state.guests.iter().filter(|(_, guest)| guest.runs);
@@ -798,7 +820,11 @@
                     .min_by_key(|(_, guest)| guest.shot.priority)
                     .map(|(placing, _)| placing.clone());
                 if let Some(placing) = lowest {
-                    self.end(&mut state, &placing, v1::over::How::Evicted);
+                    self.end(
+                        &mut state,
+                        &placing,
+                        v1::attempt_ended::AttemptOutcome::Evicted,
+                    );
                 }
             }
         }
@@ -806,16 +832,16 @@
 }
 
 /// The number of the version that a shot was decided under.
-fn decided(shot: &v1::Shot) -> u64 {
-    by(shot.by.as_ref(), shot.dispatcher).version
+fn decided(shot: &v1::AttemptRequest) -> u64 {
+    by(shot.decider.as_ref(), shot.dispatcher).version
 }
 
 /// Who acts. One that tells nothing counts as on its own file, in no life that is known.
-fn by(told: Option<&v1::By>, dispatcher: u32) -> OperationSource {
+fn by(told: Option<&v1::Decider>, dispatcher: u32) -> OperationSource {
     let version = told
-        .and_then(|by| by.stamp.as_ref())
+        .and_then(|by| by.version.as_ref())
         .map_or(0, |stamp| stamp.number);
-    let (life, dispatcher) = told.map_or((0, dispatcher), |by| (by.life, by.dispatcher));
+    let (life, dispatcher) = told.map_or((0, dispatcher), |by| (by.incarnation, by.dispatcher));
     OperationSource {
         dispatcher,
         incarnation: life,
@@ -844,7 +870,7 @@
 
 /// The words on one offer or attendance.
 pub struct Saying {
-    said: Pin<Box<async_channel::Receiver<v1::Said>>>,
+    said: Pin<Box<async_channel::Receiver<v1::AttemptEvent>>>,
     /// Of an offer: the node, and which it is.
     offer: Option<(Arc<Node>, String, u32)>,
 }
@@ -866,7 +892,7 @@
 }
 
 impl Stream for Saying {
-    type Item = Result<v1::Said, Status>;
+    type Item = Result<v1::AttemptEvent, Status>;
 
     fn poll_next(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Self::Item>> {
         self.said.as_mut().poll_next(cx).map(|said| said.map(Ok))
@@ -885,10 +911,13 @@
         }))
     }
 
-    async fn offer(&self, request: Request<v1::Shot>) -> Result<Response<Saying>, Status> {
+    async fn offer(
+        &self,
+        request: Request<v1::AttemptRequest>,
+    ) -> Result<Response<Saying>, Status> {
         let (words, said) = async_channel::bounded(WORDS);
         let (node, shot) = (Arc::clone(&self.0), request.into_inner());
-        let offer = Some((Arc::clone(&node), shot.placing.clone(), shot.number));
+        let offer = Some((Arc::clone(&node), shot.placement_id.clone(), shot.attempt));
         if let Some(life) = node.arrives(&shot) {
             node.world
                 .tasks
@@ -902,14 +931,18 @@
         }))
     }
 
-    async fn attend(&self, request: Request<v1::Shot>) -> Result<Response<Saying>, Status> {
+    async fn attend(
+        &self,
+        request: Request<v1::AttemptRequest>,
+    ) -> Result<Response<Saying>, Status> {
         let shot = request.into_inner();
-        self.0
-            .acts()
-            .record(by(shot.by.as_ref(), shot.dispatcher), OperationKind::Attend);
+        self.0.acts().record(
+            by(shot.decider.as_ref(), shot.dispatcher),
+            OperationKind::Attend,
+        );
         let (words, said) = async_channel::bounded(WORDS);
         let mut state = self.0.lock();
-        match state.guests.get_mut(&shot.placing) {
+        match state.guests.get_mut(&shot.placement_id) {
             Some(guest) => {
                 guest.words = words.clone();
                 let (runs, ready, shot) = (guest.runs, guest.ready, guest.shot.clone());
@@ -919,21 +952,21 @@
                         &mut state,
                         &shot,
                         &words,
-                        Said::Running(v1::Started { version }),
+                        Event::Running(v1::Started { version }),
                     );
                 }
                 if ready {
-                    self.0.say(&mut state, &shot, &words, Said::Ready(true));
+                    self.0.say(&mut state, &shot, &words, Event::Ready(true));
                 }
             }
             None => {
-                let turned = v1::Turned {
-                    why: Why::NotHere.into(),
-                    floor: None,
+                let turned = v1::AttemptRejected {
+                    reason: Rejection::NotPresent.into(),
+                    minimum_version: None,
                 };
-                let _ = words.try_send(v1::Said {
-                    said: Some(Said::Refused(turned)),
-                    load: None,
+                let _ = words.try_send(v1::AttemptEvent {
+                    event: Some(Event::Rejected(turned)),
+                    load_report: None,
                 });
                 words.close();
             }
@@ -944,10 +977,13 @@
         }))
     }
 
-    async fn keep(&self, request: Request<v1::KeepAsk>) -> Result<Response<v1::KeepWord>, Status> {
-        use v1::keep_ask::Ask;
-        let kept = |roll: &corkspan_rollout::Rollout, slots| v1::Kept {
-            roll: Some(corkspan_dispatcher::rollout_control::message(roll)),
+    async fn keep(
+        &self,
+        request: Request<v1::QuorumRequest>,
+    ) -> Result<Response<v1::QuorumResponse>, Status> {
+        use corkspan_api::v1::quorum_request::Operation;
+        let kept = |roll: &corkspan_rollout::Rollout, slots| v1::QuorumEntry {
+            rollout: Some(corkspan_dispatcher::rollout_control::message(roll)),
             slots,
         };
         let mut keeper = self
@@ -955,19 +991,19 @@
             .keeper
             .lock()
             .expect("no one panics while it is held");
-        let mut word = v1::KeepWord::default();
-        match request.into_inner().ask {
-            Some(Ask::Propose(roll)) => {
+        let mut word = v1::QuorumResponse::default();
+        match request.into_inner().operation {
+            Some(Operation::Propose(roll)) => {
                 let roll = corkspan_dispatcher::rollout_control::roll_of(&roll);
                 let roll = roll.ok_or_else(|| Status::invalid_argument("no roll"))?;
-                word.kept
+                word.entries
                     .extend(keeper.propose(roll).map(|roll| kept(roll, Vec::new())));
             }
-            Some(Ask::Claim(claim)) => {
+            Some(Operation::Claim(claim)) => {
                 let dispatcher = claim.slot.as_ref().map_or(u32::MAX, |slot| slot.dispatcher);
                 self.0
                     .acts()
-                    .record(by(claim.by.as_ref(), dispatcher), OperationKind::Claim);
+                    .record(by(claim.decider.as_ref(), dispatcher), OperationKind::Claim);
                 let slot = claim
                     .slot
                     .ok_or_else(|| Status::invalid_argument("no slot"))?;
@@ -977,41 +1013,41 @@
                     task: slot.task,
                     dispatcher: slot.dispatcher,
                 };
-                let claimed = keeper.claim(&claim.service, claim.number, slot.slot, grant);
+                let claimed = keeper.claim(&claim.service, claim.revision, slot.slot, grant);
                 word.granted = claimed == ClaimOutcome::Granted;
             }
-            Some(Ask::Release(release)) => {
+            Some(Operation::Release(release)) => {
                 keeper.release(&release.service, corkspan_rollout::ClaimId(release.claim));
             }
-            Some(Ask::Floor(floor)) => {
+            Some(Operation::MinimumVersion(floor)) => {
                 let mut floors = self
                     .0
                     .floors
                     .lock()
                     .expect("no one panics while it is held");
-                word.floor = floors
+                word.minimum_version = floors
                     .propose(minimum_version::read(&floor))
                     .copied()
                     .map(minimum_version::message);
             }
-            Some(Ask::Work(work)) => {
+            Some(Operation::Maintenance(work)) => {
                 let wish = maintenance_messages::wish(&work)
                     .ok_or_else(|| Status::invalid_argument("four limits"))?;
                 let mut board = self.0.board.lock().expect("no one panics while it is held");
                 board.propose(wish);
-                word.board = Some(maintenance_messages::board(&board, u32::MAX));
+                word.leases = Some(maintenance_messages::board(&board, u32::MAX));
             }
-            Some(Ask::Take(claim)) => {
+            Some(Operation::MaintenanceClaim(claim)) => {
                 let mut board = self.0.board.lock().expect("no one panics while it is held");
                 word.granted = maintenance_messages::claimed(&mut board, &claim);
             }
-            Some(Ask::Step(step)) => {
+            Some(Operation::MaintenanceStep(step)) => {
                 maintenance_messages::arrives(
                     &mut self.0.board.lock().expect("no one panics while it is held"),
                     &step,
                 );
             }
-            Some(Ask::Bids(bids)) => {
+            Some(Operation::CostEstimates(bids)) => {
                 let costs = bids
                     .costs
                     .iter()
@@ -1019,7 +1055,7 @@
                 let mut board = self.0.board.lock().expect("no one panics while it is held");
                 board.record_cost_estimates(bids.dispatcher, costs);
             }
-            Some(Ask::Lay(push)) => {
+            Some(Operation::StoreVersion(push)) => {
                 let push = config_stream::push_of(push)
                     .ok_or_else(|| Status::invalid_argument("no version"))?;
                 let mut shelf = self.0.shelf.lock().expect("no one panics while it is held");
@@ -1029,30 +1065,30 @@
                     push.allows_cuts,
                     &push.predecessors,
                 );
-                word.lies = shelf.newest().map(config_stream::message);
+                word.stored_version = shelf.newest().map(config_stream::message);
             }
-            Some(Ask::Fetch(ask)) => {
-                let theirs = ask.running.as_ref().and_then(config_stream::stamp);
+            Some(Operation::FetchVersion(ask)) => {
+                let theirs = ask.active.as_ref().and_then(config_stream::stamp);
                 let theirs = theirs.ok_or_else(|| Status::invalid_argument("no stamp"))?;
                 let shelf = self.0.shelf.lock().expect("no one panics while it is held");
-                word.given = shelf.push_for(theirs).map(config_stream::push_message);
+                word.fetched_version = shelf.push_for(theirs).map(config_stream::push_message);
             }
-            Some(Ask::Tell(tell)) => {
+            Some(Operation::Query(tell)) => {
                 let floors = self
                     .0
                     .floors
                     .lock()
                     .expect("no one panics while it is held");
-                word.floor = floors
+                word.minimum_version = floors
                     .entries()
                     .next()
                     .map(|kept| minimum_version::message(kept.proposal));
                 let mut rows = self.0.rows.lock().expect("no one panics while it is held");
-                if let Some(v1::InForce {
+                if let Some(v1::ActiveVersion {
                     dispatcher,
-                    stamp: Some(stamp),
+                    version: Some(stamp),
                     on_trial,
-                }) = tell.runs
+                }) = tell.active_version
                 {
                     rows.report(
                         dispatcher,
@@ -1062,16 +1098,16 @@
                         },
                     );
                 }
-                word.taken = (tell.part > 0)
-                    .then(|| rows.adopted(tell.fleet as usize, tell.part))
+                word.adopted_version = (tell.required_thousandths > 0)
+                    .then(|| rows.adopted(tell.fleet_size as usize, tell.required_thousandths))
                     .flatten();
                 let shelf = self.0.shelf.lock().expect("no one panics while it is held");
-                word.lies = shelf.newest().map(config_stream::message);
-                if tell.board {
+                word.stored_version = shelf.newest().map(config_stream::message);
+                if tell.include_leases {
                     let board = self.0.board.lock().expect("no one panics while it is held");
-                    word.board = Some(maintenance_messages::board(&board, tell.fleet));
+                    word.leases = Some(maintenance_messages::board(&board, tell.fleet_size));
                 }
-                if tell.floor_only {
+                if tell.minimum_version_only {
                     return Ok(Response::new(word));
                 }
                 for own in keeper.entries() {
@@ -1081,7 +1117,7 @@
                         task: grant.task.clone(),
                         dispatcher: grant.dispatcher,
                     });
-                    word.kept.push(kept(&own.proposal, slots.collect()));
+                    word.entries.push(kept(&own.proposal, slots.collect()));
                 }
             }
             None => return Err(Status::invalid_argument("nothing is asked")),
@@ -1089,23 +1125,27 @@
         Ok(Response::new(word))
     }
 
-    async fn door(&self, request: Request<v1::DoorAsk>) -> Result<Response<v1::DoorWord>, Status> {
+    async fn door(
+        &self,
+        request: Request<v1::CordonRequest>,
+    ) -> Result<Response<v1::CordonResponse>, Status> {
         let ask = request.into_inner();
         let claim = ClaimId(ask.claim);
         let mut state = self.0.lock();
         let mut door = self.0.door();
         let before = door.0.active();
-        match ask.what() {
-            v1::door_ask::What::Look => {}
-            v1::door_ask::What::Close => drop(door.0.cordon(claim)),
-            v1::door_ask::What::Open => door.0.uncordon(claim),
-            v1::door_ask::What::Stop if before == Some(claim) => {
+        match ask.action() {
+            v1::cordon_request::CordonAction::Get => {}
+            v1::cordon_request::CordonAction::Cordon => drop(door.0.cordon(claim)),
+            v1::cordon_request::CordonAction::Uncordon => door.0.uncordon(claim),
+            v1::cordon_request::CordonAction::Stop if before == Some(claim) => {
                 let guests: Vec<String> = state.guests.keys().cloned().collect();
-                guests
-                    .iter()
-                    .for_each(|name| self.0.end(&mut state, name, v1::over::How::SentAway));
+                guests.iter().for_each(|name| {
+                    self.0
+                        .end(&mut state, name, v1::attempt_ended::AttemptOutcome::Drained)
+                });
             }
-            v1::door_ask::What::Stop => {}
+            v1::cordon_request::CordonAction::Stop => {}
         }
         let closed = door.0.active();
         if before != closed {
@@ -1119,76 +1159,88 @@
         let runs = (state.guests.len() + state.waiting) as u32;
         let since_ms = door.1.elapsed().as_millis() as u64;
         let (closed, over) = (closed.map_or(0, |claim| claim.0), door.0.is_finished(claim));
-        Ok(Response::new(v1::DoorWord {
-            closed,
-            over,
-            runs,
+        Ok(Response::new(v1::CordonResponse {
+            cordoned_for: closed,
+            claim_ended: over,
+            running: runs,
             since_ms,
         }))
     }
 
-    async fn acts(&self, _: Request<v1::ActsAsk>) -> Result<Response<v1::ActsWord>, Status> {
+    async fn acts(
+        &self,
+        _: Request<v1::OperationsRequest>,
+    ) -> Result<Response<v1::OperationsResponse>, Status> {
         let (acts, floor) = (self.0.acts().clone(), self.0.fence().minimum());
         let rows = acts.rows().map(
             |OperationRow {
                  source: by,
                  kind,
                  count: many,
-             }| v1::Act {
+             }| v1::OperationRecord {
                 dispatcher: by.dispatcher,
-                life: by.incarnation,
+                incarnation: by.incarnation,
                 version: by.version,
                 kind: match kind {
-                    OperationKind::Attempt => v1::act::Kind::Shot,
-                    OperationKind::Attend => v1::act::Kind::Attend,
-                    OperationKind::Stop => v1::act::Kind::Stop,
-                    OperationKind::Migrate => v1::act::Kind::Move,
-                    OperationKind::Claim => v1::act::Kind::Claim,
+                    OperationKind::Attempt => v1::operation_record::Kind::Attempt,
+                    OperationKind::Attend => v1::operation_record::Kind::Attend,
+                    OperationKind::Stop => v1::operation_record::Kind::Stop,
+                    OperationKind::Migrate => v1::operation_record::Kind::Migrate,
+                    OperationKind::Claim => v1::operation_record::Kind::Claim,
                 }
                 .into(),
-                seen: many.seen,
-                below: many.rejected,
+                count: many.seen,
+                fenced: many.rejected,
             },
         );
-        Ok(Response::new(v1::ActsWord {
+        Ok(Response::new(v1::OperationsResponse {
             node: self.0.config.id,
-            acts: rows.collect(),
-            left_out: acts.uncounted(),
-            floor: floor.map(minimum_version::message),
+            operations: rows.collect(),
+            omitted: acts.uncounted(),
+            minimum_version: floor.map(minimum_version::message),
         }))
     }
 
-    async fn stop(&self, request: Request<v1::StopAsk>) -> Result<Response<v1::StopWord>, Status> {
+    async fn stop(
+        &self,
+        request: Request<v1::StopRequest>,
+    ) -> Result<Response<v1::StopResponse>, Status> {
         let ask = request.into_inner();
         // Whoever acts is told by the stop alone: an older dispatcher tells none.
-        let kind = if ask.moved {
+        let kind = if ask.migrated {
             OperationKind::Migrate
         } else {
             OperationKind::Stop
         };
-        self.0.acts().record(by(ask.by.as_ref(), u32::MAX), kind);
+        self.0
+            .acts()
+            .record(by(ask.decider.as_ref(), u32::MAX), kind);
         let mut state = self.0.lock();
-        let was_here = state.guests.contains_key(&ask.placing);
-        let how = if ask.moved {
-            v1::over::How::Moved
+        let was_here = state.guests.contains_key(&ask.placement_id);
+        let how = if ask.migrated {
+            v1::attempt_ended::AttemptOutcome::Migrated
         } else {
-            v1::over::How::Stopped
+            v1::attempt_ended::AttemptOutcome::Stopped
         };
-        self.0.end(&mut state, &ask.placing, how);
-        if ask.placing.is_empty() && !ask.but.is_empty() {
-            let others = state
-                .guests
-                .iter()
-                .filter(|(name, own)| own.shot.task == ask.task && **name != ask.but);
+        self.0.end(&mut state, &ask.placement_id, how);
+        if ask.placement_id.is_empty() && !ask.except_placement_id.is_empty() {
+            let others = state.guests.iter().filter(|(name, own)| {
+                own.shot.task == ask.task && **name != ask.except_placement_id
+            });
             let others: Vec<String> = others.map(|(name, _)| name.clone()).collect();
             others
                 .iter()
                 .for_each(|name| self.0.end(&mut state, name, how));
         }
-        Ok(Response::new(v1::StopWord { was_here }))
+        Ok(Response::new(v1::StopResponse {
+            was_present: was_here,
+        }))
     }
 
-    async fn probe(&self, _: Request<v1::ProbeAsk>) -> Result<Response<v1::ProbeWord>, Status> {
+    async fn probe(
+        &self,
+        _: Request<v1::HealthCheckRequest>,
+    ) -> Result<Response<v1::HealthCheckResponse>, Status> {
         self.0.world.capture.see(Seen::Probed {
             node: self.0.config.id,
         });
@@ -1201,6 +1253,8 @@
             return Err(Status::unavailable("gone"));
         }
         let load = self.0.load(&mut self.0.lock());
-        Ok(Response::new(v1::ProbeWord { load: Some(load) }))
+        Ok(Response::new(v1::HealthCheckResponse {
+            load_report: Some(load),
+        }))
     }
 }
--- a/crates/lab/src/owner.rs
+++ b/crates/lab/src/owner.rs
@@ -4,8 +4,8 @@
 use crate::node::{Node, World};
 use async_io::Timer;
 use corkspan_api::v1::{
-    self, placement_client::PlacementClient, rolls_client::RollsClient,
-    versions_client::VersionsClient, word::Word as Said,
+    self, placement_client::PlacementClient, placement_event::Event as Said,
+    rolls_client::RollsClient, versions_client::VersionsClient,
 };
 use corkspan_rpc::{Bounds, Link, within};
 use rand::RngExt;
@@ -166,18 +166,18 @@
     }
 }
 
-fn message(task: &Task, placing: String, again: bool) -> v1::Ask {
-    v1::Ask {
-        placing,
+fn message(task: &Task, placing: String, again: bool) -> v1::PlacementRequest {
+    v1::PlacementRequest {
+        placement_id: placing,
         task: task.name.clone(),
         service: task.service.clone(),
-        track: task.track_name.clone(),
-        account: String::new(),
+        service_class: task.track_name.clone(),
+        tenant: String::new(),
         cores: task.cores,
         memory: task.memory,
-        life_ms: task.life.as_millis() as u64,
-        abandon_ms: task.abandon.as_millis() as u64,
-        again,
+        expected_duration_ms: task.life.as_millis() as u64,
+        deadline_ms: task.abandon.as_millis() as u64,
+        retry: again,
     }
 }
 
@@ -274,21 +274,21 @@
 }
 
 fn hear(front: &Front, call: u64, said: &Said) -> Option<Word> {
-    use v1::ended::How;
+    use corkspan_api::v1::ended::EndReason;
     let word = match said {
         Said::Placed(_) => Word::Placed,
-        Said::Refused(_) => Word::Refused,
+        Said::Rejected(_) => Word::Refused,
         Said::Failed(_) => Word::Failed,
-        Said::Runs(_) => Word::Running,
-        Said::Served(_) | Said::Replaced(_) => Word::Served,
-        Said::Ended(ended) => match ended.how() {
-            How::Ended => Word::Ended,
-            How::Evicted => Word::Evicted,
-            How::PushedOut => Word::PushedOut,
-            How::SentAway => Word::SentAway,
-            How::Moved => Word::Moved,
-            How::HandedBack => Word::HandedBack,
-            How::Lost | How::Error => Word::Lost,
+        Said::Running(_) => Word::Running,
+        Said::ServiceLevel(_) | Said::Replaced(_) => Word::Served,
+        Said::Ended(ended) => match ended.reason() {
+            EndReason::Ended => Word::Ended,
+            EndReason::Evicted => Word::Evicted,
+            EndReason::PushedOut => Word::PushedOut,
+            EndReason::SentAway => Word::SentAway,
+            EndReason::Moved => Word::Moved,
+            EndReason::HandedBack => Word::HandedBack,
+            EndReason::Lost | EndReason::Error => Word::Lost,
         },
     };
     if word != Word::Served {
@@ -298,9 +298,13 @@
 }
 
 /// The final answer; none where the stream ends without.
-async fn answer(front: &Front, call: u64, words: &mut Streaming<v1::Word>) -> Option<Word> {
+async fn answer(
+    front: &Front,
+    call: u64,
+    words: &mut Streaming<v1::PlacementEvent>,
+) -> Option<Word> {
     loop {
-        let said = words.message().await.ok()??.word?;
+        let said = words.message().await.ok()??.event?;
         if let word @ (Word::Placed | Word::Refused | Word::Failed) = hear(front, call, &said)? {
             return Some(word);
         }
@@ -310,12 +314,12 @@
 async fn follow(
     front: &Front,
     call: u64,
-    words: &mut Streaming<v1::Word>,
+    words: &mut Streaming<v1::PlacementEvent>,
     known: &mut String,
 ) -> Came {
-    while let Ok(Some(v1::Word { word: Some(said) })) = words.message().await {
+    while let Ok(Some(v1::PlacementEvent { event: Some(said) })) = words.message().await {
         if let Said::Replaced(by) = &said {
-            known.clone_from(&by.placing);
+            known.clone_from(&by.placement_id);
         }
         match hear(front, call, &said) {
             Some(Word::Ended) => return Came::Done,
@@ -354,8 +358,8 @@
         call,
         closed: false,
     };
-    let running = v1::Running {
-        ask: Some(message(task, placing, true)),
+    let running = v1::HandOverRequest {
+        request: Some(message(task, placing, true)),
         node,
     };
     let came = match client.hand_over(running).await {
--- a/crates/lab/src/play.rs
+++ b/crates/lab/src/play.rs
@@ -347,23 +347,23 @@
             return 0;
         };
         client
-            .status(v1::StatusAsk {})
+            .status(v1::StatusRequest {})
             .await
             .map_or(0, |word| word.into_inner().machines_serving)
     }
 }
 
-fn entry(node: &Node, address: SocketAddr, started_ms: u64) -> v1::Entry {
+fn entry(node: &Node, address: SocketAddr, started_ms: u64) -> v1::Endpoint {
     let unasked = node.unrequested();
-    v1::Entry {
+    v1::Endpoint {
         node: node.config.id,
         address: address.to_string(),
-        kind: node.config.machine_type.clone(),
-        hall: node.config.zone.clone(),
+        machine_type: node.config.machine_type.clone(),
+        zone: node.config.zone.clone(),
         cell: node.config.cell,
-        state: v1::entry::State::Serving.into(),
+        state: v1::endpoint::State::Serving.into(),
         started_ms,
-        unasked: Some(v1::Room {
+        unreserved: Some(v1::Resources {
             cores: unasked.cores,
             memory: unasked.memory,
         }),
@@ -387,14 +387,14 @@
         let Some(mut client) = front.rolls(rng.random_range(0..dispatchers)).await else {
             continue;
         };
-        let ask = v1::MaintainAsk::default();
+        let ask = v1::MaintenanceRequest::default();
         let word = within(Duration::from_secs(10), Box::pin(client.maintain(ask))).await;
         let Some(Ok(word)) = word else { continue };
         let word = word.into_inner();
         // While it is worked on it does not answer, and so is not told as the worker's: he knows.
-        under_way.retain(|id, _| !word.worked.contains(id));
+        under_way.retain(|id, _| !word.completed.contains(id));
         let mine: BTreeSet<u32> = word
-            .in_work
+            .in_maintenance
             .iter()
             .copied()
             .chain(under_way.keys().copied())
@@ -429,24 +429,24 @@
                     });
                     *up = true;
                 }
-                Some((_, true)) if word.in_work.contains(id) => done.push(*id),
+                Some((_, true)) if word.in_maintenance.contains(id) => done.push(*id),
                 Some(_) => {}
             }
         }
         if !done.is_empty() {
-            let what = v1::maintain_ask::What::Done.into();
-            let ask = v1::MaintainAsk {
-                what,
+            let what = v1::maintenance_request::Action::Done.into();
+            let ask = v1::MaintenanceRequest {
+                action: what,
                 nodes: done,
-                ..v1::MaintainAsk::default()
+                ..v1::MaintenanceRequest::default()
             };
             within(Duration::from_secs(10), Box::pin(client.maintain(ask))).await;
         }
         let all = word
-            .stands
+            .current
             .as_ref()
             .map_or(usize::MAX, |work| work.machines.len());
-        if word.worked.len() + word.skipped.len() >= all && word.out.is_empty() {
+        if word.completed.len() + word.skipped.len() >= all && word.leases.is_empty() {
             return Ok(());
         }
     }
@@ -476,11 +476,17 @@
         for node in nodes.iter().filter(|node| node.is_running()) {
             if let Some(entry) = roster.entry(node.config.id) {
                 let unasked = node.unrequested();
-                let unasked = Some(v1::Room {
+                let unasked = Some(v1::Resources {
                     cores: unasked.cores,
                     memory: unasked.memory,
                 });
-                roster.change(Duration::from_millis(300), v1::Entry { unasked, ..entry });
+                roster.change(
+                    Duration::from_millis(300),
+                    v1::Endpoint {
+                        unreserved: unasked,
+                        ..entry
+                    },
+                );
             }
         }
     }
@@ -625,22 +631,22 @@
             ready_within_us: READY_WITHIN.as_micros() as u64,
             failures_most: FAILURES_MOST as usize,
         });
-        let ask = v1::RollAsk {
+        let ask = v1::StartRolloutRequest {
             service,
             version,
-            former: "v1".into(),
-            unready_most,
-            batch: unready_most.max(1),
-            ready_for_ms: roll.ready_for.as_millis() as u64,
-            ready_within_ms: READY_WITHIN.as_millis() as u64,
-            failures_most: FAILURES_MOST,
-            start_first: roll.start_first,
+            previous_version: "v1".into(),
+            max_unavailable: unready_most,
+            max_in_progress: unready_most.max(1),
+            min_ready_ms: roll.ready_for.as_millis() as u64,
+            progress_deadline_ms: READY_WITHIN.as_millis() as u64,
+            max_failures: FAILURES_MOST,
+            surge: roll.start_first,
         };
         for dispatcher in 0..self.day.dispatchers {
             if let Some(mut client) = self.front.rolls(dispatcher).await
                 && let Some(Ok(word)) =
                     within(Duration::from_secs(5), Box::pin(client.start(ask.clone()))).await
-                && word.into_inner().taken
+                && word.into_inner().accepted
             {
                 return Ok(());
             }
@@ -655,13 +661,13 @@
         let nodes: Vec<u32> = nodes.filter(|id| !KEEPERS[1..].contains(id)).collect();
         let machines = nodes.len();
         let (at_a_time, by_hall) = (work.at_a_time, work.by_hall);
-        let ask = v1::MaintainAsk {
-            what: v1::maintain_ask::What::Start.into(),
+        let ask = v1::MaintenanceRequest {
+            action: v1::maintenance_request::Action::Start.into(),
             nodes,
             limits: vec![at_a_time, by_hall, at_a_time, at_a_time],
-            warm_ms: COLD.duration.as_millis() as u64,
-            empty_within_ms: 3_600_000,
-            ..v1::MaintainAsk::default()
+            warm_up_ms: COLD.duration.as_millis() as u64,
+            drain_timeout_ms: 3_600_000,
+            ..v1::MaintenanceRequest::default()
         };
         for dispatcher in 0..self.day.dispatchers {
             if let Some(mut client) = self.front.rolls(dispatcher).await
@@ -670,7 +676,7 @@
                     Box::pin(client.maintain(ask.clone())),
                 )
                 .await
-                && word.into_inner().taken
+                && word.into_inner().accepted
             {
                 let (at_a_time, by_hall) = (at_a_time as usize, by_hall as usize);
                 self.front.world.capture.see(Seen::Maintenance {
@@ -710,10 +716,10 @@
             if let Some(mut client) = self.front.versions(dispatcher).await
                 && let Some(Ok(word)) = within(
                     Duration::from_secs(5),
-                    Box::pin(client.raise(v1::FloorAsk { lowest })),
+                    Box::pin(client.raise(v1::RaiseMinimumVersionRequest { version: lowest })),
                 )
                 .await
-                && word.get_ref().taken
+                && word.get_ref().accepted
             {
                 self.front.world.capture.see(Seen::Raised { lowest });
                 return Ok(());
@@ -890,7 +896,7 @@
             Kind::DrainNodes => {
                 for index in up {
                     self.nodes[index].drain();
-                    self.tell(index, v1::entry::State::Draining);
+                    self.tell(index, v1::endpoint::State::Draining);
                     undos.push(Undo::Undrain(index));
                 }
             }
@@ -971,14 +977,14 @@
             for number in process.numbers.clone() {
                 let told = async {
                     let mut client = self.front.client(number).await?;
-                    client.status(v1::StatusAsk {}).await.ok()
+                    client.status(v1::StatusRequest {}).await.ok()
                 };
                 // One that stands still, or is away, tells nothing: it is left out of the figures.
                 let told = within(Duration::from_secs(5), Box::pin(told))
                     .await
                     .flatten();
                 own.counts
-                    .extend(told.map(|word| (number, word.into_inner().link_counts)));
+                    .extend(told.map(|word| (number, word.into_inner().connection_traffic)));
             }
             read.push(own);
         }
@@ -996,16 +1002,16 @@
 
     fn kill(&mut self, index: usize) {
         self.nodes[index].kill(NodeState::Gone);
-        self.tell(index, v1::entry::State::Gone);
+        self.tell(index, v1::endpoint::State::Gone);
     }
 
     /// The roster hears of it late.
-    fn tell(&mut self, index: usize, state: v1::entry::State) {
+    fn tell(&mut self, index: usize, state: v1::endpoint::State) {
         let late = Duration::from_millis(self.rng.random_range(100..900));
         if let Some(entry) = self.roster.entry(self.nodes[index].config.id) {
             self.roster.change(
                 late,
-                v1::Entry {
+                v1::Endpoint {
                     state: state.into(),
                     ..entry
                 },
--- a/crates/lab/src/pushes.rs
+++ b/crates/lab/src/pushes.rs
@@ -8,7 +8,7 @@
 use crate::node::World;
 use crate::roster::Roster;
 use async_io::Timer;
-use corkspan_api::v1::{self, told::Answer, versions_client::VersionsClient};
+use corkspan_api::v1::{self, push_reply::Answer, versions_client::VersionsClient};
 use corkspan_config::version::{Texts, VersionId};
 use corkspan_config_sync::VersionPush;
 use corkspan_rpc::{Tasks, within};
@@ -118,7 +118,7 @@
     async fn status(&self, dispatcher: usize) -> Result<v1::VersionStatus, String> {
         let link = measure::link(&self.tasks, self.dispatchers[dispatcher].address).await?;
         let status = VersionsClient::new(link)
-            .status(v1::VersionStatusAsk {})
+            .status(v1::VersionStatusRequest {})
             .await;
         Ok(status
             .map_err(|why| why.message().to_string())?
@@ -150,7 +150,7 @@
         let mut acknowledged = stage
             .status(0)
             .await?
-            .running
+            .active
             .as_ref()
             .and_then(stamp_of)
             .ok_or("no stamp")?;
@@ -202,19 +202,19 @@
                             out.applied += 1;
                             acknowledged = push.version;
                         }
-                        Answer::Refused if told.why.is_empty() => {
+                        Answer::Rejected if told.reasons.is_empty() => {
                             return Err("refused without a reason".into());
                         }
-                        Answer::Refused => out.refused += 1,
+                        Answer::Rejected => out.refused += 1,
                         Answer::Superseded => out.superseded += 1,
-                        Answer::Running | Answer::WantsWhole => {}
+                        Answer::Unchanged | Answer::FullRequired => {}
                         other => return Err(format!("{other:?} is no answer to a push")),
                     }
                 }
             }
             let status = stage.status(0).await?;
             let running = status
-                .running
+                .active
                 .as_ref()
                 .and_then(stamp_of)
                 .ok_or("no stamp")?;
@@ -359,9 +359,9 @@
                 "flood: {many} versions in {published:.1?}, {pushes} pushed; applied {}, passed over {}, turned down {}, whole wanted {}; the newest in force {caught_up:.1?} after the last; in force by status: {}",
                 answers(Answer::Applied),
                 answers(Answer::Superseded),
-                answers(Answer::Refused),
-                answers(Answer::WantsWhole),
-                status.running.map_or(0, |running| running.number),
+                answers(Answer::Rejected),
+                answers(Answer::FullRequired),
+                status.active.map_or(0, |running| running.number),
             );
             Ok(())
         })
--- a/crates/lab/src/roster.rs
+++ b/crates/lab/src/roster.rs
@@ -5,7 +5,7 @@
 use crate::relay::Relay;
 use async_io::Timer;
 use async_net::TcpListener;
-use corkspan_api::v1::{self, entry::State, roster_server::RosterServer};
+use corkspan_api::v1::{self, endpoint::State, roster_server::RosterServer};
 use corkspan_rpc::Bounds;
 use futures_lite::Stream;
 use std::collections::BTreeMap;
@@ -29,9 +29,9 @@
 
 #[derive(Default)]
 struct Log {
-    entries: BTreeMap<u32, v1::Entry>,
+    entries: BTreeMap<u32, v1::Endpoint>,
     /// Each change and when it may be told; its place, counted from 1, is its version.
-    changes: Vec<(Instant, v1::Entry)>,
+    changes: Vec<(Instant, v1::Endpoint)>,
     /// Watchers, to be woken.
     wakes: Vec<async_channel::Sender<()>>,
 }
@@ -80,7 +80,7 @@
     }
 
     /// Changes an entry; watchers hear of it so much later.
-    pub fn change(&self, late: Duration, entry: v1::Entry) {
+    pub fn change(&self, late: Duration, entry: v1::Endpoint) {
         if let Ok(to) = entry.address.parse() {
             let ways = self.ways.lock().expect("no one panics while it is held");
             ways.iter()
@@ -101,7 +101,7 @@
         });
     }
 
-    pub fn entry(&self, node: u32) -> Option<v1::Entry> {
+    pub fn entry(&self, node: u32) -> Option<v1::Endpoint> {
         self.log
             .lock()
             .expect("no one panics while it is held")
@@ -126,9 +126,9 @@
         dispatcher: u32,
         version: u64,
         whole: bool,
-        mut entries: Vec<v1::Entry>,
+        mut entries: Vec<v1::Endpoint>,
         told: &mut BTreeMap<u32, (NodeState, u64)>,
-    ) -> v1::Listing {
+    ) -> v1::EndpointList {
         let now_ms = corkspan_dispatcher::clock::wall_ms();
         for entry in &entries {
             let state = match entry.state() {
@@ -154,15 +154,19 @@
                 entry.address = relay.address.to_string();
             }
         }
-        v1::Listing {
+        v1::EndpointList {
             version,
-            whole,
+            complete: whole,
             now_ms,
-            entries,
+            endpoints: entries,
         }
     }
 
-    async fn watch(self: Arc<Self>, ask: v1::ListAsk, to: async_channel::Sender<v1::Listing>) {
+    async fn watch(
+        self: Arc<Self>,
+        ask: v1::ListRequest,
+        to: async_channel::Sender<v1::EndpointList>,
+    ) {
         let (wake, woken) = async_channel::bounded(1);
         let mut told = BTreeMap::new();
         let mut at = {
@@ -179,7 +183,7 @@
                     .iter()
                     .take_while(|(when, _)| *when <= Instant::now())
                     .count();
-                let told: BTreeMap<u32, v1::Entry> = log.changes[..at]
+                let told: BTreeMap<u32, v1::Endpoint> = log.changes[..at]
                     .iter()
                     .map(|(_, entry)| (entry.node, entry.clone()))
                     .collect();
@@ -201,14 +205,14 @@
                 let due = log.changes[at..]
                     .iter()
                     .take_while(|(when, _)| *when <= Instant::now());
-                let due: Vec<v1::Entry> = due.map(|(_, entry)| entry.clone()).collect();
+                let due: Vec<v1::Endpoint> = due.map(|(_, entry)| entry.clone()).collect();
                 let next = log.changes.get(at + due.len()).map(|(when, _)| *when);
                 (due, next)
             };
             if !due.is_empty() {
                 at += due.len();
                 // Of what has changed more than once the latest is told.
-                let latest: BTreeMap<u32, v1::Entry> =
+                let latest: BTreeMap<u32, v1::Endpoint> =
                     due.into_iter().map(|entry| (entry.node, entry)).collect();
                 let latest = latest.into_values().collect();
                 let listing = self.listing(ask.dispatcher, at as u64, false, latest, &mut told);
@@ -229,13 +233,16 @@
 #[derive(Clone)]
 struct Service(Arc<Roster>);
 
-type Listings = Pin<Box<dyn Stream<Item = Result<v1::Listing, Status>> + Send>>;
+type Listings = Pin<Box<dyn Stream<Item = Result<v1::EndpointList, Status>> + Send>>;
 
 #[tonic::async_trait]
 impl v1::roster_server::Roster for Service {
     type WatchStream = Listings;
 
-    async fn list(&self, request: Request<v1::ListAsk>) -> Result<Response<v1::Listing>, Status> {
+    async fn list(
+        &self,
+        request: Request<v1::ListRequest>,
+    ) -> Result<Response<v1::EndpointList>, Status> {
         let (entries, version) = {
             let log = self.0.log.lock().expect("no one panics while it is held");
             (
@@ -252,7 +259,7 @@
         )))
     }
 
-    async fn watch(&self, request: Request<v1::ListAsk>) -> Result<Response<Listings>, Status> {
+    async fn watch(&self, request: Request<v1::ListRequest>) -> Result<Response<Listings>, Status> {
         let (to, listings) = async_channel::bounded(16);
         let ask = request.into_inner();
         let dispatcher = ask.dispatcher;
--- a/crates/lab/tests/capacity.rs
+++ b/crates/lab/tests/capacity.rs
@@ -1,7 +1,7 @@
 //! What control costs by counts and bytes, in a small form: nothing here depends on how fast the
 //! machine is.
 
-use corkspan_api::v1::link_count::Kind;
+use corkspan_api::v1::connection_traffic::Kind;
 use corkspan_capacity_model::{page, result::CapacityResult};
 use corkspan_lab::capacity::{End, Room, Setting, Stage};
 use corkspan_lab::counts;
@@ -100,8 +100,8 @@
             .await
             .expect("the kernel tells");
         let status = stage.status().await.expect("it answers");
-        assert_eq!((status.in_hand, status.placed), (30, 0));
-        let sent = counts::of(&status.link_counts, Kind::Nodes).messages_out;
+        assert_eq!((status.in_flight, status.placed), (30, 0));
+        let sent = counts::of(&status.connection_traffic, Kind::Nodes).messages_out;
         assert!(sent <= 2 * 30, "{sent} messages went to nodes");
         drop(held);
     });
--- a/crates/lab/tests/full_path/counts.rs
+++ b/crates/lab/tests/full_path/counts.rs
@@ -3,7 +3,8 @@
 use crate::rig::*;
 use async_io::Timer;
 use corkspan_api::v1::{
-    self, link_count::Kind, placement_client::PlacementClient, versions_client::VersionsClient,
+    self, connection_traffic::Kind, placement_client::PlacementClient,
+    versions_client::VersionsClient,
 };
 use corkspan_lab::control::Control;
 use corkspan_lab::counts::{Difference, differences, of, seen};
@@ -29,11 +30,11 @@
     /// What differs at a moment at which nothing passes; as long as something does, some bytes are
     /// in the kernel, counted at one end and not yet at the other, so such a moment is waited
     /// for.
-    async fn differences(&self) -> (Vec<Difference>, Vec<v1::LinkCount>) {
+    async fn differences(&self) -> (Vec<Difference>, Vec<v1::ConnectionTraffic>) {
         let mut last = (Vec::new(), Vec::new());
         for _ in 0..400 {
             let before = seen(&self.wires, 0);
-            let told = self.rig.status().await.link_counts;
+            let told = self.rig.status().await.connection_traffic;
             let quiet = seen(&self.wires, 0) == before;
             last = (differences(&told, &before), told);
             if quiet && last.0.is_empty() {
@@ -111,7 +112,7 @@
         // One that is placed costs its offer and its stop, and a link its greeting: to three
         // keepers and a node at least.
         until(async || {
-            let told = stage.rig.status().await.link_counts;
+            let told = stage.rig.status().await.connection_traffic;
             let sent = |kind| of(&told, kind).messages_out;
             sent(Kind::Nodes) + sent(Kind::Keepers) >= 2 * 30 + 4
         })
@@ -151,7 +152,7 @@
 #[test_case(1, 1; "a byte out")]
 #[test_case(0, 1 << 20; "a megabyte in")]
 fn one_kind_told_too_low_is_found(way: usize, by: u64) {
-    let told = v1::LinkCount {
+    let told = v1::ConnectionTraffic {
         kind: Kind::Nodes.into(),
         bytes_in: 7,
         bytes_out: 9,
@@ -195,13 +196,13 @@
             };
             let mut gives = VersionsClient::new(open(&peer).await);
             for _ in 0..3 {
-                let running = Some(v1::Stamp {
+                let running = Some(v1::VersionId {
                     number: 0,
                     digest: "0".repeat(64),
                 });
                 let _ = gives
-                    .give(v1::GiveAsk {
-                        running,
+                    .give(v1::FetchVersionRequest {
+                        active: running,
                         dispatcher: 1,
                     })
                     .await;
@@ -211,11 +212,11 @@
             for _ in 0..400 {
                 let before = owner.passed();
                 told = client
-                    .status(v1::StatusAsk {})
+                    .status(v1::StatusRequest {})
                     .await
                     .expect("a status")
                     .into_inner()
-                    .link_counts;
+                    .connection_traffic;
                 let (after, own, others) = (
                     owner.passed(),
                     of(&told, Kind::Owners),
--- a/crates/lab/tests/full_path/fleet.rs
+++ b/crates/lab/tests/full_path/fleet.rs
@@ -4,7 +4,9 @@
 use crate::rig::*;
 use corkspan_api::v1::node_client::NodeClient;
 use corkspan_api::v1::versions_client::VersionsClient;
-use corkspan_api::v1::{self, placement_client::PlacementClient, refused::Why, word::Word};
+use corkspan_api::v1::{
+    self, placement_client::PlacementClient, placement_event::Event, rejected::RejectionReason,
+};
 use corkspan_config::version::{Texts, VersionId};
 use corkspan_config_sync::{PersistedVersions, Version};
 use corkspan_dispatcher::version_files::keep;
@@ -169,7 +171,7 @@
             .expect("it listens")
     }
 
-    async fn asks(&self, number: usize, task: &str) -> tonic::Streaming<v1::Word> {
+    async fn asks(&self, number: usize, task: &str) -> tonic::Streaming<v1::PlacementEvent> {
         let mut client = PlacementClient::new(self.link(number).await);
         client
             .place(ask(task, "web"))
@@ -183,7 +185,7 @@
         &self,
         number: usize,
         task: &str,
-    ) -> (Option<Word>, tonic::Streaming<v1::Word>) {
+    ) -> (Option<Event>, tonic::Streaming<v1::PlacementEvent>) {
         let mut words = self.asks(number, task).await;
         (next(&mut words).await, words)
     }
@@ -191,7 +193,7 @@
     async fn status(&self, number: usize) -> v1::VersionStatus {
         let mut client = VersionsClient::new(self.link(number).await);
         client
-            .status(v1::VersionStatusAsk {})
+            .status(v1::VersionStatusRequest {})
             .await
             .expect("a status")
             .into_inner()
@@ -201,7 +203,7 @@
         until(async || {
             self.status(number)
                 .await
-                .running
+                .active
                 .is_some_and(|running| running.number == version)
         })
         .await;
@@ -212,7 +214,7 @@
         let mut calls = Vec::new();
         until(async || {
             let (word, call) = self.answered(0, &format!("spreads-{}", calls.len())).await;
-            assert!(matches!(word, Some(Word::Placed(_))), "{word:?}");
+            assert!(matches!(word, Some(Event::Placed(_))), "{word:?}");
             calls.push(call);
             let lines = self.rig.world.capture.lines();
             let has = |id: u32| {
@@ -306,9 +308,9 @@
     }
 }
 
-fn refused_as(word: &Option<Word>) -> Option<Why> {
+fn refused_as(word: &Option<Event>) -> Option<RejectionReason> {
     match word {
-        Some(Word::Refused(refused)) => Some(refused.why()),
+        Some(Event::Rejected(refused)) => Some(refused.reason()),
         _ => None,
     }
 }
@@ -345,7 +347,7 @@
     story(async |stage| {
         // All may act as long as nobody has asked for a floor.
         let (before, _call) = stage.answered(4, "before").await;
-        assert!(matches!(before, Some(Word::Placed(_))), "{before:?}");
+        assert!(matches!(before, Some(Event::Placed(_))), "{before:?}");
         let asked = stage.operator(&["floor", "2"]).await;
         let why = String::from_utf8_lossy(&asked.stderr).into_owned();
         assert!(
@@ -359,8 +361,10 @@
             String::from_utf8_lossy(&asked.stderr)
         );
         // One hears of it from the keepers.
-        until(async || refused_as(&stage.answered(3, "by-keepers").await.0) == Some(Why::Behind))
-            .await;
+        until(async || {
+            refused_as(&stage.answered(3, "by-keepers").await.0) == Some(RejectionReason::Behind)
+        })
+        .await;
         stage.until_nodes_have_it().await;
         // The other from the node that it asks first: the ask in hand gets its one answer, the next
         // is refused at once.
@@ -368,7 +372,7 @@
         assert!(refused_as(&first).is_some(), "{first:?}");
         assert_eq!(
             refused_as(&stage.answered(4, "next").await.0),
-            Some(Why::Behind)
+            Some(RejectionReason::Behind)
         );
         let audit = stage.operator(&["audit"]).await;
         let told = String::from_utf8_lossy(&audit.stdout).into_owned();
@@ -388,7 +392,7 @@
         for straggler in [3, 4] {
             stage.until_in_force(straggler, 2).await;
             let (word, _call) = stage.answered(straggler, &format!("up-{straggler}")).await;
-            assert!(matches!(word, Some(Word::Placed(_))), "{word:?}");
+            assert!(matches!(word, Some(Event::Placed(_))), "{word:?}");
         }
         let audit = stage.operator(&["audit"]).await;
         assert!(
@@ -419,12 +423,12 @@
         let stopped = &stage.fleet[4];
         // Its link stands and its ask is on its way when it stops.
         let (before, _call) = stage.answered(4, "before").await;
-        assert!(matches!(before, Some(Word::Placed(_))), "{before:?}");
+        assert!(matches!(before, Some(Event::Placed(_))), "{before:?}");
         let link = stage.link(4).await;
         stopped.signal(Signal::STOP);
         let call = stage.rig.tasks.spawn(async move {
-            let asked = v1::Ask {
-                abandon_ms: 10_000,
+            let asked = v1::PlacementRequest {
+                deadline_ms: 10_000,
                 ..ask("across", "web")
             };
             let mut words = PlacementClient::new(link)
@@ -444,7 +448,10 @@
         stopped.signal(Signal::CONT);
         let word = call.await;
         assert!(refused_as(&word).is_some(), "{word:?}");
-        until(async || refused_as(&stage.answered(4, "next").await.0) == Some(Why::Behind)).await;
+        until(async || {
+            refused_as(&stage.answered(4, "next").await.0) == Some(RejectionReason::Behind)
+        })
+        .await;
         assert_eq!(stage.judged().0, [""; 0]);
     });
 }
@@ -473,7 +480,7 @@
                     .expect("a port");
                 roster.change(
                     Duration::ZERO,
-                    v1::Entry {
+                    v1::Endpoint {
                         address: relay.address.to_string(),
                         ..listed
                     },
@@ -488,7 +495,7 @@
                 stage.until_in_force(number, 1).await;
             }
             let (before, _call) = stage.answered(4, "before").await;
-            assert!(matches!(before, Some(Word::Placed(_))), "{before:?}");
+            assert!(matches!(before, Some(Event::Placed(_))), "{before:?}");
 
             control.hold(&[Way::In]);
             nodes.iter().for_each(|node| node.hold(&[Way::In]));
@@ -507,16 +514,18 @@
             // them.
             let deaf = stage.answered(4, "deaf").await.0;
             assert!(
-                matches!(deaf, Some(Word::Refused(_) | Word::Failed(_))),
+                matches!(deaf, Some(Event::Rejected(_) | Event::Failed(_))),
                 "one answer, in its time: {deaf:?}"
             );
             nodes.iter().for_each(Relay::heal);
-            until(async || refused_as(&stage.answered(4, "heard").await.0) == Some(Why::Behind))
-                .await;
+            until(async || {
+                refused_as(&stage.answered(4, "heard").await.0) == Some(RejectionReason::Behind)
+            })
+            .await;
             control.heal();
             stage.until_in_force(4, 2).await;
             let (after, _call) = stage.answered(4, "after").await;
-            assert!(matches!(after, Some(Word::Placed(_))), "{after:?}");
+            assert!(matches!(after, Some(Event::Placed(_))), "{after:?}");
             let (breaches, lines) = stage.judged();
             assert_eq!(breaches, [""; 0]);
             let ran = lines.iter().filter(|line| match &line.seen {
@@ -563,7 +572,7 @@
             let before = over_time(&stage).await;
             let names: Vec<&str> = before.iter().map(|(span, _)| &span[..]).collect();
             assert_eq!(names, ["0 (its own file)", "1 (pushed)", "2 (pushed)"]);
-            until(async || !stage.status(0).await.unwritten).await;
+            until(async || !stage.status(0).await.history_incomplete).await;
             stage.fleet.clear();
             stage.start(stage.newest.0.address, KEEPERS).await;
             let after = over_time(&stage).await;
@@ -610,7 +619,7 @@
         let (taken, why) = floor(&stage, "1").await;
         assert!(!taken && why.contains("1 of 3 keepers answer"), "{why}");
         let (word, _call) = stage.answered(1, "alone").await;
-        assert!(matches!(word, Some(Word::Placed(_))), "{word:?}");
+        assert!(matches!(word, Some(Event::Placed(_))), "{word:?}");
         stage.rig.nodes[1].cut_connections(Duration::ZERO);
         until(async || floor(&stage, "1").await.0).await;
         // Known to both before, it stays so with all keepers but one away.
@@ -619,8 +628,8 @@
                 stage
                     .status(number)
                     .await
-                    .floor
-                    .is_some_and(|floor| floor.lowest == 1)
+                    .minimum_version
+                    .is_some_and(|floor| floor.version == 1)
             };
             heard(0).await && heard(1).await
         })
@@ -628,7 +637,7 @@
         stage.rig.nodes[1].cut_connections(long);
         let (taken, why) = floor(&stage, "0").await;
         assert!(!taken && why.contains("1 of 3 keepers answer"), "{why}");
-        assert!(!stage.status(0).await.shut_out);
+        assert!(!stage.status(0).await.fenced);
     });
 }
 
@@ -640,15 +649,18 @@
             let lower = stage.operator(&["floor", "0", "--part", "0"]);
             let (raise, lower) = futures_lite::future::zip(raise, lower).await;
             until(async || {
-                let floors = [stage.status(0).await.floor, stage.status(1).await.floor];
+                let floors = [
+                    stage.status(0).await.minimum_version,
+                    stage.status(1).await.minimum_version,
+                ];
                 floors[0].is_some() && floors[0] == floors[1]
             })
             .await;
             let stands = stage
                 .status(0)
                 .await
-                .floor
-                .map(|floor| (floor.number, floor.lowest));
+                .minimum_version
+                .map(|floor| (floor.revision, floor.version));
             let told = |taken: &Output| String::from_utf8_lossy(&taken.stdout).into_owned();
             let (number, lowest) = stands.expect("one stands");
             let last = format!("floor {lowest} by wish {number}");
@@ -686,7 +698,7 @@
 }
 
 /// The newest version whole, as a dispatcher would lay it on a keeper's shelf.
-fn whole(stage: &Stage, number: u64, shots: usize, follows: u64) -> v1::Push {
+fn whole(stage: &Stage, number: u64, shots: usize, follows: u64) -> v1::VersionPush {
     let stamp = |number, shots| {
         let stamp = VersionId {
             number,
@@ -694,15 +706,15 @@
         };
         corkspan_lab::control::stamp_message(stamp)
     };
-    v1::Push {
-        stamp: Some(stamp(number, shots)),
-        follows: vec![stamp(follows, 4)],
+    v1::VersionPush {
+        version: Some(stamp(number, shots)),
+        ancestors: vec![stamp(follows, 4)],
         parts: stage
             .texts(shots)
             .iter()
             .map(|(name, text)| (name.into(), text.into()))
             .collect(),
-        ..v1::Push::default()
+        ..v1::VersionPush::default()
     }
 }
 
@@ -748,9 +760,11 @@
             stage.until_in_force(3, 2).await;
             // The other knows keepers alone, and on their shelves lies a rival's version, which it
             // can't take.
-            until(async || refused_as(&stage.answered(4, "out").await.0) == Some(Why::Behind))
-                .await;
-            let lay = async |keeper: usize, push: v1::Push| {
+            until(async || {
+                refused_as(&stage.answered(4, "out").await.0) == Some(RejectionReason::Behind)
+            })
+            .await;
+            let lay = async |keeper: usize, push: v1::VersionPush| {
                 let entry = stage
                     .rig
                     .roster
@@ -760,20 +774,20 @@
                 let link = Link::open(&stage.rig.tasks, address, &Bounds::default())
                     .await
                     .expect("it listens");
-                let ask = v1::KeepAsk {
-                    ask: Some(v1::keep_ask::Ask::Lay(push)),
+                let ask = v1::QuorumRequest {
+                    operation: Some(v1::quorum_request::Operation::StoreVersion(push)),
                 };
                 NodeClient::new(link)
                     .keep(ask)
                     .await
                     .expect("a word")
                     .into_inner()
-                    .lies
+                    .stored_version
             };
             let rival = whole(&stage, 3, 3, 9);
-            assert_eq!(lay(0, rival.clone()).await, rival.stamp);
-            until(async || stage.status(4).await.refused_last == rival.stamp).await;
-            assert!(stage.status(4).await.why[0].contains("split"));
+            assert_eq!(lay(0, rival.clone()).await, rival.version);
+            until(async || stage.status(4).await.last_rejected == rival.version).await;
+            assert!(stage.status(4).await.reasons[0].contains("split"));
             let mut liar = whole(&stage, 2, 5, 1);
             liar.parts.insert("tracks".into(), "(tracks)".into());
             assert_eq!(
@@ -785,7 +799,7 @@
             stage.until_in_force(4, 2).await;
             for straggler in [3, 4] {
                 let (word, _call) = stage.answered(straggler, &format!("up-{straggler}")).await;
-                assert!(matches!(word, Some(Word::Placed(_))), "{word:?}");
+                assert!(matches!(word, Some(Event::Placed(_))), "{word:?}");
             }
             let audit = stage.operator(&["audit", "--since", "600"]).await;
             let text = String::from_utf8_lossy(&audit.stdout).into_owned();
@@ -838,8 +852,8 @@
             })
             .await;
             let (word, _call) = stage.answered(4, "before").await;
-            assert!(matches!(word, Some(Word::Placed(_))), "{word:?}");
-            assert_eq!(stage.status(0).await.floor, None);
+            assert!(matches!(word, Some(Event::Placed(_))), "{word:?}");
+            assert_eq!(stage.status(0).await.minimum_version, None);
             // A third one comes back with it.
             stage.fleet.truncate(4);
             let path = stage.folder.path().join("versions-4.json");
@@ -849,14 +863,16 @@
                 stage
                     .status(0)
                     .await
-                    .floor
-                    .is_some_and(|floor| floor.lowest == 6)
+                    .minimum_version
+                    .is_some_and(|floor| floor.version == 6)
+            })
+            .await;
+            until(async || {
+                refused_as(&stage.answered(3, "behind").await.0) == Some(RejectionReason::Behind)
             })
             .await;
-            until(async || refused_as(&stage.answered(3, "behind").await.0) == Some(Why::Behind))
-                .await;
             let (word, _call) = stage.answered(4, "after").await;
-            assert!(matches!(word, Some(Word::Placed(_))), "{word:?}");
+            assert!(matches!(word, Some(Event::Placed(_))), "{word:?}");
             assert_eq!(stage.judged().0, [""; 0]);
         },
     );
@@ -884,7 +900,7 @@
             until(async || {
                 let mut client = PlacementClient::new(stage.link(0).await);
                 let status = client
-                    .status(v1::StatusAsk {})
+                    .status(v1::StatusRequest {})
                     .await
                     .expect("it goes on")
                     .into_inner();
@@ -892,7 +908,7 @@
             })
             .await;
             let (word, _call) = stage.answered(0, "placed").await;
-            assert!(matches!(word, Some(Word::Placed(_))), "{word:?}");
+            assert!(matches!(word, Some(Event::Placed(_))), "{word:?}");
         },
     );
 }
--- a/crates/lab/tests/full_path/hard_cases.rs
+++ b/crates/lab/tests/full_path/hard_cases.rs
@@ -2,15 +2,17 @@
 
 use crate::rig::*;
 use async_io::Timer;
-use corkspan_api::v1::{self, ended::How, entry::State, refused::Why, word::Word};
+use corkspan_api::v1::{
+    self, ended::EndReason, endpoint::State, placement_event::Event, rejected::RejectionReason,
+};
 use corkspan_lab::capture::{self, NodeState, Seen};
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use std::time::{Duration, Instant};
 use test_case::test_case;
 
-fn ended(word: Option<Word>) -> How {
+fn ended(word: Option<Event>) -> EndReason {
     match word {
-        Some(Word::Ended(ended)) => ended.how(),
+        Some(Event::Ended(ended)) => ended.reason(),
         other => panic!("an end is expected, not {other:?}"),
     }
 }
@@ -19,19 +21,19 @@
 fn an_ask_is_placed_runs_and_ends() {
     Rig::run(Layout::default(), async |rig| {
         let mut words = rig
-            .ask(v1::Ask {
-                life_ms: 50,
+            .ask(v1::PlacementRequest {
+                expected_duration_ms: 50,
                 ..ask("a", "web")
             })
             .await;
         placed(&mut words).await;
-        assert!(matches!(next(&mut words).await, Some(Word::Runs(_))));
-        assert_eq!(ended(next_of_weight(&mut words).await), How::Ended);
+        assert!(matches!(next(&mut words).await, Some(Event::Running(_))));
+        assert_eq!(ended(next_of_weight(&mut words).await), EndReason::Ended);
         assert!(
             next(&mut words).await.is_none(),
             "the call ends with its allocation"
         );
-        until(async || rig.status().await.in_hand == 0).await;
+        until(async || rig.status().await.in_flight == 0).await;
     });
 }
 
@@ -70,7 +72,7 @@
         let mut words = rig.ask(ask("a", "once")).await;
         let node = placed(&mut words).await;
         rig.nodes[node as usize].kill(NodeState::Gone);
-        assert_eq!(ended(next_of_weight(&mut words).await), How::Lost);
+        assert_eq!(ended(next_of_weight(&mut words).await), EndReason::Lost);
         assert_eq!(rig.offers().len(), 1, "it is its owner who asks again");
     });
 }
@@ -85,7 +87,7 @@
         let mut words = rig.ask(ask("a", "once")).await;
         until(async || rig.offers().len() == 1).await;
         rig.nodes[rig.offers()[0].2 as usize].cut_connections(Duration::from_millis(50));
-        assert!(matches!(next(&mut words).await, Some(Word::Failed(_))));
+        assert!(matches!(next(&mut words).await, Some(Event::Failed(_))));
         assert_eq!(rig.offers().len(), 1);
     });
 }
@@ -113,14 +115,14 @@
         let first = rig.offers()[0].2;
         rig.nodes[first as usize].cut_connections(Duration::from_millis(50));
         match next(&mut words).await {
-            Some(Word::Placed(placed)) if again => {
+            Some(Event::Placed(placed)) if again => {
                 assert_eq!(
                     placed.node / 2,
                     first / 2,
                     "only in its hall are repeats dropped"
                 );
             }
-            Some(Word::Failed(_)) if !again => assert_eq!(rig.offers().len(), 1),
+            Some(Event::Failed(_)) if !again => assert_eq!(rig.offers().len(), 1),
             other => panic!("not {other:?}"),
         }
     });
@@ -150,7 +152,7 @@
         );
         for words in &mut calls {
             assert!(
-                matches!(next(words).await, Some(Word::Runs(_))),
+                matches!(next(words).await, Some(Event::Running(_))),
                 "no second answer"
             );
         }
@@ -160,20 +162,20 @@
 #[test]
 fn one_end_that_takes_the_link_for_broken_can_be_handed_what_runs_on() {
     Rig::run(Layout::default(), async |rig| {
-        let ask = v1::Ask {
-            life_ms: 1_500,
+        let ask = v1::PlacementRequest {
+            expected_duration_ms: 1_500,
             ..ask("a", "once")
         };
         let mut words = rig.ask(ask.clone()).await;
         let node = placed(&mut words).await;
         rig.nodes[node as usize].cut_connections(Duration::from_millis(20));
-        assert_eq!(ended(next_of_weight(&mut words).await), How::Lost);
+        assert_eq!(ended(next_of_weight(&mut words).await), EndReason::Lost);
         assert!(
             !rig.nodes[node as usize].allocations_of("a").is_empty(),
             "it runs on"
         );
         let mut again = rig.hand_over(ask, node).await;
-        assert_eq!(ended(next_of_weight(&mut again).await), How::Ended);
+        assert_eq!(ended(next_of_weight(&mut again).await), EndReason::Ended);
         assert_eq!(rig.offers().len(), 1, "and is not started again");
     });
 }
@@ -182,11 +184,11 @@
 fn one_handed_over_that_does_not_run_is_lost() {
     Rig::run(Layout::default(), async |rig| {
         let mut words = rig.hand_over(ask("a", "once"), 1).await;
-        assert_eq!(ended(next(&mut words).await), How::Lost);
+        assert_eq!(ended(next(&mut words).await), EndReason::Lost);
         let mut words = rig.hand_over(ask("a", "once"), 77).await;
         assert_eq!(
             ended(next(&mut words).await),
-            How::Lost,
+            EndReason::Lost,
             "nor on a node that nobody knows"
         );
     });
@@ -209,7 +211,7 @@
                 Duration::ZERO,
                 entry(&rig.nodes[0], address, State::Serving, now_ms),
             );
-            assert_eq!(ended(next_of_weight(&mut words).await), How::Lost);
+            assert_eq!(ended(next_of_weight(&mut words).await), EndReason::Lost);
             let mut calls = Vec::new();
             for number in 0..40 {
                 calls.push(rig.ask(ask(&format!("b{number}"), "web")).await);
@@ -234,14 +236,14 @@
             let id = 9;
             rig.roster.change(
                 Duration::ZERO,
-                v1::Entry {
+                v1::Endpoint {
                     node: id,
                     ..old.clone()
                 },
             );
             rig.roster.change(
                 Duration::ZERO,
-                v1::Entry {
+                v1::Endpoint {
                     state: State::Gone.into(),
                     ..old
                 },
@@ -249,14 +251,14 @@
             until(async || rig.status().await.machines_known == 2).await;
             rig.until_serving(1).await;
             let mut words = rig
-                .ask(v1::Ask {
-                    abandon_ms: 900,
+                .ask(v1::PlacementRequest {
+                    deadline_ms: 900,
                     ..ask("a", "once")
                 })
                 .await;
             assert_eq!(
                 refused(&mut words).await,
-                Why::NoRoom,
+                RejectionReason::NoRoom,
                 "it never ran, so another try is harmless"
             );
             assert!(rig.offers().is_empty());
@@ -270,12 +272,12 @@
         let mut first = rig.ask(ask("a", "once")).await;
         placed(&mut first).await;
         let mut second = rig
-            .ask(v1::Ask {
-                placing: "a#1".into(),
+            .ask(v1::PlacementRequest {
+                placement_id: "a#1".into(),
                 ..ask("a", "once")
             })
             .await;
-        assert_eq!(refused(&mut second).await, Why::InHand);
+        assert_eq!(refused(&mut second).await, RejectionReason::InHand);
         assert!(
             rig.nodes
                 .iter()
@@ -292,7 +294,7 @@
         let node = placed(&mut words).await as usize;
         drop(words);
         until(async || rig.nodes[node].allocations_of("a").is_empty()).await;
-        until(async || rig.status().await.in_hand == 0).await;
+        until(async || rig.status().await.in_flight == 0).await;
         assert_eq!(rig.status().await.cancelled, 1);
     });
 }
@@ -307,7 +309,7 @@
         let words = rig.ask(ask("a", "once")).await;
         until(async || rig.offers().len() == 1).await;
         drop(words);
-        until(async || rig.status().await.in_hand == 0).await;
+        until(async || rig.status().await.in_flight == 0).await;
         assert!(
             rig.nodes
                 .iter()
@@ -319,8 +321,8 @@
 #[test]
 fn a_calls_own_deadline_is_heeded_and_its_passing_stops_nothing() {
     Rig::run(Layout::default(), async |rig| {
-        let mut request = tonic::Request::new(v1::Ask {
-            abandon_ms: 0,
+        let mut request = tonic::Request::new(v1::PlacementRequest {
+            deadline_ms: 0,
             ..ask("a", "once")
         });
         request.set_timeout(Duration::from_millis(600));
@@ -353,31 +355,31 @@
         async |rig| {
             let began = Instant::now();
             let mut words = rig
-                .ask(v1::Ask {
-                    abandon_ms: 1_000,
+                .ask(v1::PlacementRequest {
+                    deadline_ms: 1_000,
                     ..ask("a", "once")
                 })
                 .await;
-            assert_eq!(refused(&mut words).await, Why::NoRoom);
+            assert_eq!(refused(&mut words).await, RejectionReason::NoRoom);
             assert!(began.elapsed() < Duration::from_millis(1_000));
         },
     );
 }
 
-#[test_case(v1::Ask { abandon_ms: 0, ..ask("a", "web") }, "deadline"; "without a deadline")]
-#[test_case(v1::Ask { abandon_ms: u64::MAX, ..ask("a", "web") }, "deadline"; "with a deadline beyond all time")]
-#[test_case(v1::Ask { cores: f64::NAN, ..ask("a", "web") }, "cores"; "cores that are no number")]
-#[test_case(v1::Ask { memory: -1.0, ..ask("a", "web") }, "memory"; "negative memory")]
-#[test_case(v1::Ask { cores: 0.0, ..ask("a", "web") }, "cores"; "no cores")]
+#[test_case(v1::PlacementRequest { deadline_ms: 0, ..ask("a", "web") }, "deadline"; "without a deadline")]
+#[test_case(v1::PlacementRequest { deadline_ms: u64::MAX, ..ask("a", "web") }, "deadline"; "with a deadline beyond all time")]
+#[test_case(v1::PlacementRequest { cores: f64::NAN, ..ask("a", "web") }, "cores"; "cores that are no number")]
+#[test_case(v1::PlacementRequest { memory: -1.0, ..ask("a", "web") }, "memory"; "negative memory")]
+#[test_case(v1::PlacementRequest { cores: 0.0, ..ask("a", "web") }, "cores"; "no cores")]
 #[test_case(ask("a", "wbe"), "unknown track `wbe`"; "unknown track")]
 #[test_case(ask("", "web"), "task"; "no name")]
 #[test_case(ask(&"x".repeat(300), "web"), "task"; "a name too long")]
-fn an_ask_that_is_none_is_refused_with_the_reason(ask: v1::Ask, why: &str) {
+fn an_ask_that_is_none_is_refused_with_the_reason(ask: v1::PlacementRequest, why: &str) {
     Rig::run(Layout::default(), async |rig| {
         match next(&mut rig.ask(ask).await).await {
-            Some(Word::Refused(refused)) => {
-                assert_eq!(refused.why(), Why::BadAsk);
-                assert!(refused.text.contains(why), "{}", refused.text);
+            Some(Event::Rejected(refused)) => {
+                assert_eq!(refused.reason(), RejectionReason::BadAsk);
+                assert!(refused.message.contains(why), "{}", refused.message);
             }
             other => panic!("not {other:?}"),
         }
@@ -395,7 +397,7 @@
         let mut rest = Vec::new();
         let closed = corkspan_rpc::within(PATIENCE, wild.read_to_end(&mut rest)).await;
         assert!(closed.is_some(), "the link is closed");
-        let large = v1::Ask {
+        let large = v1::PlacementRequest {
             service: "x".repeat(1 << 20),
             ..ask("a", "web")
         };
@@ -492,8 +494,8 @@
         for number in 0..5_000 {
             // A slow machine takes seconds to read 5,000 asks; those without room wait to the end
             // of their time.
-            let ask = v1::Ask {
-                abandon_ms: 12_000,
+            let ask = v1::PlacementRequest {
+                deadline_ms: 12_000,
                 ..ask(&format!("t{number}"), "web")
             };
             let mut client = client.clone();
@@ -509,9 +511,11 @@
             let (word, words) = call.await;
             held.push(words);
             match word {
-                Some(Word::Placed(_)) => placed += 1,
-                Some(Word::Refused(refused)) if refused.why() == Why::TooMany => too_many += 1,
-                Some(Word::Refused(_)) => no_room += 1,
+                Some(Event::Placed(_)) => placed += 1,
+                Some(Event::Rejected(refused)) if refused.reason() == RejectionReason::TooMany => {
+                    too_many += 1
+                }
+                Some(Event::Rejected(_)) => no_room += 1,
                 other => panic!("not {other:?}"),
             }
         }
@@ -522,7 +526,7 @@
         );
         let status = rig.status().await;
         assert_eq!(
-            (status.asked, status.placed, status.running),
+            (status.requested, status.placed, status.running),
             (5_000, placed, placed)
         );
     });
@@ -558,21 +562,24 @@
         until(async || rig.offers().len() == 2).await;
         // Larger than all that the node accepts.
         let mut waits = rig
-            .ask(v1::Ask {
+            .ask(v1::PlacementRequest {
                 cores: 500.0,
                 ..ask("waits", "once")
             })
             .await;
-        until(async || rig.status().await.not_yet == 1).await;
+        until(async || rig.status().await.deferred == 1).await;
         let mut late = rig.client().await;
         let stopping = rig.tasks.clone().spawn(rig.stop());
-        assert_eq!(refused(&mut waits).await, Why::NoRoom);
+        assert_eq!(refused(&mut waits).await, RejectionReason::NoRoom);
         if let Ok(words) = late.place(ask("late", "web")).await {
-            assert_eq!(refused(&mut words.into_inner()).await, Why::Stopping);
+            assert_eq!(
+                refused(&mut words.into_inner()).await,
+                RejectionReason::Stopping
+            );
         }
         placed(&mut out).await;
         for words in [&mut running, &mut out] {
-            assert_eq!(ended(next_of_weight(words).await), How::HandedBack);
+            assert_eq!(ended(next_of_weight(words).await), EndReason::HandedBack);
         }
         let lines = stopping.await;
         let stopped = |line: &capture::Line| {
@@ -614,15 +621,15 @@
         },
         async |rig| {
             let mut words = rig
-                .ask(v1::Ask {
-                    life_ms: 600,
+                .ask(v1::PlacementRequest {
+                    expected_duration_ms: 600,
                     ..ask("a", "web")
                 })
                 .await;
             placed(&mut words).await;
-            assert_eq!(rig.status().await.links, 1);
-            assert_eq!(ended(next_of_weight(&mut words).await), How::Ended);
-            until(async || rig.status().await.links == 0).await;
+            assert_eq!(rig.status().await.connections, 1);
+            assert_eq!(ended(next_of_weight(&mut words).await), EndReason::Ended);
+            until(async || rig.status().await.connections == 0).await;
         },
     );
 }
--- a/crates/lab/tests/full_path/maintenance.rs
+++ b/crates/lab/tests/full_path/maintenance.rs
@@ -4,7 +4,7 @@
 use crate::fleet::Process;
 use crate::rig::*;
 use async_io::Timer;
-use corkspan_api::v1::{self, placement_client::PlacementClient, word::Word};
+use corkspan_api::v1::{self, placement_client::PlacementClient, placement_event::Event};
 use corkspan_lab::capture::{Seen, Word as Said};
 use corkspan_lab::relay::{Relay, Way};
 use corkspan_lab::roster::Roster;
@@ -78,7 +78,7 @@
         text
     }
 
-    async fn ask(&self, number: usize, task: &str) -> Option<tonic::Streaming<v1::Word>> {
+    async fn ask(&self, number: usize, task: &str) -> Option<tonic::Streaming<v1::PlacementEvent>> {
         let bounds = Bounds {
             connect_within: PATIENCE,
             ..Bounds::default()
@@ -86,8 +86,8 @@
         let link = Link::open(&self.rig.tasks, self.address(number), &bounds)
             .await
             .ok()?;
-        let asked = v1::Ask {
-            life_ms: 3_000,
+        let asked = v1::PlacementRequest {
+            expected_duration_ms: 3_000,
             ..ask(task, "web")
         };
         let mut words = PlacementClient::new(link)
@@ -96,7 +96,7 @@
             .ok()?
             .into_inner();
         let placed = next(&mut words).await;
-        matches!(placed, Some(Word::Placed(_))).then_some(words)
+        matches!(placed, Some(Event::Placed(_))).then_some(words)
     }
 
     /// How many nodes were closed at a time at the most, and how often each was; and that no closed
@@ -151,7 +151,7 @@
                     .expect("a port");
                 roster.change(
                     Duration::ZERO,
-                    v1::Entry {
+                    v1::Endpoint {
                         address: relay.address.to_string(),
                         ..listed
                     },
--- a/crates/lab/tests/full_path/rig.rs
+++ b/crates/lab/tests/full_path/rig.rs
@@ -1,7 +1,7 @@
 //! One dispatcher, some nodes and a roster on one executor, all on loopback.
 
 use async_io::Timer;
-use corkspan_api::v1::{self, placement_client::PlacementClient, word::Word};
+use corkspan_api::v1::{self, placement_client::PlacementClient, placement_event::Event};
 use corkspan_config::Deployment;
 use corkspan_dispatcher::Failure;
 use corkspan_dispatcher::rollout_control::Store;
@@ -90,7 +90,7 @@
             let address = node.start_process(false).await.expect("a port");
             roster.change(
                 Duration::ZERO,
-                entry(&node, address, v1::entry::State::Serving, 0),
+                entry(&node, address, v1::endpoint::State::Serving, 0),
             );
             nodes.push(node);
         }
@@ -187,10 +187,10 @@
         )
     }
 
-    pub async fn status(&self) -> v1::StatusWord {
+    pub async fn status(&self) -> v1::StatusResponse {
         self.client()
             .await
-            .status(v1::StatusAsk {})
+            .status(v1::StatusRequest {})
             .await
             .expect("a status")
             .into_inner()
@@ -201,14 +201,18 @@
     }
 
     /// Asks and returns the words of the call.
-    pub async fn ask(&self, ask: v1::Ask) -> Streaming<v1::Word> {
+    pub async fn ask(&self, ask: v1::PlacementRequest) -> Streaming<v1::PlacementEvent> {
         let call = self.client().await.place(ask).await;
         call.expect("the call is taken").into_inner()
     }
 
-    pub async fn hand_over(&self, ask: v1::Ask, node: u32) -> Streaming<v1::Word> {
-        let running = v1::Running {
-            ask: Some(ask),
+    pub async fn hand_over(
+        &self,
+        ask: v1::PlacementRequest,
+        node: u32,
+    ) -> Streaming<v1::PlacementEvent> {
+        let running = v1::HandOverRequest {
+            request: Some(ask),
             node,
         };
         self.client()
@@ -253,7 +257,7 @@
         Rig::start(tasks, world, nodes, roster, text).await
     }
 
-    pub fn tell(&self, index: usize, state: v1::entry::State) {
+    pub fn tell(&self, index: usize, state: v1::endpoint::State) {
         let node = &self.nodes[index];
         let old = self
             .roster
@@ -261,7 +265,7 @@
             .expect("the node is listed");
         self.roster.change(
             Duration::ZERO,
-            v1::Entry {
+            v1::Endpoint {
                 state: state.into(),
                 ..old
             },
@@ -319,64 +323,64 @@
 pub fn entry(
     node: &Node,
     address: SocketAddr,
-    state: v1::entry::State,
+    state: v1::endpoint::State,
     started_ms: u64,
-) -> v1::Entry {
-    v1::Entry {
+) -> v1::Endpoint {
+    v1::Endpoint {
         node: node.config.id,
         address: address.to_string(),
-        kind: "small".into(),
-        hall: node.config.zone.clone(),
+        machine_type: "small".into(),
+        zone: node.config.zone.clone(),
         cell: node.config.cell,
         state: state.into(),
         started_ms,
-        unasked: None,
+        unreserved: None,
     }
 }
 
-pub fn ask(task: &str, track: &str) -> v1::Ask {
-    v1::Ask {
-        placing: format!("{task}#0"),
+pub fn ask(task: &str, track: &str) -> v1::PlacementRequest {
+    v1::PlacementRequest {
+        placement_id: format!("{task}#0"),
         task: task.into(),
         service: "s".into(),
-        track: track.into(),
-        account: String::new(),
+        service_class: track.into(),
+        tenant: String::new(),
         cores: 1.0,
         memory: 1.0,
-        life_ms: 60_000,
-        abandon_ms: 4_000,
-        again: false,
+        expected_duration_ms: 60_000,
+        deadline_ms: 4_000,
+        retry: false,
     }
 }
 
 /// The next word, or none where the stream ends.
-pub async fn next(words: &mut Streaming<v1::Word>) -> Option<Word> {
+pub async fn next(words: &mut Streaming<v1::PlacementEvent>) -> Option<Event> {
     let word = within(PATIENCE, words.message())
         .await
         .expect("a word or an end");
-    word.ok().flatten().and_then(|word| word.word)
+    word.ok().flatten().and_then(|word| word.event)
 }
 
 /// The next word that is no note.
-pub async fn next_of_weight(words: &mut Streaming<v1::Word>) -> Option<Word> {
+pub async fn next_of_weight(words: &mut Streaming<v1::PlacementEvent>) -> Option<Event> {
     loop {
         match next(words).await {
-            Some(Word::Runs(_) | Word::Served(_)) => {}
+            Some(Event::Running(_) | Event::ServiceLevel(_)) => {}
             other => return other,
         }
     }
 }
 
-pub async fn placed(words: &mut Streaming<v1::Word>) -> u32 {
+pub async fn placed(words: &mut Streaming<v1::PlacementEvent>) -> u32 {
     match next(words).await {
-        Some(Word::Placed(placed)) => placed.node,
+        Some(Event::Placed(placed)) => placed.node,
         other => panic!("placed is expected, not {other:?}"),
     }
 }
 
-pub async fn refused(words: &mut Streaming<v1::Word>) -> v1::refused::Why {
+pub async fn refused(words: &mut Streaming<v1::PlacementEvent>) -> v1::rejected::RejectionReason {
     match next(words).await {
-        Some(Word::Refused(refused)) => refused.why(),
+        Some(Event::Rejected(refused)) => refused.reason(),
         other => panic!("refused is expected, not {other:?}"),
     }
 }
--- a/crates/lab/tests/full_path/rolls.rs
+++ b/crates/lab/tests/full_path/rolls.rs
@@ -2,7 +2,7 @@
 //! themselves.
 
 use crate::rig::*;
-use corkspan_api::v1::{self, roll::Phase, rolls_client::RollsClient};
+use corkspan_api::v1::{self, rollout::Phase, rolls_client::RollsClient};
 use corkspan_lab::capture::{self, Line, NodeState, Repeat, Seen};
 use corkspan_lab::disk::{self, Full};
 use corkspan_lab::judge::judge;
@@ -100,7 +100,12 @@
         )
     }
 
-    async fn start(&self, dispatcher: usize, version: &str, unready_most: u32) -> v1::RollWord {
+    async fn start(
+        &self,
+        dispatcher: usize,
+        version: &str,
+        unready_most: u32,
+    ) -> v1::RolloutResponse {
         self.start_in(dispatcher, version, unready_most, false)
             .await
     }
@@ -111,7 +116,7 @@
         version: &str,
         unready_most: u32,
         start_first: bool,
-    ) -> v1::RollWord {
+    ) -> v1::RolloutResponse {
         let seen = Seen::Roll {
             service: "s".into(),
             version: version.into(),
@@ -122,16 +127,16 @@
             failures_most: 1,
         };
         self.rigs[0].world.capture.see(seen);
-        let ask = v1::RollAsk {
+        let ask = v1::StartRolloutRequest {
             service: "s".into(),
             version: version.into(),
-            former: "v1".into(),
-            unready_most,
-            batch: 8,
-            ready_for_ms: 1_000,
-            ready_within_ms: 3_000,
-            failures_most: 1,
-            start_first,
+            previous_version: "v1".into(),
+            max_unavailable: unready_most,
+            max_in_progress: 8,
+            min_ready_ms: 1_000,
+            progress_deadline_ms: 3_000,
+            max_failures: 1,
+            surge: start_first,
         };
         self.rolls(dispatcher)
             .await
@@ -141,10 +146,10 @@
             .into_inner()
     }
 
-    async fn change(&self, what: v1::change_ask::What) -> v1::RollWord {
-        let ask = v1::ChangeAsk {
+    async fn change(&self, what: v1::change_rollout_request::Action) -> v1::RolloutResponse {
+        let ask = v1::ChangeRolloutRequest {
             service: "s".into(),
-            what: what.into(),
+            action: what.into(),
         };
         self.rolls(0)
             .await
@@ -154,8 +159,8 @@
             .into_inner()
     }
 
-    async fn status(&self, dispatcher: usize) -> v1::RollStatus {
-        let ask = v1::RollStatusAsk {
+    async fn status(&self, dispatcher: usize) -> v1::RolloutStatus {
+        let ask = v1::RolloutStatusRequest {
             service: "s".into(),
         };
         self.rolls(dispatcher)
@@ -366,7 +371,7 @@
     track: &'static str,
 ) {
     story(dispatchers, copies, track, async |stage| {
-        assert!(stage.start(0, "v2", most).await.taken);
+        assert!(stage.start(0, "v2", most).await.accepted);
         until_ready(&stage, "v2", copies).await;
         let (ready, unready) = stage.ready();
         assert_eq!(ready, BTreeMap::from([("v2".into(), copies)]));
@@ -376,7 +381,7 @@
         );
         assert_eq!(stage.breaches(), [""; 0]);
         // All slots come back.
-        until(async || stage.status(0).await.held.is_empty()).await;
+        until(async || stage.status(0).await.held_slots.is_empty()).await;
     });
 }
 
@@ -385,19 +390,24 @@
 fn a_version_halts_the_roll_by_itself_and_is_undone(how: VersionFault) {
     story(2, 20, "web", async |stage| {
         stage.rigs[0].world.inject_version_fault("v2", how);
-        assert!(stage.start(0, "v2", 4).await.taken);
+        assert!(stage.start(0, "v2", 4).await.accepted);
         let halted = async || {
             stage
                 .status(1)
                 .await
-                .roll
+                .rollout
                 .is_some_and(|roll| roll.phase() == Phase::Halted)
         };
         until(halted).await;
         let (ready, unready) = stage.ready();
         assert!(unready <= 4, "{unready} were not ready");
         assert!(ready[""] >= 16, "the others run on: {ready:?}");
-        assert!(stage.change(v1::change_ask::What::Undo).await.taken);
+        assert!(
+            stage
+                .change(v1::change_rollout_request::Action::Undo)
+                .await
+                .accepted
+        );
         until_unrolled(&stage, 20).await;
         assert_eq!(stage.breaches(), [""; 0]);
     });
@@ -408,8 +418,9 @@
     story(3, 6, "web", async |stage| {
         let (one, two) =
             futures_lite::future::zip(stage.start(1, "v2", 2), stage.start(2, "v3", 2)).await;
-        let number = |word: &v1::RollWord| word.stands.as_ref().map_or(0, |roll| roll.number);
-        let wins = match (one.taken, two.taken) {
+        let number =
+            |word: &v1::RolloutResponse| word.current.as_ref().map_or(0, |roll| roll.revision);
+        let wins = match (one.accepted, two.accepted) {
             // One came after the other was done, and takes over from it as a later wish does.
             (true, true) => {
                 assert_ne!(number(&one), number(&two), "two winners of one number");
@@ -423,11 +434,11 @@
             (false, true) => Some("v3"),
             (false, false) => None,
         };
-        for loser in [&one, &two].into_iter().filter(|word| !word.taken) {
+        for loser in [&one, &two].into_iter().filter(|word| !word.accepted) {
             assert!(
-                loser.text.contains(wins.unwrap_or("no majority")),
+                loser.message.contains(wins.unwrap_or("no majority")),
                 "it is told: {}",
-                loser.text
+                loser.message
             );
         }
         if let Some(wins) = wins {
@@ -440,18 +451,23 @@
 #[test]
 fn a_pause_takes_nothing_further_down_and_a_resume_goes_on() {
     story(1, 20, "web", async |stage| {
-        assert!(stage.start(0, "v2", 2).await.taken);
+        assert!(stage.start(0, "v2", 2).await.accepted);
         until(async || stage.ready().0.contains_key("v2")).await;
-        assert!(stage.change(v1::change_ask::What::Pause).await.taken);
+        assert!(
+            stage
+                .change(v1::change_rollout_request::Action::Pause)
+                .await
+                .accepted
+        );
         until(async || {
             stage
                 .status(0)
                 .await
-                .roll
+                .rollout
                 .is_some_and(|roll| roll.phase() == Phase::Paused)
         })
         .await;
-        until(async || stage.status(0).await.held.is_empty()).await;
+        until(async || stage.status(0).await.held_slots.is_empty()).await;
         let before = stage.ready().0;
         assert_eq!(
             before.values().sum::<usize>(),
@@ -460,7 +476,12 @@
         );
         async_io::Timer::after(Duration::from_millis(1_500)).await;
         assert_eq!(stage.ready().0, before);
-        assert!(stage.change(v1::change_ask::What::Resume).await.taken);
+        assert!(
+            stage
+                .change(v1::change_rollout_request::Action::Resume)
+                .await
+                .accepted
+        );
         until_ready(&stage, "v2", 20).await;
     });
 }
@@ -470,18 +491,18 @@
     story(1, 12, "web", async |stage| {
         stage.rigs[0].nodes[0].kill(NodeState::Gone);
         assert!(
-            stage.start(0, "v2", 3).await.taken,
+            stage.start(0, "v2", 3).await.accepted,
             "two of three are a majority"
         );
         until_ready(&stage, "v2", 12).await;
         stage.rigs[0].nodes[1].kill(NodeState::Gone);
-        let ask = v1::RollAsk {
+        let ask = v1::StartRolloutRequest {
             service: "s".into(),
             version: "v3".into(),
-            unready_most: 3,
-            ready_for_ms: 1_000,
-            ready_within_ms: 3_000,
-            ..v1::RollAsk::default()
+            max_unavailable: 3,
+            min_ready_ms: 1_000,
+            progress_deadline_ms: 3_000,
+            ..v1::StartRolloutRequest::default()
         };
         let why = stage
             .rolls(0)
@@ -501,7 +522,7 @@
 fn the_roster_away_for_the_whole_roll_changes_nothing() {
     story(2, 12, "web", async |stage| {
         stage.rigs[0].roster.away(None);
-        assert!(stage.start(1, "v2", 3).await.taken);
+        assert!(stage.start(1, "v2", 3).await.accepted);
         until_ready(&stage, "v2", 12).await;
         assert_eq!(stage.breaches(), [""; 0]);
     });
@@ -510,12 +531,12 @@
 #[test]
 fn a_dispatcher_killed_while_it_conducts_leaves_no_slot_behind() {
     story(2, 16, "web", async |mut stage| {
-        assert!(stage.start(0, "v2", 2).await.taken);
+        assert!(stage.start(0, "v2", 2).await.accepted);
         until(async || {
             stage
                 .status(0)
                 .await
-                .held
+                .held_slots
                 .iter()
                 .any(|slot| slot.dispatcher == 1)
         })
@@ -534,7 +555,7 @@
         stage.rigs.push(again);
         until_ready(&stage, "v2", 16).await;
         assert_eq!(stage.breaches(), [""; 0]);
-        until(async || stage.status(0).await.held.is_empty()).await;
+        until(async || stage.status(0).await.held_slots.is_empty()).await;
         assert_eq!(
             stage.ready().0,
             BTreeMap::from([("v2".into(), 16)]),
@@ -555,7 +576,7 @@
     Rig::run(layout, async |rig| {
         assert!(folder.path().join("rolls-0.aside").exists());
         let stage = Stage::set(rig, folder, 1, 6, "web").await;
-        assert!(stage.start(0, "v2", 2).await.taken);
+        assert!(stage.start(0, "v2", 2).await.accepted);
         until_ready(&stage, "v2", 6).await;
     });
 }
@@ -572,7 +593,7 @@
     };
     Rig::run(layout, async |rig| {
         let stage = Stage::set(rig, folder, 1, 8, "web").await;
-        assert!(stage.start(0, "v2", 4).await.taken);
+        assert!(stage.start(0, "v2", 4).await.accepted);
         let stopped = |line: &Line| {
             matches!(
                 line.seen,
@@ -583,7 +604,12 @@
             )
         };
         until(async || stage.lines().iter().any(stopped)).await;
-        assert!(stage.change(v1::change_ask::What::Undo).await.taken);
+        assert!(
+            stage
+                .change(v1::change_rollout_request::Action::Undo)
+                .await
+                .accepted
+        );
         until_unrolled(&stage, 8).await;
         let lines = stage.lines();
         let placed = lines.iter().filter(|line| {
@@ -612,8 +638,11 @@
     };
     Rig::run(layout, async |rig| {
         let stage = Stage::set(rig, folder, 1, 4, "web").await;
-        assert!(stage.start(0, "v2", 2).await.taken, "the keepers have it");
-        until(async || stage.status(0).await.keepers_heard == 3).await;
+        assert!(
+            stage.start(0, "v2", 2).await.accepted,
+            "the keepers have it"
+        );
+        until(async || stage.status(0).await.quorum_members_heard == 3).await;
         async_io::Timer::after(Duration::from_millis(1_000)).await;
         assert_eq!(stage.ready(), (BTreeMap::from([(String::new(), 4)]), 0));
     });
@@ -628,7 +657,7 @@
     track: &'static str,
 ) {
     story(dispatchers, copies, track, async |stage| {
-        assert!(stage.start_in(0, "v2", most, true).await.taken);
+        assert!(stage.start_in(0, "v2", most, true).await.accepted);
         assert!(within_a_roll(async || stage.ready_now().0.get("v2") == Some(&copies)).await);
         until(async || stage.one_each(copies)).await;
         let (_, unready, beside) = stage.ready_now();
@@ -638,7 +667,7 @@
             "{beside} stood beside others"
         );
         assert_eq!(stage.breaches(), [""; 0]);
-        until(async || stage.status(0).await.held.is_empty()).await;
+        until(async || stage.status(0).await.held_slots.is_empty()).await;
     });
 }
 
@@ -646,7 +675,7 @@
 #[test_case("jobs"; "what its hall lets stand once")]
 fn a_roll_that_starts_first_still_stops_first(track: &'static str) {
     story(1, 8, track, async |stage| {
-        assert!(stage.start_in(0, "v2", 2, true).await.taken);
+        assert!(stage.start_in(0, "v2", 2, true).await.accepted);
         until_ready(&stage, "v2", 8).await;
         let (_, unready, beside) = stage.ready_now();
         assert!(
@@ -662,12 +691,12 @@
 fn a_bad_version_beside_the_old_one_costs_no_copy(how: VersionFault) {
     story(2, 20, "web", async |stage| {
         stage.rigs[0].world.inject_version_fault("v2", how);
-        assert!(stage.start_in(0, "v2", 4, true).await.taken);
+        assert!(stage.start_in(0, "v2", 4, true).await.accepted);
         until(async || {
             stage
                 .status(1)
                 .await
-                .roll
+                .rollout
                 .is_some_and(|roll| roll.phase() == Phase::Halted)
         })
         .await;
@@ -678,7 +707,7 @@
             (BTreeMap::from([(String::new(), 20)]), 0),
             "all old ones run on"
         );
-        until(async || stage.status(0).await.held.is_empty()).await;
+        until(async || stage.status(0).await.held_slots.is_empty()).await;
         assert_eq!(stage.breaches(), [""; 0]);
     });
 }
@@ -689,17 +718,17 @@
     story(1, 12, "web", async |stage| {
         // Nodes that drain take nothing new; what runs there runs on.
         stage.rigs[0].nodes.iter().for_each(|node| node.drain());
-        assert!(stage.start_in(0, "v2", 3, start_first).await.taken);
+        assert!(stage.start_in(0, "v2", 3, start_first).await.accepted);
         if start_first {
             let halted = async || {
                 stage
                     .status(0)
                     .await
-                    .roll
+                    .rollout
                     .is_some_and(|roll| roll.phase() == Phase::Halted)
             };
             until(halted).await;
-            let why = stage.status(0).await.roll.expect("there is one").why;
+            let why = stage.status(0).await.rollout.expect("there is one").reason;
             assert!(
                 why.contains("without room") && !why.contains(" 0 without room"),
                 "{why}"
@@ -745,7 +774,7 @@
 #[test_case(true, Step::OldStopped; "start first, the old copy is gone")]
 fn a_dispatcher_killed_at_this_step_leaves_one_copy_each(start_first: bool, step: Step) {
     story(2, 8, "web", async |mut stage| {
-        assert!(stage.start_in(0, "v2", 2, start_first).await.taken);
+        assert!(stage.start_in(0, "v2", 2, start_first).await.accepted);
         let is_it = |line: &Line| match (&line.seen, step) {
             (
                 Seen::Said {
@@ -773,7 +802,7 @@
             _ => false,
         };
         match step {
-            Step::Claimed => until(async || !stage.status(0).await.held.is_empty()).await,
+            Step::Claimed => until(async || !stage.status(0).await.held_slots.is_empty()).await,
             _ => until(async || stage.lines().iter().any(is_it)).await,
         }
         // Both at once: whoever did the step is killed with the other.
@@ -790,7 +819,7 @@
         let done = async || {
             stage.ready_now().0 == BTreeMap::from([("v2".into(), 8)])
                 && stage.one_each(8)
-                && stage.status(0).await.held.is_empty()
+                && stage.status(0).await.held_slots.is_empty()
         };
         let done = corkspan_rpc::within(PATIENCE, async {
             while !done().await {
@@ -823,12 +852,12 @@
     };
     Rig::run(layout, async |rig| {
         let stage = Stage::set(rig, folder, 1, 12, "web").await;
-        assert!(stage.start_in(0, "v2", 2, start_first).await.taken);
+        assert!(stage.start_in(0, "v2", 2, start_first).await.accepted);
         until(async || stage.ready_now().0.contains_key("v2")).await;
         full.set(true);
         // Nothing is begun. What was begun comes to its end, or stands beside an old copy until
         // there is room.
-        let claims = async || stage.status(0).await.held;
+        let claims = async || stage.status(0).await.held_slots;
         if start_first {
             async_io::Timer::after(Duration::from_millis(2_000)).await;
         } else {
--- a/crates/lab/tests/full_path/versions.rs
+++ b/crates/lab/tests/full_path/versions.rs
@@ -3,7 +3,8 @@
 
 use crate::rig::*;
 use corkspan_api::v1::{
-    self, refused::Why, told::Answer, versions_client::VersionsClient, word::Word,
+    self, placement_event::Event, push_reply::Answer, rejected::RejectionReason,
+    versions_client::VersionsClient,
 };
 use corkspan_config::version::{Texts, VersionId};
 use corkspan_config_sync::VersionPush;
@@ -89,7 +90,7 @@
             .await
             .expect("it listens");
         VersionsClient::new(link)
-            .status(v1::VersionStatusAsk {})
+            .status(v1::VersionStatusRequest {})
             .await
             .expect("a status")
             .into_inner()
@@ -98,7 +99,7 @@
     async fn in_force(&self) -> u64 {
         self.status()
             .await
-            .running
+            .active
             .map_or(u64::MAX, |running| running.number)
     }
 
@@ -107,7 +108,7 @@
     }
 
     /// The reply to a push put on the stream as it is.
-    async fn reply(&self, push: &VersionPush) -> v1::Told {
+    async fn reply(&self, push: &VersionPush) -> v1::PushReply {
         assert!(self.control.send(0, message(push)), "a stream stands");
         until(async || self.control.reply_to(push.nonce).is_some()).await;
         self.control.reply_to(push.nonce).expect("it is there")
@@ -117,8 +118,8 @@
     async fn knows(&self, track: &str, task: &str) -> bool {
         let mut words = self.rig.ask(ask(task, track)).await;
         match next(&mut words).await {
-            Some(Word::Placed(_)) => true,
-            Some(Word::Refused(refused)) if refused.why() == Why::BadAsk => false,
+            Some(Event::Placed(_)) => true,
+            Some(Event::Rejected(refused)) if refused.reason() == RejectionReason::BadAsk => false,
             other => panic!("placed or unknown is expected, not {other:?}"),
         }
     }
@@ -162,7 +163,7 @@
         assert!(stage.knows("other", "c").await && stage.knows("extra", "d").await);
         let pushes = stage.control.pushes();
         assert!(
-            pushes[0].onto.is_none() && pushes[1].onto.is_some() && pushes[1].parts.len() == 1,
+            pushes[0].base.is_none() && pushes[1].base.is_some() && pushes[1].parts.len() == 1,
             "tracks alone: {pushes:?}"
         );
     });
@@ -224,21 +225,21 @@
             ),
         ] {
             let told = stage.reply(&push).await;
-            assert_eq!(told.answer(), Answer::Refused, "{why}");
+            assert_eq!(told.answer(), Answer::Rejected, "{why}");
             assert!(
-                told.why.iter().any(|line| line.contains(why)),
+                told.reasons.iter().any(|line| line.contains(why)),
                 "{why}: {:?}",
-                told.why
+                told.reasons
             );
             assert_eq!(
-                told.running.as_ref().and_then(stamp_of),
+                told.active.as_ref().and_then(stamp_of),
                 Some(five),
                 "the last good one stays"
             );
         }
         assert!(stage.knows("extra", "a").await);
         let again = stage.reply(&push(10, 5, &sound, &[])).await;
-        assert_eq!(again.answer(), Answer::Running, "a repeat is harmless");
+        assert_eq!(again.answer(), Answer::Unchanged, "a repeat is harmless");
         let meant = VersionPush {
             allows_cuts: true,
             ..push(11, 6, &cut, &[five])
@@ -250,11 +251,11 @@
         };
         assert_eq!(
             stage.reply(&onto).await.answer(),
-            Answer::WantsWhole,
+            Answer::FullRequired,
             "changes to another version"
         );
         let status = stage.status().await;
-        assert_eq!((status.applied, status.refused), (2, 10));
+        assert_eq!((status.applied, status.rejected), (2, 10));
     });
 }
 
@@ -266,16 +267,16 @@
         let mut words = stage.rig.ask(ask("held", "extra")).await;
         placed(&mut words).await;
         let gone = stage.control.publish(stage.texts("(shots 4)"), true);
-        until(async || stage.status().await.refused == 1).await;
+        until(async || stage.status().await.rejected == 1).await;
         let status = stage.status().await;
         assert_eq!(
-            status.refused_last.and_then(|last| stamp_of(&last)),
+            status.last_rejected.and_then(|last| stamp_of(&last)),
             Some(gone)
         );
         assert!(
-            status.why[0].contains("tracks/extra: removed, and 1 allocations"),
+            status.reasons[0].contains("tracks/extra: removed, and 1 allocations"),
             "{:?}",
-            status.why
+            status.reasons
         );
         // What shrinks below what is placed stops nothing that runs.
         let small = stage.with_tracks(&["extra"]).changed(
@@ -288,7 +289,7 @@
         placed(&mut more).await;
         assert_eq!(stage.rig.status().await.running, 2, "both run");
         drop((words, more));
-        until(async || stage.rig.status().await.in_hand == 0).await;
+        until(async || stage.rig.status().await.in_flight == 0).await;
         let gone = stage.control.publish(stage.texts("(shots 4)"), true);
         stage.until_in_force(gone).await;
         assert!(!stage.knows("extra", "late").await);
@@ -316,7 +317,7 @@
         let one = stage.control.publish(stage.with_tracks(&["extra"]), false);
         stage.until_in_force(one).await;
         drop(stage.up.take());
-        until(async || stage.status().await.service.is_empty()).await;
+        until(async || stage.status().await.control_service.is_empty()).await;
         assert!(stage.knows("extra", "a").await);
         let two = stage
             .control
@@ -336,7 +337,7 @@
             .rev()
             .find(|reply| reply.told.nonce == 0);
         let told = first
-            .and_then(|reply| reply.told.running)
+            .and_then(|reply| reply.told.active)
             .and_then(|running| stamp_of(&running));
         assert_eq!(told, Some(one), "a new stream says what runs");
     });
@@ -360,10 +361,10 @@
         let two = stage.control.publish(large.clone(), false);
         // Its links are cut with it, wherever in the message they are.
         drop(stage.up.take());
-        until(async || stage.status().await.service.is_empty()).await;
+        until(async || stage.status().await.control_service.is_empty()).await;
         let status = stage.status().await;
         let whole = Texts::of("in force", &status.text).expect("sound").digest();
-        let running = status.running.as_ref().and_then(stamp_of).expect("a stamp");
+        let running = status.active.as_ref().and_then(stamp_of).expect("a stamp");
         assert!(running == one || running == two, "{running}");
         assert_eq!(whole, running.digest);
         stage.up = Some(
@@ -423,8 +424,8 @@
         stage
             .control
             .publish(stage.with_tracks(&["one", "two"]), false);
-        until(async || stage.status().await.refused == 1).await;
-        assert!(stage.status().await.why[0].contains("can't be kept on disk"));
+        until(async || stage.status().await.rejected == 1).await;
+        assert!(stage.status().await.reasons[0].contains("can't be kept on disk"));
         assert!(stage.knows("one", "a").await && !stage.knows("two", "b").await);
         if full {
             std::fs::remove_file(&path)
@@ -445,7 +446,7 @@
         for number in 0..60 {
             assert!(stage.knows("web", &format!("before-{number}")).await);
         }
-        until(async || stage.rig.status().await.in_hand == 0).await;
+        until(async || stage.rig.status().await.in_flight == 0).await;
         let texts = stage.texts("(tracks (jobs (repeat idempotent) (contract-time 1 s)))");
         let bad = stage.control.publish(texts.clone(), true);
         stage.until_in_force(bad).await;
@@ -461,7 +462,7 @@
             "not before there is enough to tell by: {number}"
         );
         assert!(stage.knows("web", "after").await);
-        let gave_up = |told: &v1::Told| told.answer() == Answer::GaveUp;
+        let gave_up = |told: &v1::PushReply| told.answer() == Answer::RolledBack;
         until(async || {
             stage
                 .control
@@ -476,13 +477,13 @@
             .map(|reply| &reply.told)
             .find(|told| gave_up(told))
             .expect("told");
-        assert!(told.why[0].contains("% of"), "{:?}", told.why);
+        assert!(told.reasons[0].contains("% of"), "{:?}", told.reasons);
         stage.control.scripted();
         let again = stage.reply(&push(999, bad.number, &texts, &[])).await;
         assert!(
-            again.why.iter().any(|why| why.contains("given up")),
+            again.reasons.iter().any(|why| why.contains("given up")),
             "{:?}",
-            again.why
+            again.reasons
         );
         let stage = stage.restart().await;
         assert_eq!(stage.in_force().await, 0, "nor after a restart");
@@ -504,7 +505,7 @@
                 .await
                 .ok()?;
             VersionsClient::new(link)
-                .status(v1::VersionStatusAsk {})
+                .status(v1::VersionStatusRequest {})
                 .await
                 .ok()
         };
--- a/crates/lab/tests/hollow.rs
+++ b/crates/lab/tests/hollow.rs
@@ -1,6 +1,6 @@
 //! Hollow dispatchers beside real ones, and days of their size in small.
 
-use corkspan_api::v1::link_count::Kind;
+use corkspan_api::v1::connection_traffic::Kind;
 use corkspan_lab::capture::{DispatcherState, Line, NodeState, Seen};
 use corkspan_lab::cost::{Cost, Costs, KINDS};
 use corkspan_lab::day::Day;
--- a/crates/lab/tests/stand_in_node.rs
+++ b/crates/lab/tests/stand_in_node.rs
@@ -186,7 +186,7 @@
     if method != "Door" {
         return answer;
     }
-    let mut word = v1::DoorWord::decode(&answer[..]).expect("an answer");
+    let mut word = v1::CordonResponse::decode(&answer[..]).expect("an answer");
     word.since_ms = 0;
     word.encode_to_vec()
 }
@@ -201,9 +201,9 @@
                 break;
             }
         };
-        let mut said = v1::Said::decode(&message[..]).expect("a message");
-        said.load = None;
-        if !matches!(said.said, Some(v1::said::Said::Use(_))) {
+        let mut said = v1::AttemptEvent::decode(&message[..]).expect("a message");
+        said.load_report = None;
+        if !matches!(said.event, Some(v1::attempt_event::Event::Usage(_))) {
             all.push(hex(&said.encode_to_vec()));
         }
     }
--- a/crates/load-generator/src/run.rs
+++ b/crates/load-generator/src/run.rs
@@ -4,7 +4,7 @@
 use crate::plan::Plan;
 use crate::tally::{Outcome, Report, RequestRecord, Tally};
 use async_io::Timer;
-use corkspan_api::v1::{self, placement_client::PlacementClient, word::Word};
+use corkspan_api::v1::{self, placement_client::PlacementClient, placement_event::Event};
 use corkspan_rpc::{Bounds, Link, Tasks, within};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -112,20 +112,20 @@
         kind: usize,
         service: u32,
         intended: Duration,
-    ) -> Option<(tonic::Streaming<v1::Word>, Duration)> {
+    ) -> Option<(tonic::Streaming<v1::PlacementEvent>, Duration)> {
         let own = &self.plan.kinds[kind];
         let name = format!("load-{:x}-{number}", self.run);
-        let ask = v1::Ask {
-            placing: name.clone(),
+        let ask = v1::PlacementRequest {
+            placement_id: name.clone(),
             task: name,
             service: format!("{}-{service}", own.service_class),
-            track: own.service_class.clone(),
-            account: own.tenant.clone(),
+            service_class: own.service_class.clone(),
+            tenant: own.tenant.clone(),
             cores: own.cores,
             memory: own.memory,
-            life_ms: own.lifetime_ms,
-            abandon_ms: own.abandon_ms,
-            again: false,
+            expected_duration_ms: own.lifetime_ms,
+            deadline_ms: own.abandon_ms,
+            retry: false,
         };
         let sent = self.began.elapsed();
         let answer = async {
@@ -135,16 +135,16 @@
                 .await
                 .ok()?
                 .into_inner();
-            let first = words.message().await.ok()??.word?;
+            let first = words.message().await.ok()??.event?;
             Some((first, words))
         };
         let latest = Duration::from_millis(own.abandon_ms) + ANSWER_GRACE;
         let answer = within(latest, Box::pin(answer)).await.flatten();
         let answered = self.began.elapsed();
         let outcome = match &answer {
-            Some((Word::Placed(_), _)) => Outcome::Placed,
-            Some((Word::Refused(_), _)) => Outcome::Rejected,
-            Some((Word::Failed(_), _)) => Outcome::Failed,
+            Some((Event::Placed(_), _)) => Outcome::Placed,
+            Some((Event::Rejected(_), _)) => Outcome::Rejected,
+            Some((Event::Failed(_), _)) => Outcome::Failed,
             _ => Outcome::Unanswered,
         };
         self.record(&RequestRecord {
@@ -162,7 +162,7 @@
 }
 
 /// To end the call would be to say that the allocation is not wanted.
-async fn hold_open(mut words: tonic::Streaming<v1::Word>, life: Duration) {
+async fn hold_open(mut words: tonic::Streaming<v1::PlacementEvent>, life: Duration) {
     let rest = async { while let Ok(Some(_)) = words.message().await {} };
     within(life + Duration::from_secs(60), Box::pin(rest)).await;
 }
