--- a/crates/capacity-model/src/fit.rs
+++ b/crates/capacity-model/src/fit.rs
@@ -1,110 +1,150 @@
-//! Straight lines by least squares, and whether they are straight.
+//! Straight lines by least squares, the test whether points lie on one, and estimates with errors.
 
 use nalgebra::{DMatrix, DVector};
 use statrs::distribution::{ContinuousCDF, FisherSnedecor, StudentsT};
+use std::ops::RangeInclusive;
 
-/// A line is told at most so many times beyond the largest place that was measured.
+/// A line is extrapolated to at most this multiple of the largest place measured.
 pub const MAX_EXTRAPOLATION: f64 = 2.0;
-/// Chance of so large a lack of fit by noise alone, below which a line is not straight.
+/// Points are not straight if noise alone would lead to so large a lack of fit with a lower
+/// probability than this.
 const SIGNIFICANCE: f64 = 0.01;
-/// What no one plans by: a bend below this part of the span, or of the mean, is none.
+/// A deviation below this part of the span of the means is ignored.
 const NEGLIGIBLE_OF_SPAN: f64 = 0.05;
+/// A deviation below this part of the mean of the means is ignored.
 const NEGLIGIBLE_OF_MEAN: f64 = 0.05;
-/// Errors are told for this level, both sides.
+/// Two-sided confidence level of all errors.
 const CONFIDENCE: f64 = 0.95;
+/// Places that a line needs at least.
+const MIN_PLACES: usize = 3;
+/// Singular values below this are taken as zero.
+const SINGULAR_EPSILON: f64 = 1e-12;
 
-/// A line through points, each a place and what was measured there.
+/// One measured value.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Measurement {
+    /// The place on the axis, such as the number of machines.
+    pub at: f64,
+    /// What was measured there.
+    pub value: f64,
+}
+
+/// A place with all that was measured there.
+#[derive(Clone, Debug, PartialEq)]
+struct Place {
+    at: f64,
+    mean: f64,
+    /// The largest distance of a value from the mean.
+    deviation: f64,
+}
+
+/// A line through measurements.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LinearFit {
+    /// The value at 0.
     pub intercept: f64,
+    /// The change of the value with each unit of the axis.
     pub slope: f64,
-    /// Of the slope, at 95%.
+    /// Error of the slope, at 95%.
     pub slope_error: f64,
-    /// The usual residual, as a standard error.
+    /// Standard error of the residuals.
     pub residual: f64,
     /// The largest distance of a place's mean from the line.
     pub max_deviation: f64,
+    /// Whether the measurements lie on the line, up to noise.
     pub is_straight: bool,
-    /// Of the places measured.
-    pub range: (f64, f64),
+    /// The places measured.
+    pub range: RangeInclusive<f64>,
+    /// Number of measurements.
     pub points: usize,
+    /// Mean of the places of all measurements.
     centre: f64,
+    /// Sum of squares of their distances from the centre.
     spread: f64,
+    /// Quantile of Student's distribution.
     student: f64,
-    /// Place, mean, and the largest distance of a point from it.
-    places: Vec<(f64, f64, f64)>,
+    /// In order.
+    places: Vec<Place>,
 }
 
-/// Why there is no line.
+/// Why no line is fitted.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum FitError {
+    /// Fewer than three different places were measured.
     #[error("a line needs three places, and {0} were measured")]
     TooFewPlaces(usize),
+    /// A measurement is infinite or not a number.
     #[error("a point is no number")]
     NotFinite,
 }
 
-/// How a value at a place came to be.
+/// How an estimate was obtained.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EstimateSource {
-    /// By the line, within what was measured.
+    /// By the line, within the range measured.
     Line,
-    /// By the line, beyond what was measured.
+    /// By the line, beyond the range measured.
     Extrapolated,
-    /// The points are on no line: between the two nearest places.
+    /// The measurements are not straight: between the two nearest places.
     Interpolated,
 }
 
-/// What is told at a place, and its error at 95%.
+/// The value to be expected at a place.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Estimate {
+    /// The value.
     pub value: f64,
+    /// Its error at 95%; where it is interpolated, the largest distance of a measurement from its
+    /// place's mean.
     pub error: f64,
+    /// How it was obtained.
     pub source: EstimateSource,
 }
 
-/// Why nothing is told at a place.
+/// Why there is no estimate at a place.
 #[derive(Clone, Copy, Debug, PartialEq, thiserror::Error)]
 pub enum EstimateError {
+    /// The measurements are not straight, and the place is out of their range.
     #[error("not straight: not extrapolated")]
     NotStraight,
+    /// The place is too far beyond the largest one measured, which is given.
     #[error("measured to {0} only: not extrapolated")]
     TooFar(f64),
 }
 
+/// The least-squares solution about the centre.
+struct Solution {
+    /// The value at the centre.
+    middle: f64,
+    slope: f64,
+    /// Sum of squares of the residuals.
+    squares: f64,
+}
+
 impl LinearFit {
-    pub fn through(points: &[(f64, f64)]) -> Result<LinearFit, FitError> {
-        if points
-            .iter()
-            .any(|(at, value)| !at.is_finite() || !value.is_finite())
-        {
+    /// Fits a line through measurements.
+    ///
+    /// # Errors
+    ///
+    /// [`FitError`] where a measurement is not finite, or there are fewer than three places.
+    pub fn through(points: &[Measurement]) -> Result<LinearFit, FitError> {
+        let is_finite = |point: &Measurement| point.at.is_finite() && point.value.is_finite();
+        if !points.iter().all(is_finite) {
             return Err(FitError::NotFinite);
         }
         let places = places(points);
-        if places.len() < 3 {
+        if places.len() < MIN_PLACES {
             return Err(FitError::TooFewPlaces(places.len()));
         }
         let count = points.len() as f64;
-        let centre = points.iter().map(|(at, _)| at).sum::<f64>() / count;
-        let spread: f64 = points.iter().map(|(at, _)| (at - centre).powi(2)).sum();
-        // About the centre, so that the two columns are independent and large places lose no
-        // digits.
-        let design = DMatrix::from_fn(points.len(), 2, |row, column| {
-            if column == 0 {
-                1.0
-            } else {
-                points[row].0 - centre
-            }
-        });
-        let measured = DVector::from_iterator(points.len(), points.iter().map(|(_, value)| *value));
-        let found = design
-            .clone()
-            .svd(true, true)
-            .solve(&measured, 1e-12)
-            .map_err(|_| FitError::NotFinite)?;
-        let (middle, slope) = (found[0], found[1]);
+        let centre = points.iter().map(|point| point.at).sum::<f64>() / count;
+        let spread: f64 = points.iter().map(|point| (point.at - centre).powi(2)).sum();
+        let Solution {
+            middle,
+            slope,
+            squares,
+        } = solve(points, centre)?;
         let degrees_of_freedom = count - 2.0;
-        let squares = (measured - design * found).norm_squared();
         let residual = (squares / degrees_of_freedom).sqrt();
         let student =
             StudentsT::new(0.0, 1.0, degrees_of_freedom).map_err(|_| FitError::NotFinite)?;
@@ -112,7 +152,7 @@
         let line = |at: f64| middle + slope * (at - centre);
         let max_deviation = places
             .iter()
-            .map(|(at, mean, _)| (mean - line(*at)).abs())
+            .map(|place| (place.mean - line(place.at)).abs())
             .fold(0.0, f64::max);
         Ok(LinearFit {
             intercept: line(0.0),
@@ -121,7 +161,7 @@
             residual,
             max_deviation,
             is_straight: is_straight(points, &places, squares, max_deviation),
-            range: (places[0].0, places[places.len() - 1].0),
+            range: places[0].at..=places[places.len() - 1].at,
             points: points.len(),
             centre,
             spread,
@@ -130,9 +170,13 @@
         })
     }
 
-    /// What is to be expected at a place.
+    /// The value to be expected at a place.
+    ///
+    /// # Errors
+    ///
+    /// [`EstimateError`] where the line can't be followed so far.
     pub fn estimate(&self, at: f64) -> Result<Estimate, EstimateError> {
-        let within = at >= self.range.0 && at <= self.range.1;
+        let within = self.range.contains(&at);
         if !self.is_straight {
             return if within {
                 Ok(self.interpolate(at))
@@ -140,8 +184,9 @@
                 Err(EstimateError::NotStraight)
             };
         }
-        if at < 0.0 || at > self.range.1 * MAX_EXTRAPOLATION {
-            return Err(EstimateError::TooFar(self.range.1));
+        let largest = *self.range.end();
+        if at < 0.0 || at > largest * MAX_EXTRAPOLATION {
+            return Err(EstimateError::TooFar(largest));
         }
         let value = self.intercept + self.slope * at;
         let part = 1.0 / self.points as f64 + (at - self.centre).powi(2) / self.spread;
@@ -157,54 +202,79 @@
         })
     }
 
+    /// Between the means of the two nearest places.
     fn interpolate(&self, at: f64) -> Estimate {
         let above = self
             .places
             .iter()
-            .position(|(place, ..)| *place >= at)
+            .position(|place| place.at >= at)
             .unwrap_or(self.places.len() - 1);
-        let (high, low) = (self.places[above], self.places[above.saturating_sub(1)]);
-        let part = if high.0 > low.0 {
-            (at - low.0) / (high.0 - low.0)
+        let (high, low) = (&self.places[above], &self.places[above.saturating_sub(1)]);
+        let part = if high.at > low.at {
+            (at - low.at) / (high.at - low.at)
         } else {
             0.0
         };
         Estimate {
-            value: low.1 + (high.1 - low.1) * part,
-            error: low.2.max(high.2),
+            value: low.mean + (high.mean - low.mean) * part,
+            error: low.deviation.max(high.deviation),
             source: EstimateSource::Interpolated,
         }
     }
 }
 
+/// Least squares about the centre, so that the two columns are independent and large places lose no
+/// digits.
+fn solve(points: &[Measurement], centre: f64) -> Result<Solution, FitError> {
+    let design = DMatrix::from_fn(points.len(), 2, |row, column| {
+        if column == 0 {
+            1.0
+        } else {
+            points[row].at - centre
+        }
+    });
+    let values = points.iter().map(|point| point.value);
+    let measured = DVector::from_iterator(points.len(), values);
+    let solution = design
+        .clone()
+        .svd(true, true)
+        .solve(&measured, SINGULAR_EPSILON)
+        .map_err(|_| FitError::NotFinite)?;
+    let (middle, slope) = (solution[0], solution[1]);
+    let squares = (measured - design * solution).norm_squared();
+    Ok(Solution {
+        middle,
+        slope,
+        squares,
+    })
+}
+
 /// Each place once, in order.
-fn places(points: &[(f64, f64)]) -> Vec<(f64, f64, f64)> {
+fn places(points: &[Measurement]) -> Vec<Place> {
     let mut sorted = points.to_vec();
-    sorted.sort_by(|one, other| one.0.total_cmp(&other.0));
-    let one = |own: &[(f64, f64)]| {
-        let mean = own.iter().map(|(_, value)| value).sum::<f64>() / own.len() as f64;
-        let spread = own
-            .iter()
-            .map(|(_, value)| (value - mean).abs())
-            .fold(0.0, f64::max);
-        (own[0].0, mean, spread)
+    sorted.sort_by(|one, other| one.at.total_cmp(&other.at));
+    let place = |measured: &[Measurement]| {
+        let values = || measured.iter().map(|point| point.value);
+        let mean = values().sum::<f64>() / measured.len() as f64;
+        Place {
+            at: measured[0].at,
+            mean,
+            deviation: values()
+                .map(|value| (value - mean).abs())
+                .fold(0.0, f64::max),
+        }
     };
     sorted
-        .chunk_by(|one, other| one.0 == other.0)
-        .map(one)
+        .chunk_by(|one, other| one.at == other.at)
+        .map(place)
         .collect()
 }
 
-/// The usual test for lack of fit: what the places' means miss the line by against what rounds at a
-/// place differ by. A bend too small to plan by is none, however sure; nor is one that the rounds'
-/// own noise may be.
-fn is_straight(
-    points: &[(f64, f64)],
-    places: &[(f64, f64, f64)],
-    squares: f64,
-    max_deviation: f64,
-) -> bool {
-    let means = || places.iter().map(|(_, mean, _)| *mean);
+/// The F-test for lack of fit: the distances of the places' means from the line against the
+/// differences between rounds at one place. A deviation too small to plan by is ignored however
+/// certain it is, and so is one that may be due to the noise of the rounds.
+fn is_straight(points: &[Measurement], places: &[Place], squares: f64, max_deviation: f64) -> bool {
+    let means = || places.iter().map(|place| place.mean);
     let span = means().fold(f64::MIN, f64::max) - means().fold(f64::MAX, f64::min);
     let mean = means().map(f64::abs).sum::<f64>() / places.len() as f64;
     if max_deviation <= (span * NEGLIGIBLE_OF_SPAN).max(mean * NEGLIGIBLE_OF_MEAN) {
@@ -213,21 +283,21 @@
     let mean_at = |at: f64| {
         places
             .iter()
-            .find(|(place, ..)| *place == at)
-            .map_or(0.0, |(_, mean, _)| *mean)
+            .find(|place| place.at == at)
+            .map_or(0.0, |place| place.mean)
     };
-    let pure: f64 = points
+    let pure_error: f64 = points
         .iter()
-        .map(|(at, value)| (value - mean_at(*at)).powi(2))
+        .map(|point| (point.value - mean_at(point.at)).powi(2))
         .sum();
-    let (lacking, rounds) = (
-        places.len() as f64 - 2.0,
-        (points.len() - places.len()) as f64,
-    );
-    // One round, or rounds that agree in every digit: the bend alone tells.
-    if rounds < 1.0 || pure <= 0.0 {
+    let lack_of_fit_freedom = places.len() as f64 - 2.0;
+    let pure_error_freedom = (points.len() - places.len()) as f64;
+    // One round, or rounds that agree in every digit: only the deviation can tell.
+    if pure_error_freedom < 1.0 || pure_error <= 0.0 {
         return false;
     }
-    let ratio = ((squares - pure).max(0.0) / lacking) / (pure / rounds);
-    FisherSnedecor::new(lacking, rounds).is_ok_and(|noise| noise.sf(ratio) >= SIGNIFICANCE)
+    let lack_of_fit = (squares - pure_error).max(0.0);
+    let ratio = (lack_of_fit / lack_of_fit_freedom) / (pure_error / pure_error_freedom);
+    FisherSnedecor::new(lack_of_fit_freedom, pure_error_freedom)
+        .is_ok_and(|noise| noise.sf(ratio) >= SIGNIFICANCE)
 }
--- a/crates/capacity-model/src/page.rs
+++ b/crates/capacity-model/src/page.rs
@@ -1,65 +1,95 @@
-//! The tables of docs/CAPACITY.md, printed from a kept result, and a page held against them.
+//! The tables of docs/CAPACITY.md, printed from a stored result, and a page compared with them.
 
-use crate::figures::{self, EvaluatedFigure, MISSING_MECHANISMS, Outcome, Role};
-use crate::fit::{EstimateSource, LinearFit};
-use crate::result::{Axis, CapacityResult};
+use crate::catalog::MISSING_MECHANISMS;
+use crate::figures::{self, EvaluatedFigure, Outcome, Role};
+use crate::fit::{Estimate, EstimateSource, LinearFit};
+use crate::result::{Axis, CapacityResult, Run};
 use std::fmt::Write;
 
-/// Tables by name; each stands on the page between `<!-- NAME -->` and `<!-- end -->`.
-pub fn tables(result: &CapacityResult) -> Vec<(&'static str, String)> {
-    vec![
+/// A table of the page. It stands there between `<!-- NAME -->` and `<!-- end -->`.
+pub struct Table {
+    /// Its name on the page.
+    pub name: &'static str,
+    /// The table as Markdown.
+    pub markdown: String,
+}
+
+/// All tables, in the order of the page.
+pub fn tables(result: &CapacityResult) -> Vec<Table> {
+    [
         ("by factor", by_factor(result)),
         ("by role", by_role(result)),
         ("links", links(result)),
         ("missing", missing()),
         ("runs", runs(result)),
     ]
+    .map(|(name, markdown)| Table { name, markdown })
+    .into()
 }
 
-/// Three digits that count, thousands apart.
-pub fn format_number(value: f64) -> String {
-    let size = value.abs();
-    let digits = match size {
+/// Decimals of a number with three significant digits, from 0.01 on at least three of them.
+fn decimals(size: f64) -> usize {
+    match size {
         _ if size >= 100.0 || size == 0.0 => 0,
         _ if size >= 10.0 => 1,
         _ if size >= 1.0 => 2,
         _ => (2 - size.log10().floor() as i32).clamp(3, 8) as usize,
-    };
-    let text = format!("{value:.digits$}");
-    let (whole, part) = text
+    }
+}
+
+/// A number with three significant digits and separated thousands.
+pub fn format_number(value: f64) -> String {
+    let decimals = decimals(value.abs());
+    let text = format!("{value:.decimals$}");
+    let (whole, fraction) = text
         .split_once('.')
-        .map_or((text.as_str(), None), |(a, b)| (a, Some(b)));
+        .map_or((text.as_str(), None), |(whole, fraction)| {
+            (whole, Some(fraction))
+        });
     let (sign, whole) = whole
         .strip_prefix('-')
         .map_or(("", whole), |rest| ("-", rest));
-    let mut out = String::new();
-    for (at, digit) in whole.chars().enumerate() {
-        if at > 0 && (whole.len() - at).is_multiple_of(3) {
+    let mut out = String::from(sign);
+    for (index, digit) in whole.chars().enumerate() {
+        if index > 0 && (whole.len() - index).is_multiple_of(3) {
             out.push(',');
         }
         out.push(digit);
     }
-    match part {
-        Some(part) => format!("{sign}{out}.{part}"),
-        None => format!("{sign}{out}"),
+    if let Some(fraction) = fraction {
+        out.push('.');
+        out.push_str(fraction);
     }
+    out
 }
 
-fn run(told: &EvaluatedFigure) -> String {
-    told.run.map_or("none".into(), |(run, _)| format!("R{run}"))
+/// The first lines of a table.
+fn header(columns: &[&str]) -> String {
+    let rule = vec!["---"; columns.len()];
+    // The column of positions has no name, and one space less.
+    let names = columns.join(" | ");
+    format!("| {} |\n| {} |\n", names.trim_start(), rule.join(" | "))
+}
+
+fn run_name(figure: &EvaluatedFigure) -> String {
+    figure.run.map_or("none".into(), |run| format!("R{run}"))
 }
 
 fn by_factor(result: &CapacityResult) -> String {
-    let mut out = String::from(
-        "| | role | figure | at the size | limit | factor | run |\n| --- | --- | --- | --- | --- | --- | --- |\n",
-    );
-    for (at, told) in figures::by_factor(figures::evaluate(result))
-        .iter()
-        .enumerate()
-    {
-        let limit = told.limit.map(format_number).unwrap_or_default();
-        let (definition, unit) = (&told.definition, told.definition.unit);
-        let (value, factor) = match (&told.outcome, told.factor()) {
+    let mut out = header(&[
+        "",
+        "role",
+        "figure",
+        "at the size",
+        "limit",
+        "factor",
+        "run",
+    ]);
+    let figures = figures::by_factor(figures::evaluate(result));
+    for (index, figure) in figures.iter().enumerate() {
+        let (definition, unit) = (&figure.definition, figure.definition.unit);
+        let limit = figure.limit.map(format_number).unwrap_or_default();
+        let (value, factor) = match (&figure.outcome, figure.factor()) {
             (Outcome::Estimated { value, .. }, Some(factor)) => (
                 format!("{} {unit}", format_number(value.value)),
                 format_number(factor),
@@ -67,17 +97,15 @@
             (Outcome::Unavailable(reason), _) => (reason.clone(), "not told".into()),
             _ => Default::default(),
         };
-        let passes = if told.factor().is_some_and(|factor| factor > 1.0) {
-            "**"
-        } else {
-            ""
-        };
-        let (role, what) = (definition.role.name(), definition.what);
+        let is_exceeded = figure.factor().is_some_and(|factor| factor > 1.0);
+        let bold = if is_exceeded { "**" } else { "" };
         let _ = writeln!(
             out,
-            "| {} | {role} | {what} | {value} | {limit} {unit} | {passes}{factor}{passes} | {} |",
-            at + 1,
-            run(told)
+            "| {} | {} | {} | {value} | {limit} {unit} | {bold}{factor}{bold} | {} |",
+            index + 1,
+            definition.role.name(),
+            definition.what,
+            run_name(figure)
         );
     }
     out
@@ -85,97 +113,108 @@
 
 fn by_role(result: &CapacityResult) -> String {
     let mut out = String::new();
-    let all = figures::evaluate(result);
+    let figures = figures::evaluate(result);
     for role in Role::ALL {
         let _ = writeln!(out, "**{}**\n", role.name());
-        out.push_str(
-            "| figure | at the size | slope | measured over | limit | room left | how | carried by | run |\n",
-        );
-        out.push_str("| --- | --- | --- | --- | --- | --- | --- | --- | --- |\n");
-        for told in all.iter().filter(|told| told.definition.role == role) {
-            let _ = writeln!(out, "{}", role_line(told));
+        out.push_str(&header(&[
+            "figure",
+            "at the size",
+            "slope",
+            "measured over",
+            "limit",
+            "room left",
+            "how",
+            "carried by",
+            "run",
+        ]));
+        let of_role = figures
+            .iter()
+            .filter(|figure| figure.definition.role == role);
+        for figure in of_role {
+            let _ = writeln!(out, "{}", role_line(figure));
         }
         out.push('\n');
     }
     out
 }
 
-fn role_line(told: &EvaluatedFigure) -> String {
-    let (definition, unit) = (&told.definition, told.definition.unit);
-    let limit = told.limit.map_or("none told".into(), |limit| {
+fn role_line(figure: &EvaluatedFigure) -> String {
+    let (definition, unit) = (&figure.definition, figure.definition.unit);
+    let limit = figure.limit.map_or("none told".into(), |limit| {
         format!("{} {unit}", format_number(limit))
     });
-    let Outcome::Estimated { value, fit } = &told.outcome else {
-        let Outcome::Unavailable(reason) = &told.outcome else {
-            return String::new();
-        };
-        return format!(
-            "| {} | {reason} | | | {limit} | | not told | {} | {} |",
-            definition.what,
-            definition.mechanism,
-            run(told)
-        );
+    let (what, mechanism, run) = (definition.what, definition.mechanism, run_name(figure));
+    let (value, fit) = match &figure.outcome {
+        Outcome::Estimated { value, fit } => (value, fit),
+        Outcome::Unavailable(reason) => {
+            return format!(
+                "| {what} | {reason} | | | {limit} | | not told | {mechanism} | {run} |"
+            );
+        }
     };
-    let at = format!(
-        "{} ± {} {unit}",
+    let left = figure
+        .limit
+        .map_or(String::new(), |limit| capacity_left(limit, value, unit));
+    format!(
+        "| {what} | {} ± {} {unit} | {} | {} to {} {} | {limit} | {left} | {} | {mechanism} | {run} |",
         format_number(value.value),
-        format_number(value.error)
-    );
-    let slope = match value.source {
+        format_number(value.error),
+        slope(value, fit),
+        format_number(*fit.range.start()),
+        format_number(*fit.range.end()),
+        definition.axis.name(),
+        figure.source_name(),
+    )
+}
+
+fn slope(value: &Estimate, fit: &LinearFit) -> String {
+    match value.source {
         EstimateSource::Interpolated => "none".into(),
-        _ => format!(
+        EstimateSource::Line | EstimateSource::Extrapolated => format!(
             "{} ± {}",
             format_number(fit.slope),
             format_number(fit.slope_error)
         ),
-    };
-    let range = format!(
-        "{} to {} {}",
-        format_number(fit.range.0),
-        format_number(fit.range.1),
-        definition.axis.name()
-    );
-    let room = match told.limit {
-        Some(limit) if limit > value.value => {
-            format!("{} {unit}", format_number(limit - value.value))
-        }
-        Some(limit) => format!(
-            "none: {} times the limit",
-            format_number(value.value / limit)
-        ),
-        None => String::new(),
-    };
-    let how = told.source_name();
-    format!(
-        "| {} | {at} | {slope} | {range} | {limit} | {room} | {how} | {} | {} |",
-        definition.what,
-        definition.mechanism,
-        run(told)
-    )
+    }
 }
 
-/// What control costs a dispatcher at the size by kind of link, as relays saw it and as it counted
-/// itself.
+/// What is left of a limit, or how far it is exceeded.
+fn capacity_left(limit: f64, value: &Estimate, unit: &str) -> String {
+    if limit > value.value {
+        format!("{} {unit}", format_number(limit - value.value))
+    } else {
+        let factor = format_number(value.value / limit);
+        format!("none: {factor} times the limit")
+    }
+}
+
+/// What control costs one dispatcher at the size, by kind of connection: as the proxies saw it, and
+/// as the dispatcher counted itself.
 fn links(result: &CapacityResult) -> String {
-    let mut out = String::from(
-        "| link to | told of room | bytes/s, relays | bytes/s, its own count | messages/s, its own count |\n| --- | --- | --- | --- | --- |\n",
-    );
+    let mut out = header(&[
+        "link to",
+        "told of room",
+        "bytes/s, relays",
+        "bytes/s, its own count",
+        "messages/s, its own count",
+    ]);
     let run = result.run(Axis::Machines, "control");
-    let told = |figure: String| {
-        let fit = LinearFit::through(&run.map(|run| run.figure(&figure)).unwrap_or_default());
-        fit.ok()
-            .and_then(|fit| fit.estimate(result.size.machines).ok())
-            .map_or("not told".into(), |estimate| format_number(estimate.value))
+    let estimate = |figure: &str| {
+        let points = run.map(|run| run.figure(figure)).unwrap_or_default();
+        let fit = LinearFit::through(&points).ok()?;
+        fit.estimate(result.size.machines).ok()
+    };
+    let cell = |figure: String| {
+        estimate(&figure).map_or("not told".into(), |estimate| format_number(estimate.value))
     };
     for kind in ["roster", "control", "keepers", "nodes"] {
-        for (name, how) in [("quiet", "nothing"), ("told", "each machine once a second")] {
-            let figure = |of: &str| told(format!("{name}, {kind}, {of}"));
+        for (phase, reports) in [("quiet", "nothing"), ("told", "each machine once a second")] {
             let _ = writeln!(
                 out,
-                "| {kind} | {how} | {} | {} | {} |",
-                figure("bytes/s"),
-                figure("bytes/s by its own count"),
-                figure("messages/s"),
+                "| {kind} | {reports} | {} | {} | {} |",
+                cell(format!("{phase}, {kind}, bytes/s")),
+                cell(format!("{phase}, {kind}, bytes/s by its own count")),
+                cell(format!("{phase}, {kind}, messages/s")),
             );
         }
     }
@@ -183,118 +222,136 @@
 }
 
 fn missing() -> String {
-    let mut out = String::from("| what the size asks for | mechanism |\n| --- | --- |\n");
-    for (what, how) in MISSING_MECHANISMS {
-        let _ = writeln!(out, "| {what} | {how} |");
+    let mut out = header(&["what the size asks for", "mechanism"]);
+    for missing in MISSING_MECHANISMS {
+        let _ = writeln!(out, "| {} | {} |", missing.need, missing.state);
     }
     out
 }
 
 fn runs(result: &CapacityResult) -> String {
-    let mut out = String::from(
-        "| run | axis, series | command | seed | places, rounds | the same at each point | spoilt points | load | machine |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- |\n",
-    );
-    for (at, run) in result.runs.iter().enumerate() {
-        let places: Vec<String> = run.places.iter().copied().map(format_number).collect();
-        let loads = || run.points.iter().map(|point| point.load);
-        let (least, most) = (
+    let mut out = header(&[
+        "run",
+        "axis, series",
+        "command",
+        "seed",
+        "places, rounds",
+        "the same at each point",
+        "spoilt points",
+        "load",
+        "machine",
+    ]);
+    for (index, run) in result.runs.iter().enumerate() {
+        let _ = writeln!(out, "| R{} | {} |", index + 1, run_cells(run));
+    }
+    out
+}
+
+fn run_cells(run: &Run) -> String {
+    let places: Vec<String> = run.places.iter().copied().map(format_number).collect();
+    let loads = || run.points.iter().map(|point| point.load);
+    let partial = if run.missing_places().is_empty() {
+        ""
+    } else {
+        ", **partial**"
+    };
+    let cells = [
+        format!("{}, {}", run.axis.name(), run.series),
+        format!("`{}`", run.command),
+        run.seed.to_string(),
+        format!("{}; {}", places.join(" / "), run.rounds),
+        run.fixed.clone(),
+        format!("{} of {}{partial}", run.invalid_points(), run.points.len()),
+        format!(
+            "{:.1} to {:.1}",
             loads().fold(f64::MAX, f64::min),
-            loads().fold(0.0, f64::max),
-        );
-        let missing_places = if run.missing_places().is_empty() {
-            ""
-        } else {
-            ", **partial**"
-        };
-        let _ = writeln!(
-            out,
-            "| R{} | {}, {} | `{}` | {} | {}; {} | {} | {} of {}{missing_places} | {least:.1} to {most:.1} | {} cores, {} MiB |",
-            at + 1,
-            run.axis.name(),
-            run.series,
-            run.command,
-            run.seed,
-            places.join(" / "),
-            run.rounds,
-            run.fixed,
-            run.invalid_points(),
-            run.points.len(),
+            loads().fold(0.0, f64::max)
+        ),
+        format!(
+            "{} cores, {} MiB",
             run.cores,
             format_number(run.memory_mib as f64)
-        );
-    }
-    out
+        ),
+    ];
+    cells.join(" | ")
 }
 
-/// Where a page differs.
+/// A page does not match its result.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("line {line}: {reason}")]
 pub struct PageError {
+    /// Line of the page, from 1.
     pub line: usize,
+    /// What is wrong there.
     pub reason: String,
 }
 
 const END: &str = "<!-- end -->";
 
 /// The page with its tables as the result has them.
+///
+/// # Errors
+///
+/// [`PageError`] where a table is missing, stands twice or has no end.
 pub fn fill(page: &str, result: &CapacityResult) -> Result<String, PageError> {
     let tables = tables(result);
-    let mut filled = vec![false; tables.len()];
+    let mut is_filled = vec![false; tables.len()];
     let mut out = String::new();
     let mut lines = page.lines().enumerate();
-    while let Some((at, line)) = lines.next() {
+    while let Some((index, line)) = lines.next() {
         out.push_str(line);
         out.push('\n');
-        let named = |name: &str| line.trim() == format!("<!-- {name} -->");
-        let Some(which) = tables.iter().position(|(name, _)| named(name)) else {
+        let begins = |table: &Table| line.trim() == format!("<!-- {} -->", table.name);
+        let Some(position) = tables.iter().position(begins) else {
             continue;
         };
-        if std::mem::replace(&mut filled[which], true) {
-            return Err(PageError {
-                line: at + 1,
-                reason: format!("a second table `{}`", tables[which].0),
-            });
+        let table = &tables[position];
+        let error = |reason| PageError {
+            line: index + 1,
+            reason,
+        };
+        if std::mem::replace(&mut is_filled[position], true) {
+            return Err(error(format!("a second table `{}`", table.name)));
         }
         if !lines.any(|(_, line)| line.trim() == END) {
-            return Err(PageError {
-                line: at + 1,
-                reason: format!("`{}` has no {END}", tables[which].0),
-            });
+            return Err(error(format!("`{}` has no {END}", table.name)));
         }
-        out.push('\n');
-        out.push_str(&tables[which].1);
-        out.push_str(if tables[which].1.ends_with("\n\n") {
+        let blank = if table.markdown.ends_with("\n\n") {
             ""
         } else {
             "\n"
-        });
-        out.push_str(END);
-        out.push('\n');
+        };
+        let _ = writeln!(out, "\n{}{blank}{END}", table.markdown);
     }
-    match filled.iter().position(|filled| !filled) {
-        Some(which) => {
-            let reason = format!("the page has no table `{}`", tables[which].0);
-            Err(PageError {
-                line: page.lines().count(),
-                reason,
-            })
-        }
+    match is_filled.iter().position(|is_filled| !is_filled) {
+        Some(position) => Err(PageError {
+            line: page.lines().count(),
+            reason: format!("the page has no table `{}`", tables[position].name),
+        }),
         None => Ok(out),
     }
 }
 
-/// The first line of a page that is not as the result has it.
+/// Checks that a page is as the result has it.
+///
+/// # Errors
+///
+/// [`PageError`] with the first line that differs, or as [`fill`].
 pub fn check(page: &str, result: &CapacityResult) -> Result<(), PageError> {
     let filled = fill(page, result)?;
-    let (mut own, mut wanted) = (page.lines(), filled.lines());
+    let (mut actual, mut expected) = (page.lines(), filled.lines());
     for line in 1.. {
-        match (own.next(), wanted.next()) {
+        match (actual.next(), expected.next()) {
             (None, None) => break,
-            (has, wants) if has == wants => {}
-            (has, wants) => {
-                let text =
+            (actual, expected) if actual == expected => {}
+            (actual, expected) => {
+                let quoted =
                     |line: Option<&str>| line.map_or("nothing".into(), |line| format!("`{line}`"));
-                let reason = format!("the page has {}, the result {}", text(has), text(wants));
+                let reason = format!(
+                    "the page has {}, the result {}",
+                    quoted(actual),
+                    quoted(expected)
+                );
                 return Err(PageError { line, reason });
             }
         }
--- a/crates/capacity-model/src/requirements.rs
+++ b/crates/capacity-model/src/requirements.rs
@@ -1,34 +1,46 @@
-//! What a measurement asks of a machine, and what is short there.
+//! What a measurement requires of the machine that it runs on, and what is short there.
 
-/// What it needs, or what there is.
+use std::fmt;
+
+/// What is required of a machine, or what is available there.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct MachineResources {
+    /// Memory, in MiB.
     pub memory_mib: u64,
+    /// Processes.
     pub processes: u64,
+    /// File descriptors of one process.
     pub descriptors: u64,
 }
 
-/// Of one real dispatcher, with 1,300 machines known.
+/// Memory of one real dispatcher that knows 1,300 machines.
 const MIB_PER_DISPATCHER: u64 = 24;
-/// Of 1,000 machines that the stand-ins tell of, over a measurement's length.
+/// Memory of the stand-ins for 1,000 machines over the length of a measurement.
 const MIB_PER_1000_MACHINES: u64 = 120;
-/// Of 1,000 tasks in hand, at both ends.
+/// Memory of 1,000 tasks in flight, at both ends.
 const MIB_PER_1000_TASKS: u64 = 40;
-/// No run takes more of a machine's memory than this part, or more processes.
-const MAX_MEMORY_DIVISOR: u64 = 2;
+/// A proxy has two ends for each connection of a dispatcher: to roster, control service, quorum and
+/// nodes.
+const DESCRIPTORS_PER_DISPATCHER: u64 = 32;
+const DESCRIPTORS_PER_MACHINE: u64 = 4;
+/// Descriptors of the process itself.
+const OWN_DESCRIPTORS: u64 = 200;
+/// A measurement takes at most this part of a machine's memory: one half.
+const MEMORY_DIVISOR: u64 = 2;
+/// Processes that a measurement starts at most.
 pub const MAX_PROCESSES: u64 = 400;
 
-/// Of so many processes, machines told and tasks in hand.
+/// What a measurement requires with so many dispatchers, machines known and tasks in flight.
 pub fn required_for(dispatchers: u64, machines: u64, tasks: u64) -> MachineResources {
+    let per_thousand = |count: u64, mib: u64| (count / 1_000 + 1).saturating_mul(mib);
     let memory_mib = dispatchers
         .saturating_mul(MIB_PER_DISPATCHER)
-        .saturating_add((machines / 1_000 + 1).saturating_mul(MIB_PER_1000_MACHINES))
-        .saturating_add((tasks / 1_000 + 1).saturating_mul(MIB_PER_1000_TASKS));
-    // A relay has two ends for each of a dispatcher's links: roster, control, keepers, nodes.
+        .saturating_add(per_thousand(machines, MIB_PER_1000_MACHINES))
+        .saturating_add(per_thousand(tasks, MIB_PER_1000_TASKS));
     let descriptors = dispatchers
-        .saturating_mul(32)
-        .saturating_add(machines.saturating_mul(4))
-        .saturating_add(200);
+        .saturating_mul(DESCRIPTORS_PER_DISPATCHER)
+        .saturating_add(machines.saturating_mul(DESCRIPTORS_PER_MACHINE))
+        .saturating_add(OWN_DESCRIPTORS);
     MachineResources {
         memory_mib,
         processes: dispatchers,
@@ -36,13 +48,58 @@
     }
 }
 
-/// Refused at once, with all that is short.
-pub fn check(required: MachineResources, available: MachineResources) -> Result<(), String> {
-    let usable = [
+/// One resource that is short.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Shortage {
+    /// What is short, with its unit.
+    pub resource: &'static str,
+    /// How much is required.
+    pub required: u64,
+    /// How much of it a measurement may use here.
+    pub usable: u64,
+}
+
+impl fmt::Display for Shortage {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        let Shortage {
+            resource,
+            required,
+            usable,
+        } = self;
+        write!(
+            f,
+            "{required} {resource} are needed, and {usable} may be taken here"
+        )
+    }
+}
+
+/// A machine can't carry a measurement.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("asks for too much: {}", joined(.0))]
+pub struct InsufficientMachine(
+    /// All that is short.
+    pub Vec<Shortage>,
+);
+
+fn joined(shortages: &[Shortage]) -> String {
+    let texts: Vec<String> = shortages.iter().map(Shortage::to_string).collect();
+    texts.join("; ")
+}
+
+/// Checks that a machine can carry what is required.
+///
+/// # Errors
+///
+/// [`InsufficientMachine`] with all that is short.
+pub fn check(
+    required: MachineResources,
+    available: MachineResources,
+) -> Result<(), InsufficientMachine> {
+    let resources = [
         (
             "MiB of memory",
             required.memory_mib,
-            available.memory_mib / MAX_MEMORY_DIVISOR,
+            available.memory_mib / MEMORY_DIVISOR,
         ),
         (
             "processes",
@@ -51,16 +108,18 @@
         ),
         ("descriptors", required.descriptors, available.descriptors),
     ];
-    let short: Vec<String> = usable
-        .iter()
+    let shortages: Vec<Shortage> = resources
+        .into_iter()
         .filter(|(_, required, usable)| required > usable)
-        .map(|(what, required, usable)| {
-            format!("{required} {what} are needed, and {usable} may be taken here")
+        .map(|(resource, required, usable)| Shortage {
+            resource,
+            required,
+            usable,
         })
         .collect();
-    if short.is_empty() {
+    if shortages.is_empty() {
         Ok(())
     } else {
-        Err(format!("asks for too much: {}", short.join("; ")))
+        Err(InsufficientMachine(shortages))
     }
 }
--- a/crates/capacity-model/tests/fits.rs
+++ b/crates/capacity-model/tests/fits.rs
@@ -1,8 +1,15 @@
-//! Lines that are told, and lines that must not be.
+//! Lines through measurements, and measurements that are no line.
 
-use corkspan_capacity_model::fit::{EstimateError, EstimateSource, FitError, LinearFit};
+use corkspan_capacity_model::fit::{
+    EstimateError, EstimateSource, FitError, LinearFit, Measurement,
+};
 use test_case::test_case;
 
+fn through(points: &[(f64, f64)]) -> Result<LinearFit, FitError> {
+    let measurement = |&(at, value): &(f64, f64)| Measurement { at, value };
+    LinearFit::through(&points.iter().map(measurement).collect::<Vec<_>>())
+}
+
 const PLACES: [f64; 4] = [140.0, 400.0, 1_300.0, 2_600.0];
 
 /// Three rounds, of which one is right, one high and one low by a part.
@@ -16,7 +23,7 @@
 
 #[test]
 fn the_line_that_made_the_points_is_found() {
-    let fit = LinearFit::through(&rounds(|at| 200.0 + 3.0 * at, 0.0)).expect("twelve points");
+    let fit = through(&rounds(|at| 200.0 + 3.0 * at, 0.0)).expect("twelve points");
     assert!(
         (fit.slope - 3.0).abs() < 1e-9 && (fit.intercept - 200.0).abs() < 1e-6,
         "{fit:?}"
@@ -28,7 +35,7 @@
 /// freedom.
 #[test]
 fn residuals_are_those_worked_out_by_hand() {
-    let fit = LinearFit::through(&[(0.0, 0.0), (1.0, 2.0), (2.0, 1.0)]).expect("three places");
+    let fit = through(&[(0.0, 0.0), (1.0, 2.0), (2.0, 1.0)]).expect("three places");
     assert!((fit.slope - 0.5).abs() < 1e-12);
     assert!((fit.residual - 1.5_f64.sqrt()).abs() < 1e-12);
     // Student's quantile for one degree at 97.5% is 12.706.
@@ -42,13 +49,13 @@
 #[test_case(|at| at * at ; "a square")]
 #[test_case(|at| if at > 1_000.0 { at * 5.0 } else { at } ; "a step")]
 #[test_case(|at| 10_000.0 / at ; "a fall that ends")]
-fn a_bend_is_no_line(value: fn(f64) -> f64) {
-    let fit = LinearFit::through(&rounds(value, 0.02)).expect("twelve points");
+fn a_bend_is_not_straight(value: fn(f64) -> f64) {
+    let fit = through(&rounds(value, 0.02)).expect("twelve points");
     assert!(!fit.is_straight);
     assert_eq!(fit.estimate(2_601.0), Err(EstimateError::NotStraight));
-    let told = fit.estimate(1_300.0).expect("it was measured there");
-    assert_eq!(told.source, EstimateSource::Interpolated);
-    assert!((told.value - value(1_300.0)).abs() < 1e-6 * value(1_300.0));
+    let estimate = fit.estimate(1_300.0).expect("it was measured there");
+    assert_eq!(estimate.source, EstimateSource::Interpolated);
+    assert!((estimate.value - value(1_300.0)).abs() < 1e-6 * value(1_300.0));
 }
 
 #[test]
@@ -57,28 +64,24 @@
         8.0, 12.0, 10.0, 11.0, 9.0, 10.5, 10.0, 8.5, 11.5, 9.0, 12.5, 9.5,
     ];
     let points: Vec<(f64, f64)> = (0..12).map(|own| (PLACES[own / 3], noisy[own])).collect();
-    assert!(
-        LinearFit::through(&points)
-            .expect("twelve points")
-            .is_straight
-    );
+    assert!(through(&points).expect("twelve points").is_straight);
 }
 
 #[test_case(5_200.0, true ; "twice as far as was measured")]
 #[test_case(5_201.0, false ; "further")]
-fn a_straight_line_ends_too(at: f64, told: bool) {
-    let fit = LinearFit::through(&rounds(|at| 200.0 + 3.0 * at, 0.01)).expect("twelve points");
+fn a_straight_line_is_extrapolated_to_twice_its_range(at: f64, within: bool) {
+    let fit = through(&rounds(|at| 200.0 + 3.0 * at, 0.01)).expect("twelve points");
     match fit.estimate(at) {
         Ok(value) => {
-            assert!(told && value.source == EstimateSource::Extrapolated && value.error > 0.0)
+            assert!(within && value.source == EstimateSource::Extrapolated && value.error > 0.0)
         }
-        Err(reason) => assert!(!told && reason == EstimateError::TooFar(2_600.0)),
+        Err(reason) => assert!(!within && reason == EstimateError::TooFar(2_600.0)),
     }
 }
 
 #[test_case(&[(1.0, 1.0), (2.0, 2.0), (2.0, 2.1)], FitError::TooFewPlaces(2) ; "two places")]
 #[test_case(&[], FitError::TooFewPlaces(0) ; "nothing")]
 #[test_case(&[(1.0, 1.0), (2.0, f64::NAN), (3.0, 2.0)], FitError::NotFinite ; "no number")]
-fn points_that_make_no_line_are_told(points: &[(f64, f64)], reason: FitError) {
-    assert_eq!(LinearFit::through(points), Err(reason));
+fn points_that_make_no_line_are_refused(points: &[(f64, f64)], reason: FitError) {
+    assert_eq!(through(points), Err(reason));
 }
--- a/crates/capacity-model/tests/results.rs
+++ b/crates/capacity-model/tests/results.rs
@@ -1,4 +1,4 @@
-//! Kept results that don't fit, pages that differ, machines that are too small.
+//! Results that can't be read, pages that differ, machines that are too small.
 
 use corkspan_capacity_model::figures::{self, Outcome};
 use corkspan_capacity_model::page;
@@ -7,7 +7,7 @@
 use test_case::test_case;
 
 /// Bytes grow by 50 a machine; processor time by its square.
-fn kept() -> CapacityResult {
+fn sample() -> CapacityResult {
     let places = vec![140.0, 400.0, 1_300.0, 2_600.0];
     let point = |at: f64, round: u32| Point {
         at,
@@ -46,52 +46,52 @@
     }
 }
 
-fn told(kept: &CapacityResult, figure: &str) -> figures::EvaluatedFigure {
-    let mut all = figures::evaluate(kept);
-    let at = all
+fn evaluated(result: &CapacityResult, name: &str) -> figures::EvaluatedFigure {
+    let mut figures = figures::evaluate(result);
+    let at = figures
         .iter()
-        .position(|told| told.definition.figure == figure)
-        .expect("a row");
-    all.swap_remove(at)
+        .position(|figure| figure.definition.figure == name)
+        .expect("a figure");
+    figures.swap_remove(at)
 }
 
-fn page_of(kept: &CapacityResult) -> String {
-    let names = page::tables(kept)
+fn page_of(result: &CapacityResult) -> String {
+    let names = page::tables(result)
         .into_iter()
-        .map(|(name, _)| format!("<!-- {name} -->\n<!-- end -->\n"));
+        .map(|table| format!("<!-- {} -->\n<!-- end -->\n", table.name));
     let empty: String = std::iter::once("# Page\n\n".to_string())
         .chain(names)
         .collect();
-    page::fill(&empty, kept).expect("each table has its place")
+    page::fill(&empty, result).expect("each table has its place")
 }
 
 #[test]
-fn a_line_is_told_at_the_size_against_its_limit() {
-    let told = told(&kept(), "told, bytes/s");
-    let Outcome::Estimated { value, .. } = &told.outcome else {
-        panic!("{:?}", told.outcome)
+fn a_line_is_evaluated_at_the_size_against_its_limit() {
+    let figure = evaluated(&sample(), "told, bytes/s");
+    let Outcome::Estimated { value, .. } = &figure.outcome else {
+        panic!("{:?}", figure.outcome)
     };
     assert!((value.value - 65_601.0).abs() < 1e-6 && value.error > 0.0);
-    assert!((told.factor().expect("a limit") - 6.5601).abs() < 1e-6);
+    assert!((figure.factor().expect("a limit") - 6.5601).abs() < 1e-6);
 }
 
 #[test]
 fn the_largest_factor_comes_first_and_what_is_not_measured_last() {
-    let list = figures::by_factor(figures::evaluate(&kept()));
+    let list = figures::by_factor(figures::evaluate(&sample()));
     assert_eq!(list[0].definition.figure, "told, core %");
     assert_eq!(list[1].definition.figure, "told, bytes/s");
     assert!(
         list[2..]
             .iter()
-            .all(|told| told.outcome == Outcome::Unavailable("not measured".into()))
+            .all(|figure| figure.outcome == Outcome::Unavailable("not measured".into()))
     );
     assert!(!list[2..].is_empty());
 }
 
 #[test]
-fn a_place_without_a_sound_point_makes_the_run_partial() {
-    let mut kept = kept();
-    for point in kept.runs[0]
+fn a_place_without_a_valid_point_makes_the_run_partial() {
+    let mut result = sample();
+    for point in result.runs[0]
         .points
         .iter_mut()
         .filter(|point| point.at == 400.0)
@@ -99,29 +99,29 @@
         point.invalid = Some("stolen".into());
     }
     assert_eq!(
-        told(&kept, "told, bytes/s").outcome,
+        evaluated(&result, "told, bytes/s").outcome,
         Outcome::Unavailable("partial: nothing sound at 400".into())
     );
-    let runs = page::tables(&kept).pop().expect("tables").1;
+    let runs = page::tables(&result).pop().expect("tables").markdown;
     assert!(runs.contains("3 of 12, **partial**"), "{runs}");
 }
 
 #[test]
-fn a_spoilt_point_counts_for_nothing() {
-    let mut kept = kept();
-    let point = &mut kept.runs[0].points[2];
+fn an_invalid_point_counts_for_nothing() {
+    let mut result = sample();
+    let point = &mut result.runs[0].points[2];
     point.invalid = Some("the generator was late".into());
     point.figures.insert("told, bytes/s".into(), 1e9);
-    let Outcome::Estimated { value, .. } = told(&kept, "told, bytes/s").outcome else {
-        panic!("it is told")
+    let Outcome::Estimated { value, .. } = evaluated(&result, "told, bytes/s").outcome else {
+        panic!("there is a value")
     };
     assert!((value.value - 65_601.0).abs() < 1.0);
 }
 
 #[test]
-fn what_is_kept_is_read_again() {
-    let kept = kept();
-    assert_eq!(CapacityResult::read(&kept.to_json()), Ok(kept));
+fn a_written_result_is_read_to_the_same_content() {
+    let result = sample();
+    assert_eq!(CapacityResult::read(&result.to_json()), Ok(result));
 }
 
 #[test_case("\"at\":1300.0", "\"at\":-4", "is no place" ; "a place below zero")]
@@ -130,67 +130,72 @@
 #[test_case("\"figures\":{", "\"figures\":{\"x\":null,", "invalid type" ; "no number")]
 #[test_case("\"machines\"", "\"machine\"", "unknown variant `machine`" ; "an axis that is none")]
 #[test_case("\"waiting\":300.0", "\"waiting\":0", "not above 0" ; "a size of nothing")]
-fn a_spoilt_file_is_told_with_its_line(sound: &str, invalid: &str, reason: &str) {
-    let text = kept().to_json();
+fn an_invalid_file_is_reported_with_its_line(valid: &str, invalid: &str, reason: &str) {
+    let text = sample().to_json();
     // Of the size's own fields the first is met, of points the last.
-    let at = match sound {
+    let at = match valid {
         "\"machines\"" => text.find("\"axis\": \"machines\"").expect("stands") + 8,
-        _ => text.rfind(sound).expect("it stands there"),
+        _ => text.rfind(valid).expect("it stands there"),
     };
     let line = text[..at].lines().count();
-    let text = format!("{}{invalid}{}", &text[..at], &text[at + sound.len()..]);
-    let told = CapacityResult::read(&text).expect_err("it is spoilt");
-    assert!(told.reason.contains(reason), "{told}");
-    assert_eq!(told.line, line, "{told}");
+    let text = format!("{}{invalid}{}", &text[..at], &text[at + valid.len()..]);
+    let error = CapacityResult::read(&text).expect_err("it is invalid");
+    assert!(error.reason.contains(reason), "{error}");
+    assert_eq!(error.line, line, "{error}");
 }
 
 #[test]
-fn a_file_that_ends_early_is_told_with_its_line() {
-    let text = kept().to_json();
-    let told = CapacityResult::read(&text[..text.len() / 2]).expect_err("half of it");
-    assert_eq!(told.line, text[..text.len() / 2].lines().count(), "{told}");
+fn a_file_that_is_cut_short_is_reported_with_its_line() {
+    let text = sample().to_json();
+    let error = CapacityResult::read(&text[..text.len() / 2]).expect_err("half of it");
+    assert_eq!(
+        error.line,
+        text[..text.len() / 2].lines().count(),
+        "{error}"
+    );
 }
 
 #[test]
-fn a_run_that_stands_twice_is_told() {
-    let mut kept = kept();
-    kept.runs.push(kept.runs[0].clone());
-    let told = CapacityResult::read(&kept.to_json()).expect_err("twice");
+fn a_second_run_of_a_series_is_reported() {
+    let mut result = sample();
+    result.runs.push(result.runs[0].clone());
+    let error = CapacityResult::read(&result.to_json()).expect_err("twice");
     assert!(
-        told.line > 15 && told.reason.contains("machines / control"),
-        "{told}"
+        error.line > 15 && error.reason.contains("machines / control"),
+        "{error}"
     );
 }
 
 #[test]
 fn a_page_that_was_filled_is_as_the_result_has_it() {
-    let kept = kept();
-    assert_eq!(page::check(&page_of(&kept), &kept), Ok(()));
+    let result = sample();
+    assert_eq!(page::check(&page_of(&result), &result), Ok(()));
 }
 
 #[test]
-fn a_planted_difference_is_told_with_its_line() {
-    let kept = kept();
-    let page = page_of(&kept);
+fn a_planted_difference_is_reported_with_its_line() {
+    let result = sample();
+    let page = page_of(&result);
     let line = page
         .lines()
         .position(|line| line.contains("65,601"))
-        .expect("it is told");
-    let told = page::check(&page.replacen("65,601", "65,600", 1), &kept).expect_err("it differs");
-    assert_eq!(told.line, line + 1);
+        .expect("it is on the page");
+    let error =
+        page::check(&page.replacen("65,601", "65,600", 1), &result).expect_err("it differs");
+    assert_eq!(error.line, line + 1);
     assert!(
-        told.reason.contains("65,600") && told.reason.contains("65,601"),
-        "{told}"
+        error.reason.contains("65,600") && error.reason.contains("65,601"),
+        "{error}"
     );
 }
 
 #[test_case("<!-- runs -->", "", "no table `runs`" ; "a table is missing")]
 #[test_case("<!-- missing -->", "<!-- runs -->", "a second table `runs`" ; "a table stands twice")]
-fn a_page_without_its_tables_is_told(has: &str, instead: &str, reason: &str) {
-    let kept = kept();
-    let told =
-        page::check(&page_of(&kept).replacen(has, instead, 1), &kept).expect_err("it does not fit");
-    assert!(told.reason.contains(reason), "{told}");
+fn a_page_without_its_tables_is_refused(has: &str, instead: &str, reason: &str) {
+    let result = sample();
+    let error = page::check(&page_of(&result).replacen(has, instead, 1), &result)
+        .expect_err("it does not fit");
+    assert!(error.reason.contains(reason), "{error}");
 }
 
 const SMALL: MachineResources = MachineResources {
@@ -204,12 +209,20 @@
 #[test_case(1, 2_600, 0, &["descriptors"] ; "too many machines")]
 #[test_case(1, 140, 60_000, &["MiB of memory"] ; "too many tasks")]
 #[test_case(u64::MAX, 140, 0, &["MiB of memory", "processes", "descriptors"] ; "more than there are numbers")]
-fn what_is_short_is_told_at_once(dispatchers: u64, machines: u64, tasks: u64, short: &[&str]) {
+fn all_that_is_short_is_reported_at_once(
+    dispatchers: u64,
+    machines: u64,
+    tasks: u64,
+    short: &[&str],
+) {
     match check(required_for(dispatchers, machines, tasks), SMALL) {
         Ok(()) => assert!(short.is_empty()),
-        Err(reason) => assert!(
-            !short.is_empty() && short.iter().all(|one| reason.contains(one)),
-            "{reason}"
-        ),
+        Err(error) => {
+            let resources: Vec<&str> = error.0.iter().map(|own| own.resource).collect();
+            assert!(!short.is_empty());
+            assert_eq!(resources, short);
+            let text = error.to_string();
+            assert!(short.iter().all(|one| text.contains(one)), "{text}");
+        }
     }
 }
--- a/crates/capacity-model/tests/stored.rs
+++ b/crates/capacity-model/tests/stored.rs
@@ -1,7 +1,7 @@
 //! The kept result and what is computed from it, held against files of an earlier program: the
 //! result and its page as they stand in docs/, refusals of spoilt results, and fits of seeded points.
 
-use corkspan_capacity_model::fit::{EstimateSource, LinearFit};
+use corkspan_capacity_model::fit::{EstimateSource, LinearFit, Measurement};
 use corkspan_capacity_model::page;
 use corkspan_capacity_model::requirements::{MachineResources, check, required_for};
 use corkspan_capacity_model::result::{CapacityResult, FleetSize, PLANNED_SIZE};
@@ -111,7 +111,7 @@
     (*state >> 11) as f64 / (1u64 << 53) as f64
 }
 
-fn points(state: &mut u64, shape: u32) -> Vec<(f64, f64)> {
+fn points(state: &mut u64, shape: u32) -> Vec<Measurement> {
     let noise = [0.0, 0.02, 0.2, 1.0][(fraction(state) * 4.0) as usize];
     let rounds = 1 + (fraction(state) * 3.0) as u32;
     let places = 2 + (fraction(state) * 5.0) as u32;
@@ -124,7 +124,10 @@
     (0..places * rounds)
         .map(|own| {
             let at = f64::from(own % places) * 40.0;
-            (at, value(at) * (1.0 + noise * (fraction(state) - 0.5)))
+            Measurement {
+                at,
+                value: value(at) * (1.0 + noise * (fraction(state) - 0.5)),
+            }
         })
         .collect()
 }
@@ -155,7 +158,7 @@
             error(fit.slope_error),
             error(fit.residual),
             fit.is_straight,
-            fit.range
+            (fit.range.start(), fit.range.end())
         );
         for at in [-1.0, 0.0, 55.0, 300.0, 1e4] {
             let text = match fit.estimate(at) {
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -409,8 +409,8 @@
         all.insert(run);
         Ok(())
     })?;
-    for (_, table) in corkspan_capacity_model::page::tables(&all) {
-        println!("{table}");
+    for table in corkspan_capacity_model::page::tables(&all) {
+        println!("{}", table.markdown);
     }
     Ok(())
 }
@@ -432,7 +432,7 @@
     } else {
         page::tables(&kept)
             .iter()
-            .for_each(|(_, table)| println!("{table}"));
+            .for_each(|table| println!("{}", table.markdown));
     }
     Ok(())
 }
