--- a/crates/capacity-model/src/size.rs
+++ b/crates/capacity-model/src/size.rs
@@ -54,7 +54,8 @@
     in_force_s: f64,
     dispatchers: f64,
     waiting: f64,
-    room_told_a_second: f64,
+    #[serde(rename = "room_told_a_second")]
+    capacity_reports_a_second: f64,
 }
 
 /// A figure of a size is out of bounds.
@@ -82,7 +83,7 @@
             in_force_s: read.in_force_s,
             dispatchers: read.dispatchers,
             waiting: read.waiting,
-            capacity_reports_a_second: read.room_told_a_second,
+            capacity_reports_a_second: read.capacity_reports_a_second,
         };
         let is_out_of_bounds = |value: f64| !(value > 0.0 && value <= MAX_FIGURE);
         match size
--- a/crates/version-fencing/src/lib.rs
+++ b/crates/version-fencing/src/lib.rs
@@ -19,7 +19,7 @@
 //! | [`operations`], [`history`] | what nodes and dispatchers record |
 //! | [`audit`] | what is wrong in a fleet, by those records |
 
-#![warn(missing_docs)]
+#![warn(missing_docs, clippy::too_many_lines)]
 
 pub mod audit;
 pub mod catch_up;
