--- a/crates/platform/src/core/attempts.rs
+++ b/crates/platform/src/core/attempts.rs
@@ -97,7 +97,7 @@
         engine.returned(now, id, number, ending, None, false, None, self);
         // The connection may be one that is open and will stay silent for good.
         if let Some(connection) = active.connection {
-            self.connections.retire(connection);
+            self.connections.drain(connection);
         }
     }
 
--- a/crates/platform/src/core/inputs.rs
+++ b/crates/platform/src/core/inputs.rs
@@ -59,7 +59,7 @@
                             connection,
                         }) = state.health_checks.remove(&check)
                         {
-                            state.connections.retire(connection);
+                            state.connections.drain(connection);
                             engine.probed(now, machine, AttemptResult::TimedOut, None);
                         }
                     }
@@ -206,7 +206,7 @@
                 let classes = settings.classes.iter().map(|class| &class.name);
                 let all = classes.chain(settings.tenants.iter().map(|tenant| &tenant.name));
                 all.chain(&settings.zones)
-                    .chain(&settings.skus)
+                    .chain(&settings.machine_types)
                     .cloned()
                     .collect()
             };
--- a/crates/platform/src/node_connections.rs
+++ b/crates/platform/src/node_connections.rs
@@ -17,7 +17,7 @@
     pub to: MessageSender,
     up: bool,
     /// No further set-up is sent on it.
-    retired: bool,
+    draining: bool,
     pub open_attempts: BTreeSet<AllocationId>,
     last_used_at: Ticks,
 }
@@ -69,11 +69,11 @@
     pub fn of(&self, machine: MachineId) -> Vec<ConnectionId> {
         let connections = self.by_machine.get(&machine).into_iter().flatten().copied();
         connections
-            .filter(|connection| !self.connections[connection].retired)
+            .filter(|connection| !self.connections[connection].draining)
             .collect()
     }
 
-    /// All connections to a machine, the retired ones among them.
+    /// All connections to a machine, the draining ones among them.
     pub fn all_to(&self, machine: MachineId) -> Vec<ConnectionId> {
         self.by_machine
             .get(&machine)
@@ -100,7 +100,7 @@
                 machine,
                 to,
                 up: false,
-                retired: false,
+                draining: false,
                 open_attempts: open,
                 last_used_at: now,
             },
@@ -241,7 +241,7 @@
     pub fn is_established(&self, id: ConnectionId) -> bool {
         self.connections
             .get(&id)
-            .is_some_and(|connection| connection.up && !connection.retired)
+            .is_some_and(|connection| connection.up && !connection.draining)
     }
 
     /// Records that a message has arrived. The machine at the other end; none where the connection
@@ -280,9 +280,9 @@
     }
 
     /// No further set-up is sent on the connection: it is closed once no attempt is open on it.
-    pub fn retire(&mut self, id: ConnectionId) {
+    pub fn drain(&mut self, id: ConnectionId) {
         if let Some(connection) = self.connections.get_mut(&id) {
-            connection.retired = true;
+            connection.draining = true;
             if connection.open_attempts.is_empty() {
                 self.close(id);
             }
@@ -319,7 +319,7 @@
     pub fn close_idle(&mut self, now: Ticks, nodes: &Nodes) {
         let idle = |connection: &NodeConnection| {
             connection.open_attempts.is_empty()
-                && (connection.retired || connection.last_used_at + self.idle_timeout <= now)
+                && (connection.draining || connection.last_used_at + self.idle_timeout <= now)
         };
         let ids: Vec<(ConnectionId, MachineId)> = self
             .connections
@@ -328,7 +328,7 @@
             .map(|(&id, connection)| (id, connection.machine))
             .collect();
         for (id, machine) in ids {
-            if self.connections[&id].retired
+            if self.connections[&id].draining
                 || !nodes.has_tasks(machine)
                 || self.of(machine).len() > 1
             {
--- a/crates/platform/src/nodes.rs
+++ b/crates/platform/src/nodes.rs
@@ -211,7 +211,7 @@
             machine: id,
             machine_type: MachineTypeId(
                 settings
-                    .skus
+                    .machine_types
                     .iter()
                     .position(|kind| *kind == member.machine_type)?,
             ),
--- a/crates/settings/src/class.rs
+++ b/crates/settings/src/class.rs
@@ -11,14 +11,14 @@
         let retry_safety = self.retry_safety(index)?;
         let spread = self.spread(index)?;
         let kind = *family
-            .needs_kind
+            .required_machine_type
             .get(index)
             .ok_or_else(|| missing("needs-kind"))?;
         Ok(ServiceClass {
             retry_safety,
-            latency_objective: ticks_from_us(class.on_time_us),
+            latency_objective: ticks_from_us(class.latency_objective_us),
             target_utilization: *family
-                .class_calm
+                .target_utilization
                 .get(index)
                 .ok_or_else(|| missing("class-calm"))?,
             priority: *family
@@ -36,7 +36,7 @@
         let scope = match class.effect.as_str() {
             "pure" => return Ok(RetrySafety::Idempotent),
             "side_effect" => return Ok(RetrySafety::NotRetryable),
-            "token" => match class.dedup_scope.as_deref() {
+            "token" => match class.deduplication_scope.as_deref() {
                 Some("all") => None,
                 Some("zone") => Some(Domain::Zone),
                 Some("cell") => Some(Domain::Cell),
@@ -54,10 +54,12 @@
                 });
             }
         };
-        let span = class.memory_span_us.ok_or(SettingsError::Missing {
-            key: "memory-span-us",
-            class: index,
-        })?;
+        let span = class
+            .deduplication_window_us
+            .ok_or(SettingsError::Missing {
+                key: "memory-span-us",
+                class: index,
+            })?;
         Ok(RetrySafety::Deduplicated {
             scope,
             window: ticks_from_us(span),
@@ -69,11 +71,11 @@
         let missing = |key| SettingsError::Missing { key, class: index };
         let family = &self.family_info;
         let max_in_place = *family
-            .class_most
+            .max_per_domain
             .get(index)
             .ok_or_else(|| missing("class-most"))?;
         let spread_by = family
-            .spread_by
+            .spread_domain
             .get(index)
             .ok_or_else(|| missing("spread-by"))?;
         let place = match spread_by.as_str() {
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,5 +1,5 @@
 //! The platform's settings, as a dispatcher is handed them at its start, and what the scheduler is
-//! handed of them. Fields are named by the keys of the settings; durations are microseconds.
+//! handed of them. Durations are microseconds.
 
 #![warn(missing_docs, clippy::too_many_lines)]
 
@@ -22,15 +22,22 @@
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Settings {
-    fleet_size: usize,
-    me: usize,
-    locality: usize,
+    /// How many dispatchers share the nodes.
+    #[serde(rename = "fleet-size")]
+    scheduler_count: usize,
+    /// The number of this dispatcher, from 0.
+    #[serde(rename = "me")]
+    scheduler_index: usize,
+    /// The index of the dispatcher's zone.
+    #[serde(rename = "locality")]
+    zone: usize,
     /// The service classes.
     pub classes: Vec<Class>,
     /// The names of the zones.
     pub zones: Vec<String>,
     /// The names of the machine types.
-    pub skus: Vec<String>,
+    #[serde(rename = "skus")]
+    pub machine_types: Vec<String>,
     /// The tenants.
     #[serde(default)]
     pub tenants: Vec<TenantSettings>,
@@ -50,11 +57,17 @@
     #[serde(default)]
     pub name: String,
     effect: String,
-    dedup_scope: Option<String>,
-    on_time_us: u64,
+    /// Where repeats with one key are dropped.
+    #[serde(rename = "dedup-scope")]
+    deduplication_scope: Option<String>,
+    /// Answers are on time within this.
+    #[serde(rename = "on-time-us")]
+    latency_objective_us: u64,
     /// How long its clients wait for an answer.
     deadline_us: Option<u64>,
-    memory_span_us: Option<u64>,
+    /// How long keys are remembered.
+    #[serde(rename = "memory-span-us")]
+    deduplication_window_us: Option<u64>,
 }
 
 /// A tenant.
@@ -70,22 +83,46 @@
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
 struct Family {
-    admit_cores: f64,
-    accepts_memory: f64,
-    #[serde(default)]
-    makes_room: bool,
-    ack: String,
-    class_calm: Vec<f64>,
-    needs_kind: Vec<i64>,
-    class_most: Vec<usize>,
+    /// Machines accept until the requested cores reach this multiple of theirs.
+    #[serde(rename = "admit-cores")]
+    admission_limit_cores: f64,
+    /// The same for memory.
+    #[serde(rename = "accepts-memory")]
+    admission_limit_memory: f64,
+    /// Machines evict lower priorities where a task would not fit.
+    #[serde(rename = "makes-room", default)]
+    preempts: bool,
+    /// Whether an answer means accepted or running.
+    #[serde(rename = "ack")]
+    placed_when: String,
+    /// By class: served in full while the cores are busy up to this share.
+    #[serde(rename = "class-calm")]
+    target_utilization: Vec<f64>,
+    /// By class: the index of a machine type, negative for any.
+    #[serde(rename = "needs-kind")]
+    required_machine_type: Vec<i64>,
+    /// By class: the maximum of a service's tasks in one domain.
+    #[serde(rename = "class-most")]
+    max_per_domain: Vec<usize>,
     priority_by_class: Vec<u8>,
-    spread_by: Vec<String>,
-    young_limit: f64,
-    kind_cores: Vec<f64>,
-    kind_memory: Vec<f64>,
-    #[serde(default)]
-    share_cores: Vec<f64>,
-    view: bool,
+    /// By class: the domain over which a service's tasks are spread.
+    #[serde(rename = "spread-by")]
+    spread_domain: Vec<String>,
+    /// Offers that a node that is warming up bears within a window.
+    #[serde(rename = "young-limit")]
+    slow_start_limit: f64,
+    /// By machine type.
+    #[serde(rename = "kind-cores")]
+    machine_type_cores: Vec<f64>,
+    /// By machine type.
+    #[serde(rename = "kind-memory")]
+    machine_type_memory: Vec<f64>,
+    /// By tenant: cores requested at a time that are within its quota.
+    #[serde(rename = "share-cores", default)]
+    quota_cores: Vec<f64>,
+    /// The list of nodes reports capacity that nobody has requested.
+    #[serde(rename = "view")]
+    list_reports_capacity: bool,
 }
 
 /// Limits of connections and attempts.
@@ -93,7 +130,9 @@
 #[serde(rename_all = "kebab-case")]
 pub struct Limits {
     max_attempts: usize,
-    probes: bool,
+    /// Whether nodes may be sent health checks.
+    #[serde(rename = "probes")]
+    health_checks: bool,
     /// How long a connection may be without traffic before the other side closes it; none where
     /// there is no such limit.
     pub idle_close_us: Option<u64>,
@@ -104,17 +143,23 @@
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
 struct Rules {
-    #[serde(default)]
-    ask_every_us: u64,
-    cold_us: u64,
-    fall_us: u64,
+    /// How often the list of nodes is polled.
+    #[serde(rename = "ask-every-us", default)]
+    list_poll_interval_us: u64,
+    /// How long a node is warming up.
+    #[serde(rename = "cold-us")]
+    slow_start_us: u64,
+    /// The window of the slow start's limit.
+    #[serde(rename = "fall-us")]
+    slow_start_window_us: u64,
 }
 
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
 struct Penalties {
-    #[serde(default)]
-    cross_zone: f64,
+    /// Part of the result that running in another zone costs.
+    #[serde(rename = "cross-zone", default)]
+    cross_zone_cost: f64,
 }
 
 /// Microseconds as whole ticks of 0.1 ms, rounded down.
@@ -130,41 +175,42 @@
     /// Values that contradict each other or are not known.
     pub fn cluster(&self) -> Result<Cluster, SettingsError> {
         let family = &self.family_info;
-        if family.kind_cores.len() != self.skus.len() || family.kind_memory.len() != self.skus.len()
+        if family.machine_type_cores.len() != self.machine_types.len()
+            || family.machine_type_memory.len() != self.machine_types.len()
         {
             return Err(SettingsError::MachineTypeSizes);
         }
-        if self.locality >= self.zones.len() {
+        if self.zone >= self.zones.len() {
             return Err(SettingsError::Locality);
         }
         Ok(Cluster {
-            zone: ZoneId(self.locality),
-            scheduler_index: self.me,
-            scheduler_count: self.fleet_size,
+            zone: ZoneId(self.zone),
+            scheduler_index: self.scheduler_index,
+            scheduler_count: self.scheduler_count,
             machine_types: self.machine_sizes().collect(),
             service_classes: (0..self.classes.len())
                 .map(|index| self.service_class(index))
                 .collect::<Result<_, _>>()?,
             tenants: (0..self.tenants.len())
                 .map(|index| Tenant {
-                    quota_cores: family.share_cores.get(index).copied(),
+                    quota_cores: family.quota_cores.get(index).copied(),
                 })
                 .collect(),
             admission_limit: self.accept_factor(),
-            preempts: family.makes_room,
+            preempts: family.preempts,
             max_attempts: self.limits.max_attempts,
-            placed_means_running: family.ack == "running",
-            list_reports_capacity: family.view,
-            health_checks: self.limits.probes,
+            placed_means_running: family.placed_when == "running",
+            list_reports_capacity: family.list_reports_capacity,
+            health_checks: self.limits.health_checks,
             list_poll_interval: (self.discovery == "on_request")
-                .then(|| ticks_from_us(self.rules.ask_every_us)),
+                .then(|| ticks_from_us(self.rules.list_poll_interval_us)),
             slow_start: SlowStart {
-                duration: ticks_from_us(self.rules.cold_us),
-                window: ticks_from_us(self.rules.fall_us),
-                max_offers: family.young_limit,
+                duration: ticks_from_us(self.rules.slow_start_us),
+                window: ticks_from_us(self.rules.slow_start_window_us),
+                max_offers: family.slow_start_limit,
             },
             connect_timeout: self.connect_timeout(),
-            cross_zone_cost: self.penalties.cross_zone,
+            cross_zone_cost: self.penalties.cross_zone_cost,
             reports_losses: true,
         })
     }
@@ -208,15 +254,15 @@
 
     fn machine_sizes(&self) -> impl Iterator<Item = Resources> {
         let family = &self.family_info;
-        std::iter::zip(&family.kind_cores, &family.kind_memory)
+        std::iter::zip(&family.machine_type_cores, &family.machine_type_memory)
             .map(|(&cores, &memory)| Resources { cores, memory })
     }
 
     /// Machines accept until what is requested reaches this multiple of their size.
     fn accept_factor(&self) -> Resources {
         Resources {
-            cores: self.family_info.admit_cores,
-            memory: self.family_info.accepts_memory,
+            cores: self.family_info.admission_limit_cores,
+            memory: self.family_info.admission_limit_memory,
         }
     }
 }
--- a/crates/settings/tests/recorded.rs
+++ b/crates/settings/tests/recorded.rs
@@ -101,7 +101,7 @@
         "zones {:?}\nskus {:?}\ntenants {tenants:?}\nidle-close-us {:?}\nconnect-timeout-us {:?}\n\
          opens-within {}\nlongest-deadline {:?}\nlargest {:?}",
         settings.zones,
-        settings.skus,
+        settings.machine_types,
         settings.limits.idle_close_us,
         settings.limits.connect_timeout_us,
         settings.connect_timeout(),
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -217,7 +217,7 @@
         };
         let entries = &pools[message.index("page", None, pools.len())?];
         for entry in entries {
-            if entry.machine_type.0 >= self.settings.skus.len()
+            if entry.machine_type.0 >= self.settings.machine_types.len()
                 || entry.zone.0 >= self.settings.zones.len()
             {
                 return Err(message.wrong(format!(
