--- a/crates/platform-wire/src/node_config.rs
+++ b/crates/platform-wire/src/node_config.rs
@@ -1,4 +1,4 @@
-//! The file that `NODE_CONFIG` names: it tells a dispatcher its part in the platform, at its start
+//! The file that `NODE_CONFIG` names: it describes a dispatcher's part in the platform, at its start
 //! and again while it runs.
 
 use crate::MAX_QUOTED_CHARACTERS;
--- a/crates/platform/src/core/engine_effects.rs
+++ b/crates/platform/src/core/engine_effects.rs
@@ -57,14 +57,14 @@
 
     fn shed(&mut self, pending: &mut PendingTask, allocation: &Allocation) {
         if self.settle(pending, allocation.id, TaskStage::Ended) {
-            debug!(task = task_key(pending.task), shots = ?allocation.attempts, "shed");
+            debug!(task = task_key(pending.task), attempts = ?allocation.attempts, "shed");
             self.release(pending.client, pending.task, client::CAUSE_REJECTED);
         }
     }
 
     fn scrap(&mut self, pending: &mut PendingTask, allocation: &Allocation) {
         if self.settle(pending, allocation.id, TaskStage::Ended) {
-            debug!(task = task_key(pending.task), shots = ?allocation.attempts, "scrapped");
+            debug!(task = task_key(pending.task), attempts = ?allocation.attempts, "scrapped");
             self.release(pending.client, pending.task, client::CAUSE_FAILED);
         }
     }
--- a/crates/platform/src/core/inputs.rs
+++ b/crates/platform/src/core/inputs.rs
@@ -16,7 +16,7 @@
         });
     }
 
-    /// Starts what follows from that, before the first event.
+    /// Starts what follows from the initial state.
     pub fn start(&mut self, now: Ticks) {
         self.with(now, |_, _| ());
     }
@@ -264,8 +264,8 @@
     pub fn apply_known_events(&mut self, now: Ticks, known: DiscoveryState) {
         self.with(now, |engine, state| {
             for event in known.events {
-                let whole = event.list.as_ref().is_some_and(|members| members.complete);
-                if whole || event.number == state.last_event + 1 {
+                let complete = event.list.as_ref().is_some_and(|list| list.complete);
+                if complete || event.number == state.last_event + 1 {
                     state.apply_event(now, engine, event);
                 }
             }
--- a/crates/platform/src/core/node_messages.rs
+++ b/crates/platform/src/core/node_messages.rs
@@ -104,7 +104,7 @@
         };
         let matched = self.matched_attempt(engine, origin, &message);
         if matched.as_ref().is_some_and(|matched| matched.earlier) {
-            debug!(task = task_key(task), ?machine, ?message.message_type, "told of an earlier attempt");
+            debug!(task = task_key(task), ?machine, ?message.message_type, "a message about an earlier attempt");
             return true;
         }
         self.handle_for_task(now, engine, origin, matched, message)
@@ -255,7 +255,7 @@
             let result = end.of_running_task();
             self.task_ended(now, engine, id, result, reason, load);
             if end.is_rejection() {
-                // A rejection after an answer: the client has been told that the task has ended, so
+                // A rejection after an answer: the client has been notified that the task has ended, so
                 // it must end.
                 self.send_close(origin.connection, task);
             }
--- a/crates/platform/src/core/set_ups.rs
+++ b/crates/platform/src/core/set_ups.rs
@@ -50,7 +50,7 @@
             Ok((set_up, request))
         }) {
             Ok(read) => read,
-            // The answer could not be told from that of the open set-up under the same id.
+            // The answer could not be distinguished from that of the open set-up under the same id.
             Err(_) if is_open_here => return MessageVerdict::Violation,
             Err(error) => {
                 debug!(%error, "a set-up that can't be used");
--- a/crates/platform/src/handle.rs
+++ b/crates/platform/src/handle.rs
@@ -15,7 +15,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, Weak};
 use std::time::Duration;
 
-/// How long the scheduler are asked for those that wait before the connections are read again.
+/// How long waiting set-ups are placed before the connections are read again.
 const TURN_LENGTH: Ticks = 20;
 
 /// The core, shared by all tasks.
@@ -28,7 +28,8 @@
 }
 
 impl PlatformHandle {
-    /// `effects` is what the core asks of the outside, which may call back here.
+    /// A core with its clock. `effects` may call back here, but not before the call that caused it
+    /// has returned.
     pub fn new(
         options: CoreOptions,
         clock: Clock,
@@ -57,7 +58,7 @@
         self.clock.now()
     }
 
-    /// For calls that need no time.
+    /// The core, for calls that need no time.
     pub fn lock(&self) -> MutexGuard<'_, PlatformCore> {
         // A panic under the lock would leave the bookkeeping in doubt: go down with it rather than guess.
         self.core
@@ -65,36 +66,38 @@
             .expect("no call has panicked under the lock")
     }
 
-    /// Calls in with the time, which is taken under the lock: it never goes back between two calls.
+    /// Calls the core with the time, which is taken under the lock: it never goes back between two
+    /// calls.
     pub fn enter<R>(&self, call: impl FnOnce(&mut PlatformCore, Ticks) -> R) -> R {
         let mut core = self.lock();
         let now = self.now();
         call(&mut core, now)
     }
 
-    /// Sets going what is to be done from the start on.
+    /// Starts what follows from the initial state.
     pub fn start(&self) {
         self.enter(|core, now| core.start(now))
     }
 
-    /// Asks the scheduler for those that wait, for a moment. True where some still do: between two
-    /// turns all connections are read, so that what nodes and clients say waits for one turn and
-    /// not for all set-ups.
+    /// Places waiting set-ups while there is time. True where some still wait: between two turns
+    /// all connections are read, so that messages of nodes and clients wait for one turn and not
+    /// for all set-ups.
     pub fn run_turn(&self) -> bool {
         self.enter(|core, now| core.run_turn(now, || self.now() < now + TURN_LENGTH))
     }
 
-    /// The timer went off.
+    /// The timer has fired.
     pub fn timer_fired(&self) {
         self.enter(|core, now| core.timer_fired(now))
     }
 
-    /// A client has connected. None where there are as many as may be and each has a set-up open.
+    /// A client has connected. None where the maximum is reached and each connection has a set-up
+    /// open.
     pub fn client_connected(&self) -> Option<(ClientId, MessageQueue)> {
         self.enter(|core, now| core.client_connected(now))
     }
 
-    /// Descriptors have run out.
+    /// Descriptors have run out: closes the least useful client's connection.
     pub fn evict_client(&self) {
         self.enter(|core, now| core.evict_client(now))
     }
@@ -104,7 +107,7 @@
         self.enter(|core, now| core.client_disconnected(now, id))
     }
 
-    /// Its connection can be read from here on.
+    /// A client's connection can be read from here on.
     pub fn attach_client_input(&self, id: ClientId, input: ConnectionInput) {
         self.lock().attach_client_input(id, input);
     }
@@ -120,9 +123,9 @@
         self.enter(|core, now| core.handle_client_message(now, id, message))
     }
 
-    /// Ends of running tasks that their client's connection could not take any longer.
-    pub fn redeliver(&self, message: Vec<Vec<u8>>) {
-        self.enter(|core, now| core.redeliver(now, message))
+    /// Ends of running tasks that were not delivered on their client's connection.
+    pub fn redeliver(&self, messages: Vec<Vec<u8>>) {
+        self.enter(|core, now| core.redeliver(now, messages))
     }
 
     /// A connection to a node is established.
@@ -130,7 +133,7 @@
         self.enter(|core, now| core.connection_established(now, id))
     }
 
-    /// The first byte of a set-up is about to be written. False where that must not be any more.
+    /// The first byte of a set-up is about to be written. False where it must not be any more.
     pub fn may_write_set_up(&self, connection: ConnectionId, attempt: AttemptId) -> bool {
         self.enter(|core, now| core.may_write_set_up(now, connection, attempt))
     }
@@ -140,7 +143,7 @@
         self.enter(|core, now| core.connection_ended(now, id, end))
     }
 
-    /// A message of a node. False where its connection is of no more use.
+    /// Handles a message of a node. False where its connection is to be closed.
     pub fn handle_node_message(&self, connection: ConnectionId, message: node::Message) -> bool {
         self.enter(|core, now| core.handle_node_message(now, connection, message))
     }
@@ -150,7 +153,7 @@
         self.lock().last_event()
     }
 
-    /// Discovery has taken our call.
+    /// The connection to the control feed is established.
     pub fn discovery_connected(&self) {
         self.enter(|core, now| core.discovery_connected(now))
     }
@@ -165,17 +168,18 @@
         self.enter(|core, now| core.list_failed(now))
     }
 
-    /// The file has been replaced: other settings may be in force from here on.
+    /// The configuration file has been replaced: applies its settings. An error where they differ
+    /// in what can't be changed while it runs.
     pub fn reconfigure(&self, config: NodeConfig) -> Result<(), ReconfigureError> {
         self.enter(|core, now| core.reconfigure(now, config))
     }
 
-    /// Closes what is silent, idle or of no more use, and opens what is missing.
+    /// Closes connections that are silent or idle, and opens missing ones.
     pub fn sweep(&self) {
         self.enter(|core, now| core.sweep(now))
     }
 
-    /// How much is kept of all that was ever met.
+    /// How many items are retained, for tests of bounds and the log.
     pub fn retained_items(&self) -> usize {
         self.lock().retained_items()
     }
@@ -185,25 +189,25 @@
         self.lock().unanswered()
     }
 
-    /// Each one that is due an answer gets it as soon as its attempt out has returned; what comes
-    /// from here on is refused at once.
+    /// Shutdown: each set-up is answered as soon as its attempt has returned; new ones are rejected
+    /// at once.
     pub fn stop(&self) {
         self.enter(|core, now| core.stop(now))
     }
 
-    /// The longest that clients wait for an answer, where the settings say.
+    /// The longest time that clients wait for an answer, where the settings say so.
     pub fn longest_deadline(&self) -> Option<Duration> {
         self.lock().longest_deadline().map(duration)
     }
 
-    /// What another file says that discovery has told. Only what follows on what is known already,
-    /// or is whole: the rest is told by discovery.
+    /// Applies events of a new configuration file. Only those that follow on the last known one or
+    /// are complete: the rest comes from the control feed.
     pub fn apply_known_events(&self, known: DiscoveryState) {
         self.enter(|core, now| core.apply_known_events(now, known))
     }
 
-    /// Those whose attempts have not returned yet get their answers without. All connections close
-    /// once all is written.
+    /// Answers the set-ups whose attempts have not returned. All connections close once all is
+    /// written.
     pub fn abandon_all(&self) {
         self.enter(|core, now| core.abandon_all(now))
     }
--- a/crates/platform/src/ids.rs
+++ b/crates/platform/src/ids.rs
@@ -1,4 +1,4 @@
-//! What tells connections and attempts apart.
+//! The ids of connections and attempts.
 
 use corkspan_scheduler::interface::AllocationId;
 
--- a/crates/platform/src/shutdown.rs
+++ b/crates/platform/src/shutdown.rs
@@ -82,7 +82,7 @@
         (signalled_at + ends.answer_all_within + (ends.killed_after - ends.answer_all_within) / 2)
             .saturating_duration_since(Instant::now());
     if within(rest, written).await.is_none() {
-        warn!("some connections took no last words");
+        warn!("some connections took no last messages");
     }
 }
 
--- a/crates/platform/src/writer.rs
+++ b/crates/platform/src/writer.rs
@@ -47,7 +47,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Purpose {
-    /// A set-up: whether it may still be written is asked just before its first byte is written.
+    /// A set-up: whether it may still be written is checked just before its first byte is written.
     SetUp(AttemptId),
     /// The end of a running task: if this connection can't deliver it any longer, another must.
     TaskEnd,
--- a/crates/runtime/src/clock.rs
+++ b/crates/runtime/src/clock.rs
@@ -6,7 +6,7 @@
 const TICKS_PER_MILLISECOND: Ticks = 10;
 const MICROSECONDS_PER_TICK: u64 = 100;
 
-/// Starts at the time of day, so that times told by others are on the same scale, and from then on
+/// Starts at the time of day, so that times reported by others are on the same scale, and from then on
 /// follows the monotonic clock alone: a time of day that is set back must not move a deadline.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
