--- a/crates/cli/src/lib.rs
+++ b/crates/cli/src/lib.rs
@@ -10,7 +10,7 @@
 };
 use corkspan_config::version::Texts;
 use corkspan_config::{Deployment, schema, sexp};
-use corkspan_dispatcher::config_stream::RUNNING;
+use corkspan_dispatcher::config_stream::ACTIVE_VERSION_NUMBER;
 use corkspan_rpc::{Bounds, Link, Tasks, within};
 use futures_lite::future;
 use std::ffi::OsString;
@@ -306,7 +306,7 @@
         mut writer: Writer<'_>,
         event: &tracing::Event<'_>,
     ) -> std::fmt::Result {
-        let version = RUNNING.load(std::sync::atomic::Ordering::Relaxed);
+        let version = ACTIVE_VERSION_NUMBER.load(std::sync::atomic::Ordering::Relaxed);
         if !self.json {
             write!(writer, "v{version} ")?;
             return self.inner.format_event(context, writer, event);
--- a/crates/dispatcher/src/active_version.rs
+++ b/crates/dispatcher/src/active_version.rs
@@ -12,11 +12,11 @@
 use tracing::warn;
 
 /// The number of the version in force, for log lines: one process has one dispatcher.
-pub static RUNNING: AtomicU64 = AtomicU64::new(0);
+pub static ACTIVE_VERSION_NUMBER: AtomicU64 = AtomicU64::new(0);
 
 /// What a dispatcher knows of its versions.
-pub struct Versions {
-    state: Mutex<State>,
+pub struct ActiveVersion {
+    state: Mutex<ActiveVersionState>,
     /// The file as it was read at start: what a version does not say is as it says.
     pub file: Deployment,
     path: Option<PathBuf>,
@@ -25,25 +25,25 @@
     pub step: async_lock::Mutex<()>,
 }
 
-pub struct State {
+pub struct ActiveVersionState {
     pub subscriber: Subscriber,
-    pub service: Option<SocketAddr>,
+    pub control_service: Option<SocketAddr>,
     pub applied: u64,
     pub refused: u64,
     pub superseded: u64,
     pub refused_last: Option<(VersionId, Vec<String>)>,
     /// What runs, for stragglers that ask for it.
-    pub shelf: VersionCache,
+    pub version_cache: VersionCache,
 }
 
-impl Versions {
+impl ActiveVersion {
     /// Reads what an earlier life kept, and the deployment that is in force by it.
     pub fn start(
         file: Deployment,
         now: corkspan_scheduler::interface::Ticks,
     ) -> (Self, Deployment) {
         let path = file.versions.clone();
-        let mut kept = path.as_deref().map(version_files::read).unwrap_or_default();
+        let mut kept = path.as_deref().map(version_files::load).unwrap_or_default();
         let mut start = loop {
             let (subscriber, changed) = Subscriber::restore(file.texts.clone(), kept.clone(), now);
             let (stamp, texts) = (subscriber.active_version(), subscriber.active_texts());
@@ -64,7 +64,7 @@
             }
         };
         if let (Some(path), Some(changed)) = (&path, start.1.take())
-            && let Err(why) = version_files::keep(path, &changed)
+            && let Err(why) = version_files::save(path, &changed)
         {
             warn!(path = %path.display(), %why, "that this version was started under once more can't be kept");
         }
@@ -74,19 +74,20 @@
                 "a version on trial is given up: this dispatcher was started under it again and again"
             );
         }
-        RUNNING.store(subscriber.active_version().number, Ordering::Relaxed);
-        let (service, applied, refused, superseded, refused_last, shelf) = Default::default();
-        let state = State {
+        ACTIVE_VERSION_NUMBER.store(subscriber.active_version().number, Ordering::Relaxed);
+        let (control_service, applied, refused, superseded, refused_last, version_cache) =
+            Default::default();
+        let state = ActiveVersionState {
             subscriber,
-            service,
+            control_service,
             applied,
             refused,
             superseded,
             refused_last,
-            shelf,
+            version_cache,
         };
         (
-            Versions {
+            ActiveVersion {
                 state: Mutex::new(state),
                 file,
                 path,
@@ -97,7 +98,7 @@
     }
 
     /// Versions that earlier lives had in force: each was taken as one that follows the one before.
-    pub fn learn(&self, earlier: impl Iterator<Item = VersionId>) {
+    pub fn remember_lineage(&self, earlier: impl Iterator<Item = VersionId>) {
         self.with(|state| {
             let subscriber = &state.subscriber;
             let (stamp, texts) = (subscriber.active_version(), subscriber.active_texts());
@@ -106,23 +107,23 @@
                 .collect();
             if stamp.number > 0 {
                 state
-                    .shelf
+                    .version_cache
                     .record_active(stamp, texts.clone(), false, &before);
             }
         });
     }
 
-    pub fn with<R>(&self, call: impl FnOnce(&mut State) -> R) -> R {
+    pub fn with<R>(&self, call: impl FnOnce(&mut ActiveVersionState) -> R) -> R {
         call(&mut self.state.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
     /// On disk before it is in force.
-    pub async fn keep(&self, kept: &PersistedVersions) -> Result<(), String> {
+    pub async fn save(&self, kept: &PersistedVersions) -> Result<(), String> {
         let Some(path) = self.path.clone() else {
             return Ok(());
         };
         let kept = kept.clone();
-        blocking::unblock(move || version_files::keep(&path, &kept))
+        blocking::unblock(move || version_files::save(&path, &kept))
             .await
             .map_err(|why| why.to_string())
     }
@@ -147,19 +148,27 @@
             let kept = state.subscriber.persisted();
             let (refused_last, why) = state.refused_last.clone().unzip();
             v1::VersionStatus {
-                active: Some(message(running)),
+                active: Some(version_id_message(running)),
                 on_trial: state.subscriber.on_trial(),
-                last_good: kept.last_good.as_ref().map(|version| message(version.id)),
+                last_good: kept
+                    .last_good
+                    .as_ref()
+                    .map(|version| version_id_message(version.id)),
                 control_service: state
-                    .service
+                    .control_service
                     .map(|service| service.to_string())
                     .unwrap_or_default(),
                 text: in_force.texts.whole(),
-                given_up: kept.rolled_back.iter().copied().map(message).collect(),
+                given_up: kept
+                    .rolled_back
+                    .iter()
+                    .copied()
+                    .map(version_id_message)
+                    .collect(),
                 applied: state.applied,
                 rejected: state.refused,
                 superseded: state.superseded,
-                last_rejected: refused_last.map(message),
+                last_rejected: refused_last.map(version_id_message),
                 reasons: why.unwrap_or_default(),
                 ..v1::VersionStatus::default()
             }
@@ -167,7 +176,7 @@
     }
 }
 
-pub fn message(stamp: VersionId) -> v1::VersionId {
+pub fn version_id_message(stamp: VersionId) -> v1::VersionId {
     v1::VersionId {
         number: stamp.number,
         digest: stamp.digest.to_string(),
@@ -178,9 +187,13 @@
 pub fn push_message(push: VersionPush) -> v1::VersionPush {
     v1::VersionPush {
         nonce: push.nonce,
-        version: Some(message(push.version)),
-        ancestors: push.predecessors.into_iter().map(message).collect(),
-        base: push.base.map(message),
+        version: Some(version_id_message(push.version)),
+        ancestors: push
+            .predecessors
+            .into_iter()
+            .map(version_id_message)
+            .collect(),
+        base: push.base.map(version_id_message),
         parts: push
             .changes
             .iter()
@@ -192,13 +205,18 @@
 }
 
 /// None where its stamps are none.
-pub fn push_of(push: v1::VersionPush) -> Option<VersionPush> {
+pub fn push_from_message(push: v1::VersionPush) -> Option<VersionPush> {
     Some(VersionPush {
         nonce: push.nonce,
-        version: stamp(push.version.as_ref()?).filter(|stamp| stamp.number > 0)?,
-        predecessors: push.ancestors.iter().filter_map(stamp).collect(),
+        version: version_id_from_message(push.version.as_ref()?)
+            .filter(|stamp| stamp.number > 0)?,
+        predecessors: push
+            .ancestors
+            .iter()
+            .filter_map(version_id_from_message)
+            .collect(),
         base: match &push.base {
-            Some(onto) => Some(stamp(onto)?),
+            Some(onto) => Some(version_id_from_message(onto)?),
             None => None,
         },
         changes: push.parts.into_iter().collect(),
@@ -207,7 +225,7 @@
     })
 }
 
-pub fn stamp(message: &v1::VersionId) -> Option<VersionId> {
+pub fn version_id_from_message(message: &v1::VersionId) -> Option<VersionId> {
     Some(VersionId {
         number: message.number,
         digest: Digest::read(&message.digest)?,
--- a/crates/dispatcher/src/attempts.rs
+++ b/crates/dispatcher/src/attempts.rs
@@ -2,8 +2,8 @@
 //! told by what crossed the link: an offer that was never written can't have run; one that was, may
 //! have, unless the node itself says no.
 
-use crate::node_links::{Counted, NodeLink};
-use corkspan_api::v1::{self, attempt_event::Event as Word, node_client::NodeClient};
+use crate::node_links::{CountGuard, NodeLink};
+use corkspan_api::v1::{self, attempt_event::Event as NodeReply, node_client::NodeClient};
 use corkspan_rpc::{Bounds, Link, Tasks, within};
 use corkspan_scheduler::interface::*;
 use std::sync::Arc;
@@ -14,58 +14,63 @@
 
 /// Who is told what becomes of shots, and by what they are bounded. Below the desk, which is one:
 /// so calls to nodes know nothing of what is done with their outcomes.
-pub trait Follows: Send + Sync + 'static {
+pub trait AttemptObserver: Send + Sync + 'static {
     fn tasks(&self) -> &Tasks;
     fn bounds(&self) -> &Bounds;
     /// An accepted shot counts as placed only once it runs.
     fn placed_when_running(&self) -> bool;
     /// Decided under a version that may act no more.
-    fn shut_out(&self) -> bool;
+    fn is_fenced(&self) -> bool;
     /// A node has turned a shot away by the floor of versions.
-    fn below(&self, floor: &v1::MinimumVersion);
-    fn placed(self: &Arc<Self>, id: AllocationId, shot: usize, machine: MachineId);
+    fn minimum_version_reported(&self, floor: &v1::MinimumVersion);
+    fn attempt_placed(self: &Arc<Self>, id: AllocationId, shot: usize, machine: MachineId);
     /// A shot has returned. `over` where it was placed and the allocation ends with it, in this
     /// way.
-    fn returned(
+    fn attempt_ended(
         self: &Arc<Self>,
         id: AllocationId,
         shot: usize,
         ending: AttemptResult,
         reason: Option<ReturnReason>,
-        over: Option<v1::ended::EndReason>,
+        ended_as: Option<v1::ended::EndReason>,
         report: Option<LoadReport>,
     );
     /// A copy says which version of its program it runs.
-    fn runs(&self, id: AllocationId, version: String);
-    fn ready(&self, id: AllocationId, ready: bool);
-    fn noted(&self, id: AllocationId, note: Metric);
-    fn probed(&self, machine: MachineId, ending: AttemptResult, report: Option<LoadReport>);
+    fn version_reported(&self, id: AllocationId, version: String);
+    fn readiness_reported(&self, id: AllocationId, ready: bool);
+    fn metric_recorded(&self, id: AllocationId, note: Metric);
+    fn health_check_completed(
+        &self,
+        machine: MachineId,
+        ending: AttemptResult,
+        report: Option<LoadReport>,
+    );
 }
 
 /// An offer about to be made.
-pub struct Offer {
+pub struct AttemptOffer {
     pub id: AllocationId,
     pub number: usize,
     pub machine: MachineId,
     /// None where the machine has no address.
     pub node: Option<Arc<NodeLink>>,
     /// Counts the offer among those without an answer; none where there are as many as may be.
-    pub open: Option<Counted>,
+    pub unanswered_guard: Option<CountGuard>,
     /// When it was decided.
     pub decided: Instant,
 }
 
 /// How a shot has returned, before it was placed or after.
-struct Back {
+struct EndedAttempt {
     ending: AttemptResult,
     reason: Option<ReturnReason>,
     how: v1::ended::EndReason,
     report: Option<LoadReport>,
 }
 
-impl Back {
-    fn plain(ending: AttemptResult) -> Self {
-        Back {
+impl EndedAttempt {
+    fn with_ending(ending: AttemptResult) -> Self {
+        EndedAttempt {
             ending,
             reason: None,
             how: v1::ended::EndReason::Lost,
@@ -74,70 +79,82 @@
     }
 }
 
-enum First {
+enum OfferOutcome {
     Placed(Streaming<v1::AttemptEvent>),
-    Back(Back),
+    Ended(EndedAttempt),
 }
 
 /// Makes an offer and follows it to its end.
-pub async fn offer<D: Follows>(
-    desk: Arc<D>,
-    offer: Offer,
+pub async fn run_attempt<D: AttemptObserver>(
+    core: Arc<D>,
+    offer: AttemptOffer,
     shot: v1::AttemptRequest,
     time_out: Duration,
 ) {
-    let Offer {
+    let AttemptOffer {
         id,
         number,
         machine,
         node,
-        open,
+        unanswered_guard,
         decided,
     } = offer;
-    let back = |back: Back, over: Option<v1::ended::EndReason>| {
-        desk.returned(id, number, back.ending, back.reason, over, back.report)
+    let result = |result: EndedAttempt, ended_as: Option<v1::ended::EndReason>| {
+        core.attempt_ended(
+            id,
+            number,
+            result.ending,
+            result.reason,
+            ended_as,
+            result.report,
+        )
     };
     let Some(node) = node else {
-        return back(Back::plain(AttemptResult::ConnectFailed), None);
+        return result(
+            EndedAttempt::with_ending(AttemptResult::ConnectFailed),
+            None,
+        );
     };
-    let Some(open) = open else {
+    let Some(unanswered_guard) = unanswered_guard else {
         // As the node itself would say: too many wait for it, here already.
         let reason = Some(ReturnReason::QueueFull);
-        return back(
-            Back {
+        return result(
+            EndedAttempt {
                 reason,
-                ..Back::plain(AttemptResult::Rejected)
+                ..EndedAttempt::with_ending(AttemptResult::Rejected)
             },
             None,
         );
     };
     // Decided under a version that may act no more: the nodes would turn it away, and its owner is
     // told in time.
-    if desk.shut_out() {
-        return back(Back::plain(AttemptResult::NotSent), None);
+    if core.is_fenced() {
+        return result(EndedAttempt::with_ending(AttemptResult::NotSent), None);
     }
-    let _call = node.call();
+    let _call = node.count_call();
     // Until the offer is handed to the link, it can't have reached the node.
     let written = AtomicBool::new(false);
     let first = async {
-        let latest = desk.bounds().connect_within;
-        let link = match within(latest, node.ready(desk.tasks(), desk.bounds())).await {
+        let latest = core.bounds().connect_within;
+        let link = match within(latest, node.ready(core.tasks(), core.bounds())).await {
             Some(Ok(link)) => link,
             other => {
                 debug!(machine = machine.0, why = ?other.map(Result::err), "no link");
-                return First::Back(Back::plain(no_link(decided, latest)));
+                return OfferOutcome::Ended(EndedAttempt::with_ending(ending_without_link(
+                    decided, latest,
+                )));
             }
         };
         // What is offered later than this is not what was decided: what a cold node bears in a
         // window, and who drains, are counted from the decision. So a process that stood
         // still in between sends nothing.
         if decided.elapsed() > latest {
-            return First::Back(Back::plain(AttemptResult::NotSent));
+            return OfferOutcome::Ended(EndedAttempt::with_ending(AttemptResult::NotSent));
         }
         written.store(true, Ordering::Relaxed);
-        match client(&*desk, link).offer(shot).await {
-            Ok(words) => first_word(&*desk, words.into_inner()).await,
-            Err(why) => First::Back(Back::plain(broken(&why))),
+        match client(&*core, link).offer(shot).await {
+            Ok(replies) => first_reply(&*core, replies.into_inner()).await,
+            Err(why) => OfferOutcome::Ended(EndedAttempt::with_ending(ending_of_status(&why))),
         }
     };
     // On the heap, and gone with the first word: what follows an allocation through its life is
@@ -146,16 +163,16 @@
         let ending = if written.load(Ordering::Relaxed) {
             AttemptResult::TimedOut
         } else {
-            no_link(decided, time_out)
+            ending_without_link(decided, time_out)
         };
-        First::Back(Back::plain(ending))
+        OfferOutcome::Ended(EndedAttempt::with_ending(ending))
     });
-    drop(open);
+    drop(unanswered_guard);
     match first {
-        First::Back(it) => back(it, None),
-        First::Placed(words) => {
-            desk.placed(id, number, machine);
-            follow(&desk, id, number, words).await;
+        OfferOutcome::Ended(it) => result(it, None),
+        OfferOutcome::Placed(replies) => {
+            core.attempt_placed(id, number, machine);
+            follow_replies(&core, id, number, replies).await;
         }
     }
 }
@@ -163,7 +180,7 @@
 /// What it says of a node that no link to it came to stand. Where that is noticed long after its
 /// time was up, this process was too busy to see one stand: then it says nothing of the node, and
 /// blaming it would empty the list of a dispatcher under a burst.
-fn no_link(decided: Instant, latest: Duration) -> AttemptResult {
+fn ending_without_link(decided: Instant, latest: Duration) -> AttemptResult {
     if decided.elapsed() > latest + latest / 2 {
         AttemptResult::NotSent
     } else {
@@ -172,15 +189,15 @@
 }
 
 /// Follows an allocation that was running before this dispatcher had it.
-pub async fn attend<D: Follows>(
-    desk: Arc<D>,
+pub async fn follow_existing<D: AttemptObserver>(
+    core: Arc<D>,
     id: AllocationId,
     node: Option<Arc<NodeLink>>,
     machine: MachineId,
     shot: v1::AttemptRequest,
 ) {
     let lost = |reason| {
-        desk.returned(
+        core.attempt_ended(
             id,
             0,
             AttemptResult::Reset,
@@ -190,18 +207,18 @@
         )
     };
     let Some(node) = node else { return lost(None) };
-    let _call = node.call();
-    let patience = desk.bounds().keep_alive;
-    let words = within(patience, async {
-        let link = node.ready(desk.tasks(), desk.bounds()).await.ok()?;
-        client(&*desk, link)
+    let _call = node.count_call();
+    let timeout = core.bounds().keep_alive;
+    let replies = within(timeout, async {
+        let link = node.ready(core.tasks(), core.bounds()).await.ok()?;
+        client(&*core, link)
             .attend(shot)
             .await
             .ok()
             .map(tonic::Response::into_inner)
     });
-    match words.await.flatten() {
-        Some(words) => follow(&desk, id, 0, words).await,
+    match replies.await.flatten() {
+        Some(replies) => follow_replies(&core, id, 0, replies).await,
         None => {
             debug!(
                 machine = machine.0,
@@ -212,106 +229,117 @@
     }
 }
 
-async fn first_word<D: Follows>(desk: &D, mut words: Streaming<v1::AttemptEvent>) -> First {
+async fn first_reply<D: AttemptObserver>(
+    core: &D,
+    mut replies: Streaming<v1::AttemptEvent>,
+) -> OfferOutcome {
     loop {
-        match words.message().await {
+        match replies.message().await {
             Ok(Some(v1::AttemptEvent {
                 event: Some(said),
                 load_report: load,
             })) => match said {
-                Word::Accepted(_) if !desk.placed_when_running() => return First::Placed(words),
-                Word::Running(_) => return First::Placed(words),
-                Word::Rejected(turned) => {
-                    if let Some(floor) = &turned.minimum_version {
-                        desk.below(floor);
+                NodeReply::Accepted(_) if !core.placed_when_running() => {
+                    return OfferOutcome::Placed(replies);
+                }
+                NodeReply::Running(_) => return OfferOutcome::Placed(replies),
+                NodeReply::Rejected(refusal) => {
+                    if let Some(floor) = &refusal.minimum_version {
+                        core.minimum_version_reported(floor);
                     }
-                    let back = Back::plain(AttemptResult::Rejected);
-                    return First::Back(Back {
-                        reason: reason(turned.reason()),
+                    let result = EndedAttempt::with_ending(AttemptResult::Rejected);
+                    return OfferOutcome::Ended(EndedAttempt {
+                        reason: reason(refusal.reason()),
                         report: report(load),
-                        ..back
+                        ..result
                     });
                 }
-                Word::Ended(over) => {
-                    return First::Back(Back {
+                NodeReply::Ended(ended_as) => {
+                    return OfferOutcome::Ended(EndedAttempt {
                         report: report(load),
-                        ..ended(over.outcome())
+                        ..result_of_end(ended_as.outcome())
                     });
                 }
                 _ => {}
             },
             Ok(Some(_)) => {}
             // The stream ended without a word that binds: the node may have accepted it.
-            Ok(None) => return First::Back(Back::plain(AttemptResult::Reset)),
-            Err(why) => return First::Back(Back::plain(broken(&why))),
+            Ok(None) => {
+                return OfferOutcome::Ended(EndedAttempt::with_ending(AttemptResult::Reset));
+            }
+            Err(why) => {
+                return OfferOutcome::Ended(EndedAttempt::with_ending(ending_of_status(&why)));
+            }
         }
     }
 }
 
-async fn follow<D: Follows>(
-    desk: &Arc<D>,
+async fn follow_replies<D: AttemptObserver>(
+    core: &Arc<D>,
     id: AllocationId,
     number: usize,
-    mut words: Streaming<v1::AttemptEvent>,
+    mut replies: Streaming<v1::AttemptEvent>,
 ) {
-    let mut back = Back::plain(AttemptResult::Reset);
-    while let Ok(Some(word)) = words.message().await {
+    let mut result = EndedAttempt::with_ending(AttemptResult::Reset);
+    while let Ok(Some(word)) = replies.message().await {
         match word.event {
-            Some(Word::Running(started)) => {
-                desk.runs(id, started.version);
-                desk.noted(id, Metric::Running);
+            Some(NodeReply::Running(started)) => {
+                core.version_reported(id, started.version);
+                core.metric_recorded(id, Metric::Running);
             }
-            Some(Word::Ready(ready)) => desk.ready(id, ready),
-            Some(Word::Usage(used)) => {
+            Some(NodeReply::Ready(ready)) => core.readiness_reported(id, ready),
+            Some(NodeReply::Usage(used)) => {
                 for (note, value) in [
                     (Metric::Cores as fn(f64) -> Metric, used.cores),
                     (Metric::Memory, used.memory),
                 ] {
-                    if sound(value) {
-                        desk.noted(id, note(value));
+                    if is_valid_amount(value) {
+                        core.metric_recorded(id, note(value));
                     }
                 }
             }
-            Some(Word::ServiceLevel(part)) if sound(part) => desk.noted(id, Metric::Served(part)),
-            Some(Word::MemoryShare(share)) if sound(share) => {
-                desk.noted(id, Metric::MachineMemory(share))
+            Some(NodeReply::ServiceLevel(part)) if is_valid_amount(part) => {
+                core.metric_recorded(id, Metric::Served(part))
+            }
+            Some(NodeReply::MemoryShare(share)) if is_valid_amount(share) => {
+                core.metric_recorded(id, Metric::MachineMemory(share))
             }
-            Some(Word::Ended(over)) => {
-                back = Back {
+            Some(NodeReply::Ended(ended_as)) => {
+                result = EndedAttempt {
                     report: report(word.load_report),
-                    ..ended(over.outcome())
+                    ..result_of_end(ended_as.outcome())
                 };
                 break;
             }
-            Some(Word::Rejected(turned)) => {
+            Some(NodeReply::Rejected(refusal)) => {
                 // It doesn't run there: nothing is known against the node.
-                back.reason = reason(turned.reason()).or(Some(ReturnReason::Unfit));
+                result.reason = reason(refusal.reason()).or(Some(ReturnReason::Unfit));
                 break;
             }
             _ => {}
         }
     }
-    let Back {
+    let EndedAttempt {
         ending,
         reason,
         how,
         report,
-    } = back;
-    desk.returned(id, number, ending, reason, Some(how), report);
+    } = result;
+    core.attempt_ended(id, number, ending, reason, Some(how), report);
 }
 
 /// Tells a node that an allocation is not wanted there. One try: the word is about what may be gone
 /// already. None where the node has not answered.
-pub async fn stop<D: Follows>(
-    desk: Arc<D>,
+pub async fn send_stop<D: AttemptObserver>(
+    core: Arc<D>,
     node: Arc<NodeLink>,
     stop: v1::StopRequest,
 ) -> Option<()> {
-    let _call = node.call();
-    let patience = desk.bounds().keep_alive;
-    let said = within(patience, async {
-        let link = node.ready(desk.tasks(), desk.bounds()).await.ok()?;
-        client(&*desk, link).stop(stop).await.ok()
+    let _call = node.count_call();
+    let timeout = core.bounds().keep_alive;
+    let said = within(timeout, async {
+        let link = node.ready(core.tasks(), core.bounds()).await.ok()?;
+        client(&*core, link).stop(stop).await.ok()
     });
     let said = said.await.flatten();
     if said.is_none() {
@@ -320,43 +348,47 @@
     said.map(drop)
 }
 
-pub async fn probe<D: Follows>(desk: Arc<D>, machine: MachineId, node: Arc<NodeLink>) {
-    let _call = node.call();
-    let patience = 4 * desk.bounds().connect_within;
-    let word = within(patience, async {
+pub async fn send_health_check<D: AttemptObserver>(
+    core: Arc<D>,
+    machine: MachineId,
+    node: Arc<NodeLink>,
+) {
+    let _call = node.count_call();
+    let timeout = 4 * core.bounds().connect_within;
+    let word = within(timeout, async {
         let link = node
-            .ready(desk.tasks(), desk.bounds())
+            .ready(core.tasks(), core.bounds())
             .await
             .map_err(|_| AttemptResult::ConnectFailed)?;
-        client(&*desk, link)
+        client(&*core, link)
             .probe(v1::HealthCheckRequest {})
             .await
-            .map_err(|why| broken(&why))
+            .map_err(|why| ending_of_status(&why))
     });
     match word.await {
-        Some(Ok(word)) => desk.probed(
+        Some(Ok(word)) => core.health_check_completed(
             machine,
             AttemptResult::Completed,
             report(word.into_inner().load_report),
         ),
-        Some(Err(ending)) => desk.probed(machine, ending, None),
-        None => desk.probed(machine, AttemptResult::TimedOut, None),
+        Some(Err(ending)) => core.health_check_completed(machine, ending, None),
+        None => core.health_check_completed(machine, AttemptResult::TimedOut, None),
     }
 }
 
-fn client<D: Follows>(desk: &D, link: Link) -> NodeClient<Link> {
-    NodeClient::new(link).max_decoding_message_size(desk.bounds().message)
+fn client<D: AttemptObserver>(core: &D, link: Link) -> NodeClient<Link> {
+    NodeClient::new(link).max_decoding_message_size(core.bounds().message)
 }
 
 /// An error that the link made up, or one that the node gave.
-fn broken(why: &Status) -> AttemptResult {
+fn ending_of_status(why: &Status) -> AttemptResult {
     match std::error::Error::source(why) {
         Some(_) => AttemptResult::Reset,
         None => AttemptResult::Error,
     }
 }
 
-fn sound(value: f64) -> bool {
+fn is_valid_amount(value: f64) -> bool {
     value.is_finite() && (0.0..=1e9).contains(&value)
 }
 
@@ -382,7 +414,7 @@
     }
 }
 
-fn ended(how: v1::attempt_ended::AttemptOutcome) -> Back {
+fn result_of_end(how: v1::attempt_ended::AttemptOutcome) -> EndedAttempt {
     use corkspan_api::v1::ended::EndReason;
     let (ending, reason, how) = match how {
         v1::attempt_ended::AttemptOutcome::Error => (AttemptResult::Error, None, EndReason::Error),
@@ -411,7 +443,7 @@
             (AttemptResult::Cancelled, None, EndReason::Moved)
         }
     };
-    Back {
+    EndedAttempt {
         ending,
         reason,
         how,
--- a/crates/dispatcher/src/catch_up.rs
+++ b/crates/dispatcher/src/catch_up.rs
@@ -2,9 +2,9 @@
 //! then of keepers, and taken as a pushed one is. Whom to ask when is decided in
 //! `corkspan_version_fencing::catch_up`.
 
-use crate::active_version::{message, push_of};
+use crate::active_version::{push_from_message, version_id_message};
 use crate::config_stream::apply;
-use crate::core::Desk;
+use crate::core::DispatcherCore;
 use crate::link_counters::LinkKind;
 use crate::quorum_client;
 use corkspan_api::v1::{self, quorum_request::Operation, versions_client::VersionsClient};
@@ -20,50 +20,56 @@
 use tracing::{info, warn};
 
 /// In tenths of a millisecond.
-const PACE: RequestIntervals = RequestIntervals {
+const RETRY_INTERVALS: RequestIntervals = RequestIntervals {
     initial: 10_000,
     max: 200_000,
     idle: 200_000,
 };
 /// Of one version, with all its parts.
-const PUSH: usize = 8 << 20;
+const MAX_PUSH_BYTES: usize = 8 << 20;
 
 /// Asks as long as it is polled, whenever it must.
-pub async fn run(desk: Arc<Desk>) {
-    let mut straggler = CatchUp::new(desk.fleet.life ^ 1, PACE);
-    while let Some(own) = desk.deployment().floor.clone() {
+pub async fn run(core: Arc<DispatcherCore>) {
+    let mut straggler = CatchUp::new(core.fencing.incarnation ^ 1, RETRY_INTERVALS);
+    while let Some(own) = core.deployment().floor.clone() {
         let sees = CatchUpStatus {
-            has_stream: desk.versions.with(|state| state.service.is_some()),
-            fenced: desk.shut_out().is_some(),
+            has_stream: core
+                .active_version
+                .with(|state| state.control_service.is_some()),
+            fenced: core.fenced_by().is_some(),
             peers: own.peers.len(),
-            members: desk.deployment().keepers.len(),
+            members: core.deployment().keepers.len(),
         };
-        match straggler.poll(desk.clock.now(), sees) {
+        match straggler.poll(core.clock.now(), sees) {
             NextStep::Wait(time) => {
                 async_io::Timer::after(crate::clock::duration(time.max(1))).await;
             }
             NextStep::Request(source) => {
-                let came = bring(&desk, &own.peers, source).await;
-                straggler.complete(desk.clock.now(), came);
+                let came = request_version(&core, &own.peers, source).await;
+                straggler.complete(core.clock.now(), came);
             }
         }
     }
 }
 
-async fn bring(desk: &Arc<Desk>, peers: &[SocketAddr], source: VersionSource) -> RequestOutcome {
-    let running = desk.deployment().stamp;
-    let dispatcher = desk.deployment().cluster.scheduler_index as u32;
+async fn request_version(
+    core: &Arc<DispatcherCore>,
+    peers: &[SocketAddr],
+    source: VersionSource,
+) -> RequestOutcome {
+    let running = core.deployment().stamp;
+    let dispatcher = core.deployment().cluster.scheduler_index as u32;
     let ask = v1::FetchVersionRequest {
-        active: Some(message(running)),
+        active: Some(version_id_message(running)),
         dispatcher,
     };
     let push = match source {
         VersionSource::Peer(which) => match peers.get(which) {
-            Some(&peer) => from_peer(desk, peer, ask).await,
+            Some(&peer) => request_from_peer(core, peer, ask).await,
             None => None,
         },
         VersionSource::QuorumMember(which) => {
-            quorum_client::ask_one(desk, which, Operation::FetchVersion(ask))
+            quorum_client::request_one(core, which, Operation::FetchVersion(ask))
                 .await
                 .and_then(|word| word.fetched_version)
         }
@@ -72,7 +78,7 @@
     let Some(push) = push.filter(|push| push.version.is_some()) else {
         return RequestOutcome::Unchanged;
     };
-    let Some(push) = push_of(push) else {
+    let Some(push) = push_from_message(push) else {
         warn!(
             ?source,
             "a version from another whose stamp is none: a number above 0 and 64 hexadecimal digits"
@@ -85,7 +91,7 @@
         removed: Vec::new(),
         ..push
     };
-    match apply(desk, &push, VersionOrigin::CatchUp).await {
+    match apply(core, &push, VersionOrigin::CatchUp).await {
         PushReply::Applied => {
             info!(number = push.version.number, ?source, "brought up");
             RequestOutcome::Advanced
@@ -97,7 +103,7 @@
                 ?why,
                 "a version from another is turned down"
             );
-            desk.versions
+            core.active_version
                 .with(|state| state.refused_last = Some((push.version, why)));
             RequestOutcome::Unchanged
         }
@@ -107,19 +113,19 @@
     }
 }
 
-async fn from_peer(
-    desk: &Arc<Desk>,
+async fn request_from_peer(
+    core: &Arc<DispatcherCore>,
     peer: SocketAddr,
     ask: v1::FetchVersionRequest,
 ) -> Option<v1::VersionPush> {
-    let patience = desk.link_bounds.connect_within * 4 + Duration::from_secs(1);
-    let whole = async {
-        let meter = desk.counts.meter(LinkKind::Dispatchers);
-        let link = Link::open_counted(&desk.tasks, peer, &desk.link_bounds, &meter)
+    let timeout = core.link_bounds.connect_within * 4 + Duration::from_secs(1);
+    let exchange = async {
+        let meter = core.link_counters.meter(LinkKind::Dispatchers);
+        let link = Link::open_counted(&core.tasks, peer, &core.link_bounds, &meter)
             .await
             .ok()?;
-        let mut client = VersionsClient::new(link).max_decoding_message_size(PUSH);
+        let mut client = VersionsClient::new(link).max_decoding_message_size(MAX_PUSH_BYTES);
         client.give(ask).await.ok().map(tonic::Response::into_inner)
     };
-    within(patience, Box::pin(whole)).await.flatten()
+    within(timeout, Box::pin(exchange)).await.flatten()
 }
--- a/crates/dispatcher/src/config_stream.rs
+++ b/crates/dispatcher/src/config_stream.rs
@@ -1,11 +1,15 @@
 //! The stream of versions: pushes read, answers written, what is in force changed. What is decided
 //! stands in `corkspan_config_sync`.
 
-pub use crate::active_version::{RUNNING, Versions, message, push_message, push_of, stamp};
+pub use crate::active_version::{
+    ACTIVE_VERSION_NUMBER, ActiveVersion, push_from_message, push_message, version_id_from_message,
+    version_id_message,
+};
 use crate::clock::{duration, ticks};
-use crate::core::Desk;
+use crate::core::DispatcherCore;
 use crate::link_counters::LinkKind;
 use crate::minimum_version;
+use crate::version_gate;
 use corkspan_api::v1::push_reply::Answer;
 use corkspan_api::v1::{self, control_client::ControlClient};
 use corkspan_config_sync::{
@@ -22,14 +26,14 @@
 use tracing::{info, warn};
 
 /// Between two looks at how a version on trial does.
-const LOOK: Duration = Duration::from_millis(500);
+const TRIAL_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 /// Answers that wait for a service to read them; then the stream is given up.
-const ANSWERS: usize = 10_000;
+const MAX_UNREAD_REPLIES: usize = 10_000;
 /// Bytes of one push at the most.
-const PUSH: usize = 8 << 20;
+const MAX_PUSH_BYTES: usize = 8 << 20;
 
-fn counts(desk: &Desk) -> RequestCounts {
-    let (asked, refused) = desk.asked_and_refused();
+fn request_counts(core: &DispatcherCore) -> RequestCounts {
+    let (asked, refused) = core.request_counters();
     RequestCounts {
         requests: asked,
         rejected: refused,
@@ -44,7 +48,7 @@
 
 impl Answers {
     /// False where the service does not read.
-    fn say(&self, versions: &Versions, nonce: u64, said: &PushReply) -> bool {
+    fn send_reply(&self, versions: &ActiveVersion, nonce: u64, said: &PushReply) -> bool {
         let (running, on_trial) = versions.with(|state| {
             match said {
                 PushReply::Applied => state.applied += 1,
@@ -66,7 +70,7 @@
         };
         let told = v1::PushReply {
             dispatcher: self.dispatcher,
-            active: Some(message(running)),
+            active: Some(version_id_message(running)),
             nonce,
             answer: answer.into(),
             reasons: why,
@@ -77,14 +81,14 @@
     }
 
     /// What runs, unasked.
-    fn tell(&self, versions: &Versions, answer: Answer, why: Vec<String>) -> bool {
+    fn send_status(&self, versions: &ActiveVersion, answer: Answer, why: Vec<String>) -> bool {
         let (running, on_trial) = versions.with(|state| {
             (
                 state.subscriber.active_version(),
                 state.subscriber.on_trial(),
             )
         });
-        let (dispatcher, running) = (self.dispatcher, Some(message(running)));
+        let (dispatcher, running) = (self.dispatcher, Some(version_id_message(running)));
         let told = v1::PushReply {
             dispatcher,
             active: running,
@@ -99,24 +103,24 @@
 
 /// Streams from one control service after the other, for as long as it is polled, and watches over
 /// trials.
-pub async fn run(desk: Arc<Desk>) {
-    let services = desk.deployment().control.clone();
+pub async fn run(core: Arc<DispatcherCore>) {
+    let services = core.deployment().control.clone();
     // Whoever streams is told of a version that was given up.
     let (gave_up, given_up) = async_channel::bounded::<String>(1);
-    let watch = watch(Arc::clone(&desk), gave_up);
-    let stream = async {
+    let trial_watch = watch_trial(Arc::clone(&core), gave_up);
+    let streams = async {
         if services.is_empty() {
             return future::pending().await;
         }
-        let number = desk.deployment().cluster.scheduler_index;
-        let mut retry = ReconnectBackoff::new(desk.clock.now() ^ (number as u64) << 32);
+        let number = core.deployment().cluster.scheduler_index;
+        let mut retry = ReconnectBackoff::new(core.clock.now() ^ (number as u64) << 32);
         // Hundreds that start at once don't all come at once.
         async_io::Timer::after(duration(retry.next_delay(0)) / 4).await;
         for service in services.iter().cycle() {
             let mut began = None;
-            let ended = stream(&desk, *service, &given_up, &mut began).await;
-            desk.versions.with(|state| {
-                state.service = None;
+            let ended = stream(&core, *service, &given_up, &mut began).await;
+            core.active_version.with(|state| {
+                state.control_service = None;
                 state.subscriber.stream_closed();
             });
             let stood = began.map_or(0, |began: Instant| ticks(began.elapsed()));
@@ -125,30 +129,30 @@
             async_io::Timer::after(duration(wait)).await;
         }
     };
-    watch.or(stream).await;
+    trial_watch.or(streams).await;
 }
 
 async fn stream(
-    desk: &Arc<Desk>,
+    core: &Arc<DispatcherCore>,
     service: SocketAddr,
     given_up: &async_channel::Receiver<String>,
     began: &mut Option<Instant>,
 ) -> String {
-    let meter = desk.counts.meter(LinkKind::Control);
-    let link = match Link::open_counted(&desk.tasks, service, &desk.link_bounds, &meter).await {
+    let meter = core.link_counters.meter(LinkKind::Control);
+    let link = match Link::open_counted(&core.tasks, service, &core.link_bounds, &meter).await {
         Ok(link) => link,
         Err(why) => return why.to_string(),
     };
-    let (to, from) = async_channel::bounded(ANSWERS);
+    let (to, from) = async_channel::bounded(MAX_UNREAD_REPLIES);
     let answers = Answers {
         to,
-        dispatcher: desk.deployment().cluster.scheduler_index as u32,
+        dispatcher: core.deployment().cluster.scheduler_index as u32,
     };
-    answers.tell(&desk.versions, Answer::Nothing, Vec::new());
-    let mut client = ControlClient::new(link).max_decoding_message_size(PUSH);
+    answers.send_status(&core.active_version, Answer::Nothing, Vec::new());
+    let mut client = ControlClient::new(link).max_decoding_message_size(MAX_PUSH_BYTES);
     // Its first push may be long in coming, but that it takes the stream is not.
     let opened = corkspan_rpc::within(
-        desk.link_bounds.connect_within * 4,
+        core.link_bounds.connect_within * 4,
         Box::pin(client.stream(from)),
     )
     .await;
@@ -158,33 +162,37 @@
         None => return "it does not take the stream in time".into(),
     };
     *began = Some(Instant::now());
-    desk.versions.with(|state| state.service = Some(service));
+    core.active_version
+        .with(|state| state.control_service = Some(service));
     info!(%service, "versions are streamed from here");
     loop {
-        let pace = desk
-            .versions
-            .with(|state| state.subscriber.next_push(desk.clock.now()));
+        let pace = core
+            .active_version
+            .with(|state| state.subscriber.next_push(core.clock.now()));
         if pace == NextPush::Now {
             // What has come meanwhile passes over what waits.
             while let Some(push) = future::poll_once(pushes.message()).await {
-                if let Err(why) = take(desk, &answers, push) {
+                if let Err(why) = receive_push(core, &answers, push) {
                     return why;
                 }
             }
-            let Some(push) = desk.versions.with(|state| state.subscriber.take_push()) else {
+            let Some(push) = core
+                .active_version
+                .with(|state| state.subscriber.take_push())
+            else {
                 continue;
             };
-            let said = apply(desk, &push, VersionOrigin::Push).await;
+            let said = apply(core, &push, VersionOrigin::Push).await;
             if let PushReply::Rejected(why) = &said {
                 warn!(
                     version = push.version.number,
                     ?why,
                     "a version is turned down"
                 );
-                desk.versions
+                core.active_version
                     .with(|state| state.refused_last = Some((push.version, why.clone())));
             }
-            if !answers.say(&desk.versions, push.nonce, &said) {
+            if !answers.send_reply(&core.active_version, push.nonce, &said) {
                 return "it does not read its answers".into();
             }
             continue;
@@ -199,12 +207,12 @@
         };
         let gave_up = async {
             if let Ok(why) = given_up.recv().await {
-                answers.tell(&desk.versions, Answer::RolledBack, vec![why]);
+                answers.send_status(&core.active_version, Answer::RolledBack, vec![why]);
             }
             None
         };
         if let Some(push) = pushed.or(due).or(gave_up).await
-            && let Err(why) = take(desk, &answers, push)
+            && let Err(why) = receive_push(core, &answers, push)
         {
             return why;
         }
@@ -212,8 +220,8 @@
 }
 
 /// A message of the stream, or its end.
-fn take(
-    desk: &Desk,
+fn receive_push(
+    core: &DispatcherCore,
     answers: &Answers,
     push: Result<Option<v1::VersionPush>, Status>,
 ) -> Result<(), String> {
@@ -221,17 +229,19 @@
         .map_err(|why| why.message().to_string())?
         .ok_or("the service ended the stream")?;
     let nonce = push.nonce;
-    let Some(push) = push_of(push) else {
+    let Some(push) = push_from_message(push) else {
         let said = PushReply::Rejected(vec![
             "its stamp is none: a number above 0 and 64 hexadecimal digits".into(),
         ]);
-        let read = answers.say(&desk.versions, nonce, &said);
+        let read = answers.send_reply(&core.active_version, nonce, &said);
         return read
             .then_some(())
             .ok_or_else(|| "it does not read its answers".into());
     };
-    if let Some(superseded) = desk.versions.with(|state| state.subscriber.receive(push))
-        && !answers.say(&desk.versions, superseded.nonce, &superseded.reply)
+    if let Some(superseded) = core
+        .active_version
+        .with(|state| state.subscriber.receive(push))
+        && !answers.send_reply(&core.active_version, superseded.nonce, &superseded.reply)
     {
         return Err("it does not read its answers".into());
     }
@@ -239,8 +249,8 @@
 }
 
 /// Checks a version, keeps it on disk and puts it in force, on trial.
-pub async fn apply(desk: &Desk, push: &VersionPush, how: VersionOrigin) -> PushReply {
-    let versions = &desk.versions;
+pub async fn apply(core: &DispatcherCore, push: &VersionPush, how: VersionOrigin) -> PushReply {
+    let versions = &core.active_version;
     let _step = versions.step.lock().await;
     let texts = match versions.with(|state| state.subscriber.admit(push)) {
         PushAdmission::Reply(said) => return said,
@@ -250,23 +260,23 @@
         Ok(next) => next,
         Err(why) => return PushReply::Rejected(why),
     };
-    let why = desk.obstacles(&next, push.allows_cuts);
+    let why = core.obstacles(&next, push.allows_cuts);
     if !why.is_empty() {
         return PushReply::Rejected(why);
     }
-    let (now, counted) = (desk.clock.now(), counts(desk));
+    let (now, counted) = (core.clock.now(), request_counts(core));
     let kept = versions.with(|state| {
         state
             .subscriber
             .prepare_trial(now, counted, push.version, texts.clone())
     });
-    if let Err(why) = versions.keep(&kept).await {
+    if let Err(why) = versions.save(&kept).await {
         return PushReply::Rejected(vec![format!("it can't be kept on disk: {why}")]);
     }
-    if !desk.put_in_force(next) {
+    if !core.activate(next) {
         // Not in force, so it must not be on disk either.
         let former = versions.with(|state| state.subscriber.persisted().clone());
-        if let Err(why) = versions.keep(&former).await {
+        if let Err(why) = versions.save(&former).await {
             warn!(why, "a version that is not in force stays on disk");
         }
         return PushReply::Rejected(vec![
@@ -276,26 +286,29 @@
     versions.with(|state| {
         state
             .subscriber
-            .start_trial(desk.clock.now(), kept, counts(desk));
-        state
-            .shelf
-            .record_active(push.version, texts, push.allows_cuts, &push.predecessors);
+            .start_trial(core.clock.now(), kept, request_counts(core));
+        state.version_cache.record_active(
+            push.version,
+            texts,
+            push.allows_cuts,
+            &push.predecessors,
+        );
     });
-    RUNNING.store(push.version.number, Ordering::Relaxed);
-    desk.fleet.began(push.version, how);
+    ACTIVE_VERSION_NUMBER.store(push.version.number, Ordering::Relaxed);
+    core.fencing.version_activated(push.version, how);
     info!(number = push.version.number, ?how, digest = ?push.version.digest, "a version is in force, on trial");
     PushReply::Applied
 }
 
 /// Looks at the version on trial again and again.
-async fn watch(desk: Arc<Desk>, gave_up: async_channel::Sender<String>) {
+async fn watch_trial(core: Arc<DispatcherCore>, gave_up: async_channel::Sender<String>) {
     loop {
-        async_io::Timer::after(LOOK).await;
-        let versions = &desk.versions;
+        async_io::Timer::after(TRIAL_CHECK_INTERVAL).await;
+        let versions = &core.active_version;
         let _step = versions.step.lock().await;
-        let now = desk.clock.now();
+        let now = core.clock.now();
         let Some(outcome) =
-            versions.with(|state| state.subscriber.evaluate_trial(now, counts(&desk)))
+            versions.with(|state| state.subscriber.evaluate_trial(now, request_counts(&core)))
         else {
             continue;
         };
@@ -311,7 +324,7 @@
                 Some((stamp, texts)) => versions.deployment(*stamp, texts),
                 None => Ok(versions.file.clone()),
             };
-            if !back.is_ok_and(|back| desk.put_in_force(back)) {
+            if !back.is_ok_and(|back| core.activate(back)) {
                 warn!(
                     why,
                     "the version does harm, and the one before does not fit any more"
@@ -319,7 +332,7 @@
                 continue;
             }
         }
-        if let Err(why) = versions.keep(&kept).await {
+        if let Err(why) = versions.save(&kept).await {
             warn!(
                 why,
                 "how a trial came out can't be kept on disk; a restart tries that version again"
@@ -328,22 +341,22 @@
         versions.with(|state| {
             state
                 .subscriber
-                .finish_trial(desk.clock.now(), kept, counts(&desk));
+                .finish_trial(core.clock.now(), kept, request_counts(&core));
             let stamp = state.subscriber.active_version();
-            RUNNING.store(stamp.number, Ordering::Relaxed);
+            ACTIVE_VERSION_NUMBER.store(stamp.number, Ordering::Relaxed);
             if why.is_some() {
                 // What was given up here is not handed on.
                 let texts = state.subscriber.active_texts().clone();
-                state.shelf = VersionCache::default();
+                state.version_cache = VersionCache::default();
                 if stamp.number > 0 {
-                    state.shelf.record_active(stamp, texts, false, &[]);
+                    state.version_cache.record_active(stamp, texts, false, &[]);
                 }
             }
         });
         match why {
             Some(why) => {
-                desk.fleet
-                    .began(desk.deployment().stamp, VersionOrigin::Rollback);
+                core.fencing
+                    .version_activated(core.deployment().stamp, VersionOrigin::Rollback);
                 warn!(
                     number = before.number,
                     why, "a version is given up for the last good one"
@@ -357,22 +370,29 @@
 
 /// What operators ask.
 #[derive(Clone)]
-pub struct Operators(pub Arc<Desk>);
+pub struct VersionService(pub Arc<DispatcherCore>);
 
 #[tonic::async_trait]
-impl v1::versions_server::Versions for Operators {
+impl v1::versions_server::Versions for VersionService {
     async fn status(
         &self,
         _: Request<v1::VersionStatusRequest>,
     ) -> Result<Response<v1::VersionStatus>, Status> {
-        let floor = self.0.fleet.floor().map(minimum_version::message);
-        let shut_out = self.0.shut_out().is_some();
-        let status = self.0.versions.status(&self.0.deployment());
+        let floor = self
+            .0
+            .fencing
+            .minimum_version()
+            .map(version_gate::minimum_version_message);
+        let shut_out = self.0.fenced_by().is_some();
+        let status = self.0.active_version.status(&self.0.deployment());
         let (dispatcher, life) = (
             self.0.deployment().cluster.scheduler_index as u32,
-            self.0.fleet.life,
+            self.0.fencing.incarnation,
+        );
+        let (unwritten, (spans, counted)) = (
+            self.0.fencing.has_unwritten_history(),
+            self.0.fencing.history_messages(),
         );
-        let (unwritten, (spans, counted)) = (self.0.fleet.unwritten(), self.0.fleet.told());
         // For an audit of an earlier program, which knows no kinds.
         let mut acts = std::collections::HashMap::new();
         counted
@@ -395,14 +415,21 @@
         &self,
         request: Request<v1::FetchVersionRequest>,
     ) -> Result<Response<v1::VersionPush>, Status> {
-        let Some(_given) = self.0.fleet.gives() else {
+        let Some(_given) = self.0.fencing.catch_up_permit() else {
             return Err(Status::resource_exhausted(
                 "as many as may be are brought up from here",
             ));
         };
-        let theirs = request.into_inner().active.as_ref().and_then(stamp);
+        let theirs = request
+            .into_inner()
+            .active
+            .as_ref()
+            .and_then(version_id_from_message);
         let theirs = theirs.ok_or_else(|| Status::invalid_argument("running: no stamp"))?;
-        let push = self.0.versions.with(|state| state.shelf.push_for(theirs));
+        let push = self
+            .0
+            .active_version
+            .with(|state| state.version_cache.push_for(theirs));
         Ok(Response::new(push.map(push_message).unwrap_or_default()))
     }
 
--- a/crates/dispatcher/src/core.rs
+++ b/crates/dispatcher/src/core.rs
@@ -8,16 +8,16 @@
 mod effects;
 mod replicas;
 
-use crate::active_version::{self, Versions};
+use crate::active_version::{self, ActiveVersion};
 use crate::attempts;
 use crate::clock::{Clock, duration};
-use crate::link_counters::{Counts, LinkKind};
+use crate::link_counters::{LinkCounters, LinkKind};
 use crate::node_links::NodeLink;
-use crate::rollouts::Rolls;
+use crate::rollouts::Rollouts;
 use crate::store::Store;
-use crate::version_gate::{self, Fleet};
-pub use client::Current;
-use client::{Client, Orphan, Then};
+use crate::version_gate::{self, FencingState};
+pub use client::CurrentAllocation;
+use client::{AfterRemoval, ClientAllocation, PendingRemoval};
 use corkspan_api::v1;
 use corkspan_config::Deployment;
 use corkspan_config::version::{Digest, VersionId};
@@ -28,49 +28,49 @@
 use corkspan_rpc::Tasks;
 use corkspan_scheduler::interface::*;
 use corkspan_version_fencing::operations::OperationKind;
-use effects::{Counters, Port};
+use effects::{DispatcherEffects, RequestCounters};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError, RwLock};
 use std::time::{Duration, Instant};
 use tracing::{info, warn};
-use v1::placement_event::Event as Said;
+use v1::placement_event::Event as Reply;
 
-pub struct Inner {
-    host: Host<Client>,
-    port: Port,
+pub struct CoreState {
+    engine: Host<ClientAllocation>,
+    effects: DispatcherEffects,
 }
 
-pub struct Desk {
-    inner: Mutex<Inner>,
+pub struct DispatcherCore {
+    inner: Mutex<CoreState>,
     pub clock: Clock,
     /// What is in force. Changed under the books' lock alone, so never between a decision and what
     /// it is made by.
     in_force: RwLock<Arc<Deployment>>,
-    pub versions: Versions,
-    pub fleet: Fleet,
+    pub active_version: ActiveVersion,
+    pub fencing: FencingState,
     pub link_bounds: corkspan_rpc::Bounds,
-    pub counts: Counts,
+    pub link_counters: LinkCounters,
     pub tasks: Tasks,
     /// When to look again.
     wakes: async_channel::Sender<Instant>,
     /// The list is to be watched.
     pub watches: async_channel::Sender<()>,
     /// Calls of clients that are open.
-    calls: Arc<()>,
+    open_calls: Arc<()>,
     /// Where rolls and claims are kept.
     pub store: Arc<Store>,
     /// Claims that the keepers are to be told of as given back.
-    pub given_back: async_channel::Receiver<(String, ClaimId)>,
+    pub returned_claims: async_channel::Receiver<(String, ClaimId)>,
 }
 
 /// What an owner's call gets: words, and the id where it was taken into hand.
-pub struct Taken {
-    pub words: async_channel::Receiver<v1::PlacementEvent>,
-    pub id: Option<Current>,
+pub struct OpenCall {
+    pub replies: async_channel::Receiver<v1::PlacementEvent>,
+    pub id: Option<CurrentAllocation>,
     pub open: Arc<()>,
 }
 
-impl Desk {
+impl DispatcherCore {
     pub fn new(
         deployment: Deployment,
         seed: u64,
@@ -81,67 +81,72 @@
         store: Store,
     ) -> Arc<Self> {
         let now = clock.now();
-        let (versions, deployment) = Versions::start(deployment, now);
-        let (gives_back, given_back) = async_channel::bounded(GIVEN_BACK);
+        let (active_version, deployment) = ActiveVersion::start(deployment, now);
+        let (claim_returns, returned_claims) = async_channel::bounded(RETURNED_CLAIMS_QUEUE);
         let store = Arc::new(store);
-        let spans = store.spans();
-        versions.learn(spans.iter().filter_map(|span| {
+        let spans = store.version_history();
+        active_version.remember_lineage(spans.iter().filter_map(|span| {
             let (number, digest) = (span.version, Digest::read(&span.digest)?);
             Some(VersionId { number, digest })
         }));
-        let fleet = Fleet::new(seed, spans, deployment.stamp);
-        let kept = store.read();
+        let fencing = FencingState::new(seed, spans, deployment.stamp);
+        let stored = store.load();
         // Whatever an earlier life had started beside a copy, and was killed before it had put away
         // one of the two.
-        let orphans = kept.1.iter().filter_map(|held| {
+        let pending_removals = stored.1.iter().filter_map(|held| {
             let pair = held.pair.as_ref()?;
             let old = pair.retires.then(|| pair.old.clone());
-            Some(Orphan {
+            Some(PendingRemoval {
                 service: held.service.clone(),
                 task: held.task.clone(),
-                placings: old.into_iter().chain([pair.new.clone()]).collect(),
-                but: None,
+                placing_ids: old.into_iter().chain([pair.new.clone()]).collect(),
+                except: None,
                 nodes: None,
-                told: BTreeSet::new(),
-                then: Then::Forgotten(held.claim, pair.clone()),
+                confirmed_by: BTreeSet::new(),
+                after: AfterRemoval::RestartCleanup(held.claim, pair.clone()),
             })
         });
-        let orphans: Vec<Orphan> = orphans.collect();
-        Arc::new_cyclic(|desk| {
-            let host = Host::new(
+        let pending_removals: Vec<PendingRemoval> = pending_removals.collect();
+        Arc::new_cyclic(|core| {
+            let engine = Host::new(
                 cluster(&deployment),
                 seed,
                 now,
                 deployment.bounds.in_hand,
-                SLICE,
+                RETRY_BATCH,
             );
-            let port = Port {
-                desk: desk.clone(),
+            let effects = DispatcherEffects {
+                core: core.clone(),
                 now,
                 nodes: BTreeMap::new(),
                 entries: BTreeMap::new(),
-                counters: Counters::default(),
+                counters: RequestCounters::default(),
                 stopping: false,
-                decided: Duration::ZERO,
+                decision_time: Duration::ZERO,
                 serving: 0,
-                rolls: Rolls::new(deployment.cluster.scheduler_index as u32, seed, now, kept),
-                orphans,
-                gives_back,
+                rollouts: Rollouts::new(
+                    deployment.cluster.scheduler_index as u32,
+                    seed,
+                    now,
+                    stored,
+                ),
+                pending_removals,
+                claim_returns,
             };
-            Desk {
-                inner: Mutex::new(Inner { host, port }),
+            DispatcherCore {
+                inner: Mutex::new(CoreState { engine, effects }),
                 clock,
                 link_bounds: crate::node_links::bounds(&deployment.bounds),
-                counts: Counts::default(),
+                link_counters: LinkCounters::default(),
                 in_force: RwLock::new(Arc::new(deployment)),
-                versions,
-                fleet,
+                active_version,
+                fencing,
                 tasks: Arc::clone(tasks),
                 wakes,
                 watches,
-                calls: Arc::new(()),
+                open_calls: Arc::new(()),
                 store,
-                given_back,
+                returned_claims,
             }
         })
     }
@@ -152,20 +157,20 @@
 
     /// Why this one can't take the place of the one in force.
     pub fn obstacles(&self, next: &Deployment, cuts: bool) -> Vec<String> {
-        let by_track = self.lock().host.by_track();
+        let by_track = self.lock().engine.by_track();
         let in_use = |track| by_track.get(&track).copied().unwrap_or(0);
         compatibility::violations(&self.deployment(), next, cuts, in_use)
     }
 
     /// Puts it in force between two decisions. False where it can't be, and the former stays.
-    pub fn put_in_force(&self, next: Deployment) -> bool {
-        self.with(|now, host, _| {
-            let by_track = host.by_track();
+    pub fn activate(&self, next: Deployment) -> bool {
+        self.with(|now, engine, _| {
+            let by_track = engine.by_track();
             let in_use = |track| by_track.get(&track).copied().unwrap_or(0);
             let Ok(next) = stable_ids::assign(&self.deployment(), next, in_use) else {
                 return false;
             };
-            host.adopt(now, cluster(&next), next.bounds.in_hand);
+            engine.adopt(now, cluster(&next), next.bounds.in_hand);
             *self
                 .in_force
                 .write()
@@ -174,35 +179,42 @@
         })
     }
 
-    pub fn asked_and_refused(&self) -> (u64, u64) {
+    pub fn request_counters(&self) -> (u64, u64) {
         let inner = self.lock();
-        (inner.port.counters.asked, inner.port.counters.refused)
+        (inner.effects.counters.asked, inner.effects.counters.refused)
     }
 
-    fn lock(&self) -> MutexGuard<'_, Inner> {
+    fn lock(&self) -> MutexGuard<'_, CoreState> {
         // A panic under the lock would leave the books in doubt: go down with it rather than guess.
         self.inner.lock().expect("the desk's books are whole")
     }
 
     /// Hands something over and sets going what follows from it.
-    fn with<R>(&self, call: impl FnOnce(Ticks, &mut Host<Client>, &mut Port) -> R) -> R {
+    fn with<R>(
+        &self,
+        call: impl FnOnce(Ticks, &mut Host<ClientAllocation>, &mut DispatcherEffects) -> R,
+    ) -> R {
         let mut inner = self.lock();
-        let Inner { host, port } = &mut *inner;
+        let CoreState { engine, effects } = &mut *inner;
         let (now, began) = (self.clock.now(), Instant::now());
-        port.now = now;
-        let result = call(now, host, port);
-        host.rest(now, port);
-        port.decided += began.elapsed();
+        effects.now = now;
+        let result = call(now, engine, effects);
+        engine.rest(now, effects);
+        effects.decision_time += began.elapsed();
         result
     }
 
     /// An owner asks. The answer is among the words, at once or later.
-    pub fn ask(self: &Arc<Self>, ask: v1::PlacementRequest, hangs_up: Option<Duration>) -> Taken {
-        let (words, heard) = async_channel::bounded(self.deployment().bounds.words_a_client);
-        let taken = Taken {
-            words: heard,
+    pub fn place(
+        self: &Arc<Self>,
+        ask: v1::PlacementRequest,
+        call_deadline: Option<Duration>,
+    ) -> OpenCall {
+        let (replies, heard) = async_channel::bounded(self.deployment().bounds.words_a_client);
+        let taken = OpenCall {
+            replies: heard,
             id: None,
-            open: Arc::clone(&self.calls),
+            open: Arc::clone(&self.open_calls),
         };
         let refuse = |why: v1::rejected::RejectionReason, text: String| {
             let word = v1::Rejected {
@@ -210,21 +222,21 @@
                 message: text,
                 attempts: 0,
             };
-            let _ = words.try_send(v1::PlacementEvent {
-                event: Some(Said::Rejected(word)),
+            let _ = replies.try_send(v1::PlacementEvent {
+                event: Some(Reply::Rejected(word)),
             });
         };
         let mut inner = self.lock();
-        inner.port.counters.asked += 1;
-        inner.port.counters.refused += 1;
-        if inner.port.stopping {
+        inner.effects.counters.asked += 1;
+        inner.effects.counters.refused += 1;
+        if inner.effects.stopping {
             refuse(
                 v1::rejected::RejectionReason::Stopping,
                 "this dispatcher is about to stop".into(),
             );
             return taken;
         }
-        if let Some(floor) = self.shut_out() {
+        if let Some(floor) = self.fenced_by() {
             let text = format!(
                 "this dispatcher is behind: version {} is the lowest that may act",
                 floor.version
@@ -232,7 +244,7 @@
             refuse(v1::rejected::RejectionReason::Behind, text);
             return taken;
         }
-        if Arc::strong_count(&self.calls) > self.deployment().bounds.calls as usize {
+        if Arc::strong_count(&self.open_calls) > self.deployment().bounds.calls as usize {
             refuse(
                 v1::rejected::RejectionReason::TooMany,
                 "as many calls as may be are open".into(),
@@ -241,15 +253,19 @@
         }
         let now = self.clock.now();
         let left = [
-            hangs_up.map(crate::clock::ticks),
+            call_deadline.map(crate::clock::ticks),
             Some(ask.deadline_ms.saturating_mul(10)).filter(|&ms| ms > 0),
         ];
-        let asked = match (self.asked(now, &ask), left.into_iter().flatten().min()) {
+        let asked = match (
+            self.engine_request(now, &ask),
+            left.into_iter().flatten().min(),
+        ) {
             (Err(why), _) => Err(why),
             (_, None) => Err("no deadline: neither abandon_ms nor one of the call".into()),
-            (_, Some(left)) if left > LONGEST => {
-                Err(format!("a deadline more than {} s away", LONGEST / 10_000))
-            }
+            (_, Some(left)) if left > MAX_DEADLINE => Err(format!(
+                "a deadline more than {} s away",
+                MAX_DEADLINE / 10_000
+            )),
             (Ok(asked), Some(left)) => Ok((asked, left)),
         };
         let (asked, left) = match asked {
@@ -267,52 +283,52 @@
             ..asked
         };
         let task = ask.task.clone();
-        let hangs_up = hangs_up.map(|after| now + crate::clock::ticks(after));
-        let client = Client {
+        let call_deadline = call_deadline.map(|after| now + crate::clock::ticks(after));
+        let client = ClientAllocation {
             deadline: Some(now + left),
-            hangs_up,
-            ..Client::new(ask, &words)
+            call_deadline,
+            ..ClientAllocation::new(ask, &replies)
         };
-        let current = client.current.clone();
-        let why = match inner.host.take(now, &task, asked, client) {
+        let current_id = client.current_id.clone();
+        let why = match inner.engine.take(now, &task, asked, client) {
             Ok(id) => {
-                current.set(id);
-                inner.port.counters.refused -= 1;
+                current_id.set(id);
+                inner.effects.counters.refused -= 1;
                 drop(inner);
-                self.with(|now, host, port| host.place(now, id, port));
-                return Taken {
-                    id: Some(current),
+                self.with(|now, engine, effects| engine.place(now, id, effects));
+                return OpenCall {
+                    id: Some(current_id),
                     ..taken
                 };
             }
             Err((why, _)) => why,
         };
-        refuse(refusal(why), why.to_string());
+        refuse(refusal_reason(why), why.to_string());
         taken
     }
 
     /// An owner hands over an allocation that already runs.
-    pub fn hand_over(self: &Arc<Self>, running: v1::HandOverRequest) -> Taken {
-        let (words, heard) = async_channel::bounded(self.deployment().bounds.words_a_client);
-        let open = Arc::clone(&self.calls);
+    pub fn hand_over(self: &Arc<Self>, running: v1::HandOverRequest) -> OpenCall {
+        let (replies, heard) = async_channel::bounded(self.deployment().bounds.words_a_client);
+        let open = Arc::clone(&self.open_calls);
         let refuse = |why: v1::rejected::RejectionReason, text: String| {
             let word = v1::Rejected {
                 reason: why.into(),
                 message: text,
                 attempts: 0,
             };
-            let _ = words.try_send(v1::PlacementEvent {
-                event: Some(Said::Rejected(word)),
+            let _ = replies.try_send(v1::PlacementEvent {
+                event: Some(Reply::Rejected(word)),
             });
         };
         let ask = running.request.unwrap_or_default();
         let machine = MachineId(running.node);
-        let id = self.with(|now, host, port| {
+        let id = self.with(|now, engine, effects| {
             let asked = self
-                .asked(now, &ask)
+                .engine_request(now, &ask)
                 .map_err(|why| refuse(v1::rejected::RejectionReason::BadAsk, why))
                 .ok()?;
-            if port.stopping {
+            if effects.stopping {
                 refuse(
                     v1::rejected::RejectionReason::Stopping,
                     "this dispatcher is about to stop".into(),
@@ -321,43 +337,43 @@
             }
             let (task, shot) = (
                 ask.task.clone(),
-                self.shot(&ask, &asked, 0, String::new(), OperationKind::Attend),
+                self.attempt_message(&ask, &asked, 0, String::new(), OperationKind::Attend),
             );
             let service_name = ask.service.clone();
-            let client = Client::new(ask, &words);
-            let current = client.current.clone();
-            match host.take_running(now, &task, asked, machine, client) {
+            let client = ClientAllocation::new(ask, &replies);
+            let current_id = client.current_id.clone();
+            match engine.take_running(now, &task, asked, machine, client) {
                 Ok(id) => {
                     self.tasks
-                        .spawn(attempts::attend(
+                        .spawn(attempts::follow_existing(
                             self.clone(),
                             id,
-                            port.node(machine),
+                            effects.node(machine),
                             machine,
                             shot,
                         ))
                         .detach();
-                    current.set(id);
-                    if let Some(conductor) = port.rolls.of(&service_name) {
-                        conductor.replica_assigned(now, &task, "", false);
+                    current_id.set(id);
+                    if let Some(controller) = effects.rollouts.controller(&service_name) {
+                        controller.replica_assigned(now, &task, "", false);
                     }
-                    Some(current)
+                    Some(current_id)
                 }
                 Err((why, _)) => {
-                    refuse(refusal(why), why.to_string());
+                    refuse(refusal_reason(why), why.to_string());
                     None
                 }
             }
         });
-        Taken {
-            words: heard,
+        OpenCall {
+            replies: heard,
             id,
             open,
         }
     }
 
     /// What an ask is to the decisions, or what is wrong with it. Its abandon time is not set.
-    fn asked(&self, now: Ticks, ask: &v1::PlacementRequest) -> Result<Asked, String> {
+    fn engine_request(&self, now: Ticks, ask: &v1::PlacementRequest) -> Result<Asked, String> {
         // A row without a name is of one that is gone.
         let index = |names: &[String], name: &str| {
             names
@@ -404,7 +420,7 @@
         })
     }
 
-    fn shot(
+    fn attempt_message(
         &self,
         ask: &v1::PlacementRequest,
         asked: &Asked,
@@ -425,121 +441,138 @@
             dispatcher: self.deployment().cluster.scheduler_index as u32,
             priority: u32::from(self.deployment().cluster.service_classes[asked.track.0].priority),
             version,
-            decider: Some(self.by(kind, 1)),
-            minimum_version: self.fleet.floor().map(version_gate::message),
+            decider: Some(self.sender(kind, 1)),
+            minimum_version: self
+                .fencing
+                .minimum_version()
+                .map(version_gate::minimum_version_message),
         }
     }
 
     /// Who acts, and under which version: told with each act, from what is in force as it is
     /// decided. `many`: nodes that it goes to.
-    pub fn by(&self, kind: OperationKind, many: usize) -> v1::Decider {
+    pub fn sender(&self, kind: OperationKind, many: usize) -> v1::Decider {
         let deployment = self.deployment();
-        self.fleet.acts(deployment.stamp, kind, many);
-        let stamp = Some(active_version::message(deployment.stamp));
+        self.fencing.record_operations(deployment.stamp, kind, many);
+        let stamp = Some(active_version::version_id_message(deployment.stamp));
         v1::Decider {
             version: stamp,
-            incarnation: self.fleet.life,
+            incarnation: self.fencing.incarnation,
             dispatcher: deployment.cluster.scheduler_index as u32,
         }
     }
 
     /// The floor of versions that shuts this dispatcher out, if one does.
-    pub fn shut_out(&self) -> Option<corkspan_version_fencing::MinimumVersion> {
-        self.fleet.shut_out(self.deployment().stamp)
+    pub fn fenced_by(&self) -> Option<corkspan_version_fencing::MinimumVersion> {
+        self.fencing.fenced_by(self.deployment().stamp)
     }
 
     /// The owner's call is over. Unless the allocation has ended too, or the call had its own
     /// deadline, it is no longer wanted.
-    pub fn hung_up(self: &Arc<Self>, id: AllocationId) {
-        self.with(|now, host, port| {
-            let Some((client, _)) = host.own(id) else {
+    pub fn call_ended(self: &Arc<Self>, id: AllocationId) {
+        self.with(|now, engine, effects| {
+            let Some((client, _)) = engine.own(id) else {
                 return;
             };
-            let placed = client.deadline.is_none() || client.anew;
-            if placed && (port.stopping || client.hangs_up.is_some_and(|at| now >= at)) {
+            let placed = client.deadline.is_none() || client.replacement;
+            if placed && (effects.stopping || client.call_deadline.is_some_and(|at| now >= at)) {
                 return;
             }
-            self.unwanted(id, host, port);
+            self.cancel(id, engine, effects);
         });
     }
 
     /// Ends an allocation without an answer and stops what may run of it.
-    fn unwanted(self: &Arc<Self>, id: AllocationId, host: &mut Host<Client>, port: &mut Port) {
-        let Some((client, allocation)) = host.own(id) else {
+    fn cancel(
+        self: &Arc<Self>,
+        id: AllocationId,
+        engine: &mut Host<ClientAllocation>,
+        effects: &mut DispatcherEffects,
+    ) {
+        let Some((client, allocation)) = engine.own(id) else {
             return;
         };
         if let Some(machine) = allocation.attempts.last().map(|shot| shot.machine) {
-            port.stop(self, client, machine, false);
+            effects.stop(self, client, machine, false);
         }
-        if client.beside.is_some() {
-            return self.withdraw(id, SurgeEnd::NoCapacity, host, port);
+        if client.predecessor.is_some() {
+            return self.cancel_surge(id, SurgeEnd::NoCapacity, engine, effects);
         }
         let successor = client.successor.take();
-        port.copy_gone(client, true);
-        port.counters.cancelled += 1;
-        host.finish(id);
+        effects.replica_gone(client, true);
+        effects.counters.cancelled += 1;
+        engine.finish(id);
         if let Some(next) = successor {
-            self.withdraw(next, SurgeEnd::Cancelled, host, port);
+            self.cancel_surge(next, SurgeEnd::Cancelled, engine, effects);
         }
     }
 
     pub fn node(&self, machine: MachineId) -> Option<Arc<NodeLink>> {
-        self.lock().port.node(machine)
+        self.lock().effects.node(machine)
     }
 
     /// The list of machines, or changes of it, with their addresses.
-    pub fn listed(&self, scope: ListUpdate, entries: &[(Endpoint, std::net::SocketAddr)]) {
-        self.with(|_, host, port| {
+    pub fn apply_endpoint_list(
+        &self,
+        scope: ListUpdate,
+        entries: &[(Endpoint, std::net::SocketAddr)],
+    ) {
+        self.with(|_, engine, effects| {
             if scope == ListUpdate::Complete {
-                port.nodes
+                effects
+                    .nodes
                     .retain(|id, _| entries.iter().any(|(entry, _)| entry.machine == *id));
             }
             let dispatcher = self.deployment().cluster.scheduler_index as u32;
             if scope == ListUpdate::Complete {
-                port.entries.clear();
+                effects.entries.clear();
             }
             for (entry, address) in entries {
                 match entry.state {
-                    MachineState::Removed => drop(port.entries.remove(&entry.machine)),
-                    _ => drop(port.entries.insert(entry.machine, *entry)),
+                    MachineState::Removed => drop(effects.entries.remove(&entry.machine)),
+                    _ => drop(effects.entries.insert(entry.machine, *entry)),
                 }
-                if port
+                if effects
                     .nodes
                     .get(&entry.machine)
                     .is_none_or(|node| node.address != *address)
                 {
                     let keeps = self.deployment().keepers.contains(&entry.machine);
-                    let meter = self.counts.meter(if keeps {
+                    let meter = self.link_counters.meter(if keeps {
                         LinkKind::Keepers
                     } else {
                         LinkKind::Nodes
                     });
                     let node = NodeLink::new(*address, entry.machine.0, dispatcher, meter);
-                    port.nodes.insert(entry.machine, node);
+                    effects.nodes.insert(entry.machine, node);
                 }
             }
             let list: Vec<Endpoint> = entries.iter().map(|(entry, _)| *entry).collect();
-            host.listed(scope, &list);
+            engine.listed(scope, &list);
         });
     }
 
     /// The machines that the roster names.
-    pub fn entries(&self) -> BTreeMap<MachineId, Endpoint> {
-        self.lock().port.entries.clone()
+    pub fn endpoints(&self) -> BTreeMap<MachineId, Endpoint> {
+        self.lock().effects.entries.clone()
     }
 
     /// Our allocations by machine: how many may be moved, and how many may not.
-    pub fn held(&self) -> BTreeMap<MachineId, (usize, usize)> {
+    pub fn allocations_by_machine(&self) -> BTreeMap<MachineId, (usize, usize)> {
         let mut inner = self.lock();
         let mut held: BTreeMap<MachineId, (usize, usize)> = BTreeMap::new();
-        for (_, machine, track) in standing(&mut inner.host) {
+        for (_, machine, track) in running_allocations(&mut inner.engine) {
             let (movable, once) = held.entry(machine).or_default();
-            *(if self.once(track) { once } else { movable }) += 1;
+            *(if self.is_unrepeatable(track) {
+                once
+            } else {
+                movable
+            }) += 1;
         }
         held
     }
 
-    fn once(&self, track: ServiceClassId) -> bool {
+    fn is_unrepeatable(&self, track: ServiceClassId) -> bool {
         let deployment = self.deployment();
         deployment
             .cluster
@@ -551,34 +584,36 @@
     /// Moves what may be moved off a machine that is taken out: its owner asks for it anew. Told
     /// again in each look, since word to the machine is one try, and one that is lost would
     /// hold it up until that allocation ends by itself.
-    pub fn empty(self: &Arc<Self>, machine: MachineId) {
-        self.with(|_, host, port| {
-            for (id, at, track) in standing(host) {
-                let Some((client, _)) = host.own(id).filter(|_| at == machine && !self.once(track))
+    pub fn drain(self: &Arc<Self>, machine: MachineId) {
+        self.with(|_, engine, effects| {
+            for (id, at, track) in running_allocations(engine) {
+                let Some((client, _)) = engine
+                    .own(id)
+                    .filter(|_| at == machine && !self.is_unrepeatable(track))
                 else {
                     continue;
                 };
-                client.moving = true;
-                port.stop(self, client, machine, true);
+                client.migrating = true;
+                effects.stop(self, client, machine, true);
             }
         });
     }
 
-    pub fn count_serving(&self, serving: usize) {
-        self.lock().port.serving = serving;
+    pub fn set_serving(&self, serving: usize) {
+        self.lock().effects.serving = serving;
     }
 
-    pub fn list_failed(&self) {
-        self.with(|now, host, _| host.list_failed(now));
+    pub fn endpoint_watch_failed(&self) {
+        self.with(|now, engine, _| engine.list_failed(now));
     }
 
-    pub fn woken(&self) {
-        self.with(|now, host, _| host.woken(now));
+    pub fn timer_fired(&self) {
+        self.with(|now, engine, _| engine.woken(now));
     }
 
     pub fn status(&self) -> v1::StatusResponse {
         let inner = self.lock();
-        let (counts, port) = (inner.host.counts(), &inner.port);
+        let (counts, effects) = (inner.engine.counts(), &inner.effects);
         let idle = duration(self.deployment().bounds.idle_close);
         v1::StatusResponse {
             number: self.deployment().cluster.scheduler_index as u32,
@@ -587,27 +622,27 @@
             deferred: counts.not_yet as u64,
             attempts_in_flight: counts.shots_out as u64,
             running: counts.placed as u64,
-            requested: port.counters.asked,
-            placed: port.counters.placed,
-            rejected: port.counters.refused,
-            failed: port.counters.failed,
-            cancelled: port.counters.cancelled,
-            connections: port
+            requested: effects.counters.asked,
+            placed: effects.counters.placed,
+            rejected: effects.counters.refused,
+            failed: effects.counters.failed,
+            cancelled: effects.counters.cancelled,
+            connections: effects
                 .nodes
                 .values()
                 .filter(|node| node.close_idle(idle))
                 .count() as u64,
-            machines_serving: port.serving as u64,
-            machines_known: port.nodes.len() as u64,
-            decision_time_us: port.decided.as_micros() as u64,
-            stopping: port.stopping,
-            connection_traffic: self.counts.told(),
+            machines_serving: effects.serving as u64,
+            machines_known: effects.nodes.len() as u64,
+            decision_time_us: effects.decision_time.as_micros() as u64,
+            stopping: effects.stopping,
+            connection_traffic: self.link_counters.messages(),
         }
     }
 
     /// Closes links that nothing has crossed for a while.
     pub fn close_idle(&self) {
-        let nodes: Vec<Arc<NodeLink>> = self.lock().port.nodes.values().cloned().collect();
+        let nodes: Vec<Arc<NodeLink>> = self.lock().effects.nodes.values().cloned().collect();
         let idle = duration(self.deployment().bounds.idle_close);
         for node in nodes {
             node.close_idle(idle);
@@ -617,22 +652,22 @@
     /// No new asks from here on; whatever waits for room is answered.
     pub fn stop(&self) {
         info!("stopping: no new asks");
-        self.with(|now, host, port| {
-            port.stopping = true;
-            host.stop(now, port);
+        self.with(|now, engine, effects| {
+            effects.stopping = true;
+            engine.stop(now, effects);
         });
     }
 
-    pub fn unanswered(&self) -> usize {
-        self.lock().host.unanswered().len()
+    pub fn unanswered_count(&self) -> usize {
+        self.lock().engine.unanswered().len()
     }
 
     /// Gives up on shots still out, and hands the running ones back to their owners.
-    pub fn let_go(&self) {
-        self.with(|now, host, port| {
-            for (id, shot) in host.unanswered() {
+    pub fn end_all(&self) {
+        self.with(|now, engine, effects| {
+            for (id, shot) in engine.unanswered() {
                 warn!(?id, shot, "no answer from a node before the stop");
-                host.returned(
+                engine.returned(
                     now,
                     id,
                     shot,
@@ -640,23 +675,23 @@
                     None,
                     false,
                     None,
-                    port,
+                    effects,
                 );
             }
-            for (_, client, runs) in host.all() {
-                if runs && client.beside.is_none() {
-                    client.say(Said::Ended(v1::Ended {
+            for (_, client, runs) in engine.all() {
+                if runs && client.predecessor.is_none() {
+                    client.send_reply(Reply::Ended(v1::Ended {
                         reason: v1::ended::EndReason::HandedBack.into(),
                     }));
                 }
-                client.words.close();
+                client.replies.close();
             }
         });
     }
 
     /// Whether calls of clients are open.
-    pub fn calls_open(&self) -> bool {
-        Arc::strong_count(&self.calls) > 1
+    pub fn has_open_calls(&self) -> bool {
+        Arc::strong_count(&self.open_calls) > 1
     }
 }
 
@@ -670,20 +705,22 @@
 }
 
 /// Some 2 ms of work, and as long for the sockets.
-const SLICE: Slice = Slice {
+const RETRY_BATCH: Slice = Slice {
     most: 32,
     apart: 20,
 };
 
 /// What stands, and where.
-fn standing(host: &mut Host<Client>) -> Vec<(AllocationId, MachineId, ServiceClassId)> {
-    let placed: Vec<AllocationId> = host
+fn running_allocations(
+    engine: &mut Host<ClientAllocation>,
+) -> Vec<(AllocationId, MachineId, ServiceClassId)> {
+    let placed: Vec<AllocationId> = engine
         .all()
         .filter(|(_, _, placed)| *placed)
         .map(|(id, _, _)| id)
         .collect();
     let at = |id| {
-        let (_, allocation) = host.own(id)?;
+        let (_, allocation) = engine.own(id)?;
         Some((
             id,
             allocation.attempts.last()?.machine,
@@ -694,9 +731,9 @@
 }
 
 /// No owner waits longer for a placing.
-const LONGEST: Ticks = 24 * 3600 * 10_000;
+const MAX_DEADLINE: Ticks = 24 * 3600 * 10_000;
 
-fn refusal(why: NotTaken) -> v1::rejected::RejectionReason {
+fn refusal_reason(why: NotTaken) -> v1::rejected::RejectionReason {
     match why {
         NotTaken::Full => v1::rejected::RejectionReason::TooMany,
         NotTaken::SameName => v1::rejected::RejectionReason::InHand,
@@ -705,10 +742,10 @@
 
 /// The name of a placing that follows this one in a roll. None of an earlier life or try may be met
 /// again: word to stop that one may still be under way.
-fn next_placing(placing: &str) -> String {
+fn next_placing_id(placing: &str) -> String {
     let (first, _) = placing.rsplit_once('~').unwrap_or((placing, ""));
     format!("{first}~{:x}", crate::clock::wall_ms())
 }
 
 /// Claims on their way back to the keepers.
-const GIVEN_BACK: usize = 65_536;
+const RETURNED_CLAIMS_QUEUE: usize = 65_536;
--- a/crates/dispatcher/src/core/attempt_events.rs
+++ b/crates/dispatcher/src/core/attempt_events.rs
@@ -1,17 +1,17 @@
 //! What becomes of shots, by the word of nodes.
 
-use super::Desk;
-use super::client::Client;
-use crate::attempts::Follows;
+use super::DispatcherCore;
+use super::client::ClientAllocation;
+use crate::attempts::AttemptObserver;
 use corkspan_api::v1;
 use corkspan_rollout::controller::SurgeEnd;
 use corkspan_rpc::{Bounds, Tasks};
 use corkspan_scheduler::interface::*;
 use std::sync::Arc;
 use tracing::warn;
-use v1::placement_event::Event as Said;
+use v1::placement_event::Event as Reply;
 
-impl Follows for Desk {
+impl AttemptObserver for DispatcherCore {
     fn tasks(&self) -> &Tasks {
         &self.tasks
     }
@@ -24,171 +24,193 @@
         self.deployment().cluster.placed_means_running
     }
 
-    fn shut_out(&self) -> bool {
-        Desk::shut_out(self).is_some()
+    fn is_fenced(&self) -> bool {
+        DispatcherCore::fenced_by(self).is_some()
     }
 
-    fn below(&self, floor: &v1::MinimumVersion) {
-        self.fleet
-            .node_tells(crate::version_gate::read(floor), self.deployment().stamp);
+    fn minimum_version_reported(&self, floor: &v1::MinimumVersion) {
+        self.fencing.node_reported(
+            crate::version_gate::minimum_version_from_message(floor),
+            self.deployment().stamp,
+        );
     }
 
     /// A node has placed a shot. False where the shot need not be followed any longer.
-    fn placed(self: &Arc<Self>, id: AllocationId, shot: usize, machine: MachineId) {
-        self.with(|now, host, port| {
-            let late = host
+    fn attempt_placed(self: &Arc<Self>, id: AllocationId, shot: usize, machine: MachineId) {
+        self.with(|now, engine, effects| {
+            let late = engine
                 .own(id)
                 .is_some_and(|(client, _)| client.deadline.is_some_and(|at| now >= at));
             if late {
                 // The owner has given up: an answer now would be one too late. The outcome is told
                 // all the same.
-                host.placed(now, id, shot, port);
-                self.unwanted(id, host, port);
-            } else if host.placed(now, id, shot, port)
-                && let Some((client, allocation)) = host.own(id)
+                engine.placed(now, id, shot, effects);
+                self.cancel(id, engine, effects);
+            } else if engine.placed(now, id, shot, effects)
+                && let Some((client, allocation)) = engine.own(id)
             {
                 client.deadline = None;
-                if client.beside.is_some() {
+                if client.predecessor.is_some() {
                     return;
                 }
-                if std::mem::take(&mut client.anew) {
+                if std::mem::take(&mut client.replacement) {
                     let (version, placing) =
-                        (client.version.clone(), client.ask.placement_id.clone());
-                    client.say(Said::Replaced(v1::Replaced {
+                        (client.version.clone(), client.request.placement_id.clone());
+                    client.send_reply(Reply::Replaced(v1::Replaced {
                         node: machine.0,
                         version,
                         placement_id: placing,
                     }));
                     return;
                 }
-                port.counters.placed += 1;
+                effects.counters.placed += 1;
                 let shots = allocation.attempts.len() as u32;
-                client.say(Said::Placed(v1::Placed {
+                client.send_reply(Reply::Placed(v1::Placed {
                     node: machine.0,
                     attempts: shots,
                 }));
-            } else if let Some((client, _)) = host.own(id) {
+            } else if let Some((client, _)) = engine.own(id) {
                 // Wanted no longer by the time the node took it: an earlier word to stop found
                 // nothing there.
-                port.stop(self, client, machine, false);
+                effects.stop(self, client, machine, false);
             }
         });
     }
 
     /// A shot has returned. `over` where it was placed and the allocation ends with it, in this
     /// way.
-    fn returned(
+    fn attempt_ended(
         self: &Arc<Self>,
         id: AllocationId,
         shot: usize,
         ending: AttemptResult,
         reason: Option<ReturnReason>,
-        over: Option<v1::ended::EndReason>,
+        ended_as: Option<v1::ended::EndReason>,
         report: Option<LoadReport>,
     ) {
-        self.with(|now, host, port| {
-            let mut anew = None;
-            if let Some((client, _)) = host.own(id)
-                && over.is_some()
-                && client.beside.is_some()
+        self.with(|now, engine, effects| {
+            let mut replacement = None;
+            if let Some((client, _)) = engine.own(id)
+                && ended_as.is_some()
+                && client.predecessor.is_some()
             {
-                self.withdraw(id, SurgeEnd::Failed, host, port);
-            } else if host
+                self.cancel_surge(id, SurgeEnd::Failed, engine, effects);
+            } else if engine
                 .own(id)
-                .is_some_and(|(client, _)| over.is_some() && client.retiring)
-                && self.take_over(id, ending == AttemptResult::Cancelled, host, port)
+                .is_some_and(|(client, _)| ended_as.is_some() && client.superseded)
+                && self.promote_surge(id, ending == AttemptResult::Cancelled, engine, effects)
             {
                 // Its owner goes on with the new one.
-            } else if let (Some(how), Some((client, allocation))) = (over, host.own(id)) {
+            } else if let (Some(how), Some((client, allocation))) = (ended_as, engine.own(id)) {
                 // Known to be gone, since its node says so: now a copy of the version wanted may be
                 // placed.
-                if client.stopping && ending == AttemptResult::Cancelled && !port.stopping {
-                    anew = port.anew(client, allocation);
+                if client.stopping_for_rollout
+                    && ending == AttemptResult::Cancelled
+                    && !effects.stopping
+                {
+                    replacement = effects.replacement_request(client, allocation);
                 } else {
-                    let how = if client.moving && how == v1::ended::EndReason::Lost {
+                    let how = if client.migrating && how == v1::ended::EndReason::Lost {
                         v1::ended::EndReason::Moved
                     } else {
                         how
                     };
                     let successor = client.successor.take();
-                    port.copy_gone(client, ending == AttemptResult::Completed);
-                    client.say(Said::Ended(v1::Ended { reason: how.into() }));
-                    client.words.close();
+                    effects.replica_gone(client, ending == AttemptResult::Completed);
+                    client.send_reply(Reply::Ended(v1::Ended { reason: how.into() }));
+                    client.replies.close();
                     if let Some(next) = successor {
-                        self.withdraw(next, SurgeEnd::Cancelled, host, port);
+                        self.cancel_surge(next, SurgeEnd::Cancelled, engine, effects);
                     }
                 }
             }
-            host.returned(now, id, shot, ending, reason, over.is_some(), report, port);
-            let Some((asked, client)) = anew else { return };
-            let (task, current) = (client.ask.task.clone(), client.current.clone());
-            match host.take(now, &task, asked, client) {
+            engine.returned(
+                now,
+                id,
+                shot,
+                ending,
+                reason,
+                ended_as.is_some(),
+                report,
+                effects,
+            );
+            let Some((asked, client)) = replacement else {
+                return;
+            };
+            let (task, current_id) = (client.request.task.clone(), client.current_id.clone());
+            match engine.take(now, &task, asked, client) {
                 Ok(id) => {
-                    current.set(id);
-                    host.place(now, id, port);
+                    current_id.set(id);
+                    engine.place(now, id, effects);
                 }
                 Err((why, mut client)) => {
                     warn!(task, %why, "a copy taken down for a roll can't be placed anew here");
-                    port.answer(&mut client, Said::Failed(v1::Failed::default()));
+                    effects.answer(&mut client, Reply::Failed(v1::Failed::default()));
                 }
             }
         });
     }
 
     /// A copy says which version it runs: one handed over is known by that alone.
-    fn runs(&self, id: AllocationId, version: String) {
-        self.with(|now, host, port| {
-            let other = |client: &Client| client.version != version && client.beside.is_none();
-            let Some((client, _)) = host.own(id).filter(|(client, _)| other(client)) else {
+    fn version_reported(&self, id: AllocationId, version: String) {
+        self.with(|now, engine, effects| {
+            let other = |client: &ClientAllocation| {
+                client.version != version && client.predecessor.is_none()
+            };
+            let Some((client, _)) = engine.own(id).filter(|(client, _)| other(client)) else {
                 return;
             };
-            if let Some(conductor) = port.rolls.of(&client.ask.service) {
-                conductor.replica_assigned(now, &client.ask.task, &version, false);
+            if let Some(controller) = effects.rollouts.controller(&client.request.service) {
+                controller.replica_assigned(now, &client.request.task, &version, false);
             }
             client.version = version;
         });
     }
 
     /// A copy's own word that it is ready, or no longer.
-    fn ready(&self, id: AllocationId, ready: bool) {
-        self.with(|now, host, port| {
-            let Some((client, _)) = host.own(id) else {
+    fn readiness_reported(&self, id: AllocationId, ready: bool) {
+        self.with(|now, engine, effects| {
+            let Some((client, _)) = engine.own(id) else {
                 return;
             };
-            client.ready = if ready {
-                client.ready.or(Some(now))
+            client.ready_since = if ready {
+                client.ready_since.or(Some(now))
             } else {
                 None
             };
-            match port.rolls.of(&client.ask.service) {
-                Some(_) if client.withdrawn => {}
-                Some(conductor) if client.beside.is_some() => {
-                    conductor.surge_readiness(now, &client.ask.task, ready)
+            match effects.rollouts.controller(&client.request.service) {
+                Some(_) if client.surge_cancelled => {}
+                Some(controller) if client.predecessor.is_some() => {
+                    controller.surge_readiness(now, &client.request.task, ready)
                 }
-                Some(conductor) if ready => conductor.replica_ready(now, &client.ask.task),
-                Some(conductor) => drop(conductor.replica_unready(now, &client.ask.task)),
+                Some(controller) if ready => controller.replica_ready(now, &client.request.task),
+                Some(controller) => drop(controller.replica_unready(now, &client.request.task)),
                 None => {}
             }
         });
     }
 
-    fn noted(&self, id: AllocationId, note: Metric) {
-        self.with(|now, host, _| {
-            host.noted(now, id, note);
-            let Some((client, _)) = host.own(id) else {
+    fn metric_recorded(&self, id: AllocationId, note: Metric) {
+        self.with(|now, engine, _| {
+            engine.noted(now, id, note);
+            let Some((client, _)) = engine.own(id) else {
                 return;
             };
             match note {
-                Metric::Running => client.note(Said::Running(v1::Running {})),
-                Metric::Served(part) => {
-                    client.note(Said::ServiceLevel(v1::ServiceLevel { fraction: part }))
-                }
+                Metric::Running => client.send_optional_reply(Reply::Running(v1::Running {})),
+                Metric::Served(part) => client
+                    .send_optional_reply(Reply::ServiceLevel(v1::ServiceLevel { fraction: part })),
                 _ => {}
             }
         });
     }
 
-    fn probed(&self, machine: MachineId, ending: AttemptResult, report: Option<LoadReport>) {
-        self.with(|now, host, _| host.probed(now, machine, ending, report));
+    fn health_check_completed(
+        &self,
+        machine: MachineId,
+        ending: AttemptResult,
+        report: Option<LoadReport>,
+    ) {
+        self.with(|now, engine, _| engine.probed(now, machine, ending, report));
     }
 }
--- a/crates/dispatcher/src/core/effects.rs
+++ b/crates/dispatcher/src/core/effects.rs
@@ -1,11 +1,11 @@
 //! The ways out: to nodes, owners and the timer.
 
-use super::client::{Client, Orphan, Then};
-use super::{Desk, next_placing};
+use super::client::{AfterRemoval, ClientAllocation, PendingRemoval};
+use super::{DispatcherCore, next_placing_id};
 use crate::attempts;
 use crate::clock::duration;
-use crate::node_links::{Counted, NodeLink};
-use crate::rollouts::Rolls;
+use crate::node_links::{CountGuard, NodeLink};
+use crate::rollouts::Rollouts;
 use corkspan_api::v1;
 use corkspan_engine::{Asked, Wire};
 use corkspan_rollout::ClaimId;
@@ -16,10 +16,10 @@
 use std::sync::{Arc, Weak};
 use std::time::{Duration, Instant};
 use tracing::warn;
-use v1::placement_event::Event as Said;
+use v1::placement_event::Event as Reply;
 
 #[derive(Default)]
-pub struct Counters {
+pub struct RequestCounters {
     pub asked: u64,
     pub placed: u64,
     pub refused: u64,
@@ -28,32 +28,41 @@
 }
 
 /// The ways out: to nodes, owners and the timer.
-pub struct Port {
-    pub desk: Weak<Desk>,
+pub struct DispatcherEffects {
+    pub core: Weak<DispatcherCore>,
     pub now: Ticks,
     pub nodes: BTreeMap<MachineId, Arc<NodeLink>>,
     /// As the roster told last.
     pub entries: BTreeMap<MachineId, Endpoint>,
-    pub counters: Counters,
+    pub counters: RequestCounters,
     pub stopping: bool,
-    pub decided: Duration,
+    pub decision_time: Duration,
     pub serving: usize,
-    pub rolls: Rolls,
-    pub orphans: Vec<Orphan>,
+    pub rollouts: Rollouts,
+    pub pending_removals: Vec<PendingRemoval>,
     /// Claims that are to go back to the keepers.
-    pub gives_back: async_channel::Sender<(String, ClaimId)>,
+    pub claim_returns: async_channel::Sender<(String, ClaimId)>,
 }
 
-impl Port {
+impl DispatcherEffects {
     pub fn node(&self, machine: MachineId) -> Option<Arc<NodeLink>> {
         self.nodes.get(&machine).cloned()
     }
 
-    pub fn stop(&mut self, desk: &Arc<Desk>, client: &Client, machine: MachineId, moved: bool) {
+    pub fn stop(
+        &mut self,
+        core: &Arc<DispatcherCore>,
+        client: &ClientAllocation,
+        machine: MachineId,
+        moved: bool,
+    ) {
         let Some(node) = self.node(machine) else {
             return;
         };
-        let (placing, task) = (client.ask.placement_id.clone(), client.ask.task.clone());
+        let (placing, task) = (
+            client.request.placement_id.clone(),
+            client.request.task.clone(),
+        );
         let kind = if moved {
             OperationKind::Migrate
         } else {
@@ -64,18 +73,22 @@
             task,
             migrated: moved,
             except_placement_id: String::new(),
-            decider: Some(desk.by(kind, 1)),
+            decider: Some(core.sender(kind, 1)),
         };
-        desk.tasks
-            .spawn(attempts::stop(desk.clone(), node, stop))
+        core.tasks
+            .spawn(attempts::send_stop(core.clone(), node, stop))
             .detach();
     }
 
     /// What is placed anew in the place of a copy that a roll has stopped.
-    pub fn anew(&mut self, client: &Client, allocation: &Allocation) -> Option<(Asked, Client)> {
+    pub fn replacement_request(
+        &mut self,
+        client: &ClientAllocation,
+        allocation: &Allocation,
+    ) -> Option<(Asked, ClientAllocation)> {
         let within = self
-            .rolls
-            .of(&client.ask.service)?
+            .rollouts
+            .controller(&client.request.service)?
             .rollout()
             .progress_deadline;
         let abandon = self.now + within;
@@ -86,48 +99,53 @@
             asks: allocation.requested,
             abandon,
         };
-        let placing = next_placing(&client.ask.placement_id);
-        let fresh = Client::new(
+        let placing = next_placing_id(&client.request.placement_id);
+        let fresh = ClientAllocation::new(
             v1::PlacementRequest {
                 placement_id: placing,
-                ..client.ask.clone()
+                ..client.request.clone()
             },
-            &client.words,
+            &client.replies,
         );
-        let (current, hangs_up) = (client.current.clone(), client.hangs_up);
+        let (current_id, call_deadline) = (client.current_id.clone(), client.call_deadline);
         Some((
             asked,
-            Client {
+            ClientAllocation {
                 deadline: Some(abandon),
-                hangs_up,
-                current,
-                anew: true,
+                call_deadline,
+                current_id,
+                replacement: true,
                 ..fresh
             },
         ))
     }
 
     /// The old copy is gone, and the new one has its place.
-    pub fn retired(&mut self, service: &str, task: &str) {
+    pub fn replacement_completed(&mut self, service: &str, task: &str) {
         let claims = self
-            .rolls
-            .of(service)
+            .rollouts
+            .controller(service)
             .map(|own| own.surge_took_over(task))
             .unwrap_or_default();
-        self.give_back(service, claims);
+        self.return_claims(service, claims);
     }
 
     /// From here on a new copy beside an old one counts for nothing; its slot comes back when it is
     /// known to be gone.
-    pub fn put_away(&mut self, client: &mut Client, allocation: &Allocation, why: SurgeEnd) {
-        if std::mem::replace(&mut client.withdrawn, true) {
+    pub fn record_surge_cancelled(
+        &mut self,
+        client: &mut ClientAllocation,
+        allocation: &Allocation,
+        why: SurgeEnd,
+    ) {
+        if std::mem::replace(&mut client.surge_cancelled, true) {
             return;
         }
-        self.orphans.push(Orphan {
-            service: client.ask.service.clone(),
-            task: client.ask.task.clone(),
-            placings: vec![client.ask.placement_id.clone()],
-            but: None,
+        self.pending_removals.push(PendingRemoval {
+            service: client.request.service.clone(),
+            task: client.request.task.clone(),
+            placing_ids: vec![client.request.placement_id.clone()],
+            except: None,
             nodes: Some(
                 allocation
                     .attempts
@@ -135,26 +153,26 @@
                     .map(|shot| shot.machine)
                     .collect(),
             ),
-            told: BTreeSet::new(),
-            then: Then::Withdrawn(why),
+            confirmed_by: BTreeSet::new(),
+            after: AfterRemoval::SurgeCancelled(why),
         });
     }
 
     /// A new copy beside an old one is no more.
-    pub fn withdrawn(&mut self, service: &str, task: &str, why: SurgeEnd) {
+    pub fn surge_removed(&mut self, service: &str, task: &str, why: SurgeEnd) {
         let now = self.now;
         let claims = self
-            .rolls
-            .of(service)
+            .rollouts
+            .controller(service)
             .map(|own| own.surge_ended(now, task, why))
             .unwrap_or_default();
-        self.give_back(service, claims);
+        self.return_claims(service, claims);
     }
 
-    pub fn give_back(&mut self, service: &str, claims: Vec<ClaimId>) {
+    pub fn return_claims(&mut self, service: &str, claims: Vec<ClaimId>) {
         for claim in claims {
             if self
-                .gives_back
+                .claim_returns
                 .try_send((service.to_string(), claim))
                 .is_err()
             {
@@ -168,48 +186,48 @@
     }
 
     /// A copy is ours no longer. `wanted_no_more`: its owner does not come again for it.
-    pub fn copy_gone(&mut self, client: &Client, wanted_no_more: bool) {
-        let (service, task) = (&client.ask.service, &client.ask.task);
-        let Some(conductor) = self.rolls.of(service) else {
+    pub fn replica_gone(&mut self, client: &ClientAllocation, wanted_no_more: bool) {
+        let (service, task) = (&client.request.service, &client.request.task);
+        let Some(controller) = self.rollouts.controller(service) else {
             return;
         };
         if !wanted_no_more {
-            return conductor.replica_lost(self.now, task);
+            return controller.replica_lost(self.now, task);
         }
-        let claims = conductor.replica_removed(task);
-        self.give_back(service, claims);
+        let claims = controller.replica_removed(task);
+        self.return_claims(service, claims);
     }
 
     /// The final answer, unless the owner's time is already up.
-    pub fn answer(&mut self, client: &mut Client, said: Said) -> bool {
-        if client.anew {
+    pub fn answer(&mut self, client: &mut ClientAllocation, said: Reply) -> bool {
+        if client.replacement {
             // Its owner had its answer long ago: to it the copy is sent away, and it comes again.
-            self.copy_gone(client, false);
-            client.say(Said::Ended(v1::Ended {
+            self.replica_gone(client, false);
+            client.send_reply(Reply::Ended(v1::Ended {
                 reason: v1::ended::EndReason::SentAway.into(),
             }));
-            client.words.close();
+            client.replies.close();
             return false;
         }
-        self.copy_gone(client, true);
+        self.replica_gone(client, true);
         let in_time = client.deadline.take().is_some_and(|at| self.now < at);
         if in_time {
-            client.say(said);
+            client.send_reply(said);
         }
-        client.words.close();
+        client.replies.close();
         in_time
     }
 }
 
-impl Wire<Client> for Port {
+impl Wire<ClientAllocation> for DispatcherEffects {
     fn send(
         &mut self,
-        client: &mut Client,
+        client: &mut ClientAllocation,
         allocation: &Allocation,
         machine: MachineId,
         time_out: Ticks,
     ) {
-        let Some(desk) = self.desk.upgrade() else {
+        let Some(core) = self.core.upgrade() else {
             return;
         };
         let asked = Asked {
@@ -219,52 +237,53 @@
             asks: allocation.requested,
             abandon: allocation.deadline,
         };
-        client.version = self.rolls.wanted(&client.ask.service);
-        (client.ready, client.stopping) = (None, false);
-        if let Some(conductor) = self
-            .rolls
-            .of(&client.ask.service)
-            .filter(|_| client.beside.is_none())
+        client.version = self.rollouts.wanted(&client.request.service);
+        (client.ready_since, client.stopping_for_rollout) = (None, false);
+        if let Some(controller) = self
+            .rollouts
+            .controller(&client.request.service)
+            .filter(|_| client.predecessor.is_none())
         {
-            conductor.replica_assigned(
+            controller.replica_assigned(
                 self.now,
-                &client.ask.task,
+                &client.request.task,
                 &client.version,
-                client.ask.retry && !client.anew,
+                client.request.retry && !client.replacement,
             );
-            if !desk.may_run_twice(allocation.service_class) {
-                conductor.forbid_surge(&client.ask.task);
+            if !core.is_repeatable(allocation.service_class) {
+                controller.forbid_surge(&client.request.task);
             }
         }
-        let shot = desk.shot(
-            &client.ask,
+        let shot = core.attempt_message(
+            &client.request,
             &asked,
             allocation.attempts.len(),
             client.version.clone(),
             OperationKind::Attempt,
         );
         let node = self.node(machine);
-        let most = desk.deployment().bounds.offers_a_node;
-        let open: Option<Counted> = node.as_ref().and_then(|node| node.offer(most));
+        let most = core.deployment().bounds.offers_a_node;
+        let unanswered_guard: Option<CountGuard> =
+            node.as_ref().and_then(|node| node.reserve_offer(most));
         let (id, number, decided) = (allocation.id, allocation.attempts.len(), Instant::now());
-        let offer = attempts::Offer {
+        let offer = attempts::AttemptOffer {
             id,
             number,
             machine,
             node,
-            open,
+            unanswered_guard,
             decided,
         };
-        let tasks = Arc::clone(&desk.tasks);
+        let tasks = Arc::clone(&core.tasks);
         tasks
-            .spawn(attempts::offer(desk, offer, shot, duration(time_out)))
+            .spawn(attempts::run_attempt(core, offer, shot, duration(time_out)))
             .detach();
     }
 
-    fn shed(&mut self, client: &mut Client, allocation: &Allocation) {
-        if client.beside.is_some() {
+    fn shed(&mut self, client: &mut ClientAllocation, allocation: &Allocation) {
+        if client.predecessor.is_some() {
             // Its owner has the old one, and knows of none other.
-            return self.put_away(client, allocation, SurgeEnd::NoCapacity);
+            return self.record_surge_cancelled(client, allocation, SurgeEnd::NoCapacity);
         }
         let (why, shots) = (
             v1::rejected::RejectionReason::NoRoom.into(),
@@ -273,7 +292,7 @@
         let text = "no machine could take it in its time".into();
         if self.answer(
             client,
-            Said::Rejected(v1::Rejected {
+            Reply::Rejected(v1::Rejected {
                 reason: why,
                 message: text,
                 attempts: shots,
@@ -283,15 +302,15 @@
         }
     }
 
-    fn scrap(&mut self, client: &mut Client, allocation: &Allocation) {
-        if client.beside.is_some() {
-            return self.put_away(client, allocation, SurgeEnd::NoCapacity);
+    fn scrap(&mut self, client: &mut ClientAllocation, allocation: &Allocation) {
+        if client.predecessor.is_some() {
+            return self.record_surge_cancelled(client, allocation, SurgeEnd::NoCapacity);
         }
         let shots = allocation.attempts.len() as u32;
         let text = "a shot may have run, and a further one is not allowed".into();
         if self.answer(
             client,
-            Said::Failed(v1::Failed {
+            Reply::Failed(v1::Failed {
                 message: text,
                 attempts: shots,
             }),
@@ -300,33 +319,35 @@
         }
     }
 
-    fn relocate(&mut self, client: &mut Client, allocation: &Allocation) {
-        let (Some(desk), Some(shot)) = (self.desk.upgrade(), allocation.attempts.last()) else {
+    fn relocate(&mut self, client: &mut ClientAllocation, allocation: &Allocation) {
+        let (Some(core), Some(shot)) = (self.core.upgrade(), allocation.attempts.last()) else {
             return;
         };
-        client.moving = true;
-        self.stop(&desk, client, shot.machine, true);
+        client.migrating = true;
+        self.stop(&core, client, shot.machine, true);
     }
 
     fn probe(&mut self, machine: MachineId) {
-        let (Some(desk), Some(node)) = (self.desk.upgrade(), self.node(machine)) else {
+        let (Some(core), Some(node)) = (self.core.upgrade(), self.node(machine)) else {
             return;
         };
-        let tasks = Arc::clone(&desk.tasks);
-        tasks.spawn(attempts::probe(desk, machine, node)).detach();
+        let tasks = Arc::clone(&core.tasks);
+        tasks
+            .spawn(attempts::send_health_check(core, machine, node))
+            .detach();
     }
 
     fn watch_list(&mut self) {
-        if let Some(desk) = self.desk.upgrade() {
+        if let Some(core) = self.core.upgrade() {
             // Full: one is asked for already.
-            let _ = desk.watches.try_send(());
+            let _ = core.watches.try_send(());
         }
     }
 
     fn wake(&mut self, after: Ticks) {
-        if let Some(desk) = self.desk.upgrade() {
+        if let Some(core) = self.core.upgrade() {
             // Always earlier than what is waited for, so it may take its place.
-            let _ = desk.wakes.force_send(Instant::now() + duration(after));
+            let _ = core.wakes.force_send(Instant::now() + duration(after));
         }
     }
 }
--- a/crates/dispatcher/src/endpoint_list.rs
+++ b/crates/dispatcher/src/endpoint_list.rs
@@ -2,7 +2,7 @@
 //! next start.
 
 use crate::clock::{Clock, ticks, wall_ms};
-use crate::core::Desk;
+use crate::core::DispatcherCore;
 use crate::link_counters::LinkKind;
 use async_io::Timer;
 use corkspan_api::v1::{self, roster_client::RosterClient};
@@ -19,13 +19,13 @@
 
 /// One line of the list, as it is kept.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-struct Line {
+struct StoredEndpoint {
     node: u32,
     address: SocketAddr,
     kind: String,
     hall: String,
     cell: u64,
-    state: Known,
+    state: StoredState,
     started_ms: u64,
     /// Cores and memory.
     unasked: Option<(f64, f64)>,
@@ -33,7 +33,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-enum Known {
+enum StoredState {
     Serving,
     Draining,
     Gone,
@@ -41,17 +41,17 @@
 
 /// The list as it is kept on disk. Its sum is over the text of the lines.
 #[derive(Serialize, Deserialize)]
-struct Kept {
+struct StoredList {
     version: u64,
     sum: u64,
-    lines: Vec<Line>,
+    lines: Vec<StoredEndpoint>,
 }
 
 /// The list as it is known, and what each start is in our own time.
 #[derive(Default)]
-pub struct Roster {
+pub struct EndpointList {
     version: u64,
-    lines: BTreeMap<u32, Line>,
+    lines: BTreeMap<u32, StoredEndpoint>,
     /// When each process started by our clock, fixed when first told: a moment worked out anew
     /// with each list would wander with the way, and look like another start.
     starts: BTreeMap<u32, (u64, Ticks)>,
@@ -59,57 +59,57 @@
 
 /// Between two writes of the list: each is a sync of the disk, and a large cluster changes all the
 /// time.
-const BETWEEN: Duration = Duration::from_secs(1);
+const SAVE_INTERVAL: Duration = Duration::from_secs(1);
 /// The same where only room has changed, which is old news at the next start in any case.
-const BETWEEN_ROOM: Duration = Duration::from_secs(30);
+const CAPACITY_SAVE_INTERVAL: Duration = Duration::from_secs(30);
 
 /// Kept lists larger than this are none of ours.
-const LARGEST: u64 = 64 << 20;
+const MAX_LIST_BYTES: u64 = 64 << 20;
 
-impl Roster {
+impl EndpointList {
     /// The list of an earlier life; what can't be read is set aside, never guessed at.
-    pub fn remembered(path: &Path) -> Self {
-        let kept = match read(path) {
-            Ok(Some(kept)) => kept,
-            Ok(None) => return Roster::default(),
+    pub fn load(path: &Path) -> Self {
+        let stored = match read(path) {
+            Ok(Some(stored)) => stored,
+            Ok(None) => return EndpointList::default(),
             Err(why) => {
                 let aside = path.with_extension("aside");
                 warn!(path = %path.display(), why, "the remembered list can't be read; set aside");
                 if let Err(why) = std::fs::rename(path, &aside) {
                     warn!(path = %path.display(), %why, "and can't be set aside either");
                 }
-                return Roster::default();
+                return EndpointList::default();
             }
         };
-        let lines = kept
+        let lines = stored
             .lines
             .into_iter()
             .map(|line| (line.node, line))
             .collect();
-        Roster {
-            version: kept.version,
+        EndpointList {
+            version: stored.version,
             lines,
             starts: BTreeMap::new(),
         }
     }
 
     /// The lines as the decisions take them.
-    pub fn entries(&mut self, desk: &Desk) -> Vec<(Endpoint, SocketAddr)> {
-        let lines: Vec<Line> = self.lines.values().cloned().collect();
+    pub fn endpoints(&mut self, core: &DispatcherCore) -> Vec<(Endpoint, SocketAddr)> {
+        let lines: Vec<StoredEndpoint> = self.lines.values().cloned().collect();
         let now_ms = wall_ms();
         lines
             .iter()
-            .filter_map(|line| self.entry(desk, line, now_ms))
+            .filter_map(|line| self.entry(core, line, now_ms))
             .collect()
     }
 
     /// The lines as the decisions take them, and whether they tell more than room.
-    fn take(
+    fn apply_message(
         &mut self,
-        desk: &Desk,
+        core: &DispatcherCore,
         listing: v1::EndpointList,
     ) -> (ListUpdate, Vec<(Endpoint, SocketAddr)>, bool) {
-        let mut matters = listing.complete;
+        let mut significant = listing.complete;
         let scope = if listing.complete {
             ListUpdate::Complete
         } else {
@@ -121,15 +121,16 @@
         self.version = listing.version;
         let mut entries = Vec::new();
         for entry in listing.endpoints {
-            match line(entry) {
+            match endpoint_from_message(entry) {
                 Ok(line) => {
-                    entries.extend(self.entry(desk, &line, listing.now_ms));
-                    let roomless = |line: &Line| Line {
+                    entries.extend(self.entry(core, &line, listing.now_ms));
+                    let roomless = |line: &StoredEndpoint| StoredEndpoint {
                         unasked: None,
                         ..line.clone()
                     };
-                    matters |= self.lines.get(&line.node).map(roomless) != Some(roomless(&line));
-                    if line.state == Known::Gone {
+                    significant |=
+                        self.lines.get(&line.node).map(roomless) != Some(roomless(&line));
+                    if line.state == StoredState::Gone {
                         self.lines.remove(&line.node);
                     } else {
                         self.lines.insert(line.node, line);
@@ -139,20 +140,25 @@
             }
         }
         self.starts.retain(|node, _| self.lines.contains_key(node));
-        desk.count_serving(
+        core.set_serving(
             self.lines
                 .values()
-                .filter(|line| line.state == Known::Serving)
+                .filter(|line| line.state == StoredState::Serving)
                 .count(),
         );
-        (scope, entries, matters)
+        (scope, entries, significant)
     }
 
-    fn entry(&mut self, desk: &Desk, line: &Line, now_ms: u64) -> Option<(Endpoint, SocketAddr)> {
+    fn entry(
+        &mut self,
+        core: &DispatcherCore,
+        line: &StoredEndpoint,
+        now_ms: u64,
+    ) -> Option<(Endpoint, SocketAddr)> {
         let index = |names: &[String], name: &str| names.iter().position(|known| known == name);
         let (kind, hall) = (
-            index(&desk.deployment().kinds, &line.kind),
-            index(&desk.deployment().halls, &line.hall),
+            index(&core.deployment().kinds, &line.kind),
+            index(&core.deployment().halls, &line.hall),
         );
         let (Some(kind), Some(hall)) = (kind, hall) else {
             warn!(
@@ -170,11 +176,11 @@
                 zone: ZoneId(hall),
                 cell: CellId(line.cell),
                 state: match line.state {
-                    Known::Serving => MachineState::Serving,
-                    Known::Draining => MachineState::Draining,
-                    Known::Gone => MachineState::Removed,
+                    StoredState::Serving => MachineState::Serving,
+                    StoredState::Draining => MachineState::Draining,
+                    StoredState::Gone => MachineState::Removed,
                 },
-                started_at: self.started(&desk.clock, line, now_ms),
+                started_at: self.started(&core.clock, line, now_ms),
                 unreserved: line
                     .unasked
                     .map(|(cores, memory)| Resources { cores, memory }),
@@ -186,7 +192,7 @@
     /// By the roster's clock a start was so long ago; by ours that is never earlier, since the list
     /// took a while to come: a cold machine is taken to be cold for longer rather than too
     /// short.
-    fn started(&mut self, clock: &Clock, line: &Line, now_ms: u64) -> Option<Ticks> {
+    fn started(&mut self, clock: &Clock, line: &StoredEndpoint, now_ms: u64) -> Option<Ticks> {
         if line.started_ms == 0 {
             return None;
         }
@@ -205,42 +211,42 @@
 
     /// Writes the list beside the old one and puts it in its place, so that a stop in between loses
     /// neither.
-    pub fn keep(&self, path: &Path) -> std::io::Result<()> {
-        let lines: Vec<Line> = self.lines.values().cloned().collect();
-        let kept = Kept {
+    pub fn save(&self, path: &Path) -> std::io::Result<()> {
+        let lines: Vec<StoredEndpoint> = self.lines.values().cloned().collect();
+        let stored = StoredList {
             version: self.version,
-            sum: sum(&lines),
+            sum: checksum(&lines),
             lines,
         };
         let new = path.with_extension("new");
         let file = std::fs::File::create(&new)?;
-        serde_json::to_writer(std::io::BufWriter::new(&file), &kept)?;
+        serde_json::to_writer(std::io::BufWriter::new(&file), &stored)?;
         file.sync_all()?;
         std::fs::rename(&new, path)
     }
 }
 
-fn sum(lines: &[Line]) -> u64 {
+fn checksum(lines: &[StoredEndpoint]) -> u64 {
     let text = serde_json::to_string(lines).unwrap_or_default();
     corkspan_engine::service(&text).0
 }
 
-fn read(path: &Path) -> Result<Option<Kept>, String> {
-    let Some(text) = crate::version_files::bounded(path)? else {
+fn read(path: &Path) -> Result<Option<StoredList>, String> {
+    let Some(text) = crate::version_files::read_bounded(path)? else {
         return Ok(None);
     };
-    let kept: Kept = serde_json::from_slice(&text).map_err(|why| why.to_string())?;
-    if kept.sum != sum(&kept.lines) {
+    let stored: StoredList = serde_json::from_slice(&text).map_err(|why| why.to_string())?;
+    if stored.sum != checksum(&stored.lines) {
         return Err("its sum is wrong".into());
     }
-    Ok(Some(kept))
+    Ok(Some(stored))
 }
 
-fn line(entry: v1::Endpoint) -> Result<Line, String> {
+fn endpoint_from_message(entry: v1::Endpoint) -> Result<StoredEndpoint, String> {
     let state = match entry.state() {
-        v1::endpoint::State::Serving => Known::Serving,
-        v1::endpoint::State::Draining => Known::Draining,
-        v1::endpoint::State::Gone => Known::Gone,
+        v1::endpoint::State::Serving => StoredState::Serving,
+        v1::endpoint::State::Draining => StoredState::Draining,
+        v1::endpoint::State::Gone => StoredState::Gone,
         v1::endpoint::State::Unknown => {
             return Err(format!("node {} has no known state", entry.node));
         }
@@ -251,7 +257,7 @@
     let room = entry
         .unreserved
         .filter(|room| room.cores.is_finite() && room.memory.is_finite());
-    Ok(Line {
+    Ok(StoredEndpoint {
         node: entry.node,
         address,
         kind: entry.machine_type,
@@ -265,42 +271,46 @@
 
 /// Watches the list whenever it is asked for, until the sender of `asked` is gone.
 pub async fn run(
-    desk: Arc<Desk>,
-    mut roster: Roster,
+    core: Arc<DispatcherCore>,
+    mut list: EndpointList,
     asked: async_channel::Receiver<()>,
     path: Option<PathBuf>,
 ) {
     while asked.recv().await.is_ok() {
-        if let Err(why) = watch(&desk, &mut roster, path.as_deref()).await {
+        if let Err(why) = watch(&core, &mut list, path.as_deref()).await {
             warn!(why, "the roster is out of reach; the list stays as it is");
         }
         // One asked for meanwhile is this one.
         while asked.try_recv().is_ok() {}
-        desk.list_failed();
+        core.endpoint_watch_failed();
     }
 }
 
-async fn watch(desk: &Arc<Desk>, roster: &mut Roster, path: Option<&Path>) -> Result<(), String> {
+async fn watch(
+    core: &Arc<DispatcherCore>,
+    list: &mut EndpointList,
+    path: Option<&Path>,
+) -> Result<(), String> {
     let link = {
         let (to, meter) = (
-            desk.deployment().roster,
-            desk.counts.meter(LinkKind::Roster),
+            core.deployment().roster,
+            core.link_counters.meter(LinkKind::Roster),
         );
-        Link::open_counted(&desk.tasks, to, &desk.link_bounds, &meter).await
+        Link::open_counted(&core.tasks, to, &core.link_bounds, &meter).await
     };
     let link = link.map_err(|why| why.to_string())?;
     // A list is longer than a message of a client may be.
-    let mut client = RosterClient::new(link).max_decoding_message_size(LARGEST as usize);
+    let mut client = RosterClient::new(link).max_decoding_message_size(MAX_LIST_BYTES as usize);
     let ask = v1::ListRequest {
-        version: roster.version,
-        dispatcher: desk.deployment().cluster.scheduler_index as u32,
+        version: list.version,
+        dispatcher: core.deployment().cluster.scheduler_index as u32,
     };
     let mut listings = client
         .watch(ask)
         .await
         .map_err(|why| why.message().to_string())?
         .into_inner();
-    info!(roster = %desk.deployment().roster, version = roster.version, "watching the list");
+    info!(roster = %core.deployment().roster, version = list.version, "watching the list");
     // When what is known is to be on disk, and when it was written last.
     let (mut due, mut written): (Option<Instant>, Option<Instant>) = (None, None);
     loop {
@@ -322,21 +332,25 @@
         };
         let told = writes.or(told).await;
         if let Ok(Some(listing)) = told {
-            let (scope, entries, matters) = roster.take(desk, listing);
-            desk.listed(scope, &entries);
-            let apart = if matters { BETWEEN } else { BETWEEN_ROOM };
+            let (scope, entries, significant) = list.apply_message(core, listing);
+            core.apply_endpoint_list(scope, &entries);
+            let apart = if significant {
+                SAVE_INTERVAL
+            } else {
+                CAPACITY_SAVE_INTERVAL
+            };
             let at = written.map_or_else(Instant::now, |at| at + apart);
             due = path.map(|_| due.map_or(at, |due| due.min(at)));
             continue;
         }
         if let (Some(path), Some(_)) = (path, due.take()) {
-            let kept = Roster {
-                version: roster.version,
-                lines: roster.lines.clone(),
-                ..Roster::default()
+            let stored = EndpointList {
+                version: list.version,
+                lines: list.lines.clone(),
+                ..EndpointList::default()
             };
             let path = path.to_owned();
-            if let Err(why) = blocking::unblock(move || kept.keep(&path)).await {
+            if let Err(why) = blocking::unblock(move || stored.save(&path)).await {
                 warn!(%why, "the list can't be kept on disk; a restart will know an older one");
             }
             written = Some(Instant::now());
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -23,7 +23,7 @@
 
 use async_io::Timer;
 use async_net::TcpListener;
-use core::Desk;
+use core::DispatcherCore;
 use corkspan_api::v1::{
     placement_server::PlacementServer, rolls_server::RollsServer, versions_server::VersionsServer,
 };
@@ -31,9 +31,9 @@
 use corkspan_rpc::Tasks;
 pub use corkspan_runtime::clock;
 use corkspan_runtime::{Signal, signals};
-use endpoint_list::Roster;
+use endpoint_list::EndpointList;
 use futures_lite::{FutureExt, StreamExt, future};
-use placement_service::Clients;
+use placement_service::PlacementService;
 use std::future::Future;
 use std::net::SocketAddr;
 use std::pin::Pin;
@@ -44,7 +44,7 @@
 
 /// Why a dispatcher did not start, or ended by itself.
 #[derive(Debug, thiserror::Error)]
-pub enum Failure {
+pub enum DispatcherError {
     #[error("can't listen on {address}: {why}")]
     Listen {
         address: SocketAddr,
@@ -58,8 +58,11 @@
 
 /// Runs a dispatcher on this thread until a signal asks it to stop and everything in hand has its
 /// answer. `ready` is called with the address that it listens on, once it does.
-pub fn serve(deployment: Deployment, ready: impl FnOnce(SocketAddr)) -> Result<(), Failure> {
-    let mut signals = signals([Signal::Term, Signal::Int]).map_err(Failure::Signals)?;
+pub fn serve(
+    deployment: Deployment,
+    ready: impl FnOnce(SocketAddr),
+) -> Result<(), DispatcherError> {
+    let mut signals = signals([Signal::Term, Signal::Int]).map_err(DispatcherError::Signals)?;
     let stop = async move {
         signals.next().await;
     };
@@ -73,124 +76,129 @@
     deployment: Deployment,
     ready: impl FnOnce(SocketAddr),
     stop: impl Future<Output = ()>,
-) -> Result<(), Failure> {
+) -> Result<(), DispatcherError> {
     let store = rollout_control::Store::open(deployment.rolls.as_deref());
-    run_over(store, tasks, deployment, ready, stop).await
+    run_with_store(store, tasks, deployment, ready, stop).await
 }
 
 /// The same over a store of rolls of the caller's.
-pub async fn run_over(
+pub async fn run_with_store(
     store: rollout_control::Store,
     tasks: Tasks,
     deployment: Deployment,
     ready: impl FnOnce(SocketAddr),
     stop: impl Future<Output = ()>,
-) -> Result<(), Failure> {
+) -> Result<(), DispatcherError> {
     let address = deployment.listen;
     let listener = TcpListener::bind(address)
         .await
-        .map_err(|why| Failure::Listen { address, why })?;
+        .map_err(|why| DispatcherError::Listen { address, why })?;
     let address = listener
         .local_addr()
-        .map_err(|why| Failure::Listen { address, why })?;
+        .map_err(|why| DispatcherError::Listen { address, why })?;
     let clock = clock::Clock::start();
     // Another life must not draw the same chances: one that was killed for a bad draw would repeat
     // it.
     let seed = deployment.seed
         ^ clock.now().rotate_left(20)
         ^ (deployment.cluster.scheduler_index as u64) << 48;
-    let (wakes, waking) = async_channel::bounded(1);
-    let (watches, asked) = async_channel::bounded(1);
+    let (wakes, wake_times) = async_channel::bounded(1);
+    let (watches, watch_requests) = async_channel::bounded(1);
     let path = deployment.remembered.clone();
     let bounds = deployment.bounds.clone();
-    let desk = Desk::new(deployment, seed, clock, &tasks, wakes, watches, store);
-    let _closes = rollout_control::Closes(Arc::clone(&desk.store));
-    let mut roster = path.as_deref().map(Roster::remembered).unwrap_or_default();
-    let entries = roster.entries(&desk);
+    let core = DispatcherCore::new(deployment, seed, clock, &tasks, wakes, watches, store);
+    let _closes = rollout_control::CloseOnDrop(Arc::clone(&core.store));
+    let mut list = path.as_deref().map(EndpointList::load).unwrap_or_default();
+    let entries = list.endpoints(&core);
     info!(%address, remembered = entries.len(), "listening");
-    desk.listed(corkspan_scheduler::interface::ListUpdate::Cached, &entries);
+    core.apply_endpoint_list(corkspan_scheduler::interface::ListUpdate::Cached, &entries);
 
-    let service = All {
-        placement: PlacementServer::new(Clients(Arc::clone(&desk)))
+    let service = Services {
+        placement: PlacementServer::new(PlacementService(Arc::clone(&core)))
             .max_decoding_message_size(bounds.message),
-        rolls: RollsServer::new(rollout_control::Operators(Arc::clone(&desk)))
+        rolls: RollsServer::new(rollout_control::RolloutService(Arc::clone(&core)))
             .max_decoding_message_size(bounds.message),
-        versions: VersionsServer::new(config_stream::Operators(Arc::clone(&desk)))
+        versions: VersionsServer::new(config_stream::VersionService(Arc::clone(&core)))
             .max_decoding_message_size(bounds.message),
     };
     let admits = {
-        let desk = Arc::clone(&desk);
-        move |address| desk.deployment().allows(address)
+        let core = Arc::clone(&core);
+        move |address| core.deployment().allows(address)
     };
     let serving = corkspan_rpc::serve_to(
         admits,
-        Some(desk.counts.sorts()),
+        Some(core.link_counters.link_classifier()),
         listener,
         service,
-        desk.link_bounds.clone(),
+        core.link_bounds.clone(),
     );
     let background = [
-        tasks.spawn(corkspan_runtime::run_timer(waking, {
-            let desk = Arc::clone(&desk);
-            move || desk.woken()
+        tasks.spawn(corkspan_runtime::run_timer(wake_times, {
+            let core = Arc::clone(&core);
+            move || core.timer_fired()
         })),
-        tasks.spawn(endpoint_list::run(Arc::clone(&desk), roster, asked, path)),
-        tasks.spawn(rollout_control::run(Arc::clone(&desk))),
-        tasks.spawn(config_stream::run(Arc::clone(&desk))),
-        tasks.spawn(minimum_version::run(Arc::clone(&desk))),
-        tasks.spawn(minimum_version::keep(Arc::clone(&desk))),
-        tasks.spawn(catch_up::run(Arc::clone(&desk))),
-        tasks.spawn(maintenance::run(Arc::clone(&desk))),
-        tasks.spawn(sweep(
-            Arc::clone(&desk),
+        tasks.spawn(endpoint_list::run(
+            Arc::clone(&core),
+            list,
+            watch_requests,
+            path,
+        )),
+        tasks.spawn(rollout_control::run(Arc::clone(&core))),
+        tasks.spawn(config_stream::run(Arc::clone(&core))),
+        tasks.spawn(minimum_version::run(Arc::clone(&core))),
+        tasks.spawn(minimum_version::save_history(Arc::clone(&core))),
+        tasks.spawn(catch_up::run(Arc::clone(&core))),
+        tasks.spawn(maintenance::run(Arc::clone(&core))),
+        tasks.spawn(close_idle_links(
+            Arc::clone(&core),
             clock::duration(bounds.idle_close) / 4,
         )),
     ];
     ready(address);
     let stopping = async {
         stop.await;
-        desk.stop();
+        core.stop();
         let latest = Instant::now() + clock::duration(bounds.stop_within);
-        until(latest, || desk.unanswered() == 0).await;
-        desk.let_go();
+        wait_until(latest, || core.unanswered_count() == 0).await;
+        core.end_all();
         // The last words are on their way; owners that don't read are not waited for.
-        until(Instant::now() + Duration::from_secs(1), || {
-            !desk.calls_open()
+        wait_until(Instant::now() + Duration::from_secs(1), || {
+            !core.has_open_calls()
         })
         .await;
         info!("stopped");
         Ok(())
     };
     let result = stopping
-        .or(async { Err(Failure::Listener(serving.await)) })
+        .or(async { Err(DispatcherError::Listener(serving.await)) })
         .await;
     drop(background);
     result
 }
 
-async fn until(latest: Instant, done: impl Fn() -> bool) {
+async fn wait_until(latest: Instant, done: impl Fn() -> bool) {
     while !done() && Instant::now() < latest {
         Timer::after(Duration::from_millis(5)).await;
     }
 }
 
 /// Closes links that are idle.
-async fn sweep(desk: Arc<Desk>, every: Duration) {
+async fn close_idle_links(core: Arc<DispatcherCore>, every: Duration) {
     loop {
         Timer::after(every).await;
-        desk.close_idle();
+        core.close_idle();
     }
 }
 
 /// The services on one listener, told apart by their path.
 #[derive(Clone)]
-struct All {
-    placement: PlacementServer<Clients>,
-    rolls: RollsServer<rollout_control::Operators>,
-    versions: VersionsServer<config_stream::Operators>,
+struct Services {
+    placement: PlacementServer<PlacementService>,
+    rolls: RollsServer<rollout_control::RolloutService>,
+    versions: VersionsServer<config_stream::VersionService>,
 }
 
-impl tower_service::Service<http::Request<tonic::body::Body>> for All {
+impl tower_service::Service<http::Request<tonic::body::Body>> for Services {
     type Response = http::Response<tonic::body::Body>;
     type Error = std::convert::Infallible;
     type Future = Pin<Box<dyn Future<Output = Result<Self::Response, Self::Error>> + Send>>;
--- a/crates/dispatcher/src/link_counters.rs
+++ b/crates/dispatcher/src/link_counters.rs
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelValue)]
-enum Way {
+enum Direction {
     In,
     Out,
 }
@@ -18,17 +18,17 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct Labels {
     link: &'static str,
-    way: Way,
+    way: Direction,
 }
 
 /// Clones share the counters.
 #[derive(Clone, Default)]
-pub struct Counts {
+pub struct LinkCounters {
     bytes: Family<Labels, Counter>,
     messages: Family<Labels, Counter>,
 }
 
-const KINDS: [LinkKind; 6] = [
+const LINK_KINDS: [LinkKind; 6] = [
     LinkKind::Roster,
     LinkKind::Control,
     LinkKind::Keepers,
@@ -37,7 +37,7 @@
     LinkKind::Owners,
 ];
 
-impl Counts {
+impl LinkCounters {
     /// What counts links of this kind.
     pub fn meter(&self, kind: LinkKind) -> Meter {
         let labels = |way| Labels {
@@ -47,16 +47,16 @@
         let counter =
             |family: &Family<Labels, Counter>, way| family.get_or_create_owned(&labels(way));
         Meter {
-            bytes_in: counter(&self.bytes, Way::In),
-            bytes_out: counter(&self.bytes, Way::Out),
-            messages_in: counter(&self.messages, Way::In),
-            messages_out: counter(&self.messages, Way::Out),
+            bytes_in: counter(&self.bytes, Direction::In),
+            bytes_out: counter(&self.bytes, Direction::Out),
+            messages_in: counter(&self.messages, Direction::In),
+            messages_out: counter(&self.messages, Direction::Out),
         }
     }
 
     /// Links of others to us, by what they call first: another dispatcher asks for a version, and
     /// for nothing else.
-    pub fn sorts(&self) -> Sorts {
+    pub fn link_classifier(&self) -> Sorts {
         let counts = self.clone();
         Arc::new(move |path| {
             counts.meter(match path {
@@ -66,8 +66,8 @@
         })
     }
 
-    pub fn told(&self) -> Vec<v1::ConnectionTraffic> {
-        let told = |kind: LinkKind| {
+    pub fn messages(&self) -> Vec<v1::ConnectionTraffic> {
+        let message = |kind: LinkKind| {
             let meter = self.meter(kind);
             v1::ConnectionTraffic {
                 kind: kind.into(),
@@ -77,6 +77,6 @@
                 messages_out: meter.messages_out.get(),
             }
         };
-        KINDS.map(told).into()
+        LINK_KINDS.map(message).into()
     }
 }
--- a/crates/dispatcher/src/maintenance.rs
+++ b/crates/dispatcher/src/maintenance.rs
@@ -2,9 +2,9 @@
 //! `corkspan_maintenance`; whoever looks takes the next step, whoever took the one before.
 
 use crate::clock::duration;
-use crate::core::Desk;
+use crate::core::DispatcherCore;
 use crate::maintenance_messages;
-use crate::quorum_client::ask_all;
+use crate::quorum_client::request_all;
 use corkspan_api::v1::cordon_request::CordonAction as Do;
 use corkspan_api::v1::{
     self, maintenance_request::Action, node_client::NodeClient, quorum_request::Operation,
@@ -27,24 +27,24 @@
 use tracing::info;
 
 /// A claim that no majority holds after so long has been left behind by whoever made it.
-const LEFT_BEHIND: Ticks = 100_000;
+const ABANDONED_CLAIM_TIMEOUT: Ticks = 100_000;
 /// Between two bids.
-const BID_EVERY: Ticks = 50_000;
+const COST_REPORT_INTERVAL: Ticks = 50_000;
 /// Machines that are asked in one look whether they could be taken next: of the cheapest, and by
 /// chance.
 const CANDIDATES: usize = 8;
 
 /// Looks again and again, for as long as it is polled.
-pub async fn run(desk: Arc<Desk>) {
-    let mut rng = Pcg64Mcg::seed_from_u64(desk.fleet.life ^ 2);
+pub async fn run(core: Arc<DispatcherCore>) {
+    let mut rng = Pcg64Mcg::seed_from_u64(core.fencing.incarnation ^ 2);
     let mut first_seen: BTreeMap<ClaimId, Ticks> = BTreeMap::new();
     let mut bid_at = 0;
-    while let Some(every) = desk.deployment().maintenance {
-        if let Some(view) = view(&desk).await {
-            let now = desk.clock.now();
+    while let Some(every) = core.deployment().maintenance {
+        if let Some(view) = quorum_view(&core).await {
+            let now = core.clock.now();
             for progress in view.unavailable() {
                 if progress.phase == LeasePhase::Cordoned {
-                    desk.empty(MachineId(progress.lease.machine.0));
+                    core.drain(MachineId(progress.lease.machine.0));
                 }
             }
             let waiting = view.leases.iter().filter(|observed| {
@@ -59,15 +59,15 @@
             }
             let old = first_seen
                 .iter()
-                .filter(|(_, at)| **at + LEFT_BEHIND <= now)
+                .filter(|(_, at)| **at + ABANDONED_CLAIM_TIMEOUT <= now)
                 .map(|(claim, _)| *claim);
             let old: BTreeSet<ClaimId> = old.collect();
             if let Some(wish) = view.request.as_ref().filter(|_| bid_at <= now) {
-                bid_at = now + BID_EVERY;
-                bids(&desk, wish).await;
+                bid_at = now + COST_REPORT_INTERVAL;
+                report_costs(&core, wish).await;
             }
-            if sampled(desk.deployment().cluster.scheduler_count, rng.random()) {
-                act(&desk, &view, &old, &mut rng).await;
+            if sampled(core.deployment().cluster.scheduler_count, rng.random()) {
+                apply_actions(&core, &view, &old, &mut rng).await;
             }
         }
         async_io::Timer::after(duration(every)).await;
@@ -75,51 +75,55 @@
 }
 
 /// What the keepers come to; none without a majority.
-async fn view(desk: &Arc<Desk>) -> Option<QuorumView> {
-    let fleet = desk.deployment().cluster.scheduler_count as u32;
+async fn quorum_view(core: &Arc<DispatcherCore>) -> Option<QuorumView> {
+    let fleet = core.deployment().cluster.scheduler_count as u32;
     let tell = v1::QuorumQuery {
         minimum_version_only: true,
         include_leases: true,
         fleet_size: fleet,
         ..v1::QuorumQuery::default()
     };
-    let words = ask_all(desk, Operation::Query(tell)).await;
-    let words: Vec<_> = words
+    let replies = request_all(core, Operation::Query(tell)).await;
+    let replies: Vec<_> = replies
         .iter()
-        .filter_map(|word| word.leases.as_ref().map(maintenance_messages::word))
+        .filter_map(|word| {
+            word.leases
+                .as_ref()
+                .map(maintenance_messages::member_reply_from_message)
+        })
         .collect();
-    QuorumView::from_replies(&words, desk.deployment().keepers.len())
+    QuorumView::from_replies(&replies, core.deployment().keepers.len())
 }
 
-async fn bids(desk: &Arc<Desk>, wish: &MaintenanceRequest) {
-    let held = desk
-        .held()
+async fn report_costs(core: &Arc<DispatcherCore>, wish: &MaintenanceRequest) {
+    let held = core
+        .allocations_by_machine()
         .into_iter()
         .filter(|(own, _)| wish.machines.contains_key(&Machine(own.0)));
     let costs = held
         .map(|(own, (movable, once))| (own.0, estimate_cost(movable, once)))
         .collect();
-    let dispatcher = desk.deployment().cluster.scheduler_index as u32;
-    ask_all(
-        desk,
+    let dispatcher = core.deployment().cluster.scheduler_index as u32;
+    request_all(
+        core,
         Operation::CostEstimates(v1::CostEstimates { dispatcher, costs }),
     )
     .await;
 }
 
 /// What these machines say, each of the claim told.
-async fn says(
-    desk: &Arc<Desk>,
+async fn machine_statuses(
+    core: &Arc<DispatcherCore>,
     asks: BTreeMap<Machine, Option<ClaimId>>,
 ) -> BTreeMap<Machine, MachineStatus> {
     let mut calls = Vec::new();
     for (machine, claim) in asks {
-        let (claim, own) = (claim.unwrap_or(ClaimId(0)), Arc::clone(desk));
+        let (claim, own) = (claim.unwrap_or(ClaimId(0)), Arc::clone(core));
         calls.push((
             machine,
             claim,
-            desk.tasks
-                .spawn(async move { door(&own, machine, claim, Do::Get).await }),
+            core.tasks
+                .spawn(async move { cordon_request(&own, machine, claim, Do::Get).await }),
         ));
     }
     let mut says = BTreeMap::new();
@@ -141,42 +145,47 @@
     says
 }
 
-async fn door(
-    desk: &Arc<Desk>,
+async fn cordon_request(
+    core: &Arc<DispatcherCore>,
     machine: Machine,
     claim: ClaimId,
     what: Do,
 ) -> Option<v1::CordonResponse> {
-    let node = desk.node(MachineId(machine.0))?;
-    let _call = node.call();
+    let node = core.node(MachineId(machine.0))?;
+    let _call = node.count_call();
     let ask = v1::CordonRequest {
         claim: claim.0,
         action: what.into(),
     };
     let whole = async {
-        let link = node.ready(&desk.tasks, &desk.link_bounds).await.ok()?;
+        let link = node.ready(&core.tasks, &core.link_bounds).await.ok()?;
         NodeClient::new(link)
             .door(ask)
             .await
             .ok()
             .map(tonic::Response::into_inner)
     };
-    within(desk.link_bounds.connect_within * 2, Box::pin(whole))
+    within(core.link_bounds.connect_within * 2, Box::pin(whole))
         .await
         .flatten()
 }
 
-async fn act(desk: &Arc<Desk>, view: &QuorumView, old: &BTreeSet<ClaimId>, rng: &mut Pcg64Mcg) {
-    let says = says(
-        desk,
+async fn apply_actions(
+    core: &Arc<DispatcherCore>,
+    view: &QuorumView,
+    old: &BTreeSet<ClaimId>,
+    rng: &mut Pcg64Mcg,
+) {
+    let says = machine_statuses(
+        core,
         view.machines_to_poll(CANDIDATES, |of| rng.random_range(0..of)),
     )
     .await;
     let claim = ClaimId(rng.random_range(1..=u64::MAX));
     let lost = BTreeMap::new();
-    let keepers = desk.deployment().keepers.len();
+    let keepers = core.deployment().keepers.len();
     // A roll needs its copies: while one goes on nothing further is taken.
-    let gives_way = desk.with_rolls(|_, rolls| rolls.goes_on());
+    let gives_way = core.with_rollouts(|_, rollouts| rollouts.in_progress());
     let own = ReconcileContext {
         members: keepers,
         next_claim: claim,
@@ -191,10 +200,10 @@
     let uncordon = next.uncordon.iter().map(|lease| (lease, Do::Uncordon));
     let stop = next.stop.iter().map(|lease| (lease, Do::Stop));
     for (lease, what) in cordon.chain(uncordon).chain(stop) {
-        door(desk, lease.machine, lease.claim, what).await;
+        cordon_request(core, lease.machine, lease.claim, what).await;
     }
-    for step in maintenance_messages::steps(&next) {
-        ask_all(desk, Operation::MaintenanceStep(step)).await;
+    for step in maintenance_messages::step_messages(&next) {
+        request_all(core, Operation::MaintenanceStep(step)).await;
     }
     if let Some(claim) = next.claim {
         let message = v1::MaintenanceClaim {
@@ -203,40 +212,42 @@
             claim: claim.lease.claim.0,
             slots: claim.slots.each().to_vec(),
         };
-        ask_all(desk, Operation::MaintenanceClaim(message)).await;
+        request_all(core, Operation::MaintenanceClaim(message)).await;
     }
 }
 
 /// What an operator asks.
 pub async fn maintain(
-    desk: &Arc<Desk>,
+    core: &Arc<DispatcherCore>,
     ask: v1::MaintenanceRequest,
 ) -> Result<v1::MaintenanceResponse, Status> {
-    let keepers = desk.deployment().keepers.len();
-    if keepers == 0 || desk.deployment().maintenance.is_none() {
+    let keepers = core.deployment().keepers.len();
+    if keepers == 0 || core.deployment().maintenance.is_none() {
         return Err(Status::failed_precondition(
             "the deployment names no keepers, or has no `(maintenance …)`",
         ));
     }
-    let Some(view) = view(desk).await else {
+    let Some(view) = quorum_view(core).await else {
         return Err(Status::unavailable("no majority of the keepers answers"));
     };
     let what = ask.action();
     let taken = match what {
         Action::Status => true,
-        Action::Done => done(desk, &view, &ask).await?,
-        _ => propose(desk, &view, ask).await?,
+        Action::Done => complete(core, &view, &ask).await?,
+        _ => propose(core, &view, ask).await?,
     };
     let text = if taken {
         ""
     } else {
         "turned down: another wish stands, or no majority has taken it"
     };
-    let after = self::view(desk).await.unwrap_or(view);
-    let says = says(desk, after.machines_to_poll(0, |_| 0)).await;
+    let after = self::quorum_view(core).await.unwrap_or(view);
+    let says = machine_statuses(core, after.machines_to_poll(0, |_| 0)).await;
     let phase = |LeaseProgress { lease, phase }| {
         let observed = after.leases.iter().find(|observed| observed.id() == lease);
-        observed.map(|observed| maintenance_messages::outing(lease.machine, &observed.lease, phase))
+        observed.map(|observed| {
+            maintenance_messages::lease_message(lease.machine, &observed.lease, phase)
+        })
     };
     let ended = |end| {
         after
@@ -248,7 +259,10 @@
     Ok(v1::MaintenanceResponse {
         accepted: taken,
         message: text.into(),
-        current: after.request.as_ref().map(maintenance_messages::work),
+        current: after
+            .request
+            .as_ref()
+            .map(maintenance_messages::work_message),
         leases: after.unavailable().filter_map(phase).collect(),
         completed: ended(LeaseOutcome::Completed).collect(),
         skipped: ended(LeaseOutcome::Skipped).collect(),
@@ -261,12 +275,12 @@
 }
 
 /// The worker's word on each machine named.
-async fn done(
-    desk: &Arc<Desk>,
+async fn complete(
+    core: &Arc<DispatcherCore>,
     view: &QuorumView,
     ask: &v1::MaintenanceRequest,
 ) -> Result<bool, Status> {
-    let says = says(desk, view.machines_to_poll(0, |_| 0)).await;
+    let says = machine_statuses(core, view.machines_to_poll(0, |_| 0)).await;
     let in_work = view.drained(&says).into_iter();
     let in_work: BTreeMap<Machine, ClaimId> =
         in_work.map(|lease| (lease.machine, lease.claim)).collect();
@@ -283,8 +297,10 @@
             step: v1::maintenance_step::Step::Completed.into(),
             ..v1::MaintenanceStep::default()
         };
-        let heard = ask_all(desk, Operation::MaintenanceStep(step)).await.len();
-        let keepers = desk.deployment().keepers.len();
+        let heard = request_all(core, Operation::MaintenanceStep(step))
+            .await
+            .len();
+        let keepers = core.deployment().keepers.len();
         if !is_majority(heard, keepers) {
             let text = format!(
                 "{heard} of {keepers} keepers have heard that machine {node} is done: say it again"
@@ -296,14 +312,14 @@
 }
 
 async fn propose(
-    desk: &Arc<Desk>,
+    core: &Arc<DispatcherCore>,
     view: &QuorumView,
     ask: v1::MaintenanceRequest,
 ) -> Result<bool, Status> {
-    let asker = desk.clock.now().rotate_left(24) ^ desk.fleet.life;
+    let asker = core.clock.now().rotate_left(24) ^ core.fencing.incarnation;
     let number = view.highest_revision.saturating_add(1);
     let wish = match (ask.action(), &view.request) {
-        (Action::Start, _) => start(desk, view, ask, number, asker)?,
+        (Action::Start, _) => start(core, view, ask, number, asker)?,
         (_, None) => return Err(Status::not_found("there is no work under way")),
         (Action::Pause, Some(wish)) => MaintenanceRequest {
             revision: number,
@@ -324,21 +340,23 @@
             ..wish.clone()
         },
     };
-    let words = ask_all(
-        desk,
-        Operation::Maintenance(maintenance_messages::work(&wish)),
+    let replies = request_all(
+        core,
+        Operation::Maintenance(maintenance_messages::work_message(&wish)),
     )
     .await;
-    let stands: Vec<MaintenanceRequest> = words
+    let stands: Vec<MaintenanceRequest> = replies
         .iter()
-        .filter_map(|word| maintenance_messages::wish(word.leases.as_ref()?.plan.as_ref()?))
+        .filter_map(|word| {
+            maintenance_messages::proposal_from_message(word.leases.as_ref()?.plan.as_ref()?)
+        })
         .collect();
     info!(number, course = ?wish.run_state, machines = wish.machines.len(), "a wish for work on machines");
-    Ok(committed(&stands, desk.deployment().keepers.len()) == Some(&wish))
+    Ok(committed(&stands, core.deployment().keepers.len()) == Some(&wish))
 }
 
 fn start(
-    desk: &Arc<Desk>,
+    core: &Arc<DispatcherCore>,
     view: &QuorumView,
     ask: v1::MaintenanceRequest,
     number: u64,
@@ -348,7 +366,7 @@
     let [all, hall, cell, kind] = ask.limits[..] else {
         return Err(wrong("limits: four are wanted".into()));
     };
-    let entries = desk.entries();
+    let entries = core.endpoints();
     let mut machines = BTreeMap::new();
     for node in &ask.nodes {
         let entry = entries.get(&MachineId(*node));
@@ -367,7 +385,7 @@
         cell,
         machine_type: kind,
     };
-    let keepers: Vec<Machine> = desk
+    let keepers: Vec<Machine> = core
         .deployment()
         .keepers
         .iter()
@@ -376,7 +394,7 @@
     let begun = view.check_start(&machines, &limits, &keepers);
     begun.map_err(|why| Status::failed_precondition(why.to_string()))?;
     let (warm_ms, empty_within_ms) = (ask.warm_up_ms, ask.drain_timeout_ms);
-    let then = maintenance_messages::then(ask.on_drain_timeout());
+    let then = maintenance_messages::drain_timeout_action(ask.on_drain_timeout());
     let job = asker;
     Ok(MaintenanceRequest {
         revision: number,
--- a/crates/dispatcher/src/maintenance_messages.rs
+++ b/crates/dispatcher/src/maintenance_messages.rs
@@ -33,7 +33,7 @@
     }
 }
 
-fn place(machine: Machine, at: MachineDomains) -> v1::MaintenanceMachine {
+fn machine_message(machine: Machine, at: MachineDomains) -> v1::MaintenanceMachine {
     v1::MaintenanceMachine {
         node: machine.0,
         zone: at.zone,
@@ -42,7 +42,7 @@
     }
 }
 
-fn placed(own: &v1::MaintenanceMachine) -> (Machine, MachineDomains) {
+fn machine_from_message(own: &v1::MaintenanceMachine) -> (Machine, MachineDomains) {
     (
         Machine(own.node),
         MachineDomains {
@@ -53,7 +53,7 @@
     )
 }
 
-pub fn work(wish: &MaintenanceRequest) -> v1::MaintenancePlan {
+pub fn work_message(wish: &MaintenanceRequest) -> v1::MaintenancePlan {
     v1::MaintenancePlan {
         revision: wish.revision,
         proposer: wish.proposer,
@@ -61,7 +61,7 @@
         machines: wish
             .machines
             .iter()
-            .map(|(machine, at)| place(*machine, *at))
+            .map(|(machine, at)| machine_message(*machine, *at))
             .collect(),
         limits: wish.limits.each().to_vec(),
         warm_up_ms: wish.warm_up_ms,
@@ -82,7 +82,7 @@
 }
 
 /// None where its limits are not four.
-pub fn wish(work: &v1::MaintenancePlan) -> Option<MaintenanceRequest> {
+pub fn proposal_from_message(work: &v1::MaintenancePlan) -> Option<MaintenanceRequest> {
     let [all, hall, cell, kind] = work.limits[..] else {
         return None;
     };
@@ -90,7 +90,7 @@
         revision: work.revision,
         proposer: work.proposer,
         job: work.job,
-        machines: work.machines.iter().map(placed).collect(),
+        machines: work.machines.iter().map(machine_from_message).collect(),
         limits: DisruptionLimits {
             total: all,
             zone: hall,
@@ -99,7 +99,7 @@
         },
         warm_up_ms: work.warm_up_ms,
         drain_timeout_ms: work.drain_timeout_ms,
-        on_drain_timeout: then(work.on_drain_timeout()),
+        on_drain_timeout: drain_timeout_action(work.on_drain_timeout()),
         run_state: match work.run_state() {
             v1::maintenance_plan::RunState::Running => RunState::Running,
             v1::maintenance_plan::RunState::Paused => RunState::Paused,
@@ -108,7 +108,7 @@
     })
 }
 
-pub fn then(then: v1::maintenance_plan::DrainTimeoutAction) -> DrainTimeoutAction {
+pub fn drain_timeout_action(then: v1::maintenance_plan::DrainTimeoutAction) -> DrainTimeoutAction {
     match then {
         v1::maintenance_plan::DrainTimeoutAction::Wait => DrainTimeoutAction::Wait,
         v1::maintenance_plan::DrainTimeoutAction::Skip => DrainTimeoutAction::Skip,
@@ -116,13 +116,13 @@
     }
 }
 
-pub fn outing(
+pub fn lease_message(
     machine: Machine,
     outing: &MaintenanceLease,
     told: LeasePhase,
 ) -> v1::MaintenanceLease {
     v1::MaintenanceLease {
-        machine: Some(place(machine, outing.domains)),
+        machine: Some(machine_message(machine, outing.domains)),
         claim: outing.claim.0,
         job: outing.job,
         slots: outing.slots.each().to_vec(),
@@ -131,7 +131,7 @@
 }
 
 /// All that a keeper keeps, for a fleet of so many.
-pub fn board(board: &LeaseTable, fleet: u32) -> v1::LeaseTable {
+pub fn lease_table_message(board: &LeaseTable, fleet: u32) -> v1::LeaseTable {
     let ended = |which| {
         board
             .outcomes()
@@ -149,11 +149,11 @@
         .into_iter()
         .map(|(machine, cost)| (machine.0, cost));
     v1::LeaseTable {
-        plan: board.request().map(work),
+        plan: board.request().map(work_message),
         leases: board
             .leases()
             .iter()
-            .map(|(own, out)| outing(*own, out, out.phase))
+            .map(|(own, out)| lease_message(*own, out, out.phase))
             .collect(),
         completed: ended(LeaseOutcome::Completed).collect(),
         skipped: ended(LeaseOutcome::Skipped).collect(),
@@ -165,9 +165,9 @@
 }
 
 /// What a keeper told. What can't be read of it is left out.
-pub fn word(told: &v1::LeaseTable) -> MemberReply {
+pub fn member_reply_from_message(told: &v1::LeaseTable) -> MemberReply {
     let outing = |own: &v1::MaintenanceLease| {
-        let (machine, at) = placed(own.machine.as_ref()?);
+        let (machine, at) = machine_from_message(own.machine.as_ref()?);
         let slots = Slots::try_from(&own.slots[..]).ok()?;
         let phase = phase(own.phase())?;
         Some((
@@ -195,7 +195,7 @@
     };
     let cost = |(node, cost): (&u32, &f64)| cost.is_finite().then_some((Machine(*node), *cost));
     MemberReply {
-        request: told.plan.as_ref().and_then(wish),
+        request: told.plan.as_ref().and_then(proposal_from_message),
         leases: told.leases.iter().filter_map(outing).collect(),
         outcomes: ended(&told.completed, LeaseOutcome::Completed)
             .into_iter()
@@ -215,7 +215,7 @@
 }
 
 /// The steps that keepers are to be told.
-pub fn steps(look: &Actions) -> Vec<v1::MaintenanceStep> {
+pub fn step_messages(look: &Actions) -> Vec<v1::MaintenanceStep> {
     let plain = |lease: LeaseId, step: Step| v1::MaintenanceStep {
         node: lease.machine.0,
         claim: lease.claim.0,
@@ -243,7 +243,7 @@
 }
 
 /// A step arrives at a keeper.
-pub fn arrives(board: &mut LeaseTable, told: &v1::MaintenanceStep) {
+pub fn apply_step(board: &mut LeaseTable, told: &v1::MaintenanceStep) {
     let (machine, claim) = (Machine(told.node), ClaimId(told.claim));
     let end = match (told.completed, told.skipped) {
         (true, _) => Some(LeaseOutcome::Completed),
@@ -266,7 +266,7 @@
 }
 
 /// A claim arrives at a keeper; whether it is granted.
-pub fn claimed(board: &mut LeaseTable, told: &v1::MaintenanceClaim) -> bool {
+pub fn apply_claim(board: &mut LeaseTable, told: &v1::MaintenanceClaim) -> bool {
     let Ok(slots) = Slots::try_from(&told.slots[..]) else {
         return false;
     };
--- a/crates/dispatcher/src/minimum_version.rs
+++ b/crates/dispatcher/src/minimum_version.rs
@@ -3,10 +3,11 @@
 
 use crate::active_version;
 use crate::clock::duration;
-use crate::core::Desk;
-use crate::quorum_client::ask_all;
-use crate::version_gate::say;
-pub use crate::version_gate::{message, read};
+use crate::core::DispatcherCore;
+use crate::quorum_client::request_all;
+pub use crate::version_gate::{
+    log_minimum_version, minimum_version_from_message, minimum_version_message,
+};
 use corkspan_api::v1::{self, quorum_request::Operation};
 use corkspan_config::FloorWatch;
 use corkspan_quorum::{committed, sampled};
@@ -22,26 +23,29 @@
 use tracing::{info, warn};
 
 /// Between two writes of the record.
-const WRITTEN_EVERY: Duration = Duration::from_secs(1);
+const SAVE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Keeps on disk which versions were in force, for as long as it is polled. It is a record and no
 /// ground for any decision, so nothing waits for it; a disk that is full is tried again.
-pub async fn keep(desk: Arc<Desk>) {
-    if desk.deployment().rolls.is_none() {
+pub async fn save_history(core: Arc<DispatcherCore>) {
+    if core.deployment().rolls.is_none() {
         return;
     }
     let mut told = false;
     loop {
-        if desk.fleet.unwritten() {
+        if core.fencing.has_unwritten_history() {
             // Taken before the record: what changes meanwhile is written in the next round.
-            let changed = desk.fleet.changed.load(Ordering::Relaxed);
+            let changed = core.fencing.history_changes.load(Ordering::Relaxed);
             let (spans, store) = (
-                desk.fleet.record().intervals().clone(),
-                Arc::clone(&desk.store),
+                core.fencing.history().intervals().clone(),
+                Arc::clone(&core.store),
             );
-            let kept = blocking::unblock(move || store.record(&spans)).await;
+            let kept = blocking::unblock(move || store.save_version_history(&spans)).await;
             match &kept {
-                Ok(()) => desk.fleet.written.store(changed, Ordering::Relaxed),
+                Ok(()) => core
+                    .fencing
+                    .history_changes_written
+                    .store(changed, Ordering::Relaxed),
                 Err(why) if !told => {
                     warn!(
                         why,
@@ -52,32 +56,36 @@
             }
             told = kept.is_err();
         }
-        async_io::Timer::after(WRITTEN_EVERY).await;
+        async_io::Timer::after(SAVE_INTERVAL).await;
     }
 }
 
 /// Asks the keepers again and again, for as long as it is polled: for the floor, for what enough of
 /// the fleet have taken where a rule raises the floor by that, and to lay a version on their
 /// shelves for stragglers.
-pub async fn run(desk: Arc<Desk>) {
-    if desk.deployment().floor.is_none() {
+pub async fn run(core: Arc<DispatcherCore>) {
+    if core.deployment().floor.is_none() {
         return;
     }
     let (mut watch, mut rng) = (
         PolicyWatch::default(),
-        Pcg64Mcg::seed_from_u64(desk.fleet.life),
+        Pcg64Mcg::seed_from_u64(core.fencing.incarnation),
     );
-    while let Some(own) = desk.deployment().floor.clone() {
-        let words = tell(&desk, &own).await;
-        let deployment = desk.deployment();
-        let (keepers, now) = (deployment.keepers.len(), desk.clock.now());
-        let told: Vec<Option<MinimumVersion>> = words
+    while let Some(own) = core.deployment().floor.clone() {
+        let replies = poll_quorum(&core, &own).await;
+        let deployment = core.deployment();
+        let (keepers, now) = (deployment.keepers.len(), core.clock.now());
+        let told: Vec<Option<MinimumVersion>> = replies
             .iter()
-            .map(|word| word.minimum_version.as_ref().map(read))
+            .map(|word| {
+                word.minimum_version
+                    .as_ref()
+                    .map(minimum_version_from_message)
+            })
             .collect();
-        let news = desk.fleet.standing().apply_quorum_replies(&told, keepers);
-        if let Some(floor) = desk.fleet.floor().filter(|_| news) {
-            say(floor, deployment.stamp, "the keepers");
+        let news = core.fencing.gate().apply_quorum_replies(&told, keepers);
+        if let Some(floor) = core.fencing.minimum_version().filter(|_| news) {
+            log_minimum_version(floor, deployment.stamp, "the keepers");
         }
         if own.behind.is_some() || own.after.is_some() {
             let rule = MinimumVersionPolicy {
@@ -85,7 +93,7 @@
                 max_age: own.after,
                 adoption_permille: own.part,
             };
-            let taken: Vec<Option<u64>> = words.iter().map(|word| word.adopted_version).collect();
+            let taken: Vec<Option<u64>> = replies.iter().map(|word| word.adopted_version).collect();
             let stands = committed(told.iter().flatten(), keepers).map(|floor| floor.version);
             // Hundreds see it in the same round: a few that ask are enough.
             let chance = sampled(deployment.cluster.scheduler_count, rng.random());
@@ -93,7 +101,7 @@
                 .evaluate(now, rule, &taken, keepers, stands)
                 .filter(|_| chance);
             if let Some(lowest) = lowest {
-                match raise(&desk, lowest).await {
+                match raise(&core, lowest).await {
                     Ok(word) if word.accepted => {
                         info!(lowest, "the floor of versions is raised by its rule")
                     }
@@ -110,31 +118,31 @@
                 }
             }
         }
-        lay(&desk, &words, rng.random()).await;
+        offer_to_caches(&core, &replies, rng.random()).await;
         async_io::Timer::after(duration(own.every)).await;
     }
 }
 
 /// What the keepers that answer hold of the fleet, told what runs here.
-async fn tell(desk: &Arc<Desk>, own: &FloorWatch) -> Vec<v1::QuorumResponse> {
-    let (running, on_trial) = desk.versions.with(|state| {
+async fn poll_quorum(core: &Arc<DispatcherCore>, own: &FloorWatch) -> Vec<v1::QuorumResponse> {
+    let (running, on_trial) = core.active_version.with(|state| {
         (
             state.subscriber.active_version(),
             state.subscriber.on_trial(),
         )
     });
-    let cluster = &desk.deployment().cluster;
+    let cluster = &core.deployment().cluster;
     let (dispatcher, fleet) = (
         cluster.scheduler_index as u32,
         cluster.scheduler_count as u32,
     );
     let runs = Some(v1::ActiveVersion {
         dispatcher,
-        version: Some(active_version::message(running)),
+        version: Some(active_version::version_id_message(running)),
         on_trial,
     });
-    ask_all(
-        desk,
+    request_all(
+        core,
         Operation::Query(v1::QuorumQuery {
             minimum_version_only: true,
             active_version: runs,
@@ -148,31 +156,35 @@
 
 /// Lays the version that has stood its trial here on the shelves of keepers where an older one
 /// lies, or none.
-async fn lay(desk: &Arc<Desk>, words: &[v1::QuorumResponse], chance: f64) {
-    let good = desk
-        .versions
+async fn offer_to_caches(core: &Arc<DispatcherCore>, replies: &[v1::QuorumResponse], chance: f64) {
+    let good = core
+        .active_version
         .with(|state| match state.subscriber.on_trial() {
             true => None,
-            false => state.shelf.newest(),
+            false => state.version_cache.newest(),
         });
     let Some(good) = good else { return };
-    let oldest = words
+    let oldest = replies
         .iter()
-        .map(|word| word.stored_version.as_ref().and_then(active_version::stamp))
+        .map(|word| {
+            word.stored_version
+                .as_ref()
+                .and_then(active_version::version_id_from_message)
+        })
         .min();
     let Some(theirs) = oldest else { return };
-    let fleet = desk.deployment().cluster.scheduler_count;
+    let fleet = core.deployment().cluster.scheduler_count;
     if !should_store(good.number, theirs.map(|stamp| stamp.number), fleet, chance) {
         return;
     }
-    let Some(push) = desk
-        .versions
-        .with(|state| state.shelf.push_to_store(theirs))
+    let Some(push) = core
+        .active_version
+        .with(|state| state.version_cache.push_to_store(theirs))
     else {
         return;
     };
-    ask_all(
-        desk,
+    request_all(
+        core,
         Operation::StoreVersion(active_version::push_message(push)),
     )
     .await;
@@ -183,34 +195,38 @@
 }
 
 /// The wishes that stand at those keepers that answer.
-async fn ask(desk: &Arc<Desk>) -> Vec<Option<MinimumVersion>> {
+async fn quorum_proposals(core: &Arc<DispatcherCore>) -> Vec<Option<MinimumVersion>> {
     let tell = v1::QuorumQuery {
         minimum_version_only: true,
         ..v1::QuorumQuery::default()
     };
-    let words = ask_all(desk, Operation::Query(tell)).await;
-    words
+    let replies = request_all(core, Operation::Query(tell)).await;
+    replies
         .iter()
-        .map(|word| word.minimum_version.as_ref().map(read))
+        .map(|word| {
+            word.minimum_version
+                .as_ref()
+                .map(minimum_version_from_message)
+        })
         .collect()
 }
 
 /// Asks the keepers for another floor.
 pub async fn raise(
-    desk: &Arc<Desk>,
+    core: &Arc<DispatcherCore>,
     lowest: u64,
 ) -> Result<v1::RaiseMinimumVersionResponse, Status> {
-    let keepers = desk.deployment().keepers.len();
+    let keepers = core.deployment().keepers.len();
     if keepers == 0 {
         return Err(Status::failed_precondition(
             "the deployment names no keepers",
         ));
     }
-    let asker = desk.clock.now().rotate_left(24) ^ desk.fleet.life;
-    let wish = match propose(&ask(desk).await, keepers, lowest, asker) {
+    let asker = core.clock.now().rotate_left(24) ^ core.fencing.incarnation;
+    let wish = match propose(&quorum_proposals(core).await, keepers, lowest, asker) {
         Ok(wish) => wish,
         Err(why) => {
-            let stands = desk.fleet.floor().map(message);
+            let stands = core.fencing.minimum_version().map(minimum_version_message);
             return Ok(v1::RaiseMinimumVersionResponse {
                 accepted: false,
                 message: why.to_string(),
@@ -218,10 +234,18 @@
             });
         }
     };
-    let words = ask_all(desk, Operation::MinimumVersion(message(wish))).await;
-    let told: Vec<MinimumVersion> = words
+    let replies = request_all(
+        core,
+        Operation::MinimumVersion(minimum_version_message(wish)),
+    )
+    .await;
+    let told: Vec<MinimumVersion> = replies
         .iter()
-        .filter_map(|word| word.minimum_version.as_ref().map(read))
+        .filter_map(|word| {
+            word.minimum_version
+                .as_ref()
+                .map(minimum_version_from_message)
+        })
         .collect();
     let stands = committed(&told, keepers).copied();
     let text = match stands {
@@ -232,6 +256,6 @@
     Ok(v1::RaiseMinimumVersionResponse {
         accepted: stands == Some(wish),
         message: text,
-        current: stands.map(message),
+        current: stands.map(minimum_version_message),
     })
 }
--- a/crates/dispatcher/src/node_links.rs
+++ b/crates/dispatcher/src/node_links.rs
@@ -25,17 +25,17 @@
 
 /// Why no link to a node stands. Nothing that binds was sent on it.
 #[derive(Debug, thiserror::Error)]
-pub enum NoNode {
+pub enum NodeLinkError {
     #[error(transparent)]
     NoLink(#[from] NoLink),
     #[error("another attempt failed meanwhile")]
-    FailedAlready,
+    ConcurrentAttemptFailed,
     #[error("no answer to the greeting within {0:?}")]
-    Silent(Duration),
+    GreetingTimeout(Duration),
     #[error("the greeting was turned down: {0}")]
-    TurnedDown(String),
+    GreetingRejected(String),
     #[error("node {0} answers there")]
-    Stranger(u32),
+    OtherNode(u32),
 }
 
 /// A node as it is reached.
@@ -43,36 +43,36 @@
     pub address: SocketAddr,
     greeting: v1::Greeting,
     meter: Meter,
-    state: AsyncMutex<State>,
+    state: AsyncMutex<LinkState>,
     calls: AtomicUsize,
     unanswered: AtomicUsize,
 }
 
-struct State {
+struct LinkState {
     link: Option<Link>,
     /// When an attempt to open it last failed: those who waited for that one have failed with it,
     /// instead of each trying anew one after the other.
-    failed: Option<Instant>,
-    used: Instant,
+    failed_at: Option<Instant>,
+    last_used_at: Instant,
 }
 
 /// Counts one up while it lives.
-pub struct Counted {
+pub struct CountGuard {
     node: Arc<NodeLink>,
     which: fn(&NodeLink) -> &AtomicUsize,
 }
 
-impl Counted {
+impl CountGuard {
     fn new(node: &Arc<NodeLink>, which: fn(&NodeLink) -> &AtomicUsize) -> Self {
         which(node).fetch_add(1, Ordering::Relaxed);
-        Counted {
+        CountGuard {
             node: Arc::clone(node),
             which,
         }
     }
 }
 
-impl Drop for Counted {
+impl Drop for CountGuard {
     fn drop(&mut self) {
         (self.which)(&self.node).fetch_sub(1, Ordering::Relaxed);
     }
@@ -81,10 +81,10 @@
 impl NodeLink {
     pub fn new(address: SocketAddr, node: u32, dispatcher: u32, meter: Meter) -> Arc<Self> {
         let greeting = v1::Greeting { node, dispatcher };
-        let state = State {
+        let state = LinkState {
             link: None,
-            failed: None,
-            used: Instant::now(),
+            failed_at: None,
+            last_used_at: Instant::now(),
         };
         let (calls, unanswered) = Default::default();
         Arc::new(NodeLink {
@@ -102,25 +102,25 @@
         &self,
         tasks: &Tasks,
         bounds: &corkspan_rpc::Bounds,
-    ) -> Result<Link, NoNode> {
+    ) -> Result<Link, NodeLinkError> {
         let since = Instant::now();
         let mut state = self.state.lock().await;
-        state.used = Instant::now();
+        state.last_used_at = Instant::now();
         if let Some(link) = state.link.clone().filter(Link::stands) {
             drop(state);
-            return ready(link).await;
+            return wait_ready(link).await;
         }
-        if state.failed.is_some_and(|at| at >= since) {
-            return Err(NoNode::FailedAlready);
+        if state.failed_at.is_some_and(|at| at >= since) {
+            return Err(NodeLinkError::ConcurrentAttemptFailed);
         }
         match self.open(tasks, bounds).await {
             Ok(link) => {
                 state.link = Some(link.clone());
                 drop(state);
-                ready(link).await
+                wait_ready(link).await
             }
             Err(why) => {
-                state.failed = Some(Instant::now());
+                state.failed_at = Some(Instant::now());
                 Err(why)
             }
         }
@@ -129,29 +129,33 @@
     /// Opens a link and waits for the node's own word that it stands: a connection that the kernel
     /// at the other end took, for a process that no longer looks, would make of each offer one
     /// that may have run.
-    async fn open(&self, tasks: &Tasks, bounds: &corkspan_rpc::Bounds) -> Result<Link, NoNode> {
+    async fn open(
+        &self,
+        tasks: &Tasks,
+        bounds: &corkspan_rpc::Bounds,
+    ) -> Result<Link, NodeLinkError> {
         let link = Link::open_counted(tasks, self.address, bounds, &self.meter).await?;
         let mut client = NodeClient::new(link.clone());
         let greeted = within(bounds.connect_within, client.greet(self.greeting)).await;
-        let word = greeted.ok_or(NoNode::Silent(bounds.connect_within))?;
+        let word = greeted.ok_or(NodeLinkError::GreetingTimeout(bounds.connect_within))?;
         let word = word
-            .map_err(|why| NoNode::TurnedDown(why.message().into()))?
+            .map_err(|why| NodeLinkError::GreetingRejected(why.message().into()))?
             .into_inner();
         if word.node != self.greeting.node {
-            return Err(NoNode::Stranger(word.node));
+            return Err(NodeLinkError::OtherNode(word.node));
         }
         Ok(link)
     }
 
     /// Counts a call on the link until dropped.
-    pub fn call(self: &Arc<Self>) -> Counted {
-        Counted::new(self, |node| &node.calls)
+    pub fn count_call(self: &Arc<Self>) -> CountGuard {
+        CountGuard::new(self, |node| &node.calls)
     }
 
     /// Counts an offer without an answer until dropped; none where there are as many as may be.
-    pub fn offer(self: &Arc<Self>, most: usize) -> Option<Counted> {
-        let free = self.unanswered.load(Ordering::Relaxed) < most;
-        free.then(|| Counted::new(self, |node| &node.unanswered))
+    pub fn reserve_offer(self: &Arc<Self>, max_unanswered: usize) -> Option<CountGuard> {
+        let free = self.unanswered.load(Ordering::Relaxed) < max_unanswered;
+        free.then(|| CountGuard::new(self, |node| &node.unanswered))
     }
 
     /// Closes the link if it has been idle for so long. Whether one is open afterwards.
@@ -159,14 +163,14 @@
         let Some(mut state) = self.state.try_lock() else {
             return true;
         };
-        if self.calls.load(Ordering::Relaxed) == 0 && state.used.elapsed() >= after {
+        if self.calls.load(Ordering::Relaxed) == 0 && state.last_used_at.elapsed() >= after {
             state.link = None;
         }
         state.link.as_ref().is_some_and(Link::stands)
     }
 }
 
-async fn ready(mut link: Link) -> Result<Link, NoNode> {
+async fn wait_ready(mut link: Link) -> Result<Link, NodeLinkError> {
     future::poll_fn(|cx| link.poll_ready(cx))
         .await
         .map_err(NoLink::NotHttp)?;
--- a/crates/dispatcher/src/placement_service.rs
+++ b/crates/dispatcher/src/placement_service.rs
@@ -1,6 +1,6 @@
 //! The placement service: what owners say, straight to the desk.
 
-use crate::core::{Desk, Taken};
+use crate::core::{DispatcherCore, OpenCall};
 use corkspan_api::v1::{self, placement_server::Placement};
 use futures_lite::Stream;
 use std::pin::Pin;
@@ -10,56 +10,56 @@
 use tonic::{Request, Response, Status};
 
 #[derive(Clone)]
-pub struct Clients(pub Arc<Desk>);
+pub struct PlacementService(pub Arc<DispatcherCore>);
 
 /// The words to one owner. Its end, whoever ends it, is told to the desk.
-pub struct Words {
-    words: Pin<Box<async_channel::Receiver<v1::PlacementEvent>>>,
-    id: Option<crate::core::Current>,
-    desk: Arc<Desk>,
+pub struct ReplyStream {
+    replies: Pin<Box<async_channel::Receiver<v1::PlacementEvent>>>,
+    id: Option<crate::core::CurrentAllocation>,
+    core: Arc<DispatcherCore>,
     _open: Arc<()>,
 }
 
-impl Words {
-    fn new(taken: Taken, desk: &Arc<Desk>) -> Response<Self> {
-        let Taken { words, id, open } = taken;
-        Response::new(Words {
-            words: Box::pin(words),
+impl ReplyStream {
+    fn new(call: OpenCall, core: &Arc<DispatcherCore>) -> Response<Self> {
+        let OpenCall { replies, id, open } = call;
+        Response::new(ReplyStream {
+            replies: Box::pin(replies),
             id,
-            desk: Arc::clone(desk),
+            core: Arc::clone(core),
             _open: open,
         })
     }
 }
 
-impl Stream for Words {
+impl Stream for ReplyStream {
     type Item = Result<v1::PlacementEvent, Status>;
 
     fn poll_next(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Self::Item>> {
-        self.words.as_mut().poll_next(cx).map(|word| word.map(Ok))
+        self.replies.as_mut().poll_next(cx).map(|word| word.map(Ok))
     }
 }
 
-impl Drop for Words {
+impl Drop for ReplyStream {
     fn drop(&mut self) {
         if let Some(id) = &self.id {
-            self.desk.hung_up(id.get());
+            self.core.call_ended(id.get());
         }
     }
 }
 
 #[tonic::async_trait]
-impl Placement for Clients {
-    type PlaceStream = Words;
-    type HandOverStream = Words;
+impl Placement for PlacementService {
+    type PlaceStream = ReplyStream;
+    type HandOverStream = ReplyStream;
 
     async fn place(
         &self,
         request: Request<v1::PlacementRequest>,
-    ) -> Result<Response<Words>, Status> {
+    ) -> Result<Response<ReplyStream>, Status> {
         let hangs_up = deadline(request.metadata())?;
-        Ok(Words::new(
-            self.0.ask(request.into_inner(), hangs_up),
+        Ok(ReplyStream::new(
+            self.0.place(request.into_inner(), hangs_up),
             &self.0,
         ))
     }
@@ -67,8 +67,11 @@
     async fn hand_over(
         &self,
         request: Request<v1::HandOverRequest>,
-    ) -> Result<Response<Words>, Status> {
-        Ok(Words::new(self.0.hand_over(request.into_inner()), &self.0))
+    ) -> Result<Response<ReplyStream>, Status> {
+        Ok(ReplyStream::new(
+            self.0.hand_over(request.into_inner()),
+            &self.0,
+        ))
     }
 
     async fn status(
