--- a/crates/dispatcher/src/rollout_control.rs
+++ b/crates/dispatcher/src/rollout_control.rs
@@ -1,9 +1,9 @@
 //! Rolling updates: the conductors' answers carried out, keepers asked, claims kept on disk before
 //! the step that depends on them. What is decided stands in `corkspan_rollout`.
 
-use crate::core::Desk;
-use crate::quorum_client::ask_all;
-pub use crate::store::{Closes, Held, Kept, Pair, Store};
+use crate::core::DispatcherCore;
+use crate::quorum_client::request_all;
+pub use crate::store::{CloseOnDrop, ReplicaPair, Store, StoredClaim, StoredRollouts};
 use corkspan_api::v1;
 use corkspan_api::v1::quorum_request::Operation;
 use corkspan_rollout::Grant;
@@ -17,58 +17,63 @@
 use tracing::{info, warn};
 
 /// Between two rounds to the keepers while a roll goes on.
-const ROUND: Duration = Duration::from_millis(300);
+const ROUND_INTERVAL: Duration = Duration::from_millis(300);
 /// The same while none does: hundreds of dispatchers ask the same few keepers.
-const IDLE_ROUND: Duration = Duration::from_secs(2);
+const IDLE_ROUND_INTERVAL: Duration = Duration::from_secs(2);
 /// Goes round the keepers again and again, for as long as it is polled.
-pub async fn run(desk: Arc<Desk>) {
-    if desk.deployment().keepers.is_empty() {
+pub async fn run(core: Arc<DispatcherCore>) {
+    if core.deployment().keepers.is_empty() {
         return;
     }
     // Apart from the rounds: a node that is out of reach must not hold them up.
-    let _clears = desk.tasks.spawn(clear_all(Arc::clone(&desk)));
-    let _gives_back = desk.tasks.spawn(give_back(Arc::clone(&desk)));
+    let _clears = core.tasks.spawn(confirm_removals(Arc::clone(&core)));
+    let _gives_back = core.tasks.spawn(return_claims(Arc::clone(&core)));
     loop {
-        round(&desk).await;
-        let goes_on = desk.with_rolls(|_, rolls| rolls.goes_on());
-        async_io::Timer::after(if goes_on { ROUND } else { IDLE_ROUND }).await;
+        poll_members(&core).await;
+        let in_progress = core.with_rollouts(|_, rollouts| rollouts.in_progress());
+        async_io::Timer::after(if in_progress {
+            ROUND_INTERVAL
+        } else {
+            IDLE_ROUND_INTERVAL
+        })
+        .await;
     }
 }
 
 /// Claims that the desk has no more use for go back to the keepers.
-async fn give_back(desk: Arc<Desk>) {
-    while let Ok((service, claim)) = desk.given_back.recv().await {
-        let (own, tasks) = (Arc::clone(&desk), Arc::clone(&desk.tasks));
+async fn return_claims(core: Arc<DispatcherCore>) {
+    while let Ok((service, claim)) = core.returned_claims.recv().await {
+        let (own, tasks) = (Arc::clone(&core), Arc::clone(&core.tasks));
         tasks
             .spawn(async move { release(&own, &service, claim).await })
             .detach();
     }
 }
 
-async fn clear_all(desk: Arc<Desk>) {
+async fn confirm_removals(core: Arc<DispatcherCore>) {
     loop {
-        for (claim, pair) in desk.clear_orphans().await {
+        for (claim, pair) in core.confirm_removals().await {
             info!(
                 old = pair.old,
                 new = pair.new,
                 "what was left of a replacing before the restart is put away"
             );
-            forget_pair(&desk, claim, pair).await;
+            forget_pair(&core, claim, pair).await;
         }
-        async_io::Timer::after(ROUND).await;
+        async_io::Timer::after(ROUND_INTERVAL).await;
     }
 }
 
-async fn round(desk: &Arc<Desk>) {
-    let told = ask_all(desk, Operation::Query(v1::QuorumQuery::default())).await;
-    let keepers = desk.deployment().keepers.len();
+async fn poll_members(core: &Arc<DispatcherCore>) {
+    let told = request_all(core, Operation::Query(v1::QuorumQuery::default())).await;
+    let keepers = core.deployment().keepers.len();
     let mut by_service: BTreeMap<String, (Vec<Rollout>, Vec<ReportedSlot>)> = BTreeMap::new();
     for kept in told.iter().flat_map(|word| &word.entries) {
-        let Some(roll) = kept.rollout.as_ref().and_then(roll_of) else {
+        let Some(roll) = kept.rollout.as_ref().and_then(rollout_from_message) else {
             continue;
         };
-        let (rolls, held) = by_service.entry(roll.service.clone()).or_default();
-        rolls.push(roll);
+        let (rollouts, held) = by_service.entry(roll.service.clone()).or_default();
+        rollouts.push(roll);
         for slot in &kept.slots {
             let grant = Grant {
                 claim: ClaimId(slot.claim),
@@ -89,11 +94,11 @@
         }
     }
     let mut later = Vec::new();
-    desk.with_rolls(|_, rolls| {
-        rolls.heard = told.len();
+    core.with_rollouts(|_, rollouts| {
+        rollouts.members_heard = told.len();
         for (service, (told, held)) in by_service {
-            let known = rolls
-                .conductors
+            let known = rollouts
+                .controllers
                 .get(&service)
                 .map_or(0, |own| own.rollout().revision);
             later.extend(
@@ -101,13 +106,13 @@
                     .filter(|roll| roll.revision > known)
                     .cloned(),
             );
-            rolls.held.insert(service, held);
+            rollouts.reported_slots.insert(service, held);
         }
     });
     for roll in later {
         // On disk first: a restart that fell back to the version before would place both.
-        let (store, kept) = (Arc::clone(&desk.store), roll.clone());
-        match blocking::unblock(move || store.roll(&kept)).await {
+        let (store, kept) = (Arc::clone(&core.store), roll.clone());
+        match blocking::unblock(move || store.save_rollout(&kept)).await {
             Ok(()) => {
                 info!(
                     service = roll.service,
@@ -115,7 +120,7 @@
                     version = roll.version,
                     "a roll is in force"
                 );
-                desk.adopt(roll);
+                core.adopt(roll);
             }
             Err(why) => {
                 warn!(
@@ -126,81 +131,85 @@
         }
     }
     // Without a majority what they tell is not the whole truth, and nothing can be won.
-    let looks: Vec<(String, Rollout, Actions)> = desk.with_rolls(|now, rolls| {
-        if !is_majority(rolls.heard, keepers) {
+    let looks: Vec<(String, Rollout, Actions)> = core.with_rollouts(|now, rollouts| {
+        if !is_majority(rollouts.members_heard, keepers) {
             return Vec::new();
         }
-        let held = &rolls.held;
-        let all = rolls.conductors.iter_mut().map(|(service, conductor)| {
-            let held = held.get(service).map_or(&[][..], |held| &held[..]);
-            let recalled = conductor.verify_restored_claims(held, rolls.heard, keepers);
-            let mut look = conductor.reconcile(now, held);
-            look.release.extend(recalled.lost);
-            look.claims.extend(recalled.retry);
-            (service.clone(), conductor.rollout().clone(), look)
-        });
+        let held = &rollouts.reported_slots;
+        let all = rollouts
+            .controllers
+            .iter_mut()
+            .map(|(service, controller)| {
+                let held = held.get(service).map_or(&[][..], |held| &held[..]);
+                let recalled =
+                    controller.verify_restored_claims(held, rollouts.members_heard, keepers);
+                let mut look = controller.reconcile(now, held);
+                look.release.extend(recalled.lost);
+                look.claims.extend(recalled.retry);
+                (service.clone(), controller.rollout().clone(), look)
+            });
         all.collect()
     });
     for (service, roll, look) in looks {
-        carry_out(desk, &service, roll, look).await;
+        apply_actions(core, &service, roll, look).await;
     }
-    desk.stop_old_copies();
+    core.retry_stops();
 }
 
-async fn carry_out(desk: &Arc<Desk>, service: &str, roll: Rollout, look: Actions) {
+async fn apply_actions(core: &Arc<DispatcherCore>, service: &str, roll: Rollout, look: Actions) {
     for claim in look.release {
-        release(desk, service, claim).await;
+        release(core, service, claim).await;
     }
     for left in look.clean_up {
-        desk.clear(service, &left.task, left.claim);
+        core.clear_foreign_claim(service, &left.task, left.claim);
     }
     if let Some(why) = look.halt {
         warn!(service, version = roll.version, why, "the roll halts");
         let halted = roll.with_phase(
             Phase::Halted(why),
-            u64::from(desk.deployment().cluster.scheduler_index as u32),
+            u64::from(core.deployment().cluster.scheduler_index as u32),
         );
-        let _ = propose(desk, halted).await;
+        let _ = propose(core, halted).await;
     }
     look.cancel_surge
         .iter()
-        .for_each(|task| desk.put_away(task));
+        .for_each(|task| core.cancel_surge_of(task));
     for task in look.stop_old {
         // On disk before the old one is stopped: a restart can't know which of the two the owner
         // has.
-        if keep_pair(desk, service, &task, true).await.is_some() {
-            desk.retire(&task);
+        if save_pair(core, service, &task, true).await.is_some() {
+            core.stop_superseded(&task);
         }
     }
-    grow(desk, service, look.surge).await;
+    start_surges(core, service, look.surge).await;
     for task in look.replace {
-        desk.replace(&task);
+        core.replace(&task);
     }
     for ClaimRequest { claim, slot, task } in look.claims {
         let mut granted = 0;
-        if keep_claim(desk, claim, service, &task, false, None).await {
-            let dispatcher = desk.deployment().cluster.scheduler_index as u32;
+        if save_claim(core, claim, service, &task, false, None).await {
+            let dispatcher = core.deployment().cluster.scheduler_index as u32;
             let slot = v1::Slot {
                 slot,
                 claim: claim.0,
                 task: task.clone(),
                 dispatcher,
             };
-            let by = Some(desk.by(OperationKind::Claim, desk.deployment().keepers.len()));
+            let by = Some(core.sender(OperationKind::Claim, core.deployment().keepers.len()));
             let ask = v1::Claim {
                 service: service.into(),
                 revision: roll.revision,
                 slot: Some(slot),
                 decider: by,
             };
-            let words = ask_all(desk, Operation::Claim(ask)).await;
-            granted = words.iter().filter(|word| word.granted).count();
+            let replies = request_all(core, Operation::Claim(ask)).await;
+            granted = replies.iter().filter(|word| word.granted).count();
         }
-        let keepers = desk.deployment().keepers.len();
+        let keepers = core.deployment().keepers.len();
         // On disk before anything is taken down under it: a restart must know that the slot is
         // used.
         if is_majority(granted, keepers)
-            && !keep_claim(desk, claim, service, &task, true, None).await
+            && !save_claim(core, claim, service, &task, true, None).await
         {
             granted = 0;
         }
@@ -208,38 +217,40 @@
             granted,
             members: keepers,
         };
-        let won = desk.with_rolls(|now, rolls| {
-            rolls
-                .of(service)
-                .is_some_and(|conductor| conductor.claim_decided(now, claim, votes))
+        let won = core.with_rollouts(|now, rollouts| {
+            rollouts
+                .controller(service)
+                .is_some_and(|controller| controller.claim_decided(now, claim, votes))
         });
         if !won {
-            release(desk, service, claim).await;
+            release(core, service, claim).await;
             continue;
         }
         // At once: a slot that is held and not used may be taken for one that was left behind.
-        let (grown, replace) = desk.with_rolls(|now, rolls| {
-            let both = rolls
-                .of(service)
+        let (grown, replace) = core.with_rollouts(|now, rollouts| {
+            let both = rollouts
+                .controller(service)
                 .map(|own| (own.start_surges(now), own.start_replacements(now)));
             both.unwrap_or_default()
         });
-        grow(desk, service, grown).await;
-        replace.into_iter().for_each(|task| desk.replace(&task));
+        start_surges(core, service, grown).await;
+        replace.into_iter().for_each(|task| core.replace(&task));
     }
 }
 
 /// The two of an earlier life are put away: the claim alone stays on disk, unless it is used anew
 /// by now.
-async fn forget_pair(desk: &Arc<Desk>, claim: ClaimId, pair: Pair) {
-    let store = Arc::clone(&desk.store);
+async fn forget_pair(core: &Arc<DispatcherCore>, claim: ClaimId, pair: ReplicaPair) {
+    let store = Arc::clone(&core.store);
     let kept = blocking::unblock(move || {
         let held = store
-            .read()
+            .load()
             .1
             .into_iter()
             .find(|held| held.claim == claim && held.pair == Some(pair.clone()));
-        held.map_or(Ok(()), |held| store.claim(&Held { pair: None, ..held }))
+        held.map_or(Ok(()), |held| {
+            store.save_claim(&StoredClaim { pair: None, ..held })
+        })
     });
     if let Err(why) = kept.await {
         warn!(why, "what an earlier life left is gone, and stays on disk");
@@ -247,53 +258,58 @@
 }
 
 /// Starts new copies beside old ones.
-async fn grow(desk: &Arc<Desk>, service: &str, tasks: Vec<String>) {
+async fn start_surges(core: &Arc<DispatcherCore>, service: &str, tasks: Vec<String>) {
     for task in tasks {
-        if desk.puts_away(&task) {
-            desk.with_rolls(|_, rolls| {
-                rolls
-                    .of(service)
-                    .map(|conductor| conductor.postpone_surge(&task))
+        if core.is_removing_surge(&task) {
+            core.with_rollouts(|_, rollouts| {
+                rollouts
+                    .controller(service)
+                    .map(|controller| controller.postpone_surge(&task))
             });
             continue;
         }
-        match keep_pair(desk, service, &task, false).await {
-            Some(pair) => desk.grow(&task, &pair.new),
-            None => desk.not_grown(service, &task),
+        match save_pair(core, service, &task, false).await {
+            Some(pair) => core.start_surge(&task, &pair.new),
+            None => core.surge_not_started(service, &task),
         }
     }
 }
 
 /// Keeps on disk that two copies of a task are about to be beside each other, or the old one to be
 /// stopped.
-async fn keep_pair(desk: &Arc<Desk>, service: &str, task: &str, retires: bool) -> Option<Pair> {
-    let claim = desk.with_rolls(|_, rolls| rolls.of(service)?.claim_of(task))?;
-    let pair = Pair {
+async fn save_pair(
+    core: &Arc<DispatcherCore>,
+    service: &str,
+    task: &str,
+    retires: bool,
+) -> Option<ReplicaPair> {
+    let claim = core.with_rollouts(|_, rollouts| rollouts.controller(service)?.claim_of(task))?;
+    let pair = ReplicaPair {
         retires,
-        ..desk.pair(task)?
+        ..core.pair(task)?
     };
-    keep_claim(desk, claim, service, task, true, Some(pair.clone()))
+    save_claim(core, claim, service, task, true, Some(pair.clone()))
         .await
         .then_some(pair)
 }
 
-async fn keep_claim(
-    desk: &Arc<Desk>,
+async fn save_claim(
+    core: &Arc<DispatcherCore>,
     claim: ClaimId,
     service: &str,
     task: &str,
     won: bool,
-    pair: Option<Pair>,
+    pair: Option<ReplicaPair>,
 ) -> bool {
-    let store = Arc::clone(&desk.store);
-    let held = Held {
+    let store = Arc::clone(&core.store);
+    let held = StoredClaim {
         claim,
         service: service.into(),
         task: task.into(),
         won,
         pair,
     };
-    let kept = blocking::unblock(move || store.claim(&held)).await;
+    let kept = blocking::unblock(move || store.save_claim(&held)).await;
     if let Err(why) = &kept {
         warn!(
             service,
@@ -304,31 +320,31 @@
 }
 
 /// Gives a claim back at all keepers.
-async fn release(desk: &Arc<Desk>, service: &str, claim: ClaimId) {
+async fn release(core: &Arc<DispatcherCore>, service: &str, claim: ClaimId) {
     let ask = v1::Release {
         service: service.into(),
         claim: claim.0,
     };
     // A keeper that doesn't hear tells of it again, and hears it again then.
-    ask_all(desk, Operation::Release(ask)).await;
-    let store = Arc::clone(&desk.store);
-    if let Err(why) = blocking::unblock(move || store.release(claim)).await {
+    request_all(core, Operation::Release(ask)).await;
+    let store = Arc::clone(&core.store);
+    if let Err(why) = blocking::unblock(move || store.delete_claim(claim)).await {
         warn!(service, why, "a claim given back stays on disk");
     }
 }
 
 /// Proposes a wish to all keepers. What stands at a majority afterwards, if anything does.
-async fn propose(desk: &Arc<Desk>, roll: Rollout) -> Option<Rollout> {
-    let words = ask_all(desk, Operation::Propose(message(&roll))).await;
-    let stands: Vec<Rollout> = words
+async fn propose(core: &Arc<DispatcherCore>, roll: Rollout) -> Option<Rollout> {
+    let replies = request_all(core, Operation::Propose(rollout_message(&roll))).await;
+    let stands: Vec<Rollout> = replies
         .iter()
         .flat_map(|word| &word.entries)
-        .filter_map(|kept| kept.rollout.as_ref().and_then(roll_of))
+        .filter_map(|kept| kept.rollout.as_ref().and_then(rollout_from_message))
         .collect();
-    committed(&stands, desk.deployment().keepers.len()).cloned()
+    committed(&stands, core.deployment().keepers.len()).cloned()
 }
 
-pub fn message(roll: &Rollout) -> v1::Rollout {
+pub fn rollout_message(roll: &Rollout) -> v1::Rollout {
     let (phase, why) = match &roll.phase {
         Phase::Rolling => (v1::rollout::Phase::Rolling, String::new()),
         Phase::Paused => (v1::rollout::Phase::Paused, String::new()),
@@ -353,7 +369,7 @@
 }
 
 /// None where it is no roll that can be followed.
-pub fn roll_of(roll: &v1::Rollout) -> Option<Rollout> {
+pub fn rollout_from_message(roll: &v1::Rollout) -> Option<Rollout> {
     let sound = !roll.service.is_empty() && !roll.version.is_empty() && roll.max_unavailable > 0;
     sound.then(|| Rollout {
         service: roll.service.clone(),
@@ -382,10 +398,10 @@
 
 /// What operators ask.
 #[derive(Clone)]
-pub struct Operators(pub Arc<Desk>);
+pub struct RolloutService(pub Arc<DispatcherCore>);
 
-impl Operators {
-    async fn wish(&self, roll: Rollout) -> Result<Response<v1::RolloutResponse>, Status> {
+impl RolloutService {
+    async fn submit(&self, roll: Rollout) -> Result<Response<v1::RolloutResponse>, Status> {
         let stands = propose(&self.0, roll.clone()).await;
         let taken = stands.as_ref() == Some(&roll);
         let text = match &stands {
@@ -399,14 +415,14 @@
         Ok(Response::new(v1::RolloutResponse {
             accepted: taken,
             message: text,
-            current: stands.as_ref().map(message),
+            current: stands.as_ref().map(rollout_message),
         }))
     }
 
     /// The roll in force as a majority of the keepers tells it now, not as we heard last.
-    async fn stands(&self, service: &str) -> Result<Option<Rollout>, Status> {
+    async fn current_rollout(&self, service: &str) -> Result<Option<Rollout>, Status> {
         let keepers = self.0.deployment().keepers.len();
-        let told = ask_all(&self.0, Operation::Query(v1::QuorumQuery::default())).await;
+        let told = request_all(&self.0, Operation::Query(v1::QuorumQuery::default())).await;
         if !is_majority(told.len(), keepers) {
             let text = format!(
                 "{} of {keepers} keepers answer; a majority is needed",
@@ -417,14 +433,14 @@
         let rolls = told
             .iter()
             .flat_map(|word| &word.entries)
-            .filter_map(|kept| kept.rollout.as_ref().and_then(roll_of));
+            .filter_map(|kept| kept.rollout.as_ref().and_then(rollout_from_message));
         let rolls: Vec<Rollout> = rolls.filter(|roll| roll.service == service).collect();
         Ok(base_proposal(&rolls, keepers))
     }
 }
 
 #[tonic::async_trait]
-impl v1::rolls_server::Rolls for Operators {
+impl v1::rolls_server::Rolls for RolloutService {
     async fn start(
         &self,
         request: Request<v1::StartRolloutRequest>,
@@ -451,7 +467,7 @@
         {
             return wrong("ready-within: 1 ms to a day, ready-for: 1 s to a day are wanted");
         }
-        let before = self.stands(&ask.service).await?;
+        let before = self.current_rollout(&ask.service).await?;
         let former = match &before {
             Some(roll) if ask.previous_version.is_empty() => roll.desired_version().to_string(),
             _ => ask.previous_version,
@@ -459,11 +475,11 @@
         let unversioned = before
             .as_ref()
             .map_or_else(|| former.clone(), |roll| roll.initial_version.clone());
-        self.wish(Rollout {
+        self.submit(Rollout {
             service: ask.service,
             initial_version: unversioned,
             revision: before.map_or(1, |roll| roll.revision + 1),
-            proposer: asker(&self.0),
+            proposer: proposer_nonce(&self.0),
             version: ask.version,
             previous_version: former,
             max_unavailable: ask.max_unavailable,
@@ -495,13 +511,13 @@
         request: Request<v1::ChangeRolloutRequest>,
     ) -> Result<Response<v1::RolloutResponse>, Status> {
         let ask = request.into_inner();
-        let Some(roll) = self.stands(&ask.service).await? else {
+        let Some(roll) = self.current_rollout(&ask.service).await? else {
             return Err(Status::not_found(format!(
                 "there is no roll of `{}`",
                 ask.service
             )));
         };
-        let asker = asker(&self.0);
+        let asker = proposer_nonce(&self.0);
         let wish = match ask.action() {
             v1::change_rollout_request::Action::Pause => roll.with_phase(Phase::Paused, asker),
             v1::change_rollout_request::Action::Resume => roll.with_phase(Phase::Rolling, asker),
@@ -515,7 +531,7 @@
                 return Err(Status::invalid_argument("nothing is asked for"));
             }
         };
-        self.wish(wish).await
+        self.submit(wish).await
     }
 
     async fn status(
@@ -524,8 +540,8 @@
     ) -> Result<Response<v1::RolloutStatus>, Status> {
         let service = request.into_inner().service;
         let keepers = self.0.deployment().keepers.len() as u32;
-        Ok(Response::new(self.0.with_rolls(|_, rolls| {
-            let held = rolls.held.get(&service).into_iter().flatten();
+        Ok(Response::new(self.0.with_rollouts(|_, rollouts| {
+            let held = rollouts.reported_slots.get(&service).into_iter().flatten();
             let held = held.map(|ReportedSlot { slot, grant, .. }| v1::Slot {
                 slot: *slot,
                 claim: grant.claim.0,
@@ -533,22 +549,24 @@
                 dispatcher: grant.dispatcher,
             });
             let held = held.collect();
-            let conductor = rolls.conductors.get(&service);
-            let counts = conductor.map(RolloutController::counts).unwrap_or_default();
+            let controller = rollouts.controllers.get(&service);
+            let counts = controller
+                .map(RolloutController::counts)
+                .unwrap_or_default();
             v1::RolloutStatus {
-                rollout: conductor.map(|conductor| message(conductor.rollout())),
+                rollout: controller.map(|controller| rollout_message(controller.rollout())),
                 replicas: counts.total as u32,
                 updated: counts.desired as u32,
                 unavailable: counts.unready as u32,
                 held_slots: held,
                 quorum_members: keepers,
-                quorum_members_heard: rolls.heard as u32,
+                quorum_members_heard: rollouts.members_heard as u32,
             }
         })))
     }
 }
 
 /// Tells two who ask at once apart.
-fn asker(desk: &Desk) -> u64 {
-    desk.clock.now().rotate_left(24) ^ desk.deployment().cluster.scheduler_index as u64
+fn proposer_nonce(core: &DispatcherCore) -> u64 {
+    core.clock.now().rotate_left(24) ^ core.deployment().cluster.scheduler_index as u64
 }
--- a/crates/dispatcher/src/rollouts.rs
+++ b/crates/dispatcher/src/rollouts.rs
@@ -1,7 +1,7 @@
 //! The rolls that a dispatcher knows of: the desk tells their conductors what becomes of copies,
 //! and `rolls` asks them what to do next.
 
-use crate::store::{Held, Kept};
+use crate::store::{StoredClaim, StoredRollouts};
 use corkspan_rollout::Rollout;
 use corkspan_rollout::controller::{ReportedSlot, RolloutController};
 use corkspan_scheduler::interface::Ticks;
@@ -9,29 +9,29 @@
 use tracing::warn;
 
 /// Services with a roll that one dispatcher follows at the most.
-const MOST: usize = 10_000;
+const MAX_ROLLOUTS: usize = 10_000;
 
 /// The rolls that a dispatcher knows of, by service.
-pub struct Rolls {
-    me: u32,
+pub struct Rollouts {
+    dispatcher: u32,
     seed: u64,
-    pub conductors: BTreeMap<String, RolloutController>,
+    pub controllers: BTreeMap<String, RolloutController>,
     /// What keepers told last.
-    pub held: BTreeMap<String, Vec<ReportedSlot>>,
-    pub heard: usize,
+    pub reported_slots: BTreeMap<String, Vec<ReportedSlot>>,
+    pub members_heard: usize,
 }
 
-impl Rolls {
-    pub fn new(me: u32, seed: u64, now: Ticks, (rolls, claims): Kept) -> Self {
-        let mut own = Rolls {
-            me,
+impl Rollouts {
+    pub fn new(dispatcher: u32, seed: u64, now: Ticks, (rolls, claims): StoredRollouts) -> Self {
+        let mut rollouts = Rollouts {
+            dispatcher,
             seed,
-            conductors: BTreeMap::new(),
-            held: BTreeMap::new(),
-            heard: 0,
+            controllers: BTreeMap::new(),
+            reported_slots: BTreeMap::new(),
+            members_heard: 0,
         };
-        rolls.into_iter().for_each(|roll| own.adopt(now, roll));
-        for Held {
+        rolls.into_iter().for_each(|roll| rollouts.adopt(now, roll));
+        for StoredClaim {
             claim,
             service,
             task,
@@ -39,47 +39,53 @@
             ..
         } in claims
         {
-            match own.conductors.get_mut(&service) {
-                Some(conductor) => conductor.restore_claim(claim, &task, won),
+            match rollouts.controllers.get_mut(&service) {
+                Some(controller) => controller.restore_claim(claim, &task, won),
                 None => warn!(
                     service,
                     task, "a claim of a roll that the store doesn't know"
                 ),
             }
         }
-        own
+        rollouts
     }
 
     /// The version of its program that a copy of the service gets now; empty where there was no
     /// roll.
     pub fn wanted(&self, service: &str) -> String {
-        self.conductors
+        self.controllers
             .get(service)
-            .map_or_else(String::new, |conductor| {
-                conductor.rollout().desired_version().into()
+            .map_or_else(String::new, |controller| {
+                controller.rollout().desired_version().into()
             })
     }
 
     /// Whether any roll has steps left to take: copies of another version, slots in use, or claims
     /// of ours.
-    pub fn goes_on(&self) -> bool {
-        let steps = |own: &RolloutController| own.claims().next().is_some() || own.has_work();
-        self.conductors.values().any(steps) || self.held.values().any(|held| !held.is_empty())
+    pub fn in_progress(&self) -> bool {
+        let steps = |rollouts: &RolloutController| {
+            rollouts.claims().next().is_some() || rollouts.has_work()
+        };
+        self.controllers.values().any(steps)
+            || self
+                .reported_slots
+                .values()
+                .any(|reported_slots| !reported_slots.is_empty())
     }
 
-    pub fn of(&mut self, service: &str) -> Option<&mut RolloutController> {
-        self.conductors.get_mut(service)
+    pub fn controller(&mut self, service: &str) -> Option<&mut RolloutController> {
+        self.controllers.get_mut(service)
     }
 
     pub fn adopt(&mut self, now: Ticks, roll: Rollout) {
-        let full = self.conductors.len() >= MOST;
-        match self.conductors.get_mut(&roll.service) {
-            Some(conductor) => conductor.adopt(roll),
+        let full = self.controllers.len() >= MAX_ROLLOUTS;
+        match self.controllers.get_mut(&roll.service) {
+            Some(controller) => controller.adopt(roll),
             None if !full => {
                 let seed = self.seed ^ corkspan_engine::service(&roll.service).0;
-                self.conductors.insert(
+                self.controllers.insert(
                     roll.service.clone(),
-                    RolloutController::new(self.me, seed, roll, now),
+                    RolloutController::new(self.dispatcher, seed, roll, now),
                 );
             }
             None => warn!(
--- a/crates/dispatcher/src/store.rs
+++ b/crates/dispatcher/src/store.rs
@@ -13,14 +13,14 @@
 /// Claims that are out or held, as JSON.
 const CLAIMS: TableDefinition<u64, &str> = TableDefinition::new("claims");
 /// Rolls in force, as JSON by service.
-const ROLLS: TableDefinition<&str, &str> = TableDefinition::new("rolls");
+const ROLLOUTS: TableDefinition<&str, &str> = TableDefinition::new("rolls");
 
 /// What the dispatcher remembers of its versions, as JSON under one key.
-const RECORD: TableDefinition<&str, &str> = TableDefinition::new("record");
+const VERSION_HISTORY: TableDefinition<&str, &str> = TableDefinition::new("record");
 
 /// Two copies of one task that a roll has beside each other, by their placings.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Pair {
+pub struct ReplicaPair {
     pub old: String,
     pub new: String,
     /// The old one is being stopped: either may be the one that its owner knows.
@@ -29,34 +29,34 @@
 
 /// A claim as the store has it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Held {
-    #[serde(skip, default = "nobody")]
+pub struct StoredClaim {
+    #[serde(skip, default = "no_claim")]
     pub claim: ClaimId,
     pub service: String,
     pub task: String,
     /// A majority has granted it.
     pub won: bool,
-    pub pair: Option<Pair>,
+    pub pair: Option<ReplicaPair>,
 }
 
-fn nobody() -> ClaimId {
+fn no_claim() -> ClaimId {
     ClaimId(0)
 }
 
 /// Opens the database of a store, as often as it takes.
-type Opens = Box<dyn Fn() -> Result<Database, String> + Send + Sync>;
+type OpenDatabase = Box<dyn Fn() -> Result<Database, String> + Send + Sync>;
 
 /// What survives a restart.
 pub struct Store {
     open: RwLock<Option<Database>>,
-    opens: Opens,
+    open_database: OpenDatabase,
 }
 
 /// Closes the store when it goes, whoever still has a hand on the desk: the next life in this
 /// process opens it.
-pub struct Closes(pub Arc<Store>);
+pub struct CloseOnDrop(pub Arc<Store>);
 
-impl Drop for Closes {
+impl Drop for CloseOnDrop {
     fn drop(&mut self) {
         *self.0.open.write().unwrap_or_else(PoisonError::into_inner) = None;
     }
@@ -67,13 +67,13 @@
     /// still hold what it held.
     pub fn open(path: Option<&Path>) -> Self {
         let Some(path) = path.map(Path::to_owned) else {
-            let opens = Box::new(|| Err("there is no store".into()));
+            let open_database = Box::new(|| Err("there is no store".into()));
             return Store {
                 open: RwLock::new(None),
-                opens,
+                open_database,
             };
         };
-        if let Err(why) = sound(|| Ok(Database::create(&path)?)) {
+        if let Err(why) = open_checked(|| Ok(Database::create(&path)?)) {
             let aside = path.with_extension("aside");
             warn!(path = %path.display(), why, "the store of rolls can't be read; set aside");
             if let Err(why) = std::fs::rename(&path, &aside) {
@@ -84,9 +84,11 @@
     }
 
     /// A store over what `opens` opens, now and after each failed write.
-    pub fn over(opens: impl Fn() -> Result<Database, redb::Error> + Send + Sync + 'static) -> Self {
-        let opens: Opens = Box::new(move || sound(&opens));
-        let open = opens();
+    pub fn over(
+        open_database: impl Fn() -> Result<Database, redb::Error> + Send + Sync + 'static,
+    ) -> Self {
+        let open_database: OpenDatabase = Box::new(move || open_checked(&open_database));
+        let open = open_database();
         if let Err(why) = &open {
             error!(
                 why,
@@ -95,7 +97,7 @@
         }
         Store {
             open: RwLock::new(open.ok()),
-            opens,
+            open_database,
         }
     }
 
@@ -113,7 +115,7 @@
         {
             let mut open = self.open.write().unwrap_or_else(PoisonError::into_inner);
             if open.is_none() {
-                *open = Some((self.opens)()?);
+                *open = Some((self.open_database)()?);
                 info!("the store of rolls can be written again");
             }
         }
@@ -136,44 +138,46 @@
         })
     }
 
-    pub fn claim(&self, held: &Held) -> Result<(), String> {
-        let text = serde_json::to_string(held).map_err(|why| why.to_string())?;
+    pub fn save_claim(&self, claim: &StoredClaim) -> Result<(), String> {
+        let text = serde_json::to_string(claim).map_err(|why| why.to_string())?;
         self.write(|transaction| {
             transaction
                 .open_table(CLAIMS)?
-                .insert(held.claim.0, &text[..])?;
+                .insert(claim.claim.0, &text[..])?;
             Ok(())
         })
     }
 
-    pub fn release(&self, claim: ClaimId) -> Result<(), String> {
+    pub fn delete_claim(&self, claim: ClaimId) -> Result<(), String> {
         self.write(|transaction| {
             transaction.open_table(CLAIMS)?.remove(claim.0)?;
             Ok(())
         })
     }
 
-    pub fn roll(&self, roll: &Rollout) -> Result<(), String> {
+    pub fn save_rollout(&self, roll: &Rollout) -> Result<(), String> {
         let text = serde_json::to_string(roll).map_err(|why| why.to_string())?;
         self.write(|transaction| {
             transaction
-                .open_table(ROLLS)?
+                .open_table(ROLLOUTS)?
                 .insert(&roll.service[..], &text[..])?;
             Ok(())
         })
     }
 
     /// Spans of versions.
-    pub fn record(&self, spans: &VecDeque<VersionInterval>) -> Result<(), String> {
+    pub fn save_version_history(&self, spans: &VecDeque<VersionInterval>) -> Result<(), String> {
         let text = serde_json::to_string(spans).map_err(|why| why.to_string())?;
         self.write(|transaction| {
-            transaction.open_table(RECORD)?.insert("spans", &text[..])?;
+            transaction
+                .open_table(VERSION_HISTORY)?
+                .insert("spans", &text[..])?;
             Ok(())
         })
     }
 
     /// What earlier lives kept of their versions; nothing where that can't be read, which is said.
-    pub fn spans(&self) -> VecDeque<VersionInterval> {
+    pub fn version_history(&self) -> VecDeque<VersionInterval> {
         let open = self.open.read().unwrap_or_else(PoisonError::into_inner);
         let Some(database) = &*open else {
             return VecDeque::new();
@@ -181,7 +185,7 @@
         let read = || -> Result<VecDeque<VersionInterval>, String> {
             let transaction = database.begin_read().map_err(|why| why.to_string())?;
             let table = transaction
-                .open_table(RECORD)
+                .open_table(VERSION_HISTORY)
                 .map_err(|why| why.to_string())?;
             let text = table.get("spans").map_err(|why| why.to_string())?;
             text.map_or(Ok(VecDeque::new()), |text| {
@@ -197,12 +201,12 @@
         })
     }
 
-    pub fn read(&self) -> Kept {
+    pub fn load(&self) -> StoredRollouts {
         let open = self.open.read().unwrap_or_else(PoisonError::into_inner);
         let Some(database) = &*open else {
             return Default::default();
         };
-        read(database).unwrap_or_else(|why| {
+        read_rollouts(database).unwrap_or_else(|why| {
             error!(why, "the store of rolls can't be read");
             Default::default()
         })
@@ -210,14 +214,14 @@
 }
 
 /// A database whose tables all read as they should.
-fn sound(open: impl Fn() -> Result<Database, redb::Error>) -> Result<Database, String> {
+fn open_checked(open: impl Fn() -> Result<Database, redb::Error>) -> Result<Database, String> {
     // redb asserts that a file is as long as its header says, and would take the dispatcher down
     // with a torn one.
-    let opened = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| open_sound(open)));
+    let opened = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| open_and_read(open)));
     opened.unwrap_or_else(|_| Err("it is not whole".into()))
 }
 
-fn open_sound(open: impl Fn() -> Result<Database, redb::Error>) -> Result<Database, String> {
+fn open_and_read(open: impl Fn() -> Result<Database, redb::Error>) -> Result<Database, String> {
     let text = |why: redb::Error| why.to_string();
     let database = open().map_err(text)?;
     let transaction = database.begin_write().map_err(|why| text(why.into()))?;
@@ -225,45 +229,45 @@
         .open_table(CLAIMS)
         .map_err(|why| text(why.into()))?;
     transaction
-        .open_table(ROLLS)
+        .open_table(ROLLOUTS)
         .map_err(|why| text(why.into()))?;
     transaction
-        .open_table(RECORD)
+        .open_table(VERSION_HISTORY)
         .map_err(|why| text(why.into()))?;
     transaction.commit().map_err(|why| text(why.into()))?;
-    read(&database)?;
+    read_rollouts(&database)?;
     Ok(database)
 }
 
-fn read(database: &Database) -> Result<Kept, String> {
+fn read_rollouts(database: &Database) -> Result<StoredRollouts, String> {
     fn text(why: impl ToString) -> String {
         why.to_string()
     }
     let transaction = database.begin_read().map_err(text)?;
     let (mut rolls, mut claims) = (Vec::new(), Vec::new());
-    for line in transaction
-        .open_table(ROLLS)
+    for row in transaction
+        .open_table(ROLLOUTS)
         .map_err(text)?
         .iter()
         .map_err(text)?
     {
-        rolls.push(serde_json::from_str(line.map_err(text)?.1.value()).map_err(text)?);
+        rolls.push(serde_json::from_str(row.map_err(text)?.1.value()).map_err(text)?);
     }
-    for line in transaction
+    for row in transaction
         .open_table(CLAIMS)
         .map_err(text)?
         .iter()
         .map_err(text)?
     {
-        let (claim, value) = line.map_err(text)?;
-        let held: Held = serde_json::from_str(value.value()).map_err(text)?;
-        claims.push(Held {
-            claim: ClaimId(claim.value()),
-            ..held
+        let (key, value) = row.map_err(text)?;
+        let claim: StoredClaim = serde_json::from_str(value.value()).map_err(text)?;
+        claims.push(StoredClaim {
+            claim: ClaimId(key.value()),
+            ..claim
         });
     }
     Ok((rolls, claims))
 }
 
 /// What the store held at the start.
-pub type Kept = (Vec<Rollout>, Vec<Held>);
+pub type StoredRollouts = (Vec<Rollout>, Vec<StoredClaim>);
--- a/crates/dispatcher/src/version_files.rs
+++ b/crates/dispatcher/src/version_files.rs
@@ -8,10 +8,10 @@
 use tracing::warn;
 
 /// Files larger than this are none of ours.
-const LARGEST: u64 = 64 << 20;
+const MAX_FILE_BYTES: u64 = 64 << 20;
 
 #[derive(Serialize, Deserialize)]
-struct File {
+struct VersionFile {
     /// Over the text of the body.
     sum: String,
     body: String,
@@ -19,26 +19,26 @@
 
 #[derive(Serialize, Deserialize)]
 struct Body {
-    good: Option<Whole>,
-    trial: Option<(Whole, u32)>,
+    good: Option<StoredVersion>,
+    trial: Option<(StoredVersion, u32)>,
     given_up: Vec<(u64, String)>,
 }
 
 #[derive(Serialize, Deserialize)]
-struct Whole {
+struct StoredVersion {
     number: u64,
     digest: String,
     parts: Vec<(String, String)>,
 }
 
-impl Whole {
+impl StoredVersion {
     fn of(version: &Version) -> Self {
         let parts = version
             .texts
             .iter()
             .map(|(name, text)| (name.into(), text.into()))
             .collect();
-        Whole {
+        StoredVersion {
             number: version.id.number,
             digest: version.id.digest.to_string(),
             parts,
@@ -59,23 +59,23 @@
     })
 }
 
-fn sum(text: &str) -> String {
+fn checksum(text: &str) -> String {
     let texts: Texts = [(String::new(), text.to_string())].into_iter().collect();
     texts.digest().to_string()
 }
 
-fn before(path: &Path) -> PathBuf {
+fn backup_path(path: &Path) -> PathBuf {
     path.with_extension("before")
 }
 
 /// Writes it beside the one that stands, which becomes the one before.
-pub fn keep(path: &Path, kept: &PersistedVersions) -> std::io::Result<()> {
+pub fn save(path: &Path, kept: &PersistedVersions) -> std::io::Result<()> {
     let body = Body {
-        good: kept.last_good.as_ref().map(Whole::of),
+        good: kept.last_good.as_ref().map(StoredVersion::of),
         trial: kept
             .trial
             .as_ref()
-            .map(|trial| (Whole::of(&trial.version), trial.starts)),
+            .map(|trial| (StoredVersion::of(&trial.version), trial.starts)),
         given_up: kept
             .rolled_back
             .iter()
@@ -88,8 +88,8 @@
     let mut writer = std::io::BufWriter::new(&file);
     serde_json::to_writer(
         &mut writer,
-        &File {
-            sum: sum(&body),
+        &VersionFile {
+            sum: checksum(&body),
             body,
         },
     )?;
@@ -98,7 +98,7 @@
     file.sync_all()?;
     // A kill in between leaves the one before, and none: reading falls back to it.
     if path.exists() {
-        std::fs::rename(path, before(path))?;
+        std::fs::rename(path, backup_path(path))?;
     }
     std::fs::rename(&new, path)?;
     let folder = path
@@ -109,8 +109,8 @@
 
 /// What an earlier life kept. A file that can't be read is set aside and said, and the one before
 /// is taken.
-pub fn read(path: &Path) -> PersistedVersions {
-    match read_one(path) {
+pub fn load(path: &Path) -> PersistedVersions {
+    match load_file(path) {
         Ok(Some(kept)) => return kept,
         Ok(None) => {}
         Err(why) => {
@@ -121,29 +121,29 @@
             }
         }
     }
-    let before = before(path);
-    read_one(&before).map(Option::unwrap_or_default).unwrap_or_else(|why| {
+    let before = backup_path(path);
+    load_file(&before).map(Option::unwrap_or_default).unwrap_or_else(|why| {
         warn!(path = %before.display(), why, "nor can the one before; the deployment file is in force");
         PersistedVersions::default()
     })
 }
 
 /// A file of ours whole, if there is one; one that is larger than any of ours is not read.
-pub fn bounded(path: &Path) -> Result<Option<Vec<u8>>, String> {
+pub fn read_bounded(path: &Path) -> Result<Option<Vec<u8>>, String> {
     match std::fs::metadata(path) {
         Err(why) if why.kind() == std::io::ErrorKind::NotFound => Ok(None),
         Err(why) => Err(why.to_string()),
-        Ok(data) if data.len() > LARGEST => Err(format!("{} bytes", data.len())),
+        Ok(data) if data.len() > MAX_FILE_BYTES => Err(format!("{} bytes", data.len())),
         Ok(_) => std::fs::read(path).map(Some).map_err(|why| why.to_string()),
     }
 }
 
-fn read_one(path: &Path) -> Result<Option<PersistedVersions>, String> {
-    let Some(text) = bounded(path)? else {
+fn load_file(path: &Path) -> Result<Option<PersistedVersions>, String> {
+    let Some(text) = read_bounded(path)? else {
         return Ok(None);
     };
-    let file: File = serde_json::from_slice(&text).map_err(|why| why.to_string())?;
-    if file.sum != sum(&file.body) {
+    let file: VersionFile = serde_json::from_slice(&text).map_err(|why| why.to_string())?;
+    if file.sum != checksum(&file.body) {
         return Err("its sum is wrong".into());
     }
     let body: Body = serde_json::from_str(&file.body).map_err(|why| why.to_string())?;
--- a/crates/dispatcher/src/version_gate.rs
+++ b/crates/dispatcher/src/version_gate.rs
@@ -13,35 +13,35 @@
 use tracing::{info, warn};
 
 /// Stragglers brought up from one dispatcher at a time.
-const GIVES: usize = 4;
+const MAX_CATCH_UP_STREAMS: usize = 4;
 
 /// What a dispatcher has heard of the floor, and which process it is.
-pub struct Fleet {
+pub struct FencingState {
     /// Told with each act: another after each start.
-    pub life: u64,
-    standing: Mutex<VersionGate>,
+    pub incarnation: u64,
+    gate: Mutex<VersionGate>,
     /// One for each that is brought up from here at this moment, and one of its own.
-    gives: Arc<()>,
-    record: Mutex<VersionHistory>,
+    catch_up_permits: Arc<()>,
+    history: Mutex<VersionHistory>,
     /// Changes of the record, and how many of them are on disk.
-    pub changed: AtomicU64,
-    pub written: AtomicU64,
+    pub history_changes: AtomicU64,
+    pub history_changes_written: AtomicU64,
 }
 
-impl Fleet {
+impl FencingState {
     /// `spans`: of earlier lives; `running`: what is in force at the start.
-    pub fn new(life: u64, spans: VecDeque<VersionInterval>, running: VersionId) -> Self {
-        let record = Mutex::new(VersionHistory::restore(spans));
-        let (standing, gives, changed, written) = Default::default();
-        let fleet = Fleet {
-            life,
-            standing,
-            gives,
-            record,
-            changed,
-            written,
+    pub fn new(incarnation: u64, spans: VecDeque<VersionInterval>, running: VersionId) -> Self {
+        let history = Mutex::new(VersionHistory::restore(spans));
+        let (gate, catch_up_permits, history_changes, history_changes_written) = Default::default();
+        let fencing = FencingState {
+            incarnation,
+            gate,
+            catch_up_permits,
+            history,
+            history_changes,
+            history_changes_written,
         };
-        fleet.began(
+        fencing.version_activated(
             running,
             if running.number == 0 {
                 VersionOrigin::File
@@ -49,46 +49,48 @@
                 VersionOrigin::Restored
             },
         );
-        fleet
+        fencing
     }
 
-    pub fn record(&self) -> MutexGuard<'_, VersionHistory> {
-        self.record.lock().unwrap_or_else(PoisonError::into_inner)
+    pub fn history(&self) -> MutexGuard<'_, VersionHistory> {
+        self.history.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// A version is in force from now on.
-    pub fn began(&self, stamp: VersionId, how: VersionOrigin) {
+    pub fn version_activated(&self, stamp: VersionId, how: VersionOrigin) {
         let (version, digest, from_ms) = (stamp.number, stamp.digest.to_string(), wall_ms());
-        self.record().begin(VersionInterval {
+        self.history().begin(VersionInterval {
             version,
             digest,
             origin: how,
-            incarnation: self.life,
+            incarnation: self.incarnation,
             from_ms,
         });
-        self.changed.fetch_add(1, Ordering::Relaxed);
+        self.history_changes.fetch_add(1, Ordering::Relaxed);
     }
 
     /// Leave to bring one more up, until dropped: hundreds of stragglers must not keep us from
     /// placing.
-    pub fn gives(&self) -> Option<Arc<()>> {
-        (Arc::strong_count(&self.gives) <= GIVES).then(|| Arc::clone(&self.gives))
+    pub fn catch_up_permit(&self) -> Option<Arc<()>> {
+        (Arc::strong_count(&self.catch_up_permits) <= MAX_CATCH_UP_STREAMS)
+            .then(|| Arc::clone(&self.catch_up_permits))
     }
 
     /// Whether something of the record is not on disk yet.
-    pub fn unwritten(&self) -> bool {
-        self.written.load(Ordering::Relaxed) < self.changed.load(Ordering::Relaxed)
+    pub fn has_unwritten_history(&self) -> bool {
+        self.history_changes_written.load(Ordering::Relaxed)
+            < self.history_changes.load(Ordering::Relaxed)
     }
 
     /// So many acts are about to be sent.
-    pub fn acts(&self, stamp: VersionId, kind: OperationKind, many: usize) {
-        self.record()
+    pub fn record_operations(&self, stamp: VersionId, kind: OperationKind, many: usize) {
+        self.history()
             .count_operations(stamp.number, kind, many as u64);
     }
 
     /// What operators are told.
-    pub fn told(&self) -> (Vec<v1::VersionInterval>, Vec<v1::OperationCount>) {
-        let record = self.record();
+    pub fn history_messages(&self) -> (Vec<v1::VersionInterval>, Vec<v1::OperationCount>) {
+        let history = self.history();
         let span = |span: &VersionInterval| v1::VersionInterval {
             version: Some(v1::VersionId {
                 number: span.version,
@@ -111,34 +113,34 @@
             count: many,
         };
         (
-            record.intervals().iter().map(span).collect(),
-            record.operations().map(count).collect(),
+            history.intervals().iter().map(span).collect(),
+            history.operations().map(count).collect(),
         )
     }
 
-    pub fn standing(&self) -> MutexGuard<'_, VersionGate> {
-        self.standing.lock().unwrap_or_else(PoisonError::into_inner)
+    pub fn gate(&self) -> MutexGuard<'_, VersionGate> {
+        self.gate.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub fn floor(&self) -> Option<MinimumVersion> {
-        self.standing().minimum()
+    pub fn minimum_version(&self) -> Option<MinimumVersion> {
+        self.gate().minimum()
     }
 
     /// The floor that shuts a dispatcher out that runs this version.
-    pub fn shut_out(&self, running: VersionId) -> Option<MinimumVersion> {
-        self.standing().fenced_by(running.number)
+    pub fn fenced_by(&self, running: VersionId) -> Option<MinimumVersion> {
+        self.gate().fenced_by(running.number)
     }
 
     /// A node has turned a shot away.
-    pub fn node_tells(&self, floor: MinimumVersion, running: VersionId) {
-        if self.standing().apply_node_report(floor) {
-            say(floor, running, "a node");
+    pub fn node_reported(&self, floor: MinimumVersion, running: VersionId) {
+        if self.gate().apply_node_report(floor) {
+            log_minimum_version(floor, running, "a node");
         }
     }
 }
 
 /// For the log.
-pub fn say(floor: MinimumVersion, running: VersionId, from: &str) {
+pub fn log_minimum_version(floor: MinimumVersion, running: VersionId, from: &str) {
     let MinimumVersion {
         revision: number,
         version: lowest,
@@ -160,7 +162,7 @@
     }
 }
 
-pub fn message(floor: MinimumVersion) -> v1::MinimumVersion {
+pub fn minimum_version_message(floor: MinimumVersion) -> v1::MinimumVersion {
     v1::MinimumVersion {
         revision: floor.revision,
         proposer: floor.proposer,
@@ -168,7 +170,7 @@
     }
 }
 
-pub fn read(floor: &v1::MinimumVersion) -> MinimumVersion {
+pub fn minimum_version_from_message(floor: &v1::MinimumVersion) -> MinimumVersion {
     MinimumVersion {
         revision: floor.revision,
         proposer: floor.proposer,
--- a/crates/dispatcher/tests/store.rs
+++ b/crates/dispatcher/tests/store.rs
@@ -1,6 +1,6 @@
 //! The store of rolls, killed at each of its steps and torn.
 
-use corkspan_dispatcher::rollout_control::{Held, Pair, Store};
+use corkspan_dispatcher::rollout_control::{ReplicaPair, Store, StoredClaim};
 use corkspan_rollout::{ClaimId, Order, Phase, Rollout};
 use corkspan_version_fencing::history::{VersionInterval, VersionOrigin};
 use std::collections::VecDeque;
@@ -25,13 +25,13 @@
     }
 }
 
-fn held(claim: u64, won: bool, pair: Option<bool>) -> Held {
-    let pair = pair.map(|retires| Pair {
+fn held(claim: u64, won: bool, pair: Option<bool>) -> StoredClaim {
+    let pair = pair.map(|retires| ReplicaPair {
         old: "c#0".into(),
         new: "c#0~1".into(),
         retires,
     });
-    Held {
+    StoredClaim {
         claim: ClaimId(claim),
         service: "s".into(),
         task: format!("c{claim}"),
@@ -44,35 +44,35 @@
 
 /// All that a replacing writes, in its order, and the rolls and claims that the store holds after
 /// each.
-fn steps() -> Vec<(Write, usize, Vec<Held>)> {
+fn steps() -> Vec<(Write, usize, Vec<StoredClaim>)> {
     vec![
-        (|store| store.roll(&roll()), 1, vec![]),
+        (|store| store.save_rollout(&roll()), 1, vec![]),
         (
-            |store| store.claim(&held(7, false, None)),
+            |store| store.save_claim(&held(7, false, None)),
             1,
             vec![held(7, false, None)],
         ),
         (
-            |store| store.claim(&held(7, true, None)),
+            |store| store.save_claim(&held(7, true, None)),
             1,
             vec![held(7, true, None)],
         ),
         (
-            |store| store.claim(&held(7, true, Some(false))),
+            |store| store.save_claim(&held(7, true, Some(false))),
             1,
             vec![held(7, true, Some(false))],
         ),
         (
-            |store| store.claim(&held(7, true, Some(true))),
+            |store| store.save_claim(&held(7, true, Some(true))),
             1,
             vec![held(7, true, Some(true))],
         ),
-        (|store| store.release(ClaimId(7)), 1, vec![]),
+        (|store| store.delete_claim(ClaimId(7)), 1, vec![]),
     ]
 }
 
-fn read(path: &Path) -> (Vec<Rollout>, Vec<Held>) {
-    Store::open(Some(path)).read()
+fn read(path: &Path) -> (Vec<Rollout>, Vec<StoredClaim>) {
+    Store::open(Some(path)).load()
 }
 
 #[test]
@@ -123,8 +123,10 @@
 fn a_store_that_can_not_be_written_says_so() {
     let folder = tempfile::tempdir().expect("a folder");
     let store = Store::open(Some(&folder.path().join("missing").join("rolls.redb")));
-    assert!(store.claim(&held(7, false, None)).is_err() && store.roll(&roll()).is_err());
-    assert_eq!(store.read(), (vec![], vec![]));
+    assert!(
+        store.save_claim(&held(7, false, None)).is_err() && store.save_rollout(&roll()).is_err()
+    );
+    assert_eq!(store.load(), (vec![], vec![]));
 }
 
 const SPANS: &str =
@@ -142,7 +144,7 @@
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("rolls.redb");
     let store = Store::open(Some(&path));
-    store.roll(&roll()).expect("written");
+    store.save_rollout(&roll()).expect("written");
     drop(store);
     let database = redb::Database::create(&path).expect("it opens");
     let transaction = database.begin_write().expect("it can be written");
@@ -155,7 +157,10 @@
     transaction.commit().expect("written");
     drop(database);
     let store = Store::open(Some(&path));
-    assert_eq!((store.spans().len(), store.read().0), (spans, vec![roll()]));
+    assert_eq!(
+        (store.version_history().len(), store.load().0),
+        (spans, vec![roll()])
+    );
     let next = VecDeque::from([VersionInterval {
         version: 4,
         digest: "e".into(),
@@ -163,6 +168,6 @@
         incarnation: 10,
         from_ms: 2,
     }]);
-    store.record(&next).expect("written");
-    assert_eq!(store.spans(), next);
+    store.save_version_history(&next).expect("written");
+    assert_eq!(store.version_history(), next);
 }
--- a/crates/dispatcher/tests/stored_files.rs
+++ b/crates/dispatcher/tests/stored_files.rs
@@ -3,8 +3,8 @@
 
 use corkspan_config::version::{Texts, VersionId};
 use corkspan_config_sync::{PersistedVersions, TrialVersion, Version};
-use corkspan_dispatcher::endpoint_list::Roster;
-use corkspan_dispatcher::rollout_control::{Held, Pair, Store};
+use corkspan_dispatcher::endpoint_list::EndpointList;
+use corkspan_dispatcher::rollout_control::{ReplicaPair, Store, StoredClaim};
 use corkspan_dispatcher::version_files;
 use corkspan_rollout::{ClaimId, Order, Phase, Rollout};
 use corkspan_version_fencing::history::{VersionInterval, VersionOrigin};
@@ -99,13 +99,13 @@
     ]
 }
 
-fn claim(claim: u64, won: bool, pair: Option<bool>) -> Held {
-    let pair = pair.map(|retires| Pair {
+fn claim(claim: u64, won: bool, pair: Option<bool>) -> StoredClaim {
+    let pair = pair.map(|retires| ReplicaPair {
         old: "mail#0".into(),
         new: "mail#0~1".into(),
         retires,
     });
-    Held {
+    StoredClaim {
         claim: ClaimId(claim),
         service: "mail".into(),
         task: format!("mail#{claim}"),
@@ -114,7 +114,7 @@
     }
 }
 
-fn claims() -> Vec<Held> {
+fn claims() -> Vec<StoredClaim> {
     vec![
         claim(7, false, None),
         claim(8, true, None),
@@ -147,8 +147,8 @@
     let (directory, path) = copy_of("rollouts.redb");
     assert_eq!(rows(&path), stored, "before anything is opened by our code");
     let store = Store::open(Some(&path));
-    let (read_rolls, read_claims) = store.read();
-    let read_spans = store.spans();
+    let (read_rolls, read_claims) = store.load();
+    let read_spans = store.version_history();
     assert_eq!(read_rolls, rolls());
     assert_eq!(read_claims, claims());
     assert_eq!(Vec::from(read_spans.clone()), spans());
@@ -158,19 +158,19 @@
     for store in [&store, &fresh] {
         read_rolls
             .iter()
-            .for_each(|roll| store.roll(roll).expect("written"));
+            .for_each(|roll| store.save_rollout(roll).expect("written"));
         read_claims
             .iter()
-            .for_each(|claim| store.claim(claim).expect("written"));
-        store.record(&read_spans).expect("written");
+            .for_each(|claim| store.save_claim(claim).expect("written"));
+        store.save_version_history(&read_spans).expect("written");
     }
     drop((store, fresh));
     assert_eq!(rows(&path), stored, "written over the old rows");
     assert_eq!(rows(&fresh_path), stored, "written to a new database");
 
     let again = Store::open(Some(&path));
-    assert_eq!(again.read(), (rolls(), claims()));
-    again.release(ClaimId(8)).expect("written");
+    assert_eq!(again.load(), (rolls(), claims()));
+    again.delete_claim(ClaimId(8)).expect("written");
     drop(again);
     let kept = stored.lines().filter(|row| !row.starts_with("claims 8 "));
     assert!(kept.eq(rows(&path).lines()), "a released claim is removed");
@@ -187,21 +187,21 @@
     );
     let aside = std::fs::read(path.with_extension("aside")).expect("set aside");
     assert_eq!(aside.len(), half.len());
-    assert_eq!(store.read(), (vec![], vec![]));
-    store.claim(&claim(8, true, None)).expect("written");
-    assert_eq!(store.read().1, [claim(8, true, None)]);
+    assert_eq!(store.load(), (vec![], vec![]));
+    store.save_claim(&claim(8, true, None)).expect("written");
+    assert_eq!(store.load().1, [claim(8, true, None)]);
 }
 
 #[test]
 fn a_stored_list_is_read_and_written_back_unchanged() {
     let (directory, path) = copy_of("endpoint-list.json");
-    let (roster, log) = logged(&directory, || Roster::remembered(&path));
+    let (list, log) = logged(&directory, || EndpointList::load(&path));
     assert_eq!(log, "");
     let fresh = directory.path().join("fresh.json");
-    roster.keep(&fresh).expect("written");
+    list.save(&fresh).expect("written");
     let stored = std::fs::read_to_string(data("endpoint-list.json")).expect("text");
     assert_eq!(std::fs::read_to_string(fresh).expect("text"), stored);
-    roster.keep(&path).expect("written over the old one");
+    list.save(&path).expect("written over the old one");
     assert_eq!(std::fs::read_to_string(path).expect("text"), stored);
 }
 
@@ -209,14 +209,14 @@
 fn half_a_stored_list_is_reported_and_set_aside() {
     let (directory, path) = half_of("endpoint-list.json");
     let half = std::fs::read(&path).expect("read");
-    let (roster, log) = logged(&directory, || Roster::remembered(&path));
+    let (list, log) = logged(&directory, || EndpointList::load(&path));
     assert!(
         log.contains(" WARN ") && log.contains("the remembered list can't be read; set aside"),
         "{log}"
     );
     let aside = std::fs::read(path.with_extension("aside")).expect("set aside");
     assert_eq!((aside, path.exists()), (half, false));
-    roster.keep(&path).expect("written");
+    list.save(&path).expect("written");
     let empty = std::fs::read_to_string(path).expect("text");
     assert!(
         empty.starts_with(r#"{"version":0,"sum":"#) && empty.ends_with(r#","lines":[]}"#),
@@ -252,9 +252,9 @@
 #[test]
 fn stored_versions_are_read_and_written_back_unchanged() {
     let (directory, path) = copy_of("versions.json");
-    let (read, log) = logged(&directory, || version_files::read(&path));
+    let (read, log) = logged(&directory, || version_files::load(&path));
     assert_eq!((&read, log.as_str()), (&kept(), ""));
-    version_files::keep(&path, &read).expect("written");
+    version_files::save(&path, &read).expect("written");
     let stored = std::fs::read_to_string(data("versions.json")).expect("text");
     for written in [&path, &path.with_extension("before")] {
         assert_eq!(std::fs::read_to_string(written).expect("text"), stored);
@@ -266,7 +266,7 @@
     let (directory, path) = half_of("versions.json");
     let half = std::fs::read(&path).expect("read");
     std::fs::copy(data("versions.json"), path.with_extension("before")).expect("copied");
-    let (read, log) = logged(&directory, || version_files::read(&path));
+    let (read, log) = logged(&directory, || version_files::load(&path));
     assert_eq!(read, kept());
     let message = "the kept version can't be read; set aside, and the one before taken";
     assert!(log.contains(" WARN ") && log.contains(message), "{log}");
@@ -278,7 +278,7 @@
 fn half_of_the_stored_versions_and_of_the_file_before_leave_the_deployment_file() {
     let (directory, path) = half_of("versions.json");
     std::fs::copy(&path, path.with_extension("before")).expect("copied");
-    let (read, log) = logged(&directory, || version_files::read(&path));
+    let (read, log) = logged(&directory, || version_files::load(&path));
     assert_eq!(read, PersistedVersions::default());
     let message = "nor can the one before; the deployment file is in force";
     assert!(log.contains(" WARN ") && log.contains(message), "{log}");
--- a/crates/lab/src/hollow.rs
+++ b/crates/lab/src/hollow.rs
@@ -6,7 +6,7 @@
 
 use clap::{Parser, Subcommand};
 use corkspan_config::Deployment;
-use corkspan_dispatcher::{Failure, rollout_control::Store};
+use corkspan_dispatcher::{DispatcherError, rollout_control::Store};
 use corkspan_rpc::Tasks;
 use corkspan_runtime::{Signal, signals};
 use futures_lite::{StreamExt, future};
@@ -72,15 +72,20 @@
                 let _ = writeln!(std::io::stdout(), "listening {which} {address}");
             };
             let store = Store::open(None);
-            let run =
-                corkspan_dispatcher::run_over(store, tasks.clone(), deployment, ready, stopped);
+            let run = corkspan_dispatcher::run_with_store(
+                store,
+                tasks.clone(),
+                deployment,
+                ready,
+                stopped,
+            );
             own.push(tasks.spawn(run));
         }
         let ended = async {
             for one in own {
                 one.await?;
             }
-            Ok::<(), Failure>(())
+            Ok::<(), DispatcherError>(())
         };
         let asked = async {
             stops.next().await;
--- a/crates/lab/src/node.rs
+++ b/crates/lab/src/node.rs
@@ -408,7 +408,7 @@
             .fence()
             .minimum()
             .filter(|_| why == Rejection::BelowMinimumVersion)
-            .map(minimum_version::message);
+            .map(minimum_version::minimum_version_message);
         self.say(
             state,
             shot,
@@ -517,7 +517,11 @@
             version: shot.version.clone(),
             decided: decided(shot),
         });
-        if let Some(floor) = shot.minimum_version.as_ref().map(minimum_version::read) {
+        if let Some(floor) = shot
+            .minimum_version
+            .as_ref()
+            .map(minimum_version::minimum_version_from_message)
+        {
             let mut fence = self.fence();
             if fence.should_store(floor) {
                 fence.apply_stored(floor);
@@ -983,7 +987,7 @@
     ) -> Result<Response<v1::QuorumResponse>, Status> {
         use corkspan_api::v1::quorum_request::Operation;
         let kept = |roll: &corkspan_rollout::Rollout, slots| v1::QuorumEntry {
-            rollout: Some(corkspan_dispatcher::rollout_control::message(roll)),
+            rollout: Some(corkspan_dispatcher::rollout_control::rollout_message(roll)),
             slots,
         };
         let mut keeper = self
@@ -994,7 +998,7 @@
         let mut word = v1::QuorumResponse::default();
         match request.into_inner().operation {
             Some(Operation::Propose(roll)) => {
-                let roll = corkspan_dispatcher::rollout_control::roll_of(&roll);
+                let roll = corkspan_dispatcher::rollout_control::rollout_from_message(&roll);
                 let roll = roll.ok_or_else(|| Status::invalid_argument("no roll"))?;
                 word.entries
                     .extend(keeper.propose(roll).map(|roll| kept(roll, Vec::new())));
@@ -1026,23 +1030,23 @@
                     .lock()
                     .expect("no one panics while it is held");
                 word.minimum_version = floors
-                    .propose(minimum_version::read(&floor))
+                    .propose(minimum_version::minimum_version_from_message(&floor))
                     .copied()
-                    .map(minimum_version::message);
+                    .map(minimum_version::minimum_version_message);
             }
             Some(Operation::Maintenance(work)) => {
-                let wish = maintenance_messages::wish(&work)
+                let wish = maintenance_messages::proposal_from_message(&work)
                     .ok_or_else(|| Status::invalid_argument("four limits"))?;
                 let mut board = self.0.board.lock().expect("no one panics while it is held");
                 board.propose(wish);
-                word.leases = Some(maintenance_messages::board(&board, u32::MAX));
+                word.leases = Some(maintenance_messages::lease_table_message(&board, u32::MAX));
             }
             Some(Operation::MaintenanceClaim(claim)) => {
                 let mut board = self.0.board.lock().expect("no one panics while it is held");
-                word.granted = maintenance_messages::claimed(&mut board, &claim);
+                word.granted = maintenance_messages::apply_claim(&mut board, &claim);
             }
             Some(Operation::MaintenanceStep(step)) => {
-                maintenance_messages::arrives(
+                maintenance_messages::apply_step(
                     &mut self.0.board.lock().expect("no one panics while it is held"),
                     &step,
                 );
@@ -1056,7 +1060,7 @@
                 board.record_cost_estimates(bids.dispatcher, costs);
             }
             Some(Operation::StoreVersion(push)) => {
-                let push = config_stream::push_of(push)
+                let push = config_stream::push_from_message(push)
                     .ok_or_else(|| Status::invalid_argument("no version"))?;
                 let mut shelf = self.0.shelf.lock().expect("no one panics while it is held");
                 shelf.store(
@@ -1065,10 +1069,13 @@
                     push.allows_cuts,
                     &push.predecessors,
                 );
-                word.stored_version = shelf.newest().map(config_stream::message);
+                word.stored_version = shelf.newest().map(config_stream::version_id_message);
             }
             Some(Operation::FetchVersion(ask)) => {
-                let theirs = ask.active.as_ref().and_then(config_stream::stamp);
+                let theirs = ask
+                    .active
+                    .as_ref()
+                    .and_then(config_stream::version_id_from_message);
                 let theirs = theirs.ok_or_else(|| Status::invalid_argument("no stamp"))?;
                 let shelf = self.0.shelf.lock().expect("no one panics while it is held");
                 word.fetched_version = shelf.push_for(theirs).map(config_stream::push_message);
@@ -1082,7 +1089,7 @@
                 word.minimum_version = floors
                     .entries()
                     .next()
-                    .map(|kept| minimum_version::message(kept.proposal));
+                    .map(|kept| minimum_version::minimum_version_message(kept.proposal));
                 let mut rows = self.0.rows.lock().expect("no one panics while it is held");
                 if let Some(v1::ActiveVersion {
                     dispatcher,
@@ -1102,10 +1109,13 @@
                     .then(|| rows.adopted(tell.fleet_size as usize, tell.required_thousandths))
                     .flatten();
                 let shelf = self.0.shelf.lock().expect("no one panics while it is held");
-                word.stored_version = shelf.newest().map(config_stream::message);
+                word.stored_version = shelf.newest().map(config_stream::version_id_message);
                 if tell.include_leases {
                     let board = self.0.board.lock().expect("no one panics while it is held");
-                    word.leases = Some(maintenance_messages::board(&board, tell.fleet_size));
+                    word.leases = Some(maintenance_messages::lease_table_message(
+                        &board,
+                        tell.fleet_size,
+                    ));
                 }
                 if tell.minimum_version_only {
                     return Ok(Response::new(word));
@@ -1197,7 +1207,7 @@
             node: self.0.config.id,
             operations: rows.collect(),
             omitted: acts.uncounted(),
-            minimum_version: floor.map(minimum_version::message),
+            minimum_version: floor.map(minimum_version::minimum_version_message),
         }))
     }
 
--- a/crates/lab/tests/full_path/fleet.rs
+++ b/crates/lab/tests/full_path/fleet.rs
@@ -9,7 +9,7 @@
 };
 use corkspan_config::version::{Texts, VersionId};
 use corkspan_config_sync::{PersistedVersions, Version};
-use corkspan_dispatcher::version_files::keep;
+use corkspan_dispatcher::version_files::save;
 use corkspan_lab::capture::{Cold, Line, Rules, Seen, Word as SaidWord};
 use corkspan_lab::control::{Control, Up};
 use corkspan_lab::judge::judge;
@@ -839,7 +839,7 @@
             for number in 0..5 {
                 let version = if number < 2 { 9 } else { 2 };
                 let path = stage.folder.path().join(format!("versions-{number}.json"));
-                keep(&path, &kept(&stage, version, 4)).expect("kept");
+                save(&path, &kept(&stage, version, 4)).expect("kept");
                 stage.start(nobody, KEEPERS).await;
             }
             // Each has told its version in two rounds at least once all are known to all.
@@ -857,7 +857,7 @@
             // A third one comes back with it.
             stage.fleet.truncate(4);
             let path = stage.folder.path().join("versions-4.json");
-            keep(&path, &kept(&stage, 9, 4)).expect("kept");
+            save(&path, &kept(&stage, 9, 4)).expect("kept");
             stage.start(nobody, KEEPERS).await;
             until(async || {
                 stage
--- a/crates/lab/tests/full_path/rig.rs
+++ b/crates/lab/tests/full_path/rig.rs
@@ -3,7 +3,7 @@
 use async_io::Timer;
 use corkspan_api::v1::{self, placement_client::PlacementClient, placement_event::Event};
 use corkspan_config::Deployment;
-use corkspan_dispatcher::Failure;
+use corkspan_dispatcher::DispatcherError;
 use corkspan_dispatcher::rollout_control::Store;
 use corkspan_lab::capture::{Capture, Line, Seen};
 use corkspan_lab::node::{Node, NodeConfig, SlowStart, World};
@@ -28,7 +28,7 @@
     pub address: SocketAddr,
     stop: async_channel::Sender<()>,
     kill: async_channel::Sender<()>,
-    dispatcher: async_channel::Receiver<Result<(), Failure>>,
+    dispatcher: async_channel::Receiver<Result<(), DispatcherError>>,
 }
 
 /// How a rig is laid out.
@@ -149,8 +149,13 @@
         std::thread::spawn(move || {
             let own = Tasks::default();
             let store = store.unwrap_or_else(|| Store::open(deployment.rolls.as_deref()));
-            let run =
-                corkspan_dispatcher::run_over(store, own.clone(), deployment, ready_call, stopped);
+            let run = corkspan_dispatcher::run_with_store(
+                store,
+                own.clone(),
+                deployment,
+                ready_call,
+                stopped,
+            );
             // Dropped with all its tasks where it is killed: its sockets close, and it says nothing
             // more.
             let killed = async {
--- a/crates/lab/tests/full_path/stores.rs
+++ b/crates/lab/tests/full_path/stores.rs
@@ -1,16 +1,16 @@
 //! Stores of dispatchers on a disk that fills up.
 
-use corkspan_dispatcher::rollout_control::{Held, Pair, Store};
+use corkspan_dispatcher::rollout_control::{ReplicaPair, Store, StoredClaim};
 use corkspan_lab::disk::{self, Full};
 use corkspan_rollout::ClaimId;
 
-fn held(claim: u64, won: bool, pair: Option<bool>) -> Held {
-    let pair = pair.map(|retires| Pair {
+fn held(claim: u64, won: bool, pair: Option<bool>) -> StoredClaim {
+    let pair = pair.map(|retires| ReplicaPair {
         old: "c#0".into(),
         new: "c#0~1".into(),
         retires,
     });
-    Held {
+    StoredClaim {
         claim: ClaimId(claim),
         service: "s".into(),
         task: format!("c{claim}"),
@@ -20,7 +20,7 @@
 }
 
 /// All that a replacing writes of its claim, in its order.
-fn steps() -> Vec<Held> {
+fn steps() -> Vec<StoredClaim> {
     vec![
         held(7, false, None),
         held(7, true, None),
@@ -41,22 +41,22 @@
             if index == fills_at {
                 full.set(true);
                 for _ in 0..3 {
-                    store.claim(&step).expect_err("the disk is full");
+                    store.save_claim(&step).expect_err("the disk is full");
                 }
                 full.set(false);
                 assert_eq!(
-                    Store::open(Some(&path)).read().1,
+                    Store::open(Some(&path)).load().1,
                     before,
                     "what a kill then leaves"
                 );
             }
-            store.claim(&step).expect("there is room");
+            store.save_claim(&step).expect("there is room");
             before = vec![step];
-            assert_eq!(store.read().1, before);
+            assert_eq!(store.load().1, before);
         }
         drop(store);
         assert_eq!(
-            Store::open(Some(&path)).read().1,
+            Store::open(Some(&path)).load().1,
             before,
             "the next life reads it"
         );
