--- /dev/null
+++ b/crates/config-sync/tests/state_space/events.rs
@@ -0,0 +1,47 @@
+//! What can happen in the exchange, and how broken variants differ.
+
+/// What a broken variant does wrong.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Defect {
+    None,
+    RepliesBeforeTheDisk,
+    ValidatesNothing,
+    TakesAnyNumber,
+    RepliesWithoutNonce,
+}
+
+#[derive(Clone, Copy, Debug)]
+pub enum Event {
+    Publish,
+    Open(usize),
+    OpenToRival(usize),
+    Break(usize),
+    Receive(usize),
+    Admit(usize),
+    Persist(usize),
+    Apply(usize),
+    Reply(usize),
+    Regress(usize),
+    Kill(usize),
+    Start(usize),
+}
+
+impl Event {
+    /// All that can happen to one dispatcher.
+    pub fn of(dispatcher: usize) -> [Event; 11] {
+        let kinds: [fn(usize) -> Event; 11] = [
+            Event::Open,
+            Event::OpenToRival,
+            Event::Break,
+            Event::Receive,
+            Event::Admit,
+            Event::Persist,
+            Event::Apply,
+            Event::Reply,
+            Event::Regress,
+            Event::Kill,
+            Event::Start,
+        ];
+        kinds.map(|event| event(dispatcher))
+    }
+}
--- /dev/null
+++ b/crates/config-sync/tests/state_space/main.rs
@@ -0,0 +1,86 @@
+//! Every state of a small exchange: a control service with three versions, of which the second is
+//! invalid, a rival that was cut off and has a first version of its own, two dispatchers, streams
+//! that break with all that is on its way, kills at any step, trials that end badly.
+//!
+//! The claim: what is active at a dispatcher was valid, and on its disk first; versions go on to
+//! higher numbers, and back only by a rollback; once nothing is on its way, the publisher knows what
+//! is active; and no valid version stands as rejected, but for one that does not follow the active
+//! one.
+
+mod events;
+mod world;
+
+use events::{Defect, Event};
+use std::collections::HashSet;
+use std::hash::{DefaultHasher, Hash, Hasher};
+use test_case::test_case;
+use world::World;
+
+/// The first dispatcher runs the first version.
+fn with_an_active_version() -> World {
+    let events = [
+        Event::Publish,
+        Event::Open(0),
+        Event::Receive(0),
+        Event::Admit(0),
+        Event::Persist(0),
+        Event::Apply(0),
+        Event::Reply(0),
+    ];
+    events.into_iter().fold(World::start(), |world, event| {
+        world
+            .after(event, Defect::None)
+            .expect("it can happen")
+            .expect("and breaks nothing")
+    })
+}
+
+/// Goes through all states up to this depth; how many, or how the claim is broken.
+fn search(from: World, defect: Defect, depth: usize) -> Result<usize, String> {
+    let mut seen = HashSet::new();
+    let mut states = vec![(from, 0)];
+    // Breadth first, so that a state is met first with the most steps left.
+    for at in 0.. {
+        let Some((world, steps)) = states.get(at).cloned() else {
+            break;
+        };
+        if steps == depth {
+            break;
+        }
+        let events = [Event::Publish]
+            .into_iter()
+            .chain(Event::of(0))
+            .chain(Event::of(1));
+        for event in events {
+            let Some(next) = world.after(event, defect) else {
+                continue;
+            };
+            let next = next.map_err(|why| format!("{why}, after {steps} steps, by {event:?}"))?;
+            let mut hasher = DefaultHasher::new();
+            format!("{next:?}").hash(&mut hasher);
+            if seen.insert(hasher.finish()) {
+                states.push((next, steps + 1));
+            }
+        }
+    }
+    Ok(states.len())
+}
+
+#[test_case(World::start(), 10; "from the start")]
+#[test_case(with_an_active_version(), 8; "with an active version")]
+fn no_order_of_breaks_and_kills_activates_what_is_invalid_or_not_on_disk(
+    from: World,
+    depth: usize,
+) {
+    let states = search(from, Defect::None, depth).unwrap_or_else(|why| panic!("{why}"));
+    assert!(states > 10_000, "{states} states");
+}
+
+#[test_case(World::start(), Defect::RepliesBeforeTheDisk, "not on disk"; "replies before it is on disk")]
+#[test_case(World::start(), Defect::ValidatesNothing, "invalid"; "validates nothing")]
+#[test_case(with_an_active_version(), Defect::TakesAnyNumber, "went from"; "takes any number")]
+#[test_case(World::start(), Defect::RepliesWithoutNonce, "stands as rejected"; "replies without nonce")]
+fn a_broken_exchange_is_found(from: World, defect: Defect, how: &str) {
+    let why = search(from, defect, 10).expect_err("found");
+    assert!(why.contains(how), "{why}");
+}
