--- a/crates/capacity-model/src/catalog.rs
+++ b/crates/capacity-model/src/catalog.rs
@@ -273,7 +273,7 @@
             .measured(Versions, "pushed", "control, bytes/s")
             .at(versions_a_second)
             .limit(Limit::Bytes)
-            .carried_by("versions streamed, changes alone (control.md)"),
+            .carried_by("versions streamed, changes alone (config-sync.md)"),
         figure(Dispatcher, "processor, versions, no asks", CORE)
             .measured(Versions, "pushed", "core %")
             .at(versions_a_second)
