--- a/crates/lab/src/loads.rs
+++ b/crates/lab/src/loads.rs
@@ -8,7 +8,7 @@
 use async_io::Timer;
 use corkspan_api::v1::{self, placement_event::Event};
 use corkspan_load_generator::plan::Plan;
-use corkspan_load_generator::run::{Loop, run};
+use corkspan_load_generator::run::{LoadRun, Loop, run};
 use corkspan_load_generator::tally::Report;
 use corkspan_rpc::Tasks;
 use futures_lite::{Stream, future, stream};
@@ -29,7 +29,13 @@
     tell: impl FnMut(Duration, usize),
 ) -> Result<Report, String> {
     let tasks = Tasks::default();
-    let sent = run(&tasks, plan, to, how, Instant::now(), tell);
+    let load = LoadRun {
+        plan,
+        dispatchers: to.to_vec(),
+        mode: how,
+        began: Instant::now(),
+    };
+    let sent = run(&tasks, load, tell);
     future::block_on(tasks.run(sent)).map_err(|why| why.to_string())
 }
 
@@ -100,7 +106,13 @@
     let intended: Vec<Duration> = plan.shape.arrivals(plan.seed).collect();
     let tasks = Tasks::default();
     let began = Instant::now() + Duration::from_millis(200);
-    let sent = run(&tasks, plan, &to, Loop::Open, began, |_, _| {});
+    let load = LoadRun {
+        plan,
+        dispatchers: to.to_vec(),
+        mode: Loop::Open,
+        began,
+    };
+    let sent = run(&tasks, load, |_, _| {});
     let report = future::block_on(tasks.run(sent)).map_err(|why| why.to_string())?;
     let mut off =
         Histogram::<u64>::new_with_bounds(1, 60_000_000, 3).map_err(|why| why.to_string())?;
@@ -155,16 +167,18 @@
             "(constant (for {} ms) (rate 100))",
             2 * pause.as_millis() + 1_000
         );
-        let to = [process.address];
-        let open = run(&tasks, plan(&phases, 1)?, &to, Loop::Open, began, |_, _| {});
-        let closed = run(
-            &tasks,
-            plan(&phases, 1)?,
-            &to,
-            Loop::Closed(1),
+        let load = LoadRun {
+            plan: plan(&phases, 1)?,
+            dispatchers: vec![process.address],
+            mode: Loop::Open,
             began,
-            |_, _| {},
-        );
+        };
+        let waiting = LoadRun {
+            mode: Loop::Closed(1),
+            ..load.clone()
+        };
+        let open = run(&tasks, load, |_, _| {});
+        let closed = run(&tasks, waiting, |_, _| {});
         let still = async {
             Timer::at(began + Duration::from_millis(500)).await;
             process.stand_still(true)?;
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -316,7 +316,8 @@
         let text = serde_json::to_string_pretty(&report).map_err(|why| why.to_string())?;
         let path = out.join("report.json");
         std::fs::write(&path, text).map_err(|why| format!("{}: {why}", path.display()))?;
-        corkspan_load_generator::plot::draw(&report, &out.join("report.svg"))?;
+        corkspan_load_generator::plot::draw(&report, &out.join("report.svg"))
+            .map_err(|why| why.to_string())?;
     }
     Ok(())
 }
--- a/crates/load-generator/src/compare.rs
+++ b/crates/load-generator/src/compare.rs
@@ -1,29 +1,33 @@
-//! Two variants on the same loads: paired differences, how sure they are, and a plain verdict.
+//! Compares two variants on the same loads: paired differences, their confidence interval, and a
+//! verdict.
 
 use crate::tally::{Outcome, Report};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// Resamples that the interval is read from, and the part of them that it holds.
+/// Bootstrap resamples that the interval is read from.
 const RESAMPLES: usize = 4_000;
+/// Part of the resamples that the interval holds.
 const CONFIDENCE: f64 = 0.95;
-/// Pairs from which anything can be told: with fewer even the plainest order comes by chance too
-/// often.
+/// Fewest pairs that allow a verdict: with fewer even the clearest order comes by chance too often.
 const MIN_PAIRS: usize = 5;
 
-/// What is compared, smaller being better in all.
+/// What is compared. Smaller is better in all of them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Figure {
-    /// µs from the intended time, over all kinds the worst.
+    /// Median latency from the intended time, in ms: the worst over all kinds of work.
     P50,
+    /// The same at the 99th percentile.
     P99,
-    /// Part of the intended asks that were not placed.
+    /// Part of the intended requests that were not placed, from 0 to 1.
     NotPlaced,
 }
 
 impl Figure {
+    /// All figures, in the order that they are printed.
     pub const ALL: [Figure; 3] = [Figure::P50, Figure::P99, Figure::NotPlaced];
 
+    /// Name and unit, as printed.
     pub fn name(self) -> &'static str {
         match self {
             Figure::P50 => "p50 from intended time, ms",
@@ -32,6 +36,7 @@
         }
     }
 
+    /// Its value in a report.
     pub fn of(self, report: &Report) -> f64 {
         let worst = |of: fn(&crate::tally::Quantiles) -> u64| {
             report
@@ -43,8 +48,8 @@
                 / 1_000.0
         };
         match self {
-            Figure::P50 => worst(|own| own.p50),
-            Figure::P99 => worst(|own| own.p99),
+            Figure::P50 => worst(|latency| latency.p50),
+            Figure::P99 => worst(|latency| latency.p99),
             Figure::NotPlaced => {
                 let outcomes = || report.kinds.iter().flat_map(|kind| &kind.outcomes);
                 let placed: u64 = outcomes()
@@ -58,24 +63,33 @@
     }
 }
 
+/// What a comparison comes to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
+    /// The new variant is better.
     Better,
+    /// The new variant is worse.
     Worse,
+    /// The interval holds zero, or there are too few pairs.
     CanNotTell,
 }
 
+/// The difference between two variants.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Comparison {
-    /// Mean of new less old, pair by pair, and the interval that holds it.
+    /// Mean over all pairs of the new value less the old one.
     pub difference: f64,
+    /// Lower end of the confidence interval.
     pub low: f64,
+    /// Upper end of the confidence interval.
     pub high: f64,
+    /// Which of the two is better.
     pub verdict: Verdict,
 }
 
-/// Compares pairs of (old, new) on the same load. The interval is read from the pairs drawn anew
-/// many times, the same for the same seed.
+/// Compares pairs of an old and a new value, each pair on the same load. The interval is a bootstrap
+/// over the pairs, and is the same for the same seed.
+#[must_use]
 pub fn compare(pairs: &[(f64, f64)], seed: u64) -> Comparison {
     let differences: Vec<f64> = pairs.iter().map(|(old, new)| new - old).collect();
     let mean = |values: &mut dyn Iterator<Item = f64>| {
--- /dev/null
+++ b/crates/load-generator/src/connections.rs
@@ -0,0 +1,72 @@
+//! The connections that requests leave by.
+
+use crate::run::RunError;
+use corkspan_rpc::{Bounds, Link, Tasks};
+use std::net::SocketAddr;
+use std::sync::{Arc, Mutex, PoisonError};
+use std::time::Duration;
+
+/// Time to set up one connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(5);
+
+/// The connections to one dispatcher.
+struct Pool {
+    dispatcher: SocketAddr,
+    links: Vec<Mutex<Link>>,
+}
+
+/// Connections to all dispatchers. Requests take the dispatchers in turn, and of each its
+/// connections in turn.
+pub(crate) struct Connections {
+    tasks: Tasks,
+    bounds: Bounds,
+    pools: Vec<Pool>,
+}
+
+impl Connections {
+    /// Opens this many connections to each dispatcher.
+    pub(crate) async fn open(
+        tasks: &Tasks,
+        dispatchers: &[SocketAddr],
+        per_dispatcher: usize,
+    ) -> Result<Self, RunError> {
+        if dispatchers.is_empty() {
+            return Err(RunError::NoDispatcher);
+        }
+        let bounds = Bounds {
+            connect_within: CONNECT_TIMEOUT,
+            ..Bounds::default()
+        };
+        let mut pools = Vec::new();
+        for &dispatcher in dispatchers {
+            let mut links = Vec::new();
+            for _ in 0..per_dispatcher {
+                let link = Link::open(tasks, dispatcher, &bounds)
+                    .await
+                    .map_err(|source| RunError::Connect { dispatcher, source })?;
+                links.push(Mutex::new(link));
+            }
+            pools.push(Pool { dispatcher, links });
+        }
+        Ok(Connections {
+            tasks: Arc::clone(tasks),
+            bounds,
+            pools,
+        })
+    }
+
+    /// The connection of the request with this number. One that broke is opened again, once.
+    pub(crate) async fn link(&self, number: usize) -> Option<Link> {
+        let pool = &self.pools[number % self.pools.len()];
+        let place = &pool.links[number / self.pools.len() % pool.links.len()];
+        let link = place.lock().unwrap_or_else(PoisonError::into_inner).clone();
+        if link.stands() {
+            return Some(link);
+        }
+        let fresh = Link::open(&self.tasks, pool.dispatcher, &self.bounds)
+            .await
+            .ok()?;
+        *place.lock().unwrap_or_else(PoisonError::into_inner) = fresh.clone();
+        Some(fresh)
+    }
+}
--- a/crates/load-generator/src/mix.rs
+++ b/crates/load-generator/src/mix.rs
@@ -1,23 +1,30 @@
-//! What is asked for: kinds of work by weight.
+//! What is requested: kinds of work by weight.
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// A kind of work, and how much of the load it is.
+/// A kind of work, and its part of the load.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WorkloadKind {
+    /// Service class of its requests.
     pub service_class: String,
+    /// Tenant of its requests; empty for none.
     pub tenant: String,
-    /// Services that its asks are of, each as often.
+    /// Number of services that its requests are spread over evenly.
     pub services: u32,
+    /// Its part of the load, relative to the others'.
     pub weight: f64,
+    /// Cores requested.
     pub cores: f64,
+    /// Memory requested, in the unit of the deployment file.
     pub memory: f64,
+    /// Time that a placed allocation runs, ms.
     pub lifetime_ms: u64,
+    /// Time that its client waits for a placement, ms.
     pub abandon_ms: u64,
 }
 
-/// Draws kinds by weight; the same for the same seed.
+/// Draws kinds by weight, in the same order for the same seed.
 pub struct Mix<'a> {
     kinds: &'a [WorkloadKind],
     total: f64,
@@ -25,9 +32,10 @@
 }
 
 impl<'a> Mix<'a> {
+    /// A sequence of draws from `kinds`.
     pub fn new(kinds: &'a [WorkloadKind], seed: u64) -> Self {
         let total = kinds.iter().map(|kind| kind.weight).sum();
-        // Apart from the times: another mix must not move them.
+        // A seed apart from that of the times: another mix must not move them.
         Mix {
             kinds,
             total,
@@ -35,7 +43,7 @@
         }
     }
 
-    /// A kind by index, and one of its services.
+    /// Draws the index of a kind and one of its services.
     pub fn draw(&mut self) -> (usize, u32) {
         let mut at = self.rng.random::<f64>() * self.total;
         let last = self.kinds.len().saturating_sub(1);
--- a/crates/load-generator/src/plan.rs
+++ b/crates/load-generator/src/plan.rs
@@ -6,27 +6,33 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Asks of one load at the most.
+/// Requests in one load at the most.
 const MAX_REQUESTS: f64 = 50_000_000.0;
 
+/// A load as its file describes it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
+    /// When requests are sent.
     pub shape: Shape,
+    /// What is requested.
     pub kinds: Vec<WorkloadKind>,
+    /// Fixes the times and the kinds drawn.
     pub seed: u64,
-    /// Asks under way at a time; what is due beyond them is counted as not sent.
+    /// Requests without a reply at a time; what is due beyond them is counted as not sent.
     pub max_in_flight: usize,
-    /// Links to each dispatcher.
+    /// Connections to each dispatcher.
     pub connections: usize,
 }
 
 impl Plan {
+    /// Reads a load file.
     pub fn load(path: &Path) -> Result<Plan, Fault> {
         let folder = path.parent().unwrap_or(Path::new("")).to_path_buf();
         Plan::read(&path.display().to_string(), &sexp::load(path)?, &folder)
     }
 
-    /// `folder`: where recorded times are looked for.
+    /// Reads a load file's text. `file` is its name in messages, `folder` where recorded times are
+    /// looked for.
     pub fn read(file: &str, text: &str, folder: &Path) -> Result<Plan, Fault> {
         sexp::with_form(file, text, "load", |form| {
             let parts = form.parts(&[
@@ -67,6 +73,7 @@
         })
     }
 
+    /// Names of the kinds, as reports print them.
     pub fn names(&self) -> Vec<String> {
         let name = |kind: &WorkloadKind| match &kind.tenant[..] {
             "" => kind.service_class.clone(),
@@ -153,7 +160,7 @@
     })
 }
 
-/// `(recorded "times.csv")`: a column `ms` of times, in order.
+/// Reads `(recorded "times.csv")`: a column `ms` of times, in order.
 fn recorded(form: &Form, folder: &Path) -> Result<Vec<Duration>, Fault> {
     let path: PathBuf = folder.join(form.text()?);
     let fault = |why: String| form.fault(format!("{}: {why}", path.display()));
--- a/crates/load-generator/src/plot.rs
+++ b/crates/load-generator/src/plot.rs
@@ -1,69 +1,114 @@
-//! A run as a picture: what was meant, what was placed, and the slowest answer of each second.
+//! Draws a report as an SVG picture: what was intended, what was placed, and the slowest reply of
+//! each second.
 
 use crate::tally::{Report, Second};
+use plotters::coord::Shift;
 use plotters::prelude::*;
-use std::path::Path;
+use std::path::{Path, PathBuf};
+
+/// Size of the picture, in pixels.
+const SIZE: (u32, u32) = (900, 640);
+/// Height of the upper chart, in pixels.
+const UPPER_HEIGHT: u32 = 320;
+
+/// A report could not be drawn.
+#[derive(Debug, thiserror::Error)]
+#[error("{}: {source}", path.display())]
+pub struct PlotError {
+    /// The picture's file.
+    pub path: PathBuf,
+    /// What the drawing library says.
+    pub source: Box<dyn std::error::Error + Send + Sync>,
+}
+
+type Drawn = Result<(), Box<dyn std::error::Error + Send + Sync>>;
+type Area<'a> = DrawingArea<SVGBackend<'a>, Shift>;
 
-type DrawError = Box<dyn std::error::Error>;
 /// A line's name, its colour, and what it shows of a second.
-type Line = (&'static str, RGBColor, fn(&Second) -> u64);
+struct Line {
+    name: &'static str,
+    colour: RGBColor,
+    value: fn(&Second) -> u64,
+}
 
-/// Two charts above each other, by seconds of intended time.
-pub fn draw(report: &Report, path: &Path) -> Result<(), String> {
-    charts(report, path).map_err(|why| format!("{}: {why}", path.display()))
+/// Draws two charts above each other, by seconds of intended time.
+pub fn draw(report: &Report, path: &Path) -> Result<(), PlotError> {
+    charts(report, path).map_err(|source| PlotError {
+        path: path.into(),
+        source,
+    })
 }
 
-fn charts(report: &Report, path: &Path) -> Result<(), DrawError> {
-    let root = SVGBackend::new(path, (900, 640)).into_drawing_area();
+fn charts(report: &Report, path: &Path) -> Drawn {
+    let root = SVGBackend::new(path, SIZE).into_drawing_area();
     root.fill(&WHITE)?;
-    let (upper, lower) = root.split_vertically(320);
-    let seconds = &report.seconds;
-    let last = seconds.last().map_or(1, |second| second.at + 1) as f64;
-    let most = seconds
-        .iter()
-        .map(|second| second.intended)
-        .max()
-        .unwrap_or(1)
-        .max(1) as f64;
-    let mut chart = ChartBuilder::on(&upper)
+    let (upper, lower) = root.split_vertically(UPPER_HEIGHT);
+    let end = report.seconds.last().map_or(1, |second| second.at + 1) as f64;
+    rates(&report.seconds, end, &upper)?;
+    slowest_replies(&report.seconds, end, &lower)?;
+    root.present()?;
+    Ok(())
+}
+
+/// Requests per second: intended, and by how they ended.
+fn rates(seconds: &[Second], end: f64, area: &Area) -> Drawn {
+    let lines = [
+        Line {
+            name: "intended",
+            colour: BLACK,
+            value: |second| second.intended,
+        },
+        Line {
+            name: "placed",
+            colour: RGBColor(40, 120, 60),
+            value: |second| second.placed,
+        },
+        Line {
+            name: "refused",
+            colour: RGBColor(210, 130, 0),
+            value: |second| second.rejected,
+        },
+        Line {
+            name: "lost",
+            colour: RED,
+            value: |second| second.lost,
+        },
+    ];
+    let highest = seconds.iter().map(|second| second.intended).max();
+    let highest = highest.unwrap_or(1).max(1) as f64;
+    let mut chart = ChartBuilder::on(area)
         .caption("asks a second, by intended time", ("sans-serif", 16))
         .margin(10)
         .x_label_area_size(24)
         .y_label_area_size(60)
-        .build_cartesian_2d(0.0..last, 0.0..most * 1.1)?;
+        .build_cartesian_2d(0.0..end, 0.0..highest * 1.1)?;
     chart
         .configure_mesh()
         .light_line_style(WHITE)
         .x_desc("s")
         .draw()?;
-    let lines: [Line; 4] = [
-        ("intended", BLACK, |second| second.intended),
-        ("placed", RGBColor(40, 120, 60), |second| second.placed),
-        ("refused", RGBColor(210, 130, 0), |second| second.rejected),
-        ("lost", RED, |second| second.lost),
-    ];
-    for (name, colour, of) in lines {
+    for line in lines {
         let points = seconds
             .iter()
-            .map(|second| (second.at as f64 + 0.5, of(second) as f64));
-        let drawn = chart.draw_series(LineSeries::new(points, colour.stroke_width(2)))?;
+            .map(|second| (second.at as f64 + 0.5, (line.value)(second) as f64));
+        let drawn = chart.draw_series(LineSeries::new(points, line.colour.stroke_width(2)))?;
         drawn
-            .label(name)
-            .legend(move |(x, y)| PathElement::new([(x, y), (x + 14, y)], colour));
+            .label(line.name)
+            .legend(move |(x, y)| PathElement::new([(x, y), (x + 14, y)], line.colour));
     }
     chart
         .configure_series_labels()
         .background_style(WHITE.mix(0.8))
         .border_style(BLACK)
         .draw()?;
-    let slowest = seconds
-        .iter()
-        .map(|second| second.slowest_us)
-        .max()
-        .unwrap_or(1)
-        .max(1) as f64
-        / 1_000.0;
-    let mut chart = ChartBuilder::on(&lower)
+    Ok(())
+}
+
+/// The slowest reply of each second, in ms from its intended time.
+fn slowest_replies(seconds: &[Second], end: f64, area: &Area) -> Drawn {
+    let slowest_us = seconds.iter().map(|second| second.slowest_us).max();
+    let slowest = slowest_us.unwrap_or(1).max(1) as f64 / 1_000.0;
+    let mut chart = ChartBuilder::on(area)
         .caption(
             "slowest answer, ms from its intended time",
             ("sans-serif", 16),
@@ -71,7 +116,7 @@
         .margin(10)
         .x_label_area_size(24)
         .y_label_area_size(60)
-        .build_cartesian_2d(0.0..last, 0.0..slowest * 1.1)?;
+        .build_cartesian_2d(0.0..end, 0.0..slowest * 1.1)?;
     chart
         .configure_mesh()
         .light_line_style(WHITE)
@@ -88,6 +133,5 @@
         )
     });
     chart.draw_series(bars)?;
-    root.present()?;
     Ok(())
 }
--- a/crates/load-generator/src/run.rs
+++ b/crates/load-generator/src/run.rs
@@ -1,249 +1,213 @@
-//! Sends a load over real links and counts what comes back.
+//! Sends a load over real connections and records what comes back.
 
+use crate::connections::Connections;
 use crate::mix::Mix;
 use crate::plan::Plan;
 use crate::tally::{Outcome, Report, RequestRecord, Tally};
 use async_io::Timer;
 use corkspan_api::v1::{self, placement_client::PlacementClient, placement_event::Event};
-use corkspan_rpc::{Bounds, Link, Tasks, within};
+use corkspan_rpc::{Tasks, within};
 use std::net::SocketAddr;
-use std::sync::{Arc, Mutex, PoisonError};
-use std::time::{Duration, Instant};
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// An answer is waited for this much longer than its client would.
-const ANSWER_GRACE: Duration = Duration::from_secs(2);
+/// A reply is waited for this much longer than its client would wait.
+const REPLY_GRACE: Duration = Duration::from_secs(2);
+/// A call is held open this much longer than what it placed is to run.
+const RUN_GRACE: Duration = Duration::from_secs(60);
+/// Between two looks at whether the last replies are there.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Why a load was not sent.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
+    /// There is nobody to send it to.
     #[error("no dispatcher is named")]
     NoDispatcher,
-    #[error("{0}: {1}")]
-    Connect(SocketAddr, corkspan_rpc::NoLink),
+    /// A dispatcher can't be reached.
+    #[error("{dispatcher}: {source}")]
+    Connect {
+        /// Its address.
+        dispatcher: SocketAddr,
+        /// What stood in the way.
+        source: corkspan_rpc::NoLink,
+    },
 }
 
-/// How asks follow each other.
+/// When the next request is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Loop {
+    /// At its intended time, whatever the replies do.
     Open,
-    /// So many clients, each of which asks again as soon as it has its answer, for as long as the
-    /// load lasts. For comparison alone: its figures leave out whatever nobody was there to
-    /// ask.
+    /// This many clients each send the next request as soon as they have their reply, for as long
+    /// as the load lasts. For comparison alone: its figures leave out the requests that nobody was
+    /// there to send.
     Closed(usize),
 }
 
-struct DispatcherConnections {
-    to: SocketAddr,
-    pool: Vec<Mutex<Link>>,
+/// A load to send.
+#[derive(Clone, Debug)]
+pub struct LoadRun {
+    /// What is sent, and when.
+    pub plan: Plan,
+    /// Addresses of the dispatchers, which are taken in turn.
+    pub dispatchers: Vec<SocketAddr>,
+    /// When the next request is sent.
+    pub mode: Loop,
+    /// The time that the plan's times count from.
+    pub began: Instant,
 }
 
-/// Where asks leave: one dispatcher after the other, one link after the other.
-struct Connections {
-    tasks: Tasks,
-    bounds: Bounds,
-    all: Vec<DispatcherConnections>,
+/// What a request placed.
+struct Placed {
+    /// Ends when what was placed does.
+    replies: tonic::Streaming<v1::PlacementEvent>,
+    lifetime: Duration,
 }
 
-impl Connections {
-    async fn open(tasks: &Tasks, to: &[SocketAddr], links: usize) -> Result<Self, RunError> {
-        let bounds = Bounds {
-            connect_within: Duration::from_secs(5),
-            ..Bounds::default()
-        };
-        let mut all = Vec::new();
-        for &to in to {
-            let mut own = Vec::new();
-            for _ in 0..links {
-                let link = Link::open(tasks, to, &bounds)
-                    .await
-                    .map_err(|why| RunError::Connect(to, why))?;
-                own.push(Mutex::new(link));
-            }
-            all.push(DispatcherConnections { to, pool: own });
-        }
-        match all.is_empty() {
-            true => Err(RunError::NoDispatcher),
-            false => Ok(Connections {
-                tasks: Arc::clone(tasks),
-                bounds,
-                all,
-            }),
-        }
-    }
-
-    /// The link of this ask; one that broke is opened anew, once.
-    async fn link(&self, number: usize) -> Option<Link> {
-        let dispatcher = &self.all[number % self.all.len()];
-        let place = &dispatcher.pool[number / self.all.len() % dispatcher.pool.len()];
-        let link = place.lock().unwrap_or_else(PoisonError::into_inner).clone();
-        if link.stands() {
-            return Some(link);
-        }
-        let fresh = Link::open(&self.tasks, dispatcher.to, &self.bounds)
-            .await
-            .ok()?;
-        *place.lock().unwrap_or_else(PoisonError::into_inner) = fresh.clone();
-        Some(fresh)
+impl Placed {
+    /// Holds the call open: to end it would say that the allocation is not wanted any more.
+    async fn hold_open(mut self) {
+        let rest = async { while let Ok(Some(_)) = self.replies.message().await {} };
+        within(self.lifetime + RUN_GRACE, Box::pin(rest)).await;
     }
 }
 
+/// A run in progress.
 struct RunContext {
     plan: Plan,
     connections: Connections,
     began: Instant,
-    /// Names of this run's asks are no other run's.
-    run: u64,
+    /// Sets the task names of this run apart from those of others.
+    run_id: u64,
     tally: Mutex<Tally>,
+    /// One more reference than requests without a reply.
     in_flight: Arc<()>,
 }
 
 impl RunContext {
-    fn record(&self, request: &RequestRecord) {
-        self.tally
-            .lock()
-            .unwrap_or_else(PoisonError::into_inner)
-            .record(request);
+    fn tally(&self) -> MutexGuard<'_, Tally> {
+        self.tally.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// One ask up to its answer; what was placed lives on for as long as its words are listened to.
+    fn request(&self, number: usize, kind: usize, service: u32) -> v1::PlacementRequest {
+        let kind = &self.plan.kinds[kind];
+        let name = format!("load-{:x}-{number}", self.run_id);
+        v1::PlacementRequest {
+            placement_id: name.clone(),
+            task: name,
+            service: format!("{}-{service}", kind.service_class),
+            service_class: kind.service_class.clone(),
+            tenant: kind.tenant.clone(),
+            cores: kind.cores,
+            memory: kind.memory,
+            expected_duration_ms: kind.lifetime_ms,
+            deadline_ms: kind.abandon_ms,
+            retry: false,
+        }
+    }
+
+    /// Sends one request and records its outcome. Returns what it placed, if anything.
     async fn send_request(
         &self,
         number: usize,
         kind: usize,
         service: u32,
         intended: Duration,
-    ) -> Option<(tonic::Streaming<v1::PlacementEvent>, Duration)> {
-        let own = &self.plan.kinds[kind];
-        let name = format!("load-{:x}-{number}", self.run);
-        let ask = v1::PlacementRequest {
-            placement_id: name.clone(),
-            task: name,
-            service: format!("{}-{service}", own.service_class),
-            service_class: own.service_class.clone(),
-            tenant: own.tenant.clone(),
-            cores: own.cores,
-            memory: own.memory,
-            expected_duration_ms: own.lifetime_ms,
-            deadline_ms: own.abandon_ms,
-            retry: false,
-        };
+    ) -> Option<Placed> {
+        let request = self.request(number, kind, service);
+        let lifetime = Duration::from_millis(request.expected_duration_ms);
+        let timeout = Duration::from_millis(request.deadline_ms) + REPLY_GRACE;
         let sent = self.began.elapsed();
-        let answer = async {
+        let reply = async {
             let link = self.connections.link(number).await?;
-            let mut words = PlacementClient::new(link)
-                .place(ask)
-                .await
-                .ok()?
-                .into_inner();
-            let first = words.message().await.ok()??.event?;
-            Some((first, words))
+            let mut client = PlacementClient::new(link);
+            let mut replies = client.place(request).await.ok()?.into_inner();
+            let first = replies.message().await.ok()??.event?;
+            Some((first, replies))
         };
-        let latest = Duration::from_millis(own.abandon_ms) + ANSWER_GRACE;
-        let answer = within(latest, Box::pin(answer)).await.flatten();
+        let reply = within(timeout, Box::pin(reply)).await.flatten();
         let answered = self.began.elapsed();
-        let outcome = match &answer {
+        let outcome = match &reply {
             Some((Event::Placed(_), _)) => Outcome::Placed,
             Some((Event::Rejected(_), _)) => Outcome::Rejected,
             Some((Event::Failed(_), _)) => Outcome::Failed,
             _ => Outcome::Unanswered,
         };
-        self.record(&RequestRecord {
+        self.tally().record(&RequestRecord {
             kind,
             intended,
             sent,
             answered,
             outcome,
         });
-        let life = Duration::from_millis(own.lifetime_ms);
-        answer
+        reply
             .filter(|_| outcome == Outcome::Placed)
-            .map(|(_, words)| (words, life))
+            .map(|(_, replies)| Placed { replies, lifetime })
     }
-}
 
-/// To end the call would be to say that the allocation is not wanted.
-async fn hold_open(mut words: tonic::Streaming<v1::PlacementEvent>, life: Duration) {
-    let rest = async { while let Ok(Some(_)) = words.message().await {} };
-    within(life + Duration::from_secs(60), Box::pin(rest)).await;
+    /// Waits until every request has its outcome, or the longest that any may take is over.
+    async fn drain(&self) {
+        let longest_ms = self.plan.kinds.iter().map(|kind| kind.abandon_ms).max();
+        let longest = Duration::from_millis(longest_ms.unwrap_or(0)) + 2 * REPLY_GRACE;
+        let latest = Instant::now() + longest;
+        let started = self.tally().started();
+        while self.tally().recorded() < started && Instant::now() < latest {
+            Timer::after(DRAIN_POLL_INTERVAL).await;
+        }
+    }
 }
 
-/// Sends a load, its times counted from `began` on, and waits for its last answer. `tell` is called
-/// each second with how far it is.
+/// Sends a load and waits for its last reply. `progress` is called each second with the time since
+/// the beginning and the number of requests sent.
 pub async fn run(
     tasks: &Tasks,
-    plan: Plan,
-    to: &[SocketAddr],
-    model: Loop,
-    began: Instant,
+    load: LoadRun,
     mut progress: impl FnMut(Duration, usize),
 ) -> Result<Report, RunError> {
-    let connections = Connections::open(tasks, to, plan.connections).await?;
+    let plan = load.plan;
+    let connections = Connections::open(tasks, &load.dispatchers, plan.connections).await?;
     let (names, duration) = (plan.names(), plan.shape.duration());
-    let run = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
-    let run = run.map_or(0, |since| since.as_micros() as u64);
-    let tally = Mutex::new(Tally::new(plan.kinds.len()));
+    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
     let context = Arc::new(RunContext {
+        tally: Mutex::new(Tally::new(plan.kinds.len())),
         plan,
         connections,
-        began,
-        run,
-        tally,
+        began: load.began,
+        run_id: since_epoch.map_or(0, |since| since.as_micros() as u64),
         in_flight: Arc::new(()),
     });
-    match model {
+    match load.mode {
         Loop::Open => open(tasks, &context, &mut progress).await,
         Loop::Closed(clients) => closed(tasks, &context, clients, duration).await,
     }
-    // Lives go on after the last answer: they are let go with the links.
-    let latest = context
-        .plan
-        .kinds
-        .iter()
-        .map(|kind| kind.abandon_ms)
-        .max()
-        .unwrap_or(0);
-    let latest = Instant::now() + Duration::from_millis(latest) + 2 * ANSWER_GRACE;
-    let all = || {
-        let tally = context.tally.lock().unwrap_or_else(PoisonError::into_inner);
-        tally.recorded()
-    };
-    let sent = context
-        .tally
-        .lock()
-        .unwrap_or_else(PoisonError::into_inner)
-        .started();
-    while all() < sent && Instant::now() < latest {
-        Timer::after(Duration::from_millis(10)).await;
-    }
-    let tally = context.tally.lock().unwrap_or_else(PoisonError::into_inner);
-    Ok(tally.report(&names, duration))
+    // What was placed may run on after the last reply: it ends with the connections.
+    context.drain().await;
+    Ok(context.tally().report(&names, duration))
 }
 
+/// Sends each request at its intended time.
 async fn open(
     tasks: &Tasks,
     context: &Arc<RunContext>,
     progress: &mut impl FnMut(Duration, usize),
 ) {
     let mut mix = Mix::new(&context.plan.kinds, context.plan.seed);
-    let mut reported = 0;
+    let mut reported_second = 0;
     for (number, intended) in context.plan.shape.arrivals(context.plan.seed).enumerate() {
         let (kind, service) = mix.draw();
         let due = context.began + intended;
         if due > Instant::now() {
             Timer::at(due).await;
         }
-        if intended.as_secs() > reported {
-            reported = intended.as_secs();
+        if intended.as_secs() > reported_second {
+            reported_second = intended.as_secs();
             progress(intended, number);
         }
-        context
-            .tally
-            .lock()
-            .unwrap_or_else(PoisonError::into_inner)
-            .start();
+        context.tally().start();
         if Arc::strong_count(&context.in_flight) > context.plan.max_in_flight {
             let at = context.began.elapsed();
-            context.record(&RequestRecord {
+            context.tally().record(&RequestRecord {
                 kind,
                 intended,
                 sent: at,
@@ -253,46 +217,42 @@
             continue;
         }
         let (context, in_flight) = (Arc::clone(context), Arc::clone(&context.in_flight));
-        let ask = async move {
+        let request = async move {
             let placed = context.send_request(number, kind, service, intended).await;
             drop((in_flight, context));
-            if let Some((words, life)) = placed {
-                hold_open(words, life).await;
+            if let Some(placed) = placed {
+                placed.hold_open().await;
             }
         };
-        tasks.spawn(ask).detach();
+        tasks.spawn(request).detach();
     }
 }
 
+/// Lets this many clients send one request after the other.
 async fn closed(tasks: &Tasks, context: &Arc<RunContext>, clients: usize, duration: Duration) {
     let clients: Vec<_> = (0..clients)
         .map(|client| {
-            let (context, own) = (Arc::clone(context), Arc::clone(tasks));
-            tasks.spawn(async move {
-                let seed = context.plan.seed ^ (client as u64) << 32;
-                let kinds = context.plan.kinds.clone();
-                let mut mix = Mix::new(&kinds, seed);
-                let mut number = client << 32;
-                while context.began.elapsed() < duration {
-                    let (kind, service) = mix.draw();
-                    context
-                        .tally
-                        .lock()
-                        .unwrap_or_else(PoisonError::into_inner)
-                        .start();
-                    // Meant to go out when it does: that is what is wrong with it.
-                    let intended = context.began.elapsed();
-                    if let Some((words, life)) =
-                        context.send_request(number, kind, service, intended).await
-                    {
-                        own.spawn(hold_open(words, life)).detach();
-                    }
-                    number += 1;
-                }
-            })
+            let client = closed_client(Arc::clone(tasks), Arc::clone(context), client, duration);
+            tasks.spawn(client)
         })
         .collect();
     for client in clients {
         client.await;
     }
 }
+
+async fn closed_client(tasks: Tasks, context: Arc<RunContext>, client: usize, duration: Duration) {
+    let seed = context.plan.seed ^ (client as u64) << 32;
+    let mut mix = Mix::new(&context.plan.kinds, seed);
+    let mut number = client << 32;
+    while context.began.elapsed() < duration {
+        let (kind, service) = mix.draw();
+        context.tally().start();
+        // Intended when it is sent: that is what is wrong with a closed loop.
+        let intended = context.began.elapsed();
+        if let Some(placed) = context.send_request(number, kind, service, intended).await {
+            tasks.spawn(placed.hold_open()).detach();
+        }
+        number += 1;
+    }
+}
--- a/crates/load-generator/src/shape.rs
+++ b/crates/load-generator/src/shape.rs
@@ -1,35 +1,42 @@
-//! When asks go out: rates over time, and the times that they come to.
+//! When requests are sent: rates over time, and the times that they come to.
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::time::Duration;
 
-/// A stretch of time with a rate that stays or moves evenly, in asks a second.
+/// A stretch of time with a constant or evenly changing rate, in requests per second.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Phase {
+    /// How long it takes.
     pub duration: Duration,
+    /// Rate at its beginning.
     pub from: f64,
+    /// Rate at its end.
     pub to: f64,
-    /// Asks that all come at its beginning, on top.
+    /// Requests that are all sent at its beginning, on top.
     pub burst: u32,
 }
 
+/// How requests are spaced at a rate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Spacing {
-    /// As even as the rate allows.
+    /// As evenly as the rate allows.
     Even,
-    /// By chance: each ask comes whatever the others do.
+    /// By chance: each request is independent of the others.
     Poisson,
 }
 
+/// When requests are sent.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Shape {
+    /// At a rate, one phase after the other.
     Phases(Vec<Phase>, Spacing),
-    /// Times since the beginning, in order.
+    /// At recorded times since the beginning, in order.
     Recorded(Vec<Duration>),
 }
 
 impl Shape {
+    /// How long the load lasts.
     pub fn duration(&self) -> Duration {
         match self {
             Shape::Phases(phases, _) => phases.iter().map(|phase| phase.duration).sum(),
@@ -37,7 +44,7 @@
         }
     }
 
-    /// The times at which asks go out, in order; the same for the same seed.
+    /// The times at which requests are sent, in order; the same for the same seed.
     pub fn arrivals(&self, seed: u64) -> Arrivals<'_> {
         Arrivals {
             shape: self,
@@ -53,13 +60,15 @@
     }
 }
 
+/// The times at which requests are sent, since the beginning.
 pub struct Arrivals<'a> {
     shape: &'a Shape,
     rng: Pcg64Mcg,
     /// The phase, or the next of the recorded times.
     index: usize,
-    /// Seconds since the phase began, and when that was.
+    /// Seconds since the phase began.
     at: f64,
+    /// When the phase began, in seconds.
     began: f64,
     left_in_burst: u32,
 }
@@ -79,7 +88,7 @@
             self.left_in_burst -= 1;
             return Some(Duration::from_secs_f64(self.began));
         }
-        // So much must come together of rate times time: one ask's worth, or as chance has it.
+        // The integral of the rate until the next request: 1, or an exponential draw.
         let mut needed = match spacing {
             Spacing::Even => 1.0,
             Spacing::Poisson => -(1.0 - self.rng.random::<f64>()).ln(),
@@ -110,7 +119,7 @@
     }
 }
 
-/// How long until so much has come together, at a rate that grows so.
+/// Time until the integral of a rate that changes by `slope` comes to `needed`.
 fn time_for(needed: f64, rate: f64, slope: f64) -> f64 {
     if slope.abs() < 1e-12 {
         return needed / rate;
--- a/crates/load-generator/src/tally.rs
+++ b/crates/load-generator/src/tally.rs
@@ -1,42 +1,50 @@
-//! What came of a load: latencies from the intended send time, by kind and second, and the
-//! generator's own lag.
+//! What came of a load: latencies from the intended send time, by kind and second, and the lag of
+//! the generator itself.
 
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How an ask ended.
+/// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
+    /// It was placed.
     Placed,
     /// Rejected, certain to have had no effect.
     #[serde(rename = "refused")]
     Rejected,
+    /// It failed, and may have run.
     Failed,
-    /// No final answer: the link broke, or the owner's time was up.
+    /// No final reply: the connection broke, or the client's time was up.
     Unanswered,
-    /// Not sent: as many asks were under way as may be. The intended load was not offered.
+    /// Not sent, since too many requests were in flight: the intended load was not offered.
     NotSent,
 }
 
-/// One ask, by times since the beginning.
+/// One request. Its times count from the beginning of the load.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestRecord {
+    /// Index of its kind of work.
     pub kind: usize,
+    /// When it was to be sent.
     pub intended: Duration,
+    /// When it was sent.
     pub sent: Duration,
+    /// When its reply came, or was no longer waited for.
     pub answered: Duration,
+    /// How it ended.
     pub outcome: Outcome,
 }
 
-/// A generator whose asks leave so late, at the 99th percentile, has not offered the load that it
-/// was to.
+/// A generator that lags by more than this, at the 99th percentile, has not offered the intended
+/// load.
 pub const MAX_LAG: Duration = Duration::from_millis(10);
 
+/// Counts outcomes and latencies as a load runs.
 pub struct Tally {
-    /// By kind, of answered asks.
+    /// Latencies by kind, of requests that were sent.
     from_intended: Vec<Histogram<u64>>,
     from_sent: Vec<Histogram<u64>>,
     lag: Histogram<u64>,
@@ -49,50 +57,68 @@
 /// One second of intended time.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Second {
+    /// Its number, from 0.
     pub at: u64,
+    /// Requests that were to be sent in it.
     pub intended: u64,
+    /// Of those, requests that were placed.
     pub placed: u64,
+    /// Of those, requests that were rejected.
     #[serde(rename = "refused")]
     pub rejected: u64,
+    /// Of those, requests that failed, had no reply or were not sent.
     pub lost: u64,
-    /// Slowest answer, from its intended time.
+    /// Latency of the slowest reply from its intended time, µs.
     pub slowest_us: u64,
 }
 
-/// Quantiles, µs.
+/// Quantiles of a latency, µs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Quantiles {
+    /// Values that it was taken of.
     pub count: u64,
+    /// Median.
     pub p50: u64,
+    /// 99th percentile.
     pub p99: u64,
+    /// 99.9th percentile.
     pub p999: u64,
+    /// Highest value.
     #[serde(rename = "most")]
     pub max: u64,
 }
 
-/// All of it, to keep.
+/// What came of a load. Stored as JSON.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Report {
+    /// By kind of work.
     pub kinds: Vec<KindReport>,
-    /// From the time that an ask was to go out until it did.
+    /// The generator's lag: from the intended time of a request until it was sent.
     pub lag: Quantiles,
+    /// Requests per second that were to be sent.
     #[serde(rename = "intended_a_second")]
     pub intended_per_second: f64,
+    /// Requests per second that were sent.
     #[serde(rename = "sent_a_second")]
     pub sent_per_second: f64,
-    /// The generator did not keep up: what it tells is not the dispatcher's alone.
+    /// The generator did not keep up: the figures are not the dispatcher's alone.
     #[serde(rename = "behind")]
     pub fell_behind: bool,
+    /// By second of intended time.
     pub seconds: Vec<Second>,
 }
 
+/// What came of one kind of work.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct KindReport {
+    /// Service class and tenant.
     pub name: String,
+    /// Requests by how they ended.
     #[serde(rename = "fates")]
     pub outcomes: BTreeMap<Outcome, u64>,
+    /// Latency from the intended time.
     pub from_intended: Quantiles,
-    /// What a client sees that counts from its own send: for comparison.
+    /// Latency from the time of sending, as a waiting client would see it: for comparison.
     pub from_sent: Quantiles,
 }
 
@@ -116,6 +142,7 @@
 }
 
 impl Tally {
+    /// An empty tally of this many kinds.
     pub fn new(kinds: usize) -> Self {
         Tally {
             from_intended: (0..kinds).map(|_| histogram()).collect(),
@@ -128,19 +155,22 @@
         }
     }
 
-    /// One is due, and will be counted.
+    /// A request is due, and will be recorded.
     pub fn start(&mut self) {
         self.started += 1;
     }
 
+    /// Requests that were due.
     pub fn started(&self) -> u64 {
         self.started
     }
 
+    /// Requests that were recorded.
     pub fn recorded(&self) -> u64 {
         self.seconds.values().map(|second| second.intended).sum()
     }
 
+    /// Records how a request ended.
     pub fn record(&mut self, request: &RequestRecord) {
         let at = request.intended.as_secs();
         let second = self.seconds.entry(at).or_insert_with(|| Second {
@@ -165,14 +195,14 @@
             Outcome::Rejected => second.rejected += 1,
             Outcome::Failed | Outcome::Unanswered | Outcome::NotSent => second.lost += 1,
         }
-        // One without an answer took at least as long as it was waited for: left out, it would
+        // One without a reply took at least as long as it was waited for: to leave it out would
         // flatter.
         self.from_intended[request.kind].saturating_record(late);
         self.from_sent[request.kind]
             .saturating_record(micros(request.answered.saturating_sub(request.sent)));
     }
 
-    /// `lasts`: of the load as intended.
+    /// The report so far. `names` are the kinds', `duration` is the load's as intended.
     pub fn report(&self, names: &[String], duration: Duration) -> Report {
         let kinds = names.iter().enumerate().map(|(kind, name)| KindReport {
             name: name.clone(),
@@ -232,17 +262,17 @@
                 count(Outcome::Unanswered),
                 count(Outcome::NotSent)
             )?;
-            for (from, own) in [
+            for (from, latency) in [
                 ("intended time", kind.from_intended),
                 ("send", kind.from_sent),
             ] {
                 writeln!(
                     f,
                     "  from {from:<13} p50 {:9.1} ms, p99 {:9.1}, p99.9 {:9.1}, most {:9.1}",
-                    ms(own.p50),
-                    ms(own.p99),
-                    ms(own.p999),
-                    ms(own.max)
+                    ms(latency.p50),
+                    ms(latency.p99),
+                    ms(latency.p999),
+                    ms(latency.max)
                 )?;
             }
         }
