--- a/crates/load-generator/tests/stories.rs
+++ b/crates/load-generator/tests/load.rs
@@ -1,4 +1,4 @@
-//! When asks go out and what is counted of them, one story for each way that a load can lie.
+//! When requests are sent and what is counted of them: a case for each way that a load can mislead.
 
 use corkspan_load_generator::compare::{Verdict, compare};
 use corkspan_load_generator::mix::{Mix, WorkloadKind};
@@ -72,7 +72,7 @@
 
 proptest! {
     #[test]
-    fn arrivals_are_in_order_within_their_time_and_as_many_as_meant(
+    fn arrivals_are_in_order_within_their_time_and_as_many_as_intended(
         rates in prop::collection::vec((0.0..500.0f64, 0.0..500.0f64, 1..4u64, 0..50u32), 1..6),
         seed in any::<u64>(),
     ) {
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn an_ask_that_leaves_late_is_counted_from_when_it_was_meant_to() {
+fn a_request_sent_late_is_counted_from_its_intended_time() {
     let mut tally = Tally::new(1);
     (0..100).for_each(|at| tally.record(&request(at * 10, 1_000, 1_005, Outcome::Placed)));
     let report = tally.report(&["web".into()], ms(1_000));
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn what_was_never_answered_or_never_sent_is_not_left_out() {
+fn requests_without_a_reply_or_never_sent_are_counted() {
     let mut tally = Tally::new(1);
     (0..98).for_each(|at| tally.record(&request(at, at, at + 1, Outcome::Placed)));
     tally.record(&request(98, 98, 8_098, Outcome::Unanswered));
@@ -158,7 +158,7 @@
 #[test_case("(life 1 s)", "", "lacks `(life …)`"; "no life")]
 #[test_case("(phases", "(recorded \"no.csv\") (phases", "either"; "two shapes")]
 #[test_case("(phases (constant (for 1 s) (rate 50)))", "(recorded \"no.csv\")", "no.csv"; "no such file")]
-fn a_plan_that_is_none_is_told_with_its_place(from: &str, to: &str, why: &str) {
+fn a_faulty_load_file_is_refused_with_the_place_of_the_fault(from: &str, to: &str, why: &str) {
     let fault = Plan::read("p", &PLAN.replace(from, to), Path::new(""))
         .map(drop)
         .expect_err("a fault")
@@ -171,7 +171,7 @@
 #[test_case("ms\n5\n4\n", Err("line 3: before the line above it"); "out of order")]
 #[test_case("ms\n5\nx\n", Err("line 3: `x` is no time"); "no time")]
 #[test_case("s\n5\n", Err("lacks a column"); "no column")]
-fn recorded_times(text: &str, wanted: Result<usize, &str>) {
+fn recorded_times_are_read_in_order(text: &str, wanted: Result<usize, &str>) {
     let folder = tempfile::tempdir().expect("a folder");
     std::fs::write(folder.path().join("times.csv"), text).expect("written");
     let plan = PLAN.replace(
@@ -180,7 +180,7 @@
     );
     let read = Plan::read("p", &plan, folder.path()).map_err(|why| why.to_string());
     match (read, wanted) {
-        (Ok(plan), Ok(many)) => assert_eq!(plan.shape.arrivals(1).count(), many),
+        (Ok(plan), Ok(count)) => assert_eq!(plan.shape.arrivals(1).count(), count),
         (Err(why), Err(wanted)) => assert!(why.contains(wanted), "{why}"),
         (read, wanted) => panic!("{read:?}, not {wanted:?}"),
     }
@@ -189,7 +189,7 @@
 #[test_case(10.0, Verdict::Worse; "10 more on each")]
 #[test_case(-10.0, Verdict::Better; "10 less on each")]
 #[test_case(0.0, Verdict::CanNotTell; "the same")]
-fn a_difference_is_told_apart_from_days_that_differ_far_more(more: f64, verdict: Verdict) {
+fn a_difference_is_found_among_days_that_differ_far_more(more: f64, verdict: Verdict) {
     // Days between 100 and 500, each variant off by up to 5 of its own.
     let noise = |at: usize| ((at * 7919) % 11) as f64 - 5.0;
     let pairs: Vec<(f64, f64)> = (0..10)
@@ -204,19 +204,19 @@
     assert_eq!(
         compare(&pairs[..4], 1).verdict,
         Verdict::CanNotTell,
-        "four days tell nothing"
+        "four days allow no verdict"
     );
 }
 
 #[test]
-fn two_equal_variants_are_seldom_told_apart() {
+fn two_equal_variants_are_seldom_found_to_differ() {
     let mut rng = Pcg64Mcg::seed_from_u64(1);
-    let told = (0..200).filter(|&round| {
+    let found = (0..200).filter(|&round| {
         let pairs: Vec<(f64, f64)> = (0..10)
             .map(|_| (rng.random::<f64>(), rng.random::<f64>()))
             .collect();
         compare(&pairs, round).verdict != Verdict::CanNotTell
     });
-    let told = told.count();
-    assert!(told <= 30, "{told} of 200, where 10 are meant to be");
+    let found = found.count();
+    assert!(found <= 30, "{found} of 200, where 10 are meant to be");
 }
