--- a/crates/cli/src/lib.rs
+++ b/crates/cli/src/lib.rs
@@ -8,7 +8,7 @@
     self, placement_client::PlacementClient, placement_event::Event as Said,
     rolls_client::RollsClient, versions_client::VersionsClient,
 };
-use corkspan_config::version::Texts;
+use corkspan_config::version::SharedParts;
 use corkspan_config::{Deployment, schema, sexp};
 use corkspan_dispatcher::config_stream::ACTIVE_VERSION_NUMBER;
 use corkspan_rpc::{Bounds, Link, Tasks, within};
@@ -435,11 +435,11 @@
 
 fn schema(version_only: bool) -> Result<(), String> {
     let of = if version_only {
-        schema::Of::Version
+        schema::DocumentKind::Version
     } else {
-        schema::Of::File
+        schema::DocumentKind::File
     };
-    let text = serde_json::to_string_pretty(&schema::published(of)).map_err(text)?;
+    let text = serde_json::to_string_pretty(&schema::json_schema(of)).map_err(text)?;
     // Whoever pipes it into a pager may close it early.
     let _ = writeln!(std::io::stdout(), "{text}");
     Ok(())
@@ -502,8 +502,9 @@
         }),
         Control::Diff { dispatcher, file } => called(dispatcher, async |link| {
             let path = file.display().to_string();
-            let next = Texts::of(&path, &sexp::load(&file).map_err(text)?).map_err(text)?;
-            let now = Texts::of("in force", &status(link).await?.text).map_err(text)?;
+            let next =
+                SharedParts::parse(&path, &sexp::load(&file).map_err(text)?).map_err(text)?;
+            let now = SharedParts::parse("in force", &status(link).await?.text).map_err(text)?;
             let (changes, removed) = now.changes_to(&next);
             for name in removed
                 .iter()
--- a/crates/config-sync/src/compatibility.rs
+++ b/crates/config-sync/src/compatibility.rs
@@ -16,9 +16,9 @@
     in_use: impl Fn(ServiceClassId) -> usize,
 ) -> Vec<String> {
     let mut violations = restart_only_changes(current, next);
-    for (id, name) in current.tracks.iter().enumerate() {
+    for (id, name) in current.service_classes.iter().enumerate() {
         let allocations = in_use(ServiceClassId(id));
-        if !name.is_empty() && allocations > 0 && !next.tracks.contains(name) {
+        if !name.is_empty() && allocations > 0 && !next.service_classes.contains(name) {
             violations.push(format!(
                 "tracks/{name}: removed, and {allocations} allocations in hand are of it"
             ));
@@ -34,16 +34,17 @@
 /// and what nodes do. The names are those of the deployment file.
 fn restart_only_changes(current: &Deployment, next: &Deployment) -> Vec<String> {
     let (before, after) = (&current.cluster, &next.cluster);
-    let (bounds, next_bounds) = (&current.bounds, &next.bounds);
+    let (bounds, next_bounds) = (&current.limits, &next.limits);
     let same = [
         (
             "schedulers",
             before.scheduler_count == after.scheduler_count,
         ),
-        ("halls", current.halls == next.halls),
+        ("halls", current.zones == next.zones),
         (
             "kinds",
-            current.kinds == next.kinds && before.machine_types == after.machine_types,
+            current.machine_types == next.machine_types
+                && before.machine_types == after.machine_types,
         ),
         (
             "placed-when",
@@ -56,15 +57,21 @@
         ),
         (
             "bounds/connect-within",
-            bounds.connect_within == next_bounds.connect_within,
+            bounds.connect_timeout == next_bounds.connect_timeout,
         ),
         (
             "bounds/keep-alive",
-            bounds.keep_alive == next_bounds.keep_alive,
+            bounds.keep_alive_interval == next_bounds.keep_alive_interval,
+        ),
+        ("bounds/calls", bounds.max_calls == next_bounds.max_calls),
+        (
+            "bounds/links",
+            bounds.max_connections == next_bounds.max_connections,
+        ),
+        (
+            "bounds/message",
+            bounds.max_message_bytes == next_bounds.max_message_bytes,
         ),
-        ("bounds/calls", bounds.calls == next_bounds.calls),
-        ("bounds/links", bounds.links == next_bounds.links),
-        ("bounds/message", bounds.message == next_bounds.message),
     ];
     let changed = same.iter().filter(|(_, same)| !same);
     changed
@@ -111,7 +118,7 @@
 
 fn limit_changes(current: &Deployment, next: &Deployment) -> Vec<LimitChange> {
     let (before, after) = (&current.cluster, &next.cluster);
-    let (bounds, next_bounds) = (&current.bounds, &next.bounds);
+    let (bounds, next_bounds) = (&current.limits, &next.limits);
     vec![
         LimitChange::new(
             "accepts/cores",
@@ -135,13 +142,13 @@
         ),
         LimitChange::new(
             "bounds/in-hand",
-            bounds.in_hand as f64,
-            next_bounds.in_hand as f64,
+            bounds.max_allocations as f64,
+            next_bounds.max_allocations as f64,
         ),
         LimitChange::new(
             "bounds/offers-a-node",
-            bounds.offers_a_node as f64,
-            next_bounds.offers_a_node as f64,
+            bounds.max_offers_per_node as f64,
+            next_bounds.max_offers_per_node as f64,
         ),
     ]
 }
@@ -149,10 +156,10 @@
 /// Quotas. A removed tenant has none left.
 fn tenant_changes(current: &Deployment, next: &Deployment) -> Vec<LimitChange> {
     let quota = |tenant: &Tenant| tenant.quota_cores.unwrap_or(f64::INFINITY);
-    let named = std::iter::zip(&current.accounts, &current.cluster.tenants)
+    let named = std::iter::zip(&current.tenants, &current.cluster.tenants)
         .filter(|(name, _)| !name.is_empty());
     let changes = named.map(|(name, tenant)| {
-        let row = next.accounts.iter().position(|other| other == name);
+        let row = next.tenants.iter().position(|other| other == name);
         let after = row.map_or(0.0, |row| quota(&next.cluster.tenants[row]));
         LimitChange::new(format!("accounts/{name}"), quota(tenant), after)
     });
@@ -163,10 +170,10 @@
 fn class_changes(current: &Deployment, next: &Deployment) -> Vec<LimitChange> {
     let max_by_domain =
         |class: &ServiceClass| class.spread.map_or(f64::INFINITY, |(_, max)| max as f64);
-    let named = std::iter::zip(&current.tracks, &current.cluster.service_classes)
+    let named = std::iter::zip(&current.service_classes, &current.cluster.service_classes)
         .filter(|(name, _)| !name.is_empty());
     let changes = named.flat_map(|(name, class)| {
-        let Some(row) = next.tracks.iter().position(|other| other == name) else {
+        let Some(row) = next.service_classes.iter().position(|other| other == name) else {
             return vec![LimitChange::new(format!("tracks/{name}"), 1.0, 0.0)];
         };
         let after = &next.cluster.service_classes[row];
--- a/crates/config-sync/src/differences.rs
+++ b/crates/config-sync/src/differences.rs
@@ -6,8 +6,14 @@
 /// none.
 #[must_use]
 pub fn describe(current: &Deployment, next: &Deployment) -> Vec<String> {
-    let before = |name: &str| current.texts.get(name).unwrap_or("(absent)").to_string();
-    let (changes, removed) = current.texts.changes_to(&next.texts);
+    let before = |name: &str| {
+        current
+            .shared_parts
+            .get(name)
+            .unwrap_or("(absent)")
+            .to_string()
+    };
+    let (changes, removed) = current.shared_parts.changes_to(&next.shared_parts);
     let changed = changes
         .iter()
         .map(|(name, text)| format!("{} -> {text}", before(name)));
--- a/crates/config-sync/src/publisher.rs
+++ b/crates/config-sync/src/publisher.rs
@@ -1,7 +1,7 @@
 //! A control service's end of the stream: its versions, and what it knows of each subscriber.
 
 use crate::subscriber::{OfferedVersion, PushReply, Version, VersionPush};
-use corkspan_config::version::{Texts, VersionId};
+use corkspan_config::version::{SharedParts, VersionId};
 use std::collections::{BTreeMap, VecDeque};
 
 /// Versions that are remembered with their content, to make changes from. A subscriber that runs an
@@ -73,7 +73,7 @@
 impl Publisher {
     /// Publishes the next version. Its number is one more than the highest known, of this service
     /// or reported by a subscriber: a service that lost its state must not count from 1 again.
-    pub fn publish(&mut self, texts: Texts, allows_cuts: bool) -> VersionId {
+    pub fn publish(&mut self, texts: SharedParts, allows_cuts: bool) -> VersionId {
         let reported = self.subscribers.values().filter_map(|known| known.active);
         let highest = reported.chain(self.newest()).map(|id| id.number).max();
         let id = VersionId {
--- a/crates/config-sync/src/stable_ids.rs
+++ b/crates/config-sync/src/stable_ids.rs
@@ -35,8 +35,8 @@
     };
     Ok(Deployment {
         cluster,
-        tracks: classes.names,
-        accounts: tenants.names,
+        service_classes: classes.names,
+        tenants: tenants.names,
         ..next
     })
 }
@@ -47,10 +47,10 @@
     in_use: impl Fn(ServiceClassId) -> usize,
 ) -> Table<ServiceClass> {
     let mut table = Table {
-        names: current.tracks.clone(),
+        names: current.service_classes.clone(),
         rows: current.cluster.service_classes.clone(),
     };
-    for (name, class) in std::iter::zip(&next.tracks, &next.cluster.service_classes) {
+    for (name, class) in std::iter::zip(&next.service_classes, &next.cluster.service_classes) {
         match table.position(name) {
             Some(row) if table.rows[row].retry_safety == class.retry_safety => {
                 table.rows[row] = class.clone();
@@ -63,7 +63,7 @@
         table.insert(name, class, unused);
     }
     for name in &mut table.names {
-        if !next.tracks.contains(name) {
+        if !next.service_classes.contains(name) {
             name.clear();
         }
     }
@@ -74,17 +74,17 @@
 /// 0.
 fn assign_tenants(current: &Deployment, next: &Deployment) -> Table<Tenant> {
     let mut table = Table {
-        names: current.accounts.clone(),
+        names: current.tenants.clone(),
         rows: current.cluster.tenants.clone(),
     };
-    for (name, tenant) in std::iter::zip(&next.accounts, &next.cluster.tenants) {
+    for (name, tenant) in std::iter::zip(&next.tenants, &next.cluster.tenants) {
         match table.position(name) {
             Some(row) => table.rows[row] = tenant.clone(),
             None => table.insert(name, tenant, |_| false),
         }
     }
     for (name, tenant) in std::iter::zip(&mut table.names, &mut table.rows) {
-        if !next.accounts.contains(name) {
+        if !next.tenants.contains(name) {
             name.clear();
             tenant.quota_cores = Some(0.0);
         }
--- a/crates/config-sync/src/subscriber/pushes.rs
+++ b/crates/config-sync/src/subscriber/pushes.rs
@@ -67,7 +67,7 @@
             None => push.changes.clone(),
             Some(base) if base == active => {
                 let active = self.active_texts();
-                active.changed(&push.changes, &push.removed)
+                active.with_changes(&push.changes, &push.removed)
             }
             Some(_) => return PushAdmission::Reply(PushReply::FullRequired),
         };
--- a/crates/config-sync/src/subscriber/state.rs
+++ b/crates/config-sync/src/subscriber/state.rs
@@ -2,7 +2,7 @@
 
 use super::types::{PersistedVersions, TrialVersion, VersionPush};
 use crate::trial::{Baseline, RequestCounts, Trial};
-use corkspan_config::version::{Texts, VersionId};
+use corkspan_config::version::{SharedParts, VersionId};
 use corkspan_scheduler::interface::Ticks;
 
 /// Rolled-back versions that are remembered; the oldest is forgotten first.
@@ -16,7 +16,7 @@
 #[derive(Clone, Debug)]
 pub struct Subscriber {
     pub(super) file: VersionId,
-    pub(super) file_texts: Texts,
+    pub(super) file_texts: SharedParts,
     pub(super) persisted: PersistedVersions,
     pub(super) baseline: Baseline,
     pub(super) trial: Option<Trial>,
@@ -31,7 +31,7 @@
     /// serves; none where the disk stays as it is.
     #[must_use]
     pub fn restore(
-        file_texts: Texts,
+        file_texts: SharedParts,
         mut persisted: PersistedVersions,
         now: Ticks,
     ) -> (Self, Option<PersistedVersions>) {
@@ -73,11 +73,11 @@
 
     /// The shared parts of the active version.
     #[must_use]
-    pub fn active_texts(&self) -> &Texts {
+    pub fn active_texts(&self) -> &SharedParts {
         self.active().1
     }
 
-    fn active(&self) -> (VersionId, &Texts) {
+    fn active(&self) -> (VersionId, &SharedParts) {
         let trial = self.persisted.trial.as_ref().map(|trial| &trial.version);
         let version = trial.or(self.persisted.last_good.as_ref());
         version.map_or((self.file, &self.file_texts), |version| {
--- a/crates/config-sync/src/subscriber/trials.rs
+++ b/crates/config-sync/src/subscriber/trials.rs
@@ -3,7 +3,7 @@
 use super::state::{Subscriber, roll_back};
 use super::types::{PersistedVersions, TrialOutcome, TrialVersion, Version};
 use crate::trial::{RequestCounts, Trial, TrialVerdict};
-use corkspan_config::version::{Texts, VersionId};
+use corkspan_config::version::{SharedParts, VersionId};
 use corkspan_scheduler::interface::Ticks;
 
 impl Subscriber {
@@ -15,7 +15,7 @@
         now: Ticks,
         counts: RequestCounts,
         version: VersionId,
-        texts: Texts,
+        texts: SharedParts,
     ) -> PersistedVersions {
         let mut persisted = self.persisted.clone();
         let next = TrialVersion {
--- a/crates/config-sync/src/subscriber/types.rs
+++ b/crates/config-sync/src/subscriber/types.rs
@@ -1,6 +1,6 @@
 //! What a subscriber is handed and hands back.
 
-use corkspan_config::version::{Digest, Texts, VersionId};
+use corkspan_config::version::{Digest, SharedParts, VersionId};
 use corkspan_scheduler::interface::Ticks;
 use serde::{Deserialize, Serialize};
 
@@ -10,7 +10,7 @@
     /// Its number and digest.
     pub id: VersionId,
     /// The shared parts of the deployment that it consists of.
-    pub texts: Texts,
+    pub texts: SharedParts,
 }
 
 /// A version on trial.
@@ -57,7 +57,7 @@
     /// The version that the changes are made to; none where the push is complete.
     pub base: Option<VersionId>,
     /// Parts that are new or changed.
-    pub changes: Texts,
+    pub changes: SharedParts,
     /// Names of parts that are gone.
     pub removed: Vec<String>,
     /// The author intends to cut limits below [half](crate::compatibility::violations).
@@ -138,7 +138,7 @@
     /// Reply at once; the content need not be read.
     Reply(PushReply),
     /// Validate this complete content.
-    Validate(Texts),
+    Validate(SharedParts),
 }
 
 /// When the next push is to be taken.
--- a/crates/config-sync/src/version_cache.rs
+++ b/crates/config-sync/src/version_cache.rs
@@ -2,7 +2,7 @@
 
 use crate::lineage::Lineage;
 use crate::subscriber::{OfferedVersion, Version, VersionPush};
-use corkspan_config::version::{Digest, Texts, VersionId};
+use corkspan_config::version::{Digest, SharedParts, VersionId};
 
 /// Sorts before each version there is.
 const NO_VERSION: VersionId = VersionId {
@@ -37,7 +37,7 @@
     pub fn record_active(
         &mut self,
         id: VersionId,
-        texts: Texts,
+        texts: SharedParts,
         allows_cuts: bool,
         predecessors: &[VersionId],
     ) {
@@ -54,7 +54,7 @@
     pub fn store(
         &mut self,
         id: VersionId,
-        texts: Texts,
+        texts: SharedParts,
         allows_cuts: bool,
         predecessors: &[VersionId],
     ) -> StoreOutcome {
--- a/crates/config-sync/tests/recorded/changes.rs
+++ b/crates/config-sync/tests/recorded/changes.rs
@@ -2,7 +2,7 @@
 
 use crate::transcript::*;
 use corkspan_config::Deployment;
-use corkspan_config::version::Texts;
+use corkspan_config::version::SharedParts;
 use corkspan_config_sync::{compatibility, differences, stable_ids};
 use corkspan_scheduler::interface::{Cluster, RetrySafety, ServiceClassId};
 use std::fmt::Write;
@@ -22,7 +22,7 @@
             assert!(text.contains(from.trim()), "the file lacks `{from}`");
             text = text.replace(from.trim(), to.trim());
         }
-        let texts = Texts::of("v", &text).unwrap_or_else(|why| panic!("{edit}: {why}"));
+        let texts = SharedParts::parse("v", &text).unwrap_or_else(|why| panic!("{edit}: {why}"));
         let next = file
             .with_version("v", &texts)
             .unwrap_or_else(|why| panic!("{edit}: {why}"));
@@ -34,7 +34,7 @@
 #[test]
 fn changes_between_deployments() {
     let mut out = String::new();
-    let file = Deployment::read("d", FILE).unwrap_or_else(|why| panic!("{why}"));
+    let file = Deployment::parse("d", FILE).unwrap_or_else(|why| panic!("{why}"));
     let mut running = file.clone();
     for (edit, next) in next_versions(&file) {
         writeln!(out, "edit {edit}").unwrap();
@@ -58,7 +58,7 @@
 /// More names than rows are kept for.
 #[test]
 fn too_many_names_are_refused() {
-    let file = Deployment::read("d", FILE).unwrap_or_else(|why| panic!("{why}"));
+    let file = Deployment::parse("d", FILE).unwrap_or_else(|why| panic!("{why}"));
     let with_rows = |rows: usize| {
         let names = (0..rows).map(|row| format!("x{row}")).collect();
         let tracks = vec![file.cluster.service_classes[0].clone(); rows];
@@ -68,17 +68,20 @@
         };
         Deployment {
             cluster,
-            tracks: names,
+            service_classes: names,
             ..file.clone()
         }
     };
     let fits = |rows| stable_ids::assign(&with_rows(rows), file.clone(), |_| 1).is_ok();
-    let known = file.tracks.len();
+    let known = file.service_classes.len();
     assert!(fits(20_000 - known) && !fits(20_001 - known));
 }
 
 fn ids_of(deployment: &Deployment) -> String {
-    let tracks = std::iter::zip(&deployment.tracks, &deployment.cluster.service_classes);
+    let tracks = std::iter::zip(
+        &deployment.service_classes,
+        &deployment.cluster.service_classes,
+    );
     let tracks = tracks.map(|(name, track)| {
         let repeat = match &track.retry_safety {
             RetrySafety::Idempotent => "idempotent".to_string(),
@@ -88,7 +91,7 @@
         format!("{name:?} {repeat} {}", track.latency_objective)
     });
     let tracks: Vec<String> = tracks.collect();
-    let accounts = std::iter::zip(&deployment.accounts, &deployment.cluster.tenants);
+    let accounts = std::iter::zip(&deployment.tenants, &deployment.cluster.tenants);
     let accounts = accounts.map(|(name, account)| format!("{name:?} {:?}", account.quota_cores));
     let accounts: Vec<String> = accounts.collect();
     format!("{} | {}", tracks.join(", "), accounts.join(", "))
--- a/crates/config-sync/tests/recorded/dispatcher.rs
+++ b/crates/config-sync/tests/recorded/dispatcher.rs
@@ -1,7 +1,7 @@
 //! A dispatcher as these tests drive it: a subscriber, its disk, a clock and request counts.
 
 use crate::transcript::*;
-use corkspan_config::version::{Texts, VersionId};
+use corkspan_config::version::{SharedParts, VersionId};
 use corkspan_config_sync::{
     NextPush, PersistedVersions, PushAdmission, PushReply, RequestCounts, Subscriber, VersionPush,
 };
@@ -10,7 +10,7 @@
 pub const SECOND: u64 = 10_000;
 
 /// A parts text of this content.
-pub fn parts(content: u64) -> Texts {
+pub fn parts(content: u64) -> SharedParts {
     let shots = ("shots".to_string(), format!("(shots {content})"));
     let halls = ("halls".to_string(), format!("(halls a{})", content % 3));
     let extra = ("cold".to_string(), format!("(cold {content})"));
--- a/crates/config-sync/tests/recorded/stored_forms.rs
+++ b/crates/config-sync/tests/recorded/stored_forms.rs
@@ -3,7 +3,7 @@
 use crate::changes::FILE;
 use crate::dispatcher::*;
 use crate::transcript::reply_text;
-use corkspan_config::version::{Digest, Texts, VersionId};
+use corkspan_config::version::{Digest, SharedParts, VersionId};
 use corkspan_config_sync::{PersistedVersions, PushReply, Subscriber, Version};
 
 /// Number, digest, parts and the text of all of one version.
@@ -14,14 +14,14 @@
     assert_eq!(samples.len(), 6);
     for sample in &samples {
         let entries = sample["parts"].as_object().expect("parts by name");
-        let texts: Texts = entries
+        let texts: SharedParts = entries
             .iter()
             .map(|(name, text)| (name.clone(), text.as_str().expect("a text").to_string()))
             .collect();
         let digest = texts.digest();
         assert_eq!(digest.to_string(), sample["digest"], "{sample}");
-        assert_eq!(texts.whole(), sample["text"], "{sample}");
-        assert_eq!(Digest::read(&digest.to_string()), Some(digest));
+        assert_eq!(texts.to_deployment_text(), sample["text"], "{sample}");
+        assert_eq!(Digest::from_hex(&digest.to_string()), Some(digest));
         let number = sample["number"].as_u64().expect("a number");
         assert_eq!(
             VersionId { number, digest }.to_string(),
@@ -29,15 +29,18 @@
             "{sample}"
         );
         let half = &digest.to_string()[..32];
-        assert_eq!(Digest::read(half), None, "half a digest is none");
+        assert_eq!(Digest::from_hex(half), None, "half a digest is none");
     }
-    let file = Texts::of("d", FILE).expect("the file is sound");
+    let file = SharedParts::parse("d", FILE).expect("the file is sound");
     assert_eq!(
         file.digest().to_string(),
         samples[5]["digest"],
         "comments do not count"
     );
-    assert_eq!(Texts::of("w", &file.whole()).expect("sound"), file);
+    assert_eq!(
+        SharedParts::parse("w", &file.to_deployment_text()).expect("sound"),
+        file
+    );
 }
 
 /// The JSON of each answer to a push, read and written back.
--- a/crates/config-sync/tests/recorded/transcript.rs
+++ b/crates/config-sync/tests/recorded/transcript.rs
@@ -1,6 +1,6 @@
 //! Decisions as lines of text, in words that do not depend on the names of types.
 
-use corkspan_config::version::{Texts, VersionId};
+use corkspan_config::version::{SharedParts, VersionId};
 use corkspan_config_sync::{
     PersistedVersions, PushAdmission, PushReply, ReplyStatus, StoreOutcome, Version, VersionPush,
 };
@@ -42,7 +42,7 @@
     }
 }
 
-pub fn parts_text(parts: &Texts) -> String {
+pub fn parts_text(parts: &SharedParts) -> String {
     let parts: Vec<String> = parts
         .iter()
         .map(|(name, text)| format!("{name}={text}"))
--- a/crates/config-sync/tests/version_cache.rs
+++ b/crates/config-sync/tests/version_cache.rs
@@ -1,13 +1,18 @@
 //! What one dispatcher or quorum member offers to another, without a control service.
 
-use corkspan_config::version::{Texts, VersionId};
+use corkspan_config::version::{SharedParts, VersionId};
 use corkspan_config_sync::{
     PersistedVersions, PushAdmission, PushReply, StoreOutcome, Subscriber, VersionCache,
     VersionPush,
 };
 
+<<<<<<< HEAD
 fn texts(content: u64) -> Texts {
     [("tracks".to_string(), format!("(tracks {content})"))]
+=======
+fn texts(what: u64) -> SharedParts {
+    [("tracks".to_string(), format!("(tracks {what})"))]
+>>>>>>> 84fc138 (Name what the deployment file is read into by the terms of the field)
         .into_iter()
         .collect()
 }
--- a/crates/config/src/plain.rs
+++ b/crates/config/src/plain.rs
@@ -2,45 +2,45 @@
 //! an array of its atoms. Each value's place in the text is kept, so that what the schema finds can
 //! be told with it.
 
-use crate::sexp::{Fault, datum, with_room};
+use crate::sexp::{Diagnostic, datum, on_large_stack};
 use lexpr::datum::Ref;
 use serde_json::{Map, Number, Value};
 use std::collections::BTreeMap;
 
 /// Forms within forms at the most; what is deeper is no deployment.
-const DEEPEST: usize = 16;
-pub struct Plain {
+const MAX_DEPTH: usize = 16;
+pub struct Document {
     pub name: String,
     pub data: Value,
-    pub faults: Vec<Fault>,
+    pub diagnostics: Vec<Diagnostic>,
     /// Line and column by JSON pointer.
-    places: BTreeMap<String, (usize, usize)>,
+    positions: BTreeMap<String, (usize, usize)>,
     file: String,
 }
 
-impl Plain {
+impl Document {
     /// Reads a text that holds one form.
-    pub fn read(file: &str, text: &str) -> Result<Plain, Fault> {
-        with_room(file, || Plain::read_here(file, text))
+    pub fn read(file: &str, text: &str) -> Result<Document, Diagnostic> {
+        on_large_stack(file, || Document::read_here(file, text))
     }
 
-    fn read_here(file: &str, text: &str) -> Result<Plain, Fault> {
+    fn read_here(file: &str, text: &str) -> Result<Document, Diagnostic> {
         let datum = datum(file, text)?;
-        let mut plain = Plain {
+        let mut plain = Document {
             name: String::new(),
             data: Value::Null,
-            faults: Vec::new(),
-            places: BTreeMap::new(),
+            diagnostics: Vec::new(),
+            positions: BTreeMap::new(),
             file: file.into(),
         };
         let Some((name, rest)) = form(datum.as_ref()) else {
             let why = "a form `(name …)` must stand here".into();
-            return Err(Fault {
+            return Err(Diagnostic {
                 file: file.into(),
                 line: 1,
                 column: 1,
-                part: "file".into(),
-                why,
+                path: "file".into(),
+                message: why,
             });
         };
         plain.name = name.into();
@@ -50,10 +50,10 @@
 
     /// Something wrong with the value at this pointer, or with what is around it where there is
     /// none.
-    pub fn fault(&self, pointer: &str, why: String) -> Fault {
+    pub fn diagnostic(&self, pointer: &str, why: String) -> Diagnostic {
         let mut at = pointer;
         let (line, column) = loop {
-            match (self.places.get(at), at.rfind('/')) {
+            match (self.positions.get(at), at.rfind('/')) {
                 (Some(&place), _) => break place,
                 (None, Some(cut)) => at = &at[..cut],
                 (None, None) => break (1, 1),
@@ -75,22 +75,22 @@
         } else {
             part
         };
-        Fault {
+        Diagnostic {
             file: self.file.clone(),
             line,
             column,
-            part,
-            why,
+            path: part,
+            message: why,
         }
     }
 
     fn value(&mut self, at: Ref, rest: &[Ref], pointer: String, depth: usize) -> Value {
         let start = at.span().start();
-        self.places
+        self.positions
             .insert(pointer.clone(), (start.line(), start.column().max(1)));
-        if depth > DEEPEST {
-            self.faults
-                .push(self.fault(&pointer, "nested too deep".into()));
+        if depth > MAX_DEPTH {
+            self.diagnostics
+                .push(self.diagnostic(&pointer, "nested too deep".into()));
             return Value::Null;
         }
         let mut forms = Map::new();
@@ -102,9 +102,9 @@
                         format!("{pointer}/{}", name.replace('~', "~0").replace('/', "~1"));
                     if forms.contains_key(name) {
                         let start = each.span().start();
-                        let fault = self.fault(&within, "stands here twice".into());
+                        let fault = self.diagnostic(&within, "stands here twice".into());
                         let (line, column) = (start.line(), start.column().max(1));
-                        self.faults.push(Fault {
+                        self.diagnostics.push(Diagnostic {
                             line,
                             column,
                             ..fault
@@ -117,21 +117,21 @@
                 None => {
                     let within = format!("{pointer}/{index}");
                     let start = each.span().start();
-                    self.places
+                    self.positions
                         .insert(within.clone(), (start.line(), start.column().max(1)));
                     match atom(each) {
                         Some(value) => atoms.push(value),
                         None => {
                             let why = format!("`{}` is no word, text, number or form", brief(each));
-                            self.faults.push(self.fault(&within, why));
+                            self.diagnostics.push(self.diagnostic(&within, why));
                         }
                     }
                 }
             }
         }
         if !forms.is_empty() && !atoms.is_empty() {
-            self.faults
-                .push(self.fault(&pointer, "holds both forms and bare values".into()));
+            self.diagnostics
+                .push(self.diagnostic(&pointer, "holds both forms and bare values".into()));
         }
         if atoms.is_empty() {
             Value::Object(forms)
--- a/crates/config/src/schema.rs
+++ b/crates/config/src/schema.rs
@@ -1,8 +1,8 @@
 //! The one schema of the file and of streamed versions, and the check against it. All that is wrong
 //! is told at once, each with its place.
 
-use crate::plain::Plain;
-use crate::sexp::{Fault, Faults};
+use crate::plain::Document;
+use crate::sexp::{Diagnostic, Diagnostics};
 use jsonschema::Validator;
 use jsonschema::error::ValidationErrorKind as Kind;
 use serde_json::{Map, Value, json};
@@ -10,7 +10,7 @@
 
 /// Which of the two a text is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Of {
+pub enum DocumentKind {
     /// A dispatcher's own file: what it shares with the others and what is its own.
     File,
     /// A streamed version: what all dispatchers share.
@@ -18,7 +18,7 @@
 }
 
 /// Faults told of one text at the most.
-const MOST: usize = 50;
+const MAX_DIAGNOSTICS: usize = 50;
 
 fn parts() -> &'static Value {
     static PARTS: OnceLock<Value> = OnceLock::new();
@@ -28,7 +28,7 @@
 }
 
 /// The names of the parts that all dispatchers share, in the order of the alphabet.
-pub fn shared() -> impl Iterator<Item = &'static str> {
+pub fn shared_part_names() -> impl Iterator<Item = &'static str> {
     parts()["shared"]["properties"]
         .as_object()
         .into_iter()
@@ -37,7 +37,7 @@
 }
 
 /// The names of the parts that are each dispatcher's own.
-pub fn local() -> impl Iterator<Item = &'static str> {
+pub fn local_part_names() -> impl Iterator<Item = &'static str> {
     parts()["local"]["properties"]
         .as_object()
         .into_iter()
@@ -47,7 +47,7 @@
 
 /// The schema as JSON Schema, draft 2020-12. A form whose rest are forms is an object, any other an
 /// array.
-pub fn published(of: Of) -> Value {
+pub fn json_schema(of: DocumentKind) -> Value {
     let form = |groups: &[&str]| {
         let mut properties = Map::new();
         let mut required = Vec::new();
@@ -65,58 +65,64 @@
     json!({
         "$schema": "https://json-schema.org/draft/2020-12/schema",
         "title": "corkspan deployment",
-        "$ref": match of { Of::File => "#/$defs/file", Of::Version => "#/$defs/version" },
+        "$ref": match of { DocumentKind::File => "#/$defs/file", DocumentKind::Version => "#/$defs/version" },
         "$defs": definitions,
     })
 }
 
-fn validator(of: Of) -> &'static Validator {
+fn validator(of: DocumentKind) -> &'static Validator {
     static BOTH: OnceLock<[Validator; 2]> = OnceLock::new();
     let both = BOTH.get_or_init(|| {
-        [Of::File, Of::Version].map(|of| {
-            jsonschema::validator_for(&published(of)).expect("the schema is one of draft 2020-12")
+        [DocumentKind::File, DocumentKind::Version].map(|of| {
+            jsonschema::validator_for(&json_schema(of)).expect("the schema is one of draft 2020-12")
         })
     });
     match of {
-        Of::File => &both[0],
-        Of::Version => &both[1],
+        DocumentKind::File => &both[0],
+        DocumentKind::Version => &both[1],
     }
 }
 
 /// Checks a text against the schema, and what it names against what it defines.
-pub fn check(of: Of, file: &str, text: &str) -> Result<Plain, Faults> {
-    let mut plain = Plain::read(file, text)?;
+pub fn check(of: DocumentKind, file: &str, text: &str) -> Result<Document, Diagnostics> {
+    let mut plain = Document::read(file, text)?;
     if plain.name != "deployment" {
         let why = format!("`(deployment …)` must stand here, not `({} …)`", plain.name);
-        return Err(plain.fault("", why).into());
+        return Err(plain.diagnostic("", why).into());
     }
-    let mut faults = std::mem::take(&mut plain.faults);
+    let mut faults = std::mem::take(&mut plain.diagnostics);
     for error in validator(of).iter_errors(&plain.data) {
-        tell(
+        push_diagnostics(
             &plain,
             error.instance_path().as_str(),
             error.kind(),
             &error.to_string(),
             &mut faults,
         );
-        if faults.len() > MOST {
+        if faults.len() > MAX_DIAGNOSTICS {
             break;
         }
     }
     references(&plain, &mut faults);
     match faults.is_empty() {
         true => Ok(plain),
-        false => Err(Faults::of(faults, MOST)),
+        false => Err(Diagnostics::limited(faults, MAX_DIAGNOSTICS)),
     }
 }
 
-fn tell(plain: &Plain, pointer: &str, kind: &Kind, words: &str, faults: &mut Vec<Fault>) {
+fn push_diagnostics(
+    plain: &Document,
+    pointer: &str,
+    kind: &Kind,
+    words: &str,
+    faults: &mut Vec<Diagnostic>,
+) {
     let within = |name: &str| format!("{pointer}/{}", name.replace('~', "~0").replace('/', "~1"));
     match kind {
         Kind::AdditionalProperties { unexpected } => {
             // A part of the file in a version is a mistake of its own.
             let why = |name: &str| {
-                match local().any(|own| own == name) && pointer.is_empty() {
+                match local_part_names().any(|own| own == name) && pointer.is_empty() {
                 true => {
                     "is each dispatcher's own, and stands in its file alone; a change needs a restart".into()
                 }
@@ -126,29 +132,36 @@
             faults.extend(
                 unexpected
                     .iter()
-                    .take(MOST)
-                    .map(|name| plain.fault(&within(name), why(name))),
+                    .take(MAX_DIAGNOSTICS)
+                    .map(|name| plain.diagnostic(&within(name), why(name))),
             );
         }
         Kind::Required { property } => {
             let name = property.as_str().unwrap_or_default();
-            faults.push(plain.fault(pointer, format!("lacks `({name} …)`")));
+            faults.push(plain.diagnostic(pointer, format!("lacks `({name} …)`")));
         }
         Kind::FalseSchema => {
-            faults.push(plain.fault(pointer, "stands only beside `(repeat deduplicated)`".into()));
+            faults.push(
+                plain.diagnostic(pointer, "stands only beside `(repeat deduplicated)`".into()),
+            );
         }
         Kind::Enum { options } => {
-            let known: Vec<String> = options.as_array().into_iter().flatten().map(word).collect();
-            faults.push(plain.fault(pointer, format!("must be one of: {}", known.join(", "))));
+            let known: Vec<String> = options
+                .as_array()
+                .into_iter()
+                .flatten()
+                .map(symbol_text)
+                .collect();
+            faults.push(plain.diagnostic(pointer, format!("must be one of: {}", known.join(", "))));
         }
         Kind::Minimum { limit } => {
-            faults.push(plain.fault(pointer, format!("must be {limit} or more")))
+            faults.push(plain.diagnostic(pointer, format!("must be {limit} or more")))
         }
         Kind::ExclusiveMinimum { limit } => {
-            faults.push(plain.fault(pointer, format!("must be above {limit}")));
+            faults.push(plain.diagnostic(pointer, format!("must be above {limit}")));
         }
         Kind::Maximum { limit } => {
-            faults.push(plain.fault(pointer, format!("must be {limit} at the most")))
+            faults.push(plain.diagnostic(pointer, format!("must be {limit} at the most")))
         }
         Kind::Type { .. } => {
             let wanted = match plain.data.pointer(pointer) {
@@ -157,36 +170,38 @@
                 Some(Value::String(_)) => "must be a number, or #t or #f, not a word",
                 _ => "is of the wrong kind",
             };
-            faults.push(plain.fault(pointer, wanted.into()));
+            faults.push(plain.diagnostic(pointer, wanted.into()));
         }
         Kind::AdditionalItems { .. } | Kind::MaxItems { .. } => {
-            faults.push(plain.fault(pointer, "has too many values".into()));
+            faults.push(plain.diagnostic(pointer, "has too many values".into()));
+        }
+        Kind::MinItems { .. } => {
+            faults.push(plain.diagnostic(pointer, "has too few values".into()))
         }
-        Kind::MinItems { .. } => faults.push(plain.fault(pointer, "has too few values".into())),
-        Kind::UniqueItems => faults.push(plain.fault(pointer, "names one twice".into())),
+        Kind::UniqueItems => faults.push(plain.diagnostic(pointer, "names one twice".into())),
         Kind::Pattern { .. } => {
-            faults.push(plain.fault(pointer, "is no address with a port".into()))
+            faults.push(plain.diagnostic(pointer, "is no address with a port".into()))
         }
-        _ => faults.push(plain.fault(pointer, words.chars().take(200).collect())),
+        _ => faults.push(plain.diagnostic(pointer, words.chars().take(200).collect())),
     }
 }
 
-fn word(value: &Value) -> String {
+fn symbol_text(value: &Value) -> String {
     value
         .as_str()
         .map_or_else(|| value.to_string(), String::from)
 }
 
 /// What one part names and another defines; a schema can't say it.
-fn references(plain: &Plain, faults: &mut Vec<Fault>) {
+fn references(plain: &Document, faults: &mut Vec<Diagnostic>) {
     let data = &plain.data;
-    let list = |names: &[Value]| names.iter().map(word).collect::<Vec<_>>().join(", ");
+    let list = |names: &[Value]| names.iter().map(symbol_text).collect::<Vec<_>>().join(", ");
     if let (Some(hall), Some(halls)) = (data.pointer("/hall/0"), data["halls"].as_array())
         && !halls.contains(hall)
     {
-        faults.push(plain.fault(
+        faults.push(plain.diagnostic(
             "/hall/0",
-            format!("`{}` is none of: {}", word(hall), list(halls)),
+            format!("`{}` is none of: {}", symbol_text(hall), list(halls)),
         ));
     }
     let whole = |pointer| data.pointer(pointer).and_then(Value::as_u64);
@@ -194,7 +209,7 @@
         && number >= schedulers
     {
         let why = format!("{number} is beyond the {schedulers} schedulers, counted from 0");
-        faults.push(plain.fault("/number/0", why));
+        faults.push(plain.diagnostic("/number/0", why));
     }
     let (Some(tracks), Some(kinds)) = (data["tracks"].as_object(), data["kinds"].as_object())
     else {
@@ -210,7 +225,7 @@
                 "/tracks/{}/kind/0",
                 name.replace('~', "~0").replace('/', "~1")
             );
-            faults.push(plain.fault(
+            faults.push(plain.diagnostic(
                 &pointer,
                 format!("`{kind}` is none of: {}", known.join(", ")),
             ));
--- a/crates/config/src/version.rs
+++ b/crates/config/src/version.rs
@@ -1,29 +1,31 @@
 //! What names one version of the shared parts: its number, and a digest of what it says.
 
 use crate::schema;
-use crate::sexp::{Faults, with_form};
+use crate::sexp::{Diagnostics, with_form};
 use sha2::{Digest as _, Sha256};
 use std::collections::BTreeMap;
 
 /// The shared parts by name, each written as one form without comments.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Texts(BTreeMap<String, String>);
+pub struct SharedParts(BTreeMap<String, String>);
 
-impl FromIterator<(String, String)> for Texts {
+impl FromIterator<(String, String)> for SharedParts {
     fn from_iter<I: IntoIterator<Item = (String, String)>>(parts: I) -> Self {
-        Texts(parts.into_iter().collect())
+        SharedParts(parts.into_iter().collect())
     }
 }
 
-impl Texts {
+impl SharedParts {
     /// The shared parts of a `(deployment …)`, as a file or a version has them; what is each
     /// dispatcher's own is left out. Only its form is checked.
-    pub fn of(file: &str, text: &str) -> Result<Self, Faults> {
+    pub fn parse(file: &str, text: &str) -> Result<Self, Diagnostics> {
         let read = with_form(file, text, "deployment", |form| {
-            let known: Vec<&str> = schema::local().chain(schema::shared()).collect();
+            let known: Vec<&str> = schema::local_part_names()
+                .chain(schema::shared_part_names())
+                .collect();
             let parts = form.parts(&known)?;
-            let written = |name: &str| Some((name.to_string(), parts.find(name)?.written()));
-            Ok(schema::shared().filter_map(written).collect())
+            let written = |name: &str| Some((name.to_string(), parts.get(name)?.to_text()));
+            Ok(schema::shared_part_names().filter_map(written).collect())
         });
         Ok(read?)
     }
@@ -37,7 +39,7 @@
     }
 
     /// These with some parts changed and some taken away.
-    pub fn changed(&self, changes: &Texts, removed: &[String]) -> Texts {
+    pub fn with_changes(&self, changes: &SharedParts, removed: &[String]) -> SharedParts {
         let mut parts = self.0.clone();
         removed.iter().for_each(|name| drop(parts.remove(name)));
         parts.extend(
@@ -46,18 +48,18 @@
                 .iter()
                 .map(|(name, text)| (name.clone(), text.clone())),
         );
-        Texts(parts)
+        SharedParts(parts)
     }
 
     /// What leads from these to those: changed and new parts, and the names of those that are gone.
-    pub fn changes_to(&self, later: &Texts) -> (Texts, Vec<String>) {
+    pub fn changes_to(&self, later: &SharedParts) -> (SharedParts, Vec<String>) {
         let changed = later
             .0
             .iter()
             .filter(|(name, text)| self.0.get(*name) != Some(*text));
         let removed = self.0.keys().filter(|name| !later.0.contains_key(*name));
         (
-            Texts(
+            SharedParts(
                 changed
                     .map(|(name, text)| (name.clone(), text.clone()))
                     .collect(),
@@ -67,7 +69,7 @@
     }
 
     /// All as one form, a part a line.
-    pub fn whole(&self) -> String {
+    pub fn to_deployment_text(&self) -> String {
         let mut whole = String::from("(deployment");
         self.0.values().for_each(|text| {
             whole.push_str("\n  ");
@@ -95,7 +97,7 @@
 
 impl Digest {
     /// None where it is not 64 hexadecimal digits.
-    pub fn read(text: &str) -> Option<Self> {
+    pub fn from_hex(text: &str) -> Option<Self> {
         let mut bytes = [0; 32];
         if text.len() != 64 || !text.bytes().all(|byte| byte.is_ascii_hexdigit()) {
             return None;
--- a/crates/config/tests/faults.rs
+++ b/crates/config/tests/faults.rs
@@ -2,8 +2,8 @@
 //! stands.
 
 use corkspan_config::Deployment;
-use corkspan_config::schema::{self, Of};
-use corkspan_config::version::Texts;
+use corkspan_config::schema::{self, DocumentKind};
+use corkspan_config::version::SharedParts;
 use corkspan_scheduler::interface::*;
 use proptest::prelude::*;
 use std::time::{Duration, Instant};
@@ -25,14 +25,14 @@
 
 fn fault(from: &str, to: &str) -> String {
     assert!(SOUND.contains(from), "the text holds `{from}`");
-    let fault = Deployment::read("d.sexp", &SOUND.replacen(from, to, 1)).map(drop);
+    let fault = Deployment::parse("d.sexp", &SOUND.replacen(from, to, 1)).map(drop);
     fault.expect_err("a fault").to_string()
 }
 
 #[test]
 fn a_sound_file_is_read_as_it_stands() {
-    let read = Deployment::read("d.sexp", SOUND).expect("sound");
-    assert_eq!(read.tracks, ["web", "jobs"]);
+    let read = Deployment::parse("d.sexp", SOUND).expect("sound");
+    assert_eq!(read.service_classes, ["web", "jobs"]);
     assert_eq!(read.cluster.scheduler_index, 1);
     assert!(read.cluster.placed_means_running);
     let jobs = &read.cluster.service_classes[1];
@@ -49,7 +49,7 @@
         (Some(MachineTypeId(0)), Some((Domain::Cell, 2)))
     );
     assert_eq!(read.cluster.tenants[0].quota_cores, Some(10.0));
-    assert_eq!(read.bounds, Default::default());
+    assert_eq!(read.limits, Default::default());
 }
 
 #[test_case("(kind small)", "(kind huge)", "d.sexp:8:88: ", "tracks/jobs/kind: `huge` is none of: small"; "unknown kind")]
@@ -80,7 +80,7 @@
 #[test]
 fn a_file_nested_without_end_is_no_panic() {
     let deep = "(".repeat(100_000);
-    assert!(Deployment::read("d.sexp", &deep).is_err());
+    assert!(Deployment::parse("d.sexp", &deep).is_err());
 }
 
 #[test]
@@ -99,13 +99,13 @@
     let text = text
         .replace("(hall a)", "(hall z)")
         .replace("(offers 29)", "(polish)");
-    let faults = Deployment::read("d.sexp", &text)
+    let faults = Deployment::parse("d.sexp", &text)
         .map(drop)
         .expect_err("faults")
-        .told;
+        .reported;
     let told: Vec<(usize, &str)> = faults
         .iter()
-        .map(|fault| (fault.line, &fault.part[..]))
+        .map(|fault| (fault.line, &fault.path[..]))
         .collect();
     let wanted = [
         (4, "hall"),
@@ -117,18 +117,18 @@
     assert_eq!(told, wanted);
 }
 
-fn shared() -> Texts {
-    Texts::of("d.sexp", SOUND).expect("sound")
+fn shared() -> SharedParts {
+    SharedParts::parse("d.sexp", SOUND).expect("sound")
 }
 
-fn version(changes: &str) -> Texts {
-    let changes = Texts::of("v", &format!("(deployment {changes})")).expect("a form");
-    shared().changed(&changes, &[])
+fn version(changes: &str) -> SharedParts {
+    let changes = SharedParts::parse("v", &format!("(deployment {changes})")).expect("a form");
+    shared().with_changes(&changes, &[])
 }
 
 #[test]
 fn a_version_changes_what_is_shared_and_leaves_the_rest() {
-    let file = Deployment::read("d.sexp", SOUND).expect("sound");
+    let file = Deployment::parse("d.sexp", SOUND).expect("sound");
     let changed = file
         .with_version("v2", &version("(shots 5) (allow \"10.0.0.0/8\" \"::1\")"))
         .expect("sound");
@@ -140,15 +140,15 @@
         ),
         (5, 1, file.listen)
     );
-    let allows = |text: &str| changed.allows(text.parse().expect("an address"));
+    let allows = |text: &str| changed.allows_client(text.parse().expect("an address"));
     assert!(
         allows("10.9.8.7") && allows("::1") && allows("::ffff:10.0.0.1") && !allows("127.0.0.1")
     );
-    assert!(file.allows("127.0.0.1".parse().expect("an address")));
+    assert!(file.allows_client("127.0.0.1".parse().expect("an address")));
     let back = changed.with_version("v3", &shared()).expect("sound");
     assert_eq!(
-        (back.cluster.max_attempts, back.texts.digest()),
-        (3, file.texts.digest())
+        (back.cluster.max_attempts, back.shared_parts.digest()),
+        (3, file.shared_parts.digest())
     );
 }
 
@@ -156,7 +156,7 @@
 #[test_case("(halls b)", "lacks `a`, where this one is"; "its own hall gone")]
 #[test_case("(tracks)", "tracks"; "no tracks")]
 fn a_version_that_can_not_be_read_is_told_why(changes: &str, why: &str) {
-    let file = Deployment::read("d.sexp", SOUND).expect("sound");
+    let file = Deployment::parse("d.sexp", SOUND).expect("sound");
     let fault = file
         .with_version("v2", &version(changes))
         .map(drop)
@@ -167,13 +167,13 @@
 
 #[test]
 fn what_is_each_dispatchers_own_is_turned_down_in_a_version() {
-    let texts = shared().changed(
+    let texts = shared().with_changes(
         &[("number".to_string(), "(number 7)".to_string())]
             .into_iter()
             .collect(),
         &[],
     );
-    let file = Deployment::read("d.sexp", SOUND).expect("sound");
+    let file = Deployment::parse("d.sexp", SOUND).expect("sound");
     let fault = file
         .with_version("v2", &texts)
         .map(drop)
@@ -189,13 +189,13 @@
 #[test_case("(shots 3) (may-probe #t)", "trailing"; "two parts")]
 #[test_case("(shots", "EOF"; "half a part")]
 fn a_part_that_is_not_what_its_name_says_is_turned_down(text: &str, why: &str) {
-    let texts = shared().changed(
+    let texts = shared().with_changes(
         &[("shots".to_string(), text.to_string())]
             .into_iter()
             .collect(),
         &[],
     );
-    let file = Deployment::read("d.sexp", SOUND).expect("sound");
+    let file = Deployment::parse("d.sexp", SOUND).expect("sound");
     let fault = file
         .with_version("v2", &texts)
         .map(drop)
@@ -210,7 +210,7 @@
 #[test]
 fn a_digest_tells_texts_apart_and_not_how_they_are_written() {
     let spaced = SOUND.replace(" (", "   ; a comment\n (");
-    let of = |text: &str| Texts::of("d", text).expect("sound").digest();
+    let of = |text: &str| SharedParts::parse("d", text).expect("sound").digest();
     assert_eq!(of(SOUND), of(&spaced));
     assert_ne!(of(SOUND), of(&SOUND.replace("(offers 29)", "(offers 28)")));
     // What is each one's own is no part of it.
@@ -224,7 +224,7 @@
         version("(shots 7) (may-probe #t)"),
     );
     let (changes, removed) = one.changes_to(&other);
-    assert_eq!(one.changed(&changes, &removed), other);
+    assert_eq!(one.with_changes(&changes, &removed), other);
     assert_eq!(
         (changes.iter().count(), removed),
         (2, vec!["makes-room".to_string()])
@@ -239,10 +239,14 @@
 fn four_megabytes_of_it_are_refused_in_bounded_time(piece: &str) {
     let began = Instant::now();
     let text = format!("(deployment {})", piece.repeat((4 << 20) / piece.len() - 8));
-    let faults = Deployment::read("d.sexp", &text)
+    let faults = Deployment::parse("d.sexp", &text)
         .map(drop)
         .expect_err("faults");
-    assert!(faults.told.len() <= 50, "{} faults", faults.told.len());
+    assert!(
+        faults.reported.len() <= 50,
+        "{} faults",
+        faults.reported.len()
+    );
     // Some tenths of a second here; a check that grows with the square of it would take hours.
     assert!(
         began.elapsed() < Duration::from_secs(60),
@@ -250,7 +254,7 @@
         began.elapsed()
     );
     assert!(
-        Deployment::read("d.sexp", &"(a".repeat(3 << 20)).is_err(),
+        Deployment::parse("d.sexp", &"(a".repeat(3 << 20)).is_err(),
         "5 MB and more"
     );
 }
@@ -263,14 +267,14 @@
     let text = SOUND.replace("(accounts ", &format!("(accounts {accounts}"));
     let read = std::thread::Builder::new().stack_size(1 << 20);
     let read =
-        read.spawn(move || Deployment::read("d.sexp", &text).map(|read| read.accounts.len()));
+        read.spawn(move || Deployment::parse("d.sexp", &text).map(|read| read.tenants.len()));
     assert_eq!(
         read.expect("a thread").join().expect("no overflow"),
         Ok(9_902)
     );
     let words = format!("(deployment (halls {}))", "x ".repeat(79_000));
     let thread = std::thread::Builder::new();
-    let read = thread.spawn(move || Deployment::read("d.sexp", &words).is_err());
+    let read = thread.spawn(move || Deployment::parse("d.sexp", &words).is_err());
     assert!(read.expect("a thread").join().expect("no overflow"));
 }
 
@@ -298,15 +302,15 @@
         let end = (at + cut).min(SOUND.len());
         let mended = format!("{}{put_together}{}", &SOUND[..at], &SOUND[end..]);
         for text in [put_together, mended] {
-            let read = Deployment::read("d.sexp", &text);
-            let checked = schema::check(Of::File, "d.sexp", &text);
+            let read = Deployment::parse("d.sexp", &text);
+            let checked = schema::check(DocumentKind::File, "d.sexp", &text);
             if let Err(faults) = &read {
-                prop_assert!(!faults.told.is_empty());
+                prop_assert!(!faults.reported.is_empty());
             }
             // The reader may know more (a word for a text), never less.
             prop_assert!(checked.is_ok() || read.is_err());
-            let file = Deployment::read("d.sexp", SOUND).expect("sound");
-            if let Ok(texts) = Texts::of("v", &text) {
+            let file = Deployment::parse("d.sexp", SOUND).expect("sound");
+            if let Ok(texts) = SharedParts::parse("v", &text) {
                 let _ = file.with_version("v", &texts);
             }
         }
@@ -324,7 +328,7 @@
         .to_string()
         + part
         + ")";
-    let fault = Deployment::read("d.sexp", &text)
+    let fault = Deployment::parse("d.sexp", &text)
         .map(drop)
         .expect_err("a fault")
         .to_string();
--- a/crates/config/tests/recorded.rs
+++ b/crates/config/tests/recorded.rs
@@ -3,8 +3,8 @@
 //! is refused with the messages beside it, and the schema has the keys, types and limits recorded.
 
 use corkspan_config::Deployment;
-use corkspan_config::schema::{self, Of};
-use corkspan_config::version::Texts;
+use corkspan_config::schema::{self, DocumentKind};
+use corkspan_config::version::SharedParts;
 use corkspan_scheduler::interface::{Domain, RetrySafety};
 use serde_json::Value;
 use std::collections::BTreeSet;
@@ -39,33 +39,36 @@
         |keyword: &str, value: String| writeln!(text, "{keyword}: {value}").expect("text");
     line("listen", read.listen.to_string());
     line("roster", read.roster.to_string());
-    line("remembered", format!("{:?}", read.remembered));
-    let keepers: Vec<u32> = read.keepers.iter().map(|id| id.0).collect();
+    line("remembered", format!("{:?}", read.endpoint_cache));
+    let keepers: Vec<u32> = read.quorum_members.iter().map(|id| id.0).collect();
     line("keepers", format!("{keepers:?}"));
-    line("rolls", format!("{:?}", read.rolls));
-    line("control", format!("{:?}", read.control));
-    line("versions", format!("{:?}", read.versions));
-    if let Some(floor) = &read.floor {
-        line("floor/every", floor.every.to_string());
-        line("floor/behind", format!("{:?}", floor.behind));
-        line("floor/after", format!("{:?}", floor.after));
-        line("floor/part", floor.part.to_string());
+    line("rolls", format!("{:?}", read.rollout_store));
+    line("control", format!("{:?}", read.control_services));
+    line("versions", format!("{:?}", read.version_cache));
+    if let Some(floor) = &read.minimum_version {
+        line("floor/every", floor.poll_interval.to_string());
+        line("floor/behind", format!("{:?}", floor.max_versions_behind));
+        line("floor/after", format!("{:?}", floor.max_age));
+        line("floor/part", floor.required_thousandths.to_string());
         line("floor/peers", format!("{:?}", floor.peers));
     }
-    line("maintenance/every", format!("{:?}", read.maintenance));
+    line(
+        "maintenance/every",
+        format!("{:?}", read.maintenance_interval),
+    );
     line("seed", read.seed.to_string());
     let cluster = &read.cluster;
-    line("hall", read.halls[cluster.zone.0].clone());
+    line("hall", read.zones[cluster.zone.0].clone());
     line("number", cluster.scheduler_index.to_string());
     line("schedulers", cluster.scheduler_count.to_string());
-    line("halls", read.halls.join(" "));
-    for (name, kind) in read.kinds.iter().zip(&cluster.machine_types) {
+    line("halls", read.zones.join(" "));
+    for (name, kind) in read.machine_types.iter().zip(&cluster.machine_types) {
         line(
             &format!("kinds/{name}"),
             format!("{} {}", kind.cores, kind.memory),
         );
     }
-    for (name, track) in read.tracks.iter().zip(&cluster.service_classes) {
+    for (name, track) in read.service_classes.iter().zip(&cluster.service_classes) {
         let repeat = match track.retry_safety {
             RetrySafety::Idempotent => "idempotent".to_string(),
             RetrySafety::Deduplicated { scope, window } => {
@@ -86,7 +89,7 @@
             &format!("tracks/{name}/priority"),
             track.priority.to_string(),
         );
-        let kind = track.machine_type.map(|id| &read.kinds[id.0]);
+        let kind = track.machine_type.map(|id| &read.machine_types[id.0]);
         line(&format!("tracks/{name}/kind"), format!("{kind:?}"));
         let spread = track.spread.map(|(domain, most)| (place(domain), most));
         line(
@@ -94,7 +97,7 @@
             format!("{spread:?}"),
         );
     }
-    for (name, account) in read.accounts.iter().zip(&cluster.tenants) {
+    for (name, account) in read.tenants.iter().zip(&cluster.tenants) {
         line(
             &format!("accounts/{name}"),
             format!("{:?}", account.quota_cores),
@@ -128,31 +131,37 @@
         "(no keyword) tells loss",
         cluster.reports_losses.to_string(),
     );
-    let bounds = &read.bounds;
-    line("bounds/in-hand", bounds.in_hand.to_string());
-    line("bounds/calls", bounds.calls.to_string());
-    line("bounds/links", bounds.links.to_string());
-    line("bounds/offers-a-node", bounds.offers_a_node.to_string());
-    line("bounds/words-a-client", bounds.words_a_client.to_string());
-    line("bounds/message", bounds.message.to_string());
-    line("bounds/connect-within", bounds.connect_within.to_string());
-    line("bounds/keep-alive", bounds.keep_alive.to_string());
-    line("bounds/idle-close", bounds.idle_close.to_string());
-    line("bounds/answer-ahead", bounds.answer_ahead.to_string());
-    line("bounds/stop-within", bounds.stop_within.to_string());
+    let bounds = &read.limits;
+    line("bounds/in-hand", bounds.max_allocations.to_string());
+    line("bounds/calls", bounds.max_calls.to_string());
+    line("bounds/links", bounds.max_connections.to_string());
+    line(
+        "bounds/offers-a-node",
+        bounds.max_offers_per_node.to_string(),
+    );
+    line(
+        "bounds/words-a-client",
+        bounds.max_events_per_client.to_string(),
+    );
+    line("bounds/message", bounds.max_message_bytes.to_string());
+    line("bounds/connect-within", bounds.connect_timeout.to_string());
+    line("bounds/keep-alive", bounds.keep_alive_interval.to_string());
+    line("bounds/idle-close", bounds.idle_timeout.to_string());
+    line("bounds/answer-ahead", bounds.answer_margin.to_string());
+    line("bounds/stop-within", bounds.shutdown_grace.to_string());
     let allow: Vec<String> = read
-        .allow
+        .allowed_networks
         .iter()
         .map(|network| network.to_string())
         .collect();
     line("allow", allow.join(" "));
-    line("(version) number", read.stamp.number.to_string());
-    line("(version) digest", read.stamp.digest.to_string());
-    text + &read.texts.whole()
+    line("(version) number", read.version.number.to_string());
+    line("(version) digest", read.version.digest.to_string());
+    text + &read.shared_parts.to_deployment_text()
 }
 
 fn released() -> Deployment {
-    Deployment::read("every-keyword.sexp", FILE).expect("sound")
+    Deployment::parse("every-keyword.sexp", FILE).expect("sound")
 }
 
 #[test]
@@ -162,7 +171,7 @@
 
 #[test]
 fn a_version_over_that_file_is_read_as_recorded() {
-    let texts = Texts::of("version.sexp", VERSION).expect("sound");
+    let texts = SharedParts::parse("version.sexp", VERSION).expect("sound");
     let read = released().with_version("version.sexp", &texts);
     assert_eq!(content(&read.expect("sound")), recorded("version.txt"));
 }
@@ -190,7 +199,7 @@
 #[test]
 fn the_recorded_files_use_every_keyword_and_every_value_of_a_choice() {
     let (mut keys, mut values) = (BTreeSet::new(), BTreeSet::new());
-    let mut definitions = schema::published(Of::File);
+    let mut definitions = schema::json_schema(DocumentKind::File);
     // The definition of the whole of a version holds nothing that that of a file does not.
     definitions["$defs"]
         .as_object_mut()
@@ -223,7 +232,7 @@
             .and_then(|name| name.to_str())
             .expect("a name");
         let text = std::fs::read_to_string(&path).expect("readable");
-        let faults = Deployment::read(name, &text).map(drop).expect_err(name);
+        let faults = Deployment::parse(name, &text).map(drop).expect_err(name);
         let messages = recorded(&format!("refused/{}", name.replace(".sexp", ".txt")));
         assert_eq!(faults.to_string() + "\n", messages, "{name}");
         refused += 1;
@@ -245,10 +254,10 @@
 #[test]
 fn the_schemas_have_the_keys_types_and_limits_recorded() {
     for (of, name) in [
-        (Of::File, "schema-file.json"),
-        (Of::Version, "schema-version.json"),
+        (DocumentKind::File, "schema-file.json"),
+        (DocumentKind::Version, "schema-version.json"),
     ] {
-        let mut schema = schema::published(of);
+        let mut schema = schema::json_schema(of);
         without_descriptions(&mut schema);
         let text = serde_json::to_string_pretty(&schema).expect("JSON");
         assert_eq!(text + "\n", recorded(name), "{name}");
--- a/crates/dispatcher/src/active_version.rs
+++ b/crates/dispatcher/src/active_version.rs
@@ -3,7 +3,7 @@
 use crate::version_files;
 use corkspan_api::v1;
 use corkspan_config::Deployment;
-use corkspan_config::version::{Digest, Texts, VersionId};
+use corkspan_config::version::{Digest, SharedParts, VersionId};
 use corkspan_config_sync::{PersistedVersions, Subscriber, VersionCache, VersionPush};
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -42,16 +42,25 @@
         file: Deployment,
         now: corkspan_scheduler::interface::Ticks,
     ) -> (Self, Deployment) {
+<<<<<<< HEAD
         let path = file.versions.clone();
         let mut kept = path.as_deref().map(version_files::load).unwrap_or_default();
+=======
+        let path = file.version_cache.clone();
+        let mut kept = path.as_deref().map(version_files::read).unwrap_or_default();
+>>>>>>> 84fc138 (Name what the deployment file is read into by the terms of the field)
         let mut start = loop {
-            let (subscriber, changed) = Subscriber::restore(file.texts.clone(), kept.clone(), now);
+            let (subscriber, changed) =
+                Subscriber::restore(file.shared_parts.clone(), kept.clone(), now);
             let (stamp, texts) = (subscriber.active_version(), subscriber.active_texts());
             let in_force = match stamp.number {
                 0 => Ok(file.clone()),
                 _ => file
                     .with_version(&format!("version {}", stamp.number), texts)
-                    .map(|version| Deployment { stamp, ..version }),
+                    .map(|version| Deployment {
+                        version: stamp,
+                        ..version
+                    }),
             };
             match in_force {
                 Ok(in_force) => break (subscriber, changed, in_force),
@@ -129,14 +138,21 @@
     }
 
     /// The deployment that these parts make of the file.
-    pub fn deployment(&self, stamp: VersionId, texts: &Texts) -> Result<Deployment, Vec<String>> {
+    pub fn deployment(
+        &self,
+        stamp: VersionId,
+        texts: &SharedParts,
+    ) -> Result<Deployment, Vec<String>> {
         if stamp.number == 0 {
             return Ok(self.file.clone());
         }
         let read = self
             .file
             .with_version(&format!("version {}", stamp.number), texts);
-        let read = read.map(|version| Deployment { stamp, ..version });
+        let read = read.map(|version| Deployment {
+            version: stamp,
+            ..version
+        });
         read.map_err(|faults| faults.to_string().lines().map(String::from).collect())
     }
 
@@ -158,6 +174,7 @@
                     .control_service
                     .map(|service| service.to_string())
                     .unwrap_or_default(),
+<<<<<<< HEAD
                 text: in_force.texts.whole(),
                 given_up: kept
                     .rolled_back
@@ -165,6 +182,10 @@
                     .copied()
                     .map(version_id_message)
                     .collect(),
+=======
+                text: in_force.shared_parts.to_deployment_text(),
+                given_up: kept.rolled_back.iter().copied().map(message).collect(),
+>>>>>>> 84fc138 (Name what the deployment file is read into by the terms of the field)
                 applied: state.applied,
                 rejected: state.refused,
                 superseded: state.superseded,
@@ -228,6 +249,6 @@
 pub fn version_id_from_message(message: &v1::VersionId) -> Option<VersionId> {
     Some(VersionId {
         number: message.number,
-        digest: Digest::read(&message.digest)?,
+        digest: Digest::from_hex(&message.digest)?,
     })
 }
--- a/crates/dispatcher/src/endpoint_list.rs
+++ b/crates/dispatcher/src/endpoint_list.rs
@@ -157,8 +157,13 @@
     ) -> Option<(Endpoint, SocketAddr)> {
         let index = |names: &[String], name: &str| names.iter().position(|known| known == name);
         let (kind, hall) = (
+<<<<<<< HEAD
             index(&core.deployment().kinds, &line.kind),
             index(&core.deployment().halls, &line.hall),
+=======
+            index(&desk.deployment().machine_types, &line.kind),
+            index(&desk.deployment().zones, &line.hall),
+>>>>>>> 84fc138 (Name what the deployment file is read into by the terms of the field)
         );
         let (Some(kind), Some(hall)) = (kind, hall) else {
             warn!(
--- a/crates/dispatcher/src/minimum_version.rs
+++ b/crates/dispatcher/src/minimum_version.rs
@@ -9,7 +9,7 @@
     log_minimum_version, minimum_version_from_message, minimum_version_message,
 };
 use corkspan_api::v1::{self, quorum_request::Operation};
-use corkspan_config::FloorWatch;
+use corkspan_config::MinimumVersionSettings;
 use corkspan_quorum::{committed, sampled};
 use corkspan_version_fencing::catch_up::should_store;
 use corkspan_version_fencing::policy::{MinimumVersionPolicy, PolicyWatch};
@@ -27,8 +27,13 @@
 
 /// Keeps on disk which versions were in force, for as long as it is polled. It is a record and no
 /// ground for any decision, so nothing waits for it; a disk that is full is tried again.
+<<<<<<< HEAD
 pub async fn save_history(core: Arc<DispatcherCore>) {
     if core.deployment().rolls.is_none() {
+=======
+pub async fn keep(desk: Arc<Desk>) {
+    if desk.deployment().rollout_store.is_none() {
+>>>>>>> 84fc138 (Name what the deployment file is read into by the terms of the field)
         return;
     }
     let mut told = false;
@@ -63,19 +68,32 @@
 /// Asks the keepers again and again, for as long as it is polled: for the floor, for what enough of
 /// the fleet have taken where a rule raises the floor by that, and to lay a version on their
 /// shelves for stragglers.
+<<<<<<< HEAD
 pub async fn run(core: Arc<DispatcherCore>) {
     if core.deployment().floor.is_none() {
+=======
+pub async fn run(desk: Arc<Desk>) {
+    if desk.deployment().minimum_version.is_none() {
+>>>>>>> 84fc138 (Name what the deployment file is read into by the terms of the field)
         return;
     }
     let (mut watch, mut rng) = (
         PolicyWatch::default(),
         Pcg64Mcg::seed_from_u64(core.fencing.incarnation),
     );
+<<<<<<< HEAD
     while let Some(own) = core.deployment().floor.clone() {
         let replies = poll_quorum(&core, &own).await;
         let deployment = core.deployment();
         let (keepers, now) = (deployment.keepers.len(), core.clock.now());
         let told: Vec<Option<MinimumVersion>> = replies
+=======
+    while let Some(own) = desk.deployment().minimum_version.clone() {
+        let words = tell(&desk, &own).await;
+        let deployment = desk.deployment();
+        let (keepers, now) = (deployment.quorum_members.len(), desk.clock.now());
+        let told: Vec<Option<MinimumVersion>> = words
+>>>>>>> 84fc138 (Name what the deployment file is read into by the terms of the field)
             .iter()
             .map(|word| {
                 word.minimum_version
@@ -83,15 +101,21 @@
                     .map(minimum_version_from_message)
             })
             .collect();
+<<<<<<< HEAD
         let news = core.fencing.gate().apply_quorum_replies(&told, keepers);
         if let Some(floor) = core.fencing.minimum_version().filter(|_| news) {
             log_minimum_version(floor, deployment.stamp, "the keepers");
+=======
+        let news = desk.fleet.standing().apply_quorum_replies(&told, keepers);
+        if let Some(floor) = desk.fleet.floor().filter(|_| news) {
+            say(floor, deployment.version, "the keepers");
+>>>>>>> 84fc138 (Name what the deployment file is read into by the terms of the field)
         }
-        if own.behind.is_some() || own.after.is_some() {
+        if own.max_versions_behind.is_some() || own.max_age.is_some() {
             let rule = MinimumVersionPolicy {
-                max_behind: own.behind,
-                max_age: own.after,
-                adoption_permille: own.part,
+                max_behind: own.max_versions_behind,
+                max_age: own.max_age,
+                adoption_permille: own.required_thousandths,
             };
             let taken: Vec<Option<u64>> = replies.iter().map(|word| word.adopted_version).collect();
             let stands = committed(told.iter().flatten(), keepers).map(|floor| floor.version);
@@ -118,14 +142,24 @@
                 }
             }
         }
+<<<<<<< HEAD
         offer_to_caches(&core, &replies, rng.random()).await;
         async_io::Timer::after(duration(own.every)).await;
+=======
+        lay(&desk, &words, rng.random()).await;
+        async_io::Timer::after(duration(own.poll_interval)).await;
+>>>>>>> 84fc138 (Name what the deployment file is read into by the terms of the field)
     }
 }
 
 /// What the keepers that answer hold of the fleet, told what runs here.
+<<<<<<< HEAD
 async fn poll_quorum(core: &Arc<DispatcherCore>, own: &FloorWatch) -> Vec<v1::QuorumResponse> {
     let (running, on_trial) = core.active_version.with(|state| {
+=======
+async fn tell(desk: &Arc<Desk>, own: &MinimumVersionSettings) -> Vec<v1::QuorumResponse> {
+    let (running, on_trial) = desk.versions.with(|state| {
+>>>>>>> 84fc138 (Name what the deployment file is read into by the terms of the field)
         (
             state.subscriber.active_version(),
             state.subscriber.on_trial(),
@@ -146,7 +180,7 @@
         Operation::Query(v1::QuorumQuery {
             minimum_version_only: true,
             active_version: runs,
-            required_thousandths: own.part,
+            required_thousandths: own.required_thousandths,
             fleet_size: fleet,
             include_leases: false,
         }),
@@ -216,7 +250,11 @@
     core: &Arc<DispatcherCore>,
     lowest: u64,
 ) -> Result<v1::RaiseMinimumVersionResponse, Status> {
+<<<<<<< HEAD
     let keepers = core.deployment().keepers.len();
+=======
+    let keepers = desk.deployment().quorum_members.len();
+>>>>>>> 84fc138 (Name what the deployment file is read into by the terms of the field)
     if keepers == 0 {
         return Err(Status::failed_precondition(
             "the deployment names no keepers",
--- a/crates/dispatcher/src/node_links.rs
+++ b/crates/dispatcher/src/node_links.rs
@@ -3,7 +3,7 @@
 use crate::clock::duration;
 use async_lock::Mutex as AsyncMutex;
 use corkspan_api::v1::{self, node_client::NodeClient};
-use corkspan_config::Bounds;
+use corkspan_config::Limits;
 use corkspan_rpc::{Link, Meter, NoLink, Tasks, within};
 use futures_lite::future;
 use std::net::SocketAddr;
@@ -13,13 +13,13 @@
 use tower_service::Service;
 
 /// The bounds of a link, as the deployment gives them.
-pub fn bounds(bounds: &Bounds) -> corkspan_rpc::Bounds {
+pub fn bounds(bounds: &Limits) -> corkspan_rpc::Bounds {
     corkspan_rpc::Bounds {
-        connect_within: duration(bounds.connect_within),
-        keep_alive: duration(bounds.keep_alive),
-        calls: bounds.calls,
-        links: bounds.links,
-        message: bounds.message,
+        connect_within: duration(bounds.connect_timeout),
+        keep_alive: duration(bounds.keep_alive_interval),
+        calls: bounds.max_calls,
+        links: bounds.max_connections,
+        message: bounds.max_message_bytes,
     }
 }
 
--- a/crates/dispatcher/src/version_files.rs
+++ b/crates/dispatcher/src/version_files.rs
@@ -1,7 +1,7 @@
 //! The last good version on disk, and the one on trial: written before either is in force. The file
 //! before is kept beside, so that a torn one costs one step and no guess.
 
-use corkspan_config::version::{Digest, Texts, VersionId};
+use corkspan_config::version::{Digest, SharedParts, VersionId};
 use corkspan_config_sync::{PersistedVersions, TrialVersion, Version};
 use serde::{Deserialize, Serialize};
 use std::path::{Path, PathBuf};
@@ -47,7 +47,7 @@
 
     fn version(self) -> Option<Version> {
         let stamp = stamp(self.number, &self.digest)?;
-        let texts: Texts = self.parts.into_iter().collect();
+        let texts: SharedParts = self.parts.into_iter().collect();
         (texts.digest() == stamp.digest).then_some(Version { id: stamp, texts })
     }
 }
@@ -55,12 +55,17 @@
 fn stamp(number: u64, digest: &str) -> Option<VersionId> {
     Some(VersionId {
         number,
-        digest: Digest::read(digest)?,
+        digest: Digest::from_hex(digest)?,
     })
 }
 
+<<<<<<< HEAD
 fn checksum(text: &str) -> String {
     let texts: Texts = [(String::new(), text.to_string())].into_iter().collect();
+=======
+fn sum(text: &str) -> String {
+    let texts: SharedParts = [(String::new(), text.to_string())].into_iter().collect();
+>>>>>>> 84fc138 (Name what the deployment file is read into by the terms of the field)
     texts.digest().to_string()
 }
 
--- a/crates/dispatcher/tests/stored_files.rs
+++ b/crates/dispatcher/tests/stored_files.rs
@@ -1,7 +1,7 @@
 //! What earlier releases left on disk is read, and written back byte for byte. The files under
 //! tests/data were written by release 0.2.0; they are never written anew.
 
-use corkspan_config::version::{Texts, VersionId};
+use corkspan_config::version::{SharedParts, VersionId};
 use corkspan_config_sync::{PersistedVersions, TrialVersion, Version};
 use corkspan_dispatcher::endpoint_list::EndpointList;
 use corkspan_dispatcher::rollout_control::{ReplicaPair, Store, StoredClaim};
@@ -225,7 +225,7 @@
 }
 
 fn version(number: u64, track: &str) -> Version {
-    let texts: Texts = [("bounds/in-hand", "(in-hand 100)"), ("tracks/x", track)]
+    let texts: SharedParts = [("bounds/in-hand", "(in-hand 100)"), ("tracks/x", track)]
         .map(|(name, text)| (name.to_string(), text.to_string()))
         .into_iter()
         .collect();
--- a/crates/lab/src/capacity/stage.rs
+++ b/crates/lab/src/capacity/stage.rs
@@ -14,7 +14,7 @@
 use corkspan_api::v1::{
     self, connection_traffic::Kind, node_server::NodeServer, placement_client::PlacementClient,
 };
-use corkspan_config::version::{Texts, VersionId};
+use corkspan_config::version::{SharedParts, VersionId};
 use corkspan_rpc::{Bounds, Link, Tasks, within};
 use corkspan_scheduler::interface::Resources;
 use futures_lite::future;
@@ -127,7 +127,7 @@
     dispatchers: Vec<Process>,
     /// Goes last: the dispatchers' files.
     _folder: tempfile::TempDir,
-    texts: Texts,
+    texts: SharedParts,
 }
 
 /// Words of tasks that are asked for; dropped, the tasks are no longer wanted.
@@ -280,7 +280,7 @@
                     "(schedulers 1)",
                     &format!("(schedulers {})", setting.schedulers),
                 );
-            texts = Some(Texts::of("the first", &file).map_err(|why| why.to_string())?);
+            texts = Some(SharedParts::parse("the first", &file).map_err(|why| why.to_string())?);
             let process = Process::start_in(program, &at("file.sexp"), &file)?;
             let there =
                 meter::relay_onto(&relays.tasks, process.address, Arc::clone(&owners_meter)).await;
@@ -458,7 +458,7 @@
         let accounts = format!("(accounts (a (share-cores {})))", 1_000_000 + which);
         let changes = [("accounts".to_string(), accounts)];
         self.control.publish(
-            self.texts.changed(&changes.into_iter().collect(), &[]),
+            self.texts.with_changes(&changes.into_iter().collect(), &[]),
             false,
         )
     }
--- a/crates/lab/src/control.rs
+++ b/crates/lab/src/control.rs
@@ -6,7 +6,7 @@
 use async_net::TcpListener;
 use corkspan_api::v1::push_reply::Answer;
 use corkspan_api::v1::{self, control_server};
-use corkspan_config::version::{Digest, Texts, VersionId};
+use corkspan_config::version::{Digest, SharedParts, VersionId};
 use corkspan_config_sync::{Publisher, PushReply, ReplyStatus, VersionPush};
 use corkspan_rpc::Tasks;
 use futures_lite::{Stream, StreamExt};
@@ -93,7 +93,7 @@
     }
 
     /// The next version, streamed to all.
-    pub fn publish(&self, texts: Texts, cuts: bool) -> VersionId {
+    pub fn publish(&self, texts: SharedParts, cuts: bool) -> VersionId {
         self.with(|state| {
             let stamp = state.books.publish(texts, cuts);
             self.world.capture.see(Seen::Pushed {
@@ -181,7 +181,7 @@
 pub fn stamp_of(message: &v1::VersionId) -> Option<VersionId> {
     Some(VersionId {
         number: message.number,
-        digest: Digest::read(&message.digest)?,
+        digest: Digest::from_hex(&message.digest)?,
     })
 }
 
--- a/crates/lab/src/day.rs
+++ b/crates/lab/src/day.rs
@@ -1,7 +1,7 @@
 //! Day scripts: what happens when. The grammar is written down in docs/days.md.
 
 use crate::relay::Way;
-use corkspan_config::sexp::{self, Fault, Form};
+use corkspan_config::sexp::{self, Diagnostic, Form};
 use std::ops::Range;
 use std::path::Path;
 use std::time::Duration;
@@ -145,11 +145,11 @@
 pub const SHORT: &str = include_str!("../days/short.sexp");
 
 impl Day {
-    pub fn load(path: &Path) -> Result<Self, Fault> {
+    pub fn load(path: &Path) -> Result<Self, Diagnostic> {
         Self::read(&path.display().to_string(), &sexp::load(path)?)
     }
 
-    pub fn read(file: &str, text: &str) -> Result<Self, Fault> {
+    pub fn read(file: &str, text: &str) -> Result<Self, Diagnostic> {
         sexp::with_form(file, text, "day", |form| {
             let known = [
                 "length",
@@ -172,43 +172,43 @@
                 "troubles",
             ];
             let parts = form.parts(&known)?;
-            let percent = |form: &Form| match form.amount()? {
+            let percent = |form: &Form| match form.non_negative()? {
                 value if value <= 100.0 => Ok(value),
-                _ => Err(form.fault("must be 100 at the most")),
+                _ => Err(form.diagnostic("must be 100 at the most")),
             };
-            let length = span(parts.need("length")?, 600)?;
+            let length = span(parts.required("length")?, 600)?;
             let day = Day {
                 length,
-                dispatchers: parts.need("dispatchers")?.whole(1, 300)? as usize,
+                dispatchers: parts.required("dispatchers")?.integer(1, 300)? as usize,
                 hollow: 0,
                 a_process: A_PROCESS,
-                nodes: parts.need("nodes")?.whole(1, 2600)? as usize,
+                nodes: parts.required("nodes")?.integer(1, 2600)? as usize,
                 zones: None,
-                room: parts.find("room").map(every).transpose()?,
-                rate: parts.need("rate")?.above_zero()?,
-                deduplicated: parts.or("deduplicated", 10.0, percent)?,
-                unrepeatable: parts.or("unrepeatable", 5.0, percent)?,
-                cancels: parts.or("cancels", 1.0, percent)?,
-                life: parts.or("life", Duration::from_secs(4), |form| span(form, 3600))?,
-                copies: parts.or("copies", 0, |form| Ok(form.whole(0, 10_000)? as usize))?,
-                roll: parts.find("roll").map(roll).transpose()?,
-                versions: parts.find("versions").map(every).transpose()?,
+                room: parts.get("room").map(every).transpose()?,
+                rate: parts.required("rate")?.positive()?,
+                deduplicated: parts.get_or("deduplicated", 10.0, percent)?,
+                unrepeatable: parts.get_or("unrepeatable", 5.0, percent)?,
+                cancels: parts.get_or("cancels", 1.0, percent)?,
+                life: parts.get_or("life", Duration::from_secs(4), |form| span(form, 3600))?,
+                copies: parts.get_or("copies", 0, |form| Ok(form.integer(0, 10_000)? as usize))?,
+                roll: parts.get("roll").map(roll).transpose()?,
+                versions: parts.get("versions").map(every).transpose()?,
                 floor: parts
-                    .find("floor")
-                    .map(|form| span(form.parts(&["at"])?.need("at")?, 600))
+                    .get("floor")
+                    .map(|form| span(form.parts(&["at"])?.required("at")?, 600))
                     .transpose()?,
-                audit: parts.or("audit", false, Form::truth)?,
-                maintenance: parts.find("maintenance").map(maintenance).transpose()?,
+                audit: parts.get_or("audit", false, Form::boolean)?,
+                maintenance: parts.get("maintenance").map(maintenance).transpose()?,
                 troubles: Vec::new(),
             };
-            let (hollow, a_process) = match parts.find("hollow") {
+            let (hollow, a_process) = match parts.get("hollow") {
                 Some(form) => hollow(form, &day)?,
                 None => (0, A_PROCESS),
             };
             let most = day.nodes.min(100) as u64;
             let zones = parts
-                .find("zones")
-                .map(|form| form.whole(2, most))
+                .get("zones")
+                .map(|form| form.integer(2, most))
                 .transpose()?;
             let day = Day {
                 hollow,
@@ -216,25 +216,24 @@
                 zones: zones.map(|zones| zones as usize),
                 ..day
             };
-            if let (Some(form), 0) = (parts.find("roll"), day.copies) {
-                return Err(form.fault("stands only beside `(copies …)`"));
+            if let (Some(form), 0) = (parts.get("roll"), day.copies) {
+                return Err(form.diagnostic("stands only beside `(copies …)`"));
             }
-            if let (Some(form), None) = (parts.find("floor").or(parts.find("audit")), day.versions)
-            {
-                return Err(form.fault("stands only beside `(versions …)`"));
+            if let (Some(form), None) = (parts.get("floor").or(parts.get("audit")), day.versions) {
+                return Err(form.diagnostic("stands only beside `(versions …)`"));
             }
             if day.deduplicated + day.unrepeatable > 100.0 {
-                return Err(form.fault("deduplicated and unrepeatable are over 100 together"));
+                return Err(form.diagnostic("deduplicated and unrepeatable are over 100 together"));
             }
             let kinds = KINDS.map(|(name, _)| name);
-            let troubles = parts.or("troubles", Vec::new(), |form| form.all(&kinds))?;
+            let troubles = parts.get_or("troubles", Vec::new(), |form| form.forms(&kinds))?;
             let troubles = troubles
                 .iter()
                 .map(|form| trouble(form, &day))
                 .collect::<Result<_, _>>()?;
             let day = Day { troubles, ..day };
-            if let Some(form) = parts.find("hollow").filter(|_| day.needs_disks()) {
-                return Err(form.fault(
+            if let Some(form) = parts.get("hollow").filter(|_| day.needs_disks()) {
+                return Err(form.diagnostic(
                     "a hollow dispatcher has no disk, and a roll, work on machines or a full disk needs one",
                 ));
             }
@@ -311,81 +310,79 @@
     }
 }
 
-fn span(form: &Form, most_s: u64) -> Result<Duration, Fault> {
+fn span(form: &Form, most_s: u64) -> Result<Duration, Diagnostic> {
     let time = Duration::from_micros(form.time()? * 100);
     if time.is_zero() || time > Duration::from_secs(most_s) {
-        return Err(form.fault(format!("must be above 0 and {most_s} s at the most")));
+        return Err(form.diagnostic(format!("must be above 0 and {most_s} s at the most")));
     }
     Ok(time)
 }
 
 /// `(hollow (many 99) (a-process 50))`: at least one dispatcher is a process of its own.
-fn hollow(form: &Form, day: &Day) -> Result<(usize, usize), Fault> {
+fn hollow(form: &Form, day: &Day) -> Result<(usize, usize), Diagnostic> {
     let parts = form.parts(&["many", "a-process"])?;
     let most = day.dispatchers as u64 - 1;
     if most == 0 {
-        return Err(
-            form.fault("at least one dispatcher is a process of its own, and there is one alone")
-        );
+        return Err(form.diagnostic(
+            "at least one dispatcher is a process of its own, and there is one alone",
+        ));
     }
-    let many = parts.need("many")?.whole(1, most)?;
-    let a_process = parts.or("a-process", A_PROCESS as u64, |form| form.whole(1, 100))?;
+    let many = parts.required("many")?.integer(1, most)?;
+    let a_process = parts.get_or("a-process", A_PROCESS as u64, |form| form.integer(1, 100))?;
     Ok((many as usize, a_process as usize))
 }
 
 /// `(maintenance (at 5 s) (at-a-time 10) (by-hall 6) (takes 1 s))`
-fn maintenance(form: &Form) -> Result<Maintenance, Fault> {
+fn maintenance(form: &Form) -> Result<Maintenance, Diagnostic> {
     let parts = form.parts(&["at", "at-a-time", "by-hall", "takes"])?;
-    let at_a_time = parts.need("at-a-time")?.whole(1, 1_000)? as u32;
+    let at_a_time = parts.required("at-a-time")?.integer(1, 1_000)? as u32;
     Ok(Maintenance {
-        at: span(parts.need("at")?, 600)?,
+        at: span(parts.required("at")?, 600)?,
         at_a_time,
-        by_hall: parts.or(
-            "by-hall",
-            at_a_time,
-            |form| Ok(form.whole(1, 1_000)? as u32),
-        )?,
-        takes: parts.or("takes", Duration::from_secs(1), |form| span(form, 600))?,
+        by_hall: parts.get_or("by-hall", at_a_time, |form| {
+            Ok(form.integer(1, 1_000)? as u32)
+        })?,
+        takes: parts.get_or("takes", Duration::from_secs(1), |form| span(form, 600))?,
     })
 }
 
 /// `(versions (every 5 s))`, `(room (every 1 s))`
-fn every(form: &Form) -> Result<Duration, Fault> {
-    span(form.parts(&["every"])?.need("every")?, 600)
+fn every(form: &Form) -> Result<Duration, Diagnostic> {
+    span(form.parts(&["every"])?.required("every")?, 600)
 }
 
 /// `(from keepers control)`
-fn ends(form: &Form) -> Result<Vec<End>, Fault> {
+fn ends(form: &Form) -> Result<Vec<End>, Diagnostic> {
     let end = |name: &str| {
         let known = ENDS
             .iter()
             .find(|(known, _)| *known == name)
             .map(|(_, end)| *end);
         known.ok_or_else(|| {
-            form.fault(format!(
+            form.diagnostic(format!(
                 "`{name}` is none of dispatchers, keepers, control, roster, nodes"
             ))
         })
     };
-    form.words()?.into_iter().map(end).collect()
+    form.symbols()?.into_iter().map(end).collect()
 }
 
-fn roll(form: &Form) -> Result<Roll, Fault> {
+fn roll(form: &Form) -> Result<Roll, Diagnostic> {
     let parts = form.parts(&["at", "unready-most", "ready-for", "start-first"])?;
     Ok(Roll {
-        at: span(parts.need("at")?, 600)?,
-        unready_most: parts.need("unready-most")?.whole(1, 10_000)? as u32,
-        ready_for: parts.or("ready-for", Duration::from_secs(1), |form| span(form, 600))?,
-        start_first: parts.or("start-first", false, Form::truth)?,
+        at: span(parts.required("at")?, 600)?,
+        unready_most: parts.required("unready-most")?.integer(1, 10_000)? as u32,
+        ready_for: parts.get_or("ready-for", Duration::from_secs(1), |form| span(form, 600))?,
+        start_first: parts.get_or("start-first", false, Form::boolean)?,
     })
 }
 
-fn trouble(form: &Form, day: &Day) -> Result<Trouble, Fault> {
+fn trouble(form: &Form, day: &Day) -> Result<Trouble, Diagnostic> {
     let kind = KINDS
         .iter()
         .find(|(name, _)| *name == form.name)
         .map(|(_, kind)| *kind);
-    let kind = kind.ok_or_else(|| form.fault("unknown"))?;
+    let kind = kind.ok_or_else(|| form.diagnostic("unknown"))?;
     let parts = form.parts(&["at", "for", "many", "times", "from", "way", "by"])?;
     let of = match kind {
         Kind::KillDispatchers
@@ -397,9 +394,9 @@
         Kind::Burst => 100_000,
         _ => day.nodes,
     };
-    let at = Duration::from_micros(parts.need("at")?.time()? * 100);
+    let at = Duration::from_micros(parts.required("at")?.time()? * 100);
     if at > day.length {
-        return Err(form.fault("comes after the day's end"));
+        return Err(form.diagnostic("comes after the day's end"));
     }
     let (wants_for, wants_times) = match kind {
         Kind::LosePrograms | Kind::Burst => (false, false),
@@ -414,30 +411,30 @@
         ("by", kind == Kind::DelayDispatchers, true),
     ];
     for (part, wanted, needed) in wants {
-        match (parts.find(part), wanted) {
-            (None, true) if needed => return Err(form.fault(format!("lacks `({part} …)`"))),
-            (Some(there), false) => return Err(there.fault("means nothing here")),
+        match (parts.get(part), wanted) {
+            (None, true) if needed => return Err(form.diagnostic(format!("lacks `({part} …)`"))),
+            (Some(there), false) => return Err(there.diagnostic("means nothing here")),
             _ => {}
         }
     }
     if kind == Kind::LoseZone && day.zones.is_none() {
-        return Err(form.fault("stands only beside `(zones …)`"));
+        return Err(form.diagnostic("stands only beside `(zones …)`"));
     }
     let no_versions = day.versions.is_none();
     if let (Kind::HoldVersions, true) = (kind, no_versions) {
-        return Err(form.fault("stands only beside `(versions …)`"));
+        return Err(form.diagnostic("stands only beside `(versions …)`"));
     }
-    let ways = parts.or("way", vec![Way::In, Way::Out], |form| {
-        Ok(vec![[Way::In, Way::Out][form.one_of(&["in", "out"])?]])
+    let ways = parts.get_or("way", vec![Way::In, Way::Out], |form| {
+        Ok(vec![[Way::In, Way::Out][form.choice(&["in", "out"])?]])
     })?;
     Ok(Trouble {
-        from: parts.or("from", Vec::new(), ends)?,
+        from: parts.get_or("from", Vec::new(), ends)?,
         ways,
-        by: parts.or("by", Duration::ZERO, |form| span(form, 60))?,
+        by: parts.get_or("by", Duration::ZERO, |form| span(form, 60))?,
         kind,
         at,
-        lasts: parts.or("for", Duration::ZERO, |form| span(form, 600))?,
-        many: parts.or("many", 1, |form| Ok(form.whole(1, of as u64)? as usize))?,
-        times: parts.or("times", 1.0, Form::above_zero)?,
+        lasts: parts.get_or("for", Duration::ZERO, |form| span(form, 600))?,
+        many: parts.get_or("many", 1, |form| Ok(form.integer(1, of as u64)? as usize))?,
+        times: parts.get_or("times", 1.0, Form::positive)?,
     })
 }
--- a/crates/lab/src/hollow.rs
+++ b/crates/lab/src/hollow.rs
@@ -44,9 +44,9 @@
     for file in files {
         let deployment = Deployment::load(file).map_err(|why| why.to_string())?;
         let Deployment {
-            remembered,
-            rolls,
-            versions,
+            endpoint_cache: remembered,
+            rollout_store: rolls,
+            version_cache: versions,
             ..
         } = &deployment;
         if remembered.is_some() || rolls.is_some() || versions.is_some() {
--- a/crates/lab/src/play.rs
+++ b/crates/lab/src/play.rs
@@ -14,7 +14,7 @@
 use crate::wires::Wires;
 use async_io::Timer;
 use corkspan_api::v1;
-use corkspan_config::version::Texts;
+use corkspan_config::version::SharedParts;
 use corkspan_rpc::{Tasks, within};
 use corkspan_scheduler::interface::Resources;
 use futures_lite::future;
@@ -174,7 +174,7 @@
         ));
         let versions = self.day.versions.map(|every| {
             let text = self.deployment(0, roster.address, "", stage.folder.path());
-            let texts = Texts::of("day", &text).map_err(|why| why.to_string());
+            let texts = SharedParts::parse("day", &text).map_err(|why| why.to_string());
             texts.map(|texts| tasks.spawn(push_versions(stage.control.clone(), texts, every)))
         });
         let versions = versions.transpose()?;
@@ -453,11 +453,14 @@
 }
 
 /// An operator pushes one sound version after the other: the same but for what nobody feels.
-async fn push_versions(control: Control, texts: Texts, every: Duration) {
+async fn push_versions(control: Control, texts: SharedParts, every: Duration) {
     for which in 0u64.. {
         let accounts = format!("(accounts (a (share-cores {})))", 1_000_000 + which);
         let changes = [("accounts".to_string(), accounts)];
-        control.publish(texts.changed(&changes.into_iter().collect(), &[]), false);
+        control.publish(
+            texts.with_changes(&changes.into_iter().collect(), &[]),
+            false,
+        );
         Timer::after(every).await;
     }
 }
--- a/crates/lab/src/pushes.rs
+++ b/crates/lab/src/pushes.rs
@@ -9,7 +9,7 @@
 use crate::roster::Roster;
 use async_io::Timer;
 use corkspan_api::v1::{self, push_reply::Answer, versions_client::VersionsClient};
-use corkspan_config::version::{Texts, VersionId};
+use corkspan_config::version::{SharedParts, VersionId};
 use corkspan_config_sync::VersionPush;
 use corkspan_rpc::{Tasks, within};
 use futures_lite::future;
@@ -88,8 +88,9 @@
 
     /// The file's shared parts with one more track, and other shots: always another version, and a
     /// sound one.
-    fn texts(&self, dispatchers: usize, which: u64) -> Texts {
-        let shared = Texts::of("file", &self.file(0, dispatchers)).expect("the file is sound");
+    fn texts(&self, dispatchers: usize, which: u64) -> SharedParts {
+        let shared =
+            SharedParts::parse("file", &self.file(0, dispatchers)).expect("the file is sound");
         let tracks = shared.get("tracks").unwrap_or_default();
         let more = format!(
             "(t{} (repeat idempotent) (contract-time 300 ms))",
@@ -101,7 +102,7 @@
             ("tracks".to_string(), tracks),
             ("accounts".to_string(), accounts),
         ];
-        shared.changed(&changes.into_iter().collect(), &[])
+        shared.with_changes(&changes.into_iter().collect(), &[])
     }
 
     async fn until(&self, what: &str, mut done: impl FnMut(&Stage) -> bool) -> Result<(), String> {
@@ -218,7 +219,8 @@
                 .as_ref()
                 .and_then(stamp_of)
                 .ok_or("no stamp")?;
-            let in_force = Texts::of("in force", &status.text).map_err(|why| why.to_string())?;
+            let in_force =
+                SharedParts::parse("in force", &status.text).map_err(|why| why.to_string())?;
             // Three starts under a version on trial, and it is given up: it may be what ended them.
             let given_up = killed
                 && status
@@ -249,7 +251,7 @@
 ) -> (VersionPush, bool) {
     let sound = stage.texts(1, rng.random_range(0..1_000));
     let change = |name: &str, text: &str| {
-        sound.changed(
+        sound.with_changes(
             &[(name.to_string(), text.to_string())].into_iter().collect(),
             &[],
         )
--- a/crates/lab/tests/full_path/fleet.rs
+++ b/crates/lab/tests/full_path/fleet.rs
@@ -7,7 +7,7 @@
 use corkspan_api::v1::{
     self, placement_client::PlacementClient, placement_event::Event, rejected::RejectionReason,
 };
-use corkspan_config::version::{Texts, VersionId};
+use corkspan_config::version::{SharedParts, VersionId};
 use corkspan_config_sync::{PersistedVersions, Version};
 use corkspan_dispatcher::version_files::save;
 use corkspan_lab::capture::{Cold, Line, Rules, Seen, Word as SaidWord};
@@ -109,8 +109,8 @@
         deployment(self.rig.roster.address, more).replace("(schedulers 1)", "(schedulers 5)")
     }
 
-    fn texts(&self, shots: usize) -> Texts {
-        Texts::of("version", &self.deployment(&format!("(shots {shots})"))).expect("sound")
+    fn texts(&self, shots: usize) -> SharedParts {
+        SharedParts::parse("version", &self.deployment(&format!("(shots {shots})"))).expect("sound")
     }
 
     async fn start(&mut self, control: SocketAddr, keepers: &str) {
--- a/crates/lab/tests/full_path/hard_cases.rs
+++ b/crates/lab/tests/full_path/hard_cases.rs
@@ -599,7 +599,7 @@
 fn a_port_in_use_is_named() {
     Rig::run(Layout::default(), async |rig| {
         let text = deployment(rig.address, "").replace("127.0.0.1:0", &rig.address.to_string());
-        let deployment = corkspan_config::Deployment::read("rig", &text).expect("sound");
+        let deployment = corkspan_config::Deployment::parse("rig", &text).expect("sound");
         let run = corkspan_dispatcher::run(
             rig.tasks.clone(),
             deployment,
--- a/crates/lab/tests/full_path/versions.rs
+++ b/crates/lab/tests/full_path/versions.rs
@@ -6,7 +6,7 @@
     self, placement_event::Event, push_reply::Answer, rejected::RejectionReason,
     versions_client::VersionsClient,
 };
-use corkspan_config::version::{Texts, VersionId};
+use corkspan_config::version::{SharedParts, VersionId};
 use corkspan_config_sync::VersionPush;
 use corkspan_lab::control::{Control, Up, message, stamp_of};
 use corkspan_lab::pushes;
@@ -58,16 +58,16 @@
     }
 
     /// The file's shared parts, with these changed.
-    fn texts(&self, changes: &str) -> Texts {
-        let shared = Texts::of("file", &self.file()).expect("sound");
-        shared.changed(
-            &Texts::of("changes", &format!("(deployment {changes})")).expect("forms"),
+    fn texts(&self, changes: &str) -> SharedParts {
+        let shared = SharedParts::parse("file", &self.file()).expect("sound");
+        shared.with_changes(
+            &SharedParts::parse("changes", &format!("(deployment {changes})")).expect("forms"),
             &[],
         )
     }
 
     /// The file's, with more tracks.
-    fn with_tracks(&self, names: &[&str]) -> Texts {
+    fn with_tracks(&self, names: &[&str]) -> SharedParts {
         let texts = self.texts("");
         let tracks = texts.get("tracks").expect("there are");
         let more = names
@@ -78,7 +78,7 @@
             &tracks[..tracks.len() - 1],
             more.collect::<String>()
         );
-        texts.changed(&[("tracks".to_string(), tracks)].into_iter().collect(), &[])
+        texts.with_changes(&[("tracks".to_string(), tracks)].into_iter().collect(), &[])
     }
 
     async fn status(&self) -> v1::VersionStatus {
@@ -131,7 +131,7 @@
     }
 }
 
-fn push(nonce: u64, number: u64, texts: &Texts, follows: &[VersionId]) -> VersionPush {
+fn push(nonce: u64, number: u64, texts: &SharedParts, follows: &[VersionId]) -> VersionPush {
     let stamp = VersionId {
         number,
         digest: texts.digest(),
@@ -182,22 +182,22 @@
             changes: stage.texts("(shots 4)"),
             ..push(3, 7, &sound, &[five])
         };
-        let foreign = sound.changed(
+        let foreign = sound.with_changes(
             &[("listen".into(), "(listen \"127.0.0.1:1\")".into())]
                 .into_iter()
                 .collect(),
             &[],
         );
-        let nested = sound.changed(
+        let nested = sound.with_changes(
             &[("cold".into(), "(".repeat(5 << 20))].into_iter().collect(),
             &[],
         );
-        let cut = stage.with_tracks(&["extra"]).changed(
-            &Texts::of("c", "(deployment (bounds (in-hand 100)))").expect("a form"),
+        let cut = stage.with_tracks(&["extra"]).with_changes(
+            &SharedParts::parse("c", "(deployment (bounds (in-hand 100)))").expect("a form"),
             &[],
         );
-        let halls = sound.changed(
-            &Texts::of("c", "(deployment (halls a b c))").expect("a form"),
+        let halls = sound.with_changes(
+            &SharedParts::parse("c", "(deployment (halls a b c))").expect("a form"),
             &[],
         );
         for (push, why) in [
@@ -279,8 +279,9 @@
             status.reasons
         );
         // What shrinks below what is placed stops nothing that runs.
-        let small = stage.with_tracks(&["extra"]).changed(
-            &Texts::of("c", "(deployment (accounts (one (share-cores 0.5))))").expect("a form"),
+        let small = stage.with_tracks(&["extra"]).with_changes(
+            &SharedParts::parse("c", "(deployment (accounts (one (share-cores 0.5))))")
+                .expect("a form"),
             &[],
         );
         let small = stage.control.publish(small, true);
@@ -351,19 +352,21 @@
         let accounts: String = (0..9_000)
             .map(|number| format!(" (a{number} (share-cores 1))"))
             .collect();
-        let large = Texts::of(
+        let large = SharedParts::parse(
             "c",
             &format!("(deployment (accounts (one (share-cores 100)){accounts}))"),
         );
         let large = stage
             .with_tracks(&["extra"])
-            .changed(&large.expect("a form"), &[]);
+            .with_changes(&large.expect("a form"), &[]);
         let two = stage.control.publish(large.clone(), false);
         // Its links are cut with it, wherever in the message they are.
         drop(stage.up.take());
         until(async || stage.status().await.control_service.is_empty()).await;
         let status = stage.status().await;
-        let whole = Texts::of("in force", &status.text).expect("sound").digest();
+        let whole = SharedParts::parse("in force", &status.text)
+            .expect("sound")
+            .digest();
         let running = status.active.as_ref().and_then(stamp_of).expect("a stamp");
         assert!(running == one || running == two, "{running}");
         assert_eq!(whole, running.digest);
--- a/crates/load-generator/src/plan.rs
+++ b/crates/load-generator/src/plan.rs
@@ -2,7 +2,7 @@
 
 use crate::mix::WorkloadKind;
 use crate::shape::{Phase, Shape, Spacing};
-use corkspan_config::sexp::{self, Fault, Form};
+use corkspan_config::sexp::{self, Diagnostic, Form};
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
@@ -25,15 +25,24 @@
 }
 
 impl Plan {
+<<<<<<< HEAD
     /// Reads a load file.
     pub fn load(path: &Path) -> Result<Plan, Fault> {
+=======
+    pub fn load(path: &Path) -> Result<Plan, Diagnostic> {
+>>>>>>> 84fc138 (Name what the deployment file is read into by the terms of the field)
         let folder = path.parent().unwrap_or(Path::new("")).to_path_buf();
         Plan::read(&path.display().to_string(), &sexp::load(path)?, &folder)
     }
 
+<<<<<<< HEAD
     /// Reads a load file's text. `file` is its name in messages, `folder` where recorded times are
     /// looked for.
     pub fn read(file: &str, text: &str, folder: &Path) -> Result<Plan, Fault> {
+=======
+    /// `folder`: where recorded times are looked for.
+    pub fn read(file: &str, text: &str, folder: &Path) -> Result<Plan, Diagnostic> {
+>>>>>>> 84fc138 (Name what the deployment file is read into by the terms of the field)
         sexp::with_form(file, text, "load", |form| {
             let parts = form.parts(&[
                 "phases",
@@ -44,31 +53,32 @@
                 "under-way",
                 "links",
             ])?;
-            let shape = match (parts.find("phases"), parts.find("recorded")) {
+            let shape = match (parts.get("phases"), parts.get("recorded")) {
                 (Some(phases), None) => {
                     let spacing =
-                        parts.or("spacing", 1, |form| form.one_of(&["even", "poisson"]))?;
+                        parts.get_or("spacing", 1, |form| form.choice(&["even", "poisson"]))?;
                     Shape::Phases(
                         self::phases(phases)?,
                         [Spacing::Even, Spacing::Poisson][spacing],
                     )
                 }
                 (None, Some(recorded)) => Shape::Recorded(self::recorded(recorded, folder)?),
-                _ => return Err(form.fault("needs either `(phases …)` or `(recorded …)`")),
+                _ => return Err(form.diagnostic("needs either `(phases …)` or `(recorded …)`")),
             };
-            let forms = parts.need("kinds")?.own_names()?;
+            let forms = parts.required("kinds")?.user_named_forms()?;
             let kinds = forms.iter().map(kind).collect::<Result<Vec<_>, _>>()?;
             if kinds.is_empty() {
-                return Err(parts.need("kinds")?.fault("names no kind"));
+                return Err(parts.required("kinds")?.diagnostic("names no kind"));
             }
             Ok(Plan {
                 shape,
                 kinds,
-                seed: parts.or("seed", 1, |form| form.whole(0, u64::MAX))?,
-                max_in_flight: parts.or("under-way", 20_000, |form| {
-                    Ok(form.whole(1, 1_000_000)? as usize)
+                seed: parts.get_or("seed", 1, |form| form.integer(0, u64::MAX))?,
+                max_in_flight: parts.get_or("under-way", 20_000, |form| {
+                    Ok(form.integer(1, 1_000_000)? as usize)
                 })?,
-                connections: parts.or("links", 4, |form| Ok(form.whole(1, 1_000)? as usize))?,
+                connections: parts
+                    .get_or("links", 4, |form| Ok(form.integer(1, 1_000)? as usize))?,
             })
         })
     }
@@ -83,20 +93,20 @@
     }
 }
 
-fn span(form: &Form) -> Result<Duration, Fault> {
+fn span(form: &Form) -> Result<Duration, Diagnostic> {
     Ok(Duration::from_micros(form.time()? * 100))
 }
 
-fn phases(form: &Form) -> Result<Vec<Phase>, Fault> {
+fn phases(form: &Form) -> Result<Vec<Phase>, Diagnostic> {
     let mut requests = 0.0;
     let mut phases = Vec::new();
-    for form in form.all(&["constant", "ramp", "burst"])? {
+    for form in form.forms(&["constant", "ramp", "burst"])? {
         let phase = match form.name {
             "constant" => {
                 let parts = form.parts(&["for", "rate"])?;
-                let rate = parts.need("rate")?.amount()?;
+                let rate = parts.required("rate")?.non_negative()?;
                 Phase {
-                    duration: span(parts.need("for")?)?,
+                    duration: span(parts.required("for")?)?,
                     from: rate,
                     to: rate,
                     burst: 0,
@@ -104,9 +114,12 @@
             }
             "ramp" => {
                 let parts = form.parts(&["for", "from", "to"])?;
-                let (from, to) = (parts.need("from")?.amount()?, parts.need("to")?.amount()?);
+                let (from, to) = (
+                    parts.required("from")?.non_negative()?,
+                    parts.required("to")?.non_negative()?,
+                );
                 Phase {
-                    duration: span(parts.need("for")?)?,
+                    duration: span(parts.required("for")?)?,
                     from,
                     to,
                     burst: 0,
@@ -114,7 +127,7 @@
             }
             _ => {
                 let parts = form.parts(&["asks"])?;
-                let burst = parts.need("asks")?.whole(1, 1_000_000)? as u32;
+                let burst = parts.required("asks")?.integer(1, 1_000_000)? as u32;
                 Phase {
                     duration: Duration::ZERO,
                     from: 0.0,
@@ -126,17 +139,17 @@
         requests +=
             (phase.from + phase.to) / 2.0 * phase.duration.as_secs_f64() + f64::from(phase.burst);
         if requests > MAX_REQUESTS {
-            return Err(form.fault(format!("comes to more than {MAX_REQUESTS} asks")));
+            return Err(form.diagnostic(format!("comes to more than {MAX_REQUESTS} asks")));
         }
         phases.push(phase);
     }
     match phases.is_empty() {
-        true => Err(form.fault("names no phase")),
+        true => Err(form.diagnostic("names no phase")),
         false => Ok(phases),
     }
 }
 
-fn kind(form: &Form) -> Result<WorkloadKind, Fault> {
+fn kind(form: &Form) -> Result<WorkloadKind, Diagnostic> {
     let parts = form.parts(&[
         "account",
         "services",
@@ -148,22 +161,33 @@
     ])?;
     Ok(WorkloadKind {
         service_class: form.name.into(),
-        tenant: parts.or("account", String::new(), |form| {
-            Ok(form.word()?.to_string())
+        tenant: parts.get_or("account", String::new(), |form| {
+            Ok(form.symbol()?.to_string())
         })?,
-        services: parts.or("services", 10, |form| Ok(form.whole(1, 1_000_000)? as u32))?,
-        weight: parts.or("weight", 1.0, Form::above_zero)?,
-        cores: parts.need("cores")?.above_zero()?,
-        memory: parts.need("memory")?.above_zero()?,
-        lifetime_ms: parts.need("life")?.time()? / 10,
-        abandon_ms: (parts.need("abandon-time")?.time()? / 10).max(1),
+        services: parts.get_or(
+            "services",
+            10,
+            |form| Ok(form.integer(1, 1_000_000)? as u32),
+        )?,
+        weight: parts.get_or("weight", 1.0, Form::positive)?,
+        cores: parts.required("cores")?.positive()?,
+        memory: parts.required("memory")?.positive()?,
+        lifetime_ms: parts.required("life")?.time()? / 10,
+        abandon_ms: (parts.required("abandon-time")?.time()? / 10).max(1),
     })
 }
 
+<<<<<<< HEAD
 /// Reads `(recorded "times.csv")`: a column `ms` of times, in order.
 fn recorded(form: &Form, folder: &Path) -> Result<Vec<Duration>, Fault> {
     let path: PathBuf = folder.join(form.text()?);
     let fault = |why: String| form.fault(format!("{}: {why}", path.display()));
+=======
+/// `(recorded "times.csv")`: a column `ms` of times, in order.
+fn recorded(form: &Form, folder: &Path) -> Result<Vec<Duration>, Diagnostic> {
+    let path: PathBuf = folder.join(form.string()?);
+    let fault = |why: String| form.diagnostic(format!("{}: {why}", path.display()));
+>>>>>>> 84fc138 (Name what the deployment file is read into by the terms of the field)
     let mut reader = csv::Reader::from_path(&path).map_err(|why| fault(why.to_string()))?;
     let headers = reader.headers().map_err(|why| fault(why.to_string()))?;
     let column = headers.iter().position(|name| name.trim() == "ms");
