--- a/crates/platform/src/core/node_messages.rs
+++ b/crates/platform/src/core/node_messages.rs
@@ -1,6 +1,6 @@
 //! Messages of nodes.
 
-use super::pending_task::{ActiveAttempt, EndedAttempt, PendingTask, TaskStage, task_key};
+use super::pending_task::{ActiveAttempt, PendingTask, TaskStage, task_key};
 use super::*;
 use corkspan_platform_wire::node::AttributeValue;
 use corkspan_platform_wire::{client, parse_load_report};
@@ -262,11 +262,7 @@
             return;
         }
         if let Some((pending, _)) = engine.own(id) {
-            pending.active = None;
-            pending.ended.push(EndedAttempt {
-                connection: origin.connection,
-                cause,
-            });
+            pending.end_attempt(origin.connection, cause);
         }
         self.attempt_returned(now, id, active);
         let result = end.of_attempt();
--- a/crates/platform/src/core/pending_task.rs
+++ b/crates/platform/src/core/pending_task.rs
@@ -85,6 +85,12 @@
             ended: Vec::new(),
         }
     }
+
+    /// The node itself has ended the active attempt.
+    pub(super) fn end_attempt(&mut self, connection: ConnectionId, cause: u32) {
+        self.active = None;
+        self.ended.push(EndedAttempt { connection, cause });
+    }
 }
 
 /// What happens at a set time.
