--- a/crates/config-sync/tests/changes.rs
+++ b/crates/config-sync/tests/changes.rs
@@ -1,7 +1,7 @@
 //! One deployment against the next: what is a violation, and which ids stay.
 
 use corkspan_config::Deployment;
-use corkspan_config::version::Texts;
+use corkspan_config::version::SharedParts;
 use corkspan_config_sync::{compatibility, stable_ids};
 use corkspan_scheduler::interface::*;
 use test_case::test_case;
@@ -13,12 +13,12 @@
   (cold (lasts 14 s) (window 1 s) (offers 29)))"#;
 
 fn file() -> Deployment {
-    Deployment::read("d", FILE).unwrap_or_else(|reason| panic!("{reason}"))
+    Deployment::parse("d", FILE).unwrap_or_else(|reason| panic!("{reason}"))
 }
 
 fn next(from: &str, to: &str) -> Deployment {
     assert!(FILE.contains(from));
-    let texts = Texts::of("v", &FILE.replace(from, to)).expect("a form");
+    let texts = SharedParts::parse("v", &FILE.replace(from, to)).expect("a form");
     file()
         .with_version("v", &texts)
         .unwrap_or_else(|reason| panic!("{reason}"))
@@ -61,7 +61,7 @@
     let from =
         &FILE[FILE.find("(tracks").expect("there")..FILE.find("\n  (accounts").expect("there")];
     let ids = stable_ids::assign(&file(), next(from, tracks), |_| 1).expect("room");
-    assert_eq!(ids.tracks, ["web", "once", "new"]);
+    assert_eq!(ids.service_classes, ["web", "once", "new"]);
     assert_eq!(ids.cluster.service_classes[0].latency_objective, 7_000);
 }
 
@@ -72,7 +72,7 @@
         usize::from(class == ServiceClassId(1))
     })
     .expect("room");
-    assert_eq!(ids.tracks, ["web", "", "once"]);
+    assert_eq!(ids.service_classes, ["web", "", "once"]);
     assert_eq!(
         ids.cluster.service_classes[1].retry_safety,
         RetrySafety::NotRetryable
@@ -87,7 +87,7 @@
         usize::from(class == ServiceClassId(2))
     })
     .expect("room");
-    assert_eq!(ids.tracks, ["web", "once", ""]);
+    assert_eq!(ids.service_classes, ["web", "once", ""]);
 }
 
 #[test]
@@ -95,7 +95,7 @@
     let ids =
         stable_ids::assign(&file(), next("(one (share-cores 10)) ", ""), |_| 0).expect("room");
     assert_eq!(
-        (&ids.accounts[..], ids.cluster.tenants[0].quota_cores),
+        (&ids.tenants[..], ids.cluster.tenants[0].quota_cores),
         (&["".into(), "two".into()][..], Some(0.0))
     );
 }
--- a/crates/config-sync/tests/state_space/world.rs
+++ b/crates/config-sync/tests/state_space/world.rs
@@ -1,20 +1,20 @@
 //! The exchange: a control service, a rival, two dispatchers, and what can happen to them.
 
 use crate::events::{Defect, Event};
-use corkspan_config::version::{Texts, VersionId};
+use corkspan_config::version::{SharedParts, VersionId};
 use corkspan_config_sync::{
     PersistedVersions, Publisher, PushAdmission, PushReply, Rejection, RequestCounts, Subscriber,
     VersionPush,
 };
 
-pub fn texts(number: usize) -> Texts {
+pub fn texts(number: usize) -> SharedParts {
     [("shots".to_string(), format!("(shots {number})"))]
         .into_iter()
         .collect()
 }
 
 /// Stands for the validation of a version: the second one is invalid.
-fn is_valid(texts_of_version: &Texts) -> bool {
+fn is_valid(texts_of_version: &SharedParts) -> bool {
     *texts_of_version != texts(2)
 }
 
--- a/crates/config-sync/tests/support/mod.rs
+++ b/crates/config-sync/tests/support/mod.rs
@@ -1,6 +1,6 @@
 //! What several tests of this package share.
 
-use corkspan_config::version::{Texts, VersionId};
+use corkspan_config::version::{SharedParts, VersionId};
 use corkspan_config_sync::{
     PersistedVersions, PushAdmission, RequestCounts, Subscriber, VersionPush,
 };
@@ -8,7 +8,7 @@
 
 pub const SECOND: Ticks = 10_000;
 
-pub fn texts(number: u64) -> Texts {
+pub fn texts(number: u64) -> SharedParts {
     [("shots".to_string(), format!("(shots {number})"))]
         .into_iter()
         .collect()
--- a/crates/config-sync/tests/version_cache.rs
+++ b/crates/config-sync/tests/version_cache.rs
@@ -6,13 +6,8 @@
     VersionPush,
 };
 
-<<<<<<< HEAD
-fn texts(content: u64) -> Texts {
+fn texts(content: u64) -> SharedParts {
     [("tracks".to_string(), format!("(tracks {content})"))]
-=======
-fn texts(what: u64) -> SharedParts {
-    [("tracks".to_string(), format!("(tracks {what})"))]
->>>>>>> 84fc138 (Name what the deployment file is read into by the terms of the field)
         .into_iter()
         .collect()
 }
--- a/crates/dispatcher/src/active_version.rs
+++ b/crates/dispatcher/src/active_version.rs
@@ -42,13 +42,8 @@
         file: Deployment,
         now: corkspan_scheduler::interface::Ticks,
     ) -> (Self, Deployment) {
-<<<<<<< HEAD
-        let path = file.versions.clone();
-        let mut kept = path.as_deref().map(version_files::load).unwrap_or_default();
-=======
         let path = file.version_cache.clone();
-        let mut kept = path.as_deref().map(version_files::read).unwrap_or_default();
->>>>>>> 84fc138 (Name what the deployment file is read into by the terms of the field)
+        let mut kept = path.as_deref().map(version_files::load).unwrap_or_default();
         let mut start = loop {
             let (subscriber, changed) =
                 Subscriber::restore(file.shared_parts.clone(), kept.clone(), now);
@@ -174,18 +169,13 @@
                     .control_service
                     .map(|service| service.to_string())
                     .unwrap_or_default(),
-<<<<<<< HEAD
-                text: in_force.texts.whole(),
+                text: in_force.shared_parts.to_deployment_text(),
                 given_up: kept
                     .rolled_back
                     .iter()
                     .copied()
                     .map(version_id_message)
                     .collect(),
-=======
-                text: in_force.shared_parts.to_deployment_text(),
-                given_up: kept.rolled_back.iter().copied().map(message).collect(),
->>>>>>> 84fc138 (Name what the deployment file is read into by the terms of the field)
                 applied: state.applied,
                 rejected: state.refused,
                 superseded: state.superseded,
--- a/crates/dispatcher/src/catch_up.rs
+++ b/crates/dispatcher/src/catch_up.rs
@@ -29,26 +29,16 @@
 const MAX_PUSH_BYTES: usize = 8 << 20;
 
 /// Asks as long as it is polled, whenever it must.
-<<<<<<< HEAD
 pub async fn run(core: Arc<DispatcherCore>) {
     let mut straggler = CatchUp::new(core.fencing.incarnation ^ 1, RETRY_INTERVALS);
-    while let Some(own) = core.deployment().floor.clone() {
-=======
-pub async fn run(desk: Arc<Desk>) {
-    let mut straggler = CatchUp::new(desk.fleet.life ^ 1, PACE);
-    while let Some(own) = desk.deployment().minimum_version.clone() {
->>>>>>> 84fc138 (Name what the deployment file is read into by the terms of the field)
+    while let Some(own) = core.deployment().minimum_version.clone() {
         let sees = CatchUpStatus {
             has_stream: core
                 .active_version
                 .with(|state| state.control_service.is_some()),
             fenced: core.fenced_by().is_some(),
             peers: own.peers.len(),
-<<<<<<< HEAD
-            members: core.deployment().keepers.len(),
-=======
-            members: desk.deployment().quorum_members.len(),
->>>>>>> 84fc138 (Name what the deployment file is read into by the terms of the field)
+            members: core.deployment().quorum_members.len(),
         };
         match straggler.poll(core.clock.now(), sees) {
             NextStep::Wait(time) => {
@@ -62,19 +52,13 @@
     }
 }
 
-<<<<<<< HEAD
 async fn request_version(
     core: &Arc<DispatcherCore>,
     peers: &[SocketAddr],
     source: VersionSource,
 ) -> RequestOutcome {
-    let running = core.deployment().stamp;
+    let running = core.deployment().version;
     let dispatcher = core.deployment().cluster.scheduler_index as u32;
-=======
-async fn bring(desk: &Arc<Desk>, peers: &[SocketAddr], source: VersionSource) -> RequestOutcome {
-    let running = desk.deployment().version;
-    let dispatcher = desk.deployment().cluster.scheduler_index as u32;
->>>>>>> 84fc138 (Name what the deployment file is read into by the terms of the field)
     let ask = v1::FetchVersionRequest {
         active: Some(version_id_message(running)),
         dispatcher,
--- a/crates/dispatcher/src/config_stream.rs
+++ b/crates/dispatcher/src/config_stream.rs
@@ -103,13 +103,8 @@
 
 /// Streams from one control service after the other, for as long as it is polled, and watches over
 /// trials.
-<<<<<<< HEAD
 pub async fn run(core: Arc<DispatcherCore>) {
-    let services = core.deployment().control.clone();
-=======
-pub async fn run(desk: Arc<Desk>) {
-    let services = desk.deployment().control_services.clone();
->>>>>>> 84fc138 (Name what the deployment file is read into by the terms of the field)
+    let services = core.deployment().control_services.clone();
     // Whoever streams is told of a version that was given up.
     let (gave_up, given_up) = async_channel::bounded::<String>(1);
     let trial_watch = watch_trial(Arc::clone(&core), gave_up);
@@ -360,13 +355,8 @@
         });
         match why {
             Some(why) => {
-<<<<<<< HEAD
                 core.fencing
-                    .version_activated(core.deployment().stamp, VersionOrigin::Rollback);
-=======
-                desk.fleet
-                    .began(desk.deployment().version, VersionOrigin::Rollback);
->>>>>>> 84fc138 (Name what the deployment file is read into by the terms of the field)
+                    .version_activated(core.deployment().version, VersionOrigin::Rollback);
                 warn!(
                     number = before.number,
                     why, "a version is given up for the last good one"
--- a/crates/dispatcher/src/core.rs
+++ b/crates/dispatcher/src/core.rs
@@ -84,23 +84,13 @@
         let (active_version, deployment) = ActiveVersion::start(deployment, now);
         let (claim_returns, returned_claims) = async_channel::bounded(RETURNED_CLAIMS_QUEUE);
         let store = Arc::new(store);
-<<<<<<< HEAD
         let spans = store.version_history();
         active_version.remember_lineage(spans.iter().filter_map(|span| {
-            let (number, digest) = (span.version, Digest::read(&span.digest)?);
-            Some(VersionId { number, digest })
-        }));
-        let fencing = FencingState::new(seed, spans, deployment.stamp);
-        let stored = store.load();
-=======
-        let spans = store.spans();
-        versions.learn(spans.iter().filter_map(|span| {
             let (number, digest) = (span.version, Digest::from_hex(&span.digest)?);
             Some(VersionId { number, digest })
         }));
-        let fleet = Fleet::new(seed, spans, deployment.version);
-        let kept = store.read();
->>>>>>> 84fc138 (Name what the deployment file is read into by the terms of the field)
+        let fencing = FencingState::new(seed, spans, deployment.version);
+        let stored = store.load();
         // Whatever an earlier life had started beside a copy, and was killed before it had put away
         // one of the two.
         let pending_removals = stored.1.iter().filter_map(|held| {
@@ -122,13 +112,8 @@
                 cluster(&deployment),
                 seed,
                 now,
-<<<<<<< HEAD
-                deployment.bounds.in_hand,
-                RETRY_BATCH,
-=======
                 deployment.limits.max_allocations,
-                SLICE,
->>>>>>> 84fc138 (Name what the deployment file is read into by the terms of the field)
+                RETRY_BATCH,
             );
             let effects = DispatcherEffects {
                 core: core.clone(),
@@ -151,13 +136,8 @@
             DispatcherCore {
                 inner: Mutex::new(CoreState { engine, effects }),
                 clock,
-<<<<<<< HEAD
-                link_bounds: crate::node_links::bounds(&deployment.bounds),
-                link_counters: LinkCounters::default(),
-=======
                 link_bounds: crate::node_links::bounds(&deployment.limits),
-                counts: Counts::default(),
->>>>>>> 84fc138 (Name what the deployment file is read into by the terms of the field)
+                link_counters: LinkCounters::default(),
                 in_force: RwLock::new(Arc::new(deployment)),
                 active_version,
                 fencing,
@@ -190,11 +170,7 @@
             let Ok(next) = stable_ids::assign(&self.deployment(), next, in_use) else {
                 return false;
             };
-<<<<<<< HEAD
-            engine.adopt(now, cluster(&next), next.bounds.in_hand);
-=======
-            host.adopt(now, cluster(&next), next.limits.max_allocations);
->>>>>>> 84fc138 (Name what the deployment file is read into by the terms of the field)
+            engine.adopt(now, cluster(&next), next.limits.max_allocations);
             *self
                 .in_force
                 .write()
@@ -229,21 +205,15 @@
     }
 
     /// An owner asks. The answer is among the words, at once or later.
-<<<<<<< HEAD
     pub fn place(
         self: &Arc<Self>,
         ask: v1::PlacementRequest,
         call_deadline: Option<Duration>,
     ) -> OpenCall {
-        let (replies, heard) = async_channel::bounded(self.deployment().bounds.words_a_client);
+        let (replies, heard) =
+            async_channel::bounded(self.deployment().limits.max_events_per_client);
         let taken = OpenCall {
             replies: heard,
-=======
-    pub fn ask(self: &Arc<Self>, ask: v1::PlacementRequest, hangs_up: Option<Duration>) -> Taken {
-        let (words, heard) = async_channel::bounded(self.deployment().limits.max_events_per_client);
-        let taken = Taken {
-            words: heard,
->>>>>>> 84fc138 (Name what the deployment file is read into by the terms of the field)
             id: None,
             open: Arc::clone(&self.open_calls),
         };
@@ -275,11 +245,7 @@
             refuse(v1::rejected::RejectionReason::Behind, text);
             return taken;
         }
-<<<<<<< HEAD
-        if Arc::strong_count(&self.open_calls) > self.deployment().bounds.calls as usize {
-=======
-        if Arc::strong_count(&self.calls) > self.deployment().limits.max_calls as usize {
->>>>>>> 84fc138 (Name what the deployment file is read into by the terms of the field)
+        if Arc::strong_count(&self.open_calls) > self.deployment().limits.max_calls as usize {
             refuse(
                 v1::rejected::RejectionReason::TooMany,
                 "as many calls as may be are open".into(),
@@ -343,15 +309,10 @@
     }
 
     /// An owner hands over an allocation that already runs.
-<<<<<<< HEAD
     pub fn hand_over(self: &Arc<Self>, running: v1::HandOverRequest) -> OpenCall {
-        let (replies, heard) = async_channel::bounded(self.deployment().bounds.words_a_client);
+        let (replies, heard) =
+            async_channel::bounded(self.deployment().limits.max_events_per_client);
         let open = Arc::clone(&self.open_calls);
-=======
-    pub fn hand_over(self: &Arc<Self>, running: v1::HandOverRequest) -> Taken {
-        let (words, heard) = async_channel::bounded(self.deployment().limits.max_events_per_client);
-        let open = Arc::clone(&self.calls);
->>>>>>> 84fc138 (Name what the deployment file is read into by the terms of the field)
         let refuse = |why: v1::rejected::RejectionReason, text: String| {
             let word = v1::Rejected {
                 reason: why.into(),
@@ -494,13 +455,9 @@
     /// decided. `many`: nodes that it goes to.
     pub fn sender(&self, kind: OperationKind, many: usize) -> v1::Decider {
         let deployment = self.deployment();
-<<<<<<< HEAD
-        self.fencing.record_operations(deployment.stamp, kind, many);
-        let stamp = Some(active_version::version_id_message(deployment.stamp));
-=======
-        self.fleet.acts(deployment.version, kind, many);
-        let stamp = Some(active_version::message(deployment.version));
->>>>>>> 84fc138 (Name what the deployment file is read into by the terms of the field)
+        self.fencing
+            .record_operations(deployment.version, kind, many);
+        let stamp = Some(active_version::version_id_message(deployment.version));
         v1::Decider {
             version: stamp,
             incarnation: self.fencing.incarnation,
@@ -509,13 +466,8 @@
     }
 
     /// The floor of versions that shuts this dispatcher out, if one does.
-<<<<<<< HEAD
     pub fn fenced_by(&self) -> Option<corkspan_version_fencing::MinimumVersion> {
-        self.fencing.fenced_by(self.deployment().stamp)
-=======
-    pub fn shut_out(&self) -> Option<corkspan_version_fencing::MinimumVersion> {
-        self.fleet.shut_out(self.deployment().version)
->>>>>>> 84fc138 (Name what the deployment file is read into by the terms of the field)
+        self.fencing.fenced_by(self.deployment().version)
     }
 
     /// The owner's call is over. Unless the allocation has ended too, or the call had its own
@@ -588,13 +540,8 @@
                     .get(&entry.machine)
                     .is_none_or(|node| node.address != *address)
                 {
-<<<<<<< HEAD
-                    let keeps = self.deployment().keepers.contains(&entry.machine);
-                    let meter = self.link_counters.meter(if keeps {
-=======
                     let keeps = self.deployment().quorum_members.contains(&entry.machine);
-                    let meter = self.counts.meter(if keeps {
->>>>>>> 84fc138 (Name what the deployment file is read into by the terms of the field)
+                    let meter = self.link_counters.meter(if keeps {
                         LinkKind::Keepers
                     } else {
                         LinkKind::Nodes
@@ -669,13 +616,8 @@
 
     pub fn status(&self) -> v1::StatusResponse {
         let inner = self.lock();
-<<<<<<< HEAD
         let (counts, effects) = (inner.engine.counts(), &inner.effects);
-        let idle = duration(self.deployment().bounds.idle_close);
-=======
-        let (counts, port) = (inner.host.counts(), &inner.port);
         let idle = duration(self.deployment().limits.idle_timeout);
->>>>>>> 84fc138 (Name what the deployment file is read into by the terms of the field)
         v1::StatusResponse {
             number: self.deployment().cluster.scheduler_index as u32,
             schedulers: self.deployment().cluster.scheduler_count as u32,
@@ -703,13 +645,8 @@
 
     /// Closes links that nothing has crossed for a while.
     pub fn close_idle(&self) {
-<<<<<<< HEAD
         let nodes: Vec<Arc<NodeLink>> = self.lock().effects.nodes.values().cloned().collect();
-        let idle = duration(self.deployment().bounds.idle_close);
-=======
-        let nodes: Vec<Arc<NodeLink>> = self.lock().port.nodes.values().cloned().collect();
         let idle = duration(self.deployment().limits.idle_timeout);
->>>>>>> 84fc138 (Name what the deployment file is read into by the terms of the field)
         for node in nodes {
             node.close_idle(idle);
         }
--- a/crates/dispatcher/src/core/attempt_events.rs
+++ b/crates/dispatcher/src/core/attempt_events.rs
@@ -28,17 +28,11 @@
         DispatcherCore::fenced_by(self).is_some()
     }
 
-<<<<<<< HEAD
     fn minimum_version_reported(&self, floor: &v1::MinimumVersion) {
         self.fencing.node_reported(
             crate::version_gate::minimum_version_from_message(floor),
-            self.deployment().stamp,
+            self.deployment().version,
         );
-=======
-    fn below(&self, floor: &v1::MinimumVersion) {
-        self.fleet
-            .node_tells(crate::version_gate::read(floor), self.deployment().version);
->>>>>>> 84fc138 (Name what the deployment file is read into by the terms of the field)
     }
 
     /// A node has placed a shot. False where the shot need not be followed any longer.
--- a/crates/dispatcher/src/core/effects.rs
+++ b/crates/dispatcher/src/core/effects.rs
@@ -262,14 +262,9 @@
             OperationKind::Attempt,
         );
         let node = self.node(machine);
-<<<<<<< HEAD
-        let most = core.deployment().bounds.offers_a_node;
+        let most = core.deployment().limits.max_offers_per_node;
         let unanswered_guard: Option<CountGuard> =
             node.as_ref().and_then(|node| node.reserve_offer(most));
-=======
-        let most = desk.deployment().limits.max_offers_per_node;
-        let open: Option<Counted> = node.as_ref().and_then(|node| node.offer(most));
->>>>>>> 84fc138 (Name what the deployment file is read into by the terms of the field)
         let (id, number, decided) = (allocation.id, allocation.attempts.len(), Instant::now());
         let offer = attempts::AttemptOffer {
             id,
--- a/crates/dispatcher/src/endpoint_list.rs
+++ b/crates/dispatcher/src/endpoint_list.rs
@@ -157,13 +157,8 @@
     ) -> Option<(Endpoint, SocketAddr)> {
         let index = |names: &[String], name: &str| names.iter().position(|known| known == name);
         let (kind, hall) = (
-<<<<<<< HEAD
-            index(&core.deployment().kinds, &line.kind),
-            index(&core.deployment().halls, &line.hall),
-=======
-            index(&desk.deployment().machine_types, &line.kind),
-            index(&desk.deployment().zones, &line.hall),
->>>>>>> 84fc138 (Name what the deployment file is read into by the terms of the field)
+            index(&core.deployment().machine_types, &line.kind),
+            index(&core.deployment().zones, &line.hall),
         );
         let (Some(kind), Some(hall)) = (kind, hall) else {
             warn!(
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -76,15 +76,9 @@
     deployment: Deployment,
     ready: impl FnOnce(SocketAddr),
     stop: impl Future<Output = ()>,
-<<<<<<< HEAD
 ) -> Result<(), DispatcherError> {
-    let store = rollout_control::Store::open(deployment.rolls.as_deref());
-    run_with_store(store, tasks, deployment, ready, stop).await
-=======
-) -> Result<(), Failure> {
     let store = rollout_control::Store::open(deployment.rollout_store.as_deref());
-    run_over(store, tasks, deployment, ready, stop).await
->>>>>>> 84fc138 (Name what the deployment file is read into by the terms of the field)
+    run_with_store(store, tasks, deployment, ready, stop).await
 }
 
 /// The same over a store of rolls of the caller's.
@@ -108,53 +102,28 @@
     let seed = deployment.seed
         ^ clock.now().rotate_left(20)
         ^ (deployment.cluster.scheduler_index as u64) << 48;
-<<<<<<< HEAD
     let (wakes, wake_times) = async_channel::bounded(1);
     let (watches, watch_requests) = async_channel::bounded(1);
-    let path = deployment.remembered.clone();
-    let bounds = deployment.bounds.clone();
+    let path = deployment.endpoint_cache.clone();
+    let bounds = deployment.limits.clone();
     let core = DispatcherCore::new(deployment, seed, clock, &tasks, wakes, watches, store);
     let _closes = rollout_control::CloseOnDrop(Arc::clone(&core.store));
     let mut list = path.as_deref().map(EndpointList::load).unwrap_or_default();
     let entries = list.endpoints(&core);
-=======
-    let (wakes, waking) = async_channel::bounded(1);
-    let (watches, asked) = async_channel::bounded(1);
-    let path = deployment.endpoint_cache.clone();
-    let bounds = deployment.limits.clone();
-    let desk = Desk::new(deployment, seed, clock, &tasks, wakes, watches, store);
-    let _closes = rollout_control::Closes(Arc::clone(&desk.store));
-    let mut roster = path.as_deref().map(Roster::remembered).unwrap_or_default();
-    let entries = roster.entries(&desk);
->>>>>>> 84fc138 (Name what the deployment file is read into by the terms of the field)
     info!(%address, remembered = entries.len(), "listening");
     core.apply_endpoint_list(corkspan_scheduler::interface::ListUpdate::Cached, &entries);
 
-<<<<<<< HEAD
     let service = Services {
         placement: PlacementServer::new(PlacementService(Arc::clone(&core)))
-            .max_decoding_message_size(bounds.message),
-        rolls: RollsServer::new(rollout_control::RolloutService(Arc::clone(&core)))
-            .max_decoding_message_size(bounds.message),
-        versions: VersionsServer::new(config_stream::VersionService(Arc::clone(&core)))
-            .max_decoding_message_size(bounds.message),
-    };
-    let admits = {
-        let core = Arc::clone(&core);
-        move |address| core.deployment().allows(address)
-=======
-    let service = All {
-        placement: PlacementServer::new(Clients(Arc::clone(&desk)))
             .max_decoding_message_size(bounds.max_message_bytes),
-        rolls: RollsServer::new(rollout_control::Operators(Arc::clone(&desk)))
+        rolls: RollsServer::new(rollout_control::RolloutService(Arc::clone(&core)))
             .max_decoding_message_size(bounds.max_message_bytes),
-        versions: VersionsServer::new(config_stream::Operators(Arc::clone(&desk)))
+        versions: VersionsServer::new(config_stream::VersionService(Arc::clone(&core)))
             .max_decoding_message_size(bounds.max_message_bytes),
     };
     let admits = {
-        let desk = Arc::clone(&desk);
-        move |address| desk.deployment().allows_client(address)
->>>>>>> 84fc138 (Name what the deployment file is read into by the terms of the field)
+        let core = Arc::clone(&core);
+        move |address| core.deployment().allows_client(address)
     };
     let serving = corkspan_rpc::serve_to(
         admits,
@@ -168,7 +137,6 @@
             let core = Arc::clone(&core);
             move || core.timer_fired()
         })),
-<<<<<<< HEAD
         tasks.spawn(endpoint_list::run(
             Arc::clone(&core),
             list,
@@ -183,35 +151,16 @@
         tasks.spawn(maintenance::run(Arc::clone(&core))),
         tasks.spawn(close_idle_links(
             Arc::clone(&core),
-            clock::duration(bounds.idle_close) / 4,
-=======
-        tasks.spawn(endpoint_list::run(Arc::clone(&desk), roster, asked, path)),
-        tasks.spawn(rollout_control::run(Arc::clone(&desk))),
-        tasks.spawn(config_stream::run(Arc::clone(&desk))),
-        tasks.spawn(minimum_version::run(Arc::clone(&desk))),
-        tasks.spawn(minimum_version::keep(Arc::clone(&desk))),
-        tasks.spawn(catch_up::run(Arc::clone(&desk))),
-        tasks.spawn(maintenance::run(Arc::clone(&desk))),
-        tasks.spawn(sweep(
-            Arc::clone(&desk),
             clock::duration(bounds.idle_timeout) / 4,
->>>>>>> 84fc138 (Name what the deployment file is read into by the terms of the field)
         )),
     ];
     ready(address);
     let stopping = async {
         stop.await;
-<<<<<<< HEAD
         core.stop();
-        let latest = Instant::now() + clock::duration(bounds.stop_within);
+        let latest = Instant::now() + clock::duration(bounds.shutdown_grace);
         wait_until(latest, || core.unanswered_count() == 0).await;
         core.end_all();
-=======
-        desk.stop();
-        let latest = Instant::now() + clock::duration(bounds.shutdown_grace);
-        until(latest, || desk.unanswered() == 0).await;
-        desk.let_go();
->>>>>>> 84fc138 (Name what the deployment file is read into by the terms of the field)
         // The last words are on their way; owners that don't read are not waited for.
         wait_until(Instant::now() + Duration::from_secs(1), || {
             !core.has_open_calls()
--- a/crates/dispatcher/src/maintenance.rs
+++ b/crates/dispatcher/src/maintenance.rs
@@ -39,15 +39,9 @@
     let mut rng = Pcg64Mcg::seed_from_u64(core.fencing.incarnation ^ 2);
     let mut first_seen: BTreeMap<ClaimId, Ticks> = BTreeMap::new();
     let mut bid_at = 0;
-<<<<<<< HEAD
-    while let Some(every) = core.deployment().maintenance {
+    while let Some(every) = core.deployment().maintenance_interval {
         if let Some(view) = quorum_view(&core).await {
             let now = core.clock.now();
-=======
-    while let Some(every) = desk.deployment().maintenance_interval {
-        if let Some(view) = view(&desk).await {
-            let now = desk.clock.now();
->>>>>>> 84fc138 (Name what the deployment file is read into by the terms of the field)
             for progress in view.unavailable() {
                 if progress.phase == LeasePhase::Cordoned {
                     core.drain(MachineId(progress.lease.machine.0));
@@ -98,11 +92,7 @@
                 .map(maintenance_messages::member_reply_from_message)
         })
         .collect();
-<<<<<<< HEAD
-    QuorumView::from_replies(&replies, core.deployment().keepers.len())
-=======
-    QuorumView::from_replies(&words, desk.deployment().quorum_members.len())
->>>>>>> 84fc138 (Name what the deployment file is read into by the terms of the field)
+    QuorumView::from_replies(&replies, core.deployment().quorum_members.len())
 }
 
 async fn report_costs(core: &Arc<DispatcherCore>, wish: &MaintenanceRequest) {
@@ -193,11 +183,7 @@
     .await;
     let claim = ClaimId(rng.random_range(1..=u64::MAX));
     let lost = BTreeMap::new();
-<<<<<<< HEAD
-    let keepers = core.deployment().keepers.len();
-=======
-    let keepers = desk.deployment().quorum_members.len();
->>>>>>> 84fc138 (Name what the deployment file is read into by the terms of the field)
+    let keepers = core.deployment().quorum_members.len();
     // A roll needs its copies: while one goes on nothing further is taken.
     let gives_way = core.with_rollouts(|_, rollouts| rollouts.in_progress());
     let own = ReconcileContext {
@@ -235,13 +221,8 @@
     core: &Arc<DispatcherCore>,
     ask: v1::MaintenanceRequest,
 ) -> Result<v1::MaintenanceResponse, Status> {
-<<<<<<< HEAD
-    let keepers = core.deployment().keepers.len();
-    if keepers == 0 || core.deployment().maintenance.is_none() {
-=======
-    let keepers = desk.deployment().quorum_members.len();
-    if keepers == 0 || desk.deployment().maintenance_interval.is_none() {
->>>>>>> 84fc138 (Name what the deployment file is read into by the terms of the field)
+    let keepers = core.deployment().quorum_members.len();
+    if keepers == 0 || core.deployment().maintenance_interval.is_none() {
         return Err(Status::failed_precondition(
             "the deployment names no keepers, or has no `(maintenance …)`",
         ));
@@ -316,15 +297,10 @@
             step: v1::maintenance_step::Step::Completed.into(),
             ..v1::MaintenanceStep::default()
         };
-<<<<<<< HEAD
         let heard = request_all(core, Operation::MaintenanceStep(step))
             .await
             .len();
-        let keepers = core.deployment().keepers.len();
-=======
-        let heard = ask_all(desk, Operation::MaintenanceStep(step)).await.len();
-        let keepers = desk.deployment().quorum_members.len();
->>>>>>> 84fc138 (Name what the deployment file is read into by the terms of the field)
+        let keepers = core.deployment().quorum_members.len();
         if !is_majority(heard, keepers) {
             let text = format!(
                 "{heard} of {keepers} keepers have heard that machine {node} is done: say it again"
@@ -376,11 +352,7 @@
         })
         .collect();
     info!(number, course = ?wish.run_state, machines = wish.machines.len(), "a wish for work on machines");
-<<<<<<< HEAD
-    Ok(committed(&stands, core.deployment().keepers.len()) == Some(&wish))
-=======
-    Ok(committed(&stands, desk.deployment().quorum_members.len()) == Some(&wish))
->>>>>>> 84fc138 (Name what the deployment file is read into by the terms of the field)
+    Ok(committed(&stands, core.deployment().quorum_members.len()) == Some(&wish))
 }
 
 fn start(
--- a/crates/dispatcher/src/minimum_version.rs
+++ b/crates/dispatcher/src/minimum_version.rs
@@ -27,13 +27,8 @@
 
 /// Keeps on disk which versions were in force, for as long as it is polled. It is a record and no
 /// ground for any decision, so nothing waits for it; a disk that is full is tried again.
-<<<<<<< HEAD
 pub async fn save_history(core: Arc<DispatcherCore>) {
-    if core.deployment().rolls.is_none() {
-=======
-pub async fn keep(desk: Arc<Desk>) {
-    if desk.deployment().rollout_store.is_none() {
->>>>>>> 84fc138 (Name what the deployment file is read into by the terms of the field)
+    if core.deployment().rollout_store.is_none() {
         return;
     }
     let mut told = false;
@@ -68,32 +63,19 @@
 /// Asks the keepers again and again, for as long as it is polled: for the floor, for what enough of
 /// the fleet have taken where a rule raises the floor by that, and to lay a version on their
 /// shelves for stragglers.
-<<<<<<< HEAD
 pub async fn run(core: Arc<DispatcherCore>) {
-    if core.deployment().floor.is_none() {
-=======
-pub async fn run(desk: Arc<Desk>) {
-    if desk.deployment().minimum_version.is_none() {
->>>>>>> 84fc138 (Name what the deployment file is read into by the terms of the field)
+    if core.deployment().minimum_version.is_none() {
         return;
     }
     let (mut watch, mut rng) = (
         PolicyWatch::default(),
         Pcg64Mcg::seed_from_u64(core.fencing.incarnation),
     );
-<<<<<<< HEAD
-    while let Some(own) = core.deployment().floor.clone() {
+    while let Some(own) = core.deployment().minimum_version.clone() {
         let replies = poll_quorum(&core, &own).await;
         let deployment = core.deployment();
-        let (keepers, now) = (deployment.keepers.len(), core.clock.now());
+        let (keepers, now) = (deployment.quorum_members.len(), core.clock.now());
         let told: Vec<Option<MinimumVersion>> = replies
-=======
-    while let Some(own) = desk.deployment().minimum_version.clone() {
-        let words = tell(&desk, &own).await;
-        let deployment = desk.deployment();
-        let (keepers, now) = (deployment.quorum_members.len(), desk.clock.now());
-        let told: Vec<Option<MinimumVersion>> = words
->>>>>>> 84fc138 (Name what the deployment file is read into by the terms of the field)
             .iter()
             .map(|word| {
                 word.minimum_version
@@ -101,15 +83,9 @@
                     .map(minimum_version_from_message)
             })
             .collect();
-<<<<<<< HEAD
         let news = core.fencing.gate().apply_quorum_replies(&told, keepers);
         if let Some(floor) = core.fencing.minimum_version().filter(|_| news) {
-            log_minimum_version(floor, deployment.stamp, "the keepers");
-=======
-        let news = desk.fleet.standing().apply_quorum_replies(&told, keepers);
-        if let Some(floor) = desk.fleet.floor().filter(|_| news) {
-            say(floor, deployment.version, "the keepers");
->>>>>>> 84fc138 (Name what the deployment file is read into by the terms of the field)
+            log_minimum_version(floor, deployment.version, "the keepers");
         }
         if own.max_versions_behind.is_some() || own.max_age.is_some() {
             let rule = MinimumVersionPolicy {
@@ -142,24 +118,17 @@
                 }
             }
         }
-<<<<<<< HEAD
         offer_to_caches(&core, &replies, rng.random()).await;
-        async_io::Timer::after(duration(own.every)).await;
-=======
-        lay(&desk, &words, rng.random()).await;
         async_io::Timer::after(duration(own.poll_interval)).await;
->>>>>>> 84fc138 (Name what the deployment file is read into by the terms of the field)
     }
 }
 
 /// What the keepers that answer hold of the fleet, told what runs here.
-<<<<<<< HEAD
-async fn poll_quorum(core: &Arc<DispatcherCore>, own: &FloorWatch) -> Vec<v1::QuorumResponse> {
+async fn poll_quorum(
+    core: &Arc<DispatcherCore>,
+    own: &MinimumVersionSettings,
+) -> Vec<v1::QuorumResponse> {
     let (running, on_trial) = core.active_version.with(|state| {
-=======
-async fn tell(desk: &Arc<Desk>, own: &MinimumVersionSettings) -> Vec<v1::QuorumResponse> {
-    let (running, on_trial) = desk.versions.with(|state| {
->>>>>>> 84fc138 (Name what the deployment file is read into by the terms of the field)
         (
             state.subscriber.active_version(),
             state.subscriber.on_trial(),
@@ -250,11 +219,7 @@
     core: &Arc<DispatcherCore>,
     lowest: u64,
 ) -> Result<v1::RaiseMinimumVersionResponse, Status> {
-<<<<<<< HEAD
-    let keepers = core.deployment().keepers.len();
-=======
-    let keepers = desk.deployment().quorum_members.len();
->>>>>>> 84fc138 (Name what the deployment file is read into by the terms of the field)
+    let keepers = core.deployment().quorum_members.len();
     if keepers == 0 {
         return Err(Status::failed_precondition(
             "the deployment names no keepers",
--- a/crates/dispatcher/src/quorum_client.rs
+++ b/crates/dispatcher/src/quorum_client.rs
@@ -8,15 +8,9 @@
 use tonic::Response;
 
 /// Asks all keepers at once; what those say that answer within a link's time.
-<<<<<<< HEAD
 pub async fn request_all(core: &Arc<DispatcherCore>, ask: Operation) -> Vec<v1::QuorumResponse> {
-    let calls: Vec<_> = (core.deployment().keepers.iter())
+    let calls: Vec<_> = (core.deployment().quorum_members.iter())
         .filter_map(|keeper| core.node(*keeper))
-=======
-pub async fn ask_all(desk: &Arc<Desk>, ask: Operation) -> Vec<v1::QuorumResponse> {
-    let calls: Vec<_> = (desk.deployment().quorum_members.iter())
-        .filter_map(|keeper| desk.node(*keeper))
->>>>>>> 84fc138 (Name what the deployment file is read into by the terms of the field)
         .map(|node| {
             let (core, ask) = (
                 Arc::clone(core),
@@ -36,17 +30,12 @@
 }
 
 /// Asks the how-manieth keeper alone.
-<<<<<<< HEAD
 pub async fn request_one(
     core: &Arc<DispatcherCore>,
     which: usize,
     ask: Operation,
 ) -> Option<v1::QuorumResponse> {
-    let keeper = *core.deployment().keepers.get(which)?;
-=======
-pub async fn ask_one(desk: &Arc<Desk>, which: usize, ask: Operation) -> Option<v1::QuorumResponse> {
-    let keeper = *desk.deployment().quorum_members.get(which)?;
->>>>>>> 84fc138 (Name what the deployment file is read into by the terms of the field)
+    let keeper = *core.deployment().quorum_members.get(which)?;
     keep(
         core,
         &core.node(keeper)?,
--- a/crates/dispatcher/src/rollout_control.rs
+++ b/crates/dispatcher/src/rollout_control.rs
@@ -21,13 +21,8 @@
 /// The same while none does: hundreds of dispatchers ask the same few keepers.
 const IDLE_ROUND_INTERVAL: Duration = Duration::from_secs(2);
 /// Goes round the keepers again and again, for as long as it is polled.
-<<<<<<< HEAD
 pub async fn run(core: Arc<DispatcherCore>) {
-    if core.deployment().keepers.is_empty() {
-=======
-pub async fn run(desk: Arc<Desk>) {
-    if desk.deployment().quorum_members.is_empty() {
->>>>>>> 84fc138 (Name what the deployment file is read into by the terms of the field)
+    if core.deployment().quorum_members.is_empty() {
         return;
     }
     // Apart from the rounds: a node that is out of reach must not hold them up.
@@ -69,15 +64,9 @@
     }
 }
 
-<<<<<<< HEAD
 async fn poll_members(core: &Arc<DispatcherCore>) {
     let told = request_all(core, Operation::Query(v1::QuorumQuery::default())).await;
-    let keepers = core.deployment().keepers.len();
-=======
-async fn round(desk: &Arc<Desk>) {
-    let told = ask_all(desk, Operation::Query(v1::QuorumQuery::default())).await;
-    let keepers = desk.deployment().quorum_members.len();
->>>>>>> 84fc138 (Name what the deployment file is read into by the terms of the field)
+    let keepers = core.deployment().quorum_members.len();
     let mut by_service: BTreeMap<String, (Vec<Rollout>, Vec<ReportedSlot>)> = BTreeMap::new();
     for kept in told.iter().flat_map(|word| &word.entries) {
         let Some(roll) = kept.rollout.as_ref().and_then(rollout_from_message) else {
@@ -206,11 +195,8 @@
                 task: task.clone(),
                 dispatcher,
             };
-<<<<<<< HEAD
-            let by = Some(core.sender(OperationKind::Claim, core.deployment().keepers.len()));
-=======
-            let by = Some(desk.by(OperationKind::Claim, desk.deployment().quorum_members.len()));
->>>>>>> 84fc138 (Name what the deployment file is read into by the terms of the field)
+            let by =
+                Some(core.sender(OperationKind::Claim, core.deployment().quorum_members.len()));
             let ask = v1::Claim {
                 service: service.into(),
                 revision: roll.revision,
@@ -220,11 +206,7 @@
             let replies = request_all(core, Operation::Claim(ask)).await;
             granted = replies.iter().filter(|word| word.granted).count();
         }
-<<<<<<< HEAD
-        let keepers = core.deployment().keepers.len();
-=======
-        let keepers = desk.deployment().quorum_members.len();
->>>>>>> 84fc138 (Name what the deployment file is read into by the terms of the field)
+        let keepers = core.deployment().quorum_members.len();
         // On disk before anything is taken down under it: a restart must know that the slot is
         // used.
         if is_majority(granted, keepers)
@@ -360,11 +342,7 @@
         .flat_map(|word| &word.entries)
         .filter_map(|kept| kept.rollout.as_ref().and_then(rollout_from_message))
         .collect();
-<<<<<<< HEAD
-    committed(&stands, core.deployment().keepers.len()).cloned()
-=======
-    committed(&stands, desk.deployment().quorum_members.len()).cloned()
->>>>>>> 84fc138 (Name what the deployment file is read into by the terms of the field)
+    committed(&stands, core.deployment().quorum_members.len()).cloned()
 }
 
 pub fn rollout_message(roll: &Rollout) -> v1::Rollout {
@@ -443,15 +421,9 @@
     }
 
     /// The roll in force as a majority of the keepers tells it now, not as we heard last.
-<<<<<<< HEAD
     async fn current_rollout(&self, service: &str) -> Result<Option<Rollout>, Status> {
-        let keepers = self.0.deployment().keepers.len();
-        let told = request_all(&self.0, Operation::Query(v1::QuorumQuery::default())).await;
-=======
-    async fn stands(&self, service: &str) -> Result<Option<Rollout>, Status> {
         let keepers = self.0.deployment().quorum_members.len();
-        let told = ask_all(&self.0, Operation::Query(v1::QuorumQuery::default())).await;
->>>>>>> 84fc138 (Name what the deployment file is read into by the terms of the field)
+        let told = request_all(&self.0, Operation::Query(v1::QuorumQuery::default())).await;
         if !is_majority(told.len(), keepers) {
             let text = format!(
                 "{} of {keepers} keepers answer; a majority is needed",
@@ -568,15 +540,9 @@
         request: Request<v1::RolloutStatusRequest>,
     ) -> Result<Response<v1::RolloutStatus>, Status> {
         let service = request.into_inner().service;
-<<<<<<< HEAD
-        let keepers = self.0.deployment().keepers.len() as u32;
+        let keepers = self.0.deployment().quorum_members.len() as u32;
         Ok(Response::new(self.0.with_rollouts(|_, rollouts| {
             let held = rollouts.reported_slots.get(&service).into_iter().flatten();
-=======
-        let keepers = self.0.deployment().quorum_members.len() as u32;
-        Ok(Response::new(self.0.with_rolls(|_, rolls| {
-            let held = rolls.held.get(&service).into_iter().flatten();
->>>>>>> 84fc138 (Name what the deployment file is read into by the terms of the field)
             let held = held.map(|ReportedSlot { slot, grant, .. }| v1::Slot {
                 slot: *slot,
                 claim: grant.claim.0,
--- a/crates/dispatcher/src/version_files.rs
+++ b/crates/dispatcher/src/version_files.rs
@@ -59,13 +59,8 @@
     })
 }
 
-<<<<<<< HEAD
 fn checksum(text: &str) -> String {
-    let texts: Texts = [(String::new(), text.to_string())].into_iter().collect();
-=======
-fn sum(text: &str) -> String {
     let texts: SharedParts = [(String::new(), text.to_string())].into_iter().collect();
->>>>>>> 84fc138 (Name what the deployment file is read into by the terms of the field)
     texts.digest().to_string()
 }
 
--- a/crates/lab/tests/full_path/rig.rs
+++ b/crates/lab/tests/full_path/rig.rs
@@ -148,8 +148,7 @@
         let (kill, killed) = async_channel::bounded::<()>(1);
         std::thread::spawn(move || {
             let own = Tasks::default();
-<<<<<<< HEAD
-            let store = store.unwrap_or_else(|| Store::open(deployment.rolls.as_deref()));
+            let store = store.unwrap_or_else(|| Store::open(deployment.rollout_store.as_deref()));
             let run = corkspan_dispatcher::run_with_store(
                 store,
                 own.clone(),
@@ -157,11 +156,6 @@
                 ready_call,
                 stopped,
             );
-=======
-            let store = store.unwrap_or_else(|| Store::open(deployment.rollout_store.as_deref()));
-            let run =
-                corkspan_dispatcher::run_over(store, own.clone(), deployment, ready_call, stopped);
->>>>>>> 84fc138 (Name what the deployment file is read into by the terms of the field)
             // Dropped with all its tasks where it is killed: its sockets close, and it says nothing
             // more.
             let killed = async {
--- a/crates/load-generator/src/plan.rs
+++ b/crates/load-generator/src/plan.rs
@@ -25,24 +25,15 @@
 }
 
 impl Plan {
-<<<<<<< HEAD
     /// Reads a load file.
-    pub fn load(path: &Path) -> Result<Plan, Fault> {
-=======
     pub fn load(path: &Path) -> Result<Plan, Diagnostic> {
->>>>>>> 84fc138 (Name what the deployment file is read into by the terms of the field)
         let folder = path.parent().unwrap_or(Path::new("")).to_path_buf();
         Plan::read(&path.display().to_string(), &sexp::load(path)?, &folder)
     }
 
-<<<<<<< HEAD
     /// Reads a load file's text. `file` is its name in messages, `folder` where recorded times are
     /// looked for.
-    pub fn read(file: &str, text: &str, folder: &Path) -> Result<Plan, Fault> {
-=======
-    /// `folder`: where recorded times are looked for.
     pub fn read(file: &str, text: &str, folder: &Path) -> Result<Plan, Diagnostic> {
->>>>>>> 84fc138 (Name what the deployment file is read into by the terms of the field)
         sexp::with_form(file, text, "load", |form| {
             let parts = form.parts(&[
                 "phases",
@@ -177,17 +168,10 @@
     })
 }
 
-<<<<<<< HEAD
 /// Reads `(recorded "times.csv")`: a column `ms` of times, in order.
-fn recorded(form: &Form, folder: &Path) -> Result<Vec<Duration>, Fault> {
-    let path: PathBuf = folder.join(form.text()?);
-    let fault = |why: String| form.fault(format!("{}: {why}", path.display()));
-=======
-/// `(recorded "times.csv")`: a column `ms` of times, in order.
 fn recorded(form: &Form, folder: &Path) -> Result<Vec<Duration>, Diagnostic> {
     let path: PathBuf = folder.join(form.string()?);
     let fault = |why: String| form.diagnostic(format!("{}: {why}", path.display()));
->>>>>>> 84fc138 (Name what the deployment file is read into by the terms of the field)
     let mut reader = csv::Reader::from_path(&path).map_err(|why| fault(why.to_string()))?;
     let headers = reader.headers().map_err(|why| fault(why.to_string()))?;
     let column = headers.iter().position(|name| name.trim() == "ms");
