--- a/crates/load-generator/src/plan.rs
+++ b/crates/load-generator/src/plan.rs
@@ -88,11 +88,28 @@
     Ok(Duration::from_micros(form.time()? * 100))
 }
 
+/// Reads all phases, which must not come to too many requests.
 fn phases(form: &Form) -> Result<Vec<Phase>, Diagnostic> {
     let mut requests = 0.0;
     let mut phases = Vec::new();
     for form in form.forms(&["constant", "ramp", "burst"])? {
-        let phase = match form.name {
+        let phase = phase(&form)?;
+        requests +=
+            (phase.from + phase.to) / 2.0 * phase.duration.as_secs_f64() + f64::from(phase.burst);
+        if requests > MAX_REQUESTS {
+            return Err(form.diagnostic(format!("comes to more than {MAX_REQUESTS} asks")));
+        }
+        phases.push(phase);
+    }
+    match phases.is_empty() {
+        true => Err(form.diagnostic("names no phase")),
+        false => Ok(phases),
+    }
+}
+
+/// Reads one phase.
+fn phase(form: &Form) -> Result<Phase, Diagnostic> {
+    Ok(match form.name {
             "constant" => {
                 let parts = form.parts(&["for", "rate"])?;
                 let rate = parts.required("rate")?.non_negative()?;
@@ -126,20 +143,10 @@
                     burst,
                 }
             }
-        };
-        requests +=
-            (phase.from + phase.to) / 2.0 * phase.duration.as_secs_f64() + f64::from(phase.burst);
-        if requests > MAX_REQUESTS {
-            return Err(form.diagnostic(format!("comes to more than {MAX_REQUESTS} asks")));
-        }
-        phases.push(phase);
-    }
-    match phases.is_empty() {
-        true => Err(form.diagnostic("names no phase")),
-        false => Ok(phases),
-    }
+        })
 }
 
+/// Reads a kind of work; its form's name is the service class.
 fn kind(form: &Form) -> Result<WorkloadKind, Diagnostic> {
     let parts = form.parts(&[
         "account",
--- a/crates/load-generator/src/plot.rs
+++ b/crates/load-generator/src/plot.rs
@@ -31,6 +31,30 @@
     value: fn(&Second) -> u64,
 }
 
+/// The lines of the upper chart.
+const LINES: [Line; 4] = [
+    Line {
+        name: "intended",
+        colour: BLACK,
+        value: |second| second.intended,
+    },
+    Line {
+        name: "placed",
+        colour: RGBColor(40, 120, 60),
+        value: |second| second.placed,
+    },
+    Line {
+        name: "refused",
+        colour: RGBColor(210, 130, 0),
+        value: |second| second.rejected,
+    },
+    Line {
+        name: "lost",
+        colour: RED,
+        value: |second| second.lost,
+    },
+];
+
 /// Draws two charts above each other, by seconds of intended time.
 pub fn draw(report: &Report, path: &Path) -> Result<(), PlotError> {
     charts(report, path).map_err(|source| PlotError {
@@ -52,28 +76,6 @@
 
 /// Requests per second: intended, and by how they ended.
 fn rates(seconds: &[Second], end: f64, area: &Area) -> Drawn {
-    let lines = [
-        Line {
-            name: "intended",
-            colour: BLACK,
-            value: |second| second.intended,
-        },
-        Line {
-            name: "placed",
-            colour: RGBColor(40, 120, 60),
-            value: |second| second.placed,
-        },
-        Line {
-            name: "refused",
-            colour: RGBColor(210, 130, 0),
-            value: |second| second.rejected,
-        },
-        Line {
-            name: "lost",
-            colour: RED,
-            value: |second| second.lost,
-        },
-    ];
     let highest = seconds.iter().map(|second| second.intended).max();
     let highest = highest.unwrap_or(1).max(1) as f64;
     let mut chart = ChartBuilder::on(area)
@@ -87,7 +89,7 @@
         .light_line_style(WHITE)
         .x_desc("s")
         .draw()?;
-    for line in lines {
+    for line in &LINES {
         let points = seconds
             .iter()
             .map(|second| (second.at as f64 + 0.5, (line.value)(second) as f64));
--- a/crates/load-generator/tests/load.rs
+++ b/crates/load-generator/tests/load.rs
@@ -3,6 +3,7 @@
 use corkspan_load_generator::compare::{Verdict, compare};
 use corkspan_load_generator::mix::{Mix, WorkloadKind};
 use corkspan_load_generator::plan::Plan;
+use corkspan_load_generator::plot::draw;
 use corkspan_load_generator::shape::{Phase, Shape, Spacing};
 use corkspan_load_generator::tally::{Outcome, RequestRecord, Tally};
 use proptest::prelude::*;
@@ -220,3 +221,23 @@
     let found = found.count();
     assert!(found <= 30, "{found} of 200, where 10 are meant to be");
 }
+
+#[test]
+fn a_report_is_drawn_or_the_error_names_the_file() {
+    let mut tally = Tally::new(1);
+    (0..98).for_each(|at| tally.record(&request(at * 50, at * 50, at * 51, Outcome::Placed)));
+    let report = tally.report(&["web".into()], ms(5_000));
+    let folder = tempfile::tempdir().expect("a folder");
+    let path = folder.path().join("report.svg");
+    draw(&report, &path).expect("it can be drawn");
+    let picture = std::fs::read_to_string(&path).expect("written");
+    assert!(picture.starts_with("<svg") && picture.contains("slowest answer"));
+    let nowhere = folder.path().join("no such folder/report.svg");
+    let error = draw(&report, &nowhere).expect_err("there is no folder");
+    assert!(
+        error
+            .to_string()
+            .starts_with(&nowhere.display().to_string()),
+        "{error}"
+    );
+}
