--- a/crates/load-generator/src/plan.rs
+++ b/crates/load-generator/src/plan.rs
@@ -110,40 +110,40 @@
 /// Reads one phase.
 fn phase(form: &Form) -> Result<Phase, Diagnostic> {
     Ok(match form.name {
-            "constant" => {
-                let parts = form.parts(&["for", "rate"])?;
-                let rate = parts.required("rate")?.non_negative()?;
-                Phase {
-                    duration: span(parts.required("for")?)?,
-                    from: rate,
-                    to: rate,
-                    burst: 0,
-                }
+        "constant" => {
+            let parts = form.parts(&["for", "rate"])?;
+            let rate = parts.required("rate")?.non_negative()?;
+            Phase {
+                duration: span(parts.required("for")?)?,
+                from: rate,
+                to: rate,
+                burst: 0,
             }
-            "ramp" => {
-                let parts = form.parts(&["for", "from", "to"])?;
-                let (from, to) = (
-                    parts.required("from")?.non_negative()?,
-                    parts.required("to")?.non_negative()?,
-                );
-                Phase {
-                    duration: span(parts.required("for")?)?,
-                    from,
-                    to,
-                    burst: 0,
-                }
+        }
+        "ramp" => {
+            let parts = form.parts(&["for", "from", "to"])?;
+            let (from, to) = (
+                parts.required("from")?.non_negative()?,
+                parts.required("to")?.non_negative()?,
+            );
+            Phase {
+                duration: span(parts.required("for")?)?,
+                from,
+                to,
+                burst: 0,
             }
-            _ => {
-                let parts = form.parts(&["asks"])?;
-                let burst = parts.required("asks")?.integer(1, 1_000_000)? as u32;
-                Phase {
-                    duration: Duration::ZERO,
-                    from: 0.0,
-                    to: 0.0,
-                    burst,
-                }
+        }
+        _ => {
+            let parts = form.parts(&["asks"])?;
+            let burst = parts.required("asks")?.integer(1, 1_000_000)? as u32;
+            Phase {
+                duration: Duration::ZERO,
+                from: 0.0,
+                to: 0.0,
+                burst,
             }
-        })
+        }
+    })
 }
 
 /// Reads a kind of work; its form's name is the service class.
