--- a/crates/dispatcher/src/attempts.rs
+++ b/crates/dispatcher/src/attempts.rs
@@ -2,6 +2,9 @@
 //! told by what crossed the link: an offer that was never written can't have run; one that was, may
 //! have, unless the node itself says no.
 
+use crate::attempt_messages::{
+    EndedAttempt, ending_of_status, is_valid_amount, reason, report, result_of_end,
+};
 use crate::node_links::{CountGuard, NodeLink};
 use corkspan_api::v1::{self, attempt_event::Event as NodeReply, node_client::NodeClient};
 use corkspan_rpc::{Bounds, Link, Tasks, within};
@@ -9,7 +12,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
-use tonic::{Status, Streaming};
+use tonic::Streaming;
 use tracing::debug;
 
 /// Who is told what becomes of shots, and by what they are bounded. Below the desk, which is one:
@@ -60,25 +63,6 @@
     pub decided: Instant,
 }
 
-/// How a shot has returned, before it was placed or after.
-struct EndedAttempt {
-    ending: AttemptResult,
-    reason: Option<ReturnReason>,
-    how: v1::ended::EndReason,
-    report: Option<LoadReport>,
-}
-
-impl EndedAttempt {
-    fn with_ending(ending: AttemptResult) -> Self {
-        EndedAttempt {
-            ending,
-            reason: None,
-            how: v1::ended::EndReason::Lost,
-            report: None,
-        }
-    }
-}
-
 enum OfferOutcome {
     Placed(Streaming<v1::AttemptEvent>),
     Ended(EndedAttempt),
@@ -379,74 +363,3 @@
 fn client<D: AttemptObserver>(core: &D, link: Link) -> NodeClient<Link> {
     NodeClient::new(link).max_decoding_message_size(core.bounds().message)
 }
-
-/// An error that the link made up, or one that the node gave.
-fn ending_of_status(why: &Status) -> AttemptResult {
-    match std::error::Error::source(why) {
-        Some(_) => AttemptResult::Reset,
-        None => AttemptResult::Error,
-    }
-}
-
-fn is_valid_amount(value: f64) -> bool {
-    value.is_finite() && (0.0..=1e9).contains(&value)
-}
-
-/// The load report, where there is one that holds numbers.
-fn report(load: Option<v1::LoadReport>) -> Option<LoadReport> {
-    let load = load.filter(|load| load.cores.is_finite() && load.memory.is_finite())?;
-    Some(LoadReport {
-        available: Resources {
-            cores: load.cores,
-            memory: load.memory,
-        },
-    })
-}
-
-fn reason(why: v1::attempt_rejected::Rejection) -> Option<ReturnReason> {
-    match why {
-        v1::attempt_rejected::Rejection::Unspecified => None,
-        v1::attempt_rejected::Rejection::NoCores => Some(ReturnReason::NoCores),
-        v1::attempt_rejected::Rejection::NoMemory => Some(ReturnReason::NoMemory),
-        v1::attempt_rejected::Rejection::QueueFull => Some(ReturnReason::QueueFull),
-        v1::attempt_rejected::Rejection::NotPresent
-        | v1::attempt_rejected::Rejection::BelowMinimumVersion => Some(ReturnReason::Unfit),
-    }
-}
-
-fn result_of_end(how: v1::attempt_ended::AttemptOutcome) -> EndedAttempt {
-    use corkspan_api::v1::ended::EndReason;
-    let (ending, reason, how) = match how {
-        v1::attempt_ended::AttemptOutcome::Error => (AttemptResult::Error, None, EndReason::Error),
-        v1::attempt_ended::AttemptOutcome::Ended => {
-            (AttemptResult::Completed, None, EndReason::Ended)
-        }
-        v1::attempt_ended::AttemptOutcome::Evicted => (
-            AttemptResult::Reset,
-            Some(ReturnReason::Evicted),
-            EndReason::Evicted,
-        ),
-        v1::attempt_ended::AttemptOutcome::Preempted => (
-            AttemptResult::Reset,
-            Some(ReturnReason::Preempted),
-            EndReason::PushedOut,
-        ),
-        v1::attempt_ended::AttemptOutcome::Drained => (
-            AttemptResult::Reset,
-            Some(ReturnReason::Migrated),
-            EndReason::SentAway,
-        ),
-        v1::attempt_ended::AttemptOutcome::Stopped => {
-            (AttemptResult::Cancelled, None, EndReason::Ended)
-        }
-        v1::attempt_ended::AttemptOutcome::Migrated => {
-            (AttemptResult::Cancelled, None, EndReason::Moved)
-        }
-    };
-    EndedAttempt {
-        ending,
-        reason,
-        how,
-        report: None,
-    }
-}
--- a/crates/dispatcher/src/config_stream.rs
+++ b/crates/dispatcher/src/config_stream.rs
@@ -8,8 +8,6 @@
 use crate::clock::{duration, ticks};
 use crate::core::DispatcherCore;
 use crate::link_counters::LinkKind;
-use crate::minimum_version;
-use crate::version_gate;
 use corkspan_api::v1::push_reply::Answer;
 use corkspan_api::v1::{self, control_client::ControlClient};
 use corkspan_config_sync::{
@@ -22,7 +20,7 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
-use tonic::{Request, Response, Status};
+use tonic::Status;
 use tracing::{info, warn};
 
 /// Between two looks at how a version on trial does.
@@ -367,78 +365,3 @@
         }
     }
 }
-
-/// What operators ask.
-#[derive(Clone)]
-pub struct VersionService(pub Arc<DispatcherCore>);
-
-#[tonic::async_trait]
-impl v1::versions_server::Versions for VersionService {
-    async fn status(
-        &self,
-        _: Request<v1::VersionStatusRequest>,
-    ) -> Result<Response<v1::VersionStatus>, Status> {
-        let floor = self
-            .0
-            .fencing
-            .minimum_version()
-            .map(version_gate::minimum_version_message);
-        let shut_out = self.0.fenced_by().is_some();
-        let status = self.0.active_version.status(&self.0.deployment());
-        let (dispatcher, life) = (
-            self.0.deployment().cluster.scheduler_index as u32,
-            self.0.fencing.incarnation,
-        );
-        let (unwritten, (spans, counted)) = (
-            self.0.fencing.has_unwritten_history(),
-            self.0.fencing.history_messages(),
-        );
-        // For an audit of an earlier program, which knows no kinds.
-        let mut acts = std::collections::HashMap::new();
-        counted
-            .iter()
-            .for_each(|own| *acts.entry(own.version).or_default() += own.count);
-        Ok(Response::new(v1::VersionStatus {
-            minimum_version: floor,
-            fenced: shut_out,
-            dispatcher,
-            incarnation: life,
-            intervals: spans,
-            operations: acts,
-            operation_counts: counted,
-            history_incomplete: unwritten,
-            ..status
-        }))
-    }
-
-    async fn give(
-        &self,
-        request: Request<v1::FetchVersionRequest>,
-    ) -> Result<Response<v1::VersionPush>, Status> {
-        let Some(_given) = self.0.fencing.catch_up_permit() else {
-            return Err(Status::resource_exhausted(
-                "as many as may be are brought up from here",
-            ));
-        };
-        let theirs = request
-            .into_inner()
-            .active
-            .as_ref()
-            .and_then(version_id_from_message);
-        let theirs = theirs.ok_or_else(|| Status::invalid_argument("running: no stamp"))?;
-        let push = self
-            .0
-            .active_version
-            .with(|state| state.version_cache.push_for(theirs));
-        Ok(Response::new(push.map(push_message).unwrap_or_default()))
-    }
-
-    async fn raise(
-        &self,
-        request: Request<v1::RaiseMinimumVersionRequest>,
-    ) -> Result<Response<v1::RaiseMinimumVersionResponse>, Status> {
-        minimum_version::raise(&self.0, request.into_inner().version)
-            .await
-            .map(Response::new)
-    }
-}
--- /dev/null
+++ b/crates/dispatcher/src/core/lifecycle.rs
@@ -0,0 +1,88 @@
+//! The status of a dispatcher, and its graceful shutdown.
+
+use super::*;
+
+impl DispatcherCore {
+    pub fn status(&self) -> v1::StatusResponse {
+        let inner = self.lock();
+        let (counts, effects) = (inner.engine.counts(), &inner.effects);
+        let idle = duration(self.deployment().limits.idle_timeout);
+        v1::StatusResponse {
+            number: self.deployment().cluster.scheduler_index as u32,
+            schedulers: self.deployment().cluster.scheduler_count as u32,
+            in_flight: counts.in_hand as u64,
+            deferred: counts.not_yet as u64,
+            attempts_in_flight: counts.shots_out as u64,
+            running: counts.placed as u64,
+            requested: effects.counters.asked,
+            placed: effects.counters.placed,
+            rejected: effects.counters.refused,
+            failed: effects.counters.failed,
+            cancelled: effects.counters.cancelled,
+            connections: effects
+                .nodes
+                .values()
+                .filter(|node| node.close_idle(idle))
+                .count() as u64,
+            machines_serving: effects.serving as u64,
+            machines_known: effects.nodes.len() as u64,
+            decision_time_us: effects.decision_time.as_micros() as u64,
+            stopping: effects.stopping,
+            connection_traffic: self.link_counters.messages(),
+        }
+    }
+
+    /// Closes links that nothing has crossed for a while.
+    pub fn close_idle(&self) {
+        let nodes: Vec<Arc<NodeLink>> = self.lock().effects.nodes.values().cloned().collect();
+        let idle = duration(self.deployment().limits.idle_timeout);
+        for node in nodes {
+            node.close_idle(idle);
+        }
+    }
+
+    /// No new asks from here on; whatever waits for room is answered.
+    pub fn stop(&self) {
+        info!("stopping: no new asks");
+        self.with(|now, engine, effects| {
+            effects.stopping = true;
+            engine.stop(now, effects);
+        });
+    }
+
+    pub fn unanswered_count(&self) -> usize {
+        self.lock().engine.unanswered().len()
+    }
+
+    /// Gives up on shots still out, and hands the running ones back to their owners.
+    pub fn end_all(&self) {
+        self.with(|now, engine, effects| {
+            for (id, shot) in engine.unanswered() {
+                warn!(?id, shot, "no answer from a node before the stop");
+                engine.returned(
+                    now,
+                    id,
+                    shot,
+                    AttemptResult::TimedOut,
+                    None,
+                    false,
+                    None,
+                    effects,
+                );
+            }
+            for (_, client, runs) in engine.all() {
+                if runs && client.predecessor.is_none() {
+                    client.send_reply(Reply::Ended(v1::Ended {
+                        reason: v1::ended::EndReason::HandedBack.into(),
+                    }));
+                }
+                client.replies.close();
+            }
+        });
+    }
+
+    /// Whether calls of clients are open.
+    pub fn has_open_calls(&self) -> bool {
+        Arc::strong_count(&self.open_calls) > 1
+    }
+}
--- /dev/null
+++ b/crates/dispatcher/src/core/machines.rs
@@ -0,0 +1,125 @@
+//! The machines of the endpoint list, and what runs on each.
+
+use super::*;
+
+impl DispatcherCore {
+    pub fn node(&self, machine: MachineId) -> Option<Arc<NodeLink>> {
+        self.lock().effects.node(machine)
+    }
+
+    /// The list of machines, or changes of it, with their addresses.
+    pub fn apply_endpoint_list(
+        &self,
+        scope: ListUpdate,
+        entries: &[(Endpoint, std::net::SocketAddr)],
+    ) {
+        self.with(|_, engine, effects| {
+            if scope == ListUpdate::Complete {
+                effects
+                    .nodes
+                    .retain(|id, _| entries.iter().any(|(entry, _)| entry.machine == *id));
+            }
+            let dispatcher = self.deployment().cluster.scheduler_index as u32;
+            if scope == ListUpdate::Complete {
+                effects.entries.clear();
+            }
+            for (entry, address) in entries {
+                match entry.state {
+                    MachineState::Removed => drop(effects.entries.remove(&entry.machine)),
+                    _ => drop(effects.entries.insert(entry.machine, *entry)),
+                }
+                if effects
+                    .nodes
+                    .get(&entry.machine)
+                    .is_none_or(|node| node.address != *address)
+                {
+                    let keeps = self.deployment().quorum_members.contains(&entry.machine);
+                    let meter = self.link_counters.meter(if keeps {
+                        LinkKind::Keepers
+                    } else {
+                        LinkKind::Nodes
+                    });
+                    let node = NodeLink::new(*address, entry.machine.0, dispatcher, meter);
+                    effects.nodes.insert(entry.machine, node);
+                }
+            }
+            let list: Vec<Endpoint> = entries.iter().map(|(entry, _)| *entry).collect();
+            engine.listed(scope, &list);
+        });
+    }
+
+    /// The machines that the roster names.
+    pub fn endpoints(&self) -> BTreeMap<MachineId, Endpoint> {
+        self.lock().effects.entries.clone()
+    }
+
+    /// Our allocations by machine: how many may be moved, and how many may not.
+    pub fn allocations_by_machine(&self) -> BTreeMap<MachineId, (usize, usize)> {
+        let mut inner = self.lock();
+        let mut held: BTreeMap<MachineId, (usize, usize)> = BTreeMap::new();
+        for (_, machine, track) in running_allocations(&mut inner.engine) {
+            let (movable, once) = held.entry(machine).or_default();
+            *(if self.is_unrepeatable(track) {
+                once
+            } else {
+                movable
+            }) += 1;
+        }
+        held
+    }
+
+    fn is_unrepeatable(&self, track: ServiceClassId) -> bool {
+        let deployment = self.deployment();
+        deployment
+            .cluster
+            .service_classes
+            .get(track.0)
+            .is_none_or(|track| track.retry_safety == RetrySafety::NotRetryable)
+    }
+
+    /// Moves what may be moved off a machine that is taken out: its owner asks for it anew. Told
+    /// again in each look, since word to the machine is one try, and one that is lost would
+    /// hold it up until that allocation ends by itself.
+    pub fn drain(self: &Arc<Self>, machine: MachineId) {
+        self.with(|_, engine, effects| {
+            for (id, at, track) in running_allocations(engine) {
+                let Some((client, _)) = engine
+                    .own(id)
+                    .filter(|_| at == machine && !self.is_unrepeatable(track))
+                else {
+                    continue;
+                };
+                client.migrating = true;
+                effects.stop(self, client, machine, true);
+            }
+        });
+    }
+
+    pub fn set_serving(&self, serving: usize) {
+        self.lock().effects.serving = serving;
+    }
+
+    pub fn endpoint_watch_failed(&self) {
+        self.with(|now, engine, _| engine.list_failed(now));
+    }
+}
+
+/// What stands, and where.
+fn running_allocations(
+    engine: &mut Host<ClientAllocation>,
+) -> Vec<(AllocationId, MachineId, ServiceClassId)> {
+    let placed: Vec<AllocationId> = engine
+        .all()
+        .filter(|(_, _, placed)| *placed)
+        .map(|(id, _, _)| id)
+        .collect();
+    let at = |id| {
+        let (_, allocation) = engine.own(id)?;
+        Some((
+            id,
+            allocation.attempts.last()?.machine,
+            allocation.service_class,
+        ))
+    };
+    placed.into_iter().filter_map(at).collect()
+}
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -3,12 +3,14 @@
 //! and answers straight into messages; docs/dispatcher.md says how and why.
 
 mod active_version;
+mod attempt_messages;
 mod attempts;
 mod catch_up;
 pub mod config_stream;
 mod core;
 pub mod endpoint_list;
 mod link_counters;
+mod machine_status;
 mod maintenance;
 pub mod maintenance_messages;
 pub mod minimum_version;
@@ -16,10 +18,13 @@
 mod placement_service;
 mod quorum_client;
 pub mod rollout_control;
+pub mod rollout_messages;
+pub mod rollout_service;
 mod rollouts;
 mod store;
 pub mod version_files;
 mod version_gate;
+pub mod version_service;
 
 use async_io::Timer;
 use async_net::TcpListener;
@@ -116,9 +121,9 @@
     let service = Services {
         placement: PlacementServer::new(PlacementService(Arc::clone(&core)))
             .max_decoding_message_size(bounds.max_message_bytes),
-        rolls: RollsServer::new(rollout_control::RolloutService(Arc::clone(&core)))
+        rolls: RollsServer::new(rollout_service::RolloutService(Arc::clone(&core)))
             .max_decoding_message_size(bounds.max_message_bytes),
-        versions: VersionsServer::new(config_stream::VersionService(Arc::clone(&core)))
+        versions: VersionsServer::new(version_service::VersionService(Arc::clone(&core)))
             .max_decoding_message_size(bounds.max_message_bytes),
     };
     let admits = {
@@ -194,8 +199,8 @@
 #[derive(Clone)]
 struct Services {
     placement: PlacementServer<PlacementService>,
-    rolls: RollsServer<rollout_control::RolloutService>,
-    versions: VersionsServer<config_stream::VersionService>,
+    rolls: RollsServer<rollout_service::RolloutService>,
+    versions: VersionsServer<version_service::VersionService>,
 }
 
 impl tower_service::Service<http::Request<tonic::body::Body>> for Services {
--- a/crates/dispatcher/src/maintenance.rs
+++ b/crates/dispatcher/src/maintenance.rs
@@ -3,21 +3,19 @@
 
 use crate::clock::duration;
 use crate::core::DispatcherCore;
+use crate::machine_status::{cordon_request, machine_statuses};
 use crate::maintenance_messages;
 use crate::quorum_client::request_all;
 use corkspan_api::v1::cordon_request::CordonAction as Do;
-use corkspan_api::v1::{
-    self, maintenance_request::Action, node_client::NodeClient, quorum_request::Operation,
-};
+use corkspan_api::v1::{self, maintenance_request::Action, quorum_request::Operation};
 use corkspan_maintenance::cost::estimate_cost;
-use corkspan_maintenance::quorum_view::{MachineStatus, QuorumView};
+use corkspan_maintenance::quorum_view::QuorumView;
 use corkspan_maintenance::reconcile::{ReconcileContext, reconcile};
 use corkspan_maintenance::{
     ClaimId, DisruptionLimits, LeaseOutcome, LeasePhase, LeaseProgress, Machine, MachineDomains,
     MaintenanceRequest, RunState,
 };
 use corkspan_quorum::{committed, is_majority, sampled};
-use corkspan_rpc::within;
 use corkspan_scheduler::interface::{MachineId, Ticks};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -111,65 +109,6 @@
     .await;
 }
 
-/// What these machines say, each of the claim told.
-async fn machine_statuses(
-    core: &Arc<DispatcherCore>,
-    asks: BTreeMap<Machine, Option<ClaimId>>,
-) -> BTreeMap<Machine, MachineStatus> {
-    let mut calls = Vec::new();
-    for (machine, claim) in asks {
-        let (claim, own) = (claim.unwrap_or(ClaimId(0)), Arc::clone(core));
-        calls.push((
-            machine,
-            claim,
-            core.tasks
-                .spawn(async move { cordon_request(&own, machine, claim, Do::Get).await }),
-        ));
-    }
-    let mut says = BTreeMap::new();
-    for (machine, claim, call) in calls {
-        if let Some(word) = call.await {
-            let closed = (word.cordoned_for != 0).then_some(ClaimId(word.cordoned_for));
-            let over = word.claim_ended.then_some(claim).into_iter().collect();
-            says.insert(
-                machine,
-                MachineStatus {
-                    cordoned_by: closed,
-                    finished: over,
-                    running: word.running,
-                    unchanged_ms: word.since_ms,
-                },
-            );
-        }
-    }
-    says
-}
-
-async fn cordon_request(
-    core: &Arc<DispatcherCore>,
-    machine: Machine,
-    claim: ClaimId,
-    what: Do,
-) -> Option<v1::CordonResponse> {
-    let node = core.node(MachineId(machine.0))?;
-    let _call = node.count_call();
-    let ask = v1::CordonRequest {
-        claim: claim.0,
-        action: what.into(),
-    };
-    let whole = async {
-        let link = node.ready(&core.tasks, &core.link_bounds).await.ok()?;
-        NodeClient::new(link)
-            .door(ask)
-            .await
-            .ok()
-            .map(tonic::Response::into_inner)
-    };
-    within(core.link_bounds.connect_within * 2, Box::pin(whole))
-        .await
-        .flatten()
-}
-
 async fn apply_actions(
     core: &Arc<DispatcherCore>,
     view: &QuorumView,
--- a/crates/dispatcher/src/rollout_control.rs
+++ b/crates/dispatcher/src/rollout_control.rs
@@ -3,17 +3,17 @@
 
 use crate::core::DispatcherCore;
 use crate::quorum_client::request_all;
+use crate::rollout_messages::{rollout_from_message, rollout_message};
 pub use crate::store::{CloseOnDrop, ReplicaPair, Store, StoredClaim, StoredRollouts};
 use corkspan_api::v1;
 use corkspan_api::v1::quorum_request::Operation;
 use corkspan_rollout::Grant;
-use corkspan_rollout::controller::{Actions, ClaimRequest, ReportedSlot, RolloutController, Votes};
-use corkspan_rollout::{ClaimId, Order, Phase, Rollout, base_proposal, committed, is_majority};
+use corkspan_rollout::controller::{Actions, ClaimRequest, ReportedSlot, Votes};
+use corkspan_rollout::{ClaimId, Phase, Rollout, committed, is_majority};
 use corkspan_version_fencing::operations::OperationKind;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
-use tonic::{Request, Response, Status};
 use tracing::{info, warn};
 
 /// Between two rounds to the keepers while a roll goes on.
@@ -335,7 +335,7 @@
 }
 
 /// Proposes a wish to all keepers. What stands at a majority afterwards, if anything does.
-async fn propose(core: &Arc<DispatcherCore>, roll: Rollout) -> Option<Rollout> {
+pub async fn propose(core: &Arc<DispatcherCore>, roll: Rollout) -> Option<Rollout> {
     let replies = request_all(core, Operation::Propose(rollout_message(&roll))).await;
     let stands: Vec<Rollout> = replies
         .iter()
@@ -344,230 +344,3 @@
         .collect();
     committed(&stands, core.deployment().quorum_members.len()).cloned()
 }
-
-pub fn rollout_message(roll: &Rollout) -> v1::Rollout {
-    let (phase, why) = match &roll.phase {
-        Phase::Rolling => (v1::rollout::Phase::Rolling, String::new()),
-        Phase::Paused => (v1::rollout::Phase::Paused, String::new()),
-        Phase::Halted(why) => (v1::rollout::Phase::Halted, why.clone()),
-    };
-    v1::Rollout {
-        service: roll.service.clone(),
-        revision: roll.revision,
-        proposer: roll.proposer,
-        version: roll.version.clone(),
-        previous_version: roll.previous_version.clone(),
-        default_version: roll.initial_version.clone(),
-        max_unavailable: roll.max_unavailable,
-        max_in_progress: roll.max_in_progress,
-        min_ready: roll.min_ready,
-        progress_deadline: roll.progress_deadline,
-        max_failures: roll.max_failures,
-        phase: phase.into(),
-        reason: why,
-        surge: roll.order == Order::StartFirst,
-    }
-}
-
-/// None where it is no roll that can be followed.
-pub fn rollout_from_message(roll: &v1::Rollout) -> Option<Rollout> {
-    let sound = !roll.service.is_empty() && !roll.version.is_empty() && roll.max_unavailable > 0;
-    sound.then(|| Rollout {
-        service: roll.service.clone(),
-        revision: roll.revision,
-        proposer: roll.proposer,
-        version: roll.version.clone(),
-        previous_version: roll.previous_version.clone(),
-        initial_version: roll.default_version.clone(),
-        max_unavailable: roll.max_unavailable,
-        max_in_progress: roll.max_in_progress.max(1),
-        order: if roll.surge {
-            Order::StartFirst
-        } else {
-            Order::StopFirst
-        },
-        min_ready: roll.min_ready,
-        progress_deadline: roll.progress_deadline,
-        max_failures: roll.max_failures,
-        phase: match roll.phase() {
-            v1::rollout::Phase::Rolling => Phase::Rolling,
-            v1::rollout::Phase::Paused => Phase::Paused,
-            v1::rollout::Phase::Halted => Phase::Halted(roll.reason.clone()),
-        },
-    })
-}
-
-/// What operators ask.
-#[derive(Clone)]
-pub struct RolloutService(pub Arc<DispatcherCore>);
-
-impl RolloutService {
-    async fn submit(&self, roll: Rollout) -> Result<Response<v1::RolloutResponse>, Status> {
-        let stands = propose(&self.0, roll.clone()).await;
-        let taken = stands.as_ref() == Some(&roll);
-        let text = match &stands {
-            _ if taken => String::new(),
-            Some(other) => format!(
-                "turned down: roll {} of {} to {} stands, asked for at the same time or before",
-                other.revision, other.service, other.version
-            ),
-            None => "no majority of the keepers has taken it; nothing is known to stand".into(),
-        };
-        Ok(Response::new(v1::RolloutResponse {
-            accepted: taken,
-            message: text,
-            current: stands.as_ref().map(rollout_message),
-        }))
-    }
-
-    /// The roll in force as a majority of the keepers tells it now, not as we heard last.
-    async fn current_rollout(&self, service: &str) -> Result<Option<Rollout>, Status> {
-        let keepers = self.0.deployment().quorum_members.len();
-        let told = request_all(&self.0, Operation::Query(v1::QuorumQuery::default())).await;
-        if !is_majority(told.len(), keepers) {
-            let text = format!(
-                "{} of {keepers} keepers answer; a majority is needed",
-                told.len()
-            );
-            return Err(Status::unavailable(text));
-        }
-        let rolls = told
-            .iter()
-            .flat_map(|word| &word.entries)
-            .filter_map(|kept| kept.rollout.as_ref().and_then(rollout_from_message));
-        let rolls: Vec<Rollout> = rolls.filter(|roll| roll.service == service).collect();
-        Ok(base_proposal(&rolls, keepers))
-    }
-}
-
-#[tonic::async_trait]
-impl v1::rolls_server::Rolls for RolloutService {
-    async fn start(
-        &self,
-        request: Request<v1::StartRolloutRequest>,
-    ) -> Result<Response<v1::RolloutResponse>, Status> {
-        let ask = request.into_inner();
-        let wrong = |why: &str| Err(Status::invalid_argument(why));
-        if self.0.deployment().quorum_members.is_empty() {
-            return Err(Status::failed_precondition(
-                "the deployment names no keepers",
-            ));
-        }
-        if ask.service.is_empty()
-            || ask.version.is_empty()
-            || ask.service.len().max(ask.version.len()) > 256
-        {
-            return wrong("service and version: 1 to 256 bytes are wanted");
-        }
-        if !(1..=100_000).contains(&ask.max_unavailable) {
-            return wrong("unready-most: 1 to 100000 is wanted");
-        }
-        let most_ms = 24 * 3600 * 1000;
-        if !(1..=most_ms).contains(&ask.progress_deadline_ms)
-            || !(1000..=most_ms).contains(&ask.min_ready_ms)
-        {
-            return wrong("ready-within: 1 ms to a day, ready-for: 1 s to a day are wanted");
-        }
-        let before = self.current_rollout(&ask.service).await?;
-        let former = match &before {
-            Some(roll) if ask.previous_version.is_empty() => roll.desired_version().to_string(),
-            _ => ask.previous_version,
-        };
-        let unversioned = before
-            .as_ref()
-            .map_or_else(|| former.clone(), |roll| roll.initial_version.clone());
-        self.submit(Rollout {
-            service: ask.service,
-            initial_version: unversioned,
-            revision: before.map_or(1, |roll| roll.revision + 1),
-            proposer: proposer_nonce(&self.0),
-            version: ask.version,
-            previous_version: former,
-            max_unavailable: ask.max_unavailable,
-            max_in_progress: ask.max_in_progress.max(1),
-            order: if ask.surge {
-                Order::StartFirst
-            } else {
-                Order::StopFirst
-            },
-            min_ready: ask.min_ready_ms * 10,
-            progress_deadline: ask.progress_deadline_ms * 10,
-            max_failures: ask.max_failures,
-            phase: Phase::Rolling,
-        })
-        .await
-    }
-
-    async fn maintain(
-        &self,
-        request: Request<v1::MaintenanceRequest>,
-    ) -> Result<Response<v1::MaintenanceResponse>, Status> {
-        crate::maintenance::maintain(&self.0, request.into_inner())
-            .await
-            .map(Response::new)
-    }
-
-    async fn change(
-        &self,
-        request: Request<v1::ChangeRolloutRequest>,
-    ) -> Result<Response<v1::RolloutResponse>, Status> {
-        let ask = request.into_inner();
-        let Some(roll) = self.current_rollout(&ask.service).await? else {
-            return Err(Status::not_found(format!(
-                "there is no roll of `{}`",
-                ask.service
-            )));
-        };
-        let asker = proposer_nonce(&self.0);
-        let wish = match ask.action() {
-            v1::change_rollout_request::Action::Pause => roll.with_phase(Phase::Paused, asker),
-            v1::change_rollout_request::Action::Resume => roll.with_phase(Phase::Rolling, asker),
-            v1::change_rollout_request::Action::Undo if roll.previous_version.is_empty() => {
-                return Err(Status::failed_precondition(
-                    "what ran before has no version to go back to",
-                ));
-            }
-            v1::change_rollout_request::Action::Undo => roll.rolled_back(asker),
-            v1::change_rollout_request::Action::Unspecified => {
-                return Err(Status::invalid_argument("nothing is asked for"));
-            }
-        };
-        self.submit(wish).await
-    }
-
-    async fn status(
-        &self,
-        request: Request<v1::RolloutStatusRequest>,
-    ) -> Result<Response<v1::RolloutStatus>, Status> {
-        let service = request.into_inner().service;
-        let keepers = self.0.deployment().quorum_members.len() as u32;
-        Ok(Response::new(self.0.with_rollouts(|_, rollouts| {
-            let held = rollouts.reported_slots.get(&service).into_iter().flatten();
-            let held = held.map(|ReportedSlot { slot, grant, .. }| v1::Slot {
-                slot: *slot,
-                claim: grant.claim.0,
-                task: grant.task.clone(),
-                dispatcher: grant.dispatcher,
-            });
-            let held = held.collect();
-            let controller = rollouts.controllers.get(&service);
-            let counts = controller
-                .map(RolloutController::counts)
-                .unwrap_or_default();
-            v1::RolloutStatus {
-                rollout: controller.map(|controller| rollout_message(controller.rollout())),
-                replicas: counts.total as u32,
-                updated: counts.desired as u32,
-                unavailable: counts.unready as u32,
-                held_slots: held,
-                quorum_members: keepers,
-                quorum_members_heard: rollouts.members_heard as u32,
-            }
-        })))
-    }
-}
-
-/// Tells two who ask at once apart.
-fn proposer_nonce(core: &DispatcherCore) -> u64 {
-    core.clock.now().rotate_left(24) ^ core.deployment().cluster.scheduler_index as u64
-}
--- a/crates/lab/src/node/quorum_member.rs
+++ b/crates/lab/src/node/quorum_member.rs
@@ -3,7 +3,7 @@
 
 use corkspan_api::v1::{self, quorum_request::Operation};
 use corkspan_config_sync::VersionCache;
-use corkspan_dispatcher::{config_stream, maintenance_messages, minimum_version, rollout_control};
+use corkspan_dispatcher::{config_stream, maintenance_messages, minimum_version, rollout_messages};
 use corkspan_maintenance::Machine;
 use corkspan_maintenance::lease_table::LeaseTable;
 use corkspan_rollout::{ClaimId, ClaimOutcome, Grant, QuorumMember, Rollout};
@@ -59,7 +59,7 @@
         let mut reply = v1::QuorumResponse::default();
         match request.operation.ok_or(QuorumRequestError::Empty)? {
             Operation::Propose(rollout) => {
-                let rollout = rollout_control::rollout_from_message(&rollout)
+                let rollout = rollout_messages::rollout_from_message(&rollout)
                     .ok_or(QuorumRequestError::Rollout)?;
                 let held = self.rollouts.propose(rollout);
                 reply
@@ -188,7 +188,7 @@
 }
 
 fn entry(rollout: &Rollout, slots: Vec<v1::Slot>) -> v1::QuorumEntry {
-    let roll = Some(rollout_control::rollout_message(rollout));
+    let roll = Some(rollout_messages::rollout_message(rollout));
     v1::QuorumEntry {
         rollout: roll,
         slots,
