--- a/crates/lab/src/capacity/stage.rs
+++ b/crates/lab/src/capacity/stage.rs
@@ -6,9 +6,9 @@
 use super::meter::{self, Meter};
 use crate::capture::Capture;
 use crate::control::{Control, Up};
+use crate::discovery::Discovery;
 use crate::measure::{self, Process, Prompt};
 use crate::node::{Node, NodeConfig, SlowStart, World};
-use crate::roster::Roster;
 use async_io::Timer;
 use async_net::TcpListener;
 use corkspan_api::v1::{
@@ -118,7 +118,7 @@
     pub tasks: Tasks,
     threads: BTreeMap<End, Thread>,
     relays: Thread,
-    roster: Arc<Roster>,
+    roster: Arc<Discovery>,
     entries: Vec<v1::Endpoint>,
     control: Control,
     _up: Up,
@@ -199,7 +199,8 @@
             let capture = Capture::new(None).map_err(text)?;
             Ok::<_, String>(World::new(capture, &threads[&end].tasks, None))
         };
-        let (roster, roster_address) = Roster::up(&world(End::Roster)?).await.map_err(text)?;
+        let (roster, roster_address) =
+            Discovery::start(&world(End::Roster)?).await.map_err(text)?;
         let (control, up) = Control::up(&world(End::Control)?).await.map_err(text)?;
         let nodes = TcpListener::bind("127.0.0.1:0").await.map_err(text)?;
         let nodes_address = nodes.local_addr().map_err(text)?;
@@ -259,7 +260,7 @@
         meters.insert(End::Keepers, keepers_meter);
         entries
             .iter()
-            .for_each(|entry| roster.change(Duration::ZERO, entry.clone()));
+            .for_each(|entry| roster.update(Duration::ZERO, entry.clone()));
         let folder = tempfile::tempdir().map_err(text)?;
         let (mut dispatchers, mut owners, mut texts) = (Vec::new(), Vec::new(), None);
         let owners_meter = Arc::new(Meter::default());
@@ -403,7 +404,7 @@
                         let (cores, memory) =
                             (rng.random_range(1.0..60.0), rng.random_range(1.0..200.0));
                         let unasked = Some(v1::Resources { cores, memory });
-                        roster.change(
+                        roster.update(
                             Duration::ZERO,
                             v1::Endpoint {
                                 unreserved: unasked,
@@ -423,7 +424,7 @@
                 cores,
                 memory: cores,
             });
-            self.roster.change(
+            self.roster.update(
                 Duration::ZERO,
                 v1::Endpoint {
                     unreserved: unasked,
--- a/crates/lab/src/roster.rs
+++ b/crates/lab/src/discovery.rs
@@ -15,16 +15,16 @@
 use std::time::{Duration, Instant};
 use tonic::{Request, Response, Status};
 
-pub struct Roster {
+pub struct Discovery {
     world: Arc<World>,
     pub address: SocketAddr,
     listener: TcpListener,
     server: Mutex<Option<async_executor::Task<()>>>,
     log: Mutex<Log>,
     /// Listings that each dispatcher was told.
-    told: Mutex<BTreeMap<u32, u64>>,
+    lists_sent: Mutex<BTreeMap<u32, u64>>,
     /// Where a dispatcher finds a node, other than at the node's own address.
-    pub ways: Mutex<BTreeMap<(u32, u32), Relay>>,
+    pub proxies: Mutex<BTreeMap<(u32, u32), Relay>>,
 }
 
 #[derive(Default)]
@@ -39,19 +39,19 @@
 /// How long ago a start may be that the capture calls cold.
 const RECENT_MS: u64 = 60_000;
 
-impl Roster {
-    pub async fn up(world: &Arc<World>) -> std::io::Result<(Arc<Self>, SocketAddr)> {
+impl Discovery {
+    pub async fn start(world: &Arc<World>) -> std::io::Result<(Arc<Self>, SocketAddr)> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
         let (server, log, told, ways) = Default::default();
-        let roster = Arc::new(Roster {
+        let roster = Arc::new(Discovery {
             world: Arc::clone(world),
             address,
             listener,
             server,
             log,
-            told,
-            ways,
+            lists_sent: told,
+            proxies: ways,
         });
         roster.listen();
         Ok((roster, address))
@@ -67,7 +67,7 @@
     }
 
     /// Out of reach for so long, or for good.
-    pub fn away(self: &Arc<Self>, time: Option<Duration>) {
+    pub fn disconnect(self: &Arc<Self>, time: Option<Duration>) {
         drop(self.server.lock().expect("unshared").take());
         let roster = Arc::clone(self);
         if let Some(time) = time {
@@ -80,9 +80,9 @@
     }
 
     /// Changes an entry; watchers hear of it so much later.
-    pub fn change(&self, late: Duration, entry: v1::Endpoint) {
+    pub fn update(&self, late: Duration, entry: v1::Endpoint) {
         if let Ok(to) = entry.address.parse() {
-            let ways = self.ways.lock().expect("no one panics while it is held");
+            let ways = self.proxies.lock().expect("no one panics while it is held");
             ways.iter()
                 .filter(|((_, node), _)| *node == entry.node)
                 .for_each(|(_, relay)| relay.lead(to));
@@ -101,7 +101,7 @@
         });
     }
 
-    pub fn entry(&self, node: u32) -> Option<v1::Endpoint> {
+    pub fn endpoint(&self, node: u32) -> Option<v1::Endpoint> {
         self.log
             .lock()
             .expect("no one panics while it is held")
@@ -111,8 +111,8 @@
     }
 
     /// Listings that a dispatcher was told.
-    pub fn told(&self, dispatcher: u32) -> u64 {
-        self.told
+    pub fn lists_sent(&self, dispatcher: u32) -> u64 {
+        self.lists_sent
             .lock()
             .expect("unshared")
             .get(&dispatcher)
@@ -148,7 +148,7 @@
                 });
             }
         }
-        let ways = self.ways.lock().expect("no one panics while it is held");
+        let ways = self.proxies.lock().expect("no one panics while it is held");
         for entry in &mut entries {
             if let Some(relay) = ways.get(&(dispatcher, entry.node)) {
                 entry.address = relay.address.to_string();
@@ -231,7 +231,7 @@
 }
 
 #[derive(Clone)]
-struct Service(Arc<Roster>);
+struct Service(Arc<Discovery>);
 
 type Listings = Pin<Box<dyn Stream<Item = Result<v1::EndpointList, Status>> + Send>>;
 
@@ -272,7 +272,7 @@
             async move {
                 let listing = listings.recv().await.ok()?;
                 *roster
-                    .told
+                    .lists_sent
                     .lock()
                     .expect("unshared")
                     .entry(dispatcher)
--- a/crates/lab/src/disk.rs
+++ b/crates/lab/src/disk.rs
@@ -10,16 +10,16 @@
 
 /// Full while this is set: whatever would write to it fails then.
 #[derive(Clone, Debug, Default)]
-pub struct Full(Arc<AtomicBool>);
+pub struct DiskFull(Arc<AtomicBool>);
 
-impl Full {
+impl DiskFull {
     pub fn set(&self, full: bool) {
         self.0.store(full, Ordering::SeqCst);
     }
 }
 
 /// A store of rolls on such a disk.
-pub fn store(path: PathBuf, full: &Full) -> Store {
+pub fn store(path: PathBuf, full: &DiskFull) -> Store {
     let full = full.clone();
     Store::over(move || {
         let mut open = std::fs::OpenOptions::new();
@@ -34,7 +34,7 @@
 }
 
 #[derive(Debug)]
-struct Disk(FileBackend, Full);
+struct Disk(FileBackend, DiskFull);
 
 impl Disk {
     fn room(&self) -> io::Result<()> {
--- a/crates/lab/src/loads.rs
+++ b/crates/lab/src/loads.rs
@@ -2,9 +2,9 @@
 //! stands still.
 
 use crate::capture::Capture;
+use crate::discovery::Discovery;
 use crate::measure::{self, Measure, Process, Prompt};
 use crate::node::World;
-use crate::roster::Roster;
 use async_io::Timer;
 use corkspan_api::v1::{self, placement_event::Event};
 use corkspan_load_generator::plan::Plan;
@@ -146,9 +146,9 @@
     let whole = async {
         let text = |why: std::io::Error| why.to_string();
         let world = World::new(Capture::new(None).map_err(text)?, &tasks, None);
-        let (roster, address) = Roster::up(&world).await.map_err(text)?;
+        let (roster, address) = Discovery::start(&world).await.map_err(text)?;
         for id in 0..8 {
-            roster.change(Duration::ZERO, measure::entry(id, node));
+            roster.update(Duration::ZERO, measure::entry(id, node));
         }
         let folder = tempfile::tempdir().map_err(text)?;
         let file = folder.path().join("dispatcher.sexp");
--- a/crates/lab/src/measure.rs
+++ b/crates/lab/src/measure.rs
@@ -2,8 +2,8 @@
 //! once here: the figures are the dispatcher's, not a cluster's.
 
 use crate::capture::Capture;
+use crate::discovery::Discovery;
 use crate::node::World;
-use crate::roster::Roster;
 use async_io::Timer;
 use async_net::TcpListener;
 use corkspan_api::v1::{self, placement_client::PlacementClient, placement_event::Event};
@@ -47,9 +47,9 @@
         let node = apart(|| v1::node_server::NodeServer::new(Prompt))?;
         let whole = async {
             let world = World::new(Capture::new(None).map_err(text)?, &tasks, None);
-            let (roster, address) = Roster::up(&world).await.map_err(text)?;
+            let (roster, address) = Discovery::start(&world).await.map_err(text)?;
             for id in 0..self.nodes {
-                roster.change(Duration::ZERO, entry(id, node));
+                roster.update(Duration::ZERO, entry(id, node));
             }
             let mut dispatcher = Process::start(&self.program, address, "")?;
             let result = self.compare(&tasks, echo, &mut dispatcher).await;
--- a/crates/lab/src/play.rs
+++ b/crates/lab/src/play.rs
@@ -5,12 +5,12 @@
 use crate::control::{self, Control};
 use crate::cost;
 use crate::day::{Day, End, Kind, Trouble};
+use crate::discovery::Discovery;
 use crate::needs::{Limits, Needs};
 use crate::node::{Node, NodeConfig, SlowStart, World};
 use crate::owner::{self, Front, Task};
 use crate::pace::Pace;
 use crate::process::{Process, Programs};
-use crate::roster::Roster;
 use crate::wires::Wires;
 use async_io::Timer;
 use corkspan_api::v1;
@@ -218,14 +218,14 @@
         let plans = self.plans(&mut rng);
         capture.see(Seen::Day(self.rules(&plans)));
         let world = World::new(capture, tasks, Some(TRACKS[1].into()));
-        let (roster, roster_address) = Roster::up(&world).await.map_err(text)?;
+        let (roster, roster_address) = Discovery::start(&world).await.map_err(text)?;
         let nodes: Vec<Arc<Node>> = plans
             .into_iter()
             .map(|plan| Node::new(plan, &world))
             .collect();
         for node in &nodes {
             let address = node.start_process(false).await.map_err(text)?;
-            roster.change(Duration::ZERO, entry(node, address, 0));
+            roster.update(Duration::ZERO, entry(node, address, 0));
         }
         let (control, control_up) = Control::up(&world).await.map_err(text)?;
         let wires = match self.day.has_wires() {
@@ -237,7 +237,7 @@
                     .filter(|node| all || KEEPERS.contains(&node.config.id));
                 let listed: Vec<(u32, SocketAddr)> = struck
                     .filter_map(|node| {
-                        let entry = roster.entry(node.config.id)?;
+                        let entry = roster.endpoint(node.config.id)?;
                         Some((entry.node, entry.address.parse().ok()?))
                     })
                     .collect();
@@ -375,7 +375,7 @@
 async fn works(
     front: Arc<Front>,
     nodes: Vec<Arc<Node>>,
-    roster: Arc<Roster>,
+    roster: Arc<Discovery>,
     dispatchers: usize,
     work: crate::day::Maintenance,
     seed: u64,
@@ -421,7 +421,7 @@
                         .await
                         .map_err(|why| why.to_string())?;
                     let entry = entry(node, address, corkspan_dispatcher::clock::wall_ms());
-                    roster.change(Duration::from_millis(rng.random_range(50..500)), entry);
+                    roster.update(Duration::from_millis(rng.random_range(50..500)), entry);
                     front.world.capture.see(Seen::Worked {
                         node: *id,
                         begins: false,
@@ -470,20 +470,20 @@
 
 /// Tells the roster again and again what nobody has asked for: as often as the day says, or every
 /// second, and less often to a large fleet.
-pub(crate) async fn tell_room(roster: Arc<Roster>, nodes: Vec<Arc<Node>>, day: Day) {
+pub(crate) async fn tell_room(roster: Arc<Discovery>, nodes: Vec<Arc<Node>>, day: Day) {
     let lines = nodes.len() * day.dispatchers;
     let usual = Duration::from_secs_f64((lines as f64 / ROOM_LINES as f64).max(1.0));
     let apart = day.room.unwrap_or(usual);
     loop {
         Timer::after(apart).await;
         for node in nodes.iter().filter(|node| node.is_running()) {
-            if let Some(entry) = roster.entry(node.config.id) {
+            if let Some(entry) = roster.endpoint(node.config.id) {
                 let unasked = node.unrequested();
                 let unasked = Some(v1::Resources {
                     cores: unasked.cores,
                     memory: unasked.memory,
                 });
-                roster.change(
+                roster.update(
                     Duration::from_millis(300),
                     v1::Endpoint {
                         unreserved: unasked,
@@ -499,7 +499,7 @@
     pub day: Day,
     pub front: Arc<Front>,
     pub nodes: Vec<Arc<Node>>,
-    pub roster: Arc<Roster>,
+    pub roster: Arc<Discovery>,
     pub fleet: Vec<Process>,
     rng: Pcg64Mcg,
     pub start: Instant,
@@ -740,7 +740,7 @@
         for node in &self.nodes {
             if let Some(entry) = self
                 .roster
-                .entry(node.config.id)
+                .endpoint(node.config.id)
                 .filter(|_| node.is_running())
             {
                 command.args(["--node", &entry.address]);
@@ -916,7 +916,7 @@
             Kind::LosePrograms => up
                 .iter()
                 .for_each(|&index| self.nodes[index].clear_program_cache()),
-            Kind::RosterAway => self.roster.away(Some(time)),
+            Kind::RosterAway => self.roster.disconnect(Some(time)),
             Kind::Demand | Kind::Burst => {}
             Kind::KillDispatchers => {
                 for index in running {
@@ -1011,8 +1011,8 @@
     /// The roster hears of it late.
     fn tell(&mut self, index: usize, state: v1::endpoint::State) {
         let late = Duration::from_millis(self.rng.random_range(100..900));
-        if let Some(entry) = self.roster.entry(self.nodes[index].config.id) {
-            self.roster.change(
+        if let Some(entry) = self.roster.endpoint(self.nodes[index].config.id) {
+            self.roster.update(
                 late,
                 v1::Endpoint {
                     state: state.into(),
@@ -1033,7 +1033,7 @@
                         .map_err(|why| why.to_string())?;
                     let entry = entry(node, address, corkspan_dispatcher::clock::wall_ms());
                     let late = Duration::from_millis(self.rng.random_range(50..500));
-                    self.roster.change(late, entry);
+                    self.roster.update(late, entry);
                 }
             }
             Undo::Undrain(index) => {
--- a/crates/lab/src/pushes.rs
+++ b/crates/lab/src/pushes.rs
@@ -4,9 +4,9 @@
 
 use crate::capture::Capture;
 use crate::control::{Control, Up, message, stamp_of};
+use crate::discovery::Discovery;
 use crate::measure::{self, Measure, Process, Prompt, Round, median};
 use crate::node::World;
-use crate::roster::Roster;
 use async_io::Timer;
 use corkspan_api::v1::{self, push_reply::Answer, versions_client::VersionsClient};
 use corkspan_config::version::{SharedParts, VersionId};
@@ -46,7 +46,7 @@
     let whole = async {
         let text = |why: std::io::Error| why.to_string();
         let world = World::new(Capture::new(None).map_err(text)?, &tasks, None);
-        let (_roster, roster) = Roster::up(&world).await.map_err(text)?;
+        let (_roster, roster) = Discovery::start(&world).await.map_err(text)?;
         let (control, up) = Control::up(&world).await.map_err(text)?;
         let mut stage = Stage {
             tasks: tasks.clone(),
@@ -455,9 +455,9 @@
         let whole = async {
             let text = |why: std::io::Error| why.to_string();
             let world = World::new(Capture::new(None).map_err(text)?, &tasks, None);
-            let (roster, address) = Roster::up(&world).await.map_err(text)?;
+            let (roster, address) = Discovery::start(&world).await.map_err(text)?;
             for id in 0..measure.nodes {
-                roster.change(Duration::ZERO, measure::entry(id, node));
+                roster.update(Duration::ZERO, measure::entry(id, node));
             }
             let (control, up) = Control::up(&world).await.map_err(text)?;
             let mut stage = Stage {
--- a/crates/lab/src/table.rs
+++ b/crates/lab/src/table.rs
@@ -2,7 +2,7 @@
 
 use crate::capture::*;
 use crate::cost::Costs;
-use crate::outings::WorkFigures;
+use crate::maintenance_figures::MaintenanceFigures;
 use crate::play::HELD;
 use crate::versions::VersionFigures;
 use hdrhistogram::Histogram;
@@ -31,7 +31,7 @@
     pub roll: Option<RollFigures>,
     pub copies: Option<CopyFigures>,
     pub versions: Option<VersionFigures>,
-    pub work: Option<WorkFigures>,
+    pub maintenance: Option<MaintenanceFigures>,
     /// Placed calls of owners that stand at a time.
     pub standing_most: usize,
     pub cost: Option<Costs>,
@@ -339,7 +339,7 @@
         table.roll = RollFigures::of(lines);
         table.copies = CopyFigures::of(lines);
         table.versions = VersionFigures::of(lines);
-        table.work = WorkFigures::of(lines);
+        table.maintenance = MaintenanceFigures::of(lines);
         table.unanswered = calls.values().filter(|(_, _, answered)| !answered).count() as u64;
         if let Some(times) = times {
             let ms = |part| times.value_at_quantile(part) as f64 / 1000.0;
@@ -428,7 +428,7 @@
         if let Some(versions) = &self.versions {
             write!(f, "{versions}")?;
         }
-        if let Some(work) = &self.work {
+        if let Some(work) = &self.maintenance {
             write!(f, "{work}")?;
         }
         if let Some(Costs { real, hollow }) = &self.cost {
--- a/crates/lab/src/wires.rs
+++ b/crates/lab/src/wires.rs
@@ -2,8 +2,8 @@
 //! strike them one by one.
 
 use crate::day::{End, Trouble};
+use crate::discovery::Discovery;
 use crate::relay::{Relay, Way};
-use crate::roster::Roster;
 use corkspan_rpc::Tasks;
 use std::collections::BTreeMap;
 use std::io;
@@ -22,14 +22,14 @@
     /// Whom each one's peers' relays lead to.
     peers: Vec<Vec<usize>>,
     keepers: Vec<u32>,
-    roster: Arc<Roster>,
+    roster: Arc<Discovery>,
 }
 
 impl Wires {
     pub async fn up(
         tasks: &Tasks,
         dispatchers: usize,
-        roster: &Arc<Roster>,
+        roster: &Arc<Discovery>,
         control: Option<SocketAddr>,
         nodes: &[(u32, SocketAddr)],
         keepers: &[u32],
@@ -57,7 +57,7 @@
             for &(node, address) in nodes {
                 let relay = Relay::up(tasks, address).await?;
                 roster
-                    .ways
+                    .proxies
                     .lock()
                     .expect("unshared")
                     .insert((own as u32, node), relay);
@@ -120,7 +120,7 @@
             .for_each(&what);
         let ways = self
             .roster
-            .ways
+            .proxies
             .lock()
             .expect("no one panics while it is held");
         let mine = ways
--- a/crates/lab/tests/days.rs
+++ b/crates/lab/tests/days.rs
@@ -80,20 +80,22 @@
 fn all_machines_have_their_work_within_the_limits_whoever_is_cut_killed_or_stands_still() {
     let lines = play(include_str!("../days/work-short.sexp"), 1, |text| text);
     assert_eq!(broken(&lines), [0; 0]);
-    let work = Table::of(&lines).work.expect("machines were taken out");
+    let work = Table::of(&lines)
+        .maintenance
+        .expect("machines were taken out");
     // The other two are keepers, and stay.
     assert_eq!(
         (
-            work.worked.len(),
-            work.times,
-            work.left_closed,
-            work.unsound
+            work.completed.len(),
+            work.completions,
+            work.left_cordoned,
+            work.violations
         ),
         (22, 22, 0, 0),
         "{work}"
     );
     assert!(
-        (2..=6).contains(&work.most) && work.most_of_a_hall <= 4,
+        (2..=6).contains(&work.peak_out) && work.peak_out_of_zone <= 4,
         "{work}"
     );
 }
--- a/crates/lab/tests/full_path/counts.rs
+++ b/crates/lab/tests/full_path/counts.rs
@@ -61,7 +61,7 @@
                 .nodes
                 .iter()
                 .map(|node| {
-                    let entry = rig.roster.entry(node.config.id).expect("listed");
+                    let entry = rig.roster.endpoint(node.config.id).expect("listed");
                     (node.config.id, entry.address.parse().expect("an address"))
                 })
                 .collect();
@@ -82,7 +82,7 @@
             };
             let kept = folder.path().join("versions.json");
             let more = format!("(keepers 0 3 4) (control \"{service}\") (versions {kept:?})");
-            let told = rig.roster.told(0);
+            let told = rig.roster.lists_sent(0);
             let rig = rig
                 .kill_and_restart(&deployment(way(End::Roster), &more))
                 .await;
@@ -129,7 +129,7 @@
         let roster = of(&told, Kind::Roster);
         assert_eq!(
             (roster.messages_in, roster.messages_out),
-            (stage.rig.roster.told(0) - stage.told, 1)
+            (stage.rig.roster.lists_sent(0) - stage.told, 1)
         );
         let control = of(&told, Kind::Control);
         assert_eq!(control.messages_out as usize, stage.control.replies().len());
--- a/crates/lab/tests/full_path/fleet.rs
+++ b/crates/lab/tests/full_path/fleet.rs
@@ -12,9 +12,9 @@
 use corkspan_dispatcher::version_files::save;
 use corkspan_lab::capture::{Cold, Line, Rules, Seen, Word as SaidWord};
 use corkspan_lab::control::{Control, Up};
+use corkspan_lab::discovery::Discovery;
 use corkspan_lab::judge::judge;
 use corkspan_lab::relay::{Relay, Way};
-use corkspan_lab::roster::Roster;
 use corkspan_rpc::{Bounds, Link};
 use rustix::process::{Pid, Signal, kill_process};
 use std::collections::BTreeMap;
@@ -232,7 +232,7 @@
         let nodes = self.rig.nodes.iter().map(|node| {
             self.rig
                 .roster
-                .entry(node.config.id)
+                .endpoint(node.config.id)
                 .expect("listed")
                 .address
         });
@@ -471,14 +471,14 @@
             let newest = stage.newest.0.address;
             let control = Relay::up(&tasks, newest).await.expect("a port");
             // The same nodes, by addresses of relays to them.
-            let (roster, by) = Roster::up(&stage.rig.world).await.expect("a port");
+            let (roster, by) = Discovery::start(&stage.rig.world).await.expect("a port");
             let mut nodes = Vec::new();
             for node in &stage.rig.nodes {
-                let listed = stage.rig.roster.entry(node.config.id).expect("listed");
+                let listed = stage.rig.roster.endpoint(node.config.id).expect("listed");
                 let relay = Relay::up(&tasks, listed.address.parse().expect("an address"))
                     .await
                     .expect("a port");
-                roster.change(
+                roster.update(
                     Duration::ZERO,
                     v1::Endpoint {
                         address: relay.address.to_string(),
@@ -768,7 +768,7 @@
                 let entry = stage
                     .rig
                     .roster
-                    .entry(stage.rig.nodes[keeper].config.id)
+                    .endpoint(stage.rig.nodes[keeper].config.id)
                     .expect("listed");
                 let address = entry.address.parse().expect("an address");
                 let link = Link::open(&stage.rig.tasks, address, &Bounds::default())
--- a/crates/lab/tests/full_path/hard_cases.rs
+++ b/crates/lab/tests/full_path/hard_cases.rs
@@ -207,7 +207,7 @@
             rig.nodes[0].kill(NodeState::Gone);
             let address = rig.nodes[0].start_process(true).await.expect("a port");
             let now_ms = corkspan_dispatcher::clock::wall_ms();
-            rig.roster.change(
+            rig.roster.update(
                 Duration::ZERO,
                 entry(&rig.nodes[0], address, State::Serving, now_ms),
             );
@@ -232,16 +232,16 @@
             ..Layout::default()
         },
         async |rig| {
-            let old = rig.roster.entry(0).expect("listed");
+            let old = rig.roster.endpoint(0).expect("listed");
             let id = 9;
-            rig.roster.change(
+            rig.roster.update(
                 Duration::ZERO,
                 v1::Endpoint {
                     node: id,
                     ..old.clone()
                 },
             );
-            rig.roster.change(
+            rig.roster.update(
                 Duration::ZERO,
                 v1::Endpoint {
                     state: State::Gone.into(),
@@ -430,7 +430,7 @@
         },
         async |rig| {
             until(async || list.exists()).await;
-            rig.roster.away(None);
+            rig.roster.disconnect(None);
             let text = deployment("127.0.0.1:1".parse().expect("an address"), &more);
             let second = Rig::beside(&rig, &text).await;
             placed(&mut second.ask(ask("a", "web")).await).await;
--- a/crates/lab/tests/full_path/maintenance.rs
+++ b/crates/lab/tests/full_path/maintenance.rs
@@ -6,8 +6,8 @@
 use async_io::Timer;
 use corkspan_api::v1::{self, placement_client::PlacementClient, placement_event::Event};
 use corkspan_lab::capture::{Seen, Word as Said};
+use corkspan_lab::discovery::Discovery;
 use corkspan_lab::relay::{Relay, Way};
-use corkspan_lab::roster::Roster;
 use corkspan_rpc::{Bounds, Link};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -142,14 +142,14 @@
         async |rig| {
             let tasks = rig.tasks.clone();
             // One knows the nodes by relays: it is cut off from all of them for a while.
-            let (roster, by) = Roster::up(&rig.world).await.expect("a port");
+            let (roster, by) = Discovery::start(&rig.world).await.expect("a port");
             let mut relays = Vec::new();
             for node in &rig.nodes {
-                let listed = rig.roster.entry(node.config.id).expect("listed");
+                let listed = rig.roster.endpoint(node.config.id).expect("listed");
                 let relay = Relay::up(&tasks, listed.address.parse().expect("an address"))
                     .await
                     .expect("a port");
-                roster.change(
+                roster.update(
                     Duration::ZERO,
                     v1::Endpoint {
                         address: relay.address.to_string(),
--- a/crates/lab/tests/full_path/rig.rs
+++ b/crates/lab/tests/full_path/rig.rs
@@ -6,8 +6,8 @@
 use corkspan_dispatcher::DispatcherError;
 use corkspan_dispatcher::rollout_control::Store;
 use corkspan_lab::capture::{Capture, Line, Seen};
+use corkspan_lab::discovery::Discovery;
 use corkspan_lab::node::{Node, NodeConfig, SlowStart, World};
-use corkspan_lab::roster::Roster;
 use corkspan_rpc::{Bounds, Link, Tasks, within};
 use corkspan_scheduler::interface::Resources;
 use futures_lite::future;
@@ -24,7 +24,7 @@
     pub tasks: Tasks,
     pub world: Arc<World>,
     pub nodes: Vec<Arc<Node>>,
-    pub roster: Arc<Roster>,
+    pub roster: Arc<Discovery>,
     pub address: SocketAddr,
     stop: async_channel::Sender<()>,
     kill: async_channel::Sender<()>,
@@ -83,19 +83,19 @@
     async fn up(tasks: Tasks, layout: Layout) -> Rig {
         let capture = Capture::new(None).expect("no file, no failure");
         let world = World::new(capture, &tasks, Some("jobs".into()));
-        let (roster, roster_address) = Roster::up(&world).await.expect("a port");
+        let (roster, roster_address) = Discovery::start(&world).await.expect("a port");
         let mut nodes = Vec::new();
         for id in 0..layout.nodes {
             let node = Node::new(plan(id, layout.look), &world);
             let address = node.start_process(false).await.expect("a port");
-            roster.change(
+            roster.update(
                 Duration::ZERO,
                 entry(&node, address, v1::endpoint::State::Serving, 0),
             );
             nodes.push(node);
         }
         if layout.roster_away {
-            roster.away(None);
+            roster.disconnect(None);
         }
         let text = deployment(roster_address, &layout.more);
         let rig = Rig::start_over(layout.store, tasks, world, nodes, roster, &text).await;
@@ -122,7 +122,7 @@
         tasks: Tasks,
         world: Arc<World>,
         nodes: Vec<Arc<Node>>,
-        roster: Arc<Roster>,
+        roster: Arc<Discovery>,
         text: &str,
     ) -> Rig {
         Rig::start_over(None, tasks, world, nodes, roster, text).await
@@ -133,7 +133,7 @@
         tasks: Tasks,
         world: Arc<World>,
         nodes: Vec<Arc<Node>>,
-        roster: Arc<Roster>,
+        roster: Arc<Discovery>,
         text: &str,
     ) -> Rig {
         let deployment = Deployment::parse("rig", text).unwrap_or_else(|why| panic!("{why}"));
@@ -266,9 +266,9 @@
         let node = &self.nodes[index];
         let old = self
             .roster
-            .entry(node.config.id)
+            .endpoint(node.config.id)
             .expect("the node is listed");
-        self.roster.change(
+        self.roster.update(
             Duration::ZERO,
             v1::Endpoint {
                 state: state.into(),
--- a/crates/lab/tests/full_path/rolls.rs
+++ b/crates/lab/tests/full_path/rolls.rs
@@ -4,7 +4,7 @@
 use crate::rig::*;
 use corkspan_api::v1::{self, rollout::Phase, rolls_client::RollsClient};
 use corkspan_lab::capture::{self, Line, NodeState, Repeat, Seen};
-use corkspan_lab::disk::{self, Full};
+use corkspan_lab::disk::{self, DiskFull};
 use corkspan_lab::judge::judge;
 use corkspan_lab::node::VersionFault;
 use corkspan_lab::owner::{Front, Task, live};
@@ -521,7 +521,7 @@
 #[test]
 fn the_roster_away_for_the_whole_roll_changes_nothing() {
     story(2, 12, "web", async |stage| {
-        stage.rigs[0].roster.away(None);
+        stage.rigs[0].roster.disconnect(None);
         assert!(stage.start(1, "v2", 3).await.accepted);
         until_ready(&stage, "v2", 12).await;
         assert_eq!(stage.breaches(), [""; 0]);
@@ -841,7 +841,7 @@
 #[test_case(true; "that starts first")]
 fn a_disk_that_fills_up_in_the_middle_of_a_roll(start_first: bool) {
     let folder = tempfile::tempdir().expect("a folder");
-    let full = Full::default();
+    let full = DiskFull::default();
     let store = disk::store(folder.path().join("rolls-0.redb"), &full);
     let more = more(folder.path(), 0);
     let layout = Layout {
--- a/crates/lab/tests/full_path/stores.rs
+++ b/crates/lab/tests/full_path/stores.rs
@@ -1,7 +1,7 @@
 //! Stores of dispatchers on a disk that fills up.
 
 use corkspan_dispatcher::rollout_control::{ReplicaPair, Store, StoredClaim};
-use corkspan_lab::disk::{self, Full};
+use corkspan_lab::disk::{self, DiskFull};
 use corkspan_rollout::ClaimId;
 
 fn held(claim: u64, won: bool, pair: Option<bool>) -> StoredClaim {
@@ -34,7 +34,7 @@
     let folder = tempfile::tempdir().expect("a folder");
     for fills_at in 0..steps().len() {
         let path = folder.path().join(format!("full-{fills_at}.redb"));
-        let full = Full::default();
+        let full = DiskFull::default();
         let store = disk::store(path.clone(), &full);
         let mut before = vec![];
         for (index, step) in steps().into_iter().enumerate() {
