--- a/crates/dispatcher/src/active_version.rs
+++ b/crates/dispatcher/src/active_version.rs
@@ -122,14 +122,12 @@
     }
 
     /// On disk before it is in force.
-    pub async fn save(&self, kept: &PersistedVersions) -> Result<(), String> {
+    pub async fn save(&self, kept: &PersistedVersions) -> std::io::Result<()> {
         let Some(path) = self.path.clone() else {
             return Ok(());
         };
         let kept = kept.clone();
-        blocking::unblock(move || version_files::save(&path, &kept))
-            .await
-            .map_err(|why| why.to_string())
+        blocking::unblock(move || version_files::save(&path, &kept)).await
     }
 
     /// The deployment that these parts make of the file.
--- a/crates/dispatcher/src/config_stream.rs
+++ b/crates/dispatcher/src/config_stream.rs
@@ -38,6 +38,21 @@
     }
 }
 
+/// Why a stream of versions ended.
+#[derive(Debug, thiserror::Error)]
+enum StreamError {
+    #[error(transparent)]
+    Connect(#[from] corkspan_rpc::NoLink),
+    #[error("{}", .0.message())]
+    Status(#[from] Box<Status>),
+    #[error("it does not take the stream in time")]
+    NotAccepted,
+    #[error("the service ended the stream")]
+    Ended,
+    #[error("it does not read its answers")]
+    UnreadReplies,
+}
+
 /// Answers on one stream.
 struct Answers {
     to: async_channel::Sender<v1::PushReply>,
@@ -123,7 +138,7 @@
             });
             let stood = began.map_or(0, |began: Instant| ticks(began.elapsed()));
             let wait = retry.next_delay(stood);
-            warn!(%service, why = ended, again_in_ms = wait / 10, "no stream of versions; the one in force stays");
+            warn!(%service, why = ended.to_string(), again_in_ms = wait / 10, "no stream of versions; the one in force stays");
             async_io::Timer::after(duration(wait)).await;
         }
     };
@@ -135,11 +150,11 @@
     service: SocketAddr,
     given_up: &async_channel::Receiver<String>,
     began: &mut Option<Instant>,
-) -> String {
+) -> StreamError {
     let meter = core.link_counters.meter(LinkKind::Control);
     let link = match Link::open_counted(&core.tasks, service, &core.link_bounds, &meter).await {
         Ok(link) => link,
-        Err(why) => return why.to_string(),
+        Err(error) => return error.into(),
     };
     let (to, from) = async_channel::bounded(MAX_UNREAD_REPLIES);
     let answers = Answers {
@@ -156,8 +171,8 @@
     .await;
     let mut pushes = match opened {
         Some(Ok(pushes)) => pushes.into_inner(),
-        Some(Err(why)) => return why.message().to_string(),
-        None => return "it does not take the stream in time".into(),
+        Some(Err(status)) => return Box::new(status).into(),
+        None => return StreamError::NotAccepted,
     };
     *began = Some(Instant::now());
     core.active_version
@@ -191,7 +206,7 @@
                     .with(|state| state.refused_last = Some((push.version, why.clone())));
             }
             if !answers.send_reply(&core.active_version, push.nonce, &said) {
-                return "it does not read its answers".into();
+                return StreamError::UnreadReplies;
             }
             continue;
         }
@@ -222,26 +237,22 @@
     core: &DispatcherCore,
     answers: &Answers,
     push: Result<Option<v1::VersionPush>, Status>,
-) -> Result<(), String> {
-    let push = push
-        .map_err(|why| why.message().to_string())?
-        .ok_or("the service ended the stream")?;
+) -> Result<(), StreamError> {
+    let push = push.map_err(Box::new)?.ok_or(StreamError::Ended)?;
     let nonce = push.nonce;
     let Some(push) = push_from_message(push) else {
         let said = PushReply::Rejected(vec![
             "its stamp is none: a number above 0 and 64 hexadecimal digits".into(),
         ]);
         let read = answers.send_reply(&core.active_version, nonce, &said);
-        return read
-            .then_some(())
-            .ok_or_else(|| "it does not read its answers".into());
+        return read.then_some(()).ok_or(StreamError::UnreadReplies);
     };
     if let Some(superseded) = core
         .active_version
         .with(|state| state.subscriber.receive(push))
         && !answers.send_reply(&core.active_version, superseded.nonce, &superseded.reply)
     {
-        return Err("it does not read its answers".into());
+        return Err(StreamError::UnreadReplies);
     }
     Ok(())
 }
@@ -275,7 +286,10 @@
         // Not in force, so it must not be on disk either.
         let former = versions.with(|state| state.subscriber.persisted().clone());
         if let Err(why) = versions.save(&former).await {
-            warn!(why, "a version that is not in force stays on disk");
+            warn!(
+                why = why.to_string(),
+                "a version that is not in force stays on disk"
+            );
         }
         return PushReply::Rejected(vec![
             "more names have come and gone than are kept; a restart is needed".into(),
@@ -332,7 +346,7 @@
         }
         if let Err(why) = versions.save(&kept).await {
             warn!(
-                why,
+                why = why.to_string(),
                 "how a trial came out can't be kept on disk; a restart tries that version again"
             );
         }
--- a/crates/dispatcher/src/core.rs
+++ b/crates/dispatcher/src/core.rs
@@ -97,7 +97,7 @@
         let stored = store.load();
         // Whatever an earlier life had started beside a copy, and was killed before it had put away
         // one of the two.
-        let pending_removals = stored.1.iter().filter_map(|held| {
+        let pending_removals = stored.claims.iter().filter_map(|held| {
             let pair = held.pair.as_ref()?;
             let old = pair.retires.then(|| pair.old.clone());
             Some(PendingRemoval {
--- a/crates/dispatcher/src/core/placement.rs
+++ b/crates/dispatcher/src/core/placement.rs
@@ -2,6 +2,23 @@
 
 use super::*;
 
+/// What is wrong with a request.
+#[derive(Debug, thiserror::Error)]
+pub(super) enum RequestError {
+    #[error("{part}: 1 to 256 bytes are wanted, not {bytes}")]
+    Length { part: &'static str, bytes: usize },
+    #[error("cores and memory must be above 0, not {cores} and {memory}")]
+    Resources { cores: f64, memory: f64 },
+    #[error("unknown track `{0}`")]
+    ServiceClass(String),
+    #[error("unknown account `{0}`")]
+    Tenant(String),
+    #[error("no deadline: neither abandon_ms nor one of the call")]
+    NoDeadline,
+    #[error("a deadline more than {} s away", MAX_DEADLINE / 10_000)]
+    DeadlineTooLate,
+}
+
 impl DispatcherCore {
     /// An owner asks. The answer is among the words, at once or later.
     pub fn place(
@@ -61,17 +78,14 @@
             left.into_iter().flatten().min(),
         ) {
             (Err(why), _) => Err(why),
-            (_, None) => Err("no deadline: neither abandon_ms nor one of the call".into()),
-            (_, Some(left)) if left > MAX_DEADLINE => Err(format!(
-                "a deadline more than {} s away",
-                MAX_DEADLINE / 10_000
-            )),
+            (_, None) => Err(RequestError::NoDeadline),
+            (_, Some(left)) if left > MAX_DEADLINE => Err(RequestError::DeadlineTooLate),
             (Ok(asked), Some(left)) => Ok((asked, left)),
         };
         let (asked, left) = match asked {
             Ok(asked) => asked,
             Err(why) => {
-                refuse(v1::rejected::RejectionReason::BadAsk, why);
+                refuse(v1::rejected::RejectionReason::BadAsk, why.to_string());
                 return taken;
             }
         };
@@ -127,7 +141,7 @@
         let id = self.with(|now, engine, effects| {
             let asked = self
                 .engine_request(now, &ask)
-                .map_err(|why| refuse(v1::rejected::RejectionReason::BadAsk, why))
+                .map_err(|why| refuse(v1::rejected::RejectionReason::BadAsk, why.to_string()))
                 .ok()?;
             if effects.stopping {
                 refuse(
@@ -174,7 +188,11 @@
     }
 
     /// What an ask is to the decisions, or what is wrong with it. Its abandon time is not set.
-    fn engine_request(&self, now: Ticks, ask: &v1::PlacementRequest) -> Result<Asked, String> {
+    fn engine_request(
+        &self,
+        now: Ticks,
+        ask: &v1::PlacementRequest,
+    ) -> Result<Asked, RequestError> {
         // A row without a name is of one that is gone.
         let index = |names: &[String], name: &str| {
             names
@@ -195,24 +213,24 @@
             ("service", &ask.service),
         ] {
             if text.is_empty() || text.len() > 256 {
-                return Err(format!(
-                    "{what}: 1 to 256 bytes are wanted, not {}",
-                    text.len()
-                ));
+                return Err(RequestError::Length {
+                    part: what,
+                    bytes: text.len(),
+                });
             }
         }
         if !amount(ask.cores) || !amount(ask.memory) {
-            return Err(format!(
-                "cores and memory must be above 0, not {} and {}",
-                ask.cores, ask.memory
-            ));
+            return Err(RequestError::Resources {
+                cores: ask.cores,
+                memory: ask.memory,
+            });
         }
         Ok(Asked {
             service: service(&ask.service),
             track: ServiceClassId(
-                track.ok_or_else(|| format!("unknown track `{}`", ask.service_class))?,
+                track.ok_or_else(|| RequestError::ServiceClass(ask.service_class.clone()))?,
             ),
-            account: TenantId(account.ok_or_else(|| format!("unknown account `{}`", ask.tenant))?),
+            account: TenantId(account.ok_or_else(|| RequestError::Tenant(ask.tenant.clone()))?),
             asks: Resources {
                 cores: ask.cores,
                 memory: ask.memory,
@@ -305,7 +323,7 @@
     }
 }
 
-/// No owner waits longer for a placing.
+/// Longest time that a client may wait for a placement.
 const MAX_DEADLINE: Ticks = 24 * 3600 * 10_000;
 
 fn refusal_reason(why: NotTaken) -> v1::rejected::RejectionReason {
--- a/crates/dispatcher/src/endpoint_list.rs
+++ b/crates/dispatcher/src/endpoint_list.rs
@@ -4,6 +4,7 @@
 use crate::clock::{Clock, ticks, wall_ms};
 use crate::core::DispatcherCore;
 use crate::link_counters::LinkKind;
+use crate::stored_file::{StoredFileError, read_bounded};
 use async_io::Timer;
 use corkspan_api::v1::{self, roster_client::RosterClient};
 use corkspan_rpc::Link;
@@ -17,6 +18,30 @@
 use std::time::{Duration, Instant};
 use tracing::{info, warn};
 
+/// Why a line of a list from the roster is left out.
+#[derive(Debug, thiserror::Error)]
+enum EndpointError {
+    #[error("node {node} has no known state")]
+    State { node: u32 },
+    #[error("node {node}: `{address}` is no address")]
+    Address {
+        node: u32,
+        address: String,
+        source: std::net::AddrParseError,
+    },
+}
+
+/// Why a watch of the list ended.
+#[derive(Debug, thiserror::Error)]
+enum WatchError {
+    #[error(transparent)]
+    Connect(#[from] corkspan_rpc::NoLink),
+    #[error("{}", .0.message())]
+    Status(#[from] Box<tonic::Status>),
+    #[error("the roster ended the watch")]
+    Ended,
+}
+
 /// One line of the list, as it is kept.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 struct StoredEndpoint {
@@ -63,8 +88,8 @@
 /// The same where only room has changed, which is old news at the next start in any case.
 const CAPACITY_SAVE_INTERVAL: Duration = Duration::from_secs(30);
 
-/// Kept lists larger than this are none of ours.
-const MAX_LIST_BYTES: u64 = 64 << 20;
+/// A list from the roster is longer than a message of a client may be.
+const MAX_LIST_BYTES: usize = 64 << 20;
 
 impl EndpointList {
     /// The list of an earlier life; what can't be read is set aside, never guessed at.
@@ -74,7 +99,7 @@
             Ok(None) => return EndpointList::default(),
             Err(why) => {
                 let aside = path.with_extension("aside");
-                warn!(path = %path.display(), why, "the remembered list can't be read; set aside");
+                warn!(path = %path.display(), why = why.to_string(), "the remembered list can't be read; set aside");
                 if let Err(why) = std::fs::rename(path, &aside) {
                     warn!(path = %path.display(), %why, "and can't be set aside either");
                 }
@@ -136,7 +161,7 @@
                         self.lines.insert(line.node, line);
                     }
                 }
-                Err(why) => warn!(why, "a line of the list is left out"),
+                Err(why) => warn!(why = why.to_string(), "a line of the list is left out"),
             }
         }
         self.starts.retain(|node, _| self.lines.contains_key(node));
@@ -231,29 +256,32 @@
     corkspan_engine::service(&text).0
 }
 
-fn read(path: &Path) -> Result<Option<StoredList>, String> {
-    let Some(text) = crate::version_files::read_bounded(path)? else {
+fn read(path: &Path) -> Result<Option<StoredList>, StoredFileError> {
+    let Some(text) = read_bounded(path)? else {
         return Ok(None);
     };
-    let stored: StoredList = serde_json::from_slice(&text).map_err(|why| why.to_string())?;
+    let stored: StoredList = serde_json::from_slice(&text)?;
     if stored.sum != checksum(&stored.lines) {
-        return Err("its sum is wrong".into());
+        return Err(StoredFileError::Checksum);
     }
     Ok(Some(stored))
 }
 
-fn endpoint_from_message(entry: v1::Endpoint) -> Result<StoredEndpoint, String> {
+fn endpoint_from_message(entry: v1::Endpoint) -> Result<StoredEndpoint, EndpointError> {
     let state = match entry.state() {
         v1::endpoint::State::Serving => StoredState::Serving,
         v1::endpoint::State::Draining => StoredState::Draining,
         v1::endpoint::State::Gone => StoredState::Gone,
         v1::endpoint::State::Unknown => {
-            return Err(format!("node {} has no known state", entry.node));
+            return Err(EndpointError::State { node: entry.node });
         }
     };
     let address = entry.address.parse();
-    let address =
-        address.map_err(|_| format!("node {}: `{}` is no address", entry.node, entry.address))?;
+    let address = address.map_err(|source| EndpointError::Address {
+        node: entry.node,
+        address: entry.address.clone(),
+        source,
+    })?;
     let room = entry
         .unreserved
         .filter(|room| room.cores.is_finite() && room.memory.is_finite());
@@ -278,7 +306,10 @@
 ) {
     while asked.recv().await.is_ok() {
         if let Err(why) = watch(&core, &mut list, path.as_deref()).await {
-            warn!(why, "the roster is out of reach; the list stays as it is");
+            warn!(
+                why = why.to_string(),
+                "the roster is out of reach; the list stays as it is"
+            );
         }
         // One asked for meanwhile is this one.
         while asked.try_recv().is_ok() {}
@@ -290,7 +321,7 @@
     core: &Arc<DispatcherCore>,
     list: &mut EndpointList,
     path: Option<&Path>,
-) -> Result<(), String> {
+) -> Result<(), WatchError> {
     let link = {
         let (to, meter) = (
             core.deployment().roster,
@@ -298,30 +329,20 @@
         );
         Link::open_counted(&core.tasks, to, &core.link_bounds, &meter).await
     };
-    let link = link.map_err(|why| why.to_string())?;
-    // A list is longer than a message of a client may be.
-    let mut client = RosterClient::new(link).max_decoding_message_size(MAX_LIST_BYTES as usize);
+    let link = link?;
+    let mut client = RosterClient::new(link).max_decoding_message_size(MAX_LIST_BYTES);
     let ask = v1::ListRequest {
         version: list.version,
         dispatcher: core.deployment().cluster.scheduler_index as u32,
     };
-    let mut listings = client
-        .watch(ask)
-        .await
-        .map_err(|why| why.message().to_string())?
-        .into_inner();
+    let mut listings = client.watch(ask).await.map_err(Box::new)?.into_inner();
     info!(roster = %core.deployment().roster, version = list.version, "watching the list");
     // When what is known is to be on disk, and when it was written last.
     let (mut due, mut written): (Option<Instant>, Option<Instant>) = (None, None);
     loop {
         let told = async {
-            let listing = listings
-                .message()
-                .await
-                .map_err(|why| why.message().to_string())?;
-            listing
-                .map(Some)
-                .ok_or_else(|| "the roster ended the watch".to_string())
+            let listing = listings.message().await.map_err(Box::new)?;
+            listing.map(Some).ok_or(WatchError::Ended)
         };
         let writes = async {
             match due {
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -22,6 +22,7 @@
 pub mod rollout_service;
 mod rollouts;
 mod store;
+mod stored_file;
 pub mod version_files;
 mod version_gate;
 pub mod version_service;
--- a/crates/dispatcher/src/minimum_version.rs
+++ b/crates/dispatcher/src/minimum_version.rs
@@ -48,7 +48,7 @@
                     .store(changed, Ordering::Relaxed),
                 Err(why) if !told => {
                     warn!(
-                        why,
+                        why = why.to_string(),
                         "which versions were in force can't be kept on disk; tried again each second"
                     );
                 }
--- a/crates/dispatcher/src/rollout_control.rs
+++ b/crates/dispatcher/src/rollout_control.rs
@@ -4,7 +4,7 @@
 use crate::core::DispatcherCore;
 use crate::quorum_client::request_all;
 use crate::rollout_messages::{rollout_from_message, rollout_message};
-pub use crate::store::{CloseOnDrop, ReplicaPair, Store, StoredClaim, StoredRollouts};
+pub use crate::store::{CloseOnDrop, ReplicaPair, Store, StoreError, StoredClaim, StoredRollouts};
 use corkspan_api::v1;
 use corkspan_api::v1::quorum_request::Operation;
 use corkspan_rollout::Grant;
@@ -125,7 +125,8 @@
             Err(why) => {
                 warn!(
                     service = roll.service,
-                    why, "a roll can't be kept on disk, and is not followed"
+                    why = why.to_string(),
+                    "a roll can't be kept on disk, and is not followed"
                 )
             }
         }
@@ -246,7 +247,7 @@
     let kept = blocking::unblock(move || {
         let held = store
             .load()
-            .1
+            .claims
             .into_iter()
             .find(|held| held.claim == claim && held.pair == Some(pair.clone()));
         held.map_or(Ok(()), |held| {
@@ -254,7 +255,10 @@
         })
     });
     if let Err(why) = kept.await {
-        warn!(why, "what an earlier life left is gone, and stays on disk");
+        warn!(
+            why = why.to_string(),
+            "what an earlier life left is gone, and stays on disk"
+        );
     }
 }
 
@@ -314,7 +318,9 @@
     if let Err(why) = &kept {
         warn!(
             service,
-            task, why, "a claim can't be kept on disk, and is not used"
+            task,
+            why = why.to_string(),
+            "a claim can't be kept on disk, and is not used"
         );
     }
     kept.is_ok()
@@ -330,7 +336,11 @@
     request_all(core, Operation::Release(ask)).await;
     let store = Arc::clone(&core.store);
     if let Err(why) = blocking::unblock(move || store.delete_claim(claim)).await {
-        warn!(service, why, "a claim given back stays on disk");
+        warn!(
+            service,
+            why = why.to_string(),
+            "a claim given back stays on disk"
+        );
     }
 }
 
--- a/crates/dispatcher/src/rollouts.rs
+++ b/crates/dispatcher/src/rollouts.rs
@@ -22,7 +22,7 @@
 }
 
 impl Rollouts {
-    pub fn new(dispatcher: u32, seed: u64, now: Ticks, (rolls, claims): StoredRollouts) -> Self {
+    pub fn new(dispatcher: u32, seed: u64, now: Ticks, stored: StoredRollouts) -> Self {
         let mut rollouts = Rollouts {
             dispatcher,
             seed,
@@ -30,14 +30,16 @@
             reported_slots: BTreeMap::new(),
             members_heard: 0,
         };
-        rolls.into_iter().for_each(|roll| rollouts.adopt(now, roll));
+        for rollout in stored.rollouts {
+            rollouts.adopt(now, rollout);
+        }
         for StoredClaim {
             claim,
             service,
             task,
             won,
             ..
-        } in claims
+        } in stored.claims
         {
             match rollouts.controllers.get_mut(&service) {
                 Some(controller) => controller.restore_claim(claim, &task, won),
--- a/crates/dispatcher/src/store.rs
+++ b/crates/dispatcher/src/store.rs
@@ -43,8 +43,43 @@
     ClaimId(0)
 }
 
+/// What a store holds at a start.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct StoredRollouts {
+    /// The rollouts in force, by service.
+    pub rollouts: Vec<Rollout>,
+    /// Claims that were requested or held.
+    pub claims: Vec<StoredClaim>,
+}
+
+/// Why the store can't be read or written.
+#[derive(Debug, thiserror::Error)]
+pub enum StoreError {
+    /// The deployment names no store, or it could not be opened.
+    #[error("there is no store")]
+    NotConfigured,
+    /// The file is shorter than its header says.
+    #[error("it is not whole")]
+    Truncated,
+    /// The database can't be opened, read or written.
+    #[error(transparent)]
+    Database(Box<redb::Error>),
+    /// A row is not the JSON that this program writes.
+    #[error(transparent)]
+    Row(serde_json::Error),
+    /// The history of versions is not the JSON that this program writes.
+    #[error("record: {0}")]
+    VersionHistory(#[source] serde_json::Error),
+}
+
+impl<E: Into<redb::Error>> From<E> for StoreError {
+    fn from(error: E) -> Self {
+        StoreError::Database(Box::new(error.into()))
+    }
+}
+
 /// Opens the database of a store, as often as it takes.
-type OpenDatabase = Box<dyn Fn() -> Result<Database, String> + Send + Sync>;
+type OpenDatabase = Box<dyn Fn() -> Result<Database, StoreError> + Send + Sync>;
 
 /// What survives a restart.
 pub struct Store {
@@ -67,7 +102,7 @@
     /// still hold what it held.
     pub fn open(path: Option<&Path>) -> Self {
         let Some(path) = path.map(Path::to_owned) else {
-            let open_database = Box::new(|| Err("there is no store".into()));
+            let open_database = Box::new(|| Err(StoreError::NotConfigured));
             return Store {
                 open: RwLock::new(None),
                 open_database,
@@ -75,7 +110,7 @@
         };
         if let Err(why) = open_checked(|| Ok(Database::create(&path)?)) {
             let aside = path.with_extension("aside");
-            warn!(path = %path.display(), why, "the store of rolls can't be read; set aside");
+            warn!(path = %path.display(), why = why.to_string(), "the store of rolls can't be read; set aside");
             if let Err(why) = std::fs::rename(&path, &aside) {
                 warn!(path = %path.display(), %why, "and can't be set aside either");
             }
@@ -91,7 +126,7 @@
         let open = open_database();
         if let Err(why) = &open {
             error!(
-                why,
+                why = why.to_string(),
                 "no store of rolls: this dispatcher takes no step of any"
             );
         }
@@ -106,7 +141,7 @@
     fn write(
         &self,
         change: impl FnOnce(&redb::WriteTransaction) -> Result<(), redb::Error>,
-    ) -> Result<(), String> {
+    ) -> Result<(), StoreError> {
         if self
             .open
             .read()
@@ -122,7 +157,7 @@
         let written = {
             let open = self.open.read().unwrap_or_else(PoisonError::into_inner);
             let Some(database) = &*open else {
-                return Err("there is no store".into());
+                return Err(StoreError::NotConfigured);
             };
             let whole = || {
                 let transaction = database.begin_write()?;
@@ -134,12 +169,12 @@
         };
         written.map_err(|why| {
             *self.open.write().unwrap_or_else(PoisonError::into_inner) = None;
-            why.to_string()
+            why.into()
         })
     }
 
-    pub fn save_claim(&self, claim: &StoredClaim) -> Result<(), String> {
-        let text = serde_json::to_string(claim).map_err(|why| why.to_string())?;
+    pub fn save_claim(&self, claim: &StoredClaim) -> Result<(), StoreError> {
+        let text = serde_json::to_string(claim).map_err(StoreError::Row)?;
         self.write(|transaction| {
             transaction
                 .open_table(CLAIMS)?
@@ -148,15 +183,15 @@
         })
     }
 
-    pub fn delete_claim(&self, claim: ClaimId) -> Result<(), String> {
+    pub fn delete_claim(&self, claim: ClaimId) -> Result<(), StoreError> {
         self.write(|transaction| {
             transaction.open_table(CLAIMS)?.remove(claim.0)?;
             Ok(())
         })
     }
 
-    pub fn save_rollout(&self, roll: &Rollout) -> Result<(), String> {
-        let text = serde_json::to_string(roll).map_err(|why| why.to_string())?;
+    pub fn save_rollout(&self, roll: &Rollout) -> Result<(), StoreError> {
+        let text = serde_json::to_string(roll).map_err(StoreError::Row)?;
         self.write(|transaction| {
             transaction
                 .open_table(ROLLOUTS)?
@@ -166,8 +201,11 @@
     }
 
     /// Spans of versions.
-    pub fn save_version_history(&self, spans: &VecDeque<VersionInterval>) -> Result<(), String> {
-        let text = serde_json::to_string(spans).map_err(|why| why.to_string())?;
+    pub fn save_version_history(
+        &self,
+        spans: &VecDeque<VersionInterval>,
+    ) -> Result<(), StoreError> {
+        let text = serde_json::to_string(spans).map_err(StoreError::Row)?;
         self.write(|transaction| {
             transaction
                 .open_table(VERSION_HISTORY)?
@@ -182,19 +220,17 @@
         let Some(database) = &*open else {
             return VecDeque::new();
         };
-        let read = || -> Result<VecDeque<VersionInterval>, String> {
-            let transaction = database.begin_read().map_err(|why| why.to_string())?;
-            let table = transaction
-                .open_table(VERSION_HISTORY)
-                .map_err(|why| why.to_string())?;
-            let text = table.get("spans").map_err(|why| why.to_string())?;
+        let read = || -> Result<VecDeque<VersionInterval>, StoreError> {
+            let transaction = database.begin_read()?;
+            let table = transaction.open_table(VERSION_HISTORY)?;
+            let text = table.get("spans")?;
             text.map_or(Ok(VecDeque::new()), |text| {
-                serde_json::from_str(text.value()).map_err(|why| format!("record: {why}"))
+                serde_json::from_str(text.value()).map_err(StoreError::VersionHistory)
             })
         };
         read().unwrap_or_else(|why| {
             warn!(
-                why,
+                why = why.to_string(),
                 "what was kept of versions can't be read, and is begun anew"
             );
             VecDeque::new()
@@ -207,67 +243,47 @@
             return Default::default();
         };
         read_rollouts(database).unwrap_or_else(|why| {
-            error!(why, "the store of rolls can't be read");
+            error!(why = why.to_string(), "the store of rolls can't be read");
             Default::default()
         })
     }
 }
 
 /// A database whose tables all read as they should.
-fn open_checked(open: impl Fn() -> Result<Database, redb::Error>) -> Result<Database, String> {
+fn open_checked(open: impl Fn() -> Result<Database, redb::Error>) -> Result<Database, StoreError> {
     // redb asserts that a file is as long as its header says, and would take the dispatcher down
     // with a torn one.
     let opened = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| open_and_read(open)));
-    opened.unwrap_or_else(|_| Err("it is not whole".into()))
+    opened.unwrap_or_else(|_| Err(StoreError::Truncated))
 }
 
-fn open_and_read(open: impl Fn() -> Result<Database, redb::Error>) -> Result<Database, String> {
-    let text = |why: redb::Error| why.to_string();
-    let database = open().map_err(text)?;
-    let transaction = database.begin_write().map_err(|why| text(why.into()))?;
-    transaction
-        .open_table(CLAIMS)
-        .map_err(|why| text(why.into()))?;
-    transaction
-        .open_table(ROLLOUTS)
-        .map_err(|why| text(why.into()))?;
-    transaction
-        .open_table(VERSION_HISTORY)
-        .map_err(|why| text(why.into()))?;
-    transaction.commit().map_err(|why| text(why.into()))?;
+fn open_and_read(open: impl Fn() -> Result<Database, redb::Error>) -> Result<Database, StoreError> {
+    let database = open()?;
+    let transaction = database.begin_write()?;
+    transaction.open_table(CLAIMS)?;
+    transaction.open_table(ROLLOUTS)?;
+    transaction.open_table(VERSION_HISTORY)?;
+    transaction.commit()?;
     read_rollouts(&database)?;
     Ok(database)
 }
 
-fn read_rollouts(database: &Database) -> Result<StoredRollouts, String> {
-    fn text(why: impl ToString) -> String {
-        why.to_string()
-    }
-    let transaction = database.begin_read().map_err(text)?;
+fn read_rollouts(database: &Database) -> Result<StoredRollouts, StoreError> {
+    let transaction = database.begin_read()?;
     let (mut rolls, mut claims) = (Vec::new(), Vec::new());
-    for row in transaction
-        .open_table(ROLLOUTS)
-        .map_err(text)?
-        .iter()
-        .map_err(text)?
-    {
-        rolls.push(serde_json::from_str(row.map_err(text)?.1.value()).map_err(text)?);
+    for row in transaction.open_table(ROLLOUTS)?.iter()? {
+        rolls.push(serde_json::from_str(row?.1.value()).map_err(StoreError::Row)?);
     }
-    for row in transaction
-        .open_table(CLAIMS)
-        .map_err(text)?
-        .iter()
-        .map_err(text)?
-    {
-        let (key, value) = row.map_err(text)?;
-        let claim: StoredClaim = serde_json::from_str(value.value()).map_err(text)?;
+    for row in transaction.open_table(CLAIMS)?.iter()? {
+        let (key, value) = row?;
+        let claim: StoredClaim = serde_json::from_str(value.value()).map_err(StoreError::Row)?;
         claims.push(StoredClaim {
             claim: ClaimId(key.value()),
             ..claim
         });
     }
-    Ok((rolls, claims))
+    Ok(StoredRollouts {
+        rollouts: rolls,
+        claims,
+    })
 }
-
-/// What the store held at the start.
-pub type StoredRollouts = (Vec<Rollout>, Vec<StoredClaim>);
--- /dev/null
+++ b/crates/dispatcher/src/stored_file.rs
@@ -0,0 +1,36 @@
+//! Files of this dispatcher on disk: read whole within a bound.
+
+use std::path::Path;
+
+/// Larger files were not written by this program.
+const MAX_FILE_BYTES: u64 = 64 << 20;
+
+/// Why a stored file can't be used.
+#[derive(Debug, thiserror::Error)]
+pub enum StoredFileError {
+    /// It can't be read.
+    #[error(transparent)]
+    Io(#[from] std::io::Error),
+    /// It is larger than any file that this program writes.
+    #[error("{0} bytes")]
+    TooLarge(u64),
+    /// It is not the JSON that this program writes.
+    #[error(transparent)]
+    Json(#[from] serde_json::Error),
+    /// Its checksum does not match its content.
+    #[error("its sum is wrong")]
+    Checksum,
+    /// A version in it does not have the digest that it is stored under.
+    #[error("a version in it is not what its digest says")]
+    Digest,
+}
+
+/// The bytes of a stored file; none where there is no such file.
+pub fn read_bounded(path: &Path) -> Result<Option<Vec<u8>>, StoredFileError> {
+    match std::fs::metadata(path) {
+        Err(error) if error.kind() == std::io::ErrorKind::NotFound => Ok(None),
+        Err(error) => Err(error.into()),
+        Ok(data) if data.len() > MAX_FILE_BYTES => Err(StoredFileError::TooLarge(data.len())),
+        Ok(_) => Ok(Some(std::fs::read(path)?)),
+    }
+}
--- a/crates/dispatcher/src/version_files.rs
+++ b/crates/dispatcher/src/version_files.rs
@@ -1,15 +1,13 @@
 //! The last good version on disk, and the one on trial: written before either is in force. The file
 //! before is kept beside, so that a torn one costs one step and no guess.
 
+use crate::stored_file::{StoredFileError, read_bounded};
 use corkspan_config::version::{Digest, SharedParts, VersionId};
 use corkspan_config_sync::{PersistedVersions, TrialVersion, Version};
 use serde::{Deserialize, Serialize};
 use std::path::{Path, PathBuf};
 use tracing::warn;
 
-/// Files larger than this are none of ours.
-const MAX_FILE_BYTES: u64 = 64 << 20;
-
 #[derive(Serialize, Deserialize)]
 struct VersionFile {
     /// Over the text of the body.
@@ -115,7 +113,7 @@
         Ok(None) => {}
         Err(why) => {
             let aside = path.with_extension("aside");
-            warn!(path = %path.display(), why, "the kept version can't be read; set aside, and the one before taken");
+            warn!(path = %path.display(), why = why.to_string(), "the kept version can't be read; set aside, and the one before taken");
             if let Err(why) = std::fs::rename(path, &aside) {
                 warn!(path = %path.display(), %why, "and can't be set aside either");
             }
@@ -123,38 +121,27 @@
     }
     let before = backup_path(path);
     load_file(&before).map(Option::unwrap_or_default).unwrap_or_else(|why| {
-        warn!(path = %before.display(), why, "nor can the one before; the deployment file is in force");
+        warn!(path = %before.display(), why = why.to_string(), "nor can the one before; the deployment file is in force");
         PersistedVersions::default()
     })
 }
 
-/// A file of ours whole, if there is one; one that is larger than any of ours is not read.
-pub fn read_bounded(path: &Path) -> Result<Option<Vec<u8>>, String> {
-    match std::fs::metadata(path) {
-        Err(why) if why.kind() == std::io::ErrorKind::NotFound => Ok(None),
-        Err(why) => Err(why.to_string()),
-        Ok(data) if data.len() > MAX_FILE_BYTES => Err(format!("{} bytes", data.len())),
-        Ok(_) => std::fs::read(path).map(Some).map_err(|why| why.to_string()),
-    }
-}
-
-fn load_file(path: &Path) -> Result<Option<PersistedVersions>, String> {
+fn load_file(path: &Path) -> Result<Option<PersistedVersions>, StoredFileError> {
     let Some(text) = read_bounded(path)? else {
         return Ok(None);
     };
-    let file: VersionFile = serde_json::from_slice(&text).map_err(|why| why.to_string())?;
+    let file: VersionFile = serde_json::from_slice(&text)?;
     if file.sum != checksum(&file.body) {
-        return Err("its sum is wrong".into());
+        return Err(StoredFileError::Checksum);
     }
-    let body: Body = serde_json::from_str(&file.body).map_err(|why| why.to_string())?;
-    let wrong = || "a version in it is not what its digest says".to_string();
+    let body: Body = serde_json::from_str(&file.body)?;
     let good = body
         .good
-        .map(|whole| whole.version().ok_or_else(wrong))
+        .map(|whole| whole.version().ok_or(StoredFileError::Digest))
         .transpose()?;
     let trial = body.trial.map(|(whole, starts)| {
-        let version = whole.version().ok_or_else(wrong)?;
-        Ok::<_, String>(TrialVersion { version, starts })
+        let version = whole.version().ok_or(StoredFileError::Digest)?;
+        Ok::<_, StoredFileError>(TrialVersion { version, starts })
     });
     let given_up = body
         .given_up
--- a/crates/dispatcher/tests/store.rs
+++ b/crates/dispatcher/tests/store.rs
@@ -1,6 +1,8 @@
 //! The store of rolls, killed at each of its steps and torn.
 
-use corkspan_dispatcher::rollout_control::{ReplicaPair, Store, StoredClaim};
+use corkspan_dispatcher::rollout_control::{
+    ReplicaPair, Store, StoreError, StoredClaim, StoredRollouts,
+};
 use corkspan_rollout::{ClaimId, Order, Phase, Rollout};
 use corkspan_version_fencing::history::{VersionInterval, VersionOrigin};
 use std::collections::VecDeque;
@@ -40,7 +42,7 @@
     }
 }
 
-type Write = fn(&Store) -> Result<(), String>;
+type Write = fn(&Store) -> Result<(), StoreError>;
 
 /// All that a replacing writes, in its order, and the rolls and claims that the store holds after
 /// each.
@@ -72,7 +74,8 @@
 }
 
 fn read(path: &Path) -> (Vec<Rollout>, Vec<StoredClaim>) {
-    Store::open(Some(path)).load()
+    let stored = Store::open(Some(path)).load();
+    (stored.rollouts, stored.claims)
 }
 
 #[test]
@@ -126,7 +129,7 @@
     assert!(
         store.save_claim(&held(7, false, None)).is_err() && store.save_rollout(&roll()).is_err()
     );
-    assert_eq!(store.load(), (vec![], vec![]));
+    assert_eq!(store.load(), StoredRollouts::default());
 }
 
 const SPANS: &str =
@@ -158,7 +161,7 @@
     drop(database);
     let store = Store::open(Some(&path));
     assert_eq!(
-        (store.version_history().len(), store.load().0),
+        (store.version_history().len(), store.load().rollouts),
         (spans, vec![roll()])
     );
     let next = VecDeque::from([VersionInterval {
--- a/crates/dispatcher/tests/stored_files.rs
+++ b/crates/dispatcher/tests/stored_files.rs
@@ -4,7 +4,7 @@
 use corkspan_config::version::{SharedParts, VersionId};
 use corkspan_config_sync::{PersistedVersions, TrialVersion, Version};
 use corkspan_dispatcher::endpoint_list::EndpointList;
-use corkspan_dispatcher::rollout_control::{ReplicaPair, Store, StoredClaim};
+use corkspan_dispatcher::rollout_control::{ReplicaPair, Store, StoredClaim, StoredRollouts};
 use corkspan_dispatcher::version_files;
 use corkspan_rollout::{ClaimId, Order, Phase, Rollout};
 use corkspan_version_fencing::history::{VersionInterval, VersionOrigin};
@@ -147,7 +147,10 @@
     let (directory, path) = copy_of("rollouts.redb");
     assert_eq!(rows(&path), stored, "before anything is opened by our code");
     let store = Store::open(Some(&path));
-    let (read_rolls, read_claims) = store.load();
+    let StoredRollouts {
+        rollouts: read_rolls,
+        claims: read_claims,
+    } = store.load();
     let read_spans = store.version_history();
     assert_eq!(read_rolls, rolls());
     assert_eq!(read_claims, claims());
@@ -169,7 +172,11 @@
     assert_eq!(rows(&fresh_path), stored, "written to a new database");
 
     let again = Store::open(Some(&path));
-    assert_eq!(again.load(), (rolls(), claims()));
+    let expected = StoredRollouts {
+        rollouts: rolls(),
+        claims: claims(),
+    };
+    assert_eq!(again.load(), expected);
     again.delete_claim(ClaimId(8)).expect("written");
     drop(again);
     let kept = stored.lines().filter(|row| !row.starts_with("claims 8 "));
@@ -187,9 +194,9 @@
     );
     let aside = std::fs::read(path.with_extension("aside")).expect("set aside");
     assert_eq!(aside.len(), half.len());
-    assert_eq!(store.load(), (vec![], vec![]));
+    assert_eq!(store.load(), StoredRollouts::default());
     store.save_claim(&claim(8, true, None)).expect("written");
-    assert_eq!(store.load().1, [claim(8, true, None)]);
+    assert_eq!(store.load().claims, [claim(8, true, None)]);
 }
 
 #[test]
--- a/crates/lab/tests/full_path/stores.rs
+++ b/crates/lab/tests/full_path/stores.rs
@@ -45,18 +45,18 @@
                 }
                 full.set(false);
                 assert_eq!(
-                    Store::open(Some(&path)).load().1,
+                    Store::open(Some(&path)).load().claims,
                     before,
                     "what a kill then leaves"
                 );
             }
             store.save_claim(&step).expect("there is room");
             before = vec![step];
-            assert_eq!(store.load().1, before);
+            assert_eq!(store.load().claims, before);
         }
         drop(store);
         assert_eq!(
-            Store::open(Some(&path)).load().1,
+            Store::open(Some(&path)).load().claims,
             before,
             "the next life reads it"
         );
