--- a/crates/lab/src/counts.rs
+++ b/crates/lab/src/counts.rs
@@ -1,7 +1,7 @@
 //! What a dispatcher counted on its links held against what relays saw pass, kind by kind. The
 //! relays know nothing of the dispatcher's counters.
 
-use crate::day::{ENDS, End};
+use crate::scenario::{LINK_PEERS, LinkPeer};
 use crate::wires::Wires;
 use corkspan_api::v1::{self, connection_traffic::Kind};
 use std::fmt;
@@ -12,7 +12,7 @@
 /// A kind of link on which the two tell different bytes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Difference {
-    pub end: End,
+    pub end: LinkPeer,
     pub told: Passed,
     pub seen: Passed,
 }
@@ -28,13 +28,13 @@
     }
 }
 
-pub fn kind(end: End) -> Kind {
+pub fn kind(end: LinkPeer) -> Kind {
     match end {
-        End::Dispatchers => Kind::Dispatchers,
-        End::Keepers => Kind::Keepers,
-        End::Control => Kind::Control,
-        End::Roster => Kind::Roster,
-        End::Nodes => Kind::Nodes,
+        LinkPeer::Dispatchers => Kind::Dispatchers,
+        LinkPeer::Keepers => Kind::Keepers,
+        LinkPeer::Control => Kind::Control,
+        LinkPeer::Roster => Kind::Roster,
+        LinkPeer::Nodes => Kind::Nodes,
     }
 }
 
@@ -48,14 +48,15 @@
 }
 
 /// What passed the relays of one dispatcher at each end.
-pub fn seen(wires: &Wires, dispatcher: usize) -> Vec<(End, Passed)> {
-    ENDS.iter()
+pub fn seen(wires: &Wires, dispatcher: usize) -> Vec<(LinkPeer, Passed)> {
+    LINK_PEERS
+        .iter()
         .map(|&(_, end)| (end, wires.passed(dispatcher, end)))
         .collect()
 }
 
-pub fn differences(told: &[v1::ConnectionTraffic], seen: &[(End, Passed)]) -> Vec<Difference> {
-    let differs = |&(end, seen): &(End, Passed)| {
+pub fn differences(told: &[v1::ConnectionTraffic], seen: &[(LinkPeer, Passed)]) -> Vec<Difference> {
+    let differs = |&(end, seen): &(LinkPeer, Passed)| {
         let count = of(told, kind(end));
         let told = [count.bytes_in, count.bytes_out];
         (told != seen).then_some(Difference { end, told, seen })
--- a/crates/lab/src/hollow/fleet.rs
+++ b/crates/lab/src/hollow/fleet.rs
@@ -3,10 +3,10 @@
 
 use crate::capture::Seen;
 use crate::cost::{CONTROL, Cost, Costs, KINDS, between};
-use crate::day::Day;
-use crate::pace::Pace;
 use crate::play::{Play, Stage, tell_room};
 use crate::process::Programs;
+use crate::saturation::SaturationMonitor;
+use crate::scenario::Scenario;
 use crate::table::StandIns;
 use async_io::Timer;
 use clap::Args;
@@ -67,7 +67,7 @@
             "(day (length 600 s) (dispatchers {}) {script} (nodes {nodes}) (rate 1) (cancels 0))",
             real + hollow
         );
-        let mut day = Day::read("fleet", &script).map_err(|why| why.to_string())?;
+        let mut day = Scenario::read("fleet", &script).map_err(|why| why.to_string())?;
         day.rate = 0.0;
         let (tell, programs) = ((|text| text) as fn(String) -> String, programs.clone());
         let play = Play {
@@ -97,10 +97,13 @@
     pub fn run(&mut self, time: Duration, rate: f64, life: Duration) -> Result<Span, String> {
         let tasks = self.tasks.clone();
         let stage = &mut self.stage;
-        (stage.day.rate, stage.day.life) = (rate, life);
+        (stage.day.rate, stage.day.mean_lifetime) = (rate, life);
         let whole = async {
             let (before, from) = (stage.read().await?, stage.front.world.capture.lines().len());
-            let (pace, until) = (Pace::begin(&tasks, stage.hollow())?, Instant::now() + time);
+            let (pace, until) = (
+                SaturationMonitor::start(&tasks, stage.hollow())?,
+                Instant::now() + time,
+            );
             stage.start = Instant::now();
             let owners = stage.through(until).await?;
             Timer::at(until).await;
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -4,8 +4,8 @@
 use corkspan_capacity_model::result::{self, Axis};
 use corkspan_lab::capacity::Capacity;
 use corkspan_lab::{
-    capture, day::Day, hollow, judge, loads, measure::Measure, play::Play, process::Programs,
-    pushes::Pushes, table::Table,
+    capture, hollow, judge, loads, measure::Measure, play::Play, process::Programs, pushes::Pushes,
+    scenario::Scenario, table::Table,
 };
 use std::ffi::OsString;
 use std::path::{Path, PathBuf};
@@ -178,9 +178,11 @@
             logs,
         } => {
             let day = match (&file, short) {
-                (Some(file), _) => Day::load(file),
-                (None, true) => Day::read("the short day", corkspan_lab::day::SHORT),
-                (None, false) => Day::read("the built-in day", corkspan_lab::day::BUILT_IN),
+                (Some(file), _) => Scenario::load(file),
+                (None, true) => Scenario::read("the short day", corkspan_lab::scenario::SHORT),
+                (None, false) => {
+                    Scenario::read("the built-in day", corkspan_lab::scenario::BUILT_IN)
+                }
             };
             day.map_err(|why| why.to_string()).and_then(|day| {
                 let real = match program {
--- a/crates/lab/src/needs.rs
+++ b/crates/lab/src/needs.rs
@@ -1,7 +1,7 @@
 //! What a day needs of the machine, worked out before anything is started, and what the machine
 //! has. Plain arithmetic, but for [`Limits::here`].
 
-use crate::day::{Day, End, Kind};
+use crate::scenario::{FaultKind, LinkPeer, Scenario};
 use std::time::Duration;
 
 /// Real dispatchers and hollow ones with a thousand nodes' records, and what a task takes at its
@@ -41,30 +41,32 @@
 }
 
 impl Needs {
-    pub fn of(day: &Day) -> Needs {
+    pub fn of(day: &Scenario) -> Needs {
         let (dispatchers, hollow, nodes) =
             (day.dispatchers as u64, day.hollow as u64, day.nodes as u64);
         let highest = day
-            .troubles
+            .faults
             .iter()
-            .filter(|trouble| trouble.kind == Kind::Demand);
-        let rate = highest.fold(day.rate, |rate, step| rate.max(day.rate * step.times));
+            .filter(|trouble| trouble.kind == FaultKind::Demand);
+        let rate = highest.fold(day.rate, |rate, step| {
+            rate.max(day.rate * step.demand_factor)
+        });
         let burst = day
-            .troubles
+            .faults
             .iter()
-            .filter(|trouble| trouble.kind == Kind::Burst);
-        let burst: u64 = burst.map(|trouble| trouble.many as u64).sum();
+            .filter(|trouble| trouble.kind == FaultKind::Burst);
+        let burst: u64 = burst.map(|trouble| trouble.count as u64).sum();
         // Each task may have a link of its own, from its offer to its end and until that has been
         // idle for long.
-        let stands = day.length.min(day.life.mul_f64(1.7) + IDLE);
-        let tasks = (rate * stands.as_secs_f64()) as u64 + burst + day.copies as u64;
+        let stands = day.length.min(day.mean_lifetime.mul_f64(1.7) + IDLE);
+        let tasks = (rate * stands.as_secs_f64()) as u64 + burst + day.replicas as u64;
         let links = tasks.min(dispatchers * nodes);
-        let relayed = match (day.has_wires(), day.strikes(End::Nodes)) {
+        let relayed = match (day.needs_fault_proxies(), day.affects(LinkPeer::Nodes)) {
             (false, _) => 0,
             (true, all) => dispatchers * (if all { nodes } else { 3 } + 6),
         };
         let processes = day.processes().len() as u64;
-        let a_process = (day.a_process as u64).min(hollow);
+        let a_process = (day.per_process as u64).min(hollow);
         let asked = (rate * day.length.as_secs_f64()) as u64 + burst;
         Needs {
             memory_kib: LAB_KIB
--- a/crates/lab/src/play.rs
+++ b/crates/lab/src/play.rs
@@ -4,13 +4,13 @@
 use crate::capture::{self, Capture, DispatcherState, NodeState, Repeat, Rules, Seen};
 use crate::control::{self, Control};
 use crate::cost;
-use crate::day::{Day, End, Kind, Trouble};
 use crate::discovery::Discovery;
 use crate::needs::{Limits, Needs};
 use crate::node::{Node, NodeConfig, SlowStart, World};
 use crate::owner::{self, Front, Task};
-use crate::pace::Pace;
 use crate::process::{Process, Programs};
+use crate::saturation::SaturationMonitor;
+use crate::scenario::{FaultKind, LinkPeer, Scenario, ScheduledFault};
 use crate::wires::Wires;
 use async_io::Timer;
 use corkspan_api::v1;
@@ -31,7 +31,7 @@
 
 /// How a day is played.
 pub struct Play {
-    pub day: Day,
+    pub day: Scenario,
     pub seed: u64,
     pub programs: Programs,
     /// Where the capture goes, if it is kept.
@@ -95,7 +95,7 @@
     }
 
     fn deployment(&self, number: usize, roster: SocketAddr, more: &str, folder: &Path) -> String {
-        let Day { dispatchers, .. } = self.day;
+        let Scenario { dispatchers, .. } = self.day;
         let hall = HALLS[number % HALLS.len()];
         let kept = folder.join(format!("list-{number}.json"));
         let rolls = folder.join(format!("rolls-{number}.redb"));
@@ -126,7 +126,7 @@
         let plan = |id: usize| {
             let wide = id % 2 == 1;
             let (cores, memory) = if wide { (40.0, 60.0) } else { (24.0, 40.0) };
-            let (cell, hall) = self.day.place(id);
+            let (cell, hall) = self.day.location(id);
             NodeConfig {
                 id: 100 + id as u32,
                 machine_type: if wide { "wide" } else { "compact" }.into(),
@@ -172,13 +172,16 @@
             nodes.clone(),
             self.day.clone(),
         ));
-        let versions = self.day.versions.map(|every| {
+        let versions = self.day.version_interval.map(|every| {
             let text = self.deployment(0, roster.address, "", stage.folder.path());
             let texts = SharedParts::parse("day", &text).map_err(|why| why.to_string());
             texts.map(|texts| tasks.spawn(push_versions(stage.control.clone(), texts, every)))
         });
         let versions = versions.transpose()?;
-        let (pace, before) = (Pace::begin(&tasks, stage.hollow())?, stage.read().await?);
+        let (pace, before) = (
+            SaturationMonitor::start(&tasks, stage.hollow())?,
+            stage.read().await?,
+        );
         let owners = stage.through(until).await?;
         let after = stage.read().await?;
         front.world.capture.see(pace.end()?);
@@ -228,10 +231,10 @@
             roster.update(Duration::ZERO, entry(node, address, 0));
         }
         let (control, control_up) = Control::up(&world).await.map_err(text)?;
-        let wires = match self.day.has_wires() {
+        let wires = match self.day.needs_fault_proxies() {
             true => {
-                let service = self.day.versions.map(|_| control.address);
-                let all = self.day.strikes(End::Nodes);
+                let service = self.day.version_interval.map(|_| control.address);
+                let all = self.day.affects(LinkPeer::Nodes);
                 let struck = nodes
                     .iter()
                     .filter(|node| all || KEEPERS.contains(&node.config.id));
@@ -255,15 +258,15 @@
         for number in 0..self.day.dispatchers {
             let file = folder.path().join(format!("dispatcher-{number}.sexp"));
             let wired = |end| wires.as_ref().and_then(|wires| wires.address(number, end));
-            let roster = wired(End::Roster).unwrap_or(roster_address);
-            let more = self.day.versions.map(|_| {
+            let roster = wired(LinkPeer::Roster).unwrap_or(roster_address);
+            let more = self.day.version_interval.map(|_| {
                 let (kept, control) = (
                     folder.path().join(format!("versions-{number}.json")),
-                    wired(End::Control).unwrap_or(control.address),
+                    wired(LinkPeer::Control).unwrap_or(control.address),
                 );
                 let peers = wires
                     .iter()
-                    .flat_map(|wires| wires.addresses(number, End::Dispatchers));
+                    .flat_map(|wires| wires.addresses(number, LinkPeer::Dispatchers));
                 let peers: String = peers.map(|peer| format!(" \"{peer}\"")).collect();
                 let peers = if peers.is_empty() {
                     peers
@@ -377,7 +380,7 @@
     nodes: Vec<Arc<Node>>,
     roster: Arc<Discovery>,
     dispatchers: usize,
-    work: crate::day::Maintenance,
+    work: crate::scenario::MaintenancePlan,
     seed: u64,
 ) -> Result<(), String> {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
@@ -413,7 +416,7 @@
                         runs,
                     });
                     node.kill(NodeState::Gone);
-                    under_way.insert(*id, (Instant::now() + work.takes, false));
+                    under_way.insert(*id, (Instant::now() + work.work_duration, false));
                 }
                 Some((until, up)) if !*up && Instant::now() >= *until => {
                     let address = node
@@ -470,10 +473,10 @@
 
 /// Tells the roster again and again what nobody has asked for: as often as the day says, or every
 /// second, and less often to a large fleet.
-pub(crate) async fn tell_room(roster: Arc<Discovery>, nodes: Vec<Arc<Node>>, day: Day) {
+pub(crate) async fn tell_room(roster: Arc<Discovery>, nodes: Vec<Arc<Node>>, day: Scenario) {
     let lines = nodes.len() * day.dispatchers;
     let usual = Duration::from_secs_f64((lines as f64 / ROOM_LINES as f64).max(1.0));
-    let apart = day.room.unwrap_or(usual);
+    let apart = day.capacity_interval.unwrap_or(usual);
     loop {
         Timer::after(apart).await;
         for node in nodes.iter().filter(|node| node.is_running()) {
@@ -496,7 +499,7 @@
 }
 
 pub(crate) struct Stage {
-    pub day: Day,
+    pub day: Scenario,
     pub front: Arc<Front>,
     pub nodes: Vec<Arc<Node>>,
     pub roster: Arc<Discovery>,
@@ -516,7 +519,7 @@
     Undrain(usize),
     Restart(usize),
     GoOn(usize),
-    Heal(usize, Vec<End>),
+    Heal(usize, Vec<LinkPeer>),
     Room(usize),
 }
 
@@ -526,18 +529,21 @@
         &mut self,
         until: Instant,
     ) -> Result<Vec<async_executor::Task<()>>, String> {
-        let mut troubles = self.day.troubles.clone();
+        let mut troubles = self.day.faults.clone();
         troubles.sort_by_key(|trouble| trouble.at);
         let mut troubles = troubles.into_iter().peekable();
         let mut undos: Vec<(Instant, Undo)> = Vec::new();
         let mut owners = Vec::new();
         let mut next = self.start;
         let mut number = 0;
-        for copy in 0..self.day.copies {
+        for copy in 0..self.day.replicas {
             owners.push(self.hold(copy, until));
         }
-        let (mut roll, mut floor, mut maintenance) =
-            (self.day.roll, self.day.floor, self.day.maintenance);
+        let (mut roll, mut floor, mut maintenance) = (
+            self.day.rollout,
+            self.day.minimum_version_at,
+            self.day.maintenance,
+        );
         loop {
             let rolls = roll.map(|roll| self.start + roll.at);
             let floors = floor.map(|at| self.start + at);
@@ -574,9 +580,9 @@
             } else if trouble == Some(at)
                 && let Some(trouble) = troubles.next()
             {
-                let ends = Instant::now() + trouble.lasts;
-                let burst = if trouble.kind == Kind::Burst {
-                    trouble.many
+                let ends = Instant::now() + trouble.duration;
+                let burst = if trouble.kind == FaultKind::Burst {
+                    trouble.count
                 } else {
                     0
                 };
@@ -622,15 +628,15 @@
     }
 
     /// An operator rolls the copies' program, asking one dispatcher after the other.
-    async fn roll(&mut self, roll: crate::day::Roll) -> Result<(), String> {
+    async fn roll(&mut self, roll: crate::scenario::RolloutPlan) -> Result<(), String> {
         let (service, version) = (String::from(HELD), String::from("v2"));
-        let unready_most = roll.unready_most;
+        let unready_most = roll.max_unavailable;
         self.front.world.capture.see(Seen::Roll {
             service: service.clone(),
             version: version.clone(),
             unready_most: unready_most as usize,
-            ready_for_us: roll.ready_for.as_micros() as u64,
-            start_first: roll.start_first,
+            ready_for_us: roll.min_ready.as_micros() as u64,
+            start_first: roll.surge,
             ready_within_us: READY_WITHIN.as_micros() as u64,
             failures_most: FAILURES_MOST as usize,
         });
@@ -640,10 +646,10 @@
             previous_version: "v1".into(),
             max_unavailable: unready_most,
             max_in_progress: unready_most.max(1),
-            min_ready_ms: roll.ready_for.as_millis() as u64,
+            min_ready_ms: roll.min_ready.as_millis() as u64,
             progress_deadline_ms: READY_WITHIN.as_millis() as u64,
             max_failures: FAILURES_MOST,
-            surge: roll.start_first,
+            surge: roll.surge,
         };
         for dispatcher in 0..self.day.dispatchers {
             if let Some(mut client) = self.front.rolls(dispatcher).await
@@ -659,11 +665,11 @@
 
     /// An operator has all machines taken out for work but so many keepers that a majority stays,
     /// and the worker begins.
-    async fn maintain(&mut self, work: crate::day::Maintenance) -> Result<(), String> {
+    async fn maintain(&mut self, work: crate::scenario::MaintenancePlan) -> Result<(), String> {
         let nodes = self.nodes.iter().map(|node| node.config.id);
         let nodes: Vec<u32> = nodes.filter(|id| !KEEPERS[1..].contains(id)).collect();
         let machines = nodes.len();
-        let (at_a_time, by_hall) = (work.at_a_time, work.by_hall);
+        let (at_a_time, by_hall) = (work.max_concurrent, work.max_per_zone);
         let ask = v1::MaintenanceRequest {
             action: v1::maintenance_request::Action::Start.into(),
             nodes,
@@ -822,7 +828,7 @@
         let window_us = DEDUP_WINDOW.as_micros() as u64;
         let (cores, memory) = [(1.0, 1.5), (2.0, 3.0), (1.0, 2.0)][track];
         let service = rng.random_range(0..[14, 4, 3][track]);
-        let life = self.day.life.mul_f64(rng.random_range(0.3..1.7));
+        let life = self.day.mean_lifetime.mul_f64(rng.random_range(0.3..1.7));
         let cancels = rng.random_range(0.0..100.0) < self.day.cancels;
         let task = Task {
             name: format!("t{number}"),
@@ -848,8 +854,8 @@
             .spawn(owner::live(Arc::clone(&self.front), task, own, until))
     }
 
-    fn strike(&mut self, trouble: &Trouble) -> Result<Vec<Undo>, String> {
-        let name = crate::day::KINDS
+    fn strike(&mut self, trouble: &ScheduledFault) -> Result<Vec<Undo>, String> {
+        let name = crate::scenario::FAULT_KINDS
             .iter()
             .find(|(_, kind)| *kind == trouble.kind)
             .map_or("", |(name, _)| name);
@@ -857,27 +863,27 @@
             .world
             .capture
             .see(Seen::Trouble { name: name.into() });
-        let time = trouble.lasts;
+        let time = trouble.duration;
         let mut up: Vec<usize> = (0..self.nodes.len())
             .filter(|&index| self.nodes[index].is_running())
             .collect();
         up.shuffle(&mut self.rng);
-        up.truncate(trouble.many);
+        up.truncate(trouble.count);
         // Processes, each with all its dispatchers.
         let mut running: Vec<usize> = (0..self.fleet.len())
             .filter(|&index| self.fleet[index].child.is_some())
             .collect();
         running.shuffle(&mut self.rng);
-        running.truncate(trouble.many);
+        running.truncate(trouble.count);
         let mut undos = Vec::new();
         match trouble.kind {
-            Kind::KillNodes => {
+            FaultKind::KillNodes => {
                 for index in up {
                     self.kill(index);
                     undos.push(Undo::Up(index));
                 }
             }
-            Kind::RestartRack => {
+            FaultKind::RestartRack => {
                 let cell = up.first().map(|&index| self.nodes[index].config.cell);
                 let of = |index: &usize| Some(self.nodes[*index].config.cell) == cell;
                 for index in (0..self.nodes.len()).filter(of).collect::<Vec<_>>() {
@@ -885,70 +891,71 @@
                     undos.push(Undo::Up(index));
                 }
             }
-            Kind::LoseZone => {
+            FaultKind::LoseZone => {
                 let zone = up
                     .first()
-                    .map(|&index| self.day.zone(self.nodes[index].config.cell));
-                let lost =
-                    |index: &usize| Some(self.day.zone(self.nodes[*index].config.cell)) == zone;
+                    .map(|&index| self.day.failure_domain(self.nodes[index].config.cell));
+                let lost = |index: &usize| {
+                    Some(self.day.failure_domain(self.nodes[*index].config.cell)) == zone
+                };
                 for index in (0..self.nodes.len()).filter(lost).collect::<Vec<_>>() {
                     self.kill(index);
                     undos.push(Undo::Up(index));
                 }
             }
-            Kind::DrainNodes => {
+            FaultKind::DrainNodes => {
                 for index in up {
                     self.nodes[index].drain();
                     self.tell(index, v1::endpoint::State::Draining);
                     undos.push(Undo::Undrain(index));
                 }
             }
-            Kind::StallNodes => up.iter().for_each(|&index| self.nodes[index].stall(time)),
-            Kind::CutLinks => up
+            FaultKind::StallNodes => up.iter().for_each(|&index| self.nodes[index].stall(time)),
+            FaultKind::CutLinks => up
                 .iter()
                 .for_each(|&index| self.nodes[index].cut_connections(time)),
-            Kind::LoseAnswers => up.iter().for_each(|&index| self.nodes[index].mute(time)),
-            Kind::DelayReports => {
+            FaultKind::LoseAnswers => up.iter().for_each(|&index| self.nodes[index].mute(time)),
+            FaultKind::DelayReports => {
                 let by = Duration::from_millis(self.rng.random_range(700..4000));
                 up.iter()
                     .for_each(|&index| self.nodes[index].delay_reports(time, by));
             }
-            Kind::LosePrograms => up
+            FaultKind::LosePrograms => up
                 .iter()
                 .for_each(|&index| self.nodes[index].clear_program_cache()),
-            Kind::RosterAway => self.roster.disconnect(Some(time)),
-            Kind::Demand | Kind::Burst => {}
-            Kind::KillDispatchers => {
+            FaultKind::RosterAway => self.roster.disconnect(Some(time)),
+            FaultKind::Demand | FaultKind::Burst => {}
+            FaultKind::KillDispatchers => {
                 for index in running {
                     self.fleet[index].kill(&self.front)?;
                     undos.push(Undo::Restart(index));
                 }
             }
-            Kind::CutDispatchers | Kind::DelayDispatchers | Kind::HoldVersions => {
+            FaultKind::CutDispatchers | FaultKind::DelayDispatchers | FaultKind::HoldVersions => {
                 let Some(wires) = &self.wires else {
                     return Err("no relays stand".into());
                 };
                 let numbers = running
                     .iter()
                     .flat_map(|&index| self.fleet[index].numbers.clone());
-                for index in numbers.take(trouble.many) {
-                    self.see_wires(index, true, trouble.by);
-                    if trouble.kind == Kind::HoldVersions {
+                for index in numbers.take(trouble.count) {
+                    self.see_wires(index, true, trouble.delay);
+                    if trouble.kind == FaultKind::HoldVersions {
                         wires.hold_versions(index);
-                        undos.push(Undo::Heal(index, vec![End::Control]));
+                        undos.push(Undo::Heal(index, vec![LinkPeer::Control]));
                     } else {
                         wires.strike(index, trouble);
-                        undos.push(Undo::Heal(index, trouble.from.clone()));
+                        undos.push(Undo::Heal(index, trouble.peers.clone()));
                     }
                 }
             }
-            Kind::FullDisk => {
+            FaultKind::FullDisk => {
                 for index in running {
                     self.fleet[index].disk(Some(0))?;
                     undos.push(Undo::Room(index));
                 }
             }
-            Kind::PauseDispatchers => {
+            FaultKind::PauseDispatchers => {
                 for index in running {
                     self.fleet[index].signal(
                         &self.front,
--- a/crates/lab/src/pace.rs
+++ b/crates/lab/src/saturation.rs
@@ -10,17 +10,17 @@
 use std::time::{Duration, Instant};
 
 /// A busier thread has fallen behind at some time, whatever its mean.
-const BUSY: f64 = 0.9;
+const MAX_UTILIZATION: f64 = 0.9;
 /// The judge's slack: a stand-in later than this is seen by the rules.
-const LATE: Duration = Duration::from_millis(250);
+const MAX_LATENESS: Duration = Duration::from_millis(250);
 /// Looked at so often.
-const EVERY: Duration = Duration::from_millis(25);
+const LATENESS_INTERVAL: Duration = Duration::from_millis(25);
 /// Hollow processes are looked at over so long.
-const WINDOW: Duration = Duration::from_secs(1);
+const HOLLOW_WINDOW: Duration = Duration::from_secs(1);
 
-pub(crate) struct Pace {
+pub(crate) struct SaturationMonitor {
     began: Instant,
-    own: Threads,
+    own: ThreadTimes,
     late: Arc<AtomicU64>,
     /// The largest share of a window, in parts of a million, for which a hollow process ran or
     /// wanted to.
@@ -30,29 +30,29 @@
 
 /// A thread so far: on a processor, and waiting for one.
 #[derive(Clone, Copy, Debug, Default)]
-struct Threads {
+struct ThreadTimes {
     ran: Duration,
     waited: Duration,
 }
 
-impl Pace {
+impl SaturationMonitor {
     /// On the thread that carries the stand-ins.
     /// `hollow`: processes whose dispatchers share one thread, which must not be the bottleneck
     /// either.
-    pub fn begin(tasks: &Tasks, hollow: Vec<u32>) -> Result<Pace, String> {
+    pub fn start(tasks: &Tasks, hollow: Vec<u32>) -> Result<SaturationMonitor, String> {
         let late = Arc::new(AtomicU64::new(0));
         let most = Arc::new(AtomicU64::new(0));
         let watched = tasks.spawn(watch(hollow, Arc::clone(&most)));
         let own = Arc::clone(&late);
         let looks = tasks.spawn(async move {
             loop {
-                let due = Instant::now() + EVERY;
+                let due = Instant::now() + LATENESS_INTERVAL;
                 Timer::at(due).await;
                 own.fetch_max(due.elapsed().as_micros() as u64, Ordering::Relaxed);
             }
         });
-        let (began, own) = (Instant::now(), thread(OWN).ok_or(UNTOLD)?);
-        Ok(Pace {
+        let (began, own) = (Instant::now(), thread(OWN_SCHEDSTAT).ok_or(NO_SCHEDSTAT)?);
+        Ok(SaturationMonitor {
             began,
             own,
             late,
@@ -63,7 +63,7 @@
 
     pub fn end(self) -> Result<Seen, String> {
         let (now, took) = (
-            thread(OWN).ok_or(UNTOLD)?,
+            thread(OWN_SCHEDSTAT).ok_or(NO_SCHEDSTAT)?,
             self.began.elapsed().as_secs_f64(),
         );
         let share =
@@ -74,7 +74,9 @@
         );
         let late_us = self.late.load(Ordering::Relaxed);
         let hollow = self.hollow.load(Ordering::Relaxed) as f64 / 1e6;
-        let spoilt = busy > BUSY || Duration::from_micros(late_us) > LATE || hollow > BUSY;
+        let spoilt = busy > MAX_UTILIZATION
+            || Duration::from_micros(late_us) > MAX_LATENESS
+            || hollow > MAX_UTILIZATION;
         Ok(Seen::StandIns {
             busy,
             waited,
@@ -85,24 +87,24 @@
     }
 }
 
-const OWN: &str = "/proc/thread-self/schedstat";
-const UNTOLD: &str = "the kernel does not tell this thread's time";
+const OWN_SCHEDSTAT: &str = "/proc/thread-self/schedstat";
+const NO_SCHEDSTAT: &str = "the kernel does not tell this thread's time";
 
 /// As the kernel counts a thread; none where it is gone.
-fn thread(path: &str) -> Option<Threads> {
+fn thread(path: &str) -> Option<ThreadTimes> {
     let text = std::fs::read_to_string(path).ok()?;
     let mut times = text
         .split_whitespace()
         .map_while(|nanoseconds| nanoseconds.parse().ok());
     let (ran, waited) = (times.next()?, times.next()?);
-    Some(Threads {
+    Some(ThreadTimes {
         ran: Duration::from_nanos(ran),
         waited: Duration::from_nanos(waited),
     })
 }
 
 async fn watch(processes: Vec<u32>, most: Arc<AtomicU64>) {
-    let read = || -> Vec<Option<Threads>> {
+    let read = || -> Vec<Option<ThreadTimes>> {
         let path = |process: &u32| format!("/proc/{process}/task/{process}/schedstat");
         processes
             .iter()
@@ -111,7 +113,7 @@
     };
     let (mut before, mut since) = (read(), Instant::now());
     loop {
-        Timer::at(since + WINDOW).await;
+        Timer::at(since + HOLLOW_WINDOW).await;
         let (now, took) = (read(), since.elapsed().as_secs_f64());
         since = Instant::now();
         for (now, before) in std::iter::zip(&now, &before) {
--- a/crates/lab/src/wires.rs
+++ b/crates/lab/src/wires.rs
@@ -1,9 +1,9 @@
 //! The links of a day's dispatchers, each through a relay of its own, so that a day's troubles can
 //! strike them one by one.
 
-use crate::day::{End, Trouble};
 use crate::discovery::Discovery;
 use crate::relay::{Relay, Way};
+use crate::scenario::{LinkPeer, ScheduledFault};
 use corkspan_rpc::Tasks;
 use std::collections::BTreeMap;
 use std::io;
@@ -18,7 +18,7 @@
 
 /// Relays that stand, but for those to nodes, which the roster keeps, since it tells of them.
 pub struct Wires {
-    relays: BTreeMap<(usize, End), Vec<Relay>>,
+    relays: BTreeMap<(usize, LinkPeer), Vec<Relay>>,
     /// Whom each one's peers' relays lead to.
     peers: Vec<Vec<usize>>,
     keepers: Vec<u32>,
@@ -37,11 +37,14 @@
         let (mut relays, mut peers) = (BTreeMap::new(), Vec::new());
         for own in 0..dispatchers {
             relays.insert(
-                (own, End::Roster),
+                (own, LinkPeer::Roster),
                 vec![Relay::up(tasks, roster.address).await?],
             );
             if let Some(control) = control {
-                relays.insert((own, End::Control), vec![Relay::up(tasks, control).await?]);
+                relays.insert(
+                    (own, LinkPeer::Control),
+                    vec![Relay::up(tasks, control).await?],
+                );
             }
             let others: Vec<usize> = (1..dispatchers)
                 .take(PEERS)
@@ -51,7 +54,7 @@
             for _ in &others {
                 links.push(Relay::up(tasks, NOBODY).await?);
             }
-            relays.insert((own, End::Dispatchers), links);
+            relays.insert((own, LinkPeer::Dispatchers), links);
             peers.push(others);
             // Thousands of links where all nodes have theirs: only those that a trouble strikes.
             for &(node, address) in nodes {
@@ -72,11 +75,11 @@
     }
 
     /// Where a dispatcher finds the one that is at this end; none where there is none.
-    pub fn address(&self, dispatcher: usize, end: End) -> Option<SocketAddr> {
+    pub fn address(&self, dispatcher: usize, end: LinkPeer) -> Option<SocketAddr> {
         self.addresses(dispatcher, end).first().copied()
     }
 
-    pub fn addresses(&self, dispatcher: usize, end: End) -> Vec<SocketAddr> {
+    pub fn addresses(&self, dispatcher: usize, end: LinkPeer) -> Vec<SocketAddr> {
         self.relays
             .get(&(dispatcher, end))
             .into_iter()
@@ -90,7 +93,7 @@
         for (own, peers) in self.peers.iter().enumerate() {
             let links = self
                 .relays
-                .get(&(own, End::Dispatchers))
+                .get(&(own, LinkPeer::Dispatchers))
                 .into_iter()
                 .flatten();
             links
@@ -101,7 +104,7 @@
     }
 
     /// Bytes that came to a dispatcher from this end, and that it sent there.
-    pub fn passed(&self, dispatcher: usize, end: End) -> [u64; 2] {
+    pub fn passed(&self, dispatcher: usize, end: LinkPeer) -> [u64; 2] {
         let passed = std::cell::Cell::new([0; 2]);
         self.each(dispatcher, end, |relay| {
             let (sum, own) = (passed.get(), relay.passed());
@@ -112,7 +115,7 @@
 
     /// Does it to each link of a dispatcher that ends there. Keepers are nodes: links to these
     /// alone, or to the others.
-    fn each(&self, dispatcher: usize, end: End, what: impl Fn(&Relay)) {
+    fn each(&self, dispatcher: usize, end: LinkPeer, what: impl Fn(&Relay)) {
         self.relays
             .get(&(dispatcher, end))
             .into_iter()
@@ -127,28 +130,30 @@
             .iter()
             .filter(|((own, _), _)| *own as usize == dispatcher);
         let there = mine.filter(|((_, node), _)| match end {
-            End::Keepers => self.keepers.contains(node),
-            End::Nodes => !self.keepers.contains(node),
+            LinkPeer::Keepers => self.keepers.contains(node),
+            LinkPeer::Nodes => !self.keepers.contains(node),
             _ => false,
         });
         there.for_each(|(_, relay)| what(relay));
     }
 
-    pub fn strike(&self, dispatcher: usize, trouble: &Trouble) {
-        for &end in &trouble.from {
-            self.each(dispatcher, end, |relay| match trouble.by {
-                Duration::ZERO => relay.hold(&trouble.ways),
-                by => relay.delay(&trouble.ways, by),
+    pub fn strike(&self, dispatcher: usize, trouble: &ScheduledFault) {
+        for &end in &trouble.peers {
+            self.each(dispatcher, end, |relay| match trouble.delay {
+                Duration::ZERO => relay.hold(&trouble.directions),
+                by => relay.delay(&trouble.directions, by),
             });
         }
     }
 
     /// Nothing of newer versions reaches it, though its stream stands.
     pub fn hold_versions(&self, dispatcher: usize) {
-        self.each(dispatcher, End::Control, |relay| relay.hold(&[Way::In]));
+        self.each(dispatcher, LinkPeer::Control, |relay| {
+            relay.hold(&[Way::In])
+        });
     }
 
-    pub fn heal(&self, dispatcher: usize, ends: &[End]) {
+    pub fn heal(&self, dispatcher: usize, ends: &[LinkPeer]) {
         ends.iter()
             .for_each(|&end| self.each(dispatcher, end, Relay::heal));
     }
--- a/crates/lab/tests/day_scripts.rs
+++ b/crates/lab/tests/day_scripts.rs
@@ -1,20 +1,20 @@
 //! Day scripts as users have written them: each keyword is read as before, and an unknown one is
 //! refused with the same message and place (`tests/data/days`).
 
-use corkspan_lab::day::{Day, ENDS, End, KINDS};
 use corkspan_lab::relay::Way;
+use corkspan_lab::scenario::{FAULT_KINDS, LINK_PEERS, LinkPeer, Scenario};
 use std::fmt::Write;
 use std::time::Duration;
 
 const EVERY_KEYWORD: &str = include_str!("data/days/every-keyword.sexp");
 const HOLLOW: &str = include_str!("data/days/hollow.sexp");
 
-fn read(name: &str, text: &str) -> Day {
-    Day::read(name, text).unwrap_or_else(|fault| panic!("{fault}"))
+fn read(name: &str, text: &str) -> Scenario {
+    Scenario::read(name, text).unwrap_or_else(|fault| panic!("{fault}"))
 }
 
 /// A day as lines of text, in the words of the scripts.
-fn described(day: &Day) -> String {
+fn described(day: &Scenario) -> String {
     let mut out = String::new();
     let millis = |time: Duration| format!("{} ms", time.as_millis());
     let mut line = |name: &str, value: String| writeln!(out, "{name}: {value}").expect("a string");
@@ -22,50 +22,57 @@
     line("dispatchers", day.dispatchers.to_string());
     line(
         "hollow",
-        format!("{}, {} a process", day.hollow, day.a_process),
+        format!("{}, {} a process", day.hollow, day.per_process),
     );
     line("nodes", day.nodes.to_string());
-    line("zones", format!("{:?}", day.zones));
-    line("room", format!("{:?}", day.room.map(millis)));
+    line("zones", format!("{:?}", day.failure_domains));
+    line("room", format!("{:?}", day.capacity_interval.map(millis)));
     line("rate", day.rate.to_string());
     line("deduplicated", day.deduplicated.to_string());
     line("unrepeatable", day.unrepeatable.to_string());
     line("cancels", day.cancels.to_string());
-    line("life", millis(day.life));
-    line("copies", day.copies.to_string());
-    let roll = day.roll.map(|roll| {
-        let (at, ready_for) = (millis(roll.at), millis(roll.ready_for));
+    line("life", millis(day.mean_lifetime));
+    line("copies", day.replicas.to_string());
+    let roll = day.rollout.map(|roll| {
+        let (at, ready_for) = (millis(roll.at), millis(roll.min_ready));
         format!(
             "at {at}, unready-most {}, ready-for {ready_for}, start-first {}",
-            roll.unready_most, roll.start_first
+            roll.max_unavailable, roll.surge
         )
     });
     line("roll", format!("{roll:?}"));
-    line("versions", format!("{:?}", day.versions.map(millis)));
-    line("floor", format!("{:?}", day.floor.map(millis)));
+    line(
+        "versions",
+        format!("{:?}", day.version_interval.map(millis)),
+    );
+    line("floor", format!("{:?}", day.minimum_version_at.map(millis)));
     line("audit", day.audit.to_string());
     let maintenance = day.maintenance.map(|work| {
-        let (at, takes) = (millis(work.at), millis(work.takes));
+        let (at, takes) = (millis(work.at), millis(work.work_duration));
         format!(
             "at {at}, at-a-time {}, by-hall {}, takes {takes}",
-            work.at_a_time, work.by_hall
+            work.max_concurrent, work.max_per_zone
         )
     });
     line("maintenance", format!("{maintenance:?}"));
-    for trouble in &day.troubles {
-        let name = KINDS
+    for trouble in &day.faults {
+        let name = FAULT_KINDS
             .iter()
             .find(|(_, kind)| *kind == trouble.kind)
             .expect("a known kind")
             .0;
-        let ends: Vec<&str> = trouble.from.iter().map(|end| end_name(*end)).collect();
-        let ways: Vec<&str> = trouble.ways.iter().map(|way| way_name(*way)).collect();
+        let ends: Vec<&str> = trouble.peers.iter().map(|end| end_name(*end)).collect();
+        let ways: Vec<&str> = trouble
+            .directions
+            .iter()
+            .map(|way| way_name(*way))
+            .collect();
         let (at, lasts, by) = (
             millis(trouble.at),
-            millis(trouble.lasts),
-            millis(trouble.by),
+            millis(trouble.duration),
+            millis(trouble.delay),
         );
-        let (many, times) = (trouble.many, trouble.times);
+        let (many, times) = (trouble.count, trouble.demand_factor);
         line(
             name,
             format!(
@@ -76,8 +83,9 @@
     out
 }
 
-fn end_name(end: End) -> &'static str {
-    ENDS.iter()
+fn end_name(end: LinkPeer) -> &'static str {
+    LINK_PEERS
+        .iter()
         .find(|(_, known)| *known == end)
         .expect("a known end")
         .0
@@ -118,12 +126,12 @@
 #[test]
 fn the_script_uses_every_kind_of_fault_and_every_end() {
     let day = read("every-keyword", EVERY_KEYWORD);
-    for (name, kind) in KINDS {
-        let uses = day.troubles.iter().filter(|trouble| trouble.kind == kind);
+    for (name, kind) in FAULT_KINDS {
+        let uses = day.faults.iter().filter(|trouble| trouble.kind == kind);
         assert_eq!(uses.count(), 1, "{name}");
     }
-    for (name, end) in ENDS {
-        assert!(day.strikes(end), "{name}");
+    for (name, end) in LINK_PEERS {
+        assert!(day.affects(end), "{name}");
     }
 }
 
@@ -140,7 +148,7 @@
             let (before, from) = code.split_at(open + 1);
             let changed = format!("{before}x{from}");
             let end = from.find([' ', '\n', ')']).expect("a keyword ends");
-            let fault = Day::read(file, &changed).expect_err(&from[..end]);
+            let fault = Scenario::read(file, &changed).expect_err(&from[..end]);
             writeln!(out, "x{}: {fault}", &from[..end]).expect("a string");
         }
         for word in ["dispatchers keepers", "in)", "#t", " ms)", " min)"] {
@@ -150,7 +158,7 @@
                     &code[..at],
                     code[at..].replacen(word, &format!("y{word}"), 1)
                 );
-                let fault = Day::read(file, &changed).expect_err(word);
+                let fault = Scenario::read(file, &changed).expect_err(word);
                 writeln!(out, "y{word}: {fault}").expect("a string");
             }
         }
@@ -162,7 +170,7 @@
 #[test]
 fn half_a_script_is_refused() {
     let half = &EVERY_KEYWORD[..EVERY_KEYWORD.len() / 2];
-    let fault = Day::read("every-keyword", half)
+    let fault = Scenario::read("every-keyword", half)
         .expect_err("half of it")
         .to_string();
     assert_eq!(
--- a/crates/lab/tests/days.rs
+++ b/crates/lab/tests/days.rs
@@ -1,10 +1,10 @@
 //! Whole days through real dispatchers, each a process of its own.
 
 use corkspan_lab::capture::{Line, Seen};
-use corkspan_lab::day::{BUILT_IN, Day, SHORT};
 use corkspan_lab::judge::judge;
 use corkspan_lab::play::Play;
 use corkspan_lab::process::Programs;
+use corkspan_lab::scenario::{BUILT_IN, SHORT, Scenario};
 use corkspan_lab::table::Table;
 use std::sync::{PoisonError, RwLock};
 use test_case::test_case;
@@ -19,7 +19,7 @@
 }
 
 fn play_here(script: &str, seed: u64, tell: fn(String) -> String) -> Vec<Line> {
-    let day = Day::read("day", script).unwrap_or_else(|why| panic!("{why}"));
+    let day = Scenario::read("day", script).unwrap_or_else(|why| panic!("{why}"));
     let programs = Programs::of(env!("CARGO_BIN_EXE_corkspan-lab").as_ref());
     let played = Play {
         day,
@@ -167,9 +167,9 @@
 
 #[test]
 fn the_built_in_days_are_sound_scripts() {
-    let day = Day::read("built-in", BUILT_IN).expect("sound");
-    assert!(day.rate * day.length.as_secs_f64() > 2_000.0 && day.troubles.len() >= 6);
-    Day::read("short", SHORT).expect("sound");
+    let day = Scenario::read("built-in", BUILT_IN).expect("sound");
+    assert!(day.rate * day.length.as_secs_f64() > 2_000.0 && day.faults.len() >= 6);
+    Scenario::read("short", SHORT).expect("sound");
 }
 
 #[test_case("(day (length 4 s) (dispatchers 2) (nodes 4))", "d:1:1: day: lacks `(rate …)`"; "a part missing")]
@@ -190,6 +190,8 @@
 #[test_case("(day (length 4 s) (dispatchers 1) (nodes 2601) (rate 1))", "from 1 to 2600"; "too many nodes")]
 #[test_case("(day (length 4 s)", "d:1:"; "cut off")]
 fn a_malformed_day_is_told_with_its_place(script: &str, why: &str) {
-    let fault = Day::read("d", script).expect_err("a fault").to_string();
+    let fault = Scenario::read("d", script)
+        .expect_err("a fault")
+        .to_string();
     assert!(fault.starts_with("d:1:") && fault.contains(why), "{fault}");
 }
--- a/crates/lab/tests/full_path/counts.rs
+++ b/crates/lab/tests/full_path/counts.rs
@@ -8,8 +8,8 @@
 };
 use corkspan_lab::control::Control;
 use corkspan_lab::counts::{Difference, differences, of, seen};
-use corkspan_lab::day::End;
 use corkspan_lab::relay::Relay;
+use corkspan_lab::scenario::LinkPeer;
 use corkspan_lab::wires::Wires;
 use corkspan_rpc::{Bounds, Link};
 use std::net::SocketAddr;
@@ -78,13 +78,13 @@
             let service = if past {
                 control.address
             } else {
-                way(End::Control)
+                way(LinkPeer::Control)
             };
             let kept = folder.path().join("versions.json");
             let more = format!("(keepers 0 3 4) (control \"{service}\") (versions {kept:?})");
             let told = rig.roster.lists_sent(0);
             let rig = rig
-                .kill_and_restart(&deployment(way(End::Roster), &more))
+                .kill_and_restart(&deployment(way(LinkPeer::Roster), &more))
                 .await;
             rig.until_serving(5).await;
             until(async || control.opened() == 1).await;
@@ -143,7 +143,7 @@
         let (differ, _) = stage.differences().await;
         assert_eq!(
             differ.iter().map(|other| other.end).collect::<Vec<_>>(),
-            [End::Control]
+            [LinkPeer::Control]
         );
     });
 }
@@ -159,13 +159,13 @@
         ..Default::default()
     };
     let mut passed = [7, 9];
-    assert_eq!(differences(&[told], &[(End::Nodes, passed)]), []);
+    assert_eq!(differences(&[told], &[(LinkPeer::Nodes, passed)]), []);
     passed[way] += by;
-    let found = differences(&[told], &[(End::Nodes, passed)]);
+    let found = differences(&[told], &[(LinkPeer::Nodes, passed)]);
     assert_eq!(
         found,
         [Difference {
-            end: End::Nodes,
+            end: LinkPeer::Nodes,
             told: [7, 9],
             seen: passed
         }]
--- a/crates/lab/tests/hollow.rs
+++ b/crates/lab/tests/hollow.rs
@@ -3,12 +3,12 @@
 use corkspan_api::v1::connection_traffic::Kind;
 use corkspan_lab::capture::{DispatcherState, Line, NodeState, Seen};
 use corkspan_lab::cost::{Cost, Costs, KINDS};
-use corkspan_lab::day::Day;
 use corkspan_lab::hollow::fleet::{Fleet, Size};
 use corkspan_lab::judge::judge;
 use corkspan_lab::needs::{Limits, Needs};
 use corkspan_lab::play::Play;
 use corkspan_lab::process::Programs;
+use corkspan_lab::scenario::Scenario;
 use corkspan_lab::table::Table;
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -19,7 +19,7 @@
 }
 
 fn play(script: &str) -> Result<Vec<Line>, String> {
-    let day = Day::read("day", script).unwrap_or_else(|why| panic!("{why}"));
+    let day = Scenario::read("day", script).unwrap_or_else(|why| panic!("{why}"));
     Play {
         day,
         seed: 1,
@@ -141,7 +141,7 @@
         include_str!("../days/size-zone.sexp"),
         include_str!("../days/hollow-still.sexp"),
     ] {
-        let day = Day::read("size", script).unwrap_or_else(|why| panic!("{why}"));
+        let day = Scenario::read("size", script).unwrap_or_else(|why| panic!("{why}"));
         assert_eq!(Needs::of(&day).fit(&PLENTY), Ok(()));
     }
 }
@@ -151,7 +151,7 @@
 #[test_case(Limits { descriptors: 10_000, ..PLENTY }, &["descriptors of one process"]; "descriptors")]
 #[test_case(Limits { memory_kib: 1, processes: 1, descriptors: 1 }, &["memory", "processes", "descriptors"]; "all of it")]
 fn a_day_too_large_for_a_machine_is_refused_with_what_is_short(limits: Limits, short: &[&str]) {
-    let day = Day::read("size", SIZE).unwrap_or_else(|why| panic!("{why}"));
+    let day = Scenario::read("size", SIZE).unwrap_or_else(|why| panic!("{why}"));
     let why = Needs::of(&day).fit(&limits).expect_err("too large");
     assert!(short.iter().all(|what| why.contains(what)), "{why}");
     assert_eq!(why.matches("may be used").count(), short.len(), "{why}");
@@ -174,11 +174,11 @@
 
 #[test]
 fn a_zone_is_in_one_hall_and_a_process_has_as_many_as_it_may() {
-    let day = Day::read("size", SIZE).unwrap_or_else(|why| panic!("{why}"));
+    let day = Scenario::read("size", SIZE).unwrap_or_else(|why| panic!("{why}"));
     let mut places = BTreeSet::new();
     for node in 0..day.nodes {
-        let (cell, hall) = day.place(node);
-        places.insert((day.zone(cell), hall));
+        let (cell, hall) = day.location(node);
+        places.insert((day.failure_domain(cell), hall));
     }
     let zones: BTreeSet<usize> = places.iter().map(|(zone, _)| *zone).collect();
     assert_eq!((zones.len(), places.len()), (7, 7));
