--- a/crates/dispatcher/src/core.rs
+++ b/crates/dispatcher/src/core.rs
@@ -26,7 +26,7 @@
 use corkspan_config::Deployment;
 use corkspan_config::version::{Digest, VersionId};
 use corkspan_config_sync::{compatibility, stable_ids};
-use corkspan_engine::{Asked, Host, NotTaken, Slice, service};
+use corkspan_engine::{AdmissionError, AllocationRequest, Engine, RetryBatch, service_id};
 use corkspan_rollout::ClaimId;
 use corkspan_rollout::controller::SurgeEnd;
 use corkspan_rpc::Tasks;
@@ -40,7 +40,7 @@
 use v1::placement_event::Event as Reply;
 
 pub struct CoreState {
-    engine: Host<ClientAllocation>,
+    engine: Engine<ClientAllocation>,
     effects: DispatcherEffects,
 }
 
@@ -112,7 +112,7 @@
         });
         let pending_removals: Vec<PendingRemoval> = pending_removals.collect();
         Arc::new_cyclic(|core| {
-            let engine = Host::new(
+            let engine = Engine::new(
                 cluster(&deployment),
                 seed,
                 now,
@@ -161,7 +161,7 @@
 
     /// Why this one can't take the place of the one in force.
     pub fn obstacles(&self, next: &Deployment, cuts: bool) -> Vec<String> {
-        let by_track = self.lock().engine.by_track();
+        let by_track = self.lock().engine.count_by_class();
         let in_use = |track| by_track.get(&track).copied().unwrap_or(0);
         compatibility::violations(&self.deployment(), next, cuts, in_use)
     }
@@ -169,12 +169,12 @@
     /// Puts it in force between two decisions. False where it can't be, and the former stays.
     pub fn activate(&self, next: Deployment) -> bool {
         self.with(|now, engine, _| {
-            let by_track = engine.by_track();
+            let by_track = engine.count_by_class();
             let in_use = |track| by_track.get(&track).copied().unwrap_or(0);
             let Ok(next) = stable_ids::assign(&self.deployment(), next, in_use) else {
                 return false;
             };
-            engine.adopt(now, cluster(&next), next.limits.max_allocations);
+            engine.reconfigure(now, cluster(&next), next.limits.max_allocations);
             *self
                 .in_force
                 .write()
@@ -196,14 +196,14 @@
     /// Hands something over and sets going what follows from it.
     fn with<R>(
         &self,
-        call: impl FnOnce(Ticks, &mut Host<ClientAllocation>, &mut DispatcherEffects) -> R,
+        call: impl FnOnce(Ticks, &mut Engine<ClientAllocation>, &mut DispatcherEffects) -> R,
     ) -> R {
         let mut inner = self.lock();
         let CoreState { engine, effects } = &mut *inner;
         let (now, began) = (self.clock.now(), Instant::now());
         effects.now = now;
         let result = call(now, engine, effects);
-        engine.rest(now, effects);
+        engine.poll(now, effects);
         effects.decision_time += began.elapsed();
         result
     }
@@ -214,7 +214,7 @@
     }
 
     pub fn timer_fired(&self) {
-        self.with(|now, engine, _| engine.woken(now));
+        self.with(|now, engine, _| engine.timer_fired(now));
     }
 }
 
@@ -228,9 +228,9 @@
 }
 
 /// Some 2 ms of work, and as long for the sockets.
-const RETRY_BATCH: Slice = Slice {
-    most: 32,
-    apart: 20,
+const RETRY_BATCH: RetryBatch = RetryBatch {
+    max_size: 32,
+    interval: 20,
 };
 
 /// The name of a placing that follows this one in a roll. None of an earlier life or try may be met
--- a/crates/dispatcher/src/core/attempt_events.rs
+++ b/crates/dispatcher/src/core/attempt_events.rs
@@ -4,6 +4,7 @@
 use super::client::ClientAllocation;
 use crate::attempts::AttemptObserver;
 use corkspan_api::v1;
+use corkspan_engine::Return;
 use corkspan_rollout::controller::SurgeEnd;
 use corkspan_rpc::{Bounds, Tasks};
 use corkspan_scheduler::interface::*;
@@ -39,7 +40,7 @@
     fn attempt_placed(self: &Arc<Self>, id: AllocationId, shot: usize, machine: MachineId) {
         self.with(|now, engine, effects| {
             let late = engine
-                .own(id)
+                .data_mut(id)
                 .is_some_and(|(client, _)| client.deadline.is_some_and(|at| now >= at));
             if late {
                 // The owner has given up: an answer now would be one too late. The outcome is told
@@ -47,7 +48,7 @@
                 engine.placed(now, id, shot, effects);
                 self.cancel(id, engine, effects);
             } else if engine.placed(now, id, shot, effects)
-                && let Some((client, allocation)) = engine.own(id)
+                && let Some((client, allocation)) = engine.data_mut(id)
             {
                 client.deadline = None;
                 if client.predecessor.is_some() {
@@ -69,7 +70,7 @@
                     node: machine.0,
                     attempts: shots,
                 }));
-            } else if let Some((client, _)) = engine.own(id) {
+            } else if let Some((client, _)) = engine.data_mut(id) {
                 // Wanted no longer by the time the node took it: an earlier word to stop found
                 // nothing there.
                 effects.stop(self, client, machine, false);
@@ -90,18 +91,19 @@
     ) {
         self.with(|now, engine, effects| {
             let mut replacement = None;
-            if let Some((client, _)) = engine.own(id)
+            if let Some((client, _)) = engine.data_mut(id)
                 && ended_as.is_some()
                 && client.predecessor.is_some()
             {
                 self.cancel_surge(id, SurgeEnd::Failed, engine, effects);
             } else if engine
-                .own(id)
+                .data_mut(id)
                 .is_some_and(|(client, _)| ended_as.is_some() && client.superseded)
                 && self.promote_surge(id, ending == AttemptResult::Cancelled, engine, effects)
             {
                 // Its owner goes on with the new one.
-            } else if let (Some(how), Some((client, allocation))) = (ended_as, engine.own(id)) {
+            } else if let (Some(how), Some((client, allocation))) = (ended_as, engine.data_mut(id))
+            {
                 // Known to be gone, since its node says so: now a copy of the version wanted may be
                 // placed.
                 if client.stopping_for_rollout
@@ -128,17 +130,19 @@
                 now,
                 id,
                 shot,
-                ending,
-                reason,
-                ended_as.is_some(),
-                report,
+                Return {
+                    ending,
+                    reason,
+                    over: ended_as.is_some(),
+                    report,
+                },
                 effects,
             );
             let Some((asked, client)) = replacement else {
                 return;
             };
             let (task, current_id) = (client.request.task.clone(), client.current_id.clone());
-            match engine.take(now, &task, asked, client) {
+            match engine.admit(now, &task, asked, client) {
                 Ok(id) => {
                     current_id.set(id);
                     engine.place(now, id, effects);
@@ -157,7 +161,7 @@
             let other = |client: &ClientAllocation| {
                 client.version != version && client.predecessor.is_none()
             };
-            let Some((client, _)) = engine.own(id).filter(|(client, _)| other(client)) else {
+            let Some((client, _)) = engine.data_mut(id).filter(|(client, _)| other(client)) else {
                 return;
             };
             if let Some(controller) = effects.rollouts.controller(&client.request.service) {
@@ -170,7 +174,7 @@
     /// A copy's own word that it is ready, or no longer.
     fn readiness_reported(&self, id: AllocationId, ready: bool) {
         self.with(|now, engine, effects| {
-            let Some((client, _)) = engine.own(id) else {
+            let Some((client, _)) = engine.data_mut(id) else {
                 return;
             };
             client.ready_since = if ready {
@@ -192,8 +196,8 @@
 
     fn metric_recorded(&self, id: AllocationId, note: Metric) {
         self.with(|now, engine, _| {
-            engine.noted(now, id, note);
-            let Some((client, _)) = engine.own(id) else {
+            engine.record_metric(now, id, note);
+            let Some((client, _)) = engine.data_mut(id) else {
                 return;
             };
             match note {
@@ -211,6 +215,6 @@
         ending: AttemptResult,
         report: Option<LoadReport>,
     ) {
-        self.with(|now, engine, _| engine.probed(now, machine, ending, report));
+        self.with(|now, engine, _| engine.record_health_check(now, machine, ending, report));
     }
 }
--- a/crates/dispatcher/src/core/effects.rs
+++ b/crates/dispatcher/src/core/effects.rs
@@ -7,7 +7,7 @@
 use crate::node_links::{CountGuard, NodeLink};
 use crate::rollouts::Rollouts;
 use corkspan_api::v1;
-use corkspan_engine::{Asked, Wire};
+use corkspan_engine::{AllocationRequest, Effects};
 use corkspan_rollout::ClaimId;
 use corkspan_rollout::controller::SurgeEnd;
 use corkspan_scheduler::interface::*;
@@ -85,19 +85,19 @@
         &mut self,
         client: &ClientAllocation,
         allocation: &Allocation,
-    ) -> Option<(Asked, ClientAllocation)> {
+    ) -> Option<(AllocationRequest, ClientAllocation)> {
         let within = self
             .rollouts
             .controller(&client.request.service)?
             .rollout()
             .progress_deadline;
         let abandon = self.now + within;
-        let asked = Asked {
+        let asked = AllocationRequest {
             service: allocation.service,
-            track: allocation.service_class,
-            account: allocation.tenant,
-            asks: allocation.requested,
-            abandon,
+            service_class: allocation.service_class,
+            tenant: allocation.tenant,
+            requested: allocation.requested,
+            deadline: abandon,
         };
         let placing = next_placing_id(&client.request.placement_id);
         let fresh = ClientAllocation::new(
@@ -219,8 +219,8 @@
     }
 }
 
-impl Wire<ClientAllocation> for DispatcherEffects {
-    fn send(
+impl Effects<ClientAllocation> for DispatcherEffects {
+    fn dispatch(
         &mut self,
         client: &mut ClientAllocation,
         allocation: &Allocation,
@@ -230,12 +230,12 @@
         let Some(core) = self.core.upgrade() else {
             return;
         };
-        let asked = Asked {
+        let asked = AllocationRequest {
             service: allocation.service,
-            track: allocation.service_class,
-            account: allocation.tenant,
-            asks: allocation.requested,
-            abandon: allocation.deadline,
+            service_class: allocation.service_class,
+            tenant: allocation.tenant,
+            requested: allocation.requested,
+            deadline: allocation.deadline,
         };
         client.version = self.rollouts.wanted(&client.request.service);
         (client.ready_since, client.stopping_for_rollout) = (None, false);
@@ -302,7 +302,7 @@
         }
     }
 
-    fn scrap(&mut self, client: &mut ClientAllocation, allocation: &Allocation) {
+    fn indeterminate(&mut self, client: &mut ClientAllocation, allocation: &Allocation) {
         if client.predecessor.is_some() {
             return self.record_surge_cancelled(client, allocation, SurgeEnd::NoCapacity);
         }
@@ -319,7 +319,7 @@
         }
     }
 
-    fn relocate(&mut self, client: &mut ClientAllocation, allocation: &Allocation) {
+    fn migrate(&mut self, client: &mut ClientAllocation, allocation: &Allocation) {
         let (Some(core), Some(shot)) = (self.core.upgrade(), allocation.attempts.last()) else {
             return;
         };
@@ -327,7 +327,7 @@
         self.stop(&core, client, shot.machine, true);
     }
 
-    fn probe(&mut self, machine: MachineId) {
+    fn check_health(&mut self, machine: MachineId) {
         let (Some(core), Some(node)) = (self.core.upgrade(), self.node(machine)) else {
             return;
         };
@@ -337,14 +337,14 @@
             .detach();
     }
 
-    fn watch_list(&mut self) {
+    fn watch_endpoints(&mut self) {
         if let Some(core) = self.core.upgrade() {
             // Full: one is asked for already.
             let _ = core.watches.try_send(());
         }
     }
 
-    fn wake(&mut self, after: Ticks) {
+    fn set_timer(&mut self, after: Ticks) {
         if let Some(core) = self.core.upgrade() {
             // Always earlier than what is waited for, so it may take its place.
             let _ = core.wakes.force_send(Instant::now() + duration(after));
--- a/crates/dispatcher/src/core/lifecycle.rs
+++ b/crates/dispatcher/src/core/lifecycle.rs
@@ -1,6 +1,7 @@
 //! The status of a dispatcher, and its graceful shutdown.
 
 use super::*;
+use corkspan_engine::Return;
 
 impl DispatcherCore {
     pub fn status(&self) -> v1::StatusResponse {
@@ -10,9 +11,9 @@
         v1::StatusResponse {
             number: self.deployment().cluster.scheduler_index as u32,
             schedulers: self.deployment().cluster.scheduler_count as u32,
-            in_flight: counts.in_hand as u64,
-            deferred: counts.not_yet as u64,
-            attempts_in_flight: counts.shots_out as u64,
+            in_flight: counts.tracked as u64,
+            deferred: counts.deferred as u64,
+            attempts_in_flight: counts.attempts_pending as u64,
             running: counts.placed as u64,
             requested: effects.counters.asked,
             placed: effects.counters.placed,
@@ -63,14 +64,16 @@
                     now,
                     id,
                     shot,
-                    AttemptResult::TimedOut,
-                    None,
-                    false,
-                    None,
+                    Return {
+                        ending: AttemptResult::TimedOut,
+                        reason: None,
+                        over: false,
+                        report: None,
+                    },
                     effects,
                 );
             }
-            for (_, client, runs) in engine.all() {
+            for (_, client, runs) in engine.iter_mut() {
                 if runs && client.predecessor.is_none() {
                     client.send_reply(Reply::Ended(v1::Ended {
                         reason: v1::ended::EndReason::HandedBack.into(),
--- a/crates/dispatcher/src/core/machines.rs
+++ b/crates/dispatcher/src/core/machines.rs
@@ -44,7 +44,7 @@
                 }
             }
             let list: Vec<Endpoint> = entries.iter().map(|(entry, _)| *entry).collect();
-            engine.listed(scope, &list);
+            engine.apply_endpoint_list(scope, &list);
         });
     }
 
@@ -84,7 +84,7 @@
         self.with(|_, engine, effects| {
             for (id, at, track) in running_allocations(engine) {
                 let Some((client, _)) = engine
-                    .own(id)
+                    .data_mut(id)
                     .filter(|_| at == machine && !self.is_unrepeatable(track))
                 else {
                     continue;
@@ -100,21 +100,21 @@
     }
 
     pub fn endpoint_watch_failed(&self) {
-        self.with(|now, engine, _| engine.list_failed(now));
+        self.with(|now, engine, _| engine.endpoint_watch_failed(now));
     }
 }
 
 /// What stands, and where.
 fn running_allocations(
-    engine: &mut Host<ClientAllocation>,
+    engine: &mut Engine<ClientAllocation>,
 ) -> Vec<(AllocationId, MachineId, ServiceClassId)> {
     let placed: Vec<AllocationId> = engine
-        .all()
+        .iter_mut()
         .filter(|(_, _, placed)| *placed)
         .map(|(id, _, _)| id)
         .collect();
     let at = |id| {
-        let (_, allocation) = engine.own(id)?;
+        let (_, allocation) = engine.data_mut(id)?;
         Some((
             id,
             allocation.attempts.last()?.machine,
--- a/crates/dispatcher/src/core/placement.rs
+++ b/crates/dispatcher/src/core/placement.rs
@@ -92,8 +92,8 @@
         // A dispatcher that stands still can't answer: so the decisions are told of less time than
         // there is.
         let ahead = self.deployment().limits.answer_margin.min(left / 2);
-        let asked = Asked {
-            abandon: now + left - ahead,
+        let asked = AllocationRequest {
+            deadline: now + left - ahead,
             ..asked
         };
         let task = ask.task.clone();
@@ -104,7 +104,7 @@
             ..ClientAllocation::new(ask, &replies)
         };
         let current_id = client.current_id.clone();
-        let why = match inner.engine.take(now, &task, asked, client) {
+        let why = match inner.engine.admit(now, &task, asked, client) {
             Ok(id) => {
                 current_id.set(id);
                 inner.effects.counters.refused -= 1;
@@ -157,7 +157,7 @@
             let service_name = ask.service.clone();
             let client = ClientAllocation::new(ask, &replies);
             let current_id = client.current_id.clone();
-            match engine.take_running(now, &task, asked, machine, client) {
+            match engine.admit_running(now, &task, asked, machine, client) {
                 Ok(id) => {
                     self.tasks
                         .spawn(attempts::follow_existing(
@@ -192,7 +192,7 @@
         &self,
         now: Ticks,
         ask: &v1::PlacementRequest,
-    ) -> Result<Asked, RequestError> {
+    ) -> Result<AllocationRequest, RequestError> {
         // A row without a name is of one that is gone.
         let index = |names: &[String], name: &str| {
             names
@@ -225,24 +225,24 @@
                 memory: ask.memory,
             });
         }
-        Ok(Asked {
-            service: service(&ask.service),
-            track: ServiceClassId(
+        Ok(AllocationRequest {
+            service: service_id(&ask.service),
+            service_class: ServiceClassId(
                 track.ok_or_else(|| RequestError::ServiceClass(ask.service_class.clone()))?,
             ),
-            account: TenantId(account.ok_or_else(|| RequestError::Tenant(ask.tenant.clone()))?),
-            asks: Resources {
+            tenant: TenantId(account.ok_or_else(|| RequestError::Tenant(ask.tenant.clone()))?),
+            requested: Resources {
                 cores: ask.cores,
                 memory: ask.memory,
             },
-            abandon: now,
+            deadline: now,
         })
     }
 
     pub(super) fn attempt_message(
         &self,
         ask: &v1::PlacementRequest,
-        asked: &Asked,
+        asked: &AllocationRequest,
         number: usize,
         version: String,
         kind: OperationKind,
@@ -258,7 +258,9 @@
             memory: ask.memory,
             expected_duration_ms: ask.expected_duration_ms,
             dispatcher: self.deployment().cluster.scheduler_index as u32,
-            priority: u32::from(self.deployment().cluster.service_classes[asked.track.0].priority),
+            priority: u32::from(
+                self.deployment().cluster.service_classes[asked.service_class.0].priority,
+            ),
             version,
             decider: Some(self.sender(kind, 1)),
             minimum_version: self
@@ -286,7 +288,7 @@
     /// deadline, it is no longer wanted.
     pub fn call_ended(self: &Arc<Self>, id: AllocationId) {
         self.with(|now, engine, effects| {
-            let Some((client, _)) = engine.own(id) else {
+            let Some((client, _)) = engine.data_mut(id) else {
                 return;
             };
             let placed = client.deadline.is_none() || client.replacement;
@@ -301,10 +303,10 @@
     pub(super) fn cancel(
         self: &Arc<Self>,
         id: AllocationId,
-        engine: &mut Host<ClientAllocation>,
+        engine: &mut Engine<ClientAllocation>,
         effects: &mut DispatcherEffects,
     ) {
-        let Some((client, allocation)) = engine.own(id) else {
+        let Some((client, allocation)) = engine.data_mut(id) else {
             return;
         };
         if let Some(machine) = allocation.attempts.last().map(|shot| shot.machine) {
@@ -326,9 +328,9 @@
 /// Longest time that a client may wait for a placement.
 const MAX_DEADLINE: Ticks = 24 * 3600 * 10_000;
 
-fn refusal_reason(why: NotTaken) -> v1::rejected::RejectionReason {
+fn refusal_reason(why: AdmissionError) -> v1::rejected::RejectionReason {
     match why {
-        NotTaken::Full => v1::rejected::RejectionReason::TooMany,
-        NotTaken::SameName => v1::rejected::RejectionReason::InHand,
+        AdmissionError::Full => v1::rejected::RejectionReason::TooMany,
+        AdmissionError::DuplicateName => v1::rejected::RejectionReason::InHand,
     }
 }
--- a/crates/dispatcher/src/core/removals.rs
+++ b/crates/dispatcher/src/core/removals.rs
@@ -16,7 +16,7 @@
     /// Has every node put away what a dead dispatcher may have begun beside our copy.
     pub fn clear_foreign_claim(&self, service: &str, task: &str, claim: ClaimId) {
         self.with(|_, engine, effects| {
-            let Some((client, _)) = engine.find(task).and_then(|id| engine.own(id)) else {
+            let Some((client, _)) = engine.find(task).and_then(|id| engine.data_mut(id)) else {
                 return;
             };
             if effects
@@ -47,7 +47,9 @@
             // A copy that has another placing by now is not to be stopped by word of the one
             // before.
             effects.pending_removals.retain(|removal| {
-                let own = engine.find(&removal.task).and_then(|id| engine.own(id));
+                let own = engine
+                    .find(&removal.task)
+                    .and_then(|id| engine.data_mut(id));
                 removal.except.as_ref().is_none_or(|except| {
                     own.is_some_and(|(client, _)| client.request.placement_id == *except)
                 })
--- a/crates/dispatcher/src/core/replicas.rs
+++ b/crates/dispatcher/src/core/replicas.rs
@@ -6,7 +6,7 @@
 use crate::rollouts::Rollouts;
 use crate::store::ReplicaPair;
 use corkspan_api::v1;
-use corkspan_engine::{Asked, Host};
+use corkspan_engine::{AllocationRequest, Engine};
 use corkspan_rollout::Rollout;
 use corkspan_rollout::controller::SurgeEnd;
 use corkspan_scheduler::interface::*;
@@ -22,16 +22,16 @@
         self: &Arc<Self>,
         id: AllocationId,
         why: SurgeEnd,
-        engine: &mut Host<ClientAllocation>,
+        engine: &mut Engine<ClientAllocation>,
         effects: &mut DispatcherEffects,
     ) {
-        let Some((client, allocation)) = engine.own(id) else {
+        let Some((client, allocation)) = engine.data_mut(id) else {
             return;
         };
         let old = client.predecessor;
         effects.record_surge_cancelled(client, allocation, why);
         engine.finish(id);
-        if let Some((old, _)) = old.and_then(|old| engine.own(old)) {
+        if let Some((old, _)) = old.and_then(|old| engine.data_mut(old)) {
             old.successor = None;
         }
     }
@@ -42,10 +42,10 @@
         &self,
         id: AllocationId,
         gone: bool,
-        engine: &mut Host<ClientAllocation>,
+        engine: &mut Engine<ClientAllocation>,
         effects: &mut DispatcherEffects,
     ) -> bool {
-        let Some((old, allocation)) = engine.own(id) else {
+        let Some((old, allocation)) = engine.data_mut(id) else {
             return false;
         };
         let Some(next) = old.successor else {
@@ -62,7 +62,7 @@
             .iter()
             .map(|shot| shot.machine)
             .collect();
-        let Some((new, allocation)) = engine.own(next) else {
+        let Some((new, allocation)) = engine.data_mut(next) else {
             return false;
         };
         let Some(machine) = allocation.attempts.last().map(|shot| shot.machine) else {
@@ -103,12 +103,12 @@
             let Some(controller) = effects.rollouts.controller(&service).filter(|_| !known) else {
                 return;
             };
-            let copies = engine.all().filter(|(_, client, placed)| {
+            let copies = engine.iter_mut().filter(|(_, client, placed)| {
                 *placed && client.request.service == service && client.predecessor.is_none()
             });
             let copies: Vec<AllocationId> = copies.map(|(id, _, _)| id).collect();
             for id in copies {
-                let Some((client, allocation)) = engine.own(id) else {
+                let Some((client, allocation)) = engine.data_mut(id) else {
                     continue;
                 };
                 controller.replica_assigned(now, &client.request.task, &client.version, false);
@@ -126,7 +126,8 @@
     /// known to be gone.
     pub fn replace(self: &Arc<Self>, task: &str) {
         self.with(|_, engine, effects| {
-            let Some((client, allocation)) = engine.find(task).and_then(|id| engine.own(id)) else {
+            let Some((client, allocation)) = engine.find(task).and_then(|id| engine.data_mut(id))
+            else {
                 return;
             };
             client.stopping_for_rollout = true;
@@ -149,13 +150,13 @@
     pub fn pair(&self, task: &str) -> Option<ReplicaPair> {
         let mut inner = self.lock();
         let id = inner.engine.find(task)?;
-        let (client, _) = inner.engine.own(id)?;
+        let (client, _) = inner.engine.data_mut(id)?;
         let (old, successor, retires) = (
             client.request.placement_id.clone(),
             client.successor,
             client.superseded,
         );
-        let new = successor.and_then(|next| inner.engine.own(next));
+        let new = successor.and_then(|next| inner.engine.data_mut(next));
         let new = new.map_or_else(
             || next_placing_id(&old),
             |(client, _)| client.request.placement_id.clone(),
@@ -176,16 +177,18 @@
     pub fn start_surge(self: &Arc<Self>, task: &str, placing: &str) {
         self.with(|now, engine, effects| {
             let Some(old) = engine.find(task) else { return };
-            let successor = engine.own(old).and_then(|(client, _)| client.successor);
+            let successor = engine
+                .data_mut(old)
+                .and_then(|(client, _)| client.successor);
             let stands =
                 |(client, _): (&mut ClientAllocation, &Allocation)| !client.surge_cancelled;
             if successor
-                .and_then(|next| engine.own(next))
+                .and_then(|next| engine.data_mut(next))
                 .is_some_and(stands)
             {
                 return;
             }
-            let Some((client, allocation)) = engine.own(old) else {
+            let Some((client, allocation)) = engine.data_mut(old) else {
                 return;
             };
             let ask = v1::PlacementRequest {
@@ -199,12 +202,12 @@
             else {
                 return;
             };
-            let asked = Asked {
+            let asked = AllocationRequest {
                 service: allocation.service,
-                track: allocation.service_class,
-                account: allocation.tenant,
-                asks: allocation.requested,
-                abandon: now + within,
+                service_class: allocation.service_class,
+                tenant: allocation.tenant,
+                requested: allocation.requested,
+                deadline: now + within,
             };
             let fresh = ClientAllocation::new(ask, &client.replies);
             let fresh = ClientAllocation {
@@ -213,9 +216,9 @@
                 ..fresh
             };
             // A name that no owner gives: its own is taken by the old one.
-            match engine.take(now, &format!("{task}\u{0}{placing}"), asked, fresh) {
+            match engine.admit(now, &format!("{task}\u{0}{placing}"), asked, fresh) {
                 Ok(id) => {
-                    if let Some((client, _)) = engine.own(old) {
+                    if let Some((client, _)) = engine.data_mut(old) {
                         client.successor = Some(id);
                     }
                     engine.place(now, id, effects);
@@ -236,7 +239,7 @@
             id.and_then(|id| {
                 inner
                     .engine
-                    .own(id)
+                    .data_mut(id)
                     .map(|(client, _)| client.superseded = true)
             })
         };
@@ -256,7 +259,7 @@
         self.with(|_, engine, effects| {
             let next = engine
                 .find(task)
-                .and_then(|id| engine.own(id))
+                .and_then(|id| engine.data_mut(id))
                 .and_then(|(client, _)| client.successor);
             if let Some(next) = next {
                 self.cancel_surge(next, SurgeEnd::Cancelled, engine, effects);
@@ -270,7 +273,7 @@
             let mut inner = self.lock();
             let stopping = inner
                 .engine
-                .all()
+                .iter_mut()
                 .filter(|(_, client, _)| client.stopping_for_rollout);
             stopping
                 .map(|(_, client, _)| client.request.task.clone())
--- a/crates/dispatcher/src/endpoint_list.rs
+++ b/crates/dispatcher/src/endpoint_list.rs
@@ -253,7 +253,7 @@
 
 fn checksum(lines: &[StoredEndpoint]) -> u64 {
     let text = serde_json::to_string(lines).unwrap_or_default();
-    corkspan_engine::service(&text).0
+    corkspan_engine::service_id(&text).0
 }
 
 fn read(path: &Path) -> Result<Option<StoredList>, StoredFileError> {
--- a/crates/dispatcher/src/rollouts.rs
+++ b/crates/dispatcher/src/rollouts.rs
@@ -84,7 +84,7 @@
         match self.controllers.get_mut(&roll.service) {
             Some(controller) => controller.adopt(roll),
             None if !full => {
-                let seed = self.seed ^ corkspan_engine::service(&roll.service).0;
+                let seed = self.seed ^ corkspan_engine::service_id(&roll.service).0;
                 self.controllers.insert(
                     roll.service.clone(),
                     RolloutController::new(self.dispatcher, seed, roll, now),
--- a/crates/engine/tests/stories.rs
+++ b/crates/engine/tests/stories.rs
@@ -1,6 +1,8 @@
 //! What a caller relies on, one story each, against a wire that writes down what it is told.
 
-use corkspan_engine::{Asked, Host, NotTaken, Slice, Wire, service};
+use corkspan_engine::{
+    AdmissionError, AllocationRequest, Effects, Engine, RetryBatch, Return, service_id,
+};
 use corkspan_scheduler::interface::*;
 
 const SECOND: Ticks = 10_000;
@@ -8,8 +10,8 @@
 #[derive(Default)]
 struct Noted(Vec<String>);
 
-impl Wire<&'static str> for Noted {
-    fn send(
+impl Effects<&'static str> for Noted {
+    fn dispatch(
         &mut self,
         own: &mut &'static str,
         allocation: &Allocation,
@@ -25,17 +27,17 @@
     fn shed(&mut self, own: &mut &'static str, _: &Allocation) {
         self.0.push(format!("{own}: shed"));
     }
-    fn scrap(&mut self, own: &mut &'static str, _: &Allocation) {
+    fn indeterminate(&mut self, own: &mut &'static str, _: &Allocation) {
         self.0.push(format!("{own}: scrapped"));
     }
-    fn relocate(&mut self, own: &mut &'static str, _: &Allocation) {
+    fn migrate(&mut self, own: &mut &'static str, _: &Allocation) {
         self.0.push(format!("{own}: moved"));
     }
-    fn probe(&mut self, _: MachineId) {}
-    fn watch_list(&mut self) {
+    fn check_health(&mut self, _: MachineId) {}
+    fn watch_endpoints(&mut self) {
         self.0.push("watch".into());
     }
-    fn wake(&mut self, after: Ticks) {
+    fn set_timer(&mut self, after: Ticks) {
         assert!(after > 0, "a timer of 0 would spin");
         self.0.push("wake".into());
     }
@@ -47,16 +49,31 @@
     }
 }
 
-fn host(repeat: RetrySafety, machines: u32, most: usize) -> Host<&'static str> {
-    sliced(repeat, machines, most, Slice { most: 2, apart: 20 })
+fn host(repeat: RetrySafety, machines: u32, most: usize) -> Engine<&'static str> {
+    sliced(
+        repeat,
+        machines,
+        most,
+        RetryBatch {
+            max_size: 2,
+            interval: 20,
+        },
+    )
 }
 
 /// The next that waits has its turn; false where none does.
-fn turn(host: &mut Host<&'static str>, now: Ticks, wire: &mut Noted) -> bool {
-    host.next_turn().map(|id| host.ask(now, id, wire)).is_some()
+fn turn(host: &mut Engine<&'static str>, now: Ticks, wire: &mut Noted) -> bool {
+    host.next_queued()
+        .map(|id| host.evaluate(now, id, wire))
+        .is_some()
 }
 
-fn sliced(repeat: RetrySafety, machines: u32, most: usize, slice: Slice) -> Host<&'static str> {
+fn sliced(
+    repeat: RetrySafety,
+    machines: u32,
+    most: usize,
+    slice: RetryBatch,
+) -> Engine<&'static str> {
     let size = Resources {
         cores: 40.0,
         memory: 100.0,
@@ -95,8 +112,8 @@
         cross_zone_cost: 0.0,
         reports_losses: true,
     };
-    let mut host = Host::new(cluster, 1, 0, most, slice);
-    host.listed(
+    let mut host = Engine::new(cluster, 1, 0, most, slice);
+    host.apply_endpoint_list(
         ListUpdate::Cached,
         &(0..machines).map(entry).collect::<Vec<_>>(),
     );
@@ -115,22 +132,22 @@
     }
 }
 
-fn asked(abandon: Ticks) -> Asked {
+fn asked(abandon: Ticks) -> AllocationRequest {
     let asks = Resources {
         cores: 1.0,
         memory: 1.0,
     };
-    Asked {
-        service: service("s"),
-        track: ServiceClassId(0),
-        account: TenantId(0),
-        asks,
-        abandon,
+    AllocationRequest {
+        service: service_id("s"),
+        service_class: ServiceClassId(0),
+        tenant: TenantId(0),
+        requested: asks,
+        deadline: abandon,
     }
 }
 
 fn refused(
-    host: &mut Host<&'static str>,
+    host: &mut Engine<&'static str>,
     now: Ticks,
     id: AllocationId,
     shot: usize,
@@ -140,10 +157,12 @@
         now,
         id,
         shot,
-        AttemptResult::Rejected,
-        Some(ReturnReason::NoCores),
-        false,
-        None,
+        Return {
+            ending: AttemptResult::Rejected,
+            reason: Some(ReturnReason::NoCores),
+            over: false,
+            report: None,
+        },
         wire,
     );
 }
@@ -151,35 +170,35 @@
 #[test]
 fn a_second_of_the_same_name_is_not_taken_and_its_owner_gets_its_own_back() {
     let mut host = host(RetrySafety::Idempotent, 1, 10);
-    host.take(0, "a", asked(SECOND), "first").expect("room");
-    let again = host.take(0, "a", asked(SECOND), "second");
-    assert_eq!(again.err(), Some((NotTaken::SameName, "second")));
+    host.admit(0, "a", asked(SECOND), "first").expect("room");
+    let again = host.admit(0, "a", asked(SECOND), "second");
+    assert_eq!(again.err(), Some((AdmissionError::DuplicateName, "second")));
 }
 
 #[test]
 fn beyond_the_most_in_hand_none_is_taken_until_one_is_over() {
     let mut host = host(RetrySafety::Idempotent, 0, 1);
-    let id = host.take(0, "a", asked(SECOND), "a").expect("room");
+    let id = host.admit(0, "a", asked(SECOND), "a").expect("room");
     assert_eq!(
-        host.take(0, "b", asked(SECOND), "b").err(),
-        Some((NotTaken::Full, "b"))
+        host.admit(0, "b", asked(SECOND), "b").err(),
+        Some((AdmissionError::Full, "b"))
     );
     host.finish(id);
-    assert!(host.take(0, "b", asked(SECOND), "b").is_ok());
+    assert!(host.admit(0, "b", asked(SECOND), "b").is_ok());
 }
 
 #[test]
 fn one_that_no_machine_takes_waits_and_is_shed_in_its_time() {
     let (mut host, mut wire) = (host(RetrySafety::Idempotent, 0, 10), Noted::default());
-    let id = host.take(0, "a", asked(SECOND), "a").expect("room");
+    let id = host.admit(0, "a", asked(SECOND), "a").expect("room");
     host.place(0, id, &mut wire);
-    assert_eq!(host.counts().not_yet, 1);
+    assert_eq!(host.counts().deferred, 1);
     let mut now = 0;
     while !wire.0.iter().any(|said| said == "a: shed") {
         now += 10;
         assert!(now < SECOND, "no answer in time");
-        host.woken(now);
-        host.rest(now, &mut wire);
+        host.timer_fired(now);
+        host.poll(now, &mut wire);
     }
     assert_eq!(host.counts(), Default::default());
 }
@@ -188,15 +207,15 @@
 fn many_that_wait_are_asked_for_again_a_few_at_a_time_and_all_of_them() {
     let (mut host, mut wire) = (host(RetrySafety::Idempotent, 0, 10), Noted::default());
     for name in ["a", "b", "c", "d", "e"] {
-        let id = host.take(0, name, asked(10 * SECOND), name).expect("room");
+        let id = host.admit(0, name, asked(10 * SECOND), name).expect("room");
         host.place(0, id, &mut wire);
     }
-    assert_eq!((wire.said(), host.counts().not_yet), (String::new(), 5));
-    host.listed(ListUpdate::Complete, &[entry(7)]);
+    assert_eq!((wire.said(), host.counts().deferred), (String::new(), 5));
+    host.apply_endpoint_list(ListUpdate::Complete, &[entry(7)]);
     let mut slices = Vec::new();
     for now in 1..2 * SECOND {
-        host.woken(now);
-        host.rest(now, &mut wire);
+        host.timer_fired(now);
+        host.poll(now, &mut wire);
         let sent = wire.said().matches("to 7").count();
         if sent > 0 {
             slices.push((now, sent));
@@ -215,8 +234,8 @@
 #[test]
 fn two_that_swap_names_are_each_found_by_the_others_and_leave_only_their_own() {
     let mut host = host(RetrySafety::Idempotent, 1, 10);
-    let old = host.take(0, "task", asked(SECOND), "old").expect("room");
-    let new = host.take(0, "beside", asked(SECOND), "new").expect("room");
+    let old = host.admit(0, "task", asked(SECOND), "old").expect("room");
+    let new = host.admit(0, "beside", asked(SECOND), "new").expect("room");
     host.swap_names(old, new);
     assert_eq!(
         (host.find("task"), host.find("beside")),
@@ -229,12 +248,12 @@
 #[test]
 fn the_name_of_a_cancelled_one_is_kept_while_its_shot_is_out() {
     let (mut host, mut wire) = (host(RetrySafety::NotRetryable, 1, 10), Noted::default());
-    let id = host.take(0, "a", asked(SECOND), "a").expect("room");
+    let id = host.admit(0, "a", asked(SECOND), "a").expect("room");
     host.place(0, id, &mut wire);
     host.finish(id);
     assert_eq!(
-        host.take(1, "a", asked(SECOND), "again").err(),
-        Some((NotTaken::SameName, "again"))
+        host.admit(1, "a", asked(SECOND), "again").err(),
+        Some((AdmissionError::DuplicateName, "again"))
     );
     refused(&mut host, 2, id, 0, &mut wire);
     assert_eq!(
@@ -242,13 +261,13 @@
         "a: shot 0 to 0",
         "nothing is sent for one that is over"
     );
-    assert!(host.take(3, "a", asked(SECOND), "again").is_ok());
+    assert!(host.admit(3, "a", asked(SECOND), "again").is_ok());
 }
 
 #[test]
 fn an_answer_that_comes_after_the_end_is_no_answer() {
     let (mut host, mut wire) = (host(RetrySafety::Idempotent, 1, 10), Noted::default());
-    let id = host.take(0, "a", asked(SECOND), "a").expect("room");
+    let id = host.admit(0, "a", asked(SECOND), "a").expect("room");
     host.place(0, id, &mut wire);
     host.finish(id);
     assert!(!host.placed(5, id, 0, &mut wire));
@@ -257,7 +276,7 @@
 #[test]
 fn only_the_first_placed_answer_counts() {
     let (mut host, mut wire) = (host(RetrySafety::Idempotent, 1, 10), Noted::default());
-    let id = host.take(0, "a", asked(SECOND), "a").expect("room");
+    let id = host.admit(0, "a", asked(SECOND), "a").expect("room");
     host.place(0, id, &mut wire);
     assert!(host.placed(5, id, 0, &mut wire));
     assert!(!host.placed(6, id, 0, &mut wire));
@@ -266,15 +285,17 @@
 #[test]
 fn a_shot_that_was_never_made_is_told_apart() {
     let (mut host, mut wire) = (host(RetrySafety::Idempotent, 1, 10), Noted::default());
-    let id = host.take(0, "a", asked(SECOND), "a").expect("room");
+    let id = host.admit(0, "a", asked(SECOND), "a").expect("room");
     assert!(!host.returned(
         1,
         id,
         7,
-        AttemptResult::Completed,
-        None,
-        true,
-        None,
+        Return {
+            ending: AttemptResult::Completed,
+            reason: None,
+            over: true,
+            report: None
+        },
         &mut wire
     ));
 }
@@ -282,11 +303,13 @@
 #[test]
 fn at_a_stop_the_waiting_are_answered_at_once_and_the_others_after_their_shot() {
     let (mut host, mut wire) = (host(RetrySafety::NotRetryable, 1, 10), Noted::default());
-    let out = host.take(0, "out", asked(9 * SECOND), "out").expect("room");
+    let out = host
+        .admit(0, "out", asked(9 * SECOND), "out")
+        .expect("room");
     host.place(0, out, &mut wire);
-    host.listed(ListUpdate::Complete, &[]);
+    host.apply_endpoint_list(ListUpdate::Complete, &[]);
     let waits = host
-        .take(0, "waits", asked(9 * SECOND), "waits")
+        .admit(0, "waits", asked(9 * SECOND), "waits")
         .expect("room");
     host.place(0, waits, &mut wire);
     wire.said();
@@ -297,10 +320,12 @@
         20,
         out,
         0,
-        AttemptResult::TimedOut,
-        None,
-        false,
-        None,
+        Return {
+            ending: AttemptResult::TimedOut,
+            reason: None,
+            over: false,
+            report: None,
+        },
         &mut wire,
     );
     assert_eq!(
@@ -308,44 +333,51 @@
         "out: scrapped",
         "a shot that may have run promises nothing"
     );
-    assert_eq!(host.counts().in_hand, 0);
+    assert_eq!(host.counts().tracked, 0);
 }
 
 #[test]
 fn one_taken_over_owes_no_answer_and_goes_with_its_return() {
     let (mut host, mut wire) = (host(RetrySafety::NotRetryable, 1, 10), Noted::default());
     let id = host
-        .take_running(0, "a", asked(0), MachineId(0), "a")
+        .admit_running(0, "a", asked(0), MachineId(0), "a")
         .expect("room");
-    host.rest(100, &mut wire);
+    host.poll(100, &mut wire);
     assert!(host.unanswered().is_empty());
     host.returned(
         200,
         id,
         0,
-        AttemptResult::Reset,
-        Some(ReturnReason::Evicted),
-        true,
-        None,
+        Return {
+            ending: AttemptResult::Reset,
+            reason: Some(ReturnReason::Evicted),
+            over: true,
+            report: None,
+        },
         &mut wire,
     );
     assert!(!wire.said().contains("a:"), "no answer and no further shot");
-    assert_eq!(host.counts().in_hand, 0);
+    assert_eq!(host.counts().tracked, 0);
 }
 
 #[test]
 fn services_have_the_same_number_everywhere() {
-    assert_eq!(service("quotes"), service("quotes"));
-    assert_ne!(service("quotes"), service("quote"));
+    assert_eq!(service_id("quotes"), service_id("quotes"));
+    assert_ne!(service_id("quotes"), service_id("quote"));
 }
 
 /// So many that wait for their turn, all with the same abandon time.
-fn by_turns(machines: u32, many: usize) -> (Host<&'static str>, Noted) {
-    let mut host = sliced(RetrySafety::Idempotent, machines, 10_000, Slice::BY_TURNS);
+fn by_turns(machines: u32, many: usize) -> (Engine<&'static str>, Noted) {
+    let mut host = sliced(
+        RetrySafety::Idempotent,
+        machines,
+        10_000,
+        RetryBatch::ON_DEMAND,
+    );
     let mut wire = Noted::default();
     for number in 0..many {
         let id = host
-            .take(0, &number.to_string(), asked(SECOND), "a")
+            .admit(0, &number.to_string(), asked(SECOND), "a")
             .expect("room");
         host.place(0, id, &mut wire);
     }
@@ -355,7 +387,7 @@
 #[test]
 fn asks_by_turns_wait_until_their_caller_has_time_for_one() {
     let (mut host, mut wire) = by_turns(1, 3);
-    host.rest(1, &mut wire);
+    host.poll(1, &mut wire);
     assert!(!wire.said().contains("shot"), "none by itself");
     for more in [true, true, true, false] {
         assert_eq!(turn(&mut host, 2, &mut wire), more);
@@ -370,10 +402,10 @@
 #[test]
 fn a_caller_that_never_finds_time_for_a_turn_still_answers_all_once_their_time_is_up() {
     let (mut host, mut wire) = by_turns(1, 500);
-    host.rest(SECOND - 1, &mut wire);
+    host.poll(SECOND - 1, &mut wire);
     assert!(!wire.said().contains("shed"), "not before");
-    host.woken(SECOND);
-    host.rest(SECOND, &mut wire);
+    host.timer_fired(SECOND);
+    host.poll(SECOND, &mut wire);
     assert_eq!(wire.said().matches("a: shed").count(), 500);
     while turn(&mut host, SECOND, &mut wire) {}
     assert_eq!(
@@ -387,11 +419,11 @@
 fn those_answered_not_yet_and_new_ones_have_their_turns_in_alternation() {
     let (mut host, mut wire) = by_turns(0, 100);
     while turn(&mut host, 1, &mut wire) {}
-    host.rest(SECOND / 20 + 1, &mut wire);
-    host.listed(ListUpdate::Complete, &[entry(7)]);
+    host.poll(SECOND / 20 + 1, &mut wire);
+    host.apply_endpoint_list(ListUpdate::Complete, &[entry(7)]);
     for number in 0..100 {
         let id = host
-            .take(600, &format!("new {number}"), asked(SECOND), "new")
+            .admit(600, &format!("new {number}"), asked(SECOND), "new")
             .expect("room");
         host.place(600, id, &mut wire);
     }
@@ -413,27 +445,29 @@
     let (mut host, mut wire) = by_turns(1, 0);
     for number in 0..10_000 {
         let id = host
-            .take(0, &number.to_string(), asked(SECOND), "a")
+            .admit(0, &number.to_string(), asked(SECOND), "a")
             .expect("room");
         host.place(0, id, &mut wire);
         host.finish(id);
     }
-    assert!(host.kept() < 200, "{} kept", host.kept());
+    assert!(host.state_size() < 200, "{} kept", host.state_size());
 }
 
 /// All wait as a zone goes, and all at once there is room. What is asked meanwhile goes with the
 /// views, not with time.
 #[test]
 fn a_thousand_that_wait_are_left_alone_until_there_is_room_and_then_all_are_asked_for_at_once() {
-    let mut host = sliced(RetrySafety::Idempotent, 100, 10_000, Slice::BY_TURNS);
-    let report = |host: &mut Host<&'static str>, now, cores| {
+    let mut host = sliced(RetrySafety::Idempotent, 100, 10_000, RetryBatch::ON_DEMAND);
+    let report = |host: &mut Engine<&'static str>, now, cores| {
         let report = Some(LoadReport {
             available: Resources {
                 cores,
                 memory: 2.0 * cores,
             },
         });
-        (0..100).for_each(|id| host.probed(now, MachineId(id), AttemptResult::Completed, report));
+        (0..100).for_each(|id| {
+            host.record_health_check(now, MachineId(id), AttemptResult::Completed, report)
+        });
     };
     report(&mut host, 0, 0.0);
     let mut wire = Noted::default();
@@ -442,22 +476,22 @@
             cores: 0.5 + f64::from(number % 7) / 10.0,
             memory: 1.0,
         };
-        let service = service(&(number % 50).to_string());
-        let id = host.take(
+        let service = service_id(&(number % 50).to_string());
+        let id = host.admit(
             0,
             &number.to_string(),
-            Asked {
+            AllocationRequest {
                 service,
-                asks,
+                requested: asks,
                 ..asked(SECOND * 60)
             },
             "a",
         );
         host.place(0, id.expect("room"), &mut wire);
     }
-    let turns = |host: &mut Host<&'static str>, now, wire: &mut Noted| {
-        host.woken(now);
-        host.rest(now, wire);
+    let turns = |host: &mut Engine<&'static str>, now, wire: &mut Noted| {
+        host.timer_fired(now);
+        host.poll(now, wire);
         std::iter::from_fn(|| turn(host, now, wire).then_some(())).count()
     };
     let asked: usize = (1..=100)
--- a/crates/lab/src/capacity/asks.rs
+++ b/crates/lab/src/capacity/asks.rs
@@ -1,7 +1,7 @@
 //! What the decisions alone cost where allocations wait for room: one ask, and a second of so many
 //! that wait. The clock is virtual, the processor time that of the thread.
 
-use corkspan_engine::{Asked, Host, Slice, Wire};
+use corkspan_engine::{AllocationRequest, Effects, Engine, RetryBatch, Return};
 use corkspan_scheduler::Scheduler;
 use corkspan_scheduler::interface::*;
 
@@ -113,14 +113,14 @@
     (0..machines).map(entry).collect()
 }
 
-fn asked(service: u64, asks: Resources, abandon: Ticks) -> Asked {
+fn asked(service: u64, asks: Resources, abandon: Ticks) -> AllocationRequest {
     let track = ServiceClassId(service as usize % 2);
-    Asked {
+    AllocationRequest {
         service: ServiceId(service),
-        track,
-        account: TenantId(0),
-        asks,
-        abandon,
+        service_class: track,
+        tenant: TenantId(0),
+        requested: asks,
+        deadline: abandon,
     }
 }
 
@@ -160,22 +160,22 @@
         asks += 1;
         // Reports must not be old before all have been asked for.
         now += 1;
-        let Asked {
+        let AllocationRequest {
             service,
-            track,
-            account,
-            asks,
-            abandon,
+            service_class,
+            tenant,
+            requested,
+            deadline,
         } = asked(number % SERVICES, size, now + 10 * SECOND);
         let id = AllocationId(number);
         let allocation = Allocation {
             id,
             service,
-            service_class: track,
-            tenant: account,
-            requested: asks,
+            service_class,
+            tenant,
+            requested,
             accepted_at: now,
-            deadline: abandon,
+            deadline,
             attempts: Vec::new(),
         };
         answered +=
@@ -204,20 +204,20 @@
     answered: u64,
 }
 
-impl Wire<()> for Timer {
-    fn send(&mut self, _: &mut (), _: &Allocation, _: MachineId, _: Ticks) {
+impl Effects<()> for Timer {
+    fn dispatch(&mut self, _: &mut (), _: &Allocation, _: MachineId, _: Ticks) {
         self.sent += 1;
     }
     fn shed(&mut self, _: &mut (), _: &Allocation) {
         self.answered += 1;
     }
-    fn scrap(&mut self, _: &mut (), _: &Allocation) {
+    fn indeterminate(&mut self, _: &mut (), _: &Allocation) {
         self.answered += 1;
     }
-    fn relocate(&mut self, _: &mut (), _: &Allocation) {}
-    fn probe(&mut self, _: MachineId) {}
-    fn watch_list(&mut self) {}
-    fn wake(&mut self, after: Ticks) {
+    fn migrate(&mut self, _: &mut (), _: &Allocation) {}
+    fn check_health(&mut self, _: MachineId) {}
+    fn watch_endpoints(&mut self) {}
+    fn set_timer(&mut self, after: Ticks) {
         let at = self.now + after;
         self.due = Some(self.due.map_or(at, |due| due.min(at)));
     }
@@ -233,7 +233,7 @@
 }
 
 struct Stage {
-    host: Host<()>,
+    host: Engine<()>,
     timer: Timer,
     running: Vec<(AllocationId, MachineId)>,
     came: u64,
@@ -276,12 +276,12 @@
 
     fn stage(&self) -> Stage {
         let slice = if self.by_turns {
-            Slice::BY_TURNS
+            RetryBatch::ON_DEMAND
         } else {
-            Slice::ALL
+            RetryBatch::ALL
         };
-        let mut host = Host::new(cluster(), 1, 0, usize::MAX, slice);
-        host.listed(ListUpdate::Cached, &entries(self.machines));
+        let mut host = Engine::new(cluster(), 1, 0, usize::MAX, slice);
+        host.apply_endpoint_list(ListUpdate::Cached, &entries(self.machines));
         let mut stage = Stage {
             host,
             timer: Timer::default(),
@@ -302,7 +302,7 @@
     }
 
     fn reports(&self, stage: &mut Stage, now: Ticks, id: u32) {
-        stage.host.probed(
+        stage.host.record_health_check(
             now,
             MachineId(id),
             AttemptResult::Completed,
@@ -324,7 +324,7 @@
         stage.came += 1;
         let taken = stage
             .host
-            .take(now, &format!("w{number}"), asked(own, asks, abandon), ());
+            .admit(now, &format!("w{number}"), asked(own, asks, abandon), ());
         if let Ok(id) = taken {
             stage.host.place(now, id, &mut stage.timer);
         }
@@ -344,10 +344,12 @@
                     now,
                     id,
                     0,
-                    AttemptResult::Completed,
-                    None,
-                    true,
-                    None,
+                    Return {
+                        ending: AttemptResult::Completed,
+                        reason: None,
+                        over: true,
+                        report: None,
+                    },
                     &mut stage.timer,
                 );
                 stage.runs(now, machine.0 + 1);
@@ -375,10 +377,10 @@
         let asked = asked(u64::from(number) % SERVICES, asks, 3_600 * SECOND);
         if let Ok(id) = self
             .host
-            .take_running(now, &format!("r{}", self.came), asked, machine, ())
+            .admit_running(now, &format!("r{}", self.came), asked, machine, ())
         {
-            self.host.noted(now, id, Metric::Cores(0.5));
-            self.host.noted(now, id, Metric::Memory(3.0));
+            self.host.record_metric(now, id, Metric::Cores(0.5));
+            self.host.record_metric(now, id, Metric::Memory(3.0));
             self.running.push((id, machine));
         }
     }
@@ -386,18 +388,18 @@
     /// What a caller does after each thing that it heard.
     fn rest(&mut self) {
         let now = self.timer.now;
-        self.host.rest(now, &mut self.timer);
-        while let Some(id) = self.host.next_turn() {
-            self.host.ask(now, id, &mut self.timer);
+        self.host.poll(now, &mut self.timer);
+        while let Some(id) = self.host.next_queued() {
+            self.host.evaluate(now, id, &mut self.timer);
         }
-        self.host.rest(now, &mut self.timer);
+        self.host.poll(now, &mut self.timer);
     }
 
     fn until(&mut self, end: Ticks) {
         while let Some(at) = self.timer.due.filter(|at| *at <= end) {
             self.timer.due = None;
             self.timer.now = at.max(self.timer.now);
-            self.host.woken(self.timer.now);
+            self.host.timer_fired(self.timer.now);
             self.rest();
         }
         self.timer.now = end.max(self.timer.now);
--- a/crates/lab/src/node/allocations.rs
+++ b/crates/lab/src/node/allocations.rs
@@ -85,7 +85,7 @@
     /// Runs a started allocation to its end, with reports of its use; evicts where memory runs out.
     pub(super) async fn run(&self, incarnation: u64, shot: v1::AttemptRequest) {
         let mut rng = Pcg64Mcg::seed_from_u64(
-            self.config.seed ^ corkspan_engine::service(&shot.placement_id).0,
+            self.config.seed ^ corkspan_engine::service_id(&shot.placement_id).0,
         );
         let ends_at = Instant::now() + Duration::from_millis(shot.expected_duration_ms.max(1));
         let fault = self.world.version_fault(&shot.version);
--- a/crates/platform/src/core.rs
+++ b/crates/platform/src/core.rs
@@ -10,7 +10,7 @@
 use crate::reader::{ConnectionInput, ReadOutcome, ReadProgress};
 use crate::writer::{MessageQueue, message_queue};
 use client_connections::ClientConnection;
-use corkspan_engine::{Host, Slice};
+use corkspan_engine::{Engine, RetryBatch, Return};
 #[cfg(test)]
 use corkspan_platform_wire::client::Message;
 use corkspan_platform_wire::discovery::Event;
@@ -132,7 +132,7 @@
 
 /// All state of one dispatcher.
 pub struct PlatformCore {
-    engine: Host<PendingTask>,
+    engine: Engine<PendingTask>,
     state: PlatformState,
 }
 
@@ -160,12 +160,12 @@
             time(limits.idle_close_us, 15 * SECOND) * 2 / 3,
         );
         PlatformCore {
-            engine: Host::new(
+            engine: Engine::new(
                 options.cluster,
                 options.seed,
                 now,
                 MAX_TASKS,
-                Slice::BY_TURNS,
+                RetryBatch::ON_DEMAND,
             ),
             state: PlatformState {
                 effects,
@@ -195,7 +195,7 @@
     fn with<R>(
         &mut self,
         now: Ticks,
-        call: impl FnOnce(&mut Host<PendingTask>, &mut PlatformState) -> R,
+        call: impl FnOnce(&mut Engine<PendingTask>, &mut PlatformState) -> R,
     ) -> R {
         let PlatformCore { engine, state } = self;
         state.now = now;
@@ -204,14 +204,25 @@
             while let Some(deferred) = state.deferred.pop_front() {
                 match deferred {
                     DeferredEvent::Returned(id, shot, ending) => {
-                        engine.returned(now, id, shot, ending, None, false, None, state);
+                        engine.returned(
+                            now,
+                            id,
+                            shot,
+                            Return {
+                                ending,
+                                reason: None,
+                                over: false,
+                                report: None,
+                            },
+                            state,
+                        );
                     }
                     DeferredEvent::Lost(id) => {
                         state.task_ended(now, engine, id, AttemptResult::Reset, None, None)
                     }
                 }
             }
-            engine.rest(now, state);
+            engine.poll(now, state);
             if state.deferred.is_empty() {
                 break;
             }
@@ -224,7 +235,7 @@
             state.armed_timer = next;
             state.effects.arm_timer(at);
         }
-        if engine.waits_for_turn() {
+        if engine.has_queued() {
             state.effects.request_turn();
         }
         result
--- a/crates/platform/src/core/attempts.rs
+++ b/crates/platform/src/core/attempts.rs
@@ -2,6 +2,7 @@
 
 use super::pending_task::{ActiveAttempt, PendingTask, TaskStage, task_key};
 use super::*;
+use corkspan_engine::Return;
 use corkspan_platform_wire::client::{self, MessageType};
 use tracing::debug;
 
@@ -11,12 +12,12 @@
     pub(super) fn may_write_set_up(
         &mut self,
         now: Ticks,
-        engine: &mut Host<PendingTask>,
+        engine: &mut Engine<PendingTask>,
         connection: ConnectionId,
         attempt: AttemptId,
     ) -> bool {
         self.read_pending_input(now, engine, attempt.allocation);
-        let Some((pending, _)) = engine.own(attempt.allocation) else {
+        let Some((pending, _)) = engine.data_mut(attempt.allocation) else {
             return false;
         };
         let this = |active: &&mut ActiveAttempt| {
@@ -34,7 +35,7 @@
         };
         active.started = true;
         if now > active.sent_at {
-            engine.left(now, attempt.allocation);
+            engine.attempt_left(now, attempt.allocation);
         }
         true
     }
@@ -73,11 +74,11 @@
     pub(super) fn timed_out(
         &mut self,
         now: Ticks,
-        engine: &mut Host<PendingTask>,
+        engine: &mut Engine<PendingTask>,
         id: AllocationId,
         number: usize,
     ) {
-        let Some((pending, _)) = engine.own(id) else {
+        let Some((pending, _)) = engine.data_mut(id) else {
             return;
         };
         let Some(active) = pending
@@ -94,7 +95,18 @@
         } else {
             AttemptResult::ConnectFailed
         };
-        engine.returned(now, id, number, ending, None, false, None, self);
+        engine.returned(
+            now,
+            id,
+            number,
+            Return {
+                ending,
+                reason: None,
+                over: false,
+                report: None,
+            },
+            self,
+        );
         // The connection may be one that is open and will stay silent for good.
         if let Some(connection) = active.connection {
             self.connections.drain(connection);
@@ -104,7 +116,7 @@
     pub(super) fn attempt_ready(
         &mut self,
         now: Ticks,
-        engine: &mut Host<PendingTask>,
+        engine: &mut Engine<PendingTask>,
         id: AllocationId,
         active: ActiveAttempt,
         description: &str,
@@ -113,7 +125,7 @@
         if !engine.placed(now, id, active.number, self) {
             return;
         }
-        let Some((pending, _)) = engine.own(id) else {
+        let Some((pending, _)) = engine.data_mut(id) else {
             return;
         };
         if now >= pending.deadline {
--- a/crates/platform/src/core/client_connections.rs
+++ b/crates/platform/src/core/client_connections.rs
@@ -44,7 +44,7 @@
     pub(super) fn read_next_message(
         &mut self,
         now: Ticks,
-        engine: &mut Host<PendingTask>,
+        engine: &mut Engine<PendingTask>,
         id: ClientId,
     ) -> ReadProgress {
         loop {
@@ -88,10 +88,10 @@
     pub(super) fn read_pending_input(
         &mut self,
         now: Ticks,
-        engine: &mut Host<PendingTask>,
+        engine: &mut Engine<PendingTask>,
         id: AllocationId,
     ) {
-        let Some(from) = engine.own(id).map(|(pending, _)| pending.client) else {
+        let Some(from) = engine.data_mut(id).map(|(pending, _)| pending.client) else {
             return;
         };
         let behind = |client: &ClientConnection| {
@@ -113,7 +113,7 @@
 
     /// The peer has closed its side. What it set up is cancelled; releases that it sent are still
     /// handled.
-    fn client_closed(&mut self, now: Ticks, engine: &mut Host<PendingTask>, id: ClientId) {
+    fn client_closed(&mut self, now: Ticks, engine: &mut Engine<PendingTask>, id: ClientId) {
         let reader = self
             .clients
             .get_mut(&id)
@@ -131,7 +131,7 @@
     pub(super) fn handle_client_message(
         &mut self,
         now: Ticks,
-        engine: &mut Host<PendingTask>,
+        engine: &mut Engine<PendingTask>,
         id: ClientId,
         message: &Message,
     ) -> bool {
@@ -177,7 +177,7 @@
     }
 
     /// Looks for connections that are silent, idle or missing.
-    pub(super) fn sweep(&mut self, now: Ticks, engine: &mut Host<PendingTask>) {
+    pub(super) fn sweep(&mut self, now: Ticks, engine: &mut Engine<PendingTask>) {
         let useless = |client: &ClientConnection| {
             let silent = !client.valid && client.connected_at + SILENCE_TIMEOUT <= now;
             let stuck = client
@@ -210,7 +210,7 @@
     }
 
     /// Closes the client's connection that is least useful: silent ones first, then idle ones.
-    pub(super) fn evict_client(&mut self, now: Ticks, engine: &mut Host<PendingTask>) -> bool {
+    pub(super) fn evict_client(&mut self, now: Ticks, engine: &mut Engine<PendingTask>) -> bool {
         let free = self
             .clients
             .iter()
@@ -227,7 +227,7 @@
     pub(super) fn close_client(
         &mut self,
         now: Ticks,
-        engine: &mut Host<PendingTask>,
+        engine: &mut Engine<PendingTask>,
         id: ClientId,
     ) {
         let Some(client) = self.clients.remove(&id) else {
--- a/crates/platform/src/core/endpoint_list.rs
+++ b/crates/platform/src/core/endpoint_list.rs
@@ -6,7 +6,12 @@
 
 impl PlatformState {
     /// Applies a change to the list of nodes, once each.
-    pub(super) fn apply_event(&mut self, now: Ticks, engine: &mut Host<PendingTask>, event: Event) {
+    pub(super) fn apply_event(
+        &mut self,
+        now: Ticks,
+        engine: &mut Engine<PendingTask>,
+        event: Event,
+    ) {
         if event.number <= self.last_event {
             return;
         }
@@ -18,7 +23,7 @@
         } else {
             ListUpdate::Incremental
         };
-        engine.listed(scope, &change.entries);
+        engine.apply_endpoint_list(scope, &change.entries);
         for machine in change.gone {
             info!(?machine, "a node has gone");
             self.machine_lost(now, engine, machine, Ticks::MAX);
--- a/crates/platform/src/core/engine_effects.rs
+++ b/crates/platform/src/core/engine_effects.rs
@@ -2,13 +2,13 @@
 
 use super::pending_task::{ActiveAttempt, PendingTask, TaskStage, task_key};
 use super::*;
-use corkspan_engine::Wire;
+use corkspan_engine::Effects;
 use corkspan_platform_wire::client::{self, MessageType};
 use corkspan_platform_wire::node::AttributeValue;
 use tracing::debug;
 
-impl Wire<PendingTask> for PlatformState {
-    fn send(
+impl Effects<PendingTask> for PlatformState {
+    fn dispatch(
         &mut self,
         pending: &mut PendingTask,
         allocation: &Allocation,
@@ -62,14 +62,14 @@
         }
     }
 
-    fn scrap(&mut self, pending: &mut PendingTask, allocation: &Allocation) {
+    fn indeterminate(&mut self, pending: &mut PendingTask, allocation: &Allocation) {
         if self.settle(pending, allocation.id, TaskStage::Ended) {
             debug!(task = task_key(pending.task), attempts = ?allocation.attempts, "scrapped");
             self.release(pending.client, pending.task, client::CAUSE_FAILED);
         }
     }
 
-    fn relocate(&mut self, pending: &mut PendingTask, allocation: &Allocation) {
+    fn migrate(&mut self, pending: &mut PendingTask, allocation: &Allocation) {
         debug!(task = task_key(pending.task), "moved away");
         if self.end_running(pending) {
             self.send_task_end(pending.client, MessageType::Migrate, pending.task, &[]);
@@ -82,7 +82,7 @@
         self.deferred.push_back(DeferredEvent::Lost(allocation.id));
     }
 
-    fn probe(&mut self, machine: MachineId) {
+    fn check_health(&mut self, machine: MachineId) {
         self.last_health_check = self.last_health_check.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let message =
             node::Message::new(node::MessageType::Probe, self.last_health_check).with_cause(0);
@@ -101,11 +101,11 @@
         }
     }
 
-    fn watch_list(&mut self) {
+    fn watch_endpoints(&mut self) {
         self.effects.watch_list();
     }
 
-    fn wake(&mut self, after: Ticks) {
+    fn set_timer(&mut self, after: Ticks) {
         let at = self.now + after;
         self.engine_timer = Some(self.engine_timer.map_or(at, |other| other.min(at)));
     }
--- a/crates/platform/src/core/inputs.rs
+++ b/crates/platform/src/core/inputs.rs
@@ -28,12 +28,12 @@
         self.with(now, |engine, state| {
             // In this order: a set-up that has been taken from the queue must have its turn.
             while has_time()
-                && let Some(id) = engine.next_turn()
+                && let Some(id) = engine.next_queued()
             {
                 state.read_pending_input(now, engine, id);
-                engine.ask(now, id, state);
+                engine.evaluate(now, id, state);
             }
-            engine.waits_for_turn()
+            engine.has_queued()
         })
     }
 
@@ -43,7 +43,7 @@
             state.armed_timer = None;
             if state.engine_timer.is_some_and(|at| at <= now) {
                 state.engine_timer = None;
-                engine.woken(now);
+                engine.timer_fired(now);
             }
             while let Some(&(at, timer)) = state.timers.first().filter(|(at, _)| *at <= now) {
                 state.timers.remove(&(at, timer));
@@ -60,7 +60,7 @@
                         }) = state.health_checks.remove(&check)
                         {
                             state.connections.drain(connection);
-                            engine.probed(now, machine, AttemptResult::TimedOut, None);
+                            engine.record_health_check(now, machine, AttemptResult::TimedOut, None);
                         }
                     }
                 }
@@ -184,7 +184,9 @@
 
     /// The connection to the control feed is established.
     pub fn discovery_connected(&mut self, now: Ticks) {
-        self.with(now, |engine, _| engine.listed(ListUpdate::Incremental, &[]));
+        self.with(now, |engine, _| {
+            engine.apply_endpoint_list(ListUpdate::Incremental, &[])
+        });
     }
 
     /// Applies a discovery event.
@@ -194,7 +196,7 @@
 
     /// The connection to the control feed has broken.
     pub fn list_failed(&mut self, now: Ticks) {
-        self.with(now, |engine, _| engine.list_failed(now));
+        self.with(now, |engine, _| engine.endpoint_watch_failed(now));
     }
 
     /// The configuration file has been replaced: applies its settings. An error where they differ
@@ -214,7 +216,7 @@
                 return Err(ReconfigureError::OtherNames);
             }
             state.settings = Arc::new(config.settings);
-            engine.adopt(now, cluster, MAX_TASKS);
+            engine.reconfigure(now, cluster, MAX_TASKS);
             Ok(())
         })
     }
@@ -233,7 +235,7 @@
             + state.timers.len()
             + state.unanswered.len();
         let messages = messages + state.early_ends.len();
-        engine.kept()
+        engine.state_size()
             + state.clients.len()
             + state.nodes.retained_items()
             + state.connections.retained_items()
--- a/crates/platform/src/core/node_connections.rs
+++ b/crates/platform/src/core/node_connections.rs
@@ -2,6 +2,7 @@
 
 use super::pending_task::{ActiveAttempt, PendingTask};
 use super::*;
+use corkspan_engine::Return;
 use tracing::debug;
 
 impl PlatformState {
@@ -61,7 +62,7 @@
     pub(super) fn remove_connection(
         &mut self,
         now: Ticks,
-        engine: &mut Host<PendingTask>,
+        engine: &mut Engine<PendingTask>,
         id: ConnectionId,
         end: ConnectionEnd,
     ) {
@@ -97,12 +98,12 @@
     fn fail_attempts(
         &mut self,
         now: Ticks,
-        engine: &mut Host<PendingTask>,
+        engine: &mut Engine<PendingTask>,
         connection: ConnectionId,
         attempts: BTreeSet<AllocationId>,
     ) {
         for allocation in attempts {
-            let Some((pending, _)) = engine.own(allocation) else {
+            let Some((pending, _)) = engine.data_mut(allocation) else {
                 continue;
             };
             let on_this = |active: &mut ActiveAttempt| active.connection == Some(connection);
@@ -117,7 +118,18 @@
             } else {
                 AttemptResult::ConnectFailed
             };
-            engine.returned(now, allocation, number, result, None, false, None, self);
+            engine.returned(
+                now,
+                allocation,
+                number,
+                Return {
+                    ending: result,
+                    reason: None,
+                    over: false,
+                    report: None,
+                },
+                self,
+            );
         }
     }
 
@@ -125,7 +137,7 @@
     fn fail_health_checks(
         &mut self,
         now: Ticks,
-        engine: &mut Host<PendingTask>,
+        engine: &mut Engine<PendingTask>,
         connection: ConnectionId,
         machine: MachineId,
     ) {
@@ -139,7 +151,7 @@
             self.health_checks.remove(&id);
             self.timers
                 .retain(|(_, timer)| *timer != Timer::HealthCheck(id));
-            engine.probed(now, machine, AttemptResult::ConnectFailed, None);
+            engine.record_health_check(now, machine, AttemptResult::ConnectFailed, None);
         }
     }
 }
--- a/crates/platform/src/core/node_messages.rs
+++ b/crates/platform/src/core/node_messages.rs
@@ -2,6 +2,7 @@
 
 use super::pending_task::{ActiveAttempt, PendingTask, TaskStage, task_key};
 use super::*;
+use corkspan_engine::Return;
 use corkspan_platform_wire::node::AttributeValue;
 use corkspan_platform_wire::{client, parse_load_report};
 use tracing::debug;
@@ -85,7 +86,7 @@
     pub(super) fn handle_node_message(
         &mut self,
         now: Ticks,
-        engine: &mut Host<PendingTask>,
+        engine: &mut Engine<PendingTask>,
         connection: ConnectionId,
         machine: MachineId,
         message: node::Message,
@@ -114,7 +115,7 @@
     fn handle_for_task(
         &mut self,
         now: Ticks,
-        engine: &mut Host<PendingTask>,
+        engine: &mut Engine<PendingTask>,
         origin: MessageOrigin,
         matched: Option<MatchedAttempt>,
         message: node::Message,
@@ -149,7 +150,7 @@
             (node::MessageType::Event, Some(matched)) if matched.stage != TaskStage::Pending => {
                 if let Some(metric) = metric(&message) {
                     debug!(task = task_key(task), ?machine, ?metric, "noted");
-                    engine.noted(now, matched.id, metric);
+                    engine.record_metric(now, matched.id, metric);
                 }
             }
             _ => {}
@@ -161,7 +162,7 @@
     fn handle_health_check_reply(
         &mut self,
         now: Ticks,
-        engine: &mut Host<PendingTask>,
+        engine: &mut Engine<PendingTask>,
         check: u64,
         message: &node::Message,
     ) {
@@ -175,13 +176,13 @@
         } else {
             AttemptResult::Error
         };
-        engine.probed(now, machine, ending, load(message));
+        engine.record_health_check(now, machine, ending, load(message));
     }
 
     /// The attempt that a message is about; none where its task is unknown here or on another node.
     fn matched_attempt(
         &self,
-        engine: &mut Host<PendingTask>,
+        engine: &mut Engine<PendingTask>,
         origin: MessageOrigin,
         message: &node::Message,
     ) -> Option<MatchedAttempt> {
@@ -191,7 +192,7 @@
             task,
         } = origin;
         let id = engine.find(&task_key(task))?;
-        let (pending, _) = engine.own(id)?;
+        let (pending, _) = engine.data_mut(id)?;
         let active = pending.active.filter(|active| active.machine == machine)?;
         let is_running = pending.stage != TaskStage::Pending;
         // Where the connection of its set-up has ended, a node reports on a task on any that is
@@ -224,7 +225,7 @@
     fn handle_close(
         &mut self,
         now: Ticks,
-        engine: &mut Host<PendingTask>,
+        engine: &mut Engine<PendingTask>,
         origin: MessageOrigin,
         matched: Option<MatchedAttempt>,
         message: &node::Message,
@@ -261,12 +262,23 @@
             }
             return;
         }
-        if let Some((pending, _)) = engine.own(id) {
+        if let Some((pending, _)) = engine.data_mut(id) {
             pending.end_attempt(origin.connection, cause);
         }
         self.attempt_returned(now, id, active);
         let result = end.of_attempt();
-        engine.returned(now, id, active.number, result, reason, false, load, self);
+        engine.returned(
+            now,
+            id,
+            active.number,
+            Return {
+                ending: result,
+                reason,
+                over: false,
+                report: load,
+            },
+            self,
+        );
     }
 }
 
--- a/crates/platform/src/core/running_tasks.rs
+++ b/crates/platform/src/core/running_tasks.rs
@@ -2,6 +2,7 @@
 
 use super::pending_task::{ActiveAttempt, PendingTask, task_key};
 use super::*;
+use corkspan_engine::Return;
 use corkspan_platform_wire::client::{self, MessageType};
 use tracing::debug;
 
@@ -26,13 +27,13 @@
     pub(super) fn machine_lost(
         &mut self,
         now: Ticks,
-        engine: &mut Host<PendingTask>,
+        engine: &mut Engine<PendingTask>,
         machine: MachineId,
         before: Ticks,
     ) {
         for id in self.nodes.tasks_on(machine) {
             let sent = engine
-                .own(id)
+                .data_mut(id)
                 .and_then(|(pending, _)| pending.active)
                 .map_or(0, |active| active.sent_at);
             if sent < before {
@@ -45,13 +46,13 @@
     pub(super) fn task_ended(
         &mut self,
         now: Ticks,
-        engine: &mut Host<PendingTask>,
+        engine: &mut Engine<PendingTask>,
         id: AllocationId,
         ending: AttemptResult,
         reason: Option<ReturnReason>,
         report: Option<LoadReport>,
     ) {
-        let Some((pending, _)) = engine.own(id) else {
+        let Some((pending, _)) = engine.data_mut(id) else {
             return;
         };
         let Some(active) = pending.active.take() else {
@@ -69,7 +70,18 @@
             self.send_task_end(to, MessageType::Release, task, &[(client::CAUSE, &[cause])]);
         }
         self.nodes.task_left(active.machine, id);
-        engine.returned(now, id, active.number, ending, reason, true, report, self);
+        engine.returned(
+            now,
+            id,
+            active.number,
+            Return {
+                ending,
+                reason,
+                over: true,
+                report,
+            },
+            self,
+        );
     }
 
     pub(super) fn remember_early_end(&mut self, now: Ticks, task: u64, machine: MachineId) {
--- a/crates/platform/src/core/set_ups.rs
+++ b/crates/platform/src/core/set_ups.rs
@@ -3,7 +3,7 @@
 use super::client_connections::MessageVerdict;
 use super::pending_task::{ActiveAttempt, PendingTask, TaskStage, task_key};
 use super::*;
-use corkspan_engine::{Asked, service};
+use corkspan_engine::{AllocationRequest, Return, service_id};
 use corkspan_platform_wire::InvalidField;
 use corkspan_platform_wire::client::{self, Message, SetUp};
 use tracing::debug;
@@ -35,7 +35,7 @@
     pub(super) fn handle_set_up(
         &mut self,
         now: Ticks,
-        engine: &mut Host<PendingTask>,
+        engine: &mut Engine<PendingTask>,
         from: ClientId,
         message: &Message,
     ) -> MessageVerdict {
@@ -82,10 +82,10 @@
     fn take_running(
         &mut self,
         now: Ticks,
-        engine: &mut Host<PendingTask>,
+        engine: &mut Engine<PendingTask>,
         from: ClientId,
         set_up: SetUp,
-        request: Asked,
+        request: AllocationRequest,
         at: &str,
     ) -> MessageVerdict {
         let task = set_up.task;
@@ -100,7 +100,7 @@
             self.release(from, task, client::CAUSE_INTERRUPTED);
             return MessageVerdict::Valid;
         };
-        let mut pending = PendingTask::new(from, set_up, request.abandon + TRANSIT_ALLOWANCE);
+        let mut pending = PendingTask::new(from, set_up, request.deadline + TRANSIT_ALLOWANCE);
         pending.stage = TaskStage::Running;
         pending.description = String::new();
         pending.active = Some(ActiveAttempt {
@@ -111,7 +111,7 @@
             deadline: Ticks::MAX,
             started: true,
         });
-        if let Ok(id) = engine.take_running(now, &task_key(task), request, machine, pending) {
+        if let Ok(id) = engine.admit_running(now, &task_key(task), request, machine, pending) {
             self.nodes.task_started(machine, id);
             self.clients
                 .get_mut(&from)
@@ -128,14 +128,14 @@
     fn take_new(
         &mut self,
         now: Ticks,
-        engine: &mut Host<PendingTask>,
+        engine: &mut Engine<PendingTask>,
         from: ClientId,
         set_up: SetUp,
-        request: Asked,
+        request: AllocationRequest,
     ) -> MessageVerdict {
         let task = set_up.task;
-        let pending = PendingTask::new(from, set_up, request.abandon + TRANSIT_ALLOWANCE);
-        let Ok(id) = engine.take(now, &task_key(task), request, pending) else {
+        let pending = PendingTask::new(from, set_up, request.deadline + TRANSIT_ALLOWANCE);
+        let Ok(id) = engine.admit(now, &task_key(task), request, pending) else {
             self.release(from, task, client::CAUSE_REJECTED);
             return MessageVerdict::Unusable;
         };
@@ -148,7 +148,11 @@
     }
 
     /// The engine's request for a set-up, or what is wrong with it.
-    pub(super) fn to_request(&self, now: Ticks, set_up: &SetUp) -> Result<Asked, RequestError> {
+    pub(super) fn to_request(
+        &self,
+        now: Ticks,
+        set_up: &SetUp,
+    ) -> Result<AllocationRequest, RequestError> {
         let settings = &self.settings;
         let class = settings
             .classes
@@ -190,12 +194,12 @@
             });
         }
         let left = left_ms * 10;
-        Ok(Asked {
-            service: service(&set_up.service),
-            track: ServiceClassId(class),
-            account: TenantId(tenant.ok_or(RequestError::UnknownTenant)?),
-            asks: requested,
-            abandon: now + left - TRANSIT_ALLOWANCE.min(left / 2),
+        Ok(AllocationRequest {
+            service: service_id(&set_up.service),
+            service_class: ServiceClassId(class),
+            tenant: TenantId(tenant.ok_or(RequestError::UnknownTenant)?),
+            requested,
+            deadline: now + left - TRANSIT_ALLOWANCE.min(left / 2),
         })
     }
 
@@ -203,13 +207,13 @@
     pub(super) fn handle_release(
         &mut self,
         now: Ticks,
-        engine: &mut Host<PendingTask>,
+        engine: &mut Engine<PendingTask>,
         message: &Message,
     ) -> bool {
         let Some(id) = engine.find(&task_key(message.task)) else {
             return false;
         };
-        let Some((pending, _)) = engine.own(id) else {
+        let Some((pending, _)) = engine.data_mut(id) else {
             return false;
         };
         match pending.stage {
@@ -227,8 +231,13 @@
     }
 
     /// The client waits no longer: no answer is due, and an attempt under way is withdrawn.
-    pub(super) fn cancel(&mut self, now: Ticks, engine: &mut Host<PendingTask>, id: AllocationId) {
-        let Some((pending, _)) = engine.own(id) else {
+    pub(super) fn cancel(
+        &mut self,
+        now: Ticks,
+        engine: &mut Engine<PendingTask>,
+        id: AllocationId,
+    ) {
+        let Some((pending, _)) = engine.data_mut(id) else {
             return;
         };
         self.settle(pending, id, TaskStage::Ended);
@@ -241,10 +250,12 @@
             now,
             id,
             active.number,
-            AttemptResult::Cancelled,
-            None,
-            true,
-            None,
+            Return {
+                ending: AttemptResult::Cancelled,
+                reason: None,
+                over: true,
+                report: None,
+            },
             self,
         );
     }
--- a/crates/platform/tests/core/bounds.rs
+++ b/crates/platform/tests/core/bounds.rs
@@ -128,7 +128,7 @@
             // The scheduler evaluates by the clock, which this test outruns.
             handle.enter(|core, now| {
                 core.with(now, |engine, state| {
-                    engine.rest(now + round * SECOND, state)
+                    engine.poll(now + round * SECOND, state)
                 });
             });
             handle.sweep();
@@ -136,7 +136,7 @@
         }
     }
     assert!(
-        handle.lock().engine.kept() >= 1_024,
+        handle.lock().engine.state_size() >= 1_024,
         "services have left their records"
     );
     let state = &handle.lock().state;
@@ -200,7 +200,7 @@
         state
             .timers
             .retain(|(_, due)| *due != Timer::HealthCheck(test));
-        engine.probed(state.now, check.machine, AttemptResult::Completed, None);
+        engine.record_health_check(state.now, check.machine, AttemptResult::Completed, None);
     }
 }
 
@@ -210,7 +210,7 @@
     for task in 1_000..1_100 {
         assert!(send_and_run_turns(&handle, client, &set_up(task)));
         assert_eq!(
-            handle.lock().engine.counts().shots_out,
+            handle.lock().engine.counts().attempts_pending,
             1,
             "task {task} has been sent and not refused"
         );
@@ -218,7 +218,7 @@
             let engine = &mut handle.lock().engine;
             let id = engine.find(&task_key(task)).expect("in hand");
             engine
-                .own(id)
+                .data_mut(id)
                 .and_then(|(pending, _)| pending.active?.connection)
                 .expect("on a connection")
         };
@@ -241,8 +241,8 @@
         let PlatformCore { engine, state } = &mut *inner;
         state.now = began + step * SECOND / 4;
         state.sweep(state.now, engine);
-        engine.woken(state.now);
-        engine.rest(state.now, state);
+        engine.timer_fired(state.now);
+        engine.poll(state.now, state);
         assert!(state.deferred.is_empty(), "after {} ms", step * 250);
         answer_health_checks(&mut inner);
     }
@@ -286,7 +286,7 @@
         let was_running = (1..=200)
             .filter_map(|task| Some((*connections(&task).first()?, task)))
             .collect();
-        engine.woken(state.now);
+        engine.timer_fired(state.now);
         was_running
     };
     let mut gone = 0;
@@ -349,12 +349,12 @@
     assert_eq!(queue.waiting(), [released]);
     let waits = || handle.lock().engine.counts();
     assert_eq!(
-        (waits().shots_out, waits().not_yet),
+        (waits().attempts_pending, waits().deferred),
         (0, 200),
         "the decisions have not been asked yet"
     );
     while handle.run_turn() {}
-    assert!(waits().shots_out > 0);
+    assert!(waits().attempts_pending > 0);
 }
 
 /// A turn whose time is up once dropped the set-up that would have been next, which then never had
@@ -372,7 +372,7 @@
     let turns = (1..10_000).find(|_| !handle.run_turn()).expect("an end");
     assert!(turns > 1, "more than one turn's work");
     assert_eq!(
-        handle.lock().engine.counts().shots_out,
+        handle.lock().engine.counts().attempts_pending,
         1_000,
         "all are out after {turns} turns"
     );
--- a/crates/platform/tests/core/races.rs
+++ b/crates/platform/tests/core/races.rs
@@ -97,7 +97,7 @@
 fn active(handle: &PlatformHandle, task: u64) -> Option<(ConnectionId, AttemptId)> {
     let engine = &mut handle.lock().engine;
     let id = engine.find(&task_key(task))?;
-    let active = engine.own(id)?.0.active?;
+    let active = engine.data_mut(id)?.0.active?;
     Some((
         active.connection?,
         AttemptId {
@@ -196,7 +196,7 @@
     let (connection, attempt) = active(&handle, 7).expect("on its way");
     let PlatformCore { engine, state } = &mut *handle.lock();
     let until = engine
-        .own(attempt.allocation)
+        .data_mut(attempt.allocation)
         .and_then(|(pending, _)| pending.active)
         .expect("out")
         .deadline;
@@ -279,7 +279,7 @@
     futures_lite::future::block_on(carried);
     let inner = handle.lock();
     assert_eq!(
-        (inner.state.clients.len(), inner.engine.counts().in_hand),
+        (inner.state.clients.len(), inner.engine.counts().tracked),
         (0, 0)
     );
 }
@@ -297,7 +297,7 @@
     assert!(handle.may_write_set_up(connection, attempt));
     queue.waiting();
     let PlatformCore { engine, state } = &mut *handle.lock();
-    let (pending, _) = engine.own(attempt.allocation).expect("in hand");
+    let (pending, _) = engine.data_mut(attempt.allocation).expect("in hand");
     let (until, machine) = (pending.deadline, pending.active.expect("out").machine);
     state.now = until;
     let made = node::Message {
--- a/crates/platform/tests/core/transcript.rs
+++ b/crates/platform/tests/core/transcript.rs
@@ -94,7 +94,7 @@
         {
             // The core was made by the machine's clock: it begins anew by the test's.
             let PlatformCore { engine, state } = &mut *handle.lock();
-            *engine = Host::new(asked, seed, BEGIN, MAX_TASKS, Slice::BY_TURNS);
+            *engine = Engine::new(asked, seed, BEGIN, MAX_TASKS, RetryBatch::ON_DEMAND);
             (state.now, state.last_health_check) = (BEGIN, seed);
             (state.engine_timer, state.armed_timer) = (None, None);
         }
@@ -531,9 +531,9 @@
         let shown = format!(
             "= timer {armed:?} in hand {} waiting {} out {} placed {} links {open}+{closing} \
              unanswered {} kept {}",
-            counts.in_hand,
-            counts.not_yet,
-            counts.shots_out,
+            counts.tracked,
+            counts.deferred,
+            counts.attempts_pending,
             counts.placed,
             self.handle.unanswered(),
             self.handle.retained_items(),
--- /dev/null
+++ b/crates/simulator-adapter/src/session.rs
@@ -0,0 +1,114 @@
+//! The instances of one process, and the batches of events that they get.
+
+use crate::decode;
+use crate::error::InputError;
+use crate::instance::Instance;
+use crate::message::{InputLines, Message};
+use crate::reply::ReplyLines;
+use corkspan_scheduler::interface::Endpoint;
+use corkspan_settings::ticks_from_us;
+use std::collections::BTreeMap;
+use std::io::BufRead;
+
+/// A list of machines, referred to by its number.
+pub type Page = Vec<Endpoint>;
+
+/// Numbers of lists run from 0 to 15.
+const PAGES: usize = 16;
+
+/// The instances of this process and the lists that their events refer to.
+pub struct Session {
+    instances: BTreeMap<String, Instance>,
+    pages: Vec<Page>,
+}
+
+impl Session {
+    /// No instance has started.
+    pub fn new() -> Self {
+        Session {
+            instances: BTreeMap::new(),
+            pages: vec![Page::new(); PAGES],
+        }
+    }
+
+    /// The events of a batch up to its end, at this time in microseconds.
+    pub fn batch(
+        &mut self,
+        us: u64,
+        lines: &mut InputLines<impl BufRead>,
+        reply: &mut ReplyLines,
+    ) -> Result<(), InputError> {
+        let mut selected: Option<String> = None;
+        let mut with_events: Vec<String> = Vec::new();
+        loop {
+            let message = lines.next_in_batch()?;
+            match message.name {
+                "END" => break,
+                "POOL" => {
+                    let page = message.index("page", PAGES)?;
+                    let length = message.get("hosts")?;
+                    self.pages[page] = read_page(lines, length)?;
+                }
+                "SELECT" => {
+                    let name = message.text("dispatcher")?;
+                    if !with_events.iter().any(|other| other == name) {
+                        with_events.push(name.into());
+                    }
+                    selected = Some(name.into());
+                    reply.on_behalf_of(name);
+                }
+                _ => {
+                    let name = selected
+                        .as_ref()
+                        .ok_or_else(|| message.invalid("no SELECT before it"))?;
+                    self.event(us, name, &message, reply)?;
+                }
+            }
+        }
+        for name in with_events {
+            if let Some(instance) = self.instances.get_mut(&name) {
+                reply.on_behalf_of(&name);
+                instance.rest(ticks_from_us(us), reply);
+            }
+        }
+        Ok(())
+    }
+
+    fn event(
+        &mut self,
+        us: u64,
+        name: &str,
+        message: &Message,
+        reply: &mut ReplyLines,
+    ) -> Result<(), InputError> {
+        match message.name {
+            "BOOT" => {
+                let instance = Instance::boot(ticks_from_us(us), message)?;
+                self.instances.insert(name.into(), instance);
+            }
+            "DETACH" => {
+                self.instances.remove(name);
+            }
+            _ => {
+                let instance = self
+                    .instances
+                    .get_mut(name)
+                    .ok_or_else(|| message.invalid(format!("{name} was never started")))?;
+                instance.event(us, message, &self.pages, reply)?;
+            }
+        }
+        Ok(())
+    }
+}
+
+fn read_page(lines: &mut InputLines<impl BufRead>, length: usize) -> Result<Page, InputError> {
+    let mut page = Page::new();
+    for _ in 0..length {
+        let message = lines.next_in_batch()?;
+        if message.name != "NODE" {
+            return Err(message.unexpected());
+        }
+        page.push(decode::endpoint(&message)?);
+    }
+    Ok(page)
+}
