--- /dev/null
+++ b/crates/config/src/deployment.rs
@@ -0,0 +1,200 @@
+//! What a dispatcher is configured with, read from its file and from streamed versions.
+
+use crate::addresses::{address, addresses};
+use crate::limits::Limits;
+use crate::minimum_version::{MinimumVersionSettings, minimum_version};
+use crate::schema::{self, DocumentKind};
+use crate::sexp::{self, Diagnostic, Diagnostics, Form, Parts};
+use crate::shared_settings::SharedSettings;
+use crate::version::{SharedParts, VersionId};
+use corkspan_scheduler::interface::{Cluster, MachineId, Ticks, ZoneId};
+use ipnet::IpNet;
+use std::net::{IpAddr, SocketAddr};
+use std::path::{Path, PathBuf};
+
+/// The whole configuration of a dispatcher: its own file, and what a streamed version has changed
+/// since.
+#[derive(Clone, Debug)]
+pub struct Deployment {
+    /// Where clients connect.
+    pub listen: SocketAddr,
+    /// Where the roster, which lists the nodes, is reached.
+    pub roster: SocketAddr,
+    /// Where the last endpoint list is cached, if it is (`remembered`).
+    pub endpoint_cache: Option<PathBuf>,
+    /// Mixed with the time of start to seed random draws.
+    pub seed: u64,
+    /// Nodes that form the quorum, the same at every dispatcher (`keepers`).
+    pub quorum_members: Vec<MachineId>,
+    /// Where rollouts and this dispatcher's own claims are stored (`rolls`).
+    pub rollout_store: Option<PathBuf>,
+    /// Services that stream versions (`control`).
+    pub control_services: Vec<SocketAddr>,
+    /// Where the last good version is cached (`versions`).
+    pub version_cache: Option<PathBuf>,
+    /// What the placement decisions are given; its lists are in the order of the names below.
+    pub cluster: Cluster,
+    /// Names of the zones (`halls`).
+    pub zones: Vec<String>,
+    /// Names of the machine types (`kinds`).
+    pub machine_types: Vec<String>,
+    /// Names of the service classes (`tracks`).
+    pub service_classes: Vec<String>,
+    /// Names of the tenants (`accounts`).
+    pub tenants: Vec<String>,
+    /// What it holds at the most, and how long it waits (`bounds`).
+    pub limits: Limits,
+    /// Networks from which clients may connect; any where none is named (`allow`).
+    pub allowed_networks: Vec<IpNet>,
+    /// How the minimum version is followed; absent where it is not (`floor`).
+    pub minimum_version: Option<MinimumVersionSettings>,
+    /// Between two reconciliations of maintenance, in ticks; absent where there is none.
+    pub maintenance_interval: Option<Ticks>,
+    /// The shared parts, as written.
+    pub shared_parts: SharedParts,
+    /// Identifies the shared parts; number 0 is a file's.
+    pub version: VersionId,
+}
+
+impl Deployment {
+    /// Reads and checks a file.
+    ///
+    /// # Errors
+    ///
+    /// Everything that is wrong with it, in the order of the text.
+    pub fn load(path: &Path) -> Result<Self, Diagnostics> {
+        Self::parse(&path.display().to_string(), &sexp::load(path)?)
+    }
+
+    /// Reads and checks a text; `file` is its name in messages.
+    ///
+    /// # Errors
+    ///
+    /// As [`Deployment::load`].
+    pub fn parse(file: &str, text: &str) -> Result<Self, Diagnostics> {
+        schema::check(DocumentKind::File, file, text)?;
+        let known: Vec<&str> = schema::local_part_names()
+            .chain(schema::shared_part_names())
+            .collect();
+        let read = sexp::with_form(file, text, "deployment", |form| {
+            let parts = form.parts(&known)?;
+            let shared = SharedSettings::read(&parts)?;
+            let cluster = Cluster {
+                zone: ZoneId(parts.required("hall")?.choice(&shared.zones)?),
+                scheduler_index: parts.required("number")?.integer(0, 99_999)? as usize,
+                ..shared.cluster
+            };
+            Ok(Deployment {
+                listen: address(parts.required("listen")?)?,
+                roster: address(parts.required("roster")?)?,
+                endpoint_cache: path(&parts, "remembered")?,
+                quorum_members: parts.get_or("keepers", Vec::new(), machine_ids)?,
+                rollout_store: path(&parts, "rolls")?,
+                control_services: parts.get_or("control", Vec::new(), addresses)?,
+                version_cache: path(&parts, "versions")?,
+                seed: parts.get_or("seed", 0, |form| form.integer(0, u64::MAX))?,
+                cluster,
+                zones: shared.zones,
+                machine_types: shared.machine_types,
+                service_classes: shared.service_classes,
+                tenants: shared.tenants,
+                limits: shared.limits,
+                allowed_networks: shared.allowed_networks,
+                minimum_version: parts.get("floor").map(minimum_version).transpose()?,
+                maintenance_interval: parts
+                    .get("maintenance")
+                    .map(maintenance_interval)
+                    .transpose()?,
+                version: VersionId {
+                    number: 0,
+                    digest: shared.shared_parts.digest(),
+                },
+                shared_parts: shared.shared_parts,
+            })
+        });
+        Ok(read?)
+    }
+
+    /// The same dispatcher with the shared parts of a streamed version in place of its file's. Ids
+    /// are as that version alone would give them; the number of [`Deployment::version`] is for the
+    /// caller to set. `name` is the version's name in messages.
+    ///
+    /// # Errors
+    ///
+    /// Everything that is wrong with the version, the absence of this dispatcher's zone included.
+    pub fn with_version(&self, name: &str, parts: &SharedParts) -> Result<Self, Diagnostics> {
+        // A form under another part's name would be changed and removed with that part.
+        for (part, text) in parts.iter() {
+            sexp::with_form(&format!("{name}, {part}"), text, part, |_| Ok(()))?;
+        }
+        let text = parts.to_deployment_text();
+        schema::check(DocumentKind::Version, name, &text)?;
+        let known: Vec<&str> = schema::shared_part_names().collect();
+        let read = sexp::with_form(name, &text, "deployment", |form| {
+            let parts = form.parts(&known)?;
+            let shared = SharedSettings::read(&parts)?;
+            let zone = &self.zones[self.cluster.zone.0];
+            let position = shared.zones.iter().position(|known| known == zone);
+            let missing = || {
+                parts
+                    .required("halls")
+                    .map(|form| form.diagnostic(format!("lacks `{zone}`, where this one is")))
+            };
+            let zone = match position {
+                Some(position) => ZoneId(position),
+                None => return Err(missing()?),
+            };
+            let cluster = Cluster {
+                zone,
+                scheduler_index: self.cluster.scheduler_index,
+                ..shared.cluster
+            };
+            Ok(Deployment {
+                cluster,
+                zones: shared.zones,
+                machine_types: shared.machine_types,
+                service_classes: shared.service_classes,
+                tenants: shared.tenants,
+                limits: shared.limits,
+                allowed_networks: shared.allowed_networks,
+                version: VersionId {
+                    number: self.version.number,
+                    digest: shared.shared_parts.digest(),
+                },
+                shared_parts: shared.shared_parts,
+                ..self.clone()
+            })
+        });
+        Ok(read?)
+    }
+
+    /// Whether a client may connect from this address.
+    pub fn allows_client(&self, address: IpAddr) -> bool {
+        let address = address.to_canonical();
+        self.allowed_networks.is_empty()
+            || self
+                .allowed_networks
+                .iter()
+                .any(|network| network.contains(&address))
+    }
+}
+
+fn path(parts: &Parts, name: &str) -> Result<Option<PathBuf>, Diagnostic> {
+    let text = parts.get(name).map(Form::string).transpose()?;
+    Ok(text.map(PathBuf::from))
+}
+
+/// `(maintenance (every 500 ms))`
+fn maintenance_interval(form: &Form) -> Result<Ticks, Diagnostic> {
+    form.parts(&["every"])?
+        .get_or("every", 5_000, |form| match form.time()? {
+            time if time >= 1_000 => Ok(time),
+            _ => Err(form.diagnostic("must be 100 ms or more")),
+        })
+}
+
+/// `(keepers 3 5 8)`
+fn machine_ids(form: &Form) -> Result<Vec<MachineId>, Diagnostic> {
+    let ids = form.integers(u64::from(u32::MAX))?;
+    Ok(ids.into_iter().map(|id| MachineId(id as u32)).collect())
+}
--- a/crates/config/src/plain.rs
+++ b/crates/config/src/document.rs
@@ -1,17 +1,23 @@
-//! A text as plain data, as the schema sees it: a form whose rest are forms is an object, any other
-//! an array of its atoms. Each value's place in the text is kept, so that what the schema finds can
-//! be told with it.
+//! A text as plain data, as the schema sees it: a form that holds forms is an object, any other an
+//! array of its values. Each value's position in the text is kept, so that what the schema reports
+//! can be positioned.
 
+use crate::schema::escape_pointer;
 use crate::sexp::{Diagnostic, datum, on_large_stack};
 use lexpr::datum::Ref;
 use serde_json::{Map, Number, Value};
 use std::collections::BTreeMap;
 
-/// Forms within forms at the most; what is deeper is no deployment.
+/// How deep forms may be nested.
 const MAX_DEPTH: usize = 16;
+
+/// One form as data.
 pub struct Document {
+    /// The outermost form's name.
     pub name: String,
+    /// What follows the name.
     pub data: Value,
+    /// What was wrong already without the schema.
     pub diagnostics: Vec<Diagnostic>,
     /// Line and column by JSON pointer.
     positions: BTreeMap<String, (usize, usize)>,
@@ -21,12 +27,12 @@
 impl Document {
     /// Reads a text that holds one form.
     pub fn read(file: &str, text: &str) -> Result<Document, Diagnostic> {
-        on_large_stack(file, || Document::read_here(file, text))
+        on_large_stack(file, || Document::read_on_this_stack(file, text))
     }
 
-    fn read_here(file: &str, text: &str) -> Result<Document, Diagnostic> {
+    fn read_on_this_stack(file: &str, text: &str) -> Result<Document, Diagnostic> {
         let datum = datum(file, text)?;
-        let mut plain = Document {
+        let mut document = Document {
             name: String::new(),
             data: Value::Null,
             diagnostics: Vec::new(),
@@ -34,60 +40,52 @@
             file: file.into(),
         };
         let Some((name, rest)) = form(datum.as_ref()) else {
-            let why = "a form `(name …)` must stand here".into();
-            return Err(Diagnostic {
-                file: file.into(),
-                line: 1,
-                column: 1,
-                path: "file".into(),
-                message: why,
-            });
+            let message = "a form `(name …)` must stand here".into();
+            return Err(Diagnostic::of_file(file, message));
         };
-        plain.name = name.into();
-        plain.data = plain.value(datum.as_ref(), &rest, String::new(), 0);
-        Ok(plain)
+        document.name = name.into();
+        document.data = document.value(datum.as_ref(), &rest, String::new(), 0);
+        Ok(document)
     }
 
-    /// Something wrong with the value at this pointer, or with what is around it where there is
-    /// none.
-    pub fn diagnostic(&self, pointer: &str, why: String) -> Diagnostic {
+    /// Something wrong with the value at this JSON pointer, or with what encloses it where there is
+    /// no such value.
+    pub fn diagnostic(&self, pointer: &str, message: String) -> Diagnostic {
         let mut at = pointer;
         let (line, column) = loop {
             match (self.positions.get(at), at.rfind('/')) {
-                (Some(&place), _) => break place,
+                (Some(&position), _) => break position,
                 (None, Some(cut)) => at = &at[..cut],
                 (None, None) => break (1, 1),
             }
         };
-        let part = pointer
+        let path = pointer
             .trim_start_matches('/')
             .replace("~1", "/")
             .replace("~0", "~");
-        // Of a form with one value it goes without saying which.
-        let part = match part.rsplit_once('/') {
+        // The index of a value is left out.
+        let path = match path.rsplit_once('/') {
             Some((form, index)) if index.bytes().all(|byte| byte.is_ascii_digit()) => {
                 form.to_string()
             }
-            _ => part,
+            _ => path,
         };
-        let part = if part.is_empty() {
+        let path = if path.is_empty() {
             self.name.clone()
         } else {
-            part
+            path
         };
         Diagnostic {
             file: self.file.clone(),
             line,
             column,
-            path: part,
-            message: why,
+            path,
+            message,
         }
     }
 
     fn value(&mut self, at: Ref, rest: &[Ref], pointer: String, depth: usize) -> Value {
-        let start = at.span().start();
-        self.positions
-            .insert(pointer.clone(), (start.line(), start.column().max(1)));
+        self.record_position(&pointer, at);
         if depth > MAX_DEPTH {
             self.diagnostics
                 .push(self.diagnostic(&pointer, "nested too deep".into()));
@@ -98,33 +96,20 @@
         for (index, &each) in rest.iter().enumerate() {
             match form(each) {
                 Some((name, own)) => {
-                    let within =
-                        format!("{pointer}/{}", name.replace('~', "~0").replace('/', "~1"));
+                    let inner = format!("{pointer}/{}", escape_pointer(name));
                     if forms.contains_key(name) {
-                        let start = each.span().start();
-                        let fault = self.diagnostic(&within, "stands here twice".into());
-                        let (line, column) = (start.line(), start.column().max(1));
-                        self.diagnostics.push(Diagnostic {
-                            line,
-                            column,
-                            ..fault
-                        });
+                        self.push_repeated(&inner, each);
                         continue;
                     }
-                    let value = self.value(each, &own, within, depth + 1);
+                    let value = self.value(each, &own, inner, depth + 1);
                     forms.insert(name.into(), value);
                 }
                 None => {
-                    let within = format!("{pointer}/{index}");
-                    let start = each.span().start();
-                    self.positions
-                        .insert(within.clone(), (start.line(), start.column().max(1)));
+                    let inner = format!("{pointer}/{index}");
+                    self.record_position(&inner, each);
                     match atom(each) {
                         Some(value) => atoms.push(value),
-                        None => {
-                            let why = format!("`{}` is no word, text, number or form", brief(each));
-                            self.diagnostics.push(self.diagnostic(&within, why));
-                        }
+                        None => self.push_unknown_value(&inner, each),
                     }
                 }
             }
@@ -139,6 +124,31 @@
             Value::Array(atoms)
         }
     }
+
+    fn record_position(&mut self, pointer: &str, at: Ref) {
+        self.positions.insert(pointer.into(), position(at));
+    }
+
+    fn push_repeated(&mut self, pointer: &str, at: Ref) {
+        let (line, column) = position(at);
+        let diagnostic = self.diagnostic(pointer, "stands here twice".into());
+        self.diagnostics.push(Diagnostic {
+            line,
+            column,
+            ..diagnostic
+        });
+    }
+
+    fn push_unknown_value(&mut self, pointer: &str, at: Ref) {
+        let message = format!("`{}` is no word, text, number or form", brief(at));
+        self.diagnostics.push(self.diagnostic(pointer, message));
+    }
+}
+
+/// Line and column of a value's start, both from 1.
+fn position(at: Ref) -> (usize, usize) {
+    let start = at.span().start();
+    (start.line(), start.column().max(1))
 }
 
 fn brief(at: Ref) -> String {
@@ -157,14 +167,14 @@
     if let Some(text) = value.as_symbol().or(value.as_str()) {
         return Some(text.into());
     }
-    if let Some(truth) = value.as_bool() {
-        return Some(truth.into());
+    if let Some(boolean) = value.as_bool() {
+        return Some(boolean.into());
     }
-    let whole = value
+    let integer = value
         .as_u64()
         .map(Number::from)
         .or(value.as_i64().map(Number::from));
-    whole
+    integer
         .or_else(|| value.as_f64().and_then(Number::from_f64))
         .map(Value::Number)
 }
--- a/crates/config/src/schema.rs
+++ b/crates/config/src/schema.rs
@@ -1,23 +1,23 @@
-//! The one schema of the file and of streamed versions, and the check against it. All that is wrong
-//! is told at once, each with its place.
+//! The schema of the file and of streamed versions, and the check against it. Everything that is
+//! wrong is reported at once, each with its position.
 
-use crate::plain::Document;
+use crate::document::Document;
 use crate::sexp::{Diagnostic, Diagnostics};
 use jsonschema::Validator;
 use jsonschema::error::ValidationErrorKind as Kind;
 use serde_json::{Map, Value, json};
 use std::sync::OnceLock;
 
-/// Which of the two a text is.
+/// Which kind of document a text is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DocumentKind {
-    /// A dispatcher's own file: what it shares with the others and what is its own.
+    /// A dispatcher's file: shared parts and its own.
     File,
-    /// A streamed version: what all dispatchers share.
+    /// A streamed version: shared parts only.
     Version,
 }
 
-/// Faults told of one text at the most.
+/// The largest number of diagnostics reported for one text.
 const MAX_DIAGNOSTICS: usize = 50;
 
 fn parts() -> &'static Value {
@@ -27,7 +27,7 @@
     PARTS.get_or_init(read)
 }
 
-/// The names of the parts that all dispatchers share, in the order of the alphabet.
+/// Names of the parts that all dispatchers share, in alphabetical order.
 pub fn shared_part_names() -> impl Iterator<Item = &'static str> {
     parts()["shared"]["properties"]
         .as_object()
@@ -36,7 +36,7 @@
         .map(String::as_str)
 }
 
-/// The names of the parts that are each dispatcher's own.
+/// Names of the parts that are each dispatcher's own.
 pub fn local_part_names() -> impl Iterator<Item = &'static str> {
     parts()["local"]["properties"]
         .as_object()
@@ -45,9 +45,9 @@
         .map(String::as_str)
 }
 
-/// The schema as JSON Schema, draft 2020-12. A form whose rest are forms is an object, any other an
-/// array.
-pub fn json_schema(of: DocumentKind) -> Value {
+/// The schema as JSON Schema, draft 2020-12. A form that holds forms is an object, any other an
+/// array of its values.
+pub fn json_schema(kind: DocumentKind) -> Value {
     let form = |groups: &[&str]| {
         let mut properties = Map::new();
         let mut required = Vec::new();
@@ -65,141 +65,136 @@
     json!({
         "$schema": "https://json-schema.org/draft/2020-12/schema",
         "title": "corkspan deployment",
-        "$ref": match of { DocumentKind::File => "#/$defs/file", DocumentKind::Version => "#/$defs/version" },
+        "$ref": match kind { DocumentKind::File => "#/$defs/file", DocumentKind::Version => "#/$defs/version" },
         "$defs": definitions,
     })
 }
 
-fn validator(of: DocumentKind) -> &'static Validator {
-    static BOTH: OnceLock<[Validator; 2]> = OnceLock::new();
-    let both = BOTH.get_or_init(|| {
-        [DocumentKind::File, DocumentKind::Version].map(|of| {
-            jsonschema::validator_for(&json_schema(of)).expect("the schema is one of draft 2020-12")
+fn validator(kind: DocumentKind) -> &'static Validator {
+    static VALIDATORS: OnceLock<[Validator; 2]> = OnceLock::new();
+    let validators = VALIDATORS.get_or_init(|| {
+        [DocumentKind::File, DocumentKind::Version].map(|kind| {
+            jsonschema::validator_for(&json_schema(kind))
+                .expect("the schema is one of draft 2020-12")
         })
     });
-    match of {
-        DocumentKind::File => &both[0],
-        DocumentKind::Version => &both[1],
+    match kind {
+        DocumentKind::File => &validators[0],
+        DocumentKind::Version => &validators[1],
     }
 }
 
-/// Checks a text against the schema, and what it names against what it defines.
-pub fn check(of: DocumentKind, file: &str, text: &str) -> Result<Document, Diagnostics> {
-    let mut plain = Document::read(file, text)?;
-    if plain.name != "deployment" {
-        let why = format!("`(deployment …)` must stand here, not `({} …)`", plain.name);
-        return Err(plain.diagnostic("", why).into());
+/// Checks a text against the schema, and the names it uses against those it defines.
+///
+/// # Errors
+///
+/// Everything that is wrong, up to 50 diagnostics.
+pub fn check(kind: DocumentKind, file: &str, text: &str) -> Result<Document, Diagnostics> {
+    let mut document = Document::read(file, text)?;
+    if document.name != "deployment" {
+        let message = format!(
+            "`(deployment …)` must stand here, not `({} …)`",
+            document.name
+        );
+        return Err(document.diagnostic("", message).into());
     }
-    let mut faults = std::mem::take(&mut plain.diagnostics);
-    for error in validator(of).iter_errors(&plain.data) {
+    let mut diagnostics = std::mem::take(&mut document.diagnostics);
+    for error in validator(kind).iter_errors(&document.data) {
         push_diagnostics(
-            &plain,
+            &document,
             error.instance_path().as_str(),
             error.kind(),
             &error.to_string(),
-            &mut faults,
+            &mut diagnostics,
         );
-        if faults.len() > MAX_DIAGNOSTICS {
+        if diagnostics.len() > MAX_DIAGNOSTICS {
             break;
         }
     }
-    references(&plain, &mut faults);
-    match faults.is_empty() {
-        true => Ok(plain),
-        false => Err(Diagnostics::limited(faults, MAX_DIAGNOSTICS)),
+    references(&document, &mut diagnostics);
+    match diagnostics.is_empty() {
+        true => Ok(document),
+        false => Err(Diagnostics::limited(diagnostics, MAX_DIAGNOSTICS)),
     }
 }
 
 fn push_diagnostics(
-    plain: &Document,
+    document: &Document,
     pointer: &str,
     kind: &Kind,
-    words: &str,
-    faults: &mut Vec<Diagnostic>,
+    error: &str,
+    diagnostics: &mut Vec<Diagnostic>,
 ) {
-    let within = |name: &str| format!("{pointer}/{}", name.replace('~', "~0").replace('/', "~1"));
     match kind {
         Kind::AdditionalProperties { unexpected } => {
-            // A part of the file in a version is a mistake of its own.
-            let why = |name: &str| {
-                match local_part_names().any(|own| own == name) && pointer.is_empty() {
-                true => {
-                    "is each dispatcher's own, and stands in its file alone; a change needs a restart".into()
-                }
-                false => String::from("unknown here"),
-            }
-            };
-            faults.extend(
-                unexpected
-                    .iter()
-                    .take(MAX_DIAGNOSTICS)
-                    .map(|name| plain.diagnostic(&within(name), why(name))),
-            );
+            let unexpected = unexpected.iter().take(MAX_DIAGNOSTICS);
+            diagnostics.extend(unexpected.map(|name| unexpected_part(document, pointer, name)));
         }
-        Kind::Required { property } => {
-            let name = property.as_str().unwrap_or_default();
-            faults.push(plain.diagnostic(pointer, format!("lacks `({name} …)`")));
+        _ => {
+            diagnostics.push(document.diagnostic(pointer, message(document, pointer, kind, error)))
         }
-        Kind::FalseSchema => {
-            faults.push(
-                plain.diagnostic(pointer, "stands only beside `(repeat deduplicated)`".into()),
-            );
+    }
+}
+
+/// A part of the file in a version is a mistake of its own.
+fn unexpected_part(document: &Document, pointer: &str, name: &str) -> Diagnostic {
+    let message = if pointer.is_empty() && local_part_names().any(|own| own == name) {
+        "is each dispatcher's own, and stands in its file alone; a change needs a restart"
+    } else {
+        "unknown here"
+    };
+    let inner = format!("{pointer}/{}", escape_pointer(name));
+    document.diagnostic(&inner, message.into())
+}
+
+fn message(document: &Document, pointer: &str, kind: &Kind, error: &str) -> String {
+    match kind {
+        Kind::Required { property } => {
+            format!("lacks `({} …)`", property.as_str().unwrap_or_default())
         }
+        Kind::FalseSchema => "stands only beside `(repeat deduplicated)`".into(),
         Kind::Enum { options } => {
-            let known: Vec<String> = options
-                .as_array()
-                .into_iter()
-                .flatten()
-                .map(symbol_text)
-                .collect();
-            faults.push(plain.diagnostic(pointer, format!("must be one of: {}", known.join(", "))));
-        }
-        Kind::Minimum { limit } => {
-            faults.push(plain.diagnostic(pointer, format!("must be {limit} or more")))
-        }
-        Kind::ExclusiveMinimum { limit } => {
-            faults.push(plain.diagnostic(pointer, format!("must be above {limit}")));
-        }
-        Kind::Maximum { limit } => {
-            faults.push(plain.diagnostic(pointer, format!("must be {limit} at the most")))
-        }
-        Kind::Type { .. } => {
-            let wanted = match plain.data.pointer(pointer) {
-                Some(Value::Object(_)) => "must be followed by its values",
-                Some(Value::Array(_)) => "must be followed by forms",
-                Some(Value::String(_)) => "must be a number, or #t or #f, not a word",
-                _ => "is of the wrong kind",
-            };
-            faults.push(plain.diagnostic(pointer, wanted.into()));
+            let options = options.as_array().into_iter().flatten();
+            let known: Vec<String> = options.map(symbol_text).collect();
+            format!("must be one of: {}", known.join(", "))
         }
-        Kind::AdditionalItems { .. } | Kind::MaxItems { .. } => {
-            faults.push(plain.diagnostic(pointer, "has too many values".into()));
+        Kind::Minimum { limit } => format!("must be {limit} or more"),
+        Kind::ExclusiveMinimum { limit } => format!("must be above {limit}"),
+        Kind::Maximum { limit } => format!("must be {limit} at the most"),
+        Kind::Type { .. } => match document.data.pointer(pointer) {
+            Some(Value::Object(_)) => "must be followed by its values",
+            Some(Value::Array(_)) => "must be followed by forms",
+            Some(Value::String(_)) => "must be a number, or #t or #f, not a word",
+            _ => "is of the wrong kind",
         }
-        Kind::MinItems { .. } => {
-            faults.push(plain.diagnostic(pointer, "has too few values".into()))
-        }
-        Kind::UniqueItems => faults.push(plain.diagnostic(pointer, "names one twice".into())),
-        Kind::Pattern { .. } => {
-            faults.push(plain.diagnostic(pointer, "is no address with a port".into()))
-        }
-        _ => faults.push(plain.diagnostic(pointer, words.chars().take(200).collect())),
+        .into(),
+        Kind::AdditionalItems { .. } | Kind::MaxItems { .. } => "has too many values".into(),
+        Kind::MinItems { .. } => "has too few values".into(),
+        Kind::UniqueItems => "names one twice".into(),
+        Kind::Pattern { .. } => "is no address with a port".into(),
+        _ => error.chars().take(200).collect(),
     }
 }
 
+/// A name as a step of a JSON pointer.
+pub(crate) fn escape_pointer(name: &str) -> String {
+    name.replace('~', "~0").replace('/', "~1")
+}
+
 fn symbol_text(value: &Value) -> String {
     value
         .as_str()
         .map_or_else(|| value.to_string(), String::from)
 }
 
-/// What one part names and another defines; a schema can't say it.
-fn references(plain: &Document, faults: &mut Vec<Diagnostic>) {
-    let data = &plain.data;
+/// Names that one part uses and another defines; a schema cannot express that.
+fn references(document: &Document, diagnostics: &mut Vec<Diagnostic>) {
+    let data = &document.data;
     let list = |names: &[Value]| names.iter().map(symbol_text).collect::<Vec<_>>().join(", ");
     if let (Some(hall), Some(halls)) = (data.pointer("/hall/0"), data["halls"].as_array())
         && !halls.contains(hall)
     {
-        faults.push(plain.diagnostic(
+        diagnostics.push(document.diagnostic(
             "/hall/0",
             format!("`{}` is none of: {}", symbol_text(hall), list(halls)),
         ));
@@ -208,8 +203,8 @@
     if let (Some(number), Some(schedulers)) = (whole("/number/0"), whole("/schedulers/0"))
         && number >= schedulers
     {
-        let why = format!("{number} is beyond the {schedulers} schedulers, counted from 0");
-        faults.push(plain.diagnostic("/number/0", why));
+        let message = format!("{number} is beyond the {schedulers} schedulers, counted from 0");
+        diagnostics.push(document.diagnostic("/number/0", message));
     }
     let (Some(tracks), Some(kinds)) = (data["tracks"].as_object(), data["kinds"].as_object())
     else {
@@ -221,11 +216,8 @@
         };
         if !kinds.contains_key(kind) {
             let known: Vec<&str> = kinds.keys().map(String::as_str).take(20).collect();
-            let pointer = format!(
-                "/tracks/{}/kind/0",
-                name.replace('~', "~0").replace('/', "~1")
-            );
-            faults.push(plain.diagnostic(
+            let pointer = format!("/tracks/{}/kind/0", escape_pointer(name));
+            diagnostics.push(document.diagnostic(
                 &pointer,
                 format!("`{kind}` is none of: {}", known.join(", ")),
             ));
--- a/crates/config/src/version.rs
+++ b/crates/config/src/version.rs
@@ -30,15 +30,17 @@
         Ok(read?)
     }
 
+    /// Name and text of each part, by name.
     pub fn iter(&self) -> impl Iterator<Item = (&str, &str)> {
         self.0.iter().map(|(name, text)| (&name[..], &text[..]))
     }
 
+    /// The text of the part of this name.
     pub fn get(&self, name: &str) -> Option<&str> {
         self.0.get(name).map(String::as_str)
     }
 
-    /// These with some parts changed and some taken away.
+    /// These parts with some changed or added and some removed.
     pub fn with_changes(&self, changes: &SharedParts, removed: &[String]) -> SharedParts {
         let mut parts = self.0.clone();
         removed.iter().for_each(|name| drop(parts.remove(name)));
@@ -51,7 +53,7 @@
         SharedParts(parts)
     }
 
-    /// What leads from these to those: changed and new parts, and the names of those that are gone.
+    /// The difference to a later version: changed and added parts, and the names of those removed.
     pub fn changes_to(&self, later: &SharedParts) -> (SharedParts, Vec<String>) {
         let changed = later
             .0
@@ -68,18 +70,18 @@
         )
     }
 
-    /// All as one form, a part a line.
+    /// All parts as one `(deployment …)`, a part a line.
     pub fn to_deployment_text(&self) -> String {
-        let mut whole = String::from("(deployment");
+        let mut text_of_all = String::from("(deployment");
         self.0.values().for_each(|text| {
-            whole.push_str("\n  ");
-            whole.push_str(text);
+            text_of_all.push_str("\n  ");
+            text_of_all.push_str(text);
         });
-        whole.push_str(")\n");
-        whole
+        text_of_all.push_str(")\n");
+        text_of_all
     }
 
-    /// SHA-256 over names and texts, the same wherever the same is said.
+    /// SHA-256 over names and texts; the same for equal parts, whatever their original layout.
     pub fn digest(&self) -> Digest {
         let mut hasher = Sha256::new();
         for (name, text) in &self.0 {
@@ -92,11 +94,15 @@
     }
 }
 
+/// A SHA-256 digest of shared parts.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Digest(pub [u8; 32]);
+pub struct Digest(
+    /// The 32 bytes of SHA-256.
+    pub [u8; 32],
+);
 
 impl Digest {
-    /// None where it is not 64 hexadecimal digits.
+    /// Reads 64 hexadecimal digits; none where the text is anything else.
     pub fn from_hex(text: &str) -> Option<Self> {
         let mut bytes = [0; 32];
         if text.len() != 64 || !text.bytes().all(|byte| byte.is_ascii_hexdigit()) {
@@ -126,7 +132,9 @@
 /// A version's number and what it says, by digest. Number 0 is a dispatcher's own file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct VersionId {
+    /// From 1; 0 is a dispatcher's own file.
     pub number: u64,
+    /// Of the shared parts.
     pub digest: Digest,
 }
 
