--- a/crates/config/tests/faults.rs
+++ b/crates/config/tests/diagnostics.rs
@@ -1,5 +1,4 @@
-//! What is wrong with a file is told with its place and the part; what is right is read as it
-//! stands.
+//! What is wrong with a file is reported with its position and part; a valid file is read.
 
 use corkspan_config::Deployment;
 use corkspan_config::schema::{self, DocumentKind};
@@ -9,7 +8,7 @@
 use std::time::{Duration, Instant};
 use test_case::test_case;
 
-const SOUND: &str = r#"(deployment
+const VALID: &str = r#"(deployment
   (listen "127.0.0.1:0")
   (roster "127.0.0.1:7000")
   (hall a) (number 1) (schedulers 3) (halls a b)
@@ -24,14 +23,14 @@
   (cold (lasts 14 s) (window 1 s) (offers 29)))"#;
 
 fn fault(from: &str, to: &str) -> String {
-    assert!(SOUND.contains(from), "the text holds `{from}`");
-    let fault = Deployment::parse("d.sexp", &SOUND.replacen(from, to, 1)).map(drop);
+    assert!(VALID.contains(from), "the text holds `{from}`");
+    let fault = Deployment::parse("d.sexp", &VALID.replacen(from, to, 1)).map(drop);
     fault.expect_err("a fault").to_string()
 }
 
 #[test]
-fn a_sound_file_is_read_as_it_stands() {
-    let read = Deployment::parse("d.sexp", SOUND).expect("sound");
+fn a_valid_file_is_read() {
+    let read = Deployment::parse("d.sexp", VALID).expect("valid");
     assert_eq!(read.service_classes, ["web", "jobs"]);
     assert_eq!(read.cluster.scheduler_index, 1);
     assert!(read.cluster.placed_means_running);
@@ -71,20 +70,20 @@
 #[test_case("(placed-when running)", "(placed-when running) (bounds (message 3))", "d.sexp:12:", "bounds/message"; "a bound out of range")]
 #[test_case("(deployment", "(day", "d.sexp:1:", "`(deployment …)` must stand here"; "another file")]
 #[test_case("(offers 29)))", "(offers 29))", "d.sexp:13:", "EOF"; "cut off")]
-fn is_told_with_its_place(from: &str, to: &str, place: &str, why: &str) {
+fn an_invalid_file_is_reported_with_its_position(from: &str, to: &str, place: &str, why: &str) {
     let fault = fault(from, to);
     assert!(fault.starts_with(place), "{fault}");
     assert!(fault.contains(why), "{fault}");
 }
 
 #[test]
-fn a_file_nested_without_end_is_no_panic() {
+fn an_endlessly_nested_file_does_not_panic() {
     let deep = "(".repeat(100_000);
     assert!(Deployment::parse("d.sexp", &deep).is_err());
 }
 
 #[test]
-fn a_missing_file_is_named() {
+fn a_missing_file_is_reported_by_name() {
     let fault = Deployment::load(std::path::Path::new("no/such.sexp"))
         .map(drop)
         .expect_err("missing");
@@ -92,8 +91,8 @@
 }
 
 #[test]
-fn all_that_is_wrong_is_told_at_once_in_the_order_of_the_text() {
-    let text = SOUND
+fn all_errors_are_reported_at_once_in_the_order_of_the_text() {
+    let text = VALID
         .replace("(cores 8)", "(cores -8)")
         .replace("(window 6 s)", "(window 6 h)");
     let text = text
@@ -118,7 +117,7 @@
 }
 
 fn shared() -> SharedParts {
-    SharedParts::parse("d.sexp", SOUND).expect("sound")
+    SharedParts::parse("d.sexp", VALID).expect("valid")
 }
 
 fn version(changes: &str) -> SharedParts {
@@ -127,11 +126,11 @@
 }
 
 #[test]
-fn a_version_changes_what_is_shared_and_leaves_the_rest() {
-    let file = Deployment::parse("d.sexp", SOUND).expect("sound");
+fn a_version_changes_the_shared_parts_and_leaves_the_rest() {
+    let file = Deployment::parse("d.sexp", VALID).expect("valid");
     let changed = file
         .with_version("v2", &version("(shots 5) (allow \"10.0.0.0/8\" \"::1\")"))
-        .expect("sound");
+        .expect("valid");
     assert_eq!(
         (
             changed.cluster.max_attempts,
@@ -145,7 +144,7 @@
         allows("10.9.8.7") && allows("::1") && allows("::ffff:10.0.0.1") && !allows("127.0.0.1")
     );
     assert!(file.allows_client("127.0.0.1".parse().expect("an address")));
-    let back = changed.with_version("v3", &shared()).expect("sound");
+    let back = changed.with_version("v3", &shared()).expect("valid");
     assert_eq!(
         (back.cluster.max_attempts, back.shared_parts.digest()),
         (3, file.shared_parts.digest())
@@ -155,8 +154,8 @@
 #[test_case("(allow \"10.0.0.0/40\")", "no address and no network"; "a network that is none")]
 #[test_case("(halls b)", "lacks `a`, where this one is"; "its own hall gone")]
 #[test_case("(tracks)", "tracks"; "no tracks")]
-fn a_version_that_can_not_be_read_is_told_why(changes: &str, why: &str) {
-    let file = Deployment::parse("d.sexp", SOUND).expect("sound");
+fn an_invalid_version_is_reported_with_its_reason(changes: &str, why: &str) {
+    let file = Deployment::parse("d.sexp", VALID).expect("valid");
     let fault = file
         .with_version("v2", &version(changes))
         .map(drop)
@@ -166,14 +165,14 @@
 }
 
 #[test]
-fn what_is_each_dispatchers_own_is_turned_down_in_a_version() {
+fn a_local_part_in_a_version_is_rejected() {
     let texts = shared().with_changes(
         &[("number".to_string(), "(number 7)".to_string())]
             .into_iter()
             .collect(),
         &[],
     );
-    let file = Deployment::parse("d.sexp", SOUND).expect("sound");
+    let file = Deployment::parse("d.sexp", VALID).expect("valid");
     let fault = file
         .with_version("v2", &texts)
         .map(drop)
@@ -188,14 +187,14 @@
 #[test_case("(cold (lasts 1 s) (window 1 s) (offers 2))", "`(shots …)` must stand here"; "another part")]
 #[test_case("(shots 3) (may-probe #t)", "trailing"; "two parts")]
 #[test_case("(shots", "EOF"; "half a part")]
-fn a_part_that_is_not_what_its_name_says_is_turned_down(text: &str, why: &str) {
+fn a_part_under_another_name_is_rejected(text: &str, why: &str) {
     let texts = shared().with_changes(
         &[("shots".to_string(), text.to_string())]
             .into_iter()
             .collect(),
         &[],
     );
-    let file = Deployment::parse("d.sexp", SOUND).expect("sound");
+    let file = Deployment::parse("d.sexp", VALID).expect("valid");
     let fault = file
         .with_version("v2", &texts)
         .map(drop)
@@ -208,17 +207,17 @@
 }
 
 #[test]
-fn a_digest_tells_texts_apart_and_not_how_they_are_written() {
-    let spaced = SOUND.replace(" (", "   ; a comment\n (");
-    let of = |text: &str| SharedParts::parse("d", text).expect("sound").digest();
-    assert_eq!(of(SOUND), of(&spaced));
-    assert_ne!(of(SOUND), of(&SOUND.replace("(offers 29)", "(offers 28)")));
+fn a_digest_depends_on_content_and_not_on_layout() {
+    let spaced = VALID.replace(" (", "   ; a comment\n (");
+    let of = |text: &str| SharedParts::parse("d", text).expect("valid").digest();
+    assert_eq!(of(VALID), of(&spaced));
+    assert_ne!(of(VALID), of(&VALID.replace("(offers 29)", "(offers 28)")));
     // What is each one's own is no part of it.
-    assert_eq!(of(SOUND), of(&SOUND.replace("(number 1)", "(number 2)")));
+    assert_eq!(of(VALID), of(&VALID.replace("(number 1)", "(number 2)")));
 }
 
 #[test]
-fn changes_lead_from_one_version_to_the_other() {
+fn applying_the_difference_of_two_versions_gives_the_later() {
     let (one, other) = (
         version("(shots 5) (makes-room #t)"),
         version("(shots 7) (may-probe #t)"),
@@ -236,7 +235,7 @@
 #[test_case("x "; "words without end")]
 #[test_case("((("; "lists without end")]
 #[test_case("\\"; "an escape without end")]
-fn four_megabytes_of_it_are_refused_in_bounded_time(piece: &str) {
+fn four_megabytes_of_one_piece_are_refused_in_bounded_time(piece: &str) {
     let began = Instant::now();
     let text = format!("(deployment {})", piece.repeat((4 << 20) / piece.len() - 8));
     let faults = Deployment::parse("d.sexp", &text)
@@ -260,11 +259,11 @@
 }
 
 #[test]
-fn as_many_values_as_may_be_are_read_on_a_small_stack() {
+fn the_largest_number_of_values_is_read_on_a_small_stack() {
     let accounts: String = (0..9_900)
         .map(|number| format!("(a{number} (share-cores 1)) "))
         .collect();
-    let text = SOUND.replace("(accounts ", &format!("(accounts {accounts}"));
+    let text = VALID.replace("(accounts ", &format!("(accounts {accounts}"));
     let read = std::thread::Builder::new().stack_size(1 << 20);
     let read =
         read.spawn(move || Deployment::parse("d.sexp", &text).map(|read| read.tenants.len()));
@@ -282,7 +281,7 @@
 fn piece() -> impl Strategy<Value = String> {
     let words = "[\\[(){}\"'`;#.a-z0-9 +-]{0,6}";
     prop_oneof![
-        3 => prop::sample::select(SOUND.split_inclusive([' ', ')']).map(String::from).collect::<Vec<_>>()),
+        3 => prop::sample::select(VALID.split_inclusive([' ', ')']).map(String::from).collect::<Vec<_>>()),
         1 => words.prop_map(String::from),
         1 => Just("(tracks (w (repeat unrepeatable) (contract-time 1e400 s)))".to_string()),
         1 => any::<f64>().prop_map(|value| format!("(cores {value:?})")),
@@ -293,14 +292,14 @@
     #![proptest_config(ProptestConfig { cases: 600, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn no_text_makes_the_reader_panic_and_whatever_the_schema_lets_through_is_read(
+    fn no_text_makes_the_reader_panic_and_what_the_reader_takes_the_schema_takes(
         pieces in prop::collection::vec(piece(), 0..30),
-        at in 0..SOUND.len(),
+        at in 0..VALID.len(),
         cut in 0..40usize,
     ) {
         let put_together: String = pieces.concat();
-        let end = (at + cut).min(SOUND.len());
-        let mended = format!("{}{put_together}{}", &SOUND[..at], &SOUND[end..]);
+        let end = (at + cut).min(VALID.len());
+        let mended = format!("{}{put_together}{}", &VALID[..at], &VALID[end..]);
         for text in [put_together, mended] {
             let read = Deployment::parse("d.sexp", &text);
             let checked = schema::check(DocumentKind::File, "d.sexp", &text);
@@ -309,7 +308,7 @@
             }
             // The reader may know more (a word for a text), never less.
             prop_assert!(checked.is_ok() || read.is_err());
-            let file = Deployment::parse("d.sexp", SOUND).expect("sound");
+            let file = Deployment::parse("d.sexp", VALID).expect("valid");
             if let Ok(texts) = SharedParts::parse("v", &text) {
                 let _ = file.with_version("v", &texts);
             }
@@ -320,8 +319,8 @@
 #[test_case("(floor (every 10 ms))", "1000 ms or more"; "asked too often")]
 #[test_case("(floor (each 2 s))", "each"; "a word that is none")]
 #[test_case("(floor 2)", "floor"; "no form")]
-fn a_floor_that_can_not_be_followed_is_told_with_its_place(part: &str, why: &str) {
-    let text = SOUND
+fn an_invalid_minimum_version_form_is_reported_with_its_position(part: &str, why: &str) {
+    let text = VALID
         .trim_end()
         .strip_suffix(')')
         .expect("a form")
