--- a/crates/lab/src/play.rs
+++ b/crates/lab/src/play.rs
@@ -10,7 +10,7 @@
 use crate::owner::{self, Front, Task};
 use crate::process::{Process, Programs};
 use crate::saturation::SaturationMonitor;
-use crate::scenario::{FaultKind, LinkPeer, Scenario, ScheduledFault};
+use crate::scenario::{FaultKind, LinkPeer, NodeLocation, Scenario, ScheduledFault};
 use crate::wires::Wires;
 use async_io::Timer;
 use corkspan_api::v1;
@@ -126,7 +126,7 @@
         let plan = |id: usize| {
             let wide = id % 2 == 1;
             let (cores, memory) = if wide { (40.0, 60.0) } else { (24.0, 40.0) };
-            let (cell, hall) = self.day.location(id);
+            let NodeLocation { cell, zone: hall } = self.day.location(id);
             NodeConfig {
                 id: 100 + id as u32,
                 machine_type: if wide { "wide" } else { "compact" }.into(),
--- a/crates/lab/tests/hollow.rs
+++ b/crates/lab/tests/hollow.rs
@@ -8,7 +8,7 @@
 use corkspan_lab::needs::{Limits, Needs};
 use corkspan_lab::play::Play;
 use corkspan_lab::process::Programs;
-use corkspan_lab::scenario::Scenario;
+use corkspan_lab::scenario::{NodeLocation, Scenario};
 use corkspan_lab::table::Table;
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -177,7 +177,7 @@
     let day = Scenario::read("size", SIZE).unwrap_or_else(|why| panic!("{why}"));
     let mut places = BTreeSet::new();
     for node in 0..day.nodes {
-        let (cell, hall) = day.location(node);
+        let NodeLocation { cell, zone: hall } = day.location(node);
         places.insert((day.failure_domain(cell), hall));
     }
     let zones: BTreeSet<usize> = places.iter().map(|(zone, _)| *zone).collect();
