--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -3,7 +3,7 @@
 //! [`Scheduler`] makes every decision; [`interface`] has the plain types of its calls and answers.
 //! `policy` decides, `updates` records what is reported, and `state` is what they remember.
 
-#![warn(missing_docs)]
+#![warn(missing_docs, clippy::too_many_lines)]
 
 pub mod interface;
 mod policy;
--- a/crates/scheduler/src/policy/overload.rs
+++ b/crates/scheduler/src/policy/overload.rs
@@ -174,7 +174,7 @@
             + own.sum()
             + new.requested * self.learned.peak_usage.mean_or_one()
             + self.start_usage(machine.has_program(new.service), service_class);
-        let own_hall = machine
+        let own_zone = machine
             .endpoint
             .is_some_and(|endpoint| endpoint.zone == self.cluster.zone);
         let open = self.summary.open_machines.contains(&id);
@@ -186,7 +186,7 @@
             w_max: load.fraction_of(size),
             bearable: load.fits_in(size * overload_limit(service_class)),
             tier: match open && self.accepts(now, machine, size, new.requested) {
-                true => 1 + u8::from(!own_hall && self.cluster.cross_zone_cost > 0.0),
+                true => 1 + u8::from(!own_zone && self.cluster.cross_zone_cost > 0.0),
                 false => HELD_BACK,
             },
         })
--- a/crates/scheduler/src/state/machine.rs
+++ b/crates/scheduler/src/state/machine.rs
@@ -53,9 +53,9 @@
 
     /// Records what it uses now. A resource not reported yet is taken to be used as `usual`, a
     /// share of what was requested.
-    pub fn record_metric(&mut self, note: Metric, usual: Resources) {
+    pub fn record_metric(&mut self, metric: Metric, usual: Resources) {
         let current = self.current_usage.unwrap_or(self.requested * usual);
-        match note {
+        match metric {
             Metric::Cores(cores) => {
                 self.current_usage = Some(Resources { cores, ..current });
                 self.peak_usage.cores = self.peak_usage.cores.max(cores);
--- a/crates/scheduler/src/updates.rs
+++ b/crates/scheduler/src/updates.rs
@@ -11,14 +11,14 @@
 
 impl Scheduler {
     /// The endpoint list, or what has changed in it.
-    pub fn apply_endpoint_list(&mut self, scope: ListUpdate, entries: &[Endpoint]) {
-        if scope == ListUpdate::Complete {
+    pub fn apply_endpoint_list(&mut self, update: ListUpdate, endpoints: &[Endpoint]) {
+        if update == ListUpdate::Complete {
             self.machines.values_mut().for_each(Machine::mark_gone);
         }
-        if scope != ListUpdate::Cached {
+        if update != ListUpdate::Cached {
             self.watch_failures = 0;
         }
-        for &endpoint in entries {
+        for &endpoint in endpoints {
             let machine = self.machines.entry(endpoint.machine).or_default();
             // Where it is counts for the spread of all machines there.
             let identity = |one: Endpoint| (one.cell, one.zone, one.started_at);
@@ -62,7 +62,7 @@
     }
 
     /// A metric of a placed allocation has been reported.
-    pub fn record_metric(&mut self, now: Ticks, id: AllocationId, note: Metric) {
+    pub fn record_metric(&mut self, now: Ticks, id: AllocationId, metric: Metric) {
         let usual = self.learned.peak_usage.mean_or_one();
         let machine = self.machine_of.get(&id);
         let Some(machine) = machine.and_then(|at| self.machines.get_mut(at)) else {
@@ -72,9 +72,9 @@
         let Some(placed) = machine.allocations.get_mut(&id) else {
             return;
         };
-        placed.record_metric(note, usual);
+        placed.record_metric(metric, usual);
         let current = &mut self.learned.current_usage;
-        match note {
+        match metric {
             Metric::Running if !placed.running => {
                 placed.running = true;
                 let time = (now - placed.sent_at) as f64;
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,6 +1,6 @@
 //! Runs corkspan's decisions on the simulator's wire: lines in, calls on the engine, lines out.
 
-#![warn(missing_docs)]
+#![warn(missing_docs, clippy::too_many_lines)]
 
 mod decode;
 mod error;
