--- a/crates/engine/tests/stories.rs
+++ b/crates/engine/tests/engine.rs
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn a_second_of_the_same_name_is_not_taken_and_its_owner_gets_its_own_back() {
+fn a_duplicate_name_is_not_admitted_and_the_data_is_given_back() {
     let mut host = host(RetrySafety::Idempotent, 1, 10);
     host.admit(0, "a", asked(SECOND), "first").expect("room");
     let again = host.admit(0, "a", asked(SECOND), "second");
@@ -176,7 +176,7 @@
 }
 
 #[test]
-fn beyond_the_most_in_hand_none_is_taken_until_one_is_over() {
+fn past_the_limit_none_is_admitted_until_one_is_over() {
     let mut host = host(RetrySafety::Idempotent, 0, 1);
     let id = host.admit(0, "a", asked(SECOND), "a").expect("room");
     assert_eq!(
@@ -188,7 +188,7 @@
 }
 
 #[test]
-fn one_that_no_machine_takes_waits_and_is_shed_in_its_time() {
+fn an_allocation_that_no_machine_takes_waits_and_is_shed_before_its_deadline() {
     let (mut host, mut wire) = (host(RetrySafety::Idempotent, 0, 10), Noted::default());
     let id = host.admit(0, "a", asked(SECOND), "a").expect("room");
     host.place(0, id, &mut wire);
@@ -204,7 +204,7 @@
 }
 
 #[test]
-fn many_that_wait_are_asked_for_again_a_few_at_a_time_and_all_of_them() {
+fn deferred_allocations_are_retried_in_batches_and_all_of_them() {
     let (mut host, mut wire) = (host(RetrySafety::Idempotent, 0, 10), Noted::default());
     for name in ["a", "b", "c", "d", "e"] {
         let id = host.admit(0, name, asked(10 * SECOND), name).expect("room");
@@ -232,7 +232,7 @@
 }
 
 #[test]
-fn two_that_swap_names_are_each_found_by_the_others_and_leave_only_their_own() {
+fn after_a_swap_of_names_each_is_found_by_the_others_name() {
     let mut host = host(RetrySafety::Idempotent, 1, 10);
     let old = host.admit(0, "task", asked(SECOND), "old").expect("room");
     let new = host.admit(0, "beside", asked(SECOND), "new").expect("room");
@@ -246,7 +246,7 @@
 }
 
 #[test]
-fn the_name_of_a_cancelled_one_is_kept_while_its_shot_is_out() {
+fn the_name_of_a_cancelled_allocation_is_kept_while_its_attempt_is_pending() {
     let (mut host, mut wire) = (host(RetrySafety::NotRetryable, 1, 10), Noted::default());
     let id = host.admit(0, "a", asked(SECOND), "a").expect("room");
     host.place(0, id, &mut wire);
@@ -265,7 +265,7 @@
 }
 
 #[test]
-fn an_answer_that_comes_after_the_end_is_no_answer() {
+fn an_answer_after_the_end_is_ignored() {
     let (mut host, mut wire) = (host(RetrySafety::Idempotent, 1, 10), Noted::default());
     let id = host.admit(0, "a", asked(SECOND), "a").expect("room");
     host.place(0, id, &mut wire);
@@ -283,7 +283,7 @@
 }
 
 #[test]
-fn a_shot_that_was_never_made_is_told_apart() {
+fn an_unknown_attempt_is_reported() {
     let (mut host, mut wire) = (host(RetrySafety::Idempotent, 1, 10), Noted::default());
     let id = host.admit(0, "a", asked(SECOND), "a").expect("room");
     assert!(!host.returned(
@@ -301,7 +301,7 @@
 }
 
 #[test]
-fn at_a_stop_the_waiting_are_answered_at_once_and_the_others_after_their_shot() {
+fn at_a_stop_deferred_allocations_are_answered_at_once_and_others_after_their_attempt() {
     let (mut host, mut wire) = (host(RetrySafety::NotRetryable, 1, 10), Noted::default());
     let out = host
         .admit(0, "out", asked(9 * SECOND), "out")
@@ -337,7 +337,7 @@
 }
 
 #[test]
-fn one_taken_over_owes_no_answer_and_goes_with_its_return() {
+fn an_adopted_allocation_is_owed_no_answer_and_ends_with_its_attempt() {
     let (mut host, mut wire) = (host(RetrySafety::NotRetryable, 1, 10), Noted::default());
     let id = host
         .admit_running(0, "a", asked(0), MachineId(0), "a")
@@ -361,7 +361,7 @@
 }
 
 #[test]
-fn services_have_the_same_number_everywhere() {
+fn a_service_has_the_same_id_everywhere() {
     assert_eq!(service_id("quotes"), service_id("quotes"));
     assert_ne!(service_id("quotes"), service_id("quote"));
 }
@@ -385,7 +385,7 @@
 }
 
 #[test]
-fn asks_by_turns_wait_until_their_caller_has_time_for_one() {
+fn on_demand_evaluations_wait_until_the_caller_has_time() {
     let (mut host, mut wire) = by_turns(1, 3);
     host.poll(1, &mut wire);
     assert!(!wire.said().contains("shot"), "none by itself");
@@ -400,7 +400,7 @@
 }
 
 #[test]
-fn a_caller_that_never_finds_time_for_a_turn_still_answers_all_once_their_time_is_up() {
+fn a_caller_without_time_still_answers_all_at_their_deadline() {
     let (mut host, mut wire) = by_turns(1, 500);
     host.poll(SECOND - 1, &mut wire);
     assert!(!wire.said().contains("shed"), "not before");
@@ -416,7 +416,7 @@
 }
 
 #[test]
-fn those_answered_not_yet_and_new_ones_have_their_turns_in_alternation() {
+fn deferred_and_new_allocations_are_evaluated_in_turns() {
     let (mut host, mut wire) = by_turns(0, 100);
     while turn(&mut host, 1, &mut wire) {}
     host.poll(SECOND / 20 + 1, &mut wire);
@@ -441,7 +441,7 @@
 }
 
 #[test]
-fn asks_that_their_owners_give_up_before_their_turn_do_not_pile_up() {
+fn requests_given_up_before_their_evaluation_do_not_pile_up() {
     let (mut host, mut wire) = by_turns(1, 0);
     for number in 0..10_000 {
         let id = host
@@ -456,7 +456,7 @@
 /// All wait as a zone goes, and all at once there is room. What is asked meanwhile goes with the
 /// views, not with time.
 #[test]
-fn a_thousand_that_wait_are_left_alone_until_there_is_room_and_then_all_are_asked_for_at_once() {
+fn a_thousand_deferred_allocations_are_left_alone_until_there_is_capacity() {
     let mut host = sliced(RetrySafety::Idempotent, 100, 10_000, RetryBatch::ON_DEMAND);
     let report = |host: &mut Engine<&'static str>, now, cores| {
         let report = Some(LoadReport {
--- a/crates/scheduler/tests/waiting.rs
+++ b/crates/scheduler/tests/retries.rs
@@ -347,7 +347,7 @@
 #[test_case(false, false, 1; "one that few share, by what is told")]
 #[test_case(true, false, 3; "room is listed")]
 #[test_case(true, true, 1; "room is listed and lower priorities are pushed out")]
-fn a_look_that_is_left_out_would_have_been_in_vain(
+fn a_skipped_evaluation_would_have_found_no_machine(
     shows_room: bool,
     makes_room: bool,
     schedulers: usize,
@@ -379,7 +379,7 @@
 /// Starts were long, so a crowded machine could not bear one more. What is learnt of others' starts
 /// changes that.
 #[test]
-fn one_that_waits_is_looked_at_again_when_starts_turn_out_to_be_short() {
+fn a_deferred_allocation_is_evaluated_again_when_starts_turn_out_to_be_short() {
     let mut host = Host::new(cluster(track(RetrySafety::Idempotent)), 1, 1);
     let sends = |host: &mut Host, services: &[u64]| -> Vec<Allocation> {
         let mut sent: Vec<_> = services
--- a/crates/scheduler/tests/stories.rs
+++ b/crates/scheduler/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! One story for each failure met, told against a fake host.
+//! One scenario for each failure met, against a fake engine.
 
 mod host;
 
@@ -25,7 +25,7 @@
 
 #[test_case(RetrySafety::Idempotent, Placement::Shed)]
 #[test_case(RetrySafety::NotRetryable, Placement::Shed)]
-fn one_that_no_machine_takes_is_answered_before_its_abandon_time(
+fn an_allocation_that_no_machine_takes_is_answered_before_its_deadline(
     repeat: RetrySafety,
     last: Placement,
 ) {
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_shot_is_never_waited_for_past_the_abandon_time() {
+fn an_attempt_times_out_before_the_deadline() {
     let mut host = Host::new(cluster(track(RetrySafety::NotRetryable)), 1, 1);
     let mut allocation = host.ask(1, 1.0, 1.0);
     let Placement::Dispatch { timeout, .. } = host.place(&mut allocation) else {
@@ -64,7 +64,11 @@
 #[test_case(RetrySafety::NotRetryable, AttemptResult::Error, false; "nor after an error")]
 #[test_case(RetrySafety::NotRetryable, AttemptResult::Rejected, true; "but after a refusal it never ran")]
 #[test_case(RetrySafety::NotRetryable, AttemptResult::ConnectFailed, true; "nor where no connection stood")]
-fn a_shot_that_may_have_run_binds(repeat: RetrySafety, ending: AttemptResult, again: bool) {
+fn an_attempt_that_may_have_run_restricts_retries(
+    repeat: RetrySafety,
+    ending: AttemptResult,
+    again: bool,
+) {
     let mut host = Host::new(cluster(track(repeat)), 1, 4);
     let mut allocation = host.ask(1, 1.0, 1.0);
     host.place(&mut allocation);
@@ -81,7 +85,7 @@
 #[test_case(None, |_, _| true, Placement::Shed)]
 #[test_case(Some(Domain::Zone), |a, b| a % 2 == b % 2, Placement::Indeterminate)]
 #[test_case(Some(Domain::Cell), |a, b| a / 2 == b / 2, Placement::Indeterminate)]
-fn a_deduplicated_one_stays_in_its_group_and_window(
+fn a_deduplicated_allocation_is_retried_only_in_its_domain_and_window(
     within: Option<Domain>,
     same: fn(u32, u32) -> bool,
     late: Placement,
@@ -103,7 +107,7 @@
 #[test_case(ListUpdate::Incremental, MachineState::Draining; "told that it drains")]
 #[test_case(ListUpdate::Incremental, MachineState::Removed; "told that it is gone")]
 #[test_case(ListUpdate::Complete, MachineState::Serving; "left out of a whole list")]
-fn nothing_new_goes_to_a_machine_told_to_leave(scope: ListUpdate, state: MachineState) {
+fn nothing_is_dispatched_to_a_draining_or_removed_machine(scope: ListUpdate, state: MachineState) {
     let mut host = Host::new(cluster(track(RetrySafety::Idempotent)), 1, 2);
     host.reports(0, 0.0, 0.0);
     host.reports(1, 20.0, 20.0);
@@ -122,7 +126,7 @@
 
 #[test_case(1, 6; "alone")]
 #[test_case(3, 2; "one of three")]
-fn a_just_started_machine_gets_our_part_of_what_it_bears(schedulers: usize, part: usize) {
+fn a_machine_in_slow_start_gets_our_quota_of_attempts(schedulers: usize, part: usize) {
     let mut host = Host::new(
         Cluster {
             scheduler_count: schedulers,
@@ -151,7 +155,7 @@
 }
 
 #[test]
-fn after_a_restart_of_ours_a_cold_machine_may_have_had_its_part() {
+fn after_our_restart_a_machine_in_slow_start_may_have_had_its_quota() {
     let mut host = Host::new(cluster(track(RetrySafety::Idempotent)), 1, 1);
     host.scheduler.apply_endpoint_list(
         ListUpdate::Incremental,
@@ -167,7 +171,7 @@
 }
 
 #[test]
-fn a_longer_cold_window_counts_what_the_shorter_one_forgot() {
+fn a_longer_slow_start_window_counts_what_the_shorter_one_forgot() {
     let mut host = Host::new(cluster(track(RetrySafety::Idempotent)), 1, 1);
     host.now += 20 * SECOND;
     host.scheduler.apply_endpoint_list(
@@ -198,7 +202,7 @@
 }
 
 #[test]
-fn other_figures_take_effect_and_what_is_held_stays_counted() {
+fn new_settings_take_effect_and_placed_replicas_stay_counted() {
     let spread = |most| ServiceClass {
         spread: Some((Domain::Machine, most)),
         ..track(RetrySafety::Idempotent)
@@ -215,7 +219,7 @@
 #[test_case(Domain::Machine, 8)]
 #[test_case(Domain::Cell, 4)]
 #[test_case(Domain::Zone, 2)]
-fn a_service_is_spread_as_its_track_asks(place: Domain, places: usize) {
+fn a_service_is_spread_as_its_class_requires(place: Domain, places: usize) {
     let spread = ServiceClass {
         spread: Some((place, 2)),
         ..track(RetrySafety::Idempotent)
@@ -267,7 +271,7 @@
 #[test_case(0.25, Some(0); "with calm records the emptier machine is safe")]
 #[test_case(1.0, Some(1); "with records of full use it is not")]
 #[test_case(0.0, Some(1); "without records its ask is drawn")]
-fn records_decide_where_room_looks_the_same(share: f64, expected: Option<u32>) {
+fn usage_records_decide_between_machines_with_the_same_capacity(share: f64, expected: Option<u32>) {
     let mut host = Host::new(cluster(track(RetrySafety::Idempotent)), 1, 2);
     if share > 0.0 {
         host.has_records(7, share);
@@ -283,7 +287,7 @@
 }
 
 #[test]
-fn a_record_below_what_a_guest_uses_already_is_not_drawn_for_it() {
+fn a_record_below_the_present_usage_is_not_drawn() {
     let mut host = Host::new(cluster(track(RetrySafety::Idempotent)), 1, 2);
     host.has_records(7, 0.25);
     // All of it runs at its full ask now: calm records would leave 32 of its 40 cores out.
@@ -299,7 +303,7 @@
 }
 
 #[test]
-fn one_over_the_line_already_does_not_draw_all_to_it() {
+fn a_machine_over_the_line_does_not_attract_all_allocations() {
     let mut host = Host::new(cluster(track(RetrySafety::Idempotent)), 1, 2);
     host.reports(0, 20.0, 99.0);
     host.reports(1, 20.0, 85.0);
@@ -334,7 +338,7 @@
 }
 
 #[test]
-fn machines_beyond_need_are_held_back_until_the_others_would_be_over() {
+fn machines_beyond_the_demand_are_held_back_until_the_others_are_full() {
     let mut host = Host::new(cluster(track(RetrySafety::Idempotent)), 1, 6);
     for _ in 0..100 {
         // Who holds next to nothing knows too little of need to hold anything back.
@@ -375,7 +379,7 @@
 }
 
 #[test]
-fn a_machine_that_leaves_a_shot_unanswered_is_left_alone_for_a_while() {
+fn a_machine_that_leaves_an_attempt_unanswered_is_ejected_for_a_time() {
     let mut host = Host::new(cluster(track(RetrySafety::Idempotent)), 1, 2);
     host.reports(0, 0.0, 0.0);
     host.reports(1, 30.0, 30.0);
@@ -386,7 +390,7 @@
 }
 
 #[test]
-fn a_refused_ask_is_not_offered_again_at_once_but_a_smaller_one_is() {
+fn a_refused_request_is_not_offered_again_at_once_but_a_smaller_one_is() {
     let mut host = Host::new(cluster(track(RetrySafety::Idempotent)), 1, 1);
     let mut allocation = host.ask(1, 2.0, 4.0);
     host.place(&mut allocation);
@@ -401,7 +405,7 @@
 }
 
 #[test]
-fn the_listed_room_is_late_so_what_was_sent_since_counts() {
+fn the_listed_capacity_is_late_so_later_dispatches_count() {
     let listed = Cluster {
         list_reports_capacity: true,
         ..cluster(track(RetrySafety::Idempotent))
@@ -426,7 +430,7 @@
 }
 
 #[test]
-fn a_watch_that_fails_is_asked_for_again_and_not_all_the_time() {
+fn a_failed_watch_is_retried_with_backoff() {
     let mut host = Host::new(cluster(track(RetrySafety::Idempotent)), 1, 1);
     assert!(host.scheduler.poll(host.now).watch_endpoints, "at start");
     let mut calls = 0;
@@ -444,7 +448,7 @@
 }
 
 #[test]
-fn a_machine_short_of_memory_is_relieved_while_another_has_room() {
+fn allocations_move_off_a_machine_short_of_memory_while_another_has_capacity() {
     let mut host = Host::new(cluster(track(RetrySafety::Idempotent)), 1, 2);
     for _ in 0..30 {
         let mut usual = host.ask(1, 2.0, 200.0);
@@ -488,7 +492,7 @@
 }
 
 #[test]
-fn room_for_a_large_one_is_made_where_it_lies_in_pieces() {
+fn capacity_for_a_large_allocation_is_cleared_where_it_is_fragmented() {
     let listed = Cluster {
         list_reports_capacity: true,
         ..cluster(track(RetrySafety::Idempotent))
@@ -543,7 +547,7 @@
 #[test_case(1, 10.0, None; "well beyond its share it waits while others would be crowded")]
 #[test_case(1, 100.0, Some(0); "within its share it takes the smallest rise in risk")]
 #[test_case(300, 3000.0, Some(0); "one of many may hold two times its part by chance")]
-fn an_account_beyond_its_share_waits_for_room(
+fn a_tenant_over_its_quota_waits_for_capacity(
     schedulers: usize,
     share: f64,
     expected: Option<u32>,
@@ -571,7 +575,7 @@
 }
 
 #[test]
-fn an_unrepeatable_one_is_never_timed_out_early() {
+fn an_allocation_that_must_not_run_twice_never_times_out_early() {
     let mut host = Host::new(cluster(track(RetrySafety::NotRetryable)), 1, 2);
     for _ in 0..5 {
         let mut quick = host.ask(1, 1.0, 1.0);
@@ -587,7 +591,7 @@
 }
 
 #[test]
-fn with_more_schedulers_than_offers_borne_some_may_send_and_the_sum_is_borne() {
+fn with_more_schedulers_than_slow_start_attempts_the_quotas_add_up() {
     let sent = |number| {
         let many = Cluster {
             scheduler_index: number,
@@ -609,7 +613,7 @@
 }
 
 #[test]
-fn schedulers_that_never_spoke_send_a_service_to_the_same_few_machines() {
+fn independent_schedulers_place_a_service_on_the_same_few_machines() {
     let machines = |service| -> BTreeSet<u32> {
         let many = |number| Cluster {
             scheduler_index: number,
@@ -631,7 +635,7 @@
 }
 
 #[test]
-fn one_that_holds_next_to_nothing_holds_no_machine_back() {
+fn a_scheduler_with_hardly_any_allocation_holds_no_machine_back() {
     let mut host = Host::new(cluster(track(RetrySafety::Idempotent)), 1, 3);
     host.reports(0, 20.0, 50.0);
     host.reports(1, 0.0, 0.0);
@@ -643,7 +647,7 @@
 }
 
 #[test]
-fn probes_keep_step_with_what_is_placed_however_many_machines_are_unheard_of() {
+fn health_checks_are_no_more_than_placed_allocations() {
     let probing = Cluster {
         health_checks: true,
         ..cluster(track(RetrySafety::Idempotent))
@@ -661,7 +665,7 @@
 }
 
 #[test]
-fn an_old_report_gives_way_to_the_room_that_the_list_tells() {
+fn an_old_load_report_gives_way_to_the_listed_capacity() {
     let listed = Cluster {
         list_reports_capacity: true,
         ..cluster(track(RetrySafety::Idempotent))
@@ -686,7 +690,7 @@
 }
 
 #[test]
-fn of_many_schedulers_with_one_each_on_a_short_machine_a_few_move_theirs() {
+fn of_many_schedulers_on_a_machine_short_of_memory_only_some_move_theirs() {
     let moving = |seed: &u64| {
         let mut host = Host::new(cluster(track(RetrySafety::Idempotent)), *seed, 2);
         let mut usual = host.ask(1, 2.0, 200.0);
@@ -715,7 +719,11 @@
 #[test_case(2, false, Some(0); "what lower priorities use counts half for it")]
 #[test_case(2, true, None; "not where they would be pushed out for it")]
 #[test_case(0, false, None; "nor for one of their own priority")]
-fn lower_priorities_yield_to_a_higher_one(priority: u8, makes_room: bool, expected: Option<u32>) {
+fn usage_of_lower_priorities_is_discounted_for_a_higher_one(
+    priority: u8,
+    makes_room: bool,
+    expected: Option<u32>,
+) {
     let plain = track(RetrySafety::Idempotent);
     let tracks = vec![plain.clone(), ServiceClass { priority, ..plain }];
     let mut host = Host::new(
@@ -736,7 +744,7 @@
 }
 
 #[test]
-fn asks_that_no_machine_can_use_shut_none() {
+fn requests_that_no_machine_can_run_eject_no_machine() {
     let mut host = Host::new(cluster(track(RetrySafety::Idempotent)), 1, 4);
     for service in 0..20 {
         let mut bad = host.ask(service, 1.0, 1.0);
@@ -748,7 +756,7 @@
 }
 
 #[test]
-fn one_answer_that_breaks_shuts_no_machine_but_two_in_a_row_do() {
+fn one_reset_ejects_no_machine_but_two_in_a_row_do() {
     let mut host = Host::new(cluster(track(RetrySafety::Idempotent)), 1, 1);
     for sent in [true, true, false] {
         let mut allocation = host.ask(1, 1.0, 1.0);
@@ -760,7 +768,7 @@
 }
 
 #[test]
-fn an_error_is_held_against_its_machine_once_another_has_placed_the_same_one() {
+fn an_error_counts_as_a_fault_once_another_machine_has_placed_the_allocation() {
     let mut host = Host::new(cluster(track(RetrySafety::Idempotent)), 1, 2);
     let mut allocation = host.ask(1, 1.0, 1.0);
     let failing = host.sent_to(&mut allocation).expect("sent");
@@ -772,7 +780,7 @@
 }
 
 #[test]
-fn a_further_shot_avoids_the_machine_where_a_copy_may_stand() {
+fn a_retry_avoids_the_machine_that_may_still_run_an_earlier_attempt() {
     let mut host = Host::new(cluster(track(RetrySafety::Idempotent)), 1, 2);
     let mut allocation = host.ask(1, 1.0, 1.0);
     let first = host.sent_to(&mut allocation);
@@ -784,7 +792,7 @@
 #[test_case(deduplicated(None), 1; "its owner would have to wait until it is sure that it runs no longer")]
 #[test_case(RetrySafety::Idempotent, 0; "one that may run twice comes again at once anyway")]
 #[test_case(RetrySafety::NotRetryable, 0; "one that may not is never stopped")]
-fn what_stands_on_a_draining_machine_is_moved_in_time(repeat: RetrySafety, moved: usize) {
+fn allocations_on_a_draining_machine_move_in_time(repeat: RetrySafety, moved: usize) {
     let mut host = Host::new(cluster(track(repeat)), 1, 2);
     host.runs(1, SMALL, SMALL, 0, 5 * SECOND);
     host.sends(2);
@@ -806,11 +814,7 @@
 #[test_case(false, true, true; "where nobody else tells it")]
 #[test_case(true, true, false; "not where the caller is told")]
 #[test_case(false, false, false; "not where it may not be asked")]
-fn what_is_placed_on_a_machine_that_vanished_is_lost_after_a_while(
-    tells: bool,
-    may: bool,
-    is_lost: bool,
-) {
+fn allocations_on_a_silent_machine_are_lost_after_a_time(tells: bool, may: bool, is_lost: bool) {
     let telling = Cluster {
         reports_losses: tells,
         health_checks: may,
@@ -838,7 +842,7 @@
 }
 
 #[test]
-fn a_machine_that_has_gone_is_forgotten_and_may_come_again() {
+fn a_removed_machine_is_forgotten_and_may_return() {
     let mut host = Host::new(cluster(track(RetrySafety::Idempotent)), 1, 1);
     host.scheduler.apply_endpoint_list(
         ListUpdate::Incremental,
@@ -859,7 +863,7 @@
 /// and in vain: that cost two thousand microseconds an ask and kept a dispatcher from passing on
 /// what its nodes told.
 #[test]
-fn an_ask_whose_places_are_all_full_costs_little_more_than_one_that_goes_out() {
+fn a_request_whose_domains_are_all_full_costs_little_more_than_one_that_is_placed() {
     let spent = |spread| {
         let mut host = Host::new(
             cluster(ServiceClass {
@@ -906,7 +910,7 @@
 #[test_case(30, 29, true; "thirty")]
 #[test_case(30, 7, true; "more processes than offers")]
 #[test_case(16, 29, false; "connections that are up already")]
-fn a_cold_machine_gets_no_more_than_it_bears_from_a_whole_fleet(
+fn a_machine_in_slow_start_gets_no_more_than_it_bears_from_all_schedulers(
     schedulers: usize,
     offers: usize,
     late: bool,
@@ -996,7 +1000,7 @@
 /// repeat is not known.
 #[test_case(0, true; "well inside")]
 #[test_case(SECOND / 5, false; "if its connection comes up at once")]
-fn a_repeat_that_might_arrive_after_its_window_is_not_sent(later: Ticks, sent: bool) {
+fn a_retry_that_might_arrive_after_its_deduplication_window_is_not_sent(later: Ticks, sent: bool) {
     let slow = Cluster {
         connect_timeout: SECOND / 4,
         ..cluster(track(deduplicated(None)))
@@ -1011,7 +1015,7 @@
 
 /// The others learn of it at moments of their own, and keep to their larger parts until then.
 #[test]
-fn after_a_change_of_the_fleets_size_a_cold_machine_is_left_alone_for_one_window() {
+fn after_a_change_of_the_scheduler_count_a_machine_in_slow_start_is_left_alone_for_one_window() {
     let sized = |schedulers| Cluster {
         scheduler_count: schedulers,
         ..cluster(track(RetrySafety::Idempotent))
