--- a/crates/lab/src/discovery.rs
+++ b/crates/lab/src/discovery.rs
@@ -1,4 +1,5 @@
-//! The roster's stand-in: it tells each watcher of every change, a while after it came to be.
+//! The stand-in of service discovery: it sends each watcher every change of the endpoint list, a
+//! while after the change.
 
 use crate::capture::{NodeState, Seen};
 use crate::node::World;
@@ -11,50 +12,84 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::pin::Pin;
-use std::sync::{Arc, Mutex};
+use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 use tonic::{Request, Response, Status};
 
+/// A start that is more recent than this is recorded as a slow start.
+const RECENT_START_MS: u64 = 60_000;
+/// Lists that wait for a watcher to read them.
+const MAX_WAITING_LISTS: usize = 16;
+
+/// The stand-in of service discovery.
 pub struct Discovery {
     world: Arc<World>,
+    /// Where it listens.
     pub address: SocketAddr,
     listener: TcpListener,
     server: Mutex<Option<async_executor::Task<()>>>,
-    log: Mutex<Log>,
-    /// Listings that each dispatcher was told.
+    log: Mutex<ChangeLog>,
+    /// By dispatcher.
     lists_sent: Mutex<BTreeMap<u32, u64>>,
-    /// Where a dispatcher finds a node, other than at the node's own address.
+    /// Proxies between a dispatcher and a node, whose address is listed in place of the node's own.
     pub proxies: Mutex<BTreeMap<(u32, u32), Relay>>,
 }
 
+/// The endpoints and how they came to be.
 #[derive(Default)]
-struct Log {
-    entries: BTreeMap<u32, v1::Endpoint>,
-    /// Each change and when it may be told; its place, counted from 1, is its version.
-    changes: Vec<(Instant, v1::Endpoint)>,
-    /// Watchers, to be woken.
-    wakes: Vec<async_channel::Sender<()>>,
+struct ChangeLog {
+    endpoints: BTreeMap<u32, v1::Endpoint>,
+    /// A change's place, counted from 1, is its version.
+    changes: Vec<Change>,
+    /// Wakes the watchers.
+    watchers: Vec<async_channel::Sender<()>>,
+}
+
+struct Change {
+    visible_at: Instant,
+    endpoint: v1::Endpoint,
+}
+
+impl ChangeLog {
+    /// The changes after a version that may be sent by now.
+    fn visible_after(&self, version: usize) -> Vec<v1::Endpoint> {
+        let now = Instant::now();
+        self.changes[version..]
+            .iter()
+            .take_while(|change| change.visible_at <= now)
+            .map(|change| change.endpoint.clone())
+            .collect()
+    }
+}
+
+/// The latest state of each endpoint among the changes, by node.
+fn latest(changes: Vec<v1::Endpoint>) -> impl Iterator<Item = v1::Endpoint> {
+    let latest: BTreeMap<u32, v1::Endpoint> = changes
+        .into_iter()
+        .map(|endpoint| (endpoint.node, endpoint))
+        .collect();
+    latest.into_values()
 }
 
-/// How long ago a start may be that the capture calls cold.
-const RECENT_MS: u64 = 60_000;
+/// What one watch was sent last of each node: only news is recorded in the capture.
+type RecordedStates = BTreeMap<u32, (NodeState, u64)>;
 
 impl Discovery {
+    /// Starts with an empty list. Returns the address at which it listens, too.
     pub async fn start(world: &Arc<World>) -> std::io::Result<(Arc<Self>, SocketAddr)> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
-        let (server, log, told, ways) = Default::default();
-        let roster = Arc::new(Discovery {
+        let discovery = Arc::new(Discovery {
             world: Arc::clone(world),
             address,
             listener,
-            server,
-            log,
-            lists_sent: told,
-            proxies: ways,
+            server: Mutex::default(),
+            log: Mutex::default(),
+            lists_sent: Mutex::default(),
+            proxies: Mutex::default(),
         });
-        roster.listen();
-        Ok((roster, address))
+        discovery.listen();
+        Ok((discovery, address))
     }
 
     fn listen(self: &Arc<Self>) {
@@ -63,166 +98,154 @@
         let server = self.world.tasks.spawn(async move {
             served.await;
         });
-        *self.server.lock().expect("unshared") = Some(server);
+        *lock(&self.server) = Some(server);
     }
 
     /// Out of reach for so long, or for good.
     pub fn disconnect(self: &Arc<Self>, time: Option<Duration>) {
-        drop(self.server.lock().expect("unshared").take());
-        let roster = Arc::clone(self);
+        drop(lock(&self.server).take());
+        let discovery = Arc::clone(self);
         if let Some(time) = time {
-            let again = async move {
+            let listen_later = async move {
                 Timer::after(time).await;
-                roster.listen();
+                discovery.listen();
             };
-            self.world.tasks.spawn(again).detach();
+            self.world.tasks.spawn(listen_later).detach();
         }
     }
 
-    /// Changes an entry; watchers hear of it so much later.
-    pub fn update(&self, late: Duration, entry: v1::Endpoint) {
-        if let Ok(to) = entry.address.parse() {
-            let ways = self.proxies.lock().expect("no one panics while it is held");
-            ways.iter()
-                .filter(|((_, node), _)| *node == entry.node)
-                .for_each(|(_, relay)| relay.lead(to));
+    /// Changes an endpoint; watchers are sent the change after the delay.
+    pub fn update(&self, delay: Duration, endpoint: v1::Endpoint) {
+        if let Ok(address) = endpoint.address.parse() {
+            lock(&self.proxies)
+                .iter()
+                .filter(|((_, node), _)| *node == endpoint.node)
+                .for_each(|(_, relay)| relay.lead(address));
         }
-        let mut log = self.log.lock().expect("no one panics while it is held");
-        let earliest = log.changes.last().map_or_else(Instant::now, |(at, _)| *at);
-        // Changes are told in their order.
-        log.changes
-            .push(((Instant::now() + late).max(earliest), entry.clone()));
-        log.entries.insert(entry.node, entry);
-        log.wakes.retain(|wake| {
+        let mut log = lock(&self.log);
+        let now = Instant::now();
+        let earliest = log.changes.last().map_or(now, |last| last.visible_at);
+        // Changes are sent in their order.
+        log.changes.push(Change {
+            visible_at: (now + delay).max(earliest),
+            endpoint: endpoint.clone(),
+        });
+        log.endpoints.insert(endpoint.node, endpoint);
+        log.watchers.retain(|watcher| {
             !matches!(
-                wake.try_send(()),
+                watcher.try_send(()),
                 Err(async_channel::TrySendError::Closed(()))
             )
         });
     }
 
+    /// A node's endpoint as it is now, sent to watchers or not.
     pub fn endpoint(&self, node: u32) -> Option<v1::Endpoint> {
-        self.log
-            .lock()
-            .expect("no one panics while it is held")
-            .entries
-            .get(&node)
-            .cloned()
+        lock(&self.log).endpoints.get(&node).cloned()
     }
 
-    /// Listings that a dispatcher was told.
+    /// How many lists a dispatcher was sent.
     pub fn lists_sent(&self, dispatcher: u32) -> u64 {
-        self.lists_sent
-            .lock()
-            .expect("unshared")
+        lock(&self.lists_sent)
             .get(&dispatcher)
             .copied()
             .unwrap_or(0)
     }
 
-    /// `told` is what this watch was told before: only what differs is worth a line of the capture.
-    fn listing(
+    /// The message for a list, with the addresses as the dispatcher is to see them.
+    fn list(
         &self,
         dispatcher: u32,
-        version: u64,
-        whole: bool,
-        mut entries: Vec<v1::Endpoint>,
-        told: &mut BTreeMap<u32, (NodeState, u64)>,
+        version: usize,
+        complete: bool,
+        mut endpoints: Vec<v1::Endpoint>,
+        recorded: &mut RecordedStates,
     ) -> v1::EndpointList {
         let now_ms = corkspan_dispatcher::clock::wall_ms();
-        for entry in &entries {
-            let state = match entry.state() {
-                State::Draining => NodeState::Draining,
-                State::Gone => NodeState::Gone,
-                _ if entry.started_ms > 0 && entry.started_ms + RECENT_MS > now_ms => {
-                    NodeState::Cold
-                }
-                _ => NodeState::Serving,
-            };
-            if told.insert(entry.node, (state, entry.started_ms)) != Some((state, entry.started_ms))
-            {
-                self.world.capture.see(Seen::Told {
-                    dispatcher,
-                    node: entry.node,
-                    state,
-                });
-            }
+        for endpoint in &endpoints {
+            self.record(dispatcher, endpoint, now_ms, recorded);
         }
-        let ways = self.proxies.lock().expect("no one panics while it is held");
-        for entry in &mut entries {
-            if let Some(relay) = ways.get(&(dispatcher, entry.node)) {
-                entry.address = relay.address.to_string();
+        let proxies = lock(&self.proxies);
+        for endpoint in &mut endpoints {
+            if let Some(relay) = proxies.get(&(dispatcher, endpoint.node)) {
+                endpoint.address = relay.address.to_string();
             }
         }
         v1::EndpointList {
-            version,
-            complete: whole,
+            version: version as u64,
+            complete,
             now_ms,
-            endpoints: entries,
+            endpoints,
         }
     }
 
+    fn record(
+        &self,
+        dispatcher: u32,
+        endpoint: &v1::Endpoint,
+        now_ms: u64,
+        recorded: &mut RecordedStates,
+    ) {
+        let started_ms = endpoint.started_ms;
+        let state = match endpoint.state() {
+            State::Draining => NodeState::Draining,
+            State::Gone => NodeState::Gone,
+            _ if started_ms > 0 && started_ms + RECENT_START_MS > now_ms => NodeState::Cold,
+            _ => NodeState::Serving,
+        };
+        let node = endpoint.node;
+        if recorded.insert(node, (state, started_ms)) != Some((state, started_ms)) {
+            self.world.capture.see(Seen::Told {
+                dispatcher,
+                node,
+                state,
+            });
+        }
+    }
+
+    /// Sends lists until the watcher is gone: a complete one first to one that has none.
     async fn watch(
         self: Arc<Self>,
-        ask: v1::ListRequest,
-        to: async_channel::Sender<v1::EndpointList>,
+        request: v1::ListRequest,
+        lists: async_channel::Sender<v1::EndpointList>,
     ) {
-        let (wake, woken) = async_channel::bounded(1);
-        let mut told = BTreeMap::new();
-        let mut at = {
-            let mut log = self.log.lock().expect("no one panics while it is held");
-            log.wakes.push(wake);
-            ask.version.min(log.changes.len() as u64) as usize
+        let dispatcher = request.dispatcher;
+        let (watcher, woken) = async_channel::bounded(1);
+        let mut recorded = RecordedStates::new();
+        let mut version = {
+            let mut log = lock(&self.log);
+            log.watchers.push(watcher);
+            request.version.min(log.changes.len() as u64) as usize
         };
-        if ask.version == 0 {
-            // What may be told by now, whole.
-            let entries = {
-                let log = self.log.lock().expect("no one panics while it is held");
-                at = log
-                    .changes
-                    .iter()
-                    .take_while(|(when, _)| *when <= Instant::now())
-                    .count();
-                let told: BTreeMap<u32, v1::Endpoint> = log.changes[..at]
-                    .iter()
-                    .map(|(_, entry)| (entry.node, entry.clone()))
-                    .collect();
-                told.into_values()
-                    .filter(|entry| entry.state() != State::Gone)
-                    .collect()
-            };
-            if to
-                .send(self.listing(ask.dispatcher, at as u64, true, entries, &mut told))
-                .await
-                .is_err()
-            {
+        if request.version == 0 {
+            let visible = lock(&self.log).visible_after(0);
+            version = visible.len();
+            let present = latest(visible).filter(|endpoint| endpoint.state() != State::Gone);
+            let list = self.list(dispatcher, version, true, present.collect(), &mut recorded);
+            if lists.send(list).await.is_err() {
                 return;
             }
         }
         loop {
-            let (due, next) = {
-                let log = self.log.lock().expect("no one panics while it is held");
-                let due = log.changes[at..]
-                    .iter()
-                    .take_while(|(when, _)| *when <= Instant::now());
-                let due: Vec<v1::Endpoint> = due.map(|(_, entry)| entry.clone()).collect();
-                let next = log.changes.get(at + due.len()).map(|(when, _)| *when);
-                (due, next)
+            let (visible, next) = {
+                let log = lock(&self.log);
+                let visible = log.visible_after(version);
+                let next = log.changes.get(version + visible.len());
+                (visible, next.map(|change| change.visible_at))
             };
-            if !due.is_empty() {
-                at += due.len();
-                // Of what has changed more than once the latest is told.
-                let latest: BTreeMap<u32, v1::Endpoint> =
-                    due.into_iter().map(|entry| (entry.node, entry)).collect();
-                let latest = latest.into_values().collect();
-                let listing = self.listing(ask.dispatcher, at as u64, false, latest, &mut told);
-                if to.send(listing).await.is_err() {
+            if !visible.is_empty() {
+                version += visible.len();
+                let changed = latest(visible).collect();
+                let list = self.list(dispatcher, version, false, changed, &mut recorded);
+                if lists.send(list).await.is_err() {
                     return;
                 }
                 continue;
             }
             match next {
-                Some(when) => drop(Timer::at(when).await),
+                Some(visible_at) => {
+                    Timer::at(visible_at).await;
+                }
                 None if woken.recv().await.is_err() => return,
                 None => {}
             }
@@ -230,54 +253,53 @@
     }
 }
 
+fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+    mutex.lock().expect("no one panics while it is held")
+}
+
 #[derive(Clone)]
 struct Service(Arc<Discovery>);
 
-type Listings = Pin<Box<dyn Stream<Item = Result<v1::EndpointList, Status>> + Send>>;
+type EndpointLists = Pin<Box<dyn Stream<Item = Result<v1::EndpointList, Status>> + Send>>;
 
 #[tonic::async_trait]
 impl v1::roster_server::Roster for Service {
-    type WatchStream = Listings;
+    type WatchStream = EndpointLists;
 
     async fn list(
         &self,
         request: Request<v1::ListRequest>,
     ) -> Result<Response<v1::EndpointList>, Status> {
-        let (entries, version) = {
-            let log = self.0.log.lock().expect("no one panics while it is held");
-            (
-                log.entries.values().cloned().collect(),
-                log.changes.len() as u64,
-            )
+        let dispatcher = request.into_inner().dispatcher;
+        let (endpoints, version) = {
+            let log = lock(&self.0.log);
+            let endpoints = log.endpoints.values().cloned().collect();
+            (endpoints, log.changes.len())
         };
-        Ok(Response::new(self.0.listing(
-            request.into_inner().dispatcher,
-            version,
-            true,
-            entries,
-            &mut BTreeMap::new(),
-        )))
+        let mut recorded = RecordedStates::new();
+        let list = self
+            .0
+            .list(dispatcher, version, true, endpoints, &mut recorded);
+        Ok(Response::new(list))
     }
 
-    async fn watch(&self, request: Request<v1::ListRequest>) -> Result<Response<Listings>, Status> {
-        let (to, listings) = async_channel::bounded(16);
-        let ask = request.into_inner();
-        let dispatcher = ask.dispatcher;
-        let watch = Arc::clone(&self.0).watch(ask, to);
-        // Carried by the stream itself, so that it ends with it.
+    async fn watch(
+        &self,
+        request: Request<v1::ListRequest>,
+    ) -> Result<Response<EndpointLists>, Status> {
+        let (sender, lists) = async_channel::bounded(MAX_WAITING_LISTS);
+        let request = request.into_inner();
+        let dispatcher = request.dispatcher;
+        let watch = Arc::clone(&self.0).watch(request, sender);
+        // Held by the stream itself, so that it ends with it.
         let task = self.0.world.tasks.spawn(watch);
-        let roster = Arc::clone(&self.0);
-        let stream = futures_lite::stream::unfold((listings, task), move |(listings, task)| {
-            let roster = Arc::clone(&roster);
+        let discovery = Arc::clone(&self.0);
+        let stream = futures_lite::stream::unfold((lists, task), move |(lists, task)| {
+            let discovery = Arc::clone(&discovery);
             async move {
-                let listing = listings.recv().await.ok()?;
-                *roster
-                    .lists_sent
-                    .lock()
-                    .expect("unshared")
-                    .entry(dispatcher)
-                    .or_default() += 1;
-                Some((Ok(listing), (listings, task)))
+                let list = lists.recv().await.ok()?;
+                *lock(&discovery.lists_sent).entry(dispatcher).or_default() += 1;
+                Some((Ok(list), (lists, task)))
             }
         });
         Ok(Response::new(Box::pin(stream)))
--- a/crates/lab/src/disk.rs
+++ b/crates/lab/src/disk.rs
@@ -8,37 +8,44 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-/// Full while this is set: whatever would write to it fails then.
+/// The disk is full while this is set: whatever would write to it fails.
 #[derive(Clone, Debug, Default)]
 pub struct DiskFull(Arc<AtomicBool>);
 
 impl DiskFull {
+    /// Fills the disk, or frees it.
     pub fn set(&self, full: bool) {
         self.0.store(full, Ordering::SeqCst);
     }
 }
 
-/// A store of rolls on such a disk.
+/// The store of rollouts on such a disk.
 pub fn store(path: PathBuf, full: &DiskFull) -> Store {
     let full = full.clone();
     Store::over(move || {
-        let mut open = std::fs::OpenOptions::new();
-        let file = open
+        let file = std::fs::OpenOptions::new()
             .read(true)
             .write(true)
             .create(true)
             .truncate(false)
             .open(&path)?;
-        Ok(Database::builder().create_with_backend(Disk(FileBackend::new(file)?, full.clone()))?)
+        let disk = Disk {
+            file: FileBackend::new(file)?,
+            full: full.clone(),
+        };
+        Ok(Database::builder().create_with_backend(disk)?)
     })
 }
 
 #[derive(Debug)]
-struct Disk(FileBackend, DiskFull);
+struct Disk {
+    file: FileBackend,
+    full: DiskFull,
+}
 
 impl Disk {
-    fn room(&self) -> io::Result<()> {
-        match self.1.0.load(Ordering::SeqCst) {
+    fn check_space(&self) -> io::Result<()> {
+        match self.full.0.load(Ordering::SeqCst) {
             true => Err(io::ErrorKind::StorageFull.into()),
             false => Ok(()),
         }
@@ -47,26 +54,27 @@
 
 impl StorageBackend for Disk {
     fn len(&self) -> io::Result<u64> {
-        self.0.len()
+        self.file.len()
     }
 
     fn read(&self, offset: u64, out: &mut [u8]) -> io::Result<()> {
-        self.0.read(offset, out)
+        self.file.read(offset, out)
     }
 
     fn set_len(&self, len: u64) -> io::Result<()> {
-        self.room().and_then(|()| self.0.set_len(len))
+        self.check_space().and_then(|()| self.file.set_len(len))
     }
 
     fn sync_data(&self) -> io::Result<()> {
-        self.0.sync_data()
+        self.file.sync_data()
     }
 
     fn write(&self, offset: u64, data: &[u8]) -> io::Result<()> {
-        self.room().and_then(|()| self.0.write(offset, data))
+        self.check_space()
+            .and_then(|()| self.file.write(offset, data))
     }
 
     fn close(&self) -> io::Result<()> {
-        self.0.close()
+        self.file.close()
     }
 }
