--- a/crates/dispatcher/src/core.rs
+++ b/crates/dispatcher/src/core.rs
@@ -18,7 +18,7 @@
 use crate::link_counters::{LinkCounters, LinkKind};
 use crate::node_links::NodeLink;
 use crate::rollouts::Rollouts;
-use crate::store::Store;
+use crate::store::{Store, StoredRollouts};
 use crate::version_gate::{self, FencingState};
 pub use client::CurrentAllocation;
 use client::{AfterRemoval, ClientAllocation, PendingRemoval};
@@ -95,22 +95,7 @@
         }));
         let fencing = FencingState::new(seed, spans, deployment.version);
         let stored = store.load();
-        // Whatever an earlier life had started beside a copy, and was killed before it had put away
-        // one of the two.
-        let pending_removals = stored.claims.iter().filter_map(|held| {
-            let pair = held.pair.as_ref()?;
-            let old = pair.retires.then(|| pair.old.clone());
-            Some(PendingRemoval {
-                service: held.service.clone(),
-                task: held.task.clone(),
-                placing_ids: old.into_iter().chain([pair.new.clone()]).collect(),
-                except: None,
-                nodes: None,
-                confirmed_by: BTreeSet::new(),
-                after: AfterRemoval::RestartCleanup(held.claim, pair.clone()),
-            })
-        });
-        let pending_removals: Vec<PendingRemoval> = pending_removals.collect();
+        let pending_removals = restart_removals(&stored);
         Arc::new_cyclic(|core| {
             let engine = Engine::new(
                 cluster(&deployment),
@@ -218,6 +203,25 @@
     }
 }
 
+/// Replicas that an earlier incarnation had started beside others, and was killed before it had
+/// removed one of the two.
+fn restart_removals(stored: &StoredRollouts) -> Vec<PendingRemoval> {
+    let removals = stored.claims.iter().filter_map(|claim| {
+        let pair = claim.pair.as_ref()?;
+        let old = pair.retires.then(|| pair.old.clone());
+        Some(PendingRemoval {
+            service: claim.service.clone(),
+            task: claim.task.clone(),
+            placing_ids: old.into_iter().chain([pair.new.clone()]).collect(),
+            except: None,
+            nodes: None,
+            confirmed_by: BTreeSet::new(),
+            after: AfterRemoval::RestartCleanup(claim.claim, pair.clone()),
+        })
+    });
+    removals.collect()
+}
+
 /// What the decisions are handed. An offer may leave `connect_within` later than it is decided: two
 /// windows' worth, the first late and the second not, would reach a cold node closer together than
 /// they were decided.
--- a/crates/dispatcher/src/core/placement.rs
+++ b/crates/dispatcher/src/core/placement.rs
@@ -20,173 +20,178 @@
 }
 
 impl DispatcherCore {
-    /// An owner asks. The answer is among the words, at once or later.
+    /// Places an allocation for a client. The final answer is among the replies, at once or later.
     pub fn place(
         self: &Arc<Self>,
         ask: v1::PlacementRequest,
         call_deadline: Option<Duration>,
     ) -> OpenCall {
-        let (replies, heard) =
+        let (replies, receiver) =
             async_channel::bounded(self.deployment().limits.max_events_per_client);
-        let taken = OpenCall {
-            replies: heard,
+        let call = OpenCall {
+            replies: receiver,
             id: None,
             open: Arc::clone(&self.open_calls),
         };
-        let refuse = |why: v1::rejected::RejectionReason, text: String| {
-            let word = v1::Rejected {
-                reason: why.into(),
-                message: text,
-                attempts: 0,
-            };
-            let _ = replies.try_send(v1::PlacementEvent {
-                event: Some(Reply::Rejected(word)),
-            });
-        };
-        let mut inner = self.lock();
-        inner.effects.counters.asked += 1;
-        inner.effects.counters.refused += 1;
-        if inner.effects.stopping {
-            refuse(
-                v1::rejected::RejectionReason::Stopping,
-                "this dispatcher is about to stop".into(),
-            );
-            return taken;
-        }
-        if let Some(floor) = self.fenced_by() {
-            let text = format!(
-                "this dispatcher is behind: version {} is the lowest that may act",
-                floor.version
-            );
-            refuse(v1::rejected::RejectionReason::Behind, text);
-            return taken;
-        }
-        if Arc::strong_count(&self.open_calls) > self.deployment().limits.max_calls as usize {
-            refuse(
-                v1::rejected::RejectionReason::TooMany,
-                "as many calls as may be are open".into(),
-            );
-            return taken;
+        let mut state = self.lock();
+        state.effects.counters.asked += 1;
+        state.effects.counters.refused += 1;
+        if let Some((reason, message)) = self.admission_obstacle(&state) {
+            reject(&replies, reason, message);
+            return call;
         }
         let now = self.clock.now();
-        let left = [
-            call_deadline.map(crate::clock::ticks),
-            Some(ask.deadline_ms.saturating_mul(10)).filter(|&ms| ms > 0),
-        ];
-        let asked = match (
-            self.engine_request(now, &ask),
-            left.into_iter().flatten().min(),
-        ) {
-            (Err(why), _) => Err(why),
-            (_, None) => Err(RequestError::NoDeadline),
-            (_, Some(left)) if left > MAX_DEADLINE => Err(RequestError::DeadlineTooLate),
-            (Ok(asked), Some(left)) => Ok((asked, left)),
-        };
-        let (asked, left) = match asked {
-            Ok(asked) => asked,
-            Err(why) => {
-                refuse(v1::rejected::RejectionReason::BadAsk, why.to_string());
-                return taken;
+        let (asked, time_left) = match self.request_with_deadline(now, &ask, call_deadline) {
+            Ok(found) => found,
+            Err(error) => {
+                let reason = v1::rejected::RejectionReason::BadAsk;
+                reject(&replies, reason, error.to_string());
+                return call;
             }
         };
-        // A dispatcher that stands still can't answer: so the decisions are told of less time than
-        // there is.
-        let ahead = self.deployment().limits.answer_margin.min(left / 2);
-        let asked = AllocationRequest {
-            deadline: now + left - ahead,
-            ..asked
-        };
         let task = ask.task.clone();
-        let call_deadline = call_deadline.map(|after| now + crate::clock::ticks(after));
         let client = ClientAllocation {
-            deadline: Some(now + left),
-            call_deadline,
+            deadline: Some(now + time_left),
+            call_deadline: call_deadline.map(|after| now + crate::clock::ticks(after)),
             ..ClientAllocation::new(ask, &replies)
         };
         let current_id = client.current_id.clone();
-        let why = match inner.engine.admit(now, &task, asked, client) {
+        match state.engine.admit(now, &task, asked, client) {
             Ok(id) => {
                 current_id.set(id);
-                inner.effects.counters.refused -= 1;
-                drop(inner);
+                state.effects.counters.refused -= 1;
+                drop(state);
                 self.with(|now, engine, effects| engine.place(now, id, effects));
-                return OpenCall {
+                OpenCall {
                     id: Some(current_id),
-                    ..taken
-                };
+                    ..call
+                }
             }
-            Err((why, _)) => why,
-        };
-        refuse(refusal_reason(why), why.to_string());
-        taken
+            Err((reason, _)) => {
+                reject(&replies, refusal_reason(reason), reason.to_string());
+                call
+            }
+        }
+    }
+
+    /// Why no request can be admitted at this moment, whatever it asks for.
+    fn admission_obstacle(
+        &self,
+        state: &CoreState,
+    ) -> Option<(v1::rejected::RejectionReason, String)> {
+        use v1::rejected::RejectionReason;
+        if state.effects.stopping {
+            return Some((
+                RejectionReason::Stopping,
+                "this dispatcher is about to stop".into(),
+            ));
+        }
+        if let Some(minimum) = self.fenced_by() {
+            let message = format!(
+                "this dispatcher is behind: version {} is the lowest that may act",
+                minimum.version
+            );
+            return Some((RejectionReason::Behind, message));
+        }
+        let full =
+            Arc::strong_count(&self.open_calls) > self.deployment().limits.max_calls as usize;
+        full.then(|| {
+            (
+                RejectionReason::TooMany,
+                "as many calls as may be are open".into(),
+            )
+        })
+    }
+
+    /// A request as the engine takes it, and the ticks that its client waits.
+    fn request_with_deadline(
+        &self,
+        now: Ticks,
+        ask: &v1::PlacementRequest,
+        call_deadline: Option<Duration>,
+    ) -> Result<(AllocationRequest, Ticks), RequestError> {
+        let asked = self.engine_request(now, ask)?;
+        let limits = [
+            call_deadline.map(crate::clock::ticks),
+            Some(ask.deadline_ms.saturating_mul(10)).filter(|&ticks| ticks > 0),
+        ];
+        let time_left = limits.into_iter().flatten().min();
+        let time_left = time_left.ok_or(RequestError::NoDeadline)?;
+        if time_left > MAX_DEADLINE {
+            return Err(RequestError::DeadlineTooLate);
+        }
+        // A process that is paused can't answer, so the decisions are given an earlier deadline.
+        let margin = self.deployment().limits.answer_margin.min(time_left / 2);
+        let deadline = now + time_left - margin;
+        Ok((AllocationRequest { deadline, ..asked }, time_left))
     }
 
-    /// An owner hands over an allocation that already runs.
+    /// Takes over an allocation that already runs, from a client that hands it over.
     pub fn hand_over(self: &Arc<Self>, running: v1::HandOverRequest) -> OpenCall {
-        let (replies, heard) =
+        let (replies, receiver) =
             async_channel::bounded(self.deployment().limits.max_events_per_client);
         let open = Arc::clone(&self.open_calls);
-        let refuse = |why: v1::rejected::RejectionReason, text: String| {
-            let word = v1::Rejected {
-                reason: why.into(),
-                message: text,
-                attempts: 0,
-            };
-            let _ = replies.try_send(v1::PlacementEvent {
-                event: Some(Reply::Rejected(word)),
-            });
-        };
         let ask = running.request.unwrap_or_default();
         let machine = MachineId(running.node);
-        let id = self.with(|now, engine, effects| {
-            let asked = self
-                .engine_request(now, &ask)
-                .map_err(|why| refuse(v1::rejected::RejectionReason::BadAsk, why.to_string()))
-                .ok()?;
-            if effects.stopping {
-                refuse(
-                    v1::rejected::RejectionReason::Stopping,
-                    "this dispatcher is about to stop".into(),
-                );
-                return None;
-            }
-            let (task, shot) = (
-                ask.task.clone(),
-                self.attempt_message(&ask, &asked, 0, String::new(), OperationKind::Attend),
-            );
-            let service_name = ask.service.clone();
-            let client = ClientAllocation::new(ask, &replies);
-            let current_id = client.current_id.clone();
-            match engine.admit_running(now, &task, asked, machine, client) {
-                Ok(id) => {
-                    self.tasks
-                        .spawn(attempts::follow_existing(
-                            self.clone(),
-                            id,
-                            effects.node(machine),
-                            machine,
-                            shot,
-                        ))
-                        .detach();
-                    current_id.set(id);
-                    if let Some(controller) = effects.rollouts.controller(&service_name) {
-                        controller.replica_assigned(now, &task, "", false);
-                    }
-                    Some(current_id)
-                }
-                Err((why, _)) => {
-                    refuse(refusal_reason(why), why.to_string());
-                    None
-                }
-            }
+        let adopted = self.with(|now, engine, effects| {
+            self.adopt_running(now, engine, effects, ask, machine, &replies)
         });
+        let id = match adopted {
+            Ok(id) => Some(id),
+            Err((reason, message)) => {
+                reject(&replies, reason, message);
+                None
+            }
+        };
         OpenCall {
-            replies: heard,
+            replies: receiver,
             id,
             open,
         }
     }
 
+    fn adopt_running(
+        self: &Arc<Self>,
+        now: Ticks,
+        engine: &mut Engine<ClientAllocation>,
+        effects: &mut DispatcherEffects,
+        ask: v1::PlacementRequest,
+        machine: MachineId,
+        replies: &async_channel::Sender<v1::PlacementEvent>,
+    ) -> Result<CurrentAllocation, (v1::rejected::RejectionReason, String)> {
+        use v1::rejected::RejectionReason;
+        let asked = self
+            .engine_request(now, &ask)
+            .map_err(|error| (RejectionReason::BadAsk, error.to_string()))?;
+        if effects.stopping {
+            let message = "this dispatcher is about to stop".into();
+            return Err((RejectionReason::Stopping, message));
+        }
+        let kind = OperationKind::Attend;
+        let attempt = self.attempt_message(&ask, &asked, 0, String::new(), kind);
+        let (task, service_name) = (ask.task.clone(), ask.service.clone());
+        let client = ClientAllocation::new(ask, replies);
+        let current_id = client.current_id.clone();
+        let id = engine
+            .admit_running(now, &task, asked, machine, client)
+            .map_err(|(reason, _)| (refusal_reason(reason), reason.to_string()))?;
+        let node = effects.node(machine);
+        self.tasks
+            .spawn(attempts::follow_existing(
+                self.clone(),
+                id,
+                node,
+                machine,
+                attempt,
+            ))
+            .detach();
+        current_id.set(id);
+        if let Some(controller) = effects.rollouts.controller(&service_name) {
+            controller.replica_assigned(now, &task, "", false);
+        }
+        Ok(current_id)
+    }
+
     /// What an ask is to the decisions, or what is wrong with it. Its abandon time is not set.
     fn engine_request(
         &self,
@@ -328,6 +333,22 @@
 /// Longest time that a client may wait for a placement.
 const MAX_DEADLINE: Ticks = 24 * 3600 * 10_000;
 
+/// Tells a client that its request is rejected: certain to have had no effect.
+fn reject(
+    replies: &async_channel::Sender<v1::PlacementEvent>,
+    reason: v1::rejected::RejectionReason,
+    message: String,
+) {
+    let rejected = v1::Rejected {
+        reason: reason.into(),
+        message,
+        attempts: 0,
+    };
+    let _ = replies.try_send(v1::PlacementEvent {
+        event: Some(Reply::Rejected(rejected)),
+    });
+}
+
 fn refusal_reason(why: AdmissionError) -> v1::rejected::RejectionReason {
     match why {
         AdmissionError::Full => v1::rejected::RejectionReason::TooMany,
--- a/crates/dispatcher/src/core/removals.rs
+++ b/crates/dispatcher/src/core/removals.rs
@@ -12,6 +12,27 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
+/// What one node is to be told about one pending removal.
+struct StopOrder {
+    /// The index of the removal.
+    removal: usize,
+    machine: MachineId,
+    node: Arc<NodeLink>,
+    stops: Vec<v1::StopRequest>,
+}
+
+/// Whether all nodes that may have it have confirmed. Before the list is known nothing is.
+fn is_removed(removal: &PendingRemoval, known: &BTreeSet<MachineId>) -> bool {
+    !known.is_empty()
+        && known.iter().all(|machine| {
+            let elsewhere = removal
+                .nodes
+                .as_ref()
+                .is_some_and(|nodes| !nodes.contains(machine));
+            elsewhere || removal.confirmed_by.contains(machine)
+        })
+}
+
 impl DispatcherCore {
     /// Has every node put away what a dead dispatcher may have begun beside our copy.
     pub fn clear_foreign_claim(&self, service: &str, task: &str, claim: ClaimId) {
@@ -38,118 +59,108 @@
         });
     }
 
-    /// Tells nodes of what is to be gone, each until it has answered; gives slots back whose copies
-    /// are. What an earlier life had left and is put away by now.
+    /// Tells nodes to stop the replicas that must be gone, and returns the claims of those that are
+    /// known to be. Returns the pairs of an earlier incarnation that are removed by now.
     pub async fn confirm_removals(self: &Arc<Self>) -> Vec<(ClaimId, ReplicaPair)> {
-        let asks: Vec<(usize, MachineId, Arc<NodeLink>, Vec<v1::StopRequest>)> = {
-            let mut inner = self.lock();
-            let CoreState { engine, effects } = &mut *inner;
-            // A copy that has another placing by now is not to be stopped by word of the one
-            // before.
-            effects.pending_removals.retain(|removal| {
-                let own = engine
-                    .find(&removal.task)
-                    .and_then(|id| engine.data_mut(id));
-                removal.except.as_ref().is_none_or(|except| {
-                    own.is_some_and(|(client, _)| client.request.placement_id == *except)
-                })
-            });
-            let effects = &inner.effects;
-            let all = effects
-                .pending_removals
-                .iter()
-                .enumerate()
-                .flat_map(|(index, removal)| {
-                    let here = effects.nodes.iter().filter(|(machine, _)| {
-                        removal
-                            .nodes
-                            .as_ref()
-                            .is_none_or(|nodes| nodes.contains(machine))
-                            && !removal.confirmed_by.contains(machine)
-                    });
-                    here.map(move |(machine, node)| {
-                        // Whoever holds it by now hears that it moved, and asks again.
-                        let stop = |placing: &String| v1::StopRequest {
-                            placement_id: placing.clone(),
-                            task: removal.task.clone(),
-                            migrated: true,
-                            except_placement_id: String::new(),
-                            decider: Some(self.sender(OperationKind::Migrate, 1)),
-                        };
-                        let mut stops: Vec<v1::StopRequest> =
-                            removal.placing_ids.iter().map(stop).collect();
-                        stops.extend(removal.except.iter().map(|except| v1::StopRequest {
-                            placement_id: String::new(),
-                            task: removal.task.clone(),
-                            migrated: true,
-                            except_placement_id: except.clone(),
-                            decider: Some(self.sender(OperationKind::Migrate, 1)),
-                        }));
-                        (index, *machine, Arc::clone(node), stops)
-                    })
-                });
-            all.collect()
-        };
-        let calls: Vec<_> = asks
+        let calls: Vec<_> = self
+            .unconfirmed_stops()
             .into_iter()
-            .map(|(index, machine, node, stops)| {
+            .map(|order| {
                 let core = Arc::clone(self);
                 let tasks = Arc::clone(&self.tasks);
                 tasks.spawn(async move {
-                    for stop in stops {
-                        attempts::send_stop(core.clone(), node.clone(), stop).await?;
+                    for stop in order.stops {
+                        attempts::send_stop(core.clone(), order.node.clone(), stop).await?;
                     }
-                    Some((index, machine))
+                    Some((order.removal, order.machine))
                 })
             })
             .collect();
-        let mut confirmed_by = Vec::new();
+        let mut confirmed = Vec::new();
         for call in calls {
-            confirmed_by.extend(call.await);
+            confirmed.extend(call.await);
         }
+        self.finish_removals(confirmed)
+    }
+
+    /// What each node is still to be told about pending removals.
+    fn unconfirmed_stops(&self) -> Vec<StopOrder> {
+        let mut inner = self.lock();
+        let CoreState { engine, effects } = &mut *inner;
+        // A replica that has another placement by now must not be stopped for the one before.
+        effects.pending_removals.retain(|removal| {
+            let own = engine
+                .find(&removal.task)
+                .and_then(|id| engine.data_mut(id));
+            removal.except.as_ref().is_none_or(|except| {
+                own.is_some_and(|(client, _)| client.request.placement_id == *except)
+            })
+        });
+        let effects = &inner.effects;
+        let removals = effects.pending_removals.iter().enumerate();
+        let orders = removals.flat_map(|(index, removal)| {
+            let nodes = effects.nodes.iter().filter(|(machine, _)| {
+                removal
+                    .nodes
+                    .as_ref()
+                    .is_none_or(|nodes| nodes.contains(machine))
+                    && !removal.confirmed_by.contains(machine)
+            });
+            nodes.map(move |(machine, node)| StopOrder {
+                removal: index,
+                machine: *machine,
+                node: Arc::clone(node),
+                stops: self.stop_requests(removal),
+            })
+        });
+        orders.collect()
+    }
+
+    /// Whoever follows the replica by now hears that it migrated, and places it again.
+    fn stop_requests(&self, removal: &PendingRemoval) -> Vec<v1::StopRequest> {
+        let stop = |placement_id: String, except_placement_id: String| v1::StopRequest {
+            placement_id,
+            task: removal.task.clone(),
+            migrated: true,
+            except_placement_id,
+            decider: Some(self.sender(OperationKind::Migrate, 1)),
+        };
+        let named = removal.placing_ids.iter();
+        let mut stops: Vec<_> = named.map(|id| stop(id.clone(), String::new())).collect();
+        let others = removal.except.iter();
+        stops.extend(others.map(|except| stop(String::new(), except.clone())));
+        stops
+    }
+
+    fn finish_removals(&self, confirmed: Vec<(usize, MachineId)>) -> Vec<(ClaimId, ReplicaPair)> {
         self.with(|_, _, effects| {
-            for (index, machine) in confirmed_by {
-                // Only this task takes any out, so the places are the same.
+            for (index, machine) in confirmed {
+                // Only this task takes removals out, so the places are the same.
                 effects.pending_removals[index].confirmed_by.insert(machine);
             }
             let known: BTreeSet<MachineId> = effects.nodes.keys().copied().collect();
-            let gone = |removal: &PendingRemoval| {
-                let mut all = known.iter();
-                // Before the list is known nothing is.
-                !known.is_empty()
-                    && all.all(|machine| {
-                        let else_where = removal
-                            .nodes
-                            .as_ref()
-                            .is_some_and(|nodes| !nodes.contains(machine));
-                        else_where || removal.confirmed_by.contains(machine)
-                    })
-            };
-            let (done, rest) = std::mem::take(&mut effects.pending_removals)
+            let (done, rest): (Vec<_>, Vec<_>) = std::mem::take(&mut effects.pending_removals)
                 .into_iter()
-                .partition(gone);
+                .partition(|removal| is_removed(removal, &known));
             effects.pending_removals = rest;
-            let done: Vec<PendingRemoval> = done;
-            done.into_iter()
-                .filter_map(|removal| match removal.after {
+            let mut removed_pairs = Vec::new();
+            for removal in done {
+                let (service, task) = (&removal.service, &removal.task);
+                match removal.after {
                     AfterRemoval::ReplacementCompleted => {
-                        effects.replacement_completed(&removal.service, &removal.task);
-                        None
+                        effects.replacement_completed(service, task);
                     }
-                    AfterRemoval::SurgeCancelled(why) => {
-                        effects.surge_removed(&removal.service, &removal.task, why);
-                        None
-                    }
-                    AfterRemoval::RestartCleanup(claim, pair) => Some((claim, pair)),
+                    AfterRemoval::SurgeCancelled(end) => effects.surge_removed(service, task, end),
+                    AfterRemoval::RestartCleanup(claim, pair) => removed_pairs.push((claim, pair)),
                     AfterRemoval::ForeignClaimCleared(claim) => {
-                        if let Some(controller) = effects.rollouts.controller(&removal.service) {
+                        if let Some(controller) = effects.rollouts.controller(service) {
                             controller.cleaned_up(claim);
                         }
-                        effects.return_claims(&removal.service, vec![claim]);
-                        None
+                        effects.return_claims(service, vec![claim]);
                     }
-                })
-                .collect::<Vec<_>>()
+                }
+            }
+            removed_pairs
         })
     }
 }
--- a/crates/dispatcher/src/rollout_control.rs
+++ b/crates/dispatcher/src/rollout_control.rs
@@ -65,27 +65,59 @@
 }
 
 async fn poll_members(core: &Arc<DispatcherCore>) {
-    let told = request_all(core, Operation::Query(v1::QuorumQuery::default())).await;
-    let keepers = core.deployment().quorum_members.len();
-    let mut by_service: BTreeMap<String, (Vec<Rollout>, Vec<ReportedSlot>)> = BTreeMap::new();
-    for kept in told.iter().flat_map(|word| &word.entries) {
-        let Some(roll) = kept.rollout.as_ref().and_then(rollout_from_message) else {
+    let replies = request_all(core, Operation::Query(v1::QuorumQuery::default())).await;
+    let members = core.deployment().quorum_members.len();
+    let reports = reports_by_service(&replies);
+    let mut later = Vec::new();
+    core.with_rollouts(|_, rollouts| {
+        rollouts.members_heard = replies.len();
+        for (service, reports) in reports {
+            let known = rollouts
+                .controllers
+                .get(&service)
+                .map_or(0, |own| own.rollout().revision);
+            later.extend(
+                committed(&reports.rollouts, members)
+                    .filter(|rollout| rollout.revision > known)
+                    .cloned(),
+            );
+            rollouts.reported_slots.insert(service, reports.slots);
+        }
+    });
+    for rollout in later {
+        follow_rollout(core, rollout).await;
+    }
+    for (service, rollout, actions) in next_actions(core, members) {
+        apply_actions(core, &service, rollout, actions).await;
+    }
+    core.retry_stops();
+}
+
+/// What the members reported of one service.
+#[derive(Default)]
+struct ServiceReports {
+    rollouts: Vec<Rollout>,
+    slots: Vec<ReportedSlot>,
+}
+
+fn reports_by_service(replies: &[v1::QuorumResponse]) -> BTreeMap<String, ServiceReports> {
+    let mut by_service: BTreeMap<String, ServiceReports> = BTreeMap::new();
+    for entry in replies.iter().flat_map(|reply| &reply.entries) {
+        let Some(rollout) = entry.rollout.as_ref().and_then(rollout_from_message) else {
             continue;
         };
-        let (rollouts, held) = by_service.entry(roll.service.clone()).or_default();
-        rollouts.push(roll);
-        for slot in &kept.slots {
+        let reports = by_service.entry(rollout.service.clone()).or_default();
+        reports.rollouts.push(rollout);
+        for slot in &entry.slots {
             let grant = Grant {
                 claim: ClaimId(slot.claim),
                 task: slot.task.clone(),
                 dispatcher: slot.dispatcher,
             };
-            match held
-                .iter_mut()
-                .find(|known| known.slot == slot.slot && known.grant == grant)
-            {
+            let mut known = reports.slots.iter_mut();
+            match known.find(|known| known.slot == slot.slot && known.grant == grant) {
                 Some(known) => known.members += 1,
-                None => held.push(ReportedSlot {
+                None => reports.slots.push(ReportedSlot {
                     slot: slot.slot,
                     grant,
                     members: 1,
@@ -93,68 +125,52 @@
             }
         }
     }
-    let mut later = Vec::new();
-    core.with_rollouts(|_, rollouts| {
-        rollouts.members_heard = told.len();
-        for (service, (told, held)) in by_service {
-            let known = rollouts
-                .controllers
-                .get(&service)
-                .map_or(0, |own| own.rollout().revision);
-            later.extend(
-                committed(&told, keepers)
-                    .filter(|roll| roll.revision > known)
-                    .cloned(),
+    by_service
+}
+
+/// Follows a rollout that is committed. On disk first: a restart that fell back to the version
+/// before would place both.
+async fn follow_rollout(core: &Arc<DispatcherCore>, rollout: Rollout) {
+    let (store, stored) = (Arc::clone(&core.store), rollout.clone());
+    match blocking::unblock(move || store.save_rollout(&stored)).await {
+        Ok(()) => {
+            info!(
+                service = rollout.service,
+                number = rollout.revision,
+                version = rollout.version,
+                "a roll is in force"
             );
-            rollouts.reported_slots.insert(service, held);
+            core.adopt(rollout);
         }
-    });
-    for roll in later {
-        // On disk first: a restart that fell back to the version before would place both.
-        let (store, kept) = (Arc::clone(&core.store), roll.clone());
-        match blocking::unblock(move || store.save_rollout(&kept)).await {
-            Ok(()) => {
-                info!(
-                    service = roll.service,
-                    number = roll.revision,
-                    version = roll.version,
-                    "a roll is in force"
-                );
-                core.adopt(roll);
-            }
-            Err(why) => {
-                warn!(
-                    service = roll.service,
-                    why = why.to_string(),
-                    "a roll can't be kept on disk, and is not followed"
-                )
-            }
+        Err(error) => {
+            warn!(
+                service = rollout.service,
+                why = error.to_string(),
+                "a roll can't be kept on disk, and is not followed"
+            )
         }
     }
-    // Without a majority what they tell is not the whole truth, and nothing can be won.
-    let looks: Vec<(String, Rollout, Actions)> = core.with_rollouts(|now, rollouts| {
-        if !is_majority(rollouts.members_heard, keepers) {
+}
+
+/// What the controllers want done, by service; nothing without a majority, which alone knows all
+/// and grants claims.
+fn next_actions(core: &Arc<DispatcherCore>, members: usize) -> Vec<(String, Rollout, Actions)> {
+    core.with_rollouts(|now, rollouts| {
+        if !is_majority(rollouts.members_heard, members) {
             return Vec::new();
         }
-        let held = &rollouts.reported_slots;
-        let all = rollouts
-            .controllers
-            .iter_mut()
-            .map(|(service, controller)| {
-                let held = held.get(service).map_or(&[][..], |held| &held[..]);
-                let recalled =
-                    controller.verify_restored_claims(held, rollouts.members_heard, keepers);
-                let mut look = controller.reconcile(now, held);
-                look.release.extend(recalled.lost);
-                look.claims.extend(recalled.retry);
-                (service.clone(), controller.rollout().clone(), look)
-            });
-        all.collect()
-    });
-    for (service, roll, look) in looks {
-        apply_actions(core, &service, roll, look).await;
-    }
-    core.retry_stops();
+        let (heard, reported) = (rollouts.members_heard, &rollouts.reported_slots);
+        let controllers = rollouts.controllers.iter_mut();
+        let actions = controllers.map(|(service, controller)| {
+            let slots = reported.get(service).map_or(&[][..], |slots| &slots[..]);
+            let restored = controller.verify_restored_claims(slots, heard, members);
+            let mut actions = controller.reconcile(now, slots);
+            actions.release.extend(restored.lost);
+            actions.claims.extend(restored.retry);
+            (service.clone(), controller.rollout().clone(), actions)
+        });
+        actions.collect()
+    })
 }
 
 async fn apply_actions(core: &Arc<DispatcherCore>, service: &str, roll: Rollout, look: Actions) {
@@ -186,58 +202,62 @@
     for task in look.replace {
         core.replace(&task);
     }
-    for ClaimRequest { claim, slot, task } in look.claims {
-        let mut granted = 0;
-        if save_claim(core, claim, service, &task, false, None).await {
-            let dispatcher = core.deployment().cluster.scheduler_index as u32;
-            let slot = v1::Slot {
-                slot,
-                claim: claim.0,
-                task: task.clone(),
-                dispatcher,
-            };
-            let by =
-                Some(core.sender(OperationKind::Claim, core.deployment().quorum_members.len()));
-            let ask = v1::Claim {
-                service: service.into(),
-                revision: roll.revision,
-                slot: Some(slot),
-                decider: by,
-            };
-            let replies = request_all(core, Operation::Claim(ask)).await;
-            granted = replies.iter().filter(|word| word.granted).count();
-        }
-        let keepers = core.deployment().quorum_members.len();
-        // On disk before anything is taken down under it: a restart must know that the slot is
-        // used.
-        if is_majority(granted, keepers)
-            && !save_claim(core, claim, service, &task, true, None).await
-        {
-            granted = 0;
-        }
-        let votes = Votes {
-            granted,
-            members: keepers,
+    for request in look.claims {
+        request_claim(core, service, roll.revision, request).await;
+    }
+}
+
+/// Requests a slot of the quorum members, and begins to use it if a majority grants it.
+async fn request_claim(
+    core: &Arc<DispatcherCore>,
+    service: &str,
+    revision: u64,
+    request: ClaimRequest,
+) {
+    let ClaimRequest { claim, slot, task } = request;
+    let members = core.deployment().quorum_members.len();
+    let mut granted = 0;
+    if save_claim(core, claim, service, &task, false, None).await {
+        let slot = v1::Slot {
+            slot,
+            claim: claim.0,
+            task: task.clone(),
+            dispatcher: core.deployment().cluster.scheduler_index as u32,
         };
-        let won = core.with_rollouts(|now, rollouts| {
-            rollouts
-                .controller(service)
-                .is_some_and(|controller| controller.claim_decided(now, claim, votes))
-        });
-        if !won {
-            release(core, service, claim).await;
-            continue;
-        }
-        // At once: a slot that is held and not used may be taken for one that was left behind.
-        let (grown, replace) = core.with_rollouts(|now, rollouts| {
-            let both = rollouts
-                .controller(service)
-                .map(|own| (own.start_surges(now), own.start_replacements(now)));
-            both.unwrap_or_default()
-        });
-        start_surges(core, service, grown).await;
-        replace.into_iter().for_each(|task| core.replace(&task));
+        let message = v1::Claim {
+            service: service.into(),
+            revision,
+            slot: Some(slot),
+            decider: Some(core.sender(OperationKind::Claim, members)),
+        };
+        let replies = request_all(core, Operation::Claim(message)).await;
+        granted = replies.iter().filter(|reply| reply.granted).count();
+    }
+    let members = core.deployment().quorum_members.len();
+    // On disk before anything is stopped under it: a restart must know that the slot is used.
+    if is_majority(granted, members) && !save_claim(core, claim, service, &task, true, None).await {
+        granted = 0;
     }
+    let votes = Votes { granted, members };
+    let won = core.with_rollouts(|now, rollouts| {
+        rollouts
+            .controller(service)
+            .is_some_and(|controller| controller.claim_decided(now, claim, votes))
+    });
+    if !won {
+        return release(core, service, claim).await;
+    }
+    // At once: a slot that is held and not used may be taken for an abandoned one.
+    let (surges, replacements) = core.with_rollouts(|now, rollouts| {
+        let both = rollouts
+            .controller(service)
+            .map(|own| (own.start_surges(now), own.start_replacements(now)));
+        both.unwrap_or_default()
+    });
+    start_surges(core, service, surges).await;
+    replacements
+        .into_iter()
+        .for_each(|task| core.replace(&task));
 }
 
 /// The two of an earlier life are put away: the claim alone stays on disk, unless it is used anew
