--- a/crates/lab/src/hollow/fleet.rs
+++ b/crates/lab/src/hollow/fleet.rs
@@ -100,14 +100,14 @@
         (stage.day.rate, stage.day.mean_lifetime) = (rate, life);
         let whole = async {
             let (before, from) = (stage.read().await?, stage.front.world.capture.lines().len());
-            let (pace, until) = (
-                SaturationMonitor::start(&tasks, stage.hollow())?,
+            let (saturation, until) = (
+                SaturationMonitor::start(&tasks, stage.hollow()).map_err(|why| why.to_string())?,
                 Instant::now() + time,
             );
             stage.start = Instant::now();
             let owners = stage.through(until).await?;
             Timer::at(until).await;
-            let seen = pace.end()?;
+            let seen = saturation.end().map_err(|why| why.to_string())?;
             let after = stage.read().await?;
             // Those that are still here when the span is over are not waited for.
             drop(owners);
--- a/crates/lab/src/play.rs
+++ b/crates/lab/src/play.rs
@@ -178,13 +178,16 @@
             texts.map(|texts| tasks.spawn(push_versions(stage.control.clone(), texts, every)))
         });
         let versions = versions.transpose()?;
-        let (pace, before) = (
-            SaturationMonitor::start(&tasks, stage.hollow())?,
+        let (saturation, before) = (
+            SaturationMonitor::start(&tasks, stage.hollow()).map_err(|why| why.to_string())?,
             stage.read().await?,
         );
         let owners = stage.through(until).await?;
         let after = stage.read().await?;
-        front.world.capture.see(pace.end()?);
+        front
+            .world
+            .capture
+            .see(saturation.end().map_err(|why| why.to_string())?);
         front
             .world
             .capture
