--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -44,18 +44,12 @@
         match message.name {
             "PEERS_KNOWN" => self.endpoint_list(now, message, pages)?,
             "ASK" => {
-                let (name, requested) = self.requested(us, message)?;
-                let taken = self.engine.admit(now, name, requested, name.into());
-                let id = taken.map_err(|(error, _)| message.invalid(error))?;
+                let (name, request) = self.requested(us, message)?;
+                let admitted = self.engine.admit(now, name, request, name.into());
+                let id = admitted.map_err(|(error, _)| message.invalid(error))?;
                 self.engine.place(now, id, reply);
             }
-            "IN_PLACE" => {
-                let (name, requested) = self.requested(us, message)?;
-                let machine = MachineId(message.get("node")?);
-                let engine = &mut self.engine;
-                let taken = engine.admit_running(now, name, requested, machine, name.into());
-                taken.map_err(|(error, _)| message.invalid(error))?;
-            }
+            "IN_PLACE" => self.already_placed(us, message)?,
             "SEATED" => {
                 let attempt = message.get("leg")?;
                 if let Some(id) = self.find(message)? {
@@ -122,6 +116,18 @@
         }
     }
 
+    /// An allocation that already runs on a machine.
+    fn already_placed(&mut self, us: u64, message: &Message) -> Result<(), InputError> {
+        let (name, request) = self.requested(us, message)?;
+        let machine = MachineId(message.get("node")?);
+        let now = ticks_from_us(us);
+        let admitted = self
+            .engine
+            .admit_running(now, name, request, machine, name.into());
+        admitted.map_err(|(error, _)| message.invalid(error))?;
+        Ok(())
+    }
+
     fn health_checked(&mut self, now: Ticks, message: &Message) -> Result<(), InputError> {
         let machine = MachineId(message.get("node")?);
         let ending = decode::ending(message)?;
