--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -24,5 +24,5 @@
 pub mod saturation;
 pub mod scenario;
 pub mod table;
-pub mod versions;
+pub mod version_figures;
 pub mod wires;
