--- a/crates/lab/src/node/quorum_member.rs
+++ b/crates/lab/src/node/quorum_member.rs
@@ -97,34 +97,43 @@
                 let costs = costs.map(|(node, cost)| (Machine(*node), *cost));
                 self.leases.record_cost_estimates(bids.dispatcher, costs);
             }
-            Operation::StoreVersion(push) => {
-                let push =
-                    config_stream::push_from_message(push).ok_or(QuorumRequestError::Version)?;
-                self.versions.store(
-                    push.version,
-                    push.changes,
-                    push.allows_cuts,
-                    &push.predecessors,
-                );
-                reply.stored_version = self
-                    .versions
-                    .newest()
-                    .map(config_stream::version_id_message);
-            }
+            Operation::StoreVersion(push) => reply.stored_version = self.store_version(push)?,
             Operation::FetchVersion(request) => {
-                let running = request
-                    .active
-                    .as_ref()
-                    .and_then(config_stream::version_id_from_message);
-                let running = running.ok_or(QuorumRequestError::VersionId)?;
-                let push = self.versions.push_for(running);
-                reply.fetched_version = push.map(config_stream::push_message);
+                reply.fetched_version = self.fetch_version(&request)?;
             }
             Operation::Query(query) => self.report(&query, &mut reply),
         }
         Ok(reply)
     }
 
+    /// Stores a configuration version. Returns the name of the newest one.
+    fn store_version(
+        &mut self,
+        push: v1::VersionPush,
+    ) -> Result<Option<v1::VersionId>, QuorumRequestError> {
+        let push = config_stream::push_from_message(push).ok_or(QuorumRequestError::Version)?;
+        self.versions.store(
+            push.version,
+            push.changes,
+            push.allows_cuts,
+            &push.predecessors,
+        );
+        let newest = self.versions.newest();
+        Ok(newest.map(config_stream::version_id_message))
+    }
+
+    /// The newest configuration version, if it is later than the one that the requester runs.
+    fn fetch_version(
+        &self,
+        request: &v1::FetchVersionRequest,
+    ) -> Result<Option<v1::VersionPush>, QuorumRequestError> {
+        let active = request.active.as_ref();
+        let active = active.and_then(config_stream::version_id_from_message);
+        let active = active.ok_or(QuorumRequestError::VersionId)?;
+        let push = self.versions.push_for(active);
+        Ok(push.map(config_stream::push_message))
+    }
+
     /// Claims a slot of a rollout. Whether it is granted.
     fn claim(&mut self, claim: v1::Claim) -> Result<bool, QuorumRequestError> {
         let slot = claim.slot.ok_or(QuorumRequestError::Slot)?;
--- a/crates/lab/tests/stand_in_node.rs
+++ b/crates/lab/tests/stand_in_node.rs
@@ -64,7 +64,7 @@
     }
 }
 
-fn plan() -> NodeConfig {
+fn config() -> NodeConfig {
     NodeConfig {
         id: 3,
         machine_type: "small".into(),
@@ -127,7 +127,7 @@
     async fn begin(tasks: &Tasks) -> Conversation {
         let capture = Capture::new(None).expect("no file, no failure");
         let world = World::new(capture, tasks, Some("jobs".into()));
-        let node = Node::new(plan(), &world);
+        let node = Node::new(config(), &world);
         let link = Conversation::connect(tasks, &node).await;
         let tasks = Arc::clone(tasks);
         Conversation { tasks, node, link }
@@ -186,9 +186,9 @@
     if method != "Door" {
         return answer;
     }
-    let mut word = v1::CordonResponse::decode(&answer[..]).expect("an answer");
-    word.since_ms = 0;
-    word.encode_to_vec()
+    let mut response = v1::CordonResponse::decode(&answer[..]).expect("an answer");
+    response.since_ms = 0;
+    response.encode_to_vec()
 }
 
 async fn messages(mut stream: Streaming<Vec<u8>>) -> String {
@@ -201,10 +201,10 @@
                 break;
             }
         };
-        let mut said = v1::AttemptEvent::decode(&message[..]).expect("a message");
-        said.load_report = None;
-        if !matches!(said.event, Some(v1::attempt_event::Event::Usage(_))) {
-            all.push(hex(&said.encode_to_vec()));
+        let mut message = v1::AttemptEvent::decode(&message[..]).expect("a message");
+        message.load_report = None;
+        if !matches!(message.event, Some(v1::attempt_event::Event::Usage(_))) {
+            all.push(hex(&message.encode_to_vec()));
         }
     }
     all.join(" ")
--- a/crates/maintenance/src/quorum_view.rs
+++ b/crates/maintenance/src/quorum_view.rs
@@ -49,7 +49,7 @@
     pub phase: Option<LeasePhase>,
     /// How many members have withdrawn the claim.
     pub withdrawals: usize,
-    /// How it ended, if any member knows: it was told by one who saw the end.
+    /// How it ended, if any member knows: it was informed by one who saw the end.
     pub outcome: Option<LeaseOutcome>,
 }
 
