--- /dev/null
+++ b/crates/cli/src/connection.rs
@@ -0,0 +1,55 @@
+//! Connections to dispatchers and nodes, and the time that they have to answer.
+
+use crate::error::Error;
+use corkspan_rpc::{Bounds, Link, Tasks, within};
+use futures_lite::future;
+use std::net::SocketAddr;
+use std::time::Duration;
+
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
+/// How long a dispatcher may take to answer a request for its state.
+pub(crate) const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
+/// The largest answer, in bytes; the active shared parts may be in it.
+pub(crate) const MAX_ANSWER_BYTES: usize = 16 << 20;
+
+/// Opens a connection.
+pub(crate) async fn connect(tasks: &Tasks, address: SocketAddr) -> Result<Link, Error> {
+    let bounds = Bounds {
+        connect_within: CONNECT_TIMEOUT,
+        ..Bounds::default()
+    };
+    Link::open(tasks, address, &bounds)
+        .await
+        .map_err(|source| Error::Connect { address, source })
+}
+
+/// Connects to a dispatcher and runs `call` on the connection to its end.
+pub(crate) fn with_connection<F: Future<Output = Result<(), Error>>>(
+    dispatcher: SocketAddr,
+    call: impl FnOnce(Link) -> F,
+) -> Result<(), Error> {
+    let tasks = Tasks::default();
+    let connected = async { call(connect(&tasks, dispatcher).await?).await };
+    future::block_on(tasks.run(connected))
+}
+
+/// The answer to a unary call, if it comes within `timeout`.
+pub(crate) async fn answer_within<T>(
+    timeout: Duration,
+    call: impl Future<Output = Result<tonic::Response<T>, tonic::Status>>,
+) -> Result<T, Error> {
+    let answer = within(timeout, call).await.ok_or(Error::Timeout(timeout))?;
+    Ok(answer?.into_inner())
+}
+
+/// As [`with_connection`], connecting included within `timeout`.
+pub(crate) fn with_connection_within<F: Future<Output = Result<(), Error>>>(
+    dispatcher: SocketAddr,
+    timeout: Duration,
+    call: impl FnOnce(Link) -> F,
+) -> Result<(), Error> {
+    let tasks = Tasks::default();
+    let connected = async { call(connect(&tasks, dispatcher).await?).await };
+    let ended = future::block_on(tasks.run(within(timeout, connected)));
+    ended.unwrap_or(Err(Error::Timeout(timeout)))
+}
--- /dev/null
+++ b/crates/cli/src/error.rs
@@ -0,0 +1,79 @@
+//! Why a command failed, in the words that are printed.
+
+use corkspan_config::sexp::Diagnostic;
+use corkspan_config::sexp::Diagnostics;
+use corkspan_rpc::NoLink;
+use std::net::SocketAddr;
+use std::time::Duration;
+
+/// Why a command failed.
+#[derive(Debug, thiserror::Error)]
+pub(crate) enum Error {
+    /// The deployment file or a version is invalid.
+    #[error(transparent)]
+    Configuration(#[from] Diagnostics),
+    /// A file could not be read.
+    #[error(transparent)]
+    File(#[from] Diagnostic),
+    /// The schema could not be printed.
+    #[error(transparent)]
+    Json(#[from] serde_json::Error),
+    /// The dispatcher ended by an error.
+    #[error(transparent)]
+    Dispatcher(#[from] corkspan_dispatcher::DispatcherError),
+    /// The dispatcher on the platform's protocol ended by an error.
+    #[error(transparent)]
+    Platform(#[from] corkspan_platform::ServeError),
+    /// The environment names no file for `platform`.
+    #[error("NODE_CONFIG names no file")]
+    NoNodeConfig,
+    /// There is no connection to a dispatcher.
+    #[error("{address}: {source}")]
+    Connect {
+        /// The dispatcher's.
+        address: SocketAddr,
+        /// Why there is none.
+        source: NoLink,
+    },
+    /// The answer took too long.
+    #[error("no answer within {} s", .0.as_secs())]
+    Timeout(Duration),
+    /// The call failed.
+    #[error("{}", .0.message())]
+    Call(#[source] Box<tonic::Status>),
+    /// The dispatcher rejected the request, for the reason it gives.
+    #[error("{0}")]
+    Rejected(String),
+    /// The placement was rejected; a retry is safe.
+    #[error("refused ({reason:?}): {message}; another try is harmless")]
+    PlacementRejected {
+        /// As a code.
+        reason: corkspan_api::v1::rejected::RejectionReason,
+        /// In the dispatcher's words.
+        message: String,
+    },
+    /// The placement failed, and may have had an effect.
+    #[error("failed: {0}")]
+    PlacementFailed(String),
+    /// The stream ended without a final answer.
+    #[error("the dispatcher gave no final answer")]
+    NoFinalAnswer,
+    /// A file or version differs from what is active.
+    #[error("{0} parts differ")]
+    PartsDiffer(usize),
+    /// None of the dispatchers given answers.
+    #[error("no dispatcher answers")]
+    NoDispatcher,
+    /// Too few dispatchers run the version that is to become the minimum.
+    #[error(transparent)]
+    NotAdopted(#[from] corkspan_version_fencing::RaiseError),
+    /// The audit has findings.
+    #[error("{0} things are wrong")]
+    Findings(usize),
+}
+
+impl From<tonic::Status> for Error {
+    fn from(status: tonic::Status) -> Self {
+        Error::Call(Box::new(status))
+    }
+}
--- /dev/null
+++ b/crates/cli/src/status.rs
@@ -0,0 +1,46 @@
+//! `status`: the counters of one dispatcher.
+
+use crate::connection::{ANSWER_TIMEOUT, answer_within};
+use crate::error::Error;
+use corkspan_api::v1::{self, placement_client::PlacementClient};
+use corkspan_rpc::Link;
+
+/// Prints what a dispatcher has in flight and has answered.
+pub(crate) async fn status(link: Link) -> Result<(), Error> {
+    let mut client = PlacementClient::new(link);
+    let status = answer_within(ANSWER_TIMEOUT, client.status(v1::StatusRequest {})).await?;
+    let rows = [
+        ("in hand", status.in_flight),
+        ("not yet placed", status.deferred),
+        ("shots out", status.attempts_in_flight),
+        ("running", status.running),
+        ("asked", status.requested),
+        ("placed", status.placed),
+        ("refused", status.rejected),
+        ("failed", status.failed),
+        ("cancelled", status.cancelled),
+        ("links to nodes", status.connections),
+        ("machines serving", status.machines_serving),
+        ("machines known", status.machines_known),
+        ("decided, us", status.decision_time_us),
+    ];
+    println!(
+        "dispatcher {} of {}{}",
+        status.number,
+        status.schedulers,
+        if status.stopping { ", stopping" } else { "" }
+    );
+    rows.iter()
+        .for_each(|(what, value)| println!("{what:>18} {value}"));
+    for count in &status.connection_traffic {
+        println!(
+            "{:>18} {} bytes in, {} out; {} messages in, {} out",
+            count.kind().as_str_name().to_lowercase(),
+            count.bytes_in,
+            count.bytes_out,
+            count.messages_in,
+            count.messages_out
+        );
+    }
+    Ok(())
+}
