--- a/crates/cli/tests/process.rs
+++ b/crates/cli/tests/process.rs
@@ -113,7 +113,7 @@
 /// Discovery is down while idle clients, each of which has once said something sound, take all that
 /// they can get.
 #[test]
-fn idle_clients_that_fill_the_descriptors_keep_neither_the_feed_nor_nodes_nor_owners_out() {
+fn idle_clients_that_use_all_descriptors_do_not_lock_out_discovery_nodes_or_clients() {
     let listener = || TcpListener::bind("127.0.0.1:0").expect("a port of the system's choice");
     let (node, down) = (listener(), listener());
     let feed = down.local_addr().expect("bound");
@@ -153,7 +153,7 @@
 /// The front takes a dispatcher in once it has passed a test. Discovery is down, which a start must
 /// not wait for.
 #[test]
-fn a_start_that_knows_hundreds_of_nodes_is_ready_within_ten_seconds_and_ends_when_told() {
+fn a_start_with_hundreds_of_nodes_is_ready_within_ten_seconds_and_stops_on_a_signal() {
     let listener = || TcpListener::bind("127.0.0.1:0").expect("a port of the system's choice");
     let (node, down) = (listener(), listener());
     let feed = down.local_addr().expect("bound");
