--- a/crates/platform/src/core.rs
+++ b/crates/platform/src/core.rs
@@ -203,13 +203,13 @@
         loop {
             while let Some(deferred) = state.deferred.pop_front() {
                 match deferred {
-                    DeferredEvent::Returned(id, shot, ending) => {
+                    DeferredEvent::Returned(id, attempt, result) => {
                         engine.returned(
                             now,
                             id,
-                            shot,
+                            attempt,
                             Return {
-                                ending,
+                                ending: result,
                                 reason: None,
                                 over: false,
                                 report: None,
--- a/crates/platform/src/core/inputs.rs
+++ b/crates/platform/src/core/inputs.rs
@@ -278,8 +278,8 @@
     /// written.
     pub fn abandon_all(&mut self, now: Ticks) {
         self.with(now, |engine, state| {
-            for (id, shot) in engine.unanswered() {
-                state.timed_out(now, engine, id, shot);
+            for (id, attempt) in engine.unanswered() {
+                state.timed_out(now, engine, id, attempt);
             }
         });
         self.state.clients.clear();
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -180,9 +180,9 @@
             other => return Err(message.invalid_part("scope", other)),
         };
         let endpoints = &pages[message.index("page", pages.len())?];
-        let (machine_types, halls) = (self.settings.machine_types.len(), self.settings.zones.len());
+        let (machine_types, zones) = (self.settings.machine_types.len(), self.settings.zones.len());
         for endpoint in endpoints {
-            if endpoint.machine_type.0 >= machine_types || endpoint.zone.0 >= halls {
+            if endpoint.machine_type.0 >= machine_types || endpoint.zone.0 >= zones {
                 let id = endpoint.machine.0;
                 return Err(message.invalid(format!("node {id} has an unknown flavor or site")));
             }
