--- a/crates/lab/src/capacity/stage.rs
+++ b/crates/lab/src/capacity/stage.rs
@@ -5,7 +5,7 @@
 use super::kernel::{self, Ran};
 use super::meter::{self, Meter};
 use crate::capture::Capture;
-use crate::control::{Control, Up};
+use crate::control_service::{ControlService, ControlServiceGuard};
 use crate::discovery::Discovery;
 use crate::measure::{self, Process, Prompt};
 use crate::node::{Node, NodeConfig, SlowStart, World};
@@ -120,8 +120,8 @@
     relays: Thread,
     roster: Arc<Discovery>,
     entries: Vec<v1::Endpoint>,
-    control: Control,
-    _up: Up,
+    control: ControlService,
+    _up: ControlServiceGuard,
     meters: BTreeMap<End, Arc<Meter>>,
     owners: Vec<SocketAddr>,
     dispatchers: Vec<Process>,
@@ -201,7 +201,9 @@
         };
         let (roster, roster_address) =
             Discovery::start(&world(End::Roster)?).await.map_err(text)?;
-        let (control, up) = Control::up(&world(End::Control)?).await.map_err(text)?;
+        let (control, up) = ControlService::start(&world(End::Control)?)
+            .await
+            .map_err(text)?;
         let nodes = TcpListener::bind("127.0.0.1:0").await.map_err(text)?;
         let nodes_address = nodes.local_addr().map_err(text)?;
         let tasks_there = &threads[&End::Nodes].tasks;
--- a/crates/lab/src/control.rs
+++ b/crates/lab/src/control_service.rs
@@ -1,4 +1,4 @@
-//! A stand-in control service: streams what its books say to each subscriber, or what a story puts
+//! A stand-in control service: streams what its publisher say to each subscriber, or what a story puts
 //! on the wire, and keeps every reply.
 
 use crate::capture::Seen;
@@ -19,47 +19,52 @@
 /// A reply or another word of a subscriber.
 #[derive(Clone, Debug)]
 pub struct Reply {
-    pub told: v1::PushReply,
-    /// What the books say of it.
-    pub heard: ReplyStatus,
-    pub at: std::time::Instant,
+    pub message: v1::PushReply,
+    /// What the publisher say of it.
+    pub status: ReplyStatus,
+    pub received_at: std::time::Instant,
 }
 
 #[derive(Default)]
 struct State {
-    books: Publisher,
+    publisher: Publisher,
     /// Ways to the subscribers whose streams stand.
     open: BTreeMap<u32, async_channel::Sender<v1::VersionPush>>,
     replies: Vec<Reply>,
     /// Pushes go out as stories say alone.
     scripted: bool,
     opened: usize,
-    /// What the books had pushed.
+    /// What the publisher had pushed.
     pushes: Vec<v1::VersionPush>,
 }
 
 /// One control service. Clones share it.
 #[derive(Clone)]
-pub struct Control {
+pub struct ControlService {
     state: Arc<Mutex<State>>,
     world: Arc<World>,
     pub address: SocketAddr,
 }
 
 /// Keeps it up; dropped, its links break.
-pub struct Up(#[allow(dead_code)] async_executor::Task<()>);
+pub struct ControlServiceGuard(#[allow(dead_code)] async_executor::Task<()>);
 
 /// Pushes that wait for a subscriber to read them.
-const WAITING: usize = 100_000;
+const MAX_WAITING_PUSHES: usize = 100_000;
 
-impl Control {
-    pub async fn up(world: &Arc<World>) -> std::io::Result<(Control, Up)> {
-        Control::up_at(world, "127.0.0.1:0").await
+impl ControlService {
+    pub async fn start(
+        world: &Arc<World>,
+    ) -> std::io::Result<(ControlService, ControlServiceGuard)> {
+        ControlService::start_at(world, "127.0.0.1:0").await
     }
 
-    pub async fn up_at(world: &Arc<World>, address: &str) -> std::io::Result<(Control, Up)> {
+    pub async fn start_at(
+        world: &Arc<World>,
+        address: &str,
+    ) -> std::io::Result<(ControlService, ControlServiceGuard)> {
         let listener = TcpListener::bind(address).await?;
-        let control = Control {
+        let control = ControlService {
             state: Arc::default(),
             world: Arc::clone(world),
             address: listener.local_addr()?,
@@ -68,26 +73,26 @@
         Ok((control, up))
     }
 
-    /// The same service with its books, on its former address, after it was away.
-    pub async fn up_again(&self, world: &Arc<World>) -> std::io::Result<Up> {
+    /// The same service with its publisher, on its former address, after it was away.
+    pub async fn restart(&self, world: &Arc<World>) -> std::io::Result<ControlServiceGuard> {
         let listener = TcpListener::bind(self.address).await?;
         Ok(self.serve(world, listener))
     }
 
-    fn serve(&self, world: &Arc<World>, listener: TcpListener) -> Up {
+    fn serve(&self, world: &Arc<World>, listener: TcpListener) -> ControlServiceGuard {
         let service =
             control_server::ControlServer::new(Service(self.clone(), Arc::clone(&world.tasks)));
         let tasks = &world.tasks;
-        Up(tasks.spawn(async move {
+        ControlServiceGuard(tasks.spawn(async move {
             corkspan_rpc::serve(listener, service, corkspan_rpc::Bounds::default()).await;
         }))
     }
 
     fn with<R>(&self, call: impl FnOnce(&mut State) -> R) -> R {
-        call(&mut self.state.lock().expect("no one panics over the books"))
+        call(&mut self.state.lock().expect("no one panics over the publisher"))
     }
 
-    /// From here on only what [`Control::send`] is told goes out.
+    /// From here on only what [`ControlService::send`] is told goes out.
     pub fn scripted(&self) {
         self.with(|state| state.scripted = true);
     }
@@ -95,7 +100,7 @@
     /// The next version, streamed to all.
     pub fn publish(&self, texts: SharedParts, cuts: bool) -> VersionId {
         self.with(|state| {
-            let stamp = state.books.publish(texts, cuts);
+            let stamp = state.publisher.publish(texts, cuts);
             self.world.capture.see(Seen::Pushed {
                 number: stamp.number,
             });
@@ -104,7 +109,7 @@
         })
     }
 
-    /// Puts a push on one subscriber's stream, whatever the books say. False where none stands.
+    /// Puts a push on one subscriber's stream, whatever the publisher say. False where none stands.
     pub fn send(&self, who: u32, push: v1::VersionPush) -> bool {
         self.with(|state| {
             state
@@ -132,7 +137,7 @@
         self.with(|state| {
             let replies = state.replies.iter().rev();
             replies
-                .map(|reply| &reply.told)
+                .map(|reply| &reply.message)
                 .find(|told| told.nonce == nonce)
                 .cloned()
         })
@@ -140,7 +145,7 @@
 
     /// What each subscriber told last of what runs there.
     pub fn running(&self, who: u32) -> Option<VersionId> {
-        self.with(|state| state.books.active_version(who))
+        self.with(|state| state.publisher.active_version(who))
     }
 
     /// Streams that were opened ever.
@@ -155,47 +160,47 @@
             return;
         }
         let State {
-            books,
+            publisher,
             open,
             pushes,
             ..
         } = self;
         open.retain(|who, open| {
-            if let Some(push) = books.push_for(*who) {
-                pushes.push(message(&push));
+            if let Some(push) = publisher.push_for(*who) {
+                pushes.push(push_message(&push));
                 // One that does not read loses its stream, and tells anew what it runs.
-                return open.try_send(message(&push)).is_ok();
+                return open.try_send(push_message(&push)).is_ok();
             }
             !open.is_closed()
         });
     }
 }
 
-pub fn stamp_message(stamp: VersionId) -> v1::VersionId {
+pub fn version_id_message(stamp: VersionId) -> v1::VersionId {
     v1::VersionId {
         number: stamp.number,
         digest: stamp.digest.to_string(),
     }
 }
 
-pub fn stamp_of(message: &v1::VersionId) -> Option<VersionId> {
+pub fn parse_version_id(message: &v1::VersionId) -> Option<VersionId> {
     Some(VersionId {
         number: message.number,
         digest: Digest::from_hex(&message.digest)?,
     })
 }
 
-pub fn message(push: &VersionPush) -> v1::VersionPush {
+pub fn push_message(push: &VersionPush) -> v1::VersionPush {
     v1::VersionPush {
         nonce: push.nonce,
-        version: Some(stamp_message(push.version)),
+        version: Some(version_id_message(push.version)),
         ancestors: push
             .predecessors
             .iter()
             .copied()
-            .map(stamp_message)
+            .map(version_id_message)
             .collect(),
-        base: push.base.map(stamp_message),
+        base: push.base.map(version_id_message),
         parts: push
             .changes
             .iter()
@@ -206,7 +211,7 @@
     }
 }
 
-fn said(told: &v1::PushReply) -> PushReply {
+fn push_reply(told: &v1::PushReply) -> PushReply {
     match told.answer() {
         Answer::Applied => PushReply::Applied,
         Answer::Rejected => PushReply::Rejected(told.reasons.clone()),
@@ -216,7 +221,7 @@
     }
 }
 
-struct Service(Control, Tasks);
+struct Service(ControlService, Tasks);
 
 #[tonic::async_trait]
 impl control_server::Control for Service {
@@ -232,19 +237,19 @@
             .await?
             .ok_or_else(|| Status::invalid_argument("nothing is told"))?;
         let who = first.dispatcher;
-        let running = first.active.as_ref().and_then(stamp_of);
+        let running = first.active.as_ref().and_then(parse_version_id);
         let running =
             running.ok_or_else(|| Status::invalid_argument("it does not tell what it runs"))?;
-        let (to, from) = async_channel::bounded(WAITING);
+        let (to, from) = async_channel::bounded(MAX_WAITING_PUSHES);
         let control = self.0.clone();
         control.with(|state| {
             state.replies.push(Reply {
-                told: first,
-                heard: ReplyStatus::Accepted,
-                at: std::time::Instant::now(),
+                message: first,
+                status: ReplyStatus::Accepted,
+                received_at: std::time::Instant::now(),
             });
             state.opened += 1;
-            state.books.subscriber_connected(who, running);
+            state.publisher.subscriber_connected(who, running);
             state.open.insert(who, to);
             state.flush();
         });
@@ -258,19 +263,19 @@
                             .capture
                             .see(Seen::InForce { dispatcher, number });
                     }
-                    let heard = match told.active.as_ref().and_then(stamp_of) {
-                        Some(running) => state.books.receive_reply(
+                    let heard = match told.active.as_ref().and_then(parse_version_id) {
+                        Some(running) => state.publisher.receive_reply(
                             told.dispatcher,
                             told.nonce,
-                            &said(&told),
+                            &push_reply(&told),
                             running,
                         ),
                         None => ReplyStatus::UnknownSubscriber,
                     };
                     state.replies.push(Reply {
-                        told,
-                        heard,
-                        at: std::time::Instant::now(),
+                        message: told,
+                        status: heard,
+                        received_at: std::time::Instant::now(),
                     });
                     state.flush();
                 });
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -4,7 +4,7 @@
 
 pub mod capacity;
 pub mod capture;
-pub mod control;
+pub mod control_service;
 pub mod cost;
 pub mod counts;
 pub mod discovery;
--- a/crates/lab/src/play.rs
+++ b/crates/lab/src/play.rs
@@ -2,7 +2,7 @@
 //! and lets the script's troubles strike.
 
 use crate::capture::{self, Capture, DispatcherState, NodeState, Repeat, Rules, Seen};
-use crate::control::{self, Control};
+use crate::control_service::{ControlService, ControlServiceGuard};
 use crate::cost;
 use crate::discovery::Discovery;
 use crate::needs::{Limits, Needs};
@@ -233,7 +233,7 @@
             let address = node.start_process(false).await.map_err(text)?;
             roster.update(Duration::ZERO, entry(node, address, 0));
         }
-        let (control, control_up) = Control::up(&world).await.map_err(text)?;
+        let (control, control_up) = ControlService::start(&world).await.map_err(text)?;
         let wires = match self.day.needs_fault_proxies() {
             true => {
                 let service = self.day.version_interval.map(|_| control.address);
@@ -459,7 +459,7 @@
 }
 
 /// An operator pushes one sound version after the other: the same but for what nobody feels.
-async fn push_versions(control: Control, texts: SharedParts, every: Duration) {
+async fn push_versions(control: ControlService, texts: SharedParts, every: Duration) {
     for which in 0u64.. {
         let accounts = format!("(accounts (a (share-cores {})))", 1_000_000 + which);
         let changes = [("accounts".to_string(), accounts)];
@@ -512,8 +512,8 @@
     wires: Option<Wires>,
     worker: Option<async_executor::Task<Result<(), String>>>,
     folder: tempfile::TempDir,
-    control: Control,
-    _up: control::Up,
+    control: ControlService,
+    _up: ControlServiceGuard,
 }
 
 /// What is undone at the end of a trouble.
--- a/crates/lab/src/pushes.rs
+++ b/crates/lab/src/pushes.rs
@@ -3,7 +3,7 @@
 //! away, placing while versions come.
 
 use crate::capture::Capture;
-use crate::control::{Control, Up, message, stamp_of};
+use crate::control_service::{ControlService, ControlServiceGuard, parse_version_id, push_message};
 use crate::discovery::Discovery;
 use crate::measure::{self, Measure, Process, Prompt, Round, median};
 use crate::node::World;
@@ -31,8 +31,8 @@
     program: Vec<OsString>,
     folder: tempfile::TempDir,
     roster: SocketAddr,
-    control: Control,
-    up: Option<Up>,
+    control: ControlService,
+    up: Option<ControlServiceGuard>,
     dispatchers: Vec<Process>,
 }
 
@@ -47,7 +47,7 @@
         let text = |why: std::io::Error| why.to_string();
         let world = World::new(Capture::new(None).map_err(text)?, &tasks, None);
         let (_roster, roster) = Discovery::start(&world).await.map_err(text)?;
-        let (control, up) = Control::up(&world).await.map_err(text)?;
+        let (control, up) = ControlService::start(&world).await.map_err(text)?;
         let mut stage = Stage {
             tasks: tasks.clone(),
             world,
@@ -153,7 +153,7 @@
             .await?
             .active
             .as_ref()
-            .and_then(stamp_of)
+            .and_then(parse_version_id)
             .ok_or("no stamp")?;
         while out.sent < versions {
             let burst: Vec<(VersionPush, bool)> = (0..rng.random_range(1..40))
@@ -165,7 +165,7 @@
             out.sent += burst.len();
             if !burst
                 .iter()
-                .all(|(push, _)| stage.control.send(0, message(push)))
+                .all(|(push, _)| stage.control.send(0, push_message(push)))
             {
                 return Err("the stream does not stand".into());
             }
@@ -217,7 +217,7 @@
             let running = status
                 .active
                 .as_ref()
-                .and_then(stamp_of)
+                .and_then(parse_version_id)
                 .ok_or("no stamp")?;
             let in_force =
                 SharedParts::parse("in force", &status.text).map_err(|why| why.to_string())?;
@@ -226,7 +226,7 @@
                 && status
                     .given_up
                     .iter()
-                    .filter_map(stamp_of)
+                    .filter_map(parse_version_id)
                     .any(|own| own == acknowledged);
             out.given_up += usize::from(given_up);
             let newer = killed && sound(running) && running.number > acknowledged.number;
@@ -342,7 +342,7 @@
                     .control
                     .replies()
                     .iter()
-                    .filter(|own| own.told.answer() == answer)
+                    .filter(|own| own.message.answer() == answer)
                     .count()
             };
             stage
@@ -351,7 +351,7 @@
                         .control
                         .replies()
                         .iter()
-                        .filter(|reply| reply.told.nonce > 0)
+                        .filter(|reply| reply.message.nonce > 0)
                         .count()
                         >= stage.control.pushes().len()
                 })
@@ -382,8 +382,8 @@
                 };
                 stage.until("all have it", all).await?;
                 for reply in &stage.control.replies()[before..] {
-                    if reply.told.answer() == Answer::Applied {
-                        times.saturating_record((reply.at - began).as_micros() as u64);
+                    if reply.message.answer() == Answer::Applied {
+                        times.saturating_record((reply.received_at - began).as_micros() as u64);
                     }
                 }
                 // Not paced by the one before.
@@ -410,7 +410,7 @@
             stage.up = Some(
                 stage
                     .control
-                    .up_again(&stage.world)
+                    .restart(&stage.world)
                     .await
                     .map_err(|why| why.to_string())?,
             );
@@ -425,10 +425,12 @@
                 .control
                 .replies()
                 .iter()
-                .filter(|own| own.told.nonce == 0 && own.at > began)
+                .filter(|own| own.message.nonce == 0 && own.received_at > began)
             {
-                times.saturating_record((reply.at - began).as_micros() as u64);
-                *by_second.entry((reply.at - began).as_secs()).or_default() += 1;
+                times.saturating_record((reply.received_at - began).as_micros() as u64);
+                *by_second
+                    .entry((reply.received_at - began).as_secs())
+                    .or_default() += 1;
             }
             let most = by_second.values().max().copied().unwrap_or(0);
             println!(
@@ -459,7 +461,7 @@
             for id in 0..measure.nodes {
                 roster.update(Duration::ZERO, measure::entry(id, node));
             }
-            let (control, up) = Control::up(&world).await.map_err(text)?;
+            let (control, up) = ControlService::start(&world).await.map_err(text)?;
             let mut stage = Stage {
                 tasks: tasks.clone(),
                 world,
--- a/crates/lab/tests/full_path/counts.rs
+++ b/crates/lab/tests/full_path/counts.rs
@@ -6,7 +6,7 @@
     self, connection_traffic::Kind, placement_client::PlacementClient,
     versions_client::VersionsClient,
 };
-use corkspan_lab::control::Control;
+use corkspan_lab::control_service::ControlService;
 use corkspan_lab::counts::{Difference, differences, of, seen};
 use corkspan_lab::relay::Relay;
 use corkspan_lab::scenario::LinkPeer;
@@ -20,7 +20,7 @@
 
 struct Stage {
     rig: Rig,
-    control: Control,
+    control: ControlService,
     wires: Wires,
     /// Listings that the dispatcher's former life was told.
     told: u64,
@@ -56,7 +56,7 @@
         },
         async |rig| {
             let folder = tempfile::tempdir().expect("a folder");
-            let (control, _up) = Control::up(&rig.world).await.expect("a port");
+            let (control, _up) = ControlService::start(&rig.world).await.expect("a port");
             let listed: Vec<(u32, SocketAddr)> = rig
                 .nodes
                 .iter()
--- a/crates/lab/tests/full_path/fleet.rs
+++ b/crates/lab/tests/full_path/fleet.rs
@@ -11,7 +11,7 @@
 use corkspan_config_sync::{PersistedVersions, Version};
 use corkspan_dispatcher::version_files::save;
 use corkspan_lab::capture::{Cold, Line, Rules, Seen, Word as SaidWord};
-use corkspan_lab::control::{Control, Up};
+use corkspan_lab::control_service::{ControlService, ControlServiceGuard};
 use corkspan_lab::discovery::Discovery;
 use corkspan_lab::judge::judge;
 use corkspan_lab::relay::{Relay, Way};
@@ -77,8 +77,8 @@
 /// stood still.
 struct Stage {
     rig: Rig,
-    newest: (Control, Up),
-    stale: (Control, Up),
+    newest: (ControlService, ControlServiceGuard),
+    stale: (ControlService, ControlServiceGuard),
     folder: tempfile::TempDir,
     fleet: Vec<Process>,
     /// What the next one is told of the floor beside how often to ask.
@@ -89,8 +89,8 @@
 
 impl Stage {
     async fn new(rig: Rig) -> Stage {
-        let newest = Control::up(&rig.world).await.expect("a port");
-        let stale = Control::up(&rig.world).await.expect("a port");
+        let newest = ControlService::start(&rig.world).await.expect("a port");
+        let stale = ControlService::start(&rig.world).await.expect("a port");
         let stage = Stage {
             rig,
             newest,
@@ -704,7 +704,7 @@
             number,
             digest: stage.texts(shots).digest(),
         };
-        corkspan_lab::control::stamp_message(stamp)
+        corkspan_lab::control_service::version_id_message(stamp)
     };
     v1::VersionPush {
         version: Some(stamp(number, shots)),
--- a/crates/lab/tests/full_path/versions.rs
+++ b/crates/lab/tests/full_path/versions.rs
@@ -8,7 +8,9 @@
 };
 use corkspan_config::version::{SharedParts, VersionId};
 use corkspan_config_sync::VersionPush;
-use corkspan_lab::control::{Control, Up, message, stamp_of};
+use corkspan_lab::control_service::{
+    ControlService, ControlServiceGuard, parse_version_id, push_message,
+};
 use corkspan_lab::pushes;
 use corkspan_rpc::{Bounds, Link};
 use std::path::Path;
@@ -18,12 +20,12 @@
 /// A rig whose dispatcher takes its versions from a control service.
 struct Stage {
     rig: Rig,
-    control: Control,
-    up: Option<Up>,
+    control: ControlService,
+    up: Option<ControlServiceGuard>,
     folder: tempfile::TempDir,
 }
 
-fn more(control: &Control, folder: &Path) -> String {
+fn more(control: &ControlService, folder: &Path) -> String {
     let kept = folder.join("versions.json");
     format!(
         "(accounts (one (share-cores 100))) (control \"{}\") (versions {kept:?})",
@@ -34,7 +36,7 @@
 fn story<F: Future<Output = ()>>(story: impl FnOnce(Stage) -> F) {
     Rig::run(Layout::default(), async |rig| {
         let folder = tempfile::tempdir().expect("a folder");
-        let (control, up) = Control::up(&rig.world).await.expect("a port");
+        let (control, up) = ControlService::start(&rig.world).await.expect("a port");
         let text = deployment(rig.roster.address, &more(&control, folder.path()));
         let rig = rig.kill_and_restart(&text).await;
         rig.until_serving(2).await;
@@ -109,7 +111,7 @@
 
     /// The reply to a push put on the stream as it is.
     async fn reply(&self, push: &VersionPush) -> v1::PushReply {
-        assert!(self.control.send(0, message(push)), "a stream stands");
+        assert!(self.control.send(0, push_message(push)), "a stream stands");
         until(async || self.control.reply_to(push.nonce).is_some()).await;
         self.control.reply_to(push.nonce).expect("it is there")
     }
@@ -232,7 +234,7 @@
                 told.reasons
             );
             assert_eq!(
-                told.active.as_ref().and_then(stamp_of),
+                told.active.as_ref().and_then(parse_version_id),
                 Some(five),
                 "the last good one stays"
             );
@@ -270,7 +272,9 @@
         until(async || stage.status().await.rejected == 1).await;
         let status = stage.status().await;
         assert_eq!(
-            status.last_rejected.and_then(|last| stamp_of(&last)),
+            status
+                .last_rejected
+                .and_then(|last| parse_version_id(&last)),
             Some(gone)
         );
         assert!(
@@ -326,7 +330,7 @@
         stage.up = Some(
             stage
                 .control
-                .up_again(&stage.rig.world)
+                .restart(&stage.rig.world)
                 .await
                 .expect("its port"),
         );
@@ -336,10 +340,10 @@
             .replies()
             .into_iter()
             .rev()
-            .find(|reply| reply.told.nonce == 0);
+            .find(|reply| reply.message.nonce == 0);
         let told = first
-            .and_then(|reply| reply.told.active)
-            .and_then(|running| stamp_of(&running));
+            .and_then(|reply| reply.message.active)
+            .and_then(|running| parse_version_id(&running));
         assert_eq!(told, Some(one), "a new stream says what runs");
     });
 }
@@ -367,13 +371,17 @@
         let whole = SharedParts::parse("in force", &status.text)
             .expect("sound")
             .digest();
-        let running = status.active.as_ref().and_then(stamp_of).expect("a stamp");
+        let running = status
+            .active
+            .as_ref()
+            .and_then(parse_version_id)
+            .expect("a stamp");
         assert!(running == one || running == two, "{running}");
         assert_eq!(whole, running.digest);
         stage.up = Some(
             stage
                 .control
-                .up_again(&stage.rig.world)
+                .restart(&stage.rig.world)
                 .await
                 .expect("its port"),
         );
@@ -471,13 +479,13 @@
                 .control
                 .replies()
                 .iter()
-                .any(|reply| gave_up(&reply.told))
+                .any(|reply| gave_up(&reply.message))
         })
         .await;
         let replies = stage.control.replies();
         let told = replies
             .iter()
-            .map(|reply| &reply.told)
+            .map(|reply| &reply.message)
             .find(|told| gave_up(told))
             .expect("told");
         assert!(told.reasons[0].contains("% of"), "{:?}", told.reasons);
