--- a/crates/lab/src/control_service.rs
+++ b/crates/lab/src/control_service.rs
@@ -1,5 +1,5 @@
-//! A stand-in control service: streams what its publisher say to each subscriber, or what a story puts
-//! on the wire, and keeps every reply.
+//! A stand-in control service: streams what its publisher decides to each subscriber, or what a
+//! test puts on the wire, and keeps every reply.
 
 use crate::capture::Seen;
 use crate::node::World;
@@ -16,25 +16,28 @@
 use std::sync::{Arc, Mutex};
 use tonic::{Request, Response, Status, Streaming};
 
-/// A reply or another word of a subscriber.
+/// A reply or report of a subscriber.
 #[derive(Clone, Debug)]
 pub struct Reply {
+    /// As it came.
     pub message: v1::PushReply,
-    /// What the publisher say of it.
+    /// How the publisher took it.
     pub status: ReplyStatus,
+    /// When it came.
     pub received_at: std::time::Instant,
 }
 
 #[derive(Default)]
 struct State {
     publisher: Publisher,
-    /// Ways to the subscribers whose streams stand.
+    /// Senders to the subscribers whose streams are open.
     open: BTreeMap<u32, async_channel::Sender<v1::VersionPush>>,
     replies: Vec<Reply>,
-    /// Pushes go out as stories say alone.
+    /// Only what [`ControlService::send`] is given is pushed.
     scripted: bool,
+    /// Streams opened so far.
     opened: usize,
-    /// What the publisher had pushed.
+    /// What the publisher decided to push.
     pushes: Vec<v1::VersionPush>,
 }
 
@@ -43,22 +46,25 @@
 pub struct ControlService {
     state: Arc<Mutex<State>>,
     world: Arc<World>,
+    /// Where it listens.
     pub address: SocketAddr,
 }
 
-/// Keeps it up; dropped, its links break.
+/// Keeps the service up; when it is dropped, all connections break.
 pub struct ControlServiceGuard(#[allow(dead_code)] async_executor::Task<()>);
 
-/// Pushes that wait for a subscriber to read them.
+/// Pushes that may wait for a subscriber to read them.
 const MAX_WAITING_PUSHES: usize = 100_000;
 
 impl ControlService {
+    /// Starts a service on a free port.
     pub async fn start(
         world: &Arc<World>,
     ) -> std::io::Result<(ControlService, ControlServiceGuard)> {
         ControlService::start_at(world, "127.0.0.1:0").await
     }
 
+    /// Starts a service on this address.
     pub async fn start_at(
         world: &Arc<World>,
         address: &str,
@@ -73,7 +79,7 @@
         Ok((control, up))
     }
 
-    /// The same service with its publisher, on its former address, after it was away.
+    /// Starts the same service again, with its state, on its former address.
     pub async fn restart(&self, world: &Arc<World>) -> std::io::Result<ControlServiceGuard> {
         let listener = TcpListener::bind(self.address).await?;
         Ok(self.serve(world, listener))
@@ -89,15 +95,20 @@
     }
 
     fn with<R>(&self, call: impl FnOnce(&mut State) -> R) -> R {
-        call(&mut self.state.lock().expect("no one panics over the publisher"))
+        call(
+            &mut self
+                .state
+                .lock()
+                .expect("no one panics while holding the state"),
+        )
     }
 
-    /// From here on only what [`ControlService::send`] is told goes out.
+    /// From now on only what [`ControlService::send`] is given is pushed.
     pub fn scripted(&self) {
         self.with(|state| state.scripted = true);
     }
 
-    /// The next version, streamed to all.
+    /// Publishes the next version and streams it to all.
     pub fn publish(&self, texts: SharedParts, cuts: bool) -> VersionId {
         self.with(|state| {
             let stamp = state.publisher.publish(texts, cuts);
@@ -109,7 +120,8 @@
         })
     }
 
-    /// Puts a push on one subscriber's stream, whatever the publisher say. False where none stands.
+    /// Puts a push on one subscriber's stream, whatever the publisher decides. False where no stream
+    /// is open.
     pub fn send(&self, who: u32, push: v1::VersionPush) -> bool {
         self.with(|state| {
             state
@@ -124,10 +136,38 @@
         self.with(|state| state.open.clear());
     }
 
+    /// A reply or report of a subscriber.
+    fn receive(&self, message: v1::PushReply) {
+        if let Some(active) = &message.active {
+            let (dispatcher, number) = (message.dispatcher, active.number);
+            self.world.capture.see(Seen::InForce { dispatcher, number });
+        }
+        self.with(|state| {
+            let active = message.active.as_ref().and_then(parse_version_id);
+            let status = match active {
+                Some(active) => state.publisher.receive_reply(
+                    message.dispatcher,
+                    message.nonce,
+                    &push_reply(&message),
+                    active,
+                ),
+                None => ReplyStatus::UnknownSubscriber,
+            };
+            state.replies.push(Reply {
+                message,
+                status,
+                received_at: std::time::Instant::now(),
+            });
+            state.flush();
+        });
+    }
+
+    /// All replies and reports so far.
     pub fn replies(&self) -> Vec<Reply> {
         self.with(|state| state.replies.clone())
     }
 
+    /// All that the publisher decided to push.
     pub fn pushes(&self) -> Vec<v1::VersionPush> {
         self.with(|state| state.pushes.clone())
     }
@@ -143,12 +183,12 @@
         })
     }
 
-    /// What each subscriber told last of what runs there.
+    /// The active version of a subscriber, as it reported last.
     pub fn running(&self, who: u32) -> Option<VersionId> {
         self.with(|state| state.publisher.active_version(who))
     }
 
-    /// Streams that were opened ever.
+    /// Streams opened so far.
     pub fn opened(&self) -> usize {
         self.with(|state| state.opened)
     }
@@ -168,7 +208,7 @@
         open.retain(|who, open| {
             if let Some(push) = publisher.push_for(*who) {
                 pushes.push(push_message(&push));
-                // One that does not read loses its stream, and tells anew what it runs.
+                // One that does not read loses its stream, and reports its version anew.
                 return open.try_send(push_message(&push)).is_ok();
             }
             !open.is_closed()
@@ -176,6 +216,7 @@
     }
 }
 
+/// A version id on the wire.
 pub fn version_id_message(stamp: VersionId) -> v1::VersionId {
     v1::VersionId {
         number: stamp.number,
@@ -183,6 +224,7 @@
     }
 }
 
+/// None where the digest is none.
 pub fn parse_version_id(message: &v1::VersionId) -> Option<VersionId> {
     Some(VersionId {
         number: message.number,
@@ -190,6 +232,7 @@
     })
 }
 
+/// A push on the wire.
 pub fn push_message(push: &VersionPush) -> v1::VersionPush {
     v1::VersionPush {
         nonce: push.nonce,
@@ -254,31 +297,8 @@
             state.flush();
         });
         let replies = async move {
-            while let Ok(Some(told)) = tells.message().await {
-                control.with(|state| {
-                    if let Some(running) = &told.active {
-                        let (dispatcher, number) = (told.dispatcher, running.number);
-                        control
-                            .world
-                            .capture
-                            .see(Seen::InForce { dispatcher, number });
-                    }
-                    let heard = match told.active.as_ref().and_then(parse_version_id) {
-                        Some(running) => state.publisher.receive_reply(
-                            told.dispatcher,
-                            told.nonce,
-                            &push_reply(&told),
-                            running,
-                        ),
-                        None => ReplyStatus::UnknownSubscriber,
-                    };
-                    state.replies.push(Reply {
-                        message: told,
-                        status: heard,
-                        received_at: std::time::Instant::now(),
-                    });
-                    state.flush();
-                });
+            while let Ok(Some(message)) = tells.message().await {
+                control.receive(message);
             }
         };
         self.1.spawn(replies).detach();
