--- a/crates/api/build.rs
+++ b/crates/api/build.rs
@@ -7,7 +7,7 @@
     let set = protox::compile(files, ["proto"])?;
     tonic_prost_build::configure()
         .build_transport(false)
-        .codec_path("crate::codec::Small")
+        .codec_path("crate::codec::SmallBufferCodec")
         .compile_fds(set)?;
     Ok(())
 }
--- a/crates/api/tests/wire_contract.rs
+++ b/crates/api/tests/wire_contract.rs
@@ -33,7 +33,7 @@
 }
 
 impl Paths {
-    fn of(pool: &DescriptorPool) -> Self {
+    fn from_rpcs(pool: &DescriptorPool) -> Self {
         let mut queue = VecDeque::new();
         for (rpc, method) in rpcs(pool) {
             queue.push_back((format!("{rpc}.request"), method.input()));
@@ -102,7 +102,7 @@
 }
 
 fn contract(pool: &DescriptorPool) -> String {
-    let paths = Paths::of(pool);
+    let paths = Paths::from_rpcs(pool);
     let mut lines = Vec::new();
     let packages: std::collections::BTreeSet<String> = pool
         .files()
