--- a/crates/dispatcher/src/config_stream.rs
+++ b/crates/dispatcher/src/config_stream.rs
@@ -162,17 +162,9 @@
         dispatcher: core.deployment().cluster.scheduler_index as u32,
     };
     answers.send_status(&core.active_version, Answer::Nothing, Vec::new());
-    let mut client = ControlClient::new(link).max_decoding_message_size(MAX_PUSH_BYTES);
-    // The first push may take long, but accepting the stream must not.
-    let opened = corkspan_rpc::within(
-        core.link_bounds.connect_within * 4,
-        Box::pin(client.stream(from)),
-    )
-    .await;
-    let mut pushes = match opened {
-        Some(Ok(pushes)) => pushes.into_inner(),
-        Some(Err(status)) => return Box::new(status).into(),
-        None => return StreamError::NotAccepted,
+    let mut pushes = match open_stream(core, link, from).await {
+        Ok(pushes) => pushes,
+        Err(error) => return error,
     };
     *began = Some(Instant::now());
     core.active_version
@@ -195,17 +187,7 @@
             else {
                 continue;
             };
-            let said = apply(core, &push, VersionOrigin::Push).await;
-            if let PushReply::Rejected(why) = &said {
-                warn!(
-                    version = push.version.number,
-                    ?why,
-                    "a version is turned down"
-                );
-                core.active_version
-                    .with(|state| state.refused_last = Some((push.version, why.clone())));
-            }
-            if !answers.send_reply(&core.active_version, push.nonce, &said) {
+            if !apply_and_answer(core, &answers, &push).await {
                 return StreamError::UnreadReplies;
             }
             continue;
@@ -232,6 +214,39 @@
     }
 }
 
+/// The first push may take long, but accepting the stream must not.
+async fn open_stream(
+    core: &DispatcherCore,
+    link: Link,
+    replies: async_channel::Receiver<v1::PushReply>,
+) -> Result<tonic::Streaming<v1::VersionPush>, StreamError> {
+    let mut client = ControlClient::new(link).max_decoding_message_size(MAX_PUSH_BYTES);
+    let opened = corkspan_rpc::within(
+        core.link_bounds.connect_within * 4,
+        Box::pin(client.stream(replies)),
+    );
+    match opened.await {
+        Some(Ok(pushes)) => Ok(pushes.into_inner()),
+        Some(Err(status)) => Err(Box::new(status).into()),
+        None => Err(StreamError::NotAccepted),
+    }
+}
+
+/// Applies a push and answers it. False where the service does not read.
+async fn apply_and_answer(core: &DispatcherCore, answers: &Answers, push: &VersionPush) -> bool {
+    let reply = apply(core, push, VersionOrigin::Push).await;
+    if let PushReply::Rejected(why) = &reply {
+        warn!(
+            version = push.version.number,
+            ?why,
+            "a version is turned down"
+        );
+        core.active_version
+            .with(|state| state.refused_last = Some((push.version, why.clone())));
+    }
+    answers.send_reply(&core.active_version, push.nonce, &reply)
+}
+
 /// Handles a message of the stream, or its end.
 fn receive_push(
     core: &DispatcherCore,
--- a/crates/dispatcher/src/core/attempt_events.rs
+++ b/crates/dispatcher/src/core/attempt_events.rs
@@ -2,9 +2,10 @@
 
 use super::DispatcherCore;
 use super::client::ClientAllocation;
+use super::effects::DispatcherEffects;
 use crate::attempts::AttemptObserver;
 use corkspan_api::v1;
-use corkspan_engine::Return;
+use corkspan_engine::{AllocationRequest, Engine, Return};
 use corkspan_rollout::controller::SurgeEnd;
 use corkspan_rpc::{Bounds, Tasks};
 use corkspan_scheduler::interface::*;
@@ -111,17 +112,9 @@
                 {
                     replacement = effects.replacement_request(client, allocation);
                 } else {
-                    let how = if client.migrating && how == v1::ended::EndReason::Lost {
-                        v1::ended::EndReason::Moved
-                    } else {
-                        how
-                    };
-                    let successor = client.successor.take();
-                    effects.replica_gone(client, ending == AttemptResult::Completed);
-                    client.send_reply(Reply::Ended(v1::Ended { reason: how.into() }));
-                    client.replies.close();
-                    if let Some(next) = successor {
-                        self.cancel_surge(next, SurgeEnd::Cancelled, engine, effects);
+                    let completed = ending == AttemptResult::Completed;
+                    if let Some(successor) = end_client(client, effects, how, completed) {
+                        self.cancel_surge(successor, SurgeEnd::Cancelled, engine, effects);
                     }
                 }
             }
@@ -137,19 +130,8 @@
                 },
                 effects,
             );
-            let Some((asked, client)) = replacement else {
-                return;
-            };
-            let (task, current_id) = (client.request.task.clone(), client.current_id.clone());
-            match engine.admit(now, &task, asked, client) {
-                Ok(id) => {
-                    current_id.set(id);
-                    engine.place(now, id, effects);
-                }
-                Err((why, mut client)) => {
-                    warn!(task, %why, "a copy taken down for a roll can't be placed anew here");
-                    effects.answer(&mut client, Reply::Failed(v1::Failed::default()));
-                }
+            if let Some((request, client)) = replacement {
+                place_replacement(now, engine, effects, request, client);
             }
         });
     }
@@ -217,3 +199,45 @@
         self.with(|now, engine, _| engine.record_health_check(now, machine, ending, report));
     }
 }
+
+/// Ends an allocation for its client. Returns the new replica beside it, which is to be cancelled.
+fn end_client(
+    client: &mut ClientAllocation,
+    effects: &mut DispatcherEffects,
+    reason: v1::ended::EndReason,
+    completed: bool,
+) -> Option<AllocationId> {
+    let reason = if client.migrating && reason == v1::ended::EndReason::Lost {
+        v1::ended::EndReason::Moved
+    } else {
+        reason
+    };
+    let successor = client.successor.take();
+    effects.replica_gone(client, completed);
+    client.send_reply(Reply::Ended(v1::Ended {
+        reason: reason.into(),
+    }));
+    client.replies.close();
+    successor
+}
+
+/// Places a replica of the desired version, instead of one that a rollout has stopped.
+fn place_replacement(
+    now: Ticks,
+    engine: &mut Engine<ClientAllocation>,
+    effects: &mut DispatcherEffects,
+    request: AllocationRequest,
+    client: ClientAllocation,
+) {
+    let (task, current_id) = (client.request.task.clone(), client.current_id.clone());
+    match engine.admit(now, &task, request, client) {
+        Ok(id) => {
+            current_id.set(id);
+            engine.place(now, id, effects);
+        }
+        Err((why, mut client)) => {
+            warn!(task, %why, "a copy taken down for a roll can't be placed anew here");
+            effects.answer(&mut client, Reply::Failed(v1::Failed::default()));
+        }
+    }
+}
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -44,6 +44,7 @@
 use placement_service::PlacementService;
 use std::future::Future;
 use std::net::SocketAddr;
+use std::path::PathBuf;
 use std::pin::Pin;
 use std::sync::Arc;
 use std::task::{Context, Poll};
@@ -146,28 +147,16 @@
         service,
         core.link_bounds.clone(),
     );
-    let background = [
-        tasks.spawn(corkspan_runtime::run_timer(wake_times, {
-            let core = Arc::clone(&core);
-            move || core.timer_fired()
-        })),
-        tasks.spawn(endpoint_list::run(
-            Arc::clone(&core),
-            list,
-            watch_requests,
-            path,
-        )),
-        tasks.spawn(rollout_control::run(Arc::clone(&core))),
-        tasks.spawn(config_stream::run(Arc::clone(&core))),
-        tasks.spawn(minimum_version::run(Arc::clone(&core))),
-        tasks.spawn(minimum_version::save_history(Arc::clone(&core))),
-        tasks.spawn(catch_up::run(Arc::clone(&core))),
-        tasks.spawn(maintenance::run(Arc::clone(&core))),
-        tasks.spawn(close_idle_links(
-            Arc::clone(&core),
-            clock::duration(bounds.idle_timeout) / 4,
-        )),
-    ];
+    let idle_timeout = clock::duration(bounds.idle_timeout);
+    let background = background_tasks(
+        &tasks,
+        &core,
+        wake_times,
+        watch_requests,
+        list,
+        path,
+        idle_timeout,
+    );
     ready(address);
     let stopping = async {
         stop.await;
@@ -190,6 +179,37 @@
     result
 }
 
+/// What runs beside the listener, until dropped.
+fn background_tasks(
+    tasks: &Tasks,
+    core: &Arc<DispatcherCore>,
+    wake_times: async_channel::Receiver<Instant>,
+    watch_requests: async_channel::Receiver<()>,
+    list: EndpointList,
+    path: Option<PathBuf>,
+    idle_timeout: Duration,
+) -> [async_executor::Task<()>; 9] {
+    [
+        tasks.spawn(corkspan_runtime::run_timer(wake_times, {
+            let core = Arc::clone(core);
+            move || core.timer_fired()
+        })),
+        tasks.spawn(endpoint_list::run(
+            Arc::clone(core),
+            list,
+            watch_requests,
+            path,
+        )),
+        tasks.spawn(rollout_control::run(Arc::clone(core))),
+        tasks.spawn(config_stream::run(Arc::clone(core))),
+        tasks.spawn(minimum_version::run(Arc::clone(core))),
+        tasks.spawn(minimum_version::save_history(Arc::clone(core))),
+        tasks.spawn(catch_up::run(Arc::clone(core))),
+        tasks.spawn(maintenance::run(Arc::clone(core))),
+        tasks.spawn(close_idle_links(Arc::clone(core), idle_timeout / 4)),
+    ]
+}
+
 async fn wait_until(latest: Instant, done: impl Fn() -> bool) {
     while !done() && Instant::now() < latest {
         Timer::after(Duration::from_millis(5)).await;
--- a/crates/dispatcher/src/minimum_version.rs
+++ b/crates/dispatcher/src/minimum_version.rs
@@ -101,21 +101,7 @@
                 .evaluate(now, rule, &taken, keepers, stands)
                 .filter(|_| chance);
             if let Some(lowest) = lowest {
-                match raise(&core, lowest).await {
-                    Ok(word) if word.accepted => {
-                        info!(lowest, "the floor of versions is raised by its rule")
-                    }
-                    Ok(word) => info!(
-                        lowest,
-                        why = word.message,
-                        "the floor of versions is not raised"
-                    ),
-                    Err(why) => info!(
-                        lowest,
-                        why = why.message(),
-                        "the floor of versions is not raised"
-                    ),
-                }
+                raise_by_policy(&core, lowest).await;
             }
         }
         offer_to_caches(&core, &replies, rng.random()).await;
@@ -123,6 +109,24 @@
     }
 }
 
+async fn raise_by_policy(core: &Arc<DispatcherCore>, lowest: u64) {
+    match raise(core, lowest).await {
+        Ok(word) if word.accepted => {
+            info!(lowest, "the floor of versions is raised by its rule")
+        }
+        Ok(word) => info!(
+            lowest,
+            why = word.message,
+            "the floor of versions is not raised"
+        ),
+        Err(why) => info!(
+            lowest,
+            why = why.message(),
+            "the floor of versions is not raised"
+        ),
+    }
+}
+
 /// The replies of the quorum members, which are told the version that runs here.
 async fn poll_quorum(
     core: &Arc<DispatcherCore>,
