--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -4,6 +4,7 @@
 
 pub mod capacity;
 pub mod capture;
+pub mod config_push_experiment;
 pub mod control_service;
 pub mod cost;
 pub mod counts;
@@ -19,7 +20,6 @@
 pub mod owner;
 pub mod play;
 pub mod process;
-pub mod pushes;
 pub mod relay;
 pub mod saturation;
 pub mod scenario;
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -4,8 +4,8 @@
 use corkspan_capacity_model::result::{self, Axis};
 use corkspan_lab::capacity::Capacity;
 use corkspan_lab::{
-    capture, hollow, judge, loads, measure::Measure, play::Play, process::Programs, pushes::Pushes,
-    scenario::Scenario, table::Table,
+    capture, config_push_experiment::ConfigPushExperiment, hollow, judge, loads, measure::Measure,
+    play::Play, process::Programs, scenario::Scenario, table::Table,
 };
 use std::ffi::OsString;
 use std::path::{Path, PathBuf};
@@ -233,7 +233,7 @@
             versions,
         } => own().and_then(|program| {
             let rounds = rounds.clamp(1, 1_000);
-            Pushes {
+            ConfigPushExperiment {
                 program,
                 rounds,
                 seconds,
