--- a/crates/rpc/src/counts.rs
+++ b/crates/rpc/src/counts.rs
@@ -1,5 +1,6 @@
-//! What passes a link, counted: bytes at the socket, as the kernel took and gave them, and whole
-//! gRPC messages in the bodies of calls. Which links are counted together is the caller's affair.
+//! Counts the traffic of connections: bytes at the socket, as the kernel took and gave them, and
+//! complete gRPC messages in the bodies of calls. Which connections are counted together is for the
+//! caller to decide.
 
 use async_net::TcpStream;
 use bytes::{Buf, Bytes};
@@ -12,70 +13,74 @@
 use std::sync::{Arc, OnceLock};
 use std::task::{Context, Poll};
 
-/// Counters of links that are counted together. Clones share them.
+/// Counters of connections that are counted together. Clones share them.
 #[derive(Clone, Debug, Default)]
 pub struct Meter {
+    /// Bytes received.
     pub bytes_in: Counter,
+    /// Bytes sent.
     pub bytes_out: Counter,
+    /// Complete messages received.
     pub messages_in: Counter,
+    /// Complete messages sent.
     pub messages_out: Counter,
 }
 
 #[derive(Clone, Copy)]
-pub(crate) enum Way {
+pub(crate) enum Direction {
     In,
     Out,
 }
 
-/// Tells by the path of its first call with which others a served link is counted.
+/// Chooses the meter of a served connection by the path of its first call.
 pub type Sorts = Arc<dyn Fn(&str) -> Meter + Send + Sync>;
 
-/// One link's way to its counters. A served one has none until its first call: what passes before
-/// is kept, and counted with the rest then, or at the link's end.
+/// Connects one connection to its counters. A served connection has none until its first call: bytes
+/// before it are held, and counted then or at the connection's end.
 #[derive(Clone)]
 pub(crate) struct Tap(Arc<Inner>);
 
 struct Inner {
     meter: OnceLock<Meter>,
     early: [AtomicU64; 2],
-    sorts: Option<Sorts>,
+    select_meter: Option<Sorts>,
 }
 
 impl Tap {
-    pub fn of(meter: &Meter) -> Tap {
+    pub fn with_meter(meter: &Meter) -> Tap {
         Tap(Arc::new(Inner {
             meter: OnceLock::from(meter.clone()),
             early: Default::default(),
-            sorts: None,
+            select_meter: None,
         }))
     }
 
-    pub fn sorted(sorts: &Sorts) -> Tap {
+    pub fn with_selector(select_meter: &Sorts) -> Tap {
         let (meter, early) = Default::default();
         Tap(Arc::new(Inner {
             meter,
             early,
-            sorts: Some(Arc::clone(sorts)),
+            select_meter: Some(Arc::clone(select_meter)),
         }))
     }
 
-    fn bytes(&self, way: Way, many: usize) {
+    fn bytes(&self, way: Direction, count: usize) {
         match self.0.meter.get() {
-            Some(meter) => drop(meter.bytes(way).inc_by(many as u64)),
-            None => drop(self.0.early[way as usize].fetch_add(many as u64, Ordering::Relaxed)),
+            Some(meter) => drop(meter.bytes(way).inc_by(count as u64)),
+            None => drop(self.0.early[way as usize].fetch_add(count as u64, Ordering::Relaxed)),
         }
     }
 
-    /// A call of this path is on the link.
-    pub fn called(&self, path: &str) -> &Meter {
-        let sorted = || {
+    /// The meter of the connection, chosen by the path of this call if it is the first.
+    pub fn meter_for(&self, path: &str) -> &Meter {
+        let selected = || {
             self.0
-                .sorts
+                .select_meter
                 .as_ref()
-                .map(|sorts| sorts(path))
+                .map(|select_meter| select_meter(path))
                 .unwrap_or_default()
         };
-        let meter = self.0.meter.get_or_init(sorted);
+        let meter = self.0.meter.get_or_init(selected);
         self.0.settle(meter);
         meter
     }
@@ -83,7 +88,7 @@
 
 impl Inner {
     fn settle(&self, meter: &Meter) {
-        for way in [Way::In, Way::Out] {
+        for way in [Direction::In, Direction::Out] {
             match self.early[way as usize].swap(0, Ordering::Relaxed) {
                 0 => {}
                 early => drop(meter.bytes(way).inc_by(early)),
@@ -94,22 +99,22 @@
 
 impl Drop for Inner {
     fn drop(&mut self) {
-        let sorted = || {
-            self.sorts
+        let selected = || {
+            self.select_meter
                 .as_ref()
-                .map(|sorts| sorts(""))
+                .map(|select_meter| select_meter(""))
                 .unwrap_or_default()
         };
-        let meter = self.meter.get().cloned().unwrap_or_else(sorted);
+        let meter = self.meter.get().cloned().unwrap_or_else(selected);
         self.settle(&meter);
     }
 }
 
 impl Meter {
-    fn bytes(&self, way: Way) -> &Counter {
+    fn bytes(&self, way: Direction) -> &Counter {
         match way {
-            Way::In => &self.bytes_in,
-            Way::Out => &self.bytes_out,
+            Direction::In => &self.bytes_in,
+            Direction::Out => &self.bytes_out,
         }
     }
 }
@@ -121,9 +126,9 @@
 }
 
 impl Socket {
-    fn saw(&self, way: Way, passed: &Poll<Result<usize>>) {
-        if let (Some(tap), Poll::Ready(Ok(many @ 1..))) = (&self.tap, passed) {
-            tap.bytes(way, *many);
+    fn count(&self, way: Direction, result: &Poll<Result<usize>>) {
+        if let (Some(tap), Poll::Ready(Ok(count @ 1..))) = (&self.tap, result) {
+            tap.bytes(way, *count);
         }
     }
 }
@@ -134,9 +139,9 @@
         cx: &mut Context<'_>,
         to: &mut [u8],
     ) -> Poll<Result<usize>> {
-        let passed = Pin::new(&mut self.stream).poll_read(cx, to);
-        self.saw(Way::In, &passed);
-        passed
+        let result = Pin::new(&mut self.stream).poll_read(cx, to);
+        self.count(Direction::In, &result);
+        result
     }
 }
 
@@ -146,9 +151,9 @@
         cx: &mut Context<'_>,
         from: &[u8],
     ) -> Poll<Result<usize>> {
-        let passed = Pin::new(&mut self.stream).poll_write(cx, from);
-        self.saw(Way::Out, &passed);
-        passed
+        let result = Pin::new(&mut self.stream).poll_write(cx, from);
+        self.count(Direction::Out, &result);
+        result
     }
 
     fn poll_write_vectored(
@@ -156,9 +161,9 @@
         cx: &mut Context<'_>,
         from: &[IoSlice<'_>],
     ) -> Poll<Result<usize>> {
-        let passed = Pin::new(&mut self.stream).poll_write_vectored(cx, from);
-        self.saw(Way::Out, &passed);
-        passed
+        let result = Pin::new(&mut self.stream).poll_write_vectored(cx, from);
+        self.count(Direction::Out, &result);
+        result
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Result<()>> {
@@ -170,7 +175,7 @@
     }
 }
 
-/// A body whose messages are counted, each once its last byte has passed.
+/// A body whose messages are counted, each when its last byte has passed.
 pub struct Counted<B> {
     body: B,
     count: Option<(Messages, Counter)>,
@@ -212,7 +217,7 @@
     }
 }
 
-/// Where in its messages a body stands: each is five bytes, the last four its length, and so many
+/// Where in its messages a body stands: each is five bytes, the last four its length, and so count
 /// more.
 #[derive(Default)]
 struct Messages {
@@ -222,23 +227,23 @@
 }
 
 impl Messages {
-    /// Messages that end in these bytes.
+    /// How many messages end in these bytes.
     fn passed(&mut self, mut data: Bytes) -> u64 {
         let mut ended = 0;
         while data.has_remaining() {
             if self.filled < self.prefix.len() {
-                let many = data.remaining().min(self.prefix.len() - self.filled);
-                data.copy_to_slice(&mut self.prefix[self.filled..self.filled + many]);
-                self.filled += many;
+                let count = data.remaining().min(self.prefix.len() - self.filled);
+                data.copy_to_slice(&mut self.prefix[self.filled..self.filled + count]);
+                self.filled += count;
                 if self.filled < self.prefix.len() {
                     break;
                 }
                 let [_, length @ ..] = self.prefix;
                 self.left = u32::from_be_bytes(length) as usize;
             }
-            let many = data.remaining().min(self.left);
-            data.advance(many);
-            self.left -= many;
+            let count = data.remaining().min(self.left);
+            data.advance(count);
+            self.left -= count;
             if self.left == 0 {
                 (self.filled, ended) = (0, ended + 1);
             }
--- a/crates/rpc/src/lib.rs
+++ b/crates/rpc/src/lib.rs
@@ -1,6 +1,8 @@
-//! gRPC over smol: HTTP/2 links for tonic's clients and services, without a tokio runtime.
-//! Everything here is bounded and timed by what the caller hands over; what a broken link means is
-//! the caller's affair.
+//! gRPC over smol: HTTP/2 connections for tonic's clients and services, without a tokio runtime.
+//! Every size and time is limited by the caller's [`Bounds`]; what a broken connection
+//! means is for the caller to decide.
+
+#![warn(missing_docs, clippy::too_many_lines)]
 
 mod counts;
 
@@ -28,29 +30,33 @@
 pub use counts::{Counted, Meter, Sorts};
 use counts::{Socket, Tap};
 
-/// Why a link did not come to stand. Nothing was sent on it.
+/// Why no connection was established. Nothing was sent on it.
 #[derive(Debug, thiserror::Error)]
 pub enum NoLink {
+    /// It took too long.
     #[error("no connection within {0:?}")]
     TimedOut(Duration),
+    /// TCP failed.
     #[error("no connection: {0}")]
     Refused(std::io::Error),
+    /// The HTTP/2 handshake failed.
     #[error("no HTTP/2 on the connection: {0}")]
     NotHttp(hyper::Error),
 }
 
-/// Bounds of a link, at either end.
+/// Limits of a connection, at either end.
 #[derive(Clone, Debug)]
 pub struct Bounds {
+    /// From the first packet to the end of the HTTP/2 handshake.
     pub connect_within: Duration,
-    /// A link with calls on it that is silent for so long is asked for a sign of life, and cut
-    /// after as long again without one.
+    /// A connection with calls on it that is silent for this long is pinged, and closed after as
+    /// long again without a reply.
     pub keep_alive: Duration,
-    /// Calls at a time that a serving end allows each link.
+    /// Concurrent calls that a server allows on each connection.
     pub calls: u32,
-    /// Links at a time that a serving end bears; further ones are closed at once.
+    /// Concurrent connections that a server accepts; further ones are closed at once.
     pub links: usize,
-    /// Bytes of one message at the most.
+    /// The largest message, in bytes.
     pub message: usize,
 }
 
@@ -67,16 +73,16 @@
 }
 
 impl Bounds {
-    /// The window of a whole link. HTTP/2 closes a link on which more small frames wait than half
-    /// of it bears, at 256 bytes each: with the usual window a burst of some hundred asks, or
-    /// as many words from a node while we stand still, would end every allocation on it. So
-    /// there is room for one such frame a call.
+    /// The flow-control window of a connection. The HTTP/2 library closes a connection on which more
+    /// small frames wait than half of the window holds, at 256 bytes each: with the default window
+    /// a burst of some hundred requests, or as many events while this process is stalled, would end
+    /// every call on it. So the window holds one such frame a call.
     fn window(&self) -> u32 {
         self.calls.saturating_mul(512).clamp(64 * 1024, 64 << 20)
     }
 }
 
-/// One link to a server, to hand to a generated client; clones share it.
+/// One connection to a server, for a generated client; clones share it.
 #[derive(Clone)]
 pub struct Link {
     to: SocketAddr,
@@ -85,25 +91,33 @@
 }
 
 impl Link {
-    /// Opens a link. Dropping all clones, and the bodies of calls on it, closes it.
-    pub async fn open(tasks: &Tasks, to: SocketAddr, bounds: &Bounds) -> Result<Link, NoLink> {
-        Link::open_with(tasks, to, bounds, None).await
+    /// Opens a connection. Dropping all clones, and the bodies of calls on it, closes it.
+    ///
+    /// # Errors
+    ///
+    /// It could not be established in time.
+    pub async fn open(tasks: &Tasks, to: SocketAddr, limits: &Bounds) -> Result<Link, NoLink> {
+        Link::open_with(tasks, to, limits, None).await
     }
 
-    /// The same with all that passes on it counted.
+    /// As [`Link::open`], with its traffic counted.
+    ///
+    /// # Errors
+    ///
+    /// As [`Link::open`].
     pub async fn open_counted(
         tasks: &Tasks,
         to: SocketAddr,
-        bounds: &Bounds,
+        limits: &Bounds,
         meter: &Meter,
     ) -> Result<Link, NoLink> {
-        Link::open_with(tasks, to, bounds, Some(meter)).await
+        Link::open_with(tasks, to, limits, Some(meter)).await
     }
 
     async fn open_with(
         tasks: &Tasks,
         to: SocketAddr,
-        bounds: &Bounds,
+        limits: &Bounds,
         meter: Option<&Meter>,
     ) -> Result<Link, NoLink> {
         let opened = async {
@@ -112,24 +126,24 @@
             let mut builder = client::Builder::new(SmolExecutor::new(Arc::clone(tasks)));
             builder
                 .timer(SmolTimer::new())
-                .keep_alive_interval(bounds.keep_alive)
-                .keep_alive_timeout(bounds.keep_alive)
+                .keep_alive_interval(limits.keep_alive)
+                .keep_alive_timeout(limits.keep_alive)
                 .keep_alive_while_idle(false)
-                .initial_max_send_streams(bounds.calls as usize)
-                .initial_connection_window_size(bounds.window())
+                .initial_max_send_streams(limits.calls as usize)
+                .initial_connection_window_size(limits.window())
                 .max_header_list_size(16 * 1024);
             let socket = Socket {
                 stream,
-                tap: meter.map(Tap::of),
+                tap: meter.map(Tap::with_meter),
             };
             builder
                 .handshake(FuturesIo::new(socket))
                 .await
                 .map_err(NoLink::NotHttp)
         };
-        let (sender, connection) = within(bounds.connect_within, opened)
+        let (sender, connection) = within(limits.connect_within, opened)
             .await
-            .unwrap_or(Err(NoLink::TimedOut(bounds.connect_within)))?;
+            .unwrap_or(Err(NoLink::TimedOut(limits.connect_within)))?;
         tasks.spawn(async move { drop(connection.await) }).detach();
         Ok(Link {
             to,
@@ -138,7 +152,7 @@
         })
     }
 
-    /// Whether calls may still be sent on it.
+    /// Whether calls can still be sent on it.
     pub fn stands(&self) -> bool {
         !self.sender.is_closed()
     }
@@ -160,24 +174,24 @@
             .map_or("/", |path| path.as_str());
         match format!("http://{}{path}", self.to).parse() {
             Ok(uri) => *request.uri_mut() = uri,
-            // A path that was a path stays one beside an address.
             Err(_) => unreachable!("an address and a path make a URI"),
         }
         let counter =
             |which: fn(&Meter) -> &Counter| self.meter.as_ref().map(|meter| which(meter).clone());
-        let (sent, heard) = (
+        let (sent, received) = (
             counter(|meter| &meter.messages_out),
             counter(|meter| &meter.messages_in),
         );
-        let answered = self
+        let response = self
             .sender
             .send_request(request.map(|body| Counted::new(body, sent)));
-        Box::pin(async move { Ok(answered.await?.map(|body| Counted::new(body, heard))) })
+        Box::pin(async move { Ok(response.await?.map(|body| Counted::new(body, received))) })
     }
 }
 
-/// Serves a tonic service on a listener until the future is dropped; its links are cut with it.
-pub async fn serve<S>(listener: TcpListener, service: S, bounds: Bounds) -> std::io::Error
+/// Serves a tonic service on a listener until the future is dropped, which closes its connections.
+/// Returns only the error that made the listener unusable.
+pub async fn serve<S>(listener: TcpListener, service: S, limits: Bounds) -> std::io::Error
 where
     S: Service<http::Request<Body>, Response = http::Response<Body>, Error = Infallible>
         + Clone
@@ -186,17 +200,17 @@
         + 'static,
     S::Future: Send + 'static,
 {
-    serve_to(|_| true, None, listener, service, bounds).await
+    serve_to(|_| true, None, listener, service, limits).await
 }
 
-/// The same to peers at such addresses alone; others are closed unread. What passes is counted
-/// where it is said how links are sorted.
+/// As [`serve`], for peers whose addresses are admitted; connections of others are closed unread.
+/// Traffic is counted where a selector chooses the meter of a connection.
 pub async fn serve_to<S>(
     admits: impl Fn(IpAddr) -> bool,
-    sorts: Option<Sorts>,
+    select_meter: Option<Sorts>,
     listener: TcpListener,
     service: S,
-    bounds: Bounds,
+    limits: Bounds,
 ) -> std::io::Error
 where
     S: Service<http::Request<Body>, Response = http::Response<Body>, Error = Infallible>
@@ -206,7 +220,7 @@
         + 'static,
     S::Future: Send + 'static,
 {
-    // Links live in an executor of their own, so that they end with the listener that took them.
+    // Connections run in an executor of their own, so that they end with their listener.
     let own: Tasks = Arc::new(Executor::new());
     let links = Arc::new(AtomicUsize::new(0));
     let accept = async {
@@ -214,8 +228,8 @@
             let stream = match listener.accept().await {
                 Ok((stream, peer)) if admits(peer.ip()) => stream,
                 Ok(_) => continue,
-                // Out of file descriptors, or a peer gone before it was taken: the listener itself
-                // is sound.
+                // Out of file descriptors, or the peer was gone before it was accepted: the listener
+                // itself is usable.
                 Err(why)
                     if why.raw_os_error() == Some(24)
                         || why.kind() == std::io::ErrorKind::ConnectionAborted =>
@@ -225,15 +239,15 @@
                 }
                 Err(why) => return why,
             };
-            if links.load(Ordering::Relaxed) >= bounds.links {
+            if links.load(Ordering::Relaxed) >= limits.links {
                 continue;
             }
             links.fetch_add(1, Ordering::Relaxed);
-            let (service, links, bounds) = (service.clone(), Arc::clone(&links), bounds.clone());
-            let tasks = Own(Arc::downgrade(&own));
-            let tap = sorts.as_ref().map(Tap::sorted);
+            let (service, links, limits) = (service.clone(), Arc::clone(&links), limits.clone());
+            let tasks = ConnectionExecutor(Arc::downgrade(&own));
+            let tap = select_meter.as_ref().map(Tap::with_selector);
             own.spawn(async move {
-                carry(tasks, Socket { stream, tap }, service, bounds).await;
+                serve_connection(tasks, Socket { stream, tap }, service, limits).await;
                 links.fetch_sub(1, Ordering::Relaxed);
             })
             .detach();
@@ -242,12 +256,12 @@
     accept.or(own.run(future::pending())).await
 }
 
-/// Spawns what a link needs into its listener's own executor. Weak: tasks that kept their executor
-/// alive would keep their sockets open after the listener is gone.
+/// Spawns the tasks of a connection into its listener's executor. Weak: tasks that kept their
+/// executor alive would keep their sockets open after the listener is gone.
 #[derive(Clone)]
-struct Own(Weak<Executor<'static>>);
+struct ConnectionExecutor(Weak<Executor<'static>>);
 
-impl<F: Future<Output = ()> + Send + 'static> hyper::rt::Executor<F> for Own {
+impl<F: Future<Output = ()> + Send + 'static> hyper::rt::Executor<F> for ConnectionExecutor {
     fn execute(&self, task: F) {
         if let Some(executor) = self.0.upgrade() {
             executor.spawn(task).detach();
@@ -255,7 +269,7 @@
     }
 }
 
-async fn carry<S>(tasks: Own, socket: Socket, service: S, bounds: Bounds)
+async fn serve_connection<S>(tasks: ConnectionExecutor, socket: Socket, service: S, limits: Bounds)
 where
     S: Service<http::Request<Body>, Response = http::Response<Body>, Error = Infallible>
         + Clone
@@ -266,35 +280,35 @@
     if socket.stream.set_nodelay(true).is_err() {
         return;
     }
-    let service = ToBody {
+    let service = BodyAdapter {
         inner: service,
-        most: bounds.message,
+        max_message_bytes: limits.message,
         tap: socket.tap.clone(),
     };
     let mut builder = hyper::server::conn::http2::Builder::new(tasks);
     builder
         .timer(SmolTimer::new())
-        .max_concurrent_streams(bounds.calls)
-        .initial_connection_window_size(bounds.window())
+        .max_concurrent_streams(limits.calls)
+        .initial_connection_window_size(limits.window())
         .max_header_list_size(16 * 1024)
         .max_send_buf_size(64 * 1024)
-        .keep_alive_interval(bounds.keep_alive)
-        .keep_alive_timeout(bounds.keep_alive);
+        .keep_alive_interval(limits.keep_alive)
+        .keep_alive_timeout(limits.keep_alive);
     let served =
         builder.serve_connection(FuturesIo::new(socket), TowerToHyperService::new(service));
-    // A link that ends badly is its peer's affair: garbage, a reset, silence.
+    // An error of one connection (garbage, a reset, silence) concerns its peer alone.
     drop(served.await);
 }
 
-/// Hands hyper's bodies to tonic, which takes its own.
+/// Converts hyper's bodies to tonic's.
 #[derive(Clone)]
-struct ToBody<S> {
+struct BodyAdapter<S> {
     inner: S,
-    most: usize,
+    max_message_bytes: usize,
     tap: Option<Tap>,
 }
 
-impl<S> Service<http::Request<hyper::body::Incoming>> for ToBody<S>
+impl<S> Service<http::Request<hyper::body::Incoming>> for BodyAdapter<S>
 where
     S: Service<http::Request<Body>, Response = http::Response<Body>, Error = Infallible>,
     S::Future: Send + 'static,
@@ -308,22 +322,24 @@
     }
 
     fn call(&mut self, request: http::Request<hyper::body::Incoming>) -> Self::Future {
-        // A unary body that says it is too large need not be read to be turned down.
-        if request.body().size_hint().lower() > self.most as u64 + 5 {
-            let status =
-                tonic::Status::resource_exhausted(format!("a message over {} bytes", self.most));
+        // A unary body whose declared size is too large is rejected unread.
+        if request.body().size_hint().lower() > self.max_message_bytes as u64 + 5 {
+            let status = tonic::Status::resource_exhausted(format!(
+                "a message over {} bytes",
+                self.max_message_bytes
+            ));
             return Box::pin(future::ready(Ok(status.into_http())));
         }
         let Some(tap) = &self.tap else {
             return Box::pin(self.inner.call(request.map(Body::new)));
         };
-        let meter = tap.called(request.uri().path());
-        let (heard, sent) = (meter.messages_in.clone(), meter.messages_out.clone());
-        let answered = self
+        let meter = tap.meter_for(request.uri().path());
+        let (received, sent) = (meter.messages_in.clone(), meter.messages_out.clone());
+        let response = self
             .inner
-            .call(request.map(|body| Body::new(Counted::new(body, Some(heard)))));
+            .call(request.map(|body| Body::new(Counted::new(body, Some(received)))));
         Box::pin(async move {
-            Ok(answered
+            Ok(response
                 .await?
                 .map(|body| Body::new(Counted::new(body, Some(sent)))))
         })
