--- a/crates/dispatcher/src/active_version.rs
+++ b/crates/dispatcher/src/active_version.rs
@@ -48,13 +48,13 @@
         let mut start = loop {
             let (subscriber, changed) =
                 Subscriber::restore(file.shared_parts.clone(), kept.clone(), now);
-            let (stamp, texts) = (subscriber.active_version(), subscriber.active_texts());
-            let in_force = match stamp.number {
+            let (version_id, texts) = (subscriber.active_version(), subscriber.active_texts());
+            let in_force = match version_id.number {
                 0 => Ok(file.clone()),
                 _ => file
-                    .with_version(&format!("version {}", stamp.number), texts)
+                    .with_version(&format!("version {}", version_id.number), texts)
                     .map(|version| Deployment {
-                        version: stamp,
+                        version: version_id,
                         ..version
                     }),
             };
@@ -63,7 +63,7 @@
                 // The file, or this program, has changed since: a version that no longer fits is
                 // not guessed at.
                 Err(why) => {
-                    warn!(version = stamp.number, %why, "the kept version does not fit; the one before is taken");
+                    warn!(version = version_id.number, %why, "the kept version does not fit; the one before is taken");
                     kept = kept.without_newest();
                 }
             }
@@ -107,14 +107,14 @@
     pub fn remember_lineage(&self, earlier: impl Iterator<Item = VersionId>) {
         self.with(|state| {
             let subscriber = &state.subscriber;
-            let (stamp, texts) = (subscriber.active_version(), subscriber.active_texts());
+            let (version_id, texts) = (subscriber.active_version(), subscriber.active_texts());
             let before: Vec<VersionId> = earlier
-                .filter(|own| (1..stamp.number).contains(&own.number))
+                .filter(|own| (1..version_id.number).contains(&own.number))
                 .collect();
-            if stamp.number > 0 {
+            if version_id.number > 0 {
                 state
                     .version_cache
-                    .record_active(stamp, texts.clone(), false, &before);
+                    .record_active(version_id, texts.clone(), false, &before);
             }
         });
     }
@@ -136,17 +136,17 @@
     /// The deployment that these parts make of the file.
     pub fn deployment(
         &self,
-        stamp: VersionId,
+        version_id: VersionId,
         texts: &SharedParts,
     ) -> Result<Deployment, Vec<String>> {
-        if stamp.number == 0 {
+        if version_id.number == 0 {
             return Ok(self.file.clone());
         }
         let read = self
             .file
-            .with_version(&format!("version {}", stamp.number), texts);
+            .with_version(&format!("version {}", version_id.number), texts);
         let read = read.map(|version| Deployment {
-            version: stamp,
+            version: version_id,
             ..version
         });
         read.map_err(|faults| faults.to_string().lines().map(String::from).collect())
@@ -189,10 +189,10 @@
 }
 
 /// A version id as a message.
-pub fn version_id_message(stamp: VersionId) -> v1::VersionId {
+pub fn version_id_message(version_id: VersionId) -> v1::VersionId {
     v1::VersionId {
-        number: stamp.number,
-        digest: stamp.digest.to_string(),
+        number: version_id.number,
+        digest: version_id.digest.to_string(),
     }
 }
 
@@ -222,7 +222,7 @@
     Some(VersionPush {
         nonce: push.nonce,
         version: version_id_from_message(push.version.as_ref()?)
-            .filter(|stamp| stamp.number > 0)?,
+            .filter(|version_id| version_id.number > 0)?,
         predecessors: push
             .ancestors
             .iter()
--- a/crates/dispatcher/src/attempts.rs
+++ b/crates/dispatcher/src/attempts.rs
@@ -26,12 +26,12 @@
     fn is_fenced(&self) -> bool;
     /// A node has rejected an attempt and reported its minimum version.
     fn minimum_version_reported(&self, floor: &v1::MinimumVersion);
-    fn attempt_placed(self: &Arc<Self>, id: AllocationId, shot: usize, machine: MachineId);
+    fn attempt_placed(self: &Arc<Self>, id: AllocationId, attempt: usize, machine: MachineId);
     /// An attempt has ended. `ended_as` where it was placed and the allocation ends with it.
     fn attempt_ended(
         self: &Arc<Self>,
         id: AllocationId,
-        shot: usize,
+        attempt: usize,
         ending: AttemptResult,
         reason: Option<ReturnReason>,
         ended_as: Option<v1::ended::EndReason>,
@@ -71,7 +71,7 @@
 pub async fn run_attempt<D: AttemptObserver>(
     core: Arc<D>,
     offer: AttemptOffer,
-    shot: v1::AttemptRequest,
+    attempt: v1::AttemptRequest,
     time_out: Duration,
 ) {
     let AttemptOffer {
@@ -133,7 +133,7 @@
             return OfferOutcome::Ended(EndedAttempt::with_ending(AttemptResult::NotSent));
         }
         written.store(true, Ordering::Relaxed);
-        match client(&*core, link).offer(shot).await {
+        match client(&*core, link).offer(attempt).await {
             Ok(replies) => first_reply(&*core, replies.into_inner()).await,
             Err(why) => OfferOutcome::Ended(EndedAttempt::with_ending(ending_of_status(&why))),
         }
@@ -175,7 +175,7 @@
     id: AllocationId,
     node: Option<Arc<NodeLink>>,
     machine: MachineId,
-    shot: v1::AttemptRequest,
+    attempt: v1::AttemptRequest,
 ) {
     let lost = |reason| {
         core.attempt_ended(
@@ -193,7 +193,7 @@
     let replies = within(timeout, async {
         let link = node.ready(core.tasks(), core.bounds()).await.ok()?;
         client(&*core, link)
-            .attend(shot)
+            .attend(attempt)
             .await
             .ok()
             .map(tonic::Response::into_inner)
--- a/crates/dispatcher/src/catch_up.rs
+++ b/crates/dispatcher/src/catch_up.rs
@@ -59,17 +59,17 @@
 ) -> RequestOutcome {
     let running = core.deployment().version;
     let dispatcher = core.deployment().cluster.scheduler_index as u32;
-    let ask = v1::FetchVersionRequest {
+    let request = v1::FetchVersionRequest {
         active: Some(version_id_message(running)),
         dispatcher,
     };
     let push = match source {
         VersionSource::Peer(which) => match peers.get(which) {
-            Some(&peer) => request_from_peer(core, peer, ask).await,
+            Some(&peer) => request_from_peer(core, peer, request).await,
             None => None,
         },
         VersionSource::QuorumMember(which) => {
-            quorum_client::request_one(core, which, Operation::FetchVersion(ask))
+            quorum_client::request_one(core, which, Operation::FetchVersion(request))
                 .await
                 .and_then(|word| word.fetched_version)
         }
@@ -116,7 +116,7 @@
 async fn request_from_peer(
     core: &Arc<DispatcherCore>,
     peer: SocketAddr,
-    ask: v1::FetchVersionRequest,
+    request: v1::FetchVersionRequest,
 ) -> Option<v1::VersionPush> {
     let timeout = core.link_bounds.connect_within * 4 + Duration::from_secs(1);
     let exchange = async {
@@ -125,7 +125,11 @@
             .await
             .ok()?;
         let mut client = VersionsClient::new(link).max_decoding_message_size(MAX_PUSH_BYTES);
-        client.give(ask).await.ok().map(tonic::Response::into_inner)
+        client
+            .give(request)
+            .await
+            .ok()
+            .map(tonic::Response::into_inner)
     };
     within(timeout, Box::pin(exchange)).await.flatten()
 }
--- a/crates/dispatcher/src/config_stream.rs
+++ b/crates/dispatcher/src/config_stream.rs
@@ -348,7 +348,7 @@
                 .as_ref()
                 .map(|good| (good.id, good.texts.clone()));
             let back = match &version {
-                Some((stamp, texts)) => versions.deployment(*stamp, texts),
+                Some((version_id, texts)) => versions.deployment(*version_id, texts),
                 None => Ok(versions.file.clone()),
             };
             if !back.is_ok_and(|back| core.activate(back)) {
@@ -369,14 +369,16 @@
             state
                 .subscriber
                 .finish_trial(core.clock.now(), kept, request_counts(&core));
-            let stamp = state.subscriber.active_version();
-            ACTIVE_VERSION_NUMBER.store(stamp.number, Ordering::Relaxed);
+            let version_id = state.subscriber.active_version();
+            ACTIVE_VERSION_NUMBER.store(version_id.number, Ordering::Relaxed);
             if why.is_some() {
                 // A version that was rolled back here is not offered to others.
                 let texts = state.subscriber.active_texts().clone();
                 state.version_cache = VersionCache::default();
-                if stamp.number > 0 {
-                    state.version_cache.record_active(stamp, texts, false, &[]);
+                if version_id.number > 0 {
+                    state
+                        .version_cache
+                        .record_active(version_id, texts, false, &[]);
                 }
             }
         });
--- a/crates/dispatcher/src/core/attempt_events.rs
+++ b/crates/dispatcher/src/core/attempt_events.rs
@@ -38,7 +38,7 @@
     }
 
     /// A node has placed an attempt.
-    fn attempt_placed(self: &Arc<Self>, id: AllocationId, shot: usize, machine: MachineId) {
+    fn attempt_placed(self: &Arc<Self>, id: AllocationId, attempt: usize, machine: MachineId) {
         self.with(|now, engine, effects| {
             let late = engine
                 .data_mut(id)
@@ -46,9 +46,9 @@
             if late {
                 // The client has stopped waiting, so no answer is sent. The engine gets the outcome
                 // all the same.
-                engine.placed(now, id, shot, effects);
+                engine.placed(now, id, attempt, effects);
                 self.cancel(id, engine, effects);
-            } else if engine.placed(now, id, shot, effects)
+            } else if engine.placed(now, id, attempt, effects)
                 && let Some((client, allocation)) = engine.data_mut(id)
             {
                 client.deadline = None;
@@ -83,7 +83,7 @@
     fn attempt_ended(
         self: &Arc<Self>,
         id: AllocationId,
-        shot: usize,
+        attempt: usize,
         ending: AttemptResult,
         reason: Option<ReturnReason>,
         ended_as: Option<v1::ended::EndReason>,
@@ -121,7 +121,7 @@
             engine.returned(
                 now,
                 id,
-                shot,
+                attempt,
                 Return {
                     ending,
                     reason,
--- a/crates/dispatcher/src/core/effects.rs
+++ b/crates/dispatcher/src/core/effects.rs
@@ -150,7 +150,7 @@
                 allocation
                     .attempts
                     .iter()
-                    .map(|shot| shot.machine)
+                    .map(|attempt| attempt.machine)
                     .collect(),
             ),
             confirmed_by: BTreeSet::new(),
@@ -255,7 +255,7 @@
                 controller.forbid_surge(&client.request.task);
             }
         }
-        let shot = core.attempt_message(
+        let attempt = core.attempt_message(
             &client.request,
             &asked,
             allocation.attempts.len(),
@@ -277,7 +277,12 @@
         };
         let tasks = Arc::clone(&core.tasks);
         tasks
-            .spawn(attempts::run_attempt(core, offer, shot, duration(time_out)))
+            .spawn(attempts::run_attempt(
+                core,
+                offer,
+                attempt,
+                duration(time_out),
+            ))
             .detach();
     }
 
@@ -321,11 +326,11 @@
     }
 
     fn migrate(&mut self, client: &mut ClientAllocation, allocation: &Allocation) {
-        let (Some(core), Some(shot)) = (self.core.upgrade(), allocation.attempts.last()) else {
+        let (Some(core), Some(attempt)) = (self.core.upgrade(), allocation.attempts.last()) else {
             return;
         };
         client.migrating = true;
-        self.stop(&core, client, shot.machine, true);
+        self.stop(&core, client, attempt.machine, true);
     }
 
     fn check_health(&mut self, machine: MachineId) {
--- a/crates/dispatcher/src/core/lifecycle.rs
+++ b/crates/dispatcher/src/core/lifecycle.rs
@@ -59,12 +59,12 @@
     /// clients.
     pub fn end_all(&self) {
         self.with(|now, engine, effects| {
-            for (id, shot) in engine.unanswered() {
-                warn!(?id, shot, "no answer from a node before the stop");
+            for (id, attempt) in engine.unanswered() {
+                warn!(?id, shot = attempt, "no answer from a node before the stop");
                 engine.returned(
                     now,
                     id,
-                    shot,
+                    attempt,
                     Return {
                         ending: AttemptResult::TimedOut,
                         reason: None,
--- a/crates/dispatcher/src/core/placement.rs
+++ b/crates/dispatcher/src/core/placement.rs
@@ -23,7 +23,7 @@
     /// Places an allocation for a client. The final answer is among the replies, at once or later.
     pub fn place(
         self: &Arc<Self>,
-        ask: v1::PlacementRequest,
+        request: v1::PlacementRequest,
         call_deadline: Option<Duration>,
     ) -> OpenCall {
         let (replies, receiver) =
@@ -41,7 +41,7 @@
             return call;
         }
         let now = self.clock.now();
-        let (asked, time_left) = match self.request_with_deadline(now, &ask, call_deadline) {
+        let (asked, time_left) = match self.request_with_deadline(now, &request, call_deadline) {
             Ok(found) => found,
             Err(error) => {
                 let reason = v1::rejected::RejectionReason::BadAsk;
@@ -49,11 +49,11 @@
                 return call;
             }
         };
-        let task = ask.task.clone();
+        let task = request.task.clone();
         let client = ClientAllocation {
             deadline: Some(now + time_left),
             call_deadline: call_deadline.map(|after| now + crate::clock::ticks(after)),
-            ..ClientAllocation::new(ask, &replies)
+            ..ClientAllocation::new(request, &replies)
         };
         let current_id = client.current_id.clone();
         match state.engine.admit(now, &task, asked, client) {
@@ -107,13 +107,13 @@
     fn request_with_deadline(
         &self,
         now: Ticks,
-        ask: &v1::PlacementRequest,
+        request: &v1::PlacementRequest,
         call_deadline: Option<Duration>,
     ) -> Result<(AllocationRequest, Ticks), RequestError> {
-        let asked = self.engine_request(now, ask)?;
+        let asked = self.engine_request(now, request)?;
         let limits = [
             call_deadline.map(crate::clock::ticks),
-            Some(ask.deadline_ms.saturating_mul(10)).filter(|&ticks| ticks > 0),
+            Some(request.deadline_ms.saturating_mul(10)).filter(|&ticks| ticks > 0),
         ];
         let time_left = limits.into_iter().flatten().min();
         let time_left = time_left.ok_or(RequestError::NoDeadline)?;
@@ -131,10 +131,10 @@
         let (replies, receiver) =
             async_channel::bounded(self.deployment().limits.max_events_per_client);
         let open = Arc::clone(&self.open_calls);
-        let ask = running.request.unwrap_or_default();
+        let request = running.request.unwrap_or_default();
         let machine = MachineId(running.node);
         let adopted = self.with(|now, engine, effects| {
-            self.adopt_running(now, engine, effects, ask, machine, &replies)
+            self.adopt_running(now, engine, effects, request, machine, &replies)
         });
         let id = match adopted {
             Ok(id) => Some(id),
@@ -155,22 +155,22 @@
         now: Ticks,
         engine: &mut Engine<ClientAllocation>,
         effects: &mut DispatcherEffects,
-        ask: v1::PlacementRequest,
+        request: v1::PlacementRequest,
         machine: MachineId,
         replies: &async_channel::Sender<v1::PlacementEvent>,
     ) -> Result<CurrentAllocation, (v1::rejected::RejectionReason, String)> {
         use v1::rejected::RejectionReason;
         let asked = self
-            .engine_request(now, &ask)
+            .engine_request(now, &request)
             .map_err(|error| (RejectionReason::BadAsk, error.to_string()))?;
         if effects.stopping {
             let message = "this dispatcher is about to stop".into();
             return Err((RejectionReason::Stopping, message));
         }
         let kind = OperationKind::Attend;
-        let attempt = self.attempt_message(&ask, &asked, 0, String::new(), kind);
-        let (task, service_name) = (ask.task.clone(), ask.service.clone());
-        let client = ClientAllocation::new(ask, replies);
+        let attempt = self.attempt_message(&request, &asked, 0, String::new(), kind);
+        let (task, service_name) = (request.task.clone(), request.service.clone());
+        let client = ClientAllocation::new(request, replies);
         let current_id = client.current_id.clone();
         let id = engine
             .admit_running(now, &task, asked, machine, client)
@@ -196,7 +196,7 @@
     fn engine_request(
         &self,
         now: Ticks,
-        ask: &v1::PlacementRequest,
+        request: &v1::PlacementRequest,
     ) -> Result<AllocationRequest, RequestError> {
         // A row without a name belongs to one that was removed.
         let index = |names: &[String], name: &str| {
@@ -206,16 +206,16 @@
                 .filter(|_| !name.is_empty())
         };
         let deployment = self.deployment();
-        let track = index(&deployment.service_classes, &ask.service_class);
-        let account = match (&ask.tenant[..], &deployment.tenants[..]) {
+        let track = index(&deployment.service_classes, &request.service_class);
+        let account = match (&request.tenant[..], &deployment.tenants[..]) {
             ("", _) | (_, []) => Some(0),
             (name, names) => index(names, name),
         };
         let amount = |value: f64| value.is_finite() && value > 0.0 && value <= 1e9;
         for (what, text) in [
-            ("task", &ask.task),
-            ("placing", &ask.placement_id),
-            ("service", &ask.service),
+            ("task", &request.task),
+            ("placing", &request.placement_id),
+            ("service", &request.service),
         ] {
             if text.is_empty() || text.len() > 256 {
                 return Err(RequestError::Length {
@@ -224,21 +224,21 @@
                 });
             }
         }
-        if !amount(ask.cores) || !amount(ask.memory) {
+        if !amount(request.cores) || !amount(request.memory) {
             return Err(RequestError::Resources {
-                cores: ask.cores,
-                memory: ask.memory,
+                cores: request.cores,
+                memory: request.memory,
             });
         }
         Ok(AllocationRequest {
-            service: service_id(&ask.service),
+            service: service_id(&request.service),
             service_class: ServiceClassId(
-                track.ok_or_else(|| RequestError::ServiceClass(ask.service_class.clone()))?,
+                track.ok_or_else(|| RequestError::ServiceClass(request.service_class.clone()))?,
             ),
-            tenant: TenantId(account.ok_or_else(|| RequestError::Tenant(ask.tenant.clone()))?),
+            tenant: TenantId(account.ok_or_else(|| RequestError::Tenant(request.tenant.clone()))?),
             requested: Resources {
-                cores: ask.cores,
-                memory: ask.memory,
+                cores: request.cores,
+                memory: request.memory,
             },
             deadline: now,
         })
@@ -246,22 +246,22 @@
 
     pub(super) fn attempt_message(
         &self,
-        ask: &v1::PlacementRequest,
+        request: &v1::PlacementRequest,
         asked: &AllocationRequest,
         number: usize,
         version: String,
         kind: OperationKind,
     ) -> v1::AttemptRequest {
         v1::AttemptRequest {
-            placement_id: ask.placement_id.clone(),
+            placement_id: request.placement_id.clone(),
             attempt: number as u32,
-            task: ask.task.clone(),
-            service: ask.service.clone(),
-            service_class: ask.service_class.clone(),
-            tenant: ask.tenant.clone(),
-            cores: ask.cores,
-            memory: ask.memory,
-            expected_duration_ms: ask.expected_duration_ms,
+            task: request.task.clone(),
+            service: request.service.clone(),
+            service_class: request.service_class.clone(),
+            tenant: request.tenant.clone(),
+            cores: request.cores,
+            memory: request.memory,
+            expected_duration_ms: request.expected_duration_ms,
             dispatcher: self.deployment().cluster.scheduler_index as u32,
             priority: u32::from(
                 self.deployment().cluster.service_classes[asked.service_class.0].priority,
@@ -281,9 +281,9 @@
         let deployment = self.deployment();
         self.fencing
             .record_operations(deployment.version, kind, many);
-        let stamp = Some(active_version::version_id_message(deployment.version));
+        let version_id = Some(active_version::version_id_message(deployment.version));
         v1::Decider {
-            version: stamp,
+            version: version_id,
             incarnation: self.fencing.incarnation,
             dispatcher: deployment.cluster.scheduler_index as u32,
         }
@@ -314,7 +314,7 @@
         let Some((client, allocation)) = engine.data_mut(id) else {
             return;
         };
-        if let Some(machine) = allocation.attempts.last().map(|shot| shot.machine) {
+        if let Some(machine) = allocation.attempts.last().map(|attempt| attempt.machine) {
             effects.stop(self, client, machine, false);
         }
         if client.predecessor.is_some() {
--- a/crates/dispatcher/src/core/replicas.rs
+++ b/crates/dispatcher/src/core/replicas.rs
@@ -60,12 +60,12 @@
         let nodes = allocation
             .attempts
             .iter()
-            .map(|shot| shot.machine)
+            .map(|attempt| attempt.machine)
             .collect();
         let Some((new, allocation)) = engine.data_mut(next) else {
             return false;
         };
-        let Some(machine) = allocation.attempts.last().map(|shot| shot.machine) else {
+        let Some(machine) = allocation.attempts.last().map(|attempt| attempt.machine) else {
             return false;
         };
         (new.predecessor, new.current_id, new.call_deadline) = (None, current_id, call_deadline);
@@ -131,8 +131,8 @@
                 return;
             };
             client.stopping_for_rollout = true;
-            if let Some(shot) = allocation.attempts.last() {
-                effects.stop(self, client, shot.machine, false);
+            if let Some(attempt) = allocation.attempts.last() {
+                effects.stop(self, client, attempt.machine, false);
             }
         });
     }
@@ -192,13 +192,13 @@
             let Some((client, allocation)) = engine.data_mut(old) else {
                 return;
             };
-            let ask = v1::PlacementRequest {
+            let request = v1::PlacementRequest {
                 placement_id: placing.into(),
                 ..client.request.clone()
             };
             let Some(within) = effects
                 .rollouts
-                .controller(&ask.service)
+                .controller(&request.service)
                 .map(|own| own.rollout().progress_deadline)
             else {
                 return;
@@ -210,7 +210,7 @@
                 requested: allocation.requested,
                 deadline: now + within,
             };
-            let fresh = ClientAllocation::new(ask, &client.replies);
+            let fresh = ClientAllocation::new(request, &client.replies);
             let fresh = ClientAllocation {
                 deadline: Some(now + within),
                 predecessor: Some(old),
--- a/crates/dispatcher/src/endpoint_list.rs
+++ b/crates/dispatcher/src/endpoint_list.rs
@@ -300,10 +300,10 @@
 pub async fn run(
     core: Arc<DispatcherCore>,
     mut list: EndpointList,
-    asked: async_channel::Receiver<()>,
+    watch_requests: async_channel::Receiver<()>,
     path: Option<PathBuf>,
 ) {
-    while asked.recv().await.is_ok() {
+    while watch_requests.recv().await.is_ok() {
         if let Err(why) = watch(&core, &mut list, path.as_deref()).await {
             warn!(
                 why = why.to_string(),
@@ -311,7 +311,7 @@
             );
         }
         // A request made meanwhile is served by this watch.
-        while asked.try_recv().is_ok() {}
+        while watch_requests.try_recv().is_ok() {}
         core.endpoint_watch_failed();
     }
 }
@@ -330,11 +330,11 @@
     };
     let link = link?;
     let mut client = RosterClient::new(link).max_decoding_message_size(MAX_LIST_BYTES);
-    let ask = v1::ListRequest {
+    let request = v1::ListRequest {
         version: list.version,
         dispatcher: core.deployment().cluster.scheduler_index as u32,
     };
-    let mut listings = client.watch(ask).await.map_err(Box::new)?.into_inner();
+    let mut listings = client.watch(request).await.map_err(Box::new)?.into_inner();
     info!(roster = %core.deployment().roster, version = list.version, "watching the list");
     // When the list is to be written, and when it was written last.
     let (mut due, mut written): (Option<Instant>, Option<Instant>) = (None, None);
--- a/crates/dispatcher/src/machine_status.rs
+++ b/crates/dispatcher/src/machine_status.rs
@@ -53,14 +53,14 @@
 ) -> Option<v1::CordonResponse> {
     let node = core.node(MachineId(machine.0))?;
     let _call = node.count_call();
-    let ask = v1::CordonRequest {
+    let request = v1::CordonRequest {
         claim: claim.0,
         action: what.into(),
     };
     let whole = async {
         let link = node.ready(&core.tasks, &core.link_bounds).await.ok()?;
         NodeClient::new(link)
-            .door(ask)
+            .door(request)
             .await
             .ok()
             .map(tonic::Response::into_inner)
--- a/crates/dispatcher/src/maintenance.rs
+++ b/crates/dispatcher/src/maintenance.rs
@@ -158,7 +158,7 @@
 /// Carries out an operator's request.
 pub async fn maintain(
     core: &Arc<DispatcherCore>,
-    ask: v1::MaintenanceRequest,
+    request: v1::MaintenanceRequest,
 ) -> Result<v1::MaintenanceResponse, Status> {
     let keepers = core.deployment().quorum_members.len();
     if keepers == 0 || core.deployment().maintenance_interval.is_none() {
@@ -169,11 +169,11 @@
     let Some(view) = quorum_view(core).await else {
         return Err(Status::unavailable("no majority of the keepers answers"));
     };
-    let what = ask.action();
+    let what = request.action();
     let taken = match what {
         Action::Status => true,
-        Action::Done => complete(core, &view, &ask).await?,
-        _ => propose(core, &view, ask).await?,
+        Action::Done => complete(core, &view, &request).await?,
+        _ => propose(core, &view, request).await?,
     };
     let text = if taken {
         ""
@@ -217,13 +217,13 @@
 async fn complete(
     core: &Arc<DispatcherCore>,
     view: &QuorumView,
-    ask: &v1::MaintenanceRequest,
+    request: &v1::MaintenanceRequest,
 ) -> Result<bool, Status> {
     let says = machine_statuses(core, view.machines_to_poll(0, |_| 0)).await;
     let in_work = view.drained(&says).into_iter();
     let in_work: BTreeMap<Machine, ClaimId> =
         in_work.map(|lease| (lease.machine, lease.claim)).collect();
-    for node in &ask.nodes {
+    for node in &request.nodes {
         let machine = Machine(*node);
         let Some(claim) = in_work.get(&machine) else {
             return Err(Status::failed_precondition(format!(
@@ -253,28 +253,28 @@
 async fn propose(
     core: &Arc<DispatcherCore>,
     view: &QuorumView,
-    ask: v1::MaintenanceRequest,
+    request: v1::MaintenanceRequest,
 ) -> Result<bool, Status> {
-    let asker = core.clock.now().rotate_left(24) ^ core.fencing.incarnation;
+    let proposer = core.clock.now().rotate_left(24) ^ core.fencing.incarnation;
     let number = view.highest_revision.saturating_add(1);
-    let wish = match (ask.action(), &view.request) {
-        (Action::Start, _) => start(core, view, ask, number, asker)?,
+    let wish = match (request.action(), &view.request) {
+        (Action::Start, _) => start(core, view, request, number, proposer)?,
         (_, None) => return Err(Status::not_found("there is no work under way")),
         (Action::Pause, Some(wish)) => MaintenanceRequest {
             revision: number,
-            proposer: asker,
+            proposer,
             run_state: RunState::Paused,
             ..wish.clone()
         },
         (Action::Resume, Some(wish)) => MaintenanceRequest {
             revision: number,
-            proposer: asker,
+            proposer,
             run_state: RunState::Running,
             ..wish.clone()
         },
         (_, Some(wish)) => MaintenanceRequest {
             revision: number,
-            proposer: asker,
+            proposer,
             run_state: RunState::Aborted,
             ..wish.clone()
         },
@@ -297,17 +297,17 @@
 fn start(
     core: &Arc<DispatcherCore>,
     view: &QuorumView,
-    ask: v1::MaintenanceRequest,
+    request: v1::MaintenanceRequest,
     number: u64,
-    asker: u64,
+    proposer: u64,
 ) -> Result<MaintenanceRequest, Status> {
     let wrong = |why: String| Status::invalid_argument(why);
-    let [all, hall, cell, kind] = ask.limits[..] else {
+    let [all, hall, cell, kind] = request.limits[..] else {
         return Err(wrong("limits: four are wanted".into()));
     };
     let entries = core.endpoints();
     let mut machines = BTreeMap::new();
-    for node in &ask.nodes {
+    for node in &request.nodes {
         let entry = entries.get(&MachineId(*node));
         let entry =
             entry.ok_or_else(|| wrong(format!("machine {node} is not in the roster's list")))?;
@@ -332,12 +332,12 @@
         .collect();
     let begun = view.check_start(&machines, &limits, &keepers);
     begun.map_err(|why| Status::failed_precondition(why.to_string()))?;
-    let (warm_ms, empty_within_ms) = (ask.warm_up_ms, ask.drain_timeout_ms);
-    let then = maintenance_messages::drain_timeout_action(ask.on_drain_timeout());
-    let job = asker;
+    let (warm_ms, empty_within_ms) = (request.warm_up_ms, request.drain_timeout_ms);
+    let then = maintenance_messages::drain_timeout_action(request.on_drain_timeout());
+    let job = proposer;
     Ok(MaintenanceRequest {
         revision: number,
-        proposer: asker,
+        proposer,
         job,
         machines,
         limits,
--- a/crates/dispatcher/src/maintenance_messages.rs
+++ b/crates/dispatcher/src/maintenance_messages.rs
@@ -121,14 +121,14 @@
 /// A lease as a message, in the phase that a majority reports.
 pub fn lease_message(
     machine: Machine,
-    outing: &MaintenanceLease,
+    lease: &MaintenanceLease,
     told: LeasePhase,
 ) -> v1::MaintenanceLease {
     v1::MaintenanceLease {
-        machine: Some(machine_message(machine, outing.domains)),
-        claim: outing.claim.0,
-        job: outing.job,
-        slots: outing.slots.each().to_vec(),
+        machine: Some(machine_message(machine, lease.domains)),
+        claim: lease.claim.0,
+        job: lease.job,
+        slots: lease.slots.each().to_vec(),
         phase: step(told).into(),
     }
 }
@@ -169,7 +169,7 @@
 
 /// The reply of a quorum member. Parts that can't be read are left out.
 pub fn member_reply_from_message(told: &v1::LeaseTable) -> MemberReply {
-    let outing = |own: &v1::MaintenanceLease| {
+    let lease = |own: &v1::MaintenanceLease| {
         let (machine, at) = machine_from_message(own.machine.as_ref()?);
         let slots = Slots::try_from(&own.slots[..]).ok()?;
         let phase = phase(own.phase())?;
@@ -199,7 +199,7 @@
     let cost = |(node, cost): (&u32, &f64)| cost.is_finite().then_some((Machine(*node), *cost));
     MemberReply {
         request: told.plan.as_ref().and_then(proposal_from_message),
-        leases: told.leases.iter().filter_map(outing).collect(),
+        leases: told.leases.iter().filter_map(lease).collect(),
         outcomes: ended(&told.completed, LeaseOutcome::Completed)
             .into_iter()
             .chain(ended(&told.skipped, LeaseOutcome::Skipped))
--- a/crates/dispatcher/src/minimum_version.rs
+++ b/crates/dispatcher/src/minimum_version.rs
@@ -181,7 +181,12 @@
         .min();
     let Some(theirs) = oldest else { return };
     let fleet = core.deployment().cluster.scheduler_count;
-    if !should_store(good.number, theirs.map(|stamp| stamp.number), fleet, chance) {
+    if !should_store(
+        good.number,
+        theirs.map(|version_id| version_id.number),
+        fleet,
+        chance,
+    ) {
         return;
     }
     let Some(push) = core
@@ -229,8 +234,8 @@
             "the deployment names no keepers",
         ));
     }
-    let asker = core.clock.now().rotate_left(24) ^ core.fencing.incarnation;
-    let wish = match propose(&quorum_proposals(core).await, keepers, lowest, asker) {
+    let proposer = core.clock.now().rotate_left(24) ^ core.fencing.incarnation;
+    let wish = match propose(&quorum_proposals(core).await, keepers, lowest, proposer) {
         Ok(wish) => wish,
         Err(why) => {
             let stands = core.fencing.minimum_version().map(minimum_version_message);
--- a/crates/dispatcher/src/quorum_client.rs
+++ b/crates/dispatcher/src/quorum_client.rs
@@ -9,18 +9,21 @@
 
 /// Sends a request to all quorum members at once. Returns the replies that arrive within twice the
 /// time to connect.
-pub async fn request_all(core: &Arc<DispatcherCore>, ask: Operation) -> Vec<v1::QuorumResponse> {
+pub async fn request_all(
+    core: &Arc<DispatcherCore>,
+    request: Operation,
+) -> Vec<v1::QuorumResponse> {
     let calls: Vec<_> = (core.deployment().quorum_members.iter())
         .filter_map(|keeper| core.node(*keeper))
         .map(|node| {
-            let (core, ask) = (
+            let (core, request) = (
                 Arc::clone(core),
                 v1::QuorumRequest {
-                    operation: Some(ask.clone()),
+                    operation: Some(request.clone()),
                 },
             );
             let tasks = Arc::clone(&core.tasks);
-            tasks.spawn(async move { keep(&core, &node, ask).await })
+            tasks.spawn(async move { keep(&core, &node, request).await })
         })
         .collect();
     let mut words = Vec::new();
@@ -34,14 +37,14 @@
 pub async fn request_one(
     core: &Arc<DispatcherCore>,
     which: usize,
-    ask: Operation,
+    request: Operation,
 ) -> Option<v1::QuorumResponse> {
     let keeper = *core.deployment().quorum_members.get(which)?;
     keep(
         core,
         &core.node(keeper)?,
         v1::QuorumRequest {
-            operation: Some(ask),
+            operation: Some(request),
         },
     )
     .await
@@ -50,7 +53,7 @@
 async fn keep(
     core: &DispatcherCore,
     node: &Arc<NodeLink>,
-    ask: v1::QuorumRequest,
+    request: v1::QuorumRequest,
 ) -> Option<v1::QuorumResponse> {
     let _call = node.count_call();
     let whole = async {
@@ -58,7 +61,7 @@
         let client = v1::node_client::NodeClient::new(link);
         // Longer than a client's message: all rollouts and their slots.
         let mut client = client.max_decoding_message_size(16 << 20);
-        client.keep(ask).await.ok().map(Response::into_inner)
+        client.keep(request).await.ok().map(Response::into_inner)
     };
     within(core.link_bounds.connect_within * 2, Box::pin(whole))
         .await
--- a/crates/dispatcher/src/rollout_control.rs
+++ b/crates/dispatcher/src/rollout_control.rs
@@ -348,12 +348,12 @@
 
 /// Releases a claim at all quorum members.
 async fn release(core: &Arc<DispatcherCore>, service: &str, claim: ClaimId) {
-    let ask = v1::Release {
+    let request = v1::Release {
         service: service.into(),
         claim: claim.0,
     };
     // A member that misses it reports the claim again, and is told again then.
-    request_all(core, Operation::Release(ask)).await;
+    request_all(core, Operation::Release(request)).await;
     let store = Arc::clone(&core.store);
     if let Err(why) = blocking::unblock(move || store.delete_claim(claim)).await {
         warn!(
--- a/crates/dispatcher/src/rollout_service.rs
+++ b/crates/dispatcher/src/rollout_service.rs
@@ -61,53 +61,53 @@
         &self,
         request: Request<v1::StartRolloutRequest>,
     ) -> Result<Response<v1::RolloutResponse>, Status> {
-        let ask = request.into_inner();
+        let request = request.into_inner();
         let wrong = |why: &str| Err(Status::invalid_argument(why));
         if self.0.deployment().quorum_members.is_empty() {
             return Err(Status::failed_precondition(
                 "the deployment names no keepers",
             ));
         }
-        if ask.service.is_empty()
-            || ask.version.is_empty()
-            || ask.service.len().max(ask.version.len()) > 256
+        if request.service.is_empty()
+            || request.version.is_empty()
+            || request.service.len().max(request.version.len()) > 256
         {
             return wrong("service and version: 1 to 256 bytes are wanted");
         }
-        if !(1..=100_000).contains(&ask.max_unavailable) {
+        if !(1..=100_000).contains(&request.max_unavailable) {
             return wrong("unready-most: 1 to 100000 is wanted");
         }
         let most_ms = 24 * 3600 * 1000;
-        if !(1..=most_ms).contains(&ask.progress_deadline_ms)
-            || !(1000..=most_ms).contains(&ask.min_ready_ms)
+        if !(1..=most_ms).contains(&request.progress_deadline_ms)
+            || !(1000..=most_ms).contains(&request.min_ready_ms)
         {
             return wrong("ready-within: 1 ms to a day, ready-for: 1 s to a day are wanted");
         }
-        let before = self.current_rollout(&ask.service).await?;
+        let before = self.current_rollout(&request.service).await?;
         let former = match &before {
-            Some(roll) if ask.previous_version.is_empty() => roll.desired_version().to_string(),
-            _ => ask.previous_version,
+            Some(roll) if request.previous_version.is_empty() => roll.desired_version().to_string(),
+            _ => request.previous_version,
         };
         let unversioned = before
             .as_ref()
             .map_or_else(|| former.clone(), |roll| roll.initial_version.clone());
         self.submit(Rollout {
-            service: ask.service,
+            service: request.service,
             initial_version: unversioned,
             revision: before.map_or(1, |roll| roll.revision + 1),
             proposer: proposer_nonce(&self.0),
-            version: ask.version,
+            version: request.version,
             previous_version: former,
-            max_unavailable: ask.max_unavailable,
-            max_in_progress: ask.max_in_progress.max(1),
-            order: if ask.surge {
+            max_unavailable: request.max_unavailable,
+            max_in_progress: request.max_in_progress.max(1),
+            order: if request.surge {
                 Order::StartFirst
             } else {
                 Order::StopFirst
             },
-            min_ready: ask.min_ready_ms * 10,
-            progress_deadline: ask.progress_deadline_ms * 10,
-            max_failures: ask.max_failures,
+            min_ready: request.min_ready_ms * 10,
+            progress_deadline: request.progress_deadline_ms * 10,
+            max_failures: request.max_failures,
             phase: Phase::Rolling,
         })
         .await
@@ -126,23 +126,23 @@
         &self,
         request: Request<v1::ChangeRolloutRequest>,
     ) -> Result<Response<v1::RolloutResponse>, Status> {
-        let ask = request.into_inner();
-        let Some(roll) = self.current_rollout(&ask.service).await? else {
+        let request = request.into_inner();
+        let Some(roll) = self.current_rollout(&request.service).await? else {
             return Err(Status::not_found(format!(
                 "there is no roll of `{}`",
-                ask.service
+                request.service
             )));
         };
-        let asker = proposer_nonce(&self.0);
-        let wish = match ask.action() {
-            v1::change_rollout_request::Action::Pause => roll.with_phase(Phase::Paused, asker),
-            v1::change_rollout_request::Action::Resume => roll.with_phase(Phase::Rolling, asker),
+        let proposer = proposer_nonce(&self.0);
+        let wish = match request.action() {
+            v1::change_rollout_request::Action::Pause => roll.with_phase(Phase::Paused, proposer),
+            v1::change_rollout_request::Action::Resume => roll.with_phase(Phase::Rolling, proposer),
             v1::change_rollout_request::Action::Undo if roll.previous_version.is_empty() => {
                 return Err(Status::failed_precondition(
                     "what ran before has no version to go back to",
                 ));
             }
-            v1::change_rollout_request::Action::Undo => roll.rolled_back(asker),
+            v1::change_rollout_request::Action::Undo => roll.rolled_back(proposer),
             v1::change_rollout_request::Action::Unspecified => {
                 return Err(Status::invalid_argument("nothing is asked for"));
             }
--- a/crates/dispatcher/src/version_files.rs
+++ b/crates/dispatcher/src/version_files.rs
@@ -44,13 +44,16 @@
     }
 
     fn version(self) -> Option<Version> {
-        let stamp = stamp(self.number, &self.digest)?;
+        let version_id = version_id(self.number, &self.digest)?;
         let texts: SharedParts = self.parts.into_iter().collect();
-        (texts.digest() == stamp.digest).then_some(Version { id: stamp, texts })
+        (texts.digest() == version_id.digest).then_some(Version {
+            id: version_id,
+            texts,
+        })
     }
 }
 
-fn stamp(number: u64, digest: &str) -> Option<VersionId> {
+fn version_id(number: u64, digest: &str) -> Option<VersionId> {
     Some(VersionId {
         number,
         digest: Digest::from_hex(digest)?,
@@ -77,7 +80,7 @@
         given_up: kept
             .rolled_back
             .iter()
-            .map(|stamp| (stamp.number, stamp.digest.to_string()))
+            .map(|version_id| (version_id.number, version_id.digest.to_string()))
             .collect(),
     };
     let body = serde_json::to_string(&body)?;
@@ -146,7 +149,7 @@
     let given_up = body
         .given_up
         .iter()
-        .filter_map(|(number, digest)| stamp(*number, digest))
+        .filter_map(|(number, digest)| version_id(*number, digest))
         .collect();
     Ok(Some(PersistedVersions {
         last_good: good,
--- a/crates/dispatcher/src/version_gate.rs
+++ b/crates/dispatcher/src/version_gate.rs
@@ -57,8 +57,9 @@
     }
 
     /// Records that a version is active from now on.
-    pub fn version_activated(&self, stamp: VersionId, how: VersionOrigin) {
-        let (version, digest, from_ms) = (stamp.number, stamp.digest.to_string(), wall_ms());
+    pub fn version_activated(&self, version_id: VersionId, how: VersionOrigin) {
+        let (version, digest, from_ms) =
+            (version_id.number, version_id.digest.to_string(), wall_ms());
         self.history().begin(VersionInterval {
             version,
             digest,
@@ -83,9 +84,9 @@
     }
 
     /// Counts operations that are about to be sent.
-    pub fn record_operations(&self, stamp: VersionId, kind: OperationKind, many: usize) {
+    pub fn record_operations(&self, version_id: VersionId, kind: OperationKind, many: usize) {
         self.history()
-            .count_operations(stamp.number, kind, many as u64);
+            .count_operations(version_id.number, kind, many as u64);
     }
 
     /// The history and the counts of operations, for operators.
