--- a/crates/cli/src/connection.rs
+++ b/crates/cli/src/connection.rs
@@ -1,7 +1,7 @@
 //! Connections to dispatchers and nodes, and the time that they have to answer.
 
 use crate::error::Error;
-use corkspan_rpc::{Bounds, Link, Tasks, within};
+use corkspan_rpc::{Bounds, Link, SharedExecutor, within};
 use futures_lite::future;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,7 +13,7 @@
 pub(crate) const MAX_ANSWER_BYTES: usize = 16 << 20;
 
 /// Opens a connection.
-pub(crate) async fn connect(tasks: &Tasks, address: SocketAddr) -> Result<Link, Error> {
+pub(crate) async fn connect(tasks: &SharedExecutor, address: SocketAddr) -> Result<Link, Error> {
     let bounds = Bounds {
         connect_within: CONNECT_TIMEOUT,
         ..Bounds::default()
@@ -28,7 +28,7 @@
     dispatcher: SocketAddr,
     call: impl FnOnce(Link) -> F,
 ) -> Result<(), Error> {
-    let tasks = Tasks::default();
+    let tasks = SharedExecutor::default();
     let connected = async { call(connect(&tasks, dispatcher).await?).await };
     future::block_on(tasks.run(connected))
 }
@@ -48,7 +48,7 @@
     timeout: Duration,
     call: impl FnOnce(Link) -> F,
 ) -> Result<(), Error> {
-    let tasks = Tasks::default();
+    let tasks = SharedExecutor::default();
     let connected = async { call(connect(&tasks, dispatcher).await?).await };
     let ended = future::block_on(tasks.run(within(timeout, connected)));
     ended.unwrap_or(Err(Error::Timeout(timeout)))
--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -8,7 +8,7 @@
 use crate::error::Error;
 use clap::Subcommand;
 use corkspan_api::v1;
-use corkspan_rpc::Tasks;
+use corkspan_rpc::SharedExecutor;
 use corkspan_version_fencing::audit::{Reply, dispatcher_findings, node_findings};
 use corkspan_version_fencing::{ReportedVersion, check_adoption};
 use futures_lite::future;
@@ -50,7 +50,7 @@
 
 /// Runs one of the commands.
 pub(crate) fn run(command: Fleet) -> Result<(), Error> {
-    let tasks = Tasks::default();
+    let tasks = SharedExecutor::default();
     future::block_on(tasks.run(async {
         match command {
             Fleet::Audit {
@@ -69,7 +69,7 @@
 }
 
 async fn audit(
-    tasks: &Tasks,
+    tasks: &SharedExecutor,
     dispatchers: &[SocketAddr],
     nodes: &[SocketAddr],
     since_s: Option<u64>,
@@ -106,7 +106,7 @@
 }
 
 async fn raise_minimum_version(
-    tasks: &Tasks,
+    tasks: &SharedExecutor,
     version: u64,
     addresses: &[SocketAddr],
     part: u32,
--- a/crates/cli/src/fleet/poll.rs
+++ b/crates/cli/src/fleet/poll.rs
@@ -3,7 +3,7 @@
 use crate::connection::{ANSWER_TIMEOUT, MAX_ANSWER_BYTES, connect};
 use crate::error::Error;
 use corkspan_api::v1::{self, node_client::NodeClient, versions_client::VersionsClient};
-use corkspan_rpc::{Link, Tasks, within};
+use corkspan_rpc::{Link, SharedExecutor, within};
 use corkspan_version_fencing::audit::{DispatcherReport, NodeObservation, RejectedVersion, Reply};
 use corkspan_version_fencing::operations::{OperationKind, VersionedOperation};
 use std::net::SocketAddr;
@@ -12,7 +12,7 @@
 pub(super) type Observations = Vec<Reply<Vec<NodeObservation>>>;
 
 pub(super) async fn versions_client(
-    tasks: &Tasks,
+    tasks: &SharedExecutor,
     address: SocketAddr,
 ) -> Result<VersionsClient<Link>, Error> {
     let link = connect(tasks, address).await?;
@@ -21,7 +21,7 @@
 
 /// The status of each, all polled at once; none where one does not answer in time.
 pub(super) async fn poll_dispatchers(
-    tasks: &Tasks,
+    tasks: &SharedExecutor,
     addresses: &[SocketAddr],
 ) -> Vec<Option<v1::VersionStatus>> {
     let pending: Vec<_> = addresses
@@ -46,7 +46,7 @@
 }
 
 /// The operations that nodes have recorded.
-pub(super) async fn poll_nodes(tasks: &Tasks, addresses: &[SocketAddr]) -> Observations {
+pub(super) async fn poll_nodes(tasks: &SharedExecutor, addresses: &[SocketAddr]) -> Observations {
     let pending: Vec<_> = addresses
         .iter()
         .map(|&address| {
--- a/crates/dispatcher/src/attempts.rs
+++ b/crates/dispatcher/src/attempts.rs
@@ -7,7 +7,7 @@
 };
 use crate::node_links::{CountGuard, NodeLink};
 use corkspan_api::v1::{self, attempt_event::Event as NodeReply, node_client::NodeClient};
-use corkspan_rpc::{Bounds, Link, Tasks, within};
+use corkspan_rpc::{Bounds, Link, SharedExecutor, within};
 use corkspan_scheduler::interface::*;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -18,7 +18,7 @@
 /// Observes the outcomes of attempts, and gives their bounds. Implemented by the core, so that
 /// calls to nodes know nothing of what their outcomes are used for.
 pub trait AttemptObserver: Send + Sync + 'static {
-    fn tasks(&self) -> &Tasks;
+    fn tasks(&self) -> &SharedExecutor;
     fn bounds(&self) -> &Bounds;
     /// An accepted attempt counts as placed only once it runs.
     fn placed_when_running(&self) -> bool;
--- a/crates/dispatcher/src/core.rs
+++ b/crates/dispatcher/src/core.rs
@@ -29,7 +29,7 @@
 use corkspan_engine::{AdmissionError, AllocationRequest, Engine, RetryBatch, service_id};
 use corkspan_rollout::ClaimId;
 use corkspan_rollout::controller::SurgeEnd;
-use corkspan_rpc::Tasks;
+use corkspan_rpc::SharedExecutor;
 use corkspan_scheduler::interface::*;
 use corkspan_version_fencing::operations::OperationKind;
 use effects::{DispatcherEffects, RequestCounters};
@@ -54,7 +54,7 @@
     pub fencing: FencingState,
     pub link_bounds: corkspan_rpc::Bounds,
     pub link_counters: LinkCounters,
-    pub tasks: Tasks,
+    pub tasks: SharedExecutor,
     /// When the engine is to be polled next.
     wakes: async_channel::Sender<Instant>,
     /// Requests to watch the endpoint list.
@@ -79,7 +79,7 @@
         deployment: Deployment,
         seed: u64,
         clock: Clock,
-        tasks: &Tasks,
+        tasks: &SharedExecutor,
         wakes: async_channel::Sender<Instant>,
         watches: async_channel::Sender<()>,
         store: Store,
--- a/crates/dispatcher/src/core/attempt_events.rs
+++ b/crates/dispatcher/src/core/attempt_events.rs
@@ -7,14 +7,14 @@
 use corkspan_api::v1;
 use corkspan_engine::{AllocationRequest, Engine, Return};
 use corkspan_rollout::controller::SurgeEnd;
-use corkspan_rpc::{Bounds, Tasks};
+use corkspan_rpc::{Bounds, SharedExecutor};
 use corkspan_scheduler::interface::*;
 use std::sync::Arc;
 use tracing::warn;
 use v1::placement_event::Event as Reply;
 
 impl AttemptObserver for DispatcherCore {
-    fn tasks(&self) -> &Tasks {
+    fn tasks(&self) -> &SharedExecutor {
         &self.tasks
     }
 
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -36,7 +36,7 @@
     placement_server::PlacementServer, rolls_server::RollsServer, versions_server::VersionsServer,
 };
 use corkspan_config::Deployment;
-use corkspan_rpc::Tasks;
+use corkspan_rpc::SharedExecutor;
 pub use corkspan_runtime::clock;
 use corkspan_runtime::{Signal, signals};
 use endpoint_list::EndpointList;
@@ -80,14 +80,14 @@
     let stop = async move {
         signals.next().await;
     };
-    let tasks: Tasks = Arc::default();
+    let tasks: SharedExecutor = Arc::default();
     future::block_on(tasks.clone().run(run(tasks, deployment, ready, stop)))
 }
 
 /// Runs a dispatcher on an executor until `stop` is done and every allocation in flight has its
 /// final answer.
 pub async fn run(
-    tasks: Tasks,
+    tasks: SharedExecutor,
     deployment: Deployment,
     ready: impl FnOnce(SocketAddr),
     stop: impl Future<Output = ()>,
@@ -99,7 +99,7 @@
 /// The same with a store of rollouts that the caller opened.
 pub async fn run_with_store(
     store: rollout_control::Store,
-    tasks: Tasks,
+    tasks: SharedExecutor,
     deployment: Deployment,
     ready: impl FnOnce(SocketAddr),
     stop: impl Future<Output = ()>,
@@ -181,7 +181,7 @@
 
 /// What runs beside the listener, until dropped.
 fn background_tasks(
-    tasks: &Tasks,
+    tasks: &SharedExecutor,
     core: &Arc<DispatcherCore>,
     wake_times: async_channel::Receiver<Instant>,
     watch_requests: async_channel::Receiver<()>,
--- a/crates/dispatcher/src/node_links.rs
+++ b/crates/dispatcher/src/node_links.rs
@@ -4,7 +4,7 @@
 use async_lock::Mutex as AsyncMutex;
 use corkspan_api::v1::{self, node_client::NodeClient};
 use corkspan_config::Limits;
-use corkspan_rpc::{Link, Meter, NoLink, Tasks, within};
+use corkspan_rpc::{Link, Meter, NoLink, SharedExecutor, within};
 use futures_lite::future;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -100,7 +100,7 @@
     /// A link that takes a call now. Nothing has been sent where this fails.
     pub async fn ready(
         &self,
-        tasks: &Tasks,
+        tasks: &SharedExecutor,
         bounds: &corkspan_rpc::Bounds,
     ) -> Result<Link, NodeLinkError> {
         let since = Instant::now();
@@ -130,7 +130,7 @@
     /// for a process that is paused, and each offer written there might run later.
     async fn open(
         &self,
-        tasks: &Tasks,
+        tasks: &SharedExecutor,
         bounds: &corkspan_rpc::Bounds,
     ) -> Result<Link, NodeLinkError> {
         let link = Link::open_counted(tasks, self.address, bounds, &self.meter).await?;
--- a/crates/lab/src/capacity/meter.rs
+++ b/crates/lab/src/capacity/meter.rs
@@ -1,7 +1,7 @@
 //! Links that are counted on their way: who measures takes no process's word for what it sent.
 
 use async_net::{TcpListener, TcpStream};
-use corkspan_rpc::Tasks;
+use corkspan_rpc::SharedExecutor;
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
 use std::net::{Shutdown, SocketAddr};
 use std::sync::Arc;
@@ -28,14 +28,17 @@
 }
 
 /// Passes all on that comes here, and counts it.
-pub async fn relay(tasks: &Tasks, to: SocketAddr) -> std::io::Result<(SocketAddr, Arc<Meter>)> {
+pub async fn relay(
+    tasks: &SharedExecutor,
+    to: SocketAddr,
+) -> std::io::Result<(SocketAddr, Arc<Meter>)> {
     let meter = Arc::new(Meter::default());
     Ok((relay_onto(tasks, to, Arc::clone(&meter)).await?, meter))
 }
 
 /// The same, counted on a meter that others may share.
 pub async fn relay_onto(
-    tasks: &Tasks,
+    tasks: &SharedExecutor,
     to: SocketAddr,
     meter: Arc<Meter>,
 ) -> std::io::Result<SocketAddr> {
--- a/crates/lab/src/capacity/mod.rs
+++ b/crates/lab/src/capacity/mod.rs
@@ -11,7 +11,7 @@
 use async_io::Timer;
 use corkspan_capacity_model::requirements;
 use corkspan_capacity_model::result::{Axis, CapacityResult, FleetSize, Point, Run};
-use corkspan_rpc::{Tasks, within};
+use corkspan_rpc::{SharedExecutor, within};
 use futures_lite::future;
 use stage::ask;
 pub use stage::{End, Held, Room, Setting, Stage, Watched};
@@ -217,7 +217,7 @@
     }
 
     fn point(&self, series: &Series, at: f64, round: u32) -> Result<Point, String> {
-        let (before, tasks) = (kernel::load(), Tasks::default());
+        let (before, tasks) = (kernel::load(), SharedExecutor::default());
         let measured = match (series.axis, series.name) {
             (Axis::Machines, _) => future::block_on(tasks.clone().run(self.machines(tasks, at))),
             (Axis::Dispatchers, _) => {
@@ -268,7 +268,7 @@
         }
     }
 
-    async fn machines(&self, tasks: Tasks, at: f64) -> Result<Measured, String> {
+    async fn machines(&self, tasks: SharedExecutor, at: f64) -> Result<Measured, String> {
         let stage = Stage::up(&tasks, &self.program, self.setting(at as u32, 1)).await?;
         Timer::after(SETTLE).await;
         let mut out = Measured::default();
@@ -299,7 +299,7 @@
         Ok(out)
     }
 
-    async fn dispatchers(&self, tasks: Tasks, at: f64) -> Result<Measured, String> {
+    async fn dispatchers(&self, tasks: SharedExecutor, at: f64) -> Result<Measured, String> {
         let many = at as usize;
         let stage = Stage::up(&tasks, &self.program, self.setting(FEW_MACHINES, many)).await?;
         Timer::after(SETTLE).await;
@@ -335,7 +335,7 @@
         Ok(out)
     }
 
-    async fn held(&self, tasks: Tasks, at: f64) -> Result<Measured, String> {
+    async fn held(&self, tasks: SharedExecutor, at: f64) -> Result<Measured, String> {
         let stage = Stage::up(
             &tasks,
             &self.program,
@@ -359,7 +359,7 @@
         Ok(out)
     }
 
-    async fn starts(&self, tasks: Tasks, at: f64) -> Result<Measured, String> {
+    async fn starts(&self, tasks: SharedExecutor, at: f64) -> Result<Measured, String> {
         let stage = Stage::up(
             &tasks,
             &self.program,
@@ -434,7 +434,12 @@
         Ok(out)
     }
 
-    async fn waiting(&self, tasks: Tasks, at: f64, room: Room) -> Result<Measured, String> {
+    async fn waiting(
+        &self,
+        tasks: SharedExecutor,
+        at: f64,
+        room: Room,
+    ) -> Result<Measured, String> {
         let setting = Setting {
             room,
             ..self.setting(self.size.machines as u32, 1)
@@ -477,7 +482,7 @@
         Ok(out)
     }
 
-    async fn versions(&self, tasks: Tasks, at: f64) -> Result<Measured, String> {
+    async fn versions(&self, tasks: SharedExecutor, at: f64) -> Result<Measured, String> {
         let stage = Stage::up(&tasks, &self.program, self.setting(FEW_MACHINES, 1)).await?;
         stage.until_in_force(stage.publish(0)).await?;
         Timer::after(SETTLE).await;
--- a/crates/lab/src/capacity/stage.rs
+++ b/crates/lab/src/capacity/stage.rs
@@ -15,7 +15,7 @@
     self, connection_traffic::Kind, node_server::NodeServer, placement_client::PlacementClient,
 };
 use corkspan_config::version::{SharedParts, VersionId};
-use corkspan_rpc::{Bounds, Link, Tasks, within};
+use corkspan_rpc::{Bounds, Link, SharedExecutor, within};
 use corkspan_scheduler::interface::Resources;
 use futures_lite::future;
 use rand::{RngExt, SeedableRng};
@@ -66,14 +66,14 @@
 
 /// A thread that carries stand-ins of one role.
 struct Thread {
-    tasks: Tasks,
+    tasks: SharedExecutor,
     id: i32,
     ends: async_channel::Sender<()>,
 }
 
 impl Thread {
     fn up() -> Result<Thread, String> {
-        let tasks = Tasks::default();
+        let tasks = SharedExecutor::default();
         let (tell, told) = std::sync::mpsc::channel();
         let (ends, ended) = async_channel::bounded::<()>(1);
         let own = Arc::clone(&tasks);
@@ -115,7 +115,7 @@
 
 pub struct Stage {
     pub setting: Setting,
-    pub tasks: Tasks,
+    pub tasks: SharedExecutor,
     threads: BTreeMap<End, Thread>,
     relays: Thread,
     roster: Arc<Discovery>,
@@ -186,7 +186,7 @@
 
 impl Stage {
     pub async fn up(
-        tasks: &Tasks,
+        tasks: &SharedExecutor,
         program: &[OsString],
         setting: Setting,
     ) -> Result<Stage, String> {
--- a/crates/lab/src/config_push_experiment.rs
+++ b/crates/lab/src/config_push_experiment.rs
@@ -14,7 +14,7 @@
 use crate::node::World;
 use async_io::Timer;
 use corkspan_api::v1::{self, push_reply::Answer};
-use corkspan_rpc::Tasks;
+use corkspan_rpc::SharedExecutor;
 use environment::{Environment, in_environment};
 use futures_lite::future;
 use hdrhistogram::Histogram;
@@ -190,7 +190,7 @@
             held: 0,
         };
         let (mut calm, mut pushed) = (Vec::<Round>::new(), Vec::<Round>::new());
-        let tasks = Tasks::default();
+        let tasks = SharedExecutor::default();
         let whole = async {
             let text = |why: std::io::Error| why.to_string();
             let world = World::new(Capture::new(None).map_err(text)?, &tasks, None);
--- a/crates/lab/src/config_push_experiment/environment.rs
+++ b/crates/lab/src/config_push_experiment/environment.rs
@@ -8,7 +8,7 @@
 use async_io::Timer;
 use corkspan_api::v1::{self, versions_client::VersionsClient};
 use corkspan_config::version::SharedParts;
-use corkspan_rpc::{Tasks, within};
+use corkspan_rpc::{SharedExecutor, within};
 use futures_lite::future;
 use std::ffi::OsString;
 use std::net::SocketAddr;
@@ -20,7 +20,7 @@
 
 /// A control service, and dispatchers that take their versions from it.
 pub(super) struct Environment {
-    pub(super) tasks: Tasks,
+    pub(super) tasks: SharedExecutor,
     pub(super) world: std::sync::Arc<World>,
     pub(super) program: Vec<OsString>,
     pub(super) folder: tempfile::TempDir,
@@ -36,7 +36,7 @@
     dispatchers: usize,
     story: impl FnOnce(Environment) -> F,
 ) -> Result<T, String> {
-    let tasks = Tasks::default();
+    let tasks = SharedExecutor::default();
     let whole = async {
         let text = |why: std::io::Error| why.to_string();
         let world = World::new(Capture::new(None).map_err(text)?, &tasks, None);
--- a/crates/lab/src/control_service.rs
+++ b/crates/lab/src/control_service.rs
@@ -8,7 +8,7 @@
 use corkspan_api::v1::{self, control_server};
 use corkspan_config::version::{Digest, SharedParts, VersionId};
 use corkspan_config_sync::{Publisher, PushReply, ReplyStatus, VersionPush};
-use corkspan_rpc::Tasks;
+use corkspan_rpc::SharedExecutor;
 use futures_lite::{Stream, StreamExt};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -264,7 +264,7 @@
     }
 }
 
-struct Service(ControlService, Tasks);
+struct Service(ControlService, SharedExecutor);
 
 #[tonic::async_trait]
 impl control_server::Control for Service {
--- a/crates/lab/src/hollow.rs
+++ b/crates/lab/src/hollow.rs
@@ -7,7 +7,7 @@
 use clap::{Parser, Subcommand};
 use corkspan_config::Deployment;
 use corkspan_dispatcher::{DispatcherError, rollout_control::Store};
-use corkspan_rpc::Tasks;
+use corkspan_rpc::SharedExecutor;
 use corkspan_runtime::{Signal, signals};
 use futures_lite::{StreamExt, future};
 use std::io::Write;
@@ -58,7 +58,7 @@
         deployments.push(deployment);
     }
     let mut stops = signals([Signal::Term, Signal::Int]).map_err(|why| why.to_string())?;
-    let tasks = Tasks::default();
+    let tasks = SharedExecutor::default();
     let all = async {
         let (stop, stopped) = async_channel::bounded::<()>(1);
         let mut own = Vec::new();
--- a/crates/lab/src/hollow/fleet.rs
+++ b/crates/lab/src/hollow/fleet.rs
@@ -11,7 +11,7 @@
 use async_io::Timer;
 use clap::Args;
 use corkspan_api::v1::connection_traffic::Kind;
-use corkspan_rpc::{Tasks, within};
+use corkspan_rpc::{SharedExecutor, within};
 use futures_lite::future;
 use std::time::{Duration, Instant};
 
@@ -40,7 +40,7 @@
 /// Dispatchers and stand-ins, up. Nothing of the stand-ins moves but within [`Fleet::run`], so
 /// calls are to follow one another closely.
 pub struct Fleet {
-    tasks: Tasks,
+    tasks: SharedExecutor,
     stage: Stage,
     _room: async_executor::Task<()>,
 }
@@ -78,7 +78,7 @@
             tell,
             logs: None,
         };
-        let tasks = Tasks::default();
+        let tasks = SharedExecutor::default();
         let stage = future::block_on(tasks.run(play.up(&tasks)))?;
         let room = tasks.spawn(tell_room(
             stage.roster.clone(),
--- a/crates/lab/src/loads.rs
+++ b/crates/lab/src/loads.rs
@@ -10,7 +10,7 @@
 use corkspan_load_generator::plan::Plan;
 use corkspan_load_generator::run::{LoadRun, Loop, run};
 use corkspan_load_generator::tally::Report;
-use corkspan_rpc::Tasks;
+use corkspan_rpc::SharedExecutor;
 use futures_lite::{Stream, future, stream};
 use hdrhistogram::Histogram;
 use std::ffi::OsString;
@@ -28,7 +28,7 @@
     how: Loop,
     tell: impl FnMut(Duration, usize),
 ) -> Result<Report, String> {
-    let tasks = Tasks::default();
+    let tasks = SharedExecutor::default();
     let load = LoadRun {
         plan,
         dispatchers: to.to_vec(),
@@ -104,7 +104,7 @@
     })?];
     let plan = plan(&format!("(constant (for 5 s) (rate {rate}))"), 1)?;
     let intended: Vec<Duration> = plan.shape.arrivals(plan.seed).collect();
-    let tasks = Tasks::default();
+    let tasks = SharedExecutor::default();
     let began = Instant::now() + Duration::from_millis(200);
     let load = LoadRun {
         plan,
@@ -142,7 +142,7 @@
 /// what one owner that waits for its answers tells of the same time.
 pub fn stalled(program: &[OsString], pause: Duration) -> Result<(Report, Report), String> {
     let node = measure::apart(|| v1::node_server::NodeServer::new(Prompt))?;
-    let tasks = Tasks::default();
+    let tasks = SharedExecutor::default();
     let whole = async {
         let text = |why: std::io::Error| why.to_string();
         let world = World::new(Capture::new(None).map_err(text)?, &tasks, None);
--- a/crates/lab/src/measure.rs
+++ b/crates/lab/src/measure.rs
@@ -7,7 +7,7 @@
 use async_io::Timer;
 use async_net::TcpListener;
 use corkspan_api::v1::{self, placement_client::PlacementClient, placement_event::Event};
-use corkspan_rpc::{Bounds, Link, Tasks, within};
+use corkspan_rpc::{Bounds, Link, SharedExecutor, within};
 use futures_lite::{future, stream};
 use hdrhistogram::Histogram;
 use std::ffi::OsString;
@@ -42,7 +42,7 @@
 impl Measure {
     pub fn run(self) -> Result<(), String> {
         let text = |why: std::io::Error| why.to_string();
-        let tasks = Tasks::default();
+        let tasks = SharedExecutor::default();
         let echo = apart(|| v1::placement_server::PlacementServer::new(Echo))?;
         let node = apart(|| v1::node_server::NodeServer::new(Prompt))?;
         let whole = async {
@@ -60,7 +60,7 @@
 
     async fn compare(
         &self,
-        tasks: &Tasks,
+        tasks: &SharedExecutor,
         echo: SocketAddr,
         dispatcher: &mut Process,
     ) -> Result<(), String> {
@@ -104,7 +104,7 @@
         Ok(())
     }
 
-    async fn memory(&self, tasks: &Tasks, dispatcher: &mut Process) -> Result<(), String> {
+    async fn memory(&self, tasks: &SharedExecutor, dispatcher: &mut Process) -> Result<(), String> {
         println!("with none in hand: {} KiB resident", dispatcher.resident()?);
         let client = PlacementClient::new(link(tasks, dispatcher.address).await?);
         let mut held = Vec::new();
@@ -131,7 +131,7 @@
 
     pub(crate) async fn until_ready(
         &self,
-        tasks: &Tasks,
+        tasks: &SharedExecutor,
         at: SocketAddr,
     ) -> Result<v1::StatusResponse, String> {
         let ready = async {
@@ -156,7 +156,7 @@
     /// Closed loop, named so: so many owners that each ask again as soon as they are answered.
     pub(crate) async fn round(
         &self,
-        tasks: &Tasks,
+        tasks: &SharedExecutor,
         name: &str,
         at: SocketAddr,
     ) -> Result<Round, String> {
@@ -230,7 +230,7 @@
     values[values.len() / 2]
 }
 
-pub(crate) async fn link(tasks: &Tasks, to: SocketAddr) -> Result<Link, String> {
+pub(crate) async fn link(tasks: &SharedExecutor, to: SocketAddr) -> Result<Link, String> {
     let bounds = Bounds {
         connect_within: Duration::from_secs(2),
         ..Bounds::default()
@@ -285,7 +285,7 @@
         future::block_on(TcpListener::bind("127.0.0.1:0")).map_err(|why| why.to_string())?;
     let address = listener.local_addr().map_err(|why| why.to_string())?;
     std::thread::spawn(move || {
-        let tasks = Tasks::default();
+        let tasks = SharedExecutor::default();
         future::block_on(tasks.run(corkspan_rpc::serve(listener, service(), Bounds::default())))
     });
     Ok(address)
--- a/crates/lab/src/node/world.rs
+++ b/crates/lab/src/node/world.rs
@@ -2,7 +2,7 @@
 
 use super::lock;
 use crate::capture::Capture;
-use corkspan_rpc::Tasks;
+use corkspan_rpc::SharedExecutor;
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
@@ -15,7 +15,7 @@
     /// Where each event is recorded.
     pub capture: Capture,
     /// Where the stand-ins' tasks run.
-    pub tasks: Tasks,
+    pub tasks: SharedExecutor,
     /// The service class whose tasks run at most once in a zone, if there is one.
     pub dedup_class: Option<String>,
     /// The node on which each deduplicated task runs.
@@ -34,7 +34,7 @@
 
 impl World {
     /// A world without nodes, in which every version is sound.
-    pub fn new(capture: Capture, tasks: &Tasks, dedup_class: Option<String>) -> Arc<Self> {
+    pub fn new(capture: Capture, tasks: &SharedExecutor, dedup_class: Option<String>) -> Arc<Self> {
         Arc::new(World {
             capture,
             tasks: Arc::clone(tasks),
--- a/crates/lab/src/play.rs
+++ b/crates/lab/src/play.rs
@@ -15,7 +15,7 @@
 use async_io::Timer;
 use corkspan_api::v1;
 use corkspan_config::version::SharedParts;
-use corkspan_rpc::{Tasks, within};
+use corkspan_rpc::{SharedExecutor, within};
 use corkspan_scheduler::interface::Resources;
 use futures_lite::future;
 use rand::seq::SliceRandom;
@@ -153,11 +153,11 @@
 
     /// Plays the day to its end and returns what was seen.
     pub fn run(self) -> Result<Vec<capture::Line>, String> {
-        let tasks = Tasks::default();
+        let tasks = SharedExecutor::default();
         future::block_on(tasks.clone().run(self.play(tasks)))
     }
 
-    async fn play(self, tasks: Tasks) -> Result<Vec<capture::Line>, String> {
+    async fn play(self, tasks: SharedExecutor) -> Result<Vec<capture::Line>, String> {
         let mut stage = self.up(&tasks).await?;
         let Stage {
             roster,
@@ -215,7 +215,7 @@
     }
 
     /// All stand-ins and dispatchers, which have heard of all nodes.
-    pub(crate) async fn up(&self, tasks: &Tasks) -> Result<Stage, String> {
+    pub(crate) async fn up(&self, tasks: &SharedExecutor) -> Result<Stage, String> {
         let text = |why: std::io::Error| why.to_string();
         Needs::of(&self.day).fit(&Limits::here()?)?;
         let mut rng = Pcg64Mcg::seed_from_u64(self.seed);
--- a/crates/lab/src/relay.rs
+++ b/crates/lab/src/relay.rs
@@ -5,7 +5,7 @@
 
 use async_io::Timer;
 use async_net::{TcpListener, TcpStream};
-use corkspan_rpc::Tasks;
+use corkspan_rpc::SharedExecutor;
 use futures_lite::{AsyncReadExt, AsyncWriteExt, FutureExt};
 use std::net::{Shutdown, SocketAddr};
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -60,7 +60,7 @@
 const PIECES: usize = 256;
 
 impl Relay {
-    pub async fn up(tasks: &Tasks, to: SocketAddr) -> std::io::Result<Relay> {
+    pub async fn up(tasks: &SharedExecutor, to: SocketAddr) -> std::io::Result<Relay> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let state = State {
             to: Some(to),
--- a/crates/lab/src/saturation.rs
+++ b/crates/lab/src/saturation.rs
@@ -4,7 +4,7 @@
 
 use crate::capture::Seen;
 use async_io::Timer;
-use corkspan_rpc::Tasks;
+use corkspan_rpc::SharedExecutor;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
@@ -71,7 +71,7 @@
 impl SaturationMonitor {
     /// Starts on the thread that carries the stand-ins. `hollow`: process ids of hollow dispatchers,
     /// which have one thread each.
-    pub fn start(tasks: &Tasks, hollow: Vec<u32>) -> Result<Self, NoThreadTimes> {
+    pub fn start(tasks: &SharedExecutor, hollow: Vec<u32>) -> Result<Self, NoThreadTimes> {
         let max_lateness_us = Arc::new(AtomicU64::new(0));
         let max_hollow_share = Arc::new(AtomicU64::new(0));
         let utilization = tasks.spawn(measure_hollow(hollow, Arc::clone(&max_hollow_share)));
--- a/crates/lab/src/wires.rs
+++ b/crates/lab/src/wires.rs
@@ -4,7 +4,7 @@
 use crate::discovery::Discovery;
 use crate::relay::{Relay, Way};
 use crate::scenario::{LinkPeer, ScheduledFault};
-use corkspan_rpc::Tasks;
+use corkspan_rpc::SharedExecutor;
 use std::collections::BTreeMap;
 use std::io;
 use std::net::SocketAddr;
@@ -27,7 +27,7 @@
 
 impl Wires {
     pub async fn up(
-        tasks: &Tasks,
+        tasks: &SharedExecutor,
         dispatchers: usize,
         roster: &Arc<Discovery>,
         control: Option<SocketAddr>,
--- a/crates/lab/tests/capacity.rs
+++ b/crates/lab/tests/capacity.rs
@@ -5,7 +5,7 @@
 use corkspan_capacity_model::{page, result::CapacityResult};
 use corkspan_lab::capacity::{End, Room, Setting, Stage};
 use corkspan_lab::counts;
-use corkspan_rpc::{Tasks, within};
+use corkspan_rpc::{SharedExecutor, within};
 use futures_lite::future;
 use std::ffi::OsString;
 use std::process::Command;
@@ -21,7 +21,7 @@
     room: Room,
     story: impl FnOnce(Stage) -> F,
 ) {
-    let tasks = Tasks::default();
+    let tasks = SharedExecutor::default();
     let program: [OsString; 2] = [LAB.into(), "corkspan".into()];
     let setting = Setting {
         machines,
--- a/crates/lab/tests/full_path/rig.rs
+++ b/crates/lab/tests/full_path/rig.rs
@@ -8,7 +8,7 @@
 use corkspan_lab::capture::{Capture, Line, Seen};
 use corkspan_lab::discovery::Discovery;
 use corkspan_lab::node::{Node, NodeConfig, SlowStart, World};
-use corkspan_rpc::{Bounds, Link, Tasks, within};
+use corkspan_rpc::{Bounds, Link, SharedExecutor, within};
 use corkspan_scheduler::interface::Resources;
 use futures_lite::future;
 use std::future::Future;
@@ -21,7 +21,7 @@
 pub const PATIENCE: Duration = Duration::from_secs(20);
 
 pub struct Rig {
-    pub tasks: Tasks,
+    pub tasks: SharedExecutor,
     pub world: Arc<World>,
     pub nodes: Vec<Arc<Node>>,
     pub roster: Arc<Discovery>,
@@ -71,7 +71,7 @@
 impl Rig {
     /// Runs a story against a rig, on this thread.
     pub fn run<F: Future<Output = ()>>(layout: Layout, story: impl FnOnce(Rig) -> F) {
-        let tasks = Tasks::default();
+        let tasks = SharedExecutor::default();
         let whole = async {
             let rig = Rig::up(tasks.clone(), layout).await;
             story(rig).await;
@@ -80,7 +80,7 @@
         future::block_on(tasks.run(whole)).expect("the story comes to its end");
     }
 
-    async fn up(tasks: Tasks, layout: Layout) -> Rig {
+    async fn up(tasks: SharedExecutor, layout: Layout) -> Rig {
         let capture = Capture::new(None).expect("no file, no failure");
         let world = World::new(capture, &tasks, Some("jobs".into()));
         let (roster, roster_address) = Discovery::start(&world).await.expect("a port");
@@ -119,7 +119,7 @@
     }
 
     async fn start(
-        tasks: Tasks,
+        tasks: SharedExecutor,
         world: Arc<World>,
         nodes: Vec<Arc<Node>>,
         roster: Arc<Discovery>,
@@ -130,7 +130,7 @@
 
     async fn start_over(
         store: Option<Store>,
-        tasks: Tasks,
+        tasks: SharedExecutor,
         world: Arc<World>,
         nodes: Vec<Arc<Node>>,
         roster: Arc<Discovery>,
@@ -147,7 +147,7 @@
         let (ended, dispatcher) = async_channel::bounded(1);
         let (kill, killed) = async_channel::bounded::<()>(1);
         std::thread::spawn(move || {
-            let own = Tasks::default();
+            let own = SharedExecutor::default();
             let store = store.unwrap_or_else(|| Store::open(deployment.rollout_store.as_deref()));
             let run = corkspan_dispatcher::run_with_store(
                 store,
--- a/crates/lab/tests/relay.rs
+++ b/crates/lab/tests/relay.rs
@@ -2,7 +2,7 @@
 
 use async_net::{TcpListener, TcpStream};
 use corkspan_lab::relay::{Relay, Way};
-use corkspan_rpc::{Tasks, within};
+use corkspan_rpc::{SharedExecutor, within};
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
 use std::time::{Duration, Instant};
 use test_case::test_case;
@@ -12,7 +12,7 @@
 const A_WHILE: Duration = Duration::from_millis(100);
 
 struct Link {
-    tasks: Tasks,
+    tasks: SharedExecutor,
     relay: Relay,
     opener: TcpStream,
     other: TcpStream,
@@ -20,7 +20,7 @@
 }
 
 fn story<F: Future<Output = ()>>(story: impl FnOnce(Link) -> F) {
-    let tasks = Tasks::default();
+    let tasks = SharedExecutor::default();
     let whole = async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let relay = Relay::up(&tasks, listener.local_addr().expect("bound"))
--- a/crates/lab/tests/stand_in_node.rs
+++ b/crates/lab/tests/stand_in_node.rs
@@ -11,7 +11,7 @@
 use corkspan_api::v1;
 use corkspan_lab::capture::{Capture, NodeState};
 use corkspan_lab::node::{Node, NodeConfig, SlowStart, World};
-use corkspan_rpc::{Bounds, Link, Tasks};
+use corkspan_rpc::{Bounds, Link, SharedExecutor};
 use corkspan_scheduler::interface::Resources;
 use futures_lite::{StreamExt, future};
 use prost::Message;
@@ -118,13 +118,13 @@
 
 /// One stand-in and a link to it.
 struct Conversation {
-    tasks: Tasks,
+    tasks: SharedExecutor,
     node: Arc<Node>,
     link: Link,
 }
 
 impl Conversation {
-    async fn begin(tasks: &Tasks) -> Conversation {
+    async fn begin(tasks: &SharedExecutor) -> Conversation {
         let capture = Capture::new(None).expect("no file, no failure");
         let world = World::new(capture, tasks, Some("jobs".into()));
         let node = Node::new(config(), &world);
@@ -133,7 +133,7 @@
         Conversation { tasks, node, link }
     }
 
-    async fn connect(tasks: &Tasks, node: &Arc<Node>) -> Link {
+    async fn connect(tasks: &SharedExecutor, node: &Arc<Node>) -> Link {
         let address = node.start_process(false).await.expect("a port");
         let link = Link::open(tasks, address, &Bounds::default()).await;
         link.expect("it listens")
@@ -212,7 +212,7 @@
 
 #[test]
 fn the_stand_in_answers_a_recorded_conversation_byte_for_byte() {
-    let tasks = Tasks::default();
+    let tasks = SharedExecutor::default();
     let whole = async {
         let mut conversation = Conversation::begin(&tasks).await;
         for (number, line) in RECORDED.lines().enumerate() {
--- a/crates/load-generator/src/connections.rs
+++ b/crates/load-generator/src/connections.rs
@@ -1,7 +1,7 @@
 //! The connections that requests leave by.
 
 use crate::run::RunError;
-use corkspan_rpc::{Bounds, Link, Tasks};
+use corkspan_rpc::{Bounds, Link, SharedExecutor};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
@@ -18,7 +18,7 @@
 /// Connections to all dispatchers. Requests take the dispatchers in turn, and of each its
 /// connections in turn.
 pub(crate) struct Connections {
-    tasks: Tasks,
+    tasks: SharedExecutor,
     bounds: Bounds,
     pools: Vec<Pool>,
 }
@@ -26,7 +26,7 @@
 impl Connections {
     /// Opens this many connections to each dispatcher.
     pub(crate) async fn open(
-        tasks: &Tasks,
+        tasks: &SharedExecutor,
         dispatchers: &[SocketAddr],
         per_dispatcher: usize,
     ) -> Result<Self, RunError> {
--- a/crates/load-generator/src/run.rs
+++ b/crates/load-generator/src/run.rs
@@ -6,7 +6,7 @@
 use crate::tally::{Outcome, Report, RequestRecord, Tally};
 use async_io::Timer;
 use corkspan_api::v1::{self, placement_client::PlacementClient, placement_event::Event};
-use corkspan_rpc::{Tasks, within};
+use corkspan_rpc::{SharedExecutor, within};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
@@ -161,7 +161,7 @@
 /// Sends a load and waits for its last reply. `progress` is called each second with the time since
 /// the beginning and the number of requests sent.
 pub async fn run(
-    tasks: &Tasks,
+    tasks: &SharedExecutor,
     load: LoadRun,
     mut progress: impl FnMut(Duration, usize),
 ) -> Result<Report, RunError> {
@@ -188,7 +188,7 @@
 
 /// Sends each request at its intended time.
 async fn open(
-    tasks: &Tasks,
+    tasks: &SharedExecutor,
     context: &Arc<RunContext>,
     progress: &mut impl FnMut(Duration, usize),
 ) {
@@ -229,7 +229,12 @@
 }
 
 /// Lets this many clients send one request after the other.
-async fn closed(tasks: &Tasks, context: &Arc<RunContext>, clients: usize, duration: Duration) {
+async fn closed(
+    tasks: &SharedExecutor,
+    context: &Arc<RunContext>,
+    clients: usize,
+    duration: Duration,
+) {
     let clients: Vec<_> = (0..clients)
         .map(|client| {
             let client = closed_client(Arc::clone(tasks), Arc::clone(context), client, duration);
@@ -241,7 +246,12 @@
     }
 }
 
-async fn closed_client(tasks: Tasks, context: Arc<RunContext>, client: usize, duration: Duration) {
+async fn closed_client(
+    tasks: SharedExecutor,
+    context: Arc<RunContext>,
+    client: usize,
+    duration: Duration,
+) {
     let seed = context.plan.seed ^ (client as u64) << 32;
     let mut mix = Mix::new(&context.plan.kinds, seed);
     let mut number = client << 32;
--- a/crates/platform/src/effects.rs
+++ b/crates/platform/src/effects.rs
@@ -4,7 +4,7 @@
 use crate::handle::PlatformHandle;
 use crate::node_connection_task;
 use async_lock::Semaphore;
-use corkspan_runtime::Tasks;
+use corkspan_runtime::SharedExecutor;
 use corkspan_runtime::clock::Clock;
 use corkspan_scheduler::interface::Ticks;
 use std::sync::{Arc, Weak};
@@ -22,7 +22,7 @@
 pub struct TaskEffects {
     pub handle: Weak<PlatformHandle>,
     pub clock: Clock,
-    pub tasks: Tasks,
+    pub tasks: SharedExecutor,
     pub wakes: WakeSenders,
     /// The descriptors of connections to nodes.
     pub node_budget: Arc<Semaphore>,
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -24,7 +24,7 @@
 use async_net::TcpListener;
 use corkspan_platform_wire::node_config::NodeConfig;
 use corkspan_runtime::clock::Clock;
-use corkspan_runtime::{Signal, Tasks, signals};
+use corkspan_runtime::{SharedExecutor, Signal, signals};
 use descriptor_budget::DescriptorBudget;
 pub use descriptor_budget::TooFewDescriptors;
 pub use errors::{ConfigError, ServeError};
@@ -58,7 +58,7 @@
 pub fn serve(path: &Path) -> Result<(), ServeError> {
     // First of all: a SIGHUP that arrives before would end the process.
     let signals = signals([Signal::Term, Signal::Int, Signal::Hup]).map_err(ServeError::Signals)?;
-    let tasks: Tasks = Arc::default();
+    let tasks: SharedExecutor = Arc::default();
     future::block_on(tasks.clone().run(run(tasks, path, signals, |_| ())))
 }
 
@@ -69,7 +69,7 @@
 ///
 /// As of [`serve`].
 pub async fn run(
-    tasks: Tasks,
+    tasks: SharedExecutor,
     path: &Path,
     signals: impl Stream<Item = std::io::Result<Signal>> + Unpin,
     ready: impl FnOnce(SocketAddr),
@@ -119,7 +119,7 @@
 
 /// Starts the tasks that run beside the listener. Dropping what is returned ends them.
 fn spawn_background(
-    tasks: &Tasks,
+    tasks: &SharedExecutor,
     handle: &Arc<PlatformHandle>,
     woken: WakeReceivers,
     feed: SocketAddr,
@@ -167,7 +167,7 @@
 
 fn handle(
     options: CoreOptions,
-    tasks: &Tasks,
+    tasks: &SharedExecutor,
     wakes: WakeSenders,
     budget: &DescriptorBudget,
 ) -> Arc<PlatformHandle> {
--- a/crates/platform/src/listener.rs
+++ b/crates/platform/src/listener.rs
@@ -7,7 +7,7 @@
 use async_io::Timer;
 use async_lock::{Semaphore, SemaphoreGuardArc};
 use async_net::{TcpListener, TcpStream};
-use corkspan_runtime::{Tasks, within};
+use corkspan_runtime::{SharedExecutor, within};
 use futures_lite::future;
 use std::sync::Arc;
 use std::time::Duration;
@@ -23,7 +23,7 @@
 /// accepted.
 pub async fn run(
     handle: Arc<PlatformHandle>,
-    tasks: Tasks,
+    tasks: SharedExecutor,
     listener: TcpListener,
     budget: Arc<Semaphore>,
 ) {
--- a/crates/platform/tests/core/bounds.rs
+++ b/crates/platform/tests/core/bounds.rs
@@ -6,7 +6,7 @@
 use crate::handle::PlatformHandle;
 use corkspan_platform_wire::client::{self, Message, MessageType, Reader};
 use corkspan_platform_wire::node::AttributeValue;
-use corkspan_runtime::Tasks;
+use corkspan_runtime::SharedExecutor;
 use corkspan_runtime::clock::Clock;
 
 pub(super) const POSTING: &str = r#"{"name":"n0","listen":"127.0.0.1:0","seed":"1","limits":{"sockets":256},
@@ -61,7 +61,7 @@
         Box::new(TaskEffects {
             handle,
             clock,
-            tasks: Tasks::default(),
+            tasks: SharedExecutor::default(),
             wakes: WakeSenders {
                 timer: wakes,
                 watch_list: watches,
--- a/crates/platform/tests/harness/mod.rs
+++ b/crates/platform/tests/harness/mod.rs
@@ -147,7 +147,7 @@
         harness.write_config();
         let path = harness.dir.path().join("posting.json");
         harness.runs = Some(std::thread::spawn(move || {
-            let tasks: corkspan_runtime::Tasks = Arc::default();
+            let tasks: corkspan_runtime::SharedExecutor = Arc::default();
             let ready = |address| ready.send(address).expect("the world waits");
             let run = corkspan_platform::run(Arc::clone(&tasks), &path, Box::pin(heard), ready);
             future::block_on(tasks.run(run)).expect("no failure");
--- a/crates/platform/tests/writer/fairness.rs
+++ b/crates/platform/tests/writer/fairness.rs
@@ -47,7 +47,7 @@
 #[test]
 fn a_nodes_message_passes_a_burst_on_every_clients_connection() {
     const OWNERS: usize = 20;
-    let tasks = corkspan_runtime::Tasks::default();
+    let tasks = corkspan_runtime::SharedExecutor::default();
     let (clients, node) = (Arc::new(AtomicU32::new(0)), Arc::new(AtomicU32::new(0)));
     let mut kept = Vec::new();
     for _ in 0..OWNERS {
@@ -78,7 +78,7 @@
 
 #[test]
 fn a_set_up_cancelled_before_it_is_written_never_is() {
-    let tasks = corkspan_runtime::Tasks::default();
+    let tasks = corkspan_runtime::SharedExecutor::default();
     let ((stream, mut peer), (sender, queue)) = (told(b""), message_queue());
     assert!(
         sender.send_set_up(attempt(1), b"one".to_vec())
@@ -110,7 +110,7 @@
 
 #[test]
 fn nothing_is_written_once_the_connection_is_discarded() {
-    let tasks = corkspan_runtime::Tasks::default();
+    let tasks = corkspan_runtime::SharedExecutor::default();
     let ((stream, mut peer), (sender, queue)) = (told(b""), message_queue());
     assert!(sender.send_set_up(attempt(1), b"one".to_vec()) && sender.send(b"cut".to_vec()));
     sender.discard();
@@ -127,7 +127,7 @@
 
 #[test]
 fn undelivered_task_ends_are_returned_when_the_peer_is_gone() {
-    let tasks = corkspan_runtime::Tasks::default();
+    let tasks = corkspan_runtime::SharedExecutor::default();
     let ((stream, peer), (sender, queue)) = (told(b""), message_queue());
     drop(peer);
     let input = ConnectionInput::new(stream.clone());
--- a/crates/rpc/src/lib.rs
+++ b/crates/rpc/src/lib.rs
@@ -26,7 +26,7 @@
 use tonic::body::Body;
 use tower_service::Service;
 
-pub use corkspan_runtime::{Tasks, Within, within};
+pub use corkspan_runtime::{SharedExecutor, Within, within};
 pub use counts::{Counted, Meter, Sorts};
 use counts::{Socket, Tap};
 
@@ -96,7 +96,11 @@
     /// # Errors
     ///
     /// It could not be established in time.
-    pub async fn open(tasks: &Tasks, to: SocketAddr, limits: &Bounds) -> Result<Link, NoLink> {
+    pub async fn open(
+        tasks: &SharedExecutor,
+        to: SocketAddr,
+        limits: &Bounds,
+    ) -> Result<Link, NoLink> {
         Link::open_with(tasks, to, limits, None).await
     }
 
@@ -106,7 +110,7 @@
     ///
     /// As [`Link::open`].
     pub async fn open_counted(
-        tasks: &Tasks,
+        tasks: &SharedExecutor,
         to: SocketAddr,
         limits: &Bounds,
         meter: &Meter,
@@ -115,7 +119,7 @@
     }
 
     async fn open_with(
-        tasks: &Tasks,
+        tasks: &SharedExecutor,
         to: SocketAddr,
         limits: &Bounds,
         meter: Option<&Meter>,
@@ -221,7 +225,7 @@
     S::Future: Send + 'static,
 {
     // Connections run in an executor of their own, so that they end with their listener.
-    let own: Tasks = Arc::new(Executor::new());
+    let own: SharedExecutor = Arc::new(Executor::new());
     let links = Arc::new(AtomicUsize::new(0));
     let accept = async {
         loop {
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -20,7 +20,7 @@
 pub use async_signal::Signal;
 
 /// The executor that carries all tasks of a process.
-pub type Tasks = Arc<Executor<'static>>;
+pub type SharedExecutor = Arc<Executor<'static>>;
 
 /// Receives these signals from here on: they no longer end the process.
 ///
