--- a/crates/cli/src/config_versions.rs
+++ b/crates/cli/src/config_versions.rs
@@ -6,7 +6,7 @@
 use corkspan_api::v1::{self, versions_client::VersionsClient};
 use corkspan_config::version::SharedParts;
 use corkspan_config::{schema, sexp};
-use corkspan_rpc::Link;
+use corkspan_rpc::Connection;
 use std::io::Write;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -53,7 +53,7 @@
     Ok(())
 }
 
-async fn status(link: Link) -> Result<v1::VersionStatus, Error> {
+async fn status(link: Connection) -> Result<v1::VersionStatus, Error> {
     let mut client = VersionsClient::new(link).max_decoding_message_size(MAX_ANSWER_BYTES);
     answer_within(ANSWER_TIMEOUT, client.status(v1::VersionStatusRequest {})).await
 }
@@ -94,7 +94,7 @@
     }
 }
 
-async fn diff(link: Link, file: &Path) -> Result<(), Error> {
+async fn diff(link: Connection, file: &Path) -> Result<(), Error> {
     let path = file.display().to_string();
     let next = SharedParts::parse(&path, &sexp::load(file)?)?;
     let active = SharedParts::parse("in force", &status(link).await?.text)?;
--- a/crates/cli/src/connection.rs
+++ b/crates/cli/src/connection.rs
@@ -1,7 +1,7 @@
 //! Connections to dispatchers and nodes, and the time that they have to answer.
 
 use crate::error::Error;
-use corkspan_rpc::{Bounds, Link, SharedExecutor, within};
+use corkspan_rpc::{Connection, ConnectionLimits, SharedExecutor, within};
 use futures_lite::future;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,12 +13,15 @@
 pub(crate) const MAX_ANSWER_BYTES: usize = 16 << 20;
 
 /// Opens a connection.
-pub(crate) async fn connect(tasks: &SharedExecutor, address: SocketAddr) -> Result<Link, Error> {
-    let bounds = Bounds {
-        connect_within: CONNECT_TIMEOUT,
-        ..Bounds::default()
+pub(crate) async fn connect(
+    tasks: &SharedExecutor,
+    address: SocketAddr,
+) -> Result<Connection, Error> {
+    let bounds = ConnectionLimits {
+        connect_timeout: CONNECT_TIMEOUT,
+        ..ConnectionLimits::default()
     };
-    Link::open(tasks, address, &bounds)
+    Connection::open(tasks, address, &bounds)
         .await
         .map_err(|source| Error::Connect { address, source })
 }
@@ -26,7 +29,7 @@
 /// Connects to a dispatcher and runs `call` on the connection to its end.
 pub(crate) fn with_connection<F: Future<Output = Result<(), Error>>>(
     dispatcher: SocketAddr,
-    call: impl FnOnce(Link) -> F,
+    call: impl FnOnce(Connection) -> F,
 ) -> Result<(), Error> {
     let tasks = SharedExecutor::default();
     let connected = async { call(connect(&tasks, dispatcher).await?).await };
@@ -46,7 +49,7 @@
 pub(crate) fn with_connection_within<F: Future<Output = Result<(), Error>>>(
     dispatcher: SocketAddr,
     timeout: Duration,
-    call: impl FnOnce(Link) -> F,
+    call: impl FnOnce(Connection) -> F,
 ) -> Result<(), Error> {
     let tasks = SharedExecutor::default();
     let connected = async { call(connect(&tasks, dispatcher).await?).await };
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -2,7 +2,7 @@
 
 use corkspan_config::sexp::Diagnostic;
 use corkspan_config::sexp::Diagnostics;
-use corkspan_rpc::NoLink;
+use corkspan_rpc::ConnectError;
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -33,7 +33,7 @@
         /// The dispatcher's.
         address: SocketAddr,
         /// Why there is none.
-        source: NoLink,
+        source: ConnectError,
     },
     /// The answer took too long.
     #[error("no answer within {} s", .0.as_secs())]
--- a/crates/cli/src/fleet/poll.rs
+++ b/crates/cli/src/fleet/poll.rs
@@ -3,7 +3,7 @@
 use crate::connection::{ANSWER_TIMEOUT, MAX_ANSWER_BYTES, connect};
 use crate::error::Error;
 use corkspan_api::v1::{self, node_client::NodeClient, versions_client::VersionsClient};
-use corkspan_rpc::{Link, SharedExecutor, within};
+use corkspan_rpc::{Connection, SharedExecutor, within};
 use corkspan_version_fencing::audit::{DispatcherReport, NodeObservation, RejectedVersion, Reply};
 use corkspan_version_fencing::operations::{OperationKind, VersionedOperation};
 use std::net::SocketAddr;
@@ -14,7 +14,7 @@
 pub(super) async fn versions_client(
     tasks: &SharedExecutor,
     address: SocketAddr,
-) -> Result<VersionsClient<Link>, Error> {
+) -> Result<VersionsClient<Connection>, Error> {
     let link = connect(tasks, address).await?;
     Ok(VersionsClient::new(link).max_decoding_message_size(MAX_ANSWER_BYTES))
 }
--- a/crates/cli/src/place.rs
+++ b/crates/cli/src/place.rs
@@ -3,7 +3,7 @@
 use crate::error::Error;
 use clap::Args;
 use corkspan_api::v1::{self, placement_client::PlacementClient, placement_event::Event};
-use corkspan_rpc::{Link, within};
+use corkspan_rpc::{Connection, within};
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -43,7 +43,7 @@
 }
 
 /// Requests the allocation and prints each event of it.
-pub(crate) async fn place(link: Link, place: Place) -> Result<(), Error> {
+pub(crate) async fn place(link: Connection, place: Place) -> Result<(), Error> {
     let follow = place.follow;
     let timeout = Duration::from_millis(place.deadline_ms.saturating_add(ANSWER_GRACE_MS));
     let mut client = PlacementClient::new(link);
--- a/crates/cli/src/status.rs
+++ b/crates/cli/src/status.rs
@@ -3,10 +3,10 @@
 use crate::connection::{ANSWER_TIMEOUT, answer_within};
 use crate::error::Error;
 use corkspan_api::v1::{self, placement_client::PlacementClient};
-use corkspan_rpc::Link;
+use corkspan_rpc::Connection;
 
 /// Prints what a dispatcher has in flight and has answered.
-pub(crate) async fn status(link: Link) -> Result<(), Error> {
+pub(crate) async fn status(link: Connection) -> Result<(), Error> {
     let mut client = PlacementClient::new(link);
     let status = answer_within(ANSWER_TIMEOUT, client.status(v1::StatusRequest {})).await?;
     let rows = [
--- a/crates/dispatcher/src/attempts.rs
+++ b/crates/dispatcher/src/attempts.rs
@@ -7,7 +7,7 @@
 };
 use crate::node_links::{CountGuard, NodeLink};
 use corkspan_api::v1::{self, attempt_event::Event as NodeReply, node_client::NodeClient};
-use corkspan_rpc::{Bounds, Link, SharedExecutor, within};
+use corkspan_rpc::{Connection, ConnectionLimits, SharedExecutor, within};
 use corkspan_scheduler::interface::*;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -19,7 +19,7 @@
 /// calls to nodes know nothing of what their outcomes are used for.
 pub trait AttemptObserver: Send + Sync + 'static {
     fn tasks(&self) -> &SharedExecutor;
-    fn bounds(&self) -> &Bounds;
+    fn bounds(&self) -> &ConnectionLimits;
     /// An accepted attempt counts as placed only once it runs.
     fn placed_when_running(&self) -> bool;
     /// Whether this dispatcher is below the minimum version.
@@ -117,7 +117,7 @@
     // Until the offer is handed to the link, it can't have reached the node.
     let written = AtomicBool::new(false);
     let first = async {
-        let latest = core.bounds().connect_within;
+        let latest = core.bounds().connect_timeout;
         let link = match within(latest, node.ready(core.tasks(), core.bounds())).await {
             Some(Ok(link)) => link,
             other => {
@@ -189,7 +189,7 @@
     };
     let Some(node) = node else { return lost(None) };
     let _call = node.count_call();
-    let timeout = core.bounds().keep_alive;
+    let timeout = core.bounds().keep_alive_interval;
     let replies = within(timeout, async {
         let link = node.ready(core.tasks(), core.bounds()).await.ok()?;
         client(&*core, link)
@@ -317,7 +317,7 @@
     stop: v1::StopRequest,
 ) -> Option<()> {
     let _call = node.count_call();
-    let timeout = core.bounds().keep_alive;
+    let timeout = core.bounds().keep_alive_interval;
     let said = within(timeout, async {
         let link = node.ready(core.tasks(), core.bounds()).await.ok()?;
         client(&*core, link).stop(stop).await.ok()
@@ -335,7 +335,7 @@
     node: Arc<NodeLink>,
 ) {
     let _call = node.count_call();
-    let timeout = 4 * core.bounds().connect_within;
+    let timeout = 4 * core.bounds().connect_timeout;
     let word = within(timeout, async {
         let link = node
             .ready(core.tasks(), core.bounds())
@@ -357,6 +357,6 @@
     }
 }
 
-fn client<D: AttemptObserver>(core: &D, link: Link) -> NodeClient<Link> {
-    NodeClient::new(link).max_decoding_message_size(core.bounds().message)
+fn client<D: AttemptObserver>(core: &D, link: Connection) -> NodeClient<Connection> {
+    NodeClient::new(link).max_decoding_message_size(core.bounds().max_message_bytes)
 }
--- a/crates/dispatcher/src/catch_up.rs
+++ b/crates/dispatcher/src/catch_up.rs
@@ -9,7 +9,7 @@
 use crate::quorum_client;
 use corkspan_api::v1::{self, quorum_request::Operation, versions_client::VersionsClient};
 use corkspan_config_sync::{PushReply, VersionPush};
-use corkspan_rpc::{Link, within};
+use corkspan_rpc::{Connection, within};
 use corkspan_version_fencing::catch_up::{
     CatchUp, CatchUpStatus, NextStep, RequestIntervals, RequestOutcome, VersionSource,
 };
@@ -118,10 +118,10 @@
     peer: SocketAddr,
     request: v1::FetchVersionRequest,
 ) -> Option<v1::VersionPush> {
-    let timeout = core.link_bounds.connect_within * 4 + Duration::from_secs(1);
+    let timeout = core.link_bounds.connect_timeout * 4 + Duration::from_secs(1);
     let exchange = async {
         let meter = core.link_counters.meter(LinkKind::Dispatchers);
-        let link = Link::open_counted(&core.tasks, peer, &core.link_bounds, &meter)
+        let link = Connection::open_counted(&core.tasks, peer, &core.link_bounds, &meter)
             .await
             .ok()?;
         let mut client = VersionsClient::new(link).max_decoding_message_size(MAX_PUSH_BYTES);
--- a/crates/dispatcher/src/config_stream.rs
+++ b/crates/dispatcher/src/config_stream.rs
@@ -13,7 +13,7 @@
 use corkspan_config_sync::{
     NextPush, PushAdmission, PushReply, ReconnectBackoff, RequestCounts, VersionCache, VersionPush,
 };
-use corkspan_rpc::Link;
+use corkspan_rpc::Connection;
 use corkspan_version_fencing::history::VersionOrigin;
 use futures_lite::{FutureExt, future};
 use std::net::SocketAddr;
@@ -42,7 +42,7 @@
 #[derive(Debug, thiserror::Error)]
 enum StreamError {
     #[error(transparent)]
-    Connect(#[from] corkspan_rpc::NoLink),
+    Connect(#[from] corkspan_rpc::ConnectError),
     #[error("{}", .0.message())]
     Status(#[from] Box<Status>),
     #[error("it does not take the stream in time")]
@@ -152,7 +152,8 @@
     began: &mut Option<Instant>,
 ) -> StreamError {
     let meter = core.link_counters.meter(LinkKind::Control);
-    let link = match Link::open_counted(&core.tasks, service, &core.link_bounds, &meter).await {
+    let link = match Connection::open_counted(&core.tasks, service, &core.link_bounds, &meter).await
+    {
         Ok(link) => link,
         Err(error) => return error.into(),
     };
@@ -217,12 +218,12 @@
 /// The first push may take long, but accepting the stream must not.
 async fn open_stream(
     core: &DispatcherCore,
-    link: Link,
+    link: Connection,
     replies: async_channel::Receiver<v1::PushReply>,
 ) -> Result<tonic::Streaming<v1::VersionPush>, StreamError> {
     let mut client = ControlClient::new(link).max_decoding_message_size(MAX_PUSH_BYTES);
     let opened = corkspan_rpc::within(
-        core.link_bounds.connect_within * 4,
+        core.link_bounds.connect_timeout * 4,
         Box::pin(client.stream(replies)),
     );
     match opened.await {
--- a/crates/dispatcher/src/core.rs
+++ b/crates/dispatcher/src/core.rs
@@ -52,7 +52,7 @@
     in_force: RwLock<Arc<Deployment>>,
     pub active_version: ActiveVersion,
     pub fencing: FencingState,
-    pub link_bounds: corkspan_rpc::Bounds,
+    pub link_bounds: corkspan_rpc::ConnectionLimits,
     pub link_counters: LinkCounters,
     pub tasks: SharedExecutor,
     /// When the engine is to be polled next.
--- a/crates/dispatcher/src/core/attempt_events.rs
+++ b/crates/dispatcher/src/core/attempt_events.rs
@@ -7,7 +7,7 @@
 use corkspan_api::v1;
 use corkspan_engine::{AllocationRequest, Engine, Return};
 use corkspan_rollout::controller::SurgeEnd;
-use corkspan_rpc::{Bounds, SharedExecutor};
+use corkspan_rpc::{ConnectionLimits, SharedExecutor};
 use corkspan_scheduler::interface::*;
 use std::sync::Arc;
 use tracing::warn;
@@ -18,7 +18,7 @@
         &self.tasks
     }
 
-    fn bounds(&self) -> &Bounds {
+    fn bounds(&self) -> &ConnectionLimits {
         &self.link_bounds
     }
 
--- a/crates/dispatcher/src/endpoint_list.rs
+++ b/crates/dispatcher/src/endpoint_list.rs
@@ -7,7 +7,7 @@
 use crate::stored_file::{StoredFileError, read_bounded};
 use async_io::Timer;
 use corkspan_api::v1::{self, roster_client::RosterClient};
-use corkspan_rpc::Link;
+use corkspan_rpc::Connection;
 use corkspan_scheduler::interface::*;
 use futures_lite::{FutureExt, future};
 use serde::{Deserialize, Serialize};
@@ -35,7 +35,7 @@
 #[derive(Debug, thiserror::Error)]
 enum WatchError {
     #[error(transparent)]
-    Connect(#[from] corkspan_rpc::NoLink),
+    Connect(#[from] corkspan_rpc::ConnectError),
     #[error("{}", .0.message())]
     Status(#[from] Box<tonic::Status>),
     #[error("the roster ended the watch")]
@@ -326,7 +326,7 @@
             core.deployment().roster,
             core.link_counters.meter(LinkKind::Roster),
         );
-        Link::open_counted(&core.tasks, to, &core.link_bounds, &meter).await
+        Connection::open_counted(&core.tasks, to, &core.link_bounds, &meter).await
     };
     let link = link?;
     let mut client = RosterClient::new(link).max_decoding_message_size(MAX_LIST_BYTES);
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -140,7 +140,7 @@
         let core = Arc::clone(&core);
         move |address| core.deployment().allows_client(address)
     };
-    let serving = corkspan_rpc::serve_to(
+    let serving = corkspan_rpc::serve_filtered(
         admits,
         Some(core.link_counters.link_classifier()),
         listener,
--- a/crates/dispatcher/src/link_counters.rs
+++ b/crates/dispatcher/src/link_counters.rs
@@ -3,7 +3,7 @@
 
 use corkspan_api::v1;
 pub use corkspan_api::v1::connection_traffic::Kind as LinkKind;
-use corkspan_rpc::{Meter, Sorts};
+use corkspan_rpc::{Meter, MeterSelector};
 use prometheus_client::encoding::{EncodeLabelSet, EncodeLabelValue};
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::family::Family;
@@ -56,7 +56,7 @@
 
     /// Classifies incoming connections by their first call: another dispatcher requests a version,
     /// and nothing else.
-    pub fn link_classifier(&self) -> Sorts {
+    pub fn link_classifier(&self) -> MeterSelector {
         let counts = self.clone();
         Arc::new(move |path| {
             counts.meter(match path {
--- a/crates/dispatcher/src/machine_status.rs
+++ b/crates/dispatcher/src/machine_status.rs
@@ -65,7 +65,7 @@
             .ok()
             .map(tonic::Response::into_inner)
     };
-    within(core.link_bounds.connect_within * 2, Box::pin(whole))
+    within(core.link_bounds.connect_timeout * 2, Box::pin(whole))
         .await
         .flatten()
 }
--- a/crates/dispatcher/src/node_links.rs
+++ b/crates/dispatcher/src/node_links.rs
@@ -4,7 +4,7 @@
 use async_lock::Mutex as AsyncMutex;
 use corkspan_api::v1::{self, node_client::NodeClient};
 use corkspan_config::Limits;
-use corkspan_rpc::{Link, Meter, NoLink, SharedExecutor, within};
+use corkspan_rpc::{ConnectError, Connection, Meter, SharedExecutor, within};
 use futures_lite::future;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,13 +13,13 @@
 use tower_service::Service;
 
 /// The bounds of a link, as the deployment gives them.
-pub fn bounds(bounds: &Limits) -> corkspan_rpc::Bounds {
-    corkspan_rpc::Bounds {
-        connect_within: duration(bounds.connect_timeout),
-        keep_alive: duration(bounds.keep_alive_interval),
-        calls: bounds.max_calls,
-        links: bounds.max_connections,
-        message: bounds.max_message_bytes,
+pub fn bounds(bounds: &Limits) -> corkspan_rpc::ConnectionLimits {
+    corkspan_rpc::ConnectionLimits {
+        connect_timeout: duration(bounds.connect_timeout),
+        keep_alive_interval: duration(bounds.keep_alive_interval),
+        max_calls: bounds.max_calls,
+        max_connections: bounds.max_connections,
+        max_message_bytes: bounds.max_message_bytes,
     }
 }
 
@@ -27,7 +27,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum NodeLinkError {
     #[error(transparent)]
-    NoLink(#[from] NoLink),
+    ConnectError(#[from] ConnectError),
     #[error("another attempt failed meanwhile")]
     ConcurrentAttemptFailed,
     #[error("no answer to the greeting within {0:?}")]
@@ -49,7 +49,7 @@
 }
 
 struct LinkState {
-    link: Option<Link>,
+    link: Option<Connection>,
     /// When an attempt to open it last failed: calls that waited for that attempt have failed with
     /// it, instead of each trying again.
     failed_at: Option<Instant>,
@@ -101,12 +101,12 @@
     pub async fn ready(
         &self,
         tasks: &SharedExecutor,
-        bounds: &corkspan_rpc::Bounds,
-    ) -> Result<Link, NodeLinkError> {
+        bounds: &corkspan_rpc::ConnectionLimits,
+    ) -> Result<Connection, NodeLinkError> {
         let since = Instant::now();
         let mut state = self.state.lock().await;
         state.last_used_at = Instant::now();
-        if let Some(link) = state.link.clone().filter(Link::stands) {
+        if let Some(link) = state.link.clone().filter(Connection::is_open) {
             drop(state);
             return wait_ready(link).await;
         }
@@ -131,12 +131,12 @@
     async fn open(
         &self,
         tasks: &SharedExecutor,
-        bounds: &corkspan_rpc::Bounds,
-    ) -> Result<Link, NodeLinkError> {
-        let link = Link::open_counted(tasks, self.address, bounds, &self.meter).await?;
+        bounds: &corkspan_rpc::ConnectionLimits,
+    ) -> Result<Connection, NodeLinkError> {
+        let link = Connection::open_counted(tasks, self.address, bounds, &self.meter).await?;
         let mut client = NodeClient::new(link.clone());
-        let greeted = within(bounds.connect_within, client.greet(self.greeting)).await;
-        let word = greeted.ok_or(NodeLinkError::GreetingTimeout(bounds.connect_within))?;
+        let greeted = within(bounds.connect_timeout, client.greet(self.greeting)).await;
+        let word = greeted.ok_or(NodeLinkError::GreetingTimeout(bounds.connect_timeout))?;
         let word = word
             .map_err(|why| NodeLinkError::GreetingRejected(why.message().into()))?
             .into_inner();
@@ -165,13 +165,13 @@
         if self.calls.load(Ordering::Relaxed) == 0 && state.last_used_at.elapsed() >= after {
             state.link = None;
         }
-        state.link.as_ref().is_some_and(Link::stands)
+        state.link.as_ref().is_some_and(Connection::is_open)
     }
 }
 
-async fn wait_ready(mut link: Link) -> Result<Link, NodeLinkError> {
+async fn wait_ready(mut link: Connection) -> Result<Connection, NodeLinkError> {
     future::poll_fn(|cx| link.poll_ready(cx))
         .await
-        .map_err(NoLink::NotHttp)?;
+        .map_err(ConnectError::Http2)?;
     Ok(link)
 }
--- a/crates/dispatcher/src/quorum_client.rs
+++ b/crates/dispatcher/src/quorum_client.rs
@@ -63,7 +63,7 @@
         let mut client = client.max_decoding_message_size(16 << 20);
         client.keep(request).await.ok().map(Response::into_inner)
     };
-    within(core.link_bounds.connect_within * 2, Box::pin(whole))
+    within(core.link_bounds.connect_timeout * 2, Box::pin(whole))
         .await
         .flatten()
 }
--- a/crates/lab/src/capacity/stage.rs
+++ b/crates/lab/src/capacity/stage.rs
@@ -15,7 +15,7 @@
     self, connection_traffic::Kind, node_server::NodeServer, placement_client::PlacementClient,
 };
 use corkspan_config::version::{SharedParts, VersionId};
-use corkspan_rpc::{Bounds, Link, SharedExecutor, within};
+use corkspan_rpc::{Connection, ConnectionLimits, SharedExecutor, within};
 use corkspan_scheduler::interface::Resources;
 use futures_lite::future;
 use rand::{RngExt, SeedableRng};
@@ -208,12 +208,14 @@
         let nodes_address = nodes.local_addr().map_err(text)?;
         let tasks_there = &threads[&End::Nodes].tasks;
         if setting.room == Room::NoneByUse {
-            let served = corkspan_rpc::serve(nodes, NodeServer::new(Busy), Bounds::default());
+            let served =
+                corkspan_rpc::serve(nodes, NodeServer::new(Busy), ConnectionLimits::default());
             tasks_there
                 .spawn(async move { drop(served.await) })
                 .detach();
         } else {
-            let served = corkspan_rpc::serve(nodes, NodeServer::new(Prompt), Bounds::default());
+            let served =
+                corkspan_rpc::serve(nodes, NodeServer::new(Prompt), ConnectionLimits::default());
             tasks_there
                 .spawn(async move { drop(served.await) })
                 .detach();
@@ -348,7 +350,7 @@
     }
 
     /// A link to the first dispatcher, as owners have it.
-    pub async fn owner(&self) -> Result<PlacementClient<Link>, String> {
+    pub async fn owner(&self) -> Result<PlacementClient<Connection>, String> {
         Ok(PlacementClient::new(
             measure::link(&self.tasks, self.owners[0]).await?,
         ))
--- a/crates/lab/src/control_service.rs
+++ b/crates/lab/src/control_service.rs
@@ -90,7 +90,7 @@
             control_server::ControlServer::new(Service(self.clone(), Arc::clone(&world.tasks)));
         let tasks = &world.tasks;
         ControlServiceGuard(tasks.spawn(async move {
-            corkspan_rpc::serve(listener, service, corkspan_rpc::Bounds::default()).await;
+            corkspan_rpc::serve(listener, service, corkspan_rpc::ConnectionLimits::default()).await;
         }))
     }
 
--- a/crates/lab/src/discovery.rs
+++ b/crates/lab/src/discovery.rs
@@ -7,7 +7,7 @@
 use async_io::Timer;
 use async_net::TcpListener;
 use corkspan_api::v1::{self, endpoint::State, roster_server::RosterServer};
-use corkspan_rpc::Bounds;
+use corkspan_rpc::ConnectionLimits;
 use futures_lite::Stream;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -94,7 +94,8 @@
 
     fn listen(self: &Arc<Self>) {
         let service = RosterServer::new(Service(Arc::clone(self)));
-        let served = corkspan_rpc::serve(self.listener.clone(), service, Bounds::default());
+        let served =
+            corkspan_rpc::serve(self.listener.clone(), service, ConnectionLimits::default());
         let server = self.world.tasks.spawn(async move {
             served.await;
         });
--- a/crates/lab/src/measure.rs
+++ b/crates/lab/src/measure.rs
@@ -7,7 +7,7 @@
 use async_io::Timer;
 use async_net::TcpListener;
 use corkspan_api::v1::{self, placement_client::PlacementClient, placement_event::Event};
-use corkspan_rpc::{Bounds, Link, SharedExecutor, within};
+use corkspan_rpc::{Connection, ConnectionLimits, SharedExecutor, within};
 use futures_lite::{future, stream};
 use hdrhistogram::Histogram;
 use std::ffi::OsString;
@@ -230,12 +230,12 @@
     values[values.len() / 2]
 }
 
-pub(crate) async fn link(tasks: &SharedExecutor, to: SocketAddr) -> Result<Link, String> {
-    let bounds = Bounds {
-        connect_within: Duration::from_secs(2),
-        ..Bounds::default()
+pub(crate) async fn link(tasks: &SharedExecutor, to: SocketAddr) -> Result<Connection, String> {
+    let bounds = ConnectionLimits {
+        connect_timeout: Duration::from_secs(2),
+        ..ConnectionLimits::default()
     };
-    Link::open(tasks, to, &bounds)
+    Connection::open(tasks, to, &bounds)
         .await
         .map_err(|why| why.to_string())
 }
@@ -286,7 +286,11 @@
     let address = listener.local_addr().map_err(|why| why.to_string())?;
     std::thread::spawn(move || {
         let tasks = SharedExecutor::default();
-        future::block_on(tasks.run(corkspan_rpc::serve(listener, service(), Bounds::default())))
+        future::block_on(tasks.run(corkspan_rpc::serve(
+            listener,
+            service(),
+            ConnectionLimits::default(),
+        )))
     });
     Ok(address)
 }
--- a/crates/lab/src/node/connections.rs
+++ b/crates/lab/src/node/connections.rs
@@ -7,7 +7,7 @@
 use async_io::Timer;
 use async_net::TcpListener;
 use corkspan_api::v1::node_server::NodeServer;
-use corkspan_rpc::Bounds;
+use corkspan_rpc::ConnectionLimits;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -47,7 +47,7 @@
             return;
         };
         let service = NodeServer::new(Service(Arc::clone(self)));
-        let served = corkspan_rpc::serve(listener, service, Bounds::default());
+        let served = corkspan_rpc::serve(listener, service, ConnectionLimits::default());
         let server = self.world.tasks.spawn(async move {
             served.await;
         });
--- a/crates/lab/src/owner.rs
+++ b/crates/lab/src/owner.rs
@@ -7,7 +7,7 @@
     self, placement_client::PlacementClient, placement_event::Event as Said,
     rolls_client::RollsClient, versions_client::VersionsClient,
 };
-use corkspan_rpc::{Bounds, Link, within};
+use corkspan_rpc::{Connection, ConnectionLimits, within};
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
 use std::net::SocketAddr;
@@ -28,7 +28,7 @@
 #[derive(Default)]
 struct Door {
     address: Option<SocketAddr>,
-    link: Option<Link>,
+    link: Option<Connection>,
 }
 
 impl Front {
@@ -48,11 +48,11 @@
         };
     }
 
-    pub async fn client(&self, dispatcher: usize) -> Option<PlacementClient<Link>> {
+    pub async fn client(&self, dispatcher: usize) -> Option<PlacementClient<Connection>> {
         self.link(dispatcher).await.map(PlacementClient::new)
     }
 
-    pub async fn versions(&self, dispatcher: usize) -> Option<VersionsClient<Link>> {
+    pub async fn versions(&self, dispatcher: usize) -> Option<VersionsClient<Connection>> {
         self.link(dispatcher).await.map(VersionsClient::new)
     }
 
@@ -60,23 +60,25 @@
         self.doors[dispatcher].lock().expect("unshared").address
     }
 
-    pub async fn rolls(&self, dispatcher: usize) -> Option<RollsClient<Link>> {
+    pub async fn rolls(&self, dispatcher: usize) -> Option<RollsClient<Connection>> {
         self.link(dispatcher).await.map(RollsClient::new)
     }
 
-    async fn link(&self, dispatcher: usize) -> Option<Link> {
+    async fn link(&self, dispatcher: usize) -> Option<Connection> {
         let (address, link) = {
             let door = self.doors[dispatcher].lock().expect("unshared");
-            (door.address, door.link.clone().filter(Link::stands))
+            (door.address, door.link.clone().filter(Connection::is_open))
         };
         let link = match (link, address) {
             (Some(link), _) => link,
             (None, Some(address)) => {
-                let bounds = Bounds {
-                    connect_within: Duration::from_secs(1),
-                    ..Bounds::default()
+                let bounds = ConnectionLimits {
+                    connect_timeout: Duration::from_secs(1),
+                    ..ConnectionLimits::default()
                 };
-                let link = Link::open(&self.world.tasks, address, &bounds).await.ok()?;
+                let link = Connection::open(&self.world.tasks, address, &bounds)
+                    .await
+                    .ok()?;
                 let mut door = self.doors[dispatcher].lock().expect("unshared");
                 if door.address == Some(address) {
                     door.link = Some(link.clone());
--- a/crates/lab/tests/full_path/counts.rs
+++ b/crates/lab/tests/full_path/counts.rs
@@ -11,7 +11,7 @@
 use corkspan_lab::relay::Relay;
 use corkspan_lab::scenario::LinkPeer;
 use corkspan_lab::wires::Wires;
-use corkspan_rpc::{Bounds, Link};
+use corkspan_rpc::{Connection, ConnectionLimits};
 use std::net::SocketAddr;
 use std::time::Duration;
 use test_case::test_case;
@@ -186,11 +186,11 @@
             let owner = Relay::up(&rig.tasks, rig.address).await.expect("a port");
             let peer = Relay::up(&rig.tasks, rig.address).await.expect("a port");
             let open = async |relay: &Relay| {
-                let bounds = Bounds {
-                    connect_within: PATIENCE,
-                    ..Bounds::default()
+                let bounds = ConnectionLimits {
+                    connect_timeout: PATIENCE,
+                    ..ConnectionLimits::default()
                 };
-                Link::open(&rig.tasks, relay.address, &bounds)
+                Connection::open(&rig.tasks, relay.address, &bounds)
                     .await
                     .expect("it listens")
             };
--- a/crates/lab/tests/full_path/fleet.rs
+++ b/crates/lab/tests/full_path/fleet.rs
@@ -15,7 +15,7 @@
 use corkspan_lab::discovery::Discovery;
 use corkspan_lab::judge::judge;
 use corkspan_lab::relay::{Relay, Way};
-use corkspan_rpc::{Bounds, Link};
+use corkspan_rpc::{Connection, ConnectionLimits};
 use rustix::process::{Pid, Signal, kill_process};
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader};
@@ -161,12 +161,12 @@
         blocking::unblock(move || command.output().expect("it runs")).await
     }
 
-    async fn link(&self, number: usize) -> Link {
-        let bounds = Bounds {
-            connect_within: PATIENCE,
-            ..Bounds::default()
+    async fn link(&self, number: usize) -> Connection {
+        let bounds = ConnectionLimits {
+            connect_timeout: PATIENCE,
+            ..ConnectionLimits::default()
         };
-        Link::open(&self.rig.tasks, self.fleet[number].address, &bounds)
+        Connection::open(&self.rig.tasks, self.fleet[number].address, &bounds)
             .await
             .expect("it listens")
     }
@@ -771,9 +771,10 @@
                     .endpoint(stage.rig.nodes[keeper].config.id)
                     .expect("listed");
                 let address = entry.address.parse().expect("an address");
-                let link = Link::open(&stage.rig.tasks, address, &Bounds::default())
-                    .await
-                    .expect("it listens");
+                let link =
+                    Connection::open(&stage.rig.tasks, address, &ConnectionLimits::default())
+                        .await
+                        .expect("it listens");
                 let ask = v1::QuorumRequest {
                     operation: Some(v1::quorum_request::Operation::StoreVersion(push)),
                 };
--- a/crates/lab/tests/full_path/maintenance.rs
+++ b/crates/lab/tests/full_path/maintenance.rs
@@ -8,7 +8,7 @@
 use corkspan_lab::capture::{Seen, Word as Said};
 use corkspan_lab::discovery::Discovery;
 use corkspan_lab::relay::{Relay, Way};
-use corkspan_rpc::{Bounds, Link};
+use corkspan_rpc::{Connection, ConnectionLimits};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::process::{Command, Output};
@@ -79,11 +79,11 @@
     }
 
     async fn ask(&self, number: usize, task: &str) -> Option<tonic::Streaming<v1::PlacementEvent>> {
-        let bounds = Bounds {
-            connect_within: PATIENCE,
-            ..Bounds::default()
+        let bounds = ConnectionLimits {
+            connect_timeout: PATIENCE,
+            ..ConnectionLimits::default()
         };
-        let link = Link::open(&self.rig.tasks, self.address(number), &bounds)
+        let link = Connection::open(&self.rig.tasks, self.address(number), &bounds)
             .await
             .ok()?;
         let asked = v1::PlacementRequest {
--- a/crates/lab/tests/full_path/rig.rs
+++ b/crates/lab/tests/full_path/rig.rs
@@ -8,7 +8,7 @@
 use corkspan_lab::capture::{Capture, Line, Seen};
 use corkspan_lab::discovery::Discovery;
 use corkspan_lab::node::{Node, NodeConfig, SlowStart, World};
-use corkspan_rpc::{Bounds, Link, SharedExecutor, within};
+use corkspan_rpc::{Connection, ConnectionLimits, SharedExecutor, within};
 use corkspan_scheduler::interface::Resources;
 use futures_lite::future;
 use std::future::Future;
@@ -180,13 +180,13 @@
         }
     }
 
-    pub async fn client(&self) -> PlacementClient<Link> {
-        let bounds = Bounds {
-            connect_within: PATIENCE,
-            ..Bounds::default()
+    pub async fn client(&self) -> PlacementClient<Connection> {
+        let bounds = ConnectionLimits {
+            connect_timeout: PATIENCE,
+            ..ConnectionLimits::default()
         };
         PlacementClient::new(
-            Link::open(&self.tasks, self.address, &bounds)
+            Connection::open(&self.tasks, self.address, &bounds)
                 .await
                 .expect("it listens"),
         )
--- a/crates/lab/tests/full_path/rolls.rs
+++ b/crates/lab/tests/full_path/rolls.rs
@@ -8,7 +8,7 @@
 use corkspan_lab::judge::judge;
 use corkspan_lab::node::VersionFault;
 use corkspan_lab::owner::{Front, Task, live};
-use corkspan_rpc::{Bounds, Link};
+use corkspan_rpc::{Connection, ConnectionLimits};
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet};
@@ -87,14 +87,14 @@
         self.rigs[0].world.capture.lines()
     }
 
-    async fn rolls(&self, dispatcher: usize) -> RollsClient<Link> {
-        let bounds = Bounds {
-            connect_within: PATIENCE,
-            ..Bounds::default()
+    async fn rolls(&self, dispatcher: usize) -> RollsClient<Connection> {
+        let bounds = ConnectionLimits {
+            connect_timeout: PATIENCE,
+            ..ConnectionLimits::default()
         };
         let rig = &self.rigs[dispatcher];
         RollsClient::new(
-            Link::open(&rig.tasks, rig.address, &bounds)
+            Connection::open(&rig.tasks, rig.address, &bounds)
                 .await
                 .expect("it listens"),
         )
--- a/crates/lab/tests/full_path/versions.rs
+++ b/crates/lab/tests/full_path/versions.rs
@@ -12,7 +12,7 @@
 use corkspan_lab::control_service::{
     ControlService, ControlServiceGuard, parse_version_id, push_message,
 };
-use corkspan_rpc::{Bounds, Link};
+use corkspan_rpc::{Connection, ConnectionLimits};
 use std::path::Path;
 use std::time::Duration;
 use test_case::test_case;
@@ -84,11 +84,11 @@
     }
 
     async fn status(&self) -> v1::VersionStatus {
-        let bounds = Bounds {
-            connect_within: PATIENCE,
-            ..Bounds::default()
+        let bounds = ConnectionLimits {
+            connect_timeout: PATIENCE,
+            ..ConnectionLimits::default()
         };
-        let link = Link::open(&self.rig.tasks, self.rig.address, &bounds)
+        let link = Connection::open(&self.rig.tasks, self.rig.address, &bounds)
             .await
             .expect("it listens");
         VersionsClient::new(link)
@@ -507,12 +507,12 @@
         let closed = stage.texts("(allow \"10.0.0.0/8\")");
         let closed = stage.control.publish(closed, false);
         until(async || stage.control.running(0) == Some(closed)).await;
-        let bounds = Bounds {
-            connect_within: Duration::from_secs(2),
-            ..Bounds::default()
+        let bounds = ConnectionLimits {
+            connect_timeout: Duration::from_secs(2),
+            ..ConnectionLimits::default()
         };
         let call = async {
-            let link = Link::open(&stage.rig.tasks, stage.rig.address, &bounds)
+            let link = Connection::open(&stage.rig.tasks, stage.rig.address, &bounds)
                 .await
                 .ok()?;
             VersionsClient::new(link)
--- a/crates/lab/tests/stand_in_node.rs
+++ b/crates/lab/tests/stand_in_node.rs
@@ -11,7 +11,7 @@
 use corkspan_api::v1;
 use corkspan_lab::capture::{Capture, NodeState};
 use corkspan_lab::node::{Node, NodeConfig, SlowStart, World};
-use corkspan_rpc::{Bounds, Link, SharedExecutor};
+use corkspan_rpc::{Connection, ConnectionLimits, SharedExecutor};
 use corkspan_scheduler::interface::Resources;
 use futures_lite::{StreamExt, future};
 use prost::Message;
@@ -120,7 +120,7 @@
 struct Conversation {
     tasks: SharedExecutor,
     node: Arc<Node>,
-    link: Link,
+    link: Connection,
 }
 
 impl Conversation {
@@ -133,9 +133,9 @@
         Conversation { tasks, node, link }
     }
 
-    async fn connect(tasks: &SharedExecutor, node: &Arc<Node>) -> Link {
+    async fn connect(tasks: &SharedExecutor, node: &Arc<Node>) -> Connection {
         let address = node.start_process(false).await.expect("a port");
-        let link = Link::open(tasks, address, &Bounds::default()).await;
+        let link = Connection::open(tasks, address, &ConnectionLimits::default()).await;
         link.expect("it listens")
     }
 
--- a/crates/load-generator/src/connections.rs
+++ b/crates/load-generator/src/connections.rs
@@ -1,7 +1,7 @@
 //! The connections that requests leave by.
 
 use crate::run::RunError;
-use corkspan_rpc::{Bounds, Link, SharedExecutor};
+use corkspan_rpc::{Connection, ConnectionLimits, SharedExecutor};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
@@ -12,14 +12,14 @@
 /// The connections to one dispatcher.
 struct Pool {
     dispatcher: SocketAddr,
-    links: Vec<Mutex<Link>>,
+    links: Vec<Mutex<Connection>>,
 }
 
 /// Connections to all dispatchers. Requests take the dispatchers in turn, and of each its
 /// connections in turn.
 pub(crate) struct Connections {
     tasks: SharedExecutor,
-    bounds: Bounds,
+    bounds: ConnectionLimits,
     pools: Vec<Pool>,
 }
 
@@ -33,15 +33,15 @@
         if dispatchers.is_empty() {
             return Err(RunError::NoDispatcher);
         }
-        let bounds = Bounds {
-            connect_within: CONNECT_TIMEOUT,
-            ..Bounds::default()
+        let bounds = ConnectionLimits {
+            connect_timeout: CONNECT_TIMEOUT,
+            ..ConnectionLimits::default()
         };
         let mut pools = Vec::new();
         for &dispatcher in dispatchers {
             let mut links = Vec::new();
             for _ in 0..per_dispatcher {
-                let link = Link::open(tasks, dispatcher, &bounds)
+                let link = Connection::open(tasks, dispatcher, &bounds)
                     .await
                     .map_err(|source| RunError::Connect { dispatcher, source })?;
                 links.push(Mutex::new(link));
@@ -56,14 +56,14 @@
     }
 
     /// The connection of the request with this number. One that broke is opened again, once.
-    pub(crate) async fn link(&self, number: usize) -> Option<Link> {
+    pub(crate) async fn link(&self, number: usize) -> Option<Connection> {
         let pool = &self.pools[number % self.pools.len()];
         let place = &pool.links[number / self.pools.len() % pool.links.len()];
         let link = place.lock().unwrap_or_else(PoisonError::into_inner).clone();
-        if link.stands() {
+        if link.is_open() {
             return Some(link);
         }
-        let fresh = Link::open(&self.tasks, pool.dispatcher, &self.bounds)
+        let fresh = Connection::open(&self.tasks, pool.dispatcher, &self.bounds)
             .await
             .ok()?;
         *place.lock().unwrap_or_else(PoisonError::into_inner) = fresh.clone();
--- a/crates/load-generator/src/run.rs
+++ b/crates/load-generator/src/run.rs
@@ -30,7 +30,7 @@
         /// Its address.
         dispatcher: SocketAddr,
         /// What stood in the way.
-        source: corkspan_rpc::NoLink,
+        source: corkspan_rpc::ConnectError,
     },
 }
 
--- a/crates/rpc/src/counts.rs
+++ b/crates/rpc/src/counts.rs
@@ -33,41 +33,43 @@
 }
 
 /// Chooses the meter of a served connection by the path of its first call.
-pub type Sorts = Arc<dyn Fn(&str) -> Meter + Send + Sync>;
+pub type MeterSelector = Arc<dyn Fn(&str) -> Meter + Send + Sync>;
 
 /// Connects one connection to its counters. A served connection has none until its first call: bytes
 /// before it are held, and counted then or at the connection's end.
 #[derive(Clone)]
-pub(crate) struct Tap(Arc<Inner>);
+pub(crate) struct ConnectionMeter(Arc<MeterState>);
 
-struct Inner {
+struct MeterState {
     meter: OnceLock<Meter>,
-    early: [AtomicU64; 2],
-    select_meter: Option<Sorts>,
+    early_bytes: [AtomicU64; 2],
+    select_meter: Option<MeterSelector>,
 }
 
-impl Tap {
-    pub fn with_meter(meter: &Meter) -> Tap {
-        Tap(Arc::new(Inner {
+impl ConnectionMeter {
+    pub fn with_meter(meter: &Meter) -> ConnectionMeter {
+        ConnectionMeter(Arc::new(MeterState {
             meter: OnceLock::from(meter.clone()),
-            early: Default::default(),
+            early_bytes: Default::default(),
             select_meter: None,
         }))
     }
 
-    pub fn with_selector(select_meter: &Sorts) -> Tap {
-        let (meter, early) = Default::default();
-        Tap(Arc::new(Inner {
+    pub fn with_selector(select_meter: &MeterSelector) -> ConnectionMeter {
+        let (meter, early_bytes) = Default::default();
+        ConnectionMeter(Arc::new(MeterState {
             meter,
-            early,
+            early_bytes,
             select_meter: Some(Arc::clone(select_meter)),
         }))
     }
 
-    fn bytes(&self, way: Direction, count: usize) {
+    fn bytes(&self, direction: Direction, count: usize) {
         match self.0.meter.get() {
-            Some(meter) => drop(meter.bytes(way).inc_by(count as u64)),
-            None => drop(self.0.early[way as usize].fetch_add(count as u64, Ordering::Relaxed)),
+            Some(meter) => drop(meter.bytes(direction).inc_by(count as u64)),
+            None => drop(
+                self.0.early_bytes[direction as usize].fetch_add(count as u64, Ordering::Relaxed),
+            ),
         }
     }
 
@@ -81,23 +83,23 @@
                 .unwrap_or_default()
         };
         let meter = self.0.meter.get_or_init(selected);
-        self.0.settle(meter);
+        self.0.add_early_bytes(meter);
         meter
     }
 }
 
-impl Inner {
-    fn settle(&self, meter: &Meter) {
-        for way in [Direction::In, Direction::Out] {
-            match self.early[way as usize].swap(0, Ordering::Relaxed) {
+impl MeterState {
+    fn add_early_bytes(&self, meter: &Meter) {
+        for direction in [Direction::In, Direction::Out] {
+            match self.early_bytes[direction as usize].swap(0, Ordering::Relaxed) {
                 0 => {}
-                early => drop(meter.bytes(way).inc_by(early)),
+                early_bytes => drop(meter.bytes(direction).inc_by(early_bytes)),
             }
         }
     }
 }
 
-impl Drop for Inner {
+impl Drop for MeterState {
     fn drop(&mut self) {
         let selected = || {
             self.select_meter
@@ -106,13 +108,13 @@
                 .unwrap_or_default()
         };
         let meter = self.meter.get().cloned().unwrap_or_else(selected);
-        self.settle(&meter);
+        self.add_early_bytes(&meter);
     }
 }
 
 impl Meter {
-    fn bytes(&self, way: Direction) -> &Counter {
-        match way {
+    fn bytes(&self, direction: Direction) -> &Counter {
+        match direction {
             Direction::In => &self.bytes_in,
             Direction::Out => &self.bytes_out,
         }
@@ -120,38 +122,40 @@
 }
 
 /// A socket whose bytes are counted.
-pub(crate) struct Socket {
+pub(crate) struct CountedSocket {
     pub stream: TcpStream,
-    pub tap: Option<Tap>,
+    pub connection_meter: Option<ConnectionMeter>,
 }
 
-impl Socket {
-    fn count(&self, way: Direction, result: &Poll<Result<usize>>) {
-        if let (Some(tap), Poll::Ready(Ok(count @ 1..))) = (&self.tap, result) {
-            tap.bytes(way, *count);
+impl CountedSocket {
+    fn count(&self, direction: Direction, result: &Poll<Result<usize>>) {
+        if let (Some(connection_meter), Poll::Ready(Ok(count @ 1..))) =
+            (&self.connection_meter, result)
+        {
+            connection_meter.bytes(direction, *count);
         }
     }
 }
 
-impl AsyncRead for Socket {
+impl AsyncRead for CountedSocket {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-        to: &mut [u8],
+        buffer: &mut [u8],
     ) -> Poll<Result<usize>> {
-        let result = Pin::new(&mut self.stream).poll_read(cx, to);
+        let result = Pin::new(&mut self.stream).poll_read(cx, buffer);
         self.count(Direction::In, &result);
         result
     }
 }
 
-impl AsyncWrite for Socket {
+impl AsyncWrite for CountedSocket {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-        from: &[u8],
+        buffer: &[u8],
     ) -> Poll<Result<usize>> {
-        let result = Pin::new(&mut self.stream).poll_write(cx, from);
+        let result = Pin::new(&mut self.stream).poll_write(cx, buffer);
         self.count(Direction::Out, &result);
         result
     }
@@ -159,9 +163,9 @@
     fn poll_write_vectored(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-        from: &[IoSlice<'_>],
+        buffer: &[IoSlice<'_>],
     ) -> Poll<Result<usize>> {
-        let result = Pin::new(&mut self.stream).poll_write_vectored(cx, from);
+        let result = Pin::new(&mut self.stream).poll_write_vectored(cx, buffer);
         self.count(Direction::Out, &result);
         result
     }
@@ -176,21 +180,21 @@
 }
 
 /// A body whose messages are counted, each when its last byte has passed.
-pub struct Counted<B> {
+pub struct CountedBody<B> {
     body: B,
-    count: Option<(Messages, Counter)>,
+    count: Option<(MessageCounter, Counter)>,
 }
 
-impl<B> Counted<B> {
+impl<B> CountedBody<B> {
     pub(crate) fn new(body: B, counter: Option<Counter>) -> Self {
-        Counted {
+        CountedBody {
             body,
-            count: counter.map(|counter| (Messages::default(), counter)),
+            count: counter.map(|counter| (MessageCounter::default(), counter)),
         }
     }
 }
 
-impl<B: Body<Data = Bytes> + Unpin> Body for Counted<B> {
+impl<B: Body<Data = Bytes> + Unpin> Body for CountedBody<B> {
     type Data = Bytes;
     type Error = B::Error;
 
@@ -199,11 +203,11 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<std::result::Result<Frame<Bytes>, B::Error>>> {
         let polled = Pin::new(&mut self.body).poll_frame(cx);
-        if let (Some((messages, counter)), Poll::Ready(Some(Ok(frame)))) =
+        if let (Some((message_counter, counter)), Poll::Ready(Some(Ok(frame)))) =
             (&mut self.count, &polled)
             && let Some(data) = frame.data_ref()
         {
-            counter.inc_by(messages.passed(data.clone()));
+            counter.inc_by(message_counter.count_ended(data.clone()));
         }
         polled
     }
@@ -220,32 +224,34 @@
 /// Where in its messages a body stands: each is five bytes, the last four its length, and so count
 /// more.
 #[derive(Default)]
-struct Messages {
+struct MessageCounter {
     prefix: [u8; 5],
-    filled: usize,
-    left: usize,
+    prefix_length: usize,
+    remaining_bytes: usize,
 }
 
-impl Messages {
+impl MessageCounter {
     /// How many messages end in these bytes.
-    fn passed(&mut self, mut data: Bytes) -> u64 {
+    fn count_ended(&mut self, mut data: Bytes) -> u64 {
         let mut ended = 0;
         while data.has_remaining() {
-            if self.filled < self.prefix.len() {
-                let count = data.remaining().min(self.prefix.len() - self.filled);
-                data.copy_to_slice(&mut self.prefix[self.filled..self.filled + count]);
-                self.filled += count;
-                if self.filled < self.prefix.len() {
+            if self.prefix_length < self.prefix.len() {
+                let count = data.remaining().min(self.prefix.len() - self.prefix_length);
+                data.copy_to_slice(
+                    &mut self.prefix[self.prefix_length..self.prefix_length + count],
+                );
+                self.prefix_length += count;
+                if self.prefix_length < self.prefix.len() {
                     break;
                 }
                 let [_, length @ ..] = self.prefix;
-                self.left = u32::from_be_bytes(length) as usize;
+                self.remaining_bytes = u32::from_be_bytes(length) as usize;
             }
-            let count = data.remaining().min(self.left);
+            let count = data.remaining().min(self.remaining_bytes);
             data.advance(count);
-            self.left -= count;
-            if self.left == 0 {
-                (self.filled, ended) = (0, ended + 1);
+            self.remaining_bytes -= count;
+            if self.remaining_bytes == 0 {
+                (self.prefix_length, ended) = (0, ended + 1);
             }
         }
         ended
--- a/crates/rpc/src/lib.rs
+++ b/crates/rpc/src/lib.rs
@@ -1,5 +1,5 @@
 //! gRPC over smol: HTTP/2 connections for tonic's clients and services, without a tokio runtime.
-//! Every size and time is limited by the caller's [`Bounds`]; what a broken connection
+//! Every size and time is limited by the caller's [`ConnectionLimits`]; what a broken connection
 //! means is for the caller to decide.
 
 #![warn(missing_docs, clippy::too_many_lines)]
@@ -27,143 +27,149 @@
 use tower_service::Service;
 
 pub use corkspan_runtime::{SharedExecutor, Within, within};
-pub use counts::{Counted, Meter, Sorts};
-use counts::{Socket, Tap};
+use counts::{ConnectionMeter, CountedSocket};
+pub use counts::{CountedBody, Meter, MeterSelector};
 
 /// Why no connection was established. Nothing was sent on it.
 #[derive(Debug, thiserror::Error)]
-pub enum NoLink {
+pub enum ConnectError {
     /// It took too long.
     #[error("no connection within {0:?}")]
     TimedOut(Duration),
     /// TCP failed.
     #[error("no connection: {0}")]
-    Refused(std::io::Error),
+    Tcp(std::io::Error),
     /// The HTTP/2 handshake failed.
     #[error("no HTTP/2 on the connection: {0}")]
-    NotHttp(hyper::Error),
+    Http2(hyper::Error),
 }
 
 /// Limits of a connection, at either end.
 #[derive(Clone, Debug)]
-pub struct Bounds {
+pub struct ConnectionLimits {
     /// From the first packet to the end of the HTTP/2 handshake.
-    pub connect_within: Duration,
+    pub connect_timeout: Duration,
     /// A connection with calls on it that is silent for this long is pinged, and closed after as
     /// long again without a reply.
-    pub keep_alive: Duration,
+    pub keep_alive_interval: Duration,
     /// Concurrent calls that a server allows on each connection.
-    pub calls: u32,
+    pub max_calls: u32,
     /// Concurrent connections that a server accepts; further ones are closed at once.
-    pub links: usize,
+    pub max_connections: usize,
     /// The largest message, in bytes.
-    pub message: usize,
+    pub max_message_bytes: usize,
 }
 
-impl Default for Bounds {
+impl Default for ConnectionLimits {
     fn default() -> Self {
-        Bounds {
-            connect_within: Duration::from_millis(250),
-            keep_alive: Duration::from_secs(10),
-            calls: 10_000,
-            links: 4_096,
-            message: 64 * 1024,
+        ConnectionLimits {
+            connect_timeout: Duration::from_millis(250),
+            keep_alive_interval: Duration::from_secs(10),
+            max_calls: 10_000,
+            max_connections: 4_096,
+            max_message_bytes: 64 * 1024,
         }
     }
 }
 
-impl Bounds {
+impl ConnectionLimits {
     /// The flow-control window of a connection. The HTTP/2 library closes a connection on which more
     /// small frames wait than half of the window holds, at 256 bytes each: with the default window
     /// a burst of some hundred requests, or as many events while this process is stalled, would end
     /// every call on it. So the window holds one such frame a call.
-    fn window(&self) -> u32 {
-        self.calls.saturating_mul(512).clamp(64 * 1024, 64 << 20)
+    fn flow_control_window(&self) -> u32 {
+        self.max_calls
+            .saturating_mul(512)
+            .clamp(64 * 1024, 64 << 20)
     }
 }
 
 /// One connection to a server, for a generated client; clones share it.
 #[derive(Clone)]
-pub struct Link {
-    to: SocketAddr,
-    sender: client::SendRequest<Counted<Body>>,
+pub struct Connection {
+    address: SocketAddr,
+    sender: client::SendRequest<CountedBody<Body>>,
     meter: Option<Meter>,
 }
 
-impl Link {
+impl Connection {
     /// Opens a connection. Dropping all clones, and the bodies of calls on it, closes it.
     ///
     /// # Errors
     ///
     /// It could not be established in time.
     pub async fn open(
-        tasks: &SharedExecutor,
-        to: SocketAddr,
-        limits: &Bounds,
-    ) -> Result<Link, NoLink> {
-        Link::open_with(tasks, to, limits, None).await
+        executor: &SharedExecutor,
+        address: SocketAddr,
+        limits: &ConnectionLimits,
+    ) -> Result<Connection, ConnectError> {
+        Connection::open_with(executor, address, limits, None).await
     }
 
-    /// As [`Link::open`], with its traffic counted.
+    /// As [`Connection::open`], with its traffic counted.
     ///
     /// # Errors
     ///
-    /// As [`Link::open`].
+    /// As [`Connection::open`].
     pub async fn open_counted(
-        tasks: &SharedExecutor,
-        to: SocketAddr,
-        limits: &Bounds,
+        executor: &SharedExecutor,
+        address: SocketAddr,
+        limits: &ConnectionLimits,
         meter: &Meter,
-    ) -> Result<Link, NoLink> {
-        Link::open_with(tasks, to, limits, Some(meter)).await
+    ) -> Result<Connection, ConnectError> {
+        Connection::open_with(executor, address, limits, Some(meter)).await
     }
 
     async fn open_with(
-        tasks: &SharedExecutor,
-        to: SocketAddr,
-        limits: &Bounds,
+        executor: &SharedExecutor,
+        address: SocketAddr,
+        limits: &ConnectionLimits,
         meter: Option<&Meter>,
-    ) -> Result<Link, NoLink> {
-        let opened = async {
-            let stream = TcpStream::connect(to).await.map_err(NoLink::Refused)?;
-            stream.set_nodelay(true).map_err(NoLink::Refused)?;
-            let mut builder = client::Builder::new(SmolExecutor::new(Arc::clone(tasks)));
+    ) -> Result<Connection, ConnectError> {
+        let established = async {
+            let stream = TcpStream::connect(address)
+                .await
+                .map_err(ConnectError::Tcp)?;
+            stream.set_nodelay(true).map_err(ConnectError::Tcp)?;
+            let mut builder = client::Builder::new(SmolExecutor::new(Arc::clone(executor)));
             builder
                 .timer(SmolTimer::new())
-                .keep_alive_interval(limits.keep_alive)
-                .keep_alive_timeout(limits.keep_alive)
+                .keep_alive_interval(limits.keep_alive_interval)
+                .keep_alive_timeout(limits.keep_alive_interval)
                 .keep_alive_while_idle(false)
-                .initial_max_send_streams(limits.calls as usize)
-                .initial_connection_window_size(limits.window())
+                .initial_max_send_streams(limits.max_calls as usize)
+                .initial_connection_window_size(limits.flow_control_window())
                 .max_header_list_size(16 * 1024);
-            let socket = Socket {
+            let socket = CountedSocket {
                 stream,
-                tap: meter.map(Tap::with_meter),
+                connection_meter: meter.map(ConnectionMeter::with_meter),
             };
             builder
                 .handshake(FuturesIo::new(socket))
                 .await
-                .map_err(NoLink::NotHttp)
+                .map_err(ConnectError::Http2)
         };
-        let (sender, connection) = within(limits.connect_within, opened)
+        let (sender, connection) = within(limits.connect_timeout, established)
             .await
-            .unwrap_or(Err(NoLink::TimedOut(limits.connect_within)))?;
-        tasks.spawn(async move { drop(connection.await) }).detach();
-        Ok(Link {
-            to,
+            .unwrap_or(Err(ConnectError::TimedOut(limits.connect_timeout)))?;
+        executor
+            .spawn(async move { drop(connection.await) })
+            .detach();
+        Ok(Connection {
+            address,
             sender,
             meter: meter.cloned(),
         })
     }
 
     /// Whether calls can still be sent on it.
-    pub fn stands(&self) -> bool {
+    pub fn is_open(&self) -> bool {
         !self.sender.is_closed()
     }
 }
 
-impl Service<http::Request<Body>> for Link {
-    type Response = http::Response<Counted<hyper::body::Incoming>>;
+impl Service<http::Request<Body>> for Connection {
+    type Response = http::Response<CountedBody<hyper::body::Incoming>>;
     type Error = hyper::Error;
     type Future = Pin<Box<dyn Future<Output = Result<Self::Response, Self::Error>> + Send>>;
 
@@ -176,7 +182,7 @@
             .uri()
             .path_and_query()
             .map_or("/", |path| path.as_str());
-        match format!("http://{}{path}", self.to).parse() {
+        match format!("http://{}{path}", self.address).parse() {
             Ok(uri) => *request.uri_mut() = uri,
             Err(_) => unreachable!("an address and a path make a URI"),
         }
@@ -188,14 +194,14 @@
         );
         let response = self
             .sender
-            .send_request(request.map(|body| Counted::new(body, sent)));
-        Box::pin(async move { Ok(response.await?.map(|body| Counted::new(body, received))) })
+            .send_request(request.map(|body| CountedBody::new(body, sent)));
+        Box::pin(async move { Ok(response.await?.map(|body| CountedBody::new(body, received))) })
     }
 }
 
 /// Serves a tonic service on a listener until the future is dropped, which closes its connections.
 /// Returns only the error that made the listener unusable.
-pub async fn serve<S>(listener: TcpListener, service: S, limits: Bounds) -> std::io::Error
+pub async fn serve<S>(listener: TcpListener, service: S, limits: ConnectionLimits) -> std::io::Error
 where
     S: Service<http::Request<Body>, Response = http::Response<Body>, Error = Infallible>
         + Clone
@@ -204,17 +210,17 @@
         + 'static,
     S::Future: Send + 'static,
 {
-    serve_to(|_| true, None, listener, service, limits).await
+    serve_filtered(|_| true, None, listener, service, limits).await
 }
 
 /// As [`serve`], for peers whose addresses are admitted; connections of others are closed unread.
 /// Traffic is counted where a selector chooses the meter of a connection.
-pub async fn serve_to<S>(
+pub async fn serve_filtered<S>(
     admits: impl Fn(IpAddr) -> bool,
-    select_meter: Option<Sorts>,
+    select_meter: Option<MeterSelector>,
     listener: TcpListener,
     service: S,
-    limits: Bounds,
+    limits: ConnectionLimits,
 ) -> std::io::Error
 where
     S: Service<http::Request<Body>, Response = http::Response<Body>, Error = Infallible>
@@ -225,8 +231,8 @@
     S::Future: Send + 'static,
 {
     // Connections run in an executor of their own, so that they end with their listener.
-    let own: SharedExecutor = Arc::new(Executor::new());
-    let links = Arc::new(AtomicUsize::new(0));
+    let connection_executor: SharedExecutor = Arc::new(Executor::new());
+    let open_connections = Arc::new(AtomicUsize::new(0));
     let accept = async {
         loop {
             let stream = match listener.accept().await {
@@ -234,30 +240,44 @@
                 Ok(_) => continue,
                 // Out of file descriptors, or the peer was gone before it was accepted: the listener
                 // itself is usable.
-                Err(why)
-                    if why.raw_os_error() == Some(24)
-                        || why.kind() == std::io::ErrorKind::ConnectionAborted =>
+                Err(error)
+                    if error.raw_os_error() == Some(24)
+                        || error.kind() == std::io::ErrorKind::ConnectionAborted =>
                 {
                     Timer::after(Duration::from_millis(20)).await;
                     continue;
                 }
-                Err(why) => return why,
+                Err(error) => return error,
             };
-            if links.load(Ordering::Relaxed) >= limits.links {
+            if open_connections.load(Ordering::Relaxed) >= limits.max_connections {
                 continue;
             }
-            links.fetch_add(1, Ordering::Relaxed);
-            let (service, links, limits) = (service.clone(), Arc::clone(&links), limits.clone());
-            let tasks = ConnectionExecutor(Arc::downgrade(&own));
-            let tap = select_meter.as_ref().map(Tap::with_selector);
-            own.spawn(async move {
-                serve_connection(tasks, Socket { stream, tap }, service, limits).await;
-                links.fetch_sub(1, Ordering::Relaxed);
-            })
-            .detach();
+            open_connections.fetch_add(1, Ordering::Relaxed);
+            let (service, open_connections, limits) = (
+                service.clone(),
+                Arc::clone(&open_connections),
+                limits.clone(),
+            );
+            let executor = ConnectionExecutor(Arc::downgrade(&connection_executor));
+            let connection_meter = select_meter.as_ref().map(ConnectionMeter::with_selector);
+            connection_executor
+                .spawn(async move {
+                    serve_connection(
+                        executor,
+                        CountedSocket {
+                            stream,
+                            connection_meter,
+                        },
+                        service,
+                        limits,
+                    )
+                    .await;
+                    open_connections.fetch_sub(1, Ordering::Relaxed);
+                })
+                .detach();
         }
     };
-    accept.or(own.run(future::pending())).await
+    accept.or(connection_executor.run(future::pending())).await
 }
 
 /// Spawns the tasks of a connection into its listener's executor. Weak: tasks that kept their
@@ -273,8 +293,12 @@
     }
 }
 
-async fn serve_connection<S>(tasks: ConnectionExecutor, socket: Socket, service: S, limits: Bounds)
-where
+async fn serve_connection<S>(
+    executor: ConnectionExecutor,
+    socket: CountedSocket,
+    service: S,
+    limits: ConnectionLimits,
+) where
     S: Service<http::Request<Body>, Response = http::Response<Body>, Error = Infallible>
         + Clone
         + Send
@@ -286,18 +310,18 @@
     }
     let service = BodyAdapter {
         inner: service,
-        max_message_bytes: limits.message,
-        tap: socket.tap.clone(),
+        max_message_bytes: limits.max_message_bytes,
+        connection_meter: socket.connection_meter.clone(),
     };
-    let mut builder = hyper::server::conn::http2::Builder::new(tasks);
+    let mut builder = hyper::server::conn::http2::Builder::new(executor);
     builder
         .timer(SmolTimer::new())
-        .max_concurrent_streams(limits.calls)
-        .initial_connection_window_size(limits.window())
+        .max_concurrent_streams(limits.max_calls)
+        .initial_connection_window_size(limits.flow_control_window())
         .max_header_list_size(16 * 1024)
         .max_send_buf_size(64 * 1024)
-        .keep_alive_interval(limits.keep_alive)
-        .keep_alive_timeout(limits.keep_alive);
+        .keep_alive_interval(limits.keep_alive_interval)
+        .keep_alive_timeout(limits.keep_alive_interval);
     let served =
         builder.serve_connection(FuturesIo::new(socket), TowerToHyperService::new(service));
     // An error of one connection (garbage, a reset, silence) concerns its peer alone.
@@ -309,7 +333,7 @@
 struct BodyAdapter<S> {
     inner: S,
     max_message_bytes: usize,
-    tap: Option<Tap>,
+    connection_meter: Option<ConnectionMeter>,
 }
 
 impl<S> Service<http::Request<hyper::body::Incoming>> for BodyAdapter<S>
@@ -334,18 +358,18 @@
             ));
             return Box::pin(future::ready(Ok(status.into_http())));
         }
-        let Some(tap) = &self.tap else {
+        let Some(connection_meter) = &self.connection_meter else {
             return Box::pin(self.inner.call(request.map(Body::new)));
         };
-        let meter = tap.meter_for(request.uri().path());
+        let meter = connection_meter.meter_for(request.uri().path());
         let (received, sent) = (meter.messages_in.clone(), meter.messages_out.clone());
         let response = self
             .inner
-            .call(request.map(|body| Body::new(Counted::new(body, Some(received)))));
+            .call(request.map(|body| Body::new(CountedBody::new(body, Some(received)))));
         Box::pin(async move {
             Ok(response
                 .await?
-                .map(|body| Body::new(Counted::new(body, Some(sent)))))
+                .map(|body| Body::new(CountedBody::new(body, Some(sent)))))
         })
     }
 }
