--- a/crates/dispatcher/src/attempts.rs
+++ b/crates/dispatcher/src/attempts.rs
@@ -5,7 +5,7 @@
 use crate::attempt_messages::{
     EndedAttempt, ending_of_status, is_valid_amount, reason, report, result_of_end,
 };
-use crate::node_links::{CountGuard, NodeLink};
+use crate::node_links::{CountGuard, NodeConnection};
 use corkspan_api::v1::{self, attempt_event::Event as NodeReply, node_client::NodeClient};
 use corkspan_rpc::{Connection, ConnectionLimits, SharedExecutor, within};
 use corkspan_scheduler::interface::*;
@@ -19,7 +19,7 @@
 /// calls to nodes know nothing of what their outcomes are used for.
 pub trait AttemptObserver: Send + Sync + 'static {
     fn tasks(&self) -> &SharedExecutor;
-    fn bounds(&self) -> &ConnectionLimits;
+    fn connection_limits(&self) -> &ConnectionLimits;
     /// An accepted attempt counts as placed only once it runs.
     fn placed_when_running(&self) -> bool;
     /// Whether this dispatcher is below the minimum version.
@@ -55,7 +55,7 @@
     pub number: usize,
     pub machine: MachineId,
     /// None where the machine has no address.
-    pub node: Option<Arc<NodeLink>>,
+    pub node: Option<Arc<NodeConnection>>,
     /// Counts the offer among those without an answer; none where the limit is reached.
     pub unanswered_guard: Option<CountGuard>,
     /// When it was decided.
@@ -117,23 +117,24 @@
     // Until the offer is handed to the link, it can't have reached the node.
     let written = AtomicBool::new(false);
     let first = async {
-        let latest = core.bounds().connect_timeout;
-        let link = match within(latest, node.ready(core.tasks(), core.bounds())).await {
-            Some(Ok(link)) => link,
-            other => {
-                debug!(machine = machine.0, why = ?other.map(Result::err), "no link");
-                return OfferOutcome::Ended(EndedAttempt::with_ending(ending_without_link(
-                    decided, latest,
-                )));
-            }
-        };
+        let latest = core.connection_limits().connect_timeout;
+        let connection =
+            match within(latest, node.ready(core.tasks(), core.connection_limits())).await {
+                Some(Ok(connection)) => connection,
+                other => {
+                    debug!(machine = machine.0, why = ?other.map(Result::err), "no link");
+                    return OfferOutcome::Ended(EndedAttempt::with_ending(
+                        ending_without_connection(decided, latest),
+                    ));
+                }
+            };
         // A later offer is not what was decided: slow start and draining are counted from the
         // decision. So a process that was paused in between sends nothing.
         if decided.elapsed() > latest {
             return OfferOutcome::Ended(EndedAttempt::with_ending(AttemptResult::NotSent));
         }
         written.store(true, Ordering::Relaxed);
-        match client(&*core, link).offer(attempt).await {
+        match client(&*core, connection).offer(attempt).await {
             Ok(replies) => first_reply(&*core, replies.into_inner()).await,
             Err(why) => OfferOutcome::Ended(EndedAttempt::with_ending(ending_of_status(&why))),
         }
@@ -144,7 +145,7 @@
         let ending = if written.load(Ordering::Relaxed) {
             AttemptResult::TimedOut
         } else {
-            ending_without_link(decided, time_out)
+            ending_without_connection(decided, time_out)
         };
         OfferOutcome::Ended(EndedAttempt::with_ending(ending))
     });
@@ -161,7 +162,7 @@
 /// The outcome where no connection was made. Where that is noticed long after its time, this
 /// process was too busy to notice a connection: then nothing is held against the node, since a
 /// dispatcher under a burst would otherwise eject all machines.
-fn ending_without_link(decided: Instant, latest: Duration) -> AttemptResult {
+fn ending_without_connection(decided: Instant, latest: Duration) -> AttemptResult {
     if decided.elapsed() > latest + latest / 2 {
         AttemptResult::NotSent
     } else {
@@ -173,7 +174,7 @@
 pub async fn follow_existing<D: AttemptObserver>(
     core: Arc<D>,
     id: AllocationId,
-    node: Option<Arc<NodeLink>>,
+    node: Option<Arc<NodeConnection>>,
     machine: MachineId,
     attempt: v1::AttemptRequest,
 ) {
@@ -189,10 +190,13 @@
     };
     let Some(node) = node else { return lost(None) };
     let _call = node.count_call();
-    let timeout = core.bounds().keep_alive_interval;
+    let timeout = core.connection_limits().keep_alive_interval;
     let replies = within(timeout, async {
-        let link = node.ready(core.tasks(), core.bounds()).await.ok()?;
-        client(&*core, link)
+        let connection = node
+            .ready(core.tasks(), core.connection_limits())
+            .await
+            .ok()?;
+        client(&*core, connection)
             .attend(attempt)
             .await
             .ok()
@@ -313,14 +317,17 @@
 /// has not answered.
 pub async fn send_stop<D: AttemptObserver>(
     core: Arc<D>,
-    node: Arc<NodeLink>,
+    node: Arc<NodeConnection>,
     stop: v1::StopRequest,
 ) -> Option<()> {
     let _call = node.count_call();
-    let timeout = core.bounds().keep_alive_interval;
+    let timeout = core.connection_limits().keep_alive_interval;
     let said = within(timeout, async {
-        let link = node.ready(core.tasks(), core.bounds()).await.ok()?;
-        client(&*core, link).stop(stop).await.ok()
+        let connection = node
+            .ready(core.tasks(), core.connection_limits())
+            .await
+            .ok()?;
+        client(&*core, connection).stop(stop).await.ok()
     });
     let said = said.await.flatten();
     if said.is_none() {
@@ -332,16 +339,16 @@
 pub async fn send_health_check<D: AttemptObserver>(
     core: Arc<D>,
     machine: MachineId,
-    node: Arc<NodeLink>,
+    node: Arc<NodeConnection>,
 ) {
     let _call = node.count_call();
-    let timeout = 4 * core.bounds().connect_timeout;
+    let timeout = 4 * core.connection_limits().connect_timeout;
     let word = within(timeout, async {
-        let link = node
-            .ready(core.tasks(), core.bounds())
+        let connection = node
+            .ready(core.tasks(), core.connection_limits())
             .await
             .map_err(|_| AttemptResult::ConnectFailed)?;
-        client(&*core, link)
+        client(&*core, connection)
             .probe(v1::HealthCheckRequest {})
             .await
             .map_err(|why| ending_of_status(&why))
@@ -357,6 +364,7 @@
     }
 }
 
-fn client<D: AttemptObserver>(core: &D, link: Connection) -> NodeClient<Connection> {
-    NodeClient::new(link).max_decoding_message_size(core.bounds().max_message_bytes)
+fn client<D: AttemptObserver>(core: &D, connection: Connection) -> NodeClient<Connection> {
+    NodeClient::new(connection)
+        .max_decoding_message_size(core.connection_limits().max_message_bytes)
 }
--- a/crates/dispatcher/src/catch_up.rs
+++ b/crates/dispatcher/src/catch_up.rs
@@ -5,7 +5,7 @@
 use crate::active_version::{push_from_message, version_id_message};
 use crate::config_stream::apply;
 use crate::core::DispatcherCore;
-use crate::link_counters::LinkKind;
+use crate::link_counters::ConnectionKind;
 use crate::quorum_client;
 use corkspan_api::v1::{self, quorum_request::Operation, versions_client::VersionsClient};
 use corkspan_config_sync::{PushReply, VersionPush};
@@ -118,13 +118,14 @@
     peer: SocketAddr,
     request: v1::FetchVersionRequest,
 ) -> Option<v1::VersionPush> {
-    let timeout = core.link_bounds.connect_timeout * 4 + Duration::from_secs(1);
+    let timeout = core.connection_limits.connect_timeout * 4 + Duration::from_secs(1);
     let exchange = async {
-        let meter = core.link_counters.meter(LinkKind::Dispatchers);
-        let link = Connection::open_counted(&core.tasks, peer, &core.link_bounds, &meter)
-            .await
-            .ok()?;
-        let mut client = VersionsClient::new(link).max_decoding_message_size(MAX_PUSH_BYTES);
+        let meter = core.connection_counters.meter(ConnectionKind::Dispatchers);
+        let connection =
+            Connection::open_counted(&core.tasks, peer, &core.connection_limits, &meter)
+                .await
+                .ok()?;
+        let mut client = VersionsClient::new(connection).max_decoding_message_size(MAX_PUSH_BYTES);
         client
             .give(request)
             .await
--- a/crates/dispatcher/src/config_stream.rs
+++ b/crates/dispatcher/src/config_stream.rs
@@ -7,7 +7,7 @@
 };
 use crate::clock::{duration, ticks};
 use crate::core::DispatcherCore;
-use crate::link_counters::LinkKind;
+use crate::link_counters::ConnectionKind;
 use corkspan_api::v1::push_reply::Answer;
 use corkspan_api::v1::{self, control_client::ControlClient};
 use corkspan_config_sync::{
@@ -151,19 +151,20 @@
     given_up: &async_channel::Receiver<String>,
     began: &mut Option<Instant>,
 ) -> StreamError {
-    let meter = core.link_counters.meter(LinkKind::Control);
-    let link = match Connection::open_counted(&core.tasks, service, &core.link_bounds, &meter).await
-    {
-        Ok(link) => link,
-        Err(error) => return error.into(),
-    };
+    let meter = core.connection_counters.meter(ConnectionKind::Control);
+    let connection =
+        match Connection::open_counted(&core.tasks, service, &core.connection_limits, &meter).await
+        {
+            Ok(connection) => connection,
+            Err(error) => return error.into(),
+        };
     let (to, from) = async_channel::bounded(MAX_UNREAD_REPLIES);
     let answers = Answers {
         to,
         dispatcher: core.deployment().cluster.scheduler_index as u32,
     };
     answers.send_status(&core.active_version, Answer::Nothing, Vec::new());
-    let mut pushes = match open_stream(core, link, from).await {
+    let mut pushes = match open_stream(core, connection, from).await {
         Ok(pushes) => pushes,
         Err(error) => return error,
     };
@@ -218,12 +219,12 @@
 /// The first push may take long, but accepting the stream must not.
 async fn open_stream(
     core: &DispatcherCore,
-    link: Connection,
+    connection: Connection,
     replies: async_channel::Receiver<v1::PushReply>,
 ) -> Result<tonic::Streaming<v1::VersionPush>, StreamError> {
-    let mut client = ControlClient::new(link).max_decoding_message_size(MAX_PUSH_BYTES);
+    let mut client = ControlClient::new(connection).max_decoding_message_size(MAX_PUSH_BYTES);
     let opened = corkspan_rpc::within(
-        core.link_bounds.connect_timeout * 4,
+        core.connection_limits.connect_timeout * 4,
         Box::pin(client.stream(replies)),
     );
     match opened.await {
--- a/crates/dispatcher/src/core.rs
+++ b/crates/dispatcher/src/core.rs
@@ -15,8 +15,8 @@
 use crate::active_version::{self, ActiveVersion};
 use crate::attempts;
 use crate::clock::{Clock, duration};
-use crate::link_counters::{LinkCounters, LinkKind};
-use crate::node_links::NodeLink;
+use crate::link_counters::{ConnectionCounters, ConnectionKind};
+use crate::node_links::NodeConnection;
 use crate::rollouts::Rollouts;
 use crate::store::{Store, StoredRollouts};
 use crate::version_gate::{self, FencingState};
@@ -52,8 +52,8 @@
     in_force: RwLock<Arc<Deployment>>,
     pub active_version: ActiveVersion,
     pub fencing: FencingState,
-    pub link_bounds: corkspan_rpc::ConnectionLimits,
-    pub link_counters: LinkCounters,
+    pub connection_limits: corkspan_rpc::ConnectionLimits,
+    pub connection_counters: ConnectionCounters,
     pub tasks: SharedExecutor,
     /// When the engine is to be polled next.
     wakes: async_channel::Sender<Instant>,
@@ -125,8 +125,8 @@
             DispatcherCore {
                 inner: Mutex::new(CoreState { engine, effects }),
                 clock,
-                link_bounds: crate::node_links::bounds(&deployment.limits),
-                link_counters: LinkCounters::default(),
+                connection_limits: crate::node_links::connection_limits(&deployment.limits),
+                connection_counters: ConnectionCounters::default(),
                 in_force: RwLock::new(Arc::new(deployment)),
                 active_version,
                 fencing,
--- a/crates/dispatcher/src/core/attempt_events.rs
+++ b/crates/dispatcher/src/core/attempt_events.rs
@@ -18,8 +18,8 @@
         &self.tasks
     }
 
-    fn bounds(&self) -> &ConnectionLimits {
-        &self.link_bounds
+    fn connection_limits(&self) -> &ConnectionLimits {
+        &self.connection_limits
     }
 
     fn placed_when_running(&self) -> bool {
--- a/crates/dispatcher/src/core/effects.rs
+++ b/crates/dispatcher/src/core/effects.rs
@@ -4,7 +4,7 @@
 use super::{DispatcherCore, next_placing_id};
 use crate::attempts;
 use crate::clock::duration;
-use crate::node_links::{CountGuard, NodeLink};
+use crate::node_links::{CountGuard, NodeConnection};
 use crate::rollouts::Rollouts;
 use corkspan_api::v1;
 use corkspan_engine::{AllocationRequest, Effects};
@@ -31,7 +31,7 @@
 pub struct DispatcherEffects {
     pub core: Weak<DispatcherCore>,
     pub now: Ticks,
-    pub nodes: BTreeMap<MachineId, Arc<NodeLink>>,
+    pub nodes: BTreeMap<MachineId, Arc<NodeConnection>>,
     /// Endpoints, as last received.
     pub entries: BTreeMap<MachineId, Endpoint>,
     pub counters: RequestCounters,
@@ -45,7 +45,7 @@
 }
 
 impl DispatcherEffects {
-    pub fn node(&self, machine: MachineId) -> Option<Arc<NodeLink>> {
+    pub fn node(&self, machine: MachineId) -> Option<Arc<NodeConnection>> {
         self.nodes.get(&machine).cloned()
     }
 
--- a/crates/dispatcher/src/core/lifecycle.rs
+++ b/crates/dispatcher/src/core/lifecycle.rs
@@ -29,13 +29,13 @@
             machines_known: effects.nodes.len() as u64,
             decision_time_us: effects.decision_time.as_micros() as u64,
             stopping: effects.stopping,
-            connection_traffic: self.link_counters.messages(),
+            connection_traffic: self.connection_counters.messages(),
         }
     }
 
     /// Closes connections that were idle for the idle timeout.
     pub fn close_idle(&self) {
-        let nodes: Vec<Arc<NodeLink>> = self.lock().effects.nodes.values().cloned().collect();
+        let nodes: Vec<Arc<NodeConnection>> = self.lock().effects.nodes.values().cloned().collect();
         let idle = duration(self.deployment().limits.idle_timeout);
         for node in nodes {
             node.close_idle(idle);
--- a/crates/dispatcher/src/core/machines.rs
+++ b/crates/dispatcher/src/core/machines.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 impl DispatcherCore {
-    pub fn node(&self, machine: MachineId) -> Option<Arc<NodeLink>> {
+    pub fn node(&self, machine: MachineId) -> Option<Arc<NodeConnection>> {
         self.lock().effects.node(machine)
     }
 
@@ -34,12 +34,12 @@
                     .is_none_or(|node| node.address != *address)
                 {
                     let keeps = self.deployment().quorum_members.contains(&entry.machine);
-                    let meter = self.link_counters.meter(if keeps {
-                        LinkKind::Keepers
+                    let meter = self.connection_counters.meter(if keeps {
+                        ConnectionKind::Keepers
                     } else {
-                        LinkKind::Nodes
+                        ConnectionKind::Nodes
                     });
-                    let node = NodeLink::new(*address, entry.machine.0, dispatcher, meter);
+                    let node = NodeConnection::new(*address, entry.machine.0, dispatcher, meter);
                     effects.nodes.insert(entry.machine, node);
                 }
             }
--- a/crates/dispatcher/src/core/removals.rs
+++ b/crates/dispatcher/src/core/removals.rs
@@ -3,7 +3,7 @@
 use super::client::{AfterRemoval, PendingRemoval};
 use super::{CoreState, DispatcherCore};
 use crate::attempts;
-use crate::node_links::NodeLink;
+use crate::node_links::NodeConnection;
 use crate::store::ReplicaPair;
 use corkspan_api::v1;
 use corkspan_rollout::ClaimId;
@@ -17,7 +17,7 @@
     /// The index of the removal.
     removal: usize,
     machine: MachineId,
-    node: Arc<NodeLink>,
+    node: Arc<NodeConnection>,
     stops: Vec<v1::StopRequest>,
 }
 
--- a/crates/dispatcher/src/endpoint_list.rs
+++ b/crates/dispatcher/src/endpoint_list.rs
@@ -3,7 +3,7 @@
 
 use crate::clock::{Clock, ticks, wall_ms};
 use crate::core::DispatcherCore;
-use crate::link_counters::LinkKind;
+use crate::link_counters::ConnectionKind;
 use crate::stored_file::{StoredFileError, read_bounded};
 use async_io::Timer;
 use corkspan_api::v1::{self, roster_client::RosterClient};
@@ -321,15 +321,15 @@
     list: &mut EndpointList,
     path: Option<&Path>,
 ) -> Result<(), WatchError> {
-    let link = {
+    let connection = {
         let (to, meter) = (
             core.deployment().roster,
-            core.link_counters.meter(LinkKind::Roster),
+            core.connection_counters.meter(ConnectionKind::Roster),
         );
-        Connection::open_counted(&core.tasks, to, &core.link_bounds, &meter).await
+        Connection::open_counted(&core.tasks, to, &core.connection_limits, &meter).await
     };
-    let link = link?;
-    let mut client = RosterClient::new(link).max_decoding_message_size(MAX_LIST_BYTES);
+    let connection = connection?;
+    let mut client = RosterClient::new(connection).max_decoding_message_size(MAX_LIST_BYTES);
     let request = v1::ListRequest {
         version: list.version,
         dispatcher: core.deployment().cluster.scheduler_index as u32,
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -120,7 +120,7 @@
     let (wakes, wake_times) = async_channel::bounded(1);
     let (watches, watch_requests) = async_channel::bounded(1);
     let path = deployment.endpoint_cache.clone();
-    let bounds = deployment.limits.clone();
+    let limits = deployment.limits.clone();
     let core = DispatcherCore::new(deployment, seed, clock, &tasks, wakes, watches, store);
     let _closes = rollout_control::CloseOnDrop(Arc::clone(&core.store));
     let mut list = path.as_deref().map(EndpointList::load).unwrap_or_default();
@@ -130,11 +130,11 @@
 
     let service = Services {
         placement: PlacementServer::new(PlacementService(Arc::clone(&core)))
-            .max_decoding_message_size(bounds.max_message_bytes),
+            .max_decoding_message_size(limits.max_message_bytes),
         rolls: RollsServer::new(rollout_service::RolloutService(Arc::clone(&core)))
-            .max_decoding_message_size(bounds.max_message_bytes),
+            .max_decoding_message_size(limits.max_message_bytes),
         versions: VersionsServer::new(version_service::VersionService(Arc::clone(&core)))
-            .max_decoding_message_size(bounds.max_message_bytes),
+            .max_decoding_message_size(limits.max_message_bytes),
     };
     let admits = {
         let core = Arc::clone(&core);
@@ -142,12 +142,12 @@
     };
     let serving = corkspan_rpc::serve_filtered(
         admits,
-        Some(core.link_counters.link_classifier()),
+        Some(core.connection_counters.meter_selector()),
         listener,
         service,
-        core.link_bounds.clone(),
+        core.connection_limits.clone(),
     );
-    let idle_timeout = clock::duration(bounds.idle_timeout);
+    let idle_timeout = clock::duration(limits.idle_timeout);
     let background = background_tasks(
         &tasks,
         &core,
@@ -161,7 +161,7 @@
     let stopping = async {
         stop.await;
         core.stop();
-        let latest = Instant::now() + clock::duration(bounds.shutdown_grace);
+        let latest = Instant::now() + clock::duration(limits.shutdown_grace);
         wait_until(latest, || core.unanswered_count() == 0).await;
         core.end_all();
         // The last replies are on their way; clients that don't read are not waited for.
@@ -206,7 +206,7 @@
         tasks.spawn(minimum_version::save_history(Arc::clone(core))),
         tasks.spawn(catch_up::run(Arc::clone(core))),
         tasks.spawn(maintenance::run(Arc::clone(core))),
-        tasks.spawn(close_idle_links(Arc::clone(core), idle_timeout / 4)),
+        tasks.spawn(close_idle_connections(Arc::clone(core), idle_timeout / 4)),
     ]
 }
 
@@ -217,7 +217,7 @@
 }
 
 /// Closes idle connections at intervals.
-async fn close_idle_links(core: Arc<DispatcherCore>, every: Duration) {
+async fn close_idle_connections(core: Arc<DispatcherCore>, every: Duration) {
     loop {
         Timer::after(every).await;
         core.close_idle();
--- a/crates/dispatcher/src/link_counters.rs
+++ b/crates/dispatcher/src/link_counters.rs
@@ -2,7 +2,7 @@
 //! process.
 
 use corkspan_api::v1;
-pub use corkspan_api::v1::connection_traffic::Kind as LinkKind;
+pub use corkspan_api::v1::connection_traffic::Kind as ConnectionKind;
 use corkspan_rpc::{Meter, MeterSelector};
 use prometheus_client::encoding::{EncodeLabelSet, EncodeLabelValue};
 use prometheus_client::metrics::counter::Counter;
@@ -23,23 +23,23 @@
 
 /// Clones share the counters.
 #[derive(Clone, Default)]
-pub struct LinkCounters {
+pub struct ConnectionCounters {
     bytes: Family<Labels, Counter>,
     messages: Family<Labels, Counter>,
 }
 
-const LINK_KINDS: [LinkKind; 6] = [
-    LinkKind::Roster,
-    LinkKind::Control,
-    LinkKind::Keepers,
-    LinkKind::Dispatchers,
-    LinkKind::Nodes,
-    LinkKind::Owners,
+const CONNECTION_KINDS: [ConnectionKind; 6] = [
+    ConnectionKind::Roster,
+    ConnectionKind::Control,
+    ConnectionKind::Keepers,
+    ConnectionKind::Dispatchers,
+    ConnectionKind::Nodes,
+    ConnectionKind::Owners,
 ];
 
-impl LinkCounters {
+impl ConnectionCounters {
     /// The counters of a kind of connection.
-    pub fn meter(&self, kind: LinkKind) -> Meter {
+    pub fn meter(&self, kind: ConnectionKind) -> Meter {
         let labels = |way| Labels {
             link: kind.as_str_name(),
             way,
@@ -56,18 +56,18 @@
 
     /// Classifies incoming connections by their first call: another dispatcher requests a version,
     /// and nothing else.
-    pub fn link_classifier(&self) -> MeterSelector {
+    pub fn meter_selector(&self) -> MeterSelector {
         let counts = self.clone();
         Arc::new(move |path| {
             counts.meter(match path {
-                "/corkspan.v1.Versions/Give" => LinkKind::Dispatchers,
-                _ => LinkKind::Owners,
+                "/corkspan.v1.Versions/Give" => ConnectionKind::Dispatchers,
+                _ => ConnectionKind::Owners,
             })
         })
     }
 
     pub fn messages(&self) -> Vec<v1::ConnectionTraffic> {
-        let message = |kind: LinkKind| {
+        let message = |kind: ConnectionKind| {
             let meter = self.meter(kind);
             v1::ConnectionTraffic {
                 kind: kind.into(),
@@ -77,6 +77,6 @@
                 messages_out: meter.messages_out.get(),
             }
         };
-        LINK_KINDS.map(message).into()
+        CONNECTION_KINDS.map(message).into()
     }
 }
--- a/crates/dispatcher/src/machine_status.rs
+++ b/crates/dispatcher/src/machine_status.rs
@@ -58,14 +58,17 @@
         action: what.into(),
     };
     let whole = async {
-        let link = node.ready(&core.tasks, &core.link_bounds).await.ok()?;
-        NodeClient::new(link)
+        let connection = node
+            .ready(&core.tasks, &core.connection_limits)
+            .await
+            .ok()?;
+        NodeClient::new(connection)
             .door(request)
             .await
             .ok()
             .map(tonic::Response::into_inner)
     };
-    within(core.link_bounds.connect_timeout * 2, Box::pin(whole))
+    within(core.connection_limits.connect_timeout * 2, Box::pin(whole))
         .await
         .flatten()
 }
--- a/crates/dispatcher/src/node_links.rs
+++ b/crates/dispatcher/src/node_links.rs
@@ -13,21 +13,21 @@
 use tower_service::Service;
 
 /// The bounds of a link, as the deployment gives them.
-pub fn bounds(bounds: &Limits) -> corkspan_rpc::ConnectionLimits {
+pub fn connection_limits(limits: &Limits) -> corkspan_rpc::ConnectionLimits {
     corkspan_rpc::ConnectionLimits {
-        connect_timeout: duration(bounds.connect_timeout),
-        keep_alive_interval: duration(bounds.keep_alive_interval),
-        max_calls: bounds.max_calls,
-        max_connections: bounds.max_connections,
-        max_message_bytes: bounds.max_message_bytes,
+        connect_timeout: duration(limits.connect_timeout),
+        keep_alive_interval: duration(limits.keep_alive_interval),
+        max_calls: limits.max_calls,
+        max_connections: limits.max_connections,
+        max_message_bytes: limits.max_message_bytes,
     }
 }
 
 /// Why there is no connection to a node. Nothing that binds was sent on it.
 #[derive(Debug, thiserror::Error)]
-pub enum NodeLinkError {
+pub enum NodeConnectionError {
     #[error(transparent)]
-    ConnectError(#[from] ConnectError),
+    Connect(#[from] ConnectError),
     #[error("another attempt failed meanwhile")]
     ConcurrentAttemptFailed,
     #[error("no answer to the greeting within {0:?}")]
@@ -39,17 +39,17 @@
 }
 
 /// A node as it is reached.
-pub struct NodeLink {
+pub struct NodeConnection {
     pub address: SocketAddr,
     greeting: v1::Greeting,
     meter: Meter,
-    state: AsyncMutex<LinkState>,
+    state: AsyncMutex<ConnectionState>,
     calls: AtomicUsize,
     unanswered: AtomicUsize,
 }
 
-struct LinkState {
-    link: Option<Connection>,
+struct ConnectionState {
+    connection: Option<Connection>,
     /// When an attempt to open it last failed: calls that waited for that attempt have failed with
     /// it, instead of each trying again.
     failed_at: Option<Instant>,
@@ -58,12 +58,12 @@
 
 /// Counts one while it lives.
 pub struct CountGuard {
-    node: Arc<NodeLink>,
-    which: fn(&NodeLink) -> &AtomicUsize,
+    node: Arc<NodeConnection>,
+    which: fn(&NodeConnection) -> &AtomicUsize,
 }
 
 impl CountGuard {
-    fn new(node: &Arc<NodeLink>, which: fn(&NodeLink) -> &AtomicUsize) -> Self {
+    fn new(node: &Arc<NodeConnection>, which: fn(&NodeConnection) -> &AtomicUsize) -> Self {
         which(node).fetch_add(1, Ordering::Relaxed);
         CountGuard {
             node: Arc::clone(node),
@@ -78,16 +78,16 @@
     }
 }
 
-impl NodeLink {
+impl NodeConnection {
     pub fn new(address: SocketAddr, node: u32, dispatcher: u32, meter: Meter) -> Arc<Self> {
         let greeting = v1::Greeting { node, dispatcher };
-        let state = LinkState {
-            link: None,
+        let state = ConnectionState {
+            connection: None,
             failed_at: None,
             last_used_at: Instant::now(),
         };
         let (calls, unanswered) = Default::default();
-        Arc::new(NodeLink {
+        Arc::new(NodeConnection {
             address,
             greeting,
             meter,
@@ -101,23 +101,23 @@
     pub async fn ready(
         &self,
         tasks: &SharedExecutor,
-        bounds: &corkspan_rpc::ConnectionLimits,
-    ) -> Result<Connection, NodeLinkError> {
+        limits: &corkspan_rpc::ConnectionLimits,
+    ) -> Result<Connection, NodeConnectionError> {
         let since = Instant::now();
         let mut state = self.state.lock().await;
         state.last_used_at = Instant::now();
-        if let Some(link) = state.link.clone().filter(Connection::is_open) {
+        if let Some(connection) = state.connection.clone().filter(Connection::is_open) {
             drop(state);
-            return wait_ready(link).await;
+            return wait_ready(connection).await;
         }
         if state.failed_at.is_some_and(|at| at >= since) {
-            return Err(NodeLinkError::ConcurrentAttemptFailed);
+            return Err(NodeConnectionError::ConcurrentAttemptFailed);
         }
-        match self.open(tasks, bounds).await {
-            Ok(link) => {
-                state.link = Some(link.clone());
+        match self.open(tasks, limits).await {
+            Ok(connection) => {
+                state.connection = Some(connection.clone());
                 drop(state);
-                wait_ready(link).await
+                wait_ready(connection).await
             }
             Err(why) => {
                 state.failed_at = Some(Instant::now());
@@ -131,19 +131,19 @@
     async fn open(
         &self,
         tasks: &SharedExecutor,
-        bounds: &corkspan_rpc::ConnectionLimits,
-    ) -> Result<Connection, NodeLinkError> {
-        let link = Connection::open_counted(tasks, self.address, bounds, &self.meter).await?;
-        let mut client = NodeClient::new(link.clone());
-        let greeted = within(bounds.connect_timeout, client.greet(self.greeting)).await;
-        let word = greeted.ok_or(NodeLinkError::GreetingTimeout(bounds.connect_timeout))?;
+        limits: &corkspan_rpc::ConnectionLimits,
+    ) -> Result<Connection, NodeConnectionError> {
+        let connection = Connection::open_counted(tasks, self.address, limits, &self.meter).await?;
+        let mut client = NodeClient::new(connection.clone());
+        let greeted = within(limits.connect_timeout, client.greet(self.greeting)).await;
+        let word = greeted.ok_or(NodeConnectionError::GreetingTimeout(limits.connect_timeout))?;
         let word = word
-            .map_err(|why| NodeLinkError::GreetingRejected(why.message().into()))?
+            .map_err(|why| NodeConnectionError::GreetingRejected(why.message().into()))?
             .into_inner();
         if word.node != self.greeting.node {
-            return Err(NodeLinkError::OtherNode(word.node));
+            return Err(NodeConnectionError::OtherNode(word.node));
         }
-        Ok(link)
+        Ok(connection)
     }
 
     /// Counts a call on the link until dropped.
@@ -163,15 +163,15 @@
             return true;
         };
         if self.calls.load(Ordering::Relaxed) == 0 && state.last_used_at.elapsed() >= after {
-            state.link = None;
+            state.connection = None;
         }
-        state.link.as_ref().is_some_and(Connection::is_open)
+        state.connection.as_ref().is_some_and(Connection::is_open)
     }
 }
 
-async fn wait_ready(mut link: Connection) -> Result<Connection, NodeLinkError> {
-    future::poll_fn(|cx| link.poll_ready(cx))
+async fn wait_ready(mut connection: Connection) -> Result<Connection, NodeConnectionError> {
+    future::poll_fn(|cx| connection.poll_ready(cx))
         .await
         .map_err(ConnectError::Http2)?;
-    Ok(link)
+    Ok(connection)
 }
--- a/crates/dispatcher/src/quorum_client.rs
+++ b/crates/dispatcher/src/quorum_client.rs
@@ -1,7 +1,7 @@
 //! Requests to the quorum members.
 
 use crate::core::DispatcherCore;
-use crate::node_links::NodeLink;
+use crate::node_links::NodeConnection;
 use corkspan_api::v1::{self, quorum_request::Operation};
 use corkspan_rpc::within;
 use std::sync::Arc;
@@ -52,18 +52,21 @@
 
 async fn keep(
     core: &DispatcherCore,
-    node: &Arc<NodeLink>,
+    node: &Arc<NodeConnection>,
     request: v1::QuorumRequest,
 ) -> Option<v1::QuorumResponse> {
     let _call = node.count_call();
     let whole = async {
-        let link = node.ready(&core.tasks, &core.link_bounds).await.ok()?;
-        let client = v1::node_client::NodeClient::new(link);
+        let connection = node
+            .ready(&core.tasks, &core.connection_limits)
+            .await
+            .ok()?;
+        let client = v1::node_client::NodeClient::new(connection);
         // Longer than a client's message: all rollouts and their slots.
         let mut client = client.max_decoding_message_size(16 << 20);
         client.keep(request).await.ok().map(Response::into_inner)
     };
-    within(core.link_bounds.connect_timeout * 2, Box::pin(whole))
+    within(core.connection_limits.connect_timeout * 2, Box::pin(whole))
         .await
         .flatten()
 }
