--- a/crates/cli/src/config_versions.rs
+++ b/crates/cli/src/config_versions.rs
@@ -30,12 +30,12 @@
 /// Runs one of the commands.
 pub(crate) fn run(command: ConfigVersions) -> Result<(), Error> {
     match command {
-        ConfigVersions::Status { dispatcher } => with_connection(dispatcher, async |link| {
-            print_status(&status(link).await?);
+        ConfigVersions::Status { dispatcher } => with_connection(dispatcher, async |connection| {
+            print_status(&status(connection).await?);
             Ok(())
         }),
         ConfigVersions::Diff { dispatcher, file } => {
-            with_connection(dispatcher, async |link| diff(link, &file).await)
+            with_connection(dispatcher, async |connection| diff(connection, &file).await)
         }
     }
 }
@@ -53,8 +53,8 @@
     Ok(())
 }
 
-async fn status(link: Connection) -> Result<v1::VersionStatus, Error> {
-    let mut client = VersionsClient::new(link).max_decoding_message_size(MAX_ANSWER_BYTES);
+async fn status(connection: Connection) -> Result<v1::VersionStatus, Error> {
+    let mut client = VersionsClient::new(connection).max_decoding_message_size(MAX_ANSWER_BYTES);
     answer_within(ANSWER_TIMEOUT, client.status(v1::VersionStatusRequest {})).await
 }
 
@@ -94,10 +94,10 @@
     }
 }
 
-async fn diff(link: Connection, file: &Path) -> Result<(), Error> {
+async fn diff(connection: Connection, file: &Path) -> Result<(), Error> {
     let path = file.display().to_string();
     let next = SharedParts::parse(&path, &sexp::load(file)?)?;
-    let active = SharedParts::parse("in force", &status(link).await?.text)?;
+    let active = SharedParts::parse("in force", &status(connection).await?.text)?;
     let (changes, removed) = active.changes_to(&next);
     let changed = changes.iter().map(|(name, _)| name);
     for name in removed.iter().map(String::as_str).chain(changed) {
--- a/crates/cli/src/connection.rs
+++ b/crates/cli/src/connection.rs
@@ -17,11 +17,11 @@
     tasks: &SharedExecutor,
     address: SocketAddr,
 ) -> Result<Connection, Error> {
-    let bounds = ConnectionLimits {
+    let limits = ConnectionLimits {
         connect_timeout: CONNECT_TIMEOUT,
         ..ConnectionLimits::default()
     };
-    Connection::open(tasks, address, &bounds)
+    Connection::open(tasks, address, &limits)
         .await
         .map_err(|source| Error::Connect { address, source })
 }
--- a/crates/cli/src/fleet/poll.rs
+++ b/crates/cli/src/fleet/poll.rs
@@ -15,8 +15,8 @@
     tasks: &SharedExecutor,
     address: SocketAddr,
 ) -> Result<VersionsClient<Connection>, Error> {
-    let link = connect(tasks, address).await?;
-    Ok(VersionsClient::new(link).max_decoding_message_size(MAX_ANSWER_BYTES))
+    let connection = connect(tasks, address).await?;
+    Ok(VersionsClient::new(connection).max_decoding_message_size(MAX_ANSWER_BYTES))
 }
 
 /// The status of each, all polled at once; none where one does not answer in time.
@@ -52,8 +52,9 @@
         .map(|&address| {
             let tasks_of_call = tasks.clone();
             tasks.spawn(within(ANSWER_TIMEOUT, async move {
-                let link = connect(&tasks_of_call, address).await.ok()?;
-                let mut client = NodeClient::new(link).max_decoding_message_size(MAX_ANSWER_BYTES);
+                let connection = connect(&tasks_of_call, address).await.ok()?;
+                let mut client =
+                    NodeClient::new(connection).max_decoding_message_size(MAX_ANSWER_BYTES);
                 client
                     .acts(v1::OperationsRequest {})
                     .await
--- a/crates/cli/src/lib.rs
+++ b/crates/cli/src/lib.rs
@@ -129,9 +129,9 @@
             println!("{}: sound", file.display());
             Ok(())
         }
-        Command::Place(place) => {
-            with_connection(place.dispatcher, |link| place::place(link, place))
-        }
+        Command::Place(place) => with_connection(place.dispatcher, |connection| {
+            place::place(connection, place)
+        }),
         Command::Status { dispatcher } => with_connection(dispatcher, status::status),
         Command::Schema { version_only } => config_versions::print_schema(version_only),
         Command::ConfigVersions { command } => config_versions::run(command),
--- a/crates/cli/src/maintenance.rs
+++ b/crates/cli/src/maintenance.rs
@@ -85,8 +85,11 @@
             machines,
         } => (dispatcher, request(Action::Done, machines)),
     };
-    with_connection_within(dispatcher, ANSWER_TIMEOUT, async |link| {
-        let response = RollsClient::new(link).maintain(request).await?.into_inner();
+    with_connection_within(dispatcher, ANSWER_TIMEOUT, async |connection| {
+        let response = RollsClient::new(connection)
+            .maintain(request)
+            .await?
+            .into_inner();
         print(&response);
         if response.accepted {
             Ok(())
--- a/crates/cli/src/place.rs
+++ b/crates/cli/src/place.rs
@@ -43,10 +43,10 @@
 }
 
 /// Requests the allocation and prints each event of it.
-pub(crate) async fn place(link: Connection, place: Place) -> Result<(), Error> {
+pub(crate) async fn place(connection: Connection, place: Place) -> Result<(), Error> {
     let follow = place.follow;
     let timeout = Duration::from_millis(place.deadline_ms.saturating_add(ANSWER_GRACE_MS));
-    let mut client = PlacementClient::new(link);
+    let mut client = PlacementClient::new(connection);
     let mut events = client.place(request(place)).await?.into_inner();
     let mut answered = false;
     loop {
--- a/crates/cli/src/rollout.rs
+++ b/crates/cli/src/rollout.rs
@@ -69,16 +69,18 @@
 /// Runs one of the commands.
 pub(crate) fn run(command: Rollout) -> Result<(), Error> {
     match command {
-        Rollout::Start(start) => with_connection(start.dispatcher, async |link| {
-            let response = RollsClient::new(link).start(start_request(start)).await?;
+        Rollout::Start(start) => with_connection(start.dispatcher, async |connection| {
+            let response = RollsClient::new(connection)
+                .start(start_request(start))
+                .await?;
             print_response(response.into_inner())
         }),
         Rollout::Status {
             dispatcher,
             service,
-        } => with_connection(dispatcher, async |link| {
+        } => with_connection(dispatcher, async |connection| {
             let request = v1::RolloutStatusRequest { service };
-            let status = RollsClient::new(link).status(request).await?;
+            let status = RollsClient::new(connection).status(request).await?;
             print_status(&status.into_inner());
             Ok(())
         }),
@@ -112,12 +114,12 @@
 }
 
 fn change(dispatcher: SocketAddr, service: String, action: Action) -> Result<(), Error> {
-    with_connection(dispatcher, async |link| {
+    with_connection(dispatcher, async |connection| {
         let request = v1::ChangeRolloutRequest {
             service,
             action: action.into(),
         };
-        let response = RollsClient::new(link).change(request).await?;
+        let response = RollsClient::new(connection).change(request).await?;
         print_response(response.into_inner())
     })
 }
--- a/crates/cli/src/status.rs
+++ b/crates/cli/src/status.rs
@@ -6,8 +6,8 @@
 use corkspan_rpc::Connection;
 
 /// Prints what a dispatcher has in flight and has answered.
-pub(crate) async fn status(link: Connection) -> Result<(), Error> {
-    let mut client = PlacementClient::new(link);
+pub(crate) async fn status(connection: Connection) -> Result<(), Error> {
+    let mut client = PlacementClient::new(connection);
     let status = answer_within(ANSWER_TIMEOUT, client.status(v1::StatusRequest {})).await?;
     let rows = [
         ("in hand", status.in_flight),
--- a/crates/load-generator/src/connections.rs
+++ b/crates/load-generator/src/connections.rs
@@ -12,14 +12,14 @@
 /// The connections to one dispatcher.
 struct Pool {
     dispatcher: SocketAddr,
-    links: Vec<Mutex<Connection>>,
+    connections: Vec<Mutex<Connection>>,
 }
 
 /// Connections to all dispatchers. Requests take the dispatchers in turn, and of each its
 /// connections in turn.
 pub(crate) struct Connections {
     tasks: SharedExecutor,
-    bounds: ConnectionLimits,
+    limits: ConnectionLimits,
     pools: Vec<Pool>,
 }
 
@@ -33,37 +33,40 @@
         if dispatchers.is_empty() {
             return Err(RunError::NoDispatcher);
         }
-        let bounds = ConnectionLimits {
+        let limits = ConnectionLimits {
             connect_timeout: CONNECT_TIMEOUT,
             ..ConnectionLimits::default()
         };
         let mut pools = Vec::new();
         for &dispatcher in dispatchers {
-            let mut links = Vec::new();
+            let mut connections = Vec::new();
             for _ in 0..per_dispatcher {
-                let link = Connection::open(tasks, dispatcher, &bounds)
+                let connection = Connection::open(tasks, dispatcher, &limits)
                     .await
                     .map_err(|source| RunError::Connect { dispatcher, source })?;
-                links.push(Mutex::new(link));
+                connections.push(Mutex::new(connection));
             }
-            pools.push(Pool { dispatcher, links });
+            pools.push(Pool {
+                dispatcher,
+                connections,
+            });
         }
         Ok(Connections {
             tasks: Arc::clone(tasks),
-            bounds,
+            limits,
             pools,
         })
     }
 
     /// The connection of the request with this number. One that broke is opened again, once.
-    pub(crate) async fn link(&self, number: usize) -> Option<Connection> {
+    pub(crate) async fn connection(&self, number: usize) -> Option<Connection> {
         let pool = &self.pools[number % self.pools.len()];
-        let place = &pool.links[number / self.pools.len() % pool.links.len()];
-        let link = place.lock().unwrap_or_else(PoisonError::into_inner).clone();
-        if link.is_open() {
-            return Some(link);
+        let place = &pool.connections[number / self.pools.len() % pool.connections.len()];
+        let connection = place.lock().unwrap_or_else(PoisonError::into_inner).clone();
+        if connection.is_open() {
+            return Some(connection);
         }
-        let fresh = Connection::open(&self.tasks, pool.dispatcher, &self.bounds)
+        let fresh = Connection::open(&self.tasks, pool.dispatcher, &self.limits)
             .await
             .ok()?;
         *place.lock().unwrap_or_else(PoisonError::into_inner) = fresh.clone();
--- a/crates/load-generator/src/run.rs
+++ b/crates/load-generator/src/run.rs
@@ -120,8 +120,8 @@
         let timeout = Duration::from_millis(request.deadline_ms) + REPLY_GRACE;
         let sent = self.began.elapsed();
         let reply = async {
-            let link = self.connections.link(number).await?;
-            let mut client = PlacementClient::new(link);
+            let connection = self.connections.connection(number).await?;
+            let mut client = PlacementClient::new(connection);
             let mut replies = client.place(request).await.ok()?.into_inner();
             let first = replies.message().await.ok()??.event?;
             Some((first, replies))
