--- a/crates/config/src/shared_settings.rs
+++ b/crates/config/src/shared_settings.rs
@@ -73,7 +73,7 @@
             // This dispatcher does not report when an attempt that waited for its connection was sent.
             connect_timeout: 0,
             cross_zone_cost: parts.get_or("other-hall-price", 0.0, Form::non_negative)?,
-            reports_losses: true,
+            caller_detects_losses: true,
         };
         Ok(SharedSettings {
             cluster,
--- a/crates/config/tests/released_format.rs
+++ b/crates/config/tests/released_format.rs
@@ -129,7 +129,7 @@
     );
     line(
         "(no keyword) tells loss",
-        cluster.reports_losses.to_string(),
+        cluster.caller_detects_losses.to_string(),
     );
     let bounds = &read.limits;
     line("bounds/in-hand", bounds.max_allocations.to_string());
--- a/crates/dispatcher/src/attempts.rs
+++ b/crates/dispatcher/src/attempts.rs
@@ -284,7 +284,7 @@
                 }
             }
             Some(NodeReply::ServiceLevel(part)) if is_valid_amount(part) => {
-                core.metric_recorded(id, Metric::Served(part))
+                core.metric_recorded(id, Metric::ServiceLevel(part))
             }
             Some(NodeReply::MemoryShare(share)) if is_valid_amount(share) => {
                 core.metric_recorded(id, Metric::MachineMemory(share))
--- a/crates/dispatcher/src/core/attempt_events.rs
+++ b/crates/dispatcher/src/core/attempt_events.rs
@@ -125,7 +125,7 @@
                 Return {
                     ending,
                     reason,
-                    over: ended_as.is_some(),
+                    finished: ended_as.is_some(),
                     report,
                 },
                 effects,
@@ -183,7 +183,7 @@
             };
             match note {
                 Metric::Running => client.send_optional_reply(Reply::Running(v1::Running {})),
-                Metric::Served(part) => client
+                Metric::ServiceLevel(part) => client
                     .send_optional_reply(Reply::ServiceLevel(v1::ServiceLevel { fraction: part })),
                 _ => {}
             }
--- a/crates/dispatcher/src/core/lifecycle.rs
+++ b/crates/dispatcher/src/core/lifecycle.rs
@@ -68,7 +68,7 @@
                     Return {
                         ending: AttemptResult::TimedOut,
                         reason: None,
-                        over: false,
+                        finished: false,
                         report: None,
                     },
                     effects,
--- a/crates/engine/src/attempts.rs
+++ b/crates/engine/src/attempts.rs
@@ -43,7 +43,7 @@
     /// Asks the scheduler where an allocation goes, also again for a deferred one.
     pub fn evaluate(&mut self, now: Ticks, id: AllocationId, effects: &mut impl Effects<T>) {
         let tracked = self.tracked.get_mut(&id);
-        let Some(tracked) = tracked.filter(|tracked| !tracked.over) else {
+        let Some(tracked) = tracked.filter(|tracked| !tracked.finished) else {
             return;
         };
         if !std::mem::replace(&mut tracked.evaluated, true) {
@@ -76,7 +76,7 @@
         let tracked = self.tracked.get(&id);
         if let Some(attempt) = tracked.and_then(|tracked| tracked.allocation.attempts.last()) {
             self.scheduler
-                .record_departure(now, attempt.machine, attempt.sent_at);
+                .record_attempt_sent(now, attempt.machine, attempt.sent_at);
         }
     }
 
@@ -120,15 +120,15 @@
             _ => AttemptState::PossiblyExecuted,
         };
         tracked.pending_attempts = tracked.pending_attempts.saturating_sub(1);
-        let over = returned.over || tracked.over;
+        let finished = returned.finished || tracked.finished;
         let outcome = Outcome::Returned {
             ending: returned.ending,
             reason: returned.reason,
-            over,
+            finished,
             report: returned.report,
         };
         self.outcome(now, id, attempt, outcome, effects);
-        if over {
+        if finished {
             self.finish(id);
         }
         true
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -96,7 +96,7 @@
             allocation,
             pending_attempts: 0,
             placed: false,
-            over: false,
+            finished: false,
             evaluated: false,
         };
         self.tracked.insert(id, tracked);
@@ -163,7 +163,7 @@
         let Some(tracked) = self.tracked.get_mut(&id) else {
             return;
         };
-        tracked.over = true;
+        tracked.finished = true;
         let deadline = tracked.allocation.deadline;
         self.deferred_by_deadline.remove(&(deadline, id));
         if tracked.pending_attempts == 0
@@ -214,7 +214,7 @@
     /// All allocations with what the caller keeps with them, and whether they are placed.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = (AllocationId, &mut T, bool)> {
         let tracked = self.tracked.iter_mut();
-        tracked.map(|(&id, one)| (id, &mut one.data, one.placed && !one.over))
+        tracked.map(|(&id, one)| (id, &mut one.data, one.placed && !one.finished))
     }
 
     /// How many there are of each service class; classes without any are left out.
@@ -234,7 +234,7 @@
         };
         for tracked in self.tracked.values() {
             let pending = tracked.pending_attempts > 0;
-            counts.placed += usize::from(tracked.placed && !tracked.over);
+            counts.placed += usize::from(tracked.placed && !tracked.finished);
             counts.attempts_pending += usize::from(pending && !tracked.placed);
             counts.deferred += usize::from(!pending && tracked.awaits_answer());
         }
--- a/crates/engine/src/poll.rs
+++ b/crates/engine/src/poll.rs
@@ -16,7 +16,7 @@
         loop {
             let result = self.scheduler.poll(now);
             self.set_going(&result, effects);
-            if let Some(until) = result.deadlines_until {
+            if let Some(until) = result.retry_deadline_limit {
                 self.evaluate_due(now, until, effects);
                 if result.retry_deferred {
                     continue;
--- a/crates/engine/src/requests.rs
+++ b/crates/engine/src/requests.rs
@@ -12,7 +12,7 @@
     pub pending_attempts: usize,
     pub placed: bool,
     /// No answer is owed to its client.
-    pub over: bool,
+    pub finished: bool,
     /// The scheduler has evaluated it.
     pub evaluated: bool,
 }
@@ -20,7 +20,7 @@
 impl<T> Tracked<T> {
     /// Whether an answer is owed to its client.
     pub fn awaits_answer(&self) -> bool {
-        !self.over && !self.placed
+        !self.finished && !self.placed
     }
 }
 
@@ -58,7 +58,7 @@
     /// Why, where the machine says.
     pub reason: Option<ReturnReason>,
     /// No answer is owed to the client.
-    pub over: bool,
+    pub finished: bool,
     /// The machine's load, where it was reported with the outcome.
     pub report: Option<LoadReport>,
 }
--- a/crates/engine/tests/engine.rs
+++ b/crates/engine/tests/engine.rs
@@ -110,7 +110,7 @@
         },
         connect_timeout: 0,
         cross_zone_cost: 0.0,
-        reports_losses: true,
+        caller_detects_losses: true,
     };
     let mut host = Engine::new(cluster, 1, 0, most, slice);
     host.apply_endpoint_list(
@@ -160,7 +160,7 @@
         Return {
             ending: AttemptResult::Rejected,
             reason: Some(ReturnReason::NoCores),
-            over: false,
+            finished: false,
             report: None,
         },
         wire,
@@ -293,7 +293,7 @@
         Return {
             ending: AttemptResult::Completed,
             reason: None,
-            over: true,
+            finished: true,
             report: None
         },
         &mut wire
@@ -323,7 +323,7 @@
         Return {
             ending: AttemptResult::TimedOut,
             reason: None,
-            over: false,
+            finished: false,
             report: None,
         },
         &mut wire,
@@ -351,7 +351,7 @@
         Return {
             ending: AttemptResult::Reset,
             reason: Some(ReturnReason::Evicted),
-            over: true,
+            finished: true,
             report: None,
         },
         &mut wire,
--- a/crates/lab/src/capacity/asks.rs
+++ b/crates/lab/src/capacity/asks.rs
@@ -96,7 +96,7 @@
         },
         connect_timeout: 0,
         cross_zone_cost: 0.0,
-        reports_losses: true,
+        caller_detects_losses: true,
     }
 }
 
@@ -347,7 +347,7 @@
                     Return {
                         ending: AttemptResult::Completed,
                         reason: None,
-                        over: true,
+                        finished: true,
                         report: None,
                     },
                     &mut stage.timer,
--- a/crates/platform/src/core.rs
+++ b/crates/platform/src/core.rs
@@ -142,7 +142,7 @@
     let cluster = settings.cluster()?;
     Ok(Cluster {
         list_poll_interval: cluster.list_poll_interval.or(Some(0)),
-        reports_losses: false,
+        caller_detects_losses: false,
         ..cluster
     })
 }
@@ -211,7 +211,7 @@
                             Return {
                                 ending: result,
                                 reason: None,
-                                over: false,
+                                finished: false,
                                 report: None,
                             },
                             state,
--- a/crates/platform/src/core/attempts.rs
+++ b/crates/platform/src/core/attempts.rs
@@ -102,7 +102,7 @@
             Return {
                 ending,
                 reason: None,
-                over: false,
+                finished: false,
                 report: None,
             },
             self,
--- a/crates/platform/src/core/node_connections.rs
+++ b/crates/platform/src/core/node_connections.rs
@@ -125,7 +125,7 @@
                 Return {
                     ending: result,
                     reason: None,
-                    over: false,
+                    finished: false,
                     report: None,
                 },
                 self,
--- a/crates/platform/src/core/node_messages.rs
+++ b/crates/platform/src/core/node_messages.rs
@@ -274,7 +274,7 @@
             Return {
                 ending: result,
                 reason,
-                over: false,
+                finished: false,
                 report: load,
             },
             self,
@@ -292,7 +292,7 @@
             ("running", _) => Metric::Running,
             ("use_cpu", Some(value)) => Metric::Cores(value),
             ("use_ram", Some(value)) => Metric::Memory(value),
-            ("health", Some(value)) => Metric::Served(value),
+            ("health", Some(value)) => Metric::ServiceLevel(value),
             ("ram_high", Some(value)) => Metric::MachineMemory(value),
             _ => return None,
         },
--- a/crates/platform/src/core/running_tasks.rs
+++ b/crates/platform/src/core/running_tasks.rs
@@ -77,7 +77,7 @@
             Return {
                 ending,
                 reason,
-                over: true,
+                finished: true,
                 report,
             },
             self,
--- a/crates/platform/src/core/set_ups.rs
+++ b/crates/platform/src/core/set_ups.rs
@@ -253,7 +253,7 @@
             Return {
                 ending: AttemptResult::Cancelled,
                 reason: None,
-                over: true,
+                finished: true,
                 report: None,
             },
             self,
--- a/crates/scheduler/src/interface/allocation.rs
+++ b/crates/scheduler/src/interface/allocation.rs
@@ -97,7 +97,7 @@
     pub retry_deferred: bool,
     /// Where told, only those with a deadline up to then: the others would find no machine. If
     /// there are no others, [`crate::Scheduler::no_deferred_left`] is to be called.
-    pub deadlines_until: Option<Ticks>,
+    pub retry_deadline_limit: Option<Ticks>,
     /// The endpoint list is to be watched.
     pub watch_endpoints: bool,
     /// The machines to send a health check to.
--- a/crates/scheduler/src/interface/cluster.rs
+++ b/crates/scheduler/src/interface/cluster.rs
@@ -101,5 +101,5 @@
     /// Part of the result that running in another zone costs.
     pub cross_zone_cost: f64,
     /// The caller learns by itself when what is placed on a machine is lost with it.
-    pub reports_losses: bool,
+    pub caller_detects_losses: bool,
 }
--- a/crates/scheduler/src/interface/outcomes.rs
+++ b/crates/scheduler/src/interface/outcomes.rs
@@ -63,7 +63,7 @@
         /// Why, where the machine says.
         reason: Option<ReturnReason>,
         /// The allocation is over: no answer is owed to its client.
-        over: bool,
+        finished: bool,
         /// The machine's load, where it was reported with the outcome.
         report: Option<LoadReport>,
     },
@@ -79,7 +79,7 @@
     /// The memory that it uses.
     Memory(f64),
     /// How well it is served, as a share of full service.
-    Served(f64),
+    ServiceLevel(f64),
     /// The part of its machine's memory in use.
     MachineMemory(f64),
 }
--- a/crates/scheduler/src/policy.rs
+++ b/crates/scheduler/src/policy.rs
@@ -100,7 +100,7 @@
             self.retry_schedule.begin_round(changes);
         }
         // Else those at their deadline, at the moments at which a round would have been.
-        result.deadlines_until = (!changed).then_some(now + ANSWER_MARGIN);
+        result.retry_deadline_limit = (!changed).then_some(now + ANSWER_MARGIN);
         result.retry_deferred =
             changed || self.retry_schedule.skip_round(now, now + RETRY_INTERVAL);
     }
--- a/crates/scheduler/src/policy/liveness.rs
+++ b/crates/scheduler/src/policy/liveness.rs
@@ -45,7 +45,7 @@
         probes: &mut Vec<MachineId>,
     ) -> Vec<AllocationId> {
         let mut lost = Vec::new();
-        if self.cluster.reports_losses || !self.cluster.health_checks {
+        if self.cluster.caller_detects_losses || !self.cluster.health_checks {
             return lost;
         }
         for (&id, machine) in &mut self.machines {
@@ -88,7 +88,7 @@
         match ending {
             AttemptResult::Completed => (at.consecutive_timeouts, at.last_heard_at) = (0, now),
             AttemptResult::TimedOut | AttemptResult::ConnectFailed
-                if !self.cluster.reports_losses =>
+                if !self.cluster.caller_detects_losses =>
             {
                 at.record_fault(now, EJECTION_TIME, MAX_EJECTION_DOUBLINGS)
             }
--- a/crates/scheduler/src/policy/outcomes.rs
+++ b/crates/scheduler/src/policy/outcomes.rs
@@ -26,7 +26,7 @@
             Outcome::Returned {
                 ending,
                 reason,
-                over,
+                finished,
                 report,
             } => {
                 let placed = self.placed_allocation(allocation.id);
@@ -41,7 +41,7 @@
                     }
                     _ => self.note_ending(now, allocation, machine, ending, was_placed),
                 }
-                if over {
+                if finished {
                     NextStep::Done
                 } else {
                     NextStep::Retry
--- a/crates/scheduler/src/updates.rs
+++ b/crates/scheduler/src/updates.rs
@@ -50,7 +50,7 @@
 
     /// An attempt dispatched earlier has left only now: it counts for the machine's slow start in
     /// this window, not in that one.
-    pub fn record_departure(&mut self, now: Ticks, machine: MachineId, sent_at: Ticks) {
+    pub fn record_attempt_sent(&mut self, now: Ticks, machine: MachineId, sent_at: Ticks) {
         let Some(machine) = self.machines.get_mut(&machine) else {
             return;
         };
@@ -230,7 +230,7 @@
         }
     }
 
-    /// After a time told by [`PollResult::deadlines_until`]: no deferred allocation is left.
+    /// After a time told by [`PollResult::retry_deadline_limit`]: no deferred allocation is left.
     pub fn no_deferred_left(&mut self) {
         self.retry_schedule.next_round_at = None;
     }
@@ -245,7 +245,7 @@
     }
 
     /// Every evaluation is complete and every round comes. Only for tests to compare with.
-    pub fn evaluating_always(mut self) -> Self {
+    pub fn evaluating_exhaustively(mut self) -> Self {
         self.retry_schedule.exhaustive = true;
         self
     }
--- a/crates/scheduler/tests/decisions.rs
+++ b/crates/scheduler/tests/decisions.rs
@@ -218,7 +218,7 @@
         }
     }
 
-    fn returned(&mut self, mut allocation: Allocation, ending: AttemptResult, over: bool) {
+    fn returned(&mut self, mut allocation: Allocation, ending: AttemptResult, finished: bool) {
         let reasons = [
             None,
             Some(ReturnReason::NoCores),
@@ -241,7 +241,7 @@
         let outcome = Outcome::Returned {
             ending,
             reason,
-            over,
+            finished,
             report,
         };
         self.after(allocation, outcome);
@@ -258,7 +258,7 @@
             if wait.retry_deferred {
                 answer.push_str(" retry");
             }
-            if let Some(end) = wait.deadlines_until {
+            if let Some(end) = wait.retry_deadline_limit {
                 let _ = write!(answer, " up to {end}");
             }
             for id in &wait.health_checks {
@@ -281,10 +281,10 @@
                     self.returned(allocation, AttemptResult::Cancelled, true);
                 }
             }
-            if wait.retry_deferred || wait.deadlines_until.is_some() {
+            if wait.retry_deferred || wait.retry_deadline_limit.is_some() {
                 for allocation in std::mem::take(&mut self.waiting) {
                     if wait
-                        .deadlines_until
+                        .retry_deadline_limit
                         .is_none_or(|end| allocation.deadline <= end)
                     {
                         self.place(allocation);
@@ -292,7 +292,7 @@
                         self.waiting.push(allocation);
                     }
                 }
-                if wait.deadlines_until.is_some() && self.waiting.is_empty() {
+                if wait.retry_deadline_limit.is_some() && self.waiting.is_empty() {
                     self.scheduler.no_deferred_left();
                 }
             }
@@ -368,7 +368,7 @@
             Metric::Running,
             Metric::Cores(uses.cores),
             Metric::Memory(uses.memory),
-            Metric::Served(0.5),
+            Metric::ServiceLevel(0.5),
             Metric::MachineMemory(0.9),
         ];
         let note = notes[self.any(notes.len())];
@@ -448,7 +448,7 @@
                     .cloned();
                 if let Some(shot) = shot {
                     self.scheduler
-                        .record_departure(self.now, shot.machine, shot.sent_at);
+                        .record_attempt_sent(self.now, shot.machine, shot.sent_at);
                 }
             }
             84 => {
@@ -529,7 +529,7 @@
         scheduler_index: 1,
         scheduler_count: 3,
         connect_timeout: 2_500,
-        reports_losses: false,
+        caller_detects_losses: false,
         ..alone.clone()
     };
     let pushed_out = Cluster {
--- a/crates/scheduler/tests/host/mod.rs
+++ b/crates/scheduler/tests/host/mod.rs
@@ -45,7 +45,7 @@
         },
         connect_timeout: 0,
         cross_zone_cost: 0.0,
-        reports_losses: true,
+        caller_detects_losses: true,
     }
 }
 
@@ -147,7 +147,7 @@
         let outcome = Outcome::Returned {
             ending,
             reason,
-            over: ending == AttemptResult::Completed,
+            finished: ending == AttemptResult::Completed,
             report: None,
         };
         self.scheduler
--- a/crates/scheduler/tests/retries.rs
+++ b/crates/scheduler/tests/retries.rs
@@ -36,7 +36,7 @@
             );
             scheduler
         };
-        let (leaves_out, looks) = (new(), new().evaluating_always());
+        let (leaves_out, looks) = (new(), new().evaluating_exhaustively());
         Both {
             leaves_out,
             looks,
@@ -101,7 +101,7 @@
         let outcome = Outcome::Returned {
             ending,
             reason,
-            over: ending == AttemptResult::Completed,
+            finished: ending == AttemptResult::Completed,
             report,
         };
         let answers = [&mut self.leaves_out, &mut self.looks]
@@ -134,7 +134,7 @@
             for allocation in std::mem::take(&mut self.waiting) {
                 let asked = one.retry_deferred
                     && one
-                        .deadlines_until
+                        .retry_deadline_limit
                         .is_none_or(|end| allocation.deadline <= end);
                 let answer = self.looks.place(self.now, &allocation);
                 let mine = if asked {
@@ -153,7 +153,7 @@
                 self.answered(allocation, answer);
             }
         }
-        if one.deadlines_until.is_some() && self.waiting.is_empty() {
+        if one.retry_deadline_limit.is_some() && self.waiting.is_empty() {
             self.leaves_out.no_deferred_left();
         }
         if other.retry_deferred && one.retry_deferred {
@@ -298,7 +298,7 @@
             11 if running > 0 => {
                 let last = both.running[running - 1].attempts.last().cloned();
                 last.into_iter().for_each(|shot| {
-                    both.tell(|one| one.record_departure(now, shot.machine, shot.sent_at))
+                    both.tell(|one| one.record_attempt_sent(now, shot.machine, shot.sent_at))
                 });
             }
             12 => both.tell(|one| {
@@ -362,7 +362,7 @@
         list_reports_capacity: shows_room,
         preempts: makes_room,
         health_checks: true,
-        reports_losses: false,
+        caller_detects_losses: false,
         ..cluster(track(RetrySafety::Idempotent))
     };
     let mut all = [0; 3];
--- a/crates/scheduler/tests/scenarios.rs
+++ b/crates/scheduler/tests/scenarios.rs
@@ -816,7 +816,7 @@
 #[test_case(false, false, false; "not where it may not be asked")]
 fn allocations_on_a_silent_machine_are_lost_after_a_time(tells: bool, may: bool, is_lost: bool) {
     let telling = Cluster {
-        reports_losses: tells,
+        caller_detects_losses: tells,
         health_checks: may,
         ..cluster(track(RetrySafety::Idempotent))
     };
@@ -951,13 +951,13 @@
             let scheduler = &mut hosts[number].scheduler;
             arrived.push(now);
             if late {
-                scheduler.record_departure(now, MachineId(0), allocation.attempts[0].sent_at);
+                scheduler.record_attempt_sent(now, MachineId(0), allocation.attempts[0].sent_at);
             }
             allocation.attempts[0].state = AttemptState::PossiblyExecuted;
             let over = Outcome::Returned {
                 ending: AttemptResult::Completed,
                 reason: None,
-                over: true,
+                finished: true,
                 report: None,
             };
             scheduler.on_outcome(now, &allocation, 0, over);
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -211,7 +211,7 @@
             },
             connect_timeout: self.connect_timeout(),
             cross_zone_cost: self.penalties.cross_zone_cost,
-            reports_losses: true,
+            caller_detects_losses: true,
         })
     }
 
--- a/crates/settings/tests/recorded.rs
+++ b/crates/settings/tests/recorded.rs
@@ -73,7 +73,7 @@
     );
     line("opens-within", cluster.connect_timeout.to_string());
     line("other-hall", format!("{:?}", cluster.cross_zone_cost));
-    line("tells-loss", cluster.reports_losses.to_string());
+    line("tells-loss", cluster.caller_detects_losses.to_string());
     text
 }
 
--- a/crates/simulator-adapter/src/decode.rs
+++ b/crates/simulator-adapter/src/decode.rs
@@ -84,7 +84,7 @@
         1 => Some(Metric::Running),
         2 => Some(Metric::Cores(value)),
         3 => Some(Metric::Memory(value)),
-        4 => Some(Metric::Served(value)),
+        4 => Some(Metric::ServiceLevel(value)),
         5 => Some(Metric::MachineMemory(value)),
         _ => None,
     })
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -93,7 +93,7 @@
         let attempt: usize = message.get("leg")?;
         let ending = decode::ending(message)?;
         let reason = decode::reason(message)?;
-        let over = message.get_or("final", 0u8)? == 1;
+        let finished = message.get_or("final", 0u8)? == 1;
         let report = decode::load_report(message)?;
         let Some(id) = self.find(message)? else {
             return Ok(());
@@ -106,7 +106,7 @@
             Return {
                 ending,
                 reason,
-                over,
+                finished,
                 report,
             },
             reply,
