--- a/crates/dispatcher/src/core/attempt_events.rs
+++ b/crates/dispatcher/src/core/attempt_events.rs
@@ -5,7 +5,7 @@
 use super::effects::DispatcherEffects;
 use crate::attempts::AttemptObserver;
 use corkspan_api::v1;
-use corkspan_engine::{AllocationRequest, Engine, Return};
+use corkspan_engine::{AllocationRequest, Engine, ReturnedAttempt};
 use corkspan_rollout::controller::SurgeEnd;
 use corkspan_rpc::{ConnectionLimits, SharedExecutor};
 use corkspan_scheduler::interface::*;
@@ -46,9 +46,9 @@
             if late {
                 // The client has stopped waiting, so no answer is sent. The engine gets the outcome
                 // all the same.
-                engine.placed(now, id, attempt, effects);
+                engine.attempt_placed(now, id, attempt, effects);
                 self.cancel(id, engine, effects);
-            } else if engine.placed(now, id, attempt, effects)
+            } else if engine.attempt_placed(now, id, attempt, effects)
                 && let Some((client, allocation)) = engine.data_mut(id)
             {
                 client.deadline = None;
@@ -118,11 +118,11 @@
                     }
                 }
             }
-            engine.returned(
+            engine.attempt_returned(
                 now,
                 id,
                 attempt,
-                Return {
+                ReturnedAttempt {
                     ending,
                     reason,
                     finished: ended_as.is_some(),
--- a/crates/dispatcher/src/core/lifecycle.rs
+++ b/crates/dispatcher/src/core/lifecycle.rs
@@ -1,7 +1,7 @@
 //! The status of a dispatcher, and its graceful shutdown.
 
 use super::*;
-use corkspan_engine::Return;
+use corkspan_engine::ReturnedAttempt;
 
 impl DispatcherCore {
     pub fn status(&self) -> v1::StatusResponse {
@@ -61,11 +61,11 @@
         self.with(|now, engine, effects| {
             for (id, attempt) in engine.unanswered() {
                 warn!(?id, shot = attempt, "no answer from a node before the stop");
-                engine.returned(
+                engine.attempt_returned(
                     now,
                     id,
                     attempt,
-                    Return {
+                    ReturnedAttempt {
                         ending: AttemptResult::TimedOut,
                         reason: None,
                         finished: false,
--- a/crates/engine/src/attempts.rs
+++ b/crates/engine/src/attempts.rs
@@ -1,7 +1,7 @@
 //! Where an allocation goes, and what follows from the outcome of an attempt.
 
 use crate::queues::RunQueue;
-use crate::{Effects, Engine, RetryBatch, Return};
+use crate::{Effects, Engine, RetryBatch, ReturnedAttempt};
 use corkspan_scheduler::interface::*;
 
 /// Unwanted entries of the run queue are dropped when it holds more than twice as many as there are
@@ -72,7 +72,7 @@
 
     /// Its last attempt has left only now, later than it was dispatched: a connection had to come up
     /// first.
-    pub fn attempt_left(&mut self, now: Ticks, id: AllocationId) {
+    pub fn attempt_sent(&mut self, now: Ticks, id: AllocationId) {
         let tracked = self.tracked.get(&id);
         if let Some(attempt) = tracked.and_then(|tracked| tracked.allocation.attempts.last()) {
             self.scheduler
@@ -82,7 +82,7 @@
 
     /// An attempt is placed. False where the answer is of no use: the allocation is over, or has
     /// been answered.
-    pub fn placed(
+    pub fn attempt_placed(
         &mut self,
         now: Ticks,
         id: AllocationId,
@@ -99,12 +99,12 @@
     }
 
     /// An attempt has ended. False where there is no such attempt.
-    pub fn returned(
+    pub fn attempt_returned(
         &mut self,
         now: Ticks,
         id: AllocationId,
         attempt: usize,
-        returned: Return,
+        returned: ReturnedAttempt,
         effects: &mut impl Effects<T>,
     ) -> bool {
         let Some(tracked) = self.tracked.get_mut(&id) else {
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -2,7 +2,7 @@
 
 use crate::queues::RunQueue;
 use crate::requests::Tracked;
-use crate::{AdmissionError, AllocationRequest, Counts, RetryBatch};
+use crate::{AdmissionError, AllocationCounts, AllocationRequest, RetryBatch};
 use corkspan_scheduler::Scheduler;
 use corkspan_scheduler::interface::*;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
@@ -227,10 +227,10 @@
     }
 
     /// How many there are, by what they wait for.
-    pub fn counts(&self) -> Counts {
-        let mut counts = Counts {
+    pub fn counts(&self) -> AllocationCounts {
+        let mut counts = AllocationCounts {
             tracked: self.tracked.len(),
-            ..Counts::default()
+            ..AllocationCounts::default()
         };
         for tracked in self.tracked.values() {
             let pending = tracked.pending_attempts > 0;
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -14,7 +14,7 @@
 pub use effects::Effects;
 pub use engine::Engine;
 pub use queues::RetryBatch;
-pub use requests::{AdmissionError, AllocationRequest, Counts, Return};
+pub use requests::{AdmissionError, AllocationCounts, AllocationRequest, ReturnedAttempt};
 
 use corkspan_scheduler::interface::ServiceId;
 use fnv::FnvHasher;
--- a/crates/engine/src/requests.rs
+++ b/crates/engine/src/requests.rs
@@ -52,7 +52,7 @@
 
 /// The end of an attempt.
 #[derive(Clone, Copy, Debug)]
-pub struct Return {
+pub struct ReturnedAttempt {
     /// How it ended.
     pub ending: AttemptResult,
     /// Why, where the machine says.
@@ -65,7 +65,7 @@
 
 /// How many allocations there are, by what they wait for.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct AllocationCounts {
     /// All of them.
     pub tracked: usize,
     /// Not placed, and not at a machine.
--- a/crates/engine/tests/engine.rs
+++ b/crates/engine/tests/engine.rs
@@ -1,7 +1,7 @@
 //! What a caller relies on, one story each, against a wire that writes down what it is told.
 
 use corkspan_engine::{
-    AdmissionError, AllocationRequest, Effects, Engine, RetryBatch, Return, service_id,
+    AdmissionError, AllocationRequest, Effects, Engine, RetryBatch, ReturnedAttempt, service_id,
 };
 use corkspan_scheduler::interface::*;
 
@@ -153,11 +153,11 @@
     shot: usize,
     wire: &mut Noted,
 ) {
-    host.returned(
+    host.attempt_returned(
         now,
         id,
         shot,
-        Return {
+        ReturnedAttempt {
             ending: AttemptResult::Rejected,
             reason: Some(ReturnReason::NoCores),
             finished: false,
@@ -270,7 +270,7 @@
     let id = host.admit(0, "a", asked(SECOND), "a").expect("room");
     host.place(0, id, &mut wire);
     host.finish(id);
-    assert!(!host.placed(5, id, 0, &mut wire));
+    assert!(!host.attempt_placed(5, id, 0, &mut wire));
 }
 
 #[test]
@@ -278,19 +278,19 @@
     let (mut host, mut wire) = (host(RetrySafety::Idempotent, 1, 10), Noted::default());
     let id = host.admit(0, "a", asked(SECOND), "a").expect("room");
     host.place(0, id, &mut wire);
-    assert!(host.placed(5, id, 0, &mut wire));
-    assert!(!host.placed(6, id, 0, &mut wire));
+    assert!(host.attempt_placed(5, id, 0, &mut wire));
+    assert!(!host.attempt_placed(6, id, 0, &mut wire));
 }
 
 #[test]
 fn an_unknown_attempt_is_reported() {
     let (mut host, mut wire) = (host(RetrySafety::Idempotent, 1, 10), Noted::default());
     let id = host.admit(0, "a", asked(SECOND), "a").expect("room");
-    assert!(!host.returned(
+    assert!(!host.attempt_returned(
         1,
         id,
         7,
-        Return {
+        ReturnedAttempt {
             ending: AttemptResult::Completed,
             reason: None,
             finished: true,
@@ -316,11 +316,11 @@
     host.stop(10, &mut wire);
     assert_eq!(wire.said(), "waits: shed");
     assert_eq!(host.unanswered(), [(out, 0)]);
-    host.returned(
+    host.attempt_returned(
         20,
         out,
         0,
-        Return {
+        ReturnedAttempt {
             ending: AttemptResult::TimedOut,
             reason: None,
             finished: false,
@@ -344,11 +344,11 @@
         .expect("room");
     host.poll(100, &mut wire);
     assert!(host.unanswered().is_empty());
-    host.returned(
+    host.attempt_returned(
         200,
         id,
         0,
-        Return {
+        ReturnedAttempt {
             ending: AttemptResult::Reset,
             reason: Some(ReturnReason::Evicted),
             finished: true,
--- a/crates/lab/src/capacity/asks.rs
+++ b/crates/lab/src/capacity/asks.rs
@@ -1,7 +1,7 @@
 //! What the decisions alone cost where allocations wait for room: one ask, and a second of so many
 //! that wait. The clock is virtual, the processor time that of the thread.
 
-use corkspan_engine::{AllocationRequest, Effects, Engine, RetryBatch, Return};
+use corkspan_engine::{AllocationRequest, Effects, Engine, RetryBatch, ReturnedAttempt};
 use corkspan_scheduler::Scheduler;
 use corkspan_scheduler::interface::*;
 
@@ -340,11 +340,11 @@
             }
             Changes::Ends(_) => {
                 let (id, machine) = stage.running.remove(0);
-                stage.host.returned(
+                stage.host.attempt_returned(
                     now,
                     id,
                     0,
-                    Return {
+                    ReturnedAttempt {
                         ending: AttemptResult::Completed,
                         reason: None,
                         finished: true,
--- a/crates/platform/src/core.rs
+++ b/crates/platform/src/core.rs
@@ -10,7 +10,7 @@
 use crate::reader::{ConnectionInput, ReadOutcome, ReadProgress};
 use crate::writer::{MessageQueue, message_queue};
 use client_connections::ClientConnection;
-use corkspan_engine::{Engine, RetryBatch, Return};
+use corkspan_engine::{Engine, RetryBatch, ReturnedAttempt};
 #[cfg(test)]
 use corkspan_platform_wire::client::Message;
 use corkspan_platform_wire::discovery::Event;
@@ -204,11 +204,11 @@
             while let Some(deferred) = state.deferred.pop_front() {
                 match deferred {
                     DeferredEvent::Returned(id, attempt, result) => {
-                        engine.returned(
+                        engine.attempt_returned(
                             now,
                             id,
                             attempt,
-                            Return {
+                            ReturnedAttempt {
                                 ending: result,
                                 reason: None,
                                 finished: false,
--- a/crates/platform/src/core/attempts.rs
+++ b/crates/platform/src/core/attempts.rs
@@ -2,7 +2,7 @@
 
 use super::pending_task::{ActiveAttempt, PendingTask, TaskStage, task_key};
 use super::*;
-use corkspan_engine::Return;
+use corkspan_engine::ReturnedAttempt;
 use corkspan_platform_wire::client::{self, MessageType};
 use tracing::debug;
 
@@ -35,7 +35,7 @@
         };
         active.started = true;
         if now > active.sent_at {
-            engine.attempt_left(now, attempt.allocation);
+            engine.attempt_sent(now, attempt.allocation);
         }
         true
     }
@@ -95,11 +95,11 @@
         } else {
             AttemptResult::ConnectFailed
         };
-        engine.returned(
+        engine.attempt_returned(
             now,
             id,
             number,
-            Return {
+            ReturnedAttempt {
                 ending,
                 reason: None,
                 finished: false,
@@ -122,7 +122,7 @@
         description: &str,
     ) {
         self.attempt_returned(now, id, active);
-        if !engine.placed(now, id, active.number, self) {
+        if !engine.attempt_placed(now, id, active.number, self) {
             return;
         }
         let Some((pending, _)) = engine.data_mut(id) else {
--- a/crates/platform/src/core/node_connections.rs
+++ b/crates/platform/src/core/node_connections.rs
@@ -2,7 +2,7 @@
 
 use super::pending_task::{ActiveAttempt, PendingTask};
 use super::*;
-use corkspan_engine::Return;
+use corkspan_engine::ReturnedAttempt;
 use tracing::debug;
 
 impl PlatformState {
@@ -118,11 +118,11 @@
             } else {
                 AttemptResult::ConnectFailed
             };
-            engine.returned(
+            engine.attempt_returned(
                 now,
                 allocation,
                 number,
-                Return {
+                ReturnedAttempt {
                     ending: result,
                     reason: None,
                     finished: false,
--- a/crates/platform/src/core/node_messages.rs
+++ b/crates/platform/src/core/node_messages.rs
@@ -2,7 +2,7 @@
 
 use super::pending_task::{ActiveAttempt, PendingTask, TaskStage, task_key};
 use super::*;
-use corkspan_engine::Return;
+use corkspan_engine::ReturnedAttempt;
 use corkspan_platform_wire::node::AttributeValue;
 use corkspan_platform_wire::{client, parse_load_report};
 use tracing::debug;
@@ -267,11 +267,11 @@
         }
         self.attempt_returned(now, id, active);
         let result = end.of_attempt();
-        engine.returned(
+        engine.attempt_returned(
             now,
             id,
             active.number,
-            Return {
+            ReturnedAttempt {
                 ending: result,
                 reason,
                 finished: false,
--- a/crates/platform/src/core/running_tasks.rs
+++ b/crates/platform/src/core/running_tasks.rs
@@ -2,7 +2,7 @@
 
 use super::pending_task::{ActiveAttempt, PendingTask, task_key};
 use super::*;
-use corkspan_engine::Return;
+use corkspan_engine::ReturnedAttempt;
 use corkspan_platform_wire::client::{self, MessageType};
 use tracing::debug;
 
@@ -70,11 +70,11 @@
             self.send_task_end(to, MessageType::Release, task, &[(client::CAUSE, &[cause])]);
         }
         self.nodes.task_left(active.machine, id);
-        engine.returned(
+        engine.attempt_returned(
             now,
             id,
             active.number,
-            Return {
+            ReturnedAttempt {
                 ending,
                 reason,
                 finished: true,
--- a/crates/platform/src/core/set_ups.rs
+++ b/crates/platform/src/core/set_ups.rs
@@ -3,7 +3,7 @@
 use super::client_connections::MessageVerdict;
 use super::pending_task::{ActiveAttempt, PendingTask, TaskStage, task_key};
 use super::*;
-use corkspan_engine::{AllocationRequest, Return, service_id};
+use corkspan_engine::{AllocationRequest, ReturnedAttempt, service_id};
 use corkspan_platform_wire::InvalidField;
 use corkspan_platform_wire::client::{self, Message, SetUp};
 use tracing::debug;
@@ -246,11 +246,11 @@
         };
         let task = pending.task;
         self.withdraw(id, active, task);
-        engine.returned(
+        engine.attempt_returned(
             now,
             id,
             active.number,
-            Return {
+            ReturnedAttempt {
                 ending: AttemptResult::Cancelled,
                 reason: None,
                 finished: true,
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -5,7 +5,7 @@
 use crate::message::Message;
 use crate::reply::ReplyLines;
 use crate::session::Page;
-use corkspan_engine::{AllocationRequest, Engine, RetryBatch, Return, service_id};
+use corkspan_engine::{AllocationRequest, Engine, RetryBatch, ReturnedAttempt, service_id};
 use corkspan_scheduler::interface::*;
 use corkspan_settings::{Settings, ticks_from_us};
 
@@ -53,7 +53,7 @@
             "SEATED" => {
                 let attempt = message.get("leg")?;
                 if let Some(id) = self.find(message)? {
-                    self.engine.placed(now, id, attempt, reply);
+                    self.engine.attempt_placed(now, id, attempt, reply);
                 }
             }
             "RETURNED" => self.returned(now, message, reply)?,
@@ -99,11 +99,11 @@
             return Ok(());
         };
         let engine = &mut self.engine;
-        match engine.returned(
+        match engine.attempt_returned(
             now,
             id,
             attempt,
-            Return {
+            ReturnedAttempt {
                 ending,
                 reason,
                 finished,
