--- a/crates/config/src/deployment.rs
+++ b/crates/config/src/deployment.rs
@@ -19,7 +19,7 @@
     /// Where clients connect.
     pub listen: SocketAddr,
     /// Where the roster, which lists the nodes, is reached.
-    pub roster: SocketAddr,
+    pub discovery_service: SocketAddr,
     /// Where the last endpoint list is cached, if it is (`remembered`).
     pub endpoint_cache: Option<PathBuf>,
     /// Mixed with the time of start to seed random draws.
@@ -86,7 +86,7 @@
             };
             Ok(Deployment {
                 listen: address(parts.required("listen")?)?,
-                roster: address(parts.required("roster")?)?,
+                discovery_service: address(parts.required("roster")?)?,
                 endpoint_cache: path(&parts, "remembered")?,
                 quorum_members: parts.get_or("keepers", Vec::new(), machine_ids)?,
                 rollout_store: path(&parts, "rolls")?,
--- a/crates/config/tests/released_format.rs
+++ b/crates/config/tests/released_format.rs
@@ -38,7 +38,7 @@
     let mut line =
         |keyword: &str, value: String| writeln!(text, "{keyword}: {value}").expect("text");
     line("listen", read.listen.to_string());
-    line("roster", read.roster.to_string());
+    line("roster", read.discovery_service.to_string());
     line("remembered", format!("{:?}", read.endpoint_cache));
     let keepers: Vec<u32> = read.quorum_members.iter().map(|id| id.0).collect();
     line("keepers", format!("{keepers:?}"));
--- a/crates/dispatcher/src/endpoint_list.rs
+++ b/crates/dispatcher/src/endpoint_list.rs
@@ -323,7 +323,7 @@
 ) -> Result<(), WatchError> {
     let connection = {
         let (to, meter) = (
-            core.deployment().roster,
+            core.deployment().discovery_service,
             core.connection_counters.meter(ConnectionKind::Roster),
         );
         Connection::open_counted(&core.tasks, to, &core.connection_limits, &meter).await
@@ -335,7 +335,7 @@
         dispatcher: core.deployment().cluster.scheduler_index as u32,
     };
     let mut listings = client.watch(request).await.map_err(Box::new)?.into_inner();
-    info!(roster = %core.deployment().roster, version = list.version, "watching the list");
+    info!(roster = %core.deployment().discovery_service, version = list.version, "watching the list");
     // When the list is to be written, and when it was written last.
     let (mut due, mut written): (Option<Instant>, Option<Instant>) = (None, None);
     loop {
