--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -348,7 +348,7 @@
     let new = new.iter().map(read).collect::<Result<Vec<_>, _>>()?;
     for figure in Figure::ALL {
         let pairs: Vec<(f64, f64)> = std::iter::zip(&old, &new)
-            .map(|(old, new)| (figure.of(old), figure.of(new)))
+            .map(|(old, new)| (figure.value_in(old), figure.value_in(new)))
             .collect();
         let told = compare(&pairs, 1);
         println!(
--- a/crates/load-generator/src/compare.rs
+++ b/crates/load-generator/src/compare.rs
@@ -37,7 +37,7 @@
     }
 
     /// Its value in a report.
-    pub fn of(self, report: &Report) -> f64 {
+    pub fn value_in(self, report: &Report) -> f64 {
         let worst = |of: fn(&crate::tally::Quantiles) -> u64| {
             report
                 .kinds
--- a/crates/load-generator/tests/recorded.rs
+++ b/crates/load-generator/tests/recorded.rs
@@ -74,7 +74,7 @@
     let report = report();
     let mut text = String::new();
     for figure in Figure::ALL {
-        let value = figure.of(&report);
+        let value = figure.value_in(&report);
         let pairs: Vec<(f64, f64)> = (0..8i32)
             .map(|day| {
                 let old = value * f64::from(day + 1);
