--- a/crates/dispatcher/src/maintenance.rs
+++ b/crates/dispatcher/src/maintenance.rs
@@ -149,7 +149,7 @@
             revision: claim.revision,
             node: claim.lease.machine.0,
             claim: claim.lease.claim.0,
-            slots: claim.slots.each().to_vec(),
+            slots: claim.slots.to_array().to_vec(),
         };
         request_all(core, Operation::MaintenanceClaim(message)).await;
     }
@@ -201,7 +201,7 @@
         current: after
             .request
             .as_ref()
-            .map(maintenance_messages::work_message),
+            .map(maintenance_messages::request_message),
         leases: after.unavailable().filter_map(phase).collect(),
         completed: ended(LeaseOutcome::Completed).collect(),
         skipped: ended(LeaseOutcome::Skipped).collect(),
@@ -281,13 +281,13 @@
     };
     let replies = request_all(
         core,
-        Operation::Maintenance(maintenance_messages::work_message(&wish)),
+        Operation::Maintenance(maintenance_messages::request_message(&wish)),
     )
     .await;
     let stands: Vec<MaintenanceRequest> = replies
         .iter()
         .filter_map(|word| {
-            maintenance_messages::proposal_from_message(word.leases.as_ref()?.plan.as_ref()?)
+            maintenance_messages::request_from_message(word.leases.as_ref()?.plan.as_ref()?)
         })
         .collect();
     info!(number, course = ?wish.run_state, machines = wish.machines.len(), "a wish for work on machines");
--- a/crates/dispatcher/src/maintenance_messages.rs
+++ b/crates/dispatcher/src/maintenance_messages.rs
@@ -54,26 +54,26 @@
 }
 
 /// A request for maintenance as a message.
-pub fn work_message(wish: &MaintenanceRequest) -> v1::MaintenancePlan {
+pub fn request_message(request: &MaintenanceRequest) -> v1::MaintenancePlan {
     v1::MaintenancePlan {
-        revision: wish.revision,
-        proposer: wish.proposer,
-        job: wish.job,
-        machines: wish
+        revision: request.revision,
+        proposer: request.proposer,
+        job: request.job,
+        machines: request
             .machines
             .iter()
             .map(|(machine, at)| machine_message(*machine, *at))
             .collect(),
-        limits: wish.limits.each().to_vec(),
-        warm_up_ms: wish.warm_up_ms,
-        drain_timeout_ms: wish.drain_timeout_ms,
-        on_drain_timeout: match wish.on_drain_timeout {
+        limits: request.limits.to_array().to_vec(),
+        warm_up_ms: request.warm_up_ms,
+        drain_timeout_ms: request.drain_timeout_ms,
+        on_drain_timeout: match request.on_drain_timeout {
             DrainTimeoutAction::Wait => v1::maintenance_plan::DrainTimeoutAction::Wait,
             DrainTimeoutAction::Skip => v1::maintenance_plan::DrainTimeoutAction::Skip,
             DrainTimeoutAction::Stop => v1::maintenance_plan::DrainTimeoutAction::Stop,
         }
         .into(),
-        run_state: match wish.run_state {
+        run_state: match request.run_state {
             RunState::Running => v1::maintenance_plan::RunState::Running,
             RunState::Paused => v1::maintenance_plan::RunState::Paused,
             RunState::Aborted => v1::maintenance_plan::RunState::Aborted,
@@ -83,25 +83,25 @@
 }
 
 /// None where its limits are not four.
-pub fn proposal_from_message(work: &v1::MaintenancePlan) -> Option<MaintenanceRequest> {
-    let [all, hall, cell, kind] = work.limits[..] else {
+pub fn request_from_message(message: &v1::MaintenancePlan) -> Option<MaintenanceRequest> {
+    let [all, hall, cell, kind] = message.limits[..] else {
         return None;
     };
     Some(MaintenanceRequest {
-        revision: work.revision,
-        proposer: work.proposer,
-        job: work.job,
-        machines: work.machines.iter().map(machine_from_message).collect(),
+        revision: message.revision,
+        proposer: message.proposer,
+        job: message.job,
+        machines: message.machines.iter().map(machine_from_message).collect(),
         limits: DisruptionLimits {
             total: all,
             zone: hall,
             cell,
             machine_type: kind,
         },
-        warm_up_ms: work.warm_up_ms,
-        drain_timeout_ms: work.drain_timeout_ms,
-        on_drain_timeout: drain_timeout_action(work.on_drain_timeout()),
-        run_state: match work.run_state() {
+        warm_up_ms: message.warm_up_ms,
+        drain_timeout_ms: message.drain_timeout_ms,
+        on_drain_timeout: drain_timeout_action(message.on_drain_timeout()),
+        run_state: match message.run_state() {
             v1::maintenance_plan::RunState::Running => RunState::Running,
             v1::maintenance_plan::RunState::Paused => RunState::Paused,
             v1::maintenance_plan::RunState::Aborted => RunState::Aborted,
@@ -122,45 +122,45 @@
 pub fn lease_message(
     machine: Machine,
     lease: &MaintenanceLease,
-    told: LeasePhase,
+    phase: LeasePhase,
 ) -> v1::MaintenanceLease {
     v1::MaintenanceLease {
         machine: Some(machine_message(machine, lease.domains)),
         claim: lease.claim.0,
         job: lease.job,
-        slots: lease.slots.each().to_vec(),
-        phase: step(told).into(),
+        slots: lease.slots.to_array().to_vec(),
+        phase: step(phase).into(),
     }
 }
 
 /// All that a quorum member stores, for a fleet of `fleet` dispatchers.
-pub fn lease_table_message(board: &LeaseTable, fleet: u32) -> v1::LeaseTable {
+pub fn lease_table_message(lease_table: &LeaseTable, fleet: u32) -> v1::LeaseTable {
     let ended = |which| {
-        board
+        lease_table
             .outcomes()
             .filter(move |(_, end)| *end == which)
             .map(|(machine, _)| machine.0)
     };
     let votes = |which| {
-        board
+        lease_table
             .votes()
             .filter(move |(_, vote)| *vote == which)
             .map(|(claim, _)| claim.0)
     };
-    let costs = board
+    let costs = lease_table
         .total_costs(fleet)
         .into_iter()
         .map(|(machine, cost)| (machine.0, cost));
     v1::LeaseTable {
-        plan: board.request().map(work_message),
-        leases: board
+        plan: lease_table.request().map(request_message),
+        leases: lease_table
             .leases()
             .iter()
             .map(|(own, out)| lease_message(*own, out, out.phase))
             .collect(),
         completed: ended(LeaseOutcome::Completed).collect(),
         skipped: ended(LeaseOutcome::Skipped).collect(),
-        withdrawn: board.withdrawn().map(|claim| claim.0).collect(),
+        withdrawn: lease_table.withdrawn().map(|claim| claim.0).collect(),
         drained: votes(LeasePhase::Drained).collect(),
         cancelled: votes(LeasePhase::Cancelled).collect(),
         costs: costs.collect(),
@@ -168,7 +168,7 @@
 }
 
 /// The reply of a quorum member. Parts that can't be read are left out.
-pub fn member_reply_from_message(told: &v1::LeaseTable) -> MemberReply {
+pub fn member_reply_from_message(message: &v1::LeaseTable) -> MemberReply {
     let lease = |own: &v1::MaintenanceLease| {
         let (machine, at) = machine_from_message(own.machine.as_ref()?);
         let slots = Slots::try_from(&own.slots[..]).ok()?;
@@ -198,18 +198,22 @@
     };
     let cost = |(node, cost): (&u32, &f64)| cost.is_finite().then_some((Machine(*node), *cost));
     MemberReply {
-        request: told.plan.as_ref().and_then(proposal_from_message),
-        leases: told.leases.iter().filter_map(lease).collect(),
-        outcomes: ended(&told.completed, LeaseOutcome::Completed)
+        request: message.plan.as_ref().and_then(request_from_message),
+        leases: message.leases.iter().filter_map(lease).collect(),
+        outcomes: ended(&message.completed, LeaseOutcome::Completed)
             .into_iter()
-            .chain(ended(&told.skipped, LeaseOutcome::Skipped))
+            .chain(ended(&message.skipped, LeaseOutcome::Skipped))
             .collect(),
-        withdrawn: told.withdrawn.iter().map(|claim| ClaimId(*claim)).collect(),
-        votes: votes(&told.drained, LeasePhase::Drained)
+        withdrawn: message
+            .withdrawn
+            .iter()
+            .map(|claim| ClaimId(*claim))
+            .collect(),
+        votes: votes(&message.drained, LeasePhase::Drained)
             .into_iter()
-            .chain(votes(&told.cancelled, LeasePhase::Cancelled))
+            .chain(votes(&message.cancelled, LeasePhase::Cancelled))
             .collect(),
-        costs: told
+        costs: message
             .costs
             .iter()
             .filter_map(cost)
@@ -218,22 +222,22 @@
 }
 
 /// The steps to send to the quorum members.
-pub fn step_messages(look: &Actions) -> Vec<v1::MaintenanceStep> {
+pub fn step_messages(actions: &Actions) -> Vec<v1::MaintenanceStep> {
     let plain = |lease: LeaseId, step: Step| v1::MaintenanceStep {
         node: lease.machine.0,
         claim: lease.claim.0,
         step: step.into(),
         ..v1::MaintenanceStep::default()
     };
-    let withdrawn = look
+    let withdrawn = actions
         .withdraw
         .iter()
         .map(|lease| plain(*lease, Step::Withdrawn));
-    let advance = look
+    let advance = actions
         .advance
         .iter()
         .map(|progress| plain(progress.lease, step(progress.phase)));
-    let released = look.release.iter().map(|release| {
+    let released = actions.release.iter().map(|release| {
         let outcome = release.outcome.map(|of| of.outcome);
         v1::MaintenanceStep {
             job: release.outcome.map_or(0, |of| of.job),
@@ -246,41 +250,41 @@
 }
 
 /// Applies a step at a quorum member.
-pub fn apply_step(board: &mut LeaseTable, told: &v1::MaintenanceStep) {
-    let (machine, claim) = (Machine(told.node), ClaimId(told.claim));
-    let end = match (told.completed, told.skipped) {
+pub fn apply_step(lease_table: &mut LeaseTable, message: &v1::MaintenanceStep) {
+    let (machine, claim) = (Machine(message.node), ClaimId(message.claim));
+    let end = match (message.completed, message.skipped) {
         (true, _) => Some(LeaseOutcome::Completed),
         (false, true) => Some(LeaseOutcome::Skipped),
         (false, false) => None,
     };
-    match (told.step(), phase(told.step())) {
-        (Step::Withdrawn, _) => board.withdraw(machine, claim),
-        (Step::Released, _) => board.release(
+    match (message.step(), phase(message.step())) {
+        (Step::Withdrawn, _) => lease_table.withdraw(machine, claim),
+        (Step::Released, _) => lease_table.release(
             machine,
             claim,
             end.map(|outcome| JobOutcome {
-                job: told.job,
+                job: message.job,
                 outcome,
             }),
         ),
-        (_, Some(phase)) => board.advance(machine, claim, phase),
+        (_, Some(phase)) => lease_table.advance(machine, claim, phase),
         (_, None) => {}
     }
 }
 
 /// Applies a claim at a quorum member. True where it is granted.
-pub fn apply_claim(board: &mut LeaseTable, told: &v1::MaintenanceClaim) -> bool {
-    let Ok(slots) = Slots::try_from(&told.slots[..]) else {
+pub fn apply_claim(lease_table: &mut LeaseTable, message: &v1::MaintenanceClaim) -> bool {
+    let Ok(slots) = Slots::try_from(&message.slots[..]) else {
         return false;
     };
     // Claim 0 stands for an open cordon.
-    if told.claim == 0 {
+    if message.claim == 0 {
         return false;
     }
-    let claim = board.claim(
-        told.revision,
-        Machine(told.node),
-        ClaimId(told.claim),
+    let claim = lease_table.claim(
+        message.revision,
+        Machine(message.node),
+        ClaimId(message.claim),
         slots,
     );
     claim == ClaimOutcome::Granted
--- a/crates/lab/src/node/quorum_member.rs
+++ b/crates/lab/src/node/quorum_member.rs
@@ -78,7 +78,7 @@
                 reply.minimum_version = held.copied().map(minimum_version::minimum_version_message);
             }
             Operation::Maintenance(work) => {
-                let request = maintenance_messages::proposal_from_message(&work)
+                let request = maintenance_messages::request_from_message(&work)
                     .ok_or(QuorumRequestError::Limits)?;
                 self.leases.propose(request);
                 reply.leases = Some(maintenance_messages::lease_table_message(
--- a/crates/maintenance/src/lease_table.rs
+++ b/crates/maintenance/src/lease_table.rs
@@ -118,12 +118,13 @@
         scope: LimitScope,
         slots: Slots,
     ) -> bool {
-        let slot = slots.of(scope);
+        let slot = slots.for_scope(scope);
         let mut others = self
             .leases
             .values()
             .filter(|other| scope.is_shared(other.domains, domains));
-        slot >= request.limits.of(scope) || others.any(|other| other.slots.of(scope) == slot)
+        slot >= request.limits.for_scope(scope)
+            || others.any(|other| other.slots.for_scope(scope) == slot)
     }
 
     /// A lease has reached a phase. Of a lease that is not held here only the vote is recorded: it
--- a/crates/maintenance/src/limits.rs
+++ b/crates/maintenance/src/limits.rs
@@ -71,7 +71,7 @@
 
 impl DisruptionLimits {
     /// The limit of one scope.
-    pub fn of(&self, scope: LimitScope) -> u32 {
+    pub fn for_scope(&self, scope: LimitScope) -> u32 {
         match scope {
             LimitScope::Total => self.total,
             LimitScope::Zone => self.zone,
@@ -81,8 +81,8 @@
     }
 
     /// The limits in the order of [`LimitScope::ALL`].
-    pub fn each(&self) -> [u32; 4] {
-        LimitScope::ALL.map(|scope| self.of(scope))
+    pub fn to_array(&self) -> [u32; 4] {
+        LimitScope::ALL.map(|scope| self.for_scope(scope))
     }
 }
 
@@ -105,7 +105,7 @@
 
 impl Slots {
     /// The slot under the limit of one scope.
-    pub fn of(&self, scope: LimitScope) -> u32 {
+    pub fn for_scope(&self, scope: LimitScope) -> u32 {
         match scope {
             LimitScope::Total => self.total,
             LimitScope::Zone => self.zone,
@@ -115,8 +115,8 @@
     }
 
     /// The slots in the order of [`LimitScope::ALL`].
-    pub fn each(&self) -> [u32; 4] {
-        LimitScope::ALL.map(|scope| self.of(scope))
+    pub fn to_array(&self) -> [u32; 4] {
+        LimitScope::ALL.map(|scope| self.for_scope(scope))
     }
 }
 
@@ -142,6 +142,6 @@
 
 impl From<Slots> for [u32; 4] {
     fn from(slots: Slots) -> Self {
-        slots.each()
+        slots.to_array()
     }
 }
--- a/crates/maintenance/src/reconcile.rs
+++ b/crates/maintenance/src/reconcile.rs
@@ -283,12 +283,12 @@
     context: &ReconcileContext,
 ) -> Option<u32> {
     let domains = request.machines[&machine];
-    let limit = request.limits.of(scope);
+    let limit = request.limits.for_scope(scope);
     let occupied: Vec<u32> = view
         .leases
         .iter()
         .filter(|other| scope.is_shared(other.lease.domains, domains))
-        .map(|other| other.lease.slots.of(scope))
+        .map(|other| other.lease.slots.for_scope(scope))
         .collect();
     let unavailable: BTreeSet<Machine> = view
         .unavailable()
--- a/crates/maintenance/tests/lease_table.rs
+++ b/crates/maintenance/tests/lease_table.rs
@@ -306,6 +306,6 @@
 #[test]
 fn slots_are_read_from_four_numbers_only() {
     let slots = Slots::try_from(&[1, 2, 3, 4][..]).expect("four");
-    assert_eq!(slots.each(), [1, 2, 3, 4]);
+    assert_eq!(slots.to_array(), [1, 2, 3, 4]);
     assert!(Slots::try_from(&[1, 2, 3][..]).is_err());
 }
--- a/crates/maintenance/tests/stored_state.rs
+++ b/crates/maintenance/tests/stored_state.rs
@@ -176,14 +176,17 @@
     let machines: Vec<Machine> = parts("machine").map(read).collect();
     assert_eq!(machines, [Machine(0), Machine(u32::MAX)]);
     let limits: Vec<DisruptionLimits> = parts("limits").map(read).collect();
-    assert_eq!(limits[0].each(), [1, 2, 3, 4]);
+    assert_eq!(limits[0].to_array(), [1, 2, 3, 4]);
     let domains: Vec<MachineDomains> = parts("domains").map(read).collect();
     assert_eq!(
         (domains[0].zone, domains[0].cell, domains[0].machine_type),
         (5, u64::MAX, 7)
     );
     let leases: Vec<MaintenanceLease> = parts("lease").map(read).collect();
-    assert_eq!((leases[0].slots.each(), leases[0].job), ([0, 1, 2, 3], 9));
+    assert_eq!(
+        (leases[0].slots.to_array(), leases[0].job),
+        ([0, 1, 2, 3], 9)
+    );
     let requests: Vec<MaintenanceRequest> = parts("request").map(read).collect();
     assert_eq!(requests[0].run_state, RunState::Aborted);
     assert_eq!(requests[0].machines.len(), 2);
