--- a/crates/dispatcher/src/store.rs
+++ b/crates/dispatcher/src/store.rs
@@ -120,11 +120,11 @@
                 warn!(path = %path.display(), %why, "and can't be set aside either");
             }
         }
-        Store::over(move || Ok(Database::create(&path)?))
+        Store::with_opener(move || Ok(Database::create(&path)?))
     }
 
     /// A store over the database that `open_database` opens, now and after each failed write.
-    pub fn over(
+    pub fn with_opener(
         open_database: impl Fn() -> Result<Database, redb::Error> + Send + Sync + 'static,
     ) -> Self {
         let open_database: OpenDatabase = Box::new(move || open_checked(&open_database));
@@ -198,12 +198,12 @@
     }
 
     /// Writes a rollout, in place of the one of its service.
-    pub fn save_rollout(&self, roll: &Rollout) -> Result<(), StoreError> {
-        let text = serde_json::to_string(roll).map_err(StoreError::Row)?;
+    pub fn save_rollout(&self, rollout: &Rollout) -> Result<(), StoreError> {
+        let text = serde_json::to_string(rollout).map_err(StoreError::Row)?;
         self.write(|transaction| {
             transaction
                 .open_table(ROLLOUTS)?
-                .insert(&roll.service[..], &text[..])?;
+                .insert(&rollout.service[..], &text[..])?;
             Ok(())
         })
     }
@@ -211,9 +211,9 @@
     /// Stores the history of versions.
     pub fn save_version_history(
         &self,
-        spans: &VecDeque<VersionInterval>,
+        intervals: &VecDeque<VersionInterval>,
     ) -> Result<(), StoreError> {
-        let text = serde_json::to_string(spans).map_err(StoreError::Row)?;
+        let text = serde_json::to_string(intervals).map_err(StoreError::Row)?;
         self.write(|transaction| {
             transaction
                 .open_table(VERSION_HISTORY)?
--- a/crates/dispatcher/src/version_files.rs
+++ b/crates/dispatcher/src/version_files.rs
@@ -70,14 +70,14 @@
 }
 
 /// Writes a new file beside the present one, which becomes the previous one.
-pub fn save(path: &Path, kept: &PersistedVersions) -> std::io::Result<()> {
+pub fn save(path: &Path, versions: &PersistedVersions) -> std::io::Result<()> {
     let body = Body {
-        good: kept.last_good.as_ref().map(StoredVersion::of),
-        trial: kept
+        good: versions.last_good.as_ref().map(StoredVersion::of),
+        trial: versions
             .trial
             .as_ref()
             .map(|trial| (StoredVersion::of(&trial.version), trial.starts)),
-        given_up: kept
+        given_up: versions
             .rolled_back
             .iter()
             .map(|version_id| (version_id.number, version_id.digest.to_string()))
--- a/crates/lab/src/disk.rs
+++ b/crates/lab/src/disk.rs
@@ -22,7 +22,7 @@
 /// The store of rollouts on such a disk.
 pub fn store(path: PathBuf, full: &DiskFull) -> Store {
     let full = full.clone();
-    Store::over(move || {
+    Store::with_opener(move || {
         let file = std::fs::OpenOptions::new()
             .read(true)
             .write(true)
