--- a/crates/dispatcher/src/core.rs
+++ b/crates/dispatcher/src/core.rs
@@ -15,8 +15,8 @@
 use crate::active_version::{self, ActiveVersion};
 use crate::attempts;
 use crate::clock::{Clock, duration};
-use crate::link_counters::{LinkCounters, LinkKind};
-use crate::node_links::NodeLink;
+use crate::link_counters::{ConnectionCounters, ConnectionKind};
+use crate::node_links::NodeConnection;
 use crate::rollouts::Rollouts;
 use crate::store::{Store, StoredRollouts};
 use crate::version_gate::{self, FencingState};
@@ -29,7 +29,7 @@
 use corkspan_engine::{AdmissionError, AllocationRequest, Engine, RetryBatch, service_id};
 use corkspan_rollout::ClaimId;
 use corkspan_rollout::controller::SurgeEnd;
-use corkspan_rpc::Tasks;
+use corkspan_rpc::SharedExecutor;
 use corkspan_scheduler::interface::*;
 use corkspan_version_fencing::operations::OperationKind;
 use effects::{DispatcherEffects, RequestCounters};
@@ -52,9 +52,9 @@
     in_force: RwLock<Arc<Deployment>>,
     pub active_version: ActiveVersion,
     pub fencing: FencingState,
-    pub link_bounds: corkspan_rpc::Bounds,
-    pub link_counters: LinkCounters,
-    pub tasks: Tasks,
+    pub connection_limits: corkspan_rpc::ConnectionLimits,
+    pub connection_counters: ConnectionCounters,
+    pub tasks: SharedExecutor,
     /// When the engine is to be polled next.
     wakes: async_channel::Sender<Instant>,
     /// Requests to watch the endpoint list.
@@ -79,7 +79,7 @@
         deployment: Deployment,
         seed: u64,
         clock: Clock,
-        tasks: &Tasks,
+        tasks: &SharedExecutor,
         wakes: async_channel::Sender<Instant>,
         watches: async_channel::Sender<()>,
         store: Store,
@@ -125,8 +125,8 @@
             DispatcherCore {
                 inner: Mutex::new(CoreState { engine, effects }),
                 clock,
-                link_bounds: crate::node_links::bounds(&deployment.limits),
-                link_counters: LinkCounters::default(),
+                connection_limits: crate::node_links::connection_limits(&deployment.limits),
+                connection_counters: ConnectionCounters::default(),
                 in_force: RwLock::new(Arc::new(deployment)),
                 active_version,
                 fencing,
--- a/crates/dispatcher/src/core/attempt_events.rs
+++ b/crates/dispatcher/src/core/attempt_events.rs
@@ -5,21 +5,21 @@
 use super::effects::DispatcherEffects;
 use crate::attempts::AttemptObserver;
 use corkspan_api::v1;
-use corkspan_engine::{AllocationRequest, Engine, Return};
+use corkspan_engine::{AllocationRequest, Engine, ReturnedAttempt};
 use corkspan_rollout::controller::SurgeEnd;
-use corkspan_rpc::{Bounds, Tasks};
+use corkspan_rpc::{ConnectionLimits, SharedExecutor};
 use corkspan_scheduler::interface::*;
 use std::sync::Arc;
 use tracing::warn;
 use v1::placement_event::Event as Reply;
 
 impl AttemptObserver for DispatcherCore {
-    fn tasks(&self) -> &Tasks {
+    fn tasks(&self) -> &SharedExecutor {
         &self.tasks
     }
 
-    fn bounds(&self) -> &Bounds {
-        &self.link_bounds
+    fn connection_limits(&self) -> &ConnectionLimits {
+        &self.connection_limits
     }
 
     fn placed_when_running(&self) -> bool {
@@ -46,9 +46,9 @@
             if late {
                 // The client has stopped waiting, so no answer is sent. The engine gets the outcome
                 // all the same.
-                engine.placed(now, id, attempt, effects);
+                engine.attempt_placed(now, id, attempt, effects);
                 self.cancel(id, engine, effects);
-            } else if engine.placed(now, id, attempt, effects)
+            } else if engine.attempt_placed(now, id, attempt, effects)
                 && let Some((client, allocation)) = engine.data_mut(id)
             {
                 client.deadline = None;
@@ -118,14 +118,14 @@
                     }
                 }
             }
-            engine.returned(
+            engine.attempt_returned(
                 now,
                 id,
                 attempt,
-                Return {
+                ReturnedAttempt {
                     ending,
                     reason,
-                    over: ended_as.is_some(),
+                    finished: ended_as.is_some(),
                     report,
                 },
                 effects,
@@ -183,7 +183,7 @@
             };
             match note {
                 Metric::Running => client.send_optional_reply(Reply::Running(v1::Running {})),
-                Metric::Served(part) => client
+                Metric::ServiceLevel(part) => client
                     .send_optional_reply(Reply::ServiceLevel(v1::ServiceLevel { fraction: part })),
                 _ => {}
             }
--- a/crates/engine/src/attempts.rs
+++ b/crates/engine/src/attempts.rs
@@ -1,7 +1,7 @@
 //! Where an allocation goes, and what follows from the outcome of an attempt.
 
 use crate::queues::RunQueue;
-use crate::{Effects, Engine, RetryBatch, Return};
+use crate::{Effects, Engine, RetryBatch, ReturnedAttempt};
 use corkspan_scheduler::interface::*;
 
 /// Unwanted entries of the run queue are dropped when it holds more than twice as many as there are
@@ -43,7 +43,7 @@
     /// Asks the scheduler where an allocation goes, also again for a deferred one.
     pub fn evaluate(&mut self, now: Ticks, id: AllocationId, effects: &mut impl Effects<T>) {
         let tracked = self.tracked.get_mut(&id);
-        let Some(tracked) = tracked.filter(|tracked| !tracked.over) else {
+        let Some(tracked) = tracked.filter(|tracked| !tracked.finished) else {
             return;
         };
         if !std::mem::replace(&mut tracked.evaluated, true) {
@@ -72,17 +72,17 @@
 
     /// Its last attempt has left only now, later than it was dispatched: a connection had to come up
     /// first.
-    pub fn attempt_left(&mut self, now: Ticks, id: AllocationId) {
+    pub fn attempt_sent(&mut self, now: Ticks, id: AllocationId) {
         let tracked = self.tracked.get(&id);
         if let Some(attempt) = tracked.and_then(|tracked| tracked.allocation.attempts.last()) {
             self.scheduler
-                .record_departure(now, attempt.machine, attempt.sent_at);
+                .record_attempt_sent(now, attempt.machine, attempt.sent_at);
         }
     }
 
     /// An attempt is placed. False where the answer is of no use: the allocation is over, or has
     /// been answered.
-    pub fn placed(
+    pub fn attempt_placed(
         &mut self,
         now: Ticks,
         id: AllocationId,
@@ -99,12 +99,12 @@
     }
 
     /// An attempt has ended. False where there is no such attempt.
-    pub fn returned(
+    pub fn attempt_returned(
         &mut self,
         now: Ticks,
         id: AllocationId,
         attempt: usize,
-        returned: Return,
+        returned: ReturnedAttempt,
         effects: &mut impl Effects<T>,
     ) -> bool {
         let Some(tracked) = self.tracked.get_mut(&id) else {
@@ -120,15 +120,15 @@
             _ => AttemptState::PossiblyExecuted,
         };
         tracked.pending_attempts = tracked.pending_attempts.saturating_sub(1);
-        let over = returned.over || tracked.over;
+        let finished = returned.finished || tracked.finished;
         let outcome = Outcome::Returned {
             ending: returned.ending,
             reason: returned.reason,
-            over,
+            finished,
             report: returned.report,
         };
         self.outcome(now, id, attempt, outcome, effects);
-        if over {
+        if finished {
             self.finish(id);
         }
         true
--- a/crates/lab/src/control_service.rs
+++ b/crates/lab/src/control_service.rs
@@ -8,7 +8,7 @@
 use corkspan_api::v1::{self, control_server};
 use corkspan_config::version::{Digest, SharedParts, VersionId};
 use corkspan_config_sync::{Publisher, PushReply, ReplyStatus, VersionPush};
-use corkspan_rpc::Tasks;
+use corkspan_rpc::SharedExecutor;
 use futures_lite::{Stream, StreamExt};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -90,7 +90,7 @@
             control_server::ControlServer::new(Service(self.clone(), Arc::clone(&world.tasks)));
         let tasks = &world.tasks;
         ControlServiceGuard(tasks.spawn(async move {
-            corkspan_rpc::serve(listener, service, corkspan_rpc::Bounds::default()).await;
+            corkspan_rpc::serve(listener, service, corkspan_rpc::ConnectionLimits::default()).await;
         }))
     }
 
@@ -264,7 +264,7 @@
     }
 }
 
-struct Service(ControlService, Tasks);
+struct Service(ControlService, SharedExecutor);
 
 #[tonic::async_trait]
 impl control_server::Control for Service {
