--- a/crates/lab/src/capture.rs
+++ b/crates/testbed/src/capture.rs
@@ -346,7 +346,7 @@
         if let Some(file) = &mut to.file {
             let written = serde_json::to_writer(&mut *file, &line).map_err(Into::into);
             if let Err(why) = written.and_then(|()| file.write_all(b"\n")) {
-                eprintln!("corkspan-lab: the capture can't be written: {why}");
+                eprintln!("corkspan-testbed: the capture can't be written: {why}");
                 to.file = None;
             }
         }
@@ -363,7 +363,7 @@
         if let Some(file) = &mut to.file
             && let Err(why) = file.flush()
         {
-            eprintln!("corkspan-lab: the capture can't be written: {why}");
+            eprintln!("corkspan-testbed: the capture can't be written: {why}");
         }
         to.lines.clone()
     }
--- a/crates/lab/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -1,9 +1,9 @@
-//! `corkspan-lab`: days of trouble, their judge, and measurements.
+//! `corkspan-testbed`: days of trouble, their judge, and measurements.
 
 use clap::{Parser, Subcommand};
 use corkspan_capacity_model::result::{self, Axis};
-use corkspan_lab::capacity::Capacity;
-use corkspan_lab::{
+use corkspan_testbed::capacity::Capacity;
+use corkspan_testbed::{
     capture, config_push_experiment::ConfigPushExperiment, hollow, judge, loads, measure::Measure,
     play::Play, process::Programs, scenario::Scenario, table::Table,
 };
@@ -13,7 +13,7 @@
 
 /// Plays days of trouble through real dispatchers and judges what crossed the sockets.
 #[derive(Parser)]
-#[command(name = "corkspan-lab", version)]
+#[command(name = "corkspan-testbed", version)]
 struct Line {
     #[command(subcommand)]
     call: Call,
@@ -179,9 +179,9 @@
         } => {
             let day = match (&file, short) {
                 (Some(file), _) => Scenario::load(file),
-                (None, true) => Scenario::read("the short day", corkspan_lab::scenario::SHORT),
+                (None, true) => Scenario::read("the short day", corkspan_testbed::scenario::SHORT),
                 (None, false) => {
-                    Scenario::read("the built-in day", corkspan_lab::scenario::BUILT_IN)
+                    Scenario::read("the built-in day", corkspan_testbed::scenario::BUILT_IN)
                 }
             };
             day.map_err(|why| why.to_string()).and_then(|day| {
@@ -284,7 +284,7 @@
     match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(why) => {
-            eprintln!("corkspan-lab: {why}");
+            eprintln!("corkspan-testbed: {why}");
             ExitCode::FAILURE
         }
     }
@@ -407,7 +407,7 @@
     };
     capacity.run(|run| {
         if let Some(path) = &json {
-            corkspan_lab::capacity::put(path, &size, run.clone())?;
+            corkspan_testbed::capacity::put(path, &size, run.clone())?;
         }
         all.insert(run);
         Ok(())
--- a/crates/lab/tests/capacity.rs
+++ b/crates/testbed/tests/capacity.rs
@@ -3,9 +3,9 @@
 
 use corkspan_api::v1::connection_traffic::Kind;
 use corkspan_capacity_model::{page, result::CapacityResult};
-use corkspan_lab::capacity::{End, Room, Setting, Stage};
-use corkspan_lab::counts;
 use corkspan_rpc::{Tasks, within};
+use corkspan_testbed::capacity::{End, Room, Setting, Stage};
+use corkspan_testbed::counts;
 use futures_lite::future;
 use std::ffi::OsString;
 use std::process::Command;
@@ -13,7 +13,7 @@
 use test_case::test_case;
 
 const PATIENCE: Duration = Duration::from_secs(60);
-const LAB: &str = env!("CARGO_BIN_EXE_corkspan-lab");
+const LAB: &str = env!("CARGO_BIN_EXE_corkspan-testbed");
 
 fn on_stage<F: Future<Output = ()>>(
     machines: u32,
--- a/crates/lab/tests/day_scripts.rs
+++ b/crates/testbed/tests/day_scripts.rs
@@ -1,8 +1,8 @@
 //! Day scripts as users have written them: each keyword is read as before, and an unknown one is
 //! refused with the same message and place (`tests/data/days`).
 
-use corkspan_lab::relay::Way;
-use corkspan_lab::scenario::{FAULT_KINDS, LINK_PEERS, LinkPeer, Scenario};
+use corkspan_testbed::relay::Way;
+use corkspan_testbed::scenario::{FAULT_KINDS, LINK_PEERS, LinkPeer, Scenario};
 use std::fmt::Write;
 use std::time::Duration;
 
--- a/crates/lab/tests/days.rs
+++ b/crates/testbed/tests/days.rs
@@ -1,11 +1,11 @@
 //! Whole days through real dispatchers, each a process of its own.
 
-use corkspan_lab::capture::{Line, Seen};
-use corkspan_lab::judge::judge;
-use corkspan_lab::play::Play;
-use corkspan_lab::process::Programs;
-use corkspan_lab::scenario::{BUILT_IN, SHORT, Scenario};
-use corkspan_lab::table::Table;
+use corkspan_testbed::capture::{Line, Seen};
+use corkspan_testbed::judge::judge;
+use corkspan_testbed::play::Play;
+use corkspan_testbed::process::Programs;
+use corkspan_testbed::scenario::{BUILT_IN, SHORT, Scenario};
+use corkspan_testbed::table::Table;
 use std::sync::{PoisonError, RwLock};
 use test_case::test_case;
 
@@ -20,7 +20,7 @@
 
 fn play_here(script: &str, seed: u64, tell: fn(String) -> String) -> Vec<Line> {
     let day = Scenario::read("day", script).unwrap_or_else(|why| panic!("{why}"));
-    let programs = Programs::of(env!("CARGO_BIN_EXE_corkspan-lab").as_ref());
+    let programs = Programs::of(env!("CARGO_BIN_EXE_corkspan-testbed").as_ref());
     let played = Play {
         day,
         seed,
--- a/crates/lab/tests/full_path/counts.rs
+++ b/crates/testbed/tests/full_path/counts.rs
@@ -6,12 +6,12 @@
     self, connection_traffic::Kind, placement_client::PlacementClient,
     versions_client::VersionsClient,
 };
-use corkspan_lab::control_service::ControlService;
-use corkspan_lab::counts::{Difference, differences, of, seen};
-use corkspan_lab::relay::Relay;
-use corkspan_lab::scenario::LinkPeer;
-use corkspan_lab::wires::Wires;
 use corkspan_rpc::{Bounds, Link};
+use corkspan_testbed::control_service::ControlService;
+use corkspan_testbed::counts::{Difference, differences, of, seen};
+use corkspan_testbed::relay::Relay;
+use corkspan_testbed::scenario::LinkPeer;
+use corkspan_testbed::wires::Wires;
 use std::net::SocketAddr;
 use std::time::Duration;
 use test_case::test_case;
--- a/crates/lab/tests/full_path/fleet.rs
+++ b/crates/testbed/tests/full_path/fleet.rs
@@ -10,12 +10,12 @@
 use corkspan_config::version::{SharedParts, VersionId};
 use corkspan_config_sync::{PersistedVersions, Version};
 use corkspan_dispatcher::version_files::save;
-use corkspan_lab::capture::{Cold, Line, Rules, Seen, Word as SaidWord};
-use corkspan_lab::control_service::{ControlService, ControlServiceGuard};
-use corkspan_lab::discovery::Discovery;
-use corkspan_lab::judge::judge;
-use corkspan_lab::relay::{Relay, Way};
 use corkspan_rpc::{Bounds, Link};
+use corkspan_testbed::capture::{Cold, Line, Rules, Seen, Word as SaidWord};
+use corkspan_testbed::control_service::{ControlService, ControlServiceGuard};
+use corkspan_testbed::discovery::Discovery;
+use corkspan_testbed::judge::judge;
+use corkspan_testbed::relay::{Relay, Way};
 use rustix::process::{Pid, Signal, kill_process};
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader};
@@ -23,7 +23,7 @@
 use std::process::{Child, Command, Output, Stdio};
 use std::time::Duration;
 
-const PROGRAM: &str = env!("CARGO_BIN_EXE_corkspan-lab");
+const PROGRAM: &str = env!("CARGO_BIN_EXE_corkspan-testbed");
 
 /// A dispatcher's process; killed when it is dropped.
 pub struct Process {
@@ -704,7 +704,7 @@
             number,
             digest: stage.texts(shots).digest(),
         };
-        corkspan_lab::control_service::version_id_message(stamp)
+        corkspan_testbed::control_service::version_id_message(stamp)
     };
     v1::VersionPush {
         version: Some(stamp(number, shots)),
--- a/crates/lab/tests/full_path/hard_cases.rs
+++ b/crates/testbed/tests/full_path/hard_cases.rs
@@ -5,7 +5,7 @@
 use corkspan_api::v1::{
     self, ended::EndReason, endpoint::State, placement_event::Event, rejected::RejectionReason,
 };
-use corkspan_lab::capture::{self, NodeState, Seen};
+use corkspan_testbed::capture::{self, NodeState, Seen};
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use std::time::{Duration, Instant};
 use test_case::test_case;
--- a/crates/lab/tests/full_path/loads.rs
+++ b/crates/testbed/tests/full_path/loads.rs
@@ -1,12 +1,15 @@
 //! What the load generator tells of a dispatcher that stands still.
 
-use corkspan_lab::loads;
 use corkspan_load_generator::tally::Outcome;
+use corkspan_testbed::loads;
 use std::time::Duration;
 
 #[test]
 fn a_dispatcher_that_stands_still_raises_the_tail_by_all_of_it_which_a_closed_loop_hides() {
-    let program = [env!("CARGO_BIN_EXE_corkspan-lab").into(), "corkspan".into()];
+    let program = [
+        env!("CARGO_BIN_EXE_corkspan-testbed").into(),
+        "corkspan".into(),
+    ];
     let pause = Duration::from_millis(1_500);
     let (open, closed) = loads::stalled(&program, pause).unwrap_or_else(|why| panic!("{why}"));
     let (open, closed) = (&open.kinds[0], &closed.kinds[0]);
--- a/crates/lab/tests/full_path/maintenance.rs
+++ b/crates/testbed/tests/full_path/maintenance.rs
@@ -5,16 +5,16 @@
 use crate::rig::*;
 use async_io::Timer;
 use corkspan_api::v1::{self, placement_client::PlacementClient, placement_event::Event};
-use corkspan_lab::capture::{Seen, Word as Said};
-use corkspan_lab::discovery::Discovery;
-use corkspan_lab::relay::{Relay, Way};
 use corkspan_rpc::{Bounds, Link};
+use corkspan_testbed::capture::{Seen, Word as Said};
+use corkspan_testbed::discovery::Discovery;
+use corkspan_testbed::relay::{Relay, Way};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::process::{Command, Output};
 use std::time::Duration;
 
-const PROGRAM: &str = env!("CARGO_BIN_EXE_corkspan-lab");
+const PROGRAM: &str = env!("CARGO_BIN_EXE_corkspan-testbed");
 
 struct Stage {
     rig: Rig,
--- a/crates/lab/tests/full_path/rig.rs
+++ b/crates/testbed/tests/full_path/rig.rs
@@ -5,11 +5,11 @@
 use corkspan_config::Deployment;
 use corkspan_dispatcher::DispatcherError;
 use corkspan_dispatcher::rollout_control::Store;
-use corkspan_lab::capture::{Capture, Line, Seen};
-use corkspan_lab::discovery::Discovery;
-use corkspan_lab::node::{Node, NodeConfig, SlowStart, World};
 use corkspan_rpc::{Bounds, Link, Tasks, within};
 use corkspan_scheduler::interface::Resources;
+use corkspan_testbed::capture::{Capture, Line, Seen};
+use corkspan_testbed::discovery::Discovery;
+use corkspan_testbed::node::{Node, NodeConfig, SlowStart, World};
 use futures_lite::future;
 use std::future::Future;
 use std::net::SocketAddr;
--- a/crates/lab/tests/full_path/rolls.rs
+++ b/crates/testbed/tests/full_path/rolls.rs
@@ -3,12 +3,12 @@
 
 use crate::rig::*;
 use corkspan_api::v1::{self, rollout::Phase, rolls_client::RollsClient};
-use corkspan_lab::capture::{self, Line, NodeState, Repeat, Seen};
-use corkspan_lab::disk::{self, DiskFull};
-use corkspan_lab::judge::judge;
-use corkspan_lab::node::VersionFault;
-use corkspan_lab::owner::{Front, Task, live};
 use corkspan_rpc::{Bounds, Link};
+use corkspan_testbed::capture::{self, Line, NodeState, Repeat, Seen};
+use corkspan_testbed::disk::{self, DiskFull};
+use corkspan_testbed::judge::judge;
+use corkspan_testbed::node::VersionFault;
+use corkspan_testbed::owner::{Front, Task, live};
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet};
@@ -276,8 +276,8 @@
     }
 }
 
-fn rules() -> corkspan_lab::capture::Rules {
-    use corkspan_lab::capture::{Cold, Rules, Track};
+fn rules() -> corkspan_testbed::capture::Rules {
+    use corkspan_testbed::capture::{Cold, Rules, Track};
     let track = Track {
         name: "web".into(),
         repeat: Repeat::Idempotent,
--- a/crates/lab/tests/full_path/stores.rs
+++ b/crates/testbed/tests/full_path/stores.rs
@@ -1,8 +1,8 @@
 //! Stores of dispatchers on a disk that fills up.
 
 use corkspan_dispatcher::rollout_control::{ReplicaPair, Store, StoredClaim};
-use corkspan_lab::disk::{self, DiskFull};
 use corkspan_rollout::ClaimId;
+use corkspan_testbed::disk::{self, DiskFull};
 
 fn held(claim: u64, won: bool, pair: Option<bool>) -> StoredClaim {
     let pair = pair.map(|retires| ReplicaPair {
--- a/crates/lab/tests/full_path/versions.rs
+++ b/crates/testbed/tests/full_path/versions.rs
@@ -8,11 +8,11 @@
 };
 use corkspan_config::version::{SharedParts, VersionId};
 use corkspan_config_sync::VersionPush;
-use corkspan_lab::config_push_experiment;
-use corkspan_lab::control_service::{
+use corkspan_rpc::{Bounds, Link};
+use corkspan_testbed::config_push_experiment;
+use corkspan_testbed::control_service::{
     ControlService, ControlServiceGuard, parse_version_id, push_message,
 };
-use corkspan_rpc::{Bounds, Link};
 use std::path::Path;
 use std::time::Duration;
 use test_case::test_case;
@@ -533,7 +533,10 @@
 #[test_case(2; "seed 2")]
 #[test_case(3; "seed 3")]
 fn of_hundreds_at_random_with_kills_what_is_in_force_is_what_was_acknowledged_last(seed: u64) {
-    let program = [env!("CARGO_BIN_EXE_corkspan-lab").into(), "corkspan".into()];
+    let program = [
+        env!("CARGO_BIN_EXE_corkspan-testbed").into(),
+        "corkspan".into(),
+    ];
     let out =
         config_push_experiment::exchange(&program, seed, 300).unwrap_or_else(|why| panic!("{why}"));
     assert!(
--- a/crates/lab/tests/hollow.rs
+++ b/crates/testbed/tests/hollow.rs
@@ -1,21 +1,21 @@
 //! Hollow dispatchers beside real ones, and days of their size in small.
 
 use corkspan_api::v1::connection_traffic::Kind;
-use corkspan_lab::capture::{DispatcherState, Line, NodeState, Seen};
-use corkspan_lab::cost::{Cost, Costs, KINDS};
-use corkspan_lab::hollow::fleet::{Fleet, Size};
-use corkspan_lab::judge::judge;
-use corkspan_lab::needs::{Limits, Needs};
-use corkspan_lab::play::Play;
-use corkspan_lab::process::Programs;
-use corkspan_lab::scenario::{NodeLocation, Scenario};
-use corkspan_lab::table::Table;
+use corkspan_testbed::capture::{DispatcherState, Line, NodeState, Seen};
+use corkspan_testbed::cost::{Cost, Costs, KINDS};
+use corkspan_testbed::hollow::fleet::{Fleet, Size};
+use corkspan_testbed::judge::judge;
+use corkspan_testbed::needs::{Limits, Needs};
+use corkspan_testbed::play::Play;
+use corkspan_testbed::process::Programs;
+use corkspan_testbed::scenario::{NodeLocation, Scenario};
+use corkspan_testbed::table::Table;
 use std::collections::BTreeSet;
 use std::time::Duration;
 use test_case::test_case;
 
 fn programs() -> Programs {
-    Programs::of(env!("CARGO_BIN_EXE_corkspan-lab").as_ref())
+    Programs::of(env!("CARGO_BIN_EXE_corkspan-testbed").as_ref())
 }
 
 fn play(script: &str) -> Result<Vec<Line>, String> {
--- a/crates/lab/tests/relay.rs
+++ b/crates/testbed/tests/relay.rs
@@ -1,8 +1,8 @@
 //! What the relay does to a link, told by the bytes at both ends.
 
 use async_net::{TcpListener, TcpStream};
-use corkspan_lab::relay::{Relay, Way};
 use corkspan_rpc::{Tasks, within};
+use corkspan_testbed::relay::{Relay, Way};
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
 use std::time::{Duration, Instant};
 use test_case::test_case;
--- a/crates/lab/tests/stand_in_node.rs
+++ b/crates/testbed/tests/stand_in_node.rs
@@ -9,10 +9,10 @@
 //! reports beside other news, and how long a cordon has been as it is.
 
 use corkspan_api::v1;
-use corkspan_lab::capture::{Capture, NodeState};
-use corkspan_lab::node::{Node, NodeConfig, SlowStart, World};
 use corkspan_rpc::{Bounds, Link, Tasks};
 use corkspan_scheduler::interface::Resources;
+use corkspan_testbed::capture::{Capture, NodeState};
+use corkspan_testbed::node::{Node, NodeConfig, SlowStart, World};
 use futures_lite::{StreamExt, future};
 use prost::Message;
 use prost::bytes::{Buf, BufMut};
--- a/crates/lab/tests/version_figures.rs
+++ b/crates/testbed/tests/version_figures.rs
@@ -1,7 +1,7 @@
 //! What is reported of versions and raises of the minimum version, from a small capture.
 
-use corkspan_lab::capture::{Line, Seen, Word};
-use corkspan_lab::version_figures::VersionFigures;
+use corkspan_testbed::capture::{Line, Seen, Word};
+use corkspan_testbed::version_figures::VersionFigures;
 
 fn offered(node: u32, dispatcher: u32, number: u32, decided: u64) -> Seen {
     Seen::Offered {
