--- a/crates/testbed/examples/asks.rs
+++ b/crates/testbed/examples/scheduling_cost.rs
@@ -1,7 +1,7 @@
 //! Prints what asks cost the decisions alone: one of them, and a second of many that wait. Virtual
 //! clock, real processor time of one thread. `--quick`: fewer virtual seconds.
 
-use corkspan_testbed::capacity::asks::{Changes, Likes, Point, Waiting, one_ask};
+use corkspan_testbed::capacity::scheduling_cost::{Changes, Likes, Point, Waiting, one_ask};
 
 fn print(place: &str, point: Option<Point>) {
     match point {
--- a/crates/testbed/src/capacity/stage.rs
+++ b/crates/testbed/src/capacity/environment.rs
@@ -1,7 +1,7 @@
 //! Real dispatchers, each a process, before stand-ins that run on a thread a role, with every link
 //! counted.
 
-use super::busy::Busy;
+use super::full_node::Busy;
 use super::kernel::{self, Ran};
 use super::meter::{self, Meter};
 use crate::capture::Capture;
@@ -496,7 +496,7 @@
                 .map_err(|why| why.to_string())?
                 .into_inner();
             for (end, kind) in KINDS {
-                let own = crate::counts::of(&word.connection_traffic, kind);
+                let own = crate::traffic::of(&word.connection_traffic, kind);
                 let own = [
                     own.bytes_in + own.bytes_out,
                     own.messages_in,
--- a/crates/testbed/src/capacity/mod.rs
+++ b/crates/testbed/src/capacity/mod.rs
@@ -2,19 +2,19 @@
 //! at a time, several places each, in rounds side by side. Real dispatchers before stand-ins; the
 //! arithmetic is `corkspan_capacity_model`'s.
 
-pub mod asks;
-mod busy;
+mod environment;
+mod full_node;
 mod kernel;
 mod meter;
-mod stage;
+pub mod scheduling_cost;
 
 use async_io::Timer;
 use corkspan_capacity_model::requirements;
 use corkspan_capacity_model::result::{Axis, CapacityResult, FleetSize, Point, Run};
 use corkspan_rpc::{Tasks, within};
+use environment::ask;
+pub use environment::{End, Held, Room, Setting, Stage, Watched};
 use futures_lite::future;
-use stage::ask;
-pub use stage::{End, Held, Room, Setting, Stage, Watched};
 use std::collections::BTreeMap;
 use std::ffi::OsString;
 use std::sync::{Arc, Mutex};
--- a/crates/testbed/src/cost.rs
+++ b/crates/testbed/src/cost.rs
@@ -1,7 +1,7 @@
 //! What dispatchers cost: processor time and memory as the kernel counts them by process, and what
 //! they counted on their links.
 
-use crate::counts::of;
+use crate::traffic::of;
 use corkspan_api::v1::{ConnectionTraffic, connection_traffic::Kind};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
--- a/crates/testbed/src/hollow/fleet.rs
+++ b/crates/testbed/src/hollow/fleet.rs
@@ -3,11 +3,11 @@
 
 use crate::capture::Seen;
 use crate::cost::{CONTROL, Cost, Costs, KINDS, between};
-use crate::play::{Play, Stage, tell_room};
 use crate::process::Programs;
+use crate::runner::{Play, Stage, tell_room};
 use crate::saturation::SaturationMonitor;
 use crate::scenario::Scenario;
-use crate::table::StandIns;
+use crate::summary::StandIns;
 use async_io::Timer;
 use clap::Args;
 use corkspan_api::v1::connection_traffic::Kind;
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -4,8 +4,8 @@
 use corkspan_capacity_model::result::{self, Axis};
 use corkspan_testbed::capacity::Capacity;
 use corkspan_testbed::{
-    capture, config_push_experiment::ConfigPushExperiment, hollow, judge, loads, measure::Measure,
-    play::Play, process::Programs, scenario::Scenario, table::Table,
+    capture, checker, config_push_experiment::ConfigPushExperiment, hollow, loads,
+    measure::Measure, process::Programs, runner::Play, scenario::Scenario, summary::Table,
 };
 use std::ffi::OsString;
 use std::path::{Path, PathBuf};
@@ -453,7 +453,7 @@
 }
 
 fn judged(lines: &[capture::Line]) -> Result<(), String> {
-    let breaches = judge::judge(lines)?;
+    let breaches = checker::judge(lines)?;
     if breaches.is_empty() {
         println!("rules                all five kept");
         return Ok(());
--- a/crates/testbed/src/node/mod.rs
+++ b/crates/testbed/src/node/mod.rs
@@ -12,11 +12,11 @@
 mod offers;
 mod quorum_member;
 mod service;
+mod shared;
 mod state;
-mod world;
 
 pub use events::EventStream;
-pub use world::{VersionFault, World};
+pub use shared::{VersionFault, World};
 
 use async_lock::{Mutex as AsyncMutex, Semaphore};
 use async_net::TcpListener;
--- a/crates/testbed/src/node/offers.rs
+++ b/crates/testbed/src/node/offers.rs
@@ -2,8 +2,8 @@
 
 use super::Node;
 use super::events::EventSender;
+use super::shared::DedupKey;
 use super::state::{PlacedAllocation, State, requested};
-use super::world::DedupKey;
 use crate::capture::{NodeState, Seen};
 use async_io::Timer;
 use corkspan_api::v1::attempt_ended::AttemptOutcome;
--- a/crates/testbed/src/process.rs
+++ b/crates/testbed/src/process.rs
@@ -2,9 +2,9 @@
 //! strikes a process strikes all dispatchers in it.
 
 use crate::capture::{DispatcherState, Seen};
+use crate::client::Front;
 use crate::cost;
-use crate::owner::Front;
-use crate::wires::Wires;
+use crate::fault_proxies::Wires;
 use async_io::Timer;
 use corkspan_rpc::within;
 use std::ffi::OsString;
--- a/crates/testbed/src/play.rs
+++ b/crates/testbed/src/runner.rs
@@ -2,16 +2,16 @@
 //! and lets the script's troubles strike.
 
 use crate::capture::{self, Capture, DispatcherState, NodeState, Repeat, Rules, Seen};
+use crate::client::{self, Front, Task};
 use crate::control_service::{ControlService, ControlServiceGuard};
 use crate::cost;
 use crate::discovery::Discovery;
-use crate::needs::{Limits, Needs};
+use crate::fault_proxies::Wires;
 use crate::node::{Node, NodeConfig, SlowStart, World};
-use crate::owner::{self, Front, Task};
 use crate::process::{Process, Programs};
+use crate::requirements::{Limits, Needs};
 use crate::saturation::SaturationMonitor;
 use crate::scenario::{FaultKind, LinkPeer, NodeLocation, Scenario, ScheduledFault};
-use crate::wires::Wires;
 use async_io::Timer;
 use corkspan_api::v1;
 use corkspan_config::version::SharedParts;
@@ -620,7 +620,7 @@
             cancels: None,
         };
         let own = Pcg64Mcg::seed_from_u64(self.rng.random());
-        let lives = owner::live(Arc::clone(&self.front), task, own, until);
+        let lives = client::live(Arc::clone(&self.front), task, own, until);
         self.front.world.tasks.spawn(async move {
             within(
                 until.saturating_duration_since(Instant::now()),
@@ -854,7 +854,7 @@
         self.front
             .world
             .tasks
-            .spawn(owner::live(Arc::clone(&self.front), task, own, until))
+            .spawn(client::live(Arc::clone(&self.front), task, own, until))
     }
 
     fn strike(&mut self, trouble: &ScheduledFault) -> Result<Vec<Undo>, String> {
--- a/crates/testbed/src/table.rs
+++ b/crates/testbed/src/summary.rs
@@ -3,7 +3,7 @@
 use crate::capture::*;
 use crate::cost::Costs;
 use crate::maintenance_figures::MaintenanceFigures;
-use crate::play::HELD;
+use crate::runner::HELD;
 use crate::version_figures::VersionFigures;
 use hdrhistogram::Histogram;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
--- a/crates/testbed/src/counts.rs
+++ b/crates/testbed/src/traffic.rs
@@ -1,8 +1,8 @@
 //! What a dispatcher counted on its links held against what relays saw pass, kind by kind. The
 //! relays know nothing of the dispatcher's counters.
 
+use crate::fault_proxies::Wires;
 use crate::scenario::{LINK_PEERS, LinkPeer};
-use crate::wires::Wires;
 use corkspan_api::v1::{self, connection_traffic::Kind};
 use std::fmt;
 
--- a/crates/testbed/tests/capacity.rs
+++ b/crates/testbed/tests/capacity.rs
@@ -5,7 +5,7 @@
 use corkspan_capacity_model::{page, result::CapacityResult};
 use corkspan_rpc::{Tasks, within};
 use corkspan_testbed::capacity::{End, Room, Setting, Stage};
-use corkspan_testbed::counts;
+use corkspan_testbed::traffic;
 use futures_lite::future;
 use std::ffi::OsString;
 use std::process::Command;
@@ -101,7 +101,7 @@
             .expect("the kernel tells");
         let status = stage.status().await.expect("it answers");
         assert_eq!((status.in_flight, status.placed), (30, 0));
-        let sent = counts::of(&status.connection_traffic, Kind::Nodes).messages_out;
+        let sent = traffic::of(&status.connection_traffic, Kind::Nodes).messages_out;
         assert!(sent <= 2 * 30, "{sent} messages went to nodes");
         drop(held);
     });
--- a/crates/testbed/tests/judge.rs
+++ b/crates/testbed/tests/checker.rs
@@ -1,7 +1,7 @@
 //! The judge must find each rule broken, by captures written for it, and nothing in a sound one.
 
 use corkspan_testbed::capture::{DispatcherState as D, NodeState as N, Word::*, *};
-use corkspan_testbed::judge::judge;
+use corkspan_testbed::checker::judge;
 use test_case::test_case;
 
 /// Times in ms make a capture easy to read.
--- a/crates/testbed/tests/full_path/fleet.rs
+++ b/crates/testbed/tests/full_path/fleet.rs
@@ -1,7 +1,7 @@
 //! The floor of versions among processes of the program, each started by its command line, with
 //! some that hear nothing of newer versions. Judged by what crossed the nodes' sockets.
 
-use crate::rig::*;
+use crate::harness::*;
 use corkspan_api::v1::node_client::NodeClient;
 use corkspan_api::v1::versions_client::VersionsClient;
 use corkspan_api::v1::{
@@ -12,9 +12,9 @@
 use corkspan_dispatcher::version_files::save;
 use corkspan_rpc::{Bounds, Link};
 use corkspan_testbed::capture::{Cold, Line, Rules, Seen, Word as SaidWord};
+use corkspan_testbed::checker::judge;
 use corkspan_testbed::control_service::{ControlService, ControlServiceGuard};
 use corkspan_testbed::discovery::Discovery;
-use corkspan_testbed::judge::judge;
 use corkspan_testbed::relay::{Relay, Way};
 use rustix::process::{Pid, Signal, kill_process};
 use std::collections::BTreeMap;
--- a/crates/testbed/tests/full_path/hard_cases.rs
+++ b/crates/testbed/tests/full_path/hard_cases.rs
@@ -1,6 +1,6 @@
 //! What goes wrong between owners, dispatcher, nodes and roster, provoked over real sockets.
 
-use crate::rig::*;
+use crate::harness::*;
 use async_io::Timer;
 use corkspan_api::v1::{
     self, ended::EndReason, endpoint::State, placement_event::Event, rejected::RejectionReason,
@@ -383,7 +383,7 @@
             }
             other => panic!("not {other:?}"),
         }
-        placed(&mut rig.ask(crate::rig::ask("sound", "web")).await).await;
+        placed(&mut rig.ask(crate::harness::ask("sound", "web")).await).await;
     });
 }
 
--- a/crates/testbed/tests/full_path/main.rs
+++ b/crates/testbed/tests/full_path/main.rs
@@ -1,11 +1,11 @@
 //! The dispatcher between owners, nodes and roster, all over real sockets on loopback.
 
-mod counts;
 mod fleet;
 mod hard_cases;
+mod harness;
 mod loads;
 mod maintenance;
-mod rig;
-mod rolls;
+mod rollouts;
 mod stores;
+mod traffic;
 mod versions;
--- a/crates/testbed/tests/full_path/maintenance.rs
+++ b/crates/testbed/tests/full_path/maintenance.rs
@@ -2,7 +2,7 @@
 //! Judged by the nodes' own doors and sockets.
 
 use crate::fleet::Process;
-use crate::rig::*;
+use crate::harness::*;
 use async_io::Timer;
 use corkspan_api::v1::{self, placement_client::PlacementClient, placement_event::Event};
 use corkspan_rpc::{Bounds, Link};
--- a/crates/testbed/tests/full_path/rolls.rs
+++ b/crates/testbed/tests/full_path/rollouts.rs
@@ -1,14 +1,14 @@
 //! Rolling updates over real sockets: the limit is counted by the judge from what copies say of
 //! themselves.
 
-use crate::rig::*;
+use crate::harness::*;
 use corkspan_api::v1::{self, rollout::Phase, rolls_client::RollsClient};
 use corkspan_rpc::{Bounds, Link};
 use corkspan_testbed::capture::{self, Line, NodeState, Repeat, Seen};
+use corkspan_testbed::checker::judge;
+use corkspan_testbed::client::{Front, Task, live};
 use corkspan_testbed::disk::{self, DiskFull};
-use corkspan_testbed::judge::judge;
 use corkspan_testbed::node::VersionFault;
-use corkspan_testbed::owner::{Front, Task, live};
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/testbed/tests/full_path/counts.rs
+++ b/crates/testbed/tests/full_path/traffic.rs
@@ -1,6 +1,6 @@
 //! What a dispatcher counts on its links, against relays and stand-ins that count by themselves.
 
-use crate::rig::*;
+use crate::harness::*;
 use async_io::Timer;
 use corkspan_api::v1::{
     self, connection_traffic::Kind, placement_client::PlacementClient,
@@ -8,10 +8,10 @@
 };
 use corkspan_rpc::{Bounds, Link};
 use corkspan_testbed::control_service::ControlService;
-use corkspan_testbed::counts::{Difference, differences, of, seen};
+use corkspan_testbed::fault_proxies::Wires;
 use corkspan_testbed::relay::Relay;
 use corkspan_testbed::scenario::LinkPeer;
-use corkspan_testbed::wires::Wires;
+use corkspan_testbed::traffic::{Difference, differences, of, seen};
 use std::net::SocketAddr;
 use std::time::Duration;
 use test_case::test_case;
--- a/crates/testbed/tests/full_path/versions.rs
+++ b/crates/testbed/tests/full_path/versions.rs
@@ -1,7 +1,7 @@
 //! Versions streamed to a running dispatcher over real sockets. What is in force is read by another
 //! way than the stream: asks of tracks that only one version names, and the operators' status.
 
-use crate::rig::*;
+use crate::harness::*;
 use corkspan_api::v1::{
     self, placement_event::Event, push_reply::Answer, rejected::RejectionReason,
     versions_client::VersionsClient,
--- a/crates/testbed/tests/hollow.rs
+++ b/crates/testbed/tests/hollow.rs
@@ -2,14 +2,14 @@
 
 use corkspan_api::v1::connection_traffic::Kind;
 use corkspan_testbed::capture::{DispatcherState, Line, NodeState, Seen};
+use corkspan_testbed::checker::judge;
 use corkspan_testbed::cost::{Cost, Costs, KINDS};
 use corkspan_testbed::hollow::fleet::{Fleet, Size};
-use corkspan_testbed::judge::judge;
-use corkspan_testbed::needs::{Limits, Needs};
-use corkspan_testbed::play::Play;
 use corkspan_testbed::process::Programs;
+use corkspan_testbed::requirements::{Limits, Needs};
+use corkspan_testbed::runner::Play;
 use corkspan_testbed::scenario::{NodeLocation, Scenario};
-use corkspan_testbed::table::Table;
+use corkspan_testbed::summary::Table;
 use std::collections::BTreeSet;
 use std::time::Duration;
 use test_case::test_case;
--- a/crates/testbed/tests/days.rs
+++ b/crates/testbed/tests/scenarios.rs
@@ -1,11 +1,11 @@
 //! Whole days through real dispatchers, each a process of its own.
 
 use corkspan_testbed::capture::{Line, Seen};
-use corkspan_testbed::judge::judge;
-use corkspan_testbed::play::Play;
+use corkspan_testbed::checker::judge;
 use corkspan_testbed::process::Programs;
+use corkspan_testbed::runner::Play;
 use corkspan_testbed::scenario::{BUILT_IN, SHORT, Scenario};
-use corkspan_testbed::table::Table;
+use corkspan_testbed::summary::Table;
 use std::sync::{PoisonError, RwLock};
 use test_case::test_case;
 
