--- a/crates/testbed/examples/scheduling_cost.rs
+++ b/crates/testbed/examples/scheduling_cost.rs
@@ -1,7 +1,9 @@
 //! Prints what asks cost the decisions alone: one of them, and a second of many that wait. Virtual
 //! clock, real processor time of one thread. `--quick`: fewer virtual seconds.
 
-use corkspan_testbed::capacity::scheduling_cost::{Changes, Likes, Point, Waiting, one_ask};
+use corkspan_testbed::capacity::scheduling_cost::{
+    Changes, Point, Similarity, WaitingRequests, request_cost,
+};
 
 fn print(place: &str, point: Option<Point>) {
     match point {
@@ -22,11 +24,11 @@
     let seconds = if quick { 2 } else { 10 };
     println!("| figure | place | x | value |\n| --- | --- | --- | --- |");
     for machines in [140, 400, 1_300, 2_600] {
-        print("machines", one_ask(machines, true, 1_000));
-        print("machines", one_ask(machines, false, 1_000));
+        print("machines", request_cost(machines, true, 1_000));
+        print("machines", request_cost(machines, false, 1_000));
     }
     for by_turns in [false, true] {
-        for likes in [Likes::Few, Likes::None] {
+        for similarity in [Similarity::Few, Similarity::None] {
             for waiting in [100, 300, 1_000, 3_000, 4_300] {
                 // Where all are looked at whole, seconds of thousands take minutes.
                 let seconds = if waiting > 300 {
@@ -47,14 +49,14 @@
                 };
                 for changes in changes {
                     let place = format!(
-                        "1,300 machines, likes: {likes:?}, by turns: {by_turns}, {changes:?}"
+                        "1,300 machines, likes: {similarity:?}, by turns: {by_turns}, {changes:?}"
                     );
                     print(
                         &place,
-                        Waiting {
+                        WaitingRequests {
                             machines: 1_300,
                             waiting,
-                            likes,
+                            similarity,
                             changes,
                             by_turns,
                         }
--- a/crates/testbed/src/capacity/environment.rs
+++ b/crates/testbed/src/capacity/environment.rs
@@ -1,14 +1,14 @@
 //! Real dispatchers, each a process, before stand-ins that run on a thread a role, with every link
 //! counted.
 
-use super::full_node::Busy;
-use super::kernel::{self, Ran};
+use super::full_node::FullNode;
+use super::kernel::{self, CpuTime};
 use super::meter::{self, Meter};
 use crate::capture::Capture;
 use crate::control_service::{ControlService, ControlServiceGuard};
 use crate::discovery::Discovery;
-use crate::measure::{self, Process, Prompt};
-use crate::node::{Node, NodeConfig, SlowStart, World};
+use crate::measure::{self, InstantNode, Process};
+use crate::node::{Node, NodeConfig, SharedContext, SlowStart};
 use async_io::Timer;
 use async_net::TcpListener;
 use corkspan_api::v1::{
@@ -28,7 +28,7 @@
 use std::time::{Duration, Instant};
 
 /// The nodes that hold wishes and floors, stand-ins that can; all others take everything at once.
-const KEEPERS: u32 = 3;
+const QUORUM_MEMBERS: u32 = 3;
 const PATIENCE: Duration = Duration::from_secs(90);
 /// Of a second: so many at a time, not all machines in one message.
 const SLICES: u32 = 10;
@@ -47,16 +47,16 @@
 /// moments.
 const APART: f64 = 0.02;
 const UNDER_WAY: f64 = 16_000.0;
-const KINDS: [(End, Kind); 4] = [
-    (End::Roster, Kind::Roster),
-    (End::Control, Kind::Control),
-    (End::Keepers, Kind::Keepers),
-    (End::Nodes, Kind::Nodes),
+const KINDS: [(Peer, Kind); 4] = [
+    (Peer::Roster, Kind::Roster),
+    (Peer::Control, Kind::Control),
+    (Peer::Keepers, Kind::Keepers),
+    (Peer::Nodes, Kind::Nodes),
 ];
 
 /// The other end of a dispatcher's link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum End {
+pub enum Peer {
     Roster,
     Control,
     Keepers,
@@ -72,7 +72,7 @@
 }
 
 impl Thread {
-    fn up() -> Result<Thread, String> {
+    fn start() -> Result<Thread, String> {
         let tasks = Tasks::default();
         let (tell, told) = std::sync::mpsc::channel();
         let (ends, ended) = async_channel::bounded::<()>(1);
@@ -94,7 +94,7 @@
 
 /// What machines have room for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Room {
+pub enum FreeCapacity {
     Plenty,
     /// The roster tells that as much is asked for as nodes accept.
     NoneByAsks,
@@ -104,25 +104,25 @@
 
 /// What the dispatchers of a stage are.
 #[derive(Clone, Copy, Debug)]
-pub struct Setting {
+pub struct EnvironmentConfig {
     pub machines: u32,
     pub dispatchers: usize,
     /// As their files tell; more than stand here where one is measured of many.
     pub schedulers: usize,
-    pub room: Room,
+    pub room: FreeCapacity,
     pub seed: u64,
 }
 
-pub struct Stage {
-    pub setting: Setting,
+pub struct Environment {
+    pub setting: EnvironmentConfig,
     pub tasks: Tasks,
-    threads: BTreeMap<End, Thread>,
+    threads: BTreeMap<Peer, Thread>,
     relays: Thread,
-    roster: Arc<Discovery>,
+    discovery: Arc<Discovery>,
     entries: Vec<v1::Endpoint>,
     control: ControlService,
     _up: ControlServiceGuard,
-    meters: BTreeMap<End, Arc<Meter>>,
+    meters: BTreeMap<Peer, Arc<Meter>>,
     owners: Vec<SocketAddr>,
     dispatchers: Vec<Process>,
     /// Goes last: the dispatchers' files.
@@ -131,10 +131,10 @@
 }
 
 /// Words of tasks that are asked for; dropped, the tasks are no longer wanted.
-pub type Held = Vec<tonic::Streaming<v1::PlacementEvent>>;
+pub type PlacementStreams = Vec<tonic::Streaming<v1::PlacementEvent>>;
 
 /// An ask of half a core.
-pub fn ask(task: &str, life_ms: u64, abandon_ms: u64) -> v1::PlacementRequest {
+pub fn placement_request(task: &str, life_ms: u64, abandon_ms: u64) -> v1::PlacementRequest {
     v1::PlacementRequest {
         placement_id: task.into(),
         task: task.into(),
@@ -184,55 +184,57 @@
     }
 }
 
-impl Stage {
-    pub async fn up(
+impl Environment {
+    pub async fn start(
         tasks: &Tasks,
         program: &[OsString],
-        setting: Setting,
-    ) -> Result<Stage, String> {
+        setting: EnvironmentConfig,
+    ) -> Result<Environment, String> {
         let mut threads = BTreeMap::new();
-        for end in [End::Roster, End::Control, End::Keepers, End::Nodes] {
-            threads.insert(end, Thread::up()?);
+        for end in [Peer::Roster, Peer::Control, Peer::Keepers, Peer::Nodes] {
+            threads.insert(end, Thread::start()?);
         }
-        let relays = Thread::up()?;
-        let world = |end| {
+        let relays = Thread::start()?;
+        let context = |end| {
             let capture = Capture::new(None).map_err(text)?;
-            Ok::<_, String>(World::new(capture, &threads[&end].tasks, None))
+            Ok::<_, String>(SharedContext::new(capture, &threads[&end].tasks, None))
         };
-        let (roster, roster_address) =
-            Discovery::start(&world(End::Roster)?).await.map_err(text)?;
-        let (control, up) = ControlService::start(&world(End::Control)?)
+        let (discovery, discovery_address) = Discovery::start(&context(Peer::Roster)?)
+            .await
+            .map_err(text)?;
+        let (control, up) = ControlService::start(&context(Peer::Control)?)
             .await
             .map_err(text)?;
         let nodes = TcpListener::bind("127.0.0.1:0").await.map_err(text)?;
         let nodes_address = nodes.local_addr().map_err(text)?;
-        let tasks_there = &threads[&End::Nodes].tasks;
-        if setting.room == Room::NoneByUse {
-            let served = corkspan_rpc::serve(nodes, NodeServer::new(Busy), Bounds::default());
+        let tasks_there = &threads[&Peer::Nodes].tasks;
+        if setting.room == FreeCapacity::NoneByUse {
+            let served = corkspan_rpc::serve(nodes, NodeServer::new(FullNode), Bounds::default());
             tasks_there
                 .spawn(async move { drop(served.await) })
                 .detach();
         } else {
-            let served = corkspan_rpc::serve(nodes, NodeServer::new(Prompt), Bounds::default());
+            let served =
+                corkspan_rpc::serve(nodes, NodeServer::new(InstantNode), Bounds::default());
             tasks_there
                 .spawn(async move { drop(served.await) })
                 .detach();
         }
         let mut meters = BTreeMap::new();
-        let mut metered = async |end: End, to: SocketAddr| {
+        let mut metered = async |end: Peer, to: SocketAddr| {
             let (address, meter) = meter::relay(&relays.tasks, to).await.map_err(text)?;
             meters.insert(end, meter);
             Ok::<_, String>(address)
         };
-        let roster_there = metered(End::Roster, roster_address).await?;
-        let control_there = metered(End::Control, control.address).await?;
-        let nodes_there = metered(End::Nodes, nodes_address).await?;
+        let discovery_there = metered(Peer::Roster, discovery_address).await?;
+        let control_there = metered(Peer::Control, control.address).await?;
+        let nodes_there = metered(Peer::Nodes, nodes_address).await?;
         // Keepers have a relay each, and one meter.
-        let keepers_world = world(End::Keepers)?;
+        let keepers_world = context(Peer::Keepers)?;
         let keepers_meter = Arc::new(Meter::default());
         let mut entries = Vec::new();
         for id in 0..setting.machines {
-            let address = match id < KEEPERS {
+            let address = match id < QUORUM_MEMBERS {
                 true => {
                     let node = Node::new(keeper(id, setting.seed), &keepers_world);
                     let at = node.start_process(false).await.map_err(text)?;
@@ -245,10 +247,10 @@
             };
             // Full by asks: what nodes accept is twice the cores and one and a half times the
             // memory of a machine.
-            let full = setting.room == Room::NoneByAsks;
+            let full = setting.room == FreeCapacity::NoneByAsks;
             let (cores, memory) = if full { (-64.0, -128.0) } else { (30.0, 30.0) };
             // Keepers' stand-ins would take some.
-            let (cores, memory) = if setting.room == Room::Plenty || id >= KEEPERS {
+            let (cores, memory) = if setting.room == FreeCapacity::Plenty || id >= QUORUM_MEMBERS {
                 (cores, memory)
             } else {
                 (-64.0, -128.0)
@@ -256,13 +258,13 @@
             let unasked = Some(v1::Resources { cores, memory });
             entries.push(v1::Endpoint {
                 unreserved: unasked,
-                ..measure::entry(id, address)
+                ..measure::endpoint(id, address)
             });
         }
-        meters.insert(End::Keepers, keepers_meter);
+        meters.insert(Peer::Keepers, keepers_meter);
         entries
             .iter()
-            .for_each(|entry| roster.update(Duration::ZERO, entry.clone()));
+            .for_each(|entry| discovery.update(Duration::ZERO, entry.clone()));
         let folder = tempfile::tempdir().map_err(text)?;
         let (mut dispatchers, mut owners, mut texts) = (Vec::new(), Vec::new(), None);
         let owners_meter = Arc::new(Meter::default());
@@ -277,7 +279,7 @@
                  (control \"{control_there}\") (versions {versions:?}) (floor (every 2 s)) (seed {})",
                 setting.seed
             );
-            let file = measure::deployment(roster_there, &more)
+            let file = measure::deployment(discovery_there, &more)
                 .replace("(number 0)", &format!("(number {number})"))
                 .replace(
                     "(schedulers 1)",
@@ -290,13 +292,13 @@
             owners.push(there.map_err(text)?);
             dispatchers.push(process);
         }
-        meters.insert(End::Owners, owners_meter);
-        let stage = Stage {
+        meters.insert(Peer::Owners, owners_meter);
+        let environment = Environment {
             setting,
             tasks: Arc::clone(tasks),
             threads,
             relays,
-            roster,
+            discovery,
             entries,
             control,
             _up: up,
@@ -306,16 +308,16 @@
             _folder: folder,
             texts: texts.ok_or("no dispatcher is asked for")?,
         };
-        stage.until_ready().await?;
-        Ok(stage)
+        environment.wait_until_ready().await?;
+        Ok(environment)
     }
 
     /// All know all machines and have their stream of versions.
-    async fn until_ready(&self) -> Result<(), String> {
+    async fn wait_until_ready(&self) -> Result<(), String> {
         let ready = async {
             for process in &self.dispatchers {
                 let mut client =
-                    PlacementClient::new(measure::link(&self.tasks, process.address).await?);
+                    PlacementClient::new(measure::connect(&self.tasks, process.address).await?);
                 loop {
                     let word = client
                         .status(v1::StatusRequest {})
@@ -339,7 +341,7 @@
 
     pub async fn status(&self) -> Result<v1::StatusResponse, String> {
         let mut client =
-            PlacementClient::new(measure::link(&self.tasks, self.dispatchers[0].address).await?);
+            PlacementClient::new(measure::connect(&self.tasks, self.dispatchers[0].address).await?);
         let word = client
             .status(v1::StatusRequest {})
             .await
@@ -348,18 +350,18 @@
     }
 
     /// A link to the first dispatcher, as owners have it.
-    pub async fn owner(&self) -> Result<PlacementClient<Link>, String> {
+    pub async fn client(&self) -> Result<PlacementClient<Link>, String> {
         Ok(PlacementClient::new(
-            measure::link(&self.tasks, self.owners[0]).await?,
+            measure::connect(&self.tasks, self.owners[0]).await?,
         ))
     }
 
     /// So many asks that nobody ends; dropped, they are no longer wanted.
-    pub async fn wait(&self, many: usize) -> Result<Held, String> {
-        let client = self.owner().await?;
+    pub async fn request_tasks(&self, many: usize) -> Result<PlacementStreams, String> {
+        let client = self.client().await?;
         let mut held = Vec::new();
         for number in 0..many {
-            let ask = ask(&format!("waits{number}"), 3_600_000, 600_000);
+            let ask = placement_request(&format!("waits{number}"), 3_600_000, 600_000);
             held.push(
                 client
                     .clone()
@@ -373,14 +375,20 @@
     }
 
     /// So many owners that each ask again a while after they were refused, until dropped.
-    pub async fn return_again(&self, many: usize) -> Result<Vec<async_executor::Task<()>>, String> {
-        let client = self.owner().await?;
+    pub async fn request_repeatedly(
+        &self,
+        many: usize,
+    ) -> Result<Vec<async_executor::Task<()>>, String> {
+        let client = self.client().await?;
         let owner = |number: usize| {
             let mut client = client.clone();
             self.tasks.spawn(async move {
                 for turn in 0u64.. {
-                    let placed =
-                        client.place(ask(&format!("returns{number}-{turn}"), 3_600_000, 600_000));
+                    let placed = client.place(placement_request(
+                        &format!("returns{number}-{turn}"),
+                        3_600_000,
+                        600_000,
+                    ));
                     if let Ok(words) = placed.await {
                         let mut words = words.into_inner();
                         while let Ok(Some(_)) = words.message().await {}
@@ -393,10 +401,10 @@
     }
 
     /// Tells each machine's room every so often, a slice of the machines at a time, until dropped.
-    pub fn tell_room(&self, every: Duration) -> async_executor::Task<()> {
-        let (roster, entries) = (Arc::clone(&self.roster), self.entries.clone());
+    pub fn report_capacity(&self, every: Duration) -> async_executor::Task<()> {
+        let (discovery, entries) = (Arc::clone(&self.discovery), self.entries.clone());
         let mut rng = Pcg64Mcg::seed_from_u64(self.setting.seed);
-        self.threads[&End::Roster].tasks.spawn(async move {
+        self.threads[&Peer::Roster].tasks.spawn(async move {
             let mut due = Instant::now();
             loop {
                 for slice in 0..SLICES {
@@ -406,7 +414,7 @@
                         let (cores, memory) =
                             (rng.random_range(1.0..60.0), rng.random_range(1.0..200.0));
                         let unasked = Some(v1::Resources { cores, memory });
-                        roster.update(
+                        discovery.update(
                             Duration::ZERO,
                             v1::Endpoint {
                                 unreserved: unasked,
@@ -420,13 +428,13 @@
     }
 
     /// Tells each machine's room once, and how many lines that was.
-    pub fn tell_once(&self, cores: f64) -> u64 {
+    pub fn report_capacity_once(&self, cores: f64) -> u64 {
         for entry in &self.entries {
             let unasked = Some(v1::Resources {
                 cores,
                 memory: cores,
             });
-            self.roster.update(
+            self.discovery.update(
                 Duration::ZERO,
                 v1::Endpoint {
                     unreserved: unasked,
@@ -438,12 +446,12 @@
     }
 
     /// Bytes so far, both ways, on links of all dispatchers that end there.
-    pub fn bytes(&self, end: End) -> u64 {
+    pub fn bytes(&self, end: Peer) -> u64 {
         self.meters[&end].bytes()
     }
 
     /// What a step brings on those links, once no more comes.
-    pub async fn brings(&self, end: End, step: impl FnOnce()) -> u64 {
+    pub async fn bytes_caused_by(&self, end: Peer, step: impl FnOnce()) -> u64 {
         let before = self.bytes(end);
         step();
         let (mut last, mut still) = (before, 0);
@@ -467,7 +475,7 @@
     }
 
     /// Until each has answered that it is in force.
-    pub async fn until_in_force(&self, stamp: VersionId) -> Result<(), String> {
+    pub async fn wait_until_active(&self, stamp: VersionId) -> Result<(), String> {
         let many = self.dispatchers.len() as u32;
         let all = async {
             while !(0..many).all(|who| self.control.running(who) == Some(stamp)) {
@@ -481,22 +489,22 @@
 
     /// What dispatchers counted themselves, all together; none where they are too many to ask
     /// beside a watch.
-    async fn counted(&self) -> Result<Option<BTreeMap<End, [u64; 3]>>, String> {
+    async fn counted(&self) -> Result<Option<BTreeMap<Peer, [u64; 3]>>, String> {
         if self.dispatchers.len() > ASKED {
             return Ok(None);
         }
-        let mut sums: BTreeMap<End, [u64; 3]> =
+        let mut sums: BTreeMap<Peer, [u64; 3]> =
             KINDS.iter().map(|(end, _)| (*end, [0; 3])).collect();
         for process in &self.dispatchers {
             let mut client =
-                PlacementClient::new(measure::link(&self.tasks, process.address).await?);
+                PlacementClient::new(measure::connect(&self.tasks, process.address).await?);
             let word = client
                 .status(v1::StatusRequest {})
                 .await
                 .map_err(|why| why.to_string())?
                 .into_inner();
             for (end, kind) in KINDS {
-                let own = crate::traffic::of(&word.connection_traffic, kind);
+                let own = crate::traffic::traffic_of(&word.connection_traffic, kind);
                 let own = [
                     own.bytes_in + own.bytes_out,
                     own.messages_in,
@@ -548,7 +556,7 @@
     }
 
     /// Links that dispatchers ever opened, by their other end.
-    pub fn opened(&self) -> BTreeMap<End, u64> {
+    pub fn opened(&self) -> BTreeMap<Peer, u64> {
         self.meters
             .iter()
             .map(|(end, meter)| (*end, meter.opened()))
@@ -556,7 +564,7 @@
     }
 }
 
-impl Drop for Stage {
+impl Drop for Environment {
     /// The dispatchers end first and the threads go on for a moment, so that relays and stand-ins
     /// see their links end and close them: hundreds of descriptors a place were left open.
     fn drop(&mut self) {
@@ -566,13 +574,13 @@
 }
 
 struct Look {
-    counted: Option<BTreeMap<End, [u64; 3]>>,
+    counted: Option<BTreeMap<Peer, [u64; 3]>>,
     at: Instant,
-    dispatchers: Vec<Ran>,
-    threads: BTreeMap<End, Ran>,
-    relays: Ran,
+    dispatchers: Vec<CpuTime>,
+    threads: BTreeMap<Peer, CpuTime>,
+    relays: CpuTime,
     ticks: (u64, u64),
-    bytes: BTreeMap<End, u64>,
+    bytes: BTreeMap<Peer, u64>,
 }
 
 /// What a while came to.
@@ -580,14 +588,14 @@
 pub struct Watched {
     pub seconds: f64,
     /// Bytes a second, both ways, by link's end, of all dispatchers together.
-    pub bytes: BTreeMap<End, f64>,
+    pub bytes: BTreeMap<Peer, f64>,
     /// Percent of a core, of one dispatcher.
     pub core: f64,
     /// Percent of a core, of the stand-ins' threads.
-    pub threads: BTreeMap<End, f64>,
+    pub threads: BTreeMap<Peer, f64>,
     pub mib: f64,
     /// Bytes, messages in and messages out a second, as the dispatchers counted them themselves.
-    pub counted: Option<BTreeMap<End, [f64; 3]>>,
+    pub counted: Option<BTreeMap<Peer, [f64; 3]>>,
     pub spoilt: Vec<String>,
 }
 
@@ -597,11 +605,11 @@
         let percent = |ran: u64| ran as f64 / 1e7 / seconds;
         let many = before.dispatchers.len().max(1) as f64;
         let own = std::iter::zip(&after.dispatchers, &before.dispatchers).map(|(a, b)| a.since(*b));
-        let own = own.fold(Ran::default(), |sum, own| Ran {
+        let own = own.fold(CpuTime::default(), |sum, own| CpuTime {
             ran: sum.ran + own.ran,
             waited: sum.waited + own.waited,
         });
-        let threads: BTreeMap<End, f64> = (after.threads.iter())
+        let threads: BTreeMap<Peer, f64> = (after.threads.iter())
             .map(|(end, ran)| (*end, percent(ran.since(before.threads[end]).ran)))
             .collect();
         let mut spoilt = Vec::new();
@@ -634,7 +642,7 @@
                 100.0 * stolen as f64 / all as f64
             ));
         }
-        let bytes: BTreeMap<End, f64> = (after.bytes.iter())
+        let bytes: BTreeMap<Peer, f64> = (after.bytes.iter())
             .map(|(end, bytes)| (*end, (bytes - before.bytes[end]) as f64 / seconds))
             .collect();
         let counted = after
@@ -642,14 +650,14 @@
             .as_ref()
             .zip(before.counted.as_ref())
             .map(|(after, before)| {
-                let rates = |end: &End| {
+                let rates = |end: &Peer| {
                     let (after, before) = (after[end], before[end]);
                     [0, 1, 2].map(|which| (after[which] - before[which]) as f64 / seconds)
                 };
                 after
                     .keys()
                     .map(|end| (*end, rates(end)))
-                    .collect::<BTreeMap<End, [f64; 3]>>()
+                    .collect::<BTreeMap<Peer, [f64; 3]>>()
             });
         for (end, [own, ..]) in counted.iter().flatten() {
             if (own - bytes[end]).abs() > bytes[end] * APART + UNDER_WAY / seconds {
@@ -672,7 +680,7 @@
 
     /// Of control, of one dispatcher: all but owners and what nodes are offered.
     pub fn control_bytes(&self, dispatchers: usize) -> f64 {
-        let control = [End::Roster, End::Control, End::Keepers, End::Nodes];
+        let control = [Peer::Roster, Peer::Control, Peer::Keepers, Peer::Nodes];
         control.iter().map(|end| self.bytes[end]).sum::<f64>() / dispatchers.max(1) as f64
     }
 }
--- a/crates/testbed/src/capacity/full_node.rs
+++ b/crates/testbed/src/capacity/full_node.rs
@@ -12,12 +12,12 @@
 };
 
 #[derive(Clone)]
-pub struct Busy;
+pub struct FullNode;
 
 type Words = Pin<Box<dyn Stream<Item = Result<v1::AttemptEvent, Status>> + Send>>;
 
 #[tonic::async_trait]
-impl v1::node_server::Node for Busy {
+impl v1::node_server::Node for FullNode {
     type OfferStream = Words;
     type AttendStream = Words;
 
--- a/crates/testbed/src/capacity/kernel.rs
+++ b/crates/testbed/src/capacity/kernel.rs
@@ -6,37 +6,37 @@
 
 /// Time on a processor and time waited for one, in ns.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Ran {
+pub struct CpuTime {
     pub ran: u64,
     pub waited: u64,
 }
 
-impl Ran {
-    pub fn since(self, before: Ran) -> Ran {
-        Ran {
+impl CpuTime {
+    pub fn since(self, before: CpuTime) -> CpuTime {
+        CpuTime {
             ran: self.ran.saturating_sub(before.ran),
             waited: self.waited.saturating_sub(before.waited),
         }
     }
 }
 
-fn schedstat(path: &Path) -> Option<Ran> {
+fn schedstat(path: &Path) -> Option<CpuTime> {
     let text = fs::read_to_string(path).ok()?;
     let mut fields = text.split_whitespace().map(|field| field.parse().ok());
-    Some(Ran {
+    Some(CpuTime {
         ran: fields.next()??,
         waited: fields.next()??,
     })
 }
 
 /// Of all threads of a process that live now.
-pub fn process(id: u32) -> Result<Ran, String> {
+pub fn process(id: u32) -> Result<CpuTime, String> {
     let threads =
         fs::read_dir(format!("/proc/{id}/task")).map_err(|why| format!("process {id}: {why}"))?;
     let each = threads
         .flatten()
         .filter_map(|thread| schedstat(&thread.path().join("schedstat")));
-    Ok(each.fold(Ran::default(), |sum, own| Ran {
+    Ok(each.fold(CpuTime::default(), |sum, own| CpuTime {
         ran: sum.ran + own.ran,
         waited: sum.waited + own.waited,
     }))
@@ -49,7 +49,7 @@
 }
 
 /// Of one thread of this process.
-pub fn thread(id: i32) -> Result<Ran, String> {
+pub fn thread(id: i32) -> Result<CpuTime, String> {
     let path = format!("/proc/self/task/{id}/schedstat");
     schedstat(Path::new(&path)).ok_or_else(|| format!("the kernel does not tell {path}"))
 }
--- a/crates/testbed/src/capacity/mod.rs
+++ b/crates/testbed/src/capacity/mod.rs
@@ -12,8 +12,10 @@
 use corkspan_capacity_model::requirements;
 use corkspan_capacity_model::result::{Axis, CapacityResult, FleetSize, Point, Run};
 use corkspan_rpc::{Tasks, within};
-use environment::ask;
-pub use environment::{End, Held, Room, Setting, Stage, Watched};
+use environment::placement_request;
+pub use environment::{
+    Environment, EnvironmentConfig, FreeCapacity, Peer, PlacementStreams, Watched,
+};
 use futures_lite::future;
 use std::collections::BTreeMap;
 use std::ffi::OsString;
@@ -225,12 +227,16 @@
             }
             (Axis::Tasks, "held") => future::block_on(tasks.clone().run(self.held(tasks, at))),
             (Axis::Tasks, _) => future::block_on(tasks.clone().run(self.starts(tasks, at))),
-            (Axis::Waiting, "full by asks") => {
-                future::block_on(tasks.clone().run(self.waiting(tasks, at, Room::NoneByAsks)))
-            }
-            (Axis::Waiting, _) => {
-                future::block_on(tasks.clone().run(self.waiting(tasks, at, Room::NoneByUse)))
-            }
+            (Axis::Waiting, "full by asks") => future::block_on(tasks.clone().run(self.waiting(
+                tasks,
+                at,
+                FreeCapacity::NoneByAsks,
+            ))),
+            (Axis::Waiting, _) => future::block_on(tasks.clone().run(self.waiting(
+                tasks,
+                at,
+                FreeCapacity::NoneByUse,
+            ))),
             (Axis::Versions, _) => future::block_on(tasks.clone().run(self.versions(tasks, at))),
         };
         let measured = measured
@@ -257,31 +263,32 @@
         })
     }
 
-    fn setting(&self, machines: u32, dispatchers: usize) -> Setting {
+    fn setting(&self, machines: u32, dispatchers: usize) -> EnvironmentConfig {
         let schedulers = dispatchers.max(self.size.dispatchers as usize);
-        Setting {
+        EnvironmentConfig {
             machines,
             dispatchers,
             schedulers,
-            room: Room::Plenty,
+            room: FreeCapacity::Plenty,
             seed: self.seed,
         }
     }
 
     async fn machines(&self, tasks: Tasks, at: f64) -> Result<Measured, String> {
-        let stage = Stage::up(&tasks, &self.program, self.setting(at as u32, 1)).await?;
+        let environment =
+            Environment::start(&tasks, &self.program, self.setting(at as u32, 1)).await?;
         Timer::after(SETTLE).await;
         let mut out = Measured::default();
-        let quiet = stage.watch(self.watch).await?;
-        let telling = stage.tell_room(Duration::from_secs(1));
+        let quiet = environment.watch(self.watch).await?;
+        let telling = environment.report_capacity(Duration::from_secs(1));
         Timer::after(Duration::from_secs(1)).await;
-        let told = stage.watch(self.watch).await?;
+        let told = environment.watch(self.watch).await?;
         drop(telling);
         for (name, watched) in [("quiet", &quiet), ("told", &told)] {
             out.put(&format!("{name}, bytes/s"), watched.control_bytes(1));
             out.put(&format!("{name}, core %"), watched.core);
             out.spoils(name, watched);
-            for end in [End::Roster, End::Keepers, End::Control, End::Nodes] {
+            for end in [Peer::Roster, Peer::Keepers, Peer::Control, Peer::Nodes] {
                 let kind = format!("{end:?}").to_lowercase();
                 out.put(&format!("{name}, {kind}, bytes/s"), watched.bytes[&end]);
                 if let Some([bytes, came, went]) =
@@ -292,43 +299,48 @@
                 }
             }
         }
-        out.put("roster, bytes/s", told.bytes[&End::Roster]);
-        out.put("roster's thread, core %", told.threads[&End::Roster]);
-        out.put("told, bytes a line", told.bytes[&End::Roster] / at);
+        out.put("roster, bytes/s", told.bytes[&Peer::Roster]);
+        out.put("roster's thread, core %", told.threads[&Peer::Roster]);
+        out.put("told, bytes a line", told.bytes[&Peer::Roster] / at);
         out.put("memory, MiB", told.mib);
         Ok(out)
     }
 
     async fn dispatchers(&self, tasks: Tasks, at: f64) -> Result<Measured, String> {
         let many = at as usize;
-        let stage = Stage::up(&tasks, &self.program, self.setting(FEW_MACHINES, many)).await?;
+        let environment =
+            Environment::start(&tasks, &self.program, self.setting(FEW_MACHINES, many)).await?;
         Timer::after(SETTLE).await;
         let mut out = Measured::default();
-        let telling = stage.tell_room(ROOM_EVERY);
+        let telling = environment.report_capacity(ROOM_EVERY);
         Timer::after(Duration::from_secs(1)).await;
-        let told = stage.watch(self.watch).await?;
+        let told = environment.watch(self.watch).await?;
         drop(telling);
         out.spoils("told", &told);
         out.put("told, bytes/s", told.control_bytes(many));
         out.put("core %", told.core);
         out.put("memory, MiB", told.mib);
-        for end in [End::Roster, End::Keepers, End::Control] {
+        for end in [Peer::Roster, Peer::Keepers, Peer::Control] {
             let kind = format!("{end:?}").to_lowercase();
             out.put(&format!("{kind}, bytes/s"), told.bytes[&end]);
             out.put(
                 &format!(
                     "{kind}{} thread, core %",
-                    if end == End::Keepers { "'" } else { "'s" }
+                    if end == Peer::Keepers { "'" } else { "'s" }
                 ),
                 told.threads[&end],
             );
         }
         // The first is taken whole by each; the next are changes.
-        stage.until_in_force(stage.publish(0)).await?;
+        environment
+            .wait_until_active(environment.publish(0))
+            .await?;
         let mut slowest: f64 = 0.0;
         for which in 1..=3 {
             let began = Instant::now();
-            stage.until_in_force(stage.publish(which)).await?;
+            environment
+                .wait_until_active(environment.publish(which))
+                .await?;
             slowest = slowest.max(began.elapsed().as_secs_f64());
         }
         out.put("in force, s", slowest);
@@ -336,39 +348,39 @@
     }
 
     async fn held(&self, tasks: Tasks, at: f64) -> Result<Measured, String> {
-        let stage = Stage::up(
+        let environment = Environment::start(
             &tasks,
             &self.program,
             self.setting(self.size.machines as u32, 1),
         )
         .await?;
-        let mut words = stage.wait(at as usize).await?;
+        let mut words = environment.request_tasks(at as usize).await?;
         for own in &mut words {
             let word = within(Duration::from_secs(60), own.message()).await;
             word.ok_or("a task is not placed in 60 s")?
                 .map_err(|why| why.to_string())?;
         }
         Timer::after(SETTLE).await;
-        let watched = stage.watch(self.watch).await?;
+        let watched = environment.watch(self.watch).await?;
         let mut out = Measured::default();
         out.spoils("held", &watched);
         out.put("core %", watched.core);
         out.put("memory, MiB", watched.mib);
         out.put("bytes/s", watched.control_bytes(1));
-        out.put("in hand", stage.status().await?.in_flight as f64);
+        out.put("in hand", environment.status().await?.in_flight as f64);
         Ok(out)
     }
 
     async fn starts(&self, tasks: Tasks, at: f64) -> Result<Measured, String> {
-        let stage = Stage::up(
+        let environment = Environment::start(
             &tasks,
             &self.program,
             self.setting(self.size.machines as u32, 1),
         )
         .await?;
-        let client = stage.owner().await?;
+        let client = environment.client().await?;
         let late: Arc<Mutex<Vec<Duration>>> = Arc::default();
-        let before = stage.status().await?;
+        let before = environment.status().await?;
         let asking = {
             let (tasks, late, apart) = (
                 tasks.clone(),
@@ -387,7 +399,7 @@
                     tasks
                         .spawn(async move {
                             let placed = client
-                                .place(ask(&format!("start{number}"), 1, 10_000))
+                                .place(placement_request(&format!("start{number}"), 1, 10_000))
                                 .await;
                             let Ok(words) = placed else { return };
                             let mut words = words.into_inner();
@@ -398,9 +410,9 @@
             })
         };
         Timer::after(SETTLE).await;
-        let began = stage.status().await?;
-        let watched = stage.watch(self.watch).await?;
-        let ended = stage.status().await?;
+        let began = environment.status().await?;
+        let watched = environment.watch(self.watch).await?;
+        let ended = environment.status().await?;
         drop(asking);
         let mut out = Measured::default();
         out.spoils("starts", &watched);
@@ -421,11 +433,14 @@
         out.put("core us a start", watched.core * 1e4 / placed.max(1.0));
         out.put(
             "nodes, bytes/s",
-            watched.bytes[&End::Nodes] + watched.bytes[&End::Keepers],
+            watched.bytes[&Peer::Nodes] + watched.bytes[&Peer::Keepers],
         );
-        out.put("owners, bytes/s", watched.bytes[&End::Owners]);
+        out.put("owners, bytes/s", watched.bytes[&Peer::Owners]);
         out.put("placed a second", placed);
-        out.put("links to nodes opened", stage.opened()[&End::Nodes] as f64);
+        out.put(
+            "links to nodes opened",
+            environment.opened()[&Peer::Nodes] as f64,
+        );
         out.put(
             "asked before it was watched",
             (began.requested - before.requested) as f64,
@@ -434,27 +449,27 @@
         Ok(out)
     }
 
-    async fn waiting(&self, tasks: Tasks, at: f64, room: Room) -> Result<Measured, String> {
-        let setting = Setting {
+    async fn waiting(&self, tasks: Tasks, at: f64, room: FreeCapacity) -> Result<Measured, String> {
+        let setting = EnvironmentConfig {
             room,
             ..self.setting(self.size.machines as u32, 1)
         };
-        let stage = Stage::up(&tasks, &self.program, setting).await?;
+        let environment = Environment::start(&tasks, &self.program, setting).await?;
         let many = at as usize;
         let (mut held, mut owners) = (Vec::new(), Vec::new());
         match room {
             // Some of these are offered until the dispatcher has heard of enough machines, and come
             // back refused.
-            Room::NoneByUse => owners = stage.return_again(many).await?,
-            _ => held = stage.wait(many).await?,
+            FreeCapacity::NoneByUse => owners = environment.request_repeatedly(many).await?,
+            _ => held = environment.request_tasks(many).await?,
         }
         Timer::after(SETTLE * 2).await;
-        let before = stage.status().await?;
-        let watched = stage.watch(self.watch).await?;
-        let status = stage.status().await?;
+        let before = environment.status().await?;
+        let watched = environment.watch(self.watch).await?;
+        let status = environment.status().await?;
         let mut out = Measured::default();
         out.spoils("waiting", &watched);
-        let least = if room == Room::NoneByUse {
+        let least = if room == FreeCapacity::NoneByUse {
             at * 0.8
         } else {
             at
@@ -478,8 +493,11 @@
     }
 
     async fn versions(&self, tasks: Tasks, at: f64) -> Result<Measured, String> {
-        let stage = Stage::up(&tasks, &self.program, self.setting(FEW_MACHINES, 1)).await?;
-        stage.until_in_force(stage.publish(0)).await?;
+        let environment =
+            Environment::start(&tasks, &self.program, self.setting(FEW_MACHINES, 1)).await?;
+        environment
+            .wait_until_active(environment.publish(0))
+            .await?;
         Timer::after(SETTLE).await;
         let pushes = async {
             if at == 0.0 {
@@ -489,17 +507,17 @@
             for which in 1u64.. {
                 due += apart;
                 Timer::at(due).await;
-                stage.publish(which);
+                environment.publish(which);
             }
             Err(String::new())
         };
-        let watched = future::or(stage.watch(self.watch), pushes).await?;
+        let watched = future::or(environment.watch(self.watch), pushes).await?;
         let mut out = Measured::default();
         out.spoils("versions", &watched);
         out.put("core %", watched.core);
-        out.put("control, bytes/s", watched.bytes[&End::Control]);
-        out.put("control's thread, core %", watched.threads[&End::Control]);
-        out.put("keepers, bytes/s", watched.bytes[&End::Keepers]);
+        out.put("control, bytes/s", watched.bytes[&Peer::Control]);
+        out.put("control's thread, core %", watched.threads[&Peer::Control]);
+        out.put("keepers, bytes/s", watched.bytes[&Peer::Keepers]);
         Ok(out)
     }
 }
--- a/crates/testbed/src/capacity/scheduling_cost.rs
+++ b/crates/testbed/src/capacity/scheduling_cost.rs
@@ -34,7 +34,7 @@
 
 /// How unlike those that wait are.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Likes {
+pub enum Similarity {
     /// Of five services.
     Few,
     /// Each of its own service and need.
@@ -54,7 +54,7 @@
 }
 
 /// Processor time of this thread, in seconds. None where the system doesn't tell.
-fn spent() -> Option<f64> {
+fn thread_time_s() -> Option<f64> {
     let told = std::fs::read_to_string("/proc/thread-self/schedstat").ok()?;
     told.split_whitespace()
         .next()?
@@ -113,7 +113,7 @@
     (0..machines).map(entry).collect()
 }
 
-fn asked(service: u64, asks: Resources, abandon: Ticks) -> AllocationRequest {
+fn request(service: u64, asks: Resources, abandon: Ticks) -> AllocationRequest {
     let track = ServiceClassId(service as usize % 2);
     AllocationRequest {
         service: ServiceId(service),
@@ -129,7 +129,7 @@
 
 /// The time of one ask, in the mean over `least` of them or more: in vain, or one that finds a
 /// machine.
-pub fn one_ask(machines: u32, in_vain: bool, least: u64) -> Option<Point> {
+pub fn request_cost(machines: u32, in_vain: bool, least: u64) -> Option<Point> {
     let mut scheduler = Scheduler::new(cluster(), 1, 0);
     scheduler.apply_endpoint_list(ListUpdate::Cached, &entries(machines));
     let unused = if in_vain { CRAMPED } else { ROOMY };
@@ -152,10 +152,13 @@
             memory: 0.1,
         }
     };
-    let (mut now, since) = (2 * SECOND, spent()?);
+    let (mut now, since) = (2 * SECOND, thread_time_s()?);
     let (mut answered, mut asks) = (0, 0);
     // One that goes out stays: too many would fill the machines.
-    while asks < least || in_vain && asks % 1_000 != 0 || in_vain && spent()? - since < LEAST {
+    while asks < least
+        || in_vain && asks % 1_000 != 0
+        || in_vain && thread_time_s()? - since < LEAST
+    {
         let number = asks;
         asks += 1;
         // Reports must not be old before all have been asked for.
@@ -166,7 +169,7 @@
             tenant,
             requested,
             deadline,
-        } = asked(number % SERVICES, size, now + 10 * SECOND);
+        } = request(number % SERVICES, size, now + 10 * SECOND);
         let id = AllocationId(number);
         let allocation = Allocation {
             id,
@@ -181,7 +184,7 @@
         answered +=
             u64::from((scheduler.place(now, &allocation) == Placement::Deferred) == in_vain);
     }
-    let value = (spent()? - since) * 1e6 / asks as f64;
+    let value = (thread_time_s()? - since) * 1e6 / asks as f64;
     let figure = if in_vain {
         "one ask in vain"
     } else {
@@ -224,10 +227,10 @@
 }
 
 /// A dispatcher whose machines have no room for those that wait.
-pub struct Waiting {
+pub struct WaitingRequests {
     pub machines: u32,
     pub waiting: u32,
-    pub likes: Likes,
+    pub similarity: Similarity,
     pub changes: Changes,
     pub by_turns: bool,
 }
@@ -239,14 +242,14 @@
     came: u64,
 }
 
-impl Waiting {
+impl WaitingRequests {
     /// Share of a core, in percent, over so many virtual seconds. None where one found a machine,
     /// or the system doesn't tell the thread's time.
     pub fn share_of_core(&self, seconds: u64) -> Option<Point> {
         let mut stage = self.stage();
         // The first looks are not what waiting costs.
         stage.until(4 * SECOND);
-        let before = (spent()?, stage.timer.sent);
+        let before = (thread_time_s()?, stage.timer.sent);
         let rate = match self.changes {
             Changes::Nothing => 0,
             Changes::Reports(rate) | Changes::Ends(rate) | Changes::Deadlines(rate) => {
@@ -258,7 +261,7 @@
             self.happens(&mut stage, number);
         }
         stage.until((4 + seconds) * SECOND);
-        let value = (spent()? - before.0) * 100.0 / seconds as f64;
+        let value = (thread_time_s()? - before.0) * 100.0 / seconds as f64;
         let figure = match self.changes {
             Changes::Nothing => "waiting while nothing changes",
             Changes::Reports(_) => "waiting while reports come",
@@ -313,9 +316,9 @@
     fn comes(&self, stage: &mut Stage, abandon: Ticks) {
         let now = stage.timer.now;
         let number = stage.came;
-        let own = match self.likes {
-            Likes::Few => number % 5,
-            Likes::None => number,
+        let own = match self.similarity {
+            Similarity::Few => number % 5,
+            Similarity::None => number,
         };
         let asks = Resources {
             cores: 4.0,
@@ -324,7 +327,7 @@
         stage.came += 1;
         let taken = stage
             .host
-            .admit(now, &format!("w{number}"), asked(own, asks, abandon), ());
+            .admit(now, &format!("w{number}"), request(own, asks, abandon), ());
         if let Ok(id) = taken {
             stage.host.place(now, id, &mut stage.timer);
         }
@@ -374,10 +377,10 @@
             memory: 4.0,
         };
         self.came += 1;
-        let asked = asked(u64::from(number) % SERVICES, asks, 3_600 * SECOND);
-        if let Ok(id) = self
-            .host
-            .admit_running(now, &format!("r{}", self.came), asked, machine, ())
+        let request = request(u64::from(number) % SERVICES, asks, 3_600 * SECOND);
+        if let Ok(id) =
+            self.host
+                .admit_running(now, &format!("r{}", self.came), request, machine, ())
         {
             self.host.record_metric(now, id, Metric::Cores(0.5));
             self.host.record_metric(now, id, Metric::Memory(3.0));
--- a/crates/testbed/src/capture.rs
+++ b/crates/testbed/src/capture.rs
@@ -17,42 +17,43 @@
 pub struct Line {
     pub t: u64,
     #[serde(flatten)]
-    pub seen: Seen,
+    pub observation: Observation,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "seen", rename_all = "kebab-case")]
-pub enum Seen {
+pub enum Observation {
     /// The first line: the rules of the day in figures.
-    Day(Rules),
+    #[serde(rename = "day")]
+    Rules(RuleParameters),
     /// An owner asks a dispatcher.
-    Asked(Asked),
+    #[serde(rename = "asked")]
+    Requested(RequestedPlacement),
     /// An owner hands over an allocation that runs.
     HandedOver {
         call: u64,
-        placing: String,
+        #[serde(rename = "placing")]
+        placement_id: String,
         dispatcher: u32,
         task: String,
     },
     /// A word reaches an owner.
-    Heard {
+    #[serde(rename = "heard")]
+    EventReceived {
         call: u64,
-        word: Word,
+        #[serde(rename = "word")]
+        event: AllocationEvent,
     },
     /// An owner's call is over. `broken`: the link broke; else the stream ended or the owner ended
     /// it.
-    Closed {
-        call: u64,
-        broken: bool,
-    },
+    Closed { call: u64, broken: bool },
     /// The owner ends the call since it wants the allocation no longer.
-    Cancelled {
-        call: u64,
-    },
+    Cancelled { call: u64 },
     /// An offer reaches a node.
     Offered {
         node: u32,
-        placing: String,
+        #[serde(rename = "placing")]
+        placement_id: String,
         number: u32,
         dispatcher: u32,
         service: String,
@@ -66,21 +67,24 @@
     },
     /// A node has a floor on its disk: what was decided under a lower version must not take effect
     /// there.
-    Floor {
-        node: u32,
-        lowest: u64,
-    },
+    #[serde(rename = "floor")]
+    MinimumVersionStored { node: u32, lowest: u64 },
     /// A node says a word on an offer, whether it gets through or not.
-    Said {
+    #[serde(rename = "said")]
+    EventSent {
         node: u32,
-        placing: String,
+        #[serde(rename = "placing")]
+        placement_id: String,
         number: u32,
-        word: Word,
+        #[serde(rename = "word")]
+        event: AllocationEvent,
     },
     /// The dispatcher has let go of an offer, or its link broke, before its node ended it.
-    LetGo {
+    #[serde(rename = "let-go")]
+    OfferDropped {
         node: u32,
-        placing: String,
+        #[serde(rename = "placing")]
+        placement_id: String,
         number: u32,
     },
     /// A copy says that it is ready, or is so no longer. `done`: it has come to its end and is not
@@ -95,7 +99,8 @@
         stopped: bool,
     },
     /// An operator begins a roll: from here on so many copies of the service may be not ready.
-    Roll {
+    #[serde(rename = "roll")]
+    RolloutStarted {
         service: String,
         version: String,
         unready_most: usize,
@@ -110,21 +115,17 @@
         #[serde(default)]
         failures_most: usize,
     },
-    Probed {
-        node: u32,
-    },
+    #[serde(rename = "probed")]
+    HealthChecked { node: u32 },
     /// A node's process starts, drains, is gone or fell over; all its allocations are gone with it
     /// if so.
-    Node {
-        node: u32,
-        state: NodeState,
-    },
+    Node { node: u32, state: NodeState },
     /// The links of a node break; what runs there runs on.
-    Cut {
-        node: u32,
-    },
+    #[serde(rename = "cut")]
+    ConnectionsCut { node: u32 },
     /// The roster tells a dispatcher of a node.
-    Told {
+    #[serde(rename = "told")]
+    EndpointSent {
         dispatcher: u32,
         node: u32,
         state: NodeState,
@@ -135,42 +136,40 @@
         state: DispatcherState,
     },
     /// Links of a dispatcher are held, or late by so much, from here on or no longer.
-    Wires {
+    #[serde(rename = "wires")]
+    ConnectionFault {
         dispatcher: u32,
         struck: bool,
         late_us: u64,
     },
     /// Machines are wished to be taken out: so many, at a time and of one hall.
-    Maintenance {
+    #[serde(rename = "maintenance")]
+    MaintenanceRequested {
         machines: usize,
-        at_a_time: usize,
-        by_hall: usize,
+        #[serde(rename = "at_a_time")]
+        max_concurrent: usize,
+        #[serde(rename = "by_hall")]
+        max_per_zone: usize,
     },
     /// The worker begins or ends his work on a node. `runs`: what stands there then, which must be
     /// nothing.
-    Worked {
+    #[serde(rename = "worked")]
+    MaintenanceWork {
         node: u32,
         begins: bool,
         runs: usize,
     },
     /// A node is closed for work, or open again.
-    Door {
-        node: u32,
-        closed: bool,
-    },
+    #[serde(rename = "door")]
+    Cordon { node: u32, closed: bool },
     /// The control service has another version.
-    Pushed {
-        number: u64,
-    },
+    Pushed { number: u64 },
     /// A dispatcher has told the control service, or an operator, what runs there.
-    InForce {
-        dispatcher: u32,
-        number: u64,
-    },
+    #[serde(rename = "in-force")]
+    VersionActive { dispatcher: u32, number: u64 },
     /// A majority of keepers has taken a floor.
-    Raised {
-        lowest: u64,
-    },
+    #[serde(rename = "raised")]
+    MinimumVersionRaised { lowest: u64 },
     /// What an audit of all told. `equal`: of acts just what crossed the nodes' sockets.
     Audited {
         took_ms: u64,
@@ -179,10 +178,7 @@
         equal: bool,
     },
     /// Resident, of all dispatchers that run.
-    Memory {
-        mean_kib: u64,
-        most_kib: u64,
-    },
+    Memory { mean_kib: u64, most_kib: u64 },
     /// The stand-ins' one thread over the day: for which share of it it ran, and waited for a
     /// processor; and by how much it was late at the worst. `hollow`: the largest share of a
     /// second for which a hollow process ran or waited. Whether all that spoils the day's
@@ -197,37 +193,44 @@
     /// What the dispatchers cost over the day.
     Cost(Box<cost::Costs>),
     /// The script sets a trouble going.
-    Trouble {
-        name: String,
-    },
+    #[serde(rename = "trouble")]
+    Fault { name: String },
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Asked {
+pub struct RequestedPlacement {
     pub call: u64,
-    pub placing: String,
+    #[serde(rename = "placing")]
+    pub placement_id: String,
     pub task: String,
     pub service: String,
-    pub track: usize,
+    #[serde(rename = "track")]
+    pub service_class: usize,
     pub dispatcher: u32,
-    pub abandon_us: u64,
+    #[serde(rename = "abandon_us")]
+    pub deadline_us: u64,
     pub first: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Word {
+pub enum AllocationEvent {
     Accepted,
     Running,
     Placed,
-    Refused,
+    #[serde(rename = "refused")]
+    Rejected,
     Failed,
-    Served,
+    #[serde(rename = "served")]
+    ServiceLevel,
     Ended,
     Evicted,
-    PushedOut,
-    SentAway,
-    Moved,
+    #[serde(rename = "pushed-out")]
+    Preempted,
+    #[serde(rename = "sent-away")]
+    Drained,
+    #[serde(rename = "moved")]
+    Migrated,
     Stopped,
     Lost,
     HandedBack,
@@ -237,52 +240,60 @@
 #[serde(rename_all = "kebab-case")]
 pub enum NodeState {
     /// Just started.
-    Cold,
+    #[serde(rename = "cold")]
+    SlowStart,
     Serving,
     Draining,
     Gone,
-    FellOver,
+    #[serde(rename = "fell-over")]
+    Crashed,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum DispatcherState {
-    Up,
+    #[serde(rename = "up")]
+    Started,
     Killed,
     Paused,
-    GoesOn,
+    #[serde(rename = "goes-on")]
+    Resumed,
     /// Asked to stop by a signal.
     Stopping,
     /// Ended with 0.
     Ended,
     /// Ended otherwise by itself.
-    Broke,
+    #[serde(rename = "broke")]
+    Crashed,
 }
 
 /// The five rules in this day's figures.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Rules {
+pub struct RuleParameters {
     pub seed: u64,
-    pub tracks: Vec<Track>,
+    #[serde(rename = "tracks")]
+    pub service_classes: Vec<ServiceClass>,
     /// Halls and cells of the nodes, by id.
-    pub nodes: Vec<Home>,
+    pub nodes: Vec<NodeSite>,
     /// Nothing new to a node so long after a dispatcher was told that it drains or is gone.
     pub grace_us: u64,
-    pub cold: Cold,
+    #[serde(rename = "cold")]
+    pub slow_start: SlowStartLimits,
     /// Between two sockets of one machine: what one end did may be seen so much later at the
     /// other.
     pub slack_us: u64,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Home {
+pub struct NodeSite {
     pub node: u32,
-    pub hall: String,
+    #[serde(rename = "hall")]
+    pub zone: String,
     pub cell: u64,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Cold {
+pub struct SlowStartLimits {
     pub lasts_us: u64,
     pub window_us: u64,
     /// More offers within a window push a cold node over.
@@ -290,23 +301,26 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Track {
+pub struct ServiceClass {
     pub name: String,
-    pub repeat: Repeat,
-    pub contract_us: u64,
+    #[serde(rename = "repeat")]
+    pub retry_safety: RetrySafety,
+    #[serde(rename = "contract_us")]
+    pub latency_objective_us: u64,
     /// Allocations of a service in one machine at the most, from one dispatcher.
     pub spread: Option<usize>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Repeat {
+pub enum RetrySafety {
     Idempotent,
     /// Within one hall.
     Deduplicated {
         window_us: u64,
     },
-    Unrepeatable,
+    #[serde(rename = "unrepeatable")]
+    NotRetryable,
 }
 
 /// Where lines go as they are seen.
@@ -336,12 +350,12 @@
         })
     }
 
-    pub fn see(&self, seen: Seen) {
+    pub fn record(&self, observation: Observation) {
         let mut to = self.to.lock().expect("no one panics while writing a line");
         // The time is taken in here: lines stand in the order of their times.
         let line = Line {
             t: self.start.elapsed().as_micros() as u64,
-            seen,
+            observation,
         };
         if let Some(file) = &mut to.file {
             let written = serde_json::to_writer(&mut *file, &line).map_err(Into::into);
--- a/crates/testbed/src/checker.rs
+++ b/crates/testbed/src/checker.rs
@@ -6,20 +6,20 @@
 
 /// A broken rule: which, by what, and the lines of the capture that show it, counted from 1.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Breach {
+pub struct Violation {
     pub rule: u8,
     pub what: String,
     pub lines: Vec<usize>,
 }
 
-impl std::fmt::Display for Breach {
+impl std::fmt::Display for Violation {
     fn fmt(&self, f: &mut std::fmt::Formatter) -> std::fmt::Result {
         let lines: Vec<String> = self.lines.iter().map(ToString::to_string).collect();
         write!(
             f,
             "rule {} ({}): {}; lines {}",
             self.rule,
-            NAMES[usize::from(self.rule) - 1],
+            RULE_NAMES[usize::from(self.rule) - 1],
             self.what,
             lines.join(", ")
         )
@@ -28,16 +28,16 @@
 
 /// The brief's five, the limit of a roll, that a failed one halts by itself, and the floor of
 /// versions.
-pub const NAMES: [&str; 8] = [
+pub const RULE_NAMES: [&str; 8] = [
     "lost", "twice", "drains", "cold", "spread", "unready", "halts", "floor",
 ];
 
 /// One call of an owner.
 struct Call<'a> {
-    asked: &'a Asked,
+    asked: &'a RequestedPlacement,
     line: usize,
     t: u64,
-    finals: Vec<(u64, usize, Word)>,
+    finals: Vec<(u64, usize, AllocationEvent)>,
     closed: Option<u64>,
     cancelled: Option<u64>,
     /// A dispatcher that broke off without an answer: the link broke.
@@ -117,12 +117,12 @@
 
 fn struck(lines: &[Line]) -> Vec<Struck> {
     let mut all: Vec<Struck> = Vec::new();
-    for Line { t, seen } in lines {
-        let Seen::Wires {
+    for Line { t, observation } in lines {
+        let Observation::ConnectionFault {
             dispatcher,
             struck,
             late_us,
-        } = *seen
+        } = *observation
         else {
             continue;
         };
@@ -146,15 +146,15 @@
 }
 
 /// All broken rules of a capture, or what makes it unreadable.
-pub fn judge(lines: &[Line]) -> Result<Vec<Breach>, String> {
+pub fn check(lines: &[Line]) -> Result<Vec<Violation>, String> {
     let Some(Line {
-        seen: Seen::Day(rules),
+        observation: Observation::Rules(rules),
         ..
     }) = lines.first()
     else {
         return Err("the first line does not tell the day's rules".into());
     };
-    let mut judge = Judge {
+    let mut checker = Checker {
         rules,
         lines,
         calls: BTreeMap::new(),
@@ -162,71 +162,76 @@
         struck: struck(lines),
         breaches: Vec::new(),
     };
-    judge.read()?;
-    judge.lost();
-    judge.twice();
-    judge.drains();
-    judge.cold();
-    judge.spread();
-    judge.unready();
-    judge.halts();
-    judge.floor();
-    judge
+    checker.read()?;
+    checker.lost();
+    checker.twice();
+    checker.drains();
+    checker.cold();
+    checker.spread();
+    checker.unready();
+    checker.halts();
+    checker.floor();
+    checker
         .breaches
         .sort_by_key(|breach| (breach.rule, breach.lines.first().copied()));
-    Ok(judge.breaches)
+    Ok(checker.breaches)
 }
 
-struct Judge<'a> {
-    rules: &'a Rules,
+struct Checker<'a> {
+    rules: &'a RuleParameters,
     lines: &'a [Line],
     calls: BTreeMap<u64, Call<'a>>,
     /// By placing.
     offers: HashMap<&'a str, Vec<Offer>>,
     struck: Vec<Struck>,
-    breaches: Vec<Breach>,
+    breaches: Vec<Violation>,
 }
 
-impl<'a> Judge<'a> {
+impl<'a> Checker<'a> {
     /// What was decided under a version below the floor that a node has is never accepted there.
     fn floor(&mut self) {
         let (mut floors, mut decided) = (HashMap::new(), HashMap::new());
         let mut breaches = Vec::new();
-        for (line, seen) in self
+        for (line, observation) in self
             .lines
             .iter()
             .enumerate()
-            .map(|(index, line)| (index + 1, &line.seen))
+            .map(|(index, line)| (index + 1, &line.observation))
         {
-            match seen {
-                Seen::Floor { node, lowest } => drop(floors.insert(*node, (*lowest, line))),
-                Seen::Offered {
+            match observation {
+                Observation::MinimumVersionStored { node, lowest } => {
+                    floors.insert(*node, (*lowest, line));
+                }
+                Observation::Offered {
                     node,
-                    placing,
+                    placement_id,
                     number,
                     decided: version,
                     dispatcher,
                     ..
                 } => {
-                    decided.insert((*node, placing, *number), (*version, *dispatcher, line));
+                    decided.insert(
+                        (*node, placement_id, *number),
+                        (*version, *dispatcher, line),
+                    );
                 }
-                Seen::Said {
+                Observation::EventSent {
                     node,
-                    placing,
+                    placement_id,
                     number,
-                    word: Word::Accepted,
+                    event: AllocationEvent::Accepted,
                 } => {
                     let Some(&(lowest, told)) = floors.get(node) else {
                         continue;
                     };
                     let Some(&(version, dispatcher, offered)) =
-                        decided.get(&(*node, placing, *number))
+                        decided.get(&(*node, placement_id, *number))
                     else {
                         continue;
                     };
                     if version < lowest {
                         let what = format!(
-                            "node {node} accepted {placing}, decided by dispatcher {dispatcher} under version {version}, below {lowest}"
+                            "node {node} accepted {placement_id}, decided by dispatcher {dispatcher} under version {version}, below {lowest}"
                         );
                         breaches.push((what, vec![told, offered, line]));
                     }
@@ -240,23 +245,23 @@
     }
 
     fn breach(&mut self, rule: u8, what: String, lines: Vec<usize>) {
-        self.breaches.push(Breach { rule, what, lines });
+        self.breaches.push(Violation { rule, what, lines });
     }
 
     fn read(&mut self) -> Result<(), String> {
         let mut last = 0;
         // Let go before their nodes had looked at them: both came at once.
         let mut early: HashSet<(u32, &str, u32)> = HashSet::new();
-        for (index, Line { t, seen }) in self.lines.iter().enumerate() {
+        for (index, Line { t, observation }) in self.lines.iter().enumerate() {
             let (t, line) = (*t, index + 1);
             if t < last {
                 return Err(format!("line {line}: its time is before the line above it"));
             }
             last = t;
-            match seen {
-                Seen::Asked(asked) => {
-                    if asked.track >= self.rules.tracks.len() {
-                        return Err(format!("line {line}: no track {}", asked.track));
+            match observation {
+                Observation::Requested(asked) => {
+                    if asked.service_class >= self.rules.service_classes.len() {
+                        return Err(format!("line {line}: no track {}", asked.service_class));
                     }
                     let call = Call {
                         asked,
@@ -269,27 +274,30 @@
                     };
                     self.calls.insert(asked.call, call);
                 }
-                Seen::Heard {
+                Observation::EventReceived {
                     call,
-                    word: word @ (Word::Placed | Word::Refused | Word::Failed),
+                    event:
+                        event @ (AllocationEvent::Placed
+                        | AllocationEvent::Rejected
+                        | AllocationEvent::Failed),
                 } => {
                     if let Some(call) = self.calls.get_mut(call) {
-                        call.finals.push((t, line, *word));
+                        call.finals.push((t, line, *event));
                     }
                 }
-                Seen::Closed { call, broken } => {
+                Observation::Closed { call, broken } => {
                     if let Some(call) = self.calls.get_mut(call) {
                         (call.closed, call.broken) = (Some(t), *broken);
                     }
                 }
-                Seen::Cancelled { call } => {
+                Observation::Cancelled { call } => {
                     if let Some(call) = self.calls.get_mut(call) {
                         call.cancelled = Some(t);
                     }
                 }
-                Seen::Offered {
+                Observation::Offered {
                     node,
-                    placing,
+                    placement_id,
                     number,
                     dispatcher,
                     ..
@@ -305,46 +313,50 @@
                         let_go: None,
                         over: None,
                     };
-                    let early = early.remove(&(*node, &placing[..], *number));
+                    let early = early.remove(&(*node, &placement_id[..], *number));
                     let let_go = early.then_some(t);
                     let offer = Offer {
                         let_go,
                         over: let_go,
                         ..offer
                     };
-                    self.offers.entry(placing).or_default().push(offer);
+                    self.offers.entry(placement_id).or_default().push(offer);
                 }
-                Seen::Said {
+                Observation::EventSent {
                     node,
-                    placing,
+                    placement_id,
                     number,
-                    word,
+                    event,
                 } => {
-                    let Some(offer) = find(&mut self.offers, placing, *number, *node) else {
+                    let Some(offer) = find(&mut self.offers, placement_id, *number, *node) else {
                         continue;
                     };
-                    match word {
-                        Word::Accepted => offer.accepted = Some(t),
-                        Word::Running => offer.accepted = offer.accepted.or(Some(t)),
-                        Word::Refused => (offer.refused, offer.over) = (Some(t), Some(t)),
-                        Word::Served | Word::Placed | Word::Failed => {}
+                    match event {
+                        AllocationEvent::Accepted => offer.accepted = Some(t),
+                        AllocationEvent::Running => offer.accepted = offer.accepted.or(Some(t)),
+                        AllocationEvent::Rejected => {
+                            (offer.refused, offer.over) = (Some(t), Some(t))
+                        }
+                        AllocationEvent::ServiceLevel
+                        | AllocationEvent::Placed
+                        | AllocationEvent::Failed => {}
                         _ => offer.over = offer.over.or(Some(t)),
                     }
                 }
-                Seen::LetGo {
+                Observation::OfferDropped {
                     node,
-                    placing,
+                    placement_id,
                     number,
                 } => {
-                    if let Some(offer) = find(&mut self.offers, placing, *number, *node) {
+                    if let Some(offer) = find(&mut self.offers, placement_id, *number, *node) {
                         (offer.let_go, offer.over) = (Some(t), offer.over.or(Some(t)));
                     } else {
-                        early.insert((*node, placing, *number));
+                        early.insert((*node, placement_id, *number));
                     }
                 }
-                Seen::Node {
+                Observation::Node {
                     node,
-                    state: NodeState::Gone | NodeState::FellOver,
+                    state: NodeState::Gone | NodeState::Crashed,
                 } => {
                     let there = self
                         .offers
@@ -353,7 +365,7 @@
                         .filter(|offer| offer.node == *node);
                     there.for_each(|offer| offer.over = offer.over.or(Some(t)));
                 }
-                Seen::Cut { node } => {
+                Observation::ConnectionsCut { node } => {
                     let there = self
                         .offers
                         .values_mut()
@@ -372,11 +384,11 @@
     /// then is not held against it.
     fn away(&self, dispatcher: u32, from: u64, to: u64) -> bool {
         let mut since = None;
-        for Line { t, seen } in self.lines {
-            let Seen::Dispatcher {
+        for Line { t, observation } in self.lines {
+            let Observation::Dispatcher {
                 dispatcher: which,
                 state,
-            } = seen
+            } = observation
             else {
                 continue;
             };
@@ -384,7 +396,7 @@
                 continue;
             }
             match state {
-                DispatcherState::Killed | DispatcherState::Paused | DispatcherState::Broke => {
+                DispatcherState::Killed | DispatcherState::Paused | DispatcherState::Crashed => {
                     since = Some(*t)
                 }
                 _ => {
@@ -401,8 +413,8 @@
         let mut found = Vec::new();
         for call in self.calls.values() {
             let asked = call.asked;
-            let latest = call.t + asked.abandon_us + self.rules.slack_us;
-            let name = &asked.placing;
+            let latest = call.t + asked.deadline_us + self.rules.slack_us;
+            let name = &asked.placement_id;
             if let [first, second, ..] = call.finals[..] {
                 found.push((
                     format!("{name} has two final answers"),
@@ -475,13 +487,16 @@
 
     fn twice(&mut self) {
         let mut found = Vec::new();
-        let tracks: HashMap<&str, usize> = self
+        let service_classes: HashMap<&str, usize> = self
             .calls
             .values()
-            .map(|call| (&call.asked.placing[..], call.asked.track))
+            .map(|call| (&call.asked.placement_id[..], call.asked.service_class))
             .collect();
         for (name, offers) in &self.offers {
-            let Some(track) = tracks.get(name).map(|&track| &self.rules.tracks[track]) else {
+            let Some(service_class) = service_classes
+                .get(name)
+                .map(|&service_class| &self.rules.service_classes[service_class])
+            else {
                 continue;
             };
             let mut sent: Vec<&Offer> = offers.iter().filter(|offer| !self.stale(offer)).collect();
@@ -505,13 +520,13 @@
                         found.push((what, vec![earlier.line, later.line]));
                     }
                     let never_ran = earlier.refused.is_some();
-                    let allowed = match track.repeat {
-                        Repeat::Idempotent => true,
-                        Repeat::Unrepeatable => never_ran,
-                        Repeat::Deduplicated { window_us } => {
-                            let hall = self.hall(earlier.node) == self.hall(later.node);
+                    let allowed = match service_class.retry_safety {
+                        RetrySafety::Idempotent => true,
+                        RetrySafety::NotRetryable => never_ran,
+                        RetrySafety::Deduplicated { window_us } => {
+                            let zone = self.zone(earlier.node) == self.zone(later.node);
                             never_ran
-                                || hall && later.t <= earlier.t + window_us + self.rules.slack_us
+                                || zone && later.t <= earlier.t + window_us + self.rules.slack_us
                         }
                     };
                     if !allowed {
@@ -525,15 +540,17 @@
             }
         }
         for call in self.calls.values() {
-            let Some((t, line, Word::Refused)) = call.finals.first() else {
+            let Some((t, line, AllocationEvent::Rejected)) = call.finals.first() else {
                 continue;
             };
-            if self.rules.tracks[call.asked.track].repeat == Repeat::Idempotent {
+            if self.rules.service_classes[call.asked.service_class].retry_safety
+                == RetrySafety::Idempotent
+            {
                 continue;
             }
             for offer in self
                 .offers
-                .get(&call.asked.placing[..])
+                .get(&call.asked.placement_id[..])
                 .into_iter()
                 .flatten()
             {
@@ -542,7 +559,10 @@
                         .accepted
                         .is_some_and(|at| at <= t + self.rules.slack_us)
                 {
-                    let what = format!("{} is refused, though a shot may run", call.asked.placing);
+                    let what = format!(
+                        "{} is refused, though a shot may run",
+                        call.asked.placement_id
+                    );
                     found.push((what, vec![offer.line, *line]));
                 }
             }
@@ -568,18 +588,18 @@
         let mut beside: HashMap<&str, bool> = HashMap::new();
         let mut copies: HashMap<&str, BTreeMap<&str, Copy>> = HashMap::new();
         let mut tasks_of: HashMap<u64, &str> = HashMap::new();
-        for (index, Line { t, seen }) in self.lines.iter().enumerate() {
-            match seen {
-                Seen::Asked(asked) => drop(tasks_of.insert(asked.call, &asked.task)),
-                Seen::HandedOver { call, task, .. } => drop(tasks_of.insert(*call, task)),
-                Seen::Cancelled { call } => {
+        for (index, Line { t, observation }) in self.lines.iter().enumerate() {
+            match observation {
+                Observation::Requested(asked) => drop(tasks_of.insert(asked.call, &asked.task)),
+                Observation::HandedOver { call, task, .. } => drop(tasks_of.insert(*call, task)),
+                Observation::Cancelled { call } => {
                     // Its owner wants it no longer: that it stops is no copy missing.
                     let task = tasks_of.get(call).copied().unwrap_or_default();
                     for tasks in copies.values_mut() {
                         tasks.remove(task);
                     }
                 }
-                Seen::Roll {
+                Observation::RolloutStarted {
                     service,
                     unready_most,
                     start_first,
@@ -588,7 +608,7 @@
                     limits.insert(service, *unready_most);
                     beside.insert(service, *start_first);
                 }
-                Seen::Ready {
+                Observation::Ready {
                     task,
                     service,
                     ready,
@@ -648,9 +668,9 @@
         let mut rolls: HashMap<&str, Rolled> = HashMap::new();
         // By node and placing: task, service, version and dispatcher of what was offered last.
         let mut offered: HashMap<(u32, &str), (&str, &str, &str, u32)> = HashMap::new();
-        for (index, Line { t, seen }) in self.lines.iter().enumerate() {
-            match seen {
-                Seen::Roll {
+        for (index, Line { t, observation }) in self.lines.iter().enumerate() {
+            match observation {
+                Observation::RolloutStarted {
                     service,
                     version,
                     ready_for_us,
@@ -668,25 +688,25 @@
                     };
                     rolls.insert(service, rolled);
                 }
-                Seen::Offered {
+                Observation::Offered {
                     node,
-                    placing,
+                    placement_id,
                     dispatcher,
                     service,
                     task,
                     version,
                     ..
                 } => {
-                    offered.insert((*node, placing), (task, service, version, *dispatcher));
+                    offered.insert((*node, placement_id), (task, service, version, *dispatcher));
                 }
-                Seen::Said {
+                Observation::EventSent {
                     node,
-                    placing,
-                    word: Word::Accepted,
+                    placement_id,
+                    event: AllocationEvent::Accepted,
                     ..
                 } => {
                     let Some((task, service, version, dispatcher)) =
-                        offered.get(&(*node, &placing[..]))
+                        offered.get(&(*node, &placement_id[..]))
                     else {
                         continue;
                     };
@@ -706,9 +726,9 @@
                         over: false,
                     });
                 }
-                Seen::Dispatcher {
+                Observation::Dispatcher {
                     dispatcher,
-                    state: DispatcherState::Killed | DispatcherState::Broke,
+                    state: DispatcherState::Killed | DispatcherState::Crashed,
                 } => {
                     // What it has counted goes with it, unless it had the time to halt.
                     for rolled in rolls.values_mut() {
@@ -716,7 +736,7 @@
                         rolled.copies.retain(|copy| copy.dispatcher != *dispatcher);
                     }
                 }
-                Seen::Ready {
+                Observation::Ready {
                     task,
                     service,
                     version,
@@ -766,35 +786,35 @@
             .for_each(|(what, lines)| self.breach(7, what, lines));
     }
 
-    fn hall(&self, node: u32) -> Option<&str> {
+    fn zone(&self, node: u32) -> Option<&str> {
         self.rules
             .nodes
             .iter()
             .find(|home| home.node == node)
-            .map(|home| &home.hall[..])
+            .map(|home| &home.zone[..])
     }
 
     fn drains(&mut self) {
         let mut found = Vec::new();
         // Since when each dispatcher knows that a node takes nothing new.
         let mut told: HashMap<(u32, u32), (u64, usize)> = HashMap::new();
-        for (index, Line { t, seen }) in self.lines.iter().enumerate() {
-            match seen {
-                Seen::Told {
+        for (index, Line { t, observation }) in self.lines.iter().enumerate() {
+            match observation {
+                Observation::EndpointSent {
                     dispatcher,
                     node,
                     state: NodeState::Draining | NodeState::Gone,
                 } => {
                     told.entry((*dispatcher, *node)).or_insert((*t, index + 1));
                 }
-                Seen::Told {
+                Observation::EndpointSent {
                     dispatcher, node, ..
                 } => drop(told.remove(&(*dispatcher, *node))),
-                Seen::Dispatcher {
+                Observation::Dispatcher {
                     dispatcher,
-                    state: DispatcherState::GoesOn,
+                    state: DispatcherState::Resumed,
                 }
-                | Seen::Wires {
+                | Observation::ConnectionFault {
                     dispatcher,
                     struck: false,
                     ..
@@ -805,15 +825,15 @@
                         .filter(|((which, _), _)| which == dispatcher);
                     own.for_each(|(_, (since, _))| *since = *t);
                 }
-                Seen::Dispatcher {
+                Observation::Dispatcher {
                     dispatcher,
-                    state: DispatcherState::Up,
+                    state: DispatcherState::Started,
                 } => {
                     told.retain(|(which, _), _| which != dispatcher);
                 }
-                Seen::Offered {
+                Observation::Offered {
                     node,
-                    placing,
+                    placement_id,
                     dispatcher,
                     number,
                     ..
@@ -821,13 +841,14 @@
                     let Some((since, line)) = told.get(&(*dispatcher, *node)) else {
                         continue;
                     };
-                    let offer = self.offers.get(&placing[..]).into_iter().flatten();
+                    let offer = self.offers.get(&placement_id[..]).into_iter().flatten();
                     let stale = offer
                         .filter(|offer| offer.line == index + 1)
                         .any(|offer| self.stale(offer));
                     if *t > since + self.rules.grace_us + self.rules.slack_us && !stale {
-                        let what =
-                            format!("{placing}: shot {number} to node {node}, told of as leaving");
+                        let what = format!(
+                            "{placement_id}: shot {number} to node {node}, told of as leaving"
+                        );
                         found.push((what, vec![*line, index + 1]));
                     }
                 }
@@ -844,48 +865,48 @@
         let mut started: HashMap<u32, (u64, usize)> = HashMap::new();
         let mut told: HashMap<(u32, u32), u64> = HashMap::new();
         let mut offers: HashMap<u32, Vec<(u64, usize, bool)>> = HashMap::new();
-        let cold = &self.rules.cold;
-        for (index, Line { t, seen }) in self.lines.iter().enumerate() {
-            match seen {
-                Seen::Node {
+        let slow_start = &self.rules.slow_start;
+        for (index, Line { t, observation }) in self.lines.iter().enumerate() {
+            match observation {
+                Observation::Node {
                     node,
-                    state: NodeState::Cold,
+                    state: NodeState::SlowStart,
                 } => {
                     started.insert(*node, (*t, index + 1));
                     offers.remove(node);
                 }
-                Seen::Told {
+                Observation::EndpointSent {
                     dispatcher,
                     node,
-                    state: NodeState::Cold,
+                    state: NodeState::SlowStart,
                 } => {
                     told.insert((*dispatcher, *node), *t);
                 }
-                Seen::Dispatcher {
+                Observation::Dispatcher {
                     dispatcher,
-                    state: DispatcherState::Killed | DispatcherState::Broke,
+                    state: DispatcherState::Killed | DispatcherState::Crashed,
                 } => {
                     // A new life knows what its remembered list says, or is told anew.
                     told.retain(|(which, _), _| which != dispatcher);
                 }
-                Seen::Offered {
+                Observation::Offered {
                     node, dispatcher, ..
                 } => {
                     let Some((since, line)) = started.get(node).copied() else {
                         continue;
                     };
-                    if *t > since + cold.lasts_us {
+                    if *t > since + slow_start.lasts_us {
                         continue;
                     }
                     let knows = told
                         .get(&(*dispatcher, *node))
                         .is_some_and(|at| *at >= since && at <= t);
                     let window = offers.entry(*node).or_default();
-                    window.retain(|(at, _, _)| at + cold.window_us > *t);
+                    window.retain(|(at, _, _)| at + slow_start.window_us > *t);
                     window.push((*t, index + 1, knows));
                     let knowing = window.iter().filter(|(_, _, knows)| *knows).count();
                     // Held against the dispatchers where two thirds came from such as knew.
-                    if window.len() > cold.most && knowing * 3 >= window.len() * 2 {
+                    if window.len() > slow_start.most && knowing * 3 >= window.len() * 2 {
                         let what = format!(
                             "node {node} got {} offers in a window while cold",
                             window.len()
@@ -910,40 +931,40 @@
             .filter_map(|call| {
                 Some((
                     &call.asked.service[..],
-                    self.rules.tracks[call.asked.track].spread?,
+                    self.rules.service_classes[call.asked.service_class].spread?,
                 ))
             })
             .collect();
         let services: HashMap<&str, &str> = self
             .calls
             .values()
-            .map(|call| (&call.asked.placing[..], &call.asked.service[..]))
+            .map(|call| (&call.asked.placement_id[..], &call.asked.service[..]))
             .collect();
-        for Line { seen, .. } in self.lines {
-            let (node, placing, number, dispatcher, service) = match seen {
-                Seen::Offered {
+        for Line { observation, .. } in self.lines {
+            let (node, placement_id, number, dispatcher, service) = match observation {
+                Observation::Offered {
                     node,
-                    placing,
+                    placement_id,
                     number,
                     dispatcher,
                     service,
                     ..
-                } => (node, placing, number, dispatcher, service),
-                Seen::Dispatcher {
+                } => (node, placement_id, number, dispatcher, service),
+                Observation::Dispatcher {
                     dispatcher,
-                    state: DispatcherState::Up,
+                    state: DispatcherState::Started,
                 } => {
                     // A new life holds what it is handed, and nothing else.
                     by_service.retain(|(which, _, _), _| which != dispatcher);
                     continue;
                 }
-                Seen::HandedOver {
-                    placing,
+                Observation::HandedOver {
+                    placement_id,
                     dispatcher,
                     ..
                 } => {
-                    let offers = self.offers.get(&placing[..]).into_iter().flatten();
-                    let service = services.get(&placing[..]).copied().unwrap_or_default();
+                    let offers = self.offers.get(&placement_id[..]).into_iter().flatten();
+                    let service = services.get(&placement_id[..]).copied().unwrap_or_default();
                     if let Some(offer) = offers.rev().find(|offer| offer.accepted.is_some()) {
                         by_service
                             .entry((*dispatcher, service, offer.node))
@@ -957,7 +978,7 @@
             let Some(&most) = limits.get(&service[..]) else {
                 continue;
             };
-            let mut offers = self.offers.get(&placing[..]).into_iter().flatten();
+            let mut offers = self.offers.get(&placement_id[..]).into_iter().flatten();
             let Some(offer) = offers.find(|o| o.number == *number && o.node == *node) else {
                 continue;
             };
@@ -982,11 +1003,11 @@
 
 fn find<'o>(
     offers: &'o mut HashMap<&str, Vec<Offer>>,
-    placing: &str,
+    placement_id: &str,
     number: u32,
     node: u32,
 ) -> Option<&'o mut Offer> {
-    let offers = offers.get_mut(placing)?;
+    let offers = offers.get_mut(placement_id)?;
     offers
         .iter_mut()
         .rev()
--- a/crates/testbed/src/client.rs
+++ b/crates/testbed/src/client.rs
@@ -1,7 +1,7 @@
 //! Owners' stand-ins: they ask, wait, ask again, hand over what runs, and give up, as owners do.
 
-use crate::capture::{Asked, Repeat, Seen, Word};
-use crate::node::{Node, World};
+use crate::capture::{AllocationEvent, Observation, RequestedPlacement, RetrySafety};
+use crate::node::{Node, SharedContext};
 use async_io::Timer;
 use corkspan_api::v1::{
     self, placement_client::PlacementClient, placement_event::Event as Said,
@@ -18,8 +18,8 @@
 
 /// The way to the dispatchers, as a plain front layer has it: where each listens now, and one link
 /// to each.
-pub struct Front {
-    pub world: Arc<World>,
+pub struct Frontend {
+    pub context: Arc<SharedContext>,
     pub nodes: Vec<Arc<Node>>,
     doors: Vec<Mutex<Door>>,
     calls: AtomicU64,
@@ -31,28 +31,28 @@
     link: Option<Link>,
 }
 
-impl Front {
-    pub fn new(world: &Arc<World>, nodes: &[Arc<Node>], dispatchers: usize) -> Arc<Self> {
-        Arc::new(Front {
-            world: Arc::clone(world),
+impl Frontend {
+    pub fn new(context: &Arc<SharedContext>, nodes: &[Arc<Node>], dispatchers: usize) -> Arc<Self> {
+        Arc::new(Frontend {
+            context: Arc::clone(context),
             nodes: nodes.to_vec(),
             doors: (0..dispatchers).map(|_| Mutex::default()).collect(),
             calls: AtomicU64::new(0),
         })
     }
 
-    pub fn open(&self, dispatcher: usize, address: Option<SocketAddr>) {
+    pub fn set_address(&self, dispatcher: usize, address: Option<SocketAddr>) {
         *self.doors[dispatcher].lock().expect("unshared") = Door {
             address,
             link: None,
         };
     }
 
-    pub async fn client(&self, dispatcher: usize) -> Option<PlacementClient<Link>> {
+    pub async fn placement_client(&self, dispatcher: usize) -> Option<PlacementClient<Link>> {
         self.link(dispatcher).await.map(PlacementClient::new)
     }
 
-    pub async fn versions(&self, dispatcher: usize) -> Option<VersionsClient<Link>> {
+    pub async fn versions_client(&self, dispatcher: usize) -> Option<VersionsClient<Link>> {
         self.link(dispatcher).await.map(VersionsClient::new)
     }
 
@@ -60,7 +60,7 @@
         self.doors[dispatcher].lock().expect("unshared").address
     }
 
-    pub async fn rolls(&self, dispatcher: usize) -> Option<RollsClient<Link>> {
+    pub async fn rollouts_client(&self, dispatcher: usize) -> Option<RollsClient<Link>> {
         self.link(dispatcher).await.map(RollsClient::new)
     }
 
@@ -76,7 +76,9 @@
                     connect_within: Duration::from_secs(1),
                     ..Bounds::default()
                 };
-                let link = Link::open(&self.world.tasks, address, &bounds).await.ok()?;
+                let link = Link::open(&self.context.tasks, address, &bounds)
+                    .await
+                    .ok()?;
                 let mut door = self.doors[dispatcher].lock().expect("unshared");
                 if door.address == Some(address) {
                     door.link = Some(link.clone());
@@ -94,12 +96,12 @@
         let copies = self.nodes.iter().flat_map(|node| {
             node.allocations_of(task)
                 .into_iter()
-                .map(|placing| (node.config.id, placing))
+                .map(|placement_id| (node.config.id, placement_id))
         });
         let copies: Vec<(u32, String)> = copies.collect();
         copies
             .iter()
-            .find(|(_, placing)| placing == known)
+            .find(|(_, placement_id)| placement_id == known)
             .or(copies.first())
             .cloned()
     }
@@ -110,17 +112,17 @@
 pub struct Task {
     pub name: String,
     pub service: String,
-    pub track: usize,
-    pub track_name: String,
-    pub repeat: Repeat,
+    pub service_class: usize,
+    pub service_class_name: String,
+    pub retry_safety: RetrySafety,
     pub cores: f64,
     pub memory: f64,
-    pub life: Duration,
-    pub abandon: Duration,
+    pub lifetime: Duration,
+    pub deadline: Duration,
     /// It asks so many times at the most.
-    pub patience: u32,
+    pub max_requests: u32,
     /// The owner changes its mind so long after it first asked.
-    pub cancels: Option<Duration>,
+    pub cancel_after: Option<Duration>,
 }
 
 enum Came {
@@ -132,32 +134,35 @@
 }
 
 /// Lives one task from its first ask to its end, asking no more after `until`.
-pub async fn live(front: Arc<Front>, task: Task, mut rng: Pcg64Mcg, until: Instant) {
+pub async fn run_task(frontend: Arc<Frontend>, task: Task, mut rng: Pcg64Mcg, until: Instant) {
     let mut asks = 0;
-    let settle = |task: &Task| match task.repeat {
-        Repeat::Idempotent => Duration::from_millis(300),
+    let settle = |task: &Task| match task.retry_safety {
+        RetrySafety::Idempotent => Duration::from_millis(300),
         _ => Duration::from_secs(3),
     };
     // The placing that it was told of last.
     let mut known = String::new();
-    let mut came = ask(&front, &task, &mut asks, &mut known, &mut rng).await;
+    let mut came = ask(&frontend, &task, &mut asks, &mut known, &mut rng).await;
     loop {
         came = match came {
             Came::Done => return,
             Came::AskAgain => {
                 let wait = rng.random_range(1100..2800);
                 Timer::after(Duration::from_millis(wait)).await;
-                if Instant::now() >= until || asks >= task.patience || task.cancels.is_some() {
+                if Instant::now() >= until
+                    || asks >= task.max_requests
+                    || task.cancel_after.is_some()
+                {
                     return;
                 }
-                ask(&front, &task, &mut asks, &mut known, &mut rng).await
+                ask(&frontend, &task, &mut asks, &mut known, &mut rng).await
             }
             Came::InDoubt => {
                 Timer::after(settle(&task)).await;
-                match front.runs_at(&task.name, &known) {
-                    Some((node, placing)) => {
-                        known.clone_from(&placing);
-                        hand_over(&front, &task, node, placing, &mut known, &mut rng).await
+                match frontend.runs_at(&task.name, &known) {
+                    Some((node, placement_id)) => {
+                        known.clone_from(&placement_id);
+                        hand_over(&frontend, &task, node, placement_id, &mut known, &mut rng).await
                     }
                     None => Came::AskAgain,
                 }
@@ -166,72 +171,75 @@
     }
 }
 
-fn message(task: &Task, placing: String, again: bool) -> v1::PlacementRequest {
+fn message(task: &Task, placement_id: String, again: bool) -> v1::PlacementRequest {
     v1::PlacementRequest {
-        placement_id: placing,
+        placement_id,
         task: task.name.clone(),
         service: task.service.clone(),
-        service_class: task.track_name.clone(),
+        service_class: task.service_class_name.clone(),
         tenant: String::new(),
         cores: task.cores,
         memory: task.memory,
-        expected_duration_ms: task.life.as_millis() as u64,
-        deadline_ms: task.abandon.as_millis() as u64,
+        expected_duration_ms: task.lifetime.as_millis() as u64,
+        deadline_ms: task.deadline.as_millis() as u64,
         retry: again,
     }
 }
 
 async fn ask(
-    front: &Arc<Front>,
+    frontend: &Arc<Frontend>,
     task: &Task,
     asks: &mut u32,
     known: &mut String,
     rng: &mut Pcg64Mcg,
 ) -> Came {
-    let dispatcher = rng.random_range(0..front.doors.len());
-    let Some(mut client) = front.client(dispatcher).await else {
+    let dispatcher = rng.random_range(0..frontend.doors.len());
+    let Some(mut client) = frontend.placement_client(dispatcher).await else {
         return Came::AskAgain;
     };
-    let call = front.calls.fetch_add(1, Ordering::Relaxed);
-    let placing = format!("{}#{}", task.name, *asks);
-    known.clone_from(&placing);
+    let call = frontend.calls.fetch_add(1, Ordering::Relaxed);
+    let placement_id = format!("{}#{}", task.name, *asks);
+    known.clone_from(&placement_id);
     let first = *asks == 0;
     *asks += 1;
-    front.world.capture.see(Seen::Asked(Asked {
-        call,
-        placing: placing.clone(),
-        task: task.name.clone(),
-        service: task.service.clone(),
-        track: task.track,
-        dispatcher: dispatcher as u32,
-        abandon_us: task.abandon.as_micros() as u64,
-        first,
-    }));
+    frontend
+        .context
+        .capture
+        .record(Observation::Requested(RequestedPlacement {
+            call,
+            placement_id: placement_id.clone(),
+            task: task.name.clone(),
+            service: task.service.clone(),
+            service_class: task.service_class,
+            dispatcher: dispatcher as u32,
+            deadline_us: task.deadline.as_micros() as u64,
+            first,
+        }));
     let mut open = Open {
-        front,
+        frontend,
         call,
         closed: false,
     };
     let began = Instant::now();
     let talk = async {
-        let Ok(words) = client.place(message(task, placing, !first)).await else {
+        let Ok(words) = client.place(message(task, placement_id, !first)).await else {
             return Came::InDoubt;
         };
         let mut words = words.into_inner();
         // A little more than its time: what comes later is none of its business.
-        let patience = task.abandon + Duration::from_millis(250);
+        let patience = task.deadline + Duration::from_millis(250);
         let answer = within(
             patience.saturating_sub(began.elapsed()),
-            answer(front, call, &mut words),
+            answer(frontend, call, &mut words),
         )
         .await;
         match answer {
-            Some(Some(Word::Placed)) => follow(front, call, &mut words, known).await,
-            Some(Some(Word::Refused)) => Came::AskAgain,
+            Some(Some(AllocationEvent::Placed)) => follow(frontend, call, &mut words, known).await,
+            Some(Some(AllocationEvent::Rejected)) => Came::AskAgain,
             _ => Came::InDoubt,
         }
     };
-    let came = match task.cancels.filter(|_| first) {
+    let came = match task.cancel_after.filter(|_| first) {
         Some(after) => match within(after, talk).await {
             Some(came) => came,
             None => {
@@ -242,7 +250,7 @@
         None => talk.await,
     };
     open.closed = true;
-    front.world.capture.see(Seen::Closed {
+    frontend.context.capture.record(Observation::Closed {
         call,
         broken: matches!(came, Came::InDoubt),
     });
@@ -251,7 +259,7 @@
 
 /// A call under way: where its owner is gone before its end, it wants the allocation no longer.
 struct Open<'a> {
-    front: &'a Front,
+    frontend: &'a Frontend,
     call: u64,
     closed: bool,
 }
@@ -259,10 +267,10 @@
 impl Open<'_> {
     fn cancelled(&mut self) {
         if !std::mem::replace(&mut self.closed, true) {
-            self.front
-                .world
+            self.frontend
+                .context
                 .capture
-                .see(Seen::Cancelled { call: self.call });
+                .record(Observation::Cancelled { call: self.call });
         }
     }
 }
@@ -273,46 +281,52 @@
     }
 }
 
-fn hear(front: &Front, call: u64, said: &Said) -> Option<Word> {
+fn hear(frontend: &Frontend, call: u64, said: &Said) -> Option<AllocationEvent> {
     use corkspan_api::v1::ended::EndReason;
-    let word = match said {
-        Said::Placed(_) => Word::Placed,
-        Said::Rejected(_) => Word::Refused,
-        Said::Failed(_) => Word::Failed,
-        Said::Running(_) => Word::Running,
-        Said::ServiceLevel(_) | Said::Replaced(_) => Word::Served,
+    let event = match said {
+        Said::Placed(_) => AllocationEvent::Placed,
+        Said::Rejected(_) => AllocationEvent::Rejected,
+        Said::Failed(_) => AllocationEvent::Failed,
+        Said::Running(_) => AllocationEvent::Running,
+        Said::ServiceLevel(_) | Said::Replaced(_) => AllocationEvent::ServiceLevel,
         Said::Ended(ended) => match ended.reason() {
-            EndReason::Ended => Word::Ended,
-            EndReason::Evicted => Word::Evicted,
-            EndReason::PushedOut => Word::PushedOut,
-            EndReason::SentAway => Word::SentAway,
-            EndReason::Moved => Word::Moved,
-            EndReason::HandedBack => Word::HandedBack,
-            EndReason::Lost | EndReason::Error => Word::Lost,
+            EndReason::Ended => AllocationEvent::Ended,
+            EndReason::Evicted => AllocationEvent::Evicted,
+            EndReason::PushedOut => AllocationEvent::Preempted,
+            EndReason::SentAway => AllocationEvent::Drained,
+            EndReason::Moved => AllocationEvent::Migrated,
+            EndReason::HandedBack => AllocationEvent::HandedBack,
+            EndReason::Lost | EndReason::Error => AllocationEvent::Lost,
         },
     };
-    if word != Word::Served {
-        front.world.capture.see(Seen::Heard { call, word });
+    if event != AllocationEvent::ServiceLevel {
+        frontend
+            .context
+            .capture
+            .record(Observation::EventReceived { call, event });
     }
-    Some(word)
+    Some(event)
 }
 
 /// The final answer; none where the stream ends without.
 async fn answer(
-    front: &Front,
+    frontend: &Frontend,
     call: u64,
     words: &mut Streaming<v1::PlacementEvent>,
-) -> Option<Word> {
+) -> Option<AllocationEvent> {
     loop {
         let said = words.message().await.ok()??.event?;
-        if let word @ (Word::Placed | Word::Refused | Word::Failed) = hear(front, call, &said)? {
-            return Some(word);
+        if let event @ (AllocationEvent::Placed
+        | AllocationEvent::Rejected
+        | AllocationEvent::Failed) = hear(frontend, call, &said)?
+        {
+            return Some(event);
         }
     }
 }
 
 async fn follow(
-    front: &Front,
+    frontend: &Frontend,
     call: u64,
     words: &mut Streaming<v1::PlacementEvent>,
     known: &mut String,
@@ -321,12 +335,17 @@
         if let Said::Replaced(by) = &said {
             known.clone_from(&by.placement_id);
         }
-        match hear(front, call, &said) {
-            Some(Word::Ended) => return Came::Done,
-            Some(Word::Evicted | Word::PushedOut | Word::SentAway | Word::Moved) => {
+        match hear(frontend, call, &said) {
+            Some(AllocationEvent::Ended) => return Came::Done,
+            Some(
+                AllocationEvent::Evicted
+                | AllocationEvent::Preempted
+                | AllocationEvent::Drained
+                | AllocationEvent::Migrated,
+            ) => {
                 return Came::AskAgain;
             }
-            Some(Word::Lost | Word::HandedBack) => return Came::InDoubt,
+            Some(AllocationEvent::Lost | AllocationEvent::HandedBack) => return Came::InDoubt,
             _ => {}
         }
     }
@@ -334,36 +353,36 @@
 }
 
 async fn hand_over(
-    front: &Arc<Front>,
+    frontend: &Arc<Frontend>,
     task: &Task,
     node: u32,
-    placing: String,
+    placement_id: String,
     known: &mut String,
     rng: &mut Pcg64Mcg,
 ) -> Came {
-    let dispatcher = rng.random_range(0..front.doors.len());
-    let Some(mut client) = front.client(dispatcher).await else {
+    let dispatcher = rng.random_range(0..frontend.doors.len());
+    let Some(mut client) = frontend.placement_client(dispatcher).await else {
         return Came::InDoubt;
     };
-    let call = front.calls.fetch_add(1, Ordering::Relaxed);
-    let seen = Seen::HandedOver {
+    let call = frontend.calls.fetch_add(1, Ordering::Relaxed);
+    let observation = Observation::HandedOver {
         call,
-        placing: placing.clone(),
+        placement_id: placement_id.clone(),
         dispatcher: dispatcher as u32,
         task: task.name.clone(),
     };
-    front.world.capture.see(seen);
+    frontend.context.capture.record(observation);
     let mut open = Open {
-        front,
+        frontend,
         call,
         closed: false,
     };
     let running = v1::HandOverRequest {
-        request: Some(message(task, placing, true)),
+        request: Some(message(task, placement_id, true)),
         node,
     };
     let came = match client.hand_over(running).await {
-        Ok(words) => follow(front, call, &mut words.into_inner(), known).await,
+        Ok(words) => follow(frontend, call, &mut words.into_inner(), known).await,
         Err(_) => Came::InDoubt,
     };
     open.closed = true;
--- a/crates/testbed/src/config_push_experiment.rs
+++ b/crates/testbed/src/config_push_experiment.rs
@@ -10,8 +10,8 @@
 use crate::capture::Capture;
 use crate::control_service::ControlService;
 use crate::discovery::Discovery;
-use crate::measure::{self, Measure, Prompt, Round, median};
-use crate::node::World;
+use crate::measure::{self, InstantNode, Measure, Round, median};
+use crate::node::SharedContext;
 use async_io::Timer;
 use corkspan_api::v1::{self, push_reply::Answer};
 use corkspan_rpc::Tasks;
@@ -147,7 +147,7 @@
             environment.up = Some(
                 environment
                     .control
-                    .restart(&environment.world)
+                    .restart(&environment.context)
                     .await
                     .map_err(|why| why.to_string())?,
             );
@@ -180,7 +180,7 @@
 
     /// Time to placed while ten versions a second take effect, beside none.
     fn placing(&self) -> Result<(), String> {
-        let node = measure::apart(|| v1::node_server::NodeServer::new(Prompt))?;
+        let node = measure::serve_on_own_thread(|| v1::node_server::NodeServer::new(InstantNode))?;
         let measure = Measure {
             program: self.program.clone(),
             rounds: self.rounds,
@@ -193,18 +193,18 @@
         let tasks = Tasks::default();
         let whole = async {
             let text = |why: std::io::Error| why.to_string();
-            let world = World::new(Capture::new(None).map_err(text)?, &tasks, None);
-            let (roster, address) = Discovery::start(&world).await.map_err(text)?;
+            let context = SharedContext::new(Capture::new(None).map_err(text)?, &tasks, None);
+            let (discovery, address) = Discovery::start(&context).await.map_err(text)?;
             for id in 0..measure.nodes {
-                roster.update(Duration::ZERO, measure::entry(id, node));
+                discovery.update(Duration::ZERO, measure::endpoint(id, node));
             }
-            let (control, up) = ControlService::start(&world).await.map_err(text)?;
+            let (control, up) = ControlService::start(&context).await.map_err(text)?;
             let mut environment = Environment {
                 tasks: tasks.clone(),
-                world,
+                context,
                 program: self.program.clone(),
                 folder: tempfile::tempdir().map_err(text)?,
-                roster: address,
+                discovery: address,
                 control,
                 up: Some(up),
                 dispatchers: Vec::new(),
@@ -217,7 +217,7 @@
                     environment.control.opened() == 1
                 })
                 .await?;
-            measure.until_ready(&tasks, at).await?;
+            measure.wait_until_ready(&tasks, at).await?;
             let mut which = 0;
             for _ in 0..self.rounds {
                 calm.push(measure.round(&tasks, "no pushes", at).await?);
@@ -237,7 +237,7 @@
             println!(
                 "placing with 10 versions a second over without, medians of {} rounds: asks/s {:.2}, p50 {:.2}, p99 {:.2}; {applied} applied of {which}",
                 self.rounds,
-                ratio(|r| r.a_second),
+                ratio(|r| r.per_second),
                 ratio(|r| r.p50_us),
                 ratio(|r| r.p99_us)
             );
--- a/crates/testbed/src/config_push_experiment/environment.rs
+++ b/crates/testbed/src/config_push_experiment/environment.rs
@@ -4,7 +4,7 @@
 use crate::control_service::{ControlService, ControlServiceGuard};
 use crate::discovery::Discovery;
 use crate::measure::{self, Process};
-use crate::node::World;
+use crate::node::SharedContext;
 use async_io::Timer;
 use corkspan_api::v1::{self, versions_client::VersionsClient};
 use corkspan_config::version::SharedParts;
@@ -21,10 +21,10 @@
 /// A control service, and dispatchers that take their versions from it.
 pub(super) struct Environment {
     pub(super) tasks: Tasks,
-    pub(super) world: std::sync::Arc<World>,
+    pub(super) context: std::sync::Arc<SharedContext>,
     pub(super) program: Vec<OsString>,
     pub(super) folder: tempfile::TempDir,
-    pub(super) roster: SocketAddr,
+    pub(super) discovery: SocketAddr,
     pub(super) control: ControlService,
     pub(super) up: Option<ControlServiceGuard>,
     pub(super) dispatchers: Vec<Process>,
@@ -39,15 +39,15 @@
     let tasks = Tasks::default();
     let whole = async {
         let text = |why: std::io::Error| why.to_string();
-        let world = World::new(Capture::new(None).map_err(text)?, &tasks, None);
-        let (_roster, roster) = Discovery::start(&world).await.map_err(text)?;
-        let (control, up) = ControlService::start(&world).await.map_err(text)?;
+        let context = SharedContext::new(Capture::new(None).map_err(text)?, &tasks, None);
+        let (_roster, discovery) = Discovery::start(&context).await.map_err(text)?;
+        let (control, up) = ControlService::start(&context).await.map_err(text)?;
         let mut environment = Environment {
             tasks: tasks.clone(),
-            world,
+            context,
             program: program.to_vec(),
             folder: tempfile::tempdir().map_err(text)?,
-            roster,
+            discovery,
             control,
             up: Some(up),
             dispatchers: Vec::new(),
@@ -70,7 +70,7 @@
     pub(super) fn file(&self, number: usize, of: usize) -> String {
         let kept = self.folder.path().join(format!("versions-{number}.json"));
         let more = format!("(control \"{}\") (versions {kept:?})", self.control.address);
-        let text = measure::deployment(self.roster, &more);
+        let text = measure::deployment(self.discovery, &more);
         text.replace("(number 0)", &format!("(number {number})"))
             .replace("(schedulers 1)", &format!("(schedulers {of})"))
     }
@@ -115,7 +115,7 @@
     }
 
     pub(super) async fn status(&self, dispatcher: usize) -> Result<v1::VersionStatus, String> {
-        let link = measure::link(&self.tasks, self.dispatchers[dispatcher].address).await?;
+        let link = measure::connect(&self.tasks, self.dispatchers[dispatcher].address).await?;
         let status = VersionsClient::new(link)
             .status(v1::VersionStatusRequest {})
             .await;
--- a/crates/testbed/src/control_service.rs
+++ b/crates/testbed/src/control_service.rs
@@ -1,8 +1,8 @@
 //! A stand-in control service: streams what its publisher decides to each subscriber, or what a
 //! test puts on the wire, and keeps every reply.
 
-use crate::capture::Seen;
-use crate::node::World;
+use crate::capture::Observation;
+use crate::node::SharedContext;
 use async_net::TcpListener;
 use corkspan_api::v1::push_reply::Answer;
 use corkspan_api::v1::{self, control_server};
@@ -45,7 +45,7 @@
 #[derive(Clone)]
 pub struct ControlService {
     state: Arc<Mutex<State>>,
-    world: Arc<World>,
+    context: Arc<SharedContext>,
     /// Where it listens.
     pub address: SocketAddr,
 }
@@ -59,36 +59,39 @@
 impl ControlService {
     /// Starts a service on a free port.
     pub async fn start(
-        world: &Arc<World>,
+        context: &Arc<SharedContext>,
     ) -> std::io::Result<(ControlService, ControlServiceGuard)> {
-        ControlService::start_at(world, "127.0.0.1:0").await
+        ControlService::start_at(context, "127.0.0.1:0").await
     }
 
     /// Starts a service on this address.
     pub async fn start_at(
-        world: &Arc<World>,
+        context: &Arc<SharedContext>,
         address: &str,
     ) -> std::io::Result<(ControlService, ControlServiceGuard)> {
         let listener = TcpListener::bind(address).await?;
         let control = ControlService {
             state: Arc::default(),
-            world: Arc::clone(world),
+            context: Arc::clone(context),
             address: listener.local_addr()?,
         };
-        let up = control.serve(world, listener);
+        let up = control.serve(context, listener);
         Ok((control, up))
     }
 
     /// Starts the same service again, with its state, on its former address.
-    pub async fn restart(&self, world: &Arc<World>) -> std::io::Result<ControlServiceGuard> {
+    pub async fn restart(
+        &self,
+        context: &Arc<SharedContext>,
+    ) -> std::io::Result<ControlServiceGuard> {
         let listener = TcpListener::bind(self.address).await?;
-        Ok(self.serve(world, listener))
+        Ok(self.serve(context, listener))
     }
 
-    fn serve(&self, world: &Arc<World>, listener: TcpListener) -> ControlServiceGuard {
+    fn serve(&self, context: &Arc<SharedContext>, listener: TcpListener) -> ControlServiceGuard {
         let service =
-            control_server::ControlServer::new(Service(self.clone(), Arc::clone(&world.tasks)));
-        let tasks = &world.tasks;
+            control_server::ControlServer::new(Service(self.clone(), Arc::clone(&context.tasks)));
+        let tasks = &context.tasks;
         ControlServiceGuard(tasks.spawn(async move {
             corkspan_rpc::serve(listener, service, corkspan_rpc::Bounds::default()).await;
         }))
@@ -112,7 +115,7 @@
     pub fn publish(&self, texts: SharedParts, cuts: bool) -> VersionId {
         self.with(|state| {
             let stamp = state.publisher.publish(texts, cuts);
-            self.world.capture.see(Seen::Pushed {
+            self.context.capture.record(Observation::Pushed {
                 number: stamp.number,
             });
             state.flush();
@@ -140,7 +143,9 @@
     fn receive(&self, message: v1::PushReply) {
         if let Some(active) = &message.active {
             let (dispatcher, number) = (message.dispatcher, active.number);
-            self.world.capture.see(Seen::InForce { dispatcher, number });
+            self.context
+                .capture
+                .record(Observation::VersionActive { dispatcher, number });
         }
         self.with(|state| {
             let active = message.active.as_ref().and_then(parse_version_id);
--- a/crates/testbed/src/cost.rs
+++ b/crates/testbed/src/cost.rs
@@ -1,7 +1,7 @@
 //! What dispatchers cost: processor time and memory as the kernel counts them by process, and what
 //! they counted on their links.
 
-use crate::traffic::of;
+use crate::traffic::traffic_of;
 use corkspan_api::v1::{ConnectionTraffic, connection_traffic::Kind};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -11,7 +11,7 @@
 
 /// Kinds of link that carry control, and not placing. Keepers are nodes: what is placed on these
 /// few is with them.
-pub const CONTROL: [Kind; 4] = [
+pub const CONTROL_KINDS: [Kind; 4] = [
     Kind::Roster,
     Kind::Control,
     Kind::Keepers,
@@ -38,7 +38,8 @@
     pub processes: usize,
     pub dispatchers: usize,
     /// Dispatchers that told their counts at both moments: bytes and messages are of these.
-    pub told: usize,
+    #[serde(rename = "told")]
+    pub reporting: usize,
     pub seconds: f64,
     pub cpu_s: f64,
     /// At the later moment.
@@ -48,7 +49,7 @@
     pub links: [[u64; 4]; 6],
 }
 
-pub const KINDS: [Kind; 6] = [
+pub const TRAFFIC_KINDS: [Kind; 6] = [
     Kind::Roster,
     Kind::Control,
     Kind::Keepers,
@@ -58,7 +59,7 @@
 ];
 
 fn figures(counts: &[ConnectionTraffic], kind: Kind) -> [u64; 4] {
-    let count = of(counts, kind);
+    let count = traffic_of(counts, kind);
     [
         count.bytes_in,
         count.bytes_out,
@@ -70,9 +71,10 @@
 impl Cost {
     /// Bytes a second and dispatcher of these kinds of link, both ways.
     pub fn bytes(&self, kinds: &[Kind]) -> f64 {
-        let own = std::iter::zip(KINDS, self.links).filter(|(kind, _)| kinds.contains(kind));
+        let own =
+            std::iter::zip(TRAFFIC_KINDS, self.links).filter(|(kind, _)| kinds.contains(kind));
         let bytes: u64 = own.map(|(_, [came, went, ..])| came + went).sum();
-        bytes as f64 / self.seconds.max(1e-3) / self.told.max(1) as f64
+        bytes as f64 / self.seconds.max(1e-3) / self.reporting.max(1) as f64
     }
 
     /// Share of a core, of one dispatcher.
@@ -95,8 +97,8 @@
             let Some(former) = before.counts.get(number) else {
                 continue;
             };
-            self.told += 1;
-            for (sum, kind) in std::iter::zip(&mut self.links, KINDS) {
+            self.reporting += 1;
+            for (sum, kind) in std::iter::zip(&mut self.links, TRAFFIC_KINDS) {
                 let (now, then) = (figures(counts, kind), figures(former, kind));
                 for (sum, (now, then)) in std::iter::zip(sum, std::iter::zip(now, then)) {
                     *sum += now.saturating_sub(then);
@@ -136,7 +138,7 @@
             self.processes,
             100.0 * self.cpu(),
             self.mib(),
-            self.bytes(&CONTROL),
+            self.bytes(&CONTROL_KINDS),
             self.bytes(&[Kind::Nodes]),
             self.bytes(&[Kind::Owners]),
         )
--- a/crates/testbed/src/discovery.rs
+++ b/crates/testbed/src/discovery.rs
@@ -1,8 +1,8 @@
 //! The stand-in of service discovery: it sends each watcher every change of the endpoint list, a
 //! while after the change.
 
-use crate::capture::{NodeState, Seen};
-use crate::node::World;
+use crate::capture::{NodeState, Observation};
+use crate::node::SharedContext;
 use crate::relay::Relay;
 use async_io::Timer;
 use async_net::TcpListener;
@@ -23,7 +23,7 @@
 
 /// The stand-in of service discovery.
 pub struct Discovery {
-    world: Arc<World>,
+    context: Arc<SharedContext>,
     /// Where it listens.
     pub address: SocketAddr,
     listener: TcpListener,
@@ -76,11 +76,11 @@
 
 impl Discovery {
     /// Starts with an empty list. Returns the address at which it listens, too.
-    pub async fn start(world: &Arc<World>) -> std::io::Result<(Arc<Self>, SocketAddr)> {
+    pub async fn start(context: &Arc<SharedContext>) -> std::io::Result<(Arc<Self>, SocketAddr)> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
         let discovery = Arc::new(Discovery {
-            world: Arc::clone(world),
+            context: Arc::clone(context),
             address,
             listener,
             server: Mutex::default(),
@@ -95,7 +95,7 @@
     fn listen(self: &Arc<Self>) {
         let service = RosterServer::new(Service(Arc::clone(self)));
         let served = corkspan_rpc::serve(self.listener.clone(), service, Bounds::default());
-        let server = self.world.tasks.spawn(async move {
+        let server = self.context.tasks.spawn(async move {
             served.await;
         });
         *lock(&self.server) = Some(server);
@@ -110,7 +110,7 @@
                 Timer::after(time).await;
                 discovery.listen();
             };
-            self.world.tasks.spawn(listen_later).detach();
+            self.context.tasks.spawn(listen_later).detach();
         }
     }
 
@@ -120,7 +120,7 @@
             lock(&self.proxies)
                 .iter()
                 .filter(|((_, node), _)| *node == endpoint.node)
-                .for_each(|(_, relay)| relay.lead(address));
+                .for_each(|(_, relay)| relay.set_target(address));
         }
         let mut log = lock(&self.log);
         let now = Instant::now();
@@ -190,12 +190,12 @@
         let state = match endpoint.state() {
             State::Draining => NodeState::Draining,
             State::Gone => NodeState::Gone,
-            _ if started_ms > 0 && started_ms + RECENT_START_MS > now_ms => NodeState::Cold,
+            _ if started_ms > 0 && started_ms + RECENT_START_MS > now_ms => NodeState::SlowStart,
             _ => NodeState::Serving,
         };
         let node = endpoint.node;
         if recorded.insert(node, (state, started_ms)) != Some((state, started_ms)) {
-            self.world.capture.see(Seen::Told {
+            self.context.capture.record(Observation::EndpointSent {
                 dispatcher,
                 node,
                 state,
@@ -292,7 +292,7 @@
         let dispatcher = request.dispatcher;
         let watch = Arc::clone(&self.0).watch(request, sender);
         // Held by the stream itself, so that it ends with it.
-        let task = self.0.world.tasks.spawn(watch);
+        let task = self.0.context.tasks.spawn(watch);
         let discovery = Arc::clone(&self.0);
         let stream = futures_lite::stream::unfold((lists, task), move |(lists, task)| {
             let discovery = Arc::clone(&discovery);
--- a/crates/testbed/src/fault_proxies.rs
+++ b/crates/testbed/src/fault_proxies.rs
@@ -2,7 +2,7 @@
 //! strike them one by one.
 
 use crate::discovery::Discovery;
-use crate::relay::{Relay, Way};
+use crate::relay::{Direction, Relay};
 use crate::scenario::{LinkPeer, ScheduledFault};
 use corkspan_rpc::Tasks;
 use std::collections::BTreeMap;
@@ -17,33 +17,33 @@
 const PEERS: usize = 3;
 
 /// Relays that stand, but for those to nodes, which the roster keeps, since it tells of them.
-pub struct Wires {
+pub struct FaultProxies {
     relays: BTreeMap<(usize, LinkPeer), Vec<Relay>>,
     /// Whom each one's peers' relays lead to.
     peers: Vec<Vec<usize>>,
-    keepers: Vec<u32>,
-    roster: Arc<Discovery>,
+    quorum_members: Vec<u32>,
+    discovery: Arc<Discovery>,
 }
 
-impl Wires {
-    pub async fn up(
+impl FaultProxies {
+    pub async fn start(
         tasks: &Tasks,
         dispatchers: usize,
-        roster: &Arc<Discovery>,
+        discovery: &Arc<Discovery>,
         control: Option<SocketAddr>,
         nodes: &[(u32, SocketAddr)],
-        keepers: &[u32],
-    ) -> io::Result<Wires> {
+        quorum_members: &[u32],
+    ) -> io::Result<FaultProxies> {
         let (mut relays, mut peers) = (BTreeMap::new(), Vec::new());
         for own in 0..dispatchers {
             relays.insert(
                 (own, LinkPeer::Roster),
-                vec![Relay::up(tasks, roster.address).await?],
+                vec![Relay::start(tasks, discovery.address).await?],
             );
             if let Some(control) = control {
                 relays.insert(
                     (own, LinkPeer::Control),
-                    vec![Relay::up(tasks, control).await?],
+                    vec![Relay::start(tasks, control).await?],
                 );
             }
             let others: Vec<usize> = (1..dispatchers)
@@ -52,25 +52,25 @@
                 .collect();
             let mut links = Vec::new();
             for _ in &others {
-                links.push(Relay::up(tasks, NOBODY).await?);
+                links.push(Relay::start(tasks, NOBODY).await?);
             }
             relays.insert((own, LinkPeer::Dispatchers), links);
             peers.push(others);
             // Thousands of links where all nodes have theirs: only those that a trouble strikes.
             for &(node, address) in nodes {
-                let relay = Relay::up(tasks, address).await?;
-                roster
+                let relay = Relay::start(tasks, address).await?;
+                discovery
                     .proxies
                     .lock()
                     .expect("unshared")
                     .insert((own as u32, node), relay);
             }
         }
-        Ok(Wires {
+        Ok(FaultProxies {
             relays,
             peers,
-            keepers: keepers.to_vec(),
-            roster: Arc::clone(roster),
+            quorum_members: quorum_members.to_vec(),
+            discovery: Arc::clone(discovery),
         })
     }
 
@@ -89,7 +89,7 @@
     }
 
     /// A dispatcher listens here from now on.
-    pub fn listens(&self, dispatcher: usize, at: SocketAddr) {
+    pub fn set_dispatcher_address(&self, dispatcher: usize, at: SocketAddr) {
         for (own, peers) in self.peers.iter().enumerate() {
             let links = self
                 .relays
@@ -99,15 +99,15 @@
             links
                 .zip(peers)
                 .filter(|(_, peer)| **peer == dispatcher)
-                .for_each(|(relay, _)| relay.lead(at));
+                .for_each(|(relay, _)| relay.set_target(at));
         }
     }
 
     /// Bytes that came to a dispatcher from this end, and that it sent there.
-    pub fn passed(&self, dispatcher: usize, end: LinkPeer) -> [u64; 2] {
+    pub fn bytes_passed(&self, dispatcher: usize, end: LinkPeer) -> [u64; 2] {
         let passed = std::cell::Cell::new([0; 2]);
         self.each(dispatcher, end, |relay| {
-            let (sum, own) = (passed.get(), relay.passed());
+            let (sum, own) = (passed.get(), relay.bytes_passed());
             passed.set([sum[0] + own[0], sum[1] + own[1]]);
         });
         passed.get()
@@ -122,7 +122,7 @@
             .flatten()
             .for_each(&what);
         let ways = self
-            .roster
+            .discovery
             .proxies
             .lock()
             .expect("no one panics while it is held");
@@ -130,18 +130,18 @@
             .iter()
             .filter(|((own, _), _)| *own as usize == dispatcher);
         let there = mine.filter(|((_, node), _)| match end {
-            LinkPeer::Keepers => self.keepers.contains(node),
-            LinkPeer::Nodes => !self.keepers.contains(node),
+            LinkPeer::Keepers => self.quorum_members.contains(node),
+            LinkPeer::Nodes => !self.quorum_members.contains(node),
             _ => false,
         });
         there.for_each(|(_, relay)| what(relay));
     }
 
-    pub fn strike(&self, dispatcher: usize, trouble: &ScheduledFault) {
-        for &end in &trouble.peers {
-            self.each(dispatcher, end, |relay| match trouble.delay {
-                Duration::ZERO => relay.hold(&trouble.directions),
-                by => relay.delay(&trouble.directions, by),
+    pub fn inject(&self, dispatcher: usize, fault: &ScheduledFault) {
+        for &end in &fault.peers {
+            self.each(dispatcher, end, |relay| match fault.delay {
+                Duration::ZERO => relay.hold(&fault.directions),
+                by => relay.delay(&fault.directions, by),
             });
         }
     }
@@ -149,7 +149,7 @@
     /// Nothing of newer versions reaches it, though its stream stands.
     pub fn hold_versions(&self, dispatcher: usize) {
         self.each(dispatcher, LinkPeer::Control, |relay| {
-            relay.hold(&[Way::In])
+            relay.hold(&[Direction::In])
         });
     }
 
--- a/crates/testbed/src/hollow/fleet.rs
+++ b/crates/testbed/src/hollow/fleet.rs
@@ -1,10 +1,10 @@
 //! A fleet of dispatchers before stand-ins of nodes, run for a while without asks or with them, and
 //! read.
 
-use crate::capture::Seen;
-use crate::cost::{CONTROL, Cost, Costs, KINDS, between};
+use crate::capture::Observation;
+use crate::cost::{CONTROL_KINDS, Cost, Costs, TRAFFIC_KINDS, between};
 use crate::process::Programs;
-use crate::runner::{Play, Stage, tell_room};
+use crate::runner::{ScenarioRun, Testbed, report_capacity};
 use crate::saturation::SaturationMonitor;
 use crate::scenario::Scenario;
 use crate::summary::StandIns;
@@ -33,7 +33,7 @@
     /// How the laboratory itself kept up.
     pub stand_ins: StandIns,
     /// As owners heard it.
-    pub asked: usize,
+    pub requested: usize,
     pub placed: usize,
 }
 
@@ -41,14 +41,14 @@
 /// calls are to follow one another closely.
 pub struct Fleet {
     tasks: Tasks,
-    stage: Stage,
+    testbed: Testbed,
     _room: async_executor::Task<()>,
 }
 
 impl Fleet {
     /// Refused at once, with what is short, where it does not fit the machine. Each dispatcher
     /// knows all nodes when this returns.
-    pub fn up(size: Size, seed: u64, programs: &Programs) -> Result<Fleet, String> {
+    pub fn start(size: Size, seed: u64, programs: &Programs) -> Result<Fleet, String> {
         let Size {
             real,
             hollow,
@@ -67,27 +67,28 @@
             "(day (length 600 s) (dispatchers {}) {script} (nodes {nodes}) (rate 1) (cancels 0))",
             real + hollow
         );
-        let mut day = Scenario::read("fleet", &script).map_err(|why| why.to_string())?;
-        day.rate = 0.0;
-        let (tell, programs) = ((|text| text) as fn(String) -> String, programs.clone());
-        let play = Play {
-            day,
+        let mut scenario = Scenario::read("fleet", &script).map_err(|why| why.to_string())?;
+        scenario.rate = 0.0;
+        let (rewrite_deployment, programs) =
+            ((|text| text) as fn(String) -> String, programs.clone());
+        let scenario_run = ScenarioRun {
+            scenario,
             seed,
             programs,
             capture: None,
-            tell,
+            rewrite_deployment,
             logs: None,
         };
         let tasks = Tasks::default();
-        let stage = future::block_on(tasks.run(play.up(&tasks)))?;
-        let room = tasks.spawn(tell_room(
-            stage.roster.clone(),
-            stage.nodes.clone(),
-            stage.day.clone(),
+        let testbed = future::block_on(tasks.run(scenario_run.start(&tasks)))?;
+        let room = tasks.spawn(report_capacity(
+            testbed.discovery.clone(),
+            testbed.nodes.clone(),
+            testbed.scenario.clone(),
         ));
         Ok(Fleet {
             tasks,
-            stage,
+            testbed,
             _room: room,
         })
     }
@@ -96,19 +97,23 @@
     /// so long; at a rate of 0 nobody asks.
     pub fn run(&mut self, time: Duration, rate: f64, life: Duration) -> Result<Span, String> {
         let tasks = self.tasks.clone();
-        let stage = &mut self.stage;
-        (stage.day.rate, stage.day.mean_lifetime) = (rate, life);
+        let testbed = &mut self.testbed;
+        (testbed.scenario.rate, testbed.scenario.mean_lifetime) = (rate, life);
         let whole = async {
-            let (before, from) = (stage.read().await?, stage.front.world.capture.lines().len());
+            let (before, from) = (
+                testbed.read_costs().await?,
+                testbed.frontend.context.capture.lines().len(),
+            );
             let (saturation, until) = (
-                SaturationMonitor::start(&tasks, stage.hollow()).map_err(|why| why.to_string())?,
+                SaturationMonitor::start(&tasks, testbed.hollow_process_ids())
+                    .map_err(|why| why.to_string())?,
                 Instant::now() + time,
             );
-            stage.start = Instant::now();
-            let owners = stage.through(until).await?;
+            testbed.start = Instant::now();
+            let owners = testbed.run_until(until).await?;
             Timer::at(until).await;
-            let seen = saturation.end().map_err(|why| why.to_string())?;
-            let after = stage.read().await?;
+            let observation = saturation.end().map_err(|why| why.to_string())?;
+            let after = testbed.read_costs().await?;
             // Those that are still here when the span is over are not waited for.
             drop(owners);
             let Costs { real, hollow } = between(&before, &after);
@@ -117,13 +122,13 @@
                 hollow,
                 ..Span::default()
             };
-            if let Seen::StandIns {
+            if let Observation::StandIns {
                 busy,
                 waited,
                 late_us,
                 hollow,
                 spoilt,
-            } = seen
+            } = observation
             {
                 span.stand_ins = StandIns {
                     busy,
@@ -133,11 +138,11 @@
                     spoilt,
                 };
             }
-            for line in &stage.front.world.capture.lines()[from..] {
-                match line.seen {
-                    Seen::Asked(_) => span.asked += 1,
-                    Seen::Heard {
-                        word: crate::capture::Word::Placed,
+            for line in &testbed.frontend.context.capture.lines()[from..] {
+                match line.observation {
+                    Observation::Requested(_) => span.requested += 1,
+                    Observation::EventReceived {
+                        event: crate::capture::AllocationEvent::Placed,
                         ..
                     } => span.placed += 1,
                     _ => {}
@@ -152,12 +157,12 @@
     }
 
     /// All processes end, and each with 0.
-    pub fn down(mut self) -> Result<(), String> {
+    pub fn stop(mut self) -> Result<(), String> {
         let tasks = self.tasks.clone();
-        let front = self.stage.front.clone();
+        let frontend = self.testbed.frontend.clone();
         future::block_on(tasks.run(async {
-            for process in &mut self.stage.fleet {
-                process.down(&front).await?;
+            for process in &mut self.testbed.fleet {
+                process.stop(&frontend).await?;
             }
             Ok(())
         }))
@@ -188,7 +193,7 @@
 /// machine.
 impl Against {
     pub fn run(self) -> Result<(), String> {
-        let programs = Programs::here()?;
+        let programs = Programs::of_current_exe()?;
         if self.dispatchers < 2
             || !(0.5..=600.0).contains(&self.seconds)
             || !(0.0..=5_000.0).contains(&self.rate)
@@ -208,13 +213,13 @@
                     hollow,
                     nodes: self.nodes,
                 };
-                let mut fleet = Fleet::up(size, round + 1, &programs)?;
+                let mut fleet = Fleet::start(size, round + 1, &programs)?;
                 for rate in rates {
                     // What was learnt at the start, or of another rate, settles first.
                     fleet.run(Duration::from_secs(3), rate, LIFE)?;
                     spans.push(fleet.run(time, rate, LIFE)?);
                 }
-                fleet.down()?;
+                fleet.stop()?;
             }
             for (rate, (first, second)) in
                 std::iter::zip(rates, std::iter::zip(&spans, &spans[rates.len()..]))
@@ -226,15 +231,15 @@
                 for (span, name) in [(first, "real"), (second, "hollow")] {
                     println!(
                         "  stand-ins, {name}: {}; {} asked, {} placed",
-                        span.stand_ins, span.asked, span.placed
+                        span.stand_ins, span.requested, span.placed
                     );
                 }
                 let ratio =
                     |cost: &Cost, kinds: &[Kind]| cost.bytes(kinds) / first.real.bytes(kinds);
                 let (ratio, beside, control) = (
-                    ratio(&second.hollow, &KINDS),
-                    ratio(&second.real, &KINDS),
-                    ratio(&second.hollow, &CONTROL),
+                    ratio(&second.hollow, &TRAFFIC_KINDS),
+                    ratio(&second.real, &TRAFFIC_KINDS),
+                    ratio(&second.hollow, &CONTROL_KINDS),
                 );
                 println!(
                     "  bytes a second and dispatcher, over real ones alone: hollow {ratio:.3} (control {control:.3}), real among them {beside:.3}"
--- a/crates/testbed/src/loads.rs
+++ b/crates/testbed/src/loads.rs
@@ -3,8 +3,8 @@
 
 use crate::capture::Capture;
 use crate::discovery::Discovery;
-use crate::measure::{self, Measure, Process, Prompt};
-use crate::node::World;
+use crate::measure::{self, InstantNode, Measure, Process};
+use crate::node::SharedContext;
 use async_io::Timer;
 use corkspan_api::v1::{self, placement_event::Event};
 use corkspan_load_generator::plan::Plan;
@@ -99,7 +99,7 @@
 pub fn error(rate: u32) -> Result<String, String> {
     let catch = Catch::default();
     let served = catch.clone();
-    let to = [measure::apart(|| {
+    let to = [measure::serve_on_own_thread(|| {
         v1::placement_server::PlacementServer::new(served)
     })?];
     let plan = plan(&format!("(constant (for 5 s) (rate {rate}))"), 1)?;
@@ -141,14 +141,14 @@
 /// A dispatcher that stands still for so long in the middle of a load: what the load tells, and
 /// what one owner that waits for its answers tells of the same time.
 pub fn stalled(program: &[OsString], pause: Duration) -> Result<(Report, Report), String> {
-    let node = measure::apart(|| v1::node_server::NodeServer::new(Prompt))?;
+    let node = measure::serve_on_own_thread(|| v1::node_server::NodeServer::new(InstantNode))?;
     let tasks = Tasks::default();
     let whole = async {
         let text = |why: std::io::Error| why.to_string();
-        let world = World::new(Capture::new(None).map_err(text)?, &tasks, None);
-        let (roster, address) = Discovery::start(&world).await.map_err(text)?;
+        let context = SharedContext::new(Capture::new(None).map_err(text)?, &tasks, None);
+        let (discovery, address) = Discovery::start(&context).await.map_err(text)?;
         for id in 0..8 {
-            roster.update(Duration::ZERO, measure::entry(id, node));
+            discovery.update(Duration::ZERO, measure::endpoint(id, node));
         }
         let folder = tempfile::tempdir().map_err(text)?;
         let file = folder.path().join("dispatcher.sexp");
@@ -161,7 +161,7 @@
             nodes: 8,
             held: 0,
         };
-        measure.until_ready(&tasks, process.address).await?;
+        measure.wait_until_ready(&tasks, process.address).await?;
         let began = Instant::now();
         let phases = format!(
             "(constant (for {} ms) (rate 100))",
@@ -181,9 +181,9 @@
         let closed = run(&tasks, waiting, |_, _| {});
         let still = async {
             Timer::at(began + Duration::from_millis(500)).await;
-            process.stand_still(true)?;
+            process.set_paused(true)?;
             Timer::after(pause).await;
-            process.stand_still(false)
+            process.set_paused(false)
         };
         let ((open, closed), still) = future::zip(future::zip(open, closed), still).await;
         still?;
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -5,7 +5,7 @@
 use corkspan_testbed::capacity::Capacity;
 use corkspan_testbed::{
     capture, checker, config_push_experiment::ConfigPushExperiment, hollow, loads,
-    measure::Measure, process::Programs, runner::Play, scenario::Scenario, summary::Table,
+    measure::Measure, process::Programs, runner::ScenarioRun, scenario::Scenario, summary::Summary,
 };
 use std::ffi::OsString;
 use std::path::{Path, PathBuf};
@@ -177,34 +177,36 @@
             program,
             logs,
         } => {
-            let day = match (&file, short) {
+            let scenario = match (&file, short) {
                 (Some(file), _) => Scenario::load(file),
                 (None, true) => Scenario::read("the short day", corkspan_testbed::scenario::SHORT),
                 (None, false) => {
                     Scenario::read("the built-in day", corkspan_testbed::scenario::BUILT_IN)
                 }
             };
-            day.map_err(|why| why.to_string()).and_then(|day| {
-                let real = match program {
-                    Some(program) => vec![program.into_os_string()],
-                    None => own()?,
-                };
-                let programs = Programs {
-                    real,
-                    ..Programs::here()?
-                };
-                let lines = Play {
-                    day,
-                    seed,
-                    programs,
-                    capture,
-                    tell: |text| text,
-                    logs,
-                }
-                .run()?;
-                println!("{}", Table::of(&lines));
-                judged(&lines)
-            })
+            scenario
+                .map_err(|why| why.to_string())
+                .and_then(|scenario| {
+                    let real = match program {
+                        Some(program) => vec![program.into_os_string()],
+                        None => own()?,
+                    };
+                    let programs = Programs {
+                        real,
+                        ..Programs::of_current_exe()?
+                    };
+                    let lines = ScenarioRun {
+                        scenario,
+                        seed,
+                        programs,
+                        capture,
+                        rewrite_deployment: |text| text,
+                        logs,
+                    }
+                    .run()?;
+                    println!("{}", Summary::of(&lines));
+                    judged(&lines)
+                })
         }
         Call::Measure {
             rounds,
@@ -448,12 +450,12 @@
 
 fn judge_file(path: &Path) -> Result<(), String> {
     let lines = capture::read(path)?;
-    println!("{}", Table::of(&lines));
+    println!("{}", Summary::of(&lines));
     judged(&lines)
 }
 
 fn judged(lines: &[capture::Line]) -> Result<(), String> {
-    let breaches = checker::judge(lines)?;
+    let breaches = checker::check(lines)?;
     if breaches.is_empty() {
         println!("rules                all five kept");
         return Ok(());
--- a/crates/testbed/src/maintenance_figures.rs
+++ b/crates/testbed/src/maintenance_figures.rs
@@ -1,6 +1,6 @@
 //! What a day with machine maintenance came to, by the nodes' own cordons.
 
-use crate::capture::{Line, Seen, Word};
+use crate::capture::{AllocationEvent, Line, Observation};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
@@ -46,24 +46,24 @@
 }
 
 impl Reader<'_> {
-    fn read(&mut self, at: u64, seen: &Seen) {
-        match seen {
-            Seen::Maintenance {
+    fn read(&mut self, at: u64, observation: &Observation) {
+        match observation {
+            Observation::MaintenanceRequested {
                 machines,
-                at_a_time,
-                by_hall,
+                max_concurrent,
+                max_per_zone,
             } => {
                 self.began_at = Some(at);
                 self.figures.machines = *machines;
-                self.figures.max_out = *at_a_time;
-                self.figures.max_out_of_zone = *by_hall;
+                self.figures.max_out = *max_concurrent;
+                self.figures.max_out_of_zone = *max_per_zone;
             }
-            Seen::Door { node, closed: true } => self.cordoned(at, *node),
-            Seen::Door {
+            Observation::Cordon { node, closed: true } => self.cordoned(at, *node),
+            Observation::Cordon {
                 node,
                 closed: false,
             } => self.uncordoned(at, *node),
-            Seen::Worked {
+            Observation::MaintenanceWork {
                 node,
                 begins: true,
                 runs,
@@ -73,9 +73,9 @@
                 self.figures.completions += 1;
                 self.figures.violations += usize::from(!is_sound);
             }
-            Seen::Said {
+            Observation::EventSent {
                 node,
-                word: Word::Accepted,
+                event: AllocationEvent::Accepted,
                 ..
             } => {
                 let is_cordoned = self.cordoned_since.contains_key(node);
@@ -114,15 +114,15 @@
     pub fn of(lines: &[Line]) -> Option<Self> {
         let mut reader = Reader::default();
         if let Some(Line {
-            seen: Seen::Day(rules),
+            observation: Observation::Rules(rules),
             ..
         }) = lines.first()
         {
-            let zones = rules.nodes.iter().map(|home| (home.node, &home.hall[..]));
+            let zones = rules.nodes.iter().map(|home| (home.node, &home.zone[..]));
             reader.zones = zones.collect();
         }
-        for Line { t, seen } in lines {
-            reader.read(*t, seen);
+        for Line { t, observation } in lines {
+            reader.read(*t, observation);
         }
         reader.began_at?;
         let mut figures = reader.figures;
--- a/crates/testbed/src/measure.rs
+++ b/crates/testbed/src/measure.rs
@@ -3,7 +3,7 @@
 
 use crate::capture::Capture;
 use crate::discovery::Discovery;
-use crate::node::World;
+use crate::node::SharedContext;
 use async_io::Timer;
 use async_net::TcpListener;
 use corkspan_api::v1::{self, placement_client::PlacementClient, placement_event::Event};
@@ -34,7 +34,7 @@
 /// One round's figures.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Round {
-    pub a_second: f64,
+    pub per_second: f64,
     pub p50_us: f64,
     pub p99_us: f64,
 }
@@ -43,13 +43,13 @@
     pub fn run(self) -> Result<(), String> {
         let text = |why: std::io::Error| why.to_string();
         let tasks = Tasks::default();
-        let echo = apart(|| v1::placement_server::PlacementServer::new(Echo))?;
-        let node = apart(|| v1::node_server::NodeServer::new(Prompt))?;
+        let echo = serve_on_own_thread(|| v1::placement_server::PlacementServer::new(Echo))?;
+        let node = serve_on_own_thread(|| v1::node_server::NodeServer::new(InstantNode))?;
         let whole = async {
-            let world = World::new(Capture::new(None).map_err(text)?, &tasks, None);
-            let (roster, address) = Discovery::start(&world).await.map_err(text)?;
+            let context = SharedContext::new(Capture::new(None).map_err(text)?, &tasks, None);
+            let (discovery, address) = Discovery::start(&context).await.map_err(text)?;
             for id in 0..self.nodes {
-                roster.update(Duration::ZERO, entry(id, node));
+                discovery.update(Duration::ZERO, endpoint(id, node));
             }
             let mut dispatcher = Process::start(&self.program, address, "")?;
             let result = self.compare(&tasks, echo, &mut dispatcher).await;
@@ -65,7 +65,7 @@
         dispatcher: &mut Process,
     ) -> Result<(), String> {
         let (mut floor, mut own) = (Vec::new(), Vec::new());
-        let before = self.until_ready(tasks, dispatcher.address).await?;
+        let before = self.wait_until_ready(tasks, dispatcher.address).await?;
         println!("idle: {} KiB resident", dispatcher.resident()?);
         let cpu = dispatcher.cpu()?;
         println!(
@@ -76,11 +76,11 @@
             floor.push(self.round(tasks, "echo", echo).await?);
             own.push(self.round(tasks, "dispatcher", dispatcher.address).await?);
         }
-        let after = self.until_ready(tasks, dispatcher.address).await?;
+        let after = self.wait_until_ready(tasks, dispatcher.address).await?;
         let ratio = |of: fn(&Round) -> f64| median(&own, of) / median(&floor, of);
         println!(
             "dispatcher over echo, medians: asks/s {:.2}, p50 {:.2}, p99 {:.2}",
-            ratio(|r| r.a_second),
+            ratio(|r| r.per_second),
             ratio(|r| r.p50_us),
             ratio(|r| r.p99_us)
         );
@@ -106,7 +106,7 @@
 
     async fn memory(&self, tasks: &Tasks, dispatcher: &mut Process) -> Result<(), String> {
         println!("with none in hand: {} KiB resident", dispatcher.resident()?);
-        let client = PlacementClient::new(link(tasks, dispatcher.address).await?);
+        let client = PlacementClient::new(connect(tasks, dispatcher.address).await?);
         let mut held = Vec::new();
         for number in 0..self.held {
             let ask = ask(&format!("held{number}"), 3_600_000);
@@ -120,7 +120,7 @@
         for words in &mut held {
             words.message().await.map_err(|why| why.to_string())?;
         }
-        let status = self.until_ready(tasks, dispatcher.address).await?;
+        let status = self.wait_until_ready(tasks, dispatcher.address).await?;
         println!(
             "with {} in hand: {} KiB resident",
             status.in_flight,
@@ -129,13 +129,13 @@
         Ok(())
     }
 
-    pub(crate) async fn until_ready(
+    pub(crate) async fn wait_until_ready(
         &self,
         tasks: &Tasks,
         at: SocketAddr,
     ) -> Result<v1::StatusResponse, String> {
         let ready = async {
-            let mut client = PlacementClient::new(link(tasks, at).await?);
+            let mut client = PlacementClient::new(connect(tasks, at).await?);
             loop {
                 let status = client
                     .status(v1::StatusRequest {})
@@ -160,7 +160,7 @@
         name: &str,
         at: SocketAddr,
     ) -> Result<Round, String> {
-        let client = PlacementClient::new(link(tasks, at).await?);
+        let client = PlacementClient::new(connect(tasks, at).await?);
         let began = Instant::now();
         let until = began + Duration::from_secs_f64(self.seconds);
         let owners: Vec<_> = (0..self.at_once)
@@ -212,13 +212,13 @@
                 .for_each(|time| times.saturating_record(time.max(1)));
         }
         let round = Round {
-            a_second: times.len() as f64 / began.elapsed().as_secs_f64(),
+            per_second: times.len() as f64 / began.elapsed().as_secs_f64(),
             p50_us: times.value_at_quantile(0.5) as f64,
             p99_us: times.value_at_quantile(0.99) as f64,
         };
         println!(
             "{name:>10} {:>12.0} {:>10.0} {:>10.0}",
-            round.a_second, round.p50_us, round.p99_us
+            round.per_second, round.p50_us, round.p99_us
         );
         Ok(round)
     }
@@ -230,7 +230,7 @@
     values[values.len() / 2]
 }
 
-pub(crate) async fn link(tasks: &Tasks, to: SocketAddr) -> Result<Link, String> {
+pub(crate) async fn connect(tasks: &Tasks, to: SocketAddr) -> Result<Link, String> {
     let bounds = Bounds {
         connect_within: Duration::from_secs(2),
         ..Bounds::default()
@@ -255,7 +255,7 @@
     }
 }
 
-pub(crate) fn entry(id: u32, address: SocketAddr) -> v1::Endpoint {
+pub(crate) fn endpoint(id: u32, address: SocketAddr) -> v1::Endpoint {
     v1::Endpoint {
         node: id,
         address: address.to_string(),
@@ -269,7 +269,9 @@
 }
 
 /// Serves on a thread of its own.
-pub(crate) fn apart<S>(service: impl FnOnce() -> S + Send + 'static) -> Result<SocketAddr, String>
+pub(crate) fn serve_on_own_thread<S>(
+    service: impl FnOnce() -> S + Send + 'static,
+) -> Result<SocketAddr, String>
 where
     S: tower_service::Service<
             http::Request<tonic::body::Body>,
@@ -337,10 +339,10 @@
 
 /// A node that takes everything at once, and ends it at once unless it is to live long.
 #[derive(Clone)]
-pub(crate) struct Prompt;
+pub(crate) struct InstantNode;
 
 #[tonic::async_trait]
-impl v1::node_server::Node for Prompt {
+impl v1::node_server::Node for InstantNode {
     type OfferStream = Words<v1::AttemptEvent>;
     type AttendStream = Words<v1::AttemptEvent>;
 
@@ -429,9 +431,9 @@
     }
 }
 
-pub(crate) fn deployment(roster: SocketAddr, more: &str) -> String {
+pub(crate) fn deployment(discovery: SocketAddr, more: &str) -> String {
     format!(
-        r#"(deployment (listen "127.0.0.1:0") (roster "{roster}")
+        r#"(deployment (listen "127.0.0.1:0") (roster "{discovery}")
   (hall hall) (number 0) (schedulers 1) (halls hall) (kinds (wide (cores 64) (memory 256)))
   (tracks (web (repeat idempotent) (contract-time 600 ms)))
   (accepts (cores 2) (memory 1.5)) (placed-when accepted)
@@ -448,10 +450,10 @@
 
 impl Process {
     /// `more` are further parts of its deployment.
-    fn start(program: &[OsString], roster: SocketAddr, more: &str) -> Result<Self, String> {
+    fn start(program: &[OsString], discovery: SocketAddr, more: &str) -> Result<Self, String> {
         let folder = tempfile::tempdir().map_err(|why| why.to_string())?;
         let file = folder.path().join("dispatcher.sexp");
-        let mut started = Process::start_in(program, &file, &deployment(roster, more))?;
+        let mut started = Process::start_in(program, &file, &deployment(discovery, more))?;
         started._folder = Some(folder);
         Ok(started)
     }
@@ -490,7 +492,7 @@
     }
 
     /// Stands still, or goes on.
-    pub fn stand_still(&self, still: bool) -> Result<(), String> {
+    pub fn set_paused(&self, still: bool) -> Result<(), String> {
         let signal = if still {
             rustix::process::Signal::STOP
         } else {
--- a/crates/testbed/src/node/connections.rs
+++ b/crates/testbed/src/node/connections.rs
@@ -3,7 +3,7 @@
 use super::service::Service;
 use super::state::State;
 use super::{Node, lock};
-use crate::capture::{NodeState, Seen};
+use crate::capture::{NodeState, Observation};
 use async_io::Timer;
 use async_net::TcpListener;
 use corkspan_api::v1::node_server::NodeServer;
@@ -32,7 +32,7 @@
             self.cordon().changed_at = Instant::now();
         }
         let state = if with_slow_start {
-            NodeState::Cold
+            NodeState::SlowStart
         } else {
             NodeState::Serving
         };
@@ -48,7 +48,7 @@
         };
         let service = NodeServer::new(Service(Arc::clone(self)));
         let served = corkspan_rpc::serve(listener, service, Bounds::default());
-        let server = self.world.tasks.spawn(async move {
+        let server = self.context.tasks.spawn(async move {
             served.await;
         });
         *lock(&self.server) = Some(server);
@@ -63,7 +63,7 @@
             self.record_state(recorded_as);
         }
         for allocation in state.allocations.values().filter(|own| own.is_ready) {
-            self.record_unready(&allocation.shot, None);
+            self.record_unready(&allocation.request, None);
         }
         *state = State {
             incarnation: state.incarnation,
@@ -71,7 +71,7 @@
         };
         drop(state);
         drop(server);
-        self.world
+        self.context
             .deduplicated()
             .retain(|_, node| *node != self.config.id);
     }
@@ -79,7 +79,7 @@
     /// All connections break, and none can be opened for so long; what runs goes on.
     pub fn cut_connections(self: &Arc<Self>, time: Duration) {
         let server = lock(&self.server).take();
-        self.world.capture.see(Seen::Cut {
+        self.context.capture.record(Observation::ConnectionsCut {
             node: self.config.id,
         });
         drop(server);
@@ -91,11 +91,11 @@
                 node.listen();
             }
         };
-        self.world.tasks.spawn(listen_later).detach();
+        self.context.tasks.spawn(listen_later).detach();
     }
 
     pub(super) fn record_state(&self, state: NodeState) {
-        self.world.capture.see(Seen::Node {
+        self.context.capture.record(Observation::Node {
             node: self.config.id,
             state,
         });
--- a/crates/testbed/src/node/shared.rs
+++ b/crates/testbed/src/node/context.rs
@@ -11,7 +11,7 @@
 pub(super) type DedupKey = (String, String);
 
 /// What all stand-ins share: the capture, the executor, and what the nodes of a zone know together.
-pub struct World {
+pub struct SharedContext {
     /// Where each event is recorded.
     pub capture: Capture,
     /// Where the stand-ins' tasks run.
@@ -32,10 +32,10 @@
     FailsAfter(Duration),
 }
 
-impl World {
+impl SharedContext {
     /// A world without nodes, in which every version is sound.
     pub fn new(capture: Capture, tasks: &Tasks, dedup_class: Option<String>) -> Arc<Self> {
-        Arc::new(World {
+        Arc::new(SharedContext {
             capture,
             tasks: Arc::clone(tasks),
             dedup_class,
--- a/crates/testbed/src/node/controls.rs
+++ b/crates/testbed/src/node/controls.rs
@@ -45,8 +45,10 @@
         let of_task = state
             .allocations
             .iter()
-            .filter(|(_, allocation)| allocation.shot.task == task);
-        of_task.map(|(placing, _)| placing.clone()).collect()
+            .filter(|(_, allocation)| allocation.request.task == task);
+        of_task
+            .map(|(placement_id, _)| placement_id.clone())
+            .collect()
     }
 
     /// What no allocation has requested.
--- a/crates/testbed/src/node/events.rs
+++ b/crates/testbed/src/node/events.rs
@@ -2,7 +2,7 @@
 
 use super::Node;
 use super::state::State;
-use crate::capture::{Seen, Word};
+use crate::capture::{AllocationEvent, Observation};
 use corkspan_api::v1::attempt_ended::AttemptOutcome;
 use corkspan_api::v1::{self, attempt_event::Event, attempt_rejected::Rejection};
 use corkspan_dispatcher::minimum_version;
@@ -29,7 +29,7 @@
 /// An offer whose stream is open.
 pub(super) struct OpenOffer {
     pub node: Arc<Node>,
-    pub placing: String,
+    pub placement_id: String,
     pub number: u32,
 }
 
@@ -48,11 +48,15 @@
         if let Some(offer) = self.offer.take()
             && !self.events.is_closed()
         {
-            offer.node.world.capture.see(Seen::LetGo {
-                node: offer.node.config.id,
-                placing: offer.placing,
-                number: offer.number,
-            });
+            offer
+                .node
+                .context
+                .capture
+                .record(Observation::OfferDropped {
+                    node: offer.node.config.id,
+                    placement_id: offer.placement_id,
+                    number: offer.number,
+                });
         }
     }
 }
@@ -66,19 +70,19 @@
 }
 
 /// What the capture calls an event; none where it records nothing of it.
-fn recorded_as(said: &Event) -> Option<Word> {
+fn recorded_as(said: &Event) -> Option<AllocationEvent> {
     Some(match said {
-        Event::Accepted(_) => Word::Accepted,
-        Event::Running(_) => Word::Running,
-        Event::Rejected(_) => Word::Refused,
+        Event::Accepted(_) => AllocationEvent::Accepted,
+        Event::Running(_) => AllocationEvent::Running,
+        Event::Rejected(_) => AllocationEvent::Rejected,
         Event::Ended(over) => match over.outcome() {
-            AttemptOutcome::Evicted => Word::Evicted,
-            AttemptOutcome::Preempted => Word::PushedOut,
-            AttemptOutcome::Drained => Word::SentAway,
-            AttemptOutcome::Stopped => Word::Stopped,
-            AttemptOutcome::Migrated => Word::Moved,
-            AttemptOutcome::Error => Word::Lost,
-            AttemptOutcome::Ended => Word::Ended,
+            AttemptOutcome::Evicted => AllocationEvent::Evicted,
+            AttemptOutcome::Preempted => AllocationEvent::Preempted,
+            AttemptOutcome::Drained => AllocationEvent::Drained,
+            AttemptOutcome::Stopped => AllocationEvent::Stopped,
+            AttemptOutcome::Migrated => AllocationEvent::Migrated,
+            AttemptOutcome::Error => AllocationEvent::Lost,
+            AttemptOutcome::Ended => AllocationEvent::Ended,
         },
         _ => return None,
     })
@@ -89,19 +93,19 @@
     pub(super) fn notify(
         &self,
         state: &mut State,
-        shot: &v1::AttemptRequest,
+        request: &v1::AttemptRequest,
         events: &EventSender,
         said: Event,
     ) {
-        let word = recorded_as(&said);
+        let event = recorded_as(&said);
         let load = Some(self.load_report(state));
-        if let Some(word) = word {
-            let (node, placing) = (self.config.id, shot.placement_id.clone());
-            self.world.capture.see(Seen::Said {
+        if let Some(event) = event {
+            let (node, placement_id) = (self.config.id, request.placement_id.clone());
+            self.context.capture.record(Observation::EventSent {
                 node,
-                placing,
-                number: shot.attempt,
-                word,
+                placement_id,
+                number: request.attempt,
+                event,
             });
         }
         if state
@@ -121,7 +125,7 @@
     pub(super) fn reject(
         &self,
         state: &mut State,
-        shot: &v1::AttemptRequest,
+        request: &v1::AttemptRequest,
         events: &EventSender,
         why: Rejection,
     ) {
@@ -133,7 +137,7 @@
         let why = why.into();
         self.notify(
             state,
-            shot,
+            request,
             events,
             Event::Rejected(v1::AttemptRejected {
                 reason: why,
@@ -144,27 +148,27 @@
     }
 
     /// Records that an allocation has become ready.
-    pub(super) fn record_ready(&self, shot: &v1::AttemptRequest) {
-        self.record_readiness(shot, true, None);
+    pub(super) fn record_ready(&self, request: &v1::AttemptRequest) {
+        self.record_readiness(request, true, None);
     }
 
     /// Records that an allocation is no longer ready; `end` is how it ended, if it did not die with
     /// the process.
-    pub(super) fn record_unready(&self, shot: &v1::AttemptRequest, end: Option<AttemptOutcome>) {
-        self.record_readiness(shot, false, end);
+    pub(super) fn record_unready(&self, request: &v1::AttemptRequest, end: Option<AttemptOutcome>) {
+        self.record_readiness(request, false, end);
     }
 
     fn record_readiness(
         &self,
-        shot: &v1::AttemptRequest,
+        request: &v1::AttemptRequest,
         ready: bool,
         end: Option<AttemptOutcome>,
     ) {
-        self.world.capture.see(Seen::Ready {
+        self.context.capture.record(Observation::Ready {
             node: self.config.id,
-            task: shot.task.clone(),
-            service: shot.service.clone(),
-            version: shot.version.clone(),
+            task: request.task.clone(),
+            service: request.service.clone(),
+            version: request.version.clone(),
             ready,
             done: end == Some(AttemptOutcome::Ended),
             stopped: end == Some(AttemptOutcome::Stopped),
--- a/crates/testbed/src/node/mod.rs
+++ b/crates/testbed/src/node/mod.rs
@@ -7,16 +7,16 @@
 
 mod allocations;
 mod connections;
+mod context;
 mod controls;
 mod events;
 mod offers;
 mod quorum_member;
 mod service;
-mod shared;
 mod state;
 
+pub use context::{SharedContext, VersionFault};
 pub use events::EventStream;
-pub use shared::{VersionFault, World};
 
 use async_lock::{Mutex as AsyncMutex, Semaphore};
 use async_net::TcpListener;
@@ -81,7 +81,7 @@
 pub struct Node {
     /// What it is.
     pub config: NodeConfig,
-    world: Arc<World>,
+    context: Arc<SharedContext>,
     state: Mutex<State>,
     /// Held while an offer or a health check is reviewed.
     review: AsyncMutex<()>,
@@ -102,11 +102,11 @@
 
 impl Node {
     /// A node whose process has not been started.
-    pub fn new(config: NodeConfig, world: &Arc<World>) -> Arc<Self> {
+    pub fn new(config: NodeConfig, context: &Arc<SharedContext>) -> Arc<Self> {
         Arc::new(Node {
             starts: Semaphore::new(config.max_concurrent_starts),
             config,
-            world: Arc::clone(world),
+            context: Arc::clone(context),
             state: Mutex::default(),
             review: AsyncMutex::new(()),
             server: Mutex::default(),
--- a/crates/testbed/src/node/offers.rs
+++ b/crates/testbed/src/node/offers.rs
@@ -1,10 +1,10 @@
 //! An offer's way from its arrival to its acceptance or rejection.
 
 use super::Node;
+use super::context::DedupKey;
 use super::events::EventSender;
-use super::shared::DedupKey;
 use super::state::{PlacedAllocation, State, requested};
-use crate::capture::{NodeState, Seen};
+use crate::capture::{NodeState, Observation};
 use async_io::Timer;
 use corkspan_api::v1::attempt_ended::AttemptOutcome;
 use corkspan_api::v1::{self, attempt_event::Event, attempt_rejected::Rejection};
@@ -22,8 +22,8 @@
 };
 
 /// Who sent an attempt.
-pub(super) fn sender(shot: &v1::AttemptRequest) -> OperationSource {
-    source(shot.decider.as_ref(), shot.dispatcher)
+pub(super) fn sender(request: &v1::AttemptRequest) -> OperationSource {
+    source(request.decider.as_ref(), request.dispatcher)
 }
 
 /// Who acts. One that reports nothing counts as one by its own file, in no incarnation that is
@@ -45,28 +45,28 @@
     /// Counts an offer that has arrived. Returns the incarnation that reviews it; none where the
     /// process is down, or crashes of too many. Called as its call is served, not in a task of its
     /// own: an offer recorded by a process after its death would look open for good.
-    pub(super) fn receive_offer(self: &Arc<Self>, shot: &v1::AttemptRequest) -> Option<u64> {
+    pub(super) fn receive_offer(self: &Arc<Self>, request: &v1::AttemptRequest) -> Option<u64> {
         self.operations()
-            .record(sender(shot), OperationKind::Attempt);
-        self.world.capture.see(Seen::Offered {
+            .record(sender(request), OperationKind::Attempt);
+        self.context.capture.record(Observation::Offered {
             node: self.config.id,
-            placing: shot.placement_id.clone(),
-            number: shot.attempt,
-            dispatcher: shot.dispatcher,
-            service: shot.service.clone(),
-            task: shot.task.clone(),
-            version: shot.version.clone(),
-            decided: sender(shot).version,
+            placement_id: request.placement_id.clone(),
+            number: request.attempt,
+            dispatcher: request.dispatcher,
+            service: request.service.clone(),
+            task: request.task.clone(),
+            version: request.version.clone(),
+            decided: sender(request).version,
         });
-        self.learn_minimum_version(shot);
+        self.learn_minimum_version(request);
         let mut state = self.state();
         if state.count_offer(Instant::now(), &self.config.slow_start) {
             drop(state);
             let node = Arc::clone(self);
             // Not from within its own server.
-            self.world
+            self.context
                 .tasks
-                .spawn(async move { node.kill(NodeState::FellOver) })
+                .spawn(async move { node.kill(NodeState::Crashed) })
                 .detach();
             return None;
         }
@@ -74,8 +74,8 @@
     }
 
     /// Stores the minimum version that an offer brings, if it is news.
-    fn learn_minimum_version(&self, shot: &v1::AttemptRequest) {
-        let Some(minimum) = shot
+    fn learn_minimum_version(&self, request: &v1::AttemptRequest) {
+        let Some(minimum) = request
             .minimum_version
             .as_ref()
             .map(minimum_version::minimum_version_from_message)
@@ -85,10 +85,12 @@
         let mut fence = self.fence();
         if fence.should_store(minimum) {
             fence.apply_stored(minimum);
-            self.world.capture.see(Seen::Floor {
-                node: self.config.id,
-                lowest: minimum.version,
-            });
+            self.context
+                .capture
+                .record(Observation::MinimumVersionStored {
+                    node: self.config.id,
+                    lowest: minimum.version,
+                });
         }
     }
 
@@ -115,7 +117,7 @@
     pub(super) async fn review_offer(
         self: Arc<Self>,
         incarnation: u64,
-        shot: v1::AttemptRequest,
+        request: v1::AttemptRequest,
         events: EventSender,
     ) {
         {
@@ -124,7 +126,7 @@
                 return;
             }
             if state.queued >= self.config.max_queued {
-                return self.reject(&mut state, &shot, &events, Rejection::QueueFull);
+                return self.reject(&mut state, &request, &events, Rejection::QueueFull);
             }
             state.queued += 1;
         }
@@ -138,14 +140,14 @@
             self.wait_while_stalled(incarnation).await
         };
         let is_alive = reviewed.await;
-        if is_alive && self.decide(incarnation, &shot, &events) {
-            self.start(incarnation, &shot).await;
-            self.run(incarnation, shot).await;
+        if is_alive && self.decide(incarnation, &request, &events) {
+            self.start(incarnation, &request).await;
+            self.run(incarnation, request).await;
         }
     }
 
     /// Accepts an offer that has been reviewed, or rejects it.
-    fn decide(&self, incarnation: u64, shot: &v1::AttemptRequest, events: &EventSender) -> bool {
+    fn decide(&self, incarnation: u64, request: &v1::AttemptRequest, events: &EventSender) -> bool {
         let mut state = self.state();
         if state.incarnation != incarnation {
             return false;
@@ -154,31 +156,31 @@
         if events.is_closed() {
             return false;
         }
-        if let Err(why) = self.admit(&mut state, shot) {
-            self.reject(&mut state, shot, events, why);
+        if let Err(why) = self.admit(&mut state, request) {
+            self.reject(&mut state, request, events, why);
             return false;
         }
         let allocation = PlacedAllocation {
-            shot: shot.clone(),
-            used: requested(shot) * INITIAL_USE,
+            request: request.clone(),
+            used: requested(request) * INITIAL_USE,
             is_running: false,
             is_ready: false,
             events: events.clone(),
         };
         state
             .allocations
-            .insert(shot.placement_id.clone(), allocation);
+            .insert(request.placement_id.clone(), allocation);
         let accepted = Event::Accepted(v1::Accepted {});
-        self.notify(&mut state, shot, events, accepted);
+        self.notify(&mut state, request, events, accepted);
         true
     }
 
     /// Whether an offer is accepted; preempts others for it where that is needed.
-    fn admit(&self, state: &mut State, shot: &v1::AttemptRequest) -> Result<(), Rejection> {
-        self.check_version(shot)?;
-        self.make_room(state, shot)?;
-        if let Some(key) = self.dedup_key(shot) {
-            let mut deduplicated = self.world.deduplicated();
+    fn admit(&self, state: &mut State, request: &v1::AttemptRequest) -> Result<(), Rejection> {
+        self.check_version(request)?;
+        self.make_room(state, request)?;
+        if let Some(key) = self.dedup_key(request) {
+            let mut deduplicated = self.context.deduplicated();
             if deduplicated.contains_key(&key) {
                 return Err(Rejection::NotPresent);
             }
@@ -188,8 +190,8 @@
     }
 
     /// Checked at the review and not at the arrival: the minimum version may have come meanwhile.
-    fn check_version(&self, shot: &v1::AttemptRequest) -> Result<(), Rejection> {
-        let source = sender(shot);
+    fn check_version(&self, request: &v1::AttemptRequest) -> Result<(), Rejection> {
+        let source = sender(request);
         let decision = self.fence().decide(source.version);
         match decision {
             FenceDecision::Accepted => Ok(()),
@@ -203,27 +205,28 @@
     }
 
     /// Whether the offer fits in; preempts allocations of lower priority if they would leave room.
-    fn make_room(&self, state: &mut State, shot: &v1::AttemptRequest) -> Result<(), Rejection> {
+    fn make_room(&self, state: &mut State, request: &v1::AttemptRequest) -> Result<(), Rejection> {
         let is_cordoned = self.cordon().cordon.active().is_some();
-        if is_cordoned || state.is_draining || state.allocations.contains_key(&shot.placement_id) {
+        if is_cordoned || state.is_draining || state.allocations.contains_key(&request.placement_id)
+        {
             return Err(Rejection::NotPresent);
         }
         let limit = self.config.capacity * self.config.admission_limit;
-        let mut sum = state.requested() + requested(shot);
+        let mut sum = state.requested() + requested(request);
         let mut preempted = Vec::new();
         if self.config.preempts {
             let mut lower: Vec<_> = state
                 .allocations
                 .iter()
-                .filter(|(_, allocation)| allocation.shot.priority < shot.priority)
+                .filter(|(_, allocation)| allocation.request.priority < request.priority)
                 .collect();
-            lower.sort_by_key(|(_, allocation)| allocation.shot.priority);
-            for (placing, allocation) in lower {
+            lower.sort_by_key(|(_, allocation)| allocation.request.priority);
+            for (placement_id, allocation) in lower {
                 if sum.fits_in(limit) {
                     break;
                 }
                 sum = sum - allocation.requested();
-                preempted.push(placing.clone());
+                preempted.push(placement_id.clone());
             }
         }
         if sum.memory > limit.memory {
@@ -232,15 +235,15 @@
         if sum.cores > limit.cores {
             return Err(Rejection::NoCores);
         }
-        for placing in &preempted {
-            self.end(state, placing, AttemptOutcome::Preempted);
+        for placement_id in &preempted {
+            self.end(state, placement_id, AttemptOutcome::Preempted);
         }
         Ok(())
     }
 
     /// By which a deduplicated task is known in its zone; none where its class is not deduplicated.
-    pub(super) fn dedup_key(&self, shot: &v1::AttemptRequest) -> Option<DedupKey> {
-        let is_deduplicated = self.world.dedup_class.as_ref() == Some(&shot.service_class);
-        is_deduplicated.then(|| (self.config.zone.clone(), shot.task.clone()))
+    pub(super) fn dedup_key(&self, request: &v1::AttemptRequest) -> Option<DedupKey> {
+        let is_deduplicated = self.context.dedup_class.as_ref() == Some(&request.service_class);
+        is_deduplicated.then(|| (self.config.zone.clone(), request.task.clone()))
     }
 }
--- a/crates/testbed/src/node/service.rs
+++ b/crates/testbed/src/node/service.rs
@@ -3,7 +3,7 @@
 use super::events::{EventStream, OpenOffer};
 use super::offers::{sender, source};
 use super::{Node, lock};
-use crate::capture::Seen;
+use crate::capture::Observation;
 use async_io::Timer;
 use corkspan_api::v1::attempt_ended::AttemptOutcome;
 use corkspan_api::v1::cordon_request::CordonAction;
@@ -42,16 +42,16 @@
         &self,
         request: Request<v1::AttemptRequest>,
     ) -> Result<Response<EventStream>, Status> {
-        let (node, shot) = (Arc::clone(&self.0), request.into_inner());
+        let (node, request) = (Arc::clone(&self.0), request.into_inner());
         let (events, stream) = EventStream::new(Some(OpenOffer {
             node: Arc::clone(&node),
-            placing: shot.placement_id.clone(),
-            number: shot.attempt,
+            placement_id: request.placement_id.clone(),
+            number: request.attempt,
         }));
-        if let Some(incarnation) = node.receive_offer(&shot) {
-            let tasks = Arc::clone(&node.world.tasks);
+        if let Some(incarnation) = node.receive_offer(&request) {
+            let tasks = Arc::clone(&node.context.tasks);
             tasks
-                .spawn(node.review_offer(incarnation, shot, events))
+                .spawn(node.review_offer(incarnation, request, events))
                 .detach();
         }
         Ok(Response::new(stream))
@@ -113,7 +113,7 @@
         _: Request<v1::HealthCheckRequest>,
     ) -> Result<Response<v1::HealthCheckResponse>, Status> {
         let node = &self.0;
-        node.world.capture.see(Seen::Probed {
+        node.context.capture.record(Observation::HealthChecked {
             node: node.config.id,
         });
         let incarnation = node.state().incarnation;
@@ -134,12 +134,12 @@
 impl Node {
     /// The events of an allocation that is here, from its present state on; rejected where it is
     /// not.
-    fn attend(&self, shot: &v1::AttemptRequest) -> EventStream {
+    fn attend(&self, request: &v1::AttemptRequest) -> EventStream {
         self.operations()
-            .record(sender(shot), OperationKind::Attend);
+            .record(sender(request), OperationKind::Attend);
         let (events, stream) = EventStream::new(None);
         let mut state = self.state();
-        let Some(allocation) = state.allocations.get_mut(&shot.placement_id) else {
+        let Some(allocation) = state.allocations.get_mut(&request.placement_id) else {
             let rejected = v1::AttemptRejected {
                 reason: Rejection::NotPresent.into(),
                 minimum_version: None,
@@ -153,14 +153,14 @@
         };
         allocation.events = events.clone();
         let (is_running, is_ready) = (allocation.is_running, allocation.is_ready);
-        let shot = allocation.shot.clone();
+        let request = allocation.request.clone();
         if is_running {
-            let version = shot.version.clone();
+            let version = request.version.clone();
             let running = Event::Running(v1::Started { version });
-            self.notify(&mut state, &shot, &events, running);
+            self.notify(&mut state, &request, &events, running);
         }
         if is_ready {
-            self.notify(&mut state, &shot, &events, Event::Ready(true));
+            self.notify(&mut state, &request, &events, Event::Ready(true));
         }
         stream
     }
@@ -179,8 +179,8 @@
             CordonAction::Uncordon => own.cordon.uncordon(claim),
             CordonAction::Stop if before == Some(claim) => {
                 let placings: Vec<String> = state.allocations.keys().cloned().collect();
-                for placing in &placings {
-                    self.end(&mut state, placing, AttemptOutcome::Drained);
+                for placement_id in &placings {
+                    self.end(&mut state, placement_id, AttemptOutcome::Drained);
                 }
             }
             CordonAction::Stop => {}
@@ -188,7 +188,7 @@
         let active = own.cordon.active();
         if before != active {
             own.changed_at = Instant::now();
-            self.world.capture.see(Seen::Door {
+            self.context.capture.record(Observation::Cordon {
                 node: self.config.id,
                 closed: active.is_some(),
             });
@@ -216,12 +216,18 @@
         let was_here = state.allocations.contains_key(&request.placement_id);
         self.end(&mut state, &request.placement_id, how);
         if request.placement_id.is_empty() && !request.except_placement_id.is_empty() {
-            let others = state.allocations.iter().filter(|(placing, allocation)| {
-                allocation.shot.task == request.task && **placing != request.except_placement_id
-            });
-            let others: Vec<String> = others.map(|(placing, _)| placing.clone()).collect();
-            for placing in &others {
-                self.end(&mut state, placing, how);
+            let others = state
+                .allocations
+                .iter()
+                .filter(|(placement_id, allocation)| {
+                    allocation.request.task == request.task
+                        && **placement_id != request.except_placement_id
+                });
+            let others: Vec<String> = others
+                .map(|(placement_id, _)| placement_id.clone())
+                .collect();
+            for placement_id in &others {
+                self.end(&mut state, placement_id, how);
             }
         }
         was_here
--- a/crates/testbed/src/node/state.rs
+++ b/crates/testbed/src/node/state.rs
@@ -13,7 +13,7 @@
 
 /// An allocation that was accepted.
 pub(super) struct PlacedAllocation {
-    pub shot: v1::AttemptRequest,
+    pub request: v1::AttemptRequest,
     pub used: Resources,
     pub is_running: bool,
     pub is_ready: bool,
@@ -22,15 +22,15 @@
 
 impl PlacedAllocation {
     pub fn requested(&self) -> Resources {
-        requested(&self.shot)
+        requested(&self.request)
     }
 }
 
 /// What an offer requests.
-pub(super) fn requested(shot: &v1::AttemptRequest) -> Resources {
+pub(super) fn requested(request: &v1::AttemptRequest) -> Resources {
     Resources {
-        cores: shot.cores,
-        memory: shot.memory,
+        cores: request.cores,
+        memory: request.memory,
     }
 }
 
--- a/crates/testbed/src/process.rs
+++ b/crates/testbed/src/process.rs
@@ -1,10 +1,10 @@
 //! The dispatchers' processes: real ones, a dispatcher each, and hollow ones, with many. What
 //! strikes a process strikes all dispatchers in it.
 
-use crate::capture::{DispatcherState, Seen};
-use crate::client::Front;
+use crate::capture::{DispatcherState, Observation};
+use crate::client::Frontend;
 use crate::cost;
-use crate::fault_proxies::Wires;
+use crate::fault_proxies::FaultProxies;
 use async_io::Timer;
 use corkspan_rpc::within;
 use std::ffi::OsString;
@@ -27,7 +27,7 @@
 
 impl Programs {
     /// Of this laboratory's binary.
-    pub fn of(own: &Path) -> Programs {
+    pub fn with_binary(own: &Path) -> Programs {
         let own = OsString::from(own);
         Programs {
             real: vec![own.clone(), "corkspan".into()],
@@ -35,9 +35,9 @@
         }
     }
 
-    pub fn here() -> Result<Programs, String> {
+    pub fn of_current_exe() -> Result<Programs, String> {
         std::env::current_exe()
-            .map(|own| Programs::of(&own))
+            .map(|own| Programs::with_binary(&own))
             .map_err(|why| why.to_string())
     }
 }
@@ -50,23 +50,27 @@
     pub program: Vec<OsString>,
     pub log: Option<PathBuf>,
     /// Its disk is filled at some time of the day.
-    pub fills: bool,
+    pub fills_disk: bool,
     pub child: Option<Child>,
 }
 
 impl Process {
-    fn see(&self, front: &Front, state: DispatcherState) {
+    fn record(&self, frontend: &Frontend, state: DispatcherState) {
         for number in self.numbers.clone() {
-            front.world.capture.see(Seen::Dispatcher {
+            frontend.context.capture.record(Observation::Dispatcher {
                 dispatcher: number as u32,
                 state,
             });
         }
     }
 
-    pub async fn up(&mut self, front: &Arc<Front>, wires: Option<&Wires>) -> Result<(), String> {
+    pub async fn start(
+        &mut self,
+        frontend: &Arc<Frontend>,
+        proxies: Option<&FaultProxies>,
+    ) -> Result<(), String> {
         let (program, first) = self.program.split_first().ok_or("no program is given")?;
-        let mut command = match self.fills {
+        let mut command = match self.fills_disk {
             false => Command::new(program),
             // A write beyond what its files may hold fails as on a full disk, once the signal for
             // it is passed over.
@@ -132,28 +136,28 @@
                 listens.len()
             ));
         }
-        self.see(front, DispatcherState::Up);
+        self.record(frontend, DispatcherState::Started);
         for (number, address) in listens {
-            front.open(number, Some(address));
-            wires
+            frontend.set_address(number, Some(address));
+            proxies
                 .iter()
-                .for_each(|wires| wires.listens(number, address));
+                .for_each(|proxies| proxies.set_dispatcher_address(number, address));
         }
         Ok(())
     }
 
-    fn close(&self, front: &Front) {
+    fn close(&self, frontend: &Frontend) {
         self.numbers
             .clone()
-            .for_each(|number| front.open(number, None));
+            .for_each(|number| frontend.set_address(number, None));
     }
 
-    pub fn kill(&mut self, front: &Front) -> Result<(), String> {
+    pub fn kill(&mut self, frontend: &Frontend) -> Result<(), String> {
         let Some(mut child) = self.child.take() else {
             return Ok(());
         };
-        self.see(front, DispatcherState::Killed);
-        self.close(front);
+        self.record(frontend, DispatcherState::Killed);
+        self.close(frontend);
         child
             .kill()
             .and_then(|()| child.wait())
@@ -162,7 +166,7 @@
     }
 
     /// Its files may hold so many bytes from now on; none: as many as they like.
-    pub fn disk(&mut self, most: Option<u64>) -> Result<(), String> {
+    pub fn limit_file_size(&mut self, most: Option<u64>) -> Result<(), String> {
         let Some(child) = &self.child else {
             return Ok(());
         };
@@ -178,7 +182,7 @@
 
     pub fn signal(
         &mut self,
-        front: &Front,
+        frontend: &Frontend,
         signal: rustix::process::Signal,
         state: DispatcherState,
     ) -> Result<(), String> {
@@ -187,22 +191,22 @@
         };
         // Going on counts from before it does, standing still from before it does: neither flatters
         // it.
-        self.see(front, state);
+        self.record(frontend, state);
         rustix::process::kill_process(rustix::process::Pid::from_child(child), signal)
             .map_err(|why| why.to_string())
     }
 
     /// Asks it to stop and waits for it.
-    pub async fn down(&mut self, front: &Front) -> Result<(), String> {
+    pub async fn stop(&mut self, frontend: &Frontend) -> Result<(), String> {
         self.signal(
-            front,
+            frontend,
             rustix::process::Signal::TERM,
             DispatcherState::Stopping,
         )?;
         let Some(mut child) = self.child.take() else {
             return Ok(());
         };
-        self.close(front);
+        self.close(frontend);
         let until = Instant::now() + Duration::from_secs(15);
         let status = loop {
             match child.try_wait().map_err(|why| why.to_string())? {
@@ -212,10 +216,10 @@
             }
         };
         if status.is_some_and(|status| status.success()) {
-            self.see(front, DispatcherState::Ended);
+            self.record(frontend, DispatcherState::Ended);
             return Ok(());
         }
-        self.see(front, DispatcherState::Broke);
+        self.record(frontend, DispatcherState::Crashed);
         if status.is_none() {
             let _ = child.kill().and_then(|()| child.wait());
         }
--- a/crates/testbed/src/relay.rs
+++ b/crates/testbed/src/relay.rs
@@ -13,7 +13,7 @@
 
 /// Which of the bytes, as the process sees it that opens links through the relay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
+pub enum Direction {
     /// To it.
     In,
     /// From it.
@@ -40,7 +40,7 @@
     to: Option<SocketAddr>,
     /// Links that stand: dropped, they are reset.
     links: Vec<async_channel::Sender<()>>,
-    /// Bytes to and from the process that opens links, in the order of [`Way`], counted at its
+    /// Bytes to and from the process that opens links, in the order of [`Direction`], counted at its
     /// side.
     passed: [u64; 2],
     /// Wakes what is held.
@@ -60,7 +60,7 @@
 const PIECES: usize = 256;
 
 impl Relay {
-    pub async fn up(tasks: &Tasks, to: SocketAddr) -> std::io::Result<Relay> {
+    pub async fn start(tasks: &Tasks, to: SocketAddr) -> std::io::Result<Relay> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let state = State {
             to: Some(to),
@@ -90,19 +90,19 @@
     }
 
     /// New links lead here from now on: who listens there was started anew.
-    pub fn lead(&self, to: SocketAddr) {
+    pub fn set_target(&self, to: SocketAddr) {
         self.set(|state| state.to = Some(to));
     }
 
     /// From here on nothing passes these ways, on links that stand and on new ones.
-    pub fn hold(&self, ways: &[Way]) {
+    pub fn hold(&self, ways: &[Direction]) {
         self.set(|state| {
             ways.iter()
                 .for_each(|&way| state.ways[way as usize] = Fault::Held)
         });
     }
 
-    pub fn delay(&self, ways: &[Way], by: Duration) {
+    pub fn delay(&self, ways: &[Direction], by: Duration) {
         self.set(|state| {
             ways.iter()
                 .for_each(|&way| state.ways[way as usize] = Fault::Late(by))
@@ -110,13 +110,13 @@
     }
 
     /// Links that stand go on; no other comes to stand.
-    pub fn hold_new(&self) {
+    pub fn hold_new_connections(&self) {
         self.set(|state| state.no_new = true);
     }
 
     /// Bytes that came to the process that opens links through it, and that it sent, as far as this
     /// end has taken them.
-    pub fn passed(&self) -> [u64; 2] {
+    pub fn bytes_passed(&self) -> [u64; 2] {
         lock(&self.state).passed
     }
 
@@ -156,8 +156,8 @@
             return;
         };
         let _ = (from.set_nodelay(true), onward.set_nodelay(true));
-        let out = pass(&state, Way::Out, from.clone(), onward.clone());
-        let back = pass(&state, Way::In, onward.clone(), from.clone());
+        let out = pass(&state, Direction::Out, from.clone(), onward.clone());
+        let back = pass(&state, Direction::In, onward.clone(), from.clone());
         futures_lite::future::zip(out, back).await;
     };
     let broken = async {
@@ -169,12 +169,12 @@
 
 /// Passes bytes on until their end, and then the end. Read apart from where they are written: what
 /// is late must not hold up what comes after it, or each piece would be later than the one before.
-async fn pass(state: &Mutex<State>, way: Way, mut from: TcpStream, mut to: TcpStream) {
+async fn pass(state: &Mutex<State>, way: Direction, mut from: TcpStream, mut to: TcpStream) {
     let (pieces, queued) = async_channel::bounded::<(Instant, Vec<u8>)>(PIECES);
     let read = async {
         let mut bytes = vec![0; AT_ONCE];
         while let Ok(count @ 1..) = from.read(&mut bytes).await {
-            if way == Way::Out {
+            if way == Direction::Out {
                 lock(state).passed[way as usize] += count as u64;
             }
             if pieces
@@ -200,7 +200,7 @@
             if bytes.is_empty() || to.write_all(&bytes).await.is_err() {
                 break;
             }
-            if way == Way::In {
+            if way == Direction::In {
                 lock(state).passed[way as usize] += bytes.len() as u64;
             }
         }
--- a/crates/testbed/src/requirements.rs
+++ b/crates/testbed/src/requirements.rs
@@ -1,5 +1,5 @@
 //! What a day needs of the machine, worked out before anything is started, and what the machine
-//! has. Plain arithmetic, but for [`Limits::here`].
+//! has. Plain arithmetic, but for [`Limits::of_this_machine`].
 
 use crate::scenario::{FaultKind, LinkPeer, Scenario};
 use std::time::Duration;
@@ -11,7 +11,7 @@
 const LINK_KIB: u64 = 200;
 /// The stand-ins: at the start, a node, and a task from its first ask on, with its lines of the
 /// capture.
-const LAB_KIB: u64 = 128 * 1024;
+const STAND_INS_KIB: u64 = 128 * 1024;
 const NODE_KIB: u64 = 64;
 const TASK_KIB: u64 = 16;
 /// Told at the start of each dispatcher of each node, and kept in the capture.
@@ -23,7 +23,7 @@
 
 /// What is needed at the most.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Needs {
+pub struct Requirements {
     pub memory_kib: u64,
     pub processes: u64,
     /// In the stand-ins' process.
@@ -40,36 +40,44 @@
     pub descriptors: u64,
 }
 
-impl Needs {
-    pub fn of(day: &Scenario) -> Needs {
-        let (dispatchers, hollow, nodes) =
-            (day.dispatchers as u64, day.hollow as u64, day.nodes as u64);
-        let highest = day
+impl Requirements {
+    pub fn for_scenario(scenario: &Scenario) -> Requirements {
+        let (dispatchers, hollow, nodes) = (
+            scenario.dispatchers as u64,
+            scenario.hollow as u64,
+            scenario.nodes as u64,
+        );
+        let highest = scenario
             .faults
             .iter()
-            .filter(|trouble| trouble.kind == FaultKind::Demand);
-        let rate = highest.fold(day.rate, |rate, step| {
-            rate.max(day.rate * step.demand_factor)
+            .filter(|fault| fault.kind == FaultKind::Demand);
+        let rate = highest.fold(scenario.rate, |rate, step| {
+            rate.max(scenario.rate * step.demand_factor)
         });
-        let burst = day
+        let burst = scenario
             .faults
             .iter()
-            .filter(|trouble| trouble.kind == FaultKind::Burst);
-        let burst: u64 = burst.map(|trouble| trouble.count as u64).sum();
+            .filter(|fault| fault.kind == FaultKind::Burst);
+        let burst: u64 = burst.map(|fault| fault.count as u64).sum();
         // Each task may have a link of its own, from its offer to its end and until that has been
         // idle for long.
-        let stands = day.length.min(day.mean_lifetime.mul_f64(1.7) + IDLE);
-        let tasks = (rate * stands.as_secs_f64()) as u64 + burst + day.replicas as u64;
+        let stands = scenario
+            .length
+            .min(scenario.mean_lifetime.mul_f64(1.7) + IDLE);
+        let tasks = (rate * stands.as_secs_f64()) as u64 + burst + scenario.replicas as u64;
         let links = tasks.min(dispatchers * nodes);
-        let relayed = match (day.needs_fault_proxies(), day.affects(LinkPeer::Nodes)) {
+        let relayed = match (
+            scenario.needs_fault_proxies(),
+            scenario.affects(LinkPeer::Nodes),
+        ) {
             (false, _) => 0,
             (true, all) => dispatchers * (if all { nodes } else { 3 } + 6),
         };
-        let processes = day.processes().len() as u64;
-        let a_process = (day.per_process as u64).min(hollow);
-        let asked = (rate * day.length.as_secs_f64()) as u64 + burst;
-        Needs {
-            memory_kib: LAB_KIB
+        let processes = scenario.processes().len() as u64;
+        let a_process = (scenario.per_process as u64).min(hollow);
+        let asked = (rate * scenario.length.as_secs_f64()) as u64 + burst;
+        Requirements {
+            memory_kib: STAND_INS_KIB
                 + (dispatchers - hollow) * REAL_KIB
                 + hollow * HOLLOW_KIB
                 + nodes * NODE_KIB
@@ -84,7 +92,7 @@
     }
 
     /// What is short, all of it.
-    pub fn fit(&self, limits: &Limits) -> Result<(), String> {
+    pub fn check(&self, limits: &Limits) -> Result<(), String> {
         let rows = [
             (
                 "KiB of memory, half of the machine's",
@@ -113,7 +121,7 @@
 }
 
 impl Limits {
-    pub fn here() -> Result<Limits, String> {
+    pub fn of_this_machine() -> Result<Limits, String> {
         let text = std::fs::read_to_string("/proc/meminfo")
             .map_err(|why| format!("/proc/meminfo: {why}"))?;
         let line = text.lines().find_map(|line| line.strip_prefix("MemTotal:"));
