--- a/crates/testbed/src/runner.rs
+++ b/crates/testbed/src/runner.rs
@@ -1,15 +1,17 @@
 //! Plays a day: starts real dispatchers, each a process of its own, and the stand-ins around them,
 //! and lets the script's troubles strike.
 
-use crate::capture::{self, Capture, DispatcherState, NodeState, Repeat, Rules, Seen};
-use crate::client::{self, Front, Task};
+use crate::capture::{
+    self, Capture, DispatcherState, NodeState, Observation, RetrySafety, RuleParameters,
+};
+use crate::client::{self, Frontend, Task};
 use crate::control_service::{ControlService, ControlServiceGuard};
 use crate::cost;
 use crate::discovery::Discovery;
-use crate::fault_proxies::Wires;
-use crate::node::{Node, NodeConfig, SlowStart, World};
+use crate::fault_proxies::FaultProxies;
+use crate::node::{Node, NodeConfig, SharedContext, SlowStart};
 use crate::process::{Process, Programs};
-use crate::requirements::{Limits, Needs};
+use crate::requirements::{Limits, Requirements};
 use crate::saturation::SaturationMonitor;
 use crate::scenario::{FaultKind, LinkPeer, NodeLocation, Scenario, ScheduledFault};
 use async_io::Timer;
@@ -30,27 +32,27 @@
 use std::time::{Duration, Instant};
 
 /// How a day is played.
-pub struct Play {
-    pub day: Scenario,
+pub struct ScenarioRun {
+    pub scenario: Scenario,
     pub seed: u64,
     pub programs: Programs,
     /// Where the capture goes, if it is kept.
     pub capture: Option<PathBuf>,
     /// Changes what the dispatchers are told, for tests that must find a wrong one out.
-    pub tell: fn(String) -> String,
+    pub rewrite_deployment: fn(String) -> String,
     /// Where dispatchers write their logs; nowhere if none.
     pub logs: Option<PathBuf>,
 }
 
-const HALLS: [&str; 2] = ["hall-a", "hall-b"];
-const TRACKS: [&str; 3] = ["web", "index", "ledger"];
+const ZONES: [&str; 2] = ["hall-a", "hall-b"];
+const SERVICE_CLASSES: [&str; 3] = ["web", "index", "ledger"];
 /// The nodes that hold wishes and floors.
-const KEEPERS: [u32; 3] = [100, 101, 102];
+const QUORUM_MEMBERS: [u32; 3] = [100, 101, 102];
 /// The service of the copies that run all day.
-pub const HELD: &str = "held";
+pub const REPLICATED_SERVICE: &str = "held";
 const SPREAD: usize = 4;
 const DEDUP_WINDOW: Duration = Duration::from_secs(6);
-const COLD: SlowStart = SlowStart {
+const SLOW_START: SlowStart = SlowStart {
     duration: Duration::from_secs(5),
     window: Duration::from_secs(1),
     max_offers: 16,
@@ -60,54 +62,71 @@
 /// uneven.
 const BEARS: usize = 12;
 
-impl Play {
-    fn rules(&self, plans: &[NodeConfig]) -> Rules {
-        let track = |name: &str, repeat, contract_ms: u64, spread| capture::Track {
-            name: name.into(),
-            repeat,
-            contract_us: contract_ms * 1000,
-            spread,
-        };
+impl ScenarioRun {
+    fn rules(&self, plans: &[NodeConfig]) -> RuleParameters {
+        let service_class =
+            |name: &str, retry_safety, contract_ms: u64, spread| capture::ServiceClass {
+                name: name.into(),
+                retry_safety,
+                latency_objective_us: contract_ms * 1000,
+                spread,
+            };
         let window_us = DEDUP_WINDOW.as_micros() as u64;
-        Rules {
+        RuleParameters {
             seed: self.seed,
-            tracks: vec![
-                track(TRACKS[0], Repeat::Idempotent, 600, None),
-                track(TRACKS[1], Repeat::Deduplicated { window_us }, 1500, None),
-                track(TRACKS[2], Repeat::Unrepeatable, 1500, Some(SPREAD)),
+            service_classes: vec![
+                service_class(SERVICE_CLASSES[0], RetrySafety::Idempotent, 600, None),
+                service_class(
+                    SERVICE_CLASSES[1],
+                    RetrySafety::Deduplicated { window_us },
+                    1500,
+                    None,
+                ),
+                service_class(
+                    SERVICE_CLASSES[2],
+                    RetrySafety::NotRetryable,
+                    1500,
+                    Some(SPREAD),
+                ),
             ],
             nodes: plans
                 .iter()
-                .map(|plan| capture::Home {
+                .map(|plan| capture::NodeSite {
                     node: plan.id,
-                    hall: plan.zone.clone(),
+                    zone: plan.zone.clone(),
                     cell: plan.cell,
                 })
                 .collect(),
             grace_us: 1_000_000,
-            cold: capture::Cold {
-                lasts_us: COLD.duration.as_micros() as u64,
-                window_us: COLD.window.as_micros() as u64,
-                most: COLD.max_offers,
+            slow_start: capture::SlowStartLimits {
+                lasts_us: SLOW_START.duration.as_micros() as u64,
+                window_us: SLOW_START.window.as_micros() as u64,
+                most: SLOW_START.max_offers,
             },
             slack_us: 250_000,
         }
     }
 
-    fn deployment(&self, number: usize, roster: SocketAddr, more: &str, folder: &Path) -> String {
-        let Scenario { dispatchers, .. } = self.day;
-        let hall = HALLS[number % HALLS.len()];
+    fn deployment(
+        &self,
+        number: usize,
+        discovery: SocketAddr,
+        more: &str,
+        folder: &Path,
+    ) -> String {
+        let Scenario { dispatchers, .. } = self.scenario;
+        let zone = ZONES[number % ZONES.len()];
         let kept = folder.join(format!("list-{number}.json"));
         let rolls = folder.join(format!("rolls-{number}.redb"));
         // A hollow one has no disk.
-        let disk = match self.day.is_hollow(number) {
+        let disk = match self.scenario.is_hollow(number) {
             true => String::new(),
             false => format!("(remembered {kept:?}) (rolls {rolls:?})"),
         };
         let text = format!(
             r#"(deployment
-  (listen "127.0.0.1:0") (roster "{roster}") (seed {seed})
-  (hall {hall}) (number {number}) (schedulers {dispatchers}) (halls hall-a hall-b)
+  (listen "127.0.0.1:0") (roster "{discovery}") (seed {seed})
+  (hall {zone}) (number {number}) (schedulers {dispatchers}) (halls hall-a hall-b)
   (kinds (compact (cores 24) (memory 40)) (wide (cores 40) (memory 60)))
   (tracks
     (web (repeat idempotent) (contract-time 600 ms))
@@ -119,18 +138,18 @@
 "#,
             seed = self.seed,
         );
-        (self.tell)(text)
+        (self.rewrite_deployment)(text)
     }
 
     fn plans(&self, rng: &mut Pcg64Mcg) -> Vec<NodeConfig> {
         let plan = |id: usize| {
             let wide = id % 2 == 1;
             let (cores, memory) = if wide { (40.0, 60.0) } else { (24.0, 40.0) };
-            let NodeLocation { cell, zone: hall } = self.day.location(id);
+            let NodeLocation { cell, zone } = self.scenario.location(id);
             NodeConfig {
                 id: 100 + id as u32,
                 machine_type: if wide { "wide" } else { "compact" }.into(),
-                zone: HALLS[hall].into(),
+                zone: ZONES[zone].into(),
                 cell,
                 capacity: Resources { cores, memory },
                 admission_limit: Resources {
@@ -144,11 +163,11 @@
                 max_concurrent_starts: 4,
                 max_cached_programs: 6,
                 preempts: true,
-                slow_start: COLD,
+                slow_start: SLOW_START,
                 seed: rng.random(),
             }
         };
-        (0..self.day.nodes).map(plan).collect()
+        (0..self.scenario.nodes).map(plan).collect()
     }
 
     /// Plays the day to its end and returns what was seen.
@@ -158,40 +177,41 @@
     }
 
     async fn play(self, tasks: Tasks) -> Result<Vec<capture::Line>, String> {
-        let mut stage = self.up(&tasks).await?;
-        let Stage {
-            roster,
+        let mut testbed = self.start(&tasks).await?;
+        let Testbed {
+            discovery,
             nodes,
-            front,
+            frontend,
             start,
             ..
-        } = &stage;
-        let (front, until) = (Arc::clone(front), *start + self.day.length);
-        let room = tasks.spawn(tell_room(
-            Arc::clone(roster),
+        } = &testbed;
+        let (frontend, until) = (Arc::clone(frontend), *start + self.scenario.length);
+        let room = tasks.spawn(report_capacity(
+            Arc::clone(discovery),
             nodes.clone(),
-            self.day.clone(),
+            self.scenario.clone(),
         ));
-        let versions = self.day.version_interval.map(|every| {
-            let text = self.deployment(0, roster.address, "", stage.folder.path());
+        let versions = self.scenario.version_interval.map(|every| {
+            let text = self.deployment(0, discovery.address, "", testbed.folder.path());
             let texts = SharedParts::parse("day", &text).map_err(|why| why.to_string());
-            texts.map(|texts| tasks.spawn(push_versions(stage.control.clone(), texts, every)))
+            texts.map(|texts| tasks.spawn(push_versions(testbed.control.clone(), texts, every)))
         });
         let versions = versions.transpose()?;
         let (saturation, before) = (
-            SaturationMonitor::start(&tasks, stage.hollow()).map_err(|why| why.to_string())?,
-            stage.read().await?,
+            SaturationMonitor::start(&tasks, testbed.hollow_process_ids())
+                .map_err(|why| why.to_string())?,
+            testbed.read_costs().await?,
         );
-        let owners = stage.through(until).await?;
-        let after = stage.read().await?;
-        front
-            .world
+        let owners = testbed.run_until(until).await?;
+        let after = testbed.read_costs().await?;
+        frontend
+            .context
             .capture
-            .see(saturation.end().map_err(|why| why.to_string())?);
-        front
-            .world
+            .record(saturation.end().map_err(|why| why.to_string())?);
+        frontend
+            .context
             .capture
-            .see(Seen::Cost(Box::new(cost::between(&before, &after))));
+            .record(Observation::Cost(Box::new(cost::between(&before, &after))));
         // Whoever still waits or runs has so long to come to an end.
         let rest = async {
             for owner in owners {
@@ -200,99 +220,103 @@
         };
         let ended = within(Duration::from_secs(40), rest).await;
         drop((room, versions));
-        if let Some(worker) = stage.worker.take() {
+        if let Some(worker) = testbed.worker.take() {
             let worked = within(WORKED_WITHIN, worker).await;
             worked.ok_or("the work on machines does not come to its end")??;
         }
-        if self.day.audit {
-            stage.audit(&self.programs.real).await?;
+        if self.scenario.audit {
+            testbed.audit(&self.programs.real).await?;
         }
-        for process in &mut stage.fleet {
-            process.down(&front).await?;
+        for process in &mut testbed.fleet {
+            process.stop(&frontend).await?;
         }
         ended.ok_or("owners are still waiting long after the day's end")?;
-        Ok(front.world.capture.lines())
+        Ok(frontend.context.capture.lines())
     }
 
     /// All stand-ins and dispatchers, which have heard of all nodes.
-    pub(crate) async fn up(&self, tasks: &Tasks) -> Result<Stage, String> {
+    pub(crate) async fn start(&self, tasks: &Tasks) -> Result<Testbed, String> {
         let text = |why: std::io::Error| why.to_string();
-        Needs::of(&self.day).fit(&Limits::here()?)?;
+        Requirements::for_scenario(&self.scenario).check(&Limits::of_this_machine()?)?;
         let mut rng = Pcg64Mcg::seed_from_u64(self.seed);
         let folder = tempfile::tempdir().map_err(text)?;
         let capture = Capture::new(self.capture.as_deref()).map_err(text)?;
         let plans = self.plans(&mut rng);
-        capture.see(Seen::Day(self.rules(&plans)));
-        let world = World::new(capture, tasks, Some(TRACKS[1].into()));
-        let (roster, roster_address) = Discovery::start(&world).await.map_err(text)?;
+        capture.record(Observation::Rules(self.rules(&plans)));
+        let context = SharedContext::new(capture, tasks, Some(SERVICE_CLASSES[1].into()));
+        let (discovery, discovery_address) = Discovery::start(&context).await.map_err(text)?;
         let nodes: Vec<Arc<Node>> = plans
             .into_iter()
-            .map(|plan| Node::new(plan, &world))
+            .map(|plan| Node::new(plan, &context))
             .collect();
         for node in &nodes {
             let address = node.start_process(false).await.map_err(text)?;
-            roster.update(Duration::ZERO, entry(node, address, 0));
+            discovery.update(Duration::ZERO, entry(node, address, 0));
         }
-        let (control, control_up) = ControlService::start(&world).await.map_err(text)?;
-        let wires = match self.day.needs_fault_proxies() {
+        let (control, control_up) = ControlService::start(&context).await.map_err(text)?;
+        let proxies = match self.scenario.needs_fault_proxies() {
             true => {
-                let service = self.day.version_interval.map(|_| control.address);
-                let all = self.day.affects(LinkPeer::Nodes);
+                let service = self.scenario.version_interval.map(|_| control.address);
+                let all = self.scenario.affects(LinkPeer::Nodes);
                 let struck = nodes
                     .iter()
-                    .filter(|node| all || KEEPERS.contains(&node.config.id));
+                    .filter(|node| all || QUORUM_MEMBERS.contains(&node.config.id));
                 let listed: Vec<(u32, SocketAddr)> = struck
                     .filter_map(|node| {
-                        let entry = roster.endpoint(node.config.id)?;
+                        let entry = discovery.endpoint(node.config.id)?;
                         Some((entry.node, entry.address.parse().ok()?))
                     })
                     .collect();
-                let many = self.day.dispatchers;
+                let many = self.scenario.dispatchers;
                 Some(
-                    Wires::up(tasks, many, &roster, service, &listed, &KEEPERS)
+                    FaultProxies::start(tasks, many, &discovery, service, &listed, &QUORUM_MEMBERS)
                         .await
                         .map_err(text)?,
                 )
             }
             false => None,
         };
-        let front = Front::new(&world, &nodes, self.day.dispatchers);
+        let frontend = Frontend::new(&context, &nodes, self.scenario.dispatchers);
         let mut files = Vec::new();
-        for number in 0..self.day.dispatchers {
+        for number in 0..self.scenario.dispatchers {
             let file = folder.path().join(format!("dispatcher-{number}.sexp"));
-            let wired = |end| wires.as_ref().and_then(|wires| wires.address(number, end));
-            let roster = wired(LinkPeer::Roster).unwrap_or(roster_address);
-            let more = self.day.version_interval.map(|_| {
+            let wired = |end| {
+                proxies
+                    .as_ref()
+                    .and_then(|proxies| proxies.address(number, end))
+            };
+            let discovery = wired(LinkPeer::Roster).unwrap_or(discovery_address);
+            let more = self.scenario.version_interval.map(|_| {
                 let (kept, control) = (
                     folder.path().join(format!("versions-{number}.json")),
                     wired(LinkPeer::Control).unwrap_or(control.address),
                 );
-                let peers = wires
+                let peers = proxies
                     .iter()
-                    .flat_map(|wires| wires.addresses(number, LinkPeer::Dispatchers));
+                    .flat_map(|proxies| proxies.addresses(number, LinkPeer::Dispatchers));
                 let peers: String = peers.map(|peer| format!(" \"{peer}\"")).collect();
                 let peers = if peers.is_empty() {
                     peers
                 } else {
                     format!("(peers{peers})")
                 };
-                let versions = match self.day.is_hollow(number) {
+                let versions = match self.scenario.is_hollow(number) {
                     true => String::new(),
                     false => format!("(versions {kept:?})"),
                 };
                 format!("(control \"{control}\") {versions} (floor (every 1 s) {peers})")
             });
             let mut more = more.unwrap_or_default();
-            if self.day.maintenance.is_some() {
+            if self.scenario.maintenance.is_some() {
                 more.push_str(" (maintenance (every 500 ms))");
             }
-            let file_text = self.deployment(number, roster, &more, folder.path());
+            let file_text = self.deployment(number, discovery, &more, folder.path());
             std::fs::write(&file, file_text).map_err(text)?;
             files.push(file);
         }
         let mut fleet = Vec::new();
-        for numbers in self.day.processes() {
-            let hollow = self.day.is_hollow(numbers.start);
+        for numbers in self.scenario.processes() {
+            let hollow = self.scenario.is_hollow(numbers.start);
             let log = self
                 .logs
                 .as_ref()
@@ -304,23 +328,23 @@
             };
             let files = files[numbers.clone()].to_vec();
             let (program, log) = (program.clone(), log.filter(|_| !hollow));
-            let fills = self.day.fills_disks();
+            let fills_disk = self.scenario.fills_disks();
             let mut process = Process {
                 numbers,
                 hollow,
                 files,
                 program,
                 log,
-                fills,
+                fills_disk,
                 child: None,
             };
-            process.up(&front, wires.as_ref()).await?;
+            process.start(&frontend, proxies.as_ref()).await?;
             fleet.push(process);
         }
         // The day begins when dispatchers have had a moment to hear of the nodes.
         let heard = async {
-            for number in 0..self.day.dispatchers {
-                while front.serving(number).await < nodes.len() as u64 {
+            for number in 0..self.scenario.dispatchers {
+                while frontend.serving(number).await < nodes.len() as u64 {
                     Timer::after(Duration::from_millis(10)).await;
                 }
             }
@@ -328,17 +352,17 @@
         within(Duration::from_secs(30), heard)
             .await
             .ok_or("the dispatchers don't hear of the nodes")?;
-        let (day, start) = (self.day.clone(), Instant::now());
+        let (scenario, start) = (self.scenario.clone(), Instant::now());
         let up = control_up;
-        Ok(Stage {
-            day,
-            front,
+        Ok(Testbed {
+            scenario,
+            frontend,
             nodes,
-            roster,
+            discovery,
             fleet,
             rng,
             start,
-            wires,
+            proxies,
             worker: None,
             folder,
             control,
@@ -347,9 +371,9 @@
     }
 }
 
-impl Front {
+impl Frontend {
     async fn serving(&self, dispatcher: usize) -> u64 {
-        let Some(mut client) = self.client(dispatcher).await else {
+        let Some(mut client) = self.placement_client(dispatcher).await else {
             return 0;
         };
         client
@@ -379,9 +403,9 @@
 /// The worker: asks one dispatcher after the other which machines are his, restarts each, and says
 /// that it is done.
 async fn works(
-    front: Arc<Front>,
+    frontend: Arc<Frontend>,
     nodes: Vec<Arc<Node>>,
-    roster: Arc<Discovery>,
+    discovery: Arc<Discovery>,
     dispatchers: usize,
     work: crate::scenario::MaintenancePlan,
     seed: u64,
@@ -390,7 +414,10 @@
     let mut under_way: BTreeMap<u32, (Instant, bool)> = BTreeMap::new();
     loop {
         Timer::after(Duration::from_millis(300)).await;
-        let Some(mut client) = front.rolls(rng.random_range(0..dispatchers)).await else {
+        let Some(mut client) = frontend
+            .rollouts_client(rng.random_range(0..dispatchers))
+            .await
+        else {
             continue;
         };
         let ask = v1::MaintenanceRequest::default();
@@ -413,11 +440,14 @@
             match under_way.get_mut(id) {
                 None => {
                     let runs = node.allocation_count();
-                    front.world.capture.see(Seen::Worked {
-                        node: *id,
-                        begins: true,
-                        runs,
-                    });
+                    frontend
+                        .context
+                        .capture
+                        .record(Observation::MaintenanceWork {
+                            node: *id,
+                            begins: true,
+                            runs,
+                        });
                     node.kill(NodeState::Gone);
                     under_way.insert(*id, (Instant::now() + work.work_duration, false));
                 }
@@ -427,12 +457,15 @@
                         .await
                         .map_err(|why| why.to_string())?;
                     let entry = entry(node, address, corkspan_dispatcher::clock::wall_ms());
-                    roster.update(Duration::from_millis(rng.random_range(50..500)), entry);
-                    front.world.capture.see(Seen::Worked {
-                        node: *id,
-                        begins: false,
-                        runs: node.allocation_count(),
-                    });
+                    discovery.update(Duration::from_millis(rng.random_range(50..500)), entry);
+                    frontend
+                        .context
+                        .capture
+                        .record(Observation::MaintenanceWork {
+                            node: *id,
+                            begins: false,
+                            runs: node.allocation_count(),
+                        });
                     *up = true;
                 }
                 Some((_, true)) if word.in_maintenance.contains(id) => done.push(*id),
@@ -476,20 +509,24 @@
 
 /// Tells the roster again and again what nobody has asked for: as often as the day says, or every
 /// second, and less often to a large fleet.
-pub(crate) async fn tell_room(roster: Arc<Discovery>, nodes: Vec<Arc<Node>>, day: Scenario) {
-    let lines = nodes.len() * day.dispatchers;
+pub(crate) async fn report_capacity(
+    discovery: Arc<Discovery>,
+    nodes: Vec<Arc<Node>>,
+    scenario: Scenario,
+) {
+    let lines = nodes.len() * scenario.dispatchers;
     let usual = Duration::from_secs_f64((lines as f64 / ROOM_LINES as f64).max(1.0));
-    let apart = day.capacity_interval.unwrap_or(usual);
+    let apart = scenario.capacity_interval.unwrap_or(usual);
     loop {
         Timer::after(apart).await;
         for node in nodes.iter().filter(|node| node.is_running()) {
-            if let Some(entry) = roster.endpoint(node.config.id) {
+            if let Some(entry) = discovery.endpoint(node.config.id) {
                 let unasked = node.unrequested();
                 let unasked = Some(v1::Resources {
                     cores: unasked.cores,
                     memory: unasked.memory,
                 });
-                roster.update(
+                discovery.update(
                     Duration::from_millis(300),
                     v1::Endpoint {
                         unreserved: unasked,
@@ -501,15 +538,15 @@
     }
 }
 
-pub(crate) struct Stage {
-    pub day: Scenario,
-    pub front: Arc<Front>,
+pub(crate) struct Testbed {
+    pub scenario: Scenario,
+    pub frontend: Arc<Frontend>,
     pub nodes: Vec<Arc<Node>>,
-    pub roster: Arc<Discovery>,
+    pub discovery: Arc<Discovery>,
     pub fleet: Vec<Process>,
     rng: Pcg64Mcg,
     pub start: Instant,
-    wires: Option<Wires>,
+    proxies: Option<FaultProxies>,
     worker: Option<async_executor::Task<Result<(), String>>>,
     folder: tempfile::TempDir,
     control: ControlService,
@@ -526,35 +563,35 @@
     Room(usize),
 }
 
-impl Stage {
+impl Testbed {
     /// Lets owners ask and troubles strike until the day is over.
-    pub async fn through(
+    pub async fn run_until(
         &mut self,
         until: Instant,
     ) -> Result<Vec<async_executor::Task<()>>, String> {
-        let mut troubles = self.day.faults.clone();
-        troubles.sort_by_key(|trouble| trouble.at);
-        let mut troubles = troubles.into_iter().peekable();
+        let mut faults = self.scenario.faults.clone();
+        faults.sort_by_key(|fault| fault.at);
+        let mut faults = faults.into_iter().peekable();
         let mut undos: Vec<(Instant, Undo)> = Vec::new();
         let mut owners = Vec::new();
         let mut next = self.start;
         let mut number = 0;
-        for copy in 0..self.day.replicas {
+        for copy in 0..self.scenario.replicas {
             owners.push(self.hold(copy, until));
         }
         let (mut roll, mut floor, mut maintenance) = (
-            self.day.rollout,
-            self.day.minimum_version_at,
-            self.day.maintenance,
+            self.scenario.rollout,
+            self.scenario.minimum_version_at,
+            self.scenario.maintenance,
         );
         loop {
             let rolls = roll.map(|roll| self.start + roll.at);
             let floors = floor.map(|at| self.start + at);
             let works = maintenance.map(|own| self.start + own.at);
-            let trouble = troubles.peek().map(|trouble| self.start + trouble.at);
+            let fault = faults.peek().map(|fault| self.start + fault.at);
             let undo = undos.iter().map(|(at, _)| *at).min();
-            let asks = (next < until && self.day.rate > 0.0).then_some(next);
-            let Some(at) = [trouble, undo, asks, rolls, floors, works]
+            let asks = (next < until && self.scenario.rate > 0.0).then_some(next);
+            let Some(at) = [fault, undo, asks, rolls, floors, works]
                 .into_iter()
                 .flatten()
                 .min()
@@ -580,12 +617,12 @@
                     .unwrap_or_default();
                 let (_, undo) = undos.swap_remove(index);
                 self.undo(undo).await?;
-            } else if trouble == Some(at)
-                && let Some(trouble) = troubles.next()
+            } else if fault == Some(at)
+                && let Some(fault) = faults.next()
             {
-                let ends = Instant::now() + trouble.duration;
-                let burst = if trouble.kind == FaultKind::Burst {
-                    trouble.count
+                let ends = Instant::now() + fault.duration;
+                let burst = if fault.kind == FaultKind::Burst {
+                    fault.count
                 } else {
                     0
                 };
@@ -593,11 +630,11 @@
                     owners.push(self.ask(number, until));
                     number += 1;
                 }
-                undos.extend(self.strike(&trouble)?.into_iter().map(|undo| (ends, undo)));
+                undos.extend(self.strike(&fault)?.into_iter().map(|undo| (ends, undo)));
             } else {
                 owners.push(self.ask(number, until));
                 number += 1;
-                let rate = self.day.rate_at(next - self.start);
+                let rate = self.scenario.rate_at(next - self.start);
                 let gap: f64 = -(1.0 - self.rng.random::<f64>()).ln() / rate;
                 next += Duration::from_secs_f64(gap.min(10.0));
             }
@@ -608,20 +645,20 @@
     fn hold(&mut self, copy: usize, until: Instant) -> async_executor::Task<()> {
         let task = Task {
             name: format!("copy{copy}"),
-            service: HELD.into(),
-            track: 0,
-            track_name: TRACKS[0].into(),
-            repeat: Repeat::Idempotent,
+            service: REPLICATED_SERVICE.into(),
+            service_class: 0,
+            service_class_name: SERVICE_CLASSES[0].into(),
+            retry_safety: RetrySafety::Idempotent,
             cores: 0.5,
             memory: 0.8,
-            life: Duration::from_secs(3600),
-            abandon: Duration::from_secs(5),
-            patience: u32::MAX,
-            cancels: None,
+            lifetime: Duration::from_secs(3600),
+            deadline: Duration::from_secs(5),
+            max_requests: u32::MAX,
+            cancel_after: None,
         };
         let own = Pcg64Mcg::seed_from_u64(self.rng.random());
-        let lives = client::live(Arc::clone(&self.front), task, own, until);
-        self.front.world.tasks.spawn(async move {
+        let lives = client::run_task(Arc::clone(&self.frontend), task, own, until);
+        self.frontend.context.tasks.spawn(async move {
             within(
                 until.saturating_duration_since(Instant::now()),
                 Box::pin(lives),
@@ -632,17 +669,20 @@
 
     /// An operator rolls the copies' program, asking one dispatcher after the other.
     async fn roll(&mut self, roll: crate::scenario::RolloutPlan) -> Result<(), String> {
-        let (service, version) = (String::from(HELD), String::from("v2"));
+        let (service, version) = (String::from(REPLICATED_SERVICE), String::from("v2"));
         let unready_most = roll.max_unavailable;
-        self.front.world.capture.see(Seen::Roll {
-            service: service.clone(),
-            version: version.clone(),
-            unready_most: unready_most as usize,
-            ready_for_us: roll.min_ready.as_micros() as u64,
-            start_first: roll.surge,
-            ready_within_us: READY_WITHIN.as_micros() as u64,
-            failures_most: FAILURES_MOST as usize,
-        });
+        self.frontend
+            .context
+            .capture
+            .record(Observation::RolloutStarted {
+                service: service.clone(),
+                version: version.clone(),
+                unready_most: unready_most as usize,
+                ready_for_us: roll.min_ready.as_micros() as u64,
+                start_first: roll.surge,
+                ready_within_us: READY_WITHIN.as_micros() as u64,
+                failures_most: FAILURES_MOST as usize,
+            });
         let ask = v1::StartRolloutRequest {
             service,
             version,
@@ -654,8 +694,8 @@
             max_failures: FAILURES_MOST,
             surge: roll.surge,
         };
-        for dispatcher in 0..self.day.dispatchers {
-            if let Some(mut client) = self.front.rolls(dispatcher).await
+        for dispatcher in 0..self.scenario.dispatchers {
+            if let Some(mut client) = self.frontend.rollouts_client(dispatcher).await
                 && let Some(Ok(word)) =
                     within(Duration::from_secs(5), Box::pin(client.start(ask.clone()))).await
                 && word.into_inner().accepted
@@ -670,19 +710,21 @@
     /// and the worker begins.
     async fn maintain(&mut self, work: crate::scenario::MaintenancePlan) -> Result<(), String> {
         let nodes = self.nodes.iter().map(|node| node.config.id);
-        let nodes: Vec<u32> = nodes.filter(|id| !KEEPERS[1..].contains(id)).collect();
+        let nodes: Vec<u32> = nodes
+            .filter(|id| !QUORUM_MEMBERS[1..].contains(id))
+            .collect();
         let machines = nodes.len();
-        let (at_a_time, by_hall) = (work.max_concurrent, work.max_per_zone);
+        let (max_concurrent, max_per_zone) = (work.max_concurrent, work.max_per_zone);
         let ask = v1::MaintenanceRequest {
             action: v1::maintenance_request::Action::Start.into(),
             nodes,
-            limits: vec![at_a_time, by_hall, at_a_time, at_a_time],
-            warm_up_ms: COLD.duration.as_millis() as u64,
+            limits: vec![max_concurrent, max_per_zone, max_concurrent, max_concurrent],
+            warm_up_ms: SLOW_START.duration.as_millis() as u64,
             drain_timeout_ms: 3_600_000,
             ..v1::MaintenanceRequest::default()
         };
-        for dispatcher in 0..self.day.dispatchers {
-            if let Some(mut client) = self.front.rolls(dispatcher).await
+        for dispatcher in 0..self.scenario.dispatchers {
+            if let Some(mut client) = self.frontend.rollouts_client(dispatcher).await
                 && let Some(Ok(word)) = within(
                     Duration::from_secs(5),
                     Box::pin(client.maintain(ask.clone())),
@@ -690,20 +732,31 @@
                 .await
                 && word.into_inner().accepted
             {
-                let (at_a_time, by_hall) = (at_a_time as usize, by_hall as usize);
-                self.front.world.capture.see(Seen::Maintenance {
-                    machines,
-                    at_a_time,
-                    by_hall,
-                });
-                let (front, nodes, roster) = (
-                    Arc::clone(&self.front),
+                let (max_concurrent, max_per_zone) =
+                    (max_concurrent as usize, max_per_zone as usize);
+                self.frontend
+                    .context
+                    .capture
+                    .record(Observation::MaintenanceRequested {
+                        machines,
+                        max_concurrent,
+                        max_per_zone,
+                    });
+                let (frontend, nodes, discovery) = (
+                    Arc::clone(&self.frontend),
                     self.nodes.clone(),
-                    Arc::clone(&self.roster),
+                    Arc::clone(&self.discovery),
                 );
                 let seed = self.rng.random();
-                let works = works(front, nodes, roster, self.day.dispatchers, work, seed);
-                self.worker = Some(self.front.world.tasks.spawn(works));
+                let works = works(
+                    frontend,
+                    nodes,
+                    discovery,
+                    self.scenario.dispatchers,
+                    work,
+                    seed,
+                );
+                self.worker = Some(self.frontend.context.tasks.spawn(works));
                 return Ok(());
             }
         }
@@ -713,19 +766,19 @@
     /// An operator raises the floor to the newest version, asking one dispatcher after the other.
     async fn raise(&mut self) -> Result<(), String> {
         let newest = self
-            .front
-            .world
+            .frontend
+            .context
             .capture
             .lines()
             .iter()
             .rev()
-            .find_map(|line| match line.seen {
-                Seen::Pushed { number } => Some(number),
+            .find_map(|line| match line.observation {
+                Observation::Pushed { number } => Some(number),
                 _ => None,
             });
         let lowest = newest.ok_or("no version has been pushed yet")?;
-        for dispatcher in 0..self.day.dispatchers {
-            if let Some(mut client) = self.front.versions(dispatcher).await
+        for dispatcher in 0..self.scenario.dispatchers {
+            if let Some(mut client) = self.frontend.versions_client(dispatcher).await
                 && let Some(Ok(word)) = within(
                     Duration::from_secs(5),
                     Box::pin(client.raise(v1::RaiseMinimumVersionRequest { version: lowest })),
@@ -733,7 +786,10 @@
                 .await
                 && word.get_ref().accepted
             {
-                self.front.world.capture.see(Seen::Raised { lowest });
+                self.frontend
+                    .context
+                    .capture
+                    .record(Observation::MinimumVersionRaised { lowest });
                 return Ok(());
             }
         }
@@ -748,14 +804,15 @@
         command.args(rest).args(["fleet", "audit", "--json"]);
         for node in &self.nodes {
             if let Some(entry) = self
-                .roster
+                .discovery
                 .endpoint(node.config.id)
                 .filter(|_| node.is_running())
             {
                 command.args(["--node", &entry.address]);
             }
         }
-        let addresses = (0..self.day.dispatchers).filter_map(|number| self.front.address(number));
+        let addresses =
+            (0..self.scenario.dispatchers).filter_map(|number| self.frontend.address(number));
         command.args(addresses.map(|address| address.to_string()));
         let began = Instant::now();
         let output = blocking::unblock(move || command.output())
@@ -765,12 +822,12 @@
         let told: serde_json::Value = serde_json::from_slice(&output.stdout)
             .map_err(|why| format!("the audit tells no JSON: {why}"))?;
         let mut sockets: BTreeMap<(u64, u64), u64> = BTreeMap::new();
-        for line in self.front.world.capture.lines() {
-            if let Seen::Offered {
+        for line in self.frontend.context.capture.lines() {
+            if let Observation::Offered {
                 dispatcher,
                 decided,
                 ..
-            } = line.seen
+            } = line.observation
             {
                 *sockets.entry((u64::from(dispatcher), decided)).or_default() += 1;
             }
@@ -787,13 +844,13 @@
             .filter(|(_, shots)| *shots > 0)
             .collect::<BTreeMap<_, _>>()
             == sockets;
-        let capture = &self.front.world.capture;
+        let capture = &self.frontend.context.capture;
         // What runs where at the end: those that were brought up by others told no control service.
         for own in told["dispatchers"].as_array().into_iter().flatten() {
             if let (Some(dispatcher), Some(version)) =
                 (own["number"].as_u64(), own["version"].as_u64())
             {
-                capture.see(Seen::InForce {
+                capture.record(Observation::VersionActive {
                     dispatcher: dispatcher as u32,
                     number: version,
                 });
@@ -801,7 +858,7 @@
         }
         let findings = told["findings"].as_array().map_or(0, Vec::len);
         let bytes = output.stdout.len() as u64;
-        capture.see(Seen::Audited {
+        capture.record(Observation::Audited {
             took_ms,
             bytes,
             findings,
@@ -813,7 +870,7 @@
             kib.iter().sum::<u64>() / kib.len().max(1) as u64,
             kib.iter().max(),
         );
-        capture.see(Seen::Memory {
+        capture.record(Observation::Memory {
             mean_kib,
             most_kib: most_kib.copied().unwrap_or(0),
         });
@@ -823,63 +880,68 @@
     fn ask(&mut self, number: u64, until: Instant) -> async_executor::Task<()> {
         let rng = &mut self.rng;
         let draw = rng.random_range(0.0..100.0);
-        let track = match draw {
-            draw if draw < self.day.deduplicated => 1,
-            draw if draw < self.day.deduplicated + self.day.unrepeatable => 2,
+        let service_class = match draw {
+            draw if draw < self.scenario.deduplicated => 1,
+            draw if draw < self.scenario.deduplicated + self.scenario.unrepeatable => 2,
             _ => 0,
         };
         let window_us = DEDUP_WINDOW.as_micros() as u64;
-        let (cores, memory) = [(1.0, 1.5), (2.0, 3.0), (1.0, 2.0)][track];
-        let service = rng.random_range(0..[14, 4, 3][track]);
-        let life = self.day.mean_lifetime.mul_f64(rng.random_range(0.3..1.7));
-        let cancels = rng.random_range(0.0..100.0) < self.day.cancels;
+        let (cores, memory) = [(1.0, 1.5), (2.0, 3.0), (1.0, 2.0)][service_class];
+        let service = rng.random_range(0..[14, 4, 3][service_class]);
+        let lifetime = self
+            .scenario
+            .mean_lifetime
+            .mul_f64(rng.random_range(0.3..1.7));
+        let cancels = rng.random_range(0.0..100.0) < self.scenario.cancels;
         let task = Task {
             name: format!("t{number}"),
-            service: format!("{}-{service}", TRACKS[track]),
-            track,
-            track_name: TRACKS[track].into(),
-            repeat: [
-                Repeat::Idempotent,
-                Repeat::Deduplicated { window_us },
-                Repeat::Unrepeatable,
-            ][track],
+            service: format!("{}-{service}", SERVICE_CLASSES[service_class]),
+            service_class,
+            service_class_name: SERVICE_CLASSES[service_class].into(),
+            retry_safety: [
+                RetrySafety::Idempotent,
+                RetrySafety::Deduplicated { window_us },
+                RetrySafety::NotRetryable,
+            ][service_class],
             cores,
             memory,
-            life,
-            abandon: Duration::from_secs([5, 7, 7][track]),
-            patience: 8,
-            cancels: cancels.then(|| Duration::from_millis(rng.random_range(0..3000))),
+            lifetime,
+            deadline: Duration::from_secs([5, 7, 7][service_class]),
+            max_requests: 8,
+            cancel_after: cancels.then(|| Duration::from_millis(rng.random_range(0..3000))),
         };
         let own = Pcg64Mcg::seed_from_u64(rng.random());
-        self.front
-            .world
-            .tasks
-            .spawn(client::live(Arc::clone(&self.front), task, own, until))
+        self.frontend.context.tasks.spawn(client::run_task(
+            Arc::clone(&self.frontend),
+            task,
+            own,
+            until,
+        ))
     }
 
-    fn strike(&mut self, trouble: &ScheduledFault) -> Result<Vec<Undo>, String> {
+    fn strike(&mut self, fault: &ScheduledFault) -> Result<Vec<Undo>, String> {
         let name = crate::scenario::FAULT_KINDS
             .iter()
-            .find(|(_, kind)| *kind == trouble.kind)
+            .find(|(_, kind)| *kind == fault.kind)
             .map_or("", |(name, _)| name);
-        self.front
-            .world
+        self.frontend
+            .context
             .capture
-            .see(Seen::Trouble { name: name.into() });
-        let time = trouble.duration;
+            .record(Observation::Fault { name: name.into() });
+        let time = fault.duration;
         let mut up: Vec<usize> = (0..self.nodes.len())
             .filter(|&index| self.nodes[index].is_running())
             .collect();
         up.shuffle(&mut self.rng);
-        up.truncate(trouble.count);
+        up.truncate(fault.count);
         // Processes, each with all its dispatchers.
         let mut running: Vec<usize> = (0..self.fleet.len())
             .filter(|&index| self.fleet[index].child.is_some())
             .collect();
         running.shuffle(&mut self.rng);
-        running.truncate(trouble.count);
+        running.truncate(fault.count);
         let mut undos = Vec::new();
-        match trouble.kind {
+        match fault.kind {
             FaultKind::KillNodes => {
                 for index in up {
                     self.kill(index);
@@ -897,9 +959,9 @@
             FaultKind::LoseZone => {
                 let zone = up
                     .first()
-                    .map(|&index| self.day.failure_domain(self.nodes[index].config.cell));
+                    .map(|&index| self.scenario.failure_domain(self.nodes[index].config.cell));
                 let lost = |index: &usize| {
-                    Some(self.day.failure_domain(self.nodes[*index].config.cell)) == zone
+                    Some(self.scenario.failure_domain(self.nodes[*index].config.cell)) == zone
                 };
                 for index in (0..self.nodes.len()).filter(lost).collect::<Vec<_>>() {
                     self.kill(index);
@@ -909,7 +971,7 @@
             FaultKind::DrainNodes => {
                 for index in up {
                     self.nodes[index].drain();
-                    self.tell(index, v1::endpoint::State::Draining);
+                    self.update_endpoint(index, v1::endpoint::State::Draining);
                     undos.push(Undo::Undrain(index));
                 }
             }
@@ -926,42 +988,42 @@
             FaultKind::LosePrograms => up
                 .iter()
                 .for_each(|&index| self.nodes[index].clear_program_cache()),
-            FaultKind::RosterAway => self.roster.disconnect(Some(time)),
+            FaultKind::RosterAway => self.discovery.disconnect(Some(time)),
             FaultKind::Demand | FaultKind::Burst => {}
             FaultKind::KillDispatchers => {
                 for index in running {
-                    self.fleet[index].kill(&self.front)?;
+                    self.fleet[index].kill(&self.frontend)?;
                     undos.push(Undo::Restart(index));
                 }
             }
             FaultKind::CutDispatchers | FaultKind::DelayDispatchers | FaultKind::HoldVersions => {
-                let Some(wires) = &self.wires else {
+                let Some(proxies) = &self.proxies else {
                     return Err("no relays stand".into());
                 };
                 let numbers = running
                     .iter()
                     .flat_map(|&index| self.fleet[index].numbers.clone());
-                for index in numbers.take(trouble.count) {
-                    self.see_wires(index, true, trouble.delay);
-                    if trouble.kind == FaultKind::HoldVersions {
-                        wires.hold_versions(index);
+                for index in numbers.take(fault.count) {
+                    self.record_connection_fault(index, true, fault.delay);
+                    if fault.kind == FaultKind::HoldVersions {
+                        proxies.hold_versions(index);
                         undos.push(Undo::Heal(index, vec![LinkPeer::Control]));
                     } else {
-                        wires.strike(index, trouble);
-                        undos.push(Undo::Heal(index, trouble.peers.clone()));
+                        proxies.inject(index, fault);
+                        undos.push(Undo::Heal(index, fault.peers.clone()));
                     }
                 }
             }
             FaultKind::FullDisk => {
                 for index in running {
-                    self.fleet[index].disk(Some(0))?;
+                    self.fleet[index].limit_file_size(Some(0))?;
                     undos.push(Undo::Room(index));
                 }
             }
             FaultKind::PauseDispatchers => {
                 for index in running {
                     self.fleet[index].signal(
-                        &self.front,
+                        &self.frontend,
                         rustix::process::Signal::STOP,
                         DispatcherState::Paused,
                     )?;
@@ -973,7 +1035,7 @@
     }
 
     /// Hollow processes that run.
-    pub fn hollow(&self) -> Vec<u32> {
+    pub fn hollow_process_ids(&self) -> Vec<u32> {
         let hollow = self.fleet.iter().filter(|process| process.hollow);
         hollow
             .filter_map(|process| Some(process.child.as_ref()?.id()))
@@ -981,7 +1043,7 @@
     }
 
     /// What each process has cost so far, and what its dispatchers counted.
-    pub async fn read(&self) -> Result<Vec<cost::Reading>, String> {
+    pub async fn read_costs(&self) -> Result<Vec<cost::Reading>, String> {
         let mut read = Vec::new();
         for process in &self.fleet {
             let Some(mut own) = process.cost() else {
@@ -989,7 +1051,7 @@
             };
             for number in process.numbers.clone() {
                 let told = async {
-                    let mut client = self.front.client(number).await?;
+                    let mut client = self.frontend.placement_client(number).await?;
                     client.status(v1::StatusRequest {}).await.ok()
                 };
                 // One that stands still, or is away, tells nothing: it is left out of the figures.
@@ -1004,25 +1066,28 @@
         Ok(read)
     }
 
-    fn see_wires(&self, index: usize, struck: bool, late: Duration) {
+    fn record_connection_fault(&self, index: usize, struck: bool, late: Duration) {
         let (dispatcher, late_us) = (index as u32, late.as_micros() as u64);
-        self.front.world.capture.see(Seen::Wires {
-            dispatcher,
-            struck,
-            late_us,
-        });
+        self.frontend
+            .context
+            .capture
+            .record(Observation::ConnectionFault {
+                dispatcher,
+                struck,
+                late_us,
+            });
     }
 
     fn kill(&mut self, index: usize) {
         self.nodes[index].kill(NodeState::Gone);
-        self.tell(index, v1::endpoint::State::Gone);
+        self.update_endpoint(index, v1::endpoint::State::Gone);
     }
 
     /// The roster hears of it late.
-    fn tell(&mut self, index: usize, state: v1::endpoint::State) {
+    fn update_endpoint(&mut self, index: usize, state: v1::endpoint::State) {
         let late = Duration::from_millis(self.rng.random_range(100..900));
-        if let Some(entry) = self.roster.endpoint(self.nodes[index].config.id) {
-            self.roster.update(
+        if let Some(entry) = self.discovery.endpoint(self.nodes[index].config.id) {
+            self.discovery.update(
                 late,
                 v1::Endpoint {
                     state: state.into(),
@@ -1043,7 +1108,7 @@
                         .map_err(|why| why.to_string())?;
                     let entry = entry(node, address, corkspan_dispatcher::clock::wall_ms());
                     let late = Duration::from_millis(self.rng.random_range(50..500));
-                    self.roster.update(late, entry);
+                    self.discovery.update(late, entry);
                 }
             }
             Undo::Undrain(index) => {
@@ -1056,21 +1121,23 @@
             Undo::Restart(index) => {
                 if self.fleet[index].child.is_none() {
                     self.fleet[index]
-                        .up(&self.front, self.wires.as_ref())
+                        .start(&self.frontend, self.proxies.as_ref())
                         .await?;
                 }
             }
             Undo::Heal(index, ends) => {
-                self.see_wires(index, false, Duration::ZERO);
-                self.wires.iter().for_each(|wires| wires.heal(index, &ends));
+                self.record_connection_fault(index, false, Duration::ZERO);
+                self.proxies
+                    .iter()
+                    .for_each(|proxies| proxies.heal(index, &ends));
             }
-            Undo::Room(index) => self.fleet[index].disk(None)?,
+            Undo::Room(index) => self.fleet[index].limit_file_size(None)?,
             Undo::GoOn(index) => {
                 if self.fleet[index].child.is_some() {
                     self.fleet[index].signal(
-                        &self.front,
+                        &self.frontend,
                         rustix::process::Signal::CONT,
-                        DispatcherState::GoesOn,
+                        DispatcherState::Resumed,
                     )?;
                 }
             }
--- a/crates/testbed/src/saturation.rs
+++ b/crates/testbed/src/saturation.rs
@@ -2,7 +2,7 @@
 //! process: a scenario in which such a thread was the bottleneck measures the thread, and not the
 //! dispatchers.
 
-use crate::capture::Seen;
+use crate::capture::Observation;
 use async_io::Timer;
 use corkspan_rpc::Tasks;
 use std::sync::Arc;
@@ -86,7 +86,7 @@
     }
 
     /// What was measured, for the capture.
-    pub fn end(self) -> Result<Seen, NoThreadTimes> {
+    pub fn end(self) -> Result<Observation, NoThreadTimes> {
         let times = ThreadTimes::read(OWN_THREAD).ok_or(NoThreadTimes)?;
         let elapsed = self.started_at.elapsed().as_secs_f64().max(MIN_SPAN);
         let share =
@@ -97,7 +97,7 @@
         let hollow = self.max_hollow_share.load(Ordering::Relaxed) as f64 / MILLIONTHS;
         let late = Duration::from_micros(late_us) > MAX_LATENESS;
         let spoilt = busy > MAX_UTILIZATION || late || hollow > MAX_UTILIZATION;
-        Ok(Seen::StandIns {
+        Ok(Observation::StandIns {
             busy,
             waited,
             late_us,
--- a/crates/testbed/src/scenario/faults.rs
+++ b/crates/testbed/src/scenario/faults.rs
@@ -1,6 +1,6 @@
 //! Faults that a scenario schedules.
 
-use crate::relay::Way;
+use crate::relay::Direction;
 use std::time::Duration;
 
 /// A fault and when it strikes.
@@ -19,7 +19,7 @@
     /// Of cuts and delays: which of the dispatchers' connections,
     pub peers: Vec<LinkPeer>,
     /// in which directions,
-    pub directions: Vec<Way>,
+    pub directions: Vec<Direction>,
     /// and by how much they are late.
     pub delay: Duration,
 }
--- a/crates/testbed/src/scenario/reader.rs
+++ b/crates/testbed/src/scenario/reader.rs
@@ -4,7 +4,7 @@
     DEFAULT_PER_PROCESS, FAULT_KINDS, FaultKind, LINK_PEERS, LinkPeer, MaintenancePlan,
     RolloutPlan, Scenario, ScheduledFault,
 };
-use crate::relay::Way;
+use crate::relay::Direction;
 use corkspan_config::sexp::{Diagnostic, Form, Parts};
 use std::time::Duration;
 
@@ -194,8 +194,10 @@
     if kind == FaultKind::HoldVersions && scenario.version_interval.is_none() {
         return Err(form.diagnostic("stands only beside `(versions …)`"));
     }
-    let directions = parts.get_or("way", vec![Way::In, Way::Out], |form| {
-        Ok(vec![[Way::In, Way::Out][form.choice(&["in", "out"])?]])
+    let directions = parts.get_or("way", vec![Direction::In, Direction::Out], |form| {
+        Ok(vec![
+            [Direction::In, Direction::Out][form.choice(&["in", "out"])?],
+        ])
     })?;
     let zero = Duration::ZERO;
     let count = |form: &Form| Ok(form.integer(1, max_count)? as usize);
--- a/crates/testbed/src/summary.rs
+++ b/crates/testbed/src/summary.rs
@@ -3,43 +3,43 @@
 use crate::capture::*;
 use crate::cost::Costs;
 use crate::maintenance_figures::MaintenanceFigures;
-use crate::runner::HELD;
+use crate::runner::REPLICATED_SERVICE;
 use crate::version_figures::VersionFigures;
 use hdrhistogram::Histogram;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::fmt;
 
 #[derive(Default)]
-pub struct Table {
-    pub asked: u64,
-    pub first_asks: u64,
+pub struct Summary {
+    pub requested: u64,
+    pub tasks: u64,
     pub placed: u64,
-    pub refused: u64,
+    pub rejected: u64,
     pub failed: u64,
     pub cancelled: u64,
     /// Calls without an answer: their dispatcher was killed or stood still.
     pub unanswered: u64,
-    pub timely: u64,
+    pub within_objective: u64,
     pub p50_ms: f64,
     pub p99_ms: f64,
     pub offers: u64,
-    pub refusals: u64,
-    pub probes: u64,
-    pub moves: u64,
+    pub rejected_offers: u64,
+    pub health_checks: u64,
+    pub migrations: u64,
     pub evictions: u64,
-    pub fell_over: u64,
-    pub roll: Option<RollFigures>,
-    pub copies: Option<CopyFigures>,
+    pub crashes: u64,
+    pub rollout: Option<RolloutFigures>,
+    pub replicas: Option<ReplicaFigures>,
     pub versions: Option<VersionFigures>,
     pub maintenance: Option<MaintenanceFigures>,
     /// Placed calls of owners that stand at a time.
-    pub standing_most: usize,
+    pub max_active_calls: usize,
     pub cost: Option<Costs>,
     pub stand_ins: Option<StandIns>,
-    pub troubles: BTreeMap<String, u64>,
+    pub faults: BTreeMap<String, u64>,
 }
 
-/// How the laboratory itself kept up, as [`Seen::StandIns`] tells it.
+/// How the laboratory itself kept up, as [`Observation::StandIns`] tells it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct StandIns {
     pub busy: f64,
@@ -69,7 +69,7 @@
 
 /// How a roll went.
 #[derive(Default)]
-pub struct RollFigures {
+pub struct RolloutFigures {
     pub copies: usize,
     pub rolled: usize,
     /// From its start to the last copy ready.
@@ -82,10 +82,10 @@
     pub limit: usize,
 }
 
-impl RollFigures {
+impl RolloutFigures {
     fn of(lines: &[Line]) -> Option<Self> {
-        let rolled = |line: &Line| match &line.seen {
-            Seen::Roll {
+        let rolled = |line: &Line| match &line.observation {
+            Observation::RolloutStarted {
                 service,
                 version,
                 unready_most,
@@ -103,9 +103,9 @@
             _ => None,
         };
         let (start, service, version, limit, ready_for, beside) = lines.iter().find_map(rolled)?;
-        let mut own = RollFigures {
+        let mut own = RolloutFigures {
             limit,
-            ..RollFigures::default()
+            ..RolloutFigures::default()
         };
         // Ready copies of each task, as node and version; since when it has none; when one was
         // offered to a node.
@@ -113,25 +113,25 @@
         let (mut down, mut offered) = (HashMap::<&str, u64>::new(), HashMap::new());
         let (mut times, mut last) = (Vec::new(), start);
         let (mut calls, mut once) = (BTreeSet::new(), BTreeSet::new());
-        for Line { t, seen } in lines {
-            let (task, node, runs, is) = match seen {
-                Seen::Offered {
+        for Line { t, observation } in lines {
+            let (task, node, runs, is) = match observation {
+                Observation::Offered {
                     node,
-                    placing,
+                    placement_id,
                     service: of,
                     ..
                 } if *of == service => {
-                    let task = placing.split('#').next().unwrap_or_default();
+                    let task = placement_id.split('#').next().unwrap_or_default();
                     offered.insert((*node, task), *t);
                     continue;
                 }
-                Seen::Asked(asked) if asked.service == service => {
+                Observation::Requested(asked) if asked.service == service => {
                     calls.insert(asked.call);
                     continue;
                 }
                 // The day is over: its owners want them no longer.
-                Seen::Cancelled { call } if calls.contains(call) => break,
-                Seen::Ready {
+                Observation::Cancelled { call } if calls.contains(call) => break,
+                Observation::Ready {
                     task,
                     node,
                     service: of,
@@ -186,20 +186,22 @@
 
 /// The copies that run all day: how much of their time none was ready.
 #[derive(Default)]
-pub struct CopyFigures {
+pub struct ReplicaFigures {
     pub copies: usize,
     pub lost_s: f64,
     pub all_s: f64,
 }
 
-impl CopyFigures {
+impl ReplicaFigures {
     /// From when all are ready for the first time until their owners want them no longer.
     fn of(lines: &[Line]) -> Option<Self> {
         let mut held = BTreeMap::<u64, &str>::new();
         let mut ready: BTreeMap<&str, i64> = BTreeMap::new();
         let all: BTreeSet<&str> = (lines.iter())
-            .filter_map(|line| match &line.seen {
-                Seen::Asked(asked) if asked.service == HELD => Some(&asked.task[..]),
+            .filter_map(|line| match &line.observation {
+                Observation::Requested(asked) if asked.service == REPLICATED_SERVICE => {
+                    Some(&asked.task[..])
+                }
                 _ => None,
             })
             .collect();
@@ -207,26 +209,26 @@
             return None;
         }
         let (mut own, mut since) = (
-            CopyFigures {
+            ReplicaFigures {
                 copies: all.len(),
-                ..CopyFigures::default()
+                ..ReplicaFigures::default()
             },
             None,
         );
-        for Line { t, seen } in lines {
-            match seen {
-                Seen::Asked(asked) if asked.service == HELD => {
+        for Line { t, observation } in lines {
+            match observation {
+                Observation::Requested(asked) if asked.service == REPLICATED_SERVICE => {
                     held.insert(asked.call, &asked.task);
                 }
-                Seen::HandedOver { call, task, .. } if all.contains(&task[..]) => {
+                Observation::HandedOver { call, task, .. } if all.contains(&task[..]) => {
                     held.insert(*call, task);
                 }
-                Seen::Ready {
+                Observation::Ready {
                     task,
                     service,
                     ready: is,
                     ..
-                } if *service == HELD => {
+                } if *service == REPLICATED_SERVICE => {
                     own.until(*t, &mut since, &ready);
                     *ready.entry(task).or_default() += if *is { 1 } else { -1 };
                     if since.is_none()
@@ -235,7 +237,7 @@
                         since = Some(*t);
                     }
                 }
-                Seen::Cancelled { call } if held.contains_key(call) => {
+                Observation::Cancelled { call } if held.contains_key(call) => {
                     own.until(*t, &mut since, &ready);
                     break;
                 }
@@ -253,70 +255,78 @@
     }
 }
 
-impl Table {
+impl Summary {
     pub fn of(lines: &[Line]) -> Self {
-        let mut table = Table::default();
+        let mut summary = Summary::default();
         let mut calls: HashMap<u64, (u64, usize, bool)> = HashMap::new();
         let mut standing = BTreeSet::new();
         // A minute at the most, to three figures.
         let mut times = Histogram::<u64>::new_with_bounds(1, 60_000_000, 3).ok();
-        let tracks = match lines.first() {
+        let service_classes = match lines.first() {
             Some(Line {
-                seen: Seen::Day(rules),
+                observation: Observation::Rules(rules),
                 ..
-            }) => rules.tracks.clone(),
+            }) => rules.service_classes.clone(),
             _ => Vec::new(),
         };
-        for Line { t, seen } in lines {
-            match seen {
-                Seen::Asked(asked) => {
-                    table.asked += 1;
-                    table.first_asks += u64::from(asked.first);
-                    calls.insert(asked.call, (*t, asked.track, false));
+        for Line { t, observation } in lines {
+            match observation {
+                Observation::Requested(asked) => {
+                    summary.requested += 1;
+                    summary.tasks += u64::from(asked.first);
+                    calls.insert(asked.call, (*t, asked.service_class, false));
                 }
-                Seen::Heard { call, word } => {
-                    let Some((since, track, answered)) = calls.get_mut(call) else {
-                        table.moves += u64::from(*word == Word::Moved);
+                Observation::EventReceived { call, event } => {
+                    let Some((since, service_class, answered)) = calls.get_mut(call) else {
+                        summary.migrations += u64::from(*event == AllocationEvent::Migrated);
                         continue;
                     };
-                    match word {
-                        Word::Placed => {
-                            (table.placed, *answered) = (table.placed + 1, true);
+                    match event {
+                        AllocationEvent::Placed => {
+                            (summary.placed, *answered) = (summary.placed + 1, true);
                             standing.insert(*call);
-                            table.standing_most = table.standing_most.max(standing.len());
+                            summary.max_active_calls = summary.max_active_calls.max(standing.len());
                             if let Some(times) = &mut times {
                                 times.saturating_record((t - *since).max(1));
                             }
-                            let contract = tracks.get(*track).map_or(0, |track| track.contract_us);
-                            table.timely += u64::from(t - *since <= contract);
+                            let contract = service_classes
+                                .get(*service_class)
+                                .map_or(0, |service_class| service_class.latency_objective_us);
+                            summary.within_objective += u64::from(t - *since <= contract);
+                        }
+                        AllocationEvent::Rejected => {
+                            (summary.rejected, *answered) = (summary.rejected + 1, true)
+                        }
+                        AllocationEvent::Failed => {
+                            (summary.failed, *answered) = (summary.failed + 1, true)
+                        }
+                        AllocationEvent::Migrated => summary.migrations += 1,
+                        AllocationEvent::Evicted | AllocationEvent::Preempted => {
+                            summary.evictions += 1
                         }
-                        Word::Refused => (table.refused, *answered) = (table.refused + 1, true),
-                        Word::Failed => (table.failed, *answered) = (table.failed + 1, true),
-                        Word::Moved => table.moves += 1,
-                        Word::Evicted | Word::PushedOut => table.evictions += 1,
                         _ => {}
                     }
                 }
-                Seen::Cancelled { call } => {
+                Observation::Cancelled { call } => {
                     if let Some((_, _, answered)) = calls.get_mut(call)
                         && !*answered
                     {
-                        (table.cancelled, *answered) = (table.cancelled + 1, true);
+                        (summary.cancelled, *answered) = (summary.cancelled + 1, true);
                     }
                 }
-                Seen::Closed { call, .. } => drop(standing.remove(call)),
-                Seen::Offered { .. } => table.offers += 1,
-                Seen::Probed { .. } => table.probes += 1,
-                Seen::Said {
-                    word: Word::Refused,
+                Observation::Closed { call, .. } => drop(standing.remove(call)),
+                Observation::Offered { .. } => summary.offers += 1,
+                Observation::HealthChecked { .. } => summary.health_checks += 1,
+                Observation::EventSent {
+                    event: AllocationEvent::Rejected,
                     ..
-                } => table.refusals += 1,
-                Seen::Node {
-                    state: NodeState::FellOver,
+                } => summary.rejected_offers += 1,
+                Observation::Node {
+                    state: NodeState::Crashed,
                     ..
-                } => table.fell_over += 1,
-                Seen::Cost(costs) => table.cost = Some((**costs).clone()),
-                Seen::StandIns {
+                } => summary.crashes += 1,
+                Observation::Cost(costs) => summary.cost = Some((**costs).clone()),
+                Observation::StandIns {
                     busy,
                     waited,
                     late_us,
@@ -324,7 +334,7 @@
                     spoilt,
                 } => {
                     let (busy, waited, late_us, hollow) = (*busy, *waited, *late_us, *hollow);
-                    table.stand_ins = Some(StandIns {
+                    summary.stand_ins = Some(StandIns {
                         busy,
                         waited,
                         late_us,
@@ -332,24 +342,26 @@
                         spoilt: *spoilt,
                     });
                 }
-                Seen::Trouble { name } => *table.troubles.entry(name.clone()).or_default() += 1,
+                Observation::Fault { name } => {
+                    *summary.faults.entry(name.clone()).or_default() += 1
+                }
                 _ => {}
             }
         }
-        table.roll = RollFigures::of(lines);
-        table.copies = CopyFigures::of(lines);
-        table.versions = VersionFigures::of(lines);
-        table.maintenance = MaintenanceFigures::of(lines);
-        table.unanswered = calls.values().filter(|(_, _, answered)| !answered).count() as u64;
+        summary.rollout = RolloutFigures::of(lines);
+        summary.replicas = ReplicaFigures::of(lines);
+        summary.versions = VersionFigures::of(lines);
+        summary.maintenance = MaintenanceFigures::of(lines);
+        summary.unanswered = calls.values().filter(|(_, _, answered)| !answered).count() as u64;
         if let Some(times) = times {
             let ms = |part| times.value_at_quantile(part) as f64 / 1000.0;
-            (table.p50_ms, table.p99_ms) = (ms(0.5), ms(0.99));
+            (summary.p50_ms, summary.p99_ms) = (ms(0.5), ms(0.99));
         }
-        table
+        summary
     }
 }
 
-impl fmt::Display for Table {
+impl fmt::Display for Summary {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         let part = |some: u64, of: u64| {
             if of == 0 {
@@ -361,10 +373,10 @@
         writeln!(
             f,
             "asked                {} ({} tasks)",
-            self.asked, self.first_asks
+            self.requested, self.tasks
         )?;
         writeln!(f, "placed               {}", self.placed)?;
-        writeln!(f, "refused              {}", self.refused)?;
+        writeln!(f, "refused              {}", self.rejected)?;
         writeln!(f, "failed               {}", self.failed)?;
         writeln!(f, "cancelled            {}", self.cancelled)?;
         writeln!(
@@ -375,7 +387,7 @@
         writeln!(
             f,
             "timely placings      {:.1}% of the placed",
-            part(self.timely, self.placed)
+            part(self.within_objective, self.placed)
         )?;
         writeln!(
             f,
@@ -386,15 +398,15 @@
             f,
             "offers               {}, {:.1}% refused by nodes",
             self.offers,
-            part(self.refusals, self.offers)
+            part(self.rejected_offers, self.offers)
         )?;
-        writeln!(f, "standing at a time   {}", self.standing_most)?;
-        writeln!(f, "probes               {}", self.probes)?;
-        writeln!(f, "moves                {}", self.moves)?;
+        writeln!(f, "standing at a time   {}", self.max_active_calls)?;
+        writeln!(f, "probes               {}", self.health_checks)?;
+        writeln!(f, "moves                {}", self.migrations)?;
         writeln!(f, "evicted, pushed out  {}", self.evictions)?;
-        writeln!(f, "nodes fallen over    {}", self.fell_over)?;
-        if let Some(roll) = &self.roll {
-            let RollFigures {
+        writeln!(f, "nodes fallen over    {}", self.crashes)?;
+        if let Some(roll) = &self.rollout {
+            let RolloutFigures {
                 copies,
                 rolled,
                 seconds,
@@ -413,11 +425,11 @@
                 "not ready at a time  {unready_most}, {limit} allowed; beside others {beside_most}"
             )?;
         }
-        if let Some(CopyFigures {
+        if let Some(ReplicaFigures {
             copies,
             lost_s,
             all_s,
-        }) = &self.copies
+        }) = &self.replicas
         {
             let part = 100.0 * lost_s / all_s.max(1e-3);
             writeln!(
@@ -442,7 +454,7 @@
             writeln!(f, "stand-ins            {stand_ins}")?;
         }
         let troubles: Vec<String> = self
-            .troubles
+            .faults
             .iter()
             .map(|(name, many)| format!("{name} {many}"))
             .collect();
--- a/crates/testbed/src/version_figures.rs
+++ b/crates/testbed/src/version_figures.rs
@@ -103,33 +103,35 @@
 impl<'a> Collector<'a> {
     fn read(&mut self, line: &'a Line) {
         let now = line.t;
-        match &line.seen {
-            Seen::Pushed { number } => {
+        match &line.observation {
+            Observation::Pushed { number } => {
                 let effects = Vec::new();
                 self.pushes.insert(*number, Push { at: now, effects });
             }
-            Seen::InForce { dispatcher, number } => self.in_force(now, *dispatcher, *number),
-            Seen::Raised { lowest } => self.raised(now, *lowest),
-            Seen::Floor { node, .. } => self.stored(*node),
-            Seen::Offered {
+            Observation::VersionActive { dispatcher, number } => {
+                self.in_force(now, *dispatcher, *number)
+            }
+            Observation::MinimumVersionRaised { lowest } => self.raised(now, *lowest),
+            Observation::MinimumVersionStored { node, .. } => self.stored(*node),
+            Observation::Offered {
                 node,
-                placing,
+                placement_id,
                 number,
                 decided,
                 dispatcher,
                 ..
             } => {
-                let attempt = (*node, placing.as_str(), *number);
+                let attempt = (*node, placement_id.as_str(), *number);
                 self.attempts.insert(attempt, *decided);
                 self.offered(now, *dispatcher, *decided);
             }
-            Seen::Said {
+            Observation::EventSent {
                 node,
-                placing,
+                placement_id,
                 number,
-                word: Word::Accepted,
-            } => self.accepted(now, (*node, placing.as_str(), *number)),
-            Seen::Audited {
+                event: AllocationEvent::Accepted,
+            } => self.accepted(now, (*node, placement_id.as_str(), *number)),
+            Observation::Audited {
                 took_ms,
                 bytes,
                 findings,
@@ -142,7 +144,7 @@
                     equal: *equal,
                 });
             }
-            Seen::Memory { mean_kib, most_kib } => {
+            Observation::Memory { mean_kib, most_kib } => {
                 self.figures.memory = Some(MemoryFigures {
                     mean: *mean_kib as f64 / KIB_PER_MIB,
                     max: *most_kib as f64 / KIB_PER_MIB,
--- a/crates/testbed/tests/capacity.rs
+++ b/crates/testbed/tests/capacity.rs
@@ -4,7 +4,7 @@
 use corkspan_api::v1::connection_traffic::Kind;
 use corkspan_capacity_model::{page, result::CapacityResult};
 use corkspan_rpc::{Tasks, within};
-use corkspan_testbed::capacity::{End, Room, Setting, Stage};
+use corkspan_testbed::capacity::{Environment, EnvironmentConfig, FreeCapacity, Peer};
 use corkspan_testbed::traffic;
 use futures_lite::future;
 use std::ffi::OsString;
@@ -13,17 +13,17 @@
 use test_case::test_case;
 
 const PATIENCE: Duration = Duration::from_secs(60);
-const LAB: &str = env!("CARGO_BIN_EXE_corkspan-testbed");
+const PROGRAM: &str = env!("CARGO_BIN_EXE_corkspan-testbed");
 
-fn on_stage<F: Future<Output = ()>>(
+fn in_environment<F: Future<Output = ()>>(
     machines: u32,
     dispatchers: usize,
-    room: Room,
-    story: impl FnOnce(Stage) -> F,
+    room: FreeCapacity,
+    story: impl FnOnce(Environment) -> F,
 ) {
     let tasks = Tasks::default();
-    let program: [OsString; 2] = [LAB.into(), "corkspan".into()];
-    let setting = Setting {
+    let program: [OsString; 2] = [PROGRAM.into(), "corkspan".into()];
+    let setting = EnvironmentConfig {
         machines,
         dispatchers,
         schedulers: dispatchers,
@@ -32,7 +32,7 @@
     };
     let whole = async {
         story(
-            Stage::up(&tasks, &program, setting)
+            Environment::start(&tasks, &program, setting)
                 .await
                 .expect("it comes up"),
         )
@@ -46,32 +46,39 @@
 #[test_case(400, 1 ; "ten times as many")]
 #[test_case(40, 4 ; "four dispatchers")]
 fn a_line_told_costs_the_same_however_many_there_are(machines: u32, dispatchers: usize) {
-    on_stage(machines, dispatchers, Room::Plenty, async |stage| {
-        for cores in [20.5, 21.5] {
-            let mut lines = 0;
-            let bytes = stage
-                .brings(End::Roster, || lines = stage.tell_once(cores))
-                .await;
-            let a_line = bytes as f64 / lines as f64 / dispatchers as f64;
-            assert!(
-                (40.0..=110.0).contains(&a_line),
-                "{a_line} bytes a line, {lines} lines"
-            );
-        }
-    });
+    in_environment(
+        machines,
+        dispatchers,
+        FreeCapacity::Plenty,
+        async |environment| {
+            for cores in [20.5, 21.5] {
+                let mut lines = 0;
+                let bytes = environment
+                    .bytes_caused_by(Peer::Roster, || {
+                        lines = environment.report_capacity_once(cores)
+                    })
+                    .await;
+                let a_line = bytes as f64 / lines as f64 / dispatchers as f64;
+                assert!(
+                    (40.0..=110.0).contains(&a_line),
+                    "{a_line} bytes a line, {lines} lines"
+                );
+            }
+        },
+    );
 }
 
 #[test]
 fn a_version_of_small_changes_costs_less_than_it_whole() {
-    on_stage(40, 2, Room::Plenty, async |stage| {
+    in_environment(40, 2, FreeCapacity::Plenty, async |environment| {
         let mut costs = Vec::new();
         for which in 0..4 {
             let mut stamp = None;
-            let bytes = stage
-                .brings(End::Control, || stamp = Some(stage.publish(which)))
+            let bytes = environment
+                .bytes_caused_by(Peer::Control, || stamp = Some(environment.publish(which)))
                 .await;
-            stage
-                .until_in_force(stamp.expect("published"))
+            environment
+                .wait_until_active(stamp.expect("published"))
                 .await
                 .expect("in force at both");
             costs.push(bytes / 2);
@@ -93,15 +100,18 @@
 /// probe for each that was taken, however long it waits.
 #[test]
 fn those_that_wait_before_full_machines_send_them_probes_alone() {
-    on_stage(40, 1, Room::NoneByAsks, async |stage| {
-        let held = stage.wait(30).await.expect("all are taken in hand");
-        stage
+    in_environment(40, 1, FreeCapacity::NoneByAsks, async |environment| {
+        let held = environment
+            .request_tasks(30)
+            .await
+            .expect("all are taken in hand");
+        environment
             .watch(Duration::from_secs(2))
             .await
             .expect("the kernel tells");
-        let status = stage.status().await.expect("it answers");
+        let status = environment.status().await.expect("it answers");
         assert_eq!((status.in_flight, status.placed), (30, 0));
-        let sent = traffic::of(&status.connection_traffic, Kind::Nodes).messages_out;
+        let sent = traffic::traffic_of(&status.connection_traffic, Kind::Nodes).messages_out;
         assert!(sent <= 2 * 30, "{sent} messages went to nodes");
         drop(held);
     });
@@ -132,8 +142,11 @@
     assert!(page::check(&page, &kept).is_err());
 }
 
-fn lab(line: &[&str]) -> (bool, String) {
-    let out = Command::new(LAB).args(line).output().expect("it starts");
+fn run_program(line: &[&str]) -> (bool, String) {
+    let out = Command::new(PROGRAM)
+        .args(line)
+        .output()
+        .expect("it starts");
     (
         out.status.success(),
         String::from_utf8_lossy(&out.stderr).into_owned(),
@@ -151,7 +164,7 @@
     };
     std::fs::write(&path, serde_json::to_string(&size).expect("numbers")).expect("written");
     let path = path.to_str().expect("plain");
-    let (well, told) = lab(&["capacity", "--axis", "versions", "--size", path]);
+    let (well, told) = run_program(&["capacity", "--axis", "versions", "--size", path]);
     assert!(
         !well && told.contains("the size: asks for too much"),
         "{told}"
@@ -161,7 +174,7 @@
         "{told}"
     );
     std::fs::write(path, "{\n\"machines\": 12,\n\"machine\": 3}").expect("written");
-    let (well, told) = lab(&["capacity", "--axis", "versions", "--size", path]);
+    let (well, told) = run_program(&["capacity", "--axis", "versions", "--size", path]);
     assert!(
         !well && told.contains("size.json") && told.contains("line 3"),
         "{told}"
@@ -184,12 +197,12 @@
         .expect("the first of the list")
         + 1;
     let (file, own) = (file.to_str().expect("plain"), own.to_str().expect("plain"));
-    let (well, told) = lab(&["capacity", "page", file, "--check", own]);
+    let (well, told) = run_program(&["capacity", "page", file, "--check", own]);
     assert!(
         !well && told.contains(&format!("page.md: line {line}: ")),
         "{told}"
     );
     std::fs::write(file, "{\"size\": {},\n\"runs\": 4}").expect("written");
-    let (well, told) = lab(&["capacity", "page", file]);
+    let (well, told) = run_program(&["capacity", "page", file]);
     assert!(!well && told.contains("result.json: line 1: "), "{told}");
 }
--- a/crates/testbed/tests/checker.rs
+++ b/crates/testbed/tests/checker.rs
@@ -1,7 +1,7 @@
 //! The judge must find each rule broken, by captures written for it, and nothing in a sound one.
 
-use corkspan_testbed::capture::{DispatcherState as D, NodeState as N, Word::*, *};
-use corkspan_testbed::checker::judge;
+use corkspan_testbed::capture::{AllocationEvent::*, DispatcherState as D, NodeState as N, *};
+use corkspan_testbed::checker::check;
 use test_case::test_case;
 
 /// Times in ms make a capture easy to read.
@@ -11,33 +11,33 @@
 
 impl Script {
     fn new() -> Self {
-        let track = |name: &str, repeat, spread| Track {
+        let service_class = |name: &str, retry_safety, spread| ServiceClass {
             name: name.into(),
-            repeat,
-            contract_us: 1,
+            retry_safety,
+            latency_objective_us: 1,
             spread,
         };
-        let home = |node, hall: &str| Home {
+        let home = |node, zone: &str| NodeSite {
             node,
-            hall: hall.into(),
+            zone: zone.into(),
             cell: 0,
         };
-        let rules = Rules {
+        let rules = RuleParameters {
             seed: 0,
-            tracks: vec![
-                track("web", Repeat::Idempotent, None),
-                track(
+            service_classes: vec![
+                service_class("web", RetrySafety::Idempotent, None),
+                service_class(
                     "jobs",
-                    Repeat::Deduplicated {
+                    RetrySafety::Deduplicated {
                         window_us: 6_000_000,
                     },
                     None,
                 ),
-                track("once", Repeat::Unrepeatable, Some(2)),
+                service_class("once", RetrySafety::NotRetryable, Some(2)),
             ],
             nodes: vec![home(7, "a"), home(8, "a"), home(9, "b")],
             grace_us: 1_000_000,
-            cold: Cold {
+            slow_start: SlowStartLimits {
                 lasts_us: 5_000_000,
                 window_us: 1_000_000,
                 most: 4,
@@ -46,41 +46,44 @@
         };
         Script(vec![Line {
             t: 0,
-            seen: Seen::Day(rules),
+            observation: Observation::Rules(rules),
         }])
     }
 
-    fn see(mut self, ms: u64, seen: Seen) -> Self {
-        self.0.push(Line { t: ms * 1000, seen });
+    fn record(mut self, ms: u64, observation: Observation) -> Self {
+        self.0.push(Line {
+            t: ms * 1000,
+            observation,
+        });
         self
     }
 
-    fn asks(self, ms: u64, call: u64, track: usize) -> Self {
-        let asked = Asked {
+    fn asks(self, ms: u64, call: u64, service_class: usize) -> Self {
+        let asked = RequestedPlacement {
             call,
-            placing: format!("p{call}"),
+            placement_id: format!("p{call}"),
             task: format!("t{call}"),
             service: "s".into(),
-            track,
+            service_class,
             dispatcher: 0,
-            abandon_us: 5_000_000,
+            deadline_us: 5_000_000,
             first: true,
         };
-        self.see(ms, Seen::Asked(asked))
+        self.record(ms, Observation::Requested(asked))
     }
 
-    fn hears(self, ms: u64, call: u64, word: Word) -> Self {
-        self.see(ms, Seen::Heard { call, word })
+    fn hears(self, ms: u64, call: u64, event: AllocationEvent) -> Self {
+        self.record(ms, Observation::EventReceived { call, event })
     }
 
     fn offer(self, ms: u64, call: u64, number: u32, node: u32) -> Self {
-        let (placing, task, service) = (format!("p{call}"), format!("t{call}"), "s".into());
+        let (placement_id, task, service) = (format!("p{call}"), format!("t{call}"), "s".into());
         let version = "v2".into();
-        self.see(
+        self.record(
             ms,
-            Seen::Offered {
+            Observation::Offered {
                 node,
-                placing,
+                placement_id,
                 number,
                 dispatcher: 0,
                 service,
@@ -91,37 +94,37 @@
         )
     }
 
-    fn says(self, ms: u64, call: u64, number: u32, node: u32, word: Word) -> Self {
-        self.see(
+    fn says(self, ms: u64, call: u64, number: u32, node: u32, event: AllocationEvent) -> Self {
+        self.record(
             ms,
-            Seen::Said {
+            Observation::EventSent {
                 node,
-                placing: format!("p{call}"),
+                placement_id: format!("p{call}"),
                 number,
-                word,
+                event,
             },
         )
     }
 
     fn lets_go(self, ms: u64, call: u64, number: u32, node: u32) -> Self {
-        self.see(
+        self.record(
             ms,
-            Seen::LetGo {
+            Observation::OfferDropped {
                 node,
-                placing: format!("p{call}"),
+                placement_id: format!("p{call}"),
                 number,
             },
         )
     }
 
     fn node(self, ms: u64, state: NodeState) -> Self {
-        self.see(ms, Seen::Node { node: NODE, state })
+        self.record(ms, Observation::Node { node: NODE, state })
     }
 
     fn told(self, ms: u64, state: NodeState) -> Self {
-        self.see(
+        self.record(
             ms,
-            Seen::Told {
+            Observation::EndpointSent {
                 dispatcher: 0,
                 node: NODE,
                 state,
@@ -130,9 +133,9 @@
     }
 
     fn dispatcher(self, ms: u64, state: DispatcherState) -> Self {
-        self.see(
+        self.record(
             ms,
-            Seen::Dispatcher {
+            Observation::Dispatcher {
                 dispatcher: 0,
                 state,
             },
@@ -141,7 +144,7 @@
 
     /// The rules that are broken, with the lines that show it.
     fn broken(&self) -> Vec<(u8, Vec<usize>)> {
-        let breaches = judge(&self.0).expect("a readable capture");
+        let breaches = check(&self.0).expect("a readable capture");
         breaches
             .into_iter()
             .map(|breach| (breach.rule, breach.lines))
@@ -162,7 +165,7 @@
     let script = Script::new()
         .asks(10, 1, 2)
         .offer(20, 1, 0, 8)
-        .says(30, 1, 0, 8, Refused);
+        .says(30, 1, 0, 8, Rejected);
     script
         .offer(40, 1, 1, NODE)
         .says(50, 1, 1, NODE, Accepted)
@@ -186,14 +189,14 @@
 fn one_whose_dispatcher_was_killed_is_not_held_against_it() {
     let script = Script::new().asks(10, 1, 0).dispatcher(100, D::Killed);
     script
-        .see(
+        .record(
             101,
-            Seen::Closed {
+            Observation::Closed {
                 call: 1,
                 broken: true,
             },
         )
-        .dispatcher(900, D::Up)
+        .dispatcher(900, D::Started)
         .keeps_all();
 }
 
@@ -201,7 +204,7 @@
 fn a_kill_long_before_is_no_excuse() {
     Script::new()
         .dispatcher(1, D::Killed)
-        .dispatcher(5, D::Up)
+        .dispatcher(5, D::Started)
         .asks(10, 1, 0)
         .breaks(1, &[4]);
 }
@@ -210,13 +213,13 @@
 fn a_cancelled_one_is_owed_nothing() {
     Script::new()
         .asks(10, 1, 0)
-        .see(20, Seen::Cancelled { call: 1 })
+        .record(20, Observation::Cancelled { call: 1 })
         .keeps_all();
 }
 
 #[test]
 fn two_final_answers_are_one_too_many() {
-    placed().hears(70, 1, Refused).breaks(1, &[2, 7, 8]);
+    placed().hears(70, 1, Rejected).breaks(1, &[2, 7, 8]);
 }
 
 #[test_case(5_150, &[]; "within the slack")]
@@ -232,7 +235,7 @@
 fn an_offer_after_the_answer_is_too_much() {
     Script::new()
         .asks(10, 1, 0)
-        .hears(20, 1, Refused)
+        .hears(20, 1, Rejected)
         .offer(400, 1, 0, 8)
         .breaks(1, &[3, 4]);
 }
@@ -272,7 +275,7 @@
     let script = script
         .lets_go(40, 1, 0, 8)
         .offer(50, 1, 1, NODE)
-        .says(60, 1, 1, NODE, Refused);
+        .says(60, 1, 1, NODE, Rejected);
     script.hears(70, 1, Failed).breaks(2, &[3, 6]);
 }
 
@@ -283,11 +286,11 @@
     let script = Script::new()
         .asks(10, 1, 1)
         .offer(20, 1, 0, NODE)
-        .see(30, Seen::Cut { node: NODE });
+        .record(30, Observation::ConnectionsCut { node: NODE });
     let script = script
         .hears(40, 1, Failed)
         .asks(41, 2, 0)
-        .hears(42, 2, Refused)
+        .hears(42, 2, Rejected)
         .offer(ms, 1, 1, node);
     let twice = script.broken().into_iter().any(|(rule, _)| rule == 2);
     assert_eq!(twice, !sound);
@@ -301,7 +304,7 @@
         .says(30, 1, 0, 8, Accepted);
     script
         .lets_go(40, 1, 0, 8)
-        .hears(50, 1, Refused)
+        .hears(50, 1, Rejected)
         .breaks(2, &[3, 6]);
 }
 
@@ -320,7 +323,7 @@
     let script = Script::new()
         .dispatcher(1, D::Paused)
         .told(10, N::Gone)
-        .dispatcher(3_000, D::GoesOn);
+        .dispatcher(3_000, D::Resumed);
     script
         .asks(3_001, 1, 0)
         .offer(3_500, 1, 0, NODE)
@@ -344,20 +347,28 @@
         script = script
             .asks(ms, call, 0)
             .offer(ms, call, 0, NODE)
-            .says(ms, call, 0, NODE, Refused);
-        script = script.hears(ms, call, Refused);
+            .says(ms, call, 0, NODE, Rejected);
+        script = script.hears(ms, call, Rejected);
     }
     script
 }
 
 #[test]
 fn a_cold_node_is_pushed_over() {
-    five_offers(Script::new().node(10, N::Cold).told(20, N::Cold), 50).breaks(4, &[2, 5, 21]);
+    five_offers(
+        Script::new().node(10, N::SlowStart).told(20, N::SlowStart),
+        50,
+    )
+    .breaks(4, &[2, 5, 21]);
 }
 
 #[test]
 fn the_same_offers_over_a_longer_time_are_borne() {
-    five_offers(Script::new().node(10, N::Cold).told(20, N::Cold), 400).keeps_all();
+    five_offers(
+        Script::new().node(10, N::SlowStart).told(20, N::SlowStart),
+        400,
+    )
+    .keeps_all();
 }
 
 #[test]
@@ -367,7 +378,7 @@
 
 #[test]
 fn who_was_not_told_of_the_start_is_not_to_blame() {
-    five_offers(Script::new().node(10, N::Cold), 50).keeps_all();
+    five_offers(Script::new().node(10, N::SlowStart), 50).keeps_all();
 }
 
 fn three_of_a_service(script: Script, first_ends: bool) -> Script {
@@ -409,14 +420,16 @@
             .says(ms, call, 0, NODE, Accepted);
         script = script.hears(ms, call, Placed);
     }
-    script = script.dispatcher(300, D::Killed).dispatcher(310, D::Up);
+    script = script
+        .dispatcher(300, D::Killed)
+        .dispatcher(310, D::Started);
     if handed {
         for call in 1..=2 {
-            script = script.see(
+            script = script.record(
                 320,
-                Seen::HandedOver {
+                Observation::HandedOver {
                     call,
-                    placing: format!("p{call}"),
+                    placement_id: format!("p{call}"),
                     dispatcher: 0,
                     task: format!("t{call}"),
                 },
@@ -432,21 +445,21 @@
 
 #[test]
 fn a_capture_without_its_rules_is_unreadable() {
-    assert!(judge(&[]).is_err());
-    assert!(judge(&Script::new().0[1..]).is_err());
+    assert!(check(&[]).is_err());
+    assert!(check(&Script::new().0[1..]).is_err());
 }
 
 #[test]
 fn a_capture_whose_times_go_back_is_unreadable() {
-    let why = judge(&Script::new().asks(10, 1, 0).asks(5, 2, 0).0).expect_err("unreadable");
+    let why = check(&Script::new().asks(10, 1, 0).asks(5, 2, 0).0).expect_err("unreadable");
     assert!(why.contains("line 3"), "{why}");
 }
 
 fn says_ready(script: Script, ms: u64, task: u64, ready: bool, done: bool) -> Script {
     let (task, service, version) = (format!("t{task}"), "s".into(), "v2".into());
-    script.see(
+    script.record(
         ms,
-        Seen::Ready {
+        Observation::Ready {
             node: NODE,
             task,
             service,
@@ -458,8 +471,8 @@
     )
 }
 
-fn roll(unready_most: usize, start_first: bool) -> Seen {
-    Seen::Roll {
+fn roll(unready_most: usize, start_first: bool) -> Observation {
+    Observation::RolloutStarted {
         service: "s".into(),
         version: "v2".into(),
         unready_most,
@@ -476,7 +489,7 @@
         says_ready(script, 10, task, true, false)
     });
     let roll = roll(1, false);
-    says_ready(script.see(20, roll), 30, 1, false, false)
+    says_ready(script.record(20, roll), 30, 1, false, false)
 }
 
 #[test]
@@ -498,8 +511,8 @@
         .fold(Script::new(), |script, task| {
             says_ready(script, 10, task, true, false)
         })
-        .see(20, roll);
-    let died = Seen::Ready {
+        .record(20, roll);
+    let died = Observation::Ready {
         node: NODE,
         task: "t1".into(),
         service: "s".into(),
@@ -510,7 +523,7 @@
     };
     let later = if long_ago { 9_000 } else { 40 };
     assert_eq!(
-        says_ready(script.see(30, died), later, 2, false, false).broken(),
+        says_ready(script.record(30, died), later, 2, false, false).broken(),
         broken
     );
 }
@@ -522,7 +535,7 @@
     let script = (1..=2).fold(Script::new(), |script, task| {
         says_ready(script, 10, task, true, false)
     });
-    let script = says_ready(script.see(20, roll), 30, 1, true, false);
+    let script = says_ready(script.record(20, roll), 30, 1, true, false);
     assert_eq!(says_ready(script, 40, 2, true, false).broken(), broken);
 }
 
@@ -534,9 +547,9 @@
 /// A copy of what ran before the roll says that it is ready, or that it was stopped.
 fn old(script: Script, ms: u64, task: u64, ready: bool) -> Script {
     let (task, service, version) = (format!("t{task}"), "s".into(), String::new());
-    script.see(
+    script.record(
         ms,
-        Seen::Ready {
+        Observation::Ready {
             node: NODE,
             task,
             service,
@@ -551,7 +564,7 @@
 #[test_case(8_900, &[]; "a little later, it may not have been heard of")]
 #[test_case(9_000, &[(7, vec![7, 8])]; "long after, the roll should have halted")]
 fn a_roll_goes_on_after_a_copy_that_never_got_ready(ms: u64, broken: &[(u8, Vec<usize>)]) {
-    let script = old(old(Script::new(), 10, 1, true), 11, 2, true).see(20, roll(2, false));
+    let script = old(old(Script::new(), 10, 1, true), 11, 2, true).record(20, roll(2, false));
     let script = old(script, 30, 1, false)
         .offer(990, 1, 0, NODE)
         .says(1_000, 1, 0, NODE, Accepted);
@@ -561,12 +574,12 @@
 #[test_case(false, &[(7, vec![7, 9])]; "and its dispatcher lives, the roll should have halted")]
 #[test_case(true, &[]; "and its dispatcher dies with what it counted, it may go on")]
 fn a_copy_died_right_after_it_got_ready(dies: bool, broken: &[(u8, Vec<usize>)]) {
-    let script = old(old(Script::new(), 10, 1, true), 11, 2, true).see(20, roll(2, false));
+    let script = old(old(Script::new(), 10, 1, true), 11, 2, true).record(20, roll(2, false));
     let script = old(script, 30, 1, false)
         .offer(990, 1, 0, NODE)
         .says(1_000, 1, 0, NODE, Accepted);
     let (task, service, version) = ("t1".into(), "s".into(), "v2".into());
-    let died = Seen::Ready {
+    let died = Observation::Ready {
         node: NODE,
         task,
         service,
@@ -575,9 +588,11 @@
         done: false,
         stopped: false,
     };
-    let script = script.see(1_100, died);
+    let script = script.record(1_100, died);
     let script = if dies {
-        script.dispatcher(1_200, D::Killed).dispatcher(1_300, D::Up)
+        script
+            .dispatcher(1_200, D::Killed)
+            .dispatcher(1_300, D::Started)
     } else {
         script
     };
@@ -587,17 +602,17 @@
 #[test_case(false; "below the floor")]
 #[test_case(true; "before the node had it, or after it was lowered")]
 fn what_is_below_the_floor_of_a_node_must_not_be_accepted_there(lowered: bool) {
-    let script = Script::new().asks(10, 1, 2).see(
+    let script = Script::new().asks(10, 1, 2).record(
         15,
-        Seen::Floor {
+        Observation::MinimumVersionStored {
             node: NODE,
             lowest: 3,
         },
     );
     let script = if lowered {
-        script.see(
+        script.record(
             16,
-            Seen::Floor {
+            Observation::MinimumVersionStored {
                 node: NODE,
                 lowest: 0,
             },
@@ -629,9 +644,9 @@
     all.sort_by_key(|(at, _)| *at);
     for (at, wires) in all {
         script = match wires {
-            Some((struck, late)) => script.see(
+            Some((struck, late)) => script.record(
                 at,
-                Seen::Wires {
+                Observation::ConnectionFault {
                     dispatcher: 0,
                     struck,
                     late_us: late * 1_000,
@@ -641,7 +656,7 @@
             None => script.offer(at, 1, 1, 8),
         };
     }
-    let found = judge(&script.0).expect("readable").into_iter();
+    let found = check(&script.0).expect("readable").into_iter();
     found
         .filter(|breach| breach.rule == 2)
         .map(|breach| breach.rule)
--- a/crates/testbed/tests/full_path/fleet.rs
+++ b/crates/testbed/tests/full_path/fleet.rs
@@ -11,11 +11,13 @@
 use corkspan_config_sync::{PersistedVersions, Version};
 use corkspan_dispatcher::version_files::save;
 use corkspan_rpc::{Bounds, Link};
-use corkspan_testbed::capture::{Cold, Line, Rules, Seen, Word as SaidWord};
-use corkspan_testbed::checker::judge;
+use corkspan_testbed::capture::{
+    AllocationEvent, Line, Observation, RuleParameters, SlowStartLimits,
+};
+use corkspan_testbed::checker::check;
 use corkspan_testbed::control_service::{ControlService, ControlServiceGuard};
 use corkspan_testbed::discovery::Discovery;
-use corkspan_testbed::relay::{Relay, Way};
+use corkspan_testbed::relay::{Direction, Relay};
 use rustix::process::{Pid, Signal, kill_process};
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader};
@@ -76,7 +78,7 @@
 /// Processes before the nodes of a rig, some of which take their versions from a service that has
 /// stood still.
 struct Stage {
-    rig: Rig,
+    harness: Harness,
     newest: (ControlService, ControlServiceGuard),
     stale: (ControlService, ControlServiceGuard),
     folder: tempfile::TempDir,
@@ -88,11 +90,15 @@
 const KEEPERS: &str = "(keepers 0 1 2)";
 
 impl Stage {
-    async fn new(rig: Rig) -> Stage {
-        let newest = ControlService::start(&rig.world).await.expect("a port");
-        let stale = ControlService::start(&rig.world).await.expect("a port");
+    async fn new(harness: Harness) -> Stage {
+        let newest = ControlService::start(&harness.context)
+            .await
+            .expect("a port");
+        let stale = ControlService::start(&harness.context)
+            .await
+            .expect("a port");
         let stage = Stage {
-            rig,
+            harness,
             newest,
             stale,
             folder: tempfile::tempdir().expect("a folder"),
@@ -106,7 +112,7 @@
     }
 
     fn deployment(&self, more: &str) -> String {
-        deployment(self.rig.roster.address, more).replace("(schedulers 1)", "(schedulers 5)")
+        deployment(self.harness.discovery.address, more).replace("(schedulers 1)", "(schedulers 5)")
     }
 
     fn texts(&self, shots: usize) -> SharedParts {
@@ -114,26 +120,26 @@
     }
 
     async fn start(&mut self, control: SocketAddr, keepers: &str) {
-        self.start_by(self.rig.roster.address, control, keepers)
+        self.start_by(self.harness.discovery.address, control, keepers)
             .await;
     }
 
     /// One more under the number of another, with a disk of its own.
     async fn start_as(&mut self, number: usize, control: SocketAddr) {
-        let roster = self.rig.roster.address;
-        self.start_all(number, roster, control, KEEPERS).await;
+        let discovery = self.harness.discovery.address;
+        self.start_all(number, discovery, control, KEEPERS).await;
     }
 
     /// One that knows the nodes by another roster.
-    async fn start_by(&mut self, roster: SocketAddr, control: SocketAddr, keepers: &str) {
-        self.start_all(self.fleet.len(), roster, control, keepers)
+    async fn start_by(&mut self, discovery: SocketAddr, control: SocketAddr, keepers: &str) {
+        self.start_all(self.fleet.len(), discovery, control, keepers)
             .await;
     }
 
     async fn start_all(
         &mut self,
         number: usize,
-        roster: SocketAddr,
+        discovery: SocketAddr,
         control: SocketAddr,
         keepers: &str,
     ) {
@@ -144,9 +150,10 @@
             "(control \"{control}\") (versions {kept:?}) (rolls {store:?}) {keepers} (floor (every 1 s) {})",
             self.floor
         );
-        let text = self
-            .deployment(&more)
-            .replace(&self.rig.roster.address.to_string(), &roster.to_string());
+        let text = self.deployment(&more).replace(
+            &self.harness.discovery.address.to_string(),
+            &discovery.to_string(),
+        );
         let text = text.replace("(number 0)", &format!("(number {number})"));
         let file = self.folder.path().join(format!("{disk}.sexp"));
         std::fs::write(&file, text).expect("written");
@@ -166,7 +173,7 @@
             connect_within: PATIENCE,
             ..Bounds::default()
         };
-        Link::open(&self.rig.tasks, self.fleet[number].address, &bounds)
+        Link::open(&self.harness.tasks, self.fleet[number].address, &bounds)
             .await
             .expect("it listens")
     }
@@ -174,7 +181,7 @@
     async fn asks(&self, number: usize, task: &str) -> tonic::Streaming<v1::PlacementEvent> {
         let mut client = PlacementClient::new(self.link(number).await);
         client
-            .place(ask(task, "web"))
+            .place(placement_request(task, "web"))
             .await
             .expect("the call is taken")
             .into_inner()
@@ -200,7 +207,7 @@
     }
 
     async fn until_in_force(&self, number: usize, version: u64) {
-        until(async || {
+        wait_until(async || {
             self.status(number)
                 .await
                 .active
@@ -212,26 +219,26 @@
     /// Goes on asking through one that is up until all nodes have the floor.
     async fn until_nodes_have_it(&self) {
         let mut calls = Vec::new();
-        until(async || {
+        wait_until(async || {
             let (word, call) = self.answered(0, &format!("spreads-{}", calls.len())).await;
             assert!(matches!(word, Some(Event::Placed(_))), "{word:?}");
             calls.push(call);
-            let lines = self.rig.world.capture.lines();
+            let lines = self.harness.context.capture.lines();
             let has = |id: u32| {
                 lines
                     .iter()
-                    .any(|line| matches!(line.seen, Seen::Floor { node, .. } if node == id))
+                    .any(|line| matches!(line.observation, Observation::MinimumVersionStored { node, .. } if node == id))
             };
-            self.rig.nodes.iter().all(|node| has(node.config.id))
+            self.harness.nodes.iter().all(|node| has(node.config.id))
         })
         .await;
     }
 
     /// The audit's table of acts against the nodes' sockets: no shot more or less.
     async fn audit_equals_the_sockets(&self) {
-        let nodes = self.rig.nodes.iter().map(|node| {
-            self.rig
-                .roster
+        let nodes = self.harness.nodes.iter().map(|node| {
+            self.harness
+                .discovery
                 .endpoint(node.config.id)
                 .expect("listed")
                 .address
@@ -266,12 +273,12 @@
             })
             .collect();
         let mut sockets: BTreeMap<(u32, u64), u64> = BTreeMap::new();
-        for line in self.rig.world.capture.lines() {
-            if let Seen::Offered {
+        for line in self.harness.context.capture.lines() {
+            if let Observation::Offered {
                 dispatcher,
                 decided,
                 ..
-            } = line.seen
+            } = line.observation
             {
                 *sockets.entry((dispatcher, decided)).or_default() += 1;
             }
@@ -281,26 +288,26 @@
 
     /// What the judge finds of the floor in what crossed the sockets.
     fn judged(&self) -> (Vec<String>, Vec<Line>) {
-        let cold = Cold {
+        let slow_start = SlowStartLimits {
             lasts_us: 0,
             window_us: 0,
             most: usize::MAX,
         };
-        let (tracks, nodes) = (Vec::new(), Vec::new());
-        let rules = Rules {
+        let (service_classes, nodes) = (Vec::new(), Vec::new());
+        let rules = RuleParameters {
             seed: 1,
-            tracks,
+            service_classes,
             nodes,
             grace_us: u64::MAX,
-            cold,
+            slow_start,
             slack_us: 0,
         };
         let mut lines = vec![Line {
             t: 0,
-            seen: Seen::Day(rules),
+            observation: Observation::Rules(rules),
         }];
-        lines.extend(self.rig.world.capture.lines());
-        let found = judge(&lines)
+        lines.extend(self.harness.context.capture.lines());
+        let found = check(&lines)
             .expect("readable")
             .into_iter()
             .filter(|breach| breach.rule == 8);
@@ -316,13 +323,13 @@
 }
 
 fn story<F: Future<Output = ()>>(story: impl FnOnce(Stage) -> F) {
-    Rig::run(
+    Harness::run(
         Layout {
             nodes: 3,
             ..Layout::default()
         },
-        async |rig| {
-            let mut stage = Stage::new(rig).await;
+        async |harness| {
+            let mut stage = Stage::new(harness).await;
             let (newest, stale) = (stage.newest.0.address, stage.stale.0.address);
             for _ in 0..3 {
                 stage.start(newest, KEEPERS).await;
@@ -361,7 +368,7 @@
             String::from_utf8_lossy(&asked.stderr)
         );
         // One hears of it from the keepers.
-        until(async || {
+        wait_until(async || {
             refused_as(&stage.answered(3, "by-keepers").await.0) == Some(RejectionReason::Behind)
         })
         .await;
@@ -405,8 +412,8 @@
         assert_eq!(breaches, [""; 0]);
         let below = lines.iter().filter(|line| {
             matches!(
-                line.seen,
-                Seen::Offered {
+                line.observation,
+                Observation::Offered {
                     decided: 1,
                     dispatcher: 4,
                     ..
@@ -426,10 +433,10 @@
         assert!(matches!(before, Some(Event::Placed(_))), "{before:?}");
         let link = stage.link(4).await;
         stopped.signal(Signal::STOP);
-        let call = stage.rig.tasks.spawn(async move {
+        let call = stage.harness.tasks.spawn(async move {
             let asked = v1::PlacementRequest {
                 deadline_ms: 10_000,
-                ..ask("across", "web")
+                ..placement_request("across", "web")
             };
             let mut words = PlacementClient::new(link)
                 .place(asked)
@@ -448,7 +455,7 @@
         stopped.signal(Signal::CONT);
         let word = call.await;
         assert!(refused_as(&word).is_some(), "{word:?}");
-        until(async || {
+        wait_until(async || {
             refused_as(&stage.answered(4, "next").await.0) == Some(RejectionReason::Behind)
         })
         .await;
@@ -460,25 +467,31 @@
 /// nodes and keepers while its links stand open, and what it says still gets through.
 #[test]
 fn one_that_hears_nothing_on_links_that_stand_is_shut_out_and_its_owners_get_their_answers() {
-    Rig::run(
+    Harness::run(
         Layout {
             nodes: 3,
             ..Layout::default()
         },
-        async |rig| {
-            let mut stage = Stage::new(rig).await;
-            let tasks = stage.rig.tasks.clone();
+        async |harness| {
+            let mut stage = Stage::new(harness).await;
+            let tasks = stage.harness.tasks.clone();
             let newest = stage.newest.0.address;
-            let control = Relay::up(&tasks, newest).await.expect("a port");
+            let control = Relay::start(&tasks, newest).await.expect("a port");
             // The same nodes, by addresses of relays to them.
-            let (roster, by) = Discovery::start(&stage.rig.world).await.expect("a port");
+            let (discovery, by) = Discovery::start(&stage.harness.context)
+                .await
+                .expect("a port");
             let mut nodes = Vec::new();
-            for node in &stage.rig.nodes {
-                let listed = stage.rig.roster.endpoint(node.config.id).expect("listed");
-                let relay = Relay::up(&tasks, listed.address.parse().expect("an address"))
+            for node in &stage.harness.nodes {
+                let listed = stage
+                    .harness
+                    .discovery
+                    .endpoint(node.config.id)
+                    .expect("listed");
+                let relay = Relay::start(&tasks, listed.address.parse().expect("an address"))
                     .await
                     .expect("a port");
-                roster.update(
+                discovery.update(
                     Duration::ZERO,
                     v1::Endpoint {
                         address: relay.address.to_string(),
@@ -497,8 +510,8 @@
             let (before, _call) = stage.answered(4, "before").await;
             assert!(matches!(before, Some(Event::Placed(_))), "{before:?}");
 
-            control.hold(&[Way::In]);
-            nodes.iter().for_each(|node| node.hold(&[Way::In]));
+            control.hold(&[Direction::In]);
+            nodes.iter().for_each(|node| node.hold(&[Direction::In]));
             assert_eq!(stage.newest.0.publish(stage.texts(5), false).number, 2);
             for number in 0..4 {
                 stage.until_in_force(number, 2).await;
@@ -518,7 +531,7 @@
                 "one answer, in its time: {deaf:?}"
             );
             nodes.iter().for_each(Relay::heal);
-            until(async || {
+            wait_until(async || {
                 refused_as(&stage.answered(4, "heard").await.0) == Some(RejectionReason::Behind)
             })
             .await;
@@ -528,10 +541,12 @@
             assert!(matches!(after, Some(Event::Placed(_))), "{after:?}");
             let (breaches, lines) = stage.judged();
             assert_eq!(breaches, [""; 0]);
-            let ran = lines.iter().filter(|line| match &line.seen {
-                Seen::Said { placing, word, .. } => {
-                    placing == "deaf#0" && *word == SaidWord::Accepted
-                }
+            let ran = lines.iter().filter(|line| match &line.observation {
+                Observation::EventSent {
+                    placement_id,
+                    event,
+                    ..
+                } => placement_id == "deaf#0" && *event == AllocationEvent::Accepted,
                 _ => false,
             });
             assert_eq!(
@@ -546,13 +561,13 @@
 /// Its first life ends by a kill after a second version has come.
 #[test]
 fn which_versions_were_in_force_is_told_over_a_kill_and_by_the_next_life() {
-    Rig::run(
+    Harness::run(
         Layout {
             nodes: 3,
             ..Layout::default()
         },
-        async |rig| {
-            let mut stage = Stage::new(rig).await;
+        async |harness| {
+            let mut stage = Stage::new(harness).await;
             stage.start(stage.newest.0.address, KEEPERS).await;
             stage.until_in_force(0, 1).await;
             assert_eq!(stage.newest.0.publish(stage.texts(5), false).number, 2);
@@ -572,7 +587,7 @@
             let before = over_time(&stage).await;
             let names: Vec<&str> = before.iter().map(|(span, _)| &span[..]).collect();
             assert_eq!(names, ["0 (its own file)", "1 (pushed)", "2 (pushed)"]);
-            until(async || !stage.status(0).await.history_incomplete).await;
+            wait_until(async || !stage.status(0).await.history_incomplete).await;
             stage.fleet.clear();
             stage.start(stage.newest.0.address, KEEPERS).await;
             let after = over_time(&stage).await;
@@ -585,13 +600,13 @@
 
 /// Two processes that take their versions from the service that goes on.
 fn pair<F: Future<Output = ()>>(story: impl FnOnce(Stage) -> F) {
-    Rig::run(
+    Harness::run(
         Layout {
             nodes: 3,
             ..Layout::default()
         },
-        async |rig| {
-            let mut stage = Stage::new(rig).await;
+        async |harness| {
+            let mut stage = Stage::new(harness).await;
             for _ in 0..2 {
                 stage.start(stage.newest.0.address, KEEPERS).await;
             }
@@ -614,16 +629,16 @@
             )
         };
         let long = Duration::from_secs(3_600);
-        stage.rig.nodes[0].cut_connections(long);
-        stage.rig.nodes[1].cut_connections(long);
+        stage.harness.nodes[0].cut_connections(long);
+        stage.harness.nodes[1].cut_connections(long);
         let (taken, why) = floor(&stage, "1").await;
         assert!(!taken && why.contains("1 of 3 keepers answer"), "{why}");
         let (word, _call) = stage.answered(1, "alone").await;
         assert!(matches!(word, Some(Event::Placed(_))), "{word:?}");
-        stage.rig.nodes[1].cut_connections(Duration::ZERO);
-        until(async || floor(&stage, "1").await.0).await;
+        stage.harness.nodes[1].cut_connections(Duration::ZERO);
+        wait_until(async || floor(&stage, "1").await.0).await;
         // Known to both before, it stays so with all keepers but one away.
-        until(async || {
+        wait_until(async || {
             let heard = async |number| {
                 stage
                     .status(number)
@@ -634,7 +649,7 @@
             heard(0).await && heard(1).await
         })
         .await;
-        stage.rig.nodes[1].cut_connections(long);
+        stage.harness.nodes[1].cut_connections(long);
         let (taken, why) = floor(&stage, "0").await;
         assert!(!taken && why.contains("1 of 3 keepers answer"), "{why}");
         assert!(!stage.status(0).await.fenced);
@@ -648,7 +663,7 @@
             let raise = stage.operator(&["floor", "1", "--part", "0"]);
             let lower = stage.operator(&["floor", "0", "--part", "0"]);
             let (raise, lower) = futures_lite::future::zip(raise, lower).await;
-            until(async || {
+            wait_until(async || {
                 let floors = [
                     stage.status(0).await.minimum_version,
                     stage.status(1).await.minimum_version,
@@ -720,23 +735,23 @@
 
 #[test]
 fn those_that_no_service_brings_up_have_the_newest_from_another_dispatcher_or_a_keepers_shelf() {
-    Rig::run(
+    Harness::run(
         Layout {
             nodes: 3,
             ..Layout::default()
         },
-        async |rig| {
-            let mut stage = Stage::new(rig).await;
+        async |harness| {
+            let mut stage = Stage::new(harness).await;
             let (newest, stale) = (stage.newest.0.address, stage.stale.0.address);
             for _ in 0..3 {
                 stage.start(newest, KEEPERS).await;
             }
             // A link to a peer is cut at first, and one peer is gone: those that are left are
             // asked.
-            let relay = Relay::up(&stage.rig.tasks, stage.fleet[1].address)
+            let relay = Relay::start(&stage.harness.tasks, stage.fleet[1].address)
                 .await
                 .expect("a port");
-            relay.hold(&[Way::In]);
+            relay.hold(&[Direction::In]);
             stage.floor = format!(
                 "(peers \"127.0.0.1:1\" \"{}\" \"{}\")",
                 relay.address, stage.fleet[0].address
@@ -760,18 +775,18 @@
             stage.until_in_force(3, 2).await;
             // The other knows keepers alone, and on their shelves lies a rival's version, which it
             // can't take.
-            until(async || {
+            wait_until(async || {
                 refused_as(&stage.answered(4, "out").await.0) == Some(RejectionReason::Behind)
             })
             .await;
             let lay = async |keeper: usize, push: v1::VersionPush| {
                 let entry = stage
-                    .rig
-                    .roster
-                    .endpoint(stage.rig.nodes[keeper].config.id)
+                    .harness
+                    .discovery
+                    .endpoint(stage.harness.nodes[keeper].config.id)
                     .expect("listed");
                 let address = entry.address.parse().expect("an address");
-                let link = Link::open(&stage.rig.tasks, address, &Bounds::default())
+                let link = Link::open(&stage.harness.tasks, address, &Bounds::default())
                     .await
                     .expect("it listens");
                 let ask = v1::QuorumRequest {
@@ -786,7 +801,7 @@
             };
             let rival = whole(&stage, 3, 3, 9);
             assert_eq!(lay(0, rival.clone()).await, rival.version);
-            until(async || stage.status(4).await.last_rejected == rival.version).await;
+            wait_until(async || stage.status(4).await.last_rejected == rival.version).await;
             assert!(stage.status(4).await.reasons[0].contains("split"));
             let mut liar = whole(&stage, 2, 5, 1);
             liar.parts.insert("tracks".into(), "(tracks)".into());
@@ -815,13 +830,13 @@
 
 #[test]
 fn a_floor_is_raised_by_its_rule_once_enough_run_a_version_for_good() {
-    Rig::run(
+    Harness::run(
         Layout {
             nodes: 3,
             ..Layout::default()
         },
-        async |rig| {
-            let mut stage = Stage::new(rig).await;
+        async |harness| {
+            let mut stage = Stage::new(harness).await;
             stage.floor = "(behind 3) (part 600)".into();
             let kept = |stage: &Stage, number, shots| {
                 let texts = stage.texts(shots);
@@ -843,7 +858,7 @@
                 stage.start(nobody, KEEPERS).await;
             }
             // Each has told its version in two rounds at least once all are known to all.
-            until(async || {
+            wait_until(async || {
                 let told = stage.operator(&["audit"]).await;
                 String::from_utf8_lossy(&told.stdout)
                     .matches(" acts")
@@ -859,7 +874,7 @@
             let path = stage.folder.path().join("versions-4.json");
             save(&path, &kept(&stage, 9, 4)).expect("kept");
             stage.start(nobody, KEEPERS).await;
-            until(async || {
+            wait_until(async || {
                 stage
                     .status(0)
                     .await
@@ -867,7 +882,7 @@
                     .is_some_and(|floor| floor.version == 6)
             })
             .await;
-            until(async || {
+            wait_until(async || {
                 refused_as(&stage.answered(3, "behind").await.0) == Some(RejectionReason::Behind)
             })
             .await;
@@ -881,13 +896,13 @@
 /// Each line that could not be written was told on the same full disk, which ended the process.
 #[test]
 fn a_dispatcher_whose_log_lies_on_a_full_disk_goes_on_placing() {
-    Rig::run(
+    Harness::run(
         Layout {
             nodes: 3,
             ..Layout::default()
         },
-        async |rig| {
-            let mut stage = Stage::new(rig).await;
+        async |harness| {
+            let mut stage = Stage::new(harness).await;
             let file = stage.folder.path().join("full.sexp");
             std::fs::write(&file, stage.deployment("")).expect("written");
             let full = std::fs::OpenOptions::new()
@@ -897,7 +912,7 @@
             stage
                 .fleet
                 .push(Process::start_logging(file, "debug", full.into()).await);
-            until(async || {
+            wait_until(async || {
                 let mut client = PlacementClient::new(stage.link(0).await);
                 let status = client
                     .status(v1::StatusRequest {})
--- a/crates/testbed/tests/full_path/hard_cases.rs
+++ b/crates/testbed/tests/full_path/hard_cases.rs
@@ -5,7 +5,7 @@
 use corkspan_api::v1::{
     self, ended::EndReason, endpoint::State, placement_event::Event, rejected::RejectionReason,
 };
-use corkspan_testbed::capture::{self, NodeState, Seen};
+use corkspan_testbed::capture::{self, NodeState, Observation};
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use std::time::{Duration, Instant};
 use test_case::test_case;
@@ -19,45 +19,52 @@
 
 #[test]
 fn an_ask_is_placed_runs_and_ends() {
-    Rig::run(Layout::default(), async |rig| {
-        let mut words = rig
-            .ask(v1::PlacementRequest {
+    Harness::run(Layout::default(), async |harness| {
+        let mut words = harness
+            .request_placement(v1::PlacementRequest {
                 expected_duration_ms: 50,
-                ..ask("a", "web")
+                ..placement_request("a", "web")
             })
             .await;
         placed(&mut words).await;
         assert!(matches!(next(&mut words).await, Some(Event::Running(_))));
-        assert_eq!(ended(next_of_weight(&mut words).await), EndReason::Ended);
+        assert_eq!(ended(next_significant(&mut words).await), EndReason::Ended);
         assert!(
             next(&mut words).await.is_none(),
             "the call ends with its allocation"
         );
-        until(async || rig.status().await.in_flight == 0).await;
+        wait_until(async || harness.status().await.in_flight == 0).await;
     });
 }
 
 #[test]
 fn an_ask_that_arrives_as_its_node_drains_goes_elsewhere() {
-    Rig::run(Layout::default(), async |rig| {
-        rig.nodes[0].drain();
-        let early = placed(&mut rig.ask(ask("early", "once")).await).await;
+    Harness::run(Layout::default(), async |harness| {
+        harness.nodes[0].drain();
+        let early = placed(
+            &mut harness
+                .request_placement(placement_request("early", "once"))
+                .await,
+        )
+        .await;
         assert_eq!(
             early, 1,
             "the node itself turns it away, the other takes it"
         );
-        rig.tell(0, State::Draining);
-        rig.until_serving(1).await;
-        let before = rig
+        harness.set_endpoint_state(0, State::Draining);
+        harness.wait_until_serving(1).await;
+        let before = harness
             .offers()
             .iter()
             .filter(|(_, _, node)| *node == 0)
             .count();
         for number in 0..10 {
-            let mut words = rig.ask(ask(&format!("late{number}"), "web")).await;
+            let mut words = harness
+                .request_placement(placement_request(&format!("late{number}"), "web"))
+                .await;
             assert_eq!(placed(&mut words).await, 1);
         }
-        let after = rig
+        let after = harness
             .offers()
             .iter()
             .filter(|(_, _, node)| *node == 0)
@@ -68,27 +75,31 @@
 
 #[test]
 fn a_node_that_accepts_and_loses_the_program_is_told_to_the_owner() {
-    Rig::run(Layout::default(), async |rig| {
-        let mut words = rig.ask(ask("a", "once")).await;
+    Harness::run(Layout::default(), async |harness| {
+        let mut words = harness
+            .request_placement(placement_request("a", "once"))
+            .await;
         let node = placed(&mut words).await;
-        rig.nodes[node as usize].kill(NodeState::Gone);
-        assert_eq!(ended(next_of_weight(&mut words).await), EndReason::Lost);
-        assert_eq!(rig.offers().len(), 1, "it is its owner who asks again");
+        harness.nodes[node as usize].kill(NodeState::Gone);
+        assert_eq!(ended(next_significant(&mut words).await), EndReason::Lost);
+        assert_eq!(harness.offers().len(), 1, "it is its owner who asks again");
     });
 }
 
 #[test]
 fn a_link_cut_before_the_answer_fails_what_must_not_run_twice() {
     let layout = Layout {
-        look: Duration::from_millis(400),
+        review_time: Duration::from_millis(400),
         ..Layout::default()
     };
-    Rig::run(layout, async |rig| {
-        let mut words = rig.ask(ask("a", "once")).await;
-        until(async || rig.offers().len() == 1).await;
-        rig.nodes[rig.offers()[0].2 as usize].cut_connections(Duration::from_millis(50));
+    Harness::run(layout, async |harness| {
+        let mut words = harness
+            .request_placement(placement_request("a", "once"))
+            .await;
+        wait_until(async || harness.offers().len() == 1).await;
+        harness.nodes[harness.offers()[0].2 as usize].cut_connections(Duration::from_millis(50));
         assert!(matches!(next(&mut words).await, Some(Event::Failed(_))));
-        assert_eq!(rig.offers().len(), 1);
+        assert_eq!(harness.offers().len(), 1);
     });
 }
 
@@ -97,23 +108,25 @@
 fn a_deduplicated_one_cut_off_is_tried_again(window: u64, again: bool) {
     let layout = Layout {
         nodes: 4,
-        look: Duration::from_millis(400),
+        review_time: Duration::from_millis(400),
         ..Layout::default()
     };
-    Rig::run(layout, async |rig| {
-        let text = deployment(rig.roster.address, "");
-        let short = Rig::beside(
-            &rig,
+    Harness::run(layout, async |harness| {
+        let text = deployment(harness.discovery.address, "");
+        let short = Harness::start_second(
+            &harness,
             &text.replace("(window 2 s)", &format!("(window {window} ms)")),
         )
         .await;
-        short.until_serving(4).await;
-        let mut words = short.ask(ask("a", "jobs")).await;
-        until(async || rig.offers().len() == 1).await;
+        short.wait_until_serving(4).await;
+        let mut words = short
+            .request_placement(placement_request("a", "jobs"))
+            .await;
+        wait_until(async || harness.offers().len() == 1).await;
         // Long enough for the shorter window to pass, and not the longer.
         Timer::after(Duration::from_millis(150)).await;
-        let first = rig.offers()[0].2;
-        rig.nodes[first as usize].cut_connections(Duration::from_millis(50));
+        let first = harness.offers()[0].2;
+        harness.nodes[first as usize].cut_connections(Duration::from_millis(50));
         match next(&mut words).await {
             Some(Event::Placed(placed)) if again => {
                 assert_eq!(
@@ -122,7 +135,7 @@
                     "only in its hall are repeats dropped"
                 );
             }
-            Some(Event::Failed(_)) if !again => assert_eq!(rig.offers().len(), 1),
+            Some(Event::Failed(_)) if !again => assert_eq!(harness.offers().len(), 1),
             other => panic!("not {other:?}"),
         }
     });
@@ -130,20 +143,29 @@
 
 #[test]
 fn an_answer_after_the_time_out_is_not_heard() {
-    Rig::run(Layout::default(), async |rig| {
+    Harness::run(Layout::default(), async |harness| {
         // It learns how long answers usually take.
         for number in 0..20 {
-            placed(&mut rig.ask(ask(&format!("quick{number}"), "web")).await).await;
+            placed(
+                &mut harness
+                    .request_placement(placement_request(&format!("quick{number}"), "web"))
+                    .await,
+            )
+            .await;
         }
-        rig.nodes[0].stall(Duration::from_millis(2_500));
+        harness.nodes[0].stall(Duration::from_millis(2_500));
         let mut calls = Vec::new();
         for number in 0..12 {
-            calls.push(rig.ask(ask(&format!("slow{number}"), "web")).await);
+            calls.push(
+                harness
+                    .request_placement(placement_request(&format!("slow{number}"), "web"))
+                    .await,
+            );
         }
         for words in &mut calls {
             assert_eq!(placed(words).await, 1, "the one that answers");
         }
-        let offers = rig.offers();
+        let offers = harness.offers();
         assert!(
             offers
                 .iter()
@@ -161,31 +183,31 @@
 
 #[test]
 fn one_end_that_takes_the_link_for_broken_can_be_handed_what_runs_on() {
-    Rig::run(Layout::default(), async |rig| {
+    Harness::run(Layout::default(), async |harness| {
         let ask = v1::PlacementRequest {
             expected_duration_ms: 1_500,
-            ..ask("a", "once")
+            ..placement_request("a", "once")
         };
-        let mut words = rig.ask(ask.clone()).await;
+        let mut words = harness.request_placement(ask.clone()).await;
         let node = placed(&mut words).await;
-        rig.nodes[node as usize].cut_connections(Duration::from_millis(20));
-        assert_eq!(ended(next_of_weight(&mut words).await), EndReason::Lost);
+        harness.nodes[node as usize].cut_connections(Duration::from_millis(20));
+        assert_eq!(ended(next_significant(&mut words).await), EndReason::Lost);
         assert!(
-            !rig.nodes[node as usize].allocations_of("a").is_empty(),
+            !harness.nodes[node as usize].allocations_of("a").is_empty(),
             "it runs on"
         );
-        let mut again = rig.hand_over(ask, node).await;
-        assert_eq!(ended(next_of_weight(&mut again).await), EndReason::Ended);
-        assert_eq!(rig.offers().len(), 1, "and is not started again");
+        let mut again = harness.hand_over(ask, node).await;
+        assert_eq!(ended(next_significant(&mut again).await), EndReason::Ended);
+        assert_eq!(harness.offers().len(), 1, "and is not started again");
     });
 }
 
 #[test]
 fn one_handed_over_that_does_not_run_is_lost() {
-    Rig::run(Layout::default(), async |rig| {
-        let mut words = rig.hand_over(ask("a", "once"), 1).await;
+    Harness::run(Layout::default(), async |harness| {
+        let mut words = harness.hand_over(placement_request("a", "once"), 1).await;
         assert_eq!(ended(next(&mut words).await), EndReason::Lost);
-        let mut words = rig.hand_over(ask("a", "once"), 77).await;
+        let mut words = harness.hand_over(placement_request("a", "once"), 77).await;
         assert_eq!(
             ended(next(&mut words).await),
             EndReason::Lost,
@@ -196,90 +218,99 @@
 
 #[test]
 fn a_node_started_anew_under_its_id_is_met_at_its_new_address_and_as_cold() {
-    Rig::run(
+    Harness::run(
         Layout {
             nodes: 1,
             ..Layout::default()
         },
-        async |rig| {
-            let mut words = rig.ask(ask("a", "once")).await;
+        async |harness| {
+            let mut words = harness
+                .request_placement(placement_request("a", "once"))
+                .await;
             placed(&mut words).await;
-            rig.nodes[0].kill(NodeState::Gone);
-            let address = rig.nodes[0].start_process(true).await.expect("a port");
+            harness.nodes[0].kill(NodeState::Gone);
+            let address = harness.nodes[0].start_process(true).await.expect("a port");
             let now_ms = corkspan_dispatcher::clock::wall_ms();
-            rig.roster.update(
+            harness.discovery.update(
                 Duration::ZERO,
-                entry(&rig.nodes[0], address, State::Serving, now_ms),
+                endpoint(&harness.nodes[0], address, State::Serving, now_ms),
             );
-            assert_eq!(ended(next_of_weight(&mut words).await), EndReason::Lost);
+            assert_eq!(ended(next_significant(&mut words).await), EndReason::Lost);
             let mut calls = Vec::new();
             for number in 0..40 {
-                calls.push(rig.ask(ask(&format!("b{number}"), "web")).await);
+                calls.push(
+                    harness
+                        .request_placement(placement_request(&format!("b{number}"), "web"))
+                        .await,
+                );
             }
             for words in &mut calls {
                 placed(words).await;
             }
-            assert!(rig.nodes[0].is_running(), "it was not pushed over");
+            assert!(harness.nodes[0].is_running(), "it was not pushed over");
         },
     );
 }
 
 #[test]
 fn a_stranger_at_a_nodes_old_address_is_offered_nothing() {
-    Rig::run(
+    Harness::run(
         Layout {
             nodes: 1,
             ..Layout::default()
         },
-        async |rig| {
-            let old = rig.roster.endpoint(0).expect("listed");
+        async |harness| {
+            let old = harness.discovery.endpoint(0).expect("listed");
             let id = 9;
-            rig.roster.update(
+            harness.discovery.update(
                 Duration::ZERO,
                 v1::Endpoint {
                     node: id,
                     ..old.clone()
                 },
             );
-            rig.roster.update(
+            harness.discovery.update(
                 Duration::ZERO,
                 v1::Endpoint {
                     state: State::Gone.into(),
                     ..old
                 },
             );
-            until(async || rig.status().await.machines_known == 2).await;
-            rig.until_serving(1).await;
-            let mut words = rig
-                .ask(v1::PlacementRequest {
+            wait_until(async || harness.status().await.machines_known == 2).await;
+            harness.wait_until_serving(1).await;
+            let mut words = harness
+                .request_placement(v1::PlacementRequest {
                     deadline_ms: 900,
-                    ..ask("a", "once")
+                    ..placement_request("a", "once")
                 })
                 .await;
             assert_eq!(
-                refused(&mut words).await,
+                rejected(&mut words).await,
                 RejectionReason::NoRoom,
                 "it never ran, so another try is harmless"
             );
-            assert!(rig.offers().is_empty());
+            assert!(harness.offers().is_empty());
         },
     );
 }
 
 #[test]
 fn two_asks_of_one_name_are_one_allocation() {
-    Rig::run(Layout::default(), async |rig| {
-        let mut first = rig.ask(ask("a", "once")).await;
+    Harness::run(Layout::default(), async |harness| {
+        let mut first = harness
+            .request_placement(placement_request("a", "once"))
+            .await;
         placed(&mut first).await;
-        let mut second = rig
-            .ask(v1::PlacementRequest {
+        let mut second = harness
+            .request_placement(v1::PlacementRequest {
                 placement_id: "a#1".into(),
-                ..ask("a", "once")
+                ..placement_request("a", "once")
             })
             .await;
-        assert_eq!(refused(&mut second).await, RejectionReason::InHand);
+        assert_eq!(rejected(&mut second).await, RejectionReason::InHand);
         assert!(
-            rig.nodes
+            harness
+                .nodes
                 .iter()
                 .any(|node| !node.allocations_of("a").is_empty()),
             "the first runs on"
@@ -289,29 +320,34 @@
 
 #[test]
 fn an_owner_that_hangs_up_has_its_allocation_stopped() {
-    Rig::run(Layout::default(), async |rig| {
-        let mut words = rig.ask(ask("a", "once")).await;
+    Harness::run(Layout::default(), async |harness| {
+        let mut words = harness
+            .request_placement(placement_request("a", "once"))
+            .await;
         let node = placed(&mut words).await as usize;
         drop(words);
-        until(async || rig.nodes[node].allocations_of("a").is_empty()).await;
-        until(async || rig.status().await.in_flight == 0).await;
-        assert_eq!(rig.status().await.cancelled, 1);
+        wait_until(async || harness.nodes[node].allocations_of("a").is_empty()).await;
+        wait_until(async || harness.status().await.in_flight == 0).await;
+        assert_eq!(harness.status().await.cancelled, 1);
     });
 }
 
 #[test]
 fn an_owner_that_hangs_up_while_its_shot_is_out_leaves_no_copy() {
     let layout = Layout {
-        look: Duration::from_millis(300),
+        review_time: Duration::from_millis(300),
         ..Layout::default()
     };
-    Rig::run(layout, async |rig| {
-        let words = rig.ask(ask("a", "once")).await;
-        until(async || rig.offers().len() == 1).await;
+    Harness::run(layout, async |harness| {
+        let words = harness
+            .request_placement(placement_request("a", "once"))
+            .await;
+        wait_until(async || harness.offers().len() == 1).await;
         drop(words);
-        until(async || rig.status().await.in_flight == 0).await;
+        wait_until(async || harness.status().await.in_flight == 0).await;
         assert!(
-            rig.nodes
+            harness
+                .nodes
                 .iter()
                 .all(|node| node.allocations_of("a").is_empty())
         );
@@ -320,13 +356,13 @@
 
 #[test]
 fn a_calls_own_deadline_is_heeded_and_its_passing_stops_nothing() {
-    Rig::run(Layout::default(), async |rig| {
+    Harness::run(Layout::default(), async |harness| {
         let mut request = tonic::Request::new(v1::PlacementRequest {
             deadline_ms: 0,
-            ..ask("a", "once")
+            ..placement_request("a", "once")
         });
         request.set_timeout(Duration::from_millis(600));
-        let mut words = rig
+        let mut words = harness
             .client()
             .await
             .place(request)
@@ -337,9 +373,14 @@
         Timer::after(Duration::from_millis(650)).await;
         drop(words);
         // Another call after it, so that the end of the first has been seen.
-        placed(&mut rig.ask(ask("b", "once")).await).await;
+        placed(
+            &mut harness
+                .request_placement(placement_request("b", "once"))
+                .await,
+        )
+        .await;
         assert!(
-            !rig.nodes[node].allocations_of("a").is_empty(),
+            !harness.nodes[node].allocations_of("a").is_empty(),
             "its owner's call has ended as agreed"
         );
     });
@@ -347,50 +388,55 @@
 
 #[test]
 fn without_room_it_is_refused_before_the_owners_time_is_up() {
-    Rig::run(
+    Harness::run(
         Layout {
             nodes: 0,
             ..Layout::default()
         },
-        async |rig| {
+        async |harness| {
             let began = Instant::now();
-            let mut words = rig
-                .ask(v1::PlacementRequest {
+            let mut words = harness
+                .request_placement(v1::PlacementRequest {
                     deadline_ms: 1_000,
-                    ..ask("a", "once")
+                    ..placement_request("a", "once")
                 })
                 .await;
-            assert_eq!(refused(&mut words).await, RejectionReason::NoRoom);
+            assert_eq!(rejected(&mut words).await, RejectionReason::NoRoom);
             assert!(began.elapsed() < Duration::from_millis(1_000));
         },
     );
 }
 
-#[test_case(v1::PlacementRequest { deadline_ms: 0, ..ask("a", "web") }, "deadline"; "without a deadline")]
-#[test_case(v1::PlacementRequest { deadline_ms: u64::MAX, ..ask("a", "web") }, "deadline"; "with a deadline beyond all time")]
-#[test_case(v1::PlacementRequest { cores: f64::NAN, ..ask("a", "web") }, "cores"; "cores that are no number")]
-#[test_case(v1::PlacementRequest { memory: -1.0, ..ask("a", "web") }, "memory"; "negative memory")]
-#[test_case(v1::PlacementRequest { cores: 0.0, ..ask("a", "web") }, "cores"; "no cores")]
-#[test_case(ask("a", "wbe"), "unknown track `wbe`"; "unknown track")]
-#[test_case(ask("", "web"), "task"; "no name")]
-#[test_case(ask(&"x".repeat(300), "web"), "task"; "a name too long")]
+#[test_case(v1::PlacementRequest { deadline_ms: 0, ..placement_request("a", "web") }, "deadline"; "without a deadline")]
+#[test_case(v1::PlacementRequest { deadline_ms: u64::MAX, ..placement_request("a", "web") }, "deadline"; "with a deadline beyond all time")]
+#[test_case(v1::PlacementRequest { cores: f64::NAN, ..placement_request("a", "web") }, "cores"; "cores that are no number")]
+#[test_case(v1::PlacementRequest { memory: -1.0, ..placement_request("a", "web") }, "memory"; "negative memory")]
+#[test_case(v1::PlacementRequest { cores: 0.0, ..placement_request("a", "web") }, "cores"; "no cores")]
+#[test_case(placement_request("a", "wbe"), "unknown track `wbe`"; "unknown track")]
+#[test_case(placement_request("", "web"), "task"; "no name")]
+#[test_case(placement_request(&"x".repeat(300), "web"), "task"; "a name too long")]
 fn an_ask_that_is_none_is_refused_with_the_reason(ask: v1::PlacementRequest, why: &str) {
-    Rig::run(Layout::default(), async |rig| {
-        match next(&mut rig.ask(ask).await).await {
+    Harness::run(Layout::default(), async |harness| {
+        match next(&mut harness.request_placement(ask).await).await {
             Some(Event::Rejected(refused)) => {
                 assert_eq!(refused.reason(), RejectionReason::BadAsk);
                 assert!(refused.message.contains(why), "{}", refused.message);
             }
             other => panic!("not {other:?}"),
         }
-        placed(&mut rig.ask(crate::harness::ask("sound", "web")).await).await;
+        placed(
+            &mut harness
+                .request_placement(crate::harness::placement_request("sound", "web"))
+                .await,
+        )
+        .await;
     });
 }
 
 #[test]
 fn garbage_and_too_large_a_message_harm_nobody_else() {
-    Rig::run(Layout::default(), async |rig| {
-        let mut wild = async_net::TcpStream::connect(rig.address)
+    Harness::run(Layout::default(), async |harness| {
+        let mut wild = async_net::TcpStream::connect(harness.address)
             .await
             .expect("it listens");
         wild.write_all(&[0xa5; 4096]).await.expect("written");
@@ -399,9 +445,9 @@
         assert!(closed.is_some(), "the link is closed");
         let large = v1::PlacementRequest {
             service: "x".repeat(1 << 20),
-            ..ask("a", "web")
+            ..placement_request("a", "web")
         };
-        let status = rig
+        let status = harness
             .client()
             .await
             .place(large)
@@ -414,7 +460,12 @@
             ),
             "{status}"
         );
-        placed(&mut rig.ask(ask("sound", "web")).await).await;
+        placed(
+            &mut harness
+                .request_placement(placement_request("sound", "web"))
+                .await,
+        )
+        .await;
     });
 }
 
@@ -423,17 +474,22 @@
     let folder = tempfile::tempdir().expect("a folder");
     let list = folder.path().join("list.json");
     let more = format!("(remembered {list:?})");
-    Rig::run(
+    Harness::run(
         Layout {
             more: more.clone(),
             ..Layout::default()
         },
-        async |rig| {
-            until(async || list.exists()).await;
-            rig.roster.disconnect(None);
+        async |harness| {
+            wait_until(async || list.exists()).await;
+            harness.discovery.disconnect(None);
             let text = deployment("127.0.0.1:1".parse().expect("an address"), &more);
-            let second = Rig::beside(&rig, &text).await;
-            placed(&mut second.ask(ask("a", "web")).await).await;
+            let second = Harness::start_second(&harness, &text).await;
+            placed(
+                &mut second
+                    .request_placement(placement_request("a", "web"))
+                    .await,
+            )
+            .await;
         },
     );
 }
@@ -447,18 +503,23 @@
     let list = folder.path().join("list.json");
     std::fs::write(&list, torn).expect("written");
     let more = format!("(remembered {list:?})");
-    Rig::run(
+    Harness::run(
         Layout {
             more,
             ..Layout::default()
         },
-        async |rig| {
+        async |harness| {
             assert!(
                 folder.path().join("list.aside").exists(),
                 "it is kept for whoever looks into it"
             );
-            placed(&mut rig.ask(ask("a", "web")).await).await;
-            until(async || list.exists()).await;
+            placed(
+                &mut harness
+                    .request_placement(placement_request("a", "web"))
+                    .await,
+            )
+            .await;
+            wait_until(async || list.exists()).await;
         },
     );
 }
@@ -471,13 +532,18 @@
         "(remembered {:?})",
         folder.path().join("missing").join("list.json")
     );
-    Rig::run(
+    Harness::run(
         Layout {
             more,
             ..Layout::default()
         },
-        async |rig| {
-            placed(&mut rig.ask(ask("a", "web")).await).await;
+        async |harness| {
+            placed(
+                &mut harness
+                    .request_placement(placement_request("a", "web"))
+                    .await,
+            )
+            .await;
         },
     );
 }
@@ -488,18 +554,18 @@
         more: "(bounds (in-hand 1000))".into(),
         ..Layout::default()
     };
-    Rig::run(layout, async |rig| {
-        let client = rig.client().await;
+    Harness::run(layout, async |harness| {
+        let client = harness.client().await;
         let mut calls = Vec::new();
         for number in 0..5_000 {
             // A slow machine takes seconds to read 5,000 asks; those without room wait to the end
             // of their time.
             let ask = v1::PlacementRequest {
                 deadline_ms: 12_000,
-                ..ask(&format!("t{number}"), "web")
+                ..placement_request(&format!("t{number}"), "web")
             };
             let mut client = client.clone();
-            calls.push(rig.tasks.spawn(async move {
+            calls.push(harness.tasks.spawn(async move {
                 let mut words = client.place(ask).await.expect("taken").into_inner();
                 let word = next(&mut words).await;
                 (word, words)
@@ -524,7 +590,7 @@
             placed >= 100 && too_many >= 3_000,
             "{placed} placed, {too_many} beyond the most in hand"
         );
-        let status = rig.status().await;
+        let status = harness.status().await;
         assert_eq!(
             (status.requested, status.placed, status.running),
             (5_000, placed, placed)
@@ -534,13 +600,22 @@
 
 #[test]
 fn an_owner_that_does_not_read_holds_nobody_up() {
-    Rig::run(Layout::default(), async |rig| {
+    Harness::run(Layout::default(), async |harness| {
         let mut silent = Vec::new();
         for number in 0..50 {
-            silent.push(rig.ask(ask(&format!("silent{number}"), "web")).await);
+            silent.push(
+                harness
+                    .request_placement(placement_request(&format!("silent{number}"), "web"))
+                    .await,
+            );
         }
         for number in 0..50 {
-            placed(&mut rig.ask(ask(&format!("loud{number}"), "web")).await).await;
+            placed(
+                &mut harness
+                    .request_placement(placement_request(&format!("loud{number}"), "web"))
+                    .await,
+            )
+            .await;
         }
         for words in &mut silent {
             placed(words).await;
@@ -552,41 +627,45 @@
 fn a_dispatcher_that_stops_answers_everything_in_hand() {
     let layout = Layout {
         nodes: 1,
-        look: Duration::from_millis(100),
+        review_time: Duration::from_millis(100),
         ..Layout::default()
     };
-    Rig::run(layout, async |rig| {
-        let mut running = rig.ask(ask("running", "once")).await;
+    Harness::run(layout, async |harness| {
+        let mut running = harness
+            .request_placement(placement_request("running", "once"))
+            .await;
         placed(&mut running).await;
-        let mut out = rig.ask(ask("out", "once")).await;
-        until(async || rig.offers().len() == 2).await;
+        let mut out = harness
+            .request_placement(placement_request("out", "once"))
+            .await;
+        wait_until(async || harness.offers().len() == 2).await;
         // Larger than all that the node accepts.
-        let mut waits = rig
-            .ask(v1::PlacementRequest {
+        let mut waits = harness
+            .request_placement(v1::PlacementRequest {
                 cores: 500.0,
-                ..ask("waits", "once")
+                ..placement_request("waits", "once")
             })
             .await;
-        until(async || rig.status().await.deferred == 1).await;
-        let mut late = rig.client().await;
-        let stopping = rig.tasks.clone().spawn(rig.stop());
-        assert_eq!(refused(&mut waits).await, RejectionReason::NoRoom);
-        if let Ok(words) = late.place(ask("late", "web")).await {
+        wait_until(async || harness.status().await.deferred == 1).await;
+        let mut late = harness.client().await;
+        let stopping = harness.tasks.clone().spawn(harness.stop());
+        assert_eq!(rejected(&mut waits).await, RejectionReason::NoRoom);
+        if let Ok(words) = late.place(placement_request("late", "web")).await {
             assert_eq!(
-                refused(&mut words.into_inner()).await,
+                rejected(&mut words.into_inner()).await,
                 RejectionReason::Stopping
             );
         }
         placed(&mut out).await;
         for words in [&mut running, &mut out] {
-            assert_eq!(ended(next_of_weight(words).await), EndReason::HandedBack);
+            assert_eq!(ended(next_significant(words).await), EndReason::HandedBack);
         }
         let lines = stopping.await;
         let stopped = |line: &capture::Line| {
             matches!(
-                line.seen,
-                Seen::Said {
-                    word: capture::Word::Stopped,
+                line.observation,
+                Observation::EventSent {
+                    event: capture::AllocationEvent::Stopped,
                     ..
                 }
             )
@@ -597,39 +676,40 @@
 
 #[test]
 fn a_port_in_use_is_named() {
-    Rig::run(Layout::default(), async |rig| {
-        let text = deployment(rig.address, "").replace("127.0.0.1:0", &rig.address.to_string());
+    Harness::run(Layout::default(), async |harness| {
+        let text =
+            deployment(harness.address, "").replace("127.0.0.1:0", &harness.address.to_string());
         let deployment = corkspan_config::Deployment::parse("rig", &text).expect("sound");
         let run = corkspan_dispatcher::run(
-            rig.tasks.clone(),
+            harness.tasks.clone(),
             deployment,
             |_| {},
             futures_lite::future::pending(),
         );
         let why = run.await.expect_err("the port is taken").to_string();
-        assert!(why.contains(&rig.address.to_string()), "{why}");
+        assert!(why.contains(&harness.address.to_string()), "{why}");
     });
 }
 
 #[test]
 fn links_with_nothing_on_them_are_closed() {
     let more = "(bounds (idle-close 200 ms))".to_string();
-    Rig::run(
+    Harness::run(
         Layout {
             more,
             ..Layout::default()
         },
-        async |rig| {
-            let mut words = rig
-                .ask(v1::PlacementRequest {
+        async |harness| {
+            let mut words = harness
+                .request_placement(v1::PlacementRequest {
                     expected_duration_ms: 600,
-                    ..ask("a", "web")
+                    ..placement_request("a", "web")
                 })
                 .await;
             placed(&mut words).await;
-            assert_eq!(rig.status().await.connections, 1);
-            assert_eq!(ended(next_of_weight(&mut words).await), EndReason::Ended);
-            until(async || rig.status().await.connections == 0).await;
+            assert_eq!(harness.status().await.connections, 1);
+            assert_eq!(ended(next_significant(&mut words).await), EndReason::Ended);
+            wait_until(async || harness.status().await.connections == 0).await;
         },
     );
 }
--- a/crates/testbed/tests/full_path/harness.rs
+++ b/crates/testbed/tests/full_path/harness.rs
@@ -7,9 +7,9 @@
 use corkspan_dispatcher::rollout_control::Store;
 use corkspan_rpc::{Bounds, Link, Tasks, within};
 use corkspan_scheduler::interface::Resources;
-use corkspan_testbed::capture::{Capture, Line, Seen};
+use corkspan_testbed::capture::{Capture, Line, Observation};
 use corkspan_testbed::discovery::Discovery;
-use corkspan_testbed::node::{Node, NodeConfig, SlowStart, World};
+use corkspan_testbed::node::{Node, NodeConfig, SharedContext, SlowStart};
 use futures_lite::future;
 use std::future::Future;
 use std::net::SocketAddr;
@@ -20,11 +20,11 @@
 /// Nothing here takes longer: what does has failed.
 pub const PATIENCE: Duration = Duration::from_secs(20);
 
-pub struct Rig {
+pub struct Harness {
     pub tasks: Tasks,
-    pub world: Arc<World>,
+    pub context: Arc<SharedContext>,
     pub nodes: Vec<Arc<Node>>,
-    pub roster: Arc<Discovery>,
+    pub discovery: Arc<Discovery>,
     pub address: SocketAddr,
     stop: async_channel::Sender<()>,
     kill: async_channel::Sender<()>,
@@ -34,10 +34,10 @@
 /// How a rig is laid out.
 pub struct Layout {
     pub nodes: u32,
-    pub look: Duration,
+    pub review_time: Duration,
     /// More text for the deployment: bounds, where the list is remembered.
     pub more: String,
-    pub roster_away: bool,
+    pub discovery_unavailable: bool,
     /// A store of rolls other than the deployment's.
     pub store: Option<Store>,
 }
@@ -46,17 +46,17 @@
     fn default() -> Self {
         Layout {
             nodes: 2,
-            look: Duration::from_millis(3),
+            review_time: Duration::from_millis(3),
             more: String::new(),
-            roster_away: false,
+            discovery_unavailable: false,
             store: None,
         }
     }
 }
 
-pub fn deployment(roster: SocketAddr, more: &str) -> String {
+pub fn deployment(discovery: SocketAddr, more: &str) -> String {
     format!(
-        r#"(deployment (listen "127.0.0.1:0") (roster "{roster}") (seed 1)
+        r#"(deployment (listen "127.0.0.1:0") (roster "{discovery}") (seed 1)
   (hall a) (number 0) (schedulers 1) (halls a b)
   (kinds (small (cores 40) (memory 80)))
   (tracks
@@ -68,51 +68,52 @@
     )
 }
 
-impl Rig {
+impl Harness {
     /// Runs a story against a rig, on this thread.
-    pub fn run<F: Future<Output = ()>>(layout: Layout, story: impl FnOnce(Rig) -> F) {
+    pub fn run<F: Future<Output = ()>>(layout: Layout, story: impl FnOnce(Harness) -> F) {
         let tasks = Tasks::default();
         let whole = async {
-            let rig = Rig::up(tasks.clone(), layout).await;
-            story(rig).await;
+            let harness = Harness::set_up(tasks.clone(), layout).await;
+            story(harness).await;
         };
         let whole = within(3 * PATIENCE, whole);
         future::block_on(tasks.run(whole)).expect("the story comes to its end");
     }
 
-    async fn up(tasks: Tasks, layout: Layout) -> Rig {
+    async fn set_up(tasks: Tasks, layout: Layout) -> Harness {
         let capture = Capture::new(None).expect("no file, no failure");
-        let world = World::new(capture, &tasks, Some("jobs".into()));
-        let (roster, roster_address) = Discovery::start(&world).await.expect("a port");
+        let context = SharedContext::new(capture, &tasks, Some("jobs".into()));
+        let (discovery, discovery_address) = Discovery::start(&context).await.expect("a port");
         let mut nodes = Vec::new();
         for id in 0..layout.nodes {
-            let node = Node::new(plan(id, layout.look), &world);
+            let node = Node::new(node_config(id, layout.review_time), &context);
             let address = node.start_process(false).await.expect("a port");
-            roster.update(
+            discovery.update(
                 Duration::ZERO,
-                entry(&node, address, v1::endpoint::State::Serving, 0),
+                endpoint(&node, address, v1::endpoint::State::Serving, 0),
             );
             nodes.push(node);
         }
-        if layout.roster_away {
-            roster.disconnect(None);
+        if layout.discovery_unavailable {
+            discovery.disconnect(None);
         }
-        let text = deployment(roster_address, &layout.more);
-        let rig = Rig::start_over(layout.store, tasks, world, nodes, roster, &text).await;
-        if !layout.roster_away {
-            rig.until_serving(u64::from(layout.nodes)).await;
+        let text = deployment(discovery_address, &layout.more);
+        let harness =
+            Harness::start_over(layout.store, tasks, context, nodes, discovery, &text).await;
+        if !layout.discovery_unavailable {
+            harness.wait_until_serving(u64::from(layout.nodes)).await;
         }
-        rig
+        harness
     }
 
     /// A second dispatcher with another deployment, before the same nodes.
-    pub async fn beside(rig: &Rig, text: &str) -> Rig {
-        let (nodes, roster) = (rig.nodes.clone(), Arc::clone(&rig.roster));
-        Rig::start(
-            rig.tasks.clone(),
-            Arc::clone(&rig.world),
+    pub async fn start_second(harness: &Harness, text: &str) -> Harness {
+        let (nodes, discovery) = (harness.nodes.clone(), Arc::clone(&harness.discovery));
+        Harness::start(
+            harness.tasks.clone(),
+            Arc::clone(&harness.context),
             nodes,
-            roster,
+            discovery,
             text,
         )
         .await
@@ -120,22 +121,22 @@
 
     async fn start(
         tasks: Tasks,
-        world: Arc<World>,
+        context: Arc<SharedContext>,
         nodes: Vec<Arc<Node>>,
-        roster: Arc<Discovery>,
+        discovery: Arc<Discovery>,
         text: &str,
-    ) -> Rig {
-        Rig::start_over(None, tasks, world, nodes, roster, text).await
+    ) -> Harness {
+        Harness::start_over(None, tasks, context, nodes, discovery, text).await
     }
 
     async fn start_over(
         store: Option<Store>,
         tasks: Tasks,
-        world: Arc<World>,
+        context: Arc<SharedContext>,
         nodes: Vec<Arc<Node>>,
-        roster: Arc<Discovery>,
+        discovery: Arc<Discovery>,
         text: &str,
-    ) -> Rig {
+    ) -> Harness {
         let deployment = Deployment::parse("rig", text).unwrap_or_else(|why| panic!("{why}"));
         let (stop, stopped) = async_channel::bounded::<()>(1);
         let (told, ready) = async_channel::bounded(1);
@@ -168,11 +169,11 @@
             .await
             .expect("it listens")
             .expect("an address");
-        Rig {
+        Harness {
             tasks,
-            world,
+            context,
             nodes,
-            roster,
+            discovery,
             address,
             stop,
             kill,
@@ -201,12 +202,15 @@
             .into_inner()
     }
 
-    pub async fn until_serving(&self, many: u64) {
-        until(async || self.status().await.machines_serving == many).await;
+    pub async fn wait_until_serving(&self, many: u64) {
+        wait_until(async || self.status().await.machines_serving == many).await;
     }
 
     /// Asks and returns the words of the call.
-    pub async fn ask(&self, ask: v1::PlacementRequest) -> Streaming<v1::PlacementEvent> {
+    pub async fn request_placement(
+        &self,
+        ask: v1::PlacementRequest,
+    ) -> Streaming<v1::PlacementEvent> {
         let call = self.client().await.place(ask).await;
         call.expect("the call is taken").into_inner()
     }
@@ -237,7 +241,7 @@
         stopped
             .expect("its thread ends")
             .expect("it stops without a failure");
-        self.world.capture.lines()
+        self.context.capture.lines()
     }
 
     /// Ends the dispatcher as a kill does, without a word.
@@ -251,24 +255,24 @@
     }
 
     /// The same, and starts it again with this deployment.
-    pub async fn kill_and_restart(self, text: &str) -> Rig {
-        let (tasks, world, nodes, roster) = (
+    pub async fn kill_and_restart(self, text: &str) -> Harness {
+        let (tasks, context, nodes, discovery) = (
             self.tasks.clone(),
-            Arc::clone(&self.world),
+            Arc::clone(&self.context),
             self.nodes.clone(),
-            Arc::clone(&self.roster),
+            Arc::clone(&self.discovery),
         );
         self.kill().await;
-        Rig::start(tasks, world, nodes, roster, text).await
+        Harness::start(tasks, context, nodes, discovery, text).await
     }
 
-    pub fn tell(&self, index: usize, state: v1::endpoint::State) {
+    pub fn set_endpoint_state(&self, index: usize, state: v1::endpoint::State) {
         let node = &self.nodes[index];
         let old = self
-            .roster
+            .discovery
             .endpoint(node.config.id)
             .expect("the node is listed");
-        self.roster.update(
+        self.discovery.update(
             Duration::ZERO,
             v1::Endpoint {
                 state: state.into(),
@@ -279,22 +283,22 @@
 
     /// Offers that nodes have seen, as (placing, number, node).
     pub fn offers(&self) -> Vec<(String, u32, u32)> {
-        let lines = self.world.capture.lines().into_iter();
+        let lines = self.context.capture.lines().into_iter();
         lines
-            .filter_map(|line| match line.seen {
-                Seen::Offered {
+            .filter_map(|line| match line.observation {
+                Observation::Offered {
                     node,
-                    placing,
+                    placement_id,
                     number,
                     ..
-                } => Some((placing, number, node)),
+                } => Some((placement_id, number, node)),
                 _ => None,
             })
             .collect()
     }
 }
 
-pub fn plan(id: u32, look: Duration) -> NodeConfig {
+pub fn node_config(id: u32, review_time: Duration) -> NodeConfig {
     NodeConfig {
         id,
         machine_type: "small".into(),
@@ -308,7 +312,7 @@
             cores: 2.0,
             memory: 1.5,
         },
-        review_time: look,
+        review_time,
         max_queued: 10_000,
         start_time: Duration::from_millis(5),
         load_factor: 2,
@@ -325,7 +329,7 @@
     }
 }
 
-pub fn entry(
+pub fn endpoint(
     node: &Node,
     address: SocketAddr,
     state: v1::endpoint::State,
@@ -343,7 +347,7 @@
     }
 }
 
-pub fn ask(task: &str, track: &str) -> v1::PlacementRequest {
+pub fn placement_request(task: &str, track: &str) -> v1::PlacementRequest {
     v1::PlacementRequest {
         placement_id: format!("{task}#0"),
         task: task.into(),
@@ -367,7 +371,7 @@
 }
 
 /// The next word that is no note.
-pub async fn next_of_weight(words: &mut Streaming<v1::PlacementEvent>) -> Option<Event> {
+pub async fn next_significant(words: &mut Streaming<v1::PlacementEvent>) -> Option<Event> {
     loop {
         match next(words).await {
             Some(Event::Running(_) | Event::ServiceLevel(_)) => {}
@@ -383,7 +387,7 @@
     }
 }
 
-pub async fn refused(words: &mut Streaming<v1::PlacementEvent>) -> v1::rejected::RejectionReason {
+pub async fn rejected(words: &mut Streaming<v1::PlacementEvent>) -> v1::rejected::RejectionReason {
     match next(words).await {
         Some(Event::Rejected(refused)) => refused.reason(),
         other => panic!("refused is expected, not {other:?}"),
@@ -391,7 +395,7 @@
 }
 
 /// Waits for a condition.
-pub async fn until(mut condition: impl AsyncFnMut() -> bool) {
+pub async fn wait_until(mut condition: impl AsyncFnMut() -> bool) {
     let waits = async {
         while !condition().await {
             Timer::after(Duration::from_millis(5)).await;
--- a/crates/testbed/tests/full_path/maintenance.rs
+++ b/crates/testbed/tests/full_path/maintenance.rs
@@ -6,9 +6,9 @@
 use async_io::Timer;
 use corkspan_api::v1::{self, placement_client::PlacementClient, placement_event::Event};
 use corkspan_rpc::{Bounds, Link};
-use corkspan_testbed::capture::{Seen, Word as Said};
+use corkspan_testbed::capture::{AllocationEvent, Observation};
 use corkspan_testbed::discovery::Discovery;
-use corkspan_testbed::relay::{Relay, Way};
+use corkspan_testbed::relay::{Direction, Relay};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::process::{Command, Output};
@@ -17,16 +17,16 @@
 const PROGRAM: &str = env!("CARGO_BIN_EXE_corkspan-testbed");
 
 struct Stage {
-    rig: Rig,
+    harness: Harness,
     folder: tempfile::TempDir,
     fleet: Vec<Option<Process>>,
 }
 
 impl Stage {
-    async fn start(&mut self, number: usize, roster: SocketAddr) {
+    async fn start(&mut self, number: usize, discovery: SocketAddr) {
         let store = self.folder.path().join(format!("store-{number}.redb"));
         let more = format!("(keepers 0 1 2) (rolls {store:?}) (maintenance (every 100 ms))");
-        let text = deployment(roster, &more).replace("(schedulers 1)", "(schedulers 5)");
+        let text = deployment(discovery, &more).replace("(schedulers 1)", "(schedulers 5)");
         let file = self.folder.path().join(format!("{number}.sexp"));
         std::fs::write(
             &file,
@@ -67,7 +67,7 @@
             .filter_map(|line| line.strip_prefix("machine ")?.strip_suffix(": in work"));
         for machine in mine {
             let index: usize = machine.parse().expect("a number");
-            let node = &self.rig.nodes[index];
+            let node = &self.harness.nodes[index];
             assert_eq!(
                 node.allocation_count(),
                 0,
@@ -83,12 +83,12 @@
             connect_within: PATIENCE,
             ..Bounds::default()
         };
-        let link = Link::open(&self.rig.tasks, self.address(number), &bounds)
+        let link = Link::open(&self.harness.tasks, self.address(number), &bounds)
             .await
             .ok()?;
         let asked = v1::PlacementRequest {
             expected_duration_ms: 3_000,
-            ..ask(task, "web")
+            ..placement_request(task, "web")
         };
         let mut words = PlacementClient::new(link)
             .place(asked)
@@ -103,20 +103,20 @@
     /// one accepted anything.
     fn doors(&self) -> (usize, BTreeMap<u32, usize>) {
         let (mut closed, mut most, mut times) = (BTreeSet::new(), 0, BTreeMap::new());
-        for line in self.rig.world.capture.lines() {
-            match line.seen {
-                Seen::Door { node, closed: true } => {
+        for line in self.harness.context.capture.lines() {
+            match line.observation {
+                Observation::Cordon { node, closed: true } => {
                     closed.insert(node);
                     *times.entry(node).or_default() += 1;
                     most = most.max(closed.len());
                 }
-                Seen::Door {
+                Observation::Cordon {
                     node,
                     closed: false,
                 } => drop(closed.remove(&node)),
-                Seen::Said {
+                Observation::EventSent {
                     node,
-                    word: Said::Accepted,
+                    event: AllocationEvent::Accepted,
                     ..
                 } => {
                     assert!(
@@ -134,22 +134,22 @@
 
 #[test]
 fn all_machines_have_their_work_two_at_a_time_whoever_is_killed_or_cut_off() {
-    Rig::run(
+    Harness::run(
         Layout {
             nodes: 8,
             ..Layout::default()
         },
-        async |rig| {
-            let tasks = rig.tasks.clone();
+        async |harness| {
+            let tasks = harness.tasks.clone();
             // One knows the nodes by relays: it is cut off from all of them for a while.
-            let (roster, by) = Discovery::start(&rig.world).await.expect("a port");
+            let (discovery, by) = Discovery::start(&harness.context).await.expect("a port");
             let mut relays = Vec::new();
-            for node in &rig.nodes {
-                let listed = rig.roster.endpoint(node.config.id).expect("listed");
-                let relay = Relay::up(&tasks, listed.address.parse().expect("an address"))
+            for node in &harness.nodes {
+                let listed = harness.discovery.endpoint(node.config.id).expect("listed");
+                let relay = Relay::start(&tasks, listed.address.parse().expect("an address"))
                     .await
                     .expect("a port");
-                roster.update(
+                discovery.update(
                     Duration::ZERO,
                     v1::Endpoint {
                         address: relay.address.to_string(),
@@ -159,21 +159,21 @@
                 relays.push(relay);
             }
             let mut stage = Stage {
-                rig,
+                harness,
                 folder: tempfile::tempdir().expect("a folder"),
                 fleet: Vec::new(),
             };
             for number in 0..5 {
-                let roster = if number == 4 {
+                let discovery = if number == 4 {
                     by
                 } else {
-                    stage.rig.roster.address
+                    stage.harness.discovery.address
                 };
-                stage.start(number, roster).await;
+                stage.start(number, discovery).await;
             }
             // Each keeps something placed, on whichever node takes it.
             let mut calls = Vec::new();
-            until(async || {
+            wait_until(async || {
                 calls.extend(
                     stage
                         .ask(calls.len() % 5, &format!("early-{}", calls.len()))
@@ -215,11 +215,11 @@
             let finished = async |stage: &mut Stage, round: &mut usize| {
                 *round += 1;
                 match *round {
-                    3 => relays.iter().for_each(|relay| relay.hold(&[Way::In])),
+                    3 => relays.iter().for_each(|relay| relay.hold(&[Direction::In])),
                     // Whoever holds what: killed where it stands, and started anew later.
                     5 => drop(stage.fleet[1].take()),
                     9 => relays.iter().for_each(Relay::heal),
-                    11 => stage.start(1, stage.rig.roster.address).await,
+                    11 => stage.start(1, stage.harness.discovery.address).await,
                     13 => drop(stage.fleet[2].take()),
                     _ => {}
                 }
