--- a/crates/testbed/tests/full_path/rollouts.rs
+++ b/crates/testbed/tests/full_path/rollouts.rs
@@ -4,9 +4,9 @@
 use crate::harness::*;
 use corkspan_api::v1::{self, rollout::Phase, rolls_client::RollsClient};
 use corkspan_rpc::{Bounds, Link};
-use corkspan_testbed::capture::{self, Line, NodeState, Repeat, Seen};
-use corkspan_testbed::checker::judge;
-use corkspan_testbed::client::{Front, Task, live};
+use corkspan_testbed::capture::{self, Line, NodeState, Observation, RetrySafety};
+use corkspan_testbed::checker::check;
+use corkspan_testbed::client::{Frontend, Task, run_task};
 use corkspan_testbed::disk::{self, DiskFull};
 use corkspan_testbed::node::VersionFault;
 use rand::SeedableRng;
@@ -26,65 +26,65 @@
 
 /// Some dispatchers before ten nodes, and owners of so many copies of one service.
 struct Stage {
-    rigs: Vec<Rig>,
-    front: Arc<Front>,
+    harnesses: Vec<Harness>,
+    frontend: Arc<Frontend>,
     folder: tempfile::TempDir,
 }
 
 impl Stage {
     async fn set(
-        rig: Rig,
+        harness: Harness,
         folder: tempfile::TempDir,
         dispatchers: usize,
         copies: usize,
-        track: &str,
+        service_class: &str,
     ) -> Stage {
-        let front = Front::new(&rig.world, &rig.nodes, dispatchers);
-        front.open(0, Some(rig.address));
-        let mut rigs = vec![rig];
+        let frontend = Frontend::new(&harness.context, &harness.nodes, dispatchers);
+        frontend.set_address(0, Some(harness.address));
+        let mut harnesses = vec![harness];
         for number in 1..dispatchers {
-            let text = deployment(rigs[0].roster.address, &more(folder.path(), number));
+            let text = deployment(harnesses[0].discovery.address, &more(folder.path(), number));
             let text = text.replace("(number 0)", &format!("(number {number})"));
             // Each knows how many there are; the first was told of itself alone, which only makes
             // it bolder.
             let text = text.replace("(schedulers 1)", &format!("(schedulers {dispatchers})"));
-            let rig = Rig::beside(&rigs[0], &text).await;
-            rig.until_serving(10).await;
-            front.open(number, Some(rig.address));
-            rigs.push(rig);
+            let harness = Harness::start_second(&harnesses[0], &text).await;
+            harness.wait_until_serving(10).await;
+            frontend.set_address(number, Some(harness.address));
+            harnesses.push(harness);
         }
         let until = Instant::now() + Duration::from_secs(3600);
         for number in 0..copies {
             let task = Task {
                 name: format!("c{number}"),
                 service: "s".into(),
-                track: 0,
-                track_name: track.into(),
-                repeat: Repeat::Idempotent,
+                service_class: 0,
+                service_class_name: service_class.into(),
+                retry_safety: RetrySafety::Idempotent,
                 cores: 1.0,
                 memory: 1.0,
-                life: Duration::from_secs(3600),
-                abandon: Duration::from_secs(4),
-                patience: u32::MAX,
-                cancels: None,
+                lifetime: Duration::from_secs(3600),
+                deadline: Duration::from_secs(4),
+                max_requests: u32::MAX,
+                cancel_after: None,
             };
             let rng = Pcg64Mcg::seed_from_u64(number as u64);
-            rigs[0]
+            harnesses[0]
                 .tasks
-                .spawn(live(Arc::clone(&front), task, rng, until))
+                .spawn(run_task(Arc::clone(&frontend), task, rng, until))
                 .detach();
         }
         let stage = Stage {
-            rigs,
-            front,
+            harnesses,
+            frontend,
             folder,
         };
-        until_ready(&stage, "", copies).await;
+        wait_until_ready(&stage, "", copies).await;
         stage
     }
 
     fn lines(&self) -> Vec<Line> {
-        self.rigs[0].world.capture.lines()
+        self.harnesses[0].context.capture.lines()
     }
 
     async fn rolls(&self, dispatcher: usize) -> RollsClient<Link> {
@@ -92,9 +92,9 @@
             connect_within: PATIENCE,
             ..Bounds::default()
         };
-        let rig = &self.rigs[dispatcher];
+        let harness = &self.harnesses[dispatcher];
         RollsClient::new(
-            Link::open(&rig.tasks, rig.address, &bounds)
+            Link::open(&harness.tasks, harness.address, &bounds)
                 .await
                 .expect("it listens"),
         )
@@ -117,7 +117,7 @@
         unready_most: u32,
         start_first: bool,
     ) -> v1::RolloutResponse {
-        let seen = Seen::Roll {
+        let observation = Observation::RolloutStarted {
             service: "s".into(),
             version: version.into(),
             unready_most: unready_most as usize,
@@ -126,7 +126,7 @@
             ready_within_us: 3_000_000,
             failures_most: 1,
         };
-        self.rigs[0].world.capture.see(seen);
+        self.harnesses[0].context.capture.record(observation);
         let ask = v1::StartRolloutRequest {
             service: "s".into(),
             version: version.into(),
@@ -175,10 +175,10 @@
     fn ready(&self) -> (BTreeMap<String, usize>, usize) {
         let (mut copies, mut most, mut rolling) = (BTreeMap::<String, String>::new(), 0, false);
         let mut all = 0;
-        for Line { seen, .. } in self.lines() {
-            match seen {
-                Seen::Roll { .. } => rolling = true,
-                Seen::Ready {
+        for Line { observation, .. } in self.lines() {
+            match observation {
+                Observation::RolloutStarted { .. } => rolling = true,
+                Observation::Ready {
                     task,
                     version,
                     ready: true,
@@ -186,7 +186,7 @@
                 } => {
                     copies.insert(task, version);
                 }
-                Seen::Ready { task, .. } => drop(copies.remove(&task)),
+                Observation::Ready { task, .. } => drop(copies.remove(&task)),
                 _ => {}
             }
             all = all.max(copies.len());
@@ -209,10 +209,10 @@
             BTreeSet::new(),
         );
         let (mut unready, mut beside, mut rolling) = (0, 0, false);
-        for Line { seen, .. } in self.lines() {
-            match seen {
-                Seen::Roll { .. } => rolling = true,
-                Seen::Ready {
+        for Line { observation, .. } in self.lines() {
+            match observation {
+                Observation::RolloutStarted { .. } => rolling = true,
+                Observation::Ready {
                     task,
                     node,
                     version,
@@ -251,7 +251,7 @@
     /// Copies of each task on all nodes, whoever knows of them: one each, and no more.
     fn one_each(&self, copies: usize) -> bool {
         let held = |task: String| {
-            self.rigs[0]
+            self.harnesses[0]
                 .nodes
                 .iter()
                 .map(|node| node.allocations_of(&task).len())
@@ -264,10 +264,10 @@
         // The rig has no day of its own: the limit of a roll needs no figure of one.
         let mut lines = vec![Line {
             t: 0,
-            seen: Seen::Day(rules()),
+            observation: Observation::Rules(rules()),
         }];
         lines.extend(self.lines());
-        judge(&lines)
+        check(&lines)
             .expect("readable")
             .iter()
             .filter(|it| it.rule == 6)
@@ -276,31 +276,31 @@
     }
 }
 
-fn rules() -> corkspan_testbed::capture::Rules {
-    use corkspan_testbed::capture::{Cold, Rules, Track};
-    let track = Track {
+fn rules() -> corkspan_testbed::capture::RuleParameters {
+    use corkspan_testbed::capture::{RuleParameters, ServiceClass, SlowStartLimits};
+    let service_class = ServiceClass {
         name: "web".into(),
-        repeat: Repeat::Idempotent,
-        contract_us: 1,
+        retry_safety: RetrySafety::Idempotent,
+        latency_objective_us: 1,
         spread: None,
     };
-    let cold = Cold {
+    let slow_start = SlowStartLimits {
         lasts_us: 0,
         window_us: 0,
         most: usize::MAX,
     };
-    Rules {
+    RuleParameters {
         seed: 0,
-        tracks: vec![track],
+        service_classes: vec![service_class],
         nodes: Vec::new(),
         grace_us: 0,
-        cold,
+        slow_start,
         slack_us: 1_000_000,
     }
 }
 
 /// Waits for what takes a whole roll, which may be ten waves of nearly two seconds: more than
-/// `until` gives.
+/// `wait_until` gives.
 async fn within_a_roll(mut condition: impl AsyncFnMut() -> bool) -> bool {
     let waits = corkspan_rpc::within(Duration::from_secs(50), async {
         while !condition().await {
@@ -310,7 +310,7 @@
     waits.await.is_some()
 }
 
-async fn until_ready(stage: &Stage, version: &str, copies: usize) {
+async fn wait_until_ready(stage: &Stage, version: &str, copies: usize) {
     let are = within_a_roll(async || {
         stage
             .ready()
@@ -346,7 +346,7 @@
 fn story<F: Future<Output = ()>>(
     dispatchers: usize,
     copies: usize,
-    track: &'static str,
+    service_class: &'static str,
     story: impl FnOnce(Stage) -> F,
 ) {
     let folder = tempfile::tempdir().expect("a folder");
@@ -355,8 +355,8 @@
         more: more(folder.path(), 0),
         ..Layout::default()
     };
-    Rig::run(layout, async |rig| {
-        story(Stage::set(rig, folder, dispatchers, copies, track).await).await
+    Harness::run(layout, async |harness| {
+        story(Stage::set(harness, folder, dispatchers, copies, service_class).await).await
     });
 }
 
@@ -368,11 +368,11 @@
     dispatchers: usize,
     copies: usize,
     most: u32,
-    track: &'static str,
+    service_class: &'static str,
 ) {
-    story(dispatchers, copies, track, async |stage| {
+    story(dispatchers, copies, service_class, async |stage| {
         assert!(stage.start(0, "v2", most).await.accepted);
-        until_ready(&stage, "v2", copies).await;
+        wait_until_ready(&stage, "v2", copies).await;
         let (ready, unready) = stage.ready();
         assert_eq!(ready, BTreeMap::from([("v2".into(), copies)]));
         assert!(
@@ -381,7 +381,7 @@
         );
         assert_eq!(stage.breaches(), [""; 0]);
         // All slots come back.
-        until(async || stage.status(0).await.held_slots.is_empty()).await;
+        wait_until(async || stage.status(0).await.held_slots.is_empty()).await;
     });
 }
 
@@ -389,7 +389,7 @@
 #[test_case(VersionFault::FailsAfter(Duration::from_millis(300)); "that gets ready and dies")]
 fn a_version_halts_the_roll_by_itself_and_is_undone(how: VersionFault) {
     story(2, 20, "web", async |stage| {
-        stage.rigs[0].world.inject_version_fault("v2", how);
+        stage.harnesses[0].context.inject_version_fault("v2", how);
         assert!(stage.start(0, "v2", 4).await.accepted);
         let halted = async || {
             stage
@@ -398,7 +398,7 @@
                 .rollout
                 .is_some_and(|roll| roll.phase() == Phase::Halted)
         };
-        until(halted).await;
+        wait_until(halted).await;
         let (ready, unready) = stage.ready();
         assert!(unready <= 4, "{unready} were not ready");
         assert!(ready[""] >= 16, "the others run on: {ready:?}");
@@ -442,7 +442,7 @@
             );
         }
         if let Some(wins) = wins {
-            until_ready(&stage, wins, 6).await;
+            wait_until_ready(&stage, wins, 6).await;
         }
         assert_eq!(stage.breaches(), [""; 0]);
     });
@@ -452,14 +452,14 @@
 fn a_pause_takes_nothing_further_down_and_a_resume_goes_on() {
     story(1, 20, "web", async |stage| {
         assert!(stage.start(0, "v2", 2).await.accepted);
-        until(async || stage.ready().0.contains_key("v2")).await;
+        wait_until(async || stage.ready().0.contains_key("v2")).await;
         assert!(
             stage
                 .change(v1::change_rollout_request::Action::Pause)
                 .await
                 .accepted
         );
-        until(async || {
+        wait_until(async || {
             stage
                 .status(0)
                 .await
@@ -467,7 +467,7 @@
                 .is_some_and(|roll| roll.phase() == Phase::Paused)
         })
         .await;
-        until(async || stage.status(0).await.held_slots.is_empty()).await;
+        wait_until(async || stage.status(0).await.held_slots.is_empty()).await;
         let before = stage.ready().0;
         assert_eq!(
             before.values().sum::<usize>(),
@@ -482,20 +482,20 @@
                 .await
                 .accepted
         );
-        until_ready(&stage, "v2", 20).await;
+        wait_until_ready(&stage, "v2", 20).await;
     });
 }
 
 #[test]
 fn a_keeper_that_dies_stops_nothing_and_two_stop_the_roll() {
     story(1, 12, "web", async |stage| {
-        stage.rigs[0].nodes[0].kill(NodeState::Gone);
+        stage.harnesses[0].nodes[0].kill(NodeState::Gone);
         assert!(
             stage.start(0, "v2", 3).await.accepted,
             "two of three are a majority"
         );
-        until_ready(&stage, "v2", 12).await;
-        stage.rigs[0].nodes[1].kill(NodeState::Gone);
+        wait_until_ready(&stage, "v2", 12).await;
+        stage.harnesses[0].nodes[1].kill(NodeState::Gone);
         let ask = v1::StartRolloutRequest {
             service: "s".into(),
             version: "v3".into(),
@@ -521,9 +521,9 @@
 #[test]
 fn the_roster_away_for_the_whole_roll_changes_nothing() {
     story(2, 12, "web", async |stage| {
-        stage.rigs[0].roster.disconnect(None);
+        stage.harnesses[0].discovery.disconnect(None);
         assert!(stage.start(1, "v2", 3).await.accepted);
-        until_ready(&stage, "v2", 12).await;
+        wait_until_ready(&stage, "v2", 12).await;
         assert_eq!(stage.breaches(), [""; 0]);
     });
 }
@@ -532,7 +532,7 @@
 fn a_dispatcher_killed_while_it_conducts_leaves_no_slot_behind() {
     story(2, 16, "web", async |mut stage| {
         assert!(stage.start(0, "v2", 2).await.accepted);
-        until(async || {
+        wait_until(async || {
             stage
                 .status(0)
                 .await
@@ -543,19 +543,19 @@
         .await;
         // Its links break as they would at a kill; owners hand over what runs, and ask again for
         // what doesn't.
-        let killed = stage.rigs.pop().expect("two");
-        stage.front.open(1, None);
-        let text = deployment(killed.roster.address, &more(stage.folder.path(), 1));
+        let killed = stage.harnesses.pop().expect("two");
+        stage.frontend.set_address(1, None);
+        let text = deployment(killed.discovery.address, &more(stage.folder.path(), 1));
         let text = text
             .replace("(number 0)", "(number 1)")
             .replace("(schedulers 1)", "(schedulers 2)");
         killed.kill().await;
-        let again = Rig::beside(&stage.rigs[0], &text).await;
-        stage.front.open(1, Some(again.address));
-        stage.rigs.push(again);
-        until_ready(&stage, "v2", 16).await;
+        let again = Harness::start_second(&stage.harnesses[0], &text).await;
+        stage.frontend.set_address(1, Some(again.address));
+        stage.harnesses.push(again);
+        wait_until_ready(&stage, "v2", 16).await;
         assert_eq!(stage.breaches(), [""; 0]);
-        until(async || stage.status(0).await.held_slots.is_empty()).await;
+        wait_until(async || stage.status(0).await.held_slots.is_empty()).await;
         assert_eq!(
             stage.ready().0,
             BTreeMap::from([("v2".into(), 16)]),
@@ -573,11 +573,11 @@
         more: more(folder.path(), 0),
         ..Layout::default()
     };
-    Rig::run(layout, async |rig| {
+    Harness::run(layout, async |harness| {
         assert!(folder.path().join("rolls-0.aside").exists());
-        let stage = Stage::set(rig, folder, 1, 6, "web").await;
+        let stage = Stage::set(harness, folder, 1, 6, "web").await;
         assert!(stage.start(0, "v2", 2).await.accepted);
-        until_ready(&stage, "v2", 6).await;
+        wait_until_ready(&stage, "v2", 6).await;
     });
 }
 
@@ -587,23 +587,23 @@
     let folder = tempfile::tempdir().expect("a folder");
     let layout = Layout {
         nodes: 10,
-        look: Duration::from_millis(150),
+        review_time: Duration::from_millis(150),
         more: more(folder.path(), 0),
         ..Layout::default()
     };
-    Rig::run(layout, async |rig| {
-        let stage = Stage::set(rig, folder, 1, 8, "web").await;
+    Harness::run(layout, async |harness| {
+        let stage = Stage::set(harness, folder, 1, 8, "web").await;
         assert!(stage.start(0, "v2", 4).await.accepted);
         let stopped = |line: &Line| {
             matches!(
-                line.seen,
-                Seen::Said {
-                    word: capture::Word::Stopped,
+                line.observation,
+                Observation::EventSent {
+                    event: capture::AllocationEvent::Stopped,
                     ..
                 }
             )
         };
-        until(async || stage.lines().iter().any(stopped)).await;
+        wait_until(async || stage.lines().iter().any(stopped)).await;
         assert!(
             stage
                 .change(v1::change_rollout_request::Action::Undo)
@@ -614,9 +614,9 @@
         let lines = stage.lines();
         let placed = lines.iter().filter(|line| {
             matches!(
-                line.seen,
-                Seen::Heard {
-                    word: capture::Word::Placed,
+                line.observation,
+                Observation::EventReceived {
+                    event: capture::AllocationEvent::Placed,
                     ..
                 }
             )
@@ -636,13 +636,13 @@
         more,
         ..Layout::default()
     };
-    Rig::run(layout, async |rig| {
-        let stage = Stage::set(rig, folder, 1, 4, "web").await;
+    Harness::run(layout, async |harness| {
+        let stage = Stage::set(harness, folder, 1, 4, "web").await;
         assert!(
             stage.start(0, "v2", 2).await.accepted,
             "the keepers have it"
         );
-        until(async || stage.status(0).await.quorum_members_heard == 3).await;
+        wait_until(async || stage.status(0).await.quorum_members_heard == 3).await;
         async_io::Timer::after(Duration::from_millis(1_000)).await;
         assert_eq!(stage.ready(), (BTreeMap::from([(String::new(), 4)]), 0));
     });
@@ -654,12 +654,12 @@
     dispatchers: usize,
     copies: usize,
     most: u32,
-    track: &'static str,
+    service_class: &'static str,
 ) {
-    story(dispatchers, copies, track, async |stage| {
+    story(dispatchers, copies, service_class, async |stage| {
         assert!(stage.start_in(0, "v2", most, true).await.accepted);
         assert!(within_a_roll(async || stage.ready_now().0.get("v2") == Some(&copies)).await);
-        until(async || stage.one_each(copies)).await;
+        wait_until(async || stage.one_each(copies)).await;
         let (_, unready, beside) = stage.ready_now();
         assert_eq!(unready, 0, "none was missing at any time");
         assert!(
@@ -667,16 +667,16 @@
             "{beside} stood beside others"
         );
         assert_eq!(stage.breaches(), [""; 0]);
-        until(async || stage.status(0).await.held_slots.is_empty()).await;
+        wait_until(async || stage.status(0).await.held_slots.is_empty()).await;
     });
 }
 
 #[test_case("once"; "what must never run twice")]
 #[test_case("jobs"; "what its hall lets stand once")]
-fn a_roll_that_starts_first_still_stops_first(track: &'static str) {
-    story(1, 8, track, async |stage| {
+fn a_roll_that_starts_first_still_stops_first(service_class: &'static str) {
+    story(1, 8, service_class, async |stage| {
         assert!(stage.start_in(0, "v2", 2, true).await.accepted);
-        until_ready(&stage, "v2", 8).await;
+        wait_until_ready(&stage, "v2", 8).await;
         let (_, unready, beside) = stage.ready_now();
         assert!(
             beside == 0 && (1..=2).contains(&unready),
@@ -690,9 +690,9 @@
 #[test_case(VersionFault::FailsAfter(Duration::from_millis(300)); "that gets ready and dies")]
 fn a_bad_version_beside_the_old_one_costs_no_copy(how: VersionFault) {
     story(2, 20, "web", async |stage| {
-        stage.rigs[0].world.inject_version_fault("v2", how);
+        stage.harnesses[0].context.inject_version_fault("v2", how);
         assert!(stage.start_in(0, "v2", 4, true).await.accepted);
-        until(async || {
+        wait_until(async || {
             stage
                 .status(1)
                 .await
@@ -700,14 +700,14 @@
                 .is_some_and(|roll| roll.phase() == Phase::Halted)
         })
         .await;
-        until(async || stage.one_each(20)).await;
+        wait_until(async || stage.one_each(20)).await;
         let (ready, unready, _) = stage.ready_now();
         assert_eq!(
             (ready, unready),
             (BTreeMap::from([(String::new(), 20)]), 0),
             "all old ones run on"
         );
-        until(async || stage.status(0).await.held_slots.is_empty()).await;
+        wait_until(async || stage.status(0).await.held_slots.is_empty()).await;
         assert_eq!(stage.breaches(), [""; 0]);
     });
 }
@@ -717,7 +717,10 @@
 fn no_room_anywhere_for_the_new_copy(start_first: bool) {
     story(1, 12, "web", async |stage| {
         // Nodes that drain take nothing new; what runs there runs on.
-        stage.rigs[0].nodes.iter().for_each(|node| node.drain());
+        stage.harnesses[0]
+            .nodes
+            .iter()
+            .for_each(|node| node.drain());
         assert!(stage.start_in(0, "v2", 3, start_first).await.accepted);
         if start_first {
             let halted = async || {
@@ -727,7 +730,7 @@
                     .rollout
                     .is_some_and(|roll| roll.phase() == Phase::Halted)
             };
-            until(halted).await;
+            wait_until(halted).await;
             let why = stage.status(0).await.rollout.expect("there is one").reason;
             assert!(
                 why.contains("without room") && !why.contains(" 0 without room"),
@@ -737,14 +740,15 @@
         } else {
             let sent_away = |line: &Line| {
                 matches!(
-                    line.seen,
-                    Seen::Heard {
-                        word: capture::Word::SentAway,
+                    line.observation,
+                    Observation::EventReceived {
+                        event: capture::AllocationEvent::Drained,
                         ..
                     }
                 )
             };
-            until(async || stage.lines().iter().filter(|line| sent_away(line)).count() >= 3).await;
+            wait_until(async || stage.lines().iter().filter(|line| sent_away(line)).count() >= 3)
+                .await;
             assert_eq!(
                 stage.ready_now().0,
                 BTreeMap::from([(String::new(), 9)]),
@@ -775,24 +779,24 @@
 fn a_dispatcher_killed_at_this_step_leaves_one_copy_each(start_first: bool, step: Step) {
     story(2, 8, "web", async |mut stage| {
         assert!(stage.start_in(0, "v2", 2, start_first).await.accepted);
-        let is_it = |line: &Line| match (&line.seen, step) {
+        let is_it = |line: &Line| match (&line.observation, step) {
             (
-                Seen::Said {
-                    word: capture::Word::Stopped,
+                Observation::EventSent {
+                    event: capture::AllocationEvent::Stopped,
                     ..
                 },
                 Step::OldStopped,
             ) => true,
             (
-                Seen::Said {
-                    word: capture::Word::Accepted,
-                    placing,
+                Observation::EventSent {
+                    event: capture::AllocationEvent::Accepted,
+                    placement_id,
                     ..
                 },
                 Step::NewAccepted,
-            ) => placing.contains('~'),
+            ) => placement_id.contains('~'),
             (
-                Seen::Ready {
+                Observation::Ready {
                     ready: true,
                     version,
                     ..
@@ -802,19 +806,23 @@
             _ => false,
         };
         match step {
-            Step::Claimed => until(async || !stage.status(0).await.held_slots.is_empty()).await,
-            _ => until(async || stage.lines().iter().any(is_it)).await,
+            Step::Claimed => {
+                wait_until(async || !stage.status(0).await.held_slots.is_empty()).await
+            }
+            _ => wait_until(async || stage.lines().iter().any(is_it)).await,
         }
         // Both at once: whoever did the step is killed with the other.
         for number in [1, 0] {
-            let killed = stage.rigs.remove(number);
-            stage.front.open(number, None);
-            let text = deployment(killed.roster.address, &more(stage.folder.path(), number));
+            let killed = stage.harnesses.remove(number);
+            stage.frontend.set_address(number, None);
+            let text = deployment(killed.discovery.address, &more(stage.folder.path(), number));
             let text = text.replace("(number 0)", &format!("(number {number})"));
             let text = text.replace("(schedulers 1)", "(schedulers 2)");
             let again = killed.kill_and_restart(&text).await;
-            stage.front.open(number, Some(again.address));
-            stage.rigs.insert(number.min(stage.rigs.len()), again);
+            stage.frontend.set_address(number, Some(again.address));
+            stage
+                .harnesses
+                .insert(number.min(stage.harnesses.len()), again);
         }
         let done = async || {
             stage.ready_now().0 == BTreeMap::from([("v2".into(), 8)])
@@ -850,10 +858,10 @@
         store: Some(store),
         ..Layout::default()
     };
-    Rig::run(layout, async |rig| {
-        let stage = Stage::set(rig, folder, 1, 12, "web").await;
+    Harness::run(layout, async |harness| {
+        let stage = Stage::set(harness, folder, 1, 12, "web").await;
         assert!(stage.start_in(0, "v2", 2, start_first).await.accepted);
-        until(async || stage.ready_now().0.contains_key("v2")).await;
+        wait_until(async || stage.ready_now().0.contains_key("v2")).await;
         full.set(true);
         // Nothing is begun. What was begun comes to its end, or stands beside an old copy until
         // there is room.
@@ -861,7 +869,7 @@
         if start_first {
             async_io::Timer::after(Duration::from_millis(2_000)).await;
         } else {
-            until(async || {
+            wait_until(async || {
                 stage.ready_now().0.values().sum::<usize>() == 12 && claims().await.is_empty()
             })
             .await;
@@ -871,8 +879,8 @@
         assert_eq!(stage.ready_now().0, before, "no step without a disk");
         assert!(before["v2"] < 12, "the roll was not over: {before:?}");
         full.set(false);
-        until(async || stage.ready_now().0.get("v2") == Some(&12) && stage.one_each(12)).await;
-        until(async || claims().await.is_empty()).await;
+        wait_until(async || stage.ready_now().0.get("v2") == Some(&12) && stage.one_each(12)).await;
+        wait_until(async || claims().await.is_empty()).await;
         assert_eq!(stage.breaches(), [""; 0]);
     });
 }
--- a/crates/testbed/tests/full_path/traffic.rs
+++ b/crates/testbed/tests/full_path/traffic.rs
@@ -8,10 +8,10 @@
 };
 use corkspan_rpc::{Bounds, Link};
 use corkspan_testbed::control_service::ControlService;
-use corkspan_testbed::fault_proxies::Wires;
+use corkspan_testbed::fault_proxies::FaultProxies;
 use corkspan_testbed::relay::Relay;
 use corkspan_testbed::scenario::LinkPeer;
-use corkspan_testbed::traffic::{Difference, differences, of, seen};
+use corkspan_testbed::traffic::{Difference, differences, relay_traffic, traffic_of};
 use std::net::SocketAddr;
 use std::time::Duration;
 use test_case::test_case;
@@ -19,9 +19,9 @@
 const KEEPERS: [u32; 3] = [0, 3, 4];
 
 struct Stage {
-    rig: Rig,
+    harness: Harness,
     control: ControlService,
-    wires: Wires,
+    proxies: FaultProxies,
     /// Listings that the dispatcher's former life was told.
     told: u64,
 }
@@ -33,9 +33,9 @@
     async fn differences(&self) -> (Vec<Difference>, Vec<v1::ConnectionTraffic>) {
         let mut last = (Vec::new(), Vec::new());
         for _ in 0..400 {
-            let before = seen(&self.wires, 0);
-            let told = self.rig.status().await.connection_traffic;
-            let quiet = seen(&self.wires, 0) == before;
+            let before = relay_traffic(&self.proxies, 0);
+            let told = self.harness.status().await.connection_traffic;
+            let quiet = relay_traffic(&self.proxies, 0) == before;
             last = (differences(&told, &before), told);
             if quiet && last.0.is_empty() {
                 break;
@@ -49,32 +49,34 @@
 /// A dispatcher whose links all run through relays, but for that to the control service where
 /// `past` is set.
 fn story<F: Future<Output = ()>>(past: bool, story: impl FnOnce(Stage) -> F) {
-    Rig::run(
+    Harness::run(
         Layout {
             nodes: 5,
             ..Layout::default()
         },
-        async |rig| {
+        async |harness| {
             let folder = tempfile::tempdir().expect("a folder");
-            let (control, _up) = ControlService::start(&rig.world).await.expect("a port");
-            let listed: Vec<(u32, SocketAddr)> = rig
+            let (control, _up) = ControlService::start(&harness.context)
+                .await
+                .expect("a port");
+            let listed: Vec<(u32, SocketAddr)> = harness
                 .nodes
                 .iter()
                 .map(|node| {
-                    let entry = rig.roster.endpoint(node.config.id).expect("listed");
+                    let entry = harness.discovery.endpoint(node.config.id).expect("listed");
                     (node.config.id, entry.address.parse().expect("an address"))
                 })
                 .collect();
-            let wires = Wires::up(
-                &rig.tasks,
+            let proxies = FaultProxies::start(
+                &harness.tasks,
                 1,
-                &rig.roster,
+                &harness.discovery,
                 Some(control.address),
                 &listed,
                 &KEEPERS,
             );
-            let wires = wires.await.expect("ports");
-            let way = |end| wires.address(0, end).expect("a relay");
+            let proxies = proxies.await.expect("ports");
+            let way = |end| proxies.address(0, end).expect("a relay");
             let service = if past {
                 control.address
             } else {
@@ -82,23 +84,25 @@
             };
             let kept = folder.path().join("versions.json");
             let more = format!("(keepers 0 3 4) (control \"{service}\") (versions {kept:?})");
-            let told = rig.roster.lists_sent(0);
-            let rig = rig
+            let told = harness.discovery.lists_sent(0);
+            let harness = harness
                 .kill_and_restart(&deployment(way(LinkPeer::Roster), &more))
                 .await;
-            rig.until_serving(5).await;
-            until(async || control.opened() == 1).await;
+            harness.wait_until_serving(5).await;
+            wait_until(async || control.opened() == 1).await;
             let mut calls = Vec::new();
             for task in 0..30 {
-                let mut words = rig.ask(ask(&format!("t{task}"), "web")).await;
+                let mut words = harness
+                    .request_placement(placement_request(&format!("t{task}"), "web"))
+                    .await;
                 placed(&mut words).await;
                 calls.push(words);
             }
             drop(calls);
             story(Stage {
-                rig,
+                harness,
                 control,
-                wires,
+                proxies,
                 told,
             })
             .await;
@@ -111,27 +115,27 @@
     story(false, async |stage| {
         // One that is placed costs its offer and its stop, and a link its greeting: to three
         // keepers and a node at least.
-        until(async || {
-            let told = stage.rig.status().await.connection_traffic;
-            let sent = |kind| of(&told, kind).messages_out;
+        wait_until(async || {
+            let told = stage.harness.status().await.connection_traffic;
+            let sent = |kind| traffic_of(&told, kind).messages_out;
             sent(Kind::Nodes) + sent(Kind::Keepers) >= 2 * 30 + 4
         })
         .await;
         let (differ, told) = stage.differences().await;
         assert_eq!(differ, []);
         for kind in [Kind::Roster, Kind::Control, Kind::Keepers, Kind::Nodes] {
-            let count = of(&told, kind);
+            let count = traffic_of(&told, kind);
             assert!(
                 count.bytes_in > 0 && count.bytes_out > 0,
                 "{kind:?}: {count:?}"
             );
         }
-        let roster = of(&told, Kind::Roster);
+        let discovery = traffic_of(&told, Kind::Roster);
         assert_eq!(
-            (roster.messages_in, roster.messages_out),
-            (stage.rig.roster.lists_sent(0) - stage.told, 1)
+            (discovery.messages_in, discovery.messages_out),
+            (stage.harness.discovery.lists_sent(0) - stage.told, 1)
         );
-        let control = of(&told, Kind::Control);
+        let control = traffic_of(&told, Kind::Control);
         assert_eq!(control.messages_out as usize, stage.control.replies().len());
         assert_eq!(control.messages_in as usize, stage.control.pushes().len());
     });
@@ -142,7 +146,7 @@
     story(true, async |stage| {
         let (differ, _) = stage.differences().await;
         assert_eq!(
-            differ.iter().map(|other| other.end).collect::<Vec<_>>(),
+            differ.iter().map(|other| other.peer).collect::<Vec<_>>(),
             [LinkPeer::Control]
         );
     });
@@ -165,9 +169,9 @@
     assert_eq!(
         found,
         [Difference {
-            end: LinkPeer::Nodes,
-            told: [7, 9],
-            seen: passed
+            peer: LinkPeer::Nodes,
+            reported: [7, 9],
+            observed: passed
         }]
     );
 }
@@ -177,20 +181,24 @@
 #[test]
 fn links_from_owners_and_from_dispatchers_are_counted_apart() {
     // Without a list nobody has asked it for its status yet.
-    Rig::run(
+    Harness::run(
         Layout {
-            roster_away: true,
+            discovery_unavailable: true,
             ..Layout::default()
         },
-        async |rig| {
-            let owner = Relay::up(&rig.tasks, rig.address).await.expect("a port");
-            let peer = Relay::up(&rig.tasks, rig.address).await.expect("a port");
+        async |harness| {
+            let owner = Relay::start(&harness.tasks, harness.address)
+                .await
+                .expect("a port");
+            let peer = Relay::start(&harness.tasks, harness.address)
+                .await
+                .expect("a port");
             let open = async |relay: &Relay| {
                 let bounds = Bounds {
                     connect_within: PATIENCE,
                     ..Bounds::default()
                 };
-                Link::open(&rig.tasks, relay.address, &bounds)
+                Link::open(&harness.tasks, relay.address, &bounds)
                     .await
                     .expect("it listens")
             };
@@ -210,7 +218,7 @@
             let mut client = PlacementClient::new(open(&owner).await);
             let (mut told, mut between) = (Vec::new(), false);
             for _ in 0..400 {
-                let before = owner.passed();
+                let before = owner.bytes_passed();
                 told = client
                     .status(v1::StatusRequest {})
                     .await
@@ -218,15 +226,15 @@
                     .into_inner()
                     .connection_traffic;
                 let (after, own, others) = (
-                    owner.passed(),
-                    of(&told, Kind::Owners),
-                    of(&told, Kind::Dispatchers),
+                    owner.bytes_passed(),
+                    traffic_of(&told, Kind::Owners),
+                    traffic_of(&told, Kind::Dispatchers),
                 );
                 // As the relay sees it, in is to who opened: to the owner. The status itself is
                 // under way as it is counted, so owners' counts lie between what
                 // had passed before it and after; the other link is still.
                 let lies = |told, way: usize| before[way] <= told && told <= after[way];
-                let still = [others.bytes_out, others.bytes_in] == peer.passed();
+                let still = [others.bytes_out, others.bytes_in] == peer.bytes_passed();
                 between = still && lies(own.bytes_in, 1) && lies(own.bytes_out, 0);
                 if between {
                     break;
@@ -236,10 +244,10 @@
             assert!(
                 between,
                 "{told:?}, {:?}, {:?}",
-                owner.passed(),
-                peer.passed()
+                owner.bytes_passed(),
+                peer.bytes_passed()
             );
-            assert_eq!(of(&told, Kind::Dispatchers).messages_in, 3);
+            assert_eq!(traffic_of(&told, Kind::Dispatchers).messages_in, 3);
         },
     );
 }
--- a/crates/testbed/tests/full_path/versions.rs
+++ b/crates/testbed/tests/full_path/versions.rs
@@ -19,7 +19,7 @@
 
 /// A rig whose dispatcher takes its versions from a control service.
 struct Stage {
-    rig: Rig,
+    harness: Harness,
     control: ControlService,
     up: Option<ControlServiceGuard>,
     folder: tempfile::TempDir,
@@ -34,19 +34,21 @@
 }
 
 fn story<F: Future<Output = ()>>(story: impl FnOnce(Stage) -> F) {
-    Rig::run(Layout::default(), async |rig| {
+    Harness::run(Layout::default(), async |harness| {
         let folder = tempfile::tempdir().expect("a folder");
-        let (control, up) = ControlService::start(&rig.world).await.expect("a port");
-        let text = deployment(rig.roster.address, &more(&control, folder.path()));
-        let rig = rig.kill_and_restart(&text).await;
-        rig.until_serving(2).await;
+        let (control, up) = ControlService::start(&harness.context)
+            .await
+            .expect("a port");
+        let text = deployment(harness.discovery.address, &more(&control, folder.path()));
+        let harness = harness.kill_and_restart(&text).await;
+        harness.wait_until_serving(2).await;
         let stage = Stage {
-            rig,
+            harness,
             control,
             up: Some(up),
             folder,
         };
-        until(async || stage.control.opened() == 1).await;
+        wait_until(async || stage.control.opened() == 1).await;
         story(stage).await;
     });
 }
@@ -54,7 +56,7 @@
 impl Stage {
     fn file(&self) -> String {
         deployment(
-            self.rig.roster.address,
+            self.harness.discovery.address,
             &more(&self.control, self.folder.path()),
         )
     }
@@ -88,7 +90,7 @@
             connect_within: PATIENCE,
             ..Bounds::default()
         };
-        let link = Link::open(&self.rig.tasks, self.rig.address, &bounds)
+        let link = Link::open(&self.harness.tasks, self.harness.address, &bounds)
             .await
             .expect("it listens");
         VersionsClient::new(link)
@@ -106,19 +108,22 @@
     }
 
     async fn until_in_force(&self, stamp: VersionId) {
-        until(async || self.in_force().await == stamp.number).await;
+        wait_until(async || self.in_force().await == stamp.number).await;
     }
 
     /// The reply to a push put on the stream as it is.
     async fn reply(&self, push: &VersionPush) -> v1::PushReply {
         assert!(self.control.send(0, push_message(push)), "a stream stands");
-        until(async || self.control.reply_to(push.nonce).is_some()).await;
+        wait_until(async || self.control.reply_to(push.nonce).is_some()).await;
         self.control.reply_to(push.nonce).expect("it is there")
     }
 
     /// Whether asks of this track are taken.
     async fn knows(&self, track: &str, task: &str) -> bool {
-        let mut words = self.rig.ask(ask(task, track)).await;
+        let mut words = self
+            .harness
+            .request_placement(placement_request(task, track))
+            .await;
         match next(&mut words).await {
             Some(Event::Placed(_)) => true,
             Some(Event::Rejected(refused)) if refused.reason() == RejectionReason::BadAsk => false,
@@ -128,8 +133,8 @@
 
     async fn restart(self) -> Stage {
         let text = self.file();
-        let rig = self.rig.kill_and_restart(&text).await;
-        Stage { rig, ..self }
+        let harness = self.harness.kill_and_restart(&text).await;
+        Stage { harness, ..self }
     }
 }
 
@@ -157,7 +162,7 @@
         let one = stage.control.publish(stage.with_tracks(&["extra"]), false);
         stage.until_in_force(one).await;
         assert!(stage.knows("extra", "b").await);
-        until(async || stage.control.running(0) == Some(one)).await;
+        wait_until(async || stage.control.running(0) == Some(one)).await;
         let two = stage
             .control
             .publish(stage.with_tracks(&["extra", "other"]), false);
@@ -266,10 +271,13 @@
     story(async |stage| {
         let one = stage.control.publish(stage.with_tracks(&["extra"]), false);
         stage.until_in_force(one).await;
-        let mut words = stage.rig.ask(ask("held", "extra")).await;
+        let mut words = stage
+            .harness
+            .request_placement(placement_request("held", "extra"))
+            .await;
         placed(&mut words).await;
         let gone = stage.control.publish(stage.texts("(shots 4)"), true);
-        until(async || stage.status().await.rejected == 1).await;
+        wait_until(async || stage.status().await.rejected == 1).await;
         let status = stage.status().await;
         assert_eq!(
             status
@@ -290,11 +298,14 @@
         );
         let small = stage.control.publish(small, true);
         stage.until_in_force(small).await;
-        let mut more = stage.rig.ask(ask("more", "extra")).await;
+        let mut more = stage
+            .harness
+            .request_placement(placement_request("more", "extra"))
+            .await;
         placed(&mut more).await;
-        assert_eq!(stage.rig.status().await.running, 2, "both run");
+        assert_eq!(stage.harness.status().await.running, 2, "both run");
         drop((words, more));
-        until(async || stage.rig.status().await.in_flight == 0).await;
+        wait_until(async || stage.harness.status().await.in_flight == 0).await;
         let gone = stage.control.publish(stage.texts("(shots 4)"), true);
         stage.until_in_force(gone).await;
         assert!(!stage.knows("extra", "late").await);
@@ -308,9 +319,9 @@
             .file()
             .replace("(control ", "(control \"127.0.0.1:1\" ");
         let opened = stage.control.opened();
-        let rig = stage.rig.kill_and_restart(&text).await;
-        let stage = Stage { rig, ..stage };
-        until(async || stage.control.opened() > opened).await;
+        let harness = stage.harness.kill_and_restart(&text).await;
+        let stage = Stage { harness, ..stage };
+        wait_until(async || stage.control.opened() > opened).await;
         let one = stage.control.publish(stage.with_tracks(&["extra"]), false);
         stage.until_in_force(one).await;
     });
@@ -322,7 +333,7 @@
         let one = stage.control.publish(stage.with_tracks(&["extra"]), false);
         stage.until_in_force(one).await;
         drop(stage.up.take());
-        until(async || stage.status().await.control_service.is_empty()).await;
+        wait_until(async || stage.status().await.control_service.is_empty()).await;
         assert!(stage.knows("extra", "a").await);
         let two = stage
             .control
@@ -330,7 +341,7 @@
         stage.up = Some(
             stage
                 .control
-                .restart(&stage.rig.world)
+                .restart(&stage.harness.context)
                 .await
                 .expect("its port"),
         );
@@ -366,7 +377,7 @@
         let two = stage.control.publish(large.clone(), false);
         // Its links are cut with it, wherever in the message they are.
         drop(stage.up.take());
-        until(async || stage.status().await.control_service.is_empty()).await;
+        wait_until(async || stage.status().await.control_service.is_empty()).await;
         let status = stage.status().await;
         let whole = SharedParts::parse("in force", &status.text)
             .expect("sound")
@@ -381,7 +392,7 @@
         stage.up = Some(
             stage
                 .control
-                .restart(&stage.rig.world)
+                .restart(&stage.harness.context)
                 .await
                 .expect("its port"),
         );
@@ -401,7 +412,7 @@
         drop(stage.up.take());
         let stage = stage.restart().await;
         assert_eq!(stage.in_force().await, two.number);
-        stage.rig.until_serving(2).await;
+        stage.harness.wait_until_serving(2).await;
         assert!(stage.knows("two", "a").await);
         // The start counted itself, so two files say two; torn, the one before does; both torn, the
         // file does.
@@ -435,7 +446,7 @@
         stage
             .control
             .publish(stage.with_tracks(&["one", "two"]), false);
-        until(async || stage.status().await.rejected == 1).await;
+        wait_until(async || stage.status().await.rejected == 1).await;
         assert!(stage.status().await.reasons[0].contains("can't be kept on disk"));
         assert!(stage.knows("one", "a").await && !stage.knows("two", "b").await);
         if full {
@@ -457,12 +468,12 @@
         for number in 0..60 {
             assert!(stage.knows("web", &format!("before-{number}")).await);
         }
-        until(async || stage.rig.status().await.in_flight == 0).await;
+        wait_until(async || stage.harness.status().await.in_flight == 0).await;
         let texts = stage.texts("(tracks (jobs (repeat idempotent) (contract-time 1 s)))");
         let bad = stage.control.publish(texts.clone(), true);
         stage.until_in_force(bad).await;
         let mut number = 0;
-        until(async || {
+        wait_until(async || {
             number += 1;
             let _ = stage.knows("web", &format!("during-{number}")).await;
             stage.in_force().await == 0
@@ -474,7 +485,7 @@
         );
         assert!(stage.knows("web", "after").await);
         let gave_up = |told: &v1::PushReply| told.answer() == Answer::RolledBack;
-        until(async || {
+        wait_until(async || {
             stage
                 .control
                 .replies()
@@ -506,13 +517,13 @@
     story(async |stage| {
         let closed = stage.texts("(allow \"10.0.0.0/8\")");
         let closed = stage.control.publish(closed, false);
-        until(async || stage.control.running(0) == Some(closed)).await;
+        wait_until(async || stage.control.running(0) == Some(closed)).await;
         let bounds = Bounds {
             connect_within: Duration::from_secs(2),
             ..Bounds::default()
         };
         let call = async {
-            let link = Link::open(&stage.rig.tasks, stage.rig.address, &bounds)
+            let link = Link::open(&stage.harness.tasks, stage.harness.address, &bounds)
                 .await
                 .ok()?;
             VersionsClient::new(link)
@@ -524,7 +535,7 @@
         let open = stage
             .control
             .publish(stage.texts("(allow \"127.0.0.0/8\")"), false);
-        until(async || stage.control.running(0) == Some(open)).await;
+        wait_until(async || stage.control.running(0) == Some(open)).await;
         stage.until_in_force(open).await;
     });
 }
--- a/crates/testbed/tests/relay.rs
+++ b/crates/testbed/tests/relay.rs
@@ -2,7 +2,7 @@
 
 use async_net::{TcpListener, TcpStream};
 use corkspan_rpc::{Tasks, within};
-use corkspan_testbed::relay::{Relay, Way};
+use corkspan_testbed::relay::{Direction, Relay};
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
 use std::time::{Duration, Instant};
 use test_case::test_case;
@@ -23,7 +23,7 @@
     let tasks = Tasks::default();
     let whole = async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let relay = Relay::up(&tasks, listener.local_addr().expect("bound"))
+        let relay = Relay::start(&tasks, listener.local_addr().expect("bound"))
             .await
             .expect("a port");
         let opener = TcpStream::connect(relay.address).await.expect("it listens");
@@ -48,10 +48,10 @@
     }
 }
 
-#[test_case(&[Way::In]; "only what comes back")]
-#[test_case(&[Way::Out]; "only what is sent")]
-#[test_case(&[Way::In, Way::Out]; "both")]
-fn a_way_that_is_held_is_silent_and_tells_all_when_it_is_healed(ways: &[Way]) {
+#[test_case(&[Direction::In]; "only what comes back")]
+#[test_case(&[Direction::Out]; "only what is sent")]
+#[test_case(&[Direction::In, Direction::Out]; "both")]
+fn a_way_that_is_held_is_silent_and_tells_all_when_it_is_healed(ways: &[Direction]) {
     story(async |mut link| {
         link.relay.hold(ways);
         link.opener.write_all(b"o").await.expect("taken");
@@ -60,7 +60,10 @@
         let back = within(A_WHILE, hears(&mut link.opener)).await;
         assert_eq!(
             (out.is_none(), back.is_none()),
-            (ways.contains(&Way::Out), ways.contains(&Way::In))
+            (
+                ways.contains(&Direction::Out),
+                ways.contains(&Direction::In)
+            )
         );
         link.relay.heal();
         let out = match out {
@@ -78,7 +81,7 @@
 #[test]
 fn new_links_alone_are_held_while_one_that_stands_goes_on() {
     story(async |mut link| {
-        link.relay.hold_new();
+        link.relay.hold_new_connections();
         let mut late = TcpStream::connect(link.relay.address)
             .await
             .expect("the relay itself is there");
@@ -95,7 +98,7 @@
 #[test]
 fn a_reset_ends_both_sides_of_all_links_and_new_ones_stand() {
     story(async |mut link| {
-        link.relay.hold(&[Way::In, Way::Out]);
+        link.relay.hold(&[Direction::In, Direction::Out]);
         link.relay.reset();
         assert_eq!(
             (hears(&mut link.opener).await, hears(&mut link.other).await),
@@ -115,7 +118,7 @@
 #[test]
 fn what_is_delayed_comes_late_and_whole() {
     story(async |mut link| {
-        link.relay.delay(&[Way::Out], A_WHILE);
+        link.relay.delay(&[Direction::Out], A_WHILE);
         let since = Instant::now();
         link.opener.write_all(b"d").await.expect("taken");
         assert_eq!(hears(&mut link.other).await, Some(b'd'));
--- a/crates/testbed/tests/scenario_files.rs
+++ b/crates/testbed/tests/scenario_files.rs
@@ -1,7 +1,7 @@
 //! Day scripts as users have written them: each keyword is read as before, and an unknown one is
 //! refused with the same message and place (`tests/data/days`).
 
-use corkspan_testbed::relay::Way;
+use corkspan_testbed::relay::Direction;
 use corkspan_testbed::scenario::{FAULT_KINDS, LINK_PEERS, LinkPeer, Scenario};
 use std::fmt::Write;
 use std::time::Duration;
@@ -14,26 +14,29 @@
 }
 
 /// A day as lines of text, in the words of the scripts.
-fn described(day: &Scenario) -> String {
+fn described(scenario: &Scenario) -> String {
     let mut out = String::new();
     let millis = |time: Duration| format!("{} ms", time.as_millis());
     let mut line = |name: &str, value: String| writeln!(out, "{name}: {value}").expect("a string");
-    line("length", millis(day.length));
-    line("dispatchers", day.dispatchers.to_string());
+    line("length", millis(scenario.length));
+    line("dispatchers", scenario.dispatchers.to_string());
     line(
         "hollow",
-        format!("{}, {} a process", day.hollow, day.per_process),
+        format!("{}, {} a process", scenario.hollow, scenario.per_process),
     );
-    line("nodes", day.nodes.to_string());
-    line("zones", format!("{:?}", day.failure_domains));
-    line("room", format!("{:?}", day.capacity_interval.map(millis)));
-    line("rate", day.rate.to_string());
-    line("deduplicated", day.deduplicated.to_string());
-    line("unrepeatable", day.unrepeatable.to_string());
-    line("cancels", day.cancels.to_string());
-    line("life", millis(day.mean_lifetime));
-    line("copies", day.replicas.to_string());
-    let roll = day.rollout.map(|roll| {
+    line("nodes", scenario.nodes.to_string());
+    line("zones", format!("{:?}", scenario.failure_domains));
+    line(
+        "room",
+        format!("{:?}", scenario.capacity_interval.map(millis)),
+    );
+    line("rate", scenario.rate.to_string());
+    line("deduplicated", scenario.deduplicated.to_string());
+    line("unrepeatable", scenario.unrepeatable.to_string());
+    line("cancels", scenario.cancels.to_string());
+    line("life", millis(scenario.mean_lifetime));
+    line("copies", scenario.replicas.to_string());
+    let roll = scenario.rollout.map(|roll| {
         let (at, ready_for) = (millis(roll.at), millis(roll.min_ready));
         format!(
             "at {at}, unready-most {}, ready-for {ready_for}, start-first {}",
@@ -43,11 +46,14 @@
     line("roll", format!("{roll:?}"));
     line(
         "versions",
-        format!("{:?}", day.version_interval.map(millis)),
+        format!("{:?}", scenario.version_interval.map(millis)),
     );
-    line("floor", format!("{:?}", day.minimum_version_at.map(millis)));
-    line("audit", day.audit.to_string());
-    let maintenance = day.maintenance.map(|work| {
+    line(
+        "floor",
+        format!("{:?}", scenario.minimum_version_at.map(millis)),
+    );
+    line("audit", scenario.audit.to_string());
+    let maintenance = scenario.maintenance.map(|work| {
         let (at, takes) = (millis(work.at), millis(work.work_duration));
         format!(
             "at {at}, at-a-time {}, by-hall {}, takes {takes}",
@@ -55,7 +61,7 @@
         )
     });
     line("maintenance", format!("{maintenance:?}"));
-    for trouble in &day.faults {
+    for trouble in &scenario.faults {
         let name = FAULT_KINDS
             .iter()
             .find(|(_, kind)| *kind == trouble.kind)
@@ -91,10 +97,10 @@
         .0
 }
 
-fn way_name(way: Way) -> &'static str {
+fn way_name(way: Direction) -> &'static str {
     match way {
-        Way::In => "in",
-        Way::Out => "out",
+        Direction::In => "in",
+        Direction::Out => "out",
     }
 }
 
@@ -116,22 +122,25 @@
 
 #[test]
 fn each_keyword_is_read_as_before() {
-    let day = read("every-keyword", EVERY_KEYWORD);
+    let scenario = read("every-keyword", EVERY_KEYWORD);
     let hollow = read("hollow", HOLLOW);
-    let got = format!("{}\n{}", described(&day), described(&hollow));
+    let got = format!("{}\n{}", described(&scenario), described(&hollow));
     compare("read.txt", &got, include_str!("data/days/read.txt"));
 }
 
 /// The script above leaves out none that is known.
 #[test]
 fn the_script_uses_every_kind_of_fault_and_every_end() {
-    let day = read("every-keyword", EVERY_KEYWORD);
+    let scenario = read("every-keyword", EVERY_KEYWORD);
     for (name, kind) in FAULT_KINDS {
-        let uses = day.faults.iter().filter(|trouble| trouble.kind == kind);
+        let uses = scenario
+            .faults
+            .iter()
+            .filter(|trouble| trouble.kind == kind);
         assert_eq!(uses.count(), 1, "{name}");
     }
     for (name, end) in LINK_PEERS {
-        assert!(day.affects(end), "{name}");
+        assert!(scenario.affects(end), "{name}");
     }
 }
 
--- a/crates/testbed/tests/scenarios.rs
+++ b/crates/testbed/tests/scenarios.rs
@@ -1,11 +1,11 @@
 //! Whole days through real dispatchers, each a process of its own.
 
-use corkspan_testbed::capture::{Line, Seen};
-use corkspan_testbed::checker::judge;
+use corkspan_testbed::capture::{Line, Observation};
+use corkspan_testbed::checker::check;
 use corkspan_testbed::process::Programs;
-use corkspan_testbed::runner::Play;
+use corkspan_testbed::runner::ScenarioRun;
 use corkspan_testbed::scenario::{BUILT_IN, SHORT, Scenario};
-use corkspan_testbed::summary::Table;
+use corkspan_testbed::summary::Summary;
 use std::sync::{PoisonError, RwLock};
 use test_case::test_case;
 
@@ -13,20 +13,20 @@
 /// tenth of a second.
 static ALONE: RwLock<()> = RwLock::new(());
 
-fn play(script: &str, seed: u64, tell: fn(String) -> String) -> Vec<Line> {
+fn play(script: &str, seed: u64, rewrite_deployment: fn(String) -> String) -> Vec<Line> {
     let _others = ALONE.read().unwrap_or_else(PoisonError::into_inner);
-    play_here(script, seed, tell)
+    play_here(script, seed, rewrite_deployment)
 }
 
-fn play_here(script: &str, seed: u64, tell: fn(String) -> String) -> Vec<Line> {
-    let day = Scenario::read("day", script).unwrap_or_else(|why| panic!("{why}"));
-    let programs = Programs::of(env!("CARGO_BIN_EXE_corkspan-testbed").as_ref());
-    let played = Play {
-        day,
+fn play_here(script: &str, seed: u64, rewrite_deployment: fn(String) -> String) -> Vec<Line> {
+    let scenario = Scenario::read("day", script).unwrap_or_else(|why| panic!("{why}"));
+    let programs = Programs::with_binary(env!("CARGO_BIN_EXE_corkspan-testbed").as_ref());
+    let played = ScenarioRun {
+        scenario,
         seed,
         programs,
         capture: None,
-        tell,
+        rewrite_deployment,
         logs: None,
     }
     .run();
@@ -34,7 +34,7 @@
 }
 
 fn broken(lines: &[Line]) -> Vec<u8> {
-    let mut rules: Vec<u8> = judge(lines)
+    let mut rules: Vec<u8> = check(lines)
         .expect("readable")
         .iter()
         .map(|breach| breach.rule)
@@ -47,14 +47,14 @@
 fn the_short_day_keeps_the_rules() {
     let lines = play(SHORT, 1, |text| text);
     assert_eq!(broken(&lines), [0; 0]);
-    let table = Table::of(&lines);
+    let summary = Summary::of(&lines);
     assert!(
-        table.first_asks > 200 && table.placed > 200 && table.probes > 10,
-        "{table}"
+        summary.tasks > 200 && summary.placed > 200 && summary.health_checks > 10,
+        "{summary}"
     );
     assert_eq!(
-        table.asked,
-        table.placed + table.refused + table.failed + table.cancelled + table.unanswered
+        summary.requested,
+        summary.placed + summary.rejected + summary.failed + summary.cancelled + summary.unanswered
     );
 }
 
@@ -63,16 +63,19 @@
 fn dispatchers_that_are_cut_off_held_up_and_out_of_disk_keep_the_rules_while_versions_come() {
     let lines = play(include_str!("../days/cuts.sexp"), 1, |text| text);
     assert_eq!(broken(&lines), [0; 0]);
-    let table = Table::of(&lines);
-    assert!(table.placed > 500, "{table}");
-    let newest = lines.iter().filter_map(|line| match line.seen {
-        Seen::Offered { decided, .. } => Some(decided),
+    let summary = Summary::of(&lines);
+    assert!(summary.placed > 500, "{summary}");
+    let newest = lines.iter().filter_map(|line| match line.observation {
+        Observation::Offered { decided, .. } => Some(decided),
         _ => None,
     });
     assert!(newest.max() >= Some(5), "versions came, and were acted on");
-    let struck = lines
-        .iter()
-        .filter(|line| matches!(line.seen, Seen::Wires { struck: true, .. }));
+    let struck = lines.iter().filter(|line| {
+        matches!(
+            line.observation,
+            Observation::ConnectionFault { struck: true, .. }
+        )
+    });
     assert!(struck.count() >= 12);
 }
 
@@ -80,7 +83,7 @@
 fn all_machines_have_their_work_within_the_limits_whoever_is_cut_killed_or_stands_still() {
     let lines = play(include_str!("../days/work-short.sexp"), 1, |text| text);
     assert_eq!(broken(&lines), [0; 0]);
-    let work = Table::of(&lines)
+    let work = Summary::of(&lines)
         .maintenance
         .expect("machines were taken out");
     // The other two are keepers, and stay.
@@ -156,19 +159,19 @@
     let _alone = ALONE.write().unwrap_or_else(PoisonError::into_inner);
     let mut lines = play_here(CROWDED, 1, |text| text);
     assert!(
-        Table::of(&lines).refused > 50,
+        Summary::of(&lines).rejected > 50,
         "many are refused at the end of their time"
     );
     // Without its excuse: the judge is not told that it stood still.
-    let excuse = |line: &Line| matches!(line.seen, Seen::Dispatcher { .. });
+    let excuse = |line: &Line| matches!(line.observation, Observation::Dispatcher { .. });
     lines.retain(|line| !excuse(line));
     assert_eq!(broken(&lines), [0; 0]);
 }
 
 #[test]
 fn the_built_in_days_are_sound_scripts() {
-    let day = Scenario::read("built-in", BUILT_IN).expect("sound");
-    assert!(day.rate * day.length.as_secs_f64() > 2_000.0 && day.faults.len() >= 6);
+    let scenario = Scenario::read("built-in", BUILT_IN).expect("sound");
+    assert!(scenario.rate * scenario.length.as_secs_f64() > 2_000.0 && scenario.faults.len() >= 6);
     Scenario::read("short", SHORT).expect("sound");
 }
 
--- a/crates/testbed/tests/stand_in_node.rs
+++ b/crates/testbed/tests/stand_in_node.rs
@@ -12,7 +12,7 @@
 use corkspan_rpc::{Bounds, Link, Tasks};
 use corkspan_scheduler::interface::Resources;
 use corkspan_testbed::capture::{Capture, NodeState};
-use corkspan_testbed::node::{Node, NodeConfig, SlowStart, World};
+use corkspan_testbed::node::{Node, NodeConfig, SharedContext, SlowStart};
 use futures_lite::{StreamExt, future};
 use prost::Message;
 use prost::bytes::{Buf, BufMut};
@@ -126,8 +126,8 @@
 impl Conversation {
     async fn begin(tasks: &Tasks) -> Conversation {
         let capture = Capture::new(None).expect("no file, no failure");
-        let world = World::new(capture, tasks, Some("jobs".into()));
-        let node = Node::new(config(), &world);
+        let context = SharedContext::new(capture, tasks, Some("jobs".into()));
+        let node = Node::new(config(), &context);
         let link = Conversation::connect(tasks, &node).await;
         let tasks = Arc::clone(tasks);
         Conversation { tasks, node, link }
