--- a/crates/lab/tests/stand_in_node.rs
+++ b/crates/testbed/tests/stand_in_node.rs
@@ -9,10 +9,10 @@
 //! reports beside other news, and how long a cordon has been as it is.
 
 use corkspan_api::v1;
-use corkspan_lab::capture::{Capture, NodeState};
-use corkspan_lab::node::{Node, NodeConfig, SlowStart, World};
 use corkspan_rpc::{Connection, ConnectionLimits, SharedExecutor};
 use corkspan_scheduler::interface::Resources;
+use corkspan_testbed::capture::{Capture, NodeState};
+use corkspan_testbed::node::{Node, NodeConfig, SharedContext, SlowStart};
 use futures_lite::{StreamExt, future};
 use prost::Message;
 use prost::bytes::{Buf, BufMut};
@@ -126,8 +126,8 @@
 impl Conversation {
     async fn begin(tasks: &SharedExecutor) -> Conversation {
         let capture = Capture::new(None).expect("no file, no failure");
-        let world = World::new(capture, tasks, Some("jobs".into()));
-        let node = Node::new(config(), &world);
+        let context = SharedContext::new(capture, tasks, Some("jobs".into()));
+        let node = Node::new(config(), &context);
         let link = Conversation::connect(tasks, &node).await;
         let tasks = Arc::clone(tasks);
         Conversation { tasks, node, link }
