--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -5,7 +5,7 @@
 use crate::message::Message;
 use crate::reply::ReplyLines;
 use crate::session::Page;
-use corkspan_engine::{AllocationRequest, Engine, RetryBatch, Return, service_id};
+use corkspan_engine::{AllocationRequest, Engine, RetryBatch, ReturnedAttempt, service_id};
 use corkspan_scheduler::interface::*;
 use corkspan_settings::{Settings, ticks_from_us};
 
@@ -53,7 +53,7 @@
             "SEATED" => {
                 let attempt = message.get("leg")?;
                 if let Some(id) = self.find(message)? {
-                    self.engine.placed(now, id, attempt, reply);
+                    self.engine.attempt_placed(now, id, attempt, reply);
                 }
             }
             "RETURNED" => self.returned(now, message, reply)?,
@@ -93,20 +93,20 @@
         let attempt: usize = message.get("leg")?;
         let ending = decode::ending(message)?;
         let reason = decode::reason(message)?;
-        let over = message.get_or("final", 0u8)? == 1;
+        let finished = message.get_or("final", 0u8)? == 1;
         let report = decode::load_report(message)?;
         let Some(id) = self.find(message)? else {
             return Ok(());
         };
         let engine = &mut self.engine;
-        match engine.returned(
+        match engine.attempt_returned(
             now,
             id,
             attempt,
-            Return {
+            ReturnedAttempt {
                 ending,
                 reason,
-                over,
+                finished,
                 report,
             },
             reply,
