--- a/crates/scheduler/src/interface/endpoints.rs
+++ b/crates/scheduler/src/interface/endpoints.rs
@@ -35,8 +35,8 @@
 impl Endpoint {
     /// Which domain of this kind it belongs to.
     #[must_use]
-    pub fn domain(&self, kind: Domain) -> u64 {
-        match kind {
+    pub fn domain(&self, domain: Domain) -> u64 {
+        match domain {
             Domain::Machine => u64::from(self.machine.0),
             Domain::Cell => self.cell.0,
             Domain::Zone => self.zone.0 as u64,
--- a/crates/scheduler/src/interface/resources.rs
+++ b/crates/scheduler/src/interface/resources.rs
@@ -65,16 +65,16 @@
 
 impl Mul<f64> for Resources {
     type Output = Resources;
-    fn mul(self, times: f64) -> Resources {
+    fn mul(self, factor: f64) -> Resources {
         Resources {
-            cores: self.cores * times,
-            memory: self.memory * times,
+            cores: self.cores * factor,
+            memory: self.memory * factor,
         }
     }
 }
 
 impl Sum for Resources {
-    fn sum<I: Iterator<Item = Resources>>(all: I) -> Resources {
-        all.fold(Resources::default(), |sum, each| sum + each)
+    fn sum<I: Iterator<Item = Resources>>(values: I) -> Resources {
+        values.fold(Resources::default(), |sum, value| sum + value)
     }
 }
--- a/crates/scheduler/src/policy.rs
+++ b/crates/scheduler/src/policy.rs
@@ -54,9 +54,9 @@
         // Dispatches older than the former slow-start window are forgotten: as after a restart, a
         // longer one is waited for first. With more or fewer schedulers the others' quotas change
         // too, and not at one moment.
-        let others = cluster.scheduler_count != self.cluster.scheduler_count
+        let quotas_change = cluster.scheduler_count != self.cluster.scheduler_count
             || cluster.scheduler_index != self.cluster.scheduler_index;
-        if others || cluster.slow_start.window > self.cluster.slow_start.window {
+        if quotas_change || cluster.slow_start.window > self.cluster.slow_start.window {
             self.started_at = now;
         }
         self.cluster = cluster;
@@ -84,7 +84,7 @@
         }
         if self.next_sweep_at <= now {
             self.next_sweep_at = now + SUMMARY_INTERVAL;
-            self.forget_gone_machines();
+            self.forget_removed_machines();
             result.migrations = self.migrations(now);
             result.lost = self.lost_allocations(now, &mut result.health_checks);
         }
--- a/crates/scheduler/src/policy/infeasible.rs
+++ b/crates/scheduler/src/policy/infeasible.rs
@@ -1,7 +1,7 @@
 //! Which evaluations would find no machine. Nothing is decided here: an evaluation is left out only
 //! where the complete one would defer the allocation, which tests compare call by call.
 
-use super::overload::{Candidate, THETA, line, overload_limit};
+use super::overload::{Candidate, THETA, overload_limit, usable_share};
 use super::*;
 
 /// What rounding may take off, as a part.
@@ -28,17 +28,17 @@
         }
         self.refresh_capacity(now);
         let changes = self.capacity_index.changes();
-        self.retry_schedule.note_evaluation(changes);
+        self.retry_schedule.record_evaluation(changes);
         let group = AllocationGroup::of(new);
         let service_class = &self.cluster.service_classes[new.service_class.0];
         let start = self.start_usage(true, service_class);
         let start = start.min(self.start_usage(false, service_class));
-        let need = AvailableCapacity {
+        let required = AvailableCapacity {
             by_expected_usage: new.requested * self.learned.peak_usage.mean_or_one() + start,
             by_least_draw: new.requested * self.usage_history.least_peak(new.service),
             by_requests: new.requested,
         };
-        let possible = self.capacity_index.possible_machines(now, group, need);
+        let possible = self.capacity_index.possible_machines(now, group, required);
         let mut until = possible.until;
         let mut over_quota = None;
         for id in possible.machines {
@@ -61,18 +61,18 @@
         new: &Allocation,
         over_quota: &mut Option<bool>,
     ) -> Ticks {
-        let opens_at = self.opens_at(now, id, new);
-        let discounts = self.counted_part(new.service_class, None) < 1.0;
-        let weighed = self.weigh(now, id, new, discounts);
-        let Some(candidate) = weighed.filter(|_| opens_at <= now) else {
-            return opens_at;
+        let passes_filters_at = self.passes_filters_at(now, id, new);
+        let discounted = self.counted_share(new.service_class, None) < 1.0;
+        let scored = self.score(now, id, new, discounted);
+        let Some(candidate) = scored.filter(|_| passes_filters_at <= now) else {
+            return passes_filters_at;
         };
         let mut within_quota = || !*over_quota.get_or_insert_with(|| self.over_quota(new));
-        if candidate.bearable && within_quota() {
+        if candidate.within_overload_limit && within_quota() {
             return now;
         }
         let candidate = Candidate {
-            bearable: false,
+            within_overload_limit: false,
             ..candidate
         };
         let under_theta = self.violation_risk(now, &candidate, new).with <= THETA;
@@ -137,7 +137,7 @@
             AvailableCapacity {
                 by_expected_usage: size * (overload_limit(service_class) + rounding)
                     - usage.expected,
-                by_least_draw: size * (line(service_class) + rounding) - usage.least_draw,
+                by_least_draw: size * (usable_share(service_class) + rounding) - usage.least_draw,
                 by_requests,
             }
         });
@@ -150,19 +150,19 @@
         service_class: ServiceClassId,
         others: Resources,
     ) -> UsageBounds {
-        let part = |of| self.counted_part(service_class, of);
+        let share = |of| self.counted_share(service_class, of);
         let mut usage = UsageBounds {
-            expected: others * part(None),
-            least_draw: others * part(None),
+            expected: others * share(None),
+            least_draw: others * share(None),
         };
         for placed in machine.allocations.values() {
             let least_drawn = || placed.requested * self.usage_history.least_peak(placed.service);
             let drawn = placed
                 .current_usage
                 .map_or_else(least_drawn, |_| placed.peak_usage);
-            let part = part(Some(placed.service_class));
-            usage.expected = usage.expected + self.usage_of(placed) * part;
-            usage.least_draw = usage.least_draw + drawn * part;
+            let share = share(Some(placed.service_class));
+            usage.expected = usage.expected + self.usage_of(placed) * share;
+            usage.least_draw = usage.least_draw + drawn * share;
         }
         usage
     }
@@ -170,8 +170,8 @@
     /// Whether a deferred allocation that found no machine in the last round might find one now.
     pub(super) fn retry_worthwhile(&mut self, now: Ticks) -> bool {
         let computed_at = self.summary.computed_at;
-        let old = computed_at.is_none_or(|at| at + SUMMARY_INTERVAL <= now);
-        if old || self.retry_schedule.may_open_at <= now {
+        let outdated = computed_at.is_none_or(|at| at + SUMMARY_INTERVAL <= now);
+        if outdated || self.retry_schedule.may_be_feasible_at <= now {
             return true;
         }
         self.refresh_capacity(now);
--- a/crates/scheduler/src/policy/liveness.rs
+++ b/crates/scheduler/src/policy/liveness.rs
@@ -9,24 +9,24 @@
 
 impl Scheduler {
     /// The machines whose load report is the oldest, as many as may be checked.
-    fn oldest_reports(&self, now: Ticks) -> Vec<MachineId> {
-        let known_at = |machine: &Machine| {
+    fn machines_with_old_reports(&self, now: Ticks) -> Vec<MachineId> {
+        let last_known_at = |machine: &Machine| {
             let reported_at = machine.reported_usage.map_or(0, |report| report.at);
             reported_at.max(machine.last_health_check)
         };
-        let old = |machine: &Machine| {
-            machine.is_serving() && known_at(machine) + CAPACITY_TURNOVER <= now
+        let stale = |machine: &Machine| {
+            machine.is_serving() && last_known_at(machine) + CAPACITY_TURNOVER <= now
         };
         let machines = self.machines.iter();
-        let mut old: Vec<_> = machines.filter(|(_, machine)| old(machine)).collect();
-        old.sort_by_key(|(_, machine)| known_at(machine));
-        old.truncate(self.health_check_budget as usize);
-        old.into_iter().map(|(&id, _)| id).collect()
+        let mut stale: Vec<_> = machines.filter(|(_, machine)| stale(machine)).collect();
+        stale.sort_by_key(|(_, machine)| last_known_at(machine));
+        stale.truncate(self.health_check_budget as usize);
+        stale.into_iter().map(|(&id, _)| id).collect()
     }
 
     /// The machines to send a health check to.
     pub(super) fn health_checks(&mut self, now: Ticks) -> Vec<MachineId> {
-        let ids = self.oldest_reports(now);
+        let ids = self.machines_with_old_reports(now);
         self.health_check_budget -= ids.len() as f64;
         for id in &ids {
             if let Some(machine) = self.machines.get_mut(id) {
@@ -42,7 +42,7 @@
     pub(super) fn lost_allocations(
         &mut self,
         now: Ticks,
-        probes: &mut Vec<MachineId>,
+        health_checks: &mut Vec<MachineId>,
     ) -> Vec<AllocationId> {
         let mut lost = Vec::new();
         if self.cluster.caller_detects_losses || !self.cluster.health_checks {
@@ -61,7 +61,7 @@
                 machine.last_heard_at = now;
             } else if machine.last_health_check + SECOND <= now {
                 machine.last_health_check = now;
-                probes.push(id);
+                health_checks.push(id);
             }
         }
         lost
@@ -84,13 +84,15 @@
         ending: AttemptResult,
         report: Option<LoadReport>,
     ) {
-        let at = self.machines.entry(machine).or_default();
+        let target = self.machines.entry(machine).or_default();
         match ending {
-            AttemptResult::Completed => (at.consecutive_timeouts, at.last_heard_at) = (0, now),
+            AttemptResult::Completed => {
+                (target.consecutive_timeouts, target.last_heard_at) = (0, now)
+            }
             AttemptResult::TimedOut | AttemptResult::ConnectFailed
                 if !self.cluster.caller_detects_losses =>
             {
-                at.record_fault(now, EJECTION_TIME, MAX_EJECTION_DOUBLINGS)
+                target.record_fault(now, EJECTION_TIME, MAX_EJECTION_DOUBLINGS)
             }
             _ => {}
         }
--- a/crates/scheduler/src/policy/migration.rs
+++ b/crates/scheduler/src/policy/migration.rs
@@ -7,9 +7,9 @@
 /// A request of so many times the usual one is large.
 const LARGE_FACTOR: f64 = 4.0;
 /// Part of the memory in use past which some move away.
-const CROWDED_MEMORY: f64 = 0.95;
+const CROWDED_MEMORY_SHARE: f64 = 0.95;
 /// An open machine with less than this in use could take them.
-const SPARE_LOAD: f64 = 0.8;
+const SPARE_CAPACITY_LOAD: f64 = 0.8;
 /// Allocations moved off a crowded machine at a time.
 const MAX_MOVES_PER_MACHINE: usize = 4;
 
@@ -22,19 +22,19 @@
     /// Our allocations that move now. The paper moves where a machine is over the line or an
     /// allocation fits only in pieces; so do we, and off draining machines.
     pub(super) fn migrations(&mut self, now: Ticks) -> Vec<AllocationId> {
-        let mut moves = self.make_room(now);
-        let spare = |id: &MachineId| {
+        let mut moves = self.clear_capacity(now);
+        let has_spare_capacity = |id: &MachineId| {
             let machine = &self.machines[id];
             let size = self.size(machine).unwrap_or_default();
-            self.total_usage(now, machine).fraction_of(size) < SPARE_LOAD
+            self.total_usage(now, machine).fraction_of(size) < SPARE_CAPACITY_LOAD
         };
-        if self.summary.open_machines.iter().any(spare) {
-            moves.extend(self.off_crowded(now));
-            moves.extend(self.off_draining());
+        if self.summary.needed_machines.iter().any(has_spare_capacity) {
+            moves.extend(self.moves_off_crowded(now));
+            moves.extend(self.moves_off_draining());
         }
         for &id in &moves {
             if let Some(placed) = self.placed_allocation(id) {
-                placed.moved = true;
+                placed.moving = true;
             }
         }
         moves
@@ -42,20 +42,20 @@
 
     /// Off machines short of memory. All schedulers see the same machine: each of ours moves by the
     /// chance at which as many move in all as must.
-    fn off_crowded(&mut self, now: Ticks) -> Vec<AllocationId> {
+    fn moves_off_crowded(&mut self, now: Ticks) -> Vec<AllocationId> {
         let mut crowded = Vec::new();
         for machine in self.machines.values() {
-            let limit = self.size(machine).unwrap_or_default().memory * CROWDED_MEMORY;
+            let limit = self.size(machine).unwrap_or_default().memory * CROWDED_MEMORY_SHARE;
             let used = || self.total_usage(now, machine).memory;
             if !machine.allocations.is_empty() && used() > limit {
                 crowded.push((1.0 - limit / used(), self.movable(machine)));
             }
         }
         let mut moves = Vec::new();
-        for (chance, movable) in crowded {
+        for (move_probability, movable) in crowded {
             let chosen = movable
                 .into_iter()
-                .filter(|_| self.rng.random::<f64>() < chance);
+                .filter(|_| self.rng.random::<f64>() < move_probability);
             moves.extend(chosen.take(MAX_MOVES_PER_MACHINE));
         }
         moves
@@ -63,7 +63,7 @@
 
     /// An allocation may go down with its draining machine. The client of a deduplicated one would
     /// then wait until it is certain to run no longer; after a move it comes again at once.
-    fn off_draining(&self) -> Vec<AllocationId> {
+    fn moves_off_draining(&self) -> Vec<AllocationId> {
         let client_waits = |placed: &PlacedAllocation| {
             let retry_safety = self.cluster.service_classes[placed.service_class.0].retry_safety;
             matches!(retry_safety, RetrySafety::Deduplicated { .. })
@@ -71,7 +71,7 @@
         let draining = self.machines.values().filter(|one| one.is_draining());
         draining
             .flat_map(|machine| &machine.allocations)
-            .filter(|(_, placed)| placed.placed && !placed.moved && client_waits(placed))
+            .filter(|(_, placed)| placed.placed && !placed.moving && client_waits(placed))
             .map(|(&id, _)| id)
             .collect()
     }
@@ -83,7 +83,7 @@
             |placed: &PlacedAllocation| &self.cluster.service_classes[placed.service_class.0];
         let may_move = |placed: &PlacedAllocation| {
             let repeatable = service_class(placed).retry_safety != RetrySafety::NotRetryable;
-            let settled = placed.placed && placed.running && !placed.moved;
+            let settled = placed.placed && placed.running && !placed.moving;
             settled && repeatable && !self.is_large(placed.requested)
         };
         let placed = machine.allocations.iter();
@@ -94,7 +94,7 @@
 
     /// Clears the machine on which the fewest moves make the starved allocation fit, and reserves
     /// its capacity.
-    fn make_room(&mut self, now: Ticks) -> Vec<AllocationId> {
+    fn clear_capacity(&mut self, now: Ticks) -> Vec<AllocationId> {
         let Some(starved) = self.starved.take() else {
             return Vec::new();
         };
@@ -116,9 +116,9 @@
         let Some((id, moves)) = best else {
             return Vec::new();
         };
-        let former = self.reserved_machine.replace(id);
-        if let Some(former) = former.and_then(|id| self.machines.get_mut(&id)) {
-            former.reservation = None;
+        let previous = self.reserved_machine.replace(id);
+        if let Some(previous) = previous.and_then(|id| self.machines.get_mut(&id)) {
+            previous.reservation = None;
         }
         self.machines.entry(id).or_default().reservation = Some(Reservation {
             until: now + CAPACITY_TURNOVER,
--- a/crates/scheduler/src/policy/overload.rs
+++ b/crates/scheduler/src/policy/overload.rs
@@ -16,28 +16,28 @@
 /// worse, but serves.
 pub(super) const CORE_OVERLOAD_ALLOWANCE: f64 = 0.25;
 /// Part of the usage of lower priorities that counts where it is discounted.
-const LOWER_PRIORITY_PART: f64 = 0.5;
+const LOWER_PRIORITY_SHARE: f64 = 0.5;
 /// In this time a load report loses half its weight against what is expected without it.
 const REPORT_HALF_LIFE: f64 = 4.0 * SECOND as f64;
 /// So many times its quota is well over it: requests are not spread evenly over the schedulers.
 const OVER_QUOTA_FACTOR: f64 = 1.3;
 /// The tier of candidates that are used last.
-pub(super) const HELD_BACK: u8 = 3;
+pub(super) const HELD_BACK_TIER: u8 = 3;
 
 /// A machine weighed for one allocation.
 #[derive(Clone, Copy)]
 pub(super) struct Candidate {
     pub machine: MachineId,
     /// Whether the usage of lower priorities was discounted.
-    pub discounts: bool,
+    pub discounted: bool,
     /// The paper's W Max: the larger share of cores and memory in use with the allocation.
     pub w_max: f64,
     /// Whether it can take the allocation by present usage, whatever the draws come to.
-    pub bearable: bool,
+    pub within_overload_limit: bool,
     /// Usage by other schedulers' allocations.
     pub others: Resources,
     /// f times the size.
-    pub line: Resources,
+    pub usable_capacity: Resources,
     /// The order in which machines are used: 0 first, [`HELD_BACK`] last.
     pub tier: u8,
 }
@@ -59,17 +59,22 @@
     /// Usage by the others' allocations: what was last reported and, as that ages, what the list or
     /// the average leads us to expect. One of many schedulers seldom gets a report of a machine.
     /// `aged`: the moment at which the ages of our own allocations are taken.
-    pub(super) fn usage_by_others(&self, aged: Ticks, now: Ticks, machine: &Machine) -> Resources {
+    pub(super) fn usage_by_others(
+        &self,
+        ages_at: Ticks,
+        now: Ticks,
+        machine: &Machine,
+    ) -> Resources {
         let size = self.size(machine).unwrap_or_default();
-        let old = machine
+        let listed_own = machine
             .allocations
             .values()
-            .filter(|placed| placed.sent_at + REPORT_DELAY <= aged);
+            .filter(|placed| placed.sent_at + REPORT_DELAY <= ages_at);
         let listed = machine
             .listed_requested
             .filter(|_| self.learned.current_usage.cores.mean_or(0.0) > 0.0);
         let expected = listed.map_or(self.summary.average_usage * size, |requested| {
-            let others = requested - old.map(|placed| placed.requested).sum();
+            let others = requested - listed_own.map(|placed| placed.requested).sum();
             others.max(Resources::default()) * self.learned.current_usage.mean_or_one()
         });
         machine.reported_usage.map_or(expected, |report| {
@@ -92,11 +97,11 @@
         others: impl Fn() -> Resources,
     ) -> Resources {
         let listed = machine.listed_requested;
-        let since = listed.map_or(0, |_| now.saturating_sub(REPORT_DELAY));
+        let unlisted_since = listed.map_or(0, |_| now.saturating_sub(REPORT_DELAY));
         let own = machine
             .allocations
             .values()
-            .filter(|placed| placed.sent_at >= since)
+            .filter(|placed| placed.sent_at >= unlisted_since)
             .map(|placed| placed.requested);
         let estimated = || others() / self.learned.current_usage.mean_or_one();
         listed.unwrap_or_else(estimated) + own.sum()
@@ -105,7 +110,7 @@
     /// The part of a class's usage, or of unknown usage by others, that counts for an allocation of
     /// another class: a machine takes from lower priorities what it is short of, if only in use.
     /// Where it evicts them they count in full, since they would come again.
-    pub(super) fn counted_part(&self, new: ServiceClassId, of: Option<ServiceClassId>) -> f64 {
+    pub(super) fn counted_share(&self, new: ServiceClassId, of: Option<ServiceClassId>) -> f64 {
         let service_classes = &self.cluster.service_classes;
         let priority = |service_class: ServiceClassId| service_classes[service_class.0].priority;
         let lowest = || {
@@ -116,7 +121,7 @@
                 .unwrap_or(0)
         };
         let lower = !self.cluster.preempts && of.map_or_else(lowest, priority) < priority(new);
-        if lower { LOWER_PRIORITY_PART } else { 1.0 }
+        if lower { LOWER_PRIORITY_SHARE } else { 1.0 }
     }
 
     /// Whether the tenant holds well over its quota of cores, if it holds as much at each other
@@ -130,8 +135,8 @@
             .filter(|placed| placed.tenant == allocation.tenant)
             .map(|placed| placed.requested.cores);
         let held = allocation.requested.cores + own.sum::<f64>();
-        let certain = held - (held * self.learned.requested_cores.mean_or(0.0)).sqrt();
-        let total = certain * self.cluster.scheduler_count as f64;
+        let lower_bound = held - (held * self.learned.requested_cores.mean_or(0.0)).sqrt();
+        let total = lower_bound * self.cluster.scheduler_count as f64;
         quota.is_some_and(|quota| total > quota * OVER_QUOTA_FACTOR)
     }
 
@@ -147,47 +152,47 @@
     }
 
     /// The machine with the allocation on it, starting, before any draw; none if it is filtered out.
-    pub(super) fn weigh(
+    pub(super) fn score(
         &self,
         now: Ticks,
         id: MachineId,
         new: &Allocation,
-        discounts: bool,
+        discounted: bool,
     ) -> Option<Candidate> {
-        let part = |of| match discounts {
-            true => self.counted_part(new.service_class, of),
+        let share = |of| match discounted {
+            true => self.counted_share(new.service_class, of),
             false => 1.0,
         };
         let machine = &self.machines[&id];
         let size = self
             .size(machine)
-            .filter(|_| self.opens_at(now, id, new) <= now)?;
+            .filter(|_| self.passes_filters_at(now, id, new) <= now)?;
         let service_class = &self.cluster.service_classes[new.service_class.0];
-        let others = self.usage_by_others(now, now, machine) * part(None);
+        let others = self.usage_by_others(now, now, machine) * share(None);
         let own = machine.allocations.values().map(|placed| {
             let class = &self.cluster.service_classes[placed.service_class.0];
             let start = self.start_usage(placed.program_was_cached, class);
-            self.usage_of(placed) * part(Some(placed.service_class))
+            self.usage_of(placed) * share(Some(placed.service_class))
                 + start * f64::from(u8::from(!placed.running))
         });
         let load = others
             + own.sum()
             + new.requested * self.learned.peak_usage.mean_or_one()
             + self.start_usage(machine.has_program(new.service), service_class);
-        let own_zone = machine
+        let same_zone = machine
             .endpoint
             .is_some_and(|endpoint| endpoint.zone == self.cluster.zone);
-        let open = self.summary.open_machines.contains(&id);
+        let needed = self.summary.needed_machines.contains(&id);
         Some(Candidate {
             machine: id,
-            discounts,
+            discounted,
             others,
-            line: size * line(service_class),
+            usable_capacity: size * usable_share(service_class),
             w_max: load.fraction_of(size),
-            bearable: load.fits_in(size * overload_limit(service_class)),
-            tier: match open && self.accepts(now, machine, size, new.requested) {
-                true => 1 + u8::from(!own_zone && self.cluster.cross_zone_cost > 0.0),
-                false => HELD_BACK,
+            within_overload_limit: load.fits_in(size * overload_limit(service_class)),
+            tier: match needed && self.accepts(now, machine, size, new.requested) {
+                true => 1 + u8::from(!same_zone && self.cluster.cross_zone_cost > 0.0),
+                false => HELD_BACK_TIER,
             },
         })
     }
@@ -201,21 +206,22 @@
     ) -> Risk {
         let history = &self.usage_history;
         let placed = self.machines[&candidate.machine].allocations.values();
-        let pools = placed.map(|placed| {
+        let placed_peaks = placed.map(|placed| {
             let peak = placed.peak_usage / placed.requested;
             // Where no record reaches what it uses: its own peak, or its request while nothing is
             // known.
             let fallback = placed.current_usage.map_or(Resources::ONE, |_| peak);
-            let part = match candidate.discounts {
-                true => self.counted_part(new.service_class, Some(placed.service_class)),
+            let share = match candidate.discounted {
+                true => self.counted_share(new.service_class, Some(placed.service_class)),
                 false => 1.0,
             };
             let age = now - placed.sent_at;
-            let peaks = history.matching_peaks(placed.service, age, peak, fallback);
-            (peaks, placed.requested * part)
+            let matching = history.matching_peaks(placed.service, age, peak, fallback);
+            (matching, placed.requested * share)
         });
-        let pools: Vec<(Vec<Resources>, Resources)> = pools.collect();
-        let pool = history.matching_peaks(new.service, 0, Resources::default(), Resources::ONE);
+        let placed_peaks: Vec<(Vec<Resources>, Resources)> = placed_peaks.collect();
+        let new_peaks =
+            history.matching_peaks(new.service, 0, Resources::default(), Resources::ONE);
         // A generator for each machine, service and moment: an evaluation that is left out moves no
         // later draw, and alike allocations draw alike.
         let machine = u64::from(candidate.machine.0);
@@ -224,14 +230,14 @@
         let (mut with, mut without) = (0, 0);
         for _ in 0..DRAWS {
             let mut sum = candidate.others;
-            for (pool, requested) in &pools {
-                sum = sum + *requested * pool[rng.random_range(0..pool.len())];
+            for (peaks, requested) in &placed_peaks {
+                sum = sum + *requested * peaks[rng.random_range(0..peaks.len())];
             }
-            without += usize::from(!sum.fits_in(candidate.line));
-            sum = sum + new.requested * pool[rng.random_range(0..pool.len())];
-            with += usize::from(!sum.fits_in(candidate.line));
+            without += usize::from(!sum.fits_in(candidate.usable_capacity));
+            sum = sum + new.requested * new_peaks[rng.random_range(0..new_peaks.len())];
+            with += usize::from(!sum.fits_in(candidate.usable_capacity));
             // Out of the question; how far over theta matters only for one that is bearable.
-            if !candidate.bearable && with as f64 > THETA * DRAWS as f64 {
+            if !candidate.within_overload_limit && with as f64 > THETA * DRAWS as f64 {
                 break;
             }
         }
@@ -243,7 +249,7 @@
 }
 
 /// The paper's f, for each resource.
-pub(super) fn line(service_class: &ServiceClass) -> Resources {
+pub(super) fn usable_share(service_class: &ServiceClass) -> Resources {
     Resources {
         cores: service_class.target_utilization,
         memory: F_MEMORY,
--- a/crates/scheduler/src/policy/placement.rs
+++ b/crates/scheduler/src/policy/placement.rs
@@ -1,6 +1,6 @@
 //! Where an allocation goes: PrV-WorstFit over the machines that the filters let through.
 
-use super::overload::{Candidate, HELD_BACK, THETA};
+use super::overload::{Candidate, HELD_BACK_TIER, THETA};
 use super::*;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -27,13 +27,13 @@
         let deadline = allocation.deadline;
         if now + ANSWER_MARGIN >= deadline || allocation.attempts.len() >= self.cluster.max_attempts
         {
-            return self.give_up(allocation);
+            return self.abandon(allocation);
         }
         if allocation.attempts.is_empty() && allocation.accepted_at == now {
             self.record_demand(now, allocation);
         }
         let Some(eligible) = self.eligible(now, allocation) else {
-            return self.give_up(allocation);
+            return self.abandon(allocation);
         };
         self.refresh_summary(now);
         self.replicas_by_domain = self.count_replicas(allocation);
@@ -64,7 +64,7 @@
         let requested = &mut self.learned.requested_cores;
         // A deferred one may count as large from here on.
         if allocation.requested.cores < requested.mean_or(0.0) {
-            self.retry_schedule.may_open_at = now;
+            self.retry_schedule.may_be_feasible_at = now;
         }
         requested.add(allocation.requested.cores, MEAN_RETENTION);
         let budget = self.health_check_budget + HEALTH_CHECKS_PER_ALLOCATION;
@@ -88,20 +88,20 @@
                         attempt.machine == id && attempt.state != AttemptState::NotExecuted
                     })
                 };
-                let others: Vec<MachineId> = ids.filter(|&id| !may_run(id)).collect();
-                Some(match others.is_empty() {
+                let other_machines: Vec<MachineId> = ids.filter(|&id| !may_run(id)).collect();
+                Some(match other_machines.is_empty() {
                     true => Eligible::All,
-                    false => Eligible::Only(others),
+                    false => Eligible::Only(other_machines),
                 })
             }
             RetrySafety::NotRetryable => None,
             // Repeats are dropped only within the window, and only in the domain.
             RetrySafety::Deduplicated { window, .. } if latest >= first.sent_at + window => None,
             RetrySafety::Deduplicated { scope, .. } => {
-                let drops_repeats = |&id: &MachineId| {
-                    scope.is_none_or(|place| self.same_domain(place, id, first.machine))
+                let deduplicates = |&id: &MachineId| {
+                    scope.is_none_or(|domain| self.same_domain(domain, id, first.machine))
                 };
-                Some(Eligible::Only(ids.filter(drops_repeats).collect()))
+                Some(Eligible::Only(ids.filter(deduplicates).collect()))
             }
         }
     }
@@ -118,8 +118,8 @@
             Eligible::All => true,
             Eligible::Only(ids) => ids.contains(&id),
         };
-        let opens = || self.opens_at(now, id, allocation) <= now;
-        (reservation.allocation == allocation.id && eligible && opens()).then_some(id)
+        let passes_filters = || self.passes_filters_at(now, id, allocation) <= now;
+        (reservation.allocation == allocation.id && eligible && passes_filters()).then_some(id)
     }
 
     /// The machines first in the service's rendezvous order, if one is under theta: all schedulers
@@ -143,36 +143,36 @@
                 ids.map(|&id| rank(id, &self.machines[&id])).collect()
             }
         };
-        let (mut first, mut ids) = (Vec::new(), Vec::new());
-        while first.len() < FIRST_CANDIDATES
+        let (mut first_candidates, mut ordered_ids) = (Vec::new(), Vec::new());
+        while first_candidates.len() < FIRST_CANDIDATES
             && let Some(Reverse((_, id))) = ranked.pop()
         {
-            let Some(candidate) = self.weigh(now, id, allocation, false) else {
+            let Some(candidate) = self.score(now, id, allocation, false) else {
                 continue;
             };
-            ids.push(id);
-            if candidate.tier < HELD_BACK {
-                first.push(Candidate {
+            ordered_ids.push(id);
+            if candidate.tier < HELD_BACK_TIER {
+                first_candidates.push(Candidate {
                     tier: 0,
-                    bearable: false,
+                    within_overload_limit: false,
                     ..candidate
                 });
             }
         }
-        if let Some(machine) = self.choose(now, first, allocation) {
+        if let Some(machine) = self.choose(now, first_candidates, allocation) {
             return Some(machine);
         }
         // Those tried first, without the ones that the filters left out; then the rest in order.
         let rest = ranked.into_sorted_vec().into_iter().rev();
-        ids.extend(rest.map(|Reverse((_, id))| id));
+        ordered_ids.extend(rest.map(|Reverse((_, id))| id));
         // Usage of lower priorities is discounted only where no machine is under theta without that.
-        let discounts: &[bool] = match self.counted_part(allocation.service_class, None) < 1.0 {
+        let passes: &[bool] = match self.counted_share(allocation.service_class, None) < 1.0 {
             true => &[false, true],
             false => &[true],
         };
-        discounts
+        passes
             .iter()
-            .find_map(|&last| self.choose_among(now, &ids, allocation, last))
+            .find_map(|&final_pass| self.choose_among(now, &ordered_ids, allocation, final_pass))
     }
 
     /// The best of these machines. Without `last`, and for a tenant over its quota, only one under
@@ -182,16 +182,18 @@
         now: Ticks,
         ids: &[MachineId],
         new: &Allocation,
-        last: bool,
+        final_pass: bool,
     ) -> Option<MachineId> {
-        let weigh = |&id: &MachineId| self.weigh(now, id, new, last);
-        let mut candidates: Vec<Candidate> = ids.iter().filter_map(weigh).collect();
-        let bearable = candidates.iter().any(|candidate| candidate.bearable);
-        let under_theta_only = !last || bearable && self.over_quota(new);
+        let score = |&id: &MachineId| self.score(now, id, new, final_pass);
+        let mut candidates: Vec<Candidate> = ids.iter().filter_map(score).collect();
+        let any_within_limit = candidates
+            .iter()
+            .any(|candidate| candidate.within_overload_limit);
+        let under_theta_only = !final_pass || any_within_limit && self.over_quota(new);
         for candidate in &mut candidates {
-            candidate.bearable &= !under_theta_only;
+            candidate.within_overload_limit &= !under_theta_only;
         }
-        bearable
+        any_within_limit
             .then(|| self.choose(now, candidates, new))
             .flatten()
     }
@@ -207,7 +209,7 @@
     ) -> Option<MachineId> {
         candidates.sort_by(|a, b| a.tier.cmp(&b.tier).then(a.w_max.total_cmp(&b.w_max)));
         let mut best: Vec<&Candidate> = Vec::new();
-        let mut rises = Vec::new();
+        let mut increases = Vec::new();
         for candidate in &candidates {
             // From the lowest W Max up: no later one can win any more.
             if best.first().is_some_and(|first| {
@@ -216,20 +218,23 @@
                 break;
             }
             let risk = self.violation_risk(now, candidate, new);
-            rises.push(risk.with - risk.without);
+            increases.push(risk.with - risk.without);
             if risk.with <= THETA {
                 best.push(candidate);
             }
         }
         if best.is_empty() {
             // A machine over the line already rises by nothing: all would go to it.
-            let bearable = || std::iter::zip(&candidates, &rises).filter(|(one, _)| one.bearable);
-            let rises = bearable().map(|(_, rise)| *rise);
-            let least = rises.fold(f64::INFINITY, f64::min) + TIE_TOLERANCE;
-            let lowest_rise = bearable().filter(|(_, rise)| **rise <= least);
-            best = lowest_rise.map(|(candidate, _)| candidate).collect();
-            let loads = best.iter().map(|candidate| candidate.w_max);
-            let lowest = loads.fold(f64::INFINITY, f64::min);
+            let within_limit = || {
+                std::iter::zip(&candidates, &increases).filter(|(one, _)| one.within_overload_limit)
+            };
+            let increases = within_limit().map(|(_, increase)| *increase);
+            let increase_limit = increases.fold(f64::INFINITY, f64::min) + TIE_TOLERANCE;
+            let lowest_increase =
+                within_limit().filter(|(_, increase)| **increase <= increase_limit);
+            best = lowest_increase.map(|(candidate, _)| candidate).collect();
+            let w_max_values = best.iter().map(|candidate| candidate.w_max);
+            let lowest = w_max_values.fold(f64::INFINITY, f64::min);
             best.retain(|candidate| candidate.w_max <= lowest * (1.0 + TIE_TOLERANCE));
         }
         let mut rng = Pcg64Mcg::seed_from_u64(hash_id(new.id.0 ^ hash_id(now ^ self.seed)));
@@ -238,23 +243,24 @@
 
     fn dispatch(&mut self, now: Ticks, machine: MachineId, allocation: &Allocation) -> Placement {
         self.add_placed(now, allocation, machine);
-        let (slow_start, opens) = (&self.cluster.slow_start, self.cluster.connect_timeout);
-        let window = slow_start.window.max(opens) + ANSWER_MARGIN;
+        let (slow_start, connect_timeout) =
+            (&self.cluster.slow_start, self.cluster.connect_timeout);
+        let window = slow_start.window.max(connect_timeout) + ANSWER_MARGIN;
         let dispatches = &mut self.machines.entry(machine).or_default().recent_dispatches;
         dispatches.push_back(now);
         dispatches.retain(|&at| at + window >= now);
-        let left = allocation.deadline - ANSWER_MARGIN / 2 - now;
+        let remaining = allocation.deadline - ANSWER_MARGIN / 2 - now;
         let service_class = &self.cluster.service_classes[allocation.service_class.0];
         // An attempt given up while it waits in a queue may run all the same, and binds what must
         // not run twice. So only what may run again times out, and only where a machine is far
         // slower than usual.
-        let usual = self.learned.answer_time.mean_or(left as f64);
-        let patience = (usual * TIMEOUT_MULTIPLE) as Ticks;
+        let usual_answer_time = self.learned.answer_time.mean_or(remaining as f64);
+        let slow_answer_time = (usual_answer_time * TIMEOUT_MULTIPLE) as Ticks;
         let may_retry = service_class.retry_safety == RetrySafety::Idempotent
             && allocation.attempts.len() + 1 < self.cluster.max_attempts;
         let timeout = match may_retry {
-            true => left.min(patience.max(2 * service_class.latency_objective)),
-            false => left,
+            true => remaining.min(slow_answer_time.max(2 * service_class.latency_objective)),
+            false => remaining,
         };
         Placement::Dispatch { machine, timeout }
     }
@@ -262,7 +268,7 @@
     /// It waits until then, or until something changes.
     fn defer(&mut self, now: Ticks, new: &Allocation, until: Ticks) -> Placement {
         // One that may have run is given up when its repeats are no longer dropped.
-        let gives_up = match (
+        let abandon_at = match (
             self.cluster.service_classes[new.service_class.0].retry_safety,
             new.possibly_executed_attempt(),
         ) {
@@ -270,10 +276,10 @@
             _ => NEVER,
         };
         let until =
-            until.min(gives_up.saturating_sub(self.cluster.connect_timeout + ANSWER_MARGIN));
+            until.min(abandon_at.saturating_sub(self.cluster.connect_timeout + ANSWER_MARGIN));
         // With the next summary all are evaluated again.
-        let soon = now + SUMMARY_INTERVAL + RETRY_INTERVAL;
-        let deadline = Some(new.deadline - ANSWER_MARGIN).filter(|at| *at <= soon);
+        let next_full_evaluation = now + SUMMARY_INTERVAL + RETRY_INTERVAL;
+        let deadline = Some(new.deadline - ANSWER_MARGIN).filter(|at| *at <= next_full_evaluation);
         let schedule = &mut self.retry_schedule;
         schedule.defer(now, now + RETRY_INTERVAL, until, deadline);
         if self.is_large(new.requested) {
@@ -282,20 +288,20 @@
             if reserved_until <= now {
                 self.starved = Some(new.clone());
             }
-            let clears_at = self.next_sweep_at.max(reserved_until);
+            let next_clearing_at = self.next_sweep_at.max(reserved_until);
             let schedule = &mut self.retry_schedule;
-            schedule.may_open_at = schedule.may_open_at.min(clears_at);
+            schedule.may_be_feasible_at = schedule.may_be_feasible_at.min(next_clearing_at);
         }
         Placement::Deferred
     }
 
     /// The safe answer: shed only where no attempt may have run, or where a repeat does no harm.
-    fn give_up(&self, allocation: &Allocation) -> Placement {
-        let harmless_anywhere = matches!(
+    fn abandon(&self, allocation: &Allocation) -> Placement {
+        let repeatable_anywhere = matches!(
             self.cluster.service_classes[allocation.service_class.0].retry_safety,
             RetrySafety::Idempotent | RetrySafety::Deduplicated { scope: None, .. }
         );
-        match allocation.possibly_executed_attempt().is_none() || harmless_anywhere {
+        match allocation.possibly_executed_attempt().is_none() || repeatable_anywhere {
             true => Placement::Shed,
             false => Placement::Indeterminate,
         }
@@ -305,8 +311,8 @@
     /// scheduler. Larger machines come earlier in proportion; one more or less changes little.
     fn rendezvous_rank(&self, service: ServiceId, id: MachineId, machine: &Machine) -> u64 {
         let hash = hash_id(service.0 ^ hash_id(u64::from(id.0)));
-        let chance = (hash as f64 + 1.0) / (u64::MAX as f64 + 2.0);
+        let uniform_draw = (hash as f64 + 1.0) / (u64::MAX as f64 + 2.0);
         let cores = self.size(machine).map_or(1.0, |size| size.cores);
-        (-chance.ln() / cores * 1e12) as u64
+        (-uniform_draw.ln() / cores * 1e12) as u64
     }
 }
--- a/crates/scheduler/src/state/capacity_index.rs
+++ b/crates/scheduler/src/state/capacity_index.rs
@@ -118,9 +118,9 @@
 
     /// Something happened to the machine. `gains`: it may take what it would not before, whatever
     /// its bounds are.
-    pub fn mark_changed(&mut self, id: MachineId, gains: bool) {
+    pub fn mark_changed(&mut self, id: MachineId, may_gain: bool) {
         match self.ids.binary_search(&id) {
-            Ok(_) => *self.changed.entry(id).or_default() |= gains,
+            Ok(_) => *self.changed.entry(id).or_default() |= may_gain,
             Err(_) => self.invalidate(),
         }
     }
@@ -132,13 +132,13 @@
 
     /// Replaces the bounds of a machine.
     pub fn update(&mut self, id: MachineId, bounds: Vec<AvailableCapacity>) {
-        let gains = self.changed.remove(&id).unwrap_or(true);
+        let may_gain = self.changed.remove(&id).unwrap_or(true);
         let Ok(at) = self.ids.binary_search(&id) else {
             return self.invalidate();
         };
         let former = &mut self.bounds[at * bounds.len()..][..bounds.len()];
         let mut pairs = std::iter::zip(&bounds, &*former);
-        if gains || pairs.any(|(bound, former)| bound.exceeds_any(former)) {
+        if may_gain || pairs.any(|(bound, former)| bound.exceeds_any(former)) {
             self.changes += 1;
             self.gained.push_back(id);
             if self.gained.len() > self.ids.len() {
@@ -149,8 +149,8 @@
     }
 
     /// Such groups may be feasible though no machine has gained capacity.
-    pub fn reconsider(&mut self, which: impl Fn(&AllocationGroup) -> bool) {
-        self.infeasible.retain(|group, _| !which(group));
+    pub fn reconsider(&mut self, matches_group: impl Fn(&AllocationGroup) -> bool) {
+        self.infeasible.retain(|group, _| !matches_group(group));
         self.changes += 1;
     }
 
@@ -159,12 +159,12 @@
         &self,
         now: Ticks,
         group: AllocationGroup,
-        need: AvailableCapacity,
+        required: AvailableCapacity,
     ) -> PossibleMachines {
         let classes = self.bounds.len() / self.ids.len().max(1);
-        let fits = |at: usize| need.fits(&self.bounds[at * classes + group.service_class.0]);
+        let fits = |at: usize| required.fits(&self.bounds[at * classes + group.service_class.0]);
         let known = self.infeasible.get(&group).filter(|infeasible| {
-            infeasible.requested.fits_in(need.by_requests) && infeasible.until > now
+            infeasible.requested.fits_in(required.by_requests) && infeasible.until > now
         });
         let since = known.map(|infeasible| {
             let changes = self.changes - infeasible.changes;
--- a/crates/scheduler/src/state/machine.rs
+++ b/crates/scheduler/src/state/machine.rs
@@ -23,13 +23,13 @@
     /// Whether the machine was expected to have the program cached when it was dispatched.
     pub program_was_cached: bool,
     /// It was told to move.
-    pub moved: bool,
+    pub moving: bool,
     /// What it uses, once a metric has told it.
     pub current_usage: Option<Resources>,
     /// The most that it has used so far.
     pub peak_usage: Resources,
     /// Reported uses of cores, for the percentile.
-    pub core_samples: Vec<f64>,
+    pub core_usage_samples: Vec<f64>,
 }
 
 impl PlacedAllocation {
@@ -44,10 +44,10 @@
             placed: false,
             running: false,
             program_was_cached,
-            moved: false,
+            moving: false,
             current_usage: None,
             peak_usage: Resources::default(),
-            core_samples: Vec::new(),
+            core_usage_samples: Vec::new(),
         }
     }
 
@@ -59,7 +59,7 @@
             Metric::Cores(cores) => {
                 self.current_usage = Some(Resources { cores, ..current });
                 self.peak_usage.cores = self.peak_usage.cores.max(cores);
-                self.core_samples.push(cores);
+                self.core_usage_samples.push(cores);
             }
             Metric::Memory(memory) => {
                 self.current_usage = Some(Resources { memory, ..current });
@@ -142,7 +142,7 @@
     }
 
     /// It was left out of a complete list.
-    pub fn mark_gone(&mut self) {
+    pub fn mark_removed(&mut self) {
         if let Some(endpoint) = self.endpoint.as_mut() {
             endpoint.state = MachineState::Removed;
         }
@@ -160,7 +160,7 @@
 
     /// From when on fewer than `quota` of our dispatches lie within `window`, if none is added; 0
     /// if that is so already.
-    pub fn dispatches_below(&self, quota: usize, now: Ticks, window: Ticks) -> Ticks {
+    pub fn below_quota_at(&self, quota: usize, now: Ticks, window: Ticks) -> Ticks {
         let recent = self
             .recent_dispatches
             .iter()
@@ -178,9 +178,9 @@
 
     /// Counts one more fault in a row and ejects the machine for `time`, doubled with each up to
     /// `max_doublings`.
-    pub fn record_fault(&mut self, now: Ticks, time: Ticks, max_doublings: u32) {
+    pub fn record_fault(&mut self, now: Ticks, ejection_time: Ticks, max_doublings: u32) {
         let doublings = self.consecutive_timeouts.min(max_doublings);
-        self.ejected_until = now + (time << doublings);
+        self.ejected_until = now + (ejection_time << doublings);
         self.consecutive_timeouts += 1;
     }
 
--- a/crates/scheduler/src/state/retry_schedule.rs
+++ b/crates/scheduler/src/state/retry_schedule.rs
@@ -9,7 +9,7 @@
     /// The next round, if anything has changed by then or `may_open_at` has come.
     pub next_round_at: Option<Ticks>,
     /// From here on a machine might take one of them though nothing happens.
-    pub may_open_at: Ticks,
+    pub may_be_feasible_at: Ticks,
     /// Last moments to answer, of those that come before the next summary.
     deadlines: BTreeSet<Ticks>,
     /// The changes of the capacity index when the last round began.
@@ -26,7 +26,7 @@
     fn default() -> Self {
         RetrySchedule {
             next_round_at: None,
-            may_open_at: NEVER,
+            may_be_feasible_at: NEVER,
             deadlines: BTreeSet::new(),
             changes: 0,
             awaits_first_evaluation: false,
@@ -48,13 +48,13 @@
         &mut self,
         now: Ticks,
         round_at: Ticks,
-        may_open_at: Ticks,
+        may_be_feasible_at: Ticks,
         deadline: Option<Ticks>,
     ) {
         self.last_deferred_at = Some(now);
         let earlier = |other: Ticks| other.min(round_at);
         self.next_round_at = Some(self.next_round_at.map_or(round_at, earlier));
-        self.may_open_at = self.may_open_at.min(may_open_at);
+        self.may_be_feasible_at = self.may_be_feasible_at.min(may_be_feasible_at);
         self.deadlines.extend(deadline);
     }
 
@@ -81,7 +81,7 @@
     }
 
     /// An evaluation begins; the changes up to the first one of a round belong to the round.
-    pub fn note_evaluation(&mut self, changes: u64) {
+    pub fn record_evaluation(&mut self, changes: u64) {
         if std::mem::take(&mut self.awaits_first_evaluation) {
             self.changes = changes;
         }
--- a/crates/scheduler/src/state/statistics.rs
+++ b/crates/scheduler/src/state/statistics.rs
@@ -69,5 +69,5 @@
     /// Mean usage by other schedulers' allocations, as a share of a machine's size.
     pub average_usage: Resources,
     /// The machines that are not held back.
-    pub open_machines: BTreeSet<MachineId>,
+    pub needed_machines: BTreeSet<MachineId>,
 }
--- a/crates/scheduler/src/state/usage_history.rs
+++ b/crates/scheduler/src/state/usage_history.rs
@@ -32,12 +32,12 @@
         records.push_front(record);
         records.truncate(max_records);
         if self.0.len() > max_services {
-            let last_ended =
+            let last_ended_at =
                 |records: &VecDeque<UsageRecord>| records.front().map(|record| record.ended_at);
             let oldest = self
                 .0
                 .iter()
-                .min_by_key(|(_, records)| last_ended(records))
+                .min_by_key(|(_, records)| last_ended_at(records))
                 .map(|(&id, _)| id);
             oldest.map(|id| self.0.remove(&id));
         }
--- a/crates/scheduler/src/updates.rs
+++ b/crates/scheduler/src/updates.rs
@@ -13,7 +13,7 @@
     /// The endpoint list, or what has changed in it.
     pub fn apply_endpoint_list(&mut self, update: ListUpdate, endpoints: &[Endpoint]) {
         if update == ListUpdate::Complete {
-            self.machines.values_mut().for_each(Machine::mark_gone);
+            self.machines.values_mut().for_each(Machine::mark_removed);
         }
         if update != ListUpdate::Cached {
             self.watch_failures = 0;
@@ -65,7 +65,7 @@
     pub fn record_metric(&mut self, now: Ticks, id: AllocationId, metric: Metric) {
         let usual = self.learned.peak_usage.mean_or_one();
         let machine = self.machine_of.get(&id);
-        let Some(machine) = machine.and_then(|at| self.machines.get_mut(at)) else {
+        let Some(machine) = machine.and_then(|machine_id| self.machines.get_mut(machine_id)) else {
             return;
         };
         machine.last_heard_at = now;
@@ -77,9 +77,9 @@
         match metric {
             Metric::Running if !placed.running => {
                 placed.running = true;
-                let time = (now - placed.sent_at) as f64;
+                let start_time = (now - placed.sent_at) as f64;
                 let cached = usize::from(placed.program_was_cached);
-                self.learned.start_time[cached].add(time, MEAN_RETENTION);
+                self.learned.start_time[cached].add(start_time, MEAN_RETENTION);
                 // The need of every start has changed.
                 self.capacity_index.reconsider(|_| true);
             }
@@ -102,11 +102,11 @@
             return;
         };
         // One too young to be in the report would be taken off a sum that never held it.
-        let old = machine
+        let reported_own = machine
             .allocations
             .values()
             .filter(|placed| placed.running && placed.sent_at + REPORT_DELAY <= now);
-        let own = old.map(|placed| self.usage_of(placed)).sum();
+        let own = reported_own.map(|placed| self.usage_of(placed)).sum();
         let usage = (size - report.available - own).max(Resources::default());
         self.machines.entry(id).or_default().reported_usage =
             Some(ReportedUsage { at: now, usage });
@@ -122,17 +122,18 @@
         let placed = PlacedAllocation::new(allocation, now, cached);
         machine.allocations.insert(allocation.id, placed);
         let reservation = &mut machine.reservation;
-        let used = reservation.take_if(|one| one.allocation == allocation.id);
+        let used_reservation = reservation.take_if(|one| one.allocation == allocation.id);
         self.service_placements.add(allocation.service, id);
-        self.capacity_index.mark_changed(id, used.is_some());
+        self.capacity_index
+            .mark_changed(id, used_reservation.is_some());
     }
 
     /// The machine has reported the end of an allocation. One that ended well leaves a record.
-    pub(crate) fn remove_placed(&mut self, now: Ticks, id: AllocationId, ended: bool) {
-        let Some(at) = self.machine_of.remove(&id) else {
+    pub(crate) fn remove_placed(&mut self, now: Ticks, id: AllocationId, completed: bool) {
+        let Some(machine_id) = self.machine_of.remove(&id) else {
             return;
         };
-        let Some(machine) = self.machines.get_mut(&at) else {
+        let Some(machine) = self.machines.get_mut(&machine_id) else {
             return;
         };
         let Some(placed) = machine.allocations.remove(&id) else {
@@ -142,21 +143,21 @@
         if placed.running {
             machine.cache_program(service, MAX_CACHED_PROGRAMS);
         }
-        self.service_placements.remove(service, at);
-        self.capacity_index.mark_changed(at, false);
+        self.service_placements.remove(service, machine_id);
+        self.capacity_index.mark_changed(machine_id, false);
         // Its service may have one replica more, and what is drawn for its likes may be less.
         self.capacity_index
             .reconsider(|group| group.service == service);
         for (id, _) in self.service_placements.machines_of(service) {
             self.capacity_index.mark_changed(id, false);
         }
-        if ended {
+        if completed {
             self.record_usage(now, placed);
         }
     }
 
     fn record_usage(&mut self, now: Ticks, placed: PlacedAllocation) {
-        let mut samples = placed.core_samples;
+        let mut samples = placed.core_usage_samples;
         if samples.is_empty() || placed.peak_usage.memory <= 0.0 {
             return;
         }
@@ -183,7 +184,7 @@
 
     /// A machine that has gone and holds nothing of ours is forgotten: where machines are replaced
     /// all the time, the state would grow without end.
-    pub(crate) fn forget_gone_machines(&mut self) {
+    pub(crate) fn forget_removed_machines(&mut self) {
         let listed = |machine: &Machine| {
             machine
                 .endpoint
@@ -193,8 +194,8 @@
         self.machines
             .retain(|_, machine| listed(machine) || !machine.allocations.is_empty());
         let machines = &self.machines;
-        let open = &mut self.summary.open_machines;
-        open.retain(|id| machines.contains_key(id));
+        let needed = &mut self.summary.needed_machines;
+        needed.retain(|id| machines.contains_key(id));
         if self.machines.len() < before {
             self.capacity_index.invalidate();
         }
@@ -218,13 +219,13 @@
             .copied()
     }
 
-    pub(crate) fn domain_of(&self, place: Domain, id: MachineId) -> Option<u64> {
+    pub(crate) fn domain_of(&self, domain: Domain, id: MachineId) -> Option<u64> {
         let endpoint = self.machines.get(&id)?.endpoint?;
-        Some(endpoint.domain(place))
+        Some(endpoint.domain(domain))
     }
 
-    pub(crate) fn same_domain(&self, place: Domain, a: MachineId, b: MachineId) -> bool {
-        match (self.domain_of(place, a), self.domain_of(place, b)) {
+    pub(crate) fn same_domain(&self, domain: Domain, a: MachineId, b: MachineId) -> bool {
+        match (self.domain_of(domain, a), self.domain_of(domain, b)) {
             (Some(one), Some(other)) => one == other,
             _ => a == b,
         }
