--- a/crates/scheduler/src/policy.rs
+++ b/crates/scheduler/src/policy.rs
@@ -1,9 +1,11 @@
-//! Every decision of corkspan: PrV-WorstFit of docs/design.md and the guards around it.
+//! The scheduling policy: PrV-WorstFit as described in docs/design.md, and the safeguards around
+//! it.
 //!
-//! Called by one dispatcher with the types of `interface`. Three calls ask: [`Scheduler::place`]
-//! where to dispatch an allocation, [`Scheduler::on_outcome`] what follows from the outcome of an
-//! attempt, [`Scheduler::poll`] how long to wait and what to set going meanwhile. The others only
-//! report facts. The caller keeps the allocations and the timers, and decides nothing.
+//! A dispatcher calls three decision methods: [`Scheduler::place`] chooses the machine for an
+//! allocation, [`Scheduler::on_outcome`] decides what follows the outcome of an attempt, and
+//! [`Scheduler::poll`] returns the time until the next call and the work to start before it. All other
+//! methods only report facts. The caller keeps the allocations and the timers and makes no
+//! decisions.
 
 use crate::Scheduler;
 use crate::interface::*;
@@ -21,39 +23,45 @@
 mod summary;
 
 const SECOND: Ticks = 10_000;
-/// Usage records kept of a service: enough to draw from, few enough to forget a changed usage.
+/// Usage records kept for each service: enough to draw from, but few enough that records from
+/// before a change in usage are soon dropped.
 pub(crate) const MAX_RECORDS_PER_SERVICE: usize = 48;
-/// Percentile of the uses of cores that a usage record holds.
+/// Percentile of the core usage samples that goes into a usage record.
 pub(crate) const CORE_PERCENTILE: usize = 90;
-/// Services of which usage records, and groups of which infeasible requests are kept.
+/// Maximum number of services with usage records, and of allocation groups with a recorded
+/// infeasible request.
 pub(crate) const MAX_SERVICES: usize = 1_024;
-/// From this long after its dispatch an allocation is taken to be in load reports and in the list.
+/// Time after its dispatch from which an allocation is assumed to be included in load reports and
+/// in the endpoint list.
 pub(crate) const REPORT_DELAY: Ticks = SECOND * 3 / 2;
-/// Programs that a machine is taken to keep cached after our last allocation of the service there.
+/// Number of programs that a machine is assumed to keep cached after our last allocation of their
+/// service there has ended.
 pub(crate) const MAX_CACHED_PROGRAMS: usize = 10;
-/// Weight that a learned mean keeps with each new value.
+/// Factor by which the weight of earlier values in a learned mean is multiplied with each new
+/// value.
 pub(crate) const MEAN_RETENTION: f64 = 0.95;
-/// Time between two summaries of all machines, and between two searches for allocations to move.
+/// Time between two summaries of all machines, and between two searches for allocations to migrate.
 const SUMMARY_INTERVAL: Ticks = SECOND / 4;
-/// Least time between two evaluations of a deferred allocation.
+/// Minimum time between two evaluations of a deferred allocation.
 const RETRY_INTERVAL: Ticks = SECOND / 20;
-/// Time left before the deadline, so that the answer itself is not late.
+/// Time reserved before the deadline so that the answer itself arrives in time.
 const ANSWER_MARGIN: Ticks = 40;
-/// Time in which capacity comes and goes: how long a refusal and a reservation stand, and how long
-/// a machine may be silent before a health check.
+/// Time scale on which available capacity changes: how long a rejection and a reservation remain
+/// valid, and how long a machine may be silent before it gets a health check.
 const CAPACITY_TURNOVER: Ticks = 2 * SECOND;
-/// A machine is ejected for this time after a fault, doubled with each further one in a row.
+/// Time for which a machine is ejected after a fault; doubled with each further consecutive fault.
 const EJECTION_TIME: Ticks = SECOND;
-/// The ejection time is doubled so many times at most.
+/// Maximum number of times that the ejection time is doubled.
 const MAX_EJECTION_DOUBLINGS: u32 = 4;
 
 impl Scheduler {
-    /// New settings are in force, for the same machine types and zones. What was learned stays, and
-    /// so do the ids of service classes and tenants that allocations have.
+    /// Applies new settings for the same machine types and zones. Learned statistics are kept, and
+    /// the service class and tenant ids of existing allocations stay valid.
     pub fn reconfigure(&mut self, now: Ticks, cluster: Cluster) {
-        // Dispatches older than the former slow-start window are forgotten: as after a restart, a
-        // longer one is waited for first. With more or fewer schedulers the others' quotas change
-        // too, and not at one moment.
+        // Dispatches older than the previous slow-start window are no longer known, so a longer
+        // window must pass once before attempts are sent, as after a restart. The same applies when
+        // the number of schedulers changes: the other schedulers' quotas change too, and not all at
+        // the same moment.
         let quotas_change = cluster.scheduler_count != self.cluster.scheduler_count
             || cluster.scheduler_index != self.cluster.scheduler_index;
         if quotas_change || cluster.slow_start.window > self.cluster.slow_start.window {
@@ -65,7 +73,7 @@
         self.retry_schedule.next_round_at = Some(now);
     }
 
-    /// How long to wait until the next call, and what to set going meanwhile.
+    /// Returns the time until the next call and the work that the caller must start before it.
     pub fn poll(&mut self, now: Ticks) -> PollResult {
         let mut result = PollResult {
             next_poll: SECOND,
@@ -92,14 +100,15 @@
         result
     }
 
-    /// Which deferred allocations are worth another evaluation.
+    /// Sets in `result` which deferred allocations are to be evaluated again.
     fn schedule_retries(&mut self, now: Ticks, result: &mut PollResult) {
         let changed = self.retry_schedule.exhaustive || self.retry_worthwhile(now);
         if changed {
             let changes = self.capacity_index.changes();
             self.retry_schedule.begin_round(changes);
         }
-        // Else those at their deadline, at the moments at which a round would have been.
+        // If nothing has changed, only allocations at their deadline are evaluated, at the times at
+        // which a round would have been due.
         result.retry_deadline_limit = (!changed).then_some(now + ANSWER_MARGIN);
         result.retry_deferred =
             changed || self.retry_schedule.skip_round(now, now + RETRY_INTERVAL);
--- a/crates/scheduler/src/policy/filters.rs
+++ b/crates/scheduler/src/policy/filters.rs
@@ -1,11 +1,12 @@
-//! The filters: state, machine type, health, slow start, acceptance and spread. They say from when
-//! a machine may be considered; what they let through is weighed.
+//! Filters machines by state, machine type, ejection, slow start, accepted requests and spread.
+//! Each filter returns the time from which a machine may be considered; the machines that pass are
+//! scored.
 
 use super::*;
 
 impl Scheduler {
-    /// From when the machine passes the filters, as far as that comes by itself: `now` or earlier
-    /// where it passes already, [`NEVER`] where something must happen first.
+    /// Returns the time from which the machine passes the filters if nothing else happens: `now` or
+    /// earlier if it passes already, [`NEVER`] if some event must happen first.
     pub(super) fn passes_filters_at(
         &self,
         now: Ticks,
@@ -41,10 +42,11 @@
             .max(self.slow_start_allows_at(now, id, endpoint))
     }
 
-    /// A machine just started fails under too many attempts, and those of the others are not known.
-    /// So each scheduler keeps to its quota of what is always borne, in any window; the rest of the
-    /// division goes to as many schedulers, by the machine's id. The sum is borne however many
-    /// there are.
+    /// Returns the time from which slow start allows another attempt. A machine that has just
+    /// started fails under too many attempts, and the attempts of other schedulers are not known.
+    /// So in any window each scheduler keeps to its quota of the attempts that the machine can
+    /// always take. The remainder of the division goes to as many schedulers, chosen by the
+    /// machine's id, so the quotas add up to the limit for any number of schedulers.
     fn slow_start_allows_at(&self, now: Ticks, id: MachineId, endpoint: Endpoint) -> Ticks {
         let slow_start = &self.cluster.slow_start;
         let Some(started_at) = endpoint.started_at else {
@@ -54,7 +56,7 @@
         if now >= warmed_up_at {
             return 0;
         }
-        // An earlier incarnation of ours may have used up its quota of this window.
+        // Our own previous incarnation may have used up the quota of this window.
         if now < self.started_at + slow_start.window && started_at < self.started_at {
             return warmed_up_at.min(self.started_at + slow_start.window);
         }
@@ -65,12 +67,12 @@
         let hash = hash_id(u64::from(id.0)) as usize;
         let position = (hash % scheduler_count + self.cluster.scheduler_index) % scheduler_count;
         let quota = attempts / scheduler_count + usize::from(position < attempts % scheduler_count);
-        // An attempt may leave at any moment until its connection must be up.
+        // An attempt may be sent at any time until the connect timeout.
         let window = slow_start.window.max(self.cluster.connect_timeout) + ANSWER_MARGIN;
         warmed_up_at.min(self.machines[&id].below_quota_at(quota, now, window))
     }
 
-    /// Whether the machine would accept so much more by what is requested of it.
+    /// Returns whether the machine, given the requests on it, would accept this request as well.
     pub(super) fn accepts(
         &self,
         now: Ticks,
@@ -82,8 +84,9 @@
         (total + requested).fits_in(size * self.cluster.admission_limit)
     }
 
-    /// Our replicas of its service in each domain that its class spreads over. Counted once for an
-    /// evaluation: the spread filter asks for each of hundreds of machines.
+    /// Returns the number of our replicas of the allocation's service in each domain over which its
+    /// class is spread. They are counted once for each evaluation because the spread filter runs
+    /// for hundreds of machines.
     pub(super) fn count_replicas(&self, allocation: &Allocation) -> Vec<ReplicaCount> {
         let Some((domain, _)) = self.cluster.service_classes[allocation.service_class.0].spread
         else {
@@ -93,6 +96,8 @@
             .count_by_domain(allocation.service, |id| self.domain_of(domain, id))
     }
 
+    /// Returns whether the machine's domain has fewer replicas of the service than its class
+    /// allows.
     fn spread_allows(&self, id: MachineId, allocation: &Allocation) -> bool {
         let Some((domain, max_replicas)) =
             self.cluster.service_classes[allocation.service_class.0].spread
--- a/crates/scheduler/src/policy/infeasible.rs
+++ b/crates/scheduler/src/policy/infeasible.rs
@@ -1,26 +1,27 @@
-//! Which evaluations would find no machine. Nothing is decided here: an evaluation is left out only
-//! where the complete one would defer the allocation, which tests compare call by call.
+//! Finds evaluations that can be skipped because they would find no machine. No decision changes:
+//! an evaluation is skipped only if the complete one would defer the allocation, which tests
+//! compare call by call.
 
 use super::overload::{Candidate, THETA, overload_limit, usable_share};
 use super::*;
 
-/// What rounding may take off, as a part.
+/// Relative allowance for rounding errors.
 const ROUNDING_ALLOWANCE: f64 = 1e-9;
 const NO_CAPACITY: Resources = Resources {
     cores: f64::NEG_INFINITY,
     memory: f64::NEG_INFINITY,
 };
 
-/// Usage of a machine as an allocation of one class finds it.
+/// Lower bounds of a machine's usage as they count for an allocation of one service class.
 struct UsageBounds {
     expected: Resources,
     least_draw: Resources,
 }
 
 impl Scheduler {
-    /// Until when no machine can take this one if nothing happens meanwhile; `now` where one may.
-    /// Only the machines whose bounds allow it are weighed; of a group that was infeasible before,
-    /// only those that have gained capacity since.
+    /// Returns the time until which no machine can take the allocation if nothing else happens, or
+    /// `now` if one may take it. Only machines whose bounds allow it are scored; for a group that
+    /// was infeasible before, only those of them that have gained capacity since.
     pub(super) fn infeasible_until(&mut self, now: Ticks, new: &Allocation) -> Ticks {
         let reservation = self.reservation();
         if reservation.is_some_and(|(_, one)| one.allocation == new.id) {
@@ -53,7 +54,8 @@
         until
     }
 
-    /// From when the machine might take it, weighed now, if nothing happens meanwhile.
+    /// Returns the time from which the machine, scored now, might take the allocation if nothing
+    /// else happens.
     fn feasible_from(
         &self,
         now: Ticks,
@@ -79,8 +81,8 @@
         now + Ticks::from(!under_theta)
     }
 
-    /// Brings the bounds up to date: all of them with each new summary and when the means that they
-    /// rest on have changed.
+    /// Updates the bounds: all of them after each new summary and after a change of the means on
+    /// which they are based, otherwise those of the changed machines.
     fn refresh_capacity(&mut self, now: Ticks) {
         let until = self.summary.computed_at.unwrap_or(now) + SUMMARY_INTERVAL;
         let means = [self.learned.peak_usage, self.learned.current_usage];
@@ -97,9 +99,10 @@
         }
     }
 
-    /// The most that the machine has available until then, for each service class, unless something
-    /// happens to it. Usage by others lies between its values at both ends, and our allocations
-    /// that come of age meanwhile count as of age.
+    /// Returns, for each service class, an upper bound of the machine's available capacity from
+    /// `now` to `until`, valid as long as no event changes the machine. Usage by others lies
+    /// between its values at both ends. Our allocations that reach the report delay in this time
+    /// are treated as if they had already reached it.
     fn available_capacity(
         &self,
         now: Ticks,
@@ -144,6 +147,7 @@
         bounds.collect()
     }
 
+    /// Returns lower bounds of the machine's usage for an allocation of this service class.
     fn usage_bounds(
         &self,
         machine: &Machine,
@@ -167,7 +171,8 @@
         usage
     }
 
-    /// Whether a deferred allocation that found no machine in the last round might find one now.
+    /// Returns whether a deferred allocation that found no machine in the last round might find one
+    /// now.
     pub(super) fn retry_worthwhile(&mut self, now: Ticks) -> bool {
         let computed_at = self.summary.computed_at;
         let outdated = computed_at.is_none_or(|at| at + SUMMARY_INTERVAL <= now);
--- a/crates/scheduler/src/policy/liveness.rs
+++ b/crates/scheduler/src/policy/liveness.rs
@@ -1,14 +1,17 @@
-//! Which machines are alive: health checks, lost machines, and the watch on the endpoint list.
+//! Checks which machines are alive: health checks, lost allocations, and retries of the endpoint
+//! list watch.
 
 use super::*;
 
-/// After so long without an answer, health checks included, what is placed on a machine is lost.
+/// Time without any answer, health checks included, after which the allocations on a machine count
+/// as lost.
 const LOST_AFTER: Ticks = 5 * SECOND;
-/// The wait before a failed watch is tried again is doubled so many times at most.
+/// Maximum number of times that the delay before a failed watch is retried is doubled.
 const MAX_WATCH_DOUBLINGS: u32 = 2;
 
 impl Scheduler {
-    /// The machines whose load report is the oldest, as many as may be checked.
+    /// Returns the machines with the oldest load reports, as many as the health check budget
+    /// allows.
     fn machines_with_old_reports(&self, now: Ticks) -> Vec<MachineId> {
         let last_known_at = |machine: &Machine| {
             let reported_at = machine.reported_usage.map_or(0, |report| report.at);
@@ -24,7 +27,8 @@
         stale.into_iter().map(|(&id, _)| id).collect()
     }
 
-    /// The machines to send a health check to.
+    /// Returns the machines to which a health check is to be sent, and charges the health check
+    /// budget.
     pub(super) fn health_checks(&mut self, now: Ticks) -> Vec<MachineId> {
         let ids = self.machines_with_old_reports(now);
         self.health_check_budget -= ids.len() as f64;
@@ -36,9 +40,9 @@
         ids
     }
 
-    /// Our allocations that are lost. One on a machine that has vanished or is cut off ends without
-    /// notice: a silent machine gets a health check, and after a while without an answer what is
-    /// placed there is lost.
+    /// Returns our allocations that are lost. An allocation on a machine that has disappeared or is
+    /// unreachable ends without notice. So a silent machine gets health checks, and when it hasn't
+    /// answered for [`LOST_AFTER`] its allocations count as lost.
     pub(super) fn lost_allocations(
         &mut self,
         now: Ticks,
@@ -67,7 +71,8 @@
         lost
     }
 
-    /// The request for the endpoint list failed, or the watch on it broke: it doesn't say which.
+    /// Schedules a retry after the request for the endpoint list failed or the watch on it broke;
+    /// the caller doesn't say which.
     pub fn endpoint_watch_failed(&mut self, now: Ticks) {
         if self.cluster.list_poll_interval.is_some() && self.watch_retry_at.is_none() {
             let backoff = SECOND << self.watch_failures.min(MAX_WATCH_DOUBLINGS);
@@ -76,7 +81,7 @@
         }
     }
 
-    /// A health check has come to this.
+    /// Records the result of a health check.
     pub fn record_health_check(
         &mut self,
         now: Ticks,
--- a/crates/scheduler/src/policy/migration.rs
+++ b/crates/scheduler/src/policy/migration.rs
@@ -1,26 +1,28 @@
-//! Which of our allocations move away: off machines short of memory, off draining ones, and to
-//! clear capacity for a large one.
+//! Chooses which of our allocations to migrate: off machines that are short of memory, off draining
+//! machines, and to clear capacity for a large allocation.
 
 use super::overload::MAX_MEMORY_SHARE;
 use super::*;
 
-/// A request of so many times the usual one is large.
+/// Multiple of the mean requested cores above which a request counts as large.
 const LARGE_FACTOR: f64 = 4.0;
-/// Part of the memory in use past which some move away.
+/// Share of a machine's memory in use above which some of its allocations are migrated.
 const CROWDED_MEMORY_SHARE: f64 = 0.95;
-/// An open machine with less than this in use could take them.
+/// Share in use below which a machine that is not held back counts as a target for migrations.
 const SPARE_CAPACITY_LOAD: f64 = 0.8;
-/// Allocations moved off a crowded machine at a time.
+/// Maximum number of our allocations migrated off a crowded machine at a time.
 const MAX_MOVES_PER_MACHINE: usize = 4;
 
 impl Scheduler {
-    /// So much larger than usual that capacity for it comes in pieces.
+    /// Returns whether the request is so much larger than usual that capacity for it may be
+    /// available only in fragments on several machines.
     pub(super) fn is_large(&self, requested: Resources) -> bool {
         requested.cores > LARGE_FACTOR * self.learned.requested_cores.mean_or(f64::INFINITY)
     }
 
-    /// Our allocations that move now. The paper moves where a machine is over the line or an
-    /// allocation fits only in pieces; so do we, and off draining machines.
+    /// Returns our allocations to migrate now. Like the paper, this migrates off machines that are
+    /// over their usable capacity and to defragment capacity for a large allocation; in addition,
+    /// it migrates off draining machines.
     pub(super) fn migrations(&mut self, now: Ticks) -> Vec<AllocationId> {
         let mut moves = self.clear_capacity(now);
         let has_spare_capacity = |id: &MachineId| {
@@ -40,8 +42,9 @@
         moves
     }
 
-    /// Off machines short of memory. All schedulers see the same machine: each of ours moves by the
-    /// chance at which as many move in all as must.
+    /// Returns allocations to migrate off machines that are short of memory. All schedulers see the
+    /// same shortage, so each allocation is chosen with the probability at which, over all
+    /// schedulers, as many are migrated as necessary.
     fn moves_off_crowded(&mut self, now: Ticks) -> Vec<AllocationId> {
         let mut crowded = Vec::new();
         for machine in self.machines.values() {
@@ -61,8 +64,9 @@
         moves
     }
 
-    /// An allocation may go down with its draining machine. The client of a deduplicated one would
-    /// then wait until it is certain to run no longer; after a move it comes again at once.
+    /// Returns allocations to migrate off draining machines. An allocation may be lost when its
+    /// draining machine stops. The client of a deduplicated allocation would then have to wait
+    /// until it certainly no longer runs, while after a migration it is requested again at once.
     fn moves_off_draining(&self) -> Vec<AllocationId> {
         let client_waits = |placed: &PlacedAllocation| {
             let retry_safety = self.cluster.service_classes[placed.service_class.0].retry_safety;
@@ -76,8 +80,8 @@
             .collect()
     }
 
-    /// Our allocations there that may move, low priorities first: those that run, are not large and
-    /// may start again.
+    /// Returns our allocations on the machine that may be migrated, lowest priority first: those
+    /// that run, are not large and may be retried.
     fn movable(&self, machine: &Machine) -> Vec<AllocationId> {
         let service_class =
             |placed: &PlacedAllocation| &self.cluster.service_classes[placed.service_class.0];
@@ -92,8 +96,8 @@
         movable.into_iter().map(|(&id, _)| id).collect()
     }
 
-    /// Clears the machine on which the fewest moves make the starved allocation fit, and reserves
-    /// its capacity.
+    /// Reserves capacity for the starved allocation on the machine that needs the fewest migrations
+    /// to make it fit, and returns these migrations.
     fn clear_capacity(&mut self, now: Ticks) -> Vec<AllocationId> {
         let Some(starved) = self.starved.take() else {
             return Vec::new();
@@ -127,7 +131,8 @@
         moves
     }
 
-    /// The moves after which the machine can take it; none if it can't.
+    /// Returns the migrations after which the machine can take the allocation, or `None` if no
+    /// migrations suffice.
     fn moves_to_fit(
         &self,
         now: Ticks,
--- a/crates/scheduler/src/policy/outcomes.rs
+++ b/crates/scheduler/src/policy/outcomes.rs
@@ -1,9 +1,9 @@
-//! What follows from the outcome of an attempt.
+//! Decides what follows from the outcome of an attempt and updates the health of its machine.
 
 use super::*;
 
 impl Scheduler {
-    /// What to do after this outcome of the attempt of this number.
+    /// Records the outcome of the attempt with this index and returns what to do next.
     pub fn on_outcome(
         &mut self,
         now: Ticks,
@@ -37,7 +37,8 @@
                     AttemptResult::Rejected => {
                         self.record_refusal(now, allocation, machine, reason)
                     }
-                    // Evicted or sent away, which is no fault of the machine: as one cancelled.
+                    // The machine evicted, preempted or migrated it, which is not a fault: treated
+                    // as cancelled.
                     AttemptResult::Reset if was_placed && reason.is_some() => {
                         self.record_ending(now, allocation, machine, AttemptResult::Cancelled, true)
                     }
@@ -52,6 +53,7 @@
         }
     }
 
+    /// Records that the machine has placed the allocation.
     fn record_placed(
         &mut self,
         now: Ticks,
@@ -61,7 +63,8 @@
     ) {
         let target = self.machines.entry(machine).or_default();
         (target.consecutive_timeouts, target.last_heard_at) = (0, now);
-        // Only now is it known that earlier errors were their machines' and not the allocation's.
+        // Since another machine has placed the allocation, earlier errors were faults of their
+        // machines and not of the allocation.
         for earlier in &allocation.attempts[..attempt] {
             let target = self.machines.entry(earlier.machine).or_default();
             let confirmed = target.unconfirmed_error.take_if(|of| *of == allocation.id);
@@ -80,7 +83,8 @@
         }
     }
 
-    /// Capacity comes back only as allocations end; a full queue of attempts is short again soon.
+    /// Records that the machine rejected the allocation. A lack of capacity lasts until allocations
+    /// end; a full attempt queue empties sooner.
     fn record_refusal(
         &mut self,
         now: Ticks,
@@ -88,7 +92,7 @@
         machine: MachineId,
         reason: Option<ReturnReason>,
     ) {
-        // A new refusal may end before the one that it replaces.
+        // The new rejection may end before the one that it replaces.
         self.capacity_index.mark_changed(machine, true);
         let target = self.machines.entry(machine).or_default();
         (target.consecutive_timeouts, target.last_heard_at) = (0, now);
@@ -103,6 +107,7 @@
         target.refusal = Some(Refusal { until, requested });
     }
 
+    /// Records how an attempt ended, and a fault of the machine if the ending shows one.
     fn record_ending(
         &mut self,
         now: Ticks,
@@ -111,20 +116,22 @@
         ending: AttemptResult,
         was_placed: bool,
     ) {
-        // A new fault may end before the one that it replaces.
+        // The new ejection may end before the one that it replaces.
         self.capacity_index.mark_changed(machine, true);
         let target = self.machines.entry(machine).or_default();
         if matches!(ending, AttemptResult::Completed | AttemptResult::Error) {
             target.last_heard_at = now;
         }
         match ending {
-            // What this machine can't run no other may: a few bad requests would eject all.
+            // Possibly no machine can run this allocation; counting each error as a fault would let
+            // a few bad requests eject every machine.
             AttemptResult::Error => target.unconfirmed_error = Some(allocation.id),
-            // One broken answer tells nothing of the machine; two in a row may.
+            // A single reset doesn't indicate a faulty machine; two in a row may.
             AttemptResult::Reset if !was_placed && target.consecutive_timeouts == 0 => {
                 target.consecutive_timeouts = 1
             }
-            // It leaves attempts unanswered, whatever the cause: dead, cut off or standing still.
+            // The machine doesn't answer attempts, whether it has failed, is unreachable or is
+            // stalled.
             AttemptResult::TimedOut | AttemptResult::ConnectFailed | AttemptResult::Reset => {
                 target.record_fault(now, EJECTION_TIME, MAX_EJECTION_DOUBLINGS)
             }
--- a/crates/scheduler/src/policy/overload.rs
+++ b/crates/scheduler/src/policy/overload.rs
@@ -1,30 +1,33 @@
-//! What is used and requested on a machine, and the probability that it is overloaded.
+//! Estimates the usage and the requests on a machine and the probability that it becomes
+//! overloaded.
 
 use super::*;
 
-/// The paper's theta: the part of the draws that may cross the line.
+/// The paper's theta: the maximum share of draws in which usage may exceed the usable capacity.
 pub(super) const THETA: f64 = 0.01;
 /// The paper's number of draws.
 const DRAWS: usize = 100;
-/// The paper's f for memory: below the size, since machines slow down before they evict. For cores
-/// it is the class's target utilization.
+/// The paper's f for memory. It is below 1 because machines slow down before they evict. For cores,
+/// f is the service class's target utilization.
 pub(super) const F_MEMORY: f64 = 0.9;
-/// Part of the memory filled when no machine is under theta: beyond it all slow down, then some are
-/// evicted.
+/// Share of a machine's memory that may be used when no machine is under theta. Beyond it all
+/// allocations on the machine slow down, and then some are evicted.
 pub(super) const MAX_MEMORY_SHARE: f64 = 0.92;
-/// Part of the cores by which the target utilization may then be passed: a crowded machine serves
-/// worse, but serves.
+/// Share of a machine's cores by which the target utilization may be exceeded when no machine is
+/// under theta: an overloaded machine still serves, only less well.
 pub(super) const CORE_OVERLOAD_ALLOWANCE: f64 = 0.25;
-/// Part of the usage of lower priorities that counts where it is discounted.
+/// Share of the usage of lower priorities that counts when it is discounted.
 const LOWER_PRIORITY_SHARE: f64 = 0.5;
-/// In this time a load report loses half its weight against what is expected without it.
+/// Time in ticks in which the weight of a load report, against the usage expected without it,
+/// halves.
 const REPORT_HALF_LIFE: f64 = 4.0 * SECOND as f64;
-/// So many times its quota is well over it: requests are not spread evenly over the schedulers.
+/// Multiple of its quota above which a tenant counts as over it. It exceeds 1 because requests are
+/// not spread evenly over the schedulers.
 const OVER_QUOTA_FACTOR: f64 = 1.3;
-/// The tier of candidates that are used last.
+/// The tier of candidates that are held back: they are used last.
 pub(super) const HELD_BACK_TIER: u8 = 3;
 
-/// A machine weighed for one allocation.
+/// A machine scored for one allocation.
 #[derive(Clone, Copy)]
 pub(super) struct Candidate {
     pub machine: MachineId,
@@ -32,33 +35,37 @@
     pub discounted: bool,
     /// The paper's W Max: the larger share of cores and memory in use with the allocation.
     pub w_max: f64,
-    /// Whether it can take the allocation by present usage, whatever the draws come to.
+    /// Whether the expected usage with the allocation stays within the overload limit, so that the
+    /// machine may be chosen even above theta. Cleared where only machines under theta may be
+    /// chosen.
     pub within_overload_limit: bool,
     /// Usage by other schedulers' allocations.
     pub others: Resources,
-    /// f times the size.
+    /// The machine's size multiplied by f.
     pub usable_capacity: Resources,
     /// The order in which machines are used: 0 first, [`HELD_BACK`] last.
     pub tier: u8,
 }
 
-/// The part of the draws that cross the line, with and without the allocation.
+/// The shares of draws in which usage exceeds the usable capacity, with and without the allocation.
 pub(super) struct Risk {
     pub with: f64,
     pub without: f64,
 }
 
 impl Scheduler {
-    /// What an allocation of ours uses now, as last reported or as usual.
+    /// Returns the current usage of one of our allocations: as last reported, or else the usual
+    /// share of its request.
     pub(crate) fn usage_of(&self, placed: &PlacedAllocation) -> Resources {
         placed
             .current_usage
             .unwrap_or(placed.requested * self.learned.peak_usage.mean_or_one())
     }
 
-    /// Usage by the others' allocations: what was last reported and, as that ages, what the list or
-    /// the average leads us to expect. One of many schedulers seldom gets a report of a machine.
-    /// `aged`: the moment at which the ages of our own allocations are taken.
+    /// Returns the usage by other schedulers' allocations: the last load report, which with its age
+    /// gives way to the usage expected from the endpoint list or the average. One of many
+    /// schedulers seldom gets a report from a given machine. `ages_at` is the time at which the
+    /// ages of our own allocations are taken.
     pub(super) fn usage_by_others(
         &self,
         ages_at: Ticks,
@@ -82,14 +89,15 @@
         })
     }
 
-    /// What all allocations on the machine use.
+    /// Returns the usage of all allocations on the machine.
     pub(super) fn total_usage(&self, now: Ticks, machine: &Machine) -> Resources {
         let own = machine.allocations.values();
         self.usage_by_others(now, now, machine) + own.map(|placed| self.usage_of(placed)).sum()
     }
 
-    /// What all schedulers' allocations on a machine request. The list is late: what was dispatched
-    /// since comes on top. Without it the others' requests are estimated from their usage.
+    /// Returns the sum of the requests of all schedulers' allocations on a machine. The endpoint
+    /// list lags behind, so our dispatches since then are added. Without the list, the other
+    /// schedulers' requests are estimated from their usage.
     pub(super) fn total_requested(
         &self,
         now: Ticks,
@@ -107,9 +115,10 @@
         listed.unwrap_or_else(estimated) + own.sum()
     }
 
-    /// The part of a class's usage, or of unknown usage by others, that counts for an allocation of
-    /// another class: a machine takes from lower priorities what it is short of, if only in use.
-    /// Where it evicts them they count in full, since they would come again.
+    /// Returns the share of a class's usage (with `None`: of other schedulers' usage, whose class
+    /// is unknown) that counts when an allocation of class `new` is placed. A machine that is short
+    /// of a resource takes it from lower priorities, so their usage is discounted. Where machines
+    /// preempt them instead, they count in full because they would be requested again.
     pub(super) fn counted_share(&self, new: ServiceClassId, of: Option<ServiceClassId>) -> f64 {
         let service_classes = &self.cluster.service_classes;
         let priority = |service_class: ServiceClassId| service_classes[service_class.0].priority;
@@ -124,8 +133,9 @@
         if lower { LOWER_PRIORITY_SHARE } else { 1.0 }
     }
 
-    /// Whether the tenant holds well over its quota of cores, if it holds as much at each other
-    /// scheduler. A standard error is taken off: one of many holds a few allocations by chance.
+    /// Returns whether the tenant is well over its quota of cores, assuming that it holds as much
+    /// at each other scheduler. One standard error is subtracted because one of many schedulers
+    /// holds a few allocations by chance.
     pub(super) fn over_quota(&self, allocation: &Allocation) -> bool {
         let tenant = self.cluster.tenants.get(allocation.tenant.0);
         let quota = tenant.and_then(|tenant| tenant.quota_cores);
@@ -140,8 +150,8 @@
         quota.is_some_and(|quota| total > quota * OVER_QUOTA_FACTOR)
     }
 
-    /// Cores that a start takes to be done in the class's time. It takes far longer where the
-    /// program must be loaded.
+    /// Returns the cores that a starting allocation needs to finish its start within the latency
+    /// objective of its class. A start takes far longer if the program must be loaded first.
     pub(super) fn start_usage(&self, cached: bool, service_class: &ServiceClass) -> Resources {
         let times = &self.learned.start_time;
         let time = times[usize::from(cached)].mean_or(times[1].mean_or(0.0));
@@ -151,7 +161,8 @@
         }
     }
 
-    /// The machine with the allocation on it, starting, before any draw; none if it is filtered out.
+    /// Scores the machine with the allocation starting on it, before any draw. Returns `None` if
+    /// the filters reject the machine.
     pub(super) fn score(
         &self,
         now: Ticks,
@@ -197,7 +208,8 @@
         })
     }
 
-    /// Draws a peak for the new allocation and for each of ours from the records that match it.
+    /// Estimates the risk of exceeding the usable capacity by drawing a peak for the new allocation
+    /// and for each of our allocations on the machine from their matching usage records.
     pub(super) fn violation_risk(
         &self,
         now: Ticks,
@@ -208,8 +220,8 @@
         let placed = self.machines[&candidate.machine].allocations.values();
         let placed_peaks = placed.map(|placed| {
             let peak = placed.peak_usage / placed.requested;
-            // Where no record reaches what it uses: its own peak, or its request while nothing is
-            // known.
+            // If no record matches the usage so far, its own peak is used, or its request while no
+            // usage is known.
             let fallback = placed.current_usage.map_or(Resources::ONE, |_| peak);
             let share = match candidate.discounted {
                 true => self.counted_share(new.service_class, Some(placed.service_class)),
@@ -222,8 +234,8 @@
         let placed_peaks: Vec<(Vec<Resources>, Resources)> = placed_peaks.collect();
         let new_peaks =
             history.matching_peaks(new.service, 0, Resources::default(), Resources::ONE);
-        // A generator for each machine, service and moment: an evaluation that is left out moves no
-        // later draw, and alike allocations draw alike.
+        // The generator is seeded by machine, service and time, so that a skipped evaluation
+        // doesn't change later draws and similar allocations get the same draws.
         let machine = u64::from(candidate.machine.0);
         let seed = hash_id(new.service.0 ^ hash_id(now ^ hash_id(machine ^ self.seed)));
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
@@ -236,7 +248,7 @@
             without += usize::from(!sum.fits_in(candidate.usable_capacity));
             sum = sum + new.requested * new_peaks[rng.random_range(0..new_peaks.len())];
             with += usize::from(!sum.fits_in(candidate.usable_capacity));
-            // Out of the question; how far over theta matters only for one that is bearable.
+            // The candidate is over theta. By how much matters only within the overload limit.
             if !candidate.within_overload_limit && with as f64 > THETA * DRAWS as f64 {
                 break;
             }
@@ -248,7 +260,7 @@
     }
 }
 
-/// The paper's f, for each resource.
+/// Returns the paper's f for each resource.
 pub(super) fn usable_share(service_class: &ServiceClass) -> Resources {
     Resources {
         cores: service_class.target_utilization,
@@ -256,7 +268,7 @@
     }
 }
 
-/// The share of a machine that may be in use where none is under theta.
+/// Returns the share of a machine that may be in use when no machine is under theta.
 pub(super) fn overload_limit(service_class: &ServiceClass) -> Resources {
     Resources {
         cores: service_class.target_utilization + CORE_OVERLOAD_ALLOWANCE,
@@ -264,7 +276,7 @@
     }
 }
 
-/// What is left of a load report's weight at this age.
+/// Returns the remaining weight of a load report of this age.
 pub(super) fn report_weight(age: Ticks) -> f64 {
     (-(age as f64) / REPORT_HALF_LIFE).exp2()
 }
--- a/crates/scheduler/src/policy/placement.rs
+++ b/crates/scheduler/src/policy/placement.rs
@@ -1,27 +1,29 @@
-//! Where an allocation goes: PrV-WorstFit over the machines that the filters let through.
+//! Chooses the machine for an allocation: PrV-WorstFit over the machines that pass the filters.
 
 use super::overload::{Candidate, HELD_BACK_TIER, THETA};
 use super::*;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// W Max, and rises in risk, that differ by no more than this part count as equal.
+/// Tolerance within which two values count as equal: relative for W Max, absolute for increases in
+/// risk.
 const TIE_TOLERANCE: f64 = 0.02;
-/// So many open machines of a service's rendezvous order are tried before all others.
+/// Number of candidates not held back, first in the service's rendezvous order, that are tried
+/// before all other machines.
 const FIRST_CANDIDATES: usize = 2;
-/// An idempotent attempt times out after this multiple of the usual answer time.
+/// Multiple of the usual answer time after which an idempotent attempt times out.
 const TIMEOUT_MULTIPLE: f64 = 8.0;
-/// Health checks for each allocation placed.
+/// Health checks allowed for each new allocation.
 const HEALTH_CHECKS_PER_ALLOCATION: f64 = 1.0;
 
-/// The machines that an allocation may go to.
+/// The machines to which an allocation may be dispatched.
 enum Eligible {
     All,
     Only(Vec<MachineId>),
 }
 
 impl Scheduler {
-    /// Where to dispatch this allocation, or that it waits, or that it is given up.
+    /// Decides whether to dispatch the allocation to a machine, defer it or abandon it.
     #[must_use]
     pub fn place(&mut self, now: Ticks, allocation: &Allocation) -> Placement {
         let deadline = allocation.deadline;
@@ -37,7 +39,8 @@
         };
         self.refresh_summary(now);
         self.replicas_by_domain = self.count_replicas(allocation);
-        // Where others were deferred, this one most likely finds no machine either.
+        // If other allocations were deferred recently, most likely no machine can take this one
+        // either.
         let recently = now.saturating_sub(2 * SUMMARY_INTERVAL);
         let others_deferred = self.retry_schedule.deferred_since(recently);
         if others_deferred {
@@ -60,9 +63,10 @@
         }
     }
 
+    /// Records the request of a new allocation and adds to the health check budget.
     fn record_demand(&mut self, now: Ticks, allocation: &Allocation) {
         let requested = &mut self.learned.requested_cores;
-        // A deferred one may count as large from here on.
+        // The mean falls, so a deferred allocation may count as large from now on.
         if allocation.requested.cores < requested.mean_or(0.0) {
             self.retry_schedule.may_be_feasible_at = now;
         }
@@ -71,8 +75,8 @@
         self.health_check_budget = budget.min(self.machines.len() as f64);
     }
 
-    /// The machines at which an attempt can't run the allocation twice; none where no attempt is
-    /// safe any more.
+    /// Returns the machines at which another attempt can't cause harm by running the allocation
+    /// twice, or `None` if no further attempt is safe.
     fn eligible(&self, now: Ticks, allocation: &Allocation) -> Option<Eligible> {
         let Some(first) = allocation.possibly_executed_attempt() else {
             return Some(Eligible::All);
@@ -80,7 +84,7 @@
         let ids = self.machines.keys().copied();
         let latest = now + self.cluster.connect_timeout + ANSWER_MARGIN;
         match self.cluster.service_classes[allocation.service_class.0].retry_safety {
-            // A machine that still runs an earlier attempt would refuse another.
+            // A machine that still runs an earlier attempt would reject another one.
             RetrySafety::Idempotent => {
                 let may_run = |id: MachineId| {
                     let mut attempts = allocation.attempts.iter();
@@ -95,7 +99,7 @@
                 })
             }
             RetrySafety::NotRetryable => None,
-            // Repeats are dropped only within the window, and only in the domain.
+            // Repeated attempts are deduplicated only within the window and within the domain.
             RetrySafety::Deduplicated { window, .. } if latest >= first.sent_at + window => None,
             RetrySafety::Deduplicated { scope, .. } => {
                 let deduplicates = |&id: &MachineId| {
@@ -106,7 +110,8 @@
         }
     }
 
-    /// The machine with a reservation for this allocation, if it is eligible and open.
+    /// Returns the machine with a reservation for this allocation, if it is eligible and passes the
+    /// filters.
     fn reserved(
         &self,
         now: Ticks,
@@ -122,8 +127,9 @@
         (reservation.allocation == allocation.id && eligible && passes_filters()).then_some(id)
     }
 
-    /// The machines first in the service's rendezvous order, if one is under theta: all schedulers
-    /// then use the same few machines, which keep its program cached. Else the best of all.
+    /// Returns one of the machines first in the service's rendezvous order if one of them is under
+    /// theta, otherwise the best of all machines. All schedulers thus use the same few machines for
+    /// a service, and these keep its program cached.
     fn choose_by_rank(
         &self,
         now: Ticks,
@@ -132,7 +138,8 @@
     ) -> Option<MachineId> {
         let service = allocation.service;
         let rank = |id, machine| Reverse((self.rendezvous_rank(service, id, machine), id));
-        // A heap: mostly a few are needed, and to sort all would cost as much as all the rest.
+        // Usually only a few machines are popped from this heap; sorting all of them would cost as
+        // much as the rest of the placement.
         let mut ranked: BinaryHeap<_> = match eligible {
             Eligible::All => {
                 let machines = self.machines.iter();
@@ -162,10 +169,12 @@
         if let Some(machine) = self.choose(now, first_candidates, allocation) {
             return Some(machine);
         }
-        // Those tried first, without the ones that the filters left out; then the rest in order.
+        // The machines tried first, except those that the filters rejected, followed by the
+        // remaining machines in rendezvous order.
         let rest = ranked.into_sorted_vec().into_iter().rev();
         ordered_ids.extend(rest.map(|Reverse((_, id))| id));
-        // Usage of lower priorities is discounted only where no machine is under theta without that.
+        // Usage of lower priorities is discounted only if no machine is under theta without the
+        // discount.
         let passes: &[bool] = match self.counted_share(allocation.service_class, None) < 1.0 {
             true => &[false, true],
             false => &[true],
@@ -175,8 +184,8 @@
             .find_map(|&final_pass| self.choose_among(now, &ordered_ids, allocation, final_pass))
     }
 
-    /// The best of these machines. Without `last`, and for a tenant over its quota, only one under
-    /// theta will do.
+    /// Returns the best of these machines. Except in the final pass, and for a tenant over its
+    /// quota, only a machine under theta may be chosen.
     fn choose_among(
         &self,
         now: Ticks,
@@ -198,9 +207,10 @@
             .flatten()
     }
 
-    /// The lowest W Max among those under theta and not held back; else among the held back under
-    /// theta; else the smallest rise in risk. Ties at random, so that schedulers which know the
-    /// same don't all choose one machine.
+    /// Returns the candidate under theta with the lowest W Max, from the lowest tier that has one.
+    /// If none is under theta, returns the candidate with the smallest increase in risk. Ties are
+    /// broken at random so that schedulers with the same information don't all choose the same
+    /// machine.
     fn choose(
         &self,
         now: Ticks,
@@ -211,7 +221,7 @@
         let mut best: Vec<&Candidate> = Vec::new();
         let mut increases = Vec::new();
         for candidate in &candidates {
-            // From the lowest W Max up: no later one can win any more.
+            // Candidates are in ascending order, so no later one can win.
             if best.first().is_some_and(|first| {
                 candidate.tier > first.tier || candidate.w_max > first.w_max * (1.0 + TIE_TOLERANCE)
             }) {
@@ -224,7 +234,9 @@
             }
         }
         if best.is_empty() {
-            // A machine over the line already rises by nothing: all would go to it.
+            // A machine already over its usable capacity shows no increase in risk and would
+            // attract every allocation, so only candidates within the overload limit are
+            // considered.
             let within_limit = || {
                 std::iter::zip(&candidates, &increases).filter(|(one, _)| one.within_overload_limit)
             };
@@ -241,6 +253,7 @@
         (!best.is_empty()).then(|| best[rng.random_range(0..best.len())].machine)
     }
 
+    /// Records the dispatch to the machine and sets the timeout of the attempt.
     fn dispatch(&mut self, now: Ticks, machine: MachineId, allocation: &Allocation) -> Placement {
         self.add_placed(now, allocation, machine);
         let (slow_start, connect_timeout) =
@@ -251,9 +264,9 @@
         dispatches.retain(|&at| at + window >= now);
         let remaining = allocation.deadline - ANSWER_MARGIN / 2 - now;
         let service_class = &self.cluster.service_classes[allocation.service_class.0];
-        // An attempt given up while it waits in a queue may run all the same, and binds what must
-        // not run twice. So only what may run again times out, and only where a machine is far
-        // slower than usual.
+        // An attempt that is abandoned while it waits in a queue may still run, after which an
+        // allocation that must not run twice can't be retried freely. So only idempotent attempts
+        // time out before the deadline, and only when a machine is far slower than usual.
         let usual_answer_time = self.learned.answer_time.mean_or(remaining as f64);
         let slow_answer_time = (usual_answer_time * TIMEOUT_MULTIPLE) as Ticks;
         let may_retry = service_class.retry_safety == RetrySafety::Idempotent
@@ -265,9 +278,10 @@
         Placement::Dispatch { machine, timeout }
     }
 
-    /// It waits until then, or until something changes.
+    /// Defers the allocation until that time or until capacity changes.
     fn defer(&mut self, now: Ticks, new: &Allocation, until: Ticks) -> Placement {
-        // One that may have run is given up when its repeats are no longer dropped.
+        // An allocation that may have run is abandoned when repeated attempts are no longer
+        // deduplicated.
         let abandon_at = match (
             self.cluster.service_classes[new.service_class.0].retry_safety,
             new.possibly_executed_attempt(),
@@ -277,13 +291,13 @@
         };
         let until =
             until.min(abandon_at.saturating_sub(self.cluster.connect_timeout + ANSWER_MARGIN));
-        // With the next summary all are evaluated again.
+        // The next summary causes all deferred allocations to be evaluated again.
         let next_full_evaluation = now + SUMMARY_INTERVAL + RETRY_INTERVAL;
         let deadline = Some(new.deadline - ANSWER_MARGIN).filter(|at| *at <= next_full_evaluation);
         let schedule = &mut self.retry_schedule;
         schedule.defer(now, now + RETRY_INTERVAL, until, deadline);
         if self.is_large(new.requested) {
-            // Capacity is cleared anew once the last reservation is over.
+            // Capacity is cleared again once the last reservation has ended.
             let reserved_until = self.reservation().map_or(0, |(_, one)| one.until);
             if reserved_until <= now {
                 self.starved = Some(new.clone());
@@ -295,7 +309,8 @@
         Placement::Deferred
     }
 
-    /// The safe answer: shed only where no attempt may have run, or where a repeat does no harm.
+    /// Returns the safe answer: `Shed` only if no attempt can have run or a repeat does no harm,
+    /// otherwise `Indeterminate`.
     fn abandon(&self, allocation: &Allocation) -> Placement {
         let repeatable_anywhere = matches!(
             self.cluster.service_classes[allocation.service_class.0].retry_safety,
@@ -307,8 +322,9 @@
         }
     }
 
-    /// Weighted rendezvous hashing: a machine's place in the order of a service, the same at every
-    /// scheduler. Larger machines come earlier in proportion; one more or less changes little.
+    /// Returns the machine's rank for a service by weighted rendezvous hashing, which is the same
+    /// at every scheduler. A machine's chance of ranking first is proportional to its cores, and
+    /// adding or removing a machine changes few ranks.
     fn rendezvous_rank(&self, service: ServiceId, id: MachineId, machine: &Machine) -> u64 {
         let hash = hash_id(service.0 ^ hash_id(u64::from(id.0)));
         let uniform_draw = (hash as f64 + 1.0) / (u64::MAX as f64 + 2.0);
--- a/crates/scheduler/src/policy/summary.rs
+++ b/crates/scheduler/src/policy/summary.rs
@@ -1,18 +1,19 @@
-//! The summary of all machines: the average usage by others, and which machines are held back.
+//! Computes the summary of all machines: the average usage by other schedulers' allocations, and
+//! which machines are needed or held back.
 
 use super::overload::report_weight;
 use super::*;
 use std::collections::BTreeSet;
 
-/// Share of the open machines that the demand should fill.
+/// Share of the needed machines' total size that the demand should fill.
 const TARGET_FILL: f64 = 0.7;
-/// Standard errors of a count that are added to the demand.
+/// Number of standard errors of a count that are added to the demand.
 const DEMAND_MARGIN: f64 = 3.0;
-/// Weight in the average of an estimate from our own usage, against 1 of a fresh load report.
+/// Weight, in the average, of the estimate from our own usage; a fresh load report has weight 1.
 const OWN_ESTIMATE_WEIGHT: f64 = 0.1;
 
 impl Scheduler {
-    /// Computes the summary anew when it is old.
+    /// Recomputes the summary if it is older than [`SUMMARY_INTERVAL`].
     pub(super) fn refresh_summary(&mut self, now: Ticks) {
         let computed_at = self.summary.computed_at;
         if computed_at.is_some_and(|at| at + SUMMARY_INTERVAL > now) {
@@ -34,7 +35,8 @@
             }
         }
         let other_schedulers = self.cluster.scheduler_count.saturating_sub(1) as f64;
-        // With hardly any report, as at start, each other scheduler is taken to use as much as we do.
+        // With hardly any load reports, as after a start, each other scheduler is assumed to use as
+        // much as we do.
         let estimate = own_usage / total_size * other_schedulers;
         let sum = reported + estimate * OWN_ESTIMATE_WEIGHT;
         self.summary.average_usage = sum * (1.0 / (total_weight + OWN_ESTIMATE_WEIGHT));
@@ -42,8 +44,8 @@
         self.summary.needed_machines = self.machines_needed(now, total_size, total_weight);
     }
 
-    /// The machines that the demand fills, the first ones by id: an order common to all schedulers.
-    /// The others are held back.
+    /// Returns the machines needed for the demand, taken in the order of their ids, which is the
+    /// same at all schedulers. The other machines are held back.
     fn machines_needed(
         &self,
         now: Ticks,
@@ -63,9 +65,10 @@
                 usable.push((id, size));
             }
         }
-        // What one of many schedulers knows of the demand is a sample, the smaller the less it
-        // holds, and a machine that only some hold back costs as much as an open one. Machines that
-        // have just reported are known without that error.
+        // One of many schedulers knows only a sample of the demand, and the fewer allocations it
+        // holds the smaller the sample. Holding back a machine that other schedulers use saves
+        // nothing, so a margin is added to the demand. The usage of machines that have just
+        // reported is known without this error.
         let sample_size = self.machine_of.len() as f64 + 1.0;
         let serving = self.machines.values().filter(|one| one.is_serving());
         let unreported = 1.0 - total_weight / (serving.count().max(1) as f64);
