--- a/crates/scheduler/src/policy/filters.rs
+++ b/crates/scheduler/src/policy/filters.rs
@@ -24,9 +24,9 @@
         if !machine.is_serving() || wrong_type || !self.spread_allows(id, allocation) {
             return NEVER;
         }
-        let refusal = machine
-            .refusal
-            .filter(|refusal| refusal.requested.fits_in(allocation.requested));
+        let rejection = machine
+            .rejection
+            .filter(|rejection| rejection.requested.fits_in(allocation.requested));
         let awaits_moves = || machine.allocations.values().any(|placed| placed.moving);
         let accepts_at = match machine.reservation.filter(|one| one.until > now) {
             Some(one) if one.allocation == allocation.id && !awaits_moves() => 0,
@@ -35,8 +35,8 @@
             None if self.accepts(now, machine, size, allocation.requested) => 0,
             None => now + 1,
         };
-        refusal
-            .map_or(0, |refusal| refusal.until)
+        rejection
+            .map_or(0, |rejection| rejection.until)
             .max(machine.ejected_until)
             .max(accepts_at)
             .max(self.slow_start_allows_at(now, id, endpoint))
--- a/crates/scheduler/src/policy/outcomes.rs
+++ b/crates/scheduler/src/policy/outcomes.rs
@@ -35,7 +35,7 @@
                 self.record_report(now, machine, report);
                 match ending {
                     AttemptResult::Rejected => {
-                        self.record_refusal(now, allocation, machine, reason)
+                        self.record_rejection(now, allocation, machine, reason)
                     }
                     // The machine evicted, preempted or migrated it, which is not a fault: treated
                     // as cancelled.
@@ -85,7 +85,7 @@
 
     /// Records that the machine rejected the allocation. A lack of capacity lasts until allocations
     /// end; a full attempt queue empties sooner.
-    fn record_refusal(
+    fn record_rejection(
         &mut self,
         now: Ticks,
         allocation: &Allocation,
@@ -104,7 +104,7 @@
             _ => (CAPACITY_TURNOVER, Resources::default()),
         };
         let until = now + duration;
-        target.refusal = Some(Refusal { until, requested });
+        target.rejection = Some(Rejection { until, requested });
     }
 
     /// Records how an attempt ended, and a fault of the machine if the ending shows one.
--- a/crates/scheduler/src/state/machine.rs
+++ b/crates/scheduler/src/state/machine.rs
@@ -81,7 +81,7 @@
 
 /// A machine refused an allocation: one that requests as much or more is not offered until then.
 #[derive(Clone, Copy)]
-pub struct Refusal {
+pub struct Rejection {
     /// The end of the refusal.
     pub until: Ticks,
     /// The least request that it covers.
@@ -119,7 +119,7 @@
     /// The last allocation that it answered with an error, until it is known whose fault that was.
     pub unconfirmed_error: Option<AllocationId>,
     /// Its last refusal.
-    pub refusal: Option<Refusal>,
+    pub rejection: Option<Rejection>,
     /// Capacity kept for an allocation that fits nowhere.
     pub reservation: Option<Reservation>,
     /// When its last health check was sent.
