--- a/crates/scheduler/src/policy.rs
+++ b/crates/scheduler/src/policy.rs
@@ -3,8 +3,8 @@
 //!
 //! A dispatcher calls three decision methods: [`Scheduler::place`] chooses the machine for an
 //! allocation, [`Scheduler::on_outcome`] decides what follows the outcome of an attempt, and
-//! [`Scheduler::poll`] returns the time until the next call and the work to start before it. All other
-//! methods only report facts. The caller keeps the allocations and the timers and makes no
+//! [`Scheduler::poll`] returns the time until the next call and the work to start before it. The
+//! other methods only report facts. The caller keeps the allocations and the timers and makes no
 //! decisions.
 
 use crate::Scheduler;
--- a/crates/scheduler/src/state.rs
+++ b/crates/scheduler/src/state.rs
@@ -1,4 +1,4 @@
-//! What the scheduler remembers between calls. Plain state: everything is decided in `policy`.
+//! The state that the scheduler keeps between calls. All decisions are made in `policy`.
 
 mod capacity_index;
 mod machine;
@@ -16,10 +16,10 @@
 
 use crate::interface::Ticks;
 
-/// A moment that never comes by itself.
+/// A time that is never reached; used where something must happen first.
 pub const NEVER: Ticks = Ticks::MAX;
 
-/// Hashes an id, alike at every scheduler (the last steps of splitmix64).
+/// Hashes an id with the final steps of splitmix64. The result is the same at every scheduler.
 pub fn hash_id(id: u64) -> u64 {
     let id = id.wrapping_add(0x9e37_79b9_7f4a_7c15);
     let id = (id ^ (id >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/scheduler/src/state/capacity_index.rs
+++ b/crates/scheduler/src/state/capacity_index.rs
@@ -1,18 +1,19 @@
-//! An upper bound of each machine's available capacity, and which requests were infeasible.
+//! Keeps an upper bound of each machine's available capacity and the requests found to be
+//! infeasible.
 
 use super::statistics::ResourceMeans;
 use crate::interface::*;
 use std::collections::{BTreeMap, VecDeque};
 
-/// What a machine has available, or an allocation needs. It fits by either of the first two, and by
-/// the third.
+/// The capacity that a machine has available or that an allocation requires. An allocation fits if
+/// it fits by expected usage or by the least draw, and also by requests.
 #[derive(Clone, Copy)]
 pub struct AvailableCapacity {
-    /// By the expected usage.
+    /// Capacity by expected usage.
     pub by_expected_usage: Resources,
-    /// By the least that draws may come to.
+    /// Capacity by the least usage that can be drawn.
     pub by_least_draw: Resources,
-    /// By what is requested.
+    /// Capacity by requests.
     pub by_requests: Resources,
 }
 
@@ -30,8 +31,8 @@
     }
 }
 
-/// Allocations that are alike: where one of them is infeasible, so is another that requests as much
-/// or more.
+/// A group of similar allocations: if one of them is infeasible, so is any other that requests at
+/// least as much.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AllocationGroup {
     /// The service of all of them.
@@ -41,7 +42,7 @@
 }
 
 impl AllocationGroup {
-    /// The group of this allocation.
+    /// Returns the group of this allocation.
     pub fn of(allocation: &Allocation) -> Self {
         AllocationGroup {
             service: allocation.service,
@@ -51,41 +52,43 @@
     }
 }
 
-/// No machine takes a request of at least this size until then, but for those that have gained
-/// capacity after so many changes.
+/// A record that no machine can take a request of at least `requested` before `until`, except
+/// machines that have gained capacity since the index counted `changes` changes.
 struct Infeasible {
     requested: Resources,
     until: Ticks,
     changes: u64,
 }
 
-/// The machines that may take an allocation, and until when no other does.
+/// The machines that may take an allocation, and the time until which no other machine can.
 pub struct PossibleMachines {
-    /// Until when it is infeasible elsewhere.
+    /// The time until which the allocation is infeasible on all other machines.
     pub until: Ticks,
     /// The machines to be evaluated.
     pub machines: Vec<MachineId>,
 }
 
-/// An upper bound of each machine's available capacity until a moment, and infeasible requests.
+/// An upper bound of each machine's available capacity, valid until a given time, and the
+/// infeasible requests.
 #[derive(Default)]
 pub struct CapacityIndex {
     until: Ticks,
-    /// The means that the bounds rest on.
+    /// The means from which the bounds were computed.
     means: [ResourceMeans; 2],
     ids: Vec<MachineId>,
     /// For each machine in the order of `ids`, one bound for each service class.
     bounds: Vec<AvailableCapacity>,
-    /// Machines to be bounded anew, and whether they may have gained what bounds don't show.
+    /// Machines whose bounds must be recomputed, and whether each may take requests that it didn't
+    /// before even if its bounds don't rise.
     changed: BTreeMap<MachineId, bool>,
-    /// The machines that gained, the last ones of so many changes.
+    /// The machines that gained capacity in the latest changes, the last one last.
     gained: VecDeque<MachineId>,
     changes: u64,
     infeasible: BTreeMap<AllocationGroup, Infeasible>,
 }
 
 impl CapacityIndex {
-    /// Nothing in it is true any more.
+    /// Discards all bounds and infeasible requests.
     pub fn invalidate(&mut self) {
         *self = CapacityIndex {
             changes: self.changes + 1,
@@ -93,7 +96,7 @@
         };
     }
 
-    /// Replaces all bounds. `machines` is in the order of ids.
+    /// Replaces all bounds. `machines` must be sorted by id.
     pub fn rebuild(
         &mut self,
         until: Ticks,
@@ -106,18 +109,18 @@
         self.bounds = machines.into_iter().flat_map(|(_, all)| all).collect();
     }
 
-    /// Whether the bounds were made for this moment and these means.
+    /// Returns whether the bounds were computed for this time and these means.
     pub fn is_current(&self, until: Ticks, means: [ResourceMeans; 2]) -> bool {
         (self.until, self.means) == (until, means)
     }
 
-    /// How often capacity was gained, or may have been.
+    /// Returns the number of times that capacity was or may have been gained.
     pub fn changes(&self) -> u64 {
         self.changes
     }
 
-    /// Something happened to the machine. `gains`: it may take what it would not before, whatever
-    /// its bounds are.
+    /// Marks the machine as changed. With `may_gain` it may take requests that it didn't before,
+    /// whatever its bounds are.
     pub fn mark_changed(&mut self, id: MachineId, may_gain: bool) {
         match self.ids.binary_search(&id) {
             Ok(_) => *self.changed.entry(id).or_default() |= may_gain,
@@ -125,7 +128,7 @@
         }
     }
 
-    /// The machines marked as changed.
+    /// Returns the machines marked as changed.
     pub fn changed_machines(&self) -> Vec<MachineId> {
         self.changed.keys().copied().collect()
     }
@@ -148,13 +151,14 @@
         former.copy_from_slice(&bounds);
     }
 
-    /// Such groups may be feasible though no machine has gained capacity.
+    /// Forgets the infeasible requests of the matching groups, which may have become feasible
+    /// though no machine has gained capacity.
     pub fn reconsider(&mut self, matches_group: impl Fn(&AllocationGroup) -> bool) {
         self.infeasible.retain(|group, _| !matches_group(group));
         self.changes += 1;
     }
 
-    /// The machines that may take one of this group with this need.
+    /// Returns the machines that may take an allocation of this group with this required capacity.
     pub fn possible_machines(
         &self,
         now: Ticks,
@@ -187,8 +191,8 @@
         }
     }
 
-    /// The group is infeasible until then, as of the changes so far. Past `max_groups` all known
-    /// groups are forgotten.
+    /// Records that the group is infeasible until this time, as of the changes so far. If
+    /// `max_groups` groups are recorded already, all of them are forgotten first.
     pub fn record_infeasible(
         &mut self,
         group: AllocationGroup,
--- a/crates/scheduler/src/state/machine.rs
+++ b/crates/scheduler/src/state/machine.rs
@@ -1,39 +1,39 @@
-//! Machines, and our allocations on them.
+//! The state of machines and of our allocations on them.
 
 use super::NEVER;
 use crate::interface::*;
 use std::collections::{BTreeMap, VecDeque};
 
-/// An allocation of ours on a machine, from its dispatch until the machine has reported its end.
+/// One of our allocations on a machine, from its dispatch until the machine has reported its end.
 pub struct PlacedAllocation {
-    /// The service that it belongs to.
+    /// The service to which it belongs.
     pub service: ServiceId,
     /// Its service class.
     pub service_class: ServiceClassId,
     /// The tenant who requested it.
     pub tenant: TenantId,
-    /// What was requested.
+    /// The requested resources.
     pub requested: Resources,
-    /// When it was dispatched.
+    /// The time of its dispatch.
     pub sent_at: Ticks,
-    /// The machine has accepted it.
+    /// Whether the machine has reported it as placed.
     pub placed: bool,
-    /// It runs.
+    /// Whether it runs.
     pub running: bool,
     /// Whether the machine was expected to have the program cached when it was dispatched.
     pub program_was_cached: bool,
-    /// It was told to move.
+    /// Whether its migration has been requested.
     pub moving: bool,
-    /// What it uses, once a metric has told it.
+    /// Its current usage, once a metric has reported it.
     pub current_usage: Option<Resources>,
-    /// The most that it has used so far.
+    /// Its highest usage so far, for each resource.
     pub peak_usage: Resources,
-    /// Reported uses of cores, for the percentile.
+    /// The reported core usages, from which the percentile is computed.
     pub core_usage_samples: Vec<f64>,
 }
 
 impl PlacedAllocation {
-    /// An allocation just dispatched.
+    /// Returns the state of an allocation that has just been dispatched.
     pub fn new(allocation: &Allocation, sent_at: Ticks, program_was_cached: bool) -> Self {
         PlacedAllocation {
             service: allocation.service,
@@ -51,8 +51,8 @@
         }
     }
 
-    /// Records what it uses now. A resource not reported yet is taken to be used as `usual`, a
-    /// share of what was requested.
+    /// Records a usage metric. A resource that hasn't been reported yet is assumed to be used at
+    /// the share `usual` of its request.
     pub fn record_metric(&mut self, metric: Metric, usual: Resources) {
         let current = self.current_usage.unwrap_or(self.requested * usual);
         match metric {
@@ -73,18 +73,19 @@
 /// Usage by other schedulers' allocations, as last reported.
 #[derive(Clone, Copy)]
 pub struct ReportedUsage {
-    /// When it was reported.
+    /// The time of the report.
     pub at: Ticks,
-    /// Usage without that of our own allocations.
+    /// The usage without that of our own allocations.
     pub usage: Resources,
 }
 
-/// A machine refused an allocation: one that requests as much or more is not offered until then.
+/// A machine's rejection of an allocation. Until it ends, allocations that request at least as much
+/// are not dispatched to the machine.
 #[derive(Clone, Copy)]
 pub struct Rejection {
-    /// The end of the refusal.
+    /// The end of the rejection.
     pub until: Ticks,
-    /// The least request that it covers.
+    /// The smallest request that it covers.
     pub requested: Resources,
 }
 
@@ -93,62 +94,64 @@
 pub struct Reservation {
     /// The end of the reservation.
     pub until: Ticks,
-    /// The allocation that it is kept for.
+    /// The allocation for which it is kept.
     pub allocation: AllocationId,
 }
 
-/// What is known of a machine.
+/// The known state of a machine.
 #[derive(Default)]
 pub struct Machine {
-    /// Its line of the endpoint list; none while only an outcome or a metric has named it.
+    /// Its entry in the endpoint list; `None` while only an outcome or a metric has named it.
     pub endpoint: Option<Endpoint>,
     /// Usage by other schedulers' allocations, as last reported.
     pub reported_usage: Option<ReportedUsage>,
-    /// What all schedulers' allocations request there, by the endpoint list.
+    /// The requests of all schedulers' allocations there, according to the endpoint list.
     pub listed_requested: Option<Resources>,
     /// Our allocations there.
     pub allocations: BTreeMap<AllocationId, PlacedAllocation>,
-    /// Services whose program it should still have cached, the last one last.
+    /// Services whose programs it should still have cached, the most recent last.
     pub cached_programs: VecDeque<ServiceId>,
-    /// When we dispatched to it within the last slow-start window.
+    /// The times of our dispatches to it within the last slow-start window.
     pub recent_dispatches: VecDeque<Ticks>,
-    /// Attempts in a row that it left unanswered.
+    /// The number of consecutive faults, usually attempts that it left unanswered.
     pub consecutive_timeouts: u32,
-    /// Nothing is dispatched to it before.
+    /// The time before which nothing is dispatched to it.
     pub ejected_until: Ticks,
-    /// The last allocation that it answered with an error, until it is known whose fault that was.
+    /// The last allocation that it answered with an error, until it is known whether the machine or
+    /// the allocation was at fault.
     pub unconfirmed_error: Option<AllocationId>,
-    /// Its last refusal.
+    /// Its last rejection.
     pub rejection: Option<Rejection>,
-    /// Capacity kept for an allocation that fits nowhere.
+    /// Capacity reserved for an allocation that fits on no machine yet.
     pub reservation: Option<Reservation>,
-    /// When its last health check was sent.
+    /// The time at which its last health check was sent.
     pub last_health_check: Ticks,
-    /// When it last answered, or when we first had an allocation there.
+    /// The time of its last answer, or of a later dispatch while it held none of our allocations.
     pub last_heard_at: Ticks,
 }
 
 impl Machine {
-    /// Whether the list says that it takes allocations.
+    /// Returns whether it takes allocations, according to the endpoint list.
     pub fn is_serving(&self) -> bool {
         self.endpoint
             .is_some_and(|endpoint| endpoint.state == MachineState::Serving)
     }
 
-    /// Whether the list says that it is draining.
+    /// Returns whether it is draining, according to the endpoint list.
     pub fn is_draining(&self) -> bool {
         self.endpoint
             .is_some_and(|endpoint| endpoint.state == MachineState::Draining)
     }
 
-    /// It was left out of a complete list.
+    /// Marks the machine as removed, since a complete endpoint list doesn't contain it.
     pub fn mark_removed(&mut self) {
         if let Some(endpoint) = self.endpoint.as_mut() {
             endpoint.state = MachineState::Removed;
         }
     }
 
-    /// Another process runs under the same id: only our own allocations and dispatches still count.
+    /// Resets the state when another process runs under the same id. Only our allocations and
+    /// dispatches are kept.
     pub fn reset_after_restart(&mut self) {
         let former = std::mem::take(self);
         *self = Machine {
@@ -158,8 +161,8 @@
         };
     }
 
-    /// From when on fewer than `quota` of our dispatches lie within `window`, if none is added; 0
-    /// if that is so already.
+    /// Returns the time from which fewer than `quota` of our dispatches lie within `window` if none
+    /// is added, or 0 if that is already the case.
     pub fn below_quota_at(&self, quota: usize, now: Ticks, window: Ticks) -> Ticks {
         let recent = self
             .recent_dispatches
@@ -176,15 +179,16 @@
         }
     }
 
-    /// Counts one more fault in a row and ejects the machine for `time`, doubled with each up to
-    /// `max_doublings`.
+    /// Counts another consecutive fault and ejects the machine for `ejection_time`, doubled for
+    /// each earlier one up to `max_doublings` times.
     pub fn record_fault(&mut self, now: Ticks, ejection_time: Ticks, max_doublings: u32) {
         let doublings = self.consecutive_timeouts.min(max_doublings);
         self.ejected_until = now + (ejection_time << doublings);
         self.consecutive_timeouts += 1;
     }
 
-    /// The service's program is the one cached last, of `max_programs` at most.
+    /// Records the service's program as the most recently cached one, keeping at most
+    /// `max_programs`.
     pub fn cache_program(&mut self, service: ServiceId, max_programs: usize) {
         self.cached_programs.retain(|&other| other != service);
         self.cached_programs.push_back(service);
@@ -193,7 +197,7 @@
         }
     }
 
-    /// Whether it should have the service's program, in use or cached.
+    /// Returns whether the machine should have the service's program, in use or cached.
     pub fn has_program(&self, service: ServiceId) -> bool {
         let in_use = |placed: &PlacedAllocation| placed.service == service;
         self.cached_programs.contains(&service) || self.allocations.values().any(in_use)
--- a/crates/scheduler/src/state/retry_schedule.rs
+++ b/crates/scheduler/src/state/retry_schedule.rs
@@ -1,24 +1,25 @@
-//! When deferred allocations are worth another evaluation.
+//! Schedules the repeated evaluation of deferred allocations.
 
 use super::NEVER;
 use crate::interface::Ticks;
 use std::collections::BTreeSet;
 
-/// When deferred allocations are to be evaluated again.
+/// The times at which deferred allocations are evaluated again.
 pub struct RetrySchedule {
-    /// The next round, if anything has changed by then or `may_open_at` has come.
+    /// The time of the next round, which takes place if anything has changed by then or
+    /// `may_be_feasible_at` has been reached.
     pub next_round_at: Option<Ticks>,
-    /// From here on a machine might take one of them though nothing happens.
+    /// The time from which a machine might take a deferred allocation without any other change.
     pub may_be_feasible_at: Ticks,
-    /// Last moments to answer, of those that come before the next summary.
+    /// The latest times to answer deferred allocations whose deadline is before the next summary.
     deadlines: BTreeSet<Ticks>,
-    /// The changes of the capacity index when the last round began.
+    /// The capacity index's number of changes when the last round began.
     pub changes: u64,
-    /// The first evaluation of the round is still to come: it computes the summary anew, which
-    /// is no change after the round began.
+    /// Whether the first evaluation of the round is still to come. It recomputes the summary, which
+    /// must not count as a change after the round began.
     awaits_first_evaluation: bool,
     last_deferred_at: Option<Ticks>,
-    /// Nothing is left out. Only for tests to compare with.
+    /// Whether no evaluation is skipped; set only by tests that compare with it.
     pub exhaustive: bool,
 }
 
@@ -37,13 +38,14 @@
 }
 
 impl RetrySchedule {
-    /// Whether one was deferred at that moment or later, and evaluations may be left out.
+    /// Returns whether an allocation was deferred at that time or later and evaluations may be
+    /// skipped.
     pub fn deferred_since(&self, moment: Ticks) -> bool {
         !self.exhaustive && self.last_deferred_at.is_some_and(|at| at >= moment)
     }
 
-    /// One was deferred. It may be placed from `may_open_at` on, and must be answered by `deadline`
-    /// if that comes soon.
+    /// Records a deferred allocation, which may be placed from `may_be_feasible_at` on and, if a
+    /// `deadline` is given, must be answered by then.
     pub fn defer(
         &mut self,
         now: Ticks,
@@ -58,18 +60,18 @@
         self.deadlines.extend(deadline);
     }
 
-    /// When it is next to be asked, by a round or a deadline.
+    /// Returns the time of the next round or deadline, whichever is earlier.
     pub fn next_at(&self) -> Option<Ticks> {
         let deadline = self.deadlines.first().copied();
         [self.next_round_at, deadline].into_iter().flatten().min()
     }
 
-    /// Whether a round or a deadline has come.
+    /// Returns whether a round or a deadline is due.
     pub fn is_due(&self, now: Ticks) -> bool {
         self.next_at().is_some_and(|at| at <= now)
     }
 
-    /// All deferred allocations are evaluated again.
+    /// Begins a round in which all deferred allocations are evaluated again.
     pub fn begin_round(&mut self, changes: u64) {
         *self = RetrySchedule {
             changes,
@@ -80,14 +82,16 @@
         };
     }
 
-    /// An evaluation begins; the changes up to the first one of a round belong to the round.
+    /// Records the start of an evaluation. Changes before the first evaluation of a round count as
+    /// part of the round.
     pub fn record_evaluation(&mut self, changes: u64) {
         if std::mem::take(&mut self.awaits_first_evaluation) {
             self.changes = changes;
         }
     }
 
-    /// The round is left out. Whether a deadline has come: then some are evaluated all the same.
+    /// Skips the round. Returns whether a deadline is due, in which case some allocations are
+    /// evaluated all the same.
     pub fn skip_round(&mut self, now: Ticks, next_round_at: Ticks) -> bool {
         let before = self.deadlines.len();
         self.deadlines = self.deadlines.split_off(&(now + 1));
--- a/crates/scheduler/src/state/service_placements.rs
+++ b/crates/scheduler/src/state/service_placements.rs
@@ -1,4 +1,4 @@
-//! Which machines hold allocations of which service.
+//! Counts our allocations of each service on each machine.
 
 use crate::interface::*;
 use std::collections::BTreeMap;
@@ -10,20 +10,20 @@
 /// The replicas of a service in one failure domain.
 #[derive(Clone, Copy)]
 pub struct ReplicaCount {
-    /// Which machine, cell or zone it is.
+    /// The id of the machine, cell or zone.
     pub domain: u64,
-    /// How many replicas are there.
+    /// The number of replicas there.
     pub replicas: usize,
 }
 
 impl ServicePlacements {
-    /// One more allocation of the service is on the machine.
+    /// Adds an allocation of the service on the machine.
     pub fn add(&mut self, service: ServiceId, machine: MachineId) {
         let machines = self.0.entry(service).or_default();
         *machines.entry(machine).or_default() += 1;
     }
 
-    /// One allocation of the service has left the machine.
+    /// Removes an allocation of the service from the machine.
     pub fn remove(&mut self, service: ServiceId, machine: MachineId) {
         let Some(machines) = self.0.get_mut(&service) else {
             return;
@@ -35,7 +35,8 @@
         }
     }
 
-    /// The service's replicas by failure domain; machines without a domain are left out.
+    /// Returns the number of the service's replicas in each failure domain. Machines without a
+    /// domain are left out.
     pub fn count_by_domain(
         &self,
         service: ServiceId,
@@ -54,7 +55,7 @@
         counts
     }
 
-    /// The machines that hold the service, with the number of its allocations there.
+    /// Returns the machines that hold allocations of the service, with their number.
     pub fn machines_of(&self, service: ServiceId) -> impl Iterator<Item = (MachineId, usize)> {
         let machines = self.0.get(&service).into_iter().flatten();
         machines.map(|(&id, &count)| (id, count))
--- a/crates/scheduler/src/state/statistics.rs
+++ b/crates/scheduler/src/state/statistics.rs
@@ -1,9 +1,9 @@
-//! Decaying means, and what is learned over all machines.
+//! Decaying means and the statistics learned over all machines.
 
 use crate::interface::{MachineId, Resources, Ticks};
 use std::collections::BTreeSet;
 
-/// A mean in which earlier values decay.
+/// A mean in which the weight of earlier values decays.
 #[derive(Default, Clone, Copy, PartialEq)]
 pub struct DecayingMean {
     sum: f64,
@@ -11,12 +11,12 @@
 }
 
 impl DecayingMean {
-    /// Adds a value; the weight of those before is multiplied by `retention`.
+    /// Adds a value and multiplies the weight of earlier values by `retention`.
     pub fn add(&mut self, value: f64, retention: f64) {
         (self.sum, self.weight) = (self.sum * retention + value, self.weight * retention + 1.0);
     }
 
-    /// The mean, or `default` before the first value.
+    /// Returns the mean, or `default` before the first value.
     pub fn mean_or(&self, default: f64) -> f64 {
         if self.weight > 0.0 {
             self.sum / self.weight
@@ -29,14 +29,14 @@
 /// A decaying mean for each resource.
 #[derive(Default, Clone, Copy, PartialEq)]
 pub struct ResourceMeans {
-    /// Mean of cores.
+    /// The mean for cores.
     pub cores: DecayingMean,
-    /// Mean of memory.
+    /// The mean for memory.
     pub memory: DecayingMean,
 }
 
 impl ResourceMeans {
-    /// The means, 1 where there is none yet.
+    /// Returns the means, with 1 for a resource without values.
     pub fn mean_or_one(&self) -> Resources {
         Resources {
             cores: self.cores.mean_or(1.0),
@@ -45,29 +45,28 @@
     }
 }
 
-/// Means over all machines and services. Usage is a share of what was requested; times are in
-/// ticks.
+/// Means over all machines and services. Usage is a share of the request; times are in ticks.
 #[derive(Default)]
 pub struct LearnedStatistics {
-    /// Peak usage of ended allocations: expected of one whose usage is not known yet.
+    /// Peak usage of ended allocations, expected of an allocation whose usage isn't known yet.
     pub peak_usage: ResourceMeans,
-    /// Usage of running allocations at any time.
+    /// Usage of running allocations, over all metrics reported.
     pub current_usage: ResourceMeans,
-    /// Time from dispatch to running, without the program cached `[0]` and with it `[1]`.
+    /// Time from dispatch to running: `[0]` without the program cached, `[1]` with it.
     pub start_time: [DecayingMean; 2],
-    /// Time from dispatch to the machine's answer that it is placed.
+    /// Time from dispatch to the machine's answer that the allocation is placed.
     pub answer_time: DecayingMean,
     /// Cores requested by new allocations.
     pub requested_cores: DecayingMean,
 }
 
-/// What is true over all machines, computed anew from time to time.
+/// A summary of all machines, recomputed at intervals.
 #[derive(Default)]
 pub struct ClusterSummary {
-    /// When it was computed; none if it must be computed anew.
+    /// The time at which it was computed; `None` if it must be recomputed.
     pub computed_at: Option<Ticks>,
     /// Mean usage by other schedulers' allocations, as a share of a machine's size.
     pub average_usage: Resources,
-    /// The machines that are not held back.
+    /// The machines needed for the demand; the others are held back.
     pub needed_machines: BTreeSet<MachineId>,
 }
--- a/crates/scheduler/src/state/usage_history.rs
+++ b/crates/scheduler/src/state/usage_history.rs
@@ -1,26 +1,26 @@
-//! The peak usage of ended allocations, by service.
+//! Keeps records of the peak usage of ended allocations, by service.
 
 use crate::interface::*;
 use std::collections::{BTreeMap, VecDeque};
 
-/// What one ended allocation came to use.
+/// The usage record of one ended allocation.
 #[derive(Clone, Copy)]
 pub struct UsageRecord {
-    /// Peak usage as a share of what was requested.
+    /// Peak usage as a share of the request.
     pub peak: Resources,
-    /// How long it ran.
+    /// Time from its dispatch to its end.
     pub duration: Ticks,
-    /// When it ended.
+    /// The time of its end.
     pub ended_at: Ticks,
 }
 
-/// The latest records of each service, the last one first.
+/// The latest records of each service, newest first.
 #[derive(Default)]
 pub struct UsageHistory(BTreeMap<ServiceId, VecDeque<UsageRecord>>);
 
 impl UsageHistory {
-    /// Adds a record. Beyond `max_records` of a service the oldest goes; beyond `max_services` the
-    /// service that has had no record for the longest time.
+    /// Adds a record. Beyond `max_records` of a service the oldest record is dropped; beyond
+    /// `max_services` the service that has had no new record for the longest time.
     pub fn push(
         &mut self,
         service: ServiceId,
@@ -43,8 +43,9 @@
         }
     }
 
-    /// Peaks of the records that an allocation of this age and peak usage may follow: those that
-    /// ran as long and used as much. `fallback` alone if there are none.
+    /// Returns the peaks of the records that match an allocation of this age and peak usage so far:
+    /// those that ran at least as long and used at least as much. Without any, returns only
+    /// `fallback`.
     pub fn matching_peaks(
         &self,
         service: ServiceId,
@@ -63,14 +64,14 @@
         }
     }
 
-    /// A lower bound of the service's peaks, and of the request itself, which stands for a peak
-    /// where no record matches.
+    /// Returns a lower bound, for each resource, of the service's recorded peaks and of the request
+    /// itself, which serves as the peak if no record matches.
     pub fn least_peak(&self, service: ServiceId) -> Resources {
         let records = self.0.get(&service).into_iter().flatten();
         records.fold(Resources::ONE, |least, record| least.min(record.peak))
     }
 
-    /// The number of services with records.
+    /// Returns the number of services with records.
     pub fn len(&self) -> usize {
         self.0.len()
     }
