--- a/crates/scheduler/src/interface.rs
+++ b/crates/scheduler/src/interface.rs
@@ -1,4 +1,4 @@
-//! What the scheduler is called with and what it answers: plain values, free of any wire.
+//! The argument and result types of the scheduler: plain values, independent of any wire format.
 
 mod allocation;
 mod cluster;
--- a/crates/scheduler/src/interface/allocation.rs
+++ b/crates/scheduler/src/interface/allocation.rs
@@ -1,32 +1,32 @@
-//! Allocations, and what the scheduler decides about them.
+//! Allocations and the scheduler's decisions about them.
 
 use crate::interface::{
     AllocationId, MachineId, Resources, ServiceClassId, ServiceId, TenantId, Ticks,
 };
 
-/// What an attempt has come to. Only some outcomes prove that the allocation never ran.
+/// The state of an attempt. Only some outcomes prove that the allocation never ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptState {
-    /// It has no outcome yet.
+    /// The attempt has no outcome yet.
     Pending,
-    /// It is certain not to have run.
+    /// The allocation certainly didn't run.
     NotExecuted,
-    /// It may have run.
+    /// The allocation may have run.
     PossiblyExecuted,
 }
 
 /// One dispatch of an allocation to a machine.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    /// Where it was sent.
+    /// The machine to which it was sent.
     pub machine: MachineId,
-    /// When it was sent.
+    /// The time at which it was sent.
     pub sent_at: Ticks,
-    /// What it has come to.
+    /// Its state.
     pub state: AttemptState,
 }
 
-/// An allocation that the caller keeps.
+/// An allocation, kept by the caller.
 #[derive(Clone, Debug)]
 pub struct Allocation {
     /// Its id.
@@ -35,20 +35,20 @@
     pub service: ServiceId,
     /// The class of its service.
     pub service_class: ServiceClassId,
-    /// Who requested it.
+    /// The tenant that requested it.
     pub tenant: TenantId,
-    /// What is requested.
+    /// The requested resources.
     pub requested: Resources,
-    /// When the caller accepted it.
+    /// The time at which the caller accepted it.
     pub accepted_at: Ticks,
-    /// When its client stops waiting for the answer.
+    /// The time at which its client stops waiting for the answer.
     pub deadline: Ticks,
-    /// The attempts so far, in their order.
+    /// The attempts so far, oldest first.
     pub attempts: Vec<Attempt>,
 }
 
 impl Allocation {
-    /// The first attempt that is not proven never to have run.
+    /// Returns the first attempt that isn't proven never to have run.
     #[must_use]
     pub fn possibly_executed_attempt(&self) -> Option<&Attempt> {
         self.attempts
@@ -57,54 +57,55 @@
     }
 }
 
-/// What to do with an allocation.
+/// The decision about an allocation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Placement {
-    /// Send it to this machine, and wait so long for the answer.
+    /// Send it to this machine and wait for the answer until the timeout.
     Dispatch {
-        /// Where to.
+        /// The machine to which it is sent.
         machine: MachineId,
-        /// The attempt times out after this time.
+        /// The time after which the attempt times out.
         timeout: Ticks,
     },
-    /// No machine takes it now: keep it, and ask again when [`PollResult`] says so.
+    /// No machine can take it now: keep it and place it again when [`PollResult`] requests it.
     Deferred,
-    /// Answer that it is rejected, and certain to have had no effect.
+    /// Answer that it was rejected and certainly had no effect.
     Shed,
-    /// Answer that it failed, and may have run.
+    /// Answer that it failed and may have run.
     Indeterminate,
 }
 
-/// What to do after an outcome.
+/// The next step after an outcome.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NextStep {
     /// Nothing.
     Done,
     /// Place it again.
     Retry,
-    /// Answer that it is rejected, and certain to have had no effect.
+    /// Answer that it was rejected and certainly had no effect.
     Shed,
-    /// Answer that it failed, and may have run.
+    /// Answer that it failed and may have run.
     Indeterminate,
 }
 
-/// When to poll next, and what to set going meanwhile.
+/// The time until the next poll and the work to start before it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PollResult {
-    /// Poll again after this time at the latest.
+    /// The maximum time until the next poll.
     pub next_poll: Ticks,
-    /// Deferred allocations are worth another call now.
+    /// Whether deferred allocations are to be placed again now.
     pub retry_deferred: bool,
-    /// Where told, only those with a deadline up to then: the others would find no machine. If
-    /// there are no others, [`crate::Scheduler::no_deferred_left`] is to be called.
+    /// If set, only deferred allocations with a deadline up to this time are to be placed again;
+    /// the others would find no machine. If none are left deferred, the caller must call
+    /// [`crate::Scheduler::no_deferred_left`].
     pub retry_deadline_limit: Option<Ticks>,
-    /// The endpoint list is to be watched.
+    /// Whether a watch on the endpoint list is to be started.
     pub watch_endpoints: bool,
-    /// The machines to send a health check to.
+    /// The machines to which a health check is to be sent.
     pub health_checks: Vec<MachineId>,
-    /// The placed allocations to move away.
+    /// The placed allocations to migrate away from their machines.
     pub migrations: Vec<AllocationId>,
-    /// The placed allocations that are lost with their machines, where the caller doesn't learn
-    /// that by itself.
+    /// The placed allocations that are lost with their machines, if the caller doesn't detect
+    /// losses itself.
     pub lost: Vec<AllocationId>,
 }
--- a/crates/scheduler/src/interface/cluster.rs
+++ b/crates/scheduler/src/interface/cluster.rs
@@ -1,24 +1,25 @@
-//! The settings that the scheduler acts on.
+//! The settings of the scheduler.
 
 use crate::interface::{MachineTypeId, Resources, Ticks, ZoneId};
 
-/// What a second run of an allocation would do.
+/// The retry safety of an allocation: the effect of running it a second time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetrySafety {
-    /// No harm: it may be retried anywhere.
+    /// It does no harm, so the allocation may be retried on any machine.
     Idempotent,
-    /// Machines drop repeats by an idempotency key.
+    /// Machines drop repeated attempts with the same idempotency key.
     Deduplicated {
-        /// The machines of one such domain drop them; all machines if there is none.
+        /// The domain whose machines drop them together; `None` if all machines do.
         scope: Option<Domain>,
-        /// So long after the dispatch of the first attempt that may have run.
+        /// The time for which they are dropped, from the dispatch of the first attempt that may
+        /// have run.
         window: Ticks,
     },
-    /// It must not run twice.
+    /// The allocation must not run twice.
     NotRetryable,
 }
 
-/// A failure domain: repeats are dropped within it, or replicas limited.
+/// A failure domain, within which repeated attempts are dropped or replicas are limited.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Domain {
     /// One machine.
@@ -29,50 +30,50 @@
     Zone,
 }
 
-/// What the services of a class have in common.
+/// The settings shared by the services of a class.
 #[derive(Clone, Debug)]
 pub struct ServiceClass {
     /// Whether an allocation may run twice.
     pub retry_safety: RetrySafety,
-    /// A start within this time is in time.
+    /// The time within which an allocation should have started.
     pub latency_objective: Ticks,
-    /// Served in full while the cores are busy up to this share.
+    /// The share of a machine's cores in use up to which allocations are served in full.
     pub target_utilization: f64,
-    /// Higher ones go first.
+    /// The priority; higher values take precedence.
     pub priority: u8,
-    /// The only machine type that it runs on, if there is one.
+    /// The only machine type on which allocations run; `None` if they run on any.
     pub machine_type: Option<MachineTypeId>,
-    /// Over which domains the replicas of each service are spread, with so many in one of them at
-    /// most; none if they need not be.
+    /// The kind of domain over which the replicas of each service are spread, and the maximum
+    /// number of replicas in one such domain; `None` if they need not be spread.
     pub spread: Option<(Domain, usize)>,
 }
 
-/// Who requests allocations.
+/// A tenant, which requests allocations.
 #[derive(Clone, Debug)]
 pub struct Tenant {
-    /// Cores that it may request at a time, over all schedulers; none if there is no quota.
+    /// The cores that it may have requested at a time, over all schedulers; `None` without a quota.
     pub quota_cores: Option<f64>,
 }
 
-/// The attempts that a machine bears while it warms up.
+/// The limit of attempts to a machine while it warms up.
 #[derive(Clone, Debug)]
 pub struct SlowStart {
-    /// It has warmed up after this time at the latest.
+    /// The time after which a machine has certainly warmed up.
     pub duration: Ticks,
     /// The time over which attempts are counted.
     pub window: Ticks,
-    /// Always borne within a window, from all schedulers together.
+    /// The attempts that a machine can always take within a window, from all schedulers together.
     pub max_offers: f64,
 }
 
-/// The settings that the scheduler acts on, read at start and with each new configuration.
+/// The settings of the scheduler, set at start and with each new configuration.
 #[derive(Clone, Debug)]
 pub struct Cluster {
     /// Our zone.
     pub zone: ZoneId,
     /// Our index among the schedulers that share the machines, from 0.
     pub scheduler_index: usize,
-    /// How many schedulers share the machines.
+    /// The number of schedulers that share the machines.
     pub scheduler_count: usize,
     /// The size of each machine type.
     pub machine_types: Vec<Resources>,
@@ -80,26 +81,28 @@
     pub service_classes: Vec<ServiceClass>,
     /// The tenants.
     pub tenants: Vec<Tenant>,
-    /// Machines accept until the requests reach this multiple of their size.
+    /// The multiple of its size up to which a machine accepts requests.
     pub admission_limit: Resources,
-    /// Machines evict lower priorities where a request would not fit.
+    /// Whether machines preempt allocations of lower priority when a request would not fit.
     pub preempts: bool,
-    /// The attempts that an allocation may have.
+    /// The maximum number of attempts for an allocation.
     pub max_attempts: usize,
-    /// Placed is reported when the allocation runs, not when it is accepted.
+    /// Whether an allocation is reported as placed when it runs rather than when it is accepted.
     pub placed_means_running: bool,
-    /// The endpoint list tells the capacity that is not requested.
+    /// Whether the endpoint list reports each machine's capacity that isn't requested.
     pub list_reports_capacity: bool,
-    /// Health checks may be sent.
+    /// Whether health checks may be sent.
     pub health_checks: bool,
-    /// The longest time that the endpoint list may go unasked; none if it comes by itself.
+    /// The maximum time between two requests for the endpoint list; `None` if it arrives
+    /// unrequested.
     pub list_poll_interval: Option<Ticks>,
-    /// What a machine bears while it warms up.
+    /// The limit of attempts to a machine while it warms up.
     pub slow_start: SlowStart,
-    /// An attempt may wait so long for a connection before it leaves; 0 where it leaves at once.
+    /// The maximum time that an attempt waits for a connection before it is sent; 0 if attempts are
+    /// sent at once.
     pub connect_timeout: Ticks,
-    /// Part of the result that running in another zone costs.
+    /// The share of an allocation's result that is lost by running it in another zone.
     pub cross_zone_cost: f64,
-    /// The caller learns by itself when what is placed on a machine is lost with it.
+    /// Whether the caller itself detects when allocations are lost with their machine.
     pub caller_detects_losses: bool,
 }
--- a/crates/scheduler/src/interface/endpoints.rs
+++ b/crates/scheduler/src/interface/endpoints.rs
@@ -1,19 +1,19 @@
-//! The endpoint list: the machines there are.
+//! The endpoint list: the machines of the cluster and their state.
 
 use crate::interface::{CellId, Domain, MachineId, MachineTypeId, Resources, Ticks, ZoneId};
 
 /// Whether a machine takes allocations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MachineState {
-    /// It does.
+    /// It takes new allocations.
     Serving,
-    /// It completes what it has.
+    /// It takes no new allocations but completes those it has.
     Draining,
-    /// It is no longer there.
+    /// It has left the cluster.
     Removed,
 }
 
-/// One machine of the endpoint list.
+/// One machine's entry in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Endpoint {
     /// Its id.
@@ -26,14 +26,14 @@
     pub cell: CellId,
     /// Whether it takes allocations.
     pub state: MachineState,
-    /// When its process last started; none means long ago.
+    /// The time at which its process last started; `None` means long ago.
     pub started_at: Option<Ticks>,
-    /// Capacity that is not requested, where the list tells it.
+    /// The capacity that isn't requested, if the list reports it.
     pub unreserved: Option<Resources>,
 }
 
 impl Endpoint {
-    /// Which domain of this kind it belongs to.
+    /// Returns the id of the machine, cell or zone to which it belongs.
     #[must_use]
     pub fn domain(&self, domain: Domain) -> u64 {
         match domain {
@@ -44,13 +44,13 @@
     }
 }
 
-/// What a list brings.
+/// The contents of an endpoint list update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListUpdate {
     /// Only the machines that have changed.
     Incremental,
-    /// All machines: the others are gone.
+    /// All machines; any other machine has been removed.
     Complete,
-    /// The last list of an earlier incarnation.
+    /// The last list received by an earlier incarnation.
     Cached,
 }
--- a/crates/scheduler/src/interface/outcomes.rs
+++ b/crates/scheduler/src/interface/outcomes.rs
@@ -1,85 +1,86 @@
-//! What machines report of attempts and of themselves.
+//! Reports from machines: outcomes of attempts, load reports and metrics.
 
 use crate::interface::Resources;
 
-/// Why a machine refused or ended an allocation, where it says.
+/// The reason that a machine gives for rejecting or ending an allocation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReturnReason {
     /// Not enough cores.
     NoCores,
     /// Not enough memory.
     NoMemory,
-    /// Too many attempts wait at the machine.
+    /// Too many attempts are queued at the machine.
     QueueFull,
-    /// Wrong machine type, draining, too late, or a copy is there already.
+    /// The machine has the wrong type, is draining, got the attempt too late, or already has a
+    /// copy.
     Unfit,
-    /// Ended for want of memory.
+    /// Ended for lack of memory.
     Evicted,
-    /// Ended for an allocation of higher priority.
+    /// Ended in favor of an allocation of higher priority.
     Preempted,
-    /// Ended to run elsewhere.
+    /// Ended to run on another machine.
     Migrated,
 }
 
-/// What a machine reports of its load.
+/// A machine's report of its load.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LoadReport {
-    /// What is not in use.
+    /// The resources that aren't in use.
     pub available: Resources,
 }
 
-/// How an attempt ended, or a health check.
+/// How an attempt or a health check ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptResult {
     /// The allocation ended, or the machine answered.
     Completed,
     /// The machine answered with an error.
     Error,
-    /// The machine refused.
+    /// The machine rejected the attempt.
     Rejected,
-    /// There was no answer in time.
+    /// No answer arrived in time.
     TimedOut,
-    /// There was no connection in time.
+    /// No connection was established in time.
     ConnectFailed,
     /// The connection broke, or the machine ended a placed allocation.
     Reset,
-    /// It was cancelled or moved.
+    /// The allocation was cancelled or migrated.
     Cancelled,
-    /// It was never sent.
+    /// The attempt was never sent.
     NotSent,
 }
 
 /// The outcome of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Outcome {
-    /// Accepted or running, as [`placed_means_running`] says.
+    /// The allocation is accepted or running, depending on [`placed_means_running`].
     ///
     /// [`placed_means_running`]: crate::interface::Cluster::placed_means_running
     Placed,
-    /// It has ended.
+    /// The attempt has ended.
     Returned {
-        /// How.
+        /// How it ended.
         ending: AttemptResult,
-        /// Why, where the machine says.
+        /// The reason, if the machine gave one.
         reason: Option<ReturnReason>,
-        /// The allocation is over: no answer is owed to its client.
+        /// Whether the allocation is finished, so that no answer is owed to its client.
         finished: bool,
-        /// The machine's load, where it was reported with the outcome.
+        /// The machine's load report, if it came with the outcome.
         report: Option<LoadReport>,
     },
 }
 
-/// What is reported of a placed allocation.
+/// A metric reported for a placed allocation.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Metric {
-    /// It runs.
+    /// The allocation has started running.
     Running,
-    /// The cores that it uses.
+    /// The cores in use by the allocation.
     Cores(f64),
-    /// The memory that it uses.
+    /// The memory in use by the allocation.
     Memory(f64),
-    /// How well it is served, as a share of full service.
+    /// The service that the allocation gets, as a share of full service.
     ServiceLevel(f64),
-    /// The part of its machine's memory in use.
+    /// The share of its machine's memory in use.
     MachineMemory(f64),
 }
--- a/crates/scheduler/src/interface/resources.rs
+++ b/crates/scheduler/src/interface/resources.rs
@@ -1,4 +1,4 @@
-//! Cores and memory.
+//! Amounts of cores and memory.
 
 use std::iter::Sum;
 use std::ops::{Add, Div, Mul, Sub};
@@ -6,20 +6,20 @@
 /// Cores and memory: requested, used or available, or a share of each.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Resources {
-    /// Cores.
+    /// The number of cores.
     pub cores: f64,
-    /// Memory, in the unit of the settings.
+    /// The memory, in the unit of the settings.
     pub memory: f64,
 }
 
 impl Resources {
-    /// One of each: the whole as a share.
+    /// One of each resource; as a share, the whole.
     pub const ONE: Resources = Resources {
         cores: 1.0,
         memory: 1.0,
     };
 
-    /// The larger of both cores, and of both memories.
+    /// Returns the larger value for each resource.
     #[must_use]
     pub fn max(self, other: Resources) -> Resources {
         Resources {
@@ -28,7 +28,7 @@
         }
     }
 
-    /// The smaller of both cores, and of both memories.
+    /// Returns the smaller value for each resource.
     #[must_use]
     pub fn min(self, other: Resources) -> Resources {
         Resources {
@@ -37,13 +37,13 @@
         }
     }
 
-    /// Whether neither exceeds the limit.
+    /// Returns whether neither resource exceeds the limit.
     #[must_use]
     pub fn fits_in(self, limit: Resources) -> bool {
         self.cores <= limit.cores && self.memory <= limit.memory
     }
 
-    /// The larger of the two shares of a machine's size.
+    /// Returns the larger of the two resources' shares of a machine's size.
     #[must_use]
     pub fn fraction_of(self, size: Resources) -> f64 {
         (self.cores / size.cores).max(self.memory / size.memory)
--- a/crates/scheduler/src/interface/units.rs
+++ b/crates/scheduler/src/interface/units.rs
@@ -1,7 +1,7 @@
-//! Time and ids.
+//! The unit of time and the id types.
 
-/// A moment or a length of time in ticks of 0.1 ms. Callers round moments and allowances down, so
-/// that "earlier than" here is never later than in the caller's finer time.
+/// A point in time or a duration, in ticks of 0.1 ms. Callers round times and allowances down, so
+/// that a time before a deadline here is never after it on the caller's finer clock.
 pub type Ticks = u64;
 
 macro_rules! id {
@@ -13,12 +13,13 @@
 }
 
 id! {
-    /// One placement of an allocation; an allocation that returns gets a new one.
+    /// One placement of an allocation; an allocation that is requested again gets a new id.
     AllocationId(u64);
-    /// A machine. The same at every scheduler, also after the machine's process restarts.
+    /// A machine. The id is the same at every scheduler and stays the same when the machine's
+    /// process restarts.
     MachineId(u32);
-    /// A service. Its allocations have one service class, one shape and one program. The same at
-    /// every scheduler.
+    /// A service, whose allocations share one service class, one shape and one program. The id is
+    /// the same at every scheduler.
     ServiceId(u64);
     /// Index into [`Cluster::service_classes`](crate::interface::Cluster::service_classes).
     ServiceClassId(usize);
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -1,7 +1,8 @@
 //! corkspan: a cluster scheduler that fills machines by expected usage, not by requests.
 //!
-//! [`Scheduler`] makes every decision; [`interface`] has the plain types of its calls and answers.
-//! `policy` decides, `updates` records what is reported, and `state` is what they remember.
+//! [`Scheduler`] makes all decisions; [`interface`] has the types of its arguments and results. The
+//! private modules are `policy` for decisions, `updates` for recording reports and `state` for the
+//! data that both keep.
 
 #![warn(missing_docs, clippy::too_many_lines)]
 
@@ -16,16 +17,16 @@
 use state::*;
 use std::collections::BTreeMap;
 
-/// The decisions of one dispatcher, and what they remember.
+/// The scheduler of one dispatcher, with its state.
 pub struct Scheduler {
     cluster: Cluster,
     rng: Pcg64Mcg,
     seed: u64,
     machines: BTreeMap<MachineId, Machine>,
-    /// The machine of each of our allocations.
+    /// The machine that holds each of our allocations.
     machine_of: BTreeMap<AllocationId, MachineId>,
     service_placements: ServicePlacements,
-    /// Replicas of the service that is being placed, in the domains that its class spreads over.
+    /// Replicas of the service being placed, by the domains over which its class is spread.
     replicas_by_domain: Vec<ReplicaCount>,
     usage_history: UsageHistory,
     learned: LearnedStatistics,
@@ -34,18 +35,21 @@
     watch_failures: u32,
     retry_schedule: RetrySchedule,
     capacity_index: CapacityIndex,
-    /// A large allocation that fits nowhere, though its capacity may be there in pieces.
+    /// A large allocation that fits on no machine, though enough capacity may be available in
+    /// fragments.
     starved: Option<Allocation>,
     /// The machine of the last reservation.
     reserved_machine: Option<MachineId>,
     next_sweep_at: Ticks,
     summary: ClusterSummary,
-    /// Health checks that may be sent: their cost stays in step with what is placed.
+    /// Health checks that may be sent. It grows with each new allocation, so that their cost stays
+    /// proportional to the load.
     health_check_budget: f64,
 }
 
 impl Scheduler {
-    /// A scheduler that has seen nothing yet. Its random draws depend on `seed` alone.
+    /// Creates a scheduler without machines or allocations. Its random draws depend only on `seed`
+    /// and its inputs.
     pub fn new(cluster: Cluster, seed: u64, now: Ticks) -> Self {
         Scheduler {
             watch_retry_at: cluster.list_poll_interval.map(|_| now),
--- a/crates/scheduler/src/updates.rs
+++ b/crates/scheduler/src/updates.rs
@@ -1,5 +1,5 @@
-//! Records what is reported, and looks it up. Nothing is decided here; the constants are those of
-//! `policy`.
+//! Records reports in the state and looks them up. This module makes no decisions; its constants
+//! are defined in `policy`.
 
 use crate::Scheduler;
 use crate::interface::*;
@@ -10,7 +10,7 @@
 use crate::state::*;
 
 impl Scheduler {
-    /// The endpoint list, or what has changed in it.
+    /// Applies an update of the endpoint list.
     pub fn apply_endpoint_list(&mut self, update: ListUpdate, endpoints: &[Endpoint]) {
         if update == ListUpdate::Complete {
             self.machines.values_mut().for_each(Machine::mark_removed);
@@ -20,7 +20,7 @@
         }
         for &endpoint in endpoints {
             let machine = self.machines.entry(endpoint.machine).or_default();
-            // Where it is counts for the spread of all machines there.
+            // The location of a machine affects the spread of every machine in the same domain.
             let identity = |one: Endpoint| (one.cell, one.zone, one.started_at);
             if machine.endpoint.map(identity) != Some(identity(endpoint)) {
                 self.capacity_index.invalidate();
@@ -39,7 +39,7 @@
         }
     }
 
-    /// An allocation that already runs has passed into our care.
+    /// Adopts an allocation that already runs on the machine.
     pub fn adopt_running(&mut self, now: Ticks, allocation: &Allocation, machine: MachineId) {
         self.add_placed(now, allocation, machine);
         if let Some(placed) = self.placed_allocation(allocation.id) {
@@ -48,8 +48,8 @@
         }
     }
 
-    /// An attempt dispatched earlier has left only now: it counts for the machine's slow start in
-    /// this window, not in that one.
+    /// Records that an attempt dispatched earlier has been sent only now. It counts toward the
+    /// machine's slow start in the current window instead of the one of its dispatch.
     pub fn record_attempt_sent(&mut self, now: Ticks, machine: MachineId, sent_at: Ticks) {
         let Some(machine) = self.machines.get_mut(&machine) else {
             return;
@@ -61,7 +61,7 @@
         }
     }
 
-    /// A metric of a placed allocation has been reported.
+    /// Records a metric of a placed allocation.
     pub fn record_metric(&mut self, now: Ticks, id: AllocationId, metric: Metric) {
         let usual = self.learned.peak_usage.mean_or_one();
         let machine = self.machine_of.get(&id);
@@ -80,7 +80,7 @@
                 let start_time = (now - placed.sent_at) as f64;
                 let cached = usize::from(placed.program_was_cached);
                 self.learned.start_time[cached].add(start_time, MEAN_RETENTION);
-                // The need of every start has changed.
+                // The capacity required by every start has changed.
                 self.capacity_index.reconsider(|_| true);
             }
             Metric::Cores(cores) => current
@@ -94,6 +94,7 @@
         }
     }
 
+    /// Records the usage by other schedulers' allocations according to a machine's load report.
     pub(crate) fn record_report(&mut self, now: Ticks, id: MachineId, report: Option<LoadReport>) {
         let Some(machine) = self.machines.get(&id) else {
             return;
@@ -101,7 +102,7 @@
         let Some((size, report)) = self.size(machine).zip(report) else {
             return;
         };
-        // One too young to be in the report would be taken off a sum that never held it.
+        // An allocation too recent to be included in the report must not be subtracted from it.
         let reported_own = machine
             .allocations
             .values()
@@ -112,6 +113,7 @@
             Some(ReportedUsage { at: now, usage });
     }
 
+    /// Adds an allocation that has been dispatched to the machine or already runs there.
     pub(crate) fn add_placed(&mut self, now: Ticks, allocation: &Allocation, id: MachineId) {
         self.machine_of.insert(allocation.id, id);
         let machine = self.machines.entry(id).or_default();
@@ -128,7 +130,8 @@
             .mark_changed(id, used_reservation.is_some());
     }
 
-    /// The machine has reported the end of an allocation. One that ended well leaves a record.
+    /// Removes an allocation whose machine has reported its end. If it completed, a usage record is
+    /// kept.
     pub(crate) fn remove_placed(&mut self, now: Ticks, id: AllocationId, completed: bool) {
         let Some(machine_id) = self.machine_of.remove(&id) else {
             return;
@@ -145,7 +148,7 @@
         }
         self.service_placements.remove(service, machine_id);
         self.capacity_index.mark_changed(machine_id, false);
-        // Its service may have one replica more, and what is drawn for its likes may be less.
+        // Its service may have one more replica, and lower peaks may be drawn for its allocations.
         self.capacity_index
             .reconsider(|group| group.service == service);
         for (id, _) in self.service_placements.machines_of(service) {
@@ -182,8 +185,8 @@
         );
     }
 
-    /// A machine that has gone and holds nothing of ours is forgotten: where machines are replaced
-    /// all the time, the state would grow without end.
+    /// Forgets removed machines that hold none of our allocations. Otherwise the state would grow
+    /// without bound in clusters that constantly replace machines.
     pub(crate) fn forget_removed_machines(&mut self) {
         let listed = |machine: &Machine| {
             machine
@@ -201,7 +204,7 @@
         }
     }
 
-    /// The last reservation, if it still stands, and its machine.
+    /// Returns the last reservation and its machine, if it hasn't been used or cleared.
     pub(crate) fn reservation(&self) -> Option<(MachineId, Reservation)> {
         let id = self.reserved_machine?;
         Some((id, self.machines.get(&id)?.reservation?))
@@ -231,12 +234,14 @@
         }
     }
 
-    /// After a time told by [`PollResult::retry_deadline_limit`]: no deferred allocation is left.
+    /// Records that no deferred allocation is left after those within
+    /// [`PollResult::retry_deadline_limit`] were placed again.
     pub fn no_deferred_left(&mut self) {
         self.retry_schedule.next_round_at = None;
     }
 
-    /// How much is remembered: machines, allocations, and services with usage records.
+    /// Returns the numbers of machines, of allocations, and of services with usage records in the
+    /// state.
     pub fn state_sizes(&self) -> [usize; 3] {
         [
             self.machines.len(),
@@ -245,7 +250,8 @@
         ]
     }
 
-    /// Every evaluation is complete and every round comes. Only for tests to compare with.
+    /// Returns the scheduler set to evaluate completely and in every round. Only tests use this, to
+    /// compare with.
     pub fn evaluating_exhaustively(mut self) -> Self {
         self.retry_schedule.exhaustive = true;
         self
