--- a/crates/scheduler/src/policy/liveness.rs
+++ b/crates/scheduler/src/policy/liveness.rs
@@ -27,7 +27,7 @@
         stale.into_iter().map(|(&id, _)| id).collect()
     }
 
-    /// Returns the machines to which a health check is to be sent, and charges the health check
+    /// Returns the machines to which a health check is to be sent, and deducts the checks from the
     /// budget.
     pub(super) fn health_checks(&mut self, now: Ticks) -> Vec<MachineId> {
         let ids = self.machines_with_old_reports(now);
--- a/crates/scheduler/src/policy/placement.rs
+++ b/crates/scheduler/src/policy/placement.rs
@@ -184,8 +184,8 @@
             .find_map(|&final_pass| self.choose_among(now, &ordered_ids, allocation, final_pass))
     }
 
-    /// Returns the best of these machines. Except in the final pass, and for a tenant over its
-    /// quota, only a machine under theta may be chosen.
+    /// Returns the best of these machines. Before the final pass, and for a tenant over its quota,
+    /// only a machine under theta may be chosen.
     fn choose_among(
         &self,
         now: Ticks,
