--- a/crates/scheduler/src/state/retry_schedule.rs
+++ b/crates/scheduler/src/state/retry_schedule.rs
@@ -40,8 +40,8 @@
 impl RetrySchedule {
     /// Returns whether an allocation was deferred at that time or later and evaluations may be
     /// skipped.
-    pub fn deferred_since(&self, moment: Ticks) -> bool {
-        !self.exhaustive && self.last_deferred_at.is_some_and(|at| at >= moment)
+    pub fn deferred_since(&self, since: Ticks) -> bool {
+        !self.exhaustive && self.last_deferred_at.is_some_and(|at| at >= since)
     }
 
     /// Records a deferred allocation, which may be placed from `may_be_feasible_at` on and, if a
--- a/crates/scheduler/tests/decisions.rs
+++ b/crates/scheduler/tests/decisions.rs
@@ -11,16 +11,16 @@
 use corkspan_scheduler::Scheduler;
 use corkspan_scheduler::interface::*;
 use fnv::FnvHasher;
-use host::{SECOND, track};
+use host::{SECOND, service_class};
 use rand::{Rng, RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::fmt::Write;
 use std::hash::Hasher;
 
 const RECORDING: &str = include_str!("data/decisions.txt");
-const KEPT_EVERY: usize = 500;
+const RECORD_INTERVAL: usize = 500;
 const MACHINES: u32 = 9;
-const KINDS: [Resources; 2] = [
+const MACHINE_TYPES: [Resources; 2] = [
     Resources {
         cores: 16.0,
         memory: 40.0,
@@ -36,15 +36,15 @@
 struct Transcript {
     hasher: FnvHasher,
     count: usize,
-    kept: String,
+    sampled: String,
 }
 
 impl Transcript {
     fn add(&mut self, now: Ticks, answer: &str) {
         let line = format!("{now} {answer}\n");
         self.hasher.write(line.as_bytes());
-        if self.count.is_multiple_of(KEPT_EVERY) {
-            self.kept.push_str(&line);
+        if self.count.is_multiple_of(RECORD_INTERVAL) {
+            self.sampled.push_str(&line);
         }
         self.count += 1;
     }
@@ -55,9 +55,9 @@
 struct Load {
     name: &'static str,
     steps: u64,
-    asks: f64,
+    request_scale: f64,
     services: usize,
-    unused: (f64, f64),
+    available_range: (f64, f64),
 }
 
 /// So much that some wait, and so little that some machines are not needed.
@@ -65,16 +65,16 @@
     Load {
         name: "crowded",
         steps: 4_000,
-        asks: 1.0,
+        request_scale: 1.0,
         services: 3,
-        unused: (0.05, 0.9),
+        available_range: (0.05, 0.9),
     },
     Load {
         name: "quiet",
         steps: 12_000,
-        asks: 0.15,
+        request_scale: 0.15,
         services: 1,
-        unused: (0.85, 1.0),
+        available_range: (0.85, 1.0),
     },
 ];
 
@@ -85,9 +85,9 @@
     load: Load,
     rng: Pcg64Mcg,
     now: Ticks,
-    ids: u64,
-    started: Vec<Option<Ticks>>,
-    waiting: Vec<Allocation>,
+    last_id: u64,
+    started_at: Vec<Option<Ticks>>,
+    deferred: Vec<Allocation>,
     pending: Vec<Allocation>,
     placed: Vec<Allocation>,
     transcript: Transcript,
@@ -109,65 +109,66 @@
     fn new(cluster: &Cluster, load: Load, seed: u64) -> Self {
         let now = 100 * SECOND;
         let mut scheduler = Scheduler::new(cluster.clone(), seed, now);
-        let entries: Vec<Endpoint> = (0..MACHINES - 2).map(machine).collect();
-        scheduler.apply_endpoint_list(ListUpdate::Cached, &entries);
+        let endpoints: Vec<Endpoint> = (0..MACHINES - 2).map(machine).collect();
+        scheduler.apply_endpoint_list(ListUpdate::Cached, &endpoints);
         Walk {
             scheduler,
             cluster: cluster.clone(),
             load,
             rng: Pcg64Mcg::seed_from_u64(seed),
             now,
-            ids: 0,
-            started: vec![None; MACHINES as usize],
-            waiting: Vec::new(),
+            last_id: 0,
+            started_at: vec![None; MACHINES as usize],
+            deferred: Vec::new(),
             pending: Vec::new(),
             placed: Vec::new(),
             transcript: Transcript::default(),
         }
     }
 
-    fn any(&mut self, many: usize) -> usize {
-        self.rng.random_range(0..many)
+    fn random_index(&mut self, count: usize) -> usize {
+        self.rng.random_range(0..count)
     }
 
-    fn share(&mut self) -> Resources {
+    fn random_share(&mut self) -> Resources {
         Resources {
             cores: self.rng.random(),
             memory: self.rng.random(),
         }
     }
 
-    fn report(&mut self, id: u32) -> Option<LoadReport> {
-        let (least, most) = self.load.unused;
+    fn random_report(&mut self, id: u32) -> Option<LoadReport> {
+        let (least, most) = self.load.available_range;
         let mut share = || self.rng.random_range(least..most);
-        let unused = Resources {
+        let available_resources = Resources {
             cores: share(),
             memory: share(),
         };
-        let unused = unused * KINDS[id as usize % 2];
-        self.rng
-            .random_bool(0.6)
-            .then_some(LoadReport { available: unused })
+        let available_resources = available_resources * MACHINE_TYPES[id as usize % 2];
+        self.rng.random_bool(0.6).then_some(LoadReport {
+            available: available_resources,
+        })
     }
 
     fn new_allocation(&mut self) -> Allocation {
-        self.ids += 1;
-        let large = match self.rng.random_range(0..30) {
+        self.last_id += 1;
+        let scale = match self.rng.random_range(0..30) {
             0 => 0.8,
             1..=4 => 0.25,
             _ => 0.1,
         };
-        let track = self.any(self.cluster.service_classes.len());
+        let class = self.random_index(self.cluster.service_classes.len());
         Allocation {
-            id: AllocationId(self.ids),
+            id: AllocationId(self.last_id),
             service: ServiceId(
-                (track + self.cluster.service_classes.len() * self.any(self.load.services)) as u64,
+                (class + self.cluster.service_classes.len() * self.random_index(self.load.services))
+                    as u64,
             ),
-            service_class: ServiceClassId(track),
-            tenant: TenantId(self.any(self.cluster.tenants.len())),
-            requested: (self.share() * 0.9 + Resources::ONE * 0.1)
-                * KINDS[1]
-                * (large * self.load.asks),
+            service_class: ServiceClassId(class),
+            tenant: TenantId(self.random_index(self.cluster.tenants.len())),
+            requested: (self.random_share() * 0.9 + Resources::ONE * 0.1)
+                * MACHINE_TYPES[1]
+                * (scale * self.load.request_scale),
             accepted_at: self.now,
             deadline: self.now + self.rng.random_range(30..6 * SECOND),
             attempts: Vec::new(),
@@ -193,16 +194,16 @@
         self.transcript.add(self.now, &answer);
         match placement {
             Placement::Dispatch { .. } => self.pending.push(allocation),
-            Placement::Deferred => self.waiting.push(allocation),
+            Placement::Deferred => self.deferred.push(allocation),
             _ => {}
         }
     }
 
-    fn after(&mut self, allocation: Allocation, outcome: Outcome) {
-        let shot = allocation.attempts.len() - 1;
+    fn apply_outcome(&mut self, allocation: Allocation, outcome: Outcome) {
+        let attempt = allocation.attempts.len() - 1;
         let next = self
             .scheduler
-            .on_outcome(self.now, &allocation, shot, outcome);
+            .on_outcome(self.now, &allocation, attempt, outcome);
         let answer = match next {
             NextStep::Done => "nothing",
             NextStep::Retry => "place again",
@@ -218,7 +219,12 @@
         }
     }
 
-    fn returned(&mut self, mut allocation: Allocation, ending: AttemptResult, finished: bool) {
+    fn report_returned(
+        &mut self,
+        mut allocation: Allocation,
+        ending: AttemptResult,
+        finished: bool,
+    ) {
         let reasons = [
             None,
             Some(ReturnReason::NoCores),
@@ -229,10 +235,10 @@
             Some(ReturnReason::Preempted),
             Some(ReturnReason::Migrated),
         ];
-        let reason = reasons[self.any(reasons.len())];
-        let shot = allocation.attempts.last_mut().unwrap();
-        let report = self.report(shot.machine.0);
-        shot.state = match ending {
+        let reason = reasons[self.random_index(reasons.len())];
+        let attempt = allocation.attempts.last_mut().unwrap();
+        let report = self.random_report(attempt.machine.0);
+        attempt.state = match ending {
             AttemptResult::Rejected | AttemptResult::ConnectFailed | AttemptResult::NotSent => {
                 AttemptState::NotExecuted
             }
@@ -244,65 +250,69 @@
             finished,
             report,
         };
-        self.after(allocation, outcome);
+        self.apply_outcome(allocation, outcome);
     }
 
     /// Asks how long to wait until nothing more is to be looked at.
-    fn rest(&mut self) -> Ticks {
+    fn poll_until_idle(&mut self) -> Ticks {
         loop {
-            let wait = self.scheduler.poll(self.now);
-            let mut answer = format!("wait {}", wait.next_poll);
-            if wait.watch_endpoints {
+            let result = self.scheduler.poll(self.now);
+            let mut answer = format!("wait {}", result.next_poll);
+            if result.watch_endpoints {
                 answer.push_str(" watch");
             }
-            if wait.retry_deferred {
+            if result.retry_deferred {
                 answer.push_str(" retry");
             }
-            if let Some(end) = wait.retry_deadline_limit {
-                let _ = write!(answer, " up to {end}");
+            if let Some(limit) = result.retry_deadline_limit {
+                let _ = write!(answer, " up to {limit}");
             }
-            for id in &wait.health_checks {
+            for id in &result.health_checks {
                 let _ = write!(answer, " probe {}", id.0);
             }
-            for id in &wait.migrations {
+            for id in &result.migrations {
                 let _ = write!(answer, " move {}", id.0);
             }
-            for id in &wait.lost {
+            for id in &result.lost {
                 let _ = write!(answer, " lost {}", id.0);
             }
             self.transcript.add(self.now, &answer);
-            let gone: Vec<AllocationId> =
-                wait.migrations.iter().chain(&wait.lost).copied().collect();
-            for id in gone {
+            let ended_ids: Vec<AllocationId> = result
+                .migrations
+                .iter()
+                .chain(&result.lost)
+                .copied()
+                .collect();
+            for id in ended_ids {
                 // Some take their time; the rest are met by whatever comes by chance.
                 let at = self.placed.iter().position(|one| one.id == id);
                 if let Some(at) = at.filter(|_| self.rng.random_bool(0.7)) {
                     let allocation = self.placed.swap_remove(at);
-                    self.returned(allocation, AttemptResult::Cancelled, true);
+                    self.report_returned(allocation, AttemptResult::Cancelled, true);
                 }
             }
-            if wait.retry_deferred || wait.retry_deadline_limit.is_some() {
-                for allocation in std::mem::take(&mut self.waiting) {
-                    if wait
+            if result.retry_deferred || result.retry_deadline_limit.is_some() {
+                for allocation in std::mem::take(&mut self.deferred) {
+                    if result
                         .retry_deadline_limit
-                        .is_none_or(|end| allocation.deadline <= end)
+                        .is_none_or(|limit| allocation.deadline <= limit)
                     {
                         self.place(allocation);
                     } else {
-                        self.waiting.push(allocation);
+                        self.deferred.push(allocation);
                     }
                 }
-                if wait.retry_deadline_limit.is_some() && self.waiting.is_empty() {
+                if result.retry_deadline_limit.is_some() && self.deferred.is_empty() {
                     self.scheduler.no_deferred_left();
                 }
             }
-            if !wait.retry_deferred {
-                return wait.next_poll;
+            if !result.retry_deferred {
+                return result.next_poll;
             }
         }
     }
 
-    fn list(&mut self, id: u32) {
+    fn update_endpoint_list(&mut self, id: u32) {
         let states = [
             MachineState::Serving,
             MachineState::Serving,
@@ -310,45 +320,49 @@
             MachineState::Draining,
             MachineState::Removed,
         ];
-        let state = states[self.any(states.len())];
+        let state = states[self.random_index(states.len())];
         if self.rng.random_bool(0.4) {
-            self.started[id as usize] = Some(self.now.saturating_sub(self.rng.random_range(0..50)));
+            self.started_at[id as usize] =
+                Some(self.now.saturating_sub(self.rng.random_range(0..50)));
         }
-        let unasked = KINDS[id as usize % 2] * self.rng.random_range(self.load.unused.0 - 0.2..1.5);
-        let entry = Endpoint {
+        let unreserved_capacity = MACHINE_TYPES[id as usize % 2]
+            * self
+                .rng
+                .random_range(self.load.available_range.0 - 0.2..1.5);
+        let endpoint = Endpoint {
             state,
-            started_at: self.started[id as usize],
-            unreserved: self.rng.random_bool(0.8).then_some(unasked),
+            started_at: self.started_at[id as usize],
+            unreserved: self.rng.random_bool(0.8).then_some(unreserved_capacity),
             ..machine(id)
         };
         if !self.rng.random_bool(0.05) {
             return self
                 .scheduler
-                .apply_endpoint_list(ListUpdate::Incremental, &[entry]);
+                .apply_endpoint_list(ListUpdate::Incremental, &[endpoint]);
         }
         let others = (0..MACHINES)
             .filter(|&other| other != id)
             .map(|other| Endpoint {
-                started_at: self.started[other as usize],
+                started_at: self.started_at[other as usize],
                 ..machine(other)
             });
-        let entries: Vec<Endpoint> = others.chain([entry]).collect();
+        let endpoints: Vec<Endpoint> = others.chain([endpoint]).collect();
         self.scheduler
-            .apply_endpoint_list(ListUpdate::Complete, &entries);
+            .apply_endpoint_list(ListUpdate::Complete, &endpoints);
     }
 
-    fn adopt(&mut self) {
+    fn reconfigure(&mut self) {
         let mut cluster = self.cluster.clone();
         cluster.admission_limit.cores = self.rng.random_range(1.0..3.0);
         cluster.slow_start.max_offers = self.rng.random_range(2.0..9.0);
         if self.rng.random_bool(0.2) {
-            cluster.scheduler_count = 1 + self.any(4);
-            cluster.scheduler_index = self.any(cluster.scheduler_count);
+            cluster.scheduler_count = 1 + self.random_index(4);
+            cluster.scheduler_index = self.random_index(cluster.scheduler_count);
         }
         self.scheduler.reconfigure(self.now, cluster);
     }
 
-    fn take_over(&mut self) {
+    fn adopt_running(&mut self) {
         let mut allocation = self.new_allocation();
         let machine = MachineId(self.rng.random_range(0..MACHINES));
         allocation.attempts.push(Attempt {
@@ -360,25 +374,25 @@
         self.placed.push(allocation);
     }
 
-    fn note(&mut self) {
-        let at = self.any(self.placed.len());
-        let (id, asks) = (self.placed[at].id, self.placed[at].requested);
-        let uses = asks * self.rng.random_range(0.1..1.3);
-        let notes = [
+    fn report_metric(&mut self) {
+        let at = self.random_index(self.placed.len());
+        let (id, requested) = (self.placed[at].id, self.placed[at].requested);
+        let used = requested * self.rng.random_range(0.1..1.3);
+        let metrics = [
             Metric::Running,
-            Metric::Cores(uses.cores),
-            Metric::Memory(uses.memory),
+            Metric::Cores(used.cores),
+            Metric::Memory(used.memory),
             Metric::ServiceLevel(0.5),
             Metric::MachineMemory(0.9),
         ];
-        let note = notes[self.any(notes.len())];
-        self.scheduler.record_metric(self.now, id, note);
+        let metric = metrics[self.random_index(metrics.len())];
+        self.scheduler.record_metric(self.now, id, metric);
     }
 
     /// Something that happens to one of those that are out or placed.
-    fn answer(&mut self) {
+    fn report_random_outcome(&mut self) {
         if !self.pending.is_empty() && self.rng.random_bool(0.6) {
-            let at = self.any(self.pending.len());
+            let at = self.random_index(self.pending.len());
             let allocation = self.pending.swap_remove(at);
             let endings = [
                 AttemptResult::Rejected,
@@ -391,13 +405,13 @@
                 AttemptResult::Cancelled,
             ];
             if self.rng.random_bool(0.7) {
-                return self.after(allocation, Outcome::Placed);
+                return self.apply_outcome(allocation, Outcome::Placed);
             }
-            let ending = endings[self.any(endings.len())];
-            return self.returned(allocation, ending, false);
+            let ending = endings[self.random_index(endings.len())];
+            return self.report_returned(allocation, ending, false);
         }
         if !self.placed.is_empty() {
-            let at = self.any(self.placed.len());
+            let at = self.random_index(self.placed.len());
             let allocation = self.placed.swap_remove(at);
             let endings = [
                 AttemptResult::Completed,
@@ -405,16 +419,16 @@
                 AttemptResult::Completed,
                 AttemptResult::Reset,
             ];
-            let ending = endings[self.any(endings.len())];
-            self.returned(allocation, ending, true);
+            let ending = endings[self.random_index(endings.len())];
+            self.report_returned(allocation, ending, true);
         }
     }
 
-    fn step(&mut self, longest: Ticks) {
+    fn step(&mut self, max_wait: Ticks) {
         self.now += match self.rng.random_range(0..200) {
             0 => self.rng.random_range(0..6 * SECOND),
             1..=60 => 0,
-            _ => self.rng.random_range(0..=longest.max(1)),
+            _ => self.rng.random_range(0..=max_wait.max(1)),
         };
         let id = self.rng.random_range(0..MACHINES);
         match self.rng.random_range(0..100) {
@@ -422,95 +436,93 @@
                 let allocation = self.new_allocation();
                 self.place(allocation);
             }
-            25..=44 => self.answer(),
-            45..=69 if !self.placed.is_empty() => self.note(),
+            25..=44 => self.report_random_outcome(),
+            45..=69 if !self.placed.is_empty() => self.report_metric(),
             70..=74 => {
-                let report = self.report(id);
+                let report = self.random_report(id);
                 let endings = [
                     AttemptResult::Completed,
                     AttemptResult::Completed,
                     AttemptResult::TimedOut,
                     AttemptResult::Error,
                 ];
-                let ending = endings[self.any(endings.len())];
+                let ending = endings[self.random_index(endings.len())];
                 self.scheduler
                     .record_health_check(self.now, MachineId(id), ending, report);
             }
-            75..=78 => self.list(id),
+            75..=78 => self.update_endpoint_list(id),
             79 if self.rng.random_bool(0.3) => self.scheduler.endpoint_watch_failed(self.now),
-            80 if self.rng.random_bool(0.3) => self.adopt(),
-            81 => self.take_over(),
+            80 if self.rng.random_bool(0.3) => self.reconfigure(),
+            81 => self.adopt_running(),
             82..=83 => {
-                let shot = self
+                let attempt = self
                     .pending
                     .last()
                     .and_then(|one| one.attempts.last())
                     .cloned();
-                if let Some(shot) = shot {
+                if let Some(attempt) = attempt {
                     self.scheduler
-                        .record_attempt_sent(self.now, shot.machine, shot.sent_at);
+                        .record_attempt_sent(self.now, attempt.machine, attempt.sent_at);
                 }
             }
             84 => {
                 let now = self.now;
-                self.waiting.pop_if(|one| now + SECOND < one.deadline);
+                self.deferred.pop_if(|one| now + SECOND < one.deadline);
             }
             _ => {}
         }
     }
 }
 
-fn tracks() -> Vec<ServiceClass> {
-    let plain = ServiceClass {
+fn service_classes() -> Vec<ServiceClass> {
+    let base_class = ServiceClass {
         latency_objective: 2 * SECOND,
         target_utilization: 0.9,
-        ..track(RetrySafety::Idempotent)
+        ..service_class(RetrySafety::Idempotent)
     };
-    let deduplicated = |within| RetrySafety::Deduplicated {
-        scope: within,
+    let deduplicated = |domain| RetrySafety::Deduplicated {
+        scope: domain,
         window: 2 * SECOND,
     };
     vec![
-        plain.clone(),
+        base_class.clone(),
         ServiceClass {
             retry_safety: deduplicated(None),
             priority: 1,
             spread: Some((Domain::Zone, 4)),
-            ..plain.clone()
+            ..base_class.clone()
         },
         ServiceClass {
             retry_safety: deduplicated(Some(Domain::Cell)),
             priority: 2,
             spread: Some((Domain::Cell, 3)),
-            ..plain.clone()
+            ..base_class.clone()
         },
         ServiceClass {
             retry_safety: deduplicated(Some(Domain::Zone)),
             target_utilization: 0.7,
-            ..plain.clone()
+            ..base_class.clone()
         },
         ServiceClass {
             retry_safety: RetrySafety::NotRetryable,
             spread: Some((Domain::Machine, 2)),
-            ..plain.clone()
+            ..base_class.clone()
         },
         ServiceClass {
             machine_type: Some(MachineTypeId(1)),
             priority: 3,
-            ..plain
+            ..base_class
         },
     ]
 }
 
 /// What differs between clusters: what machines and the list tell, and how many share them.
 fn clusters() -> Vec<(&'static str, Cluster)> {
-    let account = |share_cores| Tenant {
-        quota_cores: share_cores,
-    };
-    let alone = Cluster {
-        machine_types: KINDS.to_vec(),
-        service_classes: tracks(),
-        tenants: vec![account(None), account(Some(30.0)), account(Some(4.0))],
+    let tenant = |quota| Tenant { quota_cores: quota };
+    let unshared = Cluster {
+        machine_types: MACHINE_TYPES.to_vec(),
+        service_classes: service_classes(),
+        tenants: vec![tenant(None), tenant(Some(30.0)), tenant(Some(4.0))],
         admission_limit: Resources {
             cores: 2.0,
             memory: 1.3,
@@ -518,21 +530,21 @@
         max_attempts: 4,
         health_checks: true,
         cross_zone_cost: 0.1,
-        ..host::cluster(track(RetrySafety::Idempotent))
+        ..host::cluster(service_class(RetrySafety::Idempotent))
     };
     let listed = Cluster {
         list_reports_capacity: true,
         placed_means_running: false,
-        ..alone.clone()
+        ..unshared.clone()
     };
     let shared = Cluster {
         scheduler_index: 1,
         scheduler_count: 3,
         connect_timeout: 2_500,
         caller_detects_losses: false,
-        ..alone.clone()
+        ..unshared.clone()
     };
-    let pushed_out = Cluster {
+    let preempting = Cluster {
         preempts: true,
         health_checks: false,
         list_poll_interval: None,
@@ -541,19 +553,19 @@
         ..listed.clone()
     };
     vec![
-        ("alone", alone),
+        ("alone", unshared),
         ("room is listed", listed),
         ("shared by three", shared),
-        ("lower priorities are pushed out", pushed_out),
+        ("lower priorities are pushed out", preempting),
     ]
 }
 
 fn transcript(cluster: &Cluster, load: Load, seed: u64) -> Transcript {
     let mut walk = Walk::new(cluster, load, seed);
-    let mut longest = walk.rest();
+    let mut max_wait = walk.poll_until_idle();
     for _ in 0..load.steps {
-        walk.step(longest);
-        longest = walk.rest();
+        walk.step(max_wait);
+        max_wait = walk.poll_until_idle();
     }
     // Whether as many draws were taken, the last answer tells too.
     let last = format!("last draw {}", walk.rng.next_u64());
@@ -573,7 +585,7 @@
                 "# {name}, {}, seed {seed}: {count} answers, {hash:016x}",
                 load.name
             );
-            text.push_str(&transcript.kept);
+            text.push_str(&transcript.sampled);
         }
     }
     if std::env::var_os("CORKSPAN_RECORD").is_some() {
--- a/crates/scheduler/tests/host/mod.rs
+++ b/crates/scheduler/tests/host/mod.rs
@@ -9,9 +9,9 @@
     memory: 100.0,
 };
 
-pub fn track(repeat: RetrySafety) -> ServiceClass {
+pub fn service_class(safety: RetrySafety) -> ServiceClass {
     ServiceClass {
-        retry_safety: repeat,
+        retry_safety: safety,
         latency_objective: SECOND,
         target_utilization: 1.0,
         priority: 0,
@@ -20,13 +20,13 @@
     }
 }
 
-pub fn cluster(track: ServiceClass) -> Cluster {
+pub fn cluster(class: ServiceClass) -> Cluster {
     Cluster {
         zone: ZoneId(0),
         scheduler_index: 0,
         scheduler_count: 1,
         machine_types: vec![SIZE],
-        service_classes: vec![track],
+        service_classes: vec![class],
         tenants: Vec::new(),
         admission_limit: Resources {
             cores: 3.0,
@@ -49,7 +49,7 @@
     }
 }
 
-pub fn entry(id: u32) -> Endpoint {
+pub fn endpoint(id: u32) -> Endpoint {
     Endpoint {
         machine: MachineId(id),
         machine_type: MachineTypeId(0),
@@ -64,25 +64,25 @@
 pub struct Host {
     pub scheduler: Scheduler,
     pub now: Ticks,
-    asked: u64,
+    allocation_count: u64,
 }
 
 impl Host {
     pub fn new(cluster: Cluster, seed: u64, machines: u32) -> Self {
         let mut scheduler = Scheduler::new(cluster, seed, 100 * SECOND);
-        let entries: Vec<Endpoint> = (0..machines).map(entry).collect();
-        scheduler.apply_endpoint_list(ListUpdate::Cached, &entries);
+        let endpoints: Vec<Endpoint> = (0..machines).map(endpoint).collect();
+        scheduler.apply_endpoint_list(ListUpdate::Cached, &endpoints);
         Host {
             scheduler,
             now: 100 * SECOND,
-            asked: 0,
+            allocation_count: 0,
         }
     }
 
-    pub fn ask(&mut self, service: u64, cores: f64, memory: f64) -> Allocation {
-        self.asked += 1;
+    pub fn new_allocation(&mut self, service: u64, cores: f64, memory: f64) -> Allocation {
+        self.allocation_count += 1;
         Allocation {
-            id: AllocationId(self.asked),
+            id: AllocationId(self.allocation_count),
             service: ServiceId(service),
             service_class: ServiceClassId(0),
             tenant: TenantId(0),
@@ -106,7 +106,7 @@
     }
 
     /// Where a further allocation goes, or none.
-    pub fn sent_to(&mut self, allocation: &mut Allocation) -> Option<u32> {
+    pub fn dispatch_target(&mut self, allocation: &mut Allocation) -> Option<u32> {
         match self.place(allocation) {
             Placement::Dispatch { machine, .. } => Some(machine.0),
             _ => None,
@@ -114,12 +114,12 @@
     }
 
     /// Where a further small one of this service goes, or none.
-    pub fn sends(&mut self, service: u64) -> Option<u32> {
-        let mut allocation = self.ask(service, 0.1, 0.1);
-        self.sent_to(&mut allocation)
+    pub fn dispatch_small(&mut self, service: u64) -> Option<u32> {
+        let mut allocation = self.new_allocation(service, 0.1, 0.1);
+        self.dispatch_target(&mut allocation)
     }
 
-    pub fn seated(&mut self, allocation: &Allocation) {
+    pub fn report_placed(&mut self, allocation: &Allocation) {
         self.scheduler.on_outcome(
             self.now,
             allocation,
@@ -128,18 +128,18 @@
         );
     }
 
-    pub fn returned(
+    pub fn report_returned(
         &mut self,
         allocation: &mut Allocation,
         ending: AttemptResult,
         reason: Option<ReturnReason>,
     ) -> NextStep {
-        let shot = allocation.attempts.len() - 1;
-        let never = matches!(
+        let attempt = allocation.attempts.len() - 1;
+        let not_executed = matches!(
             ending,
             AttemptResult::Rejected | AttemptResult::ConnectFailed | AttemptResult::NotSent
         );
-        allocation.attempts[shot].state = if never {
+        allocation.attempts[attempt].state = if not_executed {
             AttemptState::NotExecuted
         } else {
             AttemptState::PossiblyExecuted
@@ -151,43 +151,45 @@
             report: None,
         };
         self.scheduler
-            .on_outcome(self.now, allocation, shot, outcome)
+            .on_outcome(self.now, allocation, attempt, outcome)
     }
 
     /// An allocation of ours that runs on a machine since `ago`, using so much.
-    pub fn runs(
+    pub fn add_running(
         &mut self,
         service: u64,
-        asks: Resources,
-        uses: Resources,
+        requested: Resources,
+        used: Resources,
         machine: u32,
-        ago: Ticks,
+        started_ago: Ticks,
     ) -> Allocation {
-        let mut allocation = self.ask(service, asks.cores, asks.memory);
+        let mut allocation = self.new_allocation(service, requested.cores, requested.memory);
         allocation.attempts.push(Attempt {
             machine: MachineId(machine),
             sent_at: self.now,
             state: AttemptState::PossiblyExecuted,
         });
-        self.now -= ago;
+        self.now -= started_ago;
         self.scheduler
             .adopt_running(self.now, &allocation, MachineId(machine));
-        self.now += ago;
-        self.note(&allocation, uses);
+        self.now += started_ago;
+        self.report_usage(&allocation, used);
         allocation
     }
 
-    pub fn note(&mut self, allocation: &Allocation, uses: Resources) {
+    pub fn report_usage(&mut self, allocation: &Allocation, used: Resources) {
         self.scheduler
-            .record_metric(self.now, allocation.id, Metric::Cores(uses.cores));
+            .record_metric(self.now, allocation.id, Metric::Cores(used.cores));
         self.scheduler
-            .record_metric(self.now, allocation.id, Metric::Memory(uses.memory));
+            .record_metric(self.now, allocation.id, Metric::Memory(used.memory));
     }
 
     /// A machine reports so much in use.
-    pub fn reports(&mut self, machine: u32, cores: f64, memory: f64) {
-        let unused = SIZE - Resources { cores, memory };
-        let report = LoadReport { available: unused };
+    pub fn report_load(&mut self, machine: u32, cores: f64, memory: f64) {
+        let available_resources = SIZE - Resources { cores, memory };
+        let report = LoadReport {
+            available: available_resources,
+        };
         self.scheduler.record_health_check(
             self.now,
             MachineId(machine),
@@ -197,14 +199,15 @@
     }
 
     /// The service comes to have records of this use by asked unit.
-    pub fn has_records(&mut self, service: u64, share: f64) {
+    pub fn add_usage_records(&mut self, service: u64, used_share: f64) {
         for _ in 0..5 {
-            let asks = Resources {
+            let requested = Resources {
                 cores: 2.0,
                 memory: 4.0,
             };
-            let mut ended = self.runs(service, asks, asks * share, 0, 30 * SECOND);
-            self.returned(&mut ended, AttemptResult::Completed, None);
+            let mut ended =
+                self.add_running(service, requested, requested * used_share, 0, 30 * SECOND);
+            self.report_returned(&mut ended, AttemptResult::Completed, None);
         }
     }
 }
--- a/crates/scheduler/tests/retries.rs
+++ b/crates/scheduler/tests/retries.rs
@@ -14,13 +14,13 @@
 
 /// The same calls go to one that leaves looks out and to one that never does.
 struct Both {
-    leaves_out: Scheduler,
-    looks: Scheduler,
+    skipping: Scheduler,
+    exhaustive: Scheduler,
     now: Ticks,
-    waiting: Vec<Allocation>,
+    deferred: Vec<Allocation>,
     running: Vec<Allocation>,
     /// When the one that leaves out wants to be asked at the latest.
-    due: Ticks,
+    next_poll_at: Ticks,
     /// Looks by the one and by the other, and what was placed for those that had waited.
     counts: [usize; 3],
 }
@@ -32,39 +32,43 @@
             let mut scheduler = Scheduler::new(cluster.clone(), seed, now);
             scheduler.apply_endpoint_list(
                 ListUpdate::Cached,
-                &(0..machines).map(entry).collect::<Vec<_>>(),
+                &(0..machines).map(endpoint).collect::<Vec<_>>(),
             );
             scheduler
         };
-        let (leaves_out, looks) = (new(), new().evaluating_exhaustively());
+        let (skipping, exhaustive) = (new(), new().evaluating_exhaustively());
         Both {
-            leaves_out,
-            looks,
+            skipping,
+            exhaustive,
             now,
-            waiting: Vec::new(),
+            deferred: Vec::new(),
             running: Vec::new(),
-            due: now,
+            next_poll_at: now,
             counts: [0; 3],
         }
     }
 
-    fn tell(&mut self, mut call: impl FnMut(&mut Scheduler)) {
-        call(&mut self.leaves_out);
-        call(&mut self.looks);
+    fn call_both(&mut self, mut call: impl FnMut(&mut Scheduler)) {
+        call(&mut self.skipping);
+        call(&mut self.exhaustive);
     }
 
     /// One comes. It is asked for at both.
-    fn comes(&mut self, allocation: Allocation) {
-        let answers =
-            [&mut self.leaves_out, &mut self.looks].map(|one| one.place(self.now, &allocation));
-        assert_eq!(answers[0], answers[1], "at {}: {allocation:?}", self.now);
-        self.answered(allocation, answers[1]);
+    fn place_on_both(&mut self, allocation: Allocation) {
+        let decisions =
+            [&mut self.skipping, &mut self.exhaustive].map(|one| one.place(self.now, &allocation));
+        assert_eq!(
+            decisions[0], decisions[1],
+            "at {}: {allocation:?}",
+            self.now
+        );
+        self.record_decision(allocation, decisions[1]);
     }
 
-    fn answered(&mut self, mut allocation: Allocation, answer: Placement) {
-        match answer {
+    fn record_decision(&mut self, mut allocation: Allocation, decision: Placement) {
+        match decision {
             // Asked for again at the moment at which it came it would count as one more.
-            Placement::Deferred => self.waiting.push(Allocation {
+            Placement::Deferred => self.deferred.push(Allocation {
                 accepted_at: 0,
                 ..allocation
             }),
@@ -80,7 +84,7 @@
         }
     }
 
-    fn returns(
+    fn report_returned(
         &mut self,
         index: usize,
         ending: AttemptResult,
@@ -88,12 +92,12 @@
         report: Option<LoadReport>,
     ) {
         let mut allocation = self.running.swap_remove(index);
-        let (now, shot) = (self.now, allocation.attempts.len() - 1);
-        let never = matches!(
+        let (now, attempt) = (self.now, allocation.attempts.len() - 1);
+        let not_executed = matches!(
             ending,
             AttemptResult::Rejected | AttemptResult::ConnectFailed
         );
-        allocation.attempts[shot].state = if never {
+        allocation.attempts[attempt].state = if not_executed {
             AttemptState::NotExecuted
         } else {
             AttemptState::PossiblyExecuted
@@ -104,88 +108,98 @@
             finished: ending == AttemptResult::Completed,
             report,
         };
-        let answers = [&mut self.leaves_out, &mut self.looks]
-            .map(|one| one.on_outcome(now, &allocation, shot, outcome));
-        assert_eq!(answers[0], answers[1]);
-        if answers[0] == NextStep::Retry {
-            self.comes(allocation);
+        let next_steps = [&mut self.skipping, &mut self.exhaustive]
+            .map(|one| one.on_outcome(now, &allocation, attempt, outcome));
+        assert_eq!(next_steps[0], next_steps[1]);
+        if next_steps[0] == NextStep::Retry {
+            self.place_on_both(allocation);
         }
     }
 
     /// Both are asked how long to wait. A look that the one leaves out must be in vain at the
     /// other.
-    fn rests(&mut self, nothing_said: bool) -> PollResult {
-        let [one, other] = [&mut self.leaves_out, &mut self.looks].map(|one| one.poll(self.now));
+    fn poll_both(&mut self, nothing_reported: bool) -> PollResult {
+        let [skipping_poll, exhaustive_poll] =
+            [&mut self.skipping, &mut self.exhaustive].map(|one| one.poll(self.now));
         assert!(
-            !one.retry_deferred || other.retry_deferred,
+            !skipping_poll.retry_deferred || exhaustive_poll.retry_deferred,
             "at {}: a look that is not due",
             self.now
         );
         assert!(
-            !(one.retry_deferred && nothing_said) || self.due <= self.now,
+            !(skipping_poll.retry_deferred && nothing_reported) || self.next_poll_at <= self.now,
             "it would have slept"
         );
         assert_eq!(
-            (&one.health_checks, &one.migrations, &one.lost),
-            (&other.health_checks, &other.migrations, &other.lost)
+            (
+                &skipping_poll.health_checks,
+                &skipping_poll.migrations,
+                &skipping_poll.lost
+            ),
+            (
+                &exhaustive_poll.health_checks,
+                &exhaustive_poll.migrations,
+                &exhaustive_poll.lost
+            )
         );
-        self.due = self.now + one.next_poll;
-        if other.retry_deferred {
-            for allocation in std::mem::take(&mut self.waiting) {
-                let asked = one.retry_deferred
-                    && one
+        self.next_poll_at = self.now + skipping_poll.next_poll;
+        if exhaustive_poll.retry_deferred {
+            for allocation in std::mem::take(&mut self.deferred) {
+                let evaluated = skipping_poll.retry_deferred
+                    && skipping_poll
                         .retry_deadline_limit
                         .is_none_or(|end| allocation.deadline <= end);
-                let answer = self.looks.place(self.now, &allocation);
-                let mine = if asked {
-                    self.leaves_out.place(self.now, &allocation)
+                let decision = self.exhaustive.place(self.now, &allocation);
+                let skipping_decision = if evaluated {
+                    self.skipping.place(self.now, &allocation)
                 } else {
                     Placement::Deferred
                 };
                 assert_eq!(
-                    mine, answer,
-                    "at {}, asked: {asked}, {allocation:?}",
+                    skipping_decision, decision,
+                    "at {}, asked: {evaluated}, {allocation:?}",
                     self.now
                 );
-                self.counts[0] += usize::from(asked);
+                self.counts[0] += usize::from(evaluated);
                 self.counts[1] += 1;
-                self.counts[2] += usize::from(matches!(answer, Placement::Dispatch { .. }));
-                self.answered(allocation, answer);
+                self.counts[2] += usize::from(matches!(decision, Placement::Dispatch { .. }));
+                self.record_decision(allocation, decision);
             }
         }
-        if one.retry_deadline_limit.is_some() && self.waiting.is_empty() {
-            self.leaves_out.no_deferred_left();
+        if skipping_poll.retry_deadline_limit.is_some() && self.deferred.is_empty() {
+            self.skipping.no_deferred_left();
         }
-        if other.retry_deferred && one.retry_deferred {
-            return self.rests(false);
+        if exhaustive_poll.retry_deferred && skipping_poll.retry_deferred {
+            return self.poll_both(false);
         }
-        other
+        exhaustive_poll
     }
 }
 
-fn walks(cluster: &Cluster, seed: u64, steps: usize) -> [usize; 3] {
+fn random_walk(cluster: &Cluster, seed: u64, steps: usize) -> [usize; 3] {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let machines = rng.random_range(1..6);
     let mut both = Both::new(cluster.clone(), seed, machines);
-    let mut started = vec![None; machines as usize];
-    let mut wait = both.rests(false);
-    for number in 0..steps as u64 {
-        let most = if rng.random_bool(0.01) {
+    let mut started_at = vec![None; machines as usize];
+    let mut result = both.poll_both(false);
+    for index in 0..steps as u64 {
+        let max_step = if rng.random_bool(0.01) {
             3 * SECOND
         } else {
-            wait.next_poll.max(1)
+            result.next_poll.max(1)
         };
         // A clock that stands still, moves on, or has jumped.
-        both.now += rng.random_range(0..=most);
+        both.now += rng.random_range(0..=max_step);
         let id = rng.random_range(0..machines);
-        let share = |rng: &mut Pcg64Mcg| Resources {
+        let random_share = |rng: &mut Pcg64Mcg| Resources {
             cores: rng.random(),
             memory: rng.random(),
         };
-        let unused = share(&mut rng) * SIZE * if rng.random_bool(0.7) { 0.2 } else { 0.8 };
-        let report = rng
-            .random_bool(0.5)
-            .then_some(LoadReport { available: unused });
+        let available_resources =
+            random_share(&mut rng) * SIZE * if rng.random_bool(0.7) { 0.2 } else { 0.8 };
+        let report = rng.random_bool(0.5).then_some(LoadReport {
+            available: available_resources,
+        });
         let (now, running) = (both.now, both.running.len());
         let event = if rng.random_bool(0.9) {
             99
@@ -194,33 +208,35 @@
         };
         match event {
             0..=2 => {
-                let large = if rng.random_bool(0.2) { 0.6 } else { 0.15 };
+                let scale = if rng.random_bool(0.2) { 0.6 } else { 0.15 };
                 let allocation = Allocation {
-                    id: AllocationId(number),
+                    id: AllocationId(index),
                     service: ServiceId(rng.random_range(0..4)),
                     service_class: ServiceClassId(0),
                     tenant: TenantId(rng.random_range(0..2)),
-                    requested: (share(&mut rng) + Resources::ONE * 0.05) * SIZE * large,
+                    requested: (random_share(&mut rng) + Resources::ONE * 0.05) * SIZE * scale,
                     accepted_at: now,
                     deadline: now + rng.random_range(50..8 * SECOND),
                     attempts: Vec::new(),
                 };
-                let track =
+                let class =
                     ServiceClassId(allocation.service.0 as usize % cluster.service_classes.len());
-                both.comes(Allocation {
-                    service_class: track,
+                both.place_on_both(Allocation {
+                    service_class: class,
                     ..allocation
                 });
             }
-            3 => both.tell(|one| {
+            3 => both.call_both(|one| {
                 one.record_health_check(
                     now,
                     MachineId(id),
                     AttemptResult::Completed,
-                    Some(LoadReport { available: unused }),
+                    Some(LoadReport {
+                        available: available_resources,
+                    }),
                 )
             }),
-            4 if running > 0 => both.returns(
+            4 if running > 0 => both.report_returned(
                 rng.random_range(0..running),
                 AttemptResult::Completed,
                 None,
@@ -242,21 +258,21 @@
                 ];
                 let ending = endings[rng.random_range(0..endings.len())];
                 let reason = reasons[rng.random_range(0..reasons.len())];
-                both.returns(rng.random_range(0..running), ending, reason, report);
+                both.report_returned(rng.random_range(0..running), ending, reason, report);
             }
             6..=8 if running > 0 => {
                 let allocation = both.running[rng.random_range(0..running)].clone();
-                let use_ = allocation.requested * rng.random_range(0.1..1.2);
-                let notes = [
+                let used = allocation.requested * rng.random_range(0.1..1.2);
+                let metrics = [
                     Metric::Running,
-                    Metric::Cores(use_.cores),
-                    Metric::Memory(use_.memory),
+                    Metric::Cores(used.cores),
+                    Metric::Memory(used.memory),
                 ];
-                let note = notes[rng.random_range(0..notes.len())];
-                let shot = allocation.attempts.len() - 1;
-                both.tell(|one| {
-                    one.on_outcome(now, &allocation, shot, Outcome::Placed);
-                    one.record_metric(now, allocation.id, note);
+                let metric = metrics[rng.random_range(0..metrics.len())];
+                let attempt = allocation.attempts.len() - 1;
+                both.call_both(|one| {
+                    one.on_outcome(now, &allocation, attempt, Outcome::Placed);
+                    one.record_metric(now, allocation.id, metric);
                 });
             }
             9 => {
@@ -268,78 +284,80 @@
                 ];
                 let state = states[rng.random_range(0..states.len())];
                 if rng.random_bool(0.3) {
-                    started[id as usize] = Some(now);
+                    started_at[id as usize] = Some(now);
                 }
-                let unasked = rng.random_bool(0.7).then_some(unused);
-                let entry = Endpoint {
+                let unreserved_capacity = rng.random_bool(0.7).then_some(available_resources);
+                let endpoint = Endpoint {
                     state,
-                    started_at: started[id as usize],
-                    unreserved: unasked,
-                    ..entry(id)
+                    started_at: started_at[id as usize],
+                    unreserved: unreserved_capacity,
+                    ..endpoint(id)
                 };
-                let scope = if rng.random_bool(0.1) {
+                let update = if rng.random_bool(0.1) {
                     ListUpdate::Complete
                 } else {
                     ListUpdate::Incremental
                 };
-                both.tell(|one| one.apply_endpoint_list(scope, &[entry]));
+                both.call_both(|one| one.apply_endpoint_list(update, &[endpoint]));
             }
             10 if rng.random_bool(0.2) => {
-                let accepts = Resources {
+                let random_limit = Resources {
                     cores: rng.random_range(1.0..3.0),
                     memory: 1.5,
                 };
                 let cluster = Cluster {
-                    admission_limit: accepts,
+                    admission_limit: random_limit,
                     ..cluster.clone()
                 };
-                both.tell(|one| one.reconfigure(now, cluster.clone()));
+                both.call_both(|one| one.reconfigure(now, cluster.clone()));
             }
             11 if running > 0 => {
-                let last = both.running[running - 1].attempts.last().cloned();
-                last.into_iter().for_each(|shot| {
-                    both.tell(|one| one.record_attempt_sent(now, shot.machine, shot.sent_at))
+                let last_attempt = both.running[running - 1].attempts.last().cloned();
+                last_attempt.into_iter().for_each(|attempt| {
+                    both.call_both(|one| {
+                        one.record_attempt_sent(now, attempt.machine, attempt.sent_at)
+                    })
                 });
             }
-            12 => both.tell(|one| {
+            12 => both.call_both(|one| {
                 one.record_health_check(now, MachineId(id), AttemptResult::TimedOut, None)
             }),
             13 if rng.random_bool(0.1) => {
                 // Its owner wants it no longer, and not in its last moment.
-                both.waiting
+                both.deferred
                     .pop_if(|allocation| now + SECOND < allocation.deadline);
             }
             _ => {}
         }
-        wait = both.rests(event == 99);
+        result = both.poll_both(event == 99);
     }
     both.counts
 }
 
-fn tracks() -> Vec<ServiceClass> {
-    let plain = ServiceClass {
+fn service_classes() -> Vec<ServiceClass> {
+    let base_class = ServiceClass {
         latency_objective: 2 * SECOND,
         target_utilization: 0.9,
-        ..track(RetrySafety::Idempotent)
+        ..service_class(RetrySafety::Idempotent)
     };
-    let again = RetrySafety::Deduplicated {
+    let deduplicated = RetrySafety::Deduplicated {
         scope: Some(Domain::Cell),
         window: 5 * SECOND,
     };
     let spread = ServiceClass {
         spread: Some((Domain::Zone, 2)),
-        retry_safety: again,
-        ..plain.clone()
+        retry_safety: deduplicated,
+        ..base_class.clone()
     };
     vec![
-        plain.clone(),
+        base_class.clone(),
         ServiceClass {
             priority: 1,
             ..spread
         },
         ServiceClass {
             retry_safety: RetrySafety::NotRetryable,
-            ..plain
+            ..base_class
         },
     ]
 }
@@ -348,31 +366,31 @@
 #[test_case(true, false, 3; "room is listed")]
 #[test_case(true, true, 1; "room is listed and lower priorities are pushed out")]
 fn a_skipped_evaluation_would_have_found_no_machine(
-    shows_room: bool,
-    makes_room: bool,
+    capacity_listed: bool,
+    preempting: bool,
     schedulers: usize,
 ) {
-    let account = |share| Tenant {
-        quota_cores: Some(share),
+    let tenant = |quota| Tenant {
+        quota_cores: Some(quota),
     };
     let cluster = Cluster {
         scheduler_count: schedulers,
-        service_classes: tracks(),
-        tenants: vec![account(20.0), account(200.0)],
-        list_reports_capacity: shows_room,
-        preempts: makes_room,
+        service_classes: service_classes(),
+        tenants: vec![tenant(20.0), tenant(200.0)],
+        list_reports_capacity: capacity_listed,
+        preempts: preempting,
         health_checks: true,
         caller_detects_losses: false,
-        ..cluster(track(RetrySafety::Idempotent))
+        ..cluster(service_class(RetrySafety::Idempotent))
     };
-    let mut all = [0; 3];
+    let mut totals = [0; 3];
     for seed in 0..150 {
-        let counts = walks(&cluster, seed, 4_000);
-        (0..3).for_each(|at| all[at] += counts[at]);
+        let counts = random_walk(&cluster, seed, 4_000);
+        (0..3).for_each(|at| totals[at] += counts[at]);
     }
     assert!(
-        all[2] > 500 && all[0] * 4 < all[1] * 3,
-        "too few that waited, or none left out: {all:?}"
+        totals[2] > 500 && totals[0] * 4 < totals[1] * 3,
+        "too few that waited, or none left out: {totals:?}"
     );
 }
 
@@ -380,39 +398,39 @@
 /// changes that.
 #[test]
 fn a_deferred_allocation_is_evaluated_again_when_starts_turn_out_to_be_short() {
-    let mut host = Host::new(cluster(track(RetrySafety::Idempotent)), 1, 1);
-    let sends = |host: &mut Host, services: &[u64]| -> Vec<Allocation> {
+    let mut host = Host::new(cluster(service_class(RetrySafety::Idempotent)), 1, 1);
+    let dispatch_all = |host: &mut Host, services: &[u64]| -> Vec<Allocation> {
         let mut sent: Vec<_> = services
             .iter()
-            .map(|&service| host.ask(service, 0.1, 0.1))
+            .map(|&service| host.new_allocation(service, 0.1, 0.1))
             .collect();
         sent.iter_mut()
-            .for_each(|allocation| assert!(host.sent_to(allocation).is_some()));
+            .for_each(|allocation| assert!(host.dispatch_target(allocation).is_some()));
         sent
     };
     // With and without the program in place.
-    let long = sends(&mut host, &[1, 1]);
+    let slow_starts = dispatch_all(&mut host, &[1, 1]);
     host.now += 20 * SECOND;
-    long.iter().for_each(|allocation| {
+    slow_starts.iter().for_each(|allocation| {
         host.scheduler
             .record_metric(host.now, allocation.id, Metric::Running)
     });
-    let short = sends(&mut host, &[2, 2, 2, 4, 4, 4]);
-    host.reports(0, 39.5, 10.0);
+    let fast_starts = dispatch_all(&mut host, &[2, 2, 2, 4, 4, 4]);
+    host.report_load(0, 39.5, 10.0);
     host.now += SECOND / 4;
-    let mut waits = host.ask(3, 0.5, 1.0);
-    assert_eq!(host.place(&mut waits), Placement::Deferred);
+    let mut deferred = host.new_allocation(3, 0.5, 1.0);
+    assert_eq!(host.place(&mut deferred), Placement::Deferred);
     let step = |host: &mut Host| {
         host.now += SECOND / 20;
         host.scheduler.poll(host.now).retry_deferred
     };
     assert!(step(&mut host));
-    assert_eq!(host.place(&mut waits), Placement::Deferred);
+    assert_eq!(host.place(&mut deferred), Placement::Deferred);
     assert!(!step(&mut host), "nothing has changed");
-    short.iter().for_each(|allocation| {
+    fast_starts.iter().for_each(|allocation| {
         host.scheduler
             .record_metric(host.now, allocation.id, Metric::Running)
     });
     assert!(step(&mut host));
-    assert!(host.sent_to(&mut waits).is_some());
+    assert!(host.dispatch_target(&mut deferred).is_some());
 }
--- a/crates/scheduler/tests/scenarios.rs
+++ b/crates/scheduler/tests/scenarios.rs
@@ -16,9 +16,9 @@
 };
 const WINDOW: Ticks = 2 * SECOND;
 
-fn deduplicated(within: Option<Domain>) -> RetrySafety {
+fn deduplicated(domain: Option<Domain>) -> RetrySafety {
     RetrySafety::Deduplicated {
-        scope: within,
+        scope: domain,
         window: WINDOW,
     }
 }
@@ -26,33 +26,33 @@
 #[test_case(RetrySafety::Idempotent, Placement::Shed)]
 #[test_case(RetrySafety::NotRetryable, Placement::Shed)]
 fn an_allocation_that_no_machine_takes_is_answered_before_its_deadline(
-    repeat: RetrySafety,
-    last: Placement,
+    safety: RetrySafety,
+    expected: Placement,
 ) {
-    let mut host = Host::new(cluster(track(repeat)), 1, 0);
-    let mut allocation = host.ask(1, 1.0, 1.0);
+    let mut host = Host::new(cluster(service_class(safety)), 1, 0);
+    let mut allocation = host.new_allocation(1, 1.0, 1.0);
     assert_eq!(host.place(&mut allocation), Placement::Deferred);
-    let answer = loop {
-        let wait = host.scheduler.poll(host.now);
-        if wait.retry_deferred {
+    let decision = loop {
+        let result = host.scheduler.poll(host.now);
+        if result.retry_deferred {
             match host.place(&mut allocation) {
                 Placement::Deferred => continue,
-                answer => break answer,
+                decision => break decision,
             }
         }
-        host.now += wait.next_poll;
+        host.now += result.next_poll;
         assert!(
             host.now < allocation.deadline,
             "slept through the abandon time"
         );
     };
-    assert_eq!(answer, last);
+    assert_eq!(decision, expected);
 }
 
 #[test]
 fn an_attempt_times_out_before_the_deadline() {
-    let mut host = Host::new(cluster(track(RetrySafety::NotRetryable)), 1, 1);
-    let mut allocation = host.ask(1, 1.0, 1.0);
+    let mut host = Host::new(cluster(service_class(RetrySafety::NotRetryable)), 1, 1);
+    let mut allocation = host.new_allocation(1, 1.0, 1.0);
     let Placement::Dispatch { timeout, .. } = host.place(&mut allocation) else {
         panic!("not sent")
     };
@@ -65,20 +65,20 @@
 #[test_case(RetrySafety::NotRetryable, AttemptResult::Rejected, true; "but after a refusal it never ran")]
 #[test_case(RetrySafety::NotRetryable, AttemptResult::ConnectFailed, true; "nor where no connection stood")]
 fn an_attempt_that_may_have_run_restricts_retries(
-    repeat: RetrySafety,
+    safety: RetrySafety,
     ending: AttemptResult,
-    again: bool,
+    retried: bool,
 ) {
-    let mut host = Host::new(cluster(track(repeat)), 1, 4);
-    let mut allocation = host.ask(1, 1.0, 1.0);
+    let mut host = Host::new(cluster(service_class(safety)), 1, 4);
+    let mut allocation = host.new_allocation(1, 1.0, 1.0);
     host.place(&mut allocation);
     assert_eq!(
-        host.returned(&mut allocation, ending, None),
+        host.report_returned(&mut allocation, ending, None),
         NextStep::Retry
     );
     match host.place(&mut allocation) {
-        Placement::Dispatch { .. } => assert!(again),
-        answer => assert_eq!((answer, again), (Placement::Indeterminate, false)),
+        Placement::Dispatch { .. } => assert!(retried),
+        decision => assert_eq!((decision, retried), (Placement::Indeterminate, false)),
     }
 }
 
@@ -86,51 +86,54 @@
 #[test_case(Some(Domain::Zone), |a, b| a % 2 == b % 2, Placement::Indeterminate)]
 #[test_case(Some(Domain::Cell), |a, b| a / 2 == b / 2, Placement::Indeterminate)]
 fn a_deduplicated_allocation_is_retried_only_in_its_domain_and_window(
-    within: Option<Domain>,
-    same: fn(u32, u32) -> bool,
-    late: Placement,
+    scope: Option<Domain>,
+    same_domain: fn(u32, u32) -> bool,
+    after_window: Placement,
 ) {
     for seed in 0..8 {
-        let mut host = Host::new(cluster(track(deduplicated(within))), seed, 8);
-        let mut allocation = host.ask(1, 1.0, 1.0);
-        let first = host.sent_to(&mut allocation).expect("sent");
+        let mut host = Host::new(cluster(service_class(deduplicated(scope))), seed, 8);
+        let mut allocation = host.new_allocation(1, 1.0, 1.0);
+        let first = host.dispatch_target(&mut allocation).expect("sent");
         host.now += SECOND / 2;
-        host.returned(&mut allocation, AttemptResult::TimedOut, None);
-        let second = host.sent_to(&mut allocation).expect("sent again");
-        assert!(same(first, second) && first != second);
+        host.report_returned(&mut allocation, AttemptResult::TimedOut, None);
+        let second = host.dispatch_target(&mut allocation).expect("sent again");
+        assert!(same_domain(first, second) && first != second);
         host.now += WINDOW;
-        host.returned(&mut allocation, AttemptResult::TimedOut, None);
-        assert_eq!(host.place(&mut allocation), late);
+        host.report_returned(&mut allocation, AttemptResult::TimedOut, None);
+        assert_eq!(host.place(&mut allocation), after_window);
     }
 }
 
 #[test_case(ListUpdate::Incremental, MachineState::Draining; "told that it drains")]
 #[test_case(ListUpdate::Incremental, MachineState::Removed; "told that it is gone")]
 #[test_case(ListUpdate::Complete, MachineState::Serving; "left out of a whole list")]
-fn nothing_is_dispatched_to_a_draining_or_removed_machine(scope: ListUpdate, state: MachineState) {
-    let mut host = Host::new(cluster(track(RetrySafety::Idempotent)), 1, 2);
-    host.reports(0, 0.0, 0.0);
-    host.reports(1, 20.0, 20.0);
-    let leaving = Endpoint { state, ..entry(0) };
-    let entries = if scope == ListUpdate::Complete {
-        vec![entry(1)]
+fn nothing_is_dispatched_to_a_draining_or_removed_machine(update: ListUpdate, state: MachineState) {
+    let mut host = Host::new(cluster(service_class(RetrySafety::Idempotent)), 1, 2);
+    host.report_load(0, 0.0, 0.0);
+    host.report_load(1, 20.0, 20.0);
+    let leaving_endpoint = Endpoint {
+        state,
+        ..endpoint(0)
+    };
+    let endpoints = if update == ListUpdate::Complete {
+        vec![endpoint(1)]
     } else {
-        vec![leaving]
+        vec![leaving_endpoint]
     };
-    host.scheduler.apply_endpoint_list(scope, &entries);
+    host.scheduler.apply_endpoint_list(update, &endpoints);
     for _ in 0..5 {
-        let mut allocation = host.ask(1, 1.0, 1.0);
-        assert_eq!(host.sent_to(&mut allocation), Some(1));
+        let mut allocation = host.new_allocation(1, 1.0, 1.0);
+        assert_eq!(host.dispatch_target(&mut allocation), Some(1));
     }
 }
 
 #[test_case(1, 6; "alone")]
 #[test_case(3, 2; "one of three")]
-fn a_machine_in_slow_start_gets_our_quota_of_attempts(schedulers: usize, part: usize) {
+fn a_machine_in_slow_start_gets_our_quota_of_attempts(schedulers: usize, quota: usize) {
     let mut host = Host::new(
         Cluster {
             scheduler_count: schedulers,
-            ..cluster(track(RetrySafety::Idempotent))
+            ..cluster(service_class(RetrySafety::Idempotent))
         },
         1,
         1,
@@ -141,50 +144,50 @@
         ListUpdate::Incremental,
         &[Endpoint {
             started_at: Some(host.now),
-            ..entry(0)
+            ..endpoint(0)
         }],
     );
     for window in 0..2 {
         let sent = (0..20).filter(|_| {
-            let mut allocation = host.ask(1, 0.1, 0.1);
-            host.sent_to(&mut allocation).is_some()
+            let mut allocation = host.new_allocation(1, 0.1, 0.1);
+            host.dispatch_target(&mut allocation).is_some()
         });
-        assert_eq!(sent.count(), part, "window {window}");
+        assert_eq!(sent.count(), quota, "window {window}");
         host.now += SECOND + SECOND / 50;
     }
 }
 
 #[test]
 fn after_our_restart_a_machine_in_slow_start_may_have_had_its_quota() {
-    let mut host = Host::new(cluster(track(RetrySafety::Idempotent)), 1, 1);
+    let mut host = Host::new(cluster(service_class(RetrySafety::Idempotent)), 1, 1);
     host.scheduler.apply_endpoint_list(
         ListUpdate::Incremental,
         &[Endpoint {
             started_at: Some(host.now - SECOND),
-            ..entry(0)
+            ..endpoint(0)
         }],
     );
-    let mut allocation = host.ask(1, 1.0, 1.0);
+    let mut allocation = host.new_allocation(1, 1.0, 1.0);
     assert_eq!(host.place(&mut allocation), Placement::Deferred);
     host.now += SECOND;
-    assert_eq!(host.sent_to(&mut allocation), Some(0));
+    assert_eq!(host.dispatch_target(&mut allocation), Some(0));
 }
 
 #[test]
 fn a_longer_slow_start_window_counts_what_the_shorter_one_forgot() {
-    let mut host = Host::new(cluster(track(RetrySafety::Idempotent)), 1, 1);
+    let mut host = Host::new(cluster(service_class(RetrySafety::Idempotent)), 1, 1);
     host.now += 20 * SECOND;
     host.scheduler.apply_endpoint_list(
         ListUpdate::Incremental,
         &[Endpoint {
             started_at: Some(host.now),
-            ..entry(0)
+            ..endpoint(0)
         }],
     );
-    let sent = |host: &mut Host| (0..20).filter(|_| host.sends(1).is_some()).count();
+    let sent = |host: &mut Host| (0..20).filter(|_| host.dispatch_small(1).is_some()).count();
     assert_eq!(sent(&mut host), 6);
     host.now += SECOND + SECOND / 50;
-    let longer = SlowStart {
+    let longer_window = SlowStart {
         duration: 10 * SECOND,
         window: 3 * SECOND,
         max_offers: 6.0,
@@ -192,8 +195,8 @@
     host.scheduler.reconfigure(
         host.now,
         Cluster {
-            slow_start: longer,
-            ..cluster(track(RetrySafety::Idempotent))
+            slow_start: longer_window,
+            ..cluster(service_class(RetrySafety::Idempotent))
         },
     );
     assert_eq!(sent(&mut host), 0, "six came within three seconds");
@@ -203,12 +206,12 @@
 
 #[test]
 fn new_settings_take_effect_and_placed_replicas_stay_counted() {
-    let spread = |most| ServiceClass {
-        spread: Some((Domain::Machine, most)),
-        ..track(RetrySafety::Idempotent)
+    let spread = |max_replicas| ServiceClass {
+        spread: Some((Domain::Machine, max_replicas)),
+        ..service_class(RetrySafety::Idempotent)
     };
     let mut host = Host::new(cluster(spread(2)), 1, 1);
-    let sent = |host: &mut Host| (0..20).filter(|_| host.sends(1).is_some()).count();
+    let sent = |host: &mut Host| (0..20).filter(|_| host.dispatch_small(1).is_some()).count();
     assert_eq!(sent(&mut host), 2);
     host.scheduler.reconfigure(host.now, cluster(spread(5)));
     assert_eq!(sent(&mut host), 3);
@@ -219,32 +222,32 @@
 #[test_case(Domain::Machine, 8)]
 #[test_case(Domain::Cell, 4)]
 #[test_case(Domain::Zone, 2)]
-fn a_service_is_spread_as_its_class_requires(place: Domain, places: usize) {
-    let spread = ServiceClass {
-        spread: Some((place, 2)),
-        ..track(RetrySafety::Idempotent)
+fn a_service_is_spread_as_its_class_requires(domain: Domain, domain_count: usize) {
+    let spread_class = ServiceClass {
+        spread: Some((domain, 2)),
+        ..service_class(RetrySafety::Idempotent)
     };
-    let mut host = Host::new(cluster(spread), 1, 8);
+    let mut host = Host::new(cluster(spread_class), 1, 8);
     let sent = (0..40).filter(|_| {
-        let mut allocation = host.ask(1, 0.1, 0.1);
-        host.sent_to(&mut allocation).is_some()
+        let mut allocation = host.new_allocation(1, 0.1, 0.1);
+        host.dispatch_target(&mut allocation).is_some()
     });
-    assert_eq!(sent.count(), 2 * places);
+    assert_eq!(sent.count(), 2 * domain_count);
 }
 
 #[test]
 fn a_young_allocation_is_not_taken_off_a_report_that_never_held_it() {
-    let mut host = Host::new(cluster(track(RetrySafety::Idempotent)), 1, 2);
-    host.reports(0, 16.0, 10.0);
-    host.reports(1, 20.0, 10.0);
-    let mut first = host.ask(1, 8.0, 4.0);
-    assert_eq!(host.sent_to(&mut first), Some(0));
-    host.seated(&first);
-    host.note(&first, first.requested);
-    host.reports(0, 16.0, 10.0);
-    let mut second = host.ask(1, 1.0, 1.0);
+    let mut host = Host::new(cluster(service_class(RetrySafety::Idempotent)), 1, 2);
+    host.report_load(0, 16.0, 10.0);
+    host.report_load(1, 20.0, 10.0);
+    let mut first = host.new_allocation(1, 8.0, 4.0);
+    assert_eq!(host.dispatch_target(&mut first), Some(0));
+    host.report_placed(&first);
+    host.report_usage(&first, first.requested);
+    host.report_load(0, 16.0, 10.0);
+    let mut second = host.new_allocation(1, 1.0, 1.0);
     assert_eq!(
-        host.sent_to(&mut second),
+        host.dispatch_target(&mut second),
         Some(1),
         "16 reported and 8 unseen are more than 20"
     );
@@ -252,17 +255,17 @@
 
 #[test]
 fn an_old_allocation_is_not_counted_on_top_of_a_report_that_holds_it() {
-    let mut host = Host::new(cluster(track(RetrySafety::Idempotent)), 1, 2);
-    let asks = Resources {
+    let mut host = Host::new(cluster(service_class(RetrySafety::Idempotent)), 1, 2);
+    let requested = Resources {
         cores: 8.0,
         memory: 4.0,
     };
-    host.runs(1, asks, asks, 0, 5 * SECOND);
-    host.reports(0, 10.0, 10.0);
-    host.reports(1, 14.0, 10.0);
-    let mut allocation = host.ask(2, 1.0, 1.0);
+    host.add_running(1, requested, requested, 0, 5 * SECOND);
+    host.report_load(0, 10.0, 10.0);
+    host.report_load(1, 14.0, 10.0);
+    let mut allocation = host.new_allocation(2, 1.0, 1.0);
     assert_eq!(
-        host.sent_to(&mut allocation),
+        host.dispatch_target(&mut allocation),
         Some(0),
         "10 in all against 14"
     );
@@ -271,51 +274,54 @@
 #[test_case(0.25, Some(0); "with calm records the emptier machine is safe")]
 #[test_case(1.0, Some(1); "with records of full use it is not")]
 #[test_case(0.0, Some(1); "without records its ask is drawn")]
-fn usage_records_decide_between_machines_with_the_same_capacity(share: f64, expected: Option<u32>) {
-    let mut host = Host::new(cluster(track(RetrySafety::Idempotent)), 1, 2);
-    if share > 0.0 {
-        host.has_records(7, share);
+fn usage_records_decide_between_machines_with_the_same_capacity(
+    used_share: f64,
+    expected: Option<u32>,
+) {
+    let mut host = Host::new(cluster(service_class(RetrySafety::Idempotent)), 1, 2);
+    if used_share > 0.0 {
+        host.add_usage_records(7, used_share);
     }
     // Machine 0 is the emptier by present use, but memory for the whole ask is only on machine 1.
-    host.reports(0, 34.0, 60.0);
-    host.reports(1, 10.0, 62.0);
-    let mut allocation = host.ask(7, 10.0, 10.0);
+    host.report_load(0, 34.0, 60.0);
+    host.report_load(1, 10.0, 62.0);
+    let mut allocation = host.new_allocation(7, 10.0, 10.0);
     allocation.requested.memory = 24.0;
-    host.reports(0, 10.0, 70.0);
-    host.reports(1, 29.0, 62.0);
-    assert_eq!(host.sent_to(&mut allocation), expected);
+    host.report_load(0, 10.0, 70.0);
+    host.report_load(1, 29.0, 62.0);
+    assert_eq!(host.dispatch_target(&mut allocation), expected);
 }
 
 #[test]
 fn a_record_below_the_present_usage_is_not_drawn() {
-    let mut host = Host::new(cluster(track(RetrySafety::Idempotent)), 1, 2);
-    host.has_records(7, 0.25);
+    let mut host = Host::new(cluster(service_class(RetrySafety::Idempotent)), 1, 2);
+    host.add_usage_records(7, 0.25);
     // All of it runs at its full ask now: calm records would leave 32 of its 40 cores out.
-    let asks = Resources {
+    let requested = Resources {
         cores: 40.0,
         memory: 8.0,
     };
-    host.runs(7, asks, asks, 0, 5 * SECOND);
-    host.reports(0, 40.0, 10.0);
-    host.reports(1, 39.0, 80.0);
-    let mut allocation = host.ask(7, 0.5, 8.0);
-    assert_eq!(host.sent_to(&mut allocation), Some(1));
+    host.add_running(7, requested, requested, 0, 5 * SECOND);
+    host.report_load(0, 40.0, 10.0);
+    host.report_load(1, 39.0, 80.0);
+    let mut allocation = host.new_allocation(7, 0.5, 8.0);
+    assert_eq!(host.dispatch_target(&mut allocation), Some(1));
 }
 
 #[test]
 fn a_machine_over_the_line_does_not_attract_all_allocations() {
-    let mut host = Host::new(cluster(track(RetrySafety::Idempotent)), 1, 2);
-    host.reports(0, 20.0, 99.0);
-    host.reports(1, 20.0, 85.0);
+    let mut host = Host::new(cluster(service_class(RetrySafety::Idempotent)), 1, 2);
+    host.report_load(0, 20.0, 99.0);
+    host.report_load(1, 20.0, 85.0);
     for _ in 0..2 {
-        let mut allocation = host.ask(1, 1.0, 3.0);
+        let mut allocation = host.new_allocation(1, 1.0, 3.0);
         assert_eq!(
-            host.sent_to(&mut allocation),
+            host.dispatch_target(&mut allocation),
             Some(1),
             "the other rises by nothing, being over"
         );
     }
-    let mut third = host.ask(1, 1.0, 3.0);
+    let mut third = host.new_allocation(1, 1.0, 3.0);
     assert_eq!(
         host.place(&mut third),
         Placement::Deferred,
@@ -327,11 +333,11 @@
 fn near_ties_break_at_random() {
     let chosen: BTreeSet<_> = (0..20)
         .map(|seed| {
-            let mut host = Host::new(cluster(track(RetrySafety::Idempotent)), seed, 2);
-            host.reports(0, 20.0, 60.0);
-            host.reports(1, 20.0, 60.5);
-            let mut allocation = host.ask(1, 1.0, 1.0);
-            host.sent_to(&mut allocation)
+            let mut host = Host::new(cluster(service_class(RetrySafety::Idempotent)), seed, 2);
+            host.report_load(0, 20.0, 60.0);
+            host.report_load(1, 20.0, 60.5);
+            let mut allocation = host.new_allocation(1, 1.0, 1.0);
+            host.dispatch_target(&mut allocation)
         })
         .collect();
     assert_eq!(chosen.len(), 2);
@@ -339,10 +345,10 @@
 
 #[test]
 fn machines_beyond_the_demand_are_held_back_until_the_others_are_full() {
-    let mut host = Host::new(cluster(track(RetrySafety::Idempotent)), 1, 6);
+    let mut host = Host::new(cluster(service_class(RetrySafety::Idempotent)), 1, 6);
     for _ in 0..100 {
         // Who holds next to nothing knows too little of need to hold anything back.
-        host.runs(
+        host.add_running(
             1,
             Resources::ONE * 0.01,
             Resources::ONE * 0.01,
@@ -350,114 +356,114 @@
             5 * SECOND,
         );
     }
-    host.reports(0, 16.0, 40.0);
+    host.report_load(0, 16.0, 40.0);
     for id in 1..6 {
-        host.reports(id, 0.0, 0.0);
+        host.report_load(id, 0.0, 0.0);
     }
-    let mut allocation = host.ask(1, 1.0, 1.0);
+    let mut allocation = host.new_allocation(1, 1.0, 1.0);
     assert_eq!(
-        host.sent_to(&mut allocation),
+        host.dispatch_target(&mut allocation),
         Some(0),
         "the emptier five are not needed"
     );
-    let mut too_large = host.ask(1, 10.0, 60.0);
+    let mut too_large = host.new_allocation(1, 10.0, 60.0);
     assert!(
-        host.sent_to(&mut too_large)
+        host.dispatch_target(&mut too_large)
             .is_some_and(|machine| machine > 0)
     );
 }
 
 #[test]
 fn a_machine_that_never_reported_counts_as_the_average() {
-    let mut host = Host::new(cluster(track(RetrySafety::Idempotent)), 1, 3);
-    host.reports(0, 30.0, 80.0);
-    host.reports(1, 30.0, 20.0);
-    let mut allocation = host.ask(1, 1.0, 1.0);
+    let mut host = Host::new(cluster(service_class(RetrySafety::Idempotent)), 1, 3);
+    host.report_load(0, 30.0, 80.0);
+    host.report_load(1, 30.0, 20.0);
+    let mut allocation = host.new_allocation(1, 1.0, 1.0);
     // 0.5 of the memory and 0.75 of the cores on average, the same share as on machine 1 and less
     // than on 0.
-    assert_ne!(host.sent_to(&mut allocation), Some(0));
+    assert_ne!(host.dispatch_target(&mut allocation), Some(0));
 }
 
 #[test]
 fn a_machine_that_leaves_an_attempt_unanswered_is_ejected_for_a_time() {
-    let mut host = Host::new(cluster(track(RetrySafety::Idempotent)), 1, 2);
-    host.reports(0, 0.0, 0.0);
-    host.reports(1, 30.0, 30.0);
-    let mut allocation = host.ask(1, 1.0, 1.0);
-    let first = host.sent_to(&mut allocation);
-    host.returned(&mut allocation, AttemptResult::TimedOut, None);
-    assert_ne!(host.sent_to(&mut allocation), first);
+    let mut host = Host::new(cluster(service_class(RetrySafety::Idempotent)), 1, 2);
+    host.report_load(0, 0.0, 0.0);
+    host.report_load(1, 30.0, 30.0);
+    let mut allocation = host.new_allocation(1, 1.0, 1.0);
+    let first = host.dispatch_target(&mut allocation);
+    host.report_returned(&mut allocation, AttemptResult::TimedOut, None);
+    assert_ne!(host.dispatch_target(&mut allocation), first);
 }
 
 #[test]
 fn a_refused_request_is_not_offered_again_at_once_but_a_smaller_one_is() {
-    let mut host = Host::new(cluster(track(RetrySafety::Idempotent)), 1, 1);
-    let mut allocation = host.ask(1, 2.0, 4.0);
+    let mut host = Host::new(cluster(service_class(RetrySafety::Idempotent)), 1, 1);
+    let mut allocation = host.new_allocation(1, 2.0, 4.0);
     host.place(&mut allocation);
-    host.returned(
+    host.report_returned(
         &mut allocation,
         AttemptResult::Rejected,
         Some(ReturnReason::NoMemory),
     );
     assert_eq!(host.place(&mut allocation), Placement::Deferred);
-    let mut smaller = host.ask(1, 1.0, 2.0);
-    assert_eq!(host.sent_to(&mut smaller), Some(0));
+    let mut smaller = host.new_allocation(1, 1.0, 2.0);
+    assert_eq!(host.dispatch_target(&mut smaller), Some(0));
 }
 
 #[test]
 fn the_listed_capacity_is_late_so_later_dispatches_count() {
-    let listed = Cluster {
+    let listed_cluster = Cluster {
         list_reports_capacity: true,
-        ..cluster(track(RetrySafety::Idempotent))
+        ..cluster(service_class(RetrySafety::Idempotent))
     };
-    let mut host = Host::new(listed, 1, 1);
-    let unasked = Some(Resources {
+    let mut host = Host::new(listed_cluster, 1, 1);
+    let unreserved_capacity = Some(Resources {
         cores: 40.0,
         memory: -40.0,
     });
     host.scheduler.apply_endpoint_list(
         ListUpdate::Incremental,
         &[Endpoint {
-            unreserved: unasked,
-            ..entry(0)
+            unreserved: unreserved_capacity,
+            ..endpoint(0)
         }],
     );
     let sent = (0..5).filter(|_| {
-        let mut allocation = host.ask(1, 1.0, 4.0);
-        host.sent_to(&mut allocation).is_some()
+        let mut allocation = host.new_allocation(1, 1.0, 4.0);
+        host.dispatch_target(&mut allocation).is_some()
     });
     assert_eq!(sent.count(), 2, "10 of memory were left below the limit");
 }
 
 #[test]
 fn a_failed_watch_is_retried_with_backoff() {
-    let mut host = Host::new(cluster(track(RetrySafety::Idempotent)), 1, 1);
+    let mut host = Host::new(cluster(service_class(RetrySafety::Idempotent)), 1, 1);
     assert!(host.scheduler.poll(host.now).watch_endpoints, "at start");
-    let mut calls = 0;
+    let mut watches = 0;
     host.scheduler.endpoint_watch_failed(host.now);
     let until = host.now + 20 * SECOND;
     while host.now < until {
-        let wait = host.scheduler.poll(host.now);
-        if wait.watch_endpoints {
-            calls += 1;
+        let result = host.scheduler.poll(host.now);
+        if result.watch_endpoints {
+            watches += 1;
             host.scheduler.endpoint_watch_failed(host.now);
         }
-        host.now += wait.next_poll;
+        host.now += result.next_poll;
     }
-    assert!((4..=20).contains(&calls), "{calls} calls in 20 s");
+    assert!((4..=20).contains(&watches), "{watches} calls in 20 s");
 }
 
 #[test]
 fn allocations_move_off_a_machine_short_of_memory_while_another_has_capacity() {
-    let mut host = Host::new(cluster(track(RetrySafety::Idempotent)), 1, 2);
+    let mut host = Host::new(cluster(service_class(RetrySafety::Idempotent)), 1, 2);
     for _ in 0..30 {
-        let mut usual = host.ask(1, 2.0, 200.0);
+        let mut usual = host.new_allocation(1, 2.0, 200.0);
         assert_eq!(host.place(&mut usual), Placement::Deferred);
     }
-    let asks = SMALL;
-    host.runs(
+    let requested = SMALL;
+    host.add_running(
         1,
-        asks,
+        requested,
         Resources {
             cores: 1.0,
             memory: 4.0,
@@ -465,9 +471,9 @@
         0,
         5 * SECOND,
     );
-    host.runs(
+    host.add_running(
         1,
-        asks,
+        requested,
         Resources {
             cores: 1.0,
             memory: 4.0,
@@ -476,14 +482,14 @@
         5 * SECOND,
     );
     host.now += 10 * SECOND;
-    host.reports(0, 10.0, 30.0);
-    host.reports(1, 10.0, 99.0);
+    host.report_load(0, 10.0, 30.0);
+    host.report_load(1, 10.0, 99.0);
     let moved = (0..100).any(|_| {
-        host.reports(0, 10.0, 30.0);
-        host.reports(1, 10.0, 99.0);
-        let wait = host.scheduler.poll(host.now);
-        host.now += wait.next_poll;
-        !wait.migrations.is_empty()
+        host.report_load(0, 10.0, 30.0);
+        host.report_load(1, 10.0, 99.0);
+        let result = host.scheduler.poll(host.now);
+        host.now += result.next_poll;
+        !result.migrations.is_empty()
     });
     assert!(
         moved,
@@ -493,22 +499,22 @@
 
 #[test]
 fn capacity_for_a_large_allocation_is_cleared_where_it_is_fragmented() {
-    let listed = Cluster {
+    let listed_cluster = Cluster {
         list_reports_capacity: true,
-        ..cluster(track(RetrySafety::Idempotent))
+        ..cluster(service_class(RetrySafety::Idempotent))
     };
-    let mut host = Host::new(listed, 1, 1);
-    let unasked = Some(Resources {
+    let mut host = Host::new(listed_cluster, 1, 1);
+    let unreserved_capacity = Some(Resources {
         cores: 20.0,
         memory: 10.0,
     });
     for _ in 0..30 {
-        let mut usual = host.ask(1, 2.0, 200.0);
+        let mut usual = host.new_allocation(1, 2.0, 200.0);
         assert_eq!(host.place(&mut usual), Placement::Deferred);
     }
-    let mut guests: Vec<Allocation> = (0..5)
+    let mut running: Vec<Allocation> = (0..5)
         .map(|_| {
-            host.runs(
+            host.add_running(
                 1,
                 Resources {
                     cores: 2.0,
@@ -520,28 +526,28 @@
             )
         })
         .collect();
-    host.reports(0, 10.0, 20.0);
+    host.report_load(0, 10.0, 20.0);
     host.scheduler.apply_endpoint_list(
         ListUpdate::Incremental,
         &[Endpoint {
-            unreserved: unasked,
-            ..entry(0)
+            unreserved: unreserved_capacity,
+            ..endpoint(0)
         }],
     );
-    let mut large = host.ask(2, 12.0, 70.0);
+    let mut large = host.new_allocation(2, 12.0, 70.0);
     assert_eq!(host.place(&mut large), Placement::Deferred);
     let moves = host.scheduler.poll(host.now).migrations;
     assert_eq!(moves.len(), 1, "one is enough");
-    let mut other = host.ask(1, 0.5, 0.5);
+    let mut other = host.new_allocation(1, 0.5, 0.5);
     assert_eq!(
         host.place(&mut other),
         Placement::Deferred,
         "the room is promised"
     );
-    for guest in guests.iter_mut().filter(|guest| moves.contains(&guest.id)) {
-        host.returned(guest, AttemptResult::Cancelled, None);
+    for allocation in running.iter_mut().filter(|one| moves.contains(&one.id)) {
+        host.report_returned(allocation, AttemptResult::Cancelled, None);
     }
-    assert_eq!(host.sent_to(&mut large), Some(0));
+    assert_eq!(host.dispatch_target(&mut large), Some(0));
 }
 
 #[test_case(1, 10.0, None; "well beyond its share it waits while others would be crowded")]
@@ -549,17 +555,17 @@
 #[test_case(300, 3000.0, Some(0); "one of many may hold two times its part by chance")]
 fn a_tenant_over_its_quota_waits_for_capacity(
     schedulers: usize,
-    share: f64,
+    quota: f64,
     expected: Option<u32>,
 ) {
-    let accounts = vec![Tenant {
-        quota_cores: Some(share),
+    let quota_tenants = vec![Tenant {
+        quota_cores: Some(quota),
     }];
     let mut host = Host::new(
         Cluster {
             scheduler_count: schedulers,
-            tenants: accounts,
-            ..cluster(track(RetrySafety::Idempotent))
+            tenants: quota_tenants,
+            ..cluster(service_class(RetrySafety::Idempotent))
         },
         1,
         1,
@@ -568,22 +574,22 @@
         cores: if schedulers == 1 { 20.0 } else { 16.0 },
         memory: 4.0,
     };
-    host.runs(1, held, held, 0, 5 * SECOND);
-    host.reports(0, 39.5, 20.0);
-    let mut allocation = host.ask(1, 2.0, 4.0);
-    assert_eq!(host.sent_to(&mut allocation), expected);
+    host.add_running(1, held, held, 0, 5 * SECOND);
+    host.report_load(0, 39.5, 20.0);
+    let mut allocation = host.new_allocation(1, 2.0, 4.0);
+    assert_eq!(host.dispatch_target(&mut allocation), expected);
 }
 
 #[test]
 fn an_allocation_that_must_not_run_twice_never_times_out_early() {
-    let mut host = Host::new(cluster(track(RetrySafety::NotRetryable)), 1, 2);
+    let mut host = Host::new(cluster(service_class(RetrySafety::NotRetryable)), 1, 2);
     for _ in 0..5 {
-        let mut quick = host.ask(1, 1.0, 1.0);
+        let mut quick = host.new_allocation(1, 1.0, 1.0);
         host.place(&mut quick);
         host.now += SECOND / 100;
-        host.seated(&quick);
+        host.report_placed(&quick);
     }
-    let mut allocation = host.ask(1, 1.0, 1.0);
+    let mut allocation = host.new_allocation(1, 1.0, 1.0);
     let Placement::Dispatch { timeout, .. } = host.place(&mut allocation) else {
         panic!("not sent")
     };
@@ -592,11 +598,11 @@
 
 #[test]
 fn with_more_schedulers_than_slow_start_attempts_the_quotas_add_up() {
-    let sent = |number| {
+    let sent = |index| {
         let many = Cluster {
-            scheduler_index: number,
+            scheduler_index: index,
             scheduler_count: 20,
-            ..cluster(track(RetrySafety::Idempotent))
+            ..cluster(service_class(RetrySafety::Idempotent))
         };
         let mut host = Host::new(many, 1, 1);
         host.now += 20 * SECOND;
@@ -604,10 +610,10 @@
             ListUpdate::Incremental,
             &[Endpoint {
                 started_at: Some(host.now),
-                ..entry(0)
+                ..endpoint(0)
             }],
         );
-        (0..5).filter(|_| host.sends(1).is_some()).count()
+        (0..5).filter(|_| host.dispatch_small(1).is_some()).count()
     };
     assert_eq!((0..20).map(sent).sum::<usize>(), 6);
 }
@@ -615,13 +621,13 @@
 #[test]
 fn independent_schedulers_place_a_service_on_the_same_few_machines() {
     let machines = |service| -> BTreeSet<u32> {
-        let many = |number| Cluster {
-            scheduler_index: number,
+        let many = |index| Cluster {
+            scheduler_index: index,
             scheduler_count: 300,
-            ..cluster(track(RetrySafety::Idempotent))
+            ..cluster(service_class(RetrySafety::Idempotent))
         };
         (0..30)
-            .filter_map(|number| Host::new(many(number), number as u64, 12).sends(service))
+            .filter_map(|index| Host::new(many(index), index as u64, 12).dispatch_small(service))
             .collect()
     };
     assert!(
@@ -636,66 +642,70 @@
 
 #[test]
 fn a_scheduler_with_hardly_any_allocation_holds_no_machine_back() {
-    let mut host = Host::new(cluster(track(RetrySafety::Idempotent)), 1, 3);
-    host.reports(0, 20.0, 50.0);
-    host.reports(1, 0.0, 0.0);
-    host.reports(2, 0.0, 0.0);
+    let mut host = Host::new(cluster(service_class(RetrySafety::Idempotent)), 1, 3);
+    host.report_load(0, 20.0, 50.0);
+    host.report_load(1, 0.0, 0.0);
+    host.report_load(2, 0.0, 0.0);
     assert!(
-        (1..=10).any(|service| host.sends(service) != Some(0)),
+        (1..=10).any(|service| host.dispatch_small(service) != Some(0)),
         "its view of need is chance"
     );
 }
 
 #[test]
 fn health_checks_are_no_more_than_placed_allocations() {
-    let probing = Cluster {
+    let health_checked = Cluster {
         health_checks: true,
-        ..cluster(track(RetrySafety::Idempotent))
+        ..cluster(service_class(RetrySafety::Idempotent))
     };
-    let mut host = Host::new(probing, 1, 100);
-    let mut probes = 0;
+    let mut host = Host::new(health_checked, 1, 100);
+    let mut health_checks = 0;
     for second in 0..20 {
         if second < 3 {
-            host.sends(1);
+            host.dispatch_small(1);
         }
-        probes += host.scheduler.poll(host.now).health_checks.len();
+        health_checks += host.scheduler.poll(host.now).health_checks.len();
         host.now += SECOND;
     }
-    assert_eq!(probes, 3);
+    assert_eq!(health_checks, 3);
 }
 
 #[test]
 fn an_old_load_report_gives_way_to_the_listed_capacity() {
-    let listed = Cluster {
+    let listed_cluster = Cluster {
         list_reports_capacity: true,
-        ..cluster(track(RetrySafety::Idempotent))
+        ..cluster(service_class(RetrySafety::Idempotent))
     };
-    let mut host = Host::new(listed, 1, 2);
-    host.runs(1, SMALL, SMALL, 0, 5 * SECOND);
-    host.reports(0, 36.0, 20.0);
+    let mut host = Host::new(listed_cluster, 1, 2);
+    host.add_running(1, SMALL, SMALL, 0, 5 * SECOND);
+    host.report_load(0, 36.0, 20.0);
     host.now += 30 * SECOND;
-    let unasked = |cores| {
+    let unreserved_capacity = |cores| {
         Some(Resources {
             cores,
             memory: 90.0,
         })
     };
-    let entries = [(0, 35.0), (1, 15.0)].map(|(id, cores)| Endpoint {
-        unreserved: unasked(cores),
-        ..entry(id)
+    let endpoints = [(0, 35.0), (1, 15.0)].map(|(id, cores)| Endpoint {
+        unreserved: unreserved_capacity(cores),
+        ..endpoint(id)
     });
     host.scheduler
-        .apply_endpoint_list(ListUpdate::Incremental, &entries);
-    assert_eq!(host.sends(2), Some(0), "5 asked there now, 25 on the other");
+        .apply_endpoint_list(ListUpdate::Incremental, &endpoints);
+    assert_eq!(
+        host.dispatch_small(2),
+        Some(0),
+        "5 asked there now, 25 on the other"
+    );
 }
 
 #[test]
 fn of_many_schedulers_on_a_machine_short_of_memory_only_some_move_theirs() {
-    let moving = |seed: &u64| {
-        let mut host = Host::new(cluster(track(RetrySafety::Idempotent)), *seed, 2);
-        let mut usual = host.ask(1, 2.0, 200.0);
+    let some_migrate = |seed: &u64| {
+        let mut host = Host::new(cluster(service_class(RetrySafety::Idempotent)), *seed, 2);
+        let mut usual = host.new_allocation(1, 2.0, 200.0);
         assert_eq!(host.place(&mut usual), Placement::Deferred);
-        host.runs(
+        host.add_running(
             1,
             SMALL,
             Resources {
@@ -705,14 +715,14 @@
             1,
             5 * SECOND,
         );
-        host.reports(0, 10.0, 30.0);
-        host.reports(1, 10.0, 99.0);
+        host.report_load(0, 10.0, 30.0);
+        host.report_load(1, 10.0, 99.0);
         !host.scheduler.poll(host.now).migrations.is_empty()
     };
-    let moved = (0..200).filter(moving).count();
+    let migrated = (0..200).filter(some_migrate).count();
     assert!(
-        (1..40).contains(&moved),
-        "{moved} of 200 moved; 4 of 99 are over"
+        (1..40).contains(&migrated),
+        "{migrated} of 200 moved; 4 of 99 are over"
     );
 }
 
@@ -721,89 +731,98 @@
 #[test_case(0, false, None; "nor for one of their own priority")]
 fn usage_of_lower_priorities_is_discounted_for_a_higher_one(
     priority: u8,
-    makes_room: bool,
+    preempting: bool,
     expected: Option<u32>,
 ) {
-    let plain = track(RetrySafety::Idempotent);
-    let tracks = vec![plain.clone(), ServiceClass { priority, ..plain }];
+    let lowest = service_class(RetrySafety::Idempotent);
+    let classes = vec![lowest.clone(), ServiceClass { priority, ..lowest }];
     let mut host = Host::new(
         Cluster {
-            service_classes: tracks,
-            preempts: makes_room,
-            ..cluster(track(RetrySafety::Idempotent))
+            service_classes: classes,
+            preempts: preempting,
+            ..cluster(service_class(RetrySafety::Idempotent))
         },
         1,
         1,
     );
-    host.reports(0, 20.0, 80.0);
+    host.report_load(0, 20.0, 80.0);
     let mut allocation = Allocation {
         service_class: ServiceClassId(1),
-        ..host.ask(1, 4.0, 30.0)
+        ..host.new_allocation(1, 4.0, 30.0)
     };
-    assert_eq!(host.sent_to(&mut allocation), expected);
+    assert_eq!(host.dispatch_target(&mut allocation), expected);
 }
 
 #[test]
 fn requests_that_no_machine_can_run_eject_no_machine() {
-    let mut host = Host::new(cluster(track(RetrySafety::Idempotent)), 1, 4);
+    let mut host = Host::new(cluster(service_class(RetrySafety::Idempotent)), 1, 4);
     for service in 0..20 {
-        let mut bad = host.ask(service, 1.0, 1.0);
-        while host.sent_to(&mut bad).is_some() {
-            host.returned(&mut bad, AttemptResult::Error, None);
+        let mut invalid = host.new_allocation(service, 1.0, 1.0);
+        while host.dispatch_target(&mut invalid).is_some() {
+            host.report_returned(&mut invalid, AttemptResult::Error, None);
         }
     }
-    assert!(host.sends(99).is_some(), "the machines answered each time");
+    assert!(
+        host.dispatch_small(99).is_some(),
+        "the machines answered each time"
+    );
 }
 
 #[test]
 fn one_reset_ejects_no_machine_but_two_in_a_row_do() {
-    let mut host = Host::new(cluster(track(RetrySafety::Idempotent)), 1, 1);
-    for sent in [true, true, false] {
-        let mut allocation = host.ask(1, 1.0, 1.0);
-        assert_eq!(host.sent_to(&mut allocation).is_some(), sent);
-        if sent {
-            host.returned(&mut allocation, AttemptResult::Reset, None);
+    let mut host = Host::new(cluster(service_class(RetrySafety::Idempotent)), 1, 1);
+    for dispatched in [true, true, false] {
+        let mut allocation = host.new_allocation(1, 1.0, 1.0);
+        assert_eq!(host.dispatch_target(&mut allocation).is_some(), dispatched);
+        if dispatched {
+            host.report_returned(&mut allocation, AttemptResult::Reset, None);
         }
     }
 }
 
 #[test]
 fn an_error_counts_as_a_fault_once_another_machine_has_placed_the_allocation() {
-    let mut host = Host::new(cluster(track(RetrySafety::Idempotent)), 1, 2);
-    let mut allocation = host.ask(1, 1.0, 1.0);
-    let failing = host.sent_to(&mut allocation).expect("sent");
-    host.returned(&mut allocation, AttemptResult::Error, None);
-    host.sent_to(&mut allocation).expect("sent to the other");
-    host.seated(&allocation);
-    let next: BTreeSet<u32> = (2..12).filter_map(|service| host.sends(service)).collect();
+    let mut host = Host::new(cluster(service_class(RetrySafety::Idempotent)), 1, 2);
+    let mut allocation = host.new_allocation(1, 1.0, 1.0);
+    let failing = host.dispatch_target(&mut allocation).expect("sent");
+    host.report_returned(&mut allocation, AttemptResult::Error, None);
+    host.dispatch_target(&mut allocation)
+        .expect("sent to the other");
+    host.report_placed(&allocation);
+    let next: BTreeSet<u32> = (2..12)
+        .filter_map(|service| host.dispatch_small(service))
+        .collect();
     assert_eq!(next, BTreeSet::from([1 - failing]));
 }
 
 #[test]
 fn a_retry_avoids_the_machine_that_may_still_run_an_earlier_attempt() {
-    let mut host = Host::new(cluster(track(RetrySafety::Idempotent)), 1, 2);
-    let mut allocation = host.ask(1, 1.0, 1.0);
-    let first = host.sent_to(&mut allocation);
-    host.returned(&mut allocation, AttemptResult::Reset, None);
-    let second = host.sent_to(&mut allocation);
+    let mut host = Host::new(cluster(service_class(RetrySafety::Idempotent)), 1, 2);
+    let mut allocation = host.new_allocation(1, 1.0, 1.0);
+    let first = host.dispatch_target(&mut allocation);
+    host.report_returned(&mut allocation, AttemptResult::Reset, None);
+    let second = host.dispatch_target(&mut allocation);
     assert!(second.is_some() && second != first);
 }
 
 #[test_case(deduplicated(None), 1; "its owner would have to wait until it is sure that it runs no longer")]
 #[test_case(RetrySafety::Idempotent, 0; "one that may run twice comes again at once anyway")]
 #[test_case(RetrySafety::NotRetryable, 0; "one that may not is never stopped")]
-fn allocations_on_a_draining_machine_move_in_time(repeat: RetrySafety, moved: usize) {
-    let mut host = Host::new(cluster(track(repeat)), 1, 2);
-    host.runs(1, SMALL, SMALL, 0, 5 * SECOND);
-    host.sends(2);
+fn allocations_on_a_draining_machine_move_in_time(safety: RetrySafety, migration_count: usize) {
+    let mut host = Host::new(cluster(service_class(safety)), 1, 2);
+    host.add_running(1, SMALL, SMALL, 0, 5 * SECOND);
+    host.dispatch_small(2);
     host.scheduler.apply_endpoint_list(
         ListUpdate::Incremental,
         &[Endpoint {
             state: MachineState::Draining,
-            ..entry(0)
+            ..endpoint(0)
         }],
     );
-    assert_eq!(host.scheduler.poll(host.now).migrations.len(), moved);
+    assert_eq!(
+        host.scheduler.poll(host.now).migrations.len(),
+        migration_count
+    );
     host.now += SECOND;
     assert!(
         host.scheduler.poll(host.now).migrations.is_empty(),
@@ -814,28 +833,39 @@
 #[test_case(false, true, true; "where nobody else tells it")]
 #[test_case(true, true, false; "not where the caller is told")]
 #[test_case(false, false, false; "not where it may not be asked")]
-fn allocations_on_a_silent_machine_are_lost_after_a_time(tells: bool, may: bool, is_lost: bool) {
-    let telling = Cluster {
-        caller_detects_losses: tells,
-        health_checks: may,
-        ..cluster(track(RetrySafety::Idempotent))
+fn allocations_on_a_silent_machine_are_lost_after_a_time(
+    caller_detects: bool,
+    health_checks_allowed: bool,
+    is_lost: bool,
+) {
+    let cluster_settings = Cluster {
+        caller_detects_losses: caller_detects,
+        health_checks: health_checks_allowed,
+        ..cluster(service_class(RetrySafety::Idempotent))
     };
-    let mut host = Host::new(telling, 1, 2);
-    let (gone, alive) = (
-        host.runs(1, SMALL, SMALL, 0, 0),
-        host.runs(2, SMALL, SMALL, 1, 0),
+    let mut host = Host::new(cluster_settings, 1, 2);
+    let (silent_allocation, live_allocation) = (
+        host.add_running(1, SMALL, SMALL, 0, 0),
+        host.add_running(2, SMALL, SMALL, 1, 0),
     );
-    let (mut lost, mut probed, began) = (Vec::new(), BTreeSet::new(), host.now);
-    while host.now < began + 7 * SECOND {
-        let wait = host.scheduler.poll(host.now);
-        lost.extend(wait.lost);
-        probed.extend(wait.health_checks);
-        host.note(&alive, SMALL);
+    let (mut lost, mut checked, began_at) = (Vec::new(), BTreeSet::new(), host.now);
+    while host.now < began_at + 7 * SECOND {
+        let result = host.scheduler.poll(host.now);
+        lost.extend(result.lost);
+        checked.extend(result.health_checks);
+        host.report_usage(&live_allocation, SMALL);
         host.now += SECOND / 4;
     }
-    assert_eq!(lost, if is_lost { vec![gone.id] } else { vec![] });
     assert_eq!(
-        probed.contains(&MachineId(0)),
+        lost,
+        if is_lost {
+            vec![silent_allocation.id]
+        } else {
+            vec![]
+        }
+    );
+    assert_eq!(
+        checked.contains(&MachineId(0)),
         is_lost,
         "asked before it is given up"
     );
@@ -843,20 +873,20 @@
 
 #[test]
 fn a_removed_machine_is_forgotten_and_may_return() {
-    let mut host = Host::new(cluster(track(RetrySafety::Idempotent)), 1, 1);
+    let mut host = Host::new(cluster(service_class(RetrySafety::Idempotent)), 1, 1);
     host.scheduler.apply_endpoint_list(
         ListUpdate::Incremental,
         &[Endpoint {
             state: MachineState::Removed,
-            ..entry(0)
+            ..endpoint(0)
         }],
     );
     host.scheduler.poll(host.now);
-    assert_eq!(host.sends(1), None);
+    assert_eq!(host.dispatch_small(1), None);
     host.scheduler
-        .apply_endpoint_list(ListUpdate::Incremental, &[entry(0)]);
+        .apply_endpoint_list(ListUpdate::Incremental, &[endpoint(0)]);
     host.now += SECOND;
-    assert_eq!(host.sends(2), Some(0));
+    assert_eq!(host.dispatch_small(2), Some(0));
 }
 
 /// Where a service holds all that its places may, every machine of a large fleet is asked about,
@@ -864,18 +894,18 @@
 /// what its nodes told.
 #[test]
 fn a_request_whose_domains_are_all_full_costs_little_more_than_one_that_is_placed() {
-    let spent = |spread| {
+    let elapsed = |spread| {
         let mut host = Host::new(
             cluster(ServiceClass {
                 spread,
-                ..track(RetrySafety::Idempotent)
+                ..service_class(RetrySafety::Idempotent)
             }),
             1,
             400,
         );
-        for number in 0..1_200 {
-            let mut allocation = host.ask(number % 150, 0.1, 0.1);
-            let machine = MachineId(((number * 37 + number / 150) % 400) as u32);
+        for index in 0..1_200 {
+            let mut allocation = host.new_allocation(index % 150, 0.1, 0.1);
+            let machine = MachineId(((index * 37 + index / 150) % 400) as u32);
             allocation.attempts.push(Attempt {
                 machine,
                 sent_at: host.now,
@@ -883,11 +913,11 @@
             });
             host.scheduler.adopt_running(host.now, &allocation, machine);
         }
-        let rounds = (0..5).map(|_| {
+        let durations = (0..5).map(|_| {
             let since = std::time::Instant::now();
             for service in 0..20 {
                 host.now += 1;
-                let mut allocation = host.ask(service, 0.1, 0.1);
+                let mut allocation = host.new_allocation(service, 0.1, 0.1);
                 assert_eq!(
                     host.place(&mut allocation) == Placement::Deferred,
                     spread.is_some()
@@ -895,10 +925,13 @@
             }
             since.elapsed()
         });
-        rounds.min().expect("five")
+        durations.min().expect("five")
     };
-    let (free, full) = (spent(None), spent(Some((Domain::Zone, 4))));
-    assert!(full < free * 25, "{full:?} against {free:?}");
+    let (placed_time, deferred_time) = (elapsed(None), elapsed(Some((Domain::Zone, 4))));
+    assert!(
+        deferred_time < placed_time * 25,
+        "{deferred_time:?} against {placed_time:?}"
+    );
 }
 
 /// All of a fleet together: connections that come up late, processes that are started anew, and
@@ -912,127 +945,136 @@
 #[test_case(16, 29, false; "connections that are up already")]
 fn a_machine_in_slow_start_gets_no_more_than_it_bears_from_all_schedulers(
     schedulers: usize,
-    offers: usize,
-    late: bool,
+    max_attempts: usize,
+    connects_late: bool,
 ) {
     const STEP: Ticks = SECOND / 100;
-    let (window, opens) = (SECOND, SECOND / 4);
-    let fleet = |number| Cluster {
-        scheduler_index: number,
+    let (window, max_connect_delay) = (SECOND, SECOND / 4);
+    let fleet_cluster = |index| Cluster {
+        scheduler_index: index,
         scheduler_count: schedulers,
         slow_start: SlowStart {
             duration: 8 * SECOND,
             window,
-            max_offers: offers as f64,
+            max_offers: max_attempts as f64,
         },
-        connect_timeout: opens,
-        ..cluster(track(RetrySafety::Idempotent))
+        connect_timeout: max_connect_delay,
+        ..cluster(service_class(RetrySafety::Idempotent))
     };
     let mut rng = Pcg64Mcg::seed_from_u64(7);
     let mut hosts: Vec<Host> = (0..schedulers)
-        .map(|number| Host::new(fleet(number), number as u64, 1))
+        .map(|index| Host::new(fleet_cluster(index), index as u64, 1))
         .collect();
-    let began = hosts[0].now + 20 * SECOND;
-    let started = Endpoint {
-        started_at: Some(began),
-        ..entry(0)
+    let started_at = hosts[0].now + 20 * SECOND;
+    let restarted = Endpoint {
+        started_at: Some(started_at),
+        ..endpoint(0)
     };
     for host in &mut hosts {
-        host.now = began;
+        host.now = started_at;
         host.scheduler
-            .apply_endpoint_list(ListUpdate::Incremental, &[started]);
+            .apply_endpoint_list(ListUpdate::Incremental, &[restarted]);
     }
-    let mut leaves: Vec<(Ticks, usize, Allocation)> = Vec::new();
-    let mut arrived: Vec<Ticks> = Vec::new();
-    for now in (began..began + 6 * SECOND).step_by(STEP as usize) {
-        let (gone, stay) = leaves.into_iter().partition(|(at, _, _)| *at <= now);
-        leaves = stay;
-        for (_, number, mut allocation) in gone as Vec<(Ticks, usize, Allocation)> {
-            let scheduler = &mut hosts[number].scheduler;
-            arrived.push(now);
-            if late {
+    let mut unsent: Vec<(Ticks, usize, Allocation)> = Vec::new();
+    let mut arrivals: Vec<Ticks> = Vec::new();
+    for now in (started_at..started_at + 6 * SECOND).step_by(STEP as usize) {
+        let (due, remaining) = unsent.into_iter().partition(|(at, _, _)| *at <= now);
+        unsent = remaining;
+        for (_, index, mut allocation) in due as Vec<(Ticks, usize, Allocation)> {
+            let scheduler = &mut hosts[index].scheduler;
+            arrivals.push(now);
+            if connects_late {
                 scheduler.record_attempt_sent(now, MachineId(0), allocation.attempts[0].sent_at);
             }
             allocation.attempts[0].state = AttemptState::PossiblyExecuted;
-            let over = Outcome::Returned {
+            let completed = Outcome::Returned {
                 ending: AttemptResult::Completed,
                 reason: None,
                 finished: true,
                 report: None,
             };
-            scheduler.on_outcome(now, &allocation, 0, over);
+            scheduler.on_outcome(now, &allocation, 0, completed);
         }
-        for (number, host) in hosts.iter_mut().enumerate() {
+        for (index, host) in hosts.iter_mut().enumerate() {
             host.now = now;
             if rng.random_range(0..2_000) == 0 {
-                host.scheduler = Scheduler::new(fleet(number), now, now);
+                host.scheduler = Scheduler::new(fleet_cluster(index), now, now);
                 host.scheduler
-                    .apply_endpoint_list(ListUpdate::Incremental, &[started]);
+                    .apply_endpoint_list(ListUpdate::Incremental, &[restarted]);
                 // What waited for a connection has gone with the process.
-                leaves.retain(|(_, other, _)| *other != number);
+                unsent.retain(|(_, other, _)| *other != index);
             }
-            let mut allocation = host.ask(1, 0.01, 0.01);
-            if host.sent_to(&mut allocation).is_some() {
-                let wait = if late {
-                    rng.random_range(0..=opens / STEP) * STEP
+            let mut allocation = host.new_allocation(1, 0.01, 0.01);
+            if host.dispatch_target(&mut allocation).is_some() {
+                let connect_delay = if connects_late {
+                    rng.random_range(0..=max_connect_delay / STEP) * STEP
                 } else {
                     0
                 };
-                leaves.push((now + wait, number, allocation));
+                unsent.push((now + connect_delay, index, allocation));
             }
         }
     }
-    let most = arrived.iter().map(|&from| {
-        arrived
+    let most_arrivals = arrivals.iter().map(|&from| {
+        arrivals
             .iter()
             .filter(|&&at| (from..from + window).contains(&at))
             .count()
     });
-    let (most, used) = (
-        most.max().expect("some"),
-        arrived.len() as f64 / (6 * offers) as f64,
+    let (most_arrivals, used_share) = (
+        most_arrivals.max().expect("some"),
+        arrivals.len() as f64 / (6 * max_attempts) as f64,
+    );
+    assert!(
+        most_arrivals <= max_attempts,
+        "{most_arrivals} in a window of {max_attempts}"
+    );
+    assert!(
+        used_share > 0.6,
+        "{used_share:.2} of what it bears was used"
     );
-    assert!(most <= offers, "{most} in a window of {offers}");
-    assert!(used > 0.6, "{used:.2} of what it bears was used");
 }
 
 /// A connection may come up late: what leaves inside the window may arrive outside it, where a
 /// repeat is not known.
 #[test_case(0, true; "well inside")]
 #[test_case(SECOND / 5, false; "if its connection comes up at once")]
-fn a_retry_that_might_arrive_after_its_deduplication_window_is_not_sent(later: Ticks, sent: bool) {
-    let slow = Cluster {
+fn a_retry_that_might_arrive_after_its_deduplication_window_is_not_sent(
+    extra_delay: Ticks,
+    dispatched: bool,
+) {
+    let slow_connections = Cluster {
         connect_timeout: SECOND / 4,
-        ..cluster(track(deduplicated(None)))
+        ..cluster(service_class(deduplicated(None)))
     };
-    let mut host = Host::new(slow, 1, 2);
-    let mut allocation = host.ask(1, 1.0, 1.0);
-    assert!(host.sent_to(&mut allocation).is_some());
-    host.now += WINDOW - SECOND / 3 + later;
-    host.returned(&mut allocation, AttemptResult::Reset, None);
-    assert_eq!(host.sent_to(&mut allocation).is_some(), sent);
+    let mut host = Host::new(slow_connections, 1, 2);
+    let mut allocation = host.new_allocation(1, 1.0, 1.0);
+    assert!(host.dispatch_target(&mut allocation).is_some());
+    host.now += WINDOW - SECOND / 3 + extra_delay;
+    host.report_returned(&mut allocation, AttemptResult::Reset, None);
+    assert_eq!(host.dispatch_target(&mut allocation).is_some(), dispatched);
 }
 
 /// The others learn of it at moments of their own, and keep to their larger parts until then.
 #[test]
 fn after_a_change_of_the_scheduler_count_a_machine_in_slow_start_is_left_alone_for_one_window() {
-    let sized = |schedulers| Cluster {
+    let cluster_of = |schedulers| Cluster {
         scheduler_count: schedulers,
-        ..cluster(track(RetrySafety::Idempotent))
+        ..cluster(service_class(RetrySafety::Idempotent))
     };
-    let mut host = Host::new(sized(3), 1, 1);
+    let mut host = Host::new(cluster_of(3), 1, 1);
     host.now += 20 * SECOND;
     host.scheduler.apply_endpoint_list(
         ListUpdate::Incremental,
         &[Endpoint {
             started_at: Some(host.now),
-            ..entry(0)
+            ..endpoint(0)
         }],
     );
-    let sent = |host: &mut Host| (0..20).filter(|_| host.sends(1).is_some()).count();
+    let sent = |host: &mut Host| (0..20).filter(|_| host.dispatch_small(1).is_some()).count();
     assert_eq!(sent(&mut host), 2);
     host.now += SECOND / 2;
-    host.scheduler.reconfigure(host.now, sized(1));
+    host.scheduler.reconfigure(host.now, cluster_of(1));
     host.now += SECOND / 2 + SECOND / 50;
     assert_eq!(sent(&mut host), 0);
     host.now += SECOND / 2;
