--- a/crates/scheduler/tests/decisions.rs
+++ b/crates/scheduler/tests/decisions.rs
@@ -1,10 +1,11 @@
-//! Every answer of the decisions over seeded random walks, held against a recording: a change that
-//! moves one decision, one draw or one order fails here.
+//! Compares the scheduler's answers in seeded random walks with a recording, so that a change to
+//! any decision, random draw or order fails.
 //!
-//! Of each walk the recording has one answer in five hundred and a hash of all. Where a decision is
-//! changed on purpose, `CORKSPAN_RECORD=1 cargo test --test decisions` writes it anew.
+//! For each walk the recording contains one answer in five hundred and a hash of all answers. After
+//! an intended change of decisions, `CORKSPAN_RECORD=1 cargo test --test decisions` records it
+//! again.
 
-// Not all of the stories' caller is needed here.
+// The fake host has helpers that only the scenario tests use.
 #[allow(dead_code)]
 mod host;
 
@@ -31,7 +32,7 @@
     },
 ];
 
-/// The answers so far, hashed, and some of them in full.
+/// A hash of all answers so far, and a sample of the answers in full.
 #[derive(Default)]
 struct Transcript {
     hasher: FnvHasher,
@@ -50,7 +51,8 @@
     }
 }
 
-/// How much is asked of the machines, and by how many services of each track.
+/// A load level: the size of the requests, the number of services in each class and the available
+/// share that machines report.
 #[derive(Clone, Copy)]
 struct Load {
     name: &'static str,
@@ -60,7 +62,7 @@
     available_range: (f64, f64),
 }
 
-/// So much that some wait, and so little that some machines are not needed.
+/// A load at which some allocations are deferred, and one at which some machines aren't needed.
 const LOADS: [Load; 2] = [
     Load {
         name: "crowded",
@@ -78,7 +80,7 @@
     },
 ];
 
-/// A caller that does at random whatever callers may do.
+/// A caller that makes random calls, covering everything that a caller may do.
 struct Walk {
     scheduler: Scheduler,
     cluster: Cluster,
@@ -253,7 +255,8 @@
         self.apply_outcome(allocation, outcome);
     }
 
-    /// Asks how long to wait until nothing more is to be looked at.
+    /// Polls and places deferred allocations until none are due; returns the time until the next
+    /// poll.
     fn poll_until_idle(&mut self) -> Ticks {
         loop {
             let result = self.scheduler.poll(self.now);
@@ -284,7 +287,7 @@
                 .copied()
                 .collect();
             for id in ended_ids {
-                // Some take their time; the rest are met by whatever comes by chance.
+                // Some of them don't end at once; a later random outcome may end them.
                 let at = self.placed.iter().position(|one| one.id == id);
                 if let Some(at) = at.filter(|_| self.rng.random_bool(0.7)) {
                     let allocation = self.placed.swap_remove(at);
@@ -389,7 +392,7 @@
         self.scheduler.record_metric(self.now, id, metric);
     }
 
-    /// Something that happens to one of those that are out or placed.
+    /// Reports a random outcome of a pending attempt or of a placed allocation.
     fn report_random_outcome(&mut self) {
         if !self.pending.is_empty() && self.rng.random_bool(0.6) {
             let at = self.random_index(self.pending.len());
@@ -516,7 +519,8 @@
     ]
 }
 
-/// What differs between clusters: what machines and the list tell, and how many share them.
+/// Returns clusters that differ in what machines and the endpoint list report and in the number of
+/// schedulers that share the machines.
 fn clusters() -> Vec<(&'static str, Cluster)> {
     let tenant = |quota| Tenant { quota_cores: quota };
     let unshared = Cluster {
@@ -567,7 +571,7 @@
         walk.step(max_wait);
         max_wait = walk.poll_until_idle();
     }
-    // Whether as many draws were taken, the last answer tells too.
+    // The walk's next random draw also shows whether the same number of draws was taken.
     let last = format!("last draw {}", walk.rng.next_u64());
     walk.transcript.add(walk.now, &last);
     walk.transcript
--- a/crates/scheduler/tests/host/mod.rs
+++ b/crates/scheduler/tests/host/mod.rs
@@ -1,4 +1,5 @@
-//! A fake host: a handful of machines and whoever asks, with nothing decided in it.
+//! A fake host that drives a scheduler with a few machines and requests allocations. It makes no
+//! decisions.
 
 use corkspan_scheduler::Scheduler;
 use corkspan_scheduler::interface::*;
@@ -9,6 +10,7 @@
     memory: 100.0,
 };
 
+/// Returns a service class with this retry safety and otherwise plain settings.
 pub fn service_class(safety: RetrySafety) -> ServiceClass {
     ServiceClass {
         retry_safety: safety,
@@ -20,6 +22,7 @@
     }
 }
 
+/// Returns the settings of a cluster with one machine type and this service class.
 pub fn cluster(class: ServiceClass) -> Cluster {
     Cluster {
         zone: ZoneId(0),
@@ -49,6 +52,8 @@
     }
 }
 
+/// Returns the endpoint list entry of a serving machine: two machines form a cell, and the machines
+/// alternate between two zones.
 pub fn endpoint(id: u32) -> Endpoint {
     Endpoint {
         machine: MachineId(id),
@@ -105,7 +110,7 @@
         placement
     }
 
-    /// Where a further allocation goes, or none.
+    /// Places the allocation and returns the machine to which it is dispatched, if any.
     pub fn dispatch_target(&mut self, allocation: &mut Allocation) -> Option<u32> {
         match self.place(allocation) {
             Placement::Dispatch { machine, .. } => Some(machine.0),
@@ -113,7 +118,8 @@
         }
     }
 
-    /// Where a further small one of this service goes, or none.
+    /// Places a new small allocation of this service and returns the machine to which it is
+    /// dispatched, if any.
     pub fn dispatch_small(&mut self, service: u64) -> Option<u32> {
         let mut allocation = self.new_allocation(service, 0.1, 0.1);
         self.dispatch_target(&mut allocation)
@@ -154,7 +160,7 @@
             .on_outcome(self.now, allocation, attempt, outcome)
     }
 
-    /// An allocation of ours that runs on a machine since `ago`, using so much.
+    /// Adds an allocation that has been running on the machine for `started_ago` and uses `used`.
     pub fn add_running(
         &mut self,
         service: u64,
@@ -184,7 +190,7 @@
             .record_metric(self.now, allocation.id, Metric::Memory(used.memory));
     }
 
-    /// A machine reports so much in use.
+    /// Reports a health check in which the machine has this much in use.
     pub fn report_load(&mut self, machine: u32, cores: f64, memory: f64) {
         let available_resources = SIZE - Resources { cores, memory };
         let report = LoadReport {
@@ -198,7 +204,7 @@
         );
     }
 
-    /// The service comes to have records of this use by asked unit.
+    /// Adds usage records to the service, with this share of the request used.
     pub fn add_usage_records(&mut self, service: u64, used_share: f64) {
         for _ in 0..5 {
             let requested = Resources {
--- a/crates/scheduler/tests/retries.rs
+++ b/crates/scheduler/tests/retries.rs
@@ -1,7 +1,7 @@
-//! Who waits is looked at again only when it may matter: held, call by call, against looks at all
-//! of them every time.
+//! Tests that deferred allocations are evaluated again only when an evaluation may succeed, by
+//! comparing the scheduler, call by call, with one that evaluates all of them every time.
 
-// Not all of the stories' caller is needed here.
+// The fake host has helpers that only the scenario tests use.
 #[allow(dead_code)]
 mod host;
 
@@ -12,16 +12,17 @@
 use rand_pcg::Pcg64Mcg;
 use test_case::test_case;
 
-/// The same calls go to one that leaves looks out and to one that never does.
+/// Two schedulers that get the same calls: one skips evaluations, the other never does.
 struct Both {
     skipping: Scheduler,
     exhaustive: Scheduler,
     now: Ticks,
     deferred: Vec<Allocation>,
     running: Vec<Allocation>,
-    /// When the one that leaves out wants to be asked at the latest.
+    /// The latest time at which the skipping scheduler requested the next poll.
     next_poll_at: Ticks,
-    /// Looks by the one and by the other, and what was placed for those that had waited.
+    /// Evaluations of deferred allocations by the skipping and by the exhaustive scheduler, and how
+    /// many of them dispatched the allocation.
     counts: [usize; 3],
 }
 
@@ -53,7 +54,7 @@
         call(&mut self.exhaustive);
     }
 
-    /// One comes. It is asked for at both.
+    /// Places the allocation on both schedulers, which must decide alike.
     fn place_on_both(&mut self, allocation: Allocation) {
         let decisions =
             [&mut self.skipping, &mut self.exhaustive].map(|one| one.place(self.now, &allocation));
@@ -67,7 +68,8 @@
 
     fn record_decision(&mut self, mut allocation: Allocation, decision: Placement) {
         match decision {
-            // Asked for again at the moment at which it came it would count as one more.
+            // If it were placed again at the time of its acceptance, it would be counted as another
+            // new allocation.
             Placement::Deferred => self.deferred.push(Allocation {
                 accepted_at: 0,
                 ..allocation
@@ -116,7 +118,7 @@
         }
     }
 
-    /// Both are asked how long to wait. A look that the one leaves out must be in vain at the
+    /// Polls both schedulers. An evaluation that one of them skips must find no machine at the
     /// other.
     fn poll_both(&mut self, nothing_reported: bool) -> PollResult {
         let [skipping_poll, exhaustive_poll] =
@@ -188,7 +190,7 @@
         } else {
             result.next_poll.max(1)
         };
-        // A clock that stands still, moves on, or has jumped.
+        // The clock stands still, advances or jumps.
         both.now += rng.random_range(0..=max_step);
         let id = rng.random_range(0..machines);
         let random_share = |rng: &mut Pcg64Mcg| Resources {
@@ -323,7 +325,7 @@
                 one.record_health_check(now, MachineId(id), AttemptResult::TimedOut, None)
             }),
             13 if rng.random_bool(0.1) => {
-                // Its owner wants it no longer, and not in its last moment.
+                // The client withdraws its request, but not right before the deadline.
                 both.deferred
                     .pop_if(|allocation| now + SECOND < allocation.deadline);
             }
@@ -394,8 +396,8 @@
     );
 }
 
-/// Starts were long, so a crowded machine could not bear one more. What is learnt of others' starts
-/// changes that.
+/// Starts were slow, so a crowded machine couldn't take another one. Faster starts of other
+/// allocations change that.
 #[test]
 fn a_deferred_allocation_is_evaluated_again_when_starts_turn_out_to_be_short() {
     let mut host = Host::new(cluster(service_class(RetrySafety::Idempotent)), 1, 1);
@@ -408,7 +410,7 @@
             .for_each(|allocation| assert!(host.dispatch_target(allocation).is_some()));
         sent
     };
-    // With and without the program in place.
+    // With and without the program cached.
     let slow_starts = dispatch_all(&mut host, &[1, 1]);
     host.now += 20 * SECOND;
     slow_starts.iter().for_each(|allocation| {
--- a/crates/scheduler/tests/scenarios.rs
+++ b/crates/scheduler/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! One scenario for each failure met, against a fake engine.
+//! Scenario tests against a fake host, each of which guards against one failure.
 
 mod host;
 
@@ -139,7 +139,7 @@
         1,
     );
     host.now += 20 * SECOND;
-    // The same id under a new process: all that was known of the old one is void.
+    // A new process under the same id: what was known about the old process no longer applies.
     host.scheduler.apply_endpoint_list(
         ListUpdate::Incremental,
         &[Endpoint {
@@ -282,7 +282,7 @@
     if used_share > 0.0 {
         host.add_usage_records(7, used_share);
     }
-    // Machine 0 is the emptier by present use, but memory for the whole ask is only on machine 1.
+    // Machine 0 has the lower current usage, but only machine 1 has memory for the whole request.
     host.report_load(0, 34.0, 60.0);
     host.report_load(1, 10.0, 62.0);
     let mut allocation = host.new_allocation(7, 10.0, 10.0);
@@ -296,7 +296,8 @@
 fn a_record_below_the_present_usage_is_not_drawn() {
     let mut host = Host::new(cluster(service_class(RetrySafety::Idempotent)), 1, 2);
     host.add_usage_records(7, 0.25);
-    // All of it runs at its full ask now: calm records would leave 32 of its 40 cores out.
+    // The service currently uses its full request; with its low usage records, 32 of the 40 cores
+    // would be left out.
     let requested = Resources {
         cores: 40.0,
         memory: 8.0,
@@ -347,7 +348,8 @@
 fn machines_beyond_the_demand_are_held_back_until_the_others_are_full() {
     let mut host = Host::new(cluster(service_class(RetrySafety::Idempotent)), 1, 6);
     for _ in 0..100 {
-        // Who holds next to nothing knows too little of need to hold anything back.
+        // A scheduler with hardly any allocations knows too little of the demand to hold machines
+        // back.
         host.add_running(
             1,
             Resources::ONE * 0.01,
@@ -379,8 +381,8 @@
     host.report_load(0, 30.0, 80.0);
     host.report_load(1, 30.0, 20.0);
     let mut allocation = host.new_allocation(1, 1.0, 1.0);
-    // 0.5 of the memory and 0.75 of the cores on average, the same share as on machine 1 and less
-    // than on 0.
+    // The average is 0.5 of the memory and 0.75 of the cores: the same larger share as on machine 1
+    // and less than on machine 0.
     assert_ne!(host.dispatch_target(&mut allocation), Some(0));
 }
 
@@ -889,9 +891,9 @@
     assert_eq!(host.dispatch_small(2), Some(0));
 }
 
-/// Where a service holds all that its places may, every machine of a large fleet is asked about,
-/// and in vain: that cost two thousand microseconds an ask and kept a dispatcher from passing on
-/// what its nodes told.
+/// When all domains of a service are full, every machine of a large fleet is evaluated without
+/// success. This once took 2,000 microseconds per request and kept a dispatcher from forwarding the
+/// reports of its nodes.
 #[test]
 fn a_request_whose_domains_are_all_full_costs_little_more_than_one_that_is_placed() {
     let elapsed = |spread| {
@@ -934,9 +936,9 @@
     );
 }
 
-/// All of a fleet together: connections that come up late, processes that are started anew, and
-/// numbers that are no multiple of the offers. What arrives is counted in every window, each
-/// arrival at its own moment.
+/// Simulates all schedulers of a fleet together, with connections that are established late,
+/// schedulers that restart, and scheduler counts that don't divide the allowed attempts evenly. The
+/// arrivals are counted in a window that starts at each arrival.
 #[test_case(3, 29, true; "three")]
 #[test_case(16, 29, true; "sixteen")]
 #[test_case(20, 29, true; "twenty")]
@@ -1001,7 +1003,7 @@
                 host.scheduler = Scheduler::new(fleet_cluster(index), now, now);
                 host.scheduler
                     .apply_endpoint_list(ListUpdate::Incremental, &[restarted]);
-                // What waited for a connection has gone with the process.
+                // Attempts that were waiting for a connection are lost with the process.
                 unsent.retain(|(_, other, _)| *other != index);
             }
             let mut allocation = host.new_allocation(1, 0.01, 0.01);
@@ -1035,8 +1037,8 @@
     );
 }
 
-/// A connection may come up late: what leaves inside the window may arrive outside it, where a
-/// repeat is not known.
+/// With a connection established late, an attempt dispatched inside the window may arrive after it,
+/// when a repeated attempt is no longer recognized.
 #[test_case(0, true; "well inside")]
 #[test_case(SECOND / 5, false; "if its connection comes up at once")]
 fn a_retry_that_might_arrive_after_its_deduplication_window_is_not_sent(
@@ -1055,7 +1057,8 @@
     assert_eq!(host.dispatch_target(&mut allocation).is_some(), dispatched);
 }
 
-/// The others learn of it at moments of their own, and keep to their larger parts until then.
+/// The other schedulers learn of the change at different times and keep to their larger quotas
+/// until then.
 #[test]
 fn after_a_change_of_the_scheduler_count_a_machine_in_slow_start_is_left_alone_for_one_window() {
     let cluster_of = |schedulers| Cluster {
