--- a/crates/scheduler/tests/decisions.rs
+++ b/crates/scheduler/tests/decisions.rs
@@ -595,10 +595,10 @@
     if std::env::var_os("CORKSPAN_RECORD").is_some() {
         let path = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/data/decisions.txt");
         std::fs::write(path, &text).unwrap();
-        panic!("recorded anew, compared with nothing");
+        panic!("recorded again without a comparison");
     }
     for (answer, recorded) in std::iter::zip(text.lines(), RECORDING.lines()) {
         assert_eq!(answer, recorded);
     }
-    assert!(text == RECORDING, "transcripts of another length");
+    assert!(text == RECORDING, "the transcripts differ in length");
 }
--- a/crates/scheduler/tests/retries.rs
+++ b/crates/scheduler/tests/retries.rs
@@ -125,12 +125,12 @@
             [&mut self.skipping, &mut self.exhaustive].map(|one| one.poll(self.now));
         assert!(
             !skipping_poll.retry_deferred || exhaustive_poll.retry_deferred,
-            "at {}: a look that is not due",
+            "at {}: an evaluation that is not due",
             self.now
         );
         assert!(
             !(skipping_poll.retry_deferred && nothing_reported) || self.next_poll_at <= self.now,
-            "it would have slept"
+            "the requested poll would have been too late for this evaluation"
         );
         assert_eq!(
             (
@@ -159,7 +159,7 @@
                 };
                 assert_eq!(
                     skipping_decision, decision,
-                    "at {}, asked: {evaluated}, {allocation:?}",
+                    "at {}, evaluated: {evaluated}, {allocation:?}",
                     self.now
                 );
                 self.counts[0] += usize::from(evaluated);
@@ -364,9 +364,9 @@
     ]
 }
 
-#[test_case(false, false, 1; "one that few share, by what is told")]
-#[test_case(true, false, 3; "room is listed")]
-#[test_case(true, true, 1; "room is listed and lower priorities are pushed out")]
+#[test_case(false, false, 1; "one scheduler, by load reports")]
+#[test_case(true, false, 3; "the capacity is listed")]
+#[test_case(true, true, 1; "the capacity is listed and lower priorities are preempted")]
 fn a_skipped_evaluation_would_have_found_no_machine(
     capacity_listed: bool,
     preempting: bool,
@@ -392,7 +392,7 @@
     }
     assert!(
         totals[2] > 500 && totals[0] * 4 < totals[1] * 3,
-        "too few that waited, or none left out: {totals:?}"
+        "too few dispatched after deferral, or too few evaluations skipped: {totals:?}"
     );
 }
 
--- a/crates/scheduler/tests/scenarios.rs
+++ b/crates/scheduler/tests/scenarios.rs
@@ -43,7 +43,7 @@
         host.now += result.next_poll;
         assert!(
             host.now < allocation.deadline,
-            "slept through the abandon time"
+            "no answer before the deadline"
         );
     };
     assert_eq!(decision, expected);
@@ -59,11 +59,11 @@
     assert!(host.now + timeout <= allocation.deadline);
 }
 
-#[test_case(RetrySafety::Idempotent, AttemptResult::TimedOut, true; "an idempotent one may run again")]
-#[test_case(RetrySafety::NotRetryable, AttemptResult::TimedOut, false; "an unrepeatable one may not")]
-#[test_case(RetrySafety::NotRetryable, AttemptResult::Error, false; "nor after an error")]
-#[test_case(RetrySafety::NotRetryable, AttemptResult::Rejected, true; "but after a refusal it never ran")]
-#[test_case(RetrySafety::NotRetryable, AttemptResult::ConnectFailed, true; "nor where no connection stood")]
+#[test_case(RetrySafety::Idempotent, AttemptResult::TimedOut, true; "idempotent, after a timeout")]
+#[test_case(RetrySafety::NotRetryable, AttemptResult::TimedOut, false; "not retryable, after a timeout")]
+#[test_case(RetrySafety::NotRetryable, AttemptResult::Error, false; "not retryable, after an error")]
+#[test_case(RetrySafety::NotRetryable, AttemptResult::Rejected, true; "not retryable, but rejected and so never run")]
+#[test_case(RetrySafety::NotRetryable, AttemptResult::ConnectFailed, true; "not retryable, but without a connection")]
 fn an_attempt_that_may_have_run_restricts_retries(
     safety: RetrySafety,
     ending: AttemptResult,
@@ -104,9 +104,9 @@
     }
 }
 
-#[test_case(ListUpdate::Incremental, MachineState::Draining; "told that it drains")]
-#[test_case(ListUpdate::Incremental, MachineState::Removed; "told that it is gone")]
-#[test_case(ListUpdate::Complete, MachineState::Serving; "left out of a whole list")]
+#[test_case(ListUpdate::Incremental, MachineState::Draining; "listed as draining")]
+#[test_case(ListUpdate::Incremental, MachineState::Removed; "listed as removed")]
+#[test_case(ListUpdate::Complete, MachineState::Serving; "left out of a complete list")]
 fn nothing_is_dispatched_to_a_draining_or_removed_machine(update: ListUpdate, state: MachineState) {
     let mut host = Host::new(cluster(service_class(RetrySafety::Idempotent)), 1, 2);
     host.report_load(0, 0.0, 0.0);
@@ -199,7 +199,11 @@
             ..cluster(service_class(RetrySafety::Idempotent))
         },
     );
-    assert_eq!(sent(&mut host), 0, "six came within three seconds");
+    assert_eq!(
+        sent(&mut host),
+        0,
+        "six attempts were sent within the last three seconds"
+    );
     host.now += 3 * SECOND + SECOND / 50;
     assert_eq!(sent(&mut host), 6);
 }
@@ -249,7 +253,7 @@
     assert_eq!(
         host.dispatch_target(&mut second),
         Some(1),
-        "16 reported and 8 unseen are more than 20"
+        "16 cores reported plus 8 not in the report exceed 20"
     );
 }
 
@@ -267,13 +271,13 @@
     assert_eq!(
         host.dispatch_target(&mut allocation),
         Some(0),
-        "10 in all against 14"
+        "machine 0 has 10 cores in use, machine 1 has 14"
     );
 }
 
-#[test_case(0.25, Some(0); "with calm records the emptier machine is safe")]
-#[test_case(1.0, Some(1); "with records of full use it is not")]
-#[test_case(0.0, Some(1); "without records its ask is drawn")]
+#[test_case(0.25, Some(0); "with records of low usage the emptier machine is safe")]
+#[test_case(1.0, Some(1); "with records of full usage it is not")]
+#[test_case(0.0, Some(1); "without records its request is drawn")]
 fn usage_records_decide_between_machines_with_the_same_capacity(
     used_share: f64,
     expected: Option<u32>,
@@ -319,14 +323,14 @@
         assert_eq!(
             host.dispatch_target(&mut allocation),
             Some(1),
-            "the other rises by nothing, being over"
+            "machine 0 is over its usable capacity, so its risk cannot increase"
         );
     }
     let mut third = host.new_allocation(1, 1.0, 3.0);
     assert_eq!(
         host.place(&mut third),
         Placement::Deferred,
-        "neither can bear it"
+        "neither machine has the capacity"
     );
 }
 
@@ -366,7 +370,7 @@
     assert_eq!(
         host.dispatch_target(&mut allocation),
         Some(0),
-        "the emptier five are not needed"
+        "the five emptier machines are not needed"
     );
     let mut too_large = host.new_allocation(1, 10.0, 60.0);
     assert!(
@@ -434,7 +438,11 @@
         let mut allocation = host.new_allocation(1, 1.0, 4.0);
         host.dispatch_target(&mut allocation).is_some()
     });
-    assert_eq!(sent.count(), 2, "10 of memory were left below the limit");
+    assert_eq!(
+        sent.count(),
+        2,
+        "10 of memory are left below the admission limit"
+    );
 }
 
 #[test]
@@ -452,7 +460,7 @@
         }
         host.now += result.next_poll;
     }
-    assert!((4..=20).contains(&watches), "{watches} calls in 20 s");
+    assert!((4..=20).contains(&watches), "{watches} watches in 20 s");
 }
 
 #[test]
@@ -495,7 +503,7 @@
     });
     assert!(
         moved,
-        "by chance, so that many schedulers do not all move theirs"
+        "migrations are made at random so that not all schedulers migrate theirs"
     );
 }
 
@@ -539,12 +547,12 @@
     let mut large = host.new_allocation(2, 12.0, 70.0);
     assert_eq!(host.place(&mut large), Placement::Deferred);
     let moves = host.scheduler.poll(host.now).migrations;
-    assert_eq!(moves.len(), 1, "one is enough");
+    assert_eq!(moves.len(), 1, "one migration is enough");
     let mut other = host.new_allocation(1, 0.5, 0.5);
     assert_eq!(
         host.place(&mut other),
         Placement::Deferred,
-        "the room is promised"
+        "the capacity is reserved"
     );
     for allocation in running.iter_mut().filter(|one| moves.contains(&one.id)) {
         host.report_returned(allocation, AttemptResult::Cancelled, None);
@@ -552,9 +560,9 @@
     assert_eq!(host.dispatch_target(&mut large), Some(0));
 }
 
-#[test_case(1, 10.0, None; "well beyond its share it waits while others would be crowded")]
-#[test_case(1, 100.0, Some(0); "within its share it takes the smallest rise in risk")]
-#[test_case(300, 3000.0, Some(0); "one of many may hold two times its part by chance")]
+#[test_case(1, 10.0, None; "well over its quota it waits while no machine is under theta")]
+#[test_case(1, 100.0, Some(0); "within its quota it takes the smallest increase in risk")]
+#[test_case(300, 3000.0, Some(0); "one of many schedulers may hold twice its part by chance")]
 fn a_tenant_over_its_quota_waits_for_capacity(
     schedulers: usize,
     quota: f64,
@@ -595,7 +603,10 @@
     let Placement::Dispatch { timeout, .. } = host.place(&mut allocation) else {
         panic!("not sent")
     };
-    assert!(timeout > 5 * SECOND, "a copy in a queue would bind it");
+    assert!(
+        timeout > 5 * SECOND,
+        "a queued copy that timed out may still run and would prevent retries"
+    );
 }
 
 #[test]
@@ -634,11 +645,11 @@
     };
     assert!(
         (1..=20).all(|service| machines(service).len() <= 2),
-        "so that they hold its program"
+        "each service is placed on at most two machines, which cache its program"
     );
     assert!(
         (1..=20).flat_map(machines).collect::<BTreeSet<_>>().len() > 8,
-        "and each service its own"
+        "different services are placed on different machines"
     );
 }
 
@@ -650,7 +661,7 @@
     host.report_load(2, 0.0, 0.0);
     assert!(
         (1..=10).any(|service| host.dispatch_small(service) != Some(0)),
-        "its view of need is chance"
+        "its view of the demand is too small a sample"
     );
 }
 
@@ -697,13 +708,13 @@
     assert_eq!(
         host.dispatch_small(2),
         Some(0),
-        "5 asked there now, 25 on the other"
+        "5 cores requested on machine 0, 25 on machine 1"
     );
 }
 
 #[test]
 fn of_many_schedulers_on_a_machine_short_of_memory_only_some_move_theirs() {
-    let some_migrate = |seed: &u64| {
+    let migrates = |seed: &u64| {
         let mut host = Host::new(cluster(service_class(RetrySafety::Idempotent)), *seed, 2);
         let mut usual = host.new_allocation(1, 2.0, 200.0);
         assert_eq!(host.place(&mut usual), Placement::Deferred);
@@ -721,16 +732,16 @@
         host.report_load(1, 10.0, 99.0);
         !host.scheduler.poll(host.now).migrations.is_empty()
     };
-    let migrated = (0..200).filter(some_migrate).count();
+    let migrated = (0..200).filter(migrates).count();
     assert!(
         (1..40).contains(&migrated),
-        "{migrated} of 200 moved; 4 of 99 are over"
+        "{migrated} of 200 migrated; 4 of 99 are over the limit"
     );
 }
 
-#[test_case(2, false, Some(0); "what lower priorities use counts half for it")]
-#[test_case(2, true, None; "not where they would be pushed out for it")]
-#[test_case(0, false, None; "nor for one of their own priority")]
+#[test_case(2, false, Some(0); "usage of lower priorities counts half")]
+#[test_case(2, true, None; "usage counts in full if lower priorities are preempted")]
+#[test_case(0, false, None; "usage counts in full for the same priority")]
 fn usage_of_lower_priorities_is_discounted_for_a_higher_one(
     priority: u8,
     preempting: bool,
@@ -807,9 +818,9 @@
     assert!(second.is_some() && second != first);
 }
 
-#[test_case(deduplicated(None), 1; "its owner would have to wait until it is sure that it runs no longer")]
-#[test_case(RetrySafety::Idempotent, 0; "one that may run twice comes again at once anyway")]
-#[test_case(RetrySafety::NotRetryable, 0; "one that may not is never stopped")]
+#[test_case(deduplicated(None), 1; "the client of a deduplicated one would wait until it certainly no longer runs")]
+#[test_case(RetrySafety::Idempotent, 0; "an idempotent one is retried at once anyway")]
+#[test_case(RetrySafety::NotRetryable, 0; "one that must not run twice is never stopped")]
 fn allocations_on_a_draining_machine_move_in_time(safety: RetrySafety, migration_count: usize) {
     let mut host = Host::new(cluster(service_class(safety)), 1, 2);
     host.add_running(1, SMALL, SMALL, 0, 5 * SECOND);
@@ -828,13 +839,13 @@
     host.now += SECOND;
     assert!(
         host.scheduler.poll(host.now).migrations.is_empty(),
-        "once is enough"
+        "each is migrated only once"
     );
 }
 
-#[test_case(false, true, true; "where nobody else tells it")]
-#[test_case(true, true, false; "not where the caller is told")]
-#[test_case(false, false, false; "not where it may not be asked")]
+#[test_case(false, true, true; "the caller does not detect losses")]
+#[test_case(true, true, false; "the caller detects losses itself")]
+#[test_case(false, false, false; "no health checks may be sent")]
 fn allocations_on_a_silent_machine_are_lost_after_a_time(
     caller_detects: bool,
     health_checks_allowed: bool,
@@ -869,7 +880,7 @@
     assert_eq!(
         checked.contains(&MachineId(0)),
         is_lost,
-        "asked before it is given up"
+        "a health check is sent before its allocations are lost"
     );
 }
 
@@ -932,19 +943,19 @@
     let (placed_time, deferred_time) = (elapsed(None), elapsed(Some((Domain::Zone, 4))));
     assert!(
         deferred_time < placed_time * 25,
-        "{deferred_time:?} against {placed_time:?}"
+        "{deferred_time:?} if deferred, {placed_time:?} if placed"
     );
 }
 
 /// Simulates all schedulers of a fleet together, with connections that are established late,
 /// schedulers that restart, and scheduler counts that don't divide the allowed attempts evenly. The
 /// arrivals are counted in a window that starts at each arrival.
-#[test_case(3, 29, true; "three")]
-#[test_case(16, 29, true; "sixteen")]
-#[test_case(20, 29, true; "twenty")]
-#[test_case(30, 29, true; "thirty")]
-#[test_case(30, 7, true; "more processes than offers")]
-#[test_case(16, 29, false; "connections that are up already")]
+#[test_case(3, 29, true; "three schedulers")]
+#[test_case(16, 29, true; "sixteen schedulers")]
+#[test_case(20, 29, true; "twenty schedulers")]
+#[test_case(30, 29, true; "thirty schedulers")]
+#[test_case(30, 7, true; "more schedulers than attempts")]
+#[test_case(16, 29, false; "connections established already")]
 fn a_machine_in_slow_start_gets_no_more_than_it_bears_from_all_schedulers(
     schedulers: usize,
     max_attempts: usize,
@@ -1029,18 +1040,18 @@
     );
     assert!(
         most_arrivals <= max_attempts,
-        "{most_arrivals} in a window of {max_attempts}"
+        "{most_arrivals} attempts in a window that allows {max_attempts}"
     );
     assert!(
         used_share > 0.6,
-        "{used_share:.2} of what it bears was used"
+        "{used_share:.2} of the allowed attempts were used"
     );
 }
 
 /// With a connection established late, an attempt dispatched inside the window may arrive after it,
 /// when a repeated attempt is no longer recognized.
-#[test_case(0, true; "well inside")]
-#[test_case(SECOND / 5, false; "if its connection comes up at once")]
+#[test_case(0, true; "well inside the window")]
+#[test_case(SECOND / 5, false; "inside the window only if its connection is established at once")]
 fn a_retry_that_might_arrive_after_its_deduplication_window_is_not_sent(
     extra_delay: Ticks,
     dispatched: bool,
