--- a/crates/scheduler/tests/scenarios.rs
+++ b/crates/scheduler/tests/scenarios.rs
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn after_our_restart_a_machine_in_slow_start_may_have_had_its_quota() {
+fn after_our_restart_a_machine_in_slow_start_gets_no_attempt_for_one_window() {
     let mut host = Host::new(cluster(service_class(RetrySafety::Idempotent)), 1, 1);
     host.scheduler.apply_endpoint_list(
         ListUpdate::Incremental,
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn a_longer_slow_start_window_counts_what_the_shorter_one_forgot() {
+fn a_longer_slow_start_window_counts_attempts_that_the_shorter_one_dropped() {
     let mut host = Host::new(cluster(service_class(RetrySafety::Idempotent)), 1, 1);
     host.now += 20 * SECOND;
     host.scheduler.apply_endpoint_list(
@@ -240,7 +240,7 @@
 }
 
 #[test]
-fn a_young_allocation_is_not_taken_off_a_report_that_never_held_it() {
+fn a_recent_allocation_is_not_subtracted_from_a_report_that_does_not_include_it() {
     let mut host = Host::new(cluster(service_class(RetrySafety::Idempotent)), 1, 2);
     host.report_load(0, 16.0, 10.0);
     host.report_load(1, 20.0, 10.0);
@@ -258,7 +258,7 @@
 }
 
 #[test]
-fn an_old_allocation_is_not_counted_on_top_of_a_report_that_holds_it() {
+fn an_old_allocation_is_not_added_to_a_report_that_includes_it() {
     let mut host = Host::new(cluster(service_class(RetrySafety::Idempotent)), 1, 2);
     let requested = Resources {
         cores: 8.0,
@@ -314,7 +314,7 @@
 }
 
 #[test]
-fn a_machine_over_the_line_does_not_attract_all_allocations() {
+fn a_machine_over_its_usable_capacity_does_not_attract_all_allocations() {
     let mut host = Host::new(cluster(service_class(RetrySafety::Idempotent)), 1, 2);
     host.report_load(0, 20.0, 99.0);
     host.report_load(1, 20.0, 85.0);
@@ -402,7 +402,7 @@
 }
 
 #[test]
-fn a_refused_request_is_not_offered_again_at_once_but_a_smaller_one_is() {
+fn a_rejected_request_is_not_dispatched_again_at_once_but_a_smaller_one_is() {
     let mut host = Host::new(cluster(service_class(RetrySafety::Idempotent)), 1, 1);
     let mut allocation = host.new_allocation(1, 2.0, 4.0);
     host.place(&mut allocation);
@@ -417,7 +417,7 @@
 }
 
 #[test]
-fn the_listed_capacity_is_late_so_later_dispatches_count() {
+fn recent_dispatches_count_on_top_of_the_listed_capacity() {
     let listed_cluster = Cluster {
         list_reports_capacity: true,
         ..cluster(service_class(RetrySafety::Idempotent))
@@ -464,7 +464,7 @@
 }
 
 #[test]
-fn allocations_move_off_a_machine_short_of_memory_while_another_has_capacity() {
+fn allocations_migrate_off_a_machine_short_of_memory_while_another_has_capacity() {
     let mut host = Host::new(cluster(service_class(RetrySafety::Idempotent)), 1, 2);
     for _ in 0..30 {
         let mut usual = host.new_allocation(1, 2.0, 200.0);
@@ -713,7 +713,7 @@
 }
 
 #[test]
-fn of_many_schedulers_on_a_machine_short_of_memory_only_some_move_theirs() {
+fn only_some_of_many_schedulers_migrate_off_a_machine_short_of_memory() {
     let migrates = |seed: &u64| {
         let mut host = Host::new(cluster(service_class(RetrySafety::Idempotent)), *seed, 2);
         let mut usual = host.new_allocation(1, 2.0, 200.0);
@@ -821,7 +821,10 @@
 #[test_case(deduplicated(None), 1; "the client of a deduplicated one would wait until it certainly no longer runs")]
 #[test_case(RetrySafety::Idempotent, 0; "an idempotent one is retried at once anyway")]
 #[test_case(RetrySafety::NotRetryable, 0; "one that must not run twice is never stopped")]
-fn allocations_on_a_draining_machine_move_in_time(safety: RetrySafety, migration_count: usize) {
+fn allocations_on_a_draining_machine_migrate_if_their_clients_would_wait(
+    safety: RetrySafety,
+    migration_count: usize,
+) {
     let mut host = Host::new(cluster(service_class(safety)), 1, 2);
     host.add_running(1, SMALL, SMALL, 0, 5 * SECOND);
     host.dispatch_small(2);
@@ -956,7 +959,7 @@
 #[test_case(30, 29, true; "thirty schedulers")]
 #[test_case(30, 7, true; "more schedulers than attempts")]
 #[test_case(16, 29, false; "connections established already")]
-fn a_machine_in_slow_start_gets_no_more_than_it_bears_from_all_schedulers(
+fn a_machine_in_slow_start_gets_no_more_than_its_limit_from_all_schedulers(
     schedulers: usize,
     max_attempts: usize,
     connects_late: bool,
@@ -1071,7 +1074,7 @@
 /// The other schedulers learn of the change at different times and keep to their larger quotas
 /// until then.
 #[test]
-fn after_a_change_of_the_scheduler_count_a_machine_in_slow_start_is_left_alone_for_one_window() {
+fn after_a_change_of_the_scheduler_count_a_machine_in_slow_start_gets_no_attempt_for_one_window() {
     let cluster_of = |schedulers| Cluster {
         scheduler_count: schedulers,
         ..cluster(service_class(RetrySafety::Idempotent))
