--- a/crates/scheduler/src/policy/filters.rs
+++ b/crates/scheduler/src/policy/filters.rs
@@ -1,5 +1,5 @@
-//! Filters machines by state, machine type, ejection, slow start, accepted requests and spread.
-//! Each filter returns the time from which a machine may be considered; the machines that pass are
+//! Filters machines by state, machine type, health, slow start, accepted requests and spread. The
+//! filters determine the time from which a machine may be considered; the machines that pass are
 //! scored.
 
 use super::*;
