--- a/crates/scheduler/src/policy/infeasible.rs
+++ b/crates/scheduler/src/policy/infeasible.rs
@@ -1,26 +1,27 @@
-//! Which evaluations would find no machine. Nothing is decided here: an evaluation is left out only
-//! where the complete one would defer the allocation, which tests compare call by call.
+//! Finds evaluations that can be skipped because they would find no machine. No decision changes:
+//! an evaluation is skipped only if the complete one would defer the allocation, which tests
+//! compare call by call.
 
-use super::overload::{Candidate, THETA, line, overload_limit};
+use super::overload::{Candidate, THETA, overload_limit, usable_share};
 use super::*;
 
-/// What rounding may take off, as a part.
+/// Relative allowance for rounding errors.
 const ROUNDING_ALLOWANCE: f64 = 1e-9;
 const NO_CAPACITY: Resources = Resources {
     cores: f64::NEG_INFINITY,
     memory: f64::NEG_INFINITY,
 };
 
-/// Usage of a machine as an allocation of one class finds it.
+/// Lower bounds of a machine's usage as they count for an allocation of one service class.
 struct UsageBounds {
     expected: Resources,
     least_draw: Resources,
 }
 
 impl Scheduler {
-    /// Until when no machine can take this one if nothing happens meanwhile; `now` where one may.
-    /// Only the machines whose bounds allow it are weighed; of a group that was infeasible before,
-    /// only those that have gained capacity since.
+    /// Returns the time until which no machine can take the allocation if nothing else happens, or
+    /// `now` if one may take it. Only machines whose bounds allow it are scored; for a group that
+    /// was infeasible before, only those of them that have gained capacity since.
     pub(super) fn infeasible_until(&mut self, now: Ticks, new: &Allocation) -> Ticks {
         let reservation = self.reservation();
         if reservation.is_some_and(|(_, one)| one.allocation == new.id) {
@@ -28,17 +29,17 @@
         }
         self.refresh_capacity(now);
         let changes = self.capacity_index.changes();
-        self.retry_schedule.note_evaluation(changes);
+        self.retry_schedule.record_evaluation(changes);
         let group = AllocationGroup::of(new);
         let service_class = &self.cluster.service_classes[new.service_class.0];
         let start = self.start_usage(true, service_class);
         let start = start.min(self.start_usage(false, service_class));
-        let need = AvailableCapacity {
+        let required = AvailableCapacity {
             by_expected_usage: new.requested * self.learned.peak_usage.mean_or_one() + start,
             by_least_draw: new.requested * self.usage_history.least_peak(new.service),
             by_requests: new.requested,
         };
-        let possible = self.capacity_index.possible_machines(now, group, need);
+        let possible = self.capacity_index.possible_machines(now, group, required);
         let mut until = possible.until;
         let mut over_quota = None;
         for id in possible.machines {
@@ -53,7 +54,8 @@
         until
     }
 
-    /// From when the machine might take it, weighed now, if nothing happens meanwhile.
+    /// Returns the time from which the machine, scored now, might take the allocation if nothing
+    /// else happens.
     fn feasible_from(
         &self,
         now: Ticks,
@@ -61,26 +63,26 @@
         new: &Allocation,
         over_quota: &mut Option<bool>,
     ) -> Ticks {
-        let opens_at = self.opens_at(now, id, new);
-        let discounts = self.counted_part(new.service_class, None) < 1.0;
-        let weighed = self.weigh(now, id, new, discounts);
-        let Some(candidate) = weighed.filter(|_| opens_at <= now) else {
-            return opens_at;
+        let passes_filters_at = self.passes_filters_at(now, id, new);
+        let discounted = self.counted_share(new.service_class, None) < 1.0;
+        let scored = self.score(now, id, new, discounted);
+        let Some(candidate) = scored.filter(|_| passes_filters_at <= now) else {
+            return passes_filters_at;
         };
         let mut within_quota = || !*over_quota.get_or_insert_with(|| self.over_quota(new));
-        if candidate.bearable && within_quota() {
+        if candidate.within_overload_limit && within_quota() {
             return now;
         }
         let candidate = Candidate {
-            bearable: false,
+            within_overload_limit: false,
             ..candidate
         };
         let under_theta = self.violation_risk(now, &candidate, new).with <= THETA;
         now + Ticks::from(!under_theta)
     }
 
-    /// Brings the bounds up to date: all of them with each new summary and when the means that they
-    /// rest on have changed.
+    /// Updates the bounds: all of them after each new summary and after a change of the means on
+    /// which they are based, otherwise those of the changed machines.
     fn refresh_capacity(&mut self, now: Ticks) {
         let until = self.summary.computed_at.unwrap_or(now) + SUMMARY_INTERVAL;
         let means = [self.learned.peak_usage, self.learned.current_usage];
@@ -97,9 +99,10 @@
         }
     }
 
-    /// The most that the machine has available until then, for each service class, unless something
-    /// happens to it. Usage by others lies between its values at both ends, and our allocations
-    /// that come of age meanwhile count as of age.
+    /// Returns, for each service class, an upper bound of the machine's available capacity from
+    /// `now` to `until`, valid as long as no event changes the machine. Usage by others lies
+    /// between its values at both ends. Our allocations that reach the report delay in this time
+    /// are treated as if they had already reached it.
     fn available_capacity(
         &self,
         now: Ticks,
@@ -137,41 +140,43 @@
             AvailableCapacity {
                 by_expected_usage: size * (overload_limit(service_class) + rounding)
                     - usage.expected,
-                by_least_draw: size * (line(service_class) + rounding) - usage.least_draw,
+                by_least_draw: size * (usable_share(service_class) + rounding) - usage.least_draw,
                 by_requests,
             }
         });
         bounds.collect()
     }
 
+    /// Returns lower bounds of the machine's usage for an allocation of this service class.
     fn usage_bounds(
         &self,
         machine: &Machine,
         service_class: ServiceClassId,
         others: Resources,
     ) -> UsageBounds {
-        let part = |of| self.counted_part(service_class, of);
+        let share = |of| self.counted_share(service_class, of);
         let mut usage = UsageBounds {
-            expected: others * part(None),
-            least_draw: others * part(None),
+            expected: others * share(None),
+            least_draw: others * share(None),
         };
         for placed in machine.allocations.values() {
             let least_drawn = || placed.requested * self.usage_history.least_peak(placed.service);
             let drawn = placed
                 .current_usage
                 .map_or_else(least_drawn, |_| placed.peak_usage);
-            let part = part(Some(placed.service_class));
-            usage.expected = usage.expected + self.usage_of(placed) * part;
-            usage.least_draw = usage.least_draw + drawn * part;
+            let share = share(Some(placed.service_class));
+            usage.expected = usage.expected + self.usage_of(placed) * share;
+            usage.least_draw = usage.least_draw + drawn * share;
         }
         usage
     }
 
-    /// Whether a deferred allocation that found no machine in the last round might find one now.
+    /// Returns whether a deferred allocation that found no machine in the last round might find one
+    /// now.
     pub(super) fn retry_worthwhile(&mut self, now: Ticks) -> bool {
         let computed_at = self.summary.computed_at;
-        let old = computed_at.is_none_or(|at| at + SUMMARY_INTERVAL <= now);
-        if old || self.retry_schedule.may_open_at <= now {
+        let outdated = computed_at.is_none_or(|at| at + SUMMARY_INTERVAL <= now);
+        if outdated || self.retry_schedule.may_be_feasible_at <= now {
             return true;
         }
         self.refresh_capacity(now);
--- a/crates/scheduler/src/updates.rs
+++ b/crates/scheduler/src/updates.rs
@@ -1,5 +1,5 @@
-//! Records what is reported, and looks it up. Nothing is decided here; the constants are those of
-//! `policy`.
+//! Records reports in the state and looks them up. This module makes no decisions; its constants
+//! are defined in `policy`.
 
 use crate::Scheduler;
 use crate::interface::*;
@@ -10,17 +10,17 @@
 use crate::state::*;
 
 impl Scheduler {
-    /// The endpoint list, or what has changed in it.
+    /// Applies an update of the endpoint list.
     pub fn apply_endpoint_list(&mut self, update: ListUpdate, endpoints: &[Endpoint]) {
         if update == ListUpdate::Complete {
-            self.machines.values_mut().for_each(Machine::mark_gone);
+            self.machines.values_mut().for_each(Machine::mark_removed);
         }
         if update != ListUpdate::Cached {
             self.watch_failures = 0;
         }
         for &endpoint in endpoints {
             let machine = self.machines.entry(endpoint.machine).or_default();
-            // Where it is counts for the spread of all machines there.
+            // The location of a machine affects the spread of every machine in the same domain.
             let identity = |one: Endpoint| (one.cell, one.zone, one.started_at);
             if machine.endpoint.map(identity) != Some(identity(endpoint)) {
                 self.capacity_index.invalidate();
@@ -39,7 +39,7 @@
         }
     }
 
-    /// An allocation that already runs has passed into our care.
+    /// Adopts an allocation that already runs on the machine.
     pub fn adopt_running(&mut self, now: Ticks, allocation: &Allocation, machine: MachineId) {
         self.add_placed(now, allocation, machine);
         if let Some(placed) = self.placed_allocation(allocation.id) {
@@ -48,8 +48,8 @@
         }
     }
 
-    /// An attempt dispatched earlier has left only now: it counts for the machine's slow start in
-    /// this window, not in that one.
+    /// Records that an attempt dispatched earlier has been sent only now. It counts toward the
+    /// machine's slow start in the current window instead of the one of its dispatch.
     pub fn record_attempt_sent(&mut self, now: Ticks, machine: MachineId, sent_at: Ticks) {
         let Some(machine) = self.machines.get_mut(&machine) else {
             return;
@@ -61,11 +61,11 @@
         }
     }
 
-    /// A metric of a placed allocation has been reported.
+    /// Records a metric of a placed allocation.
     pub fn record_metric(&mut self, now: Ticks, id: AllocationId, metric: Metric) {
         let usual = self.learned.peak_usage.mean_or_one();
         let machine = self.machine_of.get(&id);
-        let Some(machine) = machine.and_then(|at| self.machines.get_mut(at)) else {
+        let Some(machine) = machine.and_then(|machine_id| self.machines.get_mut(machine_id)) else {
             return;
         };
         machine.last_heard_at = now;
@@ -77,10 +77,10 @@
         match metric {
             Metric::Running if !placed.running => {
                 placed.running = true;
-                let time = (now - placed.sent_at) as f64;
+                let start_time = (now - placed.sent_at) as f64;
                 let cached = usize::from(placed.program_was_cached);
-                self.learned.start_time[cached].add(time, MEAN_RETENTION);
-                // The need of every start has changed.
+                self.learned.start_time[cached].add(start_time, MEAN_RETENTION);
+                // The capacity required by every start has changed.
                 self.capacity_index.reconsider(|_| true);
             }
             Metric::Cores(cores) => current
@@ -94,6 +94,7 @@
         }
     }
 
+    /// Records the usage by other schedulers' allocations according to a machine's load report.
     pub(crate) fn record_report(&mut self, now: Ticks, id: MachineId, report: Option<LoadReport>) {
         let Some(machine) = self.machines.get(&id) else {
             return;
@@ -101,17 +102,18 @@
         let Some((size, report)) = self.size(machine).zip(report) else {
             return;
         };
-        // One too young to be in the report would be taken off a sum that never held it.
-        let old = machine
+        // An allocation too recent to be included in the report must not be subtracted from it.
+        let reported_own = machine
             .allocations
             .values()
             .filter(|placed| placed.running && placed.sent_at + REPORT_DELAY <= now);
-        let own = old.map(|placed| self.usage_of(placed)).sum();
+        let own = reported_own.map(|placed| self.usage_of(placed)).sum();
         let usage = (size - report.available - own).max(Resources::default());
         self.machines.entry(id).or_default().reported_usage =
             Some(ReportedUsage { at: now, usage });
     }
 
+    /// Adds an allocation that has been dispatched to the machine or already runs there.
     pub(crate) fn add_placed(&mut self, now: Ticks, allocation: &Allocation, id: MachineId) {
         self.machine_of.insert(allocation.id, id);
         let machine = self.machines.entry(id).or_default();
@@ -122,17 +124,19 @@
         let placed = PlacedAllocation::new(allocation, now, cached);
         machine.allocations.insert(allocation.id, placed);
         let reservation = &mut machine.reservation;
-        let used = reservation.take_if(|one| one.allocation == allocation.id);
+        let used_reservation = reservation.take_if(|one| one.allocation == allocation.id);
         self.service_placements.add(allocation.service, id);
-        self.capacity_index.mark_changed(id, used.is_some());
+        self.capacity_index
+            .mark_changed(id, used_reservation.is_some());
     }
 
-    /// The machine has reported the end of an allocation. One that ended well leaves a record.
-    pub(crate) fn remove_placed(&mut self, now: Ticks, id: AllocationId, ended: bool) {
-        let Some(at) = self.machine_of.remove(&id) else {
+    /// Removes an allocation whose machine has reported its end. If it completed, a usage record is
+    /// kept.
+    pub(crate) fn remove_placed(&mut self, now: Ticks, id: AllocationId, completed: bool) {
+        let Some(machine_id) = self.machine_of.remove(&id) else {
             return;
         };
-        let Some(machine) = self.machines.get_mut(&at) else {
+        let Some(machine) = self.machines.get_mut(&machine_id) else {
             return;
         };
         let Some(placed) = machine.allocations.remove(&id) else {
@@ -142,21 +146,21 @@
         if placed.running {
             machine.cache_program(service, MAX_CACHED_PROGRAMS);
         }
-        self.service_placements.remove(service, at);
-        self.capacity_index.mark_changed(at, false);
-        // Its service may have one replica more, and what is drawn for its likes may be less.
+        self.service_placements.remove(service, machine_id);
+        self.capacity_index.mark_changed(machine_id, false);
+        // Its service may have one more replica, and lower peaks may be drawn for its allocations.
         self.capacity_index
             .reconsider(|group| group.service == service);
         for (id, _) in self.service_placements.machines_of(service) {
             self.capacity_index.mark_changed(id, false);
         }
-        if ended {
+        if completed {
             self.record_usage(now, placed);
         }
     }
 
     fn record_usage(&mut self, now: Ticks, placed: PlacedAllocation) {
-        let mut samples = placed.core_samples;
+        let mut samples = placed.core_usage_samples;
         if samples.is_empty() || placed.peak_usage.memory <= 0.0 {
             return;
         }
@@ -181,9 +185,9 @@
         );
     }
 
-    /// A machine that has gone and holds nothing of ours is forgotten: where machines are replaced
-    /// all the time, the state would grow without end.
-    pub(crate) fn forget_gone_machines(&mut self) {
+    /// Forgets removed machines that hold none of our allocations. Otherwise the state would grow
+    /// without bound in clusters that constantly replace machines.
+    pub(crate) fn forget_removed_machines(&mut self) {
         let listed = |machine: &Machine| {
             machine
                 .endpoint
@@ -193,14 +197,14 @@
         self.machines
             .retain(|_, machine| listed(machine) || !machine.allocations.is_empty());
         let machines = &self.machines;
-        let open = &mut self.summary.open_machines;
-        open.retain(|id| machines.contains_key(id));
+        let needed = &mut self.summary.needed_machines;
+        needed.retain(|id| machines.contains_key(id));
         if self.machines.len() < before {
             self.capacity_index.invalidate();
         }
     }
 
-    /// The last reservation, if it still stands, and its machine.
+    /// Returns the last reservation and its machine, if it hasn't been used or cleared.
     pub(crate) fn reservation(&self) -> Option<(MachineId, Reservation)> {
         let id = self.reserved_machine?;
         Some((id, self.machines.get(&id)?.reservation?))
@@ -218,24 +222,26 @@
             .copied()
     }
 
-    pub(crate) fn domain_of(&self, place: Domain, id: MachineId) -> Option<u64> {
+    pub(crate) fn domain_of(&self, domain: Domain, id: MachineId) -> Option<u64> {
         let endpoint = self.machines.get(&id)?.endpoint?;
-        Some(endpoint.domain(place))
+        Some(endpoint.domain(domain))
     }
 
-    pub(crate) fn same_domain(&self, place: Domain, a: MachineId, b: MachineId) -> bool {
-        match (self.domain_of(place, a), self.domain_of(place, b)) {
+    pub(crate) fn same_domain(&self, domain: Domain, a: MachineId, b: MachineId) -> bool {
+        match (self.domain_of(domain, a), self.domain_of(domain, b)) {
             (Some(one), Some(other)) => one == other,
             _ => a == b,
         }
     }
 
-    /// After a time told by [`PollResult::retry_deadline_limit`]: no deferred allocation is left.
+    /// Records that no deferred allocation is left after those within
+    /// [`PollResult::retry_deadline_limit`] were placed again.
     pub fn no_deferred_left(&mut self) {
         self.retry_schedule.next_round_at = None;
     }
 
-    /// How much is remembered: machines, allocations, and services with usage records.
+    /// Returns the numbers of machines, of allocations, and of services with usage records in the
+    /// state.
     pub fn state_sizes(&self) -> [usize; 3] {
         [
             self.machines.len(),
@@ -244,7 +250,8 @@
         ]
     }
 
-    /// Every evaluation is complete and every round comes. Only for tests to compare with.
+    /// Returns the scheduler set to evaluate completely and in every round. Only tests use this, to
+    /// compare with.
     pub fn evaluating_exhaustively(mut self) -> Self {
         self.retry_schedule.exhaustive = true;
         self
