--- a/crates/load-generator/src/connections.rs
+++ b/crates/load-generator/src/connections.rs
@@ -1,7 +1,7 @@
 //! The connections that requests leave by.
 
 use crate::run::RunError;
-use corkspan_rpc::{Bounds, Link, Tasks};
+use corkspan_rpc::{Connection, ConnectionLimits, SharedExecutor};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
@@ -12,58 +12,61 @@
 /// The connections to one dispatcher.
 struct Pool {
     dispatcher: SocketAddr,
-    links: Vec<Mutex<Link>>,
+    connections: Vec<Mutex<Connection>>,
 }
 
 /// Connections to all dispatchers. Requests take the dispatchers in turn, and of each its
 /// connections in turn.
 pub(crate) struct Connections {
-    tasks: Tasks,
-    bounds: Bounds,
+    tasks: SharedExecutor,
+    limits: ConnectionLimits,
     pools: Vec<Pool>,
 }
 
 impl Connections {
     /// Opens this many connections to each dispatcher.
     pub(crate) async fn open(
-        tasks: &Tasks,
+        tasks: &SharedExecutor,
         dispatchers: &[SocketAddr],
         per_dispatcher: usize,
     ) -> Result<Self, RunError> {
         if dispatchers.is_empty() {
             return Err(RunError::NoDispatcher);
         }
-        let bounds = Bounds {
-            connect_within: CONNECT_TIMEOUT,
-            ..Bounds::default()
+        let limits = ConnectionLimits {
+            connect_timeout: CONNECT_TIMEOUT,
+            ..ConnectionLimits::default()
         };
         let mut pools = Vec::new();
         for &dispatcher in dispatchers {
-            let mut links = Vec::new();
+            let mut connections = Vec::new();
             for _ in 0..per_dispatcher {
-                let link = Link::open(tasks, dispatcher, &bounds)
+                let connection = Connection::open(tasks, dispatcher, &limits)
                     .await
                     .map_err(|source| RunError::Connect { dispatcher, source })?;
-                links.push(Mutex::new(link));
+                connections.push(Mutex::new(connection));
             }
-            pools.push(Pool { dispatcher, links });
+            pools.push(Pool {
+                dispatcher,
+                connections,
+            });
         }
         Ok(Connections {
             tasks: Arc::clone(tasks),
-            bounds,
+            limits,
             pools,
         })
     }
 
     /// The connection of the request with this number. One that broke is opened again, once.
-    pub(crate) async fn link(&self, number: usize) -> Option<Link> {
+    pub(crate) async fn connection(&self, number: usize) -> Option<Connection> {
         let pool = &self.pools[number % self.pools.len()];
-        let place = &pool.links[number / self.pools.len() % pool.links.len()];
-        let link = place.lock().unwrap_or_else(PoisonError::into_inner).clone();
-        if link.stands() {
-            return Some(link);
+        let place = &pool.connections[number / self.pools.len() % pool.connections.len()];
+        let connection = place.lock().unwrap_or_else(PoisonError::into_inner).clone();
+        if connection.is_open() {
+            return Some(connection);
         }
-        let fresh = Link::open(&self.tasks, pool.dispatcher, &self.bounds)
+        let fresh = Connection::open(&self.tasks, pool.dispatcher, &self.limits)
             .await
             .ok()?;
         *place.lock().unwrap_or_else(PoisonError::into_inner) = fresh.clone();
