--- a/crates/platform/src/core.rs
+++ b/crates/platform/src/core.rs
@@ -72,7 +72,7 @@
     /// Opens a connection to a node and carries it.
     fn connect(&self, connection: NewConnection);
     /// Calls for the list of nodes to be watched, if it is not yet.
-    fn watch_list(&self);
+    fn watch_endpoint_list(&self);
     /// Sets the one timer, which calls [`PlatformCore::timer_fired`].
     fn arm_timer(&self, at: Ticks);
     /// Calls for [`PlatformCore::run_turn`].
@@ -84,7 +84,7 @@
     cluster: Cluster,
     seed: u64,
     settings: Settings,
-    pub known: DiscoveryState,
+    pub initial_state: DiscoveryState,
     max_clients: usize,
     max_node_connections: usize,
 }
@@ -94,9 +94,9 @@
     pub fn new(config: NodeConfig, budget: &DescriptorBudget) -> Result<CoreOptions, ConfigError> {
         Ok(CoreOptions {
             seed: config.seed_number()?,
-            cluster: cluster(&config.settings)?,
+            cluster: platform_cluster(&config.settings)?,
             settings: config.settings,
-            known: config.discovery_state,
+            initial_state: config.discovery_state,
             max_clients: budget.max_clients,
             max_node_connections: budget.max_node_connections,
         })
@@ -117,7 +117,7 @@
     nodes: Nodes,
     connections: NodeConnections,
     health_checks: BTreeMap<u64, HealthCheck>,
-    last_health_check: u64,
+    last_health_check_id: u64,
     timers: BTreeSet<(Ticks, Timer)>,
     deferred: VecDeque<DeferredEvent>,
     /// Tasks that are due a final answer.
@@ -138,7 +138,7 @@
 
 /// The control feed must be connected to, whatever the settings say of another way, and nobody
 /// reports a machine that has vanished.
-fn cluster(settings: &Settings) -> Result<Cluster, SettingsError> {
+fn platform_cluster(settings: &Settings) -> Result<Cluster, SettingsError> {
     let cluster = settings.cluster()?;
     Ok(Cluster {
         list_poll_interval: cluster.list_poll_interval.or(Some(0)),
@@ -151,13 +151,14 @@
     /// A core without nodes and clients.
     pub fn new(options: CoreOptions, now: Ticks, effects: Box<dyn Effects>) -> PlatformCore {
         let limits = &options.settings.limits;
-        let time = |us: Option<u64>, absent| us.map_or(absent, corkspan_settings::ticks_from_us);
+        let timeout =
+            |us: Option<u64>, default| us.map_or(default, corkspan_settings::ticks_from_us);
         let connections = NodeConnections::new(
             options.max_node_connections,
             options.settings.connect_timeout(),
             // Closed by us well before the node does it: a set-up that crosses the close would be
             // lost.
-            time(limits.idle_close_us, 15 * SECOND) * 2 / 3,
+            timeout(limits.idle_close_us, 15 * SECOND) * 2 / 3,
         );
         PlatformCore {
             engine: Engine::new(
@@ -178,7 +179,7 @@
                 nodes: Nodes::default(),
                 connections,
                 health_checks: BTreeMap::new(),
-                last_health_check: options.seed,
+                last_health_check_id: options.seed,
                 timers: BTreeSet::new(),
                 deferred: VecDeque::new(),
                 unanswered: BTreeSet::new(),
@@ -192,7 +193,7 @@
     }
 
     /// Handles one event and what follows from it.
-    fn with<R>(
+    fn process_event<R>(
         &mut self,
         now: Ticks,
         call: impl FnOnce(&mut Engine<PendingTask>, &mut PlatformState) -> R,
@@ -227,12 +228,12 @@
                 break;
             }
         }
-        let next = [state.engine_timer, state.timers.first().map(|(at, _)| *at)]
+        let next_timer = [state.engine_timer, state.timers.first().map(|(at, _)| *at)]
             .into_iter()
             .flatten()
             .min();
-        if let Some(at) = next.filter(|_| next != state.armed_timer) {
-            state.armed_timer = next;
+        if let Some(at) = next_timer.filter(|_| next_timer != state.armed_timer) {
+            state.armed_timer = next_timer;
             state.effects.arm_timer(at);
         }
         if engine.has_queued() {
--- a/crates/platform/src/core/attempts.rs
+++ b/crates/platform/src/core/attempts.rs
@@ -20,7 +20,7 @@
         let Some((pending, _)) = engine.data_mut(attempt.allocation) else {
             return false;
         };
-        let this = |active: &&mut ActiveAttempt| {
+        let is_this_attempt = |active: &&mut ActiveAttempt| {
             active.number == attempt.number
                 && active.connection == Some(connection)
                 && !active.started
@@ -28,7 +28,7 @@
         let Some(active) = pending
             .active
             .as_mut()
-            .filter(this)
+            .filter(is_this_attempt)
             .filter(|active| now < active.deadline)
         else {
             return false;
@@ -62,7 +62,7 @@
     }
 
     /// A node has answered an attempt: its timer is removed, and its connection is free.
-    pub(super) fn attempt_returned(&mut self, now: Ticks, id: AllocationId, active: ActiveAttempt) {
+    pub(super) fn clear_attempt(&mut self, now: Ticks, id: AllocationId, active: ActiveAttempt) {
         self.timers
             .remove(&(active.deadline, Timer::Attempt(id, active.number)));
         active
@@ -71,7 +71,7 @@
             .for_each(|connection| self.connections.attempt_finished(connection, id, now));
     }
 
-    pub(super) fn timed_out(
+    pub(super) fn attempt_timed_out(
         &mut self,
         now: Ticks,
         engine: &mut Engine<PendingTask>,
@@ -121,7 +121,7 @@
         active: ActiveAttempt,
         description: &str,
     ) {
-        self.attempt_returned(now, id, active);
+        self.clear_attempt(now, id, active);
         if !engine.attempt_placed(now, id, active.number, self) {
             return;
         }
@@ -132,16 +132,16 @@
             // The answer arrived after the deadline and before the timer. It is of no use, and a
             // final answer is due all the same.
             let (to, task) = (pending.client, pending.task);
-            if self.settle(pending, id, TaskStage::Ended) {
-                self.release(to, task, client::CAUSE_FAILED);
+            if self.record_final_answer(pending, id, TaskStage::Ended) {
+                self.send_release(to, task, client::CAUSE_FAILED);
             }
             self.stop_task(now, id, task, Some(active), u32::from(client::CAUSE_NORMAL));
             return engine.finish(id);
         }
-        self.settle(pending, id, TaskStage::Running);
+        self.record_final_answer(pending, id, TaskStage::Running);
         pending.description = String::new();
         let (to, task) = (pending.client, pending.task);
-        self.nodes.task_started(active.machine, id);
+        self.nodes.add_task(active.machine, id);
         debug!(task = task_key(task), machine = ?active.machine, after = now - active.sent_at, "placed");
         self.send_to_client(
             to,
--- a/crates/platform/src/core/client_connections.rs
+++ b/crates/platform/src/core/client_connections.rs
@@ -28,7 +28,7 @@
 
 /// What a client's message came to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum MessageVerdict {
+pub(super) enum MessageValidity {
     /// It was valid, and its connection is of use.
     Valid,
     /// It could not be used.
@@ -52,7 +52,7 @@
                 return ReadProgress::Done;
             };
             let mut outcome = ReadOutcome::Data;
-            if client.drained_at + INPUT_FRESHNESS <= now {
+            if client.drained_at + MAX_INPUT_AGE <= now {
                 outcome = client.read_ahead(now);
             }
             if outcome == ReadOutcome::Closed {
@@ -94,13 +94,12 @@
         let Some(from) = engine.data_mut(id).map(|(pending, _)| pending.client) else {
             return;
         };
-        let behind = |client: &ClientConnection| {
+        let has_unread_input = |client: &ClientConnection| {
             client.input.is_some()
-                && (client.drained_at + INPUT_FRESHNESS <= now
-                    || client.reader.buffered_bytes() > 0)
+                && (client.drained_at + MAX_INPUT_AGE <= now || client.reader.buffered_bytes() > 0)
         };
         for _ in 0..MAX_MESSAGES_BEFORE_ATTEMPT {
-            if !self.clients.get(&from).is_some_and(behind) {
+            if !self.clients.get(&from).is_some_and(has_unread_input) {
                 return;
             }
             match self.read_next_message(now, engine, from) {
@@ -139,30 +138,30 @@
             return false;
         };
         client.partial_since = None;
-        let verdict = match message.message_type {
+        let validity = match message.message_type {
             MessageType::SetUp => self.handle_set_up(now, engine, id, message),
             MessageType::Release => {
                 if self.handle_release(now, engine, message) {
-                    MessageVerdict::Valid
+                    MessageValidity::Valid
                 } else {
-                    MessageVerdict::Unusable
+                    MessageValidity::Unusable
                 }
             }
             MessageType::HealthCheck => {
                 self.reply_to_health_check(id, message.task);
-                MessageVerdict::Valid
+                MessageValidity::Valid
             }
-            MessageType::Progress | MessageType::Acknowledge => MessageVerdict::Unusable,
+            MessageType::Progress | MessageType::Acknowledge => MessageValidity::Unusable,
             MessageType::Answer
             | MessageType::Notification
             | MessageType::Migrate
-            | MessageType::HealthCheckReply => MessageVerdict::Violation,
+            | MessageType::HealthCheckReply => MessageValidity::Violation,
         };
-        if verdict == MessageVerdict::Violation {
+        if validity == MessageValidity::Violation {
             debug!(?id, ?message.message_type, "closing a client's connection that sent what no client sends");
             return false;
         }
-        let valid = verdict == MessageVerdict::Valid;
+        let valid = validity == MessageValidity::Valid;
         if let Some(client) = self.clients.get_mut(&id).filter(|_| valid) {
             (client.valid, client.last_active_at) = (true, now);
             while self
@@ -178,27 +177,27 @@
 
     /// Looks for connections that are silent, idle or missing.
     pub(super) fn sweep(&mut self, now: Ticks, engine: &mut Engine<PendingTask>) {
-        let useless = |client: &ClientConnection| {
-            let silent = !client.valid && client.connected_at + SILENCE_TIMEOUT <= now;
-            let stuck = client
+        let should_close = |client: &ClientConnection| {
+            let is_silent = !client.valid && client.connected_at + SILENCE_TIMEOUT <= now;
+            let is_partial = client
                 .partial_since
                 .is_some_and(|since| since + SILENCE_TIMEOUT <= now);
-            let idle = client.open_set_ups.is_empty()
+            let is_idle = client.open_set_ups.is_empty()
                 && client.running == 0
                 && client.last_active_at + IDLE_TIMEOUT <= now;
-            silent || stuck || idle
+            is_silent || is_partial || is_idle
         };
         let closed: Vec<ClientId> = self
             .clients
             .iter()
-            .filter(|(_, client)| useless(client))
+            .filter(|(_, client)| should_close(client))
             .map(|(&id, _)| id)
             .collect();
         closed
             .into_iter()
             .for_each(|id| self.close_client(now, engine, id));
         self.connections.close_idle(now, &self.nodes);
-        let connected = |machine| !self.connections.of(machine).is_empty();
+        let connected = |machine| !self.connections.available_to(machine).is_empty();
         for (since, machine) in self.nodes.unreached(connected, now) {
             let eviction = if since + UNREACHED_GRACE <= now {
                 Eviction::Any
@@ -211,13 +210,13 @@
 
     /// Closes the client's connection that is least useful: silent ones first, then idle ones.
     pub(super) fn evict_client(&mut self, now: Ticks, engine: &mut Engine<PendingTask>) -> bool {
-        let free = self
+        let without_set_ups = self
             .clients
             .iter()
             .filter(|(_, client)| client.open_set_ups.is_empty());
-        let least = free
+        let least_useful = without_set_ups
             .min_by_key(|(_, client)| (client.valid, client.running > 0, client.last_active_at));
-        let Some(id) = least.map(|(&id, _)| id) else {
+        let Some(id) = least_useful.map(|(&id, _)| id) else {
             return false;
         };
         self.close_client(now, engine, id);
--- a/crates/platform/src/core/endpoint_list.rs
+++ b/crates/platform/src/core/endpoint_list.rs
@@ -23,7 +23,7 @@
         } else {
             ListUpdate::Incremental
         };
-        engine.apply_endpoint_list(scope, &change.entries);
+        engine.apply_endpoint_list(scope, &change.endpoints);
         for machine in change.gone {
             info!(?machine, "a node has gone");
             self.machine_lost(now, engine, machine, Ticks::MAX);
--- a/crates/platform/src/core/engine_effects.rs
+++ b/crates/platform/src/core/engine_effects.rs
@@ -21,7 +21,7 @@
             allocation: id,
             number,
         };
-        let connection = self.connection_for(machine, &pending.connections);
+        let connection = self.connection_for(machine, &pending.used_connections);
         let Some(connection) = connection
             .filter(|&connection| self.connections.send_set_up(connection, attempt, &message))
         else {
@@ -41,7 +41,7 @@
             deadline,
             started: false,
         });
-        pending.connections.push(connection);
+        pending.used_connections.push(connection);
         self.timers.insert((deadline, Timer::Attempt(id, number)));
         debug!(
             task = task_key(pending.task),
@@ -56,22 +56,22 @@
     }
 
     fn shed(&mut self, pending: &mut PendingTask, allocation: &Allocation) {
-        if self.settle(pending, allocation.id, TaskStage::Ended) {
+        if self.record_final_answer(pending, allocation.id, TaskStage::Ended) {
             debug!(task = task_key(pending.task), attempts = ?allocation.attempts, "shed");
-            self.release(pending.client, pending.task, client::CAUSE_REJECTED);
+            self.send_release(pending.client, pending.task, client::CAUSE_REJECTED);
         }
     }
 
     fn indeterminate(&mut self, pending: &mut PendingTask, allocation: &Allocation) {
-        if self.settle(pending, allocation.id, TaskStage::Ended) {
+        if self.record_final_answer(pending, allocation.id, TaskStage::Ended) {
             debug!(task = task_key(pending.task), attempts = ?allocation.attempts, "scrapped");
-            self.release(pending.client, pending.task, client::CAUSE_FAILED);
+            self.send_release(pending.client, pending.task, client::CAUSE_FAILED);
         }
     }
 
     fn migrate(&mut self, pending: &mut PendingTask, allocation: &Allocation) {
         debug!(task = task_key(pending.task), "moved away");
-        if self.end_running(pending) {
+        if self.record_task_end(pending) {
             self.send_task_end(pending.client, MessageType::Migrate, pending.task, &[]);
             self.timers
                 .insert((self.now + STOP_TIMEOUT, Timer::Stop(allocation.id)));
@@ -83,12 +83,14 @@
     }
 
     fn check_health(&mut self, machine: MachineId) {
-        self.last_health_check = self.last_health_check.wrapping_add(0x9e37_79b9_7f4a_7c15);
+        self.last_health_check_id = self
+            .last_health_check_id
+            .wrapping_add(0x9e37_79b9_7f4a_7c15);
         let message =
-            node::Message::new(node::MessageType::Probe, self.last_health_check).with_cause(0);
+            node::Message::new(node::MessageType::Probe, self.last_health_check_id).with_cause(0);
         if let Some(connection) = self.send_to_node(machine, None, &message, Eviction::SpareOnly) {
             self.health_checks.insert(
-                self.last_health_check,
+                self.last_health_check_id,
                 HealthCheck {
                     machine,
                     connection,
@@ -96,13 +98,13 @@
             );
             self.timers.insert((
                 self.now + HEALTH_CHECK_TIMEOUT,
-                Timer::HealthCheck(self.last_health_check),
+                Timer::HealthCheck(self.last_health_check_id),
             ));
         }
     }
 
     fn watch_endpoints(&mut self) {
-        self.effects.watch_list();
+        self.effects.watch_endpoint_list();
     }
 
     fn set_timer(&mut self, after: Ticks) {
--- a/crates/platform/src/core/inputs.rs
+++ b/crates/platform/src/core/inputs.rs
@@ -7,7 +7,7 @@
 impl PlatformCore {
     /// Applies the events that the configuration file holds at the start.
     pub fn apply_initial_state(&mut self, now: Ticks, known: DiscoveryState) {
-        self.with(now, |engine, state| {
+        self.process_event(now, |engine, state| {
             known
                 .events
                 .into_iter()
@@ -18,14 +18,14 @@
 
     /// Starts what follows from the initial state.
     pub fn start(&mut self, now: Ticks) {
-        self.with(now, |_, _| ());
+        self.process_event(now, |_, _| ());
     }
 
     /// Places waiting set-ups while there is time. True where some still wait: between two turns
     /// all connections are read, so that messages of nodes and clients wait for one turn and not
     /// for all set-ups.
     pub fn run_turn(&mut self, now: Ticks, has_time: impl Fn() -> bool) -> bool {
-        self.with(now, |engine, state| {
+        self.process_event(now, |engine, state| {
             // In this order: a set-up that has been taken from the queue must have its turn.
             while has_time()
                 && let Some(id) = engine.next_queued()
@@ -39,7 +39,7 @@
 
     /// The timer has fired.
     pub fn timer_fired(&mut self, now: Ticks) {
-        self.with(now, |engine, state| {
+        self.process_event(now, |engine, state| {
             state.armed_timer = None;
             if state.engine_timer.is_some_and(|at| at <= now) {
                 state.engine_timer = None;
@@ -48,7 +48,7 @@
             while let Some(&(at, timer)) = state.timers.first().filter(|(at, _)| *at <= now) {
                 state.timers.remove(&(at, timer));
                 match timer {
-                    Timer::Attempt(id, number) => state.timed_out(now, engine, id, number),
+                    Timer::Attempt(id, number) => state.attempt_timed_out(now, engine, id, number),
                     Timer::Stop(id) => {
                         state.task_ended(now, engine, id, AttemptResult::Cancelled, None, None)
                     }
@@ -72,7 +72,7 @@
     /// open.
     pub fn client_connected(&mut self, now: Ticks) -> Option<(ClientId, MessageQueue)> {
         let (to, queue) = message_queue();
-        self.with(now, |engine, state| {
+        self.process_event(now, |engine, state| {
             if state.clients.len() >= state.max_clients && !state.evict_client(now, engine) {
                 return None;
             }
@@ -97,12 +97,12 @@
 
     /// Descriptors have run out: closes the least useful client's connection.
     pub fn evict_client(&mut self, now: Ticks) {
-        self.with(now, |engine, state| state.evict_client(now, engine));
+        self.process_event(now, |engine, state| state.evict_client(now, engine));
     }
 
     /// A client's connection has ended.
     pub fn client_disconnected(&mut self, now: Ticks, id: ClientId) {
-        self.with(now, |engine, state| state.close_client(now, engine, id));
+        self.process_event(now, |engine, state| state.close_client(now, engine, id));
     }
 
     /// A client's connection can be read from here on.
@@ -116,7 +116,7 @@
 
     /// Handles the next message of a client.
     pub fn read_client_message(&mut self, now: Ticks, id: ClientId) -> ReadProgress {
-        self.with(now, |engine, state| {
+        self.process_event(now, |engine, state| {
             state.read_next_message(now, engine, id)
         })
     }
@@ -124,23 +124,23 @@
     /// A message of a client. False where its connection is to be closed.
     #[cfg(test)]
     pub fn handle_client_message(&mut self, now: Ticks, id: ClientId, message: &Message) -> bool {
-        self.with(now, |engine, state| {
+        self.process_event(now, |engine, state| {
             state.handle_client_message(now, engine, id, message)
         })
     }
 
     /// Ends of running tasks that were not delivered on their client's connection.
     pub fn redeliver(&mut self, now: Ticks, messages: Vec<Vec<u8>>) {
-        self.with(now, |_, state| {
+        self.process_event(now, |_, state| {
             messages
                 .into_iter()
-                .for_each(|messages| state.send_to_any_client(messages))
+                .for_each(|message| state.send_to_any_client(message))
         });
     }
 
     /// A connection to a node is established.
     pub fn connection_established(&mut self, now: Ticks, id: ConnectionId) {
-        self.with(now, |_, state| state.connections.established(id, now));
+        self.process_event(now, |_, state| state.connections.mark_established(id, now));
     }
 
     /// The first byte of a set-up is about to be written. False where it must not be any more.
@@ -150,14 +150,14 @@
         connection: ConnectionId,
         attempt: AttemptId,
     ) -> bool {
-        self.with(now, |engine, state| {
+        self.process_event(now, |engine, state| {
             state.may_write_set_up(now, engine, connection, attempt)
         })
     }
 
     /// A connection to a node has ended.
     pub fn connection_ended(&mut self, now: Ticks, id: ConnectionId, end: ConnectionEnd) {
-        self.with(now, |engine, state| {
+        self.process_event(now, |engine, state| {
             state.remove_connection(now, engine, id, end)
         });
     }
@@ -169,7 +169,7 @@
         connection: ConnectionId,
         message: node::Message,
     ) -> bool {
-        self.with(now, |engine, state| {
+        self.process_event(now, |engine, state| {
             let Some(machine) = state.connections.touch(connection, now) else {
                 return false;
             };
@@ -184,26 +184,26 @@
 
     /// The connection to the control feed is established.
     pub fn discovery_connected(&mut self, now: Ticks) {
-        self.with(now, |engine, _| {
+        self.process_event(now, |engine, _| {
             engine.apply_endpoint_list(ListUpdate::Incremental, &[])
         });
     }
 
     /// Applies a discovery event.
     pub fn apply_event(&mut self, now: Ticks, event: Event) {
-        self.with(now, |engine, state| state.apply_event(now, engine, event));
+        self.process_event(now, |engine, state| state.apply_event(now, engine, event));
     }
 
     /// The connection to the control feed has broken.
-    pub fn list_failed(&mut self, now: Ticks) {
-        self.with(now, |engine, _| engine.endpoint_watch_failed(now));
+    pub fn endpoint_watch_failed(&mut self, now: Ticks) {
+        self.process_event(now, |engine, _| engine.endpoint_watch_failed(now));
     }
 
     /// The configuration file has been replaced: applies its settings. An error where they differ
     /// in what can't be changed while it runs.
     pub fn reconfigure(&mut self, now: Ticks, config: NodeConfig) -> Result<(), ReconfigureError> {
-        let cluster = cluster(&config.settings)?;
-        self.with(now, |engine, state| {
+        let cluster = platform_cluster(&config.settings)?;
+        self.process_event(now, |engine, state| {
             let names = |settings: &Settings| -> Vec<String> {
                 let classes = settings.classes.iter().map(|class| &class.name);
                 let all = classes.chain(settings.tenants.iter().map(|tenant| &tenant.name));
@@ -213,7 +213,7 @@
                     .collect()
             };
             if names(&state.settings) != names(&config.settings) {
-                return Err(ReconfigureError::OtherNames);
+                return Err(ReconfigureError::NamesChanged);
             }
             state.settings = Arc::new(config.settings);
             engine.reconfigure(now, cluster, MAX_TASKS);
@@ -223,23 +223,23 @@
 
     /// Closes connections that are silent or idle, and opens missing ones.
     pub fn sweep(&mut self, now: Ticks) {
-        self.with(now, |engine, state| state.sweep(now, engine));
+        self.process_event(now, |engine, state| state.sweep(now, engine));
     }
 
     /// How many items are retained, for tests of bounds and the log.
     pub fn retained_items(&self) -> usize {
         let PlatformCore { engine, state } = self;
-        let messages = state.undelivered.len()
+        let entries = state.undelivered.len()
             + state.deferred.len()
             + state.health_checks.len()
             + state.timers.len()
             + state.unanswered.len();
-        let messages = messages + state.early_ends.len();
+        let entries = entries + state.early_ends.len();
         engine.state_size()
             + state.clients.len()
             + state.nodes.retained_items()
             + state.connections.retained_items()
-            + messages
+            + entries
     }
 
     /// How many set-ups are due an answer.
@@ -250,7 +250,7 @@
     /// Shutdown: each set-up is answered as soon as its attempt has returned; new ones are rejected
     /// at once.
     pub fn stop(&mut self, now: Ticks) {
-        self.with(now, |engine, state| {
+        self.process_event(now, |engine, state| {
             state.stopping = true;
             engine.stop(now, state);
         });
@@ -264,7 +264,7 @@
     /// Applies events of a new configuration file. Only those that follow on the last known one or
     /// are complete: the rest comes from the control feed.
     pub fn apply_known_events(&mut self, now: Ticks, known: DiscoveryState) {
-        self.with(now, |engine, state| {
+        self.process_event(now, |engine, state| {
             for event in known.events {
                 let complete = event.list.as_ref().is_some_and(|list| list.complete);
                 if complete || event.number == state.last_event + 1 {
@@ -277,9 +277,9 @@
     /// Answers the set-ups whose attempts have not returned. All connections close once all is
     /// written.
     pub fn abandon_all(&mut self, now: Ticks) {
-        self.with(now, |engine, state| {
+        self.process_event(now, |engine, state| {
             for (id, attempt) in engine.unanswered() {
-                state.timed_out(now, engine, id, attempt);
+                state.attempt_timed_out(now, engine, id, attempt);
             }
         });
         self.state.clients.clear();
--- a/crates/platform/src/core/limits.rs
+++ b/crates/platform/src/core/limits.rs
@@ -5,7 +5,7 @@
 pub(super) const SECOND: Ticks = 10_000;
 /// How old the last read of a client's connection may be when an attempt starts: no attempt may
 /// start more than 0.1 s after its client is gone, and this may take a tenth of that.
-pub(super) const INPUT_FRESHNESS: Ticks = 100;
+pub(super) const MAX_INPUT_AGE: Ticks = 100;
 /// How many bytes are read ahead on a client's connection, and how many messages are handled in one
 /// go before an attempt: a client that sends more floods us.
 pub(super) const READ_AHEAD_BYTES: usize = 2 * corkspan_platform_wire::MAX_MESSAGE_BYTES;
--- a/crates/platform/src/core/node_connections.rs
+++ b/crates/platform/src/core/node_connections.rs
@@ -22,7 +22,7 @@
         }
         let connection = self
             .connections
-            .of(machine)
+            .available_to(machine)
             .first()
             .copied()
             .or_else(|| self.open_connection(machine, eviction))?;
@@ -38,14 +38,15 @@
         eviction: Eviction,
     ) -> Option<ConnectionId> {
         let address = self.nodes.address(machine)?;
-        if self.connections.is_full() && !self.connections.is_crowded(machine) {
+        if self.connections.is_full() && !self.connections.is_node_full(machine) {
             // Closing one with a health check under way would count against its node.
-            let tested: BTreeSet<ConnectionId> = self
+            let with_health_check: BTreeSet<ConnectionId> = self
                 .health_checks
                 .values()
                 .map(|check| check.connection)
                 .collect();
-            self.connections.evict(&self.nodes, &tested, eviction);
+            self.connections
+                .evict(&self.nodes, &with_health_check, eviction);
         }
         let (id, queue) = self.connections.open(machine, self.now)?;
         self.effects.connect(NewConnection {
@@ -85,7 +86,7 @@
         } else if end == ConnectionEnd::Refused {
             // The process is dead, and its tasks with it.
             self.machine_lost(now, engine, connection.machine, Ticks::MAX);
-        } else if self.connections.of(connection.machine).is_empty()
+        } else if self.connections.available_to(connection.machine).is_empty()
             && self.nodes.has_tasks(connection.machine)
             && end == ConnectionEnd::Broken
         {
@@ -106,8 +107,9 @@
             let Some((pending, _)) = engine.data_mut(allocation) else {
                 continue;
             };
-            let on_this = |active: &mut ActiveAttempt| active.connection == Some(connection);
-            let Some(active) = pending.active.take_if(on_this) else {
+            let is_on_connection =
+                |active: &mut ActiveAttempt| active.connection == Some(connection);
+            let Some(active) = pending.active.take_if(is_on_connection) else {
                 continue;
             };
             let number = active.number;
--- a/crates/platform/src/core/node_messages.rs
+++ b/crates/platform/src/core/node_messages.rs
@@ -17,7 +17,7 @@
 
 /// The cause of a node's release.
 #[derive(Clone, Copy)]
-enum End {
+enum ReleaseCause {
     Normal,
     Cancelled,
     Rejected,
@@ -26,42 +26,50 @@
     Other,
 }
 
-impl From<u32> for End {
-    fn from(cause: u32) -> End {
+impl From<u32> for ReleaseCause {
+    fn from(cause: u32) -> ReleaseCause {
         match u8::try_from(cause) {
-            Ok(client::CAUSE_NORMAL) => End::Normal,
-            Ok(client::CAUSE_CANCELLED) => End::Cancelled,
-            Ok(client::CAUSE_REJECTED) => End::Rejected,
-            Ok(client::CAUSE_FAILED) => End::Failed,
-            Ok(client::CAUSE_NOT_SENT) => End::NotSent,
-            _ => End::Other,
+            Ok(client::CAUSE_NORMAL) => ReleaseCause::Normal,
+            Ok(client::CAUSE_CANCELLED) => ReleaseCause::Cancelled,
+            Ok(client::CAUSE_REJECTED) => ReleaseCause::Rejected,
+            Ok(client::CAUSE_FAILED) => ReleaseCause::Failed,
+            Ok(client::CAUSE_NOT_SENT) => ReleaseCause::NotSent,
+            _ => ReleaseCause::Other,
         }
     }
 }
 
-impl End {
+impl ReleaseCause {
     /// What it means before the node has answered.
-    fn of_attempt(self) -> AttemptResult {
+    fn attempt_result(self) -> AttemptResult {
         match self {
-            End::Rejected => AttemptResult::Rejected,
-            End::Failed => AttemptResult::Error,
-            End::NotSent => AttemptResult::NotSent,
-            End::Normal | End::Cancelled | End::Other => AttemptResult::Reset,
+            ReleaseCause::Rejected => AttemptResult::Rejected,
+            ReleaseCause::Failed => AttemptResult::Error,
+            ReleaseCause::NotSent => AttemptResult::NotSent,
+            ReleaseCause::Normal | ReleaseCause::Cancelled | ReleaseCause::Other => {
+                AttemptResult::Reset
+            }
         }
     }
 
     /// What it means once the task runs.
-    fn of_running_task(self) -> AttemptResult {
+    fn task_result(self) -> AttemptResult {
         match self {
-            End::Normal => AttemptResult::Completed,
-            End::Cancelled => AttemptResult::Cancelled,
-            End::Rejected | End::Failed | End::NotSent | End::Other => AttemptResult::Reset,
+            ReleaseCause::Normal => AttemptResult::Completed,
+            ReleaseCause::Cancelled => AttemptResult::Cancelled,
+            ReleaseCause::Rejected
+            | ReleaseCause::Failed
+            | ReleaseCause::NotSent
+            | ReleaseCause::Other => AttemptResult::Reset,
         }
     }
 
     /// It means something only before the node has answered.
     fn is_rejection(self) -> bool {
-        matches!(self, End::Rejected | End::Failed | End::NotSent)
+        matches!(
+            self,
+            ReleaseCause::Rejected | ReleaseCause::Failed | ReleaseCause::NotSent
+        )
     }
 }
 
@@ -72,7 +80,7 @@
     stage: TaskStage,
     /// The message is about an earlier attempt, which was withdrawn: what became of that one says
     /// nothing about this one.
-    earlier: bool,
+    is_earlier: bool,
 }
 
 impl MatchedAttempt {
@@ -103,16 +111,16 @@
             machine,
             task,
         };
-        let matched = self.matched_attempt(engine, origin, &message);
-        if matched.as_ref().is_some_and(|matched| matched.earlier) {
+        let matched = self.match_attempt(engine, origin, &message);
+        if matched.as_ref().is_some_and(|matched| matched.is_earlier) {
             debug!(task = task_key(task), ?machine, ?message.message_type, "a message about an earlier attempt");
             return true;
         }
-        self.handle_for_task(now, engine, origin, matched, message)
+        self.handle_task_message(now, engine, origin, matched, message)
     }
 
     /// Handles a message about a task, or about none that is known.
-    fn handle_for_task(
+    fn handle_task_message(
         &mut self,
         now: Ticks,
         engine: &mut Engine<PendingTask>,
@@ -148,7 +156,7 @@
                 );
             }
             (node::MessageType::Event, Some(matched)) if matched.stage != TaskStage::Pending => {
-                if let Some(metric) = metric(&message) {
+                if let Some(metric) = parse_metric(&message) {
                     debug!(task = task_key(task), ?machine, ?metric, "noted");
                     engine.record_metric(now, matched.id, metric);
                 }
@@ -176,11 +184,11 @@
         } else {
             AttemptResult::Error
         };
-        engine.record_health_check(now, machine, ending, load(message));
+        engine.record_health_check(now, machine, ending, parse_load(message));
     }
 
     /// The attempt that a message is about; none where its task is unknown here or on another node.
-    fn matched_attempt(
+    fn match_attempt(
         &self,
         engine: &mut Engine<PendingTask>,
         origin: MessageOrigin,
@@ -198,26 +206,26 @@
         // Where the connection of its set-up has ended, a node reports on a task on any that is
         // open, also on one on which an earlier attempt at the same task ended. That attempt's
         // cause can only be a copy of its release.
-        let moved = is_running
+        let connection_lost = is_running
             && !active
                 .connection
                 .is_some_and(|own| self.connections.is_established(own));
-        let ended = pending
-            .ended
+        let ended_here = pending
+            .ended_attempts
             .iter()
-            .find(|ended| ended.connection == connection);
-        let of_this_attempt = moved
-            && ended.is_some_and(|ended| match message.message_type {
-                node::MessageType::Close => message.cause != Some(ended.cause),
-                kind => kind == node::MessageType::Event,
+            .find(|ended_here| ended_here.connection == connection);
+        let is_about_this_attempt = connection_lost
+            && ended_here.is_some_and(|ended_here| match message.message_type {
+                node::MessageType::Close => message.cause != Some(ended_here.cause),
+                other => other == node::MessageType::Event,
             });
         Some(MatchedAttempt {
             id,
             active,
             stage: pending.stage,
-            earlier: active.connection != Some(connection)
-                && pending.connections.contains(&connection)
-                && !of_this_attempt,
+            is_earlier: active.connection != Some(connection)
+                && pending.used_connections.contains(&connection)
+                && !is_about_this_attempt,
         })
     }
 
@@ -233,7 +241,7 @@
         let (machine, task) = (origin.machine, origin.task);
         let closed = node::Message::new(node::MessageType::Closed, task);
         self.connections.send(origin.connection, &closed);
-        let (cause, load) = (message.cause.unwrap_or(0), load(message));
+        let (cause, load) = (message.cause.unwrap_or(0), parse_load(message));
         let stage = matched.as_ref().map(|matched| matched.stage);
         let note = message.attribute("note");
         debug!(
@@ -251,11 +259,11 @@
         else {
             return self.remember_early_end(now, task, machine);
         };
-        let (end, reason) = (End::from(cause), reason(message));
+        let (release_cause, reason) = (ReleaseCause::from(cause), parse_reason(message));
         if stage != TaskStage::Pending {
-            let result = end.of_running_task();
+            let result = release_cause.task_result();
             self.task_ended(now, engine, id, result, reason, load);
-            if end.is_rejection() {
+            if release_cause.is_rejection() {
                 // A rejection after an answer: the client has been notified that the task has ended, so
                 // it must end.
                 self.send_close(origin.connection, task);
@@ -265,8 +273,8 @@
         if let Some((pending, _)) = engine.data_mut(id) {
             pending.end_attempt(origin.connection, cause);
         }
-        self.attempt_returned(now, id, active);
-        let result = end.of_attempt();
+        self.clear_attempt(now, id, active);
+        let result = release_cause.attempt_result();
         engine.attempt_returned(
             now,
             id,
@@ -282,7 +290,7 @@
     }
 }
 
-fn metric(message: &node::Message) -> Option<Metric> {
+fn parse_metric(message: &node::Message) -> Option<Metric> {
     let value = message.attribute("value").and_then(AttributeValue::number);
     Some(
         match (
@@ -299,7 +307,7 @@
     )
 }
 
-fn load(message: &node::Message) -> Option<LoadReport> {
+fn parse_load(message: &node::Message) -> Option<LoadReport> {
     let pairs = parse_load_report(message.attribute("load")?.text()?).ok()?;
     let value = |name| {
         pairs
@@ -315,7 +323,7 @@
     })
 }
 
-fn reason(message: &node::Message) -> Option<ReturnReason> {
+fn parse_reason(message: &node::Message) -> Option<ReturnReason> {
     Some(match message.attribute("note")?.text()? {
         "lack_cpu" => ReturnReason::NoCores,
         "lack_ram" => ReturnReason::NoMemory,
--- a/crates/platform/src/core/pending_task.rs
+++ b/crates/platform/src/core/pending_task.rs
@@ -63,9 +63,9 @@
     pub(super) active: Option<ActiveAttempt>,
     /// The connections that its attempts were sent on. A node's messages name the task and not the
     /// attempt, so none of them may carry two.
-    pub(super) connections: Vec<ConnectionId>,
+    pub(super) used_connections: Vec<ConnectionId>,
     /// Those among them on which the node itself has ended the attempt, and with which cause.
-    pub(super) ended: Vec<EndedAttempt>,
+    pub(super) ended_attempts: Vec<EndedAttempt>,
 }
 
 impl PendingTask {
@@ -81,15 +81,15 @@
             deadline,
             stage: TaskStage::Pending,
             active: None,
-            connections: Vec::new(),
-            ended: Vec::new(),
+            used_connections: Vec::new(),
+            ended_attempts: Vec::new(),
         }
     }
 
     /// The node itself has ended the active attempt.
     pub(super) fn end_attempt(&mut self, connection: ConnectionId, cause: u32) {
         self.active = None;
-        self.ended.push(EndedAttempt { connection, cause });
+        self.ended_attempts.push(EndedAttempt { connection, cause });
     }
 }
 
--- a/crates/platform/src/core/replies.rs
+++ b/crates/platform/src/core/replies.rs
@@ -28,7 +28,7 @@
     }
 
     /// Reports to a client that its set-up has failed or was rejected.
-    pub(super) fn release(&mut self, to: ClientId, task: u64, cause: u8) {
+    pub(super) fn send_release(&mut self, to: ClientId, task: u64, cause: u8) {
         self.send_to_client(to, MessageType::Release, task, &[(client::CAUSE, &[cause])]);
     }
 
@@ -56,9 +56,9 @@
     /// On any connection, else on the next client's that connects.
     pub(super) fn send_to_any_client(&mut self, bytes: Vec<u8>) {
         let valid = self.clients.values().filter(|client| client.valid);
-        let mut others: Vec<&ClientConnection> = valid.collect();
-        others.sort_by_key(|client| std::cmp::Reverse(client.last_active_at));
-        let delivered = others
+        let mut candidates: Vec<&ClientConnection> = valid.collect();
+        candidates.sort_by_key(|client| std::cmp::Reverse(client.last_active_at));
+        let delivered = candidates
             .into_iter()
             .any(|client| client.to.send_task_end(bytes.clone()));
         if !delivered && self.undelivered.len() < MAX_UNDELIVERED {
@@ -67,7 +67,7 @@
     }
 
     /// Records the final answer; true where one was due.
-    pub(super) fn settle(
+    pub(super) fn record_final_answer(
         &mut self,
         pending: &mut PendingTask,
         id: AllocationId,
@@ -84,7 +84,7 @@
     }
 
     /// Records that a task runs no longer; true where it was running.
-    pub(super) fn end_running(&mut self, pending: &mut PendingTask) -> bool {
+    pub(super) fn record_task_end(&mut self, pending: &mut PendingTask) -> bool {
         let was_running = pending.stage == TaskStage::Running;
         if was_running {
             pending.stage = TaskStage::Ended;
--- a/crates/platform/src/core/running_tasks.rs
+++ b/crates/platform/src/core/running_tasks.rs
@@ -61,7 +61,7 @@
         let (task, to) = (pending.task, pending.client);
         self.timers.retain(|(_, timer)| *timer != Timer::Stop(id));
         debug!(task = task_key(task), machine = ?active.machine, ?ending, ?reason, "task ended");
-        if self.end_running(pending) && ending != AttemptResult::Cancelled {
+        if self.record_task_end(pending) && ending != AttemptResult::Cancelled {
             let cause = if ending == AttemptResult::Completed {
                 client::CAUSE_NORMAL
             } else {
@@ -69,7 +69,7 @@
             };
             self.send_task_end(to, MessageType::Release, task, &[(client::CAUSE, &[cause])]);
         }
-        self.nodes.task_left(active.machine, id);
+        self.nodes.remove_task(active.machine, id);
         engine.attempt_returned(
             now,
             id,
--- a/crates/platform/src/core/set_ups.rs
+++ b/crates/platform/src/core/set_ups.rs
@@ -1,6 +1,6 @@
 //! Clients' set-ups and releases.
 
-use super::client_connections::MessageVerdict;
+use super::client_connections::MessageValidity;
 use super::pending_task::{ActiveAttempt, PendingTask, TaskStage, task_key};
 use super::*;
 use corkspan_engine::{AllocationRequest, ReturnedAttempt, service_id};
@@ -38,67 +38,71 @@
         engine: &mut Engine<PendingTask>,
         from: ClientId,
         message: &Message,
-    ) -> MessageVerdict {
+    ) -> MessageValidity {
         let task = message.task;
         let exists = engine.find(&task_key(task)).is_some();
         let client = self.clients.get(&from);
         let open = client.map_or(0, |client| client.open_set_ups.len());
         let is_open_here = client.is_some_and(|client| client.open_set_ups.contains(&task));
-        let read = SetUp::try_from(message).map_err(RequestError::from);
-        let (mut set_up, request) = match read.and_then(|set_up| {
+        let parsed = SetUp::try_from(message).map_err(RequestError::from);
+        let (mut set_up, request) = match parsed.and_then(|set_up| {
             let request = self.to_request(now, &set_up)?;
             Ok((set_up, request))
         }) {
-            Ok(read) => read,
+            Ok(parsed) => parsed,
             // The answer could not be distinguished from that of the open set-up under the same id.
-            Err(_) if is_open_here => return MessageVerdict::Violation,
+            Err(_) if is_open_here => return MessageValidity::Violation,
             Err(error) => {
                 debug!(%error, "a set-up that can't be used");
-                self.release(from, task, client::CAUSE_FAILED);
-                return MessageVerdict::Unusable;
+                self.send_release(from, task, client::CAUSE_FAILED);
+                return MessageValidity::Unusable;
             }
         };
         if exists && set_up.running_on.is_some() {
-            return MessageVerdict::Valid;
+            return MessageValidity::Valid;
         }
         if is_open_here {
-            return MessageVerdict::Violation;
+            return MessageValidity::Violation;
         }
         if exists {
-            self.release(from, task, client::CAUSE_FAILED);
-            return MessageVerdict::Unusable;
+            self.send_release(from, task, client::CAUSE_FAILED);
+            return MessageValidity::Unusable;
         }
         if open >= MAX_SET_UPS_PER_CONNECTION || self.stopping && set_up.running_on.is_none() {
-            self.release(from, task, client::CAUSE_REJECTED);
-            return MessageVerdict::Unusable;
+            self.send_release(from, task, client::CAUSE_REJECTED);
+            return MessageValidity::Unusable;
         }
         match set_up.running_on.take() {
-            Some(node) => self.take_running(now, engine, from, set_up, request, &node),
-            None => self.take_new(now, engine, from, set_up, request),
+            Some(node) => self.take_over_running_task(now, engine, from, set_up, request, &node),
+            None => self.admit_new_task(now, engine, from, set_up, request),
         }
     }
 
     /// Takes over a task that is running already, which another process has set up.
-    fn take_running(
+    fn take_over_running_task(
         &mut self,
         now: Ticks,
         engine: &mut Engine<PendingTask>,
         from: ClientId,
         set_up: SetUp,
         request: AllocationRequest,
-        at: &str,
-    ) -> MessageVerdict {
+        node_name: &str,
+    ) -> MessageValidity {
         let task = set_up.task;
-        let ended = |machine| {
+        let has_ended = |machine| {
             self.early_ends
                 .iter()
                 .any(|end| (end.task, end.machine) == (task, machine))
         };
-        let Some(machine) = self.nodes.find(at).filter(|&machine| !ended(machine)) else {
+        let Some(machine) = self
+            .nodes
+            .find(node_name)
+            .filter(|&machine| !has_ended(machine))
+        else {
             // The node is gone, and the task with it; or the node has reported the end already, on
             // a connection that was opened for another task, and does not report it again.
-            self.release(from, task, client::CAUSE_INTERRUPTED);
-            return MessageVerdict::Valid;
+            self.send_release(from, task, client::CAUSE_INTERRUPTED);
+            return MessageValidity::Valid;
         };
         let mut pending = PendingTask::new(from, set_up, request.deadline + TRANSIT_ALLOWANCE);
         pending.stage = TaskStage::Running;
@@ -112,39 +116,39 @@
             started: true,
         });
         if let Ok(id) = engine.admit_running(now, &task_key(task), request, machine, pending) {
-            self.nodes.task_started(machine, id);
+            self.nodes.add_task(machine, id);
             self.clients
                 .get_mut(&from)
                 .into_iter()
                 .for_each(|client| client.running += 1);
-            if self.connections.of(machine).is_empty() {
+            if self.connections.available_to(machine).is_empty() {
                 self.open_connection(machine, Eviction::SpareOnly);
             }
         }
-        MessageVerdict::Valid
+        MessageValidity::Valid
     }
 
     /// Takes a new task.
-    fn take_new(
+    fn admit_new_task(
         &mut self,
         now: Ticks,
         engine: &mut Engine<PendingTask>,
         from: ClientId,
         set_up: SetUp,
         request: AllocationRequest,
-    ) -> MessageVerdict {
+    ) -> MessageValidity {
         let task = set_up.task;
         let pending = PendingTask::new(from, set_up, request.deadline + TRANSIT_ALLOWANCE);
         let Ok(id) = engine.admit(now, &task_key(task), request, pending) else {
-            self.release(from, task, client::CAUSE_REJECTED);
-            return MessageVerdict::Unusable;
+            self.send_release(from, task, client::CAUSE_REJECTED);
+            return MessageValidity::Unusable;
         };
         self.unanswered.insert(id);
         self.clients.get_mut(&from).into_iter().for_each(|client| {
             client.open_set_ups.insert(task);
         });
         engine.place(now, id, self);
-        MessageVerdict::Valid
+        MessageValidity::Valid
     }
 
     /// The engine's request for a set-up, or what is wrong with it.
@@ -165,7 +169,7 @@
                 .iter()
                 .position(|known| known.name == *name),
         };
-        let left_ms = time_left_ms(set_up)?;
+        let remaining_ms = time_left_ms(set_up)?;
         if [&set_up.name, &set_up.service]
             .iter()
             .any(|text| text.len() > MAX_NAME_BYTES)
@@ -193,13 +197,13 @@
                 memory: requested.memory,
             });
         }
-        let left = left_ms * 10;
+        let remaining = remaining_ms * 10;
         Ok(AllocationRequest {
             service: service_id(&set_up.service),
             service_class: ServiceClassId(class),
             tenant: TenantId(tenant.ok_or(RequestError::UnknownTenant)?),
             requested,
-            deadline: now + left - TRANSIT_ALLOWANCE.min(left / 2),
+            deadline: now + remaining - TRANSIT_ALLOWANCE.min(remaining / 2),
         })
     }
 
@@ -220,7 +224,7 @@
             TaskStage::Pending => self.cancel(now, engine, id),
             TaskStage::Running => {
                 let cause = u32::from(message.cause().unwrap_or(client::CAUSE_NORMAL));
-                self.end_running(pending);
+                self.record_task_end(pending);
                 let active = pending.active;
                 self.stop_task(now, id, message.task, active, cause);
                 engine.finish(id);
@@ -240,7 +244,7 @@
         let Some((pending, _)) = engine.data_mut(id) else {
             return;
         };
-        self.settle(pending, id, TaskStage::Ended);
+        self.record_final_answer(pending, id, TaskStage::Ended);
         let Some(active) = pending.active.take() else {
             return engine.finish(id);
         };
--- a/crates/platform/src/descriptor_budget.rs
+++ b/crates/platform/src/descriptor_budget.rs
@@ -22,11 +22,11 @@
 /// Each connection holds a permit until its descriptor is closed, even where the core has removed
 /// it before.
 pub struct DescriptorBudget {
-    pub clients: Arc<Semaphore>,
+    pub client_permits: Arc<Semaphore>,
     pub client_descriptors: usize,
     /// The maximum number of clients' connections that are not being closed.
     pub max_clients: usize,
-    pub nodes: Arc<Semaphore>,
+    pub node_permits: Arc<Semaphore>,
     /// The same for connections to nodes.
     pub max_node_connections: usize,
 }
@@ -43,13 +43,14 @@
             return Err(TooFewDescriptors(limit));
         }
         let max_node_connections = limit / 3;
-        let nodes_all = max_node_connections + max_node_connections / CONNECTIONS_PER_HALF_CLOSED;
-        let client_descriptors = limit.saturating_sub(RESERVED_DESCRIPTORS + nodes_all);
+        let node_descriptors =
+            max_node_connections + max_node_connections / CONNECTIONS_PER_HALF_CLOSED;
+        let client_descriptors = limit.saturating_sub(RESERVED_DESCRIPTORS + node_descriptors);
         Ok(DescriptorBudget {
-            clients: Arc::new(Semaphore::new(client_descriptors)),
+            client_permits: Arc::new(Semaphore::new(client_descriptors)),
             client_descriptors,
             max_clients: client_descriptors.min(limit / 2),
-            nodes: Arc::new(Semaphore::new(nodes_all)),
+            node_permits: Arc::new(Semaphore::new(node_descriptors)),
             max_node_connections,
         })
     }
--- a/crates/platform/src/discovery.rs
+++ b/crates/platform/src/discovery.rs
@@ -38,7 +38,7 @@
     #[error(transparent)]
     Protocol(#[from] ProtocolError),
     #[error("no HTTP: {0}")]
-    NotHttp(#[from] hyper::Error),
+    Http(#[from] hyper::Error),
     #[error("no request: {0}")]
     Request(#[from] http::Error),
 }
@@ -46,38 +46,38 @@
 /// Connects whenever it is called for, and at once to a new address.
 pub async fn run(
     handle: Arc<PlatformHandle>,
-    mut feed: SocketAddr,
-    calls: async_channel::Receiver<()>,
+    mut feed_address: SocketAddr,
+    requests: async_channel::Receiver<()>,
     new_addresses: async_channel::Receiver<SocketAddr>,
 ) {
     loop {
-        let called = async { calls.recv().await.ok().map(|()| None) };
-        let moved = async { new_addresses.recv().await.ok().map(Some) };
-        match called.or(moved).await {
+        let requested = async { requests.recv().await.ok().map(|()| None) };
+        let address_changed = async { new_addresses.recv().await.ok().map(Some) };
+        match requested.or(address_changed).await {
             None => return,
-            Some(to) => feed = to.unwrap_or(feed),
+            Some(to) => feed_address = to.unwrap_or(feed_address),
         }
         loop {
             let followed = async {
-                match follow(&handle, feed).await {
+                match follow(&handle, feed_address).await {
                     Err(error) => Err(error),
                     Ok(never) => match never {},
                 }
             };
-            let moved = async {
+            let address_changed = async {
                 match new_addresses.recv().await {
                     Ok(to) => Ok(to),
                     Err(_) => Err(DiscoveryError::Ended),
                 }
             };
-            match moved.or(followed).await {
+            match address_changed.or(followed).await {
                 Ok(to) => {
                     info!(%to, "the control feed has moved");
-                    feed = to;
+                    feed_address = to;
                 }
                 Err(error) => {
                     debug!(%error, "the control feed broke off");
-                    handle.list_failed();
+                    handle.endpoint_watch_failed();
                     break;
                 }
             }
@@ -86,32 +86,37 @@
 }
 
 /// Connects and applies events until the connection breaks.
-async fn follow(handle: &PlatformHandle, feed: SocketAddr) -> Result<Infallible, DiscoveryError> {
-    let stream = within(CONNECT_TIMEOUT, TcpStream::connect(feed)).await;
+async fn follow(
+    handle: &PlatformHandle,
+    feed_address: SocketAddr,
+) -> Result<Infallible, DiscoveryError> {
+    let stream = within(CONNECT_TIMEOUT, TcpStream::connect(feed_address)).await;
     let stream = stream
         .and_then(Result::ok)
-        .ok_or(DiscoveryError::NoConnection(feed))?;
+        .ok_or(DiscoveryError::NoConnection(feed_address))?;
     let _ = stream.set_nodelay(true);
     let (sender, connection) =
         hyper::client::conn::http1::handshake(FuturesIo::new(stream)).await?;
-    let carried = async {
+    let connection_ended = async {
         let ended = connection.await;
         // What has been read is handled first: the other side sees the end of the body by itself.
         futures_lite::future::pending::<()>().await;
         drop(ended);
         Err(DiscoveryError::Ended)
     };
-    watch(handle, feed, sender).or(carried).await
+    watch(handle, feed_address, sender)
+        .or(connection_ended)
+        .await
 }
 
 /// Requests the events after the last known one and applies them as they arrive.
 async fn watch(
     handle: &PlatformHandle,
-    feed: SocketAddr,
+    feed_address: SocketAddr,
     mut sender: SendRequest<Empty<Bytes>>,
 ) -> Result<Infallible, DiscoveryError> {
     let request = http::Request::get("/v1/events")
-        .header("Host", feed.to_string())
+        .header("Host", feed_address.to_string())
         .header("Accept", "text/event-stream")
         .header("Last-Event-ID", handle.last_event().to_string())
         .body(Empty::<Bytes>::new())?;
@@ -126,8 +131,8 @@
     let mut last_item_at = Instant::now();
     loop {
         // Since the last complete item: bytes that trickle in and complete nothing are silence too.
-        let left = SILENCE_TIMEOUT.saturating_sub(last_item_at.elapsed());
-        let frame = within(left, body.frame())
+        let time_left = SILENCE_TIMEOUT.saturating_sub(last_item_at.elapsed());
+        let frame = within(time_left, body.frame())
             .await
             .ok_or(DiscoveryError::Silent)?
             .ok_or(DiscoveryError::Ended)??;
--- a/crates/platform/src/errors.rs
+++ b/crates/platform/src/errors.rs
@@ -68,5 +68,5 @@
     Settings(#[from] SettingsError),
     /// They differ in names that may not change while a dispatcher runs.
     #[error("its classes, tenants, zones or kinds are others")]
-    OtherNames,
+    NamesChanged,
 }
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -43,7 +43,7 @@
 /// The interval of [`PlatformHandle::sweep`].
 const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
 
-fn read(path: &Path) -> Result<NodeConfig, ServeError> {
+fn read_config(path: &Path) -> Result<NodeConfig, ServeError> {
     let text = std::fs::read(path).map_err(|source| ServeError::ReadFile {
         path: path.into(),
         source,
@@ -74,44 +74,51 @@
     signals: impl Stream<Item = std::io::Result<Signal>> + Unpin,
     ready: impl FnOnce(SocketAddr),
 ) -> Result<(), ServeError> {
-    let config = read(path)?;
-    let invalid = |source| ServeError::InvalidConfig {
+    let config = read_config(path)?;
+    let invalid_config = |source| ServeError::InvalidConfig {
         path: path.into(),
         source,
     };
-    let budget =
-        DescriptorBudget::new(config.limits.sockets).map_err(|error| invalid(error.into()))?;
-    let (address, feed) = (config.listen, config.discovery_address);
-    let (wakes, woken) = wakes();
-    let (feed_moves, feed_moved) = async_channel::bounded(1);
-    let options = CoreOptions::new(config, &budget).map_err(invalid)?;
-    let handle = handle(options, &tasks, wakes, &budget);
-    let patience = ShutdownSchedule::after(handle.longest_deadline()).killed_after;
-    let listening = listen(address, patience + SHUTDOWN_MARGIN).await;
+    let budget = DescriptorBudget::new(config.limits.sockets)
+        .map_err(|error| invalid_config(error.into()))?;
+    let (address, feed_address) = (config.listen, config.discovery_address);
+    let (wake_senders, wake_receivers) = wake_channels();
+    let (feed_address_sender, feed_address_receiver) = async_channel::bounded(1);
+    let options = CoreOptions::new(config, &budget).map_err(invalid_config)?;
+    let handle = create_handle(options, &tasks, wake_senders, &budget);
+    let shutdown_timeout =
+        ShutdownSchedule::for_longest_deadline(handle.longest_deadline()).killed_after;
+    let listening = listen(address, shutdown_timeout + SHUTDOWN_MARGIN).await;
     let (listener, address) = listening.map_err(|source| ServeError::Listen { address, source })?;
     info!(%address, "listening");
     ready(address);
-    let background = spawn_background(&tasks, &handle, woken, feed, feed_moved);
-    let front = tasks.spawn(listener::run(
+    let background = spawn_background(
+        &tasks,
+        &handle,
+        wake_receivers,
+        feed_address,
+        feed_address_receiver,
+    );
+    let listener_task = tasks.spawn(listener::run(
         Arc::clone(&handle),
         Arc::clone(&tasks),
         listener,
-        Arc::clone(&budget.clients),
+        Arc::clone(&budget.client_permits),
     ));
     handle.start();
     let mut signals = signals;
-    wait_for_stop(&mut signals, || reload(&handle, path, &feed_moves)).await;
-    let stop = shutdown::stop(&handle, &budget, Instant::now(), front);
+    wait_for_stop(&mut signals, || reload(&handle, path, &feed_address_sender)).await;
+    let stop = shutdown::stop(&handle, &budget, Instant::now(), listener_task);
     // The feed's address may still change; another signal to stop changes nothing.
-    let heed_signals = async {
+    let reload_on_hangup = async {
         while let Some(signal) = signals.next().await {
             if matches!(signal, Ok(Signal::Hup)) {
-                reload(&handle, path, &feed_moves);
+                reload(&handle, path, &feed_address_sender);
             }
         }
         future::pending().await
     };
-    stop.or(heed_signals).await;
+    stop.or(reload_on_hangup).await;
     drop(background);
     info!("stopped");
     Ok(())
@@ -121,54 +128,55 @@
 fn spawn_background(
     tasks: &SharedExecutor,
     handle: &Arc<PlatformHandle>,
-    woken: WakeReceivers,
-    feed: SocketAddr,
-    feed_moved: async_channel::Receiver<SocketAddr>,
+    wake_receivers: WakeReceivers,
+    feed_address: SocketAddr,
+    feed_address_receiver: async_channel::Receiver<SocketAddr>,
 ) -> impl Sized + use<> {
-    let fired = Arc::clone(handle);
+    let timer_handle = Arc::clone(handle);
     [
-        tasks.spawn(corkspan_runtime::run_timer(woken.timer, move || {
-            fired.timer_fired()
-        })),
-        tasks.spawn(run_turns(Arc::clone(handle), woken.run_turn)),
+        tasks.spawn(corkspan_runtime::run_timer(
+            wake_receivers.timer,
+            move || timer_handle.timer_fired(),
+        )),
+        tasks.spawn(run_turns(Arc::clone(handle), wake_receivers.run_turn)),
         tasks.spawn(discovery::run(
             Arc::clone(handle),
-            feed,
-            woken.watch_list,
-            feed_moved,
+            feed_address,
+            wake_receivers.watch_endpoint_list,
+            feed_address_receiver,
         )),
-        tasks.spawn(sweep(Arc::clone(handle))),
+        tasks.spawn(run_sweeps(Arc::clone(handle))),
     ]
 }
 
 /// The receiving ends of [`WakeSenders`].
 struct WakeReceivers {
     timer: async_channel::Receiver<Instant>,
-    watch_list: async_channel::Receiver<()>,
+    watch_endpoint_list: async_channel::Receiver<()>,
     run_turn: async_channel::Receiver<()>,
 }
 
-fn wakes() -> (WakeSenders, WakeReceivers) {
+fn wake_channels() -> (WakeSenders, WakeReceivers) {
     let (timer, timer_receiver) = async_channel::bounded(1);
-    let (watch_list, watch_list_receiver) = async_channel::bounded(1);
+    let (watch_endpoint_list, watch_endpoint_list_receiver) = async_channel::bounded(1);
     let (run_turn, run_turn_receiver) = async_channel::bounded(1);
     let senders = WakeSenders {
         timer,
-        watch_list,
+        watch_endpoint_list,
         run_turn,
     };
     let receivers = WakeReceivers {
         timer: timer_receiver,
-        watch_list: watch_list_receiver,
+        watch_endpoint_list: watch_endpoint_list_receiver,
         run_turn: run_turn_receiver,
     };
     (senders, receivers)
 }
 
-fn handle(
+fn create_handle(
     options: CoreOptions,
     tasks: &SharedExecutor,
-    wakes: WakeSenders,
+    wake_senders: WakeSenders,
     budget: &DescriptorBudget,
 ) -> Arc<PlatformHandle> {
     let clock = Clock::start();
@@ -177,8 +185,8 @@
             handle,
             clock,
             tasks: Arc::clone(tasks),
-            wakes,
-            node_budget: Arc::clone(&budget.nodes),
+            wake_senders,
+            node_permits: Arc::clone(&budget.node_permits),
         })
     })
 }
@@ -187,9 +195,9 @@
 /// a second. Also returns the address, whose port the system may have chosen.
 async fn listen(
     address: SocketAddr,
-    patience: Duration,
+    shutdown_timeout: Duration,
 ) -> std::io::Result<(TcpListener, SocketAddr)> {
-    let listener = bind(address, patience).await?;
+    let listener = bind(address, shutdown_timeout).await?;
     rustix::net::listen(&listener, LISTEN_BACKLOG)?;
     let address = listener.local_addr()?;
     Ok((listener, address))
@@ -197,11 +205,12 @@
 
 /// Waits for the address where a former process has not ended yet.
 async fn bind(address: SocketAddr, within: Duration) -> std::io::Result<TcpListener> {
-    let since = Instant::now();
+    let started_at = Instant::now();
     loop {
         match TcpListener::bind(address).await {
             Err(error)
-                if error.kind() == std::io::ErrorKind::AddrInUse && since.elapsed() < within =>
+                if error.kind() == std::io::ErrorKind::AddrInUse
+                    && started_at.elapsed() < within =>
             {
                 Timer::after(Duration::from_millis(10)).await;
             }
@@ -229,11 +238,11 @@
 fn reload(
     handle: &Arc<PlatformHandle>,
     path: &Path,
-    feed_moves: &async_channel::Sender<SocketAddr>,
+    feed_address_sender: &async_channel::Sender<SocketAddr>,
 ) {
-    match read(path) {
+    match read_config(path) {
         Ok(config) => {
-            let _ = feed_moves.force_send(config.discovery_address);
+            let _ = feed_address_sender.force_send(config.discovery_address);
             handle.apply_known_events(config.discovery_state.clone());
             if let Err(error) = handle.reconfigure(config) {
                 warn!(%error, "the new file's settings are not taken over");
@@ -244,15 +253,15 @@
 }
 
 /// Between two turns every other task that is ready runs once.
-async fn run_turns(handle: Arc<PlatformHandle>, calls: async_channel::Receiver<()>) {
-    while calls.recv().await.is_ok() {
+async fn run_turns(handle: Arc<PlatformHandle>, requests: async_channel::Receiver<()>) {
+    while requests.recv().await.is_ok() {
         while handle.run_turn() {
             future::yield_now().await;
         }
     }
 }
 
-async fn sweep(handle: Arc<PlatformHandle>) {
+async fn run_sweeps(handle: Arc<PlatformHandle>) {
     loop {
         Timer::after(SWEEP_INTERVAL).await;
         handle.sweep();
--- a/crates/platform/src/listener.rs
+++ b/crates/platform/src/listener.rs
@@ -3,7 +3,7 @@
 use crate::handle::PlatformHandle;
 use crate::ids::ClientId;
 use crate::reader::ConnectionInput;
-use crate::writer::{MessageQueue, carry};
+use crate::writer::{MessageQueue, run_connection};
 use async_io::Timer;
 use async_lock::{Semaphore, SemaphoreGuardArc};
 use async_net::{TcpListener, TcpStream};
@@ -33,9 +33,9 @@
                 // Where there is no room the stream is dropped, which closes it.
                 if let Some((id, queue)) = handle.client_connected() {
                     match within(DESCRIPTOR_TIMEOUT, budget.acquire_arc()).await {
-                        Some(place) => {
+                        Some(permit) => {
                             tasks
-                                .spawn(client(Arc::clone(&handle), stream, id, queue, place))
+                                .spawn(serve_client(Arc::clone(&handle), stream, id, queue, permit))
                                 .detach();
                         }
                         None => handle.client_disconnected(id),
@@ -55,17 +55,17 @@
 }
 
 /// Carries a client's connection to its end.
-pub async fn client(
+pub async fn serve_client(
     handle: Arc<PlatformHandle>,
     stream: TcpStream,
     id: ClientId,
     queue: MessageQueue,
-    _place: SemaphoreGuardArc,
+    _permit: SemaphoreGuardArc,
 ) {
     let _ = stream.set_nodelay(true);
     let input = ConnectionInput::new(stream.clone());
     handle.attach_client_input(id, input.clone());
-    let undelivered = carry(stream, queue, |_| true, async {
+    let undelivered = run_connection(stream, queue, |_| true, async {
         input.read_messages(|| handle.read_client_message(id)).await;
         handle.client_disconnected(id);
     })
--- a/crates/platform/src/node_connection_task.rs
+++ b/crates/platform/src/node_connection_task.rs
@@ -4,7 +4,7 @@
 use crate::handle::PlatformHandle;
 use crate::ids::ConnectionId;
 use crate::reader::{ConnectionInput, ReadOutcome, ReadProgress};
-use crate::writer::carry;
+use crate::writer::run_connection;
 use async_lock::Semaphore;
 use async_net::TcpStream;
 use corkspan_platform_wire::node::Reader;
@@ -43,17 +43,17 @@
     let (input, mut reader) = (ConnectionInput::new(stream.clone()), Reader::default());
     let reading = async {
         input
-            .read_messages(|| handle_next(&handle, id, &input, &mut reader))
+            .read_messages(|| handle_next_message(&handle, id, &input, &mut reader))
             .await;
         handle.connection_ended(id, ConnectionEnd::Broken);
     };
     let may_write_set_up = |attempt| handle.may_write_set_up(id, attempt);
-    carry(stream, queue, may_write_set_up, reading).await;
+    run_connection(stream, queue, may_write_set_up, reading).await;
     handle.connection_ended(id, ConnectionEnd::Broken);
 }
 
 /// Handles the next message of the node.
-fn handle_next(
+fn handle_next_message(
     handle: &PlatformHandle,
     id: ConnectionId,
     input: &ConnectionInput,
--- a/crates/platform/src/node_connections.rs
+++ b/crates/platform/src/node_connections.rs
@@ -15,7 +15,7 @@
 pub struct NodeConnection {
     pub machine: MachineId,
     pub to: MessageSender,
-    up: bool,
+    established: bool,
     /// No further set-up is sent on it.
     draining: bool,
     pub open_attempts: BTreeSet<AllocationId>,
@@ -44,7 +44,7 @@
     /// The queues of all connections that have been opened, for a test that stands in for their
     /// tasks.
     #[cfg(test)]
-    pub tapped: Vec<(ConnectionId, MessageQueue)>,
+    pub opened_queues: Vec<(ConnectionId, MessageQueue)>,
 }
 
 impl NodeConnections {
@@ -61,12 +61,12 @@
             connect_timeout,
             idle_timeout,
             #[cfg(test)]
-            tapped: Vec::new(),
+            opened_queues: Vec::new(),
         }
     }
 
     /// The connections to a machine that set-ups may be sent on.
-    pub fn of(&self, machine: MachineId) -> Vec<ConnectionId> {
+    pub fn available_to(&self, machine: MachineId) -> Vec<ConnectionId> {
         let connections = self.by_machine.get(&machine).into_iter().flatten().copied();
         connections
             .filter(|connection| !self.connections[connection].draining)
@@ -85,21 +85,21 @@
 
     /// None where the pool or the node's part of it is full.
     pub fn open(&mut self, machine: MachineId, now: Ticks) -> Option<(ConnectionId, MessageQueue)> {
-        if self.is_full() || self.is_crowded(machine) {
+        if self.is_full() || self.is_node_full(machine) {
             return None;
         }
         self.opened += 1;
         let id = ConnectionId(self.opened);
         let (to, queue) = message_queue();
         #[cfg(test)]
-        self.tapped.push((id, queue.tapped()));
+        self.opened_queues.push((id, queue.second_receiver()));
         let open = BTreeSet::new();
         self.connections.insert(
             id,
             NodeConnection {
                 machine,
                 to,
-                up: false,
+                established: false,
                 draining: false,
                 open_attempts: open,
                 last_used_at: now,
@@ -120,7 +120,7 @@
     }
 
     /// Whether no further connection may be opened to this machine.
-    pub fn is_crowded(&self, machine: MachineId) -> bool {
+    pub fn is_node_full(&self, machine: MachineId) -> bool {
         self.by_machine.get(&machine).map_or(0, BTreeSet::len) >= MAX_CONNECTIONS_PER_NODE
     }
 
@@ -129,26 +129,28 @@
     /// and none to a draining node, which may accept no other.
     pub fn evict(&mut self, nodes: &Nodes, except: &BTreeSet<ConnectionId>, eviction: Eviction) {
         let free = self.connections.iter().filter(|(id, connection)| {
-            connection.up && connection.open_attempts.is_empty() && !except.contains(id)
+            connection.established && connection.open_attempts.is_empty() && !except.contains(id)
         });
-        let alone = |connection: &NodeConnection| {
-            nodes.has_tasks(connection.machine) && self.of(connection.machine).len() < 2
+        let is_only_connection = |connection: &NodeConnection| {
+            nodes.has_tasks(connection.machine) && self.available_to(connection.machine).len() < 2
         };
         let ranked = free.map(|(&id, connection)| {
             (
-                alone(connection),
+                is_only_connection(connection),
                 connection.last_used_at,
                 id,
                 connection.machine,
             )
         });
-        let may = |alone: bool, machine| {
-            !alone || eviction == Eviction::Any && !nodes.is_draining(machine)
+        let may_evict = |is_only_connection: bool, machine| {
+            !is_only_connection || eviction == Eviction::Any && !nodes.is_draining(machine)
         };
-        let least = ranked
-            .filter(|&(alone, _, _, machine)| may(alone, machine))
+        let least_useful = ranked
+            .filter(|&(is_only_connection, _, _, machine)| may_evict(is_only_connection, machine))
             .min();
-        least.into_iter().for_each(|(_, _, id, _)| self.close(id));
+        least_useful
+            .into_iter()
+            .for_each(|(_, _, id, _)| self.close(id));
     }
 
     /// Connections and attempts on them, for tests of what is retained.
@@ -162,7 +164,7 @@
 
     /// Open connections, and half-closed ones.
     #[cfg(test)]
-    pub fn counts(&self) -> (usize, usize) {
+    pub fn open_and_half_closed(&self) -> (usize, usize) {
         (self.connections.len(), self.half_closed.len())
     }
 
@@ -174,11 +176,11 @@
 
     /// Takes all connections as established.
     #[cfg(test)]
-    pub fn all_up(&mut self, now: Ticks) {
+    pub fn establish_all(&mut self, now: Ticks) {
         self.connections
             .values_mut()
-            .filter(|connection| !connection.up)
-            .for_each(|connection| (connection.up, connection.last_used_at) = (true, now));
+            .filter(|connection| !connection.established)
+            .for_each(|connection| (connection.established, connection.last_used_at) = (true, now));
     }
 
     /// A connection without an open attempt, so that if it breaks nothing else breaks with it.
@@ -189,12 +191,12 @@
         except: &[ConnectionId],
     ) -> Option<ConnectionId> {
         let others = self
-            .of(machine)
+            .available_to(machine)
             .into_iter()
             .filter(|id| !except.contains(id));
         let connections = others.map(|id| (id, &self.connections[&id]));
         let free = connections.filter(|(_, connection)| {
-            connection.up
+            connection.established
                 && connection.open_attempts.is_empty()
                 && connection.last_used_at + self.idle_timeout > now
         });
@@ -208,7 +210,7 @@
         machine: MachineId,
         except: &[ConnectionId],
     ) -> Option<ConnectionId> {
-        self.of(machine)
+        self.available_to(machine)
             .into_iter()
             .filter(|id| !except.contains(id))
             .min_by_key(|id| self.connections[id].open_attempts.len())
@@ -231,9 +233,9 @@
     }
 
     /// The connection is established.
-    pub fn established(&mut self, id: ConnectionId, now: Ticks) {
+    pub fn mark_established(&mut self, id: ConnectionId, now: Ticks) {
         if let Some(connection) = self.connections.get_mut(&id) {
-            (connection.up, connection.last_used_at) = (true, now);
+            (connection.established, connection.last_used_at) = (true, now);
         }
     }
 
@@ -241,7 +243,7 @@
     pub fn is_established(&self, id: ConnectionId) -> bool {
         self.connections
             .get(&id)
-            .is_some_and(|connection| connection.up && !connection.draining)
+            .is_some_and(|connection| connection.established && !connection.draining)
     }
 
     /// Records that a message has arrived. The machine at the other end; none where the connection
@@ -294,8 +296,11 @@
     /// connection, which may not be opened for long while another one exists. Each keeps its
     /// descriptor, so their number is limited; beyond, both sides are closed.
     pub fn close(&mut self, id: ConnectionId) {
-        let room = self.half_closed.len() < self.max_connections / CONNECTIONS_PER_HALF_CLOSED;
-        let Some(connection) = self.remove(id).filter(|connection| connection.up && room) else {
+        let has_room = self.half_closed.len() < self.max_connections / CONNECTIONS_PER_HALF_CLOSED;
+        let Some(connection) = self
+            .remove(id)
+            .filter(|connection| connection.established && has_room)
+        else {
             return;
         };
         self.half_closed.insert(id, connection.machine);
@@ -330,7 +335,7 @@
         for (id, machine) in ids {
             if self.connections[&id].draining
                 || !nodes.has_tasks(machine)
-                || self.of(machine).len() > 1
+                || self.available_to(machine).len() > 1
             {
                 self.close(id);
             }
--- a/crates/platform/src/nodes.rs
+++ b/crates/platform/src/nodes.rs
@@ -34,7 +34,7 @@
 /// What a change to the list means.
 #[derive(Default)]
 pub struct ListChange {
-    pub entries: Vec<Endpoint>,
+    pub endpoints: Vec<Endpoint>,
     /// The list is complete: a node that it does not name is gone. Not so where an entry could not
     /// be read.
     pub complete: bool,
@@ -44,7 +44,7 @@
 }
 
 /// The id of a node is a hash of its name alone, so that it is the same at every dispatcher.
-fn machine(name: &str) -> MachineId {
+fn machine_id(name: &str) -> MachineId {
     let mut hasher = FnvHasher::default();
     hasher.write(name.as_bytes());
     let hash = hasher.finish();
@@ -64,7 +64,7 @@
 impl Nodes {
     /// The id of the node with this name.
     pub fn find(&self, name: &str) -> Option<MachineId> {
-        let id = machine(name);
+        let id = machine_id(name);
         self.nodes
             .get(&id)
             .filter(|node| node.name == name)
@@ -77,14 +77,14 @@
     }
 
     /// A task runs on a node.
-    pub fn task_started(&mut self, machine: MachineId, id: AllocationId) {
+    pub fn add_task(&mut self, machine: MachineId, id: AllocationId) {
         if let Some(node) = self.nodes.get_mut(&machine) {
             node.tasks.insert(id);
         }
     }
 
     /// A task runs on a node no longer.
-    pub fn task_left(&mut self, machine: MachineId, id: AllocationId) {
+    pub fn remove_task(&mut self, machine: MachineId, id: AllocationId) {
         if let Some(node) = self.nodes.get_mut(&machine) {
             node.tasks.remove(&id);
         }
@@ -148,7 +148,7 @@
         change.complete = list.complete && readable.len() == list.entries.len();
         if change.complete {
             let is_listed =
-                |id: &MachineId| readable.iter().any(|member| machine(&member.id) == *id);
+                |id: &MachineId| readable.iter().any(|member| machine_id(&member.id) == *id);
             change.gone = self
                 .nodes
                 .keys()
@@ -157,16 +157,16 @@
                 .collect();
         }
         for member in readable {
-            let Some(entry) = self.entry(member, settings) else {
+            let Some(endpoint) = self.to_endpoint(member, settings) else {
                 warn!(
                     member.id,
                     "a node of a kind or in a place that the settings don't name is left out"
                 );
                 continue;
             };
-            change.entries.push(entry);
-            let id = entry.machine;
-            if entry.state == MachineState::Removed {
+            change.endpoints.push(endpoint);
+            let id = endpoint.machine;
+            if endpoint.state == MachineState::Removed {
                 change.gone.push(id);
                 continue;
             }
@@ -180,7 +180,7 @@
                 tasks: BTreeSet::new(),
             });
             node.address = member.address;
-            node.draining = entry.state == MachineState::Draining;
+            node.draining = endpoint.state == MachineState::Draining;
             node.closed_to_connections &= node.draining;
             if std::mem::replace(&mut node.started, member.up_since_ms) != member.up_since_ms {
                 change
@@ -201,9 +201,9 @@
         self.nodes.remove(&machine);
     }
 
-    fn entry(&self, member: &NodeEntry, settings: &Settings) -> Option<Endpoint> {
-        let id = machine(&member.id);
-        let stranger = self
+    fn to_endpoint(&self, member: &NodeEntry, settings: &Settings) -> Option<Endpoint> {
+        let id = machine_id(&member.id);
+        let name_differs = self
             .nodes
             .get(&id)
             .is_some_and(|node| node.name != member.id);
@@ -213,7 +213,7 @@
                 settings
                     .machine_types
                     .iter()
-                    .position(|kind| *kind == member.machine_type)?,
+                    .position(|name| *name == member.machine_type)?,
             ),
             zone: ZoneId(
                 settings
@@ -234,6 +234,6 @@
                 .unrequested
                 .map(|(cores, memory)| Resources { cores, memory }),
         })
-        .filter(|_| !stranger)
+        .filter(|_| !name_differs)
     }
 }
--- a/crates/platform/src/reader.rs
+++ b/crates/platform/src/reader.rs
@@ -60,9 +60,9 @@
     /// Calls `handle_next` until it is done, one message at a time: between two of them the other
     /// connections are served. So a node's message waits for one set-up of each client's connection
     /// at the most, and not for all that have arrived on them.
-    pub async fn read_messages(&self, mut handle_next: impl FnMut() -> ReadProgress) {
+    pub async fn read_messages(&self, mut handle_next_message: impl FnMut() -> ReadProgress) {
         loop {
-            match handle_next() {
+            match handle_next_message() {
                 ReadProgress::Handled => future::yield_now().await,
                 ReadProgress::Drained if self.0.readable().await.is_err() => return,
                 ReadProgress::Drained => {}
--- a/crates/platform/src/shutdown.rs
+++ b/crates/platform/src/shutdown.rs
@@ -29,19 +29,21 @@
 impl ShutdownSchedule {
     /// SIGKILL comes no sooner than the longest deadline (at most 3 s) and 0.7 s after SIGTERM. A
     /// set-up that arrives within those 0.7 s is still due an answer.
-    pub fn after(longest_deadline: Option<Duration>) -> Self {
-        const COUNTS: Duration = Duration::from_millis(700);
+    pub fn for_longest_deadline(longest_deadline: Option<Duration>) -> Self {
+        const ACCEPT_WINDOW: Duration = Duration::from_millis(700);
         let longest = longest_deadline
             .unwrap_or(Duration::MAX)
             .min(Duration::from_secs(3));
-        let killed = longest + COUNTS;
-        let gone = killed - SHUTDOWN_MARGIN.min(longest / 4);
-        let answers = gone.saturating_sub(2 * SHUTDOWN_MARGIN).max(COUNTS);
+        let kill_time = longest + ACCEPT_WINDOW;
+        let all_deadline = kill_time - SHUTDOWN_MARGIN.min(longest / 4);
+        let waiting_deadline = all_deadline
+            .saturating_sub(2 * SHUTDOWN_MARGIN)
+            .max(ACCEPT_WINDOW);
         ShutdownSchedule {
-            accept_for: Duration::from_millis(900).min(gone),
-            answer_waiting_within: answers,
-            answer_all_within: gone,
-            killed_after: killed,
+            accept_for: Duration::from_millis(900).min(all_deadline),
+            answer_waiting_within: waiting_deadline,
+            answer_all_within: all_deadline,
+            killed_after: kill_time,
         }
     }
 }
@@ -53,47 +55,48 @@
     handle: &PlatformHandle,
     budget: &DescriptorBudget,
     signalled_at: Instant,
-    front: T,
+    listener_task: T,
 ) {
-    let ends = ShutdownSchedule::after(handle.longest_deadline());
+    let schedule = ShutdownSchedule::for_longest_deadline(handle.longest_deadline());
     info!(kept = handle.retained_items(), "stopping");
-    Timer::at(signalled_at + ends.accept_for).await;
-    until(signalled_at + ends.answer_waiting_within, || {
+    Timer::at(signalled_at + schedule.accept_for).await;
+    wait_until(signalled_at + schedule.answer_waiting_within, || {
         handle.unanswered() == 0
     })
     .await;
     handle.stop();
-    until(signalled_at + ends.answer_all_within, || {
+    wait_until(signalled_at + schedule.answer_all_within, || {
         handle.unanswered() == 0
     })
     .await;
-    drop(front);
+    drop(listener_task);
     handle.abandon_all();
     // The last messages are written when every connection has returned its descriptor.
-    let written = future::zip(
-        all_returned(&budget.clients, budget.client_descriptors),
-        all_returned(
-            &budget.nodes,
+    let all_written = future::zip(
+        wait_until_returned(&budget.client_permits, budget.client_descriptors),
+        wait_until_returned(
+            &budget.node_permits,
             budget.max_node_connections
                 + budget.max_node_connections / descriptor_budget::CONNECTIONS_PER_HALF_CLOSED,
         ),
     );
-    let rest =
-        (signalled_at + ends.answer_all_within + (ends.killed_after - ends.answer_all_within) / 2)
-            .saturating_duration_since(Instant::now());
-    if within(rest, written).await.is_none() {
+    let remaining = (signalled_at
+        + schedule.answer_all_within
+        + (schedule.killed_after - schedule.answer_all_within) / 2)
+        .saturating_duration_since(Instant::now());
+    if within(remaining, all_written).await.is_none() {
         warn!("some connections took no last messages");
     }
 }
 
-async fn until(latest: Instant, done: impl Fn() -> bool) {
-    while !done() && Instant::now() < latest {
+async fn wait_until(deadline: Instant, done: impl Fn() -> bool) {
+    while !done() && Instant::now() < deadline {
         Timer::after(Duration::from_millis(5)).await;
     }
 }
 
 /// Waits until all of these descriptors have been returned.
-async fn all_returned(budget: &Semaphore, count: usize) {
+async fn wait_until_returned(budget: &Semaphore, count: usize) {
     for _ in 0..count {
         std::mem::forget(budget.acquire().await);
     }
--- a/crates/platform/src/writer.rs
+++ b/crates/platform/src/writer.rs
@@ -28,13 +28,13 @@
 /// The sending end; dropping it closes the connection once all is written.
 #[derive(Debug)]
 pub struct MessageSender {
-    to: async_channel::Sender<QueuedMessage>,
+    sender: async_channel::Sender<QueuedMessage>,
     shared: Arc<SharedState>,
 }
 
 /// The receiving end, for the task that writes.
 pub struct MessageQueue {
-    from: async_channel::Receiver<QueuedMessage>,
+    receiver: async_channel::Receiver<QueuedMessage>,
     shared: Arc<SharedState>,
 }
 
@@ -58,9 +58,9 @@
 #[derive(Debug, Default)]
 struct SharedState {
     /// Bytes that are queued.
-    waiting: AtomicUsize,
+    queued_bytes: AtomicUsize,
     /// Once our side is closed, what the peer sent before is still read.
-    half_closes: AtomicBool,
+    half_close_requested: AtomicBool,
     /// Nothing more is written: it was meant for a peer that is gone, and another may have its
     /// address.
     discarded: AtomicBool,
@@ -68,45 +68,55 @@
 
 /// Both ends of an empty queue.
 pub fn message_queue() -> (MessageSender, MessageQueue) {
-    let (to, from) = async_channel::unbounded();
+    let (sender, receiver) = async_channel::unbounded();
     let shared = Arc::new(SharedState::default());
     (
         MessageSender {
-            to,
+            sender,
             shared: Arc::clone(&shared),
         },
-        MessageQueue { from, shared },
+        MessageQueue { receiver, shared },
     )
 }
 
 impl MessageSender {
     /// False where the connection can't be used any more.
     pub fn send(&self, bytes: Vec<u8>) -> bool {
-        self.put(Purpose::Other, bytes)
+        self.enqueue(Purpose::Other, bytes)
     }
 
     /// The same for a set-up.
     pub fn send_set_up(&self, attempt: AttemptId, bytes: Vec<u8>) -> bool {
-        self.put(Purpose::SetUp(attempt), bytes)
+        self.enqueue(Purpose::SetUp(attempt), bytes)
     }
 
     /// The same for the end of a running task.
     pub fn send_task_end(&self, bytes: Vec<u8>) -> bool {
-        self.put(Purpose::TaskEnd, bytes)
+        self.enqueue(Purpose::TaskEnd, bytes)
     }
 
-    fn put(&self, purpose: Purpose, bytes: Vec<u8>) -> bool {
+    fn enqueue(&self, purpose: Purpose, bytes: Vec<u8>) -> bool {
         let length = bytes.len();
-        if self.shared.waiting.fetch_add(length, Ordering::Relaxed) + length > MAX_QUEUED_BYTES {
-            self.to.close();
+        if self
+            .shared
+            .queued_bytes
+            .fetch_add(length, Ordering::Relaxed)
+            + length
+            > MAX_QUEUED_BYTES
+        {
+            self.sender.close();
         }
-        self.to.try_send(QueuedMessage { purpose, bytes }).is_ok()
+        self.sender
+            .try_send(QueuedMessage { purpose, bytes })
+            .is_ok()
     }
 
     /// Closes our side once all is written, and goes on reading until the peer has closed its side
     /// too.
     pub fn half_close(self) {
-        self.shared.half_closes.store(true, Ordering::Relaxed);
+        self.shared
+            .half_close_requested
+            .store(true, Ordering::Relaxed);
     }
 
     /// Closes the connection with nothing more written.
@@ -118,14 +128,14 @@
 impl MessageQueue {
     /// Takes all queued messages out.
     #[cfg(test)]
-    pub fn waiting(&self) -> Vec<Vec<u8>> {
-        std::iter::from_fn(|| self.from.try_recv().ok().map(|message| message.bytes)).collect()
+    pub fn take_all(&self) -> Vec<Vec<u8>> {
+        std::iter::from_fn(|| self.receiver.try_recv().ok().map(|message| message.bytes)).collect()
     }
 
     /// Takes the next message out, with the attempt that it starts.
     #[cfg(test)]
     pub fn next(&self) -> Option<(Option<AttemptId>, Vec<u8>)> {
-        let QueuedMessage { purpose, bytes } = self.from.try_recv().ok()?;
+        let QueuedMessage { purpose, bytes } = self.receiver.try_recv().ok()?;
         match purpose {
             Purpose::SetUp(attempt) => Some((Some(attempt), bytes)),
             Purpose::TaskEnd | Purpose::Other => Some((None, bytes)),
@@ -136,15 +146,15 @@
     /// half-closed.
     #[cfg(test)]
     pub fn ended(&self) -> Option<bool> {
-        let ended = self.from.is_closed() && self.from.is_empty();
-        ended.then(|| self.shared.half_closes.load(Ordering::Relaxed))
+        let ended = self.receiver.is_closed() && self.receiver.is_empty();
+        ended.then(|| self.shared.half_close_requested.load(Ordering::Relaxed))
     }
 
     /// A second receiving end.
     #[cfg(test)]
-    pub fn tapped(&self) -> MessageQueue {
+    pub fn second_receiver(&self) -> MessageQueue {
         MessageQueue {
-            from: self.from.clone(),
+            receiver: self.receiver.clone(),
             shared: Arc::clone(&self.shared),
         }
     }
@@ -156,16 +166,16 @@
 
     /// Writes messages until no more can come, or the peer reads no more.
     async fn write(&self, mut stream: TcpStream, may_write_set_up: impl Fn(AttemptId) -> bool) {
-        while let Ok(QueuedMessage { purpose, bytes }) = self.from.recv().await {
-            let wanted = !self.is_discarded()
+        while let Ok(QueuedMessage { purpose, bytes }) = self.receiver.recv().await {
+            let should_write = !self.is_discarded()
                 && !matches!(purpose, Purpose::SetUp(attempt) if !may_write_set_up(attempt));
-            let written = if wanted {
+            let written = if should_write {
                 within(WRITE_TIMEOUT, stream.write_all(&bytes)).await
             } else {
                 Some(Ok(()))
             };
             self.shared
-                .waiting
+                .queued_bytes
                 .fetch_sub(bytes.len(), Ordering::Relaxed);
             if !matches!(written, Some(Ok(()))) {
                 return;
@@ -178,7 +188,7 @@
 /// to be read; what follows from that happens within it and does not wait for the last messages.
 /// `may_write_set_up` is asked before each set-up is written. Returns ends of running tasks that
 /// were not delivered.
-pub async fn carry(
+pub async fn run_connection(
     stream: TcpStream,
     queue: MessageQueue,
     may_write_set_up: impl Fn(AttemptId) -> bool,
@@ -197,9 +207,9 @@
     };
     let fully_read = fully_read.or(fully_written).await;
     let mut undelivered = Vec::new();
-    let rest = async {
+    let flush = async {
         let mut stream = stream.clone();
-        while let Ok(QueuedMessage { purpose, bytes }) = queue.from.try_recv() {
+        while let Ok(QueuedMessage { purpose, bytes }) = queue.receiver.try_recv() {
             match purpose {
                 Purpose::SetUp(_) => {}
                 Purpose::TaskEnd if fully_read => undelivered.push(bytes),
@@ -209,11 +219,11 @@
             }
         }
     };
-    within(FLUSH_TIMEOUT, rest).await;
-    while let Ok(QueuedMessage { purpose, bytes }) = queue.from.try_recv() {
+    within(FLUSH_TIMEOUT, flush).await;
+    while let Ok(QueuedMessage { purpose, bytes }) = queue.receiver.try_recv() {
         undelivered.extend((purpose == Purpose::TaskEnd).then_some(bytes));
     }
-    if !fully_read && queue.shared.half_closes.load(Ordering::Relaxed) {
+    if !fully_read && queue.shared.half_close_requested.load(Ordering::Relaxed) {
         let _ = stream.shutdown(Shutdown::Write);
         within(HALF_CLOSE_TIMEOUT, read).await;
     }
--- a/crates/platform/tests/core/bounds.rs
+++ b/crates/platform/tests/core/bounds.rs
@@ -52,25 +52,25 @@
     config: NodeConfig,
     budget: &DescriptorBudget,
 ) -> (Arc<PlatformHandle>, async_channel::Receiver<()>) {
-    let (wakes, _waking) = async_channel::bounded(1);
-    let (watches, watching) = async_channel::bounded(1);
-    let (turns, _turning) = async_channel::bounded(1);
+    let (timer_wakes, _timer_receiver) = async_channel::bounded(1);
+    let (watch_sender, watch_receiver) = async_channel::bounded(1);
+    let (turn_sender, _turn_receiver) = async_channel::bounded(1);
     let clock = Clock::start();
-    let start = CoreOptions::new(config, budget).expect("sound");
-    let handle = PlatformHandle::new(start, clock, |handle| {
+    let options = CoreOptions::new(config, budget).expect("sound");
+    let handle = PlatformHandle::new(options, clock, |handle| {
         Box::new(TaskEffects {
             handle,
             clock,
             tasks: SharedExecutor::default(),
-            wakes: WakeSenders {
-                timer: wakes,
-                watch_list: watches,
-                run_turn: turns,
+            wake_senders: WakeSenders {
+                timer: timer_wakes,
+                watch_endpoint_list: watch_sender,
+                run_turn: turn_sender,
             },
-            node_budget: Arc::clone(&budget.nodes),
+            node_permits: Arc::clone(&budget.node_permits),
         })
     });
-    (handle, watching)
+    (handle, watch_receiver)
 }
 
 /// A client sends a message, and all waiting set-ups are placed.
@@ -126,8 +126,8 @@
         handle.client_disconnected(id);
         if round % 100 == 0 {
             // The scheduler evaluates by the clock, which this test outruns.
-            handle.enter(|core, now| {
-                core.with(now, |engine, state| {
+            handle.with_core(|core, now| {
+                core.process_event(now, |engine, state| {
                     engine.poll(now + round * SECOND, state)
                 });
             });
@@ -195,7 +195,7 @@
 
 /// All connections are established, and each node answers the health checks that have reached it.
 fn answer_health_checks(PlatformCore { engine, state }: &mut PlatformCore) {
-    state.connections.all_up(state.now);
+    state.connections.establish_all(state.now);
     for (test, check) in std::mem::take(&mut state.health_checks) {
         state
             .timers
@@ -258,14 +258,14 @@
     handle.apply_event(serde_json::from_str(&event).expect("an event"));
     let mut inner = handle.lock();
     let machine = inner.state.nodes.find("s-1").expect("listed");
-    let connection = inner.state.connections.of(machine);
+    let connection = inner.state.connections.available_to(machine);
     for step in 1..=24 {
         let PlatformCore { engine, state } = &mut *inner;
         state.now += step * SECOND / 4;
         state.sweep(state.now, engine);
-        state.connections.all_up(state.now);
+        state.connections.establish_all(state.now);
         assert_eq!(
-            (state.connections.of(machine), connection.len()),
+            (state.connections.available_to(machine), connection.len()),
             (connection.clone(), 1)
         );
     }
@@ -281,7 +281,7 @@
         let connections = |task: &u64| {
             state
                 .connections
-                .of(state.nodes.find(&format!("s-{task:x}")).expect("listed"))
+                .available_to(state.nodes.find(&format!("s-{task:x}")).expect("listed"))
         };
         let was_running = (1..=200)
             .filter_map(|task| Some((*connections(&task).first()?, task)))
@@ -303,7 +303,7 @@
             ));
             let released = client::encode(MessageType::Release, task, &[(client::CAUSE, &[16])])
                 .expect("short");
-            assert_eq!(queue.waiting().last(), Some(&released), "task {task}");
+            assert_eq!(queue.take_all().last(), Some(&released), "task {task}");
         }
     }
     assert!(gone > 0, "some connections have given way");
@@ -322,7 +322,7 @@
             ..node::Message::new(node::MessageType::Ready, task)
         };
         assert!(handle.handle_node_message(connection, made));
-        let (open, closing) = handle.lock().state.connections.counts();
+        let (open, closing) = handle.lock().state.connections.open_and_half_closed();
         assert!(
             open <= 85 && closing <= 17,
             "a third of the descriptors, and a fifth of that: {open}, {closing}"
@@ -336,7 +336,7 @@
 fn a_release_is_passed_on_before_set_ups_that_came_earlier() {
     let (handle, client, queue) = full_pool(20);
     let connection = handle.lock().state.connections.newest();
-    queue.waiting();
+    queue.take_all();
     for task in 1_000..1_200 {
         assert!(handle.handle_client_message(client, &set_up(task)));
     }
@@ -346,7 +346,7 @@
     ));
     let released =
         client::encode(MessageType::Release, 20, &[(client::CAUSE, &[16])]).expect("short");
-    assert_eq!(queue.waiting(), [released]);
+    assert_eq!(queue.take_all(), [released]);
     let waits = || handle.lock().engine.counts();
     assert_eq!(
         (waits().attempts_pending, waits().deferred),
--- a/crates/platform/tests/core/races.rs
+++ b/crates/platform/tests/core/races.rs
@@ -89,7 +89,7 @@
         }
     };
     // Loopback delivers within the call; the last read of the connection is too old by then.
-    std::thread::sleep(duration(2 * INPUT_FRESHNESS));
+    std::thread::sleep(duration(2 * MAX_INPUT_AGE));
     kept
 }
 
@@ -200,7 +200,7 @@
         .and_then(|(pending, _)| pending.active)
         .expect("out")
         .deadline;
-    state.connections.established(connection, until);
+    state.connections.mark_established(connection, until);
     assert!(
         !state.may_write_set_up(until, engine, connection, attempt),
         "the timer is late, and the writer not"
@@ -233,10 +233,10 @@
     while handle.run_turn() {}
     let (again, attempt) = active(&handle, 7).expect("on its way");
     assert_eq!(again, connection, "the connection that is free");
-    queue.waiting();
+    queue.take_all();
     if time_out {
         let PlatformCore { engine, state } = &mut *handle.lock();
-        state.timed_out(state.now, engine, attempt.allocation, attempt.number);
+        state.attempt_timed_out(state.now, engine, attempt.allocation, attempt.number);
     } else {
         handle.connection_ended(connection, ConnectionEnd::Broken);
     }
@@ -248,7 +248,7 @@
     )
     .expect("short");
     assert!(
-        !queue.waiting().contains(&failed),
+        !queue.take_all().contains(&failed),
         "it is tried again or refused, not failed"
     );
 }
@@ -264,8 +264,8 @@
         async_net::TcpStream::try_from(listener.accept().expect("accepted").0).expect("a stream");
     let (id, queue) = handle.client_connected().expect("there is room");
     assert!(handle.handle_client_message(id, &set_up(7)));
-    handle.enter(|core, now| {
-        core.with(now, |_, state| {
+    handle.with_core(|core, now| {
+        core.process_event(now, |_, state| {
             while state.send_to_client(
                 id,
                 MessageType::HealthCheckReply,
@@ -275,7 +275,7 @@
         });
     });
     let place = Arc::new(Semaphore::new(1)).try_acquire_arc().expect("free");
-    let carried = crate::listener::client(Arc::clone(&handle), stream, id, queue, place);
+    let carried = crate::listener::serve_client(Arc::clone(&handle), stream, id, queue, place);
     futures_lite::future::block_on(carried);
     let inner = handle.lock();
     assert_eq!(
@@ -295,7 +295,7 @@
     let (connection, attempt) = active(&handle, 7).expect("on its way");
     handle.connection_established(connection);
     assert!(handle.may_write_set_up(connection, attempt));
-    queue.waiting();
+    queue.take_all();
     let PlatformCore { engine, state } = &mut *handle.lock();
     let (pending, _) = engine.data_mut(attempt.allocation).expect("in hand");
     let (until, machine) = (pending.deadline, pending.active.expect("out").machine);
@@ -311,5 +311,5 @@
         &[(client::CAUSE, &[client::CAUSE_FAILED])],
     )
     .expect("short");
-    assert_eq!(queue.waiting(), [failed]);
+    assert_eq!(queue.take_all(), [failed]);
 }
--- a/crates/platform/tests/core/transcript.rs
+++ b/crates/platform/tests/core/transcript.rs
@@ -74,7 +74,7 @@
     draws: Draws,
     now: Ticks,
     swept: Ticks,
-    watch_list: async_channel::Receiver<()>,
+    watch_endpoint_list: async_channel::Receiver<()>,
     clients: BTreeMap<ClientId, MessageQueue>,
     connections: BTreeMap<ConnectionId, Connection>,
     last_task: u64,
@@ -87,15 +87,15 @@
 impl Run {
     fn new(seed: u64) -> Run {
         let config = NodeConfig::from_json(SETTINGS.as_bytes()).expect("sound");
-        let asked = cluster(&config.settings).expect("sound");
+        let asked = platform_cluster(&config.settings).expect("sound");
         let budget = DescriptorBudget::new(config.limits.sockets).expect("enough");
         let (handle, watching) = started(config, &budget);
-        handle.set_time.store(BEGIN, Ordering::Relaxed);
+        handle.time_override.store(BEGIN, Ordering::Relaxed);
         {
             // The core was made by the machine's clock: it begins anew by the test's.
             let PlatformCore { engine, state } = &mut *handle.lock();
             *engine = Engine::new(asked, seed, BEGIN, MAX_TASKS, RetryBatch::ON_DEMAND);
-            (state.now, state.last_health_check) = (BEGIN, seed);
+            (state.now, state.last_health_check_id) = (BEGIN, seed);
             (state.engine_timer, state.armed_timer) = (None, None);
         }
         let _ = watching.try_recv();
@@ -104,7 +104,7 @@
             draws: Draws(seed),
             now: BEGIN,
             swept: BEGIN,
-            watch_list: watching,
+            watch_endpoint_list: watching,
             clients: BTreeMap::new(),
             connections: BTreeMap::new(),
             last_task: 0,
@@ -428,7 +428,7 @@
             let armed = self.handle.lock().state.armed_timer;
             let next = armed.unwrap_or(end).min(self.swept + SECOND / 4).min(end);
             self.now = self.now.max(next);
-            self.handle.set_time.store(self.now, Ordering::Relaxed);
+            self.handle.time_override.store(self.now, Ordering::Relaxed);
             if self.swept + SECOND / 4 <= self.now {
                 self.swept = self.now;
                 self.handle.sweep();
@@ -443,7 +443,7 @@
 
     /// Records all that has gone out, as the tasks of the connections would write it.
     fn record_outputs(&mut self) {
-        let tapped = std::mem::take(&mut self.handle.lock().state.connections.tapped);
+        let tapped = std::mem::take(&mut self.handle.lock().state.connections.opened_queues);
         for (id, queue) in tapped {
             self.note(format_args!("link {} opens", id.0));
             let connection = Connection {
@@ -470,7 +470,7 @@
                 self.clients.insert(id, queue);
             }
         }
-        while self.watch_list.try_recv().is_ok() {
+        while self.watch_endpoint_list.try_recv().is_ok() {
             self.note(format_args!("> the list is asked for"));
         }
         self.record_counts();
@@ -481,7 +481,7 @@
         if connection.ended || !connection.up {
             return;
         }
-        let queue = connection.queue.tapped();
+        let queue = connection.queue.second_receiver();
         while let Some((attempt, bytes)) = queue.next() {
             if queue.is_discarded()
                 || attempt.is_some_and(|attempt| !self.handle.may_write_set_up(id, attempt))
@@ -519,7 +519,7 @@
     fn record_counts(&mut self) {
         let (counts, armed, open, closing) = {
             let inner = self.handle.lock();
-            let (open, closing) = inner.state.connections.counts();
+            let (open, closing) = inner.state.connections.open_and_half_closed();
             (
                 inner.engine.counts(),
                 inner.state.armed_timer,
@@ -556,7 +556,7 @@
             58..90 => self.node_sends(),
             90..93 => self.end_some_connection(),
             93..96 => self.send_change(),
-            96 => self.handle.list_failed(),
+            96 => self.handle.endpoint_watch_failed(),
             97 => self.handle.discovery_connected(),
             _ => {}
         }
--- a/crates/platform/tests/writer/fairness.rs
+++ b/crates/platform/tests/writer/fairness.rs
@@ -34,7 +34,7 @@
             ReadOutcome::Closed => return ReadProgress::Done,
         }
     };
-    carry(stream, queue, |_| true, input.read_messages(hear)).await;
+    run_connection(stream, queue, |_| true, input.read_messages(hear)).await;
 }
 
 fn attempt(number: usize) -> AttemptId {
@@ -95,7 +95,8 @@
     };
     let input = ConnectionInput::new(stream.clone());
     let read = async move { input.read_messages(|| ReadProgress::Drained).await };
-    let carried = tasks.spawn(async move { carry(stream, queue, may_write_set_up, read).await });
+    let carried =
+        tasks.spawn(async move { run_connection(stream, queue, may_write_set_up, read).await });
     drop(sender);
     future::block_on(tasks.run(carried));
     assert_eq!(
@@ -115,7 +116,8 @@
     assert!(sender.send_set_up(attempt(1), b"one".to_vec()) && sender.send(b"cut".to_vec()));
     sender.discard();
     let read = future::pending();
-    let undelivered = tasks.spawn(async move { carry(stream, queue, |_| true, read).await });
+    let undelivered =
+        tasks.spawn(async move { run_connection(stream, queue, |_| true, read).await });
     assert_eq!(
         future::block_on(tasks.run(undelivered)),
         Vec::<Vec<u8>>::new()
@@ -133,6 +135,7 @@
     let input = ConnectionInput::new(stream.clone());
     while input.read(|_| ()) != ReadOutcome::Closed {}
     assert!(sender.send_task_end(b"over".to_vec()) && sender.send(b"other".to_vec()));
-    let undelivered = tasks.spawn(async move { carry(stream, queue, |_| true, async {}).await });
+    let undelivered =
+        tasks.spawn(async move { run_connection(stream, queue, |_| true, async {}).await });
     assert_eq!(future::block_on(tasks.run(undelivered)), [b"over".to_vec()]);
 }
