--- a/crates/platform/src/core.rs
+++ b/crates/platform/src/core.rs
@@ -1,6 +1,6 @@
-//! The core: the engine with its decisions, what is kept for clients and nodes, and what follows
-//! from each event. It does no I/O and reads no clock: each call is given the time, and what it
-//! needs of the outside goes through [`Effects`]. What is sent is queued before the call returns.
+//! The state of one dispatcher: the engine that makes the decisions, and the records of clients,
+//! nodes and connections. It does no I/O and reads no clock: each call receives the time, and
+//! requests to the outside go through [`Effects`]. Messages are queued before the call returns.
 
 use crate::descriptor_budget::DescriptorBudget;
 use crate::errors::ConfigError;
@@ -46,40 +46,40 @@
 #[path = "../tests/core/transcript.rs"]
 mod transcript;
 
-/// How a connection to a node ended.
+/// The way in which a connection to a node ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionEnd {
-    /// Nobody listens there: the process is dead.
+    /// The connection was refused: nothing listens at the address, so the process is dead.
     Refused,
-    /// It was not established in time.
+    /// The connection was not established within the timeout.
     ConnectTimeout,
-    /// It was established, and broke or was closed.
+    /// The connection was established, and then broke or was closed.
     Broken,
 }
 
-/// A connection to a node that is to be opened.
+/// A connection to a node that must be opened.
 pub struct NewConnection {
     pub id: ConnectionId,
     pub address: SocketAddr,
-    /// How long it may take to be established.
+    /// The time within which the connection must be established.
     pub connect_timeout: Ticks,
     pub queue: MessageQueue,
 }
 
-/// What the core needs of the outside. No effect waits, and none calls back before the call that
-/// caused it has returned.
+/// The operations that the core requests from the outside. No effect blocks, and none calls back
+/// into the core before the call that caused it has returned.
 pub trait Effects: Send {
-    /// Opens a connection to a node and carries it.
+    /// Opens a connection to a node, and reads and writes it until it ends.
     fn connect(&self, connection: NewConnection);
-    /// Calls for the list of nodes to be watched, if it is not yet.
+    /// Requests that the list of nodes be watched, unless that is already the case.
     fn watch_endpoint_list(&self);
-    /// Sets the one timer, which calls [`PlatformCore::timer_fired`].
+    /// Sets the only timer, which calls [`PlatformCore::timer_fired`].
     fn arm_timer(&self, at: Ticks);
-    /// Calls for [`PlatformCore::run_turn`].
+    /// Requests a call of [`PlatformCore::run_turn`].
     fn request_turn(&self);
 }
 
-/// What a core is made of, validated.
+/// Validated options from which a core is created.
 pub struct CoreOptions {
     cluster: Cluster,
     seed: u64,
@@ -90,7 +90,7 @@
 }
 
 impl CoreOptions {
-    /// Of a configuration file and the descriptors of the process.
+    /// Validates the options of a configuration file, with the limits of the descriptor budget.
     pub fn new(config: NodeConfig, budget: &DescriptorBudget) -> Result<CoreOptions, ConfigError> {
         Ok(CoreOptions {
             seed: config.seed_number()?,
@@ -103,8 +103,8 @@
     }
 }
 
-/// Everything beside the engine: connections, timers and what is kept for clients. The engine's
-/// effects are carried out by it.
+/// All state except the engine: connections, timers and the records of clients. Implements the
+/// engine's effects.
 struct PlatformState {
     effects: Box<dyn Effects>,
     now: Ticks,
@@ -112,7 +112,7 @@
     max_clients: usize,
     clients_accepted: u64,
     undelivered: VecDeque<Vec<u8>>,
-    /// The oldest first.
+    /// Ordered from the oldest to the newest.
     early_ends: VecDeque<EarlyEnd>,
     nodes: Nodes,
     connections: NodeConnections,
@@ -120,12 +120,12 @@
     last_health_check_id: u64,
     timers: BTreeSet<(Ticks, Timer)>,
     deferred: VecDeque<DeferredEvent>,
-    /// Tasks that are due a final answer.
+    /// Tasks whose clients have not received a final answer.
     unanswered: BTreeSet<AllocationId>,
     engine_timer: Option<Ticks>,
     armed_timer: Option<Ticks>,
     last_event: u64,
-    /// No more set-ups are accepted.
+    /// True once no more set-ups are accepted.
     stopping: bool,
     settings: Arc<Settings>,
 }
@@ -136,8 +136,9 @@
     state: PlatformState,
 }
 
-/// The control feed must be connected to, whatever the settings say of another way, and nobody
-/// reports a machine that has vanished.
+/// Returns the settings of the cluster, adapted to this platform: the control feed is always
+/// watched, even if the settings configure another discovery mode, and no caller reports a machine
+/// that has vanished.
 fn platform_cluster(settings: &Settings) -> Result<Cluster, SettingsError> {
     let cluster = settings.cluster()?;
     Ok(Cluster {
@@ -148,7 +149,7 @@
 }
 
 impl PlatformCore {
-    /// A core without nodes and clients.
+    /// Creates a core without nodes and clients.
     pub fn new(options: CoreOptions, now: Ticks, effects: Box<dyn Effects>) -> PlatformCore {
         let limits = &options.settings.limits;
         let timeout =
@@ -156,8 +157,8 @@
         let connections = NodeConnections::new(
             options.max_node_connections,
             options.settings.connect_timeout(),
-            // Closed by us well before the node does it: a set-up that crosses the close would be
-            // lost.
+            // Idle connections are closed well before the node closes them: a set-up that crosses
+            // the node's close would be lost.
             timeout(limits.idle_close_us, 15 * SECOND) * 2 / 3,
         );
         PlatformCore {
@@ -192,7 +193,7 @@
         }
     }
 
-    /// Handles one event and what follows from it.
+    /// Handles one event, then the deferred events and engine work that it causes; sets the timer.
     fn process_event<R>(
         &mut self,
         now: Ticks,
--- a/crates/platform/src/core/attempts.rs
+++ b/crates/platform/src/core/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts, from the first byte written to the node's answer or the deadline.
+//! Handles attempts, from the first byte written to the node's answer or the deadline.
 
 use super::pending_task::{ActiveAttempt, PendingTask, TaskStage, task_key};
 use super::*;
@@ -7,8 +7,8 @@
 use tracing::debug;
 
 impl PlatformState {
-    /// The first byte of a set-up is about to be written. False where it must not be any more: its
-    /// client is gone or its time is up, whatever is still unread.
+    /// Returns whether a set-up may still be written; called right before its first byte. False if
+    /// its client is gone or its deadline has passed, even if that is only known from unread input.
     pub(super) fn may_write_set_up(
         &mut self,
         now: Ticks,
@@ -40,7 +40,7 @@
         true
     }
 
-    /// Withdraws an attempt: its node is told to end it, if the set-up was written.
+    /// Withdraws an attempt. Requests its node to end the task if the set-up was written.
     pub(super) fn withdraw(&mut self, id: AllocationId, active: ActiveAttempt, task: u64) {
         self.timers
             .remove(&(active.deadline, Timer::Attempt(id, active.number)));
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Tells a node to end a task that nobody wants.
+    /// Requests a node to end a task that no client wants.
     pub(super) fn send_close(&mut self, connection: ConnectionId, task: u64) {
         let message = node::Message::new(node::MessageType::Close, task);
         self.connections.send(
@@ -61,7 +61,7 @@
         );
     }
 
-    /// A node has answered an attempt: its timer is removed, and its connection is free.
+    /// Removes the timer of an attempt that its node has answered, and frees its connection.
     pub(super) fn clear_attempt(&mut self, now: Ticks, id: AllocationId, active: ActiveAttempt) {
         self.timers
             .remove(&(active.deadline, Timer::Attempt(id, active.number)));
@@ -71,6 +71,7 @@
             .for_each(|connection| self.connections.attempt_finished(connection, id, now));
     }
 
+    /// Withdraws an attempt whose time is up.
     pub(super) fn attempt_timed_out(
         &mut self,
         now: Ticks,
@@ -107,12 +108,13 @@
             },
             self,
         );
-        // The connection may be one that is open and will stay silent for good.
+        // The connection may be open but permanently silent, so no further set-up is sent on it.
         if let Some(connection) = active.connection {
             self.connections.drain(connection);
         }
     }
 
+    /// Handles a node's answer that the task runs, and forwards it to the client.
     pub(super) fn attempt_ready(
         &mut self,
         now: Ticks,
@@ -129,8 +131,8 @@
             return;
         };
         if now >= pending.deadline {
-            // The answer arrived after the deadline and before the timer. It is of no use, and a
-            // final answer is due all the same.
+            // The answer arrived after the deadline but before the timer fired. It is of no use to
+            // the client, which must still get a final answer.
             let (to, task) = (pending.client, pending.task);
             if self.record_final_answer(pending, id, TaskStage::Ended) {
                 self.send_release(to, task, client::CAUSE_FAILED);
--- a/crates/platform/src/core/client_connections.rs
+++ b/crates/platform/src/core/client_connections.rs
@@ -1,4 +1,4 @@
-//! Clients' connections: how they are read, and when they are closed.
+//! Reads and closes the connections of clients.
 
 use super::pending_task::task_key;
 use super::*;
@@ -9,38 +9,37 @@
 /// A client's connection.
 pub(super) struct ClientConnection {
     pub(super) to: MessageSender,
-    /// None until its task has started.
+    /// The reading end; none until the connection's task has started.
     pub(super) input: Option<ConnectionInput>,
     pub(super) reader: client::Reader,
-    /// When all that had arrived was last read.
+    /// The time when all input that had arrived was last read.
     pub(super) drained_at: Ticks,
-    /// Its set-ups without an answer.
+    /// The set-ups without a final answer.
     pub(super) open_set_ups: BTreeSet<u64>,
-    /// How many running tasks were set up on it.
+    /// The number of running tasks that were set up on the connection.
     pub(super) running: usize,
     pub(super) connected_at: Ticks,
     pub(super) last_active_at: Ticks,
-    /// It has sent a valid message.
+    /// Whether the client has sent a valid message.
     pub(super) valid: bool,
-    /// Since when a part of a message has been there.
+    /// The time since when the input has ended with part of a message.
     pub(super) partial_since: Option<Ticks>,
 }
 
-/// What a client's message came to.
+/// Whether a message of a client could be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum MessageValidity {
-    /// It was valid, and its connection is of use.
+    /// The message was valid, and its connection is useful.
     Valid,
-    /// It could not be used.
+    /// The message could not be used.
     Unusable,
-    /// It breaks the protocol: the connection must be closed.
+    /// The message breaks the protocol, so the connection must be closed.
     Violation,
 }
 
 impl PlatformState {
-    /// Handles the next message of a client. What has arrived behind it is read first, if that was
-    /// not done a moment ago: the end of a connection must not wait behind the set-ups that it
-    /// ends.
+    /// Handles the next message of a client. The input behind it is read first, unless that was
+    /// done recently: the end of a connection must not wait behind the set-ups that it cancels.
     pub(super) fn read_next_message(
         &mut self,
         now: Ticks,
@@ -84,7 +83,8 @@
         }
     }
 
-    /// Before an attempt: handles what has arrived on its client's connection.
+    /// Handles the input that has arrived on a client's connection, before an attempt for that
+    /// client.
     pub(super) fn read_pending_input(
         &mut self,
         now: Ticks,
@@ -110,8 +110,8 @@
         }
     }
 
-    /// The peer has closed its side. What it set up is cancelled; releases that it sent are still
-    /// handled.
+    /// Handles a peer that has closed its side: cancels its open set-ups, and still handles the
+    /// releases that it has sent.
     fn client_closed(&mut self, now: Ticks, engine: &mut Engine<PendingTask>, id: ClientId) {
         let reader = self
             .clients
@@ -126,7 +126,7 @@
         }
     }
 
-    /// A message of a client. False where its connection is to be closed.
+    /// Handles a message of a client. Returns false if its connection must be closed.
     pub(super) fn handle_client_message(
         &mut self,
         now: Ticks,
@@ -175,7 +175,7 @@
         self.clients.contains_key(&id)
     }
 
-    /// Looks for connections that are silent, idle or missing.
+    /// Closes silent and idle connections, and opens missing connections to nodes with tasks.
     pub(super) fn sweep(&mut self, now: Ticks, engine: &mut Engine<PendingTask>) {
         let should_close = |client: &ClientConnection| {
             let is_silent = !client.valid && client.connected_at + SILENCE_TIMEOUT <= now;
@@ -208,7 +208,8 @@
         }
     }
 
-    /// Closes the client's connection that is least useful: silent ones first, then idle ones.
+    /// Closes the least useful client's connection without open set-ups: silent ones first, then
+    /// idle ones. Returns false if there is none.
     pub(super) fn evict_client(&mut self, now: Ticks, engine: &mut Engine<PendingTask>) -> bool {
         let without_set_ups = self
             .clients
@@ -223,6 +224,7 @@
         true
     }
 
+    /// Closes a client's connection and cancels its open set-ups.
     pub(super) fn close_client(
         &mut self,
         now: Ticks,
@@ -241,7 +243,7 @@
 }
 
 impl ClientConnection {
-    /// Reads what has come, up to so much.
+    /// Reads the input that has arrived, up to [`READ_AHEAD_BYTES`].
     fn read_ahead(&mut self, now: Ticks) -> ReadOutcome {
         let Some(input) = &self.input else {
             return ReadOutcome::Empty;
--- a/crates/platform/src/core/endpoint_list.rs
+++ b/crates/platform/src/core/endpoint_list.rs
@@ -1,11 +1,11 @@
-//! Changes to the list of nodes.
+//! Applies changes to the list of nodes.
 
 use super::pending_task::PendingTask;
 use super::*;
 use tracing::info;
 
 impl PlatformState {
-    /// Applies a change to the list of nodes, once each.
+    /// Applies a change to the list of nodes, unless it was applied before.
     pub(super) fn apply_event(
         &mut self,
         now: Ticks,
--- a/crates/platform/src/core/engine_effects.rs
+++ b/crates/platform/src/core/engine_effects.rs
@@ -1,4 +1,4 @@
-//! The engine's effects: what its decisions have sent, rejected or probed.
+//! Implements the engine's effects: sends set-ups, answers, migrations and health checks.
 
 use super::pending_task::{ActiveAttempt, PendingTask, TaskStage, task_key};
 use super::*;
@@ -114,8 +114,8 @@
 }
 
 impl PlatformState {
-    /// The connection for an attempt, none of `except`: an idle one, else a new one, else
-    /// the least loaded one.
+    /// Returns the connection for an attempt: an idle one, else a new one, else the least loaded
+    /// one. The idle and the least loaded one are not among `except`.
     fn connection_for(
         &mut self,
         machine: MachineId,
@@ -127,7 +127,7 @@
     }
 }
 
-/// A set-up as it is sent to a node.
+/// Returns the message that sends a set-up to a node.
 fn open_message(pending: &PendingTask, time_out: Ticks) -> node::Message {
     let mut message = node::Message::new(node::MessageType::Open, pending.task);
     let text = |text: &str| AttributeValue::Text(text.into());
--- a/crates/platform/src/core/inputs.rs
+++ b/crates/platform/src/core/inputs.rs
@@ -1,11 +1,11 @@
-//! The core's inputs: each event from the outside is one call.
+//! The inputs of the core: one method for each event from the outside.
 
 use super::*;
 use crate::errors::ReconfigureError;
 use corkspan_platform_wire::client::Reader;
 
 impl PlatformCore {
-    /// Applies the events that the configuration file holds at the start.
+    /// Applies the events that the configuration file contains at startup.
     pub fn apply_initial_state(&mut self, now: Ticks, known: DiscoveryState) {
         self.process_event(now, |engine, state| {
             known
@@ -16,17 +16,17 @@
         });
     }
 
-    /// Starts what follows from the initial state.
+    /// Processes the engine's first work and sets the timer.
     pub fn start(&mut self, now: Ticks) {
         self.process_event(now, |_, _| ());
     }
 
-    /// Places waiting set-ups while there is time. True where some still wait: between two turns
-    /// all connections are read, so that messages of nodes and clients wait for one turn and not
+    /// Places waiting set-ups while there is time. Returns true if some still wait. All connections
+    /// are read between two turns, so that a message of a node or client waits for one turn and not
     /// for all set-ups.
     pub fn run_turn(&mut self, now: Ticks, has_time: impl Fn() -> bool) -> bool {
         self.process_event(now, |engine, state| {
-            // In this order: a set-up that has been taken from the queue must have its turn.
+            // The time is checked first: a set-up that was taken from the queue must be evaluated.
             while has_time()
                 && let Some(id) = engine.next_queued()
             {
@@ -37,7 +37,7 @@
         })
     }
 
-    /// The timer has fired.
+    /// Handles all timers that are due.
     pub fn timer_fired(&mut self, now: Ticks) {
         self.process_event(now, |engine, state| {
             state.armed_timer = None;
@@ -68,8 +68,8 @@
         });
     }
 
-    /// A client has connected. None where the maximum is reached and each connection has a set-up
-    /// open.
+    /// Registers a client's connection. Returns none if the maximum is reached and every connection
+    /// has an open set-up.
     pub fn client_connected(&mut self, now: Ticks) -> Option<(ClientId, MessageQueue)> {
         let (to, queue) = message_queue();
         self.process_event(now, |engine, state| {
@@ -95,17 +95,17 @@
         })
     }
 
-    /// Descriptors have run out: closes the least useful client's connection.
+    /// Closes the least useful client's connection, because descriptors have run out.
     pub fn evict_client(&mut self, now: Ticks) {
         self.process_event(now, |engine, state| state.evict_client(now, engine));
     }
 
-    /// A client's connection has ended.
+    /// Handles the end of a client's connection.
     pub fn client_disconnected(&mut self, now: Ticks, id: ClientId) {
         self.process_event(now, |engine, state| state.close_client(now, engine, id));
     }
 
-    /// A client's connection can be read from here on.
+    /// Sets the reading end of a client's connection.
     pub fn attach_client_input(&mut self, id: ClientId, input: ConnectionInput) {
         self.state
             .clients
@@ -121,7 +121,7 @@
         })
     }
 
-    /// A message of a client. False where its connection is to be closed.
+    /// Handles a message of a client. Returns false if its connection must be closed.
     #[cfg(test)]
     pub fn handle_client_message(&mut self, now: Ticks, id: ClientId, message: &Message) -> bool {
         self.process_event(now, |engine, state| {
@@ -129,7 +129,7 @@
         })
     }
 
-    /// Ends of running tasks that were not delivered on their client's connection.
+    /// Sends ends of running tasks that could not be delivered on their client's connection.
     pub fn redeliver(&mut self, now: Ticks, messages: Vec<Vec<u8>>) {
         self.process_event(now, |_, state| {
             messages
@@ -138,12 +138,13 @@
         });
     }
 
-    /// A connection to a node is established.
+    /// Records that a connection to a node is established.
     pub fn connection_established(&mut self, now: Ticks, id: ConnectionId) {
         self.process_event(now, |_, state| state.connections.mark_established(id, now));
     }
 
-    /// The first byte of a set-up is about to be written. False where it must not be any more.
+    /// Returns whether a set-up may still be written; called right before its first byte. If true,
+    /// the attempt counts as started.
     pub fn may_write_set_up(
         &mut self,
         now: Ticks,
@@ -155,14 +156,14 @@
         })
     }
 
-    /// A connection to a node has ended.
+    /// Handles the end of a connection to a node.
     pub fn connection_ended(&mut self, now: Ticks, id: ConnectionId, end: ConnectionEnd) {
         self.process_event(now, |engine, state| {
             state.remove_connection(now, engine, id, end)
         });
     }
 
-    /// Handles a message of a node. False where its connection is to be closed.
+    /// Handles a message of a node. Returns false if its connection must be closed.
     pub fn handle_node_message(
         &mut self,
         now: Ticks,
@@ -177,12 +178,12 @@
         })
     }
 
-    /// The number of the last discovery event.
+    /// Returns the number of the last discovery event.
     pub fn last_event(&self) -> u64 {
         self.state.last_event
     }
 
-    /// The connection to the control feed is established.
+    /// Records that the connection to the control feed is established.
     pub fn discovery_connected(&mut self, now: Ticks) {
         self.process_event(now, |engine, _| {
             engine.apply_endpoint_list(ListUpdate::Incremental, &[])
@@ -194,13 +195,13 @@
         self.process_event(now, |engine, state| state.apply_event(now, engine, event));
     }
 
-    /// The connection to the control feed has broken.
+    /// Records that the connection to the control feed has broken.
     pub fn endpoint_watch_failed(&mut self, now: Ticks) {
         self.process_event(now, |engine, _| engine.endpoint_watch_failed(now));
     }
 
-    /// The configuration file has been replaced: applies its settings. An error where they differ
-    /// in what can't be changed while it runs.
+    /// Applies the settings of a new configuration file. Fails if they are invalid or differ in
+    /// names that can't be changed while the dispatcher runs.
     pub fn reconfigure(&mut self, now: Ticks, config: NodeConfig) -> Result<(), ReconfigureError> {
         let cluster = platform_cluster(&config.settings)?;
         self.process_event(now, |engine, state| {
@@ -221,12 +222,12 @@
         })
     }
 
-    /// Closes connections that are silent or idle, and opens missing ones.
+    /// Closes silent and idle connections, and opens missing ones.
     pub fn sweep(&mut self, now: Ticks) {
         self.process_event(now, |engine, state| state.sweep(now, engine));
     }
 
-    /// How many items are retained, for tests of bounds and the log.
+    /// Returns the number of retained items, for tests of bounds and for the log.
     pub fn retained_items(&self) -> usize {
         let PlatformCore { engine, state } = self;
         let entries = state.undelivered.len()
@@ -242,13 +243,13 @@
             + entries
     }
 
-    /// How many set-ups are due an answer.
+    /// Returns the number of set-ups without a final answer.
     pub fn unanswered(&self) -> usize {
         self.state.unanswered.len()
     }
 
-    /// Shutdown: each set-up is answered as soon as its attempt has returned; new ones are rejected
-    /// at once.
+    /// Starts the shutdown: each set-up is answered as soon as its attempt has returned, and new
+    /// ones are rejected at once.
     pub fn stop(&mut self, now: Ticks) {
         self.process_event(now, |engine, state| {
             state.stopping = true;
@@ -256,13 +257,13 @@
         });
     }
 
-    /// The longest time that clients wait for an answer, where the settings say so.
+    /// Returns the longest time that clients wait for an answer, if the settings define one.
     pub fn longest_deadline(&self) -> Option<Ticks> {
         self.state.settings.longest_deadline()
     }
 
-    /// Applies events of a new configuration file. Only those that follow on the last known one or
-    /// are complete: the rest comes from the control feed.
+    /// Applies the events of a new configuration file that are complete or directly follow the last
+    /// known event. The control feed sends the rest.
     pub fn apply_known_events(&mut self, now: Ticks, known: DiscoveryState) {
         self.process_event(now, |engine, state| {
             for event in known.events {
@@ -274,8 +275,8 @@
         });
     }
 
-    /// Answers the set-ups whose attempts have not returned. All connections close once all is
-    /// written.
+    /// Answers the set-ups whose attempts have not returned. Each connection closes once its queued
+    /// messages are written.
     pub fn abandon_all(&mut self, now: Ticks) {
         self.process_event(now, |engine, state| {
             for (id, attempt) in engine.unanswered() {
--- a/crates/platform/src/core/node_connections.rs
+++ b/crates/platform/src/core/node_connections.rs
@@ -1,4 +1,4 @@
-//! Which connection a message to a node goes on, and what follows from a connection's end.
+//! Selects or opens the connection for a message to a node, and handles the end of a connection.
 
 use super::pending_task::{ActiveAttempt, PendingTask};
 use super::*;
@@ -6,7 +6,8 @@
 use tracing::debug;
 
 impl PlatformState {
-    /// Sends on the connection given if it is established, else on any other to that machine.
+    /// Sends a message on the given connection if it is established, else on any other to the
+    /// machine, which is opened if there is none. Returns the connection used.
     pub(super) fn send_to_node(
         &mut self,
         machine: MachineId,
@@ -30,8 +31,8 @@
         Some(connection)
     }
 
-    /// Opens a connection. Tasks may run on more nodes than there may be connections, so where the
-    /// pool is full another one is closed.
+    /// Opens a connection. Tasks may run on more nodes than the pool has connections, so another
+    /// connection is closed if the pool is full.
     pub(super) fn open_connection(
         &mut self,
         machine: MachineId,
@@ -39,7 +40,7 @@
     ) -> Option<ConnectionId> {
         let address = self.nodes.address(machine)?;
         if self.connections.is_full() && !self.connections.is_node_full(machine) {
-            // Closing one with a health check under way would count against its node.
+            // Closing a connection during a health check would count as a failure of its node.
             let with_health_check: BTreeSet<ConnectionId> = self
                 .health_checks
                 .values()
@@ -58,8 +59,8 @@
         Some(id)
     }
 
-    /// A connection has ended: its attempts and health checks have too, and the tasks on a dead
-    /// machine.
+    /// Handles the end of a connection: its attempts and health checks fail, and if the machine is
+    /// dead its tasks are lost.
     pub(super) fn remove_connection(
         &mut self,
         now: Ticks,
@@ -72,8 +73,8 @@
         };
         debug!(?connection.machine, ?end, open = connection.open_attempts.len(), "a connection to a node has ended");
         if end == ConnectionEnd::ConnectTimeout {
-            // Where its node is gone another may have its address: what is queued is not for that
-            // one.
+            // If the node is gone, another one may have its address and must not receive the queued
+            // messages.
             connection.to.discard();
         }
         self.fail_attempts(now, engine, id, connection.open_attempts);
@@ -84,18 +85,18 @@
                 Timer::Unreachable(connection.machine),
             ));
         } else if end == ConnectionEnd::Refused {
-            // The process is dead, and its tasks with it.
+            // The process is dead, and its tasks died with it.
             self.machine_lost(now, engine, connection.machine, Ticks::MAX);
         } else if self.connections.available_to(connection.machine).is_empty()
             && self.nodes.has_tasks(connection.machine)
             && end == ConnectionEnd::Broken
         {
-            // Ends of the tasks there are reported on the next connection.
+            // The node reports the ends of its tasks on the next connection.
             self.open_connection(connection.machine, Eviction::SpareOnly);
         }
     }
 
-    /// The attempts on a connection that has ended have failed.
+    /// Fails the attempts on a connection that has ended.
     fn fail_attempts(
         &mut self,
         now: Ticks,
@@ -135,7 +136,7 @@
         }
     }
 
-    /// The health checks on a connection that has ended have failed.
+    /// Fails the health checks on a connection that has ended.
     fn fail_health_checks(
         &mut self,
         now: Ticks,
--- a/crates/platform/src/core/node_messages.rs
+++ b/crates/platform/src/core/node_messages.rs
@@ -1,4 +1,4 @@
-//! Messages of nodes.
+//! Handles the messages of nodes.
 
 use super::pending_task::{ActiveAttempt, PendingTask, TaskStage, task_key};
 use super::*;
@@ -7,7 +7,7 @@
 use corkspan_platform_wire::{client, parse_load_report};
 use tracing::debug;
 
-/// Where a node's message came from, and the task that it is about.
+/// The connection, machine and task of a node's message.
 #[derive(Clone, Copy)]
 struct MessageOrigin {
     connection: ConnectionId,
@@ -15,7 +15,7 @@
     task: u64,
 }
 
-/// The cause of a node's release.
+/// The cause of a release by a node.
 #[derive(Clone, Copy)]
 enum ReleaseCause {
     Normal,
@@ -40,7 +40,7 @@
 }
 
 impl ReleaseCause {
-    /// What it means before the node has answered.
+    /// Returns the result of the attempt if the node had not answered before.
     fn attempt_result(self) -> AttemptResult {
         match self {
             ReleaseCause::Rejected => AttemptResult::Rejected,
@@ -52,7 +52,7 @@
         }
     }
 
-    /// What it means once the task runs.
+    /// Returns the result of the task if it was running.
     fn task_result(self) -> AttemptResult {
         match self {
             ReleaseCause::Normal => AttemptResult::Completed,
@@ -64,7 +64,7 @@
         }
     }
 
-    /// It means something only before the node has answered.
+    /// Returns whether the cause is defined only before the node has answered.
     fn is_rejection(self) -> bool {
         matches!(
             self,
@@ -78,8 +78,8 @@
     id: AllocationId,
     active: ActiveAttempt,
     stage: TaskStage,
-    /// The message is about an earlier attempt, which was withdrawn: what became of that one says
-    /// nothing about this one.
+    /// Whether the message is about an earlier attempt, whose outcome does not apply to the active
+    /// one.
     is_earlier: bool,
 }
 
@@ -90,7 +90,7 @@
 }
 
 impl PlatformState {
-    /// Handles a message of a node. False where its connection is to be closed.
+    /// Handles a message of a node. Returns false if its connection must be closed.
     pub(super) fn handle_node_message(
         &mut self,
         now: Ticks,
@@ -119,7 +119,8 @@
         self.handle_task_message(now, engine, origin, matched, message)
     }
 
-    /// Handles a message about a task, or about none that is known.
+    /// Handles a message about a known or unknown task. Returns false if its connection must be
+    /// closed.
     fn handle_task_message(
         &mut self,
         now: Ticks,
@@ -140,7 +141,7 @@
                 };
                 self.attempt_ready(now, engine, matched.id, matched.active, &description);
             }
-            // One that was cancelled meanwhile: nobody waits for it.
+            // The task was cancelled in the meantime, so the node must end it.
             (node::MessageType::Ready, None) => self.send_close(connection, task),
             (node::MessageType::Close, matched) => {
                 self.handle_close(now, engine, origin, matched, &message);
@@ -166,7 +167,7 @@
         true
     }
 
-    /// A node has replied to a health check.
+    /// Handles a node's reply to a health check.
     fn handle_health_check_reply(
         &mut self,
         now: Ticks,
@@ -187,7 +188,8 @@
         engine.record_health_check(now, machine, ending, parse_load(message));
     }
 
-    /// The attempt that a message is about; none where its task is unknown here or on another node.
+    /// Returns the attempt that a message is about, or none if the task is unknown or assigned to
+    /// another node.
     fn match_attempt(
         &self,
         engine: &mut Engine<PendingTask>,
@@ -203,9 +205,9 @@
         let (pending, _) = engine.data_mut(id)?;
         let active = pending.active.filter(|active| active.machine == machine)?;
         let is_running = pending.stage != TaskStage::Pending;
-        // Where the connection of its set-up has ended, a node reports on a task on any that is
-        // open, also on one on which an earlier attempt at the same task ended. That attempt's
-        // cause can only be a copy of its release.
+        // If the connection of a task's set-up has ended, its node reports on the task on any open
+        // connection, even on one on which an earlier attempt at the same task ended. A release
+        // there with the cause of that earlier attempt can only be a copy of the earlier release.
         let connection_lost = is_running
             && !active
                 .connection
@@ -229,7 +231,7 @@
         })
     }
 
-    /// Handles a release: the end of an attempt, of a running task, or of an unknown one.
+    /// Handles a release by a node: the end of an attempt, of a running task or of an unknown task.
     fn handle_close(
         &mut self,
         now: Ticks,
@@ -264,8 +266,8 @@
             let result = release_cause.task_result();
             self.task_ended(now, engine, id, result, reason, load);
             if release_cause.is_rejection() {
-                // A rejection after an answer: the client has been notified that the task has ended, so
-                // it must end.
+                // The node rejected the task after answering it. The client has been notified that
+                // the task has ended, so the node must end it.
                 self.send_close(origin.connection, task);
             }
             return;
--- a/crates/platform/src/core/pending_task.rs
+++ b/crates/platform/src/core/pending_task.rs
@@ -1,21 +1,21 @@
-//! What is kept for a task, and its timers.
+//! The records of a task and its attempts, and the timers.
 
 use crate::ids::{ClientId, ConnectionId};
 use corkspan_platform_wire::client::SetUp;
 use corkspan_scheduler::interface::*;
 
-/// How far a task has come.
+/// The stage of a task's life.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum TaskStage {
-    /// A final answer is due.
+    /// The client waits for a final answer.
     Pending,
-    /// It runs: its end is to be reported.
+    /// The task runs, and its end must be reported to the client.
     Running,
-    /// Nothing is to be reported any more.
+    /// Nothing more must be reported to the client.
     Ended,
 }
 
-/// An attempt that is under way, or whose task runs.
+/// An attempt that is in progress or whose task runs.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ActiveAttempt {
     pub(super) number: usize,
@@ -23,7 +23,7 @@
     pub(super) connection: Option<ConnectionId>,
     pub(super) sent_at: Ticks,
     pub(super) deadline: Ticks,
-    /// Its first byte has been written: from here on it may have run.
+    /// Whether the first byte of the set-up has been written, so that the task may have run.
     pub(super) started: bool,
 }
 
@@ -35,14 +35,14 @@
     pub(super) cause: u32,
 }
 
-/// A health check that is under way.
+/// A health check in progress.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct HealthCheck {
     pub(super) machine: MachineId,
     pub(super) connection: ConnectionId,
 }
 
-/// The end of an unknown task that its node has reported.
+/// The reported end of a task that is unknown here.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct EarlyEnd {
     pub(super) reported_at: Ticks,
@@ -50,7 +50,7 @@
     pub(super) machine: MachineId,
 }
 
-/// A task from its set-up to its end.
+/// A task, kept from its set-up to its end.
 pub(super) struct PendingTask {
     pub(super) task: u64,
     pub(super) client: ClientId,
@@ -61,15 +61,15 @@
     pub(super) deadline: Ticks,
     pub(super) stage: TaskStage,
     pub(super) active: Option<ActiveAttempt>,
-    /// The connections that its attempts were sent on. A node's messages name the task and not the
-    /// attempt, so none of them may carry two.
+    /// The connections on which attempts were sent. A node's messages name the task and not the
+    /// attempt, so no two attempts at a task may use the same connection.
     pub(super) used_connections: Vec<ConnectionId>,
-    /// Those among them on which the node itself has ended the attempt, and with which cause.
+    /// The attempts that the node itself has ended, each on one of these connections.
     pub(super) ended_attempts: Vec<EndedAttempt>,
 }
 
 impl PendingTask {
-    /// A task that is due an answer and has no attempt under way.
+    /// Creates a task that waits for an answer and has no active attempt.
     pub(super) fn new(client: ClientId, set_up: SetUp, deadline: Ticks) -> PendingTask {
         PendingTask {
             task: set_up.task,
@@ -86,26 +86,27 @@
         }
     }
 
-    /// The node itself has ended the active attempt.
+    /// Records that the node itself has ended the active attempt.
     pub(super) fn end_attempt(&mut self, connection: ConnectionId, cause: u32) {
         self.active = None;
         self.ended_attempts.push(EndedAttempt { connection, cause });
     }
 }
 
-/// What happens at a set time.
+/// An action that is due at a given time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Timer {
-    /// An attempt's time is up.
+    /// The deadline of an attempt.
     Attempt(AllocationId, usize),
-    /// A task that was to be stopped has not been reported as stopped.
+    /// The time when a task counts as stopped even if its node has not reported it.
     Stop(AllocationId),
+    /// The timeout of a health check.
     HealthCheck(u64),
-    /// The tasks on a machine that can't be reached any longer must be reported as ended.
+    /// The time when the tasks on an unreachable machine must be reported as ended.
     Unreachable(MachineId),
 }
 
-/// What became known while the engine was still being called.
+/// An event that occurred during a call to the engine and is handled after it.
 pub(super) enum DeferredEvent {
     Returned(AllocationId, usize, AttemptResult),
     Lost(AllocationId),
--- a/crates/platform/src/core/replies.rs
+++ b/crates/platform/src/core/replies.rs
@@ -1,4 +1,4 @@
-//! What is sent to clients.
+//! Sends messages to clients and records their final answers.
 
 use super::client_connections::ClientConnection;
 use super::pending_task::{PendingTask, TaskStage};
@@ -6,6 +6,7 @@
 use corkspan_platform_wire::client::{self, MessageType};
 
 impl PlatformState {
+    /// Queues a message for a client. Returns false if its connection can't take it.
     pub(super) fn send_to_client(
         &mut self,
         to: ClientId,
@@ -21,19 +22,19 @@
             .is_some_and(|client| client.to.send(bytes))
     }
 
-    /// Tells a client that the dispatcher is alive.
+    /// Replies to a client's health check that the dispatcher is healthy.
     pub(super) fn reply_to_health_check(&mut self, to: ClientId, check: u64) {
         let healthy = [(client::CAUSE, &[1][..])];
         self.send_to_client(to, MessageType::HealthCheckReply, check, &healthy);
     }
 
-    /// Reports to a client that its set-up has failed or was rejected.
+    /// Notifies a client that its set-up has failed or was rejected.
     pub(super) fn send_release(&mut self, to: ClientId, task: u64, cause: u8) {
         self.send_to_client(to, MessageType::Release, task, &[(client::CAUSE, &[cause])]);
     }
 
-    /// The end of a running task, or the request to migrate it: on the connection of its set-up,
-    /// else on any, else on the next.
+    /// Sends the end of a running task, or the request to migrate it. It goes on the connection of
+    /// the task's set-up, else on any other, else on the next one that is established.
     pub(super) fn send_task_end(
         &mut self,
         to: ClientId,
@@ -53,7 +54,8 @@
         }
     }
 
-    /// On any connection, else on the next client's that connects.
+    /// Sends a message on the most recently active connection that takes it, or keeps it for the
+    /// next one.
     pub(super) fn send_to_any_client(&mut self, bytes: Vec<u8>) {
         let valid = self.clients.values().filter(|client| client.valid);
         let mut candidates: Vec<&ClientConnection> = valid.collect();
@@ -66,7 +68,7 @@
         }
     }
 
-    /// Records the final answer; true where one was due.
+    /// Records the final answer to a set-up. Returns true if it had none yet.
     pub(super) fn record_final_answer(
         &mut self,
         pending: &mut PendingTask,
@@ -83,7 +85,7 @@
         self.unanswered.remove(&id) && was_unanswered
     }
 
-    /// Records that a task runs no longer; true where it was running.
+    /// Records that a task no longer runs. Returns true if it was running.
     pub(super) fn record_task_end(&mut self, pending: &mut PendingTask) -> bool {
         let was_running = pending.stage == TaskStage::Running;
         if was_running {
--- a/crates/platform/src/core/running_tasks.rs
+++ b/crates/platform/src/core/running_tasks.rs
@@ -1,4 +1,4 @@
-//! Tasks that run on nodes, and their ends.
+//! Stops running tasks and handles their ends.
 
 use super::pending_task::{ActiveAttempt, PendingTask, task_key};
 use super::*;
@@ -7,7 +7,7 @@
 use tracing::debug;
 
 impl PlatformState {
-    /// Has the node stop a running task.
+    /// Requests the node to stop a running task.
     pub(super) fn stop_task(
         &mut self,
         now: Ticks,
@@ -23,7 +23,7 @@
         self.timers.insert((now + STOP_TIMEOUT, Timer::Stop(id)));
     }
 
-    /// Tasks that were sent to this machine before then are lost.
+    /// Handles the loss of the tasks that were sent to a machine before the given time.
     pub(super) fn machine_lost(
         &mut self,
         now: Ticks,
@@ -42,7 +42,8 @@
         }
     }
 
-    /// A running task has ended: its client is notified where that is due.
+    /// Handles the end of a running task, and notifies its client unless the client ended the task
+    /// or was requested to migrate it.
     pub(super) fn task_ended(
         &mut self,
         now: Ticks,
@@ -84,6 +85,7 @@
         );
     }
 
+    /// Records that a node has reported the end of an unknown task.
     pub(super) fn remember_early_end(&mut self, now: Ticks, task: u64, machine: MachineId) {
         while self.early_ends.front().is_some_and(|end| {
             self.early_ends.len() >= MAX_EARLY_ENDS || end.reported_at + EARLY_END_LIFETIME <= now
--- a/crates/platform/src/core/set_ups.rs
+++ b/crates/platform/src/core/set_ups.rs
@@ -1,4 +1,4 @@
-//! Clients' set-ups and releases.
+//! Handles the set-ups and releases of clients.
 
 use super::client_connections::MessageValidity;
 use super::pending_task::{ActiveAttempt, PendingTask, TaskStage, task_key};
@@ -8,10 +8,10 @@
 use corkspan_platform_wire::client::{self, Message, SetUp};
 use tracing::debug;
 
-/// The most bytes of a task's or a service's name.
+/// The maximum length of a task's or service's name, in bytes.
 const MAX_NAME_BYTES: usize = 256;
 
-/// Why a set-up can't be used.
+/// The reason why a set-up is invalid.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum RequestError {
     #[error(transparent)]
@@ -31,7 +31,7 @@
 }
 
 impl PlatformState {
-    /// Handles a set-up.
+    /// Handles a client's set-up, and sends the answer if it is invalid or rejected.
     pub(super) fn handle_set_up(
         &mut self,
         now: Ticks,
@@ -50,7 +50,8 @@
             Ok((set_up, request))
         }) {
             Ok(parsed) => parsed,
-            // The answer could not be distinguished from that of the open set-up under the same id.
+            // The answer could not be distinguished from the answer to the open set-up with this
+            // id.
             Err(_) if is_open_here => return MessageValidity::Violation,
             Err(error) => {
                 debug!(%error, "a set-up that can't be used");
@@ -78,7 +79,7 @@
         }
     }
 
-    /// Takes over a task that is running already, which another process has set up.
+    /// Takes over a running task that another process has set up.
     fn take_over_running_task(
         &mut self,
         now: Ticks,
@@ -99,8 +100,8 @@
             .find(node_name)
             .filter(|&machine| !has_ended(machine))
         else {
-            // The node is gone, and the task with it; or the node has reported the end already, on
-            // a connection that was opened for another task, and does not report it again.
+            // Either the node is gone and the task with it, or the node has already reported the
+            // end on a connection that was opened for another task, and does not report it again.
             self.send_release(from, task, client::CAUSE_INTERRUPTED);
             return MessageValidity::Valid;
         };
@@ -128,7 +129,7 @@
         MessageValidity::Valid
     }
 
-    /// Takes a new task.
+    /// Admits a new task and requests its placement.
     fn admit_new_task(
         &mut self,
         now: Ticks,
@@ -151,7 +152,7 @@
         MessageValidity::Valid
     }
 
-    /// The engine's request for a set-up, or what is wrong with it.
+    /// Converts a set-up to a request to the engine, or returns why it is invalid.
     pub(super) fn to_request(
         &self,
         now: Ticks,
@@ -187,7 +188,7 @@
             cores: set_up.cores,
             memory: set_up.memory,
         };
-        // More than any machine accepts would only distort the statistics of requests.
+        // A request that no machine accepts would only distort the statistics of requests.
         if !settings
             .largest_acceptable()
             .is_some_and(|largest| requested.fits_in(largest))
@@ -207,7 +208,8 @@
         })
     }
 
-    /// A client cancels a set-up, or ends its task. False where no such task is known.
+    /// Handles a client's release, which cancels a set-up or ends its task. Returns false if the
+    /// task is unknown.
     pub(super) fn handle_release(
         &mut self,
         now: Ticks,
@@ -234,7 +236,8 @@
         true
     }
 
-    /// The client waits no longer: no answer is due, and an attempt under way is withdrawn.
+    /// Cancels a set-up that its client no longer waits for: no answer is sent, and an active
+    /// attempt is withdrawn.
     pub(super) fn cancel(
         &mut self,
         now: Ticks,
@@ -265,8 +268,8 @@
     }
 }
 
-/// How long the client waits. A task that is running already has no deadline: its time left means
-/// nothing.
+/// Returns the time for which the client waits, in milliseconds. A task that is already running has
+/// no deadline, so its time left is ignored.
 fn time_left_ms(set_up: &SetUp) -> Result<u64, RequestError> {
     match set_up.time_left_ms {
         _ if set_up.running_on.is_some() => Ok(MAX_DEADLINE_MS),
--- a/crates/platform/src/handle.rs
+++ b/crates/platform/src/handle.rs
@@ -1,4 +1,4 @@
-//! The core behind a lock and with the clock: what the tasks of the process call.
+//! Shares the core between the tasks of the process: adds a lock and the clock to each call.
 
 use crate::core::{ConnectionEnd, CoreOptions, Effects, PlatformCore};
 use crate::errors::ReconfigureError;
@@ -15,21 +15,21 @@
 use std::sync::{Arc, Mutex, MutexGuard, Weak};
 use std::time::Duration;
 
-/// How long waiting set-ups are placed before the connections are read again.
+/// Time for which waiting set-ups are placed before the connections are read again.
 const TURN_LENGTH: Ticks = 20;
 
-/// The core, shared by all tasks.
+/// A core that all tasks share.
 pub struct PlatformHandle {
     core: Mutex<PlatformCore>,
     clock: Clock,
-    /// Where a test sets the time: 0 otherwise.
+    /// The time that a test has set; 0 to use the clock.
     #[cfg(test)]
     pub time_override: std::sync::atomic::AtomicU64,
 }
 
 impl PlatformHandle {
-    /// A core with its clock. `effects` may call back here, but not before the call that caused it
-    /// has returned.
+    /// Creates a core with its clock. `effects` may call the handle, but not before the call that
+    /// caused the effect has returned.
     pub fn new(
         options: CoreOptions,
         clock: Clock,
@@ -61,56 +61,56 @@
         self.clock.now()
     }
 
-    /// The core, for calls that need no time.
+    /// Locks the core, for calls that need no time.
     pub fn lock(&self) -> MutexGuard<'_, PlatformCore> {
-        // A panic under the lock would leave the bookkeeping in doubt: go down with it rather than guess.
+        // After a panic under the lock the state may be inconsistent, so the process must end too.
         self.core
             .lock()
             .expect("no call has panicked under the lock")
     }
 
-    /// Calls the core with the time, which is taken under the lock: it never goes back between two
-    /// calls.
+    /// Calls the core with the current time. The time is read under the lock, so that it never goes
+    /// back between two calls.
     pub fn with_core<R>(&self, call: impl FnOnce(&mut PlatformCore, Ticks) -> R) -> R {
         let mut core = self.lock();
         let now = self.now();
         call(&mut core, now)
     }
 
-    /// Starts what follows from the initial state.
+    /// Processes the engine's first work and sets the timer.
     pub fn start(&self) {
         self.with_core(|core, now| core.start(now))
     }
 
-    /// Places waiting set-ups while there is time. True where some still wait: between two turns
-    /// all connections are read, so that messages of nodes and clients wait for one turn and not
+    /// Places waiting set-ups while there is time. Returns true if some still wait. All connections
+    /// are read between two turns, so that a message of a node or client waits for one turn and not
     /// for all set-ups.
     pub fn run_turn(&self) -> bool {
         self.with_core(|core, now| core.run_turn(now, || self.now() < now + TURN_LENGTH))
     }
 
-    /// The timer has fired.
+    /// Handles all timers that are due.
     pub fn timer_fired(&self) {
         self.with_core(|core, now| core.timer_fired(now))
     }
 
-    /// A client has connected. None where the maximum is reached and each connection has a set-up
-    /// open.
+    /// Registers a client's connection. Returns none if the maximum is reached and every connection
+    /// has an open set-up.
     pub fn client_connected(&self) -> Option<(ClientId, MessageQueue)> {
         self.with_core(|core, now| core.client_connected(now))
     }
 
-    /// Descriptors have run out: closes the least useful client's connection.
+    /// Closes the least useful client's connection, because descriptors have run out.
     pub fn evict_client(&self) {
         self.with_core(|core, now| core.evict_client(now))
     }
 
-    /// A client's connection has ended.
+    /// Handles the end of a client's connection.
     pub fn client_disconnected(&self, id: ClientId) {
         self.with_core(|core, now| core.client_disconnected(now, id))
     }
 
-    /// A client's connection can be read from here on.
+    /// Sets the reading end of a client's connection.
     pub fn attach_client_input(&self, id: ClientId, input: ConnectionInput) {
         self.lock().attach_client_input(id, input);
     }
@@ -120,43 +120,44 @@
         self.with_core(|core, now| core.read_client_message(now, id))
     }
 
-    /// A message of a client. False where its connection is to be closed.
+    /// Handles a message of a client. Returns false if its connection must be closed.
     #[cfg(test)]
     pub fn handle_client_message(&self, id: ClientId, message: &Message) -> bool {
         self.with_core(|core, now| core.handle_client_message(now, id, message))
     }
 
-    /// Ends of running tasks that were not delivered on their client's connection.
+    /// Sends ends of running tasks that could not be delivered on their client's connection.
     pub fn redeliver(&self, messages: Vec<Vec<u8>>) {
         self.with_core(|core, now| core.redeliver(now, messages))
     }
 
-    /// A connection to a node is established.
+    /// Records that a connection to a node is established.
     pub fn connection_established(&self, id: ConnectionId) {
         self.with_core(|core, now| core.connection_established(now, id))
     }
 
-    /// The first byte of a set-up is about to be written. False where it must not be any more.
+    /// Returns whether a set-up may still be written; called right before its first byte. If true,
+    /// the attempt counts as started.
     pub fn may_write_set_up(&self, connection: ConnectionId, attempt: AttemptId) -> bool {
         self.with_core(|core, now| core.may_write_set_up(now, connection, attempt))
     }
 
-    /// A connection to a node has ended.
+    /// Handles the end of a connection to a node.
     pub fn connection_ended(&self, id: ConnectionId, end: ConnectionEnd) {
         self.with_core(|core, now| core.connection_ended(now, id, end))
     }
 
-    /// Handles a message of a node. False where its connection is to be closed.
+    /// Handles a message of a node. Returns false if its connection must be closed.
     pub fn handle_node_message(&self, connection: ConnectionId, message: node::Message) -> bool {
         self.with_core(|core, now| core.handle_node_message(now, connection, message))
     }
 
-    /// The number of the last discovery event.
+    /// Returns the number of the last discovery event.
     pub fn last_event(&self) -> u64 {
         self.lock().last_event()
     }
 
-    /// The connection to the control feed is established.
+    /// Records that the connection to the control feed is established.
     pub fn discovery_connected(&self) {
         self.with_core(|core, now| core.discovery_connected(now))
     }
@@ -166,51 +167,51 @@
         self.with_core(|core, now| core.apply_event(now, event))
     }
 
-    /// The connection to the control feed has broken.
+    /// Records that the connection to the control feed has broken.
     pub fn endpoint_watch_failed(&self) {
         self.with_core(|core, now| core.endpoint_watch_failed(now))
     }
 
-    /// The configuration file has been replaced: applies its settings. An error where they differ
-    /// in what can't be changed while it runs.
+    /// Applies the settings of a new configuration file. Fails if they are invalid or differ in
+    /// names that can't be changed while the dispatcher runs.
     pub fn reconfigure(&self, config: NodeConfig) -> Result<(), ReconfigureError> {
         self.with_core(|core, now| core.reconfigure(now, config))
     }
 
-    /// Closes connections that are silent or idle, and opens missing ones.
+    /// Closes silent and idle connections, and opens missing ones.
     pub fn sweep(&self) {
         self.with_core(|core, now| core.sweep(now))
     }
 
-    /// How many items are retained, for tests of bounds and the log.
+    /// Returns the number of retained items, for tests of bounds and for the log.
     pub fn retained_items(&self) -> usize {
         self.lock().retained_items()
     }
 
-    /// How many set-ups are due an answer.
+    /// Returns the number of set-ups without a final answer.
     pub fn unanswered(&self) -> usize {
         self.lock().unanswered()
     }
 
-    /// Shutdown: each set-up is answered as soon as its attempt has returned; new ones are rejected
-    /// at once.
+    /// Starts the shutdown: each set-up is answered as soon as its attempt has returned, and new
+    /// ones are rejected at once.
     pub fn stop(&self) {
         self.with_core(|core, now| core.stop(now))
     }
 
-    /// The longest time that clients wait for an answer, where the settings say so.
+    /// Returns the longest time that clients wait for an answer, if the settings define one.
     pub fn longest_deadline(&self) -> Option<Duration> {
         self.lock().longest_deadline().map(duration)
     }
 
-    /// Applies events of a new configuration file. Only those that follow on the last known one or
-    /// are complete: the rest comes from the control feed.
+    /// Applies the events of a new configuration file that are complete or directly follow the last
+    /// known event. The control feed sends the rest.
     pub fn apply_known_events(&self, known: DiscoveryState) {
         self.with_core(|core, now| core.apply_known_events(now, known))
     }
 
-    /// Answers the set-ups whose attempts have not returned. All connections close once all is
-    /// written.
+    /// Answers the set-ups whose attempts have not returned. Each connection closes once its queued
+    /// messages are written.
     pub fn abandon_all(&self) {
         self.with_core(|core, now| core.abandon_all(now))
     }
--- a/crates/platform/src/ids.rs
+++ b/crates/platform/src/ids.rs
@@ -2,15 +2,15 @@
 
 use corkspan_scheduler::interface::AllocationId;
 
-/// A connection of a client.
+/// The id of a client's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ClientId(pub u64);
 
-/// A connection to a node.
+/// The id of a connection to a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ConnectionId(pub u64);
 
-/// One of the attempts at an allocation.
+/// The id of an attempt at an allocation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptId {
     pub allocation: AllocationId,
