--- a/crates/platform/src/discovery.rs
+++ b/crates/platform/src/discovery.rs
@@ -1,5 +1,5 @@
-//! Follows the control feed. When to connect again is decided by the scheduler; the address comes
-//! from the configuration file.
+//! Follows the control feed, whose address is in the configuration file. The scheduler decides when
+//! to reconnect.
 
 use crate::handle::PlatformHandle;
 use async_net::TcpStream;
@@ -17,9 +17,10 @@
 use std::time::{Duration, Instant};
 use tracing::{debug, info};
 
-/// A comment arrives every second: one that is late by more than half of that means that the feed
-/// has stopped while its connection stays. An event counts as missed 4 s after the feed stopped, by
-/// when the next connection must have been made; the scheduler does that within 1.5 s of the break.
+/// Time without a complete item after which the feed counts as stopped, although its connection is
+/// still open. A comment arrives every second, so one is then late by more than half a second. An
+/// event counts as missed 4 s after the feed stopped, and the next connection must be established
+/// by then; the scheduler requests it within 1.5 s of the break.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(1_600);
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
@@ -43,7 +44,7 @@
     Request(#[from] http::Error),
 }
 
-/// Connects whenever it is called for, and at once to a new address.
+/// Connects when requested, and immediately when the feed's address changes.
 pub async fn run(
     handle: Arc<PlatformHandle>,
     mut feed_address: SocketAddr,
@@ -99,7 +100,7 @@
         hyper::client::conn::http1::handshake(FuturesIo::new(stream)).await?;
     let connection_ended = async {
         let ended = connection.await;
-        // What has been read is handled first: the other side sees the end of the body by itself.
+        // Input that was already read is handled first: `watch` detects the end of the body itself.
         futures_lite::future::pending::<()>().await;
         drop(ended);
         Err(DiscoveryError::Ended)
@@ -130,7 +131,7 @@
     let (mut body, mut reader, mut first) = (response.into_body(), Reader::default(), true);
     let mut last_item_at = Instant::now();
     loop {
-        // Since the last complete item: bytes that trickle in and complete nothing are silence too.
+        // Counted from the last complete item: bytes that complete no item also count as silence.
         let time_left = SILENCE_TIMEOUT.saturating_sub(last_item_at.elapsed());
         let frame = within(time_left, body.frame())
             .await
@@ -141,8 +142,8 @@
             last_item_at = Instant::now();
             if let FeedItem::Event(event) = item {
                 let (last, number) = (handle.last_event(), event.number);
-                // Missing events are sent after another connection. Where they are missing there
-                // too, the feed has no more to say of them.
+                // Missing events are sent on a new connection. If they are missing there too, the
+                // feed no longer has them, so a gap before the first event is accepted.
                 if number > last + 1 && !std::mem::take(&mut first) {
                     return Err(DiscoveryError::Gap(last, number));
                 }
--- a/crates/platform/src/effects.rs
+++ b/crates/platform/src/effects.rs
@@ -1,4 +1,4 @@
-//! The core's effects, carried out by tasks of the process.
+//! Carries out the core's effects by tasks of the process.
 
 use crate::core::{Effects, NewConnection};
 use crate::handle::PlatformHandle;
@@ -10,27 +10,27 @@
 use std::sync::{Arc, Weak};
 use std::time::Instant;
 
-/// Wakes the tasks that wait to be called for.
+/// The channels that wake the waiting tasks.
 pub struct WakeSenders {
     pub timer: async_channel::Sender<Instant>,
     pub watch_endpoint_list: async_channel::Sender<()>,
-    /// Some set-ups wait for a turn.
+    /// Wakes the task that places waiting set-ups.
     pub run_turn: async_channel::Sender<()>,
 }
 
-/// Carries out effects by tasks of an executor.
+/// Effects that are carried out by tasks of an executor.
 pub struct TaskEffects {
     pub handle: Weak<PlatformHandle>,
     pub clock: Clock,
     pub tasks: SharedExecutor,
     pub wake_senders: WakeSenders,
-    /// The descriptors of connections to nodes.
+    /// The descriptor permits of connections to nodes.
     pub node_permits: Arc<Semaphore>,
 }
 
 impl Effects for TaskEffects {
     fn connect(&self, connection: NewConnection) {
-        // None while the process ends: there is nobody to report to.
+        // The handle is gone while the process ends, and no connection is needed any more.
         if let Some(handle) = self.handle.upgrade() {
             let budget = Arc::clone(&self.node_permits);
             self.tasks
@@ -40,7 +40,7 @@
     }
 
     fn watch_endpoint_list(&self) {
-        // Full: it has been called for already.
+        // A full channel means that the watch is already requested.
         let _ = self.wake_senders.watch_endpoint_list.try_send(());
     }
 
@@ -49,7 +49,7 @@
     }
 
     fn request_turn(&self) {
-        // Full: a turn has been called for already.
+        // A full channel means that a turn is already requested.
         let _ = self.wake_senders.run_turn.try_send(());
     }
 }
--- a/crates/platform/src/errors.rs
+++ b/crates/platform/src/errors.rs
@@ -1,4 +1,4 @@
-//! Why a dispatcher does not start, or does not take over another configuration.
+//! Errors of starting a dispatcher and of applying a new configuration.
 
 use crate::descriptor_budget::TooFewDescriptors;
 use corkspan_platform_wire::node_config::NodeConfigError;
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Why a dispatcher did not start, or ended by itself.
+/// The reason why a dispatcher did not start, or ended without a signal.
 #[derive(Debug, thiserror::Error)]
 pub enum ServeError {
     /// The configuration file can't be read.
@@ -14,31 +14,31 @@
     ReadFile {
         /// The file.
         path: PathBuf,
-        /// Why.
+        /// The cause.
         source: std::io::Error,
     },
-    /// The configuration file is none.
+    /// The configuration file has an invalid format.
     #[error("{path}: {source}")]
     InvalidFile {
         /// The file.
         path: PathBuf,
-        /// What is wrong with it.
+        /// The error in the file.
         source: NodeConfigError,
     },
-    /// The configuration file can be read, and what it says can't be used.
+    /// The configuration file has a valid format but contains unusable values.
     #[error("{path}: {source}")]
     InvalidConfig {
         /// The file.
         path: PathBuf,
-        /// What is wrong with it.
+        /// The error in the values.
         source: ConfigError,
     },
-    /// The address of the listener can't be bound.
+    /// The listener's address can't be bound.
     #[error("can't listen on {address}: {source}")]
     Listen {
         /// The address.
         address: SocketAddr,
-        /// Why.
+        /// The cause.
         source: std::io::Error,
     },
     /// Signals can't be received.
@@ -46,13 +46,13 @@
     Signals(#[source] std::io::Error),
 }
 
-/// What is wrong with a configuration file's content.
+/// An error in the content of a configuration file.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// Fewer file descriptors than a dispatcher needs.
+    /// The limit on file descriptors is lower than a dispatcher needs.
     #[error(transparent)]
     Descriptors(#[from] TooFewDescriptors),
-    /// The seed is no number.
+    /// The seed is not a number.
     #[error("settings: {0}")]
     Seed(#[from] NodeConfigError),
     /// The settings contradict each other.
@@ -60,13 +60,13 @@
     Settings(#[from] SettingsError),
 }
 
-/// Why the settings of another configuration file are not taken over.
+/// The reason why the settings of a new configuration file are not applied.
 #[derive(Debug, thiserror::Error)]
 pub enum ReconfigureError {
-    /// They contradict each other.
+    /// The settings contradict each other.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// They differ in names that may not change while a dispatcher runs.
+    /// The settings differ in names that must not change while a dispatcher runs.
     #[error("its classes, tenants, zones or kinds are others")]
     NamesChanged,
 }
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,6 +1,6 @@
-//! A dispatcher on the platform's protocol: clients set tasks up over binary messages, the decisions
-//! of the scheduler say on which node, nodes get them as JSON lines, and the control feed lists the
-//! nodes. docs/platform.md describes how and why.
+//! A dispatcher on the platform's protocol. Clients send set-ups in binary messages, the scheduler
+//! decides which node runs each task, nodes receive tasks as JSON lines, and the control feed lists
+//! the nodes. docs/platform.md describes the design and its reasons.
 
 #![warn(missing_docs, clippy::too_many_lines)]
 
@@ -54,20 +54,21 @@
     })
 }
 
-/// Runs a dispatcher on this thread until SIGTERM asks it to stop and every set-up has its answer.
+/// Runs a dispatcher on this thread until SIGTERM or SIGINT requests it to stop and every set-up is
+/// answered.
 pub fn serve(path: &Path) -> Result<(), ServeError> {
-    // First of all: a SIGHUP that arrives before would end the process.
+    // Signals are registered first: a SIGHUP that arrives earlier would end the process.
     let signals = signals([Signal::Term, Signal::Int, Signal::Hup]).map_err(ServeError::Signals)?;
     let tasks: SharedExecutor = Arc::default();
     future::block_on(tasks.clone().run(run(tasks, path, signals, |_| ())))
 }
 
-/// Runs a dispatcher on an executor, controlled by the signals given. `ready` is called with the
-/// address that it listens on.
+/// Runs a dispatcher on an executor, controlled by the given signals. Calls `ready` with the
+/// address on which it listens.
 ///
 /// # Errors
 ///
-/// As of [`serve`].
+/// Same as [`serve`].
 pub async fn run(
     tasks: SharedExecutor,
     path: &Path,
@@ -109,7 +110,7 @@
     let mut signals = signals;
     wait_for_stop(&mut signals, || reload(&handle, path, &feed_address_sender)).await;
     let stop = shutdown::stop(&handle, &budget, Instant::now(), listener_task);
-    // The feed's address may still change; another signal to stop changes nothing.
+    // The feed's address may still change during the shutdown. Further stop signals are ignored.
     let reload_on_hangup = async {
         while let Some(signal) = signals.next().await {
             if matches!(signal, Ok(Signal::Hup)) {
@@ -124,7 +125,7 @@
     Ok(())
 }
 
-/// Starts the tasks that run beside the listener. Dropping what is returned ends them.
+/// Starts the tasks that run beside the listener. Dropping the returned value ends them.
 fn spawn_background(
     tasks: &SharedExecutor,
     handle: &Arc<PlatformHandle>,
@@ -191,8 +192,9 @@
     })
 }
 
-/// Listens with a backlog for bursts: with the usual 128 some of a burst of hundreds would wait for
-/// a second. Also returns the address, whose port the system may have chosen.
+/// Listens with a backlog that holds bursts: with the usual 128, some connections of a burst of
+/// hundreds would wait for a second. Also returns the address, whose port the system may have
+/// chosen.
 async fn listen(
     address: SocketAddr,
     shutdown_timeout: Duration,
@@ -203,7 +205,7 @@
     Ok((listener, address))
 }
 
-/// Waits for the address where a former process has not ended yet.
+/// Binds the address. Retries while a previous process that has not ended still uses it.
 async fn bind(address: SocketAddr, within: Duration) -> std::io::Result<TcpListener> {
     let started_at = Instant::now();
     loop {
@@ -219,7 +221,7 @@
     }
 }
 
-/// Until a signal asks to stop. SIGHUP only reports that the file has changed.
+/// Waits for a signal that requests a stop. SIGHUP only reports that the file has changed.
 async fn wait_for_stop(
     signals: &mut (impl Stream<Item = std::io::Result<Signal>> + Unpin),
     mut file_changed: impl FnMut(),
@@ -233,8 +235,8 @@
     }
 }
 
-/// Applies a new file. One that can't be used changes nothing: the dispatcher continues with the
-/// former one.
+/// Applies a new configuration file. If the file is unreadable, the dispatcher continues with the
+/// previous configuration; if only its settings are invalid, with the previous settings.
 fn reload(
     handle: &Arc<PlatformHandle>,
     path: &Path,
@@ -252,7 +254,7 @@
     }
 }
 
-/// Between two turns every other task that is ready runs once.
+/// Runs the requested turns. Between two turns, every other ready task runs once.
 async fn run_turns(handle: Arc<PlatformHandle>, requests: async_channel::Receiver<()>) {
     while requests.recv().await.is_ok() {
         while handle.run_turn() {
--- a/crates/platform/src/listener.rs
+++ b/crates/platform/src/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts clients' connections, with a task for each.
+//! Accepts the connections of clients and runs a task for each.
 
 use crate::handle::PlatformHandle;
 use crate::ids::ClientId;
@@ -13,14 +13,14 @@
 use std::time::Duration;
 use tracing::warn;
 
-/// How long a new connection waits for the descriptor of an evicted one, which may still have
+/// Time for which a new connection waits for the descriptor of an evicted one, which may still have
 /// messages to write.
 const DESCRIPTOR_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Accepts connections until dropped. One too many takes the place of the least useful one.
-/// `budget` are the descriptors that clients' connections may hold, those that are being closed
-/// among them: the rest of the limit is for discovery, the nodes and the next connection that is
-/// accepted.
+/// Accepts connections until dropped. A connection beyond the maximum replaces the least useful
+/// one. `budget` holds the descriptor permits of clients' connections, including those that are
+/// being closed; the rest of the limit is for discovery, the nodes and the next accepted
+/// connection.
 pub async fn run(
     handle: Arc<PlatformHandle>,
     tasks: SharedExecutor,
@@ -30,7 +30,7 @@
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                // Where there is no room the stream is dropped, which closes it.
+                // If there is no room, the stream is dropped, which closes it.
                 if let Some((id, queue)) = handle.client_connected() {
                     match within(DESCRIPTOR_TIMEOUT, budget.acquire_arc()).await {
                         Some(permit) => {
@@ -41,11 +41,11 @@
                         None => handle.client_disconnected(id),
                     }
                 }
-                // A flood of connections must not keep those that are open from being read.
+                // A flood of connections must not delay reading the open ones.
                 future::yield_now().await;
             }
             Err(error) => {
-                // Descriptors have run out: some are returned as silent connections are closed.
+                // Descriptors have run out. Some are freed when silent connections are closed.
                 warn!(%error, "can't take a connection");
                 handle.evict_client();
                 Timer::after(Duration::from_millis(20)).await;
@@ -54,7 +54,7 @@
     }
 }
 
-/// Carries a client's connection to its end.
+/// Reads and writes a client's connection until it ends.
 pub async fn serve_client(
     handle: Arc<PlatformHandle>,
     stream: TcpStream,
@@ -70,7 +70,7 @@
         handle.client_disconnected(id);
     })
     .await;
-    // Where the writer ended first: its peer reads no more.
+    // If the writer ended first, the peer no longer reads, and the client is still registered.
     handle.client_disconnected(id);
     handle.redeliver(undelivered);
 }
--- a/crates/platform/src/node_connection_task.rs
+++ b/crates/platform/src/node_connection_task.rs
@@ -1,4 +1,4 @@
-//! The task of a connection to a node, from the attempt to open it to its end.
+//! Runs the task of a connection to a node, from opening it to its end.
 
 use crate::core::{ConnectionEnd, NewConnection};
 use crate::handle::PlatformHandle;
@@ -14,8 +14,8 @@
 use std::sync::Arc;
 use tracing::debug;
 
-/// Opens a connection and carries it to its end. `budget` are the descriptors of connections to
-/// nodes.
+/// Opens a connection, then reads and writes it until it ends. `budget` holds the descriptor
+/// permits of connections to nodes.
 pub async fn run(handle: Arc<PlatformHandle>, connection: NewConnection, budget: Arc<Semaphore>) {
     let NewConnection {
         id,
@@ -23,14 +23,14 @@
         connect_timeout,
         queue,
     } = connection;
-    // Connections that are being closed hold their descriptors to the end.
+    // Connections that are being closed hold their descriptors until they end.
     let connected = async {
         let permit = budget.acquire_arc().await;
         (permit, TcpStream::connect(address).await)
     };
     let (_permit, connected) = within(duration(connect_timeout), connected).await.unzip();
     let stream = match connected {
-        // Its node is gone meanwhile, and another may have its address.
+        // The node is gone in the meantime, and another one may have its address.
         _ if queue.is_discarded() => return,
         Some(Ok(stream)) => stream,
         Some(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => {
@@ -74,7 +74,7 @@
                 ReadOutcome::Closed => return ReadProgress::Done,
             },
             Err(error) => {
-                // Nothing after it can be trusted, so no more is read.
+                // After an invalid message the rest of the input can't be trusted.
                 debug!(?id, %error, "closing a connection to a node");
                 return ReadProgress::Done;
             }
--- a/crates/platform/src/node_connections.rs
+++ b/crates/platform/src/node_connections.rs
@@ -16,39 +16,38 @@
     pub machine: MachineId,
     pub to: MessageSender,
     established: bool,
-    /// No further set-up is sent on it.
+    /// True if no further set-up may be sent on the connection.
     draining: bool,
     pub open_attempts: BTreeSet<AllocationId>,
     last_used_at: Ticks,
 }
 
-/// Which connection may be closed to make room for a new one.
+/// The connections that may be closed to make room for a new one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Eviction {
-    /// One without which every node with tasks still has a connection.
+    /// Connections without which every node with tasks still has one.
     SpareOnly,
-    /// Also the only one to a node with tasks, which is connected again when its turn comes.
+    /// Also the only connection to a node with tasks, which a later sweep connects again.
     Any,
 }
 
-/// The connections to nodes, open and half-closed.
+/// The pool of open and half-closed connections to nodes.
 pub struct NodeConnections {
     connections: BTreeMap<ConnectionId, NodeConnection>,
     by_machine: BTreeMap<MachineId, BTreeSet<ConnectionId>>,
-    /// Connections that are closed on our side only: their nodes may still have messages under way.
+    /// Connections that only the dispatcher has closed. Messages of their nodes may still arrive.
     half_closed: BTreeMap<ConnectionId, MachineId>,
     opened: u64,
     max_connections: usize,
     connect_timeout: Ticks,
     idle_timeout: Ticks,
-    /// The queues of all connections that have been opened, for a test that stands in for their
-    /// tasks.
+    /// The queues of all opened connections, for a test that replaces the connections' tasks.
     #[cfg(test)]
     pub opened_queues: Vec<(ConnectionId, MessageQueue)>,
 }
 
 impl NodeConnections {
-    /// An empty pool. Connections idle for `idle_timeout` are closed.
+    /// Creates an empty pool, which closes connections that are idle for `idle_timeout`.
     pub fn new(max_connections: usize, connect_timeout: Ticks, idle_timeout: Ticks) -> Self {
         let (connections, by_machine, half_closed) =
             (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
@@ -65,7 +64,7 @@
         }
     }
 
-    /// The connections to a machine that set-ups may be sent on.
+    /// Returns the connections to a machine on which set-ups may be sent.
     pub fn available_to(&self, machine: MachineId) -> Vec<ConnectionId> {
         let connections = self.by_machine.get(&machine).into_iter().flatten().copied();
         connections
@@ -73,7 +72,7 @@
             .collect()
     }
 
-    /// All connections to a machine, the draining ones among them.
+    /// Returns all connections to a machine, including draining ones.
     pub fn all_to(&self, machine: MachineId) -> Vec<ConnectionId> {
         self.by_machine
             .get(&machine)
@@ -83,7 +82,7 @@
             .collect()
     }
 
-    /// None where the pool or the node's part of it is full.
+    /// Opens a connection. Returns none if the pool or the node's share of it is full.
     pub fn open(&mut self, machine: MachineId, now: Ticks) -> Option<(ConnectionId, MessageQueue)> {
         if self.is_full() || self.is_node_full(machine) {
             return None;
@@ -109,24 +108,25 @@
         Some((id, queue))
     }
 
-    /// How long a new connection may take to be established.
+    /// Returns the time within which a new connection must be established.
     pub fn connect_timeout(&self) -> Ticks {
         self.connect_timeout
     }
 
-    /// Whether no further connection may be opened at all.
+    /// Returns whether the pool is full.
     pub fn is_full(&self) -> bool {
         self.connections.len() >= self.max_connections
     }
 
-    /// Whether no further connection may be opened to this machine.
+    /// Returns whether the maximum number of connections to a machine is reached.
     pub fn is_node_full(&self, machine: MachineId) -> bool {
         self.by_machine.get(&machine).map_or(0, BTreeSet::len) >= MAX_CONNECTIONS_PER_NODE
     }
 
-    /// Closes the connection that is missed the least: no attempt is open on it and it is not
-    /// excepted. Of those that are the only one to a node with tasks it is the one longest unused,
-    /// and none to a draining node, which may accept no other.
+    /// Closes the least useful connection: one without an open attempt and not in `except`. A
+    /// connection that is not the only one to a node with tasks is closed first, then the one
+    /// unused the longest. The only connection to a draining node with tasks is kept, because that
+    /// node may accept no other.
     pub fn evict(&mut self, nodes: &Nodes, except: &BTreeSet<ConnectionId>, eviction: Eviction) {
         let free = self.connections.iter().filter(|(id, connection)| {
             connection.established && connection.open_attempts.is_empty() && !except.contains(id)
@@ -153,7 +153,7 @@
             .for_each(|(_, _, id, _)| self.close(id));
     }
 
-    /// Connections and attempts on them, for tests of what is retained.
+    /// Returns the number of connections and open attempts, for tests of retained state.
     pub fn retained_items(&self) -> usize {
         let connections = self
             .connections
@@ -162,19 +162,19 @@
         connections.sum::<usize>() + self.by_machine.len() + self.half_closed.len()
     }
 
-    /// Open connections, and half-closed ones.
+    /// Returns the numbers of open and half-closed connections.
     #[cfg(test)]
     pub fn open_and_half_closed(&self) -> (usize, usize) {
         (self.connections.len(), self.half_closed.len())
     }
 
-    /// The connection that was opened last.
+    /// Returns the connection that was opened last.
     #[cfg(test)]
     pub fn newest(&self) -> ConnectionId {
         *self.connections.keys().next_back().expect("one is open")
     }
 
-    /// Takes all connections as established.
+    /// Records all connections as established.
     #[cfg(test)]
     pub fn establish_all(&mut self, now: Ticks) {
         self.connections
@@ -183,7 +183,8 @@
             .for_each(|connection| (connection.established, connection.last_used_at) = (true, now));
     }
 
-    /// A connection without an open attempt, so that if it breaks nothing else breaks with it.
+    /// Returns an established connection without open attempts, so that no other attempt fails with
+    /// the next one if the connection breaks.
     pub fn find_idle(
         &self,
         machine: MachineId,
@@ -204,7 +205,7 @@
             .map(|(id, _)| id)
     }
 
-    /// The connection with the fewest open attempts.
+    /// Returns the connection with the fewest open attempts.
     pub fn least_loaded(
         &self,
         machine: MachineId,
@@ -216,7 +217,7 @@
             .min_by_key(|id| self.connections[id].open_attempts.len())
     }
 
-    /// An attempt has been sent on a connection.
+    /// Records that an attempt has been sent on a connection.
     pub fn attempt_started(&mut self, id: ConnectionId, allocation: AllocationId, now: Ticks) {
         if let Some(connection) = self.connections.get_mut(&id) {
             connection.open_attempts.insert(allocation);
@@ -224,7 +225,7 @@
         }
     }
 
-    /// An attempt on a connection has returned.
+    /// Records that an attempt on a connection has returned.
     pub fn attempt_finished(&mut self, id: ConnectionId, allocation: AllocationId, now: Ticks) {
         if let Some(connection) = self.connections.get_mut(&id) {
             connection.open_attempts.remove(&allocation);
@@ -232,22 +233,22 @@
         }
     }
 
-    /// The connection is established.
+    /// Records that a connection is established.
     pub fn mark_established(&mut self, id: ConnectionId, now: Ticks) {
         if let Some(connection) = self.connections.get_mut(&id) {
             (connection.established, connection.last_used_at) = (true, now);
         }
     }
 
-    /// Whether messages may be sent on the connection right away.
+    /// Returns whether messages may be sent on the connection at once.
     pub fn is_established(&self, id: ConnectionId) -> bool {
         self.connections
             .get(&id)
             .is_some_and(|connection| connection.established && !connection.draining)
     }
 
-    /// Records that a message has arrived. The machine at the other end; none where the connection
-    /// is closed.
+    /// Records that a message has arrived. Returns the machine at the other end, or none if the
+    /// connection is closed.
     pub fn touch(&mut self, id: ConnectionId, now: Ticks) -> Option<MachineId> {
         let Some(connection) = self.connections.get_mut(&id) else {
             return self.half_closed.get(&id).copied();
@@ -256,7 +257,7 @@
         Some(connection.machine)
     }
 
-    /// Queues a message; false where the connection can't take it.
+    /// Queues a message. Returns false if the connection can't take it.
     pub fn send(&mut self, id: ConnectionId, message: &node::Message) -> bool {
         let line = message.to_line();
         line.is_some_and(|line| {
@@ -266,7 +267,7 @@
         })
     }
 
-    /// The same for a set-up.
+    /// Queues a set-up. Returns false if the connection can't take it.
     pub fn send_set_up(
         &mut self,
         id: ConnectionId,
@@ -281,7 +282,7 @@
         })
     }
 
-    /// No further set-up is sent on the connection: it is closed once no attempt is open on it.
+    /// Stops sending set-ups on a connection, and closes it once no attempt is open on it.
     pub fn drain(&mut self, id: ConnectionId) {
         if let Some(connection) = self.connections.get_mut(&id) {
             connection.draining = true;
@@ -291,10 +292,11 @@
         }
     }
 
-    /// Half-closes the connection: once all is written our side is closed, and the node's messages
-    /// are still read. A release that is under way already would otherwise arrive only on the next
-    /// connection, which may not be opened for long while another one exists. Each keeps its
-    /// descriptor, so their number is limited; beyond, both sides are closed.
+    /// Half-closes a connection: the dispatcher's side is closed once all messages are written, and
+    /// the node's messages are still read. Otherwise a release that is already in transit would
+    /// arrive only on the next connection, which may not be opened for a long time while another
+    /// one exists. A half-closed connection keeps its descriptor, so their number is limited;
+    /// beyond the limit both sides are closed at once.
     pub fn close(&mut self, id: ConnectionId) {
         let has_room = self.half_closed.len() < self.max_connections / CONNECTIONS_PER_HALF_CLOSED;
         let Some(connection) = self
@@ -307,7 +309,7 @@
         connection.to.half_close();
     }
 
-    /// Takes out a connection that has ended or is to end at once.
+    /// Removes a connection that has ended or must end at once.
     pub fn remove(&mut self, id: ConnectionId) -> Option<NodeConnection> {
         self.half_closed.remove(&id);
         let connection = self.connections.remove(&id)?;
@@ -320,7 +322,7 @@
         Some(connection)
     }
 
-    /// Closes all that have been idle for long, but keeps one to each machine that has tasks.
+    /// Closes the connections that are idle for too long, but keeps one to each machine with tasks.
     pub fn close_idle(&mut self, now: Ticks, nodes: &Nodes) {
         let idle = |connection: &NodeConnection| {
             connection.open_attempts.is_empty()
--- a/crates/platform/src/nodes.rs
+++ b/crates/platform/src/nodes.rs
@@ -1,4 +1,4 @@
-//! The nodes by name and address, and the tasks that run on them.
+//! Records the nodes by name and address, and the tasks that run on them.
 
 use corkspan_platform_wire::discovery::{self, NodeEntry, NodeList, Phase};
 use corkspan_scheduler::interface::*;
@@ -9,8 +9,8 @@
 use std::net::SocketAddr;
 use tracing::warn;
 
-/// The latest start time that is taken over, some thousand years from now: no sum with it
-/// overflows.
+/// The latest start time that a node may report, in ticks: thousands of years from now, so that no
+/// sum with it overflows.
 const MAX_START_TIME: Ticks = 1 << 50;
 
 struct Node {
@@ -18,32 +18,32 @@
     address: SocketAddr,
     started: u64,
     draining: bool,
-    /// It refuses connections, because it is draining.
+    /// Whether the node has refused a connection because it is draining.
     closed_to_connections: bool,
-    /// Since when it has had tasks and no connection.
+    /// The time since when the node has had tasks and no connection.
     unreached_since: Option<Ticks>,
     tasks: BTreeSet<AllocationId>,
 }
 
-/// The nodes of the list.
+/// The listed nodes.
 #[derive(Default)]
 pub struct Nodes {
     nodes: BTreeMap<MachineId, Node>,
 }
 
-/// What a change to the list means.
+/// The effects of a change to the list.
 #[derive(Default)]
 pub struct ListChange {
     pub endpoints: Vec<Endpoint>,
-    /// The list is complete: a node that it does not name is gone. Not so where an entry could not
-    /// be read.
+    /// Whether the list is complete, so that a node that it does not name is gone. False if an
+    /// entry is unreadable.
     pub complete: bool,
     pub gone: Vec<MachineId>,
-    /// Nodes that were restarted, with the time of the new start.
+    /// The restarted nodes, with the time of the new start.
     pub restarted: Vec<(MachineId, Ticks)>,
 }
 
-/// The id of a node is a hash of its name alone, so that it is the same at every dispatcher.
+/// Returns the id of a node: a hash of its name alone, so that all dispatchers use the same id.
 fn machine_id(name: &str) -> MachineId {
     let mut hasher = FnvHasher::default();
     hasher.write(name.as_bytes());
@@ -62,7 +62,7 @@
 }
 
 impl Nodes {
-    /// The id of the node with this name.
+    /// Returns the id of the node with this name.
     pub fn find(&self, name: &str) -> Option<MachineId> {
         let id = machine_id(name);
         self.nodes
@@ -71,26 +71,26 @@
             .map(|_| id)
     }
 
-    /// Where a node listens.
+    /// Returns the address on which a node listens.
     pub fn address(&self, machine: MachineId) -> Option<SocketAddr> {
         self.nodes.get(&machine).map(|node| node.address)
     }
 
-    /// A task runs on a node.
+    /// Records that a task runs on a node.
     pub fn add_task(&mut self, machine: MachineId, id: AllocationId) {
         if let Some(node) = self.nodes.get_mut(&machine) {
             node.tasks.insert(id);
         }
     }
 
-    /// A task runs on a node no longer.
+    /// Records that a task no longer runs on a node.
     pub fn remove_task(&mut self, machine: MachineId, id: AllocationId) {
         if let Some(node) = self.nodes.get_mut(&machine) {
             node.tasks.remove(&id);
         }
     }
 
-    /// The tasks that run on a node.
+    /// Returns the tasks that run on a node.
     pub fn tasks_on(&self, machine: MachineId) -> Vec<AllocationId> {
         self.nodes
             .get(&machine)
@@ -99,20 +99,20 @@
             .collect()
     }
 
-    /// Whether tasks run on a node.
+    /// Returns whether tasks run on a node.
     pub fn has_tasks(&self, machine: MachineId) -> bool {
         self.nodes
             .get(&machine)
             .is_some_and(|node| !node.tasks.is_empty())
     }
 
-    /// Whether a node accepts nothing new.
+    /// Returns whether a node is draining, so that it accepts no new tasks.
     pub fn is_draining(&self, machine: MachineId) -> bool {
         self.nodes.get(&machine).is_some_and(|node| node.draining)
     }
 
-    /// A connection was refused. True where that says nothing about the tasks there: a draining
-    /// node stops listening while they run on.
+    /// Records that a node has refused a connection. Returns true if its tasks may still run: a
+    /// draining node stops listening while they continue.
     pub fn connection_refused(&mut self, machine: MachineId) -> bool {
         self.nodes.get_mut(&machine).is_some_and(|node| {
             node.closed_to_connections = node.draining;
@@ -120,8 +120,8 @@
         })
     }
 
-    /// The nodes that have tasks and no connection, with the time since when. The longest unreached
-    /// first.
+    /// Returns the nodes that have tasks and no connection, each with the time since when, ordered
+    /// by that time.
     pub fn unreached(
         &mut self,
         connected: impl Fn(MachineId) -> bool,
@@ -141,7 +141,7 @@
         unreached
     }
 
-    /// Applies a list, and returns what has changed.
+    /// Applies a list and returns the changes.
     pub fn apply_list(&mut self, list: &NodeList, settings: &Settings) -> ListChange {
         let mut change = ListChange::default();
         let readable: Vec<&NodeEntry> = list.entries.iter().filter_map(readable_entry).collect();
@@ -191,12 +191,12 @@
         change
     }
 
-    /// Nodes and tasks on them, for tests of what is retained.
+    /// Returns the number of nodes and tasks, for tests of retained state.
     pub fn retained_items(&self) -> usize {
         self.nodes.values().map(|node| 1 + node.tasks.len()).sum()
     }
 
-    /// Forgets a node that is gone.
+    /// Removes a node that is gone.
     pub fn remove_node(&mut self, machine: MachineId) {
         self.nodes.remove(&machine);
     }
@@ -227,7 +227,7 @@
                 Phase::Draining => MachineState::Draining,
                 Phase::Gone => MachineState::Removed,
             },
-            // No sum with a time from outside may overflow.
+            // Limited so that no sum with a reported time overflows.
             started_at: (member.up_since_ms > 0)
                 .then(|| member.up_since_ms.saturating_mul(10).min(MAX_START_TIME)),
             unreserved: member
--- a/crates/platform/src/reader.rs
+++ b/crates/platform/src/reader.rs
@@ -1,5 +1,5 @@
-//! Reads what peers have sent without waiting, so that it can be done at any moment and not only
-//! when the connection's task runs.
+//! Reads input of peers without blocking, so that it can be read at any time and not only when the
+//! connection's task runs.
 
 use async_io::Async;
 use futures_lite::future;
@@ -17,30 +17,30 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadOutcome {
     Data,
-    /// All that has arrived has been read.
+    /// All input that had arrived has been read.
     Empty,
-    /// The peer has closed its side, in whatever way.
+    /// The peer has closed its side, or the connection has failed.
     Closed,
 }
 
-/// What handling the next message came to.
+/// The outcome of handling the next message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadProgress {
-    /// One message was handled, and more may be there.
+    /// One message was handled, and more may be available.
     Handled,
     /// No complete message is left.
     Drained,
-    /// The connection is to be closed.
+    /// The connection must be closed.
     Done,
 }
 
 impl ConnectionInput {
-    /// Of a connection.
+    /// Creates the reading end of a connection.
     pub fn new(stream: async_net::TcpStream) -> Self {
         ConnectionInput(stream.into())
     }
 
-    /// Reads once what has arrived.
+    /// Passes input that has arrived to `push`, with a single read.
     pub fn read(&self, push: impl FnOnce(&[u8])) -> ReadOutcome {
         let mut bytes = [0; READ_BYTES];
         loop {
@@ -57,9 +57,9 @@
         }
     }
 
-    /// Calls `handle_next` until it is done, one message at a time: between two of them the other
-    /// connections are served. So a node's message waits for one set-up of each client's connection
-    /// at the most, and not for all that have arrived on them.
+    /// Calls `handle_next` for one message at a time until it is done, and lets other connections
+    /// run between two messages. A node's message thus waits for at most one set-up on each
+    /// client's connection, and not for all that have arrived.
     pub async fn read_messages(&self, mut handle_next_message: impl FnMut() -> ReadProgress) {
         loop {
             match handle_next_message() {
--- a/crates/platform/src/shutdown.rs
+++ b/crates/platform/src/shutdown.rs
@@ -1,4 +1,4 @@
-//! The shutdown: what happens between SIGTERM and the end of the process.
+//! Runs the shutdown, from SIGTERM to the end of the process.
 
 use crate::descriptor_budget::{self, DescriptorBudget};
 use crate::handle::PlatformHandle;
@@ -9,26 +9,27 @@
 use std::time::{Duration, Instant};
 use tracing::{info, warn};
 
-/// Time in hand for a late event loop where a deadline must be kept.
+/// Time by which a deadline is met early, in case the event loop runs late.
 pub const SHUTDOWN_MARGIN: Duration = Duration::from_millis(300);
 
-/// What happens when, counted from SIGTERM.
+/// The times of the shutdown's steps, counted from SIGTERM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ShutdownSchedule {
-    /// How long set-ups are accepted at the least: connections still arrive for 0.4 s, set-ups on
-    /// them for 0.2 s more, and a late loop reads them later than that.
+    /// Minimum time for which set-ups are accepted. Connections still arrive for 0.4 s and set-ups
+    /// on them for another 0.2 s, and a late event loop reads them even later.
     accept_for: Duration,
-    /// When set-ups that wait for a machine are answered.
+    /// The time when set-ups that wait for a machine are answered.
     answer_waiting_within: Duration,
-    /// When set-ups with an attempt under way are answered too.
+    /// The time when set-ups with an active attempt are answered too.
     answer_all_within: Duration,
-    /// When SIGKILL may come.
+    /// The earliest time of SIGKILL.
     pub killed_after: Duration,
 }
 
 impl ShutdownSchedule {
-    /// SIGKILL comes no sooner than the longest deadline (at most 3 s) and 0.7 s after SIGTERM. A
-    /// set-up that arrives within those 0.7 s is still due an answer.
+    /// Computes the schedule. SIGKILL is sent no sooner than the longest deadline (at most 3 s)
+    /// plus 0.7 s after SIGTERM. A set-up that arrives within 0.7 s of SIGTERM must still be
+    /// answered.
     pub fn for_longest_deadline(longest_deadline: Option<Duration>) -> Self {
         const ACCEPT_WINDOW: Duration = Duration::from_millis(700);
         let longest = longest_deadline
@@ -48,8 +49,8 @@
     }
 }
 
-/// Goes on serving until everything has its answer or its time is up, closes all connections and
-/// waits until their last messages are written. Dropping `front` ends the acceptance of
+/// Continues to serve until every set-up is answered or its time is up, then closes all connections
+/// and waits until their last messages are written. Dropping `listener_task` stops accepting
 /// connections.
 pub async fn stop<T>(
     handle: &PlatformHandle,
@@ -71,7 +72,7 @@
     .await;
     drop(listener_task);
     handle.abandon_all();
-    // The last messages are written when every connection has returned its descriptor.
+    // When every connection has returned its descriptor permit, the last messages are written.
     let all_written = future::zip(
         wait_until_returned(&budget.client_permits, budget.client_descriptors),
         wait_until_returned(
@@ -95,7 +96,7 @@
     }
 }
 
-/// Waits until all of these descriptors have been returned.
+/// Waits until `count` permits have been returned.
 async fn wait_until_returned(budget: &Semaphore, count: usize) {
     for _ in 0..count {
         std::mem::forget(budget.acquire().await);
--- a/crates/platform/src/writer.rs
+++ b/crates/platform/src/writer.rs
@@ -1,4 +1,4 @@
-//! The queue of a connection's outgoing messages, and the loop that writes them.
+//! Queues the outgoing messages of a connection and writes them.
 
 use crate::ids::AttemptId;
 use async_net::TcpStream;
@@ -15,30 +15,31 @@
 #[path = "../tests/writer/fairness.rs"]
 mod fairness;
 
-/// A peer that reads so slowly that more bytes are queued for it is cut off.
+/// Maximum bytes queued for a peer. A peer that reads so slowly that more are queued is
+/// disconnected.
 const MAX_QUEUED_BYTES: usize = 128 * 1024;
-/// How long one write may take.
+/// Time within which one write must complete.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long the last messages may take on a connection that is being closed.
+/// Time within which the last messages must be written on a connection that is being closed.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(100);
-/// How long the peer of a half-closed connection may take to close its side. What it sends later
-/// could not be passed on in time anyway.
+/// Time within which the peer of a half-closed connection must close its side. Later messages could
+/// not be forwarded in time anyway.
 const HALF_CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The sending end; dropping it closes the connection once all is written.
+/// The sending end of a queue. Dropping it closes the connection once all messages are written.
 #[derive(Debug)]
 pub struct MessageSender {
     sender: async_channel::Sender<QueuedMessage>,
     shared: Arc<SharedState>,
 }
 
-/// The receiving end, for the task that writes.
+/// The receiving end of a queue, for the task that writes the messages.
 pub struct MessageQueue {
     receiver: async_channel::Receiver<QueuedMessage>,
     shared: Arc<SharedState>,
 }
 
-/// A message that waits to be written.
+/// A message waiting to be written.
 #[derive(Debug)]
 struct QueuedMessage {
     purpose: Purpose,
@@ -47,26 +48,26 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Purpose {
-    /// A set-up: whether it may still be written is checked just before its first byte is written.
+    /// A set-up. Whether it may still be written is checked right before its first byte.
     SetUp(AttemptId),
-    /// The end of a running task: if this connection can't deliver it any longer, another must.
+    /// The end of a running task. If this connection can't deliver it, another one must.
     TaskEnd,
     Other,
 }
 
-/// What both ends share.
+/// The state shared by both ends of a queue.
 #[derive(Debug, Default)]
 struct SharedState {
-    /// Bytes that are queued.
+    /// The number of queued bytes.
     queued_bytes: AtomicUsize,
-    /// Once our side is closed, what the peer sent before is still read.
+    /// Whether the peer's messages are still read after this side is closed.
     half_close_requested: AtomicBool,
-    /// Nothing more is written: it was meant for a peer that is gone, and another may have its
+    /// True if nothing more may be written: the peer is gone, and another one may have its
     /// address.
     discarded: AtomicBool,
 }
 
-/// Both ends of an empty queue.
+/// Creates an empty queue and returns its two ends.
 pub fn message_queue() -> (MessageSender, MessageQueue) {
     let (sender, receiver) = async_channel::unbounded();
     let shared = Arc::new(SharedState::default());
@@ -80,17 +81,17 @@
 }
 
 impl MessageSender {
-    /// False where the connection can't be used any more.
+    /// Queues a message. Returns false if the connection can no longer be used.
     pub fn send(&self, bytes: Vec<u8>) -> bool {
         self.enqueue(Purpose::Other, bytes)
     }
 
-    /// The same for a set-up.
+    /// Queues a set-up. Returns false if the connection can no longer be used.
     pub fn send_set_up(&self, attempt: AttemptId, bytes: Vec<u8>) -> bool {
         self.enqueue(Purpose::SetUp(attempt), bytes)
     }
 
-    /// The same for the end of a running task.
+    /// Queues the end of a running task. Returns false if the connection can no longer be used.
     pub fn send_task_end(&self, bytes: Vec<u8>) -> bool {
         self.enqueue(Purpose::TaskEnd, bytes)
     }
@@ -111,28 +112,28 @@
             .is_ok()
     }
 
-    /// Closes our side once all is written, and goes on reading until the peer has closed its side
-    /// too.
+    /// Closes this side once all messages are written, and continues to read until the peer has
+    /// closed its side too.
     pub fn half_close(self) {
         self.shared
             .half_close_requested
             .store(true, Ordering::Relaxed);
     }
 
-    /// Closes the connection with nothing more written.
+    /// Closes the connection without writing the queued messages.
     pub fn discard(self) {
         self.shared.discarded.store(true, Ordering::Relaxed);
     }
 }
 
 impl MessageQueue {
-    /// Takes all queued messages out.
+    /// Removes and returns all queued messages.
     #[cfg(test)]
     pub fn take_all(&self) -> Vec<Vec<u8>> {
         std::iter::from_fn(|| self.receiver.try_recv().ok().map(|message| message.bytes)).collect()
     }
 
-    /// Takes the next message out, with the attempt that it starts.
+    /// Removes and returns the next message, with the attempt if it is a set-up.
     #[cfg(test)]
     pub fn next(&self) -> Option<(Option<AttemptId>, Vec<u8>)> {
         let QueuedMessage { purpose, bytes } = self.receiver.try_recv().ok()?;
@@ -142,15 +143,15 @@
         }
     }
 
-    /// Whether the sending end is gone and all has been written; then, whether the connection is
-    /// half-closed.
+    /// Returns none until the sending end is gone and the queue is empty; then, whether the
+    /// connection is half-closed.
     #[cfg(test)]
     pub fn ended(&self) -> Option<bool> {
         let ended = self.receiver.is_closed() && self.receiver.is_empty();
         ended.then(|| self.shared.half_close_requested.load(Ordering::Relaxed))
     }
 
-    /// A second receiving end.
+    /// Returns a second receiving end.
     #[cfg(test)]
     pub fn second_receiver(&self) -> MessageQueue {
         MessageQueue {
@@ -159,12 +160,12 @@
         }
     }
 
-    /// Whether nothing more is to be written.
+    /// Returns whether nothing more may be written.
     pub fn is_discarded(&self) -> bool {
         self.shared.discarded.load(Ordering::Relaxed)
     }
 
-    /// Writes messages until no more can come, or the peer reads no more.
+    /// Writes messages until the sending end is gone or the peer no longer reads.
     async fn write(&self, mut stream: TcpStream, may_write_set_up: impl Fn(AttemptId) -> bool) {
         while let Ok(QueuedMessage { purpose, bytes }) = self.receiver.recv().await {
             let should_write = !self.is_discarded()
@@ -184,10 +185,10 @@
     }
 }
 
-/// Carries a connection until either side ends it. `read` reads it, and ends when nothing more is
-/// to be read; what follows from that happens within it and does not wait for the last messages.
-/// `may_write_set_up` is asked before each set-up is written. Returns ends of running tasks that
-/// were not delivered.
+/// Reads and writes a connection until either side ends it. `read` reads it and completes when
+/// there is nothing more to read; it also handles the end of the connection, without waiting for
+/// the last messages to be written. `may_write_set_up` is called before each set-up is written.
+/// Returns the ends of running tasks that were not delivered.
 pub async fn run_connection(
     stream: TcpStream,
     queue: MessageQueue,
@@ -195,8 +196,8 @@
     read: impl Future<Output = ()>,
 ) -> Vec<Vec<u8>> {
     let mut read = pin!(read);
-    // The writer may end with messages queued: they are written before the reader's end closes the
-    // connection.
+    // Messages may still be queued when the reader ends; they are written before the connection is
+    // closed.
     let fully_read = async {
         read.as_mut().await;
         true
