--- a/crates/platform/src/core/client_connections.rs
+++ b/crates/platform/src/core/client_connections.rs
@@ -76,7 +76,7 @@
                 }
                 Ok(None) => client.drained_at = 0,
                 Err(error) => {
-                    debug!(?id, %error, "closing a client's connection");
+                    debug!(?id, %error, "closing a client's connection after an invalid message");
                     return ReadProgress::Done;
                 }
             }
@@ -158,7 +158,7 @@
             | MessageType::HealthCheckReply => MessageValidity::Violation,
         };
         if validity == MessageValidity::Violation {
-            debug!(?id, ?message.message_type, "closing a client's connection that sent what no client sends");
+            debug!(?id, ?message.message_type, "closing a client's connection after a message type that clients must not send");
             return false;
         }
         let valid = validity == MessageValidity::Valid;
--- a/crates/platform/src/core/endpoint_list.rs
+++ b/crates/platform/src/core/endpoint_list.rs
@@ -25,7 +25,7 @@
         };
         engine.apply_endpoint_list(scope, &change.endpoints);
         for machine in change.gone {
-            info!(?machine, "a node has gone");
+            info!(?machine, "a node is gone");
             self.machine_lost(now, engine, machine, Ticks::MAX);
             for connection in self.connections.all_to(machine) {
                 self.remove_connection(now, engine, connection, ConnectionEnd::ConnectTimeout);
--- a/crates/platform/src/core/engine_effects.rs
+++ b/crates/platform/src/core/engine_effects.rs
@@ -51,7 +51,7 @@
             name = pending.name,
             description = pending.description,
             time_out,
-            "sent"
+            "sent to a node"
         );
     }
 
@@ -64,13 +64,13 @@
 
     fn indeterminate(&mut self, pending: &mut PendingTask, allocation: &Allocation) {
         if self.record_final_answer(pending, allocation.id, TaskStage::Ended) {
-            debug!(task = task_key(pending.task), attempts = ?allocation.attempts, "scrapped");
+            debug!(task = task_key(pending.task), attempts = ?allocation.attempts, "indeterminate");
             self.send_release(pending.client, pending.task, client::CAUSE_FAILED);
         }
     }
 
     fn migrate(&mut self, pending: &mut PendingTask, allocation: &Allocation) {
-        debug!(task = task_key(pending.task), "moved away");
+        debug!(task = task_key(pending.task), "migration requested");
         if self.record_task_end(pending) {
             self.send_task_end(pending.client, MessageType::Migrate, pending.task, &[]);
             self.timers
--- a/crates/platform/src/core/node_messages.rs
+++ b/crates/platform/src/core/node_messages.rs
@@ -113,7 +113,7 @@
         };
         let matched = self.match_attempt(engine, origin, &message);
         if matched.as_ref().is_some_and(|matched| matched.is_earlier) {
-            debug!(task = task_key(task), ?machine, ?message.message_type, "a message about an earlier attempt");
+            debug!(task = task_key(task), ?machine, ?message.message_type, "ignoring a message about an earlier attempt");
             return true;
         }
         self.handle_task_message(now, engine, origin, matched, message)
@@ -158,7 +158,12 @@
             }
             (node::MessageType::Event, Some(matched)) if matched.stage != TaskStage::Pending => {
                 if let Some(metric) = parse_metric(&message) {
-                    debug!(task = task_key(task), ?machine, ?metric, "noted");
+                    debug!(
+                        task = task_key(task),
+                        ?machine,
+                        ?metric,
+                        "recorded a metric"
+                    );
                     engine.record_metric(now, matched.id, metric);
                 }
             }
--- a/crates/platform/src/core/set_ups.rs
+++ b/crates/platform/src/core/set_ups.rs
@@ -16,17 +16,17 @@
 pub(super) enum RequestError {
     #[error(transparent)]
     Field(#[from] InvalidField),
-    #[error("no owner waits for {0} ms")]
+    #[error("a deadline of {0} ms is not between 1 and {MAX_DEADLINE_MS} ms")]
     Deadline(u64),
-    #[error("a name of over {MAX_NAME_BYTES} bytes")]
+    #[error("a name is longer than {MAX_NAME_BYTES} bytes")]
     LongName,
-    #[error("no class `{0:.40}`")]
+    #[error("unknown class `{0:.40}`")]
     UnknownClass(String),
-    #[error("no key, which its class needs")]
+    #[error("the class requires an idempotency key")]
     MissingKey,
     #[error("{cores} cores and {memory} of memory fit on no machine")]
     TooLarge { cores: f64, memory: f64 },
-    #[error("no such tenant")]
+    #[error("unknown tenant")]
     UnknownTenant,
 }
 
@@ -54,7 +54,7 @@
             // id.
             Err(_) if is_open_here => return MessageValidity::Violation,
             Err(error) => {
-                debug!(%error, "a set-up that can't be used");
+                debug!(%error, "rejecting an invalid set-up");
                 self.send_release(from, task, client::CAUSE_FAILED);
                 return MessageValidity::Unusable;
             }
--- a/crates/platform/src/descriptor_budget.rs
+++ b/crates/platform/src/descriptor_budget.rs
@@ -16,7 +16,7 @@
 
 /// The limit on file descriptors is lower than a dispatcher needs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("limits: {0} sockets, where {MIN_DESCRIPTORS} are the least")]
+#[error("limits: {0} sockets are fewer than the minimum of {MIN_DESCRIPTORS}")]
 pub struct TooFewDescriptors(pub usize);
 
 /// The shares of the descriptor limit. Each connection holds a permit until its descriptor is
--- a/crates/platform/src/discovery.rs
+++ b/crates/platform/src/discovery.rs
@@ -26,21 +26,21 @@
 
 #[derive(Debug, thiserror::Error)]
 enum DiscoveryError {
-    #[error("no connection to {0}")]
+    #[error("can't connect to {0}")]
     NoConnection(SocketAddr),
-    #[error("silent for {SILENCE_TIMEOUT:?}")]
+    #[error("nothing received for {SILENCE_TIMEOUT:?}")]
     Silent,
     #[error("the stream has ended")]
     Ended,
-    #[error("event {1} came after event {0}")]
+    #[error("event {1} was received after event {0}, so events are missing")]
     Gap(u64, u64),
-    #[error("status {0}")]
+    #[error("HTTP status {0}")]
     Status(http::StatusCode),
     #[error(transparent)]
     Protocol(#[from] ProtocolError),
-    #[error("no HTTP: {0}")]
+    #[error("HTTP error: {0}")]
     Http(#[from] hyper::Error),
-    #[error("no request: {0}")]
+    #[error("can't build the request: {0}")]
     Request(#[from] http::Error),
 }
 
@@ -73,11 +73,11 @@
             };
             match address_changed.or(followed).await {
                 Ok(to) => {
-                    info!(%to, "the control feed has moved");
+                    info!(%to, "the address of the control feed has changed");
                     feed_address = to;
                 }
                 Err(error) => {
-                    debug!(%error, "the control feed broke off");
+                    debug!(%error, "the connection to the control feed has ended");
                     handle.endpoint_watch_failed();
                     break;
                 }
--- a/crates/platform/src/errors.rs
+++ b/crates/platform/src/errors.rs
@@ -42,7 +42,7 @@
         source: std::io::Error,
     },
     /// Signals can't be received.
-    #[error("can't take signals: {0}")]
+    #[error("can't receive signals: {0}")]
     Signals(#[source] std::io::Error),
 }
 
@@ -67,6 +67,6 @@
     #[error(transparent)]
     Settings(#[from] SettingsError),
     /// The settings differ in names that must not change while a dispatcher runs.
-    #[error("its classes, tenants, zones or kinds are others")]
+    #[error("classes, tenants, zones and machine types can't change while the dispatcher runs")]
     NamesChanged,
 }
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -247,10 +247,10 @@
             let _ = feed_address_sender.force_send(config.discovery_address);
             handle.apply_known_events(config.discovery_state.clone());
             if let Err(error) = handle.reconfigure(config) {
-                warn!(%error, "the new file's settings are not taken over");
+                warn!(%error, "the settings of the new configuration file are not applied");
             }
         }
-        Err(error) => warn!(%error, "the new file is not taken over"),
+        Err(error) => warn!(%error, "the new configuration file is not applied"),
     }
 }
 
--- a/crates/platform/src/listener.rs
+++ b/crates/platform/src/listener.rs
@@ -46,7 +46,7 @@
             }
             Err(error) => {
                 // Descriptors have run out. Some are freed when silent connections are closed.
-                warn!(%error, "can't take a connection");
+                warn!(%error, "can't accept a connection");
                 handle.evict_client();
                 Timer::after(Duration::from_millis(20)).await;
             }
--- a/crates/platform/src/node_connection_task.rs
+++ b/crates/platform/src/node_connection_task.rs
@@ -75,7 +75,7 @@
             },
             Err(error) => {
                 // After an invalid message the rest of the input can't be trusted.
-                debug!(?id, %error, "closing a connection to a node");
+                debug!(?id, %error, "closing a connection to a node after an invalid message");
                 return ReadProgress::Done;
             }
         }
--- a/crates/platform/src/nodes.rs
+++ b/crates/platform/src/nodes.rs
@@ -54,8 +54,8 @@
 fn readable_entry(entry: &discovery::ListEntry) -> Option<&NodeEntry> {
     match entry {
         discovery::ListEntry::Node(member) => Some(member),
-        discovery::ListEntry::Unreadable(what) => {
-            warn!(%what, "an entry of the list that can't be read is left out");
+        discovery::ListEntry::Unreadable(entry) => {
+            warn!(%entry, "skipping an unreadable entry of the node list");
             None
         }
     }
@@ -160,7 +160,7 @@
             let Some(endpoint) = self.to_endpoint(member, settings) else {
                 warn!(
                     member.id,
-                    "a node of a kind or in a place that the settings don't name is left out"
+                    "skipping a node whose machine type or zone is not in the settings"
                 );
                 continue;
             };
--- a/crates/platform/src/shutdown.rs
+++ b/crates/platform/src/shutdown.rs
@@ -59,7 +59,7 @@
     listener_task: T,
 ) {
     let schedule = ShutdownSchedule::for_longest_deadline(handle.longest_deadline());
-    info!(kept = handle.retained_items(), "stopping");
+    info!(retained = handle.retained_items(), "stopping");
     Timer::at(signalled_at + schedule.accept_for).await;
     wait_until(signalled_at + schedule.answer_waiting_within, || {
         handle.unanswered() == 0
@@ -86,7 +86,7 @@
         + (schedule.killed_after - schedule.answer_all_within) / 2)
         .saturating_duration_since(Instant::now());
     if within(remaining, all_written).await.is_none() {
-        warn!("some connections took no last messages");
+        warn!("some connections did not accept their last messages in time");
     }
 }
 
