--- a/crates/platform/tests/core/bounds.rs
+++ b/crates/platform/tests/core/bounds.rs
@@ -9,29 +9,29 @@
 use corkspan_runtime::SharedExecutor;
 use corkspan_runtime::clock::Clock;
 
-pub(super) const POSTING: &str = r#"{"name":"n0","listen":"127.0.0.1:0","seed":"1","limits":{"sockets":256},
+pub(super) const CONFIG: &str = r#"{"name":"n0","listen":"127.0.0.1:0","seed":"1","limits":{"sockets":256},
 "feed":"127.0.0.1:1","known":{"n":0},"settings":{"classes":[{"effect":"pure","name":"batch","on-time-us":600000}],
 "discovery":"on_request","family-info":{"accepts-memory":1.5,"ack":"accepted","admit-cores":2.0,"class-calm":[1.0],
 "class-most":[2],"kind-cores":[32],"kind-memory":[64.0],"needs-kind":[-1],"priority-by-class":[0],
 "spread-by":["silent"],"view":false,"young-limit":1000000.0},"fleet-size":1,"limits":{"max-attempts":3,"probes":true},
 "locality":0,"me":0,"penalties":{},"rules":{"cold-us":0,"fall-us":0},"skus":["std"],"zones":["east"]}}"#;
 
-pub(super) fn member(number: u64, phase: &str) -> String {
+pub(super) fn node_json(number: u64, phase: &str) -> String {
     format!(
         r#"{{"id":"s-{number:x}","host_port":"127.0.0.1:9","locality":"east","flavor":"std","phase":"{phase}"}}"#
     )
 }
 
 pub(super) fn set_up(task: u64) -> Message {
-    message(task, &format!("cores:1;memory:1;service:{task:x}"))
+    set_up_with_requirements(task, &format!("cores:1;memory:1;service:{task:x}"))
 }
 
-pub(super) fn message(task: u64, figures: &str) -> Message {
+pub(super) fn set_up_with_requirements(task: u64, requirements: &str) -> Message {
     let parameters: [(u8, &[u8]); 4] = [
         (client::CLASS, b"batch"),
         (client::TIME_LEFT, b"6000"),
         (client::TASK_NAME, b"a"),
-        (client::REQUIREMENTS, figures.as_bytes()),
+        (client::REQUIREMENTS, requirements.as_bytes()),
     ];
     let mut reader = Reader::default();
     reader.push(&client::encode(MessageType::SetUp, task, &parameters).expect("short"));
@@ -39,16 +39,16 @@
 }
 
 pub(super) fn handle() -> Arc<PlatformHandle> {
-    posted(POSTING)
+    handle_with_config(CONFIG)
 }
 
-pub(super) fn posted(config: &str) -> Arc<PlatformHandle> {
+pub(super) fn handle_with_config(config: &str) -> Arc<PlatformHandle> {
     let config = NodeConfig::from_json(config.as_bytes()).expect("sound");
-    started(config, &DescriptorBudget::new(256).expect("enough")).0
+    create_handle(config, &DescriptorBudget::new(256).expect("enough")).0
 }
 
 /// A core whose tasks are not run, and the calls for the list to be watched.
-pub(super) fn started(
+pub(super) fn create_handle(
     config: NodeConfig,
     budget: &DescriptorBudget,
 ) -> (Arc<PlatformHandle>, async_channel::Receiver<()>) {
@@ -82,16 +82,16 @@
 
 /// A node answers a set-up, sends metrics of the task and releases it.
 fn run_task(handle: &PlatformHandle, connection: ConnectionId, task: u64) {
-    let said = |kind| node::Message::new(kind, task);
+    let node_message = |kind| node::Message::new(kind, task);
     assert!(handle.handle_node_message(
         connection,
         node::Message {
             text: Some("made".into()),
-            ..said(node::MessageType::Ready)
+            ..node_message(node::MessageType::Ready)
         }
     ));
     for (note, value) in [("running", 1.0), ("use_cpu", 0.5), ("use_ram", 0.5)] {
-        let mut event = said(node::MessageType::Event);
+        let mut event = node_message(node::MessageType::Event);
         event
             .attributes
             .insert("note".into(), AttributeValue::Text(note.into()));
@@ -100,7 +100,10 @@
             .insert("value".into(), AttributeValue::Number(value));
         assert!(handle.handle_node_message(connection, event));
     }
-    assert!(handle.handle_node_message(connection, said(node::MessageType::Close).with_cause(16)));
+    assert!(handle.handle_node_message(
+        connection,
+        node_message(node::MessageType::Close).with_cause(16)
+    ));
 }
 
 /// Clients, services, tasks and nodes that come once and never again, at a core whose connections
@@ -108,17 +111,17 @@
 #[test]
 fn tables_do_not_grow_with_past_clients_nodes_and_tasks() {
     let handle = handle();
-    let mut most = 0;
+    let mut max_retained = 0;
     for round in 1..=6_000u64 {
         if round % 3 == 1 {
             let (new, old) = (
-                member(round, "active"),
-                member(round.saturating_sub(3), "left"),
+                node_json(round, "active"),
+                node_json(round.saturating_sub(3), "left"),
             );
             let event = format!(r#"{{"n":{round},"members":{{"members":[{new},{old}]}}}}"#);
             handle.apply_event(serde_json::from_str(&event).expect("an event"));
         }
-        let (id, _inbox) = handle.client_connected().expect("there is room");
+        let (id, _queue) = handle.client_connected().expect("there is room");
         assert!(send_and_run_turns(&handle, id, &set_up(round)));
         let connection = handle.lock().state.connections.newest();
         handle.connection_established(connection);
@@ -132,7 +135,7 @@
                 });
             });
             handle.sweep();
-            most = most.max(handle.retained_items());
+            max_retained = max_retained.max(handle.retained_items());
         }
     }
     assert!(
@@ -140,7 +143,7 @@
         "services have left their records"
     );
     let state = &handle.lock().state;
-    let rest = (
+    let sizes = (
         state.clients.len(),
         state.nodes.retained_items(),
         state.connections.retained_items(),
@@ -148,8 +151,8 @@
         state.timers.len(),
     );
     assert!(
-        most < 1_024 + 200,
-        "{most} kept; owners, nodes, links, tests, due: {rest:?}"
+        max_retained < 1_024 + 200,
+        "{max_retained} kept; owners, nodes, links, tests, due: {sizes:?}"
     );
 }
 
@@ -173,7 +176,9 @@
 /// held back.
 fn full_pool(nodes: u64) -> (Arc<PlatformHandle>, ClientId, MessageQueue) {
     let handle = handle();
-    let members: Vec<String> = (1..=nodes).map(|number| member(number, "active")).collect();
+    let members: Vec<String> = (1..=nodes)
+        .map(|number| node_json(number, "active"))
+        .collect();
     let event = format!(
         r#"{{"n":1,"members":{{"members":[{}]}}}}"#,
         members.join(",")
@@ -181,11 +186,11 @@
     handle.apply_event(serde_json::from_str(&event).expect("an event"));
     let (client, queue) = handle.client_connected().expect("there is room");
     for node in 1..=nodes {
-        let figures = format!("cores:20;memory:1;service:a;at:s-{node:x}");
+        let requirements = format!("cores:20;memory:1;service:a;at:s-{node:x}");
         assert!(send_and_run_turns(
             &handle,
             client,
-            &message(node, &figures)
+            &set_up_with_requirements(node, &requirements)
         ));
         let connection = handle.lock().state.connections.newest();
         handle.connection_established(connection);
@@ -196,17 +201,17 @@
 /// All connections are established, and each node answers the health checks that have reached it.
 fn answer_health_checks(PlatformCore { engine, state }: &mut PlatformCore) {
     state.connections.establish_all(state.now);
-    for (test, check) in std::mem::take(&mut state.health_checks) {
+    for (check_id, check) in std::mem::take(&mut state.health_checks) {
         state
             .timers
-            .retain(|(_, due)| *due != Timer::HealthCheck(test));
+            .retain(|(_, timer)| *timer != Timer::HealthCheck(check_id));
         engine.record_health_check(state.now, check.machine, AttemptResult::Completed, None);
     }
 }
 
 #[test]
 fn a_full_connection_pool_still_opens_connections_for_set_ups() {
-    let (handle, client, _inbox) = full_pool(200);
+    let (handle, client, _queue) = full_pool(200);
     for task in 1_000..1_100 {
         assert!(send_and_run_turns(&handle, client, &set_up(task)));
         assert_eq!(
@@ -224,43 +229,43 @@
         };
         handle.connection_established(connection);
         answer_health_checks(&mut handle.lock());
-        let made = node::Message {
+        let answer = node::Message {
             text: Some("made".into()),
             ..node::Message::new(node::MessageType::Ready, task)
         };
-        assert!(handle.handle_node_message(connection, made));
+        assert!(handle.handle_node_message(connection, answer));
     }
 }
 
 #[test]
 fn no_task_is_lost_on_a_node_that_answers_health_checks_with_a_full_pool() {
-    let (handle, _owner, _inbox) = full_pool(130);
-    let mut inner = handle.lock();
-    let began = inner.state.now;
+    let (handle, _client, _queue) = full_pool(130);
+    let mut core = handle.lock();
+    let started_at = core.state.now;
     for step in 1..=60 {
-        let PlatformCore { engine, state } = &mut *inner;
-        state.now = began + step * SECOND / 4;
+        let PlatformCore { engine, state } = &mut *core;
+        state.now = started_at + step * SECOND / 4;
         state.sweep(state.now, engine);
         engine.timer_fired(state.now);
         engine.poll(state.now, state);
         assert!(state.deferred.is_empty(), "after {} ms", step * 250);
-        answer_health_checks(&mut inner);
+        answer_health_checks(&mut core);
     }
 }
 
 #[test]
 fn the_only_connection_to_a_draining_node_is_kept() {
-    let (handle, _owner, _inbox) = full_pool(200);
+    let (handle, _client, _queue) = full_pool(200);
     let event = format!(
         r#"{{"n":2,"members":{{"members":[{}]}}}}"#,
-        member(1, "leaving")
+        node_json(1, "leaving")
     );
     handle.apply_event(serde_json::from_str(&event).expect("an event"));
-    let mut inner = handle.lock();
-    let machine = inner.state.nodes.find("s-1").expect("listed");
-    let connection = inner.state.connections.available_to(machine);
+    let mut core = handle.lock();
+    let machine = core.state.nodes.find("s-1").expect("listed");
+    let connection = core.state.connections.available_to(machine);
     for step in 1..=24 {
-        let PlatformCore { engine, state } = &mut *inner;
+        let PlatformCore { engine, state } = &mut *core;
         state.now += step * SECOND / 4;
         state.sweep(state.now, engine);
         state.connections.establish_all(state.now);
@@ -276,27 +281,27 @@
 #[test]
 fn a_release_under_way_on_an_evicted_connection_is_passed_on_at_once() {
     let (handle, client, queue) = full_pool(200);
-    let was_running: Vec<(ConnectionId, u64)> = {
+    let running: Vec<(ConnectionId, u64)> = {
         let PlatformCore { engine, state } = &mut *handle.lock();
         let connections = |task: &u64| {
             state
                 .connections
                 .available_to(state.nodes.find(&format!("s-{task:x}")).expect("listed"))
         };
-        let was_running = (1..=200)
+        let running = (1..=200)
             .filter_map(|task| Some((*connections(&task).first()?, task)))
             .collect();
         engine.timer_fired(state.now);
-        was_running
+        running
     };
-    let mut gone = 0;
+    let mut closed = 0;
     for task in 1_000..1_010 {
         assert!(send_and_run_turns(&handle, client, &set_up(task)));
         answer_health_checks(&mut handle.lock());
     }
-    for (connection, task) in was_running {
+    for (connection, task) in running {
         if !handle.lock().state.connections.is_established(connection) {
-            gone += 1;
+            closed += 1;
             assert!(handle.handle_node_message(
                 connection,
                 node::Message::new(node::MessageType::Close, task).with_cause(16)
@@ -306,22 +311,22 @@
             assert_eq!(queue.take_all().last(), Some(&released), "task {task}");
         }
     }
-    assert!(gone > 0, "some connections have given way");
+    assert!(closed > 0, "some connections have given way");
 }
 
 #[test]
 fn half_closed_connections_are_bounded() {
-    let (handle, client, _inbox) = full_pool(200);
+    let (handle, client, _queue) = full_pool(200);
     for task in 1_000..1_100 {
         assert!(send_and_run_turns(&handle, client, &set_up(task)));
         let connection = handle.lock().state.connections.newest();
         handle.connection_established(connection);
         answer_health_checks(&mut handle.lock());
-        let made = node::Message {
+        let answer = node::Message {
             text: Some("made".into()),
             ..node::Message::new(node::MessageType::Ready, task)
         };
-        assert!(handle.handle_node_message(connection, made));
+        assert!(handle.handle_node_message(connection, answer));
         let (open, closing) = handle.lock().state.connections.open_and_half_closed();
         assert!(
             open <= 85 && closing <= 17,
@@ -347,26 +352,26 @@
     let released =
         client::encode(MessageType::Release, 20, &[(client::CAUSE, &[16])]).expect("short");
     assert_eq!(queue.take_all(), [released]);
-    let waits = || handle.lock().engine.counts();
+    let counts = || handle.lock().engine.counts();
     assert_eq!(
-        (waits().attempts_pending, waits().deferred),
+        (counts().attempts_pending, counts().deferred),
         (0, 200),
         "the decisions have not been asked yet"
     );
     while handle.run_turn() {}
-    assert!(waits().attempts_pending > 0);
+    assert!(counts().attempts_pending > 0);
 }
 
 /// A turn whose time is up once dropped the set-up that would have been next, which then never had
 /// an answer.
 #[test]
 fn every_waiting_set_up_is_placed_however_many_turns_that_takes() {
-    let (handle, _owner, _inbox) = full_pool(60);
+    let (handle, _client, _queue) = full_pool(60);
     let clients: Vec<(ClientId, MessageQueue)> = (0..4)
         .map(|_| handle.client_connected().expect("there is room"))
         .collect();
     for task in 1_000..2_000 {
-        let small = message(task, "cores:0.01;memory:0.01;service:a");
+        let small = set_up_with_requirements(task, "cores:0.01;memory:0.01;service:a");
         assert!(handle.handle_client_message(clients[task as usize % 4].0, &small));
     }
     let turns = (1..10_000).find(|_| !handle.run_turn()).expect("an end");
--- a/crates/platform/tests/core/races.rs
+++ b/crates/platform/tests/core/races.rs
@@ -1,7 +1,7 @@
 //! Races: a client that goes, or a connection that breaks, at the worst moment. The tasks that
 //! would read and write are not run: each call stands for the moment at which one of them runs.
 
-use super::bounds::{POSTING, member, posted, set_up};
+use super::bounds::{CONFIG, handle_with_config, node_json, set_up};
 use super::pending_task::task_key;
 use super::*;
 use crate::handle::PlatformHandle;
@@ -18,20 +18,20 @@
 fn handle(replaced: &[(&str, &str)]) -> Arc<PlatformHandle> {
     let config = replaced
         .iter()
-        .fold(POSTING.to_string(), |config, (old, new)| {
+        .fold(CONFIG.to_string(), |config, (old, new)| {
             assert!(config.contains(old), "the settings hold {old}");
             config.replace(old, new)
         });
-    let handle = posted(&config);
+    let handle = handle_with_config(&config);
     let event = format!(
         r#"{{"n":1,"members":{{"members":[{}]}}}}"#,
-        member(1, "active")
+        node_json(1, "active")
     );
     handle.apply_event(serde_json::from_str(&event).expect("an event"));
     handle
 }
 
-fn bytes(task: u64) -> Vec<u8> {
+fn set_up_bytes(task: u64) -> Vec<u8> {
     let parameters: [(u8, &[u8]); 4] = [
         (client::CLASS, b"batch"),
         (client::TIME_LEFT, b"6000"),
@@ -42,10 +42,10 @@
 }
 
 /// A client's connection whose first set-up has been read, and the client's end of it.
-fn client(handle: &PlatformHandle, task: u64) -> (ClientId, MessageQueue, TcpStream) {
+fn connect_client(handle: &PlatformHandle, task: u64) -> (ClientId, MessageQueue, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port of the system's choice");
     let mut peer = TcpStream::connect(listener.local_addr().expect("bound")).expect("connected");
-    peer.write_all(&bytes(task)).expect("written");
+    peer.write_all(&set_up_bytes(task)).expect("written");
     let (stream, _) = listener.accept().expect("accepted");
     let (id, queue) = handle.client_connected().expect("there is room");
     handle.attach_client_input(
@@ -59,7 +59,7 @@
 #[derive(Clone, Copy, Debug)]
 enum Departure {
     Closes,
-    Halves,
+    HalfCloses,
     Resets,
     Cancels,
 }
@@ -67,11 +67,11 @@
 /// The client goes, behind a burst of other set-ups. Returns once that has arrived, unread.
 fn depart(how: Departure, task: u64, mut peer: TcpStream) -> Option<TcpStream> {
     for other in 1_000..1_040 {
-        peer.write_all(&bytes(other)).expect("written");
+        peer.write_all(&set_up_bytes(other)).expect("written");
     }
     let kept = match how {
         Departure::Closes => None,
-        Departure::Halves => {
+        Departure::HalfCloses => {
             peer.shutdown(Shutdown::Write).expect("shut");
             Some(peer)
         }
@@ -94,7 +94,7 @@
 }
 
 /// The attempt of this task that is under way, and its connection.
-fn active(handle: &PlatformHandle, task: u64) -> Option<(ConnectionId, AttemptId)> {
+fn active_attempt(handle: &PlatformHandle, task: u64) -> Option<(ConnectionId, AttemptId)> {
     let engine = &mut handle.lock().engine;
     let id = engine.find(&task_key(task))?;
     let active = engine.data_mut(id)?.0.active?;
@@ -108,15 +108,15 @@
 }
 
 #[test_case(Departure::Closes)]
-#[test_case(Departure::Halves)]
+#[test_case(Departure::HalfCloses)]
 #[test_case(Departure::Resets)]
 #[test_case(Departure::Cancels)]
 fn a_first_attempt_does_not_start_once_its_client_is_gone(how: Departure) {
     let handle = handle(&[]);
-    let (_, _inbox, peer) = client(&handle, 7);
+    let (_, _queue, peer) = connect_client(&handle, 7);
     let _kept = depart(how, 7, peer);
     while handle.run_turn() {}
-    assert_eq!(active(&handle, 7), None);
+    assert_eq!(active_attempt(&handle, 7), None);
     assert!(
         handle.lock().engine.find(&task_key(7)).is_none(),
         "nothing is left of it"
@@ -124,57 +124,57 @@
 }
 
 #[test_case(Departure::Closes)]
-#[test_case(Departure::Halves)]
+#[test_case(Departure::HalfCloses)]
 #[test_case(Departure::Resets)]
 #[test_case(Departure::Cancels)]
 fn a_set_up_whose_client_goes_before_its_connection_is_established_is_not_written(how: Departure) {
     let handle = handle(&[]);
-    let (_, _inbox, peer) = client(&handle, 7);
+    let (_, _queue, peer) = connect_client(&handle, 7);
     while handle.run_turn() {}
-    let (connection, attempt) = active(&handle, 7).expect("on its way");
+    let (connection, attempt) = active_attempt(&handle, 7).expect("on its way");
     let _kept = depart(how, 7, peer);
     handle.connection_established(connection);
     assert!(!handle.may_write_set_up(connection, attempt));
 }
 
 #[test_case(Departure::Closes)]
-#[test_case(Departure::Halves)]
+#[test_case(Departure::HalfCloses)]
 #[test_case(Departure::Resets)]
 #[test_case(Departure::Cancels)]
 fn a_retry_does_not_start_once_its_client_is_gone(how: Departure) {
     let handle = handle(&[]);
-    let (_, _inbox, peer) = client(&handle, 7);
+    let (_, _queue, peer) = connect_client(&handle, 7);
     while handle.run_turn() {}
-    let (connection, attempt) = active(&handle, 7).expect("on its way");
+    let (connection, attempt) = active_attempt(&handle, 7).expect("on its way");
     handle.connection_established(connection);
     assert!(handle.may_write_set_up(connection, attempt));
     let _kept = depart(how, 7, peer);
-    let mut refusal = node::Message::new(node::MessageType::Close, 7).with_cause(34);
+    let mut rejection = node::Message::new(node::MessageType::Close, 7).with_cause(34);
     // The node's queue is full for a moment: the only node there is may be tried again soon.
-    refusal
+    rejection
         .attributes
         .insert("note".into(), AttributeValue::Text("backlog".into()));
-    assert!(handle.handle_node_message(connection, refusal));
+    assert!(handle.handle_node_message(connection, rejection));
     std::thread::sleep(duration(SECOND / 4));
     handle.timer_fired();
     while handle.run_turn() {}
-    assert_eq!(active(&handle, 7), None);
+    assert_eq!(active_attempt(&handle, 7), None);
 }
 
 /// A client that ends a task and closes at once has still ended it.
 #[test]
 fn a_release_right_before_its_clients_close_is_handled() {
     let handle = handle(&[]);
-    let (id, _inbox, mut peer) = client(&handle, 7);
+    let (id, _queue, mut peer) = connect_client(&handle, 7);
     while handle.run_turn() {}
-    let (connection, attempt) = active(&handle, 7).expect("on its way");
+    let (connection, attempt) = active_attempt(&handle, 7).expect("on its way");
     handle.connection_established(connection);
     assert!(handle.may_write_set_up(connection, attempt));
-    let made = node::Message {
+    let answer = node::Message {
         text: Some("made".into()),
         ..node::Message::new(node::MessageType::Ready, 7)
     };
-    assert!(handle.handle_node_message(connection, made));
+    assert!(handle.handle_node_message(connection, answer));
     let release =
         client::encode(MessageType::Release, 7, &[(client::CAUSE, &[16])]).expect("short");
     peer.write_all(&release).expect("written");
@@ -190,24 +190,24 @@
 #[test]
 fn a_set_up_whose_deadline_passes_before_its_connection_is_established_is_not_written() {
     let handle = handle(&[]);
-    let (id, _inbox) = handle.client_connected().expect("there is room");
+    let (id, _queue) = handle.client_connected().expect("there is room");
     assert!(handle.handle_client_message(id, &set_up(7)));
     while handle.run_turn() {}
-    let (connection, attempt) = active(&handle, 7).expect("on its way");
+    let (connection, attempt) = active_attempt(&handle, 7).expect("on its way");
     let PlatformCore { engine, state } = &mut *handle.lock();
-    let until = engine
+    let deadline = engine
         .data_mut(attempt.allocation)
         .and_then(|(pending, _)| pending.active)
         .expect("out")
         .deadline;
-    state.connections.mark_established(connection, until);
+    state.connections.mark_established(connection, deadline);
     assert!(
-        !state.may_write_set_up(until, engine, connection, attempt),
+        !state.may_write_set_up(deadline, engine, connection, attempt),
         "the timer is late, and the writer not"
     );
-    assert!(state.may_write_set_up(until - 1, engine, connection, attempt));
+    assert!(state.may_write_set_up(deadline - 1, engine, connection, attempt));
     assert!(
-        !state.may_write_set_up(until - 1, engine, connection, attempt),
+        !state.may_write_set_up(deadline - 1, engine, connection, attempt),
         "and that is so once"
     );
 }
@@ -221,18 +221,18 @@
     let (id, queue) = handle.client_connected().expect("there is room");
     assert!(handle.handle_client_message(id, &set_up(6)));
     while handle.run_turn() {}
-    let (connection, attempt) = active(&handle, 6).expect("on its way");
+    let (connection, attempt) = active_attempt(&handle, 6).expect("on its way");
     handle.connection_established(connection);
     assert!(handle.may_write_set_up(connection, attempt));
-    let made = node::Message {
+    let answer = node::Message {
         text: Some("made".into()),
         ..node::Message::new(node::MessageType::Ready, 6)
     };
-    assert!(handle.handle_node_message(connection, made));
+    assert!(handle.handle_node_message(connection, answer));
     assert!(handle.handle_client_message(id, &set_up(7)));
     while handle.run_turn() {}
-    let (again, attempt) = active(&handle, 7).expect("on its way");
-    assert_eq!(again, connection, "the connection that is free");
+    let (reused_connection, attempt) = active_attempt(&handle, 7).expect("on its way");
+    assert_eq!(reused_connection, connection, "the connection that is free");
     queue.take_all();
     if time_out {
         let PlatformCore { engine, state } = &mut *handle.lock();
@@ -274,12 +274,12 @@
             ) {}
         });
     });
-    let place = Arc::new(Semaphore::new(1)).try_acquire_arc().expect("free");
-    let carried = crate::listener::serve_client(Arc::clone(&handle), stream, id, queue, place);
-    futures_lite::future::block_on(carried);
-    let inner = handle.lock();
+    let permit = Arc::new(Semaphore::new(1)).try_acquire_arc().expect("free");
+    let served = crate::listener::serve_client(Arc::clone(&handle), stream, id, queue, permit);
+    futures_lite::future::block_on(served);
+    let core = handle.lock();
     assert_eq!(
-        (inner.state.clients.len(), inner.engine.counts().tracked),
+        (core.state.clients.len(), core.engine.counts().tracked),
         (0, 0)
     );
 }
@@ -292,19 +292,19 @@
     let (id, queue) = handle.client_connected().expect("there is room");
     assert!(handle.handle_client_message(id, &set_up(7)));
     while handle.run_turn() {}
-    let (connection, attempt) = active(&handle, 7).expect("on its way");
+    let (connection, attempt) = active_attempt(&handle, 7).expect("on its way");
     handle.connection_established(connection);
     assert!(handle.may_write_set_up(connection, attempt));
     queue.take_all();
     let PlatformCore { engine, state } = &mut *handle.lock();
     let (pending, _) = engine.data_mut(attempt.allocation).expect("in hand");
-    let (until, machine) = (pending.deadline, pending.active.expect("out").machine);
-    state.now = until;
-    let made = node::Message {
+    let (deadline, machine) = (pending.deadline, pending.active.expect("out").machine);
+    state.now = deadline;
+    let answer = node::Message {
         text: Some("made".into()),
         ..node::Message::new(node::MessageType::Ready, 7)
     };
-    assert!(state.handle_node_message(until, engine, connection, machine, made));
+    assert!(state.handle_node_message(deadline, engine, connection, machine, answer));
     let failed = client::encode(
         MessageType::Release,
         7,
--- a/crates/platform/tests/core/transcript.rs
+++ b/crates/platform/tests/core/transcript.rs
@@ -2,7 +2,7 @@
 //! test sets: bytes to clients and nodes, timers and counts, compared with those recorded under
 //! `tests/data`. No task that reads or writes is run; the test stands in for them.
 
-use super::bounds::started;
+use super::bounds::create_handle;
 use super::*;
 use crate::handle::PlatformHandle;
 use corkspan_platform_wire::client::{self, MessageType};
@@ -14,7 +14,7 @@
 use test_case::test_case;
 
 /// When each run begins.
-const BEGIN: Ticks = 1_000_000;
+const START_TIME: Ticks = 1_000_000;
 const STEPS: usize = 700;
 const NODES: u64 = 6;
 
@@ -54,7 +54,7 @@
         all.get(at).copied()
     }
 
-    fn of<T: Copy>(&mut self, all: &[T]) -> T {
+    fn choose<T: Copy>(&mut self, all: &[T]) -> T {
         self.pick(all).expect("some")
     }
 }
@@ -62,7 +62,7 @@
 /// A connection to a node as its task would hold it.
 struct Connection {
     queue: MessageQueue,
-    up: bool,
+    established: bool,
     ended: bool,
     /// The tasks that were written on it, and the health checks.
     tasks: Vec<u64>,
@@ -73,7 +73,7 @@
     handle: Arc<PlatformHandle>,
     draws: Draws,
     now: Ticks,
-    swept: Ticks,
+    last_sweep: Ticks,
     watch_endpoint_list: async_channel::Receiver<()>,
     clients: BTreeMap<ClientId, MessageQueue>,
     connections: BTreeMap<ConnectionId, Connection>,
@@ -81,36 +81,42 @@
     last_event: u64,
     text: String,
     /// What was last written of timers and counts.
-    shown: String,
+    counts_line: String,
 }
 
 impl Run {
     fn new(seed: u64) -> Run {
         let config = NodeConfig::from_json(SETTINGS.as_bytes()).expect("sound");
-        let asked = platform_cluster(&config.settings).expect("sound");
+        let cluster_settings = platform_cluster(&config.settings).expect("sound");
         let budget = DescriptorBudget::new(config.limits.sockets).expect("enough");
-        let (handle, watching) = started(config, &budget);
-        handle.time_override.store(BEGIN, Ordering::Relaxed);
+        let (handle, watch_receiver) = create_handle(config, &budget);
+        handle.time_override.store(START_TIME, Ordering::Relaxed);
         {
             // The core was made by the machine's clock: it begins anew by the test's.
             let PlatformCore { engine, state } = &mut *handle.lock();
-            *engine = Engine::new(asked, seed, BEGIN, MAX_TASKS, RetryBatch::ON_DEMAND);
-            (state.now, state.last_health_check_id) = (BEGIN, seed);
+            *engine = Engine::new(
+                cluster_settings,
+                seed,
+                START_TIME,
+                MAX_TASKS,
+                RetryBatch::ON_DEMAND,
+            );
+            (state.now, state.last_health_check_id) = (START_TIME, seed);
             (state.engine_timer, state.armed_timer) = (None, None);
         }
-        let _ = watching.try_recv();
+        let _ = watch_receiver.try_recv();
         let mut run = Run {
             handle,
             draws: Draws(seed),
-            now: BEGIN,
-            swept: BEGIN,
-            watch_endpoint_list: watching,
+            now: START_TIME,
+            last_sweep: START_TIME,
+            watch_endpoint_list: watch_receiver,
             clients: BTreeMap::new(),
             connections: BTreeMap::new(),
             last_task: 0,
             last_event: 0,
             text: String::new(),
-            shown: String::new(),
+            counts_line: String::new(),
         };
         run.handle.start();
         run.send_complete_list();
@@ -120,18 +126,18 @@
         run
     }
 
-    fn note(&mut self, text: std::fmt::Arguments<'_>) {
+    fn record(&mut self, text: std::fmt::Arguments<'_>) {
         writeln!(self.text, "{text}").expect("written");
     }
 
-    fn member(&mut self, number: u64, phase: &str, since: u64) -> String {
-        let (zone, kind) = if number.is_multiple_of(3) {
+    fn node_json(&mut self, number: u64, phase: &str, since: u64) -> String {
+        let (zone, machine_type) = if number.is_multiple_of(3) {
             ("west", "big")
         } else {
             ("east", "std")
         };
         format!(
-            r#"{{"id":"s-{number}","host_port":"127.0.0.1:{number}","locality":"{zone}","flavor":"{kind}","cell":{},"phase":"{phase}","up_since_ms":{since}}}"#,
+            r#"{{"id":"s-{number}","host_port":"127.0.0.1:{number}","locality":"{zone}","flavor":"{machine_type}","cell":{},"phase":"{phase}","up_since_ms":{since}}}"#,
             number % 2
         )
     }
@@ -143,14 +149,14 @@
             self.last_event,
             members.join(",")
         );
-        self.note(format_args!("feed {event}"));
+        self.record(format_args!("feed {event}"));
         self.handle
             .apply_event(serde_json::from_str(&event).expect("an event"));
     }
 
     fn send_complete_list(&mut self) {
         let members: Vec<String> = (1..=NODES)
-            .map(|number| self.member(number, "active", 1))
+            .map(|number| self.node_json(number, "active", 1))
             .collect();
         self.send_event(true, &members);
     }
@@ -164,8 +170,8 @@
         };
         let phase = self
             .draws
-            .of(&["active", "active", "leaving", "leaving", "left"]);
-        let member = self.member(number, phase, since);
+            .choose(&["active", "active", "leaving", "leaving", "left"]);
+        let member = self.node_json(number, phase, since);
         match self.draws.below(8) {
             0 => self.send_complete_list(),
             1 => self.send_event(false, &["7".into(), member]),
@@ -176,10 +182,10 @@
     fn connect_client(&mut self) {
         match self.handle.client_connected() {
             Some((id, queue)) => {
-                self.note(format_args!("client {} comes", id.0));
+                self.record(format_args!("client {} comes", id.0));
                 self.clients.insert(id, queue);
             }
-            None => self.note(format_args!("a client finds no place")),
+            None => self.record(format_args!("a client finds no place")),
         }
     }
 
@@ -190,7 +196,7 @@
 
     fn disconnect_client(&mut self) {
         if let Some(id) = self.some_client() {
-            self.note(format_args!("client {} leaves", id.0));
+            self.record(format_args!("client {} leaves", id.0));
             self.handle.client_disconnected(id);
         }
     }
@@ -207,7 +213,7 @@
         reader.push(&bytes);
         let message = reader.next_message().expect("sound").expect("whole");
         let keep_open = self.handle.handle_client_message(id, &message);
-        self.note(format_args!("client {} {} {keep_open}", id.0, hex(&bytes)));
+        self.record(format_args!("client {} {} {keep_open}", id.0, hex(&bytes)));
         if !keep_open {
             self.handle.client_disconnected(id);
         }
@@ -225,29 +231,29 @@
         };
         let class = self
             .draws
-            .of(&["batch", "web", "edge", "batch", "web", "edge"]);
-        let left = self.draws.of(&["6000", "5000", "3000", "900", "300"]);
-        let cores = self.draws.of(&["0.5", "1", "2", "4", "8", "12"]);
-        let service = self.draws.of(&["a", "b", "c", "d", "e"]);
+            .choose(&["batch", "web", "edge", "batch", "web", "edge"]);
+        let time_left = self.draws.choose(&["6000", "5000", "3000", "900", "300"]);
+        let cores = self.draws.choose(&["0.5", "1", "2", "4", "8", "12"]);
+        let service = self.draws.choose(&["a", "b", "c", "d", "e"]);
         let (class, cores) = match self.draws.below(40) {
             0 => ("none", cores),
             1 => (class, "1000"),
             2 => (class, "nan"),
             _ => (class, cores),
         };
-        let mut figures = format!("cores:{cores};memory:1;service:{service}");
+        let mut requirements = format!("cores:{cores};memory:1;service:{service}");
         if self.draws.one_in(8) {
             let node = 1 + self.draws.below(NODES + 1);
-            write!(figures, ";at:s-{node}").expect("written");
+            write!(requirements, ";at:s-{node}").expect("written");
         }
         let tenant = self
             .draws
-            .of(&["acme", "bolt", "acme", "bolt", "acme", "nobody"]);
+            .choose(&["acme", "bolt", "acme", "bolt", "acme", "nobody"]);
         let mut parameters: Vec<(u8, &[u8])> = vec![
             (client::CLASS, class.as_bytes()),
-            (client::TIME_LEFT, left.as_bytes()),
+            (client::TIME_LEFT, time_left.as_bytes()),
             (client::TASK_NAME, b"7f"),
-            (client::REQUIREMENTS, figures.as_bytes()),
+            (client::REQUIREMENTS, requirements.as_bytes()),
             (client::DESCRIPTION, b"what\r\n"),
         ];
         if self.draws.one_in(2) {
@@ -264,7 +270,7 @@
         let task = 1 + self.draws.below(self.last_task + 2);
         match self.draws.below(24) {
             0..14 => {
-                let cause = [self.draws.of(&[16u8, 31, 47])];
+                let cause = [self.draws.choose(&[16u8, 31, 47])];
                 self.client_sends(id, MessageType::Release, task, &[(client::CAUSE, &cause)]);
             }
             14..17 => self.client_sends(id, MessageType::Release, task, &[]),
@@ -278,10 +284,10 @@
         }
     }
 
-    fn some_connection(&mut self, up: bool) -> Option<ConnectionId> {
+    fn some_connection(&mut self, established: bool) -> Option<ConnectionId> {
         let all = self.connections.iter();
         let all: Vec<ConnectionId> = all
-            .filter(|(_, connection)| connection.up == up && !connection.ended)
+            .filter(|(_, connection)| connection.established == established && !connection.ended)
             .map(|(&id, _)| id)
             .collect();
         self.draws.pick(&all)
@@ -294,25 +300,25 @@
         let connection = self.connections.get_mut(&id).expect("there");
         if connection.queue.is_discarded() {
             connection.ended = true;
-            return self.note(format_args!("link {} is void", id.0));
+            return self.record(format_args!("link {} is void", id.0));
         }
-        connection.up = true;
-        self.note(format_args!("link {} is up", id.0));
+        connection.established = true;
+        self.record(format_args!("link {} is up", id.0));
         self.handle.connection_established(id);
     }
 
     fn end_connection(&mut self, id: ConnectionId, end: ConnectionEnd) {
-        self.note(format_args!("link {} ends: {}", id.0, end_name(end)));
+        self.record(format_args!("link {} ends: {}", id.0, end_name(end)));
         self.connections.get_mut(&id).expect("there").ended = true;
         self.handle.connection_ended(id, end);
     }
 
     fn end_some_connection(&mut self) {
-        let up = self.draws.one_in(2);
-        let Some(id) = self.some_connection(up) else {
+        let established = self.draws.one_in(2);
+        let Some(id) = self.some_connection(established) else {
             return;
         };
-        let end = match (up, self.draws.below(3)) {
+        let end = match (established, self.draws.below(3)) {
             (true, _) => ConnectionEnd::Broken,
             (false, 0) => ConnectionEnd::Refused,
             (false, _) => ConnectionEnd::ConnectTimeout,
@@ -324,22 +330,22 @@
         let Some(id) = self.some_connection(true) else {
             return self.establish_connection();
         };
-        let (tasks, tests) = {
+        let (tasks, health_checks) = {
             let connection = &mut self.connections.get_mut(&id).expect("there");
             (
                 connection.tasks.clone(),
                 std::mem::take(&mut connection.health_checks),
             )
         };
-        for test in tests {
-            let code = self.draws.of(&[1, 1, 1, 0]);
-            let message = node::Message::new(node::MessageType::Probed, test).with_cause(code);
+        for check_id in health_checks {
+            let code = self.draws.choose(&[1, 1, 1, 0]);
+            let message = node::Message::new(node::MessageType::Probed, check_id).with_cause(code);
             let message = self.with_load(message);
             self.node_sends_message(id, message);
         }
-        let stray = 1 + self.draws.below(self.last_task + 1);
-        let one = self.draws.pick(&tasks).filter(|_| !self.draws.one_in(8));
-        let task = one.unwrap_or(stray);
+        let random_task = 1 + self.draws.below(self.last_task + 1);
+        let known_task = self.draws.pick(&tasks).filter(|_| !self.draws.one_in(8));
+        let task = known_task.unwrap_or(random_task);
         let message = self.node_message(task);
         self.node_sends_message(id, message);
     }
@@ -348,7 +354,7 @@
         let line = message.to_line().expect("short");
         let line = String::from_utf8(line).expect("text");
         let keep_open = self.handle.handle_node_message(id, message);
-        self.note(format_args!(
+        self.record(format_args!(
             "link {} says {} {keep_open}",
             id.0,
             line.trim_end()
@@ -361,7 +367,7 @@
     fn with_load(&mut self, mut message: node::Message) -> node::Message {
         let load = self
             .draws
-            .of(&["", "x0:3;x1:20", "x0:0.5;x1:1", "x0:12", "x"]);
+            .choose(&["", "x0:3;x1:20", "x0:0.5;x1:1", "x0:12", "x"]);
         if !load.is_empty() {
             message
                 .attributes
@@ -377,7 +383,7 @@
             11 if self.draws.one_in(4) => {}
             11..14 => {
                 message.message_type = node::MessageType::Close;
-                message.cause = Some(self.draws.of(&[34, 34, 34, 16, 16, 47, 102, 41, 31]));
+                message.cause = Some(self.draws.choose(&[34, 34, 34, 16, 16, 47, 102, 41, 31]));
                 let notes = [
                     "",
                     "lack_cpu",
@@ -387,7 +393,7 @@
                     "killed",
                     "displaced",
                 ];
-                let note = self.draws.of(&notes);
+                let note = self.draws.choose(&notes);
                 if !note.is_empty() {
                     message
                         .attributes
@@ -403,7 +409,7 @@
                 let notes = [
                     "running", "use_cpu", "use_ram", "health", "ram_high", "later",
                 ];
-                let note = self.draws.of(&notes);
+                let note = self.draws.choose(&notes);
                 message
                     .attributes
                     .insert("note".into(), AttributeValue::Text(note.into()));
@@ -426,11 +432,14 @@
         let end = self.now + step;
         loop {
             let armed = self.handle.lock().state.armed_timer;
-            let next = armed.unwrap_or(end).min(self.swept + SECOND / 4).min(end);
+            let next = armed
+                .unwrap_or(end)
+                .min(self.last_sweep + SECOND / 4)
+                .min(end);
             self.now = self.now.max(next);
             self.handle.time_override.store(self.now, Ordering::Relaxed);
-            if self.swept + SECOND / 4 <= self.now {
-                self.swept = self.now;
+            if self.last_sweep + SECOND / 4 <= self.now {
+                self.last_sweep = self.now;
                 self.handle.sweep();
             } else if armed.is_some_and(|at| at <= self.now) {
                 self.handle.timer_fired();
@@ -443,12 +452,12 @@
 
     /// Records all that has gone out, as the tasks of the connections would write it.
     fn record_outputs(&mut self) {
-        let tapped = std::mem::take(&mut self.handle.lock().state.connections.opened_queues);
-        for (id, queue) in tapped {
-            self.note(format_args!("link {} opens", id.0));
+        let opened = std::mem::take(&mut self.handle.lock().state.connections.opened_queues);
+        for (id, queue) in opened {
+            self.record(format_args!("link {} opens", id.0));
             let connection = Connection {
                 queue,
-                up: false,
+                established: false,
                 ended: false,
                 tasks: Vec::new(),
                 health_checks: Vec::new(),
@@ -462,23 +471,23 @@
         let clients = std::mem::take(&mut self.clients);
         for (id, queue) in clients {
             while let Some((_, bytes)) = queue.next() {
-                self.note(format_args!("> client {} {}", id.0, hex(&bytes)));
+                self.record(format_args!("> client {} {}", id.0, hex(&bytes)));
             }
             if queue.ended().is_some() {
-                self.note(format_args!("> client {} closed", id.0));
+                self.record(format_args!("> client {} closed", id.0));
             } else {
                 self.clients.insert(id, queue);
             }
         }
         while self.watch_endpoint_list.try_recv().is_ok() {
-            self.note(format_args!("> the list is asked for"));
+            self.record(format_args!("> the list is asked for"));
         }
         self.record_counts();
     }
 
     fn write_to_node(&mut self, id: ConnectionId) {
         let connection = &self.connections[&id];
-        if connection.ended || !connection.up {
+        if connection.ended || !connection.established {
             return;
         }
         let queue = connection.queue.second_receiver();
@@ -486,7 +495,7 @@
             if queue.is_discarded()
                 || attempt.is_some_and(|attempt| !self.handle.may_write_set_up(id, attempt))
             {
-                self.note(format_args!(
+                self.record(format_args!(
                     "> link {} leaves out {} bytes",
                     id.0,
                     bytes.len()
@@ -494,7 +503,7 @@
                 continue;
             }
             let line = String::from_utf8(bytes).expect("text");
-            self.note(format_args!("> link {} {}", id.0, line.trim_end()));
+            self.record(format_args!("> link {} {}", id.0, line.trim_end()));
             let message: node::Message = serde_json::from_str(&line).expect("a message");
             let connection = self.connections.get_mut(&id).expect("there");
             match message.message_type {
@@ -503,13 +512,13 @@
                 _ => {}
             }
         }
-        if let Some(heard_out) = queue.ended() {
-            if !heard_out {
+        if let Some(half_closed) = queue.ended() {
+            if !half_closed {
                 self.connections.get_mut(&id).expect("there").ended = true;
-                self.note(format_args!("> link {} closed", id.0));
+                self.record(format_args!("> link {} closed", id.0));
                 self.handle.connection_ended(id, ConnectionEnd::Broken);
             } else if self.draws.one_in(6) {
-                self.note(format_args!("> link {} heard out", id.0));
+                self.record(format_args!("> link {} heard out", id.0));
                 self.end_connection(id, ConnectionEnd::Broken);
             }
         }
@@ -517,19 +526,19 @@
 
     /// Records timers and counts, where they have changed.
     fn record_counts(&mut self) {
-        let (counts, armed, open, closing) = {
-            let inner = self.handle.lock();
-            let (open, closing) = inner.state.connections.open_and_half_closed();
+        let (counts, armed, open, half_closed) = {
+            let core = self.handle.lock();
+            let (open, half_closed) = core.state.connections.open_and_half_closed();
             (
-                inner.engine.counts(),
-                inner.state.armed_timer,
+                core.engine.counts(),
+                core.state.armed_timer,
                 open,
-                closing,
+                half_closed,
             )
         };
-        let armed = armed.map(|at| at - BEGIN);
-        let shown = format!(
-            "= timer {armed:?} in hand {} waiting {} out {} placed {} links {open}+{closing} \
+        let armed = armed.map(|at| at - START_TIME);
+        let counts_line = format!(
+            "= timer {armed:?} in hand {} waiting {} out {} placed {} links {open}+{half_closed} \
              unanswered {} kept {}",
             counts.tracked,
             counts.deferred,
@@ -538,15 +547,15 @@
             self.handle.unanswered(),
             self.handle.retained_items(),
         );
-        if shown != self.shown {
-            self.note(format_args!("{shown}"));
-            self.shown = shown;
+        if counts_line != self.counts_line {
+            self.record(format_args!("{counts_line}"));
+            self.counts_line = counts_line;
         }
     }
 
     fn step(&mut self) {
-        let now = self.now - BEGIN;
-        self.note(format_args!("@ {now}"));
+        let now = self.now - START_TIME;
+        self.record(format_args!("@ {now}"));
         match self.draws.below(100) {
             0..4 => self.connect_client(),
             4..32 => self.client_sends_set_up(),
@@ -570,7 +579,7 @@
     }
 
     fn end(&mut self) {
-        self.note(format_args!("stop"));
+        self.record(format_args!("stop"));
         self.handle.stop();
         self.record_outputs();
         self.client_sends_set_up();
@@ -578,7 +587,7 @@
             self.advance_time();
             self.record_outputs();
         }
-        self.note(format_args!("let go"));
+        self.record(format_args!("let go"));
         self.handle.abandon_all();
         self.record_outputs();
     }
@@ -617,12 +626,12 @@
 
 #[test]
 fn a_seeded_run_gives_the_recorded_transcript() {
-    let (made, recorded) = (transcript(1, 250), recorded("transcript.txt"));
-    let other = std::iter::zip(made.lines(), recorded.lines())
+    let (answer, recorded) = (transcript(1, 250), recorded("transcript.txt"));
+    let other = std::iter::zip(answer.lines(), recorded.lines())
         .enumerate()
-        .find(|(_, (made, recorded))| made != recorded);
+        .find(|(_, (answer, recorded))| answer != recorded);
     assert_eq!(other, None, "the first line that differs");
-    assert_eq!(made.len(), recorded.len());
+    assert_eq!(answer.len(), recorded.len());
 }
 
 /// Longer runs, held by a sum over their transcripts: seed, lines and FNV-1a of each.
@@ -636,10 +645,10 @@
 #[test_case(9)]
 fn a_longer_run_gives_a_transcript_of_the_recorded_sum(seed: u64) {
     use std::hash::Hasher;
-    let made = transcript(seed, STEPS);
+    let answer = transcript(seed, STEPS);
     let mut hasher = fnv::FnvHasher::default();
-    hasher.write(made.as_bytes());
-    let sum = format!("{seed} {} {:016x}", made.lines().count(), hasher.finish());
+    hasher.write(answer.as_bytes());
+    let sum = format!("{seed} {} {:016x}", answer.lines().count(), hasher.finish());
     let sums = recorded("transcript_sums.txt");
     assert!(
         sums.lines().any(|line| line == sum),
--- a/crates/platform/tests/harness/mod.rs
+++ b/crates/platform/tests/harness/mod.rs
@@ -12,8 +12,8 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-pub const FIGURES: &str = "cores:1;memory:1;service:a";
-const PATIENCE: Duration = Duration::from_secs(20);
+pub const DEFAULT_REQUIREMENTS: &str = "cores:1;memory:1;service:a";
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 const SETTINGS: &str = r#"{"classes":[{"effect":"pure","name":"batch","on-time-us":600000}],"discovery":"on_request",
 "family-info":{"accepts-memory":1.5,"ack":"accepted","admit-cores":2.0,"class-calm":[1.0],"class-most":[2],
@@ -39,9 +39,9 @@
     address: SocketAddr,
     dir: tempfile::TempDir,
     signals: async_channel::Sender<std::io::Result<Signal>>,
-    runs: Option<JoinHandle<()>>,
-    told: u64,
-    probes: bool,
+    thread: Option<JoinHandle<()>>,
+    last_event: u64,
+    health_checks: bool,
     sockets: usize,
     settings: String,
     listen: SocketAddr,
@@ -58,19 +58,19 @@
             stream.set_nonblocking(false).expect("a socket option");
             Some(stream)
         }
-        Err(why) if why.kind() == ErrorKind::WouldBlock => None,
-        Err(why) => panic!("can't accept: {why}"),
+        Err(error) if error.kind() == ErrorKind::WouldBlock => None,
+        Err(error) => panic!("can't accept: {error}"),
     }
 }
 
 /// Polls until there is a result.
-fn wait_for<T>(mut look: impl FnMut() -> Option<T>) -> T {
+fn wait_for<T>(mut poll: impl FnMut() -> Option<T>) -> T {
     let since = Instant::now();
     loop {
-        if let Some(found) = look() {
+        if let Some(found) = poll() {
             return found;
         }
-        assert!(since.elapsed() < PATIENCE, "waited in vain");
+        assert!(since.elapsed() < TIMEOUT, "waited in vain");
         std::thread::sleep(Duration::from_millis(2));
     }
 }
@@ -81,10 +81,10 @@
     }
 
     /// With or without health checks, and with this limit of descriptors.
-    pub fn start(nodes: usize, probes: bool, sockets: usize) -> Harness {
-        Harness::by(
+    pub fn start(nodes: usize, health_checks: bool, sockets: usize) -> Harness {
+        Harness::start_with(
             nodes,
-            probes,
+            health_checks,
             sockets,
             SocketAddr::from(([127, 0, 0, 1], 0)),
             &[],
@@ -92,8 +92,8 @@
     }
 
     /// With other settings: pairs of what is replaced and what replaces it.
-    pub fn with(nodes: usize, replaced: &[(&str, &str)]) -> Harness {
-        Harness::by(
+    pub fn with_settings(nodes: usize, replaced: &[(&str, &str)]) -> Harness {
+        Harness::start_with(
             nodes,
             false,
             256,
@@ -102,9 +102,9 @@
         )
     }
 
-    pub fn by(
+    pub fn start_with(
         nodes: usize,
-        probes: bool,
+        health_checks: bool,
         sockets: usize,
         listen: SocketAddr,
         replaced: &[(&str, &str)],
@@ -128,7 +128,7 @@
             listener: listener(),
             streams: Vec::new(),
         };
-        let (signals, heard) = async_channel::unbounded();
+        let (signals, signal_receiver) = async_channel::unbounded();
         let dir = tempfile::tempdir().expect("a folder");
         let (ready, address) = std::sync::mpsc::channel();
         let mut harness = Harness {
@@ -137,26 +137,27 @@
             address: SocketAddr::from(([127, 0, 0, 1], 0)),
             dir,
             signals,
-            runs: None,
-            told: 1,
-            probes,
+            thread: None,
+            last_event: 1,
+            health_checks,
             sockets,
             settings,
             listen,
         };
         harness.write_config();
-        let path = harness.dir.path().join("posting.json");
-        harness.runs = Some(std::thread::spawn(move || {
+        let path = harness.dir.path().join("config.json");
+        harness.thread = Some(std::thread::spawn(move || {
             let tasks: corkspan_runtime::SharedExecutor = Arc::default();
             let ready = |address| ready.send(address).expect("the world waits");
-            let run = corkspan_platform::run(Arc::clone(&tasks), &path, Box::pin(heard), ready);
+            let run =
+                corkspan_platform::run(Arc::clone(&tasks), &path, Box::pin(signal_receiver), ready);
             future::block_on(tasks.run(run)).expect("no failure");
         }));
-        harness.address = address.recv_timeout(PATIENCE).expect("it listens");
+        harness.address = address.recv_timeout(TIMEOUT).expect("it listens");
         harness
     }
 
-    fn members(&self, only: Option<usize>, phase: &str) -> String {
+    fn event_json(&self, only: Option<usize>, phase: &str) -> String {
         let members = self
             .nodes
             .iter()
@@ -172,30 +173,30 @@
             .collect();
         format!(
             r#"{{"n":{},"members":{{"complete":{},"members":[{}]}}}}"#,
-            self.told,
+            self.last_event,
             only.is_none(),
             members.join(",")
         )
     }
 
     fn write_config(&self) {
-        let posting = format!(
+        let config = format!(
             r#"{{"name":"n0","listen":"{}","seed":"8c1f","limits":{{"sockets":{}}},"feed":"{}",
             "known":{{"n":1,"events":[{}]}},"settings":{}}}"#,
             self.listen,
             self.sockets,
             self.feed.listener.local_addr().expect("bound"),
-            self.members(None, "active"),
+            self.event_json(None, "active"),
             self.settings
-                .replace("PROBES", if self.probes { "true" } else { "false" }),
+                .replace("PROBES", if self.health_checks { "true" } else { "false" }),
         );
-        std::fs::write(self.dir.path().join("posting.json"), posting).expect("written");
+        std::fs::write(self.dir.path().join("config.json"), config).expect("written");
     }
 
-    pub fn client(&self) -> TestClient {
+    pub fn connect_client(&self) -> TestClient {
         let stream = TcpStream::connect(self.address).expect("connected");
         stream
-            .set_read_timeout(Some(PATIENCE))
+            .set_read_timeout(Some(TIMEOUT))
             .expect("a socket option");
         TestClient {
             stream,
@@ -205,7 +206,7 @@
 
     /// A task that runs on the first node: its client's connection and its node's.
     pub fn running_task(&mut self, task: u64) -> (TestClient, NodeConnection) {
-        let mut client = self.client();
+        let mut client = self.connect_client();
         client.send_set_up(task, &[]);
         let mut connection = self.nodes[0].accept_connection();
         connection.receive();
@@ -226,11 +227,11 @@
 
     /// Sends an event about a node; returns once the dispatcher must have read it.
     pub fn send_event(&mut self, node: usize, phase: &str) {
-        self.told += 1;
+        self.last_event += 1;
         let event = format!(
             "id: {}\ndata: {}\n\n",
-            self.told,
-            self.members(Some(node), phase)
+            self.last_event,
+            self.event_json(Some(node), phase)
         );
         if self.feed.streams.is_empty() {
             self.feed.accept_and_stream();
@@ -241,7 +242,7 @@
         // Loopback keeps no order between connections: two messages to and fro give the event the
         // time it needs.
         for _ in 0..2 {
-            let mut client = self.client();
+            let mut client = self.connect_client();
             client.send(MessageType::HealthCheck, 1, &[(client::CAUSE, &[0])]);
             assert_eq!(client.receive().message_type, MessageType::HealthCheckReply);
             std::thread::sleep(Duration::from_millis(20));
@@ -249,14 +250,14 @@
     }
 
     /// A node under another name takes over the address of one that is gone.
-    pub fn replace(&mut self, node: usize) {
+    pub fn replace_node(&mut self, node: usize) {
         self.send_event(node, "left");
         self.nodes[node].name = format!("s-{:08x}", 1_000 + node);
         self.send_event(node, "active");
     }
 
     pub fn write_invalid_config(&self) {
-        std::fs::write(self.dir.path().join("posting.json"), "{\"name\":").expect("written");
+        std::fs::write(self.dir.path().join("config.json"), "{\"name\":").expect("written");
     }
 
     pub fn move_feed(&mut self) {
@@ -274,15 +275,17 @@
 
     /// An event that is sent to nobody: it is in the next configuration file alone.
     pub fn skip_event(&mut self) {
-        self.told += 1;
+        self.last_event += 1;
     }
 
     pub fn signal(&self, signal: Signal) {
         self.signals.try_send(Ok(signal)).expect("it runs");
     }
 
-    pub fn ended(&mut self) -> bool {
-        self.runs.take().is_some_and(|runs| runs.join().is_ok())
+    pub fn ends_cleanly(&mut self) -> bool {
+        self.thread
+            .take()
+            .is_some_and(|thread| thread.join().is_ok())
     }
 }
 
@@ -310,9 +313,9 @@
         stream
             .write_all(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n: here\n")
             .expect("written");
-        let mut alive = stream.try_clone().expect("cloned");
+        let mut heartbeat = stream.try_clone().expect("cloned");
         std::thread::spawn(move || {
-            while alive.write_all(b": alive\n").is_ok() {
+            while heartbeat.write_all(b": alive\n").is_ok() {
                 std::thread::sleep(Duration::from_millis(500));
             }
         });
@@ -328,12 +331,15 @@
     }
 
     /// Answers each set-up on every connection from here on.
-    pub fn answer_set_ups(&mut self, with: impl Fn(u64) -> node::Message + Clone + Send + 'static) {
+    pub fn answer_set_ups(
+        &mut self,
+        answer: impl Fn(u64) -> node::Message + Clone + Send + 'static,
+    ) {
         let listener = self.listener.take().expect("it listens");
         std::thread::spawn(move || {
             listener.set_nonblocking(false).expect("a socket option");
             for stream in listener.incoming().map_while(Result::ok) {
-                let (mut connection, with) = (NodeConnection::new(stream), with.clone());
+                let (mut connection, answer) = (NodeConnection::new(stream), answer.clone());
                 std::thread::spawn(move || {
                     let mut bytes = vec![0; MAX_MESSAGE_BYTES];
                     while let Ok(count @ 1..) = connection.stream.read(&mut bytes) {
@@ -342,7 +348,7 @@
                             let open = (message.message_type == node::MessageType::Open)
                                 .then_some(message.task_id)
                                 .flatten();
-                            let line = open.and_then(|task| with(task).to_line());
+                            let line = open.and_then(|task| answer(task).to_line());
                             if line.is_some_and(|line| connection.stream.write_all(&line).is_err())
                             {
                                 return;
@@ -360,17 +366,17 @@
 
     /// Connections to it are not established, and nobody says why: the system's backlog is full.
     /// What is returned holds it.
-    pub fn hold_connections(&mut self) -> Vec<TcpStream> {
+    pub fn fill_backlog(&mut self) -> Vec<TcpStream> {
         let listener = self.listener.as_ref().expect("it listens");
         rustix::net::listen(listener, 0).expect("a smaller backlog");
-        let read_more = std::iter::repeat_with(|| {
+        let connections = std::iter::repeat_with(|| {
             TcpStream::connect_timeout(&self.address, Duration::from_millis(200))
         });
-        read_more.map_while(Result::ok).collect()
+        connections.map_while(Result::ok).collect()
     }
 
     /// Connections are established again.
-    pub fn take_connections(&mut self) {
+    pub fn clear_backlog(&mut self) {
         let listener = self.listener.as_ref().expect("it listens");
         rustix::net::listen(listener, 128).expect("a larger backlog");
         while accept(listener).is_some() {}
@@ -394,7 +400,7 @@
 impl NodeConnection {
     fn new(stream: TcpStream) -> Self {
         stream
-            .set_read_timeout(Some(PATIENCE))
+            .set_read_timeout(Some(TIMEOUT))
             .expect("a socket option");
         NodeConnection {
             stream,
@@ -435,9 +441,9 @@
         .set_read_timeout(Some(time))
         .expect("a socket option");
     let silent =
-        matches!(stream.read(&mut [0; 64]), Err(why) if why.kind() == ErrorKind::WouldBlock);
+        matches!(stream.read(&mut [0; 64]), Err(error) if error.kind() == ErrorKind::WouldBlock);
     stream
-        .set_read_timeout(Some(PATIENCE))
+        .set_read_timeout(Some(TIMEOUT))
         .expect("a socket option");
     silent
 }
@@ -458,12 +464,12 @@
 impl TestClient {
     /// A valid set-up but for the parameters given.
     pub fn send_set_up(&mut self, task: u64, others: &[(u8, &[u8])]) {
-        let sound: [(u8, &[u8]); 6] = [
+        let defaults: [(u8, &[u8]); 6] = [
             (CLASS, b"batch"),
             (TIME_LEFT, b"6000"),
             (TENANT, b"acme"),
             (TASK_NAME, b"7f3a9c21e0b4d655"),
-            (REQUIREMENTS, FIGURES.as_bytes()),
+            (REQUIREMENTS, DEFAULT_REQUIREMENTS.as_bytes()),
             (DESCRIPTION, b"what\r\n"),
         ];
         let other = |code| {
@@ -472,7 +478,7 @@
                 .find(|(other, _)| *other == code)
                 .map(|(_, value)| *value)
         };
-        let parameters: Vec<(u8, &[u8])> = sound
+        let parameters: Vec<(u8, &[u8])> = defaults
             .iter()
             .map(|&(code, value)| (code, other(code).unwrap_or(value)))
             .collect();
@@ -481,19 +487,19 @@
 
     /// Sends a set-up to a peer that may have closed; false where it could not be sent.
     pub fn try_set_up(&mut self, task: u64) -> bool {
-        let sound: [(u8, &[u8]); 4] = [
+        let defaults: [(u8, &[u8]); 4] = [
             (CLASS, b"batch"),
             (TIME_LEFT, b"6000"),
             (TASK_NAME, b"a"),
-            (REQUIREMENTS, FIGURES.as_bytes()),
+            (REQUIREMENTS, DEFAULT_REQUIREMENTS.as_bytes()),
         ];
         self.stream
-            .write_all(&client::encode(MessageType::SetUp, task, &sound).expect("short"))
+            .write_all(&client::encode(MessageType::SetUp, task, &defaults).expect("short"))
             .is_ok()
     }
 
-    pub fn send(&mut self, kind: MessageType, task: u64, parameters: &[(u8, &[u8])]) {
-        self.send_bytes(&client::encode(kind, task, parameters).expect("short"));
+    pub fn send(&mut self, message_type: MessageType, task: u64, parameters: &[(u8, &[u8])]) {
+        self.send_bytes(&client::encode(message_type, task, parameters).expect("short"));
     }
 
     pub fn send_bytes(&mut self, bytes: &[u8]) {
@@ -516,7 +522,7 @@
             match self.stream.read(&mut bytes) {
                 Ok(0) => return true,
                 Ok(_) => {}
-                Err(why) => return why.kind() == ErrorKind::ConnectionReset,
+                Err(error) => return error.kind() == ErrorKind::ConnectionReset,
             }
         }
     }
--- a/crates/platform/tests/modules.rs
+++ b/crates/platform/tests/modules.rs
@@ -16,9 +16,13 @@
                 folders.push(path);
                 continue;
             }
-            let own = path.strip_prefix(&source).expect("below it");
-            let own = own.to_string_lossy().into_owned();
-            let module = own.split(['/', '.']).next().expect("a name").to_string();
+            let relative = path.strip_prefix(&source).expect("below it");
+            let relative = relative.to_string_lossy().into_owned();
+            let module = relative
+                .split(['/', '.'])
+                .next()
+                .expect("a name")
+                .to_string();
             let text = std::fs::read_to_string(&path).expect("text");
             let imported = text.split("crate::").skip(1).filter_map(|rest| {
                 rest.split(|c: char| !c.is_alphanumeric() && c != '_')
--- a/crates/platform/tests/races/mod.rs
+++ b/crates/platform/tests/races/mod.rs
@@ -13,7 +13,7 @@
     node::Message::new(node::MessageType::Close, task).with_cause(cause)
 }
 
-fn note(mut message: node::Message, note: &str) -> node::Message {
+fn with_note(mut message: node::Message, note: &str) -> node::Message {
     message
         .attributes
         .insert("note".into(), node::AttributeValue::Text(note.into()));
@@ -21,7 +21,7 @@
 }
 
 /// The next set-up that the node gets, and its connection.
-fn attempt(harness: &mut Harness, task: u64) -> NodeConnection {
+fn accept_attempt(harness: &mut Harness, task: u64) -> NodeConnection {
     let mut connection = harness.nodes[0].accept_connection();
     let open = connection.receive();
     assert_eq!(
@@ -33,33 +33,33 @@
 
 /// The node's queue is full for a moment: the next attempt goes to the same node, the only one.
 fn reject_attempt(connection: &mut NodeConnection, task: u64) {
-    connection.send(note(close(task, 34), "backlog"));
+    connection.send(with_note(close(task, 34), "backlog"));
     assert_eq!(connection.receive().message_type, node::MessageType::Closed);
 }
 
 /// The first attempt was rejected, and the second is under way at the same node: the client, and
 /// both connections.
-fn second_attempt() -> (Harness, TestClient, NodeConnection, NodeConnection) {
+fn start_second_attempt() -> (Harness, TestClient, NodeConnection, NodeConnection) {
     let mut harness = Harness::new(1);
-    let mut client = harness.client();
+    let mut client = harness.connect_client();
     client.send_set_up(7, &[]);
-    let mut first = attempt(&mut harness, 7);
+    let mut first = accept_attempt(&mut harness, 7);
     reject_attempt(&mut first, 7);
-    let second = attempt(&mut harness, 7);
+    let second = accept_attempt(&mut harness, 7);
     (harness, client, first, second)
 }
 
 /// A set-up waits for a connection that is not established yet; what holds it back, and the client.
 fn set_up_while_connecting() -> (Harness, Vec<TcpStream>, TestClient) {
-    let mut harness = Harness::with(
+    let mut harness = Harness::with_settings(
         1,
         &[(
             "\"max-attempts\":3",
             "\"max-attempts\":3,\"connect-timeout-us\":5000000",
         )],
     );
-    let held = harness.nodes[0].hold_connections();
-    let mut client = harness.client();
+    let held = harness.nodes[0].fill_backlog();
+    let mut client = harness.connect_client();
     client.send_set_up(7, &[]);
     assert!(client.silent_for(Duration::from_millis(100)));
     (harness, held, client)
@@ -71,7 +71,7 @@
 #[test_case(ready(7, "late"); "answered")]
 #[test_case(node::Message::new(node::MessageType::Event, 7); "notified")]
 fn a_late_message_about_an_earlier_attempt_is_not_taken_for_the_next(late: node::Message) {
-    let (_world, mut client, mut first, mut second) = second_attempt();
+    let (_harness, mut client, mut first, mut second) = start_second_attempt();
     first.send(late);
     assert!(client.silent_for(Duration::from_millis(100)));
     assert!(
@@ -86,7 +86,7 @@
 #[test_case(close(7, 16))]
 #[test_case(close(7, 41))]
 fn a_late_message_about_an_earlier_attempt_does_not_end_a_running_task(late: node::Message) {
-    let (_world, mut client, mut first, mut second) = second_attempt();
+    let (_harness, mut client, mut first, mut second) = start_second_attempt();
     second.send(ready(7, "made"));
     assert_eq!(client.receive().message_type, MessageType::Answer);
     first.send(late);
@@ -103,21 +103,21 @@
     release: node::Message,
     cause: u8,
 ) {
-    let (_world, mut client, mut first, mut second) = second_attempt();
+    let (_harness, mut client, mut first, mut second) = start_second_attempt();
     second.send(ready(7, "made"));
     assert_eq!(client.receive().message_type, MessageType::Answer);
     drop(second);
     // Loopback keeps no order between connections: the end of the other one is read by then.
     assert!(client.silent_for(Duration::from_millis(100)));
-    first.send(note(close(7, 34), "backlog"));
+    first.send(with_note(close(7, 34), "backlog"));
     assert!(
         client.silent_for(Duration::from_millis(100)),
         "a copy of the refusal ends nothing"
     );
     first.send(release);
-    let told = client.receive();
+    let received = client.receive();
     assert_eq!(
-        (told.message_type, told.parameter(CAUSE)),
+        (received.message_type, received.parameter(CAUSE)),
         (MessageType::Release, Some(&[cause][..]))
     );
 }
@@ -160,7 +160,7 @@
     // Time for the close to be read; the system retries the connection after 1 s.
     std::thread::sleep(Duration::from_millis(200));
     drop(held);
-    harness.nodes[0].take_connections();
+    harness.nodes[0].clear_backlog();
     let mut connection = harness.nodes[0].accept_connection();
     assert!(connection.silent_for(Duration::from_millis(500)));
 }
@@ -171,11 +171,11 @@
     let (mut harness, held, mut client) = set_up_while_connecting();
     harness.send_event(0, "left");
     drop(held);
-    harness.nodes[0].take_connections();
+    harness.nodes[0].clear_backlog();
     let old = harness.nodes[0].accept_connection();
     harness.nodes[0].name = "s-00001000".into();
     harness.send_event(0, "active");
-    let mut new = attempt(&mut harness, 7);
+    let mut new = accept_attempt(&mut harness, 7);
     new.send(ready(7, "made"));
     assert_eq!(client.receive().parameter(DESCRIPTION), Some(&b"made"[..]));
     let mut old = old;
@@ -189,16 +189,16 @@
     drop(client);
     connection.send(close(7, 16));
     assert_eq!(connection.receive().message_type, node::MessageType::Closed);
-    let mut next = harness.client();
+    let mut next = harness.connect_client();
     next.send(MessageType::HealthCheck, 1, &[(CAUSE, &[0])]);
-    let said = [next.receive().message_type, next.receive().message_type];
+    let replies = [next.receive().message_type, next.receive().message_type];
     assert!(
-        said.contains(&MessageType::Release) && said.contains(&MessageType::HealthCheckReply),
-        "{said:?}"
+        replies.contains(&MessageType::Release) && replies.contains(&MessageType::HealthCheckReply),
+        "{replies:?}"
     );
 }
 
-const SHORT: &[(&str, &str)] = &[(
+const SHORT_DEADLINES: &[(&str, &str)] = &[(
     "\"on-time-us\":600000",
     "\"on-time-us\":300000,\"deadline-us\":800000",
 )];
@@ -206,18 +206,18 @@
 /// SIGKILL may come 1.5 s after SIGTERM where no client waits for longer than 0.8 s.
 #[test]
 fn with_shorter_deadlines_a_dispatcher_stops_sooner_and_answers_all() {
-    let mut harness = Harness::with(1, SHORT);
-    let mut client = harness.client();
+    let mut harness = Harness::with_settings(1, SHORT_DEADLINES);
+    let mut client = harness.connect_client();
     client.send_set_up(7, &[]);
-    let _held = attempt(&mut harness, 7);
+    let _held = accept_attempt(&mut harness, 7);
     let since = Instant::now();
     harness.signal(Signal::Term);
     std::thread::sleep(Duration::from_millis(550));
-    let mut late = harness.client();
+    let mut late = harness.connect_client();
     late.send_set_up(8, &[(TIME_LEFT, b"800")]);
     assert_eq!(client.receive().message_type, MessageType::Release);
     assert_eq!(late.receive().message_type, MessageType::Release);
-    assert!(harness.ended());
+    assert!(harness.ends_cleanly());
     assert!(
         since.elapsed() < Duration::from_millis(1_500),
         "{:?}",
@@ -227,10 +227,10 @@
 
 #[test]
 fn set_ups_late_in_a_shutdown_are_rejected_at_once() {
-    let mut harness = Harness::with(1, SHORT);
-    let mut client = harness.client();
+    let mut harness = Harness::with_settings(1, SHORT_DEADLINES);
+    let mut client = harness.connect_client();
     client.send_set_up(7, &[]);
-    let _held = attempt(&mut harness, 7);
+    let _held = accept_attempt(&mut harness, 7);
     harness.signal(Signal::Term);
     // Some arrive before that moment and some after it, whenever it is.
     let since = Instant::now();
@@ -243,48 +243,48 @@
         first.task > 8 && first.parameter(CAUSE) == Some(&[34]),
         "{first:?} before all that have attempts out"
     );
-    assert!(harness.ended());
+    assert!(harness.ends_cleanly());
 }
 
 #[test]
 fn a_second_signal_to_stop_and_an_absent_feed_change_nothing() {
-    let mut harness = Harness::with(1, SHORT);
+    let mut harness = Harness::with_settings(1, SHORT_DEADLINES);
     harness.move_feed();
     drop(std::mem::replace(
         &mut harness.feed.listener,
         TcpListener::bind("127.0.0.1:0").expect("a port"),
     ));
     harness.signal(Signal::Hup);
-    let mut client = harness.client();
+    let mut client = harness.connect_client();
     client.send_set_up(7, &[]);
-    let mut connection = attempt(&mut harness, 7);
+    let mut connection = accept_attempt(&mut harness, 7);
     harness.signal(Signal::Term);
     harness.signal(Signal::Term);
     connection.send(ready(7, "made"));
     assert_eq!(client.receive().message_type, MessageType::Answer);
-    assert!(harness.ended());
+    assert!(harness.ends_cleanly());
 }
 
 #[test]
 fn a_feed_that_moves_while_a_dispatcher_stops_is_followed() {
     let mut harness = Harness::new(1);
     harness.feed.accept_and_stream();
-    let mut client = harness.client();
+    let mut client = harness.connect_client();
     client.send_set_up(7, &[]);
-    let _held = attempt(&mut harness, 7);
+    let _held = accept_attempt(&mut harness, 7);
     harness.signal(Signal::Term);
     harness.move_feed();
     harness.signal(Signal::Hup);
     assert_eq!(harness.feed.accept_and_stream(), 1);
     assert_eq!(client.receive().message_type, MessageType::Release);
-    assert!(harness.ended());
+    assert!(harness.ends_cleanly());
 }
 
 /// Hundreds of answers at the last moment are written, not only queued.
 #[test]
 fn all_final_answers_are_written_before_the_process_ends() {
-    let mut harness = Harness::with(1, SHORT);
-    let mut clients: Vec<TestClient> = (0..60).map(|_| harness.client()).collect();
+    let mut harness = Harness::with_settings(1, SHORT_DEADLINES);
+    let mut clients: Vec<TestClient> = (0..60).map(|_| harness.connect_client()).collect();
     for (number, client) in clients.iter_mut().enumerate() {
         for task in 0..4 {
             client.send_set_up(1 + number as u64 * 4 + task, &[]);
@@ -294,7 +294,7 @@
         .map(|_| harness.nodes[0].accept_connection())
         .collect();
     harness.signal(Signal::Term);
-    assert!(harness.ended());
+    assert!(harness.ends_cleanly());
     for client in &mut clients {
         for _ in 0..4 {
             assert_eq!(client.receive().message_type, MessageType::Release);
@@ -305,15 +305,16 @@
 
 #[test]
 fn a_start_waits_for_the_address_of_a_process_that_still_stops() {
-    let former = TcpListener::bind("127.0.0.1:0").expect("a port of the system's choice");
-    let address: SocketAddr = former.local_addr().expect("bound");
-    let gone = std::thread::spawn(move || {
+    let previous_listener =
+        TcpListener::bind("127.0.0.1:0").expect("a port of the system's choice");
+    let address: SocketAddr = previous_listener.local_addr().expect("bound");
+    let shutdown = std::thread::spawn(move || {
         std::thread::sleep(Duration::from_millis(300));
-        drop(former);
+        drop(previous_listener);
     });
-    let harness = Harness::by(1, false, 256, address, &[]);
-    gone.join().expect("it stopped");
-    let mut client = harness.client();
+    let harness = Harness::start_with(1, false, 256, address, &[]);
+    shutdown.join().expect("it stopped");
+    let mut client = harness.connect_client();
     client.send(MessageType::HealthCheck, 1, &[(CAUSE, &[0])]);
     assert_eq!(client.receive().message_type, MessageType::HealthCheckReply);
 }
@@ -336,7 +337,7 @@
 #[test]
 fn a_task_handed_over_on_an_unknown_node_is_released() {
     let harness = Harness::new(1);
-    let mut client = harness.client();
+    let mut client = harness.connect_client();
     client.send_set_up(
         7,
         &[(REQUIREMENTS, b"cores:1;memory:1;service:a;at:s-ffffffff")],
@@ -344,24 +345,24 @@
     assert_eq!(client.receive().message_type, MessageType::Release);
 }
 
-const HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n";
+const RESPONSE_HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n";
 
 /// What a feed that has stopped would send counts as sent 4 s later, or as soon as it is connected
 /// to again.
 #[test_case(b"", b""; "right after the call")]
 #[test_case(b"HTTP/1.1 200 OK\r\nContent-", b""; "within the headers")]
-#[test_case(HEAD, b""; "after the headers")]
-#[test_case(HEAD, b":"; "but for bytes that complete nothing")]
-#[test_case(HEAD, b"id: 2\ndata: {\"n\":2"; "within an event")]
-fn a_silent_feed_is_reconnected_within_four_seconds(said: &[u8], read_more: &[u8]) {
+#[test_case(RESPONSE_HEAD, b""; "after the headers")]
+#[test_case(RESPONSE_HEAD, b":"; "but for bytes that complete nothing")]
+#[test_case(RESPONSE_HEAD, b"id: 2\ndata: {\"n\":2"; "within an event")]
+fn a_silent_feed_is_reconnected_within_four_seconds(prefix: &[u8], repeated: &[u8]) {
     let harness = Harness::new(1);
     let mut silent = harness.feed.accept();
     let since = Instant::now();
-    silent.write_all(said).expect("written");
-    let mut drips = silent.try_clone().expect("cloned");
-    let read_more = read_more.to_vec();
+    silent.write_all(prefix).expect("written");
+    let mut writer = silent.try_clone().expect("cloned");
+    let repeated = repeated.to_vec();
     std::thread::spawn(move || {
-        while !read_more.is_empty() && drips.write_all(&read_more).is_ok() {
+        while !repeated.is_empty() && writer.write_all(&repeated).is_ok() {
             std::thread::sleep(Duration::from_millis(400));
         }
     });
@@ -379,7 +380,7 @@
 fn an_event_that_is_cut_off_is_requested_again() {
     let mut harness = Harness::new(1);
     let mut cut = harness.feed.accept();
-    cut.write_all(HEAD).expect("written");
+    cut.write_all(RESPONSE_HEAD).expect("written");
     cut.write_all(b"id: 2\ndata: {\"n\":2}\n").expect("written");
     drop(cut);
     assert_eq!(harness.feed.accept_and_stream(), 1);
@@ -390,21 +391,21 @@
 #[test]
 fn a_flood_does_not_keep_others_from_being_served() {
     let mut harness = Harness::new(1);
-    let mut flood = harness.client();
-    let floods = std::thread::spawn(move || {
+    let mut flood = harness.connect_client();
+    let flood_thread = std::thread::spawn(move || {
         (1_000..21_000)
             .take_while(|&task| flood.try_set_up(task))
             .count()
     });
-    let crowd: Vec<TestClient> = (0..300)
+    let idle_clients: Vec<TestClient> = (0..300)
         .map(|_| {
-            let mut half = harness.client();
-            half.send_bytes(&[0]);
-            half
+            let mut partial_client = harness.connect_client();
+            partial_client.send_bytes(&[0]);
+            partial_client
         })
         .collect();
     let since = Instant::now();
-    let mut client = harness.client();
+    let mut client = harness.connect_client();
     client.send_set_up(7, &[]);
     // The node has room for one.
     harness.nodes[0].answer_set_ups(|task| {
@@ -420,6 +421,6 @@
         "{:?}",
         since.elapsed()
     );
-    drop(crowd);
-    floods.join().expect("it ended");
+    drop(idle_clients);
+    flood_thread.join().expect("it ended");
 }
--- a/crates/platform/tests/scenarios.rs
+++ b/crates/platform/tests/scenarios.rs
@@ -15,7 +15,7 @@
 #[test]
 fn a_set_up_is_placed_answered_with_the_nodes_description_and_released_at_its_end() {
     let mut harness = Harness::new(1);
-    let mut client = harness.client();
+    let mut client = harness.connect_client();
     client.send_set_up(7, &[]);
     let mut connection = harness.nodes[0].accept_connection();
     let open = connection.receive();
@@ -42,11 +42,14 @@
 #[test]
 fn a_running_task_is_taken_over_whatever_its_time_left() {
     let mut harness = Harness::new(1);
-    let mut client = harness.client();
-    let extras = format!("{FIGURES};at:{}", harness.nodes[0].name);
+    let mut client = harness.connect_client();
+    let requirements = format!("{DEFAULT_REQUIREMENTS};at:{}", harness.nodes[0].name);
     client.send_set_up(
         7,
-        &[(REQUIREMENTS, extras.as_bytes()), (TIME_LEFT, b"4294967")],
+        &[
+            (REQUIREMENTS, requirements.as_bytes()),
+            (TIME_LEFT, b"4294967"),
+        ],
     );
     let mut connection = harness.nodes[0].accept_connection();
     connection.send(node::Message::new(node::MessageType::Close, 7).with_cause(16));
@@ -57,13 +60,13 @@
 #[test_case(b"{\"msg\":\"ready\",\"sid\":\"0000000000000007\",\"attrs\":{}}\n", true; "an answer without its description")]
 #[test_case(b"", true; "a connection that breaks")]
 #[test_case(b"{\"msg\":\"ready\",\"sid\":\"strange\",\"attrs\":{},\"text\":\"x\"}\n", false; "an answer under an unknown id")]
-fn a_damaged_answer_costs_one_attempt_and_an_unrelated_one_costs_none(spoilt: &[u8], lost: bool) {
+fn a_damaged_answer_costs_one_attempt_and_an_unrelated_one_costs_none(damaged: &[u8], lost: bool) {
     let mut harness = Harness::new(2);
-    let mut client = harness.client();
+    let mut client = harness.connect_client();
     client.send_set_up(7, &[]);
     let mut connection = harness.accept_connection();
     connection.receive();
-    connection.send_bytes(spoilt);
+    connection.send_bytes(damaged);
     if lost {
         drop(connection);
         connection = harness.accept_connection();
@@ -109,7 +112,7 @@
 #[test_case(TASK_NAME, b""; "no name")]
 fn an_invalid_set_up_is_answered_with_a_failure(code: u8, value: &[u8]) {
     let harness = Harness::new(1);
-    let mut client = harness.client();
+    let mut client = harness.connect_client();
     client.send_set_up(7, &[(code, value)]);
     let answer = client.receive();
     assert_eq!(
@@ -124,7 +127,7 @@
 #[test_case(b""; "nothing at all")]
 fn an_unreadable_connection_is_closed_within_three_seconds(bytes: &[u8]) {
     let harness = Harness::new(1);
-    let (mut client, since) = (harness.client(), Instant::now());
+    let (mut client, since) = (harness.connect_client(), Instant::now());
     client.send_bytes(bytes);
     assert!(client.is_closed() && since.elapsed() < Duration::from_secs(3));
 }
@@ -132,15 +135,15 @@
 #[test]
 fn a_second_set_up_under_an_open_id_cancels_both() {
     let mut harness = Harness::new(1);
-    let mut client = harness.client();
+    let mut client = harness.connect_client();
     client.send_set_up(7, &[]);
     let mut connection = harness.nodes[0].accept_connection();
     connection.receive();
     client.send_set_up(7, &[(DESCRIPTION, b"another")]);
     assert!(client.is_closed());
-    let given_up = connection.receive();
+    let cancelled = connection.receive();
     assert_eq!(
-        (given_up.message_type, given_up.cause),
+        (cancelled.message_type, cancelled.cause),
         (node::MessageType::Close, Some(16))
     );
 }
@@ -162,7 +165,7 @@
 #[test]
 fn after_sigterm_open_set_ups_are_answered_and_the_process_ends() {
     let mut harness = Harness::new(1);
-    let mut client = harness.client();
+    let mut client = harness.connect_client();
     client.send_set_up(7, &[]);
     let mut connection = harness.nodes[0].accept_connection();
     connection.receive();
@@ -172,13 +175,13 @@
         MessageType::Release,
         "its node never answers"
     );
-    assert!(harness.ended());
+    assert!(harness.ends_cleanly());
 }
 
 #[test]
 fn tasks_on_a_vanished_node_are_released_within_eight_seconds() {
     let mut harness = Harness::start(1, true, 256);
-    let mut client = harness.client();
+    let mut client = harness.connect_client();
     client.send_set_up(7, &[]);
     let mut connections = vec![harness.nodes[0].accept_connection()];
     // A health check may come first, on the same connection or another.
@@ -201,7 +204,7 @@
 fn a_new_node_at_an_old_address_gets_a_connection_of_its_own() {
     let mut harness = Harness::new(1);
     let (mut client, _old) = harness.running_task(7);
-    harness.replace(0);
+    harness.replace_node(0);
     assert_eq!(
         client.receive().message_type,
         MessageType::Release,
@@ -217,14 +220,14 @@
 #[test]
 fn silent_connections_at_a_low_descriptor_limit_keep_no_client_out() {
     let mut harness = Harness::start(1, false, 48);
-    let crowd: Vec<TestClient> = (0..60).map(|_| harness.client()).collect();
-    let mut client = harness.client();
+    let silent_clients: Vec<TestClient> = (0..60).map(|_| harness.connect_client()).collect();
+    let mut client = harness.connect_client();
     client.send_set_up(7, &[]);
     assert_eq!(
         harness.nodes[0].accept_connection().receive().task_id,
         Some(7)
     );
-    for mut silent in crowd {
+    for mut silent in silent_clients {
         assert!(silent.is_closed());
     }
 }
@@ -232,25 +235,25 @@
 #[test]
 fn a_set_up_that_comes_after_sigterm_is_answered_too() {
     let mut harness = Harness::new(1);
-    let mut client = harness.client();
+    let mut client = harness.connect_client();
     client.send_set_up(7, &[]);
     let mut connection = harness.nodes[0].accept_connection();
     connection.receive();
     harness.signal(Signal::Term);
-    let mut late = harness.client();
+    let mut late = harness.connect_client();
     late.send_set_up(8, &[]);
     let mut second = harness.nodes[0].accept_connection();
     assert_eq!(second.receive().task_id, Some(8));
     second.send(ready(8, "late"));
     assert_eq!(late.receive().message_type, MessageType::Answer);
     drop(connection);
-    assert!(harness.ended());
+    assert!(harness.ends_cleanly());
 }
 
 #[test]
 fn another_client_under_an_open_id_gets_a_failure_and_the_first_its_answer() {
     let mut harness = Harness::new(1);
-    let (mut first, mut second) = (harness.client(), harness.client());
+    let (mut first, mut second) = (harness.connect_client(), harness.connect_client());
     first.send_set_up(7, &[]);
     let mut connection = harness.nodes[0].accept_connection();
     connection.receive();
@@ -266,7 +269,7 @@
     harness.write_invalid_config();
     harness.signal(Signal::Hup);
     harness.send_event(0, "active");
-    let mut client = harness.client();
+    let mut client = harness.connect_client();
     client.send_set_up(7, &[]);
     assert_eq!(
         harness.nodes[0].accept_connection().receive().task_id,
@@ -295,9 +298,9 @@
     while !first.is_closed() {}
     first.send(node::Message::new(node::MessageType::Close, 7).with_cause(16));
     loop {
-        let said = client.receive();
-        assert_eq!(said.message_type, MessageType::Release);
-        if said.task == 7 {
+        let message = client.receive();
+        assert_eq!(message.message_type, MessageType::Release);
+        if message.task == 7 {
             break;
         }
     }
@@ -308,9 +311,12 @@
 #[test]
 fn an_end_reported_before_its_task_is_handed_over_is_passed_on_then() {
     let mut harness = Harness::new(2);
-    let mut client = harness.client();
-    let at = |node: &str| format!("{FIGURES};at:{node}");
-    let (here, elsewhere) = (at(&harness.nodes[0].name), at(&harness.nodes[1].name));
+    let mut client = harness.connect_client();
+    let requirements_at = |node: &str| format!("{DEFAULT_REQUIREMENTS};at:{node}");
+    let (here, elsewhere) = (
+        requirements_at(&harness.nodes[0].name),
+        requirements_at(&harness.nodes[1].name),
+    );
     client.send_set_up(7, &[(REQUIREMENTS, here.as_bytes())]);
     let mut connection = harness.nodes[0].accept_connection();
     connection.send(node::Message::new(node::MessageType::Close, 8).with_cause(16));
@@ -321,7 +327,7 @@
         "what another node says of it is no end there"
     );
     client.send(MessageType::Release, 8, &[(CAUSE, &[16])]);
-    let mut second = harness.client();
+    let mut second = harness.connect_client();
     second.send_set_up(9, &[(REQUIREMENTS, here.as_bytes())]);
     connection.send(node::Message::new(node::MessageType::Close, 10).with_cause(16));
     assert_eq!(connection.receive().task_id, Some(10));
--- a/crates/platform/tests/writer/fairness.rs
+++ b/crates/platform/tests/writer/fairness.rs
@@ -11,7 +11,7 @@
 use std::sync::atomic::AtomicU32;
 
 /// A connection on which these bytes have arrived already, and the peer's end of it.
-fn told(bytes: &[u8]) -> (TcpStream, Peer) {
+fn connection_with_input(bytes: &[u8]) -> (TcpStream, Peer) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port of the system's choice");
     let mut peer = Peer::connect(listener.local_addr().expect("bound")).expect("connected");
     peer.write_all(bytes).expect("written");
@@ -20,21 +20,21 @@
 }
 
 /// Each byte that arrives counts as a message.
-async fn carried(stream: TcpStream, queue: MessageQueue, counts: Arc<AtomicU32>) {
-    let (input, mut left) = (ConnectionInput::new(stream.clone()), 0);
-    let hear = || loop {
-        if left > 0 {
-            left -= 1;
+async fn run_and_count(stream: TcpStream, queue: MessageQueue, counts: Arc<AtomicU32>) {
+    let (input, mut remaining) = (ConnectionInput::new(stream.clone()), 0);
+    let handle_next = || loop {
+        if remaining > 0 {
+            remaining -= 1;
             counts.fetch_add(1, Ordering::Relaxed);
             return ReadProgress::Handled;
         }
-        match input.read(|bytes| left = bytes.len()) {
+        match input.read(|bytes| remaining = bytes.len()) {
             ReadOutcome::Data => {}
             ReadOutcome::Empty => return ReadProgress::Drained,
             ReadOutcome::Closed => return ReadProgress::Done,
         }
     };
-    run_connection(stream, queue, |_| true, input.read_messages(hear)).await;
+    run_connection(stream, queue, |_| true, input.read_messages(handle_next)).await;
 }
 
 fn attempt(number: usize) -> AttemptId {
@@ -46,32 +46,32 @@
 
 #[test]
 fn a_nodes_message_passes_a_burst_on_every_clients_connection() {
-    const OWNERS: usize = 20;
+    const CLIENTS: usize = 20;
     let tasks = corkspan_runtime::SharedExecutor::default();
     let (clients, node) = (Arc::new(AtomicU32::new(0)), Arc::new(AtomicU32::new(0)));
-    let mut kept = Vec::new();
-    for _ in 0..OWNERS {
-        let ((stream, peer), (sender, queue)) = (told(&[0; 500]), message_queue());
-        kept.push((peer, sender));
+    let mut peers = Vec::new();
+    for _ in 0..CLIENTS {
+        let ((stream, peer), (sender, queue)) = (connection_with_input(&[0; 500]), message_queue());
+        peers.push((peer, sender));
         tasks
-            .spawn(carried(stream, queue, Arc::clone(&clients)))
+            .spawn(run_and_count(stream, queue, Arc::clone(&clients)))
             .detach();
     }
-    let ((stream, peer), (sender, queue)) = (told(b"over"), message_queue());
-    kept.push((peer, sender));
+    let ((stream, peer), (sender, queue)) = (connection_with_input(b"over"), message_queue());
+    peers.push((peer, sender));
     tasks
-        .spawn(carried(stream, queue, Arc::clone(&node)))
+        .spawn(run_and_count(stream, queue, Arc::clone(&node)))
         .detach();
     while node.load(Ordering::Relaxed) == 0 {
         future::block_on(tasks.tick());
     }
     let before = clients.load(Ordering::Relaxed) as usize;
     assert!(
-        before <= OWNERS,
+        before <= CLIENTS,
         "{before} messages of owners went before it, of {}",
-        OWNERS * 500
+        CLIENTS * 500
     );
-    while clients.load(Ordering::Relaxed) < (OWNERS * 500) as u32 {
+    while clients.load(Ordering::Relaxed) < (CLIENTS * 500) as u32 {
         future::block_on(tasks.tick());
     }
 }
@@ -79,17 +79,17 @@
 #[test]
 fn a_set_up_cancelled_before_it_is_written_never_is() {
     let tasks = corkspan_runtime::SharedExecutor::default();
-    let ((stream, mut peer), (sender, queue)) = (told(b""), message_queue());
+    let ((stream, mut peer), (sender, queue)) = (connection_with_input(b""), message_queue());
     assert!(
         sender.send_set_up(attempt(1), b"one".to_vec())
             && sender.send_set_up(attempt(2), b"two".to_vec())
     );
     assert!(sender.send(b"end".to_vec()));
-    let asked = Arc::new(Mutex::new(Vec::new()));
+    let checked = Arc::new(Mutex::new(Vec::new()));
     let may_write_set_up = {
-        let asked = Arc::clone(&asked);
+        let checked = Arc::clone(&checked);
         move |attempt: AttemptId| {
-            asked.lock().expect("whole").push(attempt);
+            checked.lock().expect("whole").push(attempt);
             attempt.number != 1
         }
     };
@@ -100,7 +100,7 @@
     drop(sender);
     future::block_on(tasks.run(carried));
     assert_eq!(
-        *asked.lock().expect("whole"),
+        *checked.lock().expect("whole"),
         [attempt(1), attempt(2)],
         "each is asked for once"
     );
@@ -112,7 +112,7 @@
 #[test]
 fn nothing_is_written_once_the_connection_is_discarded() {
     let tasks = corkspan_runtime::SharedExecutor::default();
-    let ((stream, mut peer), (sender, queue)) = (told(b""), message_queue());
+    let ((stream, mut peer), (sender, queue)) = (connection_with_input(b""), message_queue());
     assert!(sender.send_set_up(attempt(1), b"one".to_vec()) && sender.send(b"cut".to_vec()));
     sender.discard();
     let read = future::pending();
@@ -130,7 +130,7 @@
 #[test]
 fn undelivered_task_ends_are_returned_when_the_peer_is_gone() {
     let tasks = corkspan_runtime::SharedExecutor::default();
-    let ((stream, peer), (sender, queue)) = (told(b""), message_queue());
+    let ((stream, peer), (sender, queue)) = (connection_with_input(b""), message_queue());
     drop(peer);
     let input = ConnectionInput::new(stream.clone());
     while input.read(|_| ()) != ReadOutcome::Closed {}
