--- a/crates/platform/tests/core/bounds.rs
+++ b/crates/platform/tests/core/bounds.rs
@@ -1,4 +1,4 @@
-//! Nothing that is kept grows with everything that ever happened.
+//! Tests that retained state is bounded and does not grow with past events.
 
 use super::pending_task::{Timer, task_key};
 use super::*;
@@ -47,7 +47,7 @@
     create_handle(config, &DescriptorBudget::new(256).expect("enough")).0
 }
 
-/// A core whose tasks are not run, and the calls for the list to be watched.
+/// Creates a core whose tasks are not run. Also returns the requests to watch the list of nodes.
 pub(super) fn create_handle(
     config: NodeConfig,
     budget: &DescriptorBudget,
@@ -73,14 +73,14 @@
     (handle, watch_receiver)
 }
 
-/// A client sends a message, and all waiting set-ups are placed.
+/// Handles a message of a client, and places all waiting set-ups.
 fn send_and_run_turns(handle: &PlatformHandle, client: ClientId, message: &Message) -> bool {
     let keep_open = handle.handle_client_message(client, message);
     while handle.run_turn() {}
     keep_open
 }
 
-/// A node answers a set-up, sends metrics of the task and releases it.
+/// Runs a task: its node answers the set-up, sends metrics of the task and releases it.
 fn run_task(handle: &PlatformHandle, connection: ConnectionId, task: u64) {
     let node_message = |kind| node::Message::new(kind, task);
     assert!(handle.handle_node_message(
@@ -106,8 +106,8 @@
     ));
 }
 
-/// Clients, services, tasks and nodes that come once and never again, at a core whose connections
-/// nobody carries.
+/// Guards against tables that grow with every client, service, task or node ever seen. Each one is
+/// new and never returns; the connections' tasks are not run.
 #[test]
 fn tables_do_not_grow_with_past_clients_nodes_and_tasks() {
     let handle = handle();
@@ -128,7 +128,8 @@
         run_task(&handle, connection, round);
         handle.client_disconnected(id);
         if round % 100 == 0 {
-            // The scheduler evaluates by the clock, which this test outruns.
+            // The scheduler evaluates at intervals of time, and this test runs faster than the
+            // clock.
             handle.with_core(|core, now| {
                 core.process_event(now, |engine, state| {
                     engine.poll(now + round * SECOND, state)
@@ -172,8 +173,8 @@
     assert_eq!(queues.len(), 128);
 }
 
-/// A task runs on each of more nodes than there may be connections, and so large a one that none is
-/// held back.
+/// Runs a task on each of `nodes` nodes, which may be more than the pool has connections. The tasks
+/// are so large that none is held back.
 fn full_pool(nodes: u64) -> (Arc<PlatformHandle>, ClientId, MessageQueue) {
     let handle = handle();
     let members: Vec<String> = (1..=nodes)
@@ -198,7 +199,7 @@
     (handle, client, queue)
 }
 
-/// All connections are established, and each node answers the health checks that have reached it.
+/// Establishes all connections and answers all health checks.
 fn answer_health_checks(PlatformCore { engine, state }: &mut PlatformCore) {
     state.connections.establish_all(state.now);
     for (check_id, check) in std::mem::take(&mut state.health_checks) {
@@ -276,8 +277,8 @@
     }
 }
 
-/// The connection pool is full, so each set-up for another node closes a connection. The messages
-/// under way on it count.
+/// Guards against losing messages in transit on a connection that is evicted: the pool is full, so
+/// each set-up for another node closes a connection.
 #[test]
 fn a_release_under_way_on_an_evicted_connection_is_passed_on_at_once() {
     let (handle, client, queue) = full_pool(200);
@@ -335,8 +336,8 @@
     }
 }
 
-/// Where each set-up was placed before the next message was read, hundreds of them kept a node's
-/// release from its client for over the second that is left to pass it on.
+/// Guards against placing each set-up before the next message is read: hundreds of set-ups then
+/// delay a node's release for more than the second within which it must be forwarded.
 #[test]
 fn a_release_is_passed_on_before_set_ups_that_came_earlier() {
     let (handle, client, queue) = full_pool(20);
@@ -362,8 +363,8 @@
     assert!(counts().attempts_pending > 0);
 }
 
-/// A turn whose time is up once dropped the set-up that would have been next, which then never had
-/// an answer.
+/// Guards against a turn that runs out of time and drops the set-up that it has already taken from
+/// the queue, which is then never answered.
 #[test]
 fn every_waiting_set_up_is_placed_however_many_turns_that_takes() {
     let (handle, _client, _queue) = full_pool(60);
--- a/crates/platform/tests/core/races.rs
+++ b/crates/platform/tests/core/races.rs
@@ -1,5 +1,5 @@
-//! Races: a client that goes, or a connection that breaks, at the worst moment. The tasks that
-//! would read and write are not run: each call stands for the moment at which one of them runs.
+//! Tests of races: a client disconnects or a connection breaks at the worst moment. The tasks that
+//! read and write are not run; each call represents the moment at which one of them runs.
 
 use super::bounds::{CONFIG, handle_with_config, node_json, set_up};
 use super::pending_task::task_key;
@@ -14,7 +14,7 @@
 use std::time::Duration;
 use test_case::test_case;
 
-/// A core with one node, by these settings but for what is replaced.
+/// Creates a core with one node and the default settings, with the given texts replaced.
 fn handle(replaced: &[(&str, &str)]) -> Arc<PlatformHandle> {
     let config = replaced
         .iter()
@@ -41,7 +41,7 @@
     client::encode(MessageType::SetUp, task, &parameters).expect("short")
 }
 
-/// A client's connection whose first set-up has been read, and the client's end of it.
+/// Connects a client and reads its first set-up. Also returns the client's end of the connection.
 fn connect_client(handle: &PlatformHandle, task: u64) -> (ClientId, MessageQueue, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port of the system's choice");
     let mut peer = TcpStream::connect(listener.local_addr().expect("bound")).expect("connected");
@@ -64,7 +64,7 @@
     Cancels,
 }
 
-/// The client goes, behind a burst of other set-ups. Returns once that has arrived, unread.
+/// Sends a burst of other set-ups and lets the client leave. Returns once that has arrived, unread.
 fn depart(how: Departure, task: u64, mut peer: TcpStream) -> Option<TcpStream> {
     for other in 1_000..1_040 {
         peer.write_all(&set_up_bytes(other)).expect("written");
@@ -88,12 +88,12 @@
             Some(peer)
         }
     };
-    // Loopback delivers within the call; the last read of the connection is too old by then.
+    // Loopback delivers within the call. After this the last read of the connection is too old.
     std::thread::sleep(duration(2 * MAX_INPUT_AGE));
     kept
 }
 
-/// The attempt of this task that is under way, and its connection.
+/// Returns the active attempt of a task and its connection.
 fn active_attempt(handle: &PlatformHandle, task: u64) -> Option<(ConnectionId, AttemptId)> {
     let engine = &mut handle.lock().engine;
     let id = engine.find(&task_key(task))?;
@@ -150,7 +150,7 @@
     assert!(handle.may_write_set_up(connection, attempt));
     let _kept = depart(how, 7, peer);
     let mut rejection = node::Message::new(node::MessageType::Close, 7).with_cause(34);
-    // The node's queue is full for a moment: the only node there is may be tried again soon.
+    // The node's queue is full for a moment, so the only node may be tried again soon.
     rejection
         .attributes
         .insert("note".into(), AttributeValue::Text("backlog".into()));
@@ -161,7 +161,7 @@
     assert_eq!(active_attempt(&handle, 7), None);
 }
 
-/// A client that ends a task and closes at once has still ended it.
+/// Guards against ignoring a release whose client closes its connection right after it.
 #[test]
 fn a_release_right_before_its_clients_close_is_handled() {
     let handle = handle(&[]);
@@ -212,8 +212,8 @@
     );
 }
 
-/// A set-up that may not be retried was written on no connection, though others were written on
-/// this one.
+/// Guards against failing a set-up that is not retryable although it was never written. Other
+/// set-ups were written on its connection before.
 #[test_case(false; "its connection breaks")]
 #[test_case(true; "its time is up")]
 fn an_unwritten_attempt_on_a_used_connection_counts_as_not_executed(time_out: bool) {
@@ -253,8 +253,8 @@
     );
 }
 
-/// It reads nothing, so that more is queued for it than may be: its connection is closed, and it is
-/// gone like any other.
+/// Guards against an unbounded queue for a client that does not read: its connection is closed at
+/// the limit, and its set-ups are cancelled like those of any other closed connection.
 #[test]
 fn a_client_that_reads_nothing_is_disconnected() {
     let handle = handle(&[]);
@@ -284,8 +284,8 @@
     );
 }
 
-/// A node's answer is handled after the client's deadline, and before the late timer: nobody had
-/// answered then.
+/// Guards against a set-up that is never answered: the node's answer is handled after the client's
+/// deadline but before the late timer fires.
 #[test]
 fn an_answer_after_the_deadline_is_answered_with_a_failure() {
     let handle = handle(&[]);
--- a/crates/platform/tests/core/transcript.rs
+++ b/crates/platform/tests/core/transcript.rs
@@ -1,6 +1,6 @@
-//! Everything that goes out for a seeded run of everything that comes in, under a time that the
-//! test sets: bytes to clients and nodes, timers and counts, compared with those recorded under
-//! `tests/data`. No task that reads or writes is run; the test stands in for them.
+//! Compares all outputs of the core for seeded pseudo-random inputs with the transcripts recorded
+//! under `tests/data`: bytes to clients and nodes, timers and counts. The test sets the time, and
+//! replaces the tasks that read and write.
 
 use super::bounds::create_handle;
 use super::*;
@@ -13,7 +13,7 @@
 use std::sync::atomic::Ordering;
 use test_case::test_case;
 
-/// When each run begins.
+/// The time at which each run starts.
 const START_TIME: Ticks = 1_000_000;
 const STEPS: usize = 700;
 const NODES: u64 = 6;
@@ -59,13 +59,14 @@
     }
 }
 
-/// A connection to a node as its task would hold it.
+/// A connection to a node, as held by its task.
 struct Connection {
     queue: MessageQueue,
     established: bool,
     ended: bool,
-    /// The tasks that were written on it, and the health checks.
+    /// The tasks whose set-ups were written on the connection.
     tasks: Vec<u64>,
+    /// The health checks written on the connection and not yet answered.
     health_checks: Vec<u64>,
 }
 
@@ -80,7 +81,7 @@
     last_task: u64,
     last_event: u64,
     text: String,
-    /// What was last written of timers and counts.
+    /// The last recorded line of timers and counts.
     counts_line: String,
 }
 
@@ -92,7 +93,7 @@
         let (handle, watch_receiver) = create_handle(config, &budget);
         handle.time_override.store(START_TIME, Ordering::Relaxed);
         {
-            // The core was made by the machine's clock: it begins anew by the test's.
+            // The core was created with the machine's clock; it restarts with the test's.
             let PlatformCore { engine, state } = &mut *handle.lock();
             *engine = Engine::new(
                 cluster_settings,
@@ -422,7 +423,7 @@
         message
     }
 
-    /// The clock advances, and timers fire.
+    /// Advances the clock, sweeps when that is due, and fires due timers.
     fn advance_time(&mut self) {
         let step = match self.draws.below(12) {
             0 if self.draws.one_in(3) => 1 + self.draws.below(6_000),
@@ -450,7 +451,7 @@
         }
     }
 
-    /// Records all that has gone out, as the tasks of the connections would write it.
+    /// Records all outputs as the connections' tasks would write them.
     fn record_outputs(&mut self) {
         let opened = std::mem::take(&mut self.handle.lock().state.connections.opened_queues);
         for (id, queue) in opened {
@@ -524,7 +525,7 @@
         }
     }
 
-    /// Records timers and counts, where they have changed.
+    /// Records timers and counts if they have changed.
     fn record_counts(&mut self) {
         let (counts, armed, open, half_closed) = {
             let core = self.handle.lock();
@@ -593,7 +594,7 @@
     }
 }
 
-/// The name under which the end of a connection is recorded.
+/// Returns the name under which the end of a connection is recorded.
 fn end_name(end: ConnectionEnd) -> &'static str {
     match end {
         ConnectionEnd::Refused => "Refused",
@@ -606,7 +607,7 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// What goes in and out for this seed.
+/// Returns the recorded inputs and outputs of a run with the given seed.
 fn transcript(seed: u64, steps: usize) -> String {
     let mut run = Run::new(seed);
     run.record_outputs();
@@ -634,7 +635,7 @@
     assert_eq!(answer.len(), recorded.len());
 }
 
-/// Longer runs, held by a sum over their transcripts: seed, lines and FNV-1a of each.
+/// Compares longer runs by a digest of their transcripts: seed, number of lines and FNV-1a hash.
 #[test_case(2)]
 #[test_case(3)]
 #[test_case(4)]
--- a/crates/platform/tests/harness/mod.rs
+++ b/crates/platform/tests/harness/mod.rs
@@ -1,4 +1,5 @@
-//! Stand-ins on loopback for all peers of a dispatcher on the platform, by its published protocol.
+//! Stand-ins on loopback for all peers of a dispatcher: clients, nodes and the control feed. They
+//! speak the platform's published protocol.
 
 use corkspan_platform_wire::client::{
     self, CLASS, DESCRIPTION, MessageType, REQUIREMENTS, TASK_NAME, TENANT, TIME_LEFT,
@@ -63,7 +64,7 @@
     }
 }
 
-/// Polls until there is a result.
+/// Polls until there is a result; panics after [`TIMEOUT`].
 fn wait_for<T>(mut poll: impl FnMut() -> Option<T>) -> T {
     let since = Instant::now();
     loop {
@@ -80,7 +81,7 @@
         Harness::start(nodes, false, 256)
     }
 
-    /// With or without health checks, and with this limit of descriptors.
+    /// Starts a dispatcher with or without health checks and with the given limit on descriptors.
     pub fn start(nodes: usize, health_checks: bool, sockets: usize) -> Harness {
         Harness::start_with(
             nodes,
@@ -91,7 +92,7 @@
         )
     }
 
-    /// With other settings: pairs of what is replaced and what replaces it.
+    /// Starts a dispatcher with changed settings: pairs of a text and its replacement.
     pub fn with_settings(nodes: usize, replaced: &[(&str, &str)]) -> Harness {
         Harness::start_with(
             nodes,
@@ -204,7 +205,8 @@
         }
     }
 
-    /// A task that runs on the first node: its client's connection and its node's.
+    /// Sets up a task that runs on the first node. Returns the connections of its client and its
+    /// node.
     pub fn running_task(&mut self, task: u64) -> (TestClient, NodeConnection) {
         let mut client = self.connect_client();
         client.send_set_up(task, &[]);
@@ -215,7 +217,7 @@
         (client, connection)
     }
 
-    /// The next connection that any node accepts.
+    /// Returns the next connection that any node accepts.
     pub fn accept_connection(&mut self) -> NodeConnection {
         wait_for(|| {
             self.nodes
@@ -225,7 +227,7 @@
         })
     }
 
-    /// Sends an event about a node; returns once the dispatcher must have read it.
+    /// Sends an event about a node, and waits until the dispatcher must have read it.
     pub fn send_event(&mut self, node: usize, phase: &str) {
         self.last_event += 1;
         let event = format!(
@@ -239,8 +241,8 @@
         for stream in &mut self.feed.streams {
             let _ = stream.write_all(event.as_bytes());
         }
-        // Loopback keeps no order between connections: two messages to and fro give the event the
-        // time it needs.
+        // Loopback keeps no order between connections. Two round trips give the event enough time
+        // to arrive.
         for _ in 0..2 {
             let mut client = self.connect_client();
             client.send(MessageType::HealthCheck, 1, &[(client::CAUSE, &[0])]);
@@ -249,7 +251,7 @@
         }
     }
 
-    /// A node under another name takes over the address of one that is gone.
+    /// Replaces a node that is gone by one with another name at the same address.
     pub fn replace_node(&mut self, node: usize) {
         self.send_event(node, "left");
         self.nodes[node].name = format!("s-{:08x}", 1_000 + node);
@@ -268,12 +270,12 @@
         self.write_config();
     }
 
-    /// Writes the configuration anew, with the events sent so far.
+    /// Rewrites the configuration with the events sent so far.
     pub fn rewrite_config(&self) {
         self.write_config();
     }
 
-    /// An event that is sent to nobody: it is in the next configuration file alone.
+    /// Adds an event that is not sent, so that it is only in the next configuration file.
     pub fn skip_event(&mut self) {
         self.last_event += 1;
     }
@@ -290,12 +292,13 @@
 }
 
 impl Feed {
-    /// The dispatcher's next connection, which is not answered.
+    /// Returns the dispatcher's next connection, unanswered.
     pub fn accept(&self) -> TcpStream {
         wait_for(|| accept(&self.listener))
     }
 
-    /// The dispatcher's next connection, answered with a stream: the last event that it knows.
+    /// Accepts the dispatcher's next connection and answers it with an event stream. Returns the
+    /// number of the last event that the dispatcher knows.
     pub fn accept_and_stream(&mut self) -> u64 {
         let mut stream = wait_for(|| accept(&self.listener));
         let mut head = BufReader::new(stream.try_clone().expect("cloned"));
@@ -330,7 +333,7 @@
         NodeConnection::new(wait_for(|| accept(listener)))
     }
 
-    /// Answers each set-up on every connection from here on.
+    /// Answers each set-up on every connection from now on.
     pub fn answer_set_ups(
         &mut self,
         answer: impl Fn(u64) -> node::Message + Clone + Send + 'static,
@@ -364,8 +367,8 @@
         self.listener = None;
     }
 
-    /// Connections to it are not established, and nobody says why: the system's backlog is full.
-    /// What is returned holds it.
+    /// Fills the listener's backlog, so that further connections are neither established nor
+    /// refused. The returned streams keep it full.
     pub fn fill_backlog(&mut self) -> Vec<TcpStream> {
         let listener = self.listener.as_ref().expect("it listens");
         rustix::net::listen(listener, 0).expect("a smaller backlog");
@@ -375,7 +378,7 @@
         connections.map_while(Result::ok).collect()
     }
 
-    /// Connections are established again.
+    /// Accepts the connections in the backlog and enlarges it, so that new ones are established.
     pub fn clear_backlog(&mut self) {
         let listener = self.listener.as_ref().expect("it listens");
         rustix::net::listen(listener, 128).expect("a larger backlog");
@@ -383,7 +386,7 @@
     }
 }
 
-/// A node's answer with this description.
+/// Returns a node's answer with the given description.
 pub fn ready(task: u64, description: &str) -> node::Message {
     node::Message {
         text: Some(description.into()),
@@ -391,7 +394,7 @@
     }
 }
 
-/// A node's end of a connection.
+/// The node's end of a connection.
 pub struct NodeConnection {
     stream: TcpStream,
     reader: node::Reader,
@@ -417,12 +420,12 @@
         }
     }
 
-    /// Nothing arrives for this time.
+    /// Returns whether nothing arrives for the given time.
     pub fn silent_for(&mut self, time: Duration) -> bool {
         silent_for(&mut self.stream, time)
     }
 
-    /// The dispatcher has closed its side.
+    /// Waits for the next input, and returns whether it is the end of the dispatcher's side.
     pub fn is_closed(&mut self) -> bool {
         self.stream.read(&mut [0; 64]).expect("words or an end") == 0
     }
@@ -462,7 +465,7 @@
 }
 
 impl TestClient {
-    /// A valid set-up but for the parameters given.
+    /// Sends a set-up that is valid except for the given parameters.
     pub fn send_set_up(&mut self, task: u64, others: &[(u8, &[u8])]) {
         let defaults: [(u8, &[u8]); 6] = [
             (CLASS, b"batch"),
@@ -485,7 +488,7 @@
         self.send(MessageType::SetUp, task, &parameters);
     }
 
-    /// Sends a set-up to a peer that may have closed; false where it could not be sent.
+    /// Sends a set-up to a peer that may have closed. Returns false if it could not be sent.
     pub fn try_set_up(&mut self, task: u64) -> bool {
         let defaults: [(u8, &[u8]); 4] = [
             (CLASS, b"batch"),
@@ -515,7 +518,7 @@
         }
     }
 
-    /// Closed by the other side, in whatever way.
+    /// Reads until the other side closes. Returns false if that is by an error other than a reset.
     pub fn is_closed(&mut self) -> bool {
         let mut bytes = [0; 64];
         loop {
--- a/crates/platform/tests/modules.rs
+++ b/crates/platform/tests/modules.rs
@@ -1,10 +1,11 @@
-//! The package's modules import each other one way only: what is changed in one can't come back to
-//! it by another.
+//! Tests that the package's modules don't import each other in cycles, so that a change to a module
+//! can't affect it again through another.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
 
-/// Which modules each names by `crate::`. A module is a file, or a folder with its file.
+/// Returns the modules that each module names by `crate::`. A module is a file, or a folder with
+/// its file.
 fn imports() -> BTreeMap<String, BTreeSet<String>> {
     let source = Path::new(env!("CARGO_MANIFEST_DIR")).join("src");
     let mut modules: BTreeMap<String, BTreeSet<String>> = BTreeMap::new();
@@ -56,7 +57,7 @@
     }
 }
 
-/// The core decides without I/O: it knows none of the tasks that read, write or wait.
+/// The core decides without I/O, so it imports none of the tasks that read, write or wait.
 #[test]
 fn the_core_imports_no_task() {
     let modules = imports();
--- a/crates/platform/tests/races/mod.rs
+++ b/crates/platform/tests/races/mod.rs
@@ -1,4 +1,4 @@
-//! Races, forced over loopback: one test for each crossing of a request, an answer or a signal.
+//! Tests of races, forced over loopback: requests, answers and signals that cross each other.
 
 use crate::harness::*;
 use corkspan_platform_wire::client::{CAUSE, DESCRIPTION, MessageType, REQUIREMENTS, TIME_LEFT};
@@ -20,7 +20,7 @@
     message
 }
 
-/// The next set-up that the node gets, and its connection.
+/// Accepts the node's next connection and receives the task's set-up on it. Returns the connection.
 fn accept_attempt(harness: &mut Harness, task: u64) -> NodeConnection {
     let mut connection = harness.nodes[0].accept_connection();
     let open = connection.receive();
@@ -31,14 +31,15 @@
     connection
 }
 
-/// The node's queue is full for a moment: the next attempt goes to the same node, the only one.
+/// Rejects an attempt because the node's queue is full for a moment. The next attempt goes to the
+/// same node, which is the only one.
 fn reject_attempt(connection: &mut NodeConnection, task: u64) {
     connection.send(with_note(close(task, 34), "backlog"));
     assert_eq!(connection.receive().message_type, node::MessageType::Closed);
 }
 
-/// The first attempt was rejected, and the second is under way at the same node: the client, and
-/// both connections.
+/// Rejects a task's first attempt, so that the second one is active at the same node. Returns the
+/// client and the connections of both attempts.
 fn start_second_attempt() -> (Harness, TestClient, NodeConnection, NodeConnection) {
     let mut harness = Harness::new(1);
     let mut client = harness.connect_client();
@@ -49,7 +50,8 @@
     (harness, client, first, second)
 }
 
-/// A set-up waits for a connection that is not established yet; what holds it back, and the client.
+/// Sends a set-up that waits for a connection that is not established yet. Returns the streams that
+/// fill the backlog, and the client.
 fn set_up_while_connecting() -> (Harness, Vec<TcpStream>, TestClient) {
     let mut harness = Harness::with_settings(
         1,
@@ -95,8 +97,9 @@
     assert_eq!(client.receive().message_type, MessageType::Release);
 }
 
-/// The connection of the task's set-up ends, and its node reports the end on the other one that is
-/// open. That was once taken for the attempt that the node had rejected there.
+/// Guards against ignoring the end of a running task. It comes about when the connection of its
+/// set-up has ended, and the node reports the end on the connection of an earlier, rejected
+/// attempt.
 #[test_case(close(7, 16), 16; "ended")]
 #[test_case(close(7, 41), 41; "interrupted")]
 fn a_release_on_the_connection_of_an_earlier_attempt_counts_once_its_own_has_ended(
@@ -107,7 +110,7 @@
     second.send(ready(7, "made"));
     assert_eq!(client.receive().message_type, MessageType::Answer);
     drop(second);
-    // Loopback keeps no order between connections: the end of the other one is read by then.
+    // Loopback keeps no order between connections; this wait lets the other one's end arrive.
     assert!(client.silent_for(Duration::from_millis(100)));
     first.send(with_note(close(7, 34), "backlog"));
     assert!(
@@ -151,13 +154,13 @@
     );
 }
 
-/// A client that goes while the connection to its node is established, late, leaves nothing to be
-/// written on it.
+/// Guards against writing a set-up whose client is gone: the client closes while the connection to
+/// the node is still being established.
 #[test]
 fn a_set_up_is_not_written_on_a_connection_established_after_its_client_is_gone() {
     let (mut harness, held, client) = set_up_while_connecting();
     drop(client);
-    // Time for the close to be read; the system retries the connection after 1 s.
+    // Lets the close be read; the system retries the connection after 1 s.
     std::thread::sleep(Duration::from_millis(200));
     drop(held);
     harness.nodes[0].clear_backlog();
@@ -165,7 +168,8 @@
     assert!(connection.silent_for(Duration::from_millis(500)));
 }
 
-/// The system retries the connection when another node has the address already.
+/// Guards against writing messages to the wrong node: the system retries a connection to a node
+/// that is gone when another node already has its address.
 #[test]
 fn messages_for_a_node_that_is_gone_are_not_written_to_the_next_at_its_address() {
     let (mut harness, held, mut client) = set_up_while_connecting();
@@ -203,7 +207,7 @@
     "\"on-time-us\":300000,\"deadline-us\":800000",
 )];
 
-/// SIGKILL may come 1.5 s after SIGTERM where no client waits for longer than 0.8 s.
+/// SIGKILL may be sent 1.5 s after SIGTERM if no client waits for longer than 0.8 s.
 #[test]
 fn with_shorter_deadlines_a_dispatcher_stops_sooner_and_answers_all() {
     let mut harness = Harness::with_settings(1, SHORT_DEADLINES);
@@ -232,7 +236,7 @@
     client.send_set_up(7, &[]);
     let _held = accept_attempt(&mut harness, 7);
     harness.signal(Signal::Term);
-    // Some arrive before that moment and some after it, whenever it is.
+    // Some arrive before the dispatcher starts to reject set-ups, and some after it.
     let since = Instant::now();
     for task in (8..).take_while(|_| since.elapsed() < Duration::from_millis(1_200)) {
         client.send_set_up(task, &[]);
@@ -280,7 +284,8 @@
     assert!(harness.ends_cleanly());
 }
 
-/// Hundreds of answers at the last moment are written, not only queued.
+/// Guards against a process that ends when its last answers are queued but not yet written; here
+/// there are hundreds of them.
 #[test]
 fn all_final_answers_are_written_before_the_process_ends() {
     let mut harness = Harness::with_settings(1, SHORT_DEADLINES);
@@ -347,8 +352,8 @@
 
 const RESPONSE_HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n";
 
-/// What a feed that has stopped would send counts as sent 4 s later, or as soon as it is connected
-/// to again.
+/// Guards against waiting for a feed that has stopped while its connection stays open. The events
+/// that it would send count as sent 4 s later, or as soon as it is connected to again.
 #[test_case(b"", b""; "right after the call")]
 #[test_case(b"HTTP/1.1 200 OK\r\nContent-", b""; "within the headers")]
 #[test_case(RESPONSE_HEAD, b""; "after the headers")]
@@ -374,8 +379,8 @@
     );
 }
 
-/// The connection breaks between an event's data and its end: it was not reported, and is requested
-/// again.
+/// The connection breaks between an event's data and its end, so the event is not applied and must
+/// be requested again.
 #[test]
 fn an_event_that_is_cut_off_is_requested_again() {
     let mut harness = Harness::new(1);
@@ -386,8 +391,8 @@
     assert_eq!(harness.feed.accept_and_stream(), 1);
 }
 
-/// One client sends thousands of set-ups and reads nothing; hundreds of others send nothing
-/// complete.
+/// Guards against starvation: one client sends thousands of set-ups and reads nothing, and hundreds
+/// of others send only part of a message.
 #[test]
 fn a_flood_does_not_keep_others_from_being_served() {
     let mut harness = Harness::new(1);
@@ -407,7 +412,7 @@
     let since = Instant::now();
     let mut client = harness.connect_client();
     client.send_set_up(7, &[]);
-    // The node has room for one.
+    // The node has room for only one task.
     harness.nodes[0].answer_set_ups(|task| {
         if task == 7 {
             ready(7, "made")
--- a/crates/platform/tests/scenarios.rs
+++ b/crates/platform/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! One test for each failure, seen at the sockets of a dispatcher in service.
+//! Tests of a running dispatcher over its sockets, one for each kind of failure.
 
 mod harness;
 mod races;
@@ -184,7 +184,7 @@
     let mut client = harness.connect_client();
     client.send_set_up(7, &[]);
     let mut connections = vec![harness.nodes[0].accept_connection()];
-    // A health check may come first, on the same connection or another.
+    // A health check may arrive first, on the same connection or another.
     while connections
         .iter_mut()
         .all(|connection| connection.receive().message_type != node::MessageType::Open)
@@ -277,8 +277,8 @@
     );
 }
 
-/// The connection's set-up timed out, so that it is used no more; the running task was set up on it
-/// as well.
+/// Guards against losing the end of a running task: a later set-up on the task's connection times
+/// out, so the dispatcher closes that connection while the node's release is in transit.
 #[test]
 fn a_release_that_crosses_the_close_of_its_connection_is_passed_on() {
     let mut harness = Harness::new(1);
@@ -294,7 +294,7 @@
     second.receive();
     second.send(ready(9, "made"));
     assert_eq!(client.receive().message_type, MessageType::Answer);
-    // Nothing comes of the set-up: it is cancelled, and then the connection is closed.
+    // The set-up times out and is cancelled, and then the connection is closed.
     while !first.is_closed() {}
     first.send(node::Message::new(node::MessageType::Close, 7).with_cause(16));
     loop {
@@ -306,8 +306,8 @@
     }
 }
 
-/// After a start: the node reports all ends that it could not report on the first connection,
-/// whichever task that is opened for.
+/// Guards against losing the end of a task after a start: a node reports all pending ends on the
+/// first connection, which may be opened for another task before theirs are handed over.
 #[test]
 fn an_end_reported_before_its_task_is_handed_over_is_passed_on_then() {
     let mut harness = Harness::new(2);
--- a/crates/platform/tests/writer/fairness.rs
+++ b/crates/platform/tests/writer/fairness.rs
@@ -1,4 +1,4 @@
-//! Fairness between connections, by counts and not by times.
+//! Tests of fairness between connections, measured in messages and not in time, and of the writer.
 
 use super::*;
 use crate::ids::AttemptId;
@@ -10,7 +10,7 @@
 use std::sync::Mutex;
 use std::sync::atomic::AtomicU32;
 
-/// A connection on which these bytes have arrived already, and the peer's end of it.
+/// Returns a connection on which the given bytes have already arrived, and the peer's end of it.
 fn connection_with_input(bytes: &[u8]) -> (TcpStream, Peer) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port of the system's choice");
     let mut peer = Peer::connect(listener.local_addr().expect("bound")).expect("connected");
@@ -19,7 +19,7 @@
     (TcpStream::try_from(stream).expect("a stream"), peer)
 }
 
-/// Each byte that arrives counts as a message.
+/// Runs a connection and counts each byte that arrives as a message.
 async fn run_and_count(stream: TcpStream, queue: MessageQueue, counts: Arc<AtomicU32>) {
     let (input, mut remaining) = (ConnectionInput::new(stream.clone()), 0);
     let handle_next = || loop {
