--- a/crates/platform/tests/core/bounds.rs
+++ b/crates/platform/tests/core/bounds.rs
@@ -34,8 +34,8 @@
         (client::REQUIREMENTS, requirements.as_bytes()),
     ];
     let mut reader = Reader::default();
-    reader.push(&client::encode(MessageType::SetUp, task, &parameters).expect("short"));
-    reader.next_message().expect("sound").expect("whole")
+    reader.push(&client::encode(MessageType::SetUp, task, &parameters).expect("a short message"));
+    reader.next_message().expect("valid").expect("complete")
 }
 
 pub(super) fn handle() -> Arc<PlatformHandle> {
@@ -43,8 +43,12 @@
 }
 
 pub(super) fn handle_with_config(config: &str) -> Arc<PlatformHandle> {
-    let config = NodeConfig::from_json(config.as_bytes()).expect("sound");
-    create_handle(config, &DescriptorBudget::new(256).expect("enough")).0
+    let config = NodeConfig::from_json(config.as_bytes()).expect("valid");
+    create_handle(
+        config,
+        &DescriptorBudget::new(256).expect("enough descriptors"),
+    )
+    .0
 }
 
 /// Creates a core whose tasks are not run. Also returns the requests to watch the list of nodes.
@@ -56,7 +60,7 @@
     let (watch_sender, watch_receiver) = async_channel::bounded(1);
     let (turn_sender, _turn_receiver) = async_channel::bounded(1);
     let clock = Clock::start();
-    let options = CoreOptions::new(config, budget).expect("sound");
+    let options = CoreOptions::new(config, budget).expect("valid");
     let handle = PlatformHandle::new(options, clock, |handle| {
         Box::new(TaskEffects {
             handle,
@@ -141,7 +145,7 @@
     }
     assert!(
         handle.lock().engine.state_size() >= 1_024,
-        "services have left their records"
+        "records of past services are kept"
     );
     let state = &handle.lock().state;
     let sizes = (
@@ -153,7 +157,7 @@
     );
     assert!(
         max_retained < 1_024 + 200,
-        "{max_retained} kept; owners, nodes, links, tests, due: {sizes:?}"
+        "{max_retained} retained; clients, nodes, connections, health checks, timers: {sizes:?}"
     );
 }
 
@@ -218,11 +222,11 @@
         assert_eq!(
             handle.lock().engine.counts().attempts_pending,
             1,
-            "task {task} has been sent and not refused"
+            "task {task} has been sent and not rejected"
         );
         let connection = {
             let engine = &mut handle.lock().engine;
-            let id = engine.find(&task_key(task)).expect("in hand");
+            let id = engine.find(&task_key(task)).expect("admitted");
             engine
                 .data_mut(id)
                 .and_then(|(pending, _)| pending.active?.connection)
@@ -308,11 +312,11 @@
                 node::Message::new(node::MessageType::Close, task).with_cause(16)
             ));
             let released = client::encode(MessageType::Release, task, &[(client::CAUSE, &[16])])
-                .expect("short");
+                .expect("a short message");
             assert_eq!(queue.take_all().last(), Some(&released), "task {task}");
         }
     }
-    assert!(closed > 0, "some connections have given way");
+    assert!(closed > 0, "some connections were evicted");
 }
 
 #[test]
@@ -350,14 +354,14 @@
         connection,
         node::Message::new(node::MessageType::Close, 20).with_cause(16)
     ));
-    let released =
-        client::encode(MessageType::Release, 20, &[(client::CAUSE, &[16])]).expect("short");
+    let released = client::encode(MessageType::Release, 20, &[(client::CAUSE, &[16])])
+        .expect("a short message");
     assert_eq!(queue.take_all(), [released]);
     let counts = || handle.lock().engine.counts();
     assert_eq!(
         (counts().attempts_pending, counts().deferred),
         (0, 200),
-        "the decisions have not been asked yet"
+        "no set-up has been placed yet"
     );
     while handle.run_turn() {}
     assert!(counts().attempts_pending > 0);
@@ -375,11 +379,13 @@
         let small = set_up_with_requirements(task, "cores:0.01;memory:0.01;service:a");
         assert!(handle.handle_client_message(clients[task as usize % 4].0, &small));
     }
-    let turns = (1..10_000).find(|_| !handle.run_turn()).expect("an end");
+    let turns = (1..10_000)
+        .find(|_| !handle.run_turn())
+        .expect("a last turn");
     assert!(turns > 1, "more than one turn's work");
     assert_eq!(
         handle.lock().engine.counts().attempts_pending,
         1_000,
-        "all are out after {turns} turns"
+        "all are sent after {turns} turns"
     );
 }
--- a/crates/platform/tests/core/races.rs
+++ b/crates/platform/tests/core/races.rs
@@ -19,7 +19,7 @@
     let config = replaced
         .iter()
         .fold(CONFIG.to_string(), |config, (old, new)| {
-            assert!(config.contains(old), "the settings hold {old}");
+            assert!(config.contains(old), "the settings contain {old}");
             config.replace(old, new)
         });
     let handle = handle_with_config(&config);
@@ -38,7 +38,7 @@
         (client::TASK_NAME, b"a"),
         (client::REQUIREMENTS, b"cores:1;memory:1;service:a"),
     ];
-    client::encode(MessageType::SetUp, task, &parameters).expect("short")
+    client::encode(MessageType::SetUp, task, &parameters).expect("a short message")
 }
 
 /// Connects a client and reads its first set-up. Also returns the client's end of the connection.
@@ -72,7 +72,7 @@
     let kept = match how {
         Departure::Closes => None,
         Departure::HalfCloses => {
-            peer.shutdown(Shutdown::Write).expect("shut");
+            peer.shutdown(Shutdown::Write).expect("shut down");
             Some(peer)
         }
         Departure::Resets => {
@@ -83,7 +83,7 @@
         Departure::Cancels => {
             let cause = [client::CAUSE_NORMAL];
             let release = client::encode(MessageType::Release, task, &[(client::CAUSE, &cause)])
-                .expect("short");
+                .expect("a short message");
             peer.write_all(&release).expect("written");
             Some(peer)
         }
@@ -119,7 +119,7 @@
     assert_eq!(active_attempt(&handle, 7), None);
     assert!(
         handle.lock().engine.find(&task_key(7)).is_none(),
-        "nothing is left of it"
+        "the set-up is removed"
     );
 }
 
@@ -131,7 +131,7 @@
     let handle = handle(&[]);
     let (_, _queue, peer) = connect_client(&handle, 7);
     while handle.run_turn() {}
-    let (connection, attempt) = active_attempt(&handle, 7).expect("on its way");
+    let (connection, attempt) = active_attempt(&handle, 7).expect("an active attempt");
     let _kept = depart(how, 7, peer);
     handle.connection_established(connection);
     assert!(!handle.may_write_set_up(connection, attempt));
@@ -145,7 +145,7 @@
     let handle = handle(&[]);
     let (_, _queue, peer) = connect_client(&handle, 7);
     while handle.run_turn() {}
-    let (connection, attempt) = active_attempt(&handle, 7).expect("on its way");
+    let (connection, attempt) = active_attempt(&handle, 7).expect("an active attempt");
     handle.connection_established(connection);
     assert!(handle.may_write_set_up(connection, attempt));
     let _kept = depart(how, 7, peer);
@@ -167,7 +167,7 @@
     let handle = handle(&[]);
     let (id, _queue, mut peer) = connect_client(&handle, 7);
     while handle.run_turn() {}
-    let (connection, attempt) = active_attempt(&handle, 7).expect("on its way");
+    let (connection, attempt) = active_attempt(&handle, 7).expect("an active attempt");
     handle.connection_established(connection);
     assert!(handle.may_write_set_up(connection, attempt));
     let answer = node::Message {
@@ -175,15 +175,15 @@
         ..node::Message::new(node::MessageType::Ready, 7)
     };
     assert!(handle.handle_node_message(connection, answer));
-    let release =
-        client::encode(MessageType::Release, 7, &[(client::CAUSE, &[16])]).expect("short");
+    let release = client::encode(MessageType::Release, 7, &[(client::CAUSE, &[16])])
+        .expect("a short message");
     peer.write_all(&release).expect("written");
     drop(peer);
     while handle.read_client_message(id) != ReadProgress::Done {}
     assert_eq!(
         handle.lock().engine.counts().placed,
         0,
-        "its node is told to cut it"
+        "its node is requested to end it"
     );
 }
 
@@ -193,35 +193,35 @@
     let (id, _queue) = handle.client_connected().expect("there is room");
     assert!(handle.handle_client_message(id, &set_up(7)));
     while handle.run_turn() {}
-    let (connection, attempt) = active_attempt(&handle, 7).expect("on its way");
+    let (connection, attempt) = active_attempt(&handle, 7).expect("an active attempt");
     let PlatformCore { engine, state } = &mut *handle.lock();
     let deadline = engine
         .data_mut(attempt.allocation)
         .and_then(|(pending, _)| pending.active)
-        .expect("out")
+        .expect("an active attempt")
         .deadline;
     state.connections.mark_established(connection, deadline);
     assert!(
         !state.may_write_set_up(deadline, engine, connection, attempt),
-        "the timer is late, and the writer not"
+        "the deadline has passed, even if the timer is late"
     );
     assert!(state.may_write_set_up(deadline - 1, engine, connection, attempt));
     assert!(
         !state.may_write_set_up(deadline - 1, engine, connection, attempt),
-        "and that is so once"
+        "it may be written only once"
     );
 }
 
 /// Guards against failing a set-up that is not retryable although it was never written. Other
 /// set-ups were written on its connection before.
 #[test_case(false; "its connection breaks")]
-#[test_case(true; "its time is up")]
+#[test_case(true; "it times out")]
 fn an_unwritten_attempt_on_a_used_connection_counts_as_not_executed(time_out: bool) {
     let handle = handle(&[("\"pure\"", "\"side_effect\"")]);
     let (id, queue) = handle.client_connected().expect("there is room");
     assert!(handle.handle_client_message(id, &set_up(6)));
     while handle.run_turn() {}
-    let (connection, attempt) = active_attempt(&handle, 6).expect("on its way");
+    let (connection, attempt) = active_attempt(&handle, 6).expect("an active attempt");
     handle.connection_established(connection);
     assert!(handle.may_write_set_up(connection, attempt));
     let answer = node::Message {
@@ -231,8 +231,8 @@
     assert!(handle.handle_node_message(connection, answer));
     assert!(handle.handle_client_message(id, &set_up(7)));
     while handle.run_turn() {}
-    let (reused_connection, attempt) = active_attempt(&handle, 7).expect("on its way");
-    assert_eq!(reused_connection, connection, "the connection that is free");
+    let (reused_connection, attempt) = active_attempt(&handle, 7).expect("an active attempt");
+    assert_eq!(reused_connection, connection, "the idle connection");
     queue.take_all();
     if time_out {
         let PlatformCore { engine, state } = &mut *handle.lock();
@@ -246,10 +246,10 @@
         7,
         &[(client::CAUSE, &[client::CAUSE_FAILED])],
     )
-    .expect("short");
+    .expect("a short message");
     assert!(
         !queue.take_all().contains(&failed),
-        "it is tried again or refused, not failed"
+        "it is retried or rejected, not failed"
     );
 }
 
@@ -274,7 +274,9 @@
             ) {}
         });
     });
-    let permit = Arc::new(Semaphore::new(1)).try_acquire_arc().expect("free");
+    let permit = Arc::new(Semaphore::new(1))
+        .try_acquire_arc()
+        .expect("a free permit");
     let served = crate::listener::serve_client(Arc::clone(&handle), stream, id, queue, permit);
     futures_lite::future::block_on(served);
     let core = handle.lock();
@@ -292,13 +294,16 @@
     let (id, queue) = handle.client_connected().expect("there is room");
     assert!(handle.handle_client_message(id, &set_up(7)));
     while handle.run_turn() {}
-    let (connection, attempt) = active_attempt(&handle, 7).expect("on its way");
+    let (connection, attempt) = active_attempt(&handle, 7).expect("an active attempt");
     handle.connection_established(connection);
     assert!(handle.may_write_set_up(connection, attempt));
     queue.take_all();
     let PlatformCore { engine, state } = &mut *handle.lock();
-    let (pending, _) = engine.data_mut(attempt.allocation).expect("in hand");
-    let (deadline, machine) = (pending.deadline, pending.active.expect("out").machine);
+    let (pending, _) = engine.data_mut(attempt.allocation).expect("admitted");
+    let (deadline, machine) = (
+        pending.deadline,
+        pending.active.expect("an active attempt").machine,
+    );
     state.now = deadline;
     let answer = node::Message {
         text: Some("made".into()),
@@ -310,6 +315,6 @@
         7,
         &[(client::CAUSE, &[client::CAUSE_FAILED])],
     )
-    .expect("short");
+    .expect("a short message");
     assert_eq!(queue.take_all(), [failed]);
 }
--- a/crates/platform/tests/core/transcript.rs
+++ b/crates/platform/tests/core/transcript.rs
@@ -55,7 +55,7 @@
     }
 
     fn choose<T: Copy>(&mut self, all: &[T]) -> T {
-        self.pick(all).expect("some")
+        self.pick(all).expect("a non-empty slice")
     }
 }
 
@@ -87,9 +87,9 @@
 
 impl Run {
     fn new(seed: u64) -> Run {
-        let config = NodeConfig::from_json(SETTINGS.as_bytes()).expect("sound");
-        let cluster_settings = platform_cluster(&config.settings).expect("sound");
-        let budget = DescriptorBudget::new(config.limits.sockets).expect("enough");
+        let config = NodeConfig::from_json(SETTINGS.as_bytes()).expect("valid");
+        let cluster_settings = platform_cluster(&config.settings).expect("valid");
+        let budget = DescriptorBudget::new(config.limits.sockets).expect("enough descriptors");
         let (handle, watch_receiver) = create_handle(config, &budget);
         handle.time_override.store(START_TIME, Ordering::Relaxed);
         {
@@ -209,10 +209,10 @@
         task: u64,
         parameters: &[(u8, &[u8])],
     ) {
-        let bytes = client::encode(message_type, task, parameters).expect("short");
+        let bytes = client::encode(message_type, task, parameters).expect("a short message");
         let mut reader = client::Reader::default();
         reader.push(&bytes);
-        let message = reader.next_message().expect("sound").expect("whole");
+        let message = reader.next_message().expect("valid").expect("complete");
         let keep_open = self.handle.handle_client_message(id, &message);
         self.record(format_args!("client {} {} {keep_open}", id.0, hex(&bytes)));
         if !keep_open {
@@ -298,7 +298,7 @@
         let Some(id) = self.some_connection(false) else {
             return;
         };
-        let connection = self.connections.get_mut(&id).expect("there");
+        let connection = self.connections.get_mut(&id).expect("a known connection");
         if connection.queue.is_discarded() {
             connection.ended = true;
             return self.record(format_args!("link {} is void", id.0));
@@ -310,7 +310,10 @@
 
     fn end_connection(&mut self, id: ConnectionId, end: ConnectionEnd) {
         self.record(format_args!("link {} ends: {}", id.0, end_name(end)));
-        self.connections.get_mut(&id).expect("there").ended = true;
+        self.connections
+            .get_mut(&id)
+            .expect("a known connection")
+            .ended = true;
         self.handle.connection_ended(id, end);
     }
 
@@ -332,7 +335,7 @@
             return self.establish_connection();
         };
         let (tasks, health_checks) = {
-            let connection = &mut self.connections.get_mut(&id).expect("there");
+            let connection = &mut self.connections.get_mut(&id).expect("a known connection");
             (
                 connection.tasks.clone(),
                 std::mem::take(&mut connection.health_checks),
@@ -352,8 +355,8 @@
     }
 
     fn node_sends_message(&mut self, id: ConnectionId, message: node::Message) {
-        let line = message.to_line().expect("short");
-        let line = String::from_utf8(line).expect("text");
+        let line = message.to_line().expect("a short message");
+        let line = String::from_utf8(line).expect("valid text");
         let keep_open = self.handle.handle_node_message(id, message);
         self.record(format_args!(
             "link {} says {} {keep_open}",
@@ -503,10 +506,10 @@
                 ));
                 continue;
             }
-            let line = String::from_utf8(bytes).expect("text");
+            let line = String::from_utf8(bytes).expect("valid text");
             self.record(format_args!("> link {} {}", id.0, line.trim_end()));
             let message: node::Message = serde_json::from_str(&line).expect("a message");
-            let connection = self.connections.get_mut(&id).expect("there");
+            let connection = self.connections.get_mut(&id).expect("a known connection");
             match message.message_type {
                 node::MessageType::Open => connection.tasks.extend(message.task_id),
                 node::MessageType::Probe => connection.health_checks.extend(message.task_id),
@@ -515,7 +518,10 @@
         }
         if let Some(half_closed) = queue.ended() {
             if !half_closed {
-                self.connections.get_mut(&id).expect("there").ended = true;
+                self.connections
+                    .get_mut(&id)
+                    .expect("a known connection")
+                    .ended = true;
                 self.record(format_args!("> link {} closed", id.0));
                 self.handle.connection_ended(id, ConnectionEnd::Broken);
             } else if self.draws.one_in(6) {
--- a/crates/platform/tests/harness/mod.rs
+++ b/crates/platform/tests/harness/mod.rs
@@ -71,7 +71,7 @@
         if let Some(found) = poll() {
             return found;
         }
-        assert!(since.elapsed() < TIMEOUT, "waited in vain");
+        assert!(since.elapsed() < TIMEOUT, "timed out without a result");
         std::thread::sleep(Duration::from_millis(2));
     }
 }
@@ -113,7 +113,7 @@
         let settings = replaced
             .iter()
             .fold(SETTINGS.to_string(), |settings, (old, new)| {
-                assert!(settings.contains(old), "the settings hold {old}");
+                assert!(settings.contains(old), "the settings contain {old}");
                 settings.replace(old, new)
             });
         let nodes = (0..nodes).map(|number| {
@@ -130,7 +130,7 @@
             streams: Vec::new(),
         };
         let (signals, signal_receiver) = async_channel::unbounded();
-        let dir = tempfile::tempdir().expect("a folder");
+        let dir = tempfile::tempdir().expect("a temporary directory");
         let (ready, address) = std::sync::mpsc::channel();
         let mut harness = Harness {
             nodes: nodes.collect(),
@@ -149,10 +149,10 @@
         let path = harness.dir.path().join("config.json");
         harness.thread = Some(std::thread::spawn(move || {
             let tasks: corkspan_runtime::SharedExecutor = Arc::default();
-            let ready = |address| ready.send(address).expect("the world waits");
+            let ready = |address| ready.send(address).expect("the harness waits");
             let run =
                 corkspan_platform::run(Arc::clone(&tasks), &path, Box::pin(signal_receiver), ready);
-            future::block_on(tasks.run(run)).expect("no failure");
+            future::block_on(tasks.run(run)).expect("the dispatcher runs without an error");
         }));
         harness.address = address.recv_timeout(TIMEOUT).expect("it listens");
         harness
@@ -305,7 +305,7 @@
         let mut last = None;
         loop {
             let mut line = String::new();
-            head.read_line(&mut line).expect("a head");
+            head.read_line(&mut line).expect("a request head");
             if let Some(id) = line.to_ascii_lowercase().strip_prefix("last-event-id:") {
                 last = id.trim().parse().ok();
             }
@@ -323,7 +323,7 @@
             }
         });
         self.streams.push(stream);
-        last.expect("the last event is told")
+        last.expect("the request names the last event")
     }
 }
 
@@ -413,7 +413,7 @@
 
     pub fn receive(&mut self) -> node::Message {
         loop {
-            if let Some(message) = self.reader.next_message().expect("sound") {
+            if let Some(message) = self.reader.next_message().expect("a valid message") {
                 return message;
             }
             self.reader.push(&read_more(&mut self.stream));
@@ -427,11 +427,11 @@
 
     /// Waits for the next input, and returns whether it is the end of the dispatcher's side.
     pub fn is_closed(&mut self) -> bool {
-        self.stream.read(&mut [0; 64]).expect("words or an end") == 0
+        self.stream.read(&mut [0; 64]).expect("data or an end") == 0
     }
 
     pub fn send(&mut self, message: node::Message) {
-        self.send_bytes(&message.to_line().expect("short"));
+        self.send_bytes(&message.to_line().expect("a short message"));
     }
 
     pub fn send_bytes(&mut self, bytes: &[u8]) {
@@ -497,12 +497,14 @@
             (REQUIREMENTS, DEFAULT_REQUIREMENTS.as_bytes()),
         ];
         self.stream
-            .write_all(&client::encode(MessageType::SetUp, task, &defaults).expect("short"))
+            .write_all(
+                &client::encode(MessageType::SetUp, task, &defaults).expect("a short message"),
+            )
             .is_ok()
     }
 
     pub fn send(&mut self, message_type: MessageType, task: u64, parameters: &[(u8, &[u8])]) {
-        self.send_bytes(&client::encode(message_type, task, parameters).expect("short"));
+        self.send_bytes(&client::encode(message_type, task, parameters).expect("a short message"));
     }
 
     pub fn send_bytes(&mut self, bytes: &[u8]) {
@@ -511,7 +513,7 @@
 
     pub fn receive(&mut self) -> client::Message {
         loop {
-            if let Some(message) = self.reader.next_message().expect("sound") {
+            if let Some(message) = self.reader.next_message().expect("a valid message") {
                 return message;
             }
             self.reader.push(&read_more(&mut self.stream));
--- a/crates/platform/tests/modules.rs
+++ b/crates/platform/tests/modules.rs
@@ -11,20 +11,20 @@
     let mut modules: BTreeMap<String, BTreeSet<String>> = BTreeMap::new();
     let mut folders = vec![source.clone()];
     while let Some(folder) = folders.pop() {
-        for entry in std::fs::read_dir(folder).expect("a folder") {
+        for entry in std::fs::read_dir(folder).expect("a directory") {
             let path = entry.expect("an entry").path();
             if path.is_dir() {
                 folders.push(path);
                 continue;
             }
-            let relative = path.strip_prefix(&source).expect("below it");
+            let relative = path.strip_prefix(&source).expect("a path below the source");
             let relative = relative.to_string_lossy().into_owned();
             let module = relative
                 .split(['/', '.'])
                 .next()
                 .expect("a name")
                 .to_string();
-            let text = std::fs::read_to_string(&path).expect("text");
+            let text = std::fs::read_to_string(&path).expect("valid text");
             let imported = text.split("crate::").skip(1).filter_map(|rest| {
                 rest.split(|c: char| !c.is_alphanumeric() && c != '_')
                     .next()
--- a/crates/platform/tests/races/mod.rs
+++ b/crates/platform/tests/races/mod.rs
@@ -78,7 +78,7 @@
     assert!(client.silent_for(Duration::from_millis(100)));
     assert!(
         second.silent_for(Duration::from_millis(300)),
-        "it is still waited for, and no other goes out beside it"
+        "the second attempt is still awaited, and no other is sent"
     );
     second.send(ready(7, "made"));
     assert_eq!(client.receive().parameter(DESCRIPTION), Some(&b"made"[..]));
@@ -92,7 +92,10 @@
     second.send(ready(7, "made"));
     assert_eq!(client.receive().message_type, MessageType::Answer);
     first.send(late);
-    assert!(client.silent_for(Duration::from_millis(200)), "it stands");
+    assert!(
+        client.silent_for(Duration::from_millis(200)),
+        "the task still runs"
+    );
     second.send(close(7, 16));
     assert_eq!(client.receive().message_type, MessageType::Release);
 }
@@ -115,7 +118,7 @@
     first.send(with_note(close(7, 34), "backlog"));
     assert!(
         client.silent_for(Duration::from_millis(100)),
-        "a copy of the refusal ends nothing"
+        "a copy of the rejection ends nothing"
     );
     first.send(release);
     let received = client.receive();
@@ -139,7 +142,7 @@
     assert_eq!(
         connection.receive(),
         close(7, 16),
-        "what its owner was told is over must be"
+        "the client was notified that the task has ended, so it must end"
     );
 }
 
@@ -183,7 +186,7 @@
     new.send(ready(7, "made"));
     assert_eq!(client.receive().parameter(DESCRIPTION), Some(&b"made"[..]));
     let mut old = old;
-    assert!(old.is_closed(), "nothing was written on the other");
+    assert!(old.is_closed(), "nothing was written on the old connection");
 }
 
 #[test]
@@ -245,7 +248,7 @@
     let first = client.receive();
     assert!(
         first.task > 8 && first.parameter(CAUSE) == Some(&[34]),
-        "{first:?} before all that have attempts out"
+        "{first:?} must be answered before all set-ups with active attempts"
     );
     assert!(harness.ends_cleanly());
 }
@@ -335,7 +338,7 @@
     assert_eq!(
         harness.feed.accept_and_stream(),
         2,
-        "the second event stands in the file"
+        "the second event is in the file"
     );
 }
 
@@ -354,10 +357,10 @@
 
 /// Guards against waiting for a feed that has stopped while its connection stays open. The events
 /// that it would send count as sent 4 s later, or as soon as it is connected to again.
-#[test_case(b"", b""; "right after the call")]
+#[test_case(b"", b""; "right after the request")]
 #[test_case(b"HTTP/1.1 200 OK\r\nContent-", b""; "within the headers")]
 #[test_case(RESPONSE_HEAD, b""; "after the headers")]
-#[test_case(RESPONSE_HEAD, b":"; "but for bytes that complete nothing")]
+#[test_case(RESPONSE_HEAD, b":"; "except for bytes that complete no item")]
 #[test_case(RESPONSE_HEAD, b"id: 2\ndata: {\"n\":2"; "within an event")]
 fn a_silent_feed_is_reconnected_within_four_seconds(prefix: &[u8], repeated: &[u8]) {
     let harness = Harness::new(1);
--- a/crates/platform/tests/scenarios.rs
+++ b/crates/platform/tests/scenarios.rs
@@ -56,7 +56,7 @@
     assert_eq!(client.receive().message_type, MessageType::Release);
 }
 
-#[test_case(b"{]\n", true; "no JSON")]
+#[test_case(b"{]\n", true; "invalid JSON")]
 #[test_case(b"{\"msg\":\"ready\",\"sid\":\"0000000000000007\",\"attrs\":{}}\n", true; "an answer without its description")]
 #[test_case(b"", true; "a connection that breaks")]
 #[test_case(b"{\"msg\":\"ready\",\"sid\":\"strange\",\"attrs\":{},\"text\":\"x\"}\n", false; "an answer under an unknown id")]
@@ -85,7 +85,7 @@
     drop(connection);
     assert!(
         client.silent_for(Duration::from_millis(600)),
-        "it may well run"
+        "the task may still run"
     );
     harness.send_event(0, "left");
     assert_eq!(client.receive().message_type, MessageType::Release);
@@ -106,7 +106,7 @@
 
 #[test_case(CLASS, b"none such"; "a class that does not exist")]
 #[test_case(TENANT, b"none such"; "a tenant that does not exist")]
-#[test_case(REQUIREMENTS, b"cores:nan;memory:1;service:a"; "a requirement that is no number")]
+#[test_case(REQUIREMENTS, b"cores:nan;memory:1;service:a"; "a requirement that is not a number")]
 #[test_case(REQUIREMENTS, b"cores:1e9;memory:1;service:a"; "more than any machine has")]
 #[test_case(TIME_LEFT, b"-5"; "a deadline in the past")]
 #[test_case(TASK_NAME, b""; "no name")]
@@ -158,7 +158,7 @@
     assert_eq!(
         harness.feed.accept_and_stream(),
         2,
-        "what was told before is not asked for again"
+        "events received before are not requested again"
     );
 }
 
@@ -208,7 +208,7 @@
     assert_eq!(
         client.receive().message_type,
         MessageType::Release,
-        "it went with the old one"
+        "the task is lost with the old node"
     );
     client.send_set_up(8, &[]);
     assert_eq!(
@@ -284,11 +284,7 @@
     let mut harness = Harness::new(1);
     let (mut client, mut first) = harness.running_task(7);
     client.send_set_up(8, &[(TIME_LEFT, b"600")]);
-    assert_eq!(
-        first.receive().task_id,
-        Some(8),
-        "on the connection that is free"
-    );
+    assert_eq!(first.receive().task_id, Some(8), "on the idle connection");
     client.send_set_up(9, &[]);
     let mut second = harness.nodes[0].accept_connection();
     second.receive();
@@ -324,7 +320,7 @@
     client.send_set_up(8, &[(REQUIREMENTS, elsewhere.as_bytes())]);
     assert!(
         client.silent_for(Duration::from_millis(100)),
-        "what another node says of it is no end there"
+        "an end reported by another node does not count"
     );
     client.send(MessageType::Release, 8, &[(CAUSE, &[16])]);
     let mut second = harness.connect_client();
--- a/crates/platform/tests/writer/fairness.rs
+++ b/crates/platform/tests/writer/fairness.rs
@@ -68,7 +68,7 @@
     let before = clients.load(Ordering::Relaxed) as usize;
     assert!(
         before <= CLIENTS,
-        "{before} messages of owners went before it, of {}",
+        "{before} messages of clients were handled first, of {}",
         CLIENTS * 500
     );
     while clients.load(Ordering::Relaxed) < (CLIENTS * 500) as u32 {
@@ -89,7 +89,7 @@
     let may_write_set_up = {
         let checked = Arc::clone(&checked);
         move |attempt: AttemptId| {
-            checked.lock().expect("whole").push(attempt);
+            checked.lock().expect("not poisoned").push(attempt);
             attempt.number != 1
         }
     };
@@ -100,12 +100,12 @@
     drop(sender);
     future::block_on(tasks.run(carried));
     assert_eq!(
-        *checked.lock().expect("whole"),
+        *checked.lock().expect("not poisoned"),
         [attempt(1), attempt(2)],
-        "each is asked for once"
+        "each is checked once"
     );
     let mut written = String::new();
-    std::io::Read::read_to_string(&mut peer, &mut written).expect("text");
+    std::io::Read::read_to_string(&mut peer, &mut written).expect("valid text");
     assert_eq!(written, "twoend");
 }
 
@@ -123,7 +123,7 @@
         Vec::<Vec<u8>>::new()
     );
     let mut written = String::new();
-    std::io::Read::read_to_string(&mut peer, &mut written).expect("text");
+    std::io::Read::read_to_string(&mut peer, &mut written).expect("valid text");
     assert_eq!(written, "");
 }
 
