--- a/crates/platform/src/core/client_connections.rs
+++ b/crates/platform/src/core/client_connections.rs
@@ -8,12 +8,12 @@
 
 /// A client's connection.
 pub(super) struct ClientConnection {
-    pub(super) to: MessageSender,
+    pub(super) sender: MessageSender,
     /// The reading end; none until the connection's task has started.
     pub(super) input: Option<ConnectionInput>,
     pub(super) reader: client::Reader,
     /// The time when all input that had arrived was last read.
-    pub(super) drained_at: Ticks,
+    pub(super) input_read_at: Ticks,
     /// The set-ups without a final answer.
     pub(super) open_set_ups: BTreeSet<u64>,
     /// The number of running tasks that were set up on the connection.
@@ -51,7 +51,7 @@
                 return ReadProgress::Done;
             };
             let mut outcome = ReadOutcome::Data;
-            if client.drained_at + MAX_INPUT_AGE <= now {
+            if client.input_read_at + MAX_INPUT_AGE <= now {
                 outcome = client.read_ahead(now);
             }
             if outcome == ReadOutcome::Closed {
@@ -72,9 +72,9 @@
                         .reader
                         .has_partial_message()
                         .then(|| client.partial_since.unwrap_or(now));
-                    return ReadProgress::Drained;
+                    return ReadProgress::NoMessage;
                 }
-                Ok(None) => client.drained_at = 0,
+                Ok(None) => client.input_read_at = 0,
                 Err(error) => {
                     debug!(?id, %error, "closing a client's connection after an invalid message");
                     return ReadProgress::Done;
@@ -96,7 +96,8 @@
         };
         let has_unread_input = |client: &ClientConnection| {
             client.input.is_some()
-                && (client.drained_at + MAX_INPUT_AGE <= now || client.reader.buffered_bytes() > 0)
+                && (client.input_read_at + MAX_INPUT_AGE <= now
+                    || client.reader.buffered_bytes() > 0)
         };
         for _ in 0..MAX_MESSAGES_BEFORE_ATTEMPT {
             if !self.clients.get(&from).is_some_and(has_unread_input) {
@@ -104,7 +105,7 @@
             }
             match self.read_next_message(now, engine, from) {
                 ReadProgress::Handled => {}
-                ReadProgress::Drained => return,
+                ReadProgress::NoMessage => return,
                 ReadProgress::Done => return self.close_client(now, engine, from),
             }
         }
@@ -167,7 +168,7 @@
             while self
                 .undelivered
                 .front()
-                .is_some_and(|message| client.to.send_task_end(message.clone()))
+                .is_some_and(|message| client.sender.send_task_end(message.clone()))
             {
                 self.undelivered.pop_front();
             }
@@ -252,7 +253,7 @@
             match input.read(|bytes| self.reader.push(bytes)) {
                 ReadOutcome::Data => {}
                 ReadOutcome::Empty => {
-                    self.drained_at = now;
+                    self.input_read_at = now;
                     return ReadOutcome::Empty;
                 }
                 ReadOutcome::Closed => return ReadOutcome::Closed,
--- a/crates/platform/src/core/inputs.rs
+++ b/crates/platform/src/core/inputs.rs
@@ -71,7 +71,7 @@
     /// Registers a client's connection. Returns none if the maximum is reached and every connection
     /// has an open set-up.
     pub fn client_connected(&mut self, now: Ticks) -> Option<(ClientId, MessageQueue)> {
-        let (to, queue) = message_queue();
+        let (sender, queue) = message_queue();
         self.process_event(now, |engine, state| {
             if state.clients.len() >= state.max_clients && !state.evict_client(now, engine) {
                 return None;
@@ -79,10 +79,10 @@
             state.clients_accepted += 1;
             let id = ClientId(state.clients_accepted);
             let client = ClientConnection {
-                to,
+                sender,
                 input: None,
                 reader: Reader::default(),
-                drained_at: now,
+                input_read_at: now,
                 open_set_ups: BTreeSet::new(),
                 running: 0,
                 connected_at: now,
--- a/crates/platform/src/core/node_connections.rs
+++ b/crates/platform/src/core/node_connections.rs
@@ -75,7 +75,7 @@
         if end == ConnectionEnd::ConnectTimeout {
             // If the node is gone, another one may have its address and must not receive the queued
             // messages.
-            connection.to.discard();
+            connection.sender.discard();
         }
         self.fail_attempts(now, engine, id, connection.open_attempts);
         self.fail_health_checks(now, engine, id, connection.machine);
--- a/crates/platform/src/core/replies.rs
+++ b/crates/platform/src/core/replies.rs
@@ -19,7 +19,7 @@
         };
         self.clients
             .get(&to)
-            .is_some_and(|client| client.to.send(bytes))
+            .is_some_and(|client| client.sender.send(bytes))
     }
 
     /// Replies to a client's health check that the dispatcher is healthy.
@@ -48,7 +48,7 @@
         if !self
             .clients
             .get(&to)
-            .is_some_and(|client| client.to.send_task_end(bytes.clone()))
+            .is_some_and(|client| client.sender.send_task_end(bytes.clone()))
         {
             self.send_to_any_client(bytes);
         }
@@ -62,7 +62,7 @@
         candidates.sort_by_key(|client| std::cmp::Reverse(client.last_active_at));
         let delivered = candidates
             .into_iter()
-            .any(|client| client.to.send_task_end(bytes.clone()));
+            .any(|client| client.sender.send_task_end(bytes.clone()));
         if !delivered && self.undelivered.len() < MAX_UNDELIVERED {
             self.undelivered.push_back(bytes);
         }
--- a/crates/platform/src/node_connection_task.rs
+++ b/crates/platform/src/node_connection_task.rs
@@ -70,7 +70,7 @@
             }
             Ok(None) => match input.read(|bytes| reader.push(bytes)) {
                 ReadOutcome::Data => {}
-                ReadOutcome::Empty => return ReadProgress::Drained,
+                ReadOutcome::Empty => return ReadProgress::NoMessage,
                 ReadOutcome::Closed => return ReadProgress::Done,
             },
             Err(error) => {
--- a/crates/platform/src/node_connections.rs
+++ b/crates/platform/src/node_connections.rs
@@ -14,7 +14,7 @@
 /// A connection to a node.
 pub struct NodeConnection {
     pub machine: MachineId,
-    pub to: MessageSender,
+    pub sender: MessageSender,
     established: bool,
     /// True if no further set-up may be sent on the connection.
     draining: bool,
@@ -89,7 +89,7 @@
         }
         self.opened += 1;
         let id = ConnectionId(self.opened);
-        let (to, queue) = message_queue();
+        let (sender, queue) = message_queue();
         #[cfg(test)]
         self.opened_queues.push((id, queue.second_receiver()));
         let open = BTreeSet::new();
@@ -97,7 +97,7 @@
             id,
             NodeConnection {
                 machine,
-                to,
+                sender,
                 established: false,
                 draining: false,
                 open_attempts: open,
@@ -263,7 +263,7 @@
         line.is_some_and(|line| {
             self.connections
                 .get(&id)
-                .is_some_and(|connection| connection.to.send(line))
+                .is_some_and(|connection| connection.sender.send(line))
         })
     }
 
@@ -278,7 +278,7 @@
         line.is_some_and(|line| {
             self.connections
                 .get(&id)
-                .is_some_and(|connection| connection.to.send_set_up(attempt, line))
+                .is_some_and(|connection| connection.sender.send_set_up(attempt, line))
         })
     }
 
@@ -306,7 +306,7 @@
             return;
         };
         self.half_closed.insert(id, connection.machine);
-        connection.to.half_close();
+        connection.sender.half_close();
     }
 
     /// Removes a connection that has ended or must end at once.
--- a/crates/platform/src/reader.rs
+++ b/crates/platform/src/reader.rs
@@ -29,7 +29,7 @@
     /// One message was handled, and more may be available.
     Handled,
     /// No complete message is left.
-    Drained,
+    NoMessage,
     /// The connection must be closed.
     Done,
 }
@@ -64,8 +64,8 @@
         loop {
             match handle_next_message() {
                 ReadProgress::Handled => future::yield_now().await,
-                ReadProgress::Drained if self.0.readable().await.is_err() => return,
-                ReadProgress::Drained => {}
+                ReadProgress::NoMessage if self.0.readable().await.is_err() => return,
+                ReadProgress::NoMessage => {}
                 ReadProgress::Done => return,
             }
         }
--- a/crates/platform/tests/core/bounds.rs
+++ b/crates/platform/tests/core/bounds.rs
@@ -284,7 +284,7 @@
 /// Guards against losing messages in transit on a connection that is evicted: the pool is full, so
 /// each set-up for another node closes a connection.
 #[test]
-fn a_release_under_way_on_an_evicted_connection_is_passed_on_at_once() {
+fn a_release_in_transit_on_an_evicted_connection_is_forwarded_at_once() {
     let (handle, client, queue) = full_pool(200);
     let running: Vec<(ConnectionId, u64)> = {
         let PlatformCore { engine, state } = &mut *handle.lock();
@@ -343,7 +343,7 @@
 /// Guards against placing each set-up before the next message is read: hundreds of set-ups then
 /// delay a node's release for more than the second within which it must be forwarded.
 #[test]
-fn a_release_is_passed_on_before_set_ups_that_came_earlier() {
+fn a_release_is_forwarded_before_set_ups_that_arrived_earlier() {
     let (handle, client, queue) = full_pool(20);
     let connection = handle.lock().state.connections.newest();
     queue.take_all();
--- a/crates/platform/tests/core/transcript.rs
+++ b/crates/platform/tests/core/transcript.rs
@@ -633,12 +633,12 @@
 
 #[test]
 fn a_seeded_run_gives_the_recorded_transcript() {
-    let (answer, recorded) = (transcript(1, 250), recorded("transcript.txt"));
-    let other = std::iter::zip(answer.lines(), recorded.lines())
+    let (actual, recorded) = (transcript(1, 250), recorded("transcript.txt"));
+    let other = std::iter::zip(actual.lines(), recorded.lines())
         .enumerate()
-        .find(|(_, (answer, recorded))| answer != recorded);
+        .find(|(_, (actual, recorded))| actual != recorded);
     assert_eq!(other, None, "the first line that differs");
-    assert_eq!(answer.len(), recorded.len());
+    assert_eq!(actual.len(), recorded.len());
 }
 
 /// Compares longer runs by a digest of their transcripts: seed, number of lines and FNV-1a hash.
@@ -650,15 +650,15 @@
 #[test_case(7)]
 #[test_case(8)]
 #[test_case(9)]
-fn a_longer_run_gives_a_transcript_of_the_recorded_sum(seed: u64) {
+fn a_longer_run_gives_a_transcript_with_the_recorded_digest(seed: u64) {
     use std::hash::Hasher;
-    let answer = transcript(seed, STEPS);
+    let actual = transcript(seed, STEPS);
     let mut hasher = fnv::FnvHasher::default();
-    hasher.write(answer.as_bytes());
-    let sum = format!("{seed} {} {:016x}", answer.lines().count(), hasher.finish());
-    let sums = recorded("transcript_sums.txt");
+    hasher.write(actual.as_bytes());
+    let digest = format!("{seed} {} {:016x}", actual.lines().count(), hasher.finish());
+    let recorded_digests = recorded("transcript_sums.txt");
     assert!(
-        sums.lines().any(|line| line == sum),
-        "{sum} is not among\n{sums}"
+        recorded_digests.lines().any(|line| line == digest),
+        "{digest} is not among\n{recorded_digests}"
     );
 }
--- a/crates/platform/tests/races/mod.rs
+++ b/crates/platform/tests/races/mod.rs
@@ -72,7 +72,7 @@
 #[test_case(close(7, 41); "interrupted")]
 #[test_case(ready(7, "late"); "answered")]
 #[test_case(node::Message::new(node::MessageType::Event, 7); "notified")]
-fn a_late_message_about_an_earlier_attempt_is_not_taken_for_the_next(late: node::Message) {
+fn a_late_message_about_an_earlier_attempt_is_not_attributed_to_the_next(late: node::Message) {
     let (_harness, mut client, mut first, mut second) = start_second_attempt();
     first.send(late);
     assert!(client.silent_for(Duration::from_millis(100)));
--- a/crates/platform/tests/scenarios.rs
+++ b/crates/platform/tests/scenarios.rs
@@ -233,7 +233,7 @@
 }
 
 #[test]
-fn a_set_up_that_comes_after_sigterm_is_answered_too() {
+fn a_set_up_that_arrives_after_sigterm_is_answered_too() {
     let mut harness = Harness::new(1);
     let mut client = harness.connect_client();
     client.send_set_up(7, &[]);
@@ -264,7 +264,7 @@
 }
 
 #[test]
-fn a_new_file_that_can_not_be_read_changes_nothing() {
+fn an_unreadable_new_file_changes_nothing() {
     let mut harness = Harness::new(1);
     harness.write_invalid_config();
     harness.signal(Signal::Hup);
@@ -280,7 +280,7 @@
 /// Guards against losing the end of a running task: a later set-up on the task's connection times
 /// out, so the dispatcher closes that connection while the node's release is in transit.
 #[test]
-fn a_release_that_crosses_the_close_of_its_connection_is_passed_on() {
+fn a_release_that_crosses_the_close_of_its_connection_is_forwarded() {
     let mut harness = Harness::new(1);
     let (mut client, mut first) = harness.running_task(7);
     client.send_set_up(8, &[(TIME_LEFT, b"600")]);
@@ -305,7 +305,7 @@
 /// Guards against losing the end of a task after a start: a node reports all pending ends on the
 /// first connection, which may be opened for another task before theirs are handed over.
 #[test]
-fn an_end_reported_before_its_task_is_handed_over_is_passed_on_then() {
+fn an_end_reported_before_its_task_is_handed_over_is_forwarded_then() {
     let mut harness = Harness::new(2);
     let mut client = harness.connect_client();
     let requirements_at = |node: &str| format!("{DEFAULT_REQUIREMENTS};at:{node}");
--- a/crates/platform/tests/writer/fairness.rs
+++ b/crates/platform/tests/writer/fairness.rs
@@ -30,7 +30,7 @@
         }
         match input.read(|bytes| remaining = bytes.len()) {
             ReadOutcome::Data => {}
-            ReadOutcome::Empty => return ReadProgress::Drained,
+            ReadOutcome::Empty => return ReadProgress::NoMessage,
             ReadOutcome::Closed => return ReadProgress::Done,
         }
     };
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn a_set_up_cancelled_before_it_is_written_never_is() {
+fn a_set_up_cancelled_before_it_is_written_is_never_written() {
     let tasks = corkspan_runtime::SharedExecutor::default();
     let ((stream, mut peer), (sender, queue)) = (connection_with_input(b""), message_queue());
     assert!(
@@ -94,7 +94,7 @@
         }
     };
     let input = ConnectionInput::new(stream.clone());
-    let read = async move { input.read_messages(|| ReadProgress::Drained).await };
+    let read = async move { input.read_messages(|| ReadProgress::NoMessage).await };
     let carried =
         tasks.spawn(async move { run_connection(stream, queue, may_write_set_up, read).await });
     drop(sender);
