--- a/crates/platform/src/core.rs
+++ b/crates/platform/src/core.rs
@@ -1,6 +1,6 @@
-//! The core: the engine with its decisions, what is kept for clients and nodes, and what follows
-//! from each event. It does no I/O and reads no clock: each call is given the time, and what it
-//! needs of the outside goes through [`Effects`]. What is sent is queued before the call returns.
+//! The state of one dispatcher: the engine that makes the decisions, and the records of clients,
+//! nodes and connections. It does no I/O and reads no clock: each call receives the time, and
+//! requests to the outside go through [`Effects`]. Messages are queued before the call returns.
 
 use crate::descriptor_budget::DescriptorBudget;
 use crate::errors::ConfigError;
@@ -46,65 +46,65 @@
 #[path = "../tests/core/transcript.rs"]
 mod transcript;
 
-/// How a connection to a node ended.
+/// The way in which a connection to a node ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionEnd {
-    /// Nobody listens there: the process is dead.
+    /// The connection was refused: nothing listens at the address, so the process is dead.
     Refused,
-    /// It was not established in time.
+    /// The connection was not established within the timeout.
     ConnectTimeout,
-    /// It was established, and broke or was closed.
+    /// The connection was established, and then broke or was closed.
     Broken,
 }
 
-/// A connection to a node that is to be opened.
+/// A connection to a node that must be opened.
 pub struct NewConnection {
     pub id: ConnectionId,
     pub address: SocketAddr,
-    /// How long it may take to be established.
+    /// The time within which the connection must be established.
     pub connect_timeout: Ticks,
     pub queue: MessageQueue,
 }
 
-/// What the core needs of the outside. No effect waits, and none calls back before the call that
-/// caused it has returned.
+/// The operations that the core requests from the outside. No effect blocks, and none calls back
+/// into the core before the call that caused it has returned.
 pub trait Effects: Send {
-    /// Opens a connection to a node and carries it.
+    /// Opens a connection to a node, and reads and writes it until it ends.
     fn connect(&self, connection: NewConnection);
-    /// Calls for the list of nodes to be watched, if it is not yet.
-    fn watch_list(&self);
-    /// Sets the one timer, which calls [`PlatformCore::timer_fired`].
+    /// Requests that the list of nodes be watched, unless that is already the case.
+    fn watch_endpoint_list(&self);
+    /// Sets the only timer, which calls [`PlatformCore::timer_fired`].
     fn arm_timer(&self, at: Ticks);
-    /// Calls for [`PlatformCore::run_turn`].
+    /// Requests a call of [`PlatformCore::run_turn`].
     fn request_turn(&self);
 }
 
-/// What a core is made of, validated.
+/// Validated options from which a core is created.
 pub struct CoreOptions {
     cluster: Cluster,
     seed: u64,
     settings: Settings,
-    pub known: DiscoveryState,
+    pub initial_state: DiscoveryState,
     max_clients: usize,
     max_node_connections: usize,
 }
 
 impl CoreOptions {
-    /// Of a configuration file and the descriptors of the process.
+    /// Validates the options of a configuration file, with the limits of the descriptor budget.
     pub fn new(config: NodeConfig, budget: &DescriptorBudget) -> Result<CoreOptions, ConfigError> {
         Ok(CoreOptions {
             seed: config.seed_number()?,
-            cluster: cluster(&config.settings)?,
+            cluster: platform_cluster(&config.settings)?,
             settings: config.settings,
-            known: config.discovery_state,
+            initial_state: config.discovery_state,
             max_clients: budget.max_clients,
             max_node_connections: budget.max_node_connections,
         })
     }
 }
 
-/// Everything beside the engine: connections, timers and what is kept for clients. The engine's
-/// effects are carried out by it.
+/// All state except the engine: connections, timers and the records of clients. Implements the
+/// engine's effects.
 struct PlatformState {
     effects: Box<dyn Effects>,
     now: Ticks,
@@ -112,20 +112,20 @@
     max_clients: usize,
     clients_accepted: u64,
     undelivered: VecDeque<Vec<u8>>,
-    /// The oldest first.
+    /// Ordered from the oldest to the newest.
     early_ends: VecDeque<EarlyEnd>,
     nodes: Nodes,
     connections: NodeConnections,
     health_checks: BTreeMap<u64, HealthCheck>,
-    last_health_check: u64,
+    last_health_check_id: u64,
     timers: BTreeSet<(Ticks, Timer)>,
     deferred: VecDeque<DeferredEvent>,
-    /// Tasks that are due a final answer.
+    /// Tasks whose clients have not received a final answer.
     unanswered: BTreeSet<AllocationId>,
     engine_timer: Option<Ticks>,
     armed_timer: Option<Ticks>,
     last_event: u64,
-    /// No more set-ups are accepted.
+    /// True once no more set-ups are accepted.
     stopping: bool,
     settings: Arc<Settings>,
 }
@@ -136,9 +136,10 @@
     state: PlatformState,
 }
 
-/// The control feed must be connected to, whatever the settings say of another way, and nobody
-/// reports a machine that has vanished.
-fn cluster(settings: &Settings) -> Result<Cluster, SettingsError> {
+/// Returns the settings of the cluster, adapted to this platform: the control feed is always
+/// watched, even if the settings configure another discovery mode, and no caller reports a machine
+/// that has vanished.
+fn platform_cluster(settings: &Settings) -> Result<Cluster, SettingsError> {
     let cluster = settings.cluster()?;
     Ok(Cluster {
         list_poll_interval: cluster.list_poll_interval.or(Some(0)),
@@ -148,16 +149,17 @@
 }
 
 impl PlatformCore {
-    /// A core without nodes and clients.
+    /// Creates a core without nodes and clients.
     pub fn new(options: CoreOptions, now: Ticks, effects: Box<dyn Effects>) -> PlatformCore {
         let limits = &options.settings.limits;
-        let time = |us: Option<u64>, absent| us.map_or(absent, corkspan_settings::ticks_from_us);
+        let timeout =
+            |us: Option<u64>, default| us.map_or(default, corkspan_settings::ticks_from_us);
         let connections = NodeConnections::new(
             options.max_node_connections,
             options.settings.connect_timeout(),
-            // Closed by us well before the node does it: a set-up that crosses the close would be
-            // lost.
-            time(limits.idle_close_us, 15 * SECOND) * 2 / 3,
+            // Idle connections are closed well before the node closes them: a set-up that crosses
+            // the node's close would be lost.
+            timeout(limits.idle_close_us, 15 * SECOND) * 2 / 3,
         );
         PlatformCore {
             engine: Engine::new(
@@ -178,7 +180,7 @@
                 nodes: Nodes::default(),
                 connections,
                 health_checks: BTreeMap::new(),
-                last_health_check: options.seed,
+                last_health_check_id: options.seed,
                 timers: BTreeSet::new(),
                 deferred: VecDeque::new(),
                 unanswered: BTreeSet::new(),
@@ -191,8 +193,8 @@
         }
     }
 
-    /// Handles one event and what follows from it.
-    fn with<R>(
+    /// Handles one event, then the deferred events and engine work that it causes; sets the timer.
+    fn process_event<R>(
         &mut self,
         now: Ticks,
         call: impl FnOnce(&mut Engine<PendingTask>, &mut PlatformState) -> R,
@@ -227,12 +229,12 @@
                 break;
             }
         }
-        let next = [state.engine_timer, state.timers.first().map(|(at, _)| *at)]
+        let next_timer = [state.engine_timer, state.timers.first().map(|(at, _)| *at)]
             .into_iter()
             .flatten()
             .min();
-        if let Some(at) = next.filter(|_| next != state.armed_timer) {
-            state.armed_timer = next;
+        if let Some(at) = next_timer.filter(|_| next_timer != state.armed_timer) {
+            state.armed_timer = next_timer;
             state.effects.arm_timer(at);
         }
         if engine.has_queued() {
--- a/crates/platform/src/core/client_connections.rs
+++ b/crates/platform/src/core/client_connections.rs
@@ -1,4 +1,4 @@
-//! Clients' connections: how they are read, and when they are closed.
+//! Reads and closes the connections of clients.
 
 use super::pending_task::task_key;
 use super::*;
@@ -8,39 +8,38 @@
 
 /// A client's connection.
 pub(super) struct ClientConnection {
-    pub(super) to: MessageSender,
-    /// None until its task has started.
+    pub(super) sender: MessageSender,
+    /// The reading end; none until the connection's task has started.
     pub(super) input: Option<ConnectionInput>,
     pub(super) reader: client::Reader,
-    /// When all that had arrived was last read.
-    pub(super) drained_at: Ticks,
-    /// Its set-ups without an answer.
+    /// The time when all input that had arrived was last read.
+    pub(super) input_read_at: Ticks,
+    /// The set-ups without a final answer.
     pub(super) open_set_ups: BTreeSet<u64>,
-    /// How many running tasks were set up on it.
+    /// The number of running tasks that were set up on the connection.
     pub(super) running: usize,
     pub(super) connected_at: Ticks,
     pub(super) last_active_at: Ticks,
-    /// It has sent a valid message.
+    /// Whether the client has sent a valid message.
     pub(super) valid: bool,
-    /// Since when a part of a message has been there.
+    /// The time since when the input has ended with part of a message.
     pub(super) partial_since: Option<Ticks>,
 }
 
-/// What a client's message came to.
+/// Whether a message of a client could be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum MessageVerdict {
-    /// It was valid, and its connection is of use.
+pub(super) enum MessageValidity {
+    /// The message was valid, and its connection is useful.
     Valid,
-    /// It could not be used.
+    /// The message could not be used.
     Unusable,
-    /// It breaks the protocol: the connection must be closed.
+    /// The message breaks the protocol, so the connection must be closed.
     Violation,
 }
 
 impl PlatformState {
-    /// Handles the next message of a client. What has arrived behind it is read first, if that was
-    /// not done a moment ago: the end of a connection must not wait behind the set-ups that it
-    /// ends.
+    /// Handles the next message of a client. The input behind it is read first, unless that was
+    /// done recently: the end of a connection must not wait behind the set-ups that it cancels.
     pub(super) fn read_next_message(
         &mut self,
         now: Ticks,
@@ -52,7 +51,7 @@
                 return ReadProgress::Done;
             };
             let mut outcome = ReadOutcome::Data;
-            if client.drained_at + INPUT_FRESHNESS <= now {
+            if client.input_read_at + MAX_INPUT_AGE <= now {
                 outcome = client.read_ahead(now);
             }
             if outcome == ReadOutcome::Closed {
@@ -73,18 +72,19 @@
                         .reader
                         .has_partial_message()
                         .then(|| client.partial_since.unwrap_or(now));
-                    return ReadProgress::Drained;
+                    return ReadProgress::NoMessage;
                 }
-                Ok(None) => client.drained_at = 0,
+                Ok(None) => client.input_read_at = 0,
                 Err(error) => {
-                    debug!(?id, %error, "closing a client's connection");
+                    debug!(?id, %error, "closing a client's connection after an invalid message");
                     return ReadProgress::Done;
                 }
             }
         }
     }
 
-    /// Before an attempt: handles what has arrived on its client's connection.
+    /// Handles the input that has arrived on a client's connection, before an attempt for that
+    /// client.
     pub(super) fn read_pending_input(
         &mut self,
         now: Ticks,
@@ -94,25 +94,25 @@
         let Some(from) = engine.data_mut(id).map(|(pending, _)| pending.client) else {
             return;
         };
-        let behind = |client: &ClientConnection| {
+        let has_unread_input = |client: &ClientConnection| {
             client.input.is_some()
-                && (client.drained_at + INPUT_FRESHNESS <= now
+                && (client.input_read_at + MAX_INPUT_AGE <= now
                     || client.reader.buffered_bytes() > 0)
         };
         for _ in 0..MAX_MESSAGES_BEFORE_ATTEMPT {
-            if !self.clients.get(&from).is_some_and(behind) {
+            if !self.clients.get(&from).is_some_and(has_unread_input) {
                 return;
             }
             match self.read_next_message(now, engine, from) {
                 ReadProgress::Handled => {}
-                ReadProgress::Drained => return,
+                ReadProgress::NoMessage => return,
                 ReadProgress::Done => return self.close_client(now, engine, from),
             }
         }
     }
 
-    /// The peer has closed its side. What it set up is cancelled; releases that it sent are still
-    /// handled.
+    /// Handles a peer that has closed its side: cancels its open set-ups, and still handles the
+    /// releases that it has sent.
     fn client_closed(&mut self, now: Ticks, engine: &mut Engine<PendingTask>, id: ClientId) {
         let reader = self
             .clients
@@ -127,7 +127,7 @@
         }
     }
 
-    /// A message of a client. False where its connection is to be closed.
+    /// Handles a message of a client. Returns false if its connection must be closed.
     pub(super) fn handle_client_message(
         &mut self,
         now: Ticks,
@@ -139,36 +139,36 @@
             return false;
         };
         client.partial_since = None;
-        let verdict = match message.message_type {
+        let validity = match message.message_type {
             MessageType::SetUp => self.handle_set_up(now, engine, id, message),
             MessageType::Release => {
                 if self.handle_release(now, engine, message) {
-                    MessageVerdict::Valid
+                    MessageValidity::Valid
                 } else {
-                    MessageVerdict::Unusable
+                    MessageValidity::Unusable
                 }
             }
             MessageType::HealthCheck => {
                 self.reply_to_health_check(id, message.task);
-                MessageVerdict::Valid
+                MessageValidity::Valid
             }
-            MessageType::Progress | MessageType::Acknowledge => MessageVerdict::Unusable,
+            MessageType::Progress | MessageType::Acknowledge => MessageValidity::Unusable,
             MessageType::Answer
             | MessageType::Notification
             | MessageType::Migrate
-            | MessageType::HealthCheckReply => MessageVerdict::Violation,
+            | MessageType::HealthCheckReply => MessageValidity::Violation,
         };
-        if verdict == MessageVerdict::Violation {
-            debug!(?id, ?message.message_type, "closing a client's connection that sent what no client sends");
+        if validity == MessageValidity::Violation {
+            debug!(?id, ?message.message_type, "closing a client's connection after a message type that clients must not send");
             return false;
         }
-        let valid = verdict == MessageVerdict::Valid;
+        let valid = validity == MessageValidity::Valid;
         if let Some(client) = self.clients.get_mut(&id).filter(|_| valid) {
             (client.valid, client.last_active_at) = (true, now);
             while self
                 .undelivered
                 .front()
-                .is_some_and(|message| client.to.send_task_end(message.clone()))
+                .is_some_and(|message| client.sender.send_task_end(message.clone()))
             {
                 self.undelivered.pop_front();
             }
@@ -176,29 +176,29 @@
         self.clients.contains_key(&id)
     }
 
-    /// Looks for connections that are silent, idle or missing.
+    /// Closes silent and idle connections, and opens missing connections to nodes with tasks.
     pub(super) fn sweep(&mut self, now: Ticks, engine: &mut Engine<PendingTask>) {
-        let useless = |client: &ClientConnection| {
-            let silent = !client.valid && client.connected_at + SILENCE_TIMEOUT <= now;
-            let stuck = client
+        let should_close = |client: &ClientConnection| {
+            let is_silent = !client.valid && client.connected_at + SILENCE_TIMEOUT <= now;
+            let is_partial = client
                 .partial_since
                 .is_some_and(|since| since + SILENCE_TIMEOUT <= now);
-            let idle = client.open_set_ups.is_empty()
+            let is_idle = client.open_set_ups.is_empty()
                 && client.running == 0
                 && client.last_active_at + IDLE_TIMEOUT <= now;
-            silent || stuck || idle
+            is_silent || is_partial || is_idle
         };
         let closed: Vec<ClientId> = self
             .clients
             .iter()
-            .filter(|(_, client)| useless(client))
+            .filter(|(_, client)| should_close(client))
             .map(|(&id, _)| id)
             .collect();
         closed
             .into_iter()
             .for_each(|id| self.close_client(now, engine, id));
         self.connections.close_idle(now, &self.nodes);
-        let connected = |machine| !self.connections.of(machine).is_empty();
+        let connected = |machine| !self.connections.available_to(machine).is_empty();
         for (since, machine) in self.nodes.unreached(connected, now) {
             let eviction = if since + UNREACHED_GRACE <= now {
                 Eviction::Any
@@ -209,21 +209,23 @@
         }
     }
 
-    /// Closes the client's connection that is least useful: silent ones first, then idle ones.
+    /// Closes the least useful client's connection without open set-ups: silent ones first, then
+    /// idle ones. Returns false if there is none.
     pub(super) fn evict_client(&mut self, now: Ticks, engine: &mut Engine<PendingTask>) -> bool {
-        let free = self
+        let without_set_ups = self
             .clients
             .iter()
             .filter(|(_, client)| client.open_set_ups.is_empty());
-        let least = free
+        let least_useful = without_set_ups
             .min_by_key(|(_, client)| (client.valid, client.running > 0, client.last_active_at));
-        let Some(id) = least.map(|(&id, _)| id) else {
+        let Some(id) = least_useful.map(|(&id, _)| id) else {
             return false;
         };
         self.close_client(now, engine, id);
         true
     }
 
+    /// Closes a client's connection and cancels its open set-ups.
     pub(super) fn close_client(
         &mut self,
         now: Ticks,
@@ -242,7 +244,7 @@
 }
 
 impl ClientConnection {
-    /// Reads what has come, up to so much.
+    /// Reads the input that has arrived, up to [`READ_AHEAD_BYTES`].
     fn read_ahead(&mut self, now: Ticks) -> ReadOutcome {
         let Some(input) = &self.input else {
             return ReadOutcome::Empty;
@@ -251,7 +253,7 @@
             match input.read(|bytes| self.reader.push(bytes)) {
                 ReadOutcome::Data => {}
                 ReadOutcome::Empty => {
-                    self.drained_at = now;
+                    self.input_read_at = now;
                     return ReadOutcome::Empty;
                 }
                 ReadOutcome::Closed => return ReadOutcome::Closed,
--- a/crates/platform/src/core/node_messages.rs
+++ b/crates/platform/src/core/node_messages.rs
@@ -1,4 +1,4 @@
-//! Messages of nodes.
+//! Handles the messages of nodes.
 
 use super::pending_task::{ActiveAttempt, PendingTask, TaskStage, task_key};
 use super::*;
@@ -7,7 +7,7 @@
 use corkspan_platform_wire::{client, parse_load_report};
 use tracing::debug;
 
-/// Where a node's message came from, and the task that it is about.
+/// The connection, machine and task of a node's message.
 #[derive(Clone, Copy)]
 struct MessageOrigin {
     connection: ConnectionId,
@@ -15,9 +15,9 @@
     task: u64,
 }
 
-/// The cause of a node's release.
+/// The cause of a release by a node.
 #[derive(Clone, Copy)]
-enum End {
+enum ReleaseCause {
     Normal,
     Cancelled,
     Rejected,
@@ -26,42 +26,50 @@
     Other,
 }
 
-impl From<u32> for End {
-    fn from(cause: u32) -> End {
+impl From<u32> for ReleaseCause {
+    fn from(cause: u32) -> ReleaseCause {
         match u8::try_from(cause) {
-            Ok(client::CAUSE_NORMAL) => End::Normal,
-            Ok(client::CAUSE_CANCELLED) => End::Cancelled,
-            Ok(client::CAUSE_REJECTED) => End::Rejected,
-            Ok(client::CAUSE_FAILED) => End::Failed,
-            Ok(client::CAUSE_NOT_SENT) => End::NotSent,
-            _ => End::Other,
+            Ok(client::CAUSE_NORMAL) => ReleaseCause::Normal,
+            Ok(client::CAUSE_CANCELLED) => ReleaseCause::Cancelled,
+            Ok(client::CAUSE_REJECTED) => ReleaseCause::Rejected,
+            Ok(client::CAUSE_FAILED) => ReleaseCause::Failed,
+            Ok(client::CAUSE_NOT_SENT) => ReleaseCause::NotSent,
+            _ => ReleaseCause::Other,
         }
     }
 }
 
-impl End {
-    /// What it means before the node has answered.
-    fn of_attempt(self) -> AttemptResult {
+impl ReleaseCause {
+    /// Returns the result of the attempt if the node had not answered before.
+    fn attempt_result(self) -> AttemptResult {
         match self {
-            End::Rejected => AttemptResult::Rejected,
-            End::Failed => AttemptResult::Error,
-            End::NotSent => AttemptResult::NotSent,
-            End::Normal | End::Cancelled | End::Other => AttemptResult::Reset,
+            ReleaseCause::Rejected => AttemptResult::Rejected,
+            ReleaseCause::Failed => AttemptResult::Error,
+            ReleaseCause::NotSent => AttemptResult::NotSent,
+            ReleaseCause::Normal | ReleaseCause::Cancelled | ReleaseCause::Other => {
+                AttemptResult::Reset
+            }
         }
     }
 
-    /// What it means once the task runs.
-    fn of_running_task(self) -> AttemptResult {
+    /// Returns the result of the task if it was running.
+    fn task_result(self) -> AttemptResult {
         match self {
-            End::Normal => AttemptResult::Completed,
-            End::Cancelled => AttemptResult::Cancelled,
-            End::Rejected | End::Failed | End::NotSent | End::Other => AttemptResult::Reset,
+            ReleaseCause::Normal => AttemptResult::Completed,
+            ReleaseCause::Cancelled => AttemptResult::Cancelled,
+            ReleaseCause::Rejected
+            | ReleaseCause::Failed
+            | ReleaseCause::NotSent
+            | ReleaseCause::Other => AttemptResult::Reset,
         }
     }
 
-    /// It means something only before the node has answered.
+    /// Returns whether the cause is defined only before the node has answered.
     fn is_rejection(self) -> bool {
-        matches!(self, End::Rejected | End::Failed | End::NotSent)
+        matches!(
+            self,
+            ReleaseCause::Rejected | ReleaseCause::Failed | ReleaseCause::NotSent
+        )
     }
 }
 
@@ -70,9 +78,9 @@
     id: AllocationId,
     active: ActiveAttempt,
     stage: TaskStage,
-    /// The message is about an earlier attempt, which was withdrawn: what became of that one says
-    /// nothing about this one.
-    earlier: bool,
+    /// Whether the message is about an earlier attempt, whose outcome does not apply to the active
+    /// one.
+    is_earlier: bool,
 }
 
 impl MatchedAttempt {
@@ -82,7 +90,7 @@
 }
 
 impl PlatformState {
-    /// Handles a message of a node. False where its connection is to be closed.
+    /// Handles a message of a node. Returns false if its connection must be closed.
     pub(super) fn handle_node_message(
         &mut self,
         now: Ticks,
@@ -103,16 +111,17 @@
             machine,
             task,
         };
-        let matched = self.matched_attempt(engine, origin, &message);
-        if matched.as_ref().is_some_and(|matched| matched.earlier) {
-            debug!(task = task_key(task), ?machine, ?message.message_type, "a message about an earlier attempt");
+        let matched = self.match_attempt(engine, origin, &message);
+        if matched.as_ref().is_some_and(|matched| matched.is_earlier) {
+            debug!(task = task_key(task), ?machine, ?message.message_type, "ignoring a message about an earlier attempt");
             return true;
         }
-        self.handle_for_task(now, engine, origin, matched, message)
+        self.handle_task_message(now, engine, origin, matched, message)
     }
 
-    /// Handles a message about a task, or about none that is known.
-    fn handle_for_task(
+    /// Handles a message about a known or unknown task. Returns false if its connection must be
+    /// closed.
+    fn handle_task_message(
         &mut self,
         now: Ticks,
         engine: &mut Engine<PendingTask>,
@@ -132,7 +141,7 @@
                 };
                 self.attempt_ready(now, engine, matched.id, matched.active, &description);
             }
-            // One that was cancelled meanwhile: nobody waits for it.
+            // The task was cancelled in the meantime, so the node must end it.
             (node::MessageType::Ready, None) => self.send_close(connection, task),
             (node::MessageType::Close, matched) => {
                 self.handle_close(now, engine, origin, matched, &message);
@@ -148,8 +157,13 @@
                 );
             }
             (node::MessageType::Event, Some(matched)) if matched.stage != TaskStage::Pending => {
-                if let Some(metric) = metric(&message) {
-                    debug!(task = task_key(task), ?machine, ?metric, "noted");
+                if let Some(metric) = parse_metric(&message) {
+                    debug!(
+                        task = task_key(task),
+                        ?machine,
+                        ?metric,
+                        "recorded a metric"
+                    );
                     engine.record_metric(now, matched.id, metric);
                 }
             }
@@ -158,7 +172,7 @@
         true
     }
 
-    /// A node has replied to a health check.
+    /// Handles a node's reply to a health check.
     fn handle_health_check_reply(
         &mut self,
         now: Ticks,
@@ -176,11 +190,12 @@
         } else {
             AttemptResult::Error
         };
-        engine.record_health_check(now, machine, ending, load(message));
+        engine.record_health_check(now, machine, ending, parse_load(message));
     }
 
-    /// The attempt that a message is about; none where its task is unknown here or on another node.
-    fn matched_attempt(
+    /// Returns the attempt that a message is about, or none if the task is unknown or assigned to
+    /// another node.
+    fn match_attempt(
         &self,
         engine: &mut Engine<PendingTask>,
         origin: MessageOrigin,
@@ -195,33 +210,33 @@
         let (pending, _) = engine.data_mut(id)?;
         let active = pending.active.filter(|active| active.machine == machine)?;
         let is_running = pending.stage != TaskStage::Pending;
-        // Where the connection of its set-up has ended, a node reports on a task on any that is
-        // open, also on one on which an earlier attempt at the same task ended. That attempt's
-        // cause can only be a copy of its release.
-        let moved = is_running
+        // If the connection of a task's set-up has ended, its node reports on the task on any open
+        // connection, even on one on which an earlier attempt at the same task ended. A release
+        // there with the cause of that earlier attempt can only be a copy of the earlier release.
+        let connection_lost = is_running
             && !active
                 .connection
                 .is_some_and(|own| self.connections.is_established(own));
-        let ended = pending
-            .ended
+        let ended_here = pending
+            .ended_attempts
             .iter()
-            .find(|ended| ended.connection == connection);
-        let of_this_attempt = moved
-            && ended.is_some_and(|ended| match message.message_type {
-                node::MessageType::Close => message.cause != Some(ended.cause),
-                kind => kind == node::MessageType::Event,
+            .find(|ended_here| ended_here.connection == connection);
+        let is_about_this_attempt = connection_lost
+            && ended_here.is_some_and(|ended_here| match message.message_type {
+                node::MessageType::Close => message.cause != Some(ended_here.cause),
+                other => other == node::MessageType::Event,
             });
         Some(MatchedAttempt {
             id,
             active,
             stage: pending.stage,
-            earlier: active.connection != Some(connection)
-                && pending.connections.contains(&connection)
-                && !of_this_attempt,
+            is_earlier: active.connection != Some(connection)
+                && pending.used_connections.contains(&connection)
+                && !is_about_this_attempt,
         })
     }
 
-    /// Handles a release: the end of an attempt, of a running task, or of an unknown one.
+    /// Handles a release by a node: the end of an attempt, of a running task or of an unknown task.
     fn handle_close(
         &mut self,
         now: Ticks,
@@ -233,7 +248,7 @@
         let (machine, task) = (origin.machine, origin.task);
         let closed = node::Message::new(node::MessageType::Closed, task);
         self.connections.send(origin.connection, &closed);
-        let (cause, load) = (message.cause.unwrap_or(0), load(message));
+        let (cause, load) = (message.cause.unwrap_or(0), parse_load(message));
         let stage = matched.as_ref().map(|matched| matched.stage);
         let note = message.attribute("note");
         debug!(
@@ -251,13 +266,13 @@
         else {
             return self.remember_early_end(now, task, machine);
         };
-        let (end, reason) = (End::from(cause), reason(message));
+        let (release_cause, reason) = (ReleaseCause::from(cause), parse_reason(message));
         if stage != TaskStage::Pending {
-            let result = end.of_running_task();
+            let result = release_cause.task_result();
             self.task_ended(now, engine, id, result, reason, load);
-            if end.is_rejection() {
-                // A rejection after an answer: the client has been notified that the task has ended, so
-                // it must end.
+            if release_cause.is_rejection() {
+                // The node rejected the task after answering it. The client has been notified that
+                // the task has ended, so the node must end it.
                 self.send_close(origin.connection, task);
             }
             return;
@@ -265,8 +280,8 @@
         if let Some((pending, _)) = engine.data_mut(id) {
             pending.end_attempt(origin.connection, cause);
         }
-        self.attempt_returned(now, id, active);
-        let result = end.of_attempt();
+        self.clear_attempt(now, id, active);
+        let result = release_cause.attempt_result();
         engine.attempt_returned(
             now,
             id,
@@ -282,7 +297,7 @@
     }
 }
 
-fn metric(message: &node::Message) -> Option<Metric> {
+fn parse_metric(message: &node::Message) -> Option<Metric> {
     let value = message.attribute("value").and_then(AttributeValue::number);
     Some(
         match (
@@ -299,7 +314,7 @@
     )
 }
 
-fn load(message: &node::Message) -> Option<LoadReport> {
+fn parse_load(message: &node::Message) -> Option<LoadReport> {
     let pairs = parse_load_report(message.attribute("load")?.text()?).ok()?;
     let value = |name| {
         pairs
@@ -315,7 +330,7 @@
     })
 }
 
-fn reason(message: &node::Message) -> Option<ReturnReason> {
+fn parse_reason(message: &node::Message) -> Option<ReturnReason> {
     Some(match message.attribute("note")?.text()? {
         "lack_cpu" => ReturnReason::NoCores,
         "lack_ram" => ReturnReason::NoMemory,
--- a/crates/platform/src/discovery.rs
+++ b/crates/platform/src/discovery.rs
@@ -1,5 +1,5 @@
-//! Follows the control feed. When to connect again is decided by the scheduler; the address comes
-//! from the configuration file.
+//! Follows the control feed, whose address is in the configuration file. The scheduler decides when
+//! to reconnect.
 
 use crate::handle::PlatformHandle;
 use async_net::TcpStream;
@@ -17,67 +17,68 @@
 use std::time::{Duration, Instant};
 use tracing::{debug, info};
 
-/// A comment arrives every second: one that is late by more than half of that means that the feed
-/// has stopped while its connection stays. An event counts as missed 4 s after the feed stopped, by
-/// when the next connection must have been made; the scheduler does that within 1.5 s of the break.
+/// Time without a complete item after which the feed counts as stopped, although its connection is
+/// still open. A comment arrives every second, so one is then late by more than half a second. An
+/// event counts as missed 4 s after the feed stopped, and the next connection must be established
+/// by then; the scheduler requests it within 1.5 s of the break.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(1_600);
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 #[derive(Debug, thiserror::Error)]
 enum DiscoveryError {
-    #[error("no connection to {0}")]
+    #[error("can't connect to {0}")]
     NoConnection(SocketAddr),
-    #[error("silent for {SILENCE_TIMEOUT:?}")]
+    #[error("nothing received for {SILENCE_TIMEOUT:?}")]
     Silent,
     #[error("the stream has ended")]
     Ended,
-    #[error("event {1} came after event {0}")]
+    #[error("event {1} was received after event {0}, so events are missing")]
     Gap(u64, u64),
-    #[error("status {0}")]
+    #[error("HTTP status {0}")]
     Status(http::StatusCode),
     #[error(transparent)]
     Protocol(#[from] ProtocolError),
-    #[error("no HTTP: {0}")]
-    NotHttp(#[from] hyper::Error),
-    #[error("no request: {0}")]
+    #[error("HTTP error: {0}")]
+    Http(#[from] hyper::Error),
+    #[error("can't build the request: {0}")]
     Request(#[from] http::Error),
 }
 
-/// Connects whenever it is called for, and at once to a new address.
+/// Connects when requested, and immediately when the feed's address changes.
 pub async fn run(
     handle: Arc<PlatformHandle>,
-    mut feed: SocketAddr,
-    calls: async_channel::Receiver<()>,
+    mut feed_address: SocketAddr,
+    requests: async_channel::Receiver<()>,
     new_addresses: async_channel::Receiver<SocketAddr>,
 ) {
     loop {
-        let called = async { calls.recv().await.ok().map(|()| None) };
-        let moved = async { new_addresses.recv().await.ok().map(Some) };
-        match called.or(moved).await {
+        let requested = async { requests.recv().await.ok().map(|()| None) };
+        let address_changed = async { new_addresses.recv().await.ok().map(Some) };
+        match requested.or(address_changed).await {
             None => return,
-            Some(to) => feed = to.unwrap_or(feed),
+            Some(to) => feed_address = to.unwrap_or(feed_address),
         }
         loop {
             let followed = async {
-                match follow(&handle, feed).await {
+                match follow(&handle, feed_address).await {
                     Err(error) => Err(error),
                     Ok(never) => match never {},
                 }
             };
-            let moved = async {
+            let address_changed = async {
                 match new_addresses.recv().await {
                     Ok(to) => Ok(to),
                     Err(_) => Err(DiscoveryError::Ended),
                 }
             };
-            match moved.or(followed).await {
+            match address_changed.or(followed).await {
                 Ok(to) => {
-                    info!(%to, "the control feed has moved");
-                    feed = to;
+                    info!(%to, "the address of the control feed has changed");
+                    feed_address = to;
                 }
                 Err(error) => {
-                    debug!(%error, "the control feed broke off");
-                    handle.list_failed();
+                    debug!(%error, "the connection to the control feed has ended");
+                    handle.endpoint_watch_failed();
                     break;
                 }
             }
@@ -86,32 +87,37 @@
 }
 
 /// Connects and applies events until the connection breaks.
-async fn follow(handle: &PlatformHandle, feed: SocketAddr) -> Result<Infallible, DiscoveryError> {
-    let stream = within(CONNECT_TIMEOUT, TcpStream::connect(feed)).await;
+async fn follow(
+    handle: &PlatformHandle,
+    feed_address: SocketAddr,
+) -> Result<Infallible, DiscoveryError> {
+    let stream = within(CONNECT_TIMEOUT, TcpStream::connect(feed_address)).await;
     let stream = stream
         .and_then(Result::ok)
-        .ok_or(DiscoveryError::NoConnection(feed))?;
+        .ok_or(DiscoveryError::NoConnection(feed_address))?;
     let _ = stream.set_nodelay(true);
     let (sender, connection) =
         hyper::client::conn::http1::handshake(FuturesIo::new(stream)).await?;
-    let carried = async {
+    let connection_ended = async {
         let ended = connection.await;
-        // What has been read is handled first: the other side sees the end of the body by itself.
+        // Input that was already read is handled first: `watch` detects the end of the body itself.
         futures_lite::future::pending::<()>().await;
         drop(ended);
         Err(DiscoveryError::Ended)
     };
-    watch(handle, feed, sender).or(carried).await
+    watch(handle, feed_address, sender)
+        .or(connection_ended)
+        .await
 }
 
 /// Requests the events after the last known one and applies them as they arrive.
 async fn watch(
     handle: &PlatformHandle,
-    feed: SocketAddr,
+    feed_address: SocketAddr,
     mut sender: SendRequest<Empty<Bytes>>,
 ) -> Result<Infallible, DiscoveryError> {
     let request = http::Request::get("/v1/events")
-        .header("Host", feed.to_string())
+        .header("Host", feed_address.to_string())
         .header("Accept", "text/event-stream")
         .header("Last-Event-ID", handle.last_event().to_string())
         .body(Empty::<Bytes>::new())?;
@@ -125,9 +131,9 @@
     let (mut body, mut reader, mut first) = (response.into_body(), Reader::default(), true);
     let mut last_item_at = Instant::now();
     loop {
-        // Since the last complete item: bytes that trickle in and complete nothing are silence too.
-        let left = SILENCE_TIMEOUT.saturating_sub(last_item_at.elapsed());
-        let frame = within(left, body.frame())
+        // Counted from the last complete item: bytes that complete no item also count as silence.
+        let time_left = SILENCE_TIMEOUT.saturating_sub(last_item_at.elapsed());
+        let frame = within(time_left, body.frame())
             .await
             .ok_or(DiscoveryError::Silent)?
             .ok_or(DiscoveryError::Ended)??;
@@ -136,8 +142,8 @@
             last_item_at = Instant::now();
             if let FeedItem::Event(event) = item {
                 let (last, number) = (handle.last_event(), event.number);
-                // Missing events are sent after another connection. Where they are missing there
-                // too, the feed has no more to say of them.
+                // Missing events are sent on a new connection. If they are missing there too, the
+                // feed no longer has them, so a gap before the first event is accepted.
                 if number > last + 1 && !std::mem::take(&mut first) {
                     return Err(DiscoveryError::Gap(last, number));
                 }
