--- a/crates/dispatcher/src/core.rs
+++ b/crates/dispatcher/src/core.rs
@@ -1,7 +1,7 @@
 //! The core of the dispatcher: the engine with its decisions, the state of each client's
-//! allocation, and the effects on nodes and clients. Messages are handled by calls into the core;
-//! the resulting messages leave before the call returns. The core knows nothing of the modules that
-//! use it: rollouts, version streams, the minimum version.
+//! allocation, and the effects on nodes and clients. Each message is handled by a call into the
+//! core, and the messages that result from it are sent before the call returns. The core does not
+//! depend on the modules that use it (rollouts, version streams, the minimum version).
 
 mod attempt_events;
 mod client;
@@ -47,27 +47,28 @@
 pub struct DispatcherCore {
     inner: Mutex<CoreState>,
     pub clock: Clock,
-    /// The active deployment. Replaced under the state lock only, so never between a decision and
-    /// the deployment that it is made by.
+    /// The active deployment. It is replaced only while the state lock is held, so it never changes
+    /// during a decision.
     in_force: RwLock<Arc<Deployment>>,
     pub active_version: ActiveVersion,
     pub fencing: FencingState,
     pub connection_limits: corkspan_rpc::ConnectionLimits,
     pub connection_counters: ConnectionCounters,
     pub tasks: SharedExecutor,
-    /// When the engine is to be polled next.
+    /// Sends the time at which the engine must be polled next.
     wakes: async_channel::Sender<Instant>,
     /// Requests to watch the endpoint list.
     pub watches: async_channel::Sender<()>,
-    /// One reference for each open call of a client, and one of its own.
+    /// Counts the open calls: each holds one reference, and the core holds one.
     open_calls: Arc<()>,
-    /// Rollouts and claims on disk.
+    /// Rollouts and claims stored on disk.
     pub store: Arc<Store>,
-    /// Claims to release at the quorum members.
+    /// Receives claims to release at the quorum members.
     pub returned_claims: async_channel::Receiver<(String, ClaimId)>,
 }
 
-/// What a client's call gets: its replies, and the id of its allocation where it was admitted.
+/// The result of a client's call: the stream of its replies, and the id of its allocation if it was
+/// admitted.
 pub struct OpenCall {
     pub replies: async_channel::Receiver<v1::PlacementEvent>,
     pub id: Option<CurrentAllocation>,
@@ -144,15 +145,15 @@
         Arc::clone(&self.in_force.read().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// Why this deployment can't replace the active one.
+    /// Returns the reasons why `next` can't replace the active deployment; none if it can.
     pub fn obstacles(&self, next: &Deployment, cuts: bool) -> Vec<String> {
         let by_track = self.lock().engine.count_by_class();
         let in_use = |track| by_track.get(&track).copied().unwrap_or(0);
         compatibility::violations(&self.deployment(), next, cuts, in_use)
     }
 
-    /// Makes a deployment active between two decisions. False where it can't be, and the former
-    /// stays.
+    /// Makes a deployment active between two decisions. Returns false, and keeps the active one, if
+    /// its names can't be given stable ids.
     pub fn activate(&self, next: Deployment) -> bool {
         self.with(|now, engine, _| {
             let by_track = engine.count_by_class();
@@ -175,11 +176,11 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, CoreState> {
-        // After a panic under the lock the state is in doubt: end the process rather than guess.
+        // After a panic under the lock the state may be inconsistent, so the process ends.
         self.inner.lock().expect("the desk's books are whole")
     }
 
-    /// Runs a change on the engine, and polls the engine for what follows from it.
+    /// Applies a change to the engine, then polls the engine for the decisions that follow from it.
     fn with<R>(
         &self,
         call: impl FnOnce(Ticks, &mut Engine<ClientAllocation>, &mut DispatcherEffects) -> R,
@@ -194,7 +195,7 @@
         result
     }
 
-    /// The minimum version that fences this dispatcher, if it does.
+    /// Returns the minimum version that fences this dispatcher, if any does.
     pub fn fenced_by(&self) -> Option<corkspan_version_fencing::MinimumVersion> {
         self.fencing.fenced_by(self.deployment().version)
     }
@@ -204,8 +205,8 @@
     }
 }
 
-/// Replicas that an earlier incarnation had started beside others, and was killed before it had
-/// removed one of the two.
+/// Returns the replica pairs of an earlier incarnation that was killed before it had removed one
+/// replica of the pair.
 fn restart_removals(stored: &StoredRollouts) -> Vec<PendingRemoval> {
     let removals = stored.claims.iter().filter_map(|claim| {
         let pair = claim.pair.as_ref()?;
@@ -223,27 +224,27 @@
     removals.collect()
 }
 
-/// The cluster as the decisions get it. An offer may leave `connect_timeout` later than it is
-/// decided, so two windows' worth could reach a machine in slow start closer together than decided:
-/// the window is longer by that.
+/// Returns the cluster as the scheduler sees it. An offer may be sent up to `connect_timeout` after
+/// its decision, so the offers of two slow-start windows could reach a machine closer together than
+/// was decided. The window is therefore extended by that time.
 fn cluster(deployment: &Deployment) -> Cluster {
     let mut cluster = deployment.cluster.clone();
     cluster.slow_start.window += deployment.limits.connect_timeout;
     cluster
 }
 
-/// About 2 ms of work, and as long for the sockets.
+/// Each batch is about 2 ms of work, and as much time is left for the sockets.
 const RETRY_BATCH: RetryBatch = RetryBatch {
     max_size: 32,
     interval: 20,
 };
 
-/// The id of the placement that follows this one in a rollout. It must differ from any earlier one:
-/// a request to stop that one may still be under way.
+/// Returns the id of the placement that replaces this one in a rollout. It must differ from every
+/// earlier one, because a request to stop that one may still be in flight.
 fn next_placing_id(placing: &str) -> String {
     let (first, _) = placing.rsplit_once('~').unwrap_or((placing, ""));
     format!("{first}~{:x}", crate::clock::wall_ms())
 }
 
-/// Claims that wait to be released, at most.
+/// Largest number of claims that wait to be released.
 const RETURNED_CLAIMS_QUEUE: usize = 65_536;
--- a/crates/dispatcher/src/core/attempt_events.rs
+++ b/crates/dispatcher/src/core/attempt_events.rs
@@ -1,4 +1,4 @@
-//! The outcomes of attempts, as nodes report them.
+//! Handles the outcomes of attempts that nodes report.
 
 use super::DispatcherCore;
 use super::client::ClientAllocation;
@@ -37,15 +37,15 @@
         );
     }
 
-    /// A node has placed an attempt.
+    /// Handles an attempt that a node has placed.
     fn attempt_placed(self: &Arc<Self>, id: AllocationId, attempt: usize, machine: MachineId) {
         self.with(|now, engine, effects| {
             let late = engine
                 .data_mut(id)
                 .is_some_and(|(client, _)| client.deadline.is_some_and(|at| now >= at));
             if late {
-                // The client has stopped waiting, so no answer is sent. The engine gets the outcome
-                // all the same.
+                // The client has stopped waiting, so it gets no answer, but the engine must still
+                // learn the outcome.
                 engine.attempt_placed(now, id, attempt, effects);
                 self.cancel(id, engine, effects);
             } else if engine.attempt_placed(now, id, attempt, effects)
@@ -72,14 +72,15 @@
                     attempts: shots,
                 }));
             } else if let Some((client, _)) = engine.data_mut(id) {
-                // Cancelled before the node accepted it: an earlier request to stop found nothing
-                // there.
+                // Cancelled before the node accepted it: the stop request sent then found nothing
+                // on the node.
                 effects.stop(self, client, machine, false);
             }
         });
     }
 
-    /// An attempt has ended. `ended_as` where it was placed and the allocation ends with it.
+    /// Handles the end of an attempt. `ended_as` is set if the attempt was placed, so that the
+    /// allocation ends with it.
     fn attempt_ended(
         self: &Arc<Self>,
         id: AllocationId,
@@ -101,11 +102,11 @@
                 .is_some_and(|(client, _)| ended_as.is_some() && client.superseded)
                 && self.promote_surge(id, ending == AttemptResult::Cancelled, engine, effects)
             {
-                // Its client goes on with the new replica.
+                // The client continues with the new replica.
             } else if let (Some(how), Some((client, allocation))) = (ended_as, engine.data_mut(id))
             {
-                // Known to be gone, since its node says so: now a replica of the desired version
-                // may be placed.
+                // The node has confirmed that the replica is gone, so a replica of the desired
+                // version may be placed.
                 if client.stopping_for_rollout
                     && ending == AttemptResult::Cancelled
                     && !effects.stopping
@@ -136,7 +137,8 @@
         });
     }
 
-    /// A replica has reported its version: one that was handed over is known by that alone.
+    /// Records the version that a replica reports. For a replica that was handed over, this report
+    /// is the only source of its version.
     fn version_reported(&self, id: AllocationId, version: String) {
         self.with(|now, engine, effects| {
             let other = |client: &ClientAllocation| {
@@ -152,7 +154,7 @@
         });
     }
 
-    /// A replica has reported whether it is ready.
+    /// Records whether a replica reports that it is ready.
     fn readiness_reported(&self, id: AllocationId, ready: bool) {
         self.with(|now, engine, effects| {
             let Some((client, _)) = engine.data_mut(id) else {
@@ -200,7 +202,8 @@
     }
 }
 
-/// Ends an allocation for its client. Returns the new replica beside it, which is to be cancelled.
+/// Ends an allocation for its client. Returns the new replica that runs beside it, which the caller
+/// must cancel.
 fn end_client(
     client: &mut ClientAllocation,
     effects: &mut DispatcherEffects,
@@ -221,7 +224,7 @@
     successor
 }
 
-/// Places a replica of the desired version, instead of one that a rollout has stopped.
+/// Places a replica of the desired version in place of one that a rollout has stopped.
 fn place_replacement(
     now: Ticks,
     engine: &mut Engine<ClientAllocation>,
--- a/crates/dispatcher/src/core/client.rs
+++ b/crates/dispatcher/src/core/client.rs
@@ -1,4 +1,4 @@
-//! The state of an allocation for its client, and replicas that must be removed.
+//! The state kept for the client of each allocation, and for replicas that must be removed.
 
 use crate::store::ReplicaPair;
 use corkspan_api::v1;
@@ -11,32 +11,35 @@
 use tracing::debug;
 use v1::placement_event::Event as Reply;
 
-/// The state of an allocation in flight, for its client.
+/// The state kept for the client of an allocation in flight.
 pub struct ClientAllocation {
     pub request: v1::PlacementRequest,
     pub replies: async_channel::Sender<v1::PlacementEvent>,
-    /// When the client stops waiting; none for an allocation that was handed over.
+    /// Time at which the client stops waiting for an answer; none once it is answered, and for an
+    /// allocation that was handed over.
     pub deadline: Option<Ticks>,
-    /// The call itself has a deadline: its end then does not cancel the allocation.
+    /// Deadline of the call itself. A call that ends at its deadline does not cancel the
+    /// allocation.
     pub call_deadline: Option<Ticks>,
     pub migrating: bool,
-    /// Its present id: a rollout gives it another with each replica.
+    /// The current id of the allocation. A rollout changes it with each replica.
     pub current_id: CurrentAllocation,
     pub version: String,
-    /// Since when its replica reports that it is ready.
+    /// Time since which the replica has reported that it is ready.
     pub ready_since: Option<Ticks>,
-    /// A rollout is stopping its replica, to place another.
+    /// Whether a rollout is stopping this replica to place another.
     pub stopping_for_rollout: bool,
-    /// It is being placed instead of a replica that a rollout has stopped: its client had its
-    /// answer before.
+    /// Whether this replica replaces one that a rollout has stopped. The client has been answered
+    /// already.
     pub replacement: bool,
-    /// The new replica that a rollout runs beside this one.
+    /// The surge replica that a rollout runs beside this one.
     pub successor: Option<AllocationId>,
-    /// It is such a new replica, beside this one. Its client knows nothing of it yet.
+    /// The old replica, if this is the surge replica beside it. The client does not know of a surge
+    /// replica until it takes over.
     pub predecessor: Option<AllocationId>,
-    /// The new replica takes over as soon as this one is known to be gone.
+    /// Whether the surge replica takes over as soon as this one is known to be gone.
     pub superseded: bool,
-    /// This new replica is cancelled, and its reports no longer count.
+    /// Whether this surge replica is cancelled. Its reports are then ignored.
     pub surge_cancelled: bool,
 }
 
@@ -45,11 +48,11 @@
     pub service: String,
     pub task: String,
     pub placing_ids: Vec<String>,
-    /// All other replicas of the task, instead.
+    /// If set, all replicas of the task are removed except the one with this placement id.
     pub except: Option<String>,
-    /// Where it may be; on any node if none.
+    /// The nodes that may run it; any node if none.
     pub nodes: Option<Vec<MachineId>>,
-    /// Nodes that have confirmed that it is not there.
+    /// Nodes that have confirmed that they do not run it.
     pub confirmed_by: BTreeSet<MachineId>,
     pub after: AfterRemoval,
 }
@@ -59,13 +62,13 @@
     /// The old replica is gone, and the new one has taken over.
     ReplacementCompleted,
     SurgeCancelled(SurgeEnd),
-    /// Of an earlier incarnation: its claim alone is left, without the pair.
+    /// The pair is left from an earlier incarnation. Only its claim is kept.
     RestartCleanup(ClaimId, ReplicaPair),
-    /// A claim of another dispatcher, dead or gone, is released.
+    /// A claim of another dispatcher that has stopped is released.
     ForeignClaimCleared(ClaimId),
 }
 
-/// The present id of a client's allocation.
+/// The current id of a client's allocation.
 #[derive(Clone)]
 pub struct CurrentAllocation(Arc<AtomicU64>);
 
@@ -106,7 +109,8 @@
         }
     }
 
-    /// Sends a reply that must arrive. There is always room: optional replies leave some.
+    /// Sends a reply that must arrive. There is always room for it, because optional replies leave
+    /// `RESERVED_REPLIES` places free.
     pub fn send_reply(&self, said: Reply) {
         if self
             .replies
@@ -117,7 +121,7 @@
         }
     }
 
-    /// Sends a reply that may be left out where the client does not read.
+    /// Sends a reply that is dropped if the client does not read its replies.
     pub fn send_optional_reply(&self, said: Reply) {
         const RESERVED_REPLIES: usize = 4;
         if self.replies.len() + RESERVED_REPLIES < self.replies.capacity().unwrap_or(usize::MAX) {
--- a/crates/dispatcher/src/core/effects.rs
+++ b/crates/dispatcher/src/core/effects.rs
@@ -32,7 +32,7 @@
     pub core: Weak<DispatcherCore>,
     pub now: Ticks,
     pub nodes: BTreeMap<MachineId, Arc<NodeConnection>>,
-    /// Endpoints, as last received.
+    /// The endpoints as last received.
     pub entries: BTreeMap<MachineId, Endpoint>,
     pub counters: RequestCounters,
     pub stopping: bool,
@@ -80,7 +80,7 @@
             .detach();
     }
 
-    /// The request that replaces a replica that a rollout has stopped.
+    /// Returns the request that replaces a replica stopped by a rollout.
     pub fn replacement_request(
         &mut self,
         client: &ClientAllocation,
@@ -120,7 +120,7 @@
         ))
     }
 
-    /// The old replica is gone, and the new one has its place.
+    /// Records that the old replica is gone and the new one has taken its place.
     pub fn replacement_completed(&mut self, service: &str, task: &str) {
         let claims = self
             .rollouts
@@ -130,8 +130,8 @@
         self.return_claims(service, claims);
     }
 
-    /// From here on a new replica beside an old one counts for nothing; its slot is released when
-    /// it is known to be gone.
+    /// Marks a surge replica as cancelled: its reports are ignored from now on, and its slot is
+    /// released once it is known to be gone.
     pub fn record_surge_cancelled(
         &mut self,
         client: &mut ClientAllocation,
@@ -158,7 +158,7 @@
         });
     }
 
-    /// A new replica beside an old one is gone.
+    /// Records that a surge replica is gone.
     pub fn surge_removed(&mut self, service: &str, task: &str, why: SurgeEnd) {
         let now = self.now;
         let claims = self
@@ -176,7 +176,8 @@
                 .try_send((service.to_string(), claim))
                 .is_err()
             {
-                // The quorum members still hold it for us and report it: it is released then.
+                // The quorum members still hold the claim for this dispatcher and report it, so it
+                // is released later.
                 warn!(
                     service,
                     "more claims are to be given back than are kept in mind"
@@ -185,7 +186,8 @@
         }
     }
 
-    /// A replica is no longer ours. `wanted_no_more`: its client does not place it again.
+    /// Records that this dispatcher no longer has a replica. `wanted_no_more`: the client does not
+    /// place it again.
     pub fn replica_gone(&mut self, client: &ClientAllocation, wanted_no_more: bool) {
         let (service, task) = (&client.request.service, &client.request.task);
         let Some(controller) = self.rollouts.controller(service) else {
@@ -198,11 +200,12 @@
         self.return_claims(service, claims);
     }
 
-    /// Sends the final answer, unless the client's deadline has passed.
+    /// Sends the final answer, unless the client's deadline has passed. Returns whether it was
+    /// sent.
     pub fn answer(&mut self, client: &mut ClientAllocation, said: Reply) -> bool {
         if client.replacement {
-            // Its client had its answer before: the replica ends as migrated, and the client places
-            // it again.
+            // The client has been answered before: the replica ends as migrated, and the client
+            // places it again.
             self.replica_gone(client, false);
             client.send_reply(Reply::Ended(v1::Ended {
                 reason: v1::ended::EndReason::SentAway.into(),
@@ -288,7 +291,7 @@
 
     fn shed(&mut self, client: &mut ClientAllocation, allocation: &Allocation) {
         if client.predecessor.is_some() {
-            // Its client has the old replica, and knows of no other.
+            // The client has the old replica and does not know of this one.
             return self.record_surge_cancelled(client, allocation, SurgeEnd::NoCapacity);
         }
         let (why, shots) = (
@@ -345,14 +348,14 @@
 
     fn watch_endpoints(&mut self) {
         if let Some(core) = self.core.upgrade() {
-            // Full: a watch is requested already.
+            // The channel is full if a watch is requested already.
             let _ = core.watches.try_send(());
         }
     }
 
     fn set_timer(&mut self, after: Ticks) {
         if let Some(core) = self.core.upgrade() {
-            // Always earlier than the present one, so it may replace it.
+            // The new time is always earlier than a pending one, so it may replace it.
             let _ = core.wakes.force_send(Instant::now() + duration(after));
         }
     }
--- a/crates/dispatcher/src/core/lifecycle.rs
+++ b/crates/dispatcher/src/core/lifecycle.rs
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Closes connections that were idle for the idle timeout.
+    /// Closes connections that have been idle for the idle timeout.
     pub fn close_idle(&self) {
         let nodes: Vec<Arc<NodeConnection>> = self.lock().effects.nodes.values().cloned().collect();
         let idle = duration(self.deployment().limits.idle_timeout);
@@ -42,7 +42,7 @@
         }
     }
 
-    /// No new requests from here on; whatever waits for capacity is answered.
+    /// Admits no new requests from now on, and answers those that wait for capacity.
     pub fn stop(&self) {
         info!("stopping: no new asks");
         self.with(|now, engine, effects| {
@@ -55,8 +55,8 @@
         self.lock().engine.unanswered().len()
     }
 
-    /// Gives up on attempts without an answer, and hands the running allocations back to their
-    /// clients.
+    /// Ends attempts without an answer as timed out, and hands the running allocations back to
+    /// their clients.
     pub fn end_all(&self) {
         self.with(|now, engine, effects| {
             for (id, attempt) in engine.unanswered() {
@@ -85,7 +85,7 @@
         });
     }
 
-    /// Whether calls of clients are open.
+    /// Returns whether clients have open calls.
     pub fn has_open_calls(&self) -> bool {
         Arc::strong_count(&self.open_calls) > 1
     }
--- a/crates/dispatcher/src/core/machines.rs
+++ b/crates/dispatcher/src/core/machines.rs
@@ -1,4 +1,4 @@
-//! The machines of the endpoint list, and what runs on each.
+//! The machines of the endpoint list, and the allocations that run on each.
 
 use super::*;
 
@@ -7,7 +7,7 @@
         self.lock().effects.node(machine)
     }
 
-    /// Applies the endpoint list, or changes of it, with addresses.
+    /// Applies a complete endpoint list or changes to it, with the address of each endpoint.
     pub fn apply_endpoint_list(
         &self,
         scope: ListUpdate,
@@ -48,12 +48,13 @@
         });
     }
 
-    /// The endpoints that are listed.
+    /// Returns the endpoints of the current list.
     pub fn endpoints(&self) -> BTreeMap<MachineId, Endpoint> {
         self.lock().effects.entries.clone()
     }
 
-    /// Our allocations by machine: how many may be migrated, and how many may not.
+    /// Returns for each machine how many of this dispatcher's allocations may be migrated, and how
+    /// many may not.
     pub fn allocations_by_machine(&self) -> BTreeMap<MachineId, (usize, usize)> {
         let mut inner = self.lock();
         let mut held: BTreeMap<MachineId, (usize, usize)> = BTreeMap::new();
@@ -77,8 +78,8 @@
             .is_none_or(|track| track.retry_safety == RetrySafety::NotRetryable)
     }
 
-    /// Migrates what may be migrated off a machine that is drained: its client places it again.
-    /// Repeated in each round, since each request to a node is one try.
+    /// Migrates all allocations that may be migrated off a draining machine; their clients place
+    /// them again. Called in each round, since a request to a node is sent only once.
     pub fn drain(self: &Arc<Self>, machine: MachineId) {
         self.with(|_, engine, effects| {
             for (id, at, track) in running_allocations(engine) {
@@ -103,7 +104,7 @@
     }
 }
 
-/// The allocations that run, and where.
+/// Returns the running allocations with their machines.
 fn running_allocations(
     engine: &mut Engine<ClientAllocation>,
 ) -> Vec<(AllocationId, MachineId, ServiceClassId)> {
--- a/crates/dispatcher/src/core/placement.rs
+++ b/crates/dispatcher/src/core/placement.rs
@@ -1,8 +1,9 @@
-//! Requests of clients: placed, handed over, cancelled, and what is sent to nodes for them.
+//! Handles the requests of clients (place, hand over, cancel), and builds the messages sent to
+//! nodes for them.
 
 use super::*;
 
-/// What is wrong with a request.
+/// The reason why a request is invalid.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum RequestError {
     #[error("{part}: 1 to 256 bytes are wanted, not {bytes}")]
@@ -20,7 +21,8 @@
 }
 
 impl DispatcherCore {
-    /// Places an allocation for a client. The final answer is among the replies, at once or later.
+    /// Places an allocation for a client. The final answer arrives in the reply stream, at once or
+    /// later.
     pub fn place(
         self: &Arc<Self>,
         request: v1::PlacementRequest,
@@ -74,7 +76,7 @@
         }
     }
 
-    /// Why no request can be admitted at this moment, whatever it asks for.
+    /// Returns the reason why no request at all can be admitted at this moment, if there is one.
     fn admission_obstacle(
         &self,
         state: &CoreState,
@@ -103,7 +105,7 @@
         })
     }
 
-    /// A request as the engine takes it, and the ticks that its client waits.
+    /// Converts a request for the engine, and returns the ticks that its client waits.
     fn request_with_deadline(
         &self,
         now: Ticks,
@@ -120,13 +122,13 @@
         if time_left > MAX_DEADLINE {
             return Err(RequestError::DeadlineTooLate);
         }
-        // A process that is paused can't answer, so the decisions are given an earlier deadline.
+        // A paused process can't answer in time, so the decisions get an earlier deadline.
         let margin = self.deployment().limits.answer_margin.min(time_left / 2);
         let deadline = now + time_left - margin;
         Ok((AllocationRequest { deadline, ..asked }, time_left))
     }
 
-    /// Takes over an allocation that already runs, from a client that hands it over.
+    /// Adopts a running allocation that a client hands over.
     pub fn hand_over(self: &Arc<Self>, running: v1::HandOverRequest) -> OpenCall {
         let (replies, receiver) =
             async_channel::bounded(self.deployment().limits.max_events_per_client);
@@ -192,13 +194,13 @@
         Ok(current_id)
     }
 
-    /// A request as the engine takes it, or what is wrong with it. Its deadline is not set.
+    /// Converts a request for the engine. The deadline is not set here.
     fn engine_request(
         &self,
         now: Ticks,
         request: &v1::PlacementRequest,
     ) -> Result<AllocationRequest, RequestError> {
-        // A row without a name belongs to one that was removed.
+        // A row with an empty name belongs to an entry that was removed.
         let index = |names: &[String], name: &str| {
             names
                 .iter()
@@ -275,8 +277,8 @@
         }
     }
 
-    /// Identifies this dispatcher and its active version, sent with each operation. `many`: nodes
-    /// that it goes to.
+    /// Returns the identity and active version of this dispatcher, which are sent with each
+    /// operation, and counts the operation. `many`: number of nodes that it is sent to.
     pub fn sender(&self, kind: OperationKind, many: usize) -> v1::Decider {
         let deployment = self.deployment();
         self.fencing
@@ -289,8 +291,8 @@
         }
     }
 
-    /// The client's call has ended. Unless the allocation has ended too, or the call had its own
-    /// deadline, the allocation is cancelled.
+    /// Handles the end of a client's call. Cancels the allocation, unless it has ended, or it is
+    /// placed and either the call has reached its own deadline or this dispatcher is stopping.
     pub fn call_ended(self: &Arc<Self>, id: AllocationId) {
         self.with(|now, engine, effects| {
             let Some((client, _)) = engine.data_mut(id) else {
@@ -304,7 +306,7 @@
         });
     }
 
-    /// Ends an allocation without an answer and stops what may run of it.
+    /// Cancels an allocation without an answer, and stops the replica that may run.
     pub(super) fn cancel(
         self: &Arc<Self>,
         id: AllocationId,
@@ -330,10 +332,10 @@
     }
 }
 
-/// Longest time that a client may wait for a placement.
+/// Longest time that a client may wait for a placement, in ticks.
 const MAX_DEADLINE: Ticks = 24 * 3600 * 10_000;
 
-/// Tells a client that its request is rejected: certain to have had no effect.
+/// Rejects a request, which is then certain to have had no effect.
 fn reject(
     replies: &async_channel::Sender<v1::PlacementEvent>,
     reason: v1::rejected::RejectionReason,
--- a/crates/dispatcher/src/core/removals.rs
+++ b/crates/dispatcher/src/core/removals.rs
@@ -1,4 +1,4 @@
-//! Replicas that must be known to be gone before their claims are returned.
+//! Confirms with nodes that replicas are gone before their claims are released.
 
 use super::client::{AfterRemoval, PendingRemoval};
 use super::{CoreState, DispatcherCore};
@@ -12,16 +12,17 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// What one node is to be told about one pending removal.
+/// The stop requests for one node because of one pending removal.
 struct StopOrder {
-    /// The index of the removal.
+    /// Index into the pending removals.
     removal: usize,
     machine: MachineId,
     node: Arc<NodeConnection>,
     stops: Vec<v1::StopRequest>,
 }
 
-/// Whether all nodes that may have it have confirmed. Before the list is known nothing is.
+/// Returns whether all nodes that may run the replica have confirmed its removal. No removal is
+/// complete while the endpoint list is empty.
 fn is_removed(removal: &PendingRemoval, known: &BTreeSet<MachineId>) -> bool {
     !known.is_empty()
         && known.iter().all(|machine| {
@@ -34,7 +35,7 @@
 }
 
 impl DispatcherCore {
-    /// Has every node stop what a dead dispatcher may have started beside our replica.
+    /// Has every node stop the replica that a failed dispatcher may have started beside this one's.
     pub fn clear_foreign_claim(&self, service: &str, task: &str, claim: ClaimId) {
         self.with(|_, engine, effects| {
             let Some((client, _)) = engine.find(task).and_then(|id| engine.data_mut(id)) else {
@@ -59,8 +60,9 @@
         });
     }
 
-    /// Tells nodes to stop the replicas that must be gone, and returns the claims of those that are
-    /// known to be. Returns the pairs of an earlier incarnation that are removed by now.
+    /// Requests nodes to stop the replicas that must be gone, and releases the claims of those that
+    /// are confirmed to be gone. Returns the pairs of an earlier incarnation that have been
+    /// removed.
     pub async fn confirm_removals(self: &Arc<Self>) -> Vec<(ClaimId, ReplicaPair)> {
         let calls: Vec<_> = self
             .unconfirmed_stops()
@@ -83,11 +85,12 @@
         self.finish_removals(confirmed)
     }
 
-    /// What each node is still to be told about pending removals.
+    /// Returns the stop requests for pending removals that nodes have not confirmed yet.
     fn unconfirmed_stops(&self) -> Vec<StopOrder> {
         let mut inner = self.lock();
         let CoreState { engine, effects } = &mut *inner;
-        // A replica that has another placement by now must not be stopped for the one before.
+        // A replica that has been placed again under another id must not be stopped because of its
+        // earlier placement.
         effects.pending_removals.retain(|removal| {
             let own = engine
                 .find(&removal.task)
@@ -116,7 +119,8 @@
         orders.collect()
     }
 
-    /// Whoever follows the replica by now hears that it migrated, and places it again.
+    /// Returns the stop requests of a removal. Whichever dispatcher follows the replica by now is
+    /// informed that it migrated, so the replica is placed again.
     fn stop_requests(&self, removal: &PendingRemoval) -> Vec<v1::StopRequest> {
         let stop = |placement_id: String, except_placement_id: String| v1::StopRequest {
             placement_id,
@@ -135,7 +139,7 @@
     fn finish_removals(&self, confirmed: Vec<(usize, MachineId)>) -> Vec<(ClaimId, ReplicaPair)> {
         self.with(|_, _, effects| {
             for (index, machine) in confirmed {
-                // Only this task takes removals out, so the places are the same.
+                // Only this task removes entries, so the indexes are still valid.
                 effects.pending_removals[index].confirmed_by.insert(machine);
             }
             let known: BTreeSet<MachineId> = effects.nodes.keys().copied().collect();
--- a/crates/dispatcher/src/core/replicas.rs
+++ b/crates/dispatcher/src/core/replicas.rs
@@ -1,4 +1,5 @@
-//! Replicas of a service under a rollout: what the controllers want done, and what they learn.
+//! Replicas of a service under a rollout: carries out the actions of the rollout controllers, and
+//! reports the state of replicas to them.
 
 use super::client::{AfterRemoval, ClientAllocation, PendingRemoval};
 use super::effects::DispatcherEffects;
@@ -16,8 +17,7 @@
 use v1::placement_event::Event as Reply;
 
 impl DispatcherCore {
-    /// Cancels a new replica beside an old one. Its node is told to stop it until it is known to be
-    /// gone.
+    /// Cancels a surge replica. Its node is requested to stop it until it is known to be gone.
     pub(super) fn cancel_surge(
         self: &Arc<Self>,
         id: AllocationId,
@@ -36,8 +36,8 @@
         }
     }
 
-    /// The new replica beside this one takes its place with its client. False where there is none
-    /// that runs.
+    /// Gives the surge replica beside this one the place of this one for the client. Returns false
+    /// if there is no running surge replica.
     pub(super) fn promote_surge(
         &self,
         id: AllocationId,
@@ -94,7 +94,8 @@
         true
     }
 
-    /// A later rollout is committed. Replicas that were here before belong to it from now on.
+    /// Adopts a later rollout that is committed. Replicas that this dispatcher has already belong
+    /// to it from now on.
     pub fn adopt(&self, roll: Rollout) {
         self.with(|now, engine, effects| {
             let known = effects.rollouts.controller(&roll.service).is_some();
@@ -122,8 +123,7 @@
         });
     }
 
-    /// Replaces a replica by one of the desired version: stopped first, and placed again once it is
-    /// known to be gone.
+    /// Stops a replica, to place one of the desired version once this one is known to be gone.
     pub fn replace(self: &Arc<Self>, task: &str) {
         self.with(|_, engine, effects| {
             let Some((client, allocation)) = engine.find(task).and_then(|id| engine.data_mut(id))
@@ -146,8 +146,8 @@
             .is_some_and(|track| track.retry_safety == RetrySafety::Idempotent)
     }
 
-    /// The placement ids of a replica and its surge replica: stored on disk before the new one is
-    /// offered.
+    /// Returns the placement ids of a replica and its surge replica. They are stored on disk before
+    /// the surge replica is offered.
     pub fn pair(&self, task: &str) -> Option<ReplicaPair> {
         let mut inner = self.lock();
         let id = inner.engine.find(task)?;
@@ -165,7 +165,7 @@
         Some(ReplicaPair { new, old, retires })
     }
 
-    /// Whether a replica of this task is still to be confirmed as removed.
+    /// Returns whether the removal of a replica of this task is not confirmed yet.
     pub fn is_removing_surge(&self, task: &str) -> bool {
         self.lock()
             .effects
@@ -174,7 +174,7 @@
             .any(|removal| removal.task == task)
     }
 
-    /// Starts a replica of the desired version beside one that runs.
+    /// Starts a surge replica of the desired version beside a running one.
     pub fn start_surge(self: &Arc<Self>, task: &str, placing: &str) {
         self.with(|now, engine, effects| {
             let Some(old) = engine.find(task) else { return };
@@ -216,7 +216,8 @@
                 predecessor: Some(old),
                 ..fresh
             };
-            // A task name that no client gives: its own is used by the old replica.
+            // The old replica uses the task's own name, so the surge replica gets one that no
+            // client uses.
             match engine.admit(now, &format!("{task}\u{0}{placing}"), asked, fresh) {
                 Ok(id) => {
                     if let Some((client, _)) = engine.data_mut(old) {
@@ -232,7 +233,7 @@
         });
     }
 
-    /// Stops an old replica whose new one has stayed ready for its time.
+    /// Stops an old replica whose surge replica has stayed ready for the required time.
     pub fn stop_superseded(self: &Arc<Self>, task: &str) {
         let found = {
             let mut inner = self.lock();
@@ -249,13 +250,13 @@
         }
     }
 
-    /// A new replica could not be started.
+    /// Records that a surge replica could not be started.
     pub fn surge_not_started(&self, service: &str, task: &str) {
-        // A failed write to disk says nothing of the version: it must not halt the rollout.
+        // A failed write to disk is no fault of the version, so it must not halt the rollout.
         self.with(|_, _, effects| effects.surge_removed(service, task, SurgeEnd::Cancelled));
     }
 
-    /// Cancels a new replica that is no longer wanted.
+    /// Cancels the surge replica of a task when it is no longer wanted.
     pub fn cancel_surge_of(self: &Arc<Self>, task: &str) {
         self.with(|_, engine, effects| {
             let next = engine
@@ -268,7 +269,8 @@
         });
     }
 
-    /// Repeats the request to nodes that have not stopped a replica yet: each request is one try.
+    /// Repeats the stop request to nodes that have not stopped a replica yet, since each request is
+    /// sent only once.
     pub fn retry_stops(self: &Arc<Self>) {
         let tasks: Vec<String> = {
             let mut inner = self.lock();
