--- a/crates/dispatcher/src/core/attempt_events.rs
+++ b/crates/dispatcher/src/core/attempt_events.rs
@@ -239,7 +239,7 @@
             engine.place(now, id, effects);
         }
         Err((why, mut client)) => {
-            warn!(task, %why, "a copy taken down for a roll can't be placed anew here");
+            warn!(task, %why, "a replica stopped for a rollout can't be placed again");
             effects.answer(&mut client, Reply::Failed(v1::Failed::default()));
         }
     }
--- a/crates/dispatcher/src/core/client.rs
+++ b/crates/dispatcher/src/core/client.rs
@@ -117,7 +117,10 @@
             .try_send(v1::PlacementEvent { event: Some(said) })
             .is_err()
         {
-            debug!(task = self.request.task, "an owner is gone before its word");
+            debug!(
+                task = self.request.task,
+                "client disconnected before its reply was sent"
+            );
         }
     }
 
--- a/crates/dispatcher/src/core/effects.rs
+++ b/crates/dispatcher/src/core/effects.rs
@@ -180,7 +180,7 @@
                 // is released later.
                 warn!(
                     service,
-                    "more claims are to be given back than are kept in mind"
+                    "queue of claims to release is full; the quorum members will report this claim again"
                 );
             }
         }
@@ -298,7 +298,7 @@
             v1::rejected::RejectionReason::NoRoom.into(),
             allocation.attempts.len() as u32,
         );
-        let text = "no machine could take it in its time".into();
+        let text = "no machine could take the allocation before its deadline".into();
         if self.answer(
             client,
             Reply::Rejected(v1::Rejected {
@@ -316,7 +316,7 @@
             return self.record_surge_cancelled(client, allocation, SurgeEnd::NoCapacity);
         }
         let shots = allocation.attempts.len() as u32;
-        let text = "a shot may have run, and a further one is not allowed".into();
+        let text = "an attempt may have run, and another is not allowed".into();
         if self.answer(
             client,
             Reply::Failed(v1::Failed {
--- a/crates/dispatcher/src/core/lifecycle.rs
+++ b/crates/dispatcher/src/core/lifecycle.rs
@@ -44,7 +44,7 @@
 
     /// Admits no new requests from now on, and answers those that wait for capacity.
     pub fn stop(&self) {
-        info!("stopping: no new asks");
+        info!("stopping: new requests are rejected");
         self.with(|now, engine, effects| {
             effects.stopping = true;
             engine.stop(now, effects);
@@ -60,7 +60,10 @@
     pub fn end_all(&self) {
         self.with(|now, engine, effects| {
             for (id, attempt) in engine.unanswered() {
-                warn!(?id, shot = attempt, "no answer from a node before the stop");
+                warn!(
+                    ?id,
+                    attempt, "a node did not answer an attempt before the shutdown"
+                );
                 engine.attempt_returned(
                     now,
                     id,
--- a/crates/dispatcher/src/core/placement.rs
+++ b/crates/dispatcher/src/core/placement.rs
@@ -6,17 +6,17 @@
 /// The reason why a request is invalid.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum RequestError {
-    #[error("{part}: 1 to 256 bytes are wanted, not {bytes}")]
+    #[error("{part}: must be 1 to 256 bytes long, not {bytes}")]
     Length { part: &'static str, bytes: usize },
     #[error("cores and memory must be above 0, not {cores} and {memory}")]
     Resources { cores: f64, memory: f64 },
-    #[error("unknown track `{0}`")]
+    #[error("unknown service class `{0}`")]
     ServiceClass(String),
-    #[error("unknown account `{0}`")]
+    #[error("unknown tenant `{0}`")]
     Tenant(String),
-    #[error("no deadline: neither abandon_ms nor one of the call")]
+    #[error("no deadline: neither `deadline_ms` nor a deadline of the call is set")]
     NoDeadline,
-    #[error("a deadline more than {} s away", MAX_DEADLINE / 10_000)]
+    #[error("the deadline is more than {} s away", MAX_DEADLINE / 10_000)]
     DeadlineTooLate,
 }
 
@@ -85,24 +85,19 @@
         if state.effects.stopping {
             return Some((
                 RejectionReason::Stopping,
-                "this dispatcher is about to stop".into(),
+                "this dispatcher is stopping".into(),
             ));
         }
         if let Some(minimum) = self.fenced_by() {
             let message = format!(
-                "this dispatcher is behind: version {} is the lowest that may act",
+                "this dispatcher is fenced: its version is below the minimum version {}",
                 minimum.version
             );
             return Some((RejectionReason::Behind, message));
         }
         let full =
             Arc::strong_count(&self.open_calls) > self.deployment().limits.max_calls as usize;
-        full.then(|| {
-            (
-                RejectionReason::TooMany,
-                "as many calls as may be are open".into(),
-            )
-        })
+        full.then(|| (RejectionReason::TooMany, "too many open calls".into()))
     }
 
     /// Converts a request for the engine, and returns the ticks that its client waits.
@@ -166,7 +161,7 @@
             .engine_request(now, &request)
             .map_err(|error| (RejectionReason::BadAsk, error.to_string()))?;
         if effects.stopping {
-            let message = "this dispatcher is about to stop".into();
+            let message = "this dispatcher is stopping".into();
             return Err((RejectionReason::Stopping, message));
         }
         let kind = OperationKind::Attend;
@@ -216,7 +211,7 @@
         let amount = |value: f64| value.is_finite() && value > 0.0 && value <= 1e9;
         for (what, text) in [
             ("task", &request.task),
-            ("placing", &request.placement_id),
+            ("placement_id", &request.placement_id),
             ("service", &request.service),
         ] {
             if text.is_empty() || text.len() > 256 {
--- a/crates/dispatcher/src/core/replicas.rs
+++ b/crates/dispatcher/src/core/replicas.rs
@@ -226,7 +226,7 @@
                     engine.place(now, id, effects);
                 }
                 Err((why, client)) => {
-                    warn!(task, %why, "no new copy can be placed beside an old one here");
+                    warn!(task, %why, "a surge replica can't be placed");
                     effects.surge_removed(&client.request.service, task, SurgeEnd::NoCapacity);
                 }
             }
