--- a/crates/dispatcher/src/config_stream.rs
+++ b/crates/dispatcher/src/config_stream.rs
@@ -286,7 +286,7 @@
         Ok(next) => next,
         Err(why) => return PushReply::Rejected(why),
     };
-    let why = core.obstacles(&next, push.allows_cuts);
+    let why = core.compatibility_violations(&next, push.allows_cuts);
     if !why.is_empty() {
         return PushReply::Rejected(why);
     }
--- a/crates/dispatcher/src/core.rs
+++ b/crates/dispatcher/src/core.rs
@@ -49,16 +49,16 @@
     pub clock: Clock,
     /// The active deployment. It is replaced only while the state lock is held, so it never changes
     /// during a decision.
-    in_force: RwLock<Arc<Deployment>>,
+    active_deployment: RwLock<Arc<Deployment>>,
     pub active_version: ActiveVersion,
     pub fencing: FencingState,
     pub connection_limits: corkspan_rpc::ConnectionLimits,
     pub connection_counters: ConnectionCounters,
     pub tasks: SharedExecutor,
     /// Sends the time at which the engine must be polled next.
-    wakes: async_channel::Sender<Instant>,
+    wake_sender: async_channel::Sender<Instant>,
     /// Requests to watch the endpoint list.
-    pub watches: async_channel::Sender<()>,
+    pub watch_sender: async_channel::Sender<()>,
     /// Counts the open calls: each holds one reference, and the core holds one.
     open_calls: Arc<()>,
     /// Rollouts and claims stored on disk.
@@ -81,20 +81,20 @@
         seed: u64,
         clock: Clock,
         tasks: &SharedExecutor,
-        wakes: async_channel::Sender<Instant>,
-        watches: async_channel::Sender<()>,
+        wake_sender: async_channel::Sender<Instant>,
+        watch_sender: async_channel::Sender<()>,
         store: Store,
     ) -> Arc<Self> {
         let now = clock.now();
         let (active_version, deployment) = ActiveVersion::start(deployment, now);
         let (claim_returns, returned_claims) = async_channel::bounded(RETURNED_CLAIMS_QUEUE);
         let store = Arc::new(store);
-        let spans = store.version_history();
-        active_version.remember_lineage(spans.iter().filter_map(|span| {
-            let (number, digest) = (span.version, Digest::from_hex(&span.digest)?);
+        let intervals = store.version_history();
+        active_version.remember_lineage(intervals.iter().filter_map(|interval| {
+            let (number, digest) = (interval.version, Digest::from_hex(&interval.digest)?);
             Some(VersionId { number, digest })
         }));
-        let fencing = FencingState::new(seed, spans, deployment.version);
+        let fencing = FencingState::new(seed, intervals, deployment.version);
         let stored = store.load();
         let pending_removals = restart_removals(&stored);
         Arc::new_cyclic(|core| {
@@ -128,12 +128,12 @@
                 clock,
                 connection_limits: crate::node_links::connection_limits(&deployment.limits),
                 connection_counters: ConnectionCounters::default(),
-                in_force: RwLock::new(Arc::new(deployment)),
+                active_deployment: RwLock::new(Arc::new(deployment)),
                 active_version,
                 fencing,
                 tasks: Arc::clone(tasks),
-                wakes,
-                watches,
+                wake_sender,
+                watch_sender,
                 open_calls: Arc::new(()),
                 store,
                 returned_claims,
@@ -142,28 +142,33 @@
     }
 
     pub fn deployment(&self) -> Arc<Deployment> {
-        Arc::clone(&self.in_force.read().unwrap_or_else(PoisonError::into_inner))
+        Arc::clone(
+            &self
+                .active_deployment
+                .read()
+                .unwrap_or_else(PoisonError::into_inner),
+        )
     }
 
     /// Returns the reasons why `next` can't replace the active deployment; none if it can.
-    pub fn obstacles(&self, next: &Deployment, cuts: bool) -> Vec<String> {
-        let by_track = self.lock().engine.count_by_class();
-        let in_use = |track| by_track.get(&track).copied().unwrap_or(0);
-        compatibility::violations(&self.deployment(), next, cuts, in_use)
+    pub fn compatibility_violations(&self, next: &Deployment, allows_cuts: bool) -> Vec<String> {
+        let allocations_by_class = self.lock().engine.count_by_class();
+        let in_use = |class| allocations_by_class.get(&class).copied().unwrap_or(0);
+        compatibility::violations(&self.deployment(), next, allows_cuts, in_use)
     }
 
     /// Makes a deployment active between two decisions. Returns false, and keeps the active one, if
     /// its names can't be given stable ids.
     pub fn activate(&self, next: Deployment) -> bool {
         self.with(|now, engine, _| {
-            let by_track = engine.count_by_class();
-            let in_use = |track| by_track.get(&track).copied().unwrap_or(0);
+            let allocations_by_class = engine.count_by_class();
+            let in_use = |class| allocations_by_class.get(&class).copied().unwrap_or(0);
             let Ok(next) = stable_ids::assign(&self.deployment(), next, in_use) else {
                 return false;
             };
             engine.reconfigure(now, cluster(&next), next.limits.max_allocations);
             *self
-                .in_force
+                .active_deployment
                 .write()
                 .unwrap_or_else(PoisonError::into_inner) = Arc::new(next);
             true
@@ -172,7 +177,10 @@
 
     pub fn request_counters(&self) -> (u64, u64) {
         let inner = self.lock();
-        (inner.effects.counters.asked, inner.effects.counters.refused)
+        (
+            inner.effects.counters.requested,
+            inner.effects.counters.rejected,
+        )
     }
 
     fn lock(&self) -> MutexGuard<'_, CoreState> {
@@ -214,7 +222,7 @@
         Some(PendingRemoval {
             service: claim.service.clone(),
             task: claim.task.clone(),
-            placing_ids: old.into_iter().chain([pair.new.clone()]).collect(),
+            placement_ids: old.into_iter().chain([pair.new.clone()]).collect(),
             except: None,
             nodes: None,
             confirmed_by: BTreeSet::new(),
@@ -241,9 +249,9 @@
 
 /// Returns the id of the placement that replaces this one in a rollout. It must differ from every
 /// earlier one, because a request to stop that one may still be in flight.
-fn next_placing_id(placing: &str) -> String {
-    let (first, _) = placing.rsplit_once('~').unwrap_or((placing, ""));
-    format!("{first}~{:x}", crate::clock::wall_ms())
+fn next_placement_id(placement_id: &str) -> String {
+    let (base, _) = placement_id.rsplit_once('~').unwrap_or((placement_id, ""));
+    format!("{base}~{:x}", crate::clock::wall_ms())
 }
 
 /// Largest number of claims that wait to be released.
--- a/crates/dispatcher/src/core/attempt_events.rs
+++ b/crates/dispatcher/src/core/attempt_events.rs
@@ -30,9 +30,9 @@
         DispatcherCore::fenced_by(self).is_some()
     }
 
-    fn minimum_version_reported(&self, floor: &v1::MinimumVersion) {
+    fn minimum_version_reported(&self, minimum: &v1::MinimumVersion) {
         self.fencing.node_reported(
-            crate::version_gate::minimum_version_from_message(floor),
+            crate::version_gate::minimum_version_from_message(minimum),
             self.deployment().version,
         );
     }
@@ -56,20 +56,20 @@
                     return;
                 }
                 if std::mem::take(&mut client.replacement) {
-                    let (version, placing) =
+                    let (version, placement) =
                         (client.version.clone(), client.request.placement_id.clone());
                     client.send_reply(Reply::Replaced(v1::Replaced {
                         node: machine.0,
                         version,
-                        placement_id: placing,
+                        placement_id: placement,
                     }));
                     return;
                 }
                 effects.counters.placed += 1;
-                let shots = allocation.attempts.len() as u32;
+                let attempt_count = allocation.attempts.len() as u32;
                 client.send_reply(Reply::Placed(v1::Placed {
                     node: machine.0,
-                    attempts: shots,
+                    attempts: attempt_count,
                 }));
             } else if let Some((client, _)) = engine.data_mut(id) {
                 // Cancelled before the node accepted it: the stop request sent then found nothing
@@ -177,16 +177,16 @@
         });
     }
 
-    fn metric_recorded(&self, id: AllocationId, note: Metric) {
+    fn metric_recorded(&self, id: AllocationId, metric: Metric) {
         self.with(|now, engine, _| {
-            engine.record_metric(now, id, note);
+            engine.record_metric(now, id, metric);
             let Some((client, _)) = engine.data_mut(id) else {
                 return;
             };
-            match note {
+            match metric {
                 Metric::Running => client.send_optional_reply(Reply::Running(v1::Running {})),
-                Metric::ServiceLevel(part) => client
-                    .send_optional_reply(Reply::ServiceLevel(v1::ServiceLevel { fraction: part })),
+                Metric::ServiceLevel(level) => client
+                    .send_optional_reply(Reply::ServiceLevel(v1::ServiceLevel { fraction: level })),
                 _ => {}
             }
         });
--- a/crates/dispatcher/src/core/client.rs
+++ b/crates/dispatcher/src/core/client.rs
@@ -47,7 +47,7 @@
 pub struct PendingRemoval {
     pub service: String,
     pub task: String,
-    pub placing_ids: Vec<String>,
+    pub placement_ids: Vec<String>,
     /// If set, all replicas of the task are removed except the one with this placement id.
     pub except: Option<String>,
     /// The nodes that may run it; any node if none.
@@ -111,10 +111,10 @@
 
     /// Sends a reply that must arrive. There is always room for it, because optional replies leave
     /// `RESERVED_REPLIES` places free.
-    pub fn send_reply(&self, said: Reply) {
+    pub fn send_reply(&self, reply: Reply) {
         if self
             .replies
-            .try_send(v1::PlacementEvent { event: Some(said) })
+            .try_send(v1::PlacementEvent { event: Some(reply) })
             .is_err()
         {
             debug!(
@@ -125,12 +125,12 @@
     }
 
     /// Sends a reply that is dropped if the client does not read its replies.
-    pub fn send_optional_reply(&self, said: Reply) {
+    pub fn send_optional_reply(&self, reply: Reply) {
         const RESERVED_REPLIES: usize = 4;
         if self.replies.len() + RESERVED_REPLIES < self.replies.capacity().unwrap_or(usize::MAX) {
             let _ = self
                 .replies
-                .try_send(v1::PlacementEvent { event: Some(said) });
+                .try_send(v1::PlacementEvent { event: Some(reply) });
         }
     }
 }
--- a/crates/dispatcher/src/core/effects.rs
+++ b/crates/dispatcher/src/core/effects.rs
@@ -1,7 +1,7 @@
 //! The effects of decisions: messages to nodes and clients, and the timer.
 
 use super::client::{AfterRemoval, ClientAllocation, PendingRemoval};
-use super::{DispatcherCore, next_placing_id};
+use super::{DispatcherCore, next_placement_id};
 use crate::attempts;
 use crate::clock::duration;
 use crate::node_links::{CountGuard, NodeConnection};
@@ -20,9 +20,9 @@
 
 #[derive(Default)]
 pub struct RequestCounters {
-    pub asked: u64,
+    pub requested: u64,
     pub placed: u64,
-    pub refused: u64,
+    pub rejected: u64,
     pub failed: u64,
     pub cancelled: u64,
 }
@@ -59,7 +59,7 @@
         let Some(node) = self.node(machine) else {
             return;
         };
-        let (placing, task) = (
+        let (placement, task) = (
             client.request.placement_id.clone(),
             client.request.task.clone(),
         );
@@ -69,7 +69,7 @@
             OperationKind::Stop
         };
         let stop = v1::StopRequest {
-            placement_id: placing,
+            placement_id: placement,
             task,
             migrated: moved,
             except_placement_id: String::new(),
@@ -91,31 +91,31 @@
             .controller(&client.request.service)?
             .rollout()
             .progress_deadline;
-        let abandon = self.now + within;
-        let asked = AllocationRequest {
+        let expires_at = self.now + within;
+        let allocation_request = AllocationRequest {
             service: allocation.service,
             service_class: allocation.service_class,
             tenant: allocation.tenant,
             requested: allocation.requested,
-            deadline: abandon,
+            deadline: expires_at,
         };
-        let placing = next_placing_id(&client.request.placement_id);
-        let fresh = ClientAllocation::new(
+        let placement = next_placement_id(&client.request.placement_id);
+        let new_client = ClientAllocation::new(
             v1::PlacementRequest {
-                placement_id: placing,
+                placement_id: placement,
                 ..client.request.clone()
             },
             &client.replies,
         );
         let (current_id, call_deadline) = (client.current_id.clone(), client.call_deadline);
         Some((
-            asked,
+            allocation_request,
             ClientAllocation {
-                deadline: Some(abandon),
+                deadline: Some(expires_at),
                 call_deadline,
                 current_id,
                 replacement: true,
-                ..fresh
+                ..new_client
             },
         ))
     }
@@ -125,7 +125,7 @@
         let claims = self
             .rollouts
             .controller(service)
-            .map(|own| own.surge_took_over(task))
+            .map(|controller| controller.surge_took_over(task))
             .unwrap_or_default();
         self.return_claims(service, claims);
     }
@@ -144,7 +144,7 @@
         self.pending_removals.push(PendingRemoval {
             service: client.request.service.clone(),
             task: client.request.task.clone(),
-            placing_ids: vec![client.request.placement_id.clone()],
+            placement_ids: vec![client.request.placement_id.clone()],
             except: None,
             nodes: Some(
                 allocation
@@ -164,7 +164,7 @@
         let claims = self
             .rollouts
             .controller(service)
-            .map(|own| own.surge_ended(now, task, why))
+            .map(|controller| controller.surge_ended(now, task, why))
             .unwrap_or_default();
         self.return_claims(service, claims);
     }
@@ -202,7 +202,7 @@
 
     /// Sends the final answer, unless the client's deadline has passed. Returns whether it was
     /// sent.
-    pub fn answer(&mut self, client: &mut ClientAllocation, said: Reply) -> bool {
+    pub fn answer(&mut self, client: &mut ClientAllocation, reply: Reply) -> bool {
         if client.replacement {
             // The client has been answered before: the replica ends as migrated, and the client
             // places it again.
@@ -216,7 +216,7 @@
         self.replica_gone(client, true);
         let in_time = client.deadline.take().is_some_and(|at| self.now < at);
         if in_time {
-            client.send_reply(said);
+            client.send_reply(reply);
         }
         client.replies.close();
         in_time
@@ -229,12 +229,12 @@
         client: &mut ClientAllocation,
         allocation: &Allocation,
         machine: MachineId,
-        time_out: Ticks,
+        timeout: Ticks,
     ) {
         let Some(core) = self.core.upgrade() else {
             return;
         };
-        let asked = AllocationRequest {
+        let allocation_request = AllocationRequest {
             service: allocation.service,
             service_class: allocation.service_class,
             tenant: allocation.tenant,
@@ -254,21 +254,22 @@
                 &client.version,
                 client.request.retry && !client.replacement,
             );
-            if !core.is_repeatable(allocation.service_class) {
+            if !core.is_idempotent(allocation.service_class) {
                 controller.forbid_surge(&client.request.task);
             }
         }
         let attempt = core.attempt_message(
             &client.request,
-            &asked,
+            &allocation_request,
             allocation.attempts.len(),
             client.version.clone(),
             OperationKind::Attempt,
         );
         let node = self.node(machine);
-        let most = core.deployment().limits.max_offers_per_node;
-        let unanswered_guard: Option<CountGuard> =
-            node.as_ref().and_then(|node| node.reserve_offer(most));
+        let max_unanswered = core.deployment().limits.max_offers_per_node;
+        let unanswered_guard: Option<CountGuard> = node
+            .as_ref()
+            .and_then(|node| node.reserve_offer(max_unanswered));
         let (id, number, decided) = (allocation.id, allocation.attempts.len(), Instant::now());
         let offer = attempts::AttemptOffer {
             id,
@@ -284,7 +285,7 @@
                 core,
                 offer,
                 attempt,
-                duration(time_out),
+                duration(timeout),
             ))
             .detach();
     }
@@ -294,7 +295,7 @@
             // The client has the old replica and does not know of this one.
             return self.record_surge_cancelled(client, allocation, SurgeEnd::NoCapacity);
         }
-        let (why, shots) = (
+        let (why, attempt_count) = (
             v1::rejected::RejectionReason::NoRoom.into(),
             allocation.attempts.len() as u32,
         );
@@ -304,10 +305,10 @@
             Reply::Rejected(v1::Rejected {
                 reason: why,
                 message: text,
-                attempts: shots,
+                attempts: attempt_count,
             }),
         ) {
-            self.counters.refused += 1;
+            self.counters.rejected += 1;
         }
     }
 
@@ -315,13 +316,13 @@
         if client.predecessor.is_some() {
             return self.record_surge_cancelled(client, allocation, SurgeEnd::NoCapacity);
         }
-        let shots = allocation.attempts.len() as u32;
+        let attempt_count = allocation.attempts.len() as u32;
         let text = "an attempt may have run, and another is not allowed".into();
         if self.answer(
             client,
             Reply::Failed(v1::Failed {
                 message: text,
-                attempts: shots,
+                attempts: attempt_count,
             }),
         ) {
             self.counters.failed += 1;
@@ -349,14 +350,16 @@
     fn watch_endpoints(&mut self) {
         if let Some(core) = self.core.upgrade() {
             // The channel is full if a watch is requested already.
-            let _ = core.watches.try_send(());
+            let _ = core.watch_sender.try_send(());
         }
     }
 
     fn set_timer(&mut self, after: Ticks) {
         if let Some(core) = self.core.upgrade() {
             // The new time is always earlier than a pending one, so it may replace it.
-            let _ = core.wakes.force_send(Instant::now() + duration(after));
+            let _ = core
+                .wake_sender
+                .force_send(Instant::now() + duration(after));
         }
     }
 }
--- a/crates/dispatcher/src/core/lifecycle.rs
+++ b/crates/dispatcher/src/core/lifecycle.rs
@@ -15,9 +15,9 @@
             deferred: counts.deferred as u64,
             attempts_in_flight: counts.attempts_pending as u64,
             running: counts.placed as u64,
-            requested: effects.counters.asked,
+            requested: effects.counters.requested,
             placed: effects.counters.placed,
-            rejected: effects.counters.refused,
+            rejected: effects.counters.rejected,
             failed: effects.counters.failed,
             cancelled: effects.counters.cancelled,
             connections: effects
@@ -77,8 +77,8 @@
                     effects,
                 );
             }
-            for (_, client, runs) in engine.iter_mut() {
-                if runs && client.predecessor.is_none() {
+            for (_, client, is_running) in engine.iter_mut() {
+                if is_running && client.predecessor.is_none() {
                     client.send_reply(Reply::Ended(v1::Ended {
                         reason: v1::ended::EndReason::HandedBack.into(),
                     }));
--- a/crates/dispatcher/src/core/machines.rs
+++ b/crates/dispatcher/src/core/machines.rs
@@ -33,8 +33,9 @@
                     .get(&entry.machine)
                     .is_none_or(|node| node.address != *address)
                 {
-                    let keeps = self.deployment().quorum_members.contains(&entry.machine);
-                    let meter = self.connection_counters.meter(if keeps {
+                    let is_quorum_member =
+                        self.deployment().quorum_members.contains(&entry.machine);
+                    let meter = self.connection_counters.meter(if is_quorum_member {
                         ConnectionKind::Keepers
                     } else {
                         ConnectionKind::Nodes
@@ -57,35 +58,35 @@
     /// many may not.
     pub fn allocations_by_machine(&self) -> BTreeMap<MachineId, (usize, usize)> {
         let mut inner = self.lock();
-        let mut held: BTreeMap<MachineId, (usize, usize)> = BTreeMap::new();
-        for (_, machine, track) in running_allocations(&mut inner.engine) {
-            let (movable, once) = held.entry(machine).or_default();
-            *(if self.is_unrepeatable(track) {
-                once
+        let mut by_machine: BTreeMap<MachineId, (usize, usize)> = BTreeMap::new();
+        for (_, machine, service_class) in running_allocations(&mut inner.engine) {
+            let (movable, not_retryable) = by_machine.entry(machine).or_default();
+            *(if self.is_not_retryable(service_class) {
+                not_retryable
             } else {
                 movable
             }) += 1;
         }
-        held
+        by_machine
     }
 
-    fn is_unrepeatable(&self, track: ServiceClassId) -> bool {
+    fn is_not_retryable(&self, service_class: ServiceClassId) -> bool {
         let deployment = self.deployment();
         deployment
             .cluster
             .service_classes
-            .get(track.0)
-            .is_none_or(|track| track.retry_safety == RetrySafety::NotRetryable)
+            .get(service_class.0)
+            .is_none_or(|service_class| service_class.retry_safety == RetrySafety::NotRetryable)
     }
 
     /// Migrates all allocations that may be migrated off a draining machine; their clients place
     /// them again. Called in each round, since a request to a node is sent only once.
     pub fn drain(self: &Arc<Self>, machine: MachineId) {
         self.with(|_, engine, effects| {
-            for (id, at, track) in running_allocations(engine) {
+            for (id, at, service_class) in running_allocations(engine) {
                 let Some((client, _)) = engine
                     .data_mut(id)
-                    .filter(|_| at == machine && !self.is_unrepeatable(track))
+                    .filter(|_| at == machine && !self.is_not_retryable(service_class))
                 else {
                     continue;
                 };
--- a/crates/dispatcher/src/core/placement.rs
+++ b/crates/dispatcher/src/core/placement.rs
@@ -36,21 +36,22 @@
             open: Arc::clone(&self.open_calls),
         };
         let mut state = self.lock();
-        state.effects.counters.asked += 1;
-        state.effects.counters.refused += 1;
-        if let Some((reason, message)) = self.admission_obstacle(&state) {
+        state.effects.counters.requested += 1;
+        state.effects.counters.rejected += 1;
+        if let Some((reason, message)) = self.admission_rejection(&state) {
             reject(&replies, reason, message);
             return call;
         }
         let now = self.clock.now();
-        let (asked, time_left) = match self.request_with_deadline(now, &request, call_deadline) {
-            Ok(found) => found,
-            Err(error) => {
-                let reason = v1::rejected::RejectionReason::BadAsk;
-                reject(&replies, reason, error.to_string());
-                return call;
-            }
-        };
+        let (allocation_request, time_left) =
+            match self.request_with_deadline(now, &request, call_deadline) {
+                Ok(found) => found,
+                Err(error) => {
+                    let reason = v1::rejected::RejectionReason::BadAsk;
+                    reject(&replies, reason, error.to_string());
+                    return call;
+                }
+            };
         let task = request.task.clone();
         let client = ClientAllocation {
             deadline: Some(now + time_left),
@@ -58,10 +59,10 @@
             ..ClientAllocation::new(request, &replies)
         };
         let current_id = client.current_id.clone();
-        match state.engine.admit(now, &task, asked, client) {
+        match state.engine.admit(now, &task, allocation_request, client) {
             Ok(id) => {
                 current_id.set(id);
-                state.effects.counters.refused -= 1;
+                state.effects.counters.rejected -= 1;
                 drop(state);
                 self.with(|now, engine, effects| engine.place(now, id, effects));
                 OpenCall {
@@ -70,14 +71,14 @@
                 }
             }
             Err((reason, _)) => {
-                reject(&replies, refusal_reason(reason), reason.to_string());
+                reject(&replies, rejection_reason(reason), reason.to_string());
                 call
             }
         }
     }
 
     /// Returns the reason why no request at all can be admitted at this moment, if there is one.
-    fn admission_obstacle(
+    fn admission_rejection(
         &self,
         state: &CoreState,
     ) -> Option<(v1::rejected::RejectionReason, String)> {
@@ -107,12 +108,12 @@
         request: &v1::PlacementRequest,
         call_deadline: Option<Duration>,
     ) -> Result<(AllocationRequest, Ticks), RequestError> {
-        let asked = self.engine_request(now, request)?;
-        let limits = [
+        let allocation_request = self.engine_request(now, request)?;
+        let deadlines = [
             call_deadline.map(crate::clock::ticks),
             Some(request.deadline_ms.saturating_mul(10)).filter(|&ticks| ticks > 0),
         ];
-        let time_left = limits.into_iter().flatten().min();
+        let time_left = deadlines.into_iter().flatten().min();
         let time_left = time_left.ok_or(RequestError::NoDeadline)?;
         if time_left > MAX_DEADLINE {
             return Err(RequestError::DeadlineTooLate);
@@ -120,7 +121,13 @@
         // A paused process can't answer in time, so the decisions get an earlier deadline.
         let margin = self.deployment().limits.answer_margin.min(time_left / 2);
         let deadline = now + time_left - margin;
-        Ok((AllocationRequest { deadline, ..asked }, time_left))
+        Ok((
+            AllocationRequest {
+                deadline,
+                ..allocation_request
+            },
+            time_left,
+        ))
     }
 
     /// Adopts a running allocation that a client hands over.
@@ -157,7 +164,7 @@
         replies: &async_channel::Sender<v1::PlacementEvent>,
     ) -> Result<CurrentAllocation, (v1::rejected::RejectionReason, String)> {
         use v1::rejected::RejectionReason;
-        let asked = self
+        let allocation_request = self
             .engine_request(now, &request)
             .map_err(|error| (RejectionReason::BadAsk, error.to_string()))?;
         if effects.stopping {
@@ -165,13 +172,13 @@
             return Err((RejectionReason::Stopping, message));
         }
         let kind = OperationKind::Attend;
-        let attempt = self.attempt_message(&request, &asked, 0, String::new(), kind);
+        let attempt = self.attempt_message(&request, &allocation_request, 0, String::new(), kind);
         let (task, service_name) = (request.task.clone(), request.service.clone());
         let client = ClientAllocation::new(request, replies);
         let current_id = client.current_id.clone();
         let id = engine
-            .admit_running(now, &task, asked, machine, client)
-            .map_err(|(reason, _)| (refusal_reason(reason), reason.to_string()))?;
+            .admit_running(now, &task, allocation_request, machine, client)
+            .map_err(|(reason, _)| (rejection_reason(reason), reason.to_string()))?;
         let node = effects.node(machine);
         self.tasks
             .spawn(attempts::follow_existing(
@@ -203,25 +210,25 @@
                 .filter(|_| !name.is_empty())
         };
         let deployment = self.deployment();
-        let track = index(&deployment.service_classes, &request.service_class);
-        let account = match (&request.tenant[..], &deployment.tenants[..]) {
+        let service_class = index(&deployment.service_classes, &request.service_class);
+        let tenant = match (&request.tenant[..], &deployment.tenants[..]) {
             ("", _) | (_, []) => Some(0),
             (name, names) => index(names, name),
         };
-        let amount = |value: f64| value.is_finite() && value > 0.0 && value <= 1e9;
-        for (what, text) in [
+        let is_valid_amount = |value: f64| value.is_finite() && value > 0.0 && value <= 1e9;
+        for (field, text) in [
             ("task", &request.task),
             ("placement_id", &request.placement_id),
             ("service", &request.service),
         ] {
             if text.is_empty() || text.len() > 256 {
                 return Err(RequestError::Length {
-                    part: what,
+                    part: field,
                     bytes: text.len(),
                 });
             }
         }
-        if !amount(request.cores) || !amount(request.memory) {
+        if !is_valid_amount(request.cores) || !is_valid_amount(request.memory) {
             return Err(RequestError::Resources {
                 cores: request.cores,
                 memory: request.memory,
@@ -230,9 +237,10 @@
         Ok(AllocationRequest {
             service: service_id(&request.service),
             service_class: ServiceClassId(
-                track.ok_or_else(|| RequestError::ServiceClass(request.service_class.clone()))?,
+                service_class
+                    .ok_or_else(|| RequestError::ServiceClass(request.service_class.clone()))?,
             ),
-            tenant: TenantId(account.ok_or_else(|| RequestError::Tenant(request.tenant.clone()))?),
+            tenant: TenantId(tenant.ok_or_else(|| RequestError::Tenant(request.tenant.clone()))?),
             requested: Resources {
                 cores: request.cores,
                 memory: request.memory,
@@ -244,7 +252,7 @@
     pub(super) fn attempt_message(
         &self,
         request: &v1::PlacementRequest,
-        asked: &AllocationRequest,
+        allocation_request: &AllocationRequest,
         number: usize,
         version: String,
         kind: OperationKind,
@@ -261,7 +269,8 @@
             expected_duration_ms: request.expected_duration_ms,
             dispatcher: self.deployment().cluster.scheduler_index as u32,
             priority: u32::from(
-                self.deployment().cluster.service_classes[asked.service_class.0].priority,
+                self.deployment().cluster.service_classes[allocation_request.service_class.0]
+                    .priority,
             ),
             version,
             decider: Some(self.sender(kind, 1)),
@@ -273,11 +282,11 @@
     }
 
     /// Returns the identity and active version of this dispatcher, which are sent with each
-    /// operation, and counts the operation. `many`: number of nodes that it is sent to.
-    pub fn sender(&self, kind: OperationKind, many: usize) -> v1::Decider {
+    /// operation, and counts the operation. `node_count`: number of nodes that it is sent to.
+    pub fn sender(&self, kind: OperationKind, node_count: usize) -> v1::Decider {
         let deployment = self.deployment();
         self.fencing
-            .record_operations(deployment.version, kind, many);
+            .record_operations(deployment.version, kind, node_count);
         let version_id = Some(active_version::version_id_message(deployment.version));
         v1::Decider {
             version: version_id,
@@ -346,7 +355,7 @@
     });
 }
 
-fn refusal_reason(why: AdmissionError) -> v1::rejected::RejectionReason {
+fn rejection_reason(why: AdmissionError) -> v1::rejected::RejectionReason {
     match why {
         AdmissionError::Full => v1::rejected::RejectionReason::TooMany,
         AdmissionError::DuplicateName => v1::rejected::RejectionReason::InHand,
--- a/crates/dispatcher/src/core/removals.rs
+++ b/crates/dispatcher/src/core/removals.rs
@@ -51,7 +51,7 @@
             effects.pending_removals.push(PendingRemoval {
                 service: service.into(),
                 task: task.into(),
-                placing_ids: Vec::new(),
+                placement_ids: Vec::new(),
                 except: Some(client.request.placement_id.clone()),
                 nodes: None,
                 confirmed_by: BTreeSet::new(),
@@ -92,11 +92,11 @@
         // A replica that has been placed again under another id must not be stopped because of its
         // earlier placement.
         effects.pending_removals.retain(|removal| {
-            let own = engine
+            let current = engine
                 .find(&removal.task)
                 .and_then(|id| engine.data_mut(id));
             removal.except.as_ref().is_none_or(|except| {
-                own.is_some_and(|(client, _)| client.request.placement_id == *except)
+                current.is_some_and(|(client, _)| client.request.placement_id == *except)
             })
         });
         let effects = &inner.effects;
@@ -129,8 +129,10 @@
             except_placement_id,
             decider: Some(self.sender(OperationKind::Migrate, 1)),
         };
-        let named = removal.placing_ids.iter();
-        let mut stops: Vec<_> = named.map(|id| stop(id.clone(), String::new())).collect();
+        let placement_ids = removal.placement_ids.iter();
+        let mut stops: Vec<_> = placement_ids
+            .map(|id| stop(id.clone(), String::new()))
+            .collect();
         let others = removal.except.iter();
         stops.extend(others.map(|except| stop(String::new(), except.clone())));
         stops
--- a/crates/dispatcher/src/core/replicas.rs
+++ b/crates/dispatcher/src/core/replicas.rs
@@ -3,7 +3,7 @@
 
 use super::client::{AfterRemoval, ClientAllocation, PendingRemoval};
 use super::effects::DispatcherEffects;
-use super::{DispatcherCore, next_placing_id};
+use super::{DispatcherCore, next_placement_id};
 use crate::rollouts::Rollouts;
 use crate::store::ReplicaPair;
 use corkspan_api::v1;
@@ -52,7 +52,7 @@
             return false;
         };
         let (current_id, call_deadline) = (old.current_id.clone(), old.call_deadline);
-        let (service, task, placing) = (
+        let (service, task, old_placement_id) = (
             old.request.service.clone(),
             old.request.task.clone(),
             old.request.placement_id.clone(),
@@ -70,21 +70,22 @@
         };
         (new.predecessor, new.current_id, new.call_deadline) = (None, current_id, call_deadline);
         new.current_id.set(next);
-        let (version, name) = (new.version.clone(), new.request.placement_id.clone());
+        let (version, new_placement) = (new.version.clone(), new.request.placement_id.clone());
         new.send_reply(Reply::Replaced(v1::Replaced {
             node: machine.0,
             version,
-            placement_id: name,
+            placement_id: new_placement,
         }));
         engine.swap_names(id, next);
         if gone {
             effects.replacement_completed(&service, &task);
         } else {
-            let (placing_ids, nodes, confirmed_by) = (vec![placing], Some(nodes), BTreeSet::new());
+            let (placement_ids, nodes, confirmed_by) =
+                (vec![old_placement_id], Some(nodes), BTreeSet::new());
             effects.pending_removals.push(PendingRemoval {
                 service,
                 task,
-                placing_ids,
+                placement_ids,
                 except: None,
                 nodes,
                 confirmed_by,
@@ -96,19 +97,19 @@
 
     /// Adopts a later rollout that is committed. Replicas that this dispatcher has already belong
     /// to it from now on.
-    pub fn adopt(&self, roll: Rollout) {
+    pub fn adopt(&self, rollout: Rollout) {
         self.with(|now, engine, effects| {
-            let known = effects.rollouts.controller(&roll.service).is_some();
-            let service = roll.service.clone();
-            effects.rollouts.adopt(now, roll);
+            let known = effects.rollouts.controller(&rollout.service).is_some();
+            let service = rollout.service.clone();
+            effects.rollouts.adopt(now, rollout);
             let Some(controller) = effects.rollouts.controller(&service).filter(|_| !known) else {
                 return;
             };
-            let copies = engine.iter_mut().filter(|(_, client, placed)| {
+            let replicas = engine.iter_mut().filter(|(_, client, placed)| {
                 *placed && client.request.service == service && client.predecessor.is_none()
             });
-            let copies: Vec<AllocationId> = copies.map(|(id, _, _)| id).collect();
-            for id in copies {
+            let replicas: Vec<AllocationId> = replicas.map(|(id, _, _)| id).collect();
+            for id in replicas {
                 let Some((client, allocation)) = engine.data_mut(id) else {
                     continue;
                 };
@@ -116,7 +117,7 @@
                 if let Some(at) = client.ready_since {
                     controller.replica_ready(at, &client.request.task);
                 }
-                if !self.is_repeatable(allocation.service_class) {
+                if !self.is_idempotent(allocation.service_class) {
                     controller.forbid_surge(&client.request.task);
                 }
             }
@@ -137,13 +138,13 @@
         });
     }
 
-    pub(super) fn is_repeatable(&self, track: ServiceClassId) -> bool {
+    pub(super) fn is_idempotent(&self, service_class: ServiceClassId) -> bool {
         let deployment = self.deployment();
         deployment
             .cluster
             .service_classes
-            .get(track.0)
-            .is_some_and(|track| track.retry_safety == RetrySafety::Idempotent)
+            .get(service_class.0)
+            .is_some_and(|service_class| service_class.retry_safety == RetrySafety::Idempotent)
     }
 
     /// Returns the placement ids of a replica and its surge replica. They are stored on disk before
@@ -159,7 +160,7 @@
         );
         let new = successor.and_then(|next| inner.engine.data_mut(next));
         let new = new.map_or_else(
-            || next_placing_id(&old),
+            || next_placement_id(&old),
             |(client, _)| client.request.placement_id.clone(),
         );
         Some(ReplicaPair { new, old, retires })
@@ -175,17 +176,17 @@
     }
 
     /// Starts a surge replica of the desired version beside a running one.
-    pub fn start_surge(self: &Arc<Self>, task: &str, placing: &str) {
+    pub fn start_surge(self: &Arc<Self>, task: &str, placement_id: &str) {
         self.with(|now, engine, effects| {
             let Some(old) = engine.find(task) else { return };
             let successor = engine
                 .data_mut(old)
                 .and_then(|(client, _)| client.successor);
-            let stands =
+            let is_active =
                 |(client, _): (&mut ClientAllocation, &Allocation)| !client.surge_cancelled;
             if successor
                 .and_then(|next| engine.data_mut(next))
-                .is_some_and(stands)
+                .is_some_and(is_active)
             {
                 return;
             }
@@ -193,32 +194,37 @@
                 return;
             };
             let request = v1::PlacementRequest {
-                placement_id: placing.into(),
+                placement_id: placement_id.into(),
                 ..client.request.clone()
             };
             let Some(within) = effects
                 .rollouts
                 .controller(&request.service)
-                .map(|own| own.rollout().progress_deadline)
+                .map(|controller| controller.rollout().progress_deadline)
             else {
                 return;
             };
-            let asked = AllocationRequest {
+            let allocation_request = AllocationRequest {
                 service: allocation.service,
                 service_class: allocation.service_class,
                 tenant: allocation.tenant,
                 requested: allocation.requested,
                 deadline: now + within,
             };
-            let fresh = ClientAllocation::new(request, &client.replies);
-            let fresh = ClientAllocation {
+            let new_client = ClientAllocation::new(request, &client.replies);
+            let new_client = ClientAllocation {
                 deadline: Some(now + within),
                 predecessor: Some(old),
-                ..fresh
+                ..new_client
             };
             // The old replica uses the task's own name, so the surge replica gets one that no
             // client uses.
-            match engine.admit(now, &format!("{task}\u{0}{placing}"), asked, fresh) {
+            match engine.admit(
+                now,
+                &format!("{task}\u{0}{placement_id}"),
+                allocation_request,
+                new_client,
+            ) {
                 Ok(id) => {
                     if let Some((client, _)) = engine.data_mut(old) {
                         client.successor = Some(id);
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -117,11 +117,19 @@
     let seed = deployment.seed
         ^ clock.now().rotate_left(20)
         ^ (deployment.cluster.scheduler_index as u64) << 48;
-    let (wakes, wake_times) = async_channel::bounded(1);
-    let (watches, watch_requests) = async_channel::bounded(1);
+    let (wake_sender, wake_times) = async_channel::bounded(1);
+    let (watch_sender, watch_requests) = async_channel::bounded(1);
     let path = deployment.endpoint_cache.clone();
     let limits = deployment.limits.clone();
-    let core = DispatcherCore::new(deployment, seed, clock, &tasks, wakes, watches, store);
+    let core = DispatcherCore::new(
+        deployment,
+        seed,
+        clock,
+        &tasks,
+        wake_sender,
+        watch_sender,
+        store,
+    );
     let _closes = rollout_control::CloseOnDrop(Arc::clone(&core.store));
     let mut list = path.as_deref().map(EndpointList::load).unwrap_or_default();
     let entries = list.endpoints(&core);
