--- a/crates/dispatcher/src/active_version.rs
+++ b/crates/dispatcher/src/active_version.rs
@@ -63,7 +63,7 @@
                 // The deployment file or this program has changed since the version was stored. A
                 // version that no longer fits is skipped as a whole.
                 Err(why) => {
-                    warn!(version = version_id.number, %why, "the kept version does not fit; the one before is taken");
+                    warn!(version = version_id.number, %why, "the stored version is not valid any more; using the one before");
                     kept = kept.without_newest();
                 }
             }
@@ -71,12 +71,12 @@
         if let (Some(path), Some(changed)) = (&path, start.1.take())
             && let Err(why) = version_files::save(path, &changed)
         {
-            warn!(path = %path.display(), %why, "that this version was started under once more can't be kept");
+            warn!(path = %path.display(), %why, "the start count of the version on trial can't be stored");
         }
         let (subscriber, in_force) = (start.0, start.2);
         if kept.trial.is_some() && !subscriber.on_trial() {
             warn!(
-                "a version on trial is given up: this dispatcher was started under it again and again"
+                "a version on trial is rolled back: this dispatcher was started under it too many times"
             );
         }
         ACTIVE_VERSION_NUMBER.store(subscriber.active_version().number, Ordering::Relaxed);
--- a/crates/dispatcher/src/catch_up.rs
+++ b/crates/dispatcher/src/catch_up.rs
@@ -81,7 +81,7 @@
     let Some(push) = push_from_message(push) else {
         warn!(
             ?source,
-            "a version from another whose stamp is none: a number above 0 and 64 hexadecimal digits"
+            "received a version with a malformed id: a number above 0 and 64 hexadecimal digits are required"
         );
         return RequestOutcome::Unchanged;
     };
@@ -94,7 +94,7 @@
     };
     match apply(core, &push, VersionOrigin::CatchUp).await {
         PushReply::Applied => {
-            info!(number = push.version.number, ?source, "brought up");
+            info!(number = push.version.number, ?source, "caught up");
             RequestOutcome::Advanced
         }
         PushReply::Rejected(why) => {
@@ -102,7 +102,7 @@
                 number = push.version.number,
                 ?source,
                 ?why,
-                "a version from another is turned down"
+                "rejected a version while catching up"
             );
             core.active_version
                 .with(|state| state.refused_last = Some((push.version, why)));
--- a/crates/dispatcher/src/config_stream.rs
+++ b/crates/dispatcher/src/config_stream.rs
@@ -45,11 +45,11 @@
     Connect(#[from] corkspan_rpc::ConnectError),
     #[error("{}", .0.message())]
     Status(#[from] Box<Status>),
-    #[error("it does not take the stream in time")]
+    #[error("the service did not accept the stream in time")]
     NotAccepted,
     #[error("the service ended the stream")]
     Ended,
-    #[error("it does not read its answers")]
+    #[error("the service does not read the replies")]
     UnreadReplies,
 }
 
@@ -140,7 +140,7 @@
             });
             let stood = began.map_or(0, |began: Instant| ticks(began.elapsed()));
             let wait = retry.next_delay(stood);
-            warn!(%service, why = ended.to_string(), again_in_ms = wait / 10, "no stream of versions; the one in force stays");
+            warn!(%service, why = ended.to_string(), again_in_ms = wait / 10, "no version stream; the active version stays");
             async_io::Timer::after(duration(wait)).await;
         }
     };
@@ -173,7 +173,7 @@
     *began = Some(Instant::now());
     core.active_version
         .with(|state| state.control_service = Some(service));
-    info!(%service, "versions are streamed from here");
+    info!(%service, "streaming versions from a control service");
     loop {
         let pace = core
             .active_version
@@ -241,11 +241,7 @@
 async fn apply_and_answer(core: &DispatcherCore, answers: &Answers, push: &VersionPush) -> bool {
     let reply = apply(core, push, VersionOrigin::Push).await;
     if let PushReply::Rejected(why) = &reply {
-        warn!(
-            version = push.version.number,
-            ?why,
-            "a version is turned down"
-        );
+        warn!(version = push.version.number, ?why, "rejected a version");
         core.active_version
             .with(|state| state.refused_last = Some((push.version, why.clone())));
     }
@@ -262,7 +258,7 @@
     let nonce = push.nonce;
     let Some(push) = push_from_message(push) else {
         let said = PushReply::Rejected(vec![
-            "its stamp is none: a number above 0 and 64 hexadecimal digits".into(),
+            "malformed version id: a number above 0 and 64 hexadecimal digits are required".into(),
         ]);
         let read = answers.send_reply(&core.active_version, nonce, &said);
         return read.then_some(()).ok_or(StreamError::UnreadReplies);
@@ -300,7 +296,7 @@
             .prepare_trial(now, counted, push.version, texts.clone())
     });
     if let Err(why) = versions.save(&kept).await {
-        return PushReply::Rejected(vec![format!("it can't be kept on disk: {why}")]);
+        return PushReply::Rejected(vec![format!("the version can't be stored on disk: {why}")]);
     }
     if !core.activate(next) {
         // The version is not active, so it must not stay on disk either.
@@ -308,11 +304,12 @@
         if let Err(why) = versions.save(&former).await {
             warn!(
                 why = why.to_string(),
-                "a version that is not in force stays on disk"
+                "a version that is not active stays on disk"
             );
         }
         return PushReply::Rejected(vec![
-            "more names have come and gone than are kept; a restart is needed".into(),
+            "more names were added and removed than ids can be kept for; a restart is needed"
+                .into(),
         ]);
     }
     versions.with(|state| {
@@ -328,7 +325,7 @@
     });
     ACTIVE_VERSION_NUMBER.store(push.version.number, Ordering::Relaxed);
     core.fencing.version_activated(push.version, how);
-    info!(number = push.version.number, ?how, digest = ?push.version.digest, "a version is in force, on trial");
+    info!(number = push.version.number, ?how, digest = ?push.version.digest, "a version is active, on trial");
     PushReply::Applied
 }
 
@@ -360,7 +357,7 @@
             if !back.is_ok_and(|back| core.activate(back)) {
                 warn!(
                     why,
-                    "the version does harm, and the one before does not fit any more"
+                    "the version on trial has caused a regression, but the last good one can't be activated any more"
                 );
                 continue;
             }
@@ -368,7 +365,7 @@
         if let Err(why) = versions.save(&kept).await {
             warn!(
                 why = why.to_string(),
-                "how a trial came out can't be kept on disk; a restart tries that version again"
+                "the outcome of a trial can't be stored on disk; a restart will try that version again"
             );
         }
         versions.with(|state| {
@@ -394,11 +391,11 @@
                     .version_activated(core.deployment().version, VersionOrigin::Rollback);
                 warn!(
                     number = before.number,
-                    why, "a version is given up for the last good one"
+                    why, "rolled back to the last good version"
                 );
                 let _ = gave_up.force_send(why);
             }
-            None => info!(number = before.number, "a version has stood its trial"),
+            None => info!(number = before.number, "a version has passed its trial"),
         }
     }
 }
--- a/crates/dispatcher/src/maintenance.rs
+++ b/crates/dispatcher/src/maintenance.rs
@@ -163,11 +163,13 @@
     let keepers = core.deployment().quorum_members.len();
     if keepers == 0 || core.deployment().maintenance_interval.is_none() {
         return Err(Status::failed_precondition(
-            "the deployment names no keepers, or has no `(maintenance …)`",
+            "the deployment names no quorum members (it has no `(keepers …)`), or has no `(maintenance …)`",
         ));
     }
     let Some(view) = quorum_view(core).await else {
-        return Err(Status::unavailable("no majority of the keepers answers"));
+        return Err(Status::unavailable(
+            "no majority of the quorum members answered",
+        ));
     };
     let what = request.action();
     let taken = match what {
@@ -178,7 +180,7 @@
     let text = if taken {
         ""
     } else {
-        "turned down: another wish stands, or no majority has taken it"
+        "rejected: another request is committed, or no majority has accepted this one"
     };
     let after = self::quorum_view(core).await.unwrap_or(view);
     let says = machine_statuses(core, after.machines_to_poll(0, |_| 0)).await;
@@ -227,7 +229,7 @@
         let machine = Machine(*node);
         let Some(claim) = in_work.get(&machine) else {
             return Err(Status::failed_precondition(format!(
-                "machine {node} is not in work"
+                "machine {node} is not in maintenance"
             )));
         };
         let step = v1::MaintenanceStep {
@@ -242,7 +244,7 @@
         let keepers = core.deployment().quorum_members.len();
         if !is_majority(heard, keepers) {
             let text = format!(
-                "{heard} of {keepers} keepers have heard that machine {node} is done: say it again"
+                "{heard} of {keepers} quorum members have recorded that machine {node} is completed; repeat the request"
             );
             return Err(Status::unavailable(text));
         }
@@ -259,7 +261,7 @@
     let number = view.highest_revision.saturating_add(1);
     let wish = match (request.action(), &view.request) {
         (Action::Start, _) => start(core, view, request, number, proposer)?,
-        (_, None) => return Err(Status::not_found("there is no work under way")),
+        (_, None) => return Err(Status::not_found("there is no maintenance in progress")),
         (Action::Pause, Some(wish)) => MaintenanceRequest {
             revision: number,
             proposer,
@@ -290,7 +292,7 @@
             maintenance_messages::proposal_from_message(word.leases.as_ref()?.plan.as_ref()?)
         })
         .collect();
-    info!(number, course = ?wish.run_state, machines = wish.machines.len(), "a wish for work on machines");
+    info!(number, run_state = ?wish.run_state, machines = wish.machines.len(), "proposed a maintenance request");
     Ok(committed(&stands, core.deployment().quorum_members.len()) == Some(&wish))
 }
 
@@ -303,14 +305,14 @@
 ) -> Result<MaintenanceRequest, Status> {
     let wrong = |why: String| Status::invalid_argument(why);
     let [all, hall, cell, kind] = request.limits[..] else {
-        return Err(wrong("limits: four are wanted".into()));
+        return Err(wrong("limits: four values are required".into()));
     };
     let entries = core.endpoints();
     let mut machines = BTreeMap::new();
     for node in &request.nodes {
         let entry = entries.get(&MachineId(*node));
         let entry =
-            entry.ok_or_else(|| wrong(format!("machine {node} is not in the roster's list")))?;
+            entry.ok_or_else(|| wrong(format!("machine {node} is not in the endpoint list")))?;
         let at = MachineDomains {
             zone: entry.zone.0 as u32,
             cell: entry.cell.0,
--- a/crates/dispatcher/src/minimum_version.rs
+++ b/crates/dispatcher/src/minimum_version.rs
@@ -49,7 +49,7 @@
                 Err(why) if !told => {
                     warn!(
                         why = why.to_string(),
-                        "which versions were in force can't be kept on disk; tried again each second"
+                        "the version history can't be stored on disk; retrying each second"
                     );
                 }
                 Err(_) => {}
@@ -85,7 +85,7 @@
             .collect();
         let news = core.fencing.gate().apply_quorum_replies(&told, keepers);
         if let Some(floor) = core.fencing.minimum_version().filter(|_| news) {
-            log_minimum_version(floor, deployment.version, "the keepers");
+            log_minimum_version(floor, deployment.version, "the quorum members");
         }
         if own.max_versions_behind.is_some() || own.max_age.is_some() {
             let rule = MinimumVersionPolicy {
@@ -113,17 +113,17 @@
 async fn raise_by_policy(core: &Arc<DispatcherCore>, lowest: u64) {
     match raise(core, lowest).await {
         Ok(word) if word.accepted => {
-            info!(lowest, "the floor of versions is raised by its rule")
+            info!(lowest, "the policy has raised the minimum version")
         }
         Ok(word) => info!(
             lowest,
             why = word.message,
-            "the floor of versions is not raised"
+            "the policy could not raise the minimum version"
         ),
         Err(why) => info!(
             lowest,
             why = why.message(),
-            "the floor of versions is not raised"
+            "the policy could not raise the minimum version"
         ),
     }
 }
@@ -203,7 +203,7 @@
     .await;
     info!(
         number = good.number,
-        "a version is laid on the keepers' shelves for stragglers"
+        "stored a version at the quorum members for dispatchers that are behind"
     );
 }
 
@@ -232,7 +232,7 @@
     let keepers = core.deployment().quorum_members.len();
     if keepers == 0 {
         return Err(Status::failed_precondition(
-            "the deployment names no keepers",
+            "the deployment names no quorum members: it has no `(keepers …)`",
         ));
     }
     let proposer = core.clock.now().rotate_left(24) ^ core.fencing.incarnation;
@@ -263,8 +263,8 @@
     let stands = committed(&told, keepers).copied();
     let text = match stands {
         Some(floor) if floor == wish => String::new(),
-        Some(_) => "turned down: another floor was asked for at the same time".into(),
-        None => "no majority of the keepers has taken it; nothing is known to stand".into(),
+        Some(_) => "rejected: another minimum version was requested at the same time".into(),
+        None => "no majority of the quorum members has accepted it; the committed minimum version is not known".into(),
     };
     Ok(v1::RaiseMinimumVersionResponse {
         accepted: stands == Some(wish),
--- a/crates/dispatcher/src/rollout_control.rs
+++ b/crates/dispatcher/src/rollout_control.rs
@@ -57,7 +57,7 @@
             info!(
                 old = pair.old,
                 new = pair.new,
-                "what was left of a replacing before the restart is put away"
+                "removed the replicas that an interrupted replacement had left before the restart"
             );
             forget_pair(&core, claim, pair).await;
         }
@@ -139,7 +139,7 @@
                 service = rollout.service,
                 number = rollout.revision,
                 version = rollout.version,
-                "a roll is in force"
+                "following a committed rollout"
             );
             core.adopt(rollout);
         }
@@ -147,7 +147,7 @@
             warn!(
                 service = rollout.service,
                 why = error.to_string(),
-                "a roll can't be kept on disk, and is not followed"
+                "a rollout can't be stored on disk, and is not followed"
             )
         }
     }
@@ -182,7 +182,7 @@
         core.clear_foreign_claim(service, &left.task, left.claim);
     }
     if let Some(why) = look.halt {
-        warn!(service, version = roll.version, why, "the roll halts");
+        warn!(service, version = roll.version, why, "halting a rollout");
         let halted = roll.with_phase(
             Phase::Halted(why),
             u64::from(core.deployment().cluster.scheduler_index as u32),
@@ -280,7 +280,7 @@
     if let Err(why) = kept.await {
         warn!(
             why = why.to_string(),
-            "what an earlier life left is gone, and stays on disk"
+            "a replica pair of an earlier incarnation is removed, but its record stays on disk"
         );
     }
 }
@@ -343,7 +343,7 @@
             service,
             task,
             why = why.to_string(),
-            "a claim can't be kept on disk, and is not used"
+            "a claim can't be stored on disk, and is not used"
         );
     }
     kept.is_ok()
@@ -362,7 +362,7 @@
         warn!(
             service,
             why = why.to_string(),
-            "a claim given back stays on disk"
+            "a released claim can't be deleted from disk"
         );
     }
 }
--- a/crates/dispatcher/src/rollout_service.rs
+++ b/crates/dispatcher/src/rollout_service.rs
@@ -22,10 +22,10 @@
         let text = match &stands {
             _ if taken => String::new(),
             Some(other) => format!(
-                "turned down: roll {} of {} to {} stands, asked for at the same time or before",
+                "rejected: rollout {} of {} to {} is committed, requested at the same time or before",
                 other.revision, other.service, other.version
             ),
-            None => "no majority of the keepers has taken it; nothing is known to stand".into(),
+            None => "no majority of the quorum members has accepted it; the committed rollout is not known".into(),
         };
         Ok(Response::new(v1::RolloutResponse {
             accepted: taken,
@@ -41,7 +41,7 @@
         let told = request_all(&self.0, Operation::Query(v1::QuorumQuery::default())).await;
         if !is_majority(told.len(), keepers) {
             let text = format!(
-                "{} of {keepers} keepers answer; a majority is needed",
+                "{} of {keepers} quorum members answered; a majority is needed",
                 told.len()
             );
             return Err(Status::unavailable(text));
@@ -65,23 +65,23 @@
         let wrong = |why: &str| Err(Status::invalid_argument(why));
         if self.0.deployment().quorum_members.is_empty() {
             return Err(Status::failed_precondition(
-                "the deployment names no keepers",
+                "the deployment names no quorum members: it has no `(keepers …)`",
             ));
         }
         if request.service.is_empty()
             || request.version.is_empty()
             || request.service.len().max(request.version.len()) > 256
         {
-            return wrong("service and version: 1 to 256 bytes are wanted");
+            return wrong("service and version: must be 1 to 256 bytes long");
         }
         if !(1..=100_000).contains(&request.max_unavailable) {
-            return wrong("unready-most: 1 to 100000 is wanted");
+            return wrong("unready-most: must be 1 to 100000");
         }
         let most_ms = 24 * 3600 * 1000;
         if !(1..=most_ms).contains(&request.progress_deadline_ms)
             || !(1000..=most_ms).contains(&request.min_ready_ms)
         {
-            return wrong("ready-within: 1 ms to a day, ready-for: 1 s to a day are wanted");
+            return wrong("ready-within: must be 1 ms to 1 day; ready-for: must be 1 s to 1 day");
         }
         let before = self.current_rollout(&request.service).await?;
         let former = match &before {
@@ -129,7 +129,7 @@
         let request = request.into_inner();
         let Some(roll) = self.current_rollout(&request.service).await? else {
             return Err(Status::not_found(format!(
-                "there is no roll of `{}`",
+                "there is no rollout of `{}`",
                 request.service
             )));
         };
@@ -139,12 +139,12 @@
             v1::change_rollout_request::Action::Resume => roll.with_phase(Phase::Rolling, proposer),
             v1::change_rollout_request::Action::Undo if roll.previous_version.is_empty() => {
                 return Err(Status::failed_precondition(
-                    "what ran before has no version to go back to",
+                    "there is no previous version to roll back to",
                 ));
             }
             v1::change_rollout_request::Action::Undo => roll.rolled_back(proposer),
             v1::change_rollout_request::Action::Unspecified => {
-                return Err(Status::invalid_argument("nothing is asked for"));
+                return Err(Status::invalid_argument("no action is given"));
             }
         };
         self.submit(wish).await
--- a/crates/dispatcher/src/rollouts.rs
+++ b/crates/dispatcher/src/rollouts.rs
@@ -45,7 +45,7 @@
                 Some(controller) => controller.restore_claim(claim, &task, won),
                 None => warn!(
                     service,
-                    task, "a claim of a roll that the store doesn't know"
+                    task, "a stored claim belongs to a rollout that is not in the store"
                 ),
             }
         }
@@ -91,7 +91,7 @@
             }
             None => warn!(
                 service = roll.service,
-                "too many rolls; this one is left out"
+                "too many rollouts; this one is not followed"
             ),
         }
     }
--- a/crates/dispatcher/src/store.rs
+++ b/crates/dispatcher/src/store.rs
@@ -61,10 +61,10 @@
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
     /// The deployment names no store, or the store could not be opened.
-    #[error("there is no store")]
+    #[error("no store is configured or open")]
     NotConfigured,
     /// The file is shorter than its header says.
-    #[error("it is not whole")]
+    #[error("the file is truncated")]
     Truncated,
     /// The database can't be opened, read or written.
     #[error(transparent)]
@@ -73,7 +73,7 @@
     #[error(transparent)]
     Row(serde_json::Error),
     /// The version history is not the JSON that this program writes.
-    #[error("record: {0}")]
+    #[error("version history: {0}")]
     VersionHistory(#[source] serde_json::Error),
 }
 
@@ -115,9 +115,9 @@
         };
         if let Err(why) = open_checked(|| Ok(Database::create(&path)?)) {
             let aside = path.with_extension("aside");
-            warn!(path = %path.display(), why = why.to_string(), "the store of rolls can't be read; set aside");
+            warn!(path = %path.display(), why = why.to_string(), "the rollout store can't be read; moved aside");
             if let Err(why) = std::fs::rename(&path, &aside) {
-                warn!(path = %path.display(), %why, "and can't be set aside either");
+                warn!(path = %path.display(), %why, "and it can't be moved aside either");
             }
         }
         Store::over(move || Ok(Database::create(&path)?))
@@ -133,7 +133,7 @@
         if let Err(why) = &open {
             error!(
                 why = why.to_string(),
-                "no store of rolls: this dispatcher takes no step of any"
+                "the rollout store can't be opened; this dispatcher takes no rollout steps"
             );
         }
         Store {
@@ -157,7 +157,7 @@
             let mut open = self.open.write().unwrap_or_else(PoisonError::into_inner);
             if open.is_none() {
                 *open = Some((self.open_database)()?);
-                info!("the store of rolls can be written again");
+                info!("the rollout store can be written again");
             }
         }
         let written = {
@@ -241,7 +241,7 @@
         read().unwrap_or_else(|why| {
             warn!(
                 why = why.to_string(),
-                "what was kept of versions can't be read, and is begun anew"
+                "the stored version history can't be read; a new one is begun"
             );
             VecDeque::new()
         })
@@ -254,7 +254,7 @@
             return Default::default();
         };
         read_rollouts(database).unwrap_or_else(|why| {
-            error!(why = why.to_string(), "the store of rolls can't be read");
+            error!(why = why.to_string(), "the rollout store can't be read");
             Default::default()
         })
     }
--- a/crates/dispatcher/src/stored_file.rs
+++ b/crates/dispatcher/src/stored_file.rs
@@ -12,16 +12,16 @@
     #[error(transparent)]
     Io(#[from] std::io::Error),
     /// It is larger than any file that this program writes.
-    #[error("{0} bytes")]
+    #[error("the file is too large: {0} bytes")]
     TooLarge(u64),
     /// It is not the JSON that this program writes.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
     /// Its checksum does not match its content.
-    #[error("its sum is wrong")]
+    #[error("the checksum does not match")]
     Checksum,
     /// A version in it does not have the digest that it is stored under.
-    #[error("a version in it is not what its digest says")]
+    #[error("a version does not match its digest")]
     Digest,
 }
 
--- a/crates/dispatcher/src/version_files.rs
+++ b/crates/dispatcher/src/version_files.rs
@@ -116,15 +116,15 @@
         Ok(None) => {}
         Err(why) => {
             let aside = path.with_extension("aside");
-            warn!(path = %path.display(), why = why.to_string(), "the kept version can't be read; set aside, and the one before taken");
+            warn!(path = %path.display(), why = why.to_string(), "the stored version can't be read; moved aside, using the previous file");
             if let Err(why) = std::fs::rename(path, &aside) {
-                warn!(path = %path.display(), %why, "and can't be set aside either");
+                warn!(path = %path.display(), %why, "and it can't be moved aside either");
             }
         }
     }
     let before = backup_path(path);
     load_file(&before).map(Option::unwrap_or_default).unwrap_or_else(|why| {
-        warn!(path = %before.display(), why = why.to_string(), "nor can the one before; the deployment file is in force");
+        warn!(path = %before.display(), why = why.to_string(), "the previous file can't be read either; using the deployment file");
         PersistedVersions::default()
     })
 }
--- a/crates/dispatcher/src/version_gate.rs
+++ b/crates/dispatcher/src/version_gate.rs
@@ -157,13 +157,10 @@
             lowest,
             running = running.number,
             from,
-            "shut out: below the floor of versions"
+            "fenced: the running version is below the minimum version"
         );
     } else {
-        info!(
-            number,
-            lowest, from, "another floor of versions is in force"
-        );
+        info!(number, lowest, from, "the minimum version has changed");
     }
 }
 
--- a/crates/dispatcher/src/version_service.rs
+++ b/crates/dispatcher/src/version_service.rs
@@ -58,7 +58,7 @@
     ) -> Result<Response<v1::VersionPush>, Status> {
         let Some(_given) = self.0.fencing.catch_up_permit() else {
             return Err(Status::resource_exhausted(
-                "as many as may be are brought up from here",
+                "too many dispatchers are catching up from this one",
             ));
         };
         let theirs = request
@@ -66,7 +66,8 @@
             .active
             .as_ref()
             .and_then(version_id_from_message);
-        let theirs = theirs.ok_or_else(|| Status::invalid_argument("running: no stamp"))?;
+        let theirs =
+            theirs.ok_or_else(|| Status::invalid_argument("active: malformed version id"))?;
         let push = self
             .0
             .active_version
--- a/crates/dispatcher/tests/on_call_page.rs
+++ b/crates/dispatcher/tests/on_call_page.rs
@@ -137,14 +137,14 @@
     let said = [
         "the roster is out of reach",
         "node N answers there",
-        "turned down: roll N … stands",
+        "rejected: rollout N … is committed",
         "halted: N copies of V failed at dispatcher D, M not ready in time",
     ];
     for message in said {
         assert!(stands_with_its_cause(&literals, message), "{message}");
         let changed = message
             .replacen("at", "near", 1)
-            .replacen("stands", "lies", 1);
+            .replacen("is committed", "is proposed", 1);
         let changed = changed
             .replacen("answers", "is", 1)
             .replacen("is out", "is far", 1);
--- a/crates/dispatcher/tests/stored_files.rs
+++ b/crates/dispatcher/tests/stored_files.rs
@@ -189,7 +189,7 @@
     let half = std::fs::read(&path).expect("read");
     let (store, log) = logged(&directory, || Store::open(Some(&path)));
     assert!(
-        log.contains(" WARN ") && log.contains("the store of rolls can't be read; set aside"),
+        log.contains(" WARN ") && log.contains("the rollout store can't be read; moved aside"),
         "{log}"
     );
     let aside = std::fs::read(path.with_extension("aside")).expect("set aside");
@@ -275,7 +275,7 @@
     std::fs::copy(data("versions.json"), path.with_extension("before")).expect("copied");
     let (read, log) = logged(&directory, || version_files::load(&path));
     assert_eq!(read, kept());
-    let message = "the kept version can't be read; set aside, and the one before taken";
+    let message = "the stored version can't be read; moved aside, using the previous file";
     assert!(log.contains(" WARN ") && log.contains(message), "{log}");
     let aside = std::fs::read(path.with_extension("aside")).expect("set aside");
     assert_eq!((aside, path.exists()), (half, false));
@@ -287,7 +287,7 @@
     std::fs::copy(&path, path.with_extension("before")).expect("copied");
     let (read, log) = logged(&directory, || version_files::load(&path));
     assert_eq!(read, PersistedVersions::default());
-    let message = "nor can the one before; the deployment file is in force";
+    let message = "the previous file can't be read either; using the deployment file";
     assert!(log.contains(" WARN ") && log.contains(message), "{log}");
     assert!(path.with_extension("before").exists(), "it stays in place");
 }
--- a/crates/lab/tests/full_path/rolls.rs
+++ b/crates/lab/tests/full_path/rolls.rs
@@ -511,7 +511,7 @@
             .await
             .expect_err("no majority");
         assert!(
-            why.message().contains("1 of 3 keepers"),
+            why.message().contains("1 of 3 quorum members"),
             "{}",
             why.message()
         );
--- a/crates/lab/tests/full_path/versions.rs
+++ b/crates/lab/tests/full_path/versions.rs
@@ -436,7 +436,7 @@
             .control
             .publish(stage.with_tracks(&["one", "two"]), false);
         until(async || stage.status().await.rejected == 1).await;
-        assert!(stage.status().await.reasons[0].contains("can't be kept on disk"));
+        assert!(stage.status().await.reasons[0].contains("can't be stored on disk"));
         assert!(stage.knows("one", "a").await && !stage.knows("two", "b").await);
         if full {
             std::fs::remove_file(&path)
