--- a/crates/dispatcher/src/attempts.rs
+++ b/crates/dispatcher/src/attempts.rs
@@ -121,16 +121,17 @@
     let written = AtomicBool::new(false);
     let first = async {
         let latest = core.connection_limits().connect_timeout;
-        let connection =
-            match within(latest, node.ready(core.tasks(), core.connection_limits())).await {
-                Some(Ok(connection)) => connection,
-                other => {
-                    debug!(machine = machine.0, why = ?other.map(Result::err), "no link");
-                    return OfferOutcome::Ended(EndedAttempt::with_ending(
-                        ending_without_connection(decided, latest),
-                    ));
-                }
-            };
+        let connection = match within(latest, node.ready(core.tasks(), core.connection_limits()))
+            .await
+        {
+            Some(Ok(connection)) => connection,
+            other => {
+                debug!(machine = machine.0, why = ?other.map(Result::err), "no connection to a node");
+                return OfferOutcome::Ended(EndedAttempt::with_ending(ending_without_connection(
+                    decided, latest,
+                )));
+            }
+        };
         // Slow start and draining are counted from the decision, so an offer must not be sent much
         // later. A process that was paused in between sends nothing.
         if decided.elapsed() > latest {
@@ -210,7 +211,7 @@
         None => {
             debug!(
                 machine = machine.0,
-                "an allocation handed over is out of reach"
+                "the node of an adopted allocation can't be reached"
             );
             lost(None);
         }
@@ -334,7 +335,7 @@
     });
     let said = said.await.flatten();
     if said.is_none() {
-        debug!(address = %node.address, "a node could not be told to stop an allocation");
+        debug!(address = %node.address, "a node did not answer a request to stop an allocation");
     }
     said.map(drop)
 }
--- a/crates/dispatcher/src/endpoint_list.rs
+++ b/crates/dispatcher/src/endpoint_list.rs
@@ -21,9 +21,9 @@
 /// The reason why an endpoint of a received list is left out.
 #[derive(Debug, thiserror::Error)]
 enum EndpointError {
-    #[error("node {node} has no known state")]
+    #[error("node {node}: unknown state")]
     State { node: u32 },
-    #[error("node {node}: `{address}` is no address")]
+    #[error("node {node}: `{address}` is not a valid address")]
     Address {
         node: u32,
         address: String,
@@ -38,7 +38,7 @@
     Connect(#[from] corkspan_rpc::ConnectError),
     #[error("{}", .0.message())]
     Status(#[from] Box<tonic::Status>),
-    #[error("the roster ended the watch")]
+    #[error("the discovery service ended the watch")]
     Ended,
 }
 
@@ -103,9 +103,9 @@
             Ok(None) => return EndpointList::default(),
             Err(why) => {
                 let aside = path.with_extension("aside");
-                warn!(path = %path.display(), why = why.to_string(), "the remembered list can't be read; set aside");
+                warn!(path = %path.display(), why = why.to_string(), "the stored endpoint list can't be read; moved aside");
                 if let Err(why) = std::fs::rename(path, &aside) {
-                    warn!(path = %path.display(), %why, "and can't be set aside either");
+                    warn!(path = %path.display(), %why, "and it can't be moved aside either");
                 }
                 return EndpointList::default();
             }
@@ -166,7 +166,7 @@
                         self.lines.insert(line.node, line);
                     }
                 }
-                Err(why) => warn!(why = why.to_string(), "a line of the list is left out"),
+                Err(why) => warn!(why = why.to_string(), "an endpoint of the list is left out"),
             }
         }
         self.starts.retain(|node, _| self.lines.contains_key(node));
@@ -193,9 +193,9 @@
         let (Some(kind), Some(hall)) = (kind, hall) else {
             warn!(
                 node = line.node,
-                kind = line.kind,
-                hall = line.hall,
-                "a node of unknown kind or hall is left out"
+                machine_type = line.kind,
+                zone = line.hall,
+                "a node of unknown machine type or zone is left out"
             );
             return None;
         };
@@ -312,7 +312,7 @@
         if let Err(why) = watch(&core, &mut list, path.as_deref()).await {
             warn!(
                 why = why.to_string(),
-                "the roster is out of reach; the list stays as it is"
+                "the discovery service can't be reached; the endpoint list stays as it is"
             );
         }
         // A request made in the meantime has been served by this watch.
@@ -340,7 +340,7 @@
         dispatcher: core.deployment().cluster.scheduler_index as u32,
     };
     let mut listings = client.watch(request).await.map_err(Box::new)?.into_inner();
-    info!(roster = %core.deployment().roster, version = list.version, "watching the list");
+    info!(roster = %core.deployment().roster, version = list.version, "watching the endpoint list");
     // Time at which the list must be written next, and time of the last write.
     let (mut due, mut written): (Option<Instant>, Option<Instant>) = (None, None);
     loop {
@@ -376,7 +376,7 @@
             };
             let path = path.to_owned();
             if let Err(why) = blocking::unblock(move || stored.save(&path)).await {
-                warn!(%why, "the list can't be kept on disk; a restart will know an older one");
+                warn!(%why, "the endpoint list can't be stored on disk; a restart will use an older one");
             }
             written = Some(Instant::now());
         }
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -63,10 +63,10 @@
         why: std::io::Error,
     },
     /// It can't install signal handlers.
-    #[error("can't take signals: {0}")]
+    #[error("can't handle signals: {0}")]
     Signals(std::io::Error),
     /// The listener failed.
-    #[error("the listener broke: {0}")]
+    #[error("the listener failed: {0}")]
     Listener(std::io::Error),
 }
 
@@ -133,7 +133,7 @@
     let _closes = rollout_control::CloseOnDrop(Arc::clone(&core.store));
     let mut list = path.as_deref().map(EndpointList::load).unwrap_or_default();
     let entries = list.endpoints(&core);
-    info!(%address, remembered = entries.len(), "listening");
+    info!(%address, stored_endpoints = entries.len(), "listening");
     core.apply_endpoint_list(corkspan_scheduler::interface::ListUpdate::Cached, &entries);
 
     let service = Services {
--- a/crates/dispatcher/src/node_links.rs
+++ b/crates/dispatcher/src/node_links.rs
@@ -29,13 +29,13 @@
 pub enum NodeConnectionError {
     #[error(transparent)]
     Connect(#[from] ConnectError),
-    #[error("another attempt failed meanwhile")]
+    #[error("a concurrent attempt to connect failed")]
     ConcurrentAttemptFailed,
     #[error("no answer to the greeting within {0:?}")]
     GreetingTimeout(Duration),
-    #[error("the greeting was turned down: {0}")]
+    #[error("the greeting was rejected: {0}")]
     GreetingRejected(String),
-    #[error("node {0} answers there")]
+    #[error("node {0} answers at this address")]
     OtherNode(u32),
 }
 
--- a/crates/dispatcher/src/placement_service.rs
+++ b/crates/dispatcher/src/placement_service.rs
@@ -87,7 +87,7 @@
     let Some(value) = metadata.get("grpc-timeout") else {
         return Ok(None);
     };
-    let wrong = || Status::invalid_argument("grpc-timeout is no time");
+    let wrong = || Status::invalid_argument("grpc-timeout is not a valid timeout");
     let text = value.to_str().map_err(|_| wrong())?;
     let (digits, unit) = text
         .split_at_checked(text.len().saturating_sub(1))
--- a/crates/dispatcher/tests/on_call_page.rs
+++ b/crates/dispatcher/tests/on_call_page.rs
@@ -135,8 +135,8 @@
 fn a_message_that_stands_nowhere_is_found() {
     let literals = literals();
     let said = [
-        "the roster is out of reach",
-        "node N answers there",
+        "the discovery service can't be reached",
+        "node N answers at this address",
         "rejected: rollout N … is committed",
         "halted: N copies of V failed at dispatcher D, M not ready in time",
     ];
@@ -147,7 +147,7 @@
             .replacen("is committed", "is proposed", 1);
         let changed = changed
             .replacen("answers", "is", 1)
-            .replacen("is out", "is far", 1);
+            .replacen("be reached", "be found", 1);
         assert!(!stands_with_its_cause(&literals, &changed), "{changed}");
     }
 }
--- a/crates/dispatcher/tests/stored_files.rs
+++ b/crates/dispatcher/tests/stored_files.rs
@@ -218,7 +218,8 @@
     let half = std::fs::read(&path).expect("read");
     let (list, log) = logged(&directory, || EndpointList::load(&path));
     assert!(
-        log.contains(" WARN ") && log.contains("the remembered list can't be read; set aside"),
+        log.contains(" WARN ")
+            && log.contains("the stored endpoint list can't be read; moved aside"),
         "{log}"
     );
     let aside = std::fs::read(path.with_extension("aside")).expect("set aside");
--- a/crates/rpc/src/lib.rs
+++ b/crates/rpc/src/lib.rs
@@ -40,7 +40,7 @@
     #[error("no connection: {0}")]
     Tcp(std::io::Error),
     /// The HTTP/2 handshake failed.
-    #[error("no HTTP/2 on the connection: {0}")]
+    #[error("HTTP/2 error on the connection: {0}")]
     Http2(hyper::Error),
 }
 
@@ -354,7 +354,7 @@
         // A unary body whose declared size is too large is rejected without being read.
         if request.body().size_hint().lower() > self.max_message_bytes as u64 + 5 {
             let status = tonic::Status::resource_exhausted(format!(
-                "a message over {} bytes",
+                "the message is larger than {} bytes",
                 self.max_message_bytes
             ));
             return Box::pin(future::ready(Ok(status.into_http())));
