--- a/crates/dispatcher/src/attempt_messages.rs
+++ b/crates/dispatcher/src/attempt_messages.rs
@@ -8,7 +8,7 @@
 pub struct EndedAttempt {
     pub ending: AttemptResult,
     pub reason: Option<ReturnReason>,
-    pub how: v1::ended::EndReason,
+    pub end_reason: v1::ended::EndReason,
     pub report: Option<LoadReport>,
 }
 
@@ -17,7 +17,7 @@
         EndedAttempt {
             ending,
             reason: None,
-            how: v1::ended::EndReason::Lost,
+            end_reason: v1::ended::EndReason::Lost,
             report: None,
         }
     }
@@ -57,9 +57,9 @@
     }
 }
 
-pub fn result_of_end(how: v1::attempt_ended::AttemptOutcome) -> EndedAttempt {
+pub fn result_of_end(outcome: v1::attempt_ended::AttemptOutcome) -> EndedAttempt {
     use corkspan_api::v1::ended::EndReason;
-    let (ending, reason, how) = match how {
+    let (ending, reason, end_reason) = match outcome {
         v1::attempt_ended::AttemptOutcome::Error => (AttemptResult::Error, None, EndReason::Error),
         v1::attempt_ended::AttemptOutcome::Ended => {
             (AttemptResult::Completed, None, EndReason::Ended)
@@ -89,7 +89,7 @@
     EndedAttempt {
         ending,
         reason,
-        how,
+        end_reason,
         report: None,
     }
 }
--- a/crates/dispatcher/src/attempts.rs
+++ b/crates/dispatcher/src/attempts.rs
@@ -25,7 +25,7 @@
     /// Returns whether this dispatcher is below the minimum version.
     fn is_fenced(&self) -> bool;
     /// Handles the minimum version that a node has reported when it rejected an attempt.
-    fn minimum_version_reported(&self, floor: &v1::MinimumVersion);
+    fn minimum_version_reported(&self, minimum: &v1::MinimumVersion);
     fn attempt_placed(self: &Arc<Self>, id: AllocationId, attempt: usize, machine: MachineId);
     /// Handles the end of an attempt. `ended_as` is set if the attempt was placed, so that the
     /// allocation ends with it.
@@ -41,7 +41,7 @@
     /// Handles the program version that a replica has reported.
     fn version_reported(&self, id: AllocationId, version: String);
     fn readiness_reported(&self, id: AllocationId, ready: bool);
-    fn metric_recorded(&self, id: AllocationId, note: Metric);
+    fn metric_recorded(&self, id: AllocationId, metric: Metric);
     fn health_check_completed(
         &self,
         machine: MachineId,
@@ -73,7 +73,7 @@
     core: Arc<D>,
     offer: AttemptOffer,
     attempt: v1::AttemptRequest,
-    time_out: Duration,
+    timeout: Duration,
 ) {
     let AttemptOffer {
         id,
@@ -120,21 +120,25 @@
     // node.
     let written = AtomicBool::new(false);
     let first = async {
-        let latest = core.connection_limits().connect_timeout;
-        let connection = match within(latest, node.ready(core.tasks(), core.connection_limits()))
-            .await
+        let connect_timeout = core.connection_limits().connect_timeout;
+        let connection = match within(
+            connect_timeout,
+            node.ready(core.tasks(), core.connection_limits()),
+        )
+        .await
         {
             Some(Ok(connection)) => connection,
             other => {
                 debug!(machine = machine.0, why = ?other.map(Result::err), "no connection to a node");
                 return OfferOutcome::Ended(EndedAttempt::with_ending(ending_without_connection(
-                    decided, latest,
+                    decided,
+                    connect_timeout,
                 )));
             }
         };
         // Slow start and draining are counted from the decision, so an offer must not be sent much
         // later. A process that was paused in between sends nothing.
-        if decided.elapsed() > latest {
+        if decided.elapsed() > connect_timeout {
             return OfferOutcome::Ended(EndedAttempt::with_ending(AttemptResult::NotSent));
         }
         written.store(true, Ordering::Relaxed);
@@ -145,17 +149,17 @@
     };
     // The future is on the heap and is dropped with the first reply, so the state that follows an
     // allocation to its end is small.
-    let first = within(time_out, Box::pin(first)).await.unwrap_or_else(|| {
+    let first = within(timeout, Box::pin(first)).await.unwrap_or_else(|| {
         let ending = if written.load(Ordering::Relaxed) {
             AttemptResult::TimedOut
         } else {
-            ending_without_connection(decided, time_out)
+            ending_without_connection(decided, timeout)
         };
         OfferOutcome::Ended(EndedAttempt::with_ending(ending))
     });
     drop(unanswered_guard);
     match first {
-        OfferOutcome::Ended(it) => result(it, None),
+        OfferOutcome::Ended(ended) => result(ended, None),
         OfferOutcome::Placed(replies) => {
             core.attempt_placed(id, number, machine);
             follow_replies(&core, id, number, replies).await;
@@ -166,8 +170,8 @@
 /// Returns the outcome of an attempt without a connection. If the timeout is noticed long after it
 /// passed, this process was too busy to notice a connection, and the outcome does not count against
 /// the node: otherwise a dispatcher under a burst would eject all machines.
-fn ending_without_connection(decided: Instant, latest: Duration) -> AttemptResult {
-    if decided.elapsed() > latest + latest / 2 {
+fn ending_without_connection(decided: Instant, timeout: Duration) -> AttemptResult {
+    if decided.elapsed() > timeout + timeout / 2 {
         AttemptResult::NotSent
     } else {
         AttemptResult::ConnectFailed
@@ -225,20 +229,20 @@
     loop {
         match replies.message().await {
             Ok(Some(v1::AttemptEvent {
-                event: Some(said),
+                event: Some(reply),
                 load_report: load,
-            })) => match said {
+            })) => match reply {
                 NodeReply::Accepted(_) if !core.placed_when_running() => {
                     return OfferOutcome::Placed(replies);
                 }
                 NodeReply::Running(_) => return OfferOutcome::Placed(replies),
-                NodeReply::Rejected(refusal) => {
-                    if let Some(floor) = &refusal.minimum_version {
-                        core.minimum_version_reported(floor);
+                NodeReply::Rejected(rejection) => {
+                    if let Some(minimum) = &rejection.minimum_version {
+                        core.minimum_version_reported(minimum);
                     }
                     let result = EndedAttempt::with_ending(AttemptResult::Rejected);
                     return OfferOutcome::Ended(EndedAttempt {
-                        reason: reason(refusal.reason()),
+                        reason: reason(rejection.reason()),
                         report: report(load),
                         ..result
                     });
@@ -270,39 +274,39 @@
     mut replies: Streaming<v1::AttemptEvent>,
 ) {
     let mut result = EndedAttempt::with_ending(AttemptResult::Reset);
-    while let Ok(Some(word)) = replies.message().await {
-        match word.event {
+    while let Ok(Some(message)) = replies.message().await {
+        match message.event {
             Some(NodeReply::Running(started)) => {
                 core.version_reported(id, started.version);
                 core.metric_recorded(id, Metric::Running);
             }
             Some(NodeReply::Ready(ready)) => core.readiness_reported(id, ready),
-            Some(NodeReply::Usage(used)) => {
-                for (note, value) in [
-                    (Metric::Cores as fn(f64) -> Metric, used.cores),
-                    (Metric::Memory, used.memory),
+            Some(NodeReply::Usage(usage)) => {
+                for (metric, value) in [
+                    (Metric::Cores as fn(f64) -> Metric, usage.cores),
+                    (Metric::Memory, usage.memory),
                 ] {
                     if is_valid_amount(value) {
-                        core.metric_recorded(id, note(value));
+                        core.metric_recorded(id, metric(value));
                     }
                 }
             }
-            Some(NodeReply::ServiceLevel(part)) if is_valid_amount(part) => {
-                core.metric_recorded(id, Metric::ServiceLevel(part))
+            Some(NodeReply::ServiceLevel(level)) if is_valid_amount(level) => {
+                core.metric_recorded(id, Metric::ServiceLevel(level))
             }
             Some(NodeReply::MemoryShare(share)) if is_valid_amount(share) => {
                 core.metric_recorded(id, Metric::MachineMemory(share))
             }
             Some(NodeReply::Ended(ended_as)) => {
                 result = EndedAttempt {
-                    report: report(word.load_report),
+                    report: report(message.load_report),
                     ..result_of_end(ended_as.outcome())
                 };
                 break;
             }
-            Some(NodeReply::Rejected(refusal)) => {
+            Some(NodeReply::Rejected(rejection)) => {
                 // The attempt does not run on the node, which is no fault of the node.
-                result.reason = reason(refusal.reason()).or(Some(ReturnReason::Unfit));
+                result.reason = reason(rejection.reason()).or(Some(ReturnReason::Unfit));
                 break;
             }
             _ => {}
@@ -311,10 +315,10 @@
     let EndedAttempt {
         ending,
         reason,
-        how,
+        end_reason,
         report,
     } = result;
-    core.attempt_ended(id, number, ending, reason, Some(how), report);
+    core.attempt_ended(id, number, ending, reason, Some(end_reason), report);
 }
 
 /// Requests a node to stop an allocation. The request is sent once, since the allocation may be
@@ -326,18 +330,18 @@
 ) -> Option<()> {
     let _call = node.count_call();
     let timeout = core.connection_limits().keep_alive_interval;
-    let said = within(timeout, async {
+    let reply = within(timeout, async {
         let connection = node
             .ready(core.tasks(), core.connection_limits())
             .await
             .ok()?;
         client(&*core, connection).stop(stop).await.ok()
     });
-    let said = said.await.flatten();
-    if said.is_none() {
+    let reply = reply.await.flatten();
+    if reply.is_none() {
         debug!(address = %node.address, "a node did not answer a request to stop an allocation");
     }
-    said.map(drop)
+    reply.map(drop)
 }
 
 pub async fn send_health_check<D: AttemptObserver>(
@@ -347,7 +351,7 @@
 ) {
     let _call = node.count_call();
     let timeout = 4 * core.connection_limits().connect_timeout;
-    let word = within(timeout, async {
+    let reply = within(timeout, async {
         let connection = node
             .ready(core.tasks(), core.connection_limits())
             .await
@@ -357,11 +361,11 @@
             .await
             .map_err(|why| ending_of_status(&why))
     });
-    match word.await {
-        Some(Ok(word)) => core.health_check_completed(
+    match reply.await {
+        Some(Ok(reply)) => core.health_check_completed(
             machine,
             AttemptResult::Completed,
-            report(word.into_inner().load_report),
+            report(reply.into_inner().load_report),
         ),
         Some(Err(ending)) => core.health_check_completed(machine, ending, None),
         None => core.health_check_completed(machine, AttemptResult::TimedOut, None),
--- a/crates/dispatcher/src/core.rs
+++ b/crates/dispatcher/src/core.rs
@@ -72,7 +72,7 @@
 pub struct OpenCall {
     pub replies: async_channel::Receiver<v1::PlacementEvent>,
     pub id: Option<CurrentAllocation>,
-    pub open: Arc<()>,
+    pub open_guard: Arc<()>,
 }
 
 impl DispatcherCore {
--- a/crates/dispatcher/src/core/placement.rs
+++ b/crates/dispatcher/src/core/placement.rs
@@ -33,7 +33,7 @@
         let call = OpenCall {
             replies: receiver,
             id: None,
-            open: Arc::clone(&self.open_calls),
+            open_guard: Arc::clone(&self.open_calls),
         };
         let mut state = self.lock();
         state.effects.counters.requested += 1;
@@ -134,7 +134,7 @@
     pub fn hand_over(self: &Arc<Self>, running: v1::HandOverRequest) -> OpenCall {
         let (replies, receiver) =
             async_channel::bounded(self.deployment().limits.max_events_per_client);
-        let open = Arc::clone(&self.open_calls);
+        let open_guard = Arc::clone(&self.open_calls);
         let request = running.request.unwrap_or_default();
         let machine = MachineId(running.node);
         let adopted = self.with(|now, engine, effects| {
@@ -150,7 +150,7 @@
         OpenCall {
             replies: receiver,
             id,
-            open,
+            open_guard,
         }
     }
 
--- a/crates/dispatcher/src/endpoint_list.rs
+++ b/crates/dispatcher/src/endpoint_list.rs
@@ -154,12 +154,12 @@
             match endpoint_from_message(entry) {
                 Ok(line) => {
                     entries.extend(self.entry(core, &line, listing.now_ms));
-                    let roomless = |line: &StoredEndpoint| StoredEndpoint {
+                    let without_capacity = |line: &StoredEndpoint| StoredEndpoint {
                         unasked: None,
                         ..line.clone()
                     };
-                    significant |=
-                        self.lines.get(&line.node).map(roomless) != Some(roomless(&line));
+                    significant |= self.lines.get(&line.node).map(without_capacity)
+                        != Some(without_capacity(&line));
                     if line.state == StoredState::Gone {
                         self.lines.remove(&line.node);
                     } else {
@@ -186,11 +186,11 @@
         now_ms: u64,
     ) -> Option<(Endpoint, SocketAddr)> {
         let index = |names: &[String], name: &str| names.iter().position(|known| known == name);
-        let (kind, hall) = (
+        let (machine_type, zone) = (
             index(&core.deployment().machine_types, &line.kind),
             index(&core.deployment().zones, &line.hall),
         );
-        let (Some(kind), Some(hall)) = (kind, hall) else {
+        let (Some(machine_type), Some(zone)) = (machine_type, zone) else {
             warn!(
                 node = line.node,
                 machine_type = line.kind,
@@ -202,8 +202,8 @@
         Some((
             Endpoint {
                 machine: MachineId(line.node),
-                machine_type: MachineTypeId(kind),
-                zone: ZoneId(hall),
+                machine_type: MachineTypeId(machine_type),
+                zone: ZoneId(zone),
                 cell: CellId(line.cell),
                 state: match line.state {
                     StoredState::Serving => MachineState::Serving,
@@ -227,7 +227,7 @@
             return None;
         }
         match self.starts.get(&line.node) {
-            Some(&(told, at)) if told == line.started_ms => Some(at),
+            Some(&(reported, at)) if reported == line.started_ms => Some(at),
             _ => {
                 let ago = ticks(Duration::from_millis(
                     now_ms.saturating_sub(line.started_ms),
@@ -286,9 +286,9 @@
         address: entry.address.clone(),
         source,
     })?;
-    let room = entry
+    let unreserved = entry
         .unreserved
-        .filter(|room| room.cores.is_finite() && room.memory.is_finite());
+        .filter(|unreserved| unreserved.cores.is_finite() && unreserved.memory.is_finite());
     Ok(StoredEndpoint {
         node: entry.node,
         address,
@@ -297,7 +297,7 @@
         cell: entry.cell,
         state,
         started_ms: entry.started_ms,
-        unasked: room.map(|room| (room.cores, room.memory)),
+        unasked: unreserved.map(|unreserved| (unreserved.cores, unreserved.memory)),
     })
 }
 
@@ -344,27 +344,27 @@
     // Time at which the list must be written next, and time of the last write.
     let (mut due, mut written): (Option<Instant>, Option<Instant>) = (None, None);
     loop {
-        let told = async {
+        let update = async {
             let listing = listings.message().await.map_err(Box::new)?;
             listing.map(Some).ok_or(WatchError::Ended)
         };
-        let writes = async {
+        let write_due = async {
             match due {
                 Some(at) => drop(Timer::at(at).await),
                 None => future::pending().await,
             }
             Ok(None)
         };
-        let told = writes.or(told).await;
-        if let Ok(Some(listing)) = told {
+        let update = write_due.or(update).await;
+        if let Ok(Some(listing)) = update {
             let (scope, entries, significant) = list.apply_message(core, listing);
             core.apply_endpoint_list(scope, &entries);
-            let apart = if significant {
+            let interval = if significant {
                 SAVE_INTERVAL
             } else {
                 CAPACITY_SAVE_INTERVAL
             };
-            let at = written.map_or_else(Instant::now, |at| at + apart);
+            let at = written.map_or_else(Instant::now, |at| at + interval);
             due = path.map(|_| due.map_or(at, |due| due.min(at)));
             continue;
         }
@@ -380,6 +380,6 @@
             }
             written = Some(Instant::now());
         }
-        told?;
+        update?;
     }
 }
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -130,7 +130,7 @@
         watch_sender,
         store,
     );
-    let _closes = rollout_control::CloseOnDrop(Arc::clone(&core.store));
+    let _store_guard = rollout_control::CloseOnDrop(Arc::clone(&core.store));
     let mut list = path.as_deref().map(EndpointList::load).unwrap_or_default();
     let entries = list.endpoints(&core);
     info!(%address, stored_endpoints = entries.len(), "listening");
--- a/crates/dispatcher/src/machine_status.rs
+++ b/crates/dispatcher/src/machine_status.rs
@@ -2,7 +2,7 @@
 
 use crate::core::DispatcherCore;
 use corkspan_api::v1;
-use corkspan_api::v1::cordon_request::CordonAction as Do;
+use corkspan_api::v1::cordon_request::CordonAction;
 use corkspan_api::v1::node_client::NodeClient;
 use corkspan_maintenance::quorum_view::MachineStatus;
 use corkspan_maintenance::{ClaimId, Machine};
@@ -15,50 +15,51 @@
 /// left out.
 pub async fn machine_statuses(
     core: &Arc<DispatcherCore>,
-    asks: BTreeMap<Machine, Option<ClaimId>>,
+    claims: BTreeMap<Machine, Option<ClaimId>>,
 ) -> BTreeMap<Machine, MachineStatus> {
     let mut calls = Vec::new();
-    for (machine, claim) in asks {
+    for (machine, claim) in claims {
         let (claim, own) = (claim.unwrap_or(ClaimId(0)), Arc::clone(core));
         calls.push((
             machine,
             claim,
-            core.tasks
-                .spawn(async move { cordon_request(&own, machine, claim, Do::Get).await }),
+            core.tasks.spawn(async move {
+                cordon_request(&own, machine, claim, CordonAction::Get).await
+            }),
         ));
     }
-    let mut says = BTreeMap::new();
+    let mut statuses = BTreeMap::new();
     for (machine, claim, call) in calls {
-        if let Some(word) = call.await {
-            let closed = (word.cordoned_for != 0).then_some(ClaimId(word.cordoned_for));
-            let over = word.claim_ended.then_some(claim).into_iter().collect();
-            says.insert(
+        if let Some(reply) = call.await {
+            let cordon = (reply.cordoned_for != 0).then_some(ClaimId(reply.cordoned_for));
+            let finished_claim = reply.claim_ended.then_some(claim).into_iter().collect();
+            statuses.insert(
                 machine,
                 MachineStatus {
-                    cordoned_by: closed,
-                    finished: over,
-                    running: word.running,
-                    unchanged_ms: word.since_ms,
+                    cordoned_by: cordon,
+                    finished: finished_claim,
+                    running: reply.running,
+                    unchanged_ms: reply.since_ms,
                 },
             );
         }
     }
-    says
+    statuses
 }
 
 pub async fn cordon_request(
     core: &Arc<DispatcherCore>,
     machine: Machine,
     claim: ClaimId,
-    what: Do,
+    action: CordonAction,
 ) -> Option<v1::CordonResponse> {
     let node = core.node(MachineId(machine.0))?;
     let _call = node.count_call();
     let request = v1::CordonRequest {
         claim: claim.0,
-        action: what.into(),
+        action: action.into(),
     };
-    let whole = async {
+    let exchange = async {
         let connection = node
             .ready(&core.tasks, &core.connection_limits)
             .await
@@ -69,7 +70,10 @@
             .ok()
             .map(tonic::Response::into_inner)
     };
-    within(core.connection_limits.connect_timeout * 2, Box::pin(whole))
-        .await
-        .flatten()
+    within(
+        core.connection_limits.connect_timeout * 2,
+        Box::pin(exchange),
+    )
+    .await
+    .flatten()
 }
--- a/crates/dispatcher/src/maintenance.rs
+++ b/crates/dispatcher/src/maintenance.rs
@@ -6,7 +6,7 @@
 use crate::machine_status::{cordon_request, machine_statuses};
 use crate::maintenance_messages;
 use crate::quorum_client::request_all;
-use corkspan_api::v1::cordon_request::CordonAction as Do;
+use corkspan_api::v1::cordon_request::CordonAction;
 use corkspan_api::v1::{self, maintenance_request::Action, quorum_request::Operation};
 use corkspan_maintenance::cost::estimate_cost;
 use corkspan_maintenance::quorum_view::QuorumView;
@@ -136,11 +136,17 @@
     let actions = reconcile(view, &statuses, &own);
     // Requests to machines are sent first; the steps sent to the quorum members in this round don't
     // depend on their answers.
-    let cordon = actions.cordon.iter().map(|lease| (lease, Do::Cordon));
-    let uncordon = actions.uncordon.iter().map(|lease| (lease, Do::Uncordon));
-    let stop = actions.stop.iter().map(|lease| (lease, Do::Stop));
-    for (lease, what) in cordon.chain(uncordon).chain(stop) {
-        cordon_request(core, lease.machine, lease.claim, what).await;
+    let cordon = actions
+        .cordon
+        .iter()
+        .map(|lease| (lease, CordonAction::Cordon));
+    let uncordon = actions
+        .uncordon
+        .iter()
+        .map(|lease| (lease, CordonAction::Uncordon));
+    let stop = actions.stop.iter().map(|lease| (lease, CordonAction::Stop));
+    for (lease, action) in cordon.chain(uncordon).chain(stop) {
+        cordon_request(core, lease.machine, lease.claim, action).await;
     }
     for step in maintenance_messages::step_messages(&actions) {
         request_all(core, Operation::MaintenanceStep(step)).await;
@@ -172,8 +178,8 @@
             "no majority of the quorum members answered",
         ));
     };
-    let what = request.action();
-    let is_accepted = match what {
+    let action = request.action();
+    let is_accepted = match action {
         Action::Status => true,
         Action::Done => complete(core, &view, &request).await?,
         _ => propose(core, &view, request).await?,
--- a/crates/dispatcher/src/node_links.rs
+++ b/crates/dispatcher/src/node_links.rs
@@ -60,22 +60,22 @@
 /// Counts a call or an offer until it is dropped.
 pub struct CountGuard {
     node: Arc<NodeConnection>,
-    which: fn(&NodeConnection) -> &AtomicUsize,
+    counter: fn(&NodeConnection) -> &AtomicUsize,
 }
 
 impl CountGuard {
-    fn new(node: &Arc<NodeConnection>, which: fn(&NodeConnection) -> &AtomicUsize) -> Self {
-        which(node).fetch_add(1, Ordering::Relaxed);
+    fn new(node: &Arc<NodeConnection>, counter: fn(&NodeConnection) -> &AtomicUsize) -> Self {
+        counter(node).fetch_add(1, Ordering::Relaxed);
         CountGuard {
             node: Arc::clone(node),
-            which,
+            counter,
         }
     }
 }
 
 impl Drop for CountGuard {
     fn drop(&mut self) {
-        (self.which)(&self.node).fetch_sub(1, Ordering::Relaxed);
+        (self.counter)(&self.node).fetch_sub(1, Ordering::Relaxed);
     }
 }
 
@@ -138,12 +138,12 @@
         let connection = Connection::open_counted(tasks, self.address, limits, &self.meter).await?;
         let mut client = NodeClient::new(connection.clone());
         let greeted = within(limits.connect_timeout, client.greet(self.greeting)).await;
-        let word = greeted.ok_or(NodeConnectionError::GreetingTimeout(limits.connect_timeout))?;
-        let word = word
+        let reply = greeted.ok_or(NodeConnectionError::GreetingTimeout(limits.connect_timeout))?;
+        let reply = reply
             .map_err(|why| NodeConnectionError::GreetingRejected(why.message().into()))?
             .into_inner();
-        if word.node != self.greeting.node {
-            return Err(NodeConnectionError::OtherNode(word.node));
+        if reply.node != self.greeting.node {
+            return Err(NodeConnectionError::OtherNode(reply.node));
         }
         Ok(connection)
     }
--- a/crates/dispatcher/src/placement_service.rs
+++ b/crates/dispatcher/src/placement_service.rs
@@ -17,17 +17,21 @@
     replies: Pin<Box<async_channel::Receiver<v1::PlacementEvent>>>,
     id: Option<crate::core::CurrentAllocation>,
     core: Arc<DispatcherCore>,
-    _open: Arc<()>,
+    _open_guard: Arc<()>,
 }
 
 impl ReplyStream {
     fn new(call: OpenCall, core: &Arc<DispatcherCore>) -> Response<Self> {
-        let OpenCall { replies, id, open } = call;
+        let OpenCall {
+            replies,
+            id,
+            open_guard,
+        } = call;
         Response::new(ReplyStream {
             replies: Box::pin(replies),
             id,
             core: Arc::clone(core),
-            _open: open,
+            _open_guard: open_guard,
         })
     }
 }
@@ -36,7 +40,10 @@
     type Item = Result<v1::PlacementEvent, Status>;
 
     fn poll_next(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Self::Item>> {
-        self.replies.as_mut().poll_next(cx).map(|word| word.map(Ok))
+        self.replies
+            .as_mut()
+            .poll_next(cx)
+            .map(|event| event.map(Ok))
     }
 }
 
@@ -57,9 +64,9 @@
         &self,
         request: Request<v1::PlacementRequest>,
     ) -> Result<Response<ReplyStream>, Status> {
-        let hangs_up = deadline(request.metadata())?;
+        let call_deadline = deadline(request.metadata())?;
         Ok(ReplyStream::new(
-            self.0.place(request.into_inner(), hangs_up),
+            self.0.place(request.into_inner(), call_deadline),
             &self.0,
         ))
     }
@@ -87,15 +94,15 @@
     let Some(value) = metadata.get("grpc-timeout") else {
         return Ok(None);
     };
-    let wrong = || Status::invalid_argument("grpc-timeout is not a valid timeout");
-    let text = value.to_str().map_err(|_| wrong())?;
+    let invalid = || Status::invalid_argument("grpc-timeout is not a valid timeout");
+    let text = value.to_str().map_err(|_| invalid())?;
     let (digits, unit) = text
         .split_at_checked(text.len().saturating_sub(1))
-        .ok_or_else(wrong)?;
+        .ok_or_else(invalid)?;
     if digits.is_empty() || digits.len() > 8 || !digits.bytes().all(|byte| byte.is_ascii_digit()) {
-        return Err(wrong());
+        return Err(invalid());
     }
-    let number: u64 = digits.parse().map_err(|_| wrong())?;
+    let number: u64 = digits.parse().map_err(|_| invalid())?;
     Ok(Some(match unit {
         "H" => Duration::from_secs(number * 3600),
         "M" => Duration::from_secs(number * 60),
@@ -103,6 +110,6 @@
         "m" => Duration::from_millis(number),
         "u" => Duration::from_micros(number),
         "n" => Duration::from_nanos(number),
-        _ => return Err(wrong()),
+        _ => return Err(invalid()),
     }))
 }
