--- a/crates/dispatcher/tests/module_order.rs
+++ b/crates/dispatcher/tests/module_order.rs
@@ -1,10 +1,11 @@
-//! The package's modules import each other in one direction only: a module is never reached again
-//! from what it uses.
+//! Checks that the modules of the package have no cyclic imports: no module is reached again from
+//! what it imports.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
 
-/// Which modules each names by `crate::`. A module is a file, or a directory with its file.
+/// Returns for each module the modules that it names by `crate::`. A module is a file, or a
+/// directory together with its file.
 fn imports() -> BTreeMap<String, BTreeSet<String>> {
     let source = Path::new(env!("CARGO_MANIFEST_DIR")).join("src");
     let mut modules: BTreeMap<String, BTreeSet<String>> = BTreeMap::new();
--- a/crates/dispatcher/tests/on_call_page.rs
+++ b/crates/dispatcher/tests/on_call_page.rs
@@ -1,5 +1,5 @@
-//! Messages that docs/on-call.md tells staff to look for stand in the sources: a message changes
-//! together with the page.
+//! Checks that the messages which docs/on-call.md quotes exist in the sources, so that a message
+//! and the page change together.
 
 use std::path::{Path, PathBuf};
 
@@ -7,10 +7,10 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-/// Commands in the column of messages: staff type them.
+/// Commands in the column of messages, which staff type.
 const COMMANDS: [&str; 1] = ["roll status"];
 
-/// Words that stand for a value.
+/// Returns whether a word of a quoted message is a placeholder for a value.
 fn is_placeholder(word: &str) -> bool {
     let word = word.trim_end_matches([',', ':']);
     let number = !word.is_empty() && word.bytes().all(|byte| byte.is_ascii_digit());
@@ -18,7 +18,7 @@
     number || letter || ["…", "ADDRESS", "FILE:line:column", "part"].contains(&word)
 }
 
-/// What stands in code quotes in the first column of the tables.
+/// Returns the code quotes in the first column of the tables.
 fn quoted(page: &str) -> Vec<String> {
     let cells = page
         .lines()
@@ -30,7 +30,7 @@
         .collect()
 }
 
-/// The fixed parts of a message, in their order.
+/// Returns the fixed parts of a message, in order.
 fn fixed_parts(message: &str) -> Vec<String> {
     let mut parts = vec![String::new()];
     for word in message.split_inclusive(' ') {
@@ -55,7 +55,8 @@
     }
 }
 
-/// The literals of all packages, a line each, and the names in the schema of `corkspan.v1`.
+/// Returns the string literals of all packages, one for each line, and the names in the schema of
+/// `corkspan.v1`.
 fn literals() -> Vec<String> {
     let mut sources = Vec::new();
     for package in std::fs::read_dir(repository().join("crates")).expect("packages") {
@@ -91,7 +92,7 @@
     literals
 }
 
-/// Whether one literal has all fixed parts of the message, in their order.
+/// Returns whether one literal contains all fixed parts of the message, in order.
 fn stands_in(literals: &[String], message: &str) -> bool {
     let parts = fixed_parts(message);
     literals.iter().any(|literal| {
@@ -106,7 +107,8 @@
     })
 }
 
-/// Context and cause of a message may come from two literals, as `halted: {cause}`.
+/// As [`stands_in`], and the context and the cause of a message may also come from two literals, as in
+/// `halted: {cause}`.
 fn stands_with_its_cause(literals: &[String], message: &str) -> bool {
     stands_in(literals, message)
         || message.split_once(": ").is_some_and(|(context, cause)| {
--- a/crates/dispatcher/tests/store.rs
+++ b/crates/dispatcher/tests/store.rs
@@ -1,4 +1,5 @@
-//! The store of rolls, killed at each of its steps and torn.
+//! Tests of the rollout store: a kill after each write, truncated files, and a version history that
+//! can't be read.
 
 use corkspan_dispatcher::rollout_control::{
     ReplicaPair, Store, StoreError, StoredClaim, StoredRollouts,
@@ -44,8 +45,8 @@
 
 type Write = fn(&Store) -> Result<(), StoreError>;
 
-/// All that a replacing writes, in its order, and the rolls and claims that the store holds after
-/// each.
+/// Returns the writes of one replacement in order, each with the number of rollouts and the claims
+/// that the store holds after it.
 fn steps() -> Vec<(Write, usize, Vec<StoredClaim>)> {
     vec![
         (|store| store.save_rollout(&roll()), 1, vec![]),
@@ -85,7 +86,7 @@
     let store = Store::open(Some(&path));
     for (index, (step, rolls, claims)) in steps().into_iter().enumerate() {
         step(&store).expect("written");
-        // What is in the file while the process still has it open is what a kill leaves.
+        // A copy of the file while the process has it open equals what a kill leaves.
         let left = folder.path().join(format!("left-{index}.redb"));
         std::fs::copy(&path, &left).expect("copied");
         let (told, held) = read(&left);
--- a/crates/dispatcher/tests/stored_files.rs
+++ b/crates/dispatcher/tests/stored_files.rs
@@ -1,5 +1,5 @@
-//! What earlier releases left on disk is read, and written back byte for byte. The files under
-//! tests/data were written by release 0.2.0; they are never written anew.
+//! Tests that files stored by earlier releases are read, and written back byte for byte. The files
+//! under tests/data were written by release 0.2.0 and are never regenerated.
 
 use corkspan_config::version::{SharedParts, VersionId};
 use corkspan_config_sync::{PersistedVersions, TrialVersion, Version};
@@ -19,7 +19,7 @@
         .join(name)
 }
 
-/// A copy of a stored file, in a directory of its own.
+/// Returns a copy of a stored file, in a directory of its own.
 fn copy_of(name: &str) -> (TempDir, PathBuf) {
     let directory = tempfile::tempdir().expect("a directory");
     let path = directory.path().join(name);
@@ -27,7 +27,7 @@
     (directory, path)
 }
 
-/// The same, cut in the middle.
+/// Returns a copy of a stored file, truncated to its first half.
 fn half_of(name: &str) -> (TempDir, PathBuf) {
     let (directory, path) = copy_of(name);
     let whole = std::fs::read(&path).expect("read");
@@ -35,7 +35,7 @@
     (directory, path)
 }
 
-/// What `act` returns, and the log lines that it wrote.
+/// Returns the result of `act`, and the log lines that it wrote.
 fn logged<T>(directory: &TempDir, act: impl FnOnce() -> T) -> (T, String) {
     let path = directory.path().join("log");
     let file = Arc::new(std::fs::File::create(&path).expect("created"));
@@ -47,7 +47,7 @@
     (result, std::fs::read_to_string(path).expect("read"))
 }
 
-/// Each row of a database as `table key value`, in the order of tables and keys.
+/// Returns each row of a database as `table key value`, in the order of tables and keys.
 fn rows(path: &Path) -> String {
     let database = Database::open(path).expect("a database");
     let transaction = database.begin_read().expect("readable");
