--- a/crates/dispatcher/tests/on_call_page.rs
+++ b/crates/dispatcher/tests/on_call_page.rs
@@ -75,9 +75,9 @@
     for path in sources {
         let text = std::fs::read_to_string(path).expect("text");
         let mut joined = text.split("\\\n").map(str::trim_start);
-        let mut whole = joined.next().unwrap_or_default().to_string();
-        joined.for_each(|rest| whole.push_str(rest));
-        let lines = whole.lines().map(str::trim);
+        let mut unwrapped = joined.next().unwrap_or_default().to_string();
+        joined.for_each(|rest| unwrapped.push_str(rest));
+        let lines = unwrapped.lines().map(str::trim);
         literals.extend(
             lines
                 .filter(|line| !line.starts_with("//"))
@@ -93,7 +93,7 @@
 }
 
 /// Returns whether one literal contains all fixed parts of the message, in order.
-fn stands_in(literals: &[String], message: &str) -> bool {
+fn is_in(literals: &[String], message: &str) -> bool {
     let parts = fixed_parts(message);
     literals.iter().any(|literal| {
         let mut rest = literal.as_str();
@@ -107,12 +107,12 @@
     })
 }
 
-/// As [`stands_in`], and the context and the cause of a message may also come from two literals, as in
+/// As [`is_in`], and the context and the cause of a message may also come from two literals, as in
 /// `halted: {cause}`.
-fn stands_with_its_cause(literals: &[String], message: &str) -> bool {
-    stands_in(literals, message)
+fn is_in_with_cause(literals: &[String], message: &str) -> bool {
+    is_in(literals, message)
         || message.split_once(": ").is_some_and(|(context, cause)| {
-            stands_in(literals, &format!("{context}: ")) && stands_in(literals, cause)
+            is_in(literals, &format!("{context}: ")) && is_in(literals, cause)
         })
 }
 
@@ -128,28 +128,28 @@
     );
     let missing: Vec<&String> = messages
         .iter()
-        .filter(|message| !stands_with_its_cause(&literals, message))
+        .filter(|message| !is_in_with_cause(&literals, message))
         .collect();
     assert!(missing.is_empty(), "not in the sources: {missing:#?}");
 }
 
 #[test]
-fn a_message_that_stands_nowhere_is_found() {
+fn a_message_that_no_source_contains_is_detected() {
     let literals = literals();
-    let said = [
+    let messages = [
         "the discovery service can't be reached",
         "node N answers at this address",
         "rejected: rollout N … is committed",
         "halted: N copies of V failed at dispatcher D, M not ready in time",
     ];
-    for message in said {
-        assert!(stands_with_its_cause(&literals, message), "{message}");
+    for message in messages {
+        assert!(is_in_with_cause(&literals, message), "{message}");
         let changed = message
             .replacen("at", "near", 1)
             .replacen("is committed", "is proposed", 1);
         let changed = changed
             .replacen("answers", "is", 1)
             .replacen("be reached", "be found", 1);
-        assert!(!stands_with_its_cause(&literals, &changed), "{changed}");
+        assert!(!is_in_with_cause(&literals, &changed), "{changed}");
     }
 }
--- a/crates/dispatcher/tests/store.rs
+++ b/crates/dispatcher/tests/store.rs
@@ -10,7 +10,7 @@
 use std::path::Path;
 use test_case::test_case;
 
-fn roll() -> Rollout {
+fn rollout() -> Rollout {
     Rollout {
         service: "s".into(),
         revision: 1,
@@ -28,7 +28,7 @@
     }
 }
 
-fn held(claim: u64, won: bool, pair: Option<bool>) -> StoredClaim {
+fn claim(claim: u64, won: bool, pair: Option<bool>) -> StoredClaim {
     let pair = pair.map(|retires| ReplicaPair {
         old: "c#0".into(),
         new: "c#0~1".into(),
@@ -49,26 +49,26 @@
 /// that the store holds after it.
 fn steps() -> Vec<(Write, usize, Vec<StoredClaim>)> {
     vec![
-        (|store| store.save_rollout(&roll()), 1, vec![]),
+        (|store| store.save_rollout(&rollout()), 1, vec![]),
         (
-            |store| store.save_claim(&held(7, false, None)),
+            |store| store.save_claim(&claim(7, false, None)),
             1,
-            vec![held(7, false, None)],
+            vec![claim(7, false, None)],
         ),
         (
-            |store| store.save_claim(&held(7, true, None)),
+            |store| store.save_claim(&claim(7, true, None)),
             1,
-            vec![held(7, true, None)],
+            vec![claim(7, true, None)],
         ),
         (
-            |store| store.save_claim(&held(7, true, Some(false))),
+            |store| store.save_claim(&claim(7, true, Some(false))),
             1,
-            vec![held(7, true, Some(false))],
+            vec![claim(7, true, Some(false))],
         ),
         (
-            |store| store.save_claim(&held(7, true, Some(true))),
+            |store| store.save_claim(&claim(7, true, Some(true))),
             1,
-            vec![held(7, true, Some(true))],
+            vec![claim(7, true, Some(true))],
         ),
         (|store| store.delete_claim(ClaimId(7)), 1, vec![]),
     ]
@@ -80,25 +80,29 @@
 }
 
 #[test]
-fn a_kill_after_any_write_leaves_all_that_was_written_and_nothing_else() {
-    let folder = tempfile::tempdir().expect("a folder");
-    let path = folder.path().join("rolls.redb");
+fn a_kill_after_any_write_leaves_exactly_what_was_written() {
+    let directory = tempfile::tempdir().expect("a directory");
+    let path = directory.path().join("rolls.redb");
     let store = Store::open(Some(&path));
-    for (index, (step, rolls, claims)) in steps().into_iter().enumerate() {
+    for (index, (step, rollout_count, claims)) in steps().into_iter().enumerate() {
         step(&store).expect("written");
         // A copy of the file while the process has it open equals what a kill leaves.
-        let left = folder.path().join(format!("left-{index}.redb"));
+        let left = directory.path().join(format!("left-{index}.redb"));
         std::fs::copy(&path, &left).expect("copied");
-        let (told, held) = read(&left);
-        assert_eq!((told.len(), held), (rolls, claims), "after write {index}");
-        assert!(told.iter().all(|told| *told == roll()));
+        let (stored, stored_claims) = read(&left);
+        assert_eq!(
+            (stored.len(), stored_claims),
+            (rollout_count, claims),
+            "after write {index}"
+        );
+        assert!(stored.iter().all(|stored| *stored == rollout()));
     }
 }
 
 #[test]
-fn a_store_cut_short_anywhere_is_whole_or_set_aside_but_never_guessed_at() {
-    let folder = tempfile::tempdir().expect("a folder");
-    let path = folder.path().join("rolls.redb");
+fn a_truncated_store_is_read_completely_or_is_replaced_by_an_empty_one() {
+    let directory = tempfile::tempdir().expect("a directory");
+    let path = directory.path().join("rolls.redb");
     let store = Store::open(Some(&path));
     steps()
         .into_iter()
@@ -106,49 +110,53 @@
         .for_each(|(step, _, _)| step(&store).expect("written"));
     drop(store);
     let whole = std::fs::read(&path).expect("read");
-    let all = (vec![roll()], vec![held(7, true, Some(false))]);
+    let all = (vec![rollout()], vec![claim(7, true, Some(false))]);
     assert_eq!(read(&path), all);
-    let mut aside = 0;
-    for part in 0..16 {
-        let cut = folder.path().join(format!("cut-{part}.redb"));
-        std::fs::write(&cut, &whole[..whole.len() * part / 16]).expect("written");
-        let told = read(&cut);
-        let set_aside = cut.with_extension("aside").exists();
-        aside += usize::from(set_aside);
+    let mut moved_count = 0;
+    for sixteenth in 0..16 {
+        let cut = directory.path().join(format!("cut-{sixteenth}.redb"));
+        std::fs::write(&cut, &whole[..whole.len() * sixteenth / 16]).expect("written");
+        let stored = read(&cut);
+        let moved_aside = cut.with_extension("aside").exists();
+        moved_count += usize::from(moved_aside);
         assert!(
-            told == all && !set_aside || told == (vec![], vec![]),
-            "part {part}: {told:?}"
+            stored == all && !moved_aside || stored == (vec![], vec![]),
+            "{sixteenth}/16: {stored:?}"
         );
     }
-    assert!(aside >= 8, "most cuts are noticed: {aside}");
+    assert!(
+        moved_count >= 8,
+        "most truncations are detected: {moved_count}"
+    );
 }
 
 #[test]
-fn a_store_that_can_not_be_written_says_so() {
-    let folder = tempfile::tempdir().expect("a folder");
-    let store = Store::open(Some(&folder.path().join("missing").join("rolls.redb")));
+fn a_store_that_can_not_be_written_returns_errors() {
+    let directory = tempfile::tempdir().expect("a directory");
+    let store = Store::open(Some(&directory.path().join("missing").join("rolls.redb")));
     assert!(
-        store.save_claim(&held(7, false, None)).is_err() && store.save_rollout(&roll()).is_err()
+        store.save_claim(&claim(7, false, None)).is_err()
+            && store.save_rollout(&rollout()).is_err()
     );
     assert_eq!(store.load(), StoredRollouts::default());
 }
 
-const SPANS: &str =
+const INTERVALS: &str =
     r#"[{"version":3,"digest":"d","how":"push","life":9,"from_ms":1,"from_a_later_text":true}]"#;
 
-#[test_case(SPANS, 1; "with a field that this text doesn't know")]
+#[test_case(INTERVALS, 1; "with an unknown field")]
 #[test_case("", 0; "empty")]
-#[test_case("{\"version\":", 0; "torn")]
-#[test_case(r#"[{"version":-3,"digest":"d","how":"push","life":9,"from_ms":1}]"#, 0; "a number that is none")]
-#[test_case(r#"[{"version":3,"digest":"d","how":"dreamt","life":9,"from_ms":1}]"#, 0; "come in no known way")]
-fn a_foreign_record_of_versions_is_begun_anew_and_takes_nothing_down_with_it(
+#[test_case("{\"version\":", 0; "truncated")]
+#[test_case(r#"[{"version":-3,"digest":"d","how":"push","life":9,"from_ms":1}]"#, 0; "negative version")]
+#[test_case(r#"[{"version":3,"digest":"d","how":"dreamt","life":9,"from_ms":1}]"#, 0; "unknown origin")]
+fn an_unreadable_version_history_is_begun_anew_and_the_rollouts_are_kept(
     text: &str,
-    spans: usize,
+    interval_count: usize,
 ) {
-    let folder = tempfile::tempdir().expect("a folder");
-    let path = folder.path().join("rolls.redb");
+    let directory = tempfile::tempdir().expect("a directory");
+    let path = directory.path().join("rolls.redb");
     let store = Store::open(Some(&path));
-    store.save_rollout(&roll()).expect("written");
+    store.save_rollout(&rollout()).expect("written");
     drop(store);
     let database = redb::Database::create(&path).expect("it opens");
     let transaction = database.begin_write().expect("it can be written");
@@ -163,7 +171,7 @@
     let store = Store::open(Some(&path));
     assert_eq!(
         (store.version_history().len(), store.load().rollouts),
-        (spans, vec![roll()])
+        (interval_count, vec![rollout()])
     );
     let next = VecDeque::from([VersionInterval {
         version: 4,
--- a/crates/dispatcher/tests/stored_files.rs
+++ b/crates/dispatcher/tests/stored_files.rs
@@ -30,8 +30,8 @@
 /// Returns a copy of a stored file, truncated to its first half.
 fn half_of(name: &str) -> (TempDir, PathBuf) {
     let (directory, path) = copy_of(name);
-    let whole = std::fs::read(&path).expect("read");
-    std::fs::write(&path, &whole[..whole.len() / 2]).expect("written");
+    let content = std::fs::read(&path).expect("read");
+    std::fs::write(&path, &content[..content.len() / 2]).expect("written");
     (directory, path)
 }
 
@@ -69,7 +69,7 @@
     rows
 }
 
-fn roll(service: &str, order: Order, phase: Phase) -> Rollout {
+fn rollout(service: &str, order: Order, phase: Phase) -> Rollout {
     Rollout {
         service: service.into(),
         revision: 3,
@@ -87,11 +87,11 @@
     }
 }
 
-fn rolls() -> Vec<Rollout> {
+fn rollouts() -> Vec<Rollout> {
     vec![
-        roll("mail", Order::StopFirst, Phase::Rolling),
-        roll("search", Order::StartFirst, Phase::Paused),
-        roll(
+        rollout("mail", Order::StopFirst, Phase::Rolling),
+        rollout("search", Order::StartFirst, Phase::Paused),
+        rollout(
             "video",
             Order::StopFirst,
             Phase::Halted("2 copies failed".into()),
@@ -123,7 +123,7 @@
     ]
 }
 
-fn spans() -> Vec<VersionInterval> {
+fn intervals() -> Vec<VersionInterval> {
     let origins = [
         VersionOrigin::File,
         VersionOrigin::Restored,
@@ -131,14 +131,14 @@
         VersionOrigin::Rollback,
         VersionOrigin::CatchUp,
     ];
-    let spans = (0..).zip(origins).map(|(version, origin)| VersionInterval {
+    let intervals = (0..).zip(origins).map(|(version, origin)| VersionInterval {
         version,
         digest: format!("{version:064x}"),
         origin,
         incarnation: 77,
         from_ms: 1_700_000_000_000 + version,
     });
-    spans.collect()
+    intervals.collect()
 }
 
 #[test]
@@ -148,24 +148,26 @@
     assert_eq!(rows(&path), stored, "before anything is opened by our code");
     let store = Store::open(Some(&path));
     let StoredRollouts {
-        rollouts: read_rolls,
+        rollouts: read_rollouts,
         claims: read_claims,
     } = store.load();
-    let read_spans = store.version_history();
-    assert_eq!(read_rolls, rolls());
+    let read_intervals = store.version_history();
+    assert_eq!(read_rollouts, rollouts());
     assert_eq!(read_claims, claims());
-    assert_eq!(Vec::from(read_spans.clone()), spans());
+    assert_eq!(Vec::from(read_intervals.clone()), intervals());
 
     let fresh_path = directory.path().join("fresh.redb");
     let fresh = Store::open(Some(&fresh_path));
     for store in [&store, &fresh] {
-        read_rolls
+        read_rollouts
             .iter()
-            .for_each(|roll| store.save_rollout(roll).expect("written"));
+            .for_each(|rollout| store.save_rollout(rollout).expect("written"));
         read_claims
             .iter()
             .for_each(|claim| store.save_claim(claim).expect("written"));
-        store.save_version_history(&read_spans).expect("written");
+        store
+            .save_version_history(&read_intervals)
+            .expect("written");
     }
     drop((store, fresh));
     assert_eq!(rows(&path), stored, "written over the old rows");
@@ -173,18 +175,21 @@
 
     let again = Store::open(Some(&path));
     let expected = StoredRollouts {
-        rollouts: rolls(),
+        rollouts: rollouts(),
         claims: claims(),
     };
     assert_eq!(again.load(), expected);
     again.delete_claim(ClaimId(8)).expect("written");
     drop(again);
-    let kept = stored.lines().filter(|row| !row.starts_with("claims 8 "));
-    assert!(kept.eq(rows(&path).lines()), "a released claim is removed");
+    let remaining = stored.lines().filter(|row| !row.starts_with("claims 8 "));
+    assert!(
+        remaining.eq(rows(&path).lines()),
+        "a released claim is removed"
+    );
 }
 
 #[test]
-fn half_a_stored_database_is_reported_and_set_aside() {
+fn a_truncated_database_is_reported_and_moved_aside() {
     let (directory, path) = half_of("rollouts.redb");
     let half = std::fs::read(&path).expect("read");
     let (store, log) = logged(&directory, || Store::open(Some(&path)));
@@ -192,7 +197,7 @@
         log.contains(" WARN ") && log.contains("the rollout store can't be read; moved aside"),
         "{log}"
     );
-    let aside = std::fs::read(path.with_extension("aside")).expect("set aside");
+    let aside = std::fs::read(path.with_extension("aside")).expect("moved aside");
     assert_eq!(aside.len(), half.len());
     assert_eq!(store.load(), StoredRollouts::default());
     store.save_claim(&claim(8, true, None)).expect("written");
@@ -200,7 +205,7 @@
 }
 
 #[test]
-fn a_stored_list_is_read_and_written_back_unchanged() {
+fn a_stored_endpoint_list_is_read_and_written_back_unchanged() {
     let (directory, path) = copy_of("endpoint-list.json");
     let (list, log) = logged(&directory, || EndpointList::load(&path));
     assert_eq!(log, "");
@@ -213,7 +218,7 @@
 }
 
 #[test]
-fn half_a_stored_list_is_reported_and_set_aside() {
+fn a_truncated_endpoint_list_is_reported_and_moved_aside() {
     let (directory, path) = half_of("endpoint-list.json");
     let half = std::fs::read(&path).expect("read");
     let (list, log) = logged(&directory, || EndpointList::load(&path));
@@ -222,7 +227,7 @@
             && log.contains("the stored endpoint list can't be read; moved aside"),
         "{log}"
     );
-    let aside = std::fs::read(path.with_extension("aside")).expect("set aside");
+    let aside = std::fs::read(path.with_extension("aside")).expect("moved aside");
     assert_eq!((aside, path.exists()), (half, false));
     list.save(&path).expect("written");
     let empty = std::fs::read_to_string(path).expect("text");
@@ -232,11 +237,14 @@
     );
 }
 
-fn version(number: u64, track: &str) -> Version {
-    let texts: SharedParts = [("bounds/in-hand", "(in-hand 100)"), ("tracks/x", track)]
-        .map(|(name, text)| (name.to_string(), text.to_string()))
-        .into_iter()
-        .collect();
+fn version(number: u64, class_text: &str) -> Version {
+    let texts: SharedParts = [
+        ("bounds/in-hand", "(in-hand 100)"),
+        ("tracks/x", class_text),
+    ]
+    .map(|(name, text)| (name.to_string(), text.to_string()))
+    .into_iter()
+    .collect();
     Version {
         id: VersionId {
             number,
@@ -246,7 +254,7 @@
     }
 }
 
-fn kept() -> PersistedVersions {
+fn persisted() -> PersistedVersions {
     PersistedVersions {
         last_good: Some(version(4, "(calm 0.5)")),
         trial: Some(TrialVersion {
@@ -261,7 +269,7 @@
 fn stored_versions_are_read_and_written_back_unchanged() {
     let (directory, path) = copy_of("versions.json");
     let (read, log) = logged(&directory, || version_files::load(&path));
-    assert_eq!((&read, log.as_str()), (&kept(), ""));
+    assert_eq!((&read, log.as_str()), (&persisted(), ""));
     version_files::save(&path, &read).expect("written");
     let stored = std::fs::read_to_string(data("versions.json")).expect("text");
     for written in [&path, &path.with_extension("before")] {
@@ -270,20 +278,20 @@
 }
 
 #[test]
-fn half_of_the_stored_versions_is_reported_and_set_aside_and_the_file_before_is_read() {
+fn a_truncated_version_file_is_reported_and_moved_aside_and_the_previous_one_is_read() {
     let (directory, path) = half_of("versions.json");
     let half = std::fs::read(&path).expect("read");
     std::fs::copy(data("versions.json"), path.with_extension("before")).expect("copied");
     let (read, log) = logged(&directory, || version_files::load(&path));
-    assert_eq!(read, kept());
+    assert_eq!(read, persisted());
     let message = "the stored version can't be read; moved aside, using the previous file";
     assert!(log.contains(" WARN ") && log.contains(message), "{log}");
-    let aside = std::fs::read(path.with_extension("aside")).expect("set aside");
+    let aside = std::fs::read(path.with_extension("aside")).expect("moved aside");
     assert_eq!((aside, path.exists()), (half, false));
 }
 
 #[test]
-fn half_of_the_stored_versions_and_of_the_file_before_leave_the_deployment_file() {
+fn two_truncated_version_files_leave_the_deployment_file_active() {
     let (directory, path) = half_of("versions.json");
     std::fs::copy(&path, path.with_extension("before")).expect("copied");
     let (read, log) = logged(&directory, || version_files::load(&path));
