--- a/crates/dispatcher/src/active_version.rs
+++ b/crates/dispatcher/src/active_version.rs
@@ -109,7 +109,7 @@
             let subscriber = &state.subscriber;
             let (version_id, texts) = (subscriber.active_version(), subscriber.active_texts());
             let before: Vec<VersionId> = previous
-                .filter(|own| (1..version_id.number).contains(&own.number))
+                .filter(|version| (1..version_id.number).contains(&version.number))
                 .collect();
             if version_id.number > 0 {
                 state
--- a/crates/dispatcher/src/config_stream.rs
+++ b/crates/dispatcher/src/config_stream.rs
@@ -53,13 +53,13 @@
     UnreadReplies,
 }
 
-/// The replies on one stream.
-struct Answers {
+/// Sends the replies on one stream.
+struct ReplySender {
     to: async_channel::Sender<v1::PushReply>,
     dispatcher: u32,
 }
 
-impl Answers {
+impl ReplySender {
     /// Sends the reply to a push. Returns false if the service does not read its replies.
     fn send_reply(&self, versions: &ActiveVersion, nonce: u64, reply: &PushReply) -> bool {
         let (running, on_trial) = versions.with(|state| {
@@ -161,11 +161,11 @@
             Err(error) => return error.into(),
         };
     let (to, from) = async_channel::bounded(MAX_UNREAD_REPLIES);
-    let answers = Answers {
+    let replies = ReplySender {
         to,
         dispatcher: core.deployment().cluster.scheduler_index as u32,
     };
-    answers.send_status(&core.active_version, Answer::Nothing, Vec::new());
+    replies.send_status(&core.active_version, Answer::Nothing, Vec::new());
     let mut pushes = match open_stream(core, connection, from).await {
         Ok(pushes) => pushes,
         Err(error) => return error,
@@ -181,7 +181,7 @@
         if next_push == NextPush::Now {
             // A push that has arrived in the meantime replaces the one that waits.
             while let Some(push) = future::poll_once(pushes.message()).await {
-                if let Err(why) = receive_push(core, &answers, push) {
+                if let Err(why) = receive_push(core, &replies, push) {
                     return why;
                 }
             }
@@ -191,7 +191,7 @@
             else {
                 continue;
             };
-            if !apply_and_answer(core, &answers, &push).await {
+            if !apply_and_answer(core, &replies, &push).await {
                 return StreamError::UnreadReplies;
             }
             continue;
@@ -206,12 +206,12 @@
         };
         let rollback = async {
             if let Ok(why) = rollbacks.recv().await {
-                answers.send_status(&core.active_version, Answer::RolledBack, vec![why]);
+                replies.send_status(&core.active_version, Answer::RolledBack, vec![why]);
             }
             None
         };
         if let Some(push) = pushed.or(due).or(rollback).await
-            && let Err(why) = receive_push(core, &answers, push)
+            && let Err(why) = receive_push(core, &replies, push)
         {
             return why;
         }
@@ -238,20 +238,24 @@
 }
 
 /// Applies a push and answers it. Returns false if the service does not read its replies.
-async fn apply_and_answer(core: &DispatcherCore, answers: &Answers, push: &VersionPush) -> bool {
+async fn apply_and_answer(
+    core: &DispatcherCore,
+    replies: &ReplySender,
+    push: &VersionPush,
+) -> bool {
     let reply = apply(core, push, VersionOrigin::Push).await;
     if let PushReply::Rejected(why) = &reply {
         warn!(version = push.version.number, ?why, "rejected a version");
         core.active_version
             .with(|state| state.last_rejected = Some((push.version, why.clone())));
     }
-    answers.send_reply(&core.active_version, push.nonce, &reply)
+    replies.send_reply(&core.active_version, push.nonce, &reply)
 }
 
 /// Handles a message of the stream, or its end.
 fn receive_push(
     core: &DispatcherCore,
-    answers: &Answers,
+    replies: &ReplySender,
     push: Result<Option<v1::VersionPush>, Status>,
 ) -> Result<(), StreamError> {
     let push = push.map_err(Box::new)?.ok_or(StreamError::Ended)?;
@@ -260,13 +264,13 @@
         let reply = PushReply::Rejected(vec![
             "malformed version id: a number above 0 and 64 hexadecimal digits are required".into(),
         ]);
-        let read = answers.send_reply(&core.active_version, nonce, &reply);
+        let read = replies.send_reply(&core.active_version, nonce, &reply);
         return read.then_some(()).ok_or(StreamError::UnreadReplies);
     };
     if let Some(superseded) = core
         .active_version
         .with(|state| state.subscriber.receive(push))
-        && !answers.send_reply(&core.active_version, superseded.nonce, &superseded.reply)
+        && !replies.send_reply(&core.active_version, superseded.nonce, &superseded.reply)
     {
         return Err(StreamError::UnreadReplies);
     }
--- a/crates/dispatcher/src/core/attempt_events.rs
+++ b/crates/dispatcher/src/core/attempt_events.rs
@@ -103,7 +103,8 @@
                 && self.promote_surge(id, ending == AttemptResult::Cancelled, engine, effects)
             {
                 // The client continues with the new replica.
-            } else if let (Some(how), Some((client, allocation))) = (ended_as, engine.data_mut(id))
+            } else if let (Some(end_reason), Some((client, allocation))) =
+                (ended_as, engine.data_mut(id))
             {
                 // The node has confirmed that the replica is gone, so a replica of the desired
                 // version may be placed.
@@ -114,7 +115,7 @@
                     replacement = effects.replacement_request(client, allocation);
                 } else {
                     let completed = ending == AttemptResult::Completed;
-                    if let Some(successor) = end_client(client, effects, how, completed) {
+                    if let Some(successor) = end_client(client, effects, end_reason, completed) {
                         self.cancel_surge(successor, SurgeEnd::Cancelled, engine, effects);
                     }
                 }
--- a/crates/dispatcher/src/core/effects.rs
+++ b/crates/dispatcher/src/core/effects.rs
@@ -54,7 +54,7 @@
         core: &Arc<DispatcherCore>,
         client: &ClientAllocation,
         machine: MachineId,
-        moved: bool,
+        is_migration: bool,
     ) {
         let Some(node) = self.node(machine) else {
             return;
@@ -63,7 +63,7 @@
             client.request.placement_id.clone(),
             client.request.task.clone(),
         );
-        let kind = if moved {
+        let kind = if is_migration {
             OperationKind::Migrate
         } else {
             OperationKind::Stop
@@ -71,7 +71,7 @@
         let stop = v1::StopRequest {
             placement_id: placement,
             task,
-            migrated: moved,
+            migrated: is_migration,
             except_placement_id: String::new(),
             decider: Some(core.sender(kind, 1)),
         };
@@ -86,12 +86,12 @@
         client: &ClientAllocation,
         allocation: &Allocation,
     ) -> Option<(AllocationRequest, ClientAllocation)> {
-        let within = self
+        let progress_deadline = self
             .rollouts
             .controller(&client.request.service)?
             .rollout()
             .progress_deadline;
-        let expires_at = self.now + within;
+        let expires_at = self.now + progress_deadline;
         let allocation_request = AllocationRequest {
             service: allocation.service,
             service_class: allocation.service_class,
@@ -186,14 +186,14 @@
         }
     }
 
-    /// Records that this dispatcher no longer has a replica. `wanted_no_more`: the client does not
+    /// Records that this dispatcher no longer has a replica. `is_final`: the client does not
     /// place it again.
-    pub fn replica_gone(&mut self, client: &ClientAllocation, wanted_no_more: bool) {
+    pub fn replica_gone(&mut self, client: &ClientAllocation, is_final: bool) {
         let (service, task) = (&client.request.service, &client.request.task);
         let Some(controller) = self.rollouts.controller(service) else {
             return;
         };
-        if !wanted_no_more {
+        if !is_final {
             return controller.replica_lost(self.now, task);
         }
         let claims = controller.replica_removed(task);
--- a/crates/dispatcher/src/core/replicas.rs
+++ b/crates/dispatcher/src/core/replicas.rs
@@ -41,7 +41,7 @@
     pub(super) fn promote_surge(
         &self,
         id: AllocationId,
-        gone: bool,
+        is_gone: bool,
         engine: &mut Engine<ClientAllocation>,
         effects: &mut DispatcherEffects,
     ) -> bool {
@@ -77,7 +77,7 @@
             placement_id: new_placement,
         }));
         engine.swap_names(id, next);
-        if gone {
+        if is_gone {
             effects.replacement_completed(&service, &task);
         } else {
             let (placement_ids, nodes, confirmed_by) =
@@ -197,7 +197,7 @@
                 placement_id: placement_id.into(),
                 ..client.request.clone()
             };
-            let Some(within) = effects
+            let Some(progress_deadline) = effects
                 .rollouts
                 .controller(&request.service)
                 .map(|controller| controller.rollout().progress_deadline)
@@ -209,11 +209,11 @@
                 service_class: allocation.service_class,
                 tenant: allocation.tenant,
                 requested: allocation.requested,
-                deadline: now + within,
+                deadline: now + progress_deadline,
             };
             let new_client = ClientAllocation::new(request, &client.replies);
             let new_client = ClientAllocation {
-                deadline: Some(now + within),
+                deadline: Some(now + progress_deadline),
                 predecessor: Some(old),
                 ..new_client
             };
--- a/crates/dispatcher/src/machine_status.rs
+++ b/crates/dispatcher/src/machine_status.rs
@@ -19,12 +19,12 @@
 ) -> BTreeMap<Machine, MachineStatus> {
     let mut calls = Vec::new();
     for (machine, claim) in claims {
-        let (claim, own) = (claim.unwrap_or(ClaimId(0)), Arc::clone(core));
+        let (claim, owned_core) = (claim.unwrap_or(ClaimId(0)), Arc::clone(core));
         calls.push((
             machine,
             claim,
             core.tasks.spawn(async move {
-                cordon_request(&own, machine, claim, CordonAction::Get).await
+                cordon_request(&owned_core, machine, claim, CordonAction::Get).await
             }),
         ));
     }
--- a/crates/dispatcher/src/maintenance.rs
+++ b/crates/dispatcher/src/maintenance.rs
@@ -97,9 +97,9 @@
     let held = core
         .allocations_by_machine()
         .into_iter()
-        .filter(|(own, _)| maintenance.machines.contains_key(&Machine(own.0)));
+        .filter(|(node, _)| maintenance.machines.contains_key(&Machine(node.0)));
     let costs = held
-        .map(|(own, (movable, not_retryable))| (own.0, estimate_cost(movable, not_retryable)))
+        .map(|(node, (movable, not_retryable))| (node.0, estimate_cost(movable, not_retryable)))
         .collect();
     let dispatcher = core.deployment().cluster.scheduler_index as u32;
     request_all(
@@ -125,7 +125,7 @@
     let member_count = core.deployment().quorum_members.len();
     // A rollout needs its replicas, so no further machine is claimed during one.
     let rollout_in_progress = core.with_rollouts(|_, rollouts| rollouts.in_progress());
-    let own = ReconcileContext {
+    let context = ReconcileContext {
         members: member_count,
         next_claim: claim,
         may_claim: true,
@@ -133,7 +133,7 @@
         unreachable: &unreachable,
         hold_claims: rollout_in_progress,
     };
-    let actions = reconcile(view, &statuses, &own);
+    let actions = reconcile(view, &statuses, &context);
     // Requests to machines are sent first; the steps sent to the quorum members in this round don't
     // depend on their answers.
     let cordon = actions
@@ -201,7 +201,7 @@
         after
             .outcomes
             .iter()
-            .filter(move |(_, own)| **own == end)
+            .filter(move |(_, outcome)| **outcome == end)
             .map(|(machine, _)| machine.0)
     };
     Ok(v1::MaintenanceResponse {
@@ -246,13 +246,13 @@
             step: v1::maintenance_step::Step::Completed.into(),
             ..v1::MaintenanceStep::default()
         };
-        let heard = request_all(core, Operation::MaintenanceStep(step))
+        let reply_count = request_all(core, Operation::MaintenanceStep(step))
             .await
             .len();
         let members = core.deployment().quorum_members.len();
-        if !is_majority(heard, members) {
+        if !is_majority(reply_count, members) {
             let text = format!(
-                "{heard} of {members} quorum members have recorded that machine {node} is completed; repeat the request"
+                "{reply_count} of {members} quorum members have recorded that machine {node} is completed; repeat the request"
             );
             return Err(Status::unavailable(text));
         }
@@ -338,7 +338,7 @@
         .deployment()
         .quorum_members
         .iter()
-        .map(|own| Machine(own.0))
+        .map(|member| Machine(member.0))
         .collect();
     let checked = view.check_start(&machines, &limits, &members);
     checked.map_err(|why| Status::failed_precondition(why.to_string()))?;
--- a/crates/dispatcher/src/maintenance_messages.rs
+++ b/crates/dispatcher/src/maintenance_messages.rs
@@ -42,13 +42,13 @@
     }
 }
 
-fn machine_from_message(own: &v1::MaintenanceMachine) -> (Machine, MachineDomains) {
+fn machine_from_message(message: &v1::MaintenanceMachine) -> (Machine, MachineDomains) {
     (
-        Machine(own.node),
+        Machine(message.node),
         MachineDomains {
-            zone: own.zone,
-            cell: own.cell,
-            machine_type: own.machine_type,
+            zone: message.zone,
+            cell: message.cell,
+            machine_type: message.machine_type,
         },
     )
 }
@@ -157,7 +157,7 @@
         leases: table
             .leases()
             .iter()
-            .map(|(own, out)| lease_message(*own, out, out.phase))
+            .map(|(machine, lease)| lease_message(*machine, lease, lease.phase))
             .collect(),
         completed: ended(LeaseOutcome::Completed).collect(),
         skipped: ended(LeaseOutcome::Skipped).collect(),
@@ -170,15 +170,15 @@
 
 /// Converts a message to the reply of a quorum member. Parts that can't be read are left out.
 pub fn member_reply_from_message(message: &v1::LeaseTable) -> MemberReply {
-    let lease = |own: &v1::MaintenanceLease| {
-        let (machine, machine_domains) = machine_from_message(own.machine.as_ref()?);
-        let slots = Slots::try_from(&own.slots[..]).ok()?;
-        let phase = phase(own.phase())?;
+    let lease = |lease_message: &v1::MaintenanceLease| {
+        let (machine, machine_domains) = machine_from_message(lease_message.machine.as_ref()?);
+        let slots = Slots::try_from(&lease_message.slots[..]).ok()?;
+        let phase = phase(lease_message.phase())?;
         Some((
             machine,
             MaintenanceLease {
-                claim: ClaimId(own.claim),
-                job: own.job,
+                claim: ClaimId(lease_message.claim),
+                job: lease_message.job,
                 domains: machine_domains,
                 slots,
                 phase,
--- a/crates/dispatcher/src/rollout_control.rs
+++ b/crates/dispatcher/src/rollout_control.rs
@@ -160,11 +160,11 @@
         if !is_majority(rollouts.members_heard, members) {
             return Vec::new();
         }
-        let (heard, reported) = (rollouts.members_heard, &rollouts.reported_slots);
+        let (members_heard, reported) = (rollouts.members_heard, &rollouts.reported_slots);
         let controllers = rollouts.controllers.iter_mut();
         let actions = controllers.map(|(service, controller)| {
             let slots = reported.get(service).map_or(&[][..], |slots| &slots[..]);
-            let restored = controller.verify_restored_claims(slots, heard, members);
+            let restored = controller.verify_restored_claims(slots, members_heard, members);
             let mut actions = controller.reconcile(now, slots);
             actions.release.extend(restored.lost);
             actions.claims.extend(restored.retry);
@@ -183,8 +183,8 @@
     for claim in actions.release {
         release(core, service, claim).await;
     }
-    for left in actions.clean_up {
-        core.clear_foreign_claim(service, &left.task, left.claim);
+    for leftover in actions.clean_up {
+        core.clear_foreign_claim(service, &leftover.task, leftover.claim);
     }
     if let Some(why) = actions.halt {
         warn!(service, version = rollout.version, why, "halting a rollout");
@@ -274,13 +274,16 @@
 async fn forget_pair(core: &Arc<DispatcherCore>, claim: ClaimId, pair: ReplicaPair) {
     let store = Arc::clone(&core.store);
     let saved = blocking::unblock(move || {
-        let held = store
+        let stored = store
             .load()
             .claims
             .into_iter()
-            .find(|held| held.claim == claim && held.pair == Some(pair.clone()));
-        held.map_or(Ok(()), |held| {
-            store.save_claim(&StoredClaim { pair: None, ..held })
+            .find(|stored| stored.claim == claim && stored.pair == Some(pair.clone()));
+        stored.map_or(Ok(()), |stored| {
+            store.save_claim(&StoredClaim {
+                pair: None,
+                ..stored
+            })
         })
     });
     if let Err(why) = saved.await {
@@ -336,14 +339,14 @@
     pair: Option<ReplicaPair>,
 ) -> bool {
     let store = Arc::clone(&core.store);
-    let held = StoredClaim {
+    let stored_claim = StoredClaim {
         claim,
         service: service.into(),
         task: task.into(),
         won,
         pair,
     };
-    let saved = blocking::unblock(move || store.save_claim(&held)).await;
+    let saved = blocking::unblock(move || store.save_claim(&stored_claim)).await;
     if let Err(why) = &saved {
         warn!(
             service,
--- a/crates/dispatcher/src/version_service.rs
+++ b/crates/dispatcher/src/version_service.rs
@@ -38,7 +38,7 @@
         let mut counts_by_version = std::collections::HashMap::new();
         counts
             .iter()
-            .for_each(|own| *counts_by_version.entry(own.version).or_default() += own.count);
+            .for_each(|row| *counts_by_version.entry(row.version).or_default() += row.count);
         Ok(Response::new(v1::VersionStatus {
             minimum_version: minimum,
             fenced: is_fenced,
