--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -172,7 +172,8 @@
         let latest = Instant::now() + clock::duration(limits.shutdown_grace);
         wait_until(latest, || core.unanswered_count() == 0).await;
         core.end_all();
-        // Waits until the last replies have been read, but not for clients that don't read.
+        // Waits for a short time until the last replies have been read, but not for clients that
+        // don't read.
         wait_until(Instant::now() + Duration::from_secs(1), || {
             !core.has_open_calls()
         })
