--- a/crates/dispatcher/src/core/placement.rs
+++ b/crates/dispatcher/src/core/placement.rs
@@ -98,7 +98,12 @@
         }
         let full =
             Arc::strong_count(&self.open_calls) > self.deployment().limits.max_calls as usize;
-        full.then(|| (RejectionReason::TooMany, "too many open calls".into()))
+        full.then(|| {
+            (
+                RejectionReason::TooMany,
+                "the limit of open calls is reached".into(),
+            )
+        })
     }
 
     /// Converts a request for the engine, and returns the ticks that its client waits.
