--- a/crates/dispatcher/src/core/removals.rs
+++ b/crates/dispatcher/src/core/removals.rs
@@ -13,7 +13,7 @@
 use std::sync::Arc;
 
 /// The stop requests for one node because of one pending removal.
-struct StopOrder {
+struct PendingStop {
     /// Index into the pending removals.
     removal: usize,
     machine: MachineId,
@@ -67,14 +67,14 @@
         let calls: Vec<_> = self
             .unconfirmed_stops()
             .into_iter()
-            .map(|order| {
+            .map(|pending| {
                 let core = Arc::clone(self);
                 let tasks = Arc::clone(&self.tasks);
                 tasks.spawn(async move {
-                    for stop in order.stops {
-                        attempts::send_stop(core.clone(), order.node.clone(), stop).await?;
+                    for stop in pending.stops {
+                        attempts::send_stop(core.clone(), pending.node.clone(), stop).await?;
                     }
-                    Some((order.removal, order.machine))
+                    Some((pending.removal, pending.machine))
                 })
             })
             .collect();
@@ -86,7 +86,7 @@
     }
 
     /// Returns the stop requests for pending removals that nodes have not confirmed yet.
-    fn unconfirmed_stops(&self) -> Vec<StopOrder> {
+    fn unconfirmed_stops(&self) -> Vec<PendingStop> {
         let mut inner = self.lock();
         let CoreState { engine, effects } = &mut *inner;
         // A replica that has been placed again under another id must not be stopped because of its
@@ -101,7 +101,7 @@
         });
         let effects = &inner.effects;
         let removals = effects.pending_removals.iter().enumerate();
-        let orders = removals.flat_map(|(index, removal)| {
+        let pending_stops = removals.flat_map(|(index, removal)| {
             let nodes = effects.nodes.iter().filter(|(machine, _)| {
                 removal
                     .nodes
@@ -109,14 +109,14 @@
                     .is_none_or(|nodes| nodes.contains(machine))
                     && !removal.confirmed_by.contains(machine)
             });
-            nodes.map(move |(machine, node)| StopOrder {
+            nodes.map(move |(machine, node)| PendingStop {
                 removal: index,
                 machine: *machine,
                 node: Arc::clone(node),
                 stops: self.stop_requests(removal),
             })
         });
-        orders.collect()
+        pending_stops.collect()
     }
 
     /// Returns the stop requests of a removal. Whichever dispatcher follows the replica by now is
