--- a/crates/dispatcher/src/catch_up.rs
+++ b/crates/dispatcher/src/catch_up.rs
@@ -1,5 +1,5 @@
-//! Catching up without a control service: the newest version is requested from other dispatchers,
-//! then from quorum members, and applied like a pushed one. The order is decided in
+//! Catching up without a control service: requests the newest version from other dispatchers, then
+//! from quorum members, and applies it like a pushed one. The order of the requests is decided in
 //! `corkspan_version_fencing`.
 
 use crate::active_version::{push_from_message, version_id_message};
@@ -19,7 +19,7 @@
 use std::time::Duration;
 use tracing::{info, warn};
 
-/// In tenths of a millisecond.
+/// Intervals between requests, in ticks of 0.1 ms.
 const RETRY_INTERVALS: RequestIntervals = RequestIntervals {
     initial: 10_000,
     max: 200_000,
@@ -28,25 +28,25 @@
 /// Longest message with one complete version, in bytes.
 const MAX_PUSH_BYTES: usize = 8 << 20;
 
-/// Requests newer versions for as long as it is polled.
+/// Requests newer versions until the future is dropped.
 pub async fn run(core: Arc<DispatcherCore>) {
-    let mut straggler = CatchUp::new(core.fencing.incarnation ^ 1, RETRY_INTERVALS);
-    while let Some(own) = core.deployment().minimum_version.clone() {
-        let sees = CatchUpStatus {
+    let mut catch_up = CatchUp::new(core.fencing.incarnation ^ 1, RETRY_INTERVALS);
+    while let Some(settings) = core.deployment().minimum_version.clone() {
+        let status = CatchUpStatus {
             has_stream: core
                 .active_version
                 .with(|state| state.control_service.is_some()),
             fenced: core.fenced_by().is_some(),
-            peers: own.peers.len(),
+            peers: settings.peers.len(),
             members: core.deployment().quorum_members.len(),
         };
-        match straggler.poll(core.clock.now(), sees) {
+        match catch_up.poll(core.clock.now(), status) {
             NextStep::Wait(time) => {
                 async_io::Timer::after(crate::clock::duration(time.max(1))).await;
             }
             NextStep::Request(source) => {
-                let came = request_version(&core, &own.peers, source).await;
-                straggler.complete(core.clock.now(), came);
+                let outcome = request_version(&core, &settings.peers, source).await;
+                catch_up.complete(core.clock.now(), outcome);
             }
         }
     }
@@ -64,28 +64,29 @@
         dispatcher,
     };
     let push = match source {
-        VersionSource::Peer(which) => match peers.get(which) {
+        VersionSource::Peer(index) => match peers.get(index) {
             Some(&peer) => request_from_peer(core, peer, request).await,
             None => None,
         },
-        VersionSource::QuorumMember(which) => {
-            quorum_client::request_one(core, which, Operation::FetchVersion(request))
+        VersionSource::QuorumMember(index) => {
+            quorum_client::request_one(core, index, Operation::FetchVersion(request))
                 .await
-                .and_then(|word| word.fetched_version)
+                .and_then(|reply| reply.fetched_version)
         }
     };
-    // No version: the source has no newer one.
+    // A reply without a version means that the source has no newer one.
     let Some(push) = push.filter(|push| push.version.is_some()) else {
         return RequestOutcome::Unchanged;
     };
     let Some(push) = push_from_message(push) else {
         warn!(
             ?source,
-            "a version from another whose stamp is none: a number above 0 and 64 hexadecimal digits"
+            "received a version with a malformed id: a number above 0 and 64 hexadecimal digits are required"
         );
         return RequestOutcome::Unchanged;
     };
-    // Complete, or it could be combined into something that was never active here.
+    // Treated as a complete version: changes to a base could be combined into a version that was
+    // never active here.
     let push = VersionPush {
         base: None,
         removed: Vec::new(),
@@ -93,7 +94,7 @@
     };
     match apply(core, &push, VersionOrigin::CatchUp).await {
         PushReply::Applied => {
-            info!(number = push.version.number, ?source, "brought up");
+            info!(number = push.version.number, ?source, "caught up");
             RequestOutcome::Advanced
         }
         PushReply::Rejected(why) => {
@@ -101,10 +102,10 @@
                 number = push.version.number,
                 ?source,
                 ?why,
-                "a version from another is turned down"
+                "rejected a version while catching up"
             );
             core.active_version
-                .with(|state| state.refused_last = Some((push.version, why)));
+                .with(|state| state.last_rejected = Some((push.version, why)));
             RequestOutcome::Unchanged
         }
         PushReply::Unchanged | PushReply::Superseded(_) | PushReply::FullRequired => {
--- a/crates/dispatcher/src/core/effects.rs
+++ b/crates/dispatcher/src/core/effects.rs
@@ -1,7 +1,7 @@
 //! The effects of decisions: messages to nodes and clients, and the timer.
 
 use super::client::{AfterRemoval, ClientAllocation, PendingRemoval};
-use super::{DispatcherCore, next_placing_id};
+use super::{DispatcherCore, next_placement_id};
 use crate::attempts;
 use crate::clock::duration;
 use crate::node_links::{CountGuard, NodeConnection};
@@ -20,9 +20,9 @@
 
 #[derive(Default)]
 pub struct RequestCounters {
-    pub asked: u64,
+    pub requested: u64,
     pub placed: u64,
-    pub refused: u64,
+    pub rejected: u64,
     pub failed: u64,
     pub cancelled: u64,
 }
@@ -32,7 +32,7 @@
     pub core: Weak<DispatcherCore>,
     pub now: Ticks,
     pub nodes: BTreeMap<MachineId, Arc<NodeConnection>>,
-    /// Endpoints, as last received.
+    /// The endpoints as last received.
     pub entries: BTreeMap<MachineId, Endpoint>,
     pub counters: RequestCounters,
     pub stopping: bool,
@@ -54,24 +54,24 @@
         core: &Arc<DispatcherCore>,
         client: &ClientAllocation,
         machine: MachineId,
-        moved: bool,
+        is_migration: bool,
     ) {
         let Some(node) = self.node(machine) else {
             return;
         };
-        let (placing, task) = (
+        let (placement, task) = (
             client.request.placement_id.clone(),
             client.request.task.clone(),
         );
-        let kind = if moved {
+        let kind = if is_migration {
             OperationKind::Migrate
         } else {
             OperationKind::Stop
         };
         let stop = v1::StopRequest {
-            placement_id: placing,
+            placement_id: placement,
             task,
-            migrated: moved,
+            migrated: is_migration,
             except_placement_id: String::new(),
             decider: Some(core.sender(kind, 1)),
         };
@@ -80,58 +80,58 @@
             .detach();
     }
 
-    /// The request that replaces a replica that a rollout has stopped.
+    /// Returns the request that replaces a replica stopped by a rollout.
     pub fn replacement_request(
         &mut self,
         client: &ClientAllocation,
         allocation: &Allocation,
     ) -> Option<(AllocationRequest, ClientAllocation)> {
-        let within = self
+        let progress_deadline = self
             .rollouts
             .controller(&client.request.service)?
             .rollout()
             .progress_deadline;
-        let abandon = self.now + within;
-        let asked = AllocationRequest {
+        let expires_at = self.now + progress_deadline;
+        let allocation_request = AllocationRequest {
             service: allocation.service,
             service_class: allocation.service_class,
             tenant: allocation.tenant,
             requested: allocation.requested,
-            deadline: abandon,
+            deadline: expires_at,
         };
-        let placing = next_placing_id(&client.request.placement_id);
-        let fresh = ClientAllocation::new(
+        let placement = next_placement_id(&client.request.placement_id);
+        let new_client = ClientAllocation::new(
             v1::PlacementRequest {
-                placement_id: placing,
+                placement_id: placement,
                 ..client.request.clone()
             },
             &client.replies,
         );
         let (current_id, call_deadline) = (client.current_id.clone(), client.call_deadline);
         Some((
-            asked,
+            allocation_request,
             ClientAllocation {
-                deadline: Some(abandon),
+                deadline: Some(expires_at),
                 call_deadline,
                 current_id,
                 replacement: true,
-                ..fresh
+                ..new_client
             },
         ))
     }
 
-    /// The old replica is gone, and the new one has its place.
+    /// Records that the old replica is gone and the new one has taken its place.
     pub fn replacement_completed(&mut self, service: &str, task: &str) {
         let claims = self
             .rollouts
             .controller(service)
-            .map(|own| own.surge_took_over(task))
+            .map(|controller| controller.surge_took_over(task))
             .unwrap_or_default();
         self.return_claims(service, claims);
     }
 
-    /// From here on a new replica beside an old one counts for nothing; its slot is released when
-    /// it is known to be gone.
+    /// Marks a surge replica as cancelled: its reports are ignored from now on, and its slot is
+    /// released once it is known to be gone.
     pub fn record_surge_cancelled(
         &mut self,
         client: &mut ClientAllocation,
@@ -144,7 +144,7 @@
         self.pending_removals.push(PendingRemoval {
             service: client.request.service.clone(),
             task: client.request.task.clone(),
-            placing_ids: vec![client.request.placement_id.clone()],
+            placement_ids: vec![client.request.placement_id.clone()],
             except: None,
             nodes: Some(
                 allocation
@@ -158,13 +158,13 @@
         });
     }
 
-    /// A new replica beside an old one is gone.
+    /// Records that a surge replica is gone.
     pub fn surge_removed(&mut self, service: &str, task: &str, why: SurgeEnd) {
         let now = self.now;
         let claims = self
             .rollouts
             .controller(service)
-            .map(|own| own.surge_ended(now, task, why))
+            .map(|controller| controller.surge_ended(now, task, why))
             .unwrap_or_default();
         self.return_claims(service, claims);
     }
@@ -176,33 +176,36 @@
                 .try_send((service.to_string(), claim))
                 .is_err()
             {
-                // The quorum members still hold it for us and report it: it is released then.
+                // The quorum members still hold the claim for this dispatcher and report it, so it
+                // is released later.
                 warn!(
                     service,
-                    "more claims are to be given back than are kept in mind"
+                    "queue of claims to release is full; the quorum members will report this claim again"
                 );
             }
         }
     }
 
-    /// A replica is no longer ours. `wanted_no_more`: its client does not place it again.
-    pub fn replica_gone(&mut self, client: &ClientAllocation, wanted_no_more: bool) {
+    /// Records that this dispatcher no longer has a replica. `is_final`: the client does not
+    /// place it again.
+    pub fn replica_gone(&mut self, client: &ClientAllocation, is_final: bool) {
         let (service, task) = (&client.request.service, &client.request.task);
         let Some(controller) = self.rollouts.controller(service) else {
             return;
         };
-        if !wanted_no_more {
+        if !is_final {
             return controller.replica_lost(self.now, task);
         }
         let claims = controller.replica_removed(task);
         self.return_claims(service, claims);
     }
 
-    /// Sends the final answer, unless the client's deadline has passed.
-    pub fn answer(&mut self, client: &mut ClientAllocation, said: Reply) -> bool {
+    /// Sends the final answer, unless the client's deadline has passed. Returns whether it was
+    /// sent.
+    pub fn answer(&mut self, client: &mut ClientAllocation, reply: Reply) -> bool {
         if client.replacement {
-            // Its client had its answer before: the replica ends as migrated, and the client places
-            // it again.
+            // The client has been answered before: the replica ends as migrated, and the client
+            // places it again.
             self.replica_gone(client, false);
             client.send_reply(Reply::Ended(v1::Ended {
                 reason: v1::ended::EndReason::SentAway.into(),
@@ -213,7 +216,7 @@
         self.replica_gone(client, true);
         let in_time = client.deadline.take().is_some_and(|at| self.now < at);
         if in_time {
-            client.send_reply(said);
+            client.send_reply(reply);
         }
         client.replies.close();
         in_time
@@ -226,12 +229,12 @@
         client: &mut ClientAllocation,
         allocation: &Allocation,
         machine: MachineId,
-        time_out: Ticks,
+        timeout: Ticks,
     ) {
         let Some(core) = self.core.upgrade() else {
             return;
         };
-        let asked = AllocationRequest {
+        let allocation_request = AllocationRequest {
             service: allocation.service,
             service_class: allocation.service_class,
             tenant: allocation.tenant,
@@ -251,21 +254,22 @@
                 &client.version,
                 client.request.retry && !client.replacement,
             );
-            if !core.is_repeatable(allocation.service_class) {
+            if !core.is_idempotent(allocation.service_class) {
                 controller.forbid_surge(&client.request.task);
             }
         }
         let attempt = core.attempt_message(
             &client.request,
-            &asked,
+            &allocation_request,
             allocation.attempts.len(),
             client.version.clone(),
             OperationKind::Attempt,
         );
         let node = self.node(machine);
-        let most = core.deployment().limits.max_offers_per_node;
-        let unanswered_guard: Option<CountGuard> =
-            node.as_ref().and_then(|node| node.reserve_offer(most));
+        let max_unanswered = core.deployment().limits.max_offers_per_node;
+        let unanswered_guard: Option<CountGuard> = node
+            .as_ref()
+            .and_then(|node| node.reserve_offer(max_unanswered));
         let (id, number, decided) = (allocation.id, allocation.attempts.len(), Instant::now());
         let offer = attempts::AttemptOffer {
             id,
@@ -281,30 +285,30 @@
                 core,
                 offer,
                 attempt,
-                duration(time_out),
+                duration(timeout),
             ))
             .detach();
     }
 
     fn shed(&mut self, client: &mut ClientAllocation, allocation: &Allocation) {
         if client.predecessor.is_some() {
-            // Its client has the old replica, and knows of no other.
+            // The client has the old replica and does not know of this one.
             return self.record_surge_cancelled(client, allocation, SurgeEnd::NoCapacity);
         }
-        let (why, shots) = (
+        let (why, attempt_count) = (
             v1::rejected::RejectionReason::NoRoom.into(),
             allocation.attempts.len() as u32,
         );
-        let text = "no machine could take it in its time".into();
+        let text = "no machine could take the allocation before its deadline".into();
         if self.answer(
             client,
             Reply::Rejected(v1::Rejected {
                 reason: why,
                 message: text,
-                attempts: shots,
+                attempts: attempt_count,
             }),
         ) {
-            self.counters.refused += 1;
+            self.counters.rejected += 1;
         }
     }
 
@@ -312,13 +316,13 @@
         if client.predecessor.is_some() {
             return self.record_surge_cancelled(client, allocation, SurgeEnd::NoCapacity);
         }
-        let shots = allocation.attempts.len() as u32;
-        let text = "a shot may have run, and a further one is not allowed".into();
+        let attempt_count = allocation.attempts.len() as u32;
+        let text = "an attempt may have run, and another is not allowed".into();
         if self.answer(
             client,
             Reply::Failed(v1::Failed {
                 message: text,
-                attempts: shots,
+                attempts: attempt_count,
             }),
         ) {
             self.counters.failed += 1;
@@ -345,15 +349,17 @@
 
     fn watch_endpoints(&mut self) {
         if let Some(core) = self.core.upgrade() {
-            // Full: a watch is requested already.
-            let _ = core.watches.try_send(());
+            // The channel is full if a watch is requested already.
+            let _ = core.watch_sender.try_send(());
         }
     }
 
     fn set_timer(&mut self, after: Ticks) {
         if let Some(core) = self.core.upgrade() {
-            // Always earlier than the present one, so it may replace it.
-            let _ = core.wakes.force_send(Instant::now() + duration(after));
+            // The new time is always earlier than a pending one, so it may replace it.
+            let _ = core
+                .wake_sender
+                .force_send(Instant::now() + duration(after));
         }
     }
 }
--- a/crates/dispatcher/src/core/lifecycle.rs
+++ b/crates/dispatcher/src/core/lifecycle.rs
@@ -15,9 +15,9 @@
             deferred: counts.deferred as u64,
             attempts_in_flight: counts.attempts_pending as u64,
             running: counts.placed as u64,
-            requested: effects.counters.asked,
+            requested: effects.counters.requested,
             placed: effects.counters.placed,
-            rejected: effects.counters.refused,
+            rejected: effects.counters.rejected,
             failed: effects.counters.failed,
             cancelled: effects.counters.cancelled,
             connections: effects
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Closes connections that were idle for the idle timeout.
+    /// Closes connections that have been idle for the idle timeout.
     pub fn close_idle(&self) {
         let nodes: Vec<Arc<NodeConnection>> = self.lock().effects.nodes.values().cloned().collect();
         let idle = duration(self.deployment().limits.idle_timeout);
@@ -42,9 +42,9 @@
         }
     }
 
-    /// No new requests from here on; whatever waits for capacity is answered.
+    /// Admits no new requests from now on, and answers those that wait for capacity.
     pub fn stop(&self) {
-        info!("stopping: no new asks");
+        info!("stopping: new requests are rejected");
         self.with(|now, engine, effects| {
             effects.stopping = true;
             engine.stop(now, effects);
@@ -55,12 +55,15 @@
         self.lock().engine.unanswered().len()
     }
 
-    /// Gives up on attempts without an answer, and hands the running allocations back to their
-    /// clients.
+    /// Ends attempts without an answer as timed out, and hands the running allocations back to
+    /// their clients.
     pub fn end_all(&self) {
         self.with(|now, engine, effects| {
             for (id, attempt) in engine.unanswered() {
-                warn!(?id, shot = attempt, "no answer from a node before the stop");
+                warn!(
+                    ?id,
+                    attempt, "a node did not answer an attempt before the shutdown"
+                );
                 engine.attempt_returned(
                     now,
                     id,
@@ -74,8 +77,8 @@
                     effects,
                 );
             }
-            for (_, client, runs) in engine.iter_mut() {
-                if runs && client.predecessor.is_none() {
+            for (_, client, is_running) in engine.iter_mut() {
+                if is_running && client.predecessor.is_none() {
                     client.send_reply(Reply::Ended(v1::Ended {
                         reason: v1::ended::EndReason::HandedBack.into(),
                     }));
@@ -85,7 +88,7 @@
         });
     }
 
-    /// Whether calls of clients are open.
+    /// Returns whether clients have open calls.
     pub fn has_open_calls(&self) -> bool {
         Arc::strong_count(&self.open_calls) > 1
     }
--- a/crates/dispatcher/src/maintenance_messages.rs
+++ b/crates/dispatcher/src/maintenance_messages.rs
@@ -1,4 +1,4 @@
-//! Machine maintenance as messages of `corkspan.v1`, and back.
+//! Conversions between machine maintenance and messages of `corkspan.v1`.
 
 use corkspan_api::v1::{self, maintenance_step::Step};
 use corkspan_maintenance::lease_table::{ClaimOutcome, LeaseTable};
@@ -33,27 +33,27 @@
     }
 }
 
-fn machine_message(machine: Machine, at: MachineDomains) -> v1::MaintenanceMachine {
+fn machine_message(machine: Machine, machine_domains: MachineDomains) -> v1::MaintenanceMachine {
     v1::MaintenanceMachine {
         node: machine.0,
-        zone: at.zone,
-        cell: at.cell,
-        machine_type: at.machine_type,
+        zone: machine_domains.zone,
+        cell: machine_domains.cell,
+        machine_type: machine_domains.machine_type,
     }
 }
 
-fn machine_from_message(own: &v1::MaintenanceMachine) -> (Machine, MachineDomains) {
+fn machine_from_message(message: &v1::MaintenanceMachine) -> (Machine, MachineDomains) {
     (
-        Machine(own.node),
+        Machine(message.node),
         MachineDomains {
-            zone: own.zone,
-            cell: own.cell,
-            machine_type: own.machine_type,
+            zone: message.zone,
+            cell: message.cell,
+            machine_type: message.machine_type,
         },
     )
 }
 
-/// A request for maintenance as a message.
+/// Converts a request for maintenance to a message.
 pub fn request_message(request: &MaintenanceRequest) -> v1::MaintenancePlan {
     v1::MaintenancePlan {
         revision: request.revision,
@@ -62,7 +62,7 @@
         machines: request
             .machines
             .iter()
-            .map(|(machine, at)| machine_message(*machine, *at))
+            .map(|(machine, machine_domains)| machine_message(*machine, *machine_domains))
             .collect(),
         limits: request.limits.to_array().to_vec(),
         warm_up_ms: request.warm_up_ms,
@@ -82,9 +82,9 @@
     }
 }
 
-/// None where its limits are not four.
+/// Converts a message to a request for maintenance. Returns none if it does not have four limits.
 pub fn request_from_message(message: &v1::MaintenancePlan) -> Option<MaintenanceRequest> {
-    let [all, hall, cell, kind] = message.limits[..] else {
+    let [total_limit, zone_limit, cell, machine_type_limit] = message.limits[..] else {
         return None;
     };
     Some(MaintenanceRequest {
@@ -93,10 +93,10 @@
         job: message.job,
         machines: message.machines.iter().map(machine_from_message).collect(),
         limits: DisruptionLimits {
-            total: all,
-            zone: hall,
+            total: total_limit,
+            zone: zone_limit,
             cell,
-            machine_type: kind,
+            machine_type: machine_type_limit,
         },
         warm_up_ms: message.warm_up_ms,
         drain_timeout_ms: message.drain_timeout_ms,
@@ -109,7 +109,7 @@
     })
 }
 
-/// What to do with a machine that does not drain in time.
+/// Converts the action for a machine that does not drain in time.
 pub fn drain_timeout_action(then: v1::maintenance_plan::DrainTimeoutAction) -> DrainTimeoutAction {
     match then {
         v1::maintenance_plan::DrainTimeoutAction::Wait => DrainTimeoutAction::Wait,
@@ -118,7 +118,7 @@
     }
 }
 
-/// A lease as a message, in the phase that a majority reports.
+/// Converts a lease to a message, with the phase that a majority reports.
 pub fn lease_message(
     machine: Machine,
     lease: &MaintenanceLease,
@@ -133,7 +133,8 @@
     }
 }
 
-/// All that a quorum member stores, for a fleet of `fleet` dispatchers.
+/// Converts everything that a quorum member stores to a message, for a fleet of `fleet`
+/// dispatchers.
 pub fn lease_table_message(lease_table: &LeaseTable, fleet: u32) -> v1::LeaseTable {
     let ended = |which| {
         lease_table
@@ -156,7 +157,7 @@
         leases: lease_table
             .leases()
             .iter()
-            .map(|(own, out)| lease_message(*own, out, out.phase))
+            .map(|(machine, lease)| lease_message(*machine, lease, lease.phase))
             .collect(),
         completed: ended(LeaseOutcome::Completed).collect(),
         skipped: ended(LeaseOutcome::Skipped).collect(),
@@ -167,18 +168,18 @@
     }
 }
 
-/// The reply of a quorum member. Parts that can't be read are left out.
+/// Converts a message to the reply of a quorum member. Parts that can't be read are left out.
 pub fn member_reply_from_message(message: &v1::LeaseTable) -> MemberReply {
-    let lease = |own: &v1::MaintenanceLease| {
-        let (machine, at) = machine_from_message(own.machine.as_ref()?);
-        let slots = Slots::try_from(&own.slots[..]).ok()?;
-        let phase = phase(own.phase())?;
+    let lease = |lease_message: &v1::MaintenanceLease| {
+        let (machine, machine_domains) = machine_from_message(lease_message.machine.as_ref()?);
+        let slots = Slots::try_from(&lease_message.slots[..]).ok()?;
+        let phase = phase(lease_message.phase())?;
         Some((
             machine,
             MaintenanceLease {
-                claim: ClaimId(own.claim),
-                job: own.job,
-                domains: at,
+                claim: ClaimId(lease_message.claim),
+                job: lease_message.job,
+                domains: machine_domains,
                 slots,
                 phase,
             },
@@ -221,7 +222,7 @@
     }
 }
 
-/// The steps to send to the quorum members.
+/// Returns the messages of the steps to send to the quorum members.
 pub fn step_messages(actions: &Actions) -> Vec<v1::MaintenanceStep> {
     let plain = |lease: LeaseId, step: Step| v1::MaintenanceStep {
         node: lease.machine.0,
@@ -272,12 +273,12 @@
     }
 }
 
-/// Applies a claim at a quorum member. True where it is granted.
+/// Applies a claim at a quorum member. Returns whether it is granted.
 pub fn apply_claim(lease_table: &mut LeaseTable, message: &v1::MaintenanceClaim) -> bool {
     let Ok(slots) = Slots::try_from(&message.slots[..]) else {
         return false;
     };
-    // Claim 0 stands for an open cordon.
+    // Claim 0 means that the machine is not cordoned.
     if message.claim == 0 {
         return false;
     }
--- a/crates/dispatcher/src/rollouts.rs
+++ b/crates/dispatcher/src/rollouts.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 use tracing::warn;
 
-/// Services with a rollout that one dispatcher follows, at most.
+/// Largest number of services with a rollout that one dispatcher follows.
 const MAX_ROLLOUTS: usize = 10_000;
 
 /// The rollouts that a dispatcher follows, by service.
@@ -16,7 +16,7 @@
     dispatcher: u32,
     seed: u64,
     pub controllers: BTreeMap<String, RolloutController>,
-    /// The slots that quorum members reported last, by service.
+    /// The slots that the quorum members reported last, by service.
     pub reported_slots: BTreeMap<String, Vec<ReportedSlot>>,
     pub members_heard: usize,
 }
@@ -45,14 +45,14 @@
                 Some(controller) => controller.restore_claim(claim, &task, won),
                 None => warn!(
                     service,
-                    task, "a claim of a roll that the store doesn't know"
+                    task, "a stored claim belongs to a rollout that is not in the store"
                 ),
             }
         }
         rollouts
     }
 
-    /// The version that a new replica of the service gets; empty without a rollout.
+    /// Returns the version that a new replica of the service gets; empty without a rollout.
     pub fn wanted(&self, service: &str) -> String {
         self.controllers
             .get(service)
@@ -61,8 +61,8 @@
             })
     }
 
-    /// Whether any rollout has steps left: replicas of another version, slots in use, or claims of
-    /// ours.
+    /// Returns whether any rollout is unfinished: replicas of another version, slots in use, or
+    /// claims of this dispatcher.
     pub fn in_progress(&self) -> bool {
         let steps = |rollouts: &RolloutController| {
             rollouts.claims().next().is_some() || rollouts.has_work()
@@ -78,20 +78,20 @@
         self.controllers.get_mut(service)
     }
 
-    pub fn adopt(&mut self, now: Ticks, roll: Rollout) {
+    pub fn adopt(&mut self, now: Ticks, rollout: Rollout) {
         let full = self.controllers.len() >= MAX_ROLLOUTS;
-        match self.controllers.get_mut(&roll.service) {
-            Some(controller) => controller.adopt(roll),
+        match self.controllers.get_mut(&rollout.service) {
+            Some(controller) => controller.adopt(rollout),
             None if !full => {
-                let seed = self.seed ^ corkspan_engine::service_id(&roll.service).0;
+                let seed = self.seed ^ corkspan_engine::service_id(&rollout.service).0;
                 self.controllers.insert(
-                    roll.service.clone(),
-                    RolloutController::new(self.dispatcher, seed, roll, now),
+                    rollout.service.clone(),
+                    RolloutController::new(self.dispatcher, seed, rollout, now),
                 );
             }
             None => warn!(
-                service = roll.service,
-                "too many rolls; this one is left out"
+                service = rollout.service,
+                "too many rollouts; this one is not followed"
             ),
         }
     }
