--- a/crates/engine/src/attempts.rs
+++ b/crates/engine/src/attempts.rs
@@ -1,15 +1,15 @@
-//! Where an allocation goes, and what follows from the outcome of an attempt.
+//! Places allocations, and applies the outcomes of their attempts.
 
 use crate::queues::RunQueue;
 use crate::{Effects, Engine, RetryBatch, ReturnedAttempt};
 use corkspan_scheduler::interface::*;
 
-/// Unwanted entries of the run queue are dropped when it holds more than twice as many as there are
-/// allocations, and this many more.
+/// The run queue drops entries of finished allocations when its new entries outnumber twice the
+/// tracked allocations by more than this.
 const RUN_QUEUE_SLACK: usize = 64;
 
 impl<T> Engine<T> {
-    /// Places an allocation: at once, or on demand when its turn comes.
+    /// Evaluates an allocation at once, or queues it where evaluations are on demand.
     pub fn place(&mut self, now: Ticks, id: AllocationId, effects: &mut impl Effects<T>) {
         if self.batch != RetryBatch::ON_DEMAND {
             return self.evaluate(now, id, effects);
@@ -18,14 +18,14 @@
             return;
         };
         self.run_queue.push_fresh(tracked.allocation.deadline, id);
-        // Those that clients gave up must not pile up behind those that are wanted.
+        // Entries of allocations that clients have cancelled must not accumulate.
         if self.run_queue.fresh_len() > 2 * self.tracked.len() + RUN_QUEUE_SLACK {
             let tracked = &self.tracked;
             self.run_queue.retain_fresh(|id| tracked.contains_key(id));
         }
     }
 
-    /// The next allocation to be evaluated on demand, for [`Engine::evaluate`].
+    /// Removes and returns the next allocation to evaluate on demand with [`Engine::evaluate`].
     pub fn next_queued(&mut self) -> Option<AllocationId> {
         while let Some(id) = self.run_queue.pop() {
             if self.tracked.contains_key(&id) {
@@ -35,19 +35,20 @@
         None
     }
 
-    /// Whether one waits to be evaluated on demand.
+    /// Returns whether an allocation waits to be evaluated on demand.
     pub fn has_queued(&self) -> bool {
         !self.run_queue.is_empty()
     }
 
-    /// Asks the scheduler where an allocation goes, also again for a deferred one.
+    /// Lets the scheduler place an allocation, new, deferred or to be retried, and applies its
+    /// decision.
     pub fn evaluate(&mut self, now: Ticks, id: AllocationId, effects: &mut impl Effects<T>) {
         let tracked = self.tracked.get_mut(&id);
         let Some(tracked) = tracked.filter(|tracked| !tracked.finished) else {
             return;
         };
         if !std::mem::replace(&mut tracked.evaluated, true) {
-            // The scheduler learns of its request once, when it first sees it.
+            // For the scheduler, an allocation is accepted when it is first evaluated.
             tracked.allocation.accepted_at = now;
         }
         match self.scheduler.place(now, &tracked.allocation) {
@@ -70,8 +71,8 @@
         }
     }
 
-    /// Its last attempt has left only now, later than it was dispatched: a connection had to come up
-    /// first.
+    /// Records that the allocation's last attempt was sent only now, after its connection was
+    /// established.
     pub fn attempt_sent(&mut self, now: Ticks, id: AllocationId) {
         let tracked = self.tracked.get(&id);
         if let Some(attempt) = tracked.and_then(|tracked| tracked.allocation.attempts.last()) {
@@ -80,8 +81,8 @@
         }
     }
 
-    /// An attempt is placed. False where the answer is of no use: the allocation is over, or has
-    /// been answered.
+    /// Records that an attempt was placed. Returns false where the answer is not needed: the
+    /// allocation has ended, or its client has its answer already.
     pub fn attempt_placed(
         &mut self,
         now: Ticks,
@@ -98,7 +99,7 @@
         first
     }
 
-    /// An attempt has ended. False where there is no such attempt.
+    /// Records the end of an attempt. Returns false where the allocation has no such attempt.
     pub fn attempt_returned(
         &mut self,
         now: Ticks,
@@ -134,8 +135,8 @@
         true
     }
 
-    /// The caller stops: each allocation that is owed an answer gets one as soon as its pending
-    /// attempt, if any, has returned.
+    /// Stops the engine. Each allocation whose client waits for an answer gets one now, or once its
+    /// pending attempt has returned.
     pub fn stop(&mut self, now: Ticks, effects: &mut impl Effects<T>) {
         let mut waiting = Vec::new();
         let tracked = self.tracked.iter_mut();
--- a/crates/engine/src/effects.rs
+++ b/crates/engine/src/effects.rs
@@ -1,10 +1,10 @@
-//! What the caller does with the scheduler's answers.
+//! The interface through which the engine passes the scheduler's decisions to its caller.
 
 use corkspan_scheduler::interface::{Allocation, MachineId, Ticks};
 
-/// What the caller does with the scheduler's answers. `T` is what it keeps with each allocation.
+/// Carries out the scheduler's decisions. `T` is the caller's data for each allocation.
 pub trait Effects<T> {
-    /// Sends the allocation to a machine, as its next attempt, and waits `timeout` for the answer.
+    /// Sends the allocation's next attempt to a machine, and waits up to `timeout` for the answer.
     fn dispatch(
         &mut self,
         data: &mut T,
@@ -12,19 +12,20 @@
         machine: MachineId,
         timeout: Ticks,
     );
-    /// The final answer that it is rejected, and certain to have had no effect.
+    /// Answers the client that the allocation is rejected and that no attempt was executed.
     fn shed(&mut self, data: &mut T, allocation: &Allocation);
-    /// The final answer that it failed, and may have run.
+    /// Answers the client that the allocation failed and that an attempt may have been executed.
     fn indeterminate(&mut self, data: &mut T, allocation: &Allocation);
-    /// Stops a placed allocation so that its client requests it anew.
+    /// Stops a placed allocation, so that its client requests it again.
     fn migrate(&mut self, data: &mut T, allocation: &Allocation);
-    /// A placed allocation is lost with its machine. Only where the caller doesn't learn that by
-    /// itself.
+    /// Handles the loss of a placed allocation with its machine. Called only where the caller does
+    /// not detect losses itself.
     fn lost(&mut self, _data: &mut T, _allocation: &Allocation) {}
     /// Sends a health check to a machine.
     fn check_health(&mut self, machine: MachineId);
-    /// Watches the endpoint list.
+    /// Starts a watch on the endpoint list.
     fn watch_endpoints(&mut self);
-    /// Calls [`Engine::timer_fired`](crate::Engine::timer_fired) after so long; never 0.
+    /// Schedules a call of [`Engine::timer_fired`](crate::Engine::timer_fired) after this time,
+    /// which is never 0.
     fn set_timer(&mut self, after: Ticks);
 }
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -1,4 +1,4 @@
-//! The allocations of one instance.
+//! The engine: the allocations of one scheduler instance, their names and their counts.
 
 use crate::queues::RunQueue;
 use crate::requests::Tracked;
@@ -7,30 +7,30 @@
 use corkspan_scheduler::interface::*;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
-/// One instance: its scheduler and its allocations. `T` is what the caller keeps with each of them.
+/// A scheduler with its allocations. `T` is the caller's data for each allocation.
 pub struct Engine<T> {
     pub(crate) scheduler: Scheduler,
     pub(crate) tracked: BTreeMap<AllocationId, Tracked<T>>,
     pub(crate) by_name: HashMap<String, AllocationId>,
-    /// The deferred ones, in the order in which they came.
+    /// Deferred allocations, in the order in which they were deferred.
     pub(crate) deferred: Vec<AllocationId>,
-    /// The same with their deadlines: some are evaluated again alone, as their time is up.
+    /// Deferred allocations by deadline: those that are due are evaluated again on their own.
     pub(crate) deferred_by_deadline: BTreeSet<(Ticks, AllocationId)>,
-    /// Those to be evaluated again now, batch by batch.
+    /// Allocations to be evaluated again now, in batches.
     pub(crate) retries: VecDeque<AllocationId>,
     pub(crate) run_queue: RunQueue,
     pub(crate) batch: RetryBatch,
-    /// No batch begins before.
+    /// Earliest time of the next batch.
     pub(crate) next_batch_at: Ticks,
     next_id: u64,
     max_tracked: usize,
-    /// When the earliest timer under way falls due.
+    /// Time at which the earliest pending timer fires.
     pub(crate) timer_at: Option<Ticks>,
 }
 
 impl<T> Engine<T> {
-    /// An instance without allocations. It keeps `max_tracked` at a time at most; `usize::MAX` where
-    /// the caller is bounded otherwise.
+    /// Creates an engine without allocations. It tracks at most `max_tracked` at a time; pass
+    /// `usize::MAX` where the caller enforces another bound.
     pub fn new(
         cluster: Cluster,
         seed: u64,
@@ -54,16 +54,17 @@
         }
     }
 
-    /// New settings are in force. Ids of service classes and tenants must mean what they meant.
+    /// Applies new settings. Ids of service classes and tenants must keep their meaning.
     pub fn reconfigure(&mut self, now: Ticks, cluster: Cluster, max_tracked: usize) {
         self.scheduler.reconfigure(now, cluster);
         self.max_tracked = max_tracked;
     }
 
-    /// Admits an allocation. It is not placed yet: [`Engine::place`] is the next call.
+    /// Admits an allocation without placing it; call [`Engine::place`] next.
     ///
     /// # Errors
-    /// If there are as many as there may be, or another has this name. `data` is given back.
+    /// Returns an error, with `data`, where the limit of allocations is reached or another
+    /// allocation has this name.
     pub fn admit(
         &mut self,
         now: Ticks,
@@ -103,10 +104,11 @@
         Ok(id)
     }
 
-    /// Admits one that already runs on a machine. No final answer is owed, only its end is awaited.
+    /// Admits an allocation that already runs on a machine. Its client waits for no answer; it ends
+    /// with its attempt.
     ///
     /// # Errors
-    /// As [`Engine::admit`].
+    /// Returns the same errors as [`Engine::admit`].
     pub fn admit_running(
         &mut self,
         now: Ticks,
@@ -117,7 +119,7 @@
     ) -> Result<AllocationId, (AdmissionError, T)> {
         let id = self.admit(now, name, request, data)?;
         if let Some(tracked) = self.tracked.get_mut(&id) {
-            // The attempt that started it counts as made, though not by us.
+            // The attempt that started it is recorded, although another process made it.
             tracked.allocation.attempts.push(Attempt {
                 machine,
                 sent_at: now,
@@ -130,12 +132,12 @@
         Ok(id)
     }
 
-    /// A metric of a placed allocation has been reported.
+    /// Records a reported metric of a placed allocation.
     pub fn record_metric(&mut self, now: Ticks, id: AllocationId, metric: Metric) {
         self.scheduler.record_metric(now, id, metric);
     }
 
-    /// A health check has come to this.
+    /// Records the outcome of a health check.
     pub fn record_health_check(
         &mut self,
         now: Ticks,
@@ -147,18 +149,18 @@
             .record_health_check(now, machine, ending, report);
     }
 
-    /// The endpoint list, or what has changed in it.
+    /// Applies the endpoint list, or the changes to it.
     pub fn apply_endpoint_list(&mut self, update: ListUpdate, endpoints: &[Endpoint]) {
         self.scheduler.apply_endpoint_list(update, endpoints);
     }
 
-    /// The request for the endpoint list failed, or the watch on it broke.
+    /// Records that the request for the endpoint list failed or the watch on it broke.
     pub fn endpoint_watch_failed(&mut self, now: Ticks) {
         self.scheduler.endpoint_watch_failed(now);
     }
 
-    /// No answer is owed to its client any more, and nothing more is sent. It is forgotten once its
-    /// attempts have an outcome.
+    /// Ends an allocation: its client needs no answer any more, and no further attempt is sent. The
+    /// allocation is removed once no attempt of it is pending.
     pub fn finish(&mut self, id: AllocationId) {
         let Some(tracked) = self.tracked.get_mut(&id) else {
             return;
@@ -173,7 +175,8 @@
         }
     }
 
-    /// Those that are owed an answer while an attempt of theirs is pending, with its number.
+    /// Returns the allocations whose client waits for an answer while an attempt is pending, each
+    /// with that attempt's index.
     pub fn unanswered(&self) -> Vec<(AllocationId, usize)> {
         let tracked = self.tracked.iter();
         let owed = tracked.filter(|(_, one)| one.awaits_answer() && one.pending_attempts > 0);
@@ -181,12 +184,12 @@
             .collect()
     }
 
-    /// The allocation of this name.
+    /// Returns the allocation of this name.
     pub fn find(&self, name: &str) -> Option<AllocationId> {
         self.by_name.get(name).copied()
     }
 
-    /// Exchanges the names of two allocations: the one takes the other's place with its client.
+    /// Exchanges the names of two allocations, so that each takes the other's place for its client.
     pub fn swap_names(&mut self, one: AllocationId, other: AllocationId) {
         if !self.tracked.contains_key(&one) {
             return;
@@ -205,19 +208,19 @@
         }
     }
 
-    /// What the caller keeps with an allocation, and the allocation.
+    /// Returns the caller's data for an allocation, and the allocation.
     pub fn data_mut(&mut self, id: AllocationId) -> Option<(&mut T, &Allocation)> {
         let tracked = self.tracked.get_mut(&id)?;
         Some((&mut tracked.data, &tracked.allocation))
     }
 
-    /// All allocations with what the caller keeps with them, and whether they are placed.
+    /// Iterates over all allocations with the caller's data and whether they are placed.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = (AllocationId, &mut T, bool)> {
         let tracked = self.tracked.iter_mut();
         tracked.map(|(&id, one)| (id, &mut one.data, one.placed && !one.finished))
     }
 
-    /// How many there are of each service class; classes without any are left out.
+    /// Counts the allocations of each service class that has any.
     pub fn count_by_class(&self) -> BTreeMap<ServiceClassId, usize> {
         let mut counts = BTreeMap::new();
         for tracked in self.tracked.values() {
@@ -226,7 +229,7 @@
         counts
     }
 
-    /// How many there are, by what they wait for.
+    /// Counts the allocations by what they wait for.
     pub fn counts(&self) -> AllocationCounts {
         let mut counts = AllocationCounts {
             tracked: self.tracked.len(),
@@ -241,7 +244,7 @@
         counts
     }
 
-    /// The number of entries in all state, also the scheduler's: it must not grow without end.
+    /// Returns the number of entries in all state, including the scheduler's. It must stay bounded.
     pub fn state_size(&self) -> usize {
         let waiting = self.deferred.len() + self.retries.len() + self.run_queue.entries();
         let scheduler: usize = self.scheduler.state_sizes().iter().sum();
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -1,6 +1,6 @@
-//! What every caller of the scheduler keeps and nothing else: its allocations, their attempts, the
-//! deferred ones and the one timer. No I/O, no clock of its own, and no decision: those are asked
-//! of [`corkspan_scheduler::Scheduler`], whose answers go straight to the caller's [`Effects`].
+//! The state that every caller of the scheduler needs: allocations, their attempts, deferred
+//! allocations and one timer. It has no I/O and no clock, and decides nothing itself: it calls
+//! [`corkspan_scheduler::Scheduler`] and passes each decision to the caller's [`Effects`].
 
 #![warn(missing_docs, clippy::too_many_lines)]
 
@@ -20,8 +20,8 @@
 use fnv::FnvHasher;
 use std::hash::Hasher;
 
-/// The id of a service. No instance sees all services, so it comes from the name and not from the
-/// order of requests, and is the same everywhere.
+/// Returns the id of a service, a hash of its name. No instance sees all services, so ids given in
+/// the order of requests would differ between instances.
 pub fn service_id(name: &str) -> ServiceId {
     let mut hasher = FnvHasher::default();
     hasher.write(name.as_bytes());
--- a/crates/engine/src/poll.rs
+++ b/crates/engine/src/poll.rs
@@ -1,17 +1,17 @@
-//! What is to be set going after each event, and the one timer.
+//! Polls the scheduler after each event, and keeps the one timer.
 
 use crate::{Effects, Engine, RetryBatch};
 use corkspan_scheduler::interface::{PollResult, Ticks};
 
 impl<T> Engine<T> {
-    /// The timer of [`Effects::set_timer`] fired. An earlier one may still be under way.
+    /// Handles a timer set by [`Effects::set_timer`]. Timers set earlier may still be pending.
     pub fn timer_fired(&mut self, now: Ticks) {
         if self.timer_at.is_some_and(|at| at <= now) {
             self.timer_at = None;
         }
     }
 
-    /// After each event: what is to be set going, and the timer for the next call.
+    /// Carries out what is due and sets the timer for the next call. To be called after each event.
     pub fn poll(&mut self, now: Ticks, effects: &mut impl Effects<T>) {
         loop {
             let result = self.scheduler.poll(now);
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Evaluates the deferred ones with a deadline up to then.
+    /// Evaluates the deferred allocations whose deadline is at `until` or before.
     fn evaluate_due(&mut self, now: Ticks, until: Ticks, effects: &mut impl Effects<T>) {
         let due = |(deadline, _): &&(Ticks, _)| *deadline <= until;
         while let Some(&(_, id)) = self.deferred_by_deadline.first().filter(due) {
@@ -68,7 +68,7 @@
         }
     }
 
-    /// All deferred ones are to be evaluated again: on demand, or in batches.
+    /// Queues all deferred allocations to be evaluated again, on demand or in batches.
     fn queue_retries(&mut self, now: Ticks) {
         if self.batch != RetryBatch::ON_DEMAND {
             return self.retries.extend(self.deferred.drain(..));
@@ -89,7 +89,7 @@
         self.next_batch_at = now + self.batch.interval;
     }
 
-    /// Sets the timer, unless one is under way that fires no later.
+    /// Sets the timer, unless a pending one fires no later.
     fn set_timer(&mut self, now: Ticks, longest: Ticks, effects: &mut impl Effects<T>) {
         let batch_at = (!self.retries.is_empty()).then_some(self.next_batch_at);
         let sooner = [batch_at, self.run_queue.first_deadline()];
--- a/crates/engine/src/queues.rs
+++ b/crates/engine/src/queues.rs
@@ -1,27 +1,27 @@
-//! Allocations that wait for an evaluation: in batches, or until the caller finds time.
+//! Allocations that wait for an evaluation, in batches or on demand.
 
 use corkspan_scheduler::interface::{AllocationId, Ticks};
 use std::collections::{BTreeSet, VecDeque};
 
-/// How many deferred allocations are evaluated again in one go, and the time between two goes.
-/// Thousands at once would keep a caller with sockets from reading them: it would miss the reports
-/// that are waited for, and all would be evaluated in vain.
+/// The size of the batches in which deferred allocations are evaluated again, and the time between
+/// them. A caller that evaluates thousands at once does not read its sockets meanwhile: it misses
+/// the reports that the allocations wait for, and the evaluations achieve nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetryBatch {
-    /// So many at most.
+    /// Largest number of allocations in a batch.
     pub max_size: usize,
-    /// So long between two batches.
+    /// Time between two batches.
     pub interval: Ticks,
 }
 
 impl RetryBatch {
-    /// All at once, for a caller that has nothing else to do meanwhile.
+    /// All at once, for a caller that has nothing else to do.
     pub const ALL: RetryBatch = RetryBatch {
         max_size: usize::MAX,
         interval: 0,
     };
-    /// None by itself: the caller calls [`Engine::evaluate`](crate::Engine::evaluate) as it finds
-    /// time, between what it reads.
+    /// No automatic batches: the caller calls [`Engine::evaluate`](crate::Engine::evaluate) when it
+    /// has time between messages.
     pub const ON_DEMAND: RetryBatch = RetryBatch {
         max_size: 0,
         interval: 0,
@@ -31,40 +31,41 @@
 /// Allocations with their deadlines.
 type Deadline = (Ticks, AllocationId);
 
-/// Those that wait for an evaluation on demand, [`RetryBatch::ON_DEMAND`]. An evaluation costs some
-/// hundred times what reading a message costs; where messages wait behind evaluations, an
-/// overloaded caller learns of ends too late to pass them on in time.
+/// Allocations that wait for an evaluation on demand, see [`RetryBatch::ON_DEMAND`]. An evaluation
+/// costs about a hundred times as much as reading a message. If messages waited behind evaluations,
+/// an overloaded caller would learn too late that attempts have ended to pass that on in time.
 #[derive(Default)]
 pub(crate) struct RunQueue {
-    /// New ones and those whose attempt has returned.
+    /// New allocations, and those whose attempt has returned.
     fresh: VecDeque<Deadline>,
     deferred: VecDeque<Deadline>,
-    /// Which of the two goes first, in turns: neither can hold up the other.
+    /// Whether the deferred queue was tried first last time. The two take turns, so that neither
+    /// starves the other.
     deferred_first: bool,
-    /// All of them: however many wait, each is evaluated at its deadline.
+    /// All queued allocations by deadline: each is evaluated at its deadline, however many wait.
     by_deadline: BTreeSet<Deadline>,
 }
 
 impl RunQueue {
-    /// A new one, or one whose attempt has returned.
+    /// Queues a new allocation, or one whose attempt has returned.
     pub fn push_fresh(&mut self, deadline: Ticks, id: AllocationId) {
         self.fresh.push_back((deadline, id));
         self.by_deadline.insert((deadline, id));
     }
 
-    /// One that was deferred.
+    /// Queues an allocation that was deferred.
     pub fn push_deferred(&mut self, deadline: Ticks, id: AllocationId) {
         self.deferred.push_back((deadline, id));
         self.by_deadline.insert((deadline, id));
     }
 
-    /// Drops those that are no longer wanted.
+    /// Drops the new entries that are no longer wanted.
     pub fn retain_fresh(&mut self, wanted: impl Fn(&AllocationId) -> bool) {
         self.fresh.retain(|(_, id)| wanted(id));
         self.by_deadline.retain(|(_, id)| wanted(id));
     }
 
-    /// The next one.
+    /// Removes and returns the next allocation.
     pub fn pop(&mut self) -> Option<AllocationId> {
         self.deferred_first = !self.deferred_first;
         let (first, second) = match self.deferred_first {
@@ -76,7 +77,7 @@
         Some(next.1)
     }
 
-    /// The next one whose deadline has come.
+    /// Removes and returns the next allocation whose deadline has passed.
     pub fn pop_overdue(&mut self, now: Ticks) -> Option<AllocationId> {
         let &(at, id) = self.by_deadline.first()?;
         if at > now {
@@ -86,22 +87,22 @@
         Some(id)
     }
 
-    /// The first deadline.
+    /// Returns the earliest deadline.
     pub fn first_deadline(&self) -> Option<Ticks> {
         self.by_deadline.first().map(|(at, _)| *at)
     }
 
-    /// How many new ones wait.
+    /// Returns the number of queued new allocations.
     pub fn fresh_len(&self) -> usize {
         self.fresh.len()
     }
 
-    /// Whether none waits.
+    /// Returns whether no allocation is queued.
     pub fn is_empty(&self) -> bool {
         self.fresh.is_empty() && self.deferred.is_empty()
     }
 
-    /// The number of entries in all.
+    /// Returns the number of entries in all three collections.
     pub fn entries(&self) -> usize {
         self.fresh.len() + self.deferred.len() + self.by_deadline.len()
     }
--- a/crates/engine/src/requests.rs
+++ b/crates/engine/src/requests.rs
@@ -1,24 +1,24 @@
-//! Allocations that the engine keeps, and what is told of them.
+//! The allocations that the engine tracks, and the types that describe them to the caller.
 
 use corkspan_scheduler::interface::*;
 
-/// An allocation in the engine.
+/// An allocation that the engine tracks.
 pub(crate) struct Tracked<T> {
     pub name: String,
-    /// What the caller keeps with it.
+    /// The caller's data.
     pub data: T,
     pub allocation: Allocation,
-    /// Attempts without an outcome.
+    /// Number of attempts without an outcome.
     pub pending_attempts: usize,
     pub placed: bool,
-    /// No answer is owed to its client.
+    /// Whether its client needs no answer any more.
     pub finished: bool,
-    /// The scheduler has evaluated it.
+    /// Whether the scheduler has evaluated it.
     pub evaluated: bool,
 }
 
 impl<T> Tracked<T> {
-    /// Whether an answer is owed to its client.
+    /// Returns whether its client waits for an answer.
     pub fn awaits_answer(&self) -> bool {
         !self.finished && !self.placed
     }
@@ -27,24 +27,24 @@
 /// Why an allocation was not admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum AdmissionError {
-    /// There are as many as there may be.
+    /// The limit of allocations is reached.
     #[error("as many allocations as may be are in hand")]
     Full,
-    /// Another has this name.
+    /// Another allocation has this name.
     #[error("one of this name is in hand, or a shot of it is still out")]
     DuplicateName,
 }
 
-/// What an allocation is, as its client says.
+/// An allocation as its client requests it.
 #[derive(Clone, Debug)]
 pub struct AllocationRequest {
     /// Its service.
     pub service: ServiceId,
     /// The class of its service.
     pub service_class: ServiceClassId,
-    /// Who requests it.
+    /// The tenant that requests it.
     pub tenant: TenantId,
-    /// What is requested.
+    /// The resources that are requested.
     pub requested: Resources,
     /// When the client stops waiting for the final answer.
     pub deadline: Ticks,
@@ -53,25 +53,25 @@
 /// The end of an attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct ReturnedAttempt {
-    /// How it ended.
+    /// The result.
     pub ending: AttemptResult,
-    /// Why, where the machine says.
+    /// The reason, if the machine gave one.
     pub reason: Option<ReturnReason>,
-    /// No answer is owed to the client.
+    /// Whether the client needs no answer any more.
     pub finished: bool,
-    /// The machine's load, where it was reported with the outcome.
+    /// The machine's load, if it was reported with the outcome.
     pub report: Option<LoadReport>,
 }
 
-/// How many allocations there are, by what they wait for.
+/// The number of allocations by what they wait for.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AllocationCounts {
-    /// All of them.
+    /// All allocations.
     pub tracked: usize,
-    /// Not placed, and not at a machine.
+    /// Allocations that are not placed and have no pending attempt.
     pub deferred: usize,
-    /// Not placed, with an attempt that has no outcome yet.
+    /// Allocations that are not placed and have a pending attempt.
     pub attempts_pending: usize,
-    /// Placed.
+    /// Placed allocations.
     pub placed: usize,
 }
--- a/crates/engine/tests/engine.rs
+++ b/crates/engine/tests/engine.rs
@@ -1,4 +1,4 @@
-//! What a caller relies on, one story each, against a wire that writes down what it is told.
+//! Tests of the engine's behaviour for its caller, with effects that are only recorded.
 
 use corkspan_engine::{
     AdmissionError, AllocationRequest, Effects, Engine, RetryBatch, ReturnedAttempt, service_id,
@@ -61,7 +61,7 @@
     )
 }
 
-/// The next that waits has its turn; false where none does.
+/// Evaluates the next queued allocation. Returns false where none is queued.
 fn turn(host: &mut Engine<&'static str>, now: Ticks, wire: &mut Noted) -> bool {
     host.next_queued()
         .map(|id| host.evaluate(now, id, wire))
@@ -366,7 +366,7 @@
     assert_ne!(service_id("quotes"), service_id("quote"));
 }
 
-/// So many that wait for their turn, all with the same abandon time.
+/// Returns an engine with this many allocations queued for evaluation, all with the same deadline.
 fn by_turns(machines: u32, many: usize) -> (Engine<&'static str>, Noted) {
     let mut host = sliced(
         RetrySafety::Idempotent,
@@ -453,8 +453,8 @@
     assert!(host.state_size() < 200, "{} kept", host.state_size());
 }
 
-/// All wait as a zone goes, and all at once there is room. What is asked meanwhile goes with the
-/// views, not with time.
+/// Simulates the loss of a zone: all allocations are deferred, until there is capacity for all at
+/// once. Until then evaluations must follow updates of the view, not the passage of time.
 #[test]
 fn a_thousand_deferred_allocations_are_left_alone_until_there_is_capacity() {
     let mut host = sliced(RetrySafety::Idempotent, 100, 10_000, RetryBatch::ON_DEMAND);
