--- a/crates/engine/src/requests.rs
+++ b/crates/engine/src/requests.rs
@@ -28,10 +28,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum AdmissionError {
     /// The limit of allocations is reached.
-    #[error("as many allocations as may be are in hand")]
+    #[error("the limit of allocations is reached")]
     Full,
     /// Another allocation has this name.
-    #[error("one of this name is in hand, or a shot of it is still out")]
+    #[error("another allocation has this name, or an attempt of it is still pending")]
     DuplicateName,
 }
 
