--- a/crates/engine/src/attempts.rs
+++ b/crates/engine/src/attempts.rs
@@ -95,7 +95,7 @@
         };
         let first = tracked.awaits_answer();
         tracked.placed = true;
-        self.outcome(now, id, attempt, Outcome::Placed, effects);
+        self.apply_outcome(now, id, attempt, Outcome::Placed, effects);
         first
     }
 
@@ -128,7 +128,7 @@
             finished,
             report: returned.report,
         };
-        self.outcome(now, id, attempt, outcome, effects);
+        self.apply_outcome(now, id, attempt, outcome, effects);
         if finished {
             self.finish(id);
         }
@@ -140,7 +140,7 @@
     pub fn stop(&mut self, now: Ticks, effects: &mut impl Effects<T>) {
         let mut waiting = Vec::new();
         let tracked = self.tracked.iter_mut();
-        for (&id, tracked) in tracked.filter(|(_, one)| one.awaits_answer()) {
+        for (&id, tracked) in tracked.filter(|(_, tracked)| tracked.awaits_answer()) {
             let allocation = &mut tracked.allocation;
             allocation.deadline = allocation.deadline.min(now);
             if tracked.pending_attempts == 0 {
@@ -156,7 +156,7 @@
         self.run_queue = RunQueue::default();
     }
 
-    fn outcome(
+    fn apply_outcome(
         &mut self,
         now: Ticks,
         id: AllocationId,
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -179,8 +179,10 @@
     /// with that attempt's index.
     pub fn unanswered(&self) -> Vec<(AllocationId, usize)> {
         let tracked = self.tracked.iter();
-        let owed = tracked.filter(|(_, one)| one.awaits_answer() && one.pending_attempts > 0);
-        owed.map(|(&id, one)| (id, one.allocation.attempts.len() - 1))
+        let unanswered =
+            tracked.filter(|(_, tracked)| tracked.awaits_answer() && tracked.pending_attempts > 0);
+        unanswered
+            .map(|(&id, tracked)| (id, tracked.allocation.attempts.len() - 1))
             .collect()
     }
 
@@ -190,21 +192,25 @@
     }
 
     /// Exchanges the names of two allocations, so that each takes the other's place for its client.
-    pub fn swap_names(&mut self, one: AllocationId, other: AllocationId) {
-        if !self.tracked.contains_key(&one) {
+    pub fn swap_names(&mut self, first: AllocationId, second: AllocationId) {
+        if !self.tracked.contains_key(&first) {
             return;
         }
-        let Some(name) = self.tracked.get(&other).map(|tracked| tracked.name.clone()) else {
+        let Some(second_name) = self
+            .tracked
+            .get(&second)
+            .map(|tracked| tracked.name.clone())
+        else {
             return;
         };
-        let Some(tracked) = self.tracked.get_mut(&one) else {
+        let Some(tracked) = self.tracked.get_mut(&first) else {
             return;
         };
-        let former = std::mem::replace(&mut tracked.name, name.clone());
-        self.by_name.insert(name, one);
-        self.by_name.insert(former.clone(), other);
-        if let Some(tracked) = self.tracked.get_mut(&other) {
-            tracked.name = former;
+        let first_name = std::mem::replace(&mut tracked.name, second_name.clone());
+        self.by_name.insert(second_name, first);
+        self.by_name.insert(first_name.clone(), second);
+        if let Some(tracked) = self.tracked.get_mut(&second) {
+            tracked.name = first_name;
         }
     }
 
@@ -217,7 +223,7 @@
     /// Iterates over all allocations with the caller's data and whether they are placed.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = (AllocationId, &mut T, bool)> {
         let tracked = self.tracked.iter_mut();
-        tracked.map(|(&id, one)| (id, &mut one.data, one.placed && !one.finished))
+        tracked.map(|(&id, tracked)| (id, &mut tracked.data, tracked.placed && !tracked.finished))
     }
 
     /// Counts the allocations of each service class that has any.
--- a/crates/engine/src/poll.rs
+++ b/crates/engine/src/poll.rs
@@ -15,7 +15,7 @@
     pub fn poll(&mut self, now: Ticks, effects: &mut impl Effects<T>) {
         loop {
             let result = self.scheduler.poll(now);
-            self.set_going(&result, effects);
+            self.apply_poll_result(&result, effects);
             if let Some(until) = result.retry_deadline_limit {
                 self.evaluate_due(now, until, effects);
                 if result.retry_deferred {
@@ -37,7 +37,7 @@
         }
     }
 
-    fn set_going(&mut self, result: &PollResult, effects: &mut impl Effects<T>) {
+    fn apply_poll_result(&mut self, result: &PollResult, effects: &mut impl Effects<T>) {
         if result.watch_endpoints {
             effects.watch_endpoints();
         }
@@ -90,12 +90,12 @@
     }
 
     /// Sets the timer, unless a pending one fires no later.
-    fn set_timer(&mut self, now: Ticks, longest: Ticks, effects: &mut impl Effects<T>) {
+    fn set_timer(&mut self, now: Ticks, max_delay: Ticks, effects: &mut impl Effects<T>) {
         let batch_at = (!self.retries.is_empty()).then_some(self.next_batch_at);
-        let sooner = [batch_at, self.run_queue.first_deadline()];
-        let after = match sooner.into_iter().flatten().min() {
-            Some(at) => longest.min(at.saturating_sub(now)).max(1),
-            None => longest.max(1),
+        let queue_times = [batch_at, self.run_queue.first_deadline()];
+        let after = match queue_times.into_iter().flatten().min() {
+            Some(at) => max_delay.min(at.saturating_sub(now)).max(1),
+            None => max_delay.max(1),
         };
         if self.timer_at.is_none_or(|at| at > now + after) {
             effects.set_timer(after);
--- a/crates/engine/src/queues.rs
+++ b/crates/engine/src/queues.rs
@@ -28,7 +28,7 @@
     };
 }
 
-/// Allocations with their deadlines.
+/// An allocation with its deadline.
 type Deadline = (Ticks, AllocationId);
 
 /// Allocations that wait for an evaluation on demand, see [`RetryBatch::ON_DEMAND`]. An evaluation
--- a/crates/engine/tests/engine.rs
+++ b/crates/engine/tests/engine.rs
@@ -8,30 +8,30 @@
 const SECOND: Ticks = 10_000;
 
 #[derive(Default)]
-struct Noted(Vec<String>);
+struct RecordedEffects(Vec<String>);
 
-impl Effects<&'static str> for Noted {
+impl Effects<&'static str> for RecordedEffects {
     fn dispatch(
         &mut self,
-        own: &mut &'static str,
+        name: &mut &'static str,
         allocation: &Allocation,
         machine: MachineId,
         _: Ticks,
     ) {
         self.0.push(format!(
-            "{own}: shot {} to {}",
+            "{name}: attempt {} to {}",
             allocation.attempts.len(),
             machine.0
         ));
     }
-    fn shed(&mut self, own: &mut &'static str, _: &Allocation) {
-        self.0.push(format!("{own}: shed"));
+    fn shed(&mut self, name: &mut &'static str, _: &Allocation) {
+        self.0.push(format!("{name}: shed"));
     }
-    fn indeterminate(&mut self, own: &mut &'static str, _: &Allocation) {
-        self.0.push(format!("{own}: scrapped"));
+    fn indeterminate(&mut self, name: &mut &'static str, _: &Allocation) {
+        self.0.push(format!("{name}: indeterminate"));
     }
-    fn migrate(&mut self, own: &mut &'static str, _: &Allocation) {
-        self.0.push(format!("{own}: moved"));
+    fn migrate(&mut self, name: &mut &'static str, _: &Allocation) {
+        self.0.push(format!("{name}: migrate"));
     }
     fn check_health(&mut self, _: MachineId) {}
     fn watch_endpoints(&mut self) {
@@ -39,21 +39,21 @@
     }
     fn set_timer(&mut self, after: Ticks) {
         assert!(after > 0, "a timer of 0 would spin");
-        self.0.push("wake".into());
+        self.0.push("timer".into());
     }
 }
 
-impl Noted {
-    fn said(&mut self) -> String {
+impl RecordedEffects {
+    fn take(&mut self) -> String {
         std::mem::take(&mut self.0).join("; ")
     }
 }
 
-fn host(repeat: RetrySafety, machines: u32, most: usize) -> Engine<&'static str> {
-    sliced(
-        repeat,
+fn engine(retry_safety: RetrySafety, machines: u32, max_tracked: usize) -> Engine<&'static str> {
+    engine_with_batch(
+        retry_safety,
         machines,
-        most,
+        max_tracked,
         RetryBatch {
             max_size: 2,
             interval: 20,
@@ -62,24 +62,29 @@
 }
 
 /// Evaluates the next queued allocation. Returns false where none is queued.
-fn turn(host: &mut Engine<&'static str>, now: Ticks, wire: &mut Noted) -> bool {
-    host.next_queued()
-        .map(|id| host.evaluate(now, id, wire))
+fn evaluate_next(
+    engine: &mut Engine<&'static str>,
+    now: Ticks,
+    effects: &mut RecordedEffects,
+) -> bool {
+    engine
+        .next_queued()
+        .map(|id| engine.evaluate(now, id, effects))
         .is_some()
 }
 
-fn sliced(
-    repeat: RetrySafety,
+fn engine_with_batch(
+    retry_safety: RetrySafety,
     machines: u32,
-    most: usize,
-    slice: RetryBatch,
+    max_tracked: usize,
+    batch: RetryBatch,
 ) -> Engine<&'static str> {
     let size = Resources {
         cores: 40.0,
         memory: 100.0,
     };
-    let track = ServiceClass {
-        retry_safety: repeat,
+    let service_class = ServiceClass {
+        retry_safety,
         latency_objective: SECOND,
         target_utilization: 1.0,
         priority: 0,
@@ -91,7 +96,7 @@
         scheduler_index: 0,
         scheduler_count: 1,
         machine_types: vec![size],
-        service_classes: vec![track],
+        service_classes: vec![service_class],
         tenants: Vec::new(),
         admission_limit: Resources {
             cores: 2.0,
@@ -112,12 +117,12 @@
         cross_zone_cost: 0.0,
         caller_detects_losses: true,
     };
-    let mut host = Engine::new(cluster, 1, 0, most, slice);
-    host.apply_endpoint_list(
+    let mut engine = Engine::new(cluster, 1, 0, max_tracked, batch);
+    engine.apply_endpoint_list(
         ListUpdate::Cached,
         &(0..machines).map(entry).collect::<Vec<_>>(),
     );
-    host
+    engine
 }
 
 fn entry(id: u32) -> Endpoint {
@@ -132,8 +137,8 @@
     }
 }
 
-fn asked(abandon: Ticks) -> AllocationRequest {
-    let asks = Resources {
+fn request(deadline: Ticks) -> AllocationRequest {
+    let resources = Resources {
         cores: 1.0,
         memory: 1.0,
     };
@@ -141,152 +146,184 @@
         service: service_id("s"),
         service_class: ServiceClassId(0),
         tenant: TenantId(0),
-        requested: asks,
-        deadline: abandon,
+        requested: resources,
+        deadline,
     }
 }
 
-fn refused(
-    host: &mut Engine<&'static str>,
+fn reject(
+    engine: &mut Engine<&'static str>,
     now: Ticks,
     id: AllocationId,
-    shot: usize,
-    wire: &mut Noted,
+    attempt: usize,
+    effects: &mut RecordedEffects,
 ) {
-    host.attempt_returned(
+    engine.attempt_returned(
         now,
         id,
-        shot,
+        attempt,
         ReturnedAttempt {
             ending: AttemptResult::Rejected,
             reason: Some(ReturnReason::NoCores),
             finished: false,
             report: None,
         },
-        wire,
+        effects,
     );
 }
 
 #[test]
 fn a_duplicate_name_is_not_admitted_and_the_data_is_given_back() {
-    let mut host = host(RetrySafety::Idempotent, 1, 10);
-    host.admit(0, "a", asked(SECOND), "first").expect("room");
-    let again = host.admit(0, "a", asked(SECOND), "second");
+    let mut engine = engine(RetrySafety::Idempotent, 1, 10);
+    engine
+        .admit(0, "a", request(SECOND), "first")
+        .expect("room");
+    let again = engine.admit(0, "a", request(SECOND), "second");
     assert_eq!(again.err(), Some((AdmissionError::DuplicateName, "second")));
 }
 
 #[test]
 fn past_the_limit_none_is_admitted_until_one_is_over() {
-    let mut host = host(RetrySafety::Idempotent, 0, 1);
-    let id = host.admit(0, "a", asked(SECOND), "a").expect("room");
+    let mut engine = engine(RetrySafety::Idempotent, 0, 1);
+    let id = engine.admit(0, "a", request(SECOND), "a").expect("room");
     assert_eq!(
-        host.admit(0, "b", asked(SECOND), "b").err(),
+        engine.admit(0, "b", request(SECOND), "b").err(),
         Some((AdmissionError::Full, "b"))
     );
-    host.finish(id);
-    assert!(host.admit(0, "b", asked(SECOND), "b").is_ok());
+    engine.finish(id);
+    assert!(engine.admit(0, "b", request(SECOND), "b").is_ok());
 }
 
 #[test]
 fn an_allocation_that_no_machine_takes_waits_and_is_shed_before_its_deadline() {
-    let (mut host, mut wire) = (host(RetrySafety::Idempotent, 0, 10), Noted::default());
-    let id = host.admit(0, "a", asked(SECOND), "a").expect("room");
-    host.place(0, id, &mut wire);
-    assert_eq!(host.counts().deferred, 1);
+    let (mut engine, mut effects) = (
+        engine(RetrySafety::Idempotent, 0, 10),
+        RecordedEffects::default(),
+    );
+    let id = engine.admit(0, "a", request(SECOND), "a").expect("room");
+    engine.place(0, id, &mut effects);
+    assert_eq!(engine.counts().deferred, 1);
     let mut now = 0;
-    while !wire.0.iter().any(|said| said == "a: shed") {
+    while !effects.0.iter().any(|effect| effect == "a: shed") {
         now += 10;
         assert!(now < SECOND, "no answer in time");
-        host.timer_fired(now);
-        host.poll(now, &mut wire);
+        engine.timer_fired(now);
+        engine.poll(now, &mut effects);
     }
-    assert_eq!(host.counts(), Default::default());
+    assert_eq!(engine.counts(), Default::default());
 }
 
 #[test]
 fn deferred_allocations_are_retried_in_batches_and_all_of_them() {
-    let (mut host, mut wire) = (host(RetrySafety::Idempotent, 0, 10), Noted::default());
+    let (mut engine, mut effects) = (
+        engine(RetrySafety::Idempotent, 0, 10),
+        RecordedEffects::default(),
+    );
     for name in ["a", "b", "c", "d", "e"] {
-        let id = host.admit(0, name, asked(10 * SECOND), name).expect("room");
-        host.place(0, id, &mut wire);
+        let id = engine
+            .admit(0, name, request(10 * SECOND), name)
+            .expect("room");
+        engine.place(0, id, &mut effects);
     }
-    assert_eq!((wire.said(), host.counts().deferred), (String::new(), 5));
-    host.apply_endpoint_list(ListUpdate::Complete, &[entry(7)]);
-    let mut slices = Vec::new();
+    assert_eq!(
+        (effects.take(), engine.counts().deferred),
+        (String::new(), 5)
+    );
+    engine.apply_endpoint_list(ListUpdate::Complete, &[entry(7)]);
+    let mut batches = Vec::new();
     for now in 1..2 * SECOND {
-        host.timer_fired(now);
-        host.poll(now, &mut wire);
-        let sent = wire.said().matches("to 7").count();
+        engine.timer_fired(now);
+        engine.poll(now, &mut effects);
+        let sent = effects.take().matches("to 7").count();
         if sent > 0 {
-            slices.push((now, sent));
+            batches.push((now, sent));
         }
     }
     assert_eq!(
-        slices.iter().map(|(_, sent)| sent).collect::<Vec<_>>(),
+        batches.iter().map(|(_, sent)| sent).collect::<Vec<_>>(),
         [&2, &2, &1]
     );
     assert!(
-        slices.windows(2).all(|two| two[1].0 >= two[0].0 + 20),
-        "with time between: {slices:?}"
+        batches.windows(2).all(|pair| pair[1].0 >= pair[0].0 + 20),
+        "batches too close together: {batches:?}"
     );
 }
 
 #[test]
 fn after_a_swap_of_names_each_is_found_by_the_others_name() {
-    let mut host = host(RetrySafety::Idempotent, 1, 10);
-    let old = host.admit(0, "task", asked(SECOND), "old").expect("room");
-    let new = host.admit(0, "beside", asked(SECOND), "new").expect("room");
-    host.swap_names(old, new);
+    let mut engine = engine(RetrySafety::Idempotent, 1, 10);
+    let old = engine
+        .admit(0, "task", request(SECOND), "old")
+        .expect("room");
+    let new = engine
+        .admit(0, "beside", request(SECOND), "new")
+        .expect("room");
+    engine.swap_names(old, new);
     assert_eq!(
-        (host.find("task"), host.find("beside")),
+        (engine.find("task"), engine.find("beside")),
         (Some(new), Some(old))
     );
-    host.finish(old);
-    assert_eq!((host.find("task"), host.find("beside")), (Some(new), None));
+    engine.finish(old);
+    assert_eq!(
+        (engine.find("task"), engine.find("beside")),
+        (Some(new), None)
+    );
 }
 
 #[test]
 fn the_name_of_a_cancelled_allocation_is_kept_while_its_attempt_is_pending() {
-    let (mut host, mut wire) = (host(RetrySafety::NotRetryable, 1, 10), Noted::default());
-    let id = host.admit(0, "a", asked(SECOND), "a").expect("room");
-    host.place(0, id, &mut wire);
-    host.finish(id);
+    let (mut engine, mut effects) = (
+        engine(RetrySafety::NotRetryable, 1, 10),
+        RecordedEffects::default(),
+    );
+    let id = engine.admit(0, "a", request(SECOND), "a").expect("room");
+    engine.place(0, id, &mut effects);
+    engine.finish(id);
     assert_eq!(
-        host.admit(1, "a", asked(SECOND), "again").err(),
+        engine.admit(1, "a", request(SECOND), "again").err(),
         Some((AdmissionError::DuplicateName, "again"))
     );
-    refused(&mut host, 2, id, 0, &mut wire);
+    reject(&mut engine, 2, id, 0, &mut effects);
     assert_eq!(
-        wire.said(),
-        "a: shot 0 to 0",
-        "nothing is sent for one that is over"
+        effects.take(),
+        "a: attempt 0 to 0",
+        "nothing is sent after the end"
     );
-    assert!(host.admit(3, "a", asked(SECOND), "again").is_ok());
+    assert!(engine.admit(3, "a", request(SECOND), "again").is_ok());
 }
 
 #[test]
 fn an_answer_after_the_end_is_ignored() {
-    let (mut host, mut wire) = (host(RetrySafety::Idempotent, 1, 10), Noted::default());
-    let id = host.admit(0, "a", asked(SECOND), "a").expect("room");
-    host.place(0, id, &mut wire);
-    host.finish(id);
-    assert!(!host.attempt_placed(5, id, 0, &mut wire));
+    let (mut engine, mut effects) = (
+        engine(RetrySafety::Idempotent, 1, 10),
+        RecordedEffects::default(),
+    );
+    let id = engine.admit(0, "a", request(SECOND), "a").expect("room");
+    engine.place(0, id, &mut effects);
+    engine.finish(id);
+    assert!(!engine.attempt_placed(5, id, 0, &mut effects));
 }
 
 #[test]
 fn only_the_first_placed_answer_counts() {
-    let (mut host, mut wire) = (host(RetrySafety::Idempotent, 1, 10), Noted::default());
-    let id = host.admit(0, "a", asked(SECOND), "a").expect("room");
-    host.place(0, id, &mut wire);
-    assert!(host.attempt_placed(5, id, 0, &mut wire));
-    assert!(!host.attempt_placed(6, id, 0, &mut wire));
+    let (mut engine, mut effects) = (
+        engine(RetrySafety::Idempotent, 1, 10),
+        RecordedEffects::default(),
+    );
+    let id = engine.admit(0, "a", request(SECOND), "a").expect("room");
+    engine.place(0, id, &mut effects);
+    assert!(engine.attempt_placed(5, id, 0, &mut effects));
+    assert!(!engine.attempt_placed(6, id, 0, &mut effects));
 }
 
 #[test]
 fn an_unknown_attempt_is_reported() {
-    let (mut host, mut wire) = (host(RetrySafety::Idempotent, 1, 10), Noted::default());
-    let id = host.admit(0, "a", asked(SECOND), "a").expect("room");
-    assert!(!host.attempt_returned(
+    let (mut engine, mut effects) = (
+        engine(RetrySafety::Idempotent, 1, 10),
+        RecordedEffects::default(),
+    );
+    let id = engine.admit(0, "a", request(SECOND), "a").expect("room");
+    assert!(!engine.attempt_returned(
         1,
         id,
         7,
@@ -296,29 +333,32 @@
             finished: true,
             report: None
         },
-        &mut wire
+        &mut effects
     ));
 }
 
 #[test]
 fn at_a_stop_deferred_allocations_are_answered_at_once_and_others_after_their_attempt() {
-    let (mut host, mut wire) = (host(RetrySafety::NotRetryable, 1, 10), Noted::default());
-    let out = host
-        .admit(0, "out", asked(9 * SECOND), "out")
+    let (mut engine, mut effects) = (
+        engine(RetrySafety::NotRetryable, 1, 10),
+        RecordedEffects::default(),
+    );
+    let pending = engine
+        .admit(0, "pending", request(9 * SECOND), "pending")
         .expect("room");
-    host.place(0, out, &mut wire);
-    host.apply_endpoint_list(ListUpdate::Complete, &[]);
-    let waits = host
-        .admit(0, "waits", asked(9 * SECOND), "waits")
+    engine.place(0, pending, &mut effects);
+    engine.apply_endpoint_list(ListUpdate::Complete, &[]);
+    let deferred = engine
+        .admit(0, "deferred", request(9 * SECOND), "deferred")
         .expect("room");
-    host.place(0, waits, &mut wire);
-    wire.said();
-    host.stop(10, &mut wire);
-    assert_eq!(wire.said(), "waits: shed");
-    assert_eq!(host.unanswered(), [(out, 0)]);
-    host.attempt_returned(
+    engine.place(0, deferred, &mut effects);
+    effects.take();
+    engine.stop(10, &mut effects);
+    assert_eq!(effects.take(), "deferred: shed");
+    assert_eq!(engine.unanswered(), [(pending, 0)]);
+    engine.attempt_returned(
         20,
-        out,
+        pending,
         0,
         ReturnedAttempt {
             ending: AttemptResult::TimedOut,
@@ -326,25 +366,28 @@
             finished: false,
             report: None,
         },
-        &mut wire,
+        &mut effects,
     );
     assert_eq!(
-        wire.said(),
-        "out: scrapped",
-        "a shot that may have run promises nothing"
+        effects.take(),
+        "pending: indeterminate",
+        "the attempt may have been executed"
     );
-    assert_eq!(host.counts().tracked, 0);
+    assert_eq!(engine.counts().tracked, 0);
 }
 
 #[test]
 fn an_adopted_allocation_is_owed_no_answer_and_ends_with_its_attempt() {
-    let (mut host, mut wire) = (host(RetrySafety::NotRetryable, 1, 10), Noted::default());
-    let id = host
-        .admit_running(0, "a", asked(0), MachineId(0), "a")
+    let (mut engine, mut effects) = (
+        engine(RetrySafety::NotRetryable, 1, 10),
+        RecordedEffects::default(),
+    );
+    let id = engine
+        .admit_running(0, "a", request(0), MachineId(0), "a")
         .expect("room");
-    host.poll(100, &mut wire);
-    assert!(host.unanswered().is_empty());
-    host.attempt_returned(
+    engine.poll(100, &mut effects);
+    assert!(engine.unanswered().is_empty());
+    engine.attempt_returned(
         200,
         id,
         0,
@@ -354,10 +397,13 @@
             finished: true,
             report: None,
         },
-        &mut wire,
+        &mut effects,
+    );
+    assert!(
+        !effects.take().contains("a:"),
+        "no answer and no further attempt"
     );
-    assert!(!wire.said().contains("a:"), "no answer and no further shot");
-    assert_eq!(host.counts().tracked, 0);
+    assert_eq!(engine.counts().tracked, 0);
 }
 
 #[test]
@@ -366,99 +412,102 @@
     assert_ne!(service_id("quotes"), service_id("quote"));
 }
 
-/// Returns an engine with this many allocations queued for evaluation, all with the same deadline.
-fn by_turns(machines: u32, many: usize) -> (Engine<&'static str>, Noted) {
-    let mut host = sliced(
+/// Returns an engine with queued allocations, all with the same deadline.
+fn engine_on_demand(machines: u32, allocations: usize) -> (Engine<&'static str>, RecordedEffects) {
+    let mut engine = engine_with_batch(
         RetrySafety::Idempotent,
         machines,
         10_000,
         RetryBatch::ON_DEMAND,
     );
-    let mut wire = Noted::default();
-    for number in 0..many {
-        let id = host
-            .admit(0, &number.to_string(), asked(SECOND), "a")
+    let mut effects = RecordedEffects::default();
+    for number in 0..allocations {
+        let id = engine
+            .admit(0, &number.to_string(), request(SECOND), "a")
             .expect("room");
-        host.place(0, id, &mut wire);
+        engine.place(0, id, &mut effects);
     }
-    (host, wire)
+    (engine, effects)
 }
 
 #[test]
 fn on_demand_evaluations_wait_until_the_caller_has_time() {
-    let (mut host, mut wire) = by_turns(1, 3);
-    host.poll(1, &mut wire);
-    assert!(!wire.said().contains("shot"), "none by itself");
+    let (mut engine, mut effects) = engine_on_demand(1, 3);
+    engine.poll(1, &mut effects);
+    assert!(
+        !effects.take().contains("attempt"),
+        "none before the caller evaluates them"
+    );
     for more in [true, true, true, false] {
-        assert_eq!(turn(&mut host, 2, &mut wire), more);
+        assert_eq!(evaluate_next(&mut engine, 2, &mut effects), more);
         assert_eq!(
-            wire.said().matches("shot").count(),
+            effects.take().matches("attempt").count(),
             usize::from(more),
-            "one a turn"
+            "one for each call"
         );
     }
 }
 
 #[test]
 fn a_caller_without_time_still_answers_all_at_their_deadline() {
-    let (mut host, mut wire) = by_turns(1, 500);
-    host.poll(SECOND - 1, &mut wire);
-    assert!(!wire.said().contains("shed"), "not before");
-    host.timer_fired(SECOND);
-    host.poll(SECOND, &mut wire);
-    assert_eq!(wire.said().matches("a: shed").count(), 500);
-    while turn(&mut host, SECOND, &mut wire) {}
+    let (mut engine, mut effects) = engine_on_demand(1, 500);
+    engine.poll(SECOND - 1, &mut effects);
+    assert!(!effects.take().contains("shed"), "not before the deadline");
+    engine.timer_fired(SECOND);
+    engine.poll(SECOND, &mut effects);
+    assert_eq!(effects.take().matches("a: shed").count(), 500);
+    while evaluate_next(&mut engine, SECOND, &mut effects) {}
     assert_eq!(
-        (wire.said(), host.counts()),
+        (effects.take(), engine.counts()),
         (String::new(), Default::default()),
-        "once each"
+        "each is answered once"
     );
 }
 
 #[test]
 fn deferred_and_new_allocations_are_evaluated_in_turns() {
-    let (mut host, mut wire) = by_turns(0, 100);
-    while turn(&mut host, 1, &mut wire) {}
-    host.poll(SECOND / 20 + 1, &mut wire);
-    host.apply_endpoint_list(ListUpdate::Complete, &[entry(7)]);
+    let (mut engine, mut effects) = engine_on_demand(0, 100);
+    while evaluate_next(&mut engine, 1, &mut effects) {}
+    engine.poll(SECOND / 20 + 1, &mut effects);
+    engine.apply_endpoint_list(ListUpdate::Complete, &[entry(7)]);
     for number in 0..100 {
-        let id = host
-            .admit(600, &format!("new {number}"), asked(SECOND), "new")
+        let id = engine
+            .admit(600, &format!("new {number}"), request(SECOND), "new")
             .expect("room");
-        host.place(600, id, &mut wire);
+        engine.place(600, id, &mut effects);
     }
-    wire.said();
-    (0..20).for_each(|_| assert!(turn(&mut host, 600, &mut wire)));
-    let said = wire.said();
+    effects.take();
+    (0..20).for_each(|_| assert!(evaluate_next(&mut engine, 600, &mut effects)));
+    let recorded = effects.take();
     assert_eq!(
         (
-            said.matches("a: shot").count(),
-            said.matches("new: shot").count()
+            recorded.matches("a: attempt").count(),
+            recorded.matches("new: attempt").count()
         ),
         (10, 10),
-        "{said}"
+        "{recorded}"
     );
 }
 
 #[test]
-fn requests_given_up_before_their_evaluation_do_not_pile_up() {
-    let (mut host, mut wire) = by_turns(1, 0);
+fn allocations_cancelled_before_their_evaluation_do_not_accumulate() {
+    let (mut engine, mut effects) = engine_on_demand(1, 0);
     for number in 0..10_000 {
-        let id = host
-            .admit(0, &number.to_string(), asked(SECOND), "a")
+        let id = engine
+            .admit(0, &number.to_string(), request(SECOND), "a")
             .expect("room");
-        host.place(0, id, &mut wire);
-        host.finish(id);
+        engine.place(0, id, &mut effects);
+        engine.finish(id);
     }
-    assert!(host.state_size() < 200, "{} kept", host.state_size());
+    assert!(engine.state_size() < 200, "{} kept", engine.state_size());
 }
 
 /// Simulates the loss of a zone: all allocations are deferred, until there is capacity for all at
 /// once. Until then evaluations must follow updates of the view, not the passage of time.
 #[test]
 fn a_thousand_deferred_allocations_are_left_alone_until_there_is_capacity() {
-    let mut host = sliced(RetrySafety::Idempotent, 100, 10_000, RetryBatch::ON_DEMAND);
-    let report = |host: &mut Engine<&'static str>, now, cores| {
+    let mut engine = engine_with_batch(RetrySafety::Idempotent, 100, 10_000, RetryBatch::ON_DEMAND);
+    let report = |engine: &mut Engine<&'static str>, now, cores| {
         let report = Some(LoadReport {
             available: Resources {
                 cores,
@@ -466,43 +515,47 @@
             },
         });
         (0..100).for_each(|id| {
-            host.record_health_check(now, MachineId(id), AttemptResult::Completed, report)
+            engine.record_health_check(now, MachineId(id), AttemptResult::Completed, report)
         });
     };
-    report(&mut host, 0, 0.0);
-    let mut wire = Noted::default();
+    report(&mut engine, 0, 0.0);
+    let mut effects = RecordedEffects::default();
     for number in 0..1_000 {
-        let asks = Resources {
+        let resources = Resources {
             cores: 0.5 + f64::from(number % 7) / 10.0,
             memory: 1.0,
         };
         let service = service_id(&(number % 50).to_string());
-        let id = host.admit(
+        let id = engine.admit(
             0,
             &number.to_string(),
             AllocationRequest {
                 service,
-                requested: asks,
-                ..asked(SECOND * 60)
+                requested: resources,
+                ..request(SECOND * 60)
             },
             "a",
         );
-        host.place(0, id.expect("room"), &mut wire);
+        engine.place(0, id.expect("room"), &mut effects);
     }
-    let turns = |host: &mut Engine<&'static str>, now, wire: &mut Noted| {
-        host.timer_fired(now);
-        host.poll(now, wire);
-        std::iter::from_fn(|| turn(host, now, wire).then_some(())).count()
-    };
-    let asked: usize = (1..=100)
-        .map(|step| turns(&mut host, step * SECOND / 100, &mut wire))
+    let evaluate_queued =
+        |engine: &mut Engine<&'static str>, now, effects: &mut RecordedEffects| {
+            engine.timer_fired(now);
+            engine.poll(now, effects);
+            std::iter::from_fn(|| evaluate_next(engine, now, effects).then_some(())).count()
+        };
+    let evaluations: usize = (1..=100)
+        .map(|step| evaluate_queued(&mut engine, step * SECOND / 100, &mut effects))
         .sum();
     assert!(
-        (2_000..=6_000).contains(&asked),
-        "a thousand with each view in a second, and once at first: {asked}"
+        (2_000..=6_000).contains(&evaluations),
+        "a thousand at first and with each view in a second: {evaluations}"
+    );
+    assert!(!effects.take().contains("attempt"));
+    report(&mut engine, SECOND, 30.0);
+    let sent = evaluate_queued(&mut engine, SECOND + SECOND / 20, &mut effects);
+    assert_eq!(
+        (sent, effects.take().matches("attempt").count()),
+        (1_000, 1_000)
     );
-    assert!(!wire.said().contains("shot"));
-    report(&mut host, SECOND, 30.0);
-    let sent = turns(&mut host, SECOND + SECOND / 20, &mut wire);
-    assert_eq!((sent, wire.said().matches("shot").count()), (1_000, 1_000));
 }
