--- a/crates/quorum/src/lib.rs
+++ b/crates/quorum/src/lib.rs
@@ -1,15 +1,15 @@
-//! Agreement at a majority of a few nodes, without I/O and without a clock. docs/rollout.md says
-//! why it is done this way.
+//! Agreement by a majority of a few nodes, without I/O and without a clock. docs/rollout.md gives
+//! the reasons for this design.
 //!
-//! Dispatchers share nothing, and none of them leads. What they must agree on is a [`Proposal`]
-//! with a revision: it is committed once a majority of the quorum members, a few nodes that the
-//! deployment names, holds it. Under a committed proposal a limited number of slots may be claimed.
-//! A slot is held by whoever a majority has granted it to, whichever other nodes die or hear
-//! nothing.
+//! Dispatchers share no state and have no leader. They agree on a [`Proposal`] with a revision: it
+//! is committed once it is held by a majority of the quorum members, which are a few nodes that the
+//! deployment names. Under a committed proposal a limited number of slots may be claimed. A slot is
+//! held by the claim that a majority has granted it to, even if other nodes fail or receive no
+//! messages.
 //!
 //! A [`QuorumMember`] is the state of one of these nodes. It must survive the node's restart; a
-//! node that has lost it must come back as another member. What a proposal is about is for its user
-//! to say: rolling updates, the minimum version, or maintenance.
+//! node that has lost it must rejoin as another member. Users of this package define what is
+//! proposed: rolling updates, the minimum version, or maintenance.
 
 #![warn(missing_docs, clippy::too_many_lines)]
 
@@ -19,18 +19,18 @@
 pub use member::{ClaimId, ClaimOutcome, Entry, Grant, QuorumMember};
 pub use proposal::{Proposal, base_proposal, committed};
 
-/// Whether this many of all members are more than half of them.
+/// Returns whether `count` is more than half of all members.
 #[must_use]
 pub fn is_majority(count: usize, members: usize) -> bool {
     2 * count > members
 }
 
-/// Whether one of this many dispatchers acts on what all of them see in the same round: a few are
-/// enough, and more would only get in each other's way at the quorum. `draw` is drawn evenly from
-/// 0 to 1.
+/// Returns whether one of this many dispatchers acts on what all of them observe in the same round.
+/// A few are enough, and more would only conflict at the quorum. `draw` is drawn uniformly from 0
+/// to 1.
 #[must_use]
 pub fn sampled(dispatchers: usize, draw: f64) -> bool {
-    /// Dispatchers that act, on average.
+    /// Average number of dispatchers that act.
     const EXPECTED_ACTORS: f64 = 3.0;
     draw < EXPECTED_ACTORS / dispatchers.max(1) as f64
 }
--- a/crates/quorum/src/member.rs
+++ b/crates/quorum/src/member.rs
@@ -1,27 +1,27 @@
-//! One quorum member: the proposals that it holds, and who holds their slots.
+//! The state of one quorum member: the proposals that it holds and the claims on their slots.
 
 use crate::proposal::Proposal;
 use serde::{Deserialize, Serialize};
 use std::borrow::Borrow;
 use std::collections::BTreeMap;
 
-/// Keys of one kind that a member holds at the most: what others may ask of it over a wire must not
-/// grow without end.
+/// Largest number of keys that a member holds, so that requests from the network can't make it grow
+/// without bound.
 const MAX_KEYS: usize = 10_000;
 
-/// One claim of a slot. It is drawn anew for each claim, so that a late message about an earlier
-/// one can't be taken for a later one.
+/// Random id of one claim of a slot. Each claim gets a new id, so that a late message about an
+/// earlier claim can't be mistaken for a later one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ClaimId(pub u64);
 
-/// Who holds a slot.
+/// The holder of a slot.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Grant {
-    /// The claim that it was granted to.
+    /// The claim that the slot was granted to.
     pub claim: ClaimId,
-    /// The task that it is used for.
+    /// The task that the slot is used for.
     pub task: String,
-    /// Number of the dispatcher that claimed it.
+    /// Number of the dispatcher that claimed the slot.
     pub dispatcher: u32,
 }
 
@@ -31,19 +31,19 @@
 pub enum ClaimOutcome {
     /// This claim holds the slot here.
     Granted,
-    /// Another claim holds it, or as many slots are held as may be.
+    /// Another claim holds the slot, or the limit of held slots is reached.
     Occupied,
     /// The member holds another proposal for the key, or none.
     StaleRevision,
 }
 
-/// What a member holds for one key.
+/// A member's state for one key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry<P> {
-    /// The latest proposal that was taken here.
+    /// The latest proposal that the member accepted.
     #[serde(rename = "wish")]
     pub proposal: P,
-    /// The slots that are held here, by index.
+    /// The holders of the slots at this member, by slot index.
     pub slots: BTreeMap<u32, Grant>,
 }
 
@@ -76,9 +76,9 @@
 }
 
 impl<P: Proposal> QuorumMember<P> {
-    /// Takes a proposal if its revision is above that of the one held. Returns what is held
-    /// afterwards: the proposal itself where it was taken, now or before; none where no more keys
-    /// can be held. Claims under the earlier proposal go on holding their slots.
+    /// Accepts a proposal if its revision is above that of the one held. Returns the proposal that
+    /// is held afterwards, which equals the given one if that was accepted now or before; none
+    /// where the limit of keys is reached. Claims under the earlier proposal keep their slots.
     pub fn propose(&mut self, proposal: P) -> Option<&P> {
         let key = proposal.key();
         if !self.entries.contains_key(&key) && self.entries.len() >= MAX_KEYS {
@@ -94,9 +94,9 @@
         Some(&entry.proposal)
     }
 
-    /// Claims a slot under the proposal held for the key, if that has this revision. A limit below
-    /// the one before holds for slots granted under that too: none is granted until enough have
-    /// been released.
+    /// Claims a slot under the proposal held for the key, if that has this revision. Slots granted
+    /// under an earlier proposal count against a lowered limit: none is granted until enough of
+    /// them are released.
     pub fn claim<K>(&mut self, key: &K, revision: u64, slot: u32, grant: Grant) -> ClaimOutcome
     where
         P::Key: Borrow<K>,
@@ -125,8 +125,8 @@
         ClaimOutcome::Granted
     }
 
-    /// Frees what this claim holds, and nothing else: a late or repeated message frees no later
-    /// claim's slot.
+    /// Releases only what this claim holds: a late or repeated message can't release the slot of a
+    /// later claim.
     pub fn release<K>(&mut self, key: &K, claim: ClaimId)
     where
         P::Key: Borrow<K>,
@@ -137,7 +137,7 @@
         }
     }
 
-    /// What is held, in the order of the keys.
+    /// Iterates over the entries in the order of their keys.
     pub fn entries(&self) -> impl Iterator<Item = &Entry<P>> {
         self.entries.values()
     }
--- a/crates/quorum/src/proposal.rs
+++ b/crates/quorum/src/proposal.rs
@@ -1,30 +1,31 @@
-//! Proposals, and which of those that members report is committed.
+//! Proposals, and the rule for which of the reported proposals is committed.
 
 use crate::is_majority;
 
-/// What somebody wants to be in force. Two proposals of one key and revision that are not equal
+/// A value for the quorum to agree on. Two different proposals with the same key and revision
 /// compete, and at most one of them is committed.
 pub trait Proposal: Clone + PartialEq {
-    /// What it is about: one proposal is in force for each key.
+    /// Identifies the subject of a proposal: at most one proposal is in effect for each key.
     type Key: Clone + Ord;
 
-    /// The key that it is about.
+    /// Returns the proposal's key.
     fn key(&self) -> Self::Key;
 
-    /// Counts the proposals of a key. Of those that a majority holds the highest is in force.
+    /// Returns the proposal's number among those of its key. The highest number that a majority
+    /// holds is in effect.
     fn revision(&self) -> u64;
 
-    /// The same proposal with another revision.
+    /// Returns the same proposal with another revision.
     #[must_use]
     fn with_revision(&self, revision: u64) -> Self;
 
-    /// How many slots may be held under it at a time.
+    /// Returns how many slots may be held under it at a time.
     fn max_slots(&self) -> u32;
 }
 
-/// The committed proposal among those that members report for one key: the highest that a majority
-/// of all `members` holds. None where the reports show no majority; whatever was committed before
-/// then stays so.
+/// Returns the committed proposal among those that members report for one key: the highest that a
+/// majority of all `members` holds. Returns none where the reports show no majority; what was
+/// committed before then stays committed.
 pub fn committed<'a, P: Proposal>(
     reported: impl IntoIterator<Item = &'a P>,
     members: usize,
@@ -39,9 +40,9 @@
     agreed.max_by_key(|proposal| proposal.revision()).copied()
 }
 
-/// What the next proposal builds on, by what a majority of members reports for one key: the
-/// committed one, with the highest revision reported. A proposal that no majority took counts for
-/// its revision, or the next one could not be above it everywhere.
+/// Returns the base of the next proposal, from the proposals that a majority of members reports for
+/// one key: the committed one, with the highest revision reported. The revision of an uncommitted
+/// proposal counts too, since the next one must be above it at every member.
 pub fn base_proposal<P: Proposal>(reported: &[P], members: usize) -> Option<P> {
     let highest = reported.iter().max_by_key(|proposal| proposal.revision())?;
     let base = committed(reported, members).unwrap_or(highest);
--- a/crates/quorum/tests/member.rs
+++ b/crates/quorum/tests/member.rs
@@ -1,10 +1,10 @@
-//! What a quorum member holds, and what is committed of it.
+//! Tests of a quorum member's proposals and slots, and of which proposal is committed.
 
 use corkspan_quorum::{
     ClaimId, ClaimOutcome, Grant, Proposal, QuorumMember, base_proposal, committed, sampled,
 };
 
-/// A limit on slots, by name.
+/// A proposal of a number of slots; its key is a name.
 #[derive(Clone, Debug, PartialEq)]
 struct Limit {
     name: String,
