--- a/crates/quorum/src/proposal.rs
+++ b/crates/quorum/src/proposal.rs
@@ -31,13 +31,15 @@
     members: usize,
 ) -> Option<&'a P> {
     let reported: Vec<&P> = reported.into_iter().collect();
-    let agreed = reported.iter().filter(|proposal| {
+    let committed = reported.iter().filter(|proposal| {
         is_majority(
             reported.iter().filter(|other| other == proposal).count(),
             members,
         )
     });
-    agreed.max_by_key(|proposal| proposal.revision()).copied()
+    committed
+        .max_by_key(|proposal| proposal.revision())
+        .copied()
 }
 
 /// Returns the base of the next proposal, from the proposals that a majority of members reports for
--- a/crates/quorum/tests/member.rs
+++ b/crates/quorum/tests/member.rs
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn an_earlier_or_competing_proposal_is_not_taken() {
+fn an_earlier_or_competing_proposal_is_not_accepted() {
     let mut member = QuorumMember::default();
     assert_eq!(member.propose(limit("a", 3)), Some(&limit("a", 3)));
     assert_eq!(member.propose(limit("a", 2)), Some(&limit("a", 3)));
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn no_further_key_is_taken_than_a_member_can_hold() {
+fn a_member_accepts_no_key_beyond_its_limit() {
     let mut member = QuorumMember::default();
     for number in 0..10_000 {
         assert!(member.propose(limit(&number.to_string(), 1)).is_some());
@@ -76,7 +76,7 @@
     assert_eq!(
         member.propose(limit("7", 2)),
         Some(&limit("7", 2)),
-        "those it holds go on"
+        "keys that it holds still accept proposals"
     );
     assert_eq!(member.entries().count(), 10_000);
 }
