--- a/crates/rollout/src/controller.rs
+++ b/crates/rollout/src/controller.rs
@@ -1,8 +1,8 @@
 //! Decides one dispatcher's part of a service's rollout, from its own replicas and from the slots
 //! that quorum members report.
 //!
-//! [`types`] has what goes in and out. A controller is told what becomes of its replicas and
-//! claims, and is asked regularly for the next steps.
+//! [`types`] has the types of the interface. The caller reports events of replicas and claims to
+//! the controller, and regularly calls [`RolloutController::reconcile`] for the next steps.
 
 mod claims;
 mod events;
@@ -21,22 +21,21 @@
     Votes,
 };
 
-/// Between two calls where nothing falls due before.
+/// Time between two calls of `reconcile` if nothing is due earlier.
 const RECONCILE_INTERVAL: Ticks = 5_000;
-/// Shortest wait after a first lost claim before the next one is sent; it doubles with each further
-/// loss, and up to as much again is added by chance.
+/// Shortest delay between a first lost claim and the next claim. It doubles with each further loss,
+/// and a random time up to the same length is added.
 const MIN_BACKOFF: Ticks = 500;
-/// Longest wait after lost claims.
+/// Longest delay after lost claims.
 const MAX_BACKOFF: Ticks = 20_000;
-/// A replica that was handed over reports within this time whether it is ready.
+/// Time within which a replica that was handed over reports whether it is ready.
 const READINESS_REPORT_TIMEOUT: Ticks = 10_000;
-/// A grant that its holder was not seen to use is released after this many times the time that a
-/// replica has to get ready.
+/// A grant that its holder does not seem to use is released after this many progress deadlines.
 const UNUSED_GRANT_DEADLINES: u64 = 3;
 
 /// One dispatcher's part of a service's rollout.
 pub struct RolloutController {
-    /// This dispatcher's number.
+    /// Number of this dispatcher.
     dispatcher: u32,
     rng: Pcg64Mcg,
     rollout: Rollout,
@@ -44,31 +43,31 @@
     replicas: BTreeMap<String, Replica>,
     /// Own claims that were sent or are held.
     claims: BTreeMap<ClaimId, Claim>,
-    /// Claims of an earlier incarnation that was never known to have won: nothing was stopped
+    /// Claims of an earlier incarnation that are not known to have been won: no replica was stopped
     /// under them.
     never_won: Vec<ClaimId>,
     /// Tasks of which two replicas must never run at a time, whatever the rollout's order.
     no_surge: BTreeSet<String>,
-    /// Claims of an earlier incarnation that may or may not still hold their slots.
+    /// Won claims of an earlier incarnation that may no longer hold their slots.
     unverified: BTreeSet<ClaimId>,
-    /// Replicas of this version that failed here.
+    /// Number of replicas of the current version that failed here.
     failures: u32,
-    /// Of those, surge replicas that found no machine.
+    /// Number of surge replicas among them that found no machine.
     failed_without_capacity: u32,
-    /// It asked for a halt, which has not come in force yet.
+    /// Whether it has requested a halt that is not in effect yet.
     halt_requested: bool,
     consecutive_losses: u32,
-    /// No claim is sent before.
+    /// Earliest time of the next claim.
     next_claim_at: Ticks,
-    /// Claims of others that are being cleaned up, and for which task.
+    /// Claims of other dispatchers that are being cleaned up, with their tasks.
     cleaning_up: BTreeMap<ClaimId, String>,
-    /// Grants that nobody was seen to use, and since when.
+    /// Grants that do not seem to be used, with the time when each was first seen.
     unused_since: BTreeMap<ClaimId, Ticks>,
 }
 
 impl RolloutController {
-    /// A controller that knows of no replica yet. `dispatcher` is the dispatcher's number; `seed`
-    /// fixes its random draws.
+    /// Creates a controller without replicas. `dispatcher` is the dispatcher's number; `seed`
+    /// initializes the random number generator.
     pub fn new(dispatcher: u32, seed: u64, rollout: Rollout, now: Ticks) -> Self {
         RolloutController {
             dispatcher,
@@ -89,16 +88,16 @@
         }
     }
 
-    /// The rollout that it follows.
+    /// Returns the rollout that the controller follows.
     pub fn rollout(&self) -> &Rollout {
         &self.rollout
     }
 
-    /// Follows a later revision of the rollout. What is being replaced goes on under the slot that
-    /// it holds. An earlier revision is ignored.
+    /// Adopts a later revision of the rollout, and ignores an earlier one. Replacements in progress
+    /// continue under the slots that they hold.
     pub fn adopt(&mut self, rollout: Rollout) {
         if rollout.revision > self.rollout.revision {
-            // Only a change of version begins anew: a pause must not forget what has failed.
+            // Failures are reset only by a change of version: a pause must not forget them.
             if rollout.version != self.rollout.version {
                 (self.failures, self.failed_without_capacity) = (0, 0);
             }
@@ -108,19 +107,19 @@
         }
     }
 
-    /// Whether a surge replica is wanted beside the task's replica.
+    /// Returns whether a surge replica is wanted beside the task's replica.
     pub fn is_surging(&self, task: &str) -> bool {
         self.replicas
             .get(task)
             .is_some_and(|replica| matches!(replica.step, Step::Surging { .. }))
     }
 
-    /// The claim under which the task's replica is replaced.
+    /// Returns the claim under which the task's replica is replaced.
     pub fn claim_of(&self, task: &str) -> Option<ClaimId> {
         self.replicas.get(task)?.claim
     }
 
-    /// Counts the replicas here.
+    /// Counts the replicas of this dispatcher.
     pub fn counts(&self) -> ReplicaCounts {
         let desired = self.rollout.desired_version();
         let count = |counted: &dyn Fn(&Replica) -> bool| {
@@ -136,8 +135,8 @@
         }
     }
 
-    /// Whether, while the rollout is in progress, a replica here is of another version than desired
-    /// or is not ready.
+    /// Returns whether the rollout is in progress and a replica of this dispatcher is unready or
+    /// not of the desired version.
     pub fn has_work(&self) -> bool {
         let desired = self.rollout.desired_version();
         self.in_progress()
@@ -152,7 +151,7 @@
         self.claims.keys().copied()
     }
 
-    /// Whether steps may be begun: neither paused nor halted.
+    /// Returns whether new steps may be started: the rollout is neither paused nor halted.
     fn in_progress(&self) -> bool {
         self.rollout.phase == Phase::Rolling && !self.halt_requested
     }
--- a/crates/rollout/src/controller/claims.rs
+++ b/crates/rollout/src/controller/claims.rs
@@ -1,4 +1,4 @@
-//! Claims on the rollout's slots: how they come out, and which of them outlived a restart.
+//! Outcomes of claims on the rollout's slots, and the recovery of claims after a restart.
 
 use super::replica::{Claim, Step};
 use super::types::{ClaimRequest, ReportedSlot, RestoredClaims, Votes};
@@ -8,9 +8,9 @@
 use rand::RngExt;
 
 impl RolloutController {
-    /// Takes over a claim that an earlier incarnation had stored. One that was known to be won is
-    /// used again once [`RolloutController::verify_restored_claims`] finds that it still holds its
-    /// slot: it may have been released right before the restart.
+    /// Restores a claim that an earlier incarnation had stored. A won claim may have been released
+    /// right before the restart, so it is used only after
+    /// [`RolloutController::verify_restored_claims`] has found that it still holds its slot.
     pub fn restore_claim(&mut self, claim: ClaimId, task: &str, won: bool) {
         if won {
             let task = task.into();
@@ -21,9 +21,10 @@
         }
     }
 
-    /// Finds out what became of the claims of an earlier incarnation, by the slots that `answering`
-    /// of all `members` report. Where a member is gone for good, waiting for its answer would leave
-    /// their replicas as they are for good: such claims are made again instead.
+    /// Determines which claims of an earlier incarnation still hold their slots, from the slots
+    /// that `answering` of all `members` report. Claims that these answers leave undecided are sent
+    /// again: if a member never answers any more, waiting for it would block their replicas
+    /// forever.
     #[must_use]
     pub fn verify_restored_claims(
         &mut self,
@@ -62,8 +63,8 @@
         restored
     }
 
-    /// The claim still holds its slot: the replica goes on being replaced. False where the claim
-    /// has become of no use meanwhile.
+    /// Continues the replacement of the claim's replica, since the claim still holds its slot.
+    /// Returns false where the claim is no longer needed.
     fn resume_claim(&mut self, claim: ClaimId) -> bool {
         let Some(own) = self.claims.get_mut(&claim) else {
             return false;
@@ -79,7 +80,7 @@
         true
     }
 
-    /// The claim holds no slot, or is of no use: its replica stays as it is.
+    /// Drops a claim that holds no slot or is not needed, and leaves its replica as it is.
     fn abandon_claim(&mut self, claim: ClaimId) {
         self.claims.remove(&claim);
         if let Some(replica) = self
@@ -91,8 +92,8 @@
         }
     }
 
-    /// Takes a claim's outcome. False where it is lost: it is to be released at all members, for
-    /// some may have granted it, or may still.
+    /// Records a claim's outcome. Returns false where the claim is lost. It must then be released
+    /// at all members, since some may have granted it or may still grant it.
     #[must_use]
     pub fn claim_decided(&mut self, now: Ticks, claim: ClaimId, votes: Votes) -> bool {
         let Some(task) = self.claims.get(&claim).map(|claim| claim.task.clone()) else {
@@ -105,8 +106,7 @@
             .get_mut(&task)
             .filter(|replica| replica.claim == Some(claim));
         match replica {
-            // Meanwhile its replica may have gone, or the rollout been paused: then the slot is not
-            // used.
+            // The slot is not used where the replica was removed or the rollout paused meanwhile.
             Some(replica) if won && (in_progress || replica.ready_since.is_none()) => {
                 replica.step = Step::Replacing;
                 self.claims.insert(claim, Claim { task, won });
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Sends no claim for half of this time at the least, and all of it at the most.
+    /// Delays the next claim by a random time between half of `max_delay` and all of it.
     pub(super) fn back_off(&mut self, now: Ticks, longest: Ticks) {
         self.next_claim_at = now + longest / 2 + self.rng.random_range(0..longest / 2);
     }
--- a/crates/rollout/src/controller/events.rs
+++ b/crates/rollout/src/controller/events.rs
@@ -1,4 +1,4 @@
-//! What becomes of the replicas of this dispatcher, as it is told.
+//! Handles the events of this dispatcher's replicas.
 
 use super::replica::{Replica, Step};
 use super::types::SurgeEnd;
@@ -7,14 +7,14 @@
 use corkspan_scheduler::interface::Ticks;
 
 impl RolloutController {
-    /// A replica is this dispatcher's, of this version and not known to be ready: placed, being
-    /// placed, or handed over. An empty version is what ran before the first rollout. `returning`:
-    /// its client asks for it again after it was lost, evicted or sent away.
+    /// Records a replica of this dispatcher that is not known to be ready: it was placed, is being
+    /// placed, or was handed over. An empty version stands for the initial one. `returning` is true
+    /// where the client requests the replica again after it was lost, evicted or drained.
     pub fn replica_assigned(&mut self, now: Ticks, task: &str, version: &str, returning: bool) {
         let own = self.claims.iter().find(|(_, own)| own.task == task);
         let (claim, step) = match own {
             Some((claim, own)) if own.won => (Some(*claim), Step::Replacing),
-            // Not yet known to be won: nothing may be stopped under it.
+            // The claim may not be won: no replica may be stopped under it yet.
             Some((claim, _)) => (Some(*claim), Step::Claiming),
             None => (None, Step::Idle),
         };
@@ -33,15 +33,15 @@
         self.replicas.insert(task.into(), replica);
     }
 
-    /// Two replicas of this task must never run at a time: the old one is stopped first, whatever
-    /// the rollout's order.
+    /// Marks a task of which two replicas must never run at a time. Its old replica is stopped
+    /// first, whatever the rollout's order.
     pub fn forbid_surge(&mut self, task: &str) {
         if self.replicas.contains_key(task) {
             self.no_surge.insert(task.into());
         }
     }
 
-    /// The surge replica reports itself ready, or no longer ready.
+    /// Records that the surge replica reports itself ready or unready.
     pub fn surge_readiness(&mut self, now: Ticks, task: &str, is_ready: bool) {
         let replica = self.replicas.get_mut(task);
         if let Some(Step::Surging { ready, .. }) = replica.map(|replica| &mut replica.step) {
@@ -49,8 +49,8 @@
         }
     }
 
-    /// The surge replica is known to be gone, or was never placed. `why` says whether that counts
-    /// as a failure of the version. Returns the claims to release.
+    /// Records that the surge replica has ended or was never placed. `reason` determines whether
+    /// that counts as a failure of the version. Returns the claims to release.
     #[must_use]
     pub fn surge_ended(&mut self, now: Ticks, task: &str, why: SurgeEnd) -> Vec<ClaimId> {
         let Some(replica) = self.replicas.get_mut(task) else {
@@ -58,7 +58,7 @@
         };
         let failed = u32::from(why != SurgeEnd::Cancelled);
         match replica.step {
-            // The old one is being stopped already: what follows is a replacement like any other.
+            // The old replica is already being stopped: an ordinary replacement follows.
             Step::TakingOver { .. } => {
                 replica.step = Step::Replacing;
                 (replica.version, replica.ready_since, replica.unready_since) =
@@ -78,8 +78,8 @@
         }
     }
 
-    /// The old replica is gone, and the surge replica has taken over. Returns the claims to
-    /// release.
+    /// Records that the old replica has ended and the surge replica has taken over. Returns the
+    /// claims to release.
     #[must_use]
     pub fn surge_took_over(&mut self, task: &str) -> Vec<ClaimId> {
         let Some(replica) = self.replicas.get_mut(task) else {
@@ -94,8 +94,8 @@
         self.drop_claim(claim)
     }
 
-    /// An earlier surge replica is still to be stopped before a new one may be started: it will be
-    /// asked for again.
+    /// Postpones the start of a surge replica until an earlier one is stopped. It will be requested
+    /// again.
     pub fn postpone_surge(&mut self, task: &str) {
         if let Some(replica) = self
             .replicas
@@ -106,21 +106,22 @@
         }
     }
 
-    /// No node has any replica left that was started under this claim of another dispatcher.
+    /// Records that no node has a replica any more that was started under this claim of another
+    /// dispatcher.
     pub fn cleaned_up(&mut self, claim: ClaimId) {
         self.cleaning_up.remove(&claim);
     }
 
-    /// The replica reports itself ready.
+    /// Records that the replica reports itself ready.
     pub fn replica_ready(&mut self, now: Ticks, task: &str) {
         if let Some(replica) = self.replicas.get_mut(task) {
             replica.ready_since.get_or_insert(now);
         }
     }
 
-    /// The replica reports itself unready, or its node is lost, evicts it, or sends it away. True
-    /// where that is a failure of the version being rolled out: it had not yet stayed ready for its
-    /// time.
+    /// Records that the replica reports itself unready, or that its node is lost, evicts it or
+    /// drains it. Returns true where that counts as a failure of the version being rolled out,
+    /// because the replica had not stayed ready for the minimum time.
     pub fn replica_unready(&mut self, now: Ticks, task: &str) -> bool {
         let Some(replica) = self.replicas.get_mut(task) else {
             return false;
@@ -136,7 +137,7 @@
         failed
     }
 
-    /// The replica is not wanted any more. Returns the claims to release.
+    /// Removes a replica that is not wanted any more. Returns the claims to release.
     #[must_use]
     pub fn replica_removed(&mut self, task: &str) -> Vec<ClaimId> {
         self.replicas.remove(task);
@@ -145,9 +146,9 @@
         dropped.map(|(claim, _)| claim).collect()
     }
 
-    /// The replica is no longer here: lost with its node, evicted, sent away, or without a machine
-    /// for the new one. Its client asks for it again, here or at another dispatcher, and a slot
-    /// that it holds stays held until it is ready there.
+    /// Records that this dispatcher has lost the replica: it was lost with its node, evicted or
+    /// drained, or no machine was found for the new one. Its client requests it again, here or at
+    /// another dispatcher. A slot that it holds stays held until the replica is ready there.
     pub fn replica_lost(&mut self, now: Ticks, task: &str) {
         let Some(replica) = self.replicas.remove(task) else {
             return;
@@ -157,7 +158,7 @@
         self.failures += u32::from(replaced && !settled);
     }
 
-    /// The claim is of no more use; returned if there was one.
+    /// Drops the claim, if any, and returns it.
     fn drop_claim(&mut self, claim: Option<ClaimId>) -> Vec<ClaimId> {
         let claims: Vec<ClaimId> = claim.into_iter().collect();
         for claim in &claims {
--- a/crates/rollout/src/controller/replica.rs
+++ b/crates/rollout/src/controller/replica.rs
@@ -1,4 +1,4 @@
-//! What a controller keeps of one replica and of one claim.
+//! A controller's state for one replica and for one claim.
 
 use crate::ClaimId;
 use corkspan_scheduler::interface::Ticks;
@@ -7,11 +7,11 @@
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct Replica {
     pub(super) version: String,
-    /// Since when it reports itself ready.
+    /// Time since which it reports itself ready.
     pub(super) ready_since: Option<Ticks>,
-    /// Since when it has not been ready.
+    /// Time since which it has not been ready.
     pub(super) unready_since: Ticks,
-    /// It ran here or elsewhere before, and is down now for a reason outside the rollout.
+    /// Whether it ran here or elsewhere before and is down for a reason other than the rollout.
     pub(super) returning: bool,
     /// The claim under which it is replaced.
     pub(super) claim: Option<ClaimId>,
@@ -22,38 +22,39 @@
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct Claim {
     pub(super) task: String,
-    /// A majority has granted it.
+    /// Whether a majority has granted it.
     pub(super) won: bool,
 }
 
-/// How far the replacing of a replica has come.
+/// The progress of a replica's replacement.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Step {
-    /// It is left as it is.
+    /// The replica is not being replaced.
     Idle,
-    /// A slot is being claimed for it.
+    /// A slot is being claimed for the replica.
     Claiming,
-    /// It is being replaced, and the slot is held.
+    /// The replica is being replaced, and the slot is held.
     Replacing,
     /// A surge replica is being started beside it, and the slot is held.
     Surging {
         /// Version of the surge replica.
         version: String,
         since: Ticks,
-        /// Since when the surge replica is ready.
+        /// Time since which the surge replica is ready.
         ready: Option<Ticks>,
     },
-    /// The surge replica has stayed ready for its time, and the old replica is being stopped.
+    /// The surge replica has stayed ready for the minimum time, and the old replica is being
+    /// stopped.
     TakingOver {
         /// Version of the surge replica.
         version: String,
-        /// Since when the surge replica is ready.
+        /// Time since which the surge replica is ready.
         ready: Ticks,
     },
 }
 
 impl Replica {
-    /// Whether it has been ready for this long.
+    /// Returns whether the replica has been ready for this time.
     pub(super) fn stayed_ready(&self, time: Ticks, now: Ticks) -> bool {
         self.ready_since.is_some_and(|since| now >= since + time)
     }
--- a/crates/rollout/src/controller/steps.rs
+++ b/crates/rollout/src/controller/steps.rs
@@ -1,4 +1,4 @@
-//! What to do next: which replica, when to wait, which slots to release, when to halt.
+//! Decides the next steps: replicas to replace, slots to release, when to wait and when to halt.
 
 use super::replica::{Claim, Replica, Step};
 use super::types::{Actions, ClaimRequest, OrphanedSurge, ReportedSlot};
@@ -10,7 +10,7 @@
 use rand::RngExt;
 
 impl RolloutController {
-    /// What to do now. `reported` are the slots that quorum members report.
+    /// Returns what to do now. `reported` are the slots that quorum members report.
     #[must_use]
     pub fn reconcile(&mut self, now: Ticks, reported: &[ReportedSlot]) -> Actions {
         let mut actions = Actions {
@@ -46,7 +46,7 @@
             .saturating_sub(self.claims.len())
             .min(free.len());
         let next = self.next_replicas(limit);
-        // Each dispatcher begins at another slot, so that not all go for the same.
+        // Each dispatcher begins at a random slot, so that they don't all claim the same one.
         let first = self.rng.random_range(0..free.len().max(1));
         let mut requests = Vec::new();
         for (index, task) in next.into_iter().enumerate() {
@@ -65,9 +65,10 @@
         requests
     }
 
-    /// Up to `limit` tasks whose replica is to be replaced next. Those down for another
-    /// reason come first, of the desired version too: they take a slot while they are down, so that
-    /// all dispatchers slow down. Then old ones that are ready.
+    /// Returns up to `limit` tasks whose replica is to be replaced next. Replicas that are down for
+    /// a reason other than the rollout are first, even those of the desired version: they take a
+    /// slot while they are down, which slows all dispatchers down. Old replicas that are ready
+    /// follow.
     fn next_replicas(&self, limit: usize) -> Vec<String> {
         let desired = self.rollout.desired_version();
         let down = |replica: &Replica| replica.returning && replica.ready_since.is_none();
@@ -83,8 +84,8 @@
         next.map(|(_, task)| task.clone()).collect()
     }
 
-    /// Tasks that hold a slot and beside whose replica a surge replica is to be started now. A
-    /// replica that is down has nothing to keep: it is replaced as in the other order.
+    /// Returns the tasks that hold a slot and for which a surge replica is to be started now. A
+    /// replica that is down need not be kept running: it is replaced as in the stop-first order.
     #[must_use]
     pub fn start_surges(&mut self, now: Ticks) -> Vec<String> {
         let mut surge = Vec::new();
@@ -106,8 +107,8 @@
         surge
     }
 
-    /// Tasks that hold a slot and whose replica is to be replaced now: it is of another version
-    /// than desired, since the slot was just won or the rollout has changed.
+    /// Returns the tasks that hold a slot and whose replica is to be replaced now: it is not of the
+    /// desired version, because the slot was just won or the rollout has changed.
     #[must_use]
     pub fn start_replacements(&mut self, now: Ticks) -> Vec<String> {
         let mut replace = Vec::new();
@@ -116,7 +117,7 @@
         }
         let desired = self.rollout.desired_version();
         for (task, replica) in &mut self.replicas {
-            // One that was just handed over has not yet reported whether it is ready.
+            // A replica that was just handed over may not have reported its readiness yet.
             let may_surge =
                 self.rollout.order == Order::StartFirst && !self.no_surge.contains(task);
             if may_surge
@@ -134,13 +135,13 @@
         replace
     }
 
-    /// Surge replicas take over once they have stayed ready for their time, and are cancelled once
-    /// their version is no longer desired.
+    /// Lets surge replicas take over once they have stayed ready for the minimum time, and cancels
+    /// them once their version is no longer desired.
     fn advance_surges(&mut self, now: Ticks, actions: &mut Actions) {
         let desired = self.rollout.desired_version();
         for (task, replica) in &mut self.replicas {
             match &replica.step {
-                // A later rollout, an undo or a halt has come.
+                // The rollout was changed, rolled back or halted.
                 Step::Surging { version, .. } if version != desired => {
                     actions.cancel_surge.push(task.clone());
                 }
@@ -166,7 +167,7 @@
         }
     }
 
-    /// Replicas that have stayed ready for their time release their slots.
+    /// Releases the slots of replicas that have stayed ready for the minimum time.
     fn release_settled(&mut self, now: Ticks, actions: &mut Actions) {
         let desired = self.rollout.desired_version();
         for replica in self.replicas.values_mut() {
@@ -189,8 +190,8 @@
         }
     }
 
-    /// Forgets what no member reports any more. The slot of a replica that went to another
-    /// dispatcher is released by that one, once the replica is ready there.
+    /// Forgets claims that no member reports any more. The slot of a replica that moved to another
+    /// dispatcher is released by that dispatcher, once the replica is ready there.
     fn forget_unreported(&mut self, reported: &[ReportedSlot]) {
         let replicas = &self.replicas;
         let reported = |claim: &ClaimId| reported.iter().any(|slot| slot.grant.claim == *claim);
@@ -201,9 +202,9 @@
         self.unused_since.retain(|claim, _| reported(claim));
     }
 
-    /// Releases slots that others left behind. A replica that is ready here for its time holds
-    /// none, whoever claimed it; and what an earlier incarnation claimed for a client that never
-    /// came back is not wanted any more.
+    /// Releases orphaned slots. A replica that has stayed ready here for the minimum time needs no
+    /// slot, whoever claimed it; nor is a slot needed that an earlier incarnation claimed for a
+    /// client that never reconnected.
     fn release_orphaned(&mut self, now: Ticks, reported: &[ReportedSlot], actions: &mut Actions) {
         for grant in reported.iter().map(|reported| &reported.grant) {
             if self.claims.contains_key(&grant.claim)
@@ -218,8 +219,8 @@
             let settled = self.replicas.get(&grant.task).is_some_and(|replica| {
                 replica.step == Step::Idle && replica.stayed_ready(self.rollout.min_ready, now)
             });
-            // An unknown claim of this dispatcher: a lost one that a member granted late, or an
-            // earlier incarnation's.
+            // An unknown claim of this dispatcher is a lost one that a member granted late, or one
+            // of an earlier incarnation.
             let mine =
                 grant.dispatcher == self.dispatcher && !self.replicas.contains_key(&grant.task);
             let since = *self.unused_since.entry(grant.claim).or_insert(now);
@@ -227,8 +228,8 @@
                 && self.rollout.order == Order::StartFirst
                 && !self.no_surge.contains(&grant.task)
             {
-                // That the replica here is ready says nothing of a surge replica that the holder
-                // had started.
+                // The replica here is ready, but a surge replica that the holder started may still
+                // be running.
                 self.cleaning_up.insert(grant.claim, grant.task.clone());
                 actions.clean_up.push(OrphanedSurge {
                     claim: grant.claim,
@@ -242,7 +243,7 @@
         }
     }
 
-    /// Halts after too many failures, by replicas that do not get ready or do not stay so.
+    /// Requests a halt after too many failures of replicas to become ready or to stay ready.
     fn halt(&mut self, now: Ticks, actions: &mut Actions) {
         let version = &self.rollout.version;
         let mut late = 0;
--- a/crates/rollout/src/rollout.rs
+++ b/crates/rollout/src/rollout.rs
@@ -1,69 +1,69 @@
-//! A service's rollout as its operator wants it.
+//! A service's rollout as requested by its operator.
 
 use corkspan_quorum::Proposal;
 use corkspan_scheduler::interface::Ticks;
 use serde::{Deserialize, Serialize};
 
-/// A service's rollout. It is stored as JSON by quorum members and dispatchers, under the keys that
-/// `serde` is given here.
+/// A service's rollout. Quorum members and dispatchers store it as JSON under the names given by
+/// the `serde` attributes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rollout {
     /// The service whose replicas are replaced.
     pub service: String,
-    /// Counts the proposals for a service; the highest that a majority of members holds is in
-    /// force.
+    /// Number of the proposal for the service. The highest that a majority of members holds is in
+    /// effect.
     #[serde(rename = "number")]
     pub revision: u64,
-    /// Drawn by the proposer: tells apart two who propose the same revision at once.
+    /// Random number of the proposer, which distinguishes concurrent proposals of one revision.
     #[serde(rename = "asker")]
     pub proposer: u64,
-    /// Version to replace by.
+    /// Version that replaces the earlier ones.
     pub version: String,
-    /// Version that an undo or a halt goes back to.
+    /// Version that replicas return to after a rollback or a halt.
     #[serde(rename = "former")]
     pub previous_version: String,
-    /// Version of a replica that reports none: it was placed before the first rollout.
+    /// Version of a replica that reports none because it was placed before the first rollout.
     #[serde(rename = "unversioned")]
     pub initial_version: String,
-    /// Replicas of the service that may be unavailable at a time.
+    /// Largest number of the service's replicas that may be unavailable at a time.
     #[serde(rename = "unready_most")]
     pub max_unavailable: u32,
-    /// Replicas that one dispatcher replaces at a time.
+    /// Largest number of replicas that one dispatcher replaces at a time.
     #[serde(rename = "batch")]
     pub max_in_progress: u32,
-    /// Which of the old and the new replica comes first.
+    /// Whether the old replica is stopped before or after the new one is started.
     pub order: Order,
     /// Time for which a new replica must stay ready before its slot is released.
     #[serde(rename = "ready_for")]
     pub min_ready: Ticks,
-    /// Time in which a new replica must get ready.
+    /// Time within which a new replica must become ready.
     #[serde(rename = "ready_within")]
     pub progress_deadline: Ticks,
-    /// Replicas that may fail at one dispatcher before the rollout halts.
+    /// Number of replicas that may fail at one dispatcher before the rollout halts.
     #[serde(rename = "failures_most")]
     pub max_failures: u32,
-    /// Whether it goes on.
+    /// Whether the rollout is in progress, paused or halted.
     pub phase: Phase,
 }
 
-/// Which of the old and the new replica comes first.
+/// Whether the old replica is stopped before or after the new one is started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Order {
-    /// The old replica is known to be gone before the new one is placed.
+    /// The old replica is known to have stopped before the new one is placed.
     StopFirst,
-    /// The new replica is ready before the old one is stopped. Only for tasks of which two replicas
-    /// may run at a time.
+    /// The new replica is ready before the old one is stopped. Applies only to tasks of which two
+    /// replicas may run at a time.
     StartFirst,
 }
 
-/// Whether a rollout goes on.
+/// The phase of a rollout.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Phase {
     /// Replicas are replaced.
     Rolling,
-    /// An operator has stopped it for now.
+    /// An operator has paused it.
     Paused,
-    /// It has stopped by itself, for this reason.
+    /// It was halted by a controller, for this reason.
     Halted(String),
 }
 
@@ -92,8 +92,8 @@
 }
 
 impl Rollout {
-    /// The version that a replica placed now gets. While halted it is the previous one: nobody
-    /// knows whether the new one works.
+    /// Returns the version of replicas that are placed now. While the rollout is halted it is the
+    /// previous one, since the new one may not work.
     pub fn desired_version(&self) -> &str {
         match self.phase {
             Phase::Rolling | Phase::Paused => &self.version,
@@ -101,7 +101,7 @@
         }
     }
 
-    /// The next revision, with another phase.
+    /// Returns the next revision, with another phase.
     #[must_use]
     pub fn with_phase(&self, phase: Phase, proposer: u64) -> Rollout {
         Rollout {
@@ -112,7 +112,7 @@
         }
     }
 
-    /// The next revision, back to the previous version.
+    /// Returns the next revision, which rolls back to the previous version.
     #[must_use]
     pub fn rolled_back(&self, proposer: u64) -> Rollout {
         Rollout {
--- a/crates/rollout/tests/controller/claims.rs
+++ b/crates/rollout/tests/controller/claims.rs
@@ -1,4 +1,4 @@
-//! Which slots are claimed, what is done under them, and when they are released.
+//! Tests of claiming, using and releasing slots.
 
 use crate::support::*;
 use corkspan_rollout::controller::{Actions, ClaimRequest, RolloutController};
--- a/crates/rollout/tests/controller/failures.rs
+++ b/crates/rollout/tests/controller/failures.rs
@@ -1,4 +1,4 @@
-//! When a rollout halts, and what a rollback does.
+//! Tests of halts after failures, and of rollbacks.
 
 use crate::support::*;
 use corkspan_rollout::{Phase, Rollout};
--- a/crates/rollout/tests/controller/main.rs
+++ b/crates/rollout/tests/controller/main.rs
@@ -1,4 +1,4 @@
-//! What one dispatcher decides of a rollout.
+//! Tests of the decisions of one dispatcher's controller.
 
 mod claims;
 mod failures;
--- a/crates/rollout/tests/controller/restarts.rs
+++ b/crates/rollout/tests/controller/restarts.rs
@@ -1,4 +1,4 @@
-//! Claims of an earlier incarnation of the dispatcher.
+//! Tests of claims that an earlier incarnation of the dispatcher left behind.
 
 use crate::support::*;
 use corkspan_rollout::ClaimId;
@@ -17,7 +17,7 @@
     );
 }
 
-/// One replica is old, and one of an earlier incarnation's claims was known to be won for it.
+/// Returns a controller with one old replica, for which an earlier incarnation had won a claim.
 fn with_restored_claim() -> RolloutController {
     let mut controller = controller(0);
     controller.restore_claim(ClaimId(9), "x", true);
--- a/crates/rollout/tests/controller/support.rs
+++ b/crates/rollout/tests/controller/support.rs
@@ -1,4 +1,4 @@
-//! Builders that the tests of the controller share.
+//! Builders shared by the tests of the controller.
 #![allow(dead_code)] // each test program uses some of them
 
 use corkspan_rollout::controller::{
@@ -36,7 +36,7 @@
     }
 }
 
-/// A controller with so many old replicas that are ready.
+/// Returns a controller with this many ready replicas of the old version.
 pub fn controller(replicas: usize) -> RolloutController {
     let mut controller = RolloutController::new(0, 1, rollout(1, "v2"), 0);
     for number in 0..replicas {
@@ -54,7 +54,7 @@
     }
 }
 
-/// A slot that so many quorum members report.
+/// Returns a slot that this many quorum members report.
 pub fn reported(slot: u32, grant: Grant, members: usize) -> ReportedSlot {
     ReportedSlot {
         slot,
@@ -71,7 +71,7 @@
     }
 }
 
-/// Wins a slot for one replica and replaces it. Its claim and task.
+/// Wins a slot for one replica and replaces it. Returns the claim and the task.
 pub fn win_and_replace(controller: &mut RolloutController, now: u64) -> (ClaimId, String) {
     let actions = controller.reconcile(now, &[]);
     let ClaimRequest { claim, task, .. } = actions.claims[0].clone();
--- a/crates/rollout/tests/controller/surges.rs
+++ b/crates/rollout/tests/controller/surges.rs
@@ -1,11 +1,12 @@
-//! The order that starts the new replica first.
+//! Tests of the start-first order.
 
 use crate::support::*;
 use corkspan_rollout::controller::{ClaimRequest, RolloutController, SurgeEnd};
 use corkspan_rollout::{ClaimId, Order, Rollout};
 use test_case::test_case;
 
-/// One old replica, and a won slot under which a new one is to be started beside it.
+/// Returns a controller with one old replica and a won slot under which a surge replica is started,
+/// with the claim and the task.
 fn surging() -> (RolloutController, ClaimId, String) {
     let mut controller = RolloutController::new(
         0,
--- a/crates/rollout/tests/decisions/main.rs
+++ b/crates/rollout/tests/decisions/main.rs
@@ -1,5 +1,5 @@
-//! What the controllers of three dispatchers decide over a scripted, seeded run is compared byte
-//! for byte with the transcript that an earlier version of this program wrote.
+//! Compares the decisions of three dispatchers' controllers in a scripted run with a fixed seed,
+//! byte for byte, with the transcript that an earlier version of this program wrote.
 
 mod text;
 
@@ -41,9 +41,10 @@
     rollout: Rollout,
     members: Vec<QuorumMember>,
     controllers: Vec<RolloutController>,
-    /// Replicas that are being started, by task: when, and whether beside the old one.
+    /// Replicas that are being started, by task: when they are ready, and whether they are surge
+    /// replicas.
     starting: BTreeMap<String, (u64, bool)>,
-    /// Claims that a dispatcher knows from its disk: dispatcher, task and whether it was won.
+    /// Claims that dispatchers have on disk: dispatcher, task and whether the claim was won.
     on_disk: BTreeMap<ClaimId, (usize, String, bool)>,
     text: String,
 }
@@ -78,7 +79,7 @@
         }
     }
 
-    /// The slots that all members but the first so many report.
+    /// Returns the slots that all members except the first `without` report.
     fn reported(&self, without: usize) -> Vec<ReportedSlot> {
         let mut reported: Vec<ReportedSlot> = Vec::new();
         let members = self.members[without..].iter();
@@ -107,12 +108,12 @@
 
     fn release(&mut self, claims: Vec<ClaimId>) {
         for claim in claims {
-            // A dispatcher killed right now would still know the claim.
+            // Half of the time the claim stays on disk, as if the dispatcher were killed now.
             if self.random.random_range(0..2) > 0 {
                 self.on_disk.remove(&claim);
             }
             for member in &mut self.members {
-                // Some do not hear it, and report the slot again.
+                // Some members miss the release, and report the slot again.
                 if self.random.random_range(0..4) > 0 {
                     member.release("s", claim);
                 }
@@ -141,7 +142,7 @@
         self.rollout = next;
     }
 
-    /// What happens to one replica, drawn.
+    /// Applies a random event to one replica.
     fn happen(&mut self, index: usize) {
         let (now, task) = (
             self.now,
@@ -182,7 +183,7 @@
         }
     }
 
-    /// Replicas that have become ready by now, or failed while they were started.
+    /// Completes the starts that are due: each replica becomes ready or has failed.
     fn started(&mut self, index: usize) {
         let due: Vec<(String, bool)> = self
             .starting
@@ -226,7 +227,7 @@
         }
     }
 
-    /// One round of one dispatcher, with its decisions carried out.
+    /// Runs one round of one dispatcher and carries out its decisions.
     fn round(&mut self, index: usize) {
         let without = usize::from(self.random.random_range(0..3) == 0);
         let reported = self.reported(without);
@@ -317,7 +318,7 @@
         self.start(index, replace, false);
     }
 
-    /// A dispatcher is killed and comes back with what is on its disk.
+    /// Kills a dispatcher and restarts it with what is on its disk.
     fn restart(&mut self, index: usize) {
         let now = self.now;
         let mut controller = RolloutController::new(index as u32, 90, self.rollout.clone(), now);
--- a/crates/rollout/tests/decisions/text.rs
+++ b/crates/rollout/tests/decisions/text.rs
@@ -1,10 +1,10 @@
-//! The transcript's text, which names no type of the program.
+//! Formats the transcript, independently of the names of the program's types.
 
 use corkspan_rollout::ClaimId;
 use corkspan_rollout::controller::{Actions, ClaimRequest};
 use std::fmt::Write;
 
-/// Claims in hexadecimal.
+/// Formats claims in hexadecimal.
 pub fn claims(claims: &[ClaimId]) -> String {
     let claims: Vec<String> = claims
         .iter()
@@ -13,7 +13,7 @@
     claims.join("+")
 }
 
-/// One line for what a controller wants done, whatever its types are called.
+/// Formats the requested actions as one line.
 pub fn describe(actions: &Actions) -> String {
     let mut text = String::new();
     for ClaimRequest { claim, slot, task } in &actions.claims {
@@ -42,7 +42,7 @@
     text
 }
 
-/// The first line that differs, so that a failure can be read.
+/// Asserts that both transcripts are equal, and reports the first line that differs.
 pub fn assert_same(transcript: &str, reference: &str) {
     for (number, (new, old)) in transcript.lines().zip(reference.lines()).enumerate() {
         assert_eq!(new, old, "line {}", number + 1);
--- a/crates/rollout/tests/invariants.rs
+++ b/crates/rollout/tests/invariants.rs
@@ -1,4 +1,4 @@
-//! What holds whatever happens in whatever order.
+//! Properties that hold for any order of events.
 
 #[path = "controller/support.rs"]
 mod support;
@@ -42,9 +42,9 @@
 }
 
 proptest! {
-    /// Two dispatchers whose clocks are apart, with quorum members between them: whatever the
-    /// order, and however late, the limit on replicas down or surging is never exceeded, and in the
-    /// end all are replaced.
+    /// Two dispatchers with skewed clocks share the quorum members. In any order and with any
+    /// delay, the limit on replicas that are down or surging is never exceeded, and all replicas
+    /// are replaced in the end.
     #[test]
     fn skewed_clocks_never_exceed_the_limit(
         apart in 0u64..100_000,
@@ -65,10 +65,10 @@
             }
             controller
         }).collect();
-        // Replicas that are being started and when they get ready, by the true time.
+        // Replicas that are being started, with the true time at which they become ready.
         let mut starting: BTreeMap<String, u64> = BTreeMap::new();
         let (mut time, mut highest) = (0, 0);
-        // After the turns drawn, both in turn until all is done.
+        // After the drawn rounds, the dispatchers alternate until all is done.
         let rest = (0..600).map(|turn| (turn % 2, 1_000));
         for (index, pause) in turns.into_iter().chain(rest) {
             time += pause;
@@ -134,8 +134,8 @@
         prop_assert!(highest >= 1);
     }
 
-    /// A replica is stopped only under a claim that was won and not released, one claim a replica,
-    /// and never more than the limit at a time, whatever happens meanwhile.
+    /// A replica is stopped only under a claim that was won and not released. Each replica has one
+    /// claim, and never more than the limit are stopped at a time, whatever events occur meanwhile.
     #[test]
     fn no_order_of_events_stops_a_replica_without_a_slot(events in prop::collection::vec(event(), 0..120)) {
         let mut controller = controller(4);
--- a/crates/rollout/tests/search.rs
+++ b/crates/rollout/tests/search.rs
@@ -1,7 +1,7 @@
-//! No more slots than the limit can be held at a majority of quorum members: every state of a small
-//! case is visited that messages late, lost, duplicated and out of order, and dispatchers killed at
-//! any point, can lead to. The search is shown to find protocols that fail: time slices, and claims
-//! granted without a majority.
+//! Shows that no more slots than the limit can be held at a majority of quorum members. The search
+//! visits every state of small cases, with messages that are late, lost, duplicated and reordered
+//! and dispatchers killed at any point. It is shown to detect protocols that fail: time slices, and
+//! claims granted without a majority.
 
 use corkspan_rollout::{ClaimId, Order, Phase, Rollout, base_proposal, committed, is_majority};
 use corkspan_rollout::{ClaimOutcome, Grant, QuorumMember};
@@ -28,28 +28,28 @@
     }
 }
 
-/// What one dispatcher is doing: its replica is not ready while it holds a slot.
+/// The state of one dispatcher. Its replica is not ready while it holds a slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum State {
     Idle,
-    /// Claims a slot, by claim and slot.
+    /// Claims a slot; the fields are the claim and the slot.
     Claiming(u8, u8),
     Holding(u8),
 }
 
 #[derive(Clone, PartialEq, Eq, Hash)]
 struct World {
-    /// Slots of each member: claim by slot.
+    /// For each member, the claim that holds each slot.
     members: [BTreeMap<u8, u8>; MEMBERS],
     dispatchers: Vec<(State, u8)>,
-    /// Claims sent (claim, slot), releases sent (claim), grants ever answered (claim, member). A
-    /// message once sent may arrive at any time, never, or again.
+    /// All claims sent (claim, slot), releases sent (claim) and grants answered (claim, member). A
+    /// message that was sent may arrive at any time, never, or repeatedly.
     claims: BTreeSet<(u8, u8)>,
     releases: BTreeSet<u8>,
     granted: BTreeSet<(u8, u8)>,
 }
 
-/// Visits every state, with this many votes for a claim to be won. Returns the highest number of
+/// Visits every state, where a claim needs this many votes to be won. Returns the highest number of
 /// replicas that were not ready at a time, and the number of states.
 fn max_unavailable_reached(
     dispatchers: usize,
@@ -109,14 +109,15 @@
                 if granted >= votes {
                     step(&|next| next.dispatchers[index].0 = State::Holding(claim));
                 }
-                // Given up at any time: refused, out of patience, or killed before the hold was on
-                // disk.
+                // A claim may be abandoned at any time: it was rejected, timed out, or the
+                // dispatcher was killed before the won claim was on disk.
                 step(&|next| {
                     next.releases.insert(claim);
                     next.dispatchers[index].0 = State::Idle;
                 });
             }
-            // Killed while it holds, it holds on: the step is on disk and its replica is down.
+            // A dispatcher killed while it holds a slot keeps it: the claim is on disk and its
+            // replica is down.
             State::Holding(claim) => step(&|next| {
                 next.releases.insert(claim);
                 next.dispatchers[index].0 = State::Idle;
@@ -127,7 +128,7 @@
         for &(claim, slot) in &world.claims {
             let mut next = world.clone();
             let held = next.members[member].get(&slot).copied();
-            // The rule of the real member, which a test below checks.
+            // The rule of the actual member; a test below checks that it is the same.
             if held == Some(claim)
                 || held.is_none() && next.members[member].len() < usize::from(slots)
             {
@@ -164,8 +165,9 @@
     assert_eq!(highest, 2);
 }
 
-/// The rejected option: time slices. Each dispatcher may stop a replica in its own slice and needs
-/// it ready within it; clocks differ by up to `skew`, and a replica may take `long` to get ready.
+/// Returns whether time slices, the rejected alternative, let two replicas be down at once. Each
+/// dispatcher may stop a replica within its own slice, up to `guard` before its end. Clocks differ
+/// by up to `skew`, and a replica takes `time_to_ready` to become ready.
 fn time_slices_overlap(turn: i32, guard: i32, skew: i32, long: i32) -> bool {
     let down = |offset: i32, begins: i32| {
         (0..turn - guard)
--- a/crates/rollout/tests/stored_state.rs
+++ b/crates/rollout/tests/stored_state.rs
@@ -1,12 +1,12 @@
-//! What keepers have stored of rolling updates, written by an earlier version of this program, is
-//! read to the same content and written back byte for byte; a half-written file is refused with the
-//! same message.
+//! Checks the stored state of quorum members: rollouts written by an earlier version of this
+//! program are read with the same content and written back byte for byte, and a truncated file is
+//! rejected with the same message.
 
 use corkspan_rollout::{ClaimId, Grant, Order, Phase, QuorumMember, Rollout};
 
 const STORED: &str = include_str!("data/stored-state.json");
 
-/// Where the stored text is cut, in bytes, and the message that it is then refused with.
+/// Lines with a length in bytes to truncate the stored text to, and the resulting error.
 const HALF_WRITTEN: &str = include_str!("data/half-written.txt");
 
 fn stored() -> &'static str {
@@ -31,7 +31,7 @@
     }
 }
 
-/// Services in the order of their names: four rolling updates, with the slots held under each.
+/// Returns the expected content: four rollouts by service name, with their held slots.
 fn expected() -> QuorumMember {
     let mut member = QuorumMember::default();
     let paused = Rollout {
