--- a/crates/rollout/src/controller.rs
+++ b/crates/rollout/src/controller.rs
@@ -41,7 +41,7 @@
     rollout: Rollout,
     /// Replicas of this dispatcher, by task.
     replicas: BTreeMap<String, Replica>,
-    /// Own claims that were sent or are held.
+    /// This dispatcher's claims that were sent or are held.
     claims: BTreeMap<ClaimId, Claim>,
     /// Claims of an earlier incarnation that are not known to have been won: no replica was stopped
     /// under them.
@@ -146,7 +146,7 @@
                 .any(|replica| replica.version != desired || replica.ready_since.is_none())
     }
 
-    /// Own claims that were sent or are held.
+    /// Returns this dispatcher's claims that were sent or are held.
     pub fn claims(&self) -> impl Iterator<Item = ClaimId> {
         self.claims.keys().copied()
     }
--- a/crates/rollout/src/controller/claims.rs
+++ b/crates/rollout/src/controller/claims.rs
@@ -53,9 +53,9 @@
                     .replicas
                     .values()
                     .any(|replica| replica.claim == Some(claim))
-                && let Some(own) = self.claims.get(&claim)
+                && let Some(own_claim) = self.claims.get(&claim)
             {
-                let task = own.task.clone();
+                let task = own_claim.task.clone();
                 restored.retry.push(ClaimRequest { claim, slot, task });
                 self.unverified.remove(&claim);
             }
@@ -66,10 +66,10 @@
     /// Continues the replacement of the claim's replica, since the claim still holds its slot.
     /// Returns false where the claim is no longer needed.
     fn resume_claim(&mut self, claim: ClaimId) -> bool {
-        let Some(own) = self.claims.get_mut(&claim) else {
+        let Some(own_claim) = self.claims.get_mut(&claim) else {
             return false;
         };
-        own.won = true;
+        own_claim.won = true;
         if let Some(replica) = self
             .replicas
             .values_mut()
@@ -119,15 +119,15 @@
                 }
                 self.claims.remove(&claim);
                 self.consecutive_losses = self.consecutive_losses.saturating_add(1);
-                let longest = (MIN_BACKOFF << self.consecutive_losses.min(6)).min(MAX_BACKOFF);
-                self.back_off(now, longest);
+                let max_delay = (MIN_BACKOFF << self.consecutive_losses.min(6)).min(MAX_BACKOFF);
+                self.back_off(now, max_delay);
                 false
             }
         }
     }
 
     /// Delays the next claim by a random time between half of `max_delay` and all of it.
-    pub(super) fn back_off(&mut self, now: Ticks, longest: Ticks) {
-        self.next_claim_at = now + longest / 2 + self.rng.random_range(0..longest / 2);
+    pub(super) fn back_off(&mut self, now: Ticks, max_delay: Ticks) {
+        self.next_claim_at = now + max_delay / 2 + self.rng.random_range(0..max_delay / 2);
     }
 }
--- a/crates/rollout/src/controller/events.rs
+++ b/crates/rollout/src/controller/events.rs
@@ -11,9 +11,12 @@
     /// placed, or was handed over. An empty version stands for the initial one. `returning` is true
     /// where the client requests the replica again after it was lost, evicted or drained.
     pub fn replica_assigned(&mut self, now: Ticks, task: &str, version: &str, returning: bool) {
-        let own = self.claims.iter().find(|(_, own)| own.task == task);
-        let (claim, step) = match own {
-            Some((claim, own)) if own.won => (Some(*claim), Step::Replacing),
+        let own_claim = self
+            .claims
+            .iter()
+            .find(|(_, own_claim)| own_claim.task == task);
+        let (claim, step) = match own_claim {
+            Some((claim, own_claim)) if own_claim.won => (Some(*claim), Step::Replacing),
             // The claim may not be won: no replica may be stopped under it yet.
             Some((claim, _)) => (Some(*claim), Step::Claiming),
             None => (None, Step::Idle),
@@ -52,11 +55,11 @@
     /// Records that the surge replica has ended or was never placed. `reason` determines whether
     /// that counts as a failure of the version. Returns the claims to release.
     #[must_use]
-    pub fn surge_ended(&mut self, now: Ticks, task: &str, why: SurgeEnd) -> Vec<ClaimId> {
+    pub fn surge_ended(&mut self, now: Ticks, task: &str, reason: SurgeEnd) -> Vec<ClaimId> {
         let Some(replica) = self.replicas.get_mut(task) else {
             return Vec::new();
         };
-        let failed = u32::from(why != SurgeEnd::Cancelled);
+        let failed = u32::from(reason != SurgeEnd::Cancelled);
         match replica.step {
             // The old replica is already being stopped: an ordinary replacement follows.
             Step::TakingOver { .. } => {
@@ -70,7 +73,7 @@
                 replica.step = Step::Idle;
                 let claim = replica.claim.take();
                 self.failures += failed;
-                self.failed_without_capacity += u32::from(why == SurgeEnd::NoCapacity);
+                self.failed_without_capacity += u32::from(reason == SurgeEnd::NoCapacity);
                 self.back_off(now, MAX_BACKOFF);
                 self.drop_claim(claim)
             }
@@ -142,7 +145,9 @@
     pub fn replica_removed(&mut self, task: &str) -> Vec<ClaimId> {
         self.replicas.remove(task);
         self.no_surge.remove(task);
-        let dropped = self.claims.extract_if(.., |_, own| own.task == task);
+        let dropped = self
+            .claims
+            .extract_if(.., |_, own_claim| own_claim.task == task);
         dropped.map(|(claim, _)| claim).collect()
     }
 
--- a/crates/rollout/src/controller/steps.rs
+++ b/crates/rollout/src/controller/steps.rs
@@ -22,7 +22,7 @@
         self.release_settled(now, &mut actions);
         self.forget_unreported(reported);
         self.release_orphaned(now, reported, &mut actions);
-        self.halt(now, &mut actions);
+        self.check_failures(now, &mut actions);
         if !self.in_progress() {
             return actions;
         }
@@ -55,11 +55,11 @@
             if let Some(replica) = self.replicas.get_mut(&task) {
                 (replica.claim, replica.step) = (Some(claim), Step::Claiming);
             }
-            let own = Claim {
+            let own_claim = Claim {
                 task: task.clone(),
                 won: false,
             };
-            self.claims.insert(claim, own);
+            self.claims.insert(claim, own_claim);
             requests.push(ClaimRequest { claim, slot, task });
         }
         requests
@@ -94,8 +94,8 @@
         }
         let desired = self.rollout.desired_version();
         for (task, replica) in &mut self.replicas {
-            let may = replica.ready_since.is_some() && !self.no_surge.contains(task);
-            if replica.step == Step::Replacing && replica.version != desired && may {
+            let may_surge = replica.ready_since.is_some() && !self.no_surge.contains(task);
+            if replica.step == Step::Replacing && replica.version != desired && may_surge {
                 replica.step = Step::Surging {
                     version: desired.into(),
                     since: now,
@@ -196,7 +196,7 @@
         let replicas = &self.replicas;
         let reported = |claim: &ClaimId| reported.iter().any(|slot| slot.grant.claim == *claim);
         self.claims
-            .retain(|claim, own| replicas.contains_key(&own.task) || reported(claim));
+            .retain(|claim, own_claim| replicas.contains_key(&own_claim.task) || reported(claim));
         self.cleaning_up
             .retain(|claim, task| replicas.contains_key(task) && reported(claim));
         self.unused_since.retain(|claim, _| reported(claim));
@@ -212,7 +212,7 @@
                 || actions
                     .clean_up
                     .iter()
-                    .any(|left| left.claim == grant.claim)
+                    .any(|orphaned| orphaned.claim == grant.claim)
             {
                 continue;
             }
@@ -221,7 +221,7 @@
             });
             // An unknown claim of this dispatcher is a lost one that a member granted late, or one
             // of an earlier incarnation.
-            let mine =
+            let is_own =
                 grant.dispatcher == self.dispatcher && !self.replicas.contains_key(&grant.task);
             let since = *self.unused_since.entry(grant.claim).or_insert(now);
             if settled
@@ -236,7 +236,7 @@
                     task: grant.task.clone(),
                 });
             } else if settled
-                || mine && now >= since + UNUSED_GRANT_DEADLINES * self.rollout.progress_deadline
+                || is_own && now >= since + UNUSED_GRANT_DEADLINES * self.rollout.progress_deadline
             {
                 actions.release.push(grant.claim);
             }
@@ -244,7 +244,7 @@
     }
 
     /// Requests a halt after too many failures of replicas to become ready or to stay ready.
-    fn halt(&mut self, now: Ticks, actions: &mut Actions) {
+    fn check_failures(&mut self, now: Ticks, actions: &mut Actions) {
         let version = &self.rollout.version;
         let mut late = 0;
         for replica in self.replicas.values() {
--- a/crates/rollout/src/rollout.rs
+++ b/crates/rollout/src/rollout.rs
@@ -68,7 +68,7 @@
 }
 
 impl Proposal for Rollout {
-    /// The service.
+    /// The service's name.
     type Key = String;
 
     fn key(&self) -> String {
--- a/crates/rollout/tests/controller/claims.rs
+++ b/crates/rollout/tests/controller/claims.rs
@@ -11,7 +11,7 @@
     let actions = controller.reconcile(0, &[]);
     assert_eq!(actions.claims.len(), 2);
     let slots: BTreeSet<u32> = actions.claims.iter().map(|request| request.slot).collect();
-    assert_eq!(slots, BTreeSet::from([0, 1]), "not twice the same");
+    assert_eq!(slots, BTreeSet::from([0, 1]), "two different slots");
     assert!(
         controller.reconcile(1, &[]).claims.is_empty(),
         "those are still pending"
@@ -44,12 +44,12 @@
     let actions = controller.reconcile(1, &[]);
     assert!(
         actions.claims.is_empty() && actions.wait > 0,
-        "not right away"
+        "not immediately"
     );
     assert_eq!(
         controller.reconcile(10 * SECOND, &[]).claims.len(),
         1,
-        "but later"
+        "after the backoff"
     );
 }
 
@@ -65,7 +65,7 @@
     controller.replica_ready(4 * SECOND, &task);
     assert!(
         controller.reconcile(5 * SECOND, &held).release.is_empty(),
-        "its time starts over"
+        "the time ready starts again"
     );
     assert_eq!(controller.reconcile(6 * SECOND, &held).release, [claim]);
 }
@@ -116,7 +116,7 @@
     assert!(controller.claim_decided(0, claim, WON));
     assert!(
         controller.start_replacements(0).is_empty(),
-        "it needs no replacement"
+        "it is of the desired version"
     );
     let held = [reported(0, grant(claim, "z-lost"), 3)];
     assert!(
@@ -131,7 +131,7 @@
 #[test]
 fn another_dispatchers_slot_is_released_once_its_replica_is_ready_here() {
     let mut controller = controller(0);
-    let left = [reported(
+    let orphaned = [reported(
         0,
         Grant {
             dispatcher: 7,
@@ -140,14 +140,17 @@
         2,
     )];
     controller.replica_assigned(0, "x", "v2", false);
-    assert!(controller.reconcile(SECOND, &left).release.is_empty());
+    assert!(controller.reconcile(SECOND, &orphaned).release.is_empty());
     controller.replica_ready(SECOND, "x");
     assert!(
-        controller.reconcile(2 * SECOND, &left).release.is_empty(),
-        "not before it has stayed so"
+        controller
+            .reconcile(2 * SECOND, &orphaned)
+            .release
+            .is_empty(),
+        "not before it has stayed ready"
     );
     assert_eq!(
-        controller.reconcile(3 * SECOND, &left).release,
+        controller.reconcile(3 * SECOND, &orphaned).release,
         [ClaimId(9)]
     );
 }
--- a/crates/rollout/tests/controller/failures.rs
+++ b/crates/rollout/tests/controller/failures.rs
@@ -4,7 +4,7 @@
 use corkspan_rollout::{Phase, Rollout};
 
 #[test]
-fn failures_beyond_the_limit_halt_and_a_rollback_replaces_what_is_down() {
+fn failures_beyond_the_limit_halt_and_a_rollback_replaces_replicas_that_are_down() {
     let mut controller = controller(4);
     let first = win_and_replace(&mut controller, 0);
     controller.replica_assigned(0, &first.1, "v2", false);
@@ -15,19 +15,19 @@
     assert_eq!(
         controller.reconcile(14 * SECOND, &held).halt,
         None,
-        "one may fail"
+        "one failure is allowed"
     );
-    let why = controller
+    let reason = controller
         .reconcile(15 * SECOND, &held)
         .halt
-        .expect("the second has had its time");
-    assert!(why.contains("2 copies of v2"), "{why}");
+        .expect("the second has exceeded the progress deadline");
+    assert!(reason.contains("2 copies of v2"), "{reason}");
     assert_eq!(
         controller.reconcile(16 * SECOND, &held).halt,
         None,
-        "asked for once"
+        "the halt is requested once"
     );
-    controller.adopt(rollout(1, "v2").with_phase(Phase::Halted(why), 1));
+    controller.adopt(rollout(1, "v2").with_phase(Phase::Halted(reason), 1));
     assert!(controller.reconcile(17 * SECOND, &held).claims.is_empty());
     controller.adopt(Rollout {
         revision: 3,
@@ -36,7 +36,7 @@
     assert_eq!(
         controller.reconcile(18 * SECOND, &held).replace,
         [second],
-        "under the slot that it holds"
+        "replaced under the slot that it holds"
     );
 }
 
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_rollback_leaves_alone_what_was_never_replaced() {
+fn a_rollback_leaves_replicas_that_were_never_replaced() {
     let mut controller = controller(0);
     controller.replica_assigned(0, "old", "", false);
     controller.replica_ready(0, "old");
--- a/crates/rollout/tests/controller/restarts.rs
+++ b/crates/rollout/tests/controller/restarts.rs
@@ -8,11 +8,16 @@
 #[test]
 fn an_earlier_incarnations_unused_slot_is_released() {
     let mut controller = controller(0);
-    let left = [reported(0, grant(ClaimId(9), "x"), 2)];
-    assert!(controller.reconcile(0, &left).release.is_empty());
-    assert!(controller.reconcile(29 * SECOND, &left).release.is_empty());
+    let orphaned = [reported(0, grant(ClaimId(9), "x"), 2)];
+    assert!(controller.reconcile(0, &orphaned).release.is_empty());
+    assert!(
+        controller
+            .reconcile(29 * SECOND, &orphaned)
+            .release
+            .is_empty()
+    );
     assert_eq!(
-        controller.reconcile(30 * SECOND, &left).release,
+        controller.reconcile(30 * SECOND, &orphaned).release,
         [ClaimId(9)]
     );
 }
@@ -26,13 +31,13 @@
 }
 
 #[test_case(3, 3; "all members report it")]
-#[test_case(2, 2; "a majority reports it, one is out of reach")]
+#[test_case(2, 2; "a majority reports it, one is unreachable")]
 fn a_restored_claim_is_used_once_it_is_known_to_hold(members_reporting: usize, answering: usize) {
     let mut controller = with_restored_claim();
     let held = [reported(0, grant(ClaimId(9), "x"), members_reporting)];
     assert!(
         controller.reconcile(0, &held).replace.is_empty(),
-        "not before the members were asked"
+        "not before the claim is verified"
     );
     assert_eq!(
         controller.verify_restored_claims(&held, answering, 3),
@@ -48,15 +53,15 @@
 
 #[test_case(WON, true; "and wins it")]
 #[test_case(LOST, false; "and loses it")]
-fn a_restored_claim_that_one_member_reports_while_another_is_away_is_made_again(
+fn a_restored_claim_that_one_member_reports_while_another_is_unreachable_is_sent_again(
     votes: Votes,
     wins: bool,
 ) {
     let mut controller = with_restored_claim();
     let held = [reported(1, grant(ClaimId(9), "x"), 1)];
-    let recalled = controller.verify_restored_claims(&held, 2, 3);
+    let restored = controller.verify_restored_claims(&held, 2, 3);
     assert_eq!(
-        recalled.retry,
+        restored.retry,
         [ClaimRequest {
             claim: ClaimId(9),
             slot: 1,
@@ -65,7 +70,7 @@
     );
     assert!(
         controller.reconcile(0, &held).replace.is_empty(),
-        "not before"
+        "not before the claim is decided"
     );
     assert_eq!(controller.claim_decided(0, ClaimId(9), votes), wins);
     assert_eq!(
@@ -76,13 +81,13 @@
     assert_eq!(
         actions.claims.is_empty(),
         wins,
-        "lost, it is claimed as any other"
+        "a slot is claimed again where the claim is lost"
     );
 }
 
-#[test_case(0, 3; "nobody reports it")]
-#[test_case(0, 2; "nobody reports it, one is out of reach")]
-#[test_case(1, 3; "one missed its release")]
+#[test_case(0, 3; "no member reports it")]
+#[test_case(0, 2; "no member reports it, one is unreachable")]
+#[test_case(1, 3; "one member missed the release")]
 fn a_claim_released_right_before_a_kill_stops_nothing(members_reporting: usize, answering: usize) {
     let mut controller = with_restored_claim();
     let held = [reported(0, grant(ClaimId(9), "x"), members_reporting)];
@@ -97,7 +102,7 @@
     );
     let actions = controller.reconcile(0, held);
     assert!(actions.replace.is_empty());
-    assert_eq!(actions.claims.len(), 1, "it is claimed again, as any other");
+    assert_eq!(actions.claims.len(), 1, "a slot is claimed again");
 }
 
 #[test]
--- a/crates/rollout/tests/controller/support.rs
+++ b/crates/rollout/tests/controller/support.rs
@@ -1,5 +1,5 @@
 //! Builders shared by the tests of the controller.
-#![allow(dead_code)] // each test program uses some of them
+#![allow(dead_code)] // each test binary uses only some of them
 
 use corkspan_rollout::controller::{
     ClaimRequest, ReplicaCounts, ReportedSlot, RolloutController, Votes,
@@ -18,10 +18,10 @@
     members: 3,
 };
 
-pub fn rollout(number: u64, version: &str) -> Rollout {
+pub fn rollout(revision: u64, version: &str) -> Rollout {
     Rollout {
         service: "s".into(),
-        revision: number,
+        revision,
         proposer: 1,
         version: version.into(),
         previous_version: "v1".into(),
--- a/crates/rollout/tests/controller/surges.rs
+++ b/crates/rollout/tests/controller/surges.rs
@@ -24,7 +24,7 @@
     assert_eq!(controller.start_surges(0), std::slice::from_ref(&task));
     assert!(
         controller.start_replacements(0).is_empty(),
-        "the old one is left alone"
+        "the old replica keeps running"
     );
     (controller, claim, task)
 }
@@ -37,49 +37,49 @@
     controller.surge_readiness(3 * SECOND, &task, true);
     assert!(
         controller.reconcile(4 * SECOND, &[]).stop_old.is_empty(),
-        "its time starts over"
+        "the time ready starts again"
     );
     let actions = controller.reconcile(5 * SECOND, &[]);
     assert_eq!(
         (actions.stop_old, actions.release),
         (vec![task.clone()], vec![]),
-        "its slot is held until it is gone"
+        "the slot is held until the old replica has stopped"
     );
     assert_eq!(
         controller.reconcile(6 * SECOND, &[]).stop_old,
         std::slice::from_ref(&task),
-        "repeated until then"
+        "repeated until the old replica has stopped"
     );
     assert_eq!(controller.surge_took_over(&task), [claim]);
     assert_eq!(controller.counts(), counts(1, 1, 0));
 }
 
-#[test_case(SurgeEnd::Failed; "it died")]
+#[test_case(SurgeEnd::Failed; "it failed")]
 #[test_case(SurgeEnd::NoCapacity; "it found no machine")]
-fn a_failed_surge_costs_only_its_slot(why: SurgeEnd) {
+fn a_failed_surge_leaves_the_old_replica_running(reason: SurgeEnd) {
     let (mut controller, claim, task) = surging();
-    assert_eq!(controller.surge_ended(SECOND, &task, why), [claim]);
+    assert_eq!(controller.surge_ended(SECOND, &task, reason), [claim]);
     assert_eq!(
         controller.counts(),
         counts(1, 0, 0),
-        "the old one is ready as before"
+        "the old replica is still ready"
     );
     let actions = controller.reconcile(SECOND, &[]);
     assert!(
         actions.claims.is_empty() && actions.halt.is_none(),
-        "not right away; one failure may be"
+        "no claim during the backoff, and one failure is allowed"
     );
     let actions = controller.reconcile(4 * SECOND, &[]);
     assert!(controller.claim_decided(4 * SECOND, actions.claims[0].claim, WON));
     assert_eq!(controller.start_surges(4 * SECOND).len(), 1);
-    assert_eq!(controller.surge_ended(5 * SECOND, &task, why).len(), 1);
+    assert_eq!(controller.surge_ended(5 * SECOND, &task, reason).len(), 1);
     let halt = controller
         .reconcile(9 * SECOND, &[])
         .halt
-        .expect("the second is one too many");
+        .expect("the second failure exceeds the limit");
     assert_eq!(
         halt.contains("2 without room"),
-        why == SurgeEnd::NoCapacity,
+        reason == SurgeEnd::NoCapacity,
         "{halt}"
     );
 }
@@ -100,7 +100,7 @@
     );
     assert!(
         controller.reconcile(20 * SECOND, &[]).claims.is_empty(),
-        "it is the desired version"
+        "the old replica has the desired version"
     );
 }
 
--- a/crates/rollout/tests/decisions/main.rs
+++ b/crates/rollout/tests/decisions/main.rs
@@ -35,8 +35,8 @@
     }
 }
 
-struct Run {
-    random: Pcg64Mcg,
+struct Simulation {
+    rng: Pcg64Mcg,
     now: u64,
     rollout: Rollout,
     members: Vec<QuorumMember>,
@@ -49,7 +49,7 @@
     text: String,
 }
 
-impl Run {
+impl Simulation {
     fn new(order: Order) -> Self {
         let rollout = first_rollout(order);
         let mut members = vec![QuorumMember::default(); MEMBERS];
@@ -67,8 +67,8 @@
             controller.forbid_surge(&format!("d{index}t2"));
             controller
         });
-        Run {
-            random: Pcg64Mcg::seed_from_u64(8),
+        Simulation {
+            rng: Pcg64Mcg::seed_from_u64(8),
             now: 0,
             controllers: controllers.collect(),
             rollout,
@@ -79,10 +79,10 @@
         }
     }
 
-    /// Returns the slots that all members except the first `without` report.
-    fn reported(&self, without: usize) -> Vec<ReportedSlot> {
+    /// Returns the slots that all members except the first `silent` report.
+    fn reported(&self, silent: usize) -> Vec<ReportedSlot> {
         let mut reported: Vec<ReportedSlot> = Vec::new();
-        let members = self.members[without..].iter();
+        let members = self.members[silent..].iter();
         for (slot, grant) in members
             .flat_map(|member| member.entries())
             .flat_map(|entry| &entry.slots)
@@ -109,12 +109,12 @@
     fn release(&mut self, claims: Vec<ClaimId>) {
         for claim in claims {
             // Half of the time the claim stays on disk, as if the dispatcher were killed now.
-            if self.random.random_range(0..2) > 0 {
+            if self.rng.random_range(0..2) > 0 {
                 self.on_disk.remove(&claim);
             }
             for member in &mut self.members {
                 // Some members miss the release, and report the slot again.
-                if self.random.random_range(0..4) > 0 {
+                if self.rng.random_range(0..4) > 0 {
                     member.release("s", claim);
                 }
             }
@@ -143,12 +143,12 @@
     }
 
     /// Applies a random event to one replica.
-    fn happen(&mut self, index: usize) {
+    fn apply_random_event(&mut self, index: usize) {
         let (now, task) = (
             self.now,
-            format!("d{index}t{}", self.random.random_range(0..6)),
+            format!("d{index}t{}", self.rng.random_range(0..6)),
         );
-        match self.random.random_range(0..24) {
+        match self.rng.random_range(0..24) {
             0 => {
                 let failed = self.controllers[index].replica_unready(now, &task);
                 self.write(index, &format!("{task} unready, failed {failed}"));
@@ -184,27 +184,27 @@
     }
 
     /// Completes the starts that are due: each replica becomes ready or has failed.
-    fn started(&mut self, index: usize) {
+    fn complete_starts(&mut self, index: usize) {
         let due: Vec<(String, bool)> = self
             .starting
             .iter()
             .filter(|(task, (at, _))| task.starts_with(&format!("d{index}")) && *at <= self.now)
-            .map(|(task, (_, beside))| (task.clone(), *beside))
+            .map(|(task, (_, is_surge))| (task.clone(), *is_surge))
             .collect();
-        for (task, beside) in due {
+        for (task, is_surge) in due {
             self.starting.remove(&task);
-            let outcome = self.random.random_range(0..9);
+            let outcome = self.rng.random_range(0..9);
             let controller = &mut self.controllers[index];
-            if beside && controller.is_surging(&task) && outcome < 5 {
-                let why = [SurgeEnd::Failed, SurgeEnd::NoCapacity][outcome % 2];
-                let released = controller.surge_ended(self.now, &task, why);
+            if is_surge && controller.is_surging(&task) && outcome < 5 {
+                let reason = [SurgeEnd::Failed, SurgeEnd::NoCapacity][outcome % 2];
+                let released = controller.surge_ended(self.now, &task, reason);
                 let text = format!(
                     "{task} surge failed {outcome}, releases {}",
                     claims(&released)
                 );
                 self.write(index, &text);
                 self.release(released);
-            } else if beside {
+            } else if is_surge {
                 controller.surge_readiness(self.now, &task, true);
             } else if outcome > 0 {
                 controller.replica_ready(self.now, &task);
@@ -212,27 +212,27 @@
         }
     }
 
-    fn start(&mut self, index: usize, tasks: Vec<String>, beside: bool) {
+    fn start(&mut self, index: usize, tasks: Vec<String>, is_surge: bool) {
         let version = self.rollout.desired_version().to_string();
         for task in tasks {
-            if beside && self.random.random_range(0..12) == 0 {
+            if is_surge && self.rng.random_range(0..12) == 0 {
                 self.controllers[index].postpone_surge(&task);
                 continue;
             }
-            if !beside {
+            if !is_surge {
                 self.controllers[index].replica_assigned(self.now, &task, &version, false);
             }
-            let later = self.random.random_range(3_000..15_000);
-            self.starting.insert(task, (self.now + later, beside));
+            let delay = self.rng.random_range(3_000..15_000);
+            self.starting.insert(task, (self.now + delay, is_surge));
         }
     }
 
     /// Runs one round of one dispatcher and carries out its decisions.
     fn round(&mut self, index: usize) {
-        let without = usize::from(self.random.random_range(0..3) == 0);
-        let reported = self.reported(without);
+        let silent = usize::from(self.rng.random_range(0..3) == 0);
+        let reported = self.reported(silent);
         let controller = &mut self.controllers[index];
-        let recalled = controller.verify_restored_claims(&reported, MEMBERS - without, MEMBERS);
+        let restored = controller.verify_restored_claims(&reported, MEMBERS - silent, MEMBERS);
         let mut actions = controller.reconcile(self.now, &reported);
         let counts = controller.counts();
         let text = format!(
@@ -244,23 +244,23 @@
             controller.has_work()
         );
         self.write(index, &text);
-        for ClaimRequest { claim, slot, task } in &recalled.retry {
+        for ClaimRequest { claim, slot, task } in &restored.retry {
             let text = format!("claim again {:016x} slot {slot} for {task}", claim.0);
             self.write(index, &text);
         }
-        if !recalled.lost.is_empty() {
-            self.write(index, &format!("no longer held {}", claims(&recalled.lost)));
+        if !restored.lost.is_empty() {
+            self.write(index, &format!("no longer held {}", claims(&restored.lost)));
         }
-        actions.release.extend(recalled.lost);
-        actions.claims.extend(recalled.retry);
+        actions.release.extend(restored.lost);
+        actions.claims.extend(restored.retry);
         let released = std::mem::take(&mut actions.release);
         self.release(released);
-        for left in &actions.clean_up {
-            self.controllers[index].cleaned_up(left.claim);
-            self.release(vec![left.claim]);
+        for orphaned in &actions.clean_up {
+            self.controllers[index].cleaned_up(orphaned.claim);
+            self.release(vec![orphaned.claim]);
         }
-        if let Some(why) = actions.halt.take() {
-            self.propose(self.rollout.with_phase(Phase::Halted(why), 5));
+        if let Some(reason) = actions.halt.take() {
+            self.propose(self.rollout.with_phase(Phase::Halted(reason), 5));
         }
         for task in &actions.cancel_surge {
             self.starting.remove(task);
@@ -268,7 +268,7 @@
             self.release(released);
         }
         for task in &actions.stop_old {
-            if self.random.random_range(0..3) > 0 {
+            if self.rng.random_range(0..3) > 0 {
                 let released = self.controllers[index].surge_took_over(task);
                 self.write(
                     index,
@@ -293,9 +293,9 @@
                 task: task.clone(),
                 dispatcher: index as u32,
             };
-            let answers = self.random.random_range(0..4) > 0;
-            let claimed = member.claim("s", self.rollout.revision, slot, grant);
-            granted += usize::from(answers && claimed == ClaimOutcome::Granted);
+            let answers = self.rng.random_range(0..4) > 0;
+            let outcome = member.claim("s", self.rollout.revision, slot, grant);
+            granted += usize::from(answers && outcome == ClaimOutcome::Granted);
         }
         let votes = Votes {
             granted,
@@ -327,9 +327,9 @@
                 controller.restore_claim(*claim, task, *won && number % 3 < 2);
             }
         }
-        let wanted = self.rollout.desired_version().to_string();
+        let desired = self.rollout.desired_version().to_string();
         for number in 0..6 {
-            let version = if number < 2 { &wanted[..] } else { "v1" };
+            let version = if number < 2 { &desired[..] } else { "v1" };
             controller.replica_assigned(now, &format!("d{index}t{number}"), version, number == 0);
         }
         self.controllers[index] = controller;
@@ -337,46 +337,46 @@
     }
 
     fn transcript(order: Order) -> String {
-        let mut run = Run::new(order);
+        let mut simulation = Simulation::new(order);
         for step in 0..STEPS {
-            run.now += run.random.random_range(0..4_000);
-            let index = run.random.random_range(0..DISPATCHERS);
-            run.happen(index);
-            run.started(index);
-            run.round(index);
+            simulation.now += simulation.rng.random_range(0..4_000);
+            let index = simulation.rng.random_range(0..DISPATCHERS);
+            simulation.apply_random_event(index);
+            simulation.complete_starts(index);
+            simulation.round(index);
             match step {
-                60 => run.propose(run.rollout.with_phase(Phase::Paused, 2)),
-                75 => run.propose(run.rollout.with_phase(Phase::Rolling, 2)),
-                95 | 220 | 230 => run.restart(0),
-                30 | 130 | 150 | 200 | 270 => run.propose(run.rollout.rolled_back(3)),
-                170 | 250 | 330 => run.restart(1),
-                180 | 300 => run.propose(Rollout {
+                60 => simulation.propose(simulation.rollout.with_phase(Phase::Paused, 2)),
+                75 => simulation.propose(simulation.rollout.with_phase(Phase::Rolling, 2)),
+                95 | 220 | 230 => simulation.restart(0),
+                30 | 130 | 150 | 200 | 270 => simulation.propose(simulation.rollout.rolled_back(3)),
+                170 | 250 | 330 => simulation.restart(1),
+                180 | 300 => simulation.propose(Rollout {
                     version: format!("v{step}"),
                     max_unavailable: 3,
-                    revision: run.rollout.revision + 1,
+                    revision: simulation.rollout.revision + 1,
                     phase: Phase::Rolling,
-                    ..run.rollout.clone()
+                    ..simulation.rollout.clone()
                 }),
-                240 => run.propose(run.rollout.with_phase(Phase::Rolling, 4)),
+                240 => simulation.propose(simulation.rollout.with_phase(Phase::Rolling, 4)),
                 _ => {}
             }
         }
-        run.text
+        simulation.text
     }
 }
 
 #[test]
-fn decisions_that_stop_the_old_replica_first_are_those_of_the_earlier_version() {
+fn stop_first_decisions_match_the_recorded_transcript() {
     assert_same(
-        &Run::transcript(Order::StopFirst),
+        &Simulation::transcript(Order::StopFirst),
         include_str!("../data/decisions-stop-first.txt"),
     );
 }
 
 #[test]
-fn decisions_that_start_the_new_replica_first_are_those_of_the_earlier_version() {
+fn start_first_decisions_match_the_recorded_transcript() {
     assert_same(
-        &Run::transcript(Order::StartFirst),
+        &Simulation::transcript(Order::StartFirst),
         include_str!("../data/decisions-start-first.txt"),
     );
 }
--- a/crates/rollout/tests/decisions/text.rs
+++ b/crates/rollout/tests/decisions/text.rs
@@ -19,24 +19,29 @@
     for ClaimRequest { claim, slot, task } in &actions.claims {
         write!(text, "claim {:016x} slot {slot} for {task}, ", claim.0).expect("text");
     }
-    for (what, tasks) in [
+    for (action, tasks) in [
         ("replace", &actions.replace),
         ("surge", &actions.surge),
         ("stop old", &actions.stop_old),
         ("cancel surge", &actions.cancel_surge),
     ] {
         if !tasks.is_empty() {
-            write!(text, "{what} {}, ", tasks.join("+")).expect("text");
+            write!(text, "{action} {}, ", tasks.join("+")).expect("text");
         }
     }
     if !actions.release.is_empty() {
         write!(text, "release {}, ", claims(&actions.release)).expect("text");
     }
-    for left in &actions.clean_up {
-        write!(text, "clean up {:016x} for {}, ", left.claim.0, left.task).expect("text");
+    for orphaned in &actions.clean_up {
+        write!(
+            text,
+            "clean up {:016x} for {}, ",
+            orphaned.claim.0, orphaned.task
+        )
+        .expect("text");
     }
-    if let Some(why) = &actions.halt {
-        write!(text, "halt: {why}, ").expect("text");
+    if let Some(reason) = &actions.halt {
+        write!(text, "halt: {reason}, ").expect("text");
     }
     write!(text, "wait {}", actions.wait).expect("text");
     text
@@ -44,8 +49,8 @@
 
 /// Asserts that both transcripts are equal, and reports the first line that differs.
 pub fn assert_same(transcript: &str, reference: &str) {
-    for (number, (new, old)) in transcript.lines().zip(reference.lines()).enumerate() {
-        assert_eq!(new, old, "line {}", number + 1);
+    for (number, (decided, recorded)) in transcript.lines().zip(reference.lines()).enumerate() {
+        assert_eq!(decided, recorded, "line {}", number + 1);
     }
-    assert!(transcript == reference, "one is longer");
+    assert!(transcript == reference, "the transcripts differ in length");
 }
--- a/crates/rollout/tests/invariants.rs
+++ b/crates/rollout/tests/invariants.rs
@@ -47,17 +47,17 @@
     /// are replaced in the end.
     #[test]
     fn skewed_clocks_never_exceed_the_limit(
-        apart in 0u64..100_000,
+        skew in 0u64..100_000,
         start_first in any::<bool>(),
-        turns in prop::collection::vec((0usize..2, 0u64..3_000), 200..400),
+        rounds in prop::collection::vec((0usize..2, 0u64..3_000), 200..400),
     ) {
         let order = if start_first { Order::StartFirst } else { Order::StopFirst };
-        let wanted = Rollout { order, max_failures: 1_000, ..rollout(1, "v2") };
+        let proposed = Rollout { order, max_failures: 1_000, ..rollout(1, "v2") };
         let mut members = vec![QuorumMember::default(); 3];
-        members.iter_mut().for_each(|member| drop(member.propose(wanted.clone()).cloned()));
+        members.iter_mut().for_each(|member| drop(member.propose(proposed.clone()).cloned()));
         let mut controllers: Vec<RolloutController> = (0..2).map(|dispatcher| {
-            let now = dispatcher as u64 * apart;
-            let mut controller = RolloutController::new(dispatcher, u64::from(dispatcher) + 1, wanted.clone(), now);
+            let now = dispatcher as u64 * skew;
+            let mut controller = RolloutController::new(dispatcher, u64::from(dispatcher) + 1, proposed.clone(), now);
             for number in 0..3 {
                 let task = format!("d{dispatcher}c{number}");
                 controller.replica_assigned(now, &task, "v1", false);
@@ -69,14 +69,14 @@
         let mut starting: BTreeMap<String, u64> = BTreeMap::new();
         let (mut time, mut highest) = (0, 0);
         // After the drawn rounds, the dispatchers alternate until all is done.
-        let rest = (0..600).map(|turn| (turn % 2, 1_000));
-        for (index, pause) in turns.into_iter().chain(rest) {
+        let rest = (0..600).map(|round| (round % 2, 1_000));
+        for (index, pause) in rounds.into_iter().chain(rest) {
             time += pause;
-            let now = time + index as u64 * apart;
-            let mine: Vec<String> = starting.iter()
+            let now = time + index as u64 * skew;
+            let ready: Vec<String> = starting.iter()
                 .filter(|(task, at)| task.starts_with(&format!("d{index}")) && **at <= time)
                 .map(|(task, _)| task.clone()).collect();
-            for task in mine {
+            for task in ready {
                 if controllers[index].is_surging(&task) {
                     controllers[index].surge_readiness(now, &task, true);
                 } else {
@@ -127,10 +127,10 @@
                 }
             }
             highest = highest.max(starting.len());
-            prop_assert!(highest <= 2, "{highest} at a time where 2 may be");
+            prop_assert!(highest <= 2, "{highest} at a time, the limit is 2");
         }
-        let left: Vec<_> = controllers.iter().map(RolloutController::counts).collect();
-        prop_assert_eq!(left, vec![counts(3, 3, 0), counts(3, 3, 0)], "all are replaced in the end");
+        let remaining: Vec<_> = controllers.iter().map(RolloutController::counts).collect();
+        prop_assert_eq!(remaining, vec![counts(3, 3, 0), counts(3, 3, 0)], "not all replicas were replaced");
         prop_assert!(highest >= 1);
     }
 
@@ -174,7 +174,7 @@
                 Event::ClaimDecided(won) => {
                     let Some((claim, task)) = pending.pop() else { continue };
                     if controller.claim_decided(now, claim, if won { WON } else { LOST }) {
-                        prop_assert!(won, "a lost claim is no slot");
+                        prop_assert!(won, "a lost claim was accepted");
                         held.insert(claim, task);
                         stopped = controller.start_replacements(now);
                     }
@@ -194,10 +194,10 @@
                 Event::TimePasses(time) => now += u64::from(time),
             }
             for task in stopped {
-                prop_assert!(held.values().any(|own| *own == task), "{task} is stopped without a slot");
+                prop_assert!(held.values().any(|holder| *holder == task), "{task} is stopped without a slot");
                 prop_assert_eq!(&current.phase, &Phase::Rolling);
             }
-            prop_assert!(controller.claims().count() <= 2 + 4, "claims stay few");
+            prop_assert!(controller.claims().count() <= 2 + 4, "the number of claims is bounded");
         }
     }
 }
--- a/crates/rollout/tests/search.rs
+++ b/crates/rollout/tests/search.rs
@@ -38,7 +38,7 @@
 }
 
 #[derive(Clone, PartialEq, Eq, Hash)]
-struct World {
+struct SystemState {
     /// For each member, the claim that holds each slot.
     members: [BTreeMap<u8, u8>; MEMBERS],
     dispatchers: Vec<(State, u8)>,
@@ -57,7 +57,7 @@
     slots: u8,
     votes: usize,
 ) -> (usize, usize) {
-    let start = World {
+    let start = SystemState {
         members: Default::default(),
         dispatchers: vec![(State::Idle, 0); dispatchers],
         claims: BTreeSet::new(),
@@ -69,7 +69,7 @@
         let holding = world
             .dispatchers
             .iter()
-            .filter(|(at, _)| matches!(at, State::Holding(_)))
+            .filter(|(state, _)| matches!(state, State::Holding(_)))
             .count();
         highest = highest.max(holding);
         for next in successors(&world, claims_each, slots, votes) {
@@ -81,16 +81,16 @@
     (highest, seen.len())
 }
 
-fn successors(world: &World, claims_each: u8, slots: u8, votes: usize) -> Vec<World> {
+fn successors(world: &SystemState, claims_each: u8, slots: u8, votes: usize) -> Vec<SystemState> {
     let mut all = Vec::new();
-    for (index, &(at, used)) in world.dispatchers.iter().enumerate() {
+    for (index, &(state, used)) in world.dispatchers.iter().enumerate() {
         let claim = index as u8 * 8 + used;
-        let mut step = |change: &dyn Fn(&mut World)| {
+        let mut step = |change: &dyn Fn(&mut SystemState)| {
             let mut next = world.clone();
             change(&mut next);
             all.push(next);
         };
-        match at {
+        match state {
             State::Idle if used < claims_each => {
                 for slot in 0..slots {
                     step(&|next| {
@@ -151,7 +151,7 @@
 #[test_case(3, 1, 2; "two slots, three dispatchers")]
 fn a_majority_never_exceeds_the_limit(dispatchers: usize, claims_each: u8, slots: u8) {
     let (highest, states) = max_unavailable_reached(dispatchers, claims_each, slots, 2);
-    assert!(states > 100, "{states} states are no search");
+    assert!(states > 100, "only {states} states");
     assert_eq!(
         highest,
         usize::from(slots),
@@ -168,23 +168,23 @@
 /// Returns whether time slices, the rejected alternative, let two replicas be down at once. Each
 /// dispatcher may stop a replica within its own slice, up to `guard` before its end. Clocks differ
 /// by up to `skew`, and a replica takes `time_to_ready` to become ready.
-fn time_slices_overlap(turn: i32, guard: i32, skew: i32, long: i32) -> bool {
+fn time_slices_overlap(slice: i32, guard: i32, skew: i32, time_to_ready: i32) -> bool {
     let down = |offset: i32, begins: i32| {
-        (0..turn - guard)
-            .map(move |late| begins + late - offset)
-            .map(move |from| (from, from + long))
+        (0..slice - guard)
+            .map(move |delay| begins + delay - offset)
+            .map(move |from| (from, from + time_to_ready))
     };
     (-skew..=skew).any(|second| {
         down(0, 0)
-            .any(|(from, to)| down(second, turn).any(|(other, until)| other < to && from < until))
+            .any(|(from, to)| down(second, slice).any(|(other, until)| other < to && from < until))
     })
 }
 
 #[test]
-fn time_slices_hold_only_while_clocks_and_replicas_keep_to_them() {
+fn time_slices_keep_the_limit_only_while_clocks_and_replicas_stay_within_the_guard() {
     assert!(
         !time_slices_overlap(10, 6, 2, 3),
-        "a guard of skew and time to get ready is enough"
+        "a guard of the skew and the time to ready is enough"
     );
     assert!(
         time_slices_overlap(10, 6, 5, 3),
@@ -192,7 +192,7 @@
     );
     assert!(
         time_slices_overlap(10, 6, 2, 30),
-        "and so does a replica that does not get ready"
+        "a replica that does not become ready exceeds the limit"
     );
 }
 
@@ -205,12 +205,12 @@
 }
 
 #[test]
-fn a_quorum_member_keeps_the_rule_that_the_search_assumes() {
+fn a_quorum_member_follows_the_rule_that_the_search_assumes() {
     let mut member = QuorumMember::default();
     assert_eq!(
         member.claim("s", 1, 0, grant(1)),
         ClaimOutcome::StaleRevision,
-        "of an unknown rollout"
+        "the rollout is unknown"
     );
     assert_eq!(member.propose(rollout(1, 1)), Some(&rollout(1, 1)));
     assert_eq!(member.claim("s", 1, 0, grant(1)), ClaimOutcome::Granted);
@@ -223,13 +223,13 @@
     assert_eq!(
         member.claim("s", 1, 1, grant(2)),
         ClaimOutcome::Occupied,
-        "no slot of this rollout"
+        "the index is beyond the limit"
     );
     member.release("s", ClaimId(2));
     assert_eq!(
         member.claim("s", 1, 0, grant(3)),
         ClaimOutcome::Occupied,
-        "another's release frees nothing"
+        "a release of another claim has no effect"
     );
     member.release("s", ClaimId(1));
     assert_eq!(member.claim("s", 1, 0, grant(3)), ClaimOutcome::Granted);
@@ -249,7 +249,7 @@
     assert_eq!(
         member.claim("s", 1, 0, grant(9)),
         ClaimOutcome::StaleRevision,
-        "under the earlier one none is granted"
+        "none is granted under the earlier revision"
     );
     member.release("s", ClaimId(1));
     assert_eq!(
@@ -262,9 +262,9 @@
 }
 
 #[test]
-fn of_two_concurrent_proposals_one_is_committed_and_the_other_is_shown_it() {
+fn of_two_concurrent_proposals_one_is_committed_and_returned_to_the_other_proposer() {
     let mut members = vec![QuorumMember::default(); MEMBERS];
-    let (one, two) = (
+    let (first, second) = (
         Rollout {
             proposer: 1,
             ..rollout(1, 1)
@@ -274,35 +274,38 @@
             ..rollout(1, 2)
         },
     );
-    assert_eq!(members[0].propose(one.clone()), Some(&one));
-    assert_eq!(members[1].propose(two.clone()), Some(&two));
-    assert_eq!(members[2].propose(two.clone()), Some(&two));
+    assert_eq!(members[0].propose(first.clone()), Some(&first));
+    assert_eq!(members[1].propose(second.clone()), Some(&second));
+    assert_eq!(members[2].propose(second.clone()), Some(&second));
     assert_eq!(
-        members[1].propose(one.clone()),
-        Some(&two),
-        "the first one there is kept"
+        members[1].propose(first.clone()),
+        Some(&second),
+        "the member keeps the proposal that it accepted first"
     );
-    assert_eq!(members[0].propose(two.clone()), Some(&one));
+    assert_eq!(members[0].propose(second.clone()), Some(&first));
     let reported: Vec<Rollout> = members
         .iter()
         .flat_map(|member| member.entries().map(|entry| entry.proposal.clone()))
         .collect();
-    assert_eq!(committed(&reported, MEMBERS), Some(&two));
+    assert_eq!(committed(&reported, MEMBERS), Some(&second));
     assert_eq!(
         committed(&reported[..2], MEMBERS),
         None,
-        "with one member away nobody can tell"
+        "undecided while one member is missing"
     );
 }
 
 #[test]
-fn an_uncommitted_proposal_counts_for_its_revision_alone() {
-    let stray = Rollout {
+fn an_uncommitted_proposal_only_raises_the_next_revision() {
+    let uncommitted = Rollout {
         version: "v9".into(),
         ..rollout(5, 1)
     };
-    let next = base_proposal(&[rollout(4, 2), stray.clone(), rollout(4, 2)], MEMBERS)
-        .expect("one in force");
+    let next = base_proposal(
+        &[rollout(4, 2), uncommitted.clone(), rollout(4, 2)],
+        MEMBERS,
+    )
+    .expect("a proposal is committed");
     assert_eq!((&next.version[..], next.revision), ("v2", 5));
     assert_eq!(base_proposal::<Rollout>(&[], MEMBERS), None);
 }
--- a/crates/rollout/tests/stored_state.rs
+++ b/crates/rollout/tests/stored_state.rs
@@ -7,7 +7,7 @@
 const STORED: &str = include_str!("data/stored-state.json");
 
 /// Lines with a length in bytes to truncate the stored text to, and the resulting error.
-const HALF_WRITTEN: &str = include_str!("data/half-written.txt");
+const TRUNCATED: &str = include_str!("data/half-written.txt");
 
 fn stored() -> &'static str {
     STORED.trim_end()
@@ -54,10 +54,10 @@
         initial_version: String::new(),
         ..quotes().rolled_back(9)
     };
-    for update in [quotes(), paused, halted, rolled_back] {
-        assert!(member.propose(update).is_some());
+    for rollout in [quotes(), paused, halted, rolled_back] {
+        assert!(member.propose(rollout).is_some());
     }
-    for (service, number, slot, claim, dispatcher) in [
+    for (service, revision, slot, claim, dispatcher) in [
         ("quotes", 7, 0, 1, 0),
         ("quotes", 7, 3, u64::MAX, 7),
         ("quotes", 7, 4, 2, 4_294_967_295),
@@ -68,16 +68,16 @@
             task: format!("{service}/{slot}"),
             dispatcher,
         };
-        let _ = member.claim(service, number, slot, grant);
+        let _ = member.claim(service, revision, slot, grant);
     }
     member
 }
 
 #[test]
-fn state_stored_by_an_earlier_version_is_read_to_the_same_content() {
+fn state_stored_by_an_earlier_version_is_read_with_the_same_content() {
     let read: QuorumMember = serde_json::from_str(stored()).expect("readable");
     assert_eq!(read, expected());
-    assert_eq!(read.entries().count(), 4, "one entry a service");
+    assert_eq!(read.entries().count(), 4, "one entry for each service");
 }
 
 #[test]
@@ -91,21 +91,21 @@
 }
 
 #[test]
-fn half_written_state_is_refused_with_the_same_message() {
+fn truncated_state_is_rejected_with_the_same_message() {
     let mut cases = 0;
-    for line in HALF_WRITTEN.lines() {
-        let (cut, message) = line.split_once(' ').expect("a cut and a message");
-        let half = &stored()[..cut.parse().expect("a number of bytes")];
-        let refused =
-            serde_json::from_str::<QuorumMember>(half).expect_err("half of it is no state");
-        assert_eq!(refused.to_string(), message, "cut after {cut} bytes");
+    for line in TRUNCATED.lines() {
+        let (length, message) = line.split_once(' ').expect("a length and a message");
+        let truncated = &stored()[..length.parse().expect("a number of bytes")];
+        let error = serde_json::from_str::<QuorumMember>(truncated)
+            .expect_err("truncated state is rejected");
+        assert_eq!(error.to_string(), message, "truncated to {length} bytes");
         cases += 1;
     }
-    assert!(cases >= 8, "{cases} cuts");
+    assert!(cases >= 8, "only {cases} cases");
 }
 
 #[test]
-fn state_without_a_key_is_refused_with_the_stored_name_of_that_key() {
+fn state_without_a_key_is_rejected_with_the_stored_name_of_that_key() {
     for key in [
         "wish",
         "slots",
@@ -127,8 +127,8 @@
         "dispatcher",
     ] {
         let other = stored().replace(&format!("\"{key}\":"), "\"other\":");
-        let refused = serde_json::from_str::<QuorumMember>(&other).expect_err("a key is missing");
-        let message = refused.to_string();
+        let error = serde_json::from_str::<QuorumMember>(&other).expect_err("a key is missing");
+        let message = error.to_string();
         assert!(
             message.starts_with(&format!("missing field `{key}` at line 1 column ")),
             "{message}"
