--- a/crates/version-fencing/src/audit.rs
+++ b/crates/version-fencing/src/audit.rs
@@ -1,52 +1,52 @@
-//! What is wrong in a fleet, by the reports of its dispatchers and the counts of nodes.
+//! Finds faults in a fleet by comparing the reports of its dispatchers and the counts of its nodes.
 
 use crate::operations::{OperationKind, VersionedOperation};
 use std::collections::BTreeMap;
 
-/// What one process replied to the audit.
+/// The reply of one process to the audit.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Reply<T> {
-    /// The address that was asked, as the operator gave it.
+    /// Address of the process, as the operator gave it.
     pub address: String,
-    /// None where it did not reply.
+    /// The report; none if the process did not reply.
     pub report: Option<T>,
 }
 
-/// What one dispatcher reports of itself.
+/// A dispatcher's report about itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DispatcherReport {
     /// Its number in the fleet.
     pub dispatcher: u32,
     /// Incarnation of the process.
     pub incarnation: u64,
-    /// The version in force.
+    /// The active version.
     pub version: u64,
     /// Digest of that version, in hexadecimal.
     pub digest: String,
-    /// The version in force is on trial.
+    /// Whether the active version is on trial.
     pub on_trial: bool,
-    /// A control service streams versions to it.
+    /// Whether a control service streams versions to it.
     pub has_stream: bool,
     /// The version that it rejected last.
     pub last_rejected: Option<RejectedVersion>,
-    /// Versions that it rolled back by itself.
+    /// Versions that it rolled back on its own.
     pub rolled_back: Vec<u64>,
-    /// Its version is below the minimum that it knows of.
+    /// Whether its version is below the minimum that it knows of.
     pub fenced: bool,
     /// Operations of this incarnation, by its own count.
     pub operations: BTreeMap<VersionedOperation, u64>,
 }
 
-/// A version that a dispatcher did not put in force.
+/// A version that a dispatcher did not activate.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RejectedVersion {
     /// The version.
     pub version: u64,
-    /// Why, as the dispatcher says.
+    /// The reason that the dispatcher gives.
     pub reason: String,
 }
 
-/// What one node reports of one process's operations of one kind under one version.
+/// A node's report about the operations of one process, of one kind and under one version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NodeObservation {
     /// Number of the dispatcher.
@@ -55,32 +55,32 @@
     pub incarnation: u64,
     /// The version that the operations were decided under.
     pub version: u64,
-    /// What they do.
+    /// Kind of the operations.
     pub kind: OperationKind,
-    /// How many arrived.
+    /// Number of operations that arrived.
     pub seen: u64,
-    /// Of them, rejected as below the minimum version.
+    /// Number of them that were rejected as below the minimum version.
     pub rejected: u64,
 }
 
-/// Why a dispatcher is behind, as far as its report tells.
+/// The reason why a dispatcher is behind, as far as its report shows it.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LagReason {
-    /// It rolled a later version back.
+    /// It rolled back a later version.
     #[error("it gave version {0} up")]
     RolledBack(u64),
     /// It rejected a later version.
     #[error("it turned version {} down: {}", .0.version, .0.reason)]
     Rejected(RejectedVersion),
-    /// Nobody sends versions to it.
+    /// No control service streams versions to it.
     #[error("no control service streams to it")]
     NoStream,
-    /// The report does not tell.
+    /// The report gives no reason.
     #[error("it does not tell why")]
     Unknown,
 }
 
-/// One thing that is wrong. `address` is that of the process concerned, as it was asked.
+/// A fault that the audit found. `address` is the address of the process concerned.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Finding {
     /// A process did not reply.
@@ -95,18 +95,18 @@
         version: u64,
         /// The newest version that any dispatcher runs.
         newest: u64,
-        /// Why it does not run that.
+        /// The reason why it does not run the newest.
         reason: LagReason,
     },
-    /// A dispatcher may not act.
+    /// A dispatcher is fenced.
     #[error("{0} is shut out by the floor of versions")]
     Fenced(String),
-    /// Two processes run under one number.
+    /// Two processes run under the same number.
     #[error("{address} and {other} are two processes under the number {dispatcher}")]
     DuplicateNumber {
-        /// The process asked later.
+        /// Address of the process that was polled later.
         address: String,
-        /// The process asked first.
+        /// Address of the process that was polled first.
         other: String,
         /// Their number.
         dispatcher: u32,
@@ -120,7 +120,7 @@
         dispatcher: u32,
         /// The version that the operations were decided under.
         version: u64,
-        /// How many were rejected.
+        /// Number of rejected operations.
         rejected: u64,
     },
     /// Nodes have seen operations under a later version than a dispatcher reports.
@@ -130,7 +130,7 @@
     Ahead {
         /// The dispatcher.
         address: String,
-        /// The version that nodes have seen.
+        /// The version of the operations that nodes have seen.
         version: u64,
         /// The version that it reports.
         reported: u64,
@@ -144,26 +144,26 @@
         address: String,
         /// The version that the operations were decided under.
         version: u64,
-        /// What they do.
+        /// Kind of the operations.
         kind: OperationKind,
-        /// How many nodes have seen.
+        /// Number of operations that nodes have seen.
         seen: u64,
-        /// How many the dispatcher counts.
+        /// Number of operations that the dispatcher counts.
         counted: u64,
     },
     /// Two dispatchers run one version with different contents.
     #[error("{address} and {other} run version {version} with different digests")]
     DigestMismatch {
-        /// The dispatcher asked later.
+        /// Address of the dispatcher that was polled later.
         address: String,
-        /// The dispatcher asked first.
+        /// Address of the dispatcher that was polled first.
         other: String,
         /// The version that both run.
         version: u64,
     },
 }
 
-/// The operations of one dispatcher under one version, over all its incarnations.
+/// A dispatcher and a version, which identify its operations over all incarnations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct DispatcherVersion {
     /// Number of the dispatcher.
@@ -172,14 +172,14 @@
     pub version: u64,
 }
 
-/// How many operations nodes have seen.
+/// The number of operations that nodes have seen.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct OperationTotals {
     /// Attempts to start a task.
     pub attempts: u64,
     /// Operations of all other kinds.
     pub others: u64,
-    /// Of all, rejected as below the minimum version.
+    /// Operations of all kinds that were rejected as below the minimum version.
     pub rejected: u64,
 }
 
@@ -187,7 +187,7 @@
     nodes.iter().flat_map(|node| &node.report).flatten()
 }
 
-/// What nodes have seen, summed over nodes and incarnations.
+/// Sums the operations that nodes have seen, over nodes and incarnations.
 pub fn operation_totals(
     nodes: &[Reply<Vec<NodeObservation>>],
 ) -> BTreeMap<DispatcherVersion, OperationTotals> {
@@ -209,7 +209,8 @@
     totals
 }
 
-/// What the nodes' reports show to be wrong, by themselves or against the dispatchers' reports.
+/// Returns the faults that the nodes' reports show, alone or compared with the dispatchers'
+/// reports.
 pub fn node_findings(
     dispatchers: &[Reply<DispatcherReport>],
     nodes: &[Reply<Vec<NodeObservation>>],
@@ -238,7 +239,7 @@
     findings
 }
 
-/// The operations of one process, over all nodes.
+/// Sums the operations of one process over all nodes.
 fn seen_by_nodes(
     report: &DispatcherReport,
     nodes: &[Reply<Vec<NodeObservation>>],
@@ -259,8 +260,8 @@
     sums
 }
 
-/// Operations of which nodes have seen more than the dispatcher counts. It reports no counts of
-/// versions that it has forgotten; those are not compared.
+/// Returns the operations of which nodes have seen more than the dispatcher counts. Versions that
+/// the dispatcher has forgotten have no counts in its report and are not compared.
 fn excess_operations<'a>(
     address: &'a str,
     report: &'a DispatcherReport,
@@ -281,8 +282,8 @@
         })
 }
 
-/// The latest version that nodes have seen beyond the reported one, unless the dispatcher has
-/// rolled it back since.
+/// Returns the latest version above the reported one under which nodes have seen operations, unless
+/// the dispatcher has rolled it back since.
 fn ahead(
     address: &str,
     report: &DispatcherReport,
@@ -297,7 +298,7 @@
     })
 }
 
-/// What the dispatchers' reports show to be wrong, in the order in which they were asked.
+/// Returns the faults that the dispatchers' reports show, in the order of the reports.
 pub fn dispatcher_findings(dispatchers: &[Reply<DispatcherReport>]) -> Vec<Finding> {
     let reports = dispatchers.iter().filter_map(|reply| reply.report.as_ref());
     let newest = reports.map(|report| report.version).max().unwrap_or(0);
@@ -325,7 +326,7 @@
     findings
 }
 
-/// The first dispatcher seen with each number, and with each version.
+/// The first dispatcher seen with each number and with each version.
 #[derive(Default)]
 struct Comparison<'a> {
     by_number: BTreeMap<u32, (&'a str, u64)>,
@@ -333,8 +334,8 @@
 }
 
 impl<'a> Comparison<'a> {
-    /// Another process under the same number. One that is asked at two addresses is the same
-    /// incarnation.
+    /// Returns a finding if another process has the same number. A process that was polled at two
+    /// addresses has the same incarnation, and is no duplicate.
     fn duplicate_number(&mut self, address: &'a str, report: &DispatcherReport) -> Option<Finding> {
         let (other, incarnation) = *self
             .by_number
@@ -347,8 +348,8 @@
         })
     }
 
-    /// Other contents under the same version. Version 0 is each dispatcher's own file and may well
-    /// differ.
+    /// Returns a finding if another dispatcher has different contents under the same version.
+    /// Version 0 is each dispatcher's own file, and may differ.
     fn digest_mismatch(
         &mut self,
         address: &'a str,
--- a/crates/version-fencing/src/catch_up.rs
+++ b/crates/version-fencing/src/catch_up.rs
@@ -1,28 +1,28 @@
-//! How a dispatcher that is behind catches up: whom it requests the newest version from next, and
-//! when. Without a clock: times are passed in, in the unit of [`RequestIntervals`].
+//! Decides when a dispatcher that is behind requests the newest version, and from which source.
+//! Without a clock: times are passed in, in the unit of [`RequestIntervals`].
 
 use corkspan_quorum::sampled;
 use rand::seq::SliceRandom;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// The backoff doubles no further than this: the interval would be beyond any maximum.
+/// Largest number of times that the backoff doubles; a longer interval exceeds any maximum.
 const MAX_DOUBLINGS: u32 = 16;
 
-/// Times between requests, in the caller's unit.
+/// Times between requests, in a unit chosen by the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestIntervals {
-    /// The first request follows within this time of a dispatcher being fenced, and the backoff
-    /// starts from it.
+    /// Time within which a dispatcher makes its first request after it is fenced, and the start of
+    /// the backoff.
     pub initial: u64,
-    /// The backoff grows no further than this.
+    /// Largest backoff.
     pub max: u64,
-    /// The mean time between requests of a dispatcher that no control service streams to, and that
-    /// is not known to be behind.
+    /// Mean time between requests of a dispatcher that no control service streams to and that is
+    /// not known to be behind.
     pub idle: u64,
 }
 
-/// Whom the newest version may be requested from, by index in the deployment's list.
+/// A source of the newest version, by index in the deployment's list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VersionSource {
     /// Another dispatcher.
@@ -31,29 +31,29 @@
     QuorumMember(usize),
 }
 
-/// What a dispatcher knows of its own state.
+/// The state of a dispatcher, as far as it knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CatchUpStatus {
-    /// A control service streams versions to it.
+    /// Whether a control service streams versions to it.
     pub has_stream: bool,
-    /// Its version is below the minimum.
+    /// Whether its version is below the minimum.
     pub fenced: bool,
-    /// Other dispatchers that the deployment names.
+    /// Number of other dispatchers in the deployment.
     pub peers: usize,
-    /// Members of the quorum.
+    /// Number of quorum members.
     pub members: usize,
 }
 
-/// What a request led to.
+/// The outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// A later version is in force now.
+    /// A later version is active now.
     Advanced,
-    /// No reply, no later version, or one that was rejected here.
+    /// There was no reply, no later version, or one that the dispatcher rejected.
     Unchanged,
 }
 
-/// What to do next.
+/// The next step of a dispatcher.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[must_use]
 pub enum NextStep {
@@ -63,22 +63,22 @@
     Wait(u64),
 }
 
-/// One dispatcher's requests. Times and order are drawn at random, so that hundreds that are behind
-/// at once do not all ask the same peer at the same time.
+/// The schedule of one dispatcher's requests. Times and order are random, so that hundreds of
+/// dispatchers that are behind at once don't all send requests to the same peer at the same time.
 pub struct CatchUp {
     rng: Pcg64Mcg,
     intervals: RequestIntervals,
-    /// Rounds over all sources that brought nothing, in a row.
+    /// Number of consecutive rounds over all sources without a later version.
     failed_rounds: u32,
     /// Whether the dispatcher was fenced when the next request was scheduled.
     was_fenced: bool,
     next_request_at: Option<u64>,
-    /// Sources still to be asked in this round; the next one is last.
+    /// Sources that remain in this round; the next one is at the end.
     remaining: Vec<VersionSource>,
 }
 
 impl CatchUp {
-    /// Starts with nothing scheduled.
+    /// Creates a schedule without requests.
     pub fn new(seed: u64, intervals: RequestIntervals) -> Self {
         CatchUp {
             rng: Pcg64Mcg::seed_from_u64(seed),
@@ -90,11 +90,11 @@
         }
     }
 
-    /// What to do at this time, in this state.
+    /// Returns what to do at this time and in this state.
     pub fn poll(&mut self, now: u64, status: CatchUpStatus) -> NextStep {
         let RequestIntervals { initial, idle, .. } = self.intervals;
-        // A control service brings a dispatcher up to date, unless it is fenced all the same: then
-        // the service stands still, or its version was rejected here.
+        // A control service keeps a dispatcher up to date. If the dispatcher is fenced despite it,
+        // the service has stalled or its version was rejected here.
         let served = status.has_stream && !status.fenced;
         if served || status.peers + status.members == 0 {
             self.reset();
@@ -127,8 +127,8 @@
         self.remaining.clear();
     }
 
-    /// All sources in a random order, to be taken from the end: quorum members after all peers,
-    /// since they are few and have more to do.
+    /// Returns all sources in random order, to be used from the end: all peers are used before the
+    /// quorum members, which are few and have more work.
     fn shuffled_sources(&mut self, status: CatchUpStatus) -> Vec<VersionSource> {
         let mut peers: Vec<_> = (0..status.peers).map(VersionSource::Peer).collect();
         let mut members: Vec<_> = (0..status.members)
@@ -148,8 +148,8 @@
         }
         let RequestIntervals { initial, max, idle } = self.intervals;
         let round_complete = self.remaining.is_empty();
-        // Within a round all sources are asked soon, since any of them may be down; only between
-        // rounds it is worth waiting longer.
+        // Within a round the requests follow soon, since any source may be down; only between
+        // rounds a longer delay is useful.
         let longest = match (self.was_fenced, round_complete) {
             (true, false) => initial,
             (true, true) => (initial << self.failed_rounds.min(MAX_DOUBLINGS)).min(max),
@@ -159,9 +159,9 @@
     }
 }
 
-/// Whether a dispatcher stores its good version at the quorum members in this round, where the
-/// oldest of theirs is `stored`. The whole fleet sees at once that one is missing there, and a few
-/// are enough. `chance` is drawn from 0 to 1.
+/// Returns whether a dispatcher stores its good version at the quorum members in this round;
+/// `stored` is the oldest version at the members. The whole fleet notices a missing version at the
+/// same time, and a few dispatchers are enough to store it. `draw` is drawn uniformly from 0 to 1.
 pub fn should_store(version: u64, stored: Option<u64>, fleet: usize, chance: f64) -> bool {
     version > stored.unwrap_or(0) && sampled(fleet, chance)
 }
--- a/crates/version-fencing/src/fence.rs
+++ b/crates/version-fencing/src/fence.rs
@@ -1,28 +1,28 @@
-//! The fence of a node: whether an operation takes effect there.
+//! The fence of a node, which decides whether an operation takes effect there.
 
 use crate::MinimumVersion;
 use corkspan_quorum::{committed, is_majority};
 
-/// What a node finds on its disk at a start.
+/// The state that a node finds on its disk when it starts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoredState {
-    /// The disk can be trusted: the minimum version that the node had stored, if it knew one.
+    /// The disk can be trusted. The value is the minimum version that the node had stored, if any.
     Intact(Option<MinimumVersion>),
-    /// Nothing that can be trusted. An empty disk counts as lost until it records that the quorum
-    /// was asked and held no minimum version: a node that restarts between the loss and the reply
-    /// has not asked.
+    /// The disk has no state that can be trusted. An empty disk counts as lost until it records
+    /// that the quorum was queried and held no minimum version: a node that restarts between the
+    /// loss and the reply has not queried it.
     Lost,
 }
 
-/// What a node answers to an attempt.
+/// A node's decision on an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[must_use = "an attempt that is not accepted must not run"]
 pub enum FenceDecision {
     /// The attempt may run.
     Accepted,
-    /// Rejected: its version is below this minimum, which the sender is to be notified of.
+    /// The attempt is rejected: its version is below this minimum, which is reported to the sender.
     Fenced(MinimumVersion),
-    /// The node lost its state and has yet to hear from a majority of the quorum.
+    /// The node lost its state and has no replies from a majority of the quorum yet.
     Unknown,
 }
 
@@ -35,7 +35,7 @@
 }
 
 impl Fence {
-    /// The fence of a node that starts with this state on its disk.
+    /// Creates the fence of a node that starts with this state on its disk.
     pub fn restore(state: StoredState) -> Self {
         match state {
             StoredState::Intact(stored) => Fence {
@@ -49,34 +49,34 @@
         }
     }
 
-    /// Whether a reported minimum version is newer than the stored one, and so is to be written to
-    /// disk and passed to [`Fence::apply_stored`]. Ask right before the write: a later one may have
-    /// arrived since the report did.
+    /// Returns whether a reported minimum version is newer than the stored one, and so is to be
+    /// written to disk and passed to [`Fence::apply_stored`]. To be called right before the write:
+    /// a later minimum may have arrived since the report.
     pub fn should_store(&self, reported: MinimumVersion) -> bool {
         reported.is_newer_than(self.stored)
     }
 
-    /// Enforces a minimum version that is on disk by now. Not before: a node that rejected by a
-    /// minimum and forgot it in a restart would accept afterwards what it had rejected.
+    /// Enforces a minimum version that is already on disk. A node that enforced one earlier and
+    /// forgot it in a restart would then accept attempts that it had rejected.
     pub fn apply_stored(&mut self, minimum: MinimumVersion) {
         if self.should_store(minimum) {
             self.stored = Some(minimum);
         }
     }
 
-    /// Applies the quorum's replies after the disk was lost; what a majority holds must be on disk
-    /// by now. Returns whether the fence can decide from here on.
+    /// Applies the quorum's replies after the disk was lost. The minimum that a majority holds must
+    /// already be on disk. Returns whether the fence can decide from now on.
     ///
     /// The highest minimum that any single member reports is not used, although it would be
-    /// stricter: it may never be committed, and would spread from here as if it had been.
+    /// stricter: it may never be committed, and would spread from this node as if it were.
     #[must_use = "false: the quorum must be asked again"]
     pub fn apply_quorum_replies(
         &mut self,
         replies: &[Option<MinimumVersion>],
         members: usize,
     ) -> bool {
-        // Whatever was committed is held by at least one member of any majority: where a majority
-        // holds none, there never was one.
+        // At least one member of any majority holds a committed minimum: if a majority holds none,
+        // none was ever committed.
         let never_committed =
             is_majority(replies.len(), members) && replies.iter().all(Option::is_none);
         let committed = committed(replies.iter().flatten(), members).copied();
@@ -87,8 +87,8 @@
         self.initialized
     }
 
-    /// Decides on an attempt by the version that it was decided under. What is known of the sender
-    /// does not count: an attempt of an earlier incarnation may arrive late.
+    /// Decides on an attempt by the version that it was decided under. The sender's current version
+    /// does not count, since an attempt of an earlier incarnation may arrive late.
     pub fn decide(&self, version: u64) -> FenceDecision {
         match self.stored {
             _ if !self.initialized => FenceDecision::Unknown,
@@ -97,7 +97,7 @@
         }
     }
 
-    /// The minimum version that is enforced here.
+    /// Returns the minimum version that is enforced here.
     pub fn minimum(&self) -> Option<MinimumVersion> {
         self.stored
     }
--- a/crates/version-fencing/src/gate.rs
+++ b/crates/version-fencing/src/gate.rs
@@ -1,18 +1,18 @@
-//! The gate of a dispatcher: whether it may act, as far as it knows.
+//! The version gate of a dispatcher, which decides whether it may act as far as it knows.
 
 use crate::MinimumVersion;
 use corkspan_quorum::committed;
 
-/// What a dispatcher knows of the minimum version. It spares operations that the nodes would
-/// reject; correctness rests on their fences alone.
+/// A dispatcher's knowledge of the minimum version. It avoids operations that the nodes would
+/// reject; correctness depends only on the nodes' fences.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct VersionGate {
     minimum: Option<MinimumVersion>,
 }
 
 impl VersionGate {
-    /// Applies the replies of quorum members, each with the minimum version that it holds if it
-    /// holds one. Only what a majority agrees on counts. Returns whether it was newer.
+    /// Applies the replies of quorum members, each with the minimum version that the member holds,
+    /// if any. Only a minimum held by a majority counts. Returns whether it was newer.
     pub fn apply_quorum_replies(
         &mut self,
         replies: &[Option<MinimumVersion>],
@@ -23,8 +23,8 @@
             .is_some_and(|minimum| self.apply(minimum))
     }
 
-    /// Applies the minimum version that a node rejected an attempt by: it comes from a dispatcher
-    /// that had learnt it from a majority. Returns whether it was newer.
+    /// Applies the minimum version by which a node rejected an attempt. The node has it from a
+    /// dispatcher that received it from a majority. Returns whether it was newer.
     pub fn apply_node_report(&mut self, minimum: MinimumVersion) -> bool {
         self.apply(minimum)
     }
@@ -37,13 +37,14 @@
         newer
     }
 
-    /// The minimum version, which each attempt carries to its node.
+    /// Returns the minimum version, which each attempt carries to its node.
     pub fn minimum(&self) -> Option<MinimumVersion> {
         self.minimum
     }
 
-    /// The minimum version that fences a dispatcher which runs this version; none where it may act.
-    /// To be cut off from the quorum or the control service fences nobody.
+    /// Returns the minimum version that fences a dispatcher which runs this version; none where it
+    /// may act. A dispatcher is not fenced for being cut off from the quorum or the control
+    /// service.
     pub fn fenced_by(&self, running: u64) -> Option<MinimumVersion> {
         self.minimum.filter(|minimum| running < minimum.version)
     }
--- a/crates/version-fencing/src/minimum.rs
+++ b/crates/version-fencing/src/minimum.rs
@@ -1,31 +1,31 @@
-//! The minimum version as a proposal to the quorum, and what a raise by an operator needs.
+//! The minimum version as a proposal to the quorum, and the conditions for raising it.
 
 use corkspan_quorum::{Proposal, base_proposal, committed, is_majority};
 use serde::{Deserialize, Serialize};
 
-/// Fractions of a fleet are given in thousandths.
+/// Denominator of the fractions of a fleet, which are given in thousandths.
 pub(crate) const PERMILLE: usize = 1_000;
 
-/// The lowest version of the deployment that may act. Lowering it is a proposal like any other: the
-/// higher revision counts.
+/// The lowest version of the deployment that may act. It is lowered by a proposal as well: the
+/// highest revision counts.
 ///
 /// Stored as JSON by quorum members and nodes under the keys `number`, `asker` and `lowest`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MinimumVersion {
-    /// Orders the proposals.
+    /// Number by which the proposals are ordered.
     #[serde(rename = "number")]
     pub revision: u64,
-    /// Drawn at random by the proposer: tells apart two proposals of the same revision.
+    /// Random number of the proposer, which distinguishes two proposals of the same revision.
     #[serde(rename = "asker")]
     pub proposer: u64,
-    /// The version itself. 0 is the dispatcher's own file; an operation that carries no version
-    /// counts as 0.
+    /// The version. 0 is the dispatcher's own file; an operation that carries no version counts as
+    /// 0.
     #[serde(rename = "lowest")]
     pub version: u64,
 }
 
 impl MinimumVersion {
-    /// Whether it replaces the one that is known, if any is.
+    /// Returns whether it replaces the known minimum version, if any.
     pub(crate) fn is_newer_than(&self, known: Option<MinimumVersion>) -> bool {
         known.is_none_or(|known| known.revision < self.revision)
     }
@@ -45,30 +45,30 @@
         MinimumVersion { revision, ..*self }
     }
 
-    /// Nothing is claimed under it.
+    /// Returns 0: nothing is claimed under a minimum version.
     fn max_slots(&self) -> u32 {
         0
     }
 }
 
-/// The version that a dispatcher reports to run.
+/// The version that a dispatcher reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReportedVersion {
-    /// The version in force there.
+    /// The version that is active there.
     pub version: u64,
-    /// It is on trial, and may yet be rolled back.
+    /// Whether it is on trial, and may still be rolled back.
     pub on_trial: bool,
 }
 
-/// Why no other minimum version is proposed.
+/// The reason why no other minimum version is proposed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RaiseError {
     /// Too few members of the quorum reply.
     #[error("{replies} of {members} keepers answer; a majority is needed")]
     NoMajority {
-        /// Members that reply.
+        /// Number of members that reply.
         replies: usize,
-        /// Members of the quorum.
+        /// Number of members in the quorum.
         members: usize,
     },
     /// Too few dispatchers run the version, or a later one, past its trial.
@@ -76,35 +76,36 @@
         "{adopted} of {fleet} dispatchers run version {minimum} or a later one for good; {required} are wanted"
     )]
     NotAdopted {
-        /// Dispatchers that run it.
+        /// Number of dispatchers that run it.
         adopted: usize,
-        /// Dispatchers asked, whether they replied or not.
+        /// Number of dispatchers polled, including those that did not reply.
         fleet: usize,
-        /// Dispatchers that must run it.
+        /// Number of dispatchers that must run it.
         required: usize,
-        /// The minimum version asked for.
+        /// The requested minimum version.
         minimum: u64,
     },
-    /// It is the minimum version already.
+    /// The minimum version has this value already.
     #[error("the floor is {0} already")]
     Unchanged(u64),
 }
 
-/// How many dispatchers of a fleet are `permille` thousandths of it, rounded up.
+/// Returns the number of dispatchers that make up `permille` thousandths of a fleet, rounded up.
 pub(crate) fn share_of(fleet: usize, permille: u32) -> usize {
     let permille = (permille as usize).min(PERMILLE);
     (fleet * permille).div_ceil(PERMILLE)
 }
 
-/// Checks that enough of a fleet run a version, past its trial, for it to become the minimum.
+/// Checks that enough dispatchers of a fleet run a version past its trial for it to become the
+/// minimum.
 ///
-/// `reports` has an entry for each dispatcher asked, none where it did not reply; `current` is the
-/// minimum version that they know of. A minimum that is not above `current` fences nobody else and
-/// is always allowed.
+/// `reports` has an entry for each dispatcher polled, which is none where it did not reply;
+/// `current` is the minimum version that they know of. A minimum that is not above `current` fences
+/// no further dispatcher and is always allowed.
 ///
 /// # Errors
 ///
-/// [`RaiseError::NotAdopted`] where fewer than `permille` thousandths of the fleet run it.
+/// Returns [`RaiseError::NotAdopted`] where fewer than `permille` thousandths of the fleet run it.
 pub fn check_adoption(
     reports: &[Option<ReportedVersion>],
     current: Option<u64>,
@@ -128,12 +129,12 @@
     })
 }
 
-/// The proposal of another minimum version, after the members' replies.
+/// Returns the proposal of another minimum version, based on the members' replies.
 ///
 /// # Errors
 ///
-/// [`RaiseError::NoMajority`] where too few members reply, [`RaiseError::Unchanged`] where a
-/// majority holds this minimum already.
+/// Returns [`RaiseError::NoMajority`] where too few members reply, and [`RaiseError::Unchanged`]
+/// where a majority holds this minimum already.
 pub fn propose(
     replies: &[Option<MinimumVersion>],
     members: usize,
@@ -150,8 +151,8 @@
     if committed(&known, members).is_some_and(|current| current.version == minimum) {
         return Err(RaiseError::Unchanged(minimum));
     }
-    // A member that reports the largest revision there is leaves none above it. The proposal is
-    // then not accepted, but nothing overflows.
+    // If a member reports the largest possible revision, none is above it: the proposal is then
+    // not accepted, but the revision does not overflow.
     let revision = base_proposal(&known, members)
         .map_or(0, |latest| latest.revision)
         .saturating_add(1);
--- a/crates/version-fencing/src/operations.rs
+++ b/crates/version-fencing/src/operations.rs
@@ -1,11 +1,12 @@
-//! What a node counts of operations: how many of each kind, by whom, under which version. Bounded
-//! in memory, whatever arrives.
+//! A node's counts of operations, by kind, sender and version. Memory use is bounded, whatever
+//! arrives.
 
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// Rows of a node's counts. An incarnation for each of 300 dispatchers with some versions and kinds
-/// fits, and a peer that invents incarnations can't fill the memory.
+/// Largest number of rows in a node's counts. It has room for one incarnation of each of 300
+/// dispatchers with several versions and kinds, and a peer that invents incarnations can't exhaust
+/// the memory.
 const MAX_ROWS: usize = 8_192;
 
 /// The kinds of operations that dispatchers send to nodes.
@@ -17,7 +18,7 @@
     Attend,
     /// Stopping a task.
     Stop,
-    /// Stopping a task because it has migrated to another node.
+    /// Stopping a task that has migrated to another node.
     Migrate,
     /// Claiming a slot at a quorum member.
     Claim,
@@ -34,7 +35,7 @@
     ];
 }
 
-/// The plural, as an audit prints it.
+/// Writes the plural, as the audit prints it.
 impl fmt::Display for OperationKind {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(match self {
@@ -52,38 +53,38 @@
 pub struct VersionedOperation {
     /// The version that it was decided under.
     pub version: u64,
-    /// What it does.
+    /// Kind of the operation.
     pub kind: OperationKind,
 }
 
-/// Who sent an operation: the process, and the version that it decided under.
+/// The sender of an operation: the process, and the version that it decided under.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct OperationSource {
     /// Number of the dispatcher in its fleet.
     pub dispatcher: u32,
-    /// Incarnation of the process, another after each start.
+    /// Incarnation of the process, which changes with each start.
     pub incarnation: u64,
     /// The version decided under.
     pub version: u64,
 }
 
-/// How many operations of one source and kind arrived at a node.
+/// The number of operations of one source and kind at a node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct OperationCount {
-    /// All that arrived.
+    /// Operations that arrived.
     pub seen: u64,
-    /// Of them, rejected as below the minimum version.
+    /// Operations among them that were rejected as below the minimum version.
     pub rejected: u64,
 }
 
 /// One row of a node's counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OperationRow {
-    /// Who sent them.
+    /// Sender of the operations.
     pub source: OperationSource,
-    /// What they do.
+    /// Kind of the operations.
     pub kind: OperationKind,
-    /// How many they are.
+    /// Number of the operations.
     pub count: OperationCount,
 }
 
@@ -103,7 +104,7 @@
         }
     }
 
-    /// Counts an operation that was recorded before as rejected.
+    /// Counts an operation as rejected that was recorded before.
     pub fn record_rejected(&mut self, source: OperationSource, kind: OperationKind) {
         if let Some(count) = self.rows.get_mut(&(source, kind)) {
             count.rejected += 1;
@@ -117,7 +118,7 @@
         Some(self.rows.entry((source, kind)).or_default())
     }
 
-    /// All rows, by dispatcher, incarnation, version and kind.
+    /// Iterates over all rows, in order of dispatcher, incarnation, version and kind.
     pub fn rows(&self) -> impl Iterator<Item = OperationRow> {
         self.rows
             .iter()
@@ -128,7 +129,7 @@
             })
     }
 
-    /// Operations that were not counted because all rows were taken.
+    /// Returns the number of operations that were not counted because all rows were in use.
     pub fn uncounted(&self) -> u64 {
         self.uncounted
     }
--- a/crates/version-fencing/src/policy.rs
+++ b/crates/version-fencing/src/policy.rs
@@ -1,33 +1,33 @@
-//! Raising the minimum version without an operator: what enough of a fleet have adopted, as quorum
-//! members report it, and the policy that is applied to it. Times are passed in, in any unit.
+//! Raises the minimum version by a policy: which version enough dispatchers have adopted, according
+//! to the quorum members, and which minimum follows from it. Times are passed in, in any unit.
 
 use crate::ReportedVersion;
 use crate::minimum::share_of;
 use corkspan_quorum::is_majority;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Dispatchers whose version one quorum member remembers.
+/// Largest number of dispatchers whose version a quorum member remembers.
 const MAX_DISPATCHERS: usize = 4_096;
-/// Adopted versions that a watch remembers with their times.
+/// Largest number of adopted versions that a watch remembers.
 const MAX_ADOPTED: usize = 64;
 
-/// The version that each dispatcher last reported to a quorum member. One that is gone stays with
-/// its last report, and so holds a policy back rather than advancing it: it may be cut off and still
-/// act.
+/// The version that each dispatcher last reported to a quorum member. The last report of a
+/// dispatcher that is gone stays, and so delays a raise rather than advancing it: the dispatcher
+/// may be cut off and still act.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ReportedVersions(BTreeMap<u32, ReportedVersion>);
 
 impl ReportedVersions {
-    /// Remembers a dispatcher's report in place of its earlier one.
+    /// Records a dispatcher's report, which replaces its earlier one.
     pub fn report(&mut self, dispatcher: u32, reported: ReportedVersion) {
         if self.0.len() < MAX_DISPATCHERS || self.0.contains_key(&dispatcher) {
             self.0.insert(dispatcher, reported);
         }
     }
 
-    /// The highest version that `permille` thousandths of a fleet run past its trial, or a later
-    /// one. None where fewer than that have ever reported. Dispatchers whose number is beyond the
-    /// size of the fleet do not count.
+    /// Returns the highest version such that `permille` thousandths of a fleet run it or a later
+    /// one past its trial. Returns none where fewer dispatchers have ever reported. Dispatchers
+    /// whose number is beyond the size of the fleet do not count.
     pub fn adopted(&self, fleet: usize, permille: u32) -> Option<u64> {
         let numbers = ..u32::try_from(fleet).unwrap_or(u32::MAX);
         let reports = self.0.range(numbers).map(|(_, reported)| reported);
@@ -41,15 +41,15 @@
     }
 }
 
-/// When the minimum version is raised, as the deployment file has it:
-/// `(floor … (behind 10) (after 60 s) (part 900))`. With neither limit it never is.
+/// The policy for raising the minimum version, as configured in the deployment file:
+/// `(floor … (behind 10) (after 60 s) (part 900))`. Without both limits it is never raised.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MinimumVersionPolicy {
-    /// Versions further than this behind the adopted one may not act.
+    /// Versions further behind the adopted one than this number of versions may not act.
     pub max_behind: Option<u64>,
-    /// Versions older than one that was adopted this long ago may not act.
+    /// Versions below one that was adopted at least this long ago may not act.
     pub max_age: Option<u64>,
-    /// A version is adopted once so many thousandths of the fleet run it.
+    /// Thousandths of the fleet that must run a version for it to be adopted.
     pub adoption_permille: u32,
 }
 
@@ -57,21 +57,22 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Adopted {
     version: u64,
-    /// When that was first seen.
+    /// Time at which its adoption was first observed.
     since: u64,
 }
 
-/// One dispatcher's watch over a policy. Any dispatcher may propose the raise: the quorum settles
-/// on one of several proposals.
+/// One dispatcher's evaluation of the policy. Any dispatcher may propose a raise: the quorum
+/// commits at most one of several proposals.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PolicyWatch {
-    /// The oldest first.
+    /// Adopted versions, the oldest first.
     adopted: VecDeque<Adopted>,
 }
 
 impl PolicyWatch {
-    /// The minimum version to propose now, if the policy wants another. `replies` has the version
-    /// that each quorum member which replies counts as adopted; `current` is the minimum in force.
+    /// Returns the minimum version to propose now, if the policy requires another. `replies` has
+    /// the version that each replying quorum member counts as adopted; `current` is the present
+    /// minimum.
     pub fn evaluate(
         &mut self,
         now: u64,
@@ -83,7 +84,8 @@
         if !is_majority(replies.len(), members) {
             return None;
         }
-        // What a majority reports at least: a minority with wrong reports can fence nobody.
+        // A majority reports at least this version, so a minority with wrong reports can't raise
+        // the minimum.
         let mut highest_first: Vec<Option<u64>> = replies.to_vec();
         highest_first.sort_unstable_by(|a, b| b.cmp(a));
         let adopted = highest_first[members / 2]?;
@@ -96,8 +98,8 @@
         (minimum > current.unwrap_or(0)).then_some(minimum)
     }
 
-    /// Remembers the adopted version. Later ones, which some have rolled back meanwhile, are
-    /// forgotten: their time starts again when they are adopted again.
+    /// Records the adopted version. Later versions, which some dispatchers have rolled back
+    /// meanwhile, are forgotten: their age starts again when they are adopted again.
     fn observe(&mut self, now: u64, version: u64) {
         self.adopted.retain(|adopted| adopted.version <= version);
         let latest = self.adopted.back();
@@ -112,7 +114,7 @@
         }
     }
 
-    /// The highest version that was adopted at least so long ago.
+    /// Returns the highest version that was adopted at least `age` ago.
     fn aged(&self, now: u64, age: u64) -> Option<u64> {
         let aged = self
             .adopted
--- a/crates/version-fencing/tests/audit.rs
+++ b/crates/version-fencing/tests/audit.rs
@@ -1,4 +1,4 @@
-//! What an audit finds wrong in a fleet.
+//! Tests of the findings of an audit.
 
 use corkspan_version_fencing::audit::{
     DispatcherReport, Finding, LagReason, NodeObservation, RejectedVersion, Reply,
@@ -116,7 +116,7 @@
     );
 }
 
-/// Six attempts of dispatcher 1.
+/// Returns a node's report of six attempts of dispatcher 1.
 fn observation(incarnation: u64, version: u64, rejected: u64) -> NodeObservation {
     NodeObservation {
         dispatcher: 1,
@@ -128,8 +128,8 @@
     }
 }
 
-/// What one dispatcher, one node with these counts and one silent node lead to, after the silent
-/// node's own finding.
+/// Returns the findings for one dispatcher, one node with these counts and one unreachable node,
+/// without the finding for the unreachable node.
 fn findings_with_nodes(
     dispatcher: DispatcherReport,
     observations: Vec<NodeObservation>,
--- a/crates/version-fencing/tests/decisions/fencing.rs
+++ b/crates/version-fencing/tests/decisions/fencing.rs
@@ -1,4 +1,4 @@
-//! Fences at nodes, gates at dispatchers, and proposals of another minimum version.
+//! Transcripts of fences at nodes, gates at dispatchers and proposals of a minimum version.
 
 use crate::{MEMBERS, draw, generator, minimum, replies, text, texts};
 use corkspan_version_fencing::{
@@ -7,7 +7,7 @@
 };
 use std::fmt::Write;
 
-/// A node's fence: restarts, lost disks, quorum replies and versions of arriving attempts.
+/// Writes the decisions of a node's fence over restarts, lost disks, quorum replies and attempts.
 pub fn fence(out: &mut String) {
     let mut rng = generator(1);
     let mut fence = Fence::restore(StoredState::Lost);
@@ -49,7 +49,7 @@
     }
 }
 
-/// A dispatcher's gate: what the quorum and the nodes report, and which versions it stops.
+/// Writes the decisions of a dispatcher's gate after reports of the quorum and of nodes.
 pub fn gate(out: &mut String) {
     let mut rng = generator(2);
     let mut gate = VersionGate::default();
@@ -94,7 +94,7 @@
     }
 }
 
-/// Whether a raise is allowed, and what is proposed for it.
+/// Writes whether raises are allowed, and the proposals for them.
 pub fn raise(out: &mut String) {
     let mut rng = generator(3);
     for step in 0..150 {
--- a/crates/version-fencing/tests/decisions/main.rs
+++ b/crates/version-fencing/tests/decisions/main.rs
@@ -1,6 +1,6 @@
-//! Every decision of this package on seeded inputs, held byte for byte against the transcripts under
-//! `tests/data`. The transcripts use words of their own, so that a renamed type changes nothing in
-//! them. Where one differs, what was decided now is left beside the build's temporary files.
+//! Compares the decisions of this package on inputs with fixed seeds, byte for byte, with the
+//! transcripts in `tests/data`. The transcripts don't contain names of types, so that a rename does
+//! not change them. If one differs, the new transcript is left in the build's temporary folder.
 
 mod fencing;
 mod raising;
@@ -31,7 +31,7 @@
     }
 }
 
-/// What some members of the quorum reply. Few values, so that majorities are met often.
+/// Draws the replies of some quorum members, from few values so that majorities are frequent.
 pub fn replies(rng: &mut Pcg64Mcg) -> Vec<Option<MinimumVersion>> {
     let usual = minimum(rng);
     let reply = |rng: &mut Pcg64Mcg| match draw(rng, 5) {
--- a/crates/version-fencing/tests/decisions/raising.rs
+++ b/crates/version-fencing/tests/decisions/raising.rs
@@ -1,4 +1,4 @@
-//! Raises by policy, and how one that is behind catches up.
+//! Transcripts of raises by policy, and of dispatchers that catch up.
 
 use crate::{MEMBERS, draw, generator};
 use corkspan_version_fencing::ReportedVersion;
@@ -8,7 +8,7 @@
 use corkspan_version_fencing::policy::{MinimumVersionPolicy, PolicyWatch, ReportedVersions};
 use std::fmt::Write;
 
-/// What a quorum member counts as taken by enough, and what a dispatcher's watch makes of it.
+/// Writes the versions that a quorum member counts as adopted, and a watch's raises.
 pub fn policy(out: &mut String) {
     let mut rng = generator(4);
     let mut reported = ReportedVersions::default();
@@ -58,7 +58,7 @@
     }
 }
 
-/// Whom a dispatcher that is behind asks for the newest version, and when.
+/// Writes the requests of dispatchers that are behind, with their times and sources.
 pub fn catch_up(out: &mut String) {
     const PACE: RequestIntervals = RequestIntervals {
         initial: 1_000,
--- a/crates/version-fencing/tests/decisions/reports.rs
+++ b/crates/version-fencing/tests/decisions/reports.rs
@@ -1,4 +1,4 @@
-//! What an audit finds, and what nodes and dispatchers count and remember.
+//! Transcripts of audits, of nodes' counts and of dispatchers' histories.
 
 use crate::{draw, generator, kind, operation};
 use corkspan_version_fencing::audit::{
@@ -109,7 +109,7 @@
     }
 }
 
-/// What an audit finds in fleets of four dispatchers and two nodes.
+/// Writes the findings of audits in fleets of four dispatchers and two nodes.
 pub fn audits(out: &mut String) {
     let mut rng = generator(5);
     for step in 0..60 {
@@ -153,7 +153,7 @@
     }
 }
 
-/// What a node counts of operations, and what a dispatcher remembers of its versions.
+/// Writes a node's counts of operations and a dispatcher's history of versions.
 pub fn counts(out: &mut String) {
     let mut rng = generator(6);
     let mut seen = OperationCounts::default();
--- a/crates/version-fencing/tests/fence_search.rs
+++ b/crates/version-fencing/tests/fence_search.rs
@@ -1,7 +1,7 @@
-//! Shows that nothing below the minimum version takes effect at a node that knows it, in every
-//! state of a small fleet: messages late, lost and duplicated, quorum members asked in any subset,
-//! nodes and dispatchers restarting at any time. And that the search is able to find a protocol that
-//! accepts something, by mistakes planted in it.
+//! Shows that no attempt below the minimum version takes effect at a node that knows the minimum,
+//! in every state of a small fleet. Messages are late, lost and duplicated, any subset of the
+//! quorum replies, and nodes and dispatchers restart at any time. Planted mistakes show that the
+//! search detects protocols which accept such an attempt.
 
 mod states;
 
@@ -13,7 +13,7 @@
 const OLD: u64 = 1;
 const NEW: u64 = 2;
 
-/// Two operators who propose at the same time, and a later one who lowers the minimum again.
+/// Two concurrent proposals, and a later one that lowers the minimum again.
 const PROPOSALS: [MinimumVersion; 3] = [
     proposal(1, 1, NEW),
     proposal(1, 2, OLD),
@@ -36,17 +36,17 @@
     None,
     /// One member's reply is enough for a dispatcher.
     NoMajority,
-    /// A node that restarts has no minimum version.
+    /// A node forgets the minimum version when it restarts.
     NodeForgets,
-    /// A node rejects by a minimum version that is not on its disk yet.
+    /// A node enforces a minimum version that is not on its disk yet.
     BeforeTheDisk,
-    /// A node decides by what the sender runs now.
+    /// A node decides by the version that the sender runs now.
     BySender,
-    /// A node whose disk was lost accepts what arrives before it has asked the quorum.
+    /// A node whose disk was lost accepts attempts before it has queried the quorum.
     LostDiskAccepts,
-    /// A node that restarts before it has asked takes its empty disk for an intact one.
+    /// A node that restarts before it has queried the quorum treats its empty disk as intact.
     EmptyIsIntact,
-    /// A node whose disk was lost takes the highest minimum that any member reports.
+    /// A node whose disk was lost uses the highest minimum that any member reports.
     TakesTheHighest,
 }
 
@@ -54,7 +54,7 @@
 struct Attempt {
     from: usize,
     version: u64,
-    /// Index of the proposal that it carries.
+    /// Index of the minimum version that it carries.
     carries: Option<usize>,
 }
 
@@ -65,17 +65,17 @@
     running: [u64; 2],
     fence: Fence,
     disk: Option<usize>,
-    /// How often the disk was lost, and whether it is.
+    /// How often the disk was lost, and whether it is lost now.
     losses: u8,
     lost: bool,
-    /// Reported to the node, and not on disk.
+    /// Proposal that was reported to the node and is not on disk yet.
     pending: Option<usize>,
-    /// Sent ever: each may arrive at any time, never, or again.
+    /// All attempts sent. Each may arrive at any time, never, or repeatedly.
     attempts: Vec<Attempt>,
-    // Kept for the check alone.
-    /// Proposals that a majority has held at some time.
+    // The remaining fields are only used by the check.
+    /// Whether a majority has ever held each proposal.
     committed: [bool; 3],
-    /// The latest proposal by which the node has rejected anything.
+    /// The latest proposal by which the node has rejected an attempt.
     rejected_by: Option<usize>,
     breach: Option<&'static str>,
 }
@@ -91,7 +91,7 @@
     member.entries().next().map(|kept| kept.proposal)
 }
 
-/// The replies of a subset of the members, each given by its bit.
+/// Returns the replies of a subset of the members, which is a bit mask.
 fn replies(members: &[QuorumMember<MinimumVersion>], subset: usize) -> Vec<Option<MinimumVersion>> {
     let replying = members
         .iter()
@@ -150,7 +150,8 @@
     }
 }
 
-/// What the node once rejected by, or has on disk, holds until it has a later one.
+/// Checks an accepted attempt against the latest minimum version that the node has rejected by or
+/// has on disk.
 fn check_accepted(world: &mut World, attempt: &Attempt) {
     let known = world.rejected_by.into_iter().chain(world.disk);
     let latest = known.max_by_key(|&by| PROPOSALS[by].revision);
@@ -159,7 +160,7 @@
     }
 }
 
-/// The states that may follow one, in a fixed order.
+/// Collects the successors of a state, in a fixed order.
 struct Successors<'a> {
     world: &'a World,
     mistake: Mistake,
@@ -216,7 +217,7 @@
                 }
             });
         }
-        // Restarts, and has forgotten what it knew.
+        // The dispatcher restarts and forgets the minimum version.
         self.step(|next| next.gates[dispatcher] = VersionGate::default());
     }
 
@@ -231,7 +232,7 @@
         let mistake = self.mistake;
         if let Some(pending) = self.world.pending {
             self.step(|next| {
-                // A later one may have arrived meanwhile from the quorum: an older one must not
+                // A later minimum may have arrived from the quorum meanwhile: an older one must not
                 // replace it on disk.
                 if next.fence.should_store(PROPOSALS[pending]) {
                     next.disk = Some(pending);
--- a/crates/version-fencing/tests/policy.rs
+++ b/crates/version-fencing/tests/policy.rs
@@ -1,4 +1,4 @@
-//! When a policy raises the minimum version, and how dispatchers that are behind catch up.
+//! Tests of raises by a policy, and of how dispatchers that are behind catch up.
 
 use corkspan_version_fencing::ReportedVersion;
 use corkspan_version_fencing::catch_up::{
@@ -110,7 +110,7 @@
     members: 2,
 };
 
-/// When each request is made, and of whom, until `until`.
+/// Returns the time and the source of each request before `until`.
 fn requests(
     catch_up: &mut CatchUp,
     until: u64,
--- a/crates/version-fencing/tests/policy_search.rs
+++ b/crates/version-fencing/tests/policy_search.rs
@@ -1,7 +1,7 @@
-//! Shows that no policy fences by a version that too few had for good: every state of three
-//! dispatchers that take versions, keep them on trial and roll back, before three quorum members of
-//! which one reports wrongly, with messages lost and late. And that the search is able to find a
-//! policy that does, by mistakes planted in it.
+//! Shows that a policy never raises the minimum to a version that too few dispatchers had adopted.
+//! The search visits every state of three dispatchers that adopt versions on trial and roll back,
+//! and three quorum members of which one reports wrongly, with messages lost and late. Planted
+//! mistakes show that the search detects such a policy.
 
 mod states;
 
@@ -18,7 +18,7 @@
     max_age: Some(MAX_AGE),
     adoption_permille: 600,
 };
-/// Two of three.
+/// Number of dispatchers that must have adopted a version: two of three.
 const ENOUGH: usize = 2;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -28,9 +28,9 @@
     Trials,
     /// One member's reply is enough.
     OneMember,
-    /// The policy counts those who reported only, not how many there are.
+    /// The policy uses the number of dispatchers that have reported as the size of the fleet.
     OfThoseWhoReported,
-    /// What was adopted once counts for good, whoever has rolled it back since.
+    /// A version counts as adopted even after it was rolled back.
     NeverForgets,
 }
 
@@ -38,14 +38,15 @@
 struct World {
     now: u64,
     running: [ReportedVersion; FLEET],
-    /// The highest that each ever ran past its trial.
+    /// The highest version that each dispatcher ever ran past its trial.
     highest: [u64; FLEET],
-    /// At the two members that report correctly.
+    /// The reports at the two members that reply correctly.
     reported: [ReportedVersions; MEMBERS - 1],
-    /// The dispatchers that have reported to each of them, by their bits.
+    /// For each of these members, a bit mask of the dispatchers that have reported to it.
     reporters: [usize; MEMBERS - 1],
     watch: PolicyWatch,
-    /// Since when enough have run each version past its trial, for the check alone.
+    /// For each version, the time since which enough dispatchers have run it past its trial. Only
+    /// used by the check.
     adopted_since: [Option<u64>; NEWEST as usize + 1],
     breach: Option<&'static str>,
 }
@@ -66,8 +67,8 @@
     }
 }
 
-/// The replies of a subset of the members, each given by its bit. The last member reports that all
-/// run a version that nobody has.
+/// Returns the replies of a subset of the members, which is a bit mask. The last member wrongly
+/// reports a version that no dispatcher runs.
 fn replies(world: &World, subset: usize, mistake: Mistake) -> Vec<Option<u64>> {
     let fleet = |member: usize| match mistake {
         Mistake::OfThoseWhoReported => world.reporters[member].count_ones() as usize,
@@ -109,8 +110,8 @@
         let highest = world.highest.iter();
         highest.filter(|highest| **highest >= version).count()
     };
-    // By distance it is one below what enough have adopted; by age, what they adopted long enough
-    // ago.
+    // The policy may choose the version below the one that enough dispatchers have adopted, or one
+    // that they adopted long enough ago.
     let far_behind = reached(minimum + 1) >= ENOUGH;
     let adopted_since = usize::try_from(minimum)
         .ok()
@@ -123,7 +124,7 @@
     }
 }
 
-/// The states that may follow one, in a fixed order.
+/// Collects the successors of a state, in a fixed order.
 struct Successors<'a> {
     world: &'a World,
     mistake: Mistake,
--- a/crates/version-fencing/tests/raise.rs
+++ b/crates/version-fencing/tests/raise.rs
@@ -1,4 +1,4 @@
-//! What keeps the minimum version from being raised, and what is proposed for it.
+//! Tests of the conditions for raising the minimum version, and of the proposal for it.
 
 use corkspan_version_fencing::{
     MinimumVersion, RaiseError, ReportedVersion, check_adoption, propose,
@@ -50,7 +50,7 @@
         })
     );
     assert_eq!(propose(&[None, None], 3, 5, 9), Ok(minimum(1, 9, 5)));
-    // One that no majority accepted counts for its revision.
+    // The revision of an uncommitted proposal counts.
     let split = [
         Some(minimum(1, 1, 2)),
         Some(minimum(4, 2, 3)),
--- a/crates/version-fencing/tests/records.rs
+++ b/crates/version-fencing/tests/records.rs
@@ -1,4 +1,4 @@
-//! The bounds of what nodes count and dispatchers remember.
+//! Tests of the bounds on a node's counts and on a dispatcher's history.
 
 use corkspan_version_fencing::history::{VersionHistory, VersionInterval, VersionOrigin};
 use corkspan_version_fencing::operations::{
--- a/crates/version-fencing/tests/states/mod.rs
+++ b/crates/version-fencing/tests/states/mod.rs
@@ -1,9 +1,9 @@
-//! Breadth-first search over all states that can follow a first one.
+//! Breadth-first search over all states that are reachable from an initial one.
 
 use std::collections::HashSet;
 use std::fmt::Debug;
 
-/// The first breach within `depth` steps, and how many different states were met.
+/// Returns the first violation within `depth` steps, and the number of distinct states found.
 pub fn search<W: Debug>(
     first: W,
     depth: usize,
--- a/crates/version-fencing/tests/stored.rs
+++ b/crates/version-fencing/tests/stored.rs
@@ -1,5 +1,6 @@
-//! Stored forms, as an earlier program wrote them: read to the same content, written back to the same
-//! bytes, and refused with the same message where they are cut short or foreign.
+//! Checks stored state written by an earlier version of this program: it is read with the same
+//! content, written back byte for byte, and rejected with the same message where it is truncated or
+//! of another format.
 
 use corkspan_quorum::{Entry, QuorumMember};
 use corkspan_version_fencing::MinimumVersion;
@@ -11,10 +12,10 @@
 const MINIMUM: &str = include_str!("data/minimum_version.json");
 const ENTRY: &str = include_str!("data/quorum_entry.json");
 const SPANS: &str = include_str!("data/version_spans.json");
-/// Pairs of lines: a kind and what was stored, and the message of the refusal.
+/// Pairs of lines: a type with the stored text, and the resulting error.
 const REFUSED: &str = include_str!("data/refused.txt");
 
-/// Reads a stored text and writes it again.
+/// Reads a stored text, compares its content, and checks that it is written back unchanged.
 fn round_trip<T: DeserializeOwned + Serialize + PartialEq + Debug>(stored: &str, content: T) {
     let stored = stored.trim_end();
     let read: T = serde_json::from_str(stored).expect("what was stored can be read");
@@ -46,7 +47,7 @@
     round_trip(ENTRY, entry);
 }
 
-/// There is one key, and it is no string: as JSON a member is stored by its entries.
+/// The only key is not a string, so a member is stored as JSON by its entries.
 #[test]
 fn a_quorum_member_as_a_whole_is_json_only_while_it_is_empty() {
     round_trip(
