--- a/crates/version-fencing/src/audit.rs
+++ b/crates/version-fencing/src/audit.rs
@@ -67,16 +67,16 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LagReason {
     /// It rolled back a later version.
-    #[error("it gave version {0} up")]
+    #[error("it rolled back version {0}")]
     RolledBack(u64),
     /// It rejected a later version.
-    #[error("it turned version {} down: {}", .0.version, .0.reason)]
+    #[error("it rejected version {}: {}", .0.version, .0.reason)]
     Rejected(RejectedVersion),
     /// No control service streams versions to it.
     #[error("no control service streams to it")]
     NoStream,
     /// The report gives no reason.
-    #[error("it does not tell why")]
+    #[error("its report gives no reason")]
     Unknown,
 }
 
@@ -99,7 +99,7 @@
         reason: LagReason,
     },
     /// A dispatcher is fenced.
-    #[error("{0} is shut out by the floor of versions")]
+    #[error("{0} is shut out: its version is below the minimum version")]
     Fenced(String),
     /// Two processes run under the same number.
     #[error("{address} and {other} are two processes under the number {dispatcher}")]
@@ -125,7 +125,7 @@
     },
     /// Nodes have seen operations under a later version than a dispatcher reports.
     #[error(
-        "{address} says that it runs version {reported}, and nodes have seen acts of it under version {version}"
+        "{address} reports version {reported}, and nodes have seen operations of it under version {version}"
     )]
     Ahead {
         /// The dispatcher.
--- a/crates/version-fencing/src/minimum.rs
+++ b/crates/version-fencing/src/minimum.rs
@@ -86,7 +86,7 @@
         minimum: u64,
     },
     /// The minimum version has this value already.
-    #[error("the floor is {0} already")]
+    #[error("the minimum version is {0} already")]
     Unchanged(u64),
 }
 
--- a/crates/version-fencing/src/operations.rs
+++ b/crates/version-fencing/src/operations.rs
@@ -39,10 +39,10 @@
 impl fmt::Display for OperationKind {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(match self {
-            OperationKind::Attempt => "shots",
+            OperationKind::Attempt => "attempts",
             OperationKind::Attend => "attendances",
             OperationKind::Stop => "stops",
-            OperationKind::Migrate => "moves",
+            OperationKind::Migrate => "migrations",
             OperationKind::Claim => "claims",
         })
     }
