--- a/crates/version-fencing/src/audit.rs
+++ b/crates/version-fencing/src/audit.rs
@@ -199,11 +199,11 @@
                 version: observation.version,
             })
             .or_default();
-        let of_kind = match observation.kind {
+        let count = match observation.kind {
             OperationKind::Attempt => &mut total.attempts,
             _ => &mut total.others,
         };
-        *of_kind = of_kind.saturating_add(observation.seen);
+        *count = count.saturating_add(observation.seen);
         total.rejected = total.rejected.saturating_add(observation.rejected);
     }
     totals
@@ -245,10 +245,10 @@
     nodes: &[Reply<Vec<NodeObservation>>],
 ) -> BTreeMap<VersionedOperation, u64> {
     let mut sums: BTreeMap<VersionedOperation, u64> = BTreeMap::new();
-    let of_process = observations(nodes).filter(|observation| {
+    let process_observations = observations(nodes).filter(|observation| {
         observation.dispatcher == report.dispatcher && observation.incarnation == report.incarnation
     });
-    for observation in of_process {
+    for observation in process_observations {
         let sum = sums
             .entry(VersionedOperation {
                 version: observation.version,
--- a/crates/version-fencing/src/catch_up.rs
+++ b/crates/version-fencing/src/catch_up.rs
@@ -95,8 +95,8 @@
         let RequestIntervals { initial, idle, .. } = self.intervals;
         // A control service keeps a dispatcher up to date. If the dispatcher is fenced despite it,
         // the service has stalled or its version was rejected here.
-        let served = status.has_stream && !status.fenced;
-        if served || status.peers + status.members == 0 {
+        let is_served = status.has_stream && !status.fenced;
+        if is_served || status.peers + status.members == 0 {
             self.reset();
             return NextStep::Wait(initial);
         }
@@ -150,18 +150,18 @@
         let round_complete = self.remaining.is_empty();
         // Within a round the requests follow soon, since any source may be down; only between
         // rounds a longer delay is useful.
-        let longest = match (self.was_fenced, round_complete) {
+        let max_delay = match (self.was_fenced, round_complete) {
             (true, false) => initial,
             (true, true) => (initial << self.failed_rounds.min(MAX_DOUBLINGS)).min(max),
             (false, _) => idle * 2,
         };
-        self.next_request_at = Some(now + self.rng.random_range(longest / 2..=longest));
+        self.next_request_at = Some(now + self.rng.random_range(max_delay / 2..=max_delay));
     }
 }
 
 /// Returns whether a dispatcher stores its good version at the quorum members in this round;
 /// `stored` is the oldest version at the members. The whole fleet notices a missing version at the
 /// same time, and a few dispatchers are enough to store it. `draw` is drawn uniformly from 0 to 1.
-pub fn should_store(version: u64, stored: Option<u64>, fleet: usize, chance: f64) -> bool {
-    version > stored.unwrap_or(0) && sampled(fleet, chance)
+pub fn should_store(version: u64, stored: Option<u64>, fleet: usize, draw: f64) -> bool {
+    version > stored.unwrap_or(0) && sampled(fleet, draw)
 }
--- a/crates/version-fencing/src/fence.rs
+++ b/crates/version-fencing/src/fence.rs
@@ -69,7 +69,7 @@
     ///
     /// The highest minimum that any single member reports is not used, although it would be
     /// stricter: it may never be committed, and would spread from this node as if it were.
-    #[must_use = "false: the quorum must be asked again"]
+    #[must_use = "false: the quorum must be queried again"]
     pub fn apply_quorum_replies(
         &mut self,
         replies: &[Option<MinimumVersion>],
--- a/crates/version-fencing/src/history.rs
+++ b/crates/version-fencing/src/history.rs
@@ -60,8 +60,8 @@
 impl VersionHistory {
     /// Creates the history of a new incarnation, which continues the intervals of earlier ones.
     pub fn restore(mut intervals: VecDeque<VersionInterval>) -> VersionHistory {
-        let surplus = intervals.len().saturating_sub(MAX_INTERVALS);
-        intervals.drain(..surplus);
+        let excess = intervals.len().saturating_sub(MAX_INTERVALS);
+        intervals.drain(..excess);
         VersionHistory {
             intervals,
             operations: BTreeMap::new(),
--- a/crates/version-fencing/src/minimum.rs
+++ b/crates/version-fencing/src/minimum.rs
@@ -91,7 +91,7 @@
 }
 
 /// Returns the number of dispatchers that make up `permille` thousandths of a fleet, rounded up.
-pub(crate) fn share_of(fleet: usize, permille: u32) -> usize {
+pub(crate) fn fleet_share(fleet: usize, permille: u32) -> usize {
     let permille = (permille as usize).min(PERMILLE);
     (fleet * permille).div_ceil(PERMILLE)
 }
@@ -117,7 +117,7 @@
     }
     let has_adopted = |report: &&ReportedVersion| report.version >= minimum && !report.on_trial;
     let adopted = reports.iter().flatten().filter(has_adopted).count();
-    let required = share_of(reports.len(), permille);
+    let required = fleet_share(reports.len(), permille);
     if adopted >= required {
         return Ok(());
     }
--- a/crates/version-fencing/src/policy.rs
+++ b/crates/version-fencing/src/policy.rs
@@ -2,7 +2,7 @@
 //! to the quorum members, and which minimum follows from it. Times are passed in, in any unit.
 
 use crate::ReportedVersion;
-use crate::minimum::share_of;
+use crate::minimum::fleet_share;
 use corkspan_quorum::is_majority;
 use std::collections::{BTreeMap, VecDeque};
 
@@ -26,8 +26,8 @@
     }
 
     /// Returns the highest version such that `permille` thousandths of a fleet run it or a later
-    /// one past its trial. Returns none where fewer dispatchers have ever reported. Dispatchers
-    /// whose number is beyond the size of the fleet do not count.
+    /// one past its trial. Returns none where fewer dispatchers than that have ever reported.
+    /// Dispatchers whose number is beyond the size of the fleet do not count.
     pub fn adopted(&self, fleet: usize, permille: u32) -> Option<u64> {
         let numbers = ..u32::try_from(fleet).unwrap_or(u32::MAX);
         let reports = self.0.range(numbers).map(|(_, reported)| reported);
@@ -36,13 +36,13 @@
             .map(|reported| reported.version)
             .collect();
         versions.sort_unstable_by(|a, b| b.cmp(a));
-        let required = share_of(fleet, permille).max(1);
+        let required = fleet_share(fleet, permille).max(1);
         versions.get(required - 1).copied()
     }
 }
 
 /// The policy for raising the minimum version, as configured in the deployment file:
-/// `(floor … (behind 10) (after 60 s) (part 900))`. Without both limits it is never raised.
+/// `(floor … (behind 10) (after 60 s) (part 900))`. With neither limit it is never raised.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MinimumVersionPolicy {
     /// Versions further behind the adopted one than this number of versions may not act.
--- a/crates/version-fencing/tests/audit.rs
+++ b/crates/version-fencing/tests/audit.rs
@@ -172,7 +172,7 @@
             seen: 12,
             counted: 6,
         }],
-        "another process under its number and incarnation, or a copy of its operations"
+        "another process with its number and incarnation, or duplicated operations"
     );
     let later = observation(101, 8, 0);
     assert_eq!(
--- a/crates/version-fencing/tests/decisions/fencing.rs
+++ b/crates/version-fencing/tests/decisions/fencing.rs
@@ -1,6 +1,6 @@
 //! Transcripts of fences at nodes, gates at dispatchers and proposals of a minimum version.
 
-use crate::{MEMBERS, draw, generator, minimum, replies, text, texts};
+use crate::{MEMBERS, draw, format_minimum, format_replies, generator, minimum, replies};
 use corkspan_version_fencing::{
     Fence, FenceDecision, RaiseError, ReportedVersion, StoredState, VersionGate, check_adoption,
     propose,
@@ -14,9 +14,9 @@
     for step in 0..200 {
         let line = match draw(&mut rng, 8) {
             0 => {
-                let kept = (draw(&mut rng, 2) == 0).then(|| minimum(&mut rng));
-                fence = Fence::restore(StoredState::Intact(kept));
-                format!("restart with {}", text(kept))
+                let stored = (draw(&mut rng, 2) == 0).then(|| minimum(&mut rng));
+                fence = Fence::restore(StoredState::Intact(stored));
+                format!("restart with {}", format_minimum(stored))
             }
             1 => {
                 fence = Fence::restore(StoredState::Lost);
@@ -25,7 +25,7 @@
             2 | 3 => {
                 let replies = replies(&mut rng);
                 let known = fence.apply_quorum_replies(&replies, MEMBERS);
-                format!("quorum {} known {known}", texts(&replies))
+                format!("quorum {} known {known}", format_replies(&replies))
             }
             4 => {
                 let reported = minimum(&mut rng);
@@ -33,19 +33,23 @@
                 if draw(&mut rng, 2) == 0 {
                     fence.apply_stored(reported);
                 }
-                format!("told {} wanted {newer}", text(Some(reported)))
+                format!("told {} wanted {newer}", format_minimum(Some(reported)))
             }
             _ => {
                 let version = draw(&mut rng, 8);
                 let decision = match fence.decide(version) {
                     FenceDecision::Accepted => "accepted".into(),
-                    FenceDecision::Fenced(by) => format!("fenced by {}", text(Some(by))),
+                    FenceDecision::Fenced(by) => format!("fenced by {}", format_minimum(Some(by))),
                     FenceDecision::Unknown => "unknown".into(),
                 };
                 format!("attempt under {version}: {decision}")
             }
         };
-        let _ = writeln!(out, "{step}: {line}; holds {}", text(fence.minimum()));
+        let _ = writeln!(
+            out,
+            "{step}: {line}; holds {}",
+            format_minimum(fence.minimum())
+        );
     }
 }
 
@@ -60,21 +64,21 @@
         let line = if draw(&mut rng, 2) == 0 {
             let replies = replies(&mut rng);
             let changed = gate.apply_quorum_replies(&replies, MEMBERS);
-            format!("quorum {} changed {changed}", texts(&replies))
+            format!("quorum {} changed {changed}", format_replies(&replies))
         } else {
             let reported = minimum(&mut rng);
             let changed = gate.apply_node_report(reported);
-            format!("node {} changed {changed}", text(Some(reported)))
+            format!("node {} changed {changed}", format_minimum(Some(reported)))
         };
-        let stopped: Vec<String> = (0..8)
+        let fenced: Vec<String> = (0..8)
             .filter(|version| gate.fenced_by(*version).is_some())
             .map(|version| version.to_string())
             .collect();
         let _ = writeln!(
             out,
             "{step}: {line}; holds {}; stops [{}]",
-            text(gate.minimum()),
-            stopped.join(" ")
+            format_minimum(gate.minimum()),
+            fenced.join(" ")
         );
     }
 }
@@ -100,13 +104,13 @@
     for step in 0..150 {
         let (replies, minimum) = (replies(&mut rng), draw(&mut rng, 8));
         let proposal = match propose(&replies, MEMBERS, minimum, step) {
-            Ok(proposal) => text(Some(proposal)),
+            Ok(proposal) => format_minimum(Some(proposal)),
             Err(error) => raise_error(error),
         };
         let _ = writeln!(
             out,
             "{step}: raise to {minimum} over {}: {proposal}",
-            texts(&replies)
+            format_replies(&replies)
         );
         let fleet: Vec<Option<ReportedVersion>> = (0..draw(&mut rng, 9))
             .map(|_| {
@@ -119,18 +123,22 @@
         let permille = [0, 333, 500, 900, 1_000, 2_000][draw(&mut rng, 6) as usize];
         let current = (draw(&mut rng, 3) > 0).then(|| draw(&mut rng, 10));
         let allowed = check_adoption(&fleet, current, minimum, permille);
-        let runs: Vec<String> = fleet
+        let versions: Vec<String> = fleet
             .iter()
-            .map(|own| {
-                own.map_or("-".into(), |own| {
-                    format!("{}{}", own.version, if own.on_trial { "t" } else { "" })
+            .map(|report| {
+                report.map_or("-".into(), |report| {
+                    format!(
+                        "{}{}",
+                        report.version,
+                        if report.on_trial { "t" } else { "" }
+                    )
                 })
             })
             .collect();
         let _ = writeln!(
             out,
             "{step}: fleet [{}] part {permille} minimum {current:?}: {}",
-            runs.join(" "),
+            versions.join(" "),
             allowed.map_or_else(raise_error, |()| "allowed".into())
         );
     }
--- a/crates/version-fencing/tests/decisions/main.rs
+++ b/crates/version-fencing/tests/decisions/main.rs
@@ -33,23 +33,26 @@
 
 /// Draws the replies of some quorum members, from few values so that majorities are frequent.
 pub fn replies(rng: &mut Pcg64Mcg) -> Vec<Option<MinimumVersion>> {
-    let usual = minimum(rng);
+    let common = minimum(rng);
     let reply = |rng: &mut Pcg64Mcg| match draw(rng, 5) {
         0 => None,
         1 => Some(minimum(rng)),
-        _ => Some(usual),
+        _ => Some(common),
     };
     (0..draw(rng, 4)).map(|_| reply(rng)).collect()
 }
 
-pub fn text(minimum: Option<MinimumVersion>) -> String {
-    minimum.map_or("-".into(), |own| {
-        format!("{}/{}/{}", own.revision, own.proposer, own.version)
+pub fn format_minimum(minimum: Option<MinimumVersion>) -> String {
+    minimum.map_or("-".into(), |minimum| {
+        format!(
+            "{}/{}/{}",
+            minimum.revision, minimum.proposer, minimum.version
+        )
     })
 }
 
-pub fn texts(replies: &[Option<MinimumVersion>]) -> String {
-    let all: Vec<String> = replies.iter().map(|reply| text(*reply)).collect();
+pub fn format_replies(replies: &[Option<MinimumVersion>]) -> String {
+    let all: Vec<String> = replies.iter().map(|reply| format_minimum(*reply)).collect();
     format!("[{}]", all.join(" "))
 }
 
@@ -74,23 +77,25 @@
 #[test_case("catch_up", raising::catch_up)]
 #[test_case("audit", reports::audits)]
 #[test_case("counts", reports::counts)]
-fn decisions_are_those_on_file(name: &str, decide: fn(&mut String)) {
+fn decisions_match_the_recorded_transcript(name: &str, decide: fn(&mut String)) {
     let (mut decided, file) = (String::new(), format!("{name}.txt"));
     decide(&mut decided);
     let data = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data");
-    let kept = std::fs::read_to_string(data.join(&file)).unwrap_or_default();
-    if decided == kept {
+    let recorded = std::fs::read_to_string(data.join(&file)).unwrap_or_default();
+    if decided == recorded {
         return;
     }
-    let now = Path::new(env!("CARGO_TARGET_TMPDIR")).join(&file);
-    std::fs::write(&now, &decided).expect("the temporary folder can be written");
-    let differ = decided.lines().zip(kept.lines());
-    let line = differ.take_while(|(one, other)| one == other).count();
+    let new_file = Path::new(env!("CARGO_TARGET_TMPDIR")).join(&file);
+    std::fs::write(&new_file, &decided).expect("the temporary folder can be written");
+    let pairs = decided.lines().zip(recorded.lines());
+    let line = pairs
+        .take_while(|(decided, recorded)| decided == recorded)
+        .count();
     panic!(
-        "{file} line {}: decided {:?}, on file {:?}; all of it in {}",
+        "{file} line {}: decided {:?}, recorded {:?}; new transcript in {}",
         line + 1,
         decided.lines().nth(line),
-        kept.lines().nth(line),
-        now.display()
+        recorded.lines().nth(line),
+        new_file.display()
     );
 }
--- a/crates/version-fencing/tests/decisions/raising.rs
+++ b/crates/version-fencing/tests/decisions/raising.rs
@@ -13,18 +13,18 @@
     let mut rng = generator(4);
     let mut reported = ReportedVersions::default();
     for step in 0..120 {
-        let (dispatcher, runs) = (
+        let (dispatcher, report) = (
             draw(&mut rng, 8) as u32,
             ReportedVersion {
                 version: step / 10 + draw(&mut rng, 4),
                 on_trial: draw(&mut rng, 4) == 0,
             },
         );
-        reported.report(dispatcher, runs);
+        reported.report(dispatcher, report);
         let adopted: Vec<_> = [(6, 500), (6, 900), (8, 1_000), (0, 0), (12, 750)]
             .map(|(fleet, permille)| reported.adopted(fleet, permille))
             .into();
-        let ReportedVersion { version, on_trial } = runs;
+        let ReportedVersion { version, on_trial } = report;
         let _ = writeln!(
             out,
             "{step}: {dispatcher} runs {version}, on trial {on_trial}; taken {adopted:?}"
@@ -60,14 +60,14 @@
 
 /// Writes the requests of dispatchers that are behind, with their times and sources.
 pub fn catch_up(out: &mut String) {
-    const PACE: RequestIntervals = RequestIntervals {
+    const INTERVALS: RequestIntervals = RequestIntervals {
         initial: 1_000,
         max: 20_000,
         idle: 15_000,
     };
     for seed in 0..12 {
         let (mut rng, mut now) = (generator(seed + 100), 0);
-        let mut own = CatchUp::new(seed, PACE);
+        let mut catch_up = CatchUp::new(seed, INTERVALS);
         let mut status = CatchUpStatus {
             has_stream: false,
             fenced: seed % 3 > 0,
@@ -86,22 +86,22 @@
                 "{now}: stream {}, fenced {}",
                 status.has_stream, status.fenced
             );
-            match own.poll(now, status) {
+            match catch_up.poll(now, status) {
                 NextStep::Wait(time) => {
                     let _ = writeln!(out, "{state}: wait {time}");
                     now += time;
                 }
                 NextStep::Request(source) => {
-                    let up = draw(&mut rng, 6) == 0;
-                    let from = match source {
+                    let advanced = draw(&mut rng, 6) == 0;
+                    let source = match source {
                         VersionSource::Peer(index) => format!("peer {index}"),
                         VersionSource::QuorumMember(index) => format!("member {index}"),
                     };
-                    let _ = writeln!(out, "{state}: request from {from}, advanced {up}");
+                    let _ = writeln!(out, "{state}: request from {source}, advanced {advanced}");
                     now += draw(&mut rng, 300);
-                    own.complete(
+                    catch_up.complete(
                         now,
-                        if up {
+                        if advanced {
                             RequestOutcome::Advanced
                         } else {
                             RequestOutcome::Unchanged
@@ -118,7 +118,7 @@
         (0, None, 1),
     ] {
         let stores = (0..100)
-            .filter(|own| should_store(version, stored, fleet, f64::from(*own) / 100.0))
+            .filter(|draw| should_store(version, stored, fleet, f64::from(*draw) / 100.0))
             .count();
         let _ = writeln!(
             out,
--- a/crates/version-fencing/tests/decisions/reports.rs
+++ b/crates/version-fencing/tests/decisions/reports.rs
@@ -11,7 +11,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt::Write;
 
-fn lag_reason(reason: &LagReason) -> String {
+fn format_lag_reason(reason: &LagReason) -> String {
     match reason {
         LagReason::RolledBack(version) => format!("rolled back {version}"),
         LagReason::Rejected(rejected) => {
@@ -22,7 +22,7 @@
     }
 }
 
-fn finding(finding: &Finding) -> String {
+fn format_finding(finding: &Finding) -> String {
     match finding {
         Finding::Unreachable(address) => format!("silent {address}"),
         Finding::Behind {
@@ -32,7 +32,7 @@
             reason,
         } => format!(
             "behind {address}: {version} of {newest}, {}",
-            lag_reason(reason)
+            format_lag_reason(reason)
         ),
         Finding::Fenced(address) => format!("fenced {address}"),
         Finding::DuplicateNumber {
@@ -68,7 +68,7 @@
     }
 }
 
-fn reported(rng: &mut Pcg64Mcg, dispatcher: u32) -> DispatcherReport {
+fn draw_report(rng: &mut Pcg64Mcg, dispatcher: u32) -> DispatcherReport {
     let version = 6 + draw(rng, 3);
     DispatcherReport {
         dispatcher: dispatcher - u32::from(dispatcher > 0 && draw(rng, 8) == 0),
@@ -97,7 +97,7 @@
     }
 }
 
-fn observed(rng: &mut Pcg64Mcg) -> NodeObservation {
+fn draw_observation(rng: &mut Pcg64Mcg) -> NodeObservation {
     let seen = draw(rng, 9);
     NodeObservation {
         dispatcher: draw(rng, 4) as u32,
@@ -114,26 +114,28 @@
     let mut rng = generator(5);
     for step in 0..60 {
         let fleet: Vec<Reply<DispatcherReport>> = (0..4)
-            .map(|own| {
+            .map(|index| {
                 let replies = draw(&mut rng, 8) > 0;
                 Reply {
-                    address: format!("d{own}"),
-                    report: replies.then(|| reported(&mut rng, own as u32)),
+                    address: format!("d{index}"),
+                    report: replies.then(|| draw_report(&mut rng, index as u32)),
                 }
             })
             .collect();
         let nodes: Vec<Reply<Vec<NodeObservation>>> = (0..2)
-            .map(|own| {
-                let seen = (0..draw(&mut rng, 6)).map(|_| observed(&mut rng)).collect();
+            .map(|index| {
+                let seen = (0..draw(&mut rng, 6))
+                    .map(|_| draw_observation(&mut rng))
+                    .collect();
                 Reply {
-                    address: format!("n{own}"),
+                    address: format!("n{index}"),
                     report: (draw(&mut rng, 6) > 0).then_some(seen),
                 }
             })
             .collect();
-        let found = dispatcher_findings(&fleet);
-        for found in found.iter().chain(&node_findings(&fleet, &nodes)) {
-            let _ = writeln!(out, "{step}: {}", finding(found));
+        let findings = dispatcher_findings(&fleet);
+        for finding in findings.iter().chain(&node_findings(&fleet, &nodes)) {
+            let _ = writeln!(out, "{step}: {}", format_finding(finding));
         }
         for (operations, total) in audit::operation_totals(&nodes) {
             let audit::DispatcherVersion {
@@ -156,7 +158,7 @@
 /// Writes a node's counts of operations and a dispatcher's history of versions.
 pub fn counts(out: &mut String) {
     let mut rng = generator(6);
-    let mut seen = OperationCounts::default();
+    let mut counts = OperationCounts::default();
     let mut history = VersionHistory::restore(VecDeque::new());
     for step in 0..400 {
         let source = OperationSource {
@@ -166,9 +168,9 @@
         };
         let kind = kind(&mut rng);
         if draw(&mut rng, 4) == 0 {
-            seen.record_rejected(source, kind);
+            counts.record_rejected(source, kind);
         } else {
-            seen.record(source, kind);
+            counts.record(source, kind);
         }
         history.count_operations(step / 90, kind, draw(&mut rng, 5));
         history.begin(VersionInterval {
@@ -185,7 +187,7 @@
             from_ms: 10 * step,
         });
     }
-    for row in seen.rows() {
+    for row in counts.rows() {
         let (source, count, kind) = (row.source, row.count, operation(row.kind));
         let _ = writeln!(
             out,
@@ -193,12 +195,12 @@
             source.dispatcher, source.incarnation, source.version, count.seen, count.rejected
         );
     }
-    for (counted, count) in history.operations() {
+    for (operation_key, count) in history.operations() {
         let _ = writeln!(
             out,
             "{} {}: {count}",
-            counted.version,
-            operation(counted.kind)
+            operation_key.version,
+            operation(operation_key.kind)
         );
     }
     let mut origins: BTreeMap<&str, u64> = BTreeMap::new();
--- a/crates/version-fencing/tests/fence_search.rs
+++ b/crates/version-fencing/tests/fence_search.rs
@@ -39,15 +39,15 @@
     /// A node forgets the minimum version when it restarts.
     NodeForgets,
     /// A node enforces a minimum version that is not on its disk yet.
-    BeforeTheDisk,
+    EnforcedBeforeStored,
     /// A node decides by the version that the sender runs now.
-    BySender,
+    DecidesBySender,
     /// A node whose disk was lost accepts attempts before it has queried the quorum.
     LostDiskAccepts,
     /// A node that restarts before it has queried the quorum treats its empty disk as intact.
-    EmptyIsIntact,
+    EmptyDiskIsIntact,
     /// A node whose disk was lost uses the highest minimum that any member reports.
-    TakesTheHighest,
+    UsesHighest,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -55,7 +55,7 @@
     from: usize,
     version: u64,
     /// Index of the minimum version that it carries.
-    carries: Option<usize>,
+    carried: Option<usize>,
 }
 
 #[derive(Clone, Debug)]
@@ -77,10 +77,10 @@
     committed: [bool; 3],
     /// The latest proposal by which the node has rejected an attempt.
     rejected_by: Option<usize>,
-    breach: Option<&'static str>,
+    violation: Option<&'static str>,
 }
 
-fn index(minimum: MinimumVersion) -> usize {
+fn proposal_index(minimum: MinimumVersion) -> usize {
     PROPOSALS
         .iter()
         .position(|proposal| *proposal == minimum)
@@ -88,7 +88,7 @@
 }
 
 fn held_by(member: &QuorumMember<MinimumVersion>) -> Option<MinimumVersion> {
-    member.entries().next().map(|kept| kept.proposal)
+    member.entries().next().map(|entry| entry.proposal)
 }
 
 /// Returns the replies of a subset of the members, which is a bit mask.
@@ -113,23 +113,23 @@
         attempts: Vec::new(),
         committed: [false; 3],
         rejected_by: None,
-        breach: None,
+        violation: None,
     }
 }
 
-fn arrive(world: &mut World, attempt: &Attempt, mistake: Mistake) {
-    if let Some(carried) = attempt.carries {
+fn deliver(world: &mut World, attempt: &Attempt, mistake: Mistake) {
+    if let Some(carried) = attempt.carried {
         if !world.committed[carried] {
-            world.breach = Some(UNCOMMITTED);
+            world.violation = Some(UNCOMMITTED);
         }
         if world.fence.should_store(PROPOSALS[carried]) {
-            if mistake == Mistake::BeforeTheDisk {
+            if mistake == Mistake::EnforcedBeforeStored {
                 world.fence.apply_stored(PROPOSALS[carried]);
             }
             world.pending = Some(carried);
         }
     }
-    let decided_by = if mistake == Mistake::BySender {
+    let decided_by = if mistake == Mistake::DecidesBySender {
         world.running[attempt.from]
     } else {
         attempt.version
@@ -137,7 +137,7 @@
     match world.fence.decide(decided_by) {
         FenceDecision::Accepted => check_accepted(world, attempt),
         FenceDecision::Fenced(minimum) => {
-            let by = index(minimum);
+            let by = proposal_index(minimum);
             if world
                 .rejected_by
                 .is_none_or(|known| PROPOSALS[known].revision <= minimum.revision)
@@ -156,7 +156,7 @@
     let known = world.rejected_by.into_iter().chain(world.disk);
     let latest = known.max_by_key(|&by| PROPOSALS[by].revision);
     if latest.is_some_and(|by| attempt.version < PROPOSALS[by].version) {
-        world.breach = Some(ACCEPTED_BELOW);
+        world.violation = Some(ACCEPTED_BELOW);
     }
 }
 
@@ -209,7 +209,7 @@
                 let attempt = Attempt {
                     from: dispatcher,
                     version: running,
-                    carries: next.gates[dispatcher].minimum().map(index),
+                    carried: next.gates[dispatcher].minimum().map(proposal_index),
                 };
                 if !next.attempts.contains(&attempt) {
                     next.attempts.push(attempt);
@@ -224,7 +224,7 @@
     fn messages(&mut self) {
         let mistake = self.mistake;
         for attempt in &self.world.attempts {
-            self.step(|next| arrive(next, attempt, mistake));
+            self.step(|next| deliver(next, attempt, mistake));
         }
     }
 
@@ -246,7 +246,7 @@
                 .disk
                 .filter(|_| mistake != Mistake::NodeForgets)
                 .map(|proposal| PROPOSALS[proposal]);
-            let lost = next.lost && mistake != Mistake::EmptyIsIntact;
+            let lost = next.lost && mistake != Mistake::EmptyDiskIsIntact;
             next.fence = Fence::restore(match lost {
                 true => StoredState::Lost,
                 false => StoredState::Intact(on_disk),
@@ -271,18 +271,18 @@
                 let replies = replies(&next.members, subset);
                 let known = replies.iter().flatten();
                 let highest = known.max_by_key(|minimum| minimum.revision).copied();
-                if let Some(highest) = highest.filter(|_| mistake == Mistake::TakesTheHighest) {
+                if let Some(highest) = highest.filter(|_| mistake == Mistake::UsesHighest) {
                     next.fence = Fence::restore(StoredState::Intact(Some(highest)));
-                    (next.disk, next.lost) = (Some(index(highest)), false);
+                    (next.disk, next.lost) = (Some(proposal_index(highest)), false);
                 } else if next.fence.apply_quorum_replies(&replies, MEMBERS) {
-                    (next.disk, next.lost) = (next.fence.minimum().map(index), false);
+                    (next.disk, next.lost) = (next.fence.minimum().map(proposal_index), false);
                 }
             });
         }
     }
 }
 
-fn follow(world: &World, mistake: Mistake) -> Vec<World> {
+fn successors(world: &World, mistake: Mistake) -> Vec<World> {
     let mut successors = Successors {
         world,
         mistake,
@@ -304,25 +304,25 @@
     states::search(
         start(),
         depth,
-        |world| follow(world, mistake),
-        |world| world.breach,
+        |world| successors(world, mistake),
+        |world| world.violation,
     )
 }
 
 #[test]
-fn nothing_below_the_minimum_version_takes_effect_where_it_is_known() {
-    let (breach, states) = search(Mistake::None, 11);
-    assert_eq!(breach, None);
+fn no_attempt_below_a_known_minimum_version_takes_effect() {
+    let (violation, states) = search(Mistake::None, 11);
+    assert_eq!(violation, None);
     assert!(states > 50_000, "only {states} states");
 }
 
 #[test_case(Mistake::NoMajority, UNCOMMITTED)]
 #[test_case(Mistake::NodeForgets, ACCEPTED_BELOW)]
-#[test_case(Mistake::BeforeTheDisk, ACCEPTED_BELOW)]
-#[test_case(Mistake::BySender, ACCEPTED_BELOW)]
+#[test_case(Mistake::EnforcedBeforeStored, ACCEPTED_BELOW)]
+#[test_case(Mistake::DecidesBySender, ACCEPTED_BELOW)]
 #[test_case(Mistake::LostDiskAccepts, ACCEPTED_BELOW)]
-#[test_case(Mistake::EmptyIsIntact, ACCEPTED_BELOW)]
-#[test_case(Mistake::TakesTheHighest, UNCOMMITTED)]
-fn a_planted_mistake_is_found(mistake: Mistake, breach: &str) {
-    assert_eq!(search(mistake, 12).0, Some(breach));
+#[test_case(Mistake::EmptyDiskIsIntact, ACCEPTED_BELOW)]
+#[test_case(Mistake::UsesHighest, UNCOMMITTED)]
+fn a_planted_mistake_is_found(mistake: Mistake, violation: &str) {
+    assert_eq!(search(mistake, 12).0, Some(violation));
 }
--- a/crates/version-fencing/tests/policy.rs
+++ b/crates/version-fencing/tests/policy.rs
@@ -16,10 +16,10 @@
 }
 
 #[test_case(&[(9, false), (9, false), (5, false)], 3, 600, Some(9); "two of three are enough")]
-#[test_case(&[(9, false), (9, true), (5, false)], 3, 600, Some(5); "one may yet roll it back")]
-#[test_case(&[(9, false), (9, false)], 4, 750, None; "one that never reported counts as not having it")]
-#[test_case(&[(9, false), (8, false), (7, false)], 3, 1000, Some(7); "all")]
-fn a_version_is_adopted_once_enough_run_it_for_good(
+#[test_case(&[(9, false), (9, true), (5, false)], 3, 600, Some(5); "one still runs it on trial")]
+#[test_case(&[(9, false), (9, false)], 4, 750, None; "one never reported")]
+#[test_case(&[(9, false), (8, false), (7, false)], 3, 1000, Some(7); "all are required")]
+fn a_version_is_adopted_once_enough_dispatchers_run_it_past_its_trial(
     versions: &[(u64, bool)],
     fleet: usize,
     adoption_permille: u32,
@@ -34,9 +34,9 @@
 #[test]
 fn dispatchers_beyond_the_size_of_the_fleet_do_not_count() {
     let mut reports = reports_of(&[(4, false), (4, false)]);
-    (90..99).for_each(|own| {
+    (90..99).for_each(|dispatcher| {
         reports.report(
-            own,
+            dispatcher,
             ReportedVersion {
                 version: 9,
                 on_trial: false,
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_rollback_holds_the_minimum_version_back() {
+fn a_rollback_lowers_the_adopted_version() {
     let mut reports = reports_of(&[(9, false), (9, false)]);
     reports.report(
         1,
@@ -65,11 +65,11 @@
     adoption_permille: 900,
 };
 
-#[test_case(&[Some(30)], None; "one member of three")]
-#[test_case(&[Some(30), Some(30)], Some(20); "two agree")]
-#[test_case(&[Some(90), Some(30), Some(30)], Some(20); "one member reports too much")]
-#[test_case(&[Some(30), None, None], None; "two have reports of too few")]
-#[test_case(&[Some(12), Some(12), Some(12)], None; "no further than the minimum in force")]
+#[test_case(&[Some(30)], None; "one member of three replies")]
+#[test_case(&[Some(30), Some(30)], Some(20); "two members agree")]
+#[test_case(&[Some(90), Some(30), Some(30)], Some(20); "one member reports a version that is too high")]
+#[test_case(&[Some(30), None, None], None; "two members have too few reports")]
+#[test_case(&[Some(12), Some(12), Some(12)], None; "not above the present minimum")]
 fn a_policy_needs_a_majority_of_the_quorum(replies: &[Option<u64>], minimum: Option<u64>) {
     assert_eq!(
         PolicyWatch::default().evaluate(0, POLICY, replies, 3, Some(2)),
@@ -93,7 +93,7 @@
     assert_eq!(
         (evaluate(70, 5), evaluate(120, 6)),
         (Some(5), Some(5)),
-        "6 was rolled back at 70, and counts from 120"
+        "6 was rolled back at 70, and its age starts at 120"
     );
     assert_eq!((evaluate(179, 6), evaluate(180, 6)), (Some(5), Some(6)));
 }
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn a_fenced_dispatcher_asks_all_peers_then_all_members_soon_and_then_backs_off() {
+fn a_fenced_dispatcher_soon_queries_all_peers_then_all_members_and_then_backs_off() {
     let all = requests(&mut CatchUp::new(1, INTERVALS), 2_000, FENCED, || {
         RequestOutcome::Unchanged
     });
@@ -142,7 +142,7 @@
         .iter()
         .all(|(_, source)| matches!(source, VersionSource::QuorumMember(_)));
     assert!(all[4].0 <= 50 && peers && members, "{all:?}");
-    let gaps: Vec<u64> = all.windows(2).map(|two| two[1].0 - two[0].0).collect();
+    let gaps: Vec<u64> = all.windows(2).map(|pair| pair[1].0 - pair[0].0).collect();
     assert!(
         gaps.iter().all(|gap| *gap <= 210) && gaps.len() < 100,
         "{gaps:?}"
@@ -173,20 +173,20 @@
         let requests = all.iter().filter(|(at, _)| at / 100 == tenth).count();
         assert!(requests < 60, "{requests} in one tenth");
     }
-    let asked = |peer| {
+    let requests_to = |peer| {
         all.iter()
             .filter(|(_, source)| *source == VersionSource::Peer(peer))
             .count()
     };
     assert!(
-        (0..3).all(|peer| asked(peer) > 60),
+        (0..3).all(|peer| requests_to(peer) > 60),
         "{:?}",
-        [asked(0), asked(1), asked(2)]
+        [requests_to(0), requests_to(1), requests_to(2)]
     );
 }
 
 #[test]
-fn a_dispatcher_with_a_stream_asks_nobody_unless_it_is_fenced() {
+fn a_dispatcher_with_a_stream_makes_no_requests_unless_it_is_fenced() {
     let status = CatchUpStatus {
         has_stream: true,
         fenced: false,
@@ -211,7 +211,7 @@
 }
 
 #[test]
-fn a_dispatcher_without_a_stream_asks_at_the_idle_interval() {
+fn a_dispatcher_without_a_stream_makes_requests_at_the_idle_interval() {
     let status = CatchUpStatus {
         fenced: false,
         ..FENCED
@@ -226,7 +226,7 @@
 fn a_few_of_a_fleet_store_a_new_version_at_the_quorum_and_none_an_old_one() {
     let stores = |version| {
         (0..300)
-            .filter(|own| should_store(version, Some(7), 300, f64::from(*own) / 300.0))
+            .filter(|draw| should_store(version, Some(7), 300, f64::from(*draw) / 300.0))
             .count()
     };
     assert_eq!((stores(8), stores(7), stores(6)), (3, 0, 0));
--- a/crates/version-fencing/tests/policy_search.rs
+++ b/crates/version-fencing/tests/policy_search.rs
@@ -19,17 +19,17 @@
     adoption_permille: 600,
 };
 /// Number of dispatchers that must have adopted a version: two of three.
-const ENOUGH: usize = 2;
+const REQUIRED: usize = 2;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Mistake {
     None,
     /// A version on trial counts as adopted.
-    Trials,
+    TrialsCount,
     /// One member's reply is enough.
     OneMember,
     /// The policy uses the number of dispatchers that have reported as the size of the fleet.
-    OfThoseWhoReported,
+    OnlyReporters,
     /// A version counts as adopted even after it was rolled back.
     NeverForgets,
 }
@@ -48,7 +48,7 @@
     /// For each version, the time since which enough dispatchers have run it past its trial. Only
     /// used by the check.
     adopted_since: [Option<u64>; NEWEST as usize + 1],
-    breach: Option<&'static str>,
+    violation: Option<&'static str>,
 }
 
 fn start() -> World {
@@ -63,7 +63,7 @@
         reporters: [0; MEMBERS - 1],
         watch: PolicyWatch::default(),
         adopted_since: [None; NEWEST as usize + 1],
-        breach: None,
+        violation: None,
     }
 }
 
@@ -71,7 +71,7 @@
 /// reports a version that no dispatcher runs.
 fn replies(world: &World, subset: usize, mistake: Mistake) -> Vec<Option<u64>> {
     let fleet = |member: usize| match mistake {
-        Mistake::OfThoseWhoReported => world.reporters[member].count_ones() as usize,
+        Mistake::OnlyReporters => world.reporters[member].count_ones() as usize,
         _ => FLEET,
     };
     let replies =
@@ -112,15 +112,16 @@
     };
     // The policy may choose the version below the one that enough dispatchers have adopted, or one
     // that they adopted long enough ago.
-    let far_behind = reached(minimum + 1) >= ENOUGH;
+    let far_behind = reached(minimum + 1) >= REQUIRED;
     let adopted_since = usize::try_from(minimum)
         .ok()
         .and_then(|minimum| world.adopted_since.get(minimum).copied().flatten());
     let recent = adopted_since.is_none_or(|since| since + MAX_AGE > world.now);
     if !far_behind && recent {
-        world.breach = Some("a minimum version neither far nor long enough behind");
-    } else if reached(minimum) < ENOUGH {
-        world.breach = Some("a minimum version that too few ever had for good");
+        world.violation =
+            Some("a minimum version that is neither far enough behind nor old enough");
+    } else if reached(minimum) < REQUIRED {
+        world.violation = Some("a minimum version that too few dispatchers had adopted");
     }
 }
 
@@ -138,7 +139,7 @@
         for version in 1..=NEWEST as usize {
             let reached = next.highest.iter();
             let reached = reached.filter(|highest| **highest >= version as u64);
-            if reached.count() >= ENOUGH && next.adopted_since[version].is_none() {
+            if reached.count() >= REQUIRED && next.adopted_since[version].is_none() {
                 next.adopted_since[version] = Some(next.now);
             }
         }
@@ -166,7 +167,7 @@
                 }
             });
         }
-        let on_trial = running.on_trial && self.mistake != Mistake::Trials;
+        let on_trial = running.on_trial && self.mistake != Mistake::TrialsCount;
         for member in 0..MEMBERS - 1 {
             self.step(|next| {
                 let reported = ReportedVersion {
@@ -180,7 +181,7 @@
     }
 }
 
-fn follow(world: &World, mistake: Mistake) -> Vec<World> {
+fn successors(world: &World, mistake: Mistake) -> Vec<World> {
     let mut successors = Successors {
         world,
         mistake,
@@ -202,21 +203,21 @@
     states::search(
         start(),
         depth,
-        |world| follow(world, mistake),
-        |world| world.breach,
+        |world| successors(world, mistake),
+        |world| world.violation,
     )
 }
 
 #[test]
-fn no_policy_raises_the_minimum_above_what_enough_had_for_good() {
-    let (breach, states) = search(Mistake::None, 9);
-    assert_eq!(breach, None);
+fn no_policy_raises_the_minimum_above_what_enough_dispatchers_had_adopted() {
+    let (violation, states) = search(Mistake::None, 9);
+    assert_eq!(violation, None);
     assert!(states > 50_000, "only {states} states");
 }
 
-#[test_case(Mistake::Trials, 12)]
+#[test_case(Mistake::TrialsCount, 12)]
 #[test_case(Mistake::OneMember, 6)]
-#[test_case(Mistake::OfThoseWhoReported, 9)]
+#[test_case(Mistake::OnlyReporters, 9)]
 #[test_case(Mistake::NeverForgets, 9)]
 fn a_planted_mistake_is_found(mistake: Mistake, depth: usize) {
     assert!(search(mistake, depth).0.is_some());
--- a/crates/version-fencing/tests/raise.rs
+++ b/crates/version-fencing/tests/raise.rs
@@ -5,10 +5,10 @@
 };
 use test_case::test_case;
 
-#[test_case(2, 0, Ok(()); "half of the fleet has it")]
-#[test_case(1, 1, Err(1); "one has it on trial")]
+#[test_case(2, 0, Ok(()); "half of the fleet has adopted it")]
+#[test_case(1, 1, Err(1); "one runs it on trial")]
 #[test_case(1, 0, Err(1); "too few")]
-fn a_raise_is_refused_until_enough_have_adopted_the_version(
+fn a_raise_is_rejected_until_enough_dispatchers_have_adopted_the_version(
     adopted: usize,
     on_trial: usize,
     result: Result<(), usize>,
@@ -28,7 +28,7 @@
     assert_eq!(
         check_adoption(&fleet, Some(9), 8, 500),
         Ok(()),
-        "lowering is never held back"
+        "a lower minimum is always allowed"
     );
 }
 
@@ -58,9 +58,9 @@
     ];
     assert_eq!(propose(&split, 3, 5, 9), Ok(minimum(5, 9, 5)));
     assert_eq!(propose(&split, 3, 2, 9), Err(RaiseError::Unchanged(2)));
-    let last = [Some(minimum(u64::MAX, 1, 2)), None, None];
+    let largest = [Some(minimum(u64::MAX, 1, 2)), None, None];
     assert_eq!(
-        propose(&last, 3, 5, 9),
+        propose(&largest, 3, 5, 9),
         Ok(minimum(u64::MAX, 9, 5)),
         "a member with a wrong report causes no overflow"
     );
--- a/crates/version-fencing/tests/records.rs
+++ b/crates/version-fencing/tests/records.rs
@@ -8,7 +8,7 @@
 use std::collections::VecDeque;
 
 #[test]
-fn a_peer_that_invents_incarnations_fills_no_memory_and_displaces_no_row() {
+fn a_peer_that_invents_incarnations_cannot_exhaust_memory_or_displace_rows() {
     let mut counts = OperationCounts::default();
     let source = |incarnation| OperationSource {
         dispatcher: 1,
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_history_keeps_the_latest_intervals_over_incarnations_and_counts_one_alone() {
+fn a_history_keeps_the_latest_intervals_of_all_incarnations_and_the_counts_of_one() {
     let interval = |version, incarnation| VersionInterval {
         version,
         digest: "d".into(),
--- a/crates/version-fencing/tests/states/mod.rs
+++ b/crates/version-fencing/tests/states/mod.rs
@@ -5,18 +5,18 @@
 
 /// Returns the first violation within `depth` steps, and the number of distinct states found.
 pub fn search<W: Debug>(
-    first: W,
+    initial: W,
     depth: usize,
-    follow: impl Fn(&W) -> Vec<W>,
-    breach: impl Fn(&W) -> Option<&'static str>,
+    successors: impl Fn(&W) -> Vec<W>,
+    violation: impl Fn(&W) -> Option<&'static str>,
 ) -> (Option<&'static str>, usize) {
-    let (mut seen, mut frontier) = (HashSet::from([format!("{first:?}")]), vec![first]);
+    let (mut seen, mut frontier) = (HashSet::from([format!("{initial:?}")]), vec![initial]);
     for _ in 0..depth {
         let mut next_frontier = Vec::new();
-        for world in &frontier {
-            for next in follow(world) {
-                if let Some(breach) = breach(&next) {
-                    return (Some(breach), seen.len());
+        for state in &frontier {
+            for next in successors(state) {
+                if let Some(violation) = violation(&next) {
+                    return (Some(violation), seen.len());
                 }
                 if seen.insert(format!("{next:?}")) {
                     next_frontier.push(next);
--- a/crates/version-fencing/tests/stored.rs
+++ b/crates/version-fencing/tests/stored.rs
@@ -11,17 +11,17 @@
 
 const MINIMUM: &str = include_str!("data/minimum_version.json");
 const ENTRY: &str = include_str!("data/quorum_entry.json");
-const SPANS: &str = include_str!("data/version_spans.json");
+const INTERVALS: &str = include_str!("data/version_spans.json");
 /// Pairs of lines: a type with the stored text, and the resulting error.
-const REFUSED: &str = include_str!("data/refused.txt");
+const REJECTED: &str = include_str!("data/refused.txt");
 
 /// Reads a stored text, compares its content, and checks that it is written back unchanged.
 fn round_trip<T: DeserializeOwned + Serialize + PartialEq + Debug>(stored: &str, content: T) {
     let stored = stored.trim_end();
-    let read: T = serde_json::from_str(stored).expect("what was stored can be read");
+    let read: T = serde_json::from_str(stored).expect("the stored text is valid");
     assert_eq!(read, content);
     assert_eq!(
-        serde_json::to_string(&read).expect("it can be written"),
+        serde_json::to_string(&read).expect("the content can be serialized"),
         stored
     );
 }
@@ -49,20 +49,20 @@
 
 /// The only key is not a string, so a member is stored as JSON by its entries.
 #[test]
-fn a_quorum_member_as_a_whole_is_json_only_while_it_is_empty() {
+fn a_whole_quorum_member_can_be_written_as_json_only_while_it_is_empty() {
     round_trip(
         r#"{"matters":{}}"#,
         QuorumMember::<MinimumVersion>::default(),
     );
     let mut member = QuorumMember::default();
     member.propose(minimum());
-    let error = serde_json::to_string(&member).expect_err("its key is no string");
+    let error = serde_json::to_string(&member).expect_err("the key is not a string");
     assert_eq!(error.to_string(), "key must be a string");
 }
 
 #[test]
-fn stored_version_spans_keep_content_and_bytes() {
-    let ways = [
+fn stored_version_intervals_keep_content_and_bytes() {
+    let origins = [
         VersionOrigin::File,
         VersionOrigin::Restored,
         VersionOrigin::Push,
@@ -76,26 +76,27 @@
         incarnation: u64::MAX - index as u64,
         from_ms: 1_764_000_000_000 + index as u64,
     };
-    let intervals: VecDeque<VersionInterval> = ways.into_iter().enumerate().map(interval).collect();
-    round_trip(SPANS, intervals);
+    let intervals: VecDeque<VersionInterval> =
+        origins.into_iter().enumerate().map(interval).collect();
+    round_trip(INTERVALS, intervals);
 }
 
-fn refusal<T: DeserializeOwned + Debug>(stored: &str) -> String {
+fn read_error<T: DeserializeOwned + Debug>(stored: &str) -> String {
     let read = serde_json::from_str::<T>(stored);
-    read.expect_err("it is refused").to_string()
+    read.expect_err("the text is rejected").to_string()
 }
 
 #[test]
-fn what_is_cut_short_or_foreign_is_refused_with_the_same_message() {
-    let lines: Vec<&str> = REFUSED.lines().collect();
+fn truncated_or_foreign_state_is_rejected_with_the_same_message() {
+    let lines: Vec<&str> = REJECTED.lines().collect();
     for pair in lines.chunks(2) {
-        let (kind, stored) = pair[0].split_once(' ').expect("a kind and a text");
-        let message = match kind {
-            "minimum" => refusal::<MinimumVersion>(stored),
-            "entry" => refusal::<Entry<MinimumVersion>>(stored),
-            "member" => refusal::<QuorumMember<MinimumVersion>>(stored),
-            "spans" => refusal::<VecDeque<VersionInterval>>(stored),
-            other => panic!("no such kind: {other}"),
+        let (stored_type, stored) = pair[0].split_once(' ').expect("a type and a text");
+        let message = match stored_type {
+            "minimum" => read_error::<MinimumVersion>(stored),
+            "entry" => read_error::<Entry<MinimumVersion>>(stored),
+            "member" => read_error::<QuorumMember<MinimumVersion>>(stored),
+            "spans" => read_error::<VecDeque<VersionInterval>>(stored),
+            other => panic!("unknown type: {other}"),
         };
         assert_eq!(message, pair[1], "{}", pair[0]);
     }
