--- a/crates/rollout/tests/invariants.rs
+++ b/crates/rollout/tests/invariants.rs
@@ -1,4 +1,4 @@
-//! What holds whatever happens in whatever order.
+//! Properties that hold for any order of events.
 
 #[path = "controller/support.rs"]
 mod support;
@@ -42,22 +42,22 @@
 }
 
 proptest! {
-    /// Two dispatchers whose clocks are apart, with quorum members between them: whatever the
-    /// order, and however late, the limit on replicas down or surging is never exceeded, and in the
-    /// end all are replaced.
+    /// Two dispatchers with skewed clocks share the quorum members. In any order and with any
+    /// delay, the limit on replicas that are down or surging is never exceeded, and all replicas
+    /// are replaced in the end.
     #[test]
     fn skewed_clocks_never_exceed_the_limit(
-        apart in 0u64..100_000,
+        skew in 0u64..100_000,
         start_first in any::<bool>(),
-        turns in prop::collection::vec((0usize..2, 0u64..3_000), 200..400),
+        rounds in prop::collection::vec((0usize..2, 0u64..3_000), 200..400),
     ) {
         let order = if start_first { Order::StartFirst } else { Order::StopFirst };
-        let wanted = Rollout { order, max_failures: 1_000, ..rollout(1, "v2") };
+        let proposed = Rollout { order, max_failures: 1_000, ..rollout(1, "v2") };
         let mut members = vec![QuorumMember::default(); 3];
-        members.iter_mut().for_each(|member| drop(member.propose(wanted.clone()).cloned()));
+        members.iter_mut().for_each(|member| drop(member.propose(proposed.clone()).cloned()));
         let mut controllers: Vec<RolloutController> = (0..2).map(|dispatcher| {
-            let now = dispatcher as u64 * apart;
-            let mut controller = RolloutController::new(dispatcher, u64::from(dispatcher) + 1, wanted.clone(), now);
+            let now = dispatcher as u64 * skew;
+            let mut controller = RolloutController::new(dispatcher, u64::from(dispatcher) + 1, proposed.clone(), now);
             for number in 0..3 {
                 let task = format!("d{dispatcher}c{number}");
                 controller.replica_assigned(now, &task, "v1", false);
@@ -65,18 +65,18 @@
             }
             controller
         }).collect();
-        // Replicas that are being started and when they get ready, by the true time.
+        // Replicas that are being started, with the true time at which they become ready.
         let mut starting: BTreeMap<String, u64> = BTreeMap::new();
         let (mut time, mut highest) = (0, 0);
-        // After the turns drawn, both in turn until all is done.
-        let rest = (0..600).map(|turn| (turn % 2, 1_000));
-        for (index, pause) in turns.into_iter().chain(rest) {
+        // After the drawn rounds, the dispatchers alternate until all is done.
+        let rest = (0..600).map(|round| (round % 2, 1_000));
+        for (index, pause) in rounds.into_iter().chain(rest) {
             time += pause;
-            let now = time + index as u64 * apart;
-            let mine: Vec<String> = starting.iter()
+            let now = time + index as u64 * skew;
+            let ready: Vec<String> = starting.iter()
                 .filter(|(task, at)| task.starts_with(&format!("d{index}")) && **at <= time)
                 .map(|(task, _)| task.clone()).collect();
-            for task in mine {
+            for task in ready {
                 if controllers[index].is_surging(&task) {
                     controllers[index].surge_readiness(now, &task, true);
                 } else {
@@ -127,15 +127,15 @@
                 }
             }
             highest = highest.max(starting.len());
-            prop_assert!(highest <= 2, "{highest} at a time where 2 may be");
+            prop_assert!(highest <= 2, "{highest} at a time, the limit is 2");
         }
-        let left: Vec<_> = controllers.iter().map(RolloutController::counts).collect();
-        prop_assert_eq!(left, vec![counts(3, 3, 0), counts(3, 3, 0)], "all are replaced in the end");
+        let remaining: Vec<_> = controllers.iter().map(RolloutController::counts).collect();
+        prop_assert_eq!(remaining, vec![counts(3, 3, 0), counts(3, 3, 0)], "not all replicas were replaced");
         prop_assert!(highest >= 1);
     }
 
-    /// A replica is stopped only under a claim that was won and not released, one claim a replica,
-    /// and never more than the limit at a time, whatever happens meanwhile.
+    /// A replica is stopped only under a claim that was won and not released. Each replica has one
+    /// claim, and never more than the limit are stopped at a time, whatever events occur meanwhile.
     #[test]
     fn no_order_of_events_stops_a_replica_without_a_slot(events in prop::collection::vec(event(), 0..120)) {
         let mut controller = controller(4);
@@ -174,7 +174,7 @@
                 Event::ClaimDecided(won) => {
                     let Some((claim, task)) = pending.pop() else { continue };
                     if controller.claim_decided(now, claim, if won { WON } else { LOST }) {
-                        prop_assert!(won, "a lost claim is no slot");
+                        prop_assert!(won, "a lost claim was accepted");
                         held.insert(claim, task);
                         stopped = controller.start_replacements(now);
                     }
@@ -194,10 +194,10 @@
                 Event::TimePasses(time) => now += u64::from(time),
             }
             for task in stopped {
-                prop_assert!(held.values().any(|own| *own == task), "{task} is stopped without a slot");
+                prop_assert!(held.values().any(|holder| *holder == task), "{task} is stopped without a slot");
                 prop_assert_eq!(&current.phase, &Phase::Rolling);
             }
-            prop_assert!(controller.claims().count() <= 2 + 4, "claims stay few");
+            prop_assert!(controller.claims().count() <= 2 + 4, "the number of claims is bounded");
         }
     }
 }
--- a/crates/rollout/tests/search.rs
+++ b/crates/rollout/tests/search.rs
@@ -1,7 +1,7 @@
-//! No more slots than the limit can be held at a majority of quorum members: every state of a small
-//! case is visited that messages late, lost, duplicated and out of order, and dispatchers killed at
-//! any point, can lead to. The search is shown to find protocols that fail: time slices, and claims
-//! granted without a majority.
+//! Shows that no more slots than the limit can be held at a majority of quorum members. The search
+//! visits every state of small cases, with messages that are late, lost, duplicated and reordered
+//! and dispatchers killed at any point. It is shown to detect protocols that fail: time slices, and
+//! claims granted without a majority.
 
 use corkspan_rollout::{ClaimId, Order, Phase, Rollout, base_proposal, committed, is_majority};
 use corkspan_rollout::{ClaimOutcome, Grant, QuorumMember};
@@ -28,28 +28,28 @@
     }
 }
 
-/// What one dispatcher is doing: its replica is not ready while it holds a slot.
+/// The state of one dispatcher. Its replica is not ready while it holds a slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum State {
     Idle,
-    /// Claims a slot, by claim and slot.
+    /// Claims a slot; the fields are the claim and the slot.
     Claiming(u8, u8),
     Holding(u8),
 }
 
 #[derive(Clone, PartialEq, Eq, Hash)]
-struct World {
-    /// Slots of each member: claim by slot.
+struct SystemState {
+    /// For each member, the claim that holds each slot.
     members: [BTreeMap<u8, u8>; MEMBERS],
     dispatchers: Vec<(State, u8)>,
-    /// Claims sent (claim, slot), releases sent (claim), grants ever answered (claim, member). A
-    /// message once sent may arrive at any time, never, or again.
+    /// All claims sent (claim, slot), releases sent (claim) and grants answered (claim, member). A
+    /// message that was sent may arrive at any time, never, or repeatedly.
     claims: BTreeSet<(u8, u8)>,
     releases: BTreeSet<u8>,
     granted: BTreeSet<(u8, u8)>,
 }
 
-/// Visits every state, with this many votes for a claim to be won. Returns the highest number of
+/// Visits every state, where a claim needs this many votes to be won. Returns the highest number of
 /// replicas that were not ready at a time, and the number of states.
 fn max_unavailable_reached(
     dispatchers: usize,
@@ -57,7 +57,7 @@
     slots: u8,
     votes: usize,
 ) -> (usize, usize) {
-    let start = World {
+    let start = SystemState {
         members: Default::default(),
         dispatchers: vec![(State::Idle, 0); dispatchers],
         claims: BTreeSet::new(),
@@ -69,7 +69,7 @@
         let holding = world
             .dispatchers
             .iter()
-            .filter(|(at, _)| matches!(at, State::Holding(_)))
+            .filter(|(state, _)| matches!(state, State::Holding(_)))
             .count();
         highest = highest.max(holding);
         for next in successors(&world, claims_each, slots, votes) {
@@ -81,16 +81,16 @@
     (highest, seen.len())
 }
 
-fn successors(world: &World, claims_each: u8, slots: u8, votes: usize) -> Vec<World> {
+fn successors(world: &SystemState, claims_each: u8, slots: u8, votes: usize) -> Vec<SystemState> {
     let mut all = Vec::new();
-    for (index, &(at, used)) in world.dispatchers.iter().enumerate() {
+    for (index, &(state, used)) in world.dispatchers.iter().enumerate() {
         let claim = index as u8 * 8 + used;
-        let mut step = |change: &dyn Fn(&mut World)| {
+        let mut step = |change: &dyn Fn(&mut SystemState)| {
             let mut next = world.clone();
             change(&mut next);
             all.push(next);
         };
-        match at {
+        match state {
             State::Idle if used < claims_each => {
                 for slot in 0..slots {
                     step(&|next| {
@@ -109,14 +109,15 @@
                 if granted >= votes {
                     step(&|next| next.dispatchers[index].0 = State::Holding(claim));
                 }
-                // Given up at any time: refused, out of patience, or killed before the hold was on
-                // disk.
+                // A claim may be abandoned at any time: it was rejected, timed out, or the
+                // dispatcher was killed before the won claim was on disk.
                 step(&|next| {
                     next.releases.insert(claim);
                     next.dispatchers[index].0 = State::Idle;
                 });
             }
-            // Killed while it holds, it holds on: the step is on disk and its replica is down.
+            // A dispatcher killed while it holds a slot keeps it: the claim is on disk and its
+            // replica is down.
             State::Holding(claim) => step(&|next| {
                 next.releases.insert(claim);
                 next.dispatchers[index].0 = State::Idle;
@@ -127,7 +128,7 @@
         for &(claim, slot) in &world.claims {
             let mut next = world.clone();
             let held = next.members[member].get(&slot).copied();
-            // The rule of the real member, which a test below checks.
+            // The rule of the actual member; a test below checks that it is the same.
             if held == Some(claim)
                 || held.is_none() && next.members[member].len() < usize::from(slots)
             {
@@ -150,7 +151,7 @@
 #[test_case(3, 1, 2; "two slots, three dispatchers")]
 fn a_majority_never_exceeds_the_limit(dispatchers: usize, claims_each: u8, slots: u8) {
     let (highest, states) = max_unavailable_reached(dispatchers, claims_each, slots, 2);
-    assert!(states > 100, "{states} states are no search");
+    assert!(states > 100, "only {states} states");
     assert_eq!(
         highest,
         usize::from(slots),
@@ -164,25 +165,26 @@
     assert_eq!(highest, 2);
 }
 
-/// The rejected option: time slices. Each dispatcher may stop a replica in its own slice and needs
-/// it ready within it; clocks differ by up to `skew`, and a replica may take `long` to get ready.
-fn time_slices_overlap(turn: i32, guard: i32, skew: i32, long: i32) -> bool {
+/// Returns whether time slices, the rejected alternative, let two replicas be down at once. Each
+/// dispatcher may stop a replica within its own slice, up to `guard` before its end. Clocks differ
+/// by up to `skew`, and a replica takes `time_to_ready` to become ready.
+fn time_slices_overlap(slice: i32, guard: i32, skew: i32, time_to_ready: i32) -> bool {
     let down = |offset: i32, begins: i32| {
-        (0..turn - guard)
-            .map(move |late| begins + late - offset)
-            .map(move |from| (from, from + long))
+        (0..slice - guard)
+            .map(move |delay| begins + delay - offset)
+            .map(move |from| (from, from + time_to_ready))
     };
     (-skew..=skew).any(|second| {
         down(0, 0)
-            .any(|(from, to)| down(second, turn).any(|(other, until)| other < to && from < until))
+            .any(|(from, to)| down(second, slice).any(|(other, until)| other < to && from < until))
     })
 }
 
 #[test]
-fn time_slices_hold_only_while_clocks_and_replicas_keep_to_them() {
+fn time_slices_keep_the_limit_only_while_clocks_and_replicas_stay_within_the_guard() {
     assert!(
         !time_slices_overlap(10, 6, 2, 3),
-        "a guard of skew and time to get ready is enough"
+        "a guard of the skew and the time to ready is enough"
     );
     assert!(
         time_slices_overlap(10, 6, 5, 3),
@@ -190,7 +192,7 @@
     );
     assert!(
         time_slices_overlap(10, 6, 2, 30),
-        "and so does a replica that does not get ready"
+        "a replica that does not become ready exceeds the limit"
     );
 }
 
@@ -203,12 +205,12 @@
 }
 
 #[test]
-fn a_quorum_member_keeps_the_rule_that_the_search_assumes() {
+fn a_quorum_member_follows_the_rule_that_the_search_assumes() {
     let mut member = QuorumMember::default();
     assert_eq!(
         member.claim("s", 1, 0, grant(1)),
         ClaimOutcome::StaleRevision,
-        "of an unknown rollout"
+        "the rollout is unknown"
     );
     assert_eq!(member.propose(rollout(1, 1)), Some(&rollout(1, 1)));
     assert_eq!(member.claim("s", 1, 0, grant(1)), ClaimOutcome::Granted);
@@ -221,13 +223,13 @@
     assert_eq!(
         member.claim("s", 1, 1, grant(2)),
         ClaimOutcome::Occupied,
-        "no slot of this rollout"
+        "the index is beyond the limit"
     );
     member.release("s", ClaimId(2));
     assert_eq!(
         member.claim("s", 1, 0, grant(3)),
         ClaimOutcome::Occupied,
-        "another's release frees nothing"
+        "a release of another claim has no effect"
     );
     member.release("s", ClaimId(1));
     assert_eq!(member.claim("s", 1, 0, grant(3)), ClaimOutcome::Granted);
@@ -247,7 +249,7 @@
     assert_eq!(
         member.claim("s", 1, 0, grant(9)),
         ClaimOutcome::StaleRevision,
-        "under the earlier one none is granted"
+        "none is granted under the earlier revision"
     );
     member.release("s", ClaimId(1));
     assert_eq!(
@@ -260,9 +262,9 @@
 }
 
 #[test]
-fn of_two_concurrent_proposals_one_is_committed_and_the_other_is_shown_it() {
+fn of_two_concurrent_proposals_one_is_committed_and_returned_to_the_other_proposer() {
     let mut members = vec![QuorumMember::default(); MEMBERS];
-    let (one, two) = (
+    let (first, second) = (
         Rollout {
             proposer: 1,
             ..rollout(1, 1)
@@ -272,35 +274,38 @@
             ..rollout(1, 2)
         },
     );
-    assert_eq!(members[0].propose(one.clone()), Some(&one));
-    assert_eq!(members[1].propose(two.clone()), Some(&two));
-    assert_eq!(members[2].propose(two.clone()), Some(&two));
+    assert_eq!(members[0].propose(first.clone()), Some(&first));
+    assert_eq!(members[1].propose(second.clone()), Some(&second));
+    assert_eq!(members[2].propose(second.clone()), Some(&second));
     assert_eq!(
-        members[1].propose(one.clone()),
-        Some(&two),
-        "the first one there is kept"
+        members[1].propose(first.clone()),
+        Some(&second),
+        "the member keeps the proposal that it accepted first"
     );
-    assert_eq!(members[0].propose(two.clone()), Some(&one));
+    assert_eq!(members[0].propose(second.clone()), Some(&first));
     let reported: Vec<Rollout> = members
         .iter()
         .flat_map(|member| member.entries().map(|entry| entry.proposal.clone()))
         .collect();
-    assert_eq!(committed(&reported, MEMBERS), Some(&two));
+    assert_eq!(committed(&reported, MEMBERS), Some(&second));
     assert_eq!(
         committed(&reported[..2], MEMBERS),
         None,
-        "with one member away nobody can tell"
+        "undecided while one member is missing"
     );
 }
 
 #[test]
-fn an_uncommitted_proposal_counts_for_its_revision_alone() {
-    let stray = Rollout {
+fn an_uncommitted_proposal_only_raises_the_next_revision() {
+    let uncommitted = Rollout {
         version: "v9".into(),
         ..rollout(5, 1)
     };
-    let next = base_proposal(&[rollout(4, 2), stray.clone(), rollout(4, 2)], MEMBERS)
-        .expect("one in force");
+    let next = base_proposal(
+        &[rollout(4, 2), uncommitted.clone(), rollout(4, 2)],
+        MEMBERS,
+    )
+    .expect("a proposal is committed");
     assert_eq!((&next.version[..], next.revision), ("v2", 5));
     assert_eq!(base_proposal::<Rollout>(&[], MEMBERS), None);
 }
