--- a/crates/dispatcher/src/core/lifecycle.rs
+++ b/crates/dispatcher/src/core/lifecycle.rs
@@ -1,7 +1,7 @@
 //! The status of a dispatcher, and its graceful shutdown.
 
 use super::*;
-use corkspan_engine::Return;
+use corkspan_engine::ReturnedAttempt;
 
 impl DispatcherCore {
     pub fn status(&self) -> v1::StatusResponse {
@@ -29,13 +29,13 @@
             machines_known: effects.nodes.len() as u64,
             decision_time_us: effects.decision_time.as_micros() as u64,
             stopping: effects.stopping,
-            connection_traffic: self.link_counters.messages(),
+            connection_traffic: self.connection_counters.messages(),
         }
     }
 
     /// Closes connections that were idle for the idle timeout.
     pub fn close_idle(&self) {
-        let nodes: Vec<Arc<NodeLink>> = self.lock().effects.nodes.values().cloned().collect();
+        let nodes: Vec<Arc<NodeConnection>> = self.lock().effects.nodes.values().cloned().collect();
         let idle = duration(self.deployment().limits.idle_timeout);
         for node in nodes {
             node.close_idle(idle);
@@ -61,14 +61,14 @@
         self.with(|now, engine, effects| {
             for (id, attempt) in engine.unanswered() {
                 warn!(?id, shot = attempt, "no answer from a node before the stop");
-                engine.returned(
+                engine.attempt_returned(
                     now,
                     id,
                     attempt,
-                    Return {
+                    ReturnedAttempt {
                         ending: AttemptResult::TimedOut,
                         reason: None,
-                        over: false,
+                        finished: false,
                         report: None,
                     },
                     effects,
