--- a/crates/maintenance/src/cordon.rs
+++ b/crates/maintenance/src/cordon.rs
@@ -1,15 +1,15 @@
-//! A machine's own part: whether it accepts allocations. It must be on the machine's disk before
-//! the machine answers.
+//! Whether a machine accepts allocations. The state must be on the machine's disk before the
+//! machine replies.
 
 use crate::ClaimId;
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
-/// Claims that a machine remembers as finished. A late message to cordon names one of these; an
-/// older one would have been on its way through as many leases.
+/// Number of claims that a machine remembers as finished, so that a late cordon message for one of
+/// them is rejected. An older message would have been in transit for as many leases.
 const MAX_FINISHED_CLAIMS: usize = 64;
 
-/// The fence at the machine.
+/// The machine's fence against late cordon messages.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Cordon {
     #[serde(rename = "closed")]
@@ -19,8 +19,8 @@
 }
 
 impl Cordon {
-    /// Cordons the machine for a claim. False where the claim is finished already, or the machine
-    /// is cordoned for another.
+    /// Cordons the machine for a claim. Returns false if the claim is finished already or the
+    /// machine is cordoned for another claim.
     pub fn cordon(&mut self, claim: ClaimId) -> bool {
         if self.is_finished(claim) || self.active.is_some_and(|active| active != claim) {
             return false;
@@ -29,7 +29,8 @@
         true
     }
 
-    /// The claim is finished here, whether the message to cordon has arrived yet or not.
+    /// Records the claim as finished, whether or not its cordon message has arrived yet, and
+    /// uncordons the machine if it is cordoned for this claim.
     pub fn uncordon(&mut self, claim: ClaimId) {
         if self.active == Some(claim) {
             self.active = None;
@@ -42,12 +43,12 @@
         }
     }
 
-    /// The claim that the machine is cordoned for, if it is.
+    /// Returns the claim that the machine is cordoned for, if any.
     pub fn active(&self) -> Option<ClaimId> {
         self.active
     }
 
-    /// Whether the machine was uncordoned for this claim, as far as it remembers.
+    /// Returns whether the machine remembers this claim as finished.
     pub fn is_finished(&self, claim: ClaimId) -> bool {
         self.finished.contains(&claim)
     }
--- a/crates/maintenance/src/cost.rs
+++ b/crates/maintenance/src/cost.rs
@@ -1,14 +1,14 @@
-//! The order in which machines are drained, by the cost that the dispatchers estimate. Whoever has
-//! the same estimates has the same order.
+//! The order in which machines are drained, by the costs that the dispatchers estimate. Dispatchers
+//! with the same estimates compute the same order.
 
 use crate::Machine;
 use std::collections::BTreeMap;
 
-/// The cost of a machine for which there is no estimate.
+/// The cost of a machine without an estimate.
 const UNKNOWN_COST: f64 = 0.0;
 
-/// The median of the sums that the members report for a machine: no single member can bring a
-/// machine forward or hold it back.
+/// Returns the median of the sums that the members report for a machine, so that no single member
+/// can bring a machine forward or hold it back.
 pub fn median_cost(reported: &[BTreeMap<Machine, f64>], machine: Machine) -> f64 {
     let mut costs: Vec<f64> = reported
         .iter()
@@ -18,8 +18,8 @@
     costs.get(costs.len() / 2).copied().unwrap_or(UNKNOWN_COST)
 }
 
-/// The cheapest first: what is costly now may be cheap once its allocations have ended by
-/// themselves. Of equal costs, the lower number.
+/// Returns the machines ordered by cost, the cheapest first: a machine that is costly now may be
+/// cheap once its allocations have ended by themselves. Equal costs are ordered by machine number.
 pub fn drain_order(
     machines: impl IntoIterator<Item = Machine>,
     reported: &[BTreeMap<Machine, f64>],
@@ -34,8 +34,8 @@
     by_cost.into_iter().map(|(_, machine)| machine).collect()
 }
 
-/// What it would cost one dispatcher to have a machine drained: one for each allocation that can be
-/// moved, and ten for each that cannot, since waiting for its end holds up the whole order.
+/// Returns what draining a machine costs one dispatcher: 1 for each allocation that can be moved
+/// and 10 for each that cannot, since waiting for it to end holds up all machines after this one.
 pub fn estimate_cost(movable: usize, immovable: usize) -> f64 {
     const IMMOVABLE_COST: f64 = 10.0;
     movable as f64 + IMMOVABLE_COST * immovable as f64
--- a/crates/maintenance/src/lease_table.rs
+++ b/crates/maintenance/src/lease_table.rs
@@ -1,5 +1,5 @@
-//! The state of a quorum member: the request, the leases with their slots, and what became of the
-//! machines. The member must answer from what survives its own restart.
+//! The state of a quorum member: the request, the leases with their slots, and the outcomes. A
+//! member must reply only from state that survives its restart.
 
 use crate::{
     ClaimId, JobOutcome, LeaseOutcome, LeasePhase, LimitScope, MAX_MACHINES, Machine,
@@ -8,32 +8,34 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Claims that a member remembers as withdrawn.
+/// Number of withdrawn claims that a member remembers.
 const MAX_WITHDRAWN_CLAIMS: usize = 1_024;
-/// Votes kept in all before those on leases that are not held here are dropped. A vote on a lease
-/// that is held here always stays, or this member could vote twice on it.
+/// Number of votes kept. Beyond it, the oldest vote on a lease that is not held here is dropped. A
+/// vote on a lease that is held here always stays, or this member could vote twice on it.
 const MAX_VOTES: usize = 4 * MAX_MACHINES;
-/// The latest votes that are reported beside those on leases held here: hundreds of dispatchers
-/// poll twice a second.
+/// Number of the latest votes that are reported in addition to those on leases held here. It is
+/// limited because hundreds of dispatchers poll twice a second.
 const MAX_REPORTED_VOTES: usize = 512;
-/// Dispatchers whose cost estimates a member keeps.
+/// Number of dispatchers whose cost estimates a member keeps.
 const MAX_ESTIMATORS: usize = 1_024;
-/// No estimate counts for more, so that no dispatcher can hold a machine back for good.
+/// Upper bound of a cost estimate, so that no dispatcher can hold a machine back forever.
 pub const MAX_COST: f64 = 1e6;
 
-/// How a member answers a claim.
+/// A member's answer to a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[must_use = "a claim may not have been granted"]
 pub enum ClaimOutcome {
     /// The lease is held here.
     Granted,
-    /// A slot is held by another lease or is beyond its limit, or the machine is out or has been.
+    /// A slot is held by another lease or is beyond its limit, the machine is out of service or has
+    /// been in this job, or the claim is withdrawn.
     Occupied,
-    /// Another revision stands here, or the request takes no machines out.
+    /// The member holds another revision, or the request is not running or does not name the
+    /// machine.
     StaleRevision,
 }
 
-/// What one quorum member holds of maintenance.
+/// The maintenance state of one quorum member.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LeaseTable {
     #[serde(rename = "wish")]
@@ -43,15 +45,16 @@
     #[serde(rename = "ended")]
     outcomes: BTreeMap<Machine, JobOutcome>,
     withdrawn: VecDeque<ClaimId>,
-    /// Whether a lease is to be drained or cancelled, oldest first.
+    /// Votes on whether a lease is drained or cancelled, oldest first.
     votes: VecDeque<(ClaimId, LeasePhase)>,
-    /// By dispatcher.
+    /// Cost estimates by dispatcher number.
     #[serde(rename = "bids")]
     cost_estimates: BTreeMap<u32, BTreeMap<Machine, f64>>,
 }
 
 impl LeaseTable {
-    /// Accepts the request if its revision is later than the one held. Returns what is held after.
+    /// Accepts the request if its revision is later than that of the held request. Returns the
+    /// request that is held afterwards.
     pub fn propose(&mut self, request: MaintenanceRequest) -> Option<&MaintenanceRequest> {
         let later = self
             .request
@@ -65,8 +68,9 @@
         self.request.as_ref()
     }
 
-    /// Grants a lease on a machine if all its slots are free. Leases that are held keep their slots
-    /// over any new revision: limits that have shrunk admit none until fewer are out.
+    /// Grants a lease on a machine if all its slots are free. Held leases keep their slots when a
+    /// new revision is accepted: after a limit has shrunk, no claim is granted until fewer machines
+    /// are out of service.
     pub fn claim(
         &mut self,
         revision: u64,
@@ -110,7 +114,7 @@
         ClaimOutcome::Granted
     }
 
-    /// Whether the slot of this scope is beyond the limit or held by another lease.
+    /// Returns whether the slot of this scope is beyond the limit or held by another lease.
     fn is_occupied(
         &self,
         request: &MaintenanceRequest,
@@ -127,8 +131,8 @@
             || others.any(|other| other.slots.for_scope(scope) == slot)
     }
 
-    /// A lease has reached a phase. Of a lease that is not held here only the vote is recorded: it
-    /// may have been withdrawn, and another may hold its slots.
+    /// Records that a lease has reached a phase. If the lease is not held here, only a vote is
+    /// recorded: the lease may have been withdrawn, and another lease may hold its slots.
     pub fn advance(&mut self, machine: Machine, claim: ClaimId, phase: LeasePhase) {
         if matches!(phase, LeasePhase::Drained | LeasePhase::Cancelled) {
             self.vote(claim, phase);
@@ -141,7 +145,7 @@
         }
     }
 
-    /// Records the first vote on a lease.
+    /// Records a vote on a lease, unless this member has voted on it already.
     fn vote(&mut self, claim: ClaimId, phase: LeasePhase) {
         if !self.votes.iter().any(|(voted, _)| *voted == claim) {
             self.votes.push_back((claim, phase));
@@ -153,7 +157,7 @@
         }
     }
 
-    /// The votes on leases that are held here, and the latest of the others.
+    /// Returns the votes on leases that are held here, and the latest of the other votes.
     pub fn votes(&self) -> impl Iterator<Item = (ClaimId, LeasePhase)> {
         let held: BTreeSet<ClaimId> = self.leases.values().map(|lease| lease.claim).collect();
         let first_recent = self.votes.len().saturating_sub(MAX_REPORTED_VOTES);
@@ -164,8 +168,8 @@
             .map(|(_, vote)| *vote)
     }
 
-    /// Withdraws a claim that no majority has ever held: this member never grants it from here on.
-    /// Does nothing where the lease is further than requested.
+    /// Withdraws a claim that no majority has ever held: this member will not grant it any more.
+    /// Does nothing if the lease is beyond [`LeasePhase::Requested`].
     pub fn withdraw(&mut self, machine: Machine, claim: ClaimId) {
         let held = self
             .leases
@@ -185,8 +189,9 @@
         }
     }
 
-    /// The lease has ended, or a majority has withdrawn it: its slots are free. `outcome` is what
-    /// became of the machine, if it is done with; of another job than the one held it is ignored.
+    /// Frees the slots of a lease that has ended or that a majority has withdrawn. `outcome` is
+    /// given if the job is finished with the machine; it is ignored if it belongs to another job
+    /// than the held request.
     pub fn release(&mut self, machine: Machine, claim: ClaimId, outcome: Option<JobOutcome>) {
         if self
             .leases
@@ -201,8 +206,8 @@
         }
     }
 
-    /// Records what draining each machine would cost, as a dispatcher estimates it. Estimates that
-    /// are not numbers, or below 0, are left out.
+    /// Records a dispatcher's estimates of what draining each machine would cost. Estimates that
+    /// are not finite or are negative are ignored.
     pub fn record_cost_estimates(
         &mut self,
         dispatcher: u32,
@@ -221,30 +226,30 @@
         self.cost_estimates.insert(dispatcher, valid.collect());
     }
 
-    /// The request held here.
+    /// Returns the request held here.
     pub fn request(&self) -> Option<&MaintenanceRequest> {
         self.request.as_ref()
     }
 
-    /// The leases held here.
+    /// Returns the leases held here.
     pub fn leases(&self) -> &BTreeMap<Machine, MaintenanceLease> {
         &self.leases
     }
 
-    /// What became of machines in the current job.
+    /// Returns the outcomes of leases in the current job, by machine.
     pub fn outcomes(&self) -> impl Iterator<Item = (Machine, LeaseOutcome)> {
         self.outcomes
             .iter()
             .map(|(machine, of)| (*machine, of.outcome))
     }
 
-    /// The claims that are known to be withdrawn, oldest first.
+    /// Returns the claims that are remembered as withdrawn, oldest first.
     pub fn withdrawn(&self) -> impl Iterator<Item = ClaimId> {
         self.withdrawn.iter().copied()
     }
 
-    /// The sums of the estimates by machine, of dispatchers numbered below `fleet_size`: one that
-    /// does not exist has no say.
+    /// Returns the sum of the estimates for each machine, over dispatchers numbered below
+    /// `fleet_size`. Estimates from numbers outside the fleet are ignored.
     pub fn total_costs(&self, fleet_size: u32) -> BTreeMap<Machine, f64> {
         let mut sums = BTreeMap::new();
         for estimates in self.cost_estimates.range(..fleet_size).map(|(_, own)| own) {
--- a/crates/maintenance/src/lib.rs
+++ b/crates/maintenance/src/lib.rs
@@ -1,11 +1,12 @@
-//! Decisions of planned machine maintenance, without I/O and without a clock. docs/maintenance.md
+//! Decisions of planned machine maintenance, without I/O and without a clock. `docs/maintenance.md`
 //! gives the reasons for the design.
 //!
-//! An operator's [`MaintenanceRequest`] names machines and limits; a majority of the quorum members
-//! holds it. A machine is taken out by a [`MaintenanceLease`] that a majority holds and that
-//! occupies numbered slots under each limit. There is no leader and no owner of a lease: whoever
-//! sees what a majority reports may take the next step ([`reconcile::reconcile`]), and every message
-//! may arrive late, twice or never. The fence is at the machine, in its [`cordon::Cordon`].
+//! An operator's [`MaintenanceRequest`] names machines and limits and is held by a majority of the
+//! quorum members. A machine is taken out of service under a [`MaintenanceLease`] that a majority
+//! holds and that occupies numbered slots under each limit. There is no leader, and no dispatcher
+//! owns a lease: any dispatcher that has the replies of a majority may take the next step
+//! ([`reconcile::reconcile`]), and every message may arrive late, twice or never. The machine
+//! itself fences late messages, with its [`cordon::Cordon`].
 
 #![warn(missing_docs, clippy::too_many_lines)]
 
--- a/crates/maintenance/src/limits.rs
+++ b/crates/maintenance/src/limits.rs
@@ -1,13 +1,13 @@
-//! Machines, the domains that they belong to, and how many of each domain may be out at a time.
+//! Machines, their domains, and how many machines of each domain may be out of service at a time.
 
 use serde::{Deserialize, Serialize};
 use std::array::TryFromSliceError;
 
-/// A machine, by the number that service discovery gives it.
+/// A machine, identified by its number in service discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Machine(pub u32);
 
-/// The domains of a machine, as service discovery reported them when the request was made.
+/// The domains of a machine, as service discovery reported them when the request was created.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct MachineDomains {
     /// The zone, stored as `hall`.
@@ -20,7 +20,7 @@
     pub machine_type: u32,
 }
 
-/// What a limit counts over.
+/// The group of machines that a limit applies to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LimitScope {
     /// All machines of the request.
@@ -34,7 +34,7 @@
 }
 
 impl LimitScope {
-    /// Every scope, in the order in which limits and slots are stored and sent.
+    /// All scopes, in the order in which limits and slots are stored and sent.
     pub const ALL: [LimitScope; 4] = [
         LimitScope::Total,
         LimitScope::Zone,
@@ -42,7 +42,7 @@
         LimitScope::MachineType,
     ];
 
-    /// Whether two machines count towards the same limit of this scope.
+    /// Returns whether two machines count towards the same limit of this scope.
     pub fn is_shared(self, one: MachineDomains, other: MachineDomains) -> bool {
         match self {
             LimitScope::Total => true,
@@ -53,7 +53,7 @@
     }
 }
 
-/// How many machines may be out at a time.
+/// How many machines may be out of service at a time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct DisruptionLimits {
     /// Of all machines, stored as `all`.
@@ -70,7 +70,7 @@
 }
 
 impl DisruptionLimits {
-    /// The limit of one scope.
+    /// Returns the limit of one scope.
     pub fn for_scope(&self, scope: LimitScope) -> u32 {
         match scope {
             LimitScope::Total => self.total,
@@ -80,14 +80,15 @@
         }
     }
 
-    /// The limits in the order of [`LimitScope::ALL`].
+    /// Returns the limits in the order of [`LimitScope::ALL`].
     pub fn to_array(&self) -> [u32; 4] {
         LimitScope::ALL.map(|scope| self.for_scope(scope))
     }
 }
 
-/// The numbered slot that a lease occupies under each limit, from 0. Slots are numbered and not
-/// merely counted: of three members that each count to two, two majorities may admit three.
+/// The numbered slot that a lease occupies under each limit, from 0. Slots are numbered rather than
+/// counted: if three members each counted up to two, different majorities could together grant
+/// three leases.
 ///
 /// Stored and sent as four numbers in the order of [`LimitScope::ALL`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -104,7 +105,7 @@
 }
 
 impl Slots {
-    /// The slot under the limit of one scope.
+    /// Returns the slot under the limit of one scope.
     pub fn for_scope(&self, scope: LimitScope) -> u32 {
         match scope {
             LimitScope::Total => self.total,
@@ -114,7 +115,7 @@
         }
     }
 
-    /// The slots in the order of [`LimitScope::ALL`].
+    /// Returns the slots in the order of [`LimitScope::ALL`].
     pub fn to_array(&self) -> [u32; 4] {
         LimitScope::ALL.map(|scope| self.for_scope(scope))
     }
@@ -123,7 +124,7 @@
 impl TryFrom<&[u32]> for Slots {
     type Error = TryFromSliceError;
 
-    /// Fails unless there are four numbers.
+    /// Fails unless there are exactly four numbers.
     fn try_from(slots: &[u32]) -> Result<Self, Self::Error> {
         <[u32; 4]>::try_from(slots).map(Slots::from)
     }
--- a/crates/maintenance/src/quorum_view.rs
+++ b/crates/maintenance/src/quorum_view.rs
@@ -1,4 +1,4 @@
-//! What a majority of the quorum members reports, put together by one dispatcher.
+//! A dispatcher's view of what a majority of the quorum members reports.
 
 use crate::cost::drain_order;
 use crate::{
@@ -8,53 +8,55 @@
 use corkspan_quorum::committed;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What one quorum member reports.
+/// The reply of one quorum member.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct MemberReply {
-    /// The request that it holds.
+    /// The request that the member holds.
     pub request: Option<MaintenanceRequest>,
-    /// The leases that it holds.
+    /// The leases that the member holds.
     pub leases: BTreeMap<Machine, MaintenanceLease>,
-    /// What became of machines in the current job.
+    /// The outcomes of leases in the current job.
     pub outcomes: BTreeMap<Machine, LeaseOutcome>,
-    /// Claims that it will never grant.
+    /// Withdrawn claims, which the member will not grant.
     pub withdrawn: BTreeSet<ClaimId>,
-    /// Its votes for [`LeasePhase::Drained`] or [`LeasePhase::Cancelled`].
+    /// The member's votes for [`LeasePhase::Drained`] or [`LeasePhase::Cancelled`].
     pub votes: BTreeMap<ClaimId, LeasePhase>,
-    /// Its sums of the cost estimates.
+    /// The sums of the cost estimates that the member has recorded.
     pub costs: BTreeMap<Machine, f64>,
 }
 
-/// What a machine reports of itself.
+/// The status that a machine reports.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct MachineStatus {
-    /// The claim that it is cordoned for, if it is.
+    /// The claim that the machine is cordoned for, if any.
     pub cordoned_by: Option<ClaimId>,
-    /// Of the claims asked about, those that are finished there.
+    /// Those of the polled claims that are finished at the machine.
     pub finished: BTreeSet<ClaimId>,
-    /// Allocations that run there.
+    /// Number of allocations that run on the machine.
     pub running: u32,
-    /// Time since it was last cordoned, uncordoned or started, in ms.
+    /// Time since the machine was last cordoned, uncordoned or started, in ms.
     pub unchanged_ms: u64,
 }
 
-/// What the members report of one lease.
+/// One lease as the members report it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ObservedLease {
     /// The machine.
     pub machine: Machine,
     /// The lease, with the phase of the first member that reports it.
     pub lease: MaintenanceLease,
-    /// The phase that a majority knows it to have reached; none where no majority holds it.
+    /// The phase that a majority knows the lease to have reached, or `None` if no majority holds
+    /// it.
     pub phase: Option<LeasePhase>,
-    /// How many members have withdrawn the claim.
+    /// Number of members that have withdrawn the claim.
     pub withdrawals: usize,
-    /// How it ended, if any member knows: it was informed by one who saw the end.
+    /// The outcome, if any member reports one: a single report is enough, since it comes from a
+    /// dispatcher that saw the lease end.
     pub outcome: Option<LeaseOutcome>,
 }
 
 impl ObservedLease {
-    /// The lease's name.
+    /// Returns the identity of the lease.
     pub fn id(&self) -> LeaseId {
         LeaseId {
             machine: self.machine,
@@ -63,23 +65,24 @@
     }
 }
 
-/// The replies of a majority, put together.
+/// The combined replies of a majority.
 #[derive(Clone, Debug, Default)]
 pub struct QuorumView {
-    /// The request that is committed.
+    /// The committed request.
     pub request: Option<MaintenanceRequest>,
     /// The leases that any member reports, by machine and claim.
     pub leases: Vec<ObservedLease>,
-    /// What became of machines, as a majority reports.
+    /// The outcomes of leases that a majority reports.
     pub outcomes: BTreeMap<Machine, LeaseOutcome>,
-    /// The highest revision that any member reports. The next one must be above it, or a proposal
-    /// that no majority accepted could block it.
+    /// The highest revision that any member reports. The next revision must be above it, or a
+    /// proposal that no majority accepted could block it.
     pub highest_revision: u64,
     costs: Vec<BTreeMap<Machine, f64>>,
 }
 
 impl QuorumView {
-    /// Puts the replies together. None without a majority of `members`: then nothing is known.
+    /// Combines the replies. Returns `None` if fewer than a majority of `members` replied, since
+    /// nothing is certain then.
     pub fn from_replies(replies: &[MemberReply], members: usize) -> Option<QuorumView> {
         if !is_majority(replies.len(), members) {
             return None;
@@ -106,8 +109,8 @@
         })
     }
 
-    /// The machines that are ready for the operator's work: drained, as a majority reports, and
-    /// cordoned for that lease, as the machine itself reports.
+    /// Returns the leases whose machines are ready for the operator's work: a majority reports them
+    /// as drained, and the machine itself reports that it is cordoned for that lease.
     pub fn drained(&self, statuses: &BTreeMap<Machine, MachineStatus>) -> Vec<LeaseId> {
         let is_cordoned = |lease: &LeaseId| {
             statuses
@@ -121,16 +124,16 @@
             .collect()
     }
 
-    /// Which machines to poll for their status, and about which claim: those with a lease, and of
-    /// those still to come `candidates` of the cheapest and as many drawn at random. Without the
-    /// random ones, some dead machines without cost would block all others for good. `draw` is
-    /// called with the number to draw from.
+    /// Returns the machines to poll for their status, each with the claim to poll about: all
+    /// machines with a lease, and of the waiting ones the `candidates` cheapest and as many drawn
+    /// at random. Without the random ones, a few dead machines without cost would block all others
+    /// forever. `draw` is called with the number of machines to draw from.
     pub fn machines_to_poll(
         &self,
         candidates: usize,
         mut draw: impl FnMut(usize) -> usize,
     ) -> BTreeMap<Machine, Option<ClaimId>> {
-        // Of two claims on one machine, that of the lease which has come further.
+        // If a machine has two claims, the one whose lease has reached the later phase is polled.
         let mut by_phase: Vec<&ObservedLease> = self.leases.iter().collect();
         by_phase.sort_by_key(|observed| observed.phase);
         let mut polled: BTreeMap<Machine, Option<ClaimId>> = by_phase
@@ -152,8 +155,8 @@
         polled
     }
 
-    /// Whether a new job on these machines may start. `members` are the machines on which the
-    /// quorum members run.
+    /// Checks whether a new job on these machines may start. `members` are the machines on which
+    /// the quorum members run.
     pub fn check_start(
         &self,
         machines: &BTreeMap<Machine, MachineDomains>,
@@ -166,7 +169,7 @@
                 max: MAX_MACHINES,
             });
         }
-        // With so many members out at once that no majority is left, the job could never end.
+        // If so many members are out of service that no majority is left, the job can never end.
         let named = members
             .iter()
             .filter(|member| machines.contains_key(member))
@@ -181,8 +184,8 @@
         }
     }
 
-    /// The leases whose machines are out of service, as a majority reports: cordoned or about to
-    /// be, drained, or not warm yet.
+    /// Returns the leases whose machines a majority reports as out of service: cordoned or about to
+    /// be cordoned, drained, or still warming up.
     pub fn unavailable(&self) -> impl Iterator<Item = LeaseProgress> {
         self.leases.iter().filter_map(|observed| {
             let phase = observed
@@ -193,13 +196,13 @@
         })
     }
 
-    /// In which order the given machines are to be drained.
+    /// Returns the given machines in the order in which they are to be drained.
     pub(crate) fn drain_order(&self, machines: impl IntoIterator<Item = Machine>) -> Vec<Machine> {
         drain_order(machines, &self.costs)
     }
 }
 
-/// What the replies come to for one lease, which `reported` holds as each member reports it.
+/// Combines the replies about one lease. `reported` holds the lease as each member reports it.
 fn observe(
     id: LeaseId,
     reported: &[MaintenanceLease],
@@ -245,7 +248,8 @@
     }
 }
 
-/// What became of machines, where a majority reports any outcome: the first reply's counts.
+/// Returns the outcome of each machine for which a majority reports one. If the reported outcomes
+/// differ, that of the first reply counts.
 fn agreed_outcomes(replies: &[MemberReply], members: usize) -> BTreeMap<Machine, LeaseOutcome> {
     let machines: BTreeSet<Machine> = replies
         .iter()
@@ -261,26 +265,26 @@
     agreed.collect()
 }
 
-/// Why a job does not start.
+/// Why a job cannot start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StartError {
-    /// No machine is named, or too many.
+    /// The request names no machine or too many.
     #[error("1 to {max} machines are wanted, not {named}")]
     MachineCount {
-        /// So many are named.
+        /// Number of machines named.
         named: usize,
-        /// So many may be.
+        /// Largest number allowed.
         max: usize,
     },
-    /// So many quorum members could be out that no majority is left.
+    /// So many quorum members could be out of service at once that no majority would be left.
     #[error("{named} of the machines are keepers, and of these {spare} may be out at a time")]
     Members {
-        /// So many members are among the machines.
+        /// Number of named machines that run quorum members.
         named: usize,
-        /// So many may be out at a time.
+        /// Number of members that may be out of service at a time.
         spare: usize,
     },
-    /// This machine, among others, is out of service for an earlier job.
+    /// Machines are still out of service for an earlier job; this is one of them.
     #[error("machines of an earlier wish are out still, {0} among them")]
     Unavailable(u32),
 }
--- a/crates/maintenance/src/reconcile.rs
+++ b/crates/maintenance/src/reconcile.rs
@@ -1,5 +1,5 @@
-//! What a dispatcher does next, given what a majority of the quorum members and the machines
-//! report. It keeps no state: any dispatcher may go on where another died.
+//! The next actions of a dispatcher, computed from the replies of a majority of the quorum members
+//! and of the machines. No state is kept, so any dispatcher can continue where another died.
 
 use crate::quorum_view::{MachineStatus, ObservedLease, QuorumView};
 use crate::{
@@ -9,31 +9,31 @@
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A lease that is claimed of the quorum members.
+/// A claim on a machine, to be sent to the quorum members.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Claim {
-    /// The revision of the request that it is claimed under.
+    /// The revision of the request that the lease is claimed under.
     pub revision: u64,
-    /// The machine and the claim's name.
+    /// The machine and the claim.
     pub lease: LeaseId,
-    /// The slots that it would occupy.
+    /// The slots that the lease would occupy.
     pub slots: Slots,
 }
 
-/// A lease whose slots are free again.
+/// A lease whose slots are to be freed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Release {
     /// The lease.
     pub lease: LeaseId,
-    /// What became of the machine, if the job is done with it.
+    /// The outcome, if the job is finished with the machine.
     pub outcome: Option<JobOutcome>,
 }
 
-/// What is to be sent, all of it to every quorum member or to the machine named.
+/// The messages to be sent, each to every quorum member or to the machine of the lease.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[must_use = "actions take effect only once they are sent"]
 pub struct Actions {
-    /// To members: the next lease.
+    /// To members: the next claim.
     pub claim: Option<Claim>,
     /// To members: claims to withdraw.
     pub withdraw: Vec<LeaseId>,
@@ -41,34 +41,35 @@
     pub advance: Vec<LeaseProgress>,
     /// To members: leases that have ended.
     pub release: Vec<Release>,
-    /// To machines: accept no further allocation.
+    /// To machines: accept no further allocations.
     pub cordon: Vec<LeaseId>,
     /// To machines: accept allocations again.
     pub uncordon: Vec<LeaseId>,
-    /// To machines: stop what still runs there.
+    /// To machines: stop the allocations that still run there.
     pub stop: Vec<LeaseId>,
 }
 
-/// What the caller knows beside the reports.
+/// What the caller knows in addition to the replies.
 #[derive(Clone, Debug)]
 pub struct ReconcileContext<'a> {
-    /// How many quorum members there are.
+    /// Number of quorum members.
     pub members: usize,
-    /// The name of a claim, if one is made: drawn at random for each.
+    /// The id for the next claim, drawn at random for each.
     pub next_claim: ClaimId,
-    /// Whether it may claim in this round: of hundreds that see a free slot at once, all would be
-    /// rejected.
+    /// Whether the dispatcher may claim in this round. If hundreds claimed a free slot at the same
+    /// time, all of them would be rejected.
     pub may_claim: bool,
-    /// Claims that no majority holds and that have been seen for so long that whoever made them has
-    /// had time enough.
+    /// Claims that no majority holds and that were first seen so long ago that their claimants have
+    /// had enough time.
     pub expired: &'a BTreeSet<ClaimId>,
-    /// Machines that are lost or draining by themselves, with their domains: they count as out.
+    /// Machines that are lost or are draining on their own, with their domains. They count as out
+    /// of service.
     pub unreachable: &'a BTreeMap<Machine, MachineDomains>,
-    /// No further machine is to be taken now: demand has risen, or a rollout needs the replicas.
+    /// Whether claims are held back, because demand has risen or a rollout needs the replicas.
     pub hold_claims: bool,
 }
 
-/// The next actions.
+/// Returns the next actions.
 pub fn reconcile(
     view: &QuorumView,
     statuses: &BTreeMap<Machine, MachineStatus>,
@@ -84,7 +85,7 @@
     actions
 }
 
-/// The next action for one lease.
+/// Adds the next action for one lease.
 fn reconcile_lease(
     actions: &mut Actions,
     view: &QuorumView,
@@ -93,7 +94,7 @@
     context: &ReconcileContext,
 ) {
     let lease = observed.id();
-    // A majority will never hold it: what a minority holds of it is released.
+    // No majority will ever hold this lease, so it is released where a minority holds it.
     if is_majority(observed.withdrawals, context.members) {
         let outcome = None;
         return actions.release.push(Release { lease, outcome });
@@ -119,7 +120,7 @@
             phase: LeasePhase::Granted,
         }),
         Some(phase) => {
-            // A machine that does not report stays where it is, and out, until it does.
+            // Until a machine reports, its lease keeps its phase and it stays out of service.
             if let Some(status) = statuses.get(&lease.machine) {
                 let step = LeaseStep::new(lease, &observed.lease, view.request.as_ref(), status);
                 step.act(actions, phase);
@@ -128,17 +129,17 @@
     }
 }
 
-/// A granted lease, and what its next step depends on.
+/// A granted lease and the conditions that determine its next step.
 struct LeaseStep<'a> {
     lease: LeaseId,
     job: u64,
     status: &'a MachineStatus,
-    /// The committed request still names the machine: it is to be worked on.
+    /// The committed request is not aborted and still names the machine.
     is_requested: bool,
-    /// The time to drain it is up.
+    /// The drain timeout has passed.
     is_timed_out: bool,
     on_drain_timeout: DrainTimeoutAction,
-    /// In ms.
+    /// How long an uncordoned machine still counts as out of service, in ms.
     warm_up_ms: u64,
     /// The machine has been uncordoned for this claim.
     is_finished: bool,
@@ -167,10 +168,11 @@
         }
     }
 
-    /// Adds what follows from the phase that a majority knows.
+    /// Adds the actions that follow from the phase that a majority knows.
     fn act(&self, actions: &mut Actions, phase: LeasePhase) {
         // A machine is uncordoned only once a majority knows the lease as cancelled or completed.
-        // Where it is uncordoned and no majority knows it any more, some have released it already.
+        // If it is uncordoned and no majority knows that any more, some members have released the
+        // lease already.
         let phase = match phase {
             LeasePhase::Granted | LeasePhase::Cordoned if self.is_finished => LeasePhase::Cancelled,
             LeasePhase::Drained if self.is_finished => LeasePhase::Completed,
@@ -189,18 +191,18 @@
                     self.is_requested && self.on_drain_timeout == DrainTimeoutAction::Skip;
                 self.release(actions, is_skipped.then_some(LeaseOutcome::Skipped));
             }
-            // Only the operator's report leads on from drained.
+            // A drained lease advances only when the operator reports the work as completed.
             LeasePhase::Requested | LeasePhase::Drained | LeasePhase::Completed => {}
         }
     }
 
-    /// From granted to drained, or to cancelled.
+    /// Advances a lease from granted to drained, or to cancelled.
     fn drain(&self, actions: &mut Actions, phase: LeasePhase) {
         let is_cordoned = self.status.cordoned_by == Some(self.lease.claim);
         if !self.is_requested {
             self.advance(actions, LeasePhase::Cancelled);
         } else if !is_cordoned {
-            // Also one that was cordoned and has lost its disk since.
+            // Includes a machine that was cordoned and has lost its disk since.
             actions.cordon.push(self.lease);
         } else if phase == LeasePhase::Granted {
             self.advance(actions, LeasePhase::Cordoned);
@@ -227,8 +229,8 @@
     }
 }
 
-/// The next machine to claim, and its slots: the first in the drain order for which every limit
-/// leaves room.
+/// Returns the next claim: on the first machine in the drain order that has a free slot under every
+/// limit.
 fn next_claim(
     view: &QuorumView,
     statuses: &BTreeMap<Machine, MachineStatus>,
@@ -239,7 +241,7 @@
         .as_ref()
         .filter(|request| request.run_state == RunState::Running)?;
     let leased: BTreeSet<Machine> = view.leases.iter().map(|lease| lease.machine).collect();
-    // Only machines that report: one that is lost by itself cannot be cordoned.
+    // Only machines that report are claimed: a lost machine cannot be cordoned.
     let waiting = request.machines.keys().copied().filter(|machine| {
         statuses
             .get(machine)
@@ -258,7 +260,7 @@
     })
 }
 
-/// The lowest free slot under each limit; none where one limit leaves no room.
+/// Returns the lowest free slot under each limit, or `None` if there is none under some limit.
 fn free_slots(
     view: &QuorumView,
     request: &MaintenanceRequest,
@@ -274,7 +276,7 @@
     })
 }
 
-/// The lowest free slot under the limit of one scope.
+/// Returns the lowest free slot under the limit of one scope, if there is one.
 fn free_slot(
     view: &QuorumView,
     request: &MaintenanceRequest,
--- a/crates/maintenance/src/request.rs
+++ b/crates/maintenance/src/request.rs
@@ -1,67 +1,69 @@
-//! What an operator asks for: which machines, how many at a time, and how long each may take.
+//! An operator's maintenance request: which machines, how many at a time, and how long draining
+//! each may take.
 
 use crate::{DisruptionLimits, Machine, MachineDomains};
 use corkspan_quorum::Proposal;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Machines that one request may name.
+/// Largest number of machines that one request may name.
 pub const MAX_MACHINES: usize = 2_000;
 
-/// What becomes of allocations that may be neither moved nor repeated, once the time to drain a
-/// machine is up.
+/// What happens to allocations that can be neither moved nor retried when the drain timeout of a
+/// machine has passed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum DrainTimeoutAction {
-    /// The machine stays cordoned until they have ended.
+    /// The machine stays cordoned until the allocations have ended.
     Wait,
-    /// The machine is uncordoned and left out of this request.
+    /// The machine is uncordoned and skipped in this request.
     Skip,
-    /// They are stopped.
+    /// The allocations are stopped.
     Stop,
 }
 
-/// Whether a request goes on.
+/// Whether a request is being carried out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RunState {
-    /// Machines are taken out, stored as `going`.
+    /// Machines are taken out of service. Stored as `going`.
     #[serde(rename = "going")]
     Running,
-    /// No further machine is taken; those that are out go on.
+    /// No further machines are taken out; leases that are held continue.
     Paused,
-    /// No further machine is taken, and those not yet drained are uncordoned.
+    /// No further machines are taken out, and those not yet drained are uncordoned.
     Aborted,
 }
 
-/// What an operator wants. One request is committed at a time; pausing, resuming and aborting it
-/// are proposals of the next revision.
+/// An operator's request. One request is committed at a time; it is paused, resumed and aborted by
+/// proposing its next revision.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct MaintenanceRequest {
-    /// Counts the proposals; stored as `number`.
+    /// The number of the proposal, which increases with each one. Stored as `number`.
     #[serde(rename = "number")]
     pub revision: u64,
-    /// Drawn at random by the proposer: tells two concurrent proposals of one revision apart.
-    /// Stored as `asker`.
+    /// A number that the proposer draws at random, to distinguish concurrent proposals of the same
+    /// revision. Stored as `asker`.
     #[serde(rename = "asker")]
     pub proposer: u64,
-    /// Stays the same over all revisions of one job: outcomes of an earlier job do not count for
-    /// this one.
+    /// The job, which is the same for all revisions of it: outcomes of an earlier job do not count
+    /// for this one.
     pub job: u64,
-    /// The machines to take out, with their domains.
+    /// The machines to take out of service, with their domains.
     pub machines: BTreeMap<Machine, MachineDomains>,
-    /// How many may be out at a time.
+    /// How many machines may be out of service at a time.
     pub limits: DisruptionLimits,
-    /// A machine that is back counts as out for so long, in ms. Stored as `warm_ms`.
+    /// How long a machine still counts as out of service after it is uncordoned, in ms. Stored as
+    /// `warm_ms`.
     #[serde(rename = "warm_ms")]
     pub warm_up_ms: u64,
-    /// So long draining a machine may take, in ms. Stored as `empty_within_ms`.
+    /// How long draining a machine may take, in ms. Stored as `empty_within_ms`.
     #[serde(rename = "empty_within_ms")]
     pub drain_timeout_ms: u64,
-    /// What happens after that. Stored as `then`.
+    /// What happens when the drain timeout has passed. Stored as `then`.
     #[serde(rename = "then")]
     pub on_drain_timeout: DrainTimeoutAction,
-    /// Whether the request goes on. Stored as `course`.
+    /// Whether the request is being carried out. Stored as `course`.
     #[serde(rename = "course")]
     pub run_state: RunState,
 }
--- a/crates/maintenance/tests/decisions/main.rs
+++ b/crates/maintenance/tests/decisions/main.rs
@@ -1,6 +1,7 @@
-//! The decisions themselves, held byte for byte: seeded states of three quorum members and eight
-//! machines, and what follows from them for one that has heard some of the members. The transcript
-//! names stored words and numbers only, so that it outlives any renaming in the code.
+//! Compares decisions byte for byte with a recorded transcript: for seeded states of three quorum
+//! members and eight machines, the decisions of a dispatcher that has replies from some of the
+//! members. The transcript contains only stored names, numbers and messages, so that it does not
+//! depend on names in the code.
 
 mod states;
 
@@ -36,7 +37,7 @@
     }
 }
 
-/// The text of the recorded file, line by line.
+/// The text to compare with the recorded file, built line by line.
 #[derive(Default)]
 struct Transcript(String);
 
--- a/crates/maintenance/tests/decisions/states.rs
+++ b/crates/maintenance/tests/decisions/states.rs
@@ -1,5 +1,5 @@
-//! Seeded states of the quorum members and of the machines. The draws and their order make up the
-//! recorded transcript: they do not change.
+//! Seeded states of the quorum members and of the machines. The draws and their order must not
+//! change, since the recorded transcript depends on them.
 
 use corkspan_maintenance::cost::estimate_cost;
 use corkspan_maintenance::lease_table::{ClaimOutcome, LeaseTable};
@@ -21,7 +21,7 @@
         cell: u64::from(number / 2),
         machine_type: number % 3,
     };
-    // Not all machines are in each request.
+    // Some requests leave out one machine.
     let left_out = rng.random_range(0..MACHINES * 2);
     MaintenanceRequest {
         revision,
@@ -55,17 +55,17 @@
     }
 }
 
-/// The members that a message reaches, mostly all.
+/// Draws the members that a message reaches, mostly all.
 fn reached(rng: &mut Pcg64Mcg) -> Vec<usize> {
     (0..MEMBERS)
         .filter(|_| rng.random_range(0..12) > 0)
         .collect()
 }
 
-/// The members, and what has been sent to them.
+/// The members and what has been sent to them.
 pub struct Quorum {
     pub members: Vec<LeaseTable>,
-    /// Claims that any member has granted, with the step that each has been reported to reach.
+    /// Claims that any member has granted, each with the step that it has reached.
     claims: Vec<(LeaseId, usize)>,
     revision: u64,
 }
@@ -141,7 +141,7 @@
             end,
             LeasePhase::Completed,
         ][step];
-        // Some come no further than granted, others no further than cordoned, and so on.
+        // Some leases never get beyond granted, others never beyond cordoned, and so on.
         let kind = (lease.claim.0 + u64::from(lease.machine.0)) as usize % 6;
         let furthest = [0, 1, 1, 2, 2, 3][kind];
         self.claims[known].1 = (step + 1).min(furthest);
@@ -176,7 +176,7 @@
         }
     }
 
-    /// What the machines that answer report, not always in step with the members.
+    /// Draws the statuses of the machines that reply, which may not match what the members hold.
     pub fn statuses(&self, rng: &mut Pcg64Mcg) -> BTreeMap<Machine, MachineStatus> {
         let mut statuses = BTreeMap::new();
         for machine in (0..MACHINES).map(Machine) {
--- a/crates/maintenance/tests/lease_table.rs
+++ b/crates/maintenance/tests/lease_table.rs
@@ -1,4 +1,4 @@
-//! Slots, cost estimates and the drain order, one case each.
+//! Slots, cost estimates, the drain order and votes, one case each.
 
 use corkspan_maintenance::cordon::Cordon;
 use corkspan_maintenance::cost::{drain_order, estimate_cost};
@@ -211,7 +211,7 @@
     let mut table = lease_table();
     table.record_cost_estimates(0, [(Machine(2), 5.0), (Machine(3), 9.0)]);
     let view = QuorumView::from_replies(&[reply(&table), reply(&table)], 3).expect("two of three");
-    // Two that never answer are always among the cheapest.
+    // Two machines that never reply are always among the cheapest.
     let polled = |draw: usize| {
         view.machines_to_poll(2, |of| draw % of)
             .keys()
--- a/crates/maintenance/tests/model_check/fault.rs
+++ b/crates/maintenance/tests/model_check/fault.rs
@@ -1,4 +1,4 @@
-//! Faults that are planted in the protocol, each of which the search must find.
+//! Faults planted in the protocol, each of which the search must find.
 
 use crate::world::MEMBERS;
 use corkspan_maintenance::quorum_view::{MachineStatus, MemberReply, QuorumView};
@@ -9,25 +9,25 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     None,
-    /// Slots are released as the work is completed, before the machine is uncordoned and warm.
+    /// Slots are released when the work is completed, before the machine is uncordoned and warm.
     ReleasesEarly,
-    /// One member's report of a phase is enough.
+    /// The report of a single member is enough to establish a phase.
     NoMajority,
-    /// A machine forgets which claims are finished.
+    /// A machine does not remember which claims are finished.
     ForgetfulCordon,
-    /// A claim that a majority has granted, and is not known to hold, cordons the machine.
+    /// The machine is cordoned as soon as a majority holds the claim, before a majority knows that.
     CordonsWhenRequested,
-    /// A withdrawn claim is released however far it has come.
+    /// A withdrawn claim is released whatever its phase.
     WithdrawsAnyPhase,
-    /// Reported as drained as soon as it is cordoned.
+    /// A machine is reported as drained as soon as it is cordoned.
     DrainedWhileRunning,
-    /// One that has seen the request aborted uncordons what it has seen cordoned, without a vote of
-    /// the members.
+    /// A dispatcher that has seen the request aborted uncordons machines without a vote of the
+    /// members.
     UncordonsWithoutVote,
 }
 
 impl Fault {
-    /// How many members there are thought to be.
+    /// Returns the number of members that the dispatcher assumes.
     pub fn members(self) -> usize {
         match self {
             Fault::NoMajority => 1,
--- a/crates/maintenance/tests/model_check/main.rs
+++ b/crates/maintenance/tests/model_check/main.rs
@@ -1,7 +1,9 @@
-//! Model check: never more machines are out than the limits allow, none is worked on while
-//! something runs there, and none stays out for good. Every state of two machines and three members
-//! to some depth, and long random walks beyond, with messages late, lost and doubled, whoever
-//! reconciles having heard any majority. And that the search finds planted faults.
+//! Model check of three rules: no more machines are out of service than the limits allow, no
+//! machine is worked on while something runs there, and no machine stays out of service forever.
+//!
+//! The check searches all states of two machines and three members to some depth and takes long
+//! random walks beyond it. Messages are delayed, lost and duplicated, and a dispatcher may
+//! reconcile with the replies of any majority. It also checks that the search finds planted faults.
 
 mod fault;
 mod world;
@@ -13,11 +15,11 @@
 use test_case::test_case;
 use world::{MACHINES, MAJORITIES, MEMBERS, World};
 
-/// Steps that reconcile: by the majority heard, the members and the machines reached, and whether
-/// claims have expired.
+/// Number of steps that reconcile: one for each combination of the majority that replied, the
+/// members and machines that the actions reach, and whether claims have expired.
 const RECONCILE_STEPS: usize = MAJORITIES.len() * 8 * 2 * 2;
 
-/// Takes one of the possible steps, by its index. False where there are not so many.
+/// Takes the possible step of this index. Returns false if there are not that many steps.
 fn step(world: &mut World, index: usize, fault: Fault) -> bool {
     let late_messages = RECONCILE_STEPS + world.sent.len() * MEMBERS;
     let late_cordons = late_messages + world.cordons_sent.len();
@@ -40,7 +42,7 @@
         let lease = world.uncordons_sent.iter().nth(index - late_cordons);
         world.uncordon(*lease.expect("it was counted"), fault);
     } else if index < allocation_steps {
-        // One ends there; or one is placed, if the machine accepts it.
+        // An allocation on the machine ends, or one is placed if the machine accepts it.
         let machine = index - late_uncordons;
         if world.running[machine] > 0 {
             world.running[machine] -= 1;
@@ -59,7 +61,8 @@
     true
 }
 
-/// All states that may follow within so many steps: a breach, and how many states there are.
+/// Searches all states that can follow within `depth` steps. Returns the first breach, if any, and
+/// the number of states seen.
 fn search(fault: Fault, depth: usize) -> (Option<&'static str>, usize) {
     let first = World::new();
     let (mut seen, mut frontier) = (HashSet::from([format!("{first:?}")]), vec![first]);
@@ -89,7 +92,7 @@
     for _ in 0..steps {
         let late_messages = RECONCILE_STEPS + world.sent.len() * MEMBERS;
         let count = late_messages + world.cordons_sent.len() + world.uncordons_sent.len() + 4;
-        // Rounds that reach a majority more often than not, or a walk never gets anywhere.
+        // Most steps are rounds that reach a majority, or a walk would make no progress.
         let index = match rng.random_range(0..5) {
             // Late messages to machines, to cordon or to uncordon.
             4 => rng.random_range(late_messages..count),
@@ -97,7 +100,7 @@
             1 => rng.random_range(RECONCILE_STEPS..count),
             _ => 3 + 4 * MAJORITIES[rng.random_range(0..4)] + 64,
         };
-        // The abort is rare, or most walks end with it.
+        // The abort is rare, or most walks would end with it.
         if index == count - 1 && rng.random_range(0..4) > 0 {
             continue;
         }
@@ -109,10 +112,11 @@
     world
 }
 
-/// From here on all messages arrive, allocations end, and the work is done: whether all leases end.
+/// Returns whether all leases end if from here on all messages arrive, allocations end and the
+/// operator completes the work.
 fn all_leases_end(world: &mut World) -> bool {
     for _ in 0..60 {
-        // Claims are drawn at random in the program; here there are few names for them.
+        // Claim ids are drawn at random in production; the model reuses a few.
         world.claims = world.claims.min(3);
         let actions = world.reconcile(0b111, true, Fault::None);
         world.send(&actions, 0b111, true, Fault::None);
--- a/crates/maintenance/tests/model_check/world.rs
+++ b/crates/maintenance/tests/model_check/world.rs
@@ -1,5 +1,5 @@
-//! The state that is searched: three quorum members, two machines, and every message that was ever
-//! sent, each of which may arrive at any time, or again.
+//! The state that is searched: three quorum members, two machines, and all messages ever sent, each
+//! of which may arrive at any time and repeatedly.
 
 use crate::fault::Fault;
 use corkspan_maintenance::cordon::Cordon;
@@ -14,9 +14,9 @@
 
 pub const MEMBERS: usize = 3;
 pub const MACHINES: u32 = 2;
-/// Sets of members, by their bits, that are a majority.
+/// Sets of members, as bit sets, that are a majority.
 pub const MAJORITIES: [usize; 4] = [0b011, 0b101, 0b110, 0b111];
-/// Claims that one world may make.
+/// Largest number of claims in one world.
 const MAX_CLAIMS: u64 = 4;
 
 /// A message to a member.
@@ -33,17 +33,18 @@
 pub struct World {
     pub members: Vec<LeaseTable>,
     pub cordons: Vec<Cordon>,
-    /// Allocations on each machine.
+    /// Number of allocations on each machine.
     pub running: Vec<u32>,
-    /// Ever sent to members.
+    /// All messages that were sent to members.
     pub sent: BTreeSet<Message>,
-    /// Messages to machines, to cordon and to uncordon, that may yet arrive.
+    /// Messages to machines, to cordon and to uncordon, which may still arrive.
     pub cordons_sent: BTreeSet<LeaseId>,
     pub uncordons_sent: BTreeSet<LeaseId>,
     pub claims: u64,
-    /// Allocations that have been placed.
+    /// Number of allocations that have been placed.
     pub placed: u32,
-    /// Reported as drained by any majority, and by the operator as completed.
+    /// Leases that any majority has reported as drained, and those that the operator has reported
+    /// as completed.
     pub drained: BTreeSet<LeaseId>,
     pub completed: BTreeSet<LeaseId>,
     pub breach: Option<&'static str>,
@@ -75,7 +76,7 @@
     }
 }
 
-/// The indices of the bits that are set.
+/// Returns the indices of the bits that are set.
 fn bits(set: usize) -> impl Iterator<Item = usize> {
     (0..MEMBERS).filter(move |member| set >> member & 1 == 1)
 }
@@ -118,7 +119,8 @@
             let machine = Machine(number);
             let cordon = &self.cordons[number as usize];
             let is_finished = |claim: &ClaimId| {
-                // One that forgets is believed by whoever has told it to uncordon.
+                // With this fault, an uncordon message that was sent counts as carried out unless
+                // the machine is still cordoned for the claim.
                 let is_believed = fault == Fault::ForgetfulCordon
                     && cordon.active() != Some(*claim)
                     && self.uncordons_sent.contains(&LeaseId {
@@ -138,7 +140,7 @@
         (0..MACHINES).map(status).collect()
     }
 
-    /// What one that has heard these members does.
+    /// Returns the actions of a dispatcher that has the replies of these members.
     pub fn reconcile(&mut self, members: usize, expire_all: bool, fault: Fault) -> Actions {
         let replies = self.replies(members);
         let Some(view) = fault.view(&replies) else {
@@ -165,8 +167,8 @@
         actions
     }
 
-    /// Sends all of it, of which so much arrives at once: at the members in the set, and at the
-    /// machines all or nothing.
+    /// Sends all messages. They arrive at once at the members in the set and, if `machines` is set,
+    /// at all machines.
     pub fn send(&mut self, actions: &Actions, members: usize, machines: bool, fault: Fault) {
         for message in messages(actions) {
             for member in bits(members) {
@@ -186,7 +188,7 @@
         }
     }
 
-    /// A message arrives at a member.
+    /// Delivers a message to a member.
     pub fn arrive(&mut self, member: usize, message: &Message, fault: Fault) {
         let member = &mut self.members[member];
         match *message {
@@ -224,7 +226,7 @@
         }
     }
 
-    /// The operator reports as completed all that was ever reported as drained.
+    /// Reports as completed, as the operator, all leases that were ever reported as drained.
     pub fn complete(&mut self, members: usize) {
         for lease in self.drained.clone() {
             self.completed.insert(lease);
@@ -247,7 +249,7 @@
         self.drained.extend(drained);
     }
 
-    /// Whether a rule is broken.
+    /// Records a breach if a rule is broken.
     pub fn check(&mut self) {
         let cordoned = self
             .cordons
--- a/crates/maintenance/tests/stored_state.rs
+++ b/crates/maintenance/tests/stored_state.rs
@@ -1,6 +1,6 @@
-//! What a machine keeps on its disk is read as it was first written: the state of a quorum member,
-//! the machine's own cordon, and each type in them. The files under `tests/data` were written by
-//! the first release that stored them; they never change.
+//! The state that a machine stores on its disk can still be read as it was first written: the state
+//! of a quorum member, the machine's cordon, and each type in them. The files under `tests/data`
+//! were written by the first release that stored them and never change.
 
 use corkspan_maintenance::cordon::Cordon;
 use corkspan_maintenance::lease_table::LeaseTable;
@@ -18,7 +18,7 @@
 const PARTS: &str = include_str!("data/parts.txt");
 const REFUSALS: &str = include_str!("data/refusals.txt");
 
-/// Reads the text and writes the same bytes back.
+/// Reads a value from the text and checks that it is written back as the same bytes.
 fn read<T: Serialize + DeserializeOwned + PartialEq + Debug>(text: &str) -> T {
     let value: T = serde_json::from_str(text).expect("it was written so");
     let written = serde_json::to_string(&value).expect("it can be written");
@@ -128,7 +128,7 @@
     assert_eq!(finished, (6..70).collect::<Vec<u64>>());
 }
 
-/// The lines of one kind in the file of parts.
+/// Returns the recorded values of one kind.
 fn parts(kind: &'static str) -> impl Iterator<Item = &'static str> {
     PARTS
         .lines()
@@ -194,7 +194,7 @@
     assert_eq!(PARTS.lines().count(), 20);
 }
 
-/// Refused with the same words and at the same place as before.
+/// Invalid state is rejected with the recorded message and position.
 #[test_case("quorum-member", 0; "a quorum member's state")]
 #[test_case("cordon", 1; "a cordon")]
 #[test_case("lease", 2; "a lease with an unknown phase")]
