--- a/crates/maintenance/src/quorum_view.rs
+++ b/crates/maintenance/src/quorum_view.rs
@@ -269,7 +269,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StartError {
     /// The request names no machine or too many.
-    #[error("1 to {max} machines are wanted, not {named}")]
+    #[error("a request must name 1 to {max} machines, not {named}")]
     MachineCount {
         /// Number of machines named.
         named: usize,
@@ -277,7 +277,9 @@
         max: usize,
     },
     /// So many quorum members could be out of service at once that no majority would be left.
-    #[error("{named} of the machines are keepers, and of these {spare} may be out at a time")]
+    #[error(
+        "{named} of the machines run quorum members, of which at most {spare} may be out of service at a time"
+    )]
     Members {
         /// Number of named machines that run quorum members.
         named: usize,
@@ -285,6 +287,6 @@
         spare: usize,
     },
     /// Machines are still out of service for an earlier job; this is one of them.
-    #[error("machines of an earlier wish are out still, {0} among them")]
+    #[error("machines of an earlier request are still out of service, machine {0} among them")]
     Unavailable(u32),
 }
--- a/crates/maintenance/tests/decisions/main.rs
+++ b/crates/maintenance/tests/decisions/main.rs
@@ -22,7 +22,7 @@
 
 fn stored<T: Serialize>(value: &T) -> String {
     serde_json::to_string(value)
-        .expect("a stored type")
+        .expect("the type can be serialized")
         .replace('"', "")
 }
 
@@ -43,7 +43,7 @@
 
 impl Transcript {
     fn line(&mut self, line: impl Display) {
-        writeln!(self.0, "{line}").expect("a string");
+        writeln!(self.0, "{line}").expect("writing to a string succeeds");
     }
 
     fn leases(&mut self, what: &str, leases: &[LeaseId]) {
@@ -163,7 +163,7 @@
         .lines()
         .zip(EXPECTED.lines())
         .position(|(now, expected)| now != expected);
-    assert_eq!(differs, None, "the first line that differs, from 0");
+    assert_eq!(differs, None, "index of the first line that differs");
     assert_eq!(transcript.0, EXPECTED);
 }
 
--- a/crates/maintenance/tests/lease_table.rs
+++ b/crates/maintenance/tests/lease_table.rs
@@ -66,17 +66,17 @@
     assert_eq!(
         claim(&mut table, 1, 0, 1, [0, 0, 0, 0]),
         ClaimOutcome::Granted,
-        "doubled"
+        "the same claim again"
     );
     assert_eq!(
         claim(&mut table, 1, 1, 2, [0, 0, 0, 1]),
         ClaimOutcome::Occupied,
-        "the same of all"
+        "the total slot is held"
     );
     assert_eq!(
         claim(&mut table, 1, 2, 2, [1, 0, 0, 1]),
         ClaimOutcome::Occupied,
-        "the same of its zone"
+        "the zone slot is held"
     );
     assert_eq!(
         claim(&mut table, 1, 1, 2, [2, 0, 0, 1]),
@@ -122,13 +122,13 @@
     assert_eq!(
         claim(&mut table, 2, 0, 4, [0, 0, 0, 3]),
         ClaimOutcome::Occupied,
-        "it is completed"
+        "the machine is completed"
     );
     table.propose(request(3, DisruptionLimits { total: 0, ..TWO }));
     assert_eq!(
         claim(&mut table, 3, 3, 5, [0, 1, 0, 3]),
         ClaimOutcome::Occupied,
-        "none at all"
+        "the limit is 0"
     );
 }
 
@@ -141,7 +141,7 @@
     cordon.uncordon(ClaimId(3));
     assert!(
         !cordon.cordon(ClaimId(3)),
-        "uncordoned before it was ever cordoned"
+        "uncordoned before the cordon message arrived"
     );
 }
 
@@ -168,17 +168,17 @@
             &[reported.clone(), reported.clone(), liar.clone()]
         ),
         expected,
-        "one member's report moves nothing"
+        "one member's report does not change the order"
     );
     assert_eq!(
         drain_order(machines(), &[liar, reported.clone(), reported]),
         expected,
-        "in whatever order they reply"
+        "the order of replies does not matter"
     );
     assert_eq!(
         drain_order(machines(), &[]),
         [0, 1, 2, 3].map(Machine),
-        "there are no estimates"
+        "without estimates, by number"
     );
 }
 
@@ -210,7 +210,8 @@
 fn dead_machines_without_cost_do_not_block_those_that_come_after() {
     let mut table = lease_table();
     table.record_cost_estimates(0, [(Machine(2), 5.0), (Machine(3), 9.0)]);
-    let view = QuorumView::from_replies(&[reply(&table), reply(&table)], 3).expect("two of three");
+    let view =
+        QuorumView::from_replies(&[reply(&table), reply(&table)], 3).expect("two of three replied");
     // Two machines that never reply are always among the cheapest.
     let polled = |draw: usize| {
         view.machines_to_poll(2, |of| draw % of)
@@ -241,7 +242,7 @@
     );
     other.advance(Machine(0), ClaimId(2), LeasePhase::Granted);
     let replies = [reply(&one), reply(&other), reply(&other)];
-    let view = QuorumView::from_replies(&replies, 3).expect("all three");
+    let view = QuorumView::from_replies(&replies, 3).expect("all three replied");
     assert_eq!(
         view.machines_to_poll(0, |_| 0)[&Machine(0)],
         Some(ClaimId(2))
@@ -253,16 +254,16 @@
     let (mut minority, rest) = (lease_table(), lease_table());
     minority.propose(request(7, TWO));
     let replies = [reply(&minority), reply(&rest), reply(&rest)];
-    let view = QuorumView::from_replies(&replies, 3).expect("all three");
+    let view = QuorumView::from_replies(&replies, 3).expect("all three replied");
     let revision = view.request.map(|request| request.revision);
     assert_eq!((revision, view.highest_revision), (Some(1), 7));
 }
 
-#[test_case(0..4, TWO, &[8, 9, 10], Ok(()); "no member among them")]
+#[test_case(0..4, TWO, &[8, 9, 10], Ok(()); "without quorum members")]
 #[test_case(0..4, TWO, &[2, 3, 9], Err(StartError::Members { named: 2, spare: 1 }); "two of three members at a time")]
 #[test_case(0..4, DisruptionLimits { total: 1, ..TWO }, &[2, 3, 9], Ok(()); "two members, one at a time")]
-#[test_case(0..0, TWO, &[9], Err(StartError::MachineCount { named: 0, max: 2_000 }); "none")]
-#[test_case(0..2_001, TWO, &[9_999], Err(StartError::MachineCount { named: 2_001, max: 2_000 }); "too many")]
+#[test_case(0..0, TWO, &[9], Err(StartError::MachineCount { named: 0, max: 2_000 }); "no machine")]
+#[test_case(0..2_001, TWO, &[9_999], Err(StartError::MachineCount { named: 2_001, max: 2_000 }); "too many machines")]
 fn a_job_starts_only_where_it_can_end(
     machines: std::ops::Range<u32>,
     limits: DisruptionLimits,
@@ -305,7 +306,7 @@
 
 #[test]
 fn slots_are_read_from_four_numbers_only() {
-    let slots = Slots::try_from(&[1, 2, 3, 4][..]).expect("four");
+    let slots = Slots::try_from(&[1, 2, 3, 4][..]).expect("four numbers are valid");
     assert_eq!(slots.to_array(), [1, 2, 3, 4]);
     assert!(Slots::try_from(&[1, 2, 3][..]).is_err());
 }
--- a/crates/maintenance/tests/model_check/main.rs
+++ b/crates/maintenance/tests/model_check/main.rs
@@ -33,14 +33,14 @@
     } else if index < late_messages {
         let at = index - RECONCILE_STEPS;
         let message = world.sent.iter().nth(at / MEMBERS);
-        let message = message.expect("it was counted").clone();
+        let message = message.expect("the index is in range").clone();
         world.arrive(at % MEMBERS, &message, fault);
     } else if index < late_cordons {
         let lease = world.cordons_sent.iter().nth(index - late_messages);
-        world.cordon(*lease.expect("it was counted"));
+        world.cordon(*lease.expect("the index is in range"));
     } else if index < late_uncordons {
         let lease = world.uncordons_sent.iter().nth(index - late_cordons);
-        world.uncordon(*lease.expect("it was counted"), fault);
+        world.uncordon(*lease.expect("the index is in range"), fault);
     } else if index < allocation_steps {
         // An allocation on the machine ends, or one is placed if the machine accepts it.
         let machine = index - late_uncordons;
@@ -147,12 +147,12 @@
         max_outcomes = max_outcomes.max(outcomes);
         assert!(
             all_leases_end(&mut world),
-            "walk {seed} leaves a machine out: {world:?}"
+            "walk {seed}: a machine stays out of service: {world:?}"
         );
     }
     assert!(
         completed > 300 && max_outcomes == 2,
-        "walks come far enough: {completed}, {max_outcomes}"
+        "too few walks complete a lease: {completed}, {max_outcomes}"
     );
 }
 
--- a/crates/maintenance/tests/model_check/world.rs
+++ b/crates/maintenance/tests/model_check/world.rs
@@ -256,7 +256,7 @@
             .iter()
             .filter(|cordon| cordon.active().is_some());
         if cordoned.count() > 1 {
-            self.breach = Some("more machines are out than the limit allows");
+            self.breach = Some("more machines are out of service than the limit allows");
         }
         self.observe_drained();
         for lease in self.drained.difference(&self.completed) {
--- a/crates/maintenance/tests/stored_state.rs
+++ b/crates/maintenance/tests/stored_state.rs
@@ -20,10 +20,10 @@
 
 /// Reads a value from the text and checks that it is written back as the same bytes.
 fn read<T: Serialize + DeserializeOwned + PartialEq + Debug>(text: &str) -> T {
-    let value: T = serde_json::from_str(text).expect("it was written so");
-    let written = serde_json::to_string(&value).expect("it can be written");
-    assert_eq!(written, text, "written back otherwise");
-    let again: T = serde_json::from_str(&written).expect("it was written just now");
+    let value: T = serde_json::from_str(text).expect("the recorded JSON is valid");
+    let written = serde_json::to_string(&value).expect("the value can be serialized");
+    assert_eq!(written, text, "written back differently");
+    let again: T = serde_json::from_str(&written).expect("the written JSON is valid");
     assert_eq!(again, value);
     value
 }
@@ -31,7 +31,7 @@
 #[test]
 fn a_quorum_members_state_is_read_to_the_same_content() {
     let table: LeaseTable = read(LEASE_TABLE.trim_end());
-    let request = table.request().expect("one stands");
+    let request = table.request().expect("a request is held");
     assert_eq!(
         (request.revision, request.proposer, request.job),
         (7, 11, 5)
@@ -105,7 +105,11 @@
         .map(|(machine, cost)| (machine.0, cost))
         .collect();
     assert_eq!(costs, [(0, 3.5), (1, 1e6 + 0.25), (5, 10.0)]);
-    assert_eq!(table.total_costs(1).len(), 2, "of one dispatcher alone");
+    assert_eq!(
+        table.total_costs(1).len(),
+        2,
+        "only the estimates of dispatcher 0"
+    );
 }
 
 #[test]
@@ -149,7 +153,7 @@
         parts("phase").map(read::<LeasePhase>).collect::<Vec<_>>(),
         phases
     );
-    assert!(phases.is_sorted(), "in the order in which they follow");
+    assert!(phases.is_sorted(), "in the order in which they are reached");
     let run_states = [RunState::Running, RunState::Paused, RunState::Aborted];
     assert_eq!(
         parts("run-state").map(read::<RunState>).collect::<Vec<_>>(),
@@ -190,7 +194,7 @@
     let requests: Vec<MaintenanceRequest> = parts("request").map(read).collect();
     assert_eq!(requests[0].run_state, RunState::Aborted);
     assert_eq!(requests[0].machines.len(), 2);
-    assert_eq!(parts("").count(), 0, "no line is left out");
+    assert_eq!(parts("").count(), 0, "no line is without a kind");
     assert_eq!(PARTS.lines().count(), 20);
 }
 
@@ -203,25 +207,25 @@
     let refused = match kind {
         "quorum-member" => {
             serde_json::from_str::<LeaseTable>(&LEASE_TABLE[..LEASE_TABLE.len() / 2])
-                .expect_err("half of it")
+                .expect_err("the text is truncated")
                 .to_string()
         }
         "cordon" => {
-            let text = CORDON.lines().last().expect("two lines");
+            let text = CORDON.lines().last().expect("the file has two lines");
             serde_json::from_str::<Cordon>(&text[..text.len() / 2])
-                .expect_err("half of it")
+                .expect_err("the text is truncated")
                 .to_string()
         }
         "lease" => {
-            let text = parts("lease").next().expect("one");
+            let text = parts("lease").next().expect("a lease is recorded");
             serde_json::from_str::<MaintenanceLease>(&text.replace("closed", "cordoned"))
-                .expect_err("no such phase")
+                .expect_err("the phase is unknown")
                 .to_string()
         }
         _ => {
-            let text = parts("request").next().expect("one");
+            let text = parts("request").next().expect("a request is recorded");
             serde_json::from_str::<MaintenanceRequest>(&text.replace("\"limits\"", "\"limit\""))
-                .expect_err("no limits")
+                .expect_err("the limits are missing")
                 .to_string()
         }
     };
