--- a/crates/maintenance/src/lease.rs
+++ b/crates/maintenance/src/lease.rs
@@ -96,7 +96,7 @@
 }
 
 impl From<JobOutcome> for (u64, LeaseOutcome) {
-    fn from(of: JobOutcome) -> Self {
-        (of.job, of.outcome)
+    fn from(job_outcome: JobOutcome) -> Self {
+        (job_outcome.job, job_outcome.outcome)
     }
 }
--- a/crates/maintenance/src/lease_table.rs
+++ b/crates/maintenance/src/lease_table.rs
@@ -56,11 +56,11 @@
     /// Accepts the request if its revision is later than that of the held request. Returns the
     /// request that is held afterwards.
     pub fn propose(&mut self, request: MaintenanceRequest) -> Option<&MaintenanceRequest> {
-        let later = self
+        let is_later = self
             .request
             .as_ref()
             .is_none_or(|held| held.revision < request.revision);
-        if later && request.machines.len() <= MAX_MACHINES {
+        if is_later && request.machines.len() <= MAX_MACHINES {
             self.outcomes
                 .retain(|_, outcome| outcome.job == request.job);
             self.request = Some(request);
@@ -240,7 +240,7 @@
     pub fn outcomes(&self) -> impl Iterator<Item = (Machine, LeaseOutcome)> {
         self.outcomes
             .iter()
-            .map(|(machine, of)| (*machine, of.outcome))
+            .map(|(machine, job_outcome)| (*machine, job_outcome.outcome))
     }
 
     /// Returns the claims that are remembered as withdrawn, oldest first.
@@ -252,7 +252,11 @@
     /// `fleet_size`. Estimates from numbers outside the fleet are ignored.
     pub fn total_costs(&self, fleet_size: u32) -> BTreeMap<Machine, f64> {
         let mut sums = BTreeMap::new();
-        for estimates in self.cost_estimates.range(..fleet_size).map(|(_, own)| own) {
+        for estimates in self
+            .cost_estimates
+            .range(..fleet_size)
+            .map(|(_, by_machine)| by_machine)
+        {
             for (machine, cost) in estimates {
                 *sums.entry(*machine).or_default() += cost;
             }
--- a/crates/maintenance/src/quorum_view.rs
+++ b/crates/maintenance/src/quorum_view.rs
@@ -212,17 +212,17 @@
     let LeaseId { machine, claim } = id;
     let mut phases: Vec<LeasePhase> = reported.iter().map(|lease| lease.phase).collect();
     phases.sort_unstable_by(|a, b| b.cmp(a));
-    let is_voted = |phase| {
+    let has_majority_vote = |phase| {
         let votes = replies
             .iter()
             .filter(|reply| reply.votes.get(&claim) == Some(&phase));
         is_majority(votes.count(), members)
     };
     let phase = phases.get(members / 2).map(|&phase| match phase {
-        LeasePhase::Granted | LeasePhase::Cordoned if is_voted(LeasePhase::Cancelled) => {
+        LeasePhase::Granted | LeasePhase::Cordoned if has_majority_vote(LeasePhase::Cancelled) => {
             LeasePhase::Cancelled
         }
-        LeasePhase::Granted | LeasePhase::Cordoned if is_voted(LeasePhase::Drained) => {
+        LeasePhase::Granted | LeasePhase::Cordoned if has_majority_vote(LeasePhase::Drained) => {
             LeasePhase::Drained
         }
         phase => phase,
--- a/crates/maintenance/tests/decisions/main.rs
+++ b/crates/maintenance/tests/decisions/main.rs
@@ -112,7 +112,7 @@
         self.leases("do stop", &actions.stop);
     }
 
-    fn case(&mut self, seed: u64) {
+    fn add_case(&mut self, seed: u64) {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let quorum = Quorum::seeded(&mut rng);
         let heard = [&[0, 1, 2][..], &[0, 1], &[1, 2], &[0, 2], &[1]][rng.random_range(0..9) / 2];
@@ -124,7 +124,7 @@
         };
         let statuses = quorum.statuses(&mut rng);
         self.view(&view, &statuses);
-        let mut polled = view.machines_to_poll(2, |of| rng.random_range(0..of));
+        let mut polled = view.machines_to_poll(2, |count| rng.random_range(0..count));
         polled.retain(|_, claim| claim.is_none());
         let candidates: Vec<u32> = polled.keys().map(|machine| machine.0).collect();
         let costs: Vec<_> = replies.iter().map(|reply| reply.costs.clone()).collect();
@@ -157,13 +157,16 @@
 #[test]
 fn decisions_are_the_same_byte_for_byte() {
     let mut transcript = Transcript::default();
-    (0..CASES).for_each(|seed| transcript.case(seed));
-    let differs = transcript
+    (0..CASES).for_each(|seed| transcript.add_case(seed));
+    let first_difference = transcript
         .0
         .lines()
         .zip(EXPECTED.lines())
         .position(|(now, expected)| now != expected);
-    assert_eq!(differs, None, "index of the first line that differs");
+    assert_eq!(
+        first_difference, None,
+        "index of the first line that differs"
+    );
     assert_eq!(transcript.0, EXPECTED);
 }
 
--- a/crates/maintenance/tests/decisions/states.rs
+++ b/crates/maintenance/tests/decisions/states.rs
@@ -92,17 +92,17 @@
     /// Sends one message to some members.
     fn send(&mut self, rng: &mut Pcg64Mcg) {
         let reached = reached(rng);
-        let known = (!self.claims.is_empty()).then(|| rng.random_range(0..self.claims.len()));
-        match (rng.random_range(0..24), known) {
+        let claim_index = (!self.claims.is_empty()).then(|| rng.random_range(0..self.claims.len()));
+        match (rng.random_range(0..24), claim_index) {
             (0..=6, _) | (_, None) => self.claim(&reached, rng),
-            (7..=18, Some(known)) => self.advance(known, &reached),
-            (19, Some(known)) => {
-                let lease = self.claims[known].0;
+            (7..=18, Some(claim_index)) => self.advance(claim_index, &reached),
+            (19, Some(claim_index)) => {
+                let lease = self.claims[claim_index].0;
                 for member in reached {
                     self.members[member].withdraw(lease.machine, lease.claim);
                 }
             }
-            (20, Some(known)) => self.release(known, &reached, rng),
+            (20, Some(claim_index)) => self.release(claim_index, &reached, rng),
             (21 | 22, _) => self.estimate_costs(&reached, rng),
             _ => {
                 self.revision += 1;
@@ -128,8 +128,8 @@
         }
     }
 
-    fn advance(&mut self, known: usize, reached: &[usize]) {
-        let (lease, step) = self.claims[known];
+    fn advance(&mut self, claim_index: usize, reached: &[usize]) {
+        let (lease, step) = self.claims[claim_index];
         let end = [
             LeasePhase::Drained,
             LeasePhase::Drained,
@@ -143,15 +143,15 @@
         ][step];
         // Some leases never get beyond granted, others never beyond cordoned, and so on.
         let kind = (lease.claim.0 + u64::from(lease.machine.0)) as usize % 6;
-        let furthest = [0, 1, 1, 2, 2, 3][kind];
-        self.claims[known].1 = (step + 1).min(furthest);
+        let last_step = [0, 1, 1, 2, 2, 3][kind];
+        self.claims[claim_index].1 = (step + 1).min(last_step);
         for &member in reached {
             self.members[member].advance(lease.machine, lease.claim, phase);
         }
     }
 
-    fn release(&mut self, known: usize, reached: &[usize], rng: &mut Pcg64Mcg) {
-        let lease = self.claims[known].0;
+    fn release(&mut self, claim_index: usize, reached: &[usize], rng: &mut Pcg64Mcg) {
+        let lease = self.claims[claim_index].0;
         let job = rng.random_range(1..3);
         let outcome = [
             None,
--- a/crates/maintenance/tests/lease_table.rs
+++ b/crates/maintenance/tests/lease_table.rs
@@ -33,7 +33,7 @@
     }
 }
 
-const TWO: DisruptionLimits = DisruptionLimits {
+const LIMIT_OF_TWO: DisruptionLimits = DisruptionLimits {
     total: 2,
     zone: 1,
     cell: 1,
@@ -42,7 +42,7 @@
 
 fn lease_table() -> LeaseTable {
     let mut table = LeaseTable::default();
-    table.propose(request(1, TWO));
+    table.propose(request(1, LIMIT_OF_TWO));
     table
 }
 
@@ -105,7 +105,13 @@
         claim(&mut table, 1, 1, 2, [1, 0, 0, 1]),
         ClaimOutcome::Granted
     );
-    table.propose(request(2, DisruptionLimits { total: 1, ..TWO }));
+    table.propose(request(
+        2,
+        DisruptionLimits {
+            total: 1,
+            ..LIMIT_OF_TWO
+        },
+    ));
     assert_eq!(
         claim(&mut table, 2, 2, 3, [0, 0, 0, 2]),
         ClaimOutcome::Occupied
@@ -124,7 +130,13 @@
         ClaimOutcome::Occupied,
         "the machine is completed"
     );
-    table.propose(request(3, DisruptionLimits { total: 0, ..TWO }));
+    table.propose(request(
+        3,
+        DisruptionLimits {
+            total: 0,
+            ..LIMIT_OF_TWO
+        },
+    ));
     assert_eq!(
         claim(&mut table, 3, 3, 5, [0, 1, 0, 3]),
         ClaimOutcome::Occupied,
@@ -146,32 +158,32 @@
 }
 
 #[test]
-fn no_single_estimate_holds_a_machine_back_or_captures_the_order() {
+fn no_single_estimate_holds_a_machine_back_or_determines_the_order() {
     let mut table = lease_table();
-    let all = |costs: [f64; 4]| (0..4).map(Machine).zip(costs);
+    let by_machine = |costs: [f64; 4]| (0..4).map(Machine).zip(costs);
     let estimates = [(3, 0), (0, 1), (1, 0), (0, 0)];
     let estimates = estimates.map(|(movable, immovable)| estimate_cost(movable, immovable));
-    table.record_cost_estimates(0, all(estimates));
-    table.record_cost_estimates(1, all([f64::NAN, -1.0, f64::INFINITY, 1e300]));
-    table.record_cost_estimates(77, all([0.0, 0.0, 0.0, 9.0]));
+    table.record_cost_estimates(0, by_machine(estimates));
+    table.record_cost_estimates(1, by_machine([f64::NAN, -1.0, f64::INFINITY, 1e300]));
+    table.record_cost_estimates(77, by_machine([0.0, 0.0, 0.0, 9.0]));
     let reported = table.total_costs(2);
     let sums: Vec<Option<f64>> = (0..4)
         .map(|number| reported.get(&Machine(number)).copied())
         .collect();
     assert_eq!(sums, [Some(3.0), Some(10.0), Some(1.0), Some(MAX_COST)]);
-    let liar: BTreeMap<Machine, f64> = all([0.0, 0.0, 0.0, 0.0]).collect();
+    let zero_costs: BTreeMap<Machine, f64> = by_machine([0.0, 0.0, 0.0, 0.0]).collect();
     let machines = || (0..4).map(Machine);
     let expected = [2, 0, 1, 3].map(Machine);
     assert_eq!(
         drain_order(
             machines(),
-            &[reported.clone(), reported.clone(), liar.clone()]
+            &[reported.clone(), reported.clone(), zero_costs.clone()]
         ),
         expected,
         "one member's report does not change the order"
     );
     assert_eq!(
-        drain_order(machines(), &[liar, reported.clone(), reported]),
+        drain_order(machines(), &[zero_costs, reported.clone(), reported]),
         expected,
         "the order of replies does not matter"
     );
@@ -207,14 +219,14 @@
 }
 
 #[test]
-fn dead_machines_without_cost_do_not_block_those_that_come_after() {
+fn dead_machines_without_cost_do_not_block_later_machines() {
     let mut table = lease_table();
     table.record_cost_estimates(0, [(Machine(2), 5.0), (Machine(3), 9.0)]);
     let view =
         QuorumView::from_replies(&[reply(&table), reply(&table)], 3).expect("two of three replied");
     // Two machines that never reply are always among the cheapest.
     let polled = |draw: usize| {
-        view.machines_to_poll(2, |of| draw % of)
+        view.machines_to_poll(2, |count| draw % count)
             .keys()
             .copied()
             .collect::<Vec<_>>()
@@ -252,19 +264,19 @@
 #[test]
 fn a_request_that_no_majority_accepted_does_not_block_the_next() {
     let (mut minority, rest) = (lease_table(), lease_table());
-    minority.propose(request(7, TWO));
+    minority.propose(request(7, LIMIT_OF_TWO));
     let replies = [reply(&minority), reply(&rest), reply(&rest)];
     let view = QuorumView::from_replies(&replies, 3).expect("all three replied");
     let revision = view.request.map(|request| request.revision);
     assert_eq!((revision, view.highest_revision), (Some(1), 7));
 }
 
-#[test_case(0..4, TWO, &[8, 9, 10], Ok(()); "without quorum members")]
-#[test_case(0..4, TWO, &[2, 3, 9], Err(StartError::Members { named: 2, spare: 1 }); "two of three members at a time")]
-#[test_case(0..4, DisruptionLimits { total: 1, ..TWO }, &[2, 3, 9], Ok(()); "two members, one at a time")]
-#[test_case(0..0, TWO, &[9], Err(StartError::MachineCount { named: 0, max: 2_000 }); "no machine")]
-#[test_case(0..2_001, TWO, &[9_999], Err(StartError::MachineCount { named: 2_001, max: 2_000 }); "too many machines")]
-fn a_job_starts_only_where_it_can_end(
+#[test_case(0..4, LIMIT_OF_TWO, &[8, 9, 10], Ok(()); "without quorum members")]
+#[test_case(0..4, LIMIT_OF_TWO, &[2, 3, 9], Err(StartError::Members { named: 2, spare: 1 }); "two of three members at a time")]
+#[test_case(0..4, DisruptionLimits { total: 1, ..LIMIT_OF_TWO }, &[2, 3, 9], Ok(()); "two members, one at a time")]
+#[test_case(0..0, LIMIT_OF_TWO, &[9], Err(StartError::MachineCount { named: 0, max: 2_000 }); "no machine")]
+#[test_case(0..2_001, LIMIT_OF_TWO, &[9_999], Err(StartError::MachineCount { named: 2_001, max: 2_000 }); "too many machines")]
+fn a_job_starts_only_if_it_can_end(
     machines: std::ops::Range<u32>,
     limits: DisruptionLimits,
     members: &[u32],
--- a/crates/maintenance/tests/model_check/main.rs
+++ b/crates/maintenance/tests/model_check/main.rs
@@ -31,10 +31,10 @@
         let actions = world.reconcile(heard, expire_all, fault);
         world.send(&actions, reached, machines, fault);
     } else if index < late_messages {
-        let at = index - RECONCILE_STEPS;
-        let message = world.sent.iter().nth(at / MEMBERS);
+        let offset = index - RECONCILE_STEPS;
+        let message = world.sent.iter().nth(offset / MEMBERS);
         let message = message.expect("the index is in range").clone();
-        world.arrive(at % MEMBERS, &message, fault);
+        world.arrive(offset % MEMBERS, &message, fault);
     } else if index < late_cordons {
         let lease = world.cordons_sent.iter().nth(index - late_messages);
         world.cordon(*lease.expect("the index is in range"));
@@ -64,10 +64,10 @@
 /// Searches all states that can follow within `depth` steps. Returns the first breach, if any, and
 /// the number of states seen.
 fn search(fault: Fault, depth: usize) -> (Option<&'static str>, usize) {
-    let first = World::new();
-    let (mut seen, mut frontier) = (HashSet::from([format!("{first:?}")]), vec![first]);
+    let initial = World::new();
+    let (mut seen, mut frontier) = (HashSet::from([format!("{initial:?}")]), vec![initial]);
     for _ in 0..depth {
-        let mut further = Vec::new();
+        let mut next_frontier = Vec::new();
         for world in &frontier {
             for index in 0.. {
                 let mut next = world.clone();
@@ -78,11 +78,11 @@
                     return (next.breach, seen.len());
                 }
                 if seen.insert(format!("{next:?}")) {
-                    further.push(next);
+                    next_frontier.push(next);
                 }
             }
         }
-        frontier = further;
+        frontier = next_frontier;
     }
     (None, seen.len())
 }
--- a/crates/maintenance/tests/stored_state.rs
+++ b/crates/maintenance/tests/stored_state.rs
@@ -16,15 +16,15 @@
 const EMPTY_LEASE_TABLE: &str = include_str!("data/quorum-member-empty.json");
 const CORDON: &str = include_str!("data/cordon.json");
 const PARTS: &str = include_str!("data/parts.txt");
-const REFUSALS: &str = include_str!("data/refusals.txt");
+const EXPECTED_ERRORS: &str = include_str!("data/refusals.txt");
 
 /// Reads a value from the text and checks that it is written back as the same bytes.
 fn read<T: Serialize + DeserializeOwned + PartialEq + Debug>(text: &str) -> T {
     let value: T = serde_json::from_str(text).expect("the recorded JSON is valid");
     let written = serde_json::to_string(&value).expect("the value can be serialized");
     assert_eq!(written, text, "written back differently");
-    let again: T = serde_json::from_str(&written).expect("the written JSON is valid");
-    assert_eq!(again, value);
+    let reread: T = serde_json::from_str(&written).expect("the written JSON is valid");
+    assert_eq!(reread, value);
     value
 }
 
@@ -127,7 +127,7 @@
     let cordon: Cordon = read(lines[1]);
     assert_eq!(cordon.active(), Some(ClaimId(70)));
     let finished: Vec<u64> = (0..80)
-        .filter(|own| cordon.is_finished(ClaimId(*own)))
+        .filter(|claim| cordon.is_finished(ClaimId(*claim)))
         .collect();
     assert_eq!(finished, (6..70).collect::<Vec<u64>>());
 }
@@ -170,12 +170,12 @@
             .collect::<Vec<_>>(),
         timeout_actions
     );
-    let ends = [LeaseOutcome::Completed, LeaseOutcome::Skipped];
+    let outcome_values = [LeaseOutcome::Completed, LeaseOutcome::Skipped];
     assert_eq!(
         parts("outcome")
             .map(read::<LeaseOutcome>)
             .collect::<Vec<_>>(),
-        ends
+        outcome_values
     );
     let machines: Vec<Machine> = parts("machine").map(read).collect();
     assert_eq!(machines, [Machine(0), Machine(u32::MAX)]);
@@ -203,8 +203,8 @@
 #[test_case("cordon", 1; "a cordon")]
 #[test_case("lease", 2; "a lease with an unknown phase")]
 #[test_case("request", 3; "a request without its limits")]
-fn what_is_half_written_is_refused_with_the_same_message(kind: &str, line: usize) {
-    let refused = match kind {
+fn truncated_or_invalid_state_is_rejected_with_the_same_message(kind: &str, line: usize) {
+    let error = match kind {
         "quorum-member" => {
             serde_json::from_str::<LeaseTable>(&LEASE_TABLE[..LEASE_TABLE.len() / 2])
                 .expect_err("the text is truncated")
@@ -229,5 +229,5 @@
                 .to_string()
         }
     };
-    assert_eq!(Some(refused.as_str()), REFUSALS.lines().nth(line));
+    assert_eq!(Some(error.as_str()), EXPECTED_ERRORS.lines().nth(line));
 }
