--- a/crates/config-sync/src/compatibility.rs
+++ b/crates/config-sync/src/compatibility.rs
@@ -1,13 +1,14 @@
-//! Which changes between two deployments can't take effect in service.
+//! Changes between two deployments that cannot take effect while the dispatcher runs.
 
 use corkspan_config::Deployment;
 use corkspan_scheduler::interface::{ServiceClass, ServiceClassId, Tenant};
 
-/// A limit may shrink to this fraction of its value; below, the push must allow cuts.
+/// Smallest fraction of its value to which a limit may shrink unless the push allows cuts.
 const MIN_REMAINING_FRACTION: f64 = 0.5;
 
-/// Why the next deployment can't replace the current one; empty where it can. `allows_cuts`: its
-/// author intends to cut limits deep. `in_use` counts the allocations of a service class.
+/// Returns the reasons why the next deployment cannot replace the current one, or none if it can.
+/// `allows_cuts` is set if the author intends to cut limits below half of their values. `in_use`
+/// returns the number of allocations of a service class.
 #[must_use]
 pub fn violations(
     current: &Deployment,
@@ -30,8 +31,9 @@
     violations
 }
 
-/// What a running dispatcher can't change: sockets, names by which other programs know machines,
-/// and what nodes do. The names are those of the deployment file.
+/// Returns the changes that a running dispatcher cannot make: to sockets, to names by which other
+/// programs know machines, and to the behavior of nodes. The names are those of the deployment
+/// file.
 fn restart_only_changes(current: &Deployment, next: &Deployment) -> Vec<String> {
     let (before, after) = (&current.cluster, &next.cluster);
     let (bounds, next_bounds) = (&current.limits, &next.limits);
@@ -79,7 +81,7 @@
         .collect()
 }
 
-/// A limit before and after a change. No limit is infinite.
+/// The value of a limit before and after a change. Infinity means that there is no limit.
 struct LimitChange {
     name: String,
     before: f64,
@@ -95,13 +97,15 @@
         }
     }
 
-    /// From no limit to any is no deep cut: it says what it means.
+    /// Returns whether the limit shrinks too far. Introducing a limit where there was none is never
+    /// a deep cut, since that is explicit.
     fn is_deep_cut(&self) -> bool {
         self.before.is_finite() && self.after < self.before * MIN_REMAINING_FRACTION
     }
 }
 
-/// Limits that would shrink to less than half: a slip of the pen there stops a fleet at once.
+/// Returns the limits that would shrink to less than half: a typing error there would stop a whole
+/// fleet at once.
 fn deep_cuts(current: &Deployment, next: &Deployment) -> Vec<String> {
     let mut changes = limit_changes(current, next);
     changes.extend(tenant_changes(current, next));
@@ -153,7 +157,7 @@
     ]
 }
 
-/// Quotas. A removed tenant has none left.
+/// Returns the changes of quotas. The quota of a removed tenant falls to 0.
 fn tenant_changes(current: &Deployment, next: &Deployment) -> Vec<LimitChange> {
     let quota = |tenant: &Tenant| tenant.quota_cores.unwrap_or(f64::INFINITY);
     let named = std::iter::zip(&current.tenants, &current.cluster.tenants)
@@ -166,7 +170,8 @@
     changes.collect()
 }
 
-/// Target utilization and spread. A removed class counts as one limit that falls to 0.
+/// Returns the changes of target utilization and spread. A removed class counts as one limit that
+/// falls to 0.
 fn class_changes(current: &Deployment, next: &Deployment) -> Vec<LimitChange> {
     let max_by_domain =
         |class: &ServiceClass| class.spread.map_or(f64::INFINITY, |(_, max)| max as f64);
--- a/crates/config-sync/src/differences.rs
+++ b/crates/config-sync/src/differences.rs
@@ -1,9 +1,9 @@
-//! What differs between two deployments, for on-call staff.
+//! Describes the differences between two deployments for on-call staff.
 
 use corkspan_config::Deployment;
 
-/// A line for each shared part that differs: its text before and after, `(absent)` where there is
-/// none.
+/// Returns a line for each shared part that differs, with its text before and after, or `(absent)`
+/// if the part does not exist.
 #[must_use]
 pub fn describe(current: &Deployment, next: &Deployment) -> Vec<String> {
     let before = |name: &str| {
--- a/crates/config-sync/src/lib.rs
+++ b/crates/config-sync/src/lib.rs
@@ -1,13 +1,12 @@
-//! Distribution of configuration versions: what a dispatcher and a control service decide, without
-//! I/O and without a clock. `docs/config-sync.md` explains the design.
+//! Distribution of configuration versions: the decisions of a dispatcher and of a control service,
+//! without I/O and without a clock. `docs/config-sync.md` explains the design.
 //!
-//! * [`Subscriber`] decides for a dispatcher: which push is validated, which is rejected unread and
-//!   why, when a version is on trial, and when it is rolled back.
-//! * [`Publisher`] is the bookkeeping of a control service: its versions and what each subscriber
-//!   runs.
+//! * [`Subscriber`] decides for a dispatcher which push is validated, which is rejected without
+//!   validation and why, when a version is on trial, and when it is rolled back.
+//! * [`Publisher`] is the state of a control service: its versions and what each subscriber runs.
 //! * [`VersionCache`] holds the newest version for dispatchers that no control service reaches.
 //! * [`compatibility`], [`stable_ids`] and [`differences`] compare one deployment with the next.
-//! * [`ReconnectBackoff`] spreads the reconnects of a stream that broke.
+//! * [`ReconnectBackoff`] spreads the reconnects after a stream broke.
 //!
 //! Times are [`Ticks`](corkspan_scheduler::interface::Ticks) of 0.1 ms.
 
--- a/crates/config-sync/src/lineage.rs
+++ b/crates/config-sync/src/lineage.rs
@@ -1,13 +1,14 @@
-//! Versions known to follow one another.
+//! Versions that are known to belong to one lineage.
 
 use corkspan_config::version::{Digest, VersionId};
 use std::collections::BTreeMap;
 
-/// Versions of a lineage that are remembered (48 bytes each, so 5 MB at most). Only a control
-/// service can vouch for a subscriber that is further behind.
+/// Number of versions of a lineage that are remembered (48 bytes each, so 5 MB at most). Whether
+/// the version of a subscriber further behind belongs to the lineage, only a control service can
+/// tell.
 const MAX_IDS: usize = 100_000;
 
-/// Versions known to belong to one lineage: digests by number.
+/// Versions known to belong to one lineage, as digests by version number.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Lineage(BTreeMap<u64, Digest>);
 
@@ -22,7 +23,8 @@
         for VersionId { number, digest } in versions {
             let known = self.0.insert(number, digest);
             if known.is_some_and(|known| known != digest) {
-                // Another lineage: to vouch for both would lead a subscriber from one to the other.
+                // The version belongs to another lineage. Naming versions of both as predecessors
+                // would lead a subscriber from one lineage to the other.
                 self.0.clear();
                 self.0.insert(number, digest);
             }
--- a/crates/config-sync/src/publisher.rs
+++ b/crates/config-sync/src/publisher.rs
@@ -1,28 +1,28 @@
-//! A control service's end of the stream: its versions, and what it knows of each subscriber.
+//! A control service's end of the stream: its versions and what it knows of each subscriber.
 
 use crate::subscriber::{OfferedVersion, PushReply, Version, VersionPush};
 use corkspan_config::version::{SharedParts, VersionId};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Versions that are remembered with their content, to make changes from. A subscriber that runs an
-/// older one is sent a complete push.
+/// Number of versions that are remembered with their content, as bases for pushes of changes. A
+/// subscriber that runs an older version is sent a complete push.
 const MAX_FULL_VERSIONS: usize = 1_000;
-/// Versions of which only the id is remembered: by these a subscriber however far behind is told
-/// that its version belongs to the lineage. 40 bytes each, so 40 MB at most.
+/// Number of version ids that are remembered, so that a push to a subscriber that is far behind can
+/// still name its version as a predecessor. 40 bytes each, so 40 MB at most.
 const MAX_LINEAGE_IDS: usize = 1_000_000;
-/// Subscribers that are remembered; pushes go to none beyond.
+/// Number of subscribers that are remembered. Further subscribers are sent no pushes.
 const MAX_SUBSCRIBERS: usize = 100_000;
 
-/// What a subscriber rejected, and why.
+/// A version that a subscriber rejected, and the reasons.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Rejection {
-    /// The version.
+    /// The rejected version.
     pub version: VersionId,
-    /// Why it is not active there.
+    /// Why the version is not active there.
     pub reasons: Vec<String>,
 }
 
-/// Which predecessors a push named: one version, and all from a number on.
+/// The predecessors that a push named: one version, and all from a number on.
 #[derive(Clone, Copy, Debug)]
 struct NamedPredecessors {
     active: VersionId,
@@ -35,44 +35,45 @@
     }
 }
 
-/// What is known of one subscriber, from the stream that is open or was open last.
+/// What is known of one subscriber from its open or most recent stream.
 #[derive(Clone, Debug, Default)]
 struct SubscriberState {
     active: Option<VersionId>,
-    /// Of the last push on the stream: its nonce, its version and the predecessors it named.
+    /// The nonce, the version and the named predecessors of the last push on the stream.
     sent_nonce: u64,
     last_sent: Option<VersionId>,
     named_predecessors: Option<NamedPredecessors>,
     last_rejection: Option<Rejection>,
-    /// It asked for a complete push.
+    /// Whether the subscriber requested a complete push.
     needs_full: bool,
 }
 
-/// How a reply was taken.
+/// How a reply was handled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplyStatus {
-    /// It answers the last push.
+    /// The reply answers the last push.
     Accepted,
-    /// It answers an earlier push, of which it tells nothing any more.
+    /// The reply answers an earlier push and only updates the active version.
     StaleNonce,
-    /// It comes from a subscriber that has not opened a stream.
+    /// The subscriber has not opened a stream.
     UnknownSubscriber,
 }
 
-/// The bookkeeping of a control service.
+/// The versions and subscribers of a control service.
 #[derive(Clone, Debug, Default)]
 pub struct Publisher {
-    /// The last versions, the newest at the back.
+    /// The latest versions with their content, newest last.
     versions: VecDeque<OfferedVersion>,
-    /// Ids of all versions, the newest at the back; numbers grow along it.
+    /// The ids of all versions, in order of increasing number.
     lineage: VecDeque<VersionId>,
     subscribers: BTreeMap<u32, SubscriberState>,
     last_nonce: u64,
 }
 
 impl Publisher {
-    /// Publishes the next version. Its number is one more than the highest known, of this service
-    /// or reported by a subscriber: a service that lost its state must not count from 1 again.
+    /// Publishes the next version. Its number is one more than the highest number known, whether
+    /// from this service or reported by a subscriber: a service that lost its state must not start
+    /// from 1 again.
     pub fn publish(&mut self, texts: SharedParts, allows_cuts: bool) -> VersionId {
         let reported = self.subscribers.values().filter_map(|known| known.active);
         let highest = reported.chain(self.newest()).map(|id| id.number).max();
@@ -94,14 +95,14 @@
         id
     }
 
-    /// The newest version.
+    /// Returns the newest version.
     #[must_use]
     pub fn newest(&self) -> Option<VersionId> {
         self.versions.back().map(|newest| newest.version.id)
     }
 
-    /// A subscriber has opened a stream and reported its active version. What is known from an
-    /// earlier stream no longer counts.
+    /// Records that a subscriber has opened a stream and reported its active version. Anything
+    /// known from an earlier stream is discarded.
     pub fn subscriber_connected(&mut self, subscriber: u32, active: VersionId) {
         let known = self.subscribers.contains_key(&subscriber);
         if known || self.subscribers.len() < MAX_SUBSCRIBERS {
@@ -113,7 +114,7 @@
         }
     }
 
-    /// A subscriber has replied to the push of this nonce, and reported its active version.
+    /// Records a subscriber's reply to the push with this nonce, and its active version.
     pub fn receive_reply(
         &mut self,
         subscriber: u32,
@@ -125,7 +126,7 @@
         let Some(state) = self.subscribers.get_mut(&subscriber) else {
             return ReplyStatus::UnknownSubscriber;
         };
-        // The active version is a fact, whichever push the reply answers.
+        // The reported active version is valid whichever push the reply answers.
         state.active = Some(active);
         if nonce != state.sent_nonce {
             return ReplyStatus::StaleNonce;
@@ -134,8 +135,8 @@
             (PushReply::Rejected(reasons), Some(version)) => {
                 let reasons = reasons.clone();
                 state.last_rejection = Some(Rejection { version, reasons });
-                // By the time that it read the push, it ran another version than was known when
-                // the push was made, one that the push did not name: it is sent once more.
+                // When the subscriber read the push, it ran another version than was known when the
+                // push was made, and the push did not name that version. It is sent once more.
                 let named = state
                     .named_predecessors
                     .is_some_and(|named| named.include(active));
@@ -151,7 +152,8 @@
         ReplyStatus::Accepted
     }
 
-    /// What to push to a subscriber now; none if it runs the newest version or was sent it.
+    /// Returns the push to send to a subscriber now, or `None` if it runs the newest version or was
+    /// sent it already.
     #[must_use]
     pub fn push_for(&mut self, subscriber: u32) -> Option<VersionPush> {
         let newest = self.versions.back()?;
@@ -189,8 +191,8 @@
         })
     }
 
-    /// The versions that a push to a subscriber names, which runs `active` and is remembered at
-    /// this position.
+    /// Returns the predecessors that a push names for a subscriber that runs `active`. `position`
+    /// is that of `active` among the versions remembered with their content.
     fn predecessors(
         &self,
         active: VersionId,
@@ -198,8 +200,9 @@
     ) -> (Vec<VersionId>, NamedPredecessors) {
         let last = self.versions.len() - 1;
         let far_behind = position.is_none() && self.in_lineage(active);
-        // All from the active version on: pushes on their way may be active there by the time that
-        // it reads this one. For one that is further behind, all that are remembered.
+        // Names all versions from the active one on, since a push in transit may be active at the
+        // subscriber by the time it reads this one. If the active version is older than all those
+        // remembered with their content, names it and all of these.
         let first = match position {
             Some(position) => position,
             None if far_behind => 0,
@@ -215,13 +218,13 @@
         (all.collect(), named)
     }
 
-    /// Where a version stands among those remembered with their content.
+    /// Returns the position of a version among those remembered with their content.
     fn position(&self, id: VersionId) -> Option<usize> {
         let mut ids = self.versions.iter().map(|offered| offered.version.id);
         ids.position(|known| known == id)
     }
 
-    /// Whether a version was published here.
+    /// Returns whether a version was published here.
     fn in_lineage(&self, id: VersionId) -> bool {
         let position = self
             .lineage
@@ -229,13 +232,13 @@
         position.is_ok_and(|position| self.lineage[position] == id)
     }
 
-    /// The active version of a subscriber, as it reported last.
+    /// Returns the active version that a subscriber reported last.
     #[must_use]
     pub fn active_version(&self, subscriber: u32) -> Option<VersionId> {
         self.subscribers.get(&subscriber)?.active
     }
 
-    /// What a subscriber rejected last on its stream.
+    /// Returns what a subscriber rejected last on its stream.
     #[must_use]
     pub fn last_rejection(&self, subscriber: u32) -> Option<&Rejection> {
         self.subscribers.get(&subscriber)?.last_rejection.as_ref()
--- a/crates/config-sync/src/stable_ids.rs
+++ b/crates/config-sync/src/stable_ids.rs
@@ -1,23 +1,24 @@
-//! Ids of service classes and tenants that keep their meaning from one deployment to the next.
+//! Assigns ids to service classes and tenants that keep their meaning from one deployment to the
+//! next.
 
 use corkspan_config::Deployment;
 use corkspan_scheduler::interface::{Cluster, ServiceClass, ServiceClassId, Tenant};
 
-/// Rows of either table, those of removed names among them.
+/// Largest number of rows in either table, including rows of removed names.
 const MAX_ROWS: usize = 20_000;
 
-/// More names were added and removed than there are ids; a restart frees the ids of removed names.
+/// More names were added and removed than there are ids. A restart frees the ids of removed names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("more names have come and gone than are kept; a restart is needed")]
 pub struct IdsExhausted;
 
-/// The next deployment with the ids of the current one. A name keeps its id. The row of a removed
-/// name stays, without a name, until no allocation uses it. A service class whose retry safety
-/// changes gets a new id: allocations keep the promise under which they were accepted. `in_use`
-/// counts the allocations of a service class.
+/// Returns the next deployment with the ids of the current one. A name keeps its id. The row of a
+/// removed name stays, without a name, until no allocation uses it. A service class whose retry
+/// safety changes gets a new id, so that allocations keep the retry safety under which they were
+/// accepted. `in_use` returns the number of allocations of a service class.
 ///
 /// # Errors
-/// Where either table would grow beyond 20,000 rows.
+/// Returns [`IdsExhausted`] if either table would grow beyond 20,000 rows.
 pub fn assign(
     current: &Deployment,
     next: Deployment,
@@ -70,8 +71,8 @@
     table
 }
 
-/// Usage is counted by tenant, so that a row is never another tenant's; a removed one has a quota of
-/// 0.
+/// Assigns the rows of tenants. Usage is counted by row, so a row is never reused for another
+/// tenant; a removed tenant keeps its row with a quota of 0.
 fn assign_tenants(current: &Deployment, next: &Deployment) -> Table<Tenant> {
     let mut table = Table {
         names: current.tenants.clone(),
@@ -92,7 +93,7 @@
     table
 }
 
-/// Rows by id, and their names; a row without a name is a removed one's.
+/// Rows and their names by id. A row without a name belongs to a removed name.
 struct Table<T> {
     names: Vec<String>,
     rows: Vec<T>,
@@ -103,7 +104,7 @@
         self.names.iter().position(|known| known == name)
     }
 
-    /// Puts a row into the first one that has no name and is reusable, or a new one.
+    /// Replaces the first row that has no name and is reusable, or appends a row.
     fn insert(&mut self, name: &str, row: &T, reusable: impl Fn(usize) -> bool) {
         let free = (0..self.names.len()).find(|&at| self.names[at].is_empty() && reusable(at));
         match free {
--- a/crates/config-sync/src/subscriber/mod.rs
+++ b/crates/config-sync/src/subscriber/mod.rs
@@ -1,7 +1,7 @@
-//! A dispatcher's end of the stream: which version it runs, and what it does about the next.
+//! A dispatcher's end of the stream: which version it runs and how it handles the next one.
 //!
-//! The state is in [`Subscriber`]; the steps with a push (received, chosen, admitted) and the steps
-//! of a trial (prepared, started, evaluated, finished) have a module each.
+//! The state is in [`Subscriber`]. The steps of a push (received, taken, admitted) and the steps of
+//! a trial (prepared, started, evaluated, finished) each have a module.
 
 mod pushes;
 mod state;
--- a/crates/config-sync/src/subscriber/pushes.rs
+++ b/crates/config-sync/src/subscriber/pushes.rs
@@ -1,4 +1,4 @@
-//! Steps with a push: received, taken, admitted.
+//! The steps of a push: received, taken, admitted.
 
 use super::state::Subscriber;
 use super::types::{
@@ -6,13 +6,14 @@
 };
 use corkspan_scheduler::interface::Ticks;
 
-/// Least time between two versions that take effect (50 ms): of many pushes only the newest is
-/// validated.
+/// Minimum time between two versions that take effect (50 ms), so that only the newest of many
+/// pushes is validated.
 const MIN_APPLY_INTERVAL: Ticks = 500;
 
 impl Subscriber {
-    /// A push was received. Of two that wait the one of the higher number is kept, and the later
-    /// one of the same number; the other is answered as superseded.
+    /// Receives a push. If one is waiting already, the one with the higher version number is kept,
+    /// or the later one if the numbers are equal. Returns the reply to the other, which is
+    /// superseded.
     #[must_use]
     pub fn receive(&mut self, push: VersionPush) -> Option<AddressedReply> {
         let superseded = |older: &VersionPush, newer: &VersionPush| AddressedReply {
@@ -31,12 +32,12 @@
         }
     }
 
-    /// The stream broke: what waits belongs to it and is dropped.
+    /// Drops the waiting push, which belonged to the stream that broke.
     pub fn stream_closed(&mut self) {
         self.waiting = None;
     }
 
-    /// When the waiting push may be taken.
+    /// Returns when the waiting push may be taken.
     #[must_use]
     pub fn next_push(&self, now: Ticks) -> NextPush {
         let earliest = self.applied_at.map(|at| at + MIN_APPLY_INTERVAL);
@@ -53,7 +54,7 @@
         self.waiting.take()
     }
 
-    /// Whether the content of a push is to be validated, or what to reply without.
+    /// Decides whether the content of a push is to be validated or can be replied to at once.
     #[must_use]
     pub fn admit(&self, push: &VersionPush) -> PushAdmission {
         let active = self.active_version();
@@ -79,7 +80,7 @@
         PushAdmission::Validate(content)
     }
 
-    /// Why the pushed version must not come after the active one, if so.
+    /// Returns why the pushed version must not replace the active one, if there is a reason.
     fn order_violation(&self, push: &VersionPush) -> Option<RejectionReason> {
         let (active, version) = (self.active_version(), push.version);
         if self.persisted.rolled_back.contains(&version) {
@@ -91,7 +92,7 @@
         if version.number < active.number {
             return Some(RejectionReason::Stale { active });
         }
-        // A service that was cut off from the others may count on from an older state.
+        // A service that was cut off from the others may have numbered on from an older state.
         let follows = active.number == 0 || push.predecessors.contains(&active);
         (!follows).then_some(RejectionReason::OtherLineage { active })
     }
--- a/crates/config-sync/src/subscriber/state.rs
+++ b/crates/config-sync/src/subscriber/state.rs
@@ -1,18 +1,19 @@
-//! What a subscriber knows between two steps.
+//! The state of a subscriber between two steps.
 
 use super::types::{PersistedVersions, TrialVersion, VersionPush};
 use crate::trial::{Baseline, RequestCounts, Trial};
 use corkspan_config::version::{SharedParts, VersionId};
 use corkspan_scheduler::interface::Ticks;
 
-/// Rolled-back versions that are remembered; the oldest is forgotten first.
+/// Number of rolled-back versions that are remembered. The oldest is forgotten first.
 const MAX_ROLLED_BACK: usize = 32;
 
-/// A version on trial under which the dispatcher was started this often is rolled back: it may be
-/// what ended the dispatcher.
+/// A version on trial is rolled back once the dispatcher was started this many times under it,
+/// since the version may be what made the dispatcher exit.
 const MAX_TRIAL_STARTS: u32 = 3;
 
-/// The versions of one dispatcher. See `docs/config-sync.md` for the order of the steps.
+/// The configuration versions of one dispatcher. `docs/config-sync.md` gives the order of the
+/// steps.
 #[derive(Clone, Debug)]
 pub struct Subscriber {
     pub(super) file: VersionId,
@@ -20,15 +21,15 @@
     pub(super) persisted: PersistedVersions,
     pub(super) baseline: Baseline,
     pub(super) trial: Option<Trial>,
-    /// The newest push that was not yet taken.
+    /// The newest push that has not been taken yet.
     pub(super) waiting: Option<VersionPush>,
     pub(super) applied_at: Option<Ticks>,
 }
 
 impl Subscriber {
-    /// The subscriber of a dispatcher that starts at `now` with this on its disk. `file_texts` are
-    /// the shared parts of its own file. The second value must be on disk before the dispatcher
-    /// serves; none where the disk stays as it is.
+    /// Creates the subscriber of a dispatcher that starts at `now` with this state on its disk.
+    /// `file_texts` are the shared parts of its own file. The second value must be on disk before
+    /// the dispatcher serves; it is `None` if the state on disk does not change.
     #[must_use]
     pub fn restore(
         file_texts: SharedParts,
@@ -65,13 +66,14 @@
         (subscriber, changed)
     }
 
-    /// The active version: the one on trial, else the last good one, else the file (number 0).
+    /// Returns the active version: the one on trial, otherwise the last good one, otherwise the
+    /// file (number 0).
     #[must_use]
     pub fn active_version(&self) -> VersionId {
         self.active().0
     }
 
-    /// The shared parts of the active version.
+    /// Returns the shared parts of the active version.
     #[must_use]
     pub fn active_texts(&self) -> &SharedParts {
         self.active().1
@@ -85,20 +87,20 @@
         })
     }
 
-    /// Whether the active version is on trial.
+    /// Returns whether the active version is on trial.
     #[must_use]
     pub fn on_trial(&self) -> bool {
         self.persisted.trial.is_some()
     }
 
-    /// What is on disk.
+    /// Returns the state that is on disk.
     #[must_use]
     pub fn persisted(&self) -> &PersistedVersions {
         &self.persisted
     }
 }
 
-/// Remembers that this version was rolled back.
+/// Records that this version was rolled back.
 pub(super) fn roll_back(persisted: &mut PersistedVersions, version: VersionId) {
     persisted.rolled_back.push(version);
     let excess = persisted.rolled_back.len().saturating_sub(MAX_ROLLED_BACK);
--- a/crates/config-sync/src/subscriber/trials.rs
+++ b/crates/config-sync/src/subscriber/trials.rs
@@ -1,4 +1,4 @@
-//! Steps of a trial: prepared, started, evaluated, finished.
+//! The steps of a trial: prepared, started, evaluated, finished.
 
 use super::state::{Subscriber, roll_back};
 use super::types::{PersistedVersions, TrialOutcome, TrialVersion, Version};
@@ -7,8 +7,9 @@
 use corkspan_scheduler::interface::Ticks;
 
 impl Subscriber {
-    /// A validated version is to take effect: what must be on disk first. A version on trial that
-    /// it replaces counts as good if it showed no regression over enough requests.
+    /// Returns the state that must be on disk before a validated version takes effect. If it
+    /// replaces a version on trial, that one counts as good if it showed no regression over enough
+    /// requests.
     #[must_use]
     pub fn prepare_trial(
         &self,
@@ -33,7 +34,7 @@
         persisted
     }
 
-    /// What [`Subscriber::prepare_trial`] gave is on disk, and the version takes effect now.
+    /// Makes the version active, once the state from [`Subscriber::prepare_trial`] is on disk.
     pub fn start_trial(&mut self, now: Ticks, persisted: PersistedVersions, counts: RequestCounts) {
         self.update_baseline(now, counts);
         self.trial = Some(match &self.trial {
@@ -44,8 +45,8 @@
         self.applied_at = Some(now);
     }
 
-    /// Evaluates the version on trial by the requests so far; none while the trial goes on, and
-    /// where there is none.
+    /// Evaluates the version on trial by the requests so far. Returns `None` while the trial
+    /// continues and if no version is on trial.
     #[must_use]
     pub fn evaluate_trial(&mut self, now: Ticks, counts: RequestCounts) -> Option<TrialOutcome> {
         let Some(trial) = &self.trial else {
@@ -74,7 +75,7 @@
         })
     }
 
-    /// What [`Subscriber::evaluate_trial`] gave is on disk and active.
+    /// Ends the trial, once the state from [`Subscriber::evaluate_trial`] is on disk and active.
     pub fn finish_trial(
         &mut self,
         now: Ticks,
@@ -83,12 +84,12 @@
     ) {
         self.persisted = persisted;
         self.trial = None;
-        // What was rejected under a version that was rolled back is no measure for the next.
+        // Rejections under a version that was rolled back must not raise the baseline of the next.
         self.baseline.skip(counts);
         self.update_baseline(now, counts);
     }
 
-    /// The baseline counts what comes while no version is on trial.
+    /// Adds the requests to the baseline if no version is on trial.
     fn update_baseline(&mut self, now: Ticks, counts: RequestCounts) {
         if self.trial.is_none() {
             self.baseline.add(now, counts);
--- a/crates/config-sync/src/subscriber/types.rs
+++ b/crates/config-sync/src/subscriber/types.rs
@@ -1,4 +1,4 @@
-//! What a subscriber is handed and hands back.
+//! The inputs and results of a subscriber's steps.
 
 use corkspan_config::version::{Digest, SharedParts, VersionId};
 use corkspan_scheduler::interface::Ticks;
@@ -7,9 +7,9 @@
 /// One complete version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Version {
-    /// Its number and digest.
+    /// The number and digest.
     pub id: VersionId,
-    /// The shared parts of the deployment that it consists of.
+    /// The shared parts of the deployment that make up the version.
     pub texts: SharedParts,
 }
 
@@ -18,24 +18,24 @@
 pub struct TrialVersion {
     /// The version itself.
     pub version: Version,
-    /// How often the dispatcher was started under it.
+    /// Number of times that the dispatcher was started under this version.
     pub starts: u32,
 }
 
-/// What must be on disk before the next step.
+/// The state that must be on disk before the next step.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PersistedVersions {
-    /// The last version that passed its trial; none: the dispatcher's own file.
+    /// The last version that passed its trial, or `None` for the dispatcher's own file.
     pub last_good: Option<Version>,
     /// The version on trial, if there is one.
     pub trial: Option<TrialVersion>,
-    /// Versions that were rolled back here, the oldest first.
+    /// Versions that were rolled back here, oldest first.
     pub rolled_back: Vec<VersionId>,
 }
 
 impl PersistedVersions {
-    /// What is left where the newest version no longer fits the file: the version before it, and
-    /// at last the file alone.
+    /// Removes the newest version, which no longer fits the file. The version before it remains, or
+    /// the file alone.
     #[must_use]
     pub fn without_newest(mut self) -> PersistedVersions {
         if self.trial.take().is_none() {
@@ -45,26 +45,27 @@
     }
 }
 
-/// A version as it comes from the stream, its content not yet validated.
+/// A version as received from the stream, with content that is not yet validated.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct VersionPush {
     /// Identifies the push in its reply.
     pub nonce: u64,
     /// The version that is pushed.
     pub version: VersionId,
-    /// Earlier versions of the same lineage, as the service says.
+    /// Earlier versions of the same lineage according to the service.
     pub predecessors: Vec<VersionId>,
-    /// The version that the changes are made to; none where the push is complete.
+    /// The version that the changes apply to, or `None` if the push is complete.
     pub base: Option<VersionId>,
     /// Parts that are new or changed.
     pub changes: SharedParts,
-    /// Names of parts that are gone.
+    /// Names of removed parts.
     pub removed: Vec<String>,
-    /// The author intends to cut limits below [half](crate::compatibility::violations).
+    /// Whether the author intends to cut limits below
+    /// [half](crate::compatibility::violations) of their values.
     pub allows_cuts: bool,
 }
 
-/// The answer to a push. Its JSON keeps the names of earlier releases.
+/// The reply to a push. Its JSON keeps the names of earlier releases.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PushReply {
     /// The version is active now.
@@ -75,9 +76,9 @@
     /// The version is not active, for these reasons.
     #[serde(rename = "Refused")]
     Rejected(Vec<String>),
-    /// The push was dropped unread for the push of this nonce.
+    /// The push was dropped without validation in favor of the push with this nonce.
     Superseded(u64),
-    /// The changes are made to another version than is active: a complete push is required.
+    /// The changes apply to a version that is not the active one; a complete push is required.
     #[serde(rename = "WantsWhole")]
     FullRequired,
 }
@@ -95,7 +96,7 @@
     /// The version was rolled back here.
     #[error("version {0} was given up here; a next one is needed")]
     RolledBack(VersionId),
-    /// The active version has the same number and another content.
+    /// The active version has the same number and different content.
     #[error("stale: {active} runs here, of the same number and another content")]
     SameNumber {
         /// The active version.
@@ -107,7 +108,7 @@
         /// The active version.
         active: VersionId,
     },
-    /// The active version is none of the predecessors: two control services disagree.
+    /// The active version is not among the predecessors: two control services disagree.
     #[error("split: it does not follow {active}, which runs here")]
     OtherLineage {
         /// The active version.
@@ -116,14 +117,14 @@
     /// The content does not have the digest that the push states.
     #[error("what it says has the digest {actual:?}, not {stated:?}")]
     DigestMismatch {
-        /// Of the content.
+        /// The digest of the content.
         actual: Digest,
-        /// Of the push.
+        /// The digest that the push states.
         stated: Digest,
     },
 }
 
-/// A reply and the push that it answers.
+/// A reply with the nonce of the push that it answers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AddressedReply {
     /// The nonce of that push.
@@ -135,33 +136,33 @@
 /// What to do with a push.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PushAdmission {
-    /// Reply at once; the content need not be read.
+    /// Reply at once; the content need not be validated.
     Reply(PushReply),
     /// Validate this complete content.
     Validate(SharedParts),
 }
 
-/// When the next push is to be taken.
+/// When the next push can be taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NextPush {
-    /// No push waits.
+    /// No push is waiting.
     None,
-    /// One waits, and may be taken after so long.
+    /// A push is waiting and may be taken after this time.
     After(Ticks),
-    /// One may be taken now.
+    /// A push may be taken now.
     Now,
 }
 
 /// How a trial ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TrialOutcome {
-    /// What must be on disk, and active once it is.
+    /// The state that must be on disk, and that is active from then on.
     pub persisted: PersistedVersions,
-    /// Why the version is rolled back; none where it passed.
+    /// Why the version is rolled back, or `None` if it passed.
     pub rollback_reason: Option<String>,
 }
 
-/// A version that is offered to others, and its author's intent.
+/// A version that is offered to others, and whether its author allows deep cuts.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct OfferedVersion {
     pub(crate) version: Version,
--- a/crates/config-sync/src/trial.rs
+++ b/crates/config-sync/src/trial.rs
@@ -1,32 +1,35 @@
-//! Whether a version on trial is a regression: far more requests are rejected under it than before.
+//! Decides whether a version on trial is a regression, that is, whether far more requests are
+//! rejected under it than before.
 
 use corkspan_scheduler::interface::Ticks;
 
 const TICKS_PER_SECOND: f64 = 10_000.0;
-/// A trial lasts this long (30 s), and longer while there were too few requests to judge by.
+/// Duration of a trial (30 s). It lasts longer while there are too few requests to evaluate.
 const TRIAL_DURATION: Ticks = 300_000;
-/// A trial with too few requests ends after this time (150 s), and the version passes.
+/// Duration after which a trial with too few requests ends and the version passes (150 s).
 const MAX_TRIAL_DURATION: Ticks = 5 * TRIAL_DURATION;
-/// With fewer requests a trial is not judged.
+/// Number of requests below which a trial is not evaluated.
 const MIN_REQUESTS: f64 = 50.0;
-/// The rejection rate may rise by this much above the baseline,
+/// Allowed rise of the rejection rate above the baseline, as a fraction of all requests, unless
+/// [`MAX_STANDARD_ERRORS`] allows more.
 const MAX_RATE_INCREASE: f64 = 0.25;
-/// or by this many of its standard errors, whichever is more.
+/// Allowed rise of the rejection rate above the baseline, in standard errors of the rate, unless
+/// [`MAX_RATE_INCREASE`] allows more.
 const MAX_STANDARD_ERRORS: f64 = 3.0;
-/// After this time what was counted has half its weight in the baseline (30 s).
+/// Time after which a request has half its weight in the baseline (30 s), in ticks.
 const BASELINE_HALF_LIFE: f64 = 300_000.0;
 
-/// Requests since the dispatcher's start.
+/// Number of requests since the dispatcher started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RequestCounts {
-    /// All of them.
+    /// All requests.
     pub requests: u64,
-    /// Those that were rejected.
+    /// Rejected requests.
     pub rejected: u64,
 }
 
 impl RequestCounts {
-    /// What was counted since `earlier`.
+    /// Returns the requests counted since `earlier`.
     fn since(self, earlier: RequestCounts) -> RequestCounts {
         RequestCounts {
             requests: self.requests.saturating_sub(earlier.requests),
@@ -35,18 +38,18 @@
     }
 }
 
-/// What a trial has come to.
+/// The verdict on a trial.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TrialVerdict {
-    /// It goes on.
+    /// The trial continues.
     Continue,
-    /// The version is good.
+    /// The version passed.
     Passed,
     /// The version is to be rolled back, for this reason.
     Regressed(String),
 }
 
-/// The usual rejection rate: two sums that decay, brought up to date when counts are added.
+/// The usual rejection rate, kept as two sums that decay whenever counts are added.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Baseline {
     updated_at: Ticks,
@@ -56,7 +59,7 @@
 }
 
 impl Baseline {
-    /// Adds what was counted since the last call.
+    /// Adds the requests counted since the last call.
     pub(crate) fn add(&mut self, now: Ticks, counts: RequestCounts) {
         let elapsed = now.saturating_sub(self.updated_at) as f64;
         let decay = (-elapsed / BASELINE_HALF_LIFE).exp2();
@@ -66,7 +69,7 @@
         (self.updated_at, self.last_counts) = (now, counts);
     }
 
-    /// Leaves out what was counted since the last call.
+    /// Skips the requests counted since the last call.
     pub(crate) fn skip(&mut self, counts: RequestCounts) {
         self.last_counts = counts;
     }
@@ -85,7 +88,7 @@
 pub(crate) struct Trial {
     started_at: Ticks,
     counts_at_start: RequestCounts,
-    /// The rejection rate before it.
+    /// The rejection rate before the trial.
     baseline: f64,
 }
 
@@ -98,7 +101,7 @@
         }
     }
 
-    /// The trial of the version that replaces the one on trial, by the same baseline.
+    /// Returns the trial of a version that replaces the one on trial, with the same baseline.
     pub(crate) fn restart(&self, now: Ticks, counts: RequestCounts) -> Self {
         Trial {
             started_at: now,
@@ -107,7 +110,7 @@
         }
     }
 
-    /// Whether there were enough requests to judge by, and no regression.
+    /// Returns whether there were enough requests to evaluate and no regression.
     pub(crate) fn shows_no_regression(&self, now: Ticks, counts: RequestCounts) -> bool {
         let requests = counts.since(self.counts_at_start).requests as f64;
         let regressed = matches!(self.verdict(now, counts), TrialVerdict::Regressed(_));
--- a/crates/config-sync/src/version_cache.rs
+++ b/crates/config-sync/src/version_cache.rs
@@ -1,30 +1,30 @@
-//! The newest version of a lineage, for dispatchers that no control service reaches.
+//! A cache of the newest version of a lineage, for dispatchers that no control service reaches.
 
 use crate::lineage::Lineage;
 use crate::subscriber::{OfferedVersion, Version, VersionPush};
 use corkspan_config::version::{Digest, SharedParts, VersionId};
 
-/// Sorts before each version there is.
+/// A placeholder that is older than any version.
 const NO_VERSION: VersionId = VersionId {
     number: 0,
     digest: Digest([0; 32]),
 };
 
-/// What became of a version that was to be stored.
+/// The result of storing a version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StoreOutcome {
-    /// It is the newest now.
+    /// The version is now the newest in the cache.
     Stored,
-    /// The cache has one of the same or a higher number.
+    /// The cache has a version of the same or a higher number.
     NotNewer,
-    /// The version in the cache is none of its predecessors.
+    /// The version in the cache is not among its predecessors.
     OtherLineage,
-    /// Its content has another digest than it states.
+    /// Its content does not have the stated digest.
     DigestMismatch,
 }
 
-/// The newest version of a lineage, complete: at a dispatcher the active one, at a quorum member
-/// the newest that a dispatcher has stored there.
+/// The newest version of a lineage with its complete content: at a dispatcher the active version,
+/// at a quorum member the newest that a dispatcher has stored there.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct VersionCache {
     newest: Option<OfferedVersion>,
@@ -32,8 +32,8 @@
 }
 
 impl VersionCache {
-    /// The version that is active here from now on, and the predecessors that its push named. The
-    /// caller has validated it.
+    /// Records the version that is active here from now on, and the predecessors that its push
+    /// named. The caller must have validated the version.
     pub fn record_active(
         &mut self,
         id: VersionId,
@@ -49,8 +49,8 @@
         });
     }
 
-    /// Stores a version that a dispatcher sends here. `predecessors` are earlier versions of its
-    /// lineage, as the sender says.
+    /// Stores a version that a dispatcher has sent. `predecessors` are earlier versions of its
+    /// lineage according to the sender.
     pub fn store(
         &mut self,
         id: VersionId,
@@ -65,7 +65,7 @@
             if newest.number >= id.number {
                 return StoreOutcome::NotNewer;
             }
-            // Dispatchers of the lineage here could never take a version of another.
+            // Dispatchers that run this lineage could never apply a version of another.
             if !predecessors.contains(&newest) {
                 return StoreOutcome::OtherLineage;
             }
@@ -74,15 +74,15 @@
         StoreOutcome::Stored
     }
 
-    /// The version in the cache.
+    /// Returns the version in the cache.
     #[must_use]
     pub fn newest(&self) -> Option<VersionId> {
         self.newest.as_ref().map(|newest| newest.version.id)
     }
 
-    /// A complete push for a dispatcher that runs `active`, if the version here is newer. `active`
-    /// is named as a predecessor only where it is known to be one; else the dispatcher rejects the
-    /// push.
+    /// Returns a complete push for a dispatcher that runs `active`, if the cached version is newer.
+    /// `active` is named as a predecessor only if it is known to be one; otherwise the dispatcher
+    /// rejects the push.
     #[must_use]
     pub fn push_for(&self, active: VersionId) -> Option<VersionPush> {
         let newest = self.newest.as_ref()?;
@@ -105,7 +105,7 @@
         })
     }
 
-    /// A complete push for another cache that holds `newest`, if the version here is newer.
+    /// Returns a complete push for another cache that holds `newest`, if the version here is newer.
     #[must_use]
     pub fn push_to_store(&self, newest: Option<VersionId>) -> Option<VersionPush> {
         self.push_for(newest.unwrap_or(NO_VERSION))
--- a/crates/config-sync/tests/changes.rs
+++ b/crates/config-sync/tests/changes.rs
@@ -1,4 +1,4 @@
-//! One deployment against the next: what is a violation, and which ids stay.
+//! Changes from one deployment to the next: which are violations, and which ids are kept.
 
 use corkspan_config::Deployment;
 use corkspan_config::version::SharedParts;
--- a/crates/config-sync/tests/publisher.rs
+++ b/crates/config-sync/tests/publisher.rs
@@ -1,4 +1,4 @@
-//! A control service's bookkeeping, and the spread of reconnects.
+//! The state of a control service, and the spread of reconnects.
 
 mod support;
 
@@ -25,7 +25,7 @@
     }
 }
 
-/// Many versions while one subscriber is away, further than complete versions are remembered.
+/// While a subscriber is away, more versions are published than are remembered with their content.
 #[test_case(3, true; "just behind")]
 #[test_case(2_348, true; "at 7652 of 10000")]
 #[test_case(9_999, true; "at the first of all")]
@@ -67,8 +67,8 @@
     }
 }
 
-/// More versions than are remembered complete come between the one that the subscriber reported and
-/// the one that is active when it reads the push.
+/// Between the version that the subscriber reported and the one that is active when it reads the
+/// push, more versions are published than are remembered with their content.
 #[test]
 fn a_rejection_for_an_unnamed_predecessor_is_retried_once() {
     let mut publisher = Publisher::default();
--- a/crates/config-sync/tests/recorded/changes.rs
+++ b/crates/config-sync/tests/recorded/changes.rs
@@ -1,4 +1,4 @@
-//! What differs between one deployment and the next, what stands against it, and which ids stay.
+//! The differences between one deployment and the next, the violations, and the ids that are kept.
 
 use crate::transcript::*;
 use corkspan_config::Deployment;
@@ -9,8 +9,8 @@
 
 pub const FILE: &str = include_str!("../data/deployment.sexp");
 
-/// What replaces what in the file, one next version a line: parts with `=>` between, or several
-/// such with `&&` between.
+/// Replacements in the file, one next version per line: `old => new`, or several of these separated
+/// by `&&`.
 const EDITS: &str = include_str!("../data/edits.txt");
 
 fn next_versions(file: &Deployment) -> Vec<(&'static str, Deployment)> {
@@ -55,7 +55,7 @@
     compare("changes.txt", &out);
 }
 
-/// More names than rows are kept for.
+/// More names are added than there are rows.
 #[test]
 fn too_many_names_are_refused() {
     let file = Deployment::parse("d", FILE).unwrap_or_else(|why| panic!("{why}"));
--- a/crates/config-sync/tests/recorded/dispatcher.rs
+++ b/crates/config-sync/tests/recorded/dispatcher.rs
@@ -1,4 +1,4 @@
-//! A dispatcher as these tests drive it: a subscriber, its disk, a clock and request counts.
+//! The dispatcher that these tests drive: a subscriber, its disk, a clock and request counts.
 
 use crate::transcript::*;
 use corkspan_config::version::{SharedParts, VersionId};
@@ -9,7 +9,7 @@
 
 pub const SECOND: u64 = 10_000;
 
-/// A parts text of this content.
+/// Returns the shared parts of a version with this content.
 pub fn parts(content: u64) -> SharedParts {
     let shots = ("shots".to_string(), format!("(shots {content})"));
     let halls = ("halls".to_string(), format!("(halls a{})", content % 3));
@@ -84,7 +84,7 @@
         writeln!(out, "receive {text}: {reply}").unwrap();
     }
 
-    /// Admits a push and puts it into force where it is to be checked.
+    /// Admits a push and starts its trial if its content is to be validated.
     pub fn evaluate(&mut self, push: &VersionPush, out: &mut String) -> PushReply {
         let admitted = self.subscriber.admit(push);
         writeln!(
--- a/crates/config-sync/tests/recorded/main.rs
+++ b/crates/config-sync/tests/recorded/main.rs
@@ -1,4 +1,4 @@
-//! Decisions over scripted and seeded inputs, compared byte for byte with transcripts that an
+//! Compares decisions over scripted and seeded inputs byte for byte with transcripts that an
 //! earlier build wrote (`tests/data/*.txt`). A refactoring must not change a line of them.
 
 mod changes;
--- a/crates/config-sync/tests/recorded/publisher.rs
+++ b/crates/config-sync/tests/recorded/publisher.rs
@@ -1,4 +1,4 @@
-//! What a control service pushes, and when a broken stream is tried again.
+//! The pushes of a control service, and the delays before a broken stream is reconnected.
 
 use crate::dispatcher::*;
 use crate::transcript::*;
@@ -7,7 +7,7 @@
 use rand_pcg::Pcg64Mcg;
 use std::fmt::Write;
 
-/// A control service with three subscribers over streams that lose, delay and break.
+/// A control service with three subscribers, over streams that lose and delay messages and break.
 #[test]
 fn publisher_over_seeded_sequences() {
     let mut out = String::new();
--- a/crates/config-sync/tests/recorded/stored_forms.rs
+++ b/crates/config-sync/tests/recorded/stored_forms.rs
@@ -1,4 +1,4 @@
-//! Digests and JSON as earlier builds made them.
+//! Digests and JSON are the same as those that earlier builds wrote.
 
 use crate::changes::FILE;
 use crate::dispatcher::*;
@@ -6,7 +6,7 @@
 use corkspan_config::version::{Digest, SharedParts, VersionId};
 use corkspan_config_sync::{PersistedVersions, PushReply, Subscriber, Version};
 
-/// Number, digest, parts and the text of all of one version.
+/// Checks the digest, the deployment text and the displayed id of recorded versions.
 #[test]
 fn digests_and_texts_of_versions() {
     let recorded = include_str!("../data/digests.json");
@@ -43,7 +43,7 @@
     );
 }
 
-/// The JSON of each answer to a push, read and written back.
+/// The JSON of each reply to a push can be read and is written back unchanged.
 #[test]
 fn replies_as_json() {
     let recorded = include_str!("../data/replies.json");
@@ -66,7 +66,7 @@
     assert_eq!(refusal, "EOF while parsing an object at line 1 column 48");
 }
 
-/// A version on disk is named by its id: what a dispatcher starts with and what it runs.
+/// A dispatcher that starts with a version on its disk runs that version.
 #[test]
 fn a_kept_version_is_in_force_after_a_start() {
     let good = Version {
--- a/crates/config-sync/tests/recorded/subscriber.rs
+++ b/crates/config-sync/tests/recorded/subscriber.rs
@@ -1,4 +1,4 @@
-//! What a dispatcher's end of the stream decides.
+//! The decisions at a dispatcher's end of the stream.
 
 use crate::dispatcher::*;
 use crate::transcript::*;
@@ -7,7 +7,7 @@
 use rand_pcg::Pcg64Mcg;
 use std::fmt::Write;
 
-/// Each answer and each way out of a trial once, in the order of the checks.
+/// Each reply and each end of a trial once, in the order of the checks.
 #[test]
 fn subscriber_replies_and_trials() {
     let mut out = String::new();
@@ -16,7 +16,7 @@
     let (one, two, four) = (version_id(1, 1), version_id(2, 2), version_id(4, 4));
     own.pass(SECOND, 200, 10);
     own.observe(&mut out);
-    // In force: the first predecessors nothing, and the file has no number to follow.
+    // Applied without predecessors, since the file is not part of a lineage.
     own.evaluate(&full_push(1, one, 1, &[]), &mut out);
     own.evaluate(&full_push(2, one, 1, &[]), &mut out);
     own.evaluate(&full_push(3, version_id(1, 5), 5, &[one]), &mut out);
@@ -33,7 +33,7 @@
     };
     own.evaluate(&delta(version_id(9, 9)), &mut out);
     own.evaluate(&delta(one), &mut out);
-    // One more while one is on trial, and received pushes in between.
+    // Another version while one is on trial, and pushes received in between.
     own.pass(100, 60, 3);
     own.next_push(&mut out);
     own.receive(full_push(10, version_id(3, 3), 3, &[two]), &mut out);
@@ -48,19 +48,19 @@
     own.subscriber.stream_closed();
     own.pass(SECOND, 0, 0);
     own.next_push(&mut out);
-    // Too few requests, then enough of them rejected: given up, and not taken again.
+    // Too few requests, then enough of them rejected: rolled back, and not admitted again.
     own.pass(SECOND, 49, 49);
     own.observe(&mut out);
     own.pass(SECOND, 51, 50);
     own.observe(&mut out);
     own.evaluate(&full_push(14, four, 4, &[two]), &mut out);
-    // A trial that ends well.
+    // A trial that passes.
     own.evaluate(&full_push(15, version_id(6, 6), 6, &[two]), &mut out);
     own.pass(29 * SECOND, 100, 5);
     own.observe(&mut out);
     own.pass(SECOND, 0, 0);
     own.observe(&mut out);
-    // One without requests lasts five times as long.
+    // A trial without requests lasts five times as long.
     own.evaluate(
         &full_push(16, version_id(7, 7), 7, &[version_id(6, 6)]),
         &mut out,
@@ -69,7 +69,7 @@
     own.observe(&mut out);
     own.pass(SECOND, 0, 0);
     own.observe(&mut out);
-    // Started again and again under a trial.
+    // The dispatcher is started repeatedly under a version on trial.
     own.evaluate(
         &full_push(17, version_id(8, 8), 8, &[version_id(7, 7)]),
         &mut out,
@@ -83,7 +83,8 @@
     compare("subscriber.txt", &out);
 }
 
-/// Long random sequences: pushes of three lineages, deltas, breaks, restarts, load.
+/// Long random sequences of pushes from three lineages, complete or as changes, with broken streams,
+/// restarts and load.
 #[test]
 fn subscriber_over_seeded_sequences() {
     let mut out = String::new();
--- a/crates/config-sync/tests/recorded/transcript.rs
+++ b/crates/config-sync/tests/recorded/transcript.rs
@@ -1,4 +1,4 @@
-//! Decisions as lines of text, in words that do not depend on the names of types.
+//! Writes decisions as lines of text that do not depend on the names of types.
 
 use corkspan_config::version::{SharedParts, VersionId};
 use corkspan_config_sync::{
@@ -6,7 +6,8 @@
 };
 use std::path::Path;
 
-/// Compares with what is recorded; what was got is left beside the test for a look.
+/// Compares a transcript with the recorded one. If they differ, writes it to the folder for
+/// temporary files and panics with the first differing line.
 pub fn compare(name: &str, got: &str) {
     let data = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data");
     let recorded = std::fs::read_to_string(data.join(name)).unwrap_or_default();
--- a/crates/config-sync/tests/recorded/version_cache.rs
+++ b/crates/config-sync/tests/recorded/version_cache.rs
@@ -1,4 +1,4 @@
-//! What a dispatcher or quorum member offers to others from the newest version that it has.
+//! The pushes that a dispatcher or quorum member offers to others from its newest version.
 
 use crate::dispatcher::*;
 use crate::transcript::*;
--- a/crates/config-sync/tests/state_space/events.rs
+++ b/crates/config-sync/tests/state_space/events.rs
@@ -1,6 +1,6 @@
-//! What can happen in the exchange, and how broken variants differ.
+//! The events of the exchange, and the defects of its broken variants.
 
-/// What a broken variant does wrong.
+/// The defect of a broken variant of the exchange.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Defect {
     None,
@@ -27,7 +27,7 @@
 }
 
 impl Event {
-    /// All that can happen to one dispatcher.
+    /// Returns all events of one dispatcher.
     pub fn of(dispatcher: usize) -> [Event; 11] {
         let kinds: [fn(usize) -> Event; 11] = [
             Event::Open,
--- a/crates/config-sync/tests/state_space/main.rs
+++ b/crates/config-sync/tests/state_space/main.rs
@@ -1,11 +1,12 @@
-//! Every state of a small exchange: a control service with three versions, of which the second is
-//! invalid, a rival that was cut off and has a first version of its own, two dispatchers, streams
-//! that break with all that is on its way, kills at any step, trials that end badly.
+//! Searches every state of a small exchange: a control service with three versions, of which the
+//! second is invalid; a rival control service that was cut off and has a first version of its own;
+//! two dispatchers; streams that break and lose all messages in transit; kills at any step; and
+//! trials that end in a rollback.
 //!
-//! The claim: what is active at a dispatcher was valid, and on its disk first; versions go on to
-//! higher numbers, and back only by a rollback; once nothing is on its way, the publisher knows what
-//! is active; and no valid version stands as rejected, but for one that does not follow the active
-//! one.
+//! The invariants: the active version of a dispatcher is valid and was on its disk first; version
+//! numbers only increase, except by a rollback; once no message is in transit, the publisher knows
+//! the active version; and no valid version is recorded as rejected unless it was rolled back or
+//! does not follow the active one.
 
 mod events;
 mod world;
@@ -16,7 +17,7 @@
 use test_case::test_case;
 use world::World;
 
-/// The first dispatcher runs the first version.
+/// Returns a world in which the first dispatcher runs the first version.
 fn with_an_active_version() -> World {
     let events = [
         Event::Publish,
@@ -35,11 +36,12 @@
     })
 }
 
-/// Goes through all states up to this depth; how many, or how the claim is broken.
+/// Searches all states up to this depth. Returns their number, or which invariant is broken and
+/// how.
 fn search(from: World, defect: Defect, depth: usize) -> Result<usize, String> {
     let mut seen = HashSet::new();
     let mut states = vec![(from, 0)];
-    // Breadth first, so that a state is met first with the most steps left.
+    // Breadth first, so that a state is first reached with the most steps left.
     for at in 0.. {
         let Some((world, steps)) = states.get(at).cloned() else {
             break;
--- a/crates/config-sync/tests/state_space/world.rs
+++ b/crates/config-sync/tests/state_space/world.rs
@@ -1,4 +1,5 @@
-//! The exchange: a control service, a rival, two dispatchers, and what can happen to them.
+//! The exchange between a control service, a rival control service and two dispatchers, and the
+//! effects of its events.
 
 use crate::events::{Defect, Event};
 use corkspan_config::version::{SharedParts, VersionId};
@@ -13,12 +14,12 @@
         .collect()
 }
 
-/// Stands for the validation of a version: the second one is invalid.
+/// Replaces the validation of a version: the second one is invalid.
 fn is_valid(texts_of_version: &SharedParts) -> bool {
     *texts_of_version != texts(2)
 }
 
-/// What a dispatcher is about to do with a push that it admitted.
+/// The next step of a dispatcher with a push that it admitted.
 #[derive(Clone, Debug)]
 enum Step {
     Idle,
@@ -36,11 +37,11 @@
 #[derive(Clone, Debug)]
 struct Dispatcher {
     disk: PersistedVersions,
-    /// None: killed.
+    /// `None` while the dispatcher is killed.
     subscriber: Option<Subscriber>,
     step: Step,
     open: bool,
-    /// Its stream is the rival's, whose bookkeeping is not checked.
+    /// Whether the stream is connected to the rival, whose state is not checked.
     rival: bool,
     pushes: Vec<VersionPush>,
     replies: Vec<Reply>,
@@ -76,7 +77,7 @@
         }
     }
 
-    /// The world after this, if it can happen now; or what it breaks.
+    /// Returns the world after this event if it can happen now, or the invariant that it breaks.
     pub fn after(&self, event: Event, defect: Defect) -> Option<Result<World, String>> {
         let mut next = self.clone();
         next.happen(event, defect)?;
@@ -147,7 +148,7 @@
         Some(())
     }
 
-    /// Whether the claim holds after this event.
+    /// Checks that the invariants hold after this event.
     fn check(&self, before: &World, event: Event) -> Result<(), String> {
         let pairs = std::iter::zip(&self.dispatchers, &before.dispatchers);
         for (id, (dispatcher, earlier)) in pairs.enumerate() {
@@ -187,7 +188,8 @@
 }
 
 impl Dispatcher {
-    /// The next version is on disk before it is active: a kill in between starts under that.
+    /// Checks that a version is on disk before it is active, so that a dispatcher killed in between
+    /// starts with it.
     fn check_disk(&self, id: usize, active: VersionId) -> Result<(), String> {
         let trial = self.disk.trial.as_ref().map(|trial| trial.version.id);
         let last_good = self.disk.last_good.as_ref().map(|good| good.id);
@@ -198,7 +200,7 @@
         Ok(())
     }
 
-    /// Back to an earlier version only by a rollback.
+    /// Checks that the version number decreases only by a rollback.
     fn check_order(&self, id: usize, active: VersionId, event: Event) -> Result<(), String> {
         let subscriber = self.subscriber.as_ref();
         let former = subscriber.map_or(active, Subscriber::active_version);
@@ -306,7 +308,7 @@
         Some(())
     }
 
-    /// All requests are rejected, and the version on trial is rolled back.
+    /// Rejects all requests, so that the version on trial is rolled back.
     fn regress(&mut self) -> Option<()> {
         let subscriber = self.subscriber.as_mut()?;
         if !subscriber.on_trial() || !matches!(self.step, Step::Idle) {
@@ -319,7 +321,7 @@
         let persisted = subscriber.evaluate_trial(0, all)?.persisted;
         self.disk = persisted.clone();
         subscriber.finish_trial(0, persisted, all);
-        // Reported unasked: no push is answered by it.
+        // A report without a push that it answers.
         self.send(0, PushReply::Unchanged);
         Some(())
     }
--- a/crates/config-sync/tests/subscriber.rs
+++ b/crates/config-sync/tests/subscriber.rs
@@ -1,4 +1,4 @@
-//! What a dispatcher does about pushes and trials, one test for each failure.
+//! How a dispatcher handles pushes and trials, with one test for each failure.
 
 mod support;
 
--- a/crates/config-sync/tests/support/mod.rs
+++ b/crates/config-sync/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! What several tests of this package share.
+//! Functions shared by several tests of this package.
 
 use corkspan_config::version::{SharedParts, VersionId};
 use corkspan_config_sync::{
--- a/crates/config-sync/tests/version_cache.rs
+++ b/crates/config-sync/tests/version_cache.rs
@@ -1,4 +1,4 @@
-//! What one dispatcher or quorum member offers to another, without a control service.
+//! The versions that one dispatcher or quorum member offers to another, without a control service.
 
 use corkspan_config::version::{SharedParts, VersionId};
 use corkspan_config_sync::{
@@ -19,7 +19,7 @@
     }
 }
 
-/// The cache of a dispatcher that ran each version of a lineage in turn.
+/// Returns the cache of a dispatcher that ran each version of a lineage in turn.
 fn cache(newest: u64) -> VersionCache {
     let mut cache = VersionCache::default();
     for number in 1..=newest {
@@ -33,7 +33,7 @@
     cache
 }
 
-/// How a dispatcher that runs this version admits a push.
+/// Returns how a dispatcher that runs this version admits a push.
 fn admission_at(number: u64, content: u64, push: &VersionPush) -> PushAdmission {
     let mut subscriber = Subscriber::restore(texts(0), PersistedVersions::default(), 0).0;
     let persisted = subscriber.prepare_trial(
