--- a/crates/config-sync/src/compatibility.rs
+++ b/crates/config-sync/src/compatibility.rs
@@ -21,7 +21,7 @@
         let allocations = in_use(ServiceClassId(id));
         if !name.is_empty() && allocations > 0 && !next.service_classes.contains(name) {
             violations.push(format!(
-                "tracks/{name}: removed, and {allocations} allocations in hand are of it"
+                "tracks/{name}: removed, but {allocations} allocations still use it"
             ));
         }
     }
@@ -114,7 +114,7 @@
     let described = changes.iter().map(|change| {
         let LimitChange { name, before, after } = change;
         format!(
-            "{name}: cut from {before} to {after}; below {MIN_REMAINING_FRACTION} of it only with the mark of intent"
+            "{name}: cut from {before} to {after}; a cut below {MIN_REMAINING_FRACTION} of the value needs allows_large_cuts"
         )
     });
     described.collect()
--- a/crates/config-sync/src/stable_ids.rs
+++ b/crates/config-sync/src/stable_ids.rs
@@ -9,7 +9,7 @@
 
 /// More names were added and removed than there are ids. A restart frees the ids of removed names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("more names have come and gone than are kept; a restart is needed")]
+#[error("more names were added and removed than ids can be kept for; a restart is needed")]
 pub struct IdsExhausted;
 
 /// Returns the next deployment with the ids of the current one. A name keeps its id. The row of a
--- a/crates/config-sync/src/subscriber/types.rs
+++ b/crates/config-sync/src/subscriber/types.rs
@@ -94,28 +94,28 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RejectionReason {
     /// The version was rolled back here.
-    #[error("version {0} was given up here; a next one is needed")]
+    #[error("version {0} was given up here; publish a new version")]
     RolledBack(VersionId),
     /// The active version has the same number and different content.
-    #[error("stale: {active} runs here, of the same number and another content")]
+    #[error("stale: the active version {active} has the same number and different content")]
     SameNumber {
         /// The active version.
         active: VersionId,
     },
     /// The active version has a higher number.
-    #[error("stale: {active} runs here")]
+    #[error("stale: the active version {active} is newer")]
     Stale {
         /// The active version.
         active: VersionId,
     },
     /// The active version is not among the predecessors: two control services disagree.
-    #[error("split: it does not follow {active}, which runs here")]
+    #[error("split: the version does not follow the active version {active}")]
     OtherLineage {
         /// The active version.
         active: VersionId,
     },
     /// The content does not have the digest that the push states.
-    #[error("what it says has the digest {actual:?}, not {stated:?}")]
+    #[error("the content has the digest {actual:?}, not {stated:?}")]
     DigestMismatch {
         /// The digest of the content.
         actual: Digest,
--- a/crates/config-sync/src/trial.rs
+++ b/crates/config-sync/src/trial.rs
@@ -129,7 +129,7 @@
             if rate - self.baseline > allowed {
                 let percent = |rate: f64| (rate * 100.0).round();
                 return TrialVerdict::Regressed(format!(
-                    "{}% of {requests} asks refused in {:.1} s, {}% before",
+                    "{}% of {requests} requests rejected in {:.1} s, {}% before",
                     percent(rate),
                     lasted as f64 / TICKS_PER_SECOND,
                     percent(self.baseline)
--- a/crates/config-sync/tests/changes.rs
+++ b/crates/config-sync/tests/changes.rs
@@ -18,7 +18,7 @@
 
 fn next(from: &str, to: &str) -> Deployment {
     assert!(FILE.contains(from));
-    let texts = SharedParts::parse("v", &FILE.replace(from, to)).expect("a form");
+    let texts = SharedParts::parse("v", &FILE.replace(from, to)).expect("the file is valid");
     file()
         .with_version("v", &texts)
         .unwrap_or_else(|reason| panic!("{reason}"))
@@ -58,9 +58,9 @@
 #[test]
 fn ids_stay_with_their_names_in_any_order() {
     let tracks = "(tracks (once (repeat unrepeatable) (contract-time 1 s)) (new (repeat idempotent) (contract-time 1 s)) (web (repeat idempotent) (contract-time 700 ms)))";
-    let from =
-        &FILE[FILE.find("(tracks").expect("there")..FILE.find("\n  (accounts").expect("there")];
-    let ids = stable_ids::assign(&file(), next(from, tracks), |_| 1).expect("room");
+    let from = &FILE[FILE.find("(tracks").expect("the file has this part")
+        ..FILE.find("\n  (accounts").expect("the file has this part")];
+    let ids = stable_ids::assign(&file(), next(from, tracks), |_| 1).expect("ids are left");
     assert_eq!(ids.service_classes, ["web", "once", "new"]);
     assert_eq!(ids.cluster.service_classes[0].latency_objective, 7_000);
 }
@@ -71,7 +71,7 @@
     let ids = stable_ids::assign(&file(), loose, |class| {
         usize::from(class == ServiceClassId(1))
     })
-    .expect("room");
+    .expect("ids are left");
     assert_eq!(ids.service_classes, ["web", "", "once"]);
     assert_eq!(
         ids.cluster.service_classes[1].retry_safety,
@@ -86,14 +86,14 @@
     let ids = stable_ids::assign(&ids, strict, |class| {
         usize::from(class == ServiceClassId(2))
     })
-    .expect("room");
+    .expect("ids are left");
     assert_eq!(ids.service_classes, ["web", "once", ""]);
 }
 
 #[test]
 fn a_removed_tenant_keeps_its_row_with_a_quota_of_zero() {
-    let ids =
-        stable_ids::assign(&file(), next("(one (share-cores 10)) ", ""), |_| 0).expect("room");
+    let ids = stable_ids::assign(&file(), next("(one (share-cores 10)) ", ""), |_| 0)
+        .expect("ids are left");
     assert_eq!(
         (&ids.tenants[..], ids.cluster.tenants[0].quota_cores),
         (&["".into(), "two".into()][..], Some(0.0))
--- a/crates/config-sync/tests/publisher.rs
+++ b/crates/config-sync/tests/publisher.rs
@@ -28,8 +28,8 @@
 /// While a subscriber is away, more versions are published than are remembered with their content.
 #[test_case(3, true; "just behind")]
 #[test_case(2_348, true; "at 7652 of 10000")]
-#[test_case(9_999, true; "at the first of all")]
-#[test_case(2_348, false; "at another version of that number")]
+#[test_case(9_999, true; "at the first version")]
+#[test_case(2_348, false; "at a version of another lineage with that number")]
 fn a_subscriber_however_far_behind_applies_the_newest_of_its_own_lineage(
     behind: u64,
     same_lineage: bool,
@@ -54,7 +54,7 @@
             }
         },
     );
-    let push = publisher.push_for(7).expect("it lacks the newest");
+    let push = publisher.push_for(7).expect("the newest version is pushed");
     match subscriber.admit(&push) {
         PushAdmission::Validate(content) => assert!(same_lineage && content == texts(ALL)),
         PushAdmission::Reply(PushReply::Rejected(reason)) => {
@@ -76,19 +76,19 @@
         .map(|number| publisher.publish(texts(number), false))
         .collect();
     publisher.subscriber_connected(7, versions[0]);
-    let first = publisher.push_for(7).expect("a push");
+    let first = publisher.push_for(7).expect("the newest version is pushed");
     assert!(
         !first.predecessors.contains(&versions[2_000]),
-        "not all of those between are named"
+        "not all versions in between are named"
     );
     let split = PushReply::Rejected(vec!["split".into()]);
     publisher.receive_reply(7, first.nonce, &split, versions[2_000]);
-    let retry = publisher.push_for(7).expect("once more");
+    let retry = publisher.push_for(7).expect("the push is repeated");
     assert!(retry.predecessors.contains(&versions[2_000]));
     publisher.receive_reply(7, retry.nonce, &split, versions[2_000]);
     assert_eq!(
         publisher.push_for(7),
         None,
-        "what is rejected for another reason is not pushed again and again"
+        "a push rejected for another reason is not repeated"
     );
 }
--- a/crates/config-sync/tests/recorded/changes.rs
+++ b/crates/config-sync/tests/recorded/changes.rs
@@ -18,7 +18,9 @@
     let next = edits.map(|edit| {
         let mut text = FILE.to_string();
         for step in edit.split("&&") {
-            let (from, to) = step.split_once("=>").expect("an edit has two sides");
+            let (from, to) = step
+                .split_once("=>")
+                .expect("an edit is written as old => new");
             assert!(text.contains(from.trim()), "the file lacks `{from}`");
             text = text.replace(from.trim(), to.trim());
         }
@@ -47,9 +49,9 @@
             writeln!(out, "  differs: {difference}").unwrap();
         }
         let odd = |id: ServiceClassId| id.0 % 2;
-        let alone = stable_ids::assign(&file, next.clone(), odd).expect("rows are left");
+        let alone = stable_ids::assign(&file, next.clone(), odd).expect("ids are left");
         writeln!(out, "  ids {}", ids_of(&alone)).unwrap();
-        running = stable_ids::assign(&running, next, odd).expect("rows are left");
+        running = stable_ids::assign(&running, next, odd).expect("ids are left");
         writeln!(out, "  ids in a row {}", ids_of(&running)).unwrap();
     }
     compare("changes.txt", &out);
--- a/crates/config-sync/tests/recorded/stored_forms.rs
+++ b/crates/config-sync/tests/recorded/stored_forms.rs
@@ -10,35 +10,40 @@
 #[test]
 fn digests_and_texts_of_versions() {
     let recorded = include_str!("../data/digests.json");
-    let samples: Vec<serde_json::Value> = serde_json::from_str(recorded).expect("JSON");
+    let samples: Vec<serde_json::Value> =
+        serde_json::from_str(recorded).expect("the recorded JSON is valid");
     assert_eq!(samples.len(), 6);
     for sample in &samples {
-        let entries = sample["parts"].as_object().expect("parts by name");
+        let entries = sample["parts"]
+            .as_object()
+            .expect("parts are stored by name");
         let texts: SharedParts = entries
             .iter()
-            .map(|(name, text)| (name.clone(), text.as_str().expect("a text").to_string()))
+            .map(|(name, text)| (name.clone(), text.as_str().expect("a string").to_string()))
             .collect();
         let digest = texts.digest();
         assert_eq!(digest.to_string(), sample["digest"], "{sample}");
         assert_eq!(texts.to_deployment_text(), sample["text"], "{sample}");
         assert_eq!(Digest::from_hex(&digest.to_string()), Some(digest));
-        let number = sample["number"].as_u64().expect("a number");
+        let number = sample["number"]
+            .as_u64()
+            .expect("the version number is an integer");
         assert_eq!(
             VersionId { number, digest }.to_string(),
             sample["shown"],
             "{sample}"
         );
         let half = &digest.to_string()[..32];
-        assert_eq!(Digest::from_hex(half), None, "half a digest is none");
+        assert_eq!(Digest::from_hex(half), None, "half a digest is invalid");
     }
-    let file = SharedParts::parse("d", FILE).expect("the file is sound");
+    let file = SharedParts::parse("d", FILE).expect("the file is valid");
     assert_eq!(
         file.digest().to_string(),
         samples[5]["digest"],
-        "comments do not count"
+        "comments do not affect the digest"
     );
     assert_eq!(
-        SharedParts::parse("w", &file.to_deployment_text()).expect("sound"),
+        SharedParts::parse("w", &file.to_deployment_text()).expect("the written text is valid"),
         file
     );
 }
@@ -47,7 +52,7 @@
 #[test]
 fn replies_as_json() {
     let recorded = include_str!("../data/replies.json");
-    let replies: Vec<PushReply> = serde_json::from_str(recorded).expect("each is known");
+    let replies: Vec<PushReply> = serde_json::from_str(recorded).expect("each reply is known");
     let known: Vec<String> = replies.iter().map(reply_text).collect();
     let expected = [
         "applied",
@@ -58,11 +63,11 @@
     ];
     assert_eq!(known, expected);
     assert_eq!(
-        serde_json::to_string(&replies).expect("JSON") + "\n",
+        serde_json::to_string(&replies).expect("replies can be serialized") + "\n",
         recorded
     );
     let half = serde_json::from_str::<Vec<PushReply>>(&recorded[..recorded.len() / 2]);
-    let refusal = half.expect_err("half of it is refused").to_string();
+    let refusal = half.expect_err("truncated JSON is rejected").to_string();
     assert_eq!(refusal, "EOF while parsing an object at line 1 column 48");
 }
 
--- a/crates/config-sync/tests/recorded/subscriber.rs
+++ b/crates/config-sync/tests/recorded/subscriber.rs
@@ -42,7 +42,10 @@
     own.next_push(&mut out);
     own.pass(400, 0, 0);
     own.next_push(&mut out);
-    let taken = own.subscriber.take_push().expect("the newest is left");
+    let taken = own
+        .subscriber
+        .take_push()
+        .expect("the newest push is waiting");
     own.evaluate(&taken, &mut out);
     own.receive(full_push(13, version_id(5, 5), 5, &[four]), &mut out);
     own.subscriber.stream_closed();
@@ -83,8 +86,8 @@
     compare("subscriber.txt", &out);
 }
 
-/// Long random sequences of pushes from three lineages, complete or as changes, with broken streams,
-/// restarts and load.
+/// Long random sequences of pushes from three lineages, complete or as changes, with broken
+/// streams, restarts and load.
 #[test]
 fn subscriber_over_seeded_sequences() {
     let mut out = String::new();
@@ -107,7 +110,7 @@
             }
             own.next_push(&mut out);
             if own.subscriber.next_push(own.now) == NextPush::Now {
-                let push = own.subscriber.take_push().expect("a push waits");
+                let push = own.subscriber.take_push().expect("a push is waiting");
                 own.evaluate(&push, &mut out);
             }
         }
--- a/crates/config-sync/tests/recorded/transcript.rs
+++ b/crates/config-sync/tests/recorded/transcript.rs
@@ -15,11 +15,11 @@
         return;
     }
     let left = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
-    std::fs::write(&left, got).expect("the folder for temporary files takes it");
+    std::fs::write(&left, got).expect("the folder for temporary files is writable");
     let lines = std::iter::zip(got.lines(), recorded.lines());
     let same = lines.take_while(|(got, recorded)| got == recorded).count();
     panic!(
-        "{name}, line {}:\n     got {:?}\nrecorded {:?}\nall of it: {}",
+        "{name}, line {}:\n     got {:?}\nrecorded {:?}\nwhole transcript: {}",
         same + 1,
         got.lines().nth(same),
         recorded.lines().nth(same),
--- a/crates/config-sync/tests/state_space/main.rs
+++ b/crates/config-sync/tests/state_space/main.rs
@@ -31,8 +31,8 @@
     events.into_iter().fold(World::start(), |world, event| {
         world
             .after(event, Defect::None)
-            .expect("it can happen")
-            .expect("and breaks nothing")
+            .expect("the event is possible")
+            .expect("the event breaks no invariant")
     })
 }
 
@@ -78,11 +78,11 @@
     assert!(states > 10_000, "{states} states");
 }
 
-#[test_case(World::start(), Defect::RepliesBeforeTheDisk, "not on disk"; "replies before it is on disk")]
+#[test_case(World::start(), Defect::RepliesBeforeTheDisk, "not on disk"; "replies before the version is on disk")]
 #[test_case(World::start(), Defect::ValidatesNothing, "invalid"; "validates nothing")]
 #[test_case(with_an_active_version(), Defect::TakesAnyNumber, "went from"; "takes any number")]
-#[test_case(World::start(), Defect::RepliesWithoutNonce, "stands as rejected"; "replies without nonce")]
+#[test_case(World::start(), Defect::RepliesWithoutNonce, "is recorded as rejected"; "replies without nonce")]
 fn a_broken_exchange_is_found(from: World, defect: Defect, how: &str) {
-    let why = search(from, defect, 10).expect_err("found");
+    let why = search(from, defect, 10).expect_err("the defect is found");
     assert!(why.contains(how), "{why}");
 }
--- a/crates/config-sync/tests/state_space/world.rs
+++ b/crates/config-sync/tests/state_space/world.rs
@@ -181,7 +181,9 @@
             && !reasons.iter().any(|reason| reason.contains("given up"))
             && !rival
         {
-            return Err(format!("{version} stands as rejected by {id}: {reasons:?}"));
+            return Err(format!(
+                "{version} is recorded as rejected by {id}: {reasons:?}"
+            ));
         }
         Ok(())
     }
--- a/crates/config-sync/tests/subscriber.rs
+++ b/crates/config-sync/tests/subscriber.rs
@@ -31,7 +31,7 @@
     assert_eq!(
         subscriber.receive(push(12, 3, &[])),
         Some(superseded(12, 11)),
-        "late, and older"
+        "an older version arrives late"
     );
     assert_eq!(subscriber.next_push(100), NextPush::After(400));
     assert_eq!(subscriber.next_push(500), NextPush::Now);
@@ -60,7 +60,7 @@
     );
     for start in 0..3 {
         let (subscriber, changed) = Subscriber::restore(texts(0), persisted.clone(), 0);
-        persisted = changed.expect("each start is counted on disk");
+        persisted = changed.expect("each start is recorded on disk");
         assert_eq!(
             subscriber.active_version(),
             if start < 2 { two } else { one }
@@ -71,7 +71,7 @@
     assert_eq!(
         subscriber.admit(&push(9, 2, &[one])),
         PushAdmission::Reply(PushReply::Rejected(vec![format!(
-            "version {two} was given up here; a next one is needed"
+            "version {two} was given up here; publish a new version"
         )]))
     );
     assert!(matches!(
@@ -80,7 +80,7 @@
     ));
 }
 
-#[test_case(20, 0, 12; "from few to many")]
+#[test_case(20, 0, 12; "from none to nearly all")]
 #[test_case(1_000, 500, 40; "from half to nearly all")]
 fn a_far_higher_rejection_rate_rolls_the_version_back(requests: u64, rejected: u64, accepted: u64) {
     let mut subscriber = subscriber();
@@ -93,17 +93,17 @@
     assert_eq!(
         subscriber.evaluate_trial(2 * SECOND, some),
         None,
-        "too few requests to judge by"
+        "too few requests to evaluate"
     );
     let all = counts(requests + 400, rejected + 400 - accepted);
     let outcome = subscriber
         .evaluate_trial(2 * SECOND, all)
-        .expect("it is decided");
+        .expect("the trial is decided");
     assert!(
         outcome
             .rollback_reason
-            .expect("with a reason")
-            .contains("of 400 asks refused in 1.0 s")
+            .expect("the rollback has a reason")
+            .contains("of 400 requests rejected in 1.0 s")
     );
     subscriber.finish_trial(2 * SECOND, outcome.persisted, all);
     assert_eq!(
@@ -112,8 +112,8 @@
     );
 }
 
-#[test_case(1_000, 500, 1_000, 600; "slightly more in an overloaded hour")]
-#[test_case(0, 0, 0, 0; "no requests at all for long")]
+#[test_case(1_000, 500, 1_000, 600; "slightly more rejections under overload")]
+#[test_case(0, 0, 0, 0; "no requests for a long time")]
 #[test_case(100, 0, 100, 5; "some rejections")]
 fn a_version_without_regression_passes_its_trial(
     requests: u64,
@@ -131,11 +131,11 @@
     assert_eq!(
         subscriber.evaluate_trial(30 * SECOND, after),
         None,
-        "not yet"
+        "the trial continues"
     );
     let outcome = subscriber
         .evaluate_trial(151 * SECOND, after)
-        .expect("decided");
+        .expect("the trial is decided");
     assert_eq!(
         (
             outcome.persisted.last_good.map(|good| good.id),
@@ -153,7 +153,7 @@
     apply(&mut subscriber, 2 * SECOND, 2, counts(1_040, 40));
     let outcome = subscriber
         .evaluate_trial(3 * SECOND, counts(1_140, 140))
-        .expect("decided");
-    let reason = outcome.rollback_reason.expect("a reason");
+        .expect("the trial is decided");
+    let reason = outcome.rollback_reason.expect("the rollback has a reason");
     assert!(reason.contains("0% before"));
 }
--- a/crates/config-sync/tests/version_cache.rs
+++ b/crates/config-sync/tests/version_cache.rs
@@ -48,12 +48,16 @@
 
 #[test]
 fn a_dispatcher_of_the_lineage_takes_the_newest_however_far_behind_and_one_of_another_rejects_it() {
-    let push = cache(50_000).push_for(version_id(3, 3)).expect("later");
+    let push = cache(50_000)
+        .push_for(version_id(3, 3))
+        .expect("the cached version is newer");
     assert_eq!(
         admission_at(3, 3, &push),
         PushAdmission::Validate(texts(50_000))
     );
-    let push = cache(50_000).push_for(version_id(3, 77)).expect("later");
+    let push = cache(50_000)
+        .push_for(version_id(3, 77))
+        .expect("the cached version is newer");
     assert!(
         matches!(admission_at(3, 77, &push), PushAdmission::Reply(PushReply::Rejected(why)) if why[0].contains("split"))
     );
@@ -65,14 +69,14 @@
     assert_eq!(
         cache
             .push_for(version_id(5, 5))
-            .expect("later")
+            .expect("the cached version is newer")
             .predecessors,
         []
     );
     assert_eq!(
         cache
             .push_for(version_id(100_000, 100_000))
-            .expect("later")
+            .expect("the cached version is newer")
             .predecessors,
         [version_id(100_000, 100_000)]
     );
@@ -120,7 +124,7 @@
         assert_eq!(
             cache
                 .push_for(version_id(old, old))
-                .expect("later")
+                .expect("the cached version is newer")
                 .predecessors,
             [],
             "{old}"
@@ -129,7 +133,7 @@
     assert_eq!(
         cache
             .push_for(version_id(7, 70))
-            .expect("later")
+            .expect("the cached version is newer")
             .predecessors,
         [version_id(7, 70)]
     );
