--- a/crates/config-sync/src/compatibility.rs
+++ b/crates/config-sync/src/compatibility.rs
@@ -37,7 +37,7 @@
 fn restart_only_changes(current: &Deployment, next: &Deployment) -> Vec<String> {
     let (before, after) = (&current.cluster, &next.cluster);
     let (bounds, next_bounds) = (&current.limits, &next.limits);
-    let same = [
+    let comparisons = [
         (
             "schedulers",
             before.scheduler_count == after.scheduler_count,
@@ -75,7 +75,7 @@
             bounds.max_message_bytes == next_bounds.max_message_bytes,
         ),
     ];
-    let changed = same.iter().filter(|(_, same)| !same);
+    let changed = comparisons.iter().filter(|(_, is_same)| !is_same);
     changed
         .map(|(part, _)| format!("{part}: a change needs a restart"))
         .collect()
--- a/crates/config-sync/src/stable_ids.rs
+++ b/crates/config-sync/src/stable_ids.rs
@@ -106,9 +106,10 @@
 
     /// Replaces the first row that has no name and is reusable, or appends a row.
     fn insert(&mut self, name: &str, row: &T, reusable: impl Fn(usize) -> bool) {
-        let free = (0..self.names.len()).find(|&at| self.names[at].is_empty() && reusable(at));
+        let free =
+            (0..self.names.len()).find(|&index| self.names[index].is_empty() && reusable(index));
         match free {
-            Some(at) => (self.names[at], self.rows[at]) = (name.into(), row.clone()),
+            Some(index) => (self.names[index], self.rows[index]) = (name.into(), row.clone()),
             None => {
                 self.names.push(name.into());
                 self.rows.push(row.clone());
--- a/crates/config-sync/src/trial.rs
+++ b/crates/config-sync/src/trial.rs
@@ -63,9 +63,9 @@
     pub(crate) fn add(&mut self, now: Ticks, counts: RequestCounts) {
         let elapsed = now.saturating_sub(self.updated_at) as f64;
         let decay = (-elapsed / BASELINE_HALF_LIFE).exp2();
-        let new = counts.since(self.last_counts);
-        self.requests = self.requests * decay + new.requests as f64;
-        self.rejected = self.rejected * decay + new.rejected as f64;
+        let added = counts.since(self.last_counts);
+        self.requests = self.requests * decay + added.requests as f64;
+        self.rejected = self.rejected * decay + added.rejected as f64;
         (self.updated_at, self.last_counts) = (now, counts);
     }
 
@@ -120,9 +120,9 @@
     pub(crate) fn verdict(&self, now: Ticks, counts: RequestCounts) -> TrialVerdict {
         let counted = counts.since(self.counts_at_start);
         let (requests, rejected) = (counted.requests as f64, counted.rejected as f64);
-        let lasted = now.saturating_sub(self.started_at);
-        let enough = requests >= MIN_REQUESTS;
-        if enough {
+        let duration = now.saturating_sub(self.started_at);
+        let has_enough_requests = requests >= MIN_REQUESTS;
+        if has_enough_requests {
             let rate = rejected / requests;
             let standard_error = (rate * (1.0 - rate) / requests).sqrt();
             let allowed = MAX_RATE_INCREASE.max(MAX_STANDARD_ERRORS * standard_error);
@@ -131,12 +131,12 @@
                 return TrialVerdict::Regressed(format!(
                     "{}% of {requests} requests rejected in {:.1} s, {}% before",
                     percent(rate),
-                    lasted as f64 / TICKS_PER_SECOND,
+                    duration as f64 / TICKS_PER_SECOND,
                     percent(self.baseline)
                 ));
             }
         }
-        if enough && lasted >= TRIAL_DURATION || lasted >= MAX_TRIAL_DURATION {
+        if has_enough_requests && duration >= TRIAL_DURATION || duration >= MAX_TRIAL_DURATION {
             TrialVerdict::Passed
         } else {
             TrialVerdict::Continue
--- a/crates/config-sync/tests/publisher.rs
+++ b/crates/config-sync/tests/publisher.rs
@@ -13,12 +13,12 @@
 proptest! {
     #[test]
     fn hundreds_of_reconnects_after_a_lost_service_are_spread(seed in any::<u64>(), failures in 1..6u32) {
-        let waits = (0..300u64).map(|subscriber| {
+        let delays = (0..300u64).map(|subscriber| {
             let mut backoff = ReconnectBackoff::new(seed ^ subscriber << 32);
             (0..failures).map(|_| backoff.next_delay(0)).last().unwrap_or(0)
         });
         let mut seconds: BTreeMap<Ticks, usize> = BTreeMap::new();
-        waits.for_each(|wait| *seconds.entry(wait / SECOND).or_default() += 1);
+        delays.for_each(|delay| *seconds.entry(delay / SECOND).or_default() += 1);
         let span = (5_000u64 << failures).min(200_000) / SECOND;
         let max = seconds.values().max().copied().unwrap_or(0);
         prop_assert!(max <= (300 / span.max(1) as usize) * 2 + 60, "{seconds:?}");
@@ -34,11 +34,11 @@
     behind: u64,
     same_lineage: bool,
 ) {
-    const ALL: u64 = 10_000;
+    const NEWEST: u64 = 10_000;
     let (mut publisher, mut subscriber) = (Publisher::default(), subscriber());
-    for number in 1..=ALL {
+    for number in 1..=NEWEST {
         publisher.publish(texts(number), false);
-        if number + behind == ALL {
+        if number + behind == NEWEST {
             apply(&mut subscriber, 0, number, RequestCounts::default());
         }
     }
@@ -56,7 +56,7 @@
     );
     let push = publisher.push_for(7).expect("the newest version is pushed");
     match subscriber.admit(&push) {
-        PushAdmission::Validate(content) => assert!(same_lineage && content == texts(ALL)),
+        PushAdmission::Validate(content) => assert!(same_lineage && content == texts(NEWEST)),
         PushAdmission::Reply(PushReply::Rejected(reason)) => {
             assert!(
                 !same_lineage && reason[0].starts_with("split"),
--- a/crates/config-sync/tests/recorded/changes.rs
+++ b/crates/config-sync/tests/recorded/changes.rs
@@ -37,35 +37,35 @@
 fn changes_between_deployments() {
     let mut out = String::new();
     let file = Deployment::parse("d", FILE).unwrap_or_else(|why| panic!("{why}"));
-    let mut running = file.clone();
+    let mut current = file.clone();
     for (edit, next) in next_versions(&file) {
         writeln!(out, "edit {edit}").unwrap();
         for (cuts, in_use) in [(false, 0), (true, 0), (false, 3)] {
-            for obstacle in compatibility::violations(&file, &next, cuts, |_| in_use) {
-                writeln!(out, "  obstacle, cuts {cuts}, {in_use} in use: {obstacle}").unwrap();
+            for violation in compatibility::violations(&file, &next, cuts, |_| in_use) {
+                writeln!(out, "  obstacle, cuts {cuts}, {in_use} in use: {violation}").unwrap();
             }
         }
         for difference in differences::describe(&file, &next) {
             writeln!(out, "  differs: {difference}").unwrap();
         }
         let odd = |id: ServiceClassId| id.0 % 2;
-        let alone = stable_ids::assign(&file, next.clone(), odd).expect("ids are left");
-        writeln!(out, "  ids {}", ids_of(&alone)).unwrap();
-        running = stable_ids::assign(&running, next, odd).expect("ids are left");
-        writeln!(out, "  ids in a row {}", ids_of(&running)).unwrap();
+        let assigned = stable_ids::assign(&file, next.clone(), odd).expect("ids are left");
+        writeln!(out, "  ids {}", ids_of(&assigned)).unwrap();
+        current = stable_ids::assign(&current, next, odd).expect("ids are left");
+        writeln!(out, "  ids in a row {}", ids_of(&current)).unwrap();
     }
     compare("changes.txt", &out);
 }
 
 /// More names are added than there are rows.
 #[test]
-fn too_many_names_are_refused() {
+fn too_many_names_are_rejected() {
     let file = Deployment::parse("d", FILE).unwrap_or_else(|why| panic!("{why}"));
     let with_rows = |rows: usize| {
         let names = (0..rows).map(|row| format!("x{row}")).collect();
-        let tracks = vec![file.cluster.service_classes[0].clone(); rows];
+        let classes = vec![file.cluster.service_classes[0].clone(); rows];
         let cluster = Cluster {
-            service_classes: tracks,
+            service_classes: classes,
             ..file.cluster.clone()
         };
         Deployment {
@@ -80,21 +80,21 @@
 }
 
 fn ids_of(deployment: &Deployment) -> String {
-    let tracks = std::iter::zip(
+    let classes = std::iter::zip(
         &deployment.service_classes,
         &deployment.cluster.service_classes,
     );
-    let tracks = tracks.map(|(name, track)| {
-        let repeat = match &track.retry_safety {
+    let classes = classes.map(|(name, class)| {
+        let retry_safety_text = match &class.retry_safety {
             RetrySafety::Idempotent => "idempotent".to_string(),
             RetrySafety::Deduplicated { window, .. } => format!("deduplicated for {window}"),
             RetrySafety::NotRetryable => "unrepeatable".to_string(),
         };
-        format!("{name:?} {repeat} {}", track.latency_objective)
+        format!("{name:?} {retry_safety_text} {}", class.latency_objective)
     });
-    let tracks: Vec<String> = tracks.collect();
-    let accounts = std::iter::zip(&deployment.tenants, &deployment.cluster.tenants);
-    let accounts = accounts.map(|(name, account)| format!("{name:?} {:?}", account.quota_cores));
-    let accounts: Vec<String> = accounts.collect();
-    format!("{} | {}", tracks.join(", "), accounts.join(", "))
+    let classes: Vec<String> = classes.collect();
+    let tenants = std::iter::zip(&deployment.tenants, &deployment.cluster.tenants);
+    let tenants = tenants.map(|(name, tenant)| format!("{name:?} {:?}", tenant.quota_cores));
+    let tenants: Vec<String> = tenants.collect();
+    format!("{} | {}", classes.join(", "), tenants.join(", "))
 }
--- a/crates/config-sync/tests/recorded/dispatcher.rs
+++ b/crates/config-sync/tests/recorded/dispatcher.rs
@@ -11,13 +11,13 @@
 
 /// Returns the shared parts of a version with this content.
 pub fn parts(content: u64) -> SharedParts {
-    let shots = ("shots".to_string(), format!("(shots {content})"));
-    let halls = ("halls".to_string(), format!("(halls a{})", content % 3));
-    let extra = ("cold".to_string(), format!("(cold {content})"));
+    let max_attempts = ("shots".to_string(), format!("(shots {content})"));
+    let zones = ("halls".to_string(), format!("(halls a{})", content % 3));
+    let slow_start = ("cold".to_string(), format!("(cold {content})"));
     let all = [
-        Some(shots),
-        Some(halls),
-        (content % 2 == 1).then_some(extra),
+        Some(max_attempts),
+        Some(zones),
+        (content % 2 == 1).then_some(slow_start),
     ];
     all.into_iter().flatten().collect()
 }
@@ -74,11 +74,11 @@
     pub fn receive(&mut self, push: VersionPush, out: &mut String) {
         let text = push_text(&push);
         let reply = self.subscriber.receive(push);
-        let reply = optional(reply.as_ref(), |answered| {
+        let reply = optional(reply.as_ref(), |addressed| {
             format!(
                 "{} to nonce {}",
-                reply_text(&answered.reply),
-                answered.nonce
+                reply_text(&addressed.reply),
+                addressed.nonce
             )
         });
         writeln!(out, "receive {text}: {reply}").unwrap();
@@ -144,7 +144,7 @@
     }
 
     pub fn state(&self, out: &mut String) {
-        let running = self.subscriber.active_version();
+        let active = self.subscriber.active_version();
         let texts = self.subscriber.active_texts();
         assert_eq!(self.subscriber.persisted(), &self.disk);
         let trial = if self.subscriber.on_trial() {
@@ -156,15 +156,15 @@
         writeln!(
             out,
             "  runs {} {} {trial}; disk {disk}",
-            id_text(running),
+            id_text(active),
             parts_text(texts)
         )
         .unwrap();
     }
 
-    pub fn pass(&mut self, time: u64, asked: u64, refused: u64) {
+    pub fn advance(&mut self, time: u64, new_requests: u64, new_rejections: u64) {
         self.now += time;
-        self.counts.requests += asked;
-        self.counts.rejected += refused;
+        self.counts.requests += new_requests;
+        self.counts.rejected += new_rejections;
     }
 }
--- a/crates/config-sync/tests/recorded/stored_forms.rs
+++ b/crates/config-sync/tests/recorded/stored_forms.rs
@@ -67,24 +67,28 @@
         recorded
     );
     let half = serde_json::from_str::<Vec<PushReply>>(&recorded[..recorded.len() / 2]);
-    let refusal = half.expect_err("truncated JSON is rejected").to_string();
-    assert_eq!(refusal, "EOF while parsing an object at line 1 column 48");
+    let error = half.expect_err("truncated JSON is rejected").to_string();
+    assert_eq!(error, "EOF while parsing an object at line 1 column 48");
 }
 
 /// A dispatcher that starts with a version on its disk runs that version.
 #[test]
-fn a_kept_version_is_in_force_after_a_start() {
+fn a_persisted_version_is_active_after_a_start() {
     let good = Version {
         id: version_id(7, 7),
         texts: parts(7),
     };
-    let kept = PersistedVersions {
+    let persisted = PersistedVersions {
         last_good: Some(good),
         ..PersistedVersions::default()
     };
-    let (own, changed) = Subscriber::restore(parts(0), kept, 0);
+    let (subscriber, changed) = Subscriber::restore(parts(0), persisted, 0);
     assert_eq!(
-        (own.active_version(), own.active_texts(), changed),
+        (
+            subscriber.active_version(),
+            subscriber.active_texts(),
+            changed
+        ),
         (version_id(7, 7), &parts(7), None)
     );
 }
--- a/crates/config-sync/tests/recorded/transcript.rs
+++ b/crates/config-sync/tests/recorded/transcript.rs
@@ -14,8 +14,8 @@
     if got == recorded {
         return;
     }
-    let left = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
-    std::fs::write(&left, got).expect("the folder for temporary files is writable");
+    let written_to = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
+    std::fs::write(&written_to, got).expect("the folder for temporary files is writable");
     let lines = std::iter::zip(got.lines(), recorded.lines());
     let same = lines.take_while(|(got, recorded)| got == recorded).count();
     panic!(
@@ -23,7 +23,7 @@
         same + 1,
         got.lines().nth(same),
         recorded.lines().nth(same),
-        left.display()
+        written_to.display()
     );
 }
 
@@ -74,23 +74,23 @@
     }
 }
 
-pub fn admission_text(admitted: &PushAdmission) -> String {
-    match admitted {
+pub fn admission_text(admission: &PushAdmission) -> String {
+    match admission {
         PushAdmission::Reply(reply) => reply_text(reply),
         PushAdmission::Validate(parts) => format!("check {}", parts_text(parts)),
     }
 }
 
-pub fn receipt_text(receipt: ReplyStatus) -> &'static str {
-    match receipt {
+pub fn reply_status_text(status: ReplyStatus) -> &'static str {
+    match status {
         ReplyStatus::Accepted => "counted",
         ReplyStatus::StaleNonce => "to an older push",
         ReplyStatus::UnknownSubscriber => "of no subscriber",
     }
 }
 
-pub fn store_text(stored: StoreOutcome) -> &'static str {
-    match stored {
+pub fn store_text(outcome: StoreOutcome) -> &'static str {
+    match outcome {
         StoreOutcome::Stored => "stored",
         StoreOutcome::NotNewer => "not newer",
         StoreOutcome::OtherLineage => "another lineage",
--- a/crates/config-sync/tests/recorded/version_cache.rs
+++ b/crates/config-sync/tests/recorded/version_cache.rs
@@ -40,11 +40,11 @@
                 let stored = store_text(stored);
                 writeln!(out, "store {id} after {before}: {stored}").unwrap();
             }
-            let theirs = rng.random_range(0..=newest + 1);
-            let theirs = version_id(theirs, theirs + lineage);
-            let offered = optional(cache.push_for(theirs).as_ref(), push_text);
-            writeln!(out, "  for {}: {offered}", id_text(theirs)).unwrap();
-            let other = Some(theirs).filter(|_| number % 3 > 0);
+            let active = rng.random_range(0..=newest + 1);
+            let active = version_id(active, active + lineage);
+            let offered = optional(cache.push_for(active).as_ref(), push_text);
+            writeln!(out, "  for {}: {offered}", id_text(active)).unwrap();
+            let other = Some(active).filter(|_| number % 3 > 0);
             let offered = optional(cache.push_to_store(other).as_ref(), push_text);
             writeln!(
                 out,
--- a/crates/config-sync/tests/state_space/events.rs
+++ b/crates/config-sync/tests/state_space/events.rs
@@ -28,8 +28,8 @@
 
 impl Event {
     /// Returns all events of one dispatcher.
-    pub fn of(dispatcher: usize) -> [Event; 11] {
-        let kinds: [fn(usize) -> Event; 11] = [
+    pub fn for_dispatcher(dispatcher: usize) -> [Event; 11] {
+        let constructors: [fn(usize) -> Event; 11] = [
             Event::Open,
             Event::OpenToRival,
             Event::Break,
@@ -42,6 +42,6 @@
             Event::Kill,
             Event::Start,
         ];
-        kinds.map(|event| event(dispatcher))
+        constructors.map(|event| event(dispatcher))
     }
 }
--- a/crates/config-sync/tests/state_space/main.rs
+++ b/crates/config-sync/tests/state_space/main.rs
@@ -42,8 +42,8 @@
     let mut seen = HashSet::new();
     let mut states = vec![(from, 0)];
     // Breadth first, so that a state is first reached with the most steps left.
-    for at in 0.. {
-        let Some((world, steps)) = states.get(at).cloned() else {
+    for index in 0.. {
+        let Some((world, steps)) = states.get(index).cloned() else {
             break;
         };
         if steps == depth {
@@ -51,8 +51,8 @@
         }
         let events = [Event::Publish]
             .into_iter()
-            .chain(Event::of(0))
-            .chain(Event::of(1));
+            .chain(Event::for_dispatcher(0))
+            .chain(Event::for_dispatcher(1));
         for event in events {
             let Some(next) = world.after(event, defect) else {
                 continue;
@@ -70,7 +70,7 @@
 
 #[test_case(World::start(), 10; "from the start")]
 #[test_case(with_an_active_version(), 8; "with an active version")]
-fn no_order_of_breaks_and_kills_activates_what_is_invalid_or_not_on_disk(
+fn no_order_of_breaks_and_kills_activates_a_version_that_is_invalid_or_not_on_disk(
     from: World,
     depth: usize,
 ) {
@@ -82,7 +82,7 @@
 #[test_case(World::start(), Defect::ValidatesNothing, "invalid"; "validates nothing")]
 #[test_case(with_an_active_version(), Defect::TakesAnyNumber, "went from"; "takes any number")]
 #[test_case(World::start(), Defect::RepliesWithoutNonce, "is recorded as rejected"; "replies without nonce")]
-fn a_broken_exchange_is_found(from: World, defect: Defect, how: &str) {
+fn a_broken_exchange_is_found(from: World, defect: Defect, expected: &str) {
     let why = search(from, defect, 10).expect_err("the defect is found");
-    assert!(why.contains(how), "{why}");
+    assert!(why.contains(expected), "{why}");
 }
--- a/crates/config-sync/tests/state_space/world.rs
+++ b/crates/config-sync/tests/state_space/world.rs
@@ -80,7 +80,7 @@
     /// Returns the world after this event if it can happen now, or the invariant that it breaks.
     pub fn after(&self, event: Event, defect: Defect) -> Option<Result<World, String>> {
         let mut next = self.clone();
-        next.happen(event, defect)?;
+        next.apply_event(event, defect)?;
         for (id, dispatcher) in next.dispatchers.iter_mut().enumerate() {
             if dispatcher.open && !dispatcher.rival {
                 let push = next.publisher.push_for(id as u32);
@@ -90,7 +90,7 @@
         Some(next.check(self, event).map(|()| next))
     }
 
-    fn happen(&mut self, event: Event, defect: Defect) -> Option<()> {
+    fn apply_event(&mut self, event: Event, defect: Defect) -> Option<()> {
         match event {
             Event::Publish => self.publish(),
             Event::Open(id) => self.open(id),
@@ -168,9 +168,9 @@
 
     fn check_publisher(&self, id: usize, active: VersionId) -> Result<(), String> {
         let dispatcher = &self.dispatchers[id];
-        let quiet = dispatcher.open && !dispatcher.rival && dispatcher.replies.is_empty();
+        let is_settled = dispatcher.open && !dispatcher.rival && dispatcher.replies.is_empty();
         let known = self.publisher.active_version(id as u32);
-        if quiet && known != Some(active) {
+        if is_settled && known != Some(active) {
             return Err(format!(
                 "the publisher knows {known:?} of {id}, {active} is active"
             ));
@@ -246,8 +246,8 @@
             return None;
         }
         let push = self.pushes.remove(0);
-        if let Some(answered) = self.subscriber.as_mut()?.receive(push) {
-            self.send(answered.nonce, answered.reply);
+        if let Some(addressed) = self.subscriber.as_mut()?.receive(push) {
+            self.send(addressed.nonce, addressed.reply);
         }
         Some(())
     }
@@ -258,7 +258,7 @@
         }
         let subscriber = self.subscriber.as_mut()?;
         let push = subscriber.take_push()?;
-        let admitted = match subscriber.admit(&push) {
+        let admission = match subscriber.admit(&push) {
             PushAdmission::Reply(PushReply::Rejected(_))
                 if defect == Defect::TakesAnyNumber && push.base.is_none() =>
             {
@@ -266,7 +266,7 @@
             }
             other => other,
         };
-        match admitted {
+        match admission {
             PushAdmission::Reply(reply) => self.send(push.nonce, reply),
             PushAdmission::Validate(texts)
                 if !is_valid(&texts) && defect != Defect::ValidatesNothing =>
--- a/crates/config-sync/tests/subscriber.rs
+++ b/crates/config-sync/tests/subscriber.rs
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn a_version_that_replaces_one_on_trial_is_judged_by_the_baseline_of_before_both() {
+fn a_version_that_replaces_one_on_trial_is_evaluated_by_the_baseline_from_before_both() {
     let mut subscriber = subscriber();
     assert_eq!(subscriber.evaluate_trial(SECOND, counts(1_000, 0)), None);
     apply(&mut subscriber, SECOND, 1, counts(1_000, 0));
--- a/crates/config-sync/tests/version_cache.rs
+++ b/crates/config-sync/tests/version_cache.rs
@@ -23,12 +23,17 @@
 fn cache(newest: u64) -> VersionCache {
     let mut cache = VersionCache::default();
     for number in 1..=newest {
-        let before = if number > 1 {
+        let predecessors = if number > 1 {
             vec![version_id(number - 1, number - 1)]
         } else {
             Vec::new()
         };
-        cache.record_active(version_id(number, number), texts(number), false, &before);
+        cache.record_active(
+            version_id(number, number),
+            texts(number),
+            false,
+            &predecessors,
+        );
     }
     cache
 }
@@ -47,7 +52,8 @@
 }
 
 #[test]
-fn a_dispatcher_of_the_lineage_takes_the_newest_however_far_behind_and_one_of_another_rejects_it() {
+fn a_dispatcher_of_the_lineage_applies_the_newest_version_however_far_behind_and_one_of_another_rejects_it()
+ {
     let push = cache(50_000)
         .push_for(version_id(3, 3))
         .expect("the cached version is newer");
@@ -59,7 +65,7 @@
         .push_for(version_id(3, 77))
         .expect("the cached version is newer");
     assert!(
-        matches!(admission_at(3, 77, &push), PushAdmission::Reply(PushReply::Rejected(why)) if why[0].contains("split"))
+        matches!(admission_at(3, 77, &push), PushAdmission::Reply(PushReply::Rejected(reasons)) if reasons[0].contains("split"))
     );
 }
 
@@ -83,7 +89,7 @@
 }
 
 #[test]
-fn a_dispatcher_that_runs_as_new_a_version_is_offered_nothing() {
+fn a_dispatcher_that_runs_the_same_or_a_newer_version_is_offered_nothing() {
     assert_eq!(cache(7).push_for(version_id(7, 7)), None);
     assert_eq!(cache(7).push_for(version_id(8, 8)), None);
 }
