--- a/crates/config-sync/src/lineage.rs
+++ b/crates/config-sync/src/lineage.rs
@@ -3,9 +3,9 @@
 use corkspan_config::version::{Digest, VersionId};
 use std::collections::BTreeMap;
 
-/// Number of versions of a lineage that are remembered (48 bytes each, so 5 MB at most). Whether
-/// the version of a subscriber further behind belongs to the lineage, only a control service can
-/// tell.
+/// Number of versions of a lineage that are remembered (48 bytes each, so 5 MB at most). For a
+/// subscriber further behind, only a control service can confirm that its version belongs to the
+/// lineage.
 const MAX_IDS: usize = 100_000;
 
 /// Versions known to belong to one lineage, as digests by version number.
