--- a/crates/config-sync/tests/state_space/events.rs
+++ b/crates/config-sync/tests/state_space/events.rs
@@ -1,6 +1,6 @@
-//! What can happen in the exchange, and how broken variants differ.
+//! The events of the exchange, and the defects of its broken variants.
 
-/// What a broken variant does wrong.
+/// The defect of a broken variant of the exchange.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Defect {
     None,
@@ -27,9 +27,9 @@
 }
 
 impl Event {
-    /// All that can happen to one dispatcher.
-    pub fn of(dispatcher: usize) -> [Event; 11] {
-        let kinds: [fn(usize) -> Event; 11] = [
+    /// Returns all events of one dispatcher.
+    pub fn for_dispatcher(dispatcher: usize) -> [Event; 11] {
+        let constructors: [fn(usize) -> Event; 11] = [
             Event::Open,
             Event::OpenToRival,
             Event::Break,
@@ -42,6 +42,6 @@
             Event::Kill,
             Event::Start,
         ];
-        kinds.map(|event| event(dispatcher))
+        constructors.map(|event| event(dispatcher))
     }
 }
--- a/crates/config-sync/tests/state_space/world.rs
+++ b/crates/config-sync/tests/state_space/world.rs
@@ -1,4 +1,5 @@
-//! The exchange: a control service, a rival, two dispatchers, and what can happen to them.
+//! The exchange between a control service, a rival control service and two dispatchers, and the
+//! effects of its events.
 
 use crate::events::{Defect, Event};
 use corkspan_config::version::{SharedParts, VersionId};
@@ -13,12 +14,12 @@
         .collect()
 }
 
-/// Stands for the validation of a version: the second one is invalid.
+/// Replaces the validation of a version: the second one is invalid.
 fn is_valid(texts_of_version: &SharedParts) -> bool {
     *texts_of_version != texts(2)
 }
 
-/// What a dispatcher is about to do with a push that it admitted.
+/// The next step of a dispatcher with a push that it admitted.
 #[derive(Clone, Debug)]
 enum Step {
     Idle,
@@ -36,11 +37,11 @@
 #[derive(Clone, Debug)]
 struct Dispatcher {
     disk: PersistedVersions,
-    /// None: killed.
+    /// `None` while the dispatcher is killed.
     subscriber: Option<Subscriber>,
     step: Step,
     open: bool,
-    /// Its stream is the rival's, whose bookkeeping is not checked.
+    /// Whether the stream is connected to the rival, whose state is not checked.
     rival: bool,
     pushes: Vec<VersionPush>,
     replies: Vec<Reply>,
@@ -76,10 +77,10 @@
         }
     }
 
-    /// The world after this, if it can happen now; or what it breaks.
+    /// Returns the world after this event if it can happen now, or the invariant that it breaks.
     pub fn after(&self, event: Event, defect: Defect) -> Option<Result<World, String>> {
         let mut next = self.clone();
-        next.happen(event, defect)?;
+        next.apply_event(event, defect)?;
         for (id, dispatcher) in next.dispatchers.iter_mut().enumerate() {
             if dispatcher.open && !dispatcher.rival {
                 let push = next.publisher.push_for(id as u32);
@@ -89,7 +90,7 @@
         Some(next.check(self, event).map(|()| next))
     }
 
-    fn happen(&mut self, event: Event, defect: Defect) -> Option<()> {
+    fn apply_event(&mut self, event: Event, defect: Defect) -> Option<()> {
         match event {
             Event::Publish => self.publish(),
             Event::Open(id) => self.open(id),
@@ -147,7 +148,7 @@
         Some(())
     }
 
-    /// Whether the claim holds after this event.
+    /// Checks that the invariants hold after this event.
     fn check(&self, before: &World, event: Event) -> Result<(), String> {
         let pairs = std::iter::zip(&self.dispatchers, &before.dispatchers);
         for (id, (dispatcher, earlier)) in pairs.enumerate() {
@@ -167,9 +168,9 @@
 
     fn check_publisher(&self, id: usize, active: VersionId) -> Result<(), String> {
         let dispatcher = &self.dispatchers[id];
-        let quiet = dispatcher.open && !dispatcher.rival && dispatcher.replies.is_empty();
+        let is_settled = dispatcher.open && !dispatcher.rival && dispatcher.replies.is_empty();
         let known = self.publisher.active_version(id as u32);
-        if quiet && known != Some(active) {
+        if is_settled && known != Some(active) {
             return Err(format!(
                 "the publisher knows {known:?} of {id}, {active} is active"
             ));
@@ -180,14 +181,17 @@
             && !reasons.iter().any(|reason| reason.contains("given up"))
             && !rival
         {
-            return Err(format!("{version} stands as rejected by {id}: {reasons:?}"));
+            return Err(format!(
+                "{version} is recorded as rejected by {id}: {reasons:?}"
+            ));
         }
         Ok(())
     }
 }
 
 impl Dispatcher {
-    /// The next version is on disk before it is active: a kill in between starts under that.
+    /// Checks that a version is on disk before it is active, so that a dispatcher killed in between
+    /// starts with it.
     fn check_disk(&self, id: usize, active: VersionId) -> Result<(), String> {
         let trial = self.disk.trial.as_ref().map(|trial| trial.version.id);
         let last_good = self.disk.last_good.as_ref().map(|good| good.id);
@@ -198,7 +202,7 @@
         Ok(())
     }
 
-    /// Back to an earlier version only by a rollback.
+    /// Checks that the version number decreases only by a rollback.
     fn check_order(&self, id: usize, active: VersionId, event: Event) -> Result<(), String> {
         let subscriber = self.subscriber.as_ref();
         let former = subscriber.map_or(active, Subscriber::active_version);
@@ -242,8 +246,8 @@
             return None;
         }
         let push = self.pushes.remove(0);
-        if let Some(answered) = self.subscriber.as_mut()?.receive(push) {
-            self.send(answered.nonce, answered.reply);
+        if let Some(addressed) = self.subscriber.as_mut()?.receive(push) {
+            self.send(addressed.nonce, addressed.reply);
         }
         Some(())
     }
@@ -254,7 +258,7 @@
         }
         let subscriber = self.subscriber.as_mut()?;
         let push = subscriber.take_push()?;
-        let admitted = match subscriber.admit(&push) {
+        let admission = match subscriber.admit(&push) {
             PushAdmission::Reply(PushReply::Rejected(_))
                 if defect == Defect::TakesAnyNumber && push.base.is_none() =>
             {
@@ -262,7 +266,7 @@
             }
             other => other,
         };
-        match admitted {
+        match admission {
             PushAdmission::Reply(reply) => self.send(push.nonce, reply),
             PushAdmission::Validate(texts)
                 if !is_valid(&texts) && defect != Defect::ValidatesNothing =>
@@ -306,7 +310,7 @@
         Some(())
     }
 
-    /// All requests are rejected, and the version on trial is rolled back.
+    /// Rejects all requests, so that the version on trial is rolled back.
     fn regress(&mut self) -> Option<()> {
         let subscriber = self.subscriber.as_mut()?;
         if !subscriber.on_trial() || !matches!(self.step, Step::Idle) {
@@ -319,7 +323,7 @@
         let persisted = subscriber.evaluate_trial(0, all)?.persisted;
         self.disk = persisted.clone();
         subscriber.finish_trial(0, persisted, all);
-        // Reported unasked: no push is answered by it.
+        // A report without a push that it answers.
         self.send(0, PushReply::Unchanged);
         Some(())
     }
--- a/crates/config-sync/tests/version_cache.rs
+++ b/crates/config-sync/tests/version_cache.rs
@@ -1,4 +1,4 @@
-//! What one dispatcher or quorum member offers to another, without a control service.
+//! The versions that one dispatcher or quorum member offers to another, without a control service.
 
 use corkspan_config::version::{SharedParts, VersionId};
 use corkspan_config_sync::{
@@ -19,21 +19,26 @@
     }
 }
 
-/// The cache of a dispatcher that ran each version of a lineage in turn.
+/// Returns the cache of a dispatcher that ran each version of a lineage in turn.
 fn cache(newest: u64) -> VersionCache {
     let mut cache = VersionCache::default();
     for number in 1..=newest {
-        let before = if number > 1 {
+        let predecessors = if number > 1 {
             vec![version_id(number - 1, number - 1)]
         } else {
             Vec::new()
         };
-        cache.record_active(version_id(number, number), texts(number), false, &before);
+        cache.record_active(
+            version_id(number, number),
+            texts(number),
+            false,
+            &predecessors,
+        );
     }
     cache
 }
 
-/// How a dispatcher that runs this version admits a push.
+/// Returns how a dispatcher that runs this version admits a push.
 fn admission_at(number: u64, content: u64, push: &VersionPush) -> PushAdmission {
     let mut subscriber = Subscriber::restore(texts(0), PersistedVersions::default(), 0).0;
     let persisted = subscriber.prepare_trial(
@@ -47,15 +52,20 @@
 }
 
 #[test]
-fn a_dispatcher_of_the_lineage_takes_the_newest_however_far_behind_and_one_of_another_rejects_it() {
-    let push = cache(50_000).push_for(version_id(3, 3)).expect("later");
+fn a_dispatcher_of_the_lineage_applies_the_newest_version_however_far_behind_and_one_of_another_rejects_it()
+ {
+    let push = cache(50_000)
+        .push_for(version_id(3, 3))
+        .expect("the cached version is newer");
     assert_eq!(
         admission_at(3, 3, &push),
         PushAdmission::Validate(texts(50_000))
     );
-    let push = cache(50_000).push_for(version_id(3, 77)).expect("later");
+    let push = cache(50_000)
+        .push_for(version_id(3, 77))
+        .expect("the cached version is newer");
     assert!(
-        matches!(admission_at(3, 77, &push), PushAdmission::Reply(PushReply::Rejected(why)) if why[0].contains("split"))
+        matches!(admission_at(3, 77, &push), PushAdmission::Reply(PushReply::Rejected(reasons)) if reasons[0].contains("split"))
     );
 }
 
@@ -65,21 +75,21 @@
     assert_eq!(
         cache
             .push_for(version_id(5, 5))
-            .expect("later")
+            .expect("the cached version is newer")
             .predecessors,
         []
     );
     assert_eq!(
         cache
             .push_for(version_id(100_000, 100_000))
-            .expect("later")
+            .expect("the cached version is newer")
             .predecessors,
         [version_id(100_000, 100_000)]
     );
 }
 
 #[test]
-fn a_dispatcher_that_runs_as_new_a_version_is_offered_nothing() {
+fn a_dispatcher_that_runs_the_same_or_a_newer_version_is_offered_nothing() {
     assert_eq!(cache(7).push_for(version_id(7, 7)), None);
     assert_eq!(cache(7).push_for(version_id(8, 8)), None);
 }
@@ -120,7 +130,7 @@
         assert_eq!(
             cache
                 .push_for(version_id(old, old))
-                .expect("later")
+                .expect("the cached version is newer")
                 .predecessors,
             [],
             "{old}"
@@ -129,7 +139,7 @@
     assert_eq!(
         cache
             .push_for(version_id(7, 70))
-            .expect("later")
+            .expect("the cached version is newer")
             .predecessors,
         [version_id(7, 70)]
     );
--- a/crates/maintenance/tests/stored_state.rs
+++ b/crates/maintenance/tests/stored_state.rs
@@ -1,6 +1,6 @@
-//! What a machine keeps on its disk is read as it was first written: the state of a quorum member,
-//! the machine's own cordon, and each type in them. The files under `tests/data` were written by
-//! the first release that stored them; they never change.
+//! The state that a machine stores on its disk can still be read as it was first written: the state
+//! of a quorum member, the machine's cordon, and each type in them. The files under `tests/data`
+//! were written by the first release that stored them and never change.
 
 use corkspan_maintenance::cordon::Cordon;
 use corkspan_maintenance::lease_table::LeaseTable;
@@ -16,22 +16,22 @@
 const EMPTY_LEASE_TABLE: &str = include_str!("data/quorum-member-empty.json");
 const CORDON: &str = include_str!("data/cordon.json");
 const PARTS: &str = include_str!("data/parts.txt");
-const REFUSALS: &str = include_str!("data/refusals.txt");
+const EXPECTED_ERRORS: &str = include_str!("data/refusals.txt");
 
-/// Reads the text and writes the same bytes back.
+/// Reads a value from the text and checks that it is written back as the same bytes.
 fn read<T: Serialize + DeserializeOwned + PartialEq + Debug>(text: &str) -> T {
-    let value: T = serde_json::from_str(text).expect("it was written so");
-    let written = serde_json::to_string(&value).expect("it can be written");
-    assert_eq!(written, text, "written back otherwise");
-    let again: T = serde_json::from_str(&written).expect("it was written just now");
-    assert_eq!(again, value);
+    let value: T = serde_json::from_str(text).expect("the recorded JSON is valid");
+    let written = serde_json::to_string(&value).expect("the value can be serialized");
+    assert_eq!(written, text, "written back differently");
+    let reread: T = serde_json::from_str(&written).expect("the written JSON is valid");
+    assert_eq!(reread, value);
     value
 }
 
 #[test]
 fn a_quorum_members_state_is_read_to_the_same_content() {
     let table: LeaseTable = read(LEASE_TABLE.trim_end());
-    let request = table.request().expect("one stands");
+    let request = table.request().expect("a request is held");
     assert_eq!(
         (request.revision, request.proposer, request.job),
         (7, 11, 5)
@@ -105,7 +105,11 @@
         .map(|(machine, cost)| (machine.0, cost))
         .collect();
     assert_eq!(costs, [(0, 3.5), (1, 1e6 + 0.25), (5, 10.0)]);
-    assert_eq!(table.total_costs(1).len(), 2, "of one dispatcher alone");
+    assert_eq!(
+        table.total_costs(1).len(),
+        2,
+        "only the estimates of dispatcher 0"
+    );
 }
 
 #[test]
@@ -123,12 +127,12 @@
     let cordon: Cordon = read(lines[1]);
     assert_eq!(cordon.active(), Some(ClaimId(70)));
     let finished: Vec<u64> = (0..80)
-        .filter(|own| cordon.is_finished(ClaimId(*own)))
+        .filter(|claim| cordon.is_finished(ClaimId(*claim)))
         .collect();
     assert_eq!(finished, (6..70).collect::<Vec<u64>>());
 }
 
-/// The lines of one kind in the file of parts.
+/// Returns the recorded values of one kind.
 fn parts(kind: &'static str) -> impl Iterator<Item = &'static str> {
     PARTS
         .lines()
@@ -149,7 +153,7 @@
         parts("phase").map(read::<LeasePhase>).collect::<Vec<_>>(),
         phases
     );
-    assert!(phases.is_sorted(), "in the order in which they follow");
+    assert!(phases.is_sorted(), "in the order in which they are reached");
     let run_states = [RunState::Running, RunState::Paused, RunState::Aborted];
     assert_eq!(
         parts("run-state").map(read::<RunState>).collect::<Vec<_>>(),
@@ -166,12 +170,12 @@
             .collect::<Vec<_>>(),
         timeout_actions
     );
-    let ends = [LeaseOutcome::Completed, LeaseOutcome::Skipped];
+    let outcome_values = [LeaseOutcome::Completed, LeaseOutcome::Skipped];
     assert_eq!(
         parts("outcome")
             .map(read::<LeaseOutcome>)
             .collect::<Vec<_>>(),
-        ends
+        outcome_values
     );
     let machines: Vec<Machine> = parts("machine").map(read).collect();
     assert_eq!(machines, [Machine(0), Machine(u32::MAX)]);
@@ -190,40 +194,40 @@
     let requests: Vec<MaintenanceRequest> = parts("request").map(read).collect();
     assert_eq!(requests[0].run_state, RunState::Aborted);
     assert_eq!(requests[0].machines.len(), 2);
-    assert_eq!(parts("").count(), 0, "no line is left out");
+    assert_eq!(parts("").count(), 0, "no line is without a kind");
     assert_eq!(PARTS.lines().count(), 20);
 }
 
-/// Refused with the same words and at the same place as before.
+/// Invalid state is rejected with the recorded message and position.
 #[test_case("quorum-member", 0; "a quorum member's state")]
 #[test_case("cordon", 1; "a cordon")]
 #[test_case("lease", 2; "a lease with an unknown phase")]
 #[test_case("request", 3; "a request without its limits")]
-fn what_is_half_written_is_refused_with_the_same_message(kind: &str, line: usize) {
-    let refused = match kind {
+fn truncated_or_invalid_state_is_rejected_with_the_same_message(kind: &str, line: usize) {
+    let error = match kind {
         "quorum-member" => {
             serde_json::from_str::<LeaseTable>(&LEASE_TABLE[..LEASE_TABLE.len() / 2])
-                .expect_err("half of it")
+                .expect_err("the text is truncated")
                 .to_string()
         }
         "cordon" => {
-            let text = CORDON.lines().last().expect("two lines");
+            let text = CORDON.lines().last().expect("the file has two lines");
             serde_json::from_str::<Cordon>(&text[..text.len() / 2])
-                .expect_err("half of it")
+                .expect_err("the text is truncated")
                 .to_string()
         }
         "lease" => {
-            let text = parts("lease").next().expect("one");
+            let text = parts("lease").next().expect("a lease is recorded");
             serde_json::from_str::<MaintenanceLease>(&text.replace("closed", "cordoned"))
-                .expect_err("no such phase")
+                .expect_err("the phase is unknown")
                 .to_string()
         }
         _ => {
-            let text = parts("request").next().expect("one");
+            let text = parts("request").next().expect("a request is recorded");
             serde_json::from_str::<MaintenanceRequest>(&text.replace("\"limits\"", "\"limit\""))
-                .expect_err("no limits")
+                .expect_err("the limits are missing")
                 .to_string()
         }
     };
-    assert_eq!(Some(refused.as_str()), REFUSALS.lines().nth(line));
+    assert_eq!(Some(error.as_str()), EXPECTED_ERRORS.lines().nth(line));
 }
