--- a/crates/testbed/src/checker.rs
+++ b/crates/testbed/src/checker.rs
@@ -34,10 +34,10 @@
 
 /// One call of an owner.
 struct Call<'a> {
-    asked: &'a RequestedPlacement,
+    request: &'a RequestedPlacement,
     line: usize,
     t: u64,
-    finals: Vec<(u64, usize, AllocationEvent)>,
+    final_events: Vec<(u64, usize, AllocationEvent)>,
     closed: Option<u64>,
     cancelled: Option<u64>,
     /// A dispatcher that broke off without an answer: the link broke.
@@ -51,15 +51,15 @@
     number: u32,
     t: u64,
     line: usize,
-    refused: Option<u64>,
+    rejected: Option<u64>,
     accepted: Option<u64>,
-    let_go: Option<u64>,
+    dropped: Option<u64>,
     /// It holds its place no longer: ended, refused, let go, or its node is gone.
-    over: Option<u64>,
+    ended: Option<u64>,
 }
 
 /// A new copy of a roll.
-struct New<'a> {
+struct NewReplica<'a> {
     dispatcher: u32,
     task: &'a str,
     accepted: u64,
@@ -67,56 +67,57 @@
     failed: Option<u64>,
     line: usize,
     /// It is gone, for whatever reason.
-    over: bool,
+    ended: bool,
 }
 
 /// A roll as its operator asked for it, and what came of it.
-struct Rolled<'a> {
+struct RolloutState<'a> {
     version: &'a str,
-    ready_for: u64,
-    ready_within: u64,
-    failures_most: usize,
-    copies: Vec<New<'a>>,
-    halts: bool,
+    min_ready_us: u64,
+    progress_deadline_us: u64,
+    max_failures: usize,
+    replicas: Vec<NewReplica<'a>>,
+    must_halt: bool,
 }
 
-impl Rolled<'_> {
+impl RolloutState<'_> {
     /// Whether it must have halted by now: more than may have failed at one dispatcher, and that
     /// `within` ago.
-    fn halted(&mut self, now: u64, within: u64) {
-        for copy in self
-            .copies
+    fn update_must_halt(&mut self, now: u64, halt_delay_us: u64) {
+        for replica in self
+            .replicas
             .iter_mut()
-            .filter(|copy| !copy.over && copy.ready.is_none())
+            .filter(|replica| !replica.ended && replica.ready.is_none())
         {
-            let due = copy.accepted.saturating_add(self.ready_within);
-            copy.failed = copy.failed.or((now >= due).then_some(due));
+            let due = replica.accepted.saturating_add(self.progress_deadline_us);
+            replica.failed = replica.failed.or((now >= due).then_some(due));
         }
-        let long_ago = |copy: &&New| copy.failed.is_some_and(|at| now >= at + within);
-        let at = |which: u32| {
-            self.copies
+        let failed_long_ago =
+            |replica: &&NewReplica| replica.failed.is_some_and(|at| now >= at + halt_delay_us);
+        let failures_at = |dispatcher: u32| {
+            self.replicas
                 .iter()
-                .filter(|copy| copy.dispatcher == which)
-                .filter(long_ago)
+                .filter(|replica| replica.dispatcher == dispatcher)
+                .filter(failed_long_ago)
                 .count()
         };
-        self.halts |= self
-            .copies
+        self.must_halt |= self
+            .replicas
             .iter()
-            .any(|copy| at(copy.dispatcher) > self.failures_most);
+            .any(|replica| failures_at(replica.dispatcher) > self.max_failures);
     }
 }
 
 /// When some links of a dispatcher were held, or late by so much.
-struct Struck {
+struct FaultInterval {
     dispatcher: u32,
     from: u64,
     to: u64,
-    late: u64,
+    delay_us: u64,
 }
 
-fn struck(lines: &[Line]) -> Vec<Struck> {
-    let mut all: Vec<Struck> = Vec::new();
+fn fault_intervals(lines: &[Line]) -> Vec<FaultInterval> {
+    let mut intervals: Vec<FaultInterval> = Vec::new();
     for Line { t, observation } in lines {
         let Observation::ConnectionFault {
             dispatcher,
@@ -127,22 +128,22 @@
             continue;
         };
         match struck {
-            true => all.push(Struck {
+            true => intervals.push(FaultInterval {
                 dispatcher,
                 from: *t,
                 to: u64::MAX,
-                late: late_us,
+                delay_us: late_us,
             }),
             false => {
                 // Of two troubles at once the first that began is taken to end first.
-                let open = all
+                let open = intervals
                     .iter_mut()
-                    .find(|own| own.dispatcher == dispatcher && own.to == u64::MAX);
-                open.into_iter().for_each(|own| own.to = *t);
+                    .find(|interval| interval.dispatcher == dispatcher && interval.to == u64::MAX);
+                open.into_iter().for_each(|interval| interval.to = *t);
             }
         }
     }
-    all
+    intervals
 }
 
 /// All broken rules of a capture, or what makes it unreadable.
@@ -159,22 +160,22 @@
         lines,
         calls: BTreeMap::new(),
         offers: HashMap::new(),
-        struck: struck(lines),
-        breaches: Vec::new(),
+        fault_intervals: fault_intervals(lines),
+        violations: Vec::new(),
     };
-    checker.read()?;
-    checker.lost();
-    checker.twice();
-    checker.drains();
-    checker.cold();
-    checker.spread();
-    checker.unready();
-    checker.halts();
-    checker.floor();
+    checker.collect()?;
+    checker.check_lost();
+    checker.check_twice();
+    checker.check_drains();
+    checker.check_cold();
+    checker.check_spread();
+    checker.check_unready();
+    checker.check_halts();
+    checker.check_minimum_version();
     checker
-        .breaches
-        .sort_by_key(|breach| (breach.rule, breach.lines.first().copied()));
-    Ok(checker.breaches)
+        .violations
+        .sort_by_key(|violation| (violation.rule, violation.lines.first().copied()));
+    Ok(checker.violations)
 }
 
 struct Checker<'a> {
@@ -183,15 +184,15 @@
     calls: BTreeMap<u64, Call<'a>>,
     /// By placing.
     offers: HashMap<&'a str, Vec<Offer>>,
-    struck: Vec<Struck>,
-    breaches: Vec<Violation>,
+    fault_intervals: Vec<FaultInterval>,
+    violations: Vec<Violation>,
 }
 
 impl<'a> Checker<'a> {
     /// What was decided under a version below the floor that a node has is never accepted there.
-    fn floor(&mut self) {
-        let (mut floors, mut decided) = (HashMap::new(), HashMap::new());
-        let mut breaches = Vec::new();
+    fn check_minimum_version(&mut self) {
+        let (mut minimum_versions, mut decisions) = (HashMap::new(), HashMap::new());
+        let mut violations = Vec::new();
         for (line, observation) in self
             .lines
             .iter()
@@ -200,7 +201,7 @@
         {
             match observation {
                 Observation::MinimumVersionStored { node, lowest } => {
-                    floors.insert(*node, (*lowest, line));
+                    minimum_versions.insert(*node, (*lowest, line));
                 }
                 Observation::Offered {
                     node,
@@ -210,7 +211,7 @@
                     dispatcher,
                     ..
                 } => {
-                    decided.insert(
+                    decisions.insert(
                         (*node, placement_id, *number),
                         (*version, *dispatcher, line),
                     );
@@ -221,11 +222,11 @@
                     number,
                     event: AllocationEvent::Accepted,
                 } => {
-                    let Some(&(lowest, told)) = floors.get(node) else {
+                    let Some(&(lowest, stored_line)) = minimum_versions.get(node) else {
                         continue;
                     };
-                    let Some(&(version, dispatcher, offered)) =
-                        decided.get(&(*node, placement_id, *number))
+                    let Some(&(version, dispatcher, offered_line)) =
+                        decisions.get(&(*node, placement_id, *number))
                     else {
                         continue;
                     };
@@ -233,22 +234,22 @@
                         let what = format!(
                             "node {node} accepted {placement_id}, decided by dispatcher {dispatcher} under version {version}, below {lowest}"
                         );
-                        breaches.push((what, vec![told, offered, line]));
+                        violations.push((what, vec![stored_line, offered_line, line]));
                     }
                 }
                 _ => {}
             }
         }
-        breaches
+        violations
             .into_iter()
-            .for_each(|(what, lines)| self.breach(8, what, lines));
+            .for_each(|(what, lines)| self.report(8, what, lines));
     }
 
-    fn breach(&mut self, rule: u8, what: String, lines: Vec<usize>) {
-        self.breaches.push(Violation { rule, what, lines });
+    fn report(&mut self, rule: u8, what: String, lines: Vec<usize>) {
+        self.violations.push(Violation { rule, what, lines });
     }
 
-    fn read(&mut self) -> Result<(), String> {
+    fn collect(&mut self) -> Result<(), String> {
         let mut last = 0;
         // Let go before their nodes had looked at them: both came at once.
         let mut early: HashSet<(u32, &str, u32)> = HashSet::new();
@@ -259,20 +260,20 @@
             }
             last = t;
             match observation {
-                Observation::Requested(asked) => {
-                    if asked.service_class >= self.rules.service_classes.len() {
-                        return Err(format!("line {line}: no track {}", asked.service_class));
+                Observation::Requested(request) => {
+                    if request.service_class >= self.rules.service_classes.len() {
+                        return Err(format!("line {line}: no track {}", request.service_class));
                     }
                     let call = Call {
-                        asked,
+                        request,
                         line,
                         t,
-                        finals: Vec::new(),
+                        final_events: Vec::new(),
                         closed: None,
                         cancelled: None,
                         broken: false,
                     };
-                    self.calls.insert(asked.call, call);
+                    self.calls.insert(request.call, call);
                 }
                 Observation::EventReceived {
                     call,
@@ -282,7 +283,7 @@
                         | AllocationEvent::Failed),
                 } => {
                     if let Some(call) = self.calls.get_mut(call) {
-                        call.finals.push((t, line, *event));
+                        call.final_events.push((t, line, *event));
                     }
                 }
                 Observation::Closed { call, broken } => {
@@ -308,16 +309,16 @@
                         number: *number,
                         t,
                         line,
-                        refused: None,
+                        rejected: None,
                         accepted: None,
-                        let_go: None,
-                        over: None,
+                        dropped: None,
+                        ended: None,
                     };
                     let early = early.remove(&(*node, &placement_id[..], *number));
-                    let let_go = early.then_some(t);
+                    let dropped = early.then_some(t);
                     let offer = Offer {
-                        let_go,
-                        over: let_go,
+                        dropped,
+                        ended: dropped,
                         ..offer
                     };
                     self.offers.entry(placement_id).or_default().push(offer);
@@ -335,12 +336,12 @@
                         AllocationEvent::Accepted => offer.accepted = Some(t),
                         AllocationEvent::Running => offer.accepted = offer.accepted.or(Some(t)),
                         AllocationEvent::Rejected => {
-                            (offer.refused, offer.over) = (Some(t), Some(t))
+                            (offer.rejected, offer.ended) = (Some(t), Some(t))
                         }
                         AllocationEvent::ServiceLevel
                         | AllocationEvent::Placed
                         | AllocationEvent::Failed => {}
-                        _ => offer.over = offer.over.or(Some(t)),
+                        _ => offer.ended = offer.ended.or(Some(t)),
                     }
                 }
                 Observation::OfferDropped {
@@ -349,7 +350,7 @@
                     number,
                 } => {
                     if let Some(offer) = find(&mut self.offers, placement_id, *number, *node) {
-                        (offer.let_go, offer.over) = (Some(t), offer.over.or(Some(t)));
+                        (offer.dropped, offer.ended) = (Some(t), offer.ended.or(Some(t)));
                     } else {
                         early.insert((*node, placement_id, *number));
                     }
@@ -358,21 +359,21 @@
                     node,
                     state: NodeState::Gone | NodeState::Crashed,
                 } => {
-                    let there = self
+                    let on_node = self
                         .offers
                         .values_mut()
                         .flatten()
                         .filter(|offer| offer.node == *node);
-                    there.for_each(|offer| offer.over = offer.over.or(Some(t)));
+                    on_node.for_each(|offer| offer.ended = offer.ended.or(Some(t)));
                 }
                 Observation::ConnectionsCut { node } => {
-                    let there = self
+                    let on_node = self
                         .offers
                         .values_mut()
                         .flatten()
                         .filter(|offer| offer.node == *node);
                     // The dispatcher's shot is over with its link, whatever the node goes on to do.
-                    there.for_each(|offer| offer.over = offer.over.or(Some(t)));
+                    on_node.for_each(|offer| offer.ended = offer.ended.or(Some(t)));
                 }
                 _ => {}
             }
@@ -382,7 +383,7 @@
 
     /// Whether a dispatcher stood still or was dead at some time between these two: what it owed
     /// then is not held against it.
-    fn away(&self, dispatcher: u32, from: u64, to: u64) -> bool {
+    fn was_unavailable(&self, dispatcher: u32, from: u64, to: u64) -> bool {
         let mut since = None;
         for Line { t, observation } in self.lines {
             let Observation::Dispatcher {
@@ -409,32 +410,32 @@
         since.is_some_and(|since| since <= to)
     }
 
-    fn lost(&mut self) {
+    fn check_lost(&mut self) {
         let mut found = Vec::new();
         for call in self.calls.values() {
-            let asked = call.asked;
-            let latest = call.t + asked.deadline_us + self.rules.slack_us;
-            let name = &asked.placement_id;
-            if let [first, second, ..] = call.finals[..] {
+            let request = call.request;
+            let latest = call.t + request.deadline_us + self.rules.slack_us;
+            let name = &request.placement_id;
+            if let [first, second, ..] = call.final_events[..] {
                 found.push((
                     format!("{name} has two final answers"),
                     vec![call.line, first.1, second.1],
                 ));
             }
-            if let Some((t, line, _)) = call.finals.first()
+            if let Some((t, line, _)) = call.final_events.first()
                 && *t > latest
-                && !self.away(asked.dispatcher, call.t, *t)
+                && !self.was_unavailable(request.dispatcher, call.t, *t)
             {
                 found.push((
                     format!("{name} is answered after its owner's time"),
                     vec![call.line, *line],
                 ));
             }
-            let over_by_owner = call.cancelled.is_some_and(|at| at <= latest);
-            if call.finals.is_empty()
-                && !over_by_owner
-                && !self.away(
-                    asked.dispatcher,
+            let cancelled_in_time = call.cancelled.is_some_and(|at| at <= latest);
+            if call.final_events.is_empty()
+                && !cancelled_in_time
+                && !self.was_unavailable(
+                    request.dispatcher,
                     call.t,
                     latest.min(call.closed.unwrap_or(latest) + self.rules.slack_us),
                 )
@@ -443,10 +444,10 @@
             }
             // An offer under way crosses the answer only where the link, not the dispatcher, made
             // it late.
-            let Some((t, line, _)) = call.finals.first() else {
+            let Some((t, line, _)) = call.final_events.first() else {
                 continue;
             };
-            let after = |offer: &&Offer| offer.t > t + self.rules.slack_us && !self.stale(offer);
+            let after = |offer: &&Offer| offer.t > t + self.rules.slack_us && !self.is_stale(offer);
             if let Some(offer) = self.offers.get(&name[..]).into_iter().flatten().find(after) {
                 found.push((
                     format!("{name} is offered after its answer"),
@@ -456,41 +457,43 @@
         }
         found
             .into_iter()
-            .for_each(|(what, lines)| self.breach(1, what, lines));
+            .for_each(|(what, lines)| self.report(1, what, lines));
     }
 
     /// One that was given up while it was on its way: its node sees it, and at once that it is let
     /// go. Where links were held, both come when they are no longer, and the node may have
     /// taken it in between.
-    fn stale(&self, offer: &Offer) -> bool {
+    fn is_stale(&self, offer: &Offer) -> bool {
         let at_once = offer
-            .let_go
+            .dropped
             .is_some_and(|at| at <= offer.t + self.rules.slack_us);
-        at_once && (offer.accepted.is_none() || self.heard_by(offer.dispatcher, offer.t).is_some())
+        at_once
+            && (offer.accepted.is_none() || self.visible_by(offer.dispatcher, offer.t).is_some())
     }
 
     /// By when what a dispatcher has given up at this time is seen at nodes; none where its links
     /// were whole.
-    fn heard_by(&self, dispatcher: u32, t: u64) -> Option<u64> {
+    fn visible_by(&self, dispatcher: u32, t: u64) -> Option<u64> {
         let slack = self.rules.slack_us;
-        let mine = self
-            .struck
+        let intervals = self
+            .fault_intervals
             .iter()
-            .filter(|own| own.dispatcher == dispatcher);
-        let over = mine.filter(|own| own.from <= t && t <= own.to.saturating_add(slack));
-        let by = over.map(|own| match own.late {
-            0 => own.to.saturating_add(slack),
-            late => t + late + slack,
+            .filter(|interval| interval.dispatcher == dispatcher);
+        let active = intervals
+            .filter(|interval| interval.from <= t && t <= interval.to.saturating_add(slack));
+        let by = active.map(|interval| match interval.delay_us {
+            0 => interval.to.saturating_add(slack),
+            delay_us => t + delay_us + slack,
         });
         by.max()
     }
 
-    fn twice(&mut self) {
+    fn check_twice(&mut self) {
         let mut found = Vec::new();
         let service_classes: HashMap<&str, usize> = self
             .calls
             .values()
-            .map(|call| (&call.asked.placement_id[..], call.asked.service_class))
+            .map(|call| (&call.request.placement_id[..], call.request.service_class))
             .collect();
         for (name, offers) in &self.offers {
             let Some(service_class) = service_classes
@@ -499,7 +502,10 @@
             else {
                 continue;
             };
-            let mut sent: Vec<&Offer> = offers.iter().filter(|offer| !self.stale(offer)).collect();
+            let mut sent: Vec<&Offer> = offers
+                .iter()
+                .filter(|offer| !self.is_stale(offer))
+                .collect();
             sent.sort_by_key(|offer| (offer.number, offer.t));
             for (index, later) in sent.iter().enumerate() {
                 for earlier in &sent[..index] {
@@ -510,16 +516,16 @@
                         ));
                         continue;
                     }
-                    let over = earlier.over.unwrap_or(u64::MAX);
-                    let heard = self.heard_by(earlier.dispatcher, later.t);
-                    if over > heard.unwrap_or(0).max(later.t + self.rules.slack_us) {
+                    let ended = earlier.ended.unwrap_or(u64::MAX);
+                    let visible = self.visible_by(earlier.dispatcher, later.t);
+                    if ended > visible.unwrap_or(0).max(later.t + self.rules.slack_us) {
                         let what = format!(
                             "{name}: shot {} while shot {} is out",
                             later.number, earlier.number
                         );
                         found.push((what, vec![earlier.line, later.line]));
                     }
-                    let never_ran = earlier.refused.is_some();
+                    let never_ran = earlier.rejected.is_some();
                     let allowed = match service_class.retry_safety {
                         RetrySafety::Idempotent => true,
                         RetrySafety::NotRetryable => never_ran,
@@ -540,28 +546,28 @@
             }
         }
         for call in self.calls.values() {
-            let Some((t, line, AllocationEvent::Rejected)) = call.finals.first() else {
+            let Some((t, line, AllocationEvent::Rejected)) = call.final_events.first() else {
                 continue;
             };
-            if self.rules.service_classes[call.asked.service_class].retry_safety
+            if self.rules.service_classes[call.request.service_class].retry_safety
                 == RetrySafety::Idempotent
             {
                 continue;
             }
             for offer in self
                 .offers
-                .get(&call.asked.placement_id[..])
+                .get(&call.request.placement_id[..])
                 .into_iter()
                 .flatten()
             {
-                if offer.refused.is_none()
+                if offer.rejected.is_none()
                     && offer
                         .accepted
                         .is_some_and(|at| at <= t + self.rules.slack_us)
                 {
                     let what = format!(
                         "{} is refused, though a shot may run",
-                        call.asked.placement_id
+                        call.request.placement_id
                     );
                     found.push((what, vec![offer.line, *line]));
                 }
@@ -569,33 +575,33 @@
         }
         found
             .into_iter()
-            .for_each(|(what, lines)| self.breach(2, what, lines));
+            .for_each(|(what, lines)| self.report(2, what, lines));
     }
 
     /// While a roll is on, a copy is stopped only where that leaves no more than so many not ready,
     /// of those that were ready once and are still wanted. What dies by itself counts once it
     /// has been down for so long that its owner has asked again and a roll must have given way.
-    fn unready(&mut self) {
-        const GIVES_WAY: u64 = 5_000_000;
-        struct Copy {
+    fn check_unready(&mut self) {
+        const RESPONSE_US: u64 = 5_000_000;
+        struct Replica {
             ready: usize,
             /// Since when none is ready, and whether it was stopped.
-            down: Option<(u64, bool)>,
+            down_since: Option<(u64, bool)>,
         }
         let mut found = Vec::new();
         let mut limits: HashMap<&str, usize> = HashMap::new();
         // Whether new copies may run beside old ones, of so many tasks.
-        let mut beside: HashMap<&str, bool> = HashMap::new();
-        let mut copies: HashMap<&str, BTreeMap<&str, Copy>> = HashMap::new();
-        let mut tasks_of: HashMap<u64, &str> = HashMap::new();
+        let mut surge: HashMap<&str, bool> = HashMap::new();
+        let mut replicas: HashMap<&str, BTreeMap<&str, Replica>> = HashMap::new();
+        let mut call_tasks: HashMap<u64, &str> = HashMap::new();
         for (index, Line { t, observation }) in self.lines.iter().enumerate() {
             match observation {
-                Observation::Requested(asked) => drop(tasks_of.insert(asked.call, &asked.task)),
-                Observation::HandedOver { call, task, .. } => drop(tasks_of.insert(*call, task)),
+                Observation::Requested(new) => drop(call_tasks.insert(new.call, &new.task)),
+                Observation::HandedOver { call, task, .. } => drop(call_tasks.insert(*call, task)),
                 Observation::Cancelled { call } => {
                     // Its owner wants it no longer: that it stops is no copy missing.
-                    let task = tasks_of.get(call).copied().unwrap_or_default();
-                    for tasks in copies.values_mut() {
+                    let task = call_tasks.get(call).copied().unwrap_or_default();
+                    for tasks in replicas.values_mut() {
                         tasks.remove(task);
                     }
                 }
@@ -606,7 +612,7 @@
                     ..
                 } => {
                     limits.insert(service, *unready_most);
-                    beside.insert(service, *start_first);
+                    surge.insert(service, *start_first);
                 }
                 Observation::Ready {
                     task,
@@ -616,36 +622,41 @@
                     stopped,
                     ..
                 } => {
-                    let tasks = copies.entry(service).or_default();
+                    let tasks = replicas.entry(service).or_default();
                     if *done {
                         tasks.remove(&task[..]);
                     } else if *ready {
-                        let copy = tasks.entry(task).or_insert(Copy {
+                        let replica = tasks.entry(task).or_insert(Replica {
                             ready: 0,
-                            down: None,
+                            down_since: None,
                         });
-                        (copy.ready, copy.down) = (copy.ready + 1, None);
-                    } else if let Some(copy) = tasks.get_mut(&task[..]) {
-                        copy.ready = copy.ready.saturating_sub(1);
-                        copy.down = (copy.ready == 0).then_some((*t, *stopped));
+                        (replica.ready, replica.down_since) = (replica.ready + 1, None);
+                    } else if let Some(replica) = tasks.get_mut(&task[..]) {
+                        replica.ready = replica.ready.saturating_sub(1);
+                        replica.down_since = (replica.ready == 0).then_some((*t, *stopped));
                     }
-                    let counts = |copy: &&Copy| {
-                        copy.down
-                            .is_some_and(|(since, stopped)| stopped || t - since > GIVES_WAY)
+                    let is_unavailable = |replica: &&Replica| {
+                        replica
+                            .down_since
+                            .is_some_and(|(since, stopped)| stopped || t - since > RESPONSE_US)
                     };
-                    let twice: usize = tasks
+                    let surplus: usize = tasks
                         .values()
-                        .map(|copy| copy.ready.saturating_sub(1))
+                        .map(|replica| replica.ready.saturating_sub(1))
                         .sum();
-                    let own = limits
+                    let limit = limits
                         .get(&service[..])
-                        .filter(|_| beside.get(&service[..]) == Some(&true));
-                    if *ready && own.is_some_and(|most| twice > *most) {
-                        let what = format!("{twice} copies of {service} run beside others");
+                        .filter(|_| surge.get(&service[..]) == Some(&true));
+                    if *ready && limit.is_some_and(|limit| surplus > *limit) {
+                        let what = format!("{surplus} copies of {service} run beside others");
                         found.push((what, vec![index + 1]));
                     }
-                    let unready = tasks.values().filter(counts).count();
-                    if *stopped && limits.get(&service[..]).is_some_and(|most| unready > *most) {
+                    let unready = tasks.values().filter(is_unavailable).count();
+                    if *stopped
+                        && limits
+                            .get(&service[..])
+                            .is_some_and(|limit| unready > *limit)
+                    {
                         found.push((
                             format!("{unready} copies of {service} are not ready"),
                             vec![index + 1],
@@ -657,15 +668,15 @@
         }
         found
             .into_iter()
-            .for_each(|(what, lines)| self.breach(6, what, lines));
+            .for_each(|(what, lines)| self.report(6, what, lines));
     }
 
     /// Once more new copies than may have failed at one dispatcher, the roll halts: some time after
     /// that no copy of another version is stopped any more, unless an operator begins anew.
-    fn halts(&mut self) {
-        const HALTS_WITHIN: u64 = 5_000_000;
+    fn check_halts(&mut self) {
+        const HALT_DELAY_US: u64 = 5_000_000;
         let mut found = Vec::new();
-        let mut rolls: HashMap<&str, Rolled> = HashMap::new();
+        let mut rollouts: HashMap<&str, RolloutState> = HashMap::new();
         // By node and placing: task, service, version and dispatcher of what was offered last.
         let mut offered: HashMap<(u32, &str), (&str, &str, &str, u32)> = HashMap::new();
         for (index, Line { t, observation }) in self.lines.iter().enumerate() {
@@ -678,15 +689,15 @@
                     failures_most,
                     ..
                 } => {
-                    let rolled = Rolled {
+                    let rollout = RolloutState {
                         version,
-                        ready_for: *ready_for_us,
-                        ready_within: *ready_within_us,
-                        failures_most: *failures_most,
-                        copies: Vec::new(),
-                        halts: false,
+                        min_ready_us: *ready_for_us,
+                        progress_deadline_us: *ready_within_us,
+                        max_failures: *failures_most,
+                        replicas: Vec::new(),
+                        must_halt: false,
                     };
-                    rolls.insert(service, rolled);
+                    rollouts.insert(service, rollout);
                 }
                 Observation::Offered {
                     node,
@@ -710,20 +721,20 @@
                     else {
                         continue;
                     };
-                    let Some(rolled) = rolls
+                    let Some(rollout) = rollouts
                         .get_mut(service)
-                        .filter(|rolled| rolled.version == *version)
+                        .filter(|rollout| rollout.version == *version)
                     else {
                         continue;
                     };
-                    rolled.copies.push(New {
+                    rollout.replicas.push(NewReplica {
                         dispatcher: *dispatcher,
                         task,
                         accepted: *t,
                         ready: None,
                         failed: None,
                         line: index + 1,
-                        over: false,
+                        ended: false,
                     });
                 }
                 Observation::Dispatcher {
@@ -731,9 +742,11 @@
                     state: DispatcherState::Killed | DispatcherState::Crashed,
                 } => {
                     // What it has counted goes with it, unless it had the time to halt.
-                    for rolled in rolls.values_mut() {
-                        rolled.halted(*t, HALTS_WITHIN);
-                        rolled.copies.retain(|copy| copy.dispatcher != *dispatcher);
+                    for rollout in rollouts.values_mut() {
+                        rollout.update_must_halt(*t, HALT_DELAY_US);
+                        rollout
+                            .replicas
+                            .retain(|replica| replica.dispatcher != *dispatcher);
                     }
                 }
                 Observation::Ready {
@@ -745,14 +758,20 @@
                     stopped,
                     ..
                 } => {
-                    let Some(rolled) = rolls.get_mut(&service[..]) else {
+                    let Some(rollout) = rollouts.get_mut(&service[..]) else {
                         continue;
                     };
-                    rolled.halted(*t, HALTS_WITHIN);
-                    if version != rolled.version {
-                        if rolled.halts && *stopped && !*ready {
-                            let shown = rolled.copies.iter().filter(|copy| copy.failed.is_some());
-                            let lines = shown.map(|copy| copy.line).chain([index + 1]).collect();
+                    rollout.update_must_halt(*t, HALT_DELAY_US);
+                    if version != rollout.version {
+                        if rollout.must_halt && *stopped && !*ready {
+                            let shown = rollout
+                                .replicas
+                                .iter()
+                                .filter(|replica| replica.failed.is_some());
+                            let lines = shown
+                                .map(|replica| replica.line)
+                                .chain([index + 1])
+                                .collect();
                             found.push((
                                 format!("{task} of {service} is stopped by a roll that failed"),
                                 lines,
@@ -760,21 +779,23 @@
                         }
                         continue;
                     }
-                    let ready_for = rolled.ready_for;
-                    let own = rolled
-                        .copies
+                    let min_ready_us = rollout.min_ready_us;
+                    let newest = rollout
+                        .replicas
                         .iter_mut()
                         .rev()
-                        .find(|copy| copy.task == task && !copy.over);
-                    let Some(copy) = own else { continue };
+                        .find(|replica| replica.task == task && !replica.ended);
+                    let Some(replica) = newest else { continue };
                     if *ready {
                         // Late, but no longer missing.
-                        (copy.ready, copy.failed) = (Some(*t), None);
+                        (replica.ready, replica.failed) = (Some(*t), None);
                     } else {
-                        let settled = copy.ready.is_some_and(|since| *t >= since + ready_for);
-                        copy.over = true;
+                        let settled = replica
+                            .ready
+                            .is_some_and(|since| *t >= since + min_ready_us);
+                        replica.ended = true;
                         if !*stopped && !*done && !settled {
-                            copy.failed = copy.failed.or(Some(*t));
+                            replica.failed = replica.failed.or(Some(*t));
                         }
                     }
                 }
@@ -783,21 +804,21 @@
         }
         found
             .into_iter()
-            .for_each(|(what, lines)| self.breach(7, what, lines));
+            .for_each(|(what, lines)| self.report(7, what, lines));
     }
 
     fn zone(&self, node: u32) -> Option<&str> {
         self.rules
             .nodes
             .iter()
-            .find(|home| home.node == node)
-            .map(|home| &home.zone[..])
+            .find(|site| site.node == node)
+            .map(|site| &site.zone[..])
     }
 
-    fn drains(&mut self) {
+    fn check_drains(&mut self) {
         let mut found = Vec::new();
         // Since when each dispatcher knows that a node takes nothing new.
-        let mut told: HashMap<(u32, u32), (u64, usize)> = HashMap::new();
+        let mut notified: HashMap<(u32, u32), (u64, usize)> = HashMap::new();
         for (index, Line { t, observation }) in self.lines.iter().enumerate() {
             match observation {
                 Observation::EndpointSent {
@@ -805,11 +826,13 @@
                     node,
                     state: NodeState::Draining | NodeState::Gone,
                 } => {
-                    told.entry((*dispatcher, *node)).or_insert((*t, index + 1));
+                    notified
+                        .entry((*dispatcher, *node))
+                        .or_insert((*t, index + 1));
                 }
                 Observation::EndpointSent {
                     dispatcher, node, ..
-                } => drop(told.remove(&(*dispatcher, *node))),
+                } => drop(notified.remove(&(*dispatcher, *node))),
                 Observation::Dispatcher {
                     dispatcher,
                     state: DispatcherState::Resumed,
@@ -820,16 +843,16 @@
                     ..
                 } => {
                     // While it stood still, or its links were held, it was told nothing.
-                    let own = told
+                    let known = notified
                         .iter_mut()
                         .filter(|((which, _), _)| which == dispatcher);
-                    own.for_each(|(_, (since, _))| *since = *t);
+                    known.for_each(|(_, (since, _))| *since = *t);
                 }
                 Observation::Dispatcher {
                     dispatcher,
                     state: DispatcherState::Started,
                 } => {
-                    told.retain(|(which, _), _| which != dispatcher);
+                    notified.retain(|(which, _), _| which != dispatcher);
                 }
                 Observation::Offered {
                     node,
@@ -838,13 +861,13 @@
                     number,
                     ..
                 } => {
-                    let Some((since, line)) = told.get(&(*dispatcher, *node)) else {
+                    let Some((since, line)) = notified.get(&(*dispatcher, *node)) else {
                         continue;
                     };
                     let offer = self.offers.get(&placement_id[..]).into_iter().flatten();
                     let stale = offer
                         .filter(|offer| offer.line == index + 1)
-                        .any(|offer| self.stale(offer));
+                        .any(|offer| self.is_stale(offer));
                     if *t > since + self.rules.grace_us + self.rules.slack_us && !stale {
                         let what = format!(
                             "{placement_id}: shot {number} to node {node}, told of as leaving"
@@ -857,13 +880,13 @@
         }
         found
             .into_iter()
-            .for_each(|(what, lines)| self.breach(3, what, lines));
+            .for_each(|(what, lines)| self.report(3, what, lines));
     }
 
-    fn cold(&mut self) {
+    fn check_cold(&mut self) {
         let mut found = Vec::new();
         let mut started: HashMap<u32, (u64, usize)> = HashMap::new();
-        let mut told: HashMap<(u32, u32), u64> = HashMap::new();
+        let mut notified: HashMap<(u32, u32), u64> = HashMap::new();
         let mut offers: HashMap<u32, Vec<(u64, usize, bool)>> = HashMap::new();
         let slow_start = &self.rules.slow_start;
         for (index, Line { t, observation }) in self.lines.iter().enumerate() {
@@ -880,14 +903,14 @@
                     node,
                     state: NodeState::SlowStart,
                 } => {
-                    told.insert((*dispatcher, *node), *t);
+                    notified.insert((*dispatcher, *node), *t);
                 }
                 Observation::Dispatcher {
                     dispatcher,
                     state: DispatcherState::Killed | DispatcherState::Crashed,
                 } => {
                     // A new life knows what its remembered list says, or is told anew.
-                    told.retain(|(which, _), _| which != dispatcher);
+                    notified.retain(|(which, _), _| which != dispatcher);
                 }
                 Observation::Offered {
                     node, dispatcher, ..
@@ -898,15 +921,18 @@
                     if *t > since + slow_start.lasts_us {
                         continue;
                     }
-                    let knows = told
+                    let was_notified = notified
                         .get(&(*dispatcher, *node))
                         .is_some_and(|at| *at >= since && at <= t);
                     let window = offers.entry(*node).or_default();
                     window.retain(|(at, _, _)| at + slow_start.window_us > *t);
-                    window.push((*t, index + 1, knows));
-                    let knowing = window.iter().filter(|(_, _, knows)| *knows).count();
+                    window.push((*t, index + 1, was_notified));
+                    let notified_offers = window
+                        .iter()
+                        .filter(|(_, _, was_notified)| *was_notified)
+                        .count();
                     // Held against the dispatchers where two thirds came from such as knew.
-                    if window.len() > slow_start.most && knowing * 3 >= window.len() * 2 {
+                    if window.len() > slow_start.most && notified_offers * 3 >= window.len() * 2 {
                         let what = format!(
                             "node {node} got {} offers in a window while cold",
                             window.len()
@@ -921,24 +947,24 @@
         }
         found
             .into_iter()
-            .for_each(|(what, lines)| self.breach(4, what, lines));
+            .for_each(|(what, lines)| self.report(4, what, lines));
     }
 
-    fn spread(&mut self) {
+    fn check_spread(&mut self) {
         let mut found = Vec::new();
         let mut by_service: HashMap<(u32, &str, u32), Vec<&Offer>> = HashMap::new();
         let limits: HashMap<&str, usize> = (self.calls.values())
             .filter_map(|call| {
                 Some((
-                    &call.asked.service[..],
-                    self.rules.service_classes[call.asked.service_class].spread?,
+                    &call.request.service[..],
+                    self.rules.service_classes[call.request.service_class].spread?,
                 ))
             })
             .collect();
         let services: HashMap<&str, &str> = self
             .calls
             .values()
-            .map(|call| (&call.asked.placement_id[..], &call.asked.service[..]))
+            .map(|call| (&call.request.placement_id[..], &call.request.service[..]))
             .collect();
         for Line { observation, .. } in self.lines {
             let (node, placement_id, number, dispatcher, service) = match observation {
@@ -975,7 +1001,7 @@
                 }
                 _ => continue,
             };
-            let Some(&most) = limits.get(&service[..]) else {
+            let Some(&limit) = limits.get(&service[..]) else {
                 continue;
             };
             let mut offers = self.offers.get(&placement_id[..]).into_iter().flatten();
@@ -985,9 +1011,9 @@
             let held = by_service.entry((*dispatcher, service, *node)).or_default();
             // What is over a little later may be told here before the dispatcher's next offer
             // overtakes it.
-            held.retain(|other| other.over.is_none_or(|over| over > offer.t));
+            held.retain(|other| other.ended.is_none_or(|ended| ended > offer.t));
             held.push(offer);
-            if held.len() > most && !self.stale(offer) {
+            if held.len() > limit && !self.is_stale(offer) {
                 let what = format!(
                     "{} of {service} on node {node} from dispatcher {dispatcher}",
                     held.len()
@@ -997,7 +1023,7 @@
         }
         found
             .into_iter()
-            .for_each(|(what, lines)| self.breach(5, what, lines));
+            .for_each(|(what, lines)| self.report(5, what, lines));
     }
 }
 
