--- a/crates/testbed/src/checker.rs
+++ b/crates/testbed/src/checker.rs
@@ -1,10 +1,11 @@
-//! Judges a capture by the five rules. It knows what crossed the sockets and nothing of dispatchers
-//! or decisions.
+//! Checks a capture against the scenario's rules. The checker sees only what crossed the stand-ins'
+//! sockets, and nothing of the dispatchers' state or decisions.
 
 use crate::capture::*;
 use std::collections::{BTreeMap, HashMap, HashSet};
 
-/// A broken rule: which, by what, and the lines of the capture that show it, counted from 1.
+/// A violation of a rule: the rule's number (from 1), a description, and the lines of the capture
+/// that show it, counted from 1.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
     pub rule: u8,
@@ -26,13 +27,13 @@
     }
 }
 
-/// The brief's five, the limit of a roll, that a failed one halts by itself, and the floor of
-/// versions.
+/// Names of the rules by number: the five basic rules, a rollout's limit on unavailable replicas,
+/// the halt of a failed rollout, and the minimum version.
 pub const RULE_NAMES: [&str; 8] = [
     "lost", "twice", "drains", "cold", "spread", "unready", "halts", "floor",
 ];
 
-/// One call of an owner.
+/// A client's placement call.
 struct Call<'a> {
     request: &'a RequestedPlacement,
     line: usize,
@@ -40,11 +41,11 @@
     final_events: Vec<(u64, usize, AllocationEvent)>,
     closed: Option<u64>,
     cancelled: Option<u64>,
-    /// A dispatcher that broke off without an answer: the link broke.
+    /// Whether the connection broke, so that the dispatcher sent no final answer.
     broken: bool,
 }
 
-/// One offer as its node saw it.
+/// An offer as its node saw it.
 struct Offer {
     node: u32,
     dispatcher: u32,
@@ -54,11 +55,11 @@
     rejected: Option<u64>,
     accepted: Option<u64>,
     dropped: Option<u64>,
-    /// It holds its place no longer: ended, refused, let go, or its node is gone.
+    /// When it stopped holding its slot: ended, rejected or dropped, or its node gone or cut off.
     ended: Option<u64>,
 }
 
-/// A new copy of a roll.
+/// A replica of the version that a rollout introduces.
 struct NewReplica<'a> {
     dispatcher: u32,
     task: &'a str,
@@ -66,11 +67,11 @@
     ready: Option<u64>,
     failed: Option<u64>,
     line: usize,
-    /// It is gone, for whatever reason.
+    /// Whether it is gone, for any reason.
     ended: bool,
 }
 
-/// A roll as its operator asked for it, and what came of it.
+/// A rollout as its operator requested it, and its progress. Durations are in µs.
 struct RolloutState<'a> {
     version: &'a str,
     min_ready_us: u64,
@@ -81,8 +82,8 @@
 }
 
 impl RolloutState<'_> {
-    /// Whether it must have halted by now: more than may have failed at one dispatcher, and that
-    /// `within` ago.
+    /// Marks replicas that missed the progress deadline as failed, and sets `must_halt` if more than
+    /// `max_failures` replicas of one dispatcher failed at least `halt_delay_us` ago.
     fn update_must_halt(&mut self, now: u64, halt_delay_us: u64) {
         for replica in self
             .replicas
@@ -108,7 +109,8 @@
     }
 }
 
-/// When some links of a dispatcher were held, or late by so much.
+/// An interval in which some connections of a dispatcher were held or delayed. A `delay_us` of 0
+/// means held.
 struct FaultInterval {
     dispatcher: u32,
     from: u64,
@@ -135,7 +137,7 @@
                 delay_us: late_us,
             }),
             false => {
-                // Of two troubles at once the first that began is taken to end first.
+                // Of two overlapping faults, the one that began first is assumed to end first.
                 let open = intervals
                     .iter_mut()
                     .find(|interval| interval.dispatcher == dispatcher && interval.to == u64::MAX);
@@ -146,7 +148,7 @@
     intervals
 }
 
-/// All broken rules of a capture, or what makes it unreadable.
+/// Returns all violations in a capture, or an error if the capture is unreadable.
 pub fn check(lines: &[Line]) -> Result<Vec<Violation>, String> {
     let Some(Line {
         observation: Observation::Rules(rules),
@@ -182,14 +184,14 @@
     rules: &'a RuleParameters,
     lines: &'a [Line],
     calls: BTreeMap<u64, Call<'a>>,
-    /// By placing.
+    /// Offers by placement id.
     offers: HashMap<&'a str, Vec<Offer>>,
     fault_intervals: Vec<FaultInterval>,
     violations: Vec<Violation>,
 }
 
 impl<'a> Checker<'a> {
-    /// What was decided under a version below the floor that a node has is never accepted there.
+    /// Rule 8: a node never accepts what was decided under a version below its minimum version.
     fn check_minimum_version(&mut self) {
         let (mut minimum_versions, mut decisions) = (HashMap::new(), HashMap::new());
         let mut violations = Vec::new();
@@ -249,9 +251,10 @@
         self.violations.push(Violation { rule, what, lines });
     }
 
+    /// Collects calls and offers from the lines.
     fn collect(&mut self) -> Result<(), String> {
         let mut last = 0;
-        // Let go before their nodes had looked at them: both came at once.
+        // Offers dropped before their nodes recorded them: offer and drop arrived together.
         let mut early: HashSet<(u32, &str, u32)> = HashSet::new();
         for (index, Line { t, observation }) in self.lines.iter().enumerate() {
             let (t, line) = (*t, index + 1);
@@ -372,7 +375,8 @@
                         .values_mut()
                         .flatten()
                         .filter(|offer| offer.node == *node);
-                    // The dispatcher's shot is over with its link, whatever the node goes on to do.
+                    // For the dispatcher the attempt ends with its connection, whatever the node
+                    // goes on to do.
                     on_node.for_each(|offer| offer.ended = offer.ended.or(Some(t)));
                 }
                 _ => {}
@@ -381,8 +385,8 @@
         Ok(())
     }
 
-    /// Whether a dispatcher stood still or was dead at some time between these two: what it owed
-    /// then is not held against it.
+    /// Returns whether a dispatcher was paused or dead at some time between `from` and `to`. Missing
+    /// or late answers in that time are not violations.
     fn was_unavailable(&self, dispatcher: u32, from: u64, to: u64) -> bool {
         let mut since = None;
         for Line { t, observation } in self.lines {
@@ -410,6 +414,7 @@
         since.is_some_and(|since| since <= to)
     }
 
+    /// Rule 1: each call gets one final answer in time, and no offer follows it.
     fn check_lost(&mut self) {
         let mut found = Vec::new();
         for call in self.calls.values() {
@@ -442,8 +447,8 @@
             {
                 found.push((format!("{name} has no final answer"), vec![call.line]));
             }
-            // An offer under way crosses the answer only where the link, not the dispatcher, made
-            // it late.
+            // An offer that reaches its node after the final answer is allowed only if the connection
+            // delayed it.
             let Some((t, line, _)) = call.final_events.first() else {
                 continue;
             };
@@ -460,9 +465,9 @@
             .for_each(|(what, lines)| self.report(1, what, lines));
     }
 
-    /// One that was given up while it was on its way: its node sees it, and at once that it is let
-    /// go. Where links were held, both come when they are no longer, and the node may have
-    /// taken it in between.
+    /// Returns whether the dispatcher abandoned an offer while it was in flight, so that its node saw
+    /// the offer and the drop together. Where connections were held, both arrive once they are
+    /// released, and the node may accept the offer in between.
     fn is_stale(&self, offer: &Offer) -> bool {
         let at_once = offer
             .dropped
@@ -471,8 +476,8 @@
             && (offer.accepted.is_none() || self.visible_by(offer.dispatcher, offer.t).is_some())
     }
 
-    /// By when what a dispatcher has given up at this time is seen at nodes; none where its links
-    /// were whole.
+    /// Returns the time by which nodes see a drop that a dispatcher sent at `t`, or `None` if no fault
+    /// affected its connections then.
     fn visible_by(&self, dispatcher: u32, t: u64) -> Option<u64> {
         let slack = self.rules.slack_us;
         let intervals = self
@@ -488,6 +493,8 @@
         by.max()
     }
 
+    /// Rule 2: attempts of a placement do not overlap, and one that may have run is retried, or
+    /// reported as rejected, only if the service class's retry safety allows it.
     fn check_twice(&mut self) {
         let mut found = Vec::new();
         let service_classes: HashMap<&str, usize> = self
@@ -578,19 +585,20 @@
             .for_each(|(what, lines)| self.report(2, what, lines));
     }
 
-    /// While a roll is on, a copy is stopped only where that leaves no more than so many not ready,
-    /// of those that were ready once and are still wanted. What dies by itself counts once it
-    /// has been down for so long that its owner has asked again and a roll must have given way.
+    /// Rule 6: during a rollout, a replica is stopped only if at most `unready_most` replicas are then
+    /// unavailable, of those that were ready once and are still wanted. A replica that failed by
+    /// itself counts once it has been down for `RESPONSE_US`: by then its client has requested it
+    /// again, and the rollout must have reacted.
     fn check_unready(&mut self) {
         const RESPONSE_US: u64 = 5_000_000;
         struct Replica {
             ready: usize,
-            /// Since when none is ready, and whether it was stopped.
+            /// Since when no instance is ready, and whether the last one was stopped.
             down_since: Option<(u64, bool)>,
         }
         let mut found = Vec::new();
         let mut limits: HashMap<&str, usize> = HashMap::new();
-        // Whether new copies may run beside old ones, of so many tasks.
+        // Whether new replicas may run beside old ones, by service.
         let mut surge: HashMap<&str, bool> = HashMap::new();
         let mut replicas: HashMap<&str, BTreeMap<&str, Replica>> = HashMap::new();
         let mut call_tasks: HashMap<u64, &str> = HashMap::new();
@@ -599,7 +607,7 @@
                 Observation::Requested(new) => drop(call_tasks.insert(new.call, &new.task)),
                 Observation::HandedOver { call, task, .. } => drop(call_tasks.insert(*call, task)),
                 Observation::Cancelled { call } => {
-                    // Its owner wants it no longer: that it stops is no copy missing.
+                    // The client no longer wants it, so it does not count as unavailable.
                     let task = call_tasks.get(call).copied().unwrap_or_default();
                     for tasks in replicas.values_mut() {
                         tasks.remove(task);
@@ -671,13 +679,14 @@
             .for_each(|(what, lines)| self.report(6, what, lines));
     }
 
-    /// Once more new copies than may have failed at one dispatcher, the roll halts: some time after
-    /// that no copy of another version is stopped any more, unless an operator begins anew.
+    /// Rule 7: a rollout halts once more new replicas than `failures_most` have failed at one
+    /// dispatcher. From `HALT_DELAY_US` after that, no replica of another version may be stopped
+    /// unless an operator starts a new rollout.
     fn check_halts(&mut self) {
         const HALT_DELAY_US: u64 = 5_000_000;
         let mut found = Vec::new();
         let mut rollouts: HashMap<&str, RolloutState> = HashMap::new();
-        // By node and placing: task, service, version and dispatcher of what was offered last.
+        // Task, service, version and dispatcher of the latest offer, by node and placement id.
         let mut offered: HashMap<(u32, &str), (&str, &str, &str, u32)> = HashMap::new();
         for (index, Line { t, observation }) in self.lines.iter().enumerate() {
             match observation {
@@ -741,7 +750,7 @@
                     dispatcher,
                     state: DispatcherState::Killed | DispatcherState::Crashed,
                 } => {
-                    // What it has counted goes with it, unless it had the time to halt.
+                    // The dispatcher's failure counts are lost with it, unless it had time to halt.
                     for rollout in rollouts.values_mut() {
                         rollout.update_must_halt(*t, HALT_DELAY_US);
                         rollout
@@ -787,7 +796,7 @@
                         .find(|replica| replica.task == task && !replica.ended);
                     let Some(replica) = newest else { continue };
                     if *ready {
-                        // Late, but no longer missing.
+                        // It missed the deadline but is ready now, so it no longer counts as failed.
                         (replica.ready, replica.failed) = (Some(*t), None);
                     } else {
                         let settled = replica
@@ -815,9 +824,10 @@
             .map(|site| &site.zone[..])
     }
 
+    /// Rule 3: no offer goes to a node that the dispatcher knows to be draining or gone.
     fn check_drains(&mut self) {
         let mut found = Vec::new();
-        // Since when each dispatcher knows that a node takes nothing new.
+        // Since when each dispatcher knows that a node accepts no new offers, and the line.
         let mut notified: HashMap<(u32, u32), (u64, usize)> = HashMap::new();
         for (index, Line { t, observation }) in self.lines.iter().enumerate() {
             match observation {
@@ -842,7 +852,7 @@
                     struck: false,
                     ..
                 } => {
-                    // While it stood still, or its links were held, it was told nothing.
+                    // While it was paused or its connections were held, it received no updates.
                     let known = notified
                         .iter_mut()
                         .filter(|((which, _), _)| which == dispatcher);
@@ -883,6 +893,7 @@
             .for_each(|(what, lines)| self.report(3, what, lines));
     }
 
+    /// Rule 4: a node in slow start gets no more offers in a window than it can take.
     fn check_cold(&mut self) {
         let mut found = Vec::new();
         let mut started: HashMap<u32, (u64, usize)> = HashMap::new();
@@ -909,7 +920,7 @@
                     dispatcher,
                     state: DispatcherState::Killed | DispatcherState::Crashed,
                 } => {
-                    // A new life knows what its remembered list says, or is told anew.
+                    // A restarted dispatcher loads its stored endpoint list or receives it again.
                     notified.retain(|(which, _), _| which != dispatcher);
                 }
                 Observation::Offered {
@@ -931,7 +942,8 @@
                         .iter()
                         .filter(|(_, _, was_notified)| *was_notified)
                         .count();
-                    // Held against the dispatchers where two thirds came from such as knew.
+                    // A violation only if at least two thirds of the offers came from dispatchers
+                    // that knew of the restart.
                     if window.len() > slow_start.most && notified_offers * 3 >= window.len() * 2 {
                         let what = format!(
                             "node {node} got {} offers in a window while cold",
@@ -950,6 +962,7 @@
             .for_each(|(what, lines)| self.report(4, what, lines));
     }
 
+    /// Rule 5: a dispatcher places at most so many allocations of a service on one node.
     fn check_spread(&mut self) {
         let mut found = Vec::new();
         let mut by_service: HashMap<(u32, &str, u32), Vec<&Offer>> = HashMap::new();
@@ -980,7 +993,7 @@
                     dispatcher,
                     state: DispatcherState::Started,
                 } => {
-                    // A new life holds what it is handed, and nothing else.
+                    // A restarted dispatcher holds only what is handed over to it.
                     by_service.retain(|(which, _, _), _| which != dispatcher);
                     continue;
                 }
@@ -1009,8 +1022,8 @@
                 continue;
             };
             let held = by_service.entry((*dispatcher, service, *node)).or_default();
-            // What is over a little later may be told here before the dispatcher's next offer
-            // overtakes it.
+            // The dispatcher's next offer may be recorded shortly before the end of an earlier
+            // allocation.
             held.retain(|other| other.ended.is_none_or(|ended| ended > offer.t));
             held.push(offer);
             if held.len() > limit && !self.is_stale(offer) {
