--- a/crates/testbed/src/checker.rs
+++ b/crates/testbed/src/checker.rs
@@ -155,7 +155,7 @@
         ..
     }) = lines.first()
     else {
-        return Err("the first line does not tell the day's rules".into());
+        return Err("the first line does not hold the scenario's rules".into());
     };
     let mut checker = Checker {
         rules,
@@ -234,7 +234,7 @@
                     };
                     if version < lowest {
                         let what = format!(
-                            "node {node} accepted {placement_id}, decided by dispatcher {dispatcher} under version {version}, below {lowest}"
+                            "node {node} accepted {placement_id}, which dispatcher {dispatcher} decided under version {version}, below the minimum version {lowest}"
                         );
                         violations.push((what, vec![stored_line, offered_line, line]));
                     }
@@ -259,13 +259,18 @@
         for (index, Line { t, observation }) in self.lines.iter().enumerate() {
             let (t, line) = (*t, index + 1);
             if t < last {
-                return Err(format!("line {line}: its time is before the line above it"));
+                return Err(format!(
+                    "line {line}: its time is before that of the previous line"
+                ));
             }
             last = t;
             match observation {
                 Observation::Requested(request) => {
                     if request.service_class >= self.rules.service_classes.len() {
-                        return Err(format!("line {line}: no track {}", request.service_class));
+                        return Err(format!(
+                            "line {line}: no service class {}",
+                            request.service_class
+                        ));
                     }
                     let call = Call {
                         request,
@@ -432,7 +437,7 @@
                 && !self.was_unavailable(request.dispatcher, call.t, *t)
             {
                 found.push((
-                    format!("{name} is answered after its owner's time"),
+                    format!("{name} is answered after its client's deadline"),
                     vec![call.line, *line],
                 ));
             }
@@ -455,7 +460,7 @@
             let after = |offer: &&Offer| offer.t > t + self.rules.slack_us && !self.is_stale(offer);
             if let Some(offer) = self.offers.get(&name[..]).into_iter().flatten().find(after) {
                 found.push((
-                    format!("{name} is offered after its answer"),
+                    format!("{name} is offered after its final answer"),
                     vec![*line, offer.line],
                 ));
             }
@@ -518,7 +523,7 @@
                 for earlier in &sent[..index] {
                     if earlier.number == later.number {
                         found.push((
-                            format!("{name}: shot {} is offered twice", later.number),
+                            format!("{name}: attempt {} is offered twice", later.number),
                             vec![earlier.line, later.line],
                         ));
                         continue;
@@ -527,7 +532,7 @@
                     let visible = self.visible_by(earlier.dispatcher, later.t);
                     if ended > visible.unwrap_or(0).max(later.t + self.rules.slack_us) {
                         let what = format!(
-                            "{name}: shot {} while shot {} is out",
+                            "{name}: attempt {} is offered while attempt {} is outstanding",
                             later.number, earlier.number
                         );
                         found.push((what, vec![earlier.line, later.line]));
@@ -544,7 +549,7 @@
                     };
                     if !allowed {
                         let what = format!(
-                            "{name}: shot {} may run beside shot {}",
+                            "{name}: attempt {} may run beside attempt {}",
                             later.number, earlier.number
                         );
                         found.push((what, vec![earlier.line, later.line]));
@@ -573,7 +578,7 @@
                         .is_some_and(|at| at <= t + self.rules.slack_us)
                 {
                     let what = format!(
-                        "{} is refused, though a shot may run",
+                        "{} is rejected, though an attempt may run",
                         call.request.placement_id
                     );
                     found.push((what, vec![offer.line, *line]));
@@ -656,7 +661,8 @@
                         .get(&service[..])
                         .filter(|_| surge.get(&service[..]) == Some(&true));
                     if *ready && limit.is_some_and(|limit| surplus > *limit) {
-                        let what = format!("{surplus} copies of {service} run beside others");
+                        let what =
+                            format!("{surplus} surplus replicas of {service} run beside others");
                         found.push((what, vec![index + 1]));
                     }
                     let unready = tasks.values().filter(is_unavailable).count();
@@ -666,7 +672,7 @@
                             .is_some_and(|limit| unready > *limit)
                     {
                         found.push((
-                            format!("{unready} copies of {service} are not ready"),
+                            format!("{unready} replicas of {service} are not ready"),
                             vec![index + 1],
                         ));
                     }
@@ -782,7 +788,7 @@
                                 .chain([index + 1])
                                 .collect();
                             found.push((
-                                format!("{task} of {service} is stopped by a roll that failed"),
+                                format!("{task} of {service} is stopped by a failed rollout"),
                                 lines,
                             ));
                         }
@@ -880,7 +886,7 @@
                         .any(|offer| self.is_stale(offer));
                     if *t > since + self.rules.grace_us + self.rules.slack_us && !stale {
                         let what = format!(
-                            "{placement_id}: shot {number} to node {node}, told of as leaving"
+                            "{placement_id}: attempt {number} offered to node {node}, known to be draining or gone"
                         );
                         found.push((what, vec![*line, index + 1]));
                     }
@@ -946,7 +952,7 @@
                     // that knew of the restart.
                     if window.len() > slow_start.most && notified_offers * 3 >= window.len() * 2 {
                         let what = format!(
-                            "node {node} got {} offers in a window while cold",
+                            "node {node} got {} offers in one window during slow start",
                             window.len()
                         );
                         let first = window.first().map_or(0, |(_, line, _)| *line);
@@ -1028,7 +1034,7 @@
             held.push(offer);
             if held.len() > limit && !self.is_stale(offer) {
                 let what = format!(
-                    "{} of {service} on node {node} from dispatcher {dispatcher}",
+                    "{} allocations of {service} on node {node} from dispatcher {dispatcher}",
                     held.len()
                 );
                 found.push((what, held.iter().map(|other| other.line).collect()));
