--- a/crates/testbed/src/checker.rs
+++ b/crates/testbed/src/checker.rs
@@ -82,8 +82,8 @@
 }
 
 impl RolloutState<'_> {
-    /// Marks replicas that missed the progress deadline as failed, and sets `must_halt` if more than
-    /// `max_failures` replicas of one dispatcher failed at least `halt_delay_us` ago.
+    /// Marks replicas that missed the progress deadline as failed, and sets `must_halt` if more
+    /// than `max_failures` replicas of one dispatcher failed at least `halt_delay_us` ago.
     fn update_must_halt(&mut self, now: u64, halt_delay_us: u64) {
         for replica in self
             .replicas
@@ -390,8 +390,8 @@
         Ok(())
     }
 
-    /// Returns whether a dispatcher was paused or dead at some time between `from` and `to`. Missing
-    /// or late answers in that time are not violations.
+    /// Returns whether a dispatcher was paused or dead at some time between `from` and `to`.
+    /// Missing or late answers in that time are not violations.
     fn was_unavailable(&self, dispatcher: u32, from: u64, to: u64) -> bool {
         let mut since = None;
         for Line { t, observation } in self.lines {
@@ -452,8 +452,8 @@
             {
                 found.push((format!("{name} has no final answer"), vec![call.line]));
             }
-            // An offer that reaches its node after the final answer is allowed only if the connection
-            // delayed it.
+            // An offer that reaches its node after the final answer is allowed only if the
+            // connection delayed it.
             let Some((t, line, _)) = call.final_events.first() else {
                 continue;
             };
@@ -470,8 +470,8 @@
             .for_each(|(what, lines)| self.report(1, what, lines));
     }
 
-    /// Returns whether the dispatcher abandoned an offer while it was in flight, so that its node saw
-    /// the offer and the drop together. Where connections were held, both arrive once they are
+    /// Returns whether the dispatcher abandoned an offer while it was in flight, so that its node
+    /// saw the offer and the drop together. Where connections were held, both arrive once they are
     /// released, and the node may accept the offer in between.
     fn is_stale(&self, offer: &Offer) -> bool {
         let at_once = offer
@@ -481,8 +481,8 @@
             && (offer.accepted.is_none() || self.visible_by(offer.dispatcher, offer.t).is_some())
     }
 
-    /// Returns the time by which nodes see a drop that a dispatcher sent at `t`, or `None` if no fault
-    /// affected its connections then.
+    /// Returns the time by which nodes see a drop that a dispatcher sent at `t`, or `None` if no
+    /// fault affected its connections then.
     fn visible_by(&self, dispatcher: u32, t: u64) -> Option<u64> {
         let slack = self.rules.slack_us;
         let intervals = self
@@ -590,10 +590,10 @@
             .for_each(|(what, lines)| self.report(2, what, lines));
     }
 
-    /// Rule 6: during a rollout, a replica is stopped only if at most `unready_most` replicas are then
-    /// unavailable, of those that were ready once and are still wanted. A replica that failed by
-    /// itself counts once it has been down for `RESPONSE_US`: by then its client has requested it
-    /// again, and the rollout must have reacted.
+    /// Rule 6: during a rollout, a replica is stopped only if at most `unready_most` replicas are
+    /// then unavailable, of those that were ready once and are still wanted. A replica that failed
+    /// by itself counts once it has been down for `RESPONSE_US`: by then its client has requested
+    /// it again, and the rollout must have reacted.
     fn check_unready(&mut self) {
         const RESPONSE_US: u64 = 5_000_000;
         struct Replica {
@@ -802,7 +802,8 @@
                         .find(|replica| replica.task == task && !replica.ended);
                     let Some(replica) = newest else { continue };
                     if *ready {
-                        // It missed the deadline but is ready now, so it no longer counts as failed.
+                        // It missed the deadline but is ready now, so it no longer counts as
+                        // failed.
                         (replica.ready, replica.failed) = (Some(*t), None);
                     } else {
                         let settled = replica
