--- a/crates/testbed/src/runner.rs
+++ b/crates/testbed/src/runner.rs
@@ -60,10 +60,10 @@
 };
 /// What dispatchers are told that a cold node bears: less than pushes it over, for the way is
 /// uneven.
-const BEARS: usize = 12;
+const DEPLOYED_MAX_OFFERS: usize = 12;
 
 impl ScenarioRun {
-    fn rules(&self, plans: &[NodeConfig]) -> RuleParameters {
+    fn rules(&self, configs: &[NodeConfig]) -> RuleParameters {
         let service_class =
             |name: &str, retry_safety, contract_ms: u64, spread| capture::ServiceClass {
                 name: name.into(),
@@ -89,12 +89,12 @@
                     Some(SPREAD),
                 ),
             ],
-            nodes: plans
+            nodes: configs
                 .iter()
-                .map(|plan| capture::NodeSite {
-                    node: plan.id,
-                    zone: plan.zone.clone(),
-                    cell: plan.cell,
+                .map(|config| capture::NodeSite {
+                    node: config.id,
+                    zone: config.zone.clone(),
+                    cell: config.cell,
                 })
                 .collect(),
             grace_us: 1_000_000,
@@ -111,17 +111,17 @@
         &self,
         number: usize,
         discovery: SocketAddr,
-        more: &str,
+        extra_parts: &str,
         folder: &Path,
     ) -> String {
         let Scenario { dispatchers, .. } = self.scenario;
         let zone = ZONES[number % ZONES.len()];
-        let kept = folder.join(format!("list-{number}.json"));
-        let rolls = folder.join(format!("rolls-{number}.redb"));
+        let endpoint_list = folder.join(format!("list-{number}.json"));
+        let rollouts = folder.join(format!("rolls-{number}.redb"));
         // A hollow one has no disk.
         let disk = match self.scenario.is_hollow(number) {
             true => String::new(),
-            false => format!("(remembered {kept:?}) (rolls {rolls:?})"),
+            false => format!("(remembered {endpoint_list:?}) (rolls {rollouts:?})"),
         };
         let text = format!(
             r#"(deployment
@@ -133,22 +133,22 @@
     (index (repeat deduplicated) (within hall) (window 6 s) (contract-time 1500 ms) (priority 1))
     (ledger (repeat unrepeatable) (contract-time 1500 ms) (priority 2) (spread machine) (most {SPREAD})))
   (accepts (cores 2) (memory 1.5)) (makes-room #t) (placed-when accepted) (shows-room #t) (may-probe #t)
-  (keepers 100 101 102) {disk} {more}
-  (cold (lasts 6 s) (window 1 s) (offers {BEARS})) (other-hall-price 0.03))
+  (keepers 100 101 102) {disk} {extra_parts}
+  (cold (lasts 6 s) (window 1 s) (offers {DEPLOYED_MAX_OFFERS})) (other-hall-price 0.03))
 "#,
             seed = self.seed,
         );
         (self.rewrite_deployment)(text)
     }
 
-    fn plans(&self, rng: &mut Pcg64Mcg) -> Vec<NodeConfig> {
-        let plan = |id: usize| {
-            let wide = id % 2 == 1;
-            let (cores, memory) = if wide { (40.0, 60.0) } else { (24.0, 40.0) };
+    fn node_configs(&self, rng: &mut Pcg64Mcg) -> Vec<NodeConfig> {
+        let config = |id: usize| {
+            let is_wide = id % 2 == 1;
+            let (cores, memory) = if is_wide { (40.0, 60.0) } else { (24.0, 40.0) };
             let NodeLocation { cell, zone } = self.scenario.location(id);
             NodeConfig {
                 id: 100 + id as u32,
-                machine_type: if wide { "wide" } else { "compact" }.into(),
+                machine_type: if is_wide { "wide" } else { "compact" }.into(),
                 zone: ZONES[zone].into(),
                 cell,
                 capacity: Resources { cores, memory },
@@ -167,7 +167,7 @@
                 seed: rng.random(),
             }
         };
-        (0..self.scenario.nodes).map(plan).collect()
+        (0..self.scenario.nodes).map(config).collect()
     }
 
     /// Plays the day to its end and returns what was seen.
@@ -186,15 +186,15 @@
             ..
         } = &testbed;
         let (frontend, until) = (Arc::clone(frontend), *start + self.scenario.length);
-        let room = tasks.spawn(report_capacity(
+        let capacity_reports = tasks.spawn(report_capacity(
             Arc::clone(discovery),
             nodes.clone(),
             self.scenario.clone(),
         ));
-        let versions = self.scenario.version_interval.map(|every| {
+        let versions = self.scenario.version_interval.map(|interval| {
             let text = self.deployment(0, discovery.address, "", testbed.folder.path());
-            let texts = SharedParts::parse("day", &text).map_err(|why| why.to_string());
-            texts.map(|texts| tasks.spawn(push_versions(testbed.control.clone(), texts, every)))
+            let parts = SharedParts::parse("day", &text).map_err(|why| why.to_string());
+            parts.map(|parts| tasks.spawn(push_versions(testbed.control.clone(), parts, interval)))
         });
         let versions = versions.transpose()?;
         let (saturation, before) = (
@@ -202,7 +202,7 @@
                 .map_err(|why| why.to_string())?,
             testbed.read_costs().await?,
         );
-        let owners = testbed.run_until(until).await?;
+        let clients = testbed.run_until(until).await?;
         let after = testbed.read_costs().await?;
         frontend
             .context
@@ -213,16 +213,16 @@
             .capture
             .record(Observation::Cost(Box::new(cost::between(&before, &after))));
         // Whoever still waits or runs has so long to come to an end.
-        let rest = async {
-            for owner in owners {
-                owner.await;
+        let remaining = async {
+            for client in clients {
+                client.await;
             }
         };
-        let ended = within(Duration::from_secs(40), rest).await;
-        drop((room, versions));
+        let ended = within(Duration::from_secs(40), remaining).await;
+        drop((capacity_reports, versions));
         if let Some(worker) = testbed.worker.take() {
-            let worked = within(WORKED_WITHIN, worker).await;
-            worked.ok_or("the work on machines does not come to its end")??;
+            let finished = within(MAINTENANCE_TIMEOUT, worker).await;
+            finished.ok_or("the work on machines does not come to its end")??;
         }
         if self.scenario.audit {
             testbed.audit(&self.programs.real).await?;
@@ -241,37 +241,44 @@
         let mut rng = Pcg64Mcg::seed_from_u64(self.seed);
         let folder = tempfile::tempdir().map_err(text)?;
         let capture = Capture::new(self.capture.as_deref()).map_err(text)?;
-        let plans = self.plans(&mut rng);
-        capture.record(Observation::Rules(self.rules(&plans)));
+        let configs = self.node_configs(&mut rng);
+        capture.record(Observation::Rules(self.rules(&configs)));
         let context = SharedContext::new(capture, tasks, Some(SERVICE_CLASSES[1].into()));
         let (discovery, discovery_address) = Discovery::start(&context).await.map_err(text)?;
-        let nodes: Vec<Arc<Node>> = plans
+        let nodes: Vec<Arc<Node>> = configs
             .into_iter()
-            .map(|plan| Node::new(plan, &context))
+            .map(|config| Node::new(config, &context))
             .collect();
         for node in &nodes {
             let address = node.start_process(false).await.map_err(text)?;
             discovery.update(Duration::ZERO, entry(node, address, 0));
         }
-        let (control, control_up) = ControlService::start(&context).await.map_err(text)?;
+        let (control, guard) = ControlService::start(&context).await.map_err(text)?;
         let proxies = match self.scenario.needs_fault_proxies() {
             true => {
                 let service = self.scenario.version_interval.map(|_| control.address);
                 let all = self.scenario.affects(LinkPeer::Nodes);
-                let struck = nodes
+                let proxied = nodes
                     .iter()
                     .filter(|node| all || QUORUM_MEMBERS.contains(&node.config.id));
-                let listed: Vec<(u32, SocketAddr)> = struck
+                let addresses: Vec<(u32, SocketAddr)> = proxied
                     .filter_map(|node| {
                         let entry = discovery.endpoint(node.config.id)?;
                         Some((entry.node, entry.address.parse().ok()?))
                     })
                     .collect();
-                let many = self.scenario.dispatchers;
+                let dispatchers = self.scenario.dispatchers;
                 Some(
-                    FaultProxies::start(tasks, many, &discovery, service, &listed, &QUORUM_MEMBERS)
-                        .await
-                        .map_err(text)?,
+                    FaultProxies::start(
+                        tasks,
+                        dispatchers,
+                        &discovery,
+                        service,
+                        &addresses,
+                        &QUORUM_MEMBERS,
+                    )
+                    .await
+                    .map_err(text)?,
                 )
             }
             false => None,
@@ -280,16 +287,16 @@
         let mut files = Vec::new();
         for number in 0..self.scenario.dispatchers {
             let file = folder.path().join(format!("dispatcher-{number}.sexp"));
-            let wired = |end| {
+            let proxy_address = |peer| {
                 proxies
                     .as_ref()
-                    .and_then(|proxies| proxies.address(number, end))
+                    .and_then(|proxies| proxies.address(number, peer))
             };
-            let discovery = wired(LinkPeer::Roster).unwrap_or(discovery_address);
-            let more = self.scenario.version_interval.map(|_| {
-                let (kept, control) = (
+            let discovery = proxy_address(LinkPeer::Roster).unwrap_or(discovery_address);
+            let extra_parts = self.scenario.version_interval.map(|_| {
+                let (version_file, control) = (
                     folder.path().join(format!("versions-{number}.json")),
-                    wired(LinkPeer::Control).unwrap_or(control.address),
+                    proxy_address(LinkPeer::Control).unwrap_or(control.address),
                 );
                 let peers = proxies
                     .iter()
@@ -302,15 +309,15 @@
                 };
                 let versions = match self.scenario.is_hollow(number) {
                     true => String::new(),
-                    false => format!("(versions {kept:?})"),
+                    false => format!("(versions {version_file:?})"),
                 };
                 format!("(control \"{control}\") {versions} (floor (every 1 s) {peers})")
             });
-            let mut more = more.unwrap_or_default();
+            let mut extra_parts = extra_parts.unwrap_or_default();
             if self.scenario.maintenance.is_some() {
-                more.push_str(" (maintenance (every 500 ms))");
+                extra_parts.push_str(" (maintenance (every 500 ms))");
             }
-            let file_text = self.deployment(number, discovery, &more, folder.path());
+            let file_text = self.deployment(number, discovery, &extra_parts, folder.path());
             std::fs::write(&file, file_text).map_err(text)?;
             files.push(file);
         }
@@ -342,18 +349,18 @@
             fleet.push(process);
         }
         // The day begins when dispatchers have had a moment to hear of the nodes.
-        let heard = async {
+        let all_known = async {
             for number in 0..self.scenario.dispatchers {
                 while frontend.serving(number).await < nodes.len() as u64 {
                     Timer::after(Duration::from_millis(10)).await;
                 }
             }
         };
-        within(Duration::from_secs(30), heard)
+        within(Duration::from_secs(30), all_known)
             .await
             .ok_or("the dispatchers don't hear of the nodes")?;
         let (scenario, start) = (self.scenario.clone(), Instant::now());
-        let up = control_up;
+        let control_guard = guard;
         Ok(Testbed {
             scenario,
             frontend,
@@ -366,7 +373,7 @@
             worker: None,
             folder,
             control,
-            _up: up,
+            _control_guard: control_guard,
         })
     }
 }
@@ -379,12 +386,12 @@
         client
             .status(v1::StatusRequest {})
             .await
-            .map_or(0, |word| word.into_inner().machines_serving)
+            .map_or(0, |status| status.into_inner().machines_serving)
     }
 }
 
 fn entry(node: &Node, address: SocketAddr, started_ms: u64) -> v1::Endpoint {
-    let unasked = node.unrequested();
+    let unrequested = node.unrequested();
     v1::Endpoint {
         node: node.config.id,
         address: address.to_string(),
@@ -394,24 +401,24 @@
         state: v1::endpoint::State::Serving.into(),
         started_ms,
         unreserved: Some(v1::Resources {
-            cores: unasked.cores,
-            memory: unasked.memory,
+            cores: unrequested.cores,
+            memory: unrequested.memory,
         }),
     }
 }
 
 /// The worker: asks one dispatcher after the other which machines are his, restarts each, and says
 /// that it is done.
-async fn works(
+async fn run_maintenance(
     frontend: Arc<Frontend>,
     nodes: Vec<Arc<Node>>,
     discovery: Arc<Discovery>,
     dispatchers: usize,
-    work: crate::scenario::MaintenancePlan,
+    plan: crate::scenario::MaintenancePlan,
     seed: u64,
 ) -> Result<(), String> {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
-    let mut under_way: BTreeMap<u32, (Instant, bool)> = BTreeMap::new();
+    let mut in_progress: BTreeMap<u32, (Instant, bool)> = BTreeMap::new();
     loop {
         Timer::after(Duration::from_millis(300)).await;
         let Some(mut client) = frontend
@@ -420,24 +427,24 @@
         else {
             continue;
         };
-        let ask = v1::MaintenanceRequest::default();
-        let word = within(Duration::from_secs(10), Box::pin(client.maintain(ask))).await;
-        let Some(Ok(word)) = word else { continue };
-        let word = word.into_inner();
+        let request = v1::MaintenanceRequest::default();
+        let reply = within(Duration::from_secs(10), Box::pin(client.maintain(request))).await;
+        let Some(Ok(reply)) = reply else { continue };
+        let reply = reply.into_inner();
         // While it is worked on it does not answer, and so is not told as the worker's: he knows.
-        under_way.retain(|id, _| !word.completed.contains(id));
-        let mine: BTreeSet<u32> = word
+        in_progress.retain(|id, _| !reply.completed.contains(id));
+        let assigned: BTreeSet<u32> = reply
             .in_maintenance
             .iter()
             .copied()
-            .chain(under_way.keys().copied())
+            .chain(in_progress.keys().copied())
             .collect();
         let mut done = Vec::new();
-        for id in &mine {
+        for id in &assigned {
             let Some(node) = nodes.iter().find(|node| node.config.id == *id) else {
                 continue;
             };
-            match under_way.get_mut(id) {
+            match in_progress.get_mut(id) {
                 None => {
                     let runs = node.allocation_count();
                     frontend
@@ -449,9 +456,9 @@
                             runs,
                         });
                     node.kill(NodeState::Gone);
-                    under_way.insert(*id, (Instant::now() + work.work_duration, false));
+                    in_progress.insert(*id, (Instant::now() + plan.work_duration, false));
                 }
-                Some((until, up)) if !*up && Instant::now() >= *until => {
+                Some((until, restarted)) if !*restarted && Instant::now() >= *until => {
                     let address = node
                         .start_process(true)
                         .await
@@ -466,46 +473,46 @@
                             begins: false,
                             runs: node.allocation_count(),
                         });
-                    *up = true;
+                    *restarted = true;
                 }
-                Some((_, true)) if word.in_maintenance.contains(id) => done.push(*id),
+                Some((_, true)) if reply.in_maintenance.contains(id) => done.push(*id),
                 Some(_) => {}
             }
         }
         if !done.is_empty() {
-            let what = v1::maintenance_request::Action::Done.into();
-            let ask = v1::MaintenanceRequest {
-                action: what,
+            let done_action = v1::maintenance_request::Action::Done.into();
+            let request = v1::MaintenanceRequest {
+                action: done_action,
                 nodes: done,
                 ..v1::MaintenanceRequest::default()
             };
-            within(Duration::from_secs(10), Box::pin(client.maintain(ask))).await;
+            within(Duration::from_secs(10), Box::pin(client.maintain(request))).await;
         }
-        let all = word
+        let total = reply
             .current
             .as_ref()
-            .map_or(usize::MAX, |work| work.machines.len());
-        if word.completed.len() + word.skipped.len() >= all && word.leases.is_empty() {
+            .map_or(usize::MAX, |current| current.machines.len());
+        if reply.completed.len() + reply.skipped.len() >= total && reply.leases.is_empty() {
             return Ok(());
         }
     }
 }
 
 /// An operator pushes one sound version after the other: the same but for what nobody feels.
-async fn push_versions(control: ControlService, texts: SharedParts, every: Duration) {
-    for which in 0u64.. {
-        let accounts = format!("(accounts (a (share-cores {})))", 1_000_000 + which);
+async fn push_versions(control: ControlService, parts: SharedParts, interval: Duration) {
+    for number in 0u64.. {
+        let accounts = format!("(accounts (a (share-cores {})))", 1_000_000 + number);
         let changes = [("accounts".to_string(), accounts)];
         control.publish(
-            texts.with_changes(&changes.into_iter().collect(), &[]),
+            parts.with_changes(&changes.into_iter().collect(), &[]),
             false,
         );
-        Timer::after(every).await;
+        Timer::after(interval).await;
     }
 }
 
 /// Lines a second that the roster tells all dispatchers together of room alone.
-const ROOM_LINES: usize = 10_000;
+const CAPACITY_LINES_PER_SECOND: usize = 10_000;
 
 /// Tells the roster again and again what nobody has asked for: as often as the day says, or every
 /// second, and less often to a large fleet.
@@ -515,21 +522,22 @@
     scenario: Scenario,
 ) {
     let lines = nodes.len() * scenario.dispatchers;
-    let usual = Duration::from_secs_f64((lines as f64 / ROOM_LINES as f64).max(1.0));
-    let apart = scenario.capacity_interval.unwrap_or(usual);
+    let default_interval =
+        Duration::from_secs_f64((lines as f64 / CAPACITY_LINES_PER_SECOND as f64).max(1.0));
+    let interval = scenario.capacity_interval.unwrap_or(default_interval);
     loop {
-        Timer::after(apart).await;
+        Timer::after(interval).await;
         for node in nodes.iter().filter(|node| node.is_running()) {
             if let Some(entry) = discovery.endpoint(node.config.id) {
-                let unasked = node.unrequested();
-                let unasked = Some(v1::Resources {
-                    cores: unasked.cores,
-                    memory: unasked.memory,
+                let unrequested = node.unrequested();
+                let unrequested = Some(v1::Resources {
+                    cores: unrequested.cores,
+                    memory: unrequested.memory,
                 });
                 discovery.update(
                     Duration::from_millis(300),
                     v1::Endpoint {
-                        unreserved: unasked,
+                        unreserved: unrequested,
                         ..entry
                     },
                 );
@@ -550,17 +558,17 @@
     worker: Option<async_executor::Task<Result<(), String>>>,
     folder: tempfile::TempDir,
     control: ControlService,
-    _up: ControlServiceGuard,
+    _control_guard: ControlServiceGuard,
 }
 
 /// What is undone at the end of a trouble.
 enum Undo {
-    Up(usize),
-    Undrain(usize),
-    Restart(usize),
-    GoOn(usize),
-    Heal(usize, Vec<LinkPeer>),
-    Room(usize),
+    StartNode(usize),
+    EndDrain(usize),
+    RestartDispatchers(usize),
+    Resume(usize),
+    HealConnections(usize, Vec<LinkPeer>),
+    FreeDisk(usize),
 }
 
 impl Testbed {
@@ -573,51 +581,57 @@
         faults.sort_by_key(|fault| fault.at);
         let mut faults = faults.into_iter().peekable();
         let mut undos: Vec<(Instant, Undo)> = Vec::new();
-        let mut owners = Vec::new();
+        let mut clients = Vec::new();
         let mut next = self.start;
         let mut number = 0;
-        for copy in 0..self.scenario.replicas {
-            owners.push(self.hold(copy, until));
+        for replica in 0..self.scenario.replicas {
+            clients.push(self.run_replica(replica, until));
         }
-        let (mut roll, mut floor, mut maintenance) = (
+        let (mut rollout, mut minimum_version_at, mut maintenance) = (
             self.scenario.rollout,
             self.scenario.minimum_version_at,
             self.scenario.maintenance,
         );
         loop {
-            let rolls = roll.map(|roll| self.start + roll.at);
-            let floors = floor.map(|at| self.start + at);
-            let works = maintenance.map(|own| self.start + own.at);
-            let fault = faults.peek().map(|fault| self.start + fault.at);
-            let undo = undos.iter().map(|(at, _)| *at).min();
-            let asks = (next < until && self.scenario.rate > 0.0).then_some(next);
-            let Some(at) = [fault, undo, asks, rolls, floors, works]
-                .into_iter()
-                .flatten()
-                .min()
-            else {
-                return Ok(owners);
+            let rollout_at = rollout.map(|plan| self.start + plan.at);
+            let raise_at = minimum_version_at.map(|at| self.start + at);
+            let maintenance_at = maintenance.map(|plan| self.start + plan.at);
+            let fault_at = faults.peek().map(|fault| self.start + fault.at);
+            let undo_at = undos.iter().map(|(at, _)| *at).min();
+            let request_at = (next < until && self.scenario.rate > 0.0).then_some(next);
+            let Some(at) = [
+                fault_at,
+                undo_at,
+                request_at,
+                rollout_at,
+                raise_at,
+                maintenance_at,
+            ]
+            .into_iter()
+            .flatten()
+            .min() else {
+                return Ok(clients);
             };
             Timer::at(at).await;
-            if rolls == Some(at)
-                && let Some(roll) = roll.take()
+            if rollout_at == Some(at)
+                && let Some(plan) = rollout.take()
             {
-                self.roll(roll).await?;
-            } else if works == Some(at)
-                && let Some(work) = maintenance.take()
+                self.start_rollout(plan).await?;
+            } else if maintenance_at == Some(at)
+                && let Some(plan) = maintenance.take()
             {
-                self.maintain(work).await?;
-            } else if floors == Some(at) {
-                floor = None;
-                self.raise().await?;
-            } else if undo == Some(at) {
+                self.start_maintenance(plan).await?;
+            } else if raise_at == Some(at) {
+                minimum_version_at = None;
+                self.raise_minimum_version().await?;
+            } else if undo_at == Some(at) {
                 let index = undos
                     .iter()
                     .position(|(when, _)| *when == at)
                     .unwrap_or_default();
                 let (_, undo) = undos.swap_remove(index);
                 self.undo(undo).await?;
-            } else if fault == Some(at)
+            } else if fault_at == Some(at)
                 && let Some(fault) = faults.next()
             {
                 let ends = Instant::now() + fault.duration;
@@ -627,12 +641,12 @@
                     0
                 };
                 for _ in 0..burst {
-                    owners.push(self.ask(number, until));
+                    clients.push(self.request_task(number, until));
                     number += 1;
                 }
-                undos.extend(self.strike(&fault)?.into_iter().map(|undo| (ends, undo)));
+                undos.extend(self.inject(&fault)?.into_iter().map(|undo| (ends, undo)));
             } else {
-                owners.push(self.ask(number, until));
+                clients.push(self.request_task(number, until));
                 number += 1;
                 let rate = self.scenario.rate_at(next - self.start);
                 let gap: f64 = -(1.0 - self.rng.random::<f64>()).ln() / rate;
@@ -642,9 +656,9 @@
     }
 
     /// A copy that its owner wants until the day is over.
-    fn hold(&mut self, copy: usize, until: Instant) -> async_executor::Task<()> {
+    fn run_replica(&mut self, replica: usize, until: Instant) -> async_executor::Task<()> {
         let task = Task {
-            name: format!("copy{copy}"),
+            name: format!("copy{replica}"),
             service: REPLICATED_SERVICE.into(),
             service_class: 0,
             service_class_name: SERVICE_CLASSES[0].into(),
@@ -656,49 +670,52 @@
             max_requests: u32::MAX,
             cancel_after: None,
         };
-        let own = Pcg64Mcg::seed_from_u64(self.rng.random());
-        let lives = client::run_task(Arc::clone(&self.frontend), task, own, until);
+        let rng = Pcg64Mcg::seed_from_u64(self.rng.random());
+        let run = client::run_task(Arc::clone(&self.frontend), task, rng, until);
         self.frontend.context.tasks.spawn(async move {
             within(
                 until.saturating_duration_since(Instant::now()),
-                Box::pin(lives),
+                Box::pin(run),
             )
             .await;
         })
     }
 
     /// An operator rolls the copies' program, asking one dispatcher after the other.
-    async fn roll(&mut self, roll: crate::scenario::RolloutPlan) -> Result<(), String> {
+    async fn start_rollout(&mut self, plan: crate::scenario::RolloutPlan) -> Result<(), String> {
         let (service, version) = (String::from(REPLICATED_SERVICE), String::from("v2"));
-        let unready_most = roll.max_unavailable;
+        let unavailable_limit = plan.max_unavailable;
         self.frontend
             .context
             .capture
             .record(Observation::RolloutStarted {
                 service: service.clone(),
                 version: version.clone(),
-                unready_most: unready_most as usize,
-                ready_for_us: roll.min_ready.as_micros() as u64,
-                start_first: roll.surge,
-                ready_within_us: READY_WITHIN.as_micros() as u64,
-                failures_most: FAILURES_MOST as usize,
+                unready_most: unavailable_limit as usize,
+                ready_for_us: plan.min_ready.as_micros() as u64,
+                start_first: plan.surge,
+                ready_within_us: PROGRESS_DEADLINE.as_micros() as u64,
+                failures_most: MAX_FAILURES as usize,
             });
-        let ask = v1::StartRolloutRequest {
+        let request = v1::StartRolloutRequest {
             service,
             version,
             previous_version: "v1".into(),
-            max_unavailable: unready_most,
-            max_in_progress: unready_most.max(1),
-            min_ready_ms: roll.min_ready.as_millis() as u64,
-            progress_deadline_ms: READY_WITHIN.as_millis() as u64,
-            max_failures: FAILURES_MOST,
-            surge: roll.surge,
+            max_unavailable: unavailable_limit,
+            max_in_progress: unavailable_limit.max(1),
+            min_ready_ms: plan.min_ready.as_millis() as u64,
+            progress_deadline_ms: PROGRESS_DEADLINE.as_millis() as u64,
+            max_failures: MAX_FAILURES,
+            surge: plan.surge,
         };
         for dispatcher in 0..self.scenario.dispatchers {
             if let Some(mut client) = self.frontend.rollouts_client(dispatcher).await
-                && let Some(Ok(word)) =
-                    within(Duration::from_secs(5), Box::pin(client.start(ask.clone()))).await
-                && word.into_inner().accepted
+                && let Some(Ok(reply)) = within(
+                    Duration::from_secs(5),
+                    Box::pin(client.start(request.clone())),
+                )
+                .await
+                && reply.into_inner().accepted
             {
                 return Ok(());
             }
@@ -708,14 +725,17 @@
 
     /// An operator has all machines taken out for work but so many keepers that a majority stays,
     /// and the worker begins.
-    async fn maintain(&mut self, work: crate::scenario::MaintenancePlan) -> Result<(), String> {
+    async fn start_maintenance(
+        &mut self,
+        plan: crate::scenario::MaintenancePlan,
+    ) -> Result<(), String> {
         let nodes = self.nodes.iter().map(|node| node.config.id);
         let nodes: Vec<u32> = nodes
             .filter(|id| !QUORUM_MEMBERS[1..].contains(id))
             .collect();
         let machines = nodes.len();
-        let (max_concurrent, max_per_zone) = (work.max_concurrent, work.max_per_zone);
-        let ask = v1::MaintenanceRequest {
+        let (max_concurrent, max_per_zone) = (plan.max_concurrent, plan.max_per_zone);
+        let request = v1::MaintenanceRequest {
             action: v1::maintenance_request::Action::Start.into(),
             nodes,
             limits: vec![max_concurrent, max_per_zone, max_concurrent, max_concurrent],
@@ -725,12 +745,12 @@
         };
         for dispatcher in 0..self.scenario.dispatchers {
             if let Some(mut client) = self.frontend.rollouts_client(dispatcher).await
-                && let Some(Ok(word)) = within(
+                && let Some(Ok(reply)) = within(
                     Duration::from_secs(5),
-                    Box::pin(client.maintain(ask.clone())),
+                    Box::pin(client.maintain(request.clone())),
                 )
                 .await
-                && word.into_inner().accepted
+                && reply.into_inner().accepted
             {
                 let (max_concurrent, max_per_zone) =
                     (max_concurrent as usize, max_per_zone as usize);
@@ -748,15 +768,15 @@
                     Arc::clone(&self.discovery),
                 );
                 let seed = self.rng.random();
-                let works = works(
+                let work = run_maintenance(
                     frontend,
                     nodes,
                     discovery,
                     self.scenario.dispatchers,
-                    work,
+                    plan,
                     seed,
                 );
-                self.worker = Some(self.frontend.context.tasks.spawn(works));
+                self.worker = Some(self.frontend.context.tasks.spawn(work));
                 return Ok(());
             }
         }
@@ -764,7 +784,7 @@
     }
 
     /// An operator raises the floor to the newest version, asking one dispatcher after the other.
-    async fn raise(&mut self) -> Result<(), String> {
+    async fn raise_minimum_version(&mut self) -> Result<(), String> {
         let newest = self
             .frontend
             .context
@@ -779,12 +799,12 @@
         let lowest = newest.ok_or("no version has been pushed yet")?;
         for dispatcher in 0..self.scenario.dispatchers {
             if let Some(mut client) = self.frontend.versions_client(dispatcher).await
-                && let Some(Ok(word)) = within(
+                && let Some(Ok(reply)) = within(
                     Duration::from_secs(5),
                     Box::pin(client.raise(v1::RaiseMinimumVersionRequest { version: lowest })),
                 )
                 .await
-                && word.get_ref().accepted
+                && reply.get_ref().accepted
             {
                 self.frontend
                     .context
@@ -819,7 +839,7 @@
             .await
             .map_err(|why| why.to_string())?;
         let took_ms = began.elapsed().as_millis() as u64;
-        let told: serde_json::Value = serde_json::from_slice(&output.stdout)
+        let report: serde_json::Value = serde_json::from_slice(&output.stdout)
             .map_err(|why| format!("the audit tells no JSON: {why}"))?;
         let mut sockets: BTreeMap<(u64, u64), u64> = BTreeMap::new();
         for line in self.frontend.context.capture.lines() {
@@ -833,7 +853,7 @@
             }
         }
         let number = |row: &serde_json::Value, name: &str| row[name].as_u64().unwrap_or(u64::MAX);
-        let rows = told["acts"].as_array().into_iter().flatten();
+        let rows = report["acts"].as_array().into_iter().flatten();
         let rows = rows.map(|row| {
             (
                 (number(row, "dispatcher"), number(row, "version")),
@@ -846,17 +866,18 @@
             == sockets;
         let capture = &self.frontend.context.capture;
         // What runs where at the end: those that were brought up by others told no control service.
-        for own in told["dispatchers"].as_array().into_iter().flatten() {
-            if let (Some(dispatcher), Some(version)) =
-                (own["number"].as_u64(), own["version"].as_u64())
-            {
+        for dispatcher in report["dispatchers"].as_array().into_iter().flatten() {
+            if let (Some(dispatcher), Some(version)) = (
+                dispatcher["number"].as_u64(),
+                dispatcher["version"].as_u64(),
+            ) {
                 capture.record(Observation::VersionActive {
                     dispatcher: dispatcher as u32,
                     number: version,
                 });
             }
         }
-        let findings = told["findings"].as_array().map_or(0, Vec::len);
+        let findings = report["findings"].as_array().map_or(0, Vec::len);
         let bytes = output.stdout.len() as u64;
         capture.record(Observation::Audited {
             took_ms,
@@ -877,7 +898,7 @@
         Ok(())
     }
 
-    fn ask(&mut self, number: u64, until: Instant) -> async_executor::Task<()> {
+    fn request_task(&mut self, number: u64, until: Instant) -> async_executor::Task<()> {
         let rng = &mut self.rng;
         let draw = rng.random_range(0.0..100.0);
         let service_class = match draw {
@@ -910,16 +931,16 @@
             max_requests: 8,
             cancel_after: cancels.then(|| Duration::from_millis(rng.random_range(0..3000))),
         };
-        let own = Pcg64Mcg::seed_from_u64(rng.random());
+        let task_rng = Pcg64Mcg::seed_from_u64(rng.random());
         self.frontend.context.tasks.spawn(client::run_task(
             Arc::clone(&self.frontend),
             task,
-            own,
+            task_rng,
             until,
         ))
     }
 
-    fn strike(&mut self, fault: &ScheduledFault) -> Result<Vec<Undo>, String> {
+    fn inject(&mut self, fault: &ScheduledFault) -> Result<Vec<Undo>, String> {
         let name = crate::scenario::FAULT_KINDS
             .iter()
             .find(|(_, kind)| *kind == fault.kind)
@@ -929,35 +950,37 @@
             .capture
             .record(Observation::Fault { name: name.into() });
         let time = fault.duration;
-        let mut up: Vec<usize> = (0..self.nodes.len())
+        let mut running_nodes: Vec<usize> = (0..self.nodes.len())
             .filter(|&index| self.nodes[index].is_running())
             .collect();
-        up.shuffle(&mut self.rng);
-        up.truncate(fault.count);
+        running_nodes.shuffle(&mut self.rng);
+        running_nodes.truncate(fault.count);
         // Processes, each with all its dispatchers.
-        let mut running: Vec<usize> = (0..self.fleet.len())
+        let mut processes: Vec<usize> = (0..self.fleet.len())
             .filter(|&index| self.fleet[index].child.is_some())
             .collect();
-        running.shuffle(&mut self.rng);
-        running.truncate(fault.count);
+        processes.shuffle(&mut self.rng);
+        processes.truncate(fault.count);
         let mut undos = Vec::new();
         match fault.kind {
             FaultKind::KillNodes => {
-                for index in up {
+                for index in running_nodes {
                     self.kill(index);
-                    undos.push(Undo::Up(index));
+                    undos.push(Undo::StartNode(index));
                 }
             }
             FaultKind::RestartRack => {
-                let cell = up.first().map(|&index| self.nodes[index].config.cell);
+                let cell = running_nodes
+                    .first()
+                    .map(|&index| self.nodes[index].config.cell);
                 let of = |index: &usize| Some(self.nodes[*index].config.cell) == cell;
                 for index in (0..self.nodes.len()).filter(of).collect::<Vec<_>>() {
                     self.kill(index);
-                    undos.push(Undo::Up(index));
+                    undos.push(Undo::StartNode(index));
                 }
             }
             FaultKind::LoseZone => {
-                let zone = up
+                let zone = running_nodes
                     .first()
                     .map(|&index| self.scenario.failure_domain(self.nodes[index].config.cell));
                 let lost = |index: &usize| {
@@ -965,69 +988,74 @@
                 };
                 for index in (0..self.nodes.len()).filter(lost).collect::<Vec<_>>() {
                     self.kill(index);
-                    undos.push(Undo::Up(index));
+                    undos.push(Undo::StartNode(index));
                 }
             }
             FaultKind::DrainNodes => {
-                for index in up {
+                for index in running_nodes {
                     self.nodes[index].drain();
                     self.update_endpoint(index, v1::endpoint::State::Draining);
-                    undos.push(Undo::Undrain(index));
+                    undos.push(Undo::EndDrain(index));
                 }
             }
-            FaultKind::StallNodes => up.iter().for_each(|&index| self.nodes[index].stall(time)),
-            FaultKind::CutLinks => up
+            FaultKind::StallNodes => running_nodes
+                .iter()
+                .for_each(|&index| self.nodes[index].stall(time)),
+            FaultKind::CutLinks => running_nodes
                 .iter()
                 .for_each(|&index| self.nodes[index].cut_connections(time)),
-            FaultKind::LoseAnswers => up.iter().for_each(|&index| self.nodes[index].mute(time)),
+            FaultKind::LoseAnswers => running_nodes
+                .iter()
+                .for_each(|&index| self.nodes[index].mute(time)),
             FaultKind::DelayReports => {
                 let by = Duration::from_millis(self.rng.random_range(700..4000));
-                up.iter()
+                running_nodes
+                    .iter()
                     .for_each(|&index| self.nodes[index].delay_reports(time, by));
             }
-            FaultKind::LosePrograms => up
+            FaultKind::LosePrograms => running_nodes
                 .iter()
                 .for_each(|&index| self.nodes[index].clear_program_cache()),
             FaultKind::RosterAway => self.discovery.disconnect(Some(time)),
             FaultKind::Demand | FaultKind::Burst => {}
             FaultKind::KillDispatchers => {
-                for index in running {
+                for index in processes {
                     self.fleet[index].kill(&self.frontend)?;
-                    undos.push(Undo::Restart(index));
+                    undos.push(Undo::RestartDispatchers(index));
                 }
             }
             FaultKind::CutDispatchers | FaultKind::DelayDispatchers | FaultKind::HoldVersions => {
                 let Some(proxies) = &self.proxies else {
                     return Err("no relays stand".into());
                 };
-                let numbers = running
+                let numbers = processes
                     .iter()
                     .flat_map(|&index| self.fleet[index].numbers.clone());
                 for index in numbers.take(fault.count) {
                     self.record_connection_fault(index, true, fault.delay);
                     if fault.kind == FaultKind::HoldVersions {
                         proxies.hold_versions(index);
-                        undos.push(Undo::Heal(index, vec![LinkPeer::Control]));
+                        undos.push(Undo::HealConnections(index, vec![LinkPeer::Control]));
                     } else {
                         proxies.inject(index, fault);
-                        undos.push(Undo::Heal(index, fault.peers.clone()));
+                        undos.push(Undo::HealConnections(index, fault.peers.clone()));
                     }
                 }
             }
             FaultKind::FullDisk => {
-                for index in running {
+                for index in processes {
                     self.fleet[index].limit_file_size(Some(0))?;
-                    undos.push(Undo::Room(index));
+                    undos.push(Undo::FreeDisk(index));
                 }
             }
             FaultKind::PauseDispatchers => {
-                for index in running {
+                for index in processes {
                     self.fleet[index].signal(
                         &self.frontend,
                         rustix::process::Signal::STOP,
                         DispatcherState::Paused,
                     )?;
-                    undos.push(Undo::GoOn(index));
+                    undos.push(Undo::Resume(index));
                 }
             }
         }
@@ -1044,26 +1072,27 @@
 
     /// What each process has cost so far, and what its dispatchers counted.
     pub async fn read_costs(&self) -> Result<Vec<cost::Reading>, String> {
-        let mut read = Vec::new();
+        let mut readings = Vec::new();
         for process in &self.fleet {
-            let Some(mut own) = process.cost() else {
+            let Some(mut reading) = process.cost() else {
                 continue;
             };
             for number in process.numbers.clone() {
-                let told = async {
+                let status = async {
                     let mut client = self.frontend.placement_client(number).await?;
                     client.status(v1::StatusRequest {}).await.ok()
                 };
                 // One that stands still, or is away, tells nothing: it is left out of the figures.
-                let told = within(Duration::from_secs(5), Box::pin(told))
+                let status = within(Duration::from_secs(5), Box::pin(status))
                     .await
                     .flatten();
-                own.counts
-                    .extend(told.map(|word| (number, word.into_inner().connection_traffic)));
+                reading
+                    .counts
+                    .extend(status.map(|status| (number, status.into_inner().connection_traffic)));
             }
-            read.push(own);
+            readings.push(reading);
         }
-        Ok(read)
+        Ok(readings)
     }
 
     fn record_connection_fault(&self, index: usize, struck: bool, late: Duration) {
@@ -1099,7 +1128,7 @@
 
     async fn undo(&mut self, undo: Undo) -> Result<(), String> {
         match undo {
-            Undo::Up(index) => {
+            Undo::StartNode(index) => {
                 let node = &self.nodes[index];
                 if !node.is_running() {
                     let address = node
@@ -1111,28 +1140,28 @@
                     self.discovery.update(late, entry);
                 }
             }
-            Undo::Undrain(index) => {
+            Undo::EndDrain(index) => {
                 // Its process goes at the end of the drain, and comes back anew.
                 if self.nodes[index].is_running() {
                     self.kill(index);
                 }
-                Box::pin(self.undo(Undo::Up(index))).await?;
+                Box::pin(self.undo(Undo::StartNode(index))).await?;
             }
-            Undo::Restart(index) => {
+            Undo::RestartDispatchers(index) => {
                 if self.fleet[index].child.is_none() {
                     self.fleet[index]
                         .start(&self.frontend, self.proxies.as_ref())
                         .await?;
                 }
             }
-            Undo::Heal(index, ends) => {
+            Undo::HealConnections(index, peers) => {
                 self.record_connection_fault(index, false, Duration::ZERO);
                 self.proxies
                     .iter()
-                    .for_each(|proxies| proxies.heal(index, &ends));
+                    .for_each(|proxies| proxies.heal(index, &peers));
             }
-            Undo::Room(index) => self.fleet[index].limit_file_size(None)?,
-            Undo::GoOn(index) => {
+            Undo::FreeDisk(index) => self.fleet[index].limit_file_size(None)?,
+            Undo::Resume(index) => {
                 if self.fleet[index].child.is_some() {
                     self.fleet[index].signal(
                         &self.frontend,
@@ -1147,8 +1176,8 @@
 }
 
 /// After the day, all machines have had their work within this.
-const WORKED_WITHIN: Duration = Duration::from_secs(180);
+const MAINTENANCE_TIMEOUT: Duration = Duration::from_secs(180);
 /// A copy of a day's roll may take so long to get ready.
-const READY_WITHIN: Duration = Duration::from_secs(20);
+const PROGRESS_DEADLINE: Duration = Duration::from_secs(20);
 /// Nodes and dispatchers may be struck during a day's roll: that is not the version's fault.
-const FAILURES_MOST: u32 = 1_000;
+const MAX_FAILURES: u32 = 1_000;
