--- a/crates/testbed/src/runner.rs
+++ b/crates/testbed/src/runner.rs
@@ -1,5 +1,5 @@
-//! Plays a day: starts real dispatchers, each a process of its own, and the stand-ins around them,
-//! and lets the script's troubles strike.
+//! Runs a scenario: starts real dispatchers, each in its own process, and the stand-ins around
+//! them, and injects the scenario's faults.
 
 use crate::capture::{
     self, Capture, DispatcherState, NodeState, Observation, RetrySafety, RuleParameters,
@@ -31,24 +31,25 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// How a day is played.
+/// A scenario and the options of its run.
 pub struct ScenarioRun {
     pub scenario: Scenario,
     pub seed: u64,
     pub programs: Programs,
-    /// Where the capture goes, if it is kept.
+    /// The file that receives the capture, if it is kept.
     pub capture: Option<PathBuf>,
-    /// Changes what the dispatchers are told, for tests that must find a wrong one out.
+    /// Rewrites the dispatchers' deployment. Tests use it to make dispatchers break a rule that the
+    /// checker must find.
     pub rewrite_deployment: fn(String) -> String,
-    /// Where dispatchers write their logs; nowhere if none.
+    /// The folder for the dispatchers' logs. `None` discards them.
     pub logs: Option<PathBuf>,
 }
 
 const ZONES: [&str; 2] = ["hall-a", "hall-b"];
 const SERVICE_CLASSES: [&str; 3] = ["web", "index", "ledger"];
-/// The nodes that hold wishes and floors.
+/// Ids of the nodes that are quorum members.
 const QUORUM_MEMBERS: [u32; 3] = [100, 101, 102];
-/// The service of the copies that run all day.
+/// The service whose replicas run for the whole scenario.
 pub const REPLICATED_SERVICE: &str = "held";
 const SPREAD: usize = 4;
 const DEDUP_WINDOW: Duration = Duration::from_secs(6);
@@ -58,8 +59,8 @@
     max_offers: 16,
     initial_rate: 0.25,
 };
-/// What dispatchers are told that a cold node bears: less than pushes it over, for the way is
-/// uneven.
+/// Offers per window during slow start in the dispatchers' deployment. It is below the limit at
+/// which a node fails, because network delay varies.
 const DEPLOYED_MAX_OFFERS: usize = 12;
 
 impl ScenarioRun {
@@ -118,7 +119,7 @@
         let zone = ZONES[number % ZONES.len()];
         let endpoint_list = folder.join(format!("list-{number}.json"));
         let rollouts = folder.join(format!("rolls-{number}.redb"));
-        // A hollow one has no disk.
+        // A hollow dispatcher has no disk.
         let disk = match self.scenario.is_hollow(number) {
             true => String::new(),
             false => format!("(remembered {endpoint_list:?}) (rolls {rollouts:?})"),
@@ -170,7 +171,7 @@
         (0..self.scenario.nodes).map(config).collect()
     }
 
-    /// Plays the day to its end and returns what was seen.
+    /// Runs the scenario to its end and returns the capture.
     pub fn run(self) -> Result<Vec<capture::Line>, String> {
         let tasks = SharedExecutor::default();
         future::block_on(tasks.clone().run(self.play(tasks)))
@@ -212,7 +213,7 @@
             .context
             .capture
             .record(Observation::Cost(Box::new(cost::between(&before, &after))));
-        // Whoever still waits or runs has so long to come to an end.
+        // Clients that still wait or run get this long to finish.
         let remaining = async {
             for client in clients {
                 client.await;
@@ -234,7 +235,7 @@
         Ok(frontend.context.capture.lines())
     }
 
-    /// All stand-ins and dispatchers, which have heard of all nodes.
+    /// Starts all stand-ins and dispatchers, and waits until the dispatchers know all nodes.
     pub(crate) async fn start(&self, tasks: &SharedExecutor) -> Result<Testbed, String> {
         let text = |why: std::io::Error| why.to_string();
         Requirements::for_scenario(&self.scenario).check(&Limits::of_this_machine()?)?;
@@ -348,7 +349,7 @@
             process.start(&frontend, proxies.as_ref()).await?;
             fleet.push(process);
         }
-        // The day begins when dispatchers have had a moment to hear of the nodes.
+        // The scenario begins once the dispatchers know all nodes.
         let all_known = async {
             for number in 0..self.scenario.dispatchers {
                 while frontend.serving(number).await < nodes.len() as u64 {
@@ -407,8 +408,8 @@
     }
 }
 
-/// The worker: asks one dispatcher after the other which machines are his, restarts each, and says
-/// that it is done.
+/// Works on the machines under maintenance: requests the list of them from random dispatchers,
+/// restarts each machine, and reports it as done.
 async fn run_maintenance(
     frontend: Arc<Frontend>,
     nodes: Vec<Arc<Node>>,
@@ -431,7 +432,8 @@
         let reply = within(Duration::from_secs(10), Box::pin(client.maintain(request))).await;
         let Some(Ok(reply)) = reply else { continue };
         let reply = reply.into_inner();
-        // While it is worked on it does not answer, and so is not told as the worker's: he knows.
+        // A machine that is being worked on does not respond and is missing from the dispatcher's
+        // list, so those in progress are added.
         in_progress.retain(|id, _| !reply.completed.contains(id));
         let assigned: BTreeSet<u32> = reply
             .in_maintenance
@@ -498,7 +500,7 @@
     }
 }
 
-/// An operator pushes one sound version after the other: the same but for what nobody feels.
+/// Publishes one valid version after the other. They differ only in a quota with no effect.
 async fn push_versions(control: ControlService, parts: SharedParts, interval: Duration) {
     for number in 0u64.. {
         let accounts = format!("(accounts (a (share-cores {})))", 1_000_000 + number);
@@ -511,11 +513,11 @@
     }
 }
 
-/// Lines a second that the roster tells all dispatchers together of room alone.
+/// Capacity updates a second that the discovery service sends to all dispatchers together.
 const CAPACITY_LINES_PER_SECOND: usize = 10_000;
 
-/// Tells the roster again and again what nobody has asked for: as often as the day says, or every
-/// second, and less often to a large fleet.
+/// Reports each node's unrequested resources to the discovery service, at the scenario's interval
+/// or every second, and less often in a large fleet.
 pub(crate) async fn report_capacity(
     discovery: Arc<Discovery>,
     nodes: Vec<Arc<Node>>,
@@ -561,7 +563,7 @@
     _control_guard: ControlServiceGuard,
 }
 
-/// What is undone at the end of a trouble.
+/// An action that ends a fault.
 enum Undo {
     StartNode(usize),
     EndDrain(usize),
@@ -572,7 +574,7 @@
 }
 
 impl Testbed {
-    /// Lets owners ask and troubles strike until the day is over.
+    /// Runs clients and injects faults until the scenario ends. Returns the clients' tasks.
     pub async fn run_until(
         &mut self,
         until: Instant,
@@ -655,7 +657,7 @@
         }
     }
 
-    /// A copy that its owner wants until the day is over.
+    /// Spawns the client of a replica that is to run until the scenario ends.
     fn run_replica(&mut self, replica: usize, until: Instant) -> async_executor::Task<()> {
         let task = Task {
             name: format!("copy{replica}"),
@@ -681,7 +683,7 @@
         })
     }
 
-    /// An operator rolls the copies' program, asking one dispatcher after the other.
+    /// Starts the rollout of the replicated service at the first dispatcher that accepts it.
     async fn start_rollout(&mut self, plan: crate::scenario::RolloutPlan) -> Result<(), String> {
         let (service, version) = (String::from(REPLICATED_SERVICE), String::from("v2"));
         let unavailable_limit = plan.max_unavailable;
@@ -723,8 +725,8 @@
         Err("no dispatcher has taken the roll".into())
     }
 
-    /// An operator has all machines taken out for work but so many keepers that a majority stays,
-    /// and the worker begins.
+    /// Requests maintenance of all machines except two quorum members, so that a majority stays up,
+    /// at the first dispatcher that accepts it, and spawns the maintenance work.
     async fn start_maintenance(
         &mut self,
         plan: crate::scenario::MaintenancePlan,
@@ -783,7 +785,7 @@
         Err("no dispatcher has taken the wish for work on machines".into())
     }
 
-    /// An operator raises the floor to the newest version, asking one dispatcher after the other.
+    /// Raises the minimum version to the newest one at the first dispatcher that accepts it.
     async fn raise_minimum_version(&mut self) -> Result<(), String> {
         let newest = self
             .frontend
@@ -816,8 +818,8 @@
         Err("no dispatcher has had the floor raised".into())
     }
 
-    /// The operator's command line over the whole fleet, and its acts against what the nodes'
-    /// sockets saw.
+    /// Runs the operator's `fleet audit` over the whole fleet and compares its operations with what
+    /// the nodes' sockets received.
     async fn audit(&self, program: &[OsString]) -> Result<(), String> {
         let (first, rest) = program.split_first().ok_or("no program is given")?;
         let mut command = Command::new(first);
@@ -865,7 +867,8 @@
             .collect::<BTreeMap<_, _>>()
             == sockets;
         let capture = &self.frontend.context.capture;
-        // What runs where at the end: those that were brought up by others told no control service.
+        // Records each dispatcher's version at the end: one that caught up from peers has reported
+        // it to no control service.
         for dispatcher in report["dispatchers"].as_array().into_iter().flatten() {
             if let (Some(dispatcher), Some(version)) = (
                 dispatcher["number"].as_u64(),
@@ -898,6 +901,7 @@
         Ok(())
     }
 
+    /// Spawns a client with a random task.
     fn request_task(&mut self, number: u64, until: Instant) -> async_executor::Task<()> {
         let rng = &mut self.rng;
         let draw = rng.random_range(0.0..100.0);
@@ -940,6 +944,7 @@
         ))
     }
 
+    /// Injects a fault and returns the actions that end it.
     fn inject(&mut self, fault: &ScheduledFault) -> Result<Vec<Undo>, String> {
         let name = crate::scenario::FAULT_KINDS
             .iter()
@@ -955,7 +960,7 @@
             .collect();
         running_nodes.shuffle(&mut self.rng);
         running_nodes.truncate(fault.count);
-        // Processes, each with all its dispatchers.
+        // Faults on dispatchers strike whole processes, each with all its dispatchers.
         let mut processes: Vec<usize> = (0..self.fleet.len())
             .filter(|&index| self.fleet[index].child.is_some())
             .collect();
@@ -1062,7 +1067,7 @@
         Ok(undos)
     }
 
-    /// Hollow processes that run.
+    /// Returns the ids of the running hollow processes.
     pub fn hollow_process_ids(&self) -> Vec<u32> {
         let hollow = self.fleet.iter().filter(|process| process.hollow);
         hollow
@@ -1070,7 +1075,7 @@
             .collect()
     }
 
-    /// What each process has cost so far, and what its dispatchers counted.
+    /// Reads the cost of each process so far and its dispatchers' counters.
     pub async fn read_costs(&self) -> Result<Vec<cost::Reading>, String> {
         let mut readings = Vec::new();
         for process in &self.fleet {
@@ -1082,7 +1087,8 @@
                     let mut client = self.frontend.placement_client(number).await?;
                     client.status(v1::StatusRequest {}).await.ok()
                 };
-                // One that stands still, or is away, tells nothing: it is left out of the figures.
+                // A paused or unreachable dispatcher returns no counters and is left out of the
+                // figures.
                 let status = within(Duration::from_secs(5), Box::pin(status))
                     .await
                     .flatten();
@@ -1112,7 +1118,7 @@
         self.update_endpoint(index, v1::endpoint::State::Gone);
     }
 
-    /// The roster hears of it late.
+    /// Updates a node's state at the discovery service after a random delay.
     fn update_endpoint(&mut self, index: usize, state: v1::endpoint::State) {
         let late = Duration::from_millis(self.rng.random_range(100..900));
         if let Some(entry) = self.discovery.endpoint(self.nodes[index].config.id) {
@@ -1141,7 +1147,7 @@
                 }
             }
             Undo::EndDrain(index) => {
-                // Its process goes at the end of the drain, and comes back anew.
+                // The node's process ends with the drain and starts again.
                 if self.nodes[index].is_running() {
                     self.kill(index);
                 }
@@ -1175,9 +1181,9 @@
     }
 }
 
-/// After the day, all machines have had their work within this.
+/// Time after the scenario's end within which all maintenance must finish.
 const MAINTENANCE_TIMEOUT: Duration = Duration::from_secs(180);
-/// A copy of a day's roll may take so long to get ready.
+/// Time for a new replica of the rollout to get ready.
 const PROGRESS_DEADLINE: Duration = Duration::from_secs(20);
-/// Nodes and dispatchers may be struck during a day's roll: that is not the version's fault.
+/// High, since faults on nodes and dispatchers during the rollout must not halt it.
 const MAX_FAILURES: u32 = 1_000;
