--- a/crates/testbed/src/runner.rs
+++ b/crates/testbed/src/runner.rs
@@ -223,7 +223,7 @@
         drop((capacity_reports, versions));
         if let Some(worker) = testbed.worker.take() {
             let finished = within(MAINTENANCE_TIMEOUT, worker).await;
-            finished.ok_or("the work on machines does not come to its end")??;
+            finished.ok_or("the maintenance does not finish")??;
         }
         if self.scenario.audit {
             testbed.audit(&self.programs.real).await?;
@@ -231,7 +231,7 @@
         for process in &mut testbed.fleet {
             process.stop(&frontend).await?;
         }
-        ended.ok_or("owners are still waiting long after the day's end")?;
+        ended.ok_or("clients are still waiting long after the scenario's end")?;
         Ok(frontend.context.capture.lines())
     }
 
@@ -359,7 +359,7 @@
         };
         within(Duration::from_secs(30), all_known)
             .await
-            .ok_or("the dispatchers don't hear of the nodes")?;
+            .ok_or("the dispatchers do not learn of all nodes")?;
         let (scenario, start) = (self.scenario.clone(), Instant::now());
         let control_guard = guard;
         Ok(Testbed {
@@ -722,7 +722,7 @@
                 return Ok(());
             }
         }
-        Err("no dispatcher has taken the roll".into())
+        Err("no dispatcher accepted the rollout".into())
     }
 
     /// Requests maintenance of all machines except two quorum members, so that a majority stays up,
@@ -782,7 +782,7 @@
                 return Ok(());
             }
         }
-        Err("no dispatcher has taken the wish for work on machines".into())
+        Err("no dispatcher accepted the maintenance request".into())
     }
 
     /// Raises the minimum version to the newest one at the first dispatcher that accepts it.
@@ -798,7 +798,7 @@
                 Observation::Pushed { number } => Some(number),
                 _ => None,
             });
-        let lowest = newest.ok_or("no version has been pushed yet")?;
+        let lowest = newest.ok_or("no version has been published yet")?;
         for dispatcher in 0..self.scenario.dispatchers {
             if let Some(mut client) = self.frontend.versions_client(dispatcher).await
                 && let Some(Ok(reply)) = within(
@@ -815,13 +815,13 @@
                 return Ok(());
             }
         }
-        Err("no dispatcher has had the floor raised".into())
+        Err("no dispatcher raised the minimum version".into())
     }
 
     /// Runs the operator's `fleet audit` over the whole fleet and compares its operations with what
     /// the nodes' sockets received.
     async fn audit(&self, program: &[OsString]) -> Result<(), String> {
-        let (first, rest) = program.split_first().ok_or("no program is given")?;
+        let (first, rest) = program.split_first().ok_or("the program is missing")?;
         let mut command = Command::new(first);
         command.args(rest).args(["fleet", "audit", "--json"]);
         for node in &self.nodes {
@@ -842,7 +842,7 @@
             .map_err(|why| why.to_string())?;
         let took_ms = began.elapsed().as_millis() as u64;
         let report: serde_json::Value = serde_json::from_slice(&output.stdout)
-            .map_err(|why| format!("the audit tells no JSON: {why}"))?;
+            .map_err(|why| format!("the audit's output is not valid JSON: {why}"))?;
         let mut sockets: BTreeMap<(u64, u64), u64> = BTreeMap::new();
         for line in self.frontend.context.capture.lines() {
             if let Observation::Offered {
@@ -1031,7 +1031,7 @@
             }
             FaultKind::CutDispatchers | FaultKind::DelayDispatchers | FaultKind::HoldVersions => {
                 let Some(proxies) = &self.proxies else {
-                    return Err("no relays stand".into());
+                    return Err("no fault proxies are running".into());
                 };
                 let numbers = processes
                     .iter()
