--- a/crates/testbed/src/capture.rs
+++ b/crates/testbed/src/capture.rs
@@ -326,10 +326,10 @@
 /// Where lines go as they are seen.
 pub struct Capture {
     start: Instant,
-    to: Mutex<To>,
+    sink: Mutex<Sink>,
 }
 
-struct To {
+struct Sink {
     file: Option<std::io::BufWriter<std::fs::File>>,
     lines: Vec<Line>,
 }
@@ -343,7 +343,7 @@
             .map(std::io::BufWriter::new);
         Ok(Capture {
             start: Instant::now(),
-            to: Mutex::new(To {
+            sink: Mutex::new(Sink {
                 file,
                 lines: Vec::new(),
             }),
@@ -351,20 +351,23 @@
     }
 
     pub fn record(&self, observation: Observation) {
-        let mut to = self.to.lock().expect("no one panics while writing a line");
+        let mut sink = self
+            .sink
+            .lock()
+            .expect("no one panics while writing a line");
         // The time is taken in here: lines stand in the order of their times.
         let line = Line {
             t: self.start.elapsed().as_micros() as u64,
             observation,
         };
-        if let Some(file) = &mut to.file {
+        if let Some(file) = &mut sink.file {
             let written = serde_json::to_writer(&mut *file, &line).map_err(Into::into);
             if let Err(why) = written.and_then(|()| file.write_all(b"\n")) {
                 eprintln!("corkspan-testbed: the capture can't be written: {why}");
-                to.file = None;
+                sink.file = None;
             }
         }
-        to.lines.push(line);
+        sink.lines.push(line);
     }
 
     pub fn elapsed(&self) -> Duration {
@@ -373,13 +376,16 @@
 
     /// All lines so far; the file is complete up to here.
     pub fn lines(&self) -> Vec<Line> {
-        let mut to = self.to.lock().expect("no one panics while writing a line");
-        if let Some(file) = &mut to.file
+        let mut sink = self
+            .sink
+            .lock()
+            .expect("no one panics while writing a line");
+        if let Some(file) = &mut sink.file
             && let Err(why) = file.flush()
         {
             eprintln!("corkspan-testbed: the capture can't be written: {why}");
         }
-        to.lines.clone()
+        sink.lines.clone()
     }
 }
 
--- a/crates/testbed/src/scenario.rs
+++ b/crates/testbed/src/scenario.rs
@@ -155,13 +155,13 @@
 
     /// Whether the dispatchers' connections run through fault proxies.
     pub fn needs_fault_proxies(&self) -> bool {
-        let on_links = |fault: &ScheduledFault| {
+        let strikes_links = |fault: &ScheduledFault| {
             matches!(
                 fault.kind,
                 FaultKind::CutDispatchers | FaultKind::DelayDispatchers | FaultKind::HoldVersions
             )
         };
-        self.faults.iter().any(on_links)
+        self.faults.iter().any(strikes_links)
     }
 
     /// Whether a fault strikes connections to this peer.
--- a/crates/testbed/src/scenario/reader.rs
+++ b/crates/testbed/src/scenario/reader.rs
@@ -232,29 +232,29 @@
 enum Presence {
     Required,
     Optional,
-    Meaningless,
+    Forbidden,
 }
 
 /// Refuses parts that are missing, and those that mean nothing for this kind.
 fn check_fault_parts(form: &Form, parts: &Parts, kind: FaultKind) -> Result<(), Diagnostic> {
     let required = |condition| match condition {
         true => Presence::Required,
-        false => Presence::Meaningless,
+        false => Presence::Forbidden,
     };
     let lasts = !matches!(kind, FaultKind::LosePrograms | FaultKind::Burst);
-    let on_links = matches!(
+    let strikes_links = matches!(
         kind,
         FaultKind::CutDispatchers | FaultKind::DelayDispatchers
     );
-    let way = match on_links {
+    let direction = match strikes_links {
         true => Presence::Optional,
-        false => Presence::Meaningless,
+        false => Presence::Forbidden,
     };
     let presences = [
         ("for", required(lasts)),
         ("times", required(kind == FaultKind::Demand)),
-        ("from", required(on_links)),
-        ("way", way),
+        ("from", required(strikes_links)),
+        ("way", direction),
         ("by", required(kind == FaultKind::DelayDispatchers)),
     ];
     for (part, presence) in presences {
@@ -262,8 +262,8 @@
             (None, Presence::Required) => {
                 return Err(form.diagnostic(format!("lacks `({part} …)`")));
             }
-            (Some(there), Presence::Meaningless) => {
-                return Err(there.diagnostic("means nothing here"));
+            (Some(form), Presence::Forbidden) => {
+                return Err(form.diagnostic("means nothing here"));
             }
             _ => {}
         }
