--- a/crates/testbed/src/capture.rs
+++ b/crates/testbed/src/capture.rs
@@ -1,4 +1,4 @@
-//! What crossed the stand-ins' sockets, one JSON line each: the judge's only source.
+//! The capture: what crossed the stand-ins' sockets, as JSON lines. It is the checker's only input.
 
 use crate::cost;
 use serde::{Deserialize, Serialize};
@@ -7,29 +7,31 @@
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-/// A time that is never up.
+/// Default of a deadline that never expires, in µs.
 pub fn unending() -> u64 {
     u64::MAX
 }
 
-/// One line: µs since the day's start, and what was seen.
+/// A line of the capture.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Line {
+    /// Time since the start of the scenario, in µs.
     pub t: u64,
     #[serde(flatten)]
     pub observation: Observation,
 }
 
+/// An event that a stand-in observed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "seen", rename_all = "kebab-case")]
 pub enum Observation {
-    /// The first line: the rules of the day in figures.
+    /// The first line: the parameters of the rules.
     #[serde(rename = "day")]
     Rules(RuleParameters),
-    /// An owner asks a dispatcher.
+    /// A client requests a placement from a dispatcher.
     #[serde(rename = "asked")]
     Requested(RequestedPlacement),
-    /// An owner hands over an allocation that runs.
+    /// A client hands a running allocation over to a dispatcher.
     HandedOver {
         call: u64,
         #[serde(rename = "placing")]
@@ -37,17 +39,17 @@
         dispatcher: u32,
         task: String,
     },
-    /// A word reaches an owner.
+    /// An event reaches a client.
     #[serde(rename = "heard")]
     EventReceived {
         call: u64,
         #[serde(rename = "word")]
         event: AllocationEvent,
     },
-    /// An owner's call is over. `broken`: the link broke; else the stream ended or the owner ended
-    /// it.
+    /// A client's call has ended. `broken`: the connection broke; otherwise the stream ended or the
+    /// client ended it.
     Closed { call: u64, broken: bool },
-    /// The owner ends the call since it wants the allocation no longer.
+    /// A client cancels its call because it no longer wants the allocation.
     Cancelled { call: u64 },
     /// An offer reaches a node.
     Offered {
@@ -61,15 +63,15 @@
         task: String,
         #[serde(default)]
         version: String,
-        /// The number of the deployment's version that it was decided under.
+        /// Number of the deployment version under which it was decided.
         #[serde(default)]
         decided: u64,
     },
-    /// A node has a floor on its disk: what was decided under a lower version must not take effect
+    /// A node has stored a minimum version: what was decided under a lower one must not take effect
     /// there.
     #[serde(rename = "floor")]
     MinimumVersionStored { node: u32, lowest: u64 },
-    /// A node says a word on an offer, whether it gets through or not.
+    /// A node sends an event on an offer, whether it arrives or not.
     #[serde(rename = "said")]
     EventSent {
         node: u32,
@@ -79,7 +81,7 @@
         #[serde(rename = "word")]
         event: AllocationEvent,
     },
-    /// The dispatcher has let go of an offer, or its link broke, before its node ended it.
+    /// The dispatcher dropped an offer, or its connection broke, before its node ended it.
     #[serde(rename = "let-go")]
     OfferDropped {
         node: u32,
@@ -87,8 +89,8 @@
         placement_id: String,
         number: u32,
     },
-    /// A copy says that it is ready, or is so no longer. `done`: it has come to its end and is not
-    /// wanted. `stopped`: by its dispatcher, and not by what befell it.
+    /// A replica becomes ready or stops being ready. `done`: it ended and is no longer wanted.
+    /// `stopped`: its dispatcher stopped it, and it did not fail by itself.
     Ready {
         node: u32,
         task: String,
@@ -98,51 +100,54 @@
         done: bool,
         stopped: bool,
     },
-    /// An operator begins a roll: from here on so many copies of the service may be not ready.
+    /// An operator starts a rollout: from now on at most `unready_most` replicas of the service may
+    /// be unavailable.
     #[serde(rename = "roll")]
     RolloutStarted {
         service: String,
         version: String,
         unready_most: usize,
         ready_for_us: u64,
-        /// New copies run beside old ones, never more than `unready_most` of them.
+        /// New replicas run beside old ones, at most `unready_most` of them.
         #[serde(default)]
         start_first: bool,
-        /// A copy fails that is not ready after so long, or dies within `ready_for_us`; more than
-        /// `failures_most` at one dispatcher halt the roll.
+        /// A replica that is not ready after this time, or dies within `ready_for_us`, has failed.
+        /// More than `failures_most` failures at one dispatcher halt the rollout.
         #[serde(default = "unending")]
         ready_within_us: u64,
         #[serde(default)]
         failures_most: usize,
     },
+    /// A health check reaches a node.
     #[serde(rename = "probed")]
     HealthChecked { node: u32 },
-    /// A node's process starts, drains, is gone or fell over; all its allocations are gone with it
-    /// if so.
+    /// A node's process starts, drains, is gone or crashed. A node that is gone or crashed has lost
+    /// all its allocations.
     Node { node: u32, state: NodeState },
-    /// The links of a node break; what runs there runs on.
+    /// The connections of a node break; its allocations keep running.
     #[serde(rename = "cut")]
     ConnectionsCut { node: u32 },
-    /// The roster tells a dispatcher of a node.
+    /// The discovery service sends a node's entry to a dispatcher.
     #[serde(rename = "told")]
     EndpointSent {
         dispatcher: u32,
         node: u32,
         state: NodeState,
     },
-    /// A dispatcher's process starts, is killed, stands still or goes on.
+    /// A dispatcher's process changes its state.
     Dispatcher {
         dispatcher: u32,
         state: DispatcherState,
     },
-    /// Links of a dispatcher are held, or late by so much, from here on or no longer.
+    /// A fault on connections of a dispatcher begins or ends. They are delayed by `late_us`, or
+    /// held if it is 0.
     #[serde(rename = "wires")]
     ConnectionFault {
         dispatcher: u32,
         struck: bool,
         late_us: u64,
     },
-    /// Machines are wished to be taken out: so many, at a time and of one hall.
+    /// Maintenance is requested, with limits on machines out of service, in total and in one zone.
     #[serde(rename = "maintenance")]
     MaintenanceRequested {
         machines: usize,
@@ -151,38 +156,38 @@
         #[serde(rename = "by_hall")]
         max_per_zone: usize,
     },
-    /// The worker begins or ends his work on a node. `runs`: what stands there then, which must be
-    /// nothing.
+    /// The work on a node begins or ends. `runs`: allocations on the node at that time, which must
+    /// be 0.
     #[serde(rename = "worked")]
     MaintenanceWork {
         node: u32,
         begins: bool,
         runs: usize,
     },
-    /// A node is closed for work, or open again.
+    /// A node is cordoned for maintenance or uncordoned.
     #[serde(rename = "door")]
     Cordon { node: u32, closed: bool },
-    /// The control service has another version.
+    /// The control service has a new version.
     Pushed { number: u64 },
-    /// A dispatcher has told the control service, or an operator, what runs there.
+    /// A dispatcher reported its active version to the control service or an operator.
     #[serde(rename = "in-force")]
     VersionActive { dispatcher: u32, number: u64 },
-    /// A majority of keepers has taken a floor.
+    /// A majority of quorum members has accepted a minimum version.
     #[serde(rename = "raised")]
     MinimumVersionRaised { lowest: u64 },
-    /// What an audit of all told. `equal`: of acts just what crossed the nodes' sockets.
+    /// The result of an audit of the fleet. `equal`: its operations are exactly those that crossed
+    /// the nodes' sockets.
     Audited {
         took_ms: u64,
         bytes: u64,
         findings: usize,
         equal: bool,
     },
-    /// Resident, of all dispatchers that run.
+    /// Resident memory of the running dispatcher processes.
     Memory { mean_kib: u64, most_kib: u64 },
-    /// The stand-ins' one thread over the day: for which share of it it ran, and waited for a
-    /// processor; and by how much it was late at the worst. `hollow`: the largest share of a
-    /// second for which a hollow process ran or waited. Whether all that spoils the day's
-    /// figures.
+    /// The load on the stand-ins' only thread: the share of the time for which it ran and for which
+    /// it waited for a processor, and its largest delay. `hollow`: the largest share of a second
+    /// for which a hollow process ran or waited. `spoilt`: whether this invalidates the figures.
     StandIns {
         busy: f64,
         waited: f64,
@@ -190,13 +195,14 @@
         hollow: f64,
         spoilt: bool,
     },
-    /// What the dispatchers cost over the day.
+    /// What the dispatchers cost during the scenario.
     Cost(Box<cost::Costs>),
-    /// The script sets a trouble going.
+    /// A fault is injected.
     #[serde(rename = "trouble")]
     Fault { name: String },
 }
 
+/// A client's placement request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RequestedPlacement {
     pub call: u64,
@@ -209,6 +215,7 @@
     pub dispatcher: u32,
     #[serde(rename = "abandon_us")]
     pub deadline_us: u64,
+    /// Whether it is the first request for its task.
     pub first: bool,
 }
 
@@ -239,7 +246,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum NodeState {
-    /// Just started.
+    /// Just started and in slow start.
     #[serde(rename = "cold")]
     SlowStart,
     Serving,
@@ -258,29 +265,30 @@
     Paused,
     #[serde(rename = "goes-on")]
     Resumed,
-    /// Asked to stop by a signal.
+    /// Received a signal to stop.
     Stopping,
-    /// Ended with 0.
+    /// Exited with status 0.
     Ended,
-    /// Ended otherwise by itself.
+    /// Exited by itself in any other way.
     #[serde(rename = "broke")]
     Crashed,
 }
 
-/// The five rules in this day's figures.
+/// The rules' parameters in a scenario.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RuleParameters {
     pub seed: u64,
     #[serde(rename = "tracks")]
     pub service_classes: Vec<ServiceClass>,
-    /// Halls and cells of the nodes, by id.
+    /// Zones and cells of the nodes.
     pub nodes: Vec<NodeSite>,
-    /// Nothing new to a node so long after a dispatcher was told that it drains or is gone.
+    /// Time after which a dispatcher that knows a node to be draining or gone must not send new
+    /// offers to it.
     pub grace_us: u64,
     #[serde(rename = "cold")]
     pub slow_start: SlowStartLimits,
-    /// Between two sockets of one machine: what one end did may be seen so much later at the
-    /// other.
+    /// Tolerance between two sockets of one machine: what one end does may be observed this much
+    /// later at the other.
     pub slack_us: u64,
 }
 
@@ -296,7 +304,7 @@
 pub struct SlowStartLimits {
     pub lasts_us: u64,
     pub window_us: u64,
-    /// More offers within a window push a cold node over.
+    /// Offers in a window above which a node in slow start crashes.
     pub most: usize,
 }
 
@@ -307,7 +315,7 @@
     pub retry_safety: RetrySafety,
     #[serde(rename = "contract_us")]
     pub latency_objective_us: u64,
-    /// Allocations of a service in one machine at the most, from one dispatcher.
+    /// Maximum allocations of a service on one machine from one dispatcher.
     pub spread: Option<usize>,
 }
 
@@ -315,7 +323,7 @@
 #[serde(rename_all = "kebab-case")]
 pub enum RetrySafety {
     Idempotent,
-    /// Within one hall.
+    /// A retry within the window and the same zone does not run twice.
     Deduplicated {
         window_us: u64,
     },
@@ -323,7 +331,7 @@
     NotRetryable,
 }
 
-/// Where lines go as they are seen.
+/// Records observations as lines, in memory and optionally in a file.
 pub struct Capture {
     start: Instant,
     sink: Mutex<Sink>,
@@ -335,7 +343,7 @@
 }
 
 impl Capture {
-    /// Into a file, if one is given, and memory.
+    /// Creates a capture that records into memory and, if one is given, into a file.
     pub fn new(file: Option<&Path>) -> std::io::Result<Self> {
         let file = file
             .map(std::fs::File::create)
@@ -350,12 +358,13 @@
         })
     }
 
+    /// Records an observation with the current time.
     pub fn record(&self, observation: Observation) {
         let mut sink = self
             .sink
             .lock()
             .expect("no one panics while writing a line");
-        // The time is taken in here: lines stand in the order of their times.
+        // The time is taken under the lock, so that lines are ordered by time.
         let line = Line {
             t: self.start.elapsed().as_micros() as u64,
             observation,
@@ -370,11 +379,12 @@
         sink.lines.push(line);
     }
 
+    /// Returns the time since the capture was created.
     pub fn elapsed(&self) -> Duration {
         self.start.elapsed()
     }
 
-    /// All lines so far; the file is complete up to here.
+    /// Returns all lines so far and flushes the file.
     pub fn lines(&self) -> Vec<Line> {
         let mut sink = self
             .sink
@@ -389,7 +399,7 @@
     }
 }
 
-/// Reads a capture back.
+/// Reads a capture from a file.
 pub fn read(path: &Path) -> Result<Vec<Line>, String> {
     let file = std::fs::File::open(path).map_err(|why| format!("{}: {why}", path.display()))?;
     let mut lines = Vec::new();
--- a/crates/testbed/src/scenario.rs
+++ b/crates/testbed/src/scenario.rs
@@ -1,4 +1,5 @@
-//! Scenarios: what happens when, read from day scripts. `docs/days.md` has the grammar.
+//! Scenarios, read from scripts: what is requested, and which faults are injected when.
+//! `docs/days.md` has the grammar.
 
 mod faults;
 mod reader;
@@ -10,23 +11,23 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// A scenario.
+/// A scenario: the size of the fleet, the load on it and the faults.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Scenario {
     /// Clients request new tasks for this long.
     pub length: Duration,
-    /// Dispatchers, the hollow ones among them.
+    /// Number of dispatchers, including the hollow ones.
     pub dispatchers: usize,
-    /// Hollow dispatchers, the last ones: they share processes.
+    /// Number of hollow dispatchers, which share processes. They have the highest numbers.
     pub hollow: usize,
     /// Hollow dispatchers in each process.
     pub per_process: usize,
     /// Stand-in nodes.
     pub nodes: usize,
-    /// Groups of nodes that fail together, each in one of two zones; none where there are none.
+    /// Number of groups of nodes that fail together, each in one of two zones, if there are any.
     pub failure_domains: Option<usize>,
-    /// How often the endpoint list reports capacity; none: every second, and less often to a large
-    /// fleet.
+    /// How often the endpoint list reports capacity. `None` means every second, and less often in a
+    /// large fleet.
     pub capacity_interval: Option<Duration>,
     /// New tasks a second.
     pub rate: f64,
@@ -42,7 +43,8 @@
     pub replicas: usize,
     /// A rolling update of that service.
     pub rollout: Option<RolloutPlan>,
-    /// How often the control service pushes a sound version; none where there is no such service.
+    /// How often the control service pushes a valid version. `None` means that there is no control
+    /// service.
     pub version_interval: Option<Duration>,
     /// When an operator raises the minimum version to the newest one.
     pub minimum_version_at: Option<Duration>,
@@ -50,7 +52,7 @@
     pub audit: bool,
     /// Maintenance of all machines but two quorum members.
     pub maintenance: Option<MaintenancePlan>,
-    /// What goes wrong.
+    /// The faults to inject.
     pub faults: Vec<ScheduledFault>,
 }
 
@@ -72,39 +74,39 @@
 pub struct MaintenancePlan {
     /// When it begins.
     pub at: Duration,
-    /// Machines out of service at a time,
+    /// Maximum machines out of service at a time.
     pub max_concurrent: u32,
-    /// and of one zone.
+    /// Maximum machines of one zone out of service at a time.
     pub max_per_zone: u32,
     /// How long the work on one machine takes.
     pub work_duration: Duration,
 }
 
-/// Where a node is.
+/// The location of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NodeLocation {
-    /// Its cell: four nodes.
+    /// Its cell, a group of four nodes.
     pub cell: u64,
     /// Its zone: 0 or 1.
     pub zone: usize,
 }
 
-/// Hollow dispatchers in a process, where a script does not say.
+/// Default number of hollow dispatchers in a process.
 pub const DEFAULT_PER_PROCESS: usize = 50;
 
-/// Nodes of one cell.
+/// Number of nodes in a cell.
 const NODES_PER_CELL: usize = 4;
 
 /// The built-in scenario.
 pub const BUILT_IN: &str = include_str!("../days/trouble.sexp");
-/// A short one, for CI.
+/// A short scenario, for CI.
 pub const SHORT: &str = include_str!("../days/short.sexp");
 
 impl Scenario {
     /// Reads a script from a file.
     ///
     /// # Errors
-    /// What is wrong with it, with its place.
+    /// Returns a diagnostic with the place of the error in the script.
     pub fn load(path: &Path) -> Result<Self, Diagnostic> {
         Self::read(&path.display().to_string(), &sexp::load(path)?)
     }
@@ -112,22 +114,22 @@
     /// Reads a script; `file` is its name in diagnostics.
     ///
     /// # Errors
-    /// What is wrong with it, with its place.
+    /// Returns a diagnostic with the place of the error in the script.
     pub fn read(file: &str, text: &str) -> Result<Self, Diagnostic> {
         sexp::with_form(file, text, "day", reader::scenario)
     }
 
-    /// Whether what dispatchers store on disk is part of the scenario.
+    /// Returns whether the scenario depends on what dispatchers store on disk.
     fn needs_disks(&self) -> bool {
         self.rollout.is_some() || self.maintenance.is_some() || self.fills_disks()
     }
 
-    /// Whether this dispatcher is hollow.
+    /// Returns whether this dispatcher is hollow.
     pub fn is_hollow(&self, dispatcher: usize) -> bool {
         dispatcher >= self.dispatchers - self.hollow
     }
 
-    /// The dispatchers of each process.
+    /// Returns the dispatchers of each process.
     pub fn processes(&self) -> Vec<Range<usize>> {
         let real = self.dispatchers - self.hollow;
         let hollow = (real..self.dispatchers).step_by(self.per_process);
@@ -138,7 +140,8 @@
             .collect()
     }
 
-    /// Where a node is. A failure domain is in one zone; without failure domains a cell is in both.
+    /// Returns a node's location. A failure domain is in one zone; without failure domains, a cell
+    /// spans both zones.
     pub fn location(&self, node: usize) -> NodeLocation {
         let cell = (node / NODES_PER_CELL) as u64;
         let zone = match self.failure_domains {
@@ -148,12 +151,12 @@
         NodeLocation { cell, zone }
     }
 
-    /// The failure domain of a cell.
+    /// Returns the failure domain of a cell.
     pub fn failure_domain(&self, cell: u64) -> usize {
         (cell % self.failure_domains.unwrap_or(1) as u64) as usize
     }
 
-    /// Whether the dispatchers' connections run through fault proxies.
+    /// Returns whether the dispatchers' connections must run through fault proxies.
     pub fn needs_fault_proxies(&self) -> bool {
         let strikes_links = |fault: &ScheduledFault| {
             matches!(
@@ -164,18 +167,18 @@
         self.faults.iter().any(strikes_links)
     }
 
-    /// Whether a fault strikes connections to this peer.
+    /// Returns whether a fault strikes connections to this peer.
     pub fn affects(&self, peer: LinkPeer) -> bool {
         self.faults.iter().any(|fault| fault.peers.contains(&peer))
     }
 
-    /// Whether a fault fills disks.
+    /// Returns whether a fault fills disks.
     pub fn fills_disks(&self) -> bool {
         let fills = |fault: &ScheduledFault| fault.kind == FaultKind::FullDisk;
         self.faults.iter().any(fills)
     }
 
-    /// New tasks a second at this time from the start.
+    /// Returns the rate of new tasks per second at this time since the start.
     pub fn rate_at(&self, at: Duration) -> f64 {
         let steps = self
             .faults
--- a/crates/testbed/src/scenario/faults.rs
+++ b/crates/testbed/src/scenario/faults.rs
@@ -3,28 +3,28 @@
 use crate::relay::Direction;
 use std::time::Duration;
 
-/// A fault and when it strikes.
+/// A fault and the time of its injection.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ScheduledFault {
-    /// What goes wrong.
+    /// The kind of the fault.
     pub kind: FaultKind,
     /// When it begins, from the scenario's start.
     pub at: Duration,
     /// How long it lasts.
     pub duration: Duration,
-    /// How many nodes or dispatchers it strikes, or tasks a burst has.
+    /// Number of nodes or dispatchers that it strikes, or of tasks in a burst.
     pub count: usize,
-    /// Of a demand step: the factor on the usual rate.
+    /// Factor on the request rate, for a demand step.
     pub demand_factor: f64,
-    /// Of cuts and delays: which of the dispatchers' connections,
+    /// Peers whose connections with dispatchers are cut or delayed.
     pub peers: Vec<LinkPeer>,
-    /// in which directions,
+    /// Directions in which connections are cut or delayed.
     pub directions: Vec<Direction>,
-    /// and by how much they are late.
+    /// Delay of connections.
     pub delay: Duration,
 }
 
-/// Who is at the other end of a dispatcher's connection.
+/// The peer at the other end of a dispatcher's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum LinkPeer {
     /// Another dispatcher.
@@ -48,18 +48,18 @@
     ("nodes", LinkPeer::Nodes),
 ];
 
-/// What goes wrong. `docs/days.md` describes each by its keyword.
+/// A kind of fault. `docs/days.md` describes each by its keyword.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FaultKind {
     /// Node processes die with all that runs there, and restart at a new address.
     KillNodes,
-    /// Node processes stand still.
+    /// Node processes stop responding.
     StallNodes,
     /// Connections of nodes break, and none can be opened.
     CutLinks,
-    /// What nodes reply is lost.
+    /// Replies of nodes are lost.
     LoseAnswers,
-    /// Load reports are late.
+    /// Load reports are delayed.
     DelayReports,
     /// Cached programs are lost.
     LosePrograms,
@@ -81,11 +81,11 @@
     Burst,
     /// Connections of dispatchers carry nothing.
     CutDispatchers,
-    /// Connections of dispatchers are late.
+    /// Connections of dispatchers are delayed.
     DelayDispatchers,
     /// No newer version reaches dispatchers.
     HoldVersions,
-    /// Dispatchers' files take no further byte.
+    /// Dispatchers cannot write to their files.
     FullDisk,
 }
 
--- a/crates/testbed/src/scenario/reader.rs
+++ b/crates/testbed/src/scenario/reader.rs
@@ -1,4 +1,4 @@
-//! Reads scenarios from the forms of day scripts. Keywords are those of `docs/days.md`.
+//! Reads scenarios from the forms of scripts. `docs/days.md` lists the keywords.
 
 use super::{
     DEFAULT_PER_PROCESS, FAULT_KINDS, FaultKind, LINK_PEERS, LinkPeer, MaintenancePlan,
@@ -36,7 +36,7 @@
 const MAX_BURST: usize = 100_000;
 const MICROSECONDS_PER_TICK: u64 = 100;
 
-/// `(day (length 4 s) …)`
+/// Reads `(day (length 4 s) …)`.
 pub(super) fn scenario(form: &Form) -> Result<Scenario, Diagnostic> {
     let parts = form.parts(&KEYWORDS)?;
     let mut scenario = without_faults(&parts)?;
@@ -60,7 +60,7 @@
     Ok(scenario)
 }
 
-/// All parts that need no other part.
+/// Reads all parts that do not depend on other parts. Faults and hollow dispatchers are left out.
 fn without_faults(parts: &Parts) -> Result<Scenario, Diagnostic> {
     let percent = |form: &Form| match form.non_negative()? {
         value if value <= 100.0 => Ok(value),
@@ -91,7 +91,7 @@
     })
 }
 
-/// Parts that mean something only beside others.
+/// Rejects parts that are only allowed together with others.
 fn check_combinations(form: &Form, parts: &Parts, scenario: &Scenario) -> Result<(), Diagnostic> {
     if let (Some(form), 0) = (parts.get("roll"), scenario.replicas) {
         return Err(form.diagnostic("stands only beside `(copies …)`"));
@@ -106,7 +106,7 @@
     Ok(())
 }
 
-/// A time above 0.
+/// Reads a time above 0.
 fn time(form: &Form, max_seconds: u64) -> Result<Duration, Diagnostic> {
     let time = Duration::from_micros(form.time()? * MICROSECONDS_PER_TICK);
     if time.is_zero() || time > Duration::from_secs(max_seconds) {
@@ -115,7 +115,7 @@
     Ok(time)
 }
 
-/// `(hollow (many 99) (a-process 50))`: at least one dispatcher is a process of its own.
+/// Reads `(hollow (many 99) (a-process 50))`. At least one dispatcher must be a process of its own.
 fn hollow(form: &Form, scenario: &Scenario) -> Result<(usize, usize), Diagnostic> {
     let parts = form.parts(&["many", "a-process"])?;
     let max = scenario.dispatchers as u64 - 1;
@@ -130,7 +130,7 @@
     Ok((count as usize, per_process as usize))
 }
 
-/// `(maintenance (at 5 s) (at-a-time 10) (by-hall 6) (takes 1 s))`
+/// Reads `(maintenance (at 5 s) (at-a-time 10) (by-hall 6) (takes 1 s))`.
 fn maintenance(form: &Form) -> Result<MaintenancePlan, Diagnostic> {
     let parts = form.parts(&["at", "at-a-time", "by-hall", "takes"])?;
     let machines = |form: &Form| Ok(form.integer(1, 1_000)? as u32);
@@ -144,12 +144,12 @@
     })
 }
 
-/// `(versions (every 5 s))`, `(room (every 1 s))`
+/// Reads the interval of `(versions (every 5 s))` or `(room (every 1 s))`.
 fn every(form: &Form) -> Result<Duration, Diagnostic> {
     time(form.parts(&["every"])?.required("every")?, MAX_SECONDS)
 }
 
-/// `(from keepers control)`
+/// Reads `(from keepers control)`.
 fn peers(form: &Form) -> Result<Vec<LinkPeer>, Diagnostic> {
     let peer = |name: &str| {
         let known = LINK_PEERS.iter().find(|(known, _)| *known == name);
@@ -162,7 +162,7 @@
     form.symbols()?.into_iter().map(peer).collect()
 }
 
-/// `(roll (at 4 s) (unready-most 10) (ready-for 1 s) (start-first #t))`
+/// Reads `(roll (at 4 s) (unready-most 10) (ready-for 1 s) (start-first #t))`.
 fn rollout(form: &Form) -> Result<RolloutPlan, Diagnostic> {
     let parts = form.parts(&["at", "unready-most", "ready-for", "start-first"])?;
     let second = Duration::from_secs(1);
@@ -174,7 +174,7 @@
     })
 }
 
-/// `(kill-nodes (at 1 s) (for 2 s) (many 3))`
+/// Reads a fault, such as `(kill-nodes (at 1 s) (for 2 s) (many 3))`.
 fn fault(form: &Form, scenario: &Scenario) -> Result<ScheduledFault, Diagnostic> {
     let kind = FAULT_KINDS
         .iter()
@@ -213,7 +213,7 @@
     })
 }
 
-/// How many a fault of this kind can strike.
+/// Returns the maximum number of targets of a fault of this kind, or of tasks in a burst.
 fn max_count(kind: FaultKind, scenario: &Scenario) -> usize {
     match kind {
         FaultKind::KillDispatchers
@@ -227,7 +227,7 @@
     }
 }
 
-/// Whether a part of a fault must, may or must not be there.
+/// Whether a part of a fault is required, optional or forbidden.
 #[derive(Clone, Copy)]
 enum Presence {
     Required,
@@ -235,7 +235,7 @@
     Forbidden,
 }
 
-/// Refuses parts that are missing, and those that mean nothing for this kind.
+/// Rejects a fault that lacks a required part or has one that its kind does not use.
 fn check_fault_parts(form: &Form, parts: &Parts, kind: FaultKind) -> Result<(), Diagnostic> {
     let required = |condition| match condition {
         true => Presence::Required,
