--- a/crates/testbed/src/capture.rs
+++ b/crates/testbed/src/capture.rs
@@ -372,7 +372,7 @@
         if let Some(file) = &mut sink.file {
             let written = serde_json::to_writer(&mut *file, &line).map_err(Into::into);
             if let Err(why) = written.and_then(|()| file.write_all(b"\n")) {
-                eprintln!("corkspan-testbed: the capture can't be written: {why}");
+                eprintln!("corkspan-testbed: cannot write the capture: {why}");
                 sink.file = None;
             }
         }
@@ -393,7 +393,7 @@
         if let Some(file) = &mut sink.file
             && let Err(why) = file.flush()
         {
-            eprintln!("corkspan-testbed: the capture can't be written: {why}");
+            eprintln!("corkspan-testbed: cannot write the capture: {why}");
         }
         sink.lines.clone()
     }
--- a/crates/testbed/src/scenario/reader.rs
+++ b/crates/testbed/src/scenario/reader.rs
@@ -54,7 +54,7 @@
     scenario.faults = faults.collect::<Result<_, _>>()?;
     if let Some(form) = parts.get("hollow").filter(|_| scenario.needs_disks()) {
         return Err(form.diagnostic(
-            "a hollow dispatcher has no disk, and a roll, work on machines or a full disk needs one",
+            "a hollow dispatcher has no disk, but rollouts, maintenance and full disks need one",
         ));
     }
     Ok(scenario)
@@ -64,7 +64,7 @@
 fn without_faults(parts: &Parts) -> Result<Scenario, Diagnostic> {
     let percent = |form: &Form| match form.non_negative()? {
         value if value <= 100.0 => Ok(value),
-        _ => Err(form.diagnostic("must be 100 at the most")),
+        _ => Err(form.diagnostic("must be at most 100")),
     };
     let floor = |form: &Form| time(form.parts(&["at"])?.required("at")?, MAX_SECONDS);
     let lifetime = Duration::from_secs(4);
@@ -94,11 +94,11 @@
 /// Rejects parts that are only allowed together with others.
 fn check_combinations(form: &Form, parts: &Parts, scenario: &Scenario) -> Result<(), Diagnostic> {
     if let (Some(form), 0) = (parts.get("roll"), scenario.replicas) {
-        return Err(form.diagnostic("stands only beside `(copies …)`"));
+        return Err(form.diagnostic("is allowed only beside `(copies …)`"));
     }
     let needs_versions = parts.get("floor").or(parts.get("audit"));
     if let (Some(form), None) = (needs_versions, scenario.version_interval) {
-        return Err(form.diagnostic("stands only beside `(versions …)`"));
+        return Err(form.diagnostic("is allowed only beside `(versions …)`"));
     }
     if scenario.deduplicated + scenario.unrepeatable > 100.0 {
         return Err(form.diagnostic("deduplicated and unrepeatable are over 100 together"));
@@ -110,7 +110,7 @@
 fn time(form: &Form, max_seconds: u64) -> Result<Duration, Diagnostic> {
     let time = Duration::from_micros(form.time()? * MICROSECONDS_PER_TICK);
     if time.is_zero() || time > Duration::from_secs(max_seconds) {
-        return Err(form.diagnostic(format!("must be above 0 and {max_seconds} s at the most")));
+        return Err(form.diagnostic(format!("must be above 0 and at most {max_seconds} s")));
     }
     Ok(time)
 }
@@ -121,7 +121,7 @@
     let max = scenario.dispatchers as u64 - 1;
     if max == 0 {
         return Err(form.diagnostic(
-            "at least one dispatcher is a process of its own, and there is one alone",
+            "at least one dispatcher must be a process of its own, but there is only one",
         ));
     }
     let count = parts.required("many")?.integer(1, max)?;
@@ -185,14 +185,14 @@
     let max_count = max_count(kind, scenario) as u64;
     let at = Duration::from_micros(parts.required("at")?.time()? * MICROSECONDS_PER_TICK);
     if at > scenario.length {
-        return Err(form.diagnostic("comes after the day's end"));
+        return Err(form.diagnostic("is after the scenario's end"));
     }
     check_fault_parts(form, &parts, kind)?;
     if kind == FaultKind::LoseZone && scenario.failure_domains.is_none() {
-        return Err(form.diagnostic("stands only beside `(zones …)`"));
+        return Err(form.diagnostic("is allowed only beside `(zones …)`"));
     }
     if kind == FaultKind::HoldVersions && scenario.version_interval.is_none() {
-        return Err(form.diagnostic("stands only beside `(versions …)`"));
+        return Err(form.diagnostic("is allowed only beside `(versions …)`"));
     }
     let directions = parts.get_or("way", vec![Direction::In, Direction::Out], |form| {
         Ok(vec![
@@ -263,7 +263,7 @@
                 return Err(form.diagnostic(format!("lacks `({part} …)`")));
             }
             (Some(form), Presence::Forbidden) => {
-                return Err(form.diagnostic("means nothing here"));
+                return Err(form.diagnostic("is not used by this fault"));
             }
             _ => {}
         }
--- a/crates/testbed/tests/scenarios.rs
+++ b/crates/testbed/tests/scenarios.rs
@@ -179,7 +179,7 @@
 #[test_case("(day (length 4 s) (dispatchers 0) (nodes 4) (rate 1))", "d:1:32: day/dispatchers: a whole number from 1 to 300"; "no dispatchers")]
 #[test_case("(day (length 4 s) (dispatchers 1) (nodes 4) (rate 1) (troubles (rain (at 1 s))))", "troubles/rain: unknown"; "an unknown trouble")]
 #[test_case("(day (length 4 s) (dispatchers 1) (nodes 4) (rate 1) (troubles (demand (at 1 s) (for 1 s))))", "lacks `(times …)`"; "a demand step without its size")]
-#[test_case("(day (length 4 s) (dispatchers 1) (nodes 4) (rate 1) (troubles (kill-nodes (at 9 s) (for 1 s))))", "after the day's end"; "a trouble too late")]
+#[test_case("(day (length 4 s) (dispatchers 1) (nodes 4) (rate 1) (troubles (kill-nodes (at 9 s) (for 1 s))))", "after the scenario's end"; "a trouble too late")]
 #[test_case("(day (length 4 s) (dispatchers 1) (nodes 4) (rate 1) (troubles (kill-nodes (at 1 s) (for 1 s) (many 5))))", "from 1 to 4"; "more nodes than there are")]
 #[test_case("(day (length 4 s) (dispatchers 1) (nodes 4) (rate 1) (deduplicated 70) (unrepeatable 40))", "over 100 together"; "parts beyond the whole")]
 #[test_case("(day (length 4 s) (dispatchers 1) (nodes 4) (rate 1) (troubles (cut-dispatchers (at 1 s) (for 1 s))))", "lacks `(from …)`"; "a cut of no links")]
