--- a/crates/testbed/src/loads.rs
+++ b/crates/testbed/src/loads.rs
@@ -25,17 +25,17 @@
 pub fn send(
     plan: Plan,
     to: &[SocketAddr],
-    how: Loop,
-    tell: impl FnMut(Duration, usize),
+    loop_mode: Loop,
+    report_progress: impl FnMut(Duration, usize),
 ) -> Result<Report, String> {
     let tasks = SharedExecutor::default();
     let load = LoadRun {
         plan,
         dispatchers: to.to_vec(),
-        mode: how,
+        mode: loop_mode,
         began: Instant::now(),
     };
-    let sent = run(&tasks, load, tell);
+    let sent = run(&tasks, load, report_progress);
     future::block_on(tasks.run(sent)).map_err(|why| why.to_string())
 }
 
@@ -49,19 +49,19 @@
 
 /// Answers at once, and keeps when each ask came.
 #[derive(Clone, Default)]
-struct Catch(Arc<Mutex<Vec<(usize, Instant)>>>);
+struct ArrivalRecorder(Arc<Mutex<Vec<(usize, Instant)>>>);
 
-type Words = Pin<Box<dyn Stream<Item = Result<v1::PlacementEvent, Status>> + Send>>;
+type EventStream = Pin<Box<dyn Stream<Item = Result<v1::PlacementEvent, Status>> + Send>>;
 
 #[tonic::async_trait]
-impl v1::placement_server::Placement for Catch {
-    type PlaceStream = Words;
-    type HandOverStream = Words;
+impl v1::placement_server::Placement for ArrivalRecorder {
+    type PlaceStream = EventStream;
+    type HandOverStream = EventStream;
 
     async fn place(
         &self,
         request: Request<v1::PlacementRequest>,
-    ) -> Result<Response<Words>, Status> {
+    ) -> Result<Response<EventStream>, Status> {
         let at = Instant::now();
         let number = request
             .get_ref()
@@ -74,16 +74,19 @@
             .lock()
             .expect("no one panics over the times")
             .push((number, at));
-        let words = [Event::Placed(v1::Placed {
+        let events = [Event::Placed(v1::Placed {
             node: 0,
             attempts: 1,
         })];
-        Ok(Response::new(Box::pin(stream::iter(words.map(|word| {
-            Ok(v1::PlacementEvent { event: Some(word) })
+        Ok(Response::new(Box::pin(stream::iter(events.map(|event| {
+            Ok(v1::PlacementEvent { event: Some(event) })
         })))))
     }
 
-    async fn hand_over(&self, _: Request<v1::HandOverRequest>) -> Result<Response<Words>, Status> {
+    async fn hand_over(
+        &self,
+        _: Request<v1::HandOverRequest>,
+    ) -> Result<Response<EventStream>, Status> {
         Err(Status::unimplemented("it holds nothing"))
     }
 
@@ -97,10 +100,10 @@
 
 /// How far from their intended times asks arrive at a server that does nothing else.
 pub fn error(rate: u32) -> Result<String, String> {
-    let catch = Catch::default();
-    let served = catch.clone();
+    let recorder = ArrivalRecorder::default();
+    let service = recorder.clone();
     let to = [measure::serve_on_own_thread(|| {
-        v1::placement_server::PlacementServer::new(served)
+        v1::placement_server::PlacementServer::new(service)
     })?];
     let plan = plan(&format!("(constant (for 5 s) (rate {rate}))"), 1)?;
     let intended: Vec<Duration> = plan.shape.arrivals(plan.seed).collect();
@@ -114,17 +117,17 @@
     };
     let sent = run(&tasks, load, |_, _| {});
     let report = future::block_on(tasks.run(sent)).map_err(|why| why.to_string())?;
-    let mut off =
+    let mut delays =
         Histogram::<u64>::new_with_bounds(1, 60_000_000, 3).map_err(|why| why.to_string())?;
-    let caught = catch.0.lock().expect("no one panics over the times");
-    for (number, at) in &*caught {
+    let arrivals = recorder.0.lock().expect("no one panics over the times");
+    for (number, at) in &*arrivals {
         let due = began + *intended.get(*number).ok_or("an ask that was not meant")?;
-        off.saturating_record(at.saturating_duration_since(due).as_micros() as u64 + 1);
+        delays.saturating_record(at.saturating_duration_since(due).as_micros() as u64 + 1);
     }
-    let us = |quantile| off.value_at_quantile(quantile);
+    let us = |quantile| delays.value_at_quantile(quantile);
     Ok(format!(
         "{rate} asks/s: {} of {} arrived, {:.1} a second sent; late by p50 {} us, p99 {} us, most {} us; {}",
-        caught.len(),
+        arrivals.len(),
         intended.len(),
         report.sent_per_second,
         us(0.5),
@@ -143,7 +146,7 @@
 pub fn stalled(program: &[OsString], pause: Duration) -> Result<(Report, Report), String> {
     let node = measure::serve_on_own_thread(|| v1::node_server::NodeServer::new(InstantNode))?;
     let tasks = SharedExecutor::default();
-    let whole = async {
+    let experiment = async {
         let text = |why: std::io::Error| why.to_string();
         let context = SharedContext::new(Capture::new(None).map_err(text)?, &tasks, None);
         let (discovery, address) = Discovery::start(&context).await.map_err(text)?;
@@ -173,24 +176,24 @@
             mode: Loop::Open,
             began,
         };
-        let waiting = LoadRun {
+        let closed_load = LoadRun {
             mode: Loop::Closed(1),
             ..load.clone()
         };
         let open = run(&tasks, load, |_, _| {});
-        let closed = run(&tasks, waiting, |_, _| {});
-        let still = async {
+        let closed = run(&tasks, closed_load, |_, _| {});
+        let pauses = async {
             Timer::at(began + Duration::from_millis(500)).await;
             process.set_paused(true)?;
             Timer::after(pause).await;
             process.set_paused(false)
         };
-        let ((open, closed), still) = future::zip(future::zip(open, closed), still).await;
-        still?;
+        let ((open, closed), paused) = future::zip(future::zip(open, closed), pauses).await;
+        paused?;
         Ok((
             open.map_err(|why| why.to_string())?,
             closed.map_err(|why| why.to_string())?,
         ))
     };
-    future::block_on(tasks.run(whole))
+    future::block_on(tasks.run(experiment))
 }
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -14,13 +14,13 @@
 /// Plays days of trouble through real dispatchers and judges what crossed the sockets.
 #[derive(Parser)]
 #[command(name = "corkspan-testbed", version)]
-struct Line {
+struct Cli {
     #[command(subcommand)]
-    call: Call,
+    command: Command,
 }
 
 #[derive(Subcommand)]
-enum Call {
+enum Command {
     /// Plays a day: the built-in day of trouble, or a script of your own.
     Day {
         /// A day script; see docs/days.md.
@@ -118,7 +118,7 @@
     #[command(args_conflicts_with_subcommands = true)]
     Capacity {
         #[command(subcommand)]
-        page: Option<Page>,
+        page: Option<CapacityCommand>,
         /// Fewer places and rounds, and shorter ones.
         #[arg(long)]
         quick: bool,
@@ -145,7 +145,7 @@
 }
 
 #[derive(Subcommand)]
-enum Page {
+enum CapacityCommand {
     /// Prints the tables of docs/CAPACITY.md from a kept result.
     Page {
         file: PathBuf,
@@ -159,17 +159,17 @@
 }
 
 fn axis(name: &str) -> Result<Axis, String> {
-    let all = || Axis::ALL.iter();
-    let names: Vec<&str> = all().map(|axis| axis.name()).collect();
-    let found = all().find(|axis| axis.name() == name);
+    let axes = || Axis::ALL.iter();
+    let names: Vec<&str> = axes().map(|axis| axis.name()).collect();
+    let found = axes().find(|axis| axis.name() == name);
     found
         .copied()
         .ok_or_else(|| format!("the axes are {}", names.join(", ")))
 }
 
 fn main() -> ExitCode {
-    let result = match Line::parse().call {
-        Call::Day {
+    let result = match Cli::parse().command {
+        Command::Day {
             file,
             seed,
             short,
@@ -189,7 +189,7 @@
                 .and_then(|scenario| {
                     let real = match program {
                         Some(program) => vec![program.into_os_string()],
-                        None => own()?,
+                        None => built_in_program()?,
                     };
                     let programs = Programs {
                         real,
@@ -205,16 +205,16 @@
                     }
                     .run()?;
                     println!("{}", Summary::of(&lines));
-                    judged(&lines)
+                    check_capture(&lines)
                 })
         }
-        Call::Measure {
+        Command::Measure {
             rounds,
             seconds,
             at_once,
             nodes,
             held,
-        } => own().and_then(|program| {
+        } => built_in_program().and_then(|program| {
             let rounds = rounds.clamp(1, 1_000);
             Measure {
                 program,
@@ -226,14 +226,14 @@
             }
             .run()
         }),
-        Call::Versions {
+        Command::Versions {
             rounds,
             seconds,
             instances,
             returns,
             seeds,
             versions,
-        } => own().and_then(|program| {
+        } => built_in_program().and_then(|program| {
             let rounds = rounds.clamp(1, 1_000);
             ConfigPushExperiment {
                 program,
@@ -246,14 +246,14 @@
             }
             .run()
         }),
-        Call::Load {
+        Command::Load {
             file,
             to,
             closed,
             out,
         } => load(&file, &to, closed, out.as_deref()),
-        Call::Compare { old, new } => compare(&old, &new),
-        Call::LoadError { rates, pause_ms } => own().and_then(|program| {
+        Command::Compare { old, new } => compare(&old, &new),
+        Command::LoadError { rates, pause_ms } => built_in_program().and_then(|program| {
             for rate in rates {
                 println!("{}", loads::error(rate)?);
             }
@@ -265,11 +265,11 @@
             );
             Ok(())
         }),
-        Call::Hollow(line) => hollow::run(line),
-        Call::Capacity {
+        Command::Hollow(line) => hollow::run(line),
+        Command::Capacity {
             page: Some(page), ..
-        } => tables(page),
-        Call::Capacity {
+        } => capacity_page(page),
+        Command::Capacity {
             page: None,
             quick,
             axis,
@@ -277,9 +277,9 @@
             rounds,
             seed,
             json,
-        } => measured(quick, axis, size, rounds, seed, json),
-        Call::Judge { capture } => judge_file(&capture),
-        Call::Corkspan { line } => {
+        } => measure_capacity(quick, axis, size, rounds, seed, json),
+        Command::Judge { capture } => check_file(&capture),
+        Command::Corkspan { line } => {
             return corkspan_cli::run(std::iter::once("corkspan".into()).chain(line));
         }
     };
@@ -300,21 +300,21 @@
 ) -> Result<(), String> {
     use corkspan_load_generator::run::Loop;
     let plan = corkspan_load_generator::plan::Plan::load(file).map_err(|why| why.to_string())?;
-    let lasts = plan.shape.duration();
+    let duration = plan.shape.duration();
     // Said now: a load that is lost at its end for want of a folder is dear.
     if let Some(out) = out {
         std::fs::create_dir_all(out).map_err(|why| format!("{}: {why}", out.display()))?;
     }
-    let how = closed.map_or(Loop::Open, Loop::Closed);
-    let tell = |at: std::time::Duration, asks: usize| {
-        let left = lasts.saturating_sub(at).as_secs();
+    let loop_mode = closed.map_or(Loop::Open, Loop::Closed);
+    let report_progress = |at: std::time::Duration, requests: usize| {
+        let left = duration.saturating_sub(at).as_secs();
         eprintln!(
-            "{} s of {}, {asks} asks, {left} s left",
+            "{} s of {}, {requests} asks, {left} s left",
             at.as_secs(),
-            lasts.as_secs()
+            duration.as_secs()
         );
     };
-    let report = loads::send(plan, to, how, tell)?;
+    let report = loads::send(plan, to, loop_mode, report_progress)?;
     print!("{report}");
     if let Some(out) = out {
         let text = serde_json::to_string_pretty(&report).map_err(|why| why.to_string())?;
@@ -352,20 +352,20 @@
         let pairs: Vec<(f64, f64)> = std::iter::zip(&old, &new)
             .map(|(old, new)| (figure.value_in(old), figure.value_in(new)))
             .collect();
-        let told = compare(&pairs, 1);
+        let comparison = compare(&pairs, 1);
         println!(
             "{:<28} {:+10.3}, from {:+.3} to {:+.3}: {:?}",
             figure.name(),
-            told.difference,
-            told.low,
-            told.high,
-            told.verdict
+            comparison.difference,
+            comparison.low,
+            comparison.high,
+            comparison.verdict
         );
     }
     Ok(())
 }
 
-fn measured(
+fn measure_capacity(
     quick: bool,
     axis: Option<Axis>,
     size: Option<PathBuf>,
@@ -382,28 +382,28 @@
         }
     };
     // Where it is kept changes no figure.
-    let all: Vec<String> = std::env::args().skip(2).collect();
-    let kept_at = all.iter().position(|word| word == "--json");
-    let apart = |at: usize| kept_at.is_none_or(|own| at != own && at != own + 1);
-    let line: Vec<String> = all
+    let arguments: Vec<String> = std::env::args().skip(2).collect();
+    let json_at = arguments.iter().position(|argument| argument == "--json");
+    let is_other = |at: usize| json_at.is_none_or(|json| at != json && at != json + 1);
+    let others: Vec<String> = arguments
         .into_iter()
         .enumerate()
-        .filter(|(at, _)| apart(*at))
-        .map(|(_, word)| word)
+        .filter(|(at, _)| is_other(*at))
+        .map(|(_, argument)| argument)
         .collect();
     let capacity = Capacity {
-        program: own()?,
+        program: built_in_program()?,
         axes: axis.map_or(Axis::ALL.to_vec(), |axis| vec![axis]),
         rounds: rounds.unwrap_or(if quick { 2 } else { 3 }).clamp(1, 100),
         watch: std::time::Duration::from_secs(if quick { 4 } else { 8 }),
         size: size.clone(),
         quick,
         seed,
-        command: format!("corkspan-lab capacity {}", line.join(" "))
+        command: format!("corkspan-lab capacity {}", others.join(" "))
             .trim()
             .into(),
     };
-    let mut all = result::CapacityResult {
+    let mut kept = result::CapacityResult {
         size: size.clone(),
         runs: Vec::new(),
     };
@@ -411,16 +411,18 @@
         if let Some(path) = &json {
             corkspan_testbed::capacity::put(path, &size, run.clone())?;
         }
-        all.insert(run);
+        kept.insert(run);
         Ok(())
     })?;
-    for table in corkspan_capacity_model::page::tables(&all) {
+    for table in corkspan_capacity_model::page::tables(&kept) {
         println!("{}", table.markdown);
     }
     Ok(())
 }
 
-fn tables(Page::Page { file, check, write }: Page) -> Result<(), String> {
+fn capacity_page(
+    CapacityCommand::Page { file, check, write }: CapacityCommand,
+) -> Result<(), String> {
     use corkspan_capacity_model::page;
     let read = |path: &Path| {
         std::fs::read_to_string(path).map_err(|why| format!("{}: {why}", path.display()))
@@ -443,23 +445,25 @@
 }
 
 /// The dispatcher built in, as a process of its own.
-fn own() -> Result<Vec<OsString>, String> {
-    let own = std::env::current_exe().map_err(|why| why.to_string())?;
-    Ok(vec![own.into_os_string(), "corkspan".into()])
+fn built_in_program() -> Result<Vec<OsString>, String> {
+    let program = std::env::current_exe().map_err(|why| why.to_string())?;
+    Ok(vec![program.into_os_string(), "corkspan".into()])
 }
 
-fn judge_file(path: &Path) -> Result<(), String> {
+fn check_file(path: &Path) -> Result<(), String> {
     let lines = capture::read(path)?;
     println!("{}", Summary::of(&lines));
-    judged(&lines)
+    check_capture(&lines)
 }
 
-fn judged(lines: &[capture::Line]) -> Result<(), String> {
-    let breaches = checker::check(lines)?;
-    if breaches.is_empty() {
+fn check_capture(lines: &[capture::Line]) -> Result<(), String> {
+    let violations = checker::check(lines)?;
+    if violations.is_empty() {
         println!("rules                all five kept");
         return Ok(());
     }
-    breaches.iter().for_each(|breach| println!("{breach}"));
-    Err(format!("{} broken rules", breaches.len()))
+    violations
+        .iter()
+        .for_each(|violation| println!("{violation}"));
+    Err(format!("{} broken rules", violations.len()))
 }
--- a/crates/testbed/src/requirements.rs
+++ b/crates/testbed/src/requirements.rs
@@ -6,20 +6,20 @@
 
 /// Real dispatchers and hollow ones with a thousand nodes' records, and what a task takes at its
 /// dispatcher while its link stands, with the links' windows: above what was seen.
-const REAL_KIB: u64 = 24 * 1024;
-const HOLLOW_KIB: u64 = 8 * 1024;
-const LINK_KIB: u64 = 200;
+const REAL_DISPATCHER_KIB: u64 = 24 * 1024;
+const HOLLOW_DISPATCHER_KIB: u64 = 8 * 1024;
+const CONNECTION_KIB: u64 = 200;
 /// The stand-ins: at the start, a node, and a task from its first ask on, with its lines of the
 /// capture.
 const STAND_INS_KIB: u64 = 128 * 1024;
 const NODE_KIB: u64 = 64;
 const TASK_KIB: u64 = 16;
 /// Told at the start of each dispatcher of each node, and kept in the capture.
-const TOLD_BYTES: u64 = 200;
+const ENDPOINT_BYTES: u64 = 200;
 /// A link without a call on it is closed after so long, or a quarter later.
-const IDLE: Duration = Duration::from_secs(19);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(19);
 /// "A few hundred".
-const PROCESSES: u64 = 400;
+const MAX_PROCESSES: u64 = 400;
 
 /// What is needed at the most.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -47,26 +47,27 @@
             scenario.hollow as u64,
             scenario.nodes as u64,
         );
-        let highest = scenario
+        let demand_steps = scenario
             .faults
             .iter()
             .filter(|fault| fault.kind == FaultKind::Demand);
-        let rate = highest.fold(scenario.rate, |rate, step| {
+        let rate = demand_steps.fold(scenario.rate, |rate, step| {
             rate.max(scenario.rate * step.demand_factor)
         });
-        let burst = scenario
+        let bursts = scenario
             .faults
             .iter()
             .filter(|fault| fault.kind == FaultKind::Burst);
-        let burst: u64 = burst.map(|fault| fault.count as u64).sum();
+        let burst: u64 = bursts.map(|fault| fault.count as u64).sum();
         // Each task may have a link of its own, from its offer to its end and until that has been
         // idle for long.
-        let stands = scenario
+        let connection_lifetime = scenario
             .length
-            .min(scenario.mean_lifetime.mul_f64(1.7) + IDLE);
-        let tasks = (rate * stands.as_secs_f64()) as u64 + burst + scenario.replicas as u64;
-        let links = tasks.min(dispatchers * nodes);
-        let relayed = match (
+            .min(scenario.mean_lifetime.mul_f64(1.7) + IDLE_TIMEOUT);
+        let tasks =
+            (rate * connection_lifetime.as_secs_f64()) as u64 + burst + scenario.replicas as u64;
+        let connections = tasks.min(dispatchers * nodes);
+        let relays = match (
             scenario.needs_fault_proxies(),
             scenario.affects(LinkPeer::Nodes),
         ) {
@@ -74,20 +75,27 @@
             (true, all) => dispatchers * (if all { nodes } else { 3 } + 6),
         };
         let processes = scenario.processes().len() as u64;
-        let a_process = (scenario.per_process as u64).min(hollow);
-        let asked = (rate * scenario.length.as_secs_f64()) as u64 + burst;
+        let hollow_per_process = (scenario.per_process as u64).min(hollow);
+        let requested = (rate * scenario.length.as_secs_f64()) as u64 + burst;
         Requirements {
             memory_kib: STAND_INS_KIB
-                + (dispatchers - hollow) * REAL_KIB
-                + hollow * HOLLOW_KIB
+                + (dispatchers - hollow) * REAL_DISPATCHER_KIB
+                + hollow * HOLLOW_DISPATCHER_KIB
                 + nodes * NODE_KIB
-                + tasks * LINK_KIB
-                + asked * TASK_KIB
-                + dispatchers * nodes * TOLD_BYTES / 1024,
+                + tasks * CONNECTION_KIB
+                + requested * TASK_KIB
+                + dispatchers * nodes * ENDPOINT_BYTES / 1024,
             processes: processes + 1,
             // A relay listens, and has a link to either side.
-            descriptors: nodes + links + dispatchers * 4 + relayed + 2 * links.min(relayed) + 100,
-            hollow_descriptors: a_process * 8 + (links * a_process).div_ceil(dispatchers) * 2 + 100,
+            descriptors: nodes
+                + connections
+                + dispatchers * 4
+                + relays
+                + 2 * connections.min(relays)
+                + 100,
+            hollow_descriptors: hollow_per_process * 8
+                + (connections * hollow_per_process).div_ceil(dispatchers) * 2
+                + 100,
         }
     }
 
@@ -106,9 +114,9 @@
                 limits.descriptors,
             ),
         ];
-        let short = rows.iter().filter(|(_, wanted, there)| wanted > there);
+        let short = rows.iter().filter(|(_, need, available)| need > available);
         let short: Vec<String> = short
-            .map(|(what, wanted, there)| format!("{wanted} {what}, and {there} may be used"))
+            .map(|(what, need, available)| format!("{need} {what}, and {available} may be used"))
             .collect();
         match short.is_empty() {
             true => Ok(()),
@@ -125,21 +133,21 @@
         let text = std::fs::read_to_string("/proc/meminfo")
             .map_err(|why| format!("/proc/meminfo: {why}"))?;
         let line = text.lines().find_map(|line| line.strip_prefix("MemTotal:"));
-        let all: Option<u64> = line.and_then(|rest| rest.split_whitespace().next()?.parse().ok());
-        let all = all.ok_or("the kernel does not tell the machine's memory")?;
+        let total: Option<u64> = line.and_then(|rest| rest.split_whitespace().next()?.parse().ok());
+        let total = total.ok_or("the kernel does not tell the machine's memory")?;
         // A container may have less than the machine.
-        let own = std::fs::read_to_string("/sys/fs/cgroup/memory.max").ok();
-        let own = own
+        let container = std::fs::read_to_string("/sys/fs/cgroup/memory.max").ok();
+        let container = container
             .and_then(|text| text.trim().parse::<u64>().ok())
-            .map_or(all, |bytes| bytes / 1024);
+            .map_or(total, |bytes| bytes / 1024);
         let limit = |resource| {
             rustix::process::getrlimit(resource)
                 .current
                 .unwrap_or(u64::MAX)
         };
         Ok(Limits {
-            memory_kib: all.min(own) / 2,
-            processes: PROCESSES.min(limit(rustix::process::Resource::Nproc)),
+            memory_kib: total.min(container) / 2,
+            processes: MAX_PROCESSES.min(limit(rustix::process::Resource::Nproc)),
             descriptors: limit(rustix::process::Resource::Nofile),
         })
     }
--- a/crates/testbed/src/summary.rs
+++ b/crates/testbed/src/summary.rs
@@ -84,7 +84,7 @@
 
 impl RolloutFigures {
     fn of(lines: &[Line]) -> Option<Self> {
-        let rolled = |line: &Line| match &line.observation {
+        let started = |line: &Line| match &line.observation {
             Observation::RolloutStarted {
                 service,
                 version,
@@ -102,31 +102,31 @@
             )),
             _ => None,
         };
-        let (start, service, version, limit, ready_for, beside) = lines.iter().find_map(rolled)?;
-        let mut own = RolloutFigures {
+        let (start, service, version, limit, ready_for, surge) = lines.iter().find_map(started)?;
+        let mut figures = RolloutFigures {
             limit,
             ..RolloutFigures::default()
         };
         // Ready copies of each task, as node and version; since when it has none; when one was
         // offered to a node.
         let mut ready: BTreeMap<&str, Vec<(u32, &str)>> = BTreeMap::new();
-        let (mut down, mut offered) = (HashMap::<&str, u64>::new(), HashMap::new());
-        let (mut times, mut last) = (Vec::new(), start);
-        let (mut calls, mut once) = (BTreeSet::new(), BTreeSet::new());
+        let (mut unready_since, mut offered) = (HashMap::<&str, u64>::new(), HashMap::new());
+        let (mut durations, mut last) = (Vec::new(), start);
+        let (mut calls, mut rolled_tasks) = (BTreeSet::new(), BTreeSet::new());
         for Line { t, observation } in lines {
-            let (task, node, runs, is) = match observation {
+            let (task, node, running_version, is_ready) = match observation {
                 Observation::Offered {
                     node,
                     placement_id,
-                    service: of,
+                    service: of_service,
                     ..
-                } if *of == service => {
+                } if *of_service == service => {
                     let task = placement_id.split('#').next().unwrap_or_default();
                     offered.insert((*node, task), *t);
                     continue;
                 }
-                Observation::Requested(asked) if asked.service == service => {
-                    calls.insert(asked.call);
+                Observation::Requested(request) if request.service == service => {
+                    calls.insert(request.call);
                     continue;
                 }
                 // The day is over: its owners want them no longer.
@@ -134,53 +134,59 @@
                 Observation::Ready {
                     task,
                     node,
-                    service: of,
+                    service: of_service,
                     version,
                     ready,
                     ..
-                } if *of == service => (&task[..], *node, &version[..], *ready),
+                } if *of_service == service => (&task[..], *node, &version[..], *ready),
                 _ => continue,
             };
             let copies = ready.entry(task).or_default();
-            if is {
+            if is_ready {
                 // One that comes back later, since its node was struck, was rolled before.
-                if runs == version && once.insert(task) {
+                if running_version == version && rolled_tasks.insert(task) {
                     last = *t;
-                    let since = if beside {
+                    let since = if surge {
                         offered.get(&(node, task)).copied()
                     } else {
-                        down.get(task).copied()
+                        unready_since.get(task).copied()
                     };
-                    times.extend(since.map(|since| (t - since) as f64 / 1e6));
+                    durations.extend(since.map(|since| (t - since) as f64 / 1e6));
                 }
-                down.remove(task);
-                copies.push((node, runs));
+                unready_since.remove(task);
+                copies.push((node, running_version));
             } else {
                 // One of them: a dispatcher killed and the one after it may each have begun one on
                 // this node.
-                if let Some(gone) = copies.iter().position(|other| *other == (node, runs)) {
-                    copies.swap_remove(gone);
+                if let Some(index) = copies
+                    .iter()
+                    .position(|other| *other == (node, running_version))
+                {
+                    copies.swap_remove(index);
                 }
                 if copies.is_empty() && *t > start {
-                    down.insert(task, *t);
+                    unready_since.insert(task, *t);
                 }
             }
-            own.copies = ready.len();
-            let new = |copies: &&Vec<(u32, &str)>| copies.iter().any(|(_, runs)| *runs == version);
-            own.rolled = ready.values().filter(new).count();
-            own.unready_most = own.unready_most.max(down.len());
-            let more = ready
+            figures.copies = ready.len();
+            let is_new = |copies: &&Vec<(u32, &str)>| copies.iter().any(|(_, v)| *v == version);
+            figures.rolled = ready.values().filter(is_new).count();
+            figures.unready_most = figures.unready_most.max(unready_since.len());
+            let surplus = ready
                 .values()
                 .map(|copies| copies.len().saturating_sub(1))
                 .sum();
-            own.beside_most = own.beside_most.max(if *t > start { more } else { 0 });
+            figures.beside_most = figures
+                .beside_most
+                .max(if *t > start { surplus } else { 0 });
         }
-        times.sort_by(f64::total_cmp);
-        let usual = times.get(times.len() / 2).copied().unwrap_or(0.0);
-        own.seconds = (last - start) as f64 / 1e6;
-        let stay = ready_for as f64 / 1e6;
-        own.best = (own.copies as f64 / limit as f64).ceil() * (usual + stay) - stay;
-        Some(own)
+        durations.sort_by(f64::total_cmp);
+        let median = durations.get(durations.len() / 2).copied().unwrap_or(0.0);
+        figures.seconds = (last - start) as f64 / 1e6;
+        let min_ready_s = ready_for as f64 / 1e6;
+        figures.best =
+            (figures.copies as f64 / limit as f64).ceil() * (median + min_ready_s) - min_ready_s;
+        Some(figures)
     }
 }
 
@@ -195,12 +201,12 @@
 impl ReplicaFigures {
     /// From when all are ready for the first time until their owners want them no longer.
     fn of(lines: &[Line]) -> Option<Self> {
-        let mut held = BTreeMap::<u64, &str>::new();
+        let mut tasks = BTreeMap::<u64, &str>::new();
         let mut ready: BTreeMap<&str, i64> = BTreeMap::new();
         let all: BTreeSet<&str> = (lines.iter())
             .filter_map(|line| match &line.observation {
-                Observation::Requested(asked) if asked.service == REPLICATED_SERVICE => {
-                    Some(&asked.task[..])
+                Observation::Requested(request) if request.service == REPLICATED_SERVICE => {
+                    Some(&request.task[..])
                 }
                 _ => None,
             })
@@ -208,7 +214,7 @@
         if all.is_empty() {
             return None;
         }
-        let (mut own, mut since) = (
+        let (mut figures, mut since) = (
             ReplicaFigures {
                 copies: all.len(),
                 ..ReplicaFigures::default()
@@ -217,40 +223,40 @@
         );
         for Line { t, observation } in lines {
             match observation {
-                Observation::Requested(asked) if asked.service == REPLICATED_SERVICE => {
-                    held.insert(asked.call, &asked.task);
+                Observation::Requested(request) if request.service == REPLICATED_SERVICE => {
+                    tasks.insert(request.call, &request.task);
                 }
                 Observation::HandedOver { call, task, .. } if all.contains(&task[..]) => {
-                    held.insert(*call, task);
+                    tasks.insert(*call, task);
                 }
                 Observation::Ready {
                     task,
                     service,
-                    ready: is,
+                    ready: is_ready,
                     ..
                 } if *service == REPLICATED_SERVICE => {
-                    own.until(*t, &mut since, &ready);
-                    *ready.entry(task).or_default() += if *is { 1 } else { -1 };
+                    figures.add_until(*t, &mut since, &ready);
+                    *ready.entry(task).or_default() += if *is_ready { 1 } else { -1 };
                     if since.is_none()
-                        && ready.values().filter(|many| **many > 0).count() == all.len()
+                        && ready.values().filter(|count| **count > 0).count() == all.len()
                     {
                         since = Some(*t);
                     }
                 }
-                Observation::Cancelled { call } if held.contains_key(call) => {
-                    own.until(*t, &mut since, &ready);
+                Observation::Cancelled { call } if tasks.contains_key(call) => {
+                    figures.add_until(*t, &mut since, &ready);
                     break;
                 }
                 _ => {}
             }
         }
-        Some(own)
+        Some(figures)
     }
 
-    fn until(&mut self, t: u64, since: &mut Option<u64>, ready: &BTreeMap<&str, i64>) {
+    fn add_until(&mut self, t: u64, since: &mut Option<u64>, ready: &BTreeMap<&str, i64>) {
         let Some(from) = since.as_mut() else { return };
         let seconds = (t - std::mem::replace(from, t)) as f64 / 1e6;
-        self.lost_s += seconds * ready.values().filter(|many| **many <= 0).count() as f64;
+        self.lost_s += seconds * ready.values().filter(|count| **count <= 0).count() as f64;
         self.all_s += seconds * self.copies as f64;
     }
 }
@@ -259,9 +265,9 @@
     pub fn of(lines: &[Line]) -> Self {
         let mut summary = Summary::default();
         let mut calls: HashMap<u64, (u64, usize, bool)> = HashMap::new();
-        let mut standing = BTreeSet::new();
+        let mut active_calls = BTreeSet::new();
         // A minute at the most, to three figures.
-        let mut times = Histogram::<u64>::new_with_bounds(1, 60_000_000, 3).ok();
+        let mut latencies = Histogram::<u64>::new_with_bounds(1, 60_000_000, 3).ok();
         let service_classes = match lines.first() {
             Some(Line {
                 observation: Observation::Rules(rules),
@@ -271,10 +277,10 @@
         };
         for Line { t, observation } in lines {
             match observation {
-                Observation::Requested(asked) => {
+                Observation::Requested(request) => {
                     summary.requested += 1;
-                    summary.tasks += u64::from(asked.first);
-                    calls.insert(asked.call, (*t, asked.service_class, false));
+                    summary.tasks += u64::from(request.first);
+                    calls.insert(request.call, (*t, request.service_class, false));
                 }
                 Observation::EventReceived { call, event } => {
                     let Some((since, service_class, answered)) = calls.get_mut(call) else {
@@ -284,15 +290,16 @@
                     match event {
                         AllocationEvent::Placed => {
                             (summary.placed, *answered) = (summary.placed + 1, true);
-                            standing.insert(*call);
-                            summary.max_active_calls = summary.max_active_calls.max(standing.len());
-                            if let Some(times) = &mut times {
-                                times.saturating_record((t - *since).max(1));
+                            active_calls.insert(*call);
+                            summary.max_active_calls =
+                                summary.max_active_calls.max(active_calls.len());
+                            if let Some(latencies) = &mut latencies {
+                                latencies.saturating_record((t - *since).max(1));
                             }
-                            let contract = service_classes
+                            let objective = service_classes
                                 .get(*service_class)
                                 .map_or(0, |service_class| service_class.latency_objective_us);
-                            summary.within_objective += u64::from(t - *since <= contract);
+                            summary.within_objective += u64::from(t - *since <= objective);
                         }
                         AllocationEvent::Rejected => {
                             (summary.rejected, *answered) = (summary.rejected + 1, true)
@@ -314,7 +321,7 @@
                         (summary.cancelled, *answered) = (summary.cancelled + 1, true);
                     }
                 }
-                Observation::Closed { call, .. } => drop(standing.remove(call)),
+                Observation::Closed { call, .. } => drop(active_calls.remove(call)),
                 Observation::Offered { .. } => summary.offers += 1,
                 Observation::HealthChecked { .. } => summary.health_checks += 1,
                 Observation::EventSent {
@@ -353,8 +360,8 @@
         summary.versions = VersionFigures::of(lines);
         summary.maintenance = MaintenanceFigures::of(lines);
         summary.unanswered = calls.values().filter(|(_, _, answered)| !answered).count() as u64;
-        if let Some(times) = times {
-            let ms = |part| times.value_at_quantile(part) as f64 / 1000.0;
+        if let Some(latencies) = latencies {
+            let ms = |part| latencies.value_at_quantile(part) as f64 / 1000.0;
             (summary.p50_ms, summary.p99_ms) = (ms(0.5), ms(0.99));
         }
         summary
@@ -363,7 +370,7 @@
 
 impl fmt::Display for Summary {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        let part = |some: u64, of: u64| {
+        let percent = |some: u64, of: u64| {
             if of == 0 {
                 0.0
             } else {
@@ -387,7 +394,7 @@
         writeln!(
             f,
             "timely placings      {:.1}% of the placed",
-            part(self.within_objective, self.placed)
+            percent(self.within_objective, self.placed)
         )?;
         writeln!(
             f,
@@ -398,14 +405,14 @@
             f,
             "offers               {}, {:.1}% refused by nodes",
             self.offers,
-            part(self.rejected_offers, self.offers)
+            percent(self.rejected_offers, self.offers)
         )?;
         writeln!(f, "standing at a time   {}", self.max_active_calls)?;
         writeln!(f, "probes               {}", self.health_checks)?;
         writeln!(f, "moves                {}", self.migrations)?;
         writeln!(f, "evicted, pushed out  {}", self.evictions)?;
         writeln!(f, "nodes fallen over    {}", self.crashes)?;
-        if let Some(roll) = &self.rollout {
+        if let Some(rollout) = &self.rollout {
             let RolloutFigures {
                 copies,
                 rolled,
@@ -414,7 +421,7 @@
                 unready_most,
                 beside_most,
                 limit,
-            } = roll;
+            } = rollout;
             let ratio = seconds / best.max(1e-3);
             writeln!(
                 f,
@@ -431,17 +438,17 @@
             all_s,
         }) = &self.replicas
         {
-            let part = 100.0 * lost_s / all_s.max(1e-3);
+            let percent = 100.0 * lost_s / all_s.max(1e-3);
             writeln!(
                 f,
-                "copies' time lost    {lost_s:.1} of {all_s:.0} s of {copies} copies, {part:.2}%"
+                "copies' time lost    {lost_s:.1} of {all_s:.0} s of {copies} copies, {percent:.2}%"
             )?;
         }
         if let Some(versions) = &self.versions {
             write!(f, "{versions}")?;
         }
-        if let Some(work) = &self.maintenance {
-            write!(f, "{work}")?;
+        if let Some(maintenance) = &self.maintenance {
+            write!(f, "{maintenance}")?;
         }
         if let Some(Costs { real, hollow }) = &self.cost {
             for (what, cost) in [("real", real), ("hollow", hollow)] {
@@ -453,18 +460,18 @@
         if let Some(stand_ins) = &self.stand_ins {
             writeln!(f, "stand-ins            {stand_ins}")?;
         }
-        let troubles: Vec<String> = self
+        let faults: Vec<String> = self
             .faults
             .iter()
-            .map(|(name, many)| format!("{name} {many}"))
+            .map(|(name, count)| format!("{name} {count}"))
             .collect();
         write!(
             f,
             "troubles             {}",
-            if troubles.is_empty() {
+            if faults.is_empty() {
                 "none".into()
             } else {
-                troubles.join(", ")
+                faults.join(", ")
             }
         )
     }
