--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,6 +1,6 @@
-//! The laboratory: stand-ins of nodes, roster and owners, scripted days of trouble played through
-//! real dispatchers, and the judge of what crossed the sockets. Figures from here are from
-//! stand-ins, not machines.
+//! The testbed: stand-ins for nodes, discovery, clients and the control service, scenarios with
+//! faults that run against real dispatchers, and a checker of what crossed the sockets. Its figures
+//! come from stand-ins, not from real machines.
 
 pub mod capacity;
 pub mod capture;
--- a/crates/testbed/src/loads.rs
+++ b/crates/testbed/src/loads.rs
@@ -1,5 +1,5 @@
-//! The load generator against what it is to be trusted with: its own error, and a dispatcher that
-//! stands still.
+//! Measures the load generator: its own timing error, and what it reports about a paused
+//! dispatcher.
 
 use crate::capture::Capture;
 use crate::discovery::Discovery;
@@ -21,7 +21,7 @@
 use std::time::{Duration, Instant};
 use tonic::{Request, Response, Status};
 
-/// Sends a load on this thread.
+/// Sends a load on this thread and returns its report.
 pub fn send(
     plan: Plan,
     to: &[SocketAddr],
@@ -47,7 +47,7 @@
     Plan::read("the plan", &text, Path::new("")).map_err(|why| why.to_string())
 }
 
-/// Answers at once, and keeps when each ask came.
+/// A placement server that answers at once and records the arrival time of each request.
 #[derive(Clone, Default)]
 struct ArrivalRecorder(Arc<Mutex<Vec<(usize, Instant)>>>);
 
@@ -98,7 +98,8 @@
     }
 }
 
-/// How far from their intended times asks arrive at a server that does nothing else.
+/// Measures how late requests arrive, against their intended times, at a server that does nothing
+/// else.
 pub fn error(rate: u32) -> Result<String, String> {
     let recorder = ArrivalRecorder::default();
     let service = recorder.clone();
@@ -141,8 +142,8 @@
     ))
 }
 
-/// A dispatcher that stands still for so long in the middle of a load: what the load tells, and
-/// what one owner that waits for its answers tells of the same time.
+/// Pauses a dispatcher in the middle of a load. Returns the open-loop report, and the report of one
+/// closed-loop client over the same time.
 pub fn stalled(program: &[OsString], pause: Duration) -> Result<(Report, Report), String> {
     let node = measure::serve_on_own_thread(|| v1::node_server::NodeServer::new(InstantNode))?;
     let tasks = SharedExecutor::default();
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -1,4 +1,4 @@
-//! `corkspan-testbed`: days of trouble, their judge, and measurements.
+//! The `corkspan-testbed` command: scenarios with faults, the checker, and measurements.
 
 use clap::{Parser, Subcommand};
 use corkspan_capacity_model::result::{self, Axis};
@@ -11,7 +11,7 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// Plays days of trouble through real dispatchers and judges what crossed the sockets.
+/// Runs scenarios with faults against real dispatchers and checks what crossed the sockets.
 #[derive(Parser)]
 #[command(name = "corkspan-testbed", version)]
 struct Cli {
@@ -21,38 +21,38 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Plays a day: the built-in day of trouble, or a script of your own.
+    /// Runs a scenario: the built-in one, or a script of your own.
     Day {
-        /// A day script; see docs/days.md.
+        /// A scenario script; see docs/days.md.
         file: Option<PathBuf>,
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// The built-in short day instead.
+        /// Runs the built-in short scenario instead.
         #[arg(long, conflicts_with = "file")]
         short: bool,
-        /// Keeps the capture here.
+        /// Writes the capture to this file.
         #[arg(long)]
         capture: Option<PathBuf>,
-        /// Another program than the one built in, to be called with `serve FILE`.
+        /// A program to run instead of the built-in one, called with `serve FILE`.
         #[arg(long)]
         program: Option<PathBuf>,
         /// A folder for the dispatchers' logs.
         #[arg(long)]
         logs: Option<PathBuf>,
     },
-    /// Hollow dispatchers: many in a process, without a disk or a log, for the laboratory alone;
-    /// see docs/days.md.
+    /// Runs hollow dispatchers: many in one process, without disk or log, for the testbed only; see
+    /// docs/days.md.
     Hollow(hollow::Line),
-    /// Judges a capture alone.
+    /// Checks an existing capture.
     Judge { capture: PathBuf },
-    /// Measures a dispatcher against the RPC stack alone, side by side.
+    /// Measures a dispatcher against the bare RPC stack, side by side.
     Measure {
         #[arg(long, default_value_t = 5)]
         rounds: usize,
-        /// Of each round.
+        /// Length of each round.
         #[arg(long, default_value_t = 2.0)]
         seconds: f64,
-        /// Asks under way at a time.
+        /// Requests in flight at a time.
         #[arg(long, default_value_t = 64)]
         at_once: usize,
         #[arg(long, default_value_t = 40)]
@@ -62,53 +62,54 @@
         held: usize,
     },
     /// Streams versions to dispatchers: random exchanges with kills, a flood, time to effect,
-    /// returns, and placing meanwhile beside placing without.
+    /// reconnections, and placement with and without pushes.
     Versions {
         #[arg(long, default_value_t = 5)]
         rounds: usize,
-        /// Of each round of placing.
+        /// Length of each placement round.
         #[arg(long, default_value_t = 2.0)]
         seconds: f64,
         /// Dispatchers for the time from push to effect.
         #[arg(long, default_value_t = 100)]
         instances: usize,
-        /// Dispatchers that lose their service at once.
+        /// Dispatchers that lose their control service at once.
         #[arg(long, default_value_t = 300)]
         returns: usize,
-        /// Of random exchanges.
+        /// Number of random exchanges.
         #[arg(long, default_value_t = 10)]
         seeds: u64,
-        /// Versions of each.
+        /// Versions in each random exchange.
         #[arg(long, default_value_t = 1000)]
         versions: usize,
     },
-    /// Sends open-loop load to dispatchers, and keeps what came of it; see docs/load.md.
+    /// Sends open-loop load to dispatchers and stores the report; see docs/load.md.
     Load {
         /// The load file.
         file: PathBuf,
-        /// Where dispatchers listen; asks go to one after the other.
+        /// Addresses of dispatchers; requests go to each in turn.
         #[arg(required = true)]
         to: Vec<std::net::SocketAddr>,
-        /// So many owners that wait for their answers instead, for comparison alone.
+        /// Number of clients that wait for their answers instead (closed loop), for comparison
+        /// only.
         #[arg(long)]
         closed: Option<usize>,
         /// A folder for report.json and report.svg.
         #[arg(long)]
         out: Option<PathBuf>,
     },
-    /// Compares kept runs of two variants, pair by pair: each pair is of the same load.
+    /// Compares stored runs of two variants in pairs with the same load.
     Compare {
-        /// Folders of the old variant, as `load --out` wrote them.
+        /// Folders of the old variant, written by `load --out`.
         #[arg(long, required = true, num_args = 1..)]
         old: Vec<PathBuf>,
         /// Folders of the new one, in the same order.
         #[arg(long, required = true, num_args = 1..)]
         new: Vec<PathBuf>,
     },
-    /// Measures the load generator itself: intended against captured arrivals, and a dispatcher
-    /// that stands still.
+    /// Measures the load generator itself: intended against actual arrival times, and the effect of
+    /// a paused dispatcher.
     LoadError {
-        /// Asks a second of each round.
+        /// Requests a second in each round.
         #[arg(long, value_delimiter = ',', default_value = "50,500,5000")]
         rates: Vec<u32>,
         #[arg(long, default_value_t = 1500)]
@@ -119,24 +120,24 @@
     Capacity {
         #[command(subcommand)]
         page: Option<CapacityCommand>,
-        /// Fewer places and rounds, and shorter ones.
+        /// Fewer points and rounds, and shorter ones.
         #[arg(long)]
         quick: bool,
-        /// One axis alone.
+        /// Measures only this axis.
         #[arg(long, value_parser = axis)]
         axis: Option<Axis>,
-        /// A size file, as the `size` of a kept result.
+        /// A size file, in the form of `size` in a stored result.
         #[arg(long)]
         size: Option<PathBuf>,
         #[arg(long)]
         rounds: Option<u32>,
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// Keeps the runs here, in the place of earlier ones of the same axis.
+        /// Stores the runs in this file, replacing earlier ones of the same axis.
         #[arg(long)]
         json: Option<PathBuf>,
     },
-    /// The program itself, as days start it.
+    /// The dispatcher's program, as scenarios start it.
     #[command(hide = true, disable_help_flag = true)]
     Corkspan {
         #[arg(trailing_var_arg = true, allow_hyphen_values = true)]
@@ -146,13 +147,13 @@
 
 #[derive(Subcommand)]
 enum CapacityCommand {
-    /// Prints the tables of docs/CAPACITY.md from a kept result.
+    /// Prints the tables of docs/CAPACITY.md from a stored result.
     Page {
         file: PathBuf,
-        /// Holds a page against them instead.
+        /// Checks a page against the tables instead.
         #[arg(long, conflicts_with = "write")]
         check: Option<PathBuf>,
-        /// Writes them into a page.
+        /// Writes the tables into a page.
         #[arg(long)]
         write: Option<PathBuf>,
     },
@@ -301,7 +302,7 @@
     use corkspan_load_generator::run::Loop;
     let plan = corkspan_load_generator::plan::Plan::load(file).map_err(|why| why.to_string())?;
     let duration = plan.shape.duration();
-    // Said now: a load that is lost at its end for want of a folder is dear.
+    // Created before the load is sent: a missing folder must not lose the report at the end.
     if let Some(out) = out {
         std::fs::create_dir_all(out).map_err(|why| format!("{}: {why}", out.display()))?;
     }
@@ -381,7 +382,7 @@
             serde_json::from_str(&text).map_err(|why| place(why.to_string()))?
         }
     };
-    // Where it is kept changes no figure.
+    // The output file is left out of the stored command, since it changes no figure.
     let arguments: Vec<String> = std::env::args().skip(2).collect();
     let json_at = arguments.iter().position(|argument| argument == "--json");
     let is_other = |at: usize| json_at.is_none_or(|json| at != json && at != json + 1);
@@ -444,7 +445,7 @@
     Ok(())
 }
 
-/// The dispatcher built in, as a process of its own.
+/// Returns the command line that starts the built-in dispatcher as a process of its own.
 fn built_in_program() -> Result<Vec<OsString>, String> {
     let program = std::env::current_exe().map_err(|why| why.to_string())?;
     Ok(vec![program.into_os_string(), "corkspan".into()])
--- a/crates/testbed/src/requirements.rs
+++ b/crates/testbed/src/requirements.rs
@@ -1,38 +1,40 @@
-//! What a day needs of the machine, worked out before anything is started, and what the machine
-//! has. Plain arithmetic, but for [`Limits::of_this_machine`].
+//! Computes what a scenario requires of the machine, before anything is started, and compares it
+//! with the machine's limits. Only [`Limits::of_this_machine`] reads from the system.
 
 use crate::scenario::{FaultKind, LinkPeer, Scenario};
 use std::time::Duration;
 
-/// Real dispatchers and hollow ones with a thousand nodes' records, and what a task takes at its
-/// dispatcher while its link stands, with the links' windows: above what was seen.
+/// Upper bounds of a dispatcher's memory with the records of a thousand nodes, for real and hollow
+/// dispatchers.
 const REAL_DISPATCHER_KIB: u64 = 24 * 1024;
 const HOLLOW_DISPATCHER_KIB: u64 = 8 * 1024;
+/// Upper bound of a task's memory at its dispatcher while its connection is open, including flow
+/// control windows.
 const CONNECTION_KIB: u64 = 200;
-/// The stand-ins: at the start, a node, and a task from its first ask on, with its lines of the
-/// capture.
+/// Memory of the stand-ins: at the start, for each node, and for each task from its first request
+/// on, including its lines of the capture.
 const STAND_INS_KIB: u64 = 128 * 1024;
 const NODE_KIB: u64 = 64;
 const TASK_KIB: u64 = 16;
-/// Told at the start of each dispatcher of each node, and kept in the capture.
+/// Memory for each node's entry that each dispatcher receives at its start, kept in the capture.
 const ENDPOINT_BYTES: u64 = 200;
-/// A link without a call on it is closed after so long, or a quarter later.
+/// Time after which a connection without calls is closed, or up to a quarter later.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(19);
-/// "A few hundred".
+/// Maximum processes that a scenario may use.
 const MAX_PROCESSES: u64 = 400;
 
-/// What is needed at the most.
+/// Upper bounds of what a scenario requires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Requirements {
     pub memory_kib: u64,
     pub processes: u64,
-    /// In the stand-ins' process.
+    /// Descriptors in the stand-ins' process.
     pub descriptors: u64,
-    /// In the hollow process that needs most.
+    /// Descriptors in the hollow process that needs most.
     pub hollow_descriptors: u64,
 }
 
-/// What may be used.
+/// What a scenario may use.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     pub memory_kib: u64,
@@ -41,6 +43,7 @@
 }
 
 impl Requirements {
+    /// Computes the requirements of a scenario.
     pub fn for_scenario(scenario: &Scenario) -> Requirements {
         let (dispatchers, hollow, nodes) = (
             scenario.dispatchers as u64,
@@ -59,8 +62,8 @@
             .iter()
             .filter(|fault| fault.kind == FaultKind::Burst);
         let burst: u64 = bursts.map(|fault| fault.count as u64).sum();
-        // Each task may have a link of its own, from its offer to its end and until that has been
-        // idle for long.
+        // Each task may have a connection of its own, from its offer to its end and then until the
+        // idle connection is closed.
         let connection_lifetime = scenario
             .length
             .min(scenario.mean_lifetime.mul_f64(1.7) + IDLE_TIMEOUT);
@@ -86,7 +89,7 @@
                 + requested * TASK_KIB
                 + dispatchers * nodes * ENDPOINT_BYTES / 1024,
             processes: processes + 1,
-            // A relay listens, and has a link to either side.
+            // A relay has a listener and a connection to either side.
             descriptors: nodes
                 + connections
                 + dispatchers * 4
@@ -99,7 +102,7 @@
         }
     }
 
-    /// What is short, all of it.
+    /// Compares with the limits. The error lists everything that is short.
     pub fn check(&self, limits: &Limits) -> Result<(), String> {
         let rows = [
             (
@@ -129,6 +132,7 @@
 }
 
 impl Limits {
+    /// Reads the limits of this machine and process.
     pub fn of_this_machine() -> Result<Limits, String> {
         let text = std::fs::read_to_string("/proc/meminfo")
             .map_err(|why| format!("/proc/meminfo: {why}"))?;
--- a/crates/testbed/src/summary.rs
+++ b/crates/testbed/src/summary.rs
@@ -1,4 +1,4 @@
-//! A day in figures, from its capture.
+//! Summarizes a capture in figures.
 
 use crate::capture::*;
 use crate::cost::Costs;
@@ -9,6 +9,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::fmt;
 
+/// The figures of a scenario's run.
 #[derive(Default)]
 pub struct Summary {
     pub requested: u64,
@@ -17,7 +18,7 @@
     pub rejected: u64,
     pub failed: u64,
     pub cancelled: u64,
-    /// Calls without an answer: their dispatcher was killed or stood still.
+    /// Calls without a final answer: their dispatcher was killed or paused.
     pub unanswered: u64,
     pub within_objective: u64,
     pub p50_ms: f64,
@@ -32,14 +33,14 @@
     pub replicas: Option<ReplicaFigures>,
     pub versions: Option<VersionFigures>,
     pub maintenance: Option<MaintenanceFigures>,
-    /// Placed calls of owners that stand at a time.
+    /// Maximum number of placed client calls open at a time.
     pub max_active_calls: usize,
     pub cost: Option<Costs>,
     pub stand_ins: Option<StandIns>,
     pub faults: BTreeMap<String, u64>,
 }
 
-/// How the laboratory itself kept up, as [`Observation::StandIns`] tells it.
+/// The load on the stand-ins themselves, from [`Observation::StandIns`].
 #[derive(Clone, Copy, Debug, Default)]
 pub struct StandIns {
     pub busy: f64,
@@ -67,17 +68,18 @@
     }
 }
 
-/// How a roll went.
+/// The figures of a rollout.
 #[derive(Default)]
 pub struct RolloutFigures {
     pub copies: usize,
     pub rolled: usize,
-    /// From its start to the last copy ready.
+    /// Time from its start until the last replica was ready.
     pub seconds: f64,
-    /// Copies over the limit, times the usual time from stopped to ready and the time to stay so.
+    /// Shortest possible duration, in seconds: the replicas divided by the limit, times the sum of
+    /// the median time to get ready and the time to stay ready.
     pub best: f64,
     pub unready_most: usize,
-    /// New copies beside old ones at a time.
+    /// Maximum number of new replicas beside old ones at a time.
     pub beside_most: usize,
     pub limit: usize,
 }
@@ -107,8 +109,8 @@
             limit,
             ..RolloutFigures::default()
         };
-        // Ready copies of each task, as node and version; since when it has none; when one was
-        // offered to a node.
+        // The ready replicas of each task, as node and version. Below: since when a task has had
+        // none, and when it was last offered to a node.
         let mut ready: BTreeMap<&str, Vec<(u32, &str)>> = BTreeMap::new();
         let (mut unready_since, mut offered) = (HashMap::<&str, u64>::new(), HashMap::new());
         let (mut durations, mut last) = (Vec::new(), start);
@@ -129,7 +131,7 @@
                     calls.insert(request.call);
                     continue;
                 }
-                // The day is over: its owners want them no longer.
+                // The scenario is over: clients no longer want their replicas.
                 Observation::Cancelled { call } if calls.contains(call) => break,
                 Observation::Ready {
                     task,
@@ -143,7 +145,8 @@
             };
             let copies = ready.entry(task).or_default();
             if is_ready {
-                // One that comes back later, since its node was struck, was rolled before.
+                // A task is counted once: if a fault strikes its node, it may get ready again
+                // later.
                 if running_version == version && rolled_tasks.insert(task) {
                     last = *t;
                     let since = if surge {
@@ -156,8 +159,8 @@
                 unready_since.remove(task);
                 copies.push((node, running_version));
             } else {
-                // One of them: a dispatcher killed and the one after it may each have begun one on
-                // this node.
+                // Removes only one of them: a killed dispatcher and its successor may each have
+                // started a replica on this node.
                 if let Some(index) = copies
                     .iter()
                     .position(|other| *other == (node, running_version))
@@ -190,7 +193,7 @@
     }
 }
 
-/// The copies that run all day: how much of their time none was ready.
+/// The replicated service: the time for which tasks had no ready replica.
 #[derive(Default)]
 pub struct ReplicaFigures {
     pub copies: usize,
@@ -199,7 +202,7 @@
 }
 
 impl ReplicaFigures {
-    /// From when all are ready for the first time until their owners want them no longer.
+    /// Measures from when all are ready for the first time until their clients cancel them.
     fn of(lines: &[Line]) -> Option<Self> {
         let mut tasks = BTreeMap::<u64, &str>::new();
         let mut ready: BTreeMap<&str, i64> = BTreeMap::new();
@@ -253,6 +256,7 @@
         Some(figures)
     }
 
+    /// Adds the time up to `t`.
     fn add_until(&mut self, t: u64, since: &mut Option<u64>, ready: &BTreeMap<&str, i64>) {
         let Some(from) = since.as_mut() else { return };
         let seconds = (t - std::mem::replace(from, t)) as f64 / 1e6;
@@ -266,7 +270,7 @@
         let mut summary = Summary::default();
         let mut calls: HashMap<u64, (u64, usize, bool)> = HashMap::new();
         let mut active_calls = BTreeSet::new();
-        // A minute at the most, to three figures.
+        // At most a minute, with three significant digits.
         let mut latencies = Histogram::<u64>::new_with_bounds(1, 60_000_000, 3).ok();
         let service_classes = match lines.first() {
             Some(Line {
