--- a/crates/testbed/src/capture.rs
+++ b/crates/testbed/src/capture.rs
@@ -363,7 +363,7 @@
         let mut sink = self
             .sink
             .lock()
-            .expect("no one panics while writing a line");
+            .expect("no thread panics while holding the lock");
         // The time is taken under the lock, so that lines are ordered by time.
         let line = Line {
             t: self.start.elapsed().as_micros() as u64,
@@ -389,7 +389,7 @@
         let mut sink = self
             .sink
             .lock()
-            .expect("no one panics while writing a line");
+            .expect("no thread panics while holding the lock");
         if let Some(file) = &mut sink.file
             && let Err(why) = file.flush()
         {
--- a/crates/testbed/src/loads.rs
+++ b/crates/testbed/src/loads.rs
@@ -69,10 +69,11 @@
             .rsplit('-')
             .next()
             .and_then(|number| number.parse().ok());
-        let number = number.ok_or_else(|| Status::invalid_argument("no number"))?;
+        let number =
+            number.ok_or_else(|| Status::invalid_argument("the task name has no number"))?;
         self.0
             .lock()
-            .expect("no one panics over the times")
+            .expect("no thread panics while holding the lock")
             .push((number, at));
         let events = [Event::Placed(v1::Placed {
             node: 0,
@@ -87,7 +88,7 @@
         &self,
         _: Request<v1::HandOverRequest>,
     ) -> Result<Response<EventStream>, Status> {
-        Err(Status::unimplemented("it holds nothing"))
+        Err(Status::unimplemented("hand-over is not supported"))
     }
 
     async fn status(
@@ -120,9 +121,15 @@
     let report = future::block_on(tasks.run(sent)).map_err(|why| why.to_string())?;
     let mut delays =
         Histogram::<u64>::new_with_bounds(1, 60_000_000, 3).map_err(|why| why.to_string())?;
-    let arrivals = recorder.0.lock().expect("no one panics over the times");
+    let arrivals = recorder
+        .0
+        .lock()
+        .expect("no thread panics while holding the lock");
     for (number, at) in &*arrivals {
-        let due = began + *intended.get(*number).ok_or("an ask that was not meant")?;
+        let due = began
+            + *intended
+                .get(*number)
+                .ok_or("an unexpected request arrived")?;
         delays.saturating_record(at.saturating_duration_since(due).as_micros() as u64 + 1);
     }
     let us = |quantile| delays.value_at_quantile(quantile);
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -180,9 +180,9 @@
         } => {
             let scenario = match (&file, short) {
                 (Some(file), _) => Scenario::load(file),
-                (None, true) => Scenario::read("the short day", corkspan_testbed::scenario::SHORT),
+                (None, true) => Scenario::read("short scenario", corkspan_testbed::scenario::SHORT),
                 (None, false) => {
-                    Scenario::read("the built-in day", corkspan_testbed::scenario::BUILT_IN)
+                    Scenario::read("built-in scenario", corkspan_testbed::scenario::BUILT_IN)
                 }
             };
             scenario
@@ -260,10 +260,8 @@
             }
             let (open, closed) =
                 loads::stalled(&program, std::time::Duration::from_millis(pause_ms))?;
-            println!("a dispatcher that stands still for {pause_ms} ms, open loop:\n{open}");
-            println!(
-                "the same, at the same time, by one owner that waits for its answers:\n{closed}"
-            );
+            println!("a dispatcher paused for {pause_ms} ms, open loop:\n{open}");
+            println!("the same at the same time, closed loop with one client:\n{closed}");
             Ok(())
         }),
         Command::Hollow(line) => hollow::run(line),
@@ -310,7 +308,7 @@
     let report_progress = |at: std::time::Duration, requests: usize| {
         let left = duration.saturating_sub(at).as_secs();
         eprintln!(
-            "{} s of {}, {requests} asks, {left} s left",
+            "{} s of {}, {requests} requests, {left} s left",
             at.as_secs(),
             duration.as_secs()
         );
@@ -331,7 +329,7 @@
     use corkspan_load_generator::compare::{Figure, compare};
     if old.len() != new.len() {
         return Err(format!(
-            "{} old runs and {} new ones are no pairs",
+            "{} old runs and {} new ones do not form pairs",
             old.len(),
             new.len()
         ));
@@ -343,7 +341,7 @@
         let report: corkspan_load_generator::tally::Report =
             serde_json::from_slice(&text).map_err(|why| place(why.to_string()))?;
         if report.fell_behind {
-            eprintln!("{}: its generator fell behind", path.display());
+            eprintln!("{}: the load generator fell behind", path.display());
         }
         Ok::<_, String>(report)
     };
@@ -432,7 +430,7 @@
         .map_err(|why| format!("{}: {why}", file.display()))?;
     if let Some(path) = check {
         page::check(&read(&path)?, &kept).map_err(|why| format!("{}: {why}", path.display()))?;
-        println!("{} is as {} has it", path.display(), file.display());
+        println!("{} matches {}", path.display(), file.display());
     } else if let Some(path) = write {
         let page =
             page::fill(&read(&path)?, &kept).map_err(|why| format!("{}: {why}", path.display()))?;
--- a/crates/testbed/src/requirements.rs
+++ b/crates/testbed/src/requirements.rs
@@ -138,7 +138,7 @@
             .map_err(|why| format!("/proc/meminfo: {why}"))?;
         let line = text.lines().find_map(|line| line.strip_prefix("MemTotal:"));
         let total: Option<u64> = line.and_then(|rest| rest.split_whitespace().next()?.parse().ok());
-        let total = total.ok_or("the kernel does not tell the machine's memory")?;
+        let total = total.ok_or("/proc/meminfo does not contain MemTotal")?;
         // A container may have less than the machine.
         let container = std::fs::read_to_string("/sys/fs/cgroup/memory.max").ok();
         let container = container
