--- a/crates/testbed/tests/checker.rs
+++ b/crates/testbed/tests/checker.rs
@@ -17,7 +17,7 @@
             latency_objective_us: 1,
             spread,
         };
-        let home = |node, zone: &str| NodeSite {
+        let site = |node, zone: &str| NodeSite {
             node,
             zone: zone.into(),
             cell: 0,
@@ -35,7 +35,7 @@
                 ),
                 service_class("once", RetrySafety::NotRetryable, Some(2)),
             ],
-            nodes: vec![home(7, "a"), home(8, "a"), home(9, "b")],
+            nodes: vec![site(7, "a"), site(8, "a"), site(9, "b")],
             grace_us: 1_000_000,
             slow_start: SlowStartLimits {
                 lasts_us: 5_000_000,
@@ -58,8 +58,8 @@
         self
     }
 
-    fn asks(self, ms: u64, call: u64, service_class: usize) -> Self {
-        let asked = RequestedPlacement {
+    fn request(self, ms: u64, call: u64, service_class: usize) -> Self {
+        let request = RequestedPlacement {
             call,
             placement_id: format!("p{call}"),
             task: format!("t{call}"),
@@ -69,10 +69,10 @@
             deadline_us: 5_000_000,
             first: true,
         };
-        self.record(ms, Observation::Requested(asked))
+        self.record(ms, Observation::Requested(request))
     }
 
-    fn hears(self, ms: u64, call: u64, event: AllocationEvent) -> Self {
+    fn receive(self, ms: u64, call: u64, event: AllocationEvent) -> Self {
         self.record(ms, Observation::EventReceived { call, event })
     }
 
@@ -94,7 +94,7 @@
         )
     }
 
-    fn says(self, ms: u64, call: u64, number: u32, node: u32, event: AllocationEvent) -> Self {
+    fn send(self, ms: u64, call: u64, number: u32, node: u32, event: AllocationEvent) -> Self {
         self.record(
             ms,
             Observation::EventSent {
@@ -106,7 +106,7 @@
         )
     }
 
-    fn lets_go(self, ms: u64, call: u64, number: u32, node: u32) -> Self {
+    fn drop_offer(self, ms: u64, call: u64, number: u32, node: u32) -> Self {
         self.record(
             ms,
             Observation::OfferDropped {
@@ -121,7 +121,7 @@
         self.record(ms, Observation::Node { node: NODE, state })
     }
 
-    fn told(self, ms: u64, state: NodeState) -> Self {
+    fn update_endpoint(self, ms: u64, state: NodeState) -> Self {
         self.record(
             ms,
             Observation::EndpointSent {
@@ -143,51 +143,51 @@
     }
 
     /// The rules that are broken, with the lines that show it.
-    fn broken(&self) -> Vec<(u8, Vec<usize>)> {
-        let breaches = check(&self.0).expect("a readable capture");
-        breaches
+    fn violations(&self) -> Vec<(u8, Vec<usize>)> {
+        let violations = check(&self.0).expect("a readable capture");
+        violations
             .into_iter()
-            .map(|breach| (breach.rule, breach.lines))
+            .map(|violation| (violation.rule, violation.lines))
             .collect()
     }
 
-    fn breaks(self, rule: u8, lines: &[usize]) {
-        assert_eq!(self.broken(), [(rule, lines.to_vec())]);
+    fn assert_violation(self, rule: u8, lines: &[usize]) {
+        assert_eq!(self.violations(), [(rule, lines.to_vec())]);
     }
 
-    fn keeps_all(self) {
-        assert_eq!(self.broken(), []);
+    fn assert_no_violations(self) {
+        assert_eq!(self.violations(), []);
     }
 }
 
 /// One that was placed as it should be, by two shots.
 fn placed() -> Script {
     let script = Script::new()
-        .asks(10, 1, 2)
+        .request(10, 1, 2)
         .offer(20, 1, 0, 8)
-        .says(30, 1, 0, 8, Rejected);
+        .send(30, 1, 0, 8, Rejected);
     script
         .offer(40, 1, 1, NODE)
-        .says(50, 1, 1, NODE, Accepted)
-        .hears(60, 1, Placed)
+        .send(50, 1, 1, NODE, Accepted)
+        .receive(60, 1, Placed)
 }
 
 #[test]
-fn a_sound_capture_breaks_nothing() {
+fn a_sound_capture_has_no_violations() {
     placed()
-        .says(900, 1, 1, NODE, Ended)
-        .hears(910, 1, Ended)
-        .keeps_all();
+        .send(900, 1, 1, NODE, Ended)
+        .receive(910, 1, Ended)
+        .assert_no_violations();
 }
 
 #[test]
-fn one_without_an_answer_is_lost() {
-    Script::new().asks(10, 1, 0).breaks(1, &[2]);
+fn a_call_without_a_final_answer_is_lost() {
+    Script::new().request(10, 1, 0).assert_violation(1, &[2]);
 }
 
 #[test]
-fn one_whose_dispatcher_was_killed_is_not_held_against_it() {
-    let script = Script::new().asks(10, 1, 0).dispatcher(100, D::Killed);
+fn a_call_of_a_killed_dispatcher_is_not_a_violation() {
+    let script = Script::new().request(10, 1, 0).dispatcher(100, D::Killed);
     script
         .record(
             101,
@@ -197,228 +197,248 @@
             },
         )
         .dispatcher(900, D::Started)
-        .keeps_all();
+        .assert_no_violations();
 }
 
 #[test]
-fn a_kill_long_before_is_no_excuse() {
+fn a_kill_before_the_call_does_not_excuse_a_missing_answer() {
     Script::new()
         .dispatcher(1, D::Killed)
         .dispatcher(5, D::Started)
-        .asks(10, 1, 0)
-        .breaks(1, &[4]);
+        .request(10, 1, 0)
+        .assert_violation(1, &[4]);
 }
 
 #[test]
-fn a_cancelled_one_is_owed_nothing() {
+fn a_cancelled_call_needs_no_answer() {
     Script::new()
-        .asks(10, 1, 0)
+        .request(10, 1, 0)
         .record(20, Observation::Cancelled { call: 1 })
-        .keeps_all();
+        .assert_no_violations();
 }
 
 #[test]
-fn two_final_answers_are_one_too_many() {
-    placed().hears(70, 1, Rejected).breaks(1, &[2, 7, 8]);
+fn two_final_answers_are_a_violation() {
+    placed()
+        .receive(70, 1, Rejected)
+        .assert_violation(1, &[2, 7, 8]);
 }
 
 #[test_case(5_150, &[]; "within the slack")]
 #[test_case(5_300, &[(1, vec![2, 3])]; "later")]
-fn an_answer_after_the_owners_time(ms: u64, broken: &[(u8, Vec<usize>)]) {
+fn an_answer_after_the_deadline(ms: u64, expected: &[(u8, Vec<usize>)]) {
     assert_eq!(
-        Script::new().asks(10, 1, 0).hears(ms, 1, Failed).broken(),
-        broken
+        Script::new()
+            .request(10, 1, 0)
+            .receive(ms, 1, Failed)
+            .violations(),
+        expected
     );
 }
 
 #[test]
-fn an_offer_after_the_answer_is_too_much() {
+fn an_offer_after_the_final_answer_is_a_violation() {
     Script::new()
-        .asks(10, 1, 0)
-        .hears(20, 1, Rejected)
+        .request(10, 1, 0)
+        .receive(20, 1, Rejected)
         .offer(400, 1, 0, 8)
-        .breaks(1, &[3, 4]);
+        .assert_violation(1, &[3, 4]);
 }
 
 #[test]
-fn a_second_shot_while_the_first_is_out() {
+fn a_second_attempt_while_the_first_is_outstanding() {
     let script = Script::new()
-        .asks(10, 1, 0)
+        .request(10, 1, 0)
         .offer(20, 1, 0, 8)
         .offer(30, 1, 1, NODE);
     script
-        .says(900, 1, 1, NODE, Accepted)
-        .hears(910, 1, Placed)
-        .breaks(2, &[3, 4]);
+        .send(900, 1, 1, NODE, Accepted)
+        .receive(910, 1, Placed)
+        .assert_violation(2, &[3, 4]);
 }
 
 #[test]
-fn a_shot_let_go_before_the_next_is_over() {
+fn an_attempt_dropped_before_the_next_has_ended() {
     let script = Script::new()
-        .asks(10, 1, 0)
+        .request(10, 1, 0)
         .offer(20, 1, 0, 8)
-        .says(25, 1, 0, 8, Accepted)
-        .lets_go(700, 1, 0, 8);
+        .send(25, 1, 0, 8, Accepted)
+        .drop_offer(700, 1, 0, 8);
     script
         .offer(710, 1, 1, NODE)
-        .says(720, 1, 1, NODE, Accepted)
-        .hears(730, 1, Placed)
-        .keeps_all();
+        .send(720, 1, 1, NODE, Accepted)
+        .receive(730, 1, Placed)
+        .assert_no_violations();
 }
 
 #[test]
-fn an_unrepeatable_one_that_may_run_is_sent_again() {
+fn a_not_retryable_task_that_may_run_is_offered_again() {
     let script = Script::new()
-        .asks(10, 1, 2)
+        .request(10, 1, 2)
         .offer(20, 1, 0, 8)
-        .says(30, 1, 0, 8, Accepted);
+        .send(30, 1, 0, 8, Accepted);
     let script = script
-        .lets_go(40, 1, 0, 8)
+        .drop_offer(40, 1, 0, 8)
         .offer(50, 1, 1, NODE)
-        .says(60, 1, 1, NODE, Rejected);
-    script.hears(70, 1, Failed).breaks(2, &[3, 6]);
+        .send(60, 1, 1, NODE, Rejected);
+    script.receive(70, 1, Failed).assert_violation(2, &[3, 6]);
 }
 
 #[test_case(8, 5_000, true; "in its hall and window")]
 #[test_case(9, 5_000, false; "in another hall")]
 #[test_case(8, 6_500, false; "after the window")]
-fn a_deduplicated_one_that_may_run_is_sent_again(node: u32, ms: u64, sound: bool) {
+fn a_deduplicated_task_that_may_run_is_offered_again(node: u32, ms: u64, sound: bool) {
     let script = Script::new()
-        .asks(10, 1, 1)
+        .request(10, 1, 1)
         .offer(20, 1, 0, NODE)
         .record(30, Observation::ConnectionsCut { node: NODE });
     let script = script
-        .hears(40, 1, Failed)
-        .asks(41, 2, 0)
-        .hears(42, 2, Rejected)
+        .receive(40, 1, Failed)
+        .request(41, 2, 0)
+        .receive(42, 2, Rejected)
         .offer(ms, 1, 1, node);
-    let twice = script.broken().into_iter().any(|(rule, _)| rule == 2);
-    assert_eq!(twice, !sound);
+    let violated = script.violations().into_iter().any(|(rule, _)| rule == 2);
+    assert_eq!(violated, !sound);
 }
 
 #[test]
-fn one_that_may_run_is_called_harmless() {
+fn a_task_that_may_run_is_reported_as_rejected() {
     let script = Script::new()
-        .asks(10, 1, 2)
+        .request(10, 1, 2)
         .offer(20, 1, 0, 8)
-        .says(30, 1, 0, 8, Accepted);
+        .send(30, 1, 0, 8, Accepted);
     script
-        .lets_go(40, 1, 0, 8)
-        .hears(50, 1, Rejected)
-        .breaks(2, &[3, 6]);
+        .drop_offer(40, 1, 0, 8)
+        .receive(50, 1, Rejected)
+        .assert_violation(2, &[3, 6]);
 }
 
 #[test_case(1_100, &[]; "within the grace and slack")]
 #[test_case(1_500, &[(3, vec![3, 4])]; "later")]
-fn an_offer_to_a_node_told_of_as_draining(ms: u64, broken: &[(u8, Vec<usize>)]) {
+fn an_offer_to_a_node_known_to_be_draining(ms: u64, expected: &[(u8, Vec<usize>)]) {
     let script = Script::new()
-        .asks(5, 1, 0)
-        .told(10, N::Draining)
+        .request(5, 1, 0)
+        .update_endpoint(10, N::Draining)
         .offer(ms, 1, 0, NODE);
-    assert_eq!(script.hears(ms + 1, 1, Placed).broken(), broken);
+    assert_eq!(script.receive(ms + 1, 1, Placed).violations(), expected);
 }
 
 #[test]
-fn what_is_told_while_it_stands_still_counts_from_when_it_goes_on() {
+fn an_update_during_a_pause_counts_from_the_resumption() {
     let script = Script::new()
         .dispatcher(1, D::Paused)
-        .told(10, N::Gone)
+        .update_endpoint(10, N::Gone)
         .dispatcher(3_000, D::Resumed);
     script
-        .asks(3_001, 1, 0)
+        .request(3_001, 1, 0)
         .offer(3_500, 1, 0, NODE)
-        .hears(3_600, 1, Placed)
-        .keeps_all();
+        .receive(3_600, 1, Placed)
+        .assert_no_violations();
 }
 
 #[test]
-fn a_node_told_of_as_serving_again_may_be_offered() {
+fn a_node_that_serves_again_may_get_offers() {
     let script = Script::new()
-        .asks(5, 1, 0)
-        .told(10, N::Gone)
-        .told(1_400, N::Serving)
+        .request(5, 1, 0)
+        .update_endpoint(10, N::Gone)
+        .update_endpoint(1_400, N::Serving)
         .offer(1_500, 1, 0, NODE);
-    script.hears(1_501, 1, Placed).keeps_all();
+    script.receive(1_501, 1, Placed).assert_no_violations();
 }
 
-fn five_offers(mut script: Script, apart: u64) -> Script {
+fn five_offers(mut script: Script, interval_ms: u64) -> Script {
     for call in 1..=5 {
-        let ms = 100 + call * apart;
+        let ms = 100 + call * interval_ms;
         script = script
-            .asks(ms, call, 0)
+            .request(ms, call, 0)
             .offer(ms, call, 0, NODE)
-            .says(ms, call, 0, NODE, Rejected);
-        script = script.hears(ms, call, Rejected);
+            .send(ms, call, 0, NODE, Rejected);
+        script = script.receive(ms, call, Rejected);
     }
     script
 }
 
 #[test]
-fn a_cold_node_is_pushed_over() {
+fn too_many_offers_to_a_node_in_slow_start_are_a_violation() {
     five_offers(
-        Script::new().node(10, N::SlowStart).told(20, N::SlowStart),
+        Script::new()
+            .node(10, N::SlowStart)
+            .update_endpoint(20, N::SlowStart),
         50,
     )
-    .breaks(4, &[2, 5, 21]);
+    .assert_violation(4, &[2, 5, 21]);
 }
 
 #[test]
-fn the_same_offers_over_a_longer_time_are_borne() {
+fn the_same_offers_over_a_longer_time_are_allowed() {
     five_offers(
-        Script::new().node(10, N::SlowStart).told(20, N::SlowStart),
+        Script::new()
+            .node(10, N::SlowStart)
+            .update_endpoint(20, N::SlowStart),
         400,
     )
-    .keeps_all();
+    .assert_no_violations();
 }
 
 #[test]
-fn the_same_offers_are_borne_by_a_warm_node() {
-    five_offers(Script::new().node(10, N::Serving).told(20, N::Serving), 50).keeps_all();
+fn the_same_offers_to_a_serving_node_are_allowed() {
+    five_offers(
+        Script::new()
+            .node(10, N::Serving)
+            .update_endpoint(20, N::Serving),
+        50,
+    )
+    .assert_no_violations();
 }
 
 #[test]
-fn who_was_not_told_of_the_start_is_not_to_blame() {
-    five_offers(Script::new().node(10, N::SlowStart), 50).keeps_all();
+fn a_dispatcher_that_does_not_know_of_the_start_is_excused() {
+    five_offers(Script::new().node(10, N::SlowStart), 50).assert_no_violations();
 }
 
-fn three_of_a_service(script: Script, first_ends: bool) -> Script {
+fn three_allocations(script: Script, first_ends: bool) -> Script {
     let mut script = script;
     for call in 1..=3 {
         let ms = call * 100;
-        script =
-            script
-                .asks(ms, call, 2)
-                .offer(ms, call, 0, NODE)
-                .says(ms + 1, call, 0, NODE, Accepted);
-        script = script.hears(ms + 2, call, Placed);
+        script = script.request(ms, call, 2).offer(ms, call, 0, NODE).send(
+            ms + 1,
+            call,
+            0,
+            NODE,
+            Accepted,
+        );
+        script = script.receive(ms + 2, call, Placed);
         if call == 2 && first_ends {
-            script = script.says(ms + 3, 1, 0, NODE, Ended);
+            script = script.send(ms + 3, 1, 0, NODE, Ended);
         }
     }
     script
 }
 
 #[test]
-fn a_service_stands_too_close() {
-    three_of_a_service(Script::new(), false).breaks(5, &[3, 7, 11]);
+fn too_many_allocations_of_a_service_on_a_node_are_a_violation() {
+    three_allocations(Script::new(), false).assert_violation(5, &[3, 7, 11]);
 }
 
 #[test]
-fn one_that_ended_holds_its_place_no_longer() {
-    three_of_a_service(Script::new(), true).keeps_all();
+fn an_ended_allocation_does_not_count() {
+    three_allocations(Script::new(), true).assert_no_violations();
 }
 
 #[test_case(true, &[(5, vec![3, 7, 15])]; "handed over, it does")]
 #[test_case(false, &[]; "not handed over, it doesn't")]
-fn one_of_an_earlier_life_holds_its_place(handed: bool, broken: &[(u8, Vec<usize>)]) {
+fn an_allocation_from_before_a_restart_counts_if_handed_over(
+    handed: bool,
+    expected: &[(u8, Vec<usize>)],
+) {
     let mut script = Script::new();
     for call in 1..=2 {
         let ms = call * 100;
         script = script
-            .asks(ms, call, 2)
+            .request(ms, call, 2)
             .offer(ms, call, 0, NODE)
-            .says(ms, call, 0, NODE, Accepted);
-        script = script.hears(ms, call, Placed);
+            .send(ms, call, 0, NODE, Accepted);
+        script = script.receive(ms, call, Placed);
     }
     script = script
         .dispatcher(300, D::Killed)
@@ -437,10 +457,10 @@
         }
     }
     script = script
-        .asks(400, 3, 2)
+        .request(400, 3, 2)
         .offer(400, 3, 0, NODE)
-        .hears(401, 3, Placed);
-    assert_eq!(script.broken(), broken);
+        .receive(401, 3, Placed);
+    assert_eq!(script.violations(), expected);
 }
 
 #[test]
@@ -451,11 +471,11 @@
 
 #[test]
 fn a_capture_whose_times_go_back_is_unreadable() {
-    let why = check(&Script::new().asks(10, 1, 0).asks(5, 2, 0).0).expect_err("unreadable");
+    let why = check(&Script::new().request(10, 1, 0).request(5, 2, 0).0).expect_err("unreadable");
     assert!(why.contains("line 3"), "{why}");
 }
 
-fn says_ready(script: Script, ms: u64, task: u64, ready: bool, done: bool) -> Script {
+fn set_ready(script: Script, ms: u64, task: u64, ready: bool, done: bool) -> Script {
     let (task, service, version) = (format!("t{task}"), "s".into(), "v2".into());
     script.record(
         ms,
@@ -471,7 +491,7 @@
     )
 }
 
-fn roll(unready_most: usize, start_first: bool) -> Observation {
+fn rollout(unready_most: usize, start_first: bool) -> Observation {
     Observation::RolloutStarted {
         service: "s".into(),
         version: "v2".into(),
@@ -484,34 +504,34 @@
 }
 
 /// Three copies that are ready, and a roll that lets one be down.
-fn rolling() -> Script {
+fn during_rollout() -> Script {
     let script = (1..=3).fold(Script::new(), |script, task| {
-        says_ready(script, 10, task, true, false)
+        set_ready(script, 10, task, true, false)
     });
-    let roll = roll(1, false);
-    says_ready(script.record(20, roll), 30, 1, false, false)
+    let rollout = rollout(1, false);
+    set_ready(script.record(20, rollout), 30, 1, false, false)
 }
 
 #[test]
-fn a_roll_that_takes_two_down_where_one_may_be_is_found() {
-    says_ready(rolling(), 40, 2, false, false).breaks(6, &[7]);
+fn a_rollout_over_its_unavailability_limit_is_a_violation() {
+    set_ready(during_rollout(), 40, 2, false, false).assert_violation(6, &[7]);
 }
 
 #[test]
-fn a_roll_that_waits_for_the_first_to_be_ready_is_sound() {
-    let script = says_ready(rolling(), 40, 1, true, false);
-    says_ready(script, 50, 2, false, false).keeps_all();
+fn a_rollout_that_waits_for_readiness_is_sound() {
+    let script = set_ready(during_rollout(), 40, 1, true, false);
+    set_ready(script, 50, 2, false, false).assert_no_violations();
 }
 
 #[test_case(false, &[]; "at once, nobody can know")]
 #[test_case(true, &[(6, vec![7])]; "for long, the roll must have given way")]
-fn a_copy_that_died_by_itself(long_ago: bool, broken: &[(u8, Vec<usize>)]) {
-    let roll = roll(1, false);
+fn a_replica_that_failed_by_itself(long_ago: bool, expected: &[(u8, Vec<usize>)]) {
+    let rollout = rollout(1, false);
     let script = (1..=3)
         .fold(Script::new(), |script, task| {
-            says_ready(script, 10, task, true, false)
+            set_ready(script, 10, task, true, false)
         })
-        .record(20, roll);
+        .record(20, rollout);
     let died = Observation::Ready {
         node: NODE,
         task: "t1".into(),
@@ -521,31 +541,31 @@
         done: false,
         stopped: false,
     };
-    let later = if long_ago { 9_000 } else { 40 };
+    let second_stop = if long_ago { 9_000 } else { 40 };
     assert_eq!(
-        says_ready(script.record(30, died), later, 2, false, false).broken(),
-        broken
+        set_ready(script.record(30, died), second_stop, 2, false, false).violations(),
+        expected
     );
 }
 
 #[test_case(3, &[]; "as many as may be")]
 #[test_case(2, &[(6, vec![6])]; "one more")]
-fn copies_beside_others(most: usize, broken: &[(u8, Vec<usize>)]) {
-    let roll = roll(most - 1, true);
+fn surplus_replicas_of_a_surge_rollout(most: usize, expected: &[(u8, Vec<usize>)]) {
+    let rollout = rollout(most - 1, true);
     let script = (1..=2).fold(Script::new(), |script, task| {
-        says_ready(script, 10, task, true, false)
+        set_ready(script, 10, task, true, false)
     });
-    let script = says_ready(script.record(20, roll), 30, 1, true, false);
-    assert_eq!(says_ready(script, 40, 2, true, false).broken(), broken);
+    let script = set_ready(script.record(20, rollout), 30, 1, true, false);
+    assert_eq!(set_ready(script, 40, 2, true, false).violations(), expected);
 }
 
 #[test]
-fn copies_that_came_to_their_end_are_not_missing() {
-    says_ready(rolling(), 40, 2, false, true).keeps_all();
+fn ended_replicas_do_not_count_as_unavailable() {
+    set_ready(during_rollout(), 40, 2, false, true).assert_no_violations();
 }
 
 /// A copy of what ran before the roll says that it is ready, or that it was stopped.
-fn old(script: Script, ms: u64, task: u64, ready: bool) -> Script {
+fn set_old_ready(script: Script, ms: u64, task: u64, ready: bool) -> Script {
     let (task, service, version) = (format!("t{task}"), "s".into(), String::new());
     script.record(
         ms,
@@ -563,21 +583,26 @@
 
 #[test_case(8_900, &[]; "a little later, it may not have been heard of")]
 #[test_case(9_000, &[(7, vec![7, 8])]; "long after, the roll should have halted")]
-fn a_roll_goes_on_after_a_copy_that_never_got_ready(ms: u64, broken: &[(u8, Vec<usize>)]) {
-    let script = old(old(Script::new(), 10, 1, true), 11, 2, true).record(20, roll(2, false));
-    let script = old(script, 30, 1, false)
+fn a_rollout_continues_after_a_replica_that_never_got_ready(
+    ms: u64,
+    expected: &[(u8, Vec<usize>)],
+) {
+    let script = set_old_ready(set_old_ready(Script::new(), 10, 1, true), 11, 2, true)
+        .record(20, rollout(2, false));
+    let script = set_old_ready(script, 30, 1, false)
         .offer(990, 1, 0, NODE)
-        .says(1_000, 1, 0, NODE, Accepted);
-    assert_eq!(old(script, ms, 2, false).broken(), broken);
+        .send(1_000, 1, 0, NODE, Accepted);
+    assert_eq!(set_old_ready(script, ms, 2, false).violations(), expected);
 }
 
 #[test_case(false, &[(7, vec![7, 9])]; "and its dispatcher lives, the roll should have halted")]
 #[test_case(true, &[]; "and its dispatcher dies with what it counted, it may go on")]
-fn a_copy_died_right_after_it_got_ready(dies: bool, broken: &[(u8, Vec<usize>)]) {
-    let script = old(old(Script::new(), 10, 1, true), 11, 2, true).record(20, roll(2, false));
-    let script = old(script, 30, 1, false)
+fn a_replica_failed_right_after_it_got_ready(dies: bool, expected: &[(u8, Vec<usize>)]) {
+    let script = set_old_ready(set_old_ready(Script::new(), 10, 1, true), 11, 2, true)
+        .record(20, rollout(2, false));
+    let script = set_old_ready(script, 30, 1, false)
         .offer(990, 1, 0, NODE)
-        .says(1_000, 1, 0, NODE, Accepted);
+        .send(1_000, 1, 0, NODE, Accepted);
     let (task, service, version) = ("t1".into(), "s".into(), "v2".into());
     let died = Observation::Ready {
         node: NODE,
@@ -596,13 +621,16 @@
     } else {
         script
     };
-    assert_eq!(old(script, 9_000, 2, false).broken(), broken);
+    assert_eq!(
+        set_old_ready(script, 9_000, 2, false).violations(),
+        expected
+    );
 }
 
 #[test_case(false; "below the floor")]
 #[test_case(true; "before the node had it, or after it was lowered")]
-fn what_is_below_the_floor_of_a_node_must_not_be_accepted_there(lowered: bool) {
-    let script = Script::new().asks(10, 1, 2).record(
+fn what_is_below_a_nodes_minimum_version_must_not_be_accepted(lowered: bool) {
+    let script = Script::new().request(10, 1, 2).record(
         15,
         Observation::MinimumVersionStored {
             node: NODE,
@@ -622,28 +650,28 @@
     };
     let script = script
         .offer(20, 1, 0, NODE)
-        .says(50, 1, 0, NODE, Accepted)
-        .hears(60, 1, Placed);
+        .send(50, 1, 0, NODE, Accepted)
+        .receive(60, 1, Placed);
     match lowered {
-        true => script.keeps_all(),
-        false => script.breaks(8, &[3, 4, 5]),
+        true => script.assert_no_violations(),
+        false => script.assert_violation(8, &[3, 4, 5]),
     }
 }
 
 /// A second shot 1 s after the first, which its node sees let go after this long.
-fn two_shots(wires: &[(u64, bool, u64)], over: u64) -> Vec<u8> {
+fn two_attempts(faults: &[(u64, bool, u64)], dropped_at: u64) -> Vec<u8> {
     let mut script = Script::new()
-        .asks(0, 1, 0)
+        .request(0, 1, 0)
         .offer(1_000, 1, 0, 7)
-        .says(1_010, 1, 0, 7, Accepted);
-    let mut all: Vec<(u64, Option<(bool, u64)>)> = wires
+        .send(1_010, 1, 0, 7, Accepted);
+    let mut all: Vec<(u64, Option<(bool, u64)>)> = faults
         .iter()
         .map(|(at, struck, late)| (*at, Some((*struck, *late))))
         .collect();
-    all.extend([(2_000, None), (over, None)]);
+    all.extend([(2_000, None), (dropped_at, None)]);
     all.sort_by_key(|(at, _)| *at);
-    for (at, wires) in all {
-        script = match wires {
+    for (at, fault) in all {
+        script = match fault {
             Some((struck, late)) => script.record(
                 at,
                 Observation::ConnectionFault {
@@ -652,14 +680,14 @@
                     late_us: late * 1_000,
                 },
             ),
-            None if at == over => script.lets_go(at, 1, 0, 7),
+            None if at == dropped_at => script.drop_offer(at, 1, 0, 7),
             None => script.offer(at, 1, 1, 8),
         };
     }
     let found = check(&script.0).expect("readable").into_iter();
     found
-        .filter(|breach| breach.rule == 2)
-        .map(|breach| breach.rule)
+        .filter(|violation| violation.rule == 2)
+        .map(|violation| violation.rule)
         .collect()
 }
 
@@ -669,10 +697,10 @@
 #[test_case(&[(1_500, true, 0), (2_600, false, 0)], 3_000, 1; "kept on after the cut")]
 #[test_case(&[(1_500, true, 400), (4_000, false, 0)], 2_550, 0; "given up on links that are late")]
 #[test_case(&[(1_500, true, 400), (4_000, false, 0)], 2_700, 1; "kept for longer than they are late")]
-fn what_a_struck_dispatcher_gave_up_may_be_seen_later_and_no_later_than_that(
-    wires: &[(u64, bool, u64)],
-    over: u64,
-    breaches: usize,
+fn a_drop_may_be_seen_late_by_at_most_the_connection_fault(
+    faults: &[(u64, bool, u64)],
+    dropped_at: u64,
+    violations: usize,
 ) {
-    assert_eq!(two_shots(wires, over).len(), breaches);
+    assert_eq!(two_attempts(faults, dropped_at).len(), violations);
 }
--- a/crates/testbed/tests/scenario_files.rs
+++ b/crates/testbed/tests/scenario_files.rs
@@ -10,11 +10,11 @@
 const HOLLOW: &str = include_str!("data/days/hollow.sexp");
 
 fn read(name: &str, text: &str) -> Scenario {
-    Scenario::read(name, text).unwrap_or_else(|fault| panic!("{fault}"))
+    Scenario::read(name, text).unwrap_or_else(|diagnostic| panic!("{diagnostic}"))
 }
 
 /// A day as lines of text, in the words of the scripts.
-fn described(scenario: &Scenario) -> String {
+fn describe(scenario: &Scenario) -> String {
     let mut out = String::new();
     let millis = |time: Duration| format!("{} ms", time.as_millis());
     let mut line = |name: &str, value: String| writeln!(out, "{name}: {value}").expect("a string");
@@ -61,44 +61,44 @@
         )
     });
     line("maintenance", format!("{maintenance:?}"));
-    for trouble in &scenario.faults {
+    for fault in &scenario.faults {
         let name = FAULT_KINDS
             .iter()
-            .find(|(_, kind)| *kind == trouble.kind)
+            .find(|(_, kind)| *kind == fault.kind)
             .expect("a known kind")
             .0;
-        let ends: Vec<&str> = trouble.peers.iter().map(|end| end_name(*end)).collect();
-        let ways: Vec<&str> = trouble
+        let peers: Vec<&str> = fault.peers.iter().map(|peer| peer_name(*peer)).collect();
+        let directions: Vec<&str> = fault
             .directions
             .iter()
-            .map(|way| way_name(*way))
+            .map(|direction| direction_name(*direction))
             .collect();
-        let (at, lasts, by) = (
-            millis(trouble.at),
-            millis(trouble.duration),
-            millis(trouble.delay),
+        let (at, duration, delay) = (
+            millis(fault.at),
+            millis(fault.duration),
+            millis(fault.delay),
         );
-        let (many, times) = (trouble.count, trouble.demand_factor);
+        let (count, factor) = (fault.count, fault.demand_factor);
         line(
             name,
             format!(
-                "at {at}, for {lasts}, many {many}, times {times}, from {ends:?}, way {ways:?}, by {by}"
+                "at {at}, for {duration}, many {count}, times {factor}, from {peers:?}, way {directions:?}, by {delay}"
             ),
         );
     }
     out
 }
 
-fn end_name(end: LinkPeer) -> &'static str {
+fn peer_name(peer: LinkPeer) -> &'static str {
     LINK_PEERS
         .iter()
-        .find(|(_, known)| *known == end)
+        .find(|(_, known)| *known == peer)
         .expect("a known end")
         .0
 }
 
-fn way_name(way: Direction) -> &'static str {
-    match way {
+fn direction_name(direction: Direction) -> &'static str {
+    match direction {
         Direction::In => "in",
         Direction::Out => "out",
     }
@@ -108,14 +108,14 @@
 fn compare(name: &str, got: &str, recorded: &str) {
     let lines = std::iter::zip(got.lines(), recorded.lines());
     let same = lines.take_while(|(got, recorded)| got == recorded).count();
-    let left = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
+    let output = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
     if got != recorded {
-        std::fs::write(&left, got).expect("the folder for temporary files takes it");
+        std::fs::write(&output, got).expect("the folder for temporary files takes it");
         let (got, recorded) = (got.lines().nth(same), recorded.lines().nth(same));
         panic!(
             "{name}, line {}: got {got:?}, recorded {recorded:?}; all of it: {}",
             same + 1,
-            left.display()
+            output.display()
         );
     }
 }
@@ -124,29 +124,26 @@
 fn each_keyword_is_read_as_before() {
     let scenario = read("every-keyword", EVERY_KEYWORD);
     let hollow = read("hollow", HOLLOW);
-    let got = format!("{}\n{}", described(&scenario), described(&hollow));
+    let got = format!("{}\n{}", describe(&scenario), describe(&hollow));
     compare("read.txt", &got, include_str!("data/days/read.txt"));
 }
 
 /// The script above leaves out none that is known.
 #[test]
-fn the_script_uses_every_kind_of_fault_and_every_end() {
+fn the_script_uses_every_kind_of_fault_and_every_peer() {
     let scenario = read("every-keyword", EVERY_KEYWORD);
     for (name, kind) in FAULT_KINDS {
-        let uses = scenario
-            .faults
-            .iter()
-            .filter(|trouble| trouble.kind == kind);
+        let uses = scenario.faults.iter().filter(|fault| fault.kind == kind);
         assert_eq!(uses.count(), 1, "{name}");
     }
-    for (name, end) in LINK_PEERS {
-        assert!(scenario.affects(end), "{name}");
+    for (name, peer) in LINK_PEERS {
+        assert!(scenario.affects(peer), "{name}");
     }
 }
 
 /// Each keyword in turn by another name: refused, with its place.
 #[test]
-fn an_unknown_keyword_is_refused_with_its_place() {
+fn an_unknown_keyword_is_rejected_with_its_place() {
     let mut out = String::new();
     for (file, text) in [("every-keyword", EVERY_KEYWORD), ("hollow", HOLLOW)] {
         let code = text
@@ -156,19 +153,19 @@
         for (open, _) in code.match_indices('(') {
             let (before, from) = code.split_at(open + 1);
             let changed = format!("{before}x{from}");
-            let end = from.find([' ', '\n', ')']).expect("a keyword ends");
-            let fault = Scenario::read(file, &changed).expect_err(&from[..end]);
-            writeln!(out, "x{}: {fault}", &from[..end]).expect("a string");
+            let end_of_keyword = from.find([' ', '\n', ')']).expect("a keyword ends");
+            let diagnostic = Scenario::read(file, &changed).expect_err(&from[..end_of_keyword]);
+            writeln!(out, "x{}: {diagnostic}", &from[..end_of_keyword]).expect("a string");
         }
-        for word in ["dispatchers keepers", "in)", "#t", " ms)", " min)"] {
-            for (at, _) in code.match_indices(word) {
+        for token in ["dispatchers keepers", "in)", "#t", " ms)", " min)"] {
+            for (at, _) in code.match_indices(token) {
                 let changed = format!(
                     "{}{}",
                     &code[..at],
-                    code[at..].replacen(word, &format!("y{word}"), 1)
+                    code[at..].replacen(token, &format!("y{token}"), 1)
                 );
-                let fault = Scenario::read(file, &changed).expect_err(word);
-                writeln!(out, "y{word}: {fault}").expect("a string");
+                let diagnostic = Scenario::read(file, &changed).expect_err(token);
+                writeln!(out, "y{token}: {diagnostic}").expect("a string");
             }
         }
     }
@@ -177,13 +174,13 @@
 
 /// Half a script is refused at the place where it ends.
 #[test]
-fn half_a_script_is_refused() {
+fn half_a_script_is_rejected() {
     let half = &EVERY_KEYWORD[..EVERY_KEYWORD.len() / 2];
-    let fault = Scenario::read("every-keyword", half)
+    let diagnostic = Scenario::read("every-keyword", half)
         .expect_err("half of it")
         .to_string();
     assert_eq!(
-        fault,
+        diagnostic,
         "every-keyword:24:11: file: EOF while parsing a list at line 24 column 11"
     );
 }
--- a/crates/testbed/tests/scenarios.rs
+++ b/crates/testbed/tests/scenarios.rs
@@ -11,17 +11,17 @@
 
 /// Days are played side by side, but for one that needs the machine to itself: it judges to the
 /// tenth of a second.
-static ALONE: RwLock<()> = RwLock::new(());
+static EXCLUSIVE: RwLock<()> = RwLock::new(());
 
-fn play(script: &str, seed: u64, rewrite_deployment: fn(String) -> String) -> Vec<Line> {
-    let _others = ALONE.read().unwrap_or_else(PoisonError::into_inner);
-    play_here(script, seed, rewrite_deployment)
+fn run(script: &str, seed: u64, rewrite_deployment: fn(String) -> String) -> Vec<Line> {
+    let _shared = EXCLUSIVE.read().unwrap_or_else(PoisonError::into_inner);
+    run_unlocked(script, seed, rewrite_deployment)
 }
 
-fn play_here(script: &str, seed: u64, rewrite_deployment: fn(String) -> String) -> Vec<Line> {
+fn run_unlocked(script: &str, seed: u64, rewrite_deployment: fn(String) -> String) -> Vec<Line> {
     let scenario = Scenario::read("day", script).unwrap_or_else(|why| panic!("{why}"));
     let programs = Programs::with_binary(env!("CARGO_BIN_EXE_corkspan-testbed").as_ref());
-    let played = ScenarioRun {
+    let lines = ScenarioRun {
         scenario,
         seed,
         programs,
@@ -30,23 +30,23 @@
         logs: None,
     }
     .run();
-    played.unwrap_or_else(|why| panic!("{why}"))
+    lines.unwrap_or_else(|why| panic!("{why}"))
 }
 
-fn broken(lines: &[Line]) -> Vec<u8> {
+fn violated_rules(lines: &[Line]) -> Vec<u8> {
     let mut rules: Vec<u8> = check(lines)
         .expect("readable")
         .iter()
-        .map(|breach| breach.rule)
+        .map(|violation| violation.rule)
         .collect();
     rules.dedup();
     rules
 }
 
 #[test]
-fn the_short_day_keeps_the_rules() {
-    let lines = play(SHORT, 1, |text| text);
-    assert_eq!(broken(&lines), [0; 0]);
+fn the_short_scenario_keeps_the_rules() {
+    let lines = run(SHORT, 1, |text| text);
+    assert_eq!(violated_rules(&lines), [0; 0]);
     let summary = Summary::of(&lines);
     assert!(
         summary.tasks > 200 && summary.placed > 200 && summary.health_checks > 10,
@@ -60,16 +60,19 @@
 
 /// Eight processes whose links run through relays.
 #[test]
-fn dispatchers_that_are_cut_off_held_up_and_out_of_disk_keep_the_rules_while_versions_come() {
-    let lines = play(include_str!("../days/cuts.sexp"), 1, |text| text);
-    assert_eq!(broken(&lines), [0; 0]);
+fn dispatchers_with_connection_and_disk_faults_keep_the_rules_while_versions_are_pushed() {
+    let lines = run(include_str!("../days/cuts.sexp"), 1, |text| text);
+    assert_eq!(violated_rules(&lines), [0; 0]);
     let summary = Summary::of(&lines);
     assert!(summary.placed > 500, "{summary}");
-    let newest = lines.iter().filter_map(|line| match line.observation {
+    let versions = lines.iter().filter_map(|line| match line.observation {
         Observation::Offered { decided, .. } => Some(decided),
         _ => None,
     });
-    assert!(newest.max() >= Some(5), "versions came, and were acted on");
+    assert!(
+        versions.max() >= Some(5),
+        "versions came, and were acted on"
+    );
     let struck = lines.iter().filter(|line| {
         matches!(
             line.observation,
@@ -80,26 +83,26 @@
 }
 
 #[test]
-fn all_machines_have_their_work_within_the_limits_whoever_is_cut_killed_or_stands_still() {
-    let lines = play(include_str!("../days/work-short.sexp"), 1, |text| text);
-    assert_eq!(broken(&lines), [0; 0]);
-    let work = Summary::of(&lines)
+fn maintenance_finishes_within_its_limits_despite_cuts_kills_and_pauses() {
+    let lines = run(include_str!("../days/work-short.sexp"), 1, |text| text);
+    assert_eq!(violated_rules(&lines), [0; 0]);
+    let maintenance = Summary::of(&lines)
         .maintenance
         .expect("machines were taken out");
     // The other two are keepers, and stay.
     assert_eq!(
         (
-            work.completed.len(),
-            work.completions,
-            work.left_cordoned,
-            work.violations
+            maintenance.completed.len(),
+            maintenance.completions,
+            maintenance.left_cordoned,
+            maintenance.violations
         ),
         (22, 22, 0, 0),
-        "{work}"
+        "{maintenance}"
     );
     assert!(
-        (2..=6).contains(&work.peak_out) && work.peak_out_of_zone <= 4,
-        "{work}"
+        (2..=6).contains(&maintenance.peak_out) && maintenance.peak_out_of_zone <= 4,
+        "{maintenance}"
     );
 }
 
@@ -108,7 +111,7 @@
 const RACK: &str = "(day (length 5 s) (dispatchers 2) (nodes 4) (rate 60) (life 1 s)
     (troubles (restart-rack (at 1 s) (for 500 ms))))";
 
-fn repeats_what_must_not(text: String) -> String {
+fn retry_everything(text: String) -> String {
     replace(
         text,
         "(repeat unrepeatable) (contract-time 1500 ms)",
@@ -116,11 +119,11 @@
     )
 }
 
-fn knows_no_spread(text: String) -> String {
+fn without_spread(text: String) -> String {
     replace(text, "(spread machine) (most 4)", "")
 }
 
-fn knows_no_cold(text: String) -> String {
+fn without_slow_start(text: String) -> String {
     replace(text, "(offers 12)", "(offers 100000)")
 }
 
@@ -129,20 +132,20 @@
     text.replace(from, to)
 }
 
-#[test_case(UNREPEATABLE, repeats_what_must_not, 2; "one that repeats what must not run twice")]
-#[test_case(UNREPEATABLE, knows_no_spread, 5; "one that knows no spread")]
-#[test_case(RACK, knows_no_cold, 4; "one that floods what has just started")]
-fn a_dispatcher_with_wrong_decisions_is_found_out(
+#[test_case(UNREPEATABLE, retry_everything, 2; "one that repeats what must not run twice")]
+#[test_case(UNREPEATABLE, without_spread, 5; "one that knows no spread")]
+#[test_case(RACK, without_slow_start, 4; "one that floods what has just started")]
+fn the_checker_finds_a_dispatcher_with_wrong_decisions(
     script: &str,
     wrong: fn(String) -> String,
     rule: u8,
 ) {
     assert!(
-        broken(&play(script, 1, wrong)).contains(&rule),
+        violated_rules(&run(script, 1, wrong)).contains(&rule),
         "the judge finds rule {rule} broken"
     );
     assert_eq!(
-        broken(&play(script, 1, |text| text)),
+        violated_rules(&run(script, 1, |text| text)),
         [0; 0],
         "and the right one keeps all"
     );
@@ -155,21 +158,21 @@
     (troubles (pause-dispatchers (at 4900 ms) (for 1 s) (many 2))))";
 
 #[test]
-fn a_second_of_standing_still_makes_no_answer_late() {
-    let _alone = ALONE.write().unwrap_or_else(PoisonError::into_inner);
-    let mut lines = play_here(CROWDED, 1, |text| text);
+fn a_pause_of_a_second_makes_no_answer_late() {
+    let _exclusive = EXCLUSIVE.write().unwrap_or_else(PoisonError::into_inner);
+    let mut lines = run_unlocked(CROWDED, 1, |text| text);
     assert!(
         Summary::of(&lines).rejected > 50,
         "many are refused at the end of their time"
     );
     // Without its excuse: the judge is not told that it stood still.
-    let excuse = |line: &Line| matches!(line.observation, Observation::Dispatcher { .. });
-    lines.retain(|line| !excuse(line));
-    assert_eq!(broken(&lines), [0; 0]);
+    let shows_state = |line: &Line| matches!(line.observation, Observation::Dispatcher { .. });
+    lines.retain(|line| !shows_state(line));
+    assert_eq!(violated_rules(&lines), [0; 0]);
 }
 
 #[test]
-fn the_built_in_days_are_sound_scripts() {
+fn the_built_in_scenarios_are_valid() {
     let scenario = Scenario::read("built-in", BUILT_IN).expect("sound");
     assert!(scenario.rate * scenario.length.as_secs_f64() > 2_000.0 && scenario.faults.len() >= 6);
     Scenario::read("short", SHORT).expect("sound");
@@ -192,9 +195,12 @@
 #[test_case("(day (length 4 s) (dispatchers 1) (nodes 4) (rate 1) (zones 5))", "from 2 to 4"; "more zones than nodes")]
 #[test_case("(day (length 4 s) (dispatchers 1) (nodes 2601) (rate 1))", "from 1 to 2600"; "too many nodes")]
 #[test_case("(day (length 4 s)", "d:1:"; "cut off")]
-fn a_malformed_day_is_told_with_its_place(script: &str, why: &str) {
-    let fault = Scenario::read("d", script)
-        .expect_err("a fault")
+fn a_malformed_scenario_is_rejected_with_its_place(script: &str, why: &str) {
+    let diagnostic = Scenario::read("d", script)
+        .expect_err("a diagnostic")
         .to_string();
-    assert!(fault.starts_with("d:1:") && fault.contains(why), "{fault}");
+    assert!(
+        diagnostic.starts_with("d:1:") && diagnostic.contains(why),
+        "{diagnostic}"
+    );
 }
