--- a/crates/testbed/tests/checker.rs
+++ b/crates/testbed/tests/checker.rs
@@ -1,10 +1,11 @@
-//! The judge must find each rule broken, by captures written for it, and nothing in a sound one.
+//! Runs the checker on captures written for each rule: it must find the violations in them, and
+//! none in a sound capture.
 
 use corkspan_testbed::capture::{AllocationEvent::*, DispatcherState as D, NodeState as N, *};
 use corkspan_testbed::checker::check;
 use test_case::test_case;
 
-/// Times in ms make a capture easy to read.
+/// Builds a capture line by line. Times are in ms, which makes captures easy to read.
 struct Script(Vec<Line>);
 
 const NODE: u32 = 7;
@@ -142,7 +143,7 @@
         )
     }
 
-    /// The rules that are broken, with the lines that show it.
+    /// Returns the violated rules and the lines that show the violations.
     fn violations(&self) -> Vec<(u8, Vec<usize>)> {
         let violations = check(&self.0).expect("a readable capture");
         violations
@@ -160,7 +161,7 @@
     }
 }
 
-/// One that was placed as it should be, by two shots.
+/// A call that was correctly placed at the second attempt.
 fn placed() -> Script {
     let script = Script::new()
         .request(10, 1, 2)
@@ -503,7 +504,7 @@
     }
 }
 
-/// Three copies that are ready, and a roll that lets one be down.
+/// Three ready replicas, and a rollout that allows one to be unavailable and has stopped one.
 fn during_rollout() -> Script {
     let script = (1..=3).fold(Script::new(), |script, task| {
         set_ready(script, 10, task, true, false)
@@ -564,7 +565,7 @@
     set_ready(during_rollout(), 40, 2, false, true).assert_no_violations();
 }
 
-/// A copy of what ran before the roll says that it is ready, or that it was stopped.
+/// Records that a replica of the previous version is ready, or that it was stopped.
 fn set_old_ready(script: Script, ms: u64, task: u64, ready: bool) -> Script {
     let (task, service, version) = (format!("t{task}"), "s".into(), String::new());
     script.record(
@@ -658,7 +659,8 @@
     }
 }
 
-/// A second shot 1 s after the first, which its node sees let go after this long.
+/// Returns the violations of rule 2 by a second attempt 1 s after the first, whose drop the first
+/// node sees at `dropped_at`. Faults are time, begin or end, and delay, in ms.
 fn two_attempts(faults: &[(u64, bool, u64)], dropped_at: u64) -> Vec<u8> {
     let mut script = Script::new()
         .request(0, 1, 0)
--- a/crates/testbed/tests/scenario_files.rs
+++ b/crates/testbed/tests/scenario_files.rs
@@ -1,5 +1,5 @@
-//! Day scripts as users have written them: each keyword is read as before, and an unknown one is
-//! refused with the same message and place (`tests/data/days`).
+//! Reads scenario scripts as users have written them. Each keyword must be read as before, and an
+//! unknown one rejected with the same message and place (`tests/data/days`).
 
 use corkspan_testbed::relay::Direction;
 use corkspan_testbed::scenario::{FAULT_KINDS, LINK_PEERS, LinkPeer, Scenario};
@@ -13,7 +13,7 @@
     Scenario::read(name, text).unwrap_or_else(|diagnostic| panic!("{diagnostic}"))
 }
 
-/// A day as lines of text, in the words of the scripts.
+/// Describes a scenario as lines of text, with the keywords of the scripts.
 fn describe(scenario: &Scenario) -> String {
     let mut out = String::new();
     let millis = |time: Duration| format!("{} ms", time.as_millis());
@@ -104,7 +104,7 @@
     }
 }
 
-/// What was got is left beside the test for a look.
+/// Compares with the recorded text. On a difference, the actual text is written to a file.
 fn compare(name: &str, got: &str, recorded: &str) {
     let lines = std::iter::zip(got.lines(), recorded.lines());
     let same = lines.take_while(|(got, recorded)| got == recorded).count();
@@ -128,7 +128,7 @@
     compare("read.txt", &got, include_str!("data/days/read.txt"));
 }
 
-/// The script above leaves out none that is known.
+/// Guards against a new keyword that the recorded script does not cover.
 #[test]
 fn the_script_uses_every_kind_of_fault_and_every_peer() {
     let scenario = read("every-keyword", EVERY_KEYWORD);
@@ -141,7 +141,7 @@
     }
 }
 
-/// Each keyword in turn by another name: refused, with its place.
+/// Misspells each keyword in turn.
 #[test]
 fn an_unknown_keyword_is_rejected_with_its_place() {
     let mut out = String::new();
@@ -172,7 +172,7 @@
     compare("refused.txt", &out, include_str!("data/days/refused.txt"));
 }
 
-/// Half a script is refused at the place where it ends.
+/// The diagnostic points at the place where the script ends.
 #[test]
 fn half_a_script_is_rejected() {
     let half = &EVERY_KEYWORD[..EVERY_KEYWORD.len() / 2];
--- a/crates/testbed/tests/scenarios.rs
+++ b/crates/testbed/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! Whole days through real dispatchers, each a process of its own.
+//! Runs whole scenarios against real dispatchers, each in its own process.
 
 use corkspan_testbed::capture::{Line, Observation};
 use corkspan_testbed::checker::check;
@@ -9,8 +9,8 @@
 use std::sync::{PoisonError, RwLock};
 use test_case::test_case;
 
-/// Days are played side by side, but for one that needs the machine to itself: it judges to the
-/// tenth of a second.
+/// Lets scenarios run in parallel, except for one that needs the machine to itself because it
+/// checks times to a tenth of a second.
 static EXCLUSIVE: RwLock<()> = RwLock::new(());
 
 fn run(script: &str, seed: u64, rewrite_deployment: fn(String) -> String) -> Vec<Line> {
@@ -58,7 +58,7 @@
     );
 }
 
-/// Eight processes whose links run through relays.
+/// Eight processes whose connections run through fault proxies.
 #[test]
 fn dispatchers_with_connection_and_disk_faults_keep_the_rules_while_versions_are_pushed() {
     let lines = run(include_str!("../days/cuts.sexp"), 1, |text| text);
@@ -89,7 +89,7 @@
     let maintenance = Summary::of(&lines)
         .maintenance
         .expect("machines were taken out");
-    // The other two are keepers, and stay.
+    // The other two nodes are quorum members and are not taken out.
     assert_eq!(
         (
             maintenance.completed.len(),
@@ -151,8 +151,8 @@
     );
 }
 
-/// Far more than fits, so that nearly all wait to the end of their time; and a second of standing
-/// still.
+/// Far more load than fits, so that nearly all requests wait until their deadline, and a pause of
+/// one second.
 const CROWDED: &str =
     "(day (length 6 s) (dispatchers 2) (nodes 2) (rate 120) (life 20 s) (cancels 0)
     (troubles (pause-dispatchers (at 4900 ms) (for 1 s) (many 2))))";
@@ -165,7 +165,7 @@
         Summary::of(&lines).rejected > 50,
         "many are refused at the end of their time"
     );
-    // Without its excuse: the judge is not told that it stood still.
+    // Without the lines that excuse late answers: the checker does not see the pause.
     let shows_state = |line: &Line| matches!(line.observation, Observation::Dispatcher { .. });
     lines.retain(|line| !shows_state(line));
     assert_eq!(violated_rules(&lines), [0; 0]);
