--- a/crates/testbed/tests/checker.rs
+++ b/crates/testbed/tests/checker.rs
@@ -285,8 +285,8 @@
     script.receive(70, 1, Failed).assert_violation(2, &[3, 6]);
 }
 
-#[test_case(8, 5_000, true; "in its hall and window")]
-#[test_case(9, 5_000, false; "in another hall")]
+#[test_case(8, 5_000, true; "in its zone and window")]
+#[test_case(9, 5_000, false; "in another zone")]
 #[test_case(8, 6_500, false; "after the window")]
 fn a_deduplicated_task_that_may_run_is_offered_again(node: u32, ms: u64, sound: bool) {
     let script = Script::new()
@@ -426,8 +426,8 @@
     three_allocations(Script::new(), true).assert_no_violations();
 }
 
-#[test_case(true, &[(5, vec![3, 7, 15])]; "handed over, it does")]
-#[test_case(false, &[]; "not handed over, it doesn't")]
+#[test_case(true, &[(5, vec![3, 7, 15])]; "handed over, it counts")]
+#[test_case(false, &[]; "not handed over, it does not count")]
 fn an_allocation_from_before_a_restart_counts_if_handed_over(
     handed: bool,
     expected: &[(u8, Vec<usize>)],
@@ -524,8 +524,8 @@
     set_ready(script, 50, 2, false, false).assert_no_violations();
 }
 
-#[test_case(false, &[]; "at once, nobody can know")]
-#[test_case(true, &[(6, vec![7])]; "for long, the roll must have given way")]
+#[test_case(false, &[]; "just now, the rollout cannot know yet")]
+#[test_case(true, &[(6, vec![7])]; "long ago, the rollout must have reacted")]
 fn a_replica_that_failed_by_itself(long_ago: bool, expected: &[(u8, Vec<usize>)]) {
     let rollout = rollout(1, false);
     let script = (1..=3)
@@ -549,7 +549,7 @@
     );
 }
 
-#[test_case(3, &[]; "as many as may be")]
+#[test_case(3, &[]; "as many as allowed")]
 #[test_case(2, &[(6, vec![6])]; "one more")]
 fn surplus_replicas_of_a_surge_rollout(most: usize, expected: &[(u8, Vec<usize>)]) {
     let rollout = rollout(most - 1, true);
@@ -582,8 +582,8 @@
     )
 }
 
-#[test_case(8_900, &[]; "a little later, it may not have been heard of")]
-#[test_case(9_000, &[(7, vec![7, 8])]; "long after, the roll should have halted")]
+#[test_case(8_900, &[]; "shortly after, the failure may not be known yet")]
+#[test_case(9_000, &[(7, vec![7, 8])]; "long after, the rollout must have halted")]
 fn a_rollout_continues_after_a_replica_that_never_got_ready(
     ms: u64,
     expected: &[(u8, Vec<usize>)],
@@ -596,8 +596,8 @@
     assert_eq!(set_old_ready(script, ms, 2, false).violations(), expected);
 }
 
-#[test_case(false, &[(7, vec![7, 9])]; "and its dispatcher lives, the roll should have halted")]
-#[test_case(true, &[]; "and its dispatcher dies with what it counted, it may go on")]
+#[test_case(false, &[(7, vec![7, 9])]; "its dispatcher lives, so the rollout must have halted")]
+#[test_case(true, &[]; "its dispatcher dies and loses its counts, so the rollout may continue")]
 fn a_replica_failed_right_after_it_got_ready(dies: bool, expected: &[(u8, Vec<usize>)]) {
     let script = set_old_ready(set_old_ready(Script::new(), 10, 1, true), 11, 2, true)
         .record(20, rollout(2, false));
@@ -628,8 +628,8 @@
     );
 }
 
-#[test_case(false; "below the floor")]
-#[test_case(true; "before the node had it, or after it was lowered")]
+#[test_case(false; "below the minimum version")]
+#[test_case(true; "after the minimum version was lowered")]
 fn what_is_below_a_nodes_minimum_version_must_not_be_accepted(lowered: bool) {
     let script = Script::new().request(10, 1, 2).record(
         15,
@@ -694,11 +694,11 @@
 }
 
 #[test_case(&[], 2_100, 0; "seen within the slack")]
-#[test_case(&[], 2_500, 1; "kept beside the second")]
-#[test_case(&[(1_500, true, 0), (2_600, false, 0)], 2_700, 0; "given up behind a cut and seen once it is healed")]
-#[test_case(&[(1_500, true, 0), (2_600, false, 0)], 3_000, 1; "kept on after the cut")]
-#[test_case(&[(1_500, true, 400), (4_000, false, 0)], 2_550, 0; "given up on links that are late")]
-#[test_case(&[(1_500, true, 400), (4_000, false, 0)], 2_700, 1; "kept for longer than they are late")]
+#[test_case(&[], 2_500, 1; "held beside the second")]
+#[test_case(&[(1_500, true, 0), (2_600, false, 0)], 2_700, 0; "dropped during a cut and seen once it is healed")]
+#[test_case(&[(1_500, true, 0), (2_600, false, 0)], 3_000, 1; "held on after the cut")]
+#[test_case(&[(1_500, true, 400), (4_000, false, 0)], 2_550, 0; "dropped on delayed connections")]
+#[test_case(&[(1_500, true, 400), (4_000, false, 0)], 2_700, 1; "held for longer than the delay")]
 fn a_drop_may_be_seen_late_by_at_most_the_connection_fault(
     faults: &[(u64, bool, u64)],
     dropped_at: u64,
--- a/crates/testbed/tests/scenario_files.rs
+++ b/crates/testbed/tests/scenario_files.rs
@@ -65,7 +65,7 @@
         let name = FAULT_KINDS
             .iter()
             .find(|(_, kind)| *kind == fault.kind)
-            .expect("a known kind")
+            .expect("a known fault kind")
             .0;
         let peers: Vec<&str> = fault.peers.iter().map(|peer| peer_name(*peer)).collect();
         let directions: Vec<&str> = fault
@@ -93,7 +93,7 @@
     LINK_PEERS
         .iter()
         .find(|(_, known)| *known == peer)
-        .expect("a known end")
+        .expect("a known peer")
         .0
 }
 
@@ -110,10 +110,10 @@
     let same = lines.take_while(|(got, recorded)| got == recorded).count();
     let output = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
     if got != recorded {
-        std::fs::write(&output, got).expect("the folder for temporary files takes it");
+        std::fs::write(&output, got).expect("the temporary folder is writable");
         let (got, recorded) = (got.lines().nth(same), recorded.lines().nth(same));
         panic!(
-            "{name}, line {}: got {got:?}, recorded {recorded:?}; all of it: {}",
+            "{name}, line {}: got {got:?}, recorded {recorded:?}; complete output: {}",
             same + 1,
             output.display()
         );
--- a/crates/testbed/tests/scenarios.rs
+++ b/crates/testbed/tests/scenarios.rs
@@ -71,7 +71,7 @@
     });
     assert!(
         versions.max() >= Some(5),
-        "versions came, and were acted on"
+        "decisions were made under pushed versions"
     );
     let struck = lines.iter().filter(|line| {
         matches!(
@@ -88,7 +88,7 @@
     assert_eq!(violated_rules(&lines), [0; 0]);
     let maintenance = Summary::of(&lines)
         .maintenance
-        .expect("machines were taken out");
+        .expect("maintenance was requested");
     // The other two nodes are quorum members and are not taken out.
     assert_eq!(
         (
@@ -128,13 +128,13 @@
 }
 
 fn replace(text: String, from: &str, to: &str) -> String {
-    assert!(text.contains(from), "the deployment says `{from}`");
+    assert!(text.contains(from), "the deployment contains `{from}`");
     text.replace(from, to)
 }
 
-#[test_case(UNREPEATABLE, retry_everything, 2; "one that repeats what must not run twice")]
-#[test_case(UNREPEATABLE, without_spread, 5; "one that knows no spread")]
-#[test_case(RACK, without_slow_start, 4; "one that floods what has just started")]
+#[test_case(UNREPEATABLE, retry_everything, 2; "one that retries what is not retryable")]
+#[test_case(UNREPEATABLE, without_spread, 5; "one without a spread limit")]
+#[test_case(RACK, without_slow_start, 4; "one that floods a node in slow start")]
 fn the_checker_finds_a_dispatcher_with_wrong_decisions(
     script: &str,
     wrong: fn(String) -> String,
@@ -142,12 +142,12 @@
 ) {
     assert!(
         violated_rules(&run(script, 1, wrong)).contains(&rule),
-        "the judge finds rule {rule} broken"
+        "the checker finds a violation of rule {rule}"
     );
     assert_eq!(
         violated_rules(&run(script, 1, |text| text)),
         [0; 0],
-        "and the right one keeps all"
+        "and the unchanged dispatcher violates none"
     );
 }
 
@@ -163,7 +163,7 @@
     let mut lines = run_unlocked(CROWDED, 1, |text| text);
     assert!(
         Summary::of(&lines).rejected > 50,
-        "many are refused at the end of their time"
+        "many are rejected at their deadline"
     );
     // Without the lines that excuse late answers: the checker does not see the pause.
     let shows_state = |line: &Line| matches!(line.observation, Observation::Dispatcher { .. });
@@ -180,18 +180,18 @@
 
 #[test_case("(day (length 4 s) (dispatchers 2) (nodes 4))", "d:1:1: day: lacks `(rate …)`"; "a part missing")]
 #[test_case("(day (length 4 s) (dispatchers 0) (nodes 4) (rate 1))", "d:1:32: day/dispatchers: a whole number from 1 to 300"; "no dispatchers")]
-#[test_case("(day (length 4 s) (dispatchers 1) (nodes 4) (rate 1) (troubles (rain (at 1 s))))", "troubles/rain: unknown"; "an unknown trouble")]
-#[test_case("(day (length 4 s) (dispatchers 1) (nodes 4) (rate 1) (troubles (demand (at 1 s) (for 1 s))))", "lacks `(times …)`"; "a demand step without its size")]
-#[test_case("(day (length 4 s) (dispatchers 1) (nodes 4) (rate 1) (troubles (kill-nodes (at 9 s) (for 1 s))))", "after the scenario's end"; "a trouble too late")]
+#[test_case("(day (length 4 s) (dispatchers 1) (nodes 4) (rate 1) (troubles (rain (at 1 s))))", "troubles/rain: unknown"; "an unknown fault")]
+#[test_case("(day (length 4 s) (dispatchers 1) (nodes 4) (rate 1) (troubles (demand (at 1 s) (for 1 s))))", "lacks `(times …)`"; "a demand step without its factor")]
+#[test_case("(day (length 4 s) (dispatchers 1) (nodes 4) (rate 1) (troubles (kill-nodes (at 9 s) (for 1 s))))", "after the scenario's end"; "a fault after the end")]
 #[test_case("(day (length 4 s) (dispatchers 1) (nodes 4) (rate 1) (troubles (kill-nodes (at 1 s) (for 1 s) (many 5))))", "from 1 to 4"; "more nodes than there are")]
-#[test_case("(day (length 4 s) (dispatchers 1) (nodes 4) (rate 1) (deduplicated 70) (unrepeatable 40))", "over 100 together"; "parts beyond the whole")]
-#[test_case("(day (length 4 s) (dispatchers 1) (nodes 4) (rate 1) (troubles (cut-dispatchers (at 1 s) (for 1 s))))", "lacks `(from …)`"; "a cut of no links")]
-#[test_case("(day (length 4 s) (dispatchers 1) (nodes 4) (rate 1) (troubles (cut-dispatchers (at 1 s) (for 1 s) (from owners))))", "`owners` is none of"; "a cut of unknown links")]
-#[test_case("(day (length 4 s) (dispatchers 1) (nodes 4) (rate 1) (troubles (hold-versions (at 1 s) (for 1 s))))", "only beside `(versions …)`"; "versions held where none come")]
+#[test_case("(day (length 4 s) (dispatchers 1) (nodes 4) (rate 1) (deduplicated 70) (unrepeatable 40))", "over 100 together"; "percentages over 100")]
+#[test_case("(day (length 4 s) (dispatchers 1) (nodes 4) (rate 1) (troubles (cut-dispatchers (at 1 s) (for 1 s))))", "lacks `(from …)`"; "a cut without peers")]
+#[test_case("(day (length 4 s) (dispatchers 1) (nodes 4) (rate 1) (troubles (cut-dispatchers (at 1 s) (for 1 s) (from owners))))", "`owners` is none of"; "a cut with an unknown peer")]
+#[test_case("(day (length 4 s) (dispatchers 1) (nodes 4) (rate 1) (troubles (hold-versions (at 1 s) (for 1 s))))", "only beside `(versions …)`"; "held versions without pushes")]
 #[test_case("(day (length 4 s) (dispatchers 2) (nodes 4) (rate 1) (hollow (many 2)))", "from 1 to 1"; "no real dispatcher left")]
-#[test_case("(day (length 4 s) (dispatchers 1) (nodes 4) (rate 1) (hollow (many 1)))", "a process of its own"; "one alone and hollow")]
-#[test_case("(day (length 4 s) (dispatchers 2) (nodes 4) (rate 1) (hollow (many 1)) (troubles (full-disk (at 1 s) (for 1 s))))", "has no disk"; "a full disk where there is none")]
-#[test_case("(day (length 4 s) (dispatchers 1) (nodes 4) (rate 1) (troubles (lose-zone (at 1 s) (for 1 s))))", "only beside `(zones …)`"; "a zone lost where there is none")]
+#[test_case("(day (length 4 s) (dispatchers 1) (nodes 4) (rate 1) (hollow (many 1)))", "a process of its own"; "a single hollow dispatcher")]
+#[test_case("(day (length 4 s) (dispatchers 2) (nodes 4) (rate 1) (hollow (many 1)) (troubles (full-disk (at 1 s) (for 1 s))))", "has no disk"; "a full disk with hollow dispatchers")]
+#[test_case("(day (length 4 s) (dispatchers 1) (nodes 4) (rate 1) (troubles (lose-zone (at 1 s) (for 1 s))))", "only beside `(zones …)`"; "a lost zone without zones")]
 #[test_case("(day (length 4 s) (dispatchers 1) (nodes 4) (rate 1) (zones 5))", "from 2 to 4"; "more zones than nodes")]
 #[test_case("(day (length 4 s) (dispatchers 1) (nodes 2601) (rate 1))", "from 1 to 2600"; "too many nodes")]
 #[test_case("(day (length 4 s)", "d:1:"; "cut off")]
