--- a/crates/testbed/src/runner.rs
+++ b/crates/testbed/src/runner.rs
@@ -174,10 +174,10 @@
     /// Runs the scenario to its end and returns the capture.
     pub fn run(self) -> Result<Vec<capture::Line>, String> {
         let tasks = SharedExecutor::default();
-        future::block_on(tasks.clone().run(self.play(tasks)))
+        future::block_on(tasks.clone().run(self.execute(tasks)))
     }
 
-    async fn play(self, tasks: SharedExecutor) -> Result<Vec<capture::Line>, String> {
+    async fn execute(self, tasks: SharedExecutor) -> Result<Vec<capture::Line>, String> {
         let mut testbed = self.start(&tasks).await?;
         let Testbed {
             discovery,
@@ -863,7 +863,7 @@
             )
         });
         let equal = rows
-            .filter(|(_, shots)| *shots > 0)
+            .filter(|(_, attempts)| *attempts > 0)
             .collect::<BTreeMap<_, _>>()
             == sockets;
         let capture = &self.frontend.context.capture;
--- a/crates/testbed/src/scenario/reader.rs
+++ b/crates/testbed/src/scenario/reader.rs
@@ -66,7 +66,7 @@
         value if value <= 100.0 => Ok(value),
         _ => Err(form.diagnostic("must be at most 100")),
     };
-    let floor = |form: &Form| time(form.parts(&["at"])?.required("at")?, MAX_SECONDS);
+    let minimum_version_at = |form: &Form| time(form.parts(&["at"])?.required("at")?, MAX_SECONDS);
     let lifetime = Duration::from_secs(4);
     Ok(Scenario {
         length: time(parts.required("length")?, MAX_SECONDS)?,
@@ -84,7 +84,7 @@
         replicas: parts.get_or("copies", 0, |form| Ok(form.integer(0, 10_000)? as usize))?,
         rollout: parts.get("roll").map(rollout).transpose()?,
         version_interval: parts.get("versions").map(every).transpose()?,
-        minimum_version_at: parts.get("floor").map(floor).transpose()?,
+        minimum_version_at: parts.get("floor").map(minimum_version_at).transpose()?,
         audit: parts.get_or("audit", false, Form::boolean)?,
         maintenance: parts.get("maintenance").map(maintenance).transpose()?,
         faults: Vec::new(),
@@ -241,7 +241,7 @@
         true => Presence::Required,
         false => Presence::Forbidden,
     };
-    let lasts = !matches!(kind, FaultKind::LosePrograms | FaultKind::Burst);
+    let has_duration = !matches!(kind, FaultKind::LosePrograms | FaultKind::Burst);
     let strikes_links = matches!(
         kind,
         FaultKind::CutDispatchers | FaultKind::DelayDispatchers
@@ -251,7 +251,7 @@
         false => Presence::Forbidden,
     };
     let presences = [
-        ("for", required(lasts)),
+        ("for", required(has_duration)),
         ("times", required(kind == FaultKind::Demand)),
         ("from", required(strikes_links)),
         ("way", direction),
--- a/crates/testbed/src/summary.rs
+++ b/crates/testbed/src/summary.rs
@@ -143,7 +143,7 @@
                 } if *of_service == service => (&task[..], *node, &version[..], *ready),
                 _ => continue,
             };
-            let copies = ready.entry(task).or_default();
+            let replicas = ready.entry(task).or_default();
             if is_ready {
                 // A task is counted once: if a fault strikes its node, it may get ready again
                 // later.
@@ -157,27 +157,27 @@
                     durations.extend(since.map(|since| (t - since) as f64 / 1e6));
                 }
                 unready_since.remove(task);
-                copies.push((node, running_version));
+                replicas.push((node, running_version));
             } else {
                 // Removes only one of them: a killed dispatcher and its successor may each have
                 // started a replica on this node.
-                if let Some(index) = copies
+                if let Some(index) = replicas
                     .iter()
                     .position(|other| *other == (node, running_version))
                 {
-                    copies.swap_remove(index);
+                    replicas.swap_remove(index);
                 }
-                if copies.is_empty() && *t > start {
+                if replicas.is_empty() && *t > start {
                     unready_since.insert(task, *t);
                 }
             }
             figures.copies = ready.len();
-            let is_new = |copies: &&Vec<(u32, &str)>| copies.iter().any(|(_, v)| *v == version);
+            let is_new = |replicas: &&Vec<(u32, &str)>| replicas.iter().any(|(_, v)| *v == version);
             figures.rolled = ready.values().filter(is_new).count();
             figures.unready_most = figures.unready_most.max(unready_since.len());
             let surplus = ready
                 .values()
-                .map(|copies| copies.len().saturating_sub(1))
+                .map(|replicas| replicas.len().saturating_sub(1))
                 .sum();
             figures.beside_most = figures
                 .beside_most
--- a/crates/testbed/tests/scenario_files.rs
+++ b/crates/testbed/tests/scenario_files.rs
@@ -36,14 +36,14 @@
     line("cancels", scenario.cancels.to_string());
     line("life", millis(scenario.mean_lifetime));
     line("copies", scenario.replicas.to_string());
-    let roll = scenario.rollout.map(|roll| {
-        let (at, ready_for) = (millis(roll.at), millis(roll.min_ready));
+    let rollout = scenario.rollout.map(|rollout| {
+        let (at, ready_for) = (millis(rollout.at), millis(rollout.min_ready));
         format!(
             "at {at}, unready-most {}, ready-for {ready_for}, start-first {}",
-            roll.max_unavailable, roll.surge
+            rollout.max_unavailable, rollout.surge
         )
     });
-    line("roll", format!("{roll:?}"));
+    line("roll", format!("{rollout:?}"));
     line(
         "versions",
         format!("{:?}", scenario.version_interval.map(millis)),
@@ -53,11 +53,11 @@
         format!("{:?}", scenario.minimum_version_at.map(millis)),
     );
     line("audit", scenario.audit.to_string());
-    let maintenance = scenario.maintenance.map(|work| {
-        let (at, takes) = (millis(work.at), millis(work.work_duration));
+    let maintenance = scenario.maintenance.map(|plan| {
+        let (at, takes) = (millis(plan.at), millis(plan.work_duration));
         format!(
             "at {at}, at-a-time {}, by-hall {}, takes {takes}",
-            work.max_concurrent, work.max_per_zone
+            plan.max_concurrent, plan.max_per_zone
         )
     });
     line("maintenance", format!("{maintenance:?}"));
