--- a/crates/testbed/src/checker.rs
+++ b/crates/testbed/src/checker.rs
@@ -1029,8 +1029,8 @@
                 continue;
             };
             let held = by_service.entry((*dispatcher, service, *node)).or_default();
-            // The dispatcher's next offer may be recorded shortly before the end of an earlier
-            // allocation.
+            // Allocations that ended before this offer no longer count. No slack is needed: a node's
+            // end is recorded before the dispatcher's next offer can overtake it.
             held.retain(|other| other.ended.is_none_or(|ended| ended > offer.t));
             held.push(offer);
             if held.len() > limit && !self.is_stale(offer) {
