--- a/crates/testbed/src/runner.rs
+++ b/crates/testbed/src/runner.rs
@@ -821,7 +821,7 @@
     /// Runs the operator's `fleet audit` over the whole fleet and compares its operations with what
     /// the nodes' sockets received.
     async fn audit(&self, program: &[OsString]) -> Result<(), String> {
-        let (first, rest) = program.split_first().ok_or("the program is missing")?;
+        let (first, rest) = program.split_first().ok_or("no program is given")?;
         let mut command = Command::new(first);
         command.args(rest).args(["fleet", "audit", "--json"]);
         for node in &self.nodes {
