--- a/crates/testbed/src/checker.rs
+++ b/crates/testbed/src/checker.rs
@@ -1,10 +1,11 @@
-//! Judges a capture by the five rules. It knows what crossed the sockets and nothing of dispatchers
-//! or decisions.
+//! Checks a capture against the scenario's rules. The checker sees only what crossed the stand-ins'
+//! sockets, and nothing of the dispatchers' state or decisions.
 
 use crate::capture::*;
 use std::collections::{BTreeMap, HashMap, HashSet};
 
-/// A broken rule: which, by what, and the lines of the capture that show it, counted from 1.
+/// A violation of a rule: the rule's number (from 1), a description, and the lines of the capture
+/// that show it, counted from 1.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
     pub rule: u8,
@@ -26,97 +27,99 @@
     }
 }
 
-/// The brief's five, the limit of a roll, that a failed one halts by itself, and the floor of
-/// versions.
+/// Names of the rules by number: the five basic rules, a rollout's limit on unavailable replicas,
+/// the halt of a failed rollout, and the minimum version.
 pub const RULE_NAMES: [&str; 8] = [
     "lost", "twice", "drains", "cold", "spread", "unready", "halts", "floor",
 ];
 
-/// One call of an owner.
+/// A client's placement call.
 struct Call<'a> {
-    asked: &'a RequestedPlacement,
+    request: &'a RequestedPlacement,
     line: usize,
     t: u64,
-    finals: Vec<(u64, usize, AllocationEvent)>,
+    final_events: Vec<(u64, usize, AllocationEvent)>,
     closed: Option<u64>,
     cancelled: Option<u64>,
-    /// A dispatcher that broke off without an answer: the link broke.
+    /// Whether the connection broke, so that the dispatcher sent no final answer.
     broken: bool,
 }
 
-/// One offer as its node saw it.
+/// An offer as its node saw it.
 struct Offer {
     node: u32,
     dispatcher: u32,
     number: u32,
     t: u64,
     line: usize,
-    refused: Option<u64>,
+    rejected: Option<u64>,
     accepted: Option<u64>,
-    let_go: Option<u64>,
-    /// It holds its place no longer: ended, refused, let go, or its node is gone.
-    over: Option<u64>,
+    dropped: Option<u64>,
+    /// When it stopped holding its slot: ended, rejected or dropped, or its node gone or cut off.
+    ended: Option<u64>,
 }
 
-/// A new copy of a roll.
-struct New<'a> {
+/// A replica of the version that a rollout introduces.
+struct NewReplica<'a> {
     dispatcher: u32,
     task: &'a str,
     accepted: u64,
     ready: Option<u64>,
     failed: Option<u64>,
     line: usize,
-    /// It is gone, for whatever reason.
-    over: bool,
+    /// Whether it is gone, for any reason.
+    ended: bool,
 }
 
-/// A roll as its operator asked for it, and what came of it.
-struct Rolled<'a> {
+/// A rollout as its operator requested it, and its progress. Durations are in µs.
+struct RolloutState<'a> {
     version: &'a str,
-    ready_for: u64,
-    ready_within: u64,
-    failures_most: usize,
-    copies: Vec<New<'a>>,
-    halts: bool,
+    min_ready_us: u64,
+    progress_deadline_us: u64,
+    max_failures: usize,
+    replicas: Vec<NewReplica<'a>>,
+    must_halt: bool,
 }
 
-impl Rolled<'_> {
-    /// Whether it must have halted by now: more than may have failed at one dispatcher, and that
-    /// `within` ago.
-    fn halted(&mut self, now: u64, within: u64) {
-        for copy in self
-            .copies
+impl RolloutState<'_> {
+    /// Marks replicas that missed the progress deadline as failed, and sets `must_halt` if more
+    /// than `max_failures` replicas of one dispatcher failed at least `halt_delay_us` ago.
+    fn update_must_halt(&mut self, now: u64, halt_delay_us: u64) {
+        for replica in self
+            .replicas
             .iter_mut()
-            .filter(|copy| !copy.over && copy.ready.is_none())
+            .filter(|replica| !replica.ended && replica.ready.is_none())
         {
-            let due = copy.accepted.saturating_add(self.ready_within);
-            copy.failed = copy.failed.or((now >= due).then_some(due));
+            let due = replica.accepted.saturating_add(self.progress_deadline_us);
+            replica.failed = replica.failed.or((now >= due).then_some(due));
         }
-        let long_ago = |copy: &&New| copy.failed.is_some_and(|at| now >= at + within);
-        let at = |which: u32| {
-            self.copies
+        let failed_long_ago =
+            |replica: &&NewReplica| replica.failed.is_some_and(|at| now >= at + halt_delay_us);
+        let failures_at = |dispatcher: u32| {
+            self.replicas
                 .iter()
-                .filter(|copy| copy.dispatcher == which)
-                .filter(long_ago)
+                .filter(|replica| replica.dispatcher == dispatcher)
+                .filter(failed_long_ago)
                 .count()
         };
-        self.halts |= self
-            .copies
+        self.must_halt |= self
+            .replicas
             .iter()
-            .any(|copy| at(copy.dispatcher) > self.failures_most);
+            .any(|replica| failures_at(replica.dispatcher) > self.max_failures);
     }
 }
 
-/// When some links of a dispatcher were held, or late by so much.
-struct Struck {
+/// An interval in which some connections of a dispatcher were held or delayed. A `delay_us` of 0
+/// means held.
+struct FaultInterval {
     dispatcher: u32,
     from: u64,
     to: u64,
-    late: u64,
+    delay_us: u64,
 }
 
-fn struck(lines: &[Line]) -> Vec<Struck> {
-    let mut all: Vec<Struck> = Vec::new();
+fn fault_intervals(lines: &[Line]) -> Vec<FaultInterval> {
+    let mut intervals: Vec<FaultInterval> = Vec::new();
     for Line { t, observation } in lines {
         let Observation::ConnectionFault {
             dispatcher,
@@ -127,71 +130,71 @@
             continue;
         };
         match struck {
-            true => all.push(Struck {
+            true => intervals.push(FaultInterval {
                 dispatcher,
                 from: *t,
                 to: u64::MAX,
-                late: late_us,
+                delay_us: late_us,
             }),
             false => {
-                // Of two troubles at once the first that began is taken to end first.
-                let open = all
+                // Of two overlapping faults, the one that began first is assumed to end first.
+                let open = intervals
                     .iter_mut()
-                    .find(|own| own.dispatcher == dispatcher && own.to == u64::MAX);
-                open.into_iter().for_each(|own| own.to = *t);
+                    .find(|interval| interval.dispatcher == dispatcher && interval.to == u64::MAX);
+                open.into_iter().for_each(|interval| interval.to = *t);
             }
         }
     }
-    all
+    intervals
 }
 
-/// All broken rules of a capture, or what makes it unreadable.
+/// Returns all violations in a capture, or an error if the capture is unreadable.
 pub fn check(lines: &[Line]) -> Result<Vec<Violation>, String> {
     let Some(Line {
         observation: Observation::Rules(rules),
         ..
     }) = lines.first()
     else {
-        return Err("the first line does not tell the day's rules".into());
+        return Err("the first line does not hold the scenario's rules".into());
     };
     let mut checker = Checker {
         rules,
         lines,
         calls: BTreeMap::new(),
         offers: HashMap::new(),
-        struck: struck(lines),
-        breaches: Vec::new(),
+        fault_intervals: fault_intervals(lines),
+        violations: Vec::new(),
     };
-    checker.read()?;
-    checker.lost();
-    checker.twice();
-    checker.drains();
-    checker.cold();
-    checker.spread();
-    checker.unready();
-    checker.halts();
-    checker.floor();
+    checker.collect()?;
+    checker.check_lost();
+    checker.check_twice();
+    checker.check_drains();
+    checker.check_cold();
+    checker.check_spread();
+    checker.check_unready();
+    checker.check_halts();
+    checker.check_minimum_version();
     checker
-        .breaches
-        .sort_by_key(|breach| (breach.rule, breach.lines.first().copied()));
-    Ok(checker.breaches)
+        .violations
+        .sort_by_key(|violation| (violation.rule, violation.lines.first().copied()));
+    Ok(checker.violations)
 }
 
 struct Checker<'a> {
     rules: &'a RuleParameters,
     lines: &'a [Line],
     calls: BTreeMap<u64, Call<'a>>,
-    /// By placing.
+    /// Offers by placement id.
     offers: HashMap<&'a str, Vec<Offer>>,
-    struck: Vec<Struck>,
-    breaches: Vec<Violation>,
+    fault_intervals: Vec<FaultInterval>,
+    violations: Vec<Violation>,
 }
 
 impl<'a> Checker<'a> {
-    /// What was decided under a version below the floor that a node has is never accepted there.
-    fn floor(&mut self) {
-        let (mut floors, mut decided) = (HashMap::new(), HashMap::new());
-        let mut breaches = Vec::new();
+    /// Rule 8: a node never accepts what was decided under a version below its minimum version.
+    fn check_minimum_version(&mut self) {
+        let (mut minimum_versions, mut decisions) = (HashMap::new(), HashMap::new());
+        let mut violations = Vec::new();
         for (line, observation) in self
             .lines
             .iter()
@@ -200,7 +203,7 @@
         {
             match observation {
                 Observation::MinimumVersionStored { node, lowest } => {
-                    floors.insert(*node, (*lowest, line));
+                    minimum_versions.insert(*node, (*lowest, line));
                 }
                 Observation::Offered {
                     node,
@@ -210,7 +213,7 @@
                     dispatcher,
                     ..
                 } => {
-                    decided.insert(
+                    decisions.insert(
                         (*node, placement_id, *number),
                         (*version, *dispatcher, line),
                     );
@@ -221,58 +224,64 @@
                     number,
                     event: AllocationEvent::Accepted,
                 } => {
-                    let Some(&(lowest, told)) = floors.get(node) else {
+                    let Some(&(lowest, stored_line)) = minimum_versions.get(node) else {
                         continue;
                     };
-                    let Some(&(version, dispatcher, offered)) =
-                        decided.get(&(*node, placement_id, *number))
+                    let Some(&(version, dispatcher, offered_line)) =
+                        decisions.get(&(*node, placement_id, *number))
                     else {
                         continue;
                     };
                     if version < lowest {
                         let what = format!(
-                            "node {node} accepted {placement_id}, decided by dispatcher {dispatcher} under version {version}, below {lowest}"
+                            "node {node} accepted {placement_id}, which dispatcher {dispatcher} decided under version {version}, below the minimum version {lowest}"
                         );
-                        breaches.push((what, vec![told, offered, line]));
+                        violations.push((what, vec![stored_line, offered_line, line]));
                     }
                 }
                 _ => {}
             }
         }
-        breaches
+        violations
             .into_iter()
-            .for_each(|(what, lines)| self.breach(8, what, lines));
+            .for_each(|(what, lines)| self.report(8, what, lines));
     }
 
-    fn breach(&mut self, rule: u8, what: String, lines: Vec<usize>) {
-        self.breaches.push(Violation { rule, what, lines });
+    fn report(&mut self, rule: u8, what: String, lines: Vec<usize>) {
+        self.violations.push(Violation { rule, what, lines });
     }
 
-    fn read(&mut self) -> Result<(), String> {
+    /// Collects calls and offers from the lines.
+    fn collect(&mut self) -> Result<(), String> {
         let mut last = 0;
-        // Let go before their nodes had looked at them: both came at once.
+        // Offers dropped before their nodes recorded them: offer and drop arrived together.
         let mut early: HashSet<(u32, &str, u32)> = HashSet::new();
         for (index, Line { t, observation }) in self.lines.iter().enumerate() {
             let (t, line) = (*t, index + 1);
             if t < last {
-                return Err(format!("line {line}: its time is before the line above it"));
+                return Err(format!(
+                    "line {line}: its time is before that of the previous line"
+                ));
             }
             last = t;
             match observation {
-                Observation::Requested(asked) => {
-                    if asked.service_class >= self.rules.service_classes.len() {
-                        return Err(format!("line {line}: no track {}", asked.service_class));
+                Observation::Requested(request) => {
+                    if request.service_class >= self.rules.service_classes.len() {
+                        return Err(format!(
+                            "line {line}: no service class {}",
+                            request.service_class
+                        ));
                     }
                     let call = Call {
-                        asked,
+                        request,
                         line,
                         t,
-                        finals: Vec::new(),
+                        final_events: Vec::new(),
                         closed: None,
                         cancelled: None,
                         broken: false,
                     };
-                    self.calls.insert(asked.call, call);
+                    self.calls.insert(request.call, call);
                 }
                 Observation::EventReceived {
                     call,
@@ -282,7 +291,7 @@
                         | AllocationEvent::Failed),
                 } => {
                     if let Some(call) = self.calls.get_mut(call) {
-                        call.finals.push((t, line, *event));
+                        call.final_events.push((t, line, *event));
                     }
                 }
                 Observation::Closed { call, broken } => {
@@ -308,16 +317,16 @@
                         number: *number,
                         t,
                         line,
-                        refused: None,
+                        rejected: None,
                         accepted: None,
-                        let_go: None,
-                        over: None,
+                        dropped: None,
+                        ended: None,
                     };
                     let early = early.remove(&(*node, &placement_id[..], *number));
-                    let let_go = early.then_some(t);
+                    let dropped = early.then_some(t);
                     let offer = Offer {
-                        let_go,
-                        over: let_go,
+                        dropped,
+                        ended: dropped,
                         ..offer
                     };
                     self.offers.entry(placement_id).or_default().push(offer);
@@ -335,12 +344,12 @@
                         AllocationEvent::Accepted => offer.accepted = Some(t),
                         AllocationEvent::Running => offer.accepted = offer.accepted.or(Some(t)),
                         AllocationEvent::Rejected => {
-                            (offer.refused, offer.over) = (Some(t), Some(t))
+                            (offer.rejected, offer.ended) = (Some(t), Some(t))
                         }
                         AllocationEvent::ServiceLevel
                         | AllocationEvent::Placed
                         | AllocationEvent::Failed => {}
-                        _ => offer.over = offer.over.or(Some(t)),
+                        _ => offer.ended = offer.ended.or(Some(t)),
                     }
                 }
                 Observation::OfferDropped {
@@ -349,7 +358,7 @@
                     number,
                 } => {
                     if let Some(offer) = find(&mut self.offers, placement_id, *number, *node) {
-                        (offer.let_go, offer.over) = (Some(t), offer.over.or(Some(t)));
+                        (offer.dropped, offer.ended) = (Some(t), offer.ended.or(Some(t)));
                     } else {
                         early.insert((*node, placement_id, *number));
                     }
@@ -358,21 +367,22 @@
                     node,
                     state: NodeState::Gone | NodeState::Crashed,
                 } => {
-                    let there = self
+                    let on_node = self
                         .offers
                         .values_mut()
                         .flatten()
                         .filter(|offer| offer.node == *node);
-                    there.for_each(|offer| offer.over = offer.over.or(Some(t)));
+                    on_node.for_each(|offer| offer.ended = offer.ended.or(Some(t)));
                 }
                 Observation::ConnectionsCut { node } => {
-                    let there = self
+                    let on_node = self
                         .offers
                         .values_mut()
                         .flatten()
                         .filter(|offer| offer.node == *node);
-                    // The dispatcher's shot is over with its link, whatever the node goes on to do.
-                    there.for_each(|offer| offer.over = offer.over.or(Some(t)));
+                    // For the dispatcher the attempt ends with its connection, whatever the node
+                    // goes on to do.
+                    on_node.for_each(|offer| offer.ended = offer.ended.or(Some(t)));
                 }
                 _ => {}
             }
@@ -380,9 +390,9 @@
         Ok(())
     }
 
-    /// Whether a dispatcher stood still or was dead at some time between these two: what it owed
-    /// then is not held against it.
-    fn away(&self, dispatcher: u32, from: u64, to: u64) -> bool {
+    /// Returns whether a dispatcher was paused or dead at some time between `from` and `to`.
+    /// Missing or late answers in that time are not violations.
+    fn was_unavailable(&self, dispatcher: u32, from: u64, to: u64) -> bool {
         let mut since = None;
         for Line { t, observation } in self.lines {
             let Observation::Dispatcher {
@@ -409,88 +419,93 @@
         since.is_some_and(|since| since <= to)
     }
 
-    fn lost(&mut self) {
+    /// Rule 1: each call gets one final answer in time, and no offer follows it.
+    fn check_lost(&mut self) {
         let mut found = Vec::new();
         for call in self.calls.values() {
-            let asked = call.asked;
-            let latest = call.t + asked.deadline_us + self.rules.slack_us;
-            let name = &asked.placement_id;
-            if let [first, second, ..] = call.finals[..] {
+            let request = call.request;
+            let latest = call.t + request.deadline_us + self.rules.slack_us;
+            let name = &request.placement_id;
+            if let [first, second, ..] = call.final_events[..] {
                 found.push((
                     format!("{name} has two final answers"),
                     vec![call.line, first.1, second.1],
                 ));
             }
-            if let Some((t, line, _)) = call.finals.first()
+            if let Some((t, line, _)) = call.final_events.first()
                 && *t > latest
-                && !self.away(asked.dispatcher, call.t, *t)
+                && !self.was_unavailable(request.dispatcher, call.t, *t)
             {
                 found.push((
-                    format!("{name} is answered after its owner's time"),
+                    format!("{name} is answered after its client's deadline"),
                     vec![call.line, *line],
                 ));
             }
-            let over_by_owner = call.cancelled.is_some_and(|at| at <= latest);
-            if call.finals.is_empty()
-                && !over_by_owner
-                && !self.away(
-                    asked.dispatcher,
+            let cancelled_in_time = call.cancelled.is_some_and(|at| at <= latest);
+            if call.final_events.is_empty()
+                && !cancelled_in_time
+                && !self.was_unavailable(
+                    request.dispatcher,
                     call.t,
                     latest.min(call.closed.unwrap_or(latest) + self.rules.slack_us),
                 )
             {
                 found.push((format!("{name} has no final answer"), vec![call.line]));
             }
-            // An offer under way crosses the answer only where the link, not the dispatcher, made
-            // it late.
-            let Some((t, line, _)) = call.finals.first() else {
+            // An offer that reaches its node after the final answer is allowed only if the
+            // connection delayed it.
+            let Some((t, line, _)) = call.final_events.first() else {
                 continue;
             };
-            let after = |offer: &&Offer| offer.t > t + self.rules.slack_us && !self.stale(offer);
+            let after = |offer: &&Offer| offer.t > t + self.rules.slack_us && !self.is_stale(offer);
             if let Some(offer) = self.offers.get(&name[..]).into_iter().flatten().find(after) {
                 found.push((
-                    format!("{name} is offered after its answer"),
+                    format!("{name} is offered after its final answer"),
                     vec![*line, offer.line],
                 ));
             }
         }
         found
             .into_iter()
-            .for_each(|(what, lines)| self.breach(1, what, lines));
+            .for_each(|(what, lines)| self.report(1, what, lines));
     }
 
-    /// One that was given up while it was on its way: its node sees it, and at once that it is let
-    /// go. Where links were held, both come when they are no longer, and the node may have
-    /// taken it in between.
-    fn stale(&self, offer: &Offer) -> bool {
+    /// Returns whether the dispatcher abandoned an offer while it was in flight, so that its node
+    /// saw the offer and the drop together. Where connections were held, both arrive once they are
+    /// released, and the node may accept the offer in between.
+    fn is_stale(&self, offer: &Offer) -> bool {
         let at_once = offer
-            .let_go
+            .dropped
             .is_some_and(|at| at <= offer.t + self.rules.slack_us);
-        at_once && (offer.accepted.is_none() || self.heard_by(offer.dispatcher, offer.t).is_some())
+        at_once
+            && (offer.accepted.is_none() || self.visible_by(offer.dispatcher, offer.t).is_some())
     }
 
-    /// By when what a dispatcher has given up at this time is seen at nodes; none where its links
-    /// were whole.
-    fn heard_by(&self, dispatcher: u32, t: u64) -> Option<u64> {
+    /// Returns the time by which nodes see a drop that a dispatcher sent at `t`, or `None` if no
+    /// fault affected its connections then.
+    fn visible_by(&self, dispatcher: u32, t: u64) -> Option<u64> {
         let slack = self.rules.slack_us;
-        let mine = self
-            .struck
+        let intervals = self
+            .fault_intervals
             .iter()
-            .filter(|own| own.dispatcher == dispatcher);
-        let over = mine.filter(|own| own.from <= t && t <= own.to.saturating_add(slack));
-        let by = over.map(|own| match own.late {
-            0 => own.to.saturating_add(slack),
-            late => t + late + slack,
+            .filter(|interval| interval.dispatcher == dispatcher);
+        let active = intervals
+            .filter(|interval| interval.from <= t && t <= interval.to.saturating_add(slack));
+        let by = active.map(|interval| match interval.delay_us {
+            0 => interval.to.saturating_add(slack),
+            delay_us => t + delay_us + slack,
         });
         by.max()
     }
 
-    fn twice(&mut self) {
+    /// Rule 2: attempts of a placement do not overlap, and one that may have run is retried, or
+    /// reported as rejected, only if the service class's retry safety allows it.
+    fn check_twice(&mut self) {
         let mut found = Vec::new();
         let service_classes: HashMap<&str, usize> = self
             .calls
             .values()
-            .map(|call| (&call.asked.placement_id[..], call.asked.service_class))
+            .map(|call| (&call.request.placement_id[..], call.request.service_class))
             .collect();
         for (name, offers) in &self.offers {
             let Some(service_class) = service_classes
@@ -499,27 +514,30 @@
             else {
                 continue;
             };
-            let mut sent: Vec<&Offer> = offers.iter().filter(|offer| !self.stale(offer)).collect();
+            let mut sent: Vec<&Offer> = offers
+                .iter()
+                .filter(|offer| !self.is_stale(offer))
+                .collect();
             sent.sort_by_key(|offer| (offer.number, offer.t));
             for (index, later) in sent.iter().enumerate() {
                 for earlier in &sent[..index] {
                     if earlier.number == later.number {
                         found.push((
-                            format!("{name}: shot {} is offered twice", later.number),
+                            format!("{name}: attempt {} is offered twice", later.number),
                             vec![earlier.line, later.line],
                         ));
                         continue;
                     }
-                    let over = earlier.over.unwrap_or(u64::MAX);
-                    let heard = self.heard_by(earlier.dispatcher, later.t);
-                    if over > heard.unwrap_or(0).max(later.t + self.rules.slack_us) {
+                    let ended = earlier.ended.unwrap_or(u64::MAX);
+                    let visible = self.visible_by(earlier.dispatcher, later.t);
+                    if ended > visible.unwrap_or(0).max(later.t + self.rules.slack_us) {
                         let what = format!(
-                            "{name}: shot {} while shot {} is out",
+                            "{name}: attempt {} is offered while attempt {} is outstanding",
                             later.number, earlier.number
                         );
                         found.push((what, vec![earlier.line, later.line]));
                     }
-                    let never_ran = earlier.refused.is_some();
+                    let never_ran = earlier.rejected.is_some();
                     let allowed = match service_class.retry_safety {
                         RetrySafety::Idempotent => true,
                         RetrySafety::NotRetryable => never_ran,
@@ -531,7 +549,7 @@
                     };
                     if !allowed {
                         let what = format!(
-                            "{name}: shot {} may run beside shot {}",
+                            "{name}: attempt {} may run beside attempt {}",
                             later.number, earlier.number
                         );
                         found.push((what, vec![earlier.line, later.line]));
@@ -540,28 +558,28 @@
             }
         }
         for call in self.calls.values() {
-            let Some((t, line, AllocationEvent::Rejected)) = call.finals.first() else {
+            let Some((t, line, AllocationEvent::Rejected)) = call.final_events.first() else {
                 continue;
             };
-            if self.rules.service_classes[call.asked.service_class].retry_safety
+            if self.rules.service_classes[call.request.service_class].retry_safety
                 == RetrySafety::Idempotent
             {
                 continue;
             }
             for offer in self
                 .offers
-                .get(&call.asked.placement_id[..])
+                .get(&call.request.placement_id[..])
                 .into_iter()
                 .flatten()
             {
-                if offer.refused.is_none()
+                if offer.rejected.is_none()
                     && offer
                         .accepted
                         .is_some_and(|at| at <= t + self.rules.slack_us)
                 {
                     let what = format!(
-                        "{} is refused, though a shot may run",
-                        call.asked.placement_id
+                        "{} is rejected, though an attempt may run",
+                        call.request.placement_id
                     );
                     found.push((what, vec![offer.line, *line]));
                 }
@@ -569,33 +587,34 @@
         }
         found
             .into_iter()
-            .for_each(|(what, lines)| self.breach(2, what, lines));
+            .for_each(|(what, lines)| self.report(2, what, lines));
     }
 
-    /// While a roll is on, a copy is stopped only where that leaves no more than so many not ready,
-    /// of those that were ready once and are still wanted. What dies by itself counts once it
-    /// has been down for so long that its owner has asked again and a roll must have given way.
-    fn unready(&mut self) {
-        const GIVES_WAY: u64 = 5_000_000;
-        struct Copy {
+    /// Rule 6: during a rollout, a replica is stopped only if at most `unready_most` replicas are
+    /// then unavailable, of those that were ready once and are still wanted. A replica that failed
+    /// by itself counts once it has been down for `RESPONSE_US`: by then its client has requested
+    /// it again, and the rollout must have reacted.
+    fn check_unready(&mut self) {
+        const RESPONSE_US: u64 = 5_000_000;
+        struct Replica {
             ready: usize,
-            /// Since when none is ready, and whether it was stopped.
-            down: Option<(u64, bool)>,
+            /// Since when no instance is ready, and whether the last one was stopped.
+            down_since: Option<(u64, bool)>,
         }
         let mut found = Vec::new();
         let mut limits: HashMap<&str, usize> = HashMap::new();
-        // Whether new copies may run beside old ones, of so many tasks.
-        let mut beside: HashMap<&str, bool> = HashMap::new();
-        let mut copies: HashMap<&str, BTreeMap<&str, Copy>> = HashMap::new();
-        let mut tasks_of: HashMap<u64, &str> = HashMap::new();
+        // Whether new replicas may run beside old ones, by service.
+        let mut surge: HashMap<&str, bool> = HashMap::new();
+        let mut replicas: HashMap<&str, BTreeMap<&str, Replica>> = HashMap::new();
+        let mut call_tasks: HashMap<u64, &str> = HashMap::new();
         for (index, Line { t, observation }) in self.lines.iter().enumerate() {
             match observation {
-                Observation::Requested(asked) => drop(tasks_of.insert(asked.call, &asked.task)),
-                Observation::HandedOver { call, task, .. } => drop(tasks_of.insert(*call, task)),
+                Observation::Requested(new) => drop(call_tasks.insert(new.call, &new.task)),
+                Observation::HandedOver { call, task, .. } => drop(call_tasks.insert(*call, task)),
                 Observation::Cancelled { call } => {
-                    // Its owner wants it no longer: that it stops is no copy missing.
-                    let task = tasks_of.get(call).copied().unwrap_or_default();
-                    for tasks in copies.values_mut() {
+                    // The client no longer wants it, so it does not count as unavailable.
+                    let task = call_tasks.get(call).copied().unwrap_or_default();
+                    for tasks in replicas.values_mut() {
                         tasks.remove(task);
                     }
                 }
@@ -606,7 +625,7 @@
                     ..
                 } => {
                     limits.insert(service, *unready_most);
-                    beside.insert(service, *start_first);
+                    surge.insert(service, *start_first);
                 }
                 Observation::Ready {
                     task,
@@ -616,38 +635,44 @@
                     stopped,
                     ..
                 } => {
-                    let tasks = copies.entry(service).or_default();
+                    let tasks = replicas.entry(service).or_default();
                     if *done {
                         tasks.remove(&task[..]);
                     } else if *ready {
-                        let copy = tasks.entry(task).or_insert(Copy {
+                        let replica = tasks.entry(task).or_insert(Replica {
                             ready: 0,
-                            down: None,
+                            down_since: None,
                         });
-                        (copy.ready, copy.down) = (copy.ready + 1, None);
-                    } else if let Some(copy) = tasks.get_mut(&task[..]) {
-                        copy.ready = copy.ready.saturating_sub(1);
-                        copy.down = (copy.ready == 0).then_some((*t, *stopped));
+                        (replica.ready, replica.down_since) = (replica.ready + 1, None);
+                    } else if let Some(replica) = tasks.get_mut(&task[..]) {
+                        replica.ready = replica.ready.saturating_sub(1);
+                        replica.down_since = (replica.ready == 0).then_some((*t, *stopped));
                     }
-                    let counts = |copy: &&Copy| {
-                        copy.down
-                            .is_some_and(|(since, stopped)| stopped || t - since > GIVES_WAY)
+                    let is_unavailable = |replica: &&Replica| {
+                        replica
+                            .down_since
+                            .is_some_and(|(since, stopped)| stopped || t - since > RESPONSE_US)
                     };
-                    let twice: usize = tasks
+                    let surplus: usize = tasks
                         .values()
-                        .map(|copy| copy.ready.saturating_sub(1))
+                        .map(|replica| replica.ready.saturating_sub(1))
                         .sum();
-                    let own = limits
+                    let limit = limits
                         .get(&service[..])
-                        .filter(|_| beside.get(&service[..]) == Some(&true));
-                    if *ready && own.is_some_and(|most| twice > *most) {
-                        let what = format!("{twice} copies of {service} run beside others");
+                        .filter(|_| surge.get(&service[..]) == Some(&true));
+                    if *ready && limit.is_some_and(|limit| surplus > *limit) {
+                        let what =
+                            format!("{surplus} surplus replicas of {service} run beside others");
                         found.push((what, vec![index + 1]));
                     }
-                    let unready = tasks.values().filter(counts).count();
-                    if *stopped && limits.get(&service[..]).is_some_and(|most| unready > *most) {
+                    let unready = tasks.values().filter(is_unavailable).count();
+                    if *stopped
+                        && limits
+                            .get(&service[..])
+                            .is_some_and(|limit| unready > *limit)
+                    {
                         found.push((
-                            format!("{unready} copies of {service} are not ready"),
+                            format!("{unready} replicas of {service} are not ready"),
                             vec![index + 1],
                         ));
                     }
@@ -657,16 +682,17 @@
         }
         found
             .into_iter()
-            .for_each(|(what, lines)| self.breach(6, what, lines));
+            .for_each(|(what, lines)| self.report(6, what, lines));
     }
 
-    /// Once more new copies than may have failed at one dispatcher, the roll halts: some time after
-    /// that no copy of another version is stopped any more, unless an operator begins anew.
-    fn halts(&mut self) {
-        const HALTS_WITHIN: u64 = 5_000_000;
+    /// Rule 7: a rollout halts once more new replicas than `failures_most` have failed at one
+    /// dispatcher. From `HALT_DELAY_US` after that, no replica of another version may be stopped
+    /// unless an operator starts a new rollout.
+    fn check_halts(&mut self) {
+        const HALT_DELAY_US: u64 = 5_000_000;
         let mut found = Vec::new();
-        let mut rolls: HashMap<&str, Rolled> = HashMap::new();
-        // By node and placing: task, service, version and dispatcher of what was offered last.
+        let mut rollouts: HashMap<&str, RolloutState> = HashMap::new();
+        // Task, service, version and dispatcher of the latest offer, by node and placement id.
         let mut offered: HashMap<(u32, &str), (&str, &str, &str, u32)> = HashMap::new();
         for (index, Line { t, observation }) in self.lines.iter().enumerate() {
             match observation {
@@ -678,15 +704,15 @@
                     failures_most,
                     ..
                 } => {
-                    let rolled = Rolled {
+                    let rollout = RolloutState {
                         version,
-                        ready_for: *ready_for_us,
-                        ready_within: *ready_within_us,
-                        failures_most: *failures_most,
-                        copies: Vec::new(),
-                        halts: false,
+                        min_ready_us: *ready_for_us,
+                        progress_deadline_us: *ready_within_us,
+                        max_failures: *failures_most,
+                        replicas: Vec::new(),
+                        must_halt: false,
                     };
-                    rolls.insert(service, rolled);
+                    rollouts.insert(service, rollout);
                 }
                 Observation::Offered {
                     node,
@@ -710,30 +736,32 @@
                     else {
                         continue;
                     };
-                    let Some(rolled) = rolls
+                    let Some(rollout) = rollouts
                         .get_mut(service)
-                        .filter(|rolled| rolled.version == *version)
+                        .filter(|rollout| rollout.version == *version)
                     else {
                         continue;
                     };
-                    rolled.copies.push(New {
+                    rollout.replicas.push(NewReplica {
                         dispatcher: *dispatcher,
                         task,
                         accepted: *t,
                         ready: None,
                         failed: None,
                         line: index + 1,
-                        over: false,
+                        ended: false,
                     });
                 }
                 Observation::Dispatcher {
                     dispatcher,
                     state: DispatcherState::Killed | DispatcherState::Crashed,
                 } => {
-                    // What it has counted goes with it, unless it had the time to halt.
-                    for rolled in rolls.values_mut() {
-                        rolled.halted(*t, HALTS_WITHIN);
-                        rolled.copies.retain(|copy| copy.dispatcher != *dispatcher);
+                    // The dispatcher's failure counts are lost with it, unless it had time to halt.
+                    for rollout in rollouts.values_mut() {
+                        rollout.update_must_halt(*t, HALT_DELAY_US);
+                        rollout
+                            .replicas
+                            .retain(|replica| replica.dispatcher != *dispatcher);
                     }
                 }
                 Observation::Ready {
@@ -745,36 +773,45 @@
                     stopped,
                     ..
                 } => {
-                    let Some(rolled) = rolls.get_mut(&service[..]) else {
+                    let Some(rollout) = rollouts.get_mut(&service[..]) else {
                         continue;
                     };
-                    rolled.halted(*t, HALTS_WITHIN);
-                    if version != rolled.version {
-                        if rolled.halts && *stopped && !*ready {
-                            let shown = rolled.copies.iter().filter(|copy| copy.failed.is_some());
-                            let lines = shown.map(|copy| copy.line).chain([index + 1]).collect();
+                    rollout.update_must_halt(*t, HALT_DELAY_US);
+                    if version != rollout.version {
+                        if rollout.must_halt && *stopped && !*ready {
+                            let shown = rollout
+                                .replicas
+                                .iter()
+                                .filter(|replica| replica.failed.is_some());
+                            let lines = shown
+                                .map(|replica| replica.line)
+                                .chain([index + 1])
+                                .collect();
                             found.push((
-                                format!("{task} of {service} is stopped by a roll that failed"),
+                                format!("{task} of {service} is stopped by a failed rollout"),
                                 lines,
                             ));
                         }
                         continue;
                     }
-                    let ready_for = rolled.ready_for;
-                    let own = rolled
-                        .copies
+                    let min_ready_us = rollout.min_ready_us;
+                    let newest = rollout
+                        .replicas
                         .iter_mut()
                         .rev()
-                        .find(|copy| copy.task == task && !copy.over);
-                    let Some(copy) = own else { continue };
+                        .find(|replica| replica.task == task && !replica.ended);
+                    let Some(replica) = newest else { continue };
                     if *ready {
-                        // Late, but no longer missing.
-                        (copy.ready, copy.failed) = (Some(*t), None);
+                        // It missed the deadline but is ready now, so it no longer counts as
+                        // failed.
+                        (replica.ready, replica.failed) = (Some(*t), None);
                     } else {
-                        let settled = copy.ready.is_some_and(|since| *t >= since + ready_for);
-                        copy.over = true;
+                        let settled = replica
+                            .ready
+                            .is_some_and(|since| *t >= since + min_ready_us);
+                        replica.ended = true;
                         if !*stopped && !*done && !settled {
-                            copy.failed = copy.failed.or(Some(*t));
+                            replica.failed = replica.failed.or(Some(*t));
                         }
                     }
                 }
@@ -783,21 +820,22 @@
         }
         found
             .into_iter()
-            .for_each(|(what, lines)| self.breach(7, what, lines));
+            .for_each(|(what, lines)| self.report(7, what, lines));
     }
 
     fn zone(&self, node: u32) -> Option<&str> {
         self.rules
             .nodes
             .iter()
-            .find(|home| home.node == node)
-            .map(|home| &home.zone[..])
+            .find(|site| site.node == node)
+            .map(|site| &site.zone[..])
     }
 
-    fn drains(&mut self) {
+    /// Rule 3: no offer goes to a node that the dispatcher knows to be draining or gone.
+    fn check_drains(&mut self) {
         let mut found = Vec::new();
-        // Since when each dispatcher knows that a node takes nothing new.
-        let mut told: HashMap<(u32, u32), (u64, usize)> = HashMap::new();
+        // Since when each dispatcher knows that a node accepts no new offers, and the line.
+        let mut notified: HashMap<(u32, u32), (u64, usize)> = HashMap::new();
         for (index, Line { t, observation }) in self.lines.iter().enumerate() {
             match observation {
                 Observation::EndpointSent {
@@ -805,11 +843,13 @@
                     node,
                     state: NodeState::Draining | NodeState::Gone,
                 } => {
-                    told.entry((*dispatcher, *node)).or_insert((*t, index + 1));
+                    notified
+                        .entry((*dispatcher, *node))
+                        .or_insert((*t, index + 1));
                 }
                 Observation::EndpointSent {
                     dispatcher, node, ..
-                } => drop(told.remove(&(*dispatcher, *node))),
+                } => drop(notified.remove(&(*dispatcher, *node))),
                 Observation::Dispatcher {
                     dispatcher,
                     state: DispatcherState::Resumed,
@@ -819,17 +859,17 @@
                     struck: false,
                     ..
                 } => {
-                    // While it stood still, or its links were held, it was told nothing.
-                    let own = told
+                    // While it was paused or its connections were held, it received no updates.
+                    let known = notified
                         .iter_mut()
                         .filter(|((which, _), _)| which == dispatcher);
-                    own.for_each(|(_, (since, _))| *since = *t);
+                    known.for_each(|(_, (since, _))| *since = *t);
                 }
                 Observation::Dispatcher {
                     dispatcher,
                     state: DispatcherState::Started,
                 } => {
-                    told.retain(|(which, _), _| which != dispatcher);
+                    notified.retain(|(which, _), _| which != dispatcher);
                 }
                 Observation::Offered {
                     node,
@@ -838,16 +878,16 @@
                     number,
                     ..
                 } => {
-                    let Some((since, line)) = told.get(&(*dispatcher, *node)) else {
+                    let Some((since, line)) = notified.get(&(*dispatcher, *node)) else {
                         continue;
                     };
                     let offer = self.offers.get(&placement_id[..]).into_iter().flatten();
                     let stale = offer
                         .filter(|offer| offer.line == index + 1)
-                        .any(|offer| self.stale(offer));
+                        .any(|offer| self.is_stale(offer));
                     if *t > since + self.rules.grace_us + self.rules.slack_us && !stale {
                         let what = format!(
-                            "{placement_id}: shot {number} to node {node}, told of as leaving"
+                            "{placement_id}: attempt {number} offered to node {node}, known to be draining or gone"
                         );
                         found.push((what, vec![*line, index + 1]));
                     }
@@ -857,13 +897,14 @@
         }
         found
             .into_iter()
-            .for_each(|(what, lines)| self.breach(3, what, lines));
+            .for_each(|(what, lines)| self.report(3, what, lines));
     }
 
-    fn cold(&mut self) {
+    /// Rule 4: a node in slow start gets no more offers in a window than it can take.
+    fn check_cold(&mut self) {
         let mut found = Vec::new();
         let mut started: HashMap<u32, (u64, usize)> = HashMap::new();
-        let mut told: HashMap<(u32, u32), u64> = HashMap::new();
+        let mut notified: HashMap<(u32, u32), u64> = HashMap::new();
         let mut offers: HashMap<u32, Vec<(u64, usize, bool)>> = HashMap::new();
         let slow_start = &self.rules.slow_start;
         for (index, Line { t, observation }) in self.lines.iter().enumerate() {
@@ -880,14 +921,14 @@
                     node,
                     state: NodeState::SlowStart,
                 } => {
-                    told.insert((*dispatcher, *node), *t);
+                    notified.insert((*dispatcher, *node), *t);
                 }
                 Observation::Dispatcher {
                     dispatcher,
                     state: DispatcherState::Killed | DispatcherState::Crashed,
                 } => {
-                    // A new life knows what its remembered list says, or is told anew.
-                    told.retain(|(which, _), _| which != dispatcher);
+                    // A restarted dispatcher loads its stored endpoint list or receives it again.
+                    notified.retain(|(which, _), _| which != dispatcher);
                 }
                 Observation::Offered {
                     node, dispatcher, ..
@@ -898,17 +939,21 @@
                     if *t > since + slow_start.lasts_us {
                         continue;
                     }
-                    let knows = told
+                    let was_notified = notified
                         .get(&(*dispatcher, *node))
                         .is_some_and(|at| *at >= since && at <= t);
                     let window = offers.entry(*node).or_default();
                     window.retain(|(at, _, _)| at + slow_start.window_us > *t);
-                    window.push((*t, index + 1, knows));
-                    let knowing = window.iter().filter(|(_, _, knows)| *knows).count();
-                    // Held against the dispatchers where two thirds came from such as knew.
-                    if window.len() > slow_start.most && knowing * 3 >= window.len() * 2 {
+                    window.push((*t, index + 1, was_notified));
+                    let notified_offers = window
+                        .iter()
+                        .filter(|(_, _, was_notified)| *was_notified)
+                        .count();
+                    // A violation only if at least two thirds of the offers came from dispatchers
+                    // that knew of the restart.
+                    if window.len() > slow_start.most && notified_offers * 3 >= window.len() * 2 {
                         let what = format!(
-                            "node {node} got {} offers in a window while cold",
+                            "node {node} got {} offers in one window during slow start",
                             window.len()
                         );
                         let first = window.first().map_or(0, |(_, line, _)| *line);
@@ -921,24 +966,25 @@
         }
         found
             .into_iter()
-            .for_each(|(what, lines)| self.breach(4, what, lines));
+            .for_each(|(what, lines)| self.report(4, what, lines));
     }
 
-    fn spread(&mut self) {
+    /// Rule 5: a dispatcher places at most so many allocations of a service on one node.
+    fn check_spread(&mut self) {
         let mut found = Vec::new();
         let mut by_service: HashMap<(u32, &str, u32), Vec<&Offer>> = HashMap::new();
         let limits: HashMap<&str, usize> = (self.calls.values())
             .filter_map(|call| {
                 Some((
-                    &call.asked.service[..],
-                    self.rules.service_classes[call.asked.service_class].spread?,
+                    &call.request.service[..],
+                    self.rules.service_classes[call.request.service_class].spread?,
                 ))
             })
             .collect();
         let services: HashMap<&str, &str> = self
             .calls
             .values()
-            .map(|call| (&call.asked.placement_id[..], &call.asked.service[..]))
+            .map(|call| (&call.request.placement_id[..], &call.request.service[..]))
             .collect();
         for Line { observation, .. } in self.lines {
             let (node, placement_id, number, dispatcher, service) = match observation {
@@ -954,7 +1000,7 @@
                     dispatcher,
                     state: DispatcherState::Started,
                 } => {
-                    // A new life holds what it is handed, and nothing else.
+                    // A restarted dispatcher holds only what is handed over to it.
                     by_service.retain(|(which, _, _), _| which != dispatcher);
                     continue;
                 }
@@ -975,7 +1021,7 @@
                 }
                 _ => continue,
             };
-            let Some(&most) = limits.get(&service[..]) else {
+            let Some(&limit) = limits.get(&service[..]) else {
                 continue;
             };
             let mut offers = self.offers.get(&placement_id[..]).into_iter().flatten();
@@ -983,13 +1029,13 @@
                 continue;
             };
             let held = by_service.entry((*dispatcher, service, *node)).or_default();
-            // What is over a little later may be told here before the dispatcher's next offer
-            // overtakes it.
-            held.retain(|other| other.over.is_none_or(|over| over > offer.t));
+            // Allocations that ended before this offer no longer count. No slack is needed: a node's
+            // end is recorded before the dispatcher's next offer can overtake it.
+            held.retain(|other| other.ended.is_none_or(|ended| ended > offer.t));
             held.push(offer);
-            if held.len() > most && !self.stale(offer) {
+            if held.len() > limit && !self.is_stale(offer) {
                 let what = format!(
-                    "{} of {service} on node {node} from dispatcher {dispatcher}",
+                    "{} allocations of {service} on node {node} from dispatcher {dispatcher}",
                     held.len()
                 );
                 found.push((what, held.iter().map(|other| other.line).collect()));
@@ -997,7 +1043,7 @@
         }
         found
             .into_iter()
-            .for_each(|(what, lines)| self.breach(5, what, lines));
+            .for_each(|(what, lines)| self.report(5, what, lines));
     }
 }
 
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -1,4 +1,4 @@
-//! `corkspan-testbed`: days of trouble, their judge, and measurements.
+//! The `corkspan-testbed` command: scenarios with faults, the checker, and measurements.
 
 use clap::{Parser, Subcommand};
 use corkspan_capacity_model::result::{self, Axis};
@@ -11,48 +11,48 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// Plays days of trouble through real dispatchers and judges what crossed the sockets.
+/// Runs scenarios with faults against real dispatchers and checks what crossed the sockets.
 #[derive(Parser)]
 #[command(name = "corkspan-testbed", version)]
-struct Line {
+struct Cli {
     #[command(subcommand)]
-    call: Call,
+    command: Command,
 }
 
 #[derive(Subcommand)]
-enum Call {
-    /// Plays a day: the built-in day of trouble, or a script of your own.
+enum Command {
+    /// Runs a scenario: the built-in one, or a script of your own.
     Day {
-        /// A day script; see docs/days.md.
+        /// A scenario script; see docs/days.md.
         file: Option<PathBuf>,
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// The built-in short day instead.
+        /// Runs the built-in short scenario instead.
         #[arg(long, conflicts_with = "file")]
         short: bool,
-        /// Keeps the capture here.
+        /// Writes the capture to this file.
         #[arg(long)]
         capture: Option<PathBuf>,
-        /// Another program than the one built in, to be called with `serve FILE`.
+        /// A program to run instead of the built-in one, called with `serve FILE`.
         #[arg(long)]
         program: Option<PathBuf>,
         /// A folder for the dispatchers' logs.
         #[arg(long)]
         logs: Option<PathBuf>,
     },
-    /// Hollow dispatchers: many in a process, without a disk or a log, for the laboratory alone;
-    /// see docs/days.md.
+    /// Runs hollow dispatchers: many in one process, without disk or log, for the testbed only; see
+    /// docs/days.md.
     Hollow(hollow::Line),
-    /// Judges a capture alone.
+    /// Checks an existing capture.
     Judge { capture: PathBuf },
-    /// Measures a dispatcher against the RPC stack alone, side by side.
+    /// Measures a dispatcher against the bare RPC stack, side by side.
     Measure {
         #[arg(long, default_value_t = 5)]
         rounds: usize,
-        /// Of each round.
+        /// Length of each round.
         #[arg(long, default_value_t = 2.0)]
         seconds: f64,
-        /// Asks under way at a time.
+        /// Requests in flight at a time.
         #[arg(long, default_value_t = 64)]
         at_once: usize,
         #[arg(long, default_value_t = 40)]
@@ -62,53 +62,54 @@
         held: usize,
     },
     /// Streams versions to dispatchers: random exchanges with kills, a flood, time to effect,
-    /// returns, and placing meanwhile beside placing without.
+    /// reconnections, and placement with and without pushes.
     Versions {
         #[arg(long, default_value_t = 5)]
         rounds: usize,
-        /// Of each round of placing.
+        /// Length of each placement round.
         #[arg(long, default_value_t = 2.0)]
         seconds: f64,
         /// Dispatchers for the time from push to effect.
         #[arg(long, default_value_t = 100)]
         instances: usize,
-        /// Dispatchers that lose their service at once.
+        /// Dispatchers that lose their control service at once.
         #[arg(long, default_value_t = 300)]
         returns: usize,
-        /// Of random exchanges.
+        /// Number of random exchanges.
         #[arg(long, default_value_t = 10)]
         seeds: u64,
-        /// Versions of each.
+        /// Versions in each random exchange.
         #[arg(long, default_value_t = 1000)]
         versions: usize,
     },
-    /// Sends open-loop load to dispatchers, and keeps what came of it; see docs/load.md.
+    /// Sends open-loop load to dispatchers and stores the report; see docs/load.md.
     Load {
         /// The load file.
         file: PathBuf,
-        /// Where dispatchers listen; asks go to one after the other.
+        /// Addresses of dispatchers; requests go to each in turn.
         #[arg(required = true)]
         to: Vec<std::net::SocketAddr>,
-        /// So many owners that wait for their answers instead, for comparison alone.
+        /// Number of clients that wait for their answers instead (closed loop), for comparison
+        /// only.
         #[arg(long)]
         closed: Option<usize>,
         /// A folder for report.json and report.svg.
         #[arg(long)]
         out: Option<PathBuf>,
     },
-    /// Compares kept runs of two variants, pair by pair: each pair is of the same load.
+    /// Compares stored runs of two variants in pairs with the same load.
     Compare {
-        /// Folders of the old variant, as `load --out` wrote them.
+        /// Folders of the old variant, written by `load --out`.
         #[arg(long, required = true, num_args = 1..)]
         old: Vec<PathBuf>,
         /// Folders of the new one, in the same order.
         #[arg(long, required = true, num_args = 1..)]
         new: Vec<PathBuf>,
     },
-    /// Measures the load generator itself: intended against captured arrivals, and a dispatcher
-    /// that stands still.
+    /// Measures the load generator itself: intended against actual arrival times, and the effect of
+    /// a paused dispatcher.
     LoadError {
-        /// Asks a second of each round.
+        /// Requests a second in each round.
         #[arg(long, value_delimiter = ',', default_value = "50,500,5000")]
         rates: Vec<u32>,
         #[arg(long, default_value_t = 1500)]
@@ -118,25 +119,25 @@
     #[command(args_conflicts_with_subcommands = true)]
     Capacity {
         #[command(subcommand)]
-        page: Option<Page>,
-        /// Fewer places and rounds, and shorter ones.
+        page: Option<CapacityCommand>,
+        /// Fewer points and rounds, and shorter ones.
         #[arg(long)]
         quick: bool,
-        /// One axis alone.
+        /// Measures only this axis.
         #[arg(long, value_parser = axis)]
         axis: Option<Axis>,
-        /// A size file, as the `size` of a kept result.
+        /// A size file, in the form of `size` in a stored result.
         #[arg(long)]
         size: Option<PathBuf>,
         #[arg(long)]
         rounds: Option<u32>,
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// Keeps the runs here, in the place of earlier ones of the same axis.
+        /// Stores the runs in this file, replacing earlier ones of the same axis.
         #[arg(long)]
         json: Option<PathBuf>,
     },
-    /// The program itself, as days start it.
+    /// The dispatcher's program, as scenarios start it.
     #[command(hide = true, disable_help_flag = true)]
     Corkspan {
         #[arg(trailing_var_arg = true, allow_hyphen_values = true)]
@@ -145,31 +146,31 @@
 }
 
 #[derive(Subcommand)]
-enum Page {
-    /// Prints the tables of docs/CAPACITY.md from a kept result.
+enum CapacityCommand {
+    /// Prints the tables of docs/CAPACITY.md from a stored result.
     Page {
         file: PathBuf,
-        /// Holds a page against them instead.
+        /// Checks a page against the tables instead.
         #[arg(long, conflicts_with = "write")]
         check: Option<PathBuf>,
-        /// Writes them into a page.
+        /// Writes the tables into a page.
         #[arg(long)]
         write: Option<PathBuf>,
     },
 }
 
 fn axis(name: &str) -> Result<Axis, String> {
-    let all = || Axis::ALL.iter();
-    let names: Vec<&str> = all().map(|axis| axis.name()).collect();
-    let found = all().find(|axis| axis.name() == name);
+    let axes = || Axis::ALL.iter();
+    let names: Vec<&str> = axes().map(|axis| axis.name()).collect();
+    let found = axes().find(|axis| axis.name() == name);
     found
         .copied()
         .ok_or_else(|| format!("the axes are {}", names.join(", ")))
 }
 
 fn main() -> ExitCode {
-    let result = match Line::parse().call {
-        Call::Day {
+    let result = match Cli::parse().command {
+        Command::Day {
             file,
             seed,
             short,
@@ -179,9 +180,9 @@
         } => {
             let scenario = match (&file, short) {
                 (Some(file), _) => Scenario::load(file),
-                (None, true) => Scenario::read("the short day", corkspan_testbed::scenario::SHORT),
+                (None, true) => Scenario::read("short scenario", corkspan_testbed::scenario::SHORT),
                 (None, false) => {
-                    Scenario::read("the built-in day", corkspan_testbed::scenario::BUILT_IN)
+                    Scenario::read("built-in scenario", corkspan_testbed::scenario::BUILT_IN)
                 }
             };
             scenario
@@ -189,7 +190,7 @@
                 .and_then(|scenario| {
                     let real = match program {
                         Some(program) => vec![program.into_os_string()],
-                        None => own()?,
+                        None => built_in_program()?,
                     };
                     let programs = Programs {
                         real,
@@ -205,16 +206,16 @@
                     }
                     .run()?;
                     println!("{}", Summary::of(&lines));
-                    judged(&lines)
+                    check_capture(&lines)
                 })
         }
-        Call::Measure {
+        Command::Measure {
             rounds,
             seconds,
             at_once,
             nodes,
             held,
-        } => own().and_then(|program| {
+        } => built_in_program().and_then(|program| {
             let rounds = rounds.clamp(1, 1_000);
             Measure {
                 program,
@@ -226,14 +227,14 @@
             }
             .run()
         }),
-        Call::Versions {
+        Command::Versions {
             rounds,
             seconds,
             instances,
             returns,
             seeds,
             versions,
-        } => own().and_then(|program| {
+        } => built_in_program().and_then(|program| {
             let rounds = rounds.clamp(1, 1_000);
             ConfigPushExperiment {
                 program,
@@ -246,30 +247,28 @@
             }
             .run()
         }),
-        Call::Load {
+        Command::Load {
             file,
             to,
             closed,
             out,
         } => load(&file, &to, closed, out.as_deref()),
-        Call::Compare { old, new } => compare(&old, &new),
-        Call::LoadError { rates, pause_ms } => own().and_then(|program| {
+        Command::Compare { old, new } => compare(&old, &new),
+        Command::LoadError { rates, pause_ms } => built_in_program().and_then(|program| {
             for rate in rates {
                 println!("{}", loads::error(rate)?);
             }
             let (open, closed) =
                 loads::stalled(&program, std::time::Duration::from_millis(pause_ms))?;
-            println!("a dispatcher that stands still for {pause_ms} ms, open loop:\n{open}");
-            println!(
-                "the same, at the same time, by one owner that waits for its answers:\n{closed}"
-            );
+            println!("a dispatcher paused for {pause_ms} ms, open loop:\n{open}");
+            println!("the same at the same time, closed loop with one client:\n{closed}");
             Ok(())
         }),
-        Call::Hollow(line) => hollow::run(line),
-        Call::Capacity {
+        Command::Hollow(line) => hollow::run(line),
+        Command::Capacity {
             page: Some(page), ..
-        } => tables(page),
-        Call::Capacity {
+        } => capacity_page(page),
+        Command::Capacity {
             page: None,
             quick,
             axis,
@@ -277,9 +276,9 @@
             rounds,
             seed,
             json,
-        } => measured(quick, axis, size, rounds, seed, json),
-        Call::Judge { capture } => judge_file(&capture),
-        Call::Corkspan { line } => {
+        } => measure_capacity(quick, axis, size, rounds, seed, json),
+        Command::Judge { capture } => check_file(&capture),
+        Command::Corkspan { line } => {
             return corkspan_cli::run(std::iter::once("corkspan".into()).chain(line));
         }
     };
@@ -300,21 +299,21 @@
 ) -> Result<(), String> {
     use corkspan_load_generator::run::Loop;
     let plan = corkspan_load_generator::plan::Plan::load(file).map_err(|why| why.to_string())?;
-    let lasts = plan.shape.duration();
-    // Said now: a load that is lost at its end for want of a folder is dear.
+    let duration = plan.shape.duration();
+    // Created before the load is sent: a missing folder must not lose the report at the end.
     if let Some(out) = out {
         std::fs::create_dir_all(out).map_err(|why| format!("{}: {why}", out.display()))?;
     }
-    let how = closed.map_or(Loop::Open, Loop::Closed);
-    let tell = |at: std::time::Duration, asks: usize| {
-        let left = lasts.saturating_sub(at).as_secs();
+    let loop_mode = closed.map_or(Loop::Open, Loop::Closed);
+    let report_progress = |at: std::time::Duration, requests: usize| {
+        let left = duration.saturating_sub(at).as_secs();
         eprintln!(
-            "{} s of {}, {asks} asks, {left} s left",
+            "{} s of {}, {requests} requests, {left} s left",
             at.as_secs(),
-            lasts.as_secs()
+            duration.as_secs()
         );
     };
-    let report = loads::send(plan, to, how, tell)?;
+    let report = loads::send(plan, to, loop_mode, report_progress)?;
     print!("{report}");
     if let Some(out) = out {
         let text = serde_json::to_string_pretty(&report).map_err(|why| why.to_string())?;
@@ -330,7 +329,7 @@
     use corkspan_load_generator::compare::{Figure, compare};
     if old.len() != new.len() {
         return Err(format!(
-            "{} old runs and {} new ones are no pairs",
+            "{} old runs and {} new ones do not form pairs",
             old.len(),
             new.len()
         ));
@@ -342,7 +341,7 @@
         let report: corkspan_load_generator::tally::Report =
             serde_json::from_slice(&text).map_err(|why| place(why.to_string()))?;
         if report.fell_behind {
-            eprintln!("{}: its generator fell behind", path.display());
+            eprintln!("{}: the load generator fell behind", path.display());
         }
         Ok::<_, String>(report)
     };
@@ -352,20 +351,20 @@
         let pairs: Vec<(f64, f64)> = std::iter::zip(&old, &new)
             .map(|(old, new)| (figure.value_in(old), figure.value_in(new)))
             .collect();
-        let told = compare(&pairs, 1);
+        let comparison = compare(&pairs, 1);
         println!(
             "{:<28} {:+10.3}, from {:+.3} to {:+.3}: {:?}",
             figure.name(),
-            told.difference,
-            told.low,
-            told.high,
-            told.verdict
+            comparison.difference,
+            comparison.low,
+            comparison.high,
+            comparison.verdict
         );
     }
     Ok(())
 }
 
-fn measured(
+fn measure_capacity(
     quick: bool,
     axis: Option<Axis>,
     size: Option<PathBuf>,
@@ -381,29 +380,29 @@
             serde_json::from_str(&text).map_err(|why| place(why.to_string()))?
         }
     };
-    // Where it is kept changes no figure.
-    let all: Vec<String> = std::env::args().skip(2).collect();
-    let kept_at = all.iter().position(|word| word == "--json");
-    let apart = |at: usize| kept_at.is_none_or(|own| at != own && at != own + 1);
-    let line: Vec<String> = all
+    // The output file is left out of the stored command, since it changes no figure.
+    let arguments: Vec<String> = std::env::args().skip(2).collect();
+    let json_at = arguments.iter().position(|argument| argument == "--json");
+    let is_other = |at: usize| json_at.is_none_or(|json| at != json && at != json + 1);
+    let others: Vec<String> = arguments
         .into_iter()
         .enumerate()
-        .filter(|(at, _)| apart(*at))
-        .map(|(_, word)| word)
+        .filter(|(at, _)| is_other(*at))
+        .map(|(_, argument)| argument)
         .collect();
     let capacity = Capacity {
-        program: own()?,
+        program: built_in_program()?,
         axes: axis.map_or(Axis::ALL.to_vec(), |axis| vec![axis]),
         rounds: rounds.unwrap_or(if quick { 2 } else { 3 }).clamp(1, 100),
         watch: std::time::Duration::from_secs(if quick { 4 } else { 8 }),
         size: size.clone(),
         quick,
         seed,
-        command: format!("corkspan-lab capacity {}", line.join(" "))
+        command: format!("corkspan-lab capacity {}", others.join(" "))
             .trim()
             .into(),
     };
-    let mut all = result::CapacityResult {
+    let mut kept = result::CapacityResult {
         size: size.clone(),
         runs: Vec::new(),
     };
@@ -411,16 +410,18 @@
         if let Some(path) = &json {
             corkspan_testbed::capacity::put(path, &size, run.clone())?;
         }
-        all.insert(run);
+        kept.insert(run);
         Ok(())
     })?;
-    for table in corkspan_capacity_model::page::tables(&all) {
+    for table in corkspan_capacity_model::page::tables(&kept) {
         println!("{}", table.markdown);
     }
     Ok(())
 }
 
-fn tables(Page::Page { file, check, write }: Page) -> Result<(), String> {
+fn capacity_page(
+    CapacityCommand::Page { file, check, write }: CapacityCommand,
+) -> Result<(), String> {
     use corkspan_capacity_model::page;
     let read = |path: &Path| {
         std::fs::read_to_string(path).map_err(|why| format!("{}: {why}", path.display()))
@@ -429,7 +430,7 @@
         .map_err(|why| format!("{}: {why}", file.display()))?;
     if let Some(path) = check {
         page::check(&read(&path)?, &kept).map_err(|why| format!("{}: {why}", path.display()))?;
-        println!("{} is as {} has it", path.display(), file.display());
+        println!("{} matches {}", path.display(), file.display());
     } else if let Some(path) = write {
         let page =
             page::fill(&read(&path)?, &kept).map_err(|why| format!("{}: {why}", path.display()))?;
@@ -442,24 +443,26 @@
     Ok(())
 }
 
-/// The dispatcher built in, as a process of its own.
-fn own() -> Result<Vec<OsString>, String> {
-    let own = std::env::current_exe().map_err(|why| why.to_string())?;
-    Ok(vec![own.into_os_string(), "corkspan".into()])
+/// Returns the command line that starts the built-in dispatcher as a process of its own.
+fn built_in_program() -> Result<Vec<OsString>, String> {
+    let program = std::env::current_exe().map_err(|why| why.to_string())?;
+    Ok(vec![program.into_os_string(), "corkspan".into()])
 }
 
-fn judge_file(path: &Path) -> Result<(), String> {
+fn check_file(path: &Path) -> Result<(), String> {
     let lines = capture::read(path)?;
     println!("{}", Summary::of(&lines));
-    judged(&lines)
+    check_capture(&lines)
 }
 
-fn judged(lines: &[capture::Line]) -> Result<(), String> {
-    let breaches = checker::check(lines)?;
-    if breaches.is_empty() {
+fn check_capture(lines: &[capture::Line]) -> Result<(), String> {
+    let violations = checker::check(lines)?;
+    if violations.is_empty() {
         println!("rules                all five kept");
         return Ok(());
     }
-    breaches.iter().for_each(|breach| println!("{breach}"));
-    Err(format!("{} broken rules", breaches.len()))
+    violations
+        .iter()
+        .for_each(|violation| println!("{violation}"));
+    Err(format!("{} broken rules", violations.len()))
 }
--- a/crates/testbed/src/requirements.rs
+++ b/crates/testbed/src/requirements.rs
@@ -1,38 +1,40 @@
-//! What a day needs of the machine, worked out before anything is started, and what the machine
-//! has. Plain arithmetic, but for [`Limits::of_this_machine`].
+//! Computes what a scenario requires of the machine, before anything is started, and compares it
+//! with the machine's limits. Only [`Limits::of_this_machine`] reads from the system.
 
 use crate::scenario::{FaultKind, LinkPeer, Scenario};
 use std::time::Duration;
 
-/// Real dispatchers and hollow ones with a thousand nodes' records, and what a task takes at its
-/// dispatcher while its link stands, with the links' windows: above what was seen.
-const REAL_KIB: u64 = 24 * 1024;
-const HOLLOW_KIB: u64 = 8 * 1024;
-const LINK_KIB: u64 = 200;
-/// The stand-ins: at the start, a node, and a task from its first ask on, with its lines of the
-/// capture.
+/// Upper bounds of a dispatcher's memory with the records of a thousand nodes, for real and hollow
+/// dispatchers.
+const REAL_DISPATCHER_KIB: u64 = 24 * 1024;
+const HOLLOW_DISPATCHER_KIB: u64 = 8 * 1024;
+/// Upper bound of a task's memory at its dispatcher while its connection is open, including flow
+/// control windows.
+const CONNECTION_KIB: u64 = 200;
+/// Memory of the stand-ins: at the start, for each node, and for each task from its first request
+/// on, including its lines of the capture.
 const STAND_INS_KIB: u64 = 128 * 1024;
 const NODE_KIB: u64 = 64;
 const TASK_KIB: u64 = 16;
-/// Told at the start of each dispatcher of each node, and kept in the capture.
-const TOLD_BYTES: u64 = 200;
-/// A link without a call on it is closed after so long, or a quarter later.
-const IDLE: Duration = Duration::from_secs(19);
-/// "A few hundred".
-const PROCESSES: u64 = 400;
+/// Memory for each node's entry that each dispatcher receives at its start, kept in the capture.
+const ENDPOINT_BYTES: u64 = 200;
+/// Time after which a connection without calls is closed, or up to a quarter later.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(19);
+/// Maximum processes that a scenario may use.
+const MAX_PROCESSES: u64 = 400;
 
-/// What is needed at the most.
+/// Upper bounds of what a scenario requires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Requirements {
     pub memory_kib: u64,
     pub processes: u64,
-    /// In the stand-ins' process.
+    /// Descriptors in the stand-ins' process.
     pub descriptors: u64,
-    /// In the hollow process that needs most.
+    /// Descriptors in the hollow process that needs most.
     pub hollow_descriptors: u64,
 }
 
-/// What may be used.
+/// What a scenario may use.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     pub memory_kib: u64,
@@ -41,32 +43,34 @@
 }
 
 impl Requirements {
+    /// Computes the requirements of a scenario.
     pub fn for_scenario(scenario: &Scenario) -> Requirements {
         let (dispatchers, hollow, nodes) = (
             scenario.dispatchers as u64,
             scenario.hollow as u64,
             scenario.nodes as u64,
         );
-        let highest = scenario
+        let demand_steps = scenario
             .faults
             .iter()
             .filter(|fault| fault.kind == FaultKind::Demand);
-        let rate = highest.fold(scenario.rate, |rate, step| {
+        let rate = demand_steps.fold(scenario.rate, |rate, step| {
             rate.max(scenario.rate * step.demand_factor)
         });
-        let burst = scenario
+        let bursts = scenario
             .faults
             .iter()
             .filter(|fault| fault.kind == FaultKind::Burst);
-        let burst: u64 = burst.map(|fault| fault.count as u64).sum();
-        // Each task may have a link of its own, from its offer to its end and until that has been
-        // idle for long.
-        let stands = scenario
+        let burst: u64 = bursts.map(|fault| fault.count as u64).sum();
+        // Each task may have a connection of its own, from its offer to its end and then until the
+        // idle connection is closed.
+        let connection_lifetime = scenario
             .length
-            .min(scenario.mean_lifetime.mul_f64(1.7) + IDLE);
-        let tasks = (rate * stands.as_secs_f64()) as u64 + burst + scenario.replicas as u64;
-        let links = tasks.min(dispatchers * nodes);
-        let relayed = match (
+            .min(scenario.mean_lifetime.mul_f64(1.7) + IDLE_TIMEOUT);
+        let tasks =
+            (rate * connection_lifetime.as_secs_f64()) as u64 + burst + scenario.replicas as u64;
+        let connections = tasks.min(dispatchers * nodes);
+        let relays = match (
             scenario.needs_fault_proxies(),
             scenario.affects(LinkPeer::Nodes),
         ) {
@@ -74,24 +78,31 @@
             (true, all) => dispatchers * (if all { nodes } else { 3 } + 6),
         };
         let processes = scenario.processes().len() as u64;
-        let a_process = (scenario.per_process as u64).min(hollow);
-        let asked = (rate * scenario.length.as_secs_f64()) as u64 + burst;
+        let hollow_per_process = (scenario.per_process as u64).min(hollow);
+        let requested = (rate * scenario.length.as_secs_f64()) as u64 + burst;
         Requirements {
             memory_kib: STAND_INS_KIB
-                + (dispatchers - hollow) * REAL_KIB
-                + hollow * HOLLOW_KIB
+                + (dispatchers - hollow) * REAL_DISPATCHER_KIB
+                + hollow * HOLLOW_DISPATCHER_KIB
                 + nodes * NODE_KIB
-                + tasks * LINK_KIB
-                + asked * TASK_KIB
-                + dispatchers * nodes * TOLD_BYTES / 1024,
+                + tasks * CONNECTION_KIB
+                + requested * TASK_KIB
+                + dispatchers * nodes * ENDPOINT_BYTES / 1024,
             processes: processes + 1,
-            // A relay listens, and has a link to either side.
-            descriptors: nodes + links + dispatchers * 4 + relayed + 2 * links.min(relayed) + 100,
-            hollow_descriptors: a_process * 8 + (links * a_process).div_ceil(dispatchers) * 2 + 100,
+            // A relay has a listener and a connection to either side.
+            descriptors: nodes
+                + connections
+                + dispatchers * 4
+                + relays
+                + 2 * connections.min(relays)
+                + 100,
+            hollow_descriptors: hollow_per_process * 8
+                + (connections * hollow_per_process).div_ceil(dispatchers) * 2
+                + 100,
         }
     }
 
-    /// What is short, all of it.
+    /// Compares with the limits. The error lists everything that is short.
     pub fn check(&self, limits: &Limits) -> Result<(), String> {
         let rows = [
             (
@@ -106,9 +117,9 @@
                 limits.descriptors,
             ),
         ];
-        let short = rows.iter().filter(|(_, wanted, there)| wanted > there);
+        let short = rows.iter().filter(|(_, need, available)| need > available);
         let short: Vec<String> = short
-            .map(|(what, wanted, there)| format!("{wanted} {what}, and {there} may be used"))
+            .map(|(what, need, available)| format!("{need} {what}, and {available} may be used"))
             .collect();
         match short.is_empty() {
             true => Ok(()),
@@ -121,25 +132,26 @@
 }
 
 impl Limits {
+    /// Reads the limits of this machine and process.
     pub fn of_this_machine() -> Result<Limits, String> {
         let text = std::fs::read_to_string("/proc/meminfo")
             .map_err(|why| format!("/proc/meminfo: {why}"))?;
         let line = text.lines().find_map(|line| line.strip_prefix("MemTotal:"));
-        let all: Option<u64> = line.and_then(|rest| rest.split_whitespace().next()?.parse().ok());
-        let all = all.ok_or("the kernel does not tell the machine's memory")?;
+        let total: Option<u64> = line.and_then(|rest| rest.split_whitespace().next()?.parse().ok());
+        let total = total.ok_or("/proc/meminfo does not contain MemTotal")?;
         // A container may have less than the machine.
-        let own = std::fs::read_to_string("/sys/fs/cgroup/memory.max").ok();
-        let own = own
+        let container = std::fs::read_to_string("/sys/fs/cgroup/memory.max").ok();
+        let container = container
             .and_then(|text| text.trim().parse::<u64>().ok())
-            .map_or(all, |bytes| bytes / 1024);
+            .map_or(total, |bytes| bytes / 1024);
         let limit = |resource| {
             rustix::process::getrlimit(resource)
                 .current
                 .unwrap_or(u64::MAX)
         };
         Ok(Limits {
-            memory_kib: all.min(own) / 2,
-            processes: PROCESSES.min(limit(rustix::process::Resource::Nproc)),
+            memory_kib: total.min(container) / 2,
+            processes: MAX_PROCESSES.min(limit(rustix::process::Resource::Nproc)),
             descriptors: limit(rustix::process::Resource::Nofile),
         })
     }
--- a/crates/testbed/src/scenario/reader.rs
+++ b/crates/testbed/src/scenario/reader.rs
@@ -1,4 +1,4 @@
-//! Reads scenarios from the forms of day scripts. Keywords are those of `docs/days.md`.
+//! Reads scenarios from the forms of scripts. `docs/days.md` lists the keywords.
 
 use super::{
     DEFAULT_PER_PROCESS, FAULT_KINDS, FaultKind, LINK_PEERS, LinkPeer, MaintenancePlan,
@@ -36,7 +36,7 @@
 const MAX_BURST: usize = 100_000;
 const MICROSECONDS_PER_TICK: u64 = 100;
 
-/// `(day (length 4 s) …)`
+/// Reads `(day (length 4 s) …)`.
 pub(super) fn scenario(form: &Form) -> Result<Scenario, Diagnostic> {
     let parts = form.parts(&KEYWORDS)?;
     let mut scenario = without_faults(&parts)?;
@@ -54,19 +54,19 @@
     scenario.faults = faults.collect::<Result<_, _>>()?;
     if let Some(form) = parts.get("hollow").filter(|_| scenario.needs_disks()) {
         return Err(form.diagnostic(
-            "a hollow dispatcher has no disk, and a roll, work on machines or a full disk needs one",
+            "a hollow dispatcher has no disk, but rollouts, maintenance and full disks need one",
         ));
     }
     Ok(scenario)
 }
 
-/// All parts that need no other part.
+/// Reads all parts that do not depend on other parts. Faults and hollow dispatchers are left out.
 fn without_faults(parts: &Parts) -> Result<Scenario, Diagnostic> {
     let percent = |form: &Form| match form.non_negative()? {
         value if value <= 100.0 => Ok(value),
-        _ => Err(form.diagnostic("must be 100 at the most")),
+        _ => Err(form.diagnostic("must be at most 100")),
     };
-    let floor = |form: &Form| time(form.parts(&["at"])?.required("at")?, MAX_SECONDS);
+    let minimum_version_at = |form: &Form| time(form.parts(&["at"])?.required("at")?, MAX_SECONDS);
     let lifetime = Duration::from_secs(4);
     Ok(Scenario {
         length: time(parts.required("length")?, MAX_SECONDS)?,
@@ -84,21 +84,21 @@
         replicas: parts.get_or("copies", 0, |form| Ok(form.integer(0, 10_000)? as usize))?,
         rollout: parts.get("roll").map(rollout).transpose()?,
         version_interval: parts.get("versions").map(every).transpose()?,
-        minimum_version_at: parts.get("floor").map(floor).transpose()?,
+        minimum_version_at: parts.get("floor").map(minimum_version_at).transpose()?,
         audit: parts.get_or("audit", false, Form::boolean)?,
         maintenance: parts.get("maintenance").map(maintenance).transpose()?,
         faults: Vec::new(),
     })
 }
 
-/// Parts that mean something only beside others.
+/// Rejects parts that are only allowed together with others.
 fn check_combinations(form: &Form, parts: &Parts, scenario: &Scenario) -> Result<(), Diagnostic> {
     if let (Some(form), 0) = (parts.get("roll"), scenario.replicas) {
-        return Err(form.diagnostic("stands only beside `(copies …)`"));
+        return Err(form.diagnostic("is allowed only beside `(copies …)`"));
     }
     let needs_versions = parts.get("floor").or(parts.get("audit"));
     if let (Some(form), None) = (needs_versions, scenario.version_interval) {
-        return Err(form.diagnostic("stands only beside `(versions …)`"));
+        return Err(form.diagnostic("is allowed only beside `(versions …)`"));
     }
     if scenario.deduplicated + scenario.unrepeatable > 100.0 {
         return Err(form.diagnostic("deduplicated and unrepeatable are over 100 together"));
@@ -106,22 +106,22 @@
     Ok(())
 }
 
-/// A time above 0.
+/// Reads a time above 0.
 fn time(form: &Form, max_seconds: u64) -> Result<Duration, Diagnostic> {
     let time = Duration::from_micros(form.time()? * MICROSECONDS_PER_TICK);
     if time.is_zero() || time > Duration::from_secs(max_seconds) {
-        return Err(form.diagnostic(format!("must be above 0 and {max_seconds} s at the most")));
+        return Err(form.diagnostic(format!("must be above 0 and at most {max_seconds} s")));
     }
     Ok(time)
 }
 
-/// `(hollow (many 99) (a-process 50))`: at least one dispatcher is a process of its own.
+/// Reads `(hollow (many 99) (a-process 50))`. At least one dispatcher must be a process of its own.
 fn hollow(form: &Form, scenario: &Scenario) -> Result<(usize, usize), Diagnostic> {
     let parts = form.parts(&["many", "a-process"])?;
     let max = scenario.dispatchers as u64 - 1;
     if max == 0 {
         return Err(form.diagnostic(
-            "at least one dispatcher is a process of its own, and there is one alone",
+            "at least one dispatcher must be a process of its own, but there is only one",
         ));
     }
     let count = parts.required("many")?.integer(1, max)?;
@@ -130,7 +130,7 @@
     Ok((count as usize, per_process as usize))
 }
 
-/// `(maintenance (at 5 s) (at-a-time 10) (by-hall 6) (takes 1 s))`
+/// Reads `(maintenance (at 5 s) (at-a-time 10) (by-hall 6) (takes 1 s))`.
 fn maintenance(form: &Form) -> Result<MaintenancePlan, Diagnostic> {
     let parts = form.parts(&["at", "at-a-time", "by-hall", "takes"])?;
     let machines = |form: &Form| Ok(form.integer(1, 1_000)? as u32);
@@ -144,12 +144,12 @@
     })
 }
 
-/// `(versions (every 5 s))`, `(room (every 1 s))`
+/// Reads the interval of `(versions (every 5 s))` or `(room (every 1 s))`.
 fn every(form: &Form) -> Result<Duration, Diagnostic> {
     time(form.parts(&["every"])?.required("every")?, MAX_SECONDS)
 }
 
-/// `(from keepers control)`
+/// Reads `(from keepers control)`.
 fn peers(form: &Form) -> Result<Vec<LinkPeer>, Diagnostic> {
     let peer = |name: &str| {
         let known = LINK_PEERS.iter().find(|(known, _)| *known == name);
@@ -162,7 +162,7 @@
     form.symbols()?.into_iter().map(peer).collect()
 }
 
-/// `(roll (at 4 s) (unready-most 10) (ready-for 1 s) (start-first #t))`
+/// Reads `(roll (at 4 s) (unready-most 10) (ready-for 1 s) (start-first #t))`.
 fn rollout(form: &Form) -> Result<RolloutPlan, Diagnostic> {
     let parts = form.parts(&["at", "unready-most", "ready-for", "start-first"])?;
     let second = Duration::from_secs(1);
@@ -174,7 +174,7 @@
     })
 }
 
-/// `(kill-nodes (at 1 s) (for 2 s) (many 3))`
+/// Reads a fault, such as `(kill-nodes (at 1 s) (for 2 s) (many 3))`.
 fn fault(form: &Form, scenario: &Scenario) -> Result<ScheduledFault, Diagnostic> {
     let kind = FAULT_KINDS
         .iter()
@@ -185,14 +185,14 @@
     let max_count = max_count(kind, scenario) as u64;
     let at = Duration::from_micros(parts.required("at")?.time()? * MICROSECONDS_PER_TICK);
     if at > scenario.length {
-        return Err(form.diagnostic("comes after the day's end"));
+        return Err(form.diagnostic("is after the scenario's end"));
     }
     check_fault_parts(form, &parts, kind)?;
     if kind == FaultKind::LoseZone && scenario.failure_domains.is_none() {
-        return Err(form.diagnostic("stands only beside `(zones …)`"));
+        return Err(form.diagnostic("is allowed only beside `(zones …)`"));
     }
     if kind == FaultKind::HoldVersions && scenario.version_interval.is_none() {
-        return Err(form.diagnostic("stands only beside `(versions …)`"));
+        return Err(form.diagnostic("is allowed only beside `(versions …)`"));
     }
     let directions = parts.get_or("way", vec![Direction::In, Direction::Out], |form| {
         Ok(vec![
@@ -213,7 +213,7 @@
     })
 }
 
-/// How many a fault of this kind can strike.
+/// Returns the maximum number of targets of a fault of this kind, or of tasks in a burst.
 fn max_count(kind: FaultKind, scenario: &Scenario) -> usize {
     match kind {
         FaultKind::KillDispatchers
@@ -227,34 +227,34 @@
     }
 }
 
-/// Whether a part of a fault must, may or must not be there.
+/// Whether a part of a fault is required, optional or forbidden.
 #[derive(Clone, Copy)]
 enum Presence {
     Required,
     Optional,
-    Meaningless,
+    Forbidden,
 }
 
-/// Refuses parts that are missing, and those that mean nothing for this kind.
+/// Rejects a fault that lacks a required part or has one that its kind does not use.
 fn check_fault_parts(form: &Form, parts: &Parts, kind: FaultKind) -> Result<(), Diagnostic> {
     let required = |condition| match condition {
         true => Presence::Required,
-        false => Presence::Meaningless,
+        false => Presence::Forbidden,
     };
-    let lasts = !matches!(kind, FaultKind::LosePrograms | FaultKind::Burst);
-    let on_links = matches!(
+    let has_duration = !matches!(kind, FaultKind::LosePrograms | FaultKind::Burst);
+    let strikes_links = matches!(
         kind,
         FaultKind::CutDispatchers | FaultKind::DelayDispatchers
     );
-    let way = match on_links {
+    let direction = match strikes_links {
         true => Presence::Optional,
-        false => Presence::Meaningless,
+        false => Presence::Forbidden,
     };
     let presences = [
-        ("for", required(lasts)),
+        ("for", required(has_duration)),
         ("times", required(kind == FaultKind::Demand)),
-        ("from", required(on_links)),
-        ("way", way),
+        ("from", required(strikes_links)),
+        ("way", direction),
         ("by", required(kind == FaultKind::DelayDispatchers)),
     ];
     for (part, presence) in presences {
@@ -262,8 +262,8 @@
             (None, Presence::Required) => {
                 return Err(form.diagnostic(format!("lacks `({part} …)`")));
             }
-            (Some(there), Presence::Meaningless) => {
-                return Err(there.diagnostic("means nothing here"));
+            (Some(form), Presence::Forbidden) => {
+                return Err(form.diagnostic("is not used by this fault"));
             }
             _ => {}
         }
