--- a/crates/testbed/src/capacity/environment.rs
+++ b/crates/testbed/src/capacity/environment.rs
@@ -29,25 +29,25 @@
 
 /// The nodes that hold wishes and floors, stand-ins that can; all others take everything at once.
 const QUORUM_MEMBERS: u32 = 3;
-const PATIENCE: Duration = Duration::from_secs(90);
+const TIMEOUT: Duration = Duration::from_secs(90);
 /// Of a second: so many at a time, not all machines in one message.
-const SLICES: u32 = 10;
+const REPORT_SLICES: u32 = 10;
 /// A thread of stand-ins that is busier than this part of the time may be what is measured.
-const BUSY: f64 = 0.7;
+const MAX_THREAD_UTILIZATION: f64 = 0.7;
 /// A dispatcher that waits for a processor longer than this part of the time is not measured as it
 /// would run.
-const WAITS: f64 = 0.25;
-const STOLEN: f64 = 0.1;
-const CLOSES: Duration = Duration::from_millis(500);
+const MAX_CPU_WAIT: f64 = 0.25;
+const MAX_STOLEN: f64 = 0.1;
+const CLOSE_TIME: Duration = Duration::from_millis(500);
 /// After a refusal, before its owner asks anew.
-const AGAIN_AFTER: Duration = Duration::from_millis(500);
+const REQUEST_INTERVAL: Duration = Duration::from_millis(500);
 /// Dispatchers whose own counts are asked for at both ends of a watch.
-const ASKED: usize = 20;
+const MAX_POLLED_DISPATCHERS: usize = 20;
 /// Their counts and the relays' may differ by this part, and by what is on its way at the two
 /// moments.
-const APART: f64 = 0.02;
-const UNDER_WAY: f64 = 16_000.0;
-const KINDS: [(Peer, Kind); 4] = [
+const MAX_COUNT_DIFFERENCE: f64 = 0.02;
+const MAX_BYTES_IN_FLIGHT: f64 = 16_000.0;
+const PEER_KINDS: [(Peer, Kind); 4] = [
     (Peer::Roster, Kind::Roster),
     (Peer::Control, Kind::Control),
     (Peer::Keepers, Kind::Keepers),
@@ -65,30 +65,30 @@
 }
 
 /// A thread that carries stand-ins of one role.
-struct Thread {
+struct StandInThread {
     tasks: SharedExecutor,
     id: i32,
-    ends: async_channel::Sender<()>,
+    stop: async_channel::Sender<()>,
 }
 
-impl Thread {
-    fn start() -> Result<Thread, String> {
+impl StandInThread {
+    fn start() -> Result<StandInThread, String> {
         let tasks = SharedExecutor::default();
-        let (tell, told) = std::sync::mpsc::channel();
-        let (ends, ended) = async_channel::bounded::<()>(1);
-        let own = Arc::clone(&tasks);
+        let (sender, receiver) = std::sync::mpsc::channel();
+        let (stop, stopped) = async_channel::bounded::<()>(1);
+        let executor = Arc::clone(&tasks);
         std::thread::spawn(move || {
-            let _ = tell.send(kernel::this_thread());
-            let _ = future::block_on(own.run(ended.recv()));
+            let _ = sender.send(kernel::this_thread());
+            let _ = future::block_on(executor.run(stopped.recv()));
         });
-        let id = told.recv().map_err(|why| why.to_string())??;
-        Ok(Thread { tasks, id, ends })
+        let id = receiver.recv().map_err(|why| why.to_string())??;
+        Ok(StandInThread { tasks, id, stop })
     }
 }
 
-impl Drop for Thread {
+impl Drop for StandInThread {
     fn drop(&mut self) {
-        self.ends.close();
+        self.stop.close();
     }
 }
 
@@ -116,18 +116,18 @@
 pub struct Environment {
     pub setting: EnvironmentConfig,
     pub tasks: SharedExecutor,
-    threads: BTreeMap<Peer, Thread>,
-    relays: Thread,
+    threads: BTreeMap<Peer, StandInThread>,
+    relays: StandInThread,
     discovery: Arc<Discovery>,
-    entries: Vec<v1::Endpoint>,
+    endpoints: Vec<v1::Endpoint>,
     control: ControlService,
-    _up: ControlServiceGuard,
+    _control_guard: ControlServiceGuard,
     meters: BTreeMap<Peer, Arc<Meter>>,
-    owners: Vec<SocketAddr>,
+    client_addresses: Vec<SocketAddr>,
     dispatchers: Vec<Process>,
     /// Goes last: the dispatchers' files.
     _folder: tempfile::TempDir,
-    texts: SharedParts,
+    shared_parts: SharedParts,
 }
 
 /// Words of tasks that are asked for; dropped, the tasks are no longer wanted.
@@ -149,11 +149,11 @@
     }
 }
 
-fn text(why: std::io::Error) -> String {
+fn to_text(why: std::io::Error) -> String {
     why.to_string()
 }
 
-fn keeper(id: u32, seed: u64) -> NodeConfig {
+fn quorum_member_config(id: u32, seed: u64) -> NodeConfig {
     NodeConfig {
         id,
         machine_type: "wide".into(),
@@ -191,66 +191,62 @@
         setting: EnvironmentConfig,
     ) -> Result<Environment, String> {
         let mut threads = BTreeMap::new();
-        for end in [Peer::Roster, Peer::Control, Peer::Keepers, Peer::Nodes] {
-            threads.insert(end, Thread::start()?);
+        for peer in [Peer::Roster, Peer::Control, Peer::Keepers, Peer::Nodes] {
+            threads.insert(peer, StandInThread::start()?);
         }
-        let relays = Thread::start()?;
-        let context = |end| {
-            let capture = Capture::new(None).map_err(text)?;
-            Ok::<_, String>(SharedContext::new(capture, &threads[&end].tasks, None))
+        let relays = StandInThread::start()?;
+        let context = |peer| {
+            let capture = Capture::new(None).map_err(to_text)?;
+            Ok::<_, String>(SharedContext::new(capture, &threads[&peer].tasks, None))
         };
         let (discovery, discovery_address) = Discovery::start(&context(Peer::Roster)?)
             .await
-            .map_err(text)?;
-        let (control, up) = ControlService::start(&context(Peer::Control)?)
+            .map_err(to_text)?;
+        let (control, control_guard) = ControlService::start(&context(Peer::Control)?)
             .await
-            .map_err(text)?;
-        let nodes = TcpListener::bind("127.0.0.1:0").await.map_err(text)?;
-        let nodes_address = nodes.local_addr().map_err(text)?;
-        let tasks_there = &threads[&Peer::Nodes].tasks;
+            .map_err(to_text)?;
+        let nodes = TcpListener::bind("127.0.0.1:0").await.map_err(to_text)?;
+        let nodes_address = nodes.local_addr().map_err(to_text)?;
+        let node_tasks = &threads[&Peer::Nodes].tasks;
         if setting.room == FreeCapacity::NoneByUse {
             let served = corkspan_rpc::serve(
                 nodes,
                 NodeServer::new(FullNode),
                 ConnectionLimits::default(),
             );
-            tasks_there
-                .spawn(async move { drop(served.await) })
-                .detach();
+            node_tasks.spawn(async move { drop(served.await) }).detach();
         } else {
             let served = corkspan_rpc::serve(
                 nodes,
                 NodeServer::new(InstantNode),
                 ConnectionLimits::default(),
             );
-            tasks_there
-                .spawn(async move { drop(served.await) })
-                .detach();
+            node_tasks.spawn(async move { drop(served.await) }).detach();
         }
         let mut meters = BTreeMap::new();
-        let mut metered = async |end: Peer, to: SocketAddr| {
-            let (address, meter) = meter::relay(&relays.tasks, to).await.map_err(text)?;
-            meters.insert(end, meter);
+        let mut metered = async |peer: Peer, to: SocketAddr| {
+            let (address, meter) = meter::relay(&relays.tasks, to).await.map_err(to_text)?;
+            meters.insert(peer, meter);
             Ok::<_, String>(address)
         };
-        let discovery_there = metered(Peer::Roster, discovery_address).await?;
-        let control_there = metered(Peer::Control, control.address).await?;
-        let nodes_there = metered(Peer::Nodes, nodes_address).await?;
+        let discovery_relay = metered(Peer::Roster, discovery_address).await?;
+        let control_relay = metered(Peer::Control, control.address).await?;
+        let nodes_relay = metered(Peer::Nodes, nodes_address).await?;
         // Keepers have a relay each, and one meter.
-        let keepers_world = context(Peer::Keepers)?;
-        let keepers_meter = Arc::new(Meter::default());
-        let mut entries = Vec::new();
+        let quorum_context = context(Peer::Keepers)?;
+        let quorum_meter = Arc::new(Meter::default());
+        let mut endpoints = Vec::new();
         for id in 0..setting.machines {
             let address = match id < QUORUM_MEMBERS {
                 true => {
-                    let node = Node::new(keeper(id, setting.seed), &keepers_world);
-                    let at = node.start_process(false).await.map_err(text)?;
-                    let to = (at, Arc::clone(&keepers_meter));
+                    let node = Node::new(quorum_member_config(id, setting.seed), &quorum_context);
+                    let at = node.start_process(false).await.map_err(to_text)?;
+                    let to = (at, Arc::clone(&quorum_meter));
                     meter::relay_onto(&relays.tasks, to.0, to.1)
                         .await
-                        .map_err(text)?
+                        .map_err(to_text)?
                 }
-                false => nodes_there,
+                false => nodes_relay,
             };
             // Full by asks: what nodes accept is twice the cores and one and a half times the
             // memory of a machine.
@@ -262,58 +258,60 @@
             } else {
                 (-64.0, -128.0)
             };
-            let unasked = Some(v1::Resources { cores, memory });
-            entries.push(v1::Endpoint {
-                unreserved: unasked,
+            let unreserved = Some(v1::Resources { cores, memory });
+            endpoints.push(v1::Endpoint {
+                unreserved,
                 ..measure::endpoint(id, address)
             });
         }
-        meters.insert(Peer::Keepers, keepers_meter);
-        entries
+        meters.insert(Peer::Keepers, quorum_meter);
+        endpoints
             .iter()
-            .for_each(|entry| discovery.update(Duration::ZERO, entry.clone()));
-        let folder = tempfile::tempdir().map_err(text)?;
-        let (mut dispatchers, mut owners, mut texts) = (Vec::new(), Vec::new(), None);
-        let owners_meter = Arc::new(Meter::default());
+            .for_each(|endpoint| discovery.update(Duration::ZERO, endpoint.clone()));
+        let folder = tempfile::tempdir().map_err(to_text)?;
+        let (mut dispatchers, mut client_addresses, mut shared_parts) =
+            (Vec::new(), Vec::new(), None);
+        let clients_meter = Arc::new(Meter::default());
         for number in 0..setting.dispatchers {
             // A dispatcher writes beside its file, under the same name but for what stands after
             // the dot.
             let at = |name: &str| folder.path().join(format!("{number}-{name}"));
-            let (versions, rolls, list): (PathBuf, PathBuf, PathBuf) =
+            let (versions, rollouts, list): (PathBuf, PathBuf, PathBuf) =
                 (at("versions.json"), at("rolls.redb"), at("list.json"));
-            let more = format!(
-                "(shows-room #t) (may-probe #t) (keepers 0 1 2) (rolls {rolls:?}) (remembered {list:?})
-                 (control \"{control_there}\") (versions {versions:?}) (floor (every 2 s)) (seed {})",
+            let extra_parts = format!(
+                "(shows-room #t) (may-probe #t) (keepers 0 1 2) (rolls {rollouts:?}) (remembered {list:?})
+                 (control \"{control_relay}\") (versions {versions:?}) (floor (every 2 s)) (seed {})",
                 setting.seed
             );
-            let file = measure::deployment(discovery_there, &more)
+            let file = measure::deployment(discovery_relay, &extra_parts)
                 .replace("(number 0)", &format!("(number {number})"))
                 .replace(
                     "(schedulers 1)",
                     &format!("(schedulers {})", setting.schedulers),
                 );
-            texts = Some(SharedParts::parse("the first", &file).map_err(|why| why.to_string())?);
+            shared_parts =
+                Some(SharedParts::parse("the first", &file).map_err(|why| why.to_string())?);
             let process = Process::start_in(program, &at("file.sexp"), &file)?;
             let there =
-                meter::relay_onto(&relays.tasks, process.address, Arc::clone(&owners_meter)).await;
-            owners.push(there.map_err(text)?);
+                meter::relay_onto(&relays.tasks, process.address, Arc::clone(&clients_meter)).await;
+            client_addresses.push(there.map_err(to_text)?);
             dispatchers.push(process);
         }
-        meters.insert(Peer::Owners, owners_meter);
+        meters.insert(Peer::Owners, clients_meter);
         let environment = Environment {
             setting,
             tasks: Arc::clone(tasks),
             threads,
             relays,
             discovery,
-            entries,
+            endpoints,
             control,
-            _up: up,
+            _control_guard: control_guard,
             meters,
-            owners,
+            client_addresses,
             dispatchers,
             _folder: folder,
-            texts: texts.ok_or("no dispatcher is asked for")?,
+            shared_parts: shared_parts.ok_or("no dispatcher is asked for")?,
         };
         environment.wait_until_ready().await?;
         Ok(environment)
@@ -326,11 +324,11 @@
                 let mut client =
                     PlacementClient::new(measure::connect(&self.tasks, process.address).await?);
                 loop {
-                    let word = client
+                    let status = client
                         .status(v1::StatusRequest {})
                         .await
                         .map_err(|why| why.to_string())?;
-                    if word.get_ref().machines_serving >= u64::from(self.setting.machines) {
+                    if status.get_ref().machines_serving >= u64::from(self.setting.machines) {
                         break;
                     }
                     Timer::after(Duration::from_millis(20)).await;
@@ -341,7 +339,7 @@
             }
             Ok(())
         };
-        within(PATIENCE, ready)
+        within(TIMEOUT, ready)
             .await
             .ok_or("the dispatchers don't hear of all machines")?
     }
@@ -349,83 +347,86 @@
     pub async fn status(&self) -> Result<v1::StatusResponse, String> {
         let mut client =
             PlacementClient::new(measure::connect(&self.tasks, self.dispatchers[0].address).await?);
-        let word = client
+        let status = client
             .status(v1::StatusRequest {})
             .await
             .map_err(|why| why.to_string())?;
-        Ok(word.into_inner())
+        Ok(status.into_inner())
     }
 
     /// A link to the first dispatcher, as owners have it.
     pub async fn client(&self) -> Result<PlacementClient<Connection>, String> {
         Ok(PlacementClient::new(
-            measure::connect(&self.tasks, self.owners[0]).await?,
+            measure::connect(&self.tasks, self.client_addresses[0]).await?,
         ))
     }
 
     /// So many asks that nobody ends; dropped, they are no longer wanted.
-    pub async fn request_tasks(&self, many: usize) -> Result<PlacementStreams, String> {
+    pub async fn request_tasks(&self, count: usize) -> Result<PlacementStreams, String> {
         let client = self.client().await?;
-        let mut held = Vec::new();
-        for number in 0..many {
-            let ask = placement_request(&format!("waits{number}"), 3_600_000, 600_000);
-            held.push(
+        let mut streams = Vec::new();
+        for number in 0..count {
+            let request = placement_request(&format!("waits{number}"), 3_600_000, 600_000);
+            streams.push(
                 client
                     .clone()
-                    .place(ask)
+                    .place(request)
                     .await
                     .map_err(|why| why.to_string())?
                     .into_inner(),
             );
         }
-        Ok(held)
+        Ok(streams)
     }
 
     /// So many owners that each ask again a while after they were refused, until dropped.
     pub async fn request_repeatedly(
         &self,
-        many: usize,
+        count: usize,
     ) -> Result<Vec<async_executor::Task<()>>, String> {
         let client = self.client().await?;
-        let owner = |number: usize| {
+        let repeat_request = |number: usize| {
             let mut client = client.clone();
             self.tasks.spawn(async move {
-                for turn in 0u64.. {
+                for attempt in 0u64.. {
                     let placed = client.place(placement_request(
-                        &format!("returns{number}-{turn}"),
+                        &format!("returns{number}-{attempt}"),
                         3_600_000,
                         600_000,
                     ));
-                    if let Ok(words) = placed.await {
-                        let mut words = words.into_inner();
-                        while let Ok(Some(_)) = words.message().await {}
+                    if let Ok(events) = placed.await {
+                        let mut events = events.into_inner();
+                        while let Ok(Some(_)) = events.message().await {}
                     }
-                    Timer::after(AGAIN_AFTER).await;
+                    Timer::after(REQUEST_INTERVAL).await;
                 }
             })
         };
-        Ok((0..many).map(owner).collect())
+        Ok((0..count).map(repeat_request).collect())
     }
 
     /// Tells each machine's room every so often, a slice of the machines at a time, until dropped.
-    pub fn report_capacity(&self, every: Duration) -> async_executor::Task<()> {
-        let (discovery, entries) = (Arc::clone(&self.discovery), self.entries.clone());
+    pub fn report_capacity(&self, interval: Duration) -> async_executor::Task<()> {
+        let (discovery, endpoints) = (Arc::clone(&self.discovery), self.endpoints.clone());
         let mut rng = Pcg64Mcg::seed_from_u64(self.setting.seed);
         self.threads[&Peer::Roster].tasks.spawn(async move {
             let mut due = Instant::now();
             loop {
-                for slice in 0..SLICES {
-                    due += every / SLICES;
+                for slice in 0..REPORT_SLICES {
+                    due += interval / REPORT_SLICES;
                     Timer::at(due).await;
-                    for entry in entries.iter().filter(|entry| entry.node % SLICES == slice) {
+                    for endpoint in endpoints
+                        .iter()
+                        .filter(|endpoint| endpoint.node % REPORT_SLICES == slice)
+                    {
                         let (cores, memory) =
                             (rng.random_range(1.0..60.0), rng.random_range(1.0..200.0));
-                        let unasked = Some(v1::Resources { cores, memory });
+                        let unreserved = Some(v1::Resources { cores, memory });
                         discovery.update(
                             Duration::ZERO,
                             v1::Endpoint {
-                                unreserved: unasked,
-                                ..entry.clone()
+                                unreserved,
+                                ..endpoint.clone()
                             },
                         );
                     }
@@ -436,125 +437,132 @@
 
     /// Tells each machine's room once, and how many lines that was.
     pub fn report_capacity_once(&self, cores: f64) -> u64 {
-        for entry in &self.entries {
-            let unasked = Some(v1::Resources {
+        for endpoint in &self.endpoints {
+            let unreserved = Some(v1::Resources {
                 cores,
                 memory: cores,
             });
             self.discovery.update(
                 Duration::ZERO,
                 v1::Endpoint {
-                    unreserved: unasked,
-                    ..entry.clone()
+                    unreserved,
+                    ..endpoint.clone()
                 },
             );
         }
-        self.entries.len() as u64
+        self.endpoints.len() as u64
     }
 
     /// Bytes so far, both ways, on links of all dispatchers that end there.
-    pub fn bytes(&self, end: Peer) -> u64 {
-        self.meters[&end].bytes()
+    pub fn bytes(&self, peer: Peer) -> u64 {
+        self.meters[&peer].bytes()
     }
 
     /// What a step brings on those links, once no more comes.
-    pub async fn bytes_caused_by(&self, end: Peer, step: impl FnOnce()) -> u64 {
-        let before = self.bytes(end);
+    pub async fn bytes_caused_by(&self, peer: Peer, step: impl FnOnce()) -> u64 {
+        let before = self.bytes(peer);
         step();
-        let (mut last, mut still) = (before, 0);
-        while still < 5 || last == before {
+        let (mut last, mut unchanged_readings) = (before, 0);
+        while unchanged_readings < 5 || last == before {
             Timer::after(Duration::from_millis(100)).await;
-            let now = self.bytes(end);
-            still = if now == last { still + 1 } else { 0 };
+            let now = self.bytes(peer);
+            unchanged_readings = if now == last {
+                unchanged_readings + 1
+            } else {
+                0
+            };
             last = now;
         }
         last - before
     }
 
     /// The next version, streamed to all: one that changes what nobody feels.
-    pub fn publish(&self, which: u64) -> VersionId {
-        let accounts = format!("(accounts (a (share-cores {})))", 1_000_000 + which);
+    pub fn publish(&self, number: u64) -> VersionId {
+        let accounts = format!("(accounts (a (share-cores {})))", 1_000_000 + number);
         let changes = [("accounts".to_string(), accounts)];
         self.control.publish(
-            self.texts.with_changes(&changes.into_iter().collect(), &[]),
+            self.shared_parts
+                .with_changes(&changes.into_iter().collect(), &[]),
             false,
         )
     }
 
     /// Until each has answered that it is in force.
-    pub async fn wait_until_active(&self, stamp: VersionId) -> Result<(), String> {
-        let many = self.dispatchers.len() as u32;
+    pub async fn wait_until_active(&self, version: VersionId) -> Result<(), String> {
+        let dispatchers = self.dispatchers.len() as u32;
         let all = async {
-            while !(0..many).all(|who| self.control.running(who) == Some(stamp)) {
+            while !(0..dispatchers)
+                .all(|dispatcher| self.control.running(dispatcher) == Some(version))
+            {
                 Timer::after(Duration::from_millis(5)).await;
             }
         };
-        within(PATIENCE, all)
+        within(TIMEOUT, all)
             .await
-            .ok_or_else(|| format!("{stamp} is not in force everywhere in {PATIENCE:?}"))
+            .ok_or_else(|| format!("{version} is not in force everywhere in {TIMEOUT:?}"))
     }
 
     /// What dispatchers counted themselves, all together; none where they are too many to ask
     /// beside a watch.
     async fn counted(&self) -> Result<Option<BTreeMap<Peer, [u64; 3]>>, String> {
-        if self.dispatchers.len() > ASKED {
+        if self.dispatchers.len() > MAX_POLLED_DISPATCHERS {
             return Ok(None);
         }
         let mut sums: BTreeMap<Peer, [u64; 3]> =
-            KINDS.iter().map(|(end, _)| (*end, [0; 3])).collect();
+            PEER_KINDS.iter().map(|(peer, _)| (*peer, [0; 3])).collect();
         for process in &self.dispatchers {
             let mut client =
                 PlacementClient::new(measure::connect(&self.tasks, process.address).await?);
-            let word = client
+            let status = client
                 .status(v1::StatusRequest {})
                 .await
                 .map_err(|why| why.to_string())?
                 .into_inner();
-            for (end, kind) in KINDS {
-                let own = crate::traffic::traffic_of(&word.connection_traffic, kind);
-                let own = [
-                    own.bytes_in + own.bytes_out,
-                    own.messages_in,
-                    own.messages_out,
+            for (peer, kind) in PEER_KINDS {
+                let counts = crate::traffic::traffic_of(&status.connection_traffic, kind);
+                let counts = [
+                    counts.bytes_in + counts.bytes_out,
+                    counts.messages_in,
+                    counts.messages_out,
                 ];
-                let sum = sums.entry(end).or_default();
-                std::iter::zip(sum, own).for_each(|(sum, own)| *sum += own);
+                let sum = sums.entry(peer).or_default();
+                std::iter::zip(sum, counts).for_each(|(sum, counts)| *sum += counts);
             }
         }
         Ok(Some(sums))
     }
 
-    async fn look(&self) -> Result<Look, String> {
+    async fn read(&self) -> Result<Reading, String> {
         let counted = self.counted().await?;
-        let ran = self
+        let cpu_times = self
             .dispatchers
             .iter()
-            .map(|own| kernel::process(own.id()))
+            .map(|thread| kernel::process(thread.id()))
             .collect::<Result<_, _>>()?;
         let threads = self
             .threads
             .iter()
-            .map(|(end, own)| Ok((*end, kernel::thread(own.id)?)));
-        Ok(Look {
+            .map(|(peer, thread)| Ok((*peer, kernel::thread(thread.id)?)));
+        Ok(Reading {
             counted,
             at: Instant::now(),
-            dispatchers: ran,
+            dispatchers: cpu_times,
             threads: threads.collect::<Result<_, String>>()?,
             relays: kernel::thread(self.relays.id)?,
             ticks: kernel::ticks()?,
             bytes: self
                 .meters
                 .iter()
-                .map(|(end, meter)| (*end, meter.bytes()))
+                .map(|(peer, meter)| (*peer, meter.bytes()))
                 .collect(),
         })
     }
 
     /// Watches for so long.
     pub async fn watch(&self, time: Duration) -> Result<Watched, String> {
-        let before = self.look().await?;
+        let before = self.read().await?;
         Timer::after(time).await;
-        let after = self.look().await?;
+        let after = self.read().await?;
         let mut kib = Vec::new();
         for process in &self.dispatchers {
             kib.push(process.resident()? as f64);
@@ -566,7 +574,7 @@
     pub fn opened(&self) -> BTreeMap<Peer, u64> {
         self.meters
             .iter()
-            .map(|(end, meter)| (*end, meter.opened()))
+            .map(|(peer, meter)| (*peer, meter.opened()))
             .collect()
     }
 }
@@ -576,11 +584,11 @@
     /// see their links end and close them: hundreds of descriptors a place were left open.
     fn drop(&mut self) {
         self.dispatchers.clear();
-        std::thread::sleep(CLOSES);
+        std::thread::sleep(CLOSE_TIME);
     }
 }
 
-struct Look {
+struct Reading {
     counted: Option<BTreeMap<Peer, [u64; 3]>>,
     at: Instant,
     dispatchers: Vec<CpuTime>,
@@ -607,70 +615,73 @@
 }
 
 impl Watched {
-    fn between(before: &Look, after: &Look, kib: &[f64]) -> Watched {
+    fn between(before: &Reading, after: &Reading, kib: &[f64]) -> Watched {
         let seconds = (after.at - before.at).as_secs_f64();
         let percent = |ran: u64| ran as f64 / 1e7 / seconds;
-        let many = before.dispatchers.len().max(1) as f64;
-        let own = std::iter::zip(&after.dispatchers, &before.dispatchers).map(|(a, b)| a.since(*b));
-        let own = own.fold(CpuTime::default(), |sum, own| CpuTime {
-            ran: sum.ran + own.ran,
-            waited: sum.waited + own.waited,
+        let dispatchers = before.dispatchers.len().max(1) as f64;
+        let cpu_time =
+            std::iter::zip(&after.dispatchers, &before.dispatchers).map(|(a, b)| a.since(*b));
+        let cpu_time = cpu_time.fold(CpuTime::default(), |sum, cpu_time| CpuTime {
+            ran: sum.ran + cpu_time.ran,
+            waited: sum.waited + cpu_time.waited,
         });
         let threads: BTreeMap<Peer, f64> = (after.threads.iter())
-            .map(|(end, ran)| (*end, percent(ran.since(before.threads[end]).ran)))
+            .map(|(peer, ran)| (*peer, percent(ran.since(before.threads[peer]).ran)))
             .collect();
         let mut spoilt = Vec::new();
         let relays = percent(after.relays.since(before.relays).ran);
         for (name, busy) in threads
             .iter()
-            .map(|(end, busy)| (format!("{end:?}"), *busy))
+            .map(|(peer, busy)| (format!("{peer:?}"), *busy))
             .chain([("relays".into(), relays)])
         {
-            if busy > BUSY * 100.0 {
+            if busy > MAX_THREAD_UTILIZATION * 100.0 {
                 spoilt.push(format!(
                     "the thread of the stand-ins ({name}) was busy {busy:.0}% of the time"
                 ));
             }
         }
-        let waited = own.waited as f64 / 1e9 / seconds / many;
-        if waited > WAITS {
+        let waited = cpu_time.waited as f64 / 1e9 / seconds / dispatchers;
+        if waited > MAX_CPU_WAIT {
             spoilt.push(format!(
                 "a dispatcher waited for a processor {:.0}% of the time",
                 waited * 100.0
             ));
         }
-        let (all, stolen) = (
+        let (total, stolen) = (
             after.ticks.0 - before.ticks.0,
             after.ticks.1 - before.ticks.1,
         );
-        if stolen as f64 > STOLEN * all.max(1) as f64 {
+        if stolen as f64 > MAX_STOLEN * total.max(1) as f64 {
             spoilt.push(format!(
                 "{:.0}% of the machine was stolen",
-                100.0 * stolen as f64 / all as f64
+                100.0 * stolen as f64 / total as f64
             ));
         }
         let bytes: BTreeMap<Peer, f64> = (after.bytes.iter())
-            .map(|(end, bytes)| (*end, (bytes - before.bytes[end]) as f64 / seconds))
+            .map(|(peer, bytes)| (*peer, (bytes - before.bytes[peer]) as f64 / seconds))
             .collect();
         let counted = after
             .counted
             .as_ref()
             .zip(before.counted.as_ref())
             .map(|(after, before)| {
-                let rates = |end: &Peer| {
-                    let (after, before) = (after[end], before[end]);
-                    [0, 1, 2].map(|which| (after[which] - before[which]) as f64 / seconds)
+                let rates = |peer: &Peer| {
+                    let (after, before) = (after[peer], before[peer]);
+                    [0, 1, 2].map(|index| (after[index] - before[index]) as f64 / seconds)
                 };
                 after
                     .keys()
-                    .map(|end| (*end, rates(end)))
+                    .map(|peer| (*peer, rates(peer)))
                     .collect::<BTreeMap<Peer, [f64; 3]>>()
             });
-        for (end, [own, ..]) in counted.iter().flatten() {
-            if (own - bytes[end]).abs() > bytes[end] * APART + UNDER_WAY / seconds {
-                let seen = bytes[end];
+        for (peer, [counted_bytes, ..]) in counted.iter().flatten() {
+            if (counted_bytes - bytes[peer]).abs()
+                > bytes[peer] * MAX_COUNT_DIFFERENCE + MAX_BYTES_IN_FLIGHT / seconds
+            {
+                let relayed = bytes[peer];
                 spoilt.push(format!(
-                    "{end:?}: dispatchers count {own:.0} bytes/s, relays {seen:.0}"
+                    "{peer:?}: dispatchers count {counted_bytes:.0} bytes/s, relays {relayed:.0}"
                 ));
             }
         }
@@ -678,7 +689,7 @@
             seconds,
             bytes,
             counted,
-            core: percent(own.ran) / many,
+            core: percent(cpu_time.ran) / dispatchers,
             threads,
             mib: kib.iter().sum::<f64>() / 1_024.0 / kib.len().max(1) as f64,
             spoilt,
@@ -687,7 +698,7 @@
 
     /// Of control, of one dispatcher: all but owners and what nodes are offered.
     pub fn control_bytes(&self, dispatchers: usize) -> f64 {
-        let control = [Peer::Roster, Peer::Control, Peer::Keepers, Peer::Nodes];
-        control.iter().map(|end| self.bytes[end]).sum::<f64>() / dispatchers.max(1) as f64
+        let peers = [Peer::Roster, Peer::Control, Peer::Keepers, Peer::Nodes];
+        peers.iter().map(|peer| self.bytes[peer]).sum::<f64>() / dispatchers.max(1) as f64
     }
 }
--- a/crates/testbed/src/capacity/full_node.rs
+++ b/crates/testbed/src/capacity/full_node.rs
@@ -6,7 +6,7 @@
 use tonic::{Request, Response, Status};
 
 /// What it reports as unused: too little memory for anything to be sent there.
-const UNUSED: v1::LoadReport = v1::LoadReport {
+const AVAILABLE: v1::LoadReport = v1::LoadReport {
     cores: 1.0,
     memory: 4.0,
 };
@@ -14,12 +14,12 @@
 #[derive(Clone)]
 pub struct FullNode;
 
-type Words = Pin<Box<dyn Stream<Item = Result<v1::AttemptEvent, Status>> + Send>>;
+type EventStream = Pin<Box<dyn Stream<Item = Result<v1::AttemptEvent, Status>> + Send>>;
 
 #[tonic::async_trait]
 impl v1::node_server::Node for FullNode {
-    type OfferStream = Words;
-    type AttendStream = Words;
+    type OfferStream = EventStream;
+    type AttendStream = EventStream;
 
     async fn greet(
         &self,
@@ -28,19 +28,22 @@
         Ok(Response::new(request.into_inner()))
     }
 
-    async fn offer(&self, _: Request<v1::AttemptRequest>) -> Result<Response<Words>, Status> {
-        let refused = Event::Rejected(v1::AttemptRejected {
+    async fn offer(&self, _: Request<v1::AttemptRequest>) -> Result<Response<EventStream>, Status> {
+        let rejected = Event::Rejected(v1::AttemptRejected {
             reason: Rejection::NoMemory.into(),
             minimum_version: None,
         });
-        let said = v1::AttemptEvent {
-            event: Some(refused),
-            load_report: Some(UNUSED),
+        let event = v1::AttemptEvent {
+            event: Some(rejected),
+            load_report: Some(AVAILABLE),
         };
-        Ok(Response::new(Box::pin(stream::once(Ok(said)))))
+        Ok(Response::new(Box::pin(stream::once(Ok(event)))))
     }
 
-    async fn attend(&self, _: Request<v1::AttemptRequest>) -> Result<Response<Words>, Status> {
+    async fn attend(
+        &self,
+        _: Request<v1::AttemptRequest>,
+    ) -> Result<Response<EventStream>, Status> {
         Err(Status::unimplemented("nothing stays here"))
     }
 
@@ -63,7 +66,7 @@
         _: Request<v1::HealthCheckRequest>,
     ) -> Result<Response<v1::HealthCheckResponse>, Status> {
         Ok(Response::new(v1::HealthCheckResponse {
-            load_report: Some(UNUSED),
+            load_report: Some(AVAILABLE),
         }))
     }
 
--- a/crates/testbed/src/capacity/kernel.rs
+++ b/crates/testbed/src/capacity/kernel.rs
@@ -33,18 +33,20 @@
 pub fn process(id: u32) -> Result<CpuTime, String> {
     let threads =
         fs::read_dir(format!("/proc/{id}/task")).map_err(|why| format!("process {id}: {why}"))?;
-    let each = threads
+    let times = threads
         .flatten()
         .filter_map(|thread| schedstat(&thread.path().join("schedstat")));
-    Ok(each.fold(CpuTime::default(), |sum, own| CpuTime {
-        ran: sum.ran + own.ran,
-        waited: sum.waited + own.waited,
+    Ok(times.fold(CpuTime::default(), |sum, time| CpuTime {
+        ran: sum.ran + time.ran,
+        waited: sum.waited + time.waited,
     }))
 }
 
 pub fn this_thread() -> Result<i32, String> {
-    let own = fs::read_link("/proc/thread-self").map_err(|why| why.to_string())?;
-    let id = own.file_name().and_then(|name| name.to_str()?.parse().ok());
+    let link = fs::read_link("/proc/thread-self").map_err(|why| why.to_string())?;
+    let id = link
+        .file_name()
+        .and_then(|name| name.to_str()?.parse().ok());
     id.ok_or_else(|| "the kernel does not tell threads apart".into())
 }
 
@@ -58,13 +60,13 @@
 pub fn ticks() -> Result<(u64, u64), String> {
     let text = fs::read_to_string("/proc/stat").map_err(|why| why.to_string())?;
     let line = text.lines().next().unwrap_or("");
-    let all: Vec<u64> = line
+    let ticks: Vec<u64> = line
         .split_whitespace()
         .skip(1)
         .filter_map(|field| field.parse().ok())
         .collect();
-    match all.get(7) {
-        Some(stolen) => Ok((all[..8].iter().sum(), *stolen)),
+    match ticks.get(7) {
+        Some(stolen) => Ok((ticks[..8].iter().sum(), *stolen)),
         None => Err("the kernel does not tell its ticks".into()),
     }
 }
@@ -88,14 +90,14 @@
     let kib = line
         .and_then(|rest| rest.split_whitespace().next()?.parse::<u64>().ok())
         .unwrap_or(0);
-    let most = |which| {
+    let limit = |which| {
         rustix::process::getrlimit(which)
             .current
             .unwrap_or(u64::MAX)
     };
     MachineResources {
         memory_mib: kib / 1_024,
-        processes: most(rustix::process::Resource::Nproc),
-        descriptors: most(rustix::process::Resource::Nofile),
+        processes: limit(rustix::process::Resource::Nproc),
+        descriptors: limit(rustix::process::Resource::Nofile),
     }
 }
--- a/crates/testbed/src/capacity/meter.rs
+++ b/crates/testbed/src/capacity/meter.rs
@@ -10,15 +10,15 @@
 /// Of all links through one relay.
 #[derive(Default)]
 pub struct Meter {
-    there: AtomicU64,
-    back: AtomicU64,
+    to_target: AtomicU64,
+    from_target: AtomicU64,
     opened: AtomicU64,
 }
 
 impl Meter {
     /// Bytes both ways.
     pub fn bytes(&self) -> u64 {
-        self.there.load(Relaxed) + self.back.load(Relaxed)
+        self.to_target.load(Relaxed) + self.from_target.load(Relaxed)
     }
 
     /// Links that were ever opened.
@@ -44,32 +44,33 @@
 ) -> std::io::Result<SocketAddr> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let address = listener.local_addr()?;
-    let own = Arc::clone(tasks);
-    let listens = async move {
+    let executor = Arc::clone(tasks);
+    let accept_loop = async move {
         while let Ok((from, _)) = listener.accept().await {
             meter.opened.fetch_add(1, Relaxed);
             let meter = Arc::clone(&meter);
-            own.spawn(async move {
-                let Ok(onward) = TcpStream::connect(to).await else {
-                    return;
-                };
-                let _ = (from.set_nodelay(true), onward.set_nodelay(true));
-                let there = pass(from.clone(), onward.clone(), &meter.there);
-                let back = pass(onward, from, &meter.back);
-                future::zip(there, back).await;
-            })
-            .detach();
+            executor
+                .spawn(async move {
+                    let Ok(onward) = TcpStream::connect(to).await else {
+                        return;
+                    };
+                    let _ = (from.set_nodelay(true), onward.set_nodelay(true));
+                    let to_target = forward(from.clone(), onward.clone(), &meter.to_target);
+                    let from_target = forward(onward, from, &meter.from_target);
+                    future::zip(to_target, from_target).await;
+                })
+                .detach();
         }
     };
-    tasks.spawn(listens).detach();
+    tasks.spawn(accept_loop).detach();
     Ok(address)
 }
 
-async fn pass(mut from: TcpStream, mut to: TcpStream, count: &AtomicU64) {
+async fn forward(mut from: TcpStream, mut to: TcpStream, total: &AtomicU64) {
     let mut bytes = vec![0; 16 * 1024];
-    while let Ok(many @ 1..) = from.read(&mut bytes).await {
-        count.fetch_add(many as u64, Relaxed);
-        if to.write_all(&bytes[..many]).await.is_err() {
+    while let Ok(count @ 1..) = from.read(&mut bytes).await {
+        total.fetch_add(count as u64, Relaxed);
+        if to.write_all(&bytes[..count]).await.is_err() {
             break;
         }
     }
--- a/crates/testbed/src/capacity/mod.rs
+++ b/crates/testbed/src/capacity/mod.rs
@@ -37,16 +37,16 @@
 }
 
 /// A place that was spoilt is measured again at most so often.
-const AGAIN: u32 = 1;
+const MAX_REPEATS: u32 = 1;
 /// After dispatchers have come up, before they are watched.
-const SETTLE: Duration = Duration::from_secs(3);
+const SETTLE_TIME: Duration = Duration::from_secs(3);
 /// Asks that leave so late, at the 99th percentile, are another load than was meant.
-const LATE: Duration = Duration::from_millis(50);
+const MAX_LATENESS: Duration = Duration::from_millis(50);
 /// Of what was to be told or asked, so much must have been.
-const WHOLE: f64 = 0.95;
+const MIN_COMPLETION: f64 = 0.95;
 /// On the axis of dispatchers.
 const FEW_MACHINES: u32 = 140;
-const ROOM_EVERY: Duration = Duration::from_secs(5);
+const CAPACITY_REPORT_INTERVAL: Duration = Duration::from_secs(5);
 
 type Figures = BTreeMap<String, f64>;
 
@@ -54,19 +54,19 @@
 #[derive(Default)]
 struct Measured {
     figures: Figures,
-    spoilt: Vec<String>,
+    invalid: Vec<String>,
 }
 
 impl Measured {
-    fn put(&mut self, name: &str, value: f64) {
+    fn record(&mut self, name: &str, value: f64) {
         // Digits beyond these are noise, and make a kept file hard to read.
         self.figures
             .insert(name.into(), (value * 1e4).round() / 1e4);
     }
 
-    fn spoils(&mut self, what: &str, watched: &Watched) {
-        self.spoilt
-            .extend(watched.spoilt.iter().map(|why| format!("{what}: {why}")));
+    fn add_invalid(&mut self, phase: &str, watched: &Watched) {
+        self.invalid
+            .extend(watched.spoilt.iter().map(|why| format!("{phase}: {why}")));
     }
 }
 
@@ -82,13 +82,14 @@
     fn series(&self) -> Vec<Series> {
         let size = &self.size;
         let (machines, quick) = (size.machines, self.quick);
-        let some = |full: &[f64], small: &[f64]| if quick { small.to_vec() } else { full.to_vec() };
-        let of = |axis: Axis| match axis {
+        let choose_places =
+            |full: &[f64], small: &[f64]| if quick { small.to_vec() } else { full.to_vec() };
+        let series_of = |axis: Axis| match axis {
             Axis::Machines => vec![Series {
                 axis,
                 name: "control",
                 fixed: format!("1 dispatcher of {}, 3 keepers, no asks", size.dispatchers),
-                places: some(
+                places: choose_places(
                     &[140.0, 400.0, machines, machines * 2.0],
                     &[140.0, 400.0, machines],
                 ),
@@ -99,7 +100,7 @@
                 fixed: format!(
                     "{FEW_MACHINES} machines, each one's room told each 5 s, 3 keepers, no asks"
                 ),
-                places: some(&[5.0, 20.0, 60.0, 150.0, 300.0], &[5.0, 10.0, 20.0]),
+                places: choose_places(&[5.0, 20.0, 60.0, 150.0, 300.0], &[5.0, 10.0, 20.0]),
             }],
             Axis::Tasks => vec![
                 Series {
@@ -109,7 +110,7 @@
                         "1 dispatcher of {}, {machines} machines, no further asks",
                         size.dispatchers
                     ),
-                    places: some(
+                    places: choose_places(
                         &[200.0, 500.0, 1_000.0, 2_000.0, size.running],
                         &[100.0, 300.0, 600.0],
                     ),
@@ -127,11 +128,11 @@
                 },
             ],
             Axis::Waiting => {
-                let series = |name, how| Series {
+                let series = |name, load| Series {
                     axis,
                     name,
                     fixed: format!(
-                        "1 dispatcher of {}, {machines} machines {how}",
+                        "1 dispatcher of {}, {machines} machines {load}",
                         size.dispatchers
                     ),
                     places: [0.0, 0.1, 0.3, 1.0]
@@ -156,36 +157,38 @@
                 places: vec![0.0, 1.0, 2.0, 5.0],
             }],
         };
-        self.axes.iter().flat_map(|axis| of(*axis)).collect()
+        self.axes.iter().flat_map(|axis| series_of(*axis)).collect()
     }
 
     /// Refused at once where this machine can't carry it.
-    fn fits(&self) -> Result<(), String> {
-        let has = kernel::machine();
+    fn check_requirements(&self) -> Result<(), String> {
+        let available = kernel::machine();
         for series in self.series() {
-            let most = series.places.iter().copied().fold(0.0, f64::max) as u64;
+            let max_place = series.places.iter().copied().fold(0.0, f64::max) as u64;
             let machines = self.size.machines as u64;
-            let needs = match series.axis {
-                Axis::Machines => requirements::required_for(1, most, 0),
-                Axis::Dispatchers => requirements::required_for(most, u64::from(FEW_MACHINES), 0),
-                Axis::Tasks | Axis::Waiting => requirements::required_for(1, machines, most),
+            let required = match series.axis {
+                Axis::Machines => requirements::required_for(1, max_place, 0),
+                Axis::Dispatchers => {
+                    requirements::required_for(max_place, u64::from(FEW_MACHINES), 0)
+                }
+                Axis::Tasks | Axis::Waiting => requirements::required_for(1, machines, max_place),
                 Axis::Versions => requirements::required_for(1, u64::from(FEW_MACHINES), 0),
             };
-            requirements::check(needs, has)
+            requirements::check(required, available)
                 .map_err(|why| format!("{} / {}: {why}", series.axis.name(), series.name))?;
         }
         // What the size itself says stands as processes.
-        let whole = requirements::required_for(
+        let required = requirements::required_for(
             self.size.dispatchers as u64,
             self.size.machines as u64,
             self.size.running as u64,
         );
-        requirements::check(whole, has).map_err(|why| format!("the size: {why}"))
+        requirements::check(required, available).map_err(|why| format!("the size: {why}"))
     }
 
     /// Measures, telling each run as soon as it is whole.
-    pub fn run(&self, mut whole: impl FnMut(Run) -> Result<(), String>) -> Result<(), String> {
-        self.fits()?;
+    pub fn run(&self, mut on_run: impl FnMut(Run) -> Result<(), String>) -> Result<(), String> {
+        self.check_requirements()?;
         for series in self.series() {
             let mut run = Run {
                 axis: series.axis,
@@ -201,53 +204,59 @@
             };
             for round in 0..self.rounds {
                 for &at in &series.places {
-                    let mut point = self.point(&series, at, round)?;
-                    for _ in 0..AGAIN {
+                    let mut point = self.measure_point(&series, at, round)?;
+                    for _ in 0..MAX_REPEATS {
                         if point.invalid.is_some() {
                             run.points.push(std::mem::replace(
                                 &mut point,
-                                self.point(&series, at, round)?,
+                                self.measure_point(&series, at, round)?,
                             ));
                         }
                     }
                     run.points.push(point);
                 }
             }
-            whole(run)?;
+            on_run(run)?;
         }
         Ok(())
     }
 
-    fn point(&self, series: &Series, at: f64, round: u32) -> Result<Point, String> {
+    fn measure_point(&self, series: &Series, at: f64, round: u32) -> Result<Point, String> {
         let (before, tasks) = (kernel::load(), SharedExecutor::default());
         let measured = match (series.axis, series.name) {
-            (Axis::Machines, _) => future::block_on(tasks.clone().run(self.machines(tasks, at))),
+            (Axis::Machines, _) => {
+                future::block_on(tasks.clone().run(self.measure_machines(tasks, at)))
+            }
             (Axis::Dispatchers, _) => {
-                future::block_on(tasks.clone().run(self.dispatchers(tasks, at)))
+                future::block_on(tasks.clone().run(self.measure_dispatchers(tasks, at)))
             }
-            (Axis::Tasks, "held") => future::block_on(tasks.clone().run(self.held(tasks, at))),
-            (Axis::Tasks, _) => future::block_on(tasks.clone().run(self.starts(tasks, at))),
-            (Axis::Waiting, "full by asks") => future::block_on(tasks.clone().run(self.waiting(
-                tasks,
-                at,
-                FreeCapacity::NoneByAsks,
-            ))),
-            (Axis::Waiting, _) => future::block_on(tasks.clone().run(self.waiting(
+            (Axis::Tasks, "held") => {
+                future::block_on(tasks.clone().run(self.measure_held(tasks, at)))
+            }
+            (Axis::Tasks, _) => future::block_on(tasks.clone().run(self.measure_starts(tasks, at))),
+            (Axis::Waiting, "full by asks") => future::block_on(
+                tasks
+                    .clone()
+                    .run(self.measure_waiting(tasks, at, FreeCapacity::NoneByAsks)),
+            ),
+            (Axis::Waiting, _) => future::block_on(tasks.clone().run(self.measure_waiting(
                 tasks,
                 at,
                 FreeCapacity::NoneByUse,
             ))),
-            (Axis::Versions, _) => future::block_on(tasks.clone().run(self.versions(tasks, at))),
+            (Axis::Versions, _) => {
+                future::block_on(tasks.clone().run(self.measure_versions(tasks, at)))
+            }
         };
         let measured = measured
             .map_err(|why| format!("{} / {} at {at}: {why}", series.axis.name(), series.name))?;
-        let spoilt = (!measured.spoilt.is_empty()).then(|| measured.spoilt.join("; "));
+        let invalid = (!measured.invalid.is_empty()).then(|| measured.invalid.join("; "));
         let load = before.max(kernel::load());
-        let told = spoilt
+        let reason = invalid
             .as_ref()
             .map_or(String::new(), |why| format!("  SPOILT: {why}"));
         println!(
-            "{} / {} at {at}, round {round}, load {load:.1}{told}",
+            "{} / {} at {at}, round {round}, load {load:.1}{reason}",
             series.axis.name(),
             series.name
         );
@@ -258,12 +267,12 @@
             at,
             round,
             load,
-            invalid: spoilt,
+            invalid,
             figures: measured.figures,
         })
     }
 
-    fn setting(&self, machines: u32, dispatchers: usize) -> EnvironmentConfig {
+    fn environment_config(&self, machines: u32, dispatchers: usize) -> EnvironmentConfig {
         let schedulers = dispatchers.max(self.size.dispatchers as usize);
         EnvironmentConfig {
             machines,
@@ -274,61 +283,75 @@
         }
     }
 
-    async fn machines(&self, tasks: SharedExecutor, at: f64) -> Result<Measured, String> {
+    async fn measure_machines(&self, tasks: SharedExecutor, at: f64) -> Result<Measured, String> {
         let environment =
-            Environment::start(&tasks, &self.program, self.setting(at as u32, 1)).await?;
-        Timer::after(SETTLE).await;
-        let mut out = Measured::default();
+            Environment::start(&tasks, &self.program, self.environment_config(at as u32, 1))
+                .await?;
+        Timer::after(SETTLE_TIME).await;
+        let mut measured = Measured::default();
         let quiet = environment.watch(self.watch).await?;
-        let telling = environment.report_capacity(Duration::from_secs(1));
+        let reports = environment.report_capacity(Duration::from_secs(1));
         Timer::after(Duration::from_secs(1)).await;
-        let told = environment.watch(self.watch).await?;
-        drop(telling);
-        for (name, watched) in [("quiet", &quiet), ("told", &told)] {
-            out.put(&format!("{name}, bytes/s"), watched.control_bytes(1));
-            out.put(&format!("{name}, core %"), watched.core);
-            out.spoils(name, watched);
-            for end in [Peer::Roster, Peer::Keepers, Peer::Control, Peer::Nodes] {
-                let kind = format!("{end:?}").to_lowercase();
-                out.put(&format!("{name}, {kind}, bytes/s"), watched.bytes[&end]);
-                if let Some([bytes, came, went]) =
-                    watched.counted.as_ref().and_then(|own| own.get(&end))
+        let reported = environment.watch(self.watch).await?;
+        drop(reports);
+        for (name, watched) in [("quiet", &quiet), ("told", &reported)] {
+            measured.record(&format!("{name}, bytes/s"), watched.control_bytes(1));
+            measured.record(&format!("{name}, core %"), watched.core);
+            measured.add_invalid(name, watched);
+            for peer in [Peer::Roster, Peer::Keepers, Peer::Control, Peer::Nodes] {
+                let kind = format!("{peer:?}").to_lowercase();
+                measured.record(&format!("{name}, {kind}, bytes/s"), watched.bytes[&peer]);
+                if let Some([bytes, messages_in, messages_out]) = watched
+                    .counted
+                    .as_ref()
+                    .and_then(|counts| counts.get(&peer))
                 {
-                    out.put(&format!("{name}, {kind}, bytes/s by its own count"), *bytes);
-                    out.put(&format!("{name}, {kind}, messages/s"), came + went);
+                    measured.record(&format!("{name}, {kind}, bytes/s by its own count"), *bytes);
+                    measured.record(
+                        &format!("{name}, {kind}, messages/s"),
+                        messages_in + messages_out,
+                    );
                 }
             }
         }
-        out.put("roster, bytes/s", told.bytes[&Peer::Roster]);
-        out.put("roster's thread, core %", told.threads[&Peer::Roster]);
-        out.put("told, bytes a line", told.bytes[&Peer::Roster] / at);
-        out.put("memory, MiB", told.mib);
-        Ok(out)
+        measured.record("roster, bytes/s", reported.bytes[&Peer::Roster]);
+        measured.record("roster's thread, core %", reported.threads[&Peer::Roster]);
+        measured.record("told, bytes a line", reported.bytes[&Peer::Roster] / at);
+        measured.record("memory, MiB", reported.mib);
+        Ok(measured)
     }
 
-    async fn dispatchers(&self, tasks: SharedExecutor, at: f64) -> Result<Measured, String> {
-        let many = at as usize;
-        let environment =
-            Environment::start(&tasks, &self.program, self.setting(FEW_MACHINES, many)).await?;
-        Timer::after(SETTLE).await;
-        let mut out = Measured::default();
-        let telling = environment.report_capacity(ROOM_EVERY);
+    async fn measure_dispatchers(
+        &self,
+        tasks: SharedExecutor,
+        at: f64,
+    ) -> Result<Measured, String> {
+        let dispatchers = at as usize;
+        let environment = Environment::start(
+            &tasks,
+            &self.program,
+            self.environment_config(FEW_MACHINES, dispatchers),
+        )
+        .await?;
+        Timer::after(SETTLE_TIME).await;
+        let mut measured = Measured::default();
+        let reports = environment.report_capacity(CAPACITY_REPORT_INTERVAL);
         Timer::after(Duration::from_secs(1)).await;
-        let told = environment.watch(self.watch).await?;
-        drop(telling);
-        out.spoils("told", &told);
-        out.put("told, bytes/s", told.control_bytes(many));
-        out.put("core %", told.core);
-        out.put("memory, MiB", told.mib);
-        for end in [Peer::Roster, Peer::Keepers, Peer::Control] {
-            let kind = format!("{end:?}").to_lowercase();
-            out.put(&format!("{kind}, bytes/s"), told.bytes[&end]);
-            out.put(
+        let reported = environment.watch(self.watch).await?;
+        drop(reports);
+        measured.add_invalid("told", &reported);
+        measured.record("told, bytes/s", reported.control_bytes(dispatchers));
+        measured.record("core %", reported.core);
+        measured.record("memory, MiB", reported.mib);
+        for peer in [Peer::Roster, Peer::Keepers, Peer::Control] {
+            let kind = format!("{peer:?}").to_lowercase();
+            measured.record(&format!("{kind}, bytes/s"), reported.bytes[&peer]);
+            measured.record(
                 &format!(
                     "{kind}{} thread, core %",
-                    if end == Peer::Keepers { "'" } else { "'s" }
+                    if peer == Peer::Keepers { "'" } else { "'s" }
                 ),
-                told.threads[&end],
+                reported.threads[&peer],
             );
         }
         // The first is taken whole by each; the next are changes.
@@ -336,63 +359,65 @@
             .wait_until_active(environment.publish(0))
             .await?;
         let mut slowest: f64 = 0.0;
-        for which in 1..=3 {
-            let began = Instant::now();
+        for number in 1..=3 {
+            let published_at = Instant::now();
             environment
-                .wait_until_active(environment.publish(which))
+                .wait_until_active(environment.publish(number))
                 .await?;
-            slowest = slowest.max(began.elapsed().as_secs_f64());
+            slowest = slowest.max(published_at.elapsed().as_secs_f64());
         }
-        out.put("in force, s", slowest);
-        Ok(out)
+        measured.record("in force, s", slowest);
+        Ok(measured)
     }
 
-    async fn held(&self, tasks: SharedExecutor, at: f64) -> Result<Measured, String> {
+    async fn measure_held(&self, tasks: SharedExecutor, at: f64) -> Result<Measured, String> {
         let environment = Environment::start(
             &tasks,
             &self.program,
-            self.setting(self.size.machines as u32, 1),
+            self.environment_config(self.size.machines as u32, 1),
         )
         .await?;
-        let mut words = environment.request_tasks(at as usize).await?;
-        for own in &mut words {
-            let word = within(Duration::from_secs(60), own.message()).await;
-            word.ok_or("a task is not placed in 60 s")?
+        let mut streams = environment.request_tasks(at as usize).await?;
+        for stream in &mut streams {
+            let event = within(Duration::from_secs(60), stream.message()).await;
+            event
+                .ok_or("a task is not placed in 60 s")?
                 .map_err(|why| why.to_string())?;
         }
-        Timer::after(SETTLE).await;
+        Timer::after(SETTLE_TIME).await;
         let watched = environment.watch(self.watch).await?;
-        let mut out = Measured::default();
-        out.spoils("held", &watched);
-        out.put("core %", watched.core);
-        out.put("memory, MiB", watched.mib);
-        out.put("bytes/s", watched.control_bytes(1));
-        out.put("in hand", environment.status().await?.in_flight as f64);
-        Ok(out)
+        let mut measured = Measured::default();
+        measured.add_invalid("held", &watched);
+        measured.record("core %", watched.core);
+        measured.record("memory, MiB", watched.mib);
+        measured.record("bytes/s", watched.control_bytes(1));
+        measured.record("in hand", environment.status().await?.in_flight as f64);
+        Ok(measured)
     }
 
-    async fn starts(&self, tasks: SharedExecutor, at: f64) -> Result<Measured, String> {
+    async fn measure_starts(&self, tasks: SharedExecutor, at: f64) -> Result<Measured, String> {
         let environment = Environment::start(
             &tasks,
             &self.program,
-            self.setting(self.size.machines as u32, 1),
+            self.environment_config(self.size.machines as u32, 1),
         )
         .await?;
         let client = environment.client().await?;
-        let late: Arc<Mutex<Vec<Duration>>> = Arc::default();
-        let before = environment.status().await?;
-        let asking = {
-            let (tasks, late, apart) = (
+        let delays: Arc<Mutex<Vec<Duration>>> = Arc::default();
+        let initial = environment.status().await?;
+        let requests = {
+            let (tasks, delays, interval) = (
                 tasks.clone(),
-                Arc::clone(&late),
+                Arc::clone(&delays),
                 Duration::from_secs_f64(1.0 / at),
             );
             tasks.clone().spawn(async move {
                 let mut due = Instant::now();
                 for number in 0u64.. {
-                    due += apart;
+                    due += interval;
                     Timer::at(due).await;
-                    late.lock()
+                    delays
+                        .lock()
                         .expect("no one panics over the times")
                         .push(due.elapsed());
                     let mut client = client.clone();
@@ -401,148 +426,157 @@
                             let placed = client
                                 .place(placement_request(&format!("start{number}"), 1, 10_000))
                                 .await;
-                            let Ok(words) = placed else { return };
-                            let mut words = words.into_inner();
-                            while let Ok(Some(_)) = words.message().await {}
+                            let Ok(events) = placed else { return };
+                            let mut events = events.into_inner();
+                            while let Ok(Some(_)) = events.message().await {}
                         })
                         .detach();
                 }
             })
         };
-        Timer::after(SETTLE).await;
-        let began = environment.status().await?;
+        Timer::after(SETTLE_TIME).await;
+        let before = environment.status().await?;
         let watched = environment.watch(self.watch).await?;
-        let ended = environment.status().await?;
-        drop(asking);
-        let mut out = Measured::default();
-        out.spoils("starts", &watched);
-        let mut late = std::mem::take(&mut *late.lock().expect("no one panics over the times"));
-        late.sort();
-        let p99 = late.get(late.len() * 99 / 100).copied().unwrap_or_default();
-        if p99 > LATE {
-            out.spoilt.push(format!(
+        let after = environment.status().await?;
+        drop(requests);
+        let mut measured = Measured::default();
+        measured.add_invalid("starts", &watched);
+        let mut delays = std::mem::take(&mut *delays.lock().expect("no one panics over the times"));
+        delays.sort();
+        let p99 = delays
+            .get(delays.len() * 99 / 100)
+            .copied()
+            .unwrap_or_default();
+        if p99 > MAX_LATENESS {
+            measured.invalid.push(format!(
                 "asks left {} ms late at the 99th percentile",
                 p99.as_millis()
             ));
         }
-        let placed = (ended.placed - began.placed) as f64 / watched.seconds;
-        if placed < at * WHOLE {
-            out.spoilt.push(format!("{placed:.0} a second were placed"));
+        let placed = (after.placed - before.placed) as f64 / watched.seconds;
+        if placed < at * MIN_COMPLETION {
+            measured
+                .invalid
+                .push(format!("{placed:.0} a second were placed"));
         }
-        out.put("core %", watched.core);
-        out.put("core us a start", watched.core * 1e4 / placed.max(1.0));
-        out.put(
+        measured.record("core %", watched.core);
+        measured.record("core us a start", watched.core * 1e4 / placed.max(1.0));
+        measured.record(
             "nodes, bytes/s",
             watched.bytes[&Peer::Nodes] + watched.bytes[&Peer::Keepers],
         );
-        out.put("owners, bytes/s", watched.bytes[&Peer::Owners]);
-        out.put("placed a second", placed);
-        out.put(
+        measured.record("owners, bytes/s", watched.bytes[&Peer::Owners]);
+        measured.record("placed a second", placed);
+        measured.record(
             "links to nodes opened",
             environment.opened()[&Peer::Nodes] as f64,
         );
-        out.put(
+        measured.record(
             "asked before it was watched",
-            (began.requested - before.requested) as f64,
+            (before.requested - initial.requested) as f64,
         );
-        out.put("memory, MiB", watched.mib);
-        Ok(out)
+        measured.record("memory, MiB", watched.mib);
+        Ok(measured)
     }
 
-    async fn waiting(
+    async fn measure_waiting(
         &self,
         tasks: SharedExecutor,
         at: f64,
         room: FreeCapacity,
     ) -> Result<Measured, String> {
-        let setting = EnvironmentConfig {
+        let environment_config = EnvironmentConfig {
             room,
-            ..self.setting(self.size.machines as u32, 1)
+            ..self.environment_config(self.size.machines as u32, 1)
         };
-        let environment = Environment::start(&tasks, &self.program, setting).await?;
-        let many = at as usize;
-        let (mut held, mut owners) = (Vec::new(), Vec::new());
+        let environment = Environment::start(&tasks, &self.program, environment_config).await?;
+        let requests = at as usize;
+        let (mut streams, mut clients) = (Vec::new(), Vec::new());
         match room {
             // Some of these are offered until the dispatcher has heard of enough machines, and come
             // back refused.
-            FreeCapacity::NoneByUse => owners = environment.request_repeatedly(many).await?,
-            _ => held = environment.request_tasks(many).await?,
+            FreeCapacity::NoneByUse => clients = environment.request_repeatedly(requests).await?,
+            _ => streams = environment.request_tasks(requests).await?,
         }
-        Timer::after(SETTLE * 2).await;
+        Timer::after(SETTLE_TIME * 2).await;
         let before = environment.status().await?;
         let watched = environment.watch(self.watch).await?;
         let status = environment.status().await?;
-        let mut out = Measured::default();
-        out.spoils("waiting", &watched);
-        let least = if room == FreeCapacity::NoneByUse {
+        let mut measured = Measured::default();
+        measured.add_invalid("waiting", &watched);
+        let min_in_flight = if room == FreeCapacity::NoneByUse {
             at * 0.8
         } else {
             at
         };
-        if status.placed > 0 || (status.in_flight as f64) < least {
-            out.spoilt.push(format!(
+        if status.placed > 0 || (status.in_flight as f64) < min_in_flight {
+            measured.invalid.push(format!(
                 "{} were placed and {} are in hand",
                 status.placed, status.in_flight
             ));
         }
-        drop((held, owners));
-        out.put("core %", watched.core);
-        out.put("memory, MiB", watched.mib);
-        out.put("bytes/s", watched.control_bytes(1));
-        out.put("in hand", status.in_flight as f64);
-        out.put(
+        drop((streams, clients));
+        measured.record("core %", watched.core);
+        measured.record("memory, MiB", watched.mib);
+        measured.record("bytes/s", watched.control_bytes(1));
+        measured.record("in hand", status.in_flight as f64);
+        measured.record(
             "asked anew a second",
             (status.requested - before.requested) as f64 / watched.seconds,
         );
-        Ok(out)
+        Ok(measured)
     }
 
-    async fn versions(&self, tasks: SharedExecutor, at: f64) -> Result<Measured, String> {
-        let environment =
-            Environment::start(&tasks, &self.program, self.setting(FEW_MACHINES, 1)).await?;
+    async fn measure_versions(&self, tasks: SharedExecutor, at: f64) -> Result<Measured, String> {
+        let environment = Environment::start(
+            &tasks,
+            &self.program,
+            self.environment_config(FEW_MACHINES, 1),
+        )
+        .await?;
         environment
             .wait_until_active(environment.publish(0))
             .await?;
-        Timer::after(SETTLE).await;
+        Timer::after(SETTLE_TIME).await;
         let pushes = async {
             if at == 0.0 {
                 future::pending::<()>().await;
             }
-            let (apart, mut due) = (Duration::from_secs_f64(1.0 / at), Instant::now());
-            for which in 1u64.. {
-                due += apart;
+            let (interval, mut due) = (Duration::from_secs_f64(1.0 / at), Instant::now());
+            for number in 1u64.. {
+                due += interval;
                 Timer::at(due).await;
-                environment.publish(which);
+                environment.publish(number);
             }
             Err(String::new())
         };
         let watched = future::or(environment.watch(self.watch), pushes).await?;
-        let mut out = Measured::default();
-        out.spoils("versions", &watched);
-        out.put("core %", watched.core);
-        out.put("control, bytes/s", watched.bytes[&Peer::Control]);
-        out.put("control's thread, core %", watched.threads[&Peer::Control]);
-        out.put("keepers, bytes/s", watched.bytes[&Peer::Keepers]);
-        Ok(out)
+        let mut measured = Measured::default();
+        measured.add_invalid("versions", &watched);
+        measured.record("core %", watched.core);
+        measured.record("control, bytes/s", watched.bytes[&Peer::Control]);
+        measured.record("control's thread, core %", watched.threads[&Peer::Control]);
+        measured.record("keepers, bytes/s", watched.bytes[&Peer::Keepers]);
+        Ok(measured)
     }
 }
 
 /// A kept result with this run in it.
 pub fn put(path: &std::path::Path, size: &FleetSize, run: Run) -> Result<(), String> {
-    let place = |why: String| format!("{}: {why}", path.display());
-    let mut kept = match std::fs::read_to_string(path) {
-        Ok(text) => CapacityResult::read(&text).map_err(|why| place(why.to_string()))?,
+    let with_path = |why: String| format!("{}: {why}", path.display());
+    let mut stored = match std::fs::read_to_string(path) {
+        Ok(text) => CapacityResult::read(&text).map_err(|why| with_path(why.to_string()))?,
         Err(why) if why.kind() == std::io::ErrorKind::NotFound => CapacityResult {
             size: size.clone(),
             runs: Vec::new(),
         },
-        Err(why) => return Err(place(why.to_string())),
+        Err(why) => return Err(with_path(why.to_string())),
     };
-    if kept.size != *size {
-        return Err(place("it is of another size".into()));
+    if stored.size != *size {
+        return Err(with_path("it is of another size".into()));
     }
-    kept.insert(run);
-    let new = path.with_extension("new");
-    std::fs::write(&new, kept.to_json()).map_err(|why| place(why.to_string()))?;
-    std::fs::rename(&new, path).map_err(|why| place(why.to_string()))
+    stored.insert(run);
+    let new_path = path.with_extension("new");
+    std::fs::write(&new_path, stored.to_json()).map_err(|why| with_path(why.to_string()))?;
+    std::fs::rename(&new_path, path).map_err(|why| with_path(why.to_string()))
 }
--- a/crates/testbed/src/capacity/scheduling_cost.rs
+++ b/crates/testbed/src/capacity/scheduling_cost.rs
@@ -6,16 +6,16 @@
 use corkspan_scheduler::interface::*;
 
 const SECOND: Ticks = 10_000;
-const SIZE: Resources = Resources {
+const MACHINE_SIZE: Resources = Resources {
     cores: 64.0,
     memory: 256.0,
 };
 /// What each machine reports as unused where none has room.
-const CRAMPED: Resources = Resources {
+const FULL_MACHINE: Resources = Resources {
     cores: 1.0,
     memory: 4.0,
 };
-const ROOMY: Resources = Resources {
+const FREE_MACHINE: Resources = Resources {
     cores: 40.0,
     memory: 160.0,
 };
@@ -55,8 +55,9 @@
 
 /// Processor time of this thread, in seconds. None where the system doesn't tell.
 fn thread_time_s() -> Option<f64> {
-    let told = std::fs::read_to_string("/proc/thread-self/schedstat").ok()?;
-    told.split_whitespace()
+    let times = std::fs::read_to_string("/proc/thread-self/schedstat").ok()?;
+    times
+        .split_whitespace()
         .next()?
         .parse::<f64>()
         .ok()
@@ -64,7 +65,7 @@
 }
 
 fn cluster() -> Cluster {
-    let track = |priority| ServiceClass {
+    let service_class = |priority| ServiceClass {
         retry_safety: RetrySafety::Idempotent,
         latency_objective: SECOND,
         target_utilization: 0.9,
@@ -76,8 +77,8 @@
         zone: ZoneId(0),
         scheduler_index: 0,
         scheduler_count: 100,
-        machine_types: vec![SIZE],
-        service_classes: vec![track(0), track(1)],
+        machine_types: vec![MACHINE_SIZE],
+        service_classes: vec![service_class(0), service_class(1)],
         tenants: Vec::new(),
         admission_limit: Resources {
             cores: 3.0,
@@ -101,7 +102,7 @@
 }
 
 fn entries(machines: u32) -> Vec<Endpoint> {
-    let entry = |id| Endpoint {
+    let endpoint = |id| Endpoint {
         machine: MachineId(id),
         machine_type: MachineTypeId(0),
         zone: ZoneId(0),
@@ -110,35 +111,35 @@
         started_at: None,
         unreserved: None,
     };
-    (0..machines).map(entry).collect()
+    (0..machines).map(endpoint).collect()
 }
 
-fn request(service: u64, asks: Resources, abandon: Ticks) -> AllocationRequest {
-    let track = ServiceClassId(service as usize % 2);
+fn request(service: u64, requested: Resources, deadline: Ticks) -> AllocationRequest {
+    let service_class = ServiceClassId(service as usize % 2);
     AllocationRequest {
         service: ServiceId(service),
-        service_class: track,
+        service_class,
         tenant: TenantId(0),
-        requested: asks,
-        deadline: abandon,
+        requested,
+        deadline,
     }
 }
 
 /// The system tells a thread's time some milliseconds late: less than this much is not measured.
-const LEAST: f64 = 0.02;
+const MIN_MEASURED_S: f64 = 0.02;
 
 /// The time of one ask, in the mean over `least` of them or more: in vain, or one that finds a
 /// machine.
 pub fn request_cost(machines: u32, in_vain: bool, least: u64) -> Option<Point> {
     let mut scheduler = Scheduler::new(cluster(), 1, 0);
     scheduler.apply_endpoint_list(ListUpdate::Cached, &entries(machines));
-    let unused = if in_vain { CRAMPED } else { ROOMY };
+    let available = if in_vain { FULL_MACHINE } else { FREE_MACHINE };
     for id in 0..machines {
         scheduler.record_health_check(
             SECOND,
             MachineId(id),
             AttemptResult::Completed,
-            Some(LoadReport { available: unused }),
+            Some(LoadReport { available }),
         );
     }
     let size = if in_vain {
@@ -152,15 +153,15 @@
             memory: 0.1,
         }
     };
-    let (mut now, since) = (2 * SECOND, thread_time_s()?);
-    let (mut answered, mut asks) = (0, 0);
+    let (mut now, started) = (2 * SECOND, thread_time_s()?);
+    let (mut as_expected, mut requests) = (0, 0);
     // One that goes out stays: too many would fill the machines.
-    while asks < least
-        || in_vain && asks % 1_000 != 0
-        || in_vain && thread_time_s()? - since < LEAST
+    while requests < least
+        || in_vain && requests % 1_000 != 0
+        || in_vain && thread_time_s()? - started < MIN_MEASURED_S
     {
-        let number = asks;
-        asks += 1;
+        let number = requests;
+        requests += 1;
         // Reports must not be old before all have been asked for.
         now += 1;
         let AllocationRequest {
@@ -181,16 +182,16 @@
             deadline,
             attempts: Vec::new(),
         };
-        answered +=
+        as_expected +=
             u64::from((scheduler.place(now, &allocation) == Placement::Deferred) == in_vain);
     }
-    let value = (thread_time_s()? - since) * 1e6 / asks as f64;
+    let value = (thread_time_s()? - started) * 1e6 / requests as f64;
     let figure = if in_vain {
         "one ask in vain"
     } else {
         "one ask that finds a machine"
     };
-    (answered == asks).then_some(Point {
+    (as_expected == requests).then_some(Point {
         figure,
         x: f64::from(machines),
         value,
@@ -235,21 +236,21 @@
     pub by_turns: bool,
 }
 
-struct Stage {
-    host: Engine<()>,
+struct EngineRun {
+    engine: Engine<()>,
     timer: Timer,
     running: Vec<(AllocationId, MachineId)>,
-    came: u64,
+    created: u64,
 }
 
 impl WaitingRequests {
     /// Share of a core, in percent, over so many virtual seconds. None where one found a machine,
     /// or the system doesn't tell the thread's time.
     pub fn share_of_core(&self, seconds: u64) -> Option<Point> {
-        let mut stage = self.stage();
+        let mut run = self.start_run();
         // The first looks are not what waiting costs.
-        stage.until(4 * SECOND);
-        let before = (thread_time_s()?, stage.timer.sent);
+        run.advance_to(4 * SECOND);
+        let before = (thread_time_s()?, run.timer.sent);
         let rate = match self.changes {
             Changes::Nothing => 0,
             Changes::Reports(rate) | Changes::Ends(rate) | Changes::Deadlines(rate) => {
@@ -257,10 +258,10 @@
             }
         };
         for number in 0..seconds * rate {
-            stage.until(4 * SECOND + number * SECOND / rate);
-            self.happens(&mut stage, number);
+            run.advance_to(4 * SECOND + number * SECOND / rate);
+            self.apply_change(&mut run, number);
         }
-        stage.until((4 + seconds) * SECOND);
+        run.advance_to((4 + seconds) * SECOND);
         let value = (thread_time_s()? - before.0) * 100.0 / seconds as f64;
         let figure = match self.changes {
             Changes::Nothing => "waiting while nothing changes",
@@ -268,8 +269,8 @@
             Changes::Ends(_) => "waiting while some end",
             Changes::Deadlines(_) => "waiting to the end",
         };
-        let still = stage.timer.sent == before.1;
-        still.then_some(Point {
+        let none_sent = run.timer.sent == before.1;
+        none_sent.then_some(Point {
             figure,
             x: f64::from(self.waiting),
             value,
@@ -277,73 +278,78 @@
         })
     }
 
-    fn stage(&self) -> Stage {
-        let slice = if self.by_turns {
+    fn start_run(&self) -> EngineRun {
+        let batch = if self.by_turns {
             RetryBatch::ON_DEMAND
         } else {
             RetryBatch::ALL
         };
-        let mut host = Engine::new(cluster(), 1, 0, usize::MAX, slice);
-        host.apply_endpoint_list(ListUpdate::Cached, &entries(self.machines));
-        let mut stage = Stage {
-            host,
+        let mut engine = Engine::new(cluster(), 1, 0, usize::MAX, batch);
+        engine.apply_endpoint_list(ListUpdate::Cached, &entries(self.machines));
+        let mut run = EngineRun {
+            engine,
             timer: Timer::default(),
             running: Vec::new(),
-            came: 0,
+            created: 0,
         };
         for _ in 0..RUNNING {
-            stage.runs(0, self.machines);
+            run.add_running(0, self.machines);
         }
         for id in 0..self.machines {
-            self.reports(&mut stage, 2 * SECOND, id);
+            self.report_load(&mut run, 2 * SECOND, id);
         }
-        stage.until(2 * SECOND);
+        run.advance_to(2 * SECOND);
         for _ in 0..self.waiting {
-            self.comes(&mut stage, 3_600 * SECOND);
+            self.add_waiting(&mut run, 3_600 * SECOND);
         }
-        stage
+        run
     }
 
-    fn reports(&self, stage: &mut Stage, now: Ticks, id: u32) {
-        stage.host.record_health_check(
+    fn report_load(&self, run: &mut EngineRun, now: Ticks, id: u32) {
+        run.engine.record_health_check(
             now,
             MachineId(id),
             AttemptResult::Completed,
-            Some(LoadReport { available: CRAMPED }),
+            Some(LoadReport {
+                available: FULL_MACHINE,
+            }),
         );
     }
 
-    fn comes(&self, stage: &mut Stage, abandon: Ticks) {
-        let now = stage.timer.now;
-        let number = stage.came;
-        let own = match self.similarity {
+    fn add_waiting(&self, run: &mut EngineRun, deadline: Ticks) {
+        let now = run.timer.now;
+        let number = run.created;
+        let variant = match self.similarity {
             Similarity::Few => number % 5,
             Similarity::None => number,
         };
-        let asks = Resources {
+        let requested = Resources {
             cores: 4.0,
             memory: 16.0,
-        } * (1.0 + own as f64 % 97.0 / 100.0);
-        stage.came += 1;
-        let taken = stage
-            .host
-            .admit(now, &format!("w{number}"), request(own, asks, abandon), ());
-        if let Ok(id) = taken {
-            stage.host.place(now, id, &mut stage.timer);
+        } * (1.0 + variant as f64 % 97.0 / 100.0);
+        run.created += 1;
+        let admitted = run.engine.admit(
+            now,
+            &format!("w{number}"),
+            request(variant, requested, deadline),
+            (),
+        );
+        if let Ok(id) = admitted {
+            run.engine.place(now, id, &mut run.timer);
         }
-        stage.rest();
+        run.run_pending();
     }
 
-    fn happens(&self, stage: &mut Stage, number: u64) {
-        let now = stage.timer.now;
+    fn apply_change(&self, run: &mut EngineRun, number: u64) {
+        let now = run.timer.now;
         match self.changes {
             Changes::Nothing => {}
             Changes::Reports(_) => {
-                self.reports(stage, now, (number % u64::from(self.machines)) as u32)
+                self.report_load(run, now, (number % u64::from(self.machines)) as u32)
             }
             Changes::Ends(_) => {
-                let (id, machine) = stage.running.remove(0);
-                stage.host.attempt_returned(
+                let (id, machine) = run.running.remove(0);
+                run.engine.attempt_returned(
                     now,
                     id,
                     0,
@@ -353,59 +359,59 @@
                         finished: true,
                         report: None,
                     },
-                    &mut stage.timer,
+                    &mut run.timer,
                 );
-                stage.runs(now, machine.0 + 1);
+                run.add_running(now, machine.0 + 1);
             }
-            Changes::Deadlines(_) => self.comes(stage, now + SECOND),
+            Changes::Deadlines(_) => self.add_waiting(run, now + SECOND),
         }
-        stage.rest();
+        run.run_pending();
     }
 }
 
-impl Stage {
+impl EngineRun {
     /// One of ours runs on the last of so many machines, or on any before.
-    fn runs(&mut self, now: Ticks, machines: u32) {
-        let number = self.running.len() as u32 + self.came as u32;
+    fn add_running(&mut self, now: Ticks, machines: u32) {
+        let number = self.running.len() as u32 + self.created as u32;
         let machine = MachineId(if now > 0 {
             machines - 1
         } else {
             number * 31 % machines
         });
-        let asks = Resources {
+        let requested = Resources {
             cores: 1.0,
             memory: 4.0,
         };
-        self.came += 1;
-        let request = request(u64::from(number) % SERVICES, asks, 3_600 * SECOND);
+        self.created += 1;
+        let request = request(u64::from(number) % SERVICES, requested, 3_600 * SECOND);
         if let Ok(id) =
-            self.host
-                .admit_running(now, &format!("r{}", self.came), request, machine, ())
+            self.engine
+                .admit_running(now, &format!("r{}", self.created), request, machine, ())
         {
-            self.host.record_metric(now, id, Metric::Cores(0.5));
-            self.host.record_metric(now, id, Metric::Memory(3.0));
+            self.engine.record_metric(now, id, Metric::Cores(0.5));
+            self.engine.record_metric(now, id, Metric::Memory(3.0));
             self.running.push((id, machine));
         }
     }
 
     /// What a caller does after each thing that it heard.
-    fn rest(&mut self) {
+    fn run_pending(&mut self) {
         let now = self.timer.now;
-        self.host.poll(now, &mut self.timer);
-        while let Some(id) = self.host.next_queued() {
-            self.host.evaluate(now, id, &mut self.timer);
+        self.engine.poll(now, &mut self.timer);
+        while let Some(id) = self.engine.next_queued() {
+            self.engine.evaluate(now, id, &mut self.timer);
         }
-        self.host.poll(now, &mut self.timer);
+        self.engine.poll(now, &mut self.timer);
     }
 
-    fn until(&mut self, end: Ticks) {
+    fn advance_to(&mut self, end: Ticks) {
         while let Some(at) = self.timer.due.filter(|at| *at <= end) {
             self.timer.due = None;
             self.timer.now = at.max(self.timer.now);
-            self.host.timer_fired(self.timer.now);
-            self.rest();
+            self.engine.timer_fired(self.timer.now);
+            self.run_pending();
         }
         self.timer.now = end.max(self.timer.now);
-        self.rest();
+        self.run_pending();
     }
 }
