--- a/crates/testbed/src/capacity/environment.rs
+++ b/crates/testbed/src/capacity/environment.rs
@@ -1,5 +1,5 @@
-//! Real dispatchers, each a process, before stand-ins that run on a thread a role, with every link
-//! counted.
+//! An environment of real dispatcher processes and stand-ins, with one thread for each role of the
+//! stand-ins. Relays count the traffic of all connections.
 
 use super::full_node::FullNode;
 use super::kernel::{self, CpuTime};
@@ -27,25 +27,30 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// The nodes that hold wishes and floors, stand-ins that can; all others take everything at once.
+/// Nodes that are quorum members. They are full stand-ins; all other nodes accept each attempt at
+/// once.
 const QUORUM_MEMBERS: u32 = 3;
 const TIMEOUT: Duration = Duration::from_secs(90);
-/// Of a second: so many at a time, not all machines in one message.
+/// Slices of an interval over which capacity reports are spread, so that one message does not hold
+/// all machines.
 const REPORT_SLICES: u32 = 10;
-/// A thread of stand-ins that is busier than this part of the time may be what is measured.
+/// The share of time above which a busy thread of stand-ins may be the bottleneck, so that a
+/// measurement is invalid.
 const MAX_THREAD_UTILIZATION: f64 = 0.7;
-/// A dispatcher that waits for a processor longer than this part of the time is not measured as it
-/// would run.
+/// The share of time above which a dispatcher's wait for a processor makes a measurement invalid.
 const MAX_CPU_WAIT: f64 = 0.25;
+/// The share of the machine's processor time that may be stolen by other virtual machines.
 const MAX_STOLEN: f64 = 0.1;
+/// The wait for relays and stand-ins to close their connections.
 const CLOSE_TIME: Duration = Duration::from_millis(500);
-/// After a refusal, before its owner asks anew.
+/// The wait of a client between a rejected request and its next one.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(500);
-/// Dispatchers whose own counts are asked for at both ends of a watch.
+/// The largest number of dispatchers whose own counts are queried at both ends of an observation.
 const MAX_POLLED_DISPATCHERS: usize = 20;
-/// Their counts and the relays' may differ by this part, and by what is on its way at the two
-/// moments.
+/// The valid relative difference between the counts of dispatchers and relays, besides the bytes in
+/// flight at the two readings.
 const MAX_COUNT_DIFFERENCE: f64 = 0.02;
+/// The valid difference between these counts for bytes in flight.
 const MAX_BYTES_IN_FLIGHT: f64 = 16_000.0;
 const PEER_KINDS: [(Peer, Kind); 4] = [
     (Peer::Roster, Kind::Roster),
@@ -54,7 +59,7 @@
     (Peer::Nodes, Kind::Nodes),
 ];
 
-/// The other end of a dispatcher's link.
+/// The other end of a dispatcher's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Peer {
     Roster,
@@ -64,7 +69,7 @@
     Owners,
 }
 
-/// A thread that carries stand-ins of one role.
+/// A thread that runs the stand-ins of one role.
 struct StandInThread {
     tasks: SharedExecutor,
     id: i32,
@@ -92,27 +97,29 @@
     }
 }
 
-/// What machines have room for.
+/// The free capacity of the machines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FreeCapacity {
     Plenty,
-    /// The roster tells that as much is asked for as nodes accept.
+    /// The endpoint list reports that reservations have reached the nodes' admission limits.
     NoneByAsks,
-    /// Nodes tell that all is in use, and refuse.
+    /// Load reports show no available capacity, and nodes reject attempts.
     NoneByUse,
 }
 
-/// What the dispatchers of a stage are.
+/// The settings of an environment.
 #[derive(Clone, Copy, Debug)]
 pub struct EnvironmentConfig {
     pub machines: u32,
     pub dispatchers: usize,
-    /// As their files tell; more than stand here where one is measured of many.
+    /// The number of dispatchers in the deployment files. It exceeds `dispatchers` where a few of a
+    /// large fleet are measured.
     pub schedulers: usize,
     pub room: FreeCapacity,
     pub seed: u64,
 }
 
+/// Dispatchers, stand-ins and the relays between them.
 pub struct Environment {
     pub setting: EnvironmentConfig,
     pub tasks: SharedExecutor,
@@ -125,15 +132,15 @@
     meters: BTreeMap<Peer, Arc<Meter>>,
     client_addresses: Vec<SocketAddr>,
     dispatchers: Vec<Process>,
-    /// Goes last: the dispatchers' files.
+    /// The dispatchers' files; dropped after the dispatchers.
     _folder: tempfile::TempDir,
     shared_parts: SharedParts,
 }
 
-/// Words of tasks that are asked for; dropped, the tasks are no longer wanted.
+/// The event streams of requested tasks. Dropping them cancels the requests.
 pub type PlacementStreams = Vec<tonic::Streaming<v1::PlacementEvent>>;
 
-/// An ask of half a core.
+/// Returns a placement request for half a core.
 pub fn placement_request(task: &str, life_ms: u64, abandon_ms: u64) -> v1::PlacementRequest {
     v1::PlacementRequest {
         placement_id: task.into(),
@@ -232,7 +239,7 @@
         let discovery_relay = metered(Peer::Roster, discovery_address).await?;
         let control_relay = metered(Peer::Control, control.address).await?;
         let nodes_relay = metered(Peer::Nodes, nodes_address).await?;
-        // Keepers have a relay each, and one meter.
+        // Each quorum member has a relay of its own; all share one meter.
         let quorum_context = context(Peer::Keepers)?;
         let quorum_meter = Arc::new(Meter::default());
         let mut endpoints = Vec::new();
@@ -248,11 +255,11 @@
                 }
                 false => nodes_relay,
             };
-            // Full by asks: what nodes accept is twice the cores and one and a half times the
-            // memory of a machine.
+            // Nodes admit twice the cores and 1.5 times the memory of a machine; these amounts
+            // remain unreserved when reservations have reached that limit.
             let full = setting.room == FreeCapacity::NoneByAsks;
             let (cores, memory) = if full { (-64.0, -128.0) } else { (30.0, 30.0) };
-            // Keepers' stand-ins would take some.
+            // The quorum members' stand-ins would accept some attempts, so they are reported full.
             let (cores, memory) = if setting.room == FreeCapacity::Plenty || id >= QUORUM_MEMBERS {
                 (cores, memory)
             } else {
@@ -273,8 +280,8 @@
             (Vec::new(), Vec::new(), None);
         let clients_meter = Arc::new(Meter::default());
         for number in 0..setting.dispatchers {
-            // A dispatcher writes beside its file, under the same name but for what stands after
-            // the dot.
+            // A dispatcher writes files beside its deployment file whose names differ in the
+            // extension alone, so each deployment file has a name of its own.
             let at = |name: &str| folder.path().join(format!("{number}-{name}"));
             let (versions, rollouts, list): (PathBuf, PathBuf, PathBuf) =
                 (at("versions.json"), at("rolls.redb"), at("list.json"));
@@ -317,7 +324,7 @@
         Ok(environment)
     }
 
-    /// All know all machines and have their stream of versions.
+    /// Waits until each dispatcher knows all machines and has opened its stream of versions.
     async fn wait_until_ready(&self) -> Result<(), String> {
         let ready = async {
             for process in &self.dispatchers {
@@ -344,6 +351,7 @@
             .ok_or("the dispatchers don't hear of all machines")?
     }
 
+    /// Returns the status of the first dispatcher.
     pub async fn status(&self) -> Result<v1::StatusResponse, String> {
         let mut client =
             PlacementClient::new(measure::connect(&self.tasks, self.dispatchers[0].address).await?);
@@ -354,14 +362,14 @@
         Ok(status.into_inner())
     }
 
-    /// A link to the first dispatcher, as owners have it.
+    /// Connects to the first dispatcher in the way that clients do.
     pub async fn client(&self) -> Result<PlacementClient<Connection>, String> {
         Ok(PlacementClient::new(
             measure::connect(&self.tasks, self.client_addresses[0]).await?,
         ))
     }
 
-    /// So many asks that nobody ends; dropped, they are no longer wanted.
+    /// Requests `count` tasks that don't end. Dropping the result cancels the requests.
     pub async fn request_tasks(&self, count: usize) -> Result<PlacementStreams, String> {
         let client = self.client().await?;
         let mut streams = Vec::new();
@@ -379,7 +387,8 @@
         Ok(streams)
     }
 
-    /// So many owners that each ask again a while after they were refused, until dropped.
+    /// Starts `count` clients. Each repeats its request some time after a rejection, until the
+    /// result is dropped.
     pub async fn request_repeatedly(
         &self,
         count: usize,
@@ -405,7 +414,8 @@
         Ok((0..count).map(repeat_request).collect())
     }
 
-    /// Tells each machine's room every so often, a slice of the machines at a time, until dropped.
+    /// Reports each machine's capacity once in each interval, a slice of the machines at a time,
+    /// until the result is dropped.
     pub fn report_capacity(&self, interval: Duration) -> async_executor::Task<()> {
         let (discovery, endpoints) = (Arc::clone(&self.discovery), self.endpoints.clone());
         let mut rng = Pcg64Mcg::seed_from_u64(self.setting.seed);
@@ -435,7 +445,7 @@
         })
     }
 
-    /// Tells each machine's room once, and how many lines that was.
+    /// Reports each machine's capacity once and returns the number of endpoint lines.
     pub fn report_capacity_once(&self, cores: f64) -> u64 {
         for endpoint in &self.endpoints {
             let unreserved = Some(v1::Resources {
@@ -453,12 +463,13 @@
         self.endpoints.len() as u64
     }
 
-    /// Bytes so far, both ways, on links of all dispatchers that end there.
+    /// Returns the bytes so far, both ways, on the connections of all dispatchers to this peer.
     pub fn bytes(&self, peer: Peer) -> u64 {
         self.meters[&peer].bytes()
     }
 
-    /// What a step brings on those links, once no more comes.
+    /// Returns the bytes that a step causes on the connections to this peer, after the traffic has
+    /// stopped.
     pub async fn bytes_caused_by(&self, peer: Peer, step: impl FnOnce()) -> u64 {
         let before = self.bytes(peer);
         step();
@@ -476,7 +487,7 @@
         last - before
     }
 
-    /// The next version, streamed to all: one that changes what nobody feels.
+    /// Publishes the next version to all dispatchers. Its change has no effect on placement.
     pub fn publish(&self, number: u64) -> VersionId {
         let accounts = format!("(accounts (a (share-cores {})))", 1_000_000 + number);
         let changes = [("accounts".to_string(), accounts)];
@@ -487,7 +498,7 @@
         )
     }
 
-    /// Until each has answered that it is in force.
+    /// Waits until each dispatcher has acknowledged the version as active.
     pub async fn wait_until_active(&self, version: VersionId) -> Result<(), String> {
         let dispatchers = self.dispatchers.len() as u32;
         let all = async {
@@ -502,8 +513,8 @@
             .ok_or_else(|| format!("{version} is not in force everywhere in {TIMEOUT:?}"))
     }
 
-    /// What dispatchers counted themselves, all together; none where they are too many to ask
-    /// beside a watch.
+    /// Returns the sums of the dispatchers' own counts, or none if there are too many dispatchers
+    /// to query during an observation.
     async fn counted(&self) -> Result<Option<BTreeMap<Peer, [u64; 3]>>, String> {
         if self.dispatchers.len() > MAX_POLLED_DISPATCHERS {
             return Ok(None);
@@ -558,7 +569,7 @@
         })
     }
 
-    /// Watches for so long.
+    /// Observes the environment for this time.
     pub async fn watch(&self, time: Duration) -> Result<Watched, String> {
         let before = self.read().await?;
         Timer::after(time).await;
@@ -570,7 +581,7 @@
         Ok(Watched::between(&before, &after, &kib))
     }
 
-    /// Links that dispatchers ever opened, by their other end.
+    /// Returns the number of connections that dispatchers have opened so far, by peer.
     pub fn opened(&self) -> BTreeMap<Peer, u64> {
         self.meters
             .iter()
@@ -580,14 +591,15 @@
 }
 
 impl Drop for Environment {
-    /// The dispatchers end first and the threads go on for a moment, so that relays and stand-ins
-    /// see their links end and close them: hundreds of descriptors a place were left open.
+    /// Stops the dispatchers first and keeps the threads running for a moment, so that relays and
+    /// stand-ins close their connections. Otherwise hundreds of descriptors leak at each place.
     fn drop(&mut self) {
         self.dispatchers.clear();
         std::thread::sleep(CLOSE_TIME);
     }
 }
 
+/// All counters at one moment.
 struct Reading {
     counted: Option<BTreeMap<Peer, [u64; 3]>>,
     at: Instant,
@@ -598,19 +610,21 @@
     bytes: BTreeMap<Peer, u64>,
 }
 
-/// What a while came to.
+/// The figures of an observation.
 #[derive(Clone, Debug)]
 pub struct Watched {
     pub seconds: f64,
-    /// Bytes a second, both ways, by link's end, of all dispatchers together.
+    /// Bytes a second, both ways, of all dispatchers together, by peer.
     pub bytes: BTreeMap<Peer, f64>,
-    /// Percent of a core, of one dispatcher.
+    /// Processor use of one dispatcher, in percent of a core.
     pub core: f64,
-    /// Percent of a core, of the stand-ins' threads.
+    /// Processor use of the stand-ins' threads, in percent of a core.
     pub threads: BTreeMap<Peer, f64>,
+    /// Resident memory of one dispatcher, in MiB.
     pub mib: f64,
     /// Bytes, messages in and messages out a second, as the dispatchers counted them themselves.
     pub counted: Option<BTreeMap<Peer, [f64; 3]>>,
+    /// The reasons why the figures are invalid, if any.
     pub spoilt: Vec<String>,
 }
 
@@ -696,7 +710,7 @@
         }
     }
 
-    /// Of control, of one dispatcher: all but owners and what nodes are offered.
+    /// Returns the bytes a second of one dispatcher on all connections but those of clients.
     pub fn control_bytes(&self, dispatchers: usize) -> f64 {
         let peers = [Peer::Roster, Peer::Control, Peer::Keepers, Peer::Nodes];
         peers.iter().map(|peer| self.bytes[peer]).sum::<f64>() / dispatchers.max(1) as f64
--- a/crates/testbed/src/capacity/full_node.rs
+++ b/crates/testbed/src/capacity/full_node.rs
@@ -1,16 +1,17 @@
-//! A machine that is full by use: it says so to whoever asks, and takes nothing.
+//! A node whose resources are all in use: it reports this and rejects each attempt.
 
 use corkspan_api::v1::{self, attempt_event::Event, attempt_rejected::Rejection};
 use futures_lite::{Stream, stream};
 use std::pin::Pin;
 use tonic::{Request, Response, Status};
 
-/// What it reports as unused: too little memory for anything to be sent there.
+/// The reported available resources: too little memory for any attempt to be sent.
 const AVAILABLE: v1::LoadReport = v1::LoadReport {
     cores: 1.0,
     memory: 4.0,
 };
 
+/// A stand-in of a node whose resources are all in use.
 #[derive(Clone)]
 pub struct FullNode;
 
--- a/crates/testbed/src/capacity/kernel.rs
+++ b/crates/testbed/src/capacity/kernel.rs
@@ -1,10 +1,10 @@
-//! What the kernel tells of processes, threads and the machine.
+//! Reads the kernel's figures of processes, threads and the machine.
 
 use corkspan_capacity_model::requirements::MachineResources;
 use std::fs;
 use std::path::Path;
 
-/// Time on a processor and time waited for one, in ns.
+/// The time spent on a processor and the time spent waiting for one, in ns.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct CpuTime {
     pub ran: u64,
@@ -29,7 +29,7 @@
     })
 }
 
-/// Of all threads of a process that live now.
+/// Returns the processor time of all threads of a process that still run.
 pub fn process(id: u32) -> Result<CpuTime, String> {
     let threads =
         fs::read_dir(format!("/proc/{id}/task")).map_err(|why| format!("process {id}: {why}"))?;
@@ -42,6 +42,7 @@
     }))
 }
 
+/// Returns the id of the calling thread.
 pub fn this_thread() -> Result<i32, String> {
     let link = fs::read_link("/proc/thread-self").map_err(|why| why.to_string())?;
     let id = link
@@ -50,13 +51,13 @@
     id.ok_or_else(|| "the kernel does not tell threads apart".into())
 }
 
-/// Of one thread of this process.
+/// Returns the processor time of one thread of this process.
 pub fn thread(id: i32) -> Result<CpuTime, String> {
     let path = format!("/proc/self/task/{id}/schedstat");
     schedstat(Path::new(&path)).ok_or_else(|| format!("the kernel does not tell {path}"))
 }
 
-/// Ticks of all processors, and of them stolen from this machine.
+/// Returns the ticks of all processors so far, and how many of them were stolen from this machine.
 pub fn ticks() -> Result<(u64, u64), String> {
     let text = fs::read_to_string("/proc/stat").map_err(|why| why.to_string())?;
     let line = text.lines().next().unwrap_or("");
@@ -71,6 +72,7 @@
     }
 }
 
+/// Returns the machine's load average over one minute.
 pub fn load() -> f64 {
     let text = fs::read_to_string("/proc/loadavg").unwrap_or_default();
     text.split_whitespace()
@@ -83,7 +85,7 @@
     std::thread::available_parallelism().map_or(1, usize::from)
 }
 
-/// What this machine has.
+/// Returns the resources of this machine.
 pub fn machine() -> MachineResources {
     let text = fs::read_to_string("/proc/meminfo").unwrap_or_default();
     let line = text.lines().find_map(|line| line.strip_prefix("MemTotal:"));
--- a/crates/testbed/src/capacity/meter.rs
+++ b/crates/testbed/src/capacity/meter.rs
@@ -1,4 +1,4 @@
-//! Links that are counted on their way: who measures takes no process's word for what it sent.
+//! Relays that count the bytes of connections, independently of the processes' own counts.
 
 use async_net::{TcpListener, TcpStream};
 use corkspan_rpc::SharedExecutor;
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 
-/// Of all links through one relay.
+/// The counts of all connections through one relay, or of several relays that share the meter.
 #[derive(Default)]
 pub struct Meter {
     to_target: AtomicU64,
@@ -16,18 +16,18 @@
 }
 
 impl Meter {
-    /// Bytes both ways.
+    /// Returns the bytes in both directions.
     pub fn bytes(&self) -> u64 {
         self.to_target.load(Relaxed) + self.from_target.load(Relaxed)
     }
 
-    /// Links that were ever opened.
+    /// Returns the number of connections opened so far.
     pub fn opened(&self) -> u64 {
         self.opened.load(Relaxed)
     }
 }
 
-/// Passes all on that comes here, and counts it.
+/// Starts a relay to an address and returns the relay's own address and its meter.
 pub async fn relay(
     tasks: &SharedExecutor,
     to: SocketAddr,
@@ -36,7 +36,7 @@
     Ok((relay_onto(tasks, to, Arc::clone(&meter)).await?, meter))
 }
 
-/// The same, counted on a meter that others may share.
+/// Starts a relay to an address, with a meter that other relays may share.
 pub async fn relay_onto(
     tasks: &SharedExecutor,
     to: SocketAddr,
--- a/crates/testbed/src/capacity/mod.rs
+++ b/crates/testbed/src/capacity/mod.rs
@@ -1,6 +1,7 @@
-//! What each role costs by machines, dispatchers, tasks, waiting allocations and versions: one axis
-//! at a time, several places each, in rounds side by side. Real dispatchers before stand-ins; the
-//! arithmetic is `corkspan_capacity_model`'s.
+//! Measures what each role costs depending on the number of machines, dispatchers, tasks, waiting
+//! allocations and versions. One axis is varied at a time, at several places and in repeated
+//! rounds, with real dispatchers and stand-ins for all else. `corkspan_capacity_model` evaluates
+//! the results.
 
 mod environment;
 mod full_node;
@@ -22,35 +23,36 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// How it is measured.
+/// The settings of a capacity measurement.
 pub struct Capacity {
     pub program: Vec<OsString>,
     pub size: FleetSize,
     pub axes: Vec<Axis>,
     pub rounds: u32,
-    /// Of each watch; keepers are asked each 2 s.
+    /// The duration of each observation; dispatchers poll quorum members every 2 s.
     pub watch: Duration,
     pub quick: bool,
     pub seed: u64,
-    /// As it was typed, for the page.
+    /// The command line, for the capacity page.
     pub command: String,
 }
 
-/// A place that was spoilt is measured again at most so often.
+/// How often an invalid point is measured again at most.
 const MAX_REPEATS: u32 = 1;
-/// After dispatchers have come up, before they are watched.
+/// The wait between the start of the dispatchers and their observation.
 const SETTLE_TIME: Duration = Duration::from_secs(3);
-/// Asks that leave so late, at the 99th percentile, are another load than was meant.
+/// The limit on the 99th percentile of the delay with which requests are sent. Beyond it, the load
+/// differs from the intended one.
 const MAX_LATENESS: Duration = Duration::from_millis(50);
-/// Of what was to be told or asked, so much must have been.
+/// The smallest valid ratio of placements to intended requests.
 const MIN_COMPLETION: f64 = 0.95;
-/// On the axis of dispatchers.
+/// Machines of the measurements along the axes of dispatchers and versions.
 const FEW_MACHINES: u32 = 140;
 const CAPACITY_REPORT_INTERVAL: Duration = Duration::from_secs(5);
 
 type Figures = BTreeMap<String, f64>;
 
-/// What one place came to: figures, and why they tell nothing.
+/// The figures measured at one place, and the reasons why they are invalid, if any.
 #[derive(Default)]
 struct Measured {
     figures: Figures,
@@ -59,7 +61,7 @@
 
 impl Measured {
     fn record(&mut self, name: &str, value: f64) {
-        // Digits beyond these are noise, and make a kept file hard to read.
+        // Further digits are noise and make the stored file hard to read.
         self.figures
             .insert(name.into(), (value * 1e4).round() / 1e4);
     }
@@ -70,7 +72,7 @@
     }
 }
 
-/// What to measure along an axis.
+/// A series of measurements along an axis.
 struct Series {
     axis: Axis,
     name: &'static str,
@@ -160,7 +162,7 @@
         self.axes.iter().flat_map(|axis| series_of(*axis)).collect()
     }
 
-    /// Refused at once where this machine can't carry it.
+    /// Returns an error if this machine lacks the resources for the measurements or for the size.
     fn check_requirements(&self) -> Result<(), String> {
         let available = kernel::machine();
         for series in self.series() {
@@ -177,7 +179,7 @@
             requirements::check(required, available)
                 .map_err(|why| format!("{} / {}: {why}", series.axis.name(), series.name))?;
         }
-        // What the size itself says stands as processes.
+        // The resources for the size itself, with all its dispatchers as processes.
         let required = requirements::required_for(
             self.size.dispatchers as u64,
             self.size.machines as u64,
@@ -186,7 +188,7 @@
         requirements::check(required, available).map_err(|why| format!("the size: {why}"))
     }
 
-    /// Measures, telling each run as soon as it is whole.
+    /// Runs all measurements and passes each run to `on_run` as soon as it is complete.
     pub fn run(&self, mut on_run: impl FnMut(Run) -> Result<(), String>) -> Result<(), String> {
         self.check_requirements()?;
         for series in self.series() {
@@ -354,7 +356,7 @@
                 reported.threads[&peer],
             );
         }
-        // The first is taken whole by each; the next are changes.
+        // Each dispatcher receives the first version whole, and the next ones as changes.
         environment
             .wait_until_active(environment.publish(0))
             .await?;
@@ -493,8 +495,8 @@
         let requests = at as usize;
         let (mut streams, mut clients) = (Vec::new(), Vec::new());
         match room {
-            // Some of these are offered until the dispatcher has heard of enough machines, and come
-            // back refused.
+            // The dispatcher offers some of these, and they are rejected, until it has load reports
+            // of enough machines.
             FreeCapacity::NoneByUse => clients = environment.request_repeatedly(requests).await?,
             _ => streams = environment.request_tasks(requests).await?,
         }
@@ -561,7 +563,7 @@
     }
 }
 
-/// A kept result with this run in it.
+/// Adds a run to the stored result, which is created if it does not exist.
 pub fn put(path: &std::path::Path, size: &FleetSize, run: Run) -> Result<(), String> {
     let with_path = |why: String| format!("{}: {why}", path.display());
     let mut stored = match std::fs::read_to_string(path) {
--- a/crates/testbed/src/capacity/scheduling_cost.rs
+++ b/crates/testbed/src/capacity/scheduling_cost.rs
@@ -1,5 +1,5 @@
-//! What the decisions alone cost where allocations wait for room: one ask, and a second of so many
-//! that wait. The clock is virtual, the processor time that of the thread.
+//! Measures the cost of scheduling decisions alone: of one request, and of a second in which many
+//! allocations wait for capacity. The clock is virtual; the processor time is that of the thread.
 
 use corkspan_engine::{AllocationRequest, Effects, Engine, RetryBatch, ReturnedAttempt};
 use corkspan_scheduler::Scheduler;
@@ -10,20 +10,21 @@
     cores: 64.0,
     memory: 256.0,
 };
-/// What each machine reports as unused where none has room.
+/// The resources that each machine reports as available if none has capacity for a request.
 const FULL_MACHINE: Resources = Resources {
     cores: 1.0,
     memory: 4.0,
 };
+/// The resources that each machine reports as available if it has capacity for a request.
 const FREE_MACHINE: Resources = Resources {
     cores: 40.0,
     memory: 160.0,
 };
-/// Of ours that run meanwhile: one of a hundred dispatchers' part of 4,300.
+/// Allocations that run meanwhile: the share of one in a hundred dispatchers of 4,300.
 const RUNNING: usize = 43;
 const SERVICES: u64 = 150;
 
-/// One measured place on an axis.
+/// One measured point on an axis.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Point {
     pub figure: &'static str,
@@ -32,28 +33,28 @@
     pub unit: &'static str,
 }
 
-/// How unlike those that wait are.
+/// How similar the waiting allocations are.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Similarity {
-    /// Of five services.
+    /// They belong to five services.
     Few,
-    /// Each of its own service and need.
+    /// Each belongs to a service of its own and requests other resources.
     None,
 }
 
-/// What happens each second while they wait.
+/// The changes in each second while allocations wait.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Changes {
     Nothing,
-    /// So many machines report as before.
+    /// This many machines report an unchanged load.
     Reports(u32),
-    /// So many of ours end, and others begin in their places.
+    /// This many running allocations end, and others start in their places.
     Ends(u32),
-    /// So many times one of those that wait comes to its end, and another comes.
+    /// This many waiting allocations reach their deadline, and others are requested.
     Deadlines(u32),
 }
 
-/// Processor time of this thread, in seconds. None where the system doesn't tell.
+/// Returns the processor time of this thread, in seconds, or none if the system doesn't report it.
 fn thread_time_s() -> Option<f64> {
     let times = std::fs::read_to_string("/proc/thread-self/schedstat").ok()?;
     times
@@ -125,11 +126,12 @@
     }
 }
 
-/// The system tells a thread's time some milliseconds late: less than this much is not measured.
+/// The shortest measured time, in seconds. The system reports a thread's time some milliseconds
+/// late.
 const MIN_MEASURED_S: f64 = 0.02;
 
-/// The time of one ask, in the mean over `least` of them or more: in vain, or one that finds a
-/// machine.
+/// Returns the mean time of one request, over `least` requests or more. With `in_vain`, no machine
+/// has capacity for it.
 pub fn request_cost(machines: u32, in_vain: bool, least: u64) -> Option<Point> {
     let mut scheduler = Scheduler::new(cluster(), 1, 0);
     scheduler.apply_endpoint_list(ListUpdate::Cached, &entries(machines));
@@ -155,14 +157,14 @@
     };
     let (mut now, started) = (2 * SECOND, thread_time_s()?);
     let (mut as_expected, mut requests) = (0, 0);
-    // One that goes out stays: too many would fill the machines.
+    // An allocation that is placed stays, and too many of them would fill the machines.
     while requests < least
         || in_vain && requests % 1_000 != 0
         || in_vain && thread_time_s()? - started < MIN_MEASURED_S
     {
         let number = requests;
         requests += 1;
-        // Reports must not be old before all have been asked for.
+        // The clock advances by one tick only, so that load reports stay recent until the end.
         now += 1;
         let AllocationRequest {
             service,
@@ -199,7 +201,7 @@
     })
 }
 
-/// What the host says goes nowhere, but for the timer.
+/// Effects that are counted and discarded, except the timer.
 #[derive(Default)]
 struct Timer {
     due: Option<Ticks>,
@@ -227,7 +229,7 @@
     }
 }
 
-/// A dispatcher whose machines have no room for those that wait.
+/// A dispatcher whose machines have no capacity for the waiting allocations.
 pub struct WaitingRequests {
     pub machines: u32,
     pub waiting: u32,
@@ -236,6 +238,7 @@
     pub by_turns: bool,
 }
 
+/// An engine with its timer and running allocations.
 struct EngineRun {
     engine: Engine<()>,
     timer: Timer,
@@ -244,11 +247,11 @@
 }
 
 impl WaitingRequests {
-    /// Share of a core, in percent, over so many virtual seconds. None where one found a machine,
-    /// or the system doesn't tell the thread's time.
+    /// Returns the share of a core, in percent, over this many virtual seconds, or none if an
+    /// allocation was sent to a machine or the system doesn't report the thread's time.
     pub fn share_of_core(&self, seconds: u64) -> Option<Point> {
         let mut run = self.start_run();
-        // The first looks are not what waiting costs.
+        // The first evaluations are not part of the cost of waiting.
         run.advance_to(4 * SECOND);
         let before = (thread_time_s()?, run.timer.sent);
         let rate = match self.changes {
@@ -370,7 +373,8 @@
 }
 
 impl EngineRun {
-    /// One of ours runs on the last of so many machines, or on any before.
+    /// Adds a running allocation: on the last of this many machines, or during setup on any of
+    /// them.
     fn add_running(&mut self, now: Ticks, machines: u32) {
         let number = self.running.len() as u32 + self.created as u32;
         let machine = MachineId(if now > 0 {
@@ -394,7 +398,7 @@
         }
     }
 
-    /// What a caller does after each thing that it heard.
+    /// Runs the work that a caller does after each event.
     fn run_pending(&mut self) {
         let now = self.timer.now;
         self.engine.poll(now, &mut self.timer);
