--- a/crates/testbed/src/capacity/environment.rs
+++ b/crates/testbed/src/capacity/environment.rs
@@ -297,7 +297,7 @@
                     &format!("(schedulers {})", setting.schedulers),
                 );
             shared_parts =
-                Some(SharedParts::parse("the first", &file).map_err(|why| why.to_string())?);
+                Some(SharedParts::parse("deployment", &file).map_err(|why| why.to_string())?);
             let process = Process::start_in(program, &at("file.sexp"), &file)?;
             let there =
                 meter::relay_onto(&relays.tasks, process.address, Arc::clone(&clients_meter)).await;
@@ -318,7 +318,7 @@
             client_addresses,
             dispatchers,
             _folder: folder,
-            shared_parts: shared_parts.ok_or("no dispatcher is asked for")?,
+            shared_parts: shared_parts.ok_or("the environment has no dispatchers")?,
         };
         environment.wait_until_ready().await?;
         Ok(environment)
@@ -348,7 +348,7 @@
         };
         within(TIMEOUT, ready)
             .await
-            .ok_or("the dispatchers don't hear of all machines")?
+            .ok_or("the dispatchers did not learn of all machines in time")?
     }
 
     /// Returns the status of the first dispatcher.
@@ -510,7 +510,7 @@
         };
         within(TIMEOUT, all)
             .await
-            .ok_or_else(|| format!("{version} is not in force everywhere in {TIMEOUT:?}"))
+            .ok_or_else(|| format!("{version} is not active at all dispatchers after {TIMEOUT:?}"))
     }
 
     /// Returns the sums of the dispatchers' own counts, or none if there are too many dispatchers
--- a/crates/testbed/src/capacity/full_node.rs
+++ b/crates/testbed/src/capacity/full_node.rs
@@ -45,14 +45,14 @@
         &self,
         _: Request<v1::AttemptRequest>,
     ) -> Result<Response<EventStream>, Status> {
-        Err(Status::unimplemented("nothing stays here"))
+        Err(Status::unimplemented("this node keeps no running tasks"))
     }
 
     async fn keep(
         &self,
         _: Request<v1::QuorumRequest>,
     ) -> Result<Response<v1::QuorumResponse>, Status> {
-        Err(Status::unimplemented("no keeper"))
+        Err(Status::unimplemented("this node is not a quorum member"))
     }
 
     async fn stop(
@@ -82,6 +82,8 @@
         &self,
         _: Request<v1::OperationsRequest>,
     ) -> Result<Response<v1::OperationsResponse>, Status> {
-        Err(Status::unimplemented("it keeps no record"))
+        Err(Status::unimplemented(
+            "this node keeps no record of operations",
+        ))
     }
 }
--- a/crates/testbed/src/capacity/kernel.rs
+++ b/crates/testbed/src/capacity/kernel.rs
@@ -48,13 +48,13 @@
     let id = link
         .file_name()
         .and_then(|name| name.to_str()?.parse().ok());
-    id.ok_or_else(|| "the kernel does not tell threads apart".into())
+    id.ok_or_else(|| "the kernel does not report the id of the calling thread".into())
 }
 
 /// Returns the processor time of one thread of this process.
 pub fn thread(id: i32) -> Result<CpuTime, String> {
     let path = format!("/proc/self/task/{id}/schedstat");
-    schedstat(Path::new(&path)).ok_or_else(|| format!("the kernel does not tell {path}"))
+    schedstat(Path::new(&path)).ok_or_else(|| format!("the kernel does not report {path}"))
 }
 
 /// Returns the ticks of all processors so far, and how many of them were stolen from this machine.
@@ -68,7 +68,7 @@
         .collect();
     match ticks.get(7) {
         Some(stolen) => Ok((ticks[..8].iter().sum(), *stolen)),
-        None => Err("the kernel does not tell its ticks".into()),
+        None => Err("the kernel does not report processor ticks in /proc/stat".into()),
     }
 }
 
--- a/crates/testbed/src/capacity/mod.rs
+++ b/crates/testbed/src/capacity/mod.rs
@@ -383,7 +383,7 @@
         for stream in &mut streams {
             let event = within(Duration::from_secs(60), stream.message()).await;
             event
-                .ok_or("a task is not placed in 60 s")?
+                .ok_or("a task was not placed within 60 s")?
                 .map_err(|why| why.to_string())?;
         }
         Timer::after(SETTLE_TIME).await;
@@ -420,7 +420,7 @@
                     Timer::at(due).await;
                     delays
                         .lock()
-                        .expect("no one panics over the times")
+                        .expect("no thread panics while it holds the lock")
                         .push(due.elapsed());
                     let mut client = client.clone();
                     tasks
@@ -443,7 +443,11 @@
         drop(requests);
         let mut measured = Measured::default();
         measured.add_invalid("starts", &watched);
-        let mut delays = std::mem::take(&mut *delays.lock().expect("no one panics over the times"));
+        let mut delays = std::mem::take(
+            &mut *delays
+                .lock()
+                .expect("no thread panics while it holds the lock"),
+        );
         delays.sort();
         let p99 = delays
             .get(delays.len() * 99 / 100)
@@ -575,7 +579,9 @@
         Err(why) => return Err(with_path(why.to_string())),
     };
     if stored.size != *size {
-        return Err(with_path("it is of another size".into()));
+        return Err(with_path(
+            "the stored result is for another fleet size".into(),
+        ));
     }
     stored.insert(run);
     let new_path = path.with_extension("new");
