--- a/crates/testbed/src/hollow.rs
+++ b/crates/testbed/src/hollow.rs
@@ -44,12 +44,12 @@
     for file in files {
         let deployment = Deployment::load(file).map_err(|why| why.to_string())?;
         let Deployment {
-            endpoint_cache: remembered,
-            rollout_store: rolls,
-            version_cache: versions,
+            endpoint_cache,
+            rollout_store,
+            version_cache,
             ..
         } = &deployment;
-        if remembered.is_some() || rolls.is_some() || versions.is_some() {
+        if endpoint_cache.is_some() || rollout_store.is_some() || version_cache.is_some() {
             let file = file.display();
             return Err(format!(
                 "{file}: a hollow dispatcher has no disk for its list, rolls or versions"
@@ -57,19 +57,19 @@
         }
         deployments.push(deployment);
     }
-    let mut stops = signals([Signal::Term, Signal::Int]).map_err(|why| why.to_string())?;
+    let mut stop_signals = signals([Signal::Term, Signal::Int]).map_err(|why| why.to_string())?;
     let tasks = SharedExecutor::default();
-    let all = async {
+    let run_all = async {
         let (stop, stopped) = async_channel::bounded::<()>(1);
-        let mut own = Vec::new();
-        for (which, deployment) in deployments.into_iter().enumerate() {
+        let mut running = Vec::new();
+        for (index, deployment) in deployments.into_iter().enumerate() {
             let stopped = stopped.clone();
             let stopped = async move {
                 let _ = stopped.recv().await;
             };
             // A pipe that nobody reads any more ends us soon enough.
             let ready = move |address| {
-                let _ = writeln!(std::io::stdout(), "listening {which} {address}");
+                let _ = writeln!(std::io::stdout(), "listening {index} {address}");
             };
             let store = Store::open(None);
             let run = corkspan_dispatcher::run_with_store(
@@ -79,22 +79,22 @@
                 ready,
                 stopped,
             );
-            own.push(tasks.spawn(run));
+            running.push(tasks.spawn(run));
         }
-        let ended = async {
-            for one in own {
-                one.await?;
+        let all_ended = async {
+            for dispatcher in running {
+                dispatcher.await?;
             }
             Ok::<(), DispatcherError>(())
         };
-        let asked = async {
-            stops.next().await;
+        let stop_requested = async {
+            stop_signals.next().await;
             drop(stop);
             future::pending().await
         };
-        future::or(ended, asked)
+        future::or(all_ended, stop_requested)
             .await
             .map_err(|why| why.to_string())
     };
-    future::block_on(tasks.run(all))
+    future::block_on(tasks.run(run_all))
 }
--- a/crates/testbed/src/hollow/fleet.rs
+++ b/crates/testbed/src/hollow/fleet.rs
@@ -42,7 +42,7 @@
 pub struct Fleet {
     tasks: SharedExecutor,
     testbed: Testbed,
-    _room: async_executor::Task<()>,
+    _capacity_reports: async_executor::Task<()>,
 }
 
 impl Fleet {
@@ -61,7 +61,7 @@
         }
         let script = match hollow {
             0 => String::new(),
-            many => format!("(hollow (many {many}))"),
+            hollow => format!("(hollow (many {hollow}))"),
         };
         let script = format!(
             "(day (length 600 s) (dispatchers {}) {script} (nodes {nodes}) (rate 1) (cancels 0))",
@@ -81,7 +81,7 @@
         };
         let tasks = SharedExecutor::default();
         let testbed = future::block_on(tasks.run(scenario_run.start(&tasks)))?;
-        let room = tasks.spawn(report_capacity(
+        let capacity_reports = tasks.spawn(report_capacity(
             testbed.discovery.clone(),
             testbed.nodes.clone(),
             testbed.scenario.clone(),
@@ -89,7 +89,7 @@
         Ok(Fleet {
             tasks,
             testbed,
-            _room: room,
+            _capacity_reports: capacity_reports,
         })
     }
 
@@ -99,23 +99,23 @@
         let tasks = self.tasks.clone();
         let testbed = &mut self.testbed;
         (testbed.scenario.rate, testbed.scenario.mean_lifetime) = (rate, life);
-        let whole = async {
-            let (before, from) = (
+        let measurement = async {
+            let (before, first_line) = (
                 testbed.read_costs().await?,
                 testbed.frontend.context.capture.lines().len(),
             );
-            let (saturation, until) = (
+            let (saturation, end) = (
                 SaturationMonitor::start(&tasks, testbed.hollow_process_ids())
                     .map_err(|why| why.to_string())?,
                 Instant::now() + time,
             );
             testbed.start = Instant::now();
-            let owners = testbed.run_until(until).await?;
-            Timer::at(until).await;
+            let clients = testbed.run_until(end).await?;
+            Timer::at(end).await;
             let observation = saturation.end().map_err(|why| why.to_string())?;
             let after = testbed.read_costs().await?;
             // Those that are still here when the span is over are not waited for.
-            drop(owners);
+            drop(clients);
             let Costs { real, hollow } = between(&before, &after);
             let mut span = Span {
                 real,
@@ -138,7 +138,7 @@
                     spoilt,
                 };
             }
-            for line in &testbed.frontend.context.capture.lines()[from..] {
+            for line in &testbed.frontend.context.capture.lines()[first_line..] {
                 match line.observation {
                     Observation::Requested(_) => span.requested += 1,
                     Observation::EventReceived {
@@ -150,9 +150,9 @@
             }
             Ok(span)
         };
-        let most = time + Duration::from_secs(60);
-        let whole = within(most, Box::pin(whole));
-        future::block_on(self.tasks.run(whole))
+        let timeout = time + Duration::from_secs(60);
+        let measurement = within(timeout, Box::pin(measurement));
+        future::block_on(self.tasks.run(measurement))
             .ok_or("a span of a fleet does not come to its end")?
     }
 
@@ -187,7 +187,7 @@
 }
 
 /// Mean life of a task.
-const LIFE: Duration = Duration::from_secs(4);
+const MEAN_LIFETIME: Duration = Duration::from_secs(4);
 
 /// Real ones alone and hollow ones with one real among them, in turn, so that both meet the same
 /// machine.
@@ -203,7 +203,7 @@
             );
         }
         let time = Duration::from_secs_f64(self.seconds);
-        let (mut spoilt, mut apart) = (0, 0);
+        let (mut invalid, mut differing) = (0, 0);
         let rates = [0.0, self.rate];
         for round in 0..self.rounds.clamp(1, 100) as u64 {
             let mut spans = Vec::new();
@@ -216,8 +216,8 @@
                 let mut fleet = Fleet::start(size, round + 1, &programs)?;
                 for rate in rates {
                     // What was learnt at the start, or of another rate, settles first.
-                    fleet.run(Duration::from_secs(3), rate, LIFE)?;
-                    spans.push(fleet.run(time, rate, LIFE)?);
+                    fleet.run(Duration::from_secs(3), rate, MEAN_LIFETIME)?;
+                    spans.push(fleet.run(time, rate, MEAN_LIFETIME)?);
                 }
                 fleet.stop()?;
             }
@@ -236,20 +236,20 @@
                 }
                 let ratio =
                     |cost: &Cost, kinds: &[Kind]| cost.bytes(kinds) / first.real.bytes(kinds);
-                let (ratio, beside, control) = (
+                let (ratio, real_ratio, control_ratio) = (
                     ratio(&second.hollow, &TRAFFIC_KINDS),
                     ratio(&second.real, &TRAFFIC_KINDS),
                     ratio(&second.hollow, &CONTROL_KINDS),
                 );
                 println!(
-                    "  bytes a second and dispatcher, over real ones alone: hollow {ratio:.3} (control {control:.3}), real among them {beside:.3}"
+                    "  bytes a second and dispatcher, over real ones alone: hollow {ratio:.3} (control {control_ratio:.3}), real among them {real_ratio:.3}"
                 );
-                spoilt += usize::from(first.stand_ins.spoilt || second.stand_ins.spoilt);
-                apart += usize::from(!(0.9..=1.1).contains(&ratio));
+                invalid += usize::from(first.stand_ins.spoilt || second.stand_ins.spoilt);
+                differing += usize::from(!(0.9..=1.1).contains(&ratio));
             }
         }
-        println!("{apart} spans apart by more than a tenth, {spoilt} spoilt");
-        match apart {
+        println!("{differing} spans apart by more than a tenth, {invalid} spoilt");
+        match differing {
             0 => Ok(()),
             _ => Err("hollow dispatchers don't pass what real ones do".into()),
         }
--- a/crates/testbed/src/measure.rs
+++ b/crates/testbed/src/measure.rs
@@ -41,13 +41,13 @@
 
 impl Measure {
     pub fn run(self) -> Result<(), String> {
-        let text = |why: std::io::Error| why.to_string();
+        let to_text = |why: std::io::Error| why.to_string();
         let tasks = SharedExecutor::default();
         let echo = serve_on_own_thread(|| v1::placement_server::PlacementServer::new(Echo))?;
         let node = serve_on_own_thread(|| v1::node_server::NodeServer::new(InstantNode))?;
-        let whole = async {
-            let context = SharedContext::new(Capture::new(None).map_err(text)?, &tasks, None);
-            let (discovery, address) = Discovery::start(&context).await.map_err(text)?;
+        let measurement = async {
+            let context = SharedContext::new(Capture::new(None).map_err(to_text)?, &tasks, None);
+            let (discovery, address) = Discovery::start(&context).await.map_err(to_text)?;
             for id in 0..self.nodes {
                 discovery.update(Duration::ZERO, endpoint(id, node));
             }
@@ -55,7 +55,7 @@
             let result = self.compare(&tasks, echo, &mut dispatcher).await;
             result.and(self.memory(&tasks, &mut dispatcher).await)
         };
-        future::block_on(tasks.run(whole))
+        future::block_on(tasks.run(measurement))
     }
 
     async fn compare(
@@ -64,7 +64,7 @@
         echo: SocketAddr,
         dispatcher: &mut Process,
     ) -> Result<(), String> {
-        let (mut floor, mut own) = (Vec::new(), Vec::new());
+        let (mut echo_rounds, mut dispatcher_rounds) = (Vec::new(), Vec::new());
         let before = self.wait_until_ready(tasks, dispatcher.address).await?;
         println!("idle: {} KiB resident", dispatcher.resident()?);
         let cpu = dispatcher.cpu()?;
@@ -73,28 +73,35 @@
             "", "asks/s", "p50 us", "p99 us"
         );
         for _ in 0..self.rounds {
-            floor.push(self.round(tasks, "echo", echo).await?);
-            own.push(self.round(tasks, "dispatcher", dispatcher.address).await?);
+            echo_rounds.push(self.round(tasks, "echo", echo).await?);
+            dispatcher_rounds.push(self.round(tasks, "dispatcher", dispatcher.address).await?);
         }
         let after = self.wait_until_ready(tasks, dispatcher.address).await?;
-        let ratio = |of: fn(&Round) -> f64| median(&own, of) / median(&floor, of);
+        let ratio = |figure: fn(&Round) -> f64| {
+            median(&dispatcher_rounds, figure) / median(&echo_rounds, figure)
+        };
         println!(
             "dispatcher over echo, medians: asks/s {:.2}, p50 {:.2}, p99 {:.2}",
             ratio(|r| r.per_second),
             ratio(|r| r.p50_us),
             ratio(|r| r.p99_us)
         );
-        let asks = (after.requested - before.requested).max(1) as f64;
-        let whole = (dispatcher.cpu()? - cpu).as_micros() as f64 / asks;
-        let decided = (after.decision_time_us - before.decision_time_us) as f64 / asks;
+        let requests = (after.requested - before.requested).max(1) as f64;
+        let cpu_per_request = (dispatcher.cpu()? - cpu).as_micros() as f64 / requests;
+        let decision_per_request =
+            (after.decision_time_us - before.decision_time_us) as f64 / requests;
         println!(
-            "an ask: {whole:.1} us of CPU, {decided:.1} in the decisions and the host, {:.1} outside",
-            whole - decided
+            "an ask: {cpu_per_request:.1} us of CPU, {decision_per_request:.1} in the decisions and the host, {:.1} outside",
+            cpu_per_request - decision_per_request
+        );
+        let version_cost = median_of(
+            &mut (0..self.rounds)
+                .map(|_| version_fields_us())
+                .collect::<Vec<f64>>(),
         );
-        let stamp = median_of(&mut (0..self.rounds).map(|_| stamp_us()).collect::<Vec<f64>>());
         println!(
-            "the stamp, life and floor of its shot: {stamp:.2} us, {:.1}% of that",
-            100.0 * stamp / whole
+            "the stamp, life and floor of its shot: {version_cost:.2} us, {:.1}% of that",
+            100.0 * version_cost / cpu_per_request
         );
         println!(
             "placed {} of {} asked",
@@ -107,18 +114,18 @@
     async fn memory(&self, tasks: &SharedExecutor, dispatcher: &mut Process) -> Result<(), String> {
         println!("with none in hand: {} KiB resident", dispatcher.resident()?);
         let client = PlacementClient::new(connect(tasks, dispatcher.address).await?);
-        let mut held = Vec::new();
+        let mut streams = Vec::new();
         for number in 0..self.held {
-            let ask = ask(&format!("held{number}"), 3_600_000);
-            let words = client
+            let request = request(&format!("held{number}"), 3_600_000);
+            let events = client
                 .clone()
-                .place(ask)
+                .place(request)
                 .await
                 .map_err(|why| why.to_string())?;
-            held.push(words.into_inner());
+            streams.push(events.into_inner());
         }
-        for words in &mut held {
-            words.message().await.map_err(|why| why.to_string())?;
+        for events in &mut streams {
+            events.message().await.map_err(|why| why.to_string())?;
         }
         let status = self.wait_until_ready(tasks, dispatcher.address).await?;
         println!(
@@ -161,38 +168,38 @@
         at: SocketAddr,
     ) -> Result<Round, String> {
         let client = PlacementClient::new(connect(tasks, at).await?);
-        let began = Instant::now();
-        let until = began + Duration::from_secs_f64(self.seconds);
-        let owners: Vec<_> = (0..self.at_once)
-            .map(|owner| {
+        let started = Instant::now();
+        let end = started + Duration::from_secs_f64(self.seconds);
+        let clients: Vec<_> = (0..self.at_once)
+            .map(|client_number| {
                 let mut client = client.clone();
                 tasks.spawn(async move {
                     let mut times = Vec::new();
-                    while Instant::now() < until {
-                        let asked = Instant::now();
+                    while Instant::now() < end {
+                        let requested_at = Instant::now();
                         let name = format!(
-                            "{owner}-{}-{:x}",
+                            "{client_number}-{}-{:x}",
                             times.len(),
                             corkspan_dispatcher::clock::wall_ms()
                         );
-                        let words = client
-                            .place(ask(&name, 1))
+                        let events = client
+                            .place(request(&name, 1))
                             .await
                             .map_err(|why| why.to_string())?;
-                        let mut words = words.into_inner();
-                        match words
+                        let mut events = events.into_inner();
+                        match events
                             .message()
                             .await
                             .map_err(|why| why.to_string())?
-                            .and_then(|word| word.event)
+                            .and_then(|event| event.event)
                         {
                             Some(Event::Placed(_)) => {
-                                times.push(asked.elapsed().as_micros() as u64)
+                                times.push(requested_at.elapsed().as_micros() as u64)
                             }
                             other => return Err(format!("not placed: {other:?}")),
                         }
                         // To its end, so that nothing is cancelled.
-                        while words
+                        while events
                             .message()
                             .await
                             .map_err(|why| why.to_string())?
@@ -205,14 +212,14 @@
             .collect();
         let mut times =
             Histogram::<u64>::new_with_bounds(1, 60_000_000, 3).map_err(|why| why.to_string())?;
-        for owner in owners {
-            owner
+        for client in clients {
+            client
                 .await?
                 .into_iter()
                 .for_each(|time| times.saturating_record(time.max(1)));
         }
         let round = Round {
-            per_second: times.len() as f64 / began.elapsed().as_secs_f64(),
+            per_second: times.len() as f64 / started.elapsed().as_secs_f64(),
             p50_us: times.value_at_quantile(0.5) as f64,
             p99_us: times.value_at_quantile(0.99) as f64,
         };
@@ -240,7 +247,7 @@
         .map_err(|why| why.to_string())
 }
 
-fn ask(task: &str, life_ms: u64) -> v1::PlacementRequest {
+fn request(task: &str, life_ms: u64) -> v1::PlacementRequest {
     v1::PlacementRequest {
         placement_id: task.into(),
         task: task.into(),
@@ -297,7 +304,7 @@
     Ok(address)
 }
 
-type Words<T> = Pin<Box<dyn futures_lite::Stream<Item = Result<T, Status>> + Send>>;
+type EventStream<T> = Pin<Box<dyn futures_lite::Stream<Item = Result<T, Status>> + Send>>;
 
 /// The floor: the same stack, answering at once.
 #[derive(Clone)]
@@ -305,14 +312,14 @@
 
 #[tonic::async_trait]
 impl v1::placement_server::Placement for Echo {
-    type PlaceStream = Words<v1::PlacementEvent>;
-    type HandOverStream = Words<v1::PlacementEvent>;
+    type PlaceStream = EventStream<v1::PlacementEvent>;
+    type HandOverStream = EventStream<v1::PlacementEvent>;
 
     async fn place(
         &self,
         _: Request<v1::PlacementRequest>,
     ) -> Result<Response<Self::PlaceStream>, Status> {
-        let words = [
+        let events = [
             Event::Placed(v1::Placed {
                 node: 0,
                 attempts: 1,
@@ -322,8 +329,8 @@
                 reason: v1::ended::EndReason::Ended.into(),
             }),
         ];
-        let words = words.map(|word| Ok(v1::PlacementEvent { event: Some(word) }));
-        Ok(Response::new(Box::pin(stream::iter(words))))
+        let events = events.map(|event| Ok(v1::PlacementEvent { event: Some(event) }));
+        Ok(Response::new(Box::pin(stream::iter(events))))
     }
 
     async fn hand_over(
@@ -347,8 +354,8 @@
 
 #[tonic::async_trait]
 impl v1::node_server::Node for InstantNode {
-    type OfferStream = Words<v1::AttemptEvent>;
-    type AttendStream = Words<v1::AttemptEvent>;
+    type OfferStream = EventStream<v1::AttemptEvent>;
+    type AttendStream = EventStream<v1::AttemptEvent>;
 
     async fn greet(
         &self,
@@ -362,33 +369,33 @@
         request: Request<v1::AttemptRequest>,
     ) -> Result<Response<Self::OfferStream>, Status> {
         use corkspan_api::v1::attempt_event::Event;
-        let load = Some(v1::LoadReport {
+        let load_report = Some(v1::LoadReport {
             cores: 30.0,
             memory: 40.0,
         });
-        let say = move |said| {
+        let to_message = move |event| {
             Ok(v1::AttemptEvent {
-                event: Some(said),
-                load_report: load,
+                event: Some(event),
+                load_report,
             })
         };
         let first = stream::iter([
-            say(Event::Accepted(v1::Accepted {})),
-            say(Event::Running(v1::Started::default())),
+            to_message(Event::Accepted(v1::Accepted {})),
+            to_message(Event::Running(v1::Started::default())),
         ]);
-        let over = say(Event::Ended(v1::AttemptEnded {
+        let ended = to_message(Event::Ended(v1::AttemptEnded {
             outcome: v1::attempt_ended::AttemptOutcome::Ended.into(),
         }));
-        let long = request.into_inner().expected_duration_ms > 1_000;
-        let rest = stream::once_future(async move {
-            if long {
+        let runs_on = request.into_inner().expected_duration_ms > 1_000;
+        let last = stream::once_future(async move {
+            if runs_on {
                 future::pending::<()>().await;
             }
-            over
+            ended
         });
         Ok(Response::new(Box::pin(stream::StreamExt::chain(
             first,
-            Box::pin(rest),
+            Box::pin(last),
         ))))
     }
 
@@ -435,13 +442,13 @@
     }
 }
 
-pub(crate) fn deployment(discovery: SocketAddr, more: &str) -> String {
+pub(crate) fn deployment(discovery: SocketAddr, extra_parts: &str) -> String {
     format!(
         r#"(deployment (listen "127.0.0.1:0") (roster "{discovery}")
   (hall hall) (number 0) (schedulers 1) (halls hall) (kinds (wide (cores 64) (memory 256)))
   (tracks (web (repeat idempotent) (contract-time 600 ms)))
   (accepts (cores 2) (memory 1.5)) (placed-when accepted)
-  (cold (lasts 5 s) (window 1 s) (offers 12)) {more})"#
+  (cold (lasts 5 s) (window 1 s) (offers 12)) {extra_parts})"#
     )
 }
 
@@ -454,18 +461,22 @@
 
 impl Process {
     /// `more` are further parts of its deployment.
-    fn start(program: &[OsString], discovery: SocketAddr, more: &str) -> Result<Self, String> {
+    fn start(
+        program: &[OsString],
+        discovery: SocketAddr,
+        extra_parts: &str,
+    ) -> Result<Self, String> {
         let folder = tempfile::tempdir().map_err(|why| why.to_string())?;
         let file = folder.path().join("dispatcher.sexp");
-        let mut started = Process::start_in(program, &file, &deployment(discovery, more))?;
-        started._folder = Some(folder);
-        Ok(started)
+        let mut process = Process::start_in(program, &file, &deployment(discovery, extra_parts))?;
+        process._folder = Some(folder);
+        Ok(process)
     }
 
     /// With its file at a place that outlives it.
     pub fn start_in(program: &[OsString], file: &Path, deployment: &str) -> Result<Self, String> {
-        let text = |why: std::io::Error| why.to_string();
-        std::fs::write(file, deployment).map_err(text)?;
+        let to_text = |why: std::io::Error| why.to_string();
+        std::fs::write(file, deployment).map_err(to_text)?;
         let (first, rest) = program.split_first().ok_or("no program is given")?;
         let mut command = Command::new(first);
         command
@@ -475,10 +486,12 @@
             .arg("--level")
             .arg("warn")
             .stdout(Stdio::piped());
-        let mut child = command.spawn().map_err(text)?;
+        let mut child = command.spawn().map_err(to_text)?;
         let mut line = String::new();
-        if let Some(out) = child.stdout.take() {
-            BufReader::new(out).read_line(&mut line).map_err(text)?;
+        if let Some(stdout) = child.stdout.take() {
+            BufReader::new(stdout)
+                .read_line(&mut line)
+                .map_err(to_text)?;
         }
         let address = line
             .trim()
@@ -496,8 +509,8 @@
     }
 
     /// Stands still, or goes on.
-    pub fn set_paused(&self, still: bool) -> Result<(), String> {
-        let signal = if still {
+    pub fn set_paused(&self, paused: bool) -> Result<(), String> {
+        let signal = if paused {
             rustix::process::Signal::STOP
         } else {
             rustix::process::Signal::CONT
@@ -548,52 +561,52 @@
     }
 }
 
-fn median_of(all: &mut [f64]) -> f64 {
-    all.sort_by(f64::total_cmp);
-    all.get(all.len() / 2).copied().unwrap_or(0.0)
+fn median_of(values: &mut [f64]) -> f64 {
+    values.sort_by(f64::total_cmp);
+    values.get(values.len() / 2).copied().unwrap_or(0.0)
 }
 
 /// What it costs a shot to carry who decided it under which version, counted and written, over one
 /// that tells nothing.
-fn stamp_us() -> f64 {
+fn version_fields_us() -> f64 {
     use prost::Message;
-    const MANY: u32 = 100_000;
-    let mut record = corkspan_version_fencing::history::VersionHistory::default();
+    const ATTEMPTS: u32 = 100_000;
+    let mut history = corkspan_version_fencing::history::VersionHistory::default();
     let digest = "0f".repeat(32);
-    let mut time = |stamped: bool| {
-        let (began, mut bytes) = (Instant::now(), Vec::with_capacity(1_024));
-        for number in 0..MANY {
-            let mut shot = v1::AttemptRequest {
+    let mut time = |with_version: bool| {
+        let (started, mut bytes) = (Instant::now(), Vec::with_capacity(1_024));
+        for number in 0..ATTEMPTS {
+            let mut attempt = v1::AttemptRequest {
                 placement_id: "p1234#0".into(),
                 attempt: number,
                 ..v1::AttemptRequest::default()
             };
-            if stamped {
-                record.count_operations(
+            if with_version {
+                history.count_operations(
                     12,
                     corkspan_version_fencing::operations::OperationKind::Attempt,
                     1,
                 );
-                let stamp = Some(v1::VersionId {
+                let version = Some(v1::VersionId {
                     number: 12,
                     digest: digest.clone(),
                 });
-                shot.decider = Some(v1::Decider {
-                    version: stamp,
+                attempt.decider = Some(v1::Decider {
+                    version,
                     incarnation: u64::from(number) << 32,
                     dispatcher: 7,
                 });
-                shot.minimum_version = Some(v1::MinimumVersion {
+                attempt.minimum_version = Some(v1::MinimumVersion {
                     revision: 3,
                     proposer: 1 << 60,
                     version: 11,
                 });
             }
             bytes.clear();
-            shot.encode(&mut bytes).expect("a vector has room");
+            attempt.encode(&mut bytes).expect("a vector has room");
             std::hint::black_box(&bytes);
         }
-        began.elapsed().as_secs_f64() * 1e6 / f64::from(MANY)
+        started.elapsed().as_secs_f64() * 1e6 / f64::from(ATTEMPTS)
     };
     let plain = time(false);
     time(true) - plain
