--- a/crates/testbed/src/hollow.rs
+++ b/crates/testbed/src/hollow.rs
@@ -1,6 +1,6 @@
-//! Hollow dispatchers: many share a process and its one thread. Each decides, listens, and speaks
-//! over loopback sockets as a real one does, by the same code; none has a process, a disk or a log
-//! of its own.
+//! Hollow dispatchers, many of which share a process and its one thread. Each schedules, listens
+//! and communicates over loopback sockets with the same code as a real dispatcher, but has no
+//! process, disk or log of its own.
 
 pub mod fleet;
 
@@ -32,6 +32,7 @@
     Against(fleet::Against),
 }
 
+/// Runs the subcommand of a parsed command line.
 pub fn run(line: Line) -> Result<(), String> {
     match line.call {
         Call::Serve { files } => serve(&files),
@@ -67,7 +68,8 @@
             let stopped = async move {
                 let _ = stopped.recv().await;
             };
-            // A pipe that nobody reads any more ends us soon enough.
+            // A write error is ignored: once the reader of this pipe is gone, the process is
+            // stopped soon anyway.
             let ready = move |address| {
                 let _ = writeln!(std::io::stdout(), "listening {index} {address}");
             };
--- a/crates/testbed/src/hollow/fleet.rs
+++ b/crates/testbed/src/hollow/fleet.rs
@@ -1,5 +1,5 @@
-//! A fleet of dispatchers before stand-ins of nodes, run for a while without asks or with them, and
-//! read.
+//! Runs a fleet of dispatchers and stand-ins of nodes for a time, with or without requests, and
+//! reads its costs.
 
 use crate::capture::Observation;
 use crate::cost::{CONTROL_KINDS, Cost, Costs, TRAFFIC_KINDS, between};
@@ -15,30 +15,31 @@
 use futures_lite::future;
 use std::time::{Duration, Instant};
 
-/// How large a fleet is.
+/// The size of a fleet.
 #[derive(Clone, Copy, Debug)]
 pub struct Size {
-    /// Dispatchers with a process each.
+    /// Dispatchers with a process of their own.
     pub real: usize,
-    /// Further ones, that share processes.
+    /// Further dispatchers, which share processes.
     pub hollow: usize,
     pub nodes: usize,
 }
 
-/// A span of time in figures.
+/// The figures of a span of time.
 #[derive(Clone, Debug, Default)]
 pub struct Span {
     pub real: Cost,
     pub hollow: Cost,
-    /// How the laboratory itself kept up.
+    /// Whether the testbed itself kept up.
     pub stand_ins: StandIns,
-    /// As owners heard it.
+    /// Allocations that clients requested.
     pub requested: usize,
+    /// Allocations that clients saw placed.
     pub placed: usize,
 }
 
-/// Dispatchers and stand-ins, up. Nothing of the stand-ins moves but within [`Fleet::run`], so
-/// calls are to follow one another closely.
+/// Running dispatchers and stand-ins. The stand-ins make progress only within [`Fleet::run`], so
+/// its calls should follow one another closely.
 pub struct Fleet {
     tasks: SharedExecutor,
     testbed: Testbed,
@@ -46,8 +47,8 @@
 }
 
 impl Fleet {
-    /// Refused at once, with what is short, where it does not fit the machine. Each dispatcher
-    /// knows all nodes when this returns.
+    /// Starts a fleet and waits until each dispatcher knows all nodes. Returns an error at once
+    /// that names the missing resources if this machine can't carry the fleet.
     pub fn start(size: Size, seed: u64, programs: &Programs) -> Result<Fleet, String> {
         let Size {
             real,
@@ -93,8 +94,8 @@
         })
     }
 
-    /// Runs for so long while owners ask so many times a second, each for a task of a mean life of
-    /// so long; at a rate of 0 nobody asks.
+    /// Runs the fleet for this time while clients send `rate` requests a second, for tasks with the
+    /// mean lifetime `life`. At a rate of 0 no request is sent.
     pub fn run(&mut self, time: Duration, rate: f64, life: Duration) -> Result<Span, String> {
         let tasks = self.tasks.clone();
         let testbed = &mut self.testbed;
@@ -114,7 +115,7 @@
             Timer::at(end).await;
             let observation = saturation.end().map_err(|why| why.to_string())?;
             let after = testbed.read_costs().await?;
-            // Those that are still here when the span is over are not waited for.
+            // Clients that are still connected at the end of the span are not awaited.
             drop(clients);
             let Costs { real, hollow } = between(&before, &after);
             let mut span = Span {
@@ -156,7 +157,7 @@
             .ok_or("a span of a fleet does not come to its end")?
     }
 
-    /// All processes end, and each with 0.
+    /// Stops all processes, which must exit with 0.
     pub fn stop(mut self) -> Result<(), String> {
         let tasks = self.tasks.clone();
         let frontend = self.testbed.frontend.clone();
@@ -169,7 +170,7 @@
     }
 }
 
-/// `hollow against`
+/// The arguments of `hollow against`.
 #[derive(Args)]
 pub struct Against {
     #[arg(long, default_value_t = 20)]
@@ -186,12 +187,12 @@
     rounds: usize,
 }
 
-/// Mean life of a task.
+/// The mean lifetime of a task.
 const MEAN_LIFETIME: Duration = Duration::from_secs(4);
 
-/// Real ones alone and hollow ones with one real among them, in turn, so that both meet the same
-/// machine.
 impl Against {
+    /// Measures a fleet of real dispatchers and one of hollow dispatchers with a real one among
+    /// them in turn, so that both run under the same conditions of the machine.
     pub fn run(self) -> Result<(), String> {
         let programs = Programs::of_current_exe()?;
         if self.dispatchers < 2
@@ -215,7 +216,7 @@
                 };
                 let mut fleet = Fleet::start(size, round + 1, &programs)?;
                 for rate in rates {
-                    // What was learnt at the start, or of another rate, settles first.
+                    // A short run first removes the effects of the start or of another rate.
                     fleet.run(Duration::from_secs(3), rate, MEAN_LIFETIME)?;
                     spans.push(fleet.run(time, rate, MEAN_LIFETIME)?);
                 }
--- a/crates/testbed/src/measure.rs
+++ b/crates/testbed/src/measure.rs
@@ -1,5 +1,5 @@
-//! What a dispatcher costs against the RPC stack alone, side by side in one run. Nodes answer at
-//! once here: the figures are the dispatcher's, not a cluster's.
+//! Compares the cost of a dispatcher with that of the RPC stack alone, side by side in one run.
+//! Nodes respond at once, so the figures are those of the dispatcher, not of a cluster.
 
 use crate::capture::Capture;
 use crate::discovery::Discovery;
@@ -19,19 +19,19 @@
 use std::time::{Duration, Instant};
 use tonic::{Request, Response, Status};
 
-/// How it is measured.
+/// The settings of a measurement of one dispatcher.
 pub struct Measure {
     pub program: Vec<OsString>,
     pub rounds: usize,
     pub seconds: f64,
-    /// Asks under way at a time.
+    /// Concurrent requests.
     pub at_once: usize,
     pub nodes: u32,
     /// Allocations held for the memory figure.
     pub held: usize,
 }
 
-/// One round's figures.
+/// The figures of one round.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Round {
     pub per_second: f64,
@@ -136,6 +136,7 @@
         Ok(())
     }
 
+    /// Waits until the dispatcher knows all nodes and returns its status.
     pub(crate) async fn wait_until_ready(
         &self,
         tasks: &SharedExecutor,
@@ -160,7 +161,8 @@
             .ok_or("the dispatcher does not hear of its nodes")?
     }
 
-    /// Closed loop, named so: so many owners that each ask again as soon as they are answered.
+    /// Runs one round in a closed loop under this name: each client sends its next request as soon
+    /// as the previous one has ended.
     pub(crate) async fn round(
         &self,
         tasks: &SharedExecutor,
@@ -198,7 +200,7 @@
                             }
                             other => return Err(format!("not placed: {other:?}")),
                         }
-                        // To its end, so that nothing is cancelled.
+                        // Reads the stream to its end, so that the request is not cancelled.
                         while events
                             .message()
                             .await
@@ -231,6 +233,7 @@
     }
 }
 
+/// Returns the median of one figure over all rounds.
 pub(crate) fn median(rounds: &[Round], of: fn(&Round) -> f64) -> f64 {
     let mut values: Vec<f64> = rounds.iter().map(of).collect();
     values.sort_by(f64::total_cmp);
@@ -275,7 +278,7 @@
     }
 }
 
-/// Serves on a thread of its own.
+/// Serves on a new thread and returns the address.
 pub(crate) fn serve_on_own_thread<S>(
     service: impl FnOnce() -> S + Send + 'static,
 ) -> Result<SocketAddr, String>
@@ -306,7 +309,7 @@
 
 type EventStream<T> = Pin<Box<dyn futures_lite::Stream<Item = Result<T, Status>> + Send>>;
 
-/// The floor: the same stack, answering at once.
+/// The baseline: the same RPC stack with an immediate response.
 #[derive(Clone)]
 struct Echo;
 
@@ -348,7 +351,8 @@
     }
 }
 
-/// A node that takes everything at once, and ends it at once unless it is to live long.
+/// A node that accepts each attempt at once, and ends it at once unless its expected duration is
+/// over a second.
 #[derive(Clone)]
 pub(crate) struct InstantNode;
 
@@ -442,6 +446,7 @@
     }
 }
 
+/// Returns the text of a deployment file with one service class and `extra_parts`.
 pub(crate) fn deployment(discovery: SocketAddr, extra_parts: &str) -> String {
     format!(
         r#"(deployment (listen "127.0.0.1:0") (roster "{discovery}")
@@ -452,7 +457,7 @@
     )
 }
 
-/// A dispatcher's process, measured from outside.
+/// A dispatcher process, measured from outside.
 pub(crate) struct Process {
     child: Child,
     pub address: SocketAddr,
@@ -460,7 +465,7 @@
 }
 
 impl Process {
-    /// `more` are further parts of its deployment.
+    /// Starts a dispatcher with further parts of its deployment, in a temporary folder of its own.
     fn start(
         program: &[OsString],
         discovery: SocketAddr,
@@ -473,7 +478,7 @@
         Ok(process)
     }
 
-    /// With its file at a place that outlives it.
+    /// Starts a dispatcher with its deployment file at a path that outlives the process.
     pub fn start_in(program: &[OsString], file: &Path, deployment: &str) -> Result<Self, String> {
         let to_text = |why: std::io::Error| why.to_string();
         std::fs::write(file, deployment).map_err(to_text)?;
@@ -508,7 +513,7 @@
         })
     }
 
-    /// Stands still, or goes on.
+    /// Pauses or resumes the process.
     pub fn set_paused(&self, paused: bool) -> Result<(), String> {
         let signal = if paused {
             rustix::process::Signal::STOP
@@ -523,7 +528,7 @@
         self.child.id()
     }
 
-    /// KiB, as the kernel counts them.
+    /// Returns the resident memory, in KiB, as counted by the kernel.
     pub(crate) fn resident(&self) -> Result<u64, String> {
         let path = format!("/proc/{}/status", self.child.id());
         let status = std::fs::read_to_string(path).map_err(|why| why.to_string())?;
@@ -532,11 +537,11 @@
         number.ok_or_else(|| "the kernel does not tell its memory".into())
     }
 
-    /// Time on a processor so far, in the kernel's ticks of 10 ms.
+    /// Returns the processor time so far, in the kernel's ticks of 10 ms.
     fn cpu(&self) -> Result<Duration, String> {
         let path = format!("/proc/{}/stat", self.child.id());
         let stat = std::fs::read_to_string(path).map_err(|why| why.to_string())?;
-        // Counted from behind the name, which may hold spaces.
+        // Fields are counted after the process name, which may contain spaces.
         let fields: Vec<&str> = stat
             .rsplit(')')
             .next()
@@ -566,8 +571,8 @@
     values.get(values.len() / 2).copied().unwrap_or(0.0)
 }
 
-/// What it costs a shot to carry who decided it under which version, counted and written, over one
-/// that tells nothing.
+/// Returns the additional time, in µs, of counting and encoding an attempt with its decider and
+/// versions, over one without them.
 fn version_fields_us() -> f64 {
     use prost::Message;
     const ATTEMPTS: u32 = 100_000;
