--- a/crates/testbed/src/hollow.rs
+++ b/crates/testbed/src/hollow.rs
@@ -27,7 +27,7 @@
         #[arg(required = true)]
         files: Vec<PathBuf>,
     },
-    /// Holds hollow dispatchers against real ones, at a size at which both fit, without asks and
+    /// Compares hollow dispatchers with real ones in a fleet of the same size, without requests and
     /// with them.
     Against(fleet::Against),
 }
@@ -53,7 +53,7 @@
         if endpoint_cache.is_some() || rollout_store.is_some() || version_cache.is_some() {
             let file = file.display();
             return Err(format!(
-                "{file}: a hollow dispatcher has no disk for its list, rolls or versions"
+                "{file}: a hollow dispatcher has no disk to store its endpoint list, rollouts or versions"
             ));
         }
         deployments.push(deployment);
--- a/crates/testbed/src/hollow/fleet.rs
+++ b/crates/testbed/src/hollow/fleet.rs
@@ -57,7 +57,7 @@
         } = size;
         if real == 0 || real + hollow > 300 || !(1..=2600).contains(&nodes) {
             return Err(format!(
-                "1 to 300 dispatchers with a real one among them, and 1 to 2600 nodes, not {size:?}"
+                "a fleet has 1 to 300 dispatchers with a real one among them, and 1 to 2600 nodes, not {size:?}"
             ));
         }
         let script = match hollow {
@@ -154,7 +154,7 @@
         let timeout = time + Duration::from_secs(60);
         let measurement = within(timeout, Box::pin(measurement));
         future::block_on(self.tasks.run(measurement))
-            .ok_or("a span of a fleet does not come to its end")?
+            .ok_or("a span of the fleet did not end in time")?
     }
 
     /// Stops all processes, which must exit with 0.
@@ -177,10 +177,10 @@
     dispatchers: usize,
     #[arg(long, default_value_t = 140)]
     nodes: usize,
-    /// Of each span.
+    /// Duration of each span, in seconds.
     #[arg(long, default_value_t = 10.0)]
     seconds: f64,
-    /// Asks a second of the spans with asks.
+    /// Requests a second in the spans with requests.
     #[arg(long, default_value_t = 100.0)]
     rate: f64,
     #[arg(long, default_value_t = 3)]
@@ -200,7 +200,7 @@
             || !(0.0..=5_000.0).contains(&self.rate)
         {
             return Err(
-                "2 dispatchers or more, 0.5 to 600 seconds and 0 to 5000 asks a second".into(),
+                "2 dispatchers or more, 0.5 to 600 seconds and 0 to 5000 requests a second are allowed".into(),
             );
         }
         let time = Duration::from_secs_f64(self.seconds);
@@ -249,10 +249,10 @@
                 differing += usize::from(!(0.9..=1.1).contains(&ratio));
             }
         }
-        println!("{differing} spans apart by more than a tenth, {invalid} spoilt");
+        println!("{differing} spans differ by more than a tenth, {invalid} are invalid");
         match differing {
             0 => Ok(()),
-            _ => Err("hollow dispatchers don't pass what real ones do".into()),
+            _ => Err("hollow dispatchers don't send and receive as many bytes as real ones".into()),
         }
     }
 }
--- a/crates/testbed/src/measure.rs
+++ b/crates/testbed/src/measure.rs
@@ -91,7 +91,7 @@
         let decision_per_request =
             (after.decision_time_us - before.decision_time_us) as f64 / requests;
         println!(
-            "an ask: {cpu_per_request:.1} us of CPU, {decision_per_request:.1} in the decisions and the host, {:.1} outside",
+            "a request: {cpu_per_request:.1} us of CPU, {decision_per_request:.1} in the scheduler and the engine, {:.1} outside",
             cpu_per_request - decision_per_request
         );
         let version_cost = median_of(
@@ -100,11 +100,11 @@
                 .collect::<Vec<f64>>(),
         );
         println!(
-            "the stamp, life and floor of its shot: {version_cost:.2} us, {:.1}% of that",
+            "the decider and versions of its attempt: {version_cost:.2} us, {:.1}% of that",
             100.0 * version_cost / cpu_per_request
         );
         println!(
-            "placed {} of {} asked",
+            "placed {} of {} requested",
             after.placed - before.placed,
             after.requested - before.requested
         );
@@ -112,7 +112,10 @@
     }
 
     async fn memory(&self, tasks: &SharedExecutor, dispatcher: &mut Process) -> Result<(), String> {
-        println!("with none in hand: {} KiB resident", dispatcher.resident()?);
+        println!(
+            "with none in flight: {} KiB resident",
+            dispatcher.resident()?
+        );
         let client = PlacementClient::new(connect(tasks, dispatcher.address).await?);
         let mut streams = Vec::new();
         for number in 0..self.held {
@@ -129,7 +132,7 @@
         }
         let status = self.wait_until_ready(tasks, dispatcher.address).await?;
         println!(
-            "with {} in hand: {} KiB resident",
+            "with {} in flight: {} KiB resident",
             status.in_flight,
             dispatcher.resident()?
         );
@@ -158,7 +161,7 @@
         };
         within(Duration::from_secs(10), ready)
             .await
-            .ok_or("the dispatcher does not hear of its nodes")?
+            .ok_or("the dispatcher did not learn of its nodes in time")?
     }
 
     /// Runs one round in a closed loop under this name: each client sends its next request as soon
@@ -340,7 +343,9 @@
         &self,
         _: Request<v1::HandOverRequest>,
     ) -> Result<Response<Self::HandOverStream>, Status> {
-        Err(Status::unimplemented("an echo holds nothing"))
+        Err(Status::unimplemented(
+            "the echo server holds no allocations",
+        ))
     }
 
     async fn status(
@@ -407,14 +412,14 @@
         &self,
         _: Request<v1::AttemptRequest>,
     ) -> Result<Response<Self::AttendStream>, Status> {
-        Err(Status::unimplemented("nothing stays here"))
+        Err(Status::unimplemented("this node keeps no running tasks"))
     }
 
     async fn keep(
         &self,
         _: Request<v1::QuorumRequest>,
     ) -> Result<Response<v1::QuorumResponse>, Status> {
-        Err(Status::unimplemented("no keeper"))
+        Err(Status::unimplemented("this node is not a quorum member"))
     }
 
     async fn stop(
@@ -442,7 +447,9 @@
         &self,
         _: Request<v1::OperationsRequest>,
     ) -> Result<Response<v1::OperationsResponse>, Status> {
-        Err(Status::unimplemented("it keeps no record"))
+        Err(Status::unimplemented(
+            "this node keeps no record of operations",
+        ))
     }
 }
 
@@ -482,7 +489,9 @@
     pub fn start_in(program: &[OsString], file: &Path, deployment: &str) -> Result<Self, String> {
         let to_text = |why: std::io::Error| why.to_string();
         std::fs::write(file, deployment).map_err(to_text)?;
-        let (first, rest) = program.split_first().ok_or("no program is given")?;
+        let (first, rest) = program
+            .split_first()
+            .ok_or("the command of the dispatcher is empty")?;
         let mut command = Command::new(first);
         command
             .args(rest)
@@ -534,7 +543,7 @@
         let status = std::fs::read_to_string(path).map_err(|why| why.to_string())?;
         let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
         let number = line.and_then(|rest| rest.split_whitespace().next()?.parse().ok());
-        number.ok_or_else(|| "the kernel does not tell its memory".into())
+        number.ok_or_else(|| "the kernel does not report the resident memory".into())
     }
 
     /// Returns the processor time so far, in the kernel's ticks of 10 ms.
@@ -555,7 +564,7 @@
         };
         let ticks = ticks(11)
             .zip(ticks(12))
-            .ok_or("the kernel does not tell its time")?;
+            .ok_or("the kernel does not report the processor time")?;
         Ok(Duration::from_millis((ticks.0 + ticks.1) * 10))
     }
 }
