--- a/crates/testbed/src/config_push_experiment.rs
+++ b/crates/testbed/src/config_push_experiment.rs
@@ -34,54 +34,54 @@
 
 impl ConfigPushExperiment {
     pub fn run(self) -> Result<(), String> {
-        self.exchanges()?;
-        self.flood()?;
-        self.effect()?;
-        self.returning()?;
-        self.placing()
+        self.measure_exchanges()?;
+        self.measure_flood()?;
+        self.measure_effect()?;
+        self.measure_reconnects()?;
+        self.measure_placement()
     }
 
-    fn exchanges(&self) -> Result<(), String> {
+    fn measure_exchanges(&self) -> Result<(), String> {
         for seed in 1..=self.seeds {
-            let out = exchange(&self.program, seed, self.versions)
+            let figures = exchange(&self.program, seed, self.versions)
                 .map_err(|why| format!("seed {seed}: {why}"))?;
-            println!("random exchange, seed {seed}: {out:?}");
+            println!("random exchange, seed {seed}: {figures:?}");
         }
         Ok(())
     }
 
     /// A thousand versions a second for ten seconds.
-    fn flood(&self) -> Result<(), String> {
-        let (many, apart) = (10_000u64, Duration::from_millis(1));
+    fn measure_flood(&self) -> Result<(), String> {
+        let (versions, interval) = (10_000u64, Duration::from_millis(1));
         in_environment(&self.program, 1, async |environment| {
             let began = Instant::now();
             let mut newest = None;
-            for number in 0..many {
+            for number in 0..versions {
                 newest = Some(
                     environment
                         .control
-                        .publish(environment.texts(1, number), true),
+                        .publish(environment.shared_parts_with_change(1, number), true),
                 );
-                Timer::at(began + apart * (number as u32 + 1)).await;
+                Timer::at(began + interval * (number as u32 + 1)).await;
             }
-            let published = began.elapsed();
+            let publish_time = began.elapsed();
             environment
-                .until("the newest is in force", |environment| {
+                .wait_for("the newest is in force", |environment| {
                     environment.control.running(0) == newest
                 })
                 .await?;
-            let caught_up = began.elapsed() - published;
+            let catch_up_time = began.elapsed() - publish_time;
             let pushes = environment.control.pushes().len();
-            let answers = |answer| {
+            let count_replies = |status| {
                 environment
                     .control
                     .replies()
                     .iter()
-                    .filter(|own| own.message.answer() == answer)
+                    .filter(|reply| reply.message.answer() == status)
                     .count()
             };
             environment
-                .until("each is answered", |environment| {
+                .wait_for("each is answered", |environment| {
                     environment
                         .control
                         .replies()
@@ -93,41 +93,49 @@
                 .await?;
             let status = environment.status(0).await?;
             println!(
-                "flood: {many} versions in {published:.1?}, {pushes} pushed; applied {}, passed over {}, turned down {}, whole wanted {}; the newest in force {caught_up:.1?} after the last; in force by status: {}",
-                answers(Answer::Applied),
-                answers(Answer::Superseded),
-                answers(Answer::Rejected),
-                answers(Answer::FullRequired),
-                status.active.map_or(0, |running| running.number),
+                "flood: {versions} versions in {publish_time:.1?}, {pushes} pushed; applied {}, passed over {}, turned down {}, whole wanted {}; the newest in force {catch_up_time:.1?} after the last; in force by status: {}",
+                count_replies(Answer::Applied),
+                count_replies(Answer::Superseded),
+                count_replies(Answer::Rejected),
+                count_replies(Answer::FullRequired),
+                status.active.map_or(0, |version| version.number),
             );
             Ok(())
         })
     }
 
     /// From push to effect, as told by each instance's acknowledgement.
-    fn effect(&self) -> Result<(), String> {
-        let many = self.instances;
-        in_environment(&self.program, many, async |environment| {
+    fn measure_effect(&self) -> Result<(), String> {
+        let instances = self.instances;
+        in_environment(&self.program, instances, async |environment| {
             let mut times = histogram()?;
-            for which in 0..20 {
-                let (before, began) = (environment.control.replies().len(), Instant::now());
-                let stamp = environment
-                    .control
-                    .publish(environment.texts(many, which), true);
-                let all = |environment: &Environment| {
-                    (0..many).all(|who| environment.control.running(who as u32) == Some(stamp))
+            for change in 0..20 {
+                let (replies_before, published_at) =
+                    (environment.control.replies().len(), Instant::now());
+                let version = environment.control.publish(
+                    environment.shared_parts_with_change(instances, change),
+                    true,
+                );
+                let is_active_at_all = |environment: &Environment| {
+                    (0..instances).all(|dispatcher| {
+                        environment.control.running(dispatcher as u32) == Some(version)
+                    })
                 };
-                environment.until("all have it", all).await?;
-                for reply in &environment.control.replies()[before..] {
+                environment
+                    .wait_for("all have it", is_active_at_all)
+                    .await?;
+                for reply in &environment.control.replies()[replies_before..] {
                     if reply.message.answer() == Answer::Applied {
-                        times.saturating_record((reply.received_at - began).as_micros() as u64);
+                        times.saturating_record(
+                            (reply.received_at - published_at).as_micros() as u64
+                        );
                     }
                 }
                 // Not paced by the one before.
                 Timer::after(Duration::from_millis(100)).await;
             }
             println!(
-                "push to effect over {many} instances, 20 versions: {}",
+                "push to effect over {instances} instances, 20 versions: {}",
                 quantiles(&times)
             );
             Ok(())
@@ -135,16 +143,16 @@
     }
 
     /// All come back after a service that was away.
-    fn returning(&self) -> Result<(), String> {
-        let many = self.returns;
-        in_environment(&self.program, many, async |mut environment| {
+    fn measure_reconnects(&self) -> Result<(), String> {
+        let instances = self.returns;
+        in_environment(&self.program, instances, async |mut environment| {
             let opened = environment.control.opened();
-            drop(environment.up.take());
+            drop(environment.control_guard.take());
             environment.control.hang_up();
             // Long enough for every one to have failed some times.
             Timer::after(Duration::from_secs(4)).await;
-            let began = Instant::now();
-            environment.up = Some(
+            let restarted_at = Instant::now();
+            environment.control_guard = Some(
                 environment
                     .control
                     .restart(&environment.context)
@@ -152,8 +160,8 @@
                     .map_err(|why| why.to_string())?,
             );
             environment
-                .until("all are back", |environment| {
-                    environment.control.opened() >= opened + many
+                .wait_for("all are back", |environment| {
+                    environment.control.opened() >= opened + instances
                 })
                 .await?;
             let mut times = histogram()?;
@@ -162,16 +170,16 @@
                 .control
                 .replies()
                 .iter()
-                .filter(|own| own.message.nonce == 0 && own.received_at > began)
+                .filter(|reply| reply.message.nonce == 0 && reply.received_at > restarted_at)
             {
-                times.saturating_record((reply.received_at - began).as_micros() as u64);
+                times.saturating_record((reply.received_at - restarted_at).as_micros() as u64);
                 *by_second
-                    .entry((reply.received_at - began).as_secs())
+                    .entry((reply.received_at - restarted_at).as_secs())
                     .or_default() += 1;
             }
-            let most = by_second.values().max().copied().unwrap_or(0);
+            let max_per_second = by_second.values().max().copied().unwrap_or(0);
             println!(
-                "{many} instances come back after 4 s: {}, {most} in one second at the most",
+                "{instances} instances come back after 4 s: {}, {max_per_second} in one second at the most",
                 quantiles(&times)
             );
             Ok(())
@@ -179,7 +187,7 @@
     }
 
     /// Time to placed while ten versions a second take effect, beside none.
-    fn placing(&self) -> Result<(), String> {
+    fn measure_placement(&self) -> Result<(), String> {
         let node = measure::serve_on_own_thread(|| v1::node_server::NodeServer::new(InstantNode))?;
         let measure = Measure {
             program: self.program.clone(),
@@ -189,53 +197,57 @@
             nodes: 40,
             held: 0,
         };
-        let (mut calm, mut pushed) = (Vec::<Round>::new(), Vec::<Round>::new());
+        let (mut without_pushes, mut with_pushes) = (Vec::<Round>::new(), Vec::<Round>::new());
         let tasks = SharedExecutor::default();
-        let whole = async {
-            let text = |why: std::io::Error| why.to_string();
-            let context = SharedContext::new(Capture::new(None).map_err(text)?, &tasks, None);
-            let (discovery, address) = Discovery::start(&context).await.map_err(text)?;
+        let measurement = async {
+            let to_text = |why: std::io::Error| why.to_string();
+            let context = SharedContext::new(Capture::new(None).map_err(to_text)?, &tasks, None);
+            let (discovery, address) = Discovery::start(&context).await.map_err(to_text)?;
             for id in 0..measure.nodes {
                 discovery.update(Duration::ZERO, measure::endpoint(id, node));
             }
-            let (control, up) = ControlService::start(&context).await.map_err(text)?;
+            let (control, control_guard) =
+                ControlService::start(&context).await.map_err(to_text)?;
             let mut environment = Environment {
                 tasks: tasks.clone(),
                 context,
                 program: self.program.clone(),
-                folder: tempfile::tempdir().map_err(text)?,
+                folder: tempfile::tempdir().map_err(to_text)?,
                 discovery: address,
                 control,
-                up: Some(up),
+                control_guard: Some(control_guard),
                 dispatchers: Vec::new(),
             };
             let process = environment.start(0, 1)?;
             let at = process.address;
             environment.dispatchers.push(process);
             environment
-                .until("its stream stands", |environment| {
+                .wait_for("its stream stands", |environment| {
                     environment.control.opened() == 1
                 })
                 .await?;
             measure.wait_until_ready(&tasks, at).await?;
-            let mut which = 0;
+            let mut change = 0;
             for _ in 0..self.rounds {
-                calm.push(measure.round(&tasks, "no pushes", at).await?);
+                without_pushes.push(measure.round(&tasks, "no pushes", at).await?);
                 let pushes = async {
                     loop {
-                        which += 1;
+                        change += 1;
                         environment
                             .control
-                            .publish(environment.texts(1, which), true);
+                            .publish(environment.shared_parts_with_change(1, change), true);
                         Timer::after(Duration::from_millis(100)).await;
                     }
                 };
-                pushed.push(future::or(measure.round(&tasks, "10 a second", at), pushes).await?);
+                with_pushes
+                    .push(future::or(measure.round(&tasks, "10 a second", at), pushes).await?);
             }
             let applied = environment.status(0).await?.applied;
-            let ratio = |of: fn(&Round) -> f64| median(&pushed, of) / median(&calm, of);
+            let ratio = |figure: fn(&Round) -> f64| {
+                median(&with_pushes, figure) / median(&without_pushes, figure)
+            };
             println!(
-                "placing with 10 versions a second over without, medians of {} rounds: asks/s {:.2}, p50 {:.2}, p99 {:.2}; {applied} applied of {which}",
+                "placing with 10 versions a second over without, medians of {} rounds: asks/s {:.2}, p50 {:.2}, p99 {:.2}; {applied} applied of {change}",
                 self.rounds,
                 ratio(|r| r.per_second),
                 ratio(|r| r.p50_us),
@@ -243,7 +255,7 @@
             );
             Ok(())
         };
-        future::block_on(tasks.run(whole))
+        future::block_on(tasks.run(measurement))
     }
 }
 
--- a/crates/testbed/src/config_push_experiment/environment.rs
+++ b/crates/testbed/src/config_push_experiment/environment.rs
@@ -16,7 +16,7 @@
 use std::time::Duration;
 
 /// Nothing here takes longer.
-const PATIENCE: Duration = Duration::from_secs(60);
+const TIMEOUT: Duration = Duration::from_secs(60);
 
 /// A control service, and dispatchers that take their versions from it.
 pub(super) struct Environment {
@@ -26,7 +26,7 @@
     pub(super) folder: tempfile::TempDir,
     pub(super) discovery: SocketAddr,
     pub(super) control: ControlService,
-    pub(super) up: Option<ControlServiceGuard>,
+    pub(super) control_guard: Option<ControlServiceGuard>,
     pub(super) dispatchers: Vec<Process>,
 }
 
@@ -34,22 +34,22 @@
 pub(super) fn in_environment<T, F: Future<Output = Result<T, String>>>(
     program: &[OsString],
     dispatchers: usize,
-    story: impl FnOnce(Environment) -> F,
+    experiment: impl FnOnce(Environment) -> F,
 ) -> Result<T, String> {
     let tasks = SharedExecutor::default();
-    let whole = async {
-        let text = |why: std::io::Error| why.to_string();
-        let context = SharedContext::new(Capture::new(None).map_err(text)?, &tasks, None);
-        let (_roster, discovery) = Discovery::start(&context).await.map_err(text)?;
-        let (control, up) = ControlService::start(&context).await.map_err(text)?;
+    let run = async {
+        let to_text = |why: std::io::Error| why.to_string();
+        let context = SharedContext::new(Capture::new(None).map_err(to_text)?, &tasks, None);
+        let (_discovery_service, discovery) = Discovery::start(&context).await.map_err(to_text)?;
+        let (control, control_guard) = ControlService::start(&context).await.map_err(to_text)?;
         let mut environment = Environment {
             tasks: tasks.clone(),
             context,
             program: program.to_vec(),
-            folder: tempfile::tempdir().map_err(text)?,
+            folder: tempfile::tempdir().map_err(to_text)?,
             discovery,
             control,
-            up: Some(up),
+            control_guard: Some(control_guard),
             dispatchers: Vec::new(),
         };
         for number in 0..dispatchers {
@@ -57,66 +57,77 @@
             environment.dispatchers.push(process);
         }
         environment
-            .until("all streams stand", |environment| {
+            .wait_for("all streams stand", |environment| {
                 environment.control.opened() >= dispatchers
             })
             .await?;
-        story(environment).await
+        experiment(environment).await
     };
-    future::block_on(tasks.run(whole))
+    future::block_on(tasks.run(run))
 }
 
 impl Environment {
-    pub(super) fn file(&self, number: usize, of: usize) -> String {
-        let kept = self.folder.path().join(format!("versions-{number}.json"));
-        let more = format!("(control \"{}\") (versions {kept:?})", self.control.address);
-        let text = measure::deployment(self.discovery, &more);
+    pub(super) fn deployment_text(&self, number: usize, schedulers: usize) -> String {
+        let version_cache = self.folder.path().join(format!("versions-{number}.json"));
+        let extra_parts = format!(
+            "(control \"{}\") (versions {version_cache:?})",
+            self.control.address
+        );
+        let text = measure::deployment(self.discovery, &extra_parts);
         text.replace("(number 0)", &format!("(number {number})"))
-            .replace("(schedulers 1)", &format!("(schedulers {of})"))
+            .replace("(schedulers 1)", &format!("(schedulers {schedulers})"))
     }
 
-    pub(super) fn start(&self, number: usize, of: usize) -> Result<Process, String> {
+    pub(super) fn start(&self, number: usize, schedulers: usize) -> Result<Process, String> {
         let path: PathBuf = self.folder.path().join(format!("{number}.sexp"));
-        Process::start_in(&self.program, &path, &self.file(number, of))
+        Process::start_in(
+            &self.program,
+            &path,
+            &self.deployment_text(number, schedulers),
+        )
     }
 
     /// The file's shared parts with one more track, and other shots: always another version, and a
     /// sound one.
-    pub(super) fn texts(&self, dispatchers: usize, which: u64) -> SharedParts {
-        let shared =
-            SharedParts::parse("file", &self.file(0, dispatchers)).expect("the file is sound");
-        let tracks = shared.get("tracks").unwrap_or_default();
-        let more = format!(
+    pub(super) fn shared_parts_with_change(&self, dispatchers: usize, change: u64) -> SharedParts {
+        let shared_parts = SharedParts::parse("file", &self.deployment_text(0, dispatchers))
+            .expect("the file is sound");
+        let service_classes = shared_parts.get("tracks").unwrap_or_default();
+        let added_class = format!(
             "(t{} (repeat idempotent) (contract-time 300 ms))",
-            which % 9
+            change % 9
+        );
+        let service_classes = format!(
+            "{} {added_class})",
+            &service_classes[..service_classes.len() - 1]
         );
-        let tracks = format!("{} {more})", &tracks[..tracks.len() - 1]);
-        let accounts = format!("(accounts (a (share-cores {})))", 1_000_000 + which);
+        let tenants = format!("(accounts (a (share-cores {})))", 1_000_000 + change);
         let changes = [
-            ("tracks".to_string(), tracks),
-            ("accounts".to_string(), accounts),
+            ("tracks".to_string(), service_classes),
+            ("accounts".to_string(), tenants),
         ];
-        shared.with_changes(&changes.into_iter().collect(), &[])
+        shared_parts.with_changes(&changes.into_iter().collect(), &[])
     }
 
-    pub(super) async fn until(
+    pub(super) async fn wait_for(
         &self,
-        what: &str,
-        mut done: impl FnMut(&Environment) -> bool,
+        condition: &str,
+        mut is_met: impl FnMut(&Environment) -> bool,
     ) -> Result<(), String> {
-        let waits = async {
-            while !done(self) {
+        let polling = async {
+            while !is_met(self) {
                 Timer::after(Duration::from_millis(2)).await;
             }
         };
-        within(PATIENCE, waits)
+        within(TIMEOUT, polling)
             .await
-            .ok_or_else(|| format!("waited {PATIENCE:?} in vain: {what}"))
+            .ok_or_else(|| format!("waited {TIMEOUT:?} in vain: {condition}"))
     }
 
     pub(super) async fn status(&self, dispatcher: usize) -> Result<v1::VersionStatus, String> {
-        let link = measure::connect(&self.tasks, self.dispatchers[dispatcher].address).await?;
-        let status = VersionsClient::new(link)
+        let connection =
+            measure::connect(&self.tasks, self.dispatchers[dispatcher].address).await?;
+        let status = VersionsClient::new(connection)
             .status(v1::VersionStatusRequest {})
             .await;
         Ok(status
--- a/crates/testbed/src/config_push_experiment/random_exchange.rs
+++ b/crates/testbed/src/config_push_experiment/random_exchange.rs
@@ -31,7 +31,7 @@
     in_environment(program, 1, async |mut environment| {
         environment.control.scripted();
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let mut out = Exchange::default();
+        let mut figures = Exchange::default();
         let mut acknowledged = environment
             .status(0)
             .await?
@@ -39,24 +39,24 @@
             .as_ref()
             .and_then(parse_version_id)
             .ok_or("no stamp")?;
-        while out.sent < versions {
+        while figures.sent < versions {
             let burst: Vec<(VersionPush, bool)> = (0..rng.random_range(1..40))
                 .map(|at| {
-                    let nonce = (out.sent + at + 1) as u64;
+                    let nonce = (figures.sent + at + 1) as u64;
                     random_push(&environment, &mut rng, nonce, acknowledged)
                 })
                 .collect();
-            out.sent += burst.len();
+            figures.sent += burst.len();
             if !burst
                 .iter()
                 .all(|(push, _)| environment.control.send(0, push_message(push)))
             {
                 return Err("the stream does not stand".into());
             }
-            let sound = |stamp: VersionId| {
+            let is_valid = |version: VersionId| {
                 burst
                     .iter()
-                    .any(|(push, sound)| *sound && push.version == stamp)
+                    .any(|(push, is_valid)| *is_valid && push.version == version)
             };
             let killed = rng.random_range(0..6) == 0;
             if killed {
@@ -64,11 +64,11 @@
                 Timer::after(Duration::from_micros(rng.random_range(0..5_000))).await;
                 let opened = environment.control.opened();
                 environment.dispatchers.clear();
-                let again = environment.start(0, 1)?;
-                environment.dispatchers.push(again);
-                out.kills += 1;
+                let restarted = environment.start(0, 1)?;
+                environment.dispatchers.push(restarted);
+                figures.kills += 1;
                 environment
-                    .until("it comes back", |environment| {
+                    .wait_for("it comes back", |environment| {
                         environment.control.opened() > opened
                     })
                     .await?;
@@ -78,22 +78,24 @@
                         .iter()
                         .all(|(push, _)| environment.control.reply_to(push.nonce).is_some())
                 };
-                environment.until("each push is answered", answered).await?;
-                for (push, sound) in &burst {
-                    let told = environment.control.reply_to(push.nonce).ok_or("no reply")?;
-                    match told.answer() {
-                        Answer::Applied if !sound => {
+                environment
+                    .wait_for("each push is answered", answered)
+                    .await?;
+                for (push, is_valid) in &burst {
+                    let reply = environment.control.reply_to(push.nonce).ok_or("no reply")?;
+                    match reply.answer() {
+                        Answer::Applied if !is_valid => {
                             return Err(format!("unsound, and in force: {push:?}"));
                         }
                         Answer::Applied => {
-                            out.applied += 1;
+                            figures.applied += 1;
                             acknowledged = push.version;
                         }
-                        Answer::Rejected if told.reasons.is_empty() => {
+                        Answer::Rejected if reply.reasons.is_empty() => {
                             return Err("refused without a reason".into());
                         }
-                        Answer::Rejected => out.refused += 1,
-                        Answer::Superseded => out.superseded += 1,
+                        Answer::Rejected => figures.refused += 1,
+                        Answer::Superseded => figures.superseded += 1,
                         Answer::Unchanged | Answer::FullRequired => {}
                         other => return Err(format!("{other:?} is no answer to a push")),
                     }
@@ -105,26 +107,27 @@
                 .as_ref()
                 .and_then(parse_version_id)
                 .ok_or("no stamp")?;
-            let in_force =
+            let active_parts =
                 SharedParts::parse("in force", &status.text).map_err(|why| why.to_string())?;
             // Three starts under a version on trial, and it is given up: it may be what ended them.
-            let given_up = killed
+            let is_rolled_back = killed
                 && status
                     .given_up
                     .iter()
                     .filter_map(parse_version_id)
-                    .any(|own| own == acknowledged);
-            out.given_up += usize::from(given_up);
-            let newer = killed && sound(running) && running.number > acknowledged.number;
-            let may = running == acknowledged || given_up || newer;
-            if !may || in_force.digest() != running.digest {
+                    .any(|version| version == acknowledged);
+            figures.given_up += usize::from(is_rolled_back);
+            let is_newer_valid =
+                killed && is_valid(running) && running.number > acknowledged.number;
+            let is_allowed = running == acknowledged || is_rolled_back || is_newer_valid;
+            if !is_allowed || active_parts.digest() != running.digest {
                 return Err(format!(
-                    "{running} is in force, {acknowledged} was acknowledged last; {out:?}"
+                    "{running} is in force, {acknowledged} was acknowledged last; {figures:?}"
                 ));
             }
             acknowledged = running;
         }
-        Ok(out)
+        Ok(figures)
     })
 }
 
@@ -133,45 +136,45 @@
     environment: &Environment,
     rng: &mut Pcg64Mcg,
     nonce: u64,
-    after: VersionId,
+    active: VersionId,
 ) -> (VersionPush, bool) {
-    let sound = environment.texts(1, rng.random_range(0..1_000));
+    let valid_parts = environment.shared_parts_with_change(1, rng.random_range(0..1_000));
     let change = |name: &str, text: &str| {
-        sound.with_changes(
+        valid_parts.with_changes(
             &[(name.to_string(), text.to_string())].into_iter().collect(),
             &[],
         )
     };
-    let (changes, fit) = match rng.random_range(0..8) {
+    let (parts, can_activate) = match rng.random_range(0..8) {
         0 => (change("shots", "(shots 0)"), false),
         1 => (change("halls", "(halls hall other)"), false),
         2 => (change("listen", "(listen \"127.0.0.1:1\")"), false),
         3 => (change("cold", "(cold (lasts"), false),
-        _ => (sound.clone(), true),
+        _ => (valid_parts.clone(), true),
     };
-    let number = (after.number + rng.random_range(0..20))
+    let number = (active.number + rng.random_range(0..20))
         .saturating_sub(3)
         .max(1);
-    let follows = if rng.random_range(0..6) > 0 {
-        vec![after]
+    let predecessors = if rng.random_range(0..6) > 0 {
+        vec![active]
     } else {
         Vec::new()
     };
-    let stamp = VersionId {
+    let version = VersionId {
         number,
-        digest: changes.digest(),
+        digest: parts.digest(),
     };
-    let fit = fit && (!follows.is_empty() || after.number == 0);
+    let can_activate = can_activate && (!predecessors.is_empty() || active.number == 0);
     (
         VersionPush {
             nonce,
-            version: stamp,
-            predecessors: follows,
+            version,
+            predecessors,
             base: None,
-            changes,
+            changes: parts,
             removed: Vec::new(),
             allows_cuts: true,
         },
-        fit,
+        can_activate,
     )
 }
--- a/crates/testbed/src/cost.rs
+++ b/crates/testbed/src/cost.rs
@@ -58,7 +58,7 @@
     Kind::Owners,
 ];
 
-fn figures(counts: &[ConnectionTraffic], kind: Kind) -> [u64; 4] {
+fn counts_of_kind(counts: &[ConnectionTraffic], kind: Kind) -> [u64; 4] {
     let count = traffic_of(counts, kind);
     [
         count.bytes_in,
@@ -71,9 +71,11 @@
 impl Cost {
     /// Bytes a second and dispatcher of these kinds of link, both ways.
     pub fn bytes(&self, kinds: &[Kind]) -> f64 {
-        let own =
+        let selected =
             std::iter::zip(TRAFFIC_KINDS, self.links).filter(|(kind, _)| kinds.contains(kind));
-        let bytes: u64 = own.map(|(_, [came, went, ..])| came + went).sum();
+        let bytes: u64 = selected
+            .map(|(_, [bytes_in, bytes_out, ..])| bytes_in + bytes_out)
+            .sum();
         bytes as f64 / self.seconds.max(1e-3) / self.reporting.max(1) as f64
     }
 
@@ -94,14 +96,19 @@
         self.cpu_s += after.cpu.saturating_sub(before.cpu).as_secs_f64();
         self.resident_kib += after.resident_kib;
         for (number, counts) in &after.counts {
-            let Some(former) = before.counts.get(number) else {
+            let Some(counts_before) = before.counts.get(number) else {
                 continue;
             };
             self.reporting += 1;
             for (sum, kind) in std::iter::zip(&mut self.links, TRAFFIC_KINDS) {
-                let (now, then) = (figures(counts, kind), figures(former, kind));
-                for (sum, (now, then)) in std::iter::zip(sum, std::iter::zip(now, then)) {
-                    *sum += now.saturating_sub(then);
+                let (current, previous) = (
+                    counts_of_kind(counts, kind),
+                    counts_of_kind(counts_before, kind),
+                );
+                for (sum, (current, previous)) in
+                    std::iter::zip(sum, std::iter::zip(current, previous))
+                {
+                    *sum += current.saturating_sub(previous);
                 }
             }
         }
--- a/crates/testbed/src/maintenance_figures.rs
+++ b/crates/testbed/src/maintenance_figures.rs
@@ -58,20 +58,20 @@
                 self.figures.max_out = *max_concurrent;
                 self.figures.max_out_of_zone = *max_per_zone;
             }
-            Observation::Cordon { node, closed: true } => self.cordoned(at, *node),
+            Observation::Cordon { node, closed: true } => self.record_cordon(at, *node),
             Observation::Cordon {
                 node,
                 closed: false,
-            } => self.uncordoned(at, *node),
+            } => self.record_uncordon(at, *node),
             Observation::MaintenanceWork {
                 node,
                 begins: true,
                 runs,
             } => {
-                let is_sound = *runs == 0 && self.cordoned_since.contains_key(node);
+                let is_valid = *runs == 0 && self.cordoned_since.contains_key(node);
                 self.figures.completed.insert(*node);
                 self.figures.completions += 1;
-                self.figures.violations += usize::from(!is_sound);
+                self.figures.violations += usize::from(!is_valid);
             }
             Observation::EventSent {
                 node,
@@ -85,23 +85,23 @@
         }
     }
 
-    fn cordoned(&mut self, at: u64, node: u32) {
+    fn record_cordon(&mut self, at: u64, node: u32) {
         self.cordoned_since.insert(node, at);
         self.figures.peak_out = self.figures.peak_out.max(self.cordoned_since.len());
         let zone = self.zones.get(&node);
-        let of_zone = self
+        let out_of_zone = self
             .cordoned_since
             .keys()
             .filter(|other| self.zones.get(other) == zone)
             .count();
-        self.figures.peak_out_of_zone = self.figures.peak_out_of_zone.max(of_zone);
+        self.figures.peak_out_of_zone = self.figures.peak_out_of_zone.max(out_of_zone);
     }
 
-    fn uncordoned(&mut self, at: u64, node: u32) {
+    fn record_uncordon(&mut self, at: u64, node: u32) {
         if let Some(since) = self.cordoned_since.remove(&node) {
             self.cordoned_times.push(seconds(at - since));
         }
-        self.figures.duration_s = self.began_at.map_or(0.0, |began| seconds(at - began));
+        self.figures.duration_s = self.began_at.map_or(0.0, |began_at| seconds(at - began_at));
     }
 }
 
--- a/crates/testbed/src/version_figures.rs
+++ b/crates/testbed/src/version_figures.rs
@@ -75,11 +75,11 @@
 /// A push, and when dispatchers had it, in ms from it.
 struct Push {
     at: u64,
-    effects: Vec<f64>,
+    effect_times_ms: Vec<f64>,
 }
 
 /// The last raise, and the dispatchers that are still below it.
-struct OpenRaise {
+struct RaiseInProgress {
     at: u64,
     below: BTreeSet<u32>,
 }
@@ -93,7 +93,7 @@
     figures: VersionFigures,
     pushes: BTreeMap<u64, Push>,
     active: BTreeMap<u32, u64>,
-    raise: Option<OpenRaise>,
+    raise: Option<RaiseInProgress>,
     /// The version that each attempt was decided under.
     attempts: BTreeMap<AttemptKey<'a>, u64>,
     /// Nodes that have stored the minimum version of the last raise.
@@ -105,14 +105,20 @@
         let now = line.t;
         match &line.observation {
             Observation::Pushed { number } => {
-                let effects = Vec::new();
-                self.pushes.insert(*number, Push { at: now, effects });
+                let effect_times_ms = Vec::new();
+                self.pushes.insert(
+                    *number,
+                    Push {
+                        at: now,
+                        effect_times_ms,
+                    },
+                );
             }
             Observation::VersionActive { dispatcher, number } => {
-                self.in_force(now, *dispatcher, *number)
+                self.record_active(now, *dispatcher, *number)
             }
-            Observation::MinimumVersionRaised { lowest } => self.raised(now, *lowest),
-            Observation::MinimumVersionStored { node, .. } => self.stored(*node),
+            Observation::MinimumVersionRaised { lowest } => self.record_raise(now, *lowest),
+            Observation::MinimumVersionStored { node, .. } => self.record_stored(*node),
             Observation::Offered {
                 node,
                 placement_id,
@@ -123,14 +129,14 @@
             } => {
                 let attempt = (*node, placement_id.as_str(), *number);
                 self.attempts.insert(attempt, *decided);
-                self.offered(now, *dispatcher, *decided);
+                self.record_offer(now, *dispatcher, *decided);
             }
             Observation::EventSent {
                 node,
                 placement_id,
                 number,
                 event: AllocationEvent::Accepted,
-            } => self.accepted(now, (*node, placement_id.as_str(), *number)),
+            } => self.record_accepted(now, (*node, placement_id.as_str(), *number)),
             Observation::Audited {
                 took_ms,
                 bytes,
@@ -154,20 +160,21 @@
         }
     }
 
-    fn in_force(&mut self, now: u64, dispatcher: u32, number: u64) {
+    fn record_active(&mut self, now: u64, dispatcher: u32, number: u64) {
         self.active.insert(dispatcher, number);
         if let Some(push) = self.pushes.get_mut(&number) {
-            push.effects.push(ms_between(push.at, now));
+            push.effect_times_ms.push(ms_between(push.at, now));
         }
-        let (Some(open), Some(raise)) = (&mut self.raise, self.figures.raises.last_mut()) else {
+        let (Some(in_progress), Some(raise)) = (&mut self.raise, self.figures.raises.last_mut())
+        else {
             return;
         };
         if number >= raise.lowest {
-            open.caught_up(dispatcher, now, raise);
+            in_progress.record_caught_up(dispatcher, now, raise);
         }
     }
 
-    fn raised(&mut self, now: u64, lowest: u64) {
+    fn record_raise(&mut self, now: u64, lowest: u64) {
         let below = self.active.iter().filter(|(_, active)| **active < lowest);
         let below: BTreeSet<u32> = below.map(|(dispatcher, _)| *dispatcher).collect();
         self.figures.raises.push(Raise {
@@ -175,43 +182,47 @@
             below: below.len(),
             ..Raise::default()
         });
-        self.raise = Some(OpenRaise { at: now, below });
+        self.raise = Some(RaiseInProgress { at: now, below });
         self.nodes.clear();
     }
 
-    fn stored(&mut self, node: u32) {
+    fn record_stored(&mut self, node: u32) {
         self.nodes.insert(node);
         if let Some(raise) = self.figures.raises.last_mut() {
             raise.nodes = self.nodes.len();
         }
     }
 
-    fn offered(&mut self, now: u64, dispatcher: u32, decided: u64) {
-        let (Some(open), Some(raise)) = (&mut self.raise, self.figures.raises.last_mut()) else {
+    fn record_offer(&mut self, now: u64, dispatcher: u32, decided: u64) {
+        let (Some(in_progress), Some(raise)) = (&mut self.raise, self.figures.raises.last_mut())
+        else {
             return;
         };
         if decided < raise.lowest {
-            raise.reached = Some(ms_between(open.at, now));
+            raise.reached = Some(ms_between(in_progress.at, now));
         } else {
             // It may have caught up without a report: its first attempt from above tells.
-            open.caught_up(dispatcher, now, raise);
+            in_progress.record_caught_up(dispatcher, now, raise);
         }
     }
 
-    fn accepted(&mut self, now: u64, attempt: AttemptKey<'a>) {
-        let (Some(open), Some(raise)) = (&self.raise, self.figures.raises.last_mut()) else {
+    fn record_accepted(&mut self, now: u64, attempt: AttemptKey<'a>) {
+        let (Some(in_progress), Some(raise)) = (&self.raise, self.figures.raises.last_mut()) else {
             return;
         };
         let decided = self.attempts.get(&attempt);
         if decided.is_some_and(|decided| *decided < raise.lowest) {
-            raise.taken = Some(ms_between(open.at, now));
+            raise.taken = Some(ms_between(in_progress.at, now));
         }
     }
 
     /// The median, over all pushes, of the time until this part of the dispatchers had it.
-    fn effect_at(&self, part: f64) -> f64 {
-        let index = (self.active.len() as f64 * part) as usize;
-        let times = self.pushes.values().map(|push| push.effects.get(index));
+    fn effect_at(&self, share: f64) -> f64 {
+        let index = (self.active.len() as f64 * share) as usize;
+        let times = self
+            .pushes
+            .values()
+            .map(|push| push.effect_times_ms.get(index));
         median(times.flatten().copied().collect())
     }
 
@@ -223,9 +234,9 @@
     }
 }
 
-impl OpenRaise {
+impl RaiseInProgress {
     /// A dispatcher is no longer below, if it was.
-    fn caught_up(&mut self, dispatcher: u32, now: u64, raise: &mut Raise) {
+    fn record_caught_up(&mut self, dispatcher: u32, now: u64, raise: &mut Raise) {
         if self.below.remove(&dispatcher) {
             raise.up += 1;
             raise.last_up = ms_between(self.at, now) / 1_000.0;
