--- a/crates/testbed/src/config_push_experiment.rs
+++ b/crates/testbed/src/config_push_experiment.rs
@@ -1,6 +1,6 @@
-//! What streamed versions cost and whether they hold, with dispatchers as processes of their own:
-//! random exchanges with kills, a flood, time from push to effect, returns after a service was
-//! away, placing while versions come.
+//! Measures the cost and correctness of streamed versions with dispatchers as processes: random
+//! exchanges with kills, a flood of versions, the time from push to effect, reconnects after an
+//! outage of the control service, and placement while versions are pushed.
 
 mod environment;
 mod random_exchange;
@@ -21,7 +21,7 @@
 use std::ffi::OsString;
 use std::time::{Duration, Instant};
 
-/// How it is measured.
+/// The settings of the experiment.
 pub struct ConfigPushExperiment {
     pub program: Vec<OsString>,
     pub rounds: usize,
@@ -50,7 +50,7 @@
         Ok(())
     }
 
-    /// A thousand versions a second for ten seconds.
+    /// Publishes a thousand versions a second for ten seconds.
     fn measure_flood(&self) -> Result<(), String> {
         let (versions, interval) = (10_000u64, Duration::from_millis(1));
         in_environment(&self.program, 1, async |environment| {
@@ -104,7 +104,7 @@
         })
     }
 
-    /// From push to effect, as told by each instance's acknowledgement.
+    /// Measures the time from a push until each instance has acknowledged it as applied.
     fn measure_effect(&self) -> Result<(), String> {
         let instances = self.instances;
         in_environment(&self.program, instances, async |environment| {
@@ -131,7 +131,7 @@
                         );
                     }
                 }
-                // Not paced by the one before.
+                // The pause keeps one push from delaying the next.
                 Timer::after(Duration::from_millis(100)).await;
             }
             println!(
@@ -142,14 +142,14 @@
         })
     }
 
-    /// All come back after a service that was away.
+    /// Measures how all instances reconnect after an outage of the control service.
     fn measure_reconnects(&self) -> Result<(), String> {
         let instances = self.returns;
         in_environment(&self.program, instances, async |mut environment| {
             let opened = environment.control.opened();
             drop(environment.control_guard.take());
             environment.control.hang_up();
-            // Long enough for every one to have failed some times.
+            // Long enough that each instance fails several times to connect.
             Timer::after(Duration::from_secs(4)).await;
             let restarted_at = Instant::now();
             environment.control_guard = Some(
@@ -186,7 +186,7 @@
         })
     }
 
-    /// Time to placed while ten versions a second take effect, beside none.
+    /// Compares the time until placement with ten versions a second and without any.
     fn measure_placement(&self) -> Result<(), String> {
         let node = measure::serve_on_own_thread(|| v1::node_server::NodeServer::new(InstantNode))?;
         let measure = Measure {
--- a/crates/testbed/src/config_push_experiment/environment.rs
+++ b/crates/testbed/src/config_push_experiment/environment.rs
@@ -1,4 +1,4 @@
-//! A control service, and dispatchers as processes of their own that take versions from it.
+//! An environment with a control service and dispatcher processes that receive versions from it.
 
 use crate::capture::Capture;
 use crate::control_service::{ControlService, ControlServiceGuard};
@@ -15,10 +15,10 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Nothing here takes longer.
+/// The timeout of each wait.
 const TIMEOUT: Duration = Duration::from_secs(60);
 
-/// A control service, and dispatchers that take their versions from it.
+/// A control service and the dispatchers that receive their versions from it.
 pub(super) struct Environment {
     pub(super) tasks: SharedExecutor,
     pub(super) context: std::sync::Arc<SharedContext>,
@@ -30,7 +30,7 @@
     pub(super) dispatchers: Vec<Process>,
 }
 
-/// Runs a story on this thread.
+/// Runs an experiment in a new environment on this thread.
 pub(super) fn in_environment<T, F: Future<Output = Result<T, String>>>(
     program: &[OsString],
     dispatchers: usize,
@@ -67,6 +67,7 @@
 }
 
 impl Environment {
+    /// Returns the text of a dispatcher's deployment file.
     pub(super) fn deployment_text(&self, number: usize, schedulers: usize) -> String {
         let version_cache = self.folder.path().join(format!("versions-{number}.json"));
         let extra_parts = format!(
@@ -78,6 +79,7 @@
             .replace("(schedulers 1)", &format!("(schedulers {schedulers})"))
     }
 
+    /// Starts the process of a dispatcher.
     pub(super) fn start(&self, number: usize, schedulers: usize) -> Result<Process, String> {
         let path: PathBuf = self.folder.path().join(format!("{number}.sexp"));
         Process::start_in(
@@ -87,8 +89,8 @@
         )
     }
 
-    /// The file's shared parts with one more track, and other shots: always another version, and a
-    /// sound one.
+    /// Returns the shared parts of the deployment file with one more service class and a changed
+    /// tenant: always a new and valid version.
     pub(super) fn shared_parts_with_change(&self, dispatchers: usize, change: u64) -> SharedParts {
         let shared_parts = SharedParts::parse("file", &self.deployment_text(0, dispatchers))
             .expect("the file is sound");
@@ -109,6 +111,7 @@
         shared_parts.with_changes(&changes.into_iter().collect(), &[])
     }
 
+    /// Waits until a condition is met. `condition` describes it in the error of a timeout.
     pub(super) async fn wait_for(
         &self,
         condition: &str,
@@ -124,6 +127,7 @@
             .ok_or_else(|| format!("waited {TIMEOUT:?} in vain: {condition}"))
     }
 
+    /// Returns the version status of a dispatcher.
     pub(super) async fn status(&self, dispatcher: usize) -> Result<v1::VersionStatus, String> {
         let connection =
             measure::connect(&self.tasks, self.dispatchers[dispatcher].address).await?;
--- a/crates/testbed/src/config_push_experiment/random_exchange.rs
+++ b/crates/testbed/src/config_push_experiment/random_exchange.rs
@@ -1,4 +1,4 @@
-//! Random exchanges of pushes with kills.
+//! Random exchanges of pushes with kills of the dispatcher.
 
 use super::environment::{Environment, in_environment};
 use crate::control_service::{parse_version_id, push_message};
@@ -11,7 +11,7 @@
 use std::ffi::OsString;
 use std::time::Duration;
 
-/// What a random exchange came to.
+/// The figures of a random exchange.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Exchange {
     pub sent: usize,
@@ -19,14 +19,14 @@
     pub refused: usize,
     pub superseded: usize,
     pub kills: usize,
-    /// Acknowledged and then given up, since it was started under three times.
+    /// Versions that were acknowledged and then rolled back, after three starts under them.
     pub given_up: usize,
 }
 
-/// So many versions at random, sound, unsound, stale, split and foreign, in bursts, with kills in
-/// between and in the middle. What is in force, by status, must always be what was acknowledged
-/// last; after a kill that, a sound one sent after it, or the one before where it was given up for
-/// its many starts.
+/// Pushes this many random versions in bursts (valid, invalid, stale, split and foreign ones), with
+/// kills of the dispatcher between and during bursts. The status must always show the version that
+/// was acknowledged last as active. After a kill, it may also show a valid one sent after it, or
+/// the previous one if the acknowledged version was rolled back for its many starts.
 pub fn exchange(program: &[OsString], seed: u64, versions: usize) -> Result<Exchange, String> {
     in_environment(program, 1, async |mut environment| {
         environment.control.scripted();
@@ -60,7 +60,7 @@
             };
             let killed = rng.random_range(0..6) == 0;
             if killed {
-                // In the middle of it, at no time in particular.
+                // The kill happens at a random time during the burst.
                 Timer::after(Duration::from_micros(rng.random_range(0..5_000))).await;
                 let opened = environment.control.opened();
                 environment.dispatchers.clear();
@@ -109,7 +109,8 @@
                 .ok_or("no stamp")?;
             let active_parts =
                 SharedParts::parse("in force", &status.text).map_err(|why| why.to_string())?;
-            // Three starts under a version on trial, and it is given up: it may be what ended them.
+            // A version on trial is rolled back after three starts under it, since it may have
+            // ended the processes.
             let is_rolled_back = killed
                 && status
                     .given_up
@@ -131,7 +132,7 @@
     })
 }
 
-/// A push, and whether it may ever be in force.
+/// Returns a random push, and whether its version may ever become active.
 fn random_push(
     environment: &Environment,
     rng: &mut Pcg64Mcg,
--- a/crates/testbed/src/cost.rs
+++ b/crates/testbed/src/cost.rs
@@ -1,5 +1,5 @@
-//! What dispatchers cost: processor time and memory as the kernel counts them by process, and what
-//! they counted on their links.
+//! The costs of dispatchers: processor time and memory of each process as counted by the kernel,
+//! and the traffic that dispatchers counted on their connections.
 
 use crate::traffic::traffic_of;
 use corkspan_api::v1::{ConnectionTraffic, connection_traffic::Kind};
@@ -9,8 +9,8 @@
 use std::ops::Range;
 use std::time::{Duration, Instant};
 
-/// Kinds of link that carry control, and not placing. Keepers are nodes: what is placed on these
-/// few is with them.
+/// The kinds of connection that carry control traffic instead of placements. Quorum members are
+/// nodes, so the placements on these few nodes are included.
 pub const CONTROL_KINDS: [Kind; 4] = [
     Kind::Roster,
     Kind::Control,
@@ -18,37 +18,40 @@
     Kind::Dispatchers,
 ];
 
-/// One process at one moment.
+/// The counters of one process at one moment.
 #[derive(Clone, Debug)]
 pub struct Reading {
+    /// The numbers of its dispatchers.
     pub numbers: Range<usize>,
     pub hollow: bool,
     pub process: u32,
     pub at: Instant,
-    /// Since its start.
+    /// Processor time since the start of the process.
     pub cpu: Duration,
     pub resident_kib: u64,
-    /// As its dispatchers told them, by their numbers; those that told nothing are left out.
+    /// The traffic reported by its dispatchers, by their numbers. Dispatchers that did not report
+    /// are left out.
     pub counts: BTreeMap<usize, Vec<ConnectionTraffic>>,
 }
 
-/// Between two moments, of all processes of one sort that ran at both.
+/// The cost between two moments of all real or all hollow processes that ran at both.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Cost {
     pub processes: usize,
     pub dispatchers: usize,
-    /// Dispatchers that told their counts at both moments: bytes and messages are of these.
+    /// Dispatchers that reported their counts at both moments; bytes and messages are theirs.
     #[serde(rename = "told")]
     pub reporting: usize,
     pub seconds: f64,
     pub cpu_s: f64,
-    /// At the later moment.
+    /// Resident memory at the later moment, in KiB.
     pub resident_kib: u64,
-    /// By kind of link, in this order: roster, control, keepers, dispatchers, nodes, owners; each
-    /// bytes in and out, and messages in and out.
+    /// Traffic by kind of connection, in the order of [`TRAFFIC_KINDS`]: roster, control, keepers,
+    /// dispatchers, nodes, owners. Each has bytes in and out, then messages in and out.
     pub links: [[u64; 4]; 6],
 }
 
+/// All kinds of connection, in the order in which a [`Cost`] has them.
 pub const TRAFFIC_KINDS: [Kind; 6] = [
     Kind::Roster,
     Kind::Control,
@@ -69,7 +72,7 @@
 }
 
 impl Cost {
-    /// Bytes a second and dispatcher of these kinds of link, both ways.
+    /// Returns the bytes a second and dispatcher on these kinds of connection, in both directions.
     pub fn bytes(&self, kinds: &[Kind]) -> f64 {
         let selected =
             std::iter::zip(TRAFFIC_KINDS, self.links).filter(|(kind, _)| kinds.contains(kind));
@@ -79,12 +82,12 @@
         bytes as f64 / self.seconds.max(1e-3) / self.reporting.max(1) as f64
     }
 
-    /// Share of a core, of one dispatcher.
+    /// Returns the processor use of one dispatcher, as a share of a core.
     pub fn cpu(&self) -> f64 {
         self.cpu_s / self.seconds.max(1e-3) / self.dispatchers.max(1) as f64
     }
 
-    /// Of one dispatcher.
+    /// Returns the resident memory of one dispatcher, in MiB.
     pub fn mib(&self) -> f64 {
         self.resident_kib as f64 / 1024.0 / self.dispatchers.max(1) as f64
     }
@@ -115,14 +118,15 @@
     }
 }
 
-/// Of dispatchers in processes of their own, and of hollow ones.
+/// The costs of dispatchers in processes of their own, and of hollow ones.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Costs {
     pub real: Cost,
     pub hollow: Cost,
 }
 
-/// A process that was started meanwhile has no former figures, and is left out.
+/// Returns the costs between two moments. A process that was started between them has no earlier
+/// figures and is left out.
 pub fn between(before: &[Reading], after: &[Reading]) -> Costs {
     let Costs {
         mut real,
@@ -152,19 +156,20 @@
     }
 }
 
+/// Returns the resident memory of a process, in KiB.
 pub fn resident_kib(process: u32) -> Option<u64> {
     let status = std::fs::read_to_string(format!("/proc/{process}/status")).ok()?;
     let line = status.lines().find(|line| line.starts_with("VmRSS:"))?;
     line.split_whitespace().nth(1)?.parse().ok()
 }
 
-/// Processor time of all threads below a folder of /proc, to the nanosecond, as far as they still
-/// run.
+/// Returns the processor time of all threads in a process folder of /proc that still run, to the
+/// nanosecond.
 pub fn cpu(folder: &str) -> Option<Duration> {
     let mut sum = 0;
     for thread in std::fs::read_dir(format!("{folder}/task")).ok()? {
         let path = thread.ok()?.path().join("schedstat");
-        // A thread that ends as we look is passed over.
+        // A thread that ended after the folder was listed is skipped.
         let Ok(text) = std::fs::read_to_string(path) else {
             continue;
         };
--- a/crates/testbed/src/maintenance_figures.rs
+++ b/crates/testbed/src/maintenance_figures.rs
@@ -1,47 +1,47 @@
-//! What a day with machine maintenance came to, by the nodes' own cordons.
+//! Figures of a scenario with machine maintenance, from the nodes' own cordons.
 
 use crate::capture::{AllocationEvent, Line, Observation};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// Figures of the maintenance of one day.
+/// The figures of the maintenance in one scenario.
 #[derive(Default)]
 pub struct MaintenanceFigures {
     /// Machines that the request named.
     pub machines: usize,
-    /// The limit of machines out at a time.
+    /// The limit on machines out of service at a time.
     pub max_out: usize,
-    /// The limit of machines out at a time in one zone.
+    /// The limit on machines out of service at a time in one zone.
     pub max_out_of_zone: usize,
     /// Machines on which work has begun.
     pub completed: BTreeSet<u32>,
-    /// How often work has begun.
+    /// Number of times that work has begun.
     pub completions: usize,
-    /// The most machines that were cordoned at a time.
+    /// Largest number of machines cordoned at a time.
     pub peak_out: usize,
-    /// The most machines of one zone that were cordoned at a time.
+    /// Largest number of machines of one zone cordoned at a time.
     pub peak_out_of_zone: usize,
-    /// From the request to the last machine uncordoned, in s.
+    /// Time from the request until the last machine was uncordoned, in s.
     pub duration_s: f64,
-    /// The median time for which a machine was cordoned, in s.
+    /// Median time for which a machine was cordoned, in s.
     pub median_cordoned_s: f64,
-    /// Work begun while something ran there or without a cordon, and offers accepted by a cordoned
-    /// machine.
+    /// Number of violations: work that began while tasks ran on the machine or without a cordon,
+    /// and attempts accepted by a cordoned machine.
     pub violations: usize,
     /// Machines that were still cordoned at the end.
     pub left_cordoned: usize,
 }
 
-/// Goes through a capture.
+/// A reader of a capture.
 #[derive(Default)]
 struct Reader<'a> {
     figures: MaintenanceFigures,
     zones: BTreeMap<u32, &'a str>,
-    /// When the request was made, in µs.
+    /// Time of the request, in µs.
     began_at: Option<u64>,
-    /// Since when each machine is cordoned, in µs.
+    /// Time since which each machine is cordoned, in µs.
     cordoned_since: BTreeMap<u32, u64>,
-    /// In s, of each that was uncordoned.
+    /// Time for which each uncordoned machine was cordoned, in s.
     cordoned_times: Vec<f64>,
 }
 
@@ -110,7 +110,7 @@
 }
 
 impl MaintenanceFigures {
-    /// The figures of a capture; none where no machine was to be taken out.
+    /// Returns the figures of a capture, or none if no maintenance was requested.
     pub fn of(lines: &[Line]) -> Option<Self> {
         let mut reader = Reader::default();
         if let Some(Line {
@@ -149,7 +149,8 @@
             violations,
             left_cordoned,
         } = self;
-        // As many at a time as the limit allows, each for the median time.
+        // Ideal waves have as many machines at a time as the limit allows, each for the median
+        // time.
         let waves = (*machines as f64 / (*max_out).max(1) as f64).ceil();
         let ratio = duration_s / (median_cordoned_s * waves).max(1e-3);
         writeln!(
--- a/crates/testbed/src/saturation.rs
+++ b/crates/testbed/src/saturation.rs
@@ -1,6 +1,6 @@
-//! Whether the testbed kept up. Stand-ins share one thread, and hollow dispatchers one in each
-//! process: a scenario in which such a thread was the bottleneck measures the thread, and not the
-//! dispatchers.
+//! Measures whether the testbed kept up. Stand-ins share one thread, and the hollow dispatchers of
+//! a process share another. A scenario in which such a thread was the bottleneck measures that
+//! thread instead of the dispatchers.
 
 use crate::capture::Observation;
 use async_io::Timer;
@@ -9,27 +9,27 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-/// A thread that is busier has fallen behind at some time, whatever its mean.
+/// The utilization above which a thread has fallen behind at some time, even if its mean is lower.
 const MAX_UTILIZATION: f64 = 0.9;
-/// The slack of the rules: they see a stand-in that is later than this.
+/// The slack of the checker's rules: a stand-in that is later than this affects their results.
 const MAX_LATENESS: Duration = Duration::from_millis(250);
-/// Between two measurements of lateness.
+/// The time between two measurements of lateness.
 const LATENESS_INTERVAL: Duration = Duration::from_millis(25);
-/// Utilization of hollow processes is measured over this time.
+/// The time over which the utilization of hollow processes is measured.
 const UTILIZATION_WINDOW: Duration = Duration::from_secs(1);
-/// Shares are kept in millionths.
+/// Shares are stored in millionths.
 const MILLIONTHS: f64 = 1e6;
-/// Shortest span that shares are taken of, in seconds.
+/// The shortest time for which shares are calculated, in seconds.
 const MIN_SPAN: f64 = 1e-3;
-/// The kernel's times of the calling thread.
+/// The file with the kernel's times of the calling thread.
 const OWN_THREAD: &str = "/proc/thread-self/schedstat";
 
-/// The kernel does not report the times of a thread, so that saturation can't be measured.
+/// An error: the kernel does not report the times of a thread, so saturation can't be measured.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the kernel does not tell this thread's time")]
 pub(crate) struct NoThreadTimes;
 
-/// Measures the thread that carries the stand-ins, and the hollow processes.
+/// A monitor of the thread that runs the stand-ins, and of the hollow processes.
 pub(crate) struct SaturationMonitor {
     started_at: Instant,
     times_at_start: ThreadTimes,
@@ -43,14 +43,14 @@
 /// The times of a thread so far.
 #[derive(Clone, Copy, Debug, Default)]
 struct ThreadTimes {
-    /// On a processor.
+    /// Time on a processor.
     ran: Duration,
-    /// Waiting for one.
+    /// Time waiting for a processor.
     waited: Duration,
 }
 
 impl ThreadTimes {
-    /// None where the thread is gone, or the kernel does not report times.
+    /// Reads the times, or returns none if the thread has ended or the kernel does not report them.
     fn read(path: &str) -> Option<Self> {
         let text = std::fs::read_to_string(path).ok()?;
         let mut times = text
@@ -63,14 +63,15 @@
         })
     }
 
+    /// Returns the time for which the thread ran or waited for a processor.
     fn wanted(self) -> Duration {
         self.ran + self.waited
     }
 }
 
 impl SaturationMonitor {
-    /// Starts on the thread that carries the stand-ins. `hollow`: process ids of hollow dispatchers,
-    /// which have one thread each.
+    /// Starts the monitor; to be called on the thread that runs the stand-ins. `hollow` are the ids
+    /// of the hollow dispatchers' processes, which have one thread each.
     pub fn start(tasks: &SharedExecutor, hollow: Vec<u32>) -> Result<Self, NoThreadTimes> {
         let max_lateness_us = Arc::new(AtomicU64::new(0));
         let max_hollow_share = Arc::new(AtomicU64::new(0));
@@ -85,7 +86,7 @@
         })
     }
 
-    /// What was measured, for the capture.
+    /// Ends the monitor and returns the measurements for the capture.
     pub fn end(self) -> Result<Observation, NoThreadTimes> {
         let times = ThreadTimes::read(OWN_THREAD).ok_or(NoThreadTimes)?;
         let elapsed = self.started_at.elapsed().as_secs_f64().max(MIN_SPAN);
@@ -107,7 +108,7 @@
     }
 }
 
-/// By how much a timer on this thread fires late at most.
+/// Records the largest delay of a timer on this thread.
 async fn measure_lateness(max_us: Arc<AtomicU64>) {
     loop {
         let due = Instant::now() + LATENESS_INTERVAL;
@@ -116,7 +117,8 @@
     }
 }
 
-/// The largest share of a window for which one of these processes wanted a processor.
+/// Records the largest share of a window for which one of these processes ran or waited for a
+/// processor.
 async fn measure_hollow(processes: Vec<u32>, max_share: Arc<AtomicU64>) {
     let read = || -> Vec<Option<ThreadTimes>> {
         let path = |process: &u32| format!("/proc/{process}/task/{process}/schedstat");
--- a/crates/testbed/src/version_figures.rs
+++ b/crates/testbed/src/version_figures.rs
@@ -1,6 +1,6 @@
-//! What a scenario with versions and a minimum version came to, by its capture: the time from a
-//! push to its effect, from a raise to the last operation below it, how dispatchers caught up, and
-//! what an audit reported against the nodes' sockets.
+//! Figures of a scenario with versions and a minimum version, from its capture: the time from a
+//! push to its effect and from a raise to the last operation below it, how dispatchers caught up,
+//! and how an audit's report compares with the nodes' sockets.
 
 use crate::capture::*;
 use std::collections::{BTreeMap, BTreeSet};
@@ -16,54 +16,55 @@
     pub pushed: usize,
     /// From a push to its effect at half of the dispatchers, in ms: the median over all pushes.
     pub half: f64,
-    /// Likewise at six tenths. Where a third is held up, these are nearly all that hear of it.
+    /// The same at six tenths of the dispatchers. Where a third of them is delayed, these are
+    /// nearly all that receive it.
     pub six_tenths: f64,
     /// Each raise of the minimum version.
     pub raises: Vec<Raise>,
-    /// The audit at the end, if there was one.
+    /// The audit at the end, if any.
     pub audit: Option<AuditFigures>,
     /// Resident memory of dispatchers.
     pub memory: Option<MemoryFigures>,
 }
 
-/// What followed one raise of the minimum version.
+/// The effects of one raise of the minimum version.
 #[derive(Default)]
 pub struct Raise {
     /// The minimum version.
     pub lowest: u64,
-    /// To the last attempt below it that a node accepted, in ms; none where there was none.
+    /// Time to the last attempt below it that a node accepted, in ms, if any.
     pub taken: Option<f64>,
-    /// To the last attempt below it that reached a node, in ms; none where there was none.
+    /// Time to the last attempt below it that reached a node, in ms, if any.
     pub reached: Option<f64>,
     /// Nodes that have stored it.
     pub nodes: usize,
     /// Dispatchers below it at the raise.
     pub below: usize,
-    /// Of these, how many caught up.
+    /// How many of these caught up.
     pub up: usize,
-    /// How long the last of them took, in s.
+    /// Time that the last of them took to catch up, in s.
     pub last_up: f64,
 }
 
-/// What an audit of the fleet reported.
+/// The report of an audit of the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AuditFigures {
-    /// How long it took, in ms.
+    /// Duration of the audit, in ms.
     pub took_ms: u64,
-    /// Bytes it cost.
+    /// Bytes transferred for it.
     pub bytes: u64,
-    /// Its findings.
+    /// Number of findings.
     pub findings: usize,
-    /// Whether its operation counts are those that crossed the nodes' sockets.
+    /// Whether its operation counts equal those observed at the nodes' sockets.
     pub equal: bool,
 }
 
 /// Resident memory of all dispatchers, in MiB.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MemoryFigures {
-    /// The mean.
+    /// Mean over all dispatchers.
     pub mean: f64,
-    /// The largest.
+    /// Largest of one dispatcher.
     pub max: f64,
 }
 
@@ -72,7 +73,7 @@
     values.get(values.len() / 2).copied().unwrap_or(0.0)
 }
 
-/// A push, and when dispatchers had it, in ms from it.
+/// A push, and the times until it took effect at dispatchers, in ms.
 struct Push {
     at: u64,
     effect_times_ms: Vec<f64>,
@@ -87,7 +88,7 @@
 /// One attempt at one node.
 type AttemptKey<'a> = (u32, &'a str, u32);
 
-/// Reads a capture line by line.
+/// A collector of figures that reads a capture line by line.
 #[derive(Default)]
 struct Collector<'a> {
     figures: VersionFigures,
@@ -201,7 +202,8 @@
         if decided < raise.lowest {
             raise.reached = Some(ms_between(in_progress.at, now));
         } else {
-            // It may have caught up without a report: its first attempt from above tells.
+            // A dispatcher may catch up without a report; its first attempt at or above the minimum
+            // version shows it.
             in_progress.record_caught_up(dispatcher, now, raise);
         }
     }
@@ -216,7 +218,8 @@
         }
     }
 
-    /// The median, over all pushes, of the time until this part of the dispatchers had it.
+    /// Returns the median over all pushes of the time until this share of the dispatchers had the
+    /// version, in ms.
     fn effect_at(&self, share: f64) -> f64 {
         let index = (self.active.len() as f64 * share) as usize;
         let times = self
@@ -235,7 +238,7 @@
 }
 
 impl RaiseInProgress {
-    /// A dispatcher is no longer below, if it was.
+    /// Records that a dispatcher is no longer below the minimum version, if it was.
     fn record_caught_up(&mut self, dispatcher: u32, now: u64, raise: &mut Raise) {
         if self.below.remove(&dispatcher) {
             raise.up += 1;
@@ -249,7 +252,7 @@
 }
 
 impl VersionFigures {
-    /// The figures of a capture; none where no version was pushed.
+    /// Returns the figures of a capture, or none if no version was pushed.
     pub fn of(lines: &[Line]) -> Option<Self> {
         let mut collector = Collector::default();
         lines.iter().for_each(|line| collector.read(line));
