--- a/crates/testbed/src/config_push_experiment.rs
+++ b/crates/testbed/src/config_push_experiment.rs
@@ -66,7 +66,7 @@
             }
             let publish_time = began.elapsed();
             environment
-                .wait_for("the newest is in force", |environment| {
+                .wait_for("the newest version is active", |environment| {
                     environment.control.running(0) == newest
                 })
                 .await?;
@@ -81,7 +81,7 @@
                     .count()
             };
             environment
-                .wait_for("each is answered", |environment| {
+                .wait_for("each push is answered", |environment| {
                     environment
                         .control
                         .replies()
@@ -93,7 +93,7 @@
                 .await?;
             let status = environment.status(0).await?;
             println!(
-                "flood: {versions} versions in {publish_time:.1?}, {pushes} pushed; applied {}, passed over {}, turned down {}, whole wanted {}; the newest in force {catch_up_time:.1?} after the last; in force by status: {}",
+                "flood: {versions} versions in {publish_time:.1?}, {pushes} pushed; applied {}, superseded {}, rejected {}, full version required {}; the newest active {catch_up_time:.1?} after the last; active by status: {}",
                 count_replies(Answer::Applied),
                 count_replies(Answer::Superseded),
                 count_replies(Answer::Rejected),
@@ -122,7 +122,7 @@
                     })
                 };
                 environment
-                    .wait_for("all have it", is_active_at_all)
+                    .wait_for("all instances have applied the version", is_active_at_all)
                     .await?;
                 for reply in &environment.control.replies()[replies_before..] {
                     if reply.message.answer() == Answer::Applied {
@@ -160,7 +160,7 @@
                     .map_err(|why| why.to_string())?,
             );
             environment
-                .wait_for("all are back", |environment| {
+                .wait_for("all instances have reconnected", |environment| {
                     environment.control.opened() >= opened + instances
                 })
                 .await?;
@@ -179,7 +179,7 @@
             }
             let max_per_second = by_second.values().max().copied().unwrap_or(0);
             println!(
-                "{instances} instances come back after 4 s: {}, {max_per_second} in one second at the most",
+                "{instances} instances reconnect after an outage of 4 s: {}, at most {max_per_second} in one second",
                 quantiles(&times)
             );
             Ok(())
@@ -222,7 +222,7 @@
             let at = process.address;
             environment.dispatchers.push(process);
             environment
-                .wait_for("its stream stands", |environment| {
+                .wait_for("the dispatcher's version stream is open", |environment| {
                     environment.control.opened() == 1
                 })
                 .await?;
--- a/crates/testbed/src/config_push_experiment/environment.rs
+++ b/crates/testbed/src/config_push_experiment/environment.rs
@@ -57,7 +57,7 @@
             environment.dispatchers.push(process);
         }
         environment
-            .wait_for("all streams stand", |environment| {
+            .wait_for("all version streams are open", |environment| {
                 environment.control.opened() >= dispatchers
             })
             .await?;
@@ -93,7 +93,7 @@
     /// tenant: always a new and valid version.
     pub(super) fn shared_parts_with_change(&self, dispatchers: usize, change: u64) -> SharedParts {
         let shared_parts = SharedParts::parse("file", &self.deployment_text(0, dispatchers))
-            .expect("the file is sound");
+            .expect("the deployment file is valid");
         let service_classes = shared_parts.get("tracks").unwrap_or_default();
         let added_class = format!(
             "(t{} (repeat idempotent) (contract-time 300 ms))",
@@ -124,7 +124,7 @@
         };
         within(TIMEOUT, polling)
             .await
-            .ok_or_else(|| format!("waited {TIMEOUT:?} in vain: {condition}"))
+            .ok_or_else(|| format!("not met within {TIMEOUT:?}: {condition}"))
     }
 
     /// Returns the version status of a dispatcher.
--- a/crates/testbed/src/config_push_experiment/random_exchange.rs
+++ b/crates/testbed/src/config_push_experiment/random_exchange.rs
@@ -38,7 +38,7 @@
             .active
             .as_ref()
             .and_then(parse_version_id)
-            .ok_or("no stamp")?;
+            .ok_or("the status has no active version")?;
         while figures.sent < versions {
             let burst: Vec<(VersionPush, bool)> = (0..rng.random_range(1..40))
                 .map(|at| {
@@ -51,7 +51,7 @@
                 .iter()
                 .all(|(push, _)| environment.control.send(0, push_message(push)))
             {
-                return Err("the stream does not stand".into());
+                return Err("the version stream is closed".into());
             }
             let is_valid = |version: VersionId| {
                 burst
@@ -68,7 +68,7 @@
                 environment.dispatchers.push(restarted);
                 figures.kills += 1;
                 environment
-                    .wait_for("it comes back", |environment| {
+                    .wait_for("the restarted dispatcher reconnects", |environment| {
                         environment.control.opened() > opened
                     })
                     .await?;
@@ -85,19 +85,19 @@
                     let reply = environment.control.reply_to(push.nonce).ok_or("no reply")?;
                     match reply.answer() {
                         Answer::Applied if !is_valid => {
-                            return Err(format!("unsound, and in force: {push:?}"));
+                            return Err(format!("an invalid version was applied: {push:?}"));
                         }
                         Answer::Applied => {
                             figures.applied += 1;
                             acknowledged = push.version;
                         }
                         Answer::Rejected if reply.reasons.is_empty() => {
-                            return Err("refused without a reason".into());
+                            return Err("a version was rejected without a reason".into());
                         }
                         Answer::Rejected => figures.refused += 1,
                         Answer::Superseded => figures.superseded += 1,
                         Answer::Unchanged | Answer::FullRequired => {}
-                        other => return Err(format!("{other:?} is no answer to a push")),
+                        other => return Err(format!("{other:?} is not a valid reply to a push")),
                     }
                 }
             }
@@ -106,9 +106,9 @@
                 .active
                 .as_ref()
                 .and_then(parse_version_id)
-                .ok_or("no stamp")?;
-            let active_parts =
-                SharedParts::parse("in force", &status.text).map_err(|why| why.to_string())?;
+                .ok_or("the status has no active version")?;
+            let active_parts = SharedParts::parse("active version", &status.text)
+                .map_err(|why| why.to_string())?;
             // A version on trial is rolled back after three starts under it, since it may have
             // ended the processes.
             let is_rolled_back = killed
@@ -123,7 +123,7 @@
             let is_allowed = running == acknowledged || is_rolled_back || is_newer_valid;
             if !is_allowed || active_parts.digest() != running.digest {
                 return Err(format!(
-                    "{running} is in force, {acknowledged} was acknowledged last; {figures:?}"
+                    "{running} is active, but {acknowledged} was acknowledged last; {figures:?}"
                 ));
             }
             acknowledged = running;
--- a/crates/testbed/src/saturation.rs
+++ b/crates/testbed/src/saturation.rs
@@ -26,7 +26,7 @@
 
 /// An error: the kernel does not report the times of a thread, so saturation can't be measured.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("the kernel does not tell this thread's time")]
+#[error("the kernel does not report this thread's processor time")]
 pub(crate) struct NoThreadTimes;
 
 /// A monitor of the thread that runs the stand-ins, and of the hollow processes.
