--- a/crates/testbed/tests/capacity.rs
+++ b/crates/testbed/tests/capacity.rs
@@ -12,40 +12,43 @@
 use std::time::Duration;
 use test_case::test_case;
 
-const PATIENCE: Duration = Duration::from_secs(60);
+const TIMEOUT: Duration = Duration::from_secs(60);
 const PROGRAM: &str = env!("CARGO_BIN_EXE_corkspan-testbed");
 
 fn in_environment<F: Future<Output = ()>>(
     machines: u32,
     dispatchers: usize,
     room: FreeCapacity,
-    story: impl FnOnce(Environment) -> F,
+    test: impl FnOnce(Environment) -> F,
 ) {
     let tasks = SharedExecutor::default();
     let program: [OsString; 2] = [PROGRAM.into(), "corkspan".into()];
-    let setting = EnvironmentConfig {
+    let config = EnvironmentConfig {
         machines,
         dispatchers,
         schedulers: dispatchers,
         room,
         seed: 1,
     };
-    let whole = async {
-        story(
-            Environment::start(&tasks, &program, setting)
+    let run = async {
+        test(
+            Environment::start(&tasks, &program, config)
                 .await
                 .expect("it comes up"),
         )
         .await;
     };
-    future::block_on(tasks.run(within(PATIENCE, whole))).expect("the story comes to its end");
+    future::block_on(tasks.run(within(TIMEOUT, run))).expect("the story comes to its end");
 }
 
 /// A line of the roster is some 50 bytes; what carries it must not come to more than as much again.
 #[test_case(40, 1 ; "few machines")]
 #[test_case(400, 1 ; "ten times as many")]
 #[test_case(40, 4 ; "four dispatchers")]
-fn a_line_told_costs_the_same_however_many_there_are(machines: u32, dispatchers: usize) {
+fn an_endpoint_line_costs_the_same_at_each_number_of_machines_and_dispatchers(
+    machines: u32,
+    dispatchers: usize,
+) {
     in_environment(
         machines,
         dispatchers,
@@ -58,10 +61,10 @@
                         lines = environment.report_capacity_once(cores)
                     })
                     .await;
-                let a_line = bytes as f64 / lines as f64 / dispatchers as f64;
+                let bytes_per_line = bytes as f64 / lines as f64 / dispatchers as f64;
                 assert!(
-                    (40.0..=110.0).contains(&a_line),
-                    "{a_line} bytes a line, {lines} lines"
+                    (40.0..=110.0).contains(&bytes_per_line),
+                    "{bytes_per_line} bytes a line, {lines} lines"
                 );
             }
         },
@@ -69,28 +72,30 @@
 }
 
 #[test]
-fn a_version_of_small_changes_costs_less_than_it_whole() {
+fn a_version_sent_as_changes_costs_less_than_a_whole_one() {
     in_environment(40, 2, FreeCapacity::Plenty, async |environment| {
         let mut costs = Vec::new();
-        for which in 0..4 {
-            let mut stamp = None;
+        for number in 0..4 {
+            let mut version = None;
             let bytes = environment
-                .bytes_caused_by(Peer::Control, || stamp = Some(environment.publish(which)))
+                .bytes_caused_by(Peer::Control, || {
+                    version = Some(environment.publish(number))
+                })
                 .await;
             environment
-                .wait_until_active(stamp.expect("published"))
+                .wait_until_active(version.expect("published"))
                 .await
                 .expect("in force at both");
             costs.push(bytes / 2);
         }
-        let (first, rest) = (costs[0], &costs[1..]);
+        let (first, later) = (costs[0], &costs[1..]);
         assert!(
-            rest.iter().all(|bytes| *bytes < first && *bytes < 1_500),
+            later.iter().all(|bytes| *bytes < first && *bytes < 1_500),
             "bytes a dispatcher: {costs:?}"
         );
         // Versions in its line are named: it grows by a stamp, not by a text.
         assert!(
-            rest.windows(2).all(|two| two[1] <= two[0] + 100),
+            later.windows(2).all(|pair| pair[1] <= pair[0] + 100),
             "bytes a dispatcher: {costs:?}"
         );
     });
@@ -99,9 +104,9 @@
 /// Asked for again each 50 ms, they may cost the dispatcher, and not the machines: a greeting and a
 /// probe for each that was taken, however long it waits.
 #[test]
-fn those_that_wait_before_full_machines_send_them_probes_alone() {
+fn waiting_allocations_send_full_machines_only_health_checks() {
     in_environment(40, 1, FreeCapacity::NoneByAsks, async |environment| {
-        let held = environment
+        let streams = environment
             .request_tasks(30)
             .await
             .expect("all are taken in hand");
@@ -113,7 +118,7 @@
         assert_eq!((status.in_flight, status.placed), (30, 0));
         let sent = traffic::traffic_of(&status.connection_traffic, Kind::Nodes).messages_out;
         assert!(sent <= 2 * 30, "{sent} messages went to nodes");
-        drop(held);
+        drop(streams);
     });
 }
 
@@ -126,35 +131,35 @@
 }
 
 #[test]
-fn the_page_is_as_the_kept_result_has_it() {
+fn the_page_agrees_with_the_stored_result() {
     let (result, page) = documents();
-    let kept = CapacityResult::read(&result)
+    let stored = CapacityResult::read(&result)
         .unwrap_or_else(|why| panic!("docs/capacity/result.json: {why}"));
-    page::check(&page, &kept).unwrap_or_else(|why| panic!("docs/CAPACITY.md: {why}"));
+    page::check(&page, &stored).unwrap_or_else(|why| panic!("docs/CAPACITY.md: {why}"));
 }
 
 #[test]
-fn a_result_that_was_changed_no_longer_fits_the_page() {
+fn a_changed_result_does_not_agree_with_the_page() {
     let (result, page) = documents();
-    let mut kept = CapacityResult::read(&result).expect("the test before this one");
-    kept.size.waiting /= 2.0;
-    kept.size.bytes_a_second += 1.0;
-    assert!(page::check(&page, &kept).is_err());
+    let mut stored = CapacityResult::read(&result).expect("the test before this one");
+    stored.size.waiting /= 2.0;
+    stored.size.bytes_a_second += 1.0;
+    assert!(page::check(&page, &stored).is_err());
 }
 
-fn run_program(line: &[&str]) -> (bool, String) {
-    let out = Command::new(PROGRAM)
-        .args(line)
+fn run_program(arguments: &[&str]) -> (bool, String) {
+    let output = Command::new(PROGRAM)
+        .args(arguments)
         .output()
         .expect("it starts");
     (
-        out.status.success(),
-        String::from_utf8_lossy(&out.stderr).into_owned(),
+        output.status.success(),
+        String::from_utf8_lossy(&output.stderr).into_owned(),
     )
 }
 
 #[test]
-fn a_size_that_asks_for_too_much_is_refused_at_once() {
+fn a_size_that_requires_too_much_is_rejected_at_once() {
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("size.json");
     let size = corkspan_capacity_model::result::FleetSize {
@@ -164,45 +169,51 @@
     };
     std::fs::write(&path, serde_json::to_string(&size).expect("numbers")).expect("written");
     let path = path.to_str().expect("plain");
-    let (well, told) = run_program(&["capacity", "--axis", "versions", "--size", path]);
+    let (succeeded, stderr) = run_program(&["capacity", "--axis", "versions", "--size", path]);
     assert!(
-        !well && told.contains("the size: asks for too much"),
-        "{told}"
+        !succeeded && stderr.contains("the size: asks for too much"),
+        "{stderr}"
     );
     assert!(
-        told.contains("processes") && told.contains("descriptors") && told.contains("MiB"),
-        "{told}"
+        stderr.contains("processes") && stderr.contains("descriptors") && stderr.contains("MiB"),
+        "{stderr}"
     );
     std::fs::write(path, "{\n\"machines\": 12,\n\"machine\": 3}").expect("written");
-    let (well, told) = run_program(&["capacity", "--axis", "versions", "--size", path]);
+    let (succeeded, stderr) = run_program(&["capacity", "--axis", "versions", "--size", path]);
     assert!(
-        !well && told.contains("size.json") && told.contains("line 3"),
-        "{told}"
+        !succeeded && stderr.contains("size.json") && stderr.contains("line 3"),
+        "{stderr}"
     );
 }
 
 #[test]
-fn a_page_that_differs_is_an_error_with_its_line() {
+fn a_page_that_differs_is_reported_with_its_line() {
     let folder = tempfile::tempdir().expect("a folder");
     let (result, page) = documents();
-    let (file, own) = (
+    let (result_path, page_path) = (
         folder.path().join("result.json"),
         folder.path().join("page.md"),
     );
-    std::fs::write(&file, result).expect("written");
-    std::fs::write(&own, page.replacen("| 1 | ", "| 1 | no ", 1)).expect("written");
+    std::fs::write(&result_path, result).expect("written");
+    std::fs::write(&page_path, page.replacen("| 1 | ", "| 1 | no ", 1)).expect("written");
     let line = page
         .lines()
         .position(|line| line.starts_with("| 1 | "))
         .expect("the first of the list")
         + 1;
-    let (file, own) = (file.to_str().expect("plain"), own.to_str().expect("plain"));
-    let (well, told) = run_program(&["capacity", "page", file, "--check", own]);
+    let (result_path, page_path) = (
+        result_path.to_str().expect("plain"),
+        page_path.to_str().expect("plain"),
+    );
+    let (succeeded, stderr) = run_program(&["capacity", "page", result_path, "--check", page_path]);
+    assert!(
+        !succeeded && stderr.contains(&format!("page.md: line {line}: ")),
+        "{stderr}"
+    );
+    std::fs::write(result_path, "{\"size\": {},\n\"runs\": 4}").expect("written");
+    let (succeeded, stderr) = run_program(&["capacity", "page", result_path]);
     assert!(
-        !well && told.contains(&format!("page.md: line {line}: ")),
-        "{told}"
+        !succeeded && stderr.contains("result.json: line 1: "),
+        "{stderr}"
     );
-    std::fs::write(file, "{\"size\": {},\n\"runs\": 4}").expect("written");
-    let (well, told) = run_program(&["capacity", "page", file]);
-    assert!(!well && told.contains("result.json: line 1: "), "{told}");
 }
--- a/crates/testbed/tests/hollow.rs
+++ b/crates/testbed/tests/hollow.rs
@@ -18,7 +18,7 @@
     Programs::with_binary(env!("CARGO_BIN_EXE_corkspan-testbed").as_ref())
 }
 
-fn play(script: &str) -> Result<Vec<Line>, String> {
+fn run(script: &str) -> Result<Vec<Line>, String> {
     let scenario = Scenario::read("day", script).unwrap_or_else(|why| panic!("{why}"));
     ScenarioRun {
         scenario,
@@ -32,16 +32,16 @@
 }
 
 /// In and out, bytes and messages, of one dispatcher.
-fn each(cost: &Cost, kind: Kind) -> [f64; 4] {
+fn per_dispatcher(cost: &Cost, kind: Kind) -> [f64; 4] {
     let index = TRAFFIC_KINDS
         .iter()
         .position(|other| *other == kind)
         .expect("a kind");
-    cost.links[index].map(|many| many as f64 / cost.reporting as f64)
+    cost.links[index].map(|count| count as f64 / cost.reporting as f64)
 }
 
 #[test]
-fn hollow_dispatchers_hear_and_say_what_real_ones_do() {
+fn hollow_dispatchers_receive_and_send_what_real_ones_do() {
     let size = Size {
         real: 2,
         hollow: 4,
@@ -56,8 +56,8 @@
         (2, 4, 0)
     );
     let (real, hollow) = (
-        each(&idle.real, Kind::Roster),
-        each(&idle.hollow, Kind::Roster),
+        per_dispatcher(&idle.real, Kind::Roster),
+        per_dispatcher(&idle.hollow, Kind::Roster),
     );
     assert!(real[0] > 1_000.0, "the roster tells of room: {real:?}");
     for (real, hollow) in std::iter::zip(real, hollow) {
@@ -68,7 +68,7 @@
         );
     }
     assert_eq!(
-        each(&idle.hollow, Kind::Nodes),
+        per_dispatcher(&idle.hollow, Kind::Nodes),
         [0.0; 4],
         "nobody asks, so nothing passes to nodes that are no keepers"
     );
@@ -82,11 +82,13 @@
         busy.placed
     );
     for cost in [&busy.real, &busy.hollow] {
-        let ([_, _, heard, _], [_, _, _, offered]) =
-            (each(cost, Kind::Owners), each(cost, Kind::Nodes));
+        let ([_, _, requests, _], [_, _, _, offers]) = (
+            per_dispatcher(cost, Kind::Owners),
+            per_dispatcher(cost, Kind::Nodes),
+        );
         assert!(
-            heard > 5.0 && offered > 5.0,
-            "{heard} asks and {offered} offers a dispatcher"
+            requests > 5.0 && offers > 5.0,
+            "{requests} asks and {offers} offers a dispatcher"
         );
     }
     fleet.stop().unwrap_or_else(|why| panic!("{why}"));
@@ -94,23 +96,23 @@
 
 /// A zone is lost and comes back cold, and a hollow process stands still with all that are in it.
 #[test]
-fn a_day_of_hollow_dispatchers_with_a_zone_lost_keeps_the_rules() {
+fn a_scenario_with_hollow_dispatchers_and_a_lost_zone_keeps_the_rules() {
     let script = "(day (length 8 s) (dispatchers 6) (hollow (many 5) (a-process 5)) (nodes 56) (zones 7) (rate 60) (life 2 s)
         (troubles (lose-zone (at 2 s) (for 1500 ms)) (pause-dispatchers (at 5 s) (for 1 s) (many 2))))";
-    let lines = play(script).unwrap_or_else(|why| panic!("{why}"));
+    let lines = run(script).unwrap_or_else(|why| panic!("{why}"));
     assert_eq!(check(&lines).expect("readable"), []);
-    let struck = |wanted| {
+    let nodes_in_state = |wanted| {
         lines.iter().filter_map(move |line| match line.observation {
             Observation::Node { node, state } if state == wanted => Some(node),
             _ => None,
         })
     };
-    let (gone, cold): (BTreeSet<u32>, BTreeSet<u32>) = (
-        struck(NodeState::Gone).collect(),
-        struck(NodeState::SlowStart).collect(),
+    let (gone, slow_starting): (BTreeSet<u32>, BTreeSet<u32>) = (
+        nodes_in_state(NodeState::Gone).collect(),
+        nodes_in_state(NodeState::SlowStart).collect(),
     );
     assert_eq!(gone.len(), 8, "56 nodes in 7 zones");
-    assert_eq!(gone, cold);
+    assert_eq!(gone, slow_starting);
     let cells: BTreeSet<u32> = gone.iter().map(|node| (node - 100) / 4 % 7).collect();
     assert_eq!(cells.len(), 1, "all of one zone");
     let paused = lines.iter().filter_map(|line| match line.observation {
@@ -130,64 +132,70 @@
     assert!(summary.placed > 300, "{summary}");
 }
 
-const PLENTY: Limits = Limits {
+const AMPLE_LIMITS: Limits = Limits {
     memory_kib: 12 << 20,
     processes: 400,
     descriptors: 20_000,
 };
-const SIZE: &str = include_str!("../days/size.sexp");
+const SIZE_SCENARIO: &str = include_str!("../days/size.sexp");
 
 #[test]
-fn the_days_of_the_size_fit_a_machine_of_24_gib() {
+fn the_scenarios_of_the_planned_size_fit_a_machine_of_24_gib() {
     for script in [
-        SIZE,
+        SIZE_SCENARIO,
         include_str!("../days/size-zone.sexp"),
         include_str!("../days/hollow-still.sexp"),
     ] {
         let scenario = Scenario::read("size", script).unwrap_or_else(|why| panic!("{why}"));
-        assert_eq!(Requirements::for_scenario(&scenario).check(&PLENTY), Ok(()));
+        assert_eq!(
+            Requirements::for_scenario(&scenario).check(&AMPLE_LIMITS),
+            Ok(())
+        );
     }
 }
 
-#[test_case(Limits { memory_kib: 1 << 20, ..PLENTY }, &["KiB of memory"]; "memory")]
-#[test_case(Limits { processes: 8, ..PLENTY }, &["9 processes, and 8 may be used"]; "processes")]
-#[test_case(Limits { descriptors: 10_000, ..PLENTY }, &["descriptors of one process"]; "descriptors")]
+#[test_case(Limits { memory_kib: 1 << 20, ..AMPLE_LIMITS }, &["KiB of memory"]; "memory")]
+#[test_case(Limits { processes: 8, ..AMPLE_LIMITS }, &["9 processes, and 8 may be used"]; "processes")]
+#[test_case(Limits { descriptors: 10_000, ..AMPLE_LIMITS }, &["descriptors of one process"]; "descriptors")]
 #[test_case(Limits { memory_kib: 1, processes: 1, descriptors: 1 }, &["memory", "processes", "descriptors"]; "all of it")]
-fn a_day_too_large_for_a_machine_is_refused_with_what_is_short(limits: Limits, short: &[&str]) {
-    let scenario = Scenario::read("size", SIZE).unwrap_or_else(|why| panic!("{why}"));
+fn a_scenario_too_large_for_a_machine_is_rejected_with_the_missing_resources(
+    limits: Limits,
+    missing: &[&str],
+) {
+    let scenario = Scenario::read("size", SIZE_SCENARIO).unwrap_or_else(|why| panic!("{why}"));
     let why = Requirements::for_scenario(&scenario)
         .check(&limits)
         .expect_err("too large");
-    assert!(short.iter().all(|what| why.contains(what)), "{why}");
-    assert_eq!(why.matches("may be used").count(), short.len(), "{why}");
+    assert!(missing.iter().all(|what| why.contains(what)), "{why}");
+    assert_eq!(why.matches("may be used").count(), missing.len(), "{why}");
 }
 
 #[test]
-fn a_day_too_large_is_refused_before_anything_is_started() {
-    let why = play("(day (length 600 s) (dispatchers 300) (nodes 2600) (rate 1000000))")
+fn a_scenario_too_large_is_rejected_before_any_process_starts() {
+    let why = run("(day (length 600 s) (dispatchers 300) (nodes 2600) (rate 1000000))")
         .expect_err("too large");
     assert!(why.starts_with("too large for this machine"), "{why}");
-    let nothing = Size {
+    let no_real_one = Size {
         real: 0,
         hollow: 5,
         nodes: 5,
     };
     assert!(
-        Fleet::start(nothing, 1, &programs())
+        Fleet::start(no_real_one, 1, &programs())
             .is_err_and(|why| why.contains("a real one among them"))
     );
 }
 
 #[test]
-fn a_zone_is_in_one_hall_and_a_process_has_as_many_as_it_may() {
-    let scenario = Scenario::read("size", SIZE).unwrap_or_else(|why| panic!("{why}"));
-    let mut places = BTreeSet::new();
+fn failure_domains_have_one_zone_and_processes_the_configured_size() {
+    let scenario = Scenario::read("size", SIZE_SCENARIO).unwrap_or_else(|why| panic!("{why}"));
+    let mut locations = BTreeSet::new();
     for node in 0..scenario.nodes {
-        let NodeLocation { cell, zone: hall } = scenario.location(node);
-        places.insert((scenario.failure_domain(cell), hall));
+        let NodeLocation { cell, zone } = scenario.location(node);
+        locations.insert((scenario.failure_domain(cell), zone));
     }
-    let zones: BTreeSet<usize> = places.iter().map(|(zone, _)| *zone).collect();
-    assert_eq!((zones.len(), places.len()), (7, 7));
+    let domains: BTreeSet<usize> = locations.iter().map(|(domain, _)| *domain).collect();
+    assert_eq!((domains.len(), locations.len()), (7, 7));
     let processes = scenario.processes();
     assert_eq!(
         processes
--- a/crates/testbed/tests/version_figures.rs
+++ b/crates/testbed/tests/version_figures.rs
@@ -27,16 +27,16 @@
 
 /// Two versions, of which four dispatchers take the first and three the second, and two raises.
 fn capture() -> Vec<Line> {
-    let in_force = |dispatcher, number| Observation::VersionActive { dispatcher, number };
+    let active = |dispatcher, number| Observation::VersionActive { dispatcher, number };
     let mut lines = vec![(1_000, Observation::Pushed { number: 1 })];
     lines.extend((0..4).map(|dispatcher| {
         let at = 3_500 * (1 + u64::from(dispatcher));
-        (at, in_force(dispatcher, 1))
+        (at, active(dispatcher, 1))
     }));
     lines.extend([
         (20_000, offered(100, 3, 1, 1)),
         (30_000, Observation::Pushed { number: 2 }),
-        (31_000, in_force(0, 2)),
+        (31_000, active(0, 2)),
         (50_000, Observation::MinimumVersionRaised { lowest: 2 }),
         (
             51_000,
@@ -62,7 +62,7 @@
         (60_500, accepted(100, 1)),
         (61_000, offered(101, 2, 2, 1)),
         (62_000, accepted(101, 3)),
-        (1_250_000, in_force(1, 2)),
+        (1_250_000, active(1, 2)),
         (2_050_000, offered(101, 2, 4, 2)),
         (2_060_000, accepted(101, 4)),
         (3_000_000, Observation::MinimumVersionRaised { lowest: 3 }),
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn figures_of_a_capture_are_reported_as_before() {
+fn figures_of_a_capture_are_reported_as_recorded() {
     let figures = VersionFigures::of(&capture()).expect("versions were pushed");
     assert_eq!(
         figures.to_string(),
