--- a/crates/testbed/examples/scheduling_cost.rs
+++ b/crates/testbed/examples/scheduling_cost.rs
@@ -1,5 +1,6 @@
-//! Prints what asks cost the decisions alone: one of them, and a second of many that wait. Virtual
-//! clock, real processor time of one thread. `--quick`: fewer virtual seconds.
+//! Prints the cost of scheduling decisions alone: of one request, and of a second in which many
+//! allocations wait. The clock is virtual; the processor time is that of one thread. `--quick`
+//! simulates fewer seconds.
 
 use corkspan_testbed::capacity::scheduling_cost::{
     Changes, Point, Similarity, WaitingRequests, request_cost,
@@ -30,7 +31,7 @@
     for by_turns in [false, true] {
         for similarity in [Similarity::Few, Similarity::None] {
             for waiting in [100, 300, 1_000, 3_000, 4_300] {
-                // Where all are looked at whole, seconds of thousands take minutes.
+                // If each one is evaluated at every poll, a second of thousands takes minutes.
                 let seconds = if waiting > 300 {
                     seconds.min(2)
                 } else {
--- a/crates/testbed/tests/capacity.rs
+++ b/crates/testbed/tests/capacity.rs
@@ -1,5 +1,5 @@
-//! What control costs by counts and bytes, in a small form: nothing here depends on how fast the
-//! machine is.
+//! Tests of the cost of control traffic in messages and bytes, at a small size. None depends on the
+//! speed of the machine.
 
 use corkspan_api::v1::connection_traffic::Kind;
 use corkspan_capacity_model::{page, result::CapacityResult};
@@ -41,7 +41,7 @@
     future::block_on(tasks.run(within(TIMEOUT, run))).expect("the story comes to its end");
 }
 
-/// A line of the roster is some 50 bytes; what carries it must not come to more than as much again.
+/// An endpoint line has about 50 bytes. Its framing must not cost more than as much again.
 #[test_case(40, 1 ; "few machines")]
 #[test_case(400, 1 ; "ten times as many")]
 #[test_case(40, 4 ; "four dispatchers")]
@@ -93,7 +93,7 @@
             later.iter().all(|bytes| *bytes < first && *bytes < 1_500),
             "bytes a dispatcher: {costs:?}"
         );
-        // Versions in its line are named: it grows by a stamp, not by a text.
+        // A push names the versions in its lineage: it grows by a version id, not by a text.
         assert!(
             later.windows(2).all(|pair| pair[1] <= pair[0] + 100),
             "bytes a dispatcher: {costs:?}"
@@ -101,8 +101,8 @@
     });
 }
 
-/// Asked for again each 50 ms, they may cost the dispatcher, and not the machines: a greeting and a
-/// probe for each that was taken, however long it waits.
+/// Retries of waiting allocations every 50 ms may cost the dispatcher, but not the machines: each
+/// allocation causes one greeting and one health check, however long it waits.
 #[test]
 fn waiting_allocations_send_full_machines_only_health_checks() {
     in_environment(40, 1, FreeCapacity::NoneByAsks, async |environment| {
@@ -122,7 +122,7 @@
     });
 }
 
-/// The file and the page as they stand in docs/.
+/// Returns the stored result and the page from docs/.
 fn documents() -> (String, String) {
     let docs = concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs");
     let read =
--- a/crates/testbed/tests/hollow.rs
+++ b/crates/testbed/tests/hollow.rs
@@ -1,4 +1,4 @@
-//! Hollow dispatchers beside real ones, and days of their size in small.
+//! Tests of hollow dispatchers beside real ones, and of the scenarios at their size.
 
 use corkspan_api::v1::connection_traffic::Kind;
 use corkspan_testbed::capture::{DispatcherState, Line, NodeState, Observation};
@@ -31,7 +31,7 @@
     .run()
 }
 
-/// In and out, bytes and messages, of one dispatcher.
+/// Returns the bytes in and out and the messages in and out of one dispatcher.
 fn per_dispatcher(cost: &Cost, kind: Kind) -> [f64; 4] {
     let index = TRAFFIC_KINDS
         .iter()
@@ -61,7 +61,7 @@
     );
     assert!(real[0] > 1_000.0, "the roster tells of room: {real:?}");
     for (real, hollow) in std::iter::zip(real, hollow) {
-        // A listing more or less: the moments of reading differ a little.
+        // The times of the readings differ a little, so one endpoint list more or less is allowed.
         assert!(
             (real - hollow).abs() <= 0.1 * real.max(10.0) + 1_500.0,
             "{real} and {hollow}"
@@ -94,7 +94,8 @@
     fleet.stop().unwrap_or_else(|why| panic!("{why}"));
 }
 
-/// A zone is lost and comes back cold, and a hollow process stands still with all that are in it.
+/// A failure domain is lost and returns in slow start, and a hollow process is paused with all its
+/// dispatchers.
 #[test]
 fn a_scenario_with_hollow_dispatchers_and_a_lost_zone_keeps_the_rules() {
     let script = "(day (length 8 s) (dispatchers 6) (hollow (many 5) (a-process 5)) (nodes 56) (zones 7) (rate 60) (life 2 s)
--- a/crates/testbed/tests/version_figures.rs
+++ b/crates/testbed/tests/version_figures.rs
@@ -1,4 +1,4 @@
-//! What is reported of versions and raises of the minimum version, from a small capture.
+//! Tests of the figures of versions and raises of the minimum version, from a small capture.
 
 use corkspan_testbed::capture::{AllocationEvent, Line, Observation};
 use corkspan_testbed::version_figures::VersionFigures;
@@ -25,7 +25,8 @@
     }
 }
 
-/// Two versions, of which four dispatchers take the first and three the second, and two raises.
+/// Returns a capture of two versions and two raises. Four dispatchers apply the first version, and
+/// three the second.
 fn capture() -> Vec<Line> {
     let active = |dispatcher, number| Observation::VersionActive { dispatcher, number };
     let mut lines = vec![(1_000, Observation::Pushed { number: 1 })];
