--- a/crates/testbed/tests/capacity.rs
+++ b/crates/testbed/tests/capacity.rs
@@ -34,11 +34,11 @@
         test(
             Environment::start(&tasks, &program, config)
                 .await
-                .expect("it comes up"),
+                .expect("the environment starts"),
         )
         .await;
     };
-    future::block_on(tasks.run(within(TIMEOUT, run))).expect("the story comes to its end");
+    future::block_on(tasks.run(within(TIMEOUT, run))).expect("the test ends in time");
 }
 
 /// An endpoint line has about 50 bytes. Its framing must not cost more than as much again.
@@ -85,7 +85,7 @@
             environment
                 .wait_until_active(version.expect("published"))
                 .await
-                .expect("in force at both");
+                .expect("active at both dispatchers");
             costs.push(bytes / 2);
         }
         let (first, later) = (costs[0], &costs[1..]);
@@ -109,12 +109,12 @@
         let streams = environment
             .request_tasks(30)
             .await
-            .expect("all are taken in hand");
+            .expect("all requests are accepted");
         environment
             .watch(Duration::from_secs(2))
             .await
-            .expect("the kernel tells");
-        let status = environment.status().await.expect("it answers");
+            .expect("the kernel reports its figures");
+        let status = environment.status().await.expect("the dispatcher responds");
         assert_eq!((status.in_flight, status.placed), (30, 0));
         let sent = traffic::traffic_of(&status.connection_traffic, Kind::Nodes).messages_out;
         assert!(sent <= 2 * 30, "{sent} messages went to nodes");
@@ -125,8 +125,9 @@
 /// Returns the stored result and the page from docs/.
 fn documents() -> (String, String) {
     let docs = concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs");
-    let read =
-        |name: &str| std::fs::read_to_string(format!("{docs}/{name}")).expect("it stands there");
+    let read = |name: &str| {
+        std::fs::read_to_string(format!("{docs}/{name}")).expect("the file is readable")
+    };
     (read("capacity/result.json"), read("CAPACITY.md"))
 }
 
@@ -141,7 +142,7 @@
 #[test]
 fn a_changed_result_does_not_agree_with_the_page() {
     let (result, page) = documents();
-    let mut stored = CapacityResult::read(&result).expect("the test before this one");
+    let mut stored = CapacityResult::read(&result).expect("the stored result is readable");
     stored.size.waiting /= 2.0;
     stored.size.bytes_a_second += 1.0;
     assert!(page::check(&page, &stored).is_err());
@@ -151,7 +152,7 @@
     let output = Command::new(PROGRAM)
         .args(arguments)
         .output()
-        .expect("it starts");
+        .expect("the program starts");
     (
         output.status.success(),
         String::from_utf8_lossy(&output.stderr).into_owned(),
@@ -168,7 +169,7 @@
         ..corkspan_capacity_model::result::PLANNED_SIZE
     };
     std::fs::write(&path, serde_json::to_string(&size).expect("numbers")).expect("written");
-    let path = path.to_str().expect("plain");
+    let path = path.to_str().expect("the path is UTF-8");
     let (succeeded, stderr) = run_program(&["capacity", "--axis", "versions", "--size", path]);
     assert!(
         !succeeded && stderr.contains("the size: asks for too much"),
@@ -199,11 +200,11 @@
     let line = page
         .lines()
         .position(|line| line.starts_with("| 1 | "))
-        .expect("the first of the list")
+        .expect("the page has a first row")
         + 1;
     let (result_path, page_path) = (
-        result_path.to_str().expect("plain"),
-        page_path.to_str().expect("plain"),
+        result_path.to_str().expect("the path is UTF-8"),
+        page_path.to_str().expect("the path is UTF-8"),
     );
     let (succeeded, stderr) = run_program(&["capacity", "page", result_path, "--check", page_path]);
     assert!(
--- a/crates/testbed/tests/hollow.rs
+++ b/crates/testbed/tests/hollow.rs
@@ -19,7 +19,7 @@
 }
 
 fn run(script: &str) -> Result<Vec<Line>, String> {
-    let scenario = Scenario::read("day", script).unwrap_or_else(|why| panic!("{why}"));
+    let scenario = Scenario::read("scenario", script).unwrap_or_else(|why| panic!("{why}"));
     ScenarioRun {
         scenario,
         seed: 1,
@@ -36,7 +36,7 @@
     let index = TRAFFIC_KINDS
         .iter()
         .position(|other| *other == kind)
-        .expect("a kind");
+        .expect("a known kind");
     cost.links[index].map(|count| count as f64 / cost.reporting as f64)
 }
 
@@ -59,7 +59,10 @@
         per_dispatcher(&idle.real, Kind::Roster),
         per_dispatcher(&idle.hollow, Kind::Roster),
     );
-    assert!(real[0] > 1_000.0, "the roster tells of room: {real:?}");
+    assert!(
+        real[0] > 1_000.0,
+        "the endpoint list reports capacity: {real:?}"
+    );
     for (real, hollow) in std::iter::zip(real, hollow) {
         // The times of the readings differ a little, so one endpoint list more or less is allowed.
         assert!(
@@ -70,14 +73,14 @@
     assert_eq!(
         per_dispatcher(&idle.hollow, Kind::Nodes),
         [0.0; 4],
-        "nobody asks, so nothing passes to nodes that are no keepers"
+        "without requests, nothing is sent to nodes that are not quorum members"
     );
     let busy = fleet
         .run(Duration::from_secs(3), 60.0, Duration::from_secs(1))
         .unwrap_or_else(|why| panic!("{why}"));
     assert!(
         busy.requested > 100 && busy.placed > 90,
-        "{} asked, {} placed",
+        "{} requested, {} placed",
         busy.requested,
         busy.placed
     );
@@ -88,7 +91,7 @@
         );
         assert!(
             requests > 5.0 && offers > 5.0,
-            "{requests} asks and {offers} offers a dispatcher"
+            "{requests} requests and {offers} attempts a dispatcher"
         );
     }
     fleet.stop().unwrap_or_else(|why| panic!("{why}"));
@@ -115,7 +118,7 @@
     assert_eq!(gone.len(), 8, "56 nodes in 7 zones");
     assert_eq!(gone, slow_starting);
     let cells: BTreeSet<u32> = gone.iter().map(|node| (node - 100) / 4 % 7).collect();
-    assert_eq!(cells.len(), 1, "all of one zone");
+    assert_eq!(cells.len(), 1, "all in one failure domain");
     let paused = lines.iter().filter_map(|line| match line.observation {
         Observation::Dispatcher {
             dispatcher,
@@ -125,7 +128,7 @@
     });
     assert_eq!(paused.collect::<BTreeSet<_>>().len(), 6);
     let summary = Summary::of(&lines);
-    let Costs { real, hollow } = summary.cost.as_ref().expect("costs are told");
+    let Costs { real, hollow } = summary.cost.as_ref().expect("the summary has costs");
     assert_eq!(
         (real.dispatchers, hollow.dispatchers, hollow.processes),
         (1, 5, 1)
