--- a/crates/testbed/src/capacity/environment.rs
+++ b/crates/testbed/src/capacity/environment.rs
@@ -299,9 +299,9 @@
             shared_parts =
                 Some(SharedParts::parse("deployment", &file).map_err(|why| why.to_string())?);
             let process = Process::start_in(program, &at("file.sexp"), &file)?;
-            let there =
+            let client_relay =
                 meter::relay_onto(&relays.tasks, process.address, Arc::clone(&clients_meter)).await;
-            client_addresses.push(there.map_err(to_text)?);
+            client_addresses.push(client_relay.map_err(to_text)?);
             dispatchers.push(process);
         }
         meters.insert(Peer::Owners, clients_meter);
@@ -501,14 +501,14 @@
     /// Waits until each dispatcher has acknowledged the version as active.
     pub async fn wait_until_active(&self, version: VersionId) -> Result<(), String> {
         let dispatchers = self.dispatchers.len() as u32;
-        let all = async {
+        let active_at_all = async {
             while !(0..dispatchers)
                 .all(|dispatcher| self.control.running(dispatcher) == Some(version))
             {
                 Timer::after(Duration::from_millis(5)).await;
             }
         };
-        within(TIMEOUT, all)
+        within(TIMEOUT, active_at_all)
             .await
             .ok_or_else(|| format!("{version} is not active at all dispatchers after {TIMEOUT:?}"))
     }
--- a/crates/testbed/src/capacity/scheduling_cost.rs
+++ b/crates/testbed/src/capacity/scheduling_cost.rs
@@ -102,7 +102,7 @@
     }
 }
 
-fn entries(machines: u32) -> Vec<Endpoint> {
+fn endpoints(machines: u32) -> Vec<Endpoint> {
     let endpoint = |id| Endpoint {
         machine: MachineId(id),
         machine_type: MachineTypeId(0),
@@ -132,10 +132,10 @@
 
 /// Returns the mean time of one request, over `least` requests or more. With `in_vain`, no machine
 /// has capacity for it.
-pub fn request_cost(machines: u32, in_vain: bool, least: u64) -> Option<Point> {
+pub fn request_cost(machines: u32, deferred: bool, min_requests: u64) -> Option<Point> {
     let mut scheduler = Scheduler::new(cluster(), 1, 0);
-    scheduler.apply_endpoint_list(ListUpdate::Cached, &entries(machines));
-    let available = if in_vain { FULL_MACHINE } else { FREE_MACHINE };
+    scheduler.apply_endpoint_list(ListUpdate::Cached, &endpoints(machines));
+    let available = if deferred { FULL_MACHINE } else { FREE_MACHINE };
     for id in 0..machines {
         scheduler.record_health_check(
             SECOND,
@@ -144,7 +144,7 @@
             Some(LoadReport { available }),
         );
     }
-    let size = if in_vain {
+    let size = if deferred {
         Resources {
             cores: 4.0,
             memory: 16.0,
@@ -158,9 +158,9 @@
     let (mut now, started) = (2 * SECOND, thread_time_s()?);
     let (mut as_expected, mut requests) = (0, 0);
     // An allocation that is placed stays, and too many of them would fill the machines.
-    while requests < least
-        || in_vain && requests % 1_000 != 0
-        || in_vain && thread_time_s()? - started < MIN_MEASURED_S
+    while requests < min_requests
+        || deferred && requests % 1_000 != 0
+        || deferred && thread_time_s()? - started < MIN_MEASURED_S
     {
         let number = requests;
         requests += 1;
@@ -185,10 +185,10 @@
             attempts: Vec::new(),
         };
         as_expected +=
-            u64::from((scheduler.place(now, &allocation) == Placement::Deferred) == in_vain);
+            u64::from((scheduler.place(now, &allocation) == Placement::Deferred) == deferred);
     }
     let value = (thread_time_s()? - started) * 1e6 / requests as f64;
-    let figure = if in_vain {
+    let figure = if deferred {
         "one ask in vain"
     } else {
         "one ask that finds a machine"
@@ -203,22 +203,22 @@
 
 /// Effects that are counted and discarded, except the timer.
 #[derive(Default)]
-struct Timer {
+struct CountingEffects {
     due: Option<Ticks>,
     now: Ticks,
     sent: u64,
-    answered: u64,
+    finished: u64,
 }
 
-impl Effects<()> for Timer {
+impl Effects<()> for CountingEffects {
     fn dispatch(&mut self, _: &mut (), _: &Allocation, _: MachineId, _: Ticks) {
         self.sent += 1;
     }
     fn shed(&mut self, _: &mut (), _: &Allocation) {
-        self.answered += 1;
+        self.finished += 1;
     }
     fn indeterminate(&mut self, _: &mut (), _: &Allocation) {
-        self.answered += 1;
+        self.finished += 1;
     }
     fn migrate(&mut self, _: &mut (), _: &Allocation) {}
     fn check_health(&mut self, _: MachineId) {}
@@ -241,7 +241,7 @@
 /// An engine with its timer and running allocations.
 struct EngineRun {
     engine: Engine<()>,
-    timer: Timer,
+    effects: CountingEffects,
     running: Vec<(AllocationId, MachineId)>,
     created: u64,
 }
@@ -253,7 +253,7 @@
         let mut run = self.start_run();
         // The first evaluations are not part of the cost of waiting.
         run.advance_to(4 * SECOND);
-        let before = (thread_time_s()?, run.timer.sent);
+        let before = (thread_time_s()?, run.effects.sent);
         let rate = match self.changes {
             Changes::Nothing => 0,
             Changes::Reports(rate) | Changes::Ends(rate) | Changes::Deadlines(rate) => {
@@ -272,7 +272,7 @@
             Changes::Ends(_) => "waiting while some end",
             Changes::Deadlines(_) => "waiting to the end",
         };
-        let none_sent = run.timer.sent == before.1;
+        let none_sent = run.effects.sent == before.1;
         none_sent.then_some(Point {
             figure,
             x: f64::from(self.waiting),
@@ -288,10 +288,10 @@
             RetryBatch::ALL
         };
         let mut engine = Engine::new(cluster(), 1, 0, usize::MAX, batch);
-        engine.apply_endpoint_list(ListUpdate::Cached, &entries(self.machines));
+        engine.apply_endpoint_list(ListUpdate::Cached, &endpoints(self.machines));
         let mut run = EngineRun {
             engine,
-            timer: Timer::default(),
+            effects: CountingEffects::default(),
             running: Vec::new(),
             created: 0,
         };
@@ -320,7 +320,7 @@
     }
 
     fn add_waiting(&self, run: &mut EngineRun, deadline: Ticks) {
-        let now = run.timer.now;
+        let now = run.effects.now;
         let number = run.created;
         let variant = match self.similarity {
             Similarity::Few => number % 5,
@@ -338,13 +338,13 @@
             (),
         );
         if let Ok(id) = admitted {
-            run.engine.place(now, id, &mut run.timer);
+            run.engine.place(now, id, &mut run.effects);
         }
         run.run_pending();
     }
 
     fn apply_change(&self, run: &mut EngineRun, number: u64) {
-        let now = run.timer.now;
+        let now = run.effects.now;
         match self.changes {
             Changes::Nothing => {}
             Changes::Reports(_) => {
@@ -362,7 +362,7 @@
                         finished: true,
                         report: None,
                     },
-                    &mut run.timer,
+                    &mut run.effects,
                 );
                 run.add_running(now, machine.0 + 1);
             }
@@ -400,22 +400,22 @@
 
     /// Runs the work that a caller does after each event.
     fn run_pending(&mut self) {
-        let now = self.timer.now;
-        self.engine.poll(now, &mut self.timer);
+        let now = self.effects.now;
+        self.engine.poll(now, &mut self.effects);
         while let Some(id) = self.engine.next_queued() {
-            self.engine.evaluate(now, id, &mut self.timer);
+            self.engine.evaluate(now, id, &mut self.effects);
         }
-        self.engine.poll(now, &mut self.timer);
+        self.engine.poll(now, &mut self.effects);
     }
 
     fn advance_to(&mut self, end: Ticks) {
-        while let Some(at) = self.timer.due.filter(|at| *at <= end) {
-            self.timer.due = None;
-            self.timer.now = at.max(self.timer.now);
-            self.engine.timer_fired(self.timer.now);
+        while let Some(at) = self.effects.due.filter(|at| *at <= end) {
+            self.effects.due = None;
+            self.effects.now = at.max(self.effects.now);
+            self.engine.timer_fired(self.effects.now);
             self.run_pending();
         }
-        self.timer.now = end.max(self.timer.now);
+        self.effects.now = end.max(self.effects.now);
         self.run_pending();
     }
 }
--- a/crates/testbed/src/config_push_experiment.rs
+++ b/crates/testbed/src/config_push_experiment.rs
@@ -54,7 +54,7 @@
     fn measure_flood(&self) -> Result<(), String> {
         let (versions, interval) = (10_000u64, Duration::from_millis(1));
         in_environment(&self.program, 1, async |environment| {
-            let began = Instant::now();
+            let started = Instant::now();
             let mut newest = None;
             for number in 0..versions {
                 newest = Some(
@@ -62,15 +62,15 @@
                         .control
                         .publish(environment.shared_parts_with_change(1, number), true),
                 );
-                Timer::at(began + interval * (number as u32 + 1)).await;
+                Timer::at(started + interval * (number as u32 + 1)).await;
             }
-            let publish_time = began.elapsed();
+            let publish_time = started.elapsed();
             environment
                 .wait_for("the newest version is active", |environment| {
                     environment.control.running(0) == newest
                 })
                 .await?;
-            let catch_up_time = began.elapsed() - publish_time;
+            let catch_up_time = started.elapsed() - publish_time;
             let pushes = environment.control.pushes().len();
             let count_replies = |status| {
                 environment
--- a/crates/testbed/src/measure.rs
+++ b/crates/testbed/src/measure.rs
@@ -489,12 +489,12 @@
     pub fn start_in(program: &[OsString], file: &Path, deployment: &str) -> Result<Self, String> {
         let to_text = |why: std::io::Error| why.to_string();
         std::fs::write(file, deployment).map_err(to_text)?;
-        let (first, rest) = program
+        let (executable, arguments) = program
             .split_first()
             .ok_or("the command of the dispatcher is empty")?;
-        let mut command = Command::new(first);
+        let mut command = Command::new(executable);
         command
-            .args(rest)
+            .args(arguments)
             .arg("serve")
             .arg(file)
             .arg("--level")
