--- a/crates/testbed/src/capacity/environment.rs
+++ b/crates/testbed/src/capacity/environment.rs
@@ -37,7 +37,8 @@
 /// The share of time above which a busy thread of stand-ins may be the bottleneck, so that a
 /// measurement is invalid.
 const MAX_THREAD_UTILIZATION: f64 = 0.7;
-/// The share of time above which a dispatcher's wait for a processor makes a measurement invalid.
+/// The share of time above which a dispatcher's wait for a processor makes a measurement invalid,
+/// since the dispatcher is slower than on a machine with free processors.
 const MAX_CPU_WAIT: f64 = 0.25;
 /// The share of the machine's processor time that may be stolen by other virtual machines.
 const MAX_STOLEN: f64 = 0.1;
@@ -710,7 +711,8 @@
         }
     }
 
-    /// Returns the bytes a second of one dispatcher on all connections but those of clients.
+    /// Returns the control traffic of one dispatcher, in bytes a second: that of all connections but
+    /// those of clients. Attempts sent to nodes are not control traffic, but are included.
     pub fn control_bytes(&self, dispatchers: usize) -> f64 {
         let peers = [Peer::Roster, Peer::Control, Peer::Keepers, Peer::Nodes];
         peers.iter().map(|peer| self.bytes[peer]).sum::<f64>() / dispatchers.max(1) as f64
--- a/crates/testbed/src/capacity/mod.rs
+++ b/crates/testbed/src/capacity/mod.rs
@@ -37,7 +37,7 @@
     pub command: String,
 }
 
-/// How often an invalid point is measured again at most.
+/// The largest number of times that an invalid point is measured again.
 const MAX_REPEATS: u32 = 1;
 /// The wait between the start of the dispatchers and their observation.
 const SETTLE_TIME: Duration = Duration::from_secs(3);
@@ -162,7 +162,7 @@
         self.axes.iter().flat_map(|axis| series_of(*axis)).collect()
     }
 
-    /// Returns an error if this machine lacks the resources for the measurements or for the size.
+    /// Returns an error if this machine lacks the resources for a measurement or for the fleet size.
     fn check_requirements(&self) -> Result<(), String> {
         let available = kernel::machine();
         for series in self.series() {
@@ -179,7 +179,7 @@
             requirements::check(required, available)
                 .map_err(|why| format!("{} / {}: {why}", series.axis.name(), series.name))?;
         }
-        // The resources for the size itself, with all its dispatchers as processes.
+        // The fleet size itself, with each of its dispatchers as a process.
         let required = requirements::required_for(
             self.size.dispatchers as u64,
             self.size.machines as u64,
--- a/crates/testbed/src/capacity/scheduling_cost.rs
+++ b/crates/testbed/src/capacity/scheduling_cost.rs
@@ -130,8 +130,8 @@
 /// late.
 const MIN_MEASURED_S: f64 = 0.02;
 
-/// Returns the mean time of one request, over `least` requests or more. With `in_vain`, no machine
-/// has capacity for it.
+/// Returns the mean time of one request, over `least` requests or more. With `deferred`, no
+/// machine has capacity for it.
 pub fn request_cost(machines: u32, deferred: bool, min_requests: u64) -> Option<Point> {
     let mut scheduler = Scheduler::new(cluster(), 1, 0);
     scheduler.apply_endpoint_list(ListUpdate::Cached, &endpoints(machines));
