--- a/crates/testbed/src/capacity/full_node.rs
+++ b/crates/testbed/src/capacity/full_node.rs
@@ -1,25 +1,26 @@
-//! A machine that is full by use: it says so to whoever asks, and takes nothing.
+//! A node whose resources are all in use: it reports this and rejects each attempt.
 
 use corkspan_api::v1::{self, attempt_event::Event, attempt_rejected::Rejection};
 use futures_lite::{Stream, stream};
 use std::pin::Pin;
 use tonic::{Request, Response, Status};
 
-/// What it reports as unused: too little memory for anything to be sent there.
-const UNUSED: v1::LoadReport = v1::LoadReport {
+/// The reported available resources: too little memory for any attempt to be sent.
+const AVAILABLE: v1::LoadReport = v1::LoadReport {
     cores: 1.0,
     memory: 4.0,
 };
 
+/// A stand-in of a node whose resources are all in use.
 #[derive(Clone)]
 pub struct FullNode;
 
-type Words = Pin<Box<dyn Stream<Item = Result<v1::AttemptEvent, Status>> + Send>>;
+type EventStream = Pin<Box<dyn Stream<Item = Result<v1::AttemptEvent, Status>> + Send>>;
 
 #[tonic::async_trait]
 impl v1::node_server::Node for FullNode {
-    type OfferStream = Words;
-    type AttendStream = Words;
+    type OfferStream = EventStream;
+    type AttendStream = EventStream;
 
     async fn greet(
         &self,
@@ -28,27 +29,30 @@
         Ok(Response::new(request.into_inner()))
     }
 
-    async fn offer(&self, _: Request<v1::AttemptRequest>) -> Result<Response<Words>, Status> {
-        let refused = Event::Rejected(v1::AttemptRejected {
+    async fn offer(&self, _: Request<v1::AttemptRequest>) -> Result<Response<EventStream>, Status> {
+        let rejected = Event::Rejected(v1::AttemptRejected {
             reason: Rejection::NoMemory.into(),
             minimum_version: None,
         });
-        let said = v1::AttemptEvent {
-            event: Some(refused),
-            load_report: Some(UNUSED),
+        let event = v1::AttemptEvent {
+            event: Some(rejected),
+            load_report: Some(AVAILABLE),
         };
-        Ok(Response::new(Box::pin(stream::once(Ok(said)))))
+        Ok(Response::new(Box::pin(stream::once(Ok(event)))))
     }
 
-    async fn attend(&self, _: Request<v1::AttemptRequest>) -> Result<Response<Words>, Status> {
-        Err(Status::unimplemented("nothing stays here"))
+    async fn attend(
+        &self,
+        _: Request<v1::AttemptRequest>,
+    ) -> Result<Response<EventStream>, Status> {
+        Err(Status::unimplemented("this node keeps no running tasks"))
     }
 
     async fn keep(
         &self,
         _: Request<v1::QuorumRequest>,
     ) -> Result<Response<v1::QuorumResponse>, Status> {
-        Err(Status::unimplemented("no keeper"))
+        Err(Status::unimplemented("this node is not a quorum member"))
     }
 
     async fn stop(
@@ -63,7 +67,7 @@
         _: Request<v1::HealthCheckRequest>,
     ) -> Result<Response<v1::HealthCheckResponse>, Status> {
         Ok(Response::new(v1::HealthCheckResponse {
-            load_report: Some(UNUSED),
+            load_report: Some(AVAILABLE),
         }))
     }
 
@@ -78,6 +82,8 @@
         &self,
         _: Request<v1::OperationsRequest>,
     ) -> Result<Response<v1::OperationsResponse>, Status> {
-        Err(Status::unimplemented("it keeps no record"))
+        Err(Status::unimplemented(
+            "this node keeps no record of operations",
+        ))
     }
 }
--- a/crates/testbed/src/capacity/kernel.rs
+++ b/crates/testbed/src/capacity/kernel.rs
@@ -1,10 +1,10 @@
-//! What the kernel tells of processes, threads and the machine.
+//! Reads the kernel's figures of processes, threads and the machine.
 
 use corkspan_capacity_model::requirements::MachineResources;
 use std::fs;
 use std::path::Path;
 
-/// Time on a processor and time waited for one, in ns.
+/// The time spent on a processor and the time spent waiting for one, in ns.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct CpuTime {
     pub ran: u64,
@@ -29,46 +29,50 @@
     })
 }
 
-/// Of all threads of a process that live now.
+/// Returns the processor time of all threads of a process that still run.
 pub fn process(id: u32) -> Result<CpuTime, String> {
     let threads =
         fs::read_dir(format!("/proc/{id}/task")).map_err(|why| format!("process {id}: {why}"))?;
-    let each = threads
+    let times = threads
         .flatten()
         .filter_map(|thread| schedstat(&thread.path().join("schedstat")));
-    Ok(each.fold(CpuTime::default(), |sum, own| CpuTime {
-        ran: sum.ran + own.ran,
-        waited: sum.waited + own.waited,
+    Ok(times.fold(CpuTime::default(), |sum, time| CpuTime {
+        ran: sum.ran + time.ran,
+        waited: sum.waited + time.waited,
     }))
 }
 
+/// Returns the id of the calling thread.
 pub fn this_thread() -> Result<i32, String> {
-    let own = fs::read_link("/proc/thread-self").map_err(|why| why.to_string())?;
-    let id = own.file_name().and_then(|name| name.to_str()?.parse().ok());
-    id.ok_or_else(|| "the kernel does not tell threads apart".into())
+    let link = fs::read_link("/proc/thread-self").map_err(|why| why.to_string())?;
+    let id = link
+        .file_name()
+        .and_then(|name| name.to_str()?.parse().ok());
+    id.ok_or_else(|| "the kernel does not report the id of the calling thread".into())
 }
 
-/// Of one thread of this process.
+/// Returns the processor time of one thread of this process.
 pub fn thread(id: i32) -> Result<CpuTime, String> {
     let path = format!("/proc/self/task/{id}/schedstat");
-    schedstat(Path::new(&path)).ok_or_else(|| format!("the kernel does not tell {path}"))
+    schedstat(Path::new(&path)).ok_or_else(|| format!("the kernel does not report {path}"))
 }
 
-/// Ticks of all processors, and of them stolen from this machine.
+/// Returns the ticks of all processors so far, and how many of them were stolen from this machine.
 pub fn ticks() -> Result<(u64, u64), String> {
     let text = fs::read_to_string("/proc/stat").map_err(|why| why.to_string())?;
     let line = text.lines().next().unwrap_or("");
-    let all: Vec<u64> = line
+    let ticks: Vec<u64> = line
         .split_whitespace()
         .skip(1)
         .filter_map(|field| field.parse().ok())
         .collect();
-    match all.get(7) {
-        Some(stolen) => Ok((all[..8].iter().sum(), *stolen)),
-        None => Err("the kernel does not tell its ticks".into()),
+    match ticks.get(7) {
+        Some(stolen) => Ok((ticks[..8].iter().sum(), *stolen)),
+        None => Err("the kernel does not report processor ticks in /proc/stat".into()),
     }
 }
 
+/// Returns the machine's load average over one minute.
 pub fn load() -> f64 {
     let text = fs::read_to_string("/proc/loadavg").unwrap_or_default();
     text.split_whitespace()
@@ -81,21 +85,21 @@
     std::thread::available_parallelism().map_or(1, usize::from)
 }
 
-/// What this machine has.
+/// Returns the resources of this machine.
 pub fn machine() -> MachineResources {
     let text = fs::read_to_string("/proc/meminfo").unwrap_or_default();
     let line = text.lines().find_map(|line| line.strip_prefix("MemTotal:"));
     let kib = line
         .and_then(|rest| rest.split_whitespace().next()?.parse::<u64>().ok())
         .unwrap_or(0);
-    let most = |which| {
+    let limit = |which| {
         rustix::process::getrlimit(which)
             .current
             .unwrap_or(u64::MAX)
     };
     MachineResources {
         memory_mib: kib / 1_024,
-        processes: most(rustix::process::Resource::Nproc),
-        descriptors: most(rustix::process::Resource::Nofile),
+        processes: limit(rustix::process::Resource::Nproc),
+        descriptors: limit(rustix::process::Resource::Nofile),
     }
 }
--- a/crates/testbed/src/hollow.rs
+++ b/crates/testbed/src/hollow.rs
@@ -1,6 +1,6 @@
-//! Hollow dispatchers: many share a process and its one thread. Each decides, listens, and speaks
-//! over loopback sockets as a real one does, by the same code; none has a process, a disk or a log
-//! of its own.
+//! Hollow dispatchers, many of which share a process and its one thread. Each schedules, listens
+//! and communicates over loopback sockets with the same code as a real dispatcher, but has no
+//! process, disk or log of its own.
 
 pub mod fleet;
 
@@ -27,11 +27,12 @@
         #[arg(required = true)]
         files: Vec<PathBuf>,
     },
-    /// Holds hollow dispatchers against real ones, at a size at which both fit, without asks and
+    /// Compares hollow dispatchers with real ones in a fleet of the same size, without requests and
     /// with them.
     Against(fleet::Against),
 }
 
+/// Runs the subcommand of a parsed command line.
 pub fn run(line: Line) -> Result<(), String> {
     match line.call {
         Call::Serve { files } => serve(&files),
@@ -44,32 +45,33 @@
     for file in files {
         let deployment = Deployment::load(file).map_err(|why| why.to_string())?;
         let Deployment {
-            endpoint_cache: remembered,
-            rollout_store: rolls,
-            version_cache: versions,
+            endpoint_cache,
+            rollout_store,
+            version_cache,
             ..
         } = &deployment;
-        if remembered.is_some() || rolls.is_some() || versions.is_some() {
+        if endpoint_cache.is_some() || rollout_store.is_some() || version_cache.is_some() {
             let file = file.display();
             return Err(format!(
-                "{file}: a hollow dispatcher has no disk for its list, rolls or versions"
+                "{file}: a hollow dispatcher has no disk to store its endpoint list, rollouts or versions"
             ));
         }
         deployments.push(deployment);
     }
-    let mut stops = signals([Signal::Term, Signal::Int]).map_err(|why| why.to_string())?;
+    let mut stop_signals = signals([Signal::Term, Signal::Int]).map_err(|why| why.to_string())?;
     let tasks = SharedExecutor::default();
-    let all = async {
+    let run_all = async {
         let (stop, stopped) = async_channel::bounded::<()>(1);
-        let mut own = Vec::new();
-        for (which, deployment) in deployments.into_iter().enumerate() {
+        let mut running = Vec::new();
+        for (index, deployment) in deployments.into_iter().enumerate() {
             let stopped = stopped.clone();
             let stopped = async move {
                 let _ = stopped.recv().await;
             };
-            // A pipe that nobody reads any more ends us soon enough.
+            // A write error is ignored: once the reader of this pipe is gone, the process is
+            // stopped soon anyway.
             let ready = move |address| {
-                let _ = writeln!(std::io::stdout(), "listening {which} {address}");
+                let _ = writeln!(std::io::stdout(), "listening {index} {address}");
             };
             let store = Store::open(None);
             let run = corkspan_dispatcher::run_with_store(
@@ -79,22 +81,22 @@
                 ready,
                 stopped,
             );
-            own.push(tasks.spawn(run));
+            running.push(tasks.spawn(run));
         }
-        let ended = async {
-            for one in own {
-                one.await?;
+        let all_ended = async {
+            for dispatcher in running {
+                dispatcher.await?;
             }
             Ok::<(), DispatcherError>(())
         };
-        let asked = async {
-            stops.next().await;
+        let stop_requested = async {
+            stop_signals.next().await;
             drop(stop);
             future::pending().await
         };
-        future::or(ended, asked)
+        future::or(all_ended, stop_requested)
             .await
             .map_err(|why| why.to_string())
     };
-    future::block_on(tasks.run(all))
+    future::block_on(tasks.run(run_all))
 }
--- a/crates/testbed/src/hollow/fleet.rs
+++ b/crates/testbed/src/hollow/fleet.rs
@@ -1,5 +1,5 @@
-//! A fleet of dispatchers before stand-ins of nodes, run for a while without asks or with them, and
-//! read.
+//! Runs a fleet of dispatchers and stand-ins of nodes for a time, with or without requests, and
+//! reads its costs.
 
 use crate::capture::Observation;
 use crate::cost::{CONTROL_KINDS, Cost, Costs, TRAFFIC_KINDS, between};
@@ -15,39 +15,40 @@
 use futures_lite::future;
 use std::time::{Duration, Instant};
 
-/// How large a fleet is.
+/// The size of a fleet.
 #[derive(Clone, Copy, Debug)]
 pub struct Size {
-    /// Dispatchers with a process each.
+    /// Dispatchers with a process of their own.
     pub real: usize,
-    /// Further ones, that share processes.
+    /// Further dispatchers, which share processes.
     pub hollow: usize,
     pub nodes: usize,
 }
 
-/// A span of time in figures.
+/// The figures of a span of time.
 #[derive(Clone, Debug, Default)]
 pub struct Span {
     pub real: Cost,
     pub hollow: Cost,
-    /// How the laboratory itself kept up.
+    /// Whether the testbed itself kept up.
     pub stand_ins: StandIns,
-    /// As owners heard it.
+    /// Allocations that clients requested.
     pub requested: usize,
+    /// Allocations that clients saw placed.
     pub placed: usize,
 }
 
-/// Dispatchers and stand-ins, up. Nothing of the stand-ins moves but within [`Fleet::run`], so
-/// calls are to follow one another closely.
+/// Running dispatchers and stand-ins. The stand-ins make progress only within [`Fleet::run`], so
+/// its calls should follow one another closely.
 pub struct Fleet {
     tasks: SharedExecutor,
     testbed: Testbed,
-    _room: async_executor::Task<()>,
+    _capacity_reports: async_executor::Task<()>,
 }
 
 impl Fleet {
-    /// Refused at once, with what is short, where it does not fit the machine. Each dispatcher
-    /// knows all nodes when this returns.
+    /// Starts a fleet and waits until each dispatcher knows all nodes. Returns an error at once
+    /// that names the missing resources if this machine can't carry the fleet.
     pub fn start(size: Size, seed: u64, programs: &Programs) -> Result<Fleet, String> {
         let Size {
             real,
@@ -56,12 +57,12 @@
         } = size;
         if real == 0 || real + hollow > 300 || !(1..=2600).contains(&nodes) {
             return Err(format!(
-                "1 to 300 dispatchers with a real one among them, and 1 to 2600 nodes, not {size:?}"
+                "a fleet has 1 to 300 dispatchers with a real one among them, and 1 to 2600 nodes, not {size:?}"
             ));
         }
         let script = match hollow {
             0 => String::new(),
-            many => format!("(hollow (many {many}))"),
+            hollow => format!("(hollow (many {hollow}))"),
         };
         let script = format!(
             "(day (length 600 s) (dispatchers {}) {script} (nodes {nodes}) (rate 1) (cancels 0))",
@@ -81,7 +82,7 @@
         };
         let tasks = SharedExecutor::default();
         let testbed = future::block_on(tasks.run(scenario_run.start(&tasks)))?;
-        let room = tasks.spawn(report_capacity(
+        let capacity_reports = tasks.spawn(report_capacity(
             testbed.discovery.clone(),
             testbed.nodes.clone(),
             testbed.scenario.clone(),
@@ -89,33 +90,33 @@
         Ok(Fleet {
             tasks,
             testbed,
-            _room: room,
+            _capacity_reports: capacity_reports,
         })
     }
 
-    /// Runs for so long while owners ask so many times a second, each for a task of a mean life of
-    /// so long; at a rate of 0 nobody asks.
+    /// Runs the fleet for this time while clients send `rate` requests a second, for tasks with the
+    /// mean lifetime `life`. At a rate of 0 no request is sent.
     pub fn run(&mut self, time: Duration, rate: f64, life: Duration) -> Result<Span, String> {
         let tasks = self.tasks.clone();
         let testbed = &mut self.testbed;
         (testbed.scenario.rate, testbed.scenario.mean_lifetime) = (rate, life);
-        let whole = async {
-            let (before, from) = (
+        let measurement = async {
+            let (before, first_line) = (
                 testbed.read_costs().await?,
                 testbed.frontend.context.capture.lines().len(),
             );
-            let (saturation, until) = (
+            let (saturation, end) = (
                 SaturationMonitor::start(&tasks, testbed.hollow_process_ids())
                     .map_err(|why| why.to_string())?,
                 Instant::now() + time,
             );
             testbed.start = Instant::now();
-            let owners = testbed.run_until(until).await?;
-            Timer::at(until).await;
+            let clients = testbed.run_until(end).await?;
+            Timer::at(end).await;
             let observation = saturation.end().map_err(|why| why.to_string())?;
             let after = testbed.read_costs().await?;
-            // Those that are still here when the span is over are not waited for.
-            drop(owners);
+            // Clients that are still connected at the end of the span are not awaited.
+            drop(clients);
             let Costs { real, hollow } = between(&before, &after);
             let mut span = Span {
                 real,
@@ -138,7 +139,7 @@
                     spoilt,
                 };
             }
-            for line in &testbed.frontend.context.capture.lines()[from..] {
+            for line in &testbed.frontend.context.capture.lines()[first_line..] {
                 match line.observation {
                     Observation::Requested(_) => span.requested += 1,
                     Observation::EventReceived {
@@ -150,13 +151,13 @@
             }
             Ok(span)
         };
-        let most = time + Duration::from_secs(60);
-        let whole = within(most, Box::pin(whole));
-        future::block_on(self.tasks.run(whole))
-            .ok_or("a span of a fleet does not come to its end")?
+        let timeout = time + Duration::from_secs(60);
+        let measurement = within(timeout, Box::pin(measurement));
+        future::block_on(self.tasks.run(measurement))
+            .ok_or("a span of the fleet did not end in time")?
     }
 
-    /// All processes end, and each with 0.
+    /// Stops all processes, which must exit with 0.
     pub fn stop(mut self) -> Result<(), String> {
         let tasks = self.tasks.clone();
         let frontend = self.testbed.frontend.clone();
@@ -169,29 +170,29 @@
     }
 }
 
-/// `hollow against`
+/// The arguments of `hollow against`.
 #[derive(Args)]
 pub struct Against {
     #[arg(long, default_value_t = 20)]
     dispatchers: usize,
     #[arg(long, default_value_t = 140)]
     nodes: usize,
-    /// Of each span.
+    /// Duration of each span, in seconds.
     #[arg(long, default_value_t = 10.0)]
     seconds: f64,
-    /// Asks a second of the spans with asks.
+    /// Requests a second in the spans with requests.
     #[arg(long, default_value_t = 100.0)]
     rate: f64,
     #[arg(long, default_value_t = 3)]
     rounds: usize,
 }
 
-/// Mean life of a task.
-const LIFE: Duration = Duration::from_secs(4);
+/// The mean lifetime of a task.
+const MEAN_LIFETIME: Duration = Duration::from_secs(4);
 
-/// Real ones alone and hollow ones with one real among them, in turn, so that both meet the same
-/// machine.
 impl Against {
+    /// Measures a fleet of real dispatchers and one of hollow dispatchers with a real one among
+    /// them in turn, so that both run under the same conditions of the machine.
     pub fn run(self) -> Result<(), String> {
         let programs = Programs::of_current_exe()?;
         if self.dispatchers < 2
@@ -199,11 +200,11 @@
             || !(0.0..=5_000.0).contains(&self.rate)
         {
             return Err(
-                "2 dispatchers or more, 0.5 to 600 seconds and 0 to 5000 asks a second".into(),
+                "2 dispatchers or more, 0.5 to 600 seconds and 0 to 5000 requests a second are allowed".into(),
             );
         }
         let time = Duration::from_secs_f64(self.seconds);
-        let (mut spoilt, mut apart) = (0, 0);
+        let (mut invalid, mut differing) = (0, 0);
         let rates = [0.0, self.rate];
         for round in 0..self.rounds.clamp(1, 100) as u64 {
             let mut spans = Vec::new();
@@ -215,9 +216,9 @@
                 };
                 let mut fleet = Fleet::start(size, round + 1, &programs)?;
                 for rate in rates {
-                    // What was learnt at the start, or of another rate, settles first.
-                    fleet.run(Duration::from_secs(3), rate, LIFE)?;
-                    spans.push(fleet.run(time, rate, LIFE)?);
+                    // A short run first removes the effects of the start or of another rate.
+                    fleet.run(Duration::from_secs(3), rate, MEAN_LIFETIME)?;
+                    spans.push(fleet.run(time, rate, MEAN_LIFETIME)?);
                 }
                 fleet.stop()?;
             }
@@ -236,22 +237,22 @@
                 }
                 let ratio =
                     |cost: &Cost, kinds: &[Kind]| cost.bytes(kinds) / first.real.bytes(kinds);
-                let (ratio, beside, control) = (
+                let (ratio, real_ratio, control_ratio) = (
                     ratio(&second.hollow, &TRAFFIC_KINDS),
                     ratio(&second.real, &TRAFFIC_KINDS),
                     ratio(&second.hollow, &CONTROL_KINDS),
                 );
                 println!(
-                    "  bytes a second and dispatcher, over real ones alone: hollow {ratio:.3} (control {control:.3}), real among them {beside:.3}"
+                    "  bytes a second and dispatcher, over real ones alone: hollow {ratio:.3} (control {control_ratio:.3}), real among them {real_ratio:.3}"
                 );
-                spoilt += usize::from(first.stand_ins.spoilt || second.stand_ins.spoilt);
-                apart += usize::from(!(0.9..=1.1).contains(&ratio));
+                invalid += usize::from(first.stand_ins.spoilt || second.stand_ins.spoilt);
+                differing += usize::from(!(0.9..=1.1).contains(&ratio));
             }
         }
-        println!("{apart} spans apart by more than a tenth, {spoilt} spoilt");
-        match apart {
+        println!("{differing} spans differ by more than a tenth, {invalid} are invalid");
+        match differing {
             0 => Ok(()),
-            _ => Err("hollow dispatchers don't pass what real ones do".into()),
+            _ => Err("hollow dispatchers don't send and receive as many bytes as real ones".into()),
         }
     }
 }
--- a/crates/testbed/src/version_figures.rs
+++ b/crates/testbed/src/version_figures.rs
@@ -1,6 +1,6 @@
-//! What a scenario with versions and a minimum version came to, by its capture: the time from a
-//! push to its effect, from a raise to the last operation below it, how dispatchers caught up, and
-//! what an audit reported against the nodes' sockets.
+//! Figures of a scenario with versions and a minimum version, from its capture: the time from a
+//! push to its effect and from a raise to the last operation below it, how dispatchers caught up,
+//! and how an audit's report compares with the nodes' sockets.
 
 use crate::capture::*;
 use std::collections::{BTreeMap, BTreeSet};
@@ -16,54 +16,55 @@
     pub pushed: usize,
     /// From a push to its effect at half of the dispatchers, in ms: the median over all pushes.
     pub half: f64,
-    /// Likewise at six tenths. Where a third is held up, these are nearly all that hear of it.
+    /// The same at six tenths of the dispatchers. Where a third of them is delayed, these are
+    /// nearly all that receive it.
     pub six_tenths: f64,
     /// Each raise of the minimum version.
     pub raises: Vec<Raise>,
-    /// The audit at the end, if there was one.
+    /// The audit at the end, if any.
     pub audit: Option<AuditFigures>,
     /// Resident memory of dispatchers.
     pub memory: Option<MemoryFigures>,
 }
 
-/// What followed one raise of the minimum version.
+/// The effects of one raise of the minimum version.
 #[derive(Default)]
 pub struct Raise {
     /// The minimum version.
     pub lowest: u64,
-    /// To the last attempt below it that a node accepted, in ms; none where there was none.
+    /// Time to the last attempt below it that a node accepted, in ms, if any.
     pub taken: Option<f64>,
-    /// To the last attempt below it that reached a node, in ms; none where there was none.
+    /// Time to the last attempt below it that reached a node, in ms, if any.
     pub reached: Option<f64>,
     /// Nodes that have stored it.
     pub nodes: usize,
     /// Dispatchers below it at the raise.
     pub below: usize,
-    /// Of these, how many caught up.
+    /// How many of these caught up.
     pub up: usize,
-    /// How long the last of them took, in s.
+    /// Time that the last of them took to catch up, in s.
     pub last_up: f64,
 }
 
-/// What an audit of the fleet reported.
+/// The report of an audit of the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AuditFigures {
-    /// How long it took, in ms.
+    /// Duration of the audit, in ms.
     pub took_ms: u64,
-    /// Bytes it cost.
+    /// Bytes transferred for it.
     pub bytes: u64,
-    /// Its findings.
+    /// Number of findings.
     pub findings: usize,
-    /// Whether its operation counts are those that crossed the nodes' sockets.
+    /// Whether its operation counts equal those observed at the nodes' sockets.
     pub equal: bool,
 }
 
 /// Resident memory of all dispatchers, in MiB.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MemoryFigures {
-    /// The mean.
+    /// Mean over all dispatchers.
     pub mean: f64,
-    /// The largest.
+    /// Largest of one dispatcher.
     pub max: f64,
 }
 
@@ -72,14 +73,14 @@
     values.get(values.len() / 2).copied().unwrap_or(0.0)
 }
 
-/// A push, and when dispatchers had it, in ms from it.
+/// A push, and the times until it took effect at dispatchers, in ms.
 struct Push {
     at: u64,
-    effects: Vec<f64>,
+    effect_times_ms: Vec<f64>,
 }
 
 /// The last raise, and the dispatchers that are still below it.
-struct OpenRaise {
+struct RaiseInProgress {
     at: u64,
     below: BTreeSet<u32>,
 }
@@ -87,13 +88,13 @@
 /// One attempt at one node.
 type AttemptKey<'a> = (u32, &'a str, u32);
 
-/// Reads a capture line by line.
+/// A collector of figures that reads a capture line by line.
 #[derive(Default)]
 struct Collector<'a> {
     figures: VersionFigures,
     pushes: BTreeMap<u64, Push>,
     active: BTreeMap<u32, u64>,
-    raise: Option<OpenRaise>,
+    raise: Option<RaiseInProgress>,
     /// The version that each attempt was decided under.
     attempts: BTreeMap<AttemptKey<'a>, u64>,
     /// Nodes that have stored the minimum version of the last raise.
@@ -105,14 +106,20 @@
         let now = line.t;
         match &line.observation {
             Observation::Pushed { number } => {
-                let effects = Vec::new();
-                self.pushes.insert(*number, Push { at: now, effects });
+                let effect_times_ms = Vec::new();
+                self.pushes.insert(
+                    *number,
+                    Push {
+                        at: now,
+                        effect_times_ms,
+                    },
+                );
             }
             Observation::VersionActive { dispatcher, number } => {
-                self.in_force(now, *dispatcher, *number)
+                self.record_active(now, *dispatcher, *number)
             }
-            Observation::MinimumVersionRaised { lowest } => self.raised(now, *lowest),
-            Observation::MinimumVersionStored { node, .. } => self.stored(*node),
+            Observation::MinimumVersionRaised { lowest } => self.record_raise(now, *lowest),
+            Observation::MinimumVersionStored { node, .. } => self.record_stored(*node),
             Observation::Offered {
                 node,
                 placement_id,
@@ -123,14 +130,14 @@
             } => {
                 let attempt = (*node, placement_id.as_str(), *number);
                 self.attempts.insert(attempt, *decided);
-                self.offered(now, *dispatcher, *decided);
+                self.record_offer(now, *dispatcher, *decided);
             }
             Observation::EventSent {
                 node,
                 placement_id,
                 number,
                 event: AllocationEvent::Accepted,
-            } => self.accepted(now, (*node, placement_id.as_str(), *number)),
+            } => self.record_accepted(now, (*node, placement_id.as_str(), *number)),
             Observation::Audited {
                 took_ms,
                 bytes,
@@ -154,20 +161,21 @@
         }
     }
 
-    fn in_force(&mut self, now: u64, dispatcher: u32, number: u64) {
+    fn record_active(&mut self, now: u64, dispatcher: u32, number: u64) {
         self.active.insert(dispatcher, number);
         if let Some(push) = self.pushes.get_mut(&number) {
-            push.effects.push(ms_between(push.at, now));
+            push.effect_times_ms.push(ms_between(push.at, now));
         }
-        let (Some(open), Some(raise)) = (&mut self.raise, self.figures.raises.last_mut()) else {
+        let (Some(in_progress), Some(raise)) = (&mut self.raise, self.figures.raises.last_mut())
+        else {
             return;
         };
         if number >= raise.lowest {
-            open.caught_up(dispatcher, now, raise);
+            in_progress.record_caught_up(dispatcher, now, raise);
         }
     }
 
-    fn raised(&mut self, now: u64, lowest: u64) {
+    fn record_raise(&mut self, now: u64, lowest: u64) {
         let below = self.active.iter().filter(|(_, active)| **active < lowest);
         let below: BTreeSet<u32> = below.map(|(dispatcher, _)| *dispatcher).collect();
         self.figures.raises.push(Raise {
@@ -175,43 +183,49 @@
             below: below.len(),
             ..Raise::default()
         });
-        self.raise = Some(OpenRaise { at: now, below });
+        self.raise = Some(RaiseInProgress { at: now, below });
         self.nodes.clear();
     }
 
-    fn stored(&mut self, node: u32) {
+    fn record_stored(&mut self, node: u32) {
         self.nodes.insert(node);
         if let Some(raise) = self.figures.raises.last_mut() {
             raise.nodes = self.nodes.len();
         }
     }
 
-    fn offered(&mut self, now: u64, dispatcher: u32, decided: u64) {
-        let (Some(open), Some(raise)) = (&mut self.raise, self.figures.raises.last_mut()) else {
+    fn record_offer(&mut self, now: u64, dispatcher: u32, decided: u64) {
+        let (Some(in_progress), Some(raise)) = (&mut self.raise, self.figures.raises.last_mut())
+        else {
             return;
         };
         if decided < raise.lowest {
-            raise.reached = Some(ms_between(open.at, now));
+            raise.reached = Some(ms_between(in_progress.at, now));
         } else {
-            // It may have caught up without a report: its first attempt from above tells.
-            open.caught_up(dispatcher, now, raise);
+            // A dispatcher may catch up without a report; its first attempt at or above the minimum
+            // version shows it.
+            in_progress.record_caught_up(dispatcher, now, raise);
         }
     }
 
-    fn accepted(&mut self, now: u64, attempt: AttemptKey<'a>) {
-        let (Some(open), Some(raise)) = (&self.raise, self.figures.raises.last_mut()) else {
+    fn record_accepted(&mut self, now: u64, attempt: AttemptKey<'a>) {
+        let (Some(in_progress), Some(raise)) = (&self.raise, self.figures.raises.last_mut()) else {
             return;
         };
         let decided = self.attempts.get(&attempt);
         if decided.is_some_and(|decided| *decided < raise.lowest) {
-            raise.taken = Some(ms_between(open.at, now));
+            raise.taken = Some(ms_between(in_progress.at, now));
         }
     }
 
-    /// The median, over all pushes, of the time until this part of the dispatchers had it.
-    fn effect_at(&self, part: f64) -> f64 {
-        let index = (self.active.len() as f64 * part) as usize;
-        let times = self.pushes.values().map(|push| push.effects.get(index));
+    /// Returns the median over all pushes of the time until this share of the dispatchers had the
+    /// version, in ms.
+    fn effect_at(&self, share: f64) -> f64 {
+        let index = (self.active.len() as f64 * share) as usize;
+        let times = self
+            .pushes
+            .values()
+            .map(|push| push.effect_times_ms.get(index));
         median(times.flatten().copied().collect())
     }
 
@@ -223,9 +237,9 @@
     }
 }
 
-impl OpenRaise {
-    /// A dispatcher is no longer below, if it was.
-    fn caught_up(&mut self, dispatcher: u32, now: u64, raise: &mut Raise) {
+impl RaiseInProgress {
+    /// Records that a dispatcher is no longer below the minimum version, if it was.
+    fn record_caught_up(&mut self, dispatcher: u32, now: u64, raise: &mut Raise) {
         if self.below.remove(&dispatcher) {
             raise.up += 1;
             raise.last_up = ms_between(self.at, now) / 1_000.0;
@@ -238,7 +252,7 @@
 }
 
 impl VersionFigures {
-    /// The figures of a capture; none where no version was pushed.
+    /// Returns the figures of a capture, or none if no version was pushed.
     pub fn of(lines: &[Line]) -> Option<Self> {
         let mut collector = Collector::default();
         lines.iter().for_each(|line| collector.read(line));
