--- a/crates/testbed/src/node/allocations.rs
+++ b/crates/testbed/src/node/allocations.rs
@@ -20,12 +20,12 @@
 
 impl Node {
     /// Ends an allocation that is here; does nothing for any other.
-    pub(super) fn end(&self, state: &mut State, placement_id: &str, how: AttemptOutcome) {
+    pub(super) fn end(&self, state: &mut State, placement_id: &str, outcome: AttemptOutcome) {
         let Some(allocation) = state.allocations.remove(placement_id) else {
             return;
         };
         if allocation.is_ready {
-            self.record_unready(&allocation.request, Some(how));
+            self.record_unready(&allocation.request, Some(outcome));
         }
         if let Some(key) = self.dedup_key(&allocation.request) {
             self.context.deduplicated().remove(&key);
@@ -39,7 +39,7 @@
             }
         }
         let ended = Event::Ended(v1::AttemptEnded {
-            outcome: how.into(),
+            outcome: outcome.into(),
         });
         self.notify(state, &allocation.request, &allocation.events, ended);
         allocation.events.close();
@@ -153,8 +153,8 @@
         let memory = allocation.used.memory.max(memory);
         allocation.used = Resources { cores, memory };
         let events = allocation.events.clone();
-        let said = Event::Usage(v1::Usage { cores, memory });
-        self.notify(state, request, &events, said);
+        let usage = Event::Usage(v1::Usage { cores, memory });
+        self.notify(state, request, &events, usage);
         Some(events)
     }
 
@@ -172,7 +172,10 @@
             self.notify(state, request, events, Event::ServiceLevel(share));
         }
         if used.memory > capacity.memory {
-            let running = state.allocations.iter().filter(|(_, own)| own.is_running);
+            let running = state
+                .allocations
+                .iter()
+                .filter(|(_, allocation)| allocation.is_running);
             let lowest = running
                 .min_by_key(|(_, allocation)| allocation.request.priority)
                 .map(|(placement_id, _)| placement_id.clone());
--- a/crates/testbed/src/node/connections.rs
+++ b/crates/testbed/src/node/connections.rs
@@ -62,7 +62,11 @@
         if state.is_up {
             self.record_state(recorded_as);
         }
-        for allocation in state.allocations.values().filter(|own| own.is_ready) {
+        for allocation in state
+            .allocations
+            .values()
+            .filter(|allocation| allocation.is_ready)
+        {
             self.record_unready(&allocation.request, None);
         }
         *state = State {
--- a/crates/testbed/src/node/controls.rs
+++ b/crates/testbed/src/node/controls.rs
@@ -18,9 +18,9 @@
     }
 
     /// For so long, load reports are older by this than usual.
-    pub fn delay_reports(&self, time: Duration, by: Duration) {
+    pub fn delay_reports(&self, time: Duration, extra_age: Duration) {
         let until = Instant::now() + time;
-        self.state().report_delay = Some(ReportDelay { until, by });
+        self.state().report_delay = Some(ReportDelay { until, extra_age });
     }
 
     /// Drops all cached programs.
--- a/crates/testbed/src/node/events.rs
+++ b/crates/testbed/src/node/events.rs
@@ -65,17 +65,20 @@
     type Item = Result<v1::AttemptEvent, Status>;
 
     fn poll_next(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Self::Item>> {
-        self.events.as_mut().poll_next(cx).map(|said| said.map(Ok))
+        self.events
+            .as_mut()
+            .poll_next(cx)
+            .map(|event| event.map(Ok))
     }
 }
 
 /// What the capture calls an event; none where it records nothing of it.
-fn recorded_as(said: &Event) -> Option<AllocationEvent> {
-    Some(match said {
+fn recorded_as(event: &Event) -> Option<AllocationEvent> {
+    Some(match event {
         Event::Accepted(_) => AllocationEvent::Accepted,
         Event::Running(_) => AllocationEvent::Running,
         Event::Rejected(_) => AllocationEvent::Rejected,
-        Event::Ended(over) => match over.outcome() {
+        Event::Ended(ended) => match ended.outcome() {
             AttemptOutcome::Evicted => AllocationEvent::Evicted,
             AttemptOutcome::Preempted => AllocationEvent::Preempted,
             AttemptOutcome::Drained => AllocationEvent::Drained,
@@ -95,9 +98,9 @@
         state: &mut State,
         request: &v1::AttemptRequest,
         events: &EventSender,
-        said: Event,
+        attempt_event: Event,
     ) {
-        let event = recorded_as(&said);
+        let event = recorded_as(&attempt_event);
         let load = Some(self.load_report(state));
         if let Some(event) = event {
             let (node, placement_id) = (self.config.id, request.placement_id.clone());
@@ -112,10 +115,10 @@
             .muted_until
             .is_none_or(|until| until <= Instant::now())
         {
-            let said = Some(said);
+            let attempt_event = Some(attempt_event);
             // Events that the dispatcher does not read are dropped.
             let _ = events.try_send(v1::AttemptEvent {
-                event: said,
+                event: attempt_event,
                 load_report: load,
             });
         }
@@ -127,21 +130,21 @@
         state: &mut State,
         request: &v1::AttemptRequest,
         events: &EventSender,
-        why: Rejection,
+        rejection: Rejection,
     ) {
-        let floor = self
+        let minimum = self
             .fence()
             .minimum()
-            .filter(|_| why == Rejection::BelowMinimumVersion)
+            .filter(|_| rejection == Rejection::BelowMinimumVersion)
             .map(minimum_version::minimum_version_message);
-        let why = why.into();
+        let rejection = rejection.into();
         self.notify(
             state,
             request,
             events,
             Event::Rejected(v1::AttemptRejected {
-                reason: why,
-                minimum_version: floor,
+                reason: rejection,
+                minimum_version: minimum,
             }),
         );
         events.close();
--- a/crates/testbed/src/node/offers.rs
+++ b/crates/testbed/src/node/offers.rs
@@ -28,12 +28,13 @@
 
 /// Who acts. One that reports nothing counts as one by its own file, in no incarnation that is
 /// known.
-pub(super) fn source(by: Option<&v1::Decider>, dispatcher: u32) -> OperationSource {
-    let version = by
-        .and_then(|by| by.version.as_ref())
-        .map_or(0, |stamp| stamp.number);
-    let (incarnation, dispatcher) =
-        by.map_or((0, dispatcher), |by| (by.incarnation, by.dispatcher));
+pub(super) fn source(decider: Option<&v1::Decider>, dispatcher: u32) -> OperationSource {
+    let version = decider
+        .and_then(|decider| decider.version.as_ref())
+        .map_or(0, |version_id| version_id.number);
+    let (incarnation, dispatcher) = decider.map_or((0, dispatcher), |decider| {
+        (decider.incarnation, decider.dispatcher)
+    });
     OperationSource {
         dispatcher,
         incarnation,
@@ -156,8 +157,8 @@
         if events.is_closed() {
             return false;
         }
-        if let Err(why) = self.admit(&mut state, request) {
-            self.reject(&mut state, request, events, why);
+        if let Err(rejection) = self.admit(&mut state, request) {
+            self.reject(&mut state, request, events, rejection);
             return false;
         }
         let allocation = PlacedAllocation {
--- a/crates/testbed/src/node/quorum_member.rs
+++ b/crates/testbed/src/node/quorum_member.rs
@@ -77,8 +77,8 @@
                     .propose(minimum_version::minimum_version_from_message(&minimum));
                 reply.minimum_version = held.copied().map(minimum_version::minimum_version_message);
             }
-            Operation::Maintenance(work) => {
-                let request = maintenance_messages::request_from_message(&work)
+            Operation::Maintenance(maintenance) => {
+                let request = maintenance_messages::request_from_message(&maintenance)
                     .ok_or(QuorumRequestError::Limits)?;
                 self.leases.propose(request);
                 reply.leases = Some(maintenance_messages::lease_table_message(
@@ -92,10 +92,11 @@
             Operation::MaintenanceStep(step) => {
                 maintenance_messages::apply_step(&mut self.leases, &step)
             }
-            Operation::CostEstimates(bids) => {
-                let costs = bids.costs.iter();
+            Operation::CostEstimates(estimates) => {
+                let costs = estimates.costs.iter();
                 let costs = costs.map(|(node, cost)| (Machine(*node), *cost));
-                self.leases.record_cost_estimates(bids.dispatcher, costs);
+                self.leases
+                    .record_cost_estimates(estimates.dispatcher, costs);
             }
             Operation::StoreVersion(push) => reply.stored_version = self.store_version(push)?,
             Operation::FetchVersion(request) => {
@@ -155,12 +156,12 @@
             minimum.map(|entry| minimum_version::minimum_version_message(entry.proposal));
         if let Some(v1::ActiveVersion {
             dispatcher,
-            version: Some(stamp),
+            version: Some(version_id),
             on_trial,
         }) = &query.active_version
         {
             let version = ReportedVersion {
-                version: stamp.number,
+                version: version_id.number,
                 on_trial: *on_trial,
             };
             self.reported_versions.report(*dispatcher, version);
@@ -197,9 +198,9 @@
 }
 
 fn entry(rollout: &Rollout, slots: Vec<v1::Slot>) -> v1::QuorumEntry {
-    let roll = Some(rollout_messages::rollout_message(rollout));
+    let message = Some(rollout_messages::rollout_message(rollout));
     v1::QuorumEntry {
-        rollout: roll,
+        rollout: message,
         slots,
     }
 }
--- a/crates/testbed/src/node/service.rs
+++ b/crates/testbed/src/node/service.rs
@@ -169,25 +169,25 @@
     fn change_cordon(&self, request: &v1::CordonRequest) -> v1::CordonResponse {
         let claim = ClaimId(request.claim);
         let mut state = self.state();
-        let mut own = self.cordon();
-        let before = own.cordon.active();
+        let mut cordon_state = self.cordon();
+        let previous = cordon_state.cordon.active();
         match request.action() {
             CordonAction::Get => {}
             CordonAction::Cordon => {
-                own.cordon.cordon(claim);
+                cordon_state.cordon.cordon(claim);
             }
-            CordonAction::Uncordon => own.cordon.uncordon(claim),
-            CordonAction::Stop if before == Some(claim) => {
-                let placings: Vec<String> = state.allocations.keys().cloned().collect();
-                for placement_id in &placings {
+            CordonAction::Uncordon => cordon_state.cordon.uncordon(claim),
+            CordonAction::Stop if previous == Some(claim) => {
+                let placement_ids: Vec<String> = state.allocations.keys().cloned().collect();
+                for placement_id in &placement_ids {
                     self.end(&mut state, placement_id, AttemptOutcome::Drained);
                 }
             }
             CordonAction::Stop => {}
         }
-        let active = own.cordon.active();
-        if before != active {
-            own.changed_at = Instant::now();
+        let active = cordon_state.cordon.active();
+        if previous != active {
+            cordon_state.changed_at = Instant::now();
             self.context.capture.record(Observation::Cordon {
                 node: self.config.id,
                 closed: active.is_some(),
@@ -195,16 +195,16 @@
         }
         v1::CordonResponse {
             cordoned_for: active.map_or(0, |claim| claim.0),
-            claim_ended: own.cordon.is_finished(claim),
+            claim_ended: cordon_state.cordon.is_finished(claim),
             // An offer that waits for review may still be accepted.
             running: (state.allocations.len() + state.queued) as u32,
-            since_ms: own.changed_at.elapsed().as_millis() as u64,
+            since_ms: cordon_state.changed_at.elapsed().as_millis() as u64,
         }
     }
 
     /// Stops one allocation, or all of a task but one. Whether the one named was here.
     fn stop(&self, request: &v1::StopRequest) -> bool {
-        let (kind, how) = if request.migrated {
+        let (kind, outcome) = if request.migrated {
             (OperationKind::Migrate, AttemptOutcome::Migrated)
         } else {
             (OperationKind::Stop, AttemptOutcome::Stopped)
@@ -213,8 +213,8 @@
         self.operations()
             .record(source(request.decider.as_ref(), u32::MAX), kind);
         let mut state = self.state();
-        let was_here = state.allocations.contains_key(&request.placement_id);
-        self.end(&mut state, &request.placement_id, how);
+        let was_present = state.allocations.contains_key(&request.placement_id);
+        self.end(&mut state, &request.placement_id, outcome);
         if request.placement_id.is_empty() && !request.except_placement_id.is_empty() {
             let others = state
                 .allocations
@@ -227,10 +227,10 @@
                 .map(|(placement_id, _)| placement_id.clone())
                 .collect();
             for placement_id in &others {
-                self.end(&mut state, placement_id, how);
+                self.end(&mut state, placement_id, outcome);
             }
         }
-        was_here
+        was_present
     }
 }
 
--- a/crates/testbed/src/node/state.rs
+++ b/crates/testbed/src/node/state.rs
@@ -37,7 +37,7 @@
 /// Load reports are older than usual until then.
 pub(super) struct ReportDelay {
     pub until: Instant,
-    pub by: Duration,
+    pub extra_age: Duration,
 }
 
 #[derive(Default)]
@@ -98,10 +98,10 @@
 
     /// AttemptOutcome fast the node works, from its initial rate to 1.
     pub fn rate(&self, slow_start: &SlowStart) -> f64 {
-        let warm = self.started_at.map_or(1.0, |at| {
+        let progress = self.started_at.map_or(1.0, |at| {
             at.elapsed().div_duration_f64(slow_start.duration).min(1.0)
         });
-        slow_start.initial_rate + (1.0 - slow_start.initial_rate) * warm
+        slow_start.initial_rate + (1.0 - slow_start.initial_rate) * progress
     }
 }
 
@@ -119,7 +119,7 @@
             .report_delay
             .as_ref()
             .filter(|delay| delay.until > now)
-            .map_or(REPORT_AGE, |delay| REPORT_AGE + delay.by);
+            .map_or(REPORT_AGE, |delay| REPORT_AGE + delay.extra_age);
         while state.load_reports.len() > 2 && state.load_reports[1].0 + age <= now {
             state.load_reports.pop_front();
         }
