--- a/crates/testbed/src/node/allocations.rs
+++ b/crates/testbed/src/node/allocations.rs
@@ -1,4 +1,4 @@
-//! An accepted allocation's way from its start to its end.
+//! The life of an accepted allocation: its start, readiness, resource use and end.
 
 use super::events::EventSender;
 use super::state::{PlacedAllocation, State, requested};
@@ -12,14 +12,15 @@
 use std::ops::Range;
 use std::time::{Duration, Instant};
 
-/// Between two reports of an allocation's resource use.
+/// The time between two reports of an allocation's resource use.
 const USE_REPORT_INTERVAL: Duration = Duration::from_millis(250);
-/// What an allocation uses, as a share of what it requested.
+/// The memory that an allocation uses, as a share of its request.
 const MEMORY_USE: Range<f64> = 0.55..0.9;
+/// The cores that an allocation uses, as a share of its request.
 const CORES_USE: Range<f64> = 0.3..0.8;
 
 impl Node {
-    /// Ends an allocation that is here; does nothing for any other.
+    /// Ends an allocation on this node. Does nothing for an unknown placement id.
     pub(super) fn end(&self, state: &mut State, placement_id: &str, outcome: AttemptOutcome) {
         let Some(allocation) = state.allocations.remove(placement_id) else {
             return;
@@ -45,7 +46,7 @@
         allocation.events.close();
     }
 
-    /// Starts an accepted allocation, once fewer than the most start at a time.
+    /// Starts an accepted allocation, after waiting for one of the `max_concurrent_starts` permits.
     pub(super) async fn start(&self, incarnation: u64, request: &v1::AttemptRequest) {
         let _slot = self.starts.acquire().await;
         Timer::after(self.start_time(request)).await;
@@ -66,7 +67,7 @@
         self.notify(&mut state, request, &events, running);
     }
 
-    /// AttemptOutcome long a start takes now.
+    /// Returns how long a start takes in the node's present state.
     fn start_time(&self, request: &v1::AttemptRequest) -> Duration {
         let state = self.state();
         let runs_program = |allocation: &PlacedAllocation| {
@@ -82,7 +83,8 @@
         time.div_f64(state.rate(&self.config.slow_start))
     }
 
-    /// Runs a started allocation to its end, with reports of its use; evicts where memory runs out.
+    /// Runs a started allocation to its end and reports its resource use. Evicts an allocation when
+    /// memory runs out.
     pub(super) async fn run(&self, incarnation: u64, request: v1::AttemptRequest) {
         let mut rng = Pcg64Mcg::seed_from_u64(
             self.config.seed ^ corkspan_engine::service_id(&request.placement_id).0,
@@ -122,7 +124,7 @@
         }
     }
 
-    /// A running allocation becomes ready; false where it does not run.
+    /// Marks a running allocation as ready. Returns false if it is not running.
     fn become_ready(&self, request: &v1::AttemptRequest) -> bool {
         let mut state = self.state();
         let Some(allocation) = state
@@ -139,7 +141,7 @@
         true
     }
 
-    /// Draws what an allocation uses now, and reports it.
+    /// Draws the allocation's present resource use at random and reports it.
     fn report_use(
         &self,
         state: &mut State,
@@ -158,8 +160,8 @@
         Some(events)
     }
 
-    /// Where all use more than there is: reports the share of cores that this one gets, and evicts
-    /// the lowest priority where memory runs out.
+    /// Handles use beyond the node's capacity: reports the share of cores that this allocation
+    /// gets, and evicts the allocation of lowest priority when memory runs out.
     fn report_overload(
         &self,
         state: &mut State,
--- a/crates/testbed/src/node/connections.rs
+++ b/crates/testbed/src/node/connections.rs
@@ -1,4 +1,4 @@
-//! The node's process and its connections: started, killed, cut.
+//! Starts and kills the simulated process of a node and cuts its connections.
 
 use super::service::Service;
 use super::state::State;
@@ -13,8 +13,8 @@
 use std::time::{Duration, Instant};
 
 impl Node {
-    /// Starts the process: warm at the start of a day, and with a slow start otherwise. Returns the
-    /// address at which it listens.
+    /// Starts the process: without a slow start at the beginning of a scenario, with one otherwise.
+    /// Returns the address at which it listens.
     pub async fn start_process(
         self: &Arc<Self>,
         with_slow_start: bool,
@@ -54,7 +54,7 @@
         *lock(&self.server) = Some(server);
     }
 
-    /// The process dies, and with it all that runs.
+    /// Kills the process and with it all its allocations.
     pub fn kill(&self, recorded_as: NodeState) {
         *lock(&self.listener) = None;
         let server = lock(&self.server).take();
@@ -80,7 +80,7 @@
             .retain(|_, node| *node != self.config.id);
     }
 
-    /// All connections break, and none can be opened for so long; what runs goes on.
+    /// Breaks all connections and accepts no new ones for `time`. Allocations keep running.
     pub fn cut_connections(self: &Arc<Self>, time: Duration) {
         let server = lock(&self.server).take();
         self.context.capture.record(Observation::ConnectionsCut {
--- a/crates/testbed/src/node/context.rs
+++ b/crates/testbed/src/node/context.rs
@@ -1,4 +1,4 @@
-//! What all stand-ins of one day share.
+//! State that all stand-ins of a scenario share.
 
 use super::lock;
 use crate::capture::Capture;
@@ -7,14 +7,15 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 
-/// Names a task in one zone.
+/// Zone and task name: identifies a task within one zone.
 pub(super) type DedupKey = (String, String);
 
-/// What all stand-ins share: the capture, the executor, and what the nodes of a zone know together.
+/// State that all stand-ins share: the capture, the executor, the deduplicated tasks of each zone
+/// and the faults of versions.
 pub struct SharedContext {
-    /// Where each event is recorded.
+    /// The capture in which each event is recorded.
     pub capture: Capture,
-    /// Where the stand-ins' tasks run.
+    /// The executor that runs the stand-ins' tasks.
     pub tasks: SharedExecutor,
     /// The service class whose tasks run at most once in a zone, if there is one.
     pub dedup_class: Option<String>,
@@ -23,17 +24,17 @@
     version_faults: Mutex<HashMap<String, VersionFault>>,
 }
 
-/// What is wrong with a version of a program.
+/// A fault of a version of a program.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VersionFault {
     /// Its allocations never become ready.
     NeverReady,
-    /// Its allocations become ready, and fail so long later.
+    /// Its allocations become ready and fail this long afterwards.
     FailsAfter(Duration),
 }
 
 impl SharedContext {
-    /// A world without nodes, in which every version is sound.
+    /// Returns a context without deduplicated tasks, in which no version has a fault.
     pub fn new(capture: Capture, tasks: &SharedExecutor, dedup_class: Option<String>) -> Arc<Self> {
         Arc::new(SharedContext {
             capture,
@@ -44,7 +45,7 @@
         })
     }
 
-    /// From now on, allocations of this version have the fault.
+    /// Injects a fault into all allocations of this version from now on.
     pub fn inject_version_fault(&self, version: &str, fault: VersionFault) {
         lock(&self.version_faults).insert(version.into(), fault);
     }
--- a/crates/testbed/src/node/controls.rs
+++ b/crates/testbed/src/node/controls.rs
@@ -1,4 +1,5 @@
-//! What a day script, a test or a measurement asks of a node: faults, draining, and its contents.
+//! Operations that a scenario, a test or a measurement calls on a node: injecting faults, draining,
+//! and reading its allocations.
 
 use super::Node;
 use super::state::ReportDelay;
@@ -7,17 +8,17 @@
 use std::time::{Duration, Instant};
 
 impl Node {
-    /// Nothing moves for so long: the process is stopped, as it were.
+    /// Stalls the node for `time`, as if its process were stopped by a signal.
     pub fn stall(&self, time: Duration) {
         self.state().stalled_until = Some(Instant::now() + time);
     }
 
-    /// The events that it sends are lost for so long.
+    /// Drops all events that the node sends within `time`.
     pub fn mute(&self, time: Duration) {
         self.state().muted_until = Some(Instant::now() + time);
     }
 
-    /// For so long, load reports are older by this than usual.
+    /// Makes load reports older by `extra_age` for `time`.
     pub fn delay_reports(&self, time: Duration, extra_age: Duration) {
         let until = Instant::now() + time;
         self.state().report_delay = Some(ReportDelay { until, extra_age });
@@ -28,18 +29,18 @@
         self.state().cached_programs.clear();
     }
 
-    /// Rejects every offer from now on.
+    /// Puts the node into draining: it rejects every offer from now on.
     pub fn drain(&self) {
         self.state().is_draining = true;
         self.record_state(NodeState::Draining);
     }
 
-    /// Whether the process runs.
+    /// Returns whether the process runs.
     pub fn is_running(&self) -> bool {
         self.state().is_up
     }
 
-    /// The placings of a task's allocations here.
+    /// Returns the placement ids of a task's allocations on this node.
     pub fn allocations_of(&self, task: &str) -> Vec<String> {
         let state = self.state();
         let of_task = state
@@ -51,12 +52,12 @@
             .collect()
     }
 
-    /// What no allocation has requested.
+    /// Returns the resources that no allocation has requested.
     pub fn unrequested(&self) -> Resources {
         self.config.capacity - self.state().requested()
     }
 
-    /// AttemptOutcome many allocations are here.
+    /// Returns how many allocations are on this node.
     pub fn allocation_count(&self) -> usize {
         self.state().allocations.len()
     }
--- a/crates/testbed/src/node/events.rs
+++ b/crates/testbed/src/node/events.rs
@@ -1,4 +1,4 @@
-//! What a node tells a dispatcher of an allocation, and what it records of it.
+//! The events of an allocation that a node sends to a dispatcher, and their records in the capture.
 
 use super::Node;
 use super::state::State;
@@ -13,16 +13,16 @@
 use std::time::Instant;
 use tonic::Status;
 
-/// Events that wait for a dispatcher to read them; further ones are dropped.
+/// The maximum number of events that wait for a dispatcher to read them; further ones are dropped.
 const MAX_WAITING_EVENTS: usize = 256;
 
-/// Sends the events of one offer or attendance.
+/// The sender of the events of one `Offer` or `Attend` call.
 pub(super) type EventSender = async_channel::Sender<v1::AttemptEvent>;
 
-/// The events of one offer or attendance.
+/// The stream of the events of one `Offer` or `Attend` call.
 pub struct EventStream {
     events: Pin<Box<async_channel::Receiver<v1::AttemptEvent>>>,
-    /// Of an offer: what is recorded where the stream is dropped before its end.
+    /// The offer to record as dropped if the stream is dropped before its end; none for `Attend`.
     offer: Option<OpenOffer>,
 }
 
@@ -42,8 +42,8 @@
 }
 
 impl Drop for EventStream {
-    /// A stream that goes before its node has closed it: the dispatcher has dropped it, or its
-    /// connection broke.
+    /// Records an offer whose stream is dropped before the node has closed it: the dispatcher
+    /// dropped it, or its connection broke.
     fn drop(&mut self) {
         if let Some(offer) = self.offer.take()
             && !self.events.is_closed()
@@ -72,7 +72,7 @@
     }
 }
 
-/// What the capture calls an event; none where it records nothing of it.
+/// Returns the event under which the capture records it; none for events that are not recorded.
 fn recorded_as(event: &Event) -> Option<AllocationEvent> {
     Some(match event {
         Event::Accepted(_) => AllocationEvent::Accepted,
@@ -92,7 +92,7 @@
 }
 
 impl Node {
-    /// Sends an event with a load report, unless the node is muted.
+    /// Records an event and sends it with a load report. A muted node records the event only.
     pub(super) fn notify(
         &self,
         state: &mut State,
@@ -116,7 +116,7 @@
             .is_none_or(|until| until <= Instant::now())
         {
             let attempt_event = Some(attempt_event);
-            // Events that the dispatcher does not read are dropped.
+            // An event that finds the channel full is dropped: the dispatcher does not read them.
             let _ = events.try_send(v1::AttemptEvent {
                 event: attempt_event,
                 load_report: load,
@@ -155,8 +155,8 @@
         self.record_readiness(request, true, None);
     }
 
-    /// Records that an allocation is no longer ready; `end` is how it ended, if it did not die with
-    /// the process.
+    /// Records that an allocation is no longer ready. `end` is its outcome, or none if it was lost
+    /// with the process.
     pub(super) fn record_unready(&self, request: &v1::AttemptRequest, end: Option<AttemptOutcome>) {
         self.record_readiness(request, false, end);
     }
--- a/crates/testbed/src/node/mod.rs
+++ b/crates/testbed/src/node/mod.rs
@@ -1,9 +1,9 @@
-//! The stand-in of a node: it reviews one offer at a time, accepts or rejects it, starts and runs
-//! allocations, evicts, and fails as the day script says. Several live in one process, each behind a
-//! listener of its own.
+//! The stand-in node: it reviews one offer at a time, accepts or rejects it, starts and runs
+//! allocations, evicts them, and injects the faults of the scenario. Several stand-in nodes run in
+//! one process, each with its own listener.
 //!
-//! What a real node keeps on its disk is kept in memory here, and survives a restart of the
-//! stand-in's process.
+//! State that a real node stores on disk is held in memory here. It survives a simulated restart of
+//! the node's process.
 
 mod allocations;
 mod connections;
@@ -29,61 +29,60 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-/// What a node is.
+/// The configuration of a stand-in node.
 #[derive(Clone, Debug)]
 pub struct NodeConfig {
-    /// The node's number, by which discovery names it.
+    /// The node's number in the endpoint list.
     pub id: u32,
     /// The machine type.
     pub machine_type: String,
-    /// The zone that it stands in.
+    /// The zone of the node.
     pub zone: String,
-    /// The cell that it belongs to.
+    /// The cell of the node.
     pub cell: u64,
-    /// Its cores and its memory, in the units of offers.
+    /// Cores and memory of the node, in the units that offers use.
     pub capacity: Resources,
-    /// Accepts until what is requested reaches this multiple of its capacity.
+    /// The sum of the accepted requests may reach this multiple of the capacity.
     pub admission_limit: Resources,
-    /// Time to review one offer.
+    /// The time that the review of one offer takes.
     pub review_time: Duration,
-    /// Offers that may wait for review; further ones are rejected.
+    /// The maximum number of offers that wait for review; further ones are rejected.
     pub max_queued: usize,
-    /// Time to start an allocation whose program is cached, once the node has warmed up.
+    /// The time to start an allocation whose program is cached, after the slow start.
     pub start_time: Duration,
-    /// A start without the cached program takes so many times as long.
+    /// The factor by which a start takes longer when the program is not cached.
     pub load_factor: u32,
-    /// Starts that go on at a time; others wait.
+    /// The maximum number of concurrent starts; others wait.
     pub max_concurrent_starts: usize,
-    /// Programs that stay cached after their allocations have ended.
+    /// The maximum number of programs that stay cached after their allocations have ended.
     pub max_cached_programs: usize,
-    /// Preempts lower priorities for a higher one.
+    /// Whether the node preempts allocations for an offer of higher priority.
     pub preempts: bool,
-    /// AttemptOutcome it behaves after a start.
+    /// The behaviour of the node after a start of its process.
     pub slow_start: SlowStart,
-    /// Of the draws of resource use.
+    /// The seed of the random resource use.
     pub seed: u64,
 }
 
-/// AttemptOutcome a node behaves that has just started.
+/// How a node behaves after its process has started.
 #[derive(Clone, Copy, Debug)]
 pub struct SlowStart {
-    /// AttemptOutcome long it lasts.
+    /// How long the slow start lasts.
     pub duration: Duration,
-    /// The window in which offers are counted.
+    /// The length of the sliding window in which offers are counted.
     pub window: Duration,
-    /// With more offers within a window the node crashes.
+    /// The node crashes when a window has more offers than this.
     pub max_offers: usize,
-    /// Its rate of work at first, growing to 1.
+    /// The work rate at the start, which grows to 1 during the slow start.
     pub initial_rate: f64,
 }
 
-/// The stand-in of one node.
+/// A stand-in node.
 pub struct Node {
-    /// What it is.
     pub config: NodeConfig,
     context: Arc<SharedContext>,
     state: Mutex<State>,
-    /// Held while an offer or a health check is reviewed.
+    /// Held while an offer is reviewed or a health check is answered.
     review: AsyncMutex<()>,
     starts: Semaphore,
     server: Mutex<Option<async_executor::Task<()>>>,
@@ -94,14 +93,14 @@
     operations: Mutex<OperationCounts>,
 }
 
-/// The cordon, and since when it is as it is.
+/// The cordon and the time of its last change.
 struct CordonState {
     cordon: Cordon,
     changed_at: Instant,
 }
 
 impl Node {
-    /// A node whose process has not been started.
+    /// Returns a node whose process has not been started.
     pub fn new(config: NodeConfig, context: &Arc<SharedContext>) -> Arc<Self> {
         Arc::new(Node {
             starts: Semaphore::new(config.max_concurrent_starts),
--- a/crates/testbed/src/node/offers.rs
+++ b/crates/testbed/src/node/offers.rs
@@ -1,4 +1,4 @@
-//! An offer's way from its arrival to its acceptance or rejection.
+//! The handling of an offer, from its arrival to its acceptance or rejection.
 
 use super::Node;
 use super::context::DedupKey;
@@ -15,19 +15,19 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// The share of what is requested that an allocation uses before its first report.
+/// The share of its request that an allocation is assumed to use before its first report.
 const INITIAL_USE: Resources = Resources {
     cores: 0.5,
     memory: 0.7,
 };
 
-/// Who sent an attempt.
+/// Returns the source of an attempt.
 pub(super) fn sender(request: &v1::AttemptRequest) -> OperationSource {
     source(request.decider.as_ref(), request.dispatcher)
 }
 
-/// Who acts. One that reports nothing counts as one by its own file, in no incarnation that is
-/// known.
+/// Returns the source of an operation. A dispatcher that reports nothing is recorded with version 0
+/// (its own file) and the unknown incarnation 0.
 pub(super) fn source(decider: Option<&v1::Decider>, dispatcher: u32) -> OperationSource {
     let version = decider
         .and_then(|decider| decider.version.as_ref())
@@ -43,9 +43,10 @@
 }
 
 impl Node {
-    /// Counts an offer that has arrived. Returns the incarnation that reviews it; none where the
-    /// process is down, or crashes of too many. Called as its call is served, not in a task of its
-    /// own: an offer recorded by a process after its death would look open for good.
+    /// Counts and records an offer that has arrived. Returns the incarnation that reviews it; none
+    /// if the process is down or crashes because of too many offers. Runs within the handler of the
+    /// call and not in a separate task: an offer recorded after the death of the process would
+    /// appear open forever.
     pub(super) fn receive_offer(self: &Arc<Self>, request: &v1::AttemptRequest) -> Option<u64> {
         self.operations()
             .record(sender(request), OperationKind::Attempt);
@@ -64,7 +65,7 @@
         if state.count_offer(Instant::now(), &self.config.slow_start) {
             drop(state);
             let node = Arc::clone(self);
-            // Not from within its own server.
+            // In a separate task: `kill` drops the server that runs this handler.
             self.context
                 .tasks
                 .spawn(async move { node.kill(NodeState::Crashed) })
@@ -74,7 +75,8 @@
         state.is_up.then_some(state.incarnation)
     }
 
-    /// Stores the minimum version that an offer brings, if it is news.
+    /// Stores the minimum version that an offer carries, if it is newer than the stored
+    /// one.
     fn learn_minimum_version(&self, request: &v1::AttemptRequest) {
         let Some(minimum) = request
             .minimum_version
@@ -95,7 +97,7 @@
         }
     }
 
-    /// Waits while the process is stalled. Whether this incarnation still runs.
+    /// Waits while the process is stalled. Returns whether this incarnation still runs.
     pub(super) async fn wait_while_stalled(&self, incarnation: u64) -> bool {
         loop {
             let (is_alive, until) = {
@@ -114,7 +116,7 @@
         }
     }
 
-    /// Reviews an offer when its turn has come, and runs what it accepts to its end.
+    /// Reviews an offer in its turn and, if it is accepted, runs the allocation to its end.
     pub(super) async fn review_offer(
         self: Arc<Self>,
         incarnation: u64,
@@ -133,8 +135,8 @@
         }
         let reviewed = async {
             let _turn = self.review.lock().await;
-            // An offer that its dispatcher has dropped while it waited costs no review: a node that
-            // spent its time on such would be late for all others too.
+            // An offer that its dispatcher dropped while it waited is not reviewed: time spent on
+            // it would delay all other offers.
             if !events.is_closed() {
                 Timer::after(self.config.review_time).await;
             }
@@ -147,7 +149,7 @@
         }
     }
 
-    /// Accepts an offer that has been reviewed, or rejects it.
+    /// Accepts or rejects an offer that has been reviewed. Returns whether it was accepted.
     fn decide(&self, incarnation: u64, request: &v1::AttemptRequest, events: &EventSender) -> bool {
         let mut state = self.state();
         if state.incarnation != incarnation {
@@ -176,7 +178,7 @@
         true
     }
 
-    /// Whether an offer is accepted; preempts others for it where that is needed.
+    /// Decides whether an offer is accepted. Preempts other allocations for it where needed.
     fn admit(&self, state: &mut State, request: &v1::AttemptRequest) -> Result<(), Rejection> {
         self.check_version(request)?;
         self.make_room(state, request)?;
@@ -190,7 +192,8 @@
         Ok(())
     }
 
-    /// Checked at the review and not at the arrival: the minimum version may have come meanwhile.
+    /// Checks the offer against the minimum version. Done at the review and not at the arrival, as
+    /// the minimum version may have been stored in between.
     fn check_version(&self, request: &v1::AttemptRequest) -> Result<(), Rejection> {
         let source = sender(request);
         let decision = self.fence().decide(source.version);
@@ -205,7 +208,8 @@
         }
     }
 
-    /// Whether the offer fits in; preempts allocations of lower priority if they would leave room.
+    /// Checks that the offer fits on the node. Preempts allocations of lower priority if that makes
+    /// room for it.
     fn make_room(&self, state: &mut State, request: &v1::AttemptRequest) -> Result<(), Rejection> {
         let is_cordoned = self.cordon().cordon.active().is_some();
         if is_cordoned || state.is_draining || state.allocations.contains_key(&request.placement_id)
@@ -242,7 +246,8 @@
         Ok(())
     }
 
-    /// By which a deduplicated task is known in its zone; none where its class is not deduplicated.
+    /// Returns the key of a deduplicated task in its zone; none if its service class is not
+    /// deduplicated.
     pub(super) fn dedup_key(&self, request: &v1::AttemptRequest) -> Option<DedupKey> {
         let is_deduplicated = self.context.dedup_class.as_ref() == Some(&request.service_class);
         is_deduplicated.then(|| (self.config.zone.clone(), request.task.clone()))
--- a/crates/testbed/src/node/quorum_member.rs
+++ b/crates/testbed/src/node/quorum_member.rs
@@ -1,5 +1,5 @@
-//! The node as a quorum member: what it holds of rollouts, the minimum version, maintenance and
-//! configuration versions, and how it answers for them. On the disk of a real node.
+//! The node as a quorum member: stores rollouts, the minimum version, maintenance leases and
+//! configuration versions, and answers requests about them. A real node has this state on disk.
 
 use corkspan_api::v1::{self, quorum_request::Operation};
 use corkspan_config_sync::VersionCache;
@@ -11,7 +11,7 @@
 use corkspan_version_fencing::{MinimumVersion, ReportedVersion};
 use tonic::Status;
 
-/// What a quorum member holds.
+/// The state that a quorum member stores.
 #[derive(Default)]
 pub(super) struct QuorumState {
     rollouts: QuorumMember,
@@ -21,25 +21,25 @@
     leases: LeaseTable,
 }
 
-/// Rejection a request to a quorum member is not carried out.
+/// The reason why a request to a quorum member is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum QuorumRequestError {
-    /// The rollout is not complete.
+    /// The rollout message is incomplete.
     #[error("no roll")]
     Rollout,
-    /// A claim names no slot.
+    /// A claim has no slot.
     #[error("no slot")]
     Slot,
-    /// A maintenance request has not four limits.
+    /// A maintenance request does not have exactly four limits.
     #[error("four limits")]
     Limits,
     /// A configuration version cannot be read.
     #[error("no version")]
     Version,
-    /// The name of a configuration version cannot be read.
+    /// A version id cannot be read.
     #[error("no stamp")]
     VersionId,
-    /// The message is empty.
+    /// The message has no operation.
     #[error("nothing is asked")]
     Empty,
 }
@@ -51,7 +51,7 @@
 }
 
 impl QuorumState {
-    /// Carries out one request.
+    /// Applies one request and returns the reply.
     pub fn handle(
         &mut self,
         request: v1::QuorumRequest,
@@ -107,7 +107,7 @@
         Ok(reply)
     }
 
-    /// Stores a configuration version. Returns the name of the newest one.
+    /// Stores a configuration version. Returns the version id of the newest one.
     fn store_version(
         &mut self,
         push: v1::VersionPush,
@@ -123,7 +123,7 @@
         Ok(newest.map(config_stream::version_id_message))
     }
 
-    /// The newest configuration version, if it is later than the one that the requester runs.
+    /// Returns the newest configuration version if it is newer than the requester's active one.
     fn fetch_version(
         &self,
         request: &v1::FetchVersionRequest,
@@ -135,7 +135,7 @@
         Ok(push.map(config_stream::push_message))
     }
 
-    /// Claims a slot of a rollout. Whether it is granted.
+    /// Claims a slot of a rollout. Returns whether it is granted.
     fn claim(&mut self, claim: v1::Claim) -> Result<bool, QuorumRequestError> {
         let slot = claim.slot.ok_or(QuorumRequestError::Slot)?;
         let grant = Grant {
@@ -149,7 +149,7 @@
         Ok(outcome == ClaimOutcome::Granted)
     }
 
-    /// Records what the dispatcher that asks runs, and reports all that it asks for.
+    /// Records the active version of the requesting dispatcher and fills in the reply to its query.
     fn report(&mut self, query: &v1::QuorumQuery, reply: &mut v1::QuorumResponse) {
         let minimum = self.minimum_versions.entries().next();
         reply.minimum_version =
--- a/crates/testbed/src/node/service.rs
+++ b/crates/testbed/src/node/service.rs
@@ -1,4 +1,4 @@
-//! The node's service on the wire.
+//! The gRPC service of a stand-in node.
 
 use super::events::{EventStream, OpenOffer};
 use super::offers::{sender, source};
@@ -132,8 +132,8 @@
 }
 
 impl Node {
-    /// The events of an allocation that is here, from its present state on; rejected where it is
-    /// not.
+    /// Returns the events of an allocation from its present state on. Rejects the call if the
+    /// allocation is not on this node.
     fn attend(&self, request: &v1::AttemptRequest) -> EventStream {
         self.operations()
             .record(sender(request), OperationKind::Attend);
@@ -165,7 +165,7 @@
         stream
     }
 
-    /// Cordons or uncordons the machine, or stops what runs there, for one claim.
+    /// Cordons or uncordons the machine for a claim, or stops the allocations on it.
     fn change_cordon(&self, request: &v1::CordonRequest) -> v1::CordonResponse {
         let claim = ClaimId(request.claim);
         let mut state = self.state();
@@ -202,14 +202,15 @@
         }
     }
 
-    /// Stops one allocation, or all of a task but one. Whether the one named was here.
+    /// Stops one allocation, or all allocations of a task except one. Returns whether the named
+    /// allocation was on this node.
     fn stop(&self, request: &v1::StopRequest) -> bool {
         let (kind, outcome) = if request.migrated {
             (OperationKind::Migrate, AttemptOutcome::Migrated)
         } else {
             (OperationKind::Stop, AttemptOutcome::Stopped)
         };
-        // The request alone says who acts: an older dispatcher reports nothing.
+        // The sender is known only from the request; an older dispatcher does not report itself.
         self.operations()
             .record(source(request.decider.as_ref(), u32::MAX), kind);
         let mut state = self.state();
--- a/crates/testbed/src/node/state.rs
+++ b/crates/testbed/src/node/state.rs
@@ -1,4 +1,4 @@
-//! What a node's process holds in memory: gone when the process dies.
+//! The in-memory state of a node's process, lost when the process dies.
 
 use super::{Node, SlowStart};
 use corkspan_api::v1;
@@ -6,12 +6,12 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::{Duration, Instant};
 
-/// Load reports are so old, unless a fault delays them further.
+/// The age of load reports, unless a fault delays them further.
 const REPORT_AGE: Duration = Duration::from_millis(200);
-/// Load reports that are kept until they are old enough.
+/// The maximum number of load reports kept until they reach the report age.
 const MAX_REPORTS: usize = 4096;
 
-/// An allocation that was accepted.
+/// An accepted allocation.
 pub(super) struct PlacedAllocation {
     pub request: v1::AttemptRequest,
     pub used: Resources,
@@ -26,7 +26,7 @@
     }
 }
 
-/// What an offer requests.
+/// Returns the resources that an offer requests.
 pub(super) fn requested(request: &v1::AttemptRequest) -> Resources {
     Resources {
         cores: request.cores,
@@ -34,7 +34,7 @@
     }
 }
 
-/// Load reports are older than usual until then.
+/// A fault that makes load reports older by `extra_age` until `until`.
 pub(super) struct ReportDelay {
     pub until: Instant,
     pub extra_age: Duration,
@@ -42,28 +42,29 @@
 
 #[derive(Default)]
 pub(super) struct State {
-    /// Counts the starts of the process: what belongs to an earlier one is gone.
+    /// The number of starts of the process. Tasks of an earlier incarnation stop when they see a
+    /// different number.
     pub incarnation: u64,
     pub is_up: bool,
     pub is_draining: bool,
-    /// When the process started; none where the node counts as warm.
+    /// The start of the process; none if the node has no slow start.
     pub started_at: Option<Instant>,
     pub stalled_until: Option<Instant>,
     pub muted_until: Option<Instant>,
     pub report_delay: Option<ReportDelay>,
-    /// By placing.
+    /// Allocations by placement id.
     pub allocations: BTreeMap<String, PlacedAllocation>,
-    /// By service, the oldest first.
+    /// Services whose programs are cached, the oldest first.
     pub cached_programs: VecDeque<String>,
-    /// When the offers of the last window arrived.
+    /// The arrival times of the offers in the last window.
     pub recent_offers: VecDeque<Instant>,
-    /// Offers that wait for review.
+    /// The number of offers that wait for review.
     pub queued: usize,
     pub load_reports: VecDeque<(Instant, v1::LoadReport)>,
 }
 
 impl State {
-    /// What the accepted allocations requested.
+    /// Returns the sum of the accepted allocations' requests.
     pub fn requested(&self) -> Resources {
         self.allocations
             .values()
@@ -71,7 +72,7 @@
             .sum()
     }
 
-    /// What the running allocations use.
+    /// Returns the resources that the running allocations use.
     pub fn used(&self) -> Resources {
         self.allocations
             .values()
@@ -80,7 +81,8 @@
             .sum()
     }
 
-    /// Counts an offer. True where the process crashes of too many during its slow start.
+    /// Counts an offer. Returns true if the process crashes because of too many offers during its
+    /// slow start.
     pub fn count_offer(&mut self, now: Instant, slow_start: &SlowStart) -> bool {
         self.recent_offers.push_back(now);
         while self
@@ -96,7 +98,7 @@
         is_warming_up && self.recent_offers.len() > slow_start.max_offers
     }
 
-    /// AttemptOutcome fast the node works, from its initial rate to 1.
+    /// Returns the node's work rate, which grows from the initial rate to 1 during the slow start.
     pub fn rate(&self, slow_start: &SlowStart) -> f64 {
         let progress = self.started_at.map_or(1.0, |at| {
             at.elapsed().div_duration_f64(slow_start.duration).min(1.0)
@@ -106,7 +108,8 @@
 }
 
 impl Node {
-    /// What is not in use, as of a little while ago, and longer where reports are delayed.
+    /// Returns the unused resources as they were `REPORT_AGE` ago, or earlier while reports are
+    /// delayed.
     pub(super) fn load_report(&self, state: &mut State) -> v1::LoadReport {
         let now = Instant::now();
         let free = self.config.capacity - state.used();
