--- a/crates/testbed/src/client.rs
+++ b/crates/testbed/src/client.rs
@@ -4,8 +4,8 @@
 use crate::node::{Node, SharedContext};
 use async_io::Timer;
 use corkspan_api::v1::{
-    self, placement_client::PlacementClient, placement_event::Event as Said,
-    rolls_client::RollsClient, versions_client::VersionsClient,
+    self, placement_client::PlacementClient, placement_event::Event, rolls_client::RollsClient,
+    versions_client::VersionsClient,
 };
 use corkspan_rpc::{Connection, ConnectionLimits, within};
 use rand::RngExt;
@@ -21,14 +21,14 @@
 pub struct Frontend {
     pub context: Arc<SharedContext>,
     pub nodes: Vec<Arc<Node>>,
-    doors: Vec<Mutex<Door>>,
+    routes: Vec<Mutex<Route>>,
     calls: AtomicU64,
 }
 
 #[derive(Default)]
-struct Door {
+struct Route {
     address: Option<SocketAddr>,
-    link: Option<Connection>,
+    connection: Option<Connection>,
 }
 
 impl Frontend {
@@ -36,73 +36,76 @@
         Arc::new(Frontend {
             context: Arc::clone(context),
             nodes: nodes.to_vec(),
-            doors: (0..dispatchers).map(|_| Mutex::default()).collect(),
+            routes: (0..dispatchers).map(|_| Mutex::default()).collect(),
             calls: AtomicU64::new(0),
         })
     }
 
     pub fn set_address(&self, dispatcher: usize, address: Option<SocketAddr>) {
-        *self.doors[dispatcher].lock().expect("unshared") = Door {
+        *self.routes[dispatcher].lock().expect("unshared") = Route {
             address,
-            link: None,
+            connection: None,
         };
     }
 
     pub async fn placement_client(&self, dispatcher: usize) -> Option<PlacementClient<Connection>> {
-        self.link(dispatcher).await.map(PlacementClient::new)
+        self.connect(dispatcher).await.map(PlacementClient::new)
     }
 
     pub async fn versions_client(&self, dispatcher: usize) -> Option<VersionsClient<Connection>> {
-        self.link(dispatcher).await.map(VersionsClient::new)
+        self.connect(dispatcher).await.map(VersionsClient::new)
     }
 
     pub fn address(&self, dispatcher: usize) -> Option<SocketAddr> {
-        self.doors[dispatcher].lock().expect("unshared").address
+        self.routes[dispatcher].lock().expect("unshared").address
     }
 
     pub async fn rollouts_client(&self, dispatcher: usize) -> Option<RollsClient<Connection>> {
-        self.link(dispatcher).await.map(RollsClient::new)
+        self.connect(dispatcher).await.map(RollsClient::new)
     }
 
-    async fn link(&self, dispatcher: usize) -> Option<Connection> {
-        let (address, link) = {
-            let door = self.doors[dispatcher].lock().expect("unshared");
-            (door.address, door.link.clone().filter(Connection::is_open))
+    async fn connect(&self, dispatcher: usize) -> Option<Connection> {
+        let (address, connection) = {
+            let route = self.routes[dispatcher].lock().expect("unshared");
+            (
+                route.address,
+                route.connection.clone().filter(Connection::is_open),
+            )
         };
-        let link = match (link, address) {
-            (Some(link), _) => link,
+        let connection = match (connection, address) {
+            (Some(connection), _) => connection,
             (None, Some(address)) => {
-                let bounds = ConnectionLimits {
+                let limits = ConnectionLimits {
                     connect_timeout: Duration::from_secs(1),
                     ..ConnectionLimits::default()
                 };
-                let link = Connection::open(&self.context.tasks, address, &bounds)
+                let connection = Connection::open(&self.context.tasks, address, &limits)
                     .await
                     .ok()?;
-                let mut door = self.doors[dispatcher].lock().expect("unshared");
-                if door.address == Some(address) {
-                    door.link = Some(link.clone());
+                let mut route = self.routes[dispatcher].lock().expect("unshared");
+                if route.address == Some(address) {
+                    route.connection = Some(connection.clone());
                 }
-                link
+                connection
             }
             (None, None) => return None,
         };
-        Some(link)
+        Some(connection)
     }
 
     /// Where a task runs, and by which placing: the truth, as the owner's own runtime would know
     /// it. The one that it was told of last goes before any other.
-    fn runs_at(&self, task: &str, known: &str) -> Option<(u32, String)> {
-        let copies = self.nodes.iter().flat_map(|node| {
+    fn find_running(&self, task: &str, known_placement_id: &str) -> Option<(u32, String)> {
+        let allocations = self.nodes.iter().flat_map(|node| {
             node.allocations_of(task)
                 .into_iter()
                 .map(|placement_id| (node.config.id, placement_id))
         });
-        let copies: Vec<(u32, String)> = copies.collect();
-        copies
+        let allocations: Vec<(u32, String)> = allocations.collect();
+        allocations
             .iter()
-            .find(|(_, placement_id)| placement_id == known)
-            .or(copies.first())
+            .find(|(_, placement_id)| placement_id == known_placement_id)
+            .or(allocations.first())
             .cloned()
     }
 }
@@ -125,53 +128,75 @@
     pub cancel_after: Option<Duration>,
 }
 
-enum Came {
+enum Outcome {
     Done,
     /// Sent away, or refused: another try is harmless.
-    AskAgain,
+    Retry,
     /// It may run somewhere, or may not.
-    InDoubt,
+    Indeterminate,
 }
 
 /// Lives one task from its first ask to its end, asking no more after `until`.
 pub async fn run_task(frontend: Arc<Frontend>, task: Task, mut rng: Pcg64Mcg, until: Instant) {
-    let mut asks = 0;
-    let settle = |task: &Task| match task.retry_safety {
+    let mut requests_sent = 0;
+    let settle_time = |task: &Task| match task.retry_safety {
         RetrySafety::Idempotent => Duration::from_millis(300),
         _ => Duration::from_secs(3),
     };
     // The placing that it was told of last.
-    let mut known = String::new();
-    let mut came = ask(&frontend, &task, &mut asks, &mut known, &mut rng).await;
+    let mut known_placement_id = String::new();
+    let mut outcome = request_placement(
+        &frontend,
+        &task,
+        &mut requests_sent,
+        &mut known_placement_id,
+        &mut rng,
+    )
+    .await;
     loop {
-        came = match came {
-            Came::Done => return,
-            Came::AskAgain => {
+        outcome = match outcome {
+            Outcome::Done => return,
+            Outcome::Retry => {
                 let wait = rng.random_range(1100..2800);
                 Timer::after(Duration::from_millis(wait)).await;
                 if Instant::now() >= until
-                    || asks >= task.max_requests
+                    || requests_sent >= task.max_requests
                     || task.cancel_after.is_some()
                 {
                     return;
                 }
-                ask(&frontend, &task, &mut asks, &mut known, &mut rng).await
+                request_placement(
+                    &frontend,
+                    &task,
+                    &mut requests_sent,
+                    &mut known_placement_id,
+                    &mut rng,
+                )
+                .await
             }
-            Came::InDoubt => {
-                Timer::after(settle(&task)).await;
-                match frontend.runs_at(&task.name, &known) {
+            Outcome::Indeterminate => {
+                Timer::after(settle_time(&task)).await;
+                match frontend.find_running(&task.name, &known_placement_id) {
                     Some((node, placement_id)) => {
-                        known.clone_from(&placement_id);
-                        hand_over(&frontend, &task, node, placement_id, &mut known, &mut rng).await
+                        known_placement_id.clone_from(&placement_id);
+                        hand_over(
+                            &frontend,
+                            &task,
+                            node,
+                            placement_id,
+                            &mut known_placement_id,
+                            &mut rng,
+                        )
+                        .await
                     }
-                    None => Came::AskAgain,
+                    None => Outcome::Retry,
                 }
             }
         }
     }
 }
 
-fn message(task: &Task, placement_id: String, again: bool) -> v1::PlacementRequest {
+fn placement_request(task: &Task, placement_id: String, is_retry: bool) -> v1::PlacementRequest {
     v1::PlacementRequest {
         placement_id,
         task: task.name.clone(),
@@ -182,26 +207,26 @@
         memory: task.memory,
         expected_duration_ms: task.lifetime.as_millis() as u64,
         deadline_ms: task.deadline.as_millis() as u64,
-        retry: again,
+        retry: is_retry,
     }
 }
 
-async fn ask(
+async fn request_placement(
     frontend: &Arc<Frontend>,
     task: &Task,
-    asks: &mut u32,
-    known: &mut String,
+    requests_sent: &mut u32,
+    known_placement_id: &mut String,
     rng: &mut Pcg64Mcg,
-) -> Came {
-    let dispatcher = rng.random_range(0..frontend.doors.len());
+) -> Outcome {
+    let dispatcher = rng.random_range(0..frontend.routes.len());
     let Some(mut client) = frontend.placement_client(dispatcher).await else {
-        return Came::AskAgain;
+        return Outcome::Retry;
     };
     let call = frontend.calls.fetch_add(1, Ordering::Relaxed);
-    let placement_id = format!("{}#{}", task.name, *asks);
-    known.clone_from(&placement_id);
-    let first = *asks == 0;
-    *asks += 1;
+    let placement_id = format!("{}#{}", task.name, *requests_sent);
+    known_placement_id.clone_from(&placement_id);
+    let first = *requests_sent == 0;
+    *requests_sent += 1;
     frontend
         .context
         .capture
@@ -215,56 +240,61 @@
             deadline_us: task.deadline.as_micros() as u64,
             first,
         }));
-    let mut open = Open {
+    let mut open_call = OpenCall {
         frontend,
         call,
         closed: false,
     };
-    let began = Instant::now();
-    let talk = async {
-        let Ok(words) = client.place(message(task, placement_id, !first)).await else {
-            return Came::InDoubt;
+    let started_at = Instant::now();
+    let exchange = async {
+        let Ok(events) = client
+            .place(placement_request(task, placement_id, !first))
+            .await
+        else {
+            return Outcome::Indeterminate;
         };
-        let mut words = words.into_inner();
+        let mut events = events.into_inner();
         // A little more than its time: what comes later is none of its business.
-        let patience = task.deadline + Duration::from_millis(250);
+        let timeout = task.deadline + Duration::from_millis(250);
         let answer = within(
-            patience.saturating_sub(began.elapsed()),
-            answer(frontend, call, &mut words),
+            timeout.saturating_sub(started_at.elapsed()),
+            receive_answer(frontend, call, &mut events),
         )
         .await;
         match answer {
-            Some(Some(AllocationEvent::Placed)) => follow(frontend, call, &mut words, known).await,
-            Some(Some(AllocationEvent::Rejected)) => Came::AskAgain,
-            _ => Came::InDoubt,
+            Some(Some(AllocationEvent::Placed)) => {
+                follow(frontend, call, &mut events, known_placement_id).await
+            }
+            Some(Some(AllocationEvent::Rejected)) => Outcome::Retry,
+            _ => Outcome::Indeterminate,
         }
     };
-    let came = match task.cancel_after.filter(|_| first) {
-        Some(after) => match within(after, talk).await {
-            Some(came) => came,
+    let outcome = match task.cancel_after.filter(|_| first) {
+        Some(after) => match within(after, exchange).await {
+            Some(outcome) => outcome,
             None => {
-                open.cancelled();
-                Came::Done
+                open_call.cancelled();
+                Outcome::Done
             }
         },
-        None => talk.await,
+        None => exchange.await,
     };
-    open.closed = true;
+    open_call.closed = true;
     frontend.context.capture.record(Observation::Closed {
         call,
-        broken: matches!(came, Came::InDoubt),
+        broken: matches!(outcome, Outcome::Indeterminate),
     });
-    came
+    outcome
 }
 
 /// A call under way: where its owner is gone before its end, it wants the allocation no longer.
-struct Open<'a> {
+struct OpenCall<'a> {
     frontend: &'a Frontend,
     call: u64,
     closed: bool,
 }
 
-impl Open<'_> {
+impl OpenCall<'_> {
     fn cancelled(&mut self) {
         if !std::mem::replace(&mut self.closed, true) {
             self.frontend
@@ -275,21 +305,25 @@
     }
 }
 
-impl Drop for Open<'_> {
+impl Drop for OpenCall<'_> {
     fn drop(&mut self) {
         self.cancelled();
     }
 }
 
-fn hear(frontend: &Frontend, call: u64, said: &Said) -> Option<AllocationEvent> {
+fn record_event(
+    frontend: &Frontend,
+    call: u64,
+    placement_event: &Event,
+) -> Option<AllocationEvent> {
     use corkspan_api::v1::ended::EndReason;
-    let event = match said {
-        Said::Placed(_) => AllocationEvent::Placed,
-        Said::Rejected(_) => AllocationEvent::Rejected,
-        Said::Failed(_) => AllocationEvent::Failed,
-        Said::Running(_) => AllocationEvent::Running,
-        Said::ServiceLevel(_) | Said::Replaced(_) => AllocationEvent::ServiceLevel,
-        Said::Ended(ended) => match ended.reason() {
+    let event = match placement_event {
+        Event::Placed(_) => AllocationEvent::Placed,
+        Event::Rejected(_) => AllocationEvent::Rejected,
+        Event::Failed(_) => AllocationEvent::Failed,
+        Event::Running(_) => AllocationEvent::Running,
+        Event::ServiceLevel(_) | Event::Replaced(_) => AllocationEvent::ServiceLevel,
+        Event::Ended(ended) => match ended.reason() {
             EndReason::Ended => AllocationEvent::Ended,
             EndReason::Evicted => AllocationEvent::Evicted,
             EndReason::PushedOut => AllocationEvent::Preempted,
@@ -309,16 +343,16 @@
 }
 
 /// The final answer; none where the stream ends without.
-async fn answer(
+async fn receive_answer(
     frontend: &Frontend,
     call: u64,
-    words: &mut Streaming<v1::PlacementEvent>,
+    events: &mut Streaming<v1::PlacementEvent>,
 ) -> Option<AllocationEvent> {
     loop {
-        let said = words.message().await.ok()??.event?;
+        let event = events.message().await.ok()??.event?;
         if let event @ (AllocationEvent::Placed
         | AllocationEvent::Rejected
-        | AllocationEvent::Failed) = hear(frontend, call, &said)?
+        | AllocationEvent::Failed) = record_event(frontend, call, &event)?
         {
             return Some(event);
         }
@@ -328,28 +362,30 @@
 async fn follow(
     frontend: &Frontend,
     call: u64,
-    words: &mut Streaming<v1::PlacementEvent>,
-    known: &mut String,
-) -> Came {
-    while let Ok(Some(v1::PlacementEvent { event: Some(said) })) = words.message().await {
-        if let Said::Replaced(by) = &said {
-            known.clone_from(&by.placement_id);
+    events: &mut Streaming<v1::PlacementEvent>,
+    known_placement_id: &mut String,
+) -> Outcome {
+    while let Ok(Some(v1::PlacementEvent { event: Some(event) })) = events.message().await {
+        if let Event::Replaced(replacement) = &event {
+            known_placement_id.clone_from(&replacement.placement_id);
         }
-        match hear(frontend, call, &said) {
-            Some(AllocationEvent::Ended) => return Came::Done,
+        match record_event(frontend, call, &event) {
+            Some(AllocationEvent::Ended) => return Outcome::Done,
             Some(
                 AllocationEvent::Evicted
                 | AllocationEvent::Preempted
                 | AllocationEvent::Drained
                 | AllocationEvent::Migrated,
             ) => {
-                return Came::AskAgain;
+                return Outcome::Retry;
+            }
+            Some(AllocationEvent::Lost | AllocationEvent::HandedBack) => {
+                return Outcome::Indeterminate;
             }
-            Some(AllocationEvent::Lost | AllocationEvent::HandedBack) => return Came::InDoubt,
             _ => {}
         }
     }
-    Came::InDoubt
+    Outcome::Indeterminate
 }
 
 async fn hand_over(
@@ -357,12 +393,12 @@
     task: &Task,
     node: u32,
     placement_id: String,
-    known: &mut String,
+    known_placement_id: &mut String,
     rng: &mut Pcg64Mcg,
-) -> Came {
-    let dispatcher = rng.random_range(0..frontend.doors.len());
+) -> Outcome {
+    let dispatcher = rng.random_range(0..frontend.routes.len());
     let Some(mut client) = frontend.placement_client(dispatcher).await else {
-        return Came::InDoubt;
+        return Outcome::Indeterminate;
     };
     let call = frontend.calls.fetch_add(1, Ordering::Relaxed);
     let observation = Observation::HandedOver {
@@ -372,19 +408,19 @@
         task: task.name.clone(),
     };
     frontend.context.capture.record(observation);
-    let mut open = Open {
+    let mut open_call = OpenCall {
         frontend,
         call,
         closed: false,
     };
-    let running = v1::HandOverRequest {
-        request: Some(message(task, placement_id, true)),
+    let request = v1::HandOverRequest {
+        request: Some(placement_request(task, placement_id, true)),
         node,
     };
-    let came = match client.hand_over(running).await {
-        Ok(words) => follow(frontend, call, &mut words.into_inner(), known).await,
-        Err(_) => Came::InDoubt,
+    let outcome = match client.hand_over(request).await {
+        Ok(events) => follow(frontend, call, &mut events.into_inner(), known_placement_id).await,
+        Err(_) => Outcome::Indeterminate,
     };
-    open.closed = true;
-    came
+    open_call.closed = true;
+    outcome
 }
--- a/crates/testbed/src/control_service.rs
+++ b/crates/testbed/src/control_service.rs
@@ -31,7 +31,7 @@
 struct State {
     publisher: Publisher,
     /// Senders to the subscribers whose streams are open.
-    open: BTreeMap<u32, async_channel::Sender<v1::VersionPush>>,
+    open_streams: BTreeMap<u32, async_channel::Sender<v1::VersionPush>>,
     replies: Vec<Reply>,
     /// Only what [`ControlService::send`] is given is pushed.
     scripted: bool,
@@ -75,8 +75,8 @@
             context: Arc::clone(context),
             address: listener.local_addr()?,
         };
-        let up = control.serve(context, listener);
-        Ok((control, up))
+        let guard = control.serve(context, listener);
+        Ok((control, guard))
     }
 
     /// Starts the same service again, with its state, on its former address.
@@ -97,8 +97,8 @@
         }))
     }
 
-    fn with<R>(&self, call: impl FnOnce(&mut State) -> R) -> R {
-        call(
+    fn with<R>(&self, operation: impl FnOnce(&mut State) -> R) -> R {
+        operation(
             &mut self
                 .state
                 .lock()
@@ -112,31 +112,31 @@
     }
 
     /// Publishes the next version and streams it to all.
-    pub fn publish(&self, texts: SharedParts, cuts: bool) -> VersionId {
+    pub fn publish(&self, parts: SharedParts, allows_cuts: bool) -> VersionId {
         self.with(|state| {
-            let stamp = state.publisher.publish(texts, cuts);
+            let version_id = state.publisher.publish(parts, allows_cuts);
             self.context.capture.record(Observation::Pushed {
-                number: stamp.number,
+                number: version_id.number,
             });
             state.flush();
-            stamp
+            version_id
         })
     }
 
     /// Puts a push on one subscriber's stream, whatever the publisher decides. False where no stream
     /// is open.
-    pub fn send(&self, who: u32, push: v1::VersionPush) -> bool {
+    pub fn send(&self, subscriber: u32, push: v1::VersionPush) -> bool {
         self.with(|state| {
             state
-                .open
-                .get(&who)
-                .is_some_and(|open| open.try_send(push).is_ok())
+                .open_streams
+                .get(&subscriber)
+                .is_some_and(|stream| stream.try_send(push).is_ok())
         })
     }
 
     /// Ends all streams.
     pub fn hang_up(&self) {
-        self.with(|state| state.open.clear());
+        self.with(|state| state.open_streams.clear());
     }
 
     /// A reply or report of a subscriber.
@@ -183,14 +183,14 @@
             let replies = state.replies.iter().rev();
             replies
                 .map(|reply| &reply.message)
-                .find(|told| told.nonce == nonce)
+                .find(|reply| reply.nonce == nonce)
                 .cloned()
         })
     }
 
     /// The active version of a subscriber, as it reported last.
-    pub fn running(&self, who: u32) -> Option<VersionId> {
-        self.with(|state| state.publisher.active_version(who))
+    pub fn running(&self, subscriber: u32) -> Option<VersionId> {
+        self.with(|state| state.publisher.active_version(subscriber))
     }
 
     /// Streams opened so far.
@@ -206,26 +206,26 @@
         }
         let State {
             publisher,
-            open,
+            open_streams,
             pushes,
             ..
         } = self;
-        open.retain(|who, open| {
-            if let Some(push) = publisher.push_for(*who) {
+        open_streams.retain(|subscriber, stream| {
+            if let Some(push) = publisher.push_for(*subscriber) {
                 pushes.push(push_message(&push));
                 // One that does not read loses its stream, and reports its version anew.
-                return open.try_send(push_message(&push)).is_ok();
+                return stream.try_send(push_message(&push)).is_ok();
             }
-            !open.is_closed()
+            !stream.is_closed()
         });
     }
 }
 
 /// A version id on the wire.
-pub fn version_id_message(stamp: VersionId) -> v1::VersionId {
+pub fn version_id_message(version_id: VersionId) -> v1::VersionId {
     v1::VersionId {
-        number: stamp.number,
-        digest: stamp.digest.to_string(),
+        number: version_id.number,
+        digest: version_id.digest.to_string(),
     }
 }
 
@@ -259,11 +259,11 @@
     }
 }
 
-fn push_reply(told: &v1::PushReply) -> PushReply {
-    match told.answer() {
+fn push_reply(reply: &v1::PushReply) -> PushReply {
+    match reply.answer() {
         Answer::Applied => PushReply::Applied,
-        Answer::Rejected => PushReply::Rejected(told.reasons.clone()),
-        Answer::Superseded => PushReply::Superseded(told.superseded_by),
+        Answer::Rejected => PushReply::Rejected(reply.reasons.clone()),
+        Answer::Superseded => PushReply::Superseded(reply.superseded_by),
         Answer::FullRequired => PushReply::FullRequired,
         Answer::Nothing | Answer::Unchanged | Answer::RolledBack => PushReply::Unchanged,
     }
@@ -279,16 +279,16 @@
         &self,
         request: Request<Streaming<v1::PushReply>>,
     ) -> Result<Response<Self::StreamStream>, Status> {
-        let mut tells = request.into_inner();
-        let first = tells
+        let mut messages = request.into_inner();
+        let first = messages
             .message()
             .await?
             .ok_or_else(|| Status::invalid_argument("nothing is told"))?;
-        let who = first.dispatcher;
+        let subscriber = first.dispatcher;
         let running = first.active.as_ref().and_then(parse_version_id);
         let running =
             running.ok_or_else(|| Status::invalid_argument("it does not tell what it runs"))?;
-        let (to, from) = async_channel::bounded(MAX_WAITING_PUSHES);
+        let (sender, pushes) = async_channel::bounded(MAX_WAITING_PUSHES);
         let control = self.0.clone();
         control.with(|state| {
             state.replies.push(Reply {
@@ -297,16 +297,16 @@
                 received_at: std::time::Instant::now(),
             });
             state.opened += 1;
-            state.publisher.subscriber_connected(who, running);
-            state.open.insert(who, to);
+            state.publisher.subscriber_connected(subscriber, running);
+            state.open_streams.insert(subscriber, sender);
             state.flush();
         });
-        let replies = async move {
-            while let Ok(Some(message)) = tells.message().await {
+        let receive_replies = async move {
+            while let Ok(Some(message)) = messages.message().await {
                 control.receive(message);
             }
         };
-        self.1.spawn(replies).detach();
-        Ok(Response::new(Box::pin(from.map(Ok))))
+        self.1.spawn(receive_replies).detach();
+        Ok(Response::new(Box::pin(pushes.map(Ok))))
     }
 }
--- a/crates/testbed/src/discovery.rs
+++ b/crates/testbed/src/discovery.rs
@@ -94,10 +94,10 @@
 
     fn listen(self: &Arc<Self>) {
         let service = RosterServer::new(Service(Arc::clone(self)));
-        let served =
+        let serving =
             corkspan_rpc::serve(self.listener.clone(), service, ConnectionLimits::default());
         let server = self.context.tasks.spawn(async move {
-            served.await;
+            serving.await;
         });
         *lock(&self.server) = Some(server);
     }
@@ -211,7 +211,7 @@
         lists: async_channel::Sender<v1::EndpointList>,
     ) {
         let dispatcher = request.dispatcher;
-        let (watcher, woken) = async_channel::bounded(1);
+        let (watcher, wakeups) = async_channel::bounded(1);
         let mut recorded = RecordedStates::new();
         let mut version = {
             let mut log = lock(&self.log);
@@ -247,7 +247,7 @@
                 Some(visible_at) => {
                     Timer::at(visible_at).await;
                 }
-                None if woken.recv().await.is_err() => return,
+                None if wakeups.recv().await.is_err() => return,
                 None => {}
             }
         }
--- a/crates/testbed/src/fault_proxies.rs
+++ b/crates/testbed/src/fault_proxies.rs
@@ -12,9 +12,10 @@
 use std::time::Duration;
 
 /// Nobody listens there: what leads there is refused until it leads elsewhere.
-const NOBODY: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 1);
+const UNUSED_ADDRESS: SocketAddr =
+    SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 1);
 /// Others that one dispatcher may have a newer version from.
-const PEERS: usize = 3;
+const MAX_PEERS: usize = 3;
 
 /// Relays that stand, but for those to nodes, which the roster keeps, since it tells of them.
 pub struct FaultProxies {
@@ -35,27 +36,27 @@
         quorum_members: &[u32],
     ) -> io::Result<FaultProxies> {
         let (mut relays, mut peers) = (BTreeMap::new(), Vec::new());
-        for own in 0..dispatchers {
+        for dispatcher in 0..dispatchers {
             relays.insert(
-                (own, LinkPeer::Roster),
+                (dispatcher, LinkPeer::Roster),
                 vec![Relay::start(tasks, discovery.address).await?],
             );
             if let Some(control) = control {
                 relays.insert(
-                    (own, LinkPeer::Control),
+                    (dispatcher, LinkPeer::Control),
                     vec![Relay::start(tasks, control).await?],
                 );
             }
-            let others: Vec<usize> = (1..dispatchers)
-                .take(PEERS)
-                .map(|step| (own + step * step) % dispatchers)
+            let peer_numbers: Vec<usize> = (1..dispatchers)
+                .take(MAX_PEERS)
+                .map(|step| (dispatcher + step * step) % dispatchers)
                 .collect();
-            let mut links = Vec::new();
-            for _ in &others {
-                links.push(Relay::start(tasks, NOBODY).await?);
+            let mut peer_relays = Vec::new();
+            for _ in &peer_numbers {
+                peer_relays.push(Relay::start(tasks, UNUSED_ADDRESS).await?);
             }
-            relays.insert((own, LinkPeer::Dispatchers), links);
-            peers.push(others);
+            relays.insert((dispatcher, LinkPeer::Dispatchers), peer_relays);
+            peers.push(peer_numbers);
             // Thousands of links where all nodes have theirs: only those that a trouble strikes.
             for &(node, address) in nodes {
                 let relay = Relay::start(tasks, address).await?;
@@ -63,7 +64,7 @@
                     .proxies
                     .lock()
                     .expect("unshared")
-                    .insert((own as u32, node), relay);
+                    .insert((dispatcher as u32, node), relay);
             }
         }
         Ok(FaultProxies {
@@ -75,13 +76,13 @@
     }
 
     /// Where a dispatcher finds the one that is at this end; none where there is none.
-    pub fn address(&self, dispatcher: usize, end: LinkPeer) -> Option<SocketAddr> {
-        self.addresses(dispatcher, end).first().copied()
+    pub fn address(&self, dispatcher: usize, peer: LinkPeer) -> Option<SocketAddr> {
+        self.addresses(dispatcher, peer).first().copied()
     }
 
-    pub fn addresses(&self, dispatcher: usize, end: LinkPeer) -> Vec<SocketAddr> {
+    pub fn addresses(&self, dispatcher: usize, peer: LinkPeer) -> Vec<SocketAddr> {
         self.relays
-            .get(&(dispatcher, end))
+            .get(&(dispatcher, peer))
             .into_iter()
             .flatten()
             .map(|relay| relay.address)
@@ -89,24 +90,24 @@
     }
 
     /// A dispatcher listens here from now on.
-    pub fn set_dispatcher_address(&self, dispatcher: usize, at: SocketAddr) {
-        for (own, peers) in self.peers.iter().enumerate() {
-            let links = self
+    pub fn set_dispatcher_address(&self, dispatcher: usize, address: SocketAddr) {
+        for (source, peers) in self.peers.iter().enumerate() {
+            let peer_relays = self
                 .relays
-                .get(&(own, LinkPeer::Dispatchers))
+                .get(&(source, LinkPeer::Dispatchers))
                 .into_iter()
                 .flatten();
-            links
+            peer_relays
                 .zip(peers)
                 .filter(|(_, peer)| **peer == dispatcher)
-                .for_each(|(relay, _)| relay.set_target(at));
+                .for_each(|(relay, _)| relay.set_target(address));
         }
     }
 
     /// Bytes that came to a dispatcher from this end, and that it sent there.
-    pub fn bytes_passed(&self, dispatcher: usize, end: LinkPeer) -> [u64; 2] {
+    pub fn bytes_passed(&self, dispatcher: usize, peer: LinkPeer) -> [u64; 2] {
         let passed = std::cell::Cell::new([0; 2]);
-        self.each(dispatcher, end, |relay| {
+        self.for_each_relay(dispatcher, peer, |relay| {
             let (sum, own) = (passed.get(), relay.bytes_passed());
             passed.set([sum[0] + own[0], sum[1] + own[1]]);
         });
@@ -115,46 +116,47 @@
 
     /// Does it to each link of a dispatcher that ends there. Keepers are nodes: links to these
     /// alone, or to the others.
-    fn each(&self, dispatcher: usize, end: LinkPeer, what: impl Fn(&Relay)) {
+    fn for_each_relay(&self, dispatcher: usize, peer: LinkPeer, action: impl Fn(&Relay)) {
         self.relays
-            .get(&(dispatcher, end))
+            .get(&(dispatcher, peer))
             .into_iter()
             .flatten()
-            .for_each(&what);
-        let ways = self
+            .for_each(&action);
+        let proxies = self
             .discovery
             .proxies
             .lock()
             .expect("no one panics while it is held");
-        let mine = ways
+        let own_proxies = proxies
             .iter()
-            .filter(|((own, _), _)| *own as usize == dispatcher);
-        let there = mine.filter(|((_, node), _)| match end {
+            .filter(|((source, _), _)| *source as usize == dispatcher);
+        let selected = own_proxies.filter(|((_, node), _)| match peer {
             LinkPeer::Keepers => self.quorum_members.contains(node),
             LinkPeer::Nodes => !self.quorum_members.contains(node),
             _ => false,
         });
-        there.for_each(|(_, relay)| what(relay));
+        selected.for_each(|(_, relay)| action(relay));
     }
 
     pub fn inject(&self, dispatcher: usize, fault: &ScheduledFault) {
-        for &end in &fault.peers {
-            self.each(dispatcher, end, |relay| match fault.delay {
+        for &peer in &fault.peers {
+            self.for_each_relay(dispatcher, peer, |relay| match fault.delay {
                 Duration::ZERO => relay.hold(&fault.directions),
-                by => relay.delay(&fault.directions, by),
+                delay => relay.delay(&fault.directions, delay),
             });
         }
     }
 
     /// Nothing of newer versions reaches it, though its stream stands.
     pub fn hold_versions(&self, dispatcher: usize) {
-        self.each(dispatcher, LinkPeer::Control, |relay| {
+        self.for_each_relay(dispatcher, LinkPeer::Control, |relay| {
             relay.hold(&[Direction::In])
         });
     }
 
-    pub fn heal(&self, dispatcher: usize, ends: &[LinkPeer]) {
-        ends.iter()
-            .for_each(|&end| self.each(dispatcher, end, Relay::heal));
+    pub fn heal(&self, dispatcher: usize, peers: &[LinkPeer]) {
+        peers
+            .iter()
+            .for_each(|&peer| self.for_each_relay(dispatcher, peer, Relay::heal));
     }
 }
--- a/crates/testbed/src/process.rs
+++ b/crates/testbed/src/process.rs
@@ -27,18 +27,18 @@
 
 impl Programs {
     /// Of this laboratory's binary.
-    pub fn with_binary(own: &Path) -> Programs {
-        let own = OsString::from(own);
+    pub fn with_binary(binary: &Path) -> Programs {
+        let binary = OsString::from(binary);
         Programs {
-            real: vec![own.clone(), "corkspan".into()],
-            hollow: vec![own, "hollow".into(), "serve".into()],
+            real: vec![binary.clone(), "corkspan".into()],
+            hollow: vec![binary, "hollow".into(), "serve".into()],
         }
     }
 
     pub fn of_current_exe() -> Result<Programs, String> {
         std::env::current_exe()
-            .map(|own| Programs::with_binary(&own))
-            .map_err(|why| why.to_string())
+            .map(|binary| Programs::with_binary(&binary))
+            .map_err(|error| error.to_string())
     }
 }
 
@@ -69,7 +69,7 @@
         frontend: &Arc<Frontend>,
         proxies: Option<&FaultProxies>,
     ) -> Result<(), String> {
-        let (program, first) = self.program.split_first().ok_or("no program is given")?;
+        let (program, arguments) = self.program.split_first().ok_or("no program is given")?;
         let mut command = match self.fills_disk {
             false => Command::new(program),
             // A write beyond what its files may hold fails as on a full disk, once the signal for
@@ -82,7 +82,7 @@
                 shell
             }
         };
-        command.args(first);
+        command.args(arguments);
         if !self.hollow {
             command.arg("serve");
         }
@@ -96,48 +96,50 @@
                     .create(true)
                     .append(true)
                     .open(log);
-                command.stderr(file.map_err(|why| format!("{}: {why}", log.display()))?);
+                command.stderr(file.map_err(|error| format!("{}: {error}", log.display()))?);
             }
             None if self.hollow => drop(command.stderr(Stdio::inherit())),
             None => drop(command.arg("--level").arg("error").stderr(Stdio::inherit())),
         }
         let mut child = command
             .spawn()
-            .map_err(|why| format!("{}: {why}", program.display()))?;
-        let out = child.stdout.take().ok_or("no standard output")?;
+            .map_err(|error| format!("{}: {error}", program.display()))?;
+        let stdout = child.stdout.take().ok_or("no standard output")?;
         self.child = Some(child);
-        let many = self.numbers.len();
+        let dispatcher_count = self.numbers.len();
         let lines = blocking::unblock(move || {
-            let lines = BufReader::new(out).lines().take(many);
+            let lines = BufReader::new(stdout).lines().take(dispatcher_count);
             lines.collect::<std::io::Result<Vec<String>>>()
         });
         let lines = within(Duration::from_secs(20), lines).await;
         let lines = lines
             .ok_or("a dispatcher does not start to listen")?
-            .map_err(|why| why.to_string())?;
-        let mut listens: Vec<(usize, SocketAddr)> = Vec::new();
+            .map_err(|error| error.to_string())?;
+        let mut addresses: Vec<(usize, SocketAddr)> = Vec::new();
         for line in &lines {
-            let why = || format!("a dispatcher did not start: `{line}`");
-            let words: Vec<&str> = line.split_whitespace().collect();
-            let (which, address) = match words[..] {
+            let start_error = || format!("a dispatcher did not start: `{line}`");
+            let fields: Vec<&str> = line.split_whitespace().collect();
+            let (index, address) = match fields[..] {
                 ["listening", address] if !self.hollow => (Some(0), address),
-                ["listening", which, address] if self.hollow => (which.parse().ok(), address),
-                _ => return Err(why()),
+                ["listening", index, address] if self.hollow => (index.parse().ok(), address),
+                _ => return Err(start_error()),
             };
-            let which = which.filter(|which| *which < many).ok_or_else(why)?;
-            listens.push((
-                self.numbers.start + which,
-                address.parse().map_err(|_| why())?,
+            let index = index
+                .filter(|index| *index < dispatcher_count)
+                .ok_or_else(start_error)?;
+            addresses.push((
+                self.numbers.start + index,
+                address.parse().map_err(|_| start_error())?,
             ));
         }
-        if listens.len() < many {
+        if addresses.len() < dispatcher_count {
             return Err(format!(
-                "{} of {many} dispatchers of a process listen",
-                listens.len()
+                "{} of {dispatcher_count} dispatchers of a process listen",
+                addresses.len()
             ));
         }
         self.record(frontend, DispatcherState::Started);
-        for (number, address) in listens {
+        for (number, address) in addresses {
             frontend.set_address(number, Some(address));
             proxies
                 .iter()
@@ -162,22 +164,23 @@
             .kill()
             .and_then(|()| child.wait())
             .map(drop)
-            .map_err(|why| why.to_string())
+            .map_err(|error| error.to_string())
     }
 
     /// Its files may hold so many bytes from now on; none: as many as they like.
-    pub fn limit_file_size(&mut self, most: Option<u64>) -> Result<(), String> {
+    pub fn limit_file_size(&mut self, max_bytes: Option<u64>) -> Result<(), String> {
         let Some(child) = &self.child else {
             return Ok(());
         };
         let limit = rustix::process::Rlimit {
-            current: most,
+            current: max_bytes,
             maximum: None,
         };
         let pid = rustix::process::Pid::from_child(child);
-        let set = rustix::process::prlimit(Some(pid), rustix::process::Resource::Fsize, limit);
-        set.map(drop)
-            .map_err(|why| format!("a disk can't be filled: {why}"))
+        let result = rustix::process::prlimit(Some(pid), rustix::process::Resource::Fsize, limit);
+        result
+            .map(drop)
+            .map_err(|error| format!("a disk can't be filled: {error}"))
     }
 
     pub fn signal(
@@ -193,7 +196,7 @@
         // it.
         self.record(frontend, state);
         rustix::process::kill_process(rustix::process::Pid::from_child(child), signal)
-            .map_err(|why| why.to_string())
+            .map_err(|error| error.to_string())
     }
 
     /// Asks it to stop and waits for it.
@@ -207,11 +210,11 @@
             return Ok(());
         };
         self.close(frontend);
-        let until = Instant::now() + Duration::from_secs(15);
+        let deadline = Instant::now() + Duration::from_secs(15);
         let status = loop {
-            match child.try_wait().map_err(|why| why.to_string())? {
+            match child.try_wait().map_err(|error| error.to_string())? {
                 Some(status) => break Some(status),
-                None if Instant::now() > until => break None,
+                None if Instant::now() > deadline => break None,
                 None => drop(Timer::after(Duration::from_millis(10)).await),
             }
         };
--- a/crates/testbed/src/relay.rs
+++ b/crates/testbed/src/relay.rs
@@ -26,107 +26,113 @@
     #[default]
     None,
     /// Nothing passes, and nobody is told.
-    Held,
+    Hold,
     /// All pass, in their order, so much later.
-    Late(Duration),
+    Delay(Duration),
 }
 
 #[derive(Default)]
 struct State {
-    ways: [Fault; 2],
+    faults: [Fault; 2],
     /// New links come to stand at neither end.
-    no_new: bool,
+    holds_new_connections: bool,
     /// Where new links lead.
-    to: Option<SocketAddr>,
+    target: Option<SocketAddr>,
     /// Links that stand: dropped, they are reset.
-    links: Vec<async_channel::Sender<()>>,
+    connections: Vec<async_channel::Sender<()>>,
     /// Bytes to and from the process that opens links, in the order of [`Direction`], counted at its
     /// side.
-    passed: [u64; 2],
+    bytes_passed: [u64; 2],
     /// Wakes what is held.
-    changed: event::Changed,
+    changed: notification::ChangeNotification,
 }
 
 /// A relay to one address. Dropped, it goes with all its links.
 pub struct Relay {
     pub address: SocketAddr,
     state: Arc<Mutex<State>>,
-    _listens: async_executor::Task<()>,
+    _accept_task: async_executor::Task<()>,
 }
 
 /// Bytes read at once.
-const AT_ONCE: usize = 64 * 1024;
+const READ_BUFFER_BYTES: usize = 64 * 1024;
 /// Pieces read and not passed on yet; beyond, the sender's own buffers fill.
-const PIECES: usize = 256;
+const MAX_QUEUED_CHUNKS: usize = 256;
 
 impl Relay {
-    pub async fn start(tasks: &SharedExecutor, to: SocketAddr) -> std::io::Result<Relay> {
+    pub async fn start(tasks: &SharedExecutor, target: SocketAddr) -> std::io::Result<Relay> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let state = State {
-            to: Some(to),
+            target: Some(target),
             ..State::default()
         };
         let (address, state) = (listener.local_addr()?, Arc::new(Mutex::new(state)));
-        let listens = {
+        let accept_task = {
             let (tasks, state) = (Arc::clone(tasks), Arc::clone(&state));
             Arc::clone(&tasks).spawn(async move {
-                while let Ok((from, _)) = listener.accept().await {
+                while let Ok((client, _)) = listener.accept().await {
                     let state = Arc::clone(&state);
-                    tasks.spawn(async move { link(state, from).await }).detach();
+                    tasks
+                        .spawn(async move { relay_connection(state, client).await })
+                        .detach();
                 }
             })
         };
         Ok(Relay {
             address,
             state,
-            _listens: listens,
+            _accept_task: accept_task,
         })
     }
 
-    fn set(&self, change: impl FnOnce(&mut State)) {
+    fn update(&self, change: impl FnOnce(&mut State)) {
         let mut state = lock(&self.state);
         change(&mut state);
-        state.changed.tell();
+        state.changed.notify();
     }
 
     /// New links lead here from now on: who listens there was started anew.
-    pub fn set_target(&self, to: SocketAddr) {
-        self.set(|state| state.to = Some(to));
+    pub fn set_target(&self, target: SocketAddr) {
+        self.update(|state| state.target = Some(target));
     }
 
     /// From here on nothing passes these ways, on links that stand and on new ones.
-    pub fn hold(&self, ways: &[Direction]) {
-        self.set(|state| {
-            ways.iter()
-                .for_each(|&way| state.ways[way as usize] = Fault::Held)
+    pub fn hold(&self, directions: &[Direction]) {
+        self.update(|state| {
+            directions
+                .iter()
+                .for_each(|&direction| state.faults[direction as usize] = Fault::Hold)
         });
     }
 
-    pub fn delay(&self, ways: &[Direction], by: Duration) {
-        self.set(|state| {
-            ways.iter()
-                .for_each(|&way| state.ways[way as usize] = Fault::Late(by))
+    pub fn delay(&self, directions: &[Direction], delay: Duration) {
+        self.update(|state| {
+            directions
+                .iter()
+                .for_each(|&direction| state.faults[direction as usize] = Fault::Delay(delay))
         });
     }
 
     /// Links that stand go on; no other comes to stand.
     pub fn hold_new_connections(&self) {
-        self.set(|state| state.no_new = true);
+        self.update(|state| state.holds_new_connections = true);
     }
 
     /// Bytes that came to the process that opens links through it, and that it sent, as far as this
     /// end has taken them.
     pub fn bytes_passed(&self) -> [u64; 2] {
-        lock(&self.state).passed
+        lock(&self.state).bytes_passed
     }
 
     /// Breaks all links that stand, at both ends.
     pub fn reset(&self) {
-        self.set(|state| state.links.clear());
+        self.update(|state| state.connections.clear());
     }
 
     pub fn heal(&self) {
-        self.set(|state| (state.ways, state.no_new) = ([Fault::None; 2], false));
+        self.update(|state| {
+            (state.faults, state.holds_new_connections) = ([Fault::None; 2], false)
+        });
     }
 }
 
@@ -140,44 +146,51 @@
     state.lock().expect("no one panics while it is held")
 }
 
-async fn link(state: Arc<Mutex<State>>, from: TcpStream) {
-    let (stands, reset) = async_channel::bounded::<()>(1);
+async fn relay_connection(state: Arc<Mutex<State>>, client: TcpStream) {
+    let (reset_sender, reset) = async_channel::bounded::<()>(1);
     {
-        let links = &mut lock(&state).links;
-        links.retain(|link| !link.is_closed());
-        links.push(stands);
+        let connections = &mut lock(&state).connections;
+        connections.retain(|connection| !connection.is_closed());
+        connections.push(reset_sender);
     }
-    let carried = async {
+    let relayed = async {
         // Accepted by the kernel, and so far as the other end can see by nobody: held before its
         // other half exists.
-        until(&state, |state| (!state.no_new).then_some(())).await;
-        let Some(to) = lock(&state).to else { return };
-        let Ok(onward) = TcpStream::connect(to).await else {
+        wait_for(&state, |state| (!state.holds_new_connections).then_some(())).await;
+        let Some(target) = lock(&state).target else {
+            return;
+        };
+        let Ok(server) = TcpStream::connect(target).await else {
             return;
         };
-        let _ = (from.set_nodelay(true), onward.set_nodelay(true));
-        let out = pass(&state, Direction::Out, from.clone(), onward.clone());
-        let back = pass(&state, Direction::In, onward.clone(), from.clone());
-        futures_lite::future::zip(out, back).await;
+        let _ = (client.set_nodelay(true), server.set_nodelay(true));
+        let outbound = forward(&state, Direction::Out, client.clone(), server.clone());
+        let inbound = forward(&state, Direction::In, server.clone(), client.clone());
+        futures_lite::future::zip(outbound, inbound).await;
     };
-    let broken = async {
+    let wait_for_reset = async {
         let _ = reset.recv().await;
     };
-    carried.or(broken).await;
-    let _ = from.shutdown(Shutdown::Both);
+    relayed.or(wait_for_reset).await;
+    let _ = client.shutdown(Shutdown::Both);
 }
 
 /// Passes bytes on until their end, and then the end. Read apart from where they are written: what
 /// is late must not hold up what comes after it, or each piece would be later than the one before.
-async fn pass(state: &Mutex<State>, way: Direction, mut from: TcpStream, mut to: TcpStream) {
-    let (pieces, queued) = async_channel::bounded::<(Instant, Vec<u8>)>(PIECES);
-    let read = async {
-        let mut bytes = vec![0; AT_ONCE];
+async fn forward(
+    state: &Mutex<State>,
+    direction: Direction,
+    mut from: TcpStream,
+    mut to: TcpStream,
+) {
+    let (chunk_sender, chunks) = async_channel::bounded::<(Instant, Vec<u8>)>(MAX_QUEUED_CHUNKS);
+    let reading = async {
+        let mut bytes = vec![0; READ_BUFFER_BYTES];
         while let Ok(count @ 1..) = from.read(&mut bytes).await {
-            if way == Direction::Out {
-                lock(state).passed[way as usize] += count as u64;
+            if direction == Direction::Out {
+                lock(state).bytes_passed[direction as usize] += count as u64;
             }
-            if pieces
+            if chunk_sender
                 .send((Instant::now(), bytes[..count].to_vec()))
                 .await
                 .is_err()
@@ -186,38 +199,38 @@
             }
         }
         // The end is as late as all before it.
-        let _ = pieces.send((Instant::now(), Vec::new())).await;
-        pieces.close();
+        let _ = chunk_sender.send((Instant::now(), Vec::new())).await;
+        chunk_sender.close();
     };
-    let written = async {
-        while let Ok((came, bytes)) = queued.recv().await {
-            let late = until(state, |state| match state.ways[way as usize] {
-                Fault::Held => None,
+    let writing = async {
+        while let Ok((read_at, bytes)) = chunks.recv().await {
+            let delay = wait_for(state, |state| match state.faults[direction as usize] {
+                Fault::Hold => None,
                 Fault::None => Some(Duration::ZERO),
-                Fault::Late(by) => Some(by),
+                Fault::Delay(delay) => Some(delay),
             });
-            Timer::at(came + late.await).await;
+            Timer::at(read_at + delay.await).await;
             if bytes.is_empty() || to.write_all(&bytes).await.is_err() {
                 break;
             }
-            if way == Direction::In {
-                lock(state).passed[way as usize] += bytes.len() as u64;
+            if direction == Direction::In {
+                lock(state).bytes_passed[direction as usize] += bytes.len() as u64;
             }
         }
         let _ = to.shutdown(Shutdown::Write);
         // Nobody takes any more: the reader is not to wait for room.
-        queued.close();
+        chunks.close();
     };
-    futures_lite::future::zip(read, written).await;
+    futures_lite::future::zip(reading, writing).await;
 }
 
 /// What the state comes to allow.
-async fn until<T>(state: &Mutex<State>, look: impl Fn(&State) -> Option<T>) -> T {
+async fn wait_for<T>(state: &Mutex<State>, condition: impl Fn(&State) -> Option<T>) -> T {
     loop {
         let changed = {
             let state = lock(state);
-            if let Some(found) = look(&state) {
-                return found;
+            if let Some(value) = condition(&state) {
+                return value;
             }
             state.changed.wait()
         };
@@ -226,28 +239,28 @@
 }
 
 /// Word to all that wait, none of which can be missed: it is waited for from within the lock.
-mod event {
+mod notification {
     use std::future::Future;
 
-    pub struct Changed(async_channel::Sender<()>, async_channel::Receiver<()>);
+    pub struct ChangeNotification(async_channel::Sender<()>, async_channel::Receiver<()>);
 
-    impl Default for Changed {
+    impl Default for ChangeNotification {
         fn default() -> Self {
-            let (to, from) = async_channel::bounded(1);
-            Changed(to, from)
+            let (sender, receiver) = async_channel::bounded(1);
+            ChangeNotification(sender, receiver)
         }
     }
 
-    impl Changed {
-        pub fn tell(&mut self) {
+    impl ChangeNotification {
+        pub fn notify(&mut self) {
             self.0.close();
-            *self = Changed::default();
+            *self = ChangeNotification::default();
         }
 
         pub fn wait(&self) -> impl Future<Output = ()> + use<> {
-            let from = self.1.clone();
+            let receiver = self.1.clone();
             async move {
-                let _ = from.recv().await;
+                let _ = receiver.recv().await;
             }
         }
     }
