--- a/crates/testbed/src/client.rs
+++ b/crates/testbed/src/client.rs
@@ -1,4 +1,5 @@
-//! Owners' stand-ins: they ask, wait, ask again, hand over what runs, and give up, as owners do.
+//! Stand-ins for clients: they request placements, wait, retry, hand over running allocations and
+//! cancel, as clients do.
 
 use crate::capture::{AllocationEvent, Observation, RequestedPlacement, RetrySafety};
 use crate::node::{Node, SharedContext};
@@ -16,8 +17,7 @@
 use std::time::{Duration, Instant};
 use tonic::Streaming;
 
-/// The way to the dispatchers, as a plain front layer has it: where each listens now, and one link
-/// to each.
+/// A plain front end to the dispatchers: the present address of each, and one connection to each.
 pub struct Frontend {
     pub context: Arc<SharedContext>,
     pub nodes: Vec<Arc<Node>>,
@@ -25,6 +25,7 @@
     calls: AtomicU64,
 }
 
+/// The address of a dispatcher and the open connection to it.
 #[derive(Default)]
 struct Route {
     address: Option<SocketAddr>,
@@ -93,8 +94,9 @@
         Some(connection)
     }
 
-    /// Where a task runs, and by which placing: the truth, as the owner's own runtime would know
-    /// it. The one that it was told of last goes before any other.
+    /// Returns the node and the placement id of a task's allocation, read from the nodes
+    /// themselves, as the client's own runtime would know them. Prefers the placement id that the
+    /// client received last.
     fn find_running(&self, task: &str, known_placement_id: &str) -> Option<(u32, String)> {
         let allocations = self.nodes.iter().flat_map(|node| {
             node.allocations_of(task)
@@ -110,7 +112,7 @@
     }
 }
 
-/// One task that is to run somewhere.
+/// A task that a client requests to be placed.
 #[derive(Clone, Debug)]
 pub struct Task {
     pub name: String,
@@ -122,28 +124,29 @@
     pub memory: f64,
     pub lifetime: Duration,
     pub deadline: Duration,
-    /// It asks so many times at the most.
+    /// The maximum number of placement requests.
     pub max_requests: u32,
-    /// The owner changes its mind so long after it first asked.
+    /// The time after which the client cancels its first request; none if it doesn't.
     pub cancel_after: Option<Duration>,
 }
 
+/// The outcome of a call.
 enum Outcome {
     Done,
-    /// Sent away, or refused: another try is harmless.
+    /// The request was rejected or the allocation ended early: a retry is safe.
     Retry,
-    /// It may run somewhere, or may not.
+    /// The task may be running on some node.
     Indeterminate,
 }
 
-/// Lives one task from its first ask to its end, asking no more after `until`.
+/// Runs one task from its first request to its end. Sends no more requests after `until`.
 pub async fn run_task(frontend: Arc<Frontend>, task: Task, mut rng: Pcg64Mcg, until: Instant) {
     let mut requests_sent = 0;
     let settle_time = |task: &Task| match task.retry_safety {
         RetrySafety::Idempotent => Duration::from_millis(300),
         _ => Duration::from_secs(3),
     };
-    // The placing that it was told of last.
+    // The placement id that the client received last.
     let mut known_placement_id = String::new();
     let mut outcome = request_placement(
         &frontend,
@@ -254,7 +257,7 @@
             return Outcome::Indeterminate;
         };
         let mut events = events.into_inner();
-        // A little more than its time: what comes later is none of its business.
+        // A little longer than the deadline; the client ignores a later answer.
         let timeout = task.deadline + Duration::from_millis(250);
         let answer = within(
             timeout.saturating_sub(started_at.elapsed()),
@@ -287,7 +290,8 @@
     outcome
 }
 
-/// A call under way: where its owner is gone before its end, it wants the allocation no longer.
+/// A call in progress. If it is dropped before its end, the client no longer wants the allocation,
+/// and the call is recorded as cancelled.
 struct OpenCall<'a> {
     frontend: &'a Frontend,
     call: u64,
@@ -311,6 +315,7 @@
     }
 }
 
+/// Records an event that a client received, except service levels and replacements.
 fn record_event(
     frontend: &Frontend,
     call: u64,
@@ -342,7 +347,7 @@
     Some(event)
 }
 
-/// The final answer; none where the stream ends without.
+/// Returns the final answer; none if the stream ends without one.
 async fn receive_answer(
     frontend: &Frontend,
     call: u64,
@@ -359,6 +364,7 @@
     }
 }
 
+/// Follows the events of a placed task until its allocation or the stream ends.
 async fn follow(
     frontend: &Frontend,
     call: u64,
@@ -388,6 +394,7 @@
     Outcome::Indeterminate
 }
 
+/// Hands over a running allocation to a random dispatcher and follows its events.
 async fn hand_over(
     frontend: &Arc<Frontend>,
     task: &Task,
--- a/crates/testbed/src/control_service.rs
+++ b/crates/testbed/src/control_service.rs
@@ -1,5 +1,5 @@
-//! A stand-in control service: streams what its publisher decides to each subscriber, or what a
-//! test puts on the wire, and keeps every reply.
+//! A stand-in control service: streams to each subscriber the pushes that its publisher decides, or
+//! those that a test sends, and stores every reply.
 
 use crate::capture::Observation;
 use crate::node::SharedContext;
@@ -19,41 +19,41 @@
 /// A reply or report of a subscriber.
 #[derive(Clone, Debug)]
 pub struct Reply {
-    /// As it came.
+    /// The message as received.
     pub message: v1::PushReply,
-    /// How the publisher took it.
+    /// The publisher's evaluation of the reply.
     pub status: ReplyStatus,
-    /// When it came.
+    /// The time at which the message was received.
     pub received_at: std::time::Instant,
 }
 
 #[derive(Default)]
 struct State {
     publisher: Publisher,
-    /// Senders to the subscribers whose streams are open.
+    /// Senders to the subscribers with open streams, by subscriber.
     open_streams: BTreeMap<u32, async_channel::Sender<v1::VersionPush>>,
     replies: Vec<Reply>,
-    /// Only what [`ControlService::send`] is given is pushed.
+    /// Whether only the pushes passed to [`ControlService::send`] are sent.
     scripted: bool,
-    /// Streams opened so far.
+    /// The number of streams opened so far.
     opened: usize,
-    /// What the publisher decided to push.
+    /// The pushes that the publisher decided.
     pushes: Vec<v1::VersionPush>,
 }
 
-/// One control service. Clones share it.
+/// A stand-in control service. Clones share its state.
 #[derive(Clone)]
 pub struct ControlService {
     state: Arc<Mutex<State>>,
     context: Arc<SharedContext>,
-    /// Where it listens.
+    /// The address at which it listens.
     pub address: SocketAddr,
 }
 
-/// Keeps the service up; when it is dropped, all connections break.
+/// Keeps the service running. Dropping it breaks all connections.
 pub struct ControlServiceGuard(#[allow(dead_code)] async_executor::Task<()>);
 
-/// Pushes that may wait for a subscriber to read them.
+/// The maximum number of pushes that wait for a subscriber to read them.
 const MAX_WAITING_PUSHES: usize = 100_000;
 
 impl ControlService {
@@ -64,7 +64,7 @@
         ControlService::start_at(context, "127.0.0.1:0").await
     }
 
-    /// Starts a service on this address.
+    /// Starts a service on the given address.
     pub async fn start_at(
         context: &Arc<SharedContext>,
         address: &str,
@@ -79,7 +79,7 @@
         Ok((control, guard))
     }
 
-    /// Starts the same service again, with its state, on its former address.
+    /// Restarts the service on its previous address with its state.
     pub async fn restart(
         &self,
         context: &Arc<SharedContext>,
@@ -106,12 +106,12 @@
         )
     }
 
-    /// From now on only what [`ControlService::send`] is given is pushed.
+    /// Makes the service send only the pushes passed to [`ControlService::send`] from now on.
     pub fn scripted(&self) {
         self.with(|state| state.scripted = true);
     }
 
-    /// Publishes the next version and streams it to all.
+    /// Publishes the next version and streams it to all subscribers.
     pub fn publish(&self, parts: SharedParts, allows_cuts: bool) -> VersionId {
         self.with(|state| {
             let version_id = state.publisher.publish(parts, allows_cuts);
@@ -123,8 +123,8 @@
         })
     }
 
-    /// Puts a push on one subscriber's stream, whatever the publisher decides. False where no stream
-    /// is open.
+    /// Sends a push on one subscriber's stream, regardless of the publisher. Returns false if no
+    /// stream is open.
     pub fn send(&self, subscriber: u32, push: v1::VersionPush) -> bool {
         self.with(|state| {
             state
@@ -134,12 +134,12 @@
         })
     }
 
-    /// Ends all streams.
+    /// Closes all streams.
     pub fn hang_up(&self) {
         self.with(|state| state.open_streams.clear());
     }
 
-    /// A reply or report of a subscriber.
+    /// Records a reply or report of a subscriber and sends the pushes that follow from it.
     fn receive(&self, message: v1::PushReply) {
         if let Some(active) = &message.active {
             let (dispatcher, number) = (message.dispatcher, active.number);
@@ -167,17 +167,17 @@
         });
     }
 
-    /// All replies and reports so far.
+    /// Returns all replies and reports received so far.
     pub fn replies(&self) -> Vec<Reply> {
         self.with(|state| state.replies.clone())
     }
 
-    /// All that the publisher decided to push.
+    /// Returns all pushes that the publisher decided.
     pub fn pushes(&self) -> Vec<v1::VersionPush> {
         self.with(|state| state.pushes.clone())
     }
 
-    /// The last reply to this push.
+    /// Returns the last reply to the push with this nonce.
     pub fn reply_to(&self, nonce: u64) -> Option<v1::PushReply> {
         self.with(|state| {
             let replies = state.replies.iter().rev();
@@ -188,12 +188,12 @@
         })
     }
 
-    /// The active version of a subscriber, as it reported last.
+    /// Returns the active version that a subscriber reported last.
     pub fn running(&self, subscriber: u32) -> Option<VersionId> {
         self.with(|state| state.publisher.active_version(subscriber))
     }
 
-    /// Streams opened so far.
+    /// Returns the number of streams opened so far.
     pub fn opened(&self) -> usize {
         self.with(|state| state.opened)
     }
@@ -213,7 +213,8 @@
         open_streams.retain(|subscriber, stream| {
             if let Some(push) = publisher.push_for(*subscriber) {
                 pushes.push(push_message(&push));
-                // One that does not read loses its stream, and reports its version anew.
+                // A subscriber that does not read loses its stream and has to report its version
+                // again on a new one.
                 return stream.try_send(push_message(&push)).is_ok();
             }
             !stream.is_closed()
@@ -221,7 +222,7 @@
     }
 }
 
-/// A version id on the wire.
+/// Returns the message of a version id.
 pub fn version_id_message(version_id: VersionId) -> v1::VersionId {
     v1::VersionId {
         number: version_id.number,
@@ -229,7 +230,7 @@
     }
 }
 
-/// None where the digest is none.
+/// Parses the message of a version id. Returns none if the digest is invalid.
 pub fn parse_version_id(message: &v1::VersionId) -> Option<VersionId> {
     Some(VersionId {
         number: message.number,
@@ -237,7 +238,7 @@
     })
 }
 
-/// A push on the wire.
+/// Returns the message of a push.
 pub fn push_message(push: &VersionPush) -> v1::VersionPush {
     v1::VersionPush {
         nonce: push.nonce,
--- a/crates/testbed/src/discovery.rs
+++ b/crates/testbed/src/discovery.rs
@@ -1,5 +1,5 @@
-//! The stand-in of service discovery: it sends each watcher every change of the endpoint list, a
-//! while after the change.
+//! The stand-in for service discovery: sends each watcher every change of the endpoint list, after
+//! a delay given with the change.
 
 use crate::capture::{NodeState, Observation};
 use crate::node::SharedContext;
@@ -16,32 +16,33 @@
 use std::time::{Duration, Instant};
 use tonic::{Request, Response, Status};
 
-/// A start that is more recent than this is recorded as a slow start.
+/// A node that started less than this long ago is recorded as being in its slow start.
 const RECENT_START_MS: u64 = 60_000;
-/// Lists that wait for a watcher to read them.
+/// The maximum number of lists that wait for a watcher to read them.
 const MAX_WAITING_LISTS: usize = 16;
 
-/// The stand-in of service discovery.
+/// The stand-in for service discovery.
 pub struct Discovery {
     context: Arc<SharedContext>,
-    /// Where it listens.
+    /// The address at which it listens.
     pub address: SocketAddr,
     listener: TcpListener,
     server: Mutex<Option<async_executor::Task<()>>>,
     log: Mutex<ChangeLog>,
-    /// By dispatcher.
+    /// The number of lists sent, by dispatcher.
     lists_sent: Mutex<BTreeMap<u32, u64>>,
-    /// Proxies between a dispatcher and a node, whose address is listed in place of the node's own.
+    /// Proxies by dispatcher and node. A dispatcher's list has the proxy's address in place of the
+    /// node's own.
     pub proxies: Mutex<BTreeMap<(u32, u32), Relay>>,
 }
 
-/// The endpoints and how they came to be.
+/// The endpoints and the history of their changes.
 #[derive(Default)]
 struct ChangeLog {
     endpoints: BTreeMap<u32, v1::Endpoint>,
-    /// A change's place, counted from 1, is its version.
+    /// All changes in order. The version of a list is the number of changes that it includes.
     changes: Vec<Change>,
-    /// Wakes the watchers.
+    /// Senders that wake the watchers.
     watchers: Vec<async_channel::Sender<()>>,
 }
 
@@ -51,7 +52,7 @@
 }
 
 impl ChangeLog {
-    /// The changes after a version that may be sent by now.
+    /// Returns the changes after a version whose delay has passed.
     fn visible_after(&self, version: usize) -> Vec<v1::Endpoint> {
         let now = Instant::now();
         self.changes[version..]
@@ -62,7 +63,7 @@
     }
 }
 
-/// The latest state of each endpoint among the changes, by node.
+/// Returns the latest state of each changed endpoint, in the order of node numbers.
 fn latest(changes: Vec<v1::Endpoint>) -> impl Iterator<Item = v1::Endpoint> {
     let latest: BTreeMap<u32, v1::Endpoint> = changes
         .into_iter()
@@ -71,11 +72,12 @@
     latest.into_values()
 }
 
-/// What one watch was sent last of each node: only news is recorded in the capture.
+/// The state and start time of each node as last sent on one watch. The capture records only
+/// differences from these.
 type RecordedStates = BTreeMap<u32, (NodeState, u64)>;
 
 impl Discovery {
-    /// Starts with an empty list. Returns the address at which it listens, too.
+    /// Starts discovery with an empty list. Also returns the address at which it listens.
     pub async fn start(context: &Arc<SharedContext>) -> std::io::Result<(Arc<Self>, SocketAddr)> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
@@ -102,7 +104,7 @@
         *lock(&self.server) = Some(server);
     }
 
-    /// Out of reach for so long, or for good.
+    /// Closes all connections and stops listening for `time`, or permanently if there is none.
     pub fn disconnect(self: &Arc<Self>, time: Option<Duration>) {
         drop(lock(&self.server).take());
         let discovery = Arc::clone(self);
@@ -115,7 +117,7 @@
         }
     }
 
-    /// Changes an endpoint; watchers are sent the change after the delay.
+    /// Changes an endpoint. Watchers receive the change after `delay`.
     pub fn update(&self, delay: Duration, endpoint: v1::Endpoint) {
         if let Ok(address) = endpoint.address.parse() {
             lock(&self.proxies)
@@ -126,7 +128,7 @@
         let mut log = lock(&self.log);
         let now = Instant::now();
         let earliest = log.changes.last().map_or(now, |last| last.visible_at);
-        // Changes are sent in their order.
+        // Changes are sent in order, so none becomes visible before its predecessor.
         log.changes.push(Change {
             visible_at: (now + delay).max(earliest),
             endpoint: endpoint.clone(),
@@ -140,12 +142,12 @@
         });
     }
 
-    /// A node's endpoint as it is now, sent to watchers or not.
+    /// Returns a node's present endpoint, whether or not watchers have received it.
     pub fn endpoint(&self, node: u32) -> Option<v1::Endpoint> {
         lock(&self.log).endpoints.get(&node).cloned()
     }
 
-    /// How many lists a dispatcher was sent.
+    /// Returns how many lists a dispatcher was sent.
     pub fn lists_sent(&self, dispatcher: u32) -> u64 {
         lock(&self.lists_sent)
             .get(&dispatcher)
@@ -153,7 +155,7 @@
             .unwrap_or(0)
     }
 
-    /// The message for a list, with the addresses as the dispatcher is to see them.
+    /// Returns the message of a list for a dispatcher, with the addresses of its proxies.
     fn list(
         &self,
         dispatcher: u32,
@@ -204,7 +206,8 @@
         }
     }
 
-    /// Sends lists until the watcher is gone: a complete one first to one that has none.
+    /// Sends lists until the watcher disconnects. A watcher without a list first gets a complete
+    /// one.
     async fn watch(
         self: Arc<Self>,
         request: v1::ListRequest,
@@ -292,7 +295,7 @@
         let request = request.into_inner();
         let dispatcher = request.dispatcher;
         let watch = Arc::clone(&self.0).watch(request, sender);
-        // Held by the stream itself, so that it ends with it.
+        // The stream owns the task, so that the watch ends with the stream.
         let task = self.0.context.tasks.spawn(watch);
         let discovery = Arc::clone(&self.0);
         let stream = futures_lite::stream::unfold((lists, task), move |(lists, task)| {
--- a/crates/testbed/src/disk.rs
+++ b/crates/testbed/src/disk.rs
@@ -1,4 +1,4 @@
-//! A disk that can be full, for the stores of dispatchers.
+//! A simulated disk that can be full, for the stores of dispatchers.
 
 use corkspan_dispatcher::rollout_control::Store;
 use redb::backends::FileBackend;
@@ -8,18 +8,18 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-/// The disk is full while this is set: whatever would write to it fails.
+/// A switch that makes the disk full: while it is set, writes and changes of length fail.
 #[derive(Clone, Debug, Default)]
 pub struct DiskFull(Arc<AtomicBool>);
 
 impl DiskFull {
-    /// Fills the disk, or frees it.
+    /// Makes the disk full, or frees its space.
     pub fn set(&self, full: bool) {
         self.0.store(full, Ordering::SeqCst);
     }
 }
 
-/// The store of rollouts on such a disk.
+/// Returns a rollout store on a disk that the switch makes full.
 pub fn store(path: PathBuf, full: &DiskFull) -> Store {
     let full = full.clone();
     Store::with_opener(move || {
@@ -37,6 +37,7 @@
     })
 }
 
+/// A storage backend that rejects writes while the disk is full.
 #[derive(Debug)]
 struct Disk {
     file: FileBackend,
--- a/crates/testbed/src/fault_proxies.rs
+++ b/crates/testbed/src/fault_proxies.rs
@@ -1,5 +1,5 @@
-//! The links of a day's dispatchers, each through a relay of its own, so that a day's troubles can
-//! strike them one by one.
+//! The connections of a scenario's dispatchers. Each goes through its own relay, so that faults can
+//! be injected into them one by one.
 
 use crate::discovery::Discovery;
 use crate::relay::{Direction, Relay};
@@ -11,16 +11,18 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Nobody listens there: what leads there is refused until it leads elsewhere.
+/// An address without a listener: connections to it are refused until the relay gets another
+/// target.
 const UNUSED_ADDRESS: SocketAddr =
     SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 1);
-/// Others that one dispatcher may have a newer version from.
+/// The maximum number of peers from which a dispatcher can get a newer version.
 const MAX_PEERS: usize = 3;
 
-/// Relays that stand, but for those to nodes, which the roster keeps, since it tells of them.
+/// The relays of all dispatchers. Those to nodes are held by [`Discovery`], which lists their
+/// addresses.
 pub struct FaultProxies {
     relays: BTreeMap<(usize, LinkPeer), Vec<Relay>>,
-    /// Whom each one's peers' relays lead to.
+    /// For each dispatcher, the dispatchers to which its peer relays lead.
     peers: Vec<Vec<usize>>,
     quorum_members: Vec<u32>,
     discovery: Arc<Discovery>,
@@ -57,7 +59,8 @@
             }
             relays.insert((dispatcher, LinkPeer::Dispatchers), peer_relays);
             peers.push(peer_numbers);
-            // Thousands of links where all nodes have theirs: only those that a trouble strikes.
+            // Relays to all nodes would be thousands of connections: only the nodes given, those
+            // with a fault, get one.
             for &(node, address) in nodes {
                 let relay = Relay::start(tasks, address).await?;
                 discovery
@@ -75,11 +78,12 @@
         })
     }
 
-    /// Where a dispatcher finds the one that is at this end; none where there is none.
+    /// Returns the address at which a dispatcher reaches this peer; none if it has no relay to it.
     pub fn address(&self, dispatcher: usize, peer: LinkPeer) -> Option<SocketAddr> {
         self.addresses(dispatcher, peer).first().copied()
     }
 
+    /// Returns the addresses of all relays from a dispatcher to this type of peer.
     pub fn addresses(&self, dispatcher: usize, peer: LinkPeer) -> Vec<SocketAddr> {
         self.relays
             .get(&(dispatcher, peer))
@@ -89,7 +93,7 @@
             .collect()
     }
 
-    /// A dispatcher listens here from now on.
+    /// Directs the relays to a dispatcher to its new address.
     pub fn set_dispatcher_address(&self, dispatcher: usize, address: SocketAddr) {
         for (source, peers) in self.peers.iter().enumerate() {
             let peer_relays = self
@@ -104,7 +108,7 @@
         }
     }
 
-    /// Bytes that came to a dispatcher from this end, and that it sent there.
+    /// Returns the bytes that a dispatcher received from this type of peer and sent to it.
     pub fn bytes_passed(&self, dispatcher: usize, peer: LinkPeer) -> [u64; 2] {
         let passed = std::cell::Cell::new([0; 2]);
         self.for_each_relay(dispatcher, peer, |relay| {
@@ -114,8 +118,8 @@
         passed.get()
     }
 
-    /// Does it to each link of a dispatcher that ends there. Keepers are nodes: links to these
-    /// alone, or to the others.
+    /// Calls `action` for each relay from a dispatcher to this type of peer. Quorum members are
+    /// nodes too: `Keepers` selects the relays to them, `Nodes` those to all other nodes.
     fn for_each_relay(&self, dispatcher: usize, peer: LinkPeer, action: impl Fn(&Relay)) {
         self.relays
             .get(&(dispatcher, peer))
@@ -138,6 +142,7 @@
         selected.for_each(|(_, relay)| action(relay));
     }
 
+    /// Holds or delays the bytes between a dispatcher and the fault's peers.
     pub fn inject(&self, dispatcher: usize, fault: &ScheduledFault) {
         for &peer in &fault.peers {
             self.for_each_relay(dispatcher, peer, |relay| match fault.delay {
@@ -147,13 +152,14 @@
         }
     }
 
-    /// Nothing of newer versions reaches it, though its stream stands.
+    /// Keeps newer versions from a dispatcher while its control stream stays open.
     pub fn hold_versions(&self, dispatcher: usize) {
         self.for_each_relay(dispatcher, LinkPeer::Control, |relay| {
             relay.hold(&[Direction::In])
         });
     }
 
+    /// Removes the faults between a dispatcher and these types of peers.
     pub fn heal(&self, dispatcher: usize, peers: &[LinkPeer]) {
         peers
             .iter()
--- a/crates/testbed/src/process.rs
+++ b/crates/testbed/src/process.rs
@@ -1,5 +1,5 @@
-//! The dispatchers' processes: real ones, a dispatcher each, and hollow ones, with many. What
-//! strikes a process strikes all dispatchers in it.
+//! The processes of the dispatchers: real ones with one dispatcher each, and hollow ones with many.
+//! A fault of a process affects all dispatchers in it.
 
 use crate::capture::{DispatcherState, Observation};
 use crate::client::Frontend;
@@ -16,17 +16,17 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// What is started, each with its first arguments.
+/// The programs of dispatcher processes, each with its first arguments.
 #[derive(Clone, Debug)]
 pub struct Programs {
-    /// `serve FILE` follows.
+    /// The real dispatcher; `serve FILE` is appended.
     pub real: Vec<OsString>,
-    /// Deployment files follow.
+    /// The hollow dispatchers; the deployment files are appended.
     pub hollow: Vec<OsString>,
 }
 
 impl Programs {
-    /// Of this laboratory's binary.
+    /// Returns the programs that run as subcommands of the testbed's binary.
     pub fn with_binary(binary: &Path) -> Programs {
         let binary = OsString::from(binary);
         Programs {
@@ -42,14 +42,16 @@
     }
 }
 
+/// A process with one or more dispatchers.
 pub(crate) struct Process {
+    /// The numbers of its dispatchers.
     pub numbers: Range<usize>,
     pub hollow: bool,
-    /// One for each.
+    /// One deployment file for each dispatcher.
     pub files: Vec<PathBuf>,
     pub program: Vec<OsString>,
     pub log: Option<PathBuf>,
-    /// Its disk is filled at some time of the day.
+    /// Whether the scenario fills the disk of this process.
     pub fills_disk: bool,
     pub child: Option<Child>,
 }
@@ -72,8 +74,8 @@
         let (program, arguments) = self.program.split_first().ok_or("no program is given")?;
         let mut command = match self.fills_disk {
             false => Command::new(program),
-            // A write beyond what its files may hold fails as on a full disk, once the signal for
-            // it is passed over.
+            // With SIGXFSZ ignored, a write beyond the file size limit fails as on a full disk
+            // instead of ending the process.
             true => {
                 let mut shell = Command::new("sh");
                 shell
@@ -167,7 +169,7 @@
             .map_err(|error| error.to_string())
     }
 
-    /// Its files may hold so many bytes from now on; none: as many as they like.
+    /// Limits the size of the files that the process writes; none removes the limit.
     pub fn limit_file_size(&mut self, max_bytes: Option<u64>) -> Result<(), String> {
         let Some(child) = &self.child else {
             return Ok(());
@@ -192,14 +194,14 @@
         let Some(child) = &self.child else {
             return Ok(());
         };
-        // Going on counts from before it does, standing still from before it does: neither flatters
-        // it.
+        // Both stopping and continuing are recorded before the signal is sent, so that the record
+        // is not in the dispatcher's favour.
         self.record(frontend, state);
         rustix::process::kill_process(rustix::process::Pid::from_child(child), signal)
             .map_err(|error| error.to_string())
     }
 
-    /// Asks it to stop and waits for it.
+    /// Sends SIGTERM and waits for the process to exit.
     pub async fn stop(&mut self, frontend: &Frontend) -> Result<(), String> {
         self.signal(
             frontend,
@@ -236,7 +238,7 @@
         cost::resident_kib(self.child.as_ref()?.id())
     }
 
-    /// What the kernel counts of it; none where it does not run.
+    /// Returns the kernel's resource counters of the process; none if it does not run.
     pub fn cost(&self) -> Option<cost::Reading> {
         let process = self.child.as_ref()?.id();
         Some(cost::Reading {
@@ -253,7 +255,7 @@
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // A day that breaks off leaves no process behind.
+        // A scenario that is aborted leaves no process behind.
         if let Some(mut child) = self.child.take() {
             let _ = child.kill().and_then(|()| child.wait());
         }
--- a/crates/testbed/src/relay.rs
+++ b/crates/testbed/src/relay.rs
@@ -1,7 +1,7 @@
-//! A relay on loopback between two processes, which can be made to fail as a network does: hold
-//! what goes one way or both while links stand open in silence, hold new links alone, delay, and
-//! reset. What it holds it passes on when it is healed, as a network that comes back does; what it
-//! is told to reset is gone.
+//! A loopback relay between two processes that injects network faults: it holds the bytes of one or
+//! both directions while connections stay open, holds new connections only, delays bytes, and
+//! resets connections. Held bytes are passed on when the relay is healed, as after a network outage;
+//! bytes on a connection that is reset are lost.
 
 use async_io::Timer;
 use async_net::{TcpListener, TcpStream};
@@ -11,52 +11,53 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-/// Which of the bytes, as the process sees it that opens links through the relay.
+/// A direction of bytes, as seen by the process that opens connections through the relay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Direction {
-    /// To it.
+    /// To that process.
     In,
-    /// From it.
+    /// From that process.
     Out,
 }
 
-/// What the relay does to bytes of one way.
+/// The fault that the relay injects into one direction.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum Fault {
     #[default]
     None,
-    /// Nothing passes, and nobody is told.
+    /// No bytes pass, and neither end is notified.
     Hold,
-    /// All pass, in their order, so much later.
+    /// All bytes pass in order, delayed by this duration.
     Delay(Duration),
 }
 
 #[derive(Default)]
 struct State {
     faults: [Fault; 2],
-    /// New links come to stand at neither end.
+    /// Whether new connections are held: accepted, but not connected to the target.
     holds_new_connections: bool,
-    /// Where new links lead.
+    /// The address to which new connections are relayed.
     target: Option<SocketAddr>,
-    /// Links that stand: dropped, they are reset.
+    /// One sender for each open connection; dropping it resets the connection.
     connections: Vec<async_channel::Sender<()>>,
-    /// Bytes to and from the process that opens links, in the order of [`Direction`], counted at its
-    /// side.
+    /// Bytes to and from the process that opens connections, in the order of [`Direction`], counted
+    /// at the connection to that process.
     bytes_passed: [u64; 2],
-    /// Wakes what is held.
+    /// Wakes the tasks that wait for a change of this state.
     changed: notification::ChangeNotification,
 }
 
-/// A relay to one address. Dropped, it goes with all its links.
+/// A relay to one address. Dropping it resets all its connections.
 pub struct Relay {
     pub address: SocketAddr,
     state: Arc<Mutex<State>>,
     _accept_task: async_executor::Task<()>,
 }
 
-/// Bytes read at once.
+/// The size of the read buffer.
 const READ_BUFFER_BYTES: usize = 64 * 1024;
-/// Pieces read and not passed on yet; beyond, the sender's own buffers fill.
+/// The maximum number of chunks read but not yet passed on. Beyond it the relay stops reading and
+/// the sender's own buffers fill.
 const MAX_QUEUED_CHUNKS: usize = 256;
 
 impl Relay {
@@ -91,12 +92,12 @@
         state.changed.notify();
     }
 
-    /// New links lead here from now on: who listens there was started anew.
+    /// Changes the target of new connections, for a listener that was restarted.
     pub fn set_target(&self, target: SocketAddr) {
         self.update(|state| state.target = Some(target));
     }
 
-    /// From here on nothing passes these ways, on links that stand and on new ones.
+    /// Holds all bytes in these directions, on open and on new connections.
     pub fn hold(&self, directions: &[Direction]) {
         self.update(|state| {
             directions
@@ -105,6 +106,7 @@
         });
     }
 
+    /// Delays all bytes in these directions, on open and on new connections.
     pub fn delay(&self, directions: &[Direction], delay: Duration) {
         self.update(|state| {
             directions
@@ -113,22 +115,23 @@
         });
     }
 
-    /// Links that stand go on; no other comes to stand.
+    /// Holds new connections; open ones continue.
     pub fn hold_new_connections(&self) {
         self.update(|state| state.holds_new_connections = true);
     }
 
-    /// Bytes that came to the process that opens links through it, and that it sent, as far as this
-    /// end has taken them.
+    /// Returns the bytes written to and read from the process that opens connections through the
+    /// relay, in the order of [`Direction`].
     pub fn bytes_passed(&self) -> [u64; 2] {
         lock(&self.state).bytes_passed
     }
 
-    /// Breaks all links that stand, at both ends.
+    /// Resets all open connections at both ends.
     pub fn reset(&self) {
         self.update(|state| state.connections.clear());
     }
 
+    /// Removes all faults; held bytes and connections pass on.
     pub fn heal(&self) {
         self.update(|state| {
             (state.faults, state.holds_new_connections) = ([Fault::None; 2], false)
@@ -154,8 +157,8 @@
         connections.push(reset_sender);
     }
     let relayed = async {
-        // Accepted by the kernel, and so far as the other end can see by nobody: held before its
-        // other half exists.
+        // The kernel has accepted the connection, but the target has not seen it yet: a held
+        // connection waits here, before its other half exists.
         wait_for(&state, |state| (!state.holds_new_connections).then_some(())).await;
         let Some(target) = lock(&state).target else {
             return;
@@ -175,8 +178,9 @@
     let _ = client.shutdown(Shutdown::Both);
 }
 
-/// Passes bytes on until their end, and then the end. Read apart from where they are written: what
-/// is late must not hold up what comes after it, or each piece would be later than the one before.
+/// Forwards bytes up to the end of the stream, and then the end itself. Reading and writing run
+/// concurrently: if a delayed chunk held up the reading of the next one, the delays would add up
+/// from chunk to chunk.
 async fn forward(
     state: &Mutex<State>,
     direction: Direction,
@@ -198,7 +202,7 @@
                 break;
             }
         }
-        // The end is as late as all before it.
+        // The end of the stream is delayed like all bytes before it.
         let _ = chunk_sender.send((Instant::now(), Vec::new())).await;
         chunk_sender.close();
     };
@@ -218,13 +222,13 @@
             }
         }
         let _ = to.shutdown(Shutdown::Write);
-        // Nobody takes any more: the reader is not to wait for room.
+        // No more chunks are taken, so the reader must not wait for space in the queue.
         chunks.close();
     };
     futures_lite::future::zip(reading, writing).await;
 }
 
-/// What the state comes to allow.
+/// Waits until the condition returns a value for the state, and returns that value.
 async fn wait_for<T>(state: &Mutex<State>, condition: impl Fn(&State) -> Option<T>) -> T {
     loop {
         let changed = {
@@ -238,7 +242,8 @@
     }
 }
 
-/// Word to all that wait, none of which can be missed: it is waited for from within the lock.
+/// A notification to all waiting tasks. None is missed, as a task starts to wait while it holds the
+/// lock of the state.
 mod notification {
     use std::future::Future;
 
--- a/crates/testbed/src/traffic.rs
+++ b/crates/testbed/src/traffic.rs
@@ -1,15 +1,15 @@
-//! What a dispatcher counted on its links held against what relays saw pass, kind by kind. The
-//! relays know nothing of the dispatcher's counters.
+//! Compares the traffic that a dispatcher reports with the bytes that relays observed, for each
+//! type of peer. The relays count independently of the dispatcher.
 
 use crate::fault_proxies::FaultProxies;
 use crate::scenario::{LINK_PEERS, LinkPeer};
 use corkspan_api::v1::{self, connection_traffic::Kind};
 use std::fmt;
 
-/// Bytes to a dispatcher and from it.
+/// Bytes received and sent by a dispatcher.
 pub type Bytes = [u64; 2];
 
-/// A kind of link on which the two tell different bytes.
+/// A type of peer for which the reported and the observed bytes differ.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Difference {
     pub peer: LinkPeer,
@@ -32,6 +32,7 @@
     }
 }
 
+/// Returns the kind under which a dispatcher reports the traffic with a type of peer.
 pub fn traffic_kind(peer: LinkPeer) -> Kind {
     match peer {
         LinkPeer::Dispatchers => Kind::Dispatchers,
@@ -42,7 +43,7 @@
     }
 }
 
-/// What a dispatcher tells of a kind; nothing passed where it tells nothing.
+/// Returns the reported traffic of a kind, or zero traffic if there is no report of it.
 pub fn traffic_of(counts: &[v1::ConnectionTraffic], kind: Kind) -> v1::ConnectionTraffic {
     counts
         .iter()
@@ -51,7 +52,7 @@
         .unwrap_or_default()
 }
 
-/// What passed the relays of one dispatcher at each end.
+/// Returns the bytes that passed the relays of one dispatcher, by type of peer.
 pub fn relay_traffic(proxies: &FaultProxies, dispatcher: usize) -> Vec<(LinkPeer, Bytes)> {
     LINK_PEERS
         .iter()
@@ -59,6 +60,7 @@
         .collect()
 }
 
+/// Returns the types of peers for which the reported and the observed bytes differ.
 pub fn differences(
     reported: &[v1::ConnectionTraffic],
     observed: &[(LinkPeer, Bytes)],
