--- a/crates/testbed/src/client.rs
+++ b/crates/testbed/src/client.rs
@@ -43,7 +43,9 @@
     }
 
     pub fn set_address(&self, dispatcher: usize, address: Option<SocketAddr>) {
-        *self.routes[dispatcher].lock().expect("unshared") = Route {
+        *self.routes[dispatcher]
+            .lock()
+            .expect("no thread panics while holding the lock") = Route {
             address,
             connection: None,
         };
@@ -58,7 +60,10 @@
     }
 
     pub fn address(&self, dispatcher: usize) -> Option<SocketAddr> {
-        self.routes[dispatcher].lock().expect("unshared").address
+        self.routes[dispatcher]
+            .lock()
+            .expect("no thread panics while holding the lock")
+            .address
     }
 
     pub async fn rollouts_client(&self, dispatcher: usize) -> Option<RollsClient<Connection>> {
@@ -67,7 +72,9 @@
 
     async fn connect(&self, dispatcher: usize) -> Option<Connection> {
         let (address, connection) = {
-            let route = self.routes[dispatcher].lock().expect("unshared");
+            let route = self.routes[dispatcher]
+                .lock()
+                .expect("no thread panics while holding the lock");
             (
                 route.address,
                 route.connection.clone().filter(Connection::is_open),
@@ -83,7 +90,9 @@
                 let connection = Connection::open(&self.context.tasks, address, &limits)
                     .await
                     .ok()?;
-                let mut route = self.routes[dispatcher].lock().expect("unshared");
+                let mut route = self.routes[dispatcher]
+                    .lock()
+                    .expect("no thread panics while holding the lock");
                 if route.address == Some(address) {
                     route.connection = Some(connection.clone());
                 }
--- a/crates/testbed/src/control_service.rs
+++ b/crates/testbed/src/control_service.rs
@@ -102,7 +102,7 @@
             &mut self
                 .state
                 .lock()
-                .expect("no one panics while holding the state"),
+                .expect("no thread panics while holding the lock"),
         )
     }
 
@@ -284,11 +284,12 @@
         let first = messages
             .message()
             .await?
-            .ok_or_else(|| Status::invalid_argument("nothing is told"))?;
+            .ok_or_else(|| Status::invalid_argument("the stream ended before its first report"))?;
         let subscriber = first.dispatcher;
         let running = first.active.as_ref().and_then(parse_version_id);
-        let running =
-            running.ok_or_else(|| Status::invalid_argument("it does not tell what it runs"))?;
+        let running = running.ok_or_else(|| {
+            Status::invalid_argument("the first report has no valid active version")
+        })?;
         let (sender, pushes) = async_channel::bounded(MAX_WAITING_PUSHES);
         let control = self.0.clone();
         control.with(|state| {
--- a/crates/testbed/src/discovery.rs
+++ b/crates/testbed/src/discovery.rs
@@ -258,7 +258,9 @@
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
-    mutex.lock().expect("no one panics while it is held")
+    mutex
+        .lock()
+        .expect("no thread panics while holding the lock")
 }
 
 #[derive(Clone)]
--- a/crates/testbed/src/fault_proxies.rs
+++ b/crates/testbed/src/fault_proxies.rs
@@ -66,7 +66,7 @@
                 discovery
                     .proxies
                     .lock()
-                    .expect("unshared")
+                    .expect("no thread panics while holding the lock")
                     .insert((dispatcher as u32, node), relay);
             }
         }
@@ -130,7 +130,7 @@
             .discovery
             .proxies
             .lock()
-            .expect("no one panics while it is held");
+            .expect("no thread panics while holding the lock");
         let own_proxies = proxies
             .iter()
             .filter(|((source, _), _)| *source as usize == dispatcher);
--- a/crates/testbed/src/node/service.rs
+++ b/crates/testbed/src/node/service.rs
@@ -122,7 +122,7 @@
             Timer::after(node.config.review_time / 8).await;
         }
         if !node.wait_while_stalled(incarnation).await {
-            return Err(Status::unavailable("gone"));
+            return Err(Status::unavailable("the node's process has ended"));
         }
         let load = node.load_report(&mut node.state());
         Ok(Response::new(v1::HealthCheckResponse {
--- a/crates/testbed/src/process.rs
+++ b/crates/testbed/src/process.rs
@@ -106,7 +106,10 @@
         let mut child = command
             .spawn()
             .map_err(|error| format!("{}: {error}", program.display()))?;
-        let stdout = child.stdout.take().ok_or("no standard output")?;
+        let stdout = child
+            .stdout
+            .take()
+            .ok_or("the dispatcher process has no standard output")?;
         self.child = Some(child);
         let dispatcher_count = self.numbers.len();
         let lines = blocking::unblock(move || {
@@ -115,7 +118,7 @@
         });
         let lines = within(Duration::from_secs(20), lines).await;
         let lines = lines
-            .ok_or("a dispatcher does not start to listen")?
+            .ok_or("a dispatcher did not start to listen in time")?
             .map_err(|error| error.to_string())?;
         let mut addresses: Vec<(usize, SocketAddr)> = Vec::new();
         for line in &lines {
@@ -136,7 +139,7 @@
         }
         if addresses.len() < dispatcher_count {
             return Err(format!(
-                "{} of {dispatcher_count} dispatchers of a process listen",
+                "only {} of {dispatcher_count} dispatchers of a process are listening",
                 addresses.len()
             ));
         }
@@ -182,7 +185,7 @@
         let result = rustix::process::prlimit(Some(pid), rustix::process::Resource::Fsize, limit);
         result
             .map(drop)
-            .map_err(|error| format!("a disk can't be filled: {error}"))
+            .map_err(|error| format!("can't change the file size limit: {error}"))
     }
 
     pub fn signal(
@@ -229,7 +232,7 @@
             let _ = child.kill().and_then(|()| child.wait());
         }
         Err(format!(
-            "dispatchers {:?} did not stop with 0: {status:?}",
+            "dispatchers {:?} did not exit with status 0: {status:?}",
             self.numbers
         ))
     }
--- a/crates/testbed/src/relay.rs
+++ b/crates/testbed/src/relay.rs
@@ -146,7 +146,9 @@
 }
 
 fn lock(state: &Mutex<State>) -> MutexGuard<'_, State> {
-    state.lock().expect("no one panics while it is held")
+    state
+        .lock()
+        .expect("no thread panics while holding the lock")
 }
 
 async fn relay_connection(state: Arc<Mutex<State>>, client: TcpStream) {
--- a/crates/testbed/src/traffic.rs
+++ b/crates/testbed/src/traffic.rs
@@ -26,7 +26,7 @@
         } = self;
         write!(
             f,
-            "{peer:?}: told {} in, {} out; seen {}, {}",
+            "{peer:?}: reported {} in, {} out; observed {} in, {} out",
             reported[0], reported[1], observed[0], observed[1]
         )
     }
