--- a/crates/testbed/src/relay.rs
+++ b/crates/testbed/src/relay.rs
@@ -1,7 +1,7 @@
 //! A loopback relay between two processes that injects network faults: it holds the bytes of one or
 //! both directions while connections stay open, holds new connections only, delays bytes, and
-//! resets connections. Held bytes are passed on when the relay is healed, as after a network outage;
-//! bytes on a connection that is reset are lost.
+//! resets connections. Held bytes are passed on when the relay is healed, as after a network
+//! outage; bytes on a connection that is reset are lost.
 
 use async_io::Timer;
 use async_net::{TcpListener, TcpStream};
