--- a/crates/testbed/tests/relay.rs
+++ b/crates/testbed/tests/relay.rs
@@ -7,40 +7,41 @@
 use std::time::{Duration, Instant};
 use test_case::test_case;
 
-const PATIENCE: Duration = Duration::from_secs(20);
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 /// Long enough for anything that is not held to come.
-const A_WHILE: Duration = Duration::from_millis(100);
+const SHORT_WAIT: Duration = Duration::from_millis(100);
 
-struct Link {
+struct RelayedConnection {
     tasks: SharedExecutor,
     relay: Relay,
-    opener: TcpStream,
-    other: TcpStream,
+    client: TcpStream,
+    server: TcpStream,
     listener: TcpListener,
 }
 
-fn story<F: Future<Output = ()>>(story: impl FnOnce(Link) -> F) {
+fn run_test<F: Future<Output = ()>>(test: impl FnOnce(RelayedConnection) -> F) {
     let tasks = SharedExecutor::default();
-    let whole = async {
+    let set_up_and_run = async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let relay = Relay::start(&tasks, listener.local_addr().expect("bound"))
             .await
             .expect("a port");
-        let opener = TcpStream::connect(relay.address).await.expect("it listens");
-        let (other, _) = listener.accept().await.expect("passed on");
-        story(Link {
+        let client = TcpStream::connect(relay.address).await.expect("it listens");
+        let (server, _) = listener.accept().await.expect("passed on");
+        test(RelayedConnection {
             tasks: tasks.clone(),
             relay,
-            opener,
-            other,
+            client,
+            server,
             listener,
         })
         .await;
     };
-    future::block_on(tasks.run(within(PATIENCE, whole))).expect("the story comes to its end");
+    future::block_on(tasks.run(within(TEST_TIMEOUT, set_up_and_run)))
+        .expect("the story comes to its end");
 }
 
-async fn hears(stream: &mut TcpStream) -> Option<u8> {
+async fn read_byte(stream: &mut TcpStream) -> Option<u8> {
     let mut byte = [0];
     match stream.read(&mut byte).await {
         Ok(1) => Some(byte[0]),
@@ -48,80 +49,87 @@
     }
 }
 
-#[test_case(&[Direction::In]; "only what comes back")]
-#[test_case(&[Direction::Out]; "only what is sent")]
-#[test_case(&[Direction::In, Direction::Out]; "both")]
-fn a_way_that_is_held_is_silent_and_tells_all_when_it_is_healed(ways: &[Direction]) {
-    story(async |mut link| {
-        link.relay.hold(ways);
-        link.opener.write_all(b"o").await.expect("taken");
-        link.other.write_all(b"i").await.expect("taken");
-        let out = within(A_WHILE, hears(&mut link.other)).await;
-        let back = within(A_WHILE, hears(&mut link.opener)).await;
+#[test_case(&[Direction::In]; "only received bytes")]
+#[test_case(&[Direction::Out]; "only sent bytes")]
+#[test_case(&[Direction::In, Direction::Out]; "both directions")]
+fn a_held_direction_is_silent_and_passes_its_bytes_when_healed(directions: &[Direction]) {
+    run_test(async |mut connection| {
+        connection.relay.hold(directions);
+        connection.client.write_all(b"o").await.expect("taken");
+        connection.server.write_all(b"i").await.expect("taken");
+        let out = within(SHORT_WAIT, read_byte(&mut connection.server)).await;
+        let back = within(SHORT_WAIT, read_byte(&mut connection.client)).await;
         assert_eq!(
             (out.is_none(), back.is_none()),
             (
-                ways.contains(&Direction::Out),
-                ways.contains(&Direction::In)
+                directions.contains(&Direction::Out),
+                directions.contains(&Direction::In)
             )
         );
-        link.relay.heal();
+        connection.relay.heal();
         let out = match out {
             Some(byte) => byte,
-            None => hears(&mut link.other).await,
+            None => read_byte(&mut connection.server).await,
         };
         let back = match back {
             Some(byte) => byte,
-            None => hears(&mut link.opener).await,
+            None => read_byte(&mut connection.client).await,
         };
         assert_eq!((out, back), (Some(b'o'), Some(b'i')));
     });
 }
 
 #[test]
-fn new_links_alone_are_held_while_one_that_stands_goes_on() {
-    story(async |mut link| {
-        link.relay.hold_new_connections();
-        let mut late = TcpStream::connect(link.relay.address)
+fn new_connections_are_held_while_an_open_one_continues() {
+    run_test(async |mut connection| {
+        connection.relay.hold_new_connections();
+        let mut new_client = TcpStream::connect(connection.relay.address)
             .await
             .expect("the relay itself is there");
-        late.write_all(b"n").await.expect("taken");
-        assert!(within(A_WHILE, link.listener.accept()).await.is_none());
-        link.opener.write_all(b"o").await.expect("taken");
-        assert_eq!(hears(&mut link.other).await, Some(b'o'));
-        link.relay.heal();
-        let (mut other, _) = link.listener.accept().await.expect("passed on");
-        assert_eq!(hears(&mut other).await, Some(b'n'));
+        new_client.write_all(b"n").await.expect("taken");
+        assert!(
+            within(SHORT_WAIT, connection.listener.accept())
+                .await
+                .is_none()
+        );
+        connection.client.write_all(b"o").await.expect("taken");
+        assert_eq!(read_byte(&mut connection.server).await, Some(b'o'));
+        connection.relay.heal();
+        let (mut server, _) = connection.listener.accept().await.expect("passed on");
+        assert_eq!(read_byte(&mut server).await, Some(b'n'));
     });
 }
 
 #[test]
-fn a_reset_ends_both_sides_of_all_links_and_new_ones_stand() {
-    story(async |mut link| {
-        link.relay.hold(&[Direction::In, Direction::Out]);
-        link.relay.reset();
+fn a_reset_closes_both_ends_of_all_connections_and_new_ones_open() {
+    run_test(async |mut connection| {
+        connection.relay.hold(&[Direction::In, Direction::Out]);
+        connection.relay.reset();
         assert_eq!(
-            (hears(&mut link.opener).await, hears(&mut link.other).await),
+            (
+                read_byte(&mut connection.client).await,
+                read_byte(&mut connection.server).await
+            ),
             (None, None)
         );
-        link.relay.heal();
-        let mut again = TcpStream::connect(link.relay.address)
+        connection.relay.heal();
+        let mut new_client = TcpStream::connect(connection.relay.address)
             .await
             .expect("it listens");
-        again.write_all(b"a").await.expect("taken");
-        let (mut other, _) = link.listener.accept().await.expect("passed on");
-        assert_eq!(hears(&mut other).await, Some(b'a'));
-        drop(link.tasks);
+        new_client.write_all(b"a").await.expect("taken");
+        let (mut server, _) = connection.listener.accept().await.expect("passed on");
+        assert_eq!(read_byte(&mut server).await, Some(b'a'));
+        drop(connection.tasks);
     });
 }
 
 #[test]
-fn what_is_delayed_comes_late_and_whole() {
-    story(async |mut link| {
-        link.relay.delay(&[Direction::Out], A_WHILE);
+fn delayed_bytes_arrive_after_the_delay() {
+    run_test(async |mut connection| {
+        connection.relay.delay(&[Direction::Out], SHORT_WAIT);
         let since = Instant::now();
-        link.opener.write_all(b"d").await.expect("taken");
-        assert_eq!(hears(&mut link.other).await, Some(b'd'));
-        assert!(since.elapsed() >= A_WHILE);
+        connection.client.write_all(b"d").await.expect("taken");
+        assert_eq!(read_byte(&mut connection.server).await, Some(b'd'));
+        assert!(since.elapsed() >= SHORT_WAIT);
     });
 }
--- a/crates/testbed/tests/stand_in_node.rs
+++ b/crates/testbed/tests/stand_in_node.rs
@@ -26,24 +26,24 @@
 
 /// Sends and receives messages as the bytes that they are.
 #[derive(Clone, Copy, Default)]
-struct Raw;
+struct RawCodec;
 
-impl Codec for Raw {
+impl Codec for RawCodec {
     type Encode = Vec<u8>;
     type Decode = Vec<u8>;
-    type Encoder = Raw;
-    type Decoder = Raw;
+    type Encoder = RawCodec;
+    type Decoder = RawCodec;
 
-    fn encoder(&mut self) -> Raw {
-        Raw
+    fn encoder(&mut self) -> RawCodec {
+        RawCodec
     }
 
-    fn decoder(&mut self) -> Raw {
-        Raw
+    fn decoder(&mut self) -> RawCodec {
+        RawCodec
     }
 }
 
-impl Encoder for Raw {
+impl Encoder for RawCodec {
     type Item = Vec<u8>;
     type Error = Status;
 
@@ -53,7 +53,7 @@
     }
 }
 
-impl Decoder for Raw {
+impl Decoder for RawCodec {
     type Item = Vec<u8>;
     type Error = Status;
 
@@ -95,7 +95,7 @@
     }
 }
 
-fn hex(bytes: &[u8]) -> String {
+fn format_hex(bytes: &[u8]) -> String {
     let mut text = String::new();
     for byte in bytes {
         write!(text, "{byte:02x}").expect("a string");
@@ -104,7 +104,7 @@
     if text.is_empty() { "-".into() } else { text }
 }
 
-fn bytes(hex: &str) -> Vec<u8> {
+fn parse_hex(hex: &str) -> Vec<u8> {
     let digits = hex.trim_start_matches('-').as_bytes();
     let pairs = digits.chunks(2).map(|pair| std::str::from_utf8(pair));
     pairs
@@ -112,7 +112,7 @@
         .collect()
 }
 
-fn failed(status: &Status) -> String {
+fn format_status(status: &Status) -> String {
     format!("! {} {}", status.code() as i32, status.message())
 }
 
@@ -120,91 +120,95 @@
 struct Conversation {
     tasks: SharedExecutor,
     node: Arc<Node>,
-    link: Connection,
+    connection: Connection,
 }
 
 impl Conversation {
-    async fn begin(tasks: &SharedExecutor) -> Conversation {
+    async fn start(tasks: &SharedExecutor) -> Conversation {
         let capture = Capture::new(None).expect("no file, no failure");
         let context = SharedContext::new(capture, tasks, Some("jobs".into()));
         let node = Node::new(config(), &context);
-        let link = Conversation::connect(tasks, &node).await;
+        let connection = Conversation::connect(tasks, &node).await;
         let tasks = Arc::clone(tasks);
-        Conversation { tasks, node, link }
+        Conversation {
+            tasks,
+            node,
+            connection,
+        }
     }
 
     async fn connect(tasks: &SharedExecutor, node: &Arc<Node>) -> Connection {
         let address = node.start_process(false).await.expect("a port");
-        let link = Connection::open(tasks, address, &ConnectionLimits::default()).await;
-        link.expect("it listens")
+        let connection = Connection::open(tasks, address, &ConnectionLimits::default()).await;
+        connection.expect("it listens")
     }
 
     async fn unary(&self, method: &str, request: Vec<u8>) -> String {
-        let mut client = tonic::client::Grpc::new(self.link.clone());
+        let mut client = tonic::client::Grpc::new(self.connection.clone());
         client.ready().await.expect("a link");
         let path = format!("/corkspan.v1.Node/{method}");
         let path = path.parse().expect("a path");
-        match client.unary(Request::new(request), path, Raw).await {
-            Ok(answer) => hex(&steady(method, answer.into_inner())),
-            Err(status) => failed(&status),
+        match client.unary(Request::new(request), path, RawCodec).await {
+            Ok(reply) => format_hex(&without_elapsed_time(method, reply.into_inner())),
+            Err(status) => format_status(&status),
         }
     }
 
     async fn stream(&self, method: &str, request: Vec<u8>) -> String {
-        let mut client = tonic::client::Grpc::new(self.link.clone());
+        let mut client = tonic::client::Grpc::new(self.connection.clone());
         client.ready().await.expect("a link");
         let path = format!("/corkspan.v1.Node/{method}");
         let path = path.parse().expect("a path");
-        let answer = client
-            .server_streaming(Request::new(request), path, Raw)
+        let reply = client
+            .server_streaming(Request::new(request), path, RawCodec)
             .await;
-        match answer {
-            Ok(answer) => messages(answer.into_inner()).await,
-            Err(status) => failed(&status),
+        match reply {
+            Ok(reply) => read_messages(reply.into_inner()).await,
+            Err(status) => format_status(&status),
         }
     }
 
     /// What this line comes to now.
     async fn replay(&mut self, line: &str) -> String {
         let call = line.split(" = ").next().expect("a call");
-        let answer = match call.split(' ').collect::<Vec<_>>()[..] {
+        let reply = match call.split(' ').collect::<Vec<_>>()[..] {
             ["restart"] => {
                 self.node.kill(NodeState::Gone);
-                self.link = Conversation::connect(&self.tasks, &self.node).await;
+                self.connection = Conversation::connect(&self.tasks, &self.node).await;
                 return line.to_owned();
             }
-            ["unary", method, request] => self.unary(method, bytes(request)).await,
-            ["stream", method, request] => self.stream(method, bytes(request)).await,
+            ["unary", method, request] => self.unary(method, parse_hex(request)).await,
+            ["stream", method, request] => self.stream(method, parse_hex(request)).await,
             _ => panic!("no such call: {line}"),
         };
-        format!("{call} = {answer}")
+        format!("{call} = {reply}")
     }
 }
 
 /// Without what depends on the clock.
-fn steady(method: &str, answer: Vec<u8>) -> Vec<u8> {
+fn without_elapsed_time(method: &str, reply: Vec<u8>) -> Vec<u8> {
     if method != "Door" {
-        return answer;
+        return reply;
     }
-    let mut response = v1::CordonResponse::decode(&answer[..]).expect("an answer");
+    let mut response = v1::CordonResponse::decode(&reply[..]).expect("an answer");
     response.since_ms = 0;
     response.encode_to_vec()
 }
 
-async fn messages(mut stream: Streaming<Vec<u8>>) -> String {
+async fn read_messages(mut stream: Streaming<Vec<u8>>) -> String {
     let mut all = Vec::new();
     while let Some(message) = stream.next().await {
         let message = match message {
             Ok(message) => message,
             Err(status) => {
-                all.push(failed(&status));
+                all.push(format_status(&status));
                 break;
             }
         };
         let mut message = v1::AttemptEvent::decode(&message[..]).expect("a message");
         message.load_report = None;
         if !matches!(message.event, Some(v1::attempt_event::Event::Usage(_))) {
-            all.push(hex(&message.encode_to_vec()));
+            all.push(format_hex(&message.encode_to_vec()));
         }
     }
     all.join(" ")
@@ -213,14 +217,14 @@
 #[test]
 fn the_stand_in_answers_a_recorded_conversation_byte_for_byte() {
     let tasks = SharedExecutor::default();
-    let whole = async {
-        let mut conversation = Conversation::begin(&tasks).await;
+    let replay = async {
+        let mut conversation = Conversation::start(&tasks).await;
         for (number, line) in RECORDED.lines().enumerate() {
-            let now = conversation.replay(line).await;
-            assert_eq!(now, line, "line {}", number + 1);
+            let actual = conversation.replay(line).await;
+            assert_eq!(actual, line, "line {}", number + 1);
         }
     };
-    future::block_on(tasks.run(whole));
+    future::block_on(tasks.run(replay));
 }
 
 #[test]
@@ -242,6 +246,6 @@
             "{call}"
         );
     }
-    let refused = RECORDED.lines().filter(|line| line.contains(" = ! "));
-    assert_eq!(refused.count(), 6);
+    let errors = RECORDED.lines().filter(|line| line.contains(" = ! "));
+    assert_eq!(errors.count(), 6);
 }
