--- a/crates/testbed/tests/relay.rs
+++ b/crates/testbed/tests/relay.rs
@@ -1,4 +1,4 @@
-//! What the relay does to a link, told by the bytes at both ends.
+//! Tests the faults of the relay by the bytes that arrive at both ends of a connection.
 
 use async_net::{TcpListener, TcpStream};
 use corkspan_rpc::{SharedExecutor, within};
@@ -8,9 +8,10 @@
 use test_case::test_case;
 
 const TEST_TIMEOUT: Duration = Duration::from_secs(20);
-/// Long enough for anything that is not held to come.
+/// Long enough for bytes that are not held to arrive.
 const SHORT_WAIT: Duration = Duration::from_millis(100);
 
+/// An open connection through a relay, with the listener behind the relay.
 struct RelayedConnection {
     tasks: SharedExecutor,
     relay: Relay,
@@ -19,6 +20,7 @@
     listener: TcpListener,
 }
 
+/// Runs a test on a new connection through a relay.
 fn run_test<F: Future<Output = ()>>(test: impl FnOnce(RelayedConnection) -> F) {
     let tasks = SharedExecutor::default();
     let set_up_and_run = async {
@@ -41,6 +43,7 @@
         .expect("the story comes to its end");
 }
 
+/// Reads one byte. Returns none at the end of the stream or on an error.
 async fn read_byte(stream: &mut TcpStream) -> Option<u8> {
     let mut byte = [0];
     match stream.read(&mut byte).await {
--- a/crates/testbed/tests/stand_in_node.rs
+++ b/crates/testbed/tests/stand_in_node.rs
@@ -1,12 +1,13 @@
-//! The stand-in of a node answers a recorded conversation byte for byte: what it keeps of rolling
-//! updates, of the minimum version, of maintenance and of configuration versions, over its own
-//! restart, and what it says to offers. Calls are sent as recorded bytes, so that no message's name
-//! is needed.
+//! Replays recorded calls to a stand-in node and compares its replies byte for byte: its answers to
+//! offers, and its state of rollouts, the minimum version, maintenance and configuration versions
+//! across a restart. Requests are sent as recorded bytes, so that the test does not depend on the
+//! names of message types.
 //!
 //! `tests/data/node-calls.txt` was recorded with the first release of the stand-in. A line is a call
-//! and its answer: `unary METHOD REQUEST = ANSWER`, `stream METHOD REQUEST = MESSAGE…`, where an
-//! error is `! CODE TEXT`; or `restart`. Left out are what depends on the clock: notes of use, load
-//! reports beside other news, and how long a cordon has been as it is.
+//! with its reply, `unary METHOD REQUEST = REPLY` or `stream METHOD REQUEST = MESSAGE…`, or
+//! `restart`. An error is written as `! CODE TEXT`. Values that depend on the clock are left out:
+//! reports of resource use, load reports that accompany other events, and the time since the last
+//! change of a cordon.
 
 use corkspan_api::v1;
 use corkspan_rpc::{Connection, ConnectionLimits, SharedExecutor};
@@ -24,7 +25,7 @@
 
 const RECORDED: &str = include_str!("data/node-calls.txt");
 
-/// Sends and receives messages as the bytes that they are.
+/// A codec that passes encoded messages through unchanged.
 #[derive(Clone, Copy, Default)]
 struct RawCodec;
 
@@ -100,7 +101,7 @@
     for byte in bytes {
         write!(text, "{byte:02x}").expect("a string");
     }
-    // An empty message is written too.
+    // An empty message is written as a dash, so that its field in the line is not empty.
     if text.is_empty() { "-".into() } else { text }
 }
 
@@ -116,7 +117,7 @@
     format!("! {} {}", status.code() as i32, status.message())
 }
 
-/// One stand-in and a link to it.
+/// A stand-in node and a connection to it.
 struct Conversation {
     tasks: SharedExecutor,
     node: Arc<Node>,
@@ -168,7 +169,7 @@
         }
     }
 
-    /// What this line comes to now.
+    /// Replays the call of a recorded line and returns the line with the present reply.
     async fn replay(&mut self, line: &str) -> String {
         let call = line.split(" = ").next().expect("a call");
         let reply = match call.split(' ').collect::<Vec<_>>()[..] {
@@ -185,7 +186,7 @@
     }
 }
 
-/// Without what depends on the clock.
+/// Returns the reply of a call without the value that depends on the clock.
 fn without_elapsed_time(method: &str, reply: Vec<u8>) -> Vec<u8> {
     if method != "Door" {
         return reply;
@@ -195,6 +196,8 @@
     response.encode_to_vec()
 }
 
+/// Returns all messages of a stream in the recorded form, without the values that depend on the
+/// clock.
 async fn read_messages(mut stream: Streaming<Vec<u8>>) -> String {
     let mut all = Vec::new();
     while let Some(message) = stream.next().await {
