--- a/crates/testbed/tests/relay.rs
+++ b/crates/testbed/tests/relay.rs
@@ -24,12 +24,17 @@
 fn run_test<F: Future<Output = ()>>(test: impl FnOnce(RelayedConnection) -> F) {
     let tasks = SharedExecutor::default();
     let set_up_and_run = async {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let relay = Relay::start(&tasks, listener.local_addr().expect("bound"))
             .await
-            .expect("a port");
-        let client = TcpStream::connect(relay.address).await.expect("it listens");
-        let (server, _) = listener.accept().await.expect("passed on");
+            .expect("a free port");
+        let client = TcpStream::connect(relay.address)
+            .await
+            .expect("the relay listens");
+        let (server, _) = listener
+            .accept()
+            .await
+            .expect("the relay opens a connection to the target");
         test(RelayedConnection {
             tasks: tasks.clone(),
             relay,
@@ -40,7 +45,7 @@
         .await;
     };
     future::block_on(tasks.run(within(TEST_TIMEOUT, set_up_and_run)))
-        .expect("the story comes to its end");
+        .expect("the test ends before its timeout");
 }
 
 /// Reads one byte. Returns none at the end of the stream or on an error.
@@ -58,8 +63,16 @@
 fn a_held_direction_is_silent_and_passes_its_bytes_when_healed(directions: &[Direction]) {
     run_test(async |mut connection| {
         connection.relay.hold(directions);
-        connection.client.write_all(b"o").await.expect("taken");
-        connection.server.write_all(b"i").await.expect("taken");
+        connection
+            .client
+            .write_all(b"o")
+            .await
+            .expect("the bytes are written");
+        connection
+            .server
+            .write_all(b"i")
+            .await
+            .expect("the bytes are written");
         let out = within(SHORT_WAIT, read_byte(&mut connection.server)).await;
         let back = within(SHORT_WAIT, read_byte(&mut connection.client)).await;
         assert_eq!(
@@ -88,17 +101,28 @@
         connection.relay.hold_new_connections();
         let mut new_client = TcpStream::connect(connection.relay.address)
             .await
-            .expect("the relay itself is there");
-        new_client.write_all(b"n").await.expect("taken");
+            .expect("the relay listens");
+        new_client
+            .write_all(b"n")
+            .await
+            .expect("the bytes are written");
         assert!(
             within(SHORT_WAIT, connection.listener.accept())
                 .await
                 .is_none()
         );
-        connection.client.write_all(b"o").await.expect("taken");
+        connection
+            .client
+            .write_all(b"o")
+            .await
+            .expect("the bytes are written");
         assert_eq!(read_byte(&mut connection.server).await, Some(b'o'));
         connection.relay.heal();
-        let (mut server, _) = connection.listener.accept().await.expect("passed on");
+        let (mut server, _) = connection
+            .listener
+            .accept()
+            .await
+            .expect("the relay opens a connection to the target");
         assert_eq!(read_byte(&mut server).await, Some(b'n'));
     });
 }
@@ -118,9 +142,16 @@
         connection.relay.heal();
         let mut new_client = TcpStream::connect(connection.relay.address)
             .await
-            .expect("it listens");
-        new_client.write_all(b"a").await.expect("taken");
-        let (mut server, _) = connection.listener.accept().await.expect("passed on");
+            .expect("the relay listens");
+        new_client
+            .write_all(b"a")
+            .await
+            .expect("the bytes are written");
+        let (mut server, _) = connection
+            .listener
+            .accept()
+            .await
+            .expect("the relay opens a connection to the target");
         assert_eq!(read_byte(&mut server).await, Some(b'a'));
         drop(connection.tasks);
     });
@@ -131,7 +162,11 @@
     run_test(async |mut connection| {
         connection.relay.delay(&[Direction::Out], SHORT_WAIT);
         let since = Instant::now();
-        connection.client.write_all(b"d").await.expect("taken");
+        connection
+            .client
+            .write_all(b"d")
+            .await
+            .expect("the bytes are written");
         assert_eq!(read_byte(&mut connection.server).await, Some(b'd'));
         assert!(since.elapsed() >= SHORT_WAIT);
     });
--- a/crates/testbed/tests/stand_in_node.rs
+++ b/crates/testbed/tests/stand_in_node.rs
@@ -99,7 +99,7 @@
 fn format_hex(bytes: &[u8]) -> String {
     let mut text = String::new();
     for byte in bytes {
-        write!(text, "{byte:02x}").expect("a string");
+        write!(text, "{byte:02x}").expect("writing to a string does not fail");
     }
     // An empty message is written as a dash, so that its field in the line is not empty.
     if text.is_empty() { "-".into() } else { text }
@@ -109,7 +109,7 @@
     let digits = hex.trim_start_matches('-').as_bytes();
     let pairs = digits.chunks(2).map(|pair| std::str::from_utf8(pair));
     pairs
-        .map(|pair| u8::from_str_radix(pair.expect("digits"), 16).expect("a byte"))
+        .map(|pair| u8::from_str_radix(pair.expect("digits"), 16).expect("a hexadecimal byte"))
         .collect()
 }
 
@@ -126,7 +126,7 @@
 
 impl Conversation {
     async fn start(tasks: &SharedExecutor) -> Conversation {
-        let capture = Capture::new(None).expect("no file, no failure");
+        let capture = Capture::new(None).expect("a capture without a file opens");
         let context = SharedContext::new(capture, tasks, Some("jobs".into()));
         let node = Node::new(config(), &context);
         let connection = Conversation::connect(tasks, &node).await;
@@ -139,16 +139,16 @@
     }
 
     async fn connect(tasks: &SharedExecutor, node: &Arc<Node>) -> Connection {
-        let address = node.start_process(false).await.expect("a port");
+        let address = node.start_process(false).await.expect("a free port");
         let connection = Connection::open(tasks, address, &ConnectionLimits::default()).await;
-        connection.expect("it listens")
+        connection.expect("the node listens")
     }
 
     async fn unary(&self, method: &str, request: Vec<u8>) -> String {
         let mut client = tonic::client::Grpc::new(self.connection.clone());
-        client.ready().await.expect("a link");
+        client.ready().await.expect("an open connection");
         let path = format!("/corkspan.v1.Node/{method}");
-        let path = path.parse().expect("a path");
+        let path = path.parse().expect("a valid path");
         match client.unary(Request::new(request), path, RawCodec).await {
             Ok(reply) => format_hex(&without_elapsed_time(method, reply.into_inner())),
             Err(status) => format_status(&status),
@@ -157,9 +157,9 @@
 
     async fn stream(&self, method: &str, request: Vec<u8>) -> String {
         let mut client = tonic::client::Grpc::new(self.connection.clone());
-        client.ready().await.expect("a link");
+        client.ready().await.expect("an open connection");
         let path = format!("/corkspan.v1.Node/{method}");
-        let path = path.parse().expect("a path");
+        let path = path.parse().expect("a valid path");
         let reply = client
             .server_streaming(Request::new(request), path, RawCodec)
             .await;
@@ -180,7 +180,7 @@
             }
             ["unary", method, request] => self.unary(method, parse_hex(request)).await,
             ["stream", method, request] => self.stream(method, parse_hex(request)).await,
-            _ => panic!("no such call: {line}"),
+            _ => panic!("unknown call: {line}"),
         };
         format!("{call} = {reply}")
     }
@@ -191,7 +191,7 @@
     if method != "Door" {
         return reply;
     }
-    let mut response = v1::CordonResponse::decode(&reply[..]).expect("an answer");
+    let mut response = v1::CordonResponse::decode(&reply[..]).expect("a valid reply");
     response.since_ms = 0;
     response.encode_to_vec()
 }
@@ -208,7 +208,7 @@
                 break;
             }
         };
-        let mut message = v1::AttemptEvent::decode(&message[..]).expect("a message");
+        let mut message = v1::AttemptEvent::decode(&message[..]).expect("a valid message");
         message.load_report = None;
         if !matches!(message.event, Some(v1::attempt_event::Event::Usage(_))) {
             all.push(format_hex(&message.encode_to_vec()));
