--- a/crates/testbed/src/client.rs
+++ b/crates/testbed/src/client.rs
@@ -141,8 +141,9 @@
 
 /// The outcome of a call.
 enum Outcome {
+    /// The task has ended or its request was cancelled.
     Done,
-    /// The request was rejected or the allocation ended early: a retry is safe.
+    /// The request was not sent or was rejected, or the allocation ended early: a retry is safe.
     Retry,
     /// The task may be running on some node.
     Indeterminate,
