--- a/crates/testbed/src/control_service.rs
+++ b/crates/testbed/src/control_service.rs
@@ -1,5 +1,5 @@
-//! A stand-in control service: streams what its publisher decides to each subscriber, or what a
-//! test puts on the wire, and keeps every reply.
+//! A stand-in control service: streams to each subscriber the pushes that its publisher decides, or
+//! those that a test sends, and stores every reply.
 
 use crate::capture::Observation;
 use crate::node::SharedContext;
@@ -19,41 +19,41 @@
 /// A reply or report of a subscriber.
 #[derive(Clone, Debug)]
 pub struct Reply {
-    /// As it came.
+    /// The message as received.
     pub message: v1::PushReply,
-    /// How the publisher took it.
+    /// The publisher's evaluation of the reply.
     pub status: ReplyStatus,
-    /// When it came.
+    /// The time at which the message was received.
     pub received_at: std::time::Instant,
 }
 
 #[derive(Default)]
 struct State {
     publisher: Publisher,
-    /// Senders to the subscribers whose streams are open.
-    open: BTreeMap<u32, async_channel::Sender<v1::VersionPush>>,
+    /// Senders to the subscribers with open streams, by subscriber.
+    open_streams: BTreeMap<u32, async_channel::Sender<v1::VersionPush>>,
     replies: Vec<Reply>,
-    /// Only what [`ControlService::send`] is given is pushed.
+    /// Whether only the pushes passed to [`ControlService::send`] are sent.
     scripted: bool,
-    /// Streams opened so far.
+    /// The number of streams opened so far.
     opened: usize,
-    /// What the publisher decided to push.
+    /// The pushes that the publisher decided.
     pushes: Vec<v1::VersionPush>,
 }
 
-/// One control service. Clones share it.
+/// A stand-in control service. Clones share its state.
 #[derive(Clone)]
 pub struct ControlService {
     state: Arc<Mutex<State>>,
     context: Arc<SharedContext>,
-    /// Where it listens.
+    /// The address at which it listens.
     pub address: SocketAddr,
 }
 
-/// Keeps the service up; when it is dropped, all connections break.
+/// Keeps the service running. Dropping it breaks all connections.
 pub struct ControlServiceGuard(#[allow(dead_code)] async_executor::Task<()>);
 
-/// Pushes that may wait for a subscriber to read them.
+/// The maximum number of pushes that wait for a subscriber to read them.
 const MAX_WAITING_PUSHES: usize = 100_000;
 
 impl ControlService {
@@ -64,7 +64,7 @@
         ControlService::start_at(context, "127.0.0.1:0").await
     }
 
-    /// Starts a service on this address.
+    /// Starts a service on the given address.
     pub async fn start_at(
         context: &Arc<SharedContext>,
         address: &str,
@@ -75,11 +75,11 @@
             context: Arc::clone(context),
             address: listener.local_addr()?,
         };
-        let up = control.serve(context, listener);
-        Ok((control, up))
+        let guard = control.serve(context, listener);
+        Ok((control, guard))
     }
 
-    /// Starts the same service again, with its state, on its former address.
+    /// Restarts the service on its previous address with its state.
     pub async fn restart(
         &self,
         context: &Arc<SharedContext>,
@@ -97,49 +97,49 @@
         }))
     }
 
-    fn with<R>(&self, call: impl FnOnce(&mut State) -> R) -> R {
-        call(
+    fn with<R>(&self, operation: impl FnOnce(&mut State) -> R) -> R {
+        operation(
             &mut self
                 .state
                 .lock()
-                .expect("no one panics while holding the state"),
+                .expect("no thread panics while holding the lock"),
         )
     }
 
-    /// From now on only what [`ControlService::send`] is given is pushed.
+    /// Makes the service send only the pushes passed to [`ControlService::send`] from now on.
     pub fn scripted(&self) {
         self.with(|state| state.scripted = true);
     }
 
-    /// Publishes the next version and streams it to all.
-    pub fn publish(&self, texts: SharedParts, cuts: bool) -> VersionId {
+    /// Publishes the next version and streams it to all subscribers.
+    pub fn publish(&self, parts: SharedParts, allows_cuts: bool) -> VersionId {
         self.with(|state| {
-            let stamp = state.publisher.publish(texts, cuts);
+            let version_id = state.publisher.publish(parts, allows_cuts);
             self.context.capture.record(Observation::Pushed {
-                number: stamp.number,
+                number: version_id.number,
             });
             state.flush();
-            stamp
+            version_id
         })
     }
 
-    /// Puts a push on one subscriber's stream, whatever the publisher decides. False where no stream
-    /// is open.
-    pub fn send(&self, who: u32, push: v1::VersionPush) -> bool {
+    /// Sends a push on one subscriber's stream, regardless of the publisher. Returns false if no
+    /// stream is open.
+    pub fn send(&self, subscriber: u32, push: v1::VersionPush) -> bool {
         self.with(|state| {
             state
-                .open
-                .get(&who)
-                .is_some_and(|open| open.try_send(push).is_ok())
+                .open_streams
+                .get(&subscriber)
+                .is_some_and(|stream| stream.try_send(push).is_ok())
         })
     }
 
-    /// Ends all streams.
+    /// Closes all streams.
     pub fn hang_up(&self) {
-        self.with(|state| state.open.clear());
+        self.with(|state| state.open_streams.clear());
     }
 
-    /// A reply or report of a subscriber.
+    /// Records a reply or report of a subscriber and sends the pushes that follow from it.
     fn receive(&self, message: v1::PushReply) {
         if let Some(active) = &message.active {
             let (dispatcher, number) = (message.dispatcher, active.number);
@@ -167,33 +167,33 @@
         });
     }
 
-    /// All replies and reports so far.
+    /// Returns all replies and reports received so far.
     pub fn replies(&self) -> Vec<Reply> {
         self.with(|state| state.replies.clone())
     }
 
-    /// All that the publisher decided to push.
+    /// Returns all pushes that the publisher decided.
     pub fn pushes(&self) -> Vec<v1::VersionPush> {
         self.with(|state| state.pushes.clone())
     }
 
-    /// The last reply to this push.
+    /// Returns the last reply to the push with this nonce.
     pub fn reply_to(&self, nonce: u64) -> Option<v1::PushReply> {
         self.with(|state| {
             let replies = state.replies.iter().rev();
             replies
                 .map(|reply| &reply.message)
-                .find(|told| told.nonce == nonce)
+                .find(|reply| reply.nonce == nonce)
                 .cloned()
         })
     }
 
-    /// The active version of a subscriber, as it reported last.
-    pub fn running(&self, who: u32) -> Option<VersionId> {
-        self.with(|state| state.publisher.active_version(who))
+    /// Returns the active version that a subscriber reported last.
+    pub fn running(&self, subscriber: u32) -> Option<VersionId> {
+        self.with(|state| state.publisher.active_version(subscriber))
     }
 
-    /// Streams opened so far.
+    /// Returns the number of streams opened so far.
     pub fn opened(&self) -> usize {
         self.with(|state| state.opened)
     }
@@ -206,30 +206,31 @@
         }
         let State {
             publisher,
-            open,
+            open_streams,
             pushes,
             ..
         } = self;
-        open.retain(|who, open| {
-            if let Some(push) = publisher.push_for(*who) {
+        open_streams.retain(|subscriber, stream| {
+            if let Some(push) = publisher.push_for(*subscriber) {
                 pushes.push(push_message(&push));
-                // One that does not read loses its stream, and reports its version anew.
-                return open.try_send(push_message(&push)).is_ok();
+                // A subscriber that does not read loses its stream and has to report its version
+                // again on a new one.
+                return stream.try_send(push_message(&push)).is_ok();
             }
-            !open.is_closed()
+            !stream.is_closed()
         });
     }
 }
 
-/// A version id on the wire.
-pub fn version_id_message(stamp: VersionId) -> v1::VersionId {
+/// Returns the message of a version id.
+pub fn version_id_message(version_id: VersionId) -> v1::VersionId {
     v1::VersionId {
-        number: stamp.number,
-        digest: stamp.digest.to_string(),
+        number: version_id.number,
+        digest: version_id.digest.to_string(),
     }
 }
 
-/// None where the digest is none.
+/// Parses the message of a version id. Returns none if the digest is invalid.
 pub fn parse_version_id(message: &v1::VersionId) -> Option<VersionId> {
     Some(VersionId {
         number: message.number,
@@ -237,7 +238,7 @@
     })
 }
 
-/// A push on the wire.
+/// Returns the message of a push.
 pub fn push_message(push: &VersionPush) -> v1::VersionPush {
     v1::VersionPush {
         nonce: push.nonce,
@@ -259,11 +260,11 @@
     }
 }
 
-fn push_reply(told: &v1::PushReply) -> PushReply {
-    match told.answer() {
+fn push_reply(reply: &v1::PushReply) -> PushReply {
+    match reply.answer() {
         Answer::Applied => PushReply::Applied,
-        Answer::Rejected => PushReply::Rejected(told.reasons.clone()),
-        Answer::Superseded => PushReply::Superseded(told.superseded_by),
+        Answer::Rejected => PushReply::Rejected(reply.reasons.clone()),
+        Answer::Superseded => PushReply::Superseded(reply.superseded_by),
         Answer::FullRequired => PushReply::FullRequired,
         Answer::Nothing | Answer::Unchanged | Answer::RolledBack => PushReply::Unchanged,
     }
@@ -279,16 +280,17 @@
         &self,
         request: Request<Streaming<v1::PushReply>>,
     ) -> Result<Response<Self::StreamStream>, Status> {
-        let mut tells = request.into_inner();
-        let first = tells
+        let mut messages = request.into_inner();
+        let first = messages
             .message()
             .await?
-            .ok_or_else(|| Status::invalid_argument("nothing is told"))?;
-        let who = first.dispatcher;
+            .ok_or_else(|| Status::invalid_argument("the stream ended before its first report"))?;
+        let subscriber = first.dispatcher;
         let running = first.active.as_ref().and_then(parse_version_id);
-        let running =
-            running.ok_or_else(|| Status::invalid_argument("it does not tell what it runs"))?;
-        let (to, from) = async_channel::bounded(MAX_WAITING_PUSHES);
+        let running = running.ok_or_else(|| {
+            Status::invalid_argument("the first report has no valid active version")
+        })?;
+        let (sender, pushes) = async_channel::bounded(MAX_WAITING_PUSHES);
         let control = self.0.clone();
         control.with(|state| {
             state.replies.push(Reply {
@@ -297,16 +299,16 @@
                 received_at: std::time::Instant::now(),
             });
             state.opened += 1;
-            state.publisher.subscriber_connected(who, running);
-            state.open.insert(who, to);
+            state.publisher.subscriber_connected(subscriber, running);
+            state.open_streams.insert(subscriber, sender);
             state.flush();
         });
-        let replies = async move {
-            while let Ok(Some(message)) = tells.message().await {
+        let receive_replies = async move {
+            while let Ok(Some(message)) = messages.message().await {
                 control.receive(message);
             }
         };
-        self.1.spawn(replies).detach();
-        Ok(Response::new(Box::pin(from.map(Ok))))
+        self.1.spawn(receive_replies).detach();
+        Ok(Response::new(Box::pin(pushes.map(Ok))))
     }
 }
--- a/crates/testbed/src/fault_proxies.rs
+++ b/crates/testbed/src/fault_proxies.rs
@@ -1,5 +1,5 @@
-//! The links of a day's dispatchers, each through a relay of its own, so that a day's troubles can
-//! strike them one by one.
+//! The connections of a scenario's dispatchers. Each goes through its own relay, so that faults can
+//! be injected into them one by one.
 
 use crate::discovery::Discovery;
 use crate::relay::{Direction, Relay};
@@ -11,15 +11,18 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Nobody listens there: what leads there is refused until it leads elsewhere.
-const NOBODY: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 1);
-/// Others that one dispatcher may have a newer version from.
-const PEERS: usize = 3;
+/// An address without a listener: connections to it are refused until the relay gets another
+/// target.
+const UNUSED_ADDRESS: SocketAddr =
+    SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 1);
+/// The maximum number of peers from which a dispatcher can get a newer version.
+const MAX_PEERS: usize = 3;
 
-/// Relays that stand, but for those to nodes, which the roster keeps, since it tells of them.
+/// The relays of all dispatchers. Those to nodes are held by [`Discovery`], which lists their
+/// addresses.
 pub struct FaultProxies {
     relays: BTreeMap<(usize, LinkPeer), Vec<Relay>>,
-    /// Whom each one's peers' relays lead to.
+    /// For each dispatcher, the dispatchers to which its peer relays lead.
     peers: Vec<Vec<usize>>,
     quorum_members: Vec<u32>,
     discovery: Arc<Discovery>,
@@ -35,35 +38,36 @@
         quorum_members: &[u32],
     ) -> io::Result<FaultProxies> {
         let (mut relays, mut peers) = (BTreeMap::new(), Vec::new());
-        for own in 0..dispatchers {
+        for dispatcher in 0..dispatchers {
             relays.insert(
-                (own, LinkPeer::Roster),
+                (dispatcher, LinkPeer::Roster),
                 vec![Relay::start(tasks, discovery.address).await?],
             );
             if let Some(control) = control {
                 relays.insert(
-                    (own, LinkPeer::Control),
+                    (dispatcher, LinkPeer::Control),
                     vec![Relay::start(tasks, control).await?],
                 );
             }
-            let others: Vec<usize> = (1..dispatchers)
-                .take(PEERS)
-                .map(|step| (own + step * step) % dispatchers)
+            let peer_numbers: Vec<usize> = (1..dispatchers)
+                .take(MAX_PEERS)
+                .map(|step| (dispatcher + step * step) % dispatchers)
                 .collect();
-            let mut links = Vec::new();
-            for _ in &others {
-                links.push(Relay::start(tasks, NOBODY).await?);
+            let mut peer_relays = Vec::new();
+            for _ in &peer_numbers {
+                peer_relays.push(Relay::start(tasks, UNUSED_ADDRESS).await?);
             }
-            relays.insert((own, LinkPeer::Dispatchers), links);
-            peers.push(others);
-            // Thousands of links where all nodes have theirs: only those that a trouble strikes.
+            relays.insert((dispatcher, LinkPeer::Dispatchers), peer_relays);
+            peers.push(peer_numbers);
+            // Relays to all nodes would be thousands of connections: only the nodes given, those
+            // with a fault, get one.
             for &(node, address) in nodes {
                 let relay = Relay::start(tasks, address).await?;
                 discovery
                     .proxies
                     .lock()
-                    .expect("unshared")
-                    .insert((own as u32, node), relay);
+                    .expect("no thread panics while holding the lock")
+                    .insert((dispatcher as u32, node), relay);
             }
         }
         Ok(FaultProxies {
@@ -74,87 +78,91 @@
         })
     }
 
-    /// Where a dispatcher finds the one that is at this end; none where there is none.
-    pub fn address(&self, dispatcher: usize, end: LinkPeer) -> Option<SocketAddr> {
-        self.addresses(dispatcher, end).first().copied()
+    /// Returns the address at which a dispatcher reaches this peer; none if it has no relay to it.
+    pub fn address(&self, dispatcher: usize, peer: LinkPeer) -> Option<SocketAddr> {
+        self.addresses(dispatcher, peer).first().copied()
     }
 
-    pub fn addresses(&self, dispatcher: usize, end: LinkPeer) -> Vec<SocketAddr> {
+    /// Returns the addresses of all relays from a dispatcher to this type of peer.
+    pub fn addresses(&self, dispatcher: usize, peer: LinkPeer) -> Vec<SocketAddr> {
         self.relays
-            .get(&(dispatcher, end))
+            .get(&(dispatcher, peer))
             .into_iter()
             .flatten()
             .map(|relay| relay.address)
             .collect()
     }
 
-    /// A dispatcher listens here from now on.
-    pub fn set_dispatcher_address(&self, dispatcher: usize, at: SocketAddr) {
-        for (own, peers) in self.peers.iter().enumerate() {
-            let links = self
+    /// Directs the relays to a dispatcher to its new address.
+    pub fn set_dispatcher_address(&self, dispatcher: usize, address: SocketAddr) {
+        for (source, peers) in self.peers.iter().enumerate() {
+            let peer_relays = self
                 .relays
-                .get(&(own, LinkPeer::Dispatchers))
+                .get(&(source, LinkPeer::Dispatchers))
                 .into_iter()
                 .flatten();
-            links
+            peer_relays
                 .zip(peers)
                 .filter(|(_, peer)| **peer == dispatcher)
-                .for_each(|(relay, _)| relay.set_target(at));
+                .for_each(|(relay, _)| relay.set_target(address));
         }
     }
 
-    /// Bytes that came to a dispatcher from this end, and that it sent there.
-    pub fn bytes_passed(&self, dispatcher: usize, end: LinkPeer) -> [u64; 2] {
+    /// Returns the bytes that a dispatcher received from this type of peer and sent to it.
+    pub fn bytes_passed(&self, dispatcher: usize, peer: LinkPeer) -> [u64; 2] {
         let passed = std::cell::Cell::new([0; 2]);
-        self.each(dispatcher, end, |relay| {
+        self.for_each_relay(dispatcher, peer, |relay| {
             let (sum, own) = (passed.get(), relay.bytes_passed());
             passed.set([sum[0] + own[0], sum[1] + own[1]]);
         });
         passed.get()
     }
 
-    /// Does it to each link of a dispatcher that ends there. Keepers are nodes: links to these
-    /// alone, or to the others.
-    fn each(&self, dispatcher: usize, end: LinkPeer, what: impl Fn(&Relay)) {
+    /// Calls `action` for each relay from a dispatcher to this type of peer. Quorum members are
+    /// nodes too: `Keepers` selects the relays to them, `Nodes` those to all other nodes.
+    fn for_each_relay(&self, dispatcher: usize, peer: LinkPeer, action: impl Fn(&Relay)) {
         self.relays
-            .get(&(dispatcher, end))
+            .get(&(dispatcher, peer))
             .into_iter()
             .flatten()
-            .for_each(&what);
-        let ways = self
+            .for_each(&action);
+        let proxies = self
             .discovery
             .proxies
             .lock()
-            .expect("no one panics while it is held");
-        let mine = ways
+            .expect("no thread panics while holding the lock");
+        let own_proxies = proxies
             .iter()
-            .filter(|((own, _), _)| *own as usize == dispatcher);
-        let there = mine.filter(|((_, node), _)| match end {
+            .filter(|((source, _), _)| *source as usize == dispatcher);
+        let selected = own_proxies.filter(|((_, node), _)| match peer {
             LinkPeer::Keepers => self.quorum_members.contains(node),
             LinkPeer::Nodes => !self.quorum_members.contains(node),
             _ => false,
         });
-        there.for_each(|(_, relay)| what(relay));
+        selected.for_each(|(_, relay)| action(relay));
     }
 
+    /// Holds or delays the bytes between a dispatcher and the fault's peers.
     pub fn inject(&self, dispatcher: usize, fault: &ScheduledFault) {
-        for &end in &fault.peers {
-            self.each(dispatcher, end, |relay| match fault.delay {
+        for &peer in &fault.peers {
+            self.for_each_relay(dispatcher, peer, |relay| match fault.delay {
                 Duration::ZERO => relay.hold(&fault.directions),
-                by => relay.delay(&fault.directions, by),
+                delay => relay.delay(&fault.directions, delay),
             });
         }
     }
 
-    /// Nothing of newer versions reaches it, though its stream stands.
+    /// Keeps newer versions from a dispatcher while its control stream stays open.
     pub fn hold_versions(&self, dispatcher: usize) {
-        self.each(dispatcher, LinkPeer::Control, |relay| {
+        self.for_each_relay(dispatcher, LinkPeer::Control, |relay| {
             relay.hold(&[Direction::In])
         });
     }
 
-    pub fn heal(&self, dispatcher: usize, ends: &[LinkPeer]) {
-        ends.iter()
-            .for_each(|&end| self.each(dispatcher, end, Relay::heal));
+    /// Removes the faults between a dispatcher and these types of peers.
+    pub fn heal(&self, dispatcher: usize, peers: &[LinkPeer]) {
+        peers
+            .iter()
+            .for_each(|&peer| self.for_each_relay(dispatcher, peer, Relay::heal));
     }
 }
--- a/crates/testbed/tests/stand_in_node.rs
+++ b/crates/testbed/tests/stand_in_node.rs
@@ -1,12 +1,13 @@
-//! The stand-in of a node answers a recorded conversation byte for byte: what it keeps of rolling
-//! updates, of the minimum version, of maintenance and of configuration versions, over its own
-//! restart, and what it says to offers. Calls are sent as recorded bytes, so that no message's name
-//! is needed.
+//! Replays recorded calls to a stand-in node and compares its replies byte for byte: its answers to
+//! offers, and its state of rollouts, the minimum version, maintenance and configuration versions
+//! across a restart. Requests are sent as recorded bytes, so that the test does not depend on the
+//! names of message types.
 //!
 //! `tests/data/node-calls.txt` was recorded with the first release of the stand-in. A line is a call
-//! and its answer: `unary METHOD REQUEST = ANSWER`, `stream METHOD REQUEST = MESSAGE…`, where an
-//! error is `! CODE TEXT`; or `restart`. Left out are what depends on the clock: notes of use, load
-//! reports beside other news, and how long a cordon has been as it is.
+//! with its reply, `unary METHOD REQUEST = REPLY` or `stream METHOD REQUEST = MESSAGE…`, or
+//! `restart`. An error is written as `! CODE TEXT`. Values that depend on the clock are left out:
+//! reports of resource use, load reports that accompany other events, and the time since the last
+//! change of a cordon.
 
 use corkspan_api::v1;
 use corkspan_rpc::{Connection, ConnectionLimits, SharedExecutor};
@@ -24,26 +25,26 @@
 
 const RECORDED: &str = include_str!("data/node-calls.txt");
 
-/// Sends and receives messages as the bytes that they are.
+/// A codec that passes encoded messages through unchanged.
 #[derive(Clone, Copy, Default)]
-struct Raw;
+struct RawCodec;
 
-impl Codec for Raw {
+impl Codec for RawCodec {
     type Encode = Vec<u8>;
     type Decode = Vec<u8>;
-    type Encoder = Raw;
-    type Decoder = Raw;
+    type Encoder = RawCodec;
+    type Decoder = RawCodec;
 
-    fn encoder(&mut self) -> Raw {
-        Raw
+    fn encoder(&mut self) -> RawCodec {
+        RawCodec
     }
 
-    fn decoder(&mut self) -> Raw {
-        Raw
+    fn decoder(&mut self) -> RawCodec {
+        RawCodec
     }
 }
 
-impl Encoder for Raw {
+impl Encoder for RawCodec {
     type Item = Vec<u8>;
     type Error = Status;
 
@@ -53,7 +54,7 @@
     }
 }
 
-impl Decoder for Raw {
+impl Decoder for RawCodec {
     type Item = Vec<u8>;
     type Error = Status;
 
@@ -95,116 +96,122 @@
     }
 }
 
-fn hex(bytes: &[u8]) -> String {
+fn format_hex(bytes: &[u8]) -> String {
     let mut text = String::new();
     for byte in bytes {
-        write!(text, "{byte:02x}").expect("a string");
+        write!(text, "{byte:02x}").expect("writing to a string does not fail");
     }
-    // An empty message is written too.
+    // An empty message is written as a dash, so that its field in the line is not empty.
     if text.is_empty() { "-".into() } else { text }
 }
 
-fn bytes(hex: &str) -> Vec<u8> {
+fn parse_hex(hex: &str) -> Vec<u8> {
     let digits = hex.trim_start_matches('-').as_bytes();
     let pairs = digits.chunks(2).map(|pair| std::str::from_utf8(pair));
     pairs
-        .map(|pair| u8::from_str_radix(pair.expect("digits"), 16).expect("a byte"))
+        .map(|pair| u8::from_str_radix(pair.expect("digits"), 16).expect("a hexadecimal byte"))
         .collect()
 }
 
-fn failed(status: &Status) -> String {
+fn format_status(status: &Status) -> String {
     format!("! {} {}", status.code() as i32, status.message())
 }
 
-/// One stand-in and a link to it.
+/// A stand-in node and a connection to it.
 struct Conversation {
     tasks: SharedExecutor,
     node: Arc<Node>,
-    link: Connection,
+    connection: Connection,
 }
 
 impl Conversation {
-    async fn begin(tasks: &SharedExecutor) -> Conversation {
-        let capture = Capture::new(None).expect("no file, no failure");
+    async fn start(tasks: &SharedExecutor) -> Conversation {
+        let capture = Capture::new(None).expect("a capture without a file opens");
         let context = SharedContext::new(capture, tasks, Some("jobs".into()));
         let node = Node::new(config(), &context);
-        let link = Conversation::connect(tasks, &node).await;
+        let connection = Conversation::connect(tasks, &node).await;
         let tasks = Arc::clone(tasks);
-        Conversation { tasks, node, link }
+        Conversation {
+            tasks,
+            node,
+            connection,
+        }
     }
 
     async fn connect(tasks: &SharedExecutor, node: &Arc<Node>) -> Connection {
-        let address = node.start_process(false).await.expect("a port");
-        let link = Connection::open(tasks, address, &ConnectionLimits::default()).await;
-        link.expect("it listens")
+        let address = node.start_process(false).await.expect("a free port");
+        let connection = Connection::open(tasks, address, &ConnectionLimits::default()).await;
+        connection.expect("the node listens")
     }
 
     async fn unary(&self, method: &str, request: Vec<u8>) -> String {
-        let mut client = tonic::client::Grpc::new(self.link.clone());
-        client.ready().await.expect("a link");
+        let mut client = tonic::client::Grpc::new(self.connection.clone());
+        client.ready().await.expect("an open connection");
         let path = format!("/corkspan.v1.Node/{method}");
-        let path = path.parse().expect("a path");
-        match client.unary(Request::new(request), path, Raw).await {
-            Ok(answer) => hex(&steady(method, answer.into_inner())),
-            Err(status) => failed(&status),
+        let path = path.parse().expect("a valid path");
+        match client.unary(Request::new(request), path, RawCodec).await {
+            Ok(reply) => format_hex(&without_elapsed_time(method, reply.into_inner())),
+            Err(status) => format_status(&status),
         }
     }
 
     async fn stream(&self, method: &str, request: Vec<u8>) -> String {
-        let mut client = tonic::client::Grpc::new(self.link.clone());
-        client.ready().await.expect("a link");
+        let mut client = tonic::client::Grpc::new(self.connection.clone());
+        client.ready().await.expect("an open connection");
         let path = format!("/corkspan.v1.Node/{method}");
-        let path = path.parse().expect("a path");
-        let answer = client
-            .server_streaming(Request::new(request), path, Raw)
+        let path = path.parse().expect("a valid path");
+        let reply = client
+            .server_streaming(Request::new(request), path, RawCodec)
             .await;
-        match answer {
-            Ok(answer) => messages(answer.into_inner()).await,
-            Err(status) => failed(&status),
+        match reply {
+            Ok(reply) => read_messages(reply.into_inner()).await,
+            Err(status) => format_status(&status),
         }
     }
 
-    /// What this line comes to now.
+    /// Replays the call of a recorded line and returns the line with the present reply.
     async fn replay(&mut self, line: &str) -> String {
         let call = line.split(" = ").next().expect("a call");
-        let answer = match call.split(' ').collect::<Vec<_>>()[..] {
+        let reply = match call.split(' ').collect::<Vec<_>>()[..] {
             ["restart"] => {
                 self.node.kill(NodeState::Gone);
-                self.link = Conversation::connect(&self.tasks, &self.node).await;
+                self.connection = Conversation::connect(&self.tasks, &self.node).await;
                 return line.to_owned();
             }
-            ["unary", method, request] => self.unary(method, bytes(request)).await,
-            ["stream", method, request] => self.stream(method, bytes(request)).await,
-            _ => panic!("no such call: {line}"),
+            ["unary", method, request] => self.unary(method, parse_hex(request)).await,
+            ["stream", method, request] => self.stream(method, parse_hex(request)).await,
+            _ => panic!("unknown call: {line}"),
         };
-        format!("{call} = {answer}")
+        format!("{call} = {reply}")
     }
 }
 
-/// Without what depends on the clock.
-fn steady(method: &str, answer: Vec<u8>) -> Vec<u8> {
+/// Returns the reply of a call without the value that depends on the clock.
+fn without_elapsed_time(method: &str, reply: Vec<u8>) -> Vec<u8> {
     if method != "Door" {
-        return answer;
+        return reply;
     }
-    let mut response = v1::CordonResponse::decode(&answer[..]).expect("an answer");
+    let mut response = v1::CordonResponse::decode(&reply[..]).expect("a valid reply");
     response.since_ms = 0;
     response.encode_to_vec()
 }
 
-async fn messages(mut stream: Streaming<Vec<u8>>) -> String {
+/// Returns all messages of a stream in the recorded form, without the values that depend on the
+/// clock.
+async fn read_messages(mut stream: Streaming<Vec<u8>>) -> String {
     let mut all = Vec::new();
     while let Some(message) = stream.next().await {
         let message = match message {
             Ok(message) => message,
             Err(status) => {
-                all.push(failed(&status));
+                all.push(format_status(&status));
                 break;
             }
         };
-        let mut message = v1::AttemptEvent::decode(&message[..]).expect("a message");
+        let mut message = v1::AttemptEvent::decode(&message[..]).expect("a valid message");
         message.load_report = None;
         if !matches!(message.event, Some(v1::attempt_event::Event::Usage(_))) {
-            all.push(hex(&message.encode_to_vec()));
+            all.push(format_hex(&message.encode_to_vec()));
         }
     }
     all.join(" ")
@@ -213,14 +220,14 @@
 #[test]
 fn the_stand_in_answers_a_recorded_conversation_byte_for_byte() {
     let tasks = SharedExecutor::default();
-    let whole = async {
-        let mut conversation = Conversation::begin(&tasks).await;
+    let replay = async {
+        let mut conversation = Conversation::start(&tasks).await;
         for (number, line) in RECORDED.lines().enumerate() {
-            let now = conversation.replay(line).await;
-            assert_eq!(now, line, "line {}", number + 1);
+            let actual = conversation.replay(line).await;
+            assert_eq!(actual, line, "line {}", number + 1);
         }
     };
-    future::block_on(tasks.run(whole));
+    future::block_on(tasks.run(replay));
 }
 
 #[test]
@@ -242,6 +249,6 @@
             "{call}"
         );
     }
-    let refused = RECORDED.lines().filter(|line| line.contains(" = ! "));
-    assert_eq!(refused.count(), 6);
+    let errors = RECORDED.lines().filter(|line| line.contains(" = ! "));
+    assert_eq!(errors.count(), 6);
 }
