--- a/crates/testbed/tests/full_path/fleet.rs
+++ b/crates/testbed/tests/full_path/fleet.rs
@@ -40,16 +40,16 @@
 }
 
 impl Process {
-    pub async fn start(file: std::path::PathBuf) -> Process {
-        Process::start_logging(file, "error", Stdio::inherit()).await
+    pub async fn start(path: std::path::PathBuf) -> Process {
+        Process::start_logging(path, "error", Stdio::inherit()).await
     }
 
-    async fn start_logging(file: std::path::PathBuf, level: &'static str, log: Stdio) -> Process {
+    async fn start_logging(path: std::path::PathBuf, level: &'static str, log: Stdio) -> Process {
         blocking::unblock(move || {
             let mut command = Command::new(PROGRAM);
             command
                 .args(["corkspan", "serve", "--level", level])
-                .arg(file)
+                .arg(path)
                 .stdout(Stdio::piped())
                 .stderr(log);
             let mut child = command.spawn().expect("it starts");
@@ -77,109 +77,124 @@
 
 /// Processes before the nodes of a rig, some of which take their versions from a service that has
 /// stood still.
-struct Stage {
+struct Fixture {
     harness: Harness,
     newest: (ControlService, ControlServiceGuard),
     stale: (ControlService, ControlServiceGuard),
-    folder: tempfile::TempDir,
+    directory: tempfile::TempDir,
     fleet: Vec<Process>,
     /// What the next one is told of the floor beside how often to ask.
-    floor: String,
+    minimum_version_forms: String,
 }
 
-const KEEPERS: &str = "(keepers 0 1 2)";
+const QUORUM_MEMBERS: &str = "(keepers 0 1 2)";
 
-impl Stage {
-    async fn new(harness: Harness) -> Stage {
+impl Fixture {
+    async fn new(harness: Harness) -> Fixture {
         let newest = ControlService::start(&harness.context)
             .await
             .expect("a port");
         let stale = ControlService::start(&harness.context)
             .await
             .expect("a port");
-        let stage = Stage {
+        let fixture = Fixture {
             harness,
             newest,
             stale,
-            folder: tempfile::tempdir().expect("a folder"),
+            directory: tempfile::tempdir().expect("a folder"),
             fleet: Vec::new(),
-            floor: String::new(),
+            minimum_version_forms: String::new(),
         };
-        for control in [&stage.newest.0, &stage.stale.0] {
-            assert_eq!(control.publish(stage.texts(4), false).number, 1);
+        for control in [&fixture.newest.0, &fixture.stale.0] {
+            assert_eq!(control.publish(fixture.shared_parts(4), false).number, 1);
         }
-        stage
+        fixture
     }
 
-    fn deployment(&self, more: &str) -> String {
-        deployment(self.harness.discovery.address, more).replace("(schedulers 1)", "(schedulers 5)")
+    fn deployment(&self, extra_forms: &str) -> String {
+        deployment(self.harness.discovery.address, extra_forms)
+            .replace("(schedulers 1)", "(schedulers 5)")
     }
 
-    fn texts(&self, shots: usize) -> SharedParts {
-        SharedParts::parse("version", &self.deployment(&format!("(shots {shots})"))).expect("sound")
+    fn shared_parts(&self, max_attempts: usize) -> SharedParts {
+        SharedParts::parse(
+            "version",
+            &self.deployment(&format!("(shots {max_attempts})")),
+        )
+        .expect("sound")
     }
 
-    async fn start(&mut self, control: SocketAddr, keepers: &str) {
-        self.start_by(self.harness.discovery.address, control, keepers)
+    async fn start(&mut self, control: SocketAddr, quorum_members: &str) {
+        self.start_with_discovery(self.harness.discovery.address, control, quorum_members)
             .await;
     }
 
     /// One more under the number of another, with a disk of its own.
-    async fn start_as(&mut self, number: usize, control: SocketAddr) {
+    async fn start_with_number(&mut self, number: usize, control: SocketAddr) {
         let discovery = self.harness.discovery.address;
-        self.start_all(number, discovery, control, KEEPERS).await;
+        self.start_process(number, discovery, control, QUORUM_MEMBERS)
+            .await;
     }
 
     /// One that knows the nodes by another roster.
-    async fn start_by(&mut self, discovery: SocketAddr, control: SocketAddr, keepers: &str) {
-        self.start_all(self.fleet.len(), discovery, control, keepers)
+    async fn start_with_discovery(
+        &mut self,
+        discovery: SocketAddr,
+        control: SocketAddr,
+        quorum_members: &str,
+    ) {
+        self.start_process(self.fleet.len(), discovery, control, quorum_members)
             .await;
     }
 
-    async fn start_all(
+    async fn start_process(
         &mut self,
         number: usize,
         discovery: SocketAddr,
         control: SocketAddr,
-        keepers: &str,
+        quorum_members: &str,
     ) {
-        let disk = self.fleet.len();
-        let kept = self.folder.path().join(format!("versions-{disk}.json"));
-        let store = self.folder.path().join(format!("store-{disk}.redb"));
-        let more = format!(
-            "(control \"{control}\") (versions {kept:?}) (rolls {store:?}) {keepers} (floor (every 1 s) {})",
-            self.floor
+        let index = self.fleet.len();
+        let versions_path = self.directory.path().join(format!("versions-{index}.json"));
+        let store = self.directory.path().join(format!("store-{index}.redb"));
+        let extra_forms = format!(
+            "(control \"{control}\") (versions {versions_path:?}) (rolls {store:?}) {quorum_members} (floor (every 1 s) {})",
+            self.minimum_version_forms
         );
-        let text = self.deployment(&more).replace(
+        let text = self.deployment(&extra_forms).replace(
             &self.harness.discovery.address.to_string(),
             &discovery.to_string(),
         );
         let text = text.replace("(number 0)", &format!("(number {number})"));
-        let file = self.folder.path().join(format!("{disk}.sexp"));
-        std::fs::write(&file, text).expect("written");
-        self.fleet.push(Process::start(file).await);
+        let path = self.directory.path().join(format!("{index}.sexp"));
+        std::fs::write(&path, text).expect("written");
+        self.fleet.push(Process::start(path).await);
     }
 
     /// The operator's command line.
-    async fn operator(&self, line: &[&str]) -> Output {
+    async fn operator(&self, arguments: &[&str]) -> Output {
         let mut command = Command::new(PROGRAM);
-        command.args(["corkspan", "fleet"]).args(line);
+        command.args(["corkspan", "fleet"]).args(arguments);
         command.args(self.fleet.iter().map(|process| process.address.to_string()));
         blocking::unblock(move || command.output().expect("it runs")).await
     }
 
-    async fn link(&self, number: usize) -> Connection {
-        let bounds = ConnectionLimits {
-            connect_timeout: PATIENCE,
+    async fn connect(&self, number: usize) -> Connection {
+        let limits = ConnectionLimits {
+            connect_timeout: WAIT_TIMEOUT,
             ..ConnectionLimits::default()
         };
-        Connection::open(&self.harness.tasks, self.fleet[number].address, &bounds)
+        Connection::open(&self.harness.tasks, self.fleet[number].address, &limits)
             .await
             .expect("it listens")
     }
 
-    async fn asks(&self, number: usize, task: &str) -> tonic::Streaming<v1::PlacementEvent> {
-        let mut client = PlacementClient::new(self.link(number).await);
+    async fn request_placement(
+        &self,
+        number: usize,
+        task: &str,
+    ) -> tonic::Streaming<v1::PlacementEvent> {
+        let mut client = PlacementClient::new(self.connect(number).await);
         client
             .place(placement_request(task, "web"))
             .await
@@ -188,17 +203,17 @@
     }
 
     /// The first word on an ask, and the call, which must stay for the allocation to.
-    async fn answered(
+    async fn first_event(
         &self,
         number: usize,
         task: &str,
     ) -> (Option<Event>, tonic::Streaming<v1::PlacementEvent>) {
-        let mut words = self.asks(number, task).await;
-        (next(&mut words).await, words)
+        let mut events = self.request_placement(number, task).await;
+        (next(&mut events).await, events)
     }
 
     async fn status(&self, number: usize) -> v1::VersionStatus {
-        let mut client = VersionsClient::new(self.link(number).await);
+        let mut client = VersionsClient::new(self.connect(number).await);
         client
             .status(v1::VersionStatusRequest {})
             .await
@@ -206,7 +221,7 @@
             .into_inner()
     }
 
-    async fn until_in_force(&self, number: usize, version: u64) {
+    async fn wait_until_active(&self, number: usize, version: u64) {
         wait_until(async || {
             self.status(number)
                 .await
@@ -217,11 +232,11 @@
     }
 
     /// Goes on asking through one that is up until all nodes have the floor.
-    async fn until_nodes_have_it(&self) {
+    async fn wait_until_nodes_store_minimum(&self) {
         let mut calls = Vec::new();
         wait_until(async || {
-            let (word, call) = self.answered(0, &format!("spreads-{}", calls.len())).await;
-            assert!(matches!(word, Some(Event::Placed(_))), "{word:?}");
+            let (event, call) = self.first_event(0, &format!("spreads-{}", calls.len())).await;
+            assert!(matches!(event, Some(Event::Placed(_))), "{event:?}");
             calls.push(call);
             let lines = self.harness.context.capture.lines();
             let has = |id: u32| {
@@ -235,7 +250,7 @@
     }
 
     /// The audit's table of acts against the nodes' sockets: no shot more or less.
-    async fn audit_equals_the_sockets(&self) {
+    async fn assert_audit_matches_capture(&self) {
         let nodes = self.harness.nodes.iter().map(|node| {
             self.harness
                 .discovery
@@ -246,11 +261,11 @@
         let nodes: Vec<String> = nodes
             .flat_map(|address| ["--node".into(), address])
             .collect();
-        let line: Vec<&str> = ["audit"]
+        let arguments: Vec<&str> = ["audit"]
             .into_iter()
             .chain(nodes.iter().map(String::as_str))
             .collect();
-        let audit = self.operator(&line).await;
+        let audit = self.operator(&arguments).await;
         let text = String::from_utf8_lossy(&audit.stdout).into_owned();
         assert!(
             audit.status.code() == Some(1) && text.contains("were turned away by the floor"),
@@ -264,15 +279,15 @@
             .map_while(|line| {
                 let row: Vec<u64> = line
                     .split_whitespace()
-                    .map_while(|word| word.parse().ok())
+                    .map_while(|field| field.parse().ok())
                     .collect();
-                let [dispatcher, version, shots, _, _] = row[..] else {
+                let [dispatcher, version, attempts, _, _] = row[..] else {
                     return None;
                 };
-                Some(((dispatcher as u32, version), shots))
+                Some(((dispatcher as u32, version), attempts))
             })
             .collect();
-        let mut sockets: BTreeMap<(u32, u64), u64> = BTreeMap::new();
+        let mut captured: BTreeMap<(u32, u64), u64> = BTreeMap::new();
         for line in self.harness.context.capture.lines() {
             if let Observation::Offered {
                 dispatcher,
@@ -280,14 +295,14 @@
                 ..
             } = line.observation
             {
-                *sockets.entry((dispatcher, decided)).or_default() += 1;
+                *captured.entry((dispatcher, decided)).or_default() += 1;
             }
         }
-        assert_eq!(rows, sockets, "{text}");
+        assert_eq!(rows, captured, "{text}");
     }
 
     /// What the judge finds of the floor in what crossed the sockets.
-    fn judged(&self) -> (Vec<String>, Vec<Line>) {
+    fn minimum_version_breaches(&self) -> (Vec<String>, Vec<Line>) {
         let slow_start = SlowStartLimits {
             lasts_us: 0,
             window_us: 0,
@@ -315,102 +330,120 @@
     }
 }
 
-fn refused_as(word: &Option<Event>) -> Option<RejectionReason> {
-    match word {
-        Some(Event::Rejected(refused)) => Some(refused.reason()),
+fn rejection_reason(event: &Option<Event>) -> Option<RejectionReason> {
+    match event {
+        Some(Event::Rejected(rejected)) => Some(rejected.reason()),
         _ => None,
     }
 }
 
-fn story<F: Future<Output = ()>>(story: impl FnOnce(Stage) -> F) {
+fn run_with_stale_dispatchers<F: Future<Output = ()>>(test: impl FnOnce(Fixture) -> F) {
     Harness::run(
         Layout {
             nodes: 3,
             ..Layout::default()
         },
         async |harness| {
-            let mut stage = Stage::new(harness).await;
-            let (newest, stale) = (stage.newest.0.address, stage.stale.0.address);
+            let mut fixture = Fixture::new(harness).await;
+            let (newest, stale) = (fixture.newest.0.address, fixture.stale.0.address);
             for _ in 0..3 {
-                stage.start(newest, KEEPERS).await;
+                fixture.start(newest, QUORUM_MEMBERS).await;
             }
-            stage.start(stale, KEEPERS).await;
+            fixture.start(stale, QUORUM_MEMBERS).await;
             // Of this one's links all but those to nodes are cut, and the roster's.
-            stage.start(stale, "").await;
+            fixture.start(stale, "").await;
             for number in 0..5 {
-                stage.until_in_force(number, 1).await;
+                fixture.wait_until_active(number, 1).await;
             }
-            assert_eq!(stage.newest.0.publish(stage.texts(5), false).number, 2);
+            assert_eq!(
+                fixture
+                    .newest
+                    .0
+                    .publish(fixture.shared_parts(5), false)
+                    .number,
+                2
+            );
             for number in 0..3 {
-                stage.until_in_force(number, 2).await;
+                fixture.wait_until_active(number, 2).await;
             }
-            story(stage).await;
+            test(fixture).await;
         },
     );
 }
 
 #[test]
-fn stragglers_are_shut_out_by_nodes_and_keepers_and_come_back_once_they_are_up() {
-    story(async |stage| {
+fn lagging_dispatchers_are_fenced_by_nodes_and_quorum_members_until_they_catch_up() {
+    run_with_stale_dispatchers(async |fixture| {
         // All may act as long as nobody has asked for a floor.
-        let (before, _call) = stage.answered(4, "before").await;
+        let (before, _call) = fixture.first_event(4, "before").await;
         assert!(matches!(before, Some(Event::Placed(_))), "{before:?}");
-        let asked = stage.operator(&["floor", "2"]).await;
-        let why = String::from_utf8_lossy(&asked.stderr).into_owned();
+        let output = fixture.operator(&["floor", "2"]).await;
+        let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
         assert!(
-            !asked.status.success() && why.contains("for good; 3 are wanted"),
-            "on trial yet: {why}"
+            !output.status.success() && stderr.contains("for good; 3 are wanted"),
+            "on trial yet: {stderr}"
         );
-        let asked = stage.operator(&["floor", "2", "--part", "0"]).await;
+        let output = fixture.operator(&["floor", "2", "--part", "0"]).await;
         assert!(
-            asked.status.success(),
+            output.status.success(),
             "{}",
-            String::from_utf8_lossy(&asked.stderr)
+            String::from_utf8_lossy(&output.stderr)
         );
         // One hears of it from the keepers.
         wait_until(async || {
-            refused_as(&stage.answered(3, "by-keepers").await.0) == Some(RejectionReason::Behind)
+            rejection_reason(&fixture.first_event(3, "by-keepers").await.0)
+                == Some(RejectionReason::Behind)
         })
         .await;
-        stage.until_nodes_have_it().await;
+        fixture.wait_until_nodes_store_minimum().await;
         // The other from the node that it asks first: the ask in hand gets its one answer, the next
         // is refused at once.
-        let first = stage.answered(4, "by-node").await.0;
-        assert!(refused_as(&first).is_some(), "{first:?}");
+        let first = fixture.first_event(4, "by-node").await.0;
+        assert!(rejection_reason(&first).is_some(), "{first:?}");
         assert_eq!(
-            refused_as(&stage.answered(4, "next").await.0),
+            rejection_reason(&fixture.first_event(4, "next").await.0),
             Some(RejectionReason::Behind)
         );
-        let audit = stage.operator(&["audit"]).await;
-        let told = String::from_utf8_lossy(&audit.stdout).into_owned();
-        assert_eq!(audit.status.code(), Some(1), "{told}");
-        for straggler in [3, 4] {
-            let address = stage.fleet[straggler].address;
-            assert!(told.contains(&format!("{address} is shut out")), "{told}");
+        let audit = fixture.operator(&["audit"]).await;
+        let report = String::from_utf8_lossy(&audit.stdout).into_owned();
+        assert_eq!(audit.status.code(), Some(1), "{report}");
+        for lagging in [3, 4] {
+            let address = fixture.fleet[lagging].address;
+            assert!(
+                report.contains(&format!("{address} is shut out")),
+                "{report}"
+            );
             assert!(
-                told.contains(&format!(
+                report.contains(&format!(
                     "{address} is behind: on version 1, the newest is 2"
                 )),
-                "{told}"
+                "{report}"
             );
         }
         // Brought up, they act again by themselves.
-        assert_eq!(stage.stale.0.publish(stage.texts(5), false).number, 2);
-        for straggler in [3, 4] {
-            stage.until_in_force(straggler, 2).await;
-            let (word, _call) = stage.answered(straggler, &format!("up-{straggler}")).await;
-            assert!(matches!(word, Some(Event::Placed(_))), "{word:?}");
+        assert_eq!(
+            fixture
+                .stale
+                .0
+                .publish(fixture.shared_parts(5), false)
+                .number,
+            2
+        );
+        for lagging in [3, 4] {
+            fixture.wait_until_active(lagging, 2).await;
+            let (event, _call) = fixture.first_event(lagging, &format!("up-{lagging}")).await;
+            assert!(matches!(event, Some(Event::Placed(_))), "{event:?}");
         }
-        let audit = stage.operator(&["audit"]).await;
+        let audit = fixture.operator(&["audit"]).await;
         assert!(
             audit.status.success(),
             "{}",
             String::from_utf8_lossy(&audit.stdout)
         );
-        stage.audit_equals_the_sockets().await;
-        let (breaches, lines) = stage.judged();
+        fixture.assert_audit_matches_capture().await;
+        let (breaches, lines) = fixture.minimum_version_breaches();
         assert_eq!(breaches, [""; 0]);
-        let below = lines.iter().filter(|line| {
+        let fenced_attempts = lines.iter().filter(|line| {
             matches!(
                 line.observation,
                 Observation::Offered {
@@ -420,70 +453,74 @@
                 }
             )
         });
-        assert!(below.count() >= 2, "the judge has seen shots from below");
+        assert!(
+            fenced_attempts.count() >= 2,
+            "the judge has seen shots from below"
+        );
     });
 }
 
 #[test]
-fn one_that_stood_still_across_the_raise_places_nothing_after_it() {
-    story(async |stage| {
-        let stopped = &stage.fleet[4];
+fn a_dispatcher_paused_while_the_minimum_version_is_raised_places_nothing_afterwards() {
+    run_with_stale_dispatchers(async |fixture| {
+        let paused = &fixture.fleet[4];
         // Its link stands and its ask is on its way when it stops.
-        let (before, _call) = stage.answered(4, "before").await;
+        let (before, _call) = fixture.first_event(4, "before").await;
         assert!(matches!(before, Some(Event::Placed(_))), "{before:?}");
-        let link = stage.link(4).await;
-        stopped.signal(Signal::STOP);
-        let call = stage.harness.tasks.spawn(async move {
-            let asked = v1::PlacementRequest {
+        let connection = fixture.connect(4).await;
+        paused.signal(Signal::STOP);
+        let call = fixture.harness.tasks.spawn(async move {
+            let request = v1::PlacementRequest {
                 deadline_ms: 10_000,
                 ..placement_request("across", "web")
             };
-            let mut words = PlacementClient::new(link)
-                .place(asked)
+            let mut events = PlacementClient::new(connection)
+                .place(request)
                 .await
                 .expect("taken")
                 .into_inner();
-            next(&mut words).await
+            next(&mut events).await
         });
-        let asked = stage.operator(&["floor", "2", "--part", "0"]).await;
+        let output = fixture.operator(&["floor", "2", "--part", "0"]).await;
         assert!(
-            asked.status.success(),
+            output.status.success(),
             "{}",
-            String::from_utf8_lossy(&asked.stderr)
+            String::from_utf8_lossy(&output.stderr)
         );
-        stage.until_nodes_have_it().await;
-        stopped.signal(Signal::CONT);
-        let word = call.await;
-        assert!(refused_as(&word).is_some(), "{word:?}");
+        fixture.wait_until_nodes_store_minimum().await;
+        paused.signal(Signal::CONT);
+        let event = call.await;
+        assert!(rejection_reason(&event).is_some(), "{event:?}");
         wait_until(async || {
-            refused_as(&stage.answered(4, "next").await.0) == Some(RejectionReason::Behind)
+            rejection_reason(&fixture.first_event(4, "next").await.0)
+                == Some(RejectionReason::Behind)
         })
         .await;
-        assert_eq!(stage.judged().0, [""; 0]);
+        assert_eq!(fixture.minimum_version_breaches().0, [""; 0]);
     });
 }
 
 /// All links of one process but the roster's run through relays: it hears no more of versions,
 /// nodes and keepers while its links stand open, and what it says still gets through.
 #[test]
-fn one_that_hears_nothing_on_links_that_stand_is_shut_out_and_its_owners_get_their_answers() {
+fn a_dispatcher_that_receives_nothing_on_open_connections_is_fenced_and_its_clients_get_a_reply() {
     Harness::run(
         Layout {
             nodes: 3,
             ..Layout::default()
         },
         async |harness| {
-            let mut stage = Stage::new(harness).await;
-            let tasks = stage.harness.tasks.clone();
-            let newest = stage.newest.0.address;
+            let mut fixture = Fixture::new(harness).await;
+            let tasks = fixture.harness.tasks.clone();
+            let newest = fixture.newest.0.address;
             let control = Relay::start(&tasks, newest).await.expect("a port");
             // The same nodes, by addresses of relays to them.
-            let (discovery, by) = Discovery::start(&stage.harness.context)
+            let (discovery, relayed_discovery) = Discovery::start(&fixture.harness.context)
                 .await
                 .expect("a port");
             let mut nodes = Vec::new();
-            for node in &stage.harness.nodes {
-                let listed = stage
+            for node in &fixture.harness.nodes {
+                let listed = fixture
                     .harness
                     .discovery
                     .endpoint(node.config.id)
@@ -501,47 +538,57 @@
                 nodes.push(relay);
             }
             for _ in 0..4 {
-                stage.start(newest, KEEPERS).await;
+                fixture.start(newest, QUORUM_MEMBERS).await;
             }
-            stage.start_by(by, control.address, KEEPERS).await;
+            fixture
+                .start_with_discovery(relayed_discovery, control.address, QUORUM_MEMBERS)
+                .await;
             for number in 0..5 {
-                stage.until_in_force(number, 1).await;
+                fixture.wait_until_active(number, 1).await;
             }
-            let (before, _call) = stage.answered(4, "before").await;
+            let (before, _call) = fixture.first_event(4, "before").await;
             assert!(matches!(before, Some(Event::Placed(_))), "{before:?}");
 
             control.hold(&[Direction::In]);
             nodes.iter().for_each(|node| node.hold(&[Direction::In]));
-            assert_eq!(stage.newest.0.publish(stage.texts(5), false).number, 2);
+            assert_eq!(
+                fixture
+                    .newest
+                    .0
+                    .publish(fixture.shared_parts(5), false)
+                    .number,
+                2
+            );
             for number in 0..4 {
-                stage.until_in_force(number, 2).await;
+                fixture.wait_until_active(number, 2).await;
             }
-            let asked = stage.operator(&["floor", "2", "--part", "0"]).await;
+            let output = fixture.operator(&["floor", "2", "--part", "0"]).await;
             assert!(
-                asked.status.success(),
+                output.status.success(),
                 "{}",
-                String::from_utf8_lossy(&asked.stderr)
+                String::from_utf8_lossy(&output.stderr)
             );
-            stage.until_nodes_have_it().await;
+            fixture.wait_until_nodes_store_minimum().await;
             // It reaches nodes that know the floor and hears neither them nor the keepers among
             // them.
-            let deaf = stage.answered(4, "deaf").await.0;
+            let during_cut = fixture.first_event(4, "deaf").await.0;
             assert!(
-                matches!(deaf, Some(Event::Rejected(_) | Event::Failed(_))),
-                "one answer, in its time: {deaf:?}"
+                matches!(during_cut, Some(Event::Rejected(_) | Event::Failed(_))),
+                "one answer, in its time: {during_cut:?}"
             );
             nodes.iter().for_each(Relay::heal);
             wait_until(async || {
-                refused_as(&stage.answered(4, "heard").await.0) == Some(RejectionReason::Behind)
+                rejection_reason(&fixture.first_event(4, "heard").await.0)
+                    == Some(RejectionReason::Behind)
             })
             .await;
             control.heal();
-            stage.until_in_force(4, 2).await;
-            let (after, _call) = stage.answered(4, "after").await;
+            fixture.wait_until_active(4, 2).await;
+            let (after, _call) = fixture.first_event(4, "after").await;
             assert!(matches!(after, Some(Event::Placed(_))), "{after:?}");
-            let (breaches, lines) = stage.judged();
+            let (breaches, lines) = fixture.minimum_version_breaches();
             assert_eq!(breaches, [""; 0]);
-            let ran = lines.iter().filter(|line| match &line.observation {
+            let accepted = lines.iter().filter(|line| match &line.observation {
                 Observation::EventSent {
                     placement_id,
                     event,
@@ -550,7 +597,7 @@
                 _ => false,
             });
             assert_eq!(
-                ran.count(),
+                accepted.count(),
                 0,
                 "what it sent from below took effect nowhere"
             );
@@ -560,37 +607,51 @@
 
 /// Its first life ends by a kill after a second version has come.
 #[test]
-fn which_versions_were_in_force_is_told_over_a_kill_and_by_the_next_life() {
+fn version_history_survives_a_kill_and_continues_in_the_next_incarnation() {
     Harness::run(
         Layout {
             nodes: 3,
             ..Layout::default()
         },
         async |harness| {
-            let mut stage = Stage::new(harness).await;
-            stage.start(stage.newest.0.address, KEEPERS).await;
-            stage.until_in_force(0, 1).await;
-            assert_eq!(stage.newest.0.publish(stage.texts(5), false).number, 2);
-            stage.until_in_force(0, 2).await;
-            let over_time = async |stage: &Stage| {
-                let audit = stage.operator(&["audit", "--since", "600"]).await;
+            let mut fixture = Fixture::new(harness).await;
+            fixture
+                .start(fixture.newest.0.address, QUORUM_MEMBERS)
+                .await;
+            fixture.wait_until_active(0, 1).await;
+            assert_eq!(
+                fixture
+                    .newest
+                    .0
+                    .publish(fixture.shared_parts(5), false)
+                    .number,
+                2
+            );
+            fixture.wait_until_active(0, 2).await;
+            let version_intervals = async |fixture: &Fixture| {
+                let audit = fixture.operator(&["audit", "--since", "600"]).await;
                 let text = String::from_utf8_lossy(&audit.stdout).into_owned();
-                let spans = text
+                let intervals = text
                     .lines()
                     .filter_map(|line| line.split_once(": version ")?.1.split_once(" from "));
-                spans
-                    .map(|(span, rest)| {
-                        (span.to_string(), rest.rsplit(' ').next().map(String::from))
+                intervals
+                    .map(|(interval, rest)| {
+                        (
+                            interval.to_string(),
+                            rest.rsplit(' ').next().map(String::from),
+                        )
                     })
                     .collect::<Vec<_>>()
             };
-            let before = over_time(&stage).await;
-            let names: Vec<&str> = before.iter().map(|(span, _)| &span[..]).collect();
+            let before = version_intervals(&fixture).await;
+            let names: Vec<&str> = before.iter().map(|(interval, _)| &interval[..]).collect();
             assert_eq!(names, ["0 (its own file)", "1 (pushed)", "2 (pushed)"]);
-            wait_until(async || !stage.status(0).await.history_incomplete).await;
-            stage.fleet.clear();
-            stage.start(stage.newest.0.address, KEEPERS).await;
-            let after = over_time(&stage).await;
+            wait_until(async || !fixture.status(0).await.history_incomplete).await;
+            fixture.fleet.clear();
+            fixture
+                .start(fixture.newest.0.address, QUORUM_MEMBERS)
+                .await;
+            let after = version_intervals(&fixture).await;
             assert_eq!(after[..3], before, "of the life that was killed");
             assert_eq!((&after[3].0[..], after.len()), ("2 (kept, at a start)", 4));
             assert_ne!(after[3].1, after[2].1, "another life");
@@ -599,110 +660,121 @@
 }
 
 /// Two processes that take their versions from the service that goes on.
-fn pair<F: Future<Output = ()>>(story: impl FnOnce(Stage) -> F) {
+fn run_with_two_dispatchers<F: Future<Output = ()>>(test: impl FnOnce(Fixture) -> F) {
     Harness::run(
         Layout {
             nodes: 3,
             ..Layout::default()
         },
         async |harness| {
-            let mut stage = Stage::new(harness).await;
+            let mut fixture = Fixture::new(harness).await;
             for _ in 0..2 {
-                stage.start(stage.newest.0.address, KEEPERS).await;
+                fixture
+                    .start(fixture.newest.0.address, QUORUM_MEMBERS)
+                    .await;
             }
             for number in 0..2 {
-                stage.until_in_force(number, 1).await;
+                fixture.wait_until_active(number, 1).await;
             }
-            story(stage).await;
+            test(fixture).await;
         },
     );
 }
 
 #[test]
-fn a_floor_needs_a_majority_of_keepers_and_their_silence_shuts_nobody_out() {
-    pair(async |stage| {
-        let floor = async |stage: &Stage, version: &str| {
-            let asked = stage.operator(&["floor", version, "--part", "0"]).await;
+fn a_minimum_version_needs_a_quorum_and_losing_the_quorum_fences_no_dispatcher() {
+    run_with_two_dispatchers(async |fixture| {
+        let set_minimum = async |fixture: &Fixture, version: &str| {
+            let output = fixture.operator(&["floor", version, "--part", "0"]).await;
             (
-                asked.status.success(),
-                String::from_utf8_lossy(&asked.stderr).into_owned(),
+                output.status.success(),
+                String::from_utf8_lossy(&output.stderr).into_owned(),
             )
         };
-        let long = Duration::from_secs(3_600);
-        stage.harness.nodes[0].cut_connections(long);
-        stage.harness.nodes[1].cut_connections(long);
-        let (taken, why) = floor(&stage, "1").await;
-        assert!(!taken && why.contains("1 of 3 keepers answer"), "{why}");
-        let (word, _call) = stage.answered(1, "alone").await;
-        assert!(matches!(word, Some(Event::Placed(_))), "{word:?}");
-        stage.harness.nodes[1].cut_connections(Duration::ZERO);
-        wait_until(async || floor(&stage, "1").await.0).await;
+        let cut_time = Duration::from_secs(3_600);
+        fixture.harness.nodes[0].cut_connections(cut_time);
+        fixture.harness.nodes[1].cut_connections(cut_time);
+        let (accepted, stderr) = set_minimum(&fixture, "1").await;
+        assert!(
+            !accepted && stderr.contains("1 of 3 keepers answer"),
+            "{stderr}"
+        );
+        let (event, _call) = fixture.first_event(1, "alone").await;
+        assert!(matches!(event, Some(Event::Placed(_))), "{event:?}");
+        fixture.harness.nodes[1].cut_connections(Duration::ZERO);
+        wait_until(async || set_minimum(&fixture, "1").await.0).await;
         // Known to both before, it stays so with all keepers but one away.
         wait_until(async || {
-            let heard = async |number| {
-                stage
+            let knows_minimum = async |number| {
+                fixture
                     .status(number)
                     .await
                     .minimum_version
-                    .is_some_and(|floor| floor.version == 1)
+                    .is_some_and(|minimum| minimum.version == 1)
             };
-            heard(0).await && heard(1).await
+            knows_minimum(0).await && knows_minimum(1).await
         })
         .await;
-        stage.harness.nodes[1].cut_connections(long);
-        let (taken, why) = floor(&stage, "0").await;
-        assert!(!taken && why.contains("1 of 3 keepers answer"), "{why}");
-        assert!(!stage.status(0).await.fenced);
+        fixture.harness.nodes[1].cut_connections(cut_time);
+        let (accepted, stderr) = set_minimum(&fixture, "0").await;
+        assert!(
+            !accepted && stderr.contains("1 of 3 keepers answer"),
+            "{stderr}"
+        );
+        assert!(!fixture.status(0).await.fenced);
     });
 }
 
 #[test]
-fn two_operators_at_once_leave_one_floor_and_two_processes_under_one_number_are_told() {
-    pair(async |mut stage| {
+fn concurrent_operators_leave_one_minimum_version_and_the_audit_reports_a_duplicate_number() {
+    run_with_two_dispatchers(async |mut fixture| {
         for round in 0..3 {
-            let raise = stage.operator(&["floor", "1", "--part", "0"]);
-            let lower = stage.operator(&["floor", "0", "--part", "0"]);
+            let raise = fixture.operator(&["floor", "1", "--part", "0"]);
+            let lower = fixture.operator(&["floor", "0", "--part", "0"]);
             let (raise, lower) = futures_lite::future::zip(raise, lower).await;
             wait_until(async || {
                 let floors = [
-                    stage.status(0).await.minimum_version,
-                    stage.status(1).await.minimum_version,
+                    fixture.status(0).await.minimum_version,
+                    fixture.status(1).await.minimum_version,
                 ];
                 floors[0].is_some() && floors[0] == floors[1]
             })
             .await;
-            let stands = stage
+            let current = fixture
                 .status(0)
                 .await
                 .minimum_version
-                .map(|floor| (floor.revision, floor.version));
-            let told = |taken: &Output| String::from_utf8_lossy(&taken.stdout).into_owned();
-            let (number, lowest) = stands.expect("one stands");
-            let last = format!("floor {lowest} by wish {number}");
-            let says = [&raise, &lower].map(|asked| told(asked).contains(&last));
+                .map(|minimum| (minimum.revision, minimum.version));
+            let stdout = |output: &Output| String::from_utf8_lossy(&output.stdout).into_owned();
+            let (revision, minimum) = current.expect("one stands");
+            let final_line = format!("floor {minimum} by wish {revision}");
+            let claims_current =
+                [&raise, &lower].map(|output| stdout(output).contains(&final_line));
             // Nobody is told that what stands is another's; of the two at most one is told that it
             // is his.
             assert!(
-                says != [true, true],
+                claims_current != [true, true],
                 "round {round}: {} {}",
-                told(&raise),
-                told(&lower)
+                stdout(&raise),
+                stdout(&lower)
             );
         }
-        stage.start_as(0, stage.newest.0.address).await;
-        let audit = stage.operator(&["audit"]).await;
+        fixture.start_with_number(0, fixture.newest.0.address).await;
+        let audit = fixture.operator(&["audit"]).await;
         let text = String::from_utf8_lossy(&audit.stdout).into_owned();
         assert!(
             audit.status.code() == Some(1) && text.contains("are two processes under the number 0"),
             "{text}"
         );
-        let audit = stage.operator(&["audit", "--json", "--since", "600"]).await;
-        let told: serde_json::Value =
+        let audit = fixture
+            .operator(&["audit", "--json", "--since", "600"])
+            .await;
+        let report: serde_json::Value =
             serde_json::from_slice(&audit.stdout).expect("one JSON object");
-        let dispatchers = told["dispatchers"].as_array().expect("a list");
+        let dispatchers = report["dispatchers"].as_array().expect("a list");
         let numbers: Vec<_> = dispatchers
             .iter()
-            .map(|own| own["number"].as_u64().expect("a number"))
+            .map(|dispatcher| dispatcher["number"].as_u64().expect("a number"))
             .collect();
         assert_eq!(
             (numbers, dispatchers[1]["spans"][1]["version"].as_u64()),
@@ -713,19 +785,24 @@
 }
 
 /// The newest version whole, as a dispatcher would lay it on a keeper's shelf.
-fn whole(stage: &Stage, number: u64, shots: usize, follows: u64) -> v1::VersionPush {
-    let stamp = |number, shots| {
-        let stamp = VersionId {
+fn version_push(
+    fixture: &Fixture,
+    number: u64,
+    max_attempts: usize,
+    predecessor: u64,
+) -> v1::VersionPush {
+    let message = |number, max_attempts| {
+        let version_id = VersionId {
             number,
-            digest: stage.texts(shots).digest(),
+            digest: fixture.shared_parts(max_attempts).digest(),
         };
-        corkspan_testbed::control_service::version_id_message(stamp)
+        corkspan_testbed::control_service::version_id_message(version_id)
     };
     v1::VersionPush {
-        version: Some(stamp(number, shots)),
-        ancestors: vec![stamp(follows, 4)],
-        parts: stage
-            .texts(shots)
+        version: Some(message(number, max_attempts)),
+        ancestors: vec![message(predecessor, 4)],
+        parts: fixture
+            .shared_parts(max_attempts)
             .iter()
             .map(|(name, text)| (name.into(), text.into()))
             .collect(),
@@ -734,187 +811,211 @@
 }
 
 #[test]
-fn those_that_no_service_brings_up_have_the_newest_from_another_dispatcher_or_a_keepers_shelf() {
+fn dispatchers_without_a_current_control_service_catch_up_from_a_peer_or_a_quorum_member() {
     Harness::run(
         Layout {
             nodes: 3,
             ..Layout::default()
         },
         async |harness| {
-            let mut stage = Stage::new(harness).await;
-            let (newest, stale) = (stage.newest.0.address, stage.stale.0.address);
+            let mut fixture = Fixture::new(harness).await;
+            let (newest, stale) = (fixture.newest.0.address, fixture.stale.0.address);
             for _ in 0..3 {
-                stage.start(newest, KEEPERS).await;
+                fixture.start(newest, QUORUM_MEMBERS).await;
             }
             // A link to a peer is cut at first, and one peer is gone: those that are left are
             // asked.
-            let relay = Relay::start(&stage.harness.tasks, stage.fleet[1].address)
+            let relay = Relay::start(&fixture.harness.tasks, fixture.fleet[1].address)
                 .await
                 .expect("a port");
             relay.hold(&[Direction::In]);
-            stage.floor = format!(
+            fixture.minimum_version_forms = format!(
                 "(peers \"127.0.0.1:1\" \"{}\" \"{}\")",
-                relay.address, stage.fleet[0].address
+                relay.address, fixture.fleet[0].address
             );
-            stage.start(stale, KEEPERS).await;
-            stage.floor = String::new();
-            stage.start(stale, KEEPERS).await;
+            fixture.start(stale, QUORUM_MEMBERS).await;
+            fixture.minimum_version_forms = String::new();
+            fixture.start(stale, QUORUM_MEMBERS).await;
             for number in 0..5 {
-                stage.until_in_force(number, 1).await;
+                fixture.wait_until_active(number, 1).await;
             }
-            assert_eq!(stage.newest.0.publish(stage.texts(5), false).number, 2);
+            assert_eq!(
+                fixture
+                    .newest
+                    .0
+                    .publish(fixture.shared_parts(5), false)
+                    .number,
+                2
+            );
             for number in 0..3 {
-                stage.until_in_force(number, 2).await;
+                fixture.wait_until_active(number, 2).await;
             }
-            let asked = stage.operator(&["floor", "2", "--part", "0"]).await;
+            let output = fixture.operator(&["floor", "2", "--part", "0"]).await;
             assert!(
-                asked.status.success(),
+                output.status.success(),
                 "{}",
-                String::from_utf8_lossy(&asked.stderr)
+                String::from_utf8_lossy(&output.stderr)
             );
-            stage.until_in_force(3, 2).await;
+            fixture.wait_until_active(3, 2).await;
             // The other knows keepers alone, and on their shelves lies a rival's version, which it
             // can't take.
             wait_until(async || {
-                refused_as(&stage.answered(4, "out").await.0) == Some(RejectionReason::Behind)
+                rejection_reason(&fixture.first_event(4, "out").await.0)
+                    == Some(RejectionReason::Behind)
             })
             .await;
-            let lay = async |keeper: usize, push: v1::VersionPush| {
-                let entry = stage
+            let store_version = async |quorum_member: usize, push: v1::VersionPush| {
+                let entry = fixture
                     .harness
                     .discovery
-                    .endpoint(stage.harness.nodes[keeper].config.id)
+                    .endpoint(fixture.harness.nodes[quorum_member].config.id)
                     .expect("listed");
                 let address = entry.address.parse().expect("an address");
-                let link =
-                    Connection::open(&stage.harness.tasks, address, &ConnectionLimits::default())
-                        .await
-                        .expect("it listens");
-                let ask = v1::QuorumRequest {
+                let connection = Connection::open(
+                    &fixture.harness.tasks,
+                    address,
+                    &ConnectionLimits::default(),
+                )
+                .await
+                .expect("it listens");
+                let request = v1::QuorumRequest {
                     operation: Some(v1::quorum_request::Operation::StoreVersion(push)),
                 };
-                NodeClient::new(link)
-                    .keep(ask)
+                NodeClient::new(connection)
+                    .keep(request)
                     .await
                     .expect("a word")
                     .into_inner()
                     .stored_version
             };
-            let rival = whole(&stage, 3, 3, 9);
-            assert_eq!(lay(0, rival.clone()).await, rival.version);
-            wait_until(async || stage.status(4).await.last_rejected == rival.version).await;
-            assert!(stage.status(4).await.reasons[0].contains("split"));
-            let mut liar = whole(&stage, 2, 5, 1);
-            liar.parts.insert("tracks".into(), "(tracks)".into());
+            let unrelated = version_push(&fixture, 3, 3, 9);
+            assert_eq!(store_version(0, unrelated.clone()).await, unrelated.version);
+            wait_until(async || fixture.status(4).await.last_rejected == unrelated.version).await;
+            assert!(fixture.status(4).await.reasons[0].contains("split"));
+            let mut wrong_digest = version_push(&fixture, 2, 5, 1);
+            wrong_digest
+                .parts
+                .insert("tracks".into(), "(tracks)".into());
             assert_eq!(
-                lay(1, liar).await,
+                store_version(1, wrong_digest).await,
                 None,
                 "a keeper takes no version whose digest is another"
             );
-            assert!(lay(2, whole(&stage, 2, 5, 1)).await.is_some());
-            stage.until_in_force(4, 2).await;
-            for straggler in [3, 4] {
-                let (word, _call) = stage.answered(straggler, &format!("up-{straggler}")).await;
-                assert!(matches!(word, Some(Event::Placed(_))), "{word:?}");
+            assert!(
+                store_version(2, version_push(&fixture, 2, 5, 1))
+                    .await
+                    .is_some()
+            );
+            fixture.wait_until_active(4, 2).await;
+            for lagging in [3, 4] {
+                let (event, _call) = fixture.first_event(lagging, &format!("up-{lagging}")).await;
+                assert!(matches!(event, Some(Event::Placed(_))), "{event:?}");
             }
-            let audit = stage.operator(&["audit", "--since", "600"]).await;
+            let audit = fixture.operator(&["audit", "--since", "600"]).await;
             let text = String::from_utf8_lossy(&audit.stdout).into_owned();
             assert_eq!(
                 text.matches("version 2 (brought by another)").count(),
                 2,
                 "{text}"
             );
-            assert_eq!(stage.judged().0, [""; 0]);
+            assert_eq!(fixture.minimum_version_breaches().0, [""; 0]);
         },
     );
 }
 
 #[test]
-fn a_floor_is_raised_by_its_rule_once_enough_run_a_version_for_good() {
+fn the_policy_raises_the_minimum_version_once_enough_dispatchers_have_adopted_a_version() {
     Harness::run(
         Layout {
             nodes: 3,
             ..Layout::default()
         },
         async |harness| {
-            let mut stage = Stage::new(harness).await;
-            stage.floor = "(behind 3) (part 600)".into();
-            let kept = |stage: &Stage, number, shots| {
-                let texts = stage.texts(shots);
-                let stamp = VersionId {
+            let mut fixture = Fixture::new(harness).await;
+            fixture.minimum_version_forms = "(behind 3) (part 600)".into();
+            let persisted_versions = |fixture: &Fixture, number, max_attempts| {
+                let shared_parts = fixture.shared_parts(max_attempts);
+                let version_id = VersionId {
                     number,
-                    digest: texts.digest(),
+                    digest: shared_parts.digest(),
                 };
                 PersistedVersions {
-                    last_good: Some(Version { id: stamp, texts }),
+                    last_good: Some(Version {
+                        id: version_id,
+                        texts: shared_parts,
+                    }),
                     ..PersistedVersions::default()
                 }
             };
             // Two of five run 9 for good: not enough. Nobody streams.
-            let nobody: SocketAddr = "127.0.0.1:1".parse().expect("an address");
+            let unreachable: SocketAddr = "127.0.0.1:1".parse().expect("an address");
             for number in 0..5 {
                 let version = if number < 2 { 9 } else { 2 };
-                let path = stage.folder.path().join(format!("versions-{number}.json"));
-                save(&path, &kept(&stage, version, 4)).expect("kept");
-                stage.start(nobody, KEEPERS).await;
+                let path = fixture
+                    .directory
+                    .path()
+                    .join(format!("versions-{number}.json"));
+                save(&path, &persisted_versions(&fixture, version, 4)).expect("kept");
+                fixture.start(unreachable, QUORUM_MEMBERS).await;
             }
             // Each has told its version in two rounds at least once all are known to all.
             wait_until(async || {
-                let told = stage.operator(&["audit"]).await;
-                String::from_utf8_lossy(&told.stdout)
+                let output = fixture.operator(&["audit"]).await;
+                String::from_utf8_lossy(&output.stdout)
                     .matches(" acts")
                     .count()
                     >= 5
             })
             .await;
-            let (word, _call) = stage.answered(4, "before").await;
-            assert!(matches!(word, Some(Event::Placed(_))), "{word:?}");
-            assert_eq!(stage.status(0).await.minimum_version, None);
+            let (event, _call) = fixture.first_event(4, "before").await;
+            assert!(matches!(event, Some(Event::Placed(_))), "{event:?}");
+            assert_eq!(fixture.status(0).await.minimum_version, None);
             // A third one comes back with it.
-            stage.fleet.truncate(4);
-            let path = stage.folder.path().join("versions-4.json");
-            save(&path, &kept(&stage, 9, 4)).expect("kept");
-            stage.start(nobody, KEEPERS).await;
+            fixture.fleet.truncate(4);
+            let path = fixture.directory.path().join("versions-4.json");
+            save(&path, &persisted_versions(&fixture, 9, 4)).expect("kept");
+            fixture.start(unreachable, QUORUM_MEMBERS).await;
             wait_until(async || {
-                stage
+                fixture
                     .status(0)
                     .await
                     .minimum_version
-                    .is_some_and(|floor| floor.version == 6)
+                    .is_some_and(|minimum| minimum.version == 6)
             })
             .await;
             wait_until(async || {
-                refused_as(&stage.answered(3, "behind").await.0) == Some(RejectionReason::Behind)
+                rejection_reason(&fixture.first_event(3, "behind").await.0)
+                    == Some(RejectionReason::Behind)
             })
             .await;
-            let (word, _call) = stage.answered(4, "after").await;
-            assert!(matches!(word, Some(Event::Placed(_))), "{word:?}");
-            assert_eq!(stage.judged().0, [""; 0]);
+            let (event, _call) = fixture.first_event(4, "after").await;
+            assert!(matches!(event, Some(Event::Placed(_))), "{event:?}");
+            assert_eq!(fixture.minimum_version_breaches().0, [""; 0]);
         },
     );
 }
 
 /// Each line that could not be written was told on the same full disk, which ended the process.
 #[test]
-fn a_dispatcher_whose_log_lies_on_a_full_disk_goes_on_placing() {
+fn a_dispatcher_keeps_placing_when_its_log_is_on_a_full_disk() {
     Harness::run(
         Layout {
             nodes: 3,
             ..Layout::default()
         },
         async |harness| {
-            let mut stage = Stage::new(harness).await;
-            let file = stage.folder.path().join("full.sexp");
-            std::fs::write(&file, stage.deployment("")).expect("written");
+            let mut fixture = Fixture::new(harness).await;
+            let path = fixture.directory.path().join("full.sexp");
+            std::fs::write(&path, fixture.deployment("")).expect("written");
             let full = std::fs::OpenOptions::new()
                 .write(true)
                 .open("/dev/full")
                 .expect("a full disk");
-            stage
+            fixture
                 .fleet
-                .push(Process::start_logging(file, "debug", full.into()).await);
+                .push(Process::start_logging(path, "debug", full.into()).await);
             wait_until(async || {
-                let mut client = PlacementClient::new(stage.link(0).await);
+                let mut client = PlacementClient::new(fixture.connect(0).await);
                 let status = client
                     .status(v1::StatusRequest {})
                     .await
@@ -923,8 +1024,8 @@
                 status.machines_serving == 3
             })
             .await;
-            let (word, _call) = stage.answered(0, "placed").await;
-            assert!(matches!(word, Some(Event::Placed(_))), "{word:?}");
+            let (event, _call) = fixture.first_event(0, "placed").await;
+            assert!(matches!(event, Some(Event::Placed(_))), "{event:?}");
         },
     );
 }
--- a/crates/testbed/tests/full_path/hard_cases.rs
+++ b/crates/testbed/tests/full_path/hard_cases.rs
@@ -10,27 +10,30 @@
 use std::time::{Duration, Instant};
 use test_case::test_case;
 
-fn ended(word: Option<Event>) -> EndReason {
-    match word {
+fn expect_ended(event: Option<Event>) -> EndReason {
+    match event {
         Some(Event::Ended(ended)) => ended.reason(),
         other => panic!("an end is expected, not {other:?}"),
     }
 }
 
 #[test]
-fn an_ask_is_placed_runs_and_ends() {
+fn a_request_is_placed_runs_and_ends() {
     Harness::run(Layout::default(), async |harness| {
-        let mut words = harness
+        let mut events = harness
             .request_placement(v1::PlacementRequest {
                 expected_duration_ms: 50,
                 ..placement_request("a", "web")
             })
             .await;
-        placed(&mut words).await;
-        assert!(matches!(next(&mut words).await, Some(Event::Running(_))));
-        assert_eq!(ended(next_significant(&mut words).await), EndReason::Ended);
+        expect_placed(&mut events).await;
+        assert!(matches!(next(&mut events).await, Some(Event::Running(_))));
+        assert_eq!(
+            expect_ended(next_significant(&mut events).await),
+            EndReason::Ended
+        );
         assert!(
-            next(&mut words).await.is_none(),
+            next(&mut events).await.is_none(),
             "the call ends with its allocation"
         );
         wait_until(async || harness.status().await.in_flight == 0).await;
@@ -38,10 +41,10 @@
 }
 
 #[test]
-fn an_ask_that_arrives_as_its_node_drains_goes_elsewhere() {
+fn a_request_is_placed_elsewhere_when_its_node_drains() {
     Harness::run(Layout::default(), async |harness| {
         harness.nodes[0].drain();
-        let early = placed(
+        let early = expect_placed(
             &mut harness
                 .request_placement(placement_request("early", "once"))
                 .await,
@@ -59,10 +62,10 @@
             .filter(|(_, _, node)| *node == 0)
             .count();
         for number in 0..10 {
-            let mut words = harness
+            let mut events = harness
                 .request_placement(placement_request(&format!("late{number}"), "web"))
                 .await;
-            assert_eq!(placed(&mut words).await, 1);
+            assert_eq!(expect_placed(&mut events).await, 1);
         }
         let after = harness
             .offers()
@@ -74,38 +77,41 @@
 }
 
 #[test]
-fn a_node_that_accepts_and_loses_the_program_is_told_to_the_owner() {
+fn the_client_learns_of_a_node_lost_after_placement() {
     Harness::run(Layout::default(), async |harness| {
-        let mut words = harness
+        let mut events = harness
             .request_placement(placement_request("a", "once"))
             .await;
-        let node = placed(&mut words).await;
+        let node = expect_placed(&mut events).await;
         harness.nodes[node as usize].kill(NodeState::Gone);
-        assert_eq!(ended(next_significant(&mut words).await), EndReason::Lost);
+        assert_eq!(
+            expect_ended(next_significant(&mut events).await),
+            EndReason::Lost
+        );
         assert_eq!(harness.offers().len(), 1, "it is its owner who asks again");
     });
 }
 
 #[test]
-fn a_link_cut_before_the_answer_fails_what_must_not_run_twice() {
+fn a_connection_cut_before_the_reply_fails_a_request_that_is_not_retryable() {
     let layout = Layout {
         review_time: Duration::from_millis(400),
         ..Layout::default()
     };
     Harness::run(layout, async |harness| {
-        let mut words = harness
+        let mut events = harness
             .request_placement(placement_request("a", "once"))
             .await;
         wait_until(async || harness.offers().len() == 1).await;
         harness.nodes[harness.offers()[0].2 as usize].cut_connections(Duration::from_millis(50));
-        assert!(matches!(next(&mut words).await, Some(Event::Failed(_))));
+        assert!(matches!(next(&mut events).await, Some(Event::Failed(_))));
         assert_eq!(harness.offers().len(), 1);
     });
 }
 
 #[test_case(2_000, true; "within its hall's window")]
 #[test_case(100, false; "after its hall's window")]
-fn a_deduplicated_one_cut_off_is_tried_again(window: u64, again: bool) {
+fn a_deduplicated_request_is_retried_only_within_its_window(window_ms: u64, retried: bool) {
     let layout = Layout {
         nodes: 4,
         review_time: Duration::from_millis(400),
@@ -113,13 +119,13 @@
     };
     Harness::run(layout, async |harness| {
         let text = deployment(harness.discovery.address, "");
-        let short = Harness::start_second(
+        let second = Harness::start_second(
             &harness,
-            &text.replace("(window 2 s)", &format!("(window {window} ms)")),
+            &text.replace("(window 2 s)", &format!("(window {window_ms} ms)")),
         )
         .await;
-        short.wait_until_serving(4).await;
-        let mut words = short
+        second.wait_until_serving(4).await;
+        let mut events = second
             .request_placement(placement_request("a", "jobs"))
             .await;
         wait_until(async || harness.offers().len() == 1).await;
@@ -127,26 +133,26 @@
         Timer::after(Duration::from_millis(150)).await;
         let first = harness.offers()[0].2;
         harness.nodes[first as usize].cut_connections(Duration::from_millis(50));
-        match next(&mut words).await {
-            Some(Event::Placed(placed)) if again => {
+        match next(&mut events).await {
+            Some(Event::Placed(placed)) if retried => {
                 assert_eq!(
                     placed.node / 2,
                     first / 2,
                     "only in its hall are repeats dropped"
                 );
             }
-            Some(Event::Failed(_)) if !again => assert_eq!(harness.offers().len(), 1),
+            Some(Event::Failed(_)) if !retried => assert_eq!(harness.offers().len(), 1),
             other => panic!("not {other:?}"),
         }
     });
 }
 
 #[test]
-fn an_answer_after_the_time_out_is_not_heard() {
+fn a_reply_after_the_timeout_is_ignored() {
     Harness::run(Layout::default(), async |harness| {
         // It learns how long answers usually take.
         for number in 0..20 {
-            placed(
+            expect_placed(
                 &mut harness
                     .request_placement(placement_request(&format!("quick{number}"), "web"))
                     .await,
@@ -162,8 +168,8 @@
                     .await,
             );
         }
-        for words in &mut calls {
-            assert_eq!(placed(words).await, 1, "the one that answers");
+        for events in &mut calls {
+            assert_eq!(expect_placed(events).await, 1, "the one that answers");
         }
         let offers = harness.offers();
         assert!(
@@ -172,9 +178,9 @@
                 .any(|(_, number, node)| (*number, *node) == (1, 1)),
             "a second shot was made"
         );
-        for words in &mut calls {
+        for events in &mut calls {
             assert!(
-                matches!(next(words).await, Some(Event::Running(_))),
+                matches!(next(events).await, Some(Event::Running(_))),
                 "no second answer"
             );
         }
@@ -182,34 +188,40 @@
 }
 
 #[test]
-fn one_end_that_takes_the_link_for_broken_can_be_handed_what_runs_on() {
+fn a_running_allocation_can_be_handed_over_after_its_connection_breaks() {
     Harness::run(Layout::default(), async |harness| {
-        let ask = v1::PlacementRequest {
+        let request = v1::PlacementRequest {
             expected_duration_ms: 1_500,
             ..placement_request("a", "once")
         };
-        let mut words = harness.request_placement(ask.clone()).await;
-        let node = placed(&mut words).await;
+        let mut events = harness.request_placement(request.clone()).await;
+        let node = expect_placed(&mut events).await;
         harness.nodes[node as usize].cut_connections(Duration::from_millis(20));
-        assert_eq!(ended(next_significant(&mut words).await), EndReason::Lost);
+        assert_eq!(
+            expect_ended(next_significant(&mut events).await),
+            EndReason::Lost
+        );
         assert!(
             !harness.nodes[node as usize].allocations_of("a").is_empty(),
             "it runs on"
         );
-        let mut again = harness.hand_over(ask, node).await;
-        assert_eq!(ended(next_significant(&mut again).await), EndReason::Ended);
+        let mut handed_over = harness.hand_over(request, node).await;
+        assert_eq!(
+            expect_ended(next_significant(&mut handed_over).await),
+            EndReason::Ended
+        );
         assert_eq!(harness.offers().len(), 1, "and is not started again");
     });
 }
 
 #[test]
-fn one_handed_over_that_does_not_run_is_lost() {
+fn a_handed_over_allocation_that_does_not_run_is_lost() {
     Harness::run(Layout::default(), async |harness| {
-        let mut words = harness.hand_over(placement_request("a", "once"), 1).await;
-        assert_eq!(ended(next(&mut words).await), EndReason::Lost);
-        let mut words = harness.hand_over(placement_request("a", "once"), 77).await;
+        let mut events = harness.hand_over(placement_request("a", "once"), 1).await;
+        assert_eq!(expect_ended(next(&mut events).await), EndReason::Lost);
+        let mut events = harness.hand_over(placement_request("a", "once"), 77).await;
         assert_eq!(
-            ended(next(&mut words).await),
+            expect_ended(next(&mut events).await),
             EndReason::Lost,
             "nor on a node that nobody knows"
         );
@@ -217,17 +229,17 @@
 }
 
 #[test]
-fn a_node_started_anew_under_its_id_is_met_at_its_new_address_and_as_cold() {
+fn a_node_restarted_under_its_id_is_used_at_its_new_address_with_slow_start() {
     Harness::run(
         Layout {
             nodes: 1,
             ..Layout::default()
         },
         async |harness| {
-            let mut words = harness
+            let mut events = harness
                 .request_placement(placement_request("a", "once"))
                 .await;
-            placed(&mut words).await;
+            expect_placed(&mut events).await;
             harness.nodes[0].kill(NodeState::Gone);
             let address = harness.nodes[0].start_process(true).await.expect("a port");
             let now_ms = corkspan_dispatcher::clock::wall_ms();
@@ -235,7 +247,10 @@
                 Duration::ZERO,
                 endpoint(&harness.nodes[0], address, State::Serving, now_ms),
             );
-            assert_eq!(ended(next_significant(&mut words).await), EndReason::Lost);
+            assert_eq!(
+                expect_ended(next_significant(&mut events).await),
+                EndReason::Lost
+            );
             let mut calls = Vec::new();
             for number in 0..40 {
                 calls.push(
@@ -244,8 +259,8 @@
                         .await,
                 );
             }
-            for words in &mut calls {
-                placed(words).await;
+            for events in &mut calls {
+                expect_placed(events).await;
             }
             assert!(harness.nodes[0].is_running(), "it was not pushed over");
         },
@@ -253,7 +268,7 @@
 }
 
 #[test]
-fn a_stranger_at_a_nodes_old_address_is_offered_nothing() {
+fn a_node_that_reports_another_id_than_listed_is_offered_nothing() {
     Harness::run(
         Layout {
             nodes: 1,
@@ -278,14 +293,14 @@
             );
             wait_until(async || harness.status().await.machines_known == 2).await;
             harness.wait_until_serving(1).await;
-            let mut words = harness
+            let mut events = harness
                 .request_placement(v1::PlacementRequest {
                     deadline_ms: 900,
                     ..placement_request("a", "once")
                 })
                 .await;
             assert_eq!(
-                rejected(&mut words).await,
+                expect_rejected(&mut events).await,
                 RejectionReason::NoRoom,
                 "it never ran, so another try is harmless"
             );
@@ -295,19 +310,19 @@
 }
 
 #[test]
-fn two_asks_of_one_name_are_one_allocation() {
+fn two_requests_for_one_task_make_one_allocation() {
     Harness::run(Layout::default(), async |harness| {
         let mut first = harness
             .request_placement(placement_request("a", "once"))
             .await;
-        placed(&mut first).await;
+        expect_placed(&mut first).await;
         let mut second = harness
             .request_placement(v1::PlacementRequest {
                 placement_id: "a#1".into(),
                 ..placement_request("a", "once")
             })
             .await;
-        assert_eq!(rejected(&mut second).await, RejectionReason::InHand);
+        assert_eq!(expect_rejected(&mut second).await, RejectionReason::InHand);
         assert!(
             harness
                 .nodes
@@ -319,13 +334,13 @@
 }
 
 #[test]
-fn an_owner_that_hangs_up_has_its_allocation_stopped() {
+fn a_client_that_disconnects_has_its_allocation_stopped() {
     Harness::run(Layout::default(), async |harness| {
-        let mut words = harness
+        let mut events = harness
             .request_placement(placement_request("a", "once"))
             .await;
-        let node = placed(&mut words).await as usize;
-        drop(words);
+        let node = expect_placed(&mut events).await as usize;
+        drop(events);
         wait_until(async || harness.nodes[node].allocations_of("a").is_empty()).await;
         wait_until(async || harness.status().await.in_flight == 0).await;
         assert_eq!(harness.status().await.cancelled, 1);
@@ -333,17 +348,17 @@
 }
 
 #[test]
-fn an_owner_that_hangs_up_while_its_shot_is_out_leaves_no_copy() {
+fn a_client_that_disconnects_during_an_attempt_leaves_no_allocation() {
     let layout = Layout {
         review_time: Duration::from_millis(300),
         ..Layout::default()
     };
     Harness::run(layout, async |harness| {
-        let words = harness
+        let events = harness
             .request_placement(placement_request("a", "once"))
             .await;
         wait_until(async || harness.offers().len() == 1).await;
-        drop(words);
+        drop(events);
         wait_until(async || harness.status().await.in_flight == 0).await;
         assert!(
             harness
@@ -355,25 +370,25 @@
 }
 
 #[test]
-fn a_calls_own_deadline_is_heeded_and_its_passing_stops_nothing() {
+fn the_deadline_of_a_call_applies_and_its_expiry_stops_no_allocation() {
     Harness::run(Layout::default(), async |harness| {
         let mut request = tonic::Request::new(v1::PlacementRequest {
             deadline_ms: 0,
             ..placement_request("a", "once")
         });
         request.set_timeout(Duration::from_millis(600));
-        let mut words = harness
+        let mut events = harness
             .client()
             .await
             .place(request)
             .await
             .expect("taken")
             .into_inner();
-        let node = placed(&mut words).await as usize;
+        let node = expect_placed(&mut events).await as usize;
         Timer::after(Duration::from_millis(650)).await;
-        drop(words);
+        drop(events);
         // Another call after it, so that the end of the first has been seen.
-        placed(
+        expect_placed(
             &mut harness
                 .request_placement(placement_request("b", "once"))
                 .await,
@@ -387,22 +402,22 @@
 }
 
 #[test]
-fn without_room_it_is_refused_before_the_owners_time_is_up() {
+fn without_capacity_a_request_is_rejected_before_its_deadline() {
     Harness::run(
         Layout {
             nodes: 0,
             ..Layout::default()
         },
         async |harness| {
-            let began = Instant::now();
-            let mut words = harness
+            let started_at = Instant::now();
+            let mut events = harness
                 .request_placement(v1::PlacementRequest {
                     deadline_ms: 1_000,
                     ..placement_request("a", "once")
                 })
                 .await;
-            assert_eq!(rejected(&mut words).await, RejectionReason::NoRoom);
-            assert!(began.elapsed() < Duration::from_millis(1_000));
+            assert_eq!(expect_rejected(&mut events).await, RejectionReason::NoRoom);
+            assert!(started_at.elapsed() < Duration::from_millis(1_000));
         },
     );
 }
@@ -415,16 +430,16 @@
 #[test_case(placement_request("a", "wbe"), "unknown service class `wbe`"; "unknown service class")]
 #[test_case(placement_request("", "web"), "task"; "no name")]
 #[test_case(placement_request(&"x".repeat(300), "web"), "task"; "a name too long")]
-fn an_ask_that_is_none_is_refused_with_the_reason(ask: v1::PlacementRequest, why: &str) {
+fn an_invalid_request_is_rejected_with_the_reason(request: v1::PlacementRequest, reason: &str) {
     Harness::run(Layout::default(), async |harness| {
-        match next(&mut harness.request_placement(ask).await).await {
-            Some(Event::Rejected(refused)) => {
-                assert_eq!(refused.reason(), RejectionReason::BadAsk);
-                assert!(refused.message.contains(why), "{}", refused.message);
+        match next(&mut harness.request_placement(request).await).await {
+            Some(Event::Rejected(rejected)) => {
+                assert_eq!(rejected.reason(), RejectionReason::BadAsk);
+                assert!(rejected.message.contains(reason), "{}", rejected.message);
             }
             other => panic!("not {other:?}"),
         }
-        placed(
+        expect_placed(
             &mut harness
                 .request_placement(crate::harness::placement_request("sound", "web"))
                 .await,
@@ -434,14 +449,14 @@
 }
 
 #[test]
-fn garbage_and_too_large_a_message_harm_nobody_else() {
+fn garbage_and_oversized_messages_do_not_affect_other_clients() {
     Harness::run(Layout::default(), async |harness| {
-        let mut wild = async_net::TcpStream::connect(harness.address)
+        let mut socket = async_net::TcpStream::connect(harness.address)
             .await
             .expect("it listens");
-        wild.write_all(&[0xa5; 4096]).await.expect("written");
+        socket.write_all(&[0xa5; 4096]).await.expect("written");
         let mut rest = Vec::new();
-        let closed = corkspan_rpc::within(PATIENCE, wild.read_to_end(&mut rest)).await;
+        let closed = corkspan_rpc::within(WAIT_TIMEOUT, socket.read_to_end(&mut rest)).await;
         assert!(closed.is_some(), "the link is closed");
         let large = v1::PlacementRequest {
             service: "x".repeat(1 << 20),
@@ -460,7 +475,7 @@
             ),
             "{status}"
         );
-        placed(
+        expect_placed(
             &mut harness
                 .request_placement(placement_request("sound", "web"))
                 .await,
@@ -470,21 +485,21 @@
 }
 
 #[test]
-fn a_roster_away_all_day_leaves_the_remembered_list() {
-    let folder = tempfile::tempdir().expect("a folder");
-    let list = folder.path().join("list.json");
-    let more = format!("(remembered {list:?})");
+fn without_discovery_a_dispatcher_starts_from_its_stored_node_list() {
+    let directory = tempfile::tempdir().expect("a folder");
+    let list = directory.path().join("list.json");
+    let extra_forms = format!("(remembered {list:?})");
     Harness::run(
         Layout {
-            more: more.clone(),
+            extra_forms: extra_forms.clone(),
             ..Layout::default()
         },
         async |harness| {
             wait_until(async || list.exists()).await;
             harness.discovery.disconnect(None);
-            let text = deployment("127.0.0.1:1".parse().expect("an address"), &more);
+            let text = deployment("127.0.0.1:1".parse().expect("an address"), &extra_forms);
             let second = Harness::start_second(&harness, &text).await;
-            placed(
+            expect_placed(
                 &mut second
                     .request_placement(placement_request("a", "web"))
                     .await,
@@ -498,22 +513,22 @@
 #[test_case(&b"{\"version\": 3, \"sum\": 1, \"lines\": []}"[..]; "with a wrong sum")]
 #[test_case(&b"{\"version\": 3, \"su"[..]; "cut off")]
 #[test_case(&[0xff; 64][..]; "garbled")]
-fn a_remembered_list_that_is(torn: &[u8]) {
-    let folder = tempfile::tempdir().expect("a folder");
-    let list = folder.path().join("list.json");
-    std::fs::write(&list, torn).expect("written");
-    let more = format!("(remembered {list:?})");
+fn a_damaged_stored_node_list_is_moved_aside(content: &[u8]) {
+    let directory = tempfile::tempdir().expect("a folder");
+    let list = directory.path().join("list.json");
+    std::fs::write(&list, content).expect("written");
+    let extra_forms = format!("(remembered {list:?})");
     Harness::run(
         Layout {
-            more,
+            extra_forms,
             ..Layout::default()
         },
         async |harness| {
             assert!(
-                folder.path().join("list.aside").exists(),
+                directory.path().join("list.aside").exists(),
                 "it is kept for whoever looks into it"
             );
-            placed(
+            expect_placed(
                 &mut harness
                     .request_placement(placement_request("a", "web"))
                     .await,
@@ -525,20 +540,20 @@
 }
 
 #[test]
-fn a_full_disk_under_the_remembered_list_stops_nothing() {
+fn a_node_list_that_cannot_be_stored_does_not_stop_placement() {
     // A folder where the file should be can't be written to, whoever tries.
-    let folder = tempfile::tempdir().expect("a folder");
-    let more = format!(
+    let directory = tempfile::tempdir().expect("a folder");
+    let extra_forms = format!(
         "(remembered {:?})",
-        folder.path().join("missing").join("list.json")
+        directory.path().join("missing").join("list.json")
     );
     Harness::run(
         Layout {
-            more,
+            extra_forms,
             ..Layout::default()
         },
         async |harness| {
-            placed(
+            expect_placed(
                 &mut harness
                     .request_placement(placement_request("a", "web"))
                     .await,
@@ -549,9 +564,9 @@
 }
 
 #[test]
-fn a_burst_of_five_thousand_gets_one_answer_each() {
+fn each_request_of_a_burst_of_five_thousand_gets_one_reply() {
     let layout = Layout {
-        more: "(bounds (in-hand 1000))".into(),
+        extra_forms: "(bounds (in-hand 1000))".into(),
         ..Layout::default()
     };
     Harness::run(layout, async |harness| {
@@ -560,25 +575,27 @@
         for number in 0..5_000 {
             // A slow machine takes seconds to read 5,000 asks; those without room wait to the end
             // of their time.
-            let ask = v1::PlacementRequest {
+            let request = v1::PlacementRequest {
                 deadline_ms: 12_000,
                 ..placement_request(&format!("t{number}"), "web")
             };
             let mut client = client.clone();
             calls.push(harness.tasks.spawn(async move {
-                let mut words = client.place(ask).await.expect("taken").into_inner();
-                let word = next(&mut words).await;
-                (word, words)
+                let mut events = client.place(request).await.expect("taken").into_inner();
+                let event = next(&mut events).await;
+                (event, events)
             }));
         }
         let (mut placed, mut too_many, mut no_room) = (0, 0, 0);
-        let mut held = Vec::new();
+        let mut open_calls = Vec::new();
         for call in calls {
-            let (word, words) = call.await;
-            held.push(words);
-            match word {
+            let (event, events) = call.await;
+            open_calls.push(events);
+            match event {
                 Some(Event::Placed(_)) => placed += 1,
-                Some(Event::Rejected(refused)) if refused.reason() == RejectionReason::TooMany => {
+                Some(Event::Rejected(rejected))
+                    if rejected.reason() == RejectionReason::TooMany =>
+                {
                     too_many += 1
                 }
                 Some(Event::Rejected(_)) => no_room += 1,
@@ -599,7 +616,7 @@
 }
 
 #[test]
-fn an_owner_that_does_not_read_holds_nobody_up() {
+fn a_client_that_does_not_read_delays_no_other() {
     Harness::run(Layout::default(), async |harness| {
         let mut silent = Vec::new();
         for number in 0..50 {
@@ -610,21 +627,21 @@
             );
         }
         for number in 0..50 {
-            placed(
+            expect_placed(
                 &mut harness
                     .request_placement(placement_request(&format!("loud{number}"), "web"))
                     .await,
             )
             .await;
         }
-        for words in &mut silent {
-            placed(words).await;
+        for events in &mut silent {
+            expect_placed(events).await;
         }
     });
 }
 
 #[test]
-fn a_dispatcher_that_stops_answers_everything_in_hand() {
+fn a_stopping_dispatcher_replies_to_every_request_in_flight() {
     let layout = Layout {
         nodes: 1,
         review_time: Duration::from_millis(100),
@@ -634,13 +651,13 @@
         let mut running = harness
             .request_placement(placement_request("running", "once"))
             .await;
-        placed(&mut running).await;
-        let mut out = harness
+        expect_placed(&mut running).await;
+        let mut in_flight = harness
             .request_placement(placement_request("out", "once"))
             .await;
         wait_until(async || harness.offers().len() == 2).await;
         // Larger than all that the node accepts.
-        let mut waits = harness
+        let mut deferred = harness
             .request_placement(v1::PlacementRequest {
                 cores: 500.0,
                 ..placement_request("waits", "once")
@@ -649,16 +666,22 @@
         wait_until(async || harness.status().await.deferred == 1).await;
         let mut late = harness.client().await;
         let stopping = harness.tasks.clone().spawn(harness.stop());
-        assert_eq!(rejected(&mut waits).await, RejectionReason::NoRoom);
-        if let Ok(words) = late.place(placement_request("late", "web")).await {
+        assert_eq!(
+            expect_rejected(&mut deferred).await,
+            RejectionReason::NoRoom
+        );
+        if let Ok(events) = late.place(placement_request("late", "web")).await {
             assert_eq!(
-                rejected(&mut words.into_inner()).await,
+                expect_rejected(&mut events.into_inner()).await,
                 RejectionReason::Stopping
             );
         }
-        placed(&mut out).await;
-        for words in [&mut running, &mut out] {
-            assert_eq!(ended(next_significant(words).await), EndReason::HandedBack);
+        expect_placed(&mut in_flight).await;
+        for events in [&mut running, &mut in_flight] {
+            assert_eq!(
+                expect_ended(next_significant(events).await),
+                EndReason::HandedBack
+            );
         }
         let lines = stopping.await;
         let stopped = |line: &capture::Line| {
@@ -675,7 +698,7 @@
 }
 
 #[test]
-fn a_port_in_use_is_named() {
+fn the_error_names_a_port_that_is_in_use() {
     Harness::run(Layout::default(), async |harness| {
         let text =
             deployment(harness.address, "").replace("127.0.0.1:0", &harness.address.to_string());
@@ -686,29 +709,32 @@
             |_| {},
             futures_lite::future::pending(),
         );
-        let why = run.await.expect_err("the port is taken").to_string();
-        assert!(why.contains(&harness.address.to_string()), "{why}");
+        let error = run.await.expect_err("the port is taken").to_string();
+        assert!(error.contains(&harness.address.to_string()), "{error}");
     });
 }
 
 #[test]
-fn links_with_nothing_on_them_are_closed() {
-    let more = "(bounds (idle-close 200 ms))".to_string();
+fn idle_connections_are_closed() {
+    let extra_forms = "(bounds (idle-close 200 ms))".to_string();
     Harness::run(
         Layout {
-            more,
+            extra_forms,
             ..Layout::default()
         },
         async |harness| {
-            let mut words = harness
+            let mut events = harness
                 .request_placement(v1::PlacementRequest {
                     expected_duration_ms: 600,
                     ..placement_request("a", "web")
                 })
                 .await;
-            placed(&mut words).await;
+            expect_placed(&mut events).await;
             assert_eq!(harness.status().await.connections, 1);
-            assert_eq!(ended(next_significant(&mut words).await), EndReason::Ended);
+            assert_eq!(
+                expect_ended(next_significant(&mut events).await),
+                EndReason::Ended
+            );
             wait_until(async || harness.status().await.connections == 0).await;
         },
     );
--- a/crates/testbed/tests/full_path/harness.rs
+++ b/crates/testbed/tests/full_path/harness.rs
@@ -18,7 +18,7 @@
 use tonic::Streaming;
 
 /// Nothing here takes longer: what does has failed.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 pub struct Harness {
     pub tasks: SharedExecutor,
@@ -36,7 +36,7 @@
     pub nodes: u32,
     pub review_time: Duration,
     /// More text for the deployment: bounds, where the list is remembered.
-    pub more: String,
+    pub extra_forms: String,
     pub discovery_unavailable: bool,
     /// A store of rolls other than the deployment's.
     pub store: Option<Store>,
@@ -47,14 +47,14 @@
         Layout {
             nodes: 2,
             review_time: Duration::from_millis(3),
-            more: String::new(),
+            extra_forms: String::new(),
             discovery_unavailable: false,
             store: None,
         }
     }
 }
 
-pub fn deployment(discovery: SocketAddr, more: &str) -> String {
+pub fn deployment(discovery: SocketAddr, extra_forms: &str) -> String {
     format!(
         r#"(deployment (listen "127.0.0.1:0") (roster "{discovery}") (seed 1)
   (hall a) (number 0) (schedulers 1) (halls a b)
@@ -64,20 +64,20 @@
     (jobs (repeat deduplicated) (within hall) (window 2 s) (contract-time 1 s))
     (once (repeat unrepeatable) (contract-time 1 s)))
   (accepts (cores 2) (memory 1.5)) (placed-when accepted) (shows-room #f) (may-probe #f)
-  (cold (lasts 2 s) (window 1 s) (offers 8)) {more})"#
+  (cold (lasts 2 s) (window 1 s) (offers 8)) {extra_forms})"#
     )
 }
 
 impl Harness {
     /// Runs a story against a rig, on this thread.
-    pub fn run<F: Future<Output = ()>>(layout: Layout, story: impl FnOnce(Harness) -> F) {
+    pub fn run<F: Future<Output = ()>>(layout: Layout, test: impl FnOnce(Harness) -> F) {
         let tasks = SharedExecutor::default();
-        let whole = async {
+        let run = async {
             let harness = Harness::set_up(tasks.clone(), layout).await;
-            story(harness).await;
+            test(harness).await;
         };
-        let whole = within(3 * PATIENCE, whole);
-        future::block_on(tasks.run(whole)).expect("the story comes to its end");
+        let run = within(3 * WAIT_TIMEOUT, run);
+        future::block_on(tasks.run(run)).expect("the story comes to its end");
     }
 
     async fn set_up(tasks: SharedExecutor, layout: Layout) -> Harness {
@@ -97,9 +97,9 @@
         if layout.discovery_unavailable {
             discovery.disconnect(None);
         }
-        let text = deployment(discovery_address, &layout.more);
+        let text = deployment(discovery_address, &layout.extra_forms);
         let harness =
-            Harness::start_over(layout.store, tasks, context, nodes, discovery, &text).await;
+            Harness::start_with_store(layout.store, tasks, context, nodes, discovery, &text).await;
         if !layout.discovery_unavailable {
             harness.wait_until_serving(u64::from(layout.nodes)).await;
         }
@@ -126,10 +126,10 @@
         discovery: Arc<Discovery>,
         text: &str,
     ) -> Harness {
-        Harness::start_over(None, tasks, context, nodes, discovery, text).await
+        Harness::start_with_store(None, tasks, context, nodes, discovery, text).await
     }
 
-    async fn start_over(
+    async fn start_with_store(
         store: Option<Store>,
         tasks: SharedExecutor,
         context: Arc<SharedContext>,
@@ -137,24 +137,24 @@
         discovery: Arc<Discovery>,
         text: &str,
     ) -> Harness {
-        let deployment = Deployment::parse("rig", text).unwrap_or_else(|why| panic!("{why}"));
+        let deployment = Deployment::parse("rig", text).unwrap_or_else(|error| panic!("{error}"));
         let (stop, stopped) = async_channel::bounded::<()>(1);
-        let (told, ready) = async_channel::bounded(1);
+        let (ready_sender, ready_receiver) = async_channel::bounded(1);
         let stopped = async move {
             let _ = stopped.recv().await;
         };
-        let ready_call = move |address| told.try_send(address).expect("told once");
+        let on_ready = move |address| ready_sender.try_send(address).expect("told once");
         // On a thread of its own: a burst of owners here must not take its turns.
-        let (ended, dispatcher) = async_channel::bounded(1);
+        let (exit_sender, dispatcher) = async_channel::bounded(1);
         let (kill, killed) = async_channel::bounded::<()>(1);
         std::thread::spawn(move || {
-            let own = SharedExecutor::default();
+            let executor = SharedExecutor::default();
             let store = store.unwrap_or_else(|| Store::open(deployment.rollout_store.as_deref()));
             let run = corkspan_dispatcher::run_with_store(
                 store,
-                own.clone(),
+                executor.clone(),
                 deployment,
-                ready_call,
+                on_ready,
                 stopped,
             );
             // Dropped with all its tasks where it is killed: its sockets close, and it says nothing
@@ -163,9 +163,9 @@
                 let _ = killed.recv().await;
                 Ok(())
             };
-            let _ = ended.try_send(future::block_on(own.run(future::or(run, killed))));
+            let _ = exit_sender.try_send(future::block_on(executor.run(future::or(run, killed))));
         });
-        let address = within(PATIENCE, ready.recv())
+        let address = within(WAIT_TIMEOUT, ready_receiver.recv())
             .await
             .expect("it listens")
             .expect("an address");
@@ -182,12 +182,12 @@
     }
 
     pub async fn client(&self) -> PlacementClient<Connection> {
-        let bounds = ConnectionLimits {
-            connect_timeout: PATIENCE,
+        let limits = ConnectionLimits {
+            connect_timeout: WAIT_TIMEOUT,
             ..ConnectionLimits::default()
         };
         PlacementClient::new(
-            Connection::open(&self.tasks, self.address, &bounds)
+            Connection::open(&self.tasks, self.address, &limits)
                 .await
                 .expect("it listens"),
         )
@@ -202,26 +202,26 @@
             .into_inner()
     }
 
-    pub async fn wait_until_serving(&self, many: u64) {
-        wait_until(async || self.status().await.machines_serving == many).await;
+    pub async fn wait_until_serving(&self, count: u64) {
+        wait_until(async || self.status().await.machines_serving == count).await;
     }
 
     /// Asks and returns the words of the call.
     pub async fn request_placement(
         &self,
-        ask: v1::PlacementRequest,
+        request: v1::PlacementRequest,
     ) -> Streaming<v1::PlacementEvent> {
-        let call = self.client().await.place(ask).await;
+        let call = self.client().await.place(request).await;
         call.expect("the call is taken").into_inner()
     }
 
     pub async fn hand_over(
         &self,
-        ask: v1::PlacementRequest,
+        request: v1::PlacementRequest,
         node: u32,
     ) -> Streaming<v1::PlacementEvent> {
         let running = v1::HandOverRequest {
-            request: Some(ask),
+            request: Some(request),
             node,
         };
         self.client()
@@ -235,7 +235,7 @@
     /// Asks the dispatcher to stop and waits until it has.
     pub async fn stop(self) -> Vec<Line> {
         let _ = self.stop.send(()).await;
-        let stopped = within(PATIENCE, self.dispatcher.recv())
+        let stopped = within(WAIT_TIMEOUT, self.dispatcher.recv())
             .await
             .expect("it stops");
         stopped
@@ -247,7 +247,7 @@
     /// Ends the dispatcher as a kill does, without a word.
     pub async fn kill(self) {
         let _ = self.kill.send(()).await;
-        within(PATIENCE, self.dispatcher.recv())
+        within(WAIT_TIMEOUT, self.dispatcher.recv())
             .await
             .expect("it is gone")
             .expect("its thread ends")
@@ -347,12 +347,12 @@
     }
 }
 
-pub fn placement_request(task: &str, track: &str) -> v1::PlacementRequest {
+pub fn placement_request(task: &str, service_class: &str) -> v1::PlacementRequest {
     v1::PlacementRequest {
         placement_id: format!("{task}#0"),
         task: task.into(),
         service: "s".into(),
-        service_class: track.into(),
+        service_class: service_class.into(),
         tenant: String::new(),
         cores: 1.0,
         memory: 1.0,
@@ -363,45 +363,47 @@
 }
 
 /// The next word, or none where the stream ends.
-pub async fn next(words: &mut Streaming<v1::PlacementEvent>) -> Option<Event> {
-    let word = within(PATIENCE, words.message())
+pub async fn next(events: &mut Streaming<v1::PlacementEvent>) -> Option<Event> {
+    let message = within(WAIT_TIMEOUT, events.message())
         .await
         .expect("a word or an end");
-    word.ok().flatten().and_then(|word| word.event)
+    message.ok().flatten().and_then(|message| message.event)
 }
 
 /// The next word that is no note.
-pub async fn next_significant(words: &mut Streaming<v1::PlacementEvent>) -> Option<Event> {
+pub async fn next_significant(events: &mut Streaming<v1::PlacementEvent>) -> Option<Event> {
     loop {
-        match next(words).await {
+        match next(events).await {
             Some(Event::Running(_) | Event::ServiceLevel(_)) => {}
             other => return other,
         }
     }
 }
 
-pub async fn placed(words: &mut Streaming<v1::PlacementEvent>) -> u32 {
-    match next(words).await {
+pub async fn expect_placed(events: &mut Streaming<v1::PlacementEvent>) -> u32 {
+    match next(events).await {
         Some(Event::Placed(placed)) => placed.node,
         other => panic!("placed is expected, not {other:?}"),
     }
 }
 
-pub async fn rejected(words: &mut Streaming<v1::PlacementEvent>) -> v1::rejected::RejectionReason {
-    match next(words).await {
-        Some(Event::Rejected(refused)) => refused.reason(),
+pub async fn expect_rejected(
+    events: &mut Streaming<v1::PlacementEvent>,
+) -> v1::rejected::RejectionReason {
+    match next(events).await {
+        Some(Event::Rejected(rejected)) => rejected.reason(),
         other => panic!("refused is expected, not {other:?}"),
     }
 }
 
 /// Waits for a condition.
 pub async fn wait_until(mut condition: impl AsyncFnMut() -> bool) {
-    let waits = async {
+    let wait = async {
         while !condition().await {
             Timer::after(Duration::from_millis(5)).await;
         }
     };
-    within(PATIENCE, waits)
+    within(WAIT_TIMEOUT, wait)
         .await
         .expect("the condition comes to hold");
 }
--- a/crates/testbed/tests/full_path/maintenance.rs
+++ b/crates/testbed/tests/full_path/maintenance.rs
@@ -16,18 +16,18 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_corkspan-testbed");
 
-struct Stage {
+struct Fixture {
     harness: Harness,
-    folder: tempfile::TempDir,
+    directory: tempfile::TempDir,
     fleet: Vec<Option<Process>>,
 }
 
-impl Stage {
+impl Fixture {
     async fn start(&mut self, number: usize, discovery: SocketAddr) {
-        let store = self.folder.path().join(format!("store-{number}.redb"));
-        let more = format!("(keepers 0 1 2) (rolls {store:?}) (maintenance (every 100 ms))");
-        let text = deployment(discovery, &more).replace("(schedulers 1)", "(schedulers 5)");
-        let file = self.folder.path().join(format!("{number}.sexp"));
+        let store = self.directory.path().join(format!("store-{number}.redb"));
+        let extra_forms = format!("(keepers 0 1 2) (rolls {store:?}) (maintenance (every 100 ms))");
+        let text = deployment(discovery, &extra_forms).replace("(schedulers 1)", "(schedulers 5)");
+        let file = self.directory.path().join(format!("{number}.sexp"));
         std::fs::write(
             &file,
             text.replace("(number 0)", &format!("(number {number})")),
@@ -35,7 +35,7 @@
         .expect("written");
         let process = Process::start(file).await;
         match self.fleet.get_mut(number) {
-            Some(place) => *place = Some(process),
+            Some(slot) => *slot = Some(process),
             None => self.fleet.push(Some(process)),
         }
     }
@@ -44,28 +44,28 @@
         self.fleet[number].as_ref().expect("it runs").address
     }
 
-    async fn operator(&self, number: usize, call: &str, rest: &[&str]) -> Output {
+    async fn operator(&self, number: usize, subcommand: &str, arguments: &[&str]) -> Output {
         let mut command = Command::new(PROGRAM);
         command
             .args([
                 "corkspan",
                 "maintenance",
-                call,
+                subcommand,
                 &self.address(number).to_string(),
             ])
-            .args(rest);
+            .args(arguments);
         blocking::unblock(move || command.output().expect("it runs")).await
     }
 
     /// The worker: says of each machine that is his that it is done, once he has seen that nothing
     /// runs there.
-    async fn works(&self, number: usize) -> String {
+    async fn complete_work(&self, number: usize) -> String {
         let text = String::from_utf8_lossy(&self.operator(number, "status", &[]).await.stdout)
             .into_owned();
-        let mine = text
+        let in_work = text
             .lines()
             .filter_map(|line| line.strip_prefix("machine ")?.strip_suffix(": in work"));
-        for machine in mine {
+        for machine in in_work {
             let index: usize = machine.parse().expect("a number");
             let node = &self.harness.nodes[index];
             assert_eq!(
@@ -78,62 +78,67 @@
         text
     }
 
-    async fn ask(&self, number: usize, task: &str) -> Option<tonic::Streaming<v1::PlacementEvent>> {
-        let bounds = ConnectionLimits {
-            connect_timeout: PATIENCE,
+    async fn request_placement(
+        &self,
+        number: usize,
+        task: &str,
+    ) -> Option<tonic::Streaming<v1::PlacementEvent>> {
+        let limits = ConnectionLimits {
+            connect_timeout: WAIT_TIMEOUT,
             ..ConnectionLimits::default()
         };
-        let link = Connection::open(&self.harness.tasks, self.address(number), &bounds)
+        let connection = Connection::open(&self.harness.tasks, self.address(number), &limits)
             .await
             .ok()?;
-        let asked = v1::PlacementRequest {
+        let request = v1::PlacementRequest {
             expected_duration_ms: 3_000,
             ..placement_request(task, "web")
         };
-        let mut words = PlacementClient::new(link)
-            .place(asked)
+        let mut events = PlacementClient::new(connection)
+            .place(request)
             .await
             .ok()?
             .into_inner();
-        let placed = next(&mut words).await;
-        matches!(placed, Some(Event::Placed(_))).then_some(words)
+        let event = next(&mut events).await;
+        matches!(event, Some(Event::Placed(_))).then_some(events)
     }
 
     /// How many nodes were closed at a time at the most, and how often each was; and that no closed
     /// one accepted anything.
-    fn doors(&self) -> (usize, BTreeMap<u32, usize>) {
-        let (mut closed, mut most, mut times) = (BTreeSet::new(), 0, BTreeMap::new());
+    fn check_cordons(&self) -> (usize, BTreeMap<u32, usize>) {
+        let (mut cordoned, mut max_cordoned, mut cordons_per_node) =
+            (BTreeSet::new(), 0, BTreeMap::new());
         for line in self.harness.context.capture.lines() {
             match line.observation {
                 Observation::Cordon { node, closed: true } => {
-                    closed.insert(node);
-                    *times.entry(node).or_default() += 1;
-                    most = most.max(closed.len());
+                    cordoned.insert(node);
+                    *cordons_per_node.entry(node).or_default() += 1;
+                    max_cordoned = max_cordoned.max(cordoned.len());
                 }
                 Observation::Cordon {
                     node,
                     closed: false,
-                } => drop(closed.remove(&node)),
+                } => drop(cordoned.remove(&node)),
                 Observation::EventSent {
                     node,
                     event: AllocationEvent::Accepted,
                     ..
                 } => {
                     assert!(
-                        !closed.contains(&node),
+                        !cordoned.contains(&node),
                         "node {node} takes work while it is closed"
                     );
                 }
                 _ => {}
             }
         }
-        assert!(closed.is_empty(), "{closed:?} are forgotten out");
-        (most, times)
+        assert!(cordoned.is_empty(), "{cordoned:?} are forgotten out");
+        (max_cordoned, cordons_per_node)
     }
 }
 
 #[test]
-fn all_machines_have_their_work_two_at_a_time_whoever_is_killed_or_cut_off() {
+fn maintenance_takes_out_two_machines_at_a_time_despite_killed_and_cut_off_dispatchers() {
     Harness::run(
         Layout {
             nodes: 8,
@@ -142,7 +147,8 @@
         async |harness| {
             let tasks = harness.tasks.clone();
             // One knows the nodes by relays: it is cut off from all of them for a while.
-            let (discovery, by) = Discovery::start(&harness.context).await.expect("a port");
+            let (discovery, relayed_discovery) =
+                Discovery::start(&harness.context).await.expect("a port");
             let mut relays = Vec::new();
             for node in &harness.nodes {
                 let listed = harness.discovery.endpoint(node.config.id).expect("listed");
@@ -158,93 +164,100 @@
                 );
                 relays.push(relay);
             }
-            let mut stage = Stage {
+            let mut fixture = Fixture {
                 harness,
-                folder: tempfile::tempdir().expect("a folder"),
+                directory: tempfile::tempdir().expect("a folder"),
                 fleet: Vec::new(),
             };
             for number in 0..5 {
                 let discovery = if number == 4 {
-                    by
+                    relayed_discovery
                 } else {
-                    stage.harness.discovery.address
+                    fixture.harness.discovery.address
                 };
-                stage.start(number, discovery).await;
+                fixture.start(number, discovery).await;
             }
             // Each keeps something placed, on whichever node takes it.
             let mut calls = Vec::new();
             wait_until(async || {
                 calls.extend(
-                    stage
-                        .ask(calls.len() % 5, &format!("early-{}", calls.len()))
+                    fixture
+                        .request_placement(calls.len() % 5, &format!("early-{}", calls.len()))
                         .await,
                 );
                 calls.len() >= 20
             })
             .await;
             let all: Vec<String> = (0..8).map(|node| node.to_string()).collect();
-            let mut line: Vec<&str> = all.iter().map(String::as_str).collect();
-            line.extend(["--at-a-time", "2", "--by-hall", "1", "--warm-s", "0"]);
-            let keepers = stage.operator(0, "start", &line).await;
-            let why = String::from_utf8_lossy(&keepers.stderr).into_owned();
+            let mut arguments: Vec<&str> = all.iter().map(String::as_str).collect();
+            arguments.extend(["--at-a-time", "2", "--by-hall", "1", "--warm-s", "0"]);
+            let output = fixture.operator(0, "start", &arguments).await;
+            let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
             assert!(
-                !keepers.status.success() && why.contains("of these 1 may be out"),
-                "{why}"
+                !output.status.success() && stderr.contains("of these 1 may be out"),
+                "{stderr}"
             );
             // Without the keepers but one.
-            let line: Vec<&str> = line
+            let arguments: Vec<&str> = arguments
                 .into_iter()
-                .filter(|word| !["0", "1"].contains(word) || *word == "--")
+                .filter(|argument| !["0", "1"].contains(argument) || *argument == "--")
                 .collect();
-            let line: Vec<&str> = line
+            let arguments: Vec<&str> = arguments
                 .into_iter()
-                .take_while(|word| *word != "--at-a-time")
+                .take_while(|argument| *argument != "--at-a-time")
                 .collect();
-            let line = [
-                &line[..],
+            let arguments = [
+                &arguments[..],
                 &["--at-a-time", "2", "--by-hall", "2", "--warm-s", "0"],
             ]
             .concat();
-            let started = stage.operator(0, "start", &line).await;
+            let started = fixture.operator(0, "start", &arguments).await;
             assert!(
                 started.status.success(),
                 "{}",
                 String::from_utf8_lossy(&started.stderr)
             );
             let mut round = 0;
-            let finished = async |stage: &mut Stage, round: &mut usize| {
+            let run_round = async |fixture: &mut Fixture, round: &mut usize| {
                 *round += 1;
                 match *round {
                     3 => relays.iter().for_each(|relay| relay.hold(&[Direction::In])),
                     // Whoever holds what: killed where it stands, and started anew later.
-                    5 => drop(stage.fleet[1].take()),
+                    5 => drop(fixture.fleet[1].take()),
                     9 => relays.iter().for_each(Relay::heal),
-                    11 => stage.start(1, stage.harness.discovery.address).await,
-                    13 => drop(stage.fleet[2].take()),
+                    11 => fixture.start(1, fixture.harness.discovery.address).await,
+                    13 => drop(fixture.fleet[2].take()),
                     _ => {}
                 }
-                let told = stage.works(0).await;
-                let asked = stage.ask(3, &format!("late-{round}")).await;
-                drop(asked);
+                let status = fixture.complete_work(0).await;
+                let call = fixture.request_placement(3, &format!("late-{round}")).await;
+                drop(call);
                 Timer::after(Duration::from_millis(50)).await;
-                told.contains("6 of 6 machines worked on") && !told.contains("machine ")
+                status.contains("6 of 6 machines worked on") && !status.contains("machine ")
             };
-            let began = std::time::Instant::now();
-            while !finished(&mut stage, &mut round).await {
-                assert!(began.elapsed() < 2 * PATIENCE, "{}", stage.works(0).await);
+            let started_at = std::time::Instant::now();
+            while !run_round(&mut fixture, &mut round).await {
+                assert!(
+                    started_at.elapsed() < 2 * WAIT_TIMEOUT,
+                    "{}",
+                    fixture.complete_work(0).await
+                );
             }
             assert!(
                 round >= 13,
                 "over after {round} rounds, before all had been provoked"
             );
-            let (most, times) = stage.doors();
+            let (max_cordoned, cordons_per_node) = fixture.check_cordons();
             assert_eq!(
-                (most, times.keys().copied().collect::<Vec<_>>()),
+                (
+                    max_cordoned,
+                    cordons_per_node.keys().copied().collect::<Vec<_>>()
+                ),
                 (2, vec![2, 3, 4, 5, 6, 7])
             );
             assert!(
-                times.values().all(|many| *many == 1),
-                "each once: {times:?}"
+                cordons_per_node.values().all(|count| *count == 1),
+                "each once: {cordons_per_node:?}"
             );
         },
     );
--- a/crates/testbed/tests/full_path/stores.rs
+++ b/crates/testbed/tests/full_path/stores.rs
@@ -4,7 +4,7 @@
 use corkspan_rollout::ClaimId;
 use corkspan_testbed::disk::{self, DiskFull};
 
-fn held(claim: u64, won: bool, pair: Option<bool>) -> StoredClaim {
+fn stored_claim(claim: u64, won: bool, pair: Option<bool>) -> StoredClaim {
     let pair = pair.map(|retires| ReplicaPair {
         old: "c#0".into(),
         new: "c#0~1".into(),
@@ -20,44 +20,44 @@
 }
 
 /// All that a replacing writes of its claim, in its order.
-fn steps() -> Vec<StoredClaim> {
+fn replacement_steps() -> Vec<StoredClaim> {
     vec![
-        held(7, false, None),
-        held(7, true, None),
-        held(7, true, Some(false)),
-        held(7, true, Some(true)),
+        stored_claim(7, false, None),
+        stored_claim(7, true, None),
+        stored_claim(7, true, Some(false)),
+        stored_claim(7, true, Some(true)),
     ]
 }
 
 #[test]
-fn a_disk_that_fills_up_refuses_a_write_keeps_the_ones_before_and_takes_it_once_there_is_room() {
-    let folder = tempfile::tempdir().expect("a folder");
-    for fills_at in 0..steps().len() {
-        let path = folder.path().join(format!("full-{fills_at}.redb"));
-        let full = DiskFull::default();
-        let store = disk::store(path.clone(), &full);
-        let mut before = vec![];
-        for (index, step) in steps().into_iter().enumerate() {
+fn a_full_disk_fails_a_write_keeps_earlier_ones_and_accepts_it_once_there_is_space() {
+    let directory = tempfile::tempdir().expect("a folder");
+    for fills_at in 0..replacement_steps().len() {
+        let path = directory.path().join(format!("full-{fills_at}.redb"));
+        let disk_full = DiskFull::default();
+        let store = disk::store(path.clone(), &disk_full);
+        let mut stored = vec![];
+        for (index, step) in replacement_steps().into_iter().enumerate() {
             if index == fills_at {
-                full.set(true);
+                disk_full.set(true);
                 for _ in 0..3 {
                     store.save_claim(&step).expect_err("the disk is full");
                 }
-                full.set(false);
+                disk_full.set(false);
                 assert_eq!(
                     Store::open(Some(&path)).load().claims,
-                    before,
+                    stored,
                     "what a kill then leaves"
                 );
             }
             store.save_claim(&step).expect("there is room");
-            before = vec![step];
-            assert_eq!(store.load().claims, before);
+            stored = vec![step];
+            assert_eq!(store.load().claims, stored);
         }
         drop(store);
         assert_eq!(
             Store::open(Some(&path)).load().claims,
-            before,
+            stored,
             "the next life reads it"
         );
     }
--- a/crates/testbed/tests/full_path/traffic.rs
+++ b/crates/testbed/tests/full_path/traffic.rs
@@ -16,17 +16,17 @@
 use std::time::Duration;
 use test_case::test_case;
 
-const KEEPERS: [u32; 3] = [0, 3, 4];
+const QUORUM_MEMBERS: [u32; 3] = [0, 3, 4];
 
-struct Stage {
+struct Fixture {
     harness: Harness,
     control: ControlService,
     proxies: FaultProxies,
     /// Listings that the dispatcher's former life was told.
-    told: u64,
+    lists_before_restart: u64,
 }
 
-impl Stage {
+impl Fixture {
     /// What differs at a moment at which nothing passes; as long as something does, some bytes are
     /// in the kernel, counted at one end and not yet at the other, so such a moment is waited
     /// for.
@@ -34,10 +34,10 @@
         let mut last = (Vec::new(), Vec::new());
         for _ in 0..400 {
             let before = relay_traffic(&self.proxies, 0);
-            let told = self.harness.status().await.connection_traffic;
-            let quiet = relay_traffic(&self.proxies, 0) == before;
-            last = (differences(&told, &before), told);
-            if quiet && last.0.is_empty() {
+            let reported = self.harness.status().await.connection_traffic;
+            let idle = relay_traffic(&self.proxies, 0) == before;
+            last = (differences(&reported, &before), reported);
+            if idle && last.0.is_empty() {
                 break;
             }
             Timer::after(Duration::from_millis(10)).await;
@@ -48,15 +48,18 @@
 
 /// A dispatcher whose links all run through relays, but for that to the control service where
 /// `past` is set.
-fn story<F: Future<Output = ()>>(past: bool, story: impl FnOnce(Stage) -> F) {
+fn run_through_relays<F: Future<Output = ()>>(
+    bypass_control: bool,
+    test: impl FnOnce(Fixture) -> F,
+) {
     Harness::run(
         Layout {
             nodes: 5,
             ..Layout::default()
         },
         async |harness| {
-            let folder = tempfile::tempdir().expect("a folder");
-            let (control, _up) = ControlService::start(&harness.context)
+            let directory = tempfile::tempdir().expect("a folder");
+            let (control, _control_guard) = ControlService::start(&harness.context)
                 .await
                 .expect("a port");
             let listed: Vec<(u32, SocketAddr)> = harness
@@ -73,37 +76,38 @@
                 &harness.discovery,
                 Some(control.address),
                 &listed,
-                &KEEPERS,
+                &QUORUM_MEMBERS,
             );
             let proxies = proxies.await.expect("ports");
-            let way = |end| proxies.address(0, end).expect("a relay");
-            let service = if past {
+            let relay_address = |end| proxies.address(0, end).expect("a relay");
+            let service = if bypass_control {
                 control.address
             } else {
-                way(LinkPeer::Control)
+                relay_address(LinkPeer::Control)
             };
-            let kept = folder.path().join("versions.json");
-            let more = format!("(keepers 0 3 4) (control \"{service}\") (versions {kept:?})");
-            let told = harness.discovery.lists_sent(0);
+            let versions_path = directory.path().join("versions.json");
+            let extra_forms =
+                format!("(keepers 0 3 4) (control \"{service}\") (versions {versions_path:?})");
+            let lists_before_restart = harness.discovery.lists_sent(0);
             let harness = harness
-                .kill_and_restart(&deployment(way(LinkPeer::Roster), &more))
+                .kill_and_restart(&deployment(relay_address(LinkPeer::Roster), &extra_forms))
                 .await;
             harness.wait_until_serving(5).await;
             wait_until(async || control.opened() == 1).await;
             let mut calls = Vec::new();
             for task in 0..30 {
-                let mut words = harness
+                let mut events = harness
                     .request_placement(placement_request(&format!("t{task}"), "web"))
                     .await;
-                placed(&mut words).await;
-                calls.push(words);
+                expect_placed(&mut events).await;
+                calls.push(events);
             }
             drop(calls);
-            story(Stage {
+            test(Fixture {
                 harness,
                 control,
                 proxies,
-                told,
+                lists_before_restart,
             })
             .await;
         },
@@ -111,42 +115,48 @@
 }
 
 #[test]
-fn a_dispatcher_counts_each_byte_that_its_relays_pass() {
-    story(false, async |stage| {
+fn a_dispatcher_counts_every_byte_that_its_relays_forward() {
+    run_through_relays(false, async |fixture| {
         // One that is placed costs its offer and its stop, and a link its greeting: to three
         // keepers and a node at least.
         wait_until(async || {
-            let told = stage.harness.status().await.connection_traffic;
-            let sent = |kind| traffic_of(&told, kind).messages_out;
+            let reported = fixture.harness.status().await.connection_traffic;
+            let sent = |kind| traffic_of(&reported, kind).messages_out;
             sent(Kind::Nodes) + sent(Kind::Keepers) >= 2 * 30 + 4
         })
         .await;
-        let (differ, told) = stage.differences().await;
-        assert_eq!(differ, []);
+        let (found, reported) = fixture.differences().await;
+        assert_eq!(found, []);
         for kind in [Kind::Roster, Kind::Control, Kind::Keepers, Kind::Nodes] {
-            let count = traffic_of(&told, kind);
+            let count = traffic_of(&reported, kind);
             assert!(
                 count.bytes_in > 0 && count.bytes_out > 0,
                 "{kind:?}: {count:?}"
             );
         }
-        let discovery = traffic_of(&told, Kind::Roster);
+        let discovery = traffic_of(&reported, Kind::Roster);
         assert_eq!(
             (discovery.messages_in, discovery.messages_out),
-            (stage.harness.discovery.lists_sent(0) - stage.told, 1)
+            (
+                fixture.harness.discovery.lists_sent(0) - fixture.lists_before_restart,
+                1
+            )
         );
-        let control = traffic_of(&told, Kind::Control);
-        assert_eq!(control.messages_out as usize, stage.control.replies().len());
-        assert_eq!(control.messages_in as usize, stage.control.pushes().len());
+        let control = traffic_of(&reported, Kind::Control);
+        assert_eq!(
+            control.messages_out as usize,
+            fixture.control.replies().len()
+        );
+        assert_eq!(control.messages_in as usize, fixture.control.pushes().len());
     });
 }
 
 #[test]
-fn a_link_past_its_relay_is_found_and_nothing_else() {
-    story(true, async |stage| {
-        let (differ, _) = stage.differences().await;
+fn only_the_connection_that_bypasses_its_relay_differs() {
+    run_through_relays(true, async |fixture| {
+        let (found, _) = fixture.differences().await;
         assert_eq!(
-            differ.iter().map(|other| other.peer).collect::<Vec<_>>(),
+            found.iter().map(|other| other.peer).collect::<Vec<_>>(),
             [LinkPeer::Control]
         );
     });
@@ -155,23 +165,23 @@
 #[test_case(0, 1; "a byte in")]
 #[test_case(1, 1; "a byte out")]
 #[test_case(0, 1 << 20; "a megabyte in")]
-fn one_kind_told_too_low_is_found(way: usize, by: u64) {
-    let told = v1::ConnectionTraffic {
+fn a_count_that_is_too_low_is_found(direction: usize, excess: u64) {
+    let reported = v1::ConnectionTraffic {
         kind: Kind::Nodes.into(),
         bytes_in: 7,
         bytes_out: 9,
         ..Default::default()
     };
-    let mut passed = [7, 9];
-    assert_eq!(differences(&[told], &[(LinkPeer::Nodes, passed)]), []);
-    passed[way] += by;
-    let found = differences(&[told], &[(LinkPeer::Nodes, passed)]);
+    let mut relayed = [7, 9];
+    assert_eq!(differences(&[reported], &[(LinkPeer::Nodes, relayed)]), []);
+    relayed[direction] += excess;
+    let found = differences(&[reported], &[(LinkPeer::Nodes, relayed)]);
     assert_eq!(
         found,
         [Difference {
             peer: LinkPeer::Nodes,
             reported: [7, 9],
-            observed: passed
+            observed: relayed
         }]
     );
 }
@@ -179,7 +189,7 @@
 /// Links of others are told apart by their first call, and what passed before it counts with the
 /// rest.
 #[test]
-fn links_from_owners_and_from_dispatchers_are_counted_apart() {
+fn connections_from_clients_and_from_dispatchers_are_counted_separately() {
     // Without a list nobody has asked it for its status yet.
     Harness::run(
         Layout {
@@ -187,67 +197,72 @@
             ..Layout::default()
         },
         async |harness| {
-            let owner = Relay::start(&harness.tasks, harness.address)
+            let client_relay = Relay::start(&harness.tasks, harness.address)
                 .await
                 .expect("a port");
-            let peer = Relay::start(&harness.tasks, harness.address)
+            let peer_relay = Relay::start(&harness.tasks, harness.address)
                 .await
                 .expect("a port");
             let open = async |relay: &Relay| {
-                let bounds = ConnectionLimits {
-                    connect_timeout: PATIENCE,
+                let limits = ConnectionLimits {
+                    connect_timeout: WAIT_TIMEOUT,
                     ..ConnectionLimits::default()
                 };
-                Connection::open(&harness.tasks, relay.address, &bounds)
+                Connection::open(&harness.tasks, relay.address, &limits)
                     .await
                     .expect("it listens")
             };
-            let mut gives = VersionsClient::new(open(&peer).await);
+            let mut versions = VersionsClient::new(open(&peer_relay).await);
             for _ in 0..3 {
                 let running = Some(v1::VersionId {
                     number: 0,
                     digest: "0".repeat(64),
                 });
-                let _ = gives
+                let _ = versions
                     .give(v1::FetchVersionRequest {
                         active: running,
                         dispatcher: 1,
                     })
                     .await;
             }
-            let mut client = PlacementClient::new(open(&owner).await);
-            let (mut told, mut between) = (Vec::new(), false);
+            let mut client = PlacementClient::new(open(&client_relay).await);
+            let (mut reported, mut matched) = (Vec::new(), false);
             for _ in 0..400 {
-                let before = owner.bytes_passed();
-                told = client
+                let before = client_relay.bytes_passed();
+                reported = client
                     .status(v1::StatusRequest {})
                     .await
                     .expect("a status")
                     .into_inner()
                     .connection_traffic;
-                let (after, own, others) = (
-                    owner.bytes_passed(),
-                    traffic_of(&told, Kind::Owners),
-                    traffic_of(&told, Kind::Dispatchers),
+                let (after, client_traffic, peer_traffic) = (
+                    client_relay.bytes_passed(),
+                    traffic_of(&reported, Kind::Owners),
+                    traffic_of(&reported, Kind::Dispatchers),
                 );
                 // As the relay sees it, in is to who opened: to the owner. The status itself is
                 // under way as it is counted, so owners' counts lie between what
                 // had passed before it and after; the other link is still.
-                let lies = |told, way: usize| before[way] <= told && told <= after[way];
-                let still = [others.bytes_out, others.bytes_in] == peer.bytes_passed();
-                between = still && lies(own.bytes_in, 1) && lies(own.bytes_out, 0);
-                if between {
+                let is_between = |reported, direction: usize| {
+                    before[direction] <= reported && reported <= after[direction]
+                };
+                let peer_matches =
+                    [peer_traffic.bytes_out, peer_traffic.bytes_in] == peer_relay.bytes_passed();
+                matched = peer_matches
+                    && is_between(client_traffic.bytes_in, 1)
+                    && is_between(client_traffic.bytes_out, 0);
+                if matched {
                     break;
                 }
                 Timer::after(Duration::from_millis(10)).await;
             }
             assert!(
-                between,
-                "{told:?}, {:?}, {:?}",
-                owner.bytes_passed(),
-                peer.bytes_passed()
+                matched,
+                "{reported:?}, {:?}, {:?}",
+                client_relay.bytes_passed(),
+                peer_relay.bytes_passed()
             );
-            assert_eq!(traffic_of(&told, Kind::Dispatchers).messages_in, 3);
+            assert_eq!(traffic_of(&reported, Kind::Dispatchers).messages_in, 3);
         },
     );
 }
--- a/crates/testbed/tests/full_path/versions.rs
+++ b/crates/testbed/tests/full_path/versions.rs
@@ -18,52 +18,55 @@
 use test_case::test_case;
 
 /// A rig whose dispatcher takes its versions from a control service.
-struct Stage {
+struct Fixture {
     harness: Harness,
     control: ControlService,
-    up: Option<ControlServiceGuard>,
-    folder: tempfile::TempDir,
+    control_guard: Option<ControlServiceGuard>,
+    directory: tempfile::TempDir,
 }
 
-fn more(control: &ControlService, folder: &Path) -> String {
-    let kept = folder.join("versions.json");
+fn extra_forms(control: &ControlService, directory: &Path) -> String {
+    let versions_path = directory.join("versions.json");
     format!(
-        "(accounts (one (share-cores 100))) (control \"{}\") (versions {kept:?})",
+        "(accounts (one (share-cores 100))) (control \"{}\") (versions {versions_path:?})",
         control.address
     )
 }
 
-fn story<F: Future<Output = ()>>(story: impl FnOnce(Stage) -> F) {
+fn run_with_control_service<F: Future<Output = ()>>(test: impl FnOnce(Fixture) -> F) {
     Harness::run(Layout::default(), async |harness| {
-        let folder = tempfile::tempdir().expect("a folder");
-        let (control, up) = ControlService::start(&harness.context)
+        let directory = tempfile::tempdir().expect("a folder");
+        let (control, control_guard) = ControlService::start(&harness.context)
             .await
             .expect("a port");
-        let text = deployment(harness.discovery.address, &more(&control, folder.path()));
+        let text = deployment(
+            harness.discovery.address,
+            &extra_forms(&control, directory.path()),
+        );
         let harness = harness.kill_and_restart(&text).await;
         harness.wait_until_serving(2).await;
-        let stage = Stage {
+        let fixture = Fixture {
             harness,
             control,
-            up: Some(up),
-            folder,
+            control_guard: Some(control_guard),
+            directory,
         };
-        wait_until(async || stage.control.opened() == 1).await;
-        story(stage).await;
+        wait_until(async || fixture.control.opened() == 1).await;
+        test(fixture).await;
     });
 }
 
-impl Stage {
-    fn file(&self) -> String {
+impl Fixture {
+    fn deployment_text(&self) -> String {
         deployment(
             self.harness.discovery.address,
-            &more(&self.control, self.folder.path()),
+            &extra_forms(&self.control, self.directory.path()),
         )
     }
 
     /// The file's shared parts, with these changed.
-    fn texts(&self, changes: &str) -> SharedParts {
-        let shared = SharedParts::parse("file", &self.file()).expect("sound");
+    fn shared_parts(&self, changes: &str) -> SharedParts {
+        let shared = SharedParts::parse("file", &self.deployment_text()).expect("sound");
         shared.with_changes(
             &SharedParts::parse("changes", &format!("(deployment {changes})")).expect("forms"),
             &[],
@@ -71,44 +74,49 @@
     }
 
     /// The file's, with more tracks.
-    fn with_tracks(&self, names: &[&str]) -> SharedParts {
-        let texts = self.texts("");
-        let tracks = texts.get("tracks").expect("there are");
-        let more = names
+    fn with_service_classes(&self, names: &[&str]) -> SharedParts {
+        let shared_parts = self.shared_parts("");
+        let service_classes = shared_parts.get("tracks").expect("there are");
+        let added = names
             .iter()
             .map(|name| format!(" ({name} (repeat idempotent) (contract-time 300 ms))"));
-        let tracks = format!(
+        let service_classes = format!(
             "{}{})",
-            &tracks[..tracks.len() - 1],
-            more.collect::<String>()
+            &service_classes[..service_classes.len() - 1],
+            added.collect::<String>()
         );
-        texts.with_changes(&[("tracks".to_string(), tracks)].into_iter().collect(), &[])
+        shared_parts.with_changes(
+            &[("tracks".to_string(), service_classes)]
+                .into_iter()
+                .collect(),
+            &[],
+        )
     }
 
     async fn status(&self) -> v1::VersionStatus {
-        let bounds = ConnectionLimits {
-            connect_timeout: PATIENCE,
+        let limits = ConnectionLimits {
+            connect_timeout: WAIT_TIMEOUT,
             ..ConnectionLimits::default()
         };
-        let link = Connection::open(&self.harness.tasks, self.harness.address, &bounds)
+        let connection = Connection::open(&self.harness.tasks, self.harness.address, &limits)
             .await
             .expect("it listens");
-        VersionsClient::new(link)
+        VersionsClient::new(connection)
             .status(v1::VersionStatusRequest {})
             .await
             .expect("a status")
             .into_inner()
     }
 
-    async fn in_force(&self) -> u64 {
+    async fn active_version(&self) -> u64 {
         self.status()
             .await
             .active
-            .map_or(u64::MAX, |running| running.number)
+            .map_or(u64::MAX, |active| active.number)
     }
 
-    async fn until_in_force(&self, stamp: VersionId) {
-        wait_until(async || self.in_force().await == stamp.number).await;
+    async fn wait_until_active(&self, version_id: VersionId) {
+        wait_until(async || self.active_version().await == version_id.number).await;
     }
 
     /// The reply to a push put on the stream as it is.
@@ -119,35 +127,42 @@
     }
 
     /// Whether asks of this track are taken.
-    async fn knows(&self, track: &str, task: &str) -> bool {
-        let mut words = self
+    async fn accepts_service_class(&self, service_class: &str, task: &str) -> bool {
+        let mut events = self
             .harness
-            .request_placement(placement_request(task, track))
+            .request_placement(placement_request(task, service_class))
             .await;
-        match next(&mut words).await {
+        match next(&mut events).await {
             Some(Event::Placed(_)) => true,
-            Some(Event::Rejected(refused)) if refused.reason() == RejectionReason::BadAsk => false,
+            Some(Event::Rejected(rejected)) if rejected.reason() == RejectionReason::BadAsk => {
+                false
+            }
             other => panic!("placed or unknown is expected, not {other:?}"),
         }
     }
 
-    async fn restart(self) -> Stage {
-        let text = self.file();
+    async fn restart(self) -> Fixture {
+        let text = self.deployment_text();
         let harness = self.harness.kill_and_restart(&text).await;
-        Stage { harness, ..self }
+        Fixture { harness, ..self }
     }
 }
 
-fn push(nonce: u64, number: u64, texts: &SharedParts, follows: &[VersionId]) -> VersionPush {
-    let stamp = VersionId {
+fn push(
+    nonce: u64,
+    number: u64,
+    shared_parts: &SharedParts,
+    predecessors: &[VersionId],
+) -> VersionPush {
+    let version_id = VersionId {
         number,
-        digest: texts.digest(),
+        digest: shared_parts.digest(),
     };
-    let (changes, follows) = (texts.clone(), follows.to_vec());
+    let (changes, predecessor_ids) = (shared_parts.clone(), predecessors.to_vec());
     VersionPush {
         nonce,
-        version: stamp,
-        predecessors: follows,
+        version: version_id,
+        predecessors: predecessor_ids,
         base: None,
         changes,
         removed: Vec::new(),
@@ -156,19 +171,24 @@
 }
 
 #[test]
-fn a_sound_version_takes_effect_and_is_acknowledged_and_the_next_comes_as_changes() {
-    story(async |stage| {
-        assert!(!stage.knows("extra", "a").await);
-        let one = stage.control.publish(stage.with_tracks(&["extra"]), false);
-        stage.until_in_force(one).await;
-        assert!(stage.knows("extra", "b").await);
-        wait_until(async || stage.control.running(0) == Some(one)).await;
-        let two = stage
+fn a_valid_version_becomes_active_and_the_next_is_sent_as_changes() {
+    run_with_control_service(async |fixture| {
+        assert!(!fixture.accepts_service_class("extra", "a").await);
+        let one = fixture
+            .control
+            .publish(fixture.with_service_classes(&["extra"]), false);
+        fixture.wait_until_active(one).await;
+        assert!(fixture.accepts_service_class("extra", "b").await);
+        wait_until(async || fixture.control.running(0) == Some(one)).await;
+        let two = fixture
             .control
-            .publish(stage.with_tracks(&["extra", "other"]), false);
-        stage.until_in_force(two).await;
-        assert!(stage.knows("other", "c").await && stage.knows("extra", "d").await);
-        let pushes = stage.control.pushes();
+            .publish(fixture.with_service_classes(&["extra", "other"]), false);
+        fixture.wait_until_active(two).await;
+        assert!(
+            fixture.accepts_service_class("other", "c").await
+                && fixture.accepts_service_class("extra", "d").await
+        );
+        let pushes = fixture.control.pushes();
         assert!(
             pushes[0].base.is_none() && pushes[1].base.is_some() && pushes[1].parts.len() == 1,
             "tracks alone: {pushes:?}"
@@ -177,113 +197,127 @@
 }
 
 #[test]
-fn bad_versions_change_nothing_and_each_is_told_why() {
-    story(async |stage| {
-        stage.control.scripted();
-        let sound = stage.with_tracks(&["extra"]);
-        let first = push(1, 5, &sound, &[]);
-        assert_eq!(stage.reply(&first).await.answer(), Answer::Applied);
-        let five = first.version;
-        let broken = stage.texts("(shots 0) (cold (lasts 1 s) (window 1 s) (offers -1))");
+fn invalid_versions_change_nothing_and_are_rejected_with_the_reason() {
+    run_with_control_service(async |fixture| {
+        fixture.control.scripted();
+        let valid = fixture.with_service_classes(&["extra"]);
+        let first = push(1, 5, &valid, &[]);
+        assert_eq!(fixture.reply(&first).await.answer(), Answer::Applied);
+        let version_five = first.version;
+        let broken = fixture.shared_parts("(shots 0) (cold (lasts 1 s) (window 1 s) (offers -1))");
         let wrong_digest = VersionPush {
-            changes: stage.texts("(shots 4)"),
-            ..push(3, 7, &sound, &[five])
+            changes: fixture.shared_parts("(shots 4)"),
+            ..push(3, 7, &valid, &[version_five])
         };
-        let foreign = sound.with_changes(
+        let own_setting = valid.with_changes(
             &[("listen".into(), "(listen \"127.0.0.1:1\")".into())]
                 .into_iter()
                 .collect(),
             &[],
         );
-        let nested = sound.with_changes(
+        let nested = valid.with_changes(
             &[("cold".into(), "(".repeat(5 << 20))].into_iter().collect(),
             &[],
         );
-        let cut = stage.with_tracks(&["extra"]).with_changes(
+        let reduced_limit = fixture.with_service_classes(&["extra"]).with_changes(
             &SharedParts::parse("c", "(deployment (bounds (in-hand 100)))").expect("a form"),
             &[],
         );
-        let halls = sound.with_changes(
+        let changed_zones = valid.with_changes(
             &SharedParts::parse("c", "(deployment (halls a b c))").expect("a form"),
             &[],
         );
-        for (push, why) in [
-            (push(2, 6, &broken, &[five]), "shots: must be 1 or more"),
+        for (push, reason) in [
             (
-                push(12, 6, &broken, &[five]),
+                push(2, 6, &broken, &[version_five]),
+                "shots: must be 1 or more",
+            ),
+            (
+                push(12, 6, &broken, &[version_five]),
                 "cold/offers: must be 0 or more",
             ),
-            (push(14, 6, &nested, &[five]), "4194304 is the most"),
+            (push(14, 6, &nested, &[version_five]), "4194304 is the most"),
             (wrong_digest, "digest"),
-            (push(4, 4, &sound, &[five]), "stale"),
-            (push(5, 5, &stage.texts(""), &[five]), "same number"),
-            (push(6, 6, &stage.texts("(shots 4)"), &[]), "split"),
+            (push(4, 4, &valid, &[version_five]), "stale"),
+            (
+                push(5, 5, &fixture.shared_parts(""), &[version_five]),
+                "same number",
+            ),
+            (push(6, 6, &fixture.shared_parts("(shots 4)"), &[]), "split"),
             (
-                push(7, 6, &foreign, &[five]),
+                push(7, 6, &own_setting, &[version_five]),
                 "listen: is each dispatcher's own",
             ),
             (
-                push(8, 6, &cut, &[five]),
+                push(8, 6, &reduced_limit, &[version_five]),
                 "bounds/in-hand: cut from 20000 to 100",
             ),
             (
-                push(9, 6, &halls, &[five]),
+                push(9, 6, &changed_zones, &[version_five]),
                 "halls: a change needs a restart",
             ),
         ] {
-            let told = stage.reply(&push).await;
-            assert_eq!(told.answer(), Answer::Rejected, "{why}");
+            let reply = fixture.reply(&push).await;
+            assert_eq!(reply.answer(), Answer::Rejected, "{reason}");
             assert!(
-                told.reasons.iter().any(|line| line.contains(why)),
-                "{why}: {:?}",
-                told.reasons
+                reply.reasons.iter().any(|line| line.contains(reason)),
+                "{reason}: {:?}",
+                reply.reasons
             );
             assert_eq!(
-                told.active.as_ref().and_then(parse_version_id),
-                Some(five),
+                reply.active.as_ref().and_then(parse_version_id),
+                Some(version_five),
                 "the last good one stays"
             );
         }
-        assert!(stage.knows("extra", "a").await);
-        let again = stage.reply(&push(10, 5, &sound, &[])).await;
+        assert!(fixture.accepts_service_class("extra", "a").await);
+        let again = fixture.reply(&push(10, 5, &valid, &[])).await;
         assert_eq!(again.answer(), Answer::Unchanged, "a repeat is harmless");
-        let meant = VersionPush {
+        let allowed_cut = VersionPush {
             allows_cuts: true,
-            ..push(11, 6, &cut, &[five])
+            ..push(11, 6, &reduced_limit, &[version_five])
         };
-        assert_eq!(stage.reply(&meant).await.answer(), Answer::Applied, "meant");
-        let onto = VersionPush {
-            base: Some(five),
-            ..push(13, 7, &sound, &[meant.version])
+        assert_eq!(
+            fixture.reply(&allowed_cut).await.answer(),
+            Answer::Applied,
+            "meant"
+        );
+        let unknown_base = VersionPush {
+            base: Some(version_five),
+            ..push(13, 7, &valid, &[allowed_cut.version])
         };
         assert_eq!(
-            stage.reply(&onto).await.answer(),
+            fixture.reply(&unknown_base).await.answer(),
             Answer::FullRequired,
             "changes to another version"
         );
-        let status = stage.status().await;
+        let status = fixture.status().await;
         assert_eq!((status.applied, status.rejected), (2, 10));
     });
 }
 
 #[test]
-fn a_track_in_use_is_not_taken_away_and_what_is_in_hand_runs_on() {
-    story(async |stage| {
-        let one = stage.control.publish(stage.with_tracks(&["extra"]), false);
-        stage.until_in_force(one).await;
-        let mut words = stage
+fn a_service_class_in_use_is_not_removed_and_its_allocations_keep_running() {
+    run_with_control_service(async |fixture| {
+        let one = fixture
+            .control
+            .publish(fixture.with_service_classes(&["extra"]), false);
+        fixture.wait_until_active(one).await;
+        let mut events = fixture
             .harness
             .request_placement(placement_request("held", "extra"))
             .await;
-        placed(&mut words).await;
-        let gone = stage.control.publish(stage.texts("(shots 4)"), true);
-        wait_until(async || stage.status().await.rejected == 1).await;
-        let status = stage.status().await;
+        expect_placed(&mut events).await;
+        let removed = fixture
+            .control
+            .publish(fixture.shared_parts("(shots 4)"), true);
+        wait_until(async || fixture.status().await.rejected == 1).await;
+        let status = fixture.status().await;
         assert_eq!(
             status
                 .last_rejected
                 .and_then(|last| parse_version_id(&last)),
-            Some(gone)
+            Some(removed)
         );
         assert!(
             status.reasons[0].contains("tracks/extra: removed, and 1 allocations"),
@@ -291,79 +325,87 @@
             status.reasons
         );
         // What shrinks below what is placed stops nothing that runs.
-        let small = stage.with_tracks(&["extra"]).with_changes(
+        let reduced_quota = fixture.with_service_classes(&["extra"]).with_changes(
             &SharedParts::parse("c", "(deployment (accounts (one (share-cores 0.5))))")
                 .expect("a form"),
             &[],
         );
-        let small = stage.control.publish(small, true);
-        stage.until_in_force(small).await;
-        let mut more = stage
+        let reduced_quota = fixture.control.publish(reduced_quota, true);
+        fixture.wait_until_active(reduced_quota).await;
+        let mut second = fixture
             .harness
             .request_placement(placement_request("more", "extra"))
             .await;
-        placed(&mut more).await;
-        assert_eq!(stage.harness.status().await.running, 2, "both run");
-        drop((words, more));
-        wait_until(async || stage.harness.status().await.in_flight == 0).await;
-        let gone = stage.control.publish(stage.texts("(shots 4)"), true);
-        stage.until_in_force(gone).await;
-        assert!(!stage.knows("extra", "late").await);
+        expect_placed(&mut second).await;
+        assert_eq!(fixture.harness.status().await.running, 2, "both run");
+        drop((events, second));
+        wait_until(async || fixture.harness.status().await.in_flight == 0).await;
+        let removed = fixture
+            .control
+            .publish(fixture.shared_parts("(shots 4)"), true);
+        fixture.wait_until_active(removed).await;
+        assert!(!fixture.accepts_service_class("extra", "late").await);
     });
 }
 
 #[test]
-fn of_two_services_the_one_that_answers_streams() {
-    story(async |stage| {
-        let text = stage
-            .file()
+fn the_reachable_one_of_two_control_services_streams() {
+    run_with_control_service(async |fixture| {
+        let text = fixture
+            .deployment_text()
             .replace("(control ", "(control \"127.0.0.1:1\" ");
-        let opened = stage.control.opened();
-        let harness = stage.harness.kill_and_restart(&text).await;
-        let stage = Stage { harness, ..stage };
-        wait_until(async || stage.control.opened() > opened).await;
-        let one = stage.control.publish(stage.with_tracks(&["extra"]), false);
-        stage.until_in_force(one).await;
+        let opened = fixture.control.opened();
+        let harness = fixture.harness.kill_and_restart(&text).await;
+        let fixture = Fixture { harness, ..fixture };
+        wait_until(async || fixture.control.opened() > opened).await;
+        let one = fixture
+            .control
+            .publish(fixture.with_service_classes(&["extra"]), false);
+        fixture.wait_until_active(one).await;
     });
 }
 
 #[test]
-fn the_service_gone_the_last_version_stays_and_the_stream_comes_back() {
-    story(async |mut stage| {
-        let one = stage.control.publish(stage.with_tracks(&["extra"]), false);
-        stage.until_in_force(one).await;
-        drop(stage.up.take());
-        wait_until(async || stage.status().await.control_service.is_empty()).await;
-        assert!(stage.knows("extra", "a").await);
-        let two = stage
+fn without_control_service_the_last_version_stays_active_until_the_stream_resumes() {
+    run_with_control_service(async |mut fixture| {
+        let one = fixture
+            .control
+            .publish(fixture.with_service_classes(&["extra"]), false);
+        fixture.wait_until_active(one).await;
+        drop(fixture.control_guard.take());
+        wait_until(async || fixture.status().await.control_service.is_empty()).await;
+        assert!(fixture.accepts_service_class("extra", "a").await);
+        let two = fixture
             .control
-            .publish(stage.with_tracks(&["extra", "other"]), false);
-        stage.up = Some(
-            stage
+            .publish(fixture.with_service_classes(&["extra", "other"]), false);
+        fixture.control_guard = Some(
+            fixture
                 .control
-                .restart(&stage.harness.context)
+                .restart(&fixture.harness.context)
                 .await
                 .expect("its port"),
         );
-        stage.until_in_force(two).await;
-        let first = stage
+        fixture.wait_until_active(two).await;
+        let first = fixture
             .control
             .replies()
             .into_iter()
             .rev()
             .find(|reply| reply.message.nonce == 0);
-        let told = first
+        let reply = first
             .and_then(|reply| reply.message.active)
-            .and_then(|running| parse_version_id(&running));
-        assert_eq!(told, Some(one), "a new stream says what runs");
+            .and_then(|active| parse_version_id(&active));
+        assert_eq!(reply, Some(one), "a new stream says what runs");
     });
 }
 
 #[test]
-fn a_service_that_goes_in_the_middle_of_a_message_leaves_all_of_a_version_or_nothing() {
-    story(async |mut stage| {
-        let one = stage.control.publish(stage.with_tracks(&["extra"]), false);
-        stage.until_in_force(one).await;
+fn a_stream_cut_within_a_message_applies_a_version_whole_or_not_at_all() {
+    run_with_control_service(async |mut fixture| {
+        let one = fixture
+            .control
+            .publish(fixture.with_service_classes(&["extra"]), false);
+        fixture.wait_until_active(one).await;
         let accounts: String = (0..9_000)
             .map(|number| format!(" (a{number} (share-cores 1))"))
             .collect();
@@ -371,185 +413,205 @@
             "c",
             &format!("(deployment (accounts (one (share-cores 100)){accounts}))"),
         );
-        let large = stage
-            .with_tracks(&["extra"])
+        let large = fixture
+            .with_service_classes(&["extra"])
             .with_changes(&large.expect("a form"), &[]);
-        let two = stage.control.publish(large.clone(), false);
+        let two = fixture.control.publish(large.clone(), false);
         // Its links are cut with it, wherever in the message they are.
-        drop(stage.up.take());
-        wait_until(async || stage.status().await.control_service.is_empty()).await;
-        let status = stage.status().await;
+        drop(fixture.control_guard.take());
+        wait_until(async || fixture.status().await.control_service.is_empty()).await;
+        let status = fixture.status().await;
         let whole = SharedParts::parse("in force", &status.text)
             .expect("sound")
             .digest();
-        let running = status
+        let active = status
             .active
             .as_ref()
             .and_then(parse_version_id)
             .expect("a stamp");
-        assert!(running == one || running == two, "{running}");
-        assert_eq!(whole, running.digest);
-        stage.up = Some(
-            stage
+        assert!(active == one || active == two, "{active}");
+        assert_eq!(whole, active.digest);
+        fixture.control_guard = Some(
+            fixture
                 .control
-                .restart(&stage.harness.context)
+                .restart(&fixture.harness.context)
                 .await
                 .expect("its port"),
         );
-        stage.until_in_force(two).await;
+        fixture.wait_until_active(two).await;
     });
 }
 
 #[test]
-fn a_restart_without_a_service_runs_on_the_last_version_and_a_torn_file_on_the_one_before() {
-    story(async |mut stage| {
-        let one = stage.control.publish(stage.with_tracks(&["one"]), false);
-        stage.until_in_force(one).await;
-        let two = stage
+fn a_restart_without_control_service_uses_the_stored_version_or_its_backup() {
+    run_with_control_service(async |mut fixture| {
+        let one = fixture
+            .control
+            .publish(fixture.with_service_classes(&["one"]), false);
+        fixture.wait_until_active(one).await;
+        let two = fixture
             .control
-            .publish(stage.with_tracks(&["one", "two"]), false);
-        stage.until_in_force(two).await;
-        drop(stage.up.take());
-        let stage = stage.restart().await;
-        assert_eq!(stage.in_force().await, two.number);
-        stage.harness.wait_until_serving(2).await;
-        assert!(stage.knows("two", "a").await);
+            .publish(fixture.with_service_classes(&["one", "two"]), false);
+        fixture.wait_until_active(two).await;
+        drop(fixture.control_guard.take());
+        let fixture = fixture.restart().await;
+        assert_eq!(fixture.active_version().await, two.number);
+        fixture.harness.wait_until_serving(2).await;
+        assert!(fixture.accepts_service_class("two", "a").await);
         // The start counted itself, so two files say two; torn, the one before does; both torn, the
         // file does.
-        let path = stage.folder.path().join("versions.json");
+        let path = fixture.directory.path().join("versions.json");
         let whole = std::fs::read(&path).expect("kept");
         std::fs::write(&path, &whole[..whole.len() / 2]).expect("torn");
-        let stage = stage.restart().await;
-        assert!(stage.folder.path().join("versions.aside").exists());
-        assert_eq!(stage.in_force().await, two.number);
+        let fixture = fixture.restart().await;
+        assert!(fixture.directory.path().join("versions.aside").exists());
+        assert_eq!(fixture.active_version().await, two.number);
         for name in ["versions.json", "versions.before"] {
-            std::fs::write(stage.folder.path().join(name), "{}").expect("torn");
+            std::fs::write(fixture.directory.path().join(name), "{}").expect("torn");
         }
-        let stage = stage.restart().await;
-        assert_eq!(stage.in_force().await, 0, "the deployment file");
+        let fixture = fixture.restart().await;
+        assert_eq!(fixture.active_version().await, 0, "the deployment file");
     });
 }
 
 #[test_case(false; "no file can be made")]
 #[test_case(true; "the disk is full")]
-fn a_version_that_can_not_be_kept_on_disk_is_not_in_force(full: bool) {
-    story(async |stage| {
-        let one = stage.control.publish(stage.with_tracks(&["one"]), false);
-        stage.until_in_force(one).await;
-        let path = stage.folder.path().join("versions.new");
+fn a_version_that_cannot_be_stored_on_disk_does_not_become_active(disk_full: bool) {
+    run_with_control_service(async |fixture| {
+        let one = fixture
+            .control
+            .publish(fixture.with_service_classes(&["one"]), false);
+        fixture.wait_until_active(one).await;
+        let path = fixture.directory.path().join("versions.new");
         // Where a folder stands no file can be made, whoever tries; the other is a disk without
         // room.
-        match full {
+        match disk_full {
             true => std::os::unix::fs::symlink("/dev/full", &path).expect("made"),
             false => std::fs::create_dir(&path).expect("made"),
         }
-        stage
+        fixture
             .control
-            .publish(stage.with_tracks(&["one", "two"]), false);
-        wait_until(async || stage.status().await.rejected == 1).await;
-        assert!(stage.status().await.reasons[0].contains("can't be stored on disk"));
-        assert!(stage.knows("one", "a").await && !stage.knows("two", "b").await);
-        if full {
+            .publish(fixture.with_service_classes(&["one", "two"]), false);
+        wait_until(async || fixture.status().await.rejected == 1).await;
+        assert!(fixture.status().await.reasons[0].contains("can't be stored on disk"));
+        assert!(
+            fixture.accepts_service_class("one", "a").await
+                && !fixture.accepts_service_class("two", "b").await
+        );
+        if disk_full {
             std::fs::remove_file(&path)
         } else {
             std::fs::remove_dir(&path)
         }
         .expect("removed");
-        let three = stage
+        let three = fixture
             .control
-            .publish(stage.with_tracks(&["one", "three"]), false);
-        stage.until_in_force(three).await;
+            .publish(fixture.with_service_classes(&["one", "three"]), false);
+        fixture.wait_until_active(three).await;
     });
 }
 
 #[test]
-fn a_version_that_refuses_what_was_served_is_given_up_by_itself_and_not_taken_again() {
-    story(async |stage| {
+fn a_version_that_rejects_served_requests_is_rolled_back_and_not_adopted_again() {
+    run_with_control_service(async |fixture| {
         for number in 0..60 {
-            assert!(stage.knows("web", &format!("before-{number}")).await);
+            assert!(
+                fixture
+                    .accepts_service_class("web", &format!("before-{number}"))
+                    .await
+            );
         }
-        wait_until(async || stage.harness.status().await.in_flight == 0).await;
-        let texts = stage.texts("(tracks (jobs (repeat idempotent) (contract-time 1 s)))");
-        let bad = stage.control.publish(texts.clone(), true);
-        stage.until_in_force(bad).await;
+        wait_until(async || fixture.harness.status().await.in_flight == 0).await;
+        let shared_parts =
+            fixture.shared_parts("(tracks (jobs (repeat idempotent) (contract-time 1 s)))");
+        let bad = fixture.control.publish(shared_parts.clone(), true);
+        fixture.wait_until_active(bad).await;
         let mut number = 0;
         wait_until(async || {
             number += 1;
-            let _ = stage.knows("web", &format!("during-{number}")).await;
-            stage.in_force().await == 0
+            let _ = fixture
+                .accepts_service_class("web", &format!("during-{number}"))
+                .await;
+            fixture.active_version().await == 0
         })
         .await;
         assert!(
             number >= 50,
             "not before there is enough to tell by: {number}"
         );
-        assert!(stage.knows("web", "after").await);
-        let gave_up = |told: &v1::PushReply| told.answer() == Answer::RolledBack;
+        assert!(fixture.accepts_service_class("web", "after").await);
+        let is_rolled_back = |reply: &v1::PushReply| reply.answer() == Answer::RolledBack;
         wait_until(async || {
-            stage
+            fixture
                 .control
                 .replies()
                 .iter()
-                .any(|reply| gave_up(&reply.message))
+                .any(|reply| is_rolled_back(&reply.message))
         })
         .await;
-        let replies = stage.control.replies();
-        let told = replies
+        let replies = fixture.control.replies();
+        let reply = replies
             .iter()
             .map(|reply| &reply.message)
-            .find(|told| gave_up(told))
+            .find(|reply| is_rolled_back(reply))
             .expect("told");
-        assert!(told.reasons[0].contains("% of"), "{:?}", told.reasons);
-        stage.control.scripted();
-        let again = stage.reply(&push(999, bad.number, &texts, &[])).await;
+        assert!(reply.reasons[0].contains("% of"), "{:?}", reply.reasons);
+        fixture.control.scripted();
+        let again = fixture
+            .reply(&push(999, bad.number, &shared_parts, &[]))
+            .await;
         assert!(
-            again.reasons.iter().any(|why| why.contains("given up")),
+            again
+                .reasons
+                .iter()
+                .any(|reason| reason.contains("given up")),
             "{:?}",
             again.reasons
         );
-        let stage = stage.restart().await;
-        assert_eq!(stage.in_force().await, 0, "nor after a restart");
+        let fixture = fixture.restart().await;
+        assert_eq!(fixture.active_version().await, 0, "nor after a restart");
     });
 }
 
 #[test]
-fn an_address_that_is_not_allowed_gets_no_link() {
-    story(async |stage| {
-        let closed = stage.texts("(allow \"10.0.0.0/8\")");
-        let closed = stage.control.publish(closed, false);
-        wait_until(async || stage.control.running(0) == Some(closed)).await;
-        let bounds = ConnectionLimits {
+fn an_address_that_is_not_allowed_gets_no_connection() {
+    run_with_control_service(async |fixture| {
+        let closed = fixture.shared_parts("(allow \"10.0.0.0/8\")");
+        let closed = fixture.control.publish(closed, false);
+        wait_until(async || fixture.control.running(0) == Some(closed)).await;
+        let limits = ConnectionLimits {
             connect_timeout: Duration::from_secs(2),
             ..ConnectionLimits::default()
         };
         let call = async {
-            let link = Connection::open(&stage.harness.tasks, stage.harness.address, &bounds)
-                .await
-                .ok()?;
-            VersionsClient::new(link)
+            let connection =
+                Connection::open(&fixture.harness.tasks, fixture.harness.address, &limits)
+                    .await
+                    .ok()?;
+            VersionsClient::new(connection)
                 .status(v1::VersionStatusRequest {})
                 .await
                 .ok()
         };
         assert!(call.await.is_none(), "turned away");
-        let open = stage
+        let open = fixture
             .control
-            .publish(stage.texts("(allow \"127.0.0.0/8\")"), false);
-        wait_until(async || stage.control.running(0) == Some(open)).await;
-        stage.until_in_force(open).await;
+            .publish(fixture.shared_parts("(allow \"127.0.0.0/8\")"), false);
+        wait_until(async || fixture.control.running(0) == Some(open)).await;
+        fixture.wait_until_active(open).await;
     });
 }
 
 #[test_case(1; "seed 1")]
 #[test_case(2; "seed 2")]
 #[test_case(3; "seed 3")]
-fn of_hundreds_at_random_with_kills_what_is_in_force_is_what_was_acknowledged_last(seed: u64) {
+fn the_active_version_is_the_last_acknowledged_one_after_random_pushes_and_kills(seed: u64) {
     let program = [
         env!("CARGO_BIN_EXE_corkspan-testbed").into(),
         "corkspan".into(),
     ];
-    let out =
-        config_push_experiment::exchange(&program, seed, 300).unwrap_or_else(|why| panic!("{why}"));
+    let out = config_push_experiment::exchange(&program, seed, 300)
+        .unwrap_or_else(|reason| panic!("{reason}"));
     assert!(
         out.applied > 0 && out.refused > 0 && out.superseded > 0 && out.kills > 0,
         "{out:?}"
