--- a/crates/testbed/tests/full_path/fleet.rs
+++ b/crates/testbed/tests/full_path/fleet.rs
@@ -1,5 +1,5 @@
-//! The floor of versions among processes of the program, each started by its command line, with
-//! some that hear nothing of newer versions. Judged by what crossed the nodes' sockets.
+//! Tests of the minimum version among dispatcher processes started from the command line, some of
+//! which receive no newer versions. The checks read the captured traffic of the nodes' sockets.
 
 use crate::harness::*;
 use corkspan_api::v1::node_client::NodeClient;
@@ -27,7 +27,7 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_corkspan-testbed");
 
-/// A dispatcher's process; killed when it is dropped.
+/// A dispatcher process, killed when it is dropped.
 pub struct Process {
     child: Child,
     pub address: SocketAddr,
@@ -75,15 +75,15 @@
     }
 }
 
-/// Processes before the nodes of a rig, some of which take their versions from a service that has
-/// stood still.
+/// Dispatcher processes and their nodes. Some of the dispatchers take their versions from a control
+/// service that publishes no newer ones.
 struct Fixture {
     harness: Harness,
     newest: (ControlService, ControlServiceGuard),
     stale: (ControlService, ControlServiceGuard),
     directory: tempfile::TempDir,
     fleet: Vec<Process>,
-    /// What the next one is told of the floor beside how often to ask.
+    /// Forms for the `floor` settings of the next process, in addition to the poll interval.
     minimum_version_forms: String,
 }
 
@@ -129,14 +129,14 @@
             .await;
     }
 
-    /// One more under the number of another, with a disk of its own.
+    /// Starts another process under a number that is in use, with its own files.
     async fn start_with_number(&mut self, number: usize, control: SocketAddr) {
         let discovery = self.harness.discovery.address;
         self.start_process(number, discovery, control, QUORUM_MEMBERS)
             .await;
     }
 
-    /// One that knows the nodes by another roster.
+    /// Starts a process that uses another discovery address.
     async fn start_with_discovery(
         &mut self,
         discovery: SocketAddr,
@@ -171,7 +171,7 @@
         self.fleet.push(Process::start(path).await);
     }
 
-    /// The operator's command line.
+    /// Runs the operator's command line against all processes.
     async fn operator(&self, arguments: &[&str]) -> Output {
         let mut command = Command::new(PROGRAM);
         command.args(["corkspan", "fleet"]).args(arguments);
@@ -202,7 +202,8 @@
             .into_inner()
     }
 
-    /// The first word on an ask, and the call, which must stay for the allocation to.
+    /// Requests a placement and returns its first event and the event stream; the allocation runs
+    /// only as long as the stream is held.
     async fn first_event(
         &self,
         number: usize,
@@ -231,7 +232,8 @@
         .await;
     }
 
-    /// Goes on asking through one that is up until all nodes have the floor.
+    /// Places tasks through an up-to-date dispatcher until all nodes have stored the minimum
+    /// version.
     async fn wait_until_nodes_store_minimum(&self) {
         let mut calls = Vec::new();
         wait_until(async || {
@@ -249,7 +251,7 @@
         .await;
     }
 
-    /// The audit's table of acts against the nodes' sockets: no shot more or less.
+    /// Asserts that the audit counts exactly the attempts that the nodes' sockets captured.
     async fn assert_audit_matches_capture(&self) {
         let nodes = self.harness.nodes.iter().map(|node| {
             self.harness
@@ -301,7 +303,8 @@
         assert_eq!(rows, captured, "{text}");
     }
 
-    /// What the judge finds of the floor in what crossed the sockets.
+    /// Returns the breaches of the minimum version that the checker finds in the capture, and the
+    /// captured lines.
     fn minimum_version_breaches(&self) -> (Vec<String>, Vec<Line>) {
         let slow_start = SlowStartLimits {
             lasts_us: 0,
@@ -350,7 +353,8 @@
                 fixture.start(newest, QUORUM_MEMBERS).await;
             }
             fixture.start(stale, QUORUM_MEMBERS).await;
-            // Of this one's links all but those to nodes are cut, and the roster's.
+            // This dispatcher has no quorum members configured, so it learns of the minimum version
+            // only from nodes.
             fixture.start(stale, "").await;
             for number in 0..5 {
                 fixture.wait_until_active(number, 1).await;
@@ -374,7 +378,7 @@
 #[test]
 fn lagging_dispatchers_are_fenced_by_nodes_and_quorum_members_until_they_catch_up() {
     run_with_stale_dispatchers(async |fixture| {
-        // All may act as long as nobody has asked for a floor.
+        // All dispatchers may act until a minimum version is set.
         let (before, _call) = fixture.first_event(4, "before").await;
         assert!(matches!(before, Some(Event::Placed(_))), "{before:?}");
         let output = fixture.operator(&["floor", "2"]).await;
@@ -389,15 +393,15 @@
             "{}",
             String::from_utf8_lossy(&output.stderr)
         );
-        // One hears of it from the keepers.
+        // Dispatcher 3 learns of the minimum version from the quorum members.
         wait_until(async || {
             rejection_reason(&fixture.first_event(3, "by-keepers").await.0)
                 == Some(RejectionReason::Behind)
         })
         .await;
         fixture.wait_until_nodes_store_minimum().await;
-        // The other from the node that it asks first: the ask in hand gets its one answer, the next
-        // is refused at once.
+        // Dispatcher 4 learns of it from the first node that it contacts: the request in flight
+        // gets its one reply, the next is rejected at once.
         let first = fixture.first_event(4, "by-node").await.0;
         assert!(rejection_reason(&first).is_some(), "{first:?}");
         assert_eq!(
@@ -420,7 +424,7 @@
                 "{report}"
             );
         }
-        // Brought up, they act again by themselves.
+        // Once caught up, they act again without intervention.
         assert_eq!(
             fixture
                 .stale
@@ -464,7 +468,7 @@
 fn a_dispatcher_paused_while_the_minimum_version_is_raised_places_nothing_afterwards() {
     run_with_stale_dispatchers(async |fixture| {
         let paused = &fixture.fleet[4];
-        // Its link stands and its ask is on its way when it stops.
+        // The dispatcher is paused while its connections are open and a request is on its way.
         let (before, _call) = fixture.first_event(4, "before").await;
         assert!(matches!(before, Some(Event::Placed(_))), "{before:?}");
         let connection = fixture.connect(4).await;
@@ -500,8 +504,9 @@
     });
 }
 
-/// All links of one process but the roster's run through relays: it hears no more of versions,
-/// nodes and keepers while its links stand open, and what it says still gets through.
+/// All connections of one process except the one to discovery run through relays. The relays then
+/// hold everything towards it: it receives nothing from the control service, nodes and quorum
+/// members over connections that stay open, while its own messages still arrive.
 #[test]
 fn a_dispatcher_that_receives_nothing_on_open_connections_is_fenced_and_its_clients_get_a_reply() {
     Harness::run(
@@ -514,7 +519,7 @@
             let tasks = fixture.harness.tasks.clone();
             let newest = fixture.newest.0.address;
             let control = Relay::start(&tasks, newest).await.expect("a port");
-            // The same nodes, by addresses of relays to them.
+            // Lists the same nodes at the addresses of relays.
             let (discovery, relayed_discovery) = Discovery::start(&fixture.harness.context)
                 .await
                 .expect("a port");
@@ -569,8 +574,8 @@
                 String::from_utf8_lossy(&output.stderr)
             );
             fixture.wait_until_nodes_store_minimum().await;
-            // It reaches nodes that know the floor and hears neither them nor the keepers among
-            // them.
+            // Its messages reach nodes that know the minimum version, but no reply from nodes or
+            // quorum members reaches it.
             let during_cut = fixture.first_event(4, "deaf").await.0;
             assert!(
                 matches!(during_cut, Some(Event::Rejected(_) | Event::Failed(_))),
@@ -605,7 +610,7 @@
     );
 }
 
-/// Its first life ends by a kill after a second version has come.
+/// The first incarnation is killed after a second version became active.
 #[test]
 fn version_history_survives_a_kill_and_continues_in_the_next_incarnation() {
     Harness::run(
@@ -659,7 +664,7 @@
     );
 }
 
-/// Two processes that take their versions from the service that goes on.
+/// Runs a test against two processes whose control service keeps publishing.
 fn run_with_two_dispatchers<F: Future<Output = ()>>(test: impl FnOnce(Fixture) -> F) {
     Harness::run(
         Layout {
@@ -703,7 +708,8 @@
         assert!(matches!(event, Some(Event::Placed(_))), "{event:?}");
         fixture.harness.nodes[1].cut_connections(Duration::ZERO);
         wait_until(async || set_minimum(&fixture, "1").await.0).await;
-        // Known to both before, it stays so with all keepers but one away.
+        // Both dispatchers know the minimum version, and keep it while only one quorum member is
+        // reachable.
         wait_until(async || {
             let knows_minimum = async |number| {
                 fixture
@@ -750,8 +756,8 @@
             let final_line = format!("floor {minimum} by wish {revision}");
             let claims_current =
                 [&raise, &lower].map(|output| stdout(output).contains(&final_line));
-            // Nobody is told that what stands is another's; of the two at most one is told that it
-            // is his.
+            // At most one of the two operators is told that the minimum version now active is the
+            // one they set.
             assert!(
                 claims_current != [true, true],
                 "round {round}: {} {}",
@@ -784,7 +790,7 @@
     });
 }
 
-/// The newest version whole, as a dispatcher would lay it on a keeper's shelf.
+/// Returns a full version push, as a dispatcher stores it on a quorum member.
 fn version_push(
     fixture: &Fixture,
     number: u64,
@@ -823,8 +829,8 @@
             for _ in 0..3 {
                 fixture.start(newest, QUORUM_MEMBERS).await;
             }
-            // A link to a peer is cut at first, and one peer is gone: those that are left are
-            // asked.
+            // The connection to one peer is cut and another peer is down, so the remaining peer is
+            // queried.
             let relay = Relay::start(&fixture.harness.tasks, fixture.fleet[1].address)
                 .await
                 .expect("a port");
@@ -857,8 +863,8 @@
                 String::from_utf8_lossy(&output.stderr)
             );
             fixture.wait_until_active(3, 2).await;
-            // The other knows keepers alone, and on their shelves lies a rival's version, which it
-            // can't take.
+            // Dispatcher 4 has no peers configured, and the quorum members store a version of
+            // another lineage, which it must reject.
             wait_until(async || {
                 rejection_reason(&fixture.first_event(4, "out").await.0)
                     == Some(RejectionReason::Behind)
@@ -947,7 +953,8 @@
                     ..PersistedVersions::default()
                 }
             };
-            // Two of five run 9 for good: not enough. Nobody streams.
+            // Two of five dispatchers have adopted version 9, which is too few. No control service
+            // is reachable.
             let unreachable: SocketAddr = "127.0.0.1:1".parse().expect("an address");
             for number in 0..5 {
                 let version = if number < 2 { 9 } else { 2 };
@@ -958,7 +965,8 @@
                 save(&path, &persisted_versions(&fixture, version, 4)).expect("kept");
                 fixture.start(unreachable, QUORUM_MEMBERS).await;
             }
-            // Each has told its version in two rounds at least once all are known to all.
+            // Once every dispatcher knows all others, each has reported its version in at least two
+            // rounds.
             wait_until(async || {
                 let output = fixture.operator(&["audit"]).await;
                 String::from_utf8_lossy(&output.stdout)
@@ -970,7 +978,7 @@
             let (event, _call) = fixture.first_event(4, "before").await;
             assert!(matches!(event, Some(Event::Placed(_))), "{event:?}");
             assert_eq!(fixture.status(0).await.minimum_version, None);
-            // A third one comes back with it.
+            // A third dispatcher restarts with version 9.
             fixture.fleet.truncate(4);
             let path = fixture.directory.path().join("versions-4.json");
             save(&path, &persisted_versions(&fixture, 9, 4)).expect("kept");
@@ -995,7 +1003,7 @@
     );
 }
 
-/// Each line that could not be written was told on the same full disk, which ended the process.
+/// A failed write to the log was itself logged to the same full disk, which ended the process.
 #[test]
 fn a_dispatcher_keeps_placing_when_its_log_is_on_a_full_disk() {
     Harness::run(
--- a/crates/testbed/tests/full_path/hard_cases.rs
+++ b/crates/testbed/tests/full_path/hard_cases.rs
@@ -1,4 +1,4 @@
-//! What goes wrong between owners, dispatcher, nodes and roster, provoked over real sockets.
+//! Tests of faults between clients, a dispatcher, nodes and discovery, provoked over real sockets.
 
 use crate::harness::*;
 use async_io::Timer;
@@ -129,7 +129,7 @@
             .request_placement(placement_request("a", "jobs"))
             .await;
         wait_until(async || harness.offers().len() == 1).await;
-        // Long enough for the shorter window to pass, and not the longer.
+        // Longer than the shorter window and shorter than the longer one.
         Timer::after(Duration::from_millis(150)).await;
         let first = harness.offers()[0].2;
         harness.nodes[first as usize].cut_connections(Duration::from_millis(50));
@@ -150,7 +150,7 @@
 #[test]
 fn a_reply_after_the_timeout_is_ignored() {
     Harness::run(Layout::default(), async |harness| {
-        // It learns how long answers usually take.
+        // Lets the dispatcher measure how long replies usually take.
         for number in 0..20 {
             expect_placed(
                 &mut harness
@@ -387,7 +387,7 @@
         let node = expect_placed(&mut events).await as usize;
         Timer::after(Duration::from_millis(650)).await;
         drop(events);
-        // Another call after it, so that the end of the first has been seen.
+        // A second placement ensures that the dispatcher has seen the end of the first call.
         expect_placed(
             &mut harness
                 .request_placement(placement_request("b", "once"))
@@ -541,7 +541,7 @@
 
 #[test]
 fn a_node_list_that_cannot_be_stored_does_not_stop_placement() {
-    // A folder where the file should be can't be written to, whoever tries.
+    // The parent directory is missing, so that no user can create the file, not even root.
     let directory = tempfile::tempdir().expect("a folder");
     let extra_forms = format!(
         "(remembered {:?})",
@@ -573,8 +573,8 @@
         let client = harness.client().await;
         let mut calls = Vec::new();
         for number in 0..5_000 {
-            // A slow machine takes seconds to read 5,000 asks; those without room wait to the end
-            // of their time.
+            // A slow machine takes seconds to read 5,000 requests, and requests without capacity
+            // wait until their deadline.
             let request = v1::PlacementRequest {
                 deadline_ms: 12_000,
                 ..placement_request(&format!("t{number}"), "web")
@@ -656,7 +656,7 @@
             .request_placement(placement_request("out", "once"))
             .await;
         wait_until(async || harness.offers().len() == 2).await;
-        // Larger than all that the node accepts.
+        // Larger than anything that the node admits.
         let mut deferred = harness
             .request_placement(v1::PlacementRequest {
                 cores: 500.0,
--- a/crates/testbed/tests/full_path/harness.rs
+++ b/crates/testbed/tests/full_path/harness.rs
@@ -1,4 +1,5 @@
-//! One dispatcher, some nodes and a roster on one executor, all on loopback.
+//! Runs a dispatcher, nodes and a discovery stand-in on loopback, and provides helpers for tests
+//! that call them.
 
 use async_io::Timer;
 use corkspan_api::v1::{self, placement_client::PlacementClient, placement_event::Event};
@@ -17,7 +18,7 @@
 use std::time::Duration;
 use tonic::Streaming;
 
-/// Nothing here takes longer: what does has failed.
+/// Longest time that any single step of a test may take.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 pub struct Harness {
@@ -31,14 +32,14 @@
     dispatcher: async_channel::Receiver<Result<(), DispatcherError>>,
 }
 
-/// How a rig is laid out.
+/// Set-up of the stand-ins and the dispatcher of a test.
 pub struct Layout {
     pub nodes: u32,
     pub review_time: Duration,
-    /// More text for the deployment: bounds, where the list is remembered.
+    /// Further forms of the deployment, such as bounds or the path of the stored node list.
     pub extra_forms: String,
     pub discovery_unavailable: bool,
-    /// A store of rolls other than the deployment's.
+    /// Rollout store to use instead of the one named in the deployment.
     pub store: Option<Store>,
 }
 
@@ -69,7 +70,7 @@
 }
 
 impl Harness {
-    /// Runs a story against a rig, on this thread.
+    /// Sets up the stand-ins and a dispatcher, and runs a test against them on this thread.
     pub fn run<F: Future<Output = ()>>(layout: Layout, test: impl FnOnce(Harness) -> F) {
         let tasks = SharedExecutor::default();
         let run = async {
@@ -106,7 +107,7 @@
         harness
     }
 
-    /// A second dispatcher with another deployment, before the same nodes.
+    /// Starts a second dispatcher with another deployment against the same nodes.
     pub async fn start_second(harness: &Harness, text: &str) -> Harness {
         let (nodes, discovery) = (harness.nodes.clone(), Arc::clone(&harness.discovery));
         Harness::start(
@@ -144,7 +145,7 @@
             let _ = stopped.recv().await;
         };
         let on_ready = move |address| ready_sender.try_send(address).expect("told once");
-        // On a thread of its own: a burst of owners here must not take its turns.
+        // Runs on its own thread, so that a burst of clients on this executor cannot delay it.
         let (exit_sender, dispatcher) = async_channel::bounded(1);
         let (kill, killed) = async_channel::bounded::<()>(1);
         std::thread::spawn(move || {
@@ -157,8 +158,8 @@
                 on_ready,
                 stopped,
             );
-            // Dropped with all its tasks where it is killed: its sockets close, and it says nothing
-            // more.
+            // A kill drops the dispatcher with all its tasks: its sockets close without a final
+            // message.
             let killed = async {
                 let _ = killed.recv().await;
                 Ok(())
@@ -206,7 +207,7 @@
         wait_until(async || self.status().await.machines_serving == count).await;
     }
 
-    /// Asks and returns the words of the call.
+    /// Requests a placement and returns the event stream of the call.
     pub async fn request_placement(
         &self,
         request: v1::PlacementRequest,
@@ -232,7 +233,7 @@
             .into_inner()
     }
 
-    /// Asks the dispatcher to stop and waits until it has.
+    /// Stops the dispatcher, waits until it has ended and returns the captured lines.
     pub async fn stop(self) -> Vec<Line> {
         let _ = self.stop.send(()).await;
         let stopped = within(WAIT_TIMEOUT, self.dispatcher.recv())
@@ -244,7 +245,7 @@
         self.context.capture.lines()
     }
 
-    /// Ends the dispatcher as a kill does, without a word.
+    /// Ends the dispatcher as a kill does, without notice to its peers.
     pub async fn kill(self) {
         let _ = self.kill.send(()).await;
         within(WAIT_TIMEOUT, self.dispatcher.recv())
@@ -254,7 +255,7 @@
             .expect("killed");
     }
 
-    /// The same, and starts it again with this deployment.
+    /// Kills the dispatcher and starts it again with this deployment.
     pub async fn kill_and_restart(self, text: &str) -> Harness {
         let (tasks, context, nodes, discovery) = (
             self.tasks.clone(),
@@ -281,7 +282,7 @@
         );
     }
 
-    /// Offers that nodes have seen, as (placing, number, node).
+    /// Returns the offers that nodes have received, as (placement id, attempt number, node).
     pub fn offers(&self) -> Vec<(String, u32, u32)> {
         let lines = self.context.capture.lines().into_iter();
         lines
@@ -362,7 +363,7 @@
     }
 }
 
-/// The next word, or none where the stream ends.
+/// Returns the next event, or `None` once the stream has ended.
 pub async fn next(events: &mut Streaming<v1::PlacementEvent>) -> Option<Event> {
     let message = within(WAIT_TIMEOUT, events.message())
         .await
@@ -370,7 +371,7 @@
     message.ok().flatten().and_then(|message| message.event)
 }
 
-/// The next word that is no note.
+/// Returns the next event other than `Running` and `ServiceLevel`.
 pub async fn next_significant(events: &mut Streaming<v1::PlacementEvent>) -> Option<Event> {
     loop {
         match next(events).await {
@@ -396,7 +397,7 @@
     }
 }
 
-/// Waits for a condition.
+/// Waits until a condition holds; panics after `WAIT_TIMEOUT`.
 pub async fn wait_until(mut condition: impl AsyncFnMut() -> bool) {
     let wait = async {
         while !condition().await {
--- a/crates/testbed/tests/full_path/loads.rs
+++ b/crates/testbed/tests/full_path/loads.rs
@@ -1,4 +1,4 @@
-//! What the load generator tells of a dispatcher that stands still.
+//! Tests the latencies that the load generator reports for a paused dispatcher.
 
 use corkspan_load_generator::tally::Outcome;
 use corkspan_testbed::loads;
@@ -14,8 +14,8 @@
     let (open, closed) = loads::stalled(&program, pause).unwrap_or_else(|error| panic!("{error}"));
     let (open, closed) = (&open.kinds[0], &closed.kinds[0]);
     let pause_us = pause.as_micros() as u64;
-    // The first ask due after it began to stand waits for nearly all of it; one in a hundred is due
-    // within 40 ms of that.
+    // The first request due after the pause begins waits for nearly all of it; one in a hundred is
+    // due within 40 ms of that.
     assert!(open.from_intended.max + 20_000 >= pause_us, "{open:?}");
     assert!(open.from_intended.p99 * 10 >= pause_us * 9, "{open:?}");
     assert!(
--- a/crates/testbed/tests/full_path/main.rs
+++ b/crates/testbed/tests/full_path/main.rs
@@ -1,4 +1,4 @@
-//! The dispatcher between owners, nodes and roster, all over real sockets on loopback.
+//! Tests of a dispatcher between clients, nodes and discovery over real sockets on loopback.
 
 mod fleet;
 mod hard_cases;
--- a/crates/testbed/tests/full_path/maintenance.rs
+++ b/crates/testbed/tests/full_path/maintenance.rs
@@ -1,5 +1,5 @@
-//! Machines taken out for work by processes of the program, with some killed and cut off meanwhile.
-//! Judged by the nodes' own doors and sockets.
+//! Tests maintenance by dispatcher processes, some of which are killed and cut off meanwhile. The
+//! checks read the nodes' own cordon states and sockets.
 
 use crate::fleet::Process;
 use crate::harness::*;
@@ -57,8 +57,8 @@
         blocking::unblock(move || command.output().expect("it runs")).await
     }
 
-    /// The worker: says of each machine that is his that it is done, once he has seen that nothing
-    /// runs there.
+    /// Acts as the maintenance worker: reports each machine in work as done, after checking that
+    /// nothing runs there. Returns the status output.
     async fn complete_work(&self, number: usize) -> String {
         let text = String::from_utf8_lossy(&self.operator(number, "status", &[]).await.stdout)
             .into_owned();
@@ -103,8 +103,8 @@
         matches!(event, Some(Event::Placed(_))).then_some(events)
     }
 
-    /// How many nodes were closed at a time at the most, and how often each was; and that no closed
-    /// one accepted anything.
+    /// Returns the largest number of nodes cordoned at a time and the number of cordons of each.
+    /// Asserts that no cordoned node accepted an allocation and that none is left cordoned.
     fn check_cordons(&self) -> (usize, BTreeMap<u32, usize>) {
         let (mut cordoned, mut max_cordoned, mut cordons_per_node) =
             (BTreeSet::new(), 0, BTreeMap::new());
@@ -146,7 +146,8 @@
         },
         async |harness| {
             let tasks = harness.tasks.clone();
-            // One knows the nodes by relays: it is cut off from all of them for a while.
+            // One dispatcher reaches the nodes through relays, which cut it off from all of them
+            // for a while.
             let (discovery, relayed_discovery) =
                 Discovery::start(&harness.context).await.expect("a port");
             let mut relays = Vec::new();
@@ -177,7 +178,7 @@
                 };
                 fixture.start(number, discovery).await;
             }
-            // Each keeps something placed, on whichever node takes it.
+            // Each dispatcher keeps allocations running, on whichever node accepts them.
             let mut calls = Vec::new();
             wait_until(async || {
                 calls.extend(
@@ -197,7 +198,7 @@
                 !output.status.success() && stderr.contains("of these 1 may be out"),
                 "{stderr}"
             );
-            // Without the keepers but one.
+            // Leaves out all quorum members but one.
             let arguments: Vec<&str> = arguments
                 .into_iter()
                 .filter(|argument| !["0", "1"].contains(argument) || *argument == "--")
@@ -222,7 +223,7 @@
                 *round += 1;
                 match *round {
                     3 => relays.iter().for_each(|relay| relay.hold(&[Direction::In])),
-                    // Whoever holds what: killed where it stands, and started anew later.
+                    // Killed whatever leases it holds, and restarted later.
                     5 => drop(fixture.fleet[1].take()),
                     9 => relays.iter().for_each(Relay::heal),
                     11 => fixture.start(1, fixture.harness.discovery.address).await,
--- a/crates/testbed/tests/full_path/rollouts.rs
+++ b/crates/testbed/tests/full_path/rollouts.rs
@@ -1,5 +1,5 @@
-//! Rolling updates over real sockets: the limit is counted by the judge from what copies say of
-//! themselves.
+//! Tests of rollouts over real sockets. The checker counts unavailable replicas from the readiness
+//! that replicas report.
 
 use crate::harness::*;
 use corkspan_api::v1::{self, rollout::Phase, rolls_client::RollsClient};
@@ -24,7 +24,7 @@
     )
 }
 
-/// Some dispatchers before ten nodes, and owners of so many copies of one service.
+/// Dispatchers, ten nodes, and clients that run the replicas of one service.
 struct Fixture {
     harnesses: Vec<Harness>,
     frontend: Arc<Frontend>,
@@ -48,8 +48,8 @@
                 &extra_forms(directory.path(), number),
             );
             let text = text.replace("(number 0)", &format!("(number {number})"));
-            // Each knows how many there are; the first was told of itself alone, which only makes
-            // it bolder.
+            // Each further dispatcher is configured with the number of dispatchers. The first is
+            // configured as the only one, which only makes it act more aggressively.
             let text = text.replace("(schedulers 1)", &format!("(schedulers {dispatchers})"));
             let harness = Harness::start_second(&harnesses[0], &text).await;
             harness.wait_until_serving(10).await;
@@ -174,7 +174,8 @@
             .into_inner()
     }
 
-    /// Ready copies by version, and the most not ready at a time since the roll began.
+    /// Returns the ready replicas by version, and the most that were not ready at a time since the
+    /// rollout began.
     fn ready(&self) -> (BTreeMap<String, usize>, usize) {
         let (mut replicas, mut max_unready, mut rollout_started) =
             (BTreeMap::<String, String>::new(), 0, false);
@@ -205,8 +206,8 @@
         (by_version, max_unready)
     }
 
-    /// Ready copies by version now; and since the roll began, tasks without any ready copy at a
-    /// time and copies beside others, the most of each.
+    /// Returns the replicas that are ready now by version; and, as maxima since the rollout began,
+    /// the number of tasks without a ready replica and of surplus replicas.
     fn ready_counts(&self) -> (BTreeMap<String, usize>, usize, usize) {
         let (mut replicas, mut tasks) = (
             BTreeMap::<(String, u32, String), usize>::new(),
@@ -252,7 +253,8 @@
         (by_version, unready, surged)
     }
 
-    /// Copies of each task on all nodes, whoever knows of them: one each, and no more.
+    /// Returns whether the nodes hold exactly one allocation of each task, including allocations
+    /// that no dispatcher knows of.
     fn one_allocation_each(&self, replicas: usize) -> bool {
         let allocation_count = |task: String| {
             self.harnesses[0]
@@ -265,7 +267,7 @@
     }
 
     fn breaches(&self) -> Vec<String> {
-        // The rig has no day of its own: the limit of a roll needs no figure of one.
+        // The test runs no scenario, and the rollout limit depends on no parameter of one.
         let mut lines = vec![Line {
             t: 0,
             observation: Observation::Rules(rules()),
@@ -303,8 +305,8 @@
     }
 }
 
-/// Waits for what takes a whole roll, which may be ten waves of nearly two seconds: more than
-/// `wait_until` gives.
+/// Waits for a condition for as long as a whole rollout may take: up to ten waves of nearly two
+/// seconds each, which is more than `wait_until` allows.
 async fn within_rollout_time(mut condition: impl AsyncFnMut() -> bool) -> bool {
     let wait = corkspan_rpc::within(Duration::from_secs(50), async {
         while !condition().await {
@@ -330,7 +332,8 @@
     );
 }
 
-/// Waits until all copies are of the former version: placed before the roll, or put back.
+/// Waits until all replicas run the previous version: placed before the rollout, or put back by the
+/// undo.
 async fn wait_until_previous_version(fixture: &Fixture, replicas: usize) {
     let previous = |ready: BTreeMap<String, usize>| {
         ready.get("").unwrap_or(&0) + ready.get("v1").unwrap_or(&0)
@@ -384,7 +387,7 @@
             "{unready} were not ready at a time"
         );
         assert_eq!(fixture.breaches(), [""; 0]);
-        // All slots come back.
+        // All slots are released.
         wait_until(async || fixture.status(0).await.held_slots.is_empty()).await;
     });
 }
@@ -431,7 +434,8 @@
                 .map_or(0, |rollout| rollout.revision)
         };
         let winner = match (one.accepted, two.accepted) {
-            // One came after the other was done, and takes over from it as a later wish does.
+            // The second rollout was committed after the first, and takes over from it as a later
+            // proposal does.
             (true, true) => {
                 assert_ne!(revision(&one), revision(&two), "two winners of one number");
                 Some(if revision(&one) > revision(&two) {
@@ -554,8 +558,8 @@
                 .any(|slot| slot.dispatcher == 1)
         })
         .await;
-        // Its links break as they would at a kill; owners hand over what runs, and ask again for
-        // what doesn't.
+        // Its connections break as in a kill; clients hand over what still runs, and request the
+        // rest again.
         let killed = fixture.harnesses.pop().expect("two");
         fixture.frontend.set_address(1, None);
         let text = deployment(
@@ -599,7 +603,7 @@
 
 #[test]
 fn an_undo_while_new_replicas_are_being_placed_sends_no_client_a_second_reply() {
-    // Looked at slowly, so that the undo comes in between.
+    // Nodes review offers slowly, so that the undo arrives while new replicas are being placed.
     let directory = tempfile::tempdir().expect("a folder");
     let layout = Layout {
         nodes: 10,
@@ -645,7 +649,7 @@
 #[test]
 fn a_dispatcher_that_cannot_write_its_store_stops_no_replica() {
     let directory = tempfile::tempdir().expect("a folder");
-    // No file can be made in a folder that is not there, whoever tries.
+    // No file can be created in a missing directory, not even by root.
     let extra_forms = extra_forms(&directory.path().join("missing"), 0);
     let layout = Layout {
         nodes: 10,
@@ -742,7 +746,7 @@
 #[test_case(true; "a roll that starts first halts and says so")]
 fn a_rollout_without_capacity_for_new_replicas(surge: bool) {
     run_with_replicas(1, 12, "web", async |fixture| {
-        // Nodes that drain take nothing new; what runs there runs on.
+        // Draining nodes accept nothing new; allocations there keep running.
         fixture.harnesses[0]
             .nodes
             .iter()
@@ -793,7 +797,7 @@
     });
 }
 
-/// What a dispatcher has just done of a roll when it is killed.
+/// The last step of a rollout that was taken before the dispatchers are killed.
 #[derive(Clone, Copy)]
 enum Step {
     Claimed,
@@ -845,7 +849,7 @@
             }
             _ => wait_until(async || fixture.lines().iter().any(step_reached)).await,
         }
-        // Both at once: whoever did the step is killed with the other.
+        // Kills both dispatchers, so that the one that took the step is among them.
         for number in [1, 0] {
             let killed = fixture.harnesses.remove(number);
             fixture.frontend.set_address(number, None);
@@ -902,8 +906,8 @@
         assert!(fixture.start_rollout(0, "v2", 2, surge).await.accepted);
         wait_until(async || fixture.ready_counts().0.contains_key("v2")).await;
         disk_full.set(true);
-        // Nothing is begun. What was begun comes to its end, or stands beside an old copy until
-        // there is room.
+        // No replacement begins. One that has begun is finished, or its new replica runs beside the
+        // old one until there is space.
         let claims = async || fixture.status(0).await.held_slots;
         if surge {
             async_io::Timer::after(Duration::from_millis(2_000)).await;
--- a/crates/testbed/tests/full_path/stores.rs
+++ b/crates/testbed/tests/full_path/stores.rs
@@ -1,4 +1,4 @@
-//! Stores of dispatchers on a disk that fills up.
+//! Tests of the rollout store on a disk that fills up.
 
 use corkspan_dispatcher::rollout_control::{ReplicaPair, Store, StoredClaim};
 use corkspan_rollout::ClaimId;
@@ -19,7 +19,7 @@
     }
 }
 
-/// All that a replacing writes of its claim, in its order.
+/// Returns all states of a claim that the replacement of a replica stores, in order.
 fn replacement_steps() -> Vec<StoredClaim> {
     vec![
         stored_claim(7, false, None),
--- a/crates/testbed/tests/full_path/traffic.rs
+++ b/crates/testbed/tests/full_path/traffic.rs
@@ -1,4 +1,5 @@
-//! What a dispatcher counts on its links, against relays and stand-ins that count by themselves.
+//! Compares the traffic that a dispatcher counts on its connections with the counts of relays and
+//! stand-ins.
 
 use crate::harness::*;
 use async_io::Timer;
@@ -22,14 +23,14 @@
     harness: Harness,
     control: ControlService,
     proxies: FaultProxies,
-    /// Listings that the dispatcher's former life was told.
+    /// Number of lists that discovery sent to the previous incarnation of the dispatcher.
     lists_before_restart: u64,
 }
 
 impl Fixture {
-    /// What differs at a moment at which nothing passes; as long as something does, some bytes are
-    /// in the kernel, counted at one end and not yet at the other, so such a moment is waited
-    /// for.
+    /// Returns the differences at a moment without traffic, and the reported counts. While traffic
+    /// flows, some bytes are in the kernel and counted at only one end, so this waits for an idle
+    /// moment.
     async fn differences(&self) -> (Vec<Difference>, Vec<v1::ConnectionTraffic>) {
         let mut last = (Vec::new(), Vec::new());
         for _ in 0..400 {
@@ -46,8 +47,8 @@
     }
 }
 
-/// A dispatcher whose links all run through relays, but for that to the control service where
-/// `past` is set.
+/// Runs a test against a dispatcher whose connections all run through relays, except the one to the
+/// control service where `bypass_control` is set.
 fn run_through_relays<F: Future<Output = ()>>(
     bypass_control: bool,
     test: impl FnOnce(Fixture) -> F,
@@ -117,8 +118,8 @@
 #[test]
 fn a_dispatcher_counts_every_byte_that_its_relays_forward() {
     run_through_relays(false, async |fixture| {
-        // One that is placed costs its offer and its stop, and a link its greeting: to three
-        // keepers and a node at least.
+        // Each placement costs an offer and a stop, and each connection a greeting: to three quorum
+        // members and at least one node.
         wait_until(async || {
             let reported = fixture.harness.status().await.connection_traffic;
             let sent = |kind| traffic_of(&reported, kind).messages_out;
@@ -186,11 +187,11 @@
     );
 }
 
-/// Links of others are told apart by their first call, and what passed before it counts with the
-/// rest.
+/// Accepted connections are told apart by their first call, and the traffic before that call is
+/// counted with the rest.
 #[test]
 fn connections_from_clients_and_from_dispatchers_are_counted_separately() {
-    // Without a list nobody has asked it for its status yet.
+    // Discovery is unavailable, so that the set-up makes no status call to the dispatcher.
     Harness::run(
         Layout {
             discovery_unavailable: true,
@@ -240,9 +241,10 @@
                     traffic_of(&reported, Kind::Owners),
                     traffic_of(&reported, Kind::Dispatchers),
                 );
-                // As the relay sees it, in is to who opened: to the owner. The status itself is
-                // under way as it is counted, so owners' counts lie between what
-                // had passed before it and after; the other link is still.
+                // For the relay, `in` is the direction towards the side that opened the connection,
+                // here the client. The status reply is in transit while it is counted, so the
+                // clients' counts lie between the bytes passed before and after it; the other
+                // connection is idle.
                 let is_between = |reported, direction: usize| {
                     before[direction] <= reported && reported <= after[direction]
                 };
--- a/crates/testbed/tests/full_path/versions.rs
+++ b/crates/testbed/tests/full_path/versions.rs
@@ -1,5 +1,6 @@
-//! Versions streamed to a running dispatcher over real sockets. What is in force is read by another
-//! way than the stream: asks of tracks that only one version names, and the operators' status.
+//! Tests of versions streamed to a running dispatcher over real sockets. The active version is
+//! checked independently of the stream: by requests for service classes that only one version
+//! names, and by the status call of operators.
 
 use crate::harness::*;
 use corkspan_api::v1::{
@@ -17,7 +18,7 @@
 use std::time::Duration;
 use test_case::test_case;
 
-/// A rig whose dispatcher takes its versions from a control service.
+/// A dispatcher that takes its versions from a control service.
 struct Fixture {
     harness: Harness,
     control: ControlService,
@@ -64,7 +65,7 @@
         )
     }
 
-    /// The file's shared parts, with these changed.
+    /// Returns the shared parts of the deployment file with these changes.
     fn shared_parts(&self, changes: &str) -> SharedParts {
         let shared = SharedParts::parse("file", &self.deployment_text()).expect("sound");
         shared.with_changes(
@@ -73,7 +74,7 @@
         )
     }
 
-    /// The file's, with more tracks.
+    /// Returns the shared parts of the deployment file with further service classes.
     fn with_service_classes(&self, names: &[&str]) -> SharedParts {
         let shared_parts = self.shared_parts("");
         let service_classes = shared_parts.get("tracks").expect("there are");
@@ -119,14 +120,14 @@
         wait_until(async || self.active_version().await == version_id.number).await;
     }
 
-    /// The reply to a push put on the stream as it is.
+    /// Sends a push unchanged on the stream and returns the reply to it.
     async fn reply(&self, push: &VersionPush) -> v1::PushReply {
         assert!(self.control.send(0, push_message(push)), "a stream stands");
         wait_until(async || self.control.reply_to(push.nonce).is_some()).await;
         self.control.reply_to(push.nonce).expect("it is there")
     }
 
-    /// Whether asks of this track are taken.
+    /// Returns whether the dispatcher accepts requests of this service class.
     async fn accepts_service_class(&self, service_class: &str, task: &str) -> bool {
         let mut events = self
             .harness
@@ -324,7 +325,7 @@
             "{:?}",
             status.reasons
         );
-        // What shrinks below what is placed stops nothing that runs.
+        // A quota reduced below what is placed stops no running allocation.
         let reduced_quota = fixture.with_service_classes(&["extra"]).with_changes(
             &SharedParts::parse("c", "(deployment (accounts (one (share-cores 0.5))))")
                 .expect("a form"),
@@ -417,7 +418,7 @@
             .with_service_classes(&["extra"])
             .with_changes(&large.expect("a form"), &[]);
         let two = fixture.control.publish(large.clone(), false);
-        // Its links are cut with it, wherever in the message they are.
+        // Dropping the service closes its connections, at whatever point of the message they are.
         drop(fixture.control_guard.take());
         wait_until(async || fixture.status().await.control_service.is_empty()).await;
         let status = fixture.status().await;
@@ -458,8 +459,8 @@
         assert_eq!(fixture.active_version().await, two.number);
         fixture.harness.wait_until_serving(2).await;
         assert!(fixture.accepts_service_class("two", "a").await);
-        // The start counted itself, so two files say two; torn, the one before does; both torn, the
-        // file does.
+        // The restart wrote the stored versions again, so that both files hold version two. If one
+        // is corrupt, the other is used; if both are, the deployment file is.
         let path = fixture.directory.path().join("versions.json");
         let whole = std::fs::read(&path).expect("kept");
         std::fs::write(&path, &whole[..whole.len() / 2]).expect("torn");
@@ -483,8 +484,8 @@
             .publish(fixture.with_service_classes(&["one"]), false);
         fixture.wait_until_active(one).await;
         let path = fixture.directory.path().join("versions.new");
-        // Where a folder stands no file can be made, whoever tries; the other is a disk without
-        // room.
+        // A directory at the path keeps any user, even root, from creating the file; `/dev/full`
+        // acts as a full disk.
         match disk_full {
             true => std::os::unix::fs::symlink("/dev/full", &path).expect("made"),
             false => std::fs::create_dir(&path).expect("made"),
