--- a/crates/testbed/days/cuts.sexp
+++ b/crates/testbed/days/cuts.sexp
@@ -1,5 +1,6 @@
-; Dispatchers that are cut off, held up and cut one way while versions come, with full disks, kills and pauses beside:
-; what the fleet's parts do to each other when some of them hear nothing.
+; Dispatchers are cut off, delayed and cut in one direction while versions are published, with full
+; disks, kills and pauses besides. Shows how the parts of the fleet affect each other when some of
+; them receive nothing.
 (day
   (length 20 s) (dispatchers 8) (nodes 12) (rate 40) (deduplicated 12) (unrepeatable 6) (life 3 s)
   (versions (every 3 s))
--- a/crates/testbed/days/fleet.sexp
+++ b/crates/testbed/days/fleet.sexp
@@ -1,5 +1,6 @@
-; As many dispatchers as the largest of the public exercises has, before as many nodes, on one host; a third of the
-; dispatchers are killed and come back, and a rack restarts cold. What it needs of the machine: docs/measurements.md.
+; As many dispatchers as the largest of the public exercises has, with 140 nodes, on one host. A
+; third of the dispatchers are killed and restarted, and a rack restarts cold. Machine requirements:
+; docs/measurements.md.
 (day
   (length 20 s) (dispatchers 300) (nodes 140) (rate 250) (life 3 s)
   (troubles
--- a/crates/testbed/days/floor.sexp
+++ b/crates/testbed/days/floor.sexp
@@ -1,5 +1,6 @@
-; The floor of versions at full size: 300 dispatchers before 140 nodes, a third of which hear of no newer version; half of
-; these hear of no keepers either. The floor is raised, and the fleet audited at the end.
+; Minimum version at full size: 300 dispatchers and 140 nodes. A third of the dispatchers receive no
+; newer version, and half of these do not reach the quorum members either. The minimum version is
+; raised, and the fleet is audited at the end.
 (day
   (length 40 s) (dispatchers 300) (nodes 140) (rate 150) (life 3 s)
   (versions (every 6 s)) (floor (at 20 s)) (audit #t)
--- a/crates/testbed/days/hollow-still.sexp
+++ b/crates/testbed/days/hollow-still.sexp
@@ -1,4 +1,5 @@
-; A hollow process with fifty dispatchers in it stands still, and so does the real one beside it, each in its turn.
+; A hollow process with fifty dispatchers in it is paused, and so is the real dispatcher beside it,
+; one after the other.
 (day
   (length 20 s) (dispatchers 51) (hollow (many 50)) (nodes 60) (rate 100) (life 3 s)
   (troubles
--- a/crates/testbed/days/roll-start-first.sexp
+++ b/crates/testbed/days/roll-start-first.sexp
@@ -1,4 +1,5 @@
-; The same roll as roll.sexp, each new copy ready before its old one is stopped.
+; The same rollout as roll.sexp, with surge: each new replica is ready before its old one is
+; stopped.
 (day
   (length 40 s)
   (dispatchers 20)
--- a/crates/testbed/days/roll.sexp
+++ b/crates/testbed/days/roll.sexp
@@ -1,4 +1,5 @@
-; A roll of a hundred copies by twenty dispatchers, a third of which is killed and started again meanwhile.
+; A rollout of a hundred replicas by twenty dispatchers, a third of which are killed and restarted
+; meanwhile.
 (day
   (length 40 s)
   (dispatchers 20)
--- a/crates/testbed/days/short.sexp
+++ b/crates/testbed/days/short.sexp
@@ -1,4 +1,4 @@
-; A short day for CI.
+; A short scenario for CI.
 (day
   (length 9 s)
   (dispatchers 2)
--- a/crates/testbed/days/trouble.sexp
+++ b/crates/testbed/days/trouble.sexp
@@ -1,4 +1,5 @@
-; A day of trouble: 3 dispatchers, 12 nodes, some 2,500 tasks, thirteen troubles, many of them at a time.
+; A scenario with many faults: 3 dispatchers, 12 nodes, some 2,500 tasks and thirteen faults, many
+; of them at a time.
 (day
   (length 46 s)
   (dispatchers 3)
--- a/crates/testbed/days/work-short.sexp
+++ b/crates/testbed/days/work-short.sexp
@@ -1,4 +1,5 @@
-; The same for CI: eight dispatchers and 24 nodes, with links cut, dispatchers killed and standing still.
+; The scenario of work.sexp for CI: eight dispatchers and 24 nodes, with connections cut and
+; dispatchers killed and paused.
 (day
   (length 14 s) (dispatchers 8) (nodes 24) (rate 40) (deduplicated 12) (unrepeatable 6) (life 1 s)
   (maintenance (at 1 s) (at-a-time 6) (by-hall 4) (takes 300 ms))
