--- a/crates/testbed/tests/full_path/fleet.rs
+++ b/crates/testbed/tests/full_path/fleet.rs
@@ -121,7 +121,7 @@
             "version",
             &self.deployment(&format!("(shots {max_attempts})")),
         )
-        .expect("sound")
+        .expect("valid")
     }
 
     async fn start(&mut self, control: SocketAddr, quorum_members: &str) {
@@ -198,7 +198,7 @@
         client
             .place(placement_request(task, "web"))
             .await
-            .expect("the call is taken")
+            .expect("the call is accepted")
             .into_inner()
     }
 
@@ -385,7 +385,7 @@
         let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
         assert!(
             !output.status.success() && stderr.contains("for good; 3 are wanted"),
-            "on trial yet: {stderr}"
+            "the version is still on trial: {stderr}"
         );
         let output = fixture.operator(&["floor", "2", "--part", "0"]).await;
         assert!(
@@ -459,7 +459,7 @@
         });
         assert!(
             fenced_attempts.count() >= 2,
-            "the judge has seen shots from below"
+            "the capture holds attempts below the minimum version"
         );
     });
 }
@@ -481,7 +481,7 @@
             let mut events = PlacementClient::new(connection)
                 .place(request)
                 .await
-                .expect("taken")
+                .expect("the call is accepted")
                 .into_inner();
             next(&mut events).await
         });
@@ -579,7 +579,7 @@
             let during_cut = fixture.first_event(4, "deaf").await.0;
             assert!(
                 matches!(during_cut, Some(Event::Rejected(_) | Event::Failed(_))),
-                "one answer, in its time: {during_cut:?}"
+                "one reply before the deadline: {during_cut:?}"
             );
             nodes.iter().for_each(Relay::heal);
             wait_until(async || {
@@ -604,7 +604,7 @@
             assert_eq!(
                 accepted.count(),
                 0,
-                "what it sent from below took effect nowhere"
+                "no node accepted what it sent below the minimum version"
             );
         },
     );
@@ -657,9 +657,13 @@
                 .start(fixture.newest.0.address, QUORUM_MEMBERS)
                 .await;
             let after = version_intervals(&fixture).await;
-            assert_eq!(after[..3], before, "of the life that was killed");
+            assert_eq!(
+                after[..3],
+                before,
+                "the history of the killed incarnation is kept"
+            );
             assert_eq!((&after[3].0[..], after.len()), ("2 (kept, at a start)", 4));
-            assert_ne!(after[3].1, after[2].1, "another life");
+            assert_ne!(after[3].1, after[2].1, "the incarnations differ");
         },
     );
 }
@@ -752,7 +756,7 @@
                 .minimum_version
                 .map(|minimum| (minimum.revision, minimum.version));
             let stdout = |output: &Output| String::from_utf8_lossy(&output.stdout).into_owned();
-            let (revision, minimum) = current.expect("one stands");
+            let (revision, minimum) = current.expect("a minimum version is set");
             let final_line = format!("floor {minimum} by wish {revision}");
             let claims_current =
                 [&raise, &lower].map(|output| stdout(output).contains(&final_line));
@@ -890,7 +894,7 @@
                 NodeClient::new(connection)
                     .keep(request)
                     .await
-                    .expect("a word")
+                    .expect("a reply")
                     .into_inner()
                     .stored_version
             };
@@ -905,7 +909,7 @@
             assert_eq!(
                 store_version(1, wrong_digest).await,
                 None,
-                "a keeper takes no version whose digest is another"
+                "a quorum member stores no version whose digest does not match"
             );
             assert!(
                 store_version(2, version_push(&fixture, 2, 5, 1))
@@ -962,7 +966,7 @@
                     .directory
                     .path()
                     .join(format!("versions-{number}.json"));
-                save(&path, &persisted_versions(&fixture, version, 4)).expect("kept");
+                save(&path, &persisted_versions(&fixture, version, 4)).expect("stored");
                 fixture.start(unreachable, QUORUM_MEMBERS).await;
             }
             // Once every dispatcher knows all others, each has reported its version in at least two
@@ -981,7 +985,7 @@
             // A third dispatcher restarts with version 9.
             fixture.fleet.truncate(4);
             let path = fixture.directory.path().join("versions-4.json");
-            save(&path, &persisted_versions(&fixture, 9, 4)).expect("kept");
+            save(&path, &persisted_versions(&fixture, 9, 4)).expect("stored");
             fixture.start(unreachable, QUORUM_MEMBERS).await;
             wait_until(async || {
                 fixture
@@ -1027,7 +1031,7 @@
                 let status = client
                     .status(v1::StatusRequest {})
                     .await
-                    .expect("it goes on")
+                    .expect("it keeps running")
                     .into_inner();
                 status.machines_serving == 3
             })
--- a/crates/testbed/tests/full_path/hard_cases.rs
+++ b/crates/testbed/tests/full_path/hard_cases.rs
@@ -13,7 +13,7 @@
 fn expect_ended(event: Option<Event>) -> EndReason {
     match event {
         Some(Event::Ended(ended)) => ended.reason(),
-        other => panic!("an end is expected, not {other:?}"),
+        other => panic!("an `Ended` event is expected, not {other:?}"),
     }
 }
 
@@ -52,7 +52,7 @@
         .await;
         assert_eq!(
             early, 1,
-            "the node itself turns it away, the other takes it"
+            "the draining node rejects it, the other accepts it"
         );
         harness.set_endpoint_state(0, State::Draining);
         harness.wait_until_serving(1).await;
@@ -72,7 +72,7 @@
             .iter()
             .filter(|(_, _, node)| *node == 0)
             .count();
-        assert_eq!(after, before, "nothing new goes to it");
+        assert_eq!(after, before, "it is offered nothing new");
     });
 }
 
@@ -88,7 +88,11 @@
             expect_ended(next_significant(&mut events).await),
             EndReason::Lost
         );
-        assert_eq!(harness.offers().len(), 1, "it is its owner who asks again");
+        assert_eq!(
+            harness.offers().len(),
+            1,
+            "the dispatcher does not retry, the client may"
+        );
     });
 }
 
@@ -109,8 +113,8 @@
     });
 }
 
-#[test_case(2_000, true; "within its hall's window")]
-#[test_case(100, false; "after its hall's window")]
+#[test_case(2_000, true; "within the deduplication window")]
+#[test_case(100, false; "after the deduplication window")]
 fn a_deduplicated_request_is_retried_only_within_its_window(window_ms: u64, retried: bool) {
     let layout = Layout {
         nodes: 4,
@@ -138,7 +142,7 @@
                 assert_eq!(
                     placed.node / 2,
                     first / 2,
-                    "only in its hall are repeats dropped"
+                    "duplicates are dropped only within the zone"
                 );
             }
             Some(Event::Failed(_)) if !retried => assert_eq!(harness.offers().len(), 1),
@@ -169,19 +173,23 @@
             );
         }
         for events in &mut calls {
-            assert_eq!(expect_placed(events).await, 1, "the one that answers");
+            assert_eq!(
+                expect_placed(events).await,
+                1,
+                "the node that replies in time"
+            );
         }
         let offers = harness.offers();
         assert!(
             offers
                 .iter()
                 .any(|(_, number, node)| (*number, *node) == (1, 1)),
-            "a second shot was made"
+            "a second attempt was made"
         );
         for events in &mut calls {
             assert!(
                 matches!(next(events).await, Some(Event::Running(_))),
-                "no second answer"
+                "no second reply"
             );
         }
     });
@@ -203,7 +211,7 @@
         );
         assert!(
             !harness.nodes[node as usize].allocations_of("a").is_empty(),
-            "it runs on"
+            "it keeps running"
         );
         let mut handed_over = harness.hand_over(request, node).await;
         assert_eq!(
@@ -223,7 +231,7 @@
         assert_eq!(
             expect_ended(next(&mut events).await),
             EndReason::Lost,
-            "nor on a node that nobody knows"
+            "an unknown node counts as lost too"
         );
     });
 }
@@ -262,7 +270,7 @@
             for events in &mut calls {
                 expect_placed(events).await;
             }
-            assert!(harness.nodes[0].is_running(), "it was not pushed over");
+            assert!(harness.nodes[0].is_running(), "it was not overloaded");
         },
     );
 }
@@ -302,7 +310,7 @@
             assert_eq!(
                 expect_rejected(&mut events).await,
                 RejectionReason::NoRoom,
-                "it never ran, so another try is harmless"
+                "it never ran, so a retry is safe"
             );
             assert!(harness.offers().is_empty());
         },
@@ -328,7 +336,7 @@
                 .nodes
                 .iter()
                 .any(|node| !node.allocations_of("a").is_empty()),
-            "the first runs on"
+            "the first keeps running"
         );
     });
 }
@@ -382,7 +390,7 @@
             .await
             .place(request)
             .await
-            .expect("taken")
+            .expect("the call is accepted")
             .into_inner();
         let node = expect_placed(&mut events).await as usize;
         Timer::after(Duration::from_millis(650)).await;
@@ -396,7 +404,7 @@
         .await;
         assert!(
             !harness.nodes[node].allocations_of("a").is_empty(),
-            "its owner's call has ended as agreed"
+            "the client's call ended at its agreed deadline"
         );
     });
 }
@@ -423,12 +431,12 @@
 }
 
 #[test_case(v1::PlacementRequest { deadline_ms: 0, ..placement_request("a", "web") }, "deadline"; "without a deadline")]
-#[test_case(v1::PlacementRequest { deadline_ms: u64::MAX, ..placement_request("a", "web") }, "deadline"; "with a deadline beyond all time")]
-#[test_case(v1::PlacementRequest { cores: f64::NAN, ..placement_request("a", "web") }, "cores"; "cores that are no number")]
+#[test_case(v1::PlacementRequest { deadline_ms: u64::MAX, ..placement_request("a", "web") }, "deadline"; "with a deadline out of range")]
+#[test_case(v1::PlacementRequest { cores: f64::NAN, ..placement_request("a", "web") }, "cores"; "cores that are not a number")]
 #[test_case(v1::PlacementRequest { memory: -1.0, ..placement_request("a", "web") }, "memory"; "negative memory")]
 #[test_case(v1::PlacementRequest { cores: 0.0, ..placement_request("a", "web") }, "cores"; "no cores")]
 #[test_case(placement_request("a", "wbe"), "unknown service class `wbe`"; "unknown service class")]
-#[test_case(placement_request("", "web"), "task"; "no name")]
+#[test_case(placement_request("", "web"), "task"; "an empty name")]
 #[test_case(placement_request(&"x".repeat(300), "web"), "task"; "a name too long")]
 fn an_invalid_request_is_rejected_with_the_reason(request: v1::PlacementRequest, reason: &str) {
     Harness::run(Layout::default(), async |harness| {
@@ -457,7 +465,7 @@
         socket.write_all(&[0xa5; 4096]).await.expect("written");
         let mut rest = Vec::new();
         let closed = corkspan_rpc::within(WAIT_TIMEOUT, socket.read_to_end(&mut rest)).await;
-        assert!(closed.is_some(), "the link is closed");
+        assert!(closed.is_some(), "the connection is closed");
         let large = v1::PlacementRequest {
             service: "x".repeat(1 << 20),
             ..placement_request("a", "web")
@@ -467,7 +475,7 @@
             .await
             .place(large)
             .await
-            .expect_err("turned down");
+            .expect_err("rejected");
         assert!(
             matches!(
                 status.code(),
@@ -510,8 +518,8 @@
 }
 
 #[test_case(&[][..]; "empty")]
-#[test_case(&b"{\"version\": 3, \"sum\": 1, \"lines\": []}"[..]; "with a wrong sum")]
-#[test_case(&b"{\"version\": 3, \"su"[..]; "cut off")]
+#[test_case(&b"{\"version\": 3, \"sum\": 1, \"lines\": []}"[..]; "with a wrong checksum")]
+#[test_case(&b"{\"version\": 3, \"su"[..]; "truncated")]
 #[test_case(&[0xff; 64][..]; "garbled")]
 fn a_damaged_stored_node_list_is_moved_aside(content: &[u8]) {
     let directory = tempfile::tempdir().expect("a folder");
@@ -526,7 +534,7 @@
         async |harness| {
             assert!(
                 directory.path().join("list.aside").exists(),
-                "it is kept for whoever looks into it"
+                "the damaged file is kept for inspection"
             );
             expect_placed(
                 &mut harness
@@ -581,7 +589,11 @@
             };
             let mut client = client.clone();
             calls.push(harness.tasks.spawn(async move {
-                let mut events = client.place(request).await.expect("taken").into_inner();
+                let mut events = client
+                    .place(request)
+                    .await
+                    .expect("the call is accepted")
+                    .into_inner();
                 let event = next(&mut events).await;
                 (event, events)
             }));
@@ -605,7 +617,7 @@
         assert_eq!(placed + too_many + no_room, 5_000);
         assert!(
             placed >= 100 && too_many >= 3_000,
-            "{placed} placed, {too_many} beyond the most in hand"
+            "{placed} placed, {too_many} beyond the limit of requests in flight"
         );
         let status = harness.status().await;
         assert_eq!(
@@ -693,7 +705,10 @@
                 }
             )
         };
-        assert!(!lines.iter().any(stopped), "what runs, runs on");
+        assert!(
+            !lines.iter().any(stopped),
+            "running allocations are not stopped"
+        );
     });
 }
 
@@ -702,7 +717,8 @@
     Harness::run(Layout::default(), async |harness| {
         let text =
             deployment(harness.address, "").replace("127.0.0.1:0", &harness.address.to_string());
-        let deployment = corkspan_config::Deployment::parse("rig", &text).expect("sound");
+        let deployment =
+            corkspan_config::Deployment::parse("test deployment", &text).expect("valid");
         let run = corkspan_dispatcher::run(
             harness.tasks.clone(),
             deployment,
--- a/crates/testbed/tests/full_path/harness.rs
+++ b/crates/testbed/tests/full_path/harness.rs
@@ -78,11 +78,11 @@
             test(harness).await;
         };
         let run = within(3 * WAIT_TIMEOUT, run);
-        future::block_on(tasks.run(run)).expect("the story comes to its end");
+        future::block_on(tasks.run(run)).expect("the test finishes in time");
     }
 
     async fn set_up(tasks: SharedExecutor, layout: Layout) -> Harness {
-        let capture = Capture::new(None).expect("no file, no failure");
+        let capture = Capture::new(None).expect("a capture without a file can be made");
         let context = SharedContext::new(capture, &tasks, Some("jobs".into()));
         let (discovery, discovery_address) = Discovery::start(&context).await.expect("a port");
         let mut nodes = Vec::new();
@@ -138,13 +138,14 @@
         discovery: Arc<Discovery>,
         text: &str,
     ) -> Harness {
-        let deployment = Deployment::parse("rig", text).unwrap_or_else(|error| panic!("{error}"));
+        let deployment =
+            Deployment::parse("test deployment", text).unwrap_or_else(|error| panic!("{error}"));
         let (stop, stopped) = async_channel::bounded::<()>(1);
         let (ready_sender, ready_receiver) = async_channel::bounded(1);
         let stopped = async move {
             let _ = stopped.recv().await;
         };
-        let on_ready = move |address| ready_sender.try_send(address).expect("told once");
+        let on_ready = move |address| ready_sender.try_send(address).expect("called once");
         // Runs on its own thread, so that a burst of clients on this executor cannot delay it.
         let (exit_sender, dispatcher) = async_channel::bounded(1);
         let (kill, killed) = async_channel::bounded::<()>(1);
@@ -213,7 +214,7 @@
         request: v1::PlacementRequest,
     ) -> Streaming<v1::PlacementEvent> {
         let call = self.client().await.place(request).await;
-        call.expect("the call is taken").into_inner()
+        call.expect("the call is accepted").into_inner()
     }
 
     pub async fn hand_over(
@@ -229,7 +230,7 @@
             .await
             .hand_over(running)
             .await
-            .expect("the call is taken")
+            .expect("the call is accepted")
             .into_inner()
     }
 
@@ -367,7 +368,7 @@
 pub async fn next(events: &mut Streaming<v1::PlacementEvent>) -> Option<Event> {
     let message = within(WAIT_TIMEOUT, events.message())
         .await
-        .expect("a word or an end");
+        .expect("an event or the end of the stream");
     message.ok().flatten().and_then(|message| message.event)
 }
 
@@ -384,7 +385,7 @@
 pub async fn expect_placed(events: &mut Streaming<v1::PlacementEvent>) -> u32 {
     match next(events).await {
         Some(Event::Placed(placed)) => placed.node,
-        other => panic!("placed is expected, not {other:?}"),
+        other => panic!("a placement is expected, not {other:?}"),
     }
 }
 
@@ -393,7 +394,7 @@
 ) -> v1::rejected::RejectionReason {
     match next(events).await {
         Some(Event::Rejected(rejected)) => rejected.reason(),
-        other => panic!("refused is expected, not {other:?}"),
+        other => panic!("a rejection is expected, not {other:?}"),
     }
 }
 
@@ -406,5 +407,5 @@
     };
     within(WAIT_TIMEOUT, wait)
         .await
-        .expect("the condition comes to hold");
+        .expect("the condition holds in time");
 }
--- a/crates/testbed/tests/full_path/maintenance.rs
+++ b/crates/testbed/tests/full_path/maintenance.rs
@@ -71,7 +71,7 @@
             assert_eq!(
                 node.allocation_count(),
                 0,
-                "machine {machine} is the worker's, and something runs there"
+                "allocations run on machine {machine} while it is in work"
             );
             self.operator(number, "done", &[machine]).await;
         }
@@ -126,13 +126,16 @@
                 } => {
                     assert!(
                         !cordoned.contains(&node),
-                        "node {node} takes work while it is closed"
+                        "node {node} accepts an allocation while it is cordoned"
                     );
                 }
                 _ => {}
             }
         }
-        assert!(cordoned.is_empty(), "{cordoned:?} are forgotten out");
+        assert!(
+            cordoned.is_empty(),
+            "{cordoned:?} are still cordoned at the end"
+        );
         (max_cordoned, cordons_per_node)
     }
 }
@@ -246,7 +249,7 @@
             }
             assert!(
                 round >= 13,
-                "over after {round} rounds, before all had been provoked"
+                "finished after {round} rounds, before all faults were injected"
             );
             let (max_cordoned, cordons_per_node) = fixture.check_cordons();
             assert_eq!(
@@ -258,7 +261,7 @@
             );
             assert!(
                 cordons_per_node.values().all(|count| *count == 1),
-                "each once: {cordons_per_node:?}"
+                "each node is cordoned once: {cordons_per_node:?}"
             );
         },
     );
--- a/crates/testbed/tests/full_path/rollouts.rs
+++ b/crates/testbed/tests/full_path/rollouts.rs
@@ -328,7 +328,7 @@
     let (ready, max_unready) = fixture.ready();
     assert!(
         reached,
-        "{replicas} of `{version}` are awaited; ready are {ready:?}, at most {max_unready} were not"
+        "{replicas} ready replicas of `{version}` are expected; {ready:?} are ready, at most {max_unready} were not"
     );
 }
 
@@ -346,7 +346,7 @@
     let untouched = fixture.ready().0.get("").copied().unwrap_or(0);
     assert!(
         untouched >= replicas / 2,
-        "an undo leaves alone what was not rolled: {untouched}"
+        "an undo keeps replicas that were not replaced: {untouched}"
     );
 }
 
@@ -367,10 +367,10 @@
     });
 }
 
-#[test_case(1, 100, 20, "web"; "one dispatcher, a hundred copies")]
-#[test_case(4, 24, 3, "web"; "more dispatchers than may be down")]
-#[test_case(2, 16, 4, "once"; "of what must never run twice")]
-#[test_case(2, 16, 4, "jobs"; "of what its hall lets stand once")]
+#[test_case(1, 100, 20, "web"; "one dispatcher, a hundred replicas")]
+#[test_case(4, 24, 3, "web"; "more dispatchers than replicas that may be unavailable")]
+#[test_case(2, 16, 4, "once"; "replicas that are not retryable")]
+#[test_case(2, 16, 4, "jobs"; "replicas that their zone deduplicates")]
 fn a_rollout_replaces_every_replica_within_its_limit(
     dispatchers: usize,
     replicas: usize,
@@ -392,8 +392,8 @@
     });
 }
 
-#[test_case(VersionFault::NeverReady; "that never gets ready")]
-#[test_case(VersionFault::FailsAfter(Duration::from_millis(300)); "that gets ready and dies")]
+#[test_case(VersionFault::NeverReady; "that never becomes ready")]
+#[test_case(VersionFault::FailsAfter(Duration::from_millis(300)); "that becomes ready and fails")]
 fn a_faulty_version_halts_the_rollout_and_can_be_undone(fault: VersionFault) {
     run_with_replicas(2, 20, "web", async |fixture| {
         fixture.harnesses[0]
@@ -410,7 +410,7 @@
         wait_until(halted).await;
         let (ready, unready) = fixture.ready();
         assert!(unready <= 4, "{unready} were not ready");
-        assert!(ready[""] >= 16, "the others run on: {ready:?}");
+        assert!(ready[""] >= 16, "the others keep running: {ready:?}");
         assert!(
             fixture
                 .change(v1::change_rollout_request::Action::Undo)
@@ -437,7 +437,11 @@
             // The second rollout was committed after the first, and takes over from it as a later
             // proposal does.
             (true, true) => {
-                assert_ne!(revision(&one), revision(&two), "two winners of one number");
+                assert_ne!(
+                    revision(&one),
+                    revision(&two),
+                    "two winners of one revision"
+                );
                 Some(if revision(&one) > revision(&two) {
                     "v2"
                 } else {
@@ -454,7 +458,7 @@
         {
             assert!(
                 loser.message.contains(winner.unwrap_or("no majority")),
-                "it is told: {}",
+                "the reply names the winner: {}",
                 loser.message
             );
         }
@@ -489,7 +493,7 @@
         assert_eq!(
             before.values().sum::<usize>(),
             20,
-            "what was down has come back"
+            "replicas that were being replaced are ready again"
         );
         async_io::Timer::after(Duration::from_millis(1_500)).await;
         assert_eq!(fixture.ready().0, before);
@@ -579,7 +583,7 @@
         assert_eq!(
             fixture.ready().0,
             BTreeMap::from([("v2".into(), 16)]),
-            "one copy each, of one version"
+            "one replica each, of one version"
         );
     });
 }
@@ -641,7 +645,7 @@
                 }
             )
         });
-        assert_eq!(placed.count(), 8, "one final answer each");
+        assert_eq!(placed.count(), 8, "one final reply each");
         assert_eq!(fixture.breaches(), [""; 0]);
     });
 }
@@ -660,7 +664,7 @@
         let fixture = Fixture::new(harness, directory, 1, 4, "web").await;
         assert!(
             fixture.start(0, "v2", 2).await.accepted,
-            "the keepers have it"
+            "the quorum members have stored it"
         );
         wait_until(async || fixture.status(0).await.quorum_members_heard == 3).await;
         async_io::Timer::after(Duration::from_millis(1_000)).await;
@@ -669,7 +673,7 @@
 }
 
 #[test_case(1, 40, 4, "web"; "one dispatcher")]
-#[test_case(4, 24, 3, "web"; "more dispatchers than may stand beside others")]
+#[test_case(4, 24, 3, "web"; "more dispatchers than replicas in surge")]
 fn a_surge_rollout_never_has_a_replica_missing(
     dispatchers: usize,
     replicas: usize,
@@ -689,18 +693,18 @@
         );
         wait_until(async || fixture.one_allocation_each(replicas)).await;
         let (_, unready, surged) = fixture.ready_counts();
-        assert_eq!(unready, 0, "none was missing at any time");
+        assert_eq!(unready, 0, "no task was without a ready replica");
         assert!(
             surged >= 1 && surged <= max_unavailable as usize,
-            "{surged} stood beside others"
+            "{surged} surplus replicas"
         );
         assert_eq!(fixture.breaches(), [""; 0]);
         wait_until(async || fixture.status(0).await.held_slots.is_empty()).await;
     });
 }
 
-#[test_case("once"; "what must never run twice")]
-#[test_case("jobs"; "what its hall lets stand once")]
+#[test_case("once"; "not retryable")]
+#[test_case("jobs"; "deduplicated within a zone")]
 fn a_surge_rollout_stops_first_what_must_not_run_twice(service_class: &'static str) {
     run_with_replicas(1, 8, service_class, async |fixture| {
         assert!(fixture.start_rollout(0, "v2", 2, true).await.accepted);
@@ -708,14 +712,14 @@
         let (_, unready, surged) = fixture.ready_counts();
         assert!(
             surged == 0 && (1..=2).contains(&unready),
-            "{surged} beside others, {unready} not ready"
+            "{surged} surplus, {unready} not ready"
         );
         assert_eq!(fixture.breaches(), [""; 0]);
     });
 }
 
-#[test_case(VersionFault::NeverReady; "that never gets ready")]
-#[test_case(VersionFault::FailsAfter(Duration::from_millis(300)); "that gets ready and dies")]
+#[test_case(VersionFault::NeverReady; "that never becomes ready")]
+#[test_case(VersionFault::FailsAfter(Duration::from_millis(300)); "that becomes ready and fails")]
 fn a_faulty_version_in_a_surge_rollout_stops_no_old_replica(fault: VersionFault) {
     run_with_replicas(2, 20, "web", async |fixture| {
         fixture.harnesses[0]
@@ -735,15 +739,15 @@
         assert_eq!(
             (ready, unready),
             (BTreeMap::from([(String::new(), 20)]), 0),
-            "all old ones run on"
+            "all old replicas keep running"
         );
         wait_until(async || fixture.status(0).await.held_slots.is_empty()).await;
         assert_eq!(fixture.breaches(), [""; 0]);
     });
 }
 
-#[test_case(false; "a roll that stops first keeps to its limit")]
-#[test_case(true; "a roll that starts first halts and says so")]
+#[test_case(false; "a rollout without surge stays within max unavailable")]
+#[test_case(true; "a surge rollout halts and reports the reason")]
 fn a_rollout_without_capacity_for_new_replicas(surge: bool) {
     run_with_replicas(1, 12, "web", async |fixture| {
         // Draining nodes accept nothing new; allocations there keep running.
@@ -790,7 +794,7 @@
             assert_eq!(
                 fixture.ready_counts().0,
                 BTreeMap::from([(String::new(), 9)]),
-                "the others run on"
+                "the others keep running"
             );
         }
         assert_eq!(fixture.breaches(), [""; 0]);
@@ -806,14 +810,14 @@
     NewReady,
 }
 
-#[test_case(false, Step::Claimed; "stop first, its claim is granted")]
-#[test_case(false, Step::OldStopped; "stop first, the old copy is gone")]
-#[test_case(false, Step::NewAccepted; "stop first, the new copy is accepted")]
-#[test_case(false, Step::NewReady; "stop first, the new copy is ready")]
-#[test_case(true, Step::Claimed; "start first, its claim is granted")]
-#[test_case(true, Step::NewAccepted; "start first, the new copy is accepted")]
-#[test_case(true, Step::NewReady; "start first, the new copy is ready")]
-#[test_case(true, Step::OldStopped; "start first, the old copy is gone")]
+#[test_case(false, Step::Claimed; "without surge, the claim is granted")]
+#[test_case(false, Step::OldStopped; "without surge, the old replica is gone")]
+#[test_case(false, Step::NewAccepted; "without surge, the new replica is accepted")]
+#[test_case(false, Step::NewReady; "without surge, the new replica is ready")]
+#[test_case(true, Step::Claimed; "with surge, the claim is granted")]
+#[test_case(true, Step::NewAccepted; "with surge, the new replica is accepted")]
+#[test_case(true, Step::NewReady; "with surge, the new replica is ready")]
+#[test_case(true, Step::OldStopped; "with surge, the old replica is gone")]
 fn a_dispatcher_killed_at_any_step_leaves_one_replica_each(surge: bool, step: Step) {
     run_with_replicas(2, 8, "web", async |mut fixture| {
         assert!(fixture.start_rollout(0, "v2", 2, surge).await.accepted);
@@ -888,8 +892,8 @@
     });
 }
 
-#[test_case(false; "that stops first")]
-#[test_case(true; "that starts first")]
+#[test_case(false; "without surge")]
+#[test_case(true; "with surge")]
 fn a_rollout_makes_no_progress_while_the_disk_is_full(surge: bool) {
     let directory = tempfile::tempdir().expect("a folder");
     let disk_full = DiskFull::default();
@@ -919,8 +923,15 @@
         }
         let before = fixture.ready_counts().0;
         async_io::Timer::after(Duration::from_millis(1_000)).await;
-        assert_eq!(fixture.ready_counts().0, before, "no step without a disk");
-        assert!(before["v2"] < 12, "the roll was not over: {before:?}");
+        assert_eq!(
+            fixture.ready_counts().0,
+            before,
+            "no step is taken while the disk is full"
+        );
+        assert!(
+            before["v2"] < 12,
+            "the rollout was not finished: {before:?}"
+        );
         disk_full.set(false);
         wait_until(async || {
             fixture.ready_counts().0.get("v2") == Some(&12) && fixture.one_allocation_each(12)
--- a/crates/testbed/tests/full_path/stores.rs
+++ b/crates/testbed/tests/full_path/stores.rs
@@ -47,10 +47,10 @@
                 assert_eq!(
                     Store::open(Some(&path)).load().claims,
                     stored,
-                    "what a kill then leaves"
+                    "the state that a kill would leave"
                 );
             }
-            store.save_claim(&step).expect("there is room");
+            store.save_claim(&step).expect("there is space");
             stored = vec![step];
             assert_eq!(store.load().claims, stored);
         }
@@ -58,7 +58,7 @@
         assert_eq!(
             Store::open(Some(&path)).load().claims,
             stored,
-            "the next life reads it"
+            "the next incarnation reads it"
         );
     }
 }
--- a/crates/testbed/tests/full_path/versions.rs
+++ b/crates/testbed/tests/full_path/versions.rs
@@ -67,7 +67,7 @@
 
     /// Returns the shared parts of the deployment file with these changes.
     fn shared_parts(&self, changes: &str) -> SharedParts {
-        let shared = SharedParts::parse("file", &self.deployment_text()).expect("sound");
+        let shared = SharedParts::parse("file", &self.deployment_text()).expect("valid");
         shared.with_changes(
             &SharedParts::parse("changes", &format!("(deployment {changes})")).expect("forms"),
             &[],
@@ -77,7 +77,9 @@
     /// Returns the shared parts of the deployment file with further service classes.
     fn with_service_classes(&self, names: &[&str]) -> SharedParts {
         let shared_parts = self.shared_parts("");
-        let service_classes = shared_parts.get("tracks").expect("there are");
+        let service_classes = shared_parts
+            .get("tracks")
+            .expect("the deployment has service classes");
         let added = names
             .iter()
             .map(|name| format!(" ({name} (repeat idempotent) (contract-time 300 ms))"));
@@ -122,9 +124,11 @@
 
     /// Sends a push unchanged on the stream and returns the reply to it.
     async fn reply(&self, push: &VersionPush) -> v1::PushReply {
-        assert!(self.control.send(0, push_message(push)), "a stream stands");
+        assert!(self.control.send(0, push_message(push)), "a stream is open");
         wait_until(async || self.control.reply_to(push.nonce).is_some()).await;
-        self.control.reply_to(push.nonce).expect("it is there")
+        self.control
+            .reply_to(push.nonce)
+            .expect("the reply has arrived")
     }
 
     /// Returns whether the dispatcher accepts requests of this service class.
@@ -138,7 +142,7 @@
             Some(Event::Rejected(rejected)) if rejected.reason() == RejectionReason::BadAsk => {
                 false
             }
-            other => panic!("placed or unknown is expected, not {other:?}"),
+            other => panic!("a placement or an unknown service class is expected, not {other:?}"),
         }
     }
 
@@ -192,7 +196,7 @@
         let pushes = fixture.control.pushes();
         assert!(
             pushes[0].base.is_none() && pushes[1].base.is_some() && pushes[1].parts.len() == 1,
-            "tracks alone: {pushes:?}"
+            "only the service classes are sent: {pushes:?}"
         );
     });
 }
@@ -268,12 +272,16 @@
             assert_eq!(
                 reply.active.as_ref().and_then(parse_version_id),
                 Some(version_five),
-                "the last good one stays"
+                "the last good version stays active"
             );
         }
         assert!(fixture.accepts_service_class("extra", "a").await);
         let again = fixture.reply(&push(10, 5, &valid, &[])).await;
-        assert_eq!(again.answer(), Answer::Unchanged, "a repeat is harmless");
+        assert_eq!(
+            again.answer(),
+            Answer::Unchanged,
+            "a repeated push changes nothing"
+        );
         let allowed_cut = VersionPush {
             allows_cuts: true,
             ..push(11, 6, &reduced_limit, &[version_five])
@@ -281,7 +289,7 @@
         assert_eq!(
             fixture.reply(&allowed_cut).await.answer(),
             Answer::Applied,
-            "meant"
+            "the reduction is allowed"
         );
         let unknown_base = VersionPush {
             base: Some(version_five),
@@ -290,7 +298,7 @@
         assert_eq!(
             fixture.reply(&unknown_base).await.answer(),
             Answer::FullRequired,
-            "changes to another version"
+            "the changes are based on another version"
         );
         let status = fixture.status().await;
         assert_eq!((status.applied, status.rejected), (2, 10));
@@ -338,7 +346,11 @@
             .request_placement(placement_request("more", "extra"))
             .await;
         expect_placed(&mut second).await;
-        assert_eq!(fixture.harness.status().await.running, 2, "both run");
+        assert_eq!(
+            fixture.harness.status().await.running,
+            2,
+            "both keep running"
+        );
         drop((events, second));
         wait_until(async || fixture.harness.status().await.in_flight == 0).await;
         let removed = fixture
@@ -396,7 +408,7 @@
         let reply = first
             .and_then(|reply| reply.message.active)
             .and_then(|active| parse_version_id(&active));
-        assert_eq!(reply, Some(one), "a new stream says what runs");
+        assert_eq!(reply, Some(one), "a new stream reports the active version");
     });
 }
 
@@ -423,13 +435,13 @@
         wait_until(async || fixture.status().await.control_service.is_empty()).await;
         let status = fixture.status().await;
         let whole = SharedParts::parse("in force", &status.text)
-            .expect("sound")
+            .expect("valid")
             .digest();
         let active = status
             .active
             .as_ref()
             .and_then(parse_version_id)
-            .expect("a stamp");
+            .expect("a version id");
         assert!(active == one || active == two, "{active}");
         assert_eq!(whole, active.digest);
         fixture.control_guard = Some(
@@ -462,20 +474,24 @@
         // The restart wrote the stored versions again, so that both files hold version two. If one
         // is corrupt, the other is used; if both are, the deployment file is.
         let path = fixture.directory.path().join("versions.json");
-        let whole = std::fs::read(&path).expect("kept");
-        std::fs::write(&path, &whole[..whole.len() / 2]).expect("torn");
+        let whole = std::fs::read(&path).expect("stored");
+        std::fs::write(&path, &whole[..whole.len() / 2]).expect("written");
         let fixture = fixture.restart().await;
         assert!(fixture.directory.path().join("versions.aside").exists());
         assert_eq!(fixture.active_version().await, two.number);
         for name in ["versions.json", "versions.before"] {
-            std::fs::write(fixture.directory.path().join(name), "{}").expect("torn");
+            std::fs::write(fixture.directory.path().join(name), "{}").expect("written");
         }
         let fixture = fixture.restart().await;
-        assert_eq!(fixture.active_version().await, 0, "the deployment file");
+        assert_eq!(
+            fixture.active_version().await,
+            0,
+            "the deployment file is used"
+        );
     });
 }
 
-#[test_case(false; "no file can be made")]
+#[test_case(false; "the file cannot be created")]
 #[test_case(true; "the disk is full")]
 fn a_version_that_cannot_be_stored_on_disk_does_not_become_active(disk_full: bool) {
     run_with_control_service(async |fixture| {
@@ -487,8 +503,8 @@
         // A directory at the path keeps any user, even root, from creating the file; `/dev/full`
         // acts as a full disk.
         match disk_full {
-            true => std::os::unix::fs::symlink("/dev/full", &path).expect("made"),
-            false => std::fs::create_dir(&path).expect("made"),
+            true => std::os::unix::fs::symlink("/dev/full", &path).expect("created"),
+            false => std::fs::create_dir(&path).expect("created"),
         }
         fixture
             .control
@@ -538,7 +554,7 @@
         .await;
         assert!(
             number >= 50,
-            "not before there is enough to tell by: {number}"
+            "not rolled back before there are enough requests to compare: {number}"
         );
         assert!(fixture.accepts_service_class("web", "after").await);
         let is_rolled_back = |reply: &v1::PushReply| reply.answer() == Answer::RolledBack;
@@ -555,7 +571,7 @@
             .iter()
             .map(|reply| &reply.message)
             .find(|reply| is_rolled_back(reply))
-            .expect("told");
+            .expect("a rollback is reported");
         assert!(reply.reasons[0].contains("% of"), "{:?}", reply.reasons);
         fixture.control.scripted();
         let again = fixture
@@ -570,7 +586,11 @@
             again.reasons
         );
         let fixture = fixture.restart().await;
-        assert_eq!(fixture.active_version().await, 0, "nor after a restart");
+        assert_eq!(
+            fixture.active_version().await,
+            0,
+            "it is not adopted after a restart either"
+        );
     });
 }
 
@@ -594,7 +614,7 @@
                 .await
                 .ok()
         };
-        assert!(call.await.is_none(), "turned away");
+        assert!(call.await.is_none(), "the connection is rejected");
         let open = fixture
             .control
             .publish(fixture.shared_parts("(allow \"127.0.0.0/8\")"), false);
