--- a/crates/testbed/tests/full_path/fleet.rs
+++ b/crates/testbed/tests/full_path/fleet.rs
@@ -270,7 +270,8 @@
         let audit = self.operator(&arguments).await;
         let text = String::from_utf8_lossy(&audit.stdout).into_owned();
         assert!(
-            audit.status.code() == Some(1) && text.contains("were turned away by the floor"),
+            audit.status.code() == Some(1)
+                && text.contains("were rejected as below the minimum version"),
             "{text}"
         );
         let table = text
@@ -384,7 +385,7 @@
         let output = fixture.operator(&["floor", "2"]).await;
         let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
         assert!(
-            !output.status.success() && stderr.contains("for good; 3 are wanted"),
+            !output.status.success() && stderr.contains("or a later one; 3 are required"),
             "the version is still on trial: {stderr}"
         );
         let output = fixture.operator(&["floor", "2", "--part", "0"]).await;
@@ -414,7 +415,7 @@
         for lagging in [3, 4] {
             let address = fixture.fleet[lagging].address;
             assert!(
-                report.contains(&format!("{address} is shut out")),
+                report.contains(&format!("{address} is fenced: its version")),
                 "{report}"
             );
             assert!(
@@ -705,7 +706,7 @@
         fixture.harness.nodes[1].cut_connections(cut_time);
         let (accepted, stderr) = set_minimum(&fixture, "1").await;
         assert!(
-            !accepted && stderr.contains("1 of 3 keepers answer"),
+            !accepted && stderr.contains("1 of 3 quorum members reply"),
             "{stderr}"
         );
         let (event, _call) = fixture.first_event(1, "alone").await;
@@ -728,7 +729,7 @@
         fixture.harness.nodes[1].cut_connections(cut_time);
         let (accepted, stderr) = set_minimum(&fixture, "0").await;
         assert!(
-            !accepted && stderr.contains("1 of 3 keepers answer"),
+            !accepted && stderr.contains("1 of 3 quorum members reply"),
             "{stderr}"
         );
         assert!(!fixture.status(0).await.fenced);
--- a/crates/version-fencing/src/audit.rs
+++ b/crates/version-fencing/src/audit.rs
@@ -99,7 +99,7 @@
         reason: LagReason,
     },
     /// A dispatcher is fenced.
-    #[error("{0} is shut out: its version is below the minimum version")]
+    #[error("{0} is fenced: its version is below the minimum version")]
     Fenced(String),
     /// Two processes run under the same number.
     #[error("{address} and {other} are two processes under the number {dispatcher}")]
@@ -113,7 +113,7 @@
     },
     /// Nodes have rejected operations of a dispatcher.
     #[error(
-        "{rejected} acts of dispatcher {dispatcher} under version {version} were turned away by the floor"
+        "{rejected} operations of dispatcher {dispatcher} under version {version} were rejected as below the minimum version"
     )]
     RejectedOperations {
         /// Number of the dispatcher.
--- a/crates/version-fencing/src/minimum.rs
+++ b/crates/version-fencing/src/minimum.rs
@@ -64,7 +64,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RaiseError {
     /// Too few members of the quorum reply.
-    #[error("{replies} of {members} keepers answer; a majority is needed")]
+    #[error("{replies} of {members} quorum members reply; a majority is required")]
     NoMajority {
         /// Number of members that reply.
         replies: usize,
@@ -73,7 +73,7 @@
     },
     /// Too few dispatchers run the version, or a later one, past its trial.
     #[error(
-        "{adopted} of {fleet} dispatchers run version {minimum} or a later one for good; {required} are wanted"
+        "{adopted} of {fleet} dispatchers have adopted version {minimum} or a later one; {required} are required"
     )]
     NotAdopted {
         /// Number of dispatchers that run it.
