--- a/crates/testbed/tests/full_path/fleet.rs
+++ b/crates/testbed/tests/full_path/fleet.rs
@@ -354,8 +354,8 @@
                 fixture.start(newest, QUORUM_MEMBERS).await;
             }
             fixture.start(stale, QUORUM_MEMBERS).await;
-            // This dispatcher has no quorum members configured, so it learns of the minimum version
-            // only from nodes.
+            // This dispatcher has no quorum members configured. Besides discovery it hears only
+            // from nodes, and learns of the minimum version from them alone.
             fixture.start(stale, "").await;
             for number in 0..5 {
                 fixture.wait_until_active(number, 1).await;
--- a/crates/testbed/tests/full_path/versions.rs
+++ b/crates/testbed/tests/full_path/versions.rs
@@ -471,8 +471,8 @@
         assert_eq!(fixture.active_version().await, two.number);
         fixture.harness.wait_until_serving(2).await;
         assert!(fixture.accepts_service_class("two", "a").await);
-        // The restart wrote the stored versions again, so that both files hold version two. If one
-        // is corrupt, the other is used; if both are, the deployment file is.
+        // The restart recorded its start in the stored versions, so that both files hold version
+        // two. If one is corrupt, the other is used; if both are, the deployment file is.
         let path = fixture.directory.path().join("versions.json");
         let whole = std::fs::read(&path).expect("stored");
         std::fs::write(&path, &whole[..whole.len() / 2]).expect("written");
