--- a/crates/config/tests/released_format.rs
+++ b/crates/config/tests/released_format.rs
@@ -38,7 +38,7 @@
     let mut line =
         |keyword: &str, value: String| writeln!(text, "{keyword}: {value}").expect("text");
     line("listen", read.listen.to_string());
-    line("roster", read.roster.to_string());
+    line("roster", read.discovery_service.to_string());
     line("remembered", format!("{:?}", read.endpoint_cache));
     let keepers: Vec<u32> = read.quorum_members.iter().map(|id| id.0).collect();
     line("keepers", format!("{keepers:?}"));
@@ -129,7 +129,7 @@
     );
     line(
         "(no keyword) tells loss",
-        cluster.reports_losses.to_string(),
+        cluster.caller_detects_losses.to_string(),
     );
     let bounds = &read.limits;
     line("bounds/in-hand", bounds.max_allocations.to_string());
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -2,7 +2,7 @@
 
 use crate::queues::RunQueue;
 use crate::requests::Tracked;
-use crate::{AdmissionError, AllocationRequest, Counts, RetryBatch};
+use crate::{AdmissionError, AllocationCounts, AllocationRequest, RetryBatch};
 use corkspan_scheduler::Scheduler;
 use corkspan_scheduler::interface::*;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
@@ -96,7 +96,7 @@
             allocation,
             pending_attempts: 0,
             placed: false,
-            over: false,
+            finished: false,
             evaluated: false,
         };
         self.tracked.insert(id, tracked);
@@ -163,7 +163,7 @@
         let Some(tracked) = self.tracked.get_mut(&id) else {
             return;
         };
-        tracked.over = true;
+        tracked.finished = true;
         let deadline = tracked.allocation.deadline;
         self.deferred_by_deadline.remove(&(deadline, id));
         if tracked.pending_attempts == 0
@@ -214,7 +214,7 @@
     /// All allocations with what the caller keeps with them, and whether they are placed.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = (AllocationId, &mut T, bool)> {
         let tracked = self.tracked.iter_mut();
-        tracked.map(|(&id, one)| (id, &mut one.data, one.placed && !one.over))
+        tracked.map(|(&id, one)| (id, &mut one.data, one.placed && !one.finished))
     }
 
     /// How many there are of each service class; classes without any are left out.
@@ -227,14 +227,14 @@
     }
 
     /// How many there are, by what they wait for.
-    pub fn counts(&self) -> Counts {
-        let mut counts = Counts {
+    pub fn counts(&self) -> AllocationCounts {
+        let mut counts = AllocationCounts {
             tracked: self.tracked.len(),
-            ..Counts::default()
+            ..AllocationCounts::default()
         };
         for tracked in self.tracked.values() {
             let pending = tracked.pending_attempts > 0;
-            counts.placed += usize::from(tracked.placed && !tracked.over);
+            counts.placed += usize::from(tracked.placed && !tracked.finished);
             counts.attempts_pending += usize::from(pending && !tracked.placed);
             counts.deferred += usize::from(!pending && tracked.awaits_answer());
         }
--- a/crates/engine/src/requests.rs
+++ b/crates/engine/src/requests.rs
@@ -12,7 +12,7 @@
     pub pending_attempts: usize,
     pub placed: bool,
     /// No answer is owed to its client.
-    pub over: bool,
+    pub finished: bool,
     /// The scheduler has evaluated it.
     pub evaluated: bool,
 }
@@ -20,7 +20,7 @@
 impl<T> Tracked<T> {
     /// Whether an answer is owed to its client.
     pub fn awaits_answer(&self) -> bool {
-        !self.over && !self.placed
+        !self.finished && !self.placed
     }
 }
 
@@ -52,20 +52,20 @@
 
 /// The end of an attempt.
 #[derive(Clone, Copy, Debug)]
-pub struct Return {
+pub struct ReturnedAttempt {
     /// How it ended.
     pub ending: AttemptResult,
     /// Why, where the machine says.
     pub reason: Option<ReturnReason>,
     /// No answer is owed to the client.
-    pub over: bool,
+    pub finished: bool,
     /// The machine's load, where it was reported with the outcome.
     pub report: Option<LoadReport>,
 }
 
 /// How many allocations there are, by what they wait for.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct AllocationCounts {
     /// All of them.
     pub tracked: usize,
     /// Not placed, and not at a machine.
