--- a/crates/platform-wire/src/client.rs
+++ b/crates/platform-wire/src/client.rs
@@ -1,4 +1,4 @@
-//! Clients' messages: binary frames of a length, a type, the task's id and parameters.
+//! Encodes and decodes clients' messages, which are binary frames.
 //!
 //! A frame is a length (2 bytes, big endian, not counting itself), a message type (1 byte), the id
 //! of the task (8 bytes, big endian) and parameters, each a code (1 byte), a length (2 bytes, big
@@ -10,26 +10,26 @@
 
 pub use set_up::SetUp;
 
-/// What a frame is for.
+/// The purpose of a frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MessageType {
-    /// A client requests a task, or hands over one that is running already.
+    /// A client's request to run a task, or to adopt one that is already running.
     SetUp,
-    /// A client's set-up is under way; carries nothing that a dispatcher needs.
+    /// A client's set-up is in progress; carries nothing that a dispatcher needs.
     Progress,
     /// A dispatcher's answer: the task is running.
     Answer,
-    /// The end of a set-up or of a running task, either way.
+    /// The end of a set-up or of a running task, sent by either side.
     Release,
     /// A client's acknowledgement of an answer.
     Acknowledge,
     /// A notification about a running task.
     Notification,
-    /// A dispatcher's request that the client sets its task up elsewhere.
+    /// A dispatcher's request that the client set up its task elsewhere.
     Migrate,
-    /// A client's question whether the dispatcher is alive.
+    /// A client's check that the dispatcher is alive.
     HealthCheck,
-    /// The reply to that.
+    /// The reply to a health check.
     HealthCheckReply,
 }
 
@@ -68,55 +68,55 @@
 
 /// Parameter: the name of the service class.
 pub const CLASS: u8 = 180;
-/// Parameter: how long the client still waits, in milliseconds, as decimal digits.
+/// Parameter: the time until the client stops waiting, in milliseconds, as decimal digits.
 pub const TIME_LEFT: u8 = 182;
 /// Parameter: the name of the tenant.
 pub const TENANT: u8 = 184;
-/// Parameter: the client's name of the task.
+/// Parameter: the client's name for the task.
 pub const TASK_NAME: u8 = 188;
-/// Parameter: what the task requires, as `name:value` pairs separated by semicolons.
+/// Parameter: the task's requirements, as `name:value` pairs separated by semicolons.
 pub const REQUIREMENTS: u8 = 190;
 /// Parameter: the idempotency key.
 pub const IDEMPOTENCY_KEY: u8 = 206;
-/// Parameter: why something ends, one of the `CAUSE_...` values; of a health check, its result.
+/// Parameter: the cause of an end, one of the `CAUSE_...` values; in a health check, its result.
 pub const CAUSE: u8 = 208;
-/// Parameter: what the node is to run, or what it says of the task that runs.
+/// Parameter: what the node is to run, or the node's description of the running task.
 pub const DESCRIPTION: u8 = 210;
 
-/// Normal end: a task that has ended, or a set-up that its client has cancelled.
+/// Normal end: a task has ended, or a client has cancelled its set-up.
 pub const CAUSE_NORMAL: u8 = 16;
 /// A running task was cancelled.
 pub const CAUSE_CANCELLED: u8 = 31;
 /// Rejected for lack of capacity.
 pub const CAUSE_REJECTED: u8 = 34;
-/// Interrupted: a running task that was lost.
+/// Interrupted: a running task was lost.
 pub const CAUSE_INTERRUPTED: u8 = 41;
-/// Failed, for any other reason.
+/// Failed for any other reason.
 pub const CAUSE_FAILED: u8 = 47;
 /// The set-up did not arrive.
 pub const CAUSE_NOT_SENT: u8 = 102;
 
-/// Bytes of the length in front of a frame.
+/// Size of the length field in front of a frame, in bytes.
 const LENGTH_BYTES: usize = 2;
-/// Bytes of the type and the task's id.
+/// Size of the type and the task's id, in bytes.
 const HEADER_BYTES: usize = 9;
-/// Bytes of a parameter's code and length.
+/// Size of a parameter's code and length, in bytes.
 const PARAMETER_HEADER_BYTES: usize = 3;
-/// No message of the protocol has as many parameters.
+/// Maximum number of parameters in a frame; every message of the protocol has fewer.
 const MAX_PARAMETERS: usize = 32;
 
-/// A frame that has been read.
+/// A decoded frame.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Message {
-    /// What it is for.
+    /// The purpose of the message.
     pub message_type: MessageType,
-    /// The id of the task, given by the client.
+    /// The id of the task, assigned by the client.
     pub task: u64,
     parameters: Vec<(u8, Vec<u8>)>,
 }
 
 impl Message {
-    /// The value of a parameter, if the message has it.
+    /// Returns the value of a parameter, if the message has it.
     pub fn parameter(&self, code: u8) -> Option<&[u8]> {
         self.parameters
             .iter()
@@ -124,7 +124,7 @@
             .map(|(_, value)| &value[..])
     }
 
-    /// Why something ends, if the message says so.
+    /// Returns the cause of an end, if the message has one.
     pub fn cause(&self) -> Option<u8> {
         self.parameter(CAUSE)
             .and_then(|value| value.first().copied())
@@ -135,7 +135,7 @@
         text.map_err(|_| InvalidField::invalid(what, "bytes that are no text"))
     }
 
-    /// From a frame without its length.
+    /// Decodes a frame without its length field.
     fn decode(frame: &[u8]) -> Result<Message, ProtocolError> {
         let Some((header, mut rest)) = frame.split_at_checked(HEADER_BYTES) else {
             return Err(ProtocolError::TooShort(frame.len()));
@@ -169,24 +169,24 @@
     }
 }
 
-/// Makes messages of the bytes of one connection.
+/// Decodes the bytes of one connection into messages.
 #[derive(Default)]
 pub struct Reader {
     bytes: ReceiveBuffer,
 }
 
 impl Reader {
-    /// Adds bytes that have been read from the connection.
+    /// Adds bytes that were read from the connection.
     pub fn push(&mut self, bytes: &[u8]) {
         self.bytes.append(bytes);
     }
 
-    /// The next complete message, none where more bytes are needed.
+    /// Returns the next complete message, or `None` if more bytes are needed.
     ///
     /// # Errors
     ///
-    /// Whatever can't become a message. A length or type that can't be right is reported before
-    /// its message has arrived.
+    /// Returns an error if the bytes are not a valid message. An invalid length or type is reported
+    /// before the rest of its message has arrived.
     pub fn next_message(&mut self) -> Result<Option<Message>, ProtocolError> {
         let [high, low, rest @ ..] = self.bytes.unread() else {
             return Ok(None);
@@ -209,18 +209,18 @@
         Ok(Some(message))
     }
 
-    /// How many bytes have arrived that are not made into messages yet.
+    /// Returns the number of bytes that have arrived and are not decoded yet.
     pub fn buffered_bytes(&self) -> usize {
         self.bytes.unread().len()
     }
 
-    /// Whether a part of a message has arrived and the rest has not.
+    /// Returns whether a message has arrived only in part.
     pub fn has_partial_message(&self) -> bool {
         !self.bytes.unread().is_empty()
     }
 }
 
-/// A message as bytes; none where it would be longer than [`MAX_MESSAGE_BYTES`].
+/// Encodes a message; returns `None` if it would be longer than [`MAX_MESSAGE_BYTES`].
 pub fn encode(message_type: MessageType, task: u64, parameters: &[(u8, &[u8])]) -> Option<Vec<u8>> {
     let length = HEADER_BYTES
         + parameters
--- a/crates/platform-wire/src/client/set_up.rs
+++ b/crates/platform-wire/src/client/set_up.rs
@@ -1,25 +1,25 @@
-//! What a client's set-up requests.
+//! Parses the content of a client's set-up.
 
 use super::{
     CLASS, DESCRIPTION, IDEMPOTENCY_KEY, Message, REQUIREMENTS, TASK_NAME, TENANT, TIME_LEFT,
 };
 use crate::InvalidField;
 
-/// The content of a set-up, in the platform's names.
+/// The content of a set-up.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SetUp {
-    /// The id of the task, given by the client.
+    /// The id of the task, assigned by the client.
     pub task: u64,
     /// The name of its service class.
     pub class: String,
-    /// How long the client still waits for the answer; 0 where a task that is running already does
-    /// not say.
+    /// The time until the client stops waiting for the answer, in milliseconds; 0 for a task that is
+    /// already running and has no time left given.
     pub time_left_ms: u64,
     /// The name of its tenant.
     pub tenant: Option<String>,
-    /// The client's name of the task.
+    /// The client's name for the task.
     pub name: String,
-    /// Repeated set-ups of one key run once.
+    /// The idempotency key: repeated set-ups with the same key run once.
     pub idempotency_key: Option<String>,
     /// Requested cores, more than 0.
     pub cores: f64,
@@ -27,13 +27,13 @@
     pub memory: f64,
     /// The name of the service.
     pub service: String,
-    /// The node on which it is running already.
+    /// The node on which the task is already running.
     pub running_on: Option<String>,
     /// What the node is to run.
     pub description: String,
 }
 
-/// The pairs of [`REQUIREMENTS`]. Unknown names are passed over: they may come with later versions.
+/// The pairs of [`REQUIREMENTS`]. Unknown names are ignored, since later versions may add names.
 #[derive(Default)]
 struct Requirements<'a> {
     cores: Option<f64>,
--- a/crates/platform-wire/src/discovery.rs
+++ b/crates/platform-wire/src/discovery.rs
@@ -1,31 +1,31 @@
-//! Discovery: server-sent events of the control feed, and the changes to the list of nodes that
-//! they carry.
+//! Decodes the server-sent events of the control feed and the changes to the node list that they
+//! carry.
 
 use crate::{ProtocolError, ReceiveBuffer};
 use serde::Deserialize;
 
-/// An event holds at most the complete list of a large cluster.
+/// Maximum size of an event, in bytes; it must fit the complete list of a large cluster.
 const MAX_EVENT_BYTES: usize = 256 * 1024;
 
-/// One change to the list of nodes.
+/// One change to the node list.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct Event {
-    /// Events are numbered one after the other.
+    /// The sequence number of the event; numbers are consecutive.
     #[serde(rename = "n")]
     pub number: u64,
-    /// None where the event changes nothing.
+    /// The changed nodes; `None` if the event changes nothing.
     #[serde(rename = "members", default)]
     pub list: Option<NodeList>,
 }
 
-/// Some nodes, or all.
+/// A partial or complete list of nodes.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(expecting = "struct Members")]
 pub struct NodeList {
-    /// All nodes are listed: one that is not is gone.
+    /// Whether all nodes are listed, so that a node that is not listed is gone.
     #[serde(default)]
     pub complete: bool,
-    /// An entry that can't be read costs no other one.
+    /// The entries. An unreadable entry does not affect the others.
     #[serde(rename = "members", default)]
     pub entries: Vec<ListEntry>,
 }
@@ -36,16 +36,16 @@
 pub enum ListEntry {
     /// A node.
     Node(NodeEntry),
-    /// What is there in place of a node and can't be read.
+    /// An entry that can't be read as a node.
     Unreadable(serde_json::Value),
 }
 
-/// A node as the list describes it.
+/// A node in the list.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct NodeEntry {
-    /// Its name.
+    /// The node's name.
     pub id: String,
-    /// Where it listens.
+    /// The address on which the node listens.
     #[serde(rename = "host_port")]
     pub address: std::net::SocketAddr,
     /// The name of its zone.
@@ -57,58 +57,59 @@
     /// The number of its cell.
     #[serde(default)]
     pub cell: u64,
-    /// Whether it serves.
+    /// The node's serving state.
     pub phase: Phase,
-    /// When it was started, in milliseconds since 1970; 0 where that is not known.
+    /// The time of the node's start, in milliseconds since 1970; 0 if unknown.
     #[serde(default)]
     pub up_since_ms: u64,
-    /// Cores and memory that nobody has requested, where the list says so.
+    /// Unrequested cores and memory, if the list reports them.
     #[serde(rename = "unasked", default)]
     pub unrequested: Option<(f64, f64)>,
 }
 
-/// Whether a node serves.
+/// The serving state of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Phase {
-    /// It takes tasks.
+    /// The node accepts tasks.
     Active,
-    /// It runs what it has and takes nothing new.
+    /// The node keeps running its tasks and accepts no new ones.
     #[serde(rename = "leaving")]
     Draining,
-    /// It is gone, and its tasks with it.
+    /// The node and its tasks are gone.
     #[serde(rename = "left")]
     Gone,
 }
 
-/// What a stream sends.
+/// An item of a stream.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FeedItem {
     /// An event.
     Event(Event),
-    /// A comment, which says that the stream is alive.
+    /// A comment, which shows that the stream is alive.
     KeepAlive,
 }
 
-/// Makes events of the bytes of a stream. An event that is cut off is not reported.
+/// Decodes the bytes of a stream into items. An incomplete event is not reported.
 #[derive(Default)]
 pub struct Reader {
     bytes: ReceiveBuffer,
-    /// The `data` lines of the event that has no end yet.
+    /// The `data` lines of the incomplete event.
     data: String,
 }
 
 impl Reader {
-    /// Adds bytes that have been read from the stream.
+    /// Adds bytes that were read from the stream.
     pub fn push(&mut self, bytes: &[u8]) {
         self.bytes.append(bytes);
     }
 
-    /// The next complete item, none where more bytes are needed.
+    /// Returns the next complete item, or `None` if more bytes are needed.
     ///
     /// # Errors
     ///
-    /// An event that is none, or a line or an event without an end within the limit.
+    /// Returns an error if an event is invalid, or if a line or an event does not end within the
+    /// limit.
     pub fn next_item(&mut self) -> Result<Option<FeedItem>, ProtocolError> {
         let invalid = |error: &dyn ToString| ProtocolError::InvalidEvent(error.to_string());
         while let Some(end) = self.bytes.unread().iter().position(|&byte| byte == b'\n') {
--- a/crates/platform-wire/src/lib.rs
+++ b/crates/platform-wire/src/lib.rs
@@ -1,6 +1,5 @@
-//! The platform's protocol without I/O: bytes in, messages or typed errors out, and back. Every
-//! reader is given bytes piece by piece, buffers no more than one message and reports as soon as it
-//! can when what it reads can't become one.
+//! Encodes and decodes the platform's protocol without I/O. Each reader accepts bytes in arbitrary
+//! pieces, buffers at most one message and reports malformed input as early as possible.
 
 #![warn(missing_docs, clippy::too_many_lines)]
 
@@ -9,50 +8,50 @@
 pub mod node;
 pub mod node_config;
 
-/// No message of a client or a node holds more bytes.
+/// Maximum size of a client's or a node's message, in bytes.
 pub const MAX_MESSAGE_BYTES: usize = 16 * 1024;
 
-/// An error quotes no more characters of what it was given.
+/// Maximum number of input characters that an error quotes.
 const MAX_QUOTED_CHARACTERS: usize = 40;
 
-/// What can't be read as messages at all: nothing after it on the connection can be trusted.
+/// Malformed input. Nothing after it on the connection can be trusted.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ProtocolError {
-    /// A message, or what has arrived of it, is longer than any may be.
+    /// A message, or the part of it that has arrived, exceeds the maximum size.
     #[error("a message of {0} bytes, where at most {MAX_MESSAGE_BYTES} may be")]
     TooLong(usize),
     /// A client's frame is too short for its header.
     #[error("a message of {0} bytes is too short for its type and id")]
     TooShort(usize),
-    /// A client's frame has a type that does not exist.
+    /// A client's frame has an unknown type.
     #[error("no message has the type {0}")]
     UnknownType(u8),
-    /// A parameter of a client's frame has a length beyond the frame's end.
+    /// A parameter of a client's frame extends past the frame's end.
     #[error("parameter {0} runs past the end of its message")]
     TruncatedParameter(u8),
-    /// A parameter of a client's frame is there twice, or one too many is there.
+    /// A client's frame repeats a parameter or has too many of them.
     #[error("parameter {0} stands twice in a message")]
     DuplicateParameter(u8),
-    /// A node's line is not the JSON of a message.
+    /// A node's line is not a message in JSON.
     #[error("no line of JSON as nodes send it: {0}")]
     InvalidLine(String),
-    /// What a discovery stream has sent is no event.
+    /// A discovery stream has sent something other than an event.
     #[error("not what a control feed sends: {0}")]
     InvalidEvent(String),
 }
 
-/// A message that could be read, with a field in it that can't be used.
+/// An invalid field in a message that is otherwise well-formed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidField {
-    /// A required field is not there, or empty.
+    /// A required field is missing or empty.
     #[error("no {0}")]
     Missing(&'static str),
-    /// A field's text does not mean what it must.
+    /// A field's text is not a valid value.
     #[error("`{text}` is no {what}")]
     Invalid {
-        /// What the field should hold.
+        /// The expected content of the field.
         what: &'static str,
-        /// The beginning of what it holds.
+        /// The beginning of the field's text.
         text: String,
     },
 }
@@ -66,11 +65,11 @@
     }
 }
 
-/// A load report: pairs of name and value, separated by semicolons.
+/// Parses a load report: `name:value` pairs separated by semicolons.
 ///
 /// # Errors
 ///
-/// A pair without a finite value.
+/// Returns an error if a pair has no finite value.
 pub fn parse_load_report(text: &str) -> Result<Vec<(&str, f64)>, InvalidField> {
     text.split(';')
         .filter(|pair| !pair.is_empty())
@@ -85,7 +84,7 @@
         .collect()
 }
 
-/// What has been read from a connection and not yet made into messages.
+/// Bytes that were read from a connection and not yet decoded.
 #[derive(Default)]
 struct ReceiveBuffer {
     bytes: Vec<u8>,
@@ -103,7 +102,7 @@
         &self.bytes[self.consumed..]
     }
 
-    /// So many of the unread bytes have been made into a message.
+    /// Marks the first `length` unread bytes as decoded.
     fn consume(&mut self, length: usize) {
         self.consumed += length;
     }
--- a/crates/platform-wire/src/node.rs
+++ b/crates/platform-wire/src/node.rs
@@ -1,26 +1,26 @@
-//! Nodes' messages: one JSON object a line.
+//! Encodes and decodes nodes' messages: one JSON object per line.
 
 use crate::{MAX_MESSAGE_BYTES, ProtocolError, ReceiveBuffer};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// What a line is for.
+/// The purpose of a line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MessageType {
     /// A dispatcher's set-up of a task.
     Open,
-    /// A node's set-up is under way.
+    /// A node's set-up is in progress.
     Trying,
     /// A node's answer: the task is running.
     Ready,
-    /// The end of a task, either way.
+    /// The end of a task, sent by either side.
     Close,
-    /// The acknowledgement of an end.
+    /// The acknowledgement of a `Close`.
     Closed,
     /// A dispatcher's health check.
     Probe,
-    /// A node's reply to it.
+    /// A node's reply to a health check.
     Probed,
     /// A node's notification about a running task.
     Event,
@@ -42,7 +42,7 @@
 }
 
 impl AttributeValue {
-    /// As a number, also of a text that holds a finite one.
+    /// Returns the number, or the finite number that the text contains.
     pub fn number(&self) -> Option<f64> {
         match self {
             AttributeValue::Number(number) => Some(*number),
@@ -52,7 +52,7 @@
         }
     }
 
-    /// The text, none where it is a number.
+    /// Returns the text, or `None` if the value is a number.
     pub fn text(&self) -> Option<&str> {
         match self {
             AttributeValue::Text(text) => Some(text),
@@ -61,29 +61,29 @@
     }
 }
 
-/// One line.
+/// A message on one line.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Message {
-    /// What it is for.
+    /// The purpose of the message.
     #[serde(rename = "msg")]
     pub message_type: MessageType,
-    /// None where the id is none that a dispatcher could have given: it is of no task of ours, and
-    /// the rest of the connection is sound all the same.
+    /// The id of the task; `None` if no dispatcher could have assigned the id. Such a message
+    /// concerns none of this dispatcher's tasks, and the rest of the connection remains valid.
     #[serde(rename = "sid", with = "hex")]
     pub task_id: Option<u64>,
-    /// By name.
+    /// Attributes by name.
     #[serde(rename = "attrs", default)]
     pub attributes: BTreeMap<String, AttributeValue>,
-    /// Why a task ends, or the result of a health check.
+    /// The cause of a task's end, or the result of a health check.
     #[serde(rename = "code", default, skip_serializing_if = "Option::is_none")]
     pub cause: Option<u32>,
-    /// The description of a task: what is to run, or what runs.
+    /// The description of a task that is to run or is running.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub text: Option<String>,
 }
 
 impl Message {
-    /// A message with nothing but its type and id.
+    /// Creates a message with only a type and an id.
     pub fn new(message_type: MessageType, task_id: u64) -> Self {
         Message {
             message_type,
@@ -94,7 +94,7 @@
         }
     }
 
-    /// The same message with this cause.
+    /// Returns the message with this cause.
     #[must_use]
     pub fn with_cause(self, cause: u32) -> Self {
         Message {
@@ -103,12 +103,13 @@
         }
     }
 
-    /// The attribute of this name.
+    /// Returns the attribute with this name.
     pub fn attribute(&self, name: &str) -> Option<&AttributeValue> {
         self.attributes.get(name)
     }
 
-    /// As a line; none where it would be longer than [`MAX_MESSAGE_BYTES`].
+    /// Encodes the message as a line; returns `None` if it would be longer than
+    /// [`MAX_MESSAGE_BYTES`].
     pub fn to_line(&self) -> Option<Vec<u8>> {
         let mut line = serde_json::to_vec(self).ok()?;
         line.push(b'\n');
@@ -116,7 +117,7 @@
     }
 }
 
-/// Ids as 16 hexadecimal digits.
+/// Serializes ids as 16 hexadecimal digits.
 mod hex {
     use serde::{Deserialize, Deserializer, Serializer};
 
@@ -131,23 +132,23 @@
     }
 }
 
-/// Makes messages of the bytes of one connection.
+/// Decodes the bytes of one connection into messages.
 #[derive(Default)]
 pub struct Reader {
     bytes: ReceiveBuffer,
 }
 
 impl Reader {
-    /// Adds bytes that have been read from the connection.
+    /// Adds bytes that were read from the connection.
     pub fn push(&mut self, bytes: &[u8]) {
         self.bytes.append(bytes);
     }
 
-    /// The next complete message, none where more bytes are needed.
+    /// Returns the next complete message, or `None` if more bytes are needed.
     ///
     /// # Errors
     ///
-    /// A line that is no message, or that has no end within [`MAX_MESSAGE_BYTES`].
+    /// Returns an error if a line is not a message or does not end within [`MAX_MESSAGE_BYTES`].
     pub fn next_message(&mut self) -> Result<Option<Message>, ProtocolError> {
         let bytes = self.bytes.unread();
         let end = bytes
--- a/crates/platform-wire/tests/malformed_input.rs
+++ b/crates/platform-wire/tests/malformed_input.rs
@@ -1,4 +1,4 @@
-//! What readers make of bytes that are split, damaged or malicious.
+//! Tests the readers on input that is split, damaged or malicious.
 
 use corkspan_platform_wire::client::{self, CAUSE, MessageType, SetUp, encode};
 use corkspan_platform_wire::{
@@ -141,7 +141,7 @@
     assert_eq!(parse_load_report(text).ok().map(|pairs| pairs.len()), pairs);
 }
 
-/// How many messages come of bytes that arrive in pieces; none where an error ends them.
+/// Counts the messages in bytes that arrive in pieces; returns `None` if a reader reports an error.
 fn count_messages<M>(
     bytes: &[u8],
     cuts: &[usize],
--- a/crates/platform-wire/tests/recorded.rs
+++ b/crates/platform-wire/tests/recorded.rs
@@ -1,5 +1,5 @@
-//! Messages recorded under `tests/data`, one a line with what is read of it: what is read must stay
-//! the same content, what is written the same bytes, and what is refused refused in the same words.
+//! Compares the codecs with messages recorded under `tests/data`, one per line together with the
+//! decoded content. Decoded contents, encoded bytes and error texts must stay as recorded.
 
 use corkspan_platform_wire::client::{self, MessageType, SetUp};
 use corkspan_platform_wire::node_config::NodeConfig;
@@ -26,7 +26,7 @@
     std::fs::read_to_string(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()))
 }
 
-/// The lines of a file, each with what is recorded behind its tab.
+/// Returns the lines of a file, each split at its tab into the input and the recorded result.
 fn pairs(name: &str, at_least: usize) -> Vec<(String, String)> {
     let pairs: Vec<(String, String)> = data(name)
         .lines()
@@ -75,7 +75,7 @@
     text
 }
 
-/// The message that a content stands for, as bytes.
+/// Encodes the message that a content line describes.
 fn client_bytes(content: &str) -> Vec<u8> {
     let mut words = content.split(' ');
     let kind = words.next().expect("a kind");
@@ -233,7 +233,7 @@
     text
 }
 
-/// What a stream tells, and how it ends.
+/// Describes the items of a stream and how it ends.
 fn feed_content(stream: &[u8]) -> String {
     let mut reader = discovery::Reader::default();
     reader.push(stream);
