--- a/crates/platform-wire/src/client.rs
+++ b/crates/platform-wire/src/client.rs
@@ -132,7 +132,7 @@
 
     fn text(&self, code: u8, what: &'static str) -> Result<Option<&str>, InvalidField> {
         let text = self.parameter(code).map(std::str::from_utf8).transpose();
-        text.map_err(|_| InvalidField::invalid(what, "bytes that are no text"))
+        text.map_err(|_| InvalidField::invalid(what, "bytes that are not UTF-8"))
     }
 
     /// Decodes a frame without its length field.
--- a/crates/platform-wire/src/client/set_up.rs
+++ b/crates/platform-wire/src/client/set_up.rs
@@ -56,7 +56,7 @@
                 Some(("service", value)) => requirements.service = Some(value),
                 Some(("at", value)) => requirements.running_on = Some(value),
                 Some(_) => {}
-                None => return Err(InvalidField::invalid("figure", pair)),
+                None => return Err(InvalidField::invalid("requirement", pair)),
             }
         }
         Ok(requirements)
@@ -73,7 +73,7 @@
                 .filter(|text| !text.is_empty())
                 .ok_or(InvalidField::Missing(what))
         };
-        let requirements = Requirements::parse(required(REQUIREMENTS, "figures")?)?;
+        let requirements = Requirements::parse(required(REQUIREMENTS, "requirements")?)?;
         let time_left = message.text(TIME_LEFT, "time left")?;
         let time_left_ms = match (time_left, requirements.running_on) {
             (Some(text), _) => text
@@ -84,11 +84,13 @@
         };
         Ok(SetUp {
             task: message.task,
-            class: required(CLASS, "class")?.into(),
+            class: required(CLASS, "service class")?.into(),
             time_left_ms,
             tenant: message.text(TENANT, "tenant")?.map(str::to_string),
-            name: required(TASK_NAME, "name of the task")?.into(),
-            idempotency_key: message.text(IDEMPOTENCY_KEY, "key")?.map(str::to_string),
+            name: required(TASK_NAME, "task name")?.into(),
+            idempotency_key: message
+                .text(IDEMPOTENCY_KEY, "idempotency key")?
+                .map(str::to_string),
             cores: requirements.cores.ok_or(InvalidField::Missing("cores"))?,
             memory: requirements.memory.ok_or(InvalidField::Missing("memory"))?,
             service: requirements
--- a/crates/platform-wire/src/discovery.rs
+++ b/crates/platform-wire/src/discovery.rs
@@ -122,7 +122,7 @@
             }
             if let Some(data) = line.strip_prefix("data:") {
                 if self.data.len() + data.len() > MAX_EVENT_BYTES {
-                    return Err(invalid(&"an event without an end"));
+                    return Err(invalid(&"an event exceeds the size limit"));
                 }
                 self.data.push_str(data.strip_prefix(' ').unwrap_or(data));
                 self.data.push('\n');
@@ -133,7 +133,7 @@
             }
         }
         match self.bytes.unread().len() {
-            length if length > MAX_EVENT_BYTES => Err(invalid(&"a line without an end")),
+            length if length > MAX_EVENT_BYTES => Err(invalid(&"a line exceeds the size limit")),
             _ => Ok(None),
         }
     }
--- a/crates/platform-wire/src/lib.rs
+++ b/crates/platform-wire/src/lib.rs
@@ -18,25 +18,25 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ProtocolError {
     /// A message, or the part of it that has arrived, exceeds the maximum size.
-    #[error("a message of {0} bytes, where at most {MAX_MESSAGE_BYTES} may be")]
+    #[error("a message of {0} bytes exceeds the maximum of {MAX_MESSAGE_BYTES}")]
     TooLong(usize),
     /// A client's frame is too short for its header.
     #[error("a message of {0} bytes is too short for its type and id")]
     TooShort(usize),
     /// A client's frame has an unknown type.
-    #[error("no message has the type {0}")]
+    #[error("unknown message type {0}")]
     UnknownType(u8),
     /// A parameter of a client's frame extends past the frame's end.
-    #[error("parameter {0} runs past the end of its message")]
+    #[error("parameter {0} extends past the end of its message")]
     TruncatedParameter(u8),
     /// A client's frame repeats a parameter or has too many of them.
-    #[error("parameter {0} stands twice in a message")]
+    #[error("parameter {0} is a duplicate or one too many")]
     DuplicateParameter(u8),
     /// A node's line is not a message in JSON.
-    #[error("no line of JSON as nodes send it: {0}")]
+    #[error("invalid node message: {0}")]
     InvalidLine(String),
     /// A discovery stream has sent something other than an event.
-    #[error("not what a control feed sends: {0}")]
+    #[error("invalid control feed event: {0}")]
     InvalidEvent(String),
 }
 
@@ -44,10 +44,10 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidField {
     /// A required field is missing or empty.
-    #[error("no {0}")]
+    #[error("missing {0}")]
     Missing(&'static str),
     /// A field's text is not a valid value.
-    #[error("`{text}` is no {what}")]
+    #[error("`{text}` is not a valid {what}")]
     Invalid {
         /// The expected content of the field.
         what: &'static str,
--- a/crates/platform-wire/src/node_config.rs
+++ b/crates/platform-wire/src/node_config.rs
@@ -50,10 +50,10 @@
 #[derive(Debug, thiserror::Error)]
 pub enum NodeConfigError {
     /// The file is not the JSON of a configuration.
-    #[error("no posting: {0}")]
+    #[error("invalid node configuration: {0}")]
     Json(#[from] serde_json::Error),
     /// The seed is not a number.
-    #[error("seed: `{0}` is no hex number of up to 64 bits")]
+    #[error("seed: `{0}` is not a hexadecimal number of up to 64 bits")]
     Seed(String),
 }
 
