--- a/crates/platform-wire/tests/malformed_input.rs
+++ b/crates/platform-wire/tests/malformed_input.rs
@@ -7,12 +7,12 @@
 use proptest::prelude::*;
 use test_case::test_case;
 
-fn set_up(extras: &str, left: &str) -> client::Message {
+fn set_up(requirements: &str, time_left: &str) -> client::Message {
     let parameters: [(u8, &[u8]); 6] = [
         (client::CLASS, b"batch"),
-        (client::TIME_LEFT, left.as_bytes()),
+        (client::TIME_LEFT, time_left.as_bytes()),
         (client::TASK_NAME, b"7f3a9c21e0b4d655"),
-        (client::REQUIREMENTS, extras.as_bytes()),
+        (client::REQUIREMENTS, requirements.as_bytes()),
         (client::TENANT, b"acme"),
         (client::DESCRIPTION, b"9d41\r\n"),
     ];
@@ -31,13 +31,16 @@
 #[test_case("cores:1;memory:2;service:0b", "-5", false; "a negative time")]
 #[test_case("cores:1;memory:2;service:0b", "99999999999999999999999", false; "too long a time")]
 #[test_case("x", "1500", false; "no requirements at all")]
-fn invalid_requirements_and_times_are_rejected(extras: &str, left: &str, sound: bool) {
-    assert_eq!(SetUp::try_from(&set_up(extras, left)).is_ok(), sound);
+fn invalid_requirements_and_times_are_rejected(requirements: &str, time_left: &str, sound: bool) {
+    assert_eq!(
+        SetUp::try_from(&set_up(requirements, time_left)).is_ok(),
+        sound
+    );
 }
 
 #[test_case(&[0xff, 0xff], ProtocolError::TooLong(0xffff); "a length beyond any message")]
 #[test_case(&[0, 2], ProtocolError::TooShort(2); "a length below any message")]
-#[test_case(b"\x01\x00{", ProtocolError::UnknownType(123); "a type that does not exist, before the rest has come")]
+#[test_case(b"\x01\x00{", ProtocolError::UnknownType(123); "a type that does not exist, before the rest has arrived")]
 #[test_case(&[0, 12, 1, 0, 0, 0, 0, 0, 0, 0, 1, 180, 9, 9], ProtocolError::TruncatedParameter(180); "a parameter past the end")]
 fn a_wrong_length_or_type_is_reported_at_once(bytes: &[u8], error: ProtocolError) {
     let mut reader = client::Reader::default();
@@ -66,7 +69,7 @@
 }
 
 #[test]
-fn a_line_without_an_end_is_reported_before_it_fills_the_memory() {
+fn an_unterminated_line_is_reported_before_it_fills_the_memory() {
     let mut reader = node::Reader::default();
     let error = (0..1_000).find_map(|_| {
         reader.push(&[b'a'; 1024]);
@@ -80,12 +83,12 @@
 
 #[test]
 fn an_event_that_is_cut_off_is_not_reported_and_a_complete_one_is() {
-    let whole = b"id: 4\ndata: {\"n\":4}\n\n: alive\n";
+    let stream = b"id: 4\ndata: {\"n\":4}\n\n: alive\n";
     let mut reader = discovery::Reader::default();
-    reader.push(&whole[..15]);
+    reader.push(&stream[..15]);
     assert_eq!(reader.next_item(), Ok(None));
     let mut reader = discovery::Reader::default();
-    reader.push(whole);
+    reader.push(stream);
     assert_eq!(
         reader.next_item(),
         Ok(Some(discovery::FeedItem::Event(discovery::Event {
@@ -104,38 +107,37 @@
     reader
         .push(format!("data: {{\"n\":2,\"members\":{{\"members\":[7,{sound}]}}}}\n\n").as_bytes());
     let Ok(Some(discovery::FeedItem::Event(discovery::Event {
-        list: Some(members),
-        ..
+        list: Some(list), ..
     }))) = reader.next_item()
     else {
         panic!("not read")
     };
-    let readable = members
+    let readable = list
         .entries
         .iter()
         .map(|entry| matches!(entry, discovery::ListEntry::Node(_)));
     assert_eq!(readable.collect::<Vec<bool>>(), [false, true]);
 }
 
-#[test_case(MAX_MESSAGE_BYTES - 9 - 3, true; "as long as may be")]
+#[test_case(MAX_MESSAGE_BYTES - 9 - 3, true; "of the maximum length")]
 #[test_case(MAX_MESSAGE_BYTES - 9 - 2, false; "one byte longer")]
-fn no_message_is_encoded_that_is_too_long_to_be_read(description: usize, may: bool) {
+fn no_message_is_encoded_that_is_too_long_to_be_read(description: usize, accepted: bool) {
     let written = encode(
         MessageType::Answer,
         1,
         &[(client::DESCRIPTION, &vec![0; description])],
     );
-    assert_eq!(written.is_some(), may);
+    assert_eq!(written.is_some(), accepted);
     let mut reader = client::Reader::default();
     reader.push(&written.unwrap_or_default());
     assert_eq!(
         reader.next_message().map(|message| message.is_some()),
-        Ok(may)
+        Ok(accepted)
     );
 }
 
 #[test_case("x0:12;x1:-0.5", Some(2); "sound")]
-#[test_case("x0:inf", None; "no number to count with")]
+#[test_case("x0:inf", None; "a value that is not finite")]
 #[test_case("x0", None; "no value")]
 fn load_reports_hold_finite_numbers_only(text: &str, pairs: Option<usize>) {
     assert_eq!(parse_load_report(text).ok().map(|pairs| pairs.len()), pairs);
@@ -216,8 +218,8 @@
         at in any::<prop::sample::Index>(),
     ) {
         let mut sound = encode(MessageType::SetUp, 1, &[(client::CLASS, b"batch")]).expect("short");
-        let place = at.index(sound.len());
-        sound[place] = damaged;
+        let position = at.index(sound.len());
+        sound[position] = damaged;
         bytes.splice(0..0, sound);
         client_messages(&bytes, &cuts);
         node_messages(&bytes, &cuts);
--- a/crates/platform-wire/tests/recorded.rs
+++ b/crates/platform-wire/tests/recorded.rs
@@ -7,7 +7,7 @@
 use std::fmt::Write;
 use std::path::Path;
 
-const CLIENT_KINDS: [(&str, MessageType); 9] = [
+const CLIENT_MESSAGE_TYPES: [(&str, MessageType); 9] = [
     ("set-up", MessageType::SetUp),
     ("progress", MessageType::Progress),
     ("answer", MessageType::Answer),
@@ -63,10 +63,14 @@
 }
 
 fn client_content(message: &client::Message) -> String {
-    let kind = CLIENT_KINDS
+    let message_type = CLIENT_MESSAGE_TYPES
         .iter()
-        .find(|(_, kind)| *kind == message.message_type);
-    let mut text = format!("{} {:016x}", kind.expect("a kind").0, message.task);
+        .find(|(_, message_type)| *message_type == message.message_type);
+    let mut text = format!(
+        "{} {:016x}",
+        message_type.expect("a message type").0,
+        message.task
+    );
     for code in 0..=u8::MAX {
         if let Some(value) = message.parameter(code) {
             write!(text, " {code}={}", hex(value)).expect("written");
@@ -77,34 +81,37 @@
 
 /// Encodes the message that a content line describes.
 fn client_bytes(content: &str) -> Vec<u8> {
-    let mut words = content.split(' ');
-    let kind = words.next().expect("a kind");
-    let (_, kind) = CLIENT_KINDS
+    let mut fields = content.split(' ');
+    let message_type = fields.next().expect("a message type");
+    let (_, message_type) = CLIENT_MESSAGE_TYPES
         .iter()
-        .find(|(name, _)| *name == kind)
-        .expect("a kind");
-    let task = u64::from_str_radix(words.next().expect("a task"), 16).expect("hex");
-    let parameters: Vec<(u8, Vec<u8>)> = words
-        .map(|word| word.split_once('=').expect("a parameter"))
+        .find(|(name, _)| *name == message_type)
+        .expect("a message type");
+    let task = u64::from_str_radix(fields.next().expect("a task"), 16).expect("hex");
+    let parameters: Vec<(u8, Vec<u8>)> = fields
+        .map(|field| field.split_once('=').expect("a parameter"))
         .map(|(code, value)| (code.parse().expect("a code"), unhex(value)))
         .collect();
     let parameters: Vec<(u8, &[u8])> = parameters
         .iter()
         .map(|(code, value)| (*code, &value[..]))
         .collect();
-    client::encode(*kind, task, &parameters).expect("short enough")
+    client::encode(*message_type, task, &parameters).expect("short enough")
 }
 
 #[test]
 fn recorded_client_frames_are_read_and_written_back_byte_for_byte() {
     let frames = pairs("client_frames.txt", 18);
-    for (_, kind) in CLIENT_KINDS.iter().map(|(name, kind)| (name, *kind)) {
-        let of_kind = |(bytes, _): &&(String, String)| {
-            read_client(&unhex(bytes)).expect("sound").message_type == kind
+    for (_, message_type) in CLIENT_MESSAGE_TYPES
+        .iter()
+        .map(|(name, message_type)| (name, *message_type))
+    {
+        let has_type = |(bytes, _): &&(String, String)| {
+            read_client(&unhex(bytes)).expect("sound").message_type == message_type
         };
         assert!(
-            frames.iter().any(|frame| of_kind(&frame)),
-            "{kind:?} is recorded"
+            frames.iter().any(|frame| has_type(&frame)),
+            "{message_type:?} is recorded"
         );
     }
     for (bytes, content) in frames {
@@ -115,9 +122,9 @@
 }
 
 #[test]
-fn recorded_malformed_client_frames_are_refused_in_the_same_words() {
-    for (bytes, refusal) in pairs("client_malformed.txt", 8) {
-        assert_eq!(read_client(&unhex(&bytes)), Err(refusal), "{bytes}");
+fn recorded_malformed_client_frames_are_rejected_with_the_same_errors() {
+    for (bytes, expected_error) in pairs("client_malformed.txt", 8) {
+        assert_eq!(read_client(&unhex(&bytes)), Err(expected_error), "{bytes}");
     }
 }
 
@@ -146,7 +153,7 @@
 }
 
 #[test]
-fn recorded_set_ups_are_read_to_the_same_content_or_refused_in_the_same_words() {
+fn recorded_set_ups_are_read_to_the_same_content_or_rejected_with_the_same_errors() {
     for (bytes, content) in pairs("set_ups.txt", 20) {
         assert_eq!(set_up_content(&unhex(&bytes)), content, "{bytes}");
     }
@@ -161,8 +168,8 @@
 }
 
 fn node_content(message: &node::Message) -> String {
-    let kind = serde_json::to_string(&message.message_type).expect("a name");
-    let mut text = format!("{kind} id={:?}", message.task_id);
+    let message_type = serde_json::to_string(&message.message_type).expect("a name");
+    let mut text = format!("{message_type} id={:?}", message.task_id);
     for (name, value) in &message.attributes {
         let (text_value, number) = (value.text(), value.number());
         write!(text, " {name}={text_value:?}/{number:?}").expect("written");
@@ -183,7 +190,7 @@
 }
 
 #[test]
-fn recorded_node_lines_as_written_are_written_back_byte_for_byte() {
+fn recorded_node_lines_are_written_back_byte_for_byte() {
     let lines = data("node_lines_written.jsonl");
     assert!(lines.lines().count() >= 12);
     for line in lines.lines() {
@@ -193,9 +200,9 @@
 }
 
 #[test]
-fn recorded_malformed_node_lines_are_refused_in_the_same_words() {
-    for (line, refusal) in pairs("node_malformed.txt", 8) {
-        assert_eq!(read_node(&line).map(|_| ()), Err(refusal), "{line}");
+fn recorded_malformed_node_lines_are_rejected_with_the_same_errors() {
+    for (line, expected_error) in pairs("node_malformed.txt", 8) {
+        assert_eq!(read_node(&line).map(|_| ()), Err(expected_error), "{line}");
     }
 }
 
@@ -209,23 +216,23 @@
 
 fn event_content(event: &discovery::Event) -> String {
     let mut text = format!("event {}", event.number);
-    let Some(members) = &event.list else {
+    let Some(list) = &event.list else {
         return text + " without members\n";
     };
-    writeln!(text, " complete={}", members.complete).expect("written");
-    for entry in &members.entries {
+    writeln!(text, " complete={}", list.complete).expect("written");
+    for entry in &list.entries {
         let line = match entry {
-            discovery::ListEntry::Unreadable(what) => format!("unreadable {what}"),
-            discovery::ListEntry::Node(member) => format!(
+            discovery::ListEntry::Unreadable(value) => format!("unreadable {value}"),
+            discovery::ListEntry::Node(node) => format!(
                 "{} at {} in {:?} of {:?} cell {} {} since {} unrequested {:?}",
-                member.id,
-                member.address,
-                member.zone,
-                member.machine_type,
-                member.cell,
-                phase(member.phase),
-                member.up_since_ms,
-                member.unrequested,
+                node.id,
+                node.address,
+                node.zone,
+                node.machine_type,
+                node.cell,
+                phase(node.phase),
+                node.up_since_ms,
+                node.unrequested,
             ),
         };
         writeln!(text, "  {line}").expect("written");
@@ -249,7 +256,7 @@
 }
 
 #[test]
-fn a_recorded_feed_with_each_kind_of_list_is_read_to_the_same_content() {
+fn a_recorded_feed_with_every_form_of_list_is_read_to_the_same_content() {
     assert_eq!(
         feed_content(data("feed_stream.txt").as_bytes()),
         data("feed_stream_read.txt")
@@ -257,12 +264,12 @@
 }
 
 #[test]
-fn recorded_malformed_feeds_are_refused_in_the_same_words() {
-    for (stream, refusal) in pairs("feed_malformed.txt", 5) {
+fn recorded_malformed_feeds_are_rejected_with_the_same_errors() {
+    for (stream, expected_error) in pairs("feed_malformed.txt", 5) {
         let stream = stream.replace("\\n", "\n");
         assert_eq!(
             feed_content(stream.as_bytes()),
-            format!("{refusal}\n"),
+            format!("{expected_error}\n"),
             "{stream}"
         );
     }
@@ -298,7 +305,7 @@
 }
 
 #[test]
-fn half_a_file_of_node_config_is_refused_in_the_same_words() {
+fn half_a_file_of_node_config_is_rejected_with_the_same_error() {
     let whole = data("node_config.json");
     assert_eq!(
         node_config_content(&whole[..whole.len() / 2]),
@@ -307,14 +314,14 @@
 }
 
 #[test]
-fn recorded_malformed_files_of_node_config_are_refused_in_the_same_words() {
+fn recorded_malformed_files_of_node_config_are_rejected_with_the_same_errors() {
     let sound = data("node_config.json");
-    for (replaced, refusal) in pairs("node_config_malformed.txt", 6) {
+    for (replaced, expected_error) in pairs("node_config_malformed.txt", 6) {
         let (old, new) = replaced.split_once(" -> ").expect("an arrow");
         assert!(sound.contains(old), "the file holds {old}");
         assert_eq!(
             node_config_content(&sound.replacen(old, new, 1)),
-            format!("{refusal}\n"),
+            format!("{expected_error}\n"),
             "{replaced}"
         );
     }
