--- a/crates/settings/src/class.rs
+++ b/crates/settings/src/class.rs
@@ -1,10 +1,10 @@
-//! Service classes: what the scheduler is handed of each.
+//! Converts the settings of service classes to the scheduler's service classes.
 
 use crate::{Settings, SettingsError, ticks_from_us};
 use corkspan_scheduler::interface::*;
 
 impl Settings {
-    /// The class of this index.
+    /// Returns the service class with this index.
     pub(crate) fn service_class(&self, index: usize) -> Result<ServiceClass, SettingsError> {
         let (class, family) = (&self.classes[index], &self.family_info);
         let missing = |key| SettingsError::Missing { key, class: index };
@@ -30,7 +30,7 @@
         })
     }
 
-    /// Whether a set-up of the class may be repeated, and where repeats are dropped.
+    /// Returns whether a set-up of the class may be retried, and where duplicates are dropped.
     fn retry_safety(&self, index: usize) -> Result<RetrySafety, SettingsError> {
         let class = &self.classes[index];
         let scope = match class.effect.as_str() {
@@ -66,7 +66,8 @@
         })
     }
 
-    /// Over which places a service's tasks of the class are spread, and how many may be in one.
+    /// Returns the domain over which the class's tasks of a service are spread, and the maximum
+    /// number of them in one domain.
     fn spread(&self, index: usize) -> Result<Option<(Domain, usize)>, SettingsError> {
         let missing = |key| SettingsError::Missing { key, class: index };
         let family = &self.family_info;
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -1,15 +1,15 @@
-//! Why settings can't be used.
+//! Errors in the content of settings.
 
-/// What is wrong with settings that could be read.
+/// An error in the content of settings that are otherwise well-formed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsError {
-    /// Sizes of machine types are not given for each of them.
+    /// The size of a machine type is missing.
     #[error("family-info.kind-cores and kind-memory must have an entry for each of skus")]
     MachineTypeSizes,
-    /// The dispatcher's zone is none of the zones.
+    /// The dispatcher's zone is not in the list of zones.
     #[error("locality names none of zones")]
     Locality,
-    /// A list by class is too short, or a class lacks a key.
+    /// A list with an entry per class is too short, or a class lacks a key.
     #[error("{key} has no entry for class {class}")]
     Missing {
         /// The key.
@@ -17,28 +17,28 @@
         /// The index of the class.
         class: usize,
     },
-    /// A class has an effect that is not known.
+    /// A class has an unknown effect.
     #[error("effect of class {class} can't be `{effect}`")]
     Effect {
         /// The index of the class.
         class: usize,
-        /// What is there.
+        /// The unknown value.
         effect: String,
     },
-    /// A class has a deduplication scope that is not known, or none.
+    /// A class has an unknown deduplication scope, or none.
     #[error("dedup-scope of class {class} can't be {scope:?}")]
     DeduplicationScope {
         /// The index of the class.
         class: usize,
-        /// What is there.
+        /// The unknown value, if there is one.
         scope: Option<String>,
     },
-    /// A class is spread by something that is not known.
+    /// A class is spread over an unknown domain.
     #[error("spread-by of class {class} can't be `{spread_by}`")]
     SpreadBy {
         /// The index of the class.
         class: usize,
-        /// What is there.
+        /// The unknown value.
         spread_by: String,
     },
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,5 +1,5 @@
-//! The platform's settings, as a dispatcher is handed them at its start, and what the scheduler is
-//! handed of them. Durations are microseconds.
+//! Defines the platform's settings, which a dispatcher receives at its start, and converts them to
+//! the scheduler's cluster description. Durations are in microseconds.
 
 #![warn(missing_docs, clippy::too_many_lines)]
 
@@ -11,21 +11,20 @@
 use corkspan_scheduler::interface::*;
 use serde::Deserialize;
 
-/// How long a connection may take to be established, where the settings say neither that nor a
-/// deadline.
+/// Connect timeout, in microseconds, if the settings give neither a connect timeout nor a deadline.
 const DEFAULT_CONNECT_TIMEOUT_US: u64 = 250_000;
-/// Of the shortest deadline a connection may take one in so many parts to be established, where the
-/// settings do not say: a retry must still be of use.
+/// Ratio of the shortest deadline to the connect timeout, if the settings give no connect timeout.
+/// A connection that fails must leave enough time for a retry.
 const DEADLINES_PER_CONNECT_TIMEOUT: u64 = 4;
 
 /// All settings.
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Settings {
-    /// How many dispatchers share the nodes.
+    /// The number of dispatchers that share the nodes.
     #[serde(rename = "fleet-size")]
     scheduler_count: usize,
-    /// The number of this dispatcher, from 0.
+    /// The index of this dispatcher, from 0.
     #[serde(rename = "me")]
     scheduler_index: usize,
     /// The index of the dispatcher's zone.
@@ -53,19 +52,19 @@
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Class {
-    /// Its name in set-ups.
+    /// The class's name in set-ups.
     #[serde(default)]
     pub name: String,
     effect: String,
-    /// Where repeats with one key are dropped.
+    /// The scope within which set-ups with the same idempotency key are dropped.
     #[serde(rename = "dedup-scope")]
     deduplication_scope: Option<String>,
-    /// Answers are on time within this.
+    /// The time within which an answer is on time.
     #[serde(rename = "on-time-us")]
     latency_objective_us: u64,
-    /// How long its clients wait for an answer.
+    /// The time that the class's clients wait for an answer.
     deadline_us: Option<u64>,
-    /// How long keys are remembered.
+    /// The time for which idempotency keys are remembered.
     #[serde(rename = "memory-span-us")]
     deduplication_window_us: Option<u64>,
 }
@@ -74,53 +73,54 @@
 #[derive(Deserialize)]
 #[serde(expecting = "struct Tenant")]
 pub struct TenantSettings {
-    /// Its name in set-ups.
+    /// The tenant's name in set-ups.
     #[serde(default)]
     pub name: String,
 }
 
-/// What machines and classes are like. Lists are by class, or by machine type.
+/// Properties of machines and classes. Lists have an entry per class, tenant or machine type.
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
 struct Family {
-    /// Machines accept until the requested cores reach this multiple of theirs.
+    /// Machines accept tasks until the requested cores reach this multiple of the machine's cores.
     #[serde(rename = "admit-cores")]
     admission_limit_cores: f64,
-    /// The same for memory.
+    /// Machines accept tasks until the requested memory reaches this multiple of the machine's
+    /// memory.
     #[serde(rename = "accepts-memory")]
     admission_limit_memory: f64,
-    /// Machines evict lower priorities where a task would not fit.
+    /// Whether machines evict tasks of lower priority if a task would not fit otherwise.
     #[serde(rename = "makes-room", default)]
     preempts: bool,
-    /// Whether an answer means accepted or running.
+    /// Whether an answer means that a task is accepted or that it is running.
     #[serde(rename = "ack")]
     placed_when: String,
-    /// By class: served in full while the cores are busy up to this share.
+    /// By class: the maximum share of busy cores at which tasks are still served in full.
     #[serde(rename = "class-calm")]
     target_utilization: Vec<f64>,
-    /// By class: the index of a machine type, negative for any.
+    /// By class: the index of the required machine type; negative for any.
     #[serde(rename = "needs-kind")]
     required_machine_type: Vec<i64>,
-    /// By class: the maximum of a service's tasks in one domain.
+    /// By class: the maximum number of a service's tasks in one domain.
     #[serde(rename = "class-most")]
     max_per_domain: Vec<usize>,
     priority_by_class: Vec<u8>,
     /// By class: the domain over which a service's tasks are spread.
     #[serde(rename = "spread-by")]
     spread_domain: Vec<String>,
-    /// Offers that a node that is warming up bears within a window.
+    /// The maximum number of offers to a node in slow start within a window.
     #[serde(rename = "young-limit")]
     slow_start_limit: f64,
-    /// By machine type.
+    /// By machine type: cores.
     #[serde(rename = "kind-cores")]
     machine_type_cores: Vec<f64>,
-    /// By machine type.
+    /// By machine type: memory.
     #[serde(rename = "kind-memory")]
     machine_type_memory: Vec<f64>,
-    /// By tenant: cores requested at a time that are within its quota.
+    /// By tenant: the quota of cores requested at the same time.
     #[serde(rename = "share-cores", default)]
     quota_cores: Vec<f64>,
-    /// The list of nodes reports capacity that nobody has requested.
+    /// Whether the node list reports unrequested capacity.
     #[serde(rename = "view")]
     list_reports_capacity: bool,
 }
@@ -130,26 +130,25 @@
 #[serde(rename_all = "kebab-case")]
 pub struct Limits {
     max_attempts: usize,
-    /// Whether nodes may be sent health checks.
+    /// Whether dispatchers may send health checks to nodes.
     #[serde(rename = "probes")]
     health_checks: bool,
-    /// How long a connection may be without traffic before the other side closes it; none where
-    /// there is no such limit.
+    /// The time after which the other side closes an idle connection; `None` if there is no limit.
     pub idle_close_us: Option<u64>,
-    /// How long a connection may take to be established.
+    /// The time that a connection may take to be established.
     pub connect_timeout_us: Option<u64>,
 }
 
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
 struct Rules {
-    /// How often the list of nodes is polled.
+    /// The interval at which the node list is polled.
     #[serde(rename = "ask-every-us", default)]
     list_poll_interval_us: u64,
-    /// How long a node is warming up.
+    /// The duration of a node's slow start.
     #[serde(rename = "cold-us")]
     slow_start_us: u64,
-    /// The window of the slow start's limit.
+    /// The window in which offers count towards the slow start's limit.
     #[serde(rename = "fall-us")]
     slow_start_window_us: u64,
 }
@@ -157,22 +156,22 @@
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
 struct Penalties {
-    /// Part of the result that running in another zone costs.
+    /// The share of a task's result that is lost by running it in another zone.
     #[serde(rename = "cross-zone", default)]
     cross_zone_cost: f64,
 }
 
-/// Microseconds as whole ticks of 0.1 ms, rounded down.
+/// Converts microseconds to whole ticks of 0.1 ms, rounded down.
 pub fn ticks_from_us(us: u64) -> Ticks {
     us / 100
 }
 
 impl Settings {
-    /// What the scheduler is handed.
+    /// Returns the cluster description for the scheduler.
     ///
     /// # Errors
     ///
-    /// Values that contradict each other or are not known.
+    /// Returns an error if values contradict each other or are unknown.
     pub fn cluster(&self) -> Result<Cluster, SettingsError> {
         let family = &self.family_info;
         if family.machine_type_cores.len() != self.machine_types.len()
@@ -215,8 +214,8 @@
         })
     }
 
-    /// How long a connection may take to be established. Where the settings do not say, a part of
-    /// the shortest deadline.
+    /// Returns the time that a connection may take to be established. If the settings do not give
+    /// it, it is a fraction of the shortest deadline.
     pub fn connect_timeout(&self) -> Ticks {
         let deadlines = self.classes.iter().filter_map(|class| class.deadline_us);
         let part_of_shortest = deadlines.min().map(|us| us / DEADLINES_PER_CONNECT_TIMEOUT);
@@ -228,8 +227,8 @@
         )
     }
 
-    /// The longest time that clients wait for an answer; none where the settings do not say it of
-    /// each class.
+    /// Returns the longest time that clients wait for an answer, or `None` if a class has no
+    /// deadline.
     pub fn longest_deadline(&self) -> Option<Ticks> {
         self.classes
             .iter()
@@ -239,14 +238,14 @@
             .max()
     }
 
-    /// Whether set-ups of the class need an idempotency key.
+    /// Returns whether set-ups of the class require an idempotency key.
     pub fn needs_idempotency_key(&self, class: usize) -> bool {
         self.classes
             .get(class)
             .is_some_and(|class| class.effect == "token")
     }
 
-    /// The most that any machine accepts in all; none where there is no machine type.
+    /// Returns the largest total that any machine accepts, or `None` if there is no machine type.
     pub fn largest_acceptable(&self) -> Option<Resources> {
         let largest = self.machine_sizes().reduce(|one, other| one.max(other))?;
         Some(largest * self.accept_factor())
@@ -258,7 +257,7 @@
             .map(|(&cores, &memory)| Resources { cores, memory })
     }
 
-    /// Machines accept until what is requested reaches this multiple of their size.
+    /// Returns the multiple of their size up to which machines accept requests.
     fn accept_factor(&self) -> Resources {
         Resources {
             cores: self.family_info.admission_limit_cores,
--- a/crates/settings/tests/recorded.rs
+++ b/crates/settings/tests/recorded.rs
@@ -1,5 +1,5 @@
-//! Settings recorded under `tests/data`: every keyword is read to the same content, and what can't
-//! be used is refused in the same words.
+//! Compares the settings read from files under `tests/data` with recorded contents, for every key,
+//! and the errors for invalid settings with recorded ones.
 
 use corkspan_scheduler::interface::{Cluster, Domain, Resources, RetrySafety, ServiceClass};
 use corkspan_settings::Settings;
@@ -125,7 +125,7 @@
     );
 }
 
-/// Each key is taken out in turn: what is read is another content, or a refusal.
+/// Removes each key in turn and checks that the content changes or an error is returned.
 #[test]
 fn each_keyword_of_the_recorded_settings_is_read() {
     let whole: Value = serde_json::from_str(&data("settings.json")).expect("JSON");
@@ -142,7 +142,7 @@
     }
 }
 
-/// Pointers to all keys.
+/// Collects the JSON pointers of all keys.
 fn keys(value: &Value, at: String, paths: &mut Vec<String>) {
     match value {
         Value::Object(map) => {
