--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -1,5 +1,5 @@
-//! What every dispatcher process runs on: the clock, the executor, timeouts, the one timer of the
-//! decisions and signals. It knows nothing of allocations.
+//! Provides the runtime of a dispatcher process: the clock, the executor, timeouts, the scheduler's
+//! single timer and signals. It is independent of allocations.
 
 #![warn(missing_docs, clippy::too_many_lines)]
 
@@ -19,20 +19,20 @@
 
 pub use async_signal::Signal;
 
-/// The executor that carries all tasks of a process.
+/// The executor that runs all tasks of a process.
 pub type SharedExecutor = Arc<Executor<'static>>;
 
-/// Receives these signals from here on: they no longer end the process.
+/// Starts to receive these signals, which from then on no longer end the process.
 ///
 /// # Errors
 ///
-/// A signal can't be received.
+/// Returns an error if a signal can't be received.
 pub fn signals(which: impl IntoIterator<Item = Signal>) -> std::io::Result<Signals> {
     Signals::new(which)
 }
 
-/// The one timer of the decisions: calls `fired` at the earliest instant that it has been armed
-/// for, and then waits to be armed again. Ends when nobody can arm it any more.
+/// Runs the scheduler's single timer: calls `fired` at the earliest instant for which it has been
+/// armed, then waits to be armed again. Returns when all senders of `armed` are dropped.
 pub async fn run_timer(armed: async_channel::Receiver<Instant>, mut fired: impl FnMut()) {
     enum Event {
         Armed(Instant),
@@ -60,7 +60,7 @@
     }
 }
 
-/// The value of a future, or none if it takes longer.
+/// Returns the value of a future, or `None` if it takes longer than `time`.
 pub fn within<F: Future>(time: Duration, value: F) -> Within<F> {
     Within {
         value,
@@ -69,8 +69,8 @@
 }
 
 pin_project_lite::pin_project! {
-    /// The future of [`within`]. Written out: an async block would hold the value's state twice,
-    /// and states of gRPC calls are large.
+    /// The future of [`within`]. It is implemented by hand because an async block would hold the
+    /// value's state twice, and the states of gRPC calls are large.
     pub struct Within<F> {
         #[pin]
         value: F,
@@ -82,7 +82,8 @@
 impl<F: Future> Future for Within<F> {
     type Output = Option<F::Output>;
 
-    /// The value first: an answer that is there when it is polled late is an answer.
+    /// Polls the value before the timer, so that a value that is ready is returned even if the
+    /// future is polled after the timeout.
     fn poll(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Self::Output> {
         let this = self.project();
         match (this.value.poll(cx), this.timer.poll(cx)) {
--- a/crates/runtime/tests/timers.rs
+++ b/crates/runtime/tests/timers.rs
@@ -1,4 +1,4 @@
-//! Timeouts and the one timer.
+//! Tests the timeouts, the scheduler's timer and the clock.
 
 use corkspan_runtime::clock::{Clock, duration, ticks};
 use corkspan_runtime::{run_timer, within};
