--- a/crates/settings/src/class.rs
+++ b/crates/settings/src/class.rs
@@ -10,7 +10,7 @@
         let missing = |key| SettingsError::Missing { key, class: index };
         let retry_safety = self.retry_safety(index)?;
         let spread = self.spread(index)?;
-        let kind = *family
+        let machine_type = *family
             .required_machine_type
             .get(index)
             .ok_or_else(|| missing("needs-kind"))?;
@@ -25,7 +25,7 @@
                 .priority_by_class
                 .get(index)
                 .ok_or_else(|| missing("priority-by-class"))?,
-            machine_type: usize::try_from(kind).ok().map(MachineTypeId),
+            machine_type: usize::try_from(machine_type).ok().map(MachineTypeId),
             spread,
         })
     }
@@ -54,7 +54,7 @@
                 });
             }
         };
-        let span = class
+        let window_us = class
             .deduplication_window_us
             .ok_or(SettingsError::Missing {
                 key: "memory-span-us",
@@ -62,7 +62,7 @@
             })?;
         Ok(RetrySafety::Deduplicated {
             scope,
-            window: ticks_from_us(span),
+            window: ticks_from_us(window_us),
         })
     }
 
@@ -71,7 +71,7 @@
     fn spread(&self, index: usize) -> Result<Option<(Domain, usize)>, SettingsError> {
         let missing = |key| SettingsError::Missing { key, class: index };
         let family = &self.family_info;
-        let max_in_place = *family
+        let max_per_domain = *family
             .max_per_domain
             .get(index)
             .ok_or_else(|| missing("class-most"))?;
@@ -79,7 +79,7 @@
             .spread_domain
             .get(index)
             .ok_or_else(|| missing("spread-by"))?;
-        let place = match spread_by.as_str() {
+        let domain = match spread_by.as_str() {
             "silent" => return Ok(None),
             "machine" => Domain::Machine,
             "cell" => Domain::Cell,
@@ -91,6 +91,6 @@
                 });
             }
         };
-        Ok(Some((place, max_in_place)))
+        Ok(Some((domain, max_per_domain)))
     }
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -15,7 +15,7 @@
 const DEFAULT_CONNECT_TIMEOUT_US: u64 = 250_000;
 /// Ratio of the shortest deadline to the connect timeout, if the settings give no connect timeout.
 /// A connection that fails must leave enough time for a retry.
-const DEADLINES_PER_CONNECT_TIMEOUT: u64 = 4;
+const DEADLINE_TO_CONNECT_TIMEOUT_RATIO: u64 = 4;
 
 /// All settings.
 #[derive(Deserialize)]
@@ -195,7 +195,7 @@
                     quota_cores: family.quota_cores.get(index).copied(),
                 })
                 .collect(),
-            admission_limit: self.accept_factor(),
+            admission_limit: self.admission_limit(),
             preempts: family.preempts,
             max_attempts: self.limits.max_attempts,
             placed_means_running: family.placed_when == "running",
@@ -218,11 +218,13 @@
     /// it, it is a fraction of the shortest deadline.
     pub fn connect_timeout(&self) -> Ticks {
         let deadlines = self.classes.iter().filter_map(|class| class.deadline_us);
-        let part_of_shortest = deadlines.min().map(|us| us / DEADLINES_PER_CONNECT_TIMEOUT);
+        let fraction_of_shortest = deadlines
+            .min()
+            .map(|us| us / DEADLINE_TO_CONNECT_TIMEOUT_RATIO);
         ticks_from_us(
             self.limits
                 .connect_timeout_us
-                .or(part_of_shortest)
+                .or(fraction_of_shortest)
                 .unwrap_or(DEFAULT_CONNECT_TIMEOUT_US),
         )
     }
@@ -248,7 +250,7 @@
     /// Returns the largest total that any machine accepts, or `None` if there is no machine type.
     pub fn largest_acceptable(&self) -> Option<Resources> {
         let largest = self.machine_sizes().reduce(|one, other| one.max(other))?;
-        Some(largest * self.accept_factor())
+        Some(largest * self.admission_limit())
     }
 
     fn machine_sizes(&self) -> impl Iterator<Item = Resources> {
@@ -258,7 +260,7 @@
     }
 
     /// Returns the multiple of their size up to which machines accept requests.
-    fn accept_factor(&self) -> Resources {
+    fn admission_limit(&self) -> Resources {
         Resources {
             cores: self.family_info.admission_limit_cores,
             memory: self.family_info.admission_limit_memory,
--- a/crates/settings/tests/recorded.rs
+++ b/crates/settings/tests/recorded.rs
@@ -11,11 +11,11 @@
     let path = Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("tests/data")
         .join(name);
-    std::fs::read_to_string(&path).unwrap_or_else(|why| panic!("{}: {why}", path.display()))
+    std::fs::read_to_string(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()))
 }
 
-fn place(place: Domain) -> &'static str {
-    match place {
+fn domain_name(domain: Domain) -> &'static str {
+    match domain {
         Domain::Machine => "machine",
         Domain::Cell => "cell",
         Domain::Zone => "zone",
@@ -26,21 +26,24 @@
     format!("{:?} cores {:?} memory", amount.cores, amount.memory)
 }
 
-fn track_content(track: &ServiceClass) -> String {
-    let repeat = match track.retry_safety {
+fn class_content(class: &ServiceClass) -> String {
+    let retry_safety = match class.retry_safety {
         RetrySafety::Idempotent => "idempotent".to_string(),
         RetrySafety::NotRetryable => "unrepeatable".to_string(),
         RetrySafety::Deduplicated { scope, window } => {
-            format!("deduplicated within {:?} for {window}", scope.map(place))
+            format!(
+                "deduplicated within {:?} for {window}",
+                scope.map(domain_name)
+            )
         }
     };
-    let spread = track.spread.map(|(by, most)| (place(by), most));
+    let spread = class.spread.map(|(by, most)| (domain_name(by), most));
     format!(
-        "{repeat} contract-time {} calm {:?} priority {} kind {:?} spread {spread:?}",
-        track.latency_objective,
-        track.target_utilization,
-        track.priority,
-        track.machine_type.map(|kind| kind.0),
+        "{retry_safety} contract-time {} calm {:?} priority {} kind {:?} spread {spread:?}",
+        class.latency_objective,
+        class.target_utilization,
+        class.priority,
+        class.machine_type.map(|machine_type| machine_type.0),
     )
 }
 
@@ -50,14 +53,14 @@
     line("hall", cluster.zone.0.to_string());
     line("number", cluster.scheduler_index.to_string());
     line("schedulers", cluster.scheduler_count.to_string());
-    for kind in &cluster.machine_types {
-        line("kind", amount(*kind));
+    for machine_type in &cluster.machine_types {
+        line("kind", amount(*machine_type));
     }
-    for track in &cluster.service_classes {
-        line("track", track_content(track));
+    for class in &cluster.service_classes {
+        line("track", class_content(class));
     }
-    for account in &cluster.tenants {
-        line("account", format!("{:?}", account.quota_cores));
+    for tenant in &cluster.tenants {
+        line("account", format!("{:?}", tenant.quota_cores));
     }
     line("accepts", amount(cluster.admission_limit));
     line("makes-room", cluster.preempts.to_string());
@@ -66,10 +69,13 @@
     line("shows-room", cluster.list_reports_capacity.to_string());
     line("may-probe", cluster.health_checks.to_string());
     line("ask-list", format!("{:?}", cluster.list_poll_interval));
-    let cold = &cluster.slow_start;
+    let slow_start = &cluster.slow_start;
     line(
         "cold",
-        format!("{} {} {:?}", cold.duration, cold.window, cold.max_offers),
+        format!(
+            "{} {} {:?}",
+            slow_start.duration, slow_start.window, slow_start.max_offers
+        ),
     );
     line("opens-within", cluster.connect_timeout.to_string());
     line("other-hall", format!("{:?}", cluster.cross_zone_cost));
@@ -80,11 +86,11 @@
 fn content(text: &str) -> String {
     let settings: Settings = match serde_json::from_str(text) {
         Ok(settings) => settings,
-        Err(why) => return format!("unreadable: {why}\n"),
+        Err(error) => return format!("unreadable: {error}\n"),
     };
     let mut text = match settings.cluster() {
         Ok(cluster) => cluster_content(&cluster),
-        Err(why) => return format!("refused: {why}\n"),
+        Err(error) => return format!("refused: {error}\n"),
     };
     for (index, class) in settings.classes.iter().enumerate() {
         writeln!(
@@ -113,12 +119,12 @@
 }
 
 #[test]
-fn settings_with_each_keyword_are_read_to_the_same_content() {
+fn settings_with_each_key_are_read_to_the_same_content() {
     assert_eq!(content(&data("settings.json")), data("settings_read.txt"));
 }
 
 #[test]
-fn settings_with_no_more_than_they_must_hold_are_read_to_the_same_content() {
+fn settings_with_only_required_keys_are_read_to_the_same_content() {
     assert_eq!(
         content(&data("settings_least.json")),
         data("settings_least_read.txt")
@@ -127,7 +133,7 @@
 
 /// Removes each key in turn and checks that the content changes or an error is returned.
 #[test]
-fn each_keyword_of_the_recorded_settings_is_read() {
+fn each_key_of_the_recorded_settings_is_read() {
     let whole: Value = serde_json::from_str(&data("settings.json")).expect("JSON");
     let read = content(&whole.to_string());
     let mut paths = Vec::new();
@@ -161,7 +167,7 @@
 }
 
 #[test]
-fn half_a_file_of_settings_is_refused_in_the_same_words() {
+fn half_a_file_of_settings_is_rejected_with_the_same_error() {
     let whole = data("settings.json");
     assert_eq!(
         content(&whole[..whole.len() / 2]),
@@ -170,17 +176,17 @@
 }
 
 #[test]
-fn recorded_malformed_settings_are_refused_in_the_same_words() {
+fn recorded_malformed_settings_are_rejected_with_the_same_errors() {
     let sound = data("settings.json");
     let cases = data("settings_malformed.txt");
     assert!(cases.lines().count() >= 12);
     for line in cases.lines() {
-        let (replaced, refusal) = line.split_once('\t').expect("a tab");
+        let (replaced, expected_error) = line.split_once('\t').expect("a tab");
         let (old, new) = replaced.split_once(" -> ").expect("an arrow");
         assert!(sound.contains(old), "the file holds {old}");
         assert_eq!(
             content(&sound.replacen(old, new, 1)),
-            format!("{refusal}\n"),
+            format!("{expected_error}\n"),
             "{replaced}"
         );
     }
