--- a/crates/simulator-adapter/src/decode.rs
+++ b/crates/simulator-adapter/src/decode.rs
@@ -1,11 +1,11 @@
-//! What parts of messages mean to the scheduler.
+//! Decodes the parts of messages into the scheduler's types.
 
 use crate::error::InputError;
 use crate::message::Message;
 use corkspan_scheduler::interface::*;
 use corkspan_settings::ticks_from_us;
 
-/// One machine of a list.
+/// Decodes one machine of a list.
 pub fn endpoint(message: &Message) -> Result<Endpoint, InputError> {
     let started: u64 = message.get_or("start-time-us", 0)?;
     let free = Resources {
@@ -28,7 +28,7 @@
     })
 }
 
-/// How an attempt or a health check ended.
+/// Decodes the result of an attempt or a health check.
 pub fn ending(message: &Message) -> Result<AttemptResult, InputError> {
     Ok(match message.get::<u16>("disposition")? {
         200 => AttemptResult::Completed,
@@ -43,7 +43,7 @@
     })
 }
 
-/// Why it ended so, where the message says.
+/// Decodes the reason why an attempt was returned, if the message gives one.
 pub fn reason(message: &Message) -> Result<Option<ReturnReason>, InputError> {
     Ok(match message.get_or("note", 0u8)? {
         1 => Some(ReturnReason::NoCores),
@@ -57,7 +57,7 @@
     })
 }
 
-/// The load report, where one is attached that tells both cores and memory.
+/// Decodes the load report, if one with both cores and memory is attached.
 pub fn load_report(message: &Message) -> Result<Option<LoadReport>, InputError> {
     let metrics = message.get_or("metrics", String::new())?;
     let (mut cores, mut memory) = (None, None);
@@ -77,7 +77,7 @@
     }))
 }
 
-/// The metric of an allocation, where it is a known one.
+/// Decodes the metric of an allocation, if it is known.
 pub fn metric(message: &Message) -> Result<Option<Metric>, InputError> {
     let value = message.get_or("x", 0.0)?;
     Ok(match message.get::<u8>("kind")? {
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -1,16 +1,16 @@
-//! What is wrong with the input.
+//! Errors in the input.
 
-/// A fault in the input, with the line for whoever runs the adapter.
+/// An error in the input, with its line number.
 #[derive(Debug, thiserror::Error)]
 pub enum InputError {
-    /// A message lacks a part that it must have.
+    /// A message lacks a required part.
     #[error("line {line}: {message} lacks the part `{part}`")]
     MissingPart {
         line: u64,
         message: String,
         part: &'static str,
     },
-    /// The text of a part is no value for it.
+    /// The text of a part is not a valid value.
     #[error("line {line}: {message}: `{text}` is no value for the part `{part}`")]
     InvalidPart {
         line: u64,
@@ -18,23 +18,23 @@
         part: &'static str,
         text: String,
     },
-    /// A message that can't stand there.
+    /// A message is not allowed at its position.
     #[error("line {line}: `{message}` is no message that can stand here")]
     UnexpectedMessage { line: u64, message: String },
-    /// A part that is no pair.
+    /// A part is not a `name=value` pair.
     #[error("line {line}: `{text}` is no name=value pair")]
     NotAPair { line: u64, text: String },
-    /// The input ended before the batch did.
+    /// The input ended before the end of a batch.
     #[error("line {line}: input ended in the middle of a batch")]
     UnfinishedBatch { line: u64 },
-    /// The message can be read, but not acted on.
+    /// A message is well-formed but can't be handled.
     #[error("line {line}: {message}: {reason}")]
     InvalidMessage {
         line: u64,
         message: String,
         reason: String,
     },
-    /// Standard input or output failed.
+    /// Reading standard input or writing standard output failed.
     #[error("cannot read or write: {0}")]
     Stream(#[from] std::io::Error),
 }
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -1,4 +1,4 @@
-//! One dispatcher on the simulator's wire: its messages to calls on the engine.
+//! Translates the messages to one dispatcher into calls on the engine.
 
 use crate::decode;
 use crate::error::InputError;
@@ -9,30 +9,30 @@
 use corkspan_scheduler::interface::*;
 use corkspan_settings::{Settings, ticks_from_us};
 
-/// One dispatcher, from its start to its end.
+/// One running dispatcher.
 pub struct Instance {
     engine: Engine<String>,
     settings: Settings,
 }
 
 impl Instance {
-    /// A dispatcher that starts with the settings of this message.
+    /// Starts a dispatcher with the settings in the message.
     pub fn boot(now: Ticks, message: &Message) -> Result<Self, InputError> {
         let settings: Settings =
             serde_json::from_str(message.text("facts")?).map_err(|error| message.invalid(error))?;
         let cluster = settings.cluster().map_err(|error| message.invalid(error))?;
-        // In the simulator what is dispatched has left.
+        // The simulator's connections take no time to be established.
         let cluster = Cluster {
             connect_timeout: 0,
             ..cluster
         };
         let seed = message.get("random-seed")?;
-        // The simulator itself rejects what is beyond its cap.
+        // The simulator enforces its own limit on requests.
         let engine = Engine::new(cluster, seed, now, usize::MAX, RetryBatch::ALL);
         Ok(Instance { engine, settings })
     }
 
-    /// One event at this time, in microseconds; answers go to `reply`.
+    /// Handles an event that occurs at `us` microseconds and adds the answers to `reply`.
     pub fn event(
         &mut self,
         us: u64,
@@ -79,7 +79,7 @@
         Ok(())
     }
 
-    /// After the events of a batch: what is to be set going, and the timer for the next call.
+    /// Polls the engine after the events of a batch: starts due work and sets the next timer.
     pub fn rest(&mut self, now: Ticks, reply: &mut ReplyLines) {
         self.engine.poll(now, reply);
     }
@@ -116,7 +116,7 @@
         }
     }
 
-    /// An allocation that already runs on a machine.
+    /// Admits an allocation that already runs on a machine.
     fn already_placed(&mut self, us: u64, message: &Message) -> Result<(), InputError> {
         let (name, request) = self.requested(us, message)?;
         let machine = MachineId(message.get("node")?);
@@ -141,7 +141,7 @@
         Ok(self.engine.find(message.text("request-id")?))
     }
 
-    /// The name of an allocation, and what is requested.
+    /// Decodes the name of an allocation and its request.
     fn requested<'a>(
         &self,
         us: u64,
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,4 +1,5 @@
-//! Runs corkspan's decisions on the simulator's wire: lines in, calls on the engine, lines out.
+//! Runs corkspan's scheduling engine on the simulator's protocol: reads lines, calls the engine
+//! and writes its answers as lines.
 
 #![warn(missing_docs, clippy::too_many_lines)]
 
@@ -26,7 +27,7 @@
     }
 }
 
-/// Answers batches until the input ends.
+/// Processes batches until the input ends.
 fn run(input: impl BufRead, mut output: impl Write) -> Result<(), InputError> {
     let mut session = Session::new();
     let mut lines = InputLines::new(input);
--- a/crates/simulator-adapter/src/message.rs
+++ b/crates/simulator-adapter/src/message.rs
@@ -1,23 +1,23 @@
-//! Lines of the wire: a message name and its parts.
+//! Parses the input lines, each a message name and its parts.
 
 use crate::error::InputError;
 use std::io::BufRead;
 use std::str::FromStr;
 
-/// Parts whose text runs to the end of the line, tabs included.
+/// Parts whose text extends to the end of the line, including tabs.
 const PARTS_TO_LINE_END: [&str; 2] = ["facts", "line"];
 
-/// A message with its parts, which are looked up by name; unknown ones are never asked for.
+/// A message with its parts, which are looked up by name. Unknown parts are ignored.
 pub struct Message<'a> {
     /// The number of its line in the input, from 1.
     pub line: u64,
-    /// What it is.
+    /// The name of the message.
     pub name: &'a str,
     parts: Vec<(&'a str, &'a str)>,
 }
 
 impl<'a> Message<'a> {
-    /// Reads a line without its end.
+    /// Parses a line without its line ending.
     pub fn parse(line: u64, text: &'a str) -> Result<Self, InputError> {
         let (name, mut rest) = text.split_once('\t').unwrap_or((text, ""));
         let mut parts = Vec::new();
@@ -37,7 +37,7 @@
         Ok(Message { line, name, parts })
     }
 
-    /// The text of a part.
+    /// Returns the text of a part.
     pub fn text(&self, part: &'static str) -> Result<&'a str, InputError> {
         self.find(part).ok_or_else(|| InputError::MissingPart {
             line: self.line,
@@ -46,18 +46,18 @@
         })
     }
 
-    /// The value of a part.
+    /// Returns the value of a part.
     pub fn get<T: FromStr>(&self, part: &'static str) -> Result<T, InputError> {
         self.value(part, self.text(part)?)
     }
 
-    /// The value of a part that may be absent.
+    /// Returns the value of a part, or `absent` if the message does not have it.
     pub fn get_or<T: FromStr>(&self, part: &'static str, absent: T) -> Result<T, InputError> {
         self.find(part)
             .map_or(Ok(absent), |text| self.value(part, text))
     }
 
-    /// An amount of cores or memory: finite and not below 0.
+    /// Returns an amount of cores or memory, which must be finite and not negative.
     pub fn amount(&self, part: &'static str) -> Result<f64, InputError> {
         let value: f64 = self.get(part)?;
         if value.is_finite() && value >= 0.0 {
@@ -67,17 +67,17 @@
         }
     }
 
-    /// An index into a list of this length.
+    /// Returns an index into a list of this length.
     pub fn index(&self, part: &'static str, length: usize) -> Result<usize, InputError> {
         self.checked_index(part, self.get(part)?, length)
     }
 
-    /// An index into a list of this length, 0 where it is absent.
+    /// Returns an index into a list of this length, or 0 if the part is absent.
     pub fn index_or_first(&self, part: &'static str, length: usize) -> Result<usize, InputError> {
         self.checked_index(part, self.get_or(part, 0)?, length)
     }
 
-    /// This text is no value for the part.
+    /// Returns the error for a part with an invalid value.
     pub fn invalid_part(&self, part: &'static str, text: &str) -> InputError {
         InputError::InvalidPart {
             line: self.line,
@@ -87,7 +87,7 @@
         }
     }
 
-    /// The message can't stand here.
+    /// Returns the error for a message that is not allowed at its position.
     pub fn unexpected(&self) -> InputError {
         InputError::UnexpectedMessage {
             line: self.line,
@@ -95,7 +95,7 @@
         }
     }
 
-    /// The message can't be acted on.
+    /// Returns the error for a message that can't be handled.
     pub fn invalid(&self, reason: impl ToString) -> InputError {
         InputError::InvalidMessage {
             line: self.line,
@@ -127,7 +127,7 @@
     }
 }
 
-/// Input line by line, counted for the messages about it.
+/// Reads the input line by line and counts the lines for error messages.
 pub struct InputLines<R> {
     input: R,
     number: u64,
@@ -135,7 +135,7 @@
 }
 
 impl<R: BufRead> InputLines<R> {
-    /// The lines of this input.
+    /// Creates a reader of this input.
     pub fn new(input: R) -> Self {
         InputLines {
             input,
@@ -144,7 +144,7 @@
         }
     }
 
-    /// The next line as a message; none at the end of input.
+    /// Returns the next line as a message, or `None` at the end of the input.
     pub fn next_message(&mut self) -> Result<Option<Message<'_>>, InputError> {
         self.text.clear();
         if self.input.read_until(b'\n', &mut self.text)? == 0 {
@@ -163,7 +163,7 @@
         Message::parse(line, text).map(Some)
     }
 
-    /// The next message of a batch, which must not end here.
+    /// Returns the next message of a batch. The end of the input is an error.
     pub fn next_in_batch(&mut self) -> Result<Message<'_>, InputError> {
         let line = self.number + 1;
         self.next_message()?
--- a/crates/simulator-adapter/src/reply.rs
+++ b/crates/simulator-adapter/src/reply.rs
@@ -1,22 +1,22 @@
-//! Answers of the scheduler as the lines of a reply.
+//! Writes the engine's effects as the lines of a reply.
 
 use corkspan_engine::Effects;
 use corkspan_scheduler::interface::*;
 use std::fmt::Write;
 
-/// Microseconds in a tick of the scheduler.
+/// Number of microseconds per tick of the scheduler.
 const MICROSECONDS_PER_TICK: Ticks = 100;
 
-/// The lines of a reply. With each allocation goes its name on the wire.
+/// The lines of a reply. The engine stores each allocation with its name in the protocol.
 pub struct ReplyLines<'a>(pub &'a mut String);
 
 impl ReplyLines<'_> {
-    /// The lines after this one are those of this instance.
+    /// Marks the lines that follow as those of this instance.
     pub fn on_behalf_of(&mut self, instance: &str) {
         let _ = writeln!(self.0, "ON_BEHALF\tdispatcher={instance}");
     }
 
-    /// The reply ends.
+    /// Ends the reply.
     pub fn end(&mut self, turn: u64) {
         let _ = writeln!(self.0, "END\tturn={turn}");
     }
--- a/crates/simulator-adapter/src/session.rs
+++ b/crates/simulator-adapter/src/session.rs
@@ -1,4 +1,4 @@
-//! The instances of one process, and the batches of events that they get.
+//! Manages the instances of one process and passes batches of events to them.
 
 use crate::decode;
 use crate::error::InputError;
@@ -10,10 +10,10 @@
 use std::collections::BTreeMap;
 use std::io::BufRead;
 
-/// A list of machines, referred to by its number.
+/// A list of machines. Events refer to it by its number.
 pub type Page = Vec<Endpoint>;
 
-/// Numbers of lists run from 0 to 15.
+/// Number of lists; they are numbered from 0 to 15.
 const PAGES: usize = 16;
 
 /// The instances of this process and the lists that their events refer to.
@@ -23,7 +23,7 @@
 }
 
 impl Session {
-    /// No instance has started.
+    /// Creates a session without instances.
     pub fn new() -> Self {
         Session {
             instances: BTreeMap::new(),
@@ -31,7 +31,7 @@
         }
     }
 
-    /// The events of a batch up to its end, at this time in microseconds.
+    /// Processes a batch that occurs at `us` microseconds, up to its end.
     pub fn batch(
         &mut self,
         us: u64,
--- a/crates/simulator-adapter/tests/conversation.rs
+++ b/crates/simulator-adapter/tests/conversation.rs
@@ -1,5 +1,5 @@
-//! The adapter run as the simulator runs it, on recorded input: its answers are compared byte for
-//! byte with those recorded, and its complaints about malformed input word for word.
+//! Runs the adapter as the simulator does, on recorded input, and compares its answers and its
+//! errors about malformed input with the recorded ones.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -7,7 +7,7 @@
 const ADAPTER: &str = env!("CARGO_BIN_EXE_corkspan-simulator-adapter");
 const CONVERSATION: &str = include_str!("data/conversation.in");
 const ANSWERS: &str = include_str!("data/conversation.out");
-/// Inputs, each followed by the complaint about it after `=> `.
+/// Inputs, each followed by the expected error after `=> `.
 const MALFORMED: &str = include_str!("data/malformed.txt");
 
 fn run(input: &[u8]) -> Output {
@@ -20,7 +20,7 @@
     let mut stdin = adapter.stdin.take().unwrap();
     let input = input.to_vec();
     let writer = std::thread::spawn(move || {
-        // An adapter that has found a fault no longer reads.
+        // Ignores write errors: after an error in the input the adapter stops reading.
         let _ = stdin.write_all(&input);
     });
     let output = adapter.wait_with_output().unwrap();
