--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -11,7 +11,7 @@
         part: &'static str,
     },
     /// The text of a part is not a valid value.
-    #[error("line {line}: {message}: `{text}` is no value for the part `{part}`")]
+    #[error("line {line}: {message}: invalid value `{text}` for the part `{part}`")]
     InvalidPart {
         line: u64,
         message: String,
@@ -19,13 +19,13 @@
         text: String,
     },
     /// A message is not allowed at its position.
-    #[error("line {line}: `{message}` is no message that can stand here")]
+    #[error("line {line}: unexpected message `{message}`")]
     UnexpectedMessage { line: u64, message: String },
     /// A part is not a `name=value` pair.
-    #[error("line {line}: `{text}` is no name=value pair")]
+    #[error("line {line}: `{text}` is not a name=value pair")]
     NotAPair { line: u64, text: String },
     /// The input ended before the end of a batch.
-    #[error("line {line}: input ended in the middle of a batch")]
+    #[error("line {line}: the input ended in the middle of a batch")]
     UnfinishedBatch { line: u64 },
     /// A message is well-formed but can't be handled.
     #[error("line {line}: {message}: {reason}")]
@@ -35,6 +35,6 @@
         reason: String,
     },
     /// Reading standard input or writing standard output failed.
-    #[error("cannot read or write: {0}")]
+    #[error("cannot read the input or write the output: {0}")]
     Stream(#[from] std::io::Error),
 }
--- a/crates/simulator-adapter/src/session.rs
+++ b/crates/simulator-adapter/src/session.rs
@@ -60,7 +60,7 @@
                 _ => {
                     let name = selected
                         .as_ref()
-                        .ok_or_else(|| message.invalid("no SELECT before it"))?;
+                        .ok_or_else(|| message.invalid("no SELECT precedes it"))?;
                     self.event(us, name, &message, reply)?;
                 }
             }
@@ -93,7 +93,7 @@
                 let instance = self
                     .instances
                     .get_mut(name)
-                    .ok_or_else(|| message.invalid(format!("{name} was never started")))?;
+                    .ok_or_else(|| message.invalid(format!("{name} has not been started")))?;
                 instance.event(us, message, &self.pages, reply)?;
             }
         }
