--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -7,7 +7,7 @@
     #[error("family-info.kind-cores and kind-memory must have an entry for each of skus")]
     MachineTypeSizes,
     /// The dispatcher's zone is not in the list of zones.
-    #[error("locality names none of zones")]
+    #[error("locality is not the index of an entry of zones")]
     Locality,
     /// A list with an entry per class is too short, or a class lacks a key.
     #[error("{key} has no entry for class {class}")]
