--- a/crates/simulator-adapter/src/decode.rs
+++ b/crates/simulator-adapter/src/decode.rs
@@ -29,7 +29,7 @@
 }
 
 /// Decodes the result of an attempt or a health check.
-pub fn ending(message: &Message) -> Result<AttemptResult, InputError> {
+pub fn attempt_result(message: &Message) -> Result<AttemptResult, InputError> {
     Ok(match message.get::<u16>("disposition")? {
         200 => AttemptResult::Completed,
         500 => AttemptResult::Error,
@@ -44,7 +44,7 @@
 }
 
 /// Decodes the reason why an attempt was returned, if the message gives one.
-pub fn reason(message: &Message) -> Result<Option<ReturnReason>, InputError> {
+pub fn return_reason(message: &Message) -> Result<Option<ReturnReason>, InputError> {
     Ok(match message.get_or("note", 0u8)? {
         1 => Some(ReturnReason::NoCores),
         2 => Some(ReturnReason::NoMemory),
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -17,7 +17,7 @@
 
 impl Instance {
     /// Starts a dispatcher with the settings in the message.
-    pub fn boot(now: Ticks, message: &Message) -> Result<Self, InputError> {
+    pub fn start(now: Ticks, message: &Message) -> Result<Self, InputError> {
         let settings: Settings =
             serde_json::from_str(message.text("facts")?).map_err(|error| message.invalid(error))?;
         let cluster = settings.cluster().map_err(|error| message.invalid(error))?;
@@ -33,7 +33,7 @@
     }
 
     /// Handles an event that occurs at `us` microseconds and adds the answers to `reply`.
-    pub fn event(
+    pub fn handle_event(
         &mut self,
         us: u64,
         message: &Message,
@@ -42,29 +42,29 @@
     ) -> Result<(), InputError> {
         let now = ticks_from_us(us);
         match message.name {
-            "PEERS_KNOWN" => self.endpoint_list(now, message, pages)?,
+            "PEERS_KNOWN" => self.apply_endpoint_list(now, message, pages)?,
             "ASK" => {
-                let (name, request) = self.requested(us, message)?;
+                let (name, request) = self.allocation_request(us, message)?;
                 let admitted = self.engine.admit(now, name, request, name.into());
                 let id = admitted.map_err(|(error, _)| message.invalid(error))?;
                 self.engine.place(now, id, reply);
             }
-            "IN_PLACE" => self.already_placed(us, message)?,
+            "IN_PLACE" => self.admit_running(us, message)?,
             "SEATED" => {
                 let attempt = message.get("leg")?;
-                if let Some(id) = self.find(message)? {
+                if let Some(id) = self.find_allocation(message)? {
                     self.engine.attempt_placed(now, id, attempt, reply);
                 }
             }
-            "RETURNED" => self.returned(now, message, reply)?,
+            "RETURNED" => self.attempt_returned(now, message, reply)?,
             "INTERIM" => {
                 let metric = decode::metric(message)?;
-                if let (Some(id), Some(metric)) = (self.find(message)?, metric) {
+                if let (Some(id), Some(metric)) = (self.find_allocation(message)?, metric) {
                     self.engine.record_metric(now, id, metric);
                 }
             }
             "DROPPED" => {
-                if let Some(id) = self.find(message)? {
+                if let Some(id) = self.find_allocation(message)? {
                     self.engine.finish(id);
                 }
             }
@@ -72,7 +72,7 @@
                 message.get::<u64>("key-back")?;
                 self.engine.timer_fired(now);
             }
-            "CHECK_RESULT" => self.health_checked(now, message)?,
+            "CHECK_RESULT" => self.record_health_check(now, message)?,
             "INBOX" => {}
             _ => return Err(message.unexpected()),
         }
@@ -80,22 +80,22 @@
     }
 
     /// Polls the engine after the events of a batch: starts due work and sets the next timer.
-    pub fn rest(&mut self, now: Ticks, reply: &mut ReplyLines) {
+    pub fn poll(&mut self, now: Ticks, reply: &mut ReplyLines) {
         self.engine.poll(now, reply);
     }
 
-    fn returned(
+    fn attempt_returned(
         &mut self,
         now: Ticks,
         message: &Message,
         reply: &mut ReplyLines,
     ) -> Result<(), InputError> {
         let attempt: usize = message.get("leg")?;
-        let ending = decode::ending(message)?;
-        let reason = decode::reason(message)?;
+        let ending = decode::attempt_result(message)?;
+        let reason = decode::return_reason(message)?;
         let finished = message.get_or("final", 0u8)? == 1;
         let report = decode::load_report(message)?;
-        let Some(id) = self.find(message)? else {
+        let Some(id) = self.find_allocation(message)? else {
             return Ok(());
         };
         let engine = &mut self.engine;
@@ -117,8 +117,8 @@
     }
 
     /// Admits an allocation that already runs on a machine.
-    fn already_placed(&mut self, us: u64, message: &Message) -> Result<(), InputError> {
-        let (name, request) = self.requested(us, message)?;
+    fn admit_running(&mut self, us: u64, message: &Message) -> Result<(), InputError> {
+        let (name, request) = self.allocation_request(us, message)?;
         let machine = MachineId(message.get("node")?);
         let now = ticks_from_us(us);
         let admitted = self
@@ -128,27 +128,27 @@
         Ok(())
     }
 
-    fn health_checked(&mut self, now: Ticks, message: &Message) -> Result<(), InputError> {
+    fn record_health_check(&mut self, now: Ticks, message: &Message) -> Result<(), InputError> {
         let machine = MachineId(message.get("node")?);
-        let ending = decode::ending(message)?;
+        let ending = decode::attempt_result(message)?;
         let report = decode::load_report(message)?;
         self.engine
             .record_health_check(now, machine, ending, report);
         Ok(())
     }
 
-    fn find(&self, message: &Message) -> Result<Option<AllocationId>, InputError> {
+    fn find_allocation(&self, message: &Message) -> Result<Option<AllocationId>, InputError> {
         Ok(self.engine.find(message.text("request-id")?))
     }
 
     /// Decodes the name of an allocation and its request.
-    fn requested<'a>(
+    fn allocation_request<'a>(
         &self,
         us: u64,
         message: &Message<'a>,
     ) -> Result<(&'a str, AllocationRequest), InputError> {
         let tenants = self.settings.tenants.len().max(1);
-        let requested = AllocationRequest {
+        let request = AllocationRequest {
             service: service_id(message.text("owner-set")?),
             service_class: ServiceClassId(
                 message.index("tier-class", self.settings.classes.len())?,
@@ -160,10 +160,10 @@
             },
             deadline: ticks_from_us(us.saturating_add(message.get_or("expires-in-us", 0)?)),
         };
-        Ok((message.text("request-id")?, requested))
+        Ok((message.text("request-id")?, request))
     }
 
-    fn endpoint_list(
+    fn apply_endpoint_list(
         &mut self,
         now: Ticks,
         message: &Message,
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -39,7 +39,7 @@
         let (us, turn): (u64, u64) = (tick.get("t-us")?, tick.get("turn")?);
         text.clear();
         let mut reply = ReplyLines(&mut text);
-        session.batch(us, &mut lines, &mut reply)?;
+        session.run_batch(us, &mut lines, &mut reply)?;
         reply.end(turn);
         output.write_all(text.as_bytes())?;
         output.flush()?;
--- a/crates/simulator-adapter/src/message.rs
+++ b/crates/simulator-adapter/src/message.rs
@@ -39,7 +39,7 @@
 
     /// Returns the text of a part.
     pub fn text(&self, part: &'static str) -> Result<&'a str, InputError> {
-        self.find(part).ok_or_else(|| InputError::MissingPart {
+        self.find_part(part).ok_or_else(|| InputError::MissingPart {
             line: self.line,
             message: self.name.into(),
             part,
@@ -48,13 +48,13 @@
 
     /// Returns the value of a part.
     pub fn get<T: FromStr>(&self, part: &'static str) -> Result<T, InputError> {
-        self.value(part, self.text(part)?)
+        self.parse_value(part, self.text(part)?)
     }
 
     /// Returns the value of a part, or `absent` if the message does not have it.
     pub fn get_or<T: FromStr>(&self, part: &'static str, absent: T) -> Result<T, InputError> {
-        self.find(part)
-            .map_or(Ok(absent), |text| self.value(part, text))
+        self.find_part(part)
+            .map_or(Ok(absent), |text| self.parse_value(part, text))
     }
 
     /// Returns an amount of cores or memory, which must be finite and not negative.
@@ -117,12 +117,12 @@
         }
     }
 
-    fn find(&self, part: &str) -> Option<&'a str> {
+    fn find_part(&self, part: &str) -> Option<&'a str> {
         let mut parts = self.parts.iter();
         parts.find(|(key, _)| *key == part).map(|&(_, value)| value)
     }
 
-    fn value<T: FromStr>(&self, part: &'static str, text: &str) -> Result<T, InputError> {
+    fn parse_value<T: FromStr>(&self, part: &'static str, text: &str) -> Result<T, InputError> {
         text.parse().map_err(|_| self.invalid_part(part, text))
     }
 }
--- a/crates/simulator-adapter/src/reply.rs
+++ b/crates/simulator-adapter/src/reply.rs
@@ -21,7 +21,7 @@
         let _ = writeln!(self.0, "END\tturn={turn}");
     }
 
-    fn about_request(&mut self, message: &str, name: &str) {
+    fn write_about_request(&mut self, message: &str, name: &str) {
         let _ = writeln!(self.0, "{message}\trequest-id={name}");
     }
 }
@@ -36,15 +36,15 @@
     }
 
     fn shed(&mut self, name: &mut String, _: &Allocation) {
-        self.about_request("PUSH_BACK", name);
+        self.write_about_request("PUSH_BACK", name);
     }
 
     fn indeterminate(&mut self, name: &mut String, _: &Allocation) {
-        self.about_request("ERROR", name);
+        self.write_about_request("ERROR", name);
     }
 
     fn migrate(&mut self, name: &mut String, _: &Allocation) {
-        self.about_request("MOVE", name);
+        self.write_about_request("MOVE", name);
     }
 
     fn check_health(&mut self, machine: MachineId) {
--- a/crates/simulator-adapter/src/session.rs
+++ b/crates/simulator-adapter/src/session.rs
@@ -14,7 +14,7 @@
 pub type Page = Vec<Endpoint>;
 
 /// Number of lists; they are numbered from 0 to 15.
-const PAGES: usize = 16;
+const PAGE_COUNT: usize = 16;
 
 /// The instances of this process and the lists that their events refer to.
 pub struct Session {
@@ -27,32 +27,32 @@
     pub fn new() -> Self {
         Session {
             instances: BTreeMap::new(),
-            pages: vec![Page::new(); PAGES],
+            pages: vec![Page::new(); PAGE_COUNT],
         }
     }
 
     /// Processes a batch that occurs at `us` microseconds, up to its end.
-    pub fn batch(
+    pub fn run_batch(
         &mut self,
         us: u64,
         lines: &mut InputLines<impl BufRead>,
         reply: &mut ReplyLines,
     ) -> Result<(), InputError> {
         let mut selected: Option<String> = None;
-        let mut with_events: Vec<String> = Vec::new();
+        let mut instances_in_batch: Vec<String> = Vec::new();
         loop {
             let message = lines.next_in_batch()?;
             match message.name {
                 "END" => break,
                 "POOL" => {
-                    let page = message.index("page", PAGES)?;
+                    let page = message.index("page", PAGE_COUNT)?;
                     let length = message.get("hosts")?;
                     self.pages[page] = read_page(lines, length)?;
                 }
                 "SELECT" => {
                     let name = message.text("dispatcher")?;
-                    if !with_events.iter().any(|other| other == name) {
-                        with_events.push(name.into());
+                    if !instances_in_batch.iter().any(|other| other == name) {
+                        instances_in_batch.push(name.into());
                     }
                     selected = Some(name.into());
                     reply.on_behalf_of(name);
@@ -61,20 +61,20 @@
                     let name = selected
                         .as_ref()
                         .ok_or_else(|| message.invalid("no SELECT precedes it"))?;
-                    self.event(us, name, &message, reply)?;
+                    self.handle_event(us, name, &message, reply)?;
                 }
             }
         }
-        for name in with_events {
+        for name in instances_in_batch {
             if let Some(instance) = self.instances.get_mut(&name) {
                 reply.on_behalf_of(&name);
-                instance.rest(ticks_from_us(us), reply);
+                instance.poll(ticks_from_us(us), reply);
             }
         }
         Ok(())
     }
 
-    fn event(
+    fn handle_event(
         &mut self,
         us: u64,
         name: &str,
@@ -83,7 +83,7 @@
     ) -> Result<(), InputError> {
         match message.name {
             "BOOT" => {
-                let instance = Instance::boot(ticks_from_us(us), message)?;
+                let instance = Instance::start(ticks_from_us(us), message)?;
                 self.instances.insert(name.into(), instance);
             }
             "DETACH" => {
@@ -94,7 +94,7 @@
                     .instances
                     .get_mut(name)
                     .ok_or_else(|| message.invalid(format!("{name} has not been started")))?;
-                instance.event(us, message, &self.pages, reply)?;
+                instance.handle_event(us, message, &self.pages, reply)?;
             }
         }
         Ok(())
--- a/crates/simulator-adapter/tests/conversation.rs
+++ b/crates/simulator-adapter/tests/conversation.rs
@@ -28,11 +28,11 @@
     output
 }
 
-fn complaint(output: &Output) -> &str {
+fn error_message(output: &Output) -> &str {
     let text = std::str::from_utf8(&output.stderr).unwrap();
-    let (program, complaint) = text.split_once(": ").unwrap();
+    let (program, error_message) = text.split_once(": ").unwrap();
     assert!(ADAPTER.ends_with(program), "{text}");
-    complaint
+    error_message
 }
 
 #[test]
@@ -56,7 +56,7 @@
     assert!(!output.status.success());
     let line = half.lines().count() + 1;
     let expected = format!("line {line}: the input ended in the middle of a batch\n");
-    assert_eq!(complaint(&output), expected);
+    assert_eq!(error_message(&output), expected);
     let answers = std::str::from_utf8(&output.stdout).unwrap();
     let batches = half.matches("\nEND\n").count();
     assert_eq!(answers.matches("END\tturn=").count(), batches);
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn malformed_input_is_refused_with_the_recorded_complaint() {
+fn malformed_input_is_rejected_with_the_recorded_error() {
     let mut input = String::new();
     let mut cases = 0;
     for line in MALFORMED.lines() {
@@ -75,7 +75,7 @@
         };
         let output = run(input.as_bytes());
         assert_eq!(output.status.code(), Some(1), "{input}");
-        assert_eq!(complaint(&output), format!("{expected}\n"), "{input}");
+        assert_eq!(error_message(&output), format!("{expected}\n"), "{input}");
         input.clear();
         cases += 1;
     }
@@ -83,9 +83,9 @@
 }
 
 #[test]
-fn text_that_is_not_utf8_is_refused_with_its_line() {
+fn text_that_is_not_utf8_is_rejected_with_its_line() {
     let output = run(b"TICK\tt-us=1\tturn=1\nSELECT\tdispatcher=\xff\n");
     assert_eq!(output.status.code(), Some(1));
     let expected = "line 2: text: invalid utf-8 sequence of 1 bytes from index 18\n";
-    assert_eq!(complaint(&output), expected);
+    assert_eq!(error_message(&output), expected);
 }
