--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -21,13 +21,13 @@
         let settings: Settings =
             serde_json::from_str(message.text("facts")?).map_err(|error| message.invalid(error))?;
         let cluster = settings.cluster().map_err(|error| message.invalid(error))?;
-        // The simulator's connections take no time to be established.
+        // In the simulator a dispatched attempt has already been sent.
         let cluster = Cluster {
             connect_timeout: 0,
             ..cluster
         };
         let seed = message.get("random-seed")?;
-        // The simulator enforces its own limit on requests.
+        // The simulator itself rejects requests beyond its limit.
         let engine = Engine::new(cluster, seed, now, usize::MAX, RetryBatch::ALL);
         Ok(Instance { engine, settings })
     }
