--- a/crates/api/build.rs
+++ b/crates/api/build.rs
@@ -1,4 +1,4 @@
-//! Generates the messages from the .proto files, with protox in the place of a protoc to install.
+//! Generates the messages from the .proto files. Uses protox, so that no protoc must be installed.
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     let files = ["control", "placement", "node", "roll", "roster"]
--- a/crates/api/src/codec.rs
+++ b/crates/api/src/codec.rs
@@ -1,6 +1,6 @@
-//! The codec of all messages: prost's, with small buffers. A call stays open for as long as its
-//! allocation runs, and tonic's default buffers of 8 KiB at each end of each call would be most of
-//! the memory of an allocation.
+//! Provides the codec of all messages: prost's codec with small buffers. A call stays open for as
+//! long as its allocation runs, and tonic's default buffers of 8 KiB at each end of each call would
+//! account for most of the memory of an allocation.
 
 use std::marker::PhantomData;
 use tonic::codec::{BufferSettings, Codec};
@@ -8,7 +8,7 @@
 
 /// Initial size of a buffer, in bytes.
 const BUFFER_BYTES: usize = 256;
-/// A buffer of this many bytes is handed on before more is encoded.
+/// Size, in bytes, at which a buffer is passed on before more is encoded.
 const YIELD_THRESHOLD_BYTES: usize = 32 * 1024;
 
 /// Encodes `T` and decodes `U` with small buffers.
--- a/crates/api/src/lib.rs
+++ b/crates/api/src/lib.rs
@@ -1,5 +1,5 @@
-//! The messages and services of `corkspan.v1`, generated from the files in `proto/`: placement for
-//! clients, nodes, the roster, configuration versions and rollouts. Fields are documented there.
+//! Messages and services of `corkspan.v1`, generated from the files in `proto/`, which document
+//! their fields: placement for clients, nodes, the roster, configuration versions and rollouts.
 #![warn(missing_docs, clippy::too_many_lines)]
 
 pub mod codec;
--- a/crates/api/tests/wire_contract.rs
+++ b/crates/api/tests/wire_contract.rs
@@ -1,8 +1,9 @@
-//! `corkspan.v1` on the wire stays as released. `data/contract.txt` records services, rpcs, field
-//! numbers, types and enum values; `data/messages.txt` holds bytes that the released program wrote.
+//! Checks that the wire format of `corkspan.v1` stays as released. `data/contract.txt` records the
+//! services, rpcs, field numbers, types and enum values; `data/messages.txt` holds bytes written by
+//! the released program.
 //!
-//! Names of messages and fields are not on the wire, so the record does not hold them: a message is
-//! called by the first path from an rpc that reaches it, such as `Node.Keep.request.2.3`.
+//! Names of messages and fields are not on the wire and not recorded. A message is identified by
+//! the first path from an rpc that reaches it, such as `Node.Keep.request.2.3`.
 
 use corkspan_api::v1;
 use prost::Message;
@@ -25,7 +26,7 @@
     DescriptorPool::from_file_descriptor_set(set).expect("a complete set")
 }
 
-/// Messages by full name, each with the first path that reaches it, breadth first from the rpcs in
+/// Messages with the first path that reaches each, found by a breadth-first search from the rpcs in
 /// the order of their names.
 struct Paths {
     by_name: BTreeMap<String, String>,
@@ -124,7 +125,7 @@
         lines.push(format!("message {path}"));
         lines.extend(message.fields().map(|field| field_line(&field, &paths)));
     }
-    // None that no rpc reaches: such a one would stand in no line above.
+    // Every message must be reached by an rpc, since the lines above omit any other.
     let declared = pool
         .all_messages()
         .filter(|message| message.package_name() == "corkspan.v1");
@@ -147,7 +148,7 @@
     assert!(now == CONTRACT, "now, and as recorded: {changed:#?}");
 }
 
-/// These names are printed by `corkspan status` and `corkspan place`, and label metrics.
+/// Checks the names that `corkspan status` and `corkspan place` print and that label metrics.
 #[test]
 fn names_of_enum_values_that_are_shown_are_as_recorded() {
     let names = |numbers: std::ops::Range<i32>, name: &dyn Fn(i32) -> String| {
@@ -176,7 +177,7 @@
     );
 }
 
-/// Decodes what is recorded for a message and encodes it again.
+/// Checks that the recorded bytes of a message are decoded and encoded to the same bytes.
 fn check<M: Message + Default>(path: &str, checked: &mut Vec<String>) {
     for line in MESSAGES.lines() {
         let (name, hex) = line.split_once(' ').expect("a path and bytes");
