--- a/crates/api/tests/wire_contract.rs
+++ b/crates/api/tests/wire_contract.rs
@@ -85,8 +85,8 @@
     };
     let kind = match field.kind() {
         Kind::Message(message) => format!("message {}", paths.by_name[message.full_name()]),
-        Kind::Enum(each) => {
-            let numbers: Vec<String> = each
+        Kind::Enum(enumeration) => {
+            let numbers: Vec<String> = enumeration
                 .values()
                 .map(|value| value.number().to_string())
                 .collect();
@@ -95,7 +95,7 @@
         other => format!("{other:?}").to_lowercase(),
     };
     let oneof = field.containing_oneof().map_or(String::new(), |oneof| {
-        let first = oneof.fields().map(|each| each.number()).min();
+        let first = oneof.fields().map(|field| field.number()).min();
         format!(" oneof-from-{}", first.expect("a oneof has fields"))
     });
     let packed = if field.is_packed() { " packed" } else { "" };
@@ -138,47 +138,50 @@
 
 #[test]
 fn services_field_numbers_types_and_enum_values_are_as_recorded() {
-    let now = contract(&descriptors());
-    let changed: Vec<_> = now
+    let current = contract(&descriptors());
+    let changed: Vec<_> = current
         .lines()
         .zip(CONTRACT.lines())
-        .filter(|(now, recorded)| now != recorded)
+        .filter(|(current, recorded)| current != recorded)
         .take(5)
         .collect();
-    assert!(now == CONTRACT, "now, and as recorded: {changed:#?}");
+    assert!(current == CONTRACT, "current and recorded: {changed:#?}");
 }
 
 /// Checks the names that `corkspan status` and `corkspan place` print and that label metrics.
 #[test]
-fn names_of_enum_values_that_are_shown_are_as_recorded() {
+fn names_of_displayed_enum_values_are_as_recorded() {
     let names = |numbers: std::ops::Range<i32>, name: &dyn Fn(i32) -> String| {
         numbers.map(name).collect::<Vec<_>>().join(" ")
     };
-    let links = names(0..6, &|number| {
+    let connection_kinds = names(0..6, &|number| {
         let kind = v1::connection_traffic::Kind::try_from(number).expect("a known number");
         kind.as_str_name().to_string()
     });
-    assert_eq!(links, "ROSTER CONTROL KEEPERS DISPATCHERS NODES OWNERS");
-    let refusals = names(0..7, &|number| {
-        let why = v1::rejected::RejectionReason::try_from(number).expect("a known number");
-        format!("{why:?}")
+    assert_eq!(
+        connection_kinds,
+        "ROSTER CONTROL KEEPERS DISPATCHERS NODES OWNERS"
+    );
+    let rejection_reasons = names(0..7, &|number| {
+        let reason = v1::rejected::RejectionReason::try_from(number).expect("a known number");
+        format!("{reason:?}")
     });
     assert_eq!(
-        refusals,
+        rejection_reasons,
         "NotTold NoRoom TooMany Stopping BadAsk InHand Behind"
     );
-    let ends = names(0..8, &|number| {
-        let how = v1::ended::EndReason::try_from(number).expect("a known number");
-        format!("{how:?}")
+    let end_reasons = names(0..8, &|number| {
+        let reason = v1::ended::EndReason::try_from(number).expect("a known number");
+        format!("{reason:?}")
     });
     assert_eq!(
-        ends,
+        end_reasons,
         "Lost Ended Evicted PushedOut SentAway Moved Error HandedBack"
     );
 }
 
 /// Checks that the recorded bytes of a message are decoded and encoded to the same bytes.
-fn check<M: Message + Default>(path: &str, checked: &mut Vec<String>) {
+fn check_recorded<M: Message + Default>(path: &str, checked: &mut Vec<String>) {
     for line in MESSAGES.lines() {
         let (name, hex) = line.split_once(' ').expect("a path and bytes");
         if name.split_once('#').map_or(name, |(path, _)| path) != path {
@@ -187,10 +190,13 @@
         let hex = hex.trim_matches('-');
         let byte = |at: usize| u8::from_str_radix(&hex[at..at + 2], 16).expect("hexadecimal");
         let bytes: Vec<u8> = (0..hex.len()).step_by(2).map(byte).collect();
-        let message = M::decode(&bytes[..]).unwrap_or_else(|why| panic!("{name}: {why}"));
+        let message = M::decode(&bytes[..]).unwrap_or_else(|error| panic!("{name}: {error}"));
         assert_eq!(message.encode_to_vec(), bytes, "{name}");
         if bytes.len() > 2 {
-            assert!(M::decode(&bytes[..bytes.len() - 1]).is_err(), "{name}: cut");
+            assert!(
+                M::decode(&bytes[..bytes.len() - 1]).is_err(),
+                "{name}: truncated"
+            );
         }
         checked.push(name.to_string());
     }
@@ -199,41 +205,41 @@
 #[test]
 fn recorded_messages_are_read_and_written_back_to_the_same_bytes() {
     let mut checked = Vec::new();
-    let all = &mut checked;
-    check::<v1::PushReply>("Control.Stream.request", all);
-    check::<v1::VersionPush>("Control.Stream.response", all);
-    check::<v1::OperationsRequest>("Node.Acts.request", all);
-    check::<v1::OperationsResponse>("Node.Acts.response", all);
-    check::<v1::AttemptRequest>("Node.Attend.request", all);
-    check::<v1::AttemptEvent>("Node.Attend.response", all);
-    check::<v1::CordonRequest>("Node.Door.request", all);
-    check::<v1::CordonResponse>("Node.Door.response", all);
-    check::<v1::Greeting>("Node.Greet.request", all);
-    check::<v1::QuorumRequest>("Node.Keep.request", all);
-    check::<v1::QuorumResponse>("Node.Keep.response", all);
-    check::<v1::HealthCheckRequest>("Node.Probe.request", all);
-    check::<v1::HealthCheckResponse>("Node.Probe.response", all);
-    check::<v1::StopRequest>("Node.Stop.request", all);
-    check::<v1::StopResponse>("Node.Stop.response", all);
-    check::<v1::HandOverRequest>("Placement.HandOver.request", all);
-    check::<v1::PlacementEvent>("Placement.HandOver.response", all);
-    check::<v1::PlacementRequest>("Placement.Place.request", all);
-    check::<v1::StatusRequest>("Placement.Status.request", all);
-    check::<v1::StatusResponse>("Placement.Status.response", all);
-    check::<v1::ChangeRolloutRequest>("Rolls.Change.request", all);
-    check::<v1::RolloutResponse>("Rolls.Change.response", all);
-    check::<v1::MaintenanceRequest>("Rolls.Maintain.request", all);
-    check::<v1::MaintenanceResponse>("Rolls.Maintain.response", all);
-    check::<v1::StartRolloutRequest>("Rolls.Start.request", all);
-    check::<v1::RolloutStatusRequest>("Rolls.Status.request", all);
-    check::<v1::RolloutStatus>("Rolls.Status.response", all);
-    check::<v1::ListRequest>("Roster.List.request", all);
-    check::<v1::EndpointList>("Roster.List.response", all);
-    check::<v1::FetchVersionRequest>("Versions.Give.request", all);
-    check::<v1::RaiseMinimumVersionRequest>("Versions.Raise.request", all);
-    check::<v1::RaiseMinimumVersionResponse>("Versions.Raise.response", all);
-    check::<v1::VersionStatusRequest>("Versions.Status.request", all);
-    check::<v1::VersionStatus>("Versions.Status.response", all);
+    let names = &mut checked;
+    check_recorded::<v1::PushReply>("Control.Stream.request", names);
+    check_recorded::<v1::VersionPush>("Control.Stream.response", names);
+    check_recorded::<v1::OperationsRequest>("Node.Acts.request", names);
+    check_recorded::<v1::OperationsResponse>("Node.Acts.response", names);
+    check_recorded::<v1::AttemptRequest>("Node.Attend.request", names);
+    check_recorded::<v1::AttemptEvent>("Node.Attend.response", names);
+    check_recorded::<v1::CordonRequest>("Node.Door.request", names);
+    check_recorded::<v1::CordonResponse>("Node.Door.response", names);
+    check_recorded::<v1::Greeting>("Node.Greet.request", names);
+    check_recorded::<v1::QuorumRequest>("Node.Keep.request", names);
+    check_recorded::<v1::QuorumResponse>("Node.Keep.response", names);
+    check_recorded::<v1::HealthCheckRequest>("Node.Probe.request", names);
+    check_recorded::<v1::HealthCheckResponse>("Node.Probe.response", names);
+    check_recorded::<v1::StopRequest>("Node.Stop.request", names);
+    check_recorded::<v1::StopResponse>("Node.Stop.response", names);
+    check_recorded::<v1::HandOverRequest>("Placement.HandOver.request", names);
+    check_recorded::<v1::PlacementEvent>("Placement.HandOver.response", names);
+    check_recorded::<v1::PlacementRequest>("Placement.Place.request", names);
+    check_recorded::<v1::StatusRequest>("Placement.Status.request", names);
+    check_recorded::<v1::StatusResponse>("Placement.Status.response", names);
+    check_recorded::<v1::ChangeRolloutRequest>("Rolls.Change.request", names);
+    check_recorded::<v1::RolloutResponse>("Rolls.Change.response", names);
+    check_recorded::<v1::MaintenanceRequest>("Rolls.Maintain.request", names);
+    check_recorded::<v1::MaintenanceResponse>("Rolls.Maintain.response", names);
+    check_recorded::<v1::StartRolloutRequest>("Rolls.Start.request", names);
+    check_recorded::<v1::RolloutStatusRequest>("Rolls.Status.request", names);
+    check_recorded::<v1::RolloutStatus>("Rolls.Status.response", names);
+    check_recorded::<v1::ListRequest>("Roster.List.request", names);
+    check_recorded::<v1::EndpointList>("Roster.List.response", names);
+    check_recorded::<v1::FetchVersionRequest>("Versions.Give.request", names);
+    check_recorded::<v1::RaiseMinimumVersionRequest>("Versions.Raise.request", names);
+    check_recorded::<v1::RaiseMinimumVersionResponse>("Versions.Raise.response", names);
+    check_recorded::<v1::VersionStatusRequest>("Versions.Status.request", names);
+    check_recorded::<v1::VersionStatus>("Versions.Status.response", names);
     let mut recorded: Vec<&str> = MESSAGES
         .lines()
         .map(|line| line.split(' ').next().expect("a path"))
