--- a/crates/platform-wire/tests/malformed_input.rs
+++ b/crates/platform-wire/tests/malformed_input.rs
@@ -19,10 +19,10 @@
     let bytes = encode(MessageType::SetUp, 0x9b1f, &parameters).expect("short enough");
     let mut reader = client::Reader::default();
     reader.push(&bytes);
-    reader.next_message().expect("sound").expect("whole")
+    reader.next_message().expect("valid").expect("complete")
 }
 
-#[test_case("cores:1;memory:2;service:0b", "1500", true; "sound")]
+#[test_case("cores:1;memory:2;service:0b", "1500", true; "valid")]
 #[test_case("cores:1;memory:2;service:0b;rack:7", "1500", true; "with an unknown requirement")]
 #[test_case("cores:nan;memory:2;service:0b", "1500", false; "no number")]
 #[test_case("cores:-1;memory:2;service:0b", "1500", false; "negative")]
@@ -31,10 +31,10 @@
 #[test_case("cores:1;memory:2;service:0b", "-5", false; "a negative time")]
 #[test_case("cores:1;memory:2;service:0b", "99999999999999999999999", false; "too long a time")]
 #[test_case("x", "1500", false; "no requirements at all")]
-fn invalid_requirements_and_times_are_rejected(requirements: &str, time_left: &str, sound: bool) {
+fn invalid_requirements_and_times_are_rejected(requirements: &str, time_left: &str, valid: bool) {
     assert_eq!(
         SetUp::try_from(&set_up(requirements, time_left)).is_ok(),
-        sound
+        valid
     );
 }
 
@@ -61,7 +61,7 @@
             .map(|message| message.map(|message| message.task_id)),
         Ok(Some(None))
     );
-    let good = reader.next_message().expect("sound").expect("whole");
+    let good = reader.next_message().expect("valid").expect("complete");
     assert_eq!(
         (good.task_id, good.text.as_deref()),
         (Some(0x9b1f_03aa_5c7e_2d41), Some("y"))
@@ -101,11 +101,11 @@
 
 #[test]
 fn an_unreadable_list_entry_does_not_affect_the_others() {
-    let sound =
+    let valid =
         r#"{"id":"a","host_port":"10.1.0.9:5080","locality":"e","flavor":"s","phase":"left"}"#;
     let mut reader = discovery::Reader::default();
     reader
-        .push(format!("data: {{\"n\":2,\"members\":{{\"members\":[7,{sound}]}}}}\n\n").as_bytes());
+        .push(format!("data: {{\"n\":2,\"members\":{{\"members\":[7,{valid}]}}}}\n\n").as_bytes());
     let Ok(Some(discovery::FeedItem::Event(discovery::Event {
         list: Some(list), ..
     }))) = reader.next_item()
@@ -136,7 +136,7 @@
     );
 }
 
-#[test_case("x0:12;x1:-0.5", Some(2); "sound")]
+#[test_case("x0:12;x1:-0.5", Some(2); "valid")]
 #[test_case("x0:inf", None; "a value that is not finite")]
 #[test_case("x0", None; "no value")]
 fn load_reports_hold_finite_numbers_only(text: &str, pairs: Option<usize>) {
@@ -217,10 +217,10 @@
         damaged in any::<u8>(),
         at in any::<prop::sample::Index>(),
     ) {
-        let mut sound = encode(MessageType::SetUp, 1, &[(client::CLASS, b"batch")]).expect("short");
-        let position = at.index(sound.len());
-        sound[position] = damaged;
-        bytes.splice(0..0, sound);
+        let mut valid = encode(MessageType::SetUp, 1, &[(client::CLASS, b"batch")]).expect("short");
+        let position = at.index(valid.len());
+        valid[position] = damaged;
+        bytes.splice(0..0, valid);
         client_messages(&bytes, &cuts);
         node_messages(&bytes, &cuts);
         let mut reader = discovery::Reader::default();
--- a/crates/platform-wire/tests/recorded.rs
+++ b/crates/platform-wire/tests/recorded.rs
@@ -107,7 +107,7 @@
         .map(|(name, message_type)| (name, *message_type))
     {
         let has_type = |(bytes, _): &&(String, String)| {
-            read_client(&unhex(bytes)).expect("sound").message_type == message_type
+            read_client(&unhex(bytes)).expect("valid").message_type == message_type
         };
         assert!(
             frames.iter().any(|frame| has_type(&frame)),
@@ -115,7 +115,7 @@
         );
     }
     for (bytes, content) in frames {
-        let message = read_client(&unhex(&bytes)).expect("sound");
+        let message = read_client(&unhex(&bytes)).expect("valid");
         assert_eq!(client_content(&message), content);
         assert_eq!(hex(&client_bytes(&content)), bytes);
     }
@@ -129,7 +129,7 @@
 }
 
 fn set_up_content(bytes: &[u8]) -> String {
-    let message = read_client(bytes).expect("sound");
+    let message = read_client(bytes).expect("valid");
     match SetUp::try_from(&message) {
         Err(error) => format!("refused: {error}"),
         Ok(SetUp {
@@ -164,7 +164,7 @@
     reader.push(line.as_bytes());
     reader.push(b"\n");
     let message = reader.next_message().map_err(|error| error.to_string())?;
-    Ok(message.expect("a whole line"))
+    Ok(message.expect("a complete line"))
 }
 
 fn node_content(message: &node::Message) -> String {
@@ -182,7 +182,7 @@
 fn recorded_node_lines_are_read_to_the_same_content() {
     for (line, content) in pairs("node_lines.txt", 14) {
         assert_eq!(
-            node_content(&read_node(&line).expect("sound")),
+            node_content(&read_node(&line).expect("valid")),
             content,
             "{line}"
         );
@@ -194,7 +194,7 @@
     let lines = data("node_lines_written.jsonl");
     assert!(lines.lines().count() >= 12);
     for line in lines.lines() {
-        let message = read_node(line).expect("sound");
+        let message = read_node(line).expect("valid");
         assert_eq!(message.to_line(), Some(format!("{line}\n").into_bytes()));
     }
 }
@@ -306,21 +306,21 @@
 
 #[test]
 fn half_a_file_of_node_config_is_rejected_with_the_same_error() {
-    let whole = data("node_config.json");
+    let complete = data("node_config.json");
     assert_eq!(
-        node_config_content(&whole[..whole.len() / 2]),
+        node_config_content(&complete[..complete.len() / 2]),
         data("node_config_half_read.txt")
     );
 }
 
 #[test]
 fn recorded_malformed_files_of_node_config_are_rejected_with_the_same_errors() {
-    let sound = data("node_config.json");
+    let valid = data("node_config.json");
     for (replaced, expected_error) in pairs("node_config_malformed.txt", 6) {
         let (old, new) = replaced.split_once(" -> ").expect("an arrow");
-        assert!(sound.contains(old), "the file holds {old}");
+        assert!(valid.contains(old), "the file holds {old}");
         assert_eq!(
-            node_config_content(&sound.replacen(old, new, 1)),
+            node_config_content(&valid.replacen(old, new, 1)),
             format!("{expected_error}\n"),
             "{replaced}"
         );
--- a/crates/runtime/tests/timers.rs
+++ b/crates/runtime/tests/timers.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn a_value_that_is_ready_is_returned_even_after_its_time() {
+fn a_value_that_is_ready_is_returned_even_after_its_timeout() {
     let ready = within(Duration::ZERO, async { 7 });
     std::thread::sleep(Duration::from_millis(2));
     assert_eq!(future::block_on(ready), Some(7));
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn the_timer_ends_when_nobody_can_arm_it_any_more() {
+fn the_timer_ends_when_all_its_senders_are_dropped() {
     let (arm, armed) = async_channel::unbounded::<Instant>();
     drop(arm);
     future::block_on(run_timer(armed, || panic!("it was not armed")));
--- a/crates/settings/tests/recorded.rs
+++ b/crates/settings/tests/recorded.rs
@@ -134,13 +134,13 @@
 /// Removes each key in turn and checks that the content changes or an error is returned.
 #[test]
 fn each_key_of_the_recorded_settings_is_read() {
-    let whole: Value = serde_json::from_str(&data("settings.json")).expect("JSON");
-    let read = content(&whole.to_string());
+    let complete: Value = serde_json::from_str(&data("settings.json")).expect("JSON");
+    let read = content(&complete.to_string());
     let mut paths = Vec::new();
-    keys(&whole, String::new(), &mut paths);
+    keys(&complete, String::new(), &mut paths);
     assert_eq!(paths.len(), 50, "{paths:?}");
     for path in paths {
-        let mut cut = whole.clone();
+        let mut cut = complete.clone();
         let (parent, key) = path.rsplit_once('/').expect("a path");
         let parent = cut.pointer_mut(parent).expect("there");
         assert!(parent.as_object_mut().expect("a map").remove(key).is_some());
@@ -168,24 +168,24 @@
 
 #[test]
 fn half_a_file_of_settings_is_rejected_with_the_same_error() {
-    let whole = data("settings.json");
+    let complete = data("settings.json");
     assert_eq!(
-        content(&whole[..whole.len() / 2]),
+        content(&complete[..complete.len() / 2]),
         data("settings_half_read.txt")
     );
 }
 
 #[test]
 fn recorded_malformed_settings_are_rejected_with_the_same_errors() {
-    let sound = data("settings.json");
+    let valid = data("settings.json");
     let cases = data("settings_malformed.txt");
     assert!(cases.lines().count() >= 12);
     for line in cases.lines() {
         let (replaced, expected_error) = line.split_once('\t').expect("a tab");
         let (old, new) = replaced.split_once(" -> ").expect("an arrow");
-        assert!(sound.contains(old), "the file holds {old}");
+        assert!(valid.contains(old), "the file holds {old}");
         assert_eq!(
-            content(&sound.replacen(old, new, 1)),
+            content(&valid.replacen(old, new, 1)),
             format!("{expected_error}\n"),
             "{replaced}"
         );
