--- a/crates/platform-wire/src/client/set_up.rs
+++ b/crates/platform-wire/src/client/set_up.rs
@@ -12,8 +12,8 @@
     pub task: u64,
     /// The name of its service class.
     pub class: String,
-    /// The time until the client stops waiting for the answer, in milliseconds; 0 if the set-up of a
-    /// running task does not give it.
+    /// The time until the client stops waiting for the answer, in milliseconds; 0 if the set-up of
+    /// a running task does not give it.
     pub time_left_ms: u64,
     /// The name of its tenant.
     pub tenant: Option<String>,
