--- a/crates/settings/src/class.rs
+++ b/crates/settings/src/class.rs
@@ -1,16 +1,16 @@
-//! Service classes: what the scheduler is handed of each.
+//! Converts the settings of service classes to the scheduler's service classes.
 
 use crate::{Settings, SettingsError, ticks_from_us};
 use corkspan_scheduler::interface::*;
 
 impl Settings {
-    /// The class of this index.
+    /// Returns the service class with this index.
     pub(crate) fn service_class(&self, index: usize) -> Result<ServiceClass, SettingsError> {
         let (class, family) = (&self.classes[index], &self.family_info);
         let missing = |key| SettingsError::Missing { key, class: index };
         let retry_safety = self.retry_safety(index)?;
         let spread = self.spread(index)?;
-        let kind = *family
+        let machine_type = *family
             .required_machine_type
             .get(index)
             .ok_or_else(|| missing("needs-kind"))?;
@@ -25,12 +25,12 @@
                 .priority_by_class
                 .get(index)
                 .ok_or_else(|| missing("priority-by-class"))?,
-            machine_type: usize::try_from(kind).ok().map(MachineTypeId),
+            machine_type: usize::try_from(machine_type).ok().map(MachineTypeId),
             spread,
         })
     }
 
-    /// Whether a set-up of the class may be repeated, and where repeats are dropped.
+    /// Returns whether a set-up of the class may be retried, and where duplicates are dropped.
     fn retry_safety(&self, index: usize) -> Result<RetrySafety, SettingsError> {
         let class = &self.classes[index];
         let scope = match class.effect.as_str() {
@@ -54,7 +54,7 @@
                 });
             }
         };
-        let span = class
+        let window_us = class
             .deduplication_window_us
             .ok_or(SettingsError::Missing {
                 key: "memory-span-us",
@@ -62,15 +62,16 @@
             })?;
         Ok(RetrySafety::Deduplicated {
             scope,
-            window: ticks_from_us(span),
+            window: ticks_from_us(window_us),
         })
     }
 
-    /// Over which places a service's tasks of the class are spread, and how many may be in one.
+    /// Returns the domain over which the class's tasks of a service are spread, and the maximum
+    /// number of them in one domain.
     fn spread(&self, index: usize) -> Result<Option<(Domain, usize)>, SettingsError> {
         let missing = |key| SettingsError::Missing { key, class: index };
         let family = &self.family_info;
-        let max_in_place = *family
+        let max_per_domain = *family
             .max_per_domain
             .get(index)
             .ok_or_else(|| missing("class-most"))?;
@@ -78,7 +79,7 @@
             .spread_domain
             .get(index)
             .ok_or_else(|| missing("spread-by"))?;
-        let place = match spread_by.as_str() {
+        let domain = match spread_by.as_str() {
             "silent" => return Ok(None),
             "machine" => Domain::Machine,
             "cell" => Domain::Cell,
@@ -90,6 +91,6 @@
                 });
             }
         };
-        Ok(Some((place, max_in_place)))
+        Ok(Some((domain, max_per_domain)))
     }
 }
--- a/crates/simulator-adapter/src/reply.rs
+++ b/crates/simulator-adapter/src/reply.rs
@@ -1,27 +1,27 @@
-//! Answers of the scheduler as the lines of a reply.
+//! Writes the engine's effects as the lines of a reply.
 
 use corkspan_engine::Effects;
 use corkspan_scheduler::interface::*;
 use std::fmt::Write;
 
-/// Microseconds in a tick of the scheduler.
+/// Number of microseconds per tick of the scheduler.
 const MICROSECONDS_PER_TICK: Ticks = 100;
 
-/// The lines of a reply. With each allocation goes its name on the wire.
+/// The lines of a reply. The engine stores each allocation with its name in the protocol.
 pub struct ReplyLines<'a>(pub &'a mut String);
 
 impl ReplyLines<'_> {
-    /// The lines after this one are those of this instance.
+    /// Marks the lines that follow as those of this instance.
     pub fn on_behalf_of(&mut self, instance: &str) {
         let _ = writeln!(self.0, "ON_BEHALF\tdispatcher={instance}");
     }
 
-    /// The reply ends.
+    /// Ends the reply.
     pub fn end(&mut self, turn: u64) {
         let _ = writeln!(self.0, "END\tturn={turn}");
     }
 
-    fn about_request(&mut self, message: &str, name: &str) {
+    fn write_about_request(&mut self, message: &str, name: &str) {
         let _ = writeln!(self.0, "{message}\trequest-id={name}");
     }
 }
@@ -36,15 +36,15 @@
     }
 
     fn shed(&mut self, name: &mut String, _: &Allocation) {
-        self.about_request("PUSH_BACK", name);
+        self.write_about_request("PUSH_BACK", name);
     }
 
     fn indeterminate(&mut self, name: &mut String, _: &Allocation) {
-        self.about_request("ERROR", name);
+        self.write_about_request("ERROR", name);
     }
 
     fn migrate(&mut self, name: &mut String, _: &Allocation) {
-        self.about_request("MOVE", name);
+        self.write_about_request("MOVE", name);
     }
 
     fn check_health(&mut self, machine: MachineId) {
--- a/crates/simulator-adapter/src/session.rs
+++ b/crates/simulator-adapter/src/session.rs
@@ -1,4 +1,4 @@
-//! The instances of one process, and the batches of events that they get.
+//! Manages the instances of one process and passes batches of events to them.
 
 use crate::decode;
 use crate::error::InputError;
@@ -10,11 +10,11 @@
 use std::collections::BTreeMap;
 use std::io::BufRead;
 
-/// A list of machines, referred to by its number.
+/// A list of machines. Events refer to it by its number.
 pub type Page = Vec<Endpoint>;
 
-/// Numbers of lists run from 0 to 15.
-const PAGES: usize = 16;
+/// Number of lists; they are numbered from 0 to 15.
+const PAGE_COUNT: usize = 16;
 
 /// The instances of this process and the lists that their events refer to.
 pub struct Session {
@@ -23,36 +23,36 @@
 }
 
 impl Session {
-    /// No instance has started.
+    /// Creates a session without instances.
     pub fn new() -> Self {
         Session {
             instances: BTreeMap::new(),
-            pages: vec![Page::new(); PAGES],
+            pages: vec![Page::new(); PAGE_COUNT],
         }
     }
 
-    /// The events of a batch up to its end, at this time in microseconds.
-    pub fn batch(
+    /// Processes a batch that occurs at `us` microseconds, up to its end.
+    pub fn run_batch(
         &mut self,
         us: u64,
         lines: &mut InputLines<impl BufRead>,
         reply: &mut ReplyLines,
     ) -> Result<(), InputError> {
         let mut selected: Option<String> = None;
-        let mut with_events: Vec<String> = Vec::new();
+        let mut instances_in_batch: Vec<String> = Vec::new();
         loop {
             let message = lines.next_in_batch()?;
             match message.name {
                 "END" => break,
                 "POOL" => {
-                    let page = message.index("page", PAGES)?;
+                    let page = message.index("page", PAGE_COUNT)?;
                     let length = message.get("hosts")?;
                     self.pages[page] = read_page(lines, length)?;
                 }
                 "SELECT" => {
                     let name = message.text("dispatcher")?;
-                    if !with_events.iter().any(|other| other == name) {
-                        with_events.push(name.into());
+                    if !instances_in_batch.iter().any(|other| other == name) {
+                        instances_in_batch.push(name.into());
                     }
                     selected = Some(name.into());
                     reply.on_behalf_of(name);
@@ -60,21 +60,21 @@
                 _ => {
                     let name = selected
                         .as_ref()
-                        .ok_or_else(|| message.invalid("no SELECT before it"))?;
-                    self.event(us, name, &message, reply)?;
+                        .ok_or_else(|| message.invalid("no SELECT precedes it"))?;
+                    self.handle_event(us, name, &message, reply)?;
                 }
             }
         }
-        for name in with_events {
+        for name in instances_in_batch {
             if let Some(instance) = self.instances.get_mut(&name) {
                 reply.on_behalf_of(&name);
-                instance.rest(ticks_from_us(us), reply);
+                instance.poll(ticks_from_us(us), reply);
             }
         }
         Ok(())
     }
 
-    fn event(
+    fn handle_event(
         &mut self,
         us: u64,
         name: &str,
@@ -83,7 +83,7 @@
     ) -> Result<(), InputError> {
         match message.name {
             "BOOT" => {
-                let instance = Instance::boot(ticks_from_us(us), message)?;
+                let instance = Instance::start(ticks_from_us(us), message)?;
                 self.instances.insert(name.into(), instance);
             }
             "DETACH" => {
@@ -93,8 +93,8 @@
                 let instance = self
                     .instances
                     .get_mut(name)
-                    .ok_or_else(|| message.invalid(format!("{name} was never started")))?;
-                instance.event(us, message, &self.pages, reply)?;
+                    .ok_or_else(|| message.invalid(format!("{name} has not been started")))?;
+                instance.handle_event(us, message, &self.pages, reply)?;
             }
         }
         Ok(())
