--- a/crates/testbed/src/capacity/environment.rs
+++ b/crates/testbed/src/capacity/environment.rs
@@ -178,7 +178,7 @@
         review_time: Duration::from_millis(1),
         max_queued: 24,
         start_time: Duration::from_millis(15),
-        load_factor: 8,
+        uncached_start_factor: 8,
         max_concurrent_starts: 4,
         max_cached_programs: 6,
         preempts: false,
@@ -342,7 +342,7 @@
                     Timer::after(Duration::from_millis(20)).await;
                 }
             }
-            while self.control.opened() < self.dispatchers.len() {
+            while self.control.streams_opened() < self.dispatchers.len() {
                 Timer::after(Duration::from_millis(20)).await;
             }
             Ok(())
@@ -504,7 +504,7 @@
         let dispatchers = self.dispatchers.len() as u32;
         let active_at_all = async {
             while !(0..dispatchers)
-                .all(|dispatcher| self.control.running(dispatcher) == Some(version))
+                .all(|dispatcher| self.control.active_version(dispatcher) == Some(version))
             {
                 Timer::after(Duration::from_millis(5)).await;
             }
--- a/crates/testbed/src/capture.rs
+++ b/crates/testbed/src/capture.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 /// Default of a deadline that never expires, in µs.
-pub fn unending() -> u64 {
+pub fn no_deadline() -> u64 {
     u64::MAX
 }
 
@@ -113,7 +113,7 @@
         start_first: bool,
         /// A replica that is not ready after this time, or dies within `ready_for_us`, has failed.
         /// More than `failures_most` failures at one dispatcher halt the rollout.
-        #[serde(default = "unending")]
+        #[serde(default = "no_deadline")]
         ready_within_us: u64,
         #[serde(default)]
         failures_most: usize,
--- a/crates/testbed/src/checker.rs
+++ b/crates/testbed/src/checker.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
     pub rule: u8,
-    pub what: String,
+    pub description: String,
     pub lines: Vec<usize>,
 }
 
@@ -21,7 +21,7 @@
             "rule {} ({}): {}; lines {}",
             self.rule,
             RULE_NAMES[usize::from(self.rule) - 1],
-            self.what,
+            self.description,
             lines.join(", ")
         )
     }
@@ -233,10 +233,10 @@
                         continue;
                     };
                     if version < lowest {
-                        let what = format!(
+                        let description = format!(
                             "node {node} accepted {placement_id}, which dispatcher {dispatcher} decided under version {version}, below the minimum version {lowest}"
                         );
-                        violations.push((what, vec![stored_line, offered_line, line]));
+                        violations.push((description, vec![stored_line, offered_line, line]));
                     }
                 }
                 _ => {}
@@ -244,11 +244,15 @@
         }
         violations
             .into_iter()
-            .for_each(|(what, lines)| self.report(8, what, lines));
+            .for_each(|(description, lines)| self.report(8, description, lines));
     }
 
-    fn report(&mut self, rule: u8, what: String, lines: Vec<usize>) {
-        self.violations.push(Violation { rule, what, lines });
+    fn report(&mut self, rule: u8, description: String, lines: Vec<usize>) {
+        self.violations.push(Violation {
+            rule,
+            description,
+            lines,
+        });
     }
 
     /// Collects calls and offers from the lines.
@@ -467,7 +471,7 @@
         }
         found
             .into_iter()
-            .for_each(|(what, lines)| self.report(1, what, lines));
+            .for_each(|(description, lines)| self.report(1, description, lines));
     }
 
     /// Returns whether the dispatcher abandoned an offer while it was in flight, so that its node
@@ -531,11 +535,11 @@
                     let ended = earlier.ended.unwrap_or(u64::MAX);
                     let visible = self.visible_by(earlier.dispatcher, later.t);
                     if ended > visible.unwrap_or(0).max(later.t + self.rules.slack_us) {
-                        let what = format!(
+                        let description = format!(
                             "{name}: attempt {} is offered while attempt {} is outstanding",
                             later.number, earlier.number
                         );
-                        found.push((what, vec![earlier.line, later.line]));
+                        found.push((description, vec![earlier.line, later.line]));
                     }
                     let never_ran = earlier.rejected.is_some();
                     let allowed = match service_class.retry_safety {
@@ -548,11 +552,11 @@
                         }
                     };
                     if !allowed {
-                        let what = format!(
+                        let description = format!(
                             "{name}: attempt {} may run beside attempt {}",
                             later.number, earlier.number
                         );
-                        found.push((what, vec![earlier.line, later.line]));
+                        found.push((description, vec![earlier.line, later.line]));
                     }
                 }
             }
@@ -577,17 +581,17 @@
                         .accepted
                         .is_some_and(|at| at <= t + self.rules.slack_us)
                 {
-                    let what = format!(
+                    let description = format!(
                         "{} is rejected, though an attempt may run",
                         call.request.placement_id
                     );
-                    found.push((what, vec![offer.line, *line]));
+                    found.push((description, vec![offer.line, *line]));
                 }
             }
         }
         found
             .into_iter()
-            .for_each(|(what, lines)| self.report(2, what, lines));
+            .for_each(|(description, lines)| self.report(2, description, lines));
     }
 
     /// Rule 6: during a rollout, a replica is stopped only if at most `unready_most` replicas are
@@ -661,9 +665,9 @@
                         .get(&service[..])
                         .filter(|_| surge.get(&service[..]) == Some(&true));
                     if *ready && limit.is_some_and(|limit| surplus > *limit) {
-                        let what =
+                        let description =
                             format!("{surplus} surplus replicas of {service} run beside others");
-                        found.push((what, vec![index + 1]));
+                        found.push((description, vec![index + 1]));
                     }
                     let unready = tasks.values().filter(is_unavailable).count();
                     if *stopped
@@ -682,7 +686,7 @@
         }
         found
             .into_iter()
-            .for_each(|(what, lines)| self.report(6, what, lines));
+            .for_each(|(description, lines)| self.report(6, description, lines));
     }
 
     /// Rule 7: a rollout halts once more new replicas than `failures_most` have failed at one
@@ -820,7 +824,7 @@
         }
         found
             .into_iter()
-            .for_each(|(what, lines)| self.report(7, what, lines));
+            .for_each(|(description, lines)| self.report(7, description, lines));
     }
 
     fn zone(&self, node: u32) -> Option<&str> {
@@ -886,10 +890,10 @@
                         .filter(|offer| offer.line == index + 1)
                         .any(|offer| self.is_stale(offer));
                     if *t > since + self.rules.grace_us + self.rules.slack_us && !stale {
-                        let what = format!(
+                        let description = format!(
                             "{placement_id}: attempt {number} offered to node {node}, known to be draining or gone"
                         );
-                        found.push((what, vec![*line, index + 1]));
+                        found.push((description, vec![*line, index + 1]));
                     }
                 }
                 _ => {}
@@ -897,7 +901,7 @@
         }
         found
             .into_iter()
-            .for_each(|(what, lines)| self.report(3, what, lines));
+            .for_each(|(description, lines)| self.report(3, description, lines));
     }
 
     /// Rule 4: a node in slow start gets no more offers in a window than it can take.
@@ -952,12 +956,12 @@
                     // A violation only if at least two thirds of the offers came from dispatchers
                     // that knew of the restart.
                     if window.len() > slow_start.most && notified_offers * 3 >= window.len() * 2 {
-                        let what = format!(
+                        let description = format!(
                             "node {node} got {} offers in one window during slow start",
                             window.len()
                         );
                         let first = window.first().map_or(0, |(_, line, _)| *line);
-                        found.push((what, vec![line, first, index + 1]));
+                        found.push((description, vec![line, first, index + 1]));
                         window.clear();
                     }
                 }
@@ -966,7 +970,7 @@
         }
         found
             .into_iter()
-            .for_each(|(what, lines)| self.report(4, what, lines));
+            .for_each(|(description, lines)| self.report(4, description, lines));
     }
 
     /// Rule 5: a dispatcher places at most so many allocations of a service on one node.
@@ -1034,16 +1038,16 @@
             held.retain(|other| other.ended.is_none_or(|ended| ended > offer.t));
             held.push(offer);
             if held.len() > limit && !self.is_stale(offer) {
-                let what = format!(
+                let description = format!(
                     "{} allocations of {service} on node {node} from dispatcher {dispatcher}",
                     held.len()
                 );
-                found.push((what, held.iter().map(|other| other.line).collect()));
+                found.push((description, held.iter().map(|other| other.line).collect()));
             }
         }
         found
             .into_iter()
-            .for_each(|(what, lines)| self.report(5, what, lines));
+            .for_each(|(description, lines)| self.report(5, description, lines));
     }
 }
 
--- a/crates/testbed/src/config_push_experiment.rs
+++ b/crates/testbed/src/config_push_experiment.rs
@@ -67,7 +67,7 @@
             let publish_time = started.elapsed();
             environment
                 .wait_for("the newest version is active", |environment| {
-                    environment.control.running(0) == newest
+                    environment.control.active_version(0) == newest
                 })
                 .await?;
             let catch_up_time = started.elapsed() - publish_time;
@@ -118,7 +118,7 @@
                 );
                 let is_active_at_all = |environment: &Environment| {
                     (0..instances).all(|dispatcher| {
-                        environment.control.running(dispatcher as u32) == Some(version)
+                        environment.control.active_version(dispatcher as u32) == Some(version)
                     })
                 };
                 environment
@@ -146,9 +146,9 @@
     fn measure_reconnects(&self) -> Result<(), String> {
         let instances = self.returns;
         in_environment(&self.program, instances, async |mut environment| {
-            let opened = environment.control.opened();
+            let opened = environment.control.streams_opened();
             drop(environment.control_guard.take());
-            environment.control.hang_up();
+            environment.control.close_streams();
             // Long enough that each instance fails several times to connect.
             Timer::after(Duration::from_secs(4)).await;
             let restarted_at = Instant::now();
@@ -161,7 +161,7 @@
             );
             environment
                 .wait_for("all instances have reconnected", |environment| {
-                    environment.control.opened() >= opened + instances
+                    environment.control.streams_opened() >= opened + instances
                 })
                 .await?;
             let mut times = histogram()?;
@@ -223,7 +223,7 @@
             environment.dispatchers.push(process);
             environment
                 .wait_for("the dispatcher's version stream is open", |environment| {
-                    environment.control.opened() == 1
+                    environment.control.streams_opened() == 1
                 })
                 .await?;
             measure.wait_until_ready(&tasks, at).await?;
--- a/crates/testbed/src/config_push_experiment/environment.rs
+++ b/crates/testbed/src/config_push_experiment/environment.rs
@@ -58,7 +58,7 @@
         }
         environment
             .wait_for("all version streams are open", |environment| {
-                environment.control.opened() >= dispatchers
+                environment.control.streams_opened() >= dispatchers
             })
             .await?;
         experiment(environment).await
--- a/crates/testbed/src/config_push_experiment/random_exchange.rs
+++ b/crates/testbed/src/config_push_experiment/random_exchange.rs
@@ -29,7 +29,7 @@
 /// the previous one if the acknowledged version was rolled back for its many starts.
 pub fn exchange(program: &[OsString], seed: u64, versions: usize) -> Result<Exchange, String> {
     in_environment(program, 1, async |mut environment| {
-        environment.control.scripted();
+        environment.control.use_scripted_pushes();
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let mut figures = Exchange::default();
         let mut acknowledged = environment
@@ -62,14 +62,14 @@
             if killed {
                 // The kill happens at a random time during the burst.
                 Timer::after(Duration::from_micros(rng.random_range(0..5_000))).await;
-                let opened = environment.control.opened();
+                let opened = environment.control.streams_opened();
                 environment.dispatchers.clear();
                 let restarted = environment.start(0, 1)?;
                 environment.dispatchers.push(restarted);
                 figures.kills += 1;
                 environment
                     .wait_for("the restarted dispatcher reconnects", |environment| {
-                        environment.control.opened() > opened
+                        environment.control.streams_opened() > opened
                     })
                     .await?;
             } else {
--- a/crates/testbed/src/control_service.rs
+++ b/crates/testbed/src/control_service.rs
@@ -34,9 +34,9 @@
     open_streams: BTreeMap<u32, async_channel::Sender<v1::VersionPush>>,
     replies: Vec<Reply>,
     /// Whether only the pushes passed to [`ControlService::send`] are sent.
-    scripted: bool,
+    uses_scripted_pushes: bool,
     /// The number of streams opened so far.
-    opened: usize,
+    streams_opened: usize,
     /// The pushes that the publisher decided.
     pushes: Vec<v1::VersionPush>,
 }
@@ -107,8 +107,8 @@
     }
 
     /// Makes the service send only the pushes passed to [`ControlService::send`] from now on.
-    pub fn scripted(&self) {
-        self.with(|state| state.scripted = true);
+    pub fn use_scripted_pushes(&self) {
+        self.with(|state| state.uses_scripted_pushes = true);
     }
 
     /// Publishes the next version and streams it to all subscribers.
@@ -135,7 +135,7 @@
     }
 
     /// Closes all streams.
-    pub fn hang_up(&self) {
+    pub fn close_streams(&self) {
         self.with(|state| state.open_streams.clear());
     }
 
@@ -189,19 +189,19 @@
     }
 
     /// Returns the active version that a subscriber reported last.
-    pub fn running(&self, subscriber: u32) -> Option<VersionId> {
+    pub fn active_version(&self, subscriber: u32) -> Option<VersionId> {
         self.with(|state| state.publisher.active_version(subscriber))
     }
 
     /// Returns the number of streams opened so far.
-    pub fn opened(&self) -> usize {
-        self.with(|state| state.opened)
+    pub fn streams_opened(&self) -> usize {
+        self.with(|state| state.streams_opened)
     }
 }
 
 impl State {
     fn flush(&mut self) {
-        if self.scripted {
+        if self.uses_scripted_pushes {
             return;
         }
         let State {
@@ -286,8 +286,8 @@
             .await?
             .ok_or_else(|| Status::invalid_argument("the stream ended before its first report"))?;
         let subscriber = first.dispatcher;
-        let running = first.active.as_ref().and_then(parse_version_id);
-        let running = running.ok_or_else(|| {
+        let active = first.active.as_ref().and_then(parse_version_id);
+        let active = active.ok_or_else(|| {
             Status::invalid_argument("the first report has no valid active version")
         })?;
         let (sender, pushes) = async_channel::bounded(MAX_WAITING_PUSHES);
@@ -298,8 +298,8 @@
                 status: ReplyStatus::Accepted,
                 received_at: std::time::Instant::now(),
             });
-            state.opened += 1;
-            state.publisher.subscriber_connected(subscriber, running);
+            state.streams_opened += 1;
+            state.publisher.subscriber_connected(subscriber, active);
             state.open_streams.insert(subscriber, sender);
             state.flush();
         });
--- a/crates/testbed/src/cost.rs
+++ b/crates/testbed/src/cost.rs
@@ -22,7 +22,7 @@
 #[derive(Clone, Debug)]
 pub struct Reading {
     /// The numbers of its dispatchers.
-    pub numbers: Range<usize>,
+    pub dispatchers: Range<usize>,
     pub hollow: bool,
     pub process: u32,
     pub at: Instant,
@@ -94,7 +94,7 @@
 
     fn add(&mut self, before: &Reading, after: &Reading) {
         self.processes += 1;
-        self.dispatchers += after.numbers.len();
+        self.dispatchers += after.dispatchers.len();
         self.seconds = self.seconds.max((after.at - before.at).as_secs_f64());
         self.cpu_s += after.cpu.saturating_sub(before.cpu).as_secs_f64();
         self.resident_kib += after.resident_kib;
@@ -127,7 +127,7 @@
 
 /// Returns the costs between two moments. A process that was started between them has no earlier
 /// figures and is left out.
-pub fn between(before: &[Reading], after: &[Reading]) -> Costs {
+pub fn costs_between(before: &[Reading], after: &[Reading]) -> Costs {
     let Costs {
         mut real,
         mut hollow,
--- a/crates/testbed/src/fault_proxies.rs
+++ b/crates/testbed/src/fault_proxies.rs
@@ -3,7 +3,7 @@
 
 use crate::discovery::Discovery;
 use crate::relay::{Direction, Relay};
-use crate::scenario::{LinkPeer, ScheduledFault};
+use crate::scenario::{ConnectionPeer, ScheduledFault};
 use corkspan_rpc::SharedExecutor;
 use std::collections::BTreeMap;
 use std::io;
@@ -21,7 +21,7 @@
 /// The relays of all dispatchers. Those to nodes are held by [`Discovery`], which lists their
 /// addresses.
 pub struct FaultProxies {
-    relays: BTreeMap<(usize, LinkPeer), Vec<Relay>>,
+    relays: BTreeMap<(usize, ConnectionPeer), Vec<Relay>>,
     /// For each dispatcher, the dispatchers to which its peer relays lead.
     peers: Vec<Vec<usize>>,
     quorum_members: Vec<u32>,
@@ -40,12 +40,12 @@
         let (mut relays, mut peers) = (BTreeMap::new(), Vec::new());
         for dispatcher in 0..dispatchers {
             relays.insert(
-                (dispatcher, LinkPeer::Roster),
+                (dispatcher, ConnectionPeer::Discovery),
                 vec![Relay::start(tasks, discovery.address).await?],
             );
             if let Some(control) = control {
                 relays.insert(
-                    (dispatcher, LinkPeer::Control),
+                    (dispatcher, ConnectionPeer::Control),
                     vec![Relay::start(tasks, control).await?],
                 );
             }
@@ -57,7 +57,7 @@
             for _ in &peer_numbers {
                 peer_relays.push(Relay::start(tasks, UNUSED_ADDRESS).await?);
             }
-            relays.insert((dispatcher, LinkPeer::Dispatchers), peer_relays);
+            relays.insert((dispatcher, ConnectionPeer::Dispatchers), peer_relays);
             peers.push(peer_numbers);
             // Relays to all nodes would be thousands of connections: only the nodes given, those
             // with a fault, get one.
@@ -79,12 +79,12 @@
     }
 
     /// Returns the address at which a dispatcher reaches this peer; none if it has no relay to it.
-    pub fn address(&self, dispatcher: usize, peer: LinkPeer) -> Option<SocketAddr> {
+    pub fn address(&self, dispatcher: usize, peer: ConnectionPeer) -> Option<SocketAddr> {
         self.addresses(dispatcher, peer).first().copied()
     }
 
     /// Returns the addresses of all relays from a dispatcher to this type of peer.
-    pub fn addresses(&self, dispatcher: usize, peer: LinkPeer) -> Vec<SocketAddr> {
+    pub fn addresses(&self, dispatcher: usize, peer: ConnectionPeer) -> Vec<SocketAddr> {
         self.relays
             .get(&(dispatcher, peer))
             .into_iter()
@@ -98,7 +98,7 @@
         for (source, peers) in self.peers.iter().enumerate() {
             let peer_relays = self
                 .relays
-                .get(&(source, LinkPeer::Dispatchers))
+                .get(&(source, ConnectionPeer::Dispatchers))
                 .into_iter()
                 .flatten();
             peer_relays
@@ -109,7 +109,7 @@
     }
 
     /// Returns the bytes that a dispatcher received from this type of peer and sent to it.
-    pub fn bytes_passed(&self, dispatcher: usize, peer: LinkPeer) -> [u64; 2] {
+    pub fn bytes_passed(&self, dispatcher: usize, peer: ConnectionPeer) -> [u64; 2] {
         let passed = std::cell::Cell::new([0; 2]);
         self.for_each_relay(dispatcher, peer, |relay| {
             let (sum, own) = (passed.get(), relay.bytes_passed());
@@ -119,8 +119,8 @@
     }
 
     /// Calls `action` for each relay from a dispatcher to this type of peer. Quorum members are
-    /// nodes too: `Keepers` selects the relays to them, `Nodes` those to all other nodes.
-    fn for_each_relay(&self, dispatcher: usize, peer: LinkPeer, action: impl Fn(&Relay)) {
+    /// nodes too: `QuorumMembers` selects the relays to them, `Nodes` those to all other nodes.
+    fn for_each_relay(&self, dispatcher: usize, peer: ConnectionPeer, action: impl Fn(&Relay)) {
         self.relays
             .get(&(dispatcher, peer))
             .into_iter()
@@ -135,8 +135,8 @@
             .iter()
             .filter(|((source, _), _)| *source as usize == dispatcher);
         let selected = own_proxies.filter(|((_, node), _)| match peer {
-            LinkPeer::Keepers => self.quorum_members.contains(node),
-            LinkPeer::Nodes => !self.quorum_members.contains(node),
+            ConnectionPeer::QuorumMembers => self.quorum_members.contains(node),
+            ConnectionPeer::Nodes => !self.quorum_members.contains(node),
             _ => false,
         });
         selected.for_each(|(_, relay)| action(relay));
@@ -154,13 +154,13 @@
 
     /// Keeps newer versions from a dispatcher while its control stream stays open.
     pub fn hold_versions(&self, dispatcher: usize) {
-        self.for_each_relay(dispatcher, LinkPeer::Control, |relay| {
+        self.for_each_relay(dispatcher, ConnectionPeer::Control, |relay| {
             relay.hold(&[Direction::In])
         });
     }
 
     /// Removes the faults between a dispatcher and these types of peers.
-    pub fn heal(&self, dispatcher: usize, peers: &[LinkPeer]) {
+    pub fn heal(&self, dispatcher: usize, peers: &[ConnectionPeer]) {
         peers
             .iter()
             .for_each(|&peer| self.for_each_relay(dispatcher, peer, Relay::heal));
--- a/crates/testbed/src/hollow/fleet.rs
+++ b/crates/testbed/src/hollow/fleet.rs
@@ -2,7 +2,7 @@
 //! reads its costs.
 
 use crate::capture::Observation;
-use crate::cost::{CONTROL_KINDS, Cost, Costs, TRAFFIC_KINDS, between};
+use crate::cost::{CONTROL_KINDS, Cost, Costs, TRAFFIC_KINDS, costs_between};
 use crate::process::Programs;
 use crate::runner::{ScenarioRun, Testbed, report_capacity};
 use crate::saturation::SaturationMonitor;
@@ -117,7 +117,7 @@
             let after = testbed.read_costs().await?;
             // Clients that are still connected at the end of the span are not awaited.
             drop(clients);
-            let Costs { real, hollow } = between(&before, &after);
+            let Costs { real, hollow } = costs_between(&before, &after);
             let mut span = Span {
                 real,
                 hollow,
--- a/crates/testbed/src/loads.rs
+++ b/crates/testbed/src/loads.rs
@@ -101,7 +101,7 @@
 
 /// Measures how late requests arrive, against their intended times, at a server that does nothing
 /// else.
-pub fn error(rate: u32) -> Result<String, String> {
+pub fn measure_lateness(rate: u32) -> Result<String, String> {
     let recorder = ArrivalRecorder::default();
     let service = recorder.clone();
     let to = [measure::serve_on_own_thread(|| {
@@ -151,7 +151,7 @@
 
 /// Pauses a dispatcher in the middle of a load. Returns the open-loop report, and the report of one
 /// closed-loop client over the same time.
-pub fn stalled(program: &[OsString], pause: Duration) -> Result<(Report, Report), String> {
+pub fn measure_pause(program: &[OsString], pause: Duration) -> Result<(Report, Report), String> {
     let node = measure::serve_on_own_thread(|| v1::node_server::NodeServer::new(InstantNode))?;
     let tasks = SharedExecutor::default();
     let experiment = async {
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -256,10 +256,10 @@
         Command::Compare { old, new } => compare(&old, &new),
         Command::LoadError { rates, pause_ms } => built_in_program().and_then(|program| {
             for rate in rates {
-                println!("{}", loads::error(rate)?);
+                println!("{}", loads::measure_lateness(rate)?);
             }
             let (open, closed) =
-                loads::stalled(&program, std::time::Duration::from_millis(pause_ms))?;
+                loads::measure_pause(&program, std::time::Duration::from_millis(pause_ms))?;
             println!("a dispatcher paused for {pause_ms} ms, open loop:\n{open}");
             println!("the same at the same time, closed loop with one client:\n{closed}");
             Ok(())
--- a/crates/testbed/src/node/allocations.rs
+++ b/crates/testbed/src/node/allocations.rs
@@ -78,7 +78,7 @@
         let time = if has_program {
             self.config.start_time
         } else {
-            self.config.start_time * self.config.load_factor
+            self.config.start_time * self.config.uncached_start_factor
         };
         time.div_f64(state.rate(&self.config.slow_start))
     }
--- a/crates/testbed/src/node/controls.rs
+++ b/crates/testbed/src/node/controls.rs
@@ -14,8 +14,8 @@
     }
 
     /// Drops all events that the node sends within `time`.
-    pub fn mute(&self, time: Duration) {
-        self.state().muted_until = Some(Instant::now() + time);
+    pub fn drop_events(&self, time: Duration) {
+        self.state().events_dropped_until = Some(Instant::now() + time);
     }
 
     /// Makes load reports older by `extra_age` for `time`.
--- a/crates/testbed/src/node/events.rs
+++ b/crates/testbed/src/node/events.rs
@@ -92,7 +92,8 @@
 }
 
 impl Node {
-    /// Records an event and sends it with a load report. A muted node records the event only.
+    /// Records an event and sends it with a load report. While events are dropped, it is only
+    /// recorded.
     pub(super) fn notify(
         &self,
         state: &mut State,
@@ -112,7 +113,7 @@
             });
         }
         if state
-            .muted_until
+            .events_dropped_until
             .is_none_or(|until| until <= Instant::now())
         {
             let attempt_event = Some(attempt_event);
--- a/crates/testbed/src/node/mod.rs
+++ b/crates/testbed/src/node/mod.rs
@@ -51,7 +51,7 @@
     /// The time to start an allocation whose program is cached, after the slow start.
     pub start_time: Duration,
     /// The factor by which a start takes longer when the program is not cached.
-    pub load_factor: u32,
+    pub uncached_start_factor: u32,
     /// The maximum number of concurrent starts; others wait.
     pub max_concurrent_starts: usize,
     /// The maximum number of programs that stay cached after their allocations have ended.
--- a/crates/testbed/src/node/state.rs
+++ b/crates/testbed/src/node/state.rs
@@ -50,7 +50,7 @@
     /// The start of the process; none if the node has no slow start.
     pub started_at: Option<Instant>,
     pub stalled_until: Option<Instant>,
-    pub muted_until: Option<Instant>,
+    pub events_dropped_until: Option<Instant>,
     pub report_delay: Option<ReportDelay>,
     /// Allocations by placement id.
     pub allocations: BTreeMap<String, PlacedAllocation>,
--- a/crates/testbed/src/process.rs
+++ b/crates/testbed/src/process.rs
@@ -45,7 +45,7 @@
 /// A process with one or more dispatchers.
 pub(crate) struct Process {
     /// The numbers of its dispatchers.
-    pub numbers: Range<usize>,
+    pub dispatchers: Range<usize>,
     pub hollow: bool,
     /// One deployment file for each dispatcher.
     pub files: Vec<PathBuf>,
@@ -58,7 +58,7 @@
 
 impl Process {
     fn record(&self, frontend: &Frontend, state: DispatcherState) {
-        for number in self.numbers.clone() {
+        for number in self.dispatchers.clone() {
             frontend.context.capture.record(Observation::Dispatcher {
                 dispatcher: number as u32,
                 state,
@@ -111,7 +111,7 @@
             .take()
             .ok_or("the dispatcher process has no standard output")?;
         self.child = Some(child);
-        let dispatcher_count = self.numbers.len();
+        let dispatcher_count = self.dispatchers.len();
         let lines = blocking::unblock(move || {
             let lines = BufReader::new(stdout).lines().take(dispatcher_count);
             lines.collect::<std::io::Result<Vec<String>>>()
@@ -133,7 +133,7 @@
                 .filter(|index| *index < dispatcher_count)
                 .ok_or_else(start_error)?;
             addresses.push((
-                self.numbers.start + index,
+                self.dispatchers.start + index,
                 address.parse().map_err(|_| start_error())?,
             ));
         }
@@ -154,7 +154,7 @@
     }
 
     fn close(&self, frontend: &Frontend) {
-        self.numbers
+        self.dispatchers
             .clone()
             .for_each(|number| frontend.set_address(number, None));
     }
@@ -233,7 +233,7 @@
         }
         Err(format!(
             "dispatchers {:?} did not exit with status 0: {status:?}",
-            self.numbers
+            self.dispatchers
         ))
     }
 
@@ -245,7 +245,7 @@
     pub fn cost(&self) -> Option<cost::Reading> {
         let process = self.child.as_ref()?.id();
         Some(cost::Reading {
-            numbers: self.numbers.clone(),
+            dispatchers: self.dispatchers.clone(),
             hollow: self.hollow,
             process,
             at: Instant::now(),
--- a/crates/testbed/src/requirements.rs
+++ b/crates/testbed/src/requirements.rs
@@ -1,7 +1,7 @@
 //! Computes what a scenario requires of the machine, before anything is started, and compares it
 //! with the machine's limits. Only [`Limits::of_this_machine`] reads from the system.
 
-use crate::scenario::{FaultKind, LinkPeer, Scenario};
+use crate::scenario::{ConnectionPeer, FaultKind, Scenario};
 use std::time::Duration;
 
 /// Upper bounds of a dispatcher's memory with the records of a thousand nodes, for real and hollow
@@ -72,7 +72,7 @@
         let connections = tasks.min(dispatchers * nodes);
         let relays = match (
             scenario.needs_fault_proxies(),
-            scenario.affects(LinkPeer::Nodes),
+            scenario.affects(ConnectionPeer::Nodes),
         ) {
             (false, _) => 0,
             (true, all) => dispatchers * (if all { nodes } else { 3 } + 6),
--- a/crates/testbed/src/runner.rs
+++ b/crates/testbed/src/runner.rs
@@ -13,7 +13,7 @@
 use crate::process::{Process, Programs};
 use crate::requirements::{Limits, Requirements};
 use crate::saturation::SaturationMonitor;
-use crate::scenario::{FaultKind, LinkPeer, NodeLocation, Scenario, ScheduledFault};
+use crate::scenario::{ConnectionPeer, FaultKind, NodeLocation, Scenario, ScheduledFault};
 use async_io::Timer;
 use corkspan_api::v1;
 use corkspan_config::version::SharedParts;
@@ -160,7 +160,7 @@
                 review_time: Duration::from_micros(rng.random_range(4_000..12_000)),
                 max_queued: 24,
                 start_time: Duration::from_millis(rng.random_range(15..40)),
-                load_factor: 8,
+                uncached_start_factor: 8,
                 max_concurrent_starts: 4,
                 max_cached_programs: 6,
                 preempts: true,
@@ -212,7 +212,9 @@
         frontend
             .context
             .capture
-            .record(Observation::Cost(Box::new(cost::between(&before, &after))));
+            .record(Observation::Cost(Box::new(cost::costs_between(
+                &before, &after,
+            ))));
         // Clients that still wait or run get this long to finish.
         let remaining = async {
             for client in clients {
@@ -258,7 +260,7 @@
         let proxies = match self.scenario.needs_fault_proxies() {
             true => {
                 let service = self.scenario.version_interval.map(|_| control.address);
-                let all = self.scenario.affects(LinkPeer::Nodes);
+                let all = self.scenario.affects(ConnectionPeer::Nodes);
                 let proxied = nodes
                     .iter()
                     .filter(|node| all || QUORUM_MEMBERS.contains(&node.config.id));
@@ -293,15 +295,15 @@
                     .as_ref()
                     .and_then(|proxies| proxies.address(number, peer))
             };
-            let discovery = proxy_address(LinkPeer::Roster).unwrap_or(discovery_address);
+            let discovery = proxy_address(ConnectionPeer::Discovery).unwrap_or(discovery_address);
             let extra_parts = self.scenario.version_interval.map(|_| {
                 let (version_file, control) = (
                     folder.path().join(format!("versions-{number}.json")),
-                    proxy_address(LinkPeer::Control).unwrap_or(control.address),
+                    proxy_address(ConnectionPeer::Control).unwrap_or(control.address),
                 );
                 let peers = proxies
                     .iter()
-                    .flat_map(|proxies| proxies.addresses(number, LinkPeer::Dispatchers));
+                    .flat_map(|proxies| proxies.addresses(number, ConnectionPeer::Dispatchers));
                 let peers: String = peers.map(|peer| format!(" \"{peer}\"")).collect();
                 let peers = if peers.is_empty() {
                     peers
@@ -323,22 +325,22 @@
             files.push(file);
         }
         let mut fleet = Vec::new();
-        for numbers in self.scenario.processes() {
-            let hollow = self.scenario.is_hollow(numbers.start);
+        for dispatchers in self.scenario.processes() {
+            let hollow = self.scenario.is_hollow(dispatchers.start);
             let log = self
                 .logs
                 .as_ref()
-                .map(|logs| logs.join(format!("dispatcher-{}.log", numbers.start)));
+                .map(|logs| logs.join(format!("dispatcher-{}.log", dispatchers.start)));
             let program = if hollow {
                 &self.programs.hollow
             } else {
                 &self.programs.real
             };
-            let files = files[numbers.clone()].to_vec();
+            let files = files[dispatchers.clone()].to_vec();
             let (program, log) = (program.clone(), log.filter(|_| !hollow));
             let fills_disk = self.scenario.fills_disks();
             let mut process = Process {
-                numbers,
+                dispatchers,
                 hollow,
                 files,
                 program,
@@ -569,7 +571,7 @@
     EndDrain(usize),
     RestartDispatchers(usize),
     Resume(usize),
-    HealConnections(usize, Vec<LinkPeer>),
+    HealConnections(usize, Vec<ConnectionPeer>),
     FreeDisk(usize),
 }
 
@@ -907,7 +909,7 @@
         let draw = rng.random_range(0.0..100.0);
         let service_class = match draw {
             draw if draw < self.scenario.deduplicated => 1,
-            draw if draw < self.scenario.deduplicated + self.scenario.unrepeatable => 2,
+            draw if draw < self.scenario.deduplicated + self.scenario.not_retryable => 2,
             _ => 0,
         };
         let window_us = DEDUP_WINDOW.as_micros() as u64;
@@ -1006,12 +1008,12 @@
             FaultKind::StallNodes => running_nodes
                 .iter()
                 .for_each(|&index| self.nodes[index].stall(time)),
-            FaultKind::CutLinks => running_nodes
+            FaultKind::CutNodeConnections => running_nodes
                 .iter()
                 .for_each(|&index| self.nodes[index].cut_connections(time)),
-            FaultKind::LoseAnswers => running_nodes
+            FaultKind::LoseReplies => running_nodes
                 .iter()
-                .for_each(|&index| self.nodes[index].mute(time)),
+                .for_each(|&index| self.nodes[index].drop_events(time)),
             FaultKind::DelayReports => {
                 let by = Duration::from_millis(self.rng.random_range(700..4000));
                 running_nodes
@@ -1021,7 +1023,7 @@
             FaultKind::LosePrograms => running_nodes
                 .iter()
                 .for_each(|&index| self.nodes[index].clear_program_cache()),
-            FaultKind::RosterAway => self.discovery.disconnect(Some(time)),
+            FaultKind::DiscoveryUnreachable => self.discovery.disconnect(Some(time)),
             FaultKind::Demand | FaultKind::Burst => {}
             FaultKind::KillDispatchers => {
                 for index in processes {
@@ -1035,12 +1037,12 @@
                 };
                 let numbers = processes
                     .iter()
-                    .flat_map(|&index| self.fleet[index].numbers.clone());
+                    .flat_map(|&index| self.fleet[index].dispatchers.clone());
                 for index in numbers.take(fault.count) {
                     self.record_connection_fault(index, true, fault.delay);
                     if fault.kind == FaultKind::HoldVersions {
                         proxies.hold_versions(index);
-                        undos.push(Undo::HealConnections(index, vec![LinkPeer::Control]));
+                        undos.push(Undo::HealConnections(index, vec![ConnectionPeer::Control]));
                     } else {
                         proxies.inject(index, fault);
                         undos.push(Undo::HealConnections(index, fault.peers.clone()));
@@ -1082,7 +1084,7 @@
             let Some(mut reading) = process.cost() else {
                 continue;
             };
-            for number in process.numbers.clone() {
+            for number in process.dispatchers.clone() {
                 let status = async {
                     let mut client = self.frontend.placement_client(number).await?;
                     client.status(v1::StatusRequest {}).await.ok()
--- a/crates/testbed/src/scenario.rs
+++ b/crates/testbed/src/scenario.rs
@@ -4,7 +4,7 @@
 mod faults;
 mod reader;
 
-pub use faults::{FAULT_KINDS, FaultKind, LINK_PEERS, LinkPeer, ScheduledFault};
+pub use faults::{CONNECTION_PEERS, ConnectionPeer, FAULT_KINDS, FaultKind, ScheduledFault};
 
 use corkspan_config::sexp::{self, Diagnostic};
 use std::ops::Range;
@@ -34,7 +34,7 @@
     /// Percentage of tasks that are deduplicated.
     pub deduplicated: f64,
     /// Percentage of tasks that must not be retried; the others are idempotent.
-    pub unrepeatable: f64,
+    pub not_retryable: f64,
     /// Percentage of clients that cancel.
     pub cancels: f64,
     /// Mean lifetime of a task.
@@ -158,17 +158,17 @@
 
     /// Returns whether the dispatchers' connections must run through fault proxies.
     pub fn needs_fault_proxies(&self) -> bool {
-        let strikes_links = |fault: &ScheduledFault| {
+        let affects_connections = |fault: &ScheduledFault| {
             matches!(
                 fault.kind,
                 FaultKind::CutDispatchers | FaultKind::DelayDispatchers | FaultKind::HoldVersions
             )
         };
-        self.faults.iter().any(strikes_links)
+        self.faults.iter().any(affects_connections)
     }
 
     /// Returns whether a fault strikes connections to this peer.
-    pub fn affects(&self, peer: LinkPeer) -> bool {
+    pub fn affects(&self, peer: ConnectionPeer) -> bool {
         self.faults.iter().any(|fault| fault.peers.contains(&peer))
     }
 
--- a/crates/testbed/src/scenario/faults.rs
+++ b/crates/testbed/src/scenario/faults.rs
@@ -17,7 +17,7 @@
     /// Factor on the request rate, for a demand step.
     pub demand_factor: f64,
     /// Peers whose connections with dispatchers are cut or delayed.
-    pub peers: Vec<LinkPeer>,
+    pub peers: Vec<ConnectionPeer>,
     /// Directions in which connections are cut or delayed.
     pub directions: Vec<Direction>,
     /// Delay of connections.
@@ -26,26 +26,26 @@
 
 /// The peer at the other end of a dispatcher's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum LinkPeer {
+pub enum ConnectionPeer {
     /// Another dispatcher.
     Dispatchers,
     /// A quorum member.
-    Keepers,
+    QuorumMembers,
     /// The control service.
     Control,
     /// The endpoint list.
-    Roster,
+    Discovery,
     /// A node.
     Nodes,
 }
 
 /// Peers by their keywords.
-pub const LINK_PEERS: [(&str, LinkPeer); 5] = [
-    ("dispatchers", LinkPeer::Dispatchers),
-    ("keepers", LinkPeer::Keepers),
-    ("control", LinkPeer::Control),
-    ("roster", LinkPeer::Roster),
-    ("nodes", LinkPeer::Nodes),
+pub const CONNECTION_PEERS: [(&str, ConnectionPeer); 5] = [
+    ("dispatchers", ConnectionPeer::Dispatchers),
+    ("keepers", ConnectionPeer::QuorumMembers),
+    ("control", ConnectionPeer::Control),
+    ("roster", ConnectionPeer::Discovery),
+    ("nodes", ConnectionPeer::Nodes),
 ];
 
 /// A kind of fault. `docs/days.md` describes each by its keyword.
@@ -56,9 +56,9 @@
     /// Node processes stop responding.
     StallNodes,
     /// Connections of nodes break, and none can be opened.
-    CutLinks,
+    CutNodeConnections,
     /// Replies of nodes are lost.
-    LoseAnswers,
+    LoseReplies,
     /// Load reports are delayed.
     DelayReports,
     /// Cached programs are lost.
@@ -70,7 +70,7 @@
     /// All nodes of one failure domain die and restart.
     LoseZone,
     /// The endpoint list is unreachable.
-    RosterAway,
+    DiscoveryUnreachable,
     /// The request rate is multiplied.
     Demand,
     /// Dispatcher processes are killed and restarted.
@@ -93,14 +93,14 @@
 pub const FAULT_KINDS: [(&str, FaultKind); 18] = [
     ("kill-nodes", FaultKind::KillNodes),
     ("stall-nodes", FaultKind::StallNodes),
-    ("cut-links", FaultKind::CutLinks),
-    ("lose-answers", FaultKind::LoseAnswers),
+    ("cut-links", FaultKind::CutNodeConnections),
+    ("lose-answers", FaultKind::LoseReplies),
     ("delay-reports", FaultKind::DelayReports),
     ("lose-programs", FaultKind::LosePrograms),
     ("drain-nodes", FaultKind::DrainNodes),
     ("restart-rack", FaultKind::RestartRack),
     ("lose-zone", FaultKind::LoseZone),
-    ("roster-away", FaultKind::RosterAway),
+    ("roster-away", FaultKind::DiscoveryUnreachable),
     ("demand", FaultKind::Demand),
     ("kill-dispatchers", FaultKind::KillDispatchers),
     ("pause-dispatchers", FaultKind::PauseDispatchers),
--- a/crates/testbed/src/scenario/reader.rs
+++ b/crates/testbed/src/scenario/reader.rs
@@ -1,7 +1,7 @@
 //! Reads scenarios from the forms of scripts. `docs/days.md` lists the keywords.
 
 use super::{
-    DEFAULT_PER_PROCESS, FAULT_KINDS, FaultKind, LINK_PEERS, LinkPeer, MaintenancePlan,
+    CONNECTION_PEERS, ConnectionPeer, DEFAULT_PER_PROCESS, FAULT_KINDS, FaultKind, MaintenancePlan,
     RolloutPlan, Scenario, ScheduledFault,
 };
 use crate::relay::Direction;
@@ -78,7 +78,7 @@
         capacity_interval: parts.get("room").map(every).transpose()?,
         rate: parts.required("rate")?.positive()?,
         deduplicated: parts.get_or("deduplicated", 10.0, percent)?,
-        unrepeatable: parts.get_or("unrepeatable", 5.0, percent)?,
+        not_retryable: parts.get_or("unrepeatable", 5.0, percent)?,
         cancels: parts.get_or("cancels", 1.0, percent)?,
         mean_lifetime: parts.get_or("life", lifetime, |form| time(form, 3600))?,
         replicas: parts.get_or("copies", 0, |form| Ok(form.integer(0, 10_000)? as usize))?,
@@ -100,7 +100,7 @@
     if let (Some(form), None) = (needs_versions, scenario.version_interval) {
         return Err(form.diagnostic("is allowed only beside `(versions …)`"));
     }
-    if scenario.deduplicated + scenario.unrepeatable > 100.0 {
+    if scenario.deduplicated + scenario.not_retryable > 100.0 {
         return Err(form.diagnostic("deduplicated and unrepeatable are over 100 together"));
     }
     Ok(())
@@ -150,9 +150,9 @@
 }
 
 /// Reads `(from keepers control)`.
-fn peers(form: &Form) -> Result<Vec<LinkPeer>, Diagnostic> {
+fn peers(form: &Form) -> Result<Vec<ConnectionPeer>, Diagnostic> {
     let peer = |name: &str| {
-        let known = LINK_PEERS.iter().find(|(known, _)| *known == name);
+        let known = CONNECTION_PEERS.iter().find(|(known, _)| *known == name);
         known.map(|(_, peer)| *peer).ok_or_else(|| {
             form.diagnostic(format!(
                 "`{name}` is none of dispatchers, keepers, control, roster, nodes"
@@ -242,18 +242,18 @@
         false => Presence::Forbidden,
     };
     let has_duration = !matches!(kind, FaultKind::LosePrograms | FaultKind::Burst);
-    let strikes_links = matches!(
+    let affects_connections = matches!(
         kind,
         FaultKind::CutDispatchers | FaultKind::DelayDispatchers
     );
-    let direction = match strikes_links {
+    let direction = match affects_connections {
         true => Presence::Optional,
         false => Presence::Forbidden,
     };
     let presences = [
         ("for", required(has_duration)),
         ("times", required(kind == FaultKind::Demand)),
-        ("from", required(strikes_links)),
+        ("from", required(affects_connections)),
         ("way", direction),
         ("by", required(kind == FaultKind::DelayDispatchers)),
     ];
--- a/crates/testbed/src/traffic.rs
+++ b/crates/testbed/src/traffic.rs
@@ -2,7 +2,7 @@
 //! type of peer. The relays count independently of the dispatcher.
 
 use crate::fault_proxies::FaultProxies;
-use crate::scenario::{LINK_PEERS, LinkPeer};
+use crate::scenario::{CONNECTION_PEERS, ConnectionPeer};
 use corkspan_api::v1::{self, connection_traffic::Kind};
 use std::fmt;
 
@@ -12,7 +12,7 @@
 /// A type of peer for which the reported and the observed bytes differ.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Difference {
-    pub peer: LinkPeer,
+    pub peer: ConnectionPeer,
     pub reported: Bytes,
     pub observed: Bytes,
 }
@@ -33,13 +33,13 @@
 }
 
 /// Returns the kind under which a dispatcher reports the traffic with a type of peer.
-pub fn traffic_kind(peer: LinkPeer) -> Kind {
+pub fn traffic_kind(peer: ConnectionPeer) -> Kind {
     match peer {
-        LinkPeer::Dispatchers => Kind::Dispatchers,
-        LinkPeer::Keepers => Kind::Keepers,
-        LinkPeer::Control => Kind::Control,
-        LinkPeer::Roster => Kind::Roster,
-        LinkPeer::Nodes => Kind::Nodes,
+        ConnectionPeer::Dispatchers => Kind::Dispatchers,
+        ConnectionPeer::QuorumMembers => Kind::Keepers,
+        ConnectionPeer::Control => Kind::Control,
+        ConnectionPeer::Discovery => Kind::Roster,
+        ConnectionPeer::Nodes => Kind::Nodes,
     }
 }
 
@@ -53,8 +53,8 @@
 }
 
 /// Returns the bytes that passed the relays of one dispatcher, by type of peer.
-pub fn relay_traffic(proxies: &FaultProxies, dispatcher: usize) -> Vec<(LinkPeer, Bytes)> {
-    LINK_PEERS
+pub fn relay_traffic(proxies: &FaultProxies, dispatcher: usize) -> Vec<(ConnectionPeer, Bytes)> {
+    CONNECTION_PEERS
         .iter()
         .map(|&(_, peer)| (peer, proxies.bytes_passed(dispatcher, peer)))
         .collect()
@@ -63,9 +63,9 @@
 /// Returns the types of peers for which the reported and the observed bytes differ.
 pub fn differences(
     reported: &[v1::ConnectionTraffic],
-    observed: &[(LinkPeer, Bytes)],
+    observed: &[(ConnectionPeer, Bytes)],
 ) -> Vec<Difference> {
-    let differs = |&(peer, observed): &(LinkPeer, Bytes)| {
+    let differs = |&(peer, observed): &(ConnectionPeer, Bytes)| {
         let count = traffic_of(reported, traffic_kind(peer));
         let reported = [count.bytes_in, count.bytes_out];
         (reported != observed).then_some(Difference {
--- a/crates/testbed/tests/full_path/harness.rs
+++ b/crates/testbed/tests/full_path/harness.rs
@@ -315,7 +315,7 @@
         review_time,
         max_queued: 10_000,
         start_time: Duration::from_millis(5),
-        load_factor: 2,
+        uncached_start_factor: 2,
         max_concurrent_starts: 64,
         max_cached_programs: 4,
         preempts: false,
--- a/crates/testbed/tests/full_path/loads.rs
+++ b/crates/testbed/tests/full_path/loads.rs
@@ -11,7 +11,8 @@
         "corkspan".into(),
     ];
     let pause = Duration::from_millis(1_500);
-    let (open, closed) = loads::stalled(&program, pause).unwrap_or_else(|why| panic!("{why}"));
+    let (open, closed) =
+        loads::measure_pause(&program, pause).unwrap_or_else(|why| panic!("{why}"));
     let (open, closed) = (&open.kinds[0], &closed.kinds[0]);
     let whole = pause.as_micros() as u64;
     // The first ask due after it began to stand waits for nearly all of it; one in a hundred is due
--- a/crates/testbed/tests/full_path/traffic.rs
+++ b/crates/testbed/tests/full_path/traffic.rs
@@ -10,7 +10,7 @@
 use corkspan_testbed::control_service::ControlService;
 use corkspan_testbed::fault_proxies::FaultProxies;
 use corkspan_testbed::relay::Relay;
-use corkspan_testbed::scenario::LinkPeer;
+use corkspan_testbed::scenario::ConnectionPeer;
 use corkspan_testbed::traffic::{Difference, differences, relay_traffic, traffic_of};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -80,16 +80,16 @@
             let service = if past {
                 control.address
             } else {
-                way(LinkPeer::Control)
+                way(ConnectionPeer::Control)
             };
             let kept = folder.path().join("versions.json");
             let more = format!("(keepers 0 3 4) (control \"{service}\") (versions {kept:?})");
             let told = harness.discovery.lists_sent(0);
             let harness = harness
-                .kill_and_restart(&deployment(way(LinkPeer::Roster), &more))
+                .kill_and_restart(&deployment(way(ConnectionPeer::Discovery), &more))
                 .await;
             harness.wait_until_serving(5).await;
-            wait_until(async || control.opened() == 1).await;
+            wait_until(async || control.streams_opened() == 1).await;
             let mut calls = Vec::new();
             for task in 0..30 {
                 let mut words = harness
@@ -147,7 +147,7 @@
         let (differ, _) = stage.differences().await;
         assert_eq!(
             differ.iter().map(|other| other.peer).collect::<Vec<_>>(),
-            [LinkPeer::Control]
+            [ConnectionPeer::Control]
         );
     });
 }
@@ -163,13 +163,13 @@
         ..Default::default()
     };
     let mut passed = [7, 9];
-    assert_eq!(differences(&[told], &[(LinkPeer::Nodes, passed)]), []);
+    assert_eq!(differences(&[told], &[(ConnectionPeer::Nodes, passed)]), []);
     passed[way] += by;
-    let found = differences(&[told], &[(LinkPeer::Nodes, passed)]);
+    let found = differences(&[told], &[(ConnectionPeer::Nodes, passed)]);
     assert_eq!(
         found,
         [Difference {
-            peer: LinkPeer::Nodes,
+            peer: ConnectionPeer::Nodes,
             reported: [7, 9],
             observed: passed
         }]
--- a/crates/testbed/tests/full_path/versions.rs
+++ b/crates/testbed/tests/full_path/versions.rs
@@ -48,7 +48,7 @@
             up: Some(up),
             folder,
         };
-        wait_until(async || stage.control.opened() == 1).await;
+        wait_until(async || stage.control.streams_opened() == 1).await;
         story(stage).await;
     });
 }
@@ -162,7 +162,7 @@
         let one = stage.control.publish(stage.with_tracks(&["extra"]), false);
         stage.until_in_force(one).await;
         assert!(stage.knows("extra", "b").await);
-        wait_until(async || stage.control.running(0) == Some(one)).await;
+        wait_until(async || stage.control.active_version(0) == Some(one)).await;
         let two = stage
             .control
             .publish(stage.with_tracks(&["extra", "other"]), false);
@@ -179,7 +179,7 @@
 #[test]
 fn bad_versions_change_nothing_and_each_is_told_why() {
     story(async |stage| {
-        stage.control.scripted();
+        stage.control.use_scripted_pushes();
         let sound = stage.with_tracks(&["extra"]);
         let first = push(1, 5, &sound, &[]);
         assert_eq!(stage.reply(&first).await.answer(), Answer::Applied);
@@ -318,10 +318,10 @@
         let text = stage
             .file()
             .replace("(control ", "(control \"127.0.0.1:1\" ");
-        let opened = stage.control.opened();
+        let opened = stage.control.streams_opened();
         let harness = stage.harness.kill_and_restart(&text).await;
         let stage = Stage { harness, ..stage };
-        wait_until(async || stage.control.opened() > opened).await;
+        wait_until(async || stage.control.streams_opened() > opened).await;
         let one = stage.control.publish(stage.with_tracks(&["extra"]), false);
         stage.until_in_force(one).await;
     });
@@ -500,7 +500,7 @@
             .find(|told| gave_up(told))
             .expect("told");
         assert!(told.reasons[0].contains("% of"), "{:?}", told.reasons);
-        stage.control.scripted();
+        stage.control.use_scripted_pushes();
         let again = stage.reply(&push(999, bad.number, &texts, &[])).await;
         assert!(
             again.reasons.iter().any(|why| why.contains("given up")),
@@ -517,7 +517,7 @@
     story(async |stage| {
         let closed = stage.texts("(allow \"10.0.0.0/8\")");
         let closed = stage.control.publish(closed, false);
-        wait_until(async || stage.control.running(0) == Some(closed)).await;
+        wait_until(async || stage.control.active_version(0) == Some(closed)).await;
         let bounds = ConnectionLimits {
             connect_timeout: Duration::from_secs(2),
             ..ConnectionLimits::default()
@@ -535,7 +535,7 @@
         let open = stage
             .control
             .publish(stage.texts("(allow \"127.0.0.0/8\")"), false);
-        wait_until(async || stage.control.running(0) == Some(open)).await;
+        wait_until(async || stage.control.active_version(0) == Some(open)).await;
         stage.until_in_force(open).await;
     });
 }
--- a/crates/testbed/tests/scenario_files.rs
+++ b/crates/testbed/tests/scenario_files.rs
@@ -2,7 +2,7 @@
 //! unknown one rejected with the same message and place (`tests/data/days`).
 
 use corkspan_testbed::relay::Direction;
-use corkspan_testbed::scenario::{FAULT_KINDS, LINK_PEERS, LinkPeer, Scenario};
+use corkspan_testbed::scenario::{CONNECTION_PEERS, ConnectionPeer, FAULT_KINDS, Scenario};
 use std::fmt::Write;
 use std::time::Duration;
 
@@ -32,7 +32,7 @@
     );
     line("rate", scenario.rate.to_string());
     line("deduplicated", scenario.deduplicated.to_string());
-    line("unrepeatable", scenario.unrepeatable.to_string());
+    line("unrepeatable", scenario.not_retryable.to_string());
     line("cancels", scenario.cancels.to_string());
     line("life", millis(scenario.mean_lifetime));
     line("copies", scenario.replicas.to_string());
@@ -89,8 +89,8 @@
     out
 }
 
-fn peer_name(peer: LinkPeer) -> &'static str {
-    LINK_PEERS
+fn peer_name(peer: ConnectionPeer) -> &'static str {
+    CONNECTION_PEERS
         .iter()
         .find(|(_, known)| *known == peer)
         .expect("a known peer")
@@ -136,7 +136,7 @@
         let uses = scenario.faults.iter().filter(|fault| fault.kind == kind);
         assert_eq!(uses.count(), 1, "{name}");
     }
-    for (name, peer) in LINK_PEERS {
+    for (name, peer) in CONNECTION_PEERS {
         assert!(scenario.affects(peer), "{name}");
     }
 }
--- a/crates/testbed/tests/stand_in_node.rs
+++ b/crates/testbed/tests/stand_in_node.rs
@@ -82,7 +82,7 @@
         review_time: Duration::from_millis(1),
         max_queued: 100,
         start_time: Duration::from_millis(4),
-        load_factor: 2,
+        uncached_start_factor: 2,
         max_concurrent_starts: 4,
         max_cached_programs: 4,
         preempts: true,
