--- a/crates/testbed/src/capture.rs
+++ b/crates/testbed/src/capture.rs
@@ -64,13 +64,17 @@
         #[serde(default)]
         version: String,
         /// Number of the deployment version under which it was decided.
-        #[serde(default)]
-        decided: u64,
+        #[serde(default, rename = "decided")]
+        version_number: u64,
     },
     /// A node has stored a minimum version: what was decided under a lower one must not take effect
     /// there.
     #[serde(rename = "floor")]
-    MinimumVersionStored { node: u32, lowest: u64 },
+    MinimumVersionStored {
+        node: u32,
+        #[serde(rename = "lowest")]
+        version_number: u64,
+    },
     /// A node sends an event on an offer, whether it arrives or not.
     #[serde(rename = "said")]
     EventSent {
@@ -100,23 +104,25 @@
         done: bool,
         stopped: bool,
     },
-    /// An operator starts a rollout: from now on at most `unready_most` replicas of the service may
-    /// be unavailable.
+    /// An operator starts a rollout: from now on at most `max_unavailable` replicas of the service
+    /// may be unavailable.
     #[serde(rename = "roll")]
     RolloutStarted {
         service: String,
         version: String,
-        unready_most: usize,
-        ready_for_us: u64,
-        /// New replicas run beside old ones, at most `unready_most` of them.
-        #[serde(default)]
-        start_first: bool,
-        /// A replica that is not ready after this time, or dies within `ready_for_us`, has failed.
-        /// More than `failures_most` failures at one dispatcher halt the rollout.
-        #[serde(default = "no_deadline")]
-        ready_within_us: u64,
-        #[serde(default)]
-        failures_most: usize,
+        #[serde(rename = "unready_most")]
+        max_unavailable: usize,
+        #[serde(rename = "ready_for_us")]
+        min_ready_us: u64,
+        /// New replicas run beside old ones, at most `max_unavailable` of them.
+        #[serde(default, rename = "start_first")]
+        surge: bool,
+        /// A replica that is not ready after this time, or dies within `min_ready_us`, has failed.
+        /// More than `max_failures` failures at one dispatcher halt the rollout.
+        #[serde(default = "no_deadline", rename = "ready_within_us")]
+        progress_deadline_us: u64,
+        #[serde(default, rename = "failures_most")]
+        max_failures: usize,
     },
     /// A health check reaches a node.
     #[serde(rename = "probed")]
@@ -139,13 +145,15 @@
         dispatcher: u32,
         state: DispatcherState,
     },
-    /// A fault on connections of a dispatcher begins or ends. They are delayed by `late_us`, or
+    /// A fault on connections of a dispatcher begins or ends. They are delayed by `delay_us`, or
     /// held if it is 0.
     #[serde(rename = "wires")]
     ConnectionFault {
         dispatcher: u32,
-        struck: bool,
-        late_us: u64,
+        #[serde(rename = "struck")]
+        begins: bool,
+        #[serde(rename = "late_us")]
+        delay_us: u64,
     },
     /// Maintenance is requested, with limits on machines out of service, in total and in one zone.
     #[serde(rename = "maintenance")]
@@ -156,13 +164,14 @@
         #[serde(rename = "by_hall")]
         max_per_zone: usize,
     },
-    /// The work on a node begins or ends. `runs`: allocations on the node at that time, which must
-    /// be 0.
+    /// The work on a node begins or ends. `allocations`: allocations on the node at that time,
+    /// which must be 0.
     #[serde(rename = "worked")]
     MaintenanceWork {
         node: u32,
         begins: bool,
-        runs: usize,
+        #[serde(rename = "runs")]
+        allocations: usize,
     },
     /// A node is cordoned for maintenance or uncordoned.
     #[serde(rename = "door")]
@@ -174,7 +183,10 @@
     VersionActive { dispatcher: u32, number: u64 },
     /// A majority of quorum members has accepted a minimum version.
     #[serde(rename = "raised")]
-    MinimumVersionRaised { lowest: u64 },
+    MinimumVersionRaised {
+        #[serde(rename = "lowest")]
+        version_number: u64,
+    },
     /// The result of an audit of the fleet. `equal`: its operations are exactly those that crossed
     /// the nodes' sockets.
     Audited {
@@ -187,13 +199,14 @@
     Memory { mean_kib: u64, most_kib: u64 },
     /// The load on the stand-ins' only thread: the share of the time for which it ran and for which
     /// it waited for a processor, and its largest delay. `hollow`: the largest share of a second
-    /// for which a hollow process ran or waited. `spoilt`: whether this invalidates the figures.
+    /// for which a hollow process ran or waited. `invalid`: whether this invalidates the figures.
     StandIns {
         busy: f64,
         waited: f64,
         late_us: u64,
         hollow: f64,
-        spoilt: bool,
+        #[serde(rename = "spoilt")]
+        invalid: bool,
     },
     /// What the dispatchers cost during the scenario.
     Cost(Box<cost::Costs>),
@@ -305,7 +318,8 @@
     pub lasts_us: u64,
     pub window_us: u64,
     /// Offers in a window above which a node in slow start crashes.
-    pub most: usize,
+    #[serde(rename = "most")]
+    pub max_offers: usize,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
--- a/crates/testbed/src/checker.rs
+++ b/crates/testbed/src/checker.rs
@@ -123,18 +123,18 @@
     for Line { t, observation } in lines {
         let Observation::ConnectionFault {
             dispatcher,
-            struck,
-            late_us,
+            begins,
+            delay_us,
         } = *observation
         else {
             continue;
         };
-        match struck {
+        match begins {
             true => intervals.push(FaultInterval {
                 dispatcher,
                 from: *t,
                 to: u64::MAX,
-                delay_us: late_us,
+                delay_us,
             }),
             false => {
                 // Of two overlapping faults, the one that began first is assumed to end first.
@@ -202,14 +202,17 @@
             .map(|(index, line)| (index + 1, &line.observation))
         {
             match observation {
-                Observation::MinimumVersionStored { node, lowest } => {
-                    minimum_versions.insert(*node, (*lowest, line));
+                Observation::MinimumVersionStored {
+                    node,
+                    version_number,
+                } => {
+                    minimum_versions.insert(*node, (*version_number, line));
                 }
                 Observation::Offered {
                     node,
                     placement_id,
                     number,
-                    decided: version,
+                    version_number: version,
                     dispatcher,
                     ..
                 } => {
@@ -224,7 +227,7 @@
                     number,
                     event: AllocationEvent::Accepted,
                 } => {
-                    let Some(&(lowest, stored_line)) = minimum_versions.get(node) else {
+                    let Some(&(minimum_version, stored_line)) = minimum_versions.get(node) else {
                         continue;
                     };
                     let Some(&(version, dispatcher, offered_line)) =
@@ -232,9 +235,9 @@
                     else {
                         continue;
                     };
-                    if version < lowest {
+                    if version < minimum_version {
                         let description = format!(
-                            "node {node} accepted {placement_id}, which dispatcher {dispatcher} decided under version {version}, below the minimum version {lowest}"
+                            "node {node} accepted {placement_id}, which dispatcher {dispatcher} decided under version {version}, below the minimum version {minimum_version}"
                         );
                         violations.push((description, vec![stored_line, offered_line, line]));
                     }
@@ -594,10 +597,10 @@
             .for_each(|(description, lines)| self.report(2, description, lines));
     }
 
-    /// Rule 6: during a rollout, a replica is stopped only if at most `unready_most` replicas are
-    /// then unavailable, of those that were ready once and are still wanted. A replica that failed
-    /// by itself counts once it has been down for `RESPONSE_US`: by then its client has requested
-    /// it again, and the rollout must have reacted.
+    /// Rule 6: during a rollout, a replica is stopped only if at most `max_unavailable` replicas
+    /// are then unavailable, of those that were ready once and are still wanted. A replica that
+    /// failed by itself counts once it has been down for `RESPONSE_US`: by then its client has
+    /// requested it again, and the rollout must have reacted.
     fn check_unready(&mut self) {
         const RESPONSE_US: u64 = 5_000_000;
         struct Replica {
@@ -608,7 +611,7 @@
         let mut found = Vec::new();
         let mut limits: HashMap<&str, usize> = HashMap::new();
         // Whether new replicas may run beside old ones, by service.
-        let mut surge: HashMap<&str, bool> = HashMap::new();
+        let mut surge_by_service: HashMap<&str, bool> = HashMap::new();
         let mut replicas: HashMap<&str, BTreeMap<&str, Replica>> = HashMap::new();
         let mut call_tasks: HashMap<u64, &str> = HashMap::new();
         for (index, Line { t, observation }) in self.lines.iter().enumerate() {
@@ -624,12 +627,12 @@
                 }
                 Observation::RolloutStarted {
                     service,
-                    unready_most,
-                    start_first,
+                    max_unavailable,
+                    surge,
                     ..
                 } => {
-                    limits.insert(service, *unready_most);
-                    surge.insert(service, *start_first);
+                    limits.insert(service, *max_unavailable);
+                    surge_by_service.insert(service, *surge);
                 }
                 Observation::Ready {
                     task,
@@ -663,7 +666,7 @@
                         .sum();
                     let limit = limits
                         .get(&service[..])
-                        .filter(|_| surge.get(&service[..]) == Some(&true));
+                        .filter(|_| surge_by_service.get(&service[..]) == Some(&true));
                     if *ready && limit.is_some_and(|limit| surplus > *limit) {
                         let description =
                             format!("{surplus} surplus replicas of {service} run beside others");
@@ -689,7 +692,7 @@
             .for_each(|(description, lines)| self.report(6, description, lines));
     }
 
-    /// Rule 7: a rollout halts once more new replicas than `failures_most` have failed at one
+    /// Rule 7: a rollout halts once more new replicas than `max_failures` have failed at one
     /// dispatcher. From `HALT_DELAY_US` after that, no replica of another version may be stopped
     /// unless an operator starts a new rollout.
     fn check_halts(&mut self) {
@@ -703,16 +706,16 @@
                 Observation::RolloutStarted {
                     service,
                     version,
-                    ready_for_us,
-                    ready_within_us,
-                    failures_most,
+                    min_ready_us,
+                    progress_deadline_us,
+                    max_failures,
                     ..
                 } => {
                     let rollout = RolloutState {
                         version,
-                        min_ready_us: *ready_for_us,
-                        progress_deadline_us: *ready_within_us,
-                        max_failures: *failures_most,
+                        min_ready_us: *min_ready_us,
+                        progress_deadline_us: *progress_deadline_us,
+                        max_failures: *max_failures,
                         replicas: Vec::new(),
                         must_halt: false,
                     };
@@ -860,7 +863,7 @@
                 }
                 | Observation::ConnectionFault {
                     dispatcher,
-                    struck: false,
+                    begins: false,
                     ..
                 } => {
                     // While it was paused or its connections were held, it received no updates.
@@ -955,7 +958,9 @@
                         .count();
                     // A violation only if at least two thirds of the offers came from dispatchers
                     // that knew of the restart.
-                    if window.len() > slow_start.most && notified_offers * 3 >= window.len() * 2 {
+                    if window.len() > slow_start.max_offers
+                        && notified_offers * 3 >= window.len() * 2
+                    {
                         let description = format!(
                             "node {node} got {} offers in one window during slow start",
                             window.len()
--- a/crates/testbed/src/hollow/fleet.rs
+++ b/crates/testbed/src/hollow/fleet.rs
@@ -128,7 +128,7 @@
                 waited,
                 late_us,
                 hollow,
-                spoilt,
+                invalid,
             } = observation
             {
                 span.stand_ins = StandIns {
@@ -136,7 +136,7 @@
                     waited,
                     late_us,
                     hollow,
-                    spoilt,
+                    invalid,
                 };
             }
             for line in &testbed.frontend.context.capture.lines()[first_line..] {
@@ -245,7 +245,7 @@
                 println!(
                     "  bytes a second and dispatcher, over real ones alone: hollow {ratio:.3} (control {control_ratio:.3}), real among them {real_ratio:.3}"
                 );
-                invalid += usize::from(first.stand_ins.spoilt || second.stand_ins.spoilt);
+                invalid += usize::from(first.stand_ins.invalid || second.stand_ins.invalid);
                 differing += usize::from(!(0.9..=1.1).contains(&ratio));
             }
         }
--- a/crates/testbed/src/maintenance_figures.rs
+++ b/crates/testbed/src/maintenance_figures.rs
@@ -66,9 +66,9 @@
             Observation::MaintenanceWork {
                 node,
                 begins: true,
-                runs,
+                allocations,
             } => {
-                let is_valid = *runs == 0 && self.cordoned_since.contains_key(node);
+                let is_valid = *allocations == 0 && self.cordoned_since.contains_key(node);
                 self.figures.completed.insert(*node);
                 self.figures.completions += 1;
                 self.figures.violations += usize::from(!is_valid);
--- a/crates/testbed/src/node/offers.rs
+++ b/crates/testbed/src/node/offers.rs
@@ -58,7 +58,7 @@
             service: request.service.clone(),
             task: request.task.clone(),
             version: request.version.clone(),
-            decided: sender(request).version,
+            version_number: sender(request).version,
         });
         self.learn_minimum_version(request);
         let mut state = self.state();
@@ -92,7 +92,7 @@
                 .capture
                 .record(Observation::MinimumVersionStored {
                     node: self.config.id,
-                    lowest: minimum.version,
+                    version_number: minimum.version,
                 });
         }
     }
--- a/crates/testbed/src/runner.rs
+++ b/crates/testbed/src/runner.rs
@@ -102,7 +102,7 @@
             slow_start: capture::SlowStartLimits {
                 lasts_us: SLOW_START.duration.as_micros() as u64,
                 window_us: SLOW_START.window.as_micros() as u64,
-                most: SLOW_START.max_offers,
+                max_offers: SLOW_START.max_offers,
             },
             slack_us: 250_000,
         }
@@ -450,14 +450,14 @@
             };
             match in_progress.get_mut(id) {
                 None => {
-                    let runs = node.allocation_count();
+                    let allocations = node.allocation_count();
                     frontend
                         .context
                         .capture
                         .record(Observation::MaintenanceWork {
                             node: *id,
                             begins: true,
-                            runs,
+                            allocations,
                         });
                     node.kill(NodeState::Gone);
                     in_progress.insert(*id, (Instant::now() + plan.work_duration, false));
@@ -475,7 +475,7 @@
                         .record(Observation::MaintenanceWork {
                             node: *id,
                             begins: false,
-                            runs: node.allocation_count(),
+                            allocations: node.allocation_count(),
                         });
                     *restarted = true;
                 }
@@ -695,11 +695,11 @@
             .record(Observation::RolloutStarted {
                 service: service.clone(),
                 version: version.clone(),
-                unready_most: unavailable_limit as usize,
-                ready_for_us: plan.min_ready.as_micros() as u64,
-                start_first: plan.surge,
-                ready_within_us: PROGRESS_DEADLINE.as_micros() as u64,
-                failures_most: MAX_FAILURES as usize,
+                max_unavailable: unavailable_limit as usize,
+                min_ready_us: plan.min_ready.as_micros() as u64,
+                surge: plan.surge,
+                progress_deadline_us: PROGRESS_DEADLINE.as_micros() as u64,
+                max_failures: MAX_FAILURES as usize,
             });
         let request = v1::StartRolloutRequest {
             service,
@@ -800,12 +800,14 @@
                 Observation::Pushed { number } => Some(number),
                 _ => None,
             });
-        let lowest = newest.ok_or("no version has been published yet")?;
+        let version_number = newest.ok_or("no version has been published yet")?;
         for dispatcher in 0..self.scenario.dispatchers {
             if let Some(mut client) = self.frontend.versions_client(dispatcher).await
                 && let Some(Ok(reply)) = within(
                     Duration::from_secs(5),
-                    Box::pin(client.raise(v1::RaiseMinimumVersionRequest { version: lowest })),
+                    Box::pin(client.raise(v1::RaiseMinimumVersionRequest {
+                        version: version_number,
+                    })),
                 )
                 .await
                 && reply.get_ref().accepted
@@ -813,7 +815,7 @@
                 self.frontend
                     .context
                     .capture
-                    .record(Observation::MinimumVersionRaised { lowest });
+                    .record(Observation::MinimumVersionRaised { version_number });
                 return Ok(());
             }
         }
@@ -849,11 +851,13 @@
         for line in self.frontend.context.capture.lines() {
             if let Observation::Offered {
                 dispatcher,
-                decided,
+                version_number,
                 ..
             } = line.observation
             {
-                *sockets.entry((u64::from(dispatcher), decided)).or_default() += 1;
+                *sockets
+                    .entry((u64::from(dispatcher), version_number))
+                    .or_default() += 1;
             }
         }
         let number = |row: &serde_json::Value, name: &str| row[name].as_u64().unwrap_or(u64::MAX);
@@ -1103,15 +1107,15 @@
         Ok(readings)
     }
 
-    fn record_connection_fault(&self, index: usize, struck: bool, late: Duration) {
-        let (dispatcher, late_us) = (index as u32, late.as_micros() as u64);
+    fn record_connection_fault(&self, index: usize, begins: bool, delay: Duration) {
+        let (dispatcher, delay_us) = (index as u32, delay.as_micros() as u64);
         self.frontend
             .context
             .capture
             .record(Observation::ConnectionFault {
                 dispatcher,
-                struck,
-                late_us,
+                begins,
+                delay_us,
             });
     }
 
--- a/crates/testbed/src/saturation.rs
+++ b/crates/testbed/src/saturation.rs
@@ -97,13 +97,13 @@
         let late_us = self.max_lateness_us.load(Ordering::Relaxed);
         let hollow = self.max_hollow_share.load(Ordering::Relaxed) as f64 / MILLIONTHS;
         let late = Duration::from_micros(late_us) > MAX_LATENESS;
-        let spoilt = busy > MAX_UTILIZATION || late || hollow > MAX_UTILIZATION;
+        let invalid = busy > MAX_UTILIZATION || late || hollow > MAX_UTILIZATION;
         Ok(Observation::StandIns {
             busy,
             waited,
             late_us,
             hollow,
-            spoilt,
+            invalid,
         })
     }
 }
--- a/crates/testbed/src/summary.rs
+++ b/crates/testbed/src/summary.rs
@@ -47,7 +47,7 @@
     pub waited: f64,
     pub late_us: u64,
     pub hollow: f64,
-    pub spoilt: bool,
+    pub invalid: bool,
 }
 
 impl fmt::Display for StandIns {
@@ -59,7 +59,7 @@
             self.waited * 100.0,
             self.late_us / 1000,
             self.hollow * 100.0,
-            if self.spoilt {
+            if self.invalid {
                 ": SPOILT, the figures are the laboratory's"
             } else {
                 ""
@@ -71,16 +71,16 @@
 /// The figures of a rollout.
 #[derive(Default)]
 pub struct RolloutFigures {
-    pub copies: usize,
-    pub rolled: usize,
+    pub replicas: usize,
+    pub updated: usize,
     /// Time from its start until the last replica was ready.
     pub seconds: f64,
     /// Shortest possible duration, in seconds: the replicas divided by the limit, times the sum of
     /// the median time to get ready and the time to stay ready.
-    pub best: f64,
-    pub unready_most: usize,
+    pub min_seconds: f64,
+    pub max_unready: usize,
     /// Maximum number of new replicas beside old ones at a time.
-    pub beside_most: usize,
+    pub max_surplus: usize,
     pub limit: usize,
 }
 
@@ -90,21 +90,22 @@
             Observation::RolloutStarted {
                 service,
                 version,
-                unready_most,
-                ready_for_us,
-                start_first,
+                max_unavailable,
+                min_ready_us,
+                surge,
                 ..
             } => Some((
                 line.t,
                 service.clone(),
                 version.clone(),
-                *unready_most,
-                *ready_for_us,
-                *start_first,
+                *max_unavailable,
+                *min_ready_us,
+                *surge,
             )),
             _ => None,
         };
-        let (start, service, version, limit, ready_for, surge) = lines.iter().find_map(started)?;
+        let (start, service, version, limit, min_ready_us, surge) =
+            lines.iter().find_map(started)?;
         let mut figures = RolloutFigures {
             limit,
             ..RolloutFigures::default()
@@ -114,7 +115,7 @@
         let mut ready: BTreeMap<&str, Vec<(u32, &str)>> = BTreeMap::new();
         let (mut unready_since, mut offered) = (HashMap::<&str, u64>::new(), HashMap::new());
         let (mut durations, mut last) = (Vec::new(), start);
-        let (mut calls, mut rolled_tasks) = (BTreeSet::new(), BTreeSet::new());
+        let (mut calls, mut updated_tasks) = (BTreeSet::new(), BTreeSet::new());
         for Line { t, observation } in lines {
             let (task, node, running_version, is_ready) = match observation {
                 Observation::Offered {
@@ -147,7 +148,7 @@
             if is_ready {
                 // A task is counted once: if a fault strikes its node, it may get ready again
                 // later.
-                if running_version == version && rolled_tasks.insert(task) {
+                if running_version == version && updated_tasks.insert(task) {
                     last = *t;
                     let since = if surge {
                         offered.get(&(node, task)).copied()
@@ -171,24 +172,24 @@
                     unready_since.insert(task, *t);
                 }
             }
-            figures.copies = ready.len();
+            figures.replicas = ready.len();
             let is_new = |replicas: &&Vec<(u32, &str)>| replicas.iter().any(|(_, v)| *v == version);
-            figures.rolled = ready.values().filter(is_new).count();
-            figures.unready_most = figures.unready_most.max(unready_since.len());
+            figures.updated = ready.values().filter(is_new).count();
+            figures.max_unready = figures.max_unready.max(unready_since.len());
             let surplus = ready
                 .values()
                 .map(|replicas| replicas.len().saturating_sub(1))
                 .sum();
-            figures.beside_most = figures
-                .beside_most
+            figures.max_surplus = figures
+                .max_surplus
                 .max(if *t > start { surplus } else { 0 });
         }
         durations.sort_by(f64::total_cmp);
         let median = durations.get(durations.len() / 2).copied().unwrap_or(0.0);
         figures.seconds = (last - start) as f64 / 1e6;
-        let min_ready_s = ready_for as f64 / 1e6;
-        figures.best =
-            (figures.copies as f64 / limit as f64).ceil() * (median + min_ready_s) - min_ready_s;
+        let min_ready_s = min_ready_us as f64 / 1e6;
+        figures.min_seconds =
+            (figures.replicas as f64 / limit as f64).ceil() * (median + min_ready_s) - min_ready_s;
         Some(figures)
     }
 }
@@ -196,9 +197,9 @@
 /// The replicated service: the time for which tasks had no ready replica.
 #[derive(Default)]
 pub struct ReplicaFigures {
-    pub copies: usize,
-    pub lost_s: f64,
-    pub all_s: f64,
+    pub replicas: usize,
+    pub unready_s: f64,
+    pub total_s: f64,
 }
 
 impl ReplicaFigures {
@@ -219,7 +220,7 @@
         }
         let (mut figures, mut since) = (
             ReplicaFigures {
-                copies: all.len(),
+                replicas: all.len(),
                 ..ReplicaFigures::default()
             },
             None,
@@ -260,8 +261,8 @@
     fn add_until(&mut self, t: u64, since: &mut Option<u64>, ready: &BTreeMap<&str, i64>) {
         let Some(from) = since.as_mut() else { return };
         let seconds = (t - std::mem::replace(from, t)) as f64 / 1e6;
-        self.lost_s += seconds * ready.values().filter(|count| **count <= 0).count() as f64;
-        self.all_s += seconds * self.copies as f64;
+        self.unready_s += seconds * ready.values().filter(|count| **count <= 0).count() as f64;
+        self.total_s += seconds * self.replicas as f64;
     }
 }
 
@@ -342,7 +343,7 @@
                     waited,
                     late_us,
                     hollow,
-                    spoilt,
+                    invalid,
                 } => {
                     let (busy, waited, late_us, hollow) = (*busy, *waited, *late_us, *hollow);
                     summary.stand_ins = Some(StandIns {
@@ -350,7 +351,7 @@
                         waited,
                         late_us,
                         hollow,
-                        spoilt: *spoilt,
+                        invalid: *invalid,
                     });
                 }
                 Observation::Fault { name } => {
@@ -418,34 +419,34 @@
         writeln!(f, "nodes fallen over    {}", self.crashes)?;
         if let Some(rollout) = &self.rollout {
             let RolloutFigures {
-                copies,
-                rolled,
+                replicas,
+                updated,
                 seconds,
-                best,
-                unready_most,
-                beside_most,
+                min_seconds,
+                max_unready,
+                max_surplus,
                 limit,
             } = rollout;
-            let ratio = seconds / best.max(1e-3);
+            let ratio = seconds / min_seconds.max(1e-3);
             writeln!(
                 f,
-                "roll                 {rolled} of {copies} copies in {seconds:.1} s, at best {best:.1} s: {ratio:.2}"
+                "roll                 {updated} of {replicas} copies in {seconds:.1} s, at best {min_seconds:.1} s: {ratio:.2}"
             )?;
             writeln!(
                 f,
-                "not ready at a time  {unready_most}, {limit} allowed; beside others {beside_most}"
+                "not ready at a time  {max_unready}, {limit} allowed; beside others {max_surplus}"
             )?;
         }
         if let Some(ReplicaFigures {
-            copies,
-            lost_s,
-            all_s,
+            replicas,
+            unready_s,
+            total_s,
         }) = &self.replicas
         {
-            let percent = 100.0 * lost_s / all_s.max(1e-3);
+            let percent = 100.0 * unready_s / total_s.max(1e-3);
             writeln!(
                 f,
-                "copies' time lost    {lost_s:.1} of {all_s:.0} s of {copies} copies, {percent:.2}%"
+                "copies' time lost    {unready_s:.1} of {total_s:.0} s of {replicas} copies, {percent:.2}%"
             )?;
         }
         if let Some(versions) = &self.versions {
--- a/crates/testbed/src/version_figures.rs
+++ b/crates/testbed/src/version_figures.rs
@@ -15,10 +15,10 @@
     /// Versions pushed.
     pub pushed: usize,
     /// From a push to its effect at half of the dispatchers, in ms: the median over all pushes.
-    pub half: f64,
+    pub half_active_ms: f64,
     /// The same at six tenths of the dispatchers. Where a third of them is delayed, these are
     /// nearly all that receive it.
-    pub six_tenths: f64,
+    pub six_tenths_active_ms: f64,
     /// Each raise of the minimum version.
     pub raises: Vec<Raise>,
     /// The audit at the end, if any.
@@ -31,19 +31,19 @@
 #[derive(Default)]
 pub struct Raise {
     /// The minimum version.
-    pub lowest: u64,
+    pub minimum_version: u64,
     /// Time to the last attempt below it that a node accepted, in ms, if any.
-    pub taken: Option<f64>,
+    pub last_accepted_ms: Option<f64>,
     /// Time to the last attempt below it that reached a node, in ms, if any.
-    pub reached: Option<f64>,
+    pub last_arrived_ms: Option<f64>,
     /// Nodes that have stored it.
-    pub nodes: usize,
+    pub nodes_stored: usize,
     /// Dispatchers below it at the raise.
-    pub below: usize,
+    pub dispatchers_below: usize,
     /// How many of these caught up.
-    pub up: usize,
+    pub caught_up: usize,
     /// Time that the last of them took to catch up, in s.
-    pub last_up: f64,
+    pub last_caught_up_s: f64,
 }
 
 /// The report of an audit of the fleet.
@@ -118,19 +118,21 @@
             Observation::VersionActive { dispatcher, number } => {
                 self.record_active(now, *dispatcher, *number)
             }
-            Observation::MinimumVersionRaised { lowest } => self.record_raise(now, *lowest),
+            Observation::MinimumVersionRaised { version_number } => {
+                self.record_raise(now, *version_number)
+            }
             Observation::MinimumVersionStored { node, .. } => self.record_stored(*node),
             Observation::Offered {
                 node,
                 placement_id,
                 number,
-                decided,
+                version_number,
                 dispatcher,
                 ..
             } => {
                 let attempt = (*node, placement_id.as_str(), *number);
-                self.attempts.insert(attempt, *decided);
-                self.record_offer(now, *dispatcher, *decided);
+                self.attempts.insert(attempt, *version_number);
+                self.record_offer(now, *dispatcher, *version_number);
             }
             Observation::EventSent {
                 node,
@@ -170,17 +172,20 @@
         else {
             return;
         };
-        if number >= raise.lowest {
+        if number >= raise.minimum_version {
             in_progress.record_caught_up(dispatcher, now, raise);
         }
     }
 
-    fn record_raise(&mut self, now: u64, lowest: u64) {
-        let below = self.active.iter().filter(|(_, active)| **active < lowest);
+    fn record_raise(&mut self, now: u64, minimum_version: u64) {
+        let below = self
+            .active
+            .iter()
+            .filter(|(_, active)| **active < minimum_version);
         let below: BTreeSet<u32> = below.map(|(dispatcher, _)| *dispatcher).collect();
         self.figures.raises.push(Raise {
-            lowest,
-            below: below.len(),
+            minimum_version,
+            dispatchers_below: below.len(),
             ..Raise::default()
         });
         self.raise = Some(RaiseInProgress { at: now, below });
@@ -190,17 +195,17 @@
     fn record_stored(&mut self, node: u32) {
         self.nodes.insert(node);
         if let Some(raise) = self.figures.raises.last_mut() {
-            raise.nodes = self.nodes.len();
+            raise.nodes_stored = self.nodes.len();
         }
     }
 
-    fn record_offer(&mut self, now: u64, dispatcher: u32, decided: u64) {
+    fn record_offer(&mut self, now: u64, dispatcher: u32, version_number: u64) {
         let (Some(in_progress), Some(raise)) = (&mut self.raise, self.figures.raises.last_mut())
         else {
             return;
         };
-        if decided < raise.lowest {
-            raise.reached = Some(ms_between(in_progress.at, now));
+        if version_number < raise.minimum_version {
+            raise.last_arrived_ms = Some(ms_between(in_progress.at, now));
         } else {
             // A dispatcher may catch up without a report; its first attempt at or above the minimum
             // version shows it.
@@ -212,9 +217,9 @@
         let (Some(in_progress), Some(raise)) = (&self.raise, self.figures.raises.last_mut()) else {
             return;
         };
-        let decided = self.attempts.get(&attempt);
-        if decided.is_some_and(|decided| *decided < raise.lowest) {
-            raise.taken = Some(ms_between(in_progress.at, now));
+        let version_number = self.attempts.get(&attempt);
+        if version_number.is_some_and(|number| *number < raise.minimum_version) {
+            raise.last_accepted_ms = Some(ms_between(in_progress.at, now));
         }
     }
 
@@ -231,8 +236,8 @@
 
     fn finish(mut self) -> Option<VersionFigures> {
         self.figures.pushed = self.pushes.len();
-        self.figures.half = self.effect_at(0.5);
-        self.figures.six_tenths = self.effect_at(0.6);
+        self.figures.half_active_ms = self.effect_at(0.5);
+        self.figures.six_tenths_active_ms = self.effect_at(0.6);
         (self.figures.pushed > 0).then_some(self.figures)
     }
 }
@@ -241,8 +246,8 @@
     /// Records that a dispatcher is no longer below the minimum version, if it was.
     fn record_caught_up(&mut self, dispatcher: u32, now: u64, raise: &mut Raise) {
         if self.below.remove(&dispatcher) {
-            raise.up += 1;
-            raise.last_up = ms_between(self.at, now) / 1_000.0;
+            raise.caught_up += 1;
+            raise.last_caught_up_s = ms_between(self.at, now) / 1_000.0;
         }
     }
 }
@@ -262,7 +267,8 @@
 
 impl fmt::Display for VersionFigures {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        let (pushed, half, six_tenths) = (self.pushed, self.half, self.six_tenths);
+        let (pushed, half, six_tenths) =
+            (self.pushed, self.half_active_ms, self.six_tenths_active_ms);
         writeln!(
             f,
             "versions             {pushed} pushed; in force at half after {half:.0} ms, at 6 of 10 after {six_tenths:.0} ms"
@@ -294,22 +300,22 @@
 impl fmt::Display for Raise {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         let ms = |time: Option<f64>| time.map_or("never".into(), |time| format!("{time:.0} ms"));
-        let (taken, reached) = (ms(self.taken), ms(self.reached));
+        let (last_accepted, last_arrived) = (ms(self.last_accepted_ms), ms(self.last_arrived_ms));
         let Raise {
-            lowest,
-            nodes,
-            below,
-            up,
-            last_up,
+            minimum_version,
+            nodes_stored,
+            dispatchers_below,
+            caught_up,
+            last_caught_up_s,
             ..
         } = self;
         writeln!(
             f,
-            "floor {lowest:<14} last shot below taken after {taken}, arrived after {reached}"
+            "floor {minimum_version:<14} last shot below taken after {last_accepted}, arrived after {last_arrived}"
         )?;
         writeln!(
             f,
-            "                     {nodes} nodes have it; {up} of {below} below are up, the last after {last_up:.1} s"
+            "                     {nodes_stored} nodes have it; {caught_up} of {dispatchers_below} below are up, the last after {last_caught_up_s:.1} s"
         )
     }
 }
--- a/crates/testbed/tests/checker.rs
+++ b/crates/testbed/tests/checker.rs
@@ -41,7 +41,7 @@
             slow_start: SlowStartLimits {
                 lasts_us: 5_000_000,
                 window_us: 1_000_000,
-                most: 4,
+                max_offers: 4,
             },
             slack_us: 200_000,
         };
@@ -90,7 +90,7 @@
                 service,
                 task,
                 version,
-                decided: 0,
+                version_number: 0,
             },
         )
     }
@@ -492,15 +492,15 @@
     )
 }
 
-fn rollout(unready_most: usize, start_first: bool) -> Observation {
+fn rollout(max_unavailable: usize, surge: bool) -> Observation {
     Observation::RolloutStarted {
         service: "s".into(),
         version: "v2".into(),
-        unready_most,
-        ready_for_us: 0,
-        start_first,
-        ready_within_us: 3_000_000,
-        failures_most: 0,
+        max_unavailable,
+        min_ready_us: 0,
+        surge,
+        progress_deadline_us: 3_000_000,
+        max_failures: 0,
     }
 }
 
@@ -635,7 +635,7 @@
         15,
         Observation::MinimumVersionStored {
             node: NODE,
-            lowest: 3,
+            version_number: 3,
         },
     );
     let script = if lowered {
@@ -643,7 +643,7 @@
             16,
             Observation::MinimumVersionStored {
                 node: NODE,
-                lowest: 0,
+                version_number: 0,
             },
         )
     } else {
@@ -668,18 +668,18 @@
         .send(1_010, 1, 0, 7, Accepted);
     let mut all: Vec<(u64, Option<(bool, u64)>)> = faults
         .iter()
-        .map(|(at, struck, late)| (*at, Some((*struck, *late))))
+        .map(|(at, begins, delay)| (*at, Some((*begins, *delay))))
         .collect();
     all.extend([(2_000, None), (dropped_at, None)]);
     all.sort_by_key(|(at, _)| *at);
     for (at, fault) in all {
         script = match fault {
-            Some((struck, late)) => script.record(
+            Some((begins, delay)) => script.record(
                 at,
                 Observation::ConnectionFault {
                     dispatcher: 0,
-                    struck,
-                    late_us: late * 1_000,
+                    begins,
+                    delay_us: delay * 1_000,
                 },
             ),
             None if at == dropped_at => script.drop_offer(at, 1, 0, 7),
--- a/crates/testbed/tests/full_path/fleet.rs
+++ b/crates/testbed/tests/full_path/fleet.rs
@@ -276,11 +276,11 @@
         for line in self.harness.context.capture.lines() {
             if let Observation::Offered {
                 dispatcher,
-                decided,
+                version_number,
                 ..
             } = line.observation
             {
-                *sockets.entry((dispatcher, decided)).or_default() += 1;
+                *sockets.entry((dispatcher, version_number)).or_default() += 1;
             }
         }
         assert_eq!(rows, sockets, "{text}");
@@ -291,7 +291,7 @@
         let slow_start = SlowStartLimits {
             lasts_us: 0,
             window_us: 0,
-            most: usize::MAX,
+            max_offers: usize::MAX,
         };
         let (service_classes, nodes) = (Vec::new(), Vec::new());
         let rules = RuleParameters {
@@ -414,7 +414,7 @@
             matches!(
                 line.observation,
                 Observation::Offered {
-                    decided: 1,
+                    version_number: 1,
                     dispatcher: 4,
                     ..
                 }
--- a/crates/testbed/tests/full_path/rollouts.rs
+++ b/crates/testbed/tests/full_path/rollouts.rs
@@ -120,11 +120,11 @@
         let observation = Observation::RolloutStarted {
             service: "s".into(),
             version: version.into(),
-            unready_most: unready_most as usize,
-            ready_for_us: 1_000_000,
-            start_first,
-            ready_within_us: 3_000_000,
-            failures_most: 1,
+            max_unavailable: unready_most as usize,
+            min_ready_us: 1_000_000,
+            surge: start_first,
+            progress_deadline_us: 3_000_000,
+            max_failures: 1,
         };
         self.harnesses[0].context.capture.record(observation);
         let ask = v1::StartRolloutRequest {
@@ -287,7 +287,7 @@
     let slow_start = SlowStartLimits {
         lasts_us: 0,
         window_us: 0,
-        most: usize::MAX,
+        max_offers: usize::MAX,
     };
     RuleParameters {
         seed: 0,
--- a/crates/testbed/tests/scenarios.rs
+++ b/crates/testbed/tests/scenarios.rs
@@ -66,20 +66,20 @@
     let summary = Summary::of(&lines);
     assert!(summary.placed > 500, "{summary}");
     let versions = lines.iter().filter_map(|line| match line.observation {
-        Observation::Offered { decided, .. } => Some(decided),
+        Observation::Offered { version_number, .. } => Some(version_number),
         _ => None,
     });
     assert!(
         versions.max() >= Some(5),
         "decisions were made under pushed versions"
     );
-    let struck = lines.iter().filter(|line| {
+    let faults = lines.iter().filter(|line| {
         matches!(
             line.observation,
-            Observation::ConnectionFault { struck: true, .. }
+            Observation::ConnectionFault { begins: true, .. }
         )
     });
-    assert!(struck.count() >= 12);
+    assert!(faults.count() >= 12);
 }
 
 #[test]
--- a/crates/testbed/tests/version_figures.rs
+++ b/crates/testbed/tests/version_figures.rs
@@ -3,7 +3,7 @@
 use corkspan_testbed::capture::{AllocationEvent, Line, Observation};
 use corkspan_testbed::version_figures::VersionFigures;
 
-fn offered(node: u32, dispatcher: u32, number: u32, decided: u64) -> Observation {
+fn offered(node: u32, dispatcher: u32, number: u32, version_number: u64) -> Observation {
     Observation::Offered {
         node,
         placement_id: "p".into(),
@@ -12,7 +12,7 @@
         service: "s".into(),
         task: String::new(),
         version: String::new(),
-        decided,
+        version_number,
     }
 }
 
@@ -38,26 +38,29 @@
         (20_000, offered(100, 3, 1, 1)),
         (30_000, Observation::Pushed { number: 2 }),
         (31_000, active(0, 2)),
-        (50_000, Observation::MinimumVersionRaised { lowest: 2 }),
+        (
+            50_000,
+            Observation::MinimumVersionRaised { version_number: 2 },
+        ),
         (
             51_000,
             Observation::MinimumVersionStored {
                 node: 100,
-                lowest: 2,
+                version_number: 2,
             },
         ),
         (
             52_000,
             Observation::MinimumVersionStored {
                 node: 101,
-                lowest: 2,
+                version_number: 2,
             },
         ),
         (
             53_000,
             Observation::MinimumVersionStored {
                 node: 100,
-                lowest: 2,
+                version_number: 2,
             },
         ),
         (60_500, accepted(100, 1)),
@@ -66,12 +69,15 @@
         (1_250_000, active(1, 2)),
         (2_050_000, offered(101, 2, 4, 2)),
         (2_060_000, accepted(101, 4)),
-        (3_000_000, Observation::MinimumVersionRaised { lowest: 3 }),
+        (
+            3_000_000,
+            Observation::MinimumVersionRaised { version_number: 3 },
+        ),
         (
             3_100_000,
             Observation::MinimumVersionStored {
                 node: 102,
-                lowest: 3,
+                version_number: 3,
             },
         ),
         (
@@ -110,7 +116,7 @@
 fn a_capture_without_pushes_has_no_figures() {
     let lines = [Line {
         t: 5,
-        observation: Observation::MinimumVersionRaised { lowest: 2 },
+        observation: Observation::MinimumVersionRaised { version_number: 2 },
     }];
     assert!(VersionFigures::of(&lines).is_none());
 }
