--- a/crates/testbed/examples/scheduling_cost.rs
+++ b/crates/testbed/examples/scheduling_cost.rs
@@ -28,7 +28,7 @@
         print("machines", request_cost(machines, true, 1_000));
         print("machines", request_cost(machines, false, 1_000));
     }
-    for by_turns in [false, true] {
+    for on_demand in [false, true] {
         for similarity in [Similarity::Few, Similarity::None] {
             for waiting in [100, 300, 1_000, 3_000, 4_300] {
                 // If each one is evaluated at every poll, a second of thousands takes minutes.
@@ -50,7 +50,7 @@
                 };
                 for changes in changes {
                     let place = format!(
-                        "1,300 machines, likes: {similarity:?}, by turns: {by_turns}, {changes:?}"
+                        "1,300 machines, likes: {similarity:?}, by turns: {on_demand}, {changes:?}"
                     );
                     print(
                         &place,
@@ -59,7 +59,7 @@
                             waiting,
                             similarity,
                             changes,
-                            by_turns,
+                            on_demand,
                         }
                         .share_of_core(seconds),
                     );
--- a/crates/testbed/src/capacity/environment.rs
+++ b/crates/testbed/src/capacity/environment.rs
@@ -103,9 +103,9 @@
 pub enum FreeCapacity {
     Plenty,
     /// The endpoint list reports that reservations have reached the nodes' admission limits.
-    NoneByAsks,
+    NoneByReservations,
     /// Load reports show no available capacity, and nodes reject attempts.
-    NoneByUse,
+    NoneByUsage,
 }
 
 /// The settings of an environment.
@@ -116,13 +116,13 @@
     /// The number of dispatchers in the deployment files. It exceeds `dispatchers` where a few of a
     /// large fleet are measured.
     pub schedulers: usize,
-    pub room: FreeCapacity,
+    pub free_capacity: FreeCapacity,
     pub seed: u64,
 }
 
 /// Dispatchers, stand-ins and the relays between them.
 pub struct Environment {
-    pub setting: EnvironmentConfig,
+    pub config: EnvironmentConfig,
     pub tasks: SharedExecutor,
     threads: BTreeMap<Peer, StandInThread>,
     relays: StandInThread,
@@ -196,7 +196,7 @@
     pub async fn start(
         tasks: &SharedExecutor,
         program: &[OsString],
-        setting: EnvironmentConfig,
+        config: EnvironmentConfig,
     ) -> Result<Environment, String> {
         let mut threads = BTreeMap::new();
         for peer in [Peer::Roster, Peer::Control, Peer::Keepers, Peer::Nodes] {
@@ -216,7 +216,7 @@
         let nodes = TcpListener::bind("127.0.0.1:0").await.map_err(to_text)?;
         let nodes_address = nodes.local_addr().map_err(to_text)?;
         let node_tasks = &threads[&Peer::Nodes].tasks;
-        if setting.room == FreeCapacity::NoneByUse {
+        if config.free_capacity == FreeCapacity::NoneByUsage {
             let served = corkspan_rpc::serve(
                 nodes,
                 NodeServer::new(FullNode),
@@ -244,13 +244,13 @@
         let quorum_context = context(Peer::Keepers)?;
         let quorum_meter = Arc::new(Meter::default());
         let mut endpoints = Vec::new();
-        for id in 0..setting.machines {
+        for id in 0..config.machines {
             let address = match id < QUORUM_MEMBERS {
                 true => {
-                    let node = Node::new(quorum_member_config(id, setting.seed), &quorum_context);
+                    let node = Node::new(quorum_member_config(id, config.seed), &quorum_context);
                     let at = node.start_process(false).await.map_err(to_text)?;
                     let to = (at, Arc::clone(&quorum_meter));
-                    meter::relay_onto(&relays.tasks, to.0, to.1)
+                    meter::relay_with_meter(&relays.tasks, to.0, to.1)
                         .await
                         .map_err(to_text)?
                 }
@@ -258,14 +258,15 @@
             };
             // Nodes admit twice the cores and 1.5 times the memory of a machine; these amounts
             // remain unreserved when reservations have reached that limit.
-            let full = setting.room == FreeCapacity::NoneByAsks;
+            let full = config.free_capacity == FreeCapacity::NoneByReservations;
             let (cores, memory) = if full { (-64.0, -128.0) } else { (30.0, 30.0) };
             // The quorum members' stand-ins would accept some attempts, so they are reported full.
-            let (cores, memory) = if setting.room == FreeCapacity::Plenty || id >= QUORUM_MEMBERS {
-                (cores, memory)
-            } else {
-                (-64.0, -128.0)
-            };
+            let (cores, memory) =
+                if config.free_capacity == FreeCapacity::Plenty || id >= QUORUM_MEMBERS {
+                    (cores, memory)
+                } else {
+                    (-64.0, -128.0)
+                };
             let unreserved = Some(v1::Resources { cores, memory });
             endpoints.push(v1::Endpoint {
                 unreserved,
@@ -280,7 +281,7 @@
         let (mut dispatchers, mut client_addresses, mut shared_parts) =
             (Vec::new(), Vec::new(), None);
         let clients_meter = Arc::new(Meter::default());
-        for number in 0..setting.dispatchers {
+        for number in 0..config.dispatchers {
             // A dispatcher writes files beside its deployment file whose names differ in the
             // extension alone, so each deployment file has a name of its own.
             let at = |name: &str| folder.path().join(format!("{number}-{name}"));
@@ -289,25 +290,26 @@
             let extra_parts = format!(
                 "(shows-room #t) (may-probe #t) (keepers 0 1 2) (rolls {rollouts:?}) (remembered {list:?})
                  (control \"{control_relay}\") (versions {versions:?}) (floor (every 2 s)) (seed {})",
-                setting.seed
+                config.seed
             );
             let file = measure::deployment(discovery_relay, &extra_parts)
                 .replace("(number 0)", &format!("(number {number})"))
                 .replace(
                     "(schedulers 1)",
-                    &format!("(schedulers {})", setting.schedulers),
+                    &format!("(schedulers {})", config.schedulers),
                 );
             shared_parts =
                 Some(SharedParts::parse("deployment", &file).map_err(|why| why.to_string())?);
             let process = Process::start_in(program, &at("file.sexp"), &file)?;
             let client_relay =
-                meter::relay_onto(&relays.tasks, process.address, Arc::clone(&clients_meter)).await;
+                meter::relay_with_meter(&relays.tasks, process.address, Arc::clone(&clients_meter))
+                    .await;
             client_addresses.push(client_relay.map_err(to_text)?);
             dispatchers.push(process);
         }
         meters.insert(Peer::Owners, clients_meter);
         let environment = Environment {
-            setting,
+            config,
             tasks: Arc::clone(tasks),
             threads,
             relays,
@@ -336,7 +338,7 @@
                         .status(v1::StatusRequest {})
                         .await
                         .map_err(|why| why.to_string())?;
-                    if status.get_ref().machines_serving >= u64::from(self.setting.machines) {
+                    if status.get_ref().machines_serving >= u64::from(self.config.machines) {
                         break;
                     }
                     Timer::after(Duration::from_millis(20)).await;
@@ -419,7 +421,7 @@
     /// until the result is dropped.
     pub fn report_capacity(&self, interval: Duration) -> async_executor::Task<()> {
         let (discovery, endpoints) = (Arc::clone(&self.discovery), self.endpoints.clone());
-        let mut rng = Pcg64Mcg::seed_from_u64(self.setting.seed);
+        let mut rng = Pcg64Mcg::seed_from_u64(self.config.seed);
         self.threads[&Peer::Roster].tasks.spawn(async move {
             let mut due = Instant::now();
             loop {
@@ -571,7 +573,7 @@
     }
 
     /// Observes the environment for this time.
-    pub async fn watch(&self, time: Duration) -> Result<Watched, String> {
+    pub async fn observe(&self, time: Duration) -> Result<ObservedFigures, String> {
         let before = self.read().await?;
         Timer::after(time).await;
         let after = self.read().await?;
@@ -579,14 +581,14 @@
         for process in &self.dispatchers {
             kib.push(process.resident()? as f64);
         }
-        Ok(Watched::between(&before, &after, &kib))
+        Ok(ObservedFigures::between(&before, &after, &kib))
     }
 
     /// Returns the number of connections that dispatchers have opened so far, by peer.
-    pub fn opened(&self) -> BTreeMap<Peer, u64> {
+    pub fn connections_opened(&self) -> BTreeMap<Peer, u64> {
         self.meters
             .iter()
-            .map(|(peer, meter)| (*peer, meter.opened()))
+            .map(|(peer, meter)| (*peer, meter.connections_opened()))
             .collect()
     }
 }
@@ -613,24 +615,24 @@
 
 /// The figures of an observation.
 #[derive(Clone, Debug)]
-pub struct Watched {
+pub struct ObservedFigures {
     pub seconds: f64,
     /// Bytes a second, both ways, of all dispatchers together, by peer.
-    pub bytes: BTreeMap<Peer, f64>,
+    pub bytes_per_second: BTreeMap<Peer, f64>,
     /// Processor use of one dispatcher, in percent of a core.
-    pub core: f64,
+    pub core_percent: f64,
     /// Processor use of the stand-ins' threads, in percent of a core.
-    pub threads: BTreeMap<Peer, f64>,
+    pub thread_percent: BTreeMap<Peer, f64>,
     /// Resident memory of one dispatcher, in MiB.
-    pub mib: f64,
+    pub resident_mib: f64,
     /// Bytes, messages in and messages out a second, as the dispatchers counted them themselves.
-    pub counted: Option<BTreeMap<Peer, [f64; 3]>>,
+    pub counted_per_second: Option<BTreeMap<Peer, [f64; 3]>>,
     /// The reasons why the figures are invalid, if any.
-    pub spoilt: Vec<String>,
+    pub invalid_reasons: Vec<String>,
 }
 
-impl Watched {
-    fn between(before: &Reading, after: &Reading, kib: &[f64]) -> Watched {
+impl ObservedFigures {
+    fn between(before: &Reading, after: &Reading, kib: &[f64]) -> ObservedFigures {
         let seconds = (after.at - before.at).as_secs_f64();
         let percent = |ran: u64| ran as f64 / 1e7 / seconds;
         let dispatchers = before.dispatchers.len().max(1) as f64;
@@ -640,25 +642,25 @@
             ran: sum.ran + cpu_time.ran,
             waited: sum.waited + cpu_time.waited,
         });
-        let threads: BTreeMap<Peer, f64> = (after.threads.iter())
+        let thread_percent: BTreeMap<Peer, f64> = (after.threads.iter())
             .map(|(peer, ran)| (*peer, percent(ran.since(before.threads[peer]).ran)))
             .collect();
-        let mut spoilt = Vec::new();
+        let mut invalid_reasons = Vec::new();
         let relays = percent(after.relays.since(before.relays).ran);
-        for (name, busy) in threads
+        for (name, busy) in thread_percent
             .iter()
             .map(|(peer, busy)| (format!("{peer:?}"), *busy))
             .chain([("relays".into(), relays)])
         {
             if busy > MAX_THREAD_UTILIZATION * 100.0 {
-                spoilt.push(format!(
+                invalid_reasons.push(format!(
                     "the thread of the stand-ins ({name}) was busy {busy:.0}% of the time"
                 ));
             }
         }
         let waited = cpu_time.waited as f64 / 1e9 / seconds / dispatchers;
         if waited > MAX_CPU_WAIT {
-            spoilt.push(format!(
+            invalid_reasons.push(format!(
                 "a dispatcher waited for a processor {:.0}% of the time",
                 waited * 100.0
             ));
@@ -668,46 +670,47 @@
             after.ticks.1 - before.ticks.1,
         );
         if stolen as f64 > MAX_STOLEN * total.max(1) as f64 {
-            spoilt.push(format!(
+            invalid_reasons.push(format!(
                 "{:.0}% of the machine was stolen",
                 100.0 * stolen as f64 / total as f64
             ));
         }
-        let bytes: BTreeMap<Peer, f64> = (after.bytes.iter())
+        let bytes_per_second: BTreeMap<Peer, f64> = (after.bytes.iter())
             .map(|(peer, bytes)| (*peer, (bytes - before.bytes[peer]) as f64 / seconds))
             .collect();
-        let counted = after
-            .counted
-            .as_ref()
-            .zip(before.counted.as_ref())
-            .map(|(after, before)| {
-                let rates = |peer: &Peer| {
-                    let (after, before) = (after[peer], before[peer]);
-                    [0, 1, 2].map(|index| (after[index] - before[index]) as f64 / seconds)
-                };
-                after
-                    .keys()
-                    .map(|peer| (*peer, rates(peer)))
-                    .collect::<BTreeMap<Peer, [f64; 3]>>()
-            });
-        for (peer, [counted_bytes, ..]) in counted.iter().flatten() {
-            if (counted_bytes - bytes[peer]).abs()
-                > bytes[peer] * MAX_COUNT_DIFFERENCE + MAX_BYTES_IN_FLIGHT / seconds
+        let counted_per_second =
+            after
+                .counted
+                .as_ref()
+                .zip(before.counted.as_ref())
+                .map(|(after, before)| {
+                    let rates = |peer: &Peer| {
+                        let (after, before) = (after[peer], before[peer]);
+                        [0, 1, 2].map(|index| (after[index] - before[index]) as f64 / seconds)
+                    };
+                    after
+                        .keys()
+                        .map(|peer| (*peer, rates(peer)))
+                        .collect::<BTreeMap<Peer, [f64; 3]>>()
+                });
+        for (peer, [counted_bytes, ..]) in counted_per_second.iter().flatten() {
+            if (counted_bytes - bytes_per_second[peer]).abs()
+                > bytes_per_second[peer] * MAX_COUNT_DIFFERENCE + MAX_BYTES_IN_FLIGHT / seconds
             {
-                let relayed = bytes[peer];
-                spoilt.push(format!(
+                let relayed = bytes_per_second[peer];
+                invalid_reasons.push(format!(
                     "{peer:?}: dispatchers count {counted_bytes:.0} bytes/s, relays {relayed:.0}"
                 ));
             }
         }
-        Watched {
+        ObservedFigures {
             seconds,
-            bytes,
-            counted,
-            core: percent(cpu_time.ran) / dispatchers,
-            threads,
-            mib: kib.iter().sum::<f64>() / 1_024.0 / kib.len().max(1) as f64,
-            spoilt,
+            bytes_per_second,
+            counted_per_second,
+            core_percent: percent(cpu_time.ran) / dispatchers,
+            thread_percent,
+            resident_mib: kib.iter().sum::<f64>() / 1_024.0 / kib.len().max(1) as f64,
+            invalid_reasons,
         }
     }
 
@@ -715,6 +718,10 @@
     /// those of clients. Attempts sent to nodes are not control traffic, but are included.
     pub fn control_bytes(&self, dispatchers: usize) -> f64 {
         let peers = [Peer::Roster, Peer::Control, Peer::Keepers, Peer::Nodes];
-        peers.iter().map(|peer| self.bytes[peer]).sum::<f64>() / dispatchers.max(1) as f64
+        peers
+            .iter()
+            .map(|peer| self.bytes_per_second[peer])
+            .sum::<f64>()
+            / dispatchers.max(1) as f64
     }
 }
--- a/crates/testbed/src/capacity/meter.rs
+++ b/crates/testbed/src/capacity/meter.rs
@@ -12,7 +12,7 @@
 pub struct Meter {
     to_target: AtomicU64,
     from_target: AtomicU64,
-    opened: AtomicU64,
+    connections_opened: AtomicU64,
 }
 
 impl Meter {
@@ -22,8 +22,8 @@
     }
 
     /// Returns the number of connections opened so far.
-    pub fn opened(&self) -> u64 {
-        self.opened.load(Relaxed)
+    pub fn connections_opened(&self) -> u64 {
+        self.connections_opened.load(Relaxed)
     }
 }
 
@@ -33,11 +33,14 @@
     to: SocketAddr,
 ) -> std::io::Result<(SocketAddr, Arc<Meter>)> {
     let meter = Arc::new(Meter::default());
-    Ok((relay_onto(tasks, to, Arc::clone(&meter)).await?, meter))
+    Ok((
+        relay_with_meter(tasks, to, Arc::clone(&meter)).await?,
+        meter,
+    ))
 }
 
 /// Starts a relay to an address, with a meter that other relays may share.
-pub async fn relay_onto(
+pub async fn relay_with_meter(
     tasks: &SharedExecutor,
     to: SocketAddr,
     meter: Arc<Meter>,
@@ -47,7 +50,7 @@
     let executor = Arc::clone(tasks);
     let accept_loop = async move {
         while let Ok((from, _)) = listener.accept().await {
-            meter.opened.fetch_add(1, Relaxed);
+            meter.connections_opened.fetch_add(1, Relaxed);
             let meter = Arc::clone(&meter);
             executor
                 .spawn(async move {
--- a/crates/testbed/src/capacity/mod.rs
+++ b/crates/testbed/src/capacity/mod.rs
@@ -15,7 +15,7 @@
 use corkspan_rpc::{SharedExecutor, within};
 use environment::placement_request;
 pub use environment::{
-    Environment, EnvironmentConfig, FreeCapacity, Peer, PlacementStreams, Watched,
+    Environment, EnvironmentConfig, FreeCapacity, ObservedFigures, Peer, PlacementStreams,
 };
 use futures_lite::future;
 use std::collections::BTreeMap;
@@ -66,9 +66,13 @@
             .insert(name.into(), (value * 1e4).round() / 1e4);
     }
 
-    fn add_invalid(&mut self, phase: &str, watched: &Watched) {
-        self.invalid
-            .extend(watched.spoilt.iter().map(|why| format!("{phase}: {why}")));
+    fn add_invalid(&mut self, phase: &str, observed: &ObservedFigures) {
+        self.invalid.extend(
+            observed
+                .invalid_reasons
+                .iter()
+                .map(|why| format!("{phase}: {why}")),
+        );
     }
 }
 
@@ -236,15 +240,17 @@
                 future::block_on(tasks.clone().run(self.measure_held(tasks, at)))
             }
             (Axis::Tasks, _) => future::block_on(tasks.clone().run(self.measure_starts(tasks, at))),
-            (Axis::Waiting, "full by asks") => future::block_on(
-                tasks
-                    .clone()
-                    .run(self.measure_waiting(tasks, at, FreeCapacity::NoneByAsks)),
-            ),
+            (Axis::Waiting, "full by asks") => {
+                future::block_on(tasks.clone().run(self.measure_waiting(
+                    tasks,
+                    at,
+                    FreeCapacity::NoneByReservations,
+                )))
+            }
             (Axis::Waiting, _) => future::block_on(tasks.clone().run(self.measure_waiting(
                 tasks,
                 at,
-                FreeCapacity::NoneByUse,
+                FreeCapacity::NoneByUsage,
             ))),
             (Axis::Versions, _) => {
                 future::block_on(tasks.clone().run(self.measure_versions(tasks, at)))
@@ -280,7 +286,7 @@
             machines,
             dispatchers,
             schedulers,
-            room: FreeCapacity::Plenty,
+            free_capacity: FreeCapacity::Plenty,
             seed: self.seed,
         }
     }
@@ -291,20 +297,23 @@
                 .await?;
         Timer::after(SETTLE_TIME).await;
         let mut measured = Measured::default();
-        let quiet = environment.watch(self.watch).await?;
+        let quiet = environment.observe(self.watch).await?;
         let reports = environment.report_capacity(Duration::from_secs(1));
         Timer::after(Duration::from_secs(1)).await;
-        let reported = environment.watch(self.watch).await?;
+        let reported = environment.observe(self.watch).await?;
         drop(reports);
-        for (name, watched) in [("quiet", &quiet), ("told", &reported)] {
-            measured.record(&format!("{name}, bytes/s"), watched.control_bytes(1));
-            measured.record(&format!("{name}, core %"), watched.core);
-            measured.add_invalid(name, watched);
+        for (name, observed) in [("quiet", &quiet), ("told", &reported)] {
+            measured.record(&format!("{name}, bytes/s"), observed.control_bytes(1));
+            measured.record(&format!("{name}, core %"), observed.core_percent);
+            measured.add_invalid(name, observed);
             for peer in [Peer::Roster, Peer::Keepers, Peer::Control, Peer::Nodes] {
                 let kind = format!("{peer:?}").to_lowercase();
-                measured.record(&format!("{name}, {kind}, bytes/s"), watched.bytes[&peer]);
-                if let Some([bytes, messages_in, messages_out]) = watched
-                    .counted
+                measured.record(
+                    &format!("{name}, {kind}, bytes/s"),
+                    observed.bytes_per_second[&peer],
+                );
+                if let Some([bytes, messages_in, messages_out]) = observed
+                    .counted_per_second
                     .as_ref()
                     .and_then(|counts| counts.get(&peer))
                 {
@@ -316,10 +325,16 @@
                 }
             }
         }
-        measured.record("roster, bytes/s", reported.bytes[&Peer::Roster]);
-        measured.record("roster's thread, core %", reported.threads[&Peer::Roster]);
-        measured.record("told, bytes a line", reported.bytes[&Peer::Roster] / at);
-        measured.record("memory, MiB", reported.mib);
+        measured.record("roster, bytes/s", reported.bytes_per_second[&Peer::Roster]);
+        measured.record(
+            "roster's thread, core %",
+            reported.thread_percent[&Peer::Roster],
+        );
+        measured.record(
+            "told, bytes a line",
+            reported.bytes_per_second[&Peer::Roster] / at,
+        );
+        measured.record("memory, MiB", reported.resident_mib);
         Ok(measured)
     }
 
@@ -339,21 +354,24 @@
         let mut measured = Measured::default();
         let reports = environment.report_capacity(CAPACITY_REPORT_INTERVAL);
         Timer::after(Duration::from_secs(1)).await;
-        let reported = environment.watch(self.watch).await?;
+        let reported = environment.observe(self.watch).await?;
         drop(reports);
         measured.add_invalid("told", &reported);
         measured.record("told, bytes/s", reported.control_bytes(dispatchers));
-        measured.record("core %", reported.core);
-        measured.record("memory, MiB", reported.mib);
+        measured.record("core %", reported.core_percent);
+        measured.record("memory, MiB", reported.resident_mib);
         for peer in [Peer::Roster, Peer::Keepers, Peer::Control] {
             let kind = format!("{peer:?}").to_lowercase();
-            measured.record(&format!("{kind}, bytes/s"), reported.bytes[&peer]);
+            measured.record(
+                &format!("{kind}, bytes/s"),
+                reported.bytes_per_second[&peer],
+            );
             measured.record(
                 &format!(
                     "{kind}{} thread, core %",
                     if peer == Peer::Keepers { "'" } else { "'s" }
                 ),
-                reported.threads[&peer],
+                reported.thread_percent[&peer],
             );
         }
         // Each dispatcher receives the first version whole, and the next ones as changes.
@@ -387,12 +405,12 @@
                 .map_err(|why| why.to_string())?;
         }
         Timer::after(SETTLE_TIME).await;
-        let watched = environment.watch(self.watch).await?;
+        let observed = environment.observe(self.watch).await?;
         let mut measured = Measured::default();
-        measured.add_invalid("held", &watched);
-        measured.record("core %", watched.core);
-        measured.record("memory, MiB", watched.mib);
-        measured.record("bytes/s", watched.control_bytes(1));
+        measured.add_invalid("held", &observed);
+        measured.record("core %", observed.core_percent);
+        measured.record("memory, MiB", observed.resident_mib);
+        measured.record("bytes/s", observed.control_bytes(1));
         measured.record("in hand", environment.status().await?.in_flight as f64);
         Ok(measured)
     }
@@ -438,11 +456,11 @@
         };
         Timer::after(SETTLE_TIME).await;
         let before = environment.status().await?;
-        let watched = environment.watch(self.watch).await?;
+        let observed = environment.observe(self.watch).await?;
         let after = environment.status().await?;
         drop(requests);
         let mut measured = Measured::default();
-        measured.add_invalid("starts", &watched);
+        measured.add_invalid("starts", &observed);
         let mut delays = std::mem::take(
             &mut *delays
                 .lock()
@@ -459,29 +477,32 @@
                 p99.as_millis()
             ));
         }
-        let placed = (after.placed - before.placed) as f64 / watched.seconds;
+        let placed = (after.placed - before.placed) as f64 / observed.seconds;
         if placed < at * MIN_COMPLETION {
             measured
                 .invalid
                 .push(format!("{placed:.0} a second were placed"));
         }
-        measured.record("core %", watched.core);
-        measured.record("core us a start", watched.core * 1e4 / placed.max(1.0));
+        measured.record("core %", observed.core_percent);
+        measured.record(
+            "core us a start",
+            observed.core_percent * 1e4 / placed.max(1.0),
+        );
         measured.record(
             "nodes, bytes/s",
-            watched.bytes[&Peer::Nodes] + watched.bytes[&Peer::Keepers],
+            observed.bytes_per_second[&Peer::Nodes] + observed.bytes_per_second[&Peer::Keepers],
         );
-        measured.record("owners, bytes/s", watched.bytes[&Peer::Owners]);
+        measured.record("owners, bytes/s", observed.bytes_per_second[&Peer::Owners]);
         measured.record("placed a second", placed);
         measured.record(
             "links to nodes opened",
-            environment.opened()[&Peer::Nodes] as f64,
+            environment.connections_opened()[&Peer::Nodes] as f64,
         );
         measured.record(
             "asked before it was watched",
             (before.requested - initial.requested) as f64,
         );
-        measured.record("memory, MiB", watched.mib);
+        measured.record("memory, MiB", observed.resident_mib);
         Ok(measured)
     }
 
@@ -489,28 +510,28 @@
         &self,
         tasks: SharedExecutor,
         at: f64,
-        room: FreeCapacity,
+        free_capacity: FreeCapacity,
     ) -> Result<Measured, String> {
         let environment_config = EnvironmentConfig {
-            room,
+            free_capacity,
             ..self.environment_config(self.size.machines as u32, 1)
         };
         let environment = Environment::start(&tasks, &self.program, environment_config).await?;
         let requests = at as usize;
         let (mut streams, mut clients) = (Vec::new(), Vec::new());
-        match room {
+        match free_capacity {
             // The dispatcher offers some of these, and they are rejected, until it has load reports
             // of enough machines.
-            FreeCapacity::NoneByUse => clients = environment.request_repeatedly(requests).await?,
+            FreeCapacity::NoneByUsage => clients = environment.request_repeatedly(requests).await?,
             _ => streams = environment.request_tasks(requests).await?,
         }
         Timer::after(SETTLE_TIME * 2).await;
         let before = environment.status().await?;
-        let watched = environment.watch(self.watch).await?;
+        let observed = environment.observe(self.watch).await?;
         let status = environment.status().await?;
         let mut measured = Measured::default();
-        measured.add_invalid("waiting", &watched);
-        let min_in_flight = if room == FreeCapacity::NoneByUse {
+        measured.add_invalid("waiting", &observed);
+        let min_in_flight = if free_capacity == FreeCapacity::NoneByUsage {
             at * 0.8
         } else {
             at
@@ -522,13 +543,13 @@
             ));
         }
         drop((streams, clients));
-        measured.record("core %", watched.core);
-        measured.record("memory, MiB", watched.mib);
-        measured.record("bytes/s", watched.control_bytes(1));
+        measured.record("core %", observed.core_percent);
+        measured.record("memory, MiB", observed.resident_mib);
+        measured.record("bytes/s", observed.control_bytes(1));
         measured.record("in hand", status.in_flight as f64);
         measured.record(
             "asked anew a second",
-            (status.requested - before.requested) as f64 / watched.seconds,
+            (status.requested - before.requested) as f64 / observed.seconds,
         );
         Ok(measured)
     }
@@ -556,19 +577,28 @@
             }
             Err(String::new())
         };
-        let watched = future::or(environment.watch(self.watch), pushes).await?;
+        let observed = future::or(environment.observe(self.watch), pushes).await?;
         let mut measured = Measured::default();
-        measured.add_invalid("versions", &watched);
-        measured.record("core %", watched.core);
-        measured.record("control, bytes/s", watched.bytes[&Peer::Control]);
-        measured.record("control's thread, core %", watched.threads[&Peer::Control]);
-        measured.record("keepers, bytes/s", watched.bytes[&Peer::Keepers]);
+        measured.add_invalid("versions", &observed);
+        measured.record("core %", observed.core_percent);
+        measured.record(
+            "control, bytes/s",
+            observed.bytes_per_second[&Peer::Control],
+        );
+        measured.record(
+            "control's thread, core %",
+            observed.thread_percent[&Peer::Control],
+        );
+        measured.record(
+            "keepers, bytes/s",
+            observed.bytes_per_second[&Peer::Keepers],
+        );
         Ok(measured)
     }
 }
 
 /// Adds a run to the stored result, which is created if it does not exist.
-pub fn put(path: &std::path::Path, size: &FleetSize, run: Run) -> Result<(), String> {
+pub fn store_run(path: &std::path::Path, size: &FleetSize, run: Run) -> Result<(), String> {
     let with_path = |why: String| format!("{}: {why}", path.display());
     let mut stored = match std::fs::read_to_string(path) {
         Ok(text) => CapacityResult::read(&text).map_err(|why| with_path(why.to_string()))?,
--- a/crates/testbed/src/capacity/scheduling_cost.rs
+++ b/crates/testbed/src/capacity/scheduling_cost.rs
@@ -235,7 +235,7 @@
     pub waiting: u32,
     pub similarity: Similarity,
     pub changes: Changes,
-    pub by_turns: bool,
+    pub on_demand: bool,
 }
 
 /// An engine with its timer and running allocations.
@@ -282,7 +282,7 @@
     }
 
     fn start_run(&self) -> EngineRun {
-        let batch = if self.by_turns {
+        let batch = if self.on_demand {
             RetryBatch::ON_DEMAND
         } else {
             RetryBatch::ALL
--- a/crates/testbed/src/config_push_experiment.rs
+++ b/crates/testbed/src/config_push_experiment.rs
@@ -26,8 +26,10 @@
     pub program: Vec<OsString>,
     pub rounds: usize,
     pub seconds: f64,
-    pub instances: usize,
-    pub returns: usize,
+    /// Dispatchers for the time from push to effect.
+    pub effect_dispatchers: usize,
+    /// Dispatchers that reconnect after an outage.
+    pub reconnecting_dispatchers: usize,
     pub seeds: u64,
     pub versions: usize,
 }
@@ -106,7 +108,7 @@
 
     /// Measures the time from a push until each instance has acknowledged it as applied.
     fn measure_effect(&self) -> Result<(), String> {
-        let instances = self.instances;
+        let instances = self.effect_dispatchers;
         in_environment(&self.program, instances, async |environment| {
             let mut times = histogram()?;
             for change in 0..20 {
@@ -144,7 +146,7 @@
 
     /// Measures how all instances reconnect after an outage of the control service.
     fn measure_reconnects(&self) -> Result<(), String> {
-        let instances = self.returns;
+        let instances = self.reconnecting_dispatchers;
         in_environment(&self.program, instances, async |mut environment| {
             let opened = environment.control.streams_opened();
             drop(environment.control_guard.take());
@@ -193,9 +195,9 @@
             program: self.program.clone(),
             rounds: self.rounds,
             seconds: self.seconds,
-            at_once: 16,
+            concurrent_requests: 16,
             nodes: 40,
-            held: 0,
+            held_allocations: 0,
         };
         let (mut without_pushes, mut with_pushes) = (Vec::<Round>::new(), Vec::<Round>::new());
         let tasks = SharedExecutor::default();
--- a/crates/testbed/src/hollow.rs
+++ b/crates/testbed/src/hollow.rs
@@ -14,13 +14,13 @@
 use std::path::PathBuf;
 
 #[derive(Parser)]
-pub struct Line {
+pub struct Arguments {
     #[command(subcommand)]
-    call: Call,
+    command: Command,
 }
 
 #[derive(Subcommand)]
-enum Call {
+enum Command {
     /// Runs a hollow dispatcher for each deployment file, until SIGTERM.
     #[command(hide = true)]
     Serve {
@@ -33,10 +33,10 @@
 }
 
 /// Runs the subcommand of a parsed command line.
-pub fn run(line: Line) -> Result<(), String> {
-    match line.call {
-        Call::Serve { files } => serve(&files),
-        Call::Against(against) => against.run(),
+pub fn run(arguments: Arguments) -> Result<(), String> {
+    match arguments.command {
+        Command::Serve { files } => serve(&files),
+        Command::Against(against) => against.run(),
     }
 }
 
--- a/crates/testbed/src/loads.rs
+++ b/crates/testbed/src/loads.rs
@@ -168,9 +168,9 @@
             program: program.to_vec(),
             rounds: 1,
             seconds: 1.0,
-            at_once: 1,
+            concurrent_requests: 1,
             nodes: 8,
-            held: 0,
+            held_allocations: 0,
         };
         measure.wait_until_ready(&tasks, process.address).await?;
         let began = Instant::now();
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -42,7 +42,7 @@
     },
     /// Runs hollow dispatchers: many in one process, without disk or log, for the testbed only; see
     /// docs/days.md.
-    Hollow(hollow::Line),
+    Hollow(hollow::Arguments),
     /// Checks an existing capture.
     Judge { capture: PathBuf },
     /// Measures a dispatcher against the bare RPC stack, side by side.
@@ -221,9 +221,9 @@
                 program,
                 rounds,
                 seconds,
-                at_once,
+                concurrent_requests: at_once,
                 nodes,
-                held,
+                held_allocations: held,
             }
             .run()
         }),
@@ -240,8 +240,8 @@
                 program,
                 rounds,
                 seconds,
-                instances,
-                returns,
+                effect_dispatchers: instances,
+                reconnecting_dispatchers: returns,
                 seeds,
                 versions,
             }
@@ -264,7 +264,7 @@
             println!("the same at the same time, closed loop with one client:\n{closed}");
             Ok(())
         }),
-        Command::Hollow(line) => hollow::run(line),
+        Command::Hollow(arguments) => hollow::run(arguments),
         Command::Capacity {
             page: Some(page), ..
         } => capacity_page(page),
@@ -408,7 +408,7 @@
     };
     capacity.run(|run| {
         if let Some(path) = &json {
-            corkspan_testbed::capacity::put(path, &size, run.clone())?;
+            corkspan_testbed::capacity::store_run(path, &size, run.clone())?;
         }
         kept.insert(run);
         Ok(())
--- a/crates/testbed/src/measure.rs
+++ b/crates/testbed/src/measure.rs
@@ -25,10 +25,10 @@
     pub rounds: usize,
     pub seconds: f64,
     /// Concurrent requests.
-    pub at_once: usize,
+    pub concurrent_requests: usize,
     pub nodes: u32,
     /// Allocations held for the memory figure.
-    pub held: usize,
+    pub held_allocations: usize,
 }
 
 /// The figures of one round.
@@ -118,7 +118,7 @@
         );
         let client = PlacementClient::new(connect(tasks, dispatcher.address).await?);
         let mut streams = Vec::new();
-        for number in 0..self.held {
+        for number in 0..self.held_allocations {
             let request = request(&format!("held{number}"), 3_600_000);
             let events = client
                 .clone()
@@ -175,7 +175,7 @@
         let client = PlacementClient::new(connect(tasks, at).await?);
         let started = Instant::now();
         let end = started + Duration::from_secs_f64(self.seconds);
-        let clients: Vec<_> = (0..self.at_once)
+        let clients: Vec<_> = (0..self.concurrent_requests)
             .map(|client_number| {
                 let mut client = client.clone();
                 tasks.spawn(async move {
--- a/crates/testbed/tests/capacity.rs
+++ b/crates/testbed/tests/capacity.rs
@@ -18,7 +18,7 @@
 fn in_environment<F: Future<Output = ()>>(
     machines: u32,
     dispatchers: usize,
-    room: FreeCapacity,
+    free_capacity: FreeCapacity,
     test: impl FnOnce(Environment) -> F,
 ) {
     let tasks = SharedExecutor::default();
@@ -27,7 +27,7 @@
         machines,
         dispatchers,
         schedulers: dispatchers,
-        room,
+        free_capacity,
         seed: 1,
     };
     let run = async {
@@ -105,21 +105,26 @@
 /// allocation causes one greeting and one health check, however long it waits.
 #[test]
 fn waiting_allocations_send_full_machines_only_health_checks() {
-    in_environment(40, 1, FreeCapacity::NoneByAsks, async |environment| {
-        let streams = environment
-            .request_tasks(30)
-            .await
-            .expect("all requests are accepted");
-        environment
-            .watch(Duration::from_secs(2))
-            .await
-            .expect("the kernel reports its figures");
-        let status = environment.status().await.expect("the dispatcher responds");
-        assert_eq!((status.in_flight, status.placed), (30, 0));
-        let sent = traffic::traffic_of(&status.connection_traffic, Kind::Nodes).messages_out;
-        assert!(sent <= 2 * 30, "{sent} messages went to nodes");
-        drop(streams);
-    });
+    in_environment(
+        40,
+        1,
+        FreeCapacity::NoneByReservations,
+        async |environment| {
+            let streams = environment
+                .request_tasks(30)
+                .await
+                .expect("all requests are accepted");
+            environment
+                .observe(Duration::from_secs(2))
+                .await
+                .expect("the kernel reports its figures");
+            let status = environment.status().await.expect("the dispatcher responds");
+            assert_eq!((status.in_flight, status.placed), (30, 0));
+            let sent = traffic::traffic_of(&status.connection_traffic, Kind::Nodes).messages_out;
+            assert!(sent <= 2 * 30, "{sent} messages went to nodes");
+            drop(streams);
+        },
+    );
 }
 
 /// Returns the stored result and the page from docs/.
