--- a/crates/testbed/src/capacity/environment.rs
+++ b/crates/testbed/src/capacity/environment.rs
@@ -54,20 +54,33 @@
 /// The valid difference between these counts for bytes in flight.
 const MAX_BYTES_IN_FLIGHT: f64 = 16_000.0;
 const PEER_KINDS: [(Peer, Kind); 4] = [
-    (Peer::Roster, Kind::Roster),
+    (Peer::Discovery, Kind::Roster),
     (Peer::Control, Kind::Control),
-    (Peer::Keepers, Kind::Keepers),
+    (Peer::QuorumMembers, Kind::Keepers),
     (Peer::Nodes, Kind::Nodes),
 ];
 
 /// The other end of a dispatcher's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Peer {
-    Roster,
+    Discovery,
     Control,
-    Keepers,
+    QuorumMembers,
     Nodes,
-    Owners,
+    Clients,
+}
+
+impl Peer {
+    /// Returns the name in recorded results, which differs from the variant's name.
+    pub(super) fn recorded_name(self) -> &'static str {
+        match self {
+            Peer::Discovery => "Roster",
+            Peer::Control => "Control",
+            Peer::QuorumMembers => "Keepers",
+            Peer::Nodes => "Nodes",
+            Peer::Clients => "Owners",
+        }
+    }
 }
 
 /// A thread that runs the stand-ins of one role.
@@ -199,7 +212,12 @@
         config: EnvironmentConfig,
     ) -> Result<Environment, String> {
         let mut threads = BTreeMap::new();
-        for peer in [Peer::Roster, Peer::Control, Peer::Keepers, Peer::Nodes] {
+        for peer in [
+            Peer::Discovery,
+            Peer::Control,
+            Peer::QuorumMembers,
+            Peer::Nodes,
+        ] {
             threads.insert(peer, StandInThread::start()?);
         }
         let relays = StandInThread::start()?;
@@ -207,7 +225,7 @@
             let capture = Capture::new(None).map_err(to_text)?;
             Ok::<_, String>(SharedContext::new(capture, &threads[&peer].tasks, None))
         };
-        let (discovery, discovery_address) = Discovery::start(&context(Peer::Roster)?)
+        let (discovery, discovery_address) = Discovery::start(&context(Peer::Discovery)?)
             .await
             .map_err(to_text)?;
         let (control, control_guard) = ControlService::start(&context(Peer::Control)?)
@@ -237,11 +255,11 @@
             meters.insert(peer, meter);
             Ok::<_, String>(address)
         };
-        let discovery_relay = metered(Peer::Roster, discovery_address).await?;
+        let discovery_relay = metered(Peer::Discovery, discovery_address).await?;
         let control_relay = metered(Peer::Control, control.address).await?;
         let nodes_relay = metered(Peer::Nodes, nodes_address).await?;
         // Each quorum member has a relay of its own; all share one meter.
-        let quorum_context = context(Peer::Keepers)?;
+        let quorum_context = context(Peer::QuorumMembers)?;
         let quorum_meter = Arc::new(Meter::default());
         let mut endpoints = Vec::new();
         for id in 0..config.machines {
@@ -273,7 +291,7 @@
                 ..measure::endpoint(id, address)
             });
         }
-        meters.insert(Peer::Keepers, quorum_meter);
+        meters.insert(Peer::QuorumMembers, quorum_meter);
         endpoints
             .iter()
             .for_each(|endpoint| discovery.update(Duration::ZERO, endpoint.clone()));
@@ -307,7 +325,7 @@
             client_addresses.push(client_relay.map_err(to_text)?);
             dispatchers.push(process);
         }
-        meters.insert(Peer::Owners, clients_meter);
+        meters.insert(Peer::Clients, clients_meter);
         let environment = Environment {
             config,
             tasks: Arc::clone(tasks),
@@ -422,7 +440,7 @@
     pub fn report_capacity(&self, interval: Duration) -> async_executor::Task<()> {
         let (discovery, endpoints) = (Arc::clone(&self.discovery), self.endpoints.clone());
         let mut rng = Pcg64Mcg::seed_from_u64(self.config.seed);
-        self.threads[&Peer::Roster].tasks.spawn(async move {
+        self.threads[&Peer::Discovery].tasks.spawn(async move {
             let mut due = Instant::now();
             loop {
                 for slice in 0..REPORT_SLICES {
@@ -649,7 +667,7 @@
         let relays = percent(after.relays.since(before.relays).ran);
         for (name, busy) in thread_percent
             .iter()
-            .map(|(peer, busy)| (format!("{peer:?}"), *busy))
+            .map(|(peer, busy)| (peer.recorded_name().to_string(), *busy))
             .chain([("relays".into(), relays)])
         {
             if busy > MAX_THREAD_UTILIZATION * 100.0 {
@@ -699,7 +717,8 @@
             {
                 let relayed = bytes_per_second[peer];
                 invalid_reasons.push(format!(
-                    "{peer:?}: dispatchers count {counted_bytes:.0} bytes/s, relays {relayed:.0}"
+                    "{}: dispatchers count {counted_bytes:.0} bytes/s, relays {relayed:.0}",
+                    peer.recorded_name()
                 ));
             }
         }
@@ -717,7 +736,12 @@
     /// Returns the control traffic of one dispatcher, in bytes a second: that of all connections but
     /// those of clients. Attempts sent to nodes are not control traffic, but are included.
     pub fn control_bytes(&self, dispatchers: usize) -> f64 {
-        let peers = [Peer::Roster, Peer::Control, Peer::Keepers, Peer::Nodes];
+        let peers = [
+            Peer::Discovery,
+            Peer::Control,
+            Peer::QuorumMembers,
+            Peer::Nodes,
+        ];
         peers
             .iter()
             .map(|peer| self.bytes_per_second[peer])
--- a/crates/testbed/src/capacity/mod.rs
+++ b/crates/testbed/src/capacity/mod.rs
@@ -306,8 +306,13 @@
             measured.record(&format!("{name}, bytes/s"), observed.control_bytes(1));
             measured.record(&format!("{name}, core %"), observed.core_percent);
             measured.add_invalid(name, observed);
-            for peer in [Peer::Roster, Peer::Keepers, Peer::Control, Peer::Nodes] {
-                let kind = format!("{peer:?}").to_lowercase();
+            for peer in [
+                Peer::Discovery,
+                Peer::QuorumMembers,
+                Peer::Control,
+                Peer::Nodes,
+            ] {
+                let kind = peer.recorded_name().to_lowercase();
                 measured.record(
                     &format!("{name}, {kind}, bytes/s"),
                     observed.bytes_per_second[&peer],
@@ -325,14 +330,17 @@
                 }
             }
         }
-        measured.record("roster, bytes/s", reported.bytes_per_second[&Peer::Roster]);
+        measured.record(
+            "roster, bytes/s",
+            reported.bytes_per_second[&Peer::Discovery],
+        );
         measured.record(
             "roster's thread, core %",
-            reported.thread_percent[&Peer::Roster],
+            reported.thread_percent[&Peer::Discovery],
         );
         measured.record(
             "told, bytes a line",
-            reported.bytes_per_second[&Peer::Roster] / at,
+            reported.bytes_per_second[&Peer::Discovery] / at,
         );
         measured.record("memory, MiB", reported.resident_mib);
         Ok(measured)
@@ -360,8 +368,8 @@
         measured.record("told, bytes/s", reported.control_bytes(dispatchers));
         measured.record("core %", reported.core_percent);
         measured.record("memory, MiB", reported.resident_mib);
-        for peer in [Peer::Roster, Peer::Keepers, Peer::Control] {
-            let kind = format!("{peer:?}").to_lowercase();
+        for peer in [Peer::Discovery, Peer::QuorumMembers, Peer::Control] {
+            let kind = peer.recorded_name().to_lowercase();
             measured.record(
                 &format!("{kind}, bytes/s"),
                 reported.bytes_per_second[&peer],
@@ -369,7 +377,11 @@
             measured.record(
                 &format!(
                     "{kind}{} thread, core %",
-                    if peer == Peer::Keepers { "'" } else { "'s" }
+                    if peer == Peer::QuorumMembers {
+                        "'"
+                    } else {
+                        "'s"
+                    }
                 ),
                 reported.thread_percent[&peer],
             );
@@ -490,9 +502,10 @@
         );
         measured.record(
             "nodes, bytes/s",
-            observed.bytes_per_second[&Peer::Nodes] + observed.bytes_per_second[&Peer::Keepers],
+            observed.bytes_per_second[&Peer::Nodes]
+                + observed.bytes_per_second[&Peer::QuorumMembers],
         );
-        measured.record("owners, bytes/s", observed.bytes_per_second[&Peer::Owners]);
+        measured.record("owners, bytes/s", observed.bytes_per_second[&Peer::Clients]);
         measured.record("placed a second", placed);
         measured.record(
             "links to nodes opened",
@@ -591,7 +604,7 @@
         );
         measured.record(
             "keepers, bytes/s",
-            observed.bytes_per_second[&Peer::Keepers],
+            observed.bytes_per_second[&Peer::QuorumMembers],
         );
         Ok(measured)
     }
--- a/crates/testbed/tests/capacity.rs
+++ b/crates/testbed/tests/capacity.rs
@@ -57,7 +57,7 @@
             for cores in [20.5, 21.5] {
                 let mut lines = 0;
                 let bytes = environment
-                    .bytes_caused_by(Peer::Roster, || {
+                    .bytes_caused_by(Peer::Discovery, || {
                         lines = environment.report_capacity_once(cores)
                     })
                     .await;
