--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -398,7 +398,7 @@
         size: size.clone(),
         quick,
         seed,
-        command: format!("corkspan-lab capacity {}", others.join(" "))
+        command: format!("corkspan-testbed capacity {}", others.join(" "))
             .trim()
             .into(),
     };
