--- a/crates/testbed/src/checker.rs
+++ b/crates/testbed/src/checker.rs
@@ -169,7 +169,7 @@
     checker.check_lost();
     checker.check_twice();
     checker.check_drains();
-    checker.check_cold();
+    checker.check_slow_start();
     checker.check_spread();
     checker.check_unready();
     checker.check_halts();
@@ -262,7 +262,7 @@
     fn collect(&mut self) -> Result<(), String> {
         let mut last = 0;
         // Offers dropped before their nodes recorded them: offer and drop arrived together.
-        let mut early: HashSet<(u32, &str, u32)> = HashSet::new();
+        let mut early_drops: HashSet<(u32, &str, u32)> = HashSet::new();
         for (index, Line { t, observation }) in self.lines.iter().enumerate() {
             let (t, line) = (*t, index + 1);
             if t < last {
@@ -329,8 +329,8 @@
                         dropped: None,
                         ended: None,
                     };
-                    let early = early.remove(&(*node, &placement_id[..], *number));
-                    let dropped = early.then_some(t);
+                    let was_dropped = early_drops.remove(&(*node, &placement_id[..], *number));
+                    let dropped = was_dropped.then_some(t);
                     let offer = Offer {
                         dropped,
                         ended: dropped,
@@ -344,7 +344,8 @@
                     number,
                     event,
                 } => {
-                    let Some(offer) = find(&mut self.offers, placement_id, *number, *node) else {
+                    let Some(offer) = find_offer(&mut self.offers, placement_id, *number, *node)
+                    else {
                         continue;
                     };
                     match event {
@@ -364,10 +365,11 @@
                     placement_id,
                     number,
                 } => {
-                    if let Some(offer) = find(&mut self.offers, placement_id, *number, *node) {
+                    if let Some(offer) = find_offer(&mut self.offers, placement_id, *number, *node)
+                    {
                         (offer.dropped, offer.ended) = (Some(t), offer.ended.or(Some(t)));
                     } else {
-                        early.insert((*node, placement_id, *number));
+                        early_drops.insert((*node, placement_id, *number));
                     }
                 }
                 Observation::Node {
@@ -908,7 +910,7 @@
     }
 
     /// Rule 4: a node in slow start gets no more offers in a window than it can take.
-    fn check_cold(&mut self) {
+    fn check_slow_start(&mut self) {
         let mut found = Vec::new();
         let mut started: HashMap<u32, (u64, usize)> = HashMap::new();
         let mut notified: HashMap<(u32, u32), u64> = HashMap::new();
@@ -1037,17 +1039,20 @@
             let Some(offer) = offers.find(|o| o.number == *number && o.node == *node) else {
                 continue;
             };
-            let held = by_service.entry((*dispatcher, service, *node)).or_default();
+            let current = by_service.entry((*dispatcher, service, *node)).or_default();
             // Allocations that ended before this offer no longer count. No slack is needed: a node's
             // end is recorded before the dispatcher's next offer can overtake it.
-            held.retain(|other| other.ended.is_none_or(|ended| ended > offer.t));
-            held.push(offer);
-            if held.len() > limit && !self.is_stale(offer) {
+            current.retain(|other| other.ended.is_none_or(|ended| ended > offer.t));
+            current.push(offer);
+            if current.len() > limit && !self.is_stale(offer) {
                 let description = format!(
                     "{} allocations of {service} on node {node} from dispatcher {dispatcher}",
-                    held.len()
+                    current.len()
                 );
-                found.push((description, held.iter().map(|other| other.line).collect()));
+                found.push((
+                    description,
+                    current.iter().map(|other| other.line).collect(),
+                ));
             }
         }
         found
@@ -1056,7 +1061,7 @@
     }
 }
 
-fn find<'o>(
+fn find_offer<'o>(
     offers: &'o mut HashMap<&str, Vec<Offer>>,
     placement_id: &str,
     number: u32,
--- a/crates/testbed/src/config_push_experiment/random_exchange.rs
+++ b/crates/testbed/src/config_push_experiment/random_exchange.rs
@@ -102,7 +102,7 @@
                 }
             }
             let status = environment.status(0).await?;
-            let running = status
+            let active = status
                 .active
                 .as_ref()
                 .and_then(parse_version_id)
@@ -118,15 +118,14 @@
                     .filter_map(parse_version_id)
                     .any(|version| version == acknowledged);
             figures.given_up += usize::from(is_rolled_back);
-            let is_newer_valid =
-                killed && is_valid(running) && running.number > acknowledged.number;
-            let is_allowed = running == acknowledged || is_rolled_back || is_newer_valid;
-            if !is_allowed || active_parts.digest() != running.digest {
+            let is_newer_valid = killed && is_valid(active) && active.number > acknowledged.number;
+            let is_allowed = active == acknowledged || is_rolled_back || is_newer_valid;
+            if !is_allowed || active_parts.digest() != active.digest {
                 return Err(format!(
-                    "{running} is active, but {acknowledged} was acknowledged last; {figures:?}"
+                    "{active} is active, but {acknowledged} was acknowledged last; {figures:?}"
                 ));
             }
-            acknowledged = running;
+            acknowledged = active;
         }
         Ok(figures)
     })
--- a/crates/testbed/src/hollow/fleet.rs
+++ b/crates/testbed/src/hollow/fleet.rs
@@ -95,11 +95,16 @@
     }
 
     /// Runs the fleet for this time while clients send `rate` requests a second, for tasks with the
-    /// mean lifetime `life`. At a rate of 0 no request is sent.
-    pub fn run(&mut self, time: Duration, rate: f64, life: Duration) -> Result<Span, String> {
+    /// lifetime `mean_lifetime`. At a rate of 0 no request is sent.
+    pub fn run(
+        &mut self,
+        time: Duration,
+        rate: f64,
+        mean_lifetime: Duration,
+    ) -> Result<Span, String> {
         let tasks = self.tasks.clone();
         let testbed = &mut self.testbed;
-        (testbed.scenario.rate, testbed.scenario.mean_lifetime) = (rate, life);
+        (testbed.scenario.rate, testbed.scenario.mean_lifetime) = (rate, mean_lifetime);
         let measurement = async {
             let (before, first_line) = (
                 testbed.read_costs().await?,
--- a/crates/testbed/src/measure.rs
+++ b/crates/testbed/src/measure.rs
@@ -244,11 +244,11 @@
 }
 
 pub(crate) async fn connect(tasks: &SharedExecutor, to: SocketAddr) -> Result<Connection, String> {
-    let bounds = ConnectionLimits {
+    let limits = ConnectionLimits {
         connect_timeout: Duration::from_secs(2),
         ..ConnectionLimits::default()
     };
-    Connection::open(tasks, to, &bounds)
+    Connection::open(tasks, to, &limits)
         .await
         .map_err(|why| why.to_string())
 }
--- a/crates/testbed/src/node/allocations.rs
+++ b/crates/testbed/src/node/allocations.rs
@@ -48,7 +48,7 @@
 
     /// Starts an accepted allocation, after waiting for one of the `max_concurrent_starts` permits.
     pub(super) async fn start(&self, incarnation: u64, request: &v1::AttemptRequest) {
-        let _slot = self.starts.acquire().await;
+        let _permit = self.start_permits.acquire().await;
         Timer::after(self.start_time(request)).await;
         if !self.wait_while_stalled(incarnation).await {
             return;
--- a/crates/testbed/src/node/mod.rs
+++ b/crates/testbed/src/node/mod.rs
@@ -84,7 +84,7 @@
     state: Mutex<State>,
     /// Held while an offer is reviewed or a health check is answered.
     review: AsyncMutex<()>,
-    starts: Semaphore,
+    start_permits: Semaphore,
     server: Mutex<Option<async_executor::Task<()>>>,
     listener: Mutex<Option<TcpListener>>,
     quorum_state: Mutex<QuorumState>,
@@ -103,7 +103,7 @@
     /// Returns a node whose process has not been started.
     pub fn new(config: NodeConfig, context: &Arc<SharedContext>) -> Arc<Self> {
         Arc::new(Node {
-            starts: Semaphore::new(config.max_concurrent_starts),
+            start_permits: Semaphore::new(config.max_concurrent_starts),
             config,
             context: Arc::clone(context),
             state: Mutex::default(),
--- a/crates/testbed/src/node/state.rs
+++ b/crates/testbed/src/node/state.rs
@@ -92,10 +92,10 @@
         {
             self.recent_offers.pop_front();
         }
-        let is_warming_up = self
+        let in_slow_start = self
             .started_at
             .is_some_and(|at| now < at + slow_start.duration);
-        is_warming_up && self.recent_offers.len() > slow_start.max_offers
+        in_slow_start && self.recent_offers.len() > slow_start.max_offers
     }
 
     /// Returns the node's work rate, which grows from the initial rate to 1 during the slow start.
--- a/crates/testbed/src/runner.rs
+++ b/crates/testbed/src/runner.rs
@@ -223,8 +223,8 @@
         };
         let ended = within(Duration::from_secs(40), remaining).await;
         drop((capacity_reports, versions));
-        if let Some(worker) = testbed.worker.take() {
-            let finished = within(MAINTENANCE_TIMEOUT, worker).await;
+        if let Some(work) = testbed.maintenance_work.take() {
+            let finished = within(MAINTENANCE_TIMEOUT, work).await;
             finished.ok_or("the maintenance does not finish")??;
         }
         if self.scenario.audit {
@@ -254,16 +254,16 @@
             .collect();
         for node in &nodes {
             let address = node.start_process(false).await.map_err(text)?;
-            discovery.update(Duration::ZERO, entry(node, address, 0));
+            discovery.update(Duration::ZERO, endpoint_entry(node, address, 0));
         }
         let (control, guard) = ControlService::start(&context).await.map_err(text)?;
         let proxies = match self.scenario.needs_fault_proxies() {
             true => {
                 let service = self.scenario.version_interval.map(|_| control.address);
-                let all = self.scenario.affects(ConnectionPeer::Nodes);
+                let proxies_all_nodes = self.scenario.affects(ConnectionPeer::Nodes);
                 let proxied = nodes
                     .iter()
-                    .filter(|node| all || QUORUM_MEMBERS.contains(&node.config.id));
+                    .filter(|node| proxies_all_nodes || QUORUM_MEMBERS.contains(&node.config.id));
                 let addresses: Vec<(u32, SocketAddr)> = proxied
                     .filter_map(|node| {
                         let entry = discovery.endpoint(node.config.id)?;
@@ -354,7 +354,7 @@
         // The scenario begins once the dispatchers know all nodes.
         let all_known = async {
             for number in 0..self.scenario.dispatchers {
-                while frontend.serving(number).await < nodes.len() as u64 {
+                while frontend.serving_machines(number).await < nodes.len() as u64 {
                     Timer::after(Duration::from_millis(10)).await;
                 }
             }
@@ -373,7 +373,7 @@
             rng,
             start,
             proxies,
-            worker: None,
+            maintenance_work: None,
             folder,
             control,
             _control_guard: control_guard,
@@ -382,7 +382,7 @@
 }
 
 impl Frontend {
-    async fn serving(&self, dispatcher: usize) -> u64 {
+    async fn serving_machines(&self, dispatcher: usize) -> u64 {
         let Some(mut client) = self.placement_client(dispatcher).await else {
             return 0;
         };
@@ -393,7 +393,7 @@
     }
 }
 
-fn entry(node: &Node, address: SocketAddr, started_ms: u64) -> v1::Endpoint {
+fn endpoint_entry(node: &Node, address: SocketAddr, started_ms: u64) -> v1::Endpoint {
     let unrequested = node.unrequested();
     v1::Endpoint {
         node: node.config.id,
@@ -467,7 +467,8 @@
                         .start_process(true)
                         .await
                         .map_err(|why| why.to_string())?;
-                    let entry = entry(node, address, corkspan_dispatcher::clock::wall_ms());
+                    let entry =
+                        endpoint_entry(node, address, corkspan_dispatcher::clock::wall_ms());
                     discovery.update(Duration::from_millis(rng.random_range(50..500)), entry);
                     frontend
                         .context
@@ -559,7 +560,7 @@
     rng: Pcg64Mcg,
     pub start: Instant,
     proxies: Option<FaultProxies>,
-    worker: Option<async_executor::Task<Result<(), String>>>,
+    maintenance_work: Option<async_executor::Task<Result<(), String>>>,
     folder: tempfile::TempDir,
     control: ControlService,
     _control_guard: ControlServiceGuard,
@@ -586,8 +587,8 @@
         let mut faults = faults.into_iter().peekable();
         let mut undos: Vec<(Instant, Undo)> = Vec::new();
         let mut clients = Vec::new();
-        let mut next = self.start;
-        let mut number = 0;
+        let mut next_request_at = self.start;
+        let mut task_number = 0;
         for replica in 0..self.scenario.replicas {
             clients.push(self.run_replica(replica, until));
         }
@@ -602,7 +603,8 @@
             let maintenance_at = maintenance.map(|plan| self.start + plan.at);
             let fault_at = faults.peek().map(|fault| self.start + fault.at);
             let undo_at = undos.iter().map(|(at, _)| *at).min();
-            let request_at = (next < until && self.scenario.rate > 0.0).then_some(next);
+            let request_at =
+                (next_request_at < until && self.scenario.rate > 0.0).then_some(next_request_at);
             let Some(at) = [
                 fault_at,
                 undo_at,
@@ -645,16 +647,16 @@
                     0
                 };
                 for _ in 0..burst {
-                    clients.push(self.request_task(number, until));
-                    number += 1;
+                    clients.push(self.request_task(task_number, until));
+                    task_number += 1;
                 }
                 undos.extend(self.inject(&fault)?.into_iter().map(|undo| (ends, undo)));
             } else {
-                clients.push(self.request_task(number, until));
-                number += 1;
-                let rate = self.scenario.rate_at(next - self.start);
+                clients.push(self.request_task(task_number, until));
+                task_number += 1;
+                let rate = self.scenario.rate_at(next_request_at - self.start);
                 let gap: f64 = -(1.0 - self.rng.random::<f64>()).ln() / rate;
-                next += Duration::from_secs_f64(gap.min(10.0));
+                next_request_at += Duration::from_secs_f64(gap.min(10.0));
             }
         }
     }
@@ -780,7 +782,7 @@
                     plan,
                     seed,
                 );
-                self.worker = Some(self.frontend.context.tasks.spawn(work));
+                self.maintenance_work = Some(self.frontend.context.tasks.spawn(work));
                 return Ok(());
             }
         }
@@ -1019,10 +1021,10 @@
                 .iter()
                 .for_each(|&index| self.nodes[index].drop_events(time)),
             FaultKind::DelayReports => {
-                let by = Duration::from_millis(self.rng.random_range(700..4000));
+                let extra_age = Duration::from_millis(self.rng.random_range(700..4000));
                 running_nodes
                     .iter()
-                    .for_each(|&index| self.nodes[index].delay_reports(time, by));
+                    .for_each(|&index| self.nodes[index].delay_reports(time, extra_age));
             }
             FaultKind::LosePrograms => running_nodes
                 .iter()
@@ -1126,10 +1128,10 @@
 
     /// Updates a node's state at the discovery service after a random delay.
     fn update_endpoint(&mut self, index: usize, state: v1::endpoint::State) {
-        let late = Duration::from_millis(self.rng.random_range(100..900));
+        let delay = Duration::from_millis(self.rng.random_range(100..900));
         if let Some(entry) = self.discovery.endpoint(self.nodes[index].config.id) {
             self.discovery.update(
-                late,
+                delay,
                 v1::Endpoint {
                     state: state.into(),
                     ..entry
@@ -1147,9 +1149,10 @@
                         .start_process(true)
                         .await
                         .map_err(|why| why.to_string())?;
-                    let entry = entry(node, address, corkspan_dispatcher::clock::wall_ms());
-                    let late = Duration::from_millis(self.rng.random_range(50..500));
-                    self.discovery.update(late, entry);
+                    let entry =
+                        endpoint_entry(node, address, corkspan_dispatcher::clock::wall_ms());
+                    let delay = Duration::from_millis(self.rng.random_range(50..500));
+                    self.discovery.update(delay, entry);
                 }
             }
             Undo::EndDrain(index) => {
