--- a/crates/testbed/src/capacity/environment.rs
+++ b/crates/testbed/src/capacity/environment.rs
@@ -613,7 +613,8 @@
 
 impl Drop for Environment {
     /// Stops the dispatchers first and keeps the threads running for a moment, so that relays and
-    /// stand-ins close their connections. Otherwise hundreds of descriptors leak at each place.
+    /// stand-ins close their connections. Otherwise each measured point leaks hundreds of
+    /// descriptors.
     fn drop(&mut self) {
         self.dispatchers.clear();
         std::thread::sleep(CLOSE_TIME);
--- a/crates/testbed/src/capacity/mod.rs
+++ b/crates/testbed/src/capacity/mod.rs
@@ -1,5 +1,5 @@
 //! Measures what each role costs depending on the number of machines, dispatchers, tasks, waiting
-//! allocations and versions. One axis is varied at a time, at several places and in repeated
+//! allocations and versions. One axis is varied at a time, over several values and in repeated
 //! rounds, with real dispatchers and stand-ins for all else. `corkspan_capacity_model` evaluates
 //! the results.
 
@@ -52,7 +52,7 @@
 
 type Figures = BTreeMap<String, f64>;
 
-/// The figures measured at one place, and the reasons why they are invalid, if any.
+/// The figures measured at one point, and the reasons why they are invalid, if any.
 #[derive(Default)]
 struct Measured {
     figures: Figures,
--- a/crates/testbed/src/capacity/scheduling_cost.rs
+++ b/crates/testbed/src/capacity/scheduling_cost.rs
@@ -20,7 +20,7 @@
     cores: 40.0,
     memory: 160.0,
 };
-/// Allocations that run meanwhile: the share of one in a hundred dispatchers of 4,300.
+/// Allocations that run during a measurement: the share of one of a hundred dispatchers in 4,300.
 const RUNNING: usize = 43;
 const SERVICES: u64 = 150;
 
@@ -130,8 +130,8 @@
 /// late.
 const MIN_MEASURED_S: f64 = 0.02;
 
-/// Returns the mean time of one request, over `least` requests or more. With `deferred`, no
-/// machine has capacity for it.
+/// Returns the mean time of one request, over `min_requests` requests or more. With
+/// `deferred`, no machine has capacity for it.
 pub fn request_cost(machines: u32, deferred: bool, min_requests: u64) -> Option<Point> {
     let mut scheduler = Scheduler::new(cluster(), 1, 0);
     scheduler.apply_endpoint_list(ListUpdate::Cached, &endpoints(machines));
@@ -235,6 +235,8 @@
     pub waiting: u32,
     pub similarity: Similarity,
     pub changes: Changes,
+    /// Whether waiting allocations are evaluated on demand, one by one between events, instead of
+    /// all at once.
     pub on_demand: bool,
 }
 
--- a/crates/testbed/src/checker.rs
+++ b/crates/testbed/src/checker.rs
@@ -909,7 +909,7 @@
             .for_each(|(description, lines)| self.report(3, description, lines));
     }
 
-    /// Rule 4: a node in slow start gets no more offers in a window than it can take.
+    /// Rule 4: a node in slow start gets at most `max_offers` offers in a window.
     fn check_slow_start(&mut self) {
         let mut found = Vec::new();
         let mut started: HashMap<u32, (u64, usize)> = HashMap::new();
@@ -980,7 +980,7 @@
             .for_each(|(description, lines)| self.report(4, description, lines));
     }
 
-    /// Rule 5: a dispatcher places at most so many allocations of a service on one node.
+    /// Rule 5: a dispatcher places at most `spread` allocations of a service on one node.
     fn check_spread(&mut self) {
         let mut found = Vec::new();
         let mut by_service: HashMap<(u32, &str, u32), Vec<&Offer>> = HashMap::new();
@@ -1040,8 +1040,8 @@
                 continue;
             };
             let current = by_service.entry((*dispatcher, service, *node)).or_default();
-            // Allocations that ended before this offer no longer count. No slack is needed: a node's
-            // end is recorded before the dispatcher's next offer can overtake it.
+            // Allocations that ended before this offer no longer count. No slack is needed: a
+            // node's end is recorded before the dispatcher's next offer can overtake it.
             current.retain(|other| other.ended.is_none_or(|ended| ended > offer.t));
             current.push(offer);
             if current.len() > limit && !self.is_stale(offer) {
--- a/crates/testbed/src/control_service.rs
+++ b/crates/testbed/src/control_service.rs
@@ -33,7 +33,7 @@
     /// Senders to the subscribers with open streams, by subscriber.
     open_streams: BTreeMap<u32, async_channel::Sender<v1::VersionPush>>,
     replies: Vec<Reply>,
-    /// Whether only the pushes passed to [`ControlService::send`] are sent.
+    /// Whether the service sends only the pushes passed to [`ControlService::send`].
     uses_scripted_pushes: bool,
     /// The number of streams opened so far.
     streams_opened: usize,
--- a/crates/testbed/src/cost.rs
+++ b/crates/testbed/src/cost.rs
@@ -46,8 +46,9 @@
     pub cpu_s: f64,
     /// Resident memory at the later moment, in KiB.
     pub resident_kib: u64,
-    /// Traffic by kind of connection, in the order of [`TRAFFIC_KINDS`]: roster, control, keepers,
-    /// dispatchers, nodes, owners. Each has bytes in and out, then messages in and out.
+    /// Traffic by kind of connection, in the order of [`TRAFFIC_KINDS`]: discovery, control
+    /// service, quorum members, dispatchers, nodes, clients. Each has bytes in and out, then
+    /// messages in and out.
     pub links: [[u64; 4]; 6],
 }
 
--- a/crates/testbed/src/loads.rs
+++ b/crates/testbed/src/loads.rs
@@ -149,8 +149,8 @@
     ))
 }
 
-/// Pauses a dispatcher in the middle of a load. Returns the open-loop report, and the report of one
-/// closed-loop client over the same time.
+/// Measures the effect of a dispatcher that is paused in the middle of a load. Returns the
+/// open-loop report, and the report of one closed-loop client over the same time.
 pub fn measure_pause(program: &[OsString], pause: Duration) -> Result<(Report, Report), String> {
     let node = measure::serve_on_own_thread(|| v1::node_server::NodeServer::new(InstantNode))?;
     let tasks = SharedExecutor::default();
--- a/crates/testbed/src/node/controls.rs
+++ b/crates/testbed/src/node/controls.rs
@@ -18,7 +18,7 @@
         self.state().events_dropped_until = Some(Instant::now() + time);
     }
 
-    /// Makes load reports older by `extra_age` for `time`.
+    /// Delays load reports by `extra_age` for `time`.
     pub fn delay_reports(&self, time: Duration, extra_age: Duration) {
         let until = Instant::now() + time;
         self.state().report_delay = Some(ReportDelay { until, extra_age });
--- a/crates/testbed/src/node/offers.rs
+++ b/crates/testbed/src/node/offers.rs
@@ -208,8 +208,8 @@
         }
     }
 
-    /// Checks that the offer fits on the node. Preempts allocations of lower priority if that makes
-    /// room for it.
+    /// Checks that the offer fits on the node. Preempts allocations of lower priority if it does
+    /// not fit otherwise.
     fn make_room(&self, state: &mut State, request: &v1::AttemptRequest) -> Result<(), Rejection> {
         let is_cordoned = self.cordon().cordon.active().is_some();
         if is_cordoned || state.is_draining || state.allocations.contains_key(&request.placement_id)
--- a/crates/testbed/src/node/state.rs
+++ b/crates/testbed/src/node/state.rs
@@ -34,7 +34,7 @@
     }
 }
 
-/// A fault that makes load reports older by `extra_age` until `until`.
+/// A fault that delays load reports by `extra_age` until `until`.
 pub(super) struct ReportDelay {
     pub until: Instant,
     pub extra_age: Duration,
--- a/crates/testbed/src/requirements.rs
+++ b/crates/testbed/src/requirements.rs
@@ -30,7 +30,7 @@
     pub processes: u64,
     /// Descriptors in the stand-ins' process.
     pub descriptors: u64,
-    /// Descriptors in the hollow process that needs most.
+    /// Descriptors in the hollow process that requires the most.
     pub hollow_descriptors: u64,
 }
 
--- a/crates/testbed/src/runner.rs
+++ b/crates/testbed/src/runner.rs
@@ -968,7 +968,7 @@
             .collect();
         running_nodes.shuffle(&mut self.rng);
         running_nodes.truncate(fault.count);
-        // Faults on dispatchers strike whole processes, each with all its dispatchers.
+        // Faults of dispatchers affect whole processes, each with all its dispatchers.
         let mut processes: Vec<usize> = (0..self.fleet.len())
             .filter(|&index| self.fleet[index].child.is_some())
             .collect();
--- a/crates/testbed/src/scenario.rs
+++ b/crates/testbed/src/scenario.rs
@@ -167,7 +167,7 @@
         self.faults.iter().any(affects_connections)
     }
 
-    /// Returns whether a fault strikes connections to this peer.
+    /// Returns whether a fault affects connections to this peer.
     pub fn affects(&self, peer: ConnectionPeer) -> bool {
         self.faults.iter().any(|fault| fault.peers.contains(&peer))
     }
--- a/crates/testbed/src/scenario/faults.rs
+++ b/crates/testbed/src/scenario/faults.rs
@@ -12,7 +12,7 @@
     pub at: Duration,
     /// How long it lasts.
     pub duration: Duration,
-    /// Number of nodes or dispatchers that it strikes, or of tasks in a burst.
+    /// Number of nodes or dispatchers that it affects, or of tasks in a burst.
     pub count: usize,
     /// Factor on the request rate, for a demand step.
     pub demand_factor: f64,
--- a/crates/testbed/src/summary.rs
+++ b/crates/testbed/src/summary.rs
@@ -146,7 +146,7 @@
             };
             let replicas = ready.entry(task).or_default();
             if is_ready {
-                // A task is counted once: if a fault strikes its node, it may get ready again
+                // A task is counted once: if a fault affects its node, it may get ready again
                 // later.
                 if running_version == version && updated_tasks.insert(task) {
                     last = *t;
--- a/crates/testbed/src/version_figures.rs
+++ b/crates/testbed/src/version_figures.rs
@@ -14,10 +14,11 @@
 pub struct VersionFigures {
     /// Versions pushed.
     pub pushed: usize,
-    /// From a push to its effect at half of the dispatchers, in ms: the median over all pushes.
+    /// Time from a push until half of the dispatchers have it active, in ms: the median over all
+    /// pushes.
     pub half_active_ms: f64,
-    /// The same at six tenths of the dispatchers. Where a third of them is delayed, these are
-    /// nearly all that receive it.
+    /// The same for six tenths of the dispatchers. Where a third of them is delayed, these are
+    /// nearly all that receive the push.
     pub six_tenths_active_ms: f64,
     /// Each raise of the minimum version.
     pub raises: Vec<Raise>,
