--- a/crates/testbed/src/node/offers.rs
+++ b/crates/testbed/src/node/offers.rs
@@ -181,7 +181,7 @@
     /// Decides whether an offer is accepted. Preempts other allocations for it where needed.
     fn admit(&self, state: &mut State, request: &v1::AttemptRequest) -> Result<(), Rejection> {
         self.check_version(request)?;
-        self.make_room(state, request)?;
+        self.ensure_capacity(state, request)?;
         if let Some(key) = self.dedup_key(request) {
             let mut deduplicated = self.context.deduplicated();
             if deduplicated.contains_key(&key) {
@@ -210,7 +210,11 @@
 
     /// Checks that the offer fits on the node. Preempts allocations of lower priority if it does
     /// not fit otherwise.
-    fn make_room(&self, state: &mut State, request: &v1::AttemptRequest) -> Result<(), Rejection> {
+    fn ensure_capacity(
+        &self,
+        state: &mut State,
+        request: &v1::AttemptRequest,
+    ) -> Result<(), Rejection> {
         let is_cordoned = self.cordon().cordon.active().is_some();
         if is_cordoned || state.is_draining || state.allocations.contains_key(&request.placement_id)
         {
