--- a/crates/testbed/src/runner.rs
+++ b/crates/testbed/src/runner.rs
@@ -194,7 +194,7 @@
         ));
         let versions = self.scenario.version_interval.map(|interval| {
             let text = self.deployment(0, discovery.address, "", testbed.folder.path());
-            let parts = SharedParts::parse("day", &text).map_err(|why| why.to_string());
+            let parts = SharedParts::parse("deployment", &text).map_err(|why| why.to_string());
             parts.map(|parts| tasks.spawn(push_versions(testbed.control.clone(), parts, interval)))
         });
         let versions = versions.transpose()?;
