--- a/crates/testbed/src/capacity/environment.rs
+++ b/crates/testbed/src/capacity/environment.rs
@@ -97,7 +97,7 @@
         let (stop, stopped) = async_channel::bounded::<()>(1);
         let executor = Arc::clone(&tasks);
         std::thread::spawn(move || {
-            let _ = sender.send(kernel::this_thread());
+            let _ = sender.send(kernel::current_thread_id());
             let _ = future::block_on(executor.run(stopped.recv()));
         });
         let id = receiver.recv().map_err(|why| why.to_string())??;
@@ -569,19 +569,19 @@
         let cpu_times = self
             .dispatchers
             .iter()
-            .map(|thread| kernel::process(thread.id()))
+            .map(|thread| kernel::process_cpu_time(thread.id()))
             .collect::<Result<_, _>>()?;
         let threads = self
             .threads
             .iter()
-            .map(|(peer, thread)| Ok((*peer, kernel::thread(thread.id)?)));
+            .map(|(peer, thread)| Ok((*peer, kernel::thread_cpu_time(thread.id)?)));
         Ok(Reading {
             counted,
             at: Instant::now(),
             dispatchers: cpu_times,
             threads: threads.collect::<Result<_, String>>()?,
-            relays: kernel::thread(self.relays.id)?,
-            ticks: kernel::ticks()?,
+            relays: kernel::thread_cpu_time(self.relays.id)?,
+            ticks: kernel::cpu_ticks()?,
             bytes: self
                 .meters
                 .iter()
@@ -658,14 +658,14 @@
         let cpu_time =
             std::iter::zip(&after.dispatchers, &before.dispatchers).map(|(a, b)| a.since(*b));
         let cpu_time = cpu_time.fold(CpuTime::default(), |sum, cpu_time| CpuTime {
-            ran: sum.ran + cpu_time.ran,
-            waited: sum.waited + cpu_time.waited,
+            ran_ns: sum.ran_ns + cpu_time.ran_ns,
+            waited_ns: sum.waited_ns + cpu_time.waited_ns,
         });
         let thread_percent: BTreeMap<Peer, f64> = (after.threads.iter())
-            .map(|(peer, ran)| (*peer, percent(ran.since(before.threads[peer]).ran)))
+            .map(|(peer, ran)| (*peer, percent(ran.since(before.threads[peer]).ran_ns)))
             .collect();
         let mut invalid_reasons = Vec::new();
-        let relays = percent(after.relays.since(before.relays).ran);
+        let relays = percent(after.relays.since(before.relays).ran_ns);
         for (name, busy) in thread_percent
             .iter()
             .map(|(peer, busy)| (peer.recorded_name().to_string(), *busy))
@@ -677,7 +677,7 @@
                 ));
             }
         }
-        let waited = cpu_time.waited as f64 / 1e9 / seconds / dispatchers;
+        let waited = cpu_time.waited_ns as f64 / 1e9 / seconds / dispatchers;
         if waited > MAX_CPU_WAIT {
             invalid_reasons.push(format!(
                 "a dispatcher waited for a processor {:.0}% of the time",
@@ -727,7 +727,7 @@
             seconds,
             bytes_per_second,
             counted_per_second,
-            core_percent: percent(cpu_time.ran) / dispatchers,
+            core_percent: percent(cpu_time.ran_ns) / dispatchers,
             thread_percent,
             resident_mib: kib.iter().sum::<f64>() / 1_024.0 / kib.len().max(1) as f64,
             invalid_reasons,
--- a/crates/testbed/src/capacity/mod.rs
+++ b/crates/testbed/src/capacity/mod.rs
@@ -168,7 +168,7 @@
 
     /// Returns an error if this machine lacks the resources for a measurement or for the fleet size.
     fn check_requirements(&self) -> Result<(), String> {
-        let available = kernel::machine();
+        let available = kernel::machine_resources();
         for series in self.series() {
             let max_place = series.places.iter().copied().fold(0.0, f64::max) as u64;
             let machines = self.size.machines as u64;
@@ -202,7 +202,7 @@
                 command: self.command.clone(),
                 seed: self.seed,
                 cores: kernel::cores(),
-                memory_mib: kernel::machine().memory_mib,
+                memory_mib: kernel::machine_resources().memory_mib,
                 fixed: series.fixed.clone(),
                 places: series.places.clone(),
                 rounds: self.rounds,
@@ -228,7 +228,7 @@
     }
 
     fn measure_point(&self, series: &Series, at: f64, round: u32) -> Result<Point, String> {
-        let (before, tasks) = (kernel::load(), SharedExecutor::default());
+        let (before, tasks) = (kernel::load_average(), SharedExecutor::default());
         let measured = match (series.axis, series.name) {
             (Axis::Machines, _) => {
                 future::block_on(tasks.clone().run(self.measure_machines(tasks, at)))
@@ -259,7 +259,7 @@
         let measured = measured
             .map_err(|why| format!("{} / {} at {at}: {why}", series.axis.name(), series.name))?;
         let invalid = (!measured.invalid.is_empty()).then(|| measured.invalid.join("; "));
-        let load = before.max(kernel::load());
+        let load = before.max(kernel::load_average());
         let reason = invalid
             .as_ref()
             .map_or(String::new(), |why| format!("  SPOILT: {why}"));
--- a/crates/testbed/src/loads.rs
+++ b/crates/testbed/src/loads.rs
@@ -155,13 +155,13 @@
     let node = measure::serve_on_own_thread(|| v1::node_server::NodeServer::new(InstantNode))?;
     let tasks = SharedExecutor::default();
     let experiment = async {
-        let text = |why: std::io::Error| why.to_string();
-        let context = SharedContext::new(Capture::new(None).map_err(text)?, &tasks, None);
-        let (discovery, address) = Discovery::start(&context).await.map_err(text)?;
+        let to_text = |why: std::io::Error| why.to_string();
+        let context = SharedContext::new(Capture::new(None).map_err(to_text)?, &tasks, None);
+        let (discovery, address) = Discovery::start(&context).await.map_err(to_text)?;
         for id in 0..8 {
             discovery.update(Duration::ZERO, measure::endpoint(id, node));
         }
-        let folder = tempfile::tempdir().map_err(text)?;
+        let folder = tempfile::tempdir().map_err(to_text)?;
         let file = folder.path().join("dispatcher.sexp");
         let process = Process::start_in(program, &file, &measure::deployment(address, ""))?;
         let measure = Measure {
--- a/crates/testbed/src/runner.rs
+++ b/crates/testbed/src/runner.rs
@@ -239,24 +239,24 @@
 
     /// Starts all stand-ins and dispatchers, and waits until the dispatchers know all nodes.
     pub(crate) async fn start(&self, tasks: &SharedExecutor) -> Result<Testbed, String> {
-        let text = |why: std::io::Error| why.to_string();
+        let to_text = |why: std::io::Error| why.to_string();
         Requirements::for_scenario(&self.scenario).check(&Limits::of_this_machine()?)?;
         let mut rng = Pcg64Mcg::seed_from_u64(self.seed);
-        let folder = tempfile::tempdir().map_err(text)?;
-        let capture = Capture::new(self.capture.as_deref()).map_err(text)?;
+        let folder = tempfile::tempdir().map_err(to_text)?;
+        let capture = Capture::new(self.capture.as_deref()).map_err(to_text)?;
         let configs = self.node_configs(&mut rng);
         capture.record(Observation::Rules(self.rules(&configs)));
         let context = SharedContext::new(capture, tasks, Some(SERVICE_CLASSES[1].into()));
-        let (discovery, discovery_address) = Discovery::start(&context).await.map_err(text)?;
+        let (discovery, discovery_address) = Discovery::start(&context).await.map_err(to_text)?;
         let nodes: Vec<Arc<Node>> = configs
             .into_iter()
             .map(|config| Node::new(config, &context))
             .collect();
         for node in &nodes {
-            let address = node.start_process(false).await.map_err(text)?;
+            let address = node.start_process(false).await.map_err(to_text)?;
             discovery.update(Duration::ZERO, endpoint_entry(node, address, 0));
         }
-        let (control, guard) = ControlService::start(&context).await.map_err(text)?;
+        let (control, guard) = ControlService::start(&context).await.map_err(to_text)?;
         let proxies = match self.scenario.needs_fault_proxies() {
             true => {
                 let service = self.scenario.version_interval.map(|_| control.address);
@@ -281,7 +281,7 @@
                         &QUORUM_MEMBERS,
                     )
                     .await
-                    .map_err(text)?,
+                    .map_err(to_text)?,
                 )
             }
             false => None,
@@ -321,7 +321,7 @@
                 extra_parts.push_str(" (maintenance (every 500 ms))");
             }
             let file_text = self.deployment(number, discovery, &extra_parts, folder.path());
-            std::fs::write(&file, file_text).map_err(text)?;
+            std::fs::write(&file, file_text).map_err(to_text)?;
             files.push(file);
         }
         let mut fleet = Vec::new();
@@ -982,24 +982,24 @@
                     undos.push(Undo::StartNode(index));
                 }
             }
-            FaultKind::RestartRack => {
+            FaultKind::RestartCell => {
                 let cell = running_nodes
                     .first()
                     .map(|&index| self.nodes[index].config.cell);
-                let of = |index: &usize| Some(self.nodes[*index].config.cell) == cell;
-                for index in (0..self.nodes.len()).filter(of).collect::<Vec<_>>() {
+                let of_cell = |index: &usize| Some(self.nodes[*index].config.cell) == cell;
+                for index in (0..self.nodes.len()).filter(of_cell).collect::<Vec<_>>() {
                     self.kill(index);
                     undos.push(Undo::StartNode(index));
                 }
             }
-            FaultKind::LoseZone => {
-                let zone = running_nodes
+            FaultKind::LoseFailureDomain => {
+                let domain = running_nodes
                     .first()
                     .map(|&index| self.scenario.failure_domain(self.nodes[index].config.cell));
-                let lost = |index: &usize| {
-                    Some(self.scenario.failure_domain(self.nodes[*index].config.cell)) == zone
+                let of_domain = |index: &usize| {
+                    Some(self.scenario.failure_domain(self.nodes[*index].config.cell)) == domain
                 };
-                for index in (0..self.nodes.len()).filter(lost).collect::<Vec<_>>() {
+                for index in (0..self.nodes.len()).filter(of_domain).collect::<Vec<_>>() {
                     self.kill(index);
                     undos.push(Undo::StartNode(index));
                 }
@@ -1026,7 +1026,7 @@
                     .iter()
                     .for_each(|&index| self.nodes[index].delay_reports(time, extra_age));
             }
-            FaultKind::LosePrograms => running_nodes
+            FaultKind::ClearProgramCaches => running_nodes
                 .iter()
                 .for_each(|&index| self.nodes[index].clear_program_cache()),
             FaultKind::DiscoveryUnreachable => self.discovery.disconnect(Some(time)),
--- a/crates/testbed/src/scenario/faults.rs
+++ b/crates/testbed/src/scenario/faults.rs
@@ -62,13 +62,13 @@
     /// Load reports are delayed.
     DelayReports,
     /// Cached programs are lost.
-    LosePrograms,
+    ClearProgramCaches,
     /// Nodes drain, then restart.
     DrainNodes,
     /// All nodes of one cell die and restart.
-    RestartRack,
+    RestartCell,
     /// All nodes of one failure domain die and restart.
-    LoseZone,
+    LoseFailureDomain,
     /// The endpoint list is unreachable.
     DiscoveryUnreachable,
     /// The request rate is multiplied.
@@ -96,10 +96,10 @@
     ("cut-links", FaultKind::CutNodeConnections),
     ("lose-answers", FaultKind::LoseReplies),
     ("delay-reports", FaultKind::DelayReports),
-    ("lose-programs", FaultKind::LosePrograms),
+    ("lose-programs", FaultKind::ClearProgramCaches),
     ("drain-nodes", FaultKind::DrainNodes),
-    ("restart-rack", FaultKind::RestartRack),
-    ("lose-zone", FaultKind::LoseZone),
+    ("restart-rack", FaultKind::RestartCell),
+    ("lose-zone", FaultKind::LoseFailureDomain),
     ("roster-away", FaultKind::DiscoveryUnreachable),
     ("demand", FaultKind::Demand),
     ("kill-dispatchers", FaultKind::KillDispatchers),
--- a/crates/testbed/src/scenario/reader.rs
+++ b/crates/testbed/src/scenario/reader.rs
@@ -188,7 +188,7 @@
         return Err(form.diagnostic("is after the scenario's end"));
     }
     check_fault_parts(form, &parts, kind)?;
-    if kind == FaultKind::LoseZone && scenario.failure_domains.is_none() {
+    if kind == FaultKind::LoseFailureDomain && scenario.failure_domains.is_none() {
         return Err(form.diagnostic("is allowed only beside `(zones …)`"));
     }
     if kind == FaultKind::HoldVersions && scenario.version_interval.is_none() {
@@ -241,7 +241,7 @@
         true => Presence::Required,
         false => Presence::Forbidden,
     };
-    let has_duration = !matches!(kind, FaultKind::LosePrograms | FaultKind::Burst);
+    let has_duration = !matches!(kind, FaultKind::ClearProgramCaches | FaultKind::Burst);
     let affects_connections = matches!(
         kind,
         FaultKind::CutDispatchers | FaultKind::DelayDispatchers
