--- a/crates/testbed/src/capacity/environment.rs
+++ b/crates/testbed/src/capacity/environment.rs
@@ -734,8 +734,8 @@
         }
     }
 
-    /// Returns the control traffic of one dispatcher, in bytes a second: that of all connections but
-    /// those of clients. Attempts sent to nodes are not control traffic, but are included.
+    /// Returns the control traffic of one dispatcher, in bytes a second: that of all connections
+    /// except those of clients. Attempts sent to nodes are not control traffic, but are included.
     pub fn control_bytes(&self, dispatchers: usize) -> f64 {
         let peers = [
             Peer::Discovery,
--- a/crates/testbed/src/capacity/mod.rs
+++ b/crates/testbed/src/capacity/mod.rs
@@ -166,7 +166,8 @@
         self.axes.iter().flat_map(|axis| series_of(*axis)).collect()
     }
 
-    /// Returns an error if this machine lacks the resources for a measurement or for the fleet size.
+    /// Returns an error if this machine lacks the resources for a measurement or for the fleet
+    /// size.
     fn check_requirements(&self) -> Result<(), String> {
         let available = kernel::machine_resources();
         for series in self.series() {
