--- a/crates/testbed/src/capacity/environment.rs
+++ b/crates/testbed/src/capacity/environment.rs
@@ -54,20 +54,33 @@
 /// The valid difference between these counts for bytes in flight.
 const MAX_BYTES_IN_FLIGHT: f64 = 16_000.0;
 const PEER_KINDS: [(Peer, Kind); 4] = [
-    (Peer::Roster, Kind::Roster),
+    (Peer::Discovery, Kind::Roster),
     (Peer::Control, Kind::Control),
-    (Peer::Keepers, Kind::Keepers),
+    (Peer::QuorumMembers, Kind::Keepers),
     (Peer::Nodes, Kind::Nodes),
 ];
 
 /// The other end of a dispatcher's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Peer {
-    Roster,
+    Discovery,
     Control,
-    Keepers,
+    QuorumMembers,
     Nodes,
-    Owners,
+    Clients,
+}
+
+impl Peer {
+    /// Returns the name in recorded results, which differs from the variant's name.
+    pub(super) fn recorded_name(self) -> &'static str {
+        match self {
+            Peer::Discovery => "Roster",
+            Peer::Control => "Control",
+            Peer::QuorumMembers => "Keepers",
+            Peer::Nodes => "Nodes",
+            Peer::Clients => "Owners",
+        }
+    }
 }
 
 /// A thread that runs the stand-ins of one role.
@@ -84,7 +97,7 @@
         let (stop, stopped) = async_channel::bounded::<()>(1);
         let executor = Arc::clone(&tasks);
         std::thread::spawn(move || {
-            let _ = sender.send(kernel::this_thread());
+            let _ = sender.send(kernel::current_thread_id());
             let _ = future::block_on(executor.run(stopped.recv()));
         });
         let id = receiver.recv().map_err(|why| why.to_string())??;
@@ -103,9 +116,9 @@
 pub enum FreeCapacity {
     Plenty,
     /// The endpoint list reports that reservations have reached the nodes' admission limits.
-    NoneByAsks,
+    NoneByReservations,
     /// Load reports show no available capacity, and nodes reject attempts.
-    NoneByUse,
+    NoneByUsage,
 }
 
 /// The settings of an environment.
@@ -116,13 +129,13 @@
     /// The number of dispatchers in the deployment files. It exceeds `dispatchers` where a few of a
     /// large fleet are measured.
     pub schedulers: usize,
-    pub room: FreeCapacity,
+    pub free_capacity: FreeCapacity,
     pub seed: u64,
 }
 
 /// Dispatchers, stand-ins and the relays between them.
 pub struct Environment {
-    pub setting: EnvironmentConfig,
+    pub config: EnvironmentConfig,
     pub tasks: SharedExecutor,
     threads: BTreeMap<Peer, StandInThread>,
     relays: StandInThread,
@@ -178,7 +191,7 @@
         review_time: Duration::from_millis(1),
         max_queued: 24,
         start_time: Duration::from_millis(15),
-        load_factor: 8,
+        uncached_start_factor: 8,
         max_concurrent_starts: 4,
         max_cached_programs: 6,
         preempts: false,
@@ -196,10 +209,15 @@
     pub async fn start(
         tasks: &SharedExecutor,
         program: &[OsString],
-        setting: EnvironmentConfig,
+        config: EnvironmentConfig,
     ) -> Result<Environment, String> {
         let mut threads = BTreeMap::new();
-        for peer in [Peer::Roster, Peer::Control, Peer::Keepers, Peer::Nodes] {
+        for peer in [
+            Peer::Discovery,
+            Peer::Control,
+            Peer::QuorumMembers,
+            Peer::Nodes,
+        ] {
             threads.insert(peer, StandInThread::start()?);
         }
         let relays = StandInThread::start()?;
@@ -207,7 +225,7 @@
             let capture = Capture::new(None).map_err(to_text)?;
             Ok::<_, String>(SharedContext::new(capture, &threads[&peer].tasks, None))
         };
-        let (discovery, discovery_address) = Discovery::start(&context(Peer::Roster)?)
+        let (discovery, discovery_address) = Discovery::start(&context(Peer::Discovery)?)
             .await
             .map_err(to_text)?;
         let (control, control_guard) = ControlService::start(&context(Peer::Control)?)
@@ -216,7 +234,7 @@
         let nodes = TcpListener::bind("127.0.0.1:0").await.map_err(to_text)?;
         let nodes_address = nodes.local_addr().map_err(to_text)?;
         let node_tasks = &threads[&Peer::Nodes].tasks;
-        if setting.room == FreeCapacity::NoneByUse {
+        if config.free_capacity == FreeCapacity::NoneByUsage {
             let served = corkspan_rpc::serve(
                 nodes,
                 NodeServer::new(FullNode),
@@ -237,20 +255,20 @@
             meters.insert(peer, meter);
             Ok::<_, String>(address)
         };
-        let discovery_relay = metered(Peer::Roster, discovery_address).await?;
+        let discovery_relay = metered(Peer::Discovery, discovery_address).await?;
         let control_relay = metered(Peer::Control, control.address).await?;
         let nodes_relay = metered(Peer::Nodes, nodes_address).await?;
         // Each quorum member has a relay of its own; all share one meter.
-        let quorum_context = context(Peer::Keepers)?;
+        let quorum_context = context(Peer::QuorumMembers)?;
         let quorum_meter = Arc::new(Meter::default());
         let mut endpoints = Vec::new();
-        for id in 0..setting.machines {
+        for id in 0..config.machines {
             let address = match id < QUORUM_MEMBERS {
                 true => {
-                    let node = Node::new(quorum_member_config(id, setting.seed), &quorum_context);
+                    let node = Node::new(quorum_member_config(id, config.seed), &quorum_context);
                     let at = node.start_process(false).await.map_err(to_text)?;
                     let to = (at, Arc::clone(&quorum_meter));
-                    meter::relay_onto(&relays.tasks, to.0, to.1)
+                    meter::relay_with_meter(&relays.tasks, to.0, to.1)
                         .await
                         .map_err(to_text)?
                 }
@@ -258,21 +276,22 @@
             };
             // Nodes admit twice the cores and 1.5 times the memory of a machine; these amounts
             // remain unreserved when reservations have reached that limit.
-            let full = setting.room == FreeCapacity::NoneByAsks;
+            let full = config.free_capacity == FreeCapacity::NoneByReservations;
             let (cores, memory) = if full { (-64.0, -128.0) } else { (30.0, 30.0) };
             // The quorum members' stand-ins would accept some attempts, so they are reported full.
-            let (cores, memory) = if setting.room == FreeCapacity::Plenty || id >= QUORUM_MEMBERS {
-                (cores, memory)
-            } else {
-                (-64.0, -128.0)
-            };
+            let (cores, memory) =
+                if config.free_capacity == FreeCapacity::Plenty || id >= QUORUM_MEMBERS {
+                    (cores, memory)
+                } else {
+                    (-64.0, -128.0)
+                };
             let unreserved = Some(v1::Resources { cores, memory });
             endpoints.push(v1::Endpoint {
                 unreserved,
                 ..measure::endpoint(id, address)
             });
         }
-        meters.insert(Peer::Keepers, quorum_meter);
+        meters.insert(Peer::QuorumMembers, quorum_meter);
         endpoints
             .iter()
             .for_each(|endpoint| discovery.update(Duration::ZERO, endpoint.clone()));
@@ -280,7 +299,7 @@
         let (mut dispatchers, mut client_addresses, mut shared_parts) =
             (Vec::new(), Vec::new(), None);
         let clients_meter = Arc::new(Meter::default());
-        for number in 0..setting.dispatchers {
+        for number in 0..config.dispatchers {
             // A dispatcher writes files beside its deployment file whose names differ in the
             // extension alone, so each deployment file has a name of its own.
             let at = |name: &str| folder.path().join(format!("{number}-{name}"));
@@ -289,25 +308,26 @@
             let extra_parts = format!(
                 "(shows-room #t) (may-probe #t) (keepers 0 1 2) (rolls {rollouts:?}) (remembered {list:?})
                  (control \"{control_relay}\") (versions {versions:?}) (floor (every 2 s)) (seed {})",
-                setting.seed
+                config.seed
             );
             let file = measure::deployment(discovery_relay, &extra_parts)
                 .replace("(number 0)", &format!("(number {number})"))
                 .replace(
                     "(schedulers 1)",
-                    &format!("(schedulers {})", setting.schedulers),
+                    &format!("(schedulers {})", config.schedulers),
                 );
             shared_parts =
                 Some(SharedParts::parse("deployment", &file).map_err(|why| why.to_string())?);
             let process = Process::start_in(program, &at("file.sexp"), &file)?;
             let client_relay =
-                meter::relay_onto(&relays.tasks, process.address, Arc::clone(&clients_meter)).await;
+                meter::relay_with_meter(&relays.tasks, process.address, Arc::clone(&clients_meter))
+                    .await;
             client_addresses.push(client_relay.map_err(to_text)?);
             dispatchers.push(process);
         }
-        meters.insert(Peer::Owners, clients_meter);
+        meters.insert(Peer::Clients, clients_meter);
         let environment = Environment {
-            setting,
+            config,
             tasks: Arc::clone(tasks),
             threads,
             relays,
@@ -336,13 +356,13 @@
                         .status(v1::StatusRequest {})
                         .await
                         .map_err(|why| why.to_string())?;
-                    if status.get_ref().machines_serving >= u64::from(self.setting.machines) {
+                    if status.get_ref().machines_serving >= u64::from(self.config.machines) {
                         break;
                     }
                     Timer::after(Duration::from_millis(20)).await;
                 }
             }
-            while self.control.opened() < self.dispatchers.len() {
+            while self.control.streams_opened() < self.dispatchers.len() {
                 Timer::after(Duration::from_millis(20)).await;
             }
             Ok(())
@@ -419,8 +439,8 @@
     /// until the result is dropped.
     pub fn report_capacity(&self, interval: Duration) -> async_executor::Task<()> {
         let (discovery, endpoints) = (Arc::clone(&self.discovery), self.endpoints.clone());
-        let mut rng = Pcg64Mcg::seed_from_u64(self.setting.seed);
-        self.threads[&Peer::Roster].tasks.spawn(async move {
+        let mut rng = Pcg64Mcg::seed_from_u64(self.config.seed);
+        self.threads[&Peer::Discovery].tasks.spawn(async move {
             let mut due = Instant::now();
             loop {
                 for slice in 0..REPORT_SLICES {
@@ -504,7 +524,7 @@
         let dispatchers = self.dispatchers.len() as u32;
         let active_at_all = async {
             while !(0..dispatchers)
-                .all(|dispatcher| self.control.running(dispatcher) == Some(version))
+                .all(|dispatcher| self.control.active_version(dispatcher) == Some(version))
             {
                 Timer::after(Duration::from_millis(5)).await;
             }
@@ -549,19 +569,19 @@
         let cpu_times = self
             .dispatchers
             .iter()
-            .map(|thread| kernel::process(thread.id()))
+            .map(|thread| kernel::process_cpu_time(thread.id()))
             .collect::<Result<_, _>>()?;
         let threads = self
             .threads
             .iter()
-            .map(|(peer, thread)| Ok((*peer, kernel::thread(thread.id)?)));
+            .map(|(peer, thread)| Ok((*peer, kernel::thread_cpu_time(thread.id)?)));
         Ok(Reading {
             counted,
             at: Instant::now(),
             dispatchers: cpu_times,
             threads: threads.collect::<Result<_, String>>()?,
-            relays: kernel::thread(self.relays.id)?,
-            ticks: kernel::ticks()?,
+            relays: kernel::thread_cpu_time(self.relays.id)?,
+            ticks: kernel::cpu_ticks()?,
             bytes: self
                 .meters
                 .iter()
@@ -571,7 +591,7 @@
     }
 
     /// Observes the environment for this time.
-    pub async fn watch(&self, time: Duration) -> Result<Watched, String> {
+    pub async fn observe(&self, time: Duration) -> Result<ObservedFigures, String> {
         let before = self.read().await?;
         Timer::after(time).await;
         let after = self.read().await?;
@@ -579,21 +599,22 @@
         for process in &self.dispatchers {
             kib.push(process.resident()? as f64);
         }
-        Ok(Watched::between(&before, &after, &kib))
+        Ok(ObservedFigures::between(&before, &after, &kib))
     }
 
     /// Returns the number of connections that dispatchers have opened so far, by peer.
-    pub fn opened(&self) -> BTreeMap<Peer, u64> {
+    pub fn connections_opened(&self) -> BTreeMap<Peer, u64> {
         self.meters
             .iter()
-            .map(|(peer, meter)| (*peer, meter.opened()))
+            .map(|(peer, meter)| (*peer, meter.connections_opened()))
             .collect()
     }
 }
 
 impl Drop for Environment {
     /// Stops the dispatchers first and keeps the threads running for a moment, so that relays and
-    /// stand-ins close their connections. Otherwise hundreds of descriptors leak at each place.
+    /// stand-ins close their connections. Otherwise each measured point leaks hundreds of
+    /// descriptors.
     fn drop(&mut self) {
         self.dispatchers.clear();
         std::thread::sleep(CLOSE_TIME);
@@ -613,52 +634,52 @@
 
 /// The figures of an observation.
 #[derive(Clone, Debug)]
-pub struct Watched {
+pub struct ObservedFigures {
     pub seconds: f64,
     /// Bytes a second, both ways, of all dispatchers together, by peer.
-    pub bytes: BTreeMap<Peer, f64>,
+    pub bytes_per_second: BTreeMap<Peer, f64>,
     /// Processor use of one dispatcher, in percent of a core.
-    pub core: f64,
+    pub core_percent: f64,
     /// Processor use of the stand-ins' threads, in percent of a core.
-    pub threads: BTreeMap<Peer, f64>,
+    pub thread_percent: BTreeMap<Peer, f64>,
     /// Resident memory of one dispatcher, in MiB.
-    pub mib: f64,
+    pub resident_mib: f64,
     /// Bytes, messages in and messages out a second, as the dispatchers counted them themselves.
-    pub counted: Option<BTreeMap<Peer, [f64; 3]>>,
+    pub counted_per_second: Option<BTreeMap<Peer, [f64; 3]>>,
     /// The reasons why the figures are invalid, if any.
-    pub spoilt: Vec<String>,
+    pub invalid_reasons: Vec<String>,
 }
 
-impl Watched {
-    fn between(before: &Reading, after: &Reading, kib: &[f64]) -> Watched {
+impl ObservedFigures {
+    fn between(before: &Reading, after: &Reading, kib: &[f64]) -> ObservedFigures {
         let seconds = (after.at - before.at).as_secs_f64();
         let percent = |ran: u64| ran as f64 / 1e7 / seconds;
         let dispatchers = before.dispatchers.len().max(1) as f64;
         let cpu_time =
             std::iter::zip(&after.dispatchers, &before.dispatchers).map(|(a, b)| a.since(*b));
         let cpu_time = cpu_time.fold(CpuTime::default(), |sum, cpu_time| CpuTime {
-            ran: sum.ran + cpu_time.ran,
-            waited: sum.waited + cpu_time.waited,
+            ran_ns: sum.ran_ns + cpu_time.ran_ns,
+            waited_ns: sum.waited_ns + cpu_time.waited_ns,
         });
-        let threads: BTreeMap<Peer, f64> = (after.threads.iter())
-            .map(|(peer, ran)| (*peer, percent(ran.since(before.threads[peer]).ran)))
+        let thread_percent: BTreeMap<Peer, f64> = (after.threads.iter())
+            .map(|(peer, ran)| (*peer, percent(ran.since(before.threads[peer]).ran_ns)))
             .collect();
-        let mut spoilt = Vec::new();
-        let relays = percent(after.relays.since(before.relays).ran);
-        for (name, busy) in threads
+        let mut invalid_reasons = Vec::new();
+        let relays = percent(after.relays.since(before.relays).ran_ns);
+        for (name, busy) in thread_percent
             .iter()
-            .map(|(peer, busy)| (format!("{peer:?}"), *busy))
+            .map(|(peer, busy)| (peer.recorded_name().to_string(), *busy))
             .chain([("relays".into(), relays)])
         {
             if busy > MAX_THREAD_UTILIZATION * 100.0 {
-                spoilt.push(format!(
+                invalid_reasons.push(format!(
                     "the thread of the stand-ins ({name}) was busy {busy:.0}% of the time"
                 ));
             }
         }
-        let waited = cpu_time.waited as f64 / 1e9 / seconds / dispatchers;
+        let waited = cpu_time.waited_ns as f64 / 1e9 / seconds / dispatchers;
         if waited > MAX_CPU_WAIT {
-            spoilt.push(format!(
+            invalid_reasons.push(format!(
                 "a dispatcher waited for a processor {:.0}% of the time",
                 waited * 100.0
             ));
@@ -668,53 +689,64 @@
             after.ticks.1 - before.ticks.1,
         );
         if stolen as f64 > MAX_STOLEN * total.max(1) as f64 {
-            spoilt.push(format!(
+            invalid_reasons.push(format!(
                 "{:.0}% of the machine was stolen",
                 100.0 * stolen as f64 / total as f64
             ));
         }
-        let bytes: BTreeMap<Peer, f64> = (after.bytes.iter())
+        let bytes_per_second: BTreeMap<Peer, f64> = (after.bytes.iter())
             .map(|(peer, bytes)| (*peer, (bytes - before.bytes[peer]) as f64 / seconds))
             .collect();
-        let counted = after
-            .counted
-            .as_ref()
-            .zip(before.counted.as_ref())
-            .map(|(after, before)| {
-                let rates = |peer: &Peer| {
-                    let (after, before) = (after[peer], before[peer]);
-                    [0, 1, 2].map(|index| (after[index] - before[index]) as f64 / seconds)
-                };
-                after
-                    .keys()
-                    .map(|peer| (*peer, rates(peer)))
-                    .collect::<BTreeMap<Peer, [f64; 3]>>()
-            });
-        for (peer, [counted_bytes, ..]) in counted.iter().flatten() {
-            if (counted_bytes - bytes[peer]).abs()
-                > bytes[peer] * MAX_COUNT_DIFFERENCE + MAX_BYTES_IN_FLIGHT / seconds
+        let counted_per_second =
+            after
+                .counted
+                .as_ref()
+                .zip(before.counted.as_ref())
+                .map(|(after, before)| {
+                    let rates = |peer: &Peer| {
+                        let (after, before) = (after[peer], before[peer]);
+                        [0, 1, 2].map(|index| (after[index] - before[index]) as f64 / seconds)
+                    };
+                    after
+                        .keys()
+                        .map(|peer| (*peer, rates(peer)))
+                        .collect::<BTreeMap<Peer, [f64; 3]>>()
+                });
+        for (peer, [counted_bytes, ..]) in counted_per_second.iter().flatten() {
+            if (counted_bytes - bytes_per_second[peer]).abs()
+                > bytes_per_second[peer] * MAX_COUNT_DIFFERENCE + MAX_BYTES_IN_FLIGHT / seconds
             {
-                let relayed = bytes[peer];
-                spoilt.push(format!(
-                    "{peer:?}: dispatchers count {counted_bytes:.0} bytes/s, relays {relayed:.0}"
+                let relayed = bytes_per_second[peer];
+                invalid_reasons.push(format!(
+                    "{}: dispatchers count {counted_bytes:.0} bytes/s, relays {relayed:.0}",
+                    peer.recorded_name()
                 ));
             }
         }
-        Watched {
+        ObservedFigures {
             seconds,
-            bytes,
-            counted,
-            core: percent(cpu_time.ran) / dispatchers,
-            threads,
-            mib: kib.iter().sum::<f64>() / 1_024.0 / kib.len().max(1) as f64,
-            spoilt,
+            bytes_per_second,
+            counted_per_second,
+            core_percent: percent(cpu_time.ran_ns) / dispatchers,
+            thread_percent,
+            resident_mib: kib.iter().sum::<f64>() / 1_024.0 / kib.len().max(1) as f64,
+            invalid_reasons,
         }
     }
 
-    /// Returns the control traffic of one dispatcher, in bytes a second: that of all connections but
-    /// those of clients. Attempts sent to nodes are not control traffic, but are included.
+    /// Returns the control traffic of one dispatcher, in bytes a second: that of all connections
+    /// except those of clients. Attempts sent to nodes are not control traffic, but are included.
     pub fn control_bytes(&self, dispatchers: usize) -> f64 {
-        let peers = [Peer::Roster, Peer::Control, Peer::Keepers, Peer::Nodes];
-        peers.iter().map(|peer| self.bytes[peer]).sum::<f64>() / dispatchers.max(1) as f64
+        let peers = [
+            Peer::Discovery,
+            Peer::Control,
+            Peer::QuorumMembers,
+            Peer::Nodes,
+        ];
+        peers
+            .iter()
+            .map(|peer| self.bytes_per_second[peer])
+            .sum::<f64>()
+            / dispatchers.max(1) as f64
     }
 }
--- a/crates/testbed/src/checker.rs
+++ b/crates/testbed/src/checker.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
     pub rule: u8,
-    pub what: String,
+    pub description: String,
     pub lines: Vec<usize>,
 }
 
@@ -21,7 +21,7 @@
             "rule {} ({}): {}; lines {}",
             self.rule,
             RULE_NAMES[usize::from(self.rule) - 1],
-            self.what,
+            self.description,
             lines.join(", ")
         )
     }
@@ -123,18 +123,18 @@
     for Line { t, observation } in lines {
         let Observation::ConnectionFault {
             dispatcher,
-            struck,
-            late_us,
+            begins,
+            delay_us,
         } = *observation
         else {
             continue;
         };
-        match struck {
+        match begins {
             true => intervals.push(FaultInterval {
                 dispatcher,
                 from: *t,
                 to: u64::MAX,
-                delay_us: late_us,
+                delay_us,
             }),
             false => {
                 // Of two overlapping faults, the one that began first is assumed to end first.
@@ -169,7 +169,7 @@
     checker.check_lost();
     checker.check_twice();
     checker.check_drains();
-    checker.check_cold();
+    checker.check_slow_start();
     checker.check_spread();
     checker.check_unready();
     checker.check_halts();
@@ -202,14 +202,17 @@
             .map(|(index, line)| (index + 1, &line.observation))
         {
             match observation {
-                Observation::MinimumVersionStored { node, lowest } => {
-                    minimum_versions.insert(*node, (*lowest, line));
+                Observation::MinimumVersionStored {
+                    node,
+                    version_number,
+                } => {
+                    minimum_versions.insert(*node, (*version_number, line));
                 }
                 Observation::Offered {
                     node,
                     placement_id,
                     number,
-                    decided: version,
+                    version_number: version,
                     dispatcher,
                     ..
                 } => {
@@ -224,7 +227,7 @@
                     number,
                     event: AllocationEvent::Accepted,
                 } => {
-                    let Some(&(lowest, stored_line)) = minimum_versions.get(node) else {
+                    let Some(&(minimum_version, stored_line)) = minimum_versions.get(node) else {
                         continue;
                     };
                     let Some(&(version, dispatcher, offered_line)) =
@@ -232,11 +235,11 @@
                     else {
                         continue;
                     };
-                    if version < lowest {
-                        let what = format!(
-                            "node {node} accepted {placement_id}, which dispatcher {dispatcher} decided under version {version}, below the minimum version {lowest}"
+                    if version < minimum_version {
+                        let description = format!(
+                            "node {node} accepted {placement_id}, which dispatcher {dispatcher} decided under version {version}, below the minimum version {minimum_version}"
                         );
-                        violations.push((what, vec![stored_line, offered_line, line]));
+                        violations.push((description, vec![stored_line, offered_line, line]));
                     }
                 }
                 _ => {}
@@ -244,18 +247,22 @@
         }
         violations
             .into_iter()
-            .for_each(|(what, lines)| self.report(8, what, lines));
+            .for_each(|(description, lines)| self.report(8, description, lines));
     }
 
-    fn report(&mut self, rule: u8, what: String, lines: Vec<usize>) {
-        self.violations.push(Violation { rule, what, lines });
+    fn report(&mut self, rule: u8, description: String, lines: Vec<usize>) {
+        self.violations.push(Violation {
+            rule,
+            description,
+            lines,
+        });
     }
 
     /// Collects calls and offers from the lines.
     fn collect(&mut self) -> Result<(), String> {
         let mut last = 0;
         // Offers dropped before their nodes recorded them: offer and drop arrived together.
-        let mut early: HashSet<(u32, &str, u32)> = HashSet::new();
+        let mut early_drops: HashSet<(u32, &str, u32)> = HashSet::new();
         for (index, Line { t, observation }) in self.lines.iter().enumerate() {
             let (t, line) = (*t, index + 1);
             if t < last {
@@ -322,8 +329,8 @@
                         dropped: None,
                         ended: None,
                     };
-                    let early = early.remove(&(*node, &placement_id[..], *number));
-                    let dropped = early.then_some(t);
+                    let was_dropped = early_drops.remove(&(*node, &placement_id[..], *number));
+                    let dropped = was_dropped.then_some(t);
                     let offer = Offer {
                         dropped,
                         ended: dropped,
@@ -337,7 +344,8 @@
                     number,
                     event,
                 } => {
-                    let Some(offer) = find(&mut self.offers, placement_id, *number, *node) else {
+                    let Some(offer) = find_offer(&mut self.offers, placement_id, *number, *node)
+                    else {
                         continue;
                     };
                     match event {
@@ -357,10 +365,11 @@
                     placement_id,
                     number,
                 } => {
-                    if let Some(offer) = find(&mut self.offers, placement_id, *number, *node) {
+                    if let Some(offer) = find_offer(&mut self.offers, placement_id, *number, *node)
+                    {
                         (offer.dropped, offer.ended) = (Some(t), offer.ended.or(Some(t)));
                     } else {
-                        early.insert((*node, placement_id, *number));
+                        early_drops.insert((*node, placement_id, *number));
                     }
                 }
                 Observation::Node {
@@ -467,7 +476,7 @@
         }
         found
             .into_iter()
-            .for_each(|(what, lines)| self.report(1, what, lines));
+            .for_each(|(description, lines)| self.report(1, description, lines));
     }
 
     /// Returns whether the dispatcher abandoned an offer while it was in flight, so that its node
@@ -531,11 +540,11 @@
                     let ended = earlier.ended.unwrap_or(u64::MAX);
                     let visible = self.visible_by(earlier.dispatcher, later.t);
                     if ended > visible.unwrap_or(0).max(later.t + self.rules.slack_us) {
-                        let what = format!(
+                        let description = format!(
                             "{name}: attempt {} is offered while attempt {} is outstanding",
                             later.number, earlier.number
                         );
-                        found.push((what, vec![earlier.line, later.line]));
+                        found.push((description, vec![earlier.line, later.line]));
                     }
                     let never_ran = earlier.rejected.is_some();
                     let allowed = match service_class.retry_safety {
@@ -548,11 +557,11 @@
                         }
                     };
                     if !allowed {
-                        let what = format!(
+                        let description = format!(
                             "{name}: attempt {} may run beside attempt {}",
                             later.number, earlier.number
                         );
-                        found.push((what, vec![earlier.line, later.line]));
+                        found.push((description, vec![earlier.line, later.line]));
                     }
                 }
             }
@@ -577,23 +586,23 @@
                         .accepted
                         .is_some_and(|at| at <= t + self.rules.slack_us)
                 {
-                    let what = format!(
+                    let description = format!(
                         "{} is rejected, though an attempt may run",
                         call.request.placement_id
                     );
-                    found.push((what, vec![offer.line, *line]));
+                    found.push((description, vec![offer.line, *line]));
                 }
             }
         }
         found
             .into_iter()
-            .for_each(|(what, lines)| self.report(2, what, lines));
+            .for_each(|(description, lines)| self.report(2, description, lines));
     }
 
-    /// Rule 6: during a rollout, a replica is stopped only if at most `unready_most` replicas are
-    /// then unavailable, of those that were ready once and are still wanted. A replica that failed
-    /// by itself counts once it has been down for `RESPONSE_US`: by then its client has requested
-    /// it again, and the rollout must have reacted.
+    /// Rule 6: during a rollout, a replica is stopped only if at most `max_unavailable` replicas
+    /// are then unavailable, of those that were ready once and are still wanted. A replica that
+    /// failed by itself counts once it has been down for `RESPONSE_US`: by then its client has
+    /// requested it again, and the rollout must have reacted.
     fn check_unready(&mut self) {
         const RESPONSE_US: u64 = 5_000_000;
         struct Replica {
@@ -604,7 +613,7 @@
         let mut found = Vec::new();
         let mut limits: HashMap<&str, usize> = HashMap::new();
         // Whether new replicas may run beside old ones, by service.
-        let mut surge: HashMap<&str, bool> = HashMap::new();
+        let mut surge_by_service: HashMap<&str, bool> = HashMap::new();
         let mut replicas: HashMap<&str, BTreeMap<&str, Replica>> = HashMap::new();
         let mut call_tasks: HashMap<u64, &str> = HashMap::new();
         for (index, Line { t, observation }) in self.lines.iter().enumerate() {
@@ -620,12 +629,12 @@
                 }
                 Observation::RolloutStarted {
                     service,
-                    unready_most,
-                    start_first,
+                    max_unavailable,
+                    surge,
                     ..
                 } => {
-                    limits.insert(service, *unready_most);
-                    surge.insert(service, *start_first);
+                    limits.insert(service, *max_unavailable);
+                    surge_by_service.insert(service, *surge);
                 }
                 Observation::Ready {
                     task,
@@ -659,11 +668,11 @@
                         .sum();
                     let limit = limits
                         .get(&service[..])
-                        .filter(|_| surge.get(&service[..]) == Some(&true));
+                        .filter(|_| surge_by_service.get(&service[..]) == Some(&true));
                     if *ready && limit.is_some_and(|limit| surplus > *limit) {
-                        let what =
+                        let description =
                             format!("{surplus} surplus replicas of {service} run beside others");
-                        found.push((what, vec![index + 1]));
+                        found.push((description, vec![index + 1]));
                     }
                     let unready = tasks.values().filter(is_unavailable).count();
                     if *stopped
@@ -682,10 +691,10 @@
         }
         found
             .into_iter()
-            .for_each(|(what, lines)| self.report(6, what, lines));
+            .for_each(|(description, lines)| self.report(6, description, lines));
     }
 
-    /// Rule 7: a rollout halts once more new replicas than `failures_most` have failed at one
+    /// Rule 7: a rollout halts once more new replicas than `max_failures` have failed at one
     /// dispatcher. From `HALT_DELAY_US` after that, no replica of another version may be stopped
     /// unless an operator starts a new rollout.
     fn check_halts(&mut self) {
@@ -699,16 +708,16 @@
                 Observation::RolloutStarted {
                     service,
                     version,
-                    ready_for_us,
-                    ready_within_us,
-                    failures_most,
+                    min_ready_us,
+                    progress_deadline_us,
+                    max_failures,
                     ..
                 } => {
                     let rollout = RolloutState {
                         version,
-                        min_ready_us: *ready_for_us,
-                        progress_deadline_us: *ready_within_us,
-                        max_failures: *failures_most,
+                        min_ready_us: *min_ready_us,
+                        progress_deadline_us: *progress_deadline_us,
+                        max_failures: *max_failures,
                         replicas: Vec::new(),
                         must_halt: false,
                     };
@@ -820,7 +829,7 @@
         }
         found
             .into_iter()
-            .for_each(|(what, lines)| self.report(7, what, lines));
+            .for_each(|(description, lines)| self.report(7, description, lines));
     }
 
     fn zone(&self, node: u32) -> Option<&str> {
@@ -856,7 +865,7 @@
                 }
                 | Observation::ConnectionFault {
                     dispatcher,
-                    struck: false,
+                    begins: false,
                     ..
                 } => {
                     // While it was paused or its connections were held, it received no updates.
@@ -886,10 +895,10 @@
                         .filter(|offer| offer.line == index + 1)
                         .any(|offer| self.is_stale(offer));
                     if *t > since + self.rules.grace_us + self.rules.slack_us && !stale {
-                        let what = format!(
+                        let description = format!(
                             "{placement_id}: attempt {number} offered to node {node}, known to be draining or gone"
                         );
-                        found.push((what, vec![*line, index + 1]));
+                        found.push((description, vec![*line, index + 1]));
                     }
                 }
                 _ => {}
@@ -897,11 +906,11 @@
         }
         found
             .into_iter()
-            .for_each(|(what, lines)| self.report(3, what, lines));
+            .for_each(|(description, lines)| self.report(3, description, lines));
     }
 
-    /// Rule 4: a node in slow start gets no more offers in a window than it can take.
-    fn check_cold(&mut self) {
+    /// Rule 4: a node in slow start gets at most `max_offers` offers in a window.
+    fn check_slow_start(&mut self) {
         let mut found = Vec::new();
         let mut started: HashMap<u32, (u64, usize)> = HashMap::new();
         let mut notified: HashMap<(u32, u32), u64> = HashMap::new();
@@ -951,13 +960,15 @@
                         .count();
                     // A violation only if at least two thirds of the offers came from dispatchers
                     // that knew of the restart.
-                    if window.len() > slow_start.most && notified_offers * 3 >= window.len() * 2 {
-                        let what = format!(
+                    if window.len() > slow_start.max_offers
+                        && notified_offers * 3 >= window.len() * 2
+                    {
+                        let description = format!(
                             "node {node} got {} offers in one window during slow start",
                             window.len()
                         );
                         let first = window.first().map_or(0, |(_, line, _)| *line);
-                        found.push((what, vec![line, first, index + 1]));
+                        found.push((description, vec![line, first, index + 1]));
                         window.clear();
                     }
                 }
@@ -966,10 +977,10 @@
         }
         found
             .into_iter()
-            .for_each(|(what, lines)| self.report(4, what, lines));
+            .for_each(|(description, lines)| self.report(4, description, lines));
     }
 
-    /// Rule 5: a dispatcher places at most so many allocations of a service on one node.
+    /// Rule 5: a dispatcher places at most `spread` allocations of a service on one node.
     fn check_spread(&mut self) {
         let mut found = Vec::new();
         let mut by_service: HashMap<(u32, &str, u32), Vec<&Offer>> = HashMap::new();
@@ -1028,26 +1039,29 @@
             let Some(offer) = offers.find(|o| o.number == *number && o.node == *node) else {
                 continue;
             };
-            let held = by_service.entry((*dispatcher, service, *node)).or_default();
-            // Allocations that ended before this offer no longer count. No slack is needed: a node's
-            // end is recorded before the dispatcher's next offer can overtake it.
-            held.retain(|other| other.ended.is_none_or(|ended| ended > offer.t));
-            held.push(offer);
-            if held.len() > limit && !self.is_stale(offer) {
-                let what = format!(
+            let current = by_service.entry((*dispatcher, service, *node)).or_default();
+            // Allocations that ended before this offer no longer count. No slack is needed: a
+            // node's end is recorded before the dispatcher's next offer can overtake it.
+            current.retain(|other| other.ended.is_none_or(|ended| ended > offer.t));
+            current.push(offer);
+            if current.len() > limit && !self.is_stale(offer) {
+                let description = format!(
                     "{} allocations of {service} on node {node} from dispatcher {dispatcher}",
-                    held.len()
+                    current.len()
                 );
-                found.push((what, held.iter().map(|other| other.line).collect()));
+                found.push((
+                    description,
+                    current.iter().map(|other| other.line).collect(),
+                ));
             }
         }
         found
             .into_iter()
-            .for_each(|(what, lines)| self.report(5, what, lines));
+            .for_each(|(description, lines)| self.report(5, description, lines));
     }
 }
 
-fn find<'o>(
+fn find_offer<'o>(
     offers: &'o mut HashMap<&str, Vec<Offer>>,
     placement_id: &str,
     number: u32,
--- a/crates/testbed/src/config_push_experiment.rs
+++ b/crates/testbed/src/config_push_experiment.rs
@@ -26,8 +26,10 @@
     pub program: Vec<OsString>,
     pub rounds: usize,
     pub seconds: f64,
-    pub instances: usize,
-    pub returns: usize,
+    /// Dispatchers for the time from push to effect.
+    pub effect_dispatchers: usize,
+    /// Dispatchers that reconnect after an outage.
+    pub reconnecting_dispatchers: usize,
     pub seeds: u64,
     pub versions: usize,
 }
@@ -67,7 +69,7 @@
             let publish_time = started.elapsed();
             environment
                 .wait_for("the newest version is active", |environment| {
-                    environment.control.running(0) == newest
+                    environment.control.active_version(0) == newest
                 })
                 .await?;
             let catch_up_time = started.elapsed() - publish_time;
@@ -106,7 +108,7 @@
 
     /// Measures the time from a push until each instance has acknowledged it as applied.
     fn measure_effect(&self) -> Result<(), String> {
-        let instances = self.instances;
+        let instances = self.effect_dispatchers;
         in_environment(&self.program, instances, async |environment| {
             let mut times = histogram()?;
             for change in 0..20 {
@@ -118,7 +120,7 @@
                 );
                 let is_active_at_all = |environment: &Environment| {
                     (0..instances).all(|dispatcher| {
-                        environment.control.running(dispatcher as u32) == Some(version)
+                        environment.control.active_version(dispatcher as u32) == Some(version)
                     })
                 };
                 environment
@@ -144,11 +146,11 @@
 
     /// Measures how all instances reconnect after an outage of the control service.
     fn measure_reconnects(&self) -> Result<(), String> {
-        let instances = self.returns;
+        let instances = self.reconnecting_dispatchers;
         in_environment(&self.program, instances, async |mut environment| {
-            let opened = environment.control.opened();
+            let opened = environment.control.streams_opened();
             drop(environment.control_guard.take());
-            environment.control.hang_up();
+            environment.control.close_streams();
             // Long enough that each instance fails several times to connect.
             Timer::after(Duration::from_secs(4)).await;
             let restarted_at = Instant::now();
@@ -161,7 +163,7 @@
             );
             environment
                 .wait_for("all instances have reconnected", |environment| {
-                    environment.control.opened() >= opened + instances
+                    environment.control.streams_opened() >= opened + instances
                 })
                 .await?;
             let mut times = histogram()?;
@@ -193,9 +195,9 @@
             program: self.program.clone(),
             rounds: self.rounds,
             seconds: self.seconds,
-            at_once: 16,
+            concurrent_requests: 16,
             nodes: 40,
-            held: 0,
+            held_allocations: 0,
         };
         let (mut without_pushes, mut with_pushes) = (Vec::<Round>::new(), Vec::<Round>::new());
         let tasks = SharedExecutor::default();
@@ -223,7 +225,7 @@
             environment.dispatchers.push(process);
             environment
                 .wait_for("the dispatcher's version stream is open", |environment| {
-                    environment.control.opened() == 1
+                    environment.control.streams_opened() == 1
                 })
                 .await?;
             measure.wait_until_ready(&tasks, at).await?;
--- a/crates/testbed/src/config_push_experiment/random_exchange.rs
+++ b/crates/testbed/src/config_push_experiment/random_exchange.rs
@@ -29,7 +29,7 @@
 /// the previous one if the acknowledged version was rolled back for its many starts.
 pub fn exchange(program: &[OsString], seed: u64, versions: usize) -> Result<Exchange, String> {
     in_environment(program, 1, async |mut environment| {
-        environment.control.scripted();
+        environment.control.use_scripted_pushes();
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let mut figures = Exchange::default();
         let mut acknowledged = environment
@@ -62,14 +62,14 @@
             if killed {
                 // The kill happens at a random time during the burst.
                 Timer::after(Duration::from_micros(rng.random_range(0..5_000))).await;
-                let opened = environment.control.opened();
+                let opened = environment.control.streams_opened();
                 environment.dispatchers.clear();
                 let restarted = environment.start(0, 1)?;
                 environment.dispatchers.push(restarted);
                 figures.kills += 1;
                 environment
                     .wait_for("the restarted dispatcher reconnects", |environment| {
-                        environment.control.opened() > opened
+                        environment.control.streams_opened() > opened
                     })
                     .await?;
             } else {
@@ -102,7 +102,7 @@
                 }
             }
             let status = environment.status(0).await?;
-            let running = status
+            let active = status
                 .active
                 .as_ref()
                 .and_then(parse_version_id)
@@ -118,15 +118,14 @@
                     .filter_map(parse_version_id)
                     .any(|version| version == acknowledged);
             figures.given_up += usize::from(is_rolled_back);
-            let is_newer_valid =
-                killed && is_valid(running) && running.number > acknowledged.number;
-            let is_allowed = running == acknowledged || is_rolled_back || is_newer_valid;
-            if !is_allowed || active_parts.digest() != running.digest {
+            let is_newer_valid = killed && is_valid(active) && active.number > acknowledged.number;
+            let is_allowed = active == acknowledged || is_rolled_back || is_newer_valid;
+            if !is_allowed || active_parts.digest() != active.digest {
                 return Err(format!(
-                    "{running} is active, but {acknowledged} was acknowledged last; {figures:?}"
+                    "{active} is active, but {acknowledged} was acknowledged last; {figures:?}"
                 ));
             }
-            acknowledged = running;
+            acknowledged = active;
         }
         Ok(figures)
     })
--- a/crates/testbed/src/hollow/fleet.rs
+++ b/crates/testbed/src/hollow/fleet.rs
@@ -2,7 +2,7 @@
 //! reads its costs.
 
 use crate::capture::Observation;
-use crate::cost::{CONTROL_KINDS, Cost, Costs, TRAFFIC_KINDS, between};
+use crate::cost::{CONTROL_KINDS, Cost, Costs, TRAFFIC_KINDS, costs_between};
 use crate::process::Programs;
 use crate::runner::{ScenarioRun, Testbed, report_capacity};
 use crate::saturation::SaturationMonitor;
@@ -95,11 +95,16 @@
     }
 
     /// Runs the fleet for this time while clients send `rate` requests a second, for tasks with the
-    /// mean lifetime `life`. At a rate of 0 no request is sent.
-    pub fn run(&mut self, time: Duration, rate: f64, life: Duration) -> Result<Span, String> {
+    /// lifetime `mean_lifetime`. At a rate of 0 no request is sent.
+    pub fn run(
+        &mut self,
+        time: Duration,
+        rate: f64,
+        mean_lifetime: Duration,
+    ) -> Result<Span, String> {
         let tasks = self.tasks.clone();
         let testbed = &mut self.testbed;
-        (testbed.scenario.rate, testbed.scenario.mean_lifetime) = (rate, life);
+        (testbed.scenario.rate, testbed.scenario.mean_lifetime) = (rate, mean_lifetime);
         let measurement = async {
             let (before, first_line) = (
                 testbed.read_costs().await?,
@@ -117,7 +122,7 @@
             let after = testbed.read_costs().await?;
             // Clients that are still connected at the end of the span are not awaited.
             drop(clients);
-            let Costs { real, hollow } = between(&before, &after);
+            let Costs { real, hollow } = costs_between(&before, &after);
             let mut span = Span {
                 real,
                 hollow,
@@ -128,7 +133,7 @@
                 waited,
                 late_us,
                 hollow,
-                spoilt,
+                invalid,
             } = observation
             {
                 span.stand_ins = StandIns {
@@ -136,7 +141,7 @@
                     waited,
                     late_us,
                     hollow,
-                    spoilt,
+                    invalid,
                 };
             }
             for line in &testbed.frontend.context.capture.lines()[first_line..] {
@@ -245,7 +250,7 @@
                 println!(
                     "  bytes a second and dispatcher, over real ones alone: hollow {ratio:.3} (control {control_ratio:.3}), real among them {real_ratio:.3}"
                 );
-                invalid += usize::from(first.stand_ins.spoilt || second.stand_ins.spoilt);
+                invalid += usize::from(first.stand_ins.invalid || second.stand_ins.invalid);
                 differing += usize::from(!(0.9..=1.1).contains(&ratio));
             }
         }
--- a/crates/testbed/src/loads.rs
+++ b/crates/testbed/src/loads.rs
@@ -101,7 +101,7 @@
 
 /// Measures how late requests arrive, against their intended times, at a server that does nothing
 /// else.
-pub fn error(rate: u32) -> Result<String, String> {
+pub fn measure_lateness(rate: u32) -> Result<String, String> {
     let recorder = ArrivalRecorder::default();
     let service = recorder.clone();
     let to = [measure::serve_on_own_thread(|| {
@@ -149,28 +149,28 @@
     ))
 }
 
-/// Pauses a dispatcher in the middle of a load. Returns the open-loop report, and the report of one
-/// closed-loop client over the same time.
-pub fn stalled(program: &[OsString], pause: Duration) -> Result<(Report, Report), String> {
+/// Measures the effect of a dispatcher that is paused in the middle of a load. Returns the
+/// open-loop report, and the report of one closed-loop client over the same time.
+pub fn measure_pause(program: &[OsString], pause: Duration) -> Result<(Report, Report), String> {
     let node = measure::serve_on_own_thread(|| v1::node_server::NodeServer::new(InstantNode))?;
     let tasks = SharedExecutor::default();
     let experiment = async {
-        let text = |why: std::io::Error| why.to_string();
-        let context = SharedContext::new(Capture::new(None).map_err(text)?, &tasks, None);
-        let (discovery, address) = Discovery::start(&context).await.map_err(text)?;
+        let to_text = |why: std::io::Error| why.to_string();
+        let context = SharedContext::new(Capture::new(None).map_err(to_text)?, &tasks, None);
+        let (discovery, address) = Discovery::start(&context).await.map_err(to_text)?;
         for id in 0..8 {
             discovery.update(Duration::ZERO, measure::endpoint(id, node));
         }
-        let folder = tempfile::tempdir().map_err(text)?;
+        let folder = tempfile::tempdir().map_err(to_text)?;
         let file = folder.path().join("dispatcher.sexp");
         let process = Process::start_in(program, &file, &measure::deployment(address, ""))?;
         let measure = Measure {
             program: program.to_vec(),
             rounds: 1,
             seconds: 1.0,
-            at_once: 1,
+            concurrent_requests: 1,
             nodes: 8,
-            held: 0,
+            held_allocations: 0,
         };
         measure.wait_until_ready(&tasks, process.address).await?;
         let began = Instant::now();
--- a/crates/testbed/src/node/mod.rs
+++ b/crates/testbed/src/node/mod.rs
@@ -51,7 +51,7 @@
     /// The time to start an allocation whose program is cached, after the slow start.
     pub start_time: Duration,
     /// The factor by which a start takes longer when the program is not cached.
-    pub load_factor: u32,
+    pub uncached_start_factor: u32,
     /// The maximum number of concurrent starts; others wait.
     pub max_concurrent_starts: usize,
     /// The maximum number of programs that stay cached after their allocations have ended.
@@ -84,7 +84,7 @@
     state: Mutex<State>,
     /// Held while an offer is reviewed or a health check is answered.
     review: AsyncMutex<()>,
-    starts: Semaphore,
+    start_permits: Semaphore,
     server: Mutex<Option<async_executor::Task<()>>>,
     listener: Mutex<Option<TcpListener>>,
     quorum_state: Mutex<QuorumState>,
@@ -103,7 +103,7 @@
     /// Returns a node whose process has not been started.
     pub fn new(config: NodeConfig, context: &Arc<SharedContext>) -> Arc<Self> {
         Arc::new(Node {
-            starts: Semaphore::new(config.max_concurrent_starts),
+            start_permits: Semaphore::new(config.max_concurrent_starts),
             config,
             context: Arc::clone(context),
             state: Mutex::default(),
--- a/crates/testbed/src/node/offers.rs
+++ b/crates/testbed/src/node/offers.rs
@@ -58,7 +58,7 @@
             service: request.service.clone(),
             task: request.task.clone(),
             version: request.version.clone(),
-            decided: sender(request).version,
+            version_number: sender(request).version,
         });
         self.learn_minimum_version(request);
         let mut state = self.state();
@@ -92,7 +92,7 @@
                 .capture
                 .record(Observation::MinimumVersionStored {
                     node: self.config.id,
-                    lowest: minimum.version,
+                    version_number: minimum.version,
                 });
         }
     }
@@ -181,7 +181,7 @@
     /// Decides whether an offer is accepted. Preempts other allocations for it where needed.
     fn admit(&self, state: &mut State, request: &v1::AttemptRequest) -> Result<(), Rejection> {
         self.check_version(request)?;
-        self.make_room(state, request)?;
+        self.ensure_capacity(state, request)?;
         if let Some(key) = self.dedup_key(request) {
             let mut deduplicated = self.context.deduplicated();
             if deduplicated.contains_key(&key) {
@@ -208,9 +208,13 @@
         }
     }
 
-    /// Checks that the offer fits on the node. Preempts allocations of lower priority if that makes
-    /// room for it.
-    fn make_room(&self, state: &mut State, request: &v1::AttemptRequest) -> Result<(), Rejection> {
+    /// Checks that the offer fits on the node. Preempts allocations of lower priority if it does
+    /// not fit otherwise.
+    fn ensure_capacity(
+        &self,
+        state: &mut State,
+        request: &v1::AttemptRequest,
+    ) -> Result<(), Rejection> {
         let is_cordoned = self.cordon().cordon.active().is_some();
         if is_cordoned || state.is_draining || state.allocations.contains_key(&request.placement_id)
         {
--- a/crates/testbed/src/node/state.rs
+++ b/crates/testbed/src/node/state.rs
@@ -34,7 +34,7 @@
     }
 }
 
-/// A fault that makes load reports older by `extra_age` until `until`.
+/// A fault that delays load reports by `extra_age` until `until`.
 pub(super) struct ReportDelay {
     pub until: Instant,
     pub extra_age: Duration,
@@ -50,7 +50,7 @@
     /// The start of the process; none if the node has no slow start.
     pub started_at: Option<Instant>,
     pub stalled_until: Option<Instant>,
-    pub muted_until: Option<Instant>,
+    pub events_dropped_until: Option<Instant>,
     pub report_delay: Option<ReportDelay>,
     /// Allocations by placement id.
     pub allocations: BTreeMap<String, PlacedAllocation>,
@@ -92,10 +92,10 @@
         {
             self.recent_offers.pop_front();
         }
-        let is_warming_up = self
+        let in_slow_start = self
             .started_at
             .is_some_and(|at| now < at + slow_start.duration);
-        is_warming_up && self.recent_offers.len() > slow_start.max_offers
+        in_slow_start && self.recent_offers.len() > slow_start.max_offers
     }
 
     /// Returns the node's work rate, which grows from the initial rate to 1 during the slow start.
--- a/crates/testbed/src/runner.rs
+++ b/crates/testbed/src/runner.rs
@@ -13,7 +13,7 @@
 use crate::process::{Process, Programs};
 use crate::requirements::{Limits, Requirements};
 use crate::saturation::SaturationMonitor;
-use crate::scenario::{FaultKind, LinkPeer, NodeLocation, Scenario, ScheduledFault};
+use crate::scenario::{ConnectionPeer, FaultKind, NodeLocation, Scenario, ScheduledFault};
 use async_io::Timer;
 use corkspan_api::v1;
 use corkspan_config::version::SharedParts;
@@ -102,7 +102,7 @@
             slow_start: capture::SlowStartLimits {
                 lasts_us: SLOW_START.duration.as_micros() as u64,
                 window_us: SLOW_START.window.as_micros() as u64,
-                most: SLOW_START.max_offers,
+                max_offers: SLOW_START.max_offers,
             },
             slack_us: 250_000,
         }
@@ -160,7 +160,7 @@
                 review_time: Duration::from_micros(rng.random_range(4_000..12_000)),
                 max_queued: 24,
                 start_time: Duration::from_millis(rng.random_range(15..40)),
-                load_factor: 8,
+                uncached_start_factor: 8,
                 max_concurrent_starts: 4,
                 max_cached_programs: 6,
                 preempts: true,
@@ -194,7 +194,7 @@
         ));
         let versions = self.scenario.version_interval.map(|interval| {
             let text = self.deployment(0, discovery.address, "", testbed.folder.path());
-            let parts = SharedParts::parse("day", &text).map_err(|why| why.to_string());
+            let parts = SharedParts::parse("deployment", &text).map_err(|why| why.to_string());
             parts.map(|parts| tasks.spawn(push_versions(testbed.control.clone(), parts, interval)))
         });
         let versions = versions.transpose()?;
@@ -212,7 +212,9 @@
         frontend
             .context
             .capture
-            .record(Observation::Cost(Box::new(cost::between(&before, &after))));
+            .record(Observation::Cost(Box::new(cost::costs_between(
+                &before, &after,
+            ))));
         // Clients that still wait or run get this long to finish.
         let remaining = async {
             for client in clients {
@@ -221,8 +223,8 @@
         };
         let ended = within(Duration::from_secs(40), remaining).await;
         drop((capacity_reports, versions));
-        if let Some(worker) = testbed.worker.take() {
-            let finished = within(MAINTENANCE_TIMEOUT, worker).await;
+        if let Some(work) = testbed.maintenance_work.take() {
+            let finished = within(MAINTENANCE_TIMEOUT, work).await;
             finished.ok_or("the maintenance does not finish")??;
         }
         if self.scenario.audit {
@@ -237,31 +239,31 @@
 
     /// Starts all stand-ins and dispatchers, and waits until the dispatchers know all nodes.
     pub(crate) async fn start(&self, tasks: &SharedExecutor) -> Result<Testbed, String> {
-        let text = |why: std::io::Error| why.to_string();
+        let to_text = |why: std::io::Error| why.to_string();
         Requirements::for_scenario(&self.scenario).check(&Limits::of_this_machine()?)?;
         let mut rng = Pcg64Mcg::seed_from_u64(self.seed);
-        let folder = tempfile::tempdir().map_err(text)?;
-        let capture = Capture::new(self.capture.as_deref()).map_err(text)?;
+        let folder = tempfile::tempdir().map_err(to_text)?;
+        let capture = Capture::new(self.capture.as_deref()).map_err(to_text)?;
         let configs = self.node_configs(&mut rng);
         capture.record(Observation::Rules(self.rules(&configs)));
         let context = SharedContext::new(capture, tasks, Some(SERVICE_CLASSES[1].into()));
-        let (discovery, discovery_address) = Discovery::start(&context).await.map_err(text)?;
+        let (discovery, discovery_address) = Discovery::start(&context).await.map_err(to_text)?;
         let nodes: Vec<Arc<Node>> = configs
             .into_iter()
             .map(|config| Node::new(config, &context))
             .collect();
         for node in &nodes {
-            let address = node.start_process(false).await.map_err(text)?;
-            discovery.update(Duration::ZERO, entry(node, address, 0));
+            let address = node.start_process(false).await.map_err(to_text)?;
+            discovery.update(Duration::ZERO, endpoint_entry(node, address, 0));
         }
-        let (control, guard) = ControlService::start(&context).await.map_err(text)?;
+        let (control, guard) = ControlService::start(&context).await.map_err(to_text)?;
         let proxies = match self.scenario.needs_fault_proxies() {
             true => {
                 let service = self.scenario.version_interval.map(|_| control.address);
-                let all = self.scenario.affects(LinkPeer::Nodes);
+                let proxies_all_nodes = self.scenario.affects(ConnectionPeer::Nodes);
                 let proxied = nodes
                     .iter()
-                    .filter(|node| all || QUORUM_MEMBERS.contains(&node.config.id));
+                    .filter(|node| proxies_all_nodes || QUORUM_MEMBERS.contains(&node.config.id));
                 let addresses: Vec<(u32, SocketAddr)> = proxied
                     .filter_map(|node| {
                         let entry = discovery.endpoint(node.config.id)?;
@@ -279,7 +281,7 @@
                         &QUORUM_MEMBERS,
                     )
                     .await
-                    .map_err(text)?,
+                    .map_err(to_text)?,
                 )
             }
             false => None,
@@ -293,15 +295,15 @@
                     .as_ref()
                     .and_then(|proxies| proxies.address(number, peer))
             };
-            let discovery = proxy_address(LinkPeer::Roster).unwrap_or(discovery_address);
+            let discovery = proxy_address(ConnectionPeer::Discovery).unwrap_or(discovery_address);
             let extra_parts = self.scenario.version_interval.map(|_| {
                 let (version_file, control) = (
                     folder.path().join(format!("versions-{number}.json")),
-                    proxy_address(LinkPeer::Control).unwrap_or(control.address),
+                    proxy_address(ConnectionPeer::Control).unwrap_or(control.address),
                 );
                 let peers = proxies
                     .iter()
-                    .flat_map(|proxies| proxies.addresses(number, LinkPeer::Dispatchers));
+                    .flat_map(|proxies| proxies.addresses(number, ConnectionPeer::Dispatchers));
                 let peers: String = peers.map(|peer| format!(" \"{peer}\"")).collect();
                 let peers = if peers.is_empty() {
                     peers
@@ -319,26 +321,26 @@
                 extra_parts.push_str(" (maintenance (every 500 ms))");
             }
             let file_text = self.deployment(number, discovery, &extra_parts, folder.path());
-            std::fs::write(&file, file_text).map_err(text)?;
+            std::fs::write(&file, file_text).map_err(to_text)?;
             files.push(file);
         }
         let mut fleet = Vec::new();
-        for numbers in self.scenario.processes() {
-            let hollow = self.scenario.is_hollow(numbers.start);
+        for dispatchers in self.scenario.processes() {
+            let hollow = self.scenario.is_hollow(dispatchers.start);
             let log = self
                 .logs
                 .as_ref()
-                .map(|logs| logs.join(format!("dispatcher-{}.log", numbers.start)));
+                .map(|logs| logs.join(format!("dispatcher-{}.log", dispatchers.start)));
             let program = if hollow {
                 &self.programs.hollow
             } else {
                 &self.programs.real
             };
-            let files = files[numbers.clone()].to_vec();
+            let files = files[dispatchers.clone()].to_vec();
             let (program, log) = (program.clone(), log.filter(|_| !hollow));
             let fills_disk = self.scenario.fills_disks();
             let mut process = Process {
-                numbers,
+                dispatchers,
                 hollow,
                 files,
                 program,
@@ -352,7 +354,7 @@
         // The scenario begins once the dispatchers know all nodes.
         let all_known = async {
             for number in 0..self.scenario.dispatchers {
-                while frontend.serving(number).await < nodes.len() as u64 {
+                while frontend.serving_machines(number).await < nodes.len() as u64 {
                     Timer::after(Duration::from_millis(10)).await;
                 }
             }
@@ -371,7 +373,7 @@
             rng,
             start,
             proxies,
-            worker: None,
+            maintenance_work: None,
             folder,
             control,
             _control_guard: control_guard,
@@ -380,7 +382,7 @@
 }
 
 impl Frontend {
-    async fn serving(&self, dispatcher: usize) -> u64 {
+    async fn serving_machines(&self, dispatcher: usize) -> u64 {
         let Some(mut client) = self.placement_client(dispatcher).await else {
             return 0;
         };
@@ -391,7 +393,7 @@
     }
 }
 
-fn entry(node: &Node, address: SocketAddr, started_ms: u64) -> v1::Endpoint {
+fn endpoint_entry(node: &Node, address: SocketAddr, started_ms: u64) -> v1::Endpoint {
     let unrequested = node.unrequested();
     v1::Endpoint {
         node: node.config.id,
@@ -448,14 +450,14 @@
             };
             match in_progress.get_mut(id) {
                 None => {
-                    let runs = node.allocation_count();
+                    let allocations = node.allocation_count();
                     frontend
                         .context
                         .capture
                         .record(Observation::MaintenanceWork {
                             node: *id,
                             begins: true,
-                            runs,
+                            allocations,
                         });
                     node.kill(NodeState::Gone);
                     in_progress.insert(*id, (Instant::now() + plan.work_duration, false));
@@ -465,7 +467,8 @@
                         .start_process(true)
                         .await
                         .map_err(|why| why.to_string())?;
-                    let entry = entry(node, address, corkspan_dispatcher::clock::wall_ms());
+                    let entry =
+                        endpoint_entry(node, address, corkspan_dispatcher::clock::wall_ms());
                     discovery.update(Duration::from_millis(rng.random_range(50..500)), entry);
                     frontend
                         .context
@@ -473,7 +476,7 @@
                         .record(Observation::MaintenanceWork {
                             node: *id,
                             begins: false,
-                            runs: node.allocation_count(),
+                            allocations: node.allocation_count(),
                         });
                     *restarted = true;
                 }
@@ -557,7 +560,7 @@
     rng: Pcg64Mcg,
     pub start: Instant,
     proxies: Option<FaultProxies>,
-    worker: Option<async_executor::Task<Result<(), String>>>,
+    maintenance_work: Option<async_executor::Task<Result<(), String>>>,
     folder: tempfile::TempDir,
     control: ControlService,
     _control_guard: ControlServiceGuard,
@@ -569,7 +572,7 @@
     EndDrain(usize),
     RestartDispatchers(usize),
     Resume(usize),
-    HealConnections(usize, Vec<LinkPeer>),
+    HealConnections(usize, Vec<ConnectionPeer>),
     FreeDisk(usize),
 }
 
@@ -584,8 +587,8 @@
         let mut faults = faults.into_iter().peekable();
         let mut undos: Vec<(Instant, Undo)> = Vec::new();
         let mut clients = Vec::new();
-        let mut next = self.start;
-        let mut number = 0;
+        let mut next_request_at = self.start;
+        let mut task_number = 0;
         for replica in 0..self.scenario.replicas {
             clients.push(self.run_replica(replica, until));
         }
@@ -600,7 +603,8 @@
             let maintenance_at = maintenance.map(|plan| self.start + plan.at);
             let fault_at = faults.peek().map(|fault| self.start + fault.at);
             let undo_at = undos.iter().map(|(at, _)| *at).min();
-            let request_at = (next < until && self.scenario.rate > 0.0).then_some(next);
+            let request_at =
+                (next_request_at < until && self.scenario.rate > 0.0).then_some(next_request_at);
             let Some(at) = [
                 fault_at,
                 undo_at,
@@ -643,16 +647,16 @@
                     0
                 };
                 for _ in 0..burst {
-                    clients.push(self.request_task(number, until));
-                    number += 1;
+                    clients.push(self.request_task(task_number, until));
+                    task_number += 1;
                 }
                 undos.extend(self.inject(&fault)?.into_iter().map(|undo| (ends, undo)));
             } else {
-                clients.push(self.request_task(number, until));
-                number += 1;
-                let rate = self.scenario.rate_at(next - self.start);
+                clients.push(self.request_task(task_number, until));
+                task_number += 1;
+                let rate = self.scenario.rate_at(next_request_at - self.start);
                 let gap: f64 = -(1.0 - self.rng.random::<f64>()).ln() / rate;
-                next += Duration::from_secs_f64(gap.min(10.0));
+                next_request_at += Duration::from_secs_f64(gap.min(10.0));
             }
         }
     }
@@ -693,11 +697,11 @@
             .record(Observation::RolloutStarted {
                 service: service.clone(),
                 version: version.clone(),
-                unready_most: unavailable_limit as usize,
-                ready_for_us: plan.min_ready.as_micros() as u64,
-                start_first: plan.surge,
-                ready_within_us: PROGRESS_DEADLINE.as_micros() as u64,
-                failures_most: MAX_FAILURES as usize,
+                max_unavailable: unavailable_limit as usize,
+                min_ready_us: plan.min_ready.as_micros() as u64,
+                surge: plan.surge,
+                progress_deadline_us: PROGRESS_DEADLINE.as_micros() as u64,
+                max_failures: MAX_FAILURES as usize,
             });
         let request = v1::StartRolloutRequest {
             service,
@@ -778,7 +782,7 @@
                     plan,
                     seed,
                 );
-                self.worker = Some(self.frontend.context.tasks.spawn(work));
+                self.maintenance_work = Some(self.frontend.context.tasks.spawn(work));
                 return Ok(());
             }
         }
@@ -798,12 +802,14 @@
                 Observation::Pushed { number } => Some(number),
                 _ => None,
             });
-        let lowest = newest.ok_or("no version has been published yet")?;
+        let version_number = newest.ok_or("no version has been published yet")?;
         for dispatcher in 0..self.scenario.dispatchers {
             if let Some(mut client) = self.frontend.versions_client(dispatcher).await
                 && let Some(Ok(reply)) = within(
                     Duration::from_secs(5),
-                    Box::pin(client.raise(v1::RaiseMinimumVersionRequest { version: lowest })),
+                    Box::pin(client.raise(v1::RaiseMinimumVersionRequest {
+                        version: version_number,
+                    })),
                 )
                 .await
                 && reply.get_ref().accepted
@@ -811,7 +817,7 @@
                 self.frontend
                     .context
                     .capture
-                    .record(Observation::MinimumVersionRaised { lowest });
+                    .record(Observation::MinimumVersionRaised { version_number });
                 return Ok(());
             }
         }
@@ -847,11 +853,13 @@
         for line in self.frontend.context.capture.lines() {
             if let Observation::Offered {
                 dispatcher,
-                decided,
+                version_number,
                 ..
             } = line.observation
             {
-                *sockets.entry((u64::from(dispatcher), decided)).or_default() += 1;
+                *sockets
+                    .entry((u64::from(dispatcher), version_number))
+                    .or_default() += 1;
             }
         }
         let number = |row: &serde_json::Value, name: &str| row[name].as_u64().unwrap_or(u64::MAX);
@@ -907,7 +915,7 @@
         let draw = rng.random_range(0.0..100.0);
         let service_class = match draw {
             draw if draw < self.scenario.deduplicated => 1,
-            draw if draw < self.scenario.deduplicated + self.scenario.unrepeatable => 2,
+            draw if draw < self.scenario.deduplicated + self.scenario.not_retryable => 2,
             _ => 0,
         };
         let window_us = DEDUP_WINDOW.as_micros() as u64;
@@ -960,7 +968,7 @@
             .collect();
         running_nodes.shuffle(&mut self.rng);
         running_nodes.truncate(fault.count);
-        // Faults on dispatchers strike whole processes, each with all its dispatchers.
+        // Faults of dispatchers affect whole processes, each with all its dispatchers.
         let mut processes: Vec<usize> = (0..self.fleet.len())
             .filter(|&index| self.fleet[index].child.is_some())
             .collect();
@@ -974,24 +982,24 @@
                     undos.push(Undo::StartNode(index));
                 }
             }
-            FaultKind::RestartRack => {
+            FaultKind::RestartCell => {
                 let cell = running_nodes
                     .first()
                     .map(|&index| self.nodes[index].config.cell);
-                let of = |index: &usize| Some(self.nodes[*index].config.cell) == cell;
-                for index in (0..self.nodes.len()).filter(of).collect::<Vec<_>>() {
+                let of_cell = |index: &usize| Some(self.nodes[*index].config.cell) == cell;
+                for index in (0..self.nodes.len()).filter(of_cell).collect::<Vec<_>>() {
                     self.kill(index);
                     undos.push(Undo::StartNode(index));
                 }
             }
-            FaultKind::LoseZone => {
-                let zone = running_nodes
+            FaultKind::LoseFailureDomain => {
+                let domain = running_nodes
                     .first()
                     .map(|&index| self.scenario.failure_domain(self.nodes[index].config.cell));
-                let lost = |index: &usize| {
-                    Some(self.scenario.failure_domain(self.nodes[*index].config.cell)) == zone
+                let of_domain = |index: &usize| {
+                    Some(self.scenario.failure_domain(self.nodes[*index].config.cell)) == domain
                 };
-                for index in (0..self.nodes.len()).filter(lost).collect::<Vec<_>>() {
+                for index in (0..self.nodes.len()).filter(of_domain).collect::<Vec<_>>() {
                     self.kill(index);
                     undos.push(Undo::StartNode(index));
                 }
@@ -1006,22 +1014,22 @@
             FaultKind::StallNodes => running_nodes
                 .iter()
                 .for_each(|&index| self.nodes[index].stall(time)),
-            FaultKind::CutLinks => running_nodes
+            FaultKind::CutNodeConnections => running_nodes
                 .iter()
                 .for_each(|&index| self.nodes[index].cut_connections(time)),
-            FaultKind::LoseAnswers => running_nodes
+            FaultKind::LoseReplies => running_nodes
                 .iter()
-                .for_each(|&index| self.nodes[index].mute(time)),
+                .for_each(|&index| self.nodes[index].drop_events(time)),
             FaultKind::DelayReports => {
-                let by = Duration::from_millis(self.rng.random_range(700..4000));
+                let extra_age = Duration::from_millis(self.rng.random_range(700..4000));
                 running_nodes
                     .iter()
-                    .for_each(|&index| self.nodes[index].delay_reports(time, by));
+                    .for_each(|&index| self.nodes[index].delay_reports(time, extra_age));
             }
-            FaultKind::LosePrograms => running_nodes
+            FaultKind::ClearProgramCaches => running_nodes
                 .iter()
                 .for_each(|&index| self.nodes[index].clear_program_cache()),
-            FaultKind::RosterAway => self.discovery.disconnect(Some(time)),
+            FaultKind::DiscoveryUnreachable => self.discovery.disconnect(Some(time)),
             FaultKind::Demand | FaultKind::Burst => {}
             FaultKind::KillDispatchers => {
                 for index in processes {
@@ -1035,12 +1043,12 @@
                 };
                 let numbers = processes
                     .iter()
-                    .flat_map(|&index| self.fleet[index].numbers.clone());
+                    .flat_map(|&index| self.fleet[index].dispatchers.clone());
                 for index in numbers.take(fault.count) {
                     self.record_connection_fault(index, true, fault.delay);
                     if fault.kind == FaultKind::HoldVersions {
                         proxies.hold_versions(index);
-                        undos.push(Undo::HealConnections(index, vec![LinkPeer::Control]));
+                        undos.push(Undo::HealConnections(index, vec![ConnectionPeer::Control]));
                     } else {
                         proxies.inject(index, fault);
                         undos.push(Undo::HealConnections(index, fault.peers.clone()));
@@ -1082,7 +1090,7 @@
             let Some(mut reading) = process.cost() else {
                 continue;
             };
-            for number in process.numbers.clone() {
+            for number in process.dispatchers.clone() {
                 let status = async {
                     let mut client = self.frontend.placement_client(number).await?;
                     client.status(v1::StatusRequest {}).await.ok()
@@ -1101,15 +1109,15 @@
         Ok(readings)
     }
 
-    fn record_connection_fault(&self, index: usize, struck: bool, late: Duration) {
-        let (dispatcher, late_us) = (index as u32, late.as_micros() as u64);
+    fn record_connection_fault(&self, index: usize, begins: bool, delay: Duration) {
+        let (dispatcher, delay_us) = (index as u32, delay.as_micros() as u64);
         self.frontend
             .context
             .capture
             .record(Observation::ConnectionFault {
                 dispatcher,
-                struck,
-                late_us,
+                begins,
+                delay_us,
             });
     }
 
@@ -1120,10 +1128,10 @@
 
     /// Updates a node's state at the discovery service after a random delay.
     fn update_endpoint(&mut self, index: usize, state: v1::endpoint::State) {
-        let late = Duration::from_millis(self.rng.random_range(100..900));
+        let delay = Duration::from_millis(self.rng.random_range(100..900));
         if let Some(entry) = self.discovery.endpoint(self.nodes[index].config.id) {
             self.discovery.update(
-                late,
+                delay,
                 v1::Endpoint {
                     state: state.into(),
                     ..entry
@@ -1141,9 +1149,10 @@
                         .start_process(true)
                         .await
                         .map_err(|why| why.to_string())?;
-                    let entry = entry(node, address, corkspan_dispatcher::clock::wall_ms());
-                    let late = Duration::from_millis(self.rng.random_range(50..500));
-                    self.discovery.update(late, entry);
+                    let entry =
+                        endpoint_entry(node, address, corkspan_dispatcher::clock::wall_ms());
+                    let delay = Duration::from_millis(self.rng.random_range(50..500));
+                    self.discovery.update(delay, entry);
                 }
             }
             Undo::EndDrain(index) => {
--- a/crates/testbed/src/scenario/faults.rs
+++ b/crates/testbed/src/scenario/faults.rs
@@ -12,12 +12,12 @@
     pub at: Duration,
     /// How long it lasts.
     pub duration: Duration,
-    /// Number of nodes or dispatchers that it strikes, or of tasks in a burst.
+    /// Number of nodes or dispatchers that it affects, or of tasks in a burst.
     pub count: usize,
     /// Factor on the request rate, for a demand step.
     pub demand_factor: f64,
     /// Peers whose connections with dispatchers are cut or delayed.
-    pub peers: Vec<LinkPeer>,
+    pub peers: Vec<ConnectionPeer>,
     /// Directions in which connections are cut or delayed.
     pub directions: Vec<Direction>,
     /// Delay of connections.
@@ -26,26 +26,26 @@
 
 /// The peer at the other end of a dispatcher's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum LinkPeer {
+pub enum ConnectionPeer {
     /// Another dispatcher.
     Dispatchers,
     /// A quorum member.
-    Keepers,
+    QuorumMembers,
     /// The control service.
     Control,
     /// The endpoint list.
-    Roster,
+    Discovery,
     /// A node.
     Nodes,
 }
 
 /// Peers by their keywords.
-pub const LINK_PEERS: [(&str, LinkPeer); 5] = [
-    ("dispatchers", LinkPeer::Dispatchers),
-    ("keepers", LinkPeer::Keepers),
-    ("control", LinkPeer::Control),
-    ("roster", LinkPeer::Roster),
-    ("nodes", LinkPeer::Nodes),
+pub const CONNECTION_PEERS: [(&str, ConnectionPeer); 5] = [
+    ("dispatchers", ConnectionPeer::Dispatchers),
+    ("keepers", ConnectionPeer::QuorumMembers),
+    ("control", ConnectionPeer::Control),
+    ("roster", ConnectionPeer::Discovery),
+    ("nodes", ConnectionPeer::Nodes),
 ];
 
 /// A kind of fault. `docs/days.md` describes each by its keyword.
@@ -56,21 +56,21 @@
     /// Node processes stop responding.
     StallNodes,
     /// Connections of nodes break, and none can be opened.
-    CutLinks,
+    CutNodeConnections,
     /// Replies of nodes are lost.
-    LoseAnswers,
+    LoseReplies,
     /// Load reports are delayed.
     DelayReports,
     /// Cached programs are lost.
-    LosePrograms,
+    ClearProgramCaches,
     /// Nodes drain, then restart.
     DrainNodes,
     /// All nodes of one cell die and restart.
-    RestartRack,
+    RestartCell,
     /// All nodes of one failure domain die and restart.
-    LoseZone,
+    LoseFailureDomain,
     /// The endpoint list is unreachable.
-    RosterAway,
+    DiscoveryUnreachable,
     /// The request rate is multiplied.
     Demand,
     /// Dispatcher processes are killed and restarted.
@@ -93,14 +93,14 @@
 pub const FAULT_KINDS: [(&str, FaultKind); 18] = [
     ("kill-nodes", FaultKind::KillNodes),
     ("stall-nodes", FaultKind::StallNodes),
-    ("cut-links", FaultKind::CutLinks),
-    ("lose-answers", FaultKind::LoseAnswers),
+    ("cut-links", FaultKind::CutNodeConnections),
+    ("lose-answers", FaultKind::LoseReplies),
     ("delay-reports", FaultKind::DelayReports),
-    ("lose-programs", FaultKind::LosePrograms),
+    ("lose-programs", FaultKind::ClearProgramCaches),
     ("drain-nodes", FaultKind::DrainNodes),
-    ("restart-rack", FaultKind::RestartRack),
-    ("lose-zone", FaultKind::LoseZone),
-    ("roster-away", FaultKind::RosterAway),
+    ("restart-rack", FaultKind::RestartCell),
+    ("lose-zone", FaultKind::LoseFailureDomain),
+    ("roster-away", FaultKind::DiscoveryUnreachable),
     ("demand", FaultKind::Demand),
     ("kill-dispatchers", FaultKind::KillDispatchers),
     ("pause-dispatchers", FaultKind::PauseDispatchers),
--- a/crates/testbed/tests/full_path/fleet.rs
+++ b/crates/testbed/tests/full_path/fleet.rs
@@ -294,11 +294,11 @@
         for line in self.harness.context.capture.lines() {
             if let Observation::Offered {
                 dispatcher,
-                decided,
+                version_number,
                 ..
             } = line.observation
             {
-                *captured.entry((dispatcher, decided)).or_default() += 1;
+                *captured.entry((dispatcher, version_number)).or_default() += 1;
             }
         }
         assert_eq!(rows, captured, "{text}");
@@ -310,7 +310,7 @@
         let slow_start = SlowStartLimits {
             lasts_us: 0,
             window_us: 0,
-            most: usize::MAX,
+            max_offers: usize::MAX,
         };
         let (service_classes, nodes) = (Vec::new(), Vec::new());
         let rules = RuleParameters {
@@ -452,7 +452,7 @@
             matches!(
                 line.observation,
                 Observation::Offered {
-                    decided: 1,
+                    version_number: 1,
                     dispatcher: 4,
                     ..
                 }
--- a/crates/testbed/tests/full_path/loads.rs
+++ b/crates/testbed/tests/full_path/loads.rs
@@ -11,7 +11,8 @@
         "corkspan".into(),
     ];
     let pause = Duration::from_millis(1_500);
-    let (open, closed) = loads::stalled(&program, pause).unwrap_or_else(|error| panic!("{error}"));
+    let (open, closed) =
+        loads::measure_pause(&program, pause).unwrap_or_else(|error| panic!("{error}"));
     let (open, closed) = (&open.kinds[0], &closed.kinds[0]);
     let pause_us = pause.as_micros() as u64;
     // The first request due after the pause begins waits for nearly all of it; one in a hundred is
--- a/crates/testbed/tests/full_path/rollouts.rs
+++ b/crates/testbed/tests/full_path/rollouts.rs
@@ -123,11 +123,11 @@
         let observation = Observation::RolloutStarted {
             service: "s".into(),
             version: version.into(),
-            unready_most: max_unavailable as usize,
-            ready_for_us: 1_000_000,
-            start_first: surge,
-            ready_within_us: 3_000_000,
-            failures_most: 1,
+            max_unavailable: max_unavailable as usize,
+            min_ready_us: 1_000_000,
+            surge,
+            progress_deadline_us: 3_000_000,
+            max_failures: 1,
         };
         self.harnesses[0].context.capture.record(observation);
         let request = v1::StartRolloutRequest {
@@ -293,7 +293,7 @@
     let slow_start = SlowStartLimits {
         lasts_us: 0,
         window_us: 0,
-        most: usize::MAX,
+        max_offers: usize::MAX,
     };
     RuleParameters {
         seed: 0,
--- a/crates/testbed/tests/full_path/traffic.rs
+++ b/crates/testbed/tests/full_path/traffic.rs
@@ -11,7 +11,7 @@
 use corkspan_testbed::control_service::ControlService;
 use corkspan_testbed::fault_proxies::FaultProxies;
 use corkspan_testbed::relay::Relay;
-use corkspan_testbed::scenario::LinkPeer;
+use corkspan_testbed::scenario::ConnectionPeer;
 use corkspan_testbed::traffic::{Difference, differences, relay_traffic, traffic_of};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -84,17 +84,20 @@
             let service = if bypass_control {
                 control.address
             } else {
-                relay_address(LinkPeer::Control)
+                relay_address(ConnectionPeer::Control)
             };
             let versions_path = directory.path().join("versions.json");
             let extra_forms =
                 format!("(keepers 0 3 4) (control \"{service}\") (versions {versions_path:?})");
             let lists_before_restart = harness.discovery.lists_sent(0);
             let harness = harness
-                .kill_and_restart(&deployment(relay_address(LinkPeer::Roster), &extra_forms))
+                .kill_and_restart(&deployment(
+                    relay_address(ConnectionPeer::Discovery),
+                    &extra_forms,
+                ))
                 .await;
             harness.wait_until_serving(5).await;
-            wait_until(async || control.opened() == 1).await;
+            wait_until(async || control.streams_opened() == 1).await;
             let mut calls = Vec::new();
             for task in 0..30 {
                 let mut events = harness
@@ -158,7 +161,7 @@
         let (found, _) = fixture.differences().await;
         assert_eq!(
             found.iter().map(|other| other.peer).collect::<Vec<_>>(),
-            [LinkPeer::Control]
+            [ConnectionPeer::Control]
         );
     });
 }
@@ -174,13 +177,16 @@
         ..Default::default()
     };
     let mut relayed = [7, 9];
-    assert_eq!(differences(&[reported], &[(LinkPeer::Nodes, relayed)]), []);
+    assert_eq!(
+        differences(&[reported], &[(ConnectionPeer::Nodes, relayed)]),
+        []
+    );
     relayed[direction] += excess;
-    let found = differences(&[reported], &[(LinkPeer::Nodes, relayed)]);
+    let found = differences(&[reported], &[(ConnectionPeer::Nodes, relayed)]);
     assert_eq!(
         found,
         [Difference {
-            peer: LinkPeer::Nodes,
+            peer: ConnectionPeer::Nodes,
             reported: [7, 9],
             observed: relayed
         }]
--- a/crates/testbed/tests/full_path/versions.rs
+++ b/crates/testbed/tests/full_path/versions.rs
@@ -52,7 +52,7 @@
             control_guard: Some(control_guard),
             directory,
         };
-        wait_until(async || fixture.control.opened() == 1).await;
+        wait_until(async || fixture.control.streams_opened() == 1).await;
         test(fixture).await;
     });
 }
@@ -184,7 +184,7 @@
             .publish(fixture.with_service_classes(&["extra"]), false);
         fixture.wait_until_active(one).await;
         assert!(fixture.accepts_service_class("extra", "b").await);
-        wait_until(async || fixture.control.running(0) == Some(one)).await;
+        wait_until(async || fixture.control.active_version(0) == Some(one)).await;
         let two = fixture
             .control
             .publish(fixture.with_service_classes(&["extra", "other"]), false);
@@ -204,7 +204,7 @@
 #[test]
 fn invalid_versions_change_nothing_and_are_rejected_with_the_reason() {
     run_with_control_service(async |fixture| {
-        fixture.control.scripted();
+        fixture.control.use_scripted_pushes();
         let valid = fixture.with_service_classes(&["extra"]);
         let first = push(1, 5, &valid, &[]);
         assert_eq!(fixture.reply(&first).await.answer(), Answer::Applied);
@@ -367,10 +367,10 @@
         let text = fixture
             .deployment_text()
             .replace("(control ", "(control \"127.0.0.1:1\" ");
-        let opened = fixture.control.opened();
+        let opened = fixture.control.streams_opened();
         let harness = fixture.harness.kill_and_restart(&text).await;
         let fixture = Fixture { harness, ..fixture };
-        wait_until(async || fixture.control.opened() > opened).await;
+        wait_until(async || fixture.control.streams_opened() > opened).await;
         let one = fixture
             .control
             .publish(fixture.with_service_classes(&["extra"]), false);
@@ -573,7 +573,7 @@
             .find(|reply| is_rolled_back(reply))
             .expect("a rollback is reported");
         assert!(reply.reasons[0].contains("% of"), "{:?}", reply.reasons);
-        fixture.control.scripted();
+        fixture.control.use_scripted_pushes();
         let again = fixture
             .reply(&push(999, bad.number, &shared_parts, &[]))
             .await;
@@ -599,7 +599,7 @@
     run_with_control_service(async |fixture| {
         let closed = fixture.shared_parts("(allow \"10.0.0.0/8\")");
         let closed = fixture.control.publish(closed, false);
-        wait_until(async || fixture.control.running(0) == Some(closed)).await;
+        wait_until(async || fixture.control.active_version(0) == Some(closed)).await;
         let limits = ConnectionLimits {
             connect_timeout: Duration::from_secs(2),
             ..ConnectionLimits::default()
@@ -618,7 +618,7 @@
         let open = fixture
             .control
             .publish(fixture.shared_parts("(allow \"127.0.0.0/8\")"), false);
-        wait_until(async || fixture.control.running(0) == Some(open)).await;
+        wait_until(async || fixture.control.active_version(0) == Some(open)).await;
         fixture.wait_until_active(open).await;
     });
 }
