--- a/crates/testbed/tests/full_path/maintenance.rs
+++ b/crates/testbed/tests/full_path/maintenance.rs
@@ -198,7 +198,8 @@
             let output = fixture.operator(0, "start", &arguments).await;
             let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
             assert!(
-                !output.status.success() && stderr.contains("of these 1 may be out"),
+                !output.status.success()
+                    && stderr.contains("of which at most 1 may be out of service at a time"),
                 "{stderr}"
             );
             // Leaves out all quorum members but one.
