--- a/crates/testbed/tests/full_path/versions.rs
+++ b/crates/testbed/tests/full_path/versions.rs
@@ -329,7 +329,7 @@
             Some(removed)
         );
         assert!(
-            status.reasons[0].contains("tracks/extra: removed, and 1 allocations"),
+            status.reasons[0].contains("tracks/extra: removed, but 1 allocations still use it"),
             "{:?}",
             status.reasons
         );
