--- a/crates/platform/src/core/node_messages.rs
+++ b/crates/platform/src/core/node_messages.rs
@@ -2,7 +2,7 @@
 
 use super::pending_task::{ActiveAttempt, PendingTask, TaskStage, task_key};
 use super::*;
-use corkspan_engine::Return;
+use corkspan_engine::ReturnedAttempt;
 use corkspan_platform_wire::node::AttributeValue;
 use corkspan_platform_wire::{client, parse_load_report};
 use tracing::debug;
@@ -267,14 +267,14 @@
         }
         self.attempt_returned(now, id, active);
         let result = end.of_attempt();
-        engine.returned(
+        engine.attempt_returned(
             now,
             id,
             active.number,
-            Return {
+            ReturnedAttempt {
                 ending: result,
                 reason,
-                over: false,
+                finished: false,
                 report: load,
             },
             self,
@@ -292,7 +292,7 @@
             ("running", _) => Metric::Running,
             ("use_cpu", Some(value)) => Metric::Cores(value),
             ("use_ram", Some(value)) => Metric::Memory(value),
-            ("health", Some(value)) => Metric::Served(value),
+            ("health", Some(value)) => Metric::ServiceLevel(value),
             ("ram_high", Some(value)) => Metric::MachineMemory(value),
             _ => return None,
         },
