--- a/crates/scheduler/src/policy/outcomes.rs
+++ b/crates/scheduler/src/policy/outcomes.rs
@@ -1,9 +1,9 @@
-//! What follows from the outcome of an attempt.
+//! Decides what follows from the outcome of an attempt and updates the health of its machine.
 
 use super::*;
 
 impl Scheduler {
-    /// What to do after this outcome of the attempt of this number.
+    /// Records the outcome of the attempt with this index and returns what to do next.
     pub fn on_outcome(
         &mut self,
         now: Ticks,
@@ -20,7 +20,7 @@
         };
         match outcome {
             Outcome::Placed => {
-                self.note_placed(now, allocation, attempt, machine);
+                self.record_placed(now, allocation, attempt, machine);
                 NextStep::Done
             }
             Outcome::Returned {
@@ -34,12 +34,15 @@
                 self.remove_placed(now, allocation.id, ending == AttemptResult::Completed);
                 self.record_report(now, machine, report);
                 match ending {
-                    AttemptResult::Rejected => self.note_refusal(now, allocation, machine, reason),
-                    // Evicted or sent away, which is no fault of the machine: as one cancelled.
+                    AttemptResult::Rejected => {
+                        self.record_rejection(now, allocation, machine, reason)
+                    }
+                    // The machine evicted, preempted or migrated it, which is not a fault: treated
+                    // as cancelled.
                     AttemptResult::Reset if was_placed && reason.is_some() => {
-                        self.note_ending(now, allocation, machine, AttemptResult::Cancelled, true)
+                        self.record_ending(now, allocation, machine, AttemptResult::Cancelled, true)
                     }
-                    _ => self.note_ending(now, allocation, machine, ending, was_placed),
+                    _ => self.record_ending(now, allocation, machine, ending, was_placed),
                 }
                 if finished {
                     NextStep::Done
@@ -50,58 +53,62 @@
         }
     }
 
-    fn note_placed(
+    /// Records that the machine has placed the allocation.
+    fn record_placed(
         &mut self,
         now: Ticks,
         allocation: &Allocation,
         attempt: usize,
         machine: MachineId,
     ) {
-        let at = self.machines.entry(machine).or_default();
-        (at.consecutive_timeouts, at.last_heard_at) = (0, now);
-        // Only now is it known that earlier errors were their machines' and not the allocation's.
+        let target = self.machines.entry(machine).or_default();
+        (target.consecutive_timeouts, target.last_heard_at) = (0, now);
+        // Since another machine has placed the allocation, earlier errors were faults of their
+        // machines and not of the allocation.
         for earlier in &allocation.attempts[..attempt] {
-            let at = self.machines.entry(earlier.machine).or_default();
-            let confirmed = at.unconfirmed_error.take_if(|of| *of == allocation.id);
+            let target = self.machines.entry(earlier.machine).or_default();
+            let confirmed = target.unconfirmed_error.take_if(|of| *of == allocation.id);
             if confirmed.is_some() {
-                at.record_fault(now, EJECTION_TIME, MAX_EJECTION_DOUBLINGS);
+                target.record_fault(now, EJECTION_TIME, MAX_EJECTION_DOUBLINGS);
                 self.capacity_index.mark_changed(earlier.machine, true);
             }
         }
         if let Some(placed) = self.placed_allocation(allocation.id) {
             placed.placed = true;
-            let time = (now - placed.sent_at) as f64;
-            self.learned.answer_time.add(time, MEAN_RETENTION);
+            let answer_time = (now - placed.sent_at) as f64;
+            self.learned.answer_time.add(answer_time, MEAN_RETENTION);
         }
         if self.cluster.placed_means_running {
             self.record_metric(now, allocation.id, Metric::Running);
         }
     }
 
-    /// Capacity comes back only as allocations end; a full queue of attempts is short again soon.
-    fn note_refusal(
+    /// Records that the machine rejected the allocation. A lack of capacity lasts until allocations
+    /// end; a full attempt queue empties sooner.
+    fn record_rejection(
         &mut self,
         now: Ticks,
         allocation: &Allocation,
         machine: MachineId,
         reason: Option<ReturnReason>,
     ) {
-        // A new refusal may end before the one that it replaces.
+        // The new rejection may end before the one that it replaces.
         self.capacity_index.mark_changed(machine, true);
-        let at = self.machines.entry(machine).or_default();
-        (at.consecutive_timeouts, at.last_heard_at) = (0, now);
-        let (time, requested) = match reason {
+        let target = self.machines.entry(machine).or_default();
+        (target.consecutive_timeouts, target.last_heard_at) = (0, now);
+        let (duration, requested) = match reason {
             Some(ReturnReason::NoCores | ReturnReason::NoMemory) => {
                 (CAPACITY_TURNOVER, allocation.requested)
             }
             Some(ReturnReason::QueueFull) => (CAPACITY_TURNOVER / 10, Resources::default()),
             _ => (CAPACITY_TURNOVER, Resources::default()),
         };
-        let until = now + time;
-        at.refusal = Some(Refusal { until, requested });
+        let until = now + duration;
+        target.rejection = Some(Rejection { until, requested });
     }
 
-    fn note_ending(
+    /// Records how an attempt ended, and a fault of the machine if the ending shows one.
+    fn record_ending(
         &mut self,
         now: Ticks,
         allocation: &Allocation,
@@ -109,22 +116,24 @@
         ending: AttemptResult,
         was_placed: bool,
     ) {
-        // A new fault may end before the one that it replaces.
+        // The new ejection may end before the one that it replaces.
         self.capacity_index.mark_changed(machine, true);
-        let at = self.machines.entry(machine).or_default();
+        let target = self.machines.entry(machine).or_default();
         if matches!(ending, AttemptResult::Completed | AttemptResult::Error) {
-            at.last_heard_at = now;
+            target.last_heard_at = now;
         }
         match ending {
-            // What this machine can't run no other may: a few bad requests would eject all.
-            AttemptResult::Error => at.unconfirmed_error = Some(allocation.id),
-            // One broken answer tells nothing of the machine; two in a row may.
-            AttemptResult::Reset if !was_placed && at.consecutive_timeouts == 0 => {
-                at.consecutive_timeouts = 1
+            // Possibly no machine can run this allocation; counting each error as a fault would let
+            // a few bad requests eject every machine.
+            AttemptResult::Error => target.unconfirmed_error = Some(allocation.id),
+            // A single reset doesn't indicate a faulty machine; two in a row may.
+            AttemptResult::Reset if !was_placed && target.consecutive_timeouts == 0 => {
+                target.consecutive_timeouts = 1
             }
-            // It leaves attempts unanswered, whatever the cause: dead, cut off or standing still.
+            // The machine doesn't answer attempts, whether it has failed, is unreachable or is
+            // stalled.
             AttemptResult::TimedOut | AttemptResult::ConnectFailed | AttemptResult::Reset => {
-                at.record_fault(now, EJECTION_TIME, MAX_EJECTION_DOUBLINGS)
+                target.record_fault(now, EJECTION_TIME, MAX_EJECTION_DOUBLINGS)
             }
             AttemptResult::Rejected
             | AttemptResult::Completed
