--- a/crates/config/src/addresses.rs
+++ b/crates/config/src/addresses.rs
@@ -1,17 +1,17 @@
-//! Addresses and networks as the deployment file writes them.
+//! Parses addresses and networks in the deployment file.
 
 use crate::sexp::{Diagnostic, Form};
 use ipnet::IpNet;
 use std::net::{IpAddr, SocketAddr};
 
-/// Reads one socket address: `(listen "127.0.0.1:7100")`.
+/// Parses one socket address: `(listen "127.0.0.1:7100")`.
 pub fn address(form: &Form) -> Result<SocketAddr, Diagnostic> {
     let text = form.string()?;
     text.parse()
         .map_err(|_| form.diagnostic(format!("`{text}` is no address with a port")))
 }
 
-/// `(allow "127.0.0.0/8" "::1")`
+/// Parses a list of networks and addresses: `(allow "127.0.0.0/8" "::1")`.
 pub(crate) fn networks(form: &Form) -> Result<Vec<IpNet>, Diagnostic> {
     let strings = form.strings()?.into_iter();
     let network = |text: &str| {
@@ -29,7 +29,7 @@
     networks.collect()
 }
 
-/// `(control "127.0.0.1:7200" …)`
+/// Parses a list of socket addresses: `(control "127.0.0.1:7200" …)`.
 pub(crate) fn addresses(form: &Form) -> Result<Vec<SocketAddr>, Diagnostic> {
     let strings = form.strings()?.into_iter();
     strings
--- a/crates/config/src/deployment.rs
+++ b/crates/config/src/deployment.rs
@@ -1,4 +1,4 @@
-//! What a dispatcher is configured with, read from its file and from streamed versions.
+//! The configuration of a dispatcher, from its file and from streamed versions.
 
 use crate::addresses::{address, addresses};
 use crate::limits::Limits;
@@ -12,65 +12,67 @@
 use std::net::{IpAddr, SocketAddr};
 use std::path::{Path, PathBuf};
 
-/// The whole configuration of a dispatcher: its own file, and what a streamed version has changed
-/// since.
+/// The whole configuration of a dispatcher: its own file, with the shared parts of the active
+/// version.
 #[derive(Clone, Debug)]
 pub struct Deployment {
-    /// Where clients connect.
+    /// The address at which clients connect.
     pub listen: SocketAddr,
-    /// Where the roster, which lists the nodes, is reached.
+    /// The address of the discovery service, which lists the nodes (`roster`).
     pub discovery_service: SocketAddr,
-    /// Where the last endpoint list is cached, if it is (`remembered`).
+    /// The file in which the last endpoint list is cached (`remembered`).
     pub endpoint_cache: Option<PathBuf>,
-    /// Mixed with the time of start to seed random draws.
+    /// A value that is mixed with the start time to seed random draws.
     pub seed: u64,
-    /// Nodes that form the quorum, the same at every dispatcher (`keepers`).
+    /// The nodes that form the quorum, the same at every dispatcher (`keepers`).
     pub quorum_members: Vec<MachineId>,
-    /// Where rollouts and this dispatcher's own claims are stored (`rolls`).
+    /// The file in which rollouts and this dispatcher's claims are stored (`rolls`).
     pub rollout_store: Option<PathBuf>,
-    /// Services that stream versions (`control`).
+    /// The services that stream versions (`control`).
     pub control_services: Vec<SocketAddr>,
-    /// Where the last good version is cached (`versions`).
+    /// The file in which the last good version is cached (`versions`).
     pub version_cache: Option<PathBuf>,
-    /// What the placement decisions are given; its lists are in the order of the names below.
+    /// The input of the placement decisions. Its lists are in the order of the names below.
     pub cluster: Cluster,
-    /// Names of the zones (`halls`).
+    /// The names of the zones (`halls`).
     pub zones: Vec<String>,
-    /// Names of the machine types (`kinds`).
+    /// The names of the machine types (`kinds`).
     pub machine_types: Vec<String>,
-    /// Names of the service classes (`tracks`).
+    /// The names of the service classes (`tracks`).
     pub service_classes: Vec<String>,
-    /// Names of the tenants (`accounts`).
+    /// The names of the tenants (`accounts`).
     pub tenants: Vec<String>,
-    /// What it holds at the most, and how long it waits (`bounds`).
+    /// Limits and timeouts (`bounds`).
     pub limits: Limits,
-    /// Networks from which clients may connect; any where none is named (`allow`).
+    /// The networks from which clients may connect; if empty, clients may connect from anywhere
+    /// (`allow`).
     pub allowed_networks: Vec<IpNet>,
-    /// How the minimum version is followed; absent where it is not (`floor`).
+    /// The settings of the minimum version; `None` if it is not followed (`floor`).
     pub minimum_version: Option<MinimumVersionSettings>,
-    /// Between two reconciliations of maintenance, in ticks; absent where there is none.
+    /// The time between two reconciliations of maintenance, in ticks; `None` if there is no
+    /// maintenance.
     pub maintenance_interval: Option<Ticks>,
-    /// The shared parts, as written.
+    /// The text of the shared parts.
     pub shared_parts: SharedParts,
-    /// Identifies the shared parts; number 0 is a file's.
+    /// The version of the shared parts; its number is 0 if they are from the file.
     pub version: VersionId,
 }
 
 impl Deployment {
-    /// Reads and checks a file.
+    /// Parses and checks a file.
     ///
     /// # Errors
     ///
-    /// Everything that is wrong with it, in the order of the text.
+    /// Returns all errors in the file, in the order of the text.
     pub fn load(path: &Path) -> Result<Self, Diagnostics> {
         Self::parse(&path.display().to_string(), &sexp::load(path)?)
     }
 
-    /// Reads and checks a text; `file` is its name in messages.
+    /// Parses and checks a text; `file` is its name in messages.
     ///
     /// # Errors
     ///
-    /// As [`Deployment::load`].
+    /// Returns all errors in the text, in the order of the text.
     pub fn parse(file: &str, text: &str) -> Result<Self, Diagnostics> {
         schema::check(DocumentKind::File, file, text)?;
         let known: Vec<&str> = schema::local_part_names()
@@ -115,15 +117,16 @@
         Ok(read?)
     }
 
-    /// The same dispatcher with the shared parts of a streamed version in place of its file's. Ids
-    /// are as that version alone would give them; the number of [`Deployment::version`] is for the
-    /// caller to set. `name` is the version's name in messages.
+    /// Returns this configuration with the shared parts replaced by those of a streamed version.
+    /// Ids are assigned from that version alone. The caller sets the number of
+    /// [`Deployment::version`]. `name` is the version's name in messages.
     ///
     /// # Errors
     ///
-    /// Everything that is wrong with the version, the absence of this dispatcher's zone included.
+    /// Returns all errors in the version. It is an error if this dispatcher's zone is missing.
     pub fn with_version(&self, name: &str, parts: &SharedParts) -> Result<Self, Diagnostics> {
-        // A form under another part's name would be changed and removed with that part.
+        // If a form were listed under another part's name, a change or removal of that part would
+        // affect the form.
         for (part, text) in parts.iter() {
             sexp::with_form(&format!("{name}, {part}"), text, part, |_| Ok(()))?;
         }
@@ -168,7 +171,7 @@
         Ok(read?)
     }
 
-    /// Whether a client may connect from this address.
+    /// Returns whether a client may connect from this address.
     pub fn allows_client(&self, address: IpAddr) -> bool {
         let address = address.to_canonical();
         self.allowed_networks.is_empty()
@@ -184,7 +187,7 @@
     Ok(text.map(PathBuf::from))
 }
 
-/// `(maintenance (every 500 ms))`
+/// Parses `(maintenance (every 500 ms))`.
 fn maintenance_interval(form: &Form) -> Result<Ticks, Diagnostic> {
     form.parts(&["every"])?
         .get_or("every", 5_000, |form| match form.time()? {
@@ -193,7 +196,7 @@
         })
 }
 
-/// `(keepers 3 5 8)`
+/// Parses `(keepers 3 5 8)`.
 fn machine_ids(form: &Form) -> Result<Vec<MachineId>, Diagnostic> {
     let ids = form.integers(u64::from(u32::MAX))?;
     Ok(ids.into_iter().map(|id| MachineId(id as u32)).collect())
--- a/crates/config/src/document.rs
+++ b/crates/config/src/document.rs
@@ -1,6 +1,6 @@
-//! A text as plain data, as the schema sees it: a form that holds forms is an object, any other an
-//! array of its values. Each value's position in the text is kept, so that what the schema reports
-//! can be positioned.
+//! Converts a text into JSON data for validation against the schema: a form that holds forms becomes
+//! an object, any other form an array of its values. Records the position of each value, so that
+//! validation errors can be reported with positions.
 
 use crate::schema::escape_pointer;
 use crate::sexp::{Diagnostic, datum, on_large_stack};
@@ -8,24 +8,24 @@
 use serde_json::{Map, Number, Value};
 use std::collections::BTreeMap;
 
-/// How deep forms may be nested.
+/// The maximum nesting depth of forms.
 const MAX_DEPTH: usize = 16;
 
-/// One form as data.
+/// One form as JSON data, with the positions of its values.
 pub struct Document {
     /// The outermost form's name.
     pub name: String,
-    /// What follows the name.
+    /// The data that follows the name.
     pub data: Value,
-    /// What was wrong already without the schema.
+    /// Errors that were found without the schema.
     pub diagnostics: Vec<Diagnostic>,
-    /// Line and column by JSON pointer.
+    /// The line and column of each value, by JSON pointer.
     positions: BTreeMap<String, (usize, usize)>,
     file: String,
 }
 
 impl Document {
-    /// Reads a text that holds one form.
+    /// Parses a text that holds one form.
     pub fn read(file: &str, text: &str) -> Result<Document, Diagnostic> {
         on_large_stack(file, || Document::read_on_this_stack(file, text))
     }
@@ -48,8 +48,8 @@
         Ok(document)
     }
 
-    /// Something wrong with the value at this JSON pointer, or with what encloses it where there is
-    /// no such value.
+    /// Creates a diagnostic for the value at this JSON pointer. If there is no such value, the
+    /// position is that of the innermost form that encloses it.
     pub fn diagnostic(&self, pointer: &str, message: String) -> Diagnostic {
         let mut at = pointer;
         let (line, column) = loop {
@@ -63,7 +63,7 @@
             .trim_start_matches('/')
             .replace("~1", "/")
             .replace("~0", "~");
-        // The index of a value is left out.
+        // A path ends with the form's name, without the index of the value.
         let path = match path.rsplit_once('/') {
             Some((form, index)) if index.bytes().all(|byte| byte.is_ascii_digit()) => {
                 form.to_string()
@@ -145,7 +145,7 @@
     }
 }
 
-/// Line and column of a value's start, both from 1.
+/// Returns the line and column of a value's start, both counted from 1.
 fn position(at: Ref) -> (usize, usize) {
     let start = at.span().start();
     (start.line(), start.column().max(1))
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,9 +1,9 @@
-//! The deployment file that a dispatcher reads at start, and the versions of its shared parts that
-//! are streamed later. The grammar is written down in `docs/deployment.md`.
+//! Parses the deployment file that a dispatcher reads at start, and the versions of its shared
+//! parts that are streamed later. `docs/deployment.md` documents the grammar.
 //!
-//! [`Deployment`] is what is read. [`schema`] checks a text against the JSON Schema, [`sexp`] reads
-//! S-expressions with the position of everything that is wrong, and [`version`] identifies what the
-//! dispatchers share.
+//! [`Deployment`] is the parsed configuration. [`schema`] checks a text against the JSON Schema,
+//! [`sexp`] parses S-expressions and reports errors with their positions, and [`version`]
+//! identifies a version of the shared parts.
 #![warn(missing_docs, clippy::too_many_lines)]
 
 mod addresses;
--- a/crates/config/src/limits.rs
+++ b/crates/config/src/limits.rs
@@ -1,36 +1,37 @@
-//! The `(bounds …)` of the deployment file: how much a dispatcher holds and how long it waits.
+//! Parses the `(bounds …)` form of the deployment file: a dispatcher's limits and timeouts.
 
 use crate::sexp::{Diagnostic, Form};
 use corkspan_scheduler::interface::Ticks;
 
-/// What a dispatcher holds at the most, and how long it waits. Times are in ticks of 0.1 ms.
+/// A dispatcher's limits and timeouts. Times are in ticks of 0.1 ms.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Allocations in flight or running (`in-hand`).
+    /// The maximum number of allocations in flight or running (`in-hand`).
     pub max_allocations: usize,
-    /// Calls open at a time on one connection of a client (`calls`).
+    /// The maximum number of open calls on one client connection (`calls`).
     pub max_calls: u32,
-    /// Connections of clients (`links`).
+    /// The maximum number of client connections (`links`).
     pub max_connections: usize,
-    /// Offers to one node that have no answer yet (`offers-a-node`).
+    /// The maximum number of unanswered offers to one node (`offers-a-node`).
     pub max_offers_per_node: usize,
-    /// Events that wait for one client (`words-a-client`). Beyond it further progress events are
-    /// dropped; final answers never are.
+    /// The maximum number of events queued for one client (`words-a-client`). Further progress
+    /// events are dropped; final answers never are.
     pub max_events_per_client: usize,
-    /// Bytes of one message (`message`).
+    /// The maximum size of one message, in bytes (`message`).
     pub max_message_bytes: usize,
-    /// A connection to a node must be open and greeted within this (`connect-within`).
+    /// The time within which a connection to a node must be open and have exchanged greetings
+    /// (`connect-within`).
     pub connect_timeout: Ticks,
-    /// A silent connection with calls on it is pinged after this, and closed after as long again
-    /// (`keep-alive`).
+    /// The time after which a silent connection with open calls is pinged. It is closed when it
+    /// stays silent for the same time again (`keep-alive`).
     pub keep_alive_interval: Ticks,
-    /// A connection to a node without calls is closed after this (`idle-close`).
+    /// The time after which a connection to a node without calls is closed (`idle-close`).
     pub idle_timeout: Ticks,
-    /// The final answer is due this long before the client's deadline, or at half of the client's
-    /// time where that is less (`answer-ahead`): a dispatcher that is stalled for as long still
-    /// answers in time.
+    /// How long before the client's deadline the final answer is due, at most half of the client's
+    /// time (`answer-ahead`). A dispatcher that is stalled for this long still answers in time.
     pub answer_margin: Ticks,
-    /// After a signal to stop, attempts still in flight are abandoned after this (`stop-within`).
+    /// The time after a signal to stop at which attempts still in flight are abandoned
+    /// (`stop-within`).
     pub shutdown_grace: Ticks,
 }
 
@@ -52,7 +53,7 @@
     }
 }
 
-/// `(bounds (in-hand 20000) (connect-within 250 ms) …)`
+/// Parses `(bounds (in-hand 20000) (connect-within 250 ms) …)`.
 pub(crate) fn limits(form: &Form) -> Result<Limits, Diagnostic> {
     let parts = form.parts(&[
         "in-hand",
--- a/crates/config/src/minimum_version.rs
+++ b/crates/config/src/minimum_version.rs
@@ -1,27 +1,27 @@
-//! The `(floor …)` of the deployment file: how the minimum version is followed.
+//! Parses the `(floor …)` form of the deployment file: the settings of the minimum version.
 
 use crate::sexp::{Diagnostic, Form};
 use corkspan_scheduler::interface::Ticks;
 use std::net::SocketAddr;
 
-/// How a dispatcher follows and raises the minimum version.
+/// Settings by which a dispatcher follows and raises the minimum version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MinimumVersionSettings {
-    /// Between two polls of the quorum, in ticks of 0.1 ms (`every`).
+    /// The time between two polls of the quorum, in ticks of 0.1 ms (`every`).
     pub poll_interval: Ticks,
-    /// The minimum is raised to this many versions behind the one that enough dispatchers run for
-    /// good (`behind`); not by this rule if absent.
+    /// The minimum version is raised to this many versions behind the one that enough dispatchers
+    /// run past its trial (`behind`). `None` disables this rule.
     pub max_versions_behind: Option<u64>,
-    /// The minimum is raised to the version that enough dispatchers ran for good this long ago, in
-    /// ticks (`after`); not by this rule if absent.
+    /// The minimum version is raised to the version that enough dispatchers ran past its trial
+    /// this long ago, in ticks (`after`). `None` disables this rule.
     pub max_age: Option<Ticks>,
-    /// How many dispatchers are enough, in thousandths of all (`part`).
+    /// The share of the dispatchers that is enough, in thousandths (`part`).
     pub required_thousandths: u32,
-    /// Dispatchers from which a newer version may be fetched (`peers`).
+    /// The dispatchers from which a newer version may be fetched (`peers`).
     pub peers: Vec<SocketAddr>,
 }
 
-/// `(floor (every 2 s) (behind 10) (after 60 s) (part 900) (peers "10.0.0.2:7100"))`
+/// Parses `(floor (every 2 s) (behind 10) (after 60 s) (part 900) (peers "10.0.0.2:7100"))`.
 pub(crate) fn minimum_version(form: &Form) -> Result<MinimumVersionSettings, Diagnostic> {
     let parts = form.parts(&["every", "behind", "after", "part", "peers"])?;
     let at_least_a_second = |form: &Form| match form.time()? {
--- a/crates/config/src/schema.rs
+++ b/crates/config/src/schema.rs
@@ -1,5 +1,5 @@
-//! The schema of the file and of streamed versions, and the check against it. Everything that is
-//! wrong is reported at once, each with its position.
+//! The JSON Schema of the deployment file and of streamed versions, and validation against it.
+//! Validation reports all errors at once, each with its position.
 
 use crate::document::Document;
 use crate::sexp::{Diagnostic, Diagnostics};
@@ -8,16 +8,16 @@
 use serde_json::{Map, Value, json};
 use std::sync::OnceLock;
 
-/// Which kind of document a text is.
+/// The kind of document that a text is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DocumentKind {
-    /// A dispatcher's file: shared parts and its own.
+    /// A dispatcher's file, with shared and local parts.
     File,
-    /// A streamed version: shared parts only.
+    /// A streamed version, with shared parts only.
     Version,
 }
 
-/// The largest number of diagnostics reported for one text.
+/// The maximum number of diagnostics reported for one text.
 const MAX_DIAGNOSTICS: usize = 50;
 
 fn parts() -> &'static Value {
@@ -27,7 +27,7 @@
     PARTS.get_or_init(read)
 }
 
-/// Names of the parts that all dispatchers share, in alphabetical order.
+/// Returns the names of the parts that all dispatchers share, in alphabetical order.
 pub fn shared_part_names() -> impl Iterator<Item = &'static str> {
     parts()["shared"]["properties"]
         .as_object()
@@ -36,7 +36,7 @@
         .map(String::as_str)
 }
 
-/// Names of the parts that are each dispatcher's own.
+/// Returns the names of the parts that are local to each dispatcher.
 pub fn local_part_names() -> impl Iterator<Item = &'static str> {
     parts()["local"]["properties"]
         .as_object()
@@ -45,8 +45,8 @@
         .map(String::as_str)
 }
 
-/// The schema as JSON Schema, draft 2020-12. A form that holds forms is an object, any other an
-/// array of its values.
+/// Returns the schema as JSON Schema, draft 2020-12. A form that holds forms is an object, any other
+/// form an array of its values.
 pub fn json_schema(kind: DocumentKind) -> Value {
     let form = |groups: &[&str]| {
         let mut properties = Map::new();
@@ -84,11 +84,11 @@
     }
 }
 
-/// Checks a text against the schema, and the names it uses against those it defines.
+/// Checks a text against the schema, and checks that the names it refers to are defined in it.
 ///
 /// # Errors
 ///
-/// Everything that is wrong, up to 50 diagnostics.
+/// Returns all errors, up to 50 diagnostics.
 pub fn check(kind: DocumentKind, file: &str, text: &str) -> Result<Document, Diagnostics> {
     let mut document = Document::read(file, text)?;
     if document.name != "deployment" {
@@ -136,7 +136,8 @@
     }
 }
 
-/// A part of the file in a version is a mistake of its own.
+/// Reports a part that the schema does not define. A local part in a streamed version has a message
+/// of its own.
 fn unexpected_part(document: &Document, pointer: &str, name: &str) -> Diagnostic {
     let message = if pointer.is_empty() && local_part_names().any(|own| own == name) {
         "is each dispatcher's own, and stands in its file alone; a change needs a restart"
@@ -176,7 +177,7 @@
     }
 }
 
-/// A name as a step of a JSON pointer.
+/// Escapes a name for use as a segment of a JSON pointer.
 pub(crate) fn escape_pointer(name: &str) -> String {
     name.replace('~', "~0").replace('/', "~1")
 }
@@ -187,7 +188,7 @@
         .map_or_else(|| value.to_string(), String::from)
 }
 
-/// Names that one part uses and another defines; a schema cannot express that.
+/// Checks references from one part to names that another defines; a schema cannot express these.
 fn references(document: &Document, diagnostics: &mut Vec<Diagnostic>) {
     let data = &document.data;
     let list = |names: &[Value]| names.iter().map(symbol_text).collect::<Vec<_>>().join(", ");
--- a/crates/config/src/sexp.rs
+++ b/crates/config/src/sexp.rs
@@ -1,4 +1,4 @@
-//! Files of S-expressions, read form by form, so that every error is reported with its position.
+//! Parses files of S-expressions form by form, so that errors are reported with their positions.
 //!
 //! A form is a list whose first element is its name: `(cold (lasts 14 s) (offers 29))`. `;` starts
 //! a comment.
@@ -10,20 +10,20 @@
 pub use form::{Form, Parts};
 use std::path::Path;
 
-/// The largest file that is read, in bytes.
+/// The maximum size of a file, in bytes.
 pub const MAX_FILE_BYTES: u64 = 4 << 20;
 
-/// The largest number of values in one text.
+/// The maximum number of values in one text.
 const MAX_VALUES: usize = 40_000;
 
-/// Enough stack for [`MAX_VALUES`], also in unoptimised builds.
+/// Stack size of the parser's thread, in bytes. Enough for [`MAX_VALUES`] in unoptimized builds.
 const STACK_BYTES: usize = 64 << 20;
 
 /// Reads a file's text.
 ///
 /// # Errors
 ///
-/// It is missing, larger than [`MAX_FILE_BYTES`] or not UTF-8.
+/// Fails if the file is missing, larger than [`MAX_FILE_BYTES`] or not UTF-8.
 pub fn load(path: &Path) -> Result<String, Diagnostic> {
     let diagnostic = |message: String| Diagnostic::of_file(&path.display().to_string(), message);
     let size = std::fs::metadata(path)
@@ -38,8 +38,8 @@
     String::from_utf8(bytes).map_err(|why| diagnostic(why.to_string()))
 }
 
-/// Runs `call`, which parses or drops a datum, on a thread with a large stack: the parser's lists are
-/// chains that it takes apart by recursion.
+/// Runs `call`, which parses or drops a datum, on a thread with a large stack: the parser's lists
+/// are linked lists that it traverses and drops recursively.
 pub(crate) fn on_large_stack<T: Send>(
     file: &str,
     call: impl FnOnce() -> Result<T, Diagnostic> + Send,
@@ -56,8 +56,8 @@
     })
 }
 
-/// Parses a text of one datum, within [`on_large_stack`]. A text of more than [`MAX_VALUES`] values,
-/// those in strings and comments included, is refused before it is parsed.
+/// Parses a text of one datum; must run within [`on_large_stack`]. Rejects a text of more than
+/// [`MAX_VALUES`] values, counting those in strings and comments, before parsing it.
 pub(crate) fn datum(file: &str, text: &str) -> Result<lexpr::Datum, Diagnostic> {
     let diagnostic = |line, column, why: String| Diagnostic {
         file: file.into(),
@@ -79,13 +79,13 @@
         values += usize::from(ends && !byte.is_ascii_whitespace()) + usize::from(!ends && !within);
         within = !ends;
     }
-    // Both parentheses of a form were counted.
+    // The loop counts both parentheses of a form.
     if values > 2 * MAX_VALUES {
         return Err(diagnostic(1, 1, format!("more than {MAX_VALUES} values")));
     }
-    // From a reader: over a text in memory the library counts lines again for each value, and 4 MB
-    // take hours. It has read a value's first byte when it records the position, so columns count
-    // from 1.
+    // Parses from a reader: for a text in memory the library counts the lines again for each value,
+    // so 4 MB take hours. The reader has consumed a value's first byte when it records the
+    // position, so columns count from 1.
     lexpr::datum::from_reader(text.as_bytes()).map_err(|why| {
         let location = why.location();
         let (line, column) = location.map_or((1, 1), |at| (at.line(), at.column().max(1)));
@@ -93,11 +93,11 @@
     })
 }
 
-/// Reads a text that holds exactly one form of this name, and hands it to `use_it`.
+/// Parses a text that holds exactly one form called `name`, and passes the form to `use_form`.
 ///
 /// # Errors
 ///
-/// The text is not one such form, or what `use_it` reports.
+/// Fails if the text is not one such form, or if `use_form` fails.
 pub fn with_form<T: Send>(
     file: &str,
     text: &str,
--- a/crates/config/src/sexp/diagnostic.rs
+++ b/crates/config/src/sexp/diagnostic.rs
@@ -1,23 +1,23 @@
-//! What is wrong with a text, with its position.
+//! Errors in a text, with their positions.
 
-/// One thing that is wrong with a file, and where.
+/// One error in a file, with its position.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{file}:{line}:{column}: {path}: {message}")]
 pub struct Diagnostic {
-    /// The file's name, as it was given.
+    /// The file's name, as the caller gave it.
     pub file: String,
-    /// From 1.
+    /// The line, counted from 1.
     pub line: usize,
-    /// From 1.
+    /// The column, counted from 1.
     pub column: usize,
-    /// The names of the forms around the position, from the outermost, joined by `/`.
+    /// The names of the enclosing forms, outermost first, joined by `/`.
     pub path: String,
-    /// What is wrong.
+    /// The description of the error.
     pub message: String,
 }
 
 impl Diagnostic {
-    /// Something wrong with a file as a whole.
+    /// Creates a diagnostic about a file as a whole.
     pub(crate) fn of_file(file: &str, message: String) -> Self {
         Diagnostic {
             file: file.into(),
@@ -29,12 +29,12 @@
     }
 }
 
-/// All that is wrong with a text, or as much of it as is reported.
+/// The errors in a text, up to a limit.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Diagnostics {
-    /// In the order of their positions.
+    /// The reported errors, in the order of their positions.
     pub reported: Vec<Diagnostic>,
-    /// There are more than those reported.
+    /// Whether there are more errors than those reported.
     pub truncated: bool,
 }
 
--- a/crates/config/src/sexp/form.rs
+++ b/crates/config/src/sexp/form.rs
@@ -1,18 +1,18 @@
-//! Forms and typed access to their values. Every error is a [`Diagnostic`] at the value's position.
+//! Forms and typed access to their values. Errors are [`Diagnostic`]s at the value's position.
 
 use super::diagnostic::Diagnostic;
 use corkspan_scheduler::interface::{Resources, Ticks};
 use lexpr::datum::Ref;
 use std::collections::BTreeSet;
 
-/// One form: its name and what follows it.
+/// One form: its name and its values.
 #[derive(Clone)]
 pub struct Form<'a> {
     file: &'a str,
     datum: Ref<'a>,
-    /// The names of the forms around it and its own, joined by `/`.
+    /// The names of the enclosing forms and of this one, joined by `/`.
     path: String,
-    /// The first element.
+    /// The form's name, which is its first element.
     pub name: &'a str,
     values: Vec<Ref<'a>>,
 }
@@ -38,12 +38,12 @@
         })
     }
 
-    /// Something wrong, positioned at the start of this form.
+    /// Creates a diagnostic at the start of this form.
     pub fn diagnostic(&self, message: impl Into<String>) -> Diagnostic {
         form_diagnostic(self.file, self.datum, &self.path, message.into())
     }
 
-    /// The inner forms, each of a name that is known here and none twice.
+    /// Returns the inner forms. Each name must be one of `known` and occur once.
     pub fn parts(&self, known: &[&str]) -> Result<Parts<'a>, Diagnostic> {
         let parts = self.forms(known)?;
         let mut seen = BTreeSet::new();
@@ -56,7 +56,7 @@
         })
     }
 
-    /// The inner forms, of names known here, each any number of times.
+    /// Returns the inner forms. Each name must be one of `known`, and may occur any number of times.
     pub fn forms(&self, known: &[&str]) -> Result<Vec<Form<'a>>, Diagnostic> {
         let parts = self.inner_forms()?;
         match parts.iter().find(|part| !known.contains(&part.name)) {
@@ -67,7 +67,7 @@
         }
     }
 
-    /// The inner forms where their names are chosen by the file, none twice.
+    /// Returns the inner forms, whose names the file chooses. Each name must occur once.
     pub fn user_named_forms(&self) -> Result<Vec<Form<'a>>, Diagnostic> {
         let parts = self.inner_forms()?;
         let mut seen = BTreeSet::new();
@@ -102,7 +102,7 @@
         )
     }
 
-    /// `(name "text")`
+    /// Returns the string of `(name "text")`.
     pub fn string(&self) -> Result<&'a str, Diagnostic> {
         let at = self.single_value("a text in quotes")?;
         at.value()
@@ -110,7 +110,7 @@
             .ok_or_else(|| self.diagnostic_at(at, "a text in quotes"))
     }
 
-    /// `(name symbol)`
+    /// Returns the symbol of `(name symbol)`.
     pub fn symbol(&self) -> Result<&'a str, Diagnostic> {
         let at = self.single_value("a word")?;
         at.value()
@@ -118,7 +118,7 @@
             .ok_or_else(|| self.diagnostic_at(at, "a word"))
     }
 
-    /// `(name symbol symbol …)`, none twice.
+    /// Returns the symbols of `(name symbol symbol …)`, which must be distinct.
     pub fn symbols(&self) -> Result<Vec<&'a str>, Diagnostic> {
         let (mut symbols, mut seen) = (Vec::new(), BTreeSet::new());
         for &at in &self.values {
@@ -139,7 +139,7 @@
         Ok(symbols)
     }
 
-    /// `(name symbol)`, one of those given, as its index.
+    /// Returns the index in `choices` of the symbol of `(name symbol)`.
     pub fn choice(&self, choices: &[impl AsRef<str>]) -> Result<usize, Diagnostic> {
         let symbol = self.symbol()?;
         choices
@@ -151,7 +151,7 @@
             })
     }
 
-    /// `(name #t)` or `(name #f)`
+    /// Returns the value of `(name #t)` or `(name #f)`.
     pub fn boolean(&self) -> Result<bool, Diagnostic> {
         let at = self.single_value("#t or #f")?;
         at.value()
@@ -159,7 +159,7 @@
             .ok_or_else(|| self.diagnostic_at(at, "#t or #f"))
     }
 
-    /// `(name 1.5)`: finite and not below 0.
+    /// Returns the number of `(name 1.5)`, which must be finite and not below 0.
     pub fn non_negative(&self) -> Result<f64, Diagnostic> {
         let at = self.single_value("a number, 0 or more")?;
         self.non_negative_at(at)
@@ -173,7 +173,7 @@
         value.ok_or_else(|| self.diagnostic_at(at, "a number, 0 or more"))
     }
 
-    /// `(name 1.5)`: finite and above 0.
+    /// Returns the number of `(name 1.5)`, which must be finite and above 0.
     pub fn positive(&self) -> Result<f64, Diagnostic> {
         match self.non_negative()? {
             value if value > 0.0 => Ok(value),
@@ -181,7 +181,7 @@
         }
     }
 
-    /// `(name 3)`: an integer within these limits.
+    /// Returns the integer of `(name 3)`, which must be from `min` to `max`.
     pub fn integer(&self, min: u64, max: u64) -> Result<u64, Diagnostic> {
         let what = format!("a whole number from {min} to {max}");
         let at = self.single_value(&what)?;
@@ -192,7 +192,7 @@
         value.ok_or_else(|| self.diagnostic_at(at, &what))
     }
 
-    /// `(name 3 5 8)`: integers up to `max`, none twice.
+    /// Returns the integers of `(name 3 5 8)`, which must be distinct and at most `max`.
     pub fn integers(&self, max: u64) -> Result<Vec<u64>, Diagnostic> {
         let what = format!("a whole number from 0 to {max}");
         let (mut integers, mut seen) = (Vec::new(), BTreeSet::new());
@@ -212,8 +212,8 @@
         Ok(integers)
     }
 
-    /// `(name "text" "text" …)`, none twice; each with the diagnostic to report if it is not what
-    /// the caller wants.
+    /// Returns the strings of `(name "text" "text" …)`, which must be distinct. Each is paired with
+    /// the diagnostic to report if the caller rejects it.
     pub fn strings(&self) -> Result<Vec<(&'a str, Diagnostic)>, Diagnostic> {
         let (mut strings, mut seen) = (Vec::new(), BTreeSet::new());
         for &at in &self.values {
@@ -231,13 +231,13 @@
         Ok(strings)
     }
 
-    /// The form without comments, on one line.
+    /// Formats the form on one line, without comments.
     pub fn to_text(&self) -> String {
         self.datum.value().to_string()
     }
 
-    /// `(name 600 ms)`, `(name 14 s)` or `(name 2 min)`: in ticks of 0.1 ms, rounded
-    /// down, at most a year.
+    /// Returns the time of `(name 600 ms)`, `(name 14 s)` or `(name 2 min)` in ticks of 0.1 ms,
+    /// rounded down. The time must be at most a year.
     pub fn time(&self) -> Result<Ticks, Diagnostic> {
         let [number, unit] = self.values[..] else {
             return Err(self.diagnostic("a number and its unit (ms, s or min) must follow"));
@@ -255,7 +255,7 @@
         Ok(value as Ticks)
     }
 
-    /// `(name (cores 2) (memory 4))`
+    /// Returns the resources of `(name (cores 2) (memory 4))`.
     pub fn cores_and_memory(&self) -> Result<Resources, Diagnostic> {
         let parts = self.parts(&["cores", "memory"])?;
         Ok(Resources {
@@ -265,29 +265,30 @@
     }
 }
 
-/// The inner forms of one form, each name at most once.
+/// The inner forms of one form, with distinct names.
 pub struct Parts<'a> {
     form: Form<'a>,
     parts: Vec<Form<'a>>,
 }
 
 impl<'a> Parts<'a> {
-    /// The form of this name.
+    /// Returns the form with this name.
     ///
     /// # Errors
     ///
-    /// There is none.
+    /// Fails if there is no such form.
     pub fn required(&self, name: &str) -> Result<&Form<'a>, Diagnostic> {
         self.get(name)
             .ok_or_else(|| self.form.diagnostic(format!("lacks `({name} …)`")))
     }
 
-    /// The form of this name, if there is one.
+    /// Returns the form with this name, if there is one.
     pub fn get(&self, name: &str) -> Option<&Form<'a>> {
         self.parts.iter().find(|part| part.name == name)
     }
 
-    /// The value of the form of this name, or `absent` where there is none.
+    /// Returns the value that `read` gives for the form with this name, or `default` if there is no
+    /// such form.
     pub fn get_or<T>(
         &self,
         name: &str,
--- a/crates/config/src/shared_settings.rs
+++ b/crates/config/src/shared_settings.rs
@@ -1,4 +1,4 @@
-//! The parts of a deployment that all dispatchers share, from a file or a streamed version.
+//! Parses the parts of a deployment that all dispatchers share, from a file or a streamed version.
 
 use crate::addresses::networks;
 use crate::limits::{Limits, limits};
@@ -22,9 +22,9 @@
     "most",
 ];
 
-/// The part of a deployment that all dispatchers share.
+/// The settings that all dispatchers share.
 pub(crate) struct SharedSettings {
-    /// Without a dispatcher of its own: zone and index are 0.
+    /// The cluster, not specific to a dispatcher: its zone and scheduler index are 0.
     pub cluster: Cluster,
     pub zones: Vec<String>,
     pub machine_types: Vec<String>,
@@ -70,7 +70,7 @@
             health_checks: parts.get_or("may-probe", false, Form::boolean)?,
             list_poll_interval: Some(parts.get_or("ask-list", 100_000, Form::time)?),
             slow_start: slow_start(parts.required("cold")?)?,
-            // This dispatcher does not report when an attempt that waited for its connection was sent.
+            // This dispatcher does not report when it sent an attempt that waited for a connection.
             connect_timeout: 0,
             cross_zone_cost: parts.get_or("other-hall-price", 0.0, Form::non_negative)?,
             caller_detects_losses: true,
@@ -94,7 +94,7 @@
     symbols.into_iter().map(String::from).collect()
 }
 
-/// `(cold (lasts 14 s) (window 1 s) (offers 29))`
+/// Parses `(cold (lasts 14 s) (window 1 s) (offers 29))`.
 fn slow_start(form: &Form) -> Result<SlowStart, Diagnostic> {
     let parts = form.parts(&["lasts", "window", "offers"])?;
     Ok(SlowStart {
@@ -104,7 +104,7 @@
     })
 }
 
-/// `(NAME (share-cores 10))`
+/// Parses `(NAME (share-cores 10))`.
 fn tenant(form: &Form) -> Result<Tenant, Diagnostic> {
     let parts = form.parts(&["share-cores"])?;
     Ok(Tenant {
@@ -115,7 +115,7 @@
     })
 }
 
-/// `(NAME (repeat idempotent) (contract-time 600 ms) …)`
+/// Parses `(NAME (repeat idempotent) (contract-time 600 ms) …)`.
 fn service_class(form: &Form, machine_types: &[String]) -> Result<ServiceClass, Diagnostic> {
     let parts = form.parts(&SERVICE_CLASS_KEYWORDS)?;
     let retry_safety = retry_safety(&parts)?;
@@ -160,7 +160,7 @@
     Ok(safety)
 }
 
-/// `(within cell)`, `(spread hall)`
+/// Parses a domain, as in `(within cell)` and `(spread hall)`.
 fn domain(form: &Form) -> Result<Domain, Diagnostic> {
     let domains = [Domain::Machine, Domain::Cell, Domain::Zone];
     Ok(domains[form.choice(&["machine", "cell", "hall"])?])
--- a/crates/config/src/version.rs
+++ b/crates/config/src/version.rs
@@ -1,4 +1,4 @@
-//! What names one version of the shared parts: its number, and a digest of what it says.
+//! Identifies a version of the shared parts by its number and a digest of its content.
 
 use crate::schema;
 use crate::sexp::{Diagnostics, with_form};
@@ -16,8 +16,8 @@
 }
 
 impl SharedParts {
-    /// The shared parts of a `(deployment …)`, as a file or a version has them; what is each
-    /// dispatcher's own is left out. Only its form is checked.
+    /// Extracts the shared parts from the `(deployment …)` of a file or version, without the parts
+    /// that are local to each dispatcher. Checks the syntax and the names of the parts only.
     pub fn parse(file: &str, text: &str) -> Result<Self, Diagnostics> {
         let read = with_form(file, text, "deployment", |form| {
             let known: Vec<&str> = schema::local_part_names()
@@ -30,17 +30,17 @@
         Ok(read?)
     }
 
-    /// Name and text of each part, by name.
+    /// Returns the name and text of each part, sorted by name.
     pub fn iter(&self) -> impl Iterator<Item = (&str, &str)> {
         self.0.iter().map(|(name, text)| (&name[..], &text[..]))
     }
 
-    /// The text of the part of this name.
+    /// Returns the text of the part with this name.
     pub fn get(&self, name: &str) -> Option<&str> {
         self.0.get(name).map(String::as_str)
     }
 
-    /// These parts with some changed or added and some removed.
+    /// Returns a copy of these parts with `changes` added or replaced and `removed` removed.
     pub fn with_changes(&self, changes: &SharedParts, removed: &[String]) -> SharedParts {
         let mut parts = self.0.clone();
         removed.iter().for_each(|name| drop(parts.remove(name)));
@@ -53,7 +53,8 @@
         SharedParts(parts)
     }
 
-    /// The difference to a later version: changed and added parts, and the names of those removed.
+    /// Returns the difference to a later version: the changed and added parts, and the names of the
+    /// removed parts.
     pub fn changes_to(&self, later: &SharedParts) -> (SharedParts, Vec<String>) {
         let changed = later
             .0
@@ -70,7 +71,7 @@
         )
     }
 
-    /// All parts as one `(deployment …)`, a part a line.
+    /// Formats all parts as one `(deployment …)`, one part per line.
     pub fn to_deployment_text(&self) -> String {
         let mut text_of_all = String::from("(deployment");
         self.0.values().for_each(|text| {
@@ -81,7 +82,8 @@
         text_of_all
     }
 
-    /// SHA-256 over names and texts; the same for equal parts, whatever their original layout.
+    /// Returns the SHA-256 over names and texts. Equal parts have equal digests, whatever the layout
+    /// of the original text.
     pub fn digest(&self) -> Digest {
         let mut hasher = Sha256::new();
         for (name, text) in &self.0 {
@@ -102,7 +104,7 @@
 );
 
 impl Digest {
-    /// Reads 64 hexadecimal digits; none where the text is anything else.
+    /// Parses 64 hexadecimal digits; returns `None` for any other text.
     pub fn from_hex(text: &str) -> Option<Self> {
         let mut bytes = [0; 32];
         if text.len() != 64 || !text.bytes().all(|byte| byte.is_ascii_hexdigit()) {
@@ -129,12 +131,12 @@
     }
 }
 
-/// A version's number and what it says, by digest. Number 0 is a dispatcher's own file.
+/// A version's number and the digest of its content.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct VersionId {
-    /// From 1; 0 is a dispatcher's own file.
+    /// The number of a streamed version, from 1; 0 identifies a dispatcher's own file.
     pub number: u64,
-    /// Of the shared parts.
+    /// The digest of the shared parts.
     pub digest: Digest,
 }
 
--- a/crates/config/tests/diagnostics.rs
+++ b/crates/config/tests/diagnostics.rs
@@ -1,4 +1,4 @@
-//! What is wrong with a file is reported with its position and part; a valid file is read.
+//! Errors in a file are reported with their positions and parts, and a valid file is parsed.
 
 use corkspan_config::Deployment;
 use corkspan_config::schema::{self, DocumentKind};
@@ -212,7 +212,7 @@
     let of = |text: &str| SharedParts::parse("d", text).expect("valid").digest();
     assert_eq!(of(VALID), of(&spaced));
     assert_ne!(of(VALID), of(&VALID.replace("(offers 29)", "(offers 28)")));
-    // What is each one's own is no part of it.
+    // The digest does not depend on local parts.
     assert_eq!(of(VALID), of(&VALID.replace("(number 1)", "(number 2)")));
 }
 
@@ -246,7 +246,7 @@
         "{} faults",
         faults.reported.len()
     );
-    // Some tenths of a second here; a check that grows with the square of it would take hours.
+    // Takes some tenths of a second; a check in quadratic time would take hours.
     assert!(
         began.elapsed() < Duration::from_secs(60),
         "{:?}",
@@ -277,7 +277,7 @@
     assert!(read.expect("a thread").join().expect("no overflow"));
 }
 
-/// Pieces from which texts are put together that are nearly right.
+/// Generates fragments of texts that are nearly valid.
 fn piece() -> impl Strategy<Value = String> {
     let words = "[\\[(){}\"'`;#.a-z0-9 +-]{0,6}";
     prop_oneof![
@@ -306,7 +306,8 @@
             if let Err(faults) = &read {
                 prop_assert!(!faults.reported.is_empty());
             }
-            // The reader may know more (a word for a text), never less.
+            // The parser may reject more than the schema, such as a symbol in place of a string, but
+            // never less.
             prop_assert!(checked.is_ok() || read.is_err());
             let file = Deployment::parse("d.sexp", VALID).expect("valid");
             if let Ok(texts) = SharedParts::parse("v", &text) {
--- a/crates/config/tests/released_format.rs
+++ b/crates/config/tests/released_format.rs
@@ -1,6 +1,7 @@
-//! The deployment file is read as released. `data/every-keyword.sexp` uses every keyword, and
-//! `data/every-keyword.txt` is what the released program read from it. Each file of `data/refused`
-//! is refused with the messages beside it, and the schema has the keys, types and limits recorded.
+//! Checks that the released format of the deployment file is still accepted.
+//! `data/every-keyword.sexp` uses every keyword, and `data/every-keyword.txt` is what the released
+//! program parsed from it. Each file in `data/refused` must be rejected with the messages in the
+//! `.txt` file next to it. The schema must have the recorded keys, types and limits.
 
 use corkspan_config::Deployment;
 use corkspan_config::schema::{self, DocumentKind};
@@ -32,7 +33,7 @@
     }
 }
 
-/// What was read, by the keywords of the file. Times are in tenths of a millisecond.
+/// Formats the parsed configuration by the keywords of the file. Times are in ticks of 0.1 ms.
 fn content(read: &Deployment) -> String {
     let mut text = String::new();
     let mut line =
@@ -176,7 +177,7 @@
     assert_eq!(content(&read.expect("sound")), recorded("version.txt"));
 }
 
-/// Keys of every `properties` in the schema, and the values of every `enum`.
+/// Collects the keys of every `properties` in the schema, and the values of every `enum`.
 fn words(schema: &Value, keys: &mut BTreeSet<String>, values: &mut BTreeSet<String>) {
     match schema {
         Value::Object(map) => {
@@ -200,7 +201,7 @@
 fn the_recorded_files_use_every_keyword_and_every_value_of_a_choice() {
     let (mut keys, mut values) = (BTreeSet::new(), BTreeSet::new());
     let mut definitions = schema::json_schema(DocumentKind::File);
-    // The definition of the whole of a version holds nothing that that of a file does not.
+    // The definition of a version has no keyword that the definition of a file lacks.
     definitions["$defs"]
         .as_object_mut()
         .expect("definitions")
