--- a/crates/config/src/document.rs
+++ b/crates/config/src/document.rs
@@ -27,10 +27,10 @@
 impl Document {
     /// Parses a text that holds one form.
     pub fn read(file: &str, text: &str) -> Result<Document, Diagnostic> {
-        on_large_stack(file, || Document::read_on_this_stack(file, text))
+        on_large_stack(file, || Document::parse_on_current_stack(file, text))
     }
 
-    fn read_on_this_stack(file: &str, text: &str) -> Result<Document, Diagnostic> {
+    fn parse_on_current_stack(file: &str, text: &str) -> Result<Document, Diagnostic> {
         let datum = datum(file, text)?;
         let mut document = Document {
             name: String::new(),
--- a/crates/config/src/schema.rs
+++ b/crates/config/src/schema.rs
@@ -53,8 +53,8 @@
         let mut required = Vec::new();
         for group in groups {
             let group = &parts()[*group];
-            let own = group["properties"].as_object().into_iter().flatten();
-            properties.extend(own.map(|(name, value)| (name.clone(), value.clone())));
+            let group_properties = group["properties"].as_object().into_iter().flatten();
+            properties.extend(group_properties.map(|(name, value)| (name.clone(), value.clone())));
             required.extend(group["required"].as_array().into_iter().flatten().cloned());
         }
         json!({ "type": "object", "properties": properties, "required": required, "additionalProperties": false })
@@ -111,7 +111,7 @@
             break;
         }
     }
-    references(&document, &mut diagnostics);
+    check_references(&document, &mut diagnostics);
     match diagnostics.is_empty() {
         true => Ok(document),
         false => Err(Diagnostics::limited(diagnostics, MAX_DIAGNOSTICS)),
@@ -189,38 +189,39 @@
 }
 
 /// Checks references from one part to names that another defines; a schema cannot express these.
-fn references(document: &Document, diagnostics: &mut Vec<Diagnostic>) {
+fn check_references(document: &Document, diagnostics: &mut Vec<Diagnostic>) {
     let data = &document.data;
     let list = |names: &[Value]| names.iter().map(symbol_text).collect::<Vec<_>>().join(", ");
-    if let (Some(hall), Some(halls)) = (data.pointer("/hall/0"), data["halls"].as_array())
-        && !halls.contains(hall)
+    if let (Some(zone), Some(zones)) = (data.pointer("/hall/0"), data["halls"].as_array())
+        && !zones.contains(zone)
     {
         diagnostics.push(document.diagnostic(
             "/hall/0",
-            format!("`{}` is none of: {}", symbol_text(hall), list(halls)),
+            format!("`{}` is none of: {}", symbol_text(zone), list(zones)),
         ));
     }
-    let whole = |pointer| data.pointer(pointer).and_then(Value::as_u64);
-    if let (Some(number), Some(schedulers)) = (whole("/number/0"), whole("/schedulers/0"))
+    let integer = |pointer| data.pointer(pointer).and_then(Value::as_u64);
+    if let (Some(number), Some(schedulers)) = (integer("/number/0"), integer("/schedulers/0"))
         && number >= schedulers
     {
         let message = format!("{number} is beyond the {schedulers} schedulers, counted from 0");
         diagnostics.push(document.diagnostic("/number/0", message));
     }
-    let (Some(tracks), Some(kinds)) = (data["tracks"].as_object(), data["kinds"].as_object())
+    let (Some(service_classes), Some(machine_types)) =
+        (data["tracks"].as_object(), data["kinds"].as_object())
     else {
         return;
     };
-    for (name, track) in tracks {
-        let Some(kind) = track.pointer("/kind/0").and_then(Value::as_str) else {
+    for (name, service_class) in service_classes {
+        let Some(machine_type) = service_class.pointer("/kind/0").and_then(Value::as_str) else {
             continue;
         };
-        if !kinds.contains_key(kind) {
-            let known: Vec<&str> = kinds.keys().map(String::as_str).take(20).collect();
+        if !machine_types.contains_key(machine_type) {
+            let known: Vec<&str> = machine_types.keys().map(String::as_str).take(20).collect();
             let pointer = format!("/tracks/{}/kind/0", escape_pointer(name));
             diagnostics.push(document.diagnostic(
                 &pointer,
-                format!("`{kind}` is none of: {}", known.join(", ")),
+                format!("`{machine_type}` is none of: {}", known.join(", ")),
             ));
         }
     }
--- a/crates/config/src/sexp.rs
+++ b/crates/config/src/sexp.rs
@@ -102,16 +102,16 @@
     file: &str,
     text: &str,
     name: &str,
-    use_it: impl FnOnce(&Form) -> Result<T, Diagnostic> + Send,
+    use_form: impl FnOnce(&Form) -> Result<T, Diagnostic> + Send,
 ) -> Result<T, Diagnostic> {
-    on_large_stack(file, || read_form(file, text, name, use_it))
+    on_large_stack(file, || read_form(file, text, name, use_form))
 }
 
 fn read_form<T>(
     file: &str,
     text: &str,
     name: &str,
-    use_it: impl FnOnce(&Form) -> Result<T, Diagnostic>,
+    use_form: impl FnOnce(&Form) -> Result<T, Diagnostic>,
 ) -> Result<T, Diagnostic> {
     let datum = datum(file, text)?;
     let form = Form::read(file, name, datum.as_ref())?;
@@ -121,5 +121,5 @@
             form.name
         )));
     }
-    use_it(&form)
+    use_form(&form)
 }
--- a/crates/config/src/sexp/form.rs
+++ b/crates/config/src/sexp/form.rs
@@ -18,14 +18,18 @@
 }
 
 impl<'a> Form<'a> {
-    pub(super) fn read(file: &'a str, around: &str, at: Ref<'a>) -> Result<Self, Diagnostic> {
+    pub(super) fn read(
+        file: &'a str,
+        enclosing_path: &str,
+        at: Ref<'a>,
+    ) -> Result<Self, Diagnostic> {
         let elements: Vec<Ref<'a>> = at.list_iter().map(Iterator::collect).unwrap_or_default();
         let name = elements.first().and_then(|first| first.value().as_symbol());
         let Some(name) = name else {
             return Err(form_diagnostic(
                 file,
                 at,
-                around,
+                enclosing_path,
                 "a form `(name …)` must stand here".into(),
             ));
         };
@@ -292,20 +296,20 @@
     pub fn get_or<T>(
         &self,
         name: &str,
-        absent: T,
+        default: T,
         read: impl FnOnce(&Form<'a>) -> Result<T, Diagnostic>,
     ) -> Result<T, Diagnostic> {
-        self.get(name).map_or(Ok(absent), read)
+        self.get(name).map_or(Ok(default), read)
     }
 }
 
-fn form_diagnostic(file: &str, at: Ref, part: &str, message: String) -> Diagnostic {
+fn form_diagnostic(file: &str, at: Ref, path: &str, message: String) -> Diagnostic {
     let start = at.span().start();
     Diagnostic {
         file: file.into(),
         line: start.line(),
         column: start.column().max(1),
-        path: part.into(),
+        path: path.into(),
         message,
     }
 }
--- a/crates/config/src/version.rs
+++ b/crates/config/src/version.rs
@@ -24,8 +24,8 @@
                 .chain(schema::shared_part_names())
                 .collect();
             let parts = form.parts(&known)?;
-            let written = |name: &str| Some((name.to_string(), parts.get(name)?.to_text()));
-            Ok(schema::shared_part_names().filter_map(written).collect())
+            let formatted = |name: &str| Some((name.to_string(), parts.get(name)?.to_text()));
+            Ok(schema::shared_part_names().filter_map(formatted).collect())
         });
         Ok(read?)
     }
@@ -73,13 +73,13 @@
 
     /// Formats all parts as one `(deployment …)`, one part per line.
     pub fn to_deployment_text(&self) -> String {
-        let mut text_of_all = String::from("(deployment");
+        let mut deployment_text = String::from("(deployment");
         self.0.values().for_each(|text| {
-            text_of_all.push_str("\n  ");
-            text_of_all.push_str(text);
+            deployment_text.push_str("\n  ");
+            deployment_text.push_str(text);
         });
-        text_of_all.push_str(")\n");
-        text_of_all
+        deployment_text.push_str(")\n");
+        deployment_text
     }
 
     /// Returns the SHA-256 over names and texts. Equal parts have equal digests, whatever the layout
--- a/crates/config/tests/released_format.rs
+++ b/crates/config/tests/released_format.rs
@@ -22,11 +22,11 @@
 }
 
 fn recorded(name: &str) -> String {
-    std::fs::read_to_string(data(name)).unwrap_or_else(|why| panic!("{name}: {why}"))
+    std::fs::read_to_string(data(name)).unwrap_or_else(|error| panic!("{name}: {error}"))
 }
 
-fn place(place: Domain) -> &'static str {
-    match place {
+fn domain_keyword(domain: Domain) -> &'static str {
+    match domain {
         Domain::Machine => "machine",
         Domain::Cell => "cell",
         Domain::Zone => "hall",
@@ -41,17 +41,20 @@
     line("listen", read.listen.to_string());
     line("roster", read.discovery_service.to_string());
     line("remembered", format!("{:?}", read.endpoint_cache));
-    let keepers: Vec<u32> = read.quorum_members.iter().map(|id| id.0).collect();
-    line("keepers", format!("{keepers:?}"));
+    let quorum_members: Vec<u32> = read.quorum_members.iter().map(|id| id.0).collect();
+    line("keepers", format!("{quorum_members:?}"));
     line("rolls", format!("{:?}", read.rollout_store));
     line("control", format!("{:?}", read.control_services));
     line("versions", format!("{:?}", read.version_cache));
-    if let Some(floor) = &read.minimum_version {
-        line("floor/every", floor.poll_interval.to_string());
-        line("floor/behind", format!("{:?}", floor.max_versions_behind));
-        line("floor/after", format!("{:?}", floor.max_age));
-        line("floor/part", floor.required_thousandths.to_string());
-        line("floor/peers", format!("{:?}", floor.peers));
+    if let Some(settings) = &read.minimum_version {
+        line("floor/every", settings.poll_interval.to_string());
+        line(
+            "floor/behind",
+            format!("{:?}", settings.max_versions_behind),
+        );
+        line("floor/after", format!("{:?}", settings.max_age));
+        line("floor/part", settings.required_thousandths.to_string());
+        line("floor/peers", format!("{:?}", settings.peers));
     }
     line(
         "maintenance/every",
@@ -63,45 +66,52 @@
     line("number", cluster.scheduler_index.to_string());
     line("schedulers", cluster.scheduler_count.to_string());
     line("halls", read.zones.join(" "));
-    for (name, kind) in read.machine_types.iter().zip(&cluster.machine_types) {
+    for (name, machine_type) in read.machine_types.iter().zip(&cluster.machine_types) {
         line(
             &format!("kinds/{name}"),
-            format!("{} {}", kind.cores, kind.memory),
+            format!("{} {}", machine_type.cores, machine_type.memory),
         );
     }
-    for (name, track) in read.service_classes.iter().zip(&cluster.service_classes) {
-        let repeat = match track.retry_safety {
+    for (name, service_class) in read.service_classes.iter().zip(&cluster.service_classes) {
+        let retry_safety = match service_class.retry_safety {
             RetrySafety::Idempotent => "idempotent".to_string(),
             RetrySafety::Deduplicated { scope, window } => {
-                format!("deduplicated within {:?} window {window}", scope.map(place))
+                format!(
+                    "deduplicated within {:?} window {window}",
+                    scope.map(domain_keyword)
+                )
             }
             RetrySafety::NotRetryable => "unrepeatable".to_string(),
         };
-        line(&format!("tracks/{name}/repeat"), repeat);
+        line(&format!("tracks/{name}/repeat"), retry_safety);
         line(
             &format!("tracks/{name}/contract-time"),
-            track.latency_objective.to_string(),
+            service_class.latency_objective.to_string(),
         );
         line(
             &format!("tracks/{name}/calm"),
-            track.target_utilization.to_string(),
+            service_class.target_utilization.to_string(),
         );
         line(
             &format!("tracks/{name}/priority"),
-            track.priority.to_string(),
+            service_class.priority.to_string(),
         );
-        let kind = track.machine_type.map(|id| &read.machine_types[id.0]);
-        line(&format!("tracks/{name}/kind"), format!("{kind:?}"));
-        let spread = track.spread.map(|(domain, most)| (place(domain), most));
+        let machine_type = service_class
+            .machine_type
+            .map(|id| &read.machine_types[id.0]);
+        line(&format!("tracks/{name}/kind"), format!("{machine_type:?}"));
+        let spread = service_class
+            .spread
+            .map(|(domain, limit)| (domain_keyword(domain), limit));
         line(
             &format!("tracks/{name}/spread, most"),
             format!("{spread:?}"),
         );
     }
-    for (name, account) in read.tenants.iter().zip(&cluster.tenants) {
+    for (name, tenant) in read.tenants.iter().zip(&cluster.tenants) {
         line(
             &format!("accounts/{name}"),
-            format!("{:?}", account.quota_cores),
+            format!("{:?}", tenant.quota_cores),
         );
     }
     line(
@@ -132,37 +142,37 @@
         "(no keyword) tells loss",
         cluster.caller_detects_losses.to_string(),
     );
-    let bounds = &read.limits;
-    line("bounds/in-hand", bounds.max_allocations.to_string());
-    line("bounds/calls", bounds.max_calls.to_string());
-    line("bounds/links", bounds.max_connections.to_string());
+    let limits = &read.limits;
+    line("bounds/in-hand", limits.max_allocations.to_string());
+    line("bounds/calls", limits.max_calls.to_string());
+    line("bounds/links", limits.max_connections.to_string());
     line(
         "bounds/offers-a-node",
-        bounds.max_offers_per_node.to_string(),
+        limits.max_offers_per_node.to_string(),
     );
     line(
         "bounds/words-a-client",
-        bounds.max_events_per_client.to_string(),
+        limits.max_events_per_client.to_string(),
     );
-    line("bounds/message", bounds.max_message_bytes.to_string());
-    line("bounds/connect-within", bounds.connect_timeout.to_string());
-    line("bounds/keep-alive", bounds.keep_alive_interval.to_string());
-    line("bounds/idle-close", bounds.idle_timeout.to_string());
-    line("bounds/answer-ahead", bounds.answer_margin.to_string());
-    line("bounds/stop-within", bounds.shutdown_grace.to_string());
-    let allow: Vec<String> = read
+    line("bounds/message", limits.max_message_bytes.to_string());
+    line("bounds/connect-within", limits.connect_timeout.to_string());
+    line("bounds/keep-alive", limits.keep_alive_interval.to_string());
+    line("bounds/idle-close", limits.idle_timeout.to_string());
+    line("bounds/answer-ahead", limits.answer_margin.to_string());
+    line("bounds/stop-within", limits.shutdown_grace.to_string());
+    let networks: Vec<String> = read
         .allowed_networks
         .iter()
         .map(|network| network.to_string())
         .collect();
-    line("allow", allow.join(" "));
+    line("allow", networks.join(" "));
     line("(version) number", read.version.number.to_string());
     line("(version) digest", read.version.digest.to_string());
     text + &read.shared_parts.to_deployment_text()
 }
 
 fn released() -> Deployment {
-    Deployment::parse("every-keyword.sexp", FILE).expect("sound")
+    Deployment::parse("every-keyword.sexp", FILE).expect("valid")
 }
 
 #[test]
@@ -172,27 +182,29 @@
 
 #[test]
 fn a_version_over_that_file_is_read_as_recorded() {
-    let texts = SharedParts::parse("version.sexp", VERSION).expect("sound");
-    let read = released().with_version("version.sexp", &texts);
-    assert_eq!(content(&read.expect("sound")), recorded("version.txt"));
+    let parts = SharedParts::parse("version.sexp", VERSION).expect("valid");
+    let read = released().with_version("version.sexp", &parts);
+    assert_eq!(content(&read.expect("valid")), recorded("version.txt"));
 }
 
 /// Collects the keys of every `properties` in the schema, and the values of every `enum`.
-fn words(schema: &Value, keys: &mut BTreeSet<String>, values: &mut BTreeSet<String>) {
+fn collect(schema: &Value, keys: &mut BTreeSet<String>, values: &mut BTreeSet<String>) {
     match schema {
         Value::Object(map) => {
             for (key, value) in map {
                 match (key.as_str(), value) {
-                    ("properties", Value::Object(own)) => keys.extend(own.keys().cloned()),
-                    ("enum", Value::Array(own)) => {
-                        values.extend(own.iter().filter_map(Value::as_str).map(String::from));
+                    ("properties", Value::Object(properties)) => {
+                        keys.extend(properties.keys().cloned())
+                    }
+                    ("enum", Value::Array(choices)) => {
+                        values.extend(choices.iter().filter_map(Value::as_str).map(String::from));
                     }
                     _ => {}
                 }
-                words(value, keys, values);
+                collect(value, keys, values);
             }
         }
-        Value::Array(list) => list.iter().for_each(|each| words(each, keys, values)),
+        Value::Array(list) => list.iter().for_each(|each| collect(each, keys, values)),
         _ => {}
     }
 }
@@ -206,7 +218,7 @@
         .as_object_mut()
         .expect("definitions")
         .remove("version");
-    words(&definitions, &mut keys, &mut values);
+    collect(&definitions, &mut keys, &mut values);
     assert!(keys.len() > 50, "{keys:?}");
     for key in keys {
         assert!(
@@ -221,8 +233,8 @@
 }
 
 #[test]
-fn each_file_of_the_refused_is_refused_with_the_messages_recorded() {
-    let mut refused = 0;
+fn each_invalid_file_is_rejected_with_the_recorded_messages() {
+    let mut rejected = 0;
     for entry in std::fs::read_dir(data("refused")).expect("a folder") {
         let path = entry.expect("an entry").path();
         if path.extension().is_none_or(|extension| extension != "sexp") {
@@ -233,12 +245,12 @@
             .and_then(|name| name.to_str())
             .expect("a name");
         let text = std::fs::read_to_string(&path).expect("readable");
-        let faults = Deployment::parse(name, &text).map(drop).expect_err(name);
+        let diagnostics = Deployment::parse(name, &text).map(drop).expect_err(name);
         let messages = recorded(&format!("refused/{}", name.replace(".sexp", ".txt")));
-        assert_eq!(faults.to_string() + "\n", messages, "{name}");
-        refused += 1;
+        assert_eq!(diagnostics.to_string() + "\n", messages, "{name}");
+        rejected += 1;
     }
-    assert_eq!(refused, 8);
+    assert_eq!(rejected, 8);
 }
 
 fn without_descriptions(schema: &mut Value) {
@@ -254,11 +266,11 @@
 
 #[test]
 fn the_schemas_have_the_keys_types_and_limits_recorded() {
-    for (of, name) in [
+    for (kind, name) in [
         (DocumentKind::File, "schema-file.json"),
         (DocumentKind::Version, "schema-version.json"),
     ] {
-        let mut schema = schema::json_schema(of);
+        let mut schema = schema::json_schema(kind);
         without_descriptions(&mut schema);
         let text = serde_json::to_string_pretty(&schema).expect("JSON");
         assert_eq!(text + "\n", recorded(name), "{name}");
