--- a/crates/config/src/addresses.rs
+++ b/crates/config/src/addresses.rs
@@ -8,7 +8,7 @@
 pub fn address(form: &Form) -> Result<SocketAddr, Diagnostic> {
     let text = form.string()?;
     text.parse()
-        .map_err(|_| form.diagnostic(format!("`{text}` is no address with a port")))
+        .map_err(|_| form.diagnostic(format!("`{text}` is not an address with a port")))
 }
 
 /// Parses a list of networks and addresses: `(allow "127.0.0.0/8" "::1")`.
@@ -20,7 +20,7 @@
             .or_else(|| text.parse().ok().map(IpAddr::into))
     };
     let networks = strings.map(|(text, diagnostic)| {
-        let message = format!("`{text}` is no address and no network");
+        let message = format!("`{text}` is neither an address nor a network");
         network(text).ok_or(Diagnostic {
             message,
             ..diagnostic
--- a/crates/config/src/deployment.rs
+++ b/crates/config/src/deployment.rs
@@ -141,7 +141,7 @@
             let missing = || {
                 parts
                     .required("halls")
-                    .map(|form| form.diagnostic(format!("lacks `{zone}`, where this one is")))
+                    .map(|form| form.diagnostic(format!("lacks `{zone}`, the zone of this dispatcher")))
             };
             let zone = match position {
                 Some(position) => ZoneId(position),
--- a/crates/config/src/document.rs
+++ b/crates/config/src/document.rs
@@ -40,7 +40,7 @@
             file: file.into(),
         };
         let Some((name, rest)) = form(datum.as_ref()) else {
-            let message = "a form `(name …)` must stand here".into();
+            let message = "a form `(name …)` is expected here".into();
             return Err(Diagnostic::of_file(file, message));
         };
         document.name = name.into();
@@ -88,7 +88,7 @@
         self.record_position(&pointer, at);
         if depth > MAX_DEPTH {
             self.diagnostics
-                .push(self.diagnostic(&pointer, "nested too deep".into()));
+                .push(self.diagnostic(&pointer, "nested too deeply".into()));
             return Value::Null;
         }
         let mut forms = Map::new();
@@ -131,7 +131,7 @@
 
     fn push_repeated(&mut self, pointer: &str, at: Ref) {
         let (line, column) = position(at);
-        let diagnostic = self.diagnostic(pointer, "stands here twice".into());
+        let diagnostic = self.diagnostic(pointer, "is given twice".into());
         self.diagnostics.push(Diagnostic {
             line,
             column,
@@ -140,7 +140,7 @@
     }
 
     fn push_unknown_value(&mut self, pointer: &str, at: Ref) {
-        let message = format!("`{}` is no word, text, number or form", brief(at));
+        let message = format!("`{}` is not a symbol, string, number or form", brief(at));
         self.diagnostics.push(self.diagnostic(pointer, message));
     }
 }
--- a/crates/config/src/minimum_version.rs
+++ b/crates/config/src/minimum_version.rs
@@ -31,7 +31,7 @@
     let peers = |form: &Form| {
         let strings = form.strings()?.into_iter();
         let peers = strings.map(|(text, diagnostic)| {
-            let message = format!("`{text}` is no address with a port");
+            let message = format!("`{text}` is not an address with a port");
             text.parse().map_err(|_| Diagnostic {
                 message,
                 ..diagnostic
--- a/crates/config/src/schema.rs
+++ b/crates/config/src/schema.rs
@@ -93,7 +93,7 @@
     let mut document = Document::read(file, text)?;
     if document.name != "deployment" {
         let message = format!(
-            "`(deployment …)` must stand here, not `({} …)`",
+            "`(deployment …)` is expected here, not `({} …)`",
             document.name
         );
         return Err(document.diagnostic("", message).into());
@@ -140,7 +140,7 @@
 /// of its own.
 fn unexpected_part(document: &Document, pointer: &str, name: &str) -> Diagnostic {
     let message = if pointer.is_empty() && local_part_names().any(|own| own == name) {
-        "is each dispatcher's own, and stands in its file alone; a change needs a restart"
+        "is each dispatcher's own, and is allowed in its file only; a change needs a restart"
     } else {
         "unknown here"
     };
@@ -153,7 +153,7 @@
         Kind::Required { property } => {
             format!("lacks `({} …)`", property.as_str().unwrap_or_default())
         }
-        Kind::FalseSchema => "stands only beside `(repeat deduplicated)`".into(),
+        Kind::FalseSchema => "is only valid with `(repeat deduplicated)`".into(),
         Kind::Enum { options } => {
             let options = options.as_array().into_iter().flatten();
             let known: Vec<String> = options.map(symbol_text).collect();
@@ -161,18 +161,18 @@
         }
         Kind::Minimum { limit } => format!("must be {limit} or more"),
         Kind::ExclusiveMinimum { limit } => format!("must be above {limit}"),
-        Kind::Maximum { limit } => format!("must be {limit} at the most"),
+        Kind::Maximum { limit } => format!("must be {limit} or less"),
         Kind::Type { .. } => match document.data.pointer(pointer) {
             Some(Value::Object(_)) => "must be followed by its values",
             Some(Value::Array(_)) => "must be followed by forms",
-            Some(Value::String(_)) => "must be a number, or #t or #f, not a word",
-            _ => "is of the wrong kind",
+            Some(Value::String(_)) => "must be a number, #t or #f, not a symbol or string",
+            _ => "has the wrong type",
         }
         .into(),
         Kind::AdditionalItems { .. } | Kind::MaxItems { .. } => "has too many values".into(),
         Kind::MinItems { .. } => "has too few values".into(),
-        Kind::UniqueItems => "names one twice".into(),
-        Kind::Pattern { .. } => "is no address with a port".into(),
+        Kind::UniqueItems => "must not repeat a value".into(),
+        Kind::Pattern { .. } => "is not an address with a port".into(),
         _ => error.chars().take(200).collect(),
     }
 }
@@ -197,14 +197,14 @@
     {
         diagnostics.push(document.diagnostic(
             "/hall/0",
-            format!("`{}` is none of: {}", symbol_text(zone), list(zones)),
+            format!("`{}` is not one of: {}", symbol_text(zone), list(zones)),
         ));
     }
     let integer = |pointer| data.pointer(pointer).and_then(Value::as_u64);
     if let (Some(number), Some(schedulers)) = (integer("/number/0"), integer("/schedulers/0"))
         && number >= schedulers
     {
-        let message = format!("{number} is beyond the {schedulers} schedulers, counted from 0");
+        let message = format!("{number} is out of range for {schedulers} schedulers, numbered from 0");
         diagnostics.push(document.diagnostic("/number/0", message));
     }
     let (Some(service_classes), Some(machine_types)) =
@@ -221,7 +221,7 @@
             let pointer = format!("/tracks/{}/kind/0", escape_pointer(name));
             diagnostics.push(document.diagnostic(
                 &pointer,
-                format!("`{machine_type}` is none of: {}", known.join(", ")),
+                format!("`{machine_type}` is not one of: {}", known.join(", ")),
             ));
         }
     }
--- a/crates/config/src/sexp.rs
+++ b/crates/config/src/sexp.rs
@@ -31,7 +31,7 @@
         .len();
     if size > MAX_FILE_BYTES {
         return Err(diagnostic(format!(
-            "{size} bytes; {MAX_FILE_BYTES} is the most"
+            "{size} bytes; the maximum is {MAX_FILE_BYTES}"
         )));
     }
     let bytes = std::fs::read(path).map_err(|why| diagnostic(why.to_string()))?;
@@ -50,9 +50,9 @@
             .stack_size(STACK_BYTES)
             .spawn_scoped(scope, call);
         let joined = thread
-            .map_err(|why| diagnostic(format!("no thread to read it: {why}")))?
+            .map_err(|why| diagnostic(format!("can't start a thread to parse the file: {why}")))?
             .join();
-        joined.unwrap_or_else(|_| Err(diagnostic("the reader broke on it".into())))
+        joined.unwrap_or_else(|_| Err(diagnostic("the parser panicked".into())))
     })
 }
 
@@ -70,7 +70,7 @@
         return Err(diagnostic(
             1,
             1,
-            format!("{} bytes; {MAX_FILE_BYTES} is the most", text.len()),
+            format!("{} bytes; the maximum is {MAX_FILE_BYTES}", text.len()),
         ));
     }
     let (mut values, mut within) = (0, false);
@@ -117,7 +117,7 @@
     let form = Form::read(file, name, datum.as_ref())?;
     if form.name != name {
         return Err(form.diagnostic(format!(
-            "`({name} …)` must stand here, not `({} …)`",
+            "`({name} …)` is expected here, not `({} …)`",
             form.name
         )));
     }
--- a/crates/config/src/sexp/form.rs
+++ b/crates/config/src/sexp/form.rs
@@ -30,7 +30,7 @@
                 file,
                 at,
                 enclosing_path,
-                "a form `(name …)` must stand here".into(),
+                "a form `(name …)` is expected here".into(),
             ));
         };
         Ok(Form {
@@ -52,7 +52,7 @@
         let parts = self.forms(known)?;
         let mut seen = BTreeSet::new();
         if let Some(part) = parts.iter().find(|part| !seen.insert(part.name)) {
-            return Err(part.diagnostic("stands here twice"));
+            return Err(part.diagnostic("is given twice"));
         }
         Ok(Parts {
             form: self.clone(),
@@ -76,7 +76,7 @@
         let parts = self.inner_forms()?;
         let mut seen = BTreeSet::new();
         if let Some(part) = parts.iter().find(|part| !seen.insert(part.name)) {
-            return Err(part.diagnostic(format!("a second `{}`", part.name)));
+            return Err(part.diagnostic(format!("`{}` is given twice", part.name)));
         }
         Ok(parts)
     }
@@ -102,24 +102,24 @@
             self.file,
             at,
             &self.path,
-            format!("{what} must stand here, not `{}`", at.value()),
+            format!("{what} is expected here, not `{}`", at.value()),
         )
     }
 
     /// Returns the string of `(name "text")`.
     pub fn string(&self) -> Result<&'a str, Diagnostic> {
-        let at = self.single_value("a text in quotes")?;
+        let at = self.single_value("a string in quotes")?;
         at.value()
             .as_str()
-            .ok_or_else(|| self.diagnostic_at(at, "a text in quotes"))
+            .ok_or_else(|| self.diagnostic_at(at, "a string in quotes"))
     }
 
     /// Returns the symbol of `(name symbol)`.
     pub fn symbol(&self) -> Result<&'a str, Diagnostic> {
-        let at = self.single_value("a word")?;
+        let at = self.single_value("a symbol")?;
         at.value()
             .as_symbol()
-            .ok_or_else(|| self.diagnostic_at(at, "a word"))
+            .ok_or_else(|| self.diagnostic_at(at, "a symbol"))
     }
 
     /// Returns the symbols of `(name symbol symbol …)`, which must be distinct.
@@ -129,13 +129,13 @@
             let symbol = at
                 .value()
                 .as_symbol()
-                .ok_or_else(|| self.diagnostic_at(at, "a word"))?;
+                .ok_or_else(|| self.diagnostic_at(at, "a symbol"))?;
             if !seen.insert(symbol) {
                 return Err(form_diagnostic(
                     self.file,
                     at,
                     &self.path,
-                    format!("a second `{symbol}`"),
+                    format!("`{symbol}` is given twice"),
                 ));
             }
             symbols.push(symbol);
@@ -151,7 +151,7 @@
             .position(|known| known.as_ref() == symbol)
             .ok_or_else(|| {
                 let known: Vec<&str> = choices.iter().map(AsRef::as_ref).collect();
-                self.diagnostic(format!("`{symbol}` is none of: {}", known.join(", ")))
+                self.diagnostic(format!("`{symbol}` is not one of: {}", known.join(", ")))
             })
     }
 
@@ -208,7 +208,7 @@
                     self.file,
                     at,
                     &self.path,
-                    format!("a second {value}"),
+                    format!("{value} is given twice"),
                 ));
             }
             integers.push(value);
@@ -224,13 +224,13 @@
             let text = at
                 .value()
                 .as_str()
-                .ok_or_else(|| self.diagnostic_at(at, "a text in quotes"))?;
+                .ok_or_else(|| self.diagnostic_at(at, "a string in quotes"))?;
             let diagnostic =
                 |why: &str| form_diagnostic(self.file, at, &self.path, format!("`{text}` {why}"));
             if !seen.insert(text) {
-                return Err(diagnostic("stands here twice"));
+                return Err(diagnostic("is given twice"));
             }
-            strings.push((text, diagnostic("is none")));
+            strings.push((text, diagnostic("is invalid")));
         }
         Ok(strings)
     }
@@ -254,7 +254,7 @@
         };
         let value = self.non_negative_at(number)? * ticks;
         if value > 315_360_000_000.0 {
-            return Err(self.diagnostic_at(number, "a time of a year at the most"));
+            return Err(self.diagnostic_at(number, "a time of at most a year"));
         }
         Ok(value as Ticks)
     }
--- a/crates/config/src/shared_settings.rs
+++ b/crates/config/src/shared_settings.rs
@@ -127,7 +127,7 @@
         None => None,
     };
     if let (None, Some(part)) = (spread, parts.get("most")) {
-        return Err(part.diagnostic("stands only beside `(spread …)`"));
+        return Err(part.diagnostic("is only valid with `(spread …)`"));
     }
     Ok(ServiceClass {
         retry_safety,
@@ -155,7 +155,7 @@
     if !matches!(safety, RetrySafety::Deduplicated { .. })
         && let Some(part) = parts.get("within").or(parts.get("window"))
     {
-        return Err(part.diagnostic("stands only beside `(repeat deduplicated)`"));
+        return Err(part.diagnostic("is only valid with `(repeat deduplicated)`"));
     }
     Ok(safety)
 }
