--- a/crates/config/src/document.rs
+++ b/crates/config/src/document.rs
@@ -1,6 +1,6 @@
-//! Converts a text into JSON data for validation against the schema: a form that holds forms becomes
-//! an object, any other form an array of its values. Records the position of each value, so that
-//! validation errors can be reported with positions.
+//! Converts a text into JSON data for validation against the schema: a form that holds forms
+//! becomes an object, any other form an array of its values. Records the position of each value,
+//! so that validation errors can be reported with positions.
 
 use crate::schema::escape_pointer;
 use crate::sexp::{Diagnostic, datum, on_large_stack};
--- a/crates/config/src/schema.rs
+++ b/crates/config/src/schema.rs
@@ -45,8 +45,8 @@
         .map(String::as_str)
 }
 
-/// Returns the schema as JSON Schema, draft 2020-12. A form that holds forms is an object, any other
-/// form an array of its values.
+/// Returns the schema as JSON Schema, draft 2020-12. A form that holds forms is an object, any
+/// other form an array of its values.
 pub fn json_schema(kind: DocumentKind) -> Value {
     let form = |groups: &[&str]| {
         let mut properties = Map::new();
@@ -204,7 +204,8 @@
     if let (Some(number), Some(schedulers)) = (integer("/number/0"), integer("/schedulers/0"))
         && number >= schedulers
     {
-        let message = format!("{number} is out of range for {schedulers} schedulers, numbered from 0");
+        let message =
+            format!("{number} is out of range for {schedulers} schedulers, numbered from 0");
         diagnostics.push(document.diagnostic("/number/0", message));
     }
     let (Some(service_classes), Some(machine_types)) =
--- a/crates/config/src/sexp/form.rs
+++ b/crates/config/src/sexp/form.rs
@@ -60,7 +60,7 @@
         })
     }
 
-    /// Returns the inner forms. Each name must be one of `known`, and may occur any number of times.
+    /// Returns the inner forms. Each name must be one of `known`, and may occur repeatedly.
     pub fn forms(&self, known: &[&str]) -> Result<Vec<Form<'a>>, Diagnostic> {
         let parts = self.inner_forms()?;
         match parts.iter().find(|part| !known.contains(&part.name)) {
--- a/crates/config/src/version.rs
+++ b/crates/config/src/version.rs
@@ -82,8 +82,8 @@
         deployment_text
     }
 
-    /// Returns the SHA-256 over names and texts. Equal parts have equal digests, whatever the layout
-    /// of the original text.
+    /// Returns the SHA-256 over names and texts. Equal parts have equal digests, whatever the
+    /// layout of the original text.
     pub fn digest(&self) -> Digest {
         let mut hasher = Sha256::new();
         for (name, text) in &self.0 {
--- a/crates/config/tests/diagnostics.rs
+++ b/crates/config/tests/diagnostics.rs
@@ -320,8 +320,8 @@
             if let Err(diagnostics) = &read {
                 prop_assert!(!diagnostics.reported.is_empty());
             }
-            // The parser may reject more than the schema, such as a symbol in place of a string, but
-            // never less.
+            // The parser may reject more than the schema, such as a symbol in place of a string,
+            // but never less.
             prop_assert!(checked.is_ok() || read.is_err());
             let file = Deployment::parse("d.sexp", VALID).expect("valid");
             if let Ok(parts) = SharedParts::parse("v", &text) {
--- a/crates/config/tests/released_format.rs
+++ b/crates/config/tests/released_format.rs
@@ -193,9 +193,7 @@
         Value::Object(map) => {
             for (key, value) in map {
                 match (key.as_str(), value) {
-                    ("properties", Value::Object(properties)) => {
-                        keys.extend(properties.keys().cloned())
-                    }
+                    ("properties", Value::Object(inner)) => keys.extend(inner.keys().cloned()),
                     ("enum", Value::Array(choices)) => {
                         values.extend(choices.iter().filter_map(Value::as_str).map(String::from));
                     }
