--- a/crates/cli/src/config_versions.rs
+++ b/crates/cli/src/config_versions.rs
@@ -1,4 +1,5 @@
-//! `control` and `schema`: streamed versions of the deployment, and its schema.
+//! Implements the commands `control` and `schema`: streamed versions of the deployment, and its
+//! schema.
 
 use crate::connection::{ANSWER_TIMEOUT, MAX_ANSWER_BYTES, answer_within, with_connection};
 use crate::error::Error;
@@ -11,15 +12,15 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// How many digits of a digest are printed.
+/// The number of digits of a digest that are printed.
 const SHORT_DIGEST: usize = 8;
 
 /// The commands of `control`.
 #[derive(Subcommand)]
 pub(crate) enum ConfigVersions {
-    /// Prints which version is active, what was rejected last, and why.
+    /// Prints the active version, and the last rejected version with the reasons.
     Status { dispatcher: SocketAddr },
-    /// Prints the active shared parts that a file or version would change. Ends with 1 where there
+    /// Prints the active shared parts that a file or version would change. Exits with 1 if there
     /// are any.
     Diff {
         dispatcher: SocketAddr,
@@ -48,7 +49,7 @@
         schema::DocumentKind::File
     };
     let text = serde_json::to_string_pretty(&schema::json_schema(kind))?;
-    // Whoever pipes it into a pager may close it early.
+    // A pager that reads the output may close the pipe early.
     let _ = writeln!(std::io::stdout(), "{text}");
     Ok(())
 }
--- a/crates/cli/src/connection.rs
+++ b/crates/cli/src/connection.rs
@@ -1,4 +1,4 @@
-//! Connections to dispatchers and nodes, and the time that they have to answer.
+//! Opens connections to dispatchers and nodes, and limits the time that they have to answer.
 
 use crate::error::Error;
 use corkspan_rpc::{Connection, ConnectionLimits, SharedExecutor, within};
@@ -7,9 +7,9 @@
 use std::time::Duration;
 
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long a dispatcher may take to answer a request for its state.
+/// The time that a dispatcher has to answer a request for its state.
 pub(crate) const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
-/// The largest answer, in bytes; the active shared parts may be in it.
+/// The maximum size of an answer, in bytes. It may contain the active shared parts.
 pub(crate) const MAX_ANSWER_BYTES: usize = 16 << 20;
 
 /// Opens a connection.
@@ -26,7 +26,7 @@
         .map_err(|source| Error::Connect { address, source })
 }
 
-/// Connects to a dispatcher and runs `call` on the connection to its end.
+/// Connects to a dispatcher and runs `call` on the connection to completion.
 pub(crate) fn with_connection<F: Future<Output = Result<(), Error>>>(
     dispatcher: SocketAddr,
     call: impl FnOnce(Connection) -> F,
@@ -36,7 +36,7 @@
     future::block_on(tasks.run(connected))
 }
 
-/// The answer to a unary call, if it comes within `timeout`.
+/// Returns the answer to a unary call; fails if it does not arrive within `timeout`.
 pub(crate) async fn answer_within<T>(
     timeout: Duration,
     call: impl Future<Output = Result<tonic::Response<T>, tonic::Status>>,
@@ -45,7 +45,7 @@
     Ok(answer?.into_inner())
 }
 
-/// As [`with_connection`], connecting included within `timeout`.
+/// Like [`with_connection`], but fails if connecting and `call` together exceed `timeout`.
 pub(crate) fn with_connection_within<F: Future<Output = Result<(), Error>>>(
     dispatcher: SocketAddr,
     timeout: Duration,
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a command failed, in the words that are printed.
+//! The errors of commands, with the messages that are printed.
 
 use corkspan_config::sexp::Diagnostic;
 use corkspan_config::sexp::Diagnostics;
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Why a command failed.
+/// The reason why a command failed.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum Error {
     /// The deployment file or a version is invalid.
@@ -18,38 +18,38 @@
     /// The schema could not be printed.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// The dispatcher ended by an error.
+    /// The dispatcher ended with an error.
     #[error(transparent)]
     Dispatcher(#[from] corkspan_dispatcher::DispatcherError),
-    /// The dispatcher on the platform's protocol ended by an error.
+    /// The dispatcher on the platform's protocol ended with an error.
     #[error(transparent)]
     Platform(#[from] corkspan_platform::ServeError),
-    /// The environment names no file for `platform`.
+    /// The environment variable that names the file for `platform` is not set.
     #[error("NODE_CONFIG names no file")]
     NoNodeConfig,
-    /// There is no connection to a dispatcher.
+    /// The connection to a dispatcher could not be opened.
     #[error("{address}: {source}")]
     Connect {
-        /// The dispatcher's.
+        /// The address of the dispatcher.
         address: SocketAddr,
-        /// Why there is none.
+        /// The reason why the connection failed.
         source: ConnectError,
     },
-    /// The answer took too long.
+    /// The answer did not arrive in time.
     #[error("no answer within {} s", .0.as_secs())]
     Timeout(Duration),
     /// The call failed.
     #[error("{}", .0.message())]
     Call(#[source] Box<tonic::Status>),
-    /// The dispatcher rejected the request, for the reason it gives.
+    /// The dispatcher rejected the request for the reason given.
     #[error("{0}")]
     Rejected(String),
     /// The placement was rejected; a retry is safe.
     #[error("refused ({reason:?}): {message}; another try is harmless")]
     PlacementRejected {
-        /// As a code.
+        /// The reason as a code.
         reason: corkspan_api::v1::rejected::RejectionReason,
-        /// In the dispatcher's words.
+        /// The dispatcher's explanation.
         message: String,
     },
     /// The placement failed, and may have had an effect.
@@ -58,10 +58,10 @@
     /// The stream ended without a final answer.
     #[error("the dispatcher gave no final answer")]
     NoFinalAnswer,
-    /// A file or version differs from what is active.
+    /// A file or version differs from the active shared parts.
     #[error("{0} parts differ")]
     PartsDiffer(usize),
-    /// None of the dispatchers given answers.
+    /// None of the given dispatchers answers.
     #[error("no dispatcher answers")]
     NoDispatcher,
     /// Too few dispatchers run the version that is to become the minimum.
--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -1,5 +1,5 @@
-//! `fleet`: what an operator asks of all dispatchers at once. What is wrong, and whether the minimum
-//! version may be raised, is decided in `corkspan_version_fencing`.
+//! Implements the command `fleet`, which polls all dispatchers at once. `corkspan_version_fencing`
+//! determines the findings and whether the minimum version may be raised.
 
 mod poll;
 mod report;
@@ -19,30 +19,30 @@
 /// The commands of `fleet`.
 #[derive(Subcommand)]
 pub(crate) enum Fleet {
-    /// Prints each dispatcher's version and what is wrong. Ends with 1 where anything is.
+    /// Prints each dispatcher's version and the findings. Exits with 1 if there are any findings.
     Audit {
-        /// Where the dispatchers listen.
+        /// The addresses at which the dispatchers listen.
         #[arg(required = true)]
         dispatchers: Vec<SocketAddr>,
-        /// Where nodes listen whose records of acts are pending for too; may be report many times.
+        /// The address of a node whose recorded operations are audited too; may be repeated.
         #[arg(long = "node")]
         nodes: Vec<SocketAddr>,
-        /// Prints also which versions were active at each within the last so many seconds.
+        /// Also prints the versions that were active at each dispatcher within this many seconds.
         #[arg(long)]
         since: Option<u64>,
-        /// As one JSON object.
+        /// Prints one JSON object.
         #[arg(long)]
         json: bool,
     },
-    /// Proposes to the quorum that no version below this one may act.
+    /// Proposes to the quorum that no version below this one may act on nodes.
     Floor {
-        /// The lowest version that may act; 0 lets all.
+        /// The lowest version that may act; 0 admits all.
         version: u64,
-        /// Where the dispatchers listen: those that may be pending, and of which a part must have
-        /// taken the version.
+        /// The addresses at which the dispatchers listen. They are polled, and a part of them must
+        /// have adopted the version.
         #[arg(required = true)]
         dispatchers: Vec<SocketAddr>,
-        /// The part of them that must run it for good, in thousandths.
+        /// The part of them that must run the version past its trial, in thousandths.
         #[arg(long, default_value_t = 500, value_parser = clap::value_parser!(u32).range(0..=1000))]
         part: u32,
     },
@@ -75,8 +75,8 @@
     since_s: Option<u64>,
     json: bool,
 ) -> Result<(), Error> {
-    // Nodes first: a dispatcher counts its operations before it sends them, so what it reports
-    // later is never less than what nodes have seen before, however many are in flight.
+    // Polls nodes first: a dispatcher counts its operations before it sends them, so a count that
+    // it reports later is never less than what nodes saw before, however many are in flight.
     let observations = poll_nodes(tasks, nodes).await;
     let statuses = poll_dispatchers(tasks, dispatchers).await;
     let named = dispatchers.iter().zip(&statuses);
--- a/crates/cli/src/fleet/poll.rs
+++ b/crates/cli/src/fleet/poll.rs
@@ -1,4 +1,4 @@
-//! What dispatchers and nodes report, all polled at once.
+//! Polls all dispatchers and nodes concurrently.
 
 use crate::connection::{ANSWER_TIMEOUT, MAX_ANSWER_BYTES, connect};
 use crate::error::Error;
@@ -8,7 +8,7 @@
 use corkspan_version_fencing::operations::{OperationKind, VersionedOperation};
 use std::net::SocketAddr;
 
-/// Nodes by address, each with the operations it has recorded; none where it does not answer.
+/// The operations recorded by each node, or `None` for a node that does not answer.
 pub(super) type Observations = Vec<Reply<Vec<NodeObservation>>>;
 
 pub(super) async fn versions_client(
@@ -45,7 +45,7 @@
     reports
 }
 
-/// The operations that nodes have recorded.
+/// Polls the operations that nodes have recorded.
 pub(super) async fn poll_nodes(tasks: &SharedExecutor, addresses: &[SocketAddr]) -> Observations {
     let pending: Vec<_> = addresses
         .iter()
@@ -86,8 +86,8 @@
     reports
 }
 
-/// A kind that a later program reports and this one does not know counts among claims, which are not
-/// shown separately.
+/// Converts the kind of an operation. A kind that only a later version of the program knows counts
+/// as a claim; claims are not shown separately.
 fn kind(kind: i32) -> OperationKind {
     usize::try_from(kind)
         .ok()
--- a/crates/cli/src/fleet/report.rs
+++ b/crates/cli/src/fleet/report.rs
@@ -1,4 +1,4 @@
-//! What an audit found, as a table or as one JSON object.
+//! Prints the result of an audit as tables or as one JSON object.
 
 use super::poll::{Observations, dispatcher_report};
 use corkspan_api::v1;
@@ -9,13 +9,13 @@
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 
-/// What was read from dispatchers and nodes, and what is wrong with it.
+/// The reports of dispatchers and nodes, with the findings about them.
 pub(super) struct Audit<'a> {
     pub dispatchers: &'a [SocketAddr],
-    /// In the order of the dispatchers; none where one does not answer.
+    /// The statuses in the order of the dispatchers; `None` for one that does not answer.
     pub statuses: &'a [Option<v1::VersionStatus>],
     pub observations: &'a Observations,
-    /// Versions active within so many seconds are printed too.
+    /// If set, the versions that were active within this many seconds are printed too.
     pub since_s: Option<u64>,
     pub findings: &'a [Finding],
 }
@@ -155,8 +155,8 @@
     }
 }
 
-/// The versions of one dispatcher that were active at any time within so many seconds, by its own
-/// clock, each with its end.
+/// Returns the versions of one dispatcher that were active at any time within the last `since_s`
+/// seconds, by the dispatcher's clock, each with its end.
 fn intervals_since(
     intervals: &[v1::VersionInterval],
     now_ms: u64,
--- a/crates/cli/src/lib.rs
+++ b/crates/cli/src/lib.rs
@@ -1,5 +1,5 @@
-//! The command line of corkspan: `serve` and `platform` run a dispatcher, the other commands call
-//! one over `corkspan.v1`.
+//! Implements the command line of corkspan: `serve` and `platform` run a dispatcher, other commands
+//! call one over `corkspan.v1`.
 #![warn(missing_docs, clippy::too_many_lines)]
 
 mod config_versions;
@@ -22,7 +22,7 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// A cluster scheduler that fills machines by likely use, not by requests.
+/// A cluster scheduler that packs machines by expected usage instead of requests.
 #[derive(Parser)]
 #[command(name = "corkspan", version)]
 struct CommandLine {
@@ -32,32 +32,32 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Runs a dispatcher until a signal asks it to stop.
+    /// Runs a dispatcher until it receives a stop signal.
     Serve {
         /// The deployment file.
         file: PathBuf,
-        /// How the log on standard error is written.
+        /// The format of the log on standard error.
         #[arg(long, value_enum, default_value = "text")]
         log: LogFormat,
-        /// The least level that is logged.
+        /// The minimum level that is logged.
         #[arg(long, default_value = "info")]
         level: tracing::Level,
     },
-    /// Runs a dispatcher on the platform's protocol, by the file that NODE_CONFIG names, until
+    /// Runs a dispatcher on the platform's protocol, with the file that NODE_CONFIG names, until
     /// SIGTERM.
     Platform {
-        /// The least level that is logged.
+        /// The minimum level that is logged.
         #[arg(long, default_value = "info")]
         level: tracing::Level,
     },
-    /// Checks a deployment file and prints what is wrong with it.
+    /// Checks a deployment file and prints its errors.
     Check {
         /// The deployment file.
         file: PathBuf,
     },
-    /// Requests one allocation from a dispatcher and prints each event of it.
+    /// Requests one allocation from a dispatcher and prints its events.
     Place(place::Place),
-    /// Rolling updates of a service's program.
+    /// Manages rolling updates of a service's program.
     #[command(name = "roll")]
     Rollout {
         #[command(subcommand)]
@@ -65,40 +65,40 @@
     },
     /// Prints the JSON Schema of the deployment file, or of streamed versions.
     Schema {
-        /// Of versions instead: what all dispatchers share.
+        /// Prints the schema of streamed versions instead, which hold the shared parts only.
         #[arg(long)]
         version_only: bool,
     },
-    /// Streamed versions of the deployment.
+    /// Inspects streamed versions of the deployment.
     #[command(name = "control")]
     ConfigVersions {
         #[command(subcommand)]
         command: config_versions::ConfigVersions,
     },
-    /// Dispatchers by their versions: who is behind, and who may act.
+    /// Audits the versions of dispatchers and raises the minimum version.
     Fleet {
         #[command(subcommand)]
         command: fleet::Fleet,
     },
-    /// Machines taken out for maintenance, few at a time.
+    /// Takes machines out for maintenance, a few at a time.
     Maintenance {
         #[command(subcommand)]
         command: maintenance::Maintenance,
     },
-    /// Prints what a dispatcher has in flight and has answered.
+    /// Prints a dispatcher's counters of requests, attempts and connections.
     Status {
         /// Where the dispatcher listens.
         dispatcher: SocketAddr,
     },
 }
 
-/// All commands and their arguments, as clap knows them.
+/// Returns the clap definition of all commands and their arguments.
 pub fn command() -> clap::Command {
     CommandLine::command()
 }
 
-/// Runs the command line given, the program's name first. The exit code is 2 where it is no valid
-/// command line, and 1 where the command fails.
+/// Runs a command line, which starts with the program's name. The exit code is 2 if the command
+/// line is invalid, and 1 if the command fails.
 pub fn run(line: impl IntoIterator<Item = OsString>) -> ExitCode {
     let line = match CommandLine::try_parse_from(line) {
         Ok(line) => line,
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,4 +1,4 @@
-//! `corkspan`: see the library beside it.
+//! The `corkspan` program; see the library of this package.
 
 use std::process::ExitCode;
 
--- a/crates/cli/src/maintenance.rs
+++ b/crates/cli/src/maintenance.rs
@@ -1,4 +1,5 @@
-//! `maintenance`: machines taken out for maintenance, as the operator and the maintainer see it.
+//! Implements the command `maintenance`, which takes machines out for maintenance. Operators and
+//! maintainers use it.
 
 use crate::connection::with_connection_within;
 use crate::error::Error;
@@ -7,23 +8,23 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long a dispatcher may take: it polls the quorum and machines.
+/// The time that a dispatcher has to answer; it polls the quorum and machines.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// The commands of `maintenance`.
 #[derive(Subcommand)]
 pub(crate) enum Maintenance {
-    /// Takes machines out, drains them and hands them to maintenance, few at a time.
+    /// Takes machines out, drains them and hands them over to maintenance, a few at a time.
     Start(Start),
-    /// Prints which machines are out, which are in maintenance, and which are completed.
+    /// Prints the progress, and the state of each machine that is out.
     Status { dispatcher: SocketAddr },
-    /// Takes no further machine out; those that are out continue.
+    /// Takes no further machines out; those that are out continue.
     Pause { dispatcher: SocketAddr },
     /// Continues after a pause or an abort.
     Resume { dispatcher: SocketAddr },
-    /// Uncordons those that have not been handed to maintenance.
+    /// Uncordons the machines that have not been handed over to maintenance.
     Abort { dispatcher: SocketAddr },
-    /// The maintenance of these machines is completed.
+    /// Reports that the maintenance of these machines is completed.
     Done {
         dispatcher: SocketAddr,
         #[arg(required = true)]
@@ -33,28 +34,30 @@
 
 #[derive(Args)]
 pub(crate) struct Start {
-    /// Where any one of the dispatchers listens.
+    /// The address at which any of the dispatchers listens.
     dispatcher: SocketAddr,
-    /// By their numbers in the roster.
+    /// The numbers of the machines in the roster.
     #[arg(required = true)]
     machines: Vec<u32>,
-    /// How many may be out at a time.
+    /// The maximum number of machines that are out at a time.
     #[arg(long = "at-a-time", default_value_t = 1)]
     max_out: u32,
-    /// Of them in one zone, in one cell, and of one machine type; as many as at a time by default.
+    /// The maximum number in one zone; by default the same as the total.
     #[arg(long = "by-hall")]
     max_per_zone: Option<u32>,
+    /// The maximum number in one cell; by default the same as the total.
     #[arg(long = "by-cell")]
     max_per_cell: Option<u32>,
+    /// The maximum number of one machine type; by default the same as the total.
     #[arg(long = "by-kind")]
     max_per_machine_type: Option<u32>,
-    /// How long a machine that is back still counts as out, in seconds.
+    /// How long a machine that is back in service still counts as out, in seconds.
     #[arg(long = "warm-s", default_value_t = 60)]
     warm_up_s: u64,
-    /// How long draining one may take, in seconds.
+    /// The drain timeout of a machine, in seconds.
     #[arg(long = "empty-within-s", default_value_t = 3600)]
     drain_timeout_s: u64,
-    /// What then happens to allocations that can be neither migrated nor restarted.
+    /// The action on a drain timeout for allocations that can be neither migrated nor restarted.
     #[arg(long = "then", value_enum, default_value = "wait")]
     on_drain_timeout: OnDrainTimeout,
 }
@@ -62,7 +65,7 @@
 #[derive(Clone, Copy, ValueEnum)]
 enum OnDrainTimeout {
     Wait,
-    /// The machine is uncordoned and skipped.
+    /// Uncordons and skips the machine.
     Skip,
     Stop,
 }
--- a/crates/cli/src/place.rs
+++ b/crates/cli/src/place.rs
@@ -1,4 +1,4 @@
-//! `place`: one allocation, and what happens to it.
+//! Implements the command `place`, which requests one allocation and prints its events.
 
 use crate::error::Error;
 use clap::Args;
@@ -7,14 +7,14 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long after the deadline the final answer may still arrive.
+/// How long after the deadline the final answer may still arrive, in milliseconds.
 const ANSWER_GRACE_MS: u64 = 1_000;
 
 #[derive(Args)]
 pub(crate) struct Place {
-    /// Where the dispatcher listens.
+    /// The address at which the dispatcher listens.
     pub(crate) dispatcher: SocketAddr,
-    /// The task's name, the same on every retry.
+    /// The task's name, which must be the same on every retry.
     #[arg(long)]
     task: String,
     #[arg(long)]
@@ -30,19 +30,19 @@
     /// Expected duration, ms; 0 if unknown.
     #[arg(long = "life-ms", default_value_t = 0)]
     expected_duration_ms: u64,
-    /// How long to wait for the final answer, ms.
+    /// The deadline of the final answer, ms.
     #[arg(long = "abandon-ms", default_value_t = 6000)]
     deadline_ms: u64,
     /// The task was requested before.
     #[arg(long = "again")]
     retry: bool,
-    /// Print events of the allocation until it ends; an interrupt then stops it. Without this the
-    /// call ends with the final answer, and so does the allocation.
+    /// Prints events of the allocation until it ends; an interrupt then stops it. Without this flag
+    /// the call ends with the final answer, and so does the allocation.
     #[arg(long = "stay")]
     follow: bool,
 }
 
-/// Requests the allocation and prints each event of it.
+/// Requests the allocation and prints its events.
 pub(crate) async fn place(connection: Connection, place: Place) -> Result<(), Error> {
     let follow = place.follow;
     let timeout = Duration::from_millis(place.deadline_ms.saturating_add(ANSWER_GRACE_MS));
@@ -88,7 +88,7 @@
     }
 }
 
-/// Prints one event; a rejection and a failure are errors.
+/// Prints one event; returns a rejection or a failure as an error.
 fn print(event: Event) -> Result<(), Error> {
     match event {
         Event::Placed(placed) => {
--- a/crates/cli/src/rollout.rs
+++ b/crates/cli/src/rollout.rs
@@ -1,4 +1,4 @@
-//! `roll`: rolling updates of a service's program.
+//! Implements the command `roll`, which manages rolling updates of a service's program.
 
 use crate::connection::with_connection;
 use crate::error::Error;
@@ -32,22 +32,23 @@
     },
 }
 
-/// What a rollout is started with.
+/// The arguments of `roll start`.
 #[derive(Args)]
 pub(crate) struct Start {
-    /// Where any one of the dispatchers listens.
+    /// The address at which any of the dispatchers listens.
     dispatcher: SocketAddr,
     service: String,
     /// The version to roll out.
     #[arg(long = "to")]
     version: String,
-    /// The version that runs, for an undo; after an earlier rollout its version is used.
+    /// The version that runs now, to which an undo returns; after an earlier rollout its version is
+    /// used.
     #[arg(long = "from", default_value = "")]
     previous_version: String,
-    /// Replicas that may be unavailable at a time, over all dispatchers.
+    /// The maximum number of replicas that are unavailable at a time, over all dispatchers.
     #[arg(long = "unready-most")]
     max_unavailable: u32,
-    /// Replicas that one dispatcher replaces at a time.
+    /// The maximum number of replicas that one dispatcher replaces at a time.
     #[arg(long = "batch", default_value_t = 4)]
     max_in_progress: u32,
     /// How long a replica must stay ready, ms.
@@ -56,12 +57,12 @@
     /// How long a replica may take to become ready, ms.
     #[arg(long = "ready-within-ms", default_value_t = 60_000)]
     progress_deadline_ms: u64,
-    /// Replicas that may fail at one dispatcher before the rollout halts.
+    /// The number of replicas that may fail at one dispatcher before the rollout halts.
     #[arg(long = "failures-most", default_value_t = 1)]
     max_failures: u32,
-    /// Surge: start each new replica beside the old one, and stop that once the new one has stayed
-    /// ready; the limit then counts surplus replicas too. What must not run twice is still stopped
-    /// first.
+    /// Surge: starts each new replica before the old one is stopped, and stops the old one once
+    /// the new one has stayed ready. The limit then counts surplus replicas too. A replica that
+    /// must not run twice is still stopped first.
     #[arg(long = "start-first")]
     surge: bool,
 }
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -1,4 +1,4 @@
-//! `serve` and `platform`: the dispatcher as a process, and its log.
+//! Implements the commands `serve` and `platform`, which run a dispatcher and set up its log.
 
 use crate::error::Error;
 use clap::ValueEnum;
@@ -10,18 +10,18 @@
 use tracing_subscriber::fmt::{FmtContext, FormatEvent, FormatFields};
 use tracing_subscriber::registry::LookupSpan;
 
-/// How the log is written.
+/// The format of the log.
 #[derive(Clone, Copy, ValueEnum)]
 pub(crate) enum LogFormat {
     Text,
     Json,
 }
 
-/// Runs a dispatcher on `corkspan.v1` until a signal asks it to stop.
+/// Runs a dispatcher on `corkspan.v1` until it receives a stop signal.
 pub(crate) fn serve(file: PathBuf, log: LogFormat, level: tracing::Level) -> Result<(), Error> {
     let deployment = Deployment::load(&file)?;
-    // A log whose disk is full must not end the dispatcher; reporting a line that could not be
-    // written would.
+    // A full log disk must not end the dispatcher. The subscriber would report a line that it could
+    // not write, and the failure of that report would end the process.
     let subscriber = tracing_subscriber::fmt()
         .with_max_level(level)
         .with_writer(std::io::stderr);
@@ -42,7 +42,8 @@
             .init(),
     }
     let ready = |address| {
-        // With port 0 the address is known from here alone; nobody has to read it.
+        // With port 0 this line is the only source of the address. Write errors are ignored,
+        // because nobody has to read it.
         let mut out = std::io::stdout();
         let _ = writeln!(out, "listening {address}").and_then(|()| out.flush());
     };
@@ -60,8 +61,8 @@
     Ok(corkspan_platform::serve(Path::new(&file))?)
 }
 
-/// Log lines that begin with the number of the active version, by which whatever the line reports
-/// was decided.
+/// Formats log lines with a prefix: the number of the active version, by which the reported
+/// decisions were made.
 struct Versioned<F> {
     inner: F,
     json: bool,
--- a/crates/cli/src/status.rs
+++ b/crates/cli/src/status.rs
@@ -1,11 +1,11 @@
-//! `status`: the counters of one dispatcher.
+//! Implements the command `status`, which prints the counters of one dispatcher.
 
 use crate::connection::{ANSWER_TIMEOUT, answer_within};
 use crate::error::Error;
 use corkspan_api::v1::{self, placement_client::PlacementClient};
 use corkspan_rpc::Connection;
 
-/// Prints what a dispatcher has in flight and has answered.
+/// Prints a dispatcher's counters of requests, attempts and connections.
 pub(crate) async fn status(connection: Connection) -> Result<(), Error> {
     let mut client = PlacementClient::new(connection);
     let status = answer_within(ANSWER_TIMEOUT, client.status(v1::StatusRequest {})).await?;
--- a/crates/cli/tests/command_line.rs
+++ b/crates/cli/tests/command_line.rs
@@ -1,5 +1,5 @@
-//! The command line stays as released: `data/accepted.txt` holds lines that are taken,
-//! `data/refused.txt` lines that are not, and `data/arguments.txt` every command and argument with
+//! Checks that the released command line is still accepted: `data/accepted.txt` holds valid command
+//! lines, `data/refused.txt` invalid ones, and `data/arguments.txt` every command and argument with
 //! its default and its choices. Commands and arguments may be added.
 
 use clap::{Arg, Command};
@@ -50,7 +50,7 @@
     )
 }
 
-/// Each command, and each argument of it, a line.
+/// Adds a line for each command and for each of its arguments.
 fn arguments(command: &Command, path: &str, lines: &mut BTreeSet<String>) {
     lines.insert(path.to_string());
     let described = command.get_arguments().map(describe);
@@ -71,7 +71,8 @@
     }
 }
 
-/// What parsing gives is handed on: the schema is the one command that needs no dispatcher.
+/// Checks that parsed arguments reach the command. `schema` is the only command that needs no
+/// dispatcher.
 #[test]
 fn schema_prints_the_schema_of_files_or_of_versions() {
     for (arguments, of) in [
--- a/crates/cli/tests/process.rs
+++ b/crates/cli/tests/process.rs
@@ -1,5 +1,5 @@
-//! The program as a process: under a real limit on descriptors, from its start, to its end by a
-//! signal.
+//! Runs the program as a process: under a real limit on file descriptors, and from its start until
+//! a signal stops it.
 
 use corkspan_platform_wire::client::{self, MessageType};
 use std::io::{BufRead, BufReader, Read, Write};
@@ -22,7 +22,8 @@
 }
 
 impl Program {
-    /// With so many descriptors, in its own file and by the system's limit.
+    /// Starts the program with a limit on descriptors, both in its configuration and as the limit
+    /// of the process.
     fn start(limit: usize, feed: SocketAddr, nodes: usize, node: SocketAddr) -> Program {
         let dir = tempfile::tempdir().expect("a folder");
         let path = dir.path().join("posting.json");
@@ -110,8 +111,8 @@
     }
 }
 
-/// Discovery is down while idle clients, each of which has once said something sound, take all that
-/// they can get.
+/// Guards against idle clients that use all descriptors. Discovery is down while many clients, each
+/// of which has sent one valid message, hold all the connections that they can get.
 #[test]
 fn idle_clients_that_use_all_descriptors_do_not_lock_out_discovery_nodes_or_clients() {
     let listener = || TcpListener::bind("127.0.0.1:0").expect("a port of the system's choice");
@@ -150,8 +151,8 @@
     assert!(program.descriptors() <= 48);
 }
 
-/// The front takes a dispatcher in once it has passed a test. Discovery is down, which a start must
-/// not wait for.
+/// The load balancer adds a dispatcher once it has passed a health check. Discovery is down, and
+/// the start must not wait for it.
 #[test]
 fn a_start_with_hundreds_of_nodes_is_ready_within_ten_seconds_and_stops_on_a_signal() {
     let listener = || TcpListener::bind("127.0.0.1:0").expect("a port of the system's choice");
