--- a/crates/cli/src/fleet/report.rs
+++ b/crates/cli/src/fleet/report.rs
@@ -62,15 +62,15 @@
 
     fn print_intervals(&self, since_s: u64) {
         let now = wall_ms();
-        let ago = |at: u64| now.saturating_sub(at) as f64 / 1_000.0;
+        let seconds_ago = |at: u64| now.saturating_sub(at) as f64 / 1_000.0;
         for (address, status) in self.dispatchers.iter().zip(self.statuses) {
             let intervals = status.iter();
             let intervals =
                 intervals.flat_map(|status| intervals_since(&status.intervals, now, since_s));
             for (interval, end) in intervals {
-                let to = end.map_or("now".into(), |end| format!("{:.1} s ago", ago(end)));
+                let to = end.map_or("now".into(), |end| format!("{:.1} s ago", seconds_ago(end)));
                 let (version, origin) = (number(interval), origin(interval));
-                let from = ago(interval.from_ms);
+                let from = seconds_ago(interval.from_ms);
                 println!(
                     "{address}: version {version} ({origin}) from {from:.1} s ago to {to}, life {:x}",
                     interval.incarnation
--- a/crates/cli/src/status.rs
+++ b/crates/cli/src/status.rs
@@ -31,15 +31,15 @@
         if status.stopping { ", stopping" } else { "" }
     );
     rows.iter()
-        .for_each(|(what, value)| println!("{what:>18} {value}"));
-    for count in &status.connection_traffic {
+        .for_each(|(label, value)| println!("{label:>18} {value}"));
+    for traffic in &status.connection_traffic {
         println!(
             "{:>18} {} bytes in, {} out; {} messages in, {} out",
-            count.kind().as_str_name().to_lowercase(),
-            count.bytes_in,
-            count.bytes_out,
-            count.messages_in,
-            count.messages_out
+            traffic.kind().as_str_name().to_lowercase(),
+            traffic.bytes_in,
+            traffic.bytes_out,
+            traffic.messages_in,
+            traffic.messages_out
         );
     }
     Ok(())
--- a/crates/cli/tests/command_line.rs
+++ b/crates/cli/tests/command_line.rs
@@ -6,11 +6,11 @@
 use std::collections::BTreeSet;
 
 fn parse(line: &str) -> Result<(), clap::error::ErrorKind> {
-    let words = std::iter::once("corkspan").chain(line.split_whitespace());
+    let arguments = std::iter::once("corkspan").chain(line.split_whitespace());
     corkspan_cli::command()
-        .try_get_matches_from(words)
+        .try_get_matches_from(arguments)
         .map(drop)
-        .map_err(|why| why.kind())
+        .map_err(|error| error.kind())
 }
 
 #[test]
@@ -18,13 +18,13 @@
     for line in include_str!("data/accepted.txt").lines() {
         match parse(line) {
             Ok(()) | Err(clap::error::ErrorKind::DisplayHelp) => {}
-            Err(why) => panic!("{line}: {why}"),
+            Err(error) => panic!("{line}: {error}"),
         }
     }
 }
 
 #[test]
-fn recorded_lines_are_still_refused() {
+fn recorded_invalid_lines_are_still_rejected() {
     for line in include_str!("data/refused.txt").lines() {
         assert!(parse(line).is_err(), "{line}");
     }
@@ -75,7 +75,7 @@
 /// dispatcher.
 #[test]
 fn schema_prints_the_schema_of_files_or_of_versions() {
-    for (arguments, of) in [
+    for (arguments, definition) in [
         (&["schema"][..], "#/$defs/file"),
         (&["schema", "--version-only"], "#/$defs/version"),
     ] {
@@ -86,8 +86,12 @@
         assert!(run.status.success());
         let text = String::from_utf8(run.stdout).expect("text");
         let schema: serde_json::Value = serde_json::from_str(&text).expect("JSON");
-        assert_eq!(schema["$ref"], of);
+        assert_eq!(schema["$ref"], definition);
         let pretty = serde_json::to_string_pretty(&schema).expect("JSON");
-        assert_eq!(text, pretty + "\n", "pretty, with a line's end");
+        assert_eq!(
+            text,
+            pretty + "\n",
+            "pretty-printed, with a trailing newline"
+        );
     }
 }
--- a/crates/cli/tests/process.rs
+++ b/crates/cli/tests/process.rs
@@ -7,7 +7,7 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-const PATIENCE: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 const SETTINGS: &str = r#"{"classes":[{"effect":"pure","name":"batch","on-time-us":600000,"deadline-us":6000000}],
 "discovery":"on_request","family-info":{"accepts-memory":1.5,"ack":"accepted","admit-cores":2.0,"class-calm":[1.0],
 "class-most":[2],"kind-cores":[32],"kind-memory":[64.0],"needs-kind":[-1],"priority-by-class":[0],
@@ -26,7 +26,7 @@
     /// of the process.
     fn start(limit: usize, feed: SocketAddr, nodes: usize, node: SocketAddr) -> Program {
         let dir = tempfile::tempdir().expect("a folder");
-        let path = dir.path().join("posting.json");
+        let path = dir.path().join("node.json");
         let members: Vec<String> = (1..=nodes)
             .map(|number| {
                 format!(
@@ -38,11 +38,11 @@
         let known = format!(
             r#"{{"n":1,"events":[{{"n":1,"members":{{"complete":true,"members":[{members}]}}}}]}}"#
         );
-        let posting = format!(
+        let config = format!(
             r#"{{"name":"n0","listen":"127.0.0.1:0","seed":"8c1f","limits":{{"sockets":{limit}}},"feed":"{feed}",
             "known":{known},"settings":{SETTINGS}}}"#
         );
-        std::fs::write(&path, posting).expect("written");
+        std::fs::write(&path, config).expect("written");
         let mut child = Command::new("sh")
             .arg("-c")
             .arg(format!(
@@ -75,14 +75,14 @@
 
     fn descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id()))
-            .expect("it runs")
+            .expect("the program runs")
             .count()
     }
 
-    fn connects(&self) -> TcpStream {
+    fn connect(&self) -> TcpStream {
         let stream = TcpStream::connect(self.address).expect("connected");
         stream
-            .set_read_timeout(Some(PATIENCE))
+            .set_read_timeout(Some(TIMEOUT))
             .expect("a socket option");
         stream
     }
@@ -95,18 +95,18 @@
     }
 }
 
-fn accepted(listener: &TcpListener) -> TcpStream {
+fn accept(listener: &TcpListener) -> TcpStream {
     listener.set_nonblocking(true).expect("a socket option");
-    let since = Instant::now();
+    let start = Instant::now();
     loop {
         if let Ok((stream, _)) = listener.accept() {
             stream.set_nonblocking(false).expect("a socket option");
             stream
-                .set_read_timeout(Some(PATIENCE))
+                .set_read_timeout(Some(TIMEOUT))
                 .expect("a socket option");
             return stream;
         }
-        assert!(since.elapsed() < PATIENCE, "nobody came");
+        assert!(start.elapsed() < TIMEOUT, "no connection arrived");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
@@ -116,37 +116,37 @@
 #[test]
 fn idle_clients_that_use_all_descriptors_do_not_lock_out_discovery_nodes_or_clients() {
     let listener = || TcpListener::bind("127.0.0.1:0").expect("a port of the system's choice");
-    let (node, down) = (listener(), listener());
-    let feed = down.local_addr().expect("bound");
-    drop(down);
+    let (node, discovery) = (listener(), listener());
+    let feed = discovery.local_addr().expect("bound");
+    drop(discovery);
     let program = Program::start(48, feed, 1, node.local_addr().expect("bound"));
-    let test =
+    let health_check =
         client::encode(MessageType::HealthCheck, 1, &[(client::CAUSE, &[0])]).expect("short");
-    let mut crowd = Vec::new();
+    let mut idle_clients = Vec::new();
     for _ in 0..60 {
-        let mut idle = program.connects();
-        idle.write_all(&test).expect("written");
+        let mut idle = program.connect();
+        idle.write_all(&health_check).expect("written");
         assert!(idle.read(&mut [0; 64]).expect("an answer") > 0);
         assert!(program.descriptors() <= 48);
-        crowd.push(idle);
+        idle_clients.push(idle);
     }
-    let mut owner = program.connects();
+    let mut client = program.connect();
     let parameters: [(u8, &[u8]); 4] = [
         (client::CLASS, b"batch"),
         (client::TIME_LEFT, b"6000"),
         (client::TASK_NAME, b"a"),
         (client::REQUIREMENTS, b"cores:1;memory:1;service:a"),
     ];
-    owner
+    client
         .write_all(&client::encode(MessageType::SetUp, 7, &parameters).expect("short"))
         .expect("written");
-    let mut link = accepted(&node);
-    assert!(link.read(&mut [0; 1_024]).expect("a set-up") > 0);
-    // Discovery is back, and the crowd still there.
-    let back = TcpListener::bind(feed).expect("its address is free");
-    let mut asks = accepted(&back);
+    let mut connection = accept(&node);
+    assert!(connection.read(&mut [0; 1_024]).expect("a set-up") > 0);
+    // Discovery is back while the idle clients are still connected.
+    let discovery = TcpListener::bind(feed).expect("its address is free");
+    let mut discovery_connection = accept(&discovery);
     let mut request = [0; 1_024];
-    let count = asks.read(&mut request).expect("a request");
+    let count = discovery_connection.read(&mut request).expect("a request");
     assert!(String::from_utf8_lossy(&request[..count]).starts_with("GET /v1/events"));
     assert!(program.descriptors() <= 48);
 }
@@ -156,30 +156,30 @@
 #[test]
 fn a_start_with_hundreds_of_nodes_is_ready_within_ten_seconds_and_stops_on_a_signal() {
     let listener = || TcpListener::bind("127.0.0.1:0").expect("a port of the system's choice");
-    let (node, down) = (listener(), listener());
-    let feed = down.local_addr().expect("bound");
-    drop(down);
-    let since = Instant::now();
+    let (node, discovery) = (listener(), listener());
+    let feed = discovery.local_addr().expect("bound");
+    drop(discovery);
+    let start = Instant::now();
     let mut program = Program::start(256, feed, 400, node.local_addr().expect("bound"));
-    let test =
+    let health_check =
         client::encode(MessageType::HealthCheck, 1, &[(client::CAUSE, &[0])]).expect("short");
-    let mut front = program.connects();
-    front.write_all(&test).expect("written");
-    assert!(front.read(&mut [0; 64]).expect("an answer") > 0);
+    let mut load_balancer = program.connect();
+    load_balancer.write_all(&health_check).expect("written");
+    assert!(load_balancer.read(&mut [0; 64]).expect("an answer") > 0);
     assert!(
-        since.elapsed() < Duration::from_secs(10),
+        start.elapsed() < Duration::from_secs(10),
         "{:?}",
-        since.elapsed()
+        start.elapsed()
     );
-    let told = Instant::now();
+    let signalled = Instant::now();
     let kill = Command::new("kill")
         .args(["-TERM", &program.child.id().to_string()])
         .status();
-    assert!(kill.expect("told").success());
+    assert!(kill.expect("kill started").success());
     assert!(program.child.wait().expect("it ends").success());
     assert!(
-        told.elapsed() < Duration::from_millis(3_700),
+        signalled.elapsed() < Duration::from_millis(3_700),
         "{:?}",
-        told.elapsed()
+        signalled.elapsed()
     );
 }
