--- a/crates/cli/src/config_versions.rs
+++ b/crates/cli/src/config_versions.rs
@@ -71,7 +71,7 @@
 
 fn print_status(status: &v1::VersionStatus) {
     let trial = if status.on_trial { ", on trial" } else { "" };
-    println!("in force: {}{trial}", describe(status.active.as_ref()));
+    println!("active: {}{trial}", describe(status.active.as_ref()));
     println!("last good: {}", describe(status.last_good.as_ref()));
     let service = match status.control_service.as_str() {
         "" => "none",
@@ -79,15 +79,15 @@
     };
     println!("control service: {service}");
     println!(
-        "applied {}, turned down {}, passed over {}",
+        "applied {}, rejected {}, superseded {}",
         status.applied, status.rejected, status.superseded
     );
     for version in &status.given_up {
-        println!("given up: {}", describe(Some(version)));
+        println!("rolled back: {}", describe(Some(version)));
     }
     if status.last_rejected.is_some() {
         let rejected = describe(status.last_rejected.as_ref());
-        println!("turned down last: {rejected}");
+        println!("last rejected: {rejected}");
         status
             .reasons
             .iter()
@@ -98,7 +98,7 @@
 async fn diff(connection: Connection, file: &Path) -> Result<(), Error> {
     let path = file.display().to_string();
     let next = SharedParts::parse(&path, &sexp::load(file)?)?;
-    let active = SharedParts::parse("in force", &status(connection).await?.text)?;
+    let active = SharedParts::parse("active version", &status(connection).await?.text)?;
     let (changes, removed) = active.changes_to(&next);
     let changed = changes.iter().map(|(name, _)| name);
     for name in removed.iter().map(String::as_str).chain(changed) {
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -25,7 +25,7 @@
     #[error(transparent)]
     Platform(#[from] corkspan_platform::ServeError),
     /// The environment variable that names the file for `platform` is not set.
-    #[error("NODE_CONFIG names no file")]
+    #[error("NODE_CONFIG is not set")]
     NoNodeConfig,
     /// The connection to a dispatcher could not be opened.
     #[error("{address}: {source}")]
@@ -45,7 +45,7 @@
     #[error("{0}")]
     Rejected(String),
     /// The placement was rejected; a retry is safe.
-    #[error("refused ({reason:?}): {message}; another try is harmless")]
+    #[error("rejected ({reason:?}): {message}; a retry is safe")]
     PlacementRejected {
         /// The reason as a code.
         reason: corkspan_api::v1::rejected::RejectionReason,
@@ -68,7 +68,7 @@
     #[error(transparent)]
     NotAdopted(#[from] corkspan_version_fencing::RaiseError),
     /// The audit has findings.
-    #[error("{0} things are wrong")]
+    #[error("{0} findings")]
     Findings(usize),
 }
 
--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -141,7 +141,7 @@
     match response.current {
         Some(minimum) if response.accepted => {
             println!(
-                "floor {} by wish {}: no version below it may act",
+                "minimum version {}, revision {}: no version below it may act",
                 minimum.version, minimum.revision
             );
             Ok(())
--- a/crates/cli/src/fleet/report.rs
+++ b/crates/cli/src/fleet/report.rs
@@ -38,7 +38,7 @@
     fn print_dispatchers(&self) {
         println!(
             "{:<22} {:>6} {:>8} {:<9} {:>6} state",
-            "dispatcher", "number", "version", "digest", "floor"
+            "dispatcher", "number", "version", "digest", "min"
         );
         for (address, status) in self.dispatchers.iter().zip(self.statuses) {
             let address = address.to_string();
@@ -72,7 +72,7 @@
                 let (version, origin) = (number(interval), origin(interval));
                 let from = seconds_ago(interval.from_ms);
                 println!(
-                    "{address}: version {version} ({origin}) from {from:.1} s ago to {to}, life {:x}",
+                    "{address}: version {version} ({origin}) from {from:.1} s ago to {to}, incarnation {:x}",
                     interval.incarnation
                 );
             }
@@ -82,7 +82,7 @@
     fn print_operations(&self) {
         println!(
             "{:>22} {:>8} {:>10} {:>10} {:>11}",
-            "acts of dispatcher", "version", "shots", "others", "turned away"
+            "dispatcher operations", "version", "attempts", "others", "rejected"
         );
         for (key, totals) in operation_totals(self.observations) {
             let DispatcherVersion {
--- a/crates/cli/src/lib.rs
+++ b/crates/cli/src/lib.rs
@@ -126,7 +126,7 @@
         Command::Platform { level } => serve::platform(level),
         Command::Check { file } => {
             Deployment::load(&file)?;
-            println!("{}: sound", file.display());
+            println!("{}: valid", file.display());
             Ok(())
         }
         Command::Place(place) => with_connection(place.dispatcher, |connection| {
--- a/crates/cli/src/maintenance.rs
+++ b/crates/cli/src/maintenance.rs
@@ -127,28 +127,28 @@
 
 fn print(response: &v1::MaintenanceResponse) {
     let Some(plan) = &response.current else {
-        return println!("no work on machines is wished for");
+        return println!("no maintenance is planned");
     };
     let run_state = match plan.run_state() {
-        v1::maintenance_plan::RunState::Running => "going",
+        v1::maintenance_plan::RunState::Running => "running",
         v1::maintenance_plan::RunState::Paused => "paused",
         v1::maintenance_plan::RunState::Aborted => "aborted",
     };
     let (all, completed) = (plan.machines.len(), response.completed.len());
     println!(
-        "wish {}: {run_state}, {completed} of {all} machines worked on, {} skipped",
+        "plan {}: {run_state}, {completed} of {all} machines completed, {} skipped",
         plan.revision,
         response.skipped.len()
     );
     for lease in &response.leases {
         let node = lease.machine.as_ref().map_or(0, |machine| machine.node);
         let state = match lease.phase() {
-            _ if response.in_maintenance.contains(&node) => "in work",
-            v1::maintenance_step::Step::Granted => "to be closed",
-            v1::maintenance_step::Step::Cordoned => "being emptied",
-            v1::maintenance_step::Step::Drained => "handed over, and does not answer",
-            v1::maintenance_step::Step::Completed => "done, warming",
-            v1::maintenance_step::Step::Cancelled => "to be opened unworked",
+            _ if response.in_maintenance.contains(&node) => "in maintenance",
+            v1::maintenance_step::Step::Granted => "to be cordoned",
+            v1::maintenance_step::Step::Cordoned => "draining",
+            v1::maintenance_step::Step::Drained => "handed over to maintenance, does not answer",
+            v1::maintenance_step::Step::Completed => "completed, warming up",
+            v1::maintenance_step::Step::Cancelled => "cancelled, to be uncordoned",
             _ => "out",
         };
         println!("machine {node}: {state}");
--- a/crates/cli/src/place.rs
+++ b/crates/cli/src/place.rs
@@ -92,7 +92,10 @@
 fn print(event: Event) -> Result<(), Error> {
     match event {
         Event::Placed(placed) => {
-            println!("placed on node {} by shot {}", placed.node, placed.attempts);
+            println!(
+                "placed on node {} by attempt {}",
+                placed.node, placed.attempts
+            );
         }
         Event::Rejected(rejected) => {
             return Err(Error::PlacementRejected {
@@ -101,7 +104,7 @@
             });
         }
         Event::Failed(failed) => return Err(Error::PlacementFailed(failed.message)),
-        Event::Running(_) => println!("runs"),
+        Event::Running(_) => println!("running"),
         Event::ServiceLevel(level) => println!("served at {:.0}%", level.fraction * 100.0),
         Event::Replaced(replaced) => {
             let (version, node) = (replaced.version, replaced.node);
--- a/crates/cli/src/rollout.rs
+++ b/crates/cli/src/rollout.rs
@@ -138,14 +138,14 @@
 fn print_status(status: &v1::RolloutStatus) {
     match &status.rollout {
         Some(rollout) => println!("{}", describe(rollout)),
-        None => println!("no roll is known here"),
+        None => println!("the dispatcher knows no rollout of this service"),
     }
     println!(
-        "copies here {}, of the version wanted {}, not ready {}",
+        "replicas here {}, updated {}, unavailable {}",
         status.replicas, status.updated, status.unavailable
     );
     println!(
-        "keepers heard {} of {}",
+        "quorum members heard {} of {}",
         status.quorum_members_heard, status.quorum_members
     );
     for slot in &status.held_slots {
@@ -167,7 +167,7 @@
         version => version,
     };
     format!(
-        "roll {} of {} to {} (before: {previous}), at most {} not ready: {phase}",
+        "rollout {} of {} to {} (previous version: {previous}), at most {} unavailable: {phase}",
         rollout.revision, rollout.service, rollout.version, rollout.max_unavailable
     )
 }
--- a/crates/cli/src/status.rs
+++ b/crates/cli/src/status.rs
@@ -10,19 +10,19 @@
     let mut client = PlacementClient::new(connection);
     let status = answer_within(ANSWER_TIMEOUT, client.status(v1::StatusRequest {})).await?;
     let rows = [
-        ("in hand", status.in_flight),
-        ("not yet placed", status.deferred),
-        ("shots out", status.attempts_in_flight),
+        ("in flight", status.in_flight),
+        ("deferred", status.deferred),
+        ("attempts in flight", status.attempts_in_flight),
         ("running", status.running),
-        ("asked", status.requested),
+        ("requested", status.requested),
         ("placed", status.placed),
-        ("refused", status.rejected),
+        ("rejected", status.rejected),
         ("failed", status.failed),
         ("cancelled", status.cancelled),
-        ("links to nodes", status.connections),
+        ("node connections", status.connections),
         ("machines serving", status.machines_serving),
         ("machines known", status.machines_known),
-        ("decided, us", status.decision_time_us),
+        ("decision time, us", status.decision_time_us),
     ];
     println!(
         "dispatcher {} of {}{}",
--- a/crates/config/src/deployment.rs
+++ b/crates/config/src/deployment.rs
@@ -139,9 +139,9 @@
             let zone = &self.zones[self.cluster.zone.0];
             let position = shared.zones.iter().position(|known| known == zone);
             let missing = || {
-                parts.required("halls").map(|form| {
-                    form.diagnostic(format!("lacks `{zone}`, the zone of this dispatcher"))
-                })
+                parts
+                    .required("halls")
+                    .map(|form| form.diagnostic(format!("lacks this dispatcher's `{zone}`")))
             };
             let zone = match position {
                 Some(position) => ZoneId(position),
--- a/crates/config/tests/diagnostics.rs
+++ b/crates/config/tests/diagnostics.rs
@@ -160,7 +160,7 @@
 }
 
 #[test_case("(allow \"10.0.0.0/40\")", "neither an address nor a network"; "an invalid network")]
-#[test_case("(halls b)", "lacks `a`, the zone of this dispatcher"; "the zone of the dispatcher removed")]
+#[test_case("(halls b)", "lacks this dispatcher's `a`"; "the zone of the dispatcher removed")]
 #[test_case("(tracks)", "tracks"; "no service classes")]
 fn an_invalid_version_is_reported_with_its_reason(changes: &str, reason: &str) {
     let file = Deployment::parse("d.sexp", VALID).expect("valid");
--- a/crates/testbed/tests/full_path/fleet.rs
+++ b/crates/testbed/tests/full_path/fleet.rs
@@ -258,7 +258,7 @@
         );
         let table = text
             .lines()
-            .skip_while(|line| !line.contains("acts of dispatcher"))
+            .skip_while(|line| !line.contains("dispatcher operations"))
             .skip(1);
         let rows: BTreeMap<(u32, u64), u64> = table
             .map_while(|line| {
@@ -678,7 +678,7 @@
                 .map(|floor| (floor.revision, floor.version));
             let told = |taken: &Output| String::from_utf8_lossy(&taken.stdout).into_owned();
             let (number, lowest) = stands.expect("one stands");
-            let last = format!("floor {lowest} by wish {number}");
+            let last = format!("minimum version {lowest}, revision {number}");
             let says = [&raise, &lower].map(|asked| told(asked).contains(&last));
             // Nobody is told that what stands is another's; of the two at most one is told that it
             // is his.
--- a/crates/testbed/tests/full_path/maintenance.rs
+++ b/crates/testbed/tests/full_path/maintenance.rs
@@ -62,9 +62,10 @@
     async fn works(&self, number: usize) -> String {
         let text = String::from_utf8_lossy(&self.operator(number, "status", &[]).await.stdout)
             .into_owned();
-        let mine = text
-            .lines()
-            .filter_map(|line| line.strip_prefix("machine ")?.strip_suffix(": in work"));
+        let mine = text.lines().filter_map(|line| {
+            line.strip_prefix("machine ")?
+                .strip_suffix(": in maintenance")
+        });
         for machine in mine {
             let index: usize = machine.parse().expect("a number");
             let node = &self.harness.nodes[index];
@@ -227,7 +228,7 @@
                 let asked = stage.ask(3, &format!("late-{round}")).await;
                 drop(asked);
                 Timer::after(Duration::from_millis(50)).await;
-                told.contains("6 of 6 machines worked on") && !told.contains("machine ")
+                told.contains("6 of 6 machines completed") && !told.contains("machine ")
             };
             let began = std::time::Instant::now();
             while !finished(&mut stage, &mut round).await {
