--- a/crates/capacity-model/src/catalog.rs
+++ b/crates/capacity-model/src/catalog.rs
@@ -1,5 +1,5 @@
-//! What is computed for each role: from which measured series, at which place on its axis, times
-//! what, against which limit. The texts stand on docs/CAPACITY.md as they are here.
+//! Defines the figures of each role: the measured series, the position on its axis, the factor and
+//! the limit. The texts appear on docs/CAPACITY.md exactly as written here.
 
 use crate::figures::{FigureDefinition, Limit, Role};
 use crate::result::Axis::{Dispatchers, Machines, Tasks, Versions, Waiting};
@@ -15,7 +15,7 @@
 const MIB: &str = "MiB";
 const SECONDS: &str = "s";
 
-// Places on an axis, and multiples of a value.
+// Positions on an axis, and factors of a value.
 
 fn once(_: &FleetSize) -> f64 {
     1.0
@@ -65,7 +65,7 @@
     1.0 / QUORUM_MEMBERS
 }
 
-/// A figure of the series `control` by machines, without a limit, until more is said.
+/// Creates a figure with defaults: the series `control` by machines, without a limit.
 fn figure(role: Role, what: &'static str, unit: &'static str) -> FigureDefinition {
     FigureDefinition {
         role,
@@ -108,7 +108,7 @@
     }
 }
 
-/// All figures, by role.
+/// Returns the definitions of all figures, by role.
 pub fn definitions() -> Vec<FigureDefinition> {
     [
         dispatcher_at_rest(),
@@ -124,7 +124,7 @@
     .collect()
 }
 
-/// A dispatcher that has no requests.
+/// Defines the figures of a dispatcher that has no requests.
 fn dispatcher_at_rest() -> Vec<FigureDefinition> {
     vec![
         figure(
@@ -160,7 +160,7 @@
     ]
 }
 
-/// A dispatcher with its share of the running tasks.
+/// Defines the figures of a dispatcher with its share of the running tasks.
 fn dispatcher_running() -> Vec<FigureDefinition> {
     vec![
         figure(Dispatcher, "memory, its part of the tasks running", MIB)
@@ -180,7 +180,7 @@
     ]
 }
 
-/// The processor time of a dispatcher at which allocations wait.
+/// Defines the processor time of a dispatcher at which allocations wait.
 fn dispatcher_processor_waiting() -> Vec<FigureDefinition> {
     vec![
         figure(
@@ -220,7 +220,7 @@
     ]
 }
 
-/// Traffic and memory of a dispatcher at which allocations wait.
+/// Defines the traffic and memory of a dispatcher at which allocations wait.
 fn dispatcher_waiting() -> Vec<FigureDefinition> {
     vec![
         figure(
@@ -244,7 +244,7 @@
     ]
 }
 
-/// A dispatcher with its share of the starts at the peak.
+/// Defines the figures of a dispatcher with its share of the starts at the peak.
 fn dispatcher_starts() -> Vec<FigureDefinition> {
     vec![
         figure(
@@ -266,7 +266,7 @@
     ]
 }
 
-/// A dispatcher that versions are streamed to.
+/// Defines the figures of a dispatcher to which versions are streamed.
 fn dispatcher_versions() -> Vec<FigureDefinition> {
     vec![
         figure(Dispatcher, "versions, link to the control service", BYTES)
@@ -287,7 +287,7 @@
     ]
 }
 
-/// All roles but the dispatcher.
+/// Defines the figures of all roles other than the dispatcher.
 fn other_roles() -> Vec<FigureDefinition> {
     vec![
         figure(NodeAgent, "its part of the starts at the peak", BYTES)
@@ -333,15 +333,15 @@
     ]
 }
 
-/// Something that the size asks for and nothing carries yet.
+/// A requirement of the size that no mechanism supports yet.
 pub struct MissingMechanism {
-    /// What the size asks for.
+    /// The requirement.
     pub need: &'static str,
-    /// What there is instead.
+    /// The present state of support.
     pub state: &'static str,
 }
 
-/// What the size asks for and nothing carries yet, with the reason.
+/// The requirements of the size that no mechanism supports yet, with the reasons.
 pub const MISSING_MECHANISMS: [MissingMechanism; 10] = [
     MissingMechanism {
         need: "gangs of up to 128",
--- a/crates/capacity-model/src/figures.rs
+++ b/crates/capacity-model/src/figures.rs
@@ -1,10 +1,10 @@
-//! The cost of each role at a size: a measured line's value there, against its limit.
+//! Evaluates the cost of each role at a size from fitted lines, and compares it with its limit.
 
 use crate::catalog::definitions;
 use crate::fit::{Estimate, EstimateSource, LinearFit};
 use crate::result::{Axis, CapacityResult, FleetSize, Run};
 
-/// Parts of a fleet.
+/// A part of a fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Role {
     /// Places tasks.
@@ -17,12 +17,12 @@
     ControlService,
     /// A member of the quorum.
     Keeper,
-    /// Asks for tasks.
+    /// Requests tasks.
     OwnersClient,
 }
 
 impl Role {
-    /// All roles, in the order of the page.
+    /// All roles, in the order of the capacity page.
     pub const ALL: [Role; 6] = [
         Role::Dispatcher,
         Role::NodeAgent,
@@ -32,7 +32,7 @@
         Role::OwnersClient,
     ];
 
-    /// The name on the page.
+    /// Returns the name on the page.
     pub fn name(self) -> &'static str {
         match self {
             Role::Dispatcher => "dispatcher",
@@ -45,18 +45,18 @@
     }
 }
 
-/// Which limit of the size a figure is compared with.
+/// The limit of the size that a figure is compared with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Limit {
     /// Processor time, in percent of a core.
     Core,
     /// Memory, in MiB.
     Memory,
-    /// Traffic, in bytes a second.
+    /// Traffic, in bytes per second.
     Bytes,
-    /// Time until a version is in force everywhere, in seconds.
+    /// Time until a version is active everywhere, in seconds.
     InForce,
-    /// The size has none.
+    /// No limit.
     None,
 }
 
@@ -72,58 +72,58 @@
     }
 }
 
-/// One figure of a role.
+/// The definition of one figure of a role.
 pub struct FigureDefinition {
-    /// Whose cost it is.
+    /// The role whose cost it is.
     pub role: Role,
-    /// What it is, as on the page.
+    /// The description of the figure, as on the page.
     pub what: &'static str,
-    /// Its unit.
+    /// The unit of the figure.
     pub unit: &'static str,
-    /// Axis of the run that it is computed from.
+    /// The axis of the run that it is computed from.
     pub axis: Axis,
-    /// Series of that run.
+    /// The series of that run.
     pub series: &'static str,
-    /// Name of the measured figure in that run.
+    /// The name of the measured figure in that run.
     pub figure: &'static str,
-    /// The place on the axis.
+    /// Returns the position on the axis.
     pub at: fn(&FleetSize) -> f64,
-    /// What the line's value there is multiplied by.
+    /// Returns the factor by which the line's value at that position is multiplied.
     pub times: fn(&FleetSize) -> f64,
-    /// What it is compared with.
+    /// The limit that the figure is compared with.
     pub limit: Limit,
-    /// The mechanism that carries it, or `missing`.
+    /// The mechanism that causes the cost, or `missing`.
     pub mechanism: &'static str,
 }
 
-/// What a figure comes to.
+/// The result of evaluating a figure.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Outcome {
     /// A value at the size.
     Estimated {
         /// The value with its error.
         value: Estimate,
-        /// The line behind it.
+        /// The line from which the value is computed.
         fit: LinearFit,
     },
-    /// There is no value, for this reason.
+    /// No value, for the reason given.
     Unavailable(String),
 }
 
-/// A figure at the size.
+/// A figure evaluated at the size.
 pub struct EvaluatedFigure {
-    /// What was computed.
+    /// The definition of the figure.
     pub definition: FigureDefinition,
-    /// What it comes to.
+    /// The value, or the reason why there is none.
     pub outcome: Outcome,
-    /// None where the size has no limit for it.
+    /// The limit, or `None` if the size has no limit for this figure.
     pub limit: Option<f64>,
-    /// The run that it was computed from, by its position on the page, from 1.
+    /// The position on the page, from 1, of the run that it was computed from.
     pub run: Option<usize>,
 }
 
 impl EvaluatedFigure {
-    /// The value as a multiple of its limit: above 1 the limit is exceeded.
+    /// Returns the value as a multiple of its limit; above 1 the limit is exceeded.
     pub fn factor(&self) -> Option<f64> {
         match &self.outcome {
             Outcome::Estimated { value, .. } => Some(value.value / self.limit?),
@@ -131,7 +131,7 @@
         }
     }
 
-    /// How the value was obtained, as on the page.
+    /// Returns how the value was obtained, as on the page.
     pub fn source_name(&self) -> &'static str {
         let Outcome::Estimated { value, .. } = &self.outcome else {
             return "not told";
@@ -144,7 +144,7 @@
     }
 }
 
-/// All figures at a result's size.
+/// Evaluates all figures at a result's size.
 pub fn evaluate(result: &CapacityResult) -> Vec<EvaluatedFigure> {
     definitions()
         .into_iter()
@@ -205,7 +205,7 @@
     }
 }
 
-/// Figures with a limit: the one that exceeds it the most first, those without a value last.
+/// Returns the figures with a limit, sorted by decreasing factor; those without a value are last.
 pub fn by_factor(mut figures: Vec<EvaluatedFigure>) -> Vec<EvaluatedFigure> {
     figures.retain(|figure| figure.limit.is_some());
     figures.sort_by(|one, other| {
--- a/crates/capacity-model/src/fit.rs
+++ b/crates/capacity-model/src/fit.rs
@@ -1,35 +1,35 @@
-//! Straight lines by least squares, the test whether points lie on one, and estimates with errors.
+//! Fits lines by least squares, tests points for linearity, and computes estimates with errors.
 
 use nalgebra::{DMatrix, DVector};
 use statrs::distribution::{ContinuousCDF, FisherSnedecor, StudentsT};
 use std::ops::RangeInclusive;
 
-/// A line is extrapolated to at most this multiple of the largest place measured.
+/// The multiple of the largest measured position up to which a line is extrapolated.
 pub const MAX_EXTRAPOLATION: f64 = 2.0;
-/// Points are not straight if noise alone would lead to so large a lack of fit with a lower
-/// probability than this.
+/// The significance level of the test for lack of fit. Points are not linear if the probability
+/// that noise alone causes such a lack of fit is lower.
 const SIGNIFICANCE: f64 = 0.01;
-/// A deviation below this part of the span of the means is ignored.
+/// The part of the span of the means below which a deviation is ignored.
 const NEGLIGIBLE_OF_SPAN: f64 = 0.05;
-/// A deviation below this part of the mean of the means is ignored.
+/// The part of the mean of the means below which a deviation is ignored.
 const NEGLIGIBLE_OF_MEAN: f64 = 0.05;
-/// Two-sided confidence level of all errors.
+/// The two-sided confidence level of all errors.
 const CONFIDENCE: f64 = 0.95;
-/// Places that a line needs at least.
+/// The minimum number of positions for a line.
 const MIN_PLACES: usize = 3;
-/// Singular values below this are taken as zero.
+/// The bound below which singular values are treated as zero.
 const SINGULAR_EPSILON: f64 = 1e-12;
 
 /// One measured value.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Measurement {
-    /// The place on the axis, such as the number of machines.
+    /// The position on the axis, such as the number of machines.
     pub at: f64,
-    /// What was measured there.
+    /// The measured value.
     pub value: f64,
 }
 
-/// A place with all that was measured there.
+/// A position with a summary of all values measured there.
 #[derive(Clone, Debug, PartialEq)]
 struct Place {
     at: f64,
@@ -43,34 +43,34 @@
 pub struct LinearFit {
     /// The value at 0.
     pub intercept: f64,
-    /// The change of the value with each unit of the axis.
+    /// The change of the value per unit of the axis.
     pub slope: f64,
-    /// Error of the slope, at 95%.
+    /// The error of the slope at 95% confidence.
     pub slope_error: f64,
-    /// Standard error of the residuals.
+    /// The standard error of the residuals.
     pub residual: f64,
-    /// The largest distance of a place's mean from the line.
+    /// The largest distance of a position's mean from the line.
     pub max_deviation: f64,
     /// Whether the measurements lie on the line, up to noise.
     pub is_straight: bool,
-    /// The places measured.
+    /// The range of measured positions.
     pub range: RangeInclusive<f64>,
-    /// Number of measurements.
+    /// The number of measurements.
     pub points: usize,
-    /// Mean of the places of all measurements.
+    /// The mean of the positions of all measurements.
     centre: f64,
-    /// Sum of squares of their distances from the centre.
+    /// The sum of squares of their distances from the centre.
     spread: f64,
-    /// Quantile of Student's distribution.
+    /// The quantile of Student's t-distribution.
     student: f64,
     /// In order.
     places: Vec<Place>,
 }
 
-/// Why no line is fitted.
+/// The reason why no line can be fitted.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum FitError {
-    /// Fewer than three different places were measured.
+    /// Fewer than three different positions were measured.
     #[error("a line needs three places, and {0} were measured")]
     TooFewPlaces(usize),
     /// A measurement is infinite or not a number.
@@ -81,33 +81,33 @@
 /// How an estimate was obtained.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EstimateSource {
-    /// By the line, within the range measured.
+    /// From the line, within the measured range.
     Line,
-    /// By the line, beyond the range measured.
+    /// From the line, beyond the measured range.
     Extrapolated,
-    /// The measurements are not straight: between the two nearest places.
+    /// Between the two nearest positions, because the measurements are not linear.
     Interpolated,
 }
 
-/// The value to be expected at a place.
+/// The expected value at a position.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Estimate {
     /// The value.
     pub value: f64,
-    /// Its error at 95%; where it is interpolated, the largest distance of a measurement from its
-    /// place's mean.
+    /// Its error at 95% confidence; for an interpolated value, the largest distance of a
+    /// measurement from its position's mean.
     pub error: f64,
-    /// How it was obtained.
+    /// How the value was obtained.
     pub source: EstimateSource,
 }
 
-/// Why there is no estimate at a place.
+/// The reason why there is no estimate at a position.
 #[derive(Clone, Copy, Debug, PartialEq, thiserror::Error)]
 pub enum EstimateError {
-    /// The measurements are not straight, and the place is out of their range.
+    /// The measurements are not linear, and the position is outside their range.
     #[error("not straight: not extrapolated")]
     NotStraight,
-    /// The place is too far beyond the largest one measured, which is given.
+    /// The position is too far beyond the largest measured one, which is given.
     #[error("measured to {0} only: not extrapolated")]
     TooFar(f64),
 }
@@ -117,7 +117,7 @@
     /// The value at the centre.
     middle: f64,
     slope: f64,
-    /// Sum of squares of the residuals.
+    /// The sum of squares of the residuals.
     squares: f64,
 }
 
@@ -126,7 +126,7 @@
     ///
     /// # Errors
     ///
-    /// [`FitError`] where a measurement is not finite, or there are fewer than three places.
+    /// Returns [`FitError`] if a measurement is not finite or there are fewer than three positions.
     pub fn through(points: &[Measurement]) -> Result<LinearFit, FitError> {
         let is_finite = |point: &Measurement| point.at.is_finite() && point.value.is_finite();
         if !points.iter().all(is_finite) {
@@ -170,11 +170,11 @@
         })
     }
 
-    /// The value to be expected at a place.
+    /// Returns the expected value at a position.
     ///
     /// # Errors
     ///
-    /// [`EstimateError`] where the line can't be followed so far.
+    /// Returns [`EstimateError`] if the line can't be extrapolated to the position.
     pub fn estimate(&self, at: f64) -> Result<Estimate, EstimateError> {
         let within = self.range.contains(&at);
         if !self.is_straight {
@@ -202,7 +202,7 @@
         })
     }
 
-    /// Between the means of the two nearest places.
+    /// Interpolates between the means of the two nearest positions.
     fn interpolate(&self, at: f64) -> Estimate {
         let above = self
             .places
@@ -223,8 +223,8 @@
     }
 }
 
-/// Least squares about the centre, so that the two columns are independent and large places lose no
-/// digits.
+/// Solves the least-squares problem about the centre, so that the two columns are independent and
+/// large positions lose no digits.
 fn solve(points: &[Measurement], centre: f64) -> Result<Solution, FitError> {
     let design = DMatrix::from_fn(points.len(), 2, |row, column| {
         if column == 0 {
@@ -249,7 +249,7 @@
     })
 }
 
-/// Each place once, in order.
+/// Groups measurements by position, in ascending order.
 fn places(points: &[Measurement]) -> Vec<Place> {
     let mut sorted = points.to_vec();
     sorted.sort_by(|one, other| one.at.total_cmp(&other.at));
@@ -270,9 +270,10 @@
         .collect()
 }
 
-/// The F-test for lack of fit: the distances of the places' means from the line against the
-/// differences between rounds at one place. A deviation too small to plan by is ignored however
-/// certain it is, and so is one that may be due to the noise of the rounds.
+/// Returns whether the points are linear, by an F-test for lack of fit: it compares the distances
+/// of the means from the line with the differences between rounds at one position. A deviation too
+/// small to matter for planning is ignored even if it is significant, and so is one that may be due
+/// to the noise of the rounds.
 fn is_straight(points: &[Measurement], places: &[Place], squares: f64, max_deviation: f64) -> bool {
     let means = || places.iter().map(|place| place.mean);
     let span = means().fold(f64::MIN, f64::max) - means().fold(f64::MAX, f64::min);
@@ -292,7 +293,7 @@
         .sum();
     let lack_of_fit_freedom = places.len() as f64 - 2.0;
     let pure_error_freedom = (points.len() - places.len()) as f64;
-    // One round, or rounds that agree in every digit: only the deviation can tell.
+    // With one round, or rounds that agree in every digit, only the deviation decides.
     if pure_error_freedom < 1.0 || pure_error <= 0.0 {
         return false;
     }
--- a/crates/capacity-model/src/lib.rs
+++ b/crates/capacity-model/src/lib.rs
@@ -1,14 +1,14 @@
-//! From measurements to a fleet size: valid points of stored runs, straight lines through them and
-//! the test whether they are straight, the cost of each role at the size against its limit, and the
-//! tables of docs/CAPACITY.md. It reads and writes no file.
+//! Computes the cost of a fleet at a planned size from measurements: fits lines through the valid
+//! points of stored runs, tests them for linearity, compares the cost of each role with its limit,
+//! and prints the tables of docs/CAPACITY.md. This crate reads and writes no file.
 //!
-//! | module | its job |
+//! | module | purpose |
 //! | --- | --- |
 //! | [`size`], [`result`] | the stored size and runs |
-//! | [`fit`] | lines, and estimates with errors |
-//! | [`figures`], [`catalog`] | the cost of each role at the size, and what is computed |
-//! | [`page`] | the tables, and a page compared with them |
-//! | [`requirements`] | what a measurement requires of its machine |
+//! | [`fit`] | linear fits, and estimates with errors |
+//! | [`figures`], [`catalog`] | the cost of each role at the size, and the list of figures |
+//! | [`page`] | the tables, and the comparison of a page with them |
+//! | [`requirements`] | the resources that a measurement requires of its machine |
 
 #![warn(missing_docs, clippy::too_many_lines)]
 
--- a/crates/capacity-model/src/page.rs
+++ b/crates/capacity-model/src/page.rs
@@ -1,4 +1,4 @@
-//! The tables of docs/CAPACITY.md, printed from a stored result, and a page compared with them.
+//! Prints the tables of docs/CAPACITY.md from a stored result, and compares a page with them.
 
 use crate::catalog::MISSING_MECHANISMS;
 use crate::figures::{self, EvaluatedFigure, Outcome, Role};
@@ -6,15 +6,15 @@
 use crate::result::{Axis, CapacityResult, Run};
 use std::fmt::Write;
 
-/// A table of the page. It stands there between `<!-- NAME -->` and `<!-- end -->`.
+/// A table of the page, which is between `<!-- NAME -->` and `<!-- end -->` there.
 pub struct Table {
-    /// Its name on the page.
+    /// The name on the page.
     pub name: &'static str,
     /// The table as Markdown.
     pub markdown: String,
 }
 
-/// All tables, in the order of the page.
+/// Returns all tables, in the order of the page.
 pub fn tables(result: &CapacityResult) -> Vec<Table> {
     [
         ("by factor", by_factor(result)),
@@ -27,7 +27,7 @@
     .into()
 }
 
-/// Decimals of a number with three significant digits, from 0.01 on at least three of them.
+/// Returns the number of decimals for three significant digits; below 1 it is from 3 to 8.
 fn decimals(size: f64) -> usize {
     match size {
         _ if size >= 100.0 || size == 0.0 => 0,
@@ -37,7 +37,7 @@
     }
 }
 
-/// A number with three significant digits and separated thousands.
+/// Formats a number with three significant digits and thousands separators.
 pub fn format_number(value: f64) -> String {
     let decimals = decimals(value.abs());
     let text = format!("{value:.decimals$}");
@@ -63,10 +63,10 @@
     out
 }
 
-/// The first lines of a table.
+/// Formats the header lines of a table.
 fn header(columns: &[&str]) -> String {
     let rule = vec!["---"; columns.len()];
-    // The column of positions has no name, and one space less.
+    // The column of positions has no name, and one space less than the others.
     let names = columns.join(" | ");
     format!("| {} |\n| {} |\n", names.trim_start(), rule.join(" | "))
 }
@@ -178,7 +178,7 @@
     }
 }
 
-/// What is left of a limit, or how far it is exceeded.
+/// Formats the capacity that is left below a limit, or how far the limit is exceeded.
 fn capacity_left(limit: f64, value: &Estimate, unit: &str) -> String {
     if limit > value.value {
         format!("{} {unit}", format_number(limit - value.value))
@@ -188,8 +188,8 @@
     }
 }
 
-/// What control costs one dispatcher at the size, by kind of connection: as the proxies saw it, and
-/// as the dispatcher counted itself.
+/// Formats the control traffic of one dispatcher at the size, by kind of connection, as measured by
+/// the proxies and as counted by the dispatcher.
 fn links(result: &CapacityResult) -> String {
     let mut out = header(&[
         "link to",
@@ -276,23 +276,23 @@
     cells.join(" | ")
 }
 
-/// A page does not match its result.
+/// The error for a page that does not match its result.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("line {line}: {reason}")]
 pub struct PageError {
-    /// Line of the page, from 1.
+    /// The line of the page, from 1.
     pub line: usize,
-    /// What is wrong there.
+    /// The description of the error.
     pub reason: String,
 }
 
 const END: &str = "<!-- end -->";
 
-/// The page with its tables as the result has them.
+/// Returns the page with its tables filled from the result.
 ///
 /// # Errors
 ///
-/// [`PageError`] where a table is missing, stands twice or has no end.
+/// Returns [`PageError`] if a table is missing, occurs twice or has no end.
 pub fn fill(page: &str, result: &CapacityResult) -> Result<String, PageError> {
     let tables = tables(result);
     let mut is_filled = vec![false; tables.len()];
@@ -332,11 +332,11 @@
     }
 }
 
-/// Checks that a page is as the result has it.
+/// Checks that a page matches the result.
 ///
 /// # Errors
 ///
-/// [`PageError`] with the first line that differs, or as [`fill`].
+/// Returns [`PageError`] with the first line that differs, or an error of [`fill`].
 pub fn check(page: &str, result: &CapacityResult) -> Result<(), PageError> {
     let filled = fill(page, result)?;
     let (mut actual, mut expected) = (page.lines(), filled.lines());
--- a/crates/capacity-model/src/requirements.rs
+++ b/crates/capacity-model/src/requirements.rs
@@ -1,36 +1,37 @@
-//! What a measurement requires of the machine that it runs on, and what is short there.
+//! Computes the resources that a measurement requires of its machine, and those that are short.
 
 use std::fmt;
 
-/// What is required of a machine, or what is available there.
+/// The resources that are required of a machine, or available there.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct MachineResources {
-    /// Memory, in MiB.
+    /// The memory, in MiB.
     pub memory_mib: u64,
-    /// Processes.
+    /// The number of processes.
     pub processes: u64,
-    /// File descriptors of one process.
+    /// The number of file descriptors of one process.
     pub descriptors: u64,
 }
 
-/// Memory of one real dispatcher that knows 1,300 machines.
+/// The memory of one real dispatcher that knows 1,300 machines, in MiB.
 const MIB_PER_DISPATCHER: u64 = 24;
-/// Memory of the stand-ins for 1,000 machines over the length of a measurement.
+/// The memory of the stand-ins for 1,000 machines over the length of a measurement, in MiB.
 const MIB_PER_1000_MACHINES: u64 = 120;
-/// Memory of 1,000 tasks in flight, at both ends.
+/// The memory of 1,000 tasks in flight, at both ends, in MiB.
 const MIB_PER_1000_TASKS: u64 = 40;
-/// A proxy has two ends for each connection of a dispatcher: to roster, control service, quorum and
-/// nodes.
+/// The descriptors for one dispatcher. A proxy has two ends for each connection of a dispatcher: to
+/// roster, control service, quorum and nodes.
 const DESCRIPTORS_PER_DISPATCHER: u64 = 32;
 const DESCRIPTORS_PER_MACHINE: u64 = 4;
-/// Descriptors of the process itself.
+/// The descriptors of the process itself.
 const OWN_DESCRIPTORS: u64 = 200;
-/// A measurement takes at most this part of a machine's memory: one half.
+/// The divisor of a machine's memory: a measurement uses at most one half of it.
 const MEMORY_DIVISOR: u64 = 2;
-/// Processes that a measurement starts at most.
+/// The maximum number of processes that a measurement starts.
 pub const MAX_PROCESSES: u64 = 400;
 
-/// What a measurement requires with so many dispatchers, machines known and tasks in flight.
+/// Returns the resources that a measurement requires for these numbers of dispatchers, known
+/// machines and tasks in flight.
 pub fn required_for(dispatchers: u64, machines: u64, tasks: u64) -> MachineResources {
     let per_thousand = |count: u64, mib: u64| (count / 1_000 + 1).saturating_mul(mib);
     let memory_mib = dispatchers
@@ -51,11 +52,11 @@
 /// One resource that is short.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Shortage {
-    /// What is short, with its unit.
+    /// The resource that is short, with its unit.
     pub resource: &'static str,
-    /// How much is required.
+    /// The required amount.
     pub required: u64,
-    /// How much of it a measurement may use here.
+    /// The amount that a measurement may use on this machine.
     pub usable: u64,
 }
 
@@ -73,11 +74,11 @@
     }
 }
 
-/// A machine can't carry a measurement.
+/// The error for a machine that has too few resources for a measurement.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("asks for too much: {}", joined(.0))]
 pub struct InsufficientMachine(
-    /// All that is short.
+    /// All resources that are short.
     pub Vec<Shortage>,
 );
 
@@ -86,11 +87,11 @@
     texts.join("; ")
 }
 
-/// Checks that a machine can carry what is required.
+/// Checks that a machine has the required resources.
 ///
 /// # Errors
 ///
-/// [`InsufficientMachine`] with all that is short.
+/// Returns [`InsufficientMachine`] with all resources that are short.
 pub fn check(
     required: MachineResources,
     available: MachineResources,
--- a/crates/capacity-model/src/result.rs
+++ b/crates/capacity-model/src/result.rs
@@ -1,5 +1,5 @@
-//! A stored result: the size, and the runs that were measured. What can't be read is reported with
-//! its line.
+//! Reads and writes a stored result: the size and the measured runs. Errors are reported with their
+//! line.
 
 use crate::fit::Measurement;
 use crate::size::MAX_FIGURE;
@@ -8,19 +8,19 @@
 use serde::{Deserialize, Deserializer, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What is varied in a run, all else being the same.
+/// The quantity that is varied in a run while everything else stays the same.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Axis {
-    /// Machines that the dispatcher knows.
+    /// Number of machines that the dispatcher knows.
     Machines,
-    /// Dispatchers of the fleet.
+    /// Number of dispatchers of the fleet.
     Dispatchers,
-    /// Tasks that run, or that start a second.
+    /// Number of tasks that run, or that start per second.
     Tasks,
-    /// Allocations that wait.
+    /// Number of allocations that wait.
     Waiting,
-    /// Versions a second.
+    /// Number of versions per second.
     Versions,
 }
 
@@ -34,7 +34,7 @@
         Axis::Versions,
     ];
 
-    /// The name on the page, on the command line and where it is stored.
+    /// Returns the name on the page, on the command line and in stored results.
     pub fn name(self) -> &'static str {
         match self {
             Axis::Machines => "machines",
@@ -46,27 +46,26 @@
     }
 }
 
-/// One place on an axis in one round.
+/// The measurement at one position on an axis in one round.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Point {
-    /// The place.
+    /// The position on the axis.
     #[serde(deserialize_with = "place")]
     pub at: f64,
     /// The round, from 0.
     pub round: u32,
-    /// Processes that ran or waited for a processor, as the machine's own mean over a minute.
+    /// The machine's load average over one minute: processes that ran or waited for a processor.
     pub load: f64,
-    /// Why the point counts for nothing, if it does.
+    /// The reason why the point is invalid, if it is.
     #[serde(rename = "spoilt", default, skip_serializing_if = "Option::is_none")]
     pub invalid: Option<String>,
-    /// What was measured, by name with unit.
+    /// The measured figures, by name with unit.
     #[serde(deserialize_with = "figures")]
     pub figures: BTreeMap<String, f64>,
 }
 
-// Points are checked as they are read: an error raised afterwards would be reported with the next
-// line.
+// Points are checked while they are parsed: a later error would be reported with the next line.
 fn place<'de, D: Deserializer<'de>>(deserializer: D) -> Result<f64, D::Error> {
     let at = f64::deserialize(deserializer)?;
     (0.0..=MAX_FIGURE)
@@ -82,34 +81,34 @@
         .ok_or_else(|| D::Error::custom("a point has no figures"))
 }
 
-/// Points along one axis, all else being the same.
+/// Measurements along one axis, with everything else the same.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Run {
-    /// What was varied.
+    /// The quantity that was varied.
     pub axis: Axis,
-    /// What was measured along it; one run is stored for each axis and series.
+    /// The name of the measured series; one run is stored for each axis and series.
     pub series: String,
     /// The command line that measured it.
     pub command: String,
-    /// Seed of the measurement.
+    /// The seed of the measurement.
     pub seed: u64,
-    /// Cores of the machine.
+    /// The number of cores of the machine.
     pub cores: usize,
-    /// Memory of the machine, in MiB.
+    /// The memory of the machine, in MiB.
     pub memory_mib: u64,
-    /// What was the same at each point.
+    /// A description of what was the same at each point.
     pub fixed: String,
-    /// The places to measure, in each of the rounds.
+    /// The positions to measure in each round.
     pub places: Vec<f64>,
-    /// Number of rounds.
+    /// The number of rounds.
     pub rounds: u32,
-    /// What was measured, invalid points included.
+    /// The measured points, including invalid ones.
     pub points: Vec<Point>,
 }
 
 impl Run {
-    /// One figure at all valid points.
+    /// Returns one figure at all valid points.
     pub fn figure(&self, name: &str) -> Vec<Measurement> {
         let valid = self.points.iter().filter(|point| point.invalid.is_none());
         valid
@@ -122,7 +121,7 @@
             .collect()
     }
 
-    /// Number of points that count for nothing.
+    /// Returns the number of invalid points.
     pub fn invalid_points(&self) -> usize {
         self.points
             .iter()
@@ -144,7 +143,7 @@
             .collect()
     }
 
-    /// The run as JSON, one point a line.
+    /// Formats the run as JSON, with one point per line.
     fn to_json(&self) -> String {
         let quoted = |text: &str| serde_json::Value::from(text).to_string();
         let points: Vec<String> = self
@@ -170,28 +169,28 @@
     }
 }
 
-/// All that was measured for one size.
+/// All measurements for one size.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CapacityResult {
-    /// The size that it was measured for.
+    /// The size that the measurements are for.
     pub size: FleetSize,
-    /// Sorted by axis and series, one each.
+    /// The runs, sorted by axis and series, with one run for each pair.
     pub runs: Vec<Run>,
 }
 
-/// A text is not a stored result.
+/// The error for a text that is not a valid stored result.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("line {line}: {reason}")]
 pub struct ResultError {
-    /// Line of the text, from 1.
+    /// The line of the text, from 1.
     pub line: usize,
-    /// What is wrong there.
+    /// The description of the error.
     pub reason: String,
 }
 
 impl From<serde_json::Error> for ResultError {
-    /// The line is kept apart from the message.
+    /// Separates the line from the message.
     fn from(error: serde_json::Error) -> ResultError {
         let message = error.to_string();
         let reason = message
@@ -205,11 +204,12 @@
 }
 
 impl CapacityResult {
-    /// Reads a stored result.
+    /// Parses a stored result.
     ///
     /// # Errors
     ///
-    /// [`ResultError`] with the line that can't be read, or that has a second run of one series.
+    /// Returns [`ResultError`] with the line that can't be parsed, or that has a second run of a
+    /// series.
     pub fn read(text: &str) -> Result<CapacityResult, ResultError> {
         let result: CapacityResult = serde_json::from_str(text)?;
         let mut seen = BTreeSet::new();
@@ -230,14 +230,14 @@
         }
     }
 
-    /// The run of a series.
+    /// Returns the run of a series.
     pub fn run(&self, axis: Axis, series: &str) -> Option<&Run> {
         self.runs
             .iter()
             .find(|run| run.axis == axis && run.series == series)
     }
 
-    /// Adds a run in place of an earlier one of the same series.
+    /// Adds a run, replacing an earlier one of the same series.
     pub fn insert(&mut self, run: Run) {
         self.runs
             .retain(|known| (known.axis, &known.series) != (run.axis, &run.series));
@@ -246,7 +246,8 @@
             .sort_by(|one, other| (one.axis, &one.series).cmp(&(other.axis, &other.series)));
     }
 
-    /// The stored form, with one point a line so that a message's line leads to it.
+    /// Returns the stored form, with one point per line so that the line in an error message
+    /// identifies the point.
     pub fn to_json(&self) -> String {
         let size = serde_json::to_value(&self.size).expect("numbers alone");
         let runs: Vec<String> = self.runs.iter().map(Run::to_json).collect();
@@ -258,7 +259,7 @@
     }
 }
 
-/// The last line that names a series, 0 where none does.
+/// Returns the last line that names a series, or 0 if there is none.
 fn last_line_of_series(text: &str, series: &str) -> usize {
     let key = format!("\"series\": \"{series}\"");
     let lines = text.lines().enumerate();
--- a/crates/capacity-model/src/size.rs
+++ b/crates/capacity-model/src/size.rs
@@ -1,44 +1,44 @@
-//! The size that a fleet is to grow to.
+//! Defines the planned size of a fleet and checks its figures.
 
 use serde::{Deserialize, Serialize};
 
-/// No figure of a size is larger: beyond this it is a typing error.
+/// The maximum of any figure of a size; a larger figure is a typing error.
 pub(crate) const MAX_FIGURE: f64 = 1e9;
 
-/// What the fleet is to grow to, and what it may cost there. All figures are above 0.
+/// The planned size of a fleet, and the limits on its cost at that size. All figures are above 0.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, try_from = "UncheckedSize")]
 pub struct FleetSize {
-    /// Machines that run tasks.
+    /// The number of machines that run tasks.
     pub machines: f64,
-    /// Task starts a second at the peak.
+    /// The task starts per second at the peak.
     pub starts_a_second: f64,
-    /// Tasks that run at a time.
+    /// The number of tasks that run at a time.
     pub running: f64,
-    /// Teams that share the fleet.
+    /// The number of teams that share the fleet.
     pub teams: f64,
-    /// Versions of the configuration a day.
+    /// The number of configuration versions per day.
     pub versions_a_day: f64,
-    /// Machines that are restarted or replaced a day.
+    /// The number of machines that are restarted or replaced per day.
     pub restarts_a_day: f64,
-    /// Limit on the processor time of one dispatcher for control, in percent of a core.
+    /// The limit on the processor time of one dispatcher for control, in percent of a core.
     pub core_percent: f64,
-    /// Limit on the memory of one dispatcher, in MiB.
+    /// The limit on the memory of one dispatcher, in MiB.
     pub memory_mib: f64,
-    /// Limit on the traffic of one dispatcher for control, in bytes a second.
+    /// The limit on the control traffic of one dispatcher, in bytes per second.
     pub bytes_a_second: f64,
-    /// Limit on the time until a version is in force everywhere, in seconds.
+    /// The limit on the time until a version is active everywhere, in seconds.
     pub in_force_s: f64,
-    /// Dispatchers. Chosen, not given: docs/CAPACITY.md says why.
+    /// The number of dispatchers; docs/CAPACITY.md explains the choice.
     pub dispatchers: f64,
-    /// Allocations that wait at one dispatcher.
+    /// The number of allocations that wait at one dispatcher.
     pub waiting: f64,
-    /// How often a second each machine's capacity is reported to each dispatcher.
+    /// The capacity reports per second about each machine to each dispatcher.
     #[serde(rename = "room_told_a_second")]
     pub capacity_reports_a_second: f64,
 }
 
-/// A size as it is read, before its figures are checked.
+/// A size as parsed, before its figures are checked.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct UncheckedSize {
@@ -58,7 +58,7 @@
     capacity_reports_a_second: f64,
 }
 
-/// A figure of a size is out of bounds.
+/// The error for a figure of a size that is out of bounds.
 #[derive(Debug, thiserror::Error)]
 #[error("`{key}` is {value}, not above 0 and at most {MAX_FIGURE} of a size")]
 struct OutOfBounds {
@@ -98,7 +98,7 @@
 }
 
 impl FleetSize {
-    /// All figures by their stored keys.
+    /// Returns all figures with their stored keys.
     fn figures(&self) -> [(&'static str, f64); 13] {
         [
             ("machines", self.machines),
@@ -118,7 +118,7 @@
     }
 }
 
-/// The size of issue 37.
+/// The size that issue 37 plans for.
 pub const PLANNED_SIZE: FleetSize = FleetSize {
     machines: 1_300.0,
     starts_a_second: 330.0,
--- a/crates/capacity-model/tests/fits.rs
+++ b/crates/capacity-model/tests/fits.rs
@@ -1,4 +1,4 @@
-//! Lines through measurements, and measurements that are no line.
+//! Tests linear fits through measurements, and measurements that are not linear.
 
 use corkspan_capacity_model::fit::{
     EstimateError, EstimateSource, FitError, LinearFit, Measurement,
@@ -12,7 +12,7 @@
 
 const PLACES: [f64; 4] = [140.0, 400.0, 1_300.0, 2_600.0];
 
-/// Three rounds, of which one is right, one high and one low by a part.
+/// Returns three rounds: one exact, one too high and one too low by the fraction `noise`.
 fn rounds(value: impl Fn(f64) -> f64, noise: f64) -> Vec<(f64, f64)> {
     let parts = [1.0, 1.0 + noise, 1.0 - noise];
     PLACES
@@ -31,8 +31,8 @@
     assert!(fit.is_straight && fit.max_deviation < 1e-6);
 }
 
-/// By hand: places 0, 1, 2 and values 0, 2, 1 have slope 1/2, squares 3/2 with one degree of
-/// freedom.
+/// Worked by hand: positions 0, 1, 2 and values 0, 2, 1 have the slope 1/2 and a sum of squares of
+/// 3/2 with one degree of freedom.
 #[test]
 fn residuals_are_those_worked_out_by_hand() {
     let fit = through(&[(0.0, 0.0), (1.0, 2.0), (2.0, 1.0)]).expect("three places");
--- a/crates/capacity-model/tests/results.rs
+++ b/crates/capacity-model/tests/results.rs
@@ -1,4 +1,4 @@
-//! Results that can't be read, pages that differ, machines that are too small.
+//! Tests invalid results, pages that differ from their result, and machines that are too small.
 
 use corkspan_capacity_model::figures::{self, Outcome};
 use corkspan_capacity_model::page;
@@ -6,7 +6,8 @@
 use corkspan_capacity_model::result::{Axis, CapacityResult, PLANNED_SIZE, Point, Run};
 use test_case::test_case;
 
-/// Bytes grow by 50 a machine; processor time by its square.
+/// Returns a result in which bytes grow by 50 per machine, and processor time with the square of
+/// the number of machines.
 fn sample() -> CapacityResult {
     let places = vec![140.0, 400.0, 1_300.0, 2_600.0];
     let point = |at: f64, round: u32| Point {
@@ -132,7 +133,7 @@
 #[test_case("\"waiting\":300.0", "\"waiting\":0", "not above 0" ; "a size of nothing")]
 fn an_invalid_file_is_reported_with_its_line(valid: &str, invalid: &str, reason: &str) {
     let text = sample().to_json();
-    // Of the size's own fields the first is met, of points the last.
+    // For the axis, replaces the first match; for all others, the last.
     let at = match valid {
         "\"machines\"" => text.find("\"axis\": \"machines\"").expect("stands") + 8,
         _ => text.rfind(valid).expect("it stands there"),
--- a/crates/capacity-model/tests/stored.rs
+++ b/crates/capacity-model/tests/stored.rs
@@ -1,5 +1,6 @@
-//! The kept result and what is computed from it, held against files of an earlier program: the
-//! result and its page as they stand in docs/, refusals of spoilt results, and fits of seeded points.
+//! Compares the stored result and the figures computed from it with files of an earlier version of
+//! the program: the result and its page in docs/, errors for invalid results, and fits of seeded
+//! points.
 
 use corkspan_capacity_model::fit::{EstimateSource, LinearFit, Measurement};
 use corkspan_capacity_model::page;
@@ -18,7 +19,7 @@
     CapacityResult::read(&document("capacity/result.json")).expect("it is whole")
 }
 
-/// The size is written with its keys in alphabetical order, all else as it is on file.
+/// The size is written with its keys in alphabetical order, and everything else as in the file.
 #[test]
 fn the_result_on_file_is_written_back_to_the_same_bytes() {
     let (stored, written) = (document("capacity/result.json"), result().to_json());
@@ -47,7 +48,8 @@
     );
 }
 
-/// The result on file cut short, and with one text replaced at its first place.
+/// Writes the errors for the stored result when it is truncated, and when the first occurrence of
+/// one text is replaced.
 fn refusals(out: &mut String) {
     let whole = document("capacity/result.json");
     for part in 1..24 {
@@ -103,7 +105,8 @@
     }
 }
 
-/// A fraction from 0 to 1: no generator of a library, whose draws might change.
+/// Returns a pseudorandom fraction from 0 to 1. The generator is implemented here because the draws
+/// of a library's generator might change.
 fn fraction(state: &mut u64) -> f64 {
     *state = state
         .wrapping_mul(6_364_136_223_846_793_005)
@@ -132,7 +135,8 @@
         .collect()
 }
 
-/// Nine digits: the last ones may differ between processors.
+/// Writes fits of seeded points with nine digits, because the last ones may differ between
+/// processors.
 fn fitted(out: &mut String) {
     let mut state = 1;
     for shape in 0..48 {
