--- a/crates/capacity-model/src/catalog.rs
+++ b/crates/capacity-model/src/catalog.rs
@@ -6,8 +6,8 @@
 use crate::result::{Axis, FleetSize};
 use Role::{ControlService, Dispatcher, Keeper, NodeAgent, OwnersClient, Roster};
 
-const SECONDS_A_DAY: f64 = 86_400.0;
-/// Members of the quorum in the measured fleets.
+const SECONDS_PER_DAY: f64 = 86_400.0;
+/// The number of quorum members in the measured fleets.
 pub const QUORUM_MEMBERS: f64 = 3.0;
 
 const BYTES: &str = "bytes/s";
@@ -45,8 +45,8 @@
     size.running / size.dispatchers
 }
 
-fn versions_a_second(size: &FleetSize) -> f64 {
-    size.versions_a_day / SECONDS_A_DAY
+fn versions_per_second(size: &FleetSize) -> f64 {
+    size.versions_a_day / SECONDS_PER_DAY
 }
 
 fn capacity_reports(size: &FleetSize) -> f64 {
@@ -111,7 +111,7 @@
 /// Returns the definitions of all figures, by role.
 pub fn definitions() -> Vec<FigureDefinition> {
     [
-        dispatcher_at_rest(),
+        idle_dispatcher(),
         dispatcher_running(),
         dispatcher_processor_waiting(),
         dispatcher_waiting(),
@@ -125,7 +125,7 @@
 }
 
 /// Defines the figures of a dispatcher that has no requests.
-fn dispatcher_at_rest() -> Vec<FigureDefinition> {
+fn idle_dispatcher() -> Vec<FigureDefinition> {
     vec![
         figure(
             Dispatcher,
@@ -271,12 +271,12 @@
     vec![
         figure(Dispatcher, "versions, link to the control service", BYTES)
             .measured(Versions, "pushed", "control, bytes/s")
-            .at(versions_a_second)
+            .at(versions_per_second)
             .limit(Limit::Bytes)
             .carried_by("versions streamed, changes alone (config-sync.md)"),
         figure(Dispatcher, "processor, versions, no asks", CORE)
             .measured(Versions, "pushed", "core %")
-            .at(versions_a_second)
+            .at(versions_per_second)
             .limit(Limit::Core)
             .carried_by("a check, a digest and a write to disk a version"),
         figure(Dispatcher, "a version in force everywhere", SECONDS)
@@ -309,7 +309,7 @@
             .carried_by("missing: no roster but the stand-in's"),
         figure(ControlService, "versions to all dispatchers", BYTES)
             .measured(Versions, "pushed", "control, bytes/s")
-            .at(versions_a_second)
+            .at(versions_per_second)
             .times(dispatchers)
             .carried_by("missing: no control service but the stand-in's"),
         figure(Keeper, "all dispatchers' rounds", BYTES)
--- a/crates/capacity-model/src/fit.rs
+++ b/crates/capacity-model/src/fit.rs
@@ -31,7 +31,7 @@
 
 /// A position with a summary of all values measured there.
 #[derive(Clone, Debug, PartialEq)]
-struct Place {
+struct Position {
     at: f64,
     mean: f64,
     /// The largest distance of a value from the mean.
@@ -62,9 +62,9 @@
     /// The sum of squares of their distances from the centre.
     spread: f64,
     /// The quantile of Student's t-distribution.
-    student: f64,
-    /// In order.
-    places: Vec<Place>,
+    student_quantile: f64,
+    /// The measured positions, in ascending order.
+    places: Vec<Position>,
 }
 
 /// The reason why no line can be fitted.
@@ -118,7 +118,7 @@
     middle: f64,
     slope: f64,
     /// The sum of squares of the residuals.
-    squares: f64,
+    residual_squares: f64,
 }
 
 impl LinearFit {
@@ -142,13 +142,13 @@
         let Solution {
             middle,
             slope,
-            squares,
+            residual_squares,
         } = solve(points, centre)?;
         let degrees_of_freedom = count - 2.0;
-        let residual = (squares / degrees_of_freedom).sqrt();
-        let student =
+        let residual = (residual_squares / degrees_of_freedom).sqrt();
+        let distribution =
             StudentsT::new(0.0, 1.0, degrees_of_freedom).map_err(|_| FitError::NotFinite)?;
-        let student = student.inverse_cdf(0.5 + CONFIDENCE / 2.0);
+        let student_quantile = distribution.inverse_cdf(0.5 + CONFIDENCE / 2.0);
         let line = |at: f64| middle + slope * (at - centre);
         let max_deviation = places
             .iter()
@@ -157,15 +157,15 @@
         Ok(LinearFit {
             intercept: line(0.0),
             slope,
-            slope_error: student * residual / spread.sqrt(),
+            slope_error: student_quantile * residual / spread.sqrt(),
             residual,
             max_deviation,
-            is_straight: is_straight(points, &places, squares, max_deviation),
+            is_straight: is_straight(points, &places, residual_squares, max_deviation),
             range: places[0].at..=places[places.len() - 1].at,
             points: points.len(),
             centre,
             spread,
-            student,
+            student_quantile,
             places,
         })
     }
@@ -190,7 +190,7 @@
         }
         let value = self.intercept + self.slope * at;
         let part = 1.0 / self.points as f64 + (at - self.centre).powi(2) / self.spread;
-        let error = self.student * self.residual * part.sqrt();
+        let error = self.student_quantile * self.residual * part.sqrt();
         Ok(Estimate {
             value,
             error,
@@ -241,22 +241,22 @@
         .solve(&measured, SINGULAR_EPSILON)
         .map_err(|_| FitError::NotFinite)?;
     let (middle, slope) = (solution[0], solution[1]);
-    let squares = (measured - design * solution).norm_squared();
+    let residual_squares = (measured - design * solution).norm_squared();
     Ok(Solution {
         middle,
         slope,
-        squares,
+        residual_squares,
     })
 }
 
 /// Groups measurements by position, in ascending order.
-fn places(points: &[Measurement]) -> Vec<Place> {
+fn places(points: &[Measurement]) -> Vec<Position> {
     let mut sorted = points.to_vec();
     sorted.sort_by(|one, other| one.at.total_cmp(&other.at));
     let place = |measured: &[Measurement]| {
         let values = || measured.iter().map(|point| point.value);
         let mean = values().sum::<f64>() / measured.len() as f64;
-        Place {
+        Position {
             at: measured[0].at,
             mean,
             deviation: values()
@@ -274,7 +274,12 @@
 /// of the means from the line with the differences between rounds at one position. A deviation too
 /// small to matter for planning is ignored even if it is significant, and so is one that may be due
 /// to the noise of the rounds.
-fn is_straight(points: &[Measurement], places: &[Place], squares: f64, max_deviation: f64) -> bool {
+fn is_straight(
+    points: &[Measurement],
+    places: &[Position],
+    residual_squares: f64,
+    max_deviation: f64,
+) -> bool {
     let means = || places.iter().map(|place| place.mean);
     let span = means().fold(f64::MIN, f64::max) - means().fold(f64::MAX, f64::min);
     let mean = means().map(f64::abs).sum::<f64>() / places.len() as f64;
@@ -297,7 +302,7 @@
     if pure_error_freedom < 1.0 || pure_error <= 0.0 {
         return false;
     }
-    let lack_of_fit = (squares - pure_error).max(0.0);
+    let lack_of_fit = (residual_squares - pure_error).max(0.0);
     let ratio = (lack_of_fit / lack_of_fit_freedom) / (pure_error / pure_error_freedom);
     FisherSnedecor::new(lack_of_fit_freedom, pure_error_freedom)
         .is_ok_and(|noise| noise.sf(ratio) >= SIGNIFICANCE)
--- a/crates/capacity-model/src/page.rs
+++ b/crates/capacity-model/src/page.rs
@@ -301,8 +301,8 @@
     while let Some((index, line)) = lines.next() {
         out.push_str(line);
         out.push('\n');
-        let begins = |table: &Table| line.trim() == format!("<!-- {} -->", table.name);
-        let Some(position) = tables.iter().position(begins) else {
+        let starts_here = |table: &Table| line.trim() == format!("<!-- {} -->", table.name);
+        let Some(position) = tables.iter().position(starts_here) else {
             continue;
         };
         let table = &tables[position];
--- a/crates/capacity-model/src/size.rs
+++ b/crates/capacity-model/src/size.rs
@@ -69,21 +69,21 @@
 impl TryFrom<UncheckedSize> for FleetSize {
     type Error = OutOfBounds;
 
-    fn try_from(read: UncheckedSize) -> Result<FleetSize, OutOfBounds> {
+    fn try_from(unchecked: UncheckedSize) -> Result<FleetSize, OutOfBounds> {
         let size = FleetSize {
-            machines: read.machines,
-            starts_a_second: read.starts_a_second,
-            running: read.running,
-            teams: read.teams,
-            versions_a_day: read.versions_a_day,
-            restarts_a_day: read.restarts_a_day,
-            core_percent: read.core_percent,
-            memory_mib: read.memory_mib,
-            bytes_a_second: read.bytes_a_second,
-            in_force_s: read.in_force_s,
-            dispatchers: read.dispatchers,
-            waiting: read.waiting,
-            capacity_reports_a_second: read.capacity_reports_a_second,
+            machines: unchecked.machines,
+            starts_a_second: unchecked.starts_a_second,
+            running: unchecked.running,
+            teams: unchecked.teams,
+            versions_a_day: unchecked.versions_a_day,
+            restarts_a_day: unchecked.restarts_a_day,
+            core_percent: unchecked.core_percent,
+            memory_mib: unchecked.memory_mib,
+            bytes_a_second: unchecked.bytes_a_second,
+            in_force_s: unchecked.in_force_s,
+            dispatchers: unchecked.dispatchers,
+            waiting: unchecked.waiting,
+            capacity_reports_a_second: unchecked.capacity_reports_a_second,
         };
         let is_out_of_bounds = |value: f64| !(value > 0.0 && value <= MAX_FIGURE);
         match size
--- a/crates/capacity-model/tests/fits.rs
+++ b/crates/capacity-model/tests/fits.rs
@@ -10,19 +10,19 @@
     LinearFit::through(&points.iter().map(measurement).collect::<Vec<_>>())
 }
 
-const PLACES: [f64; 4] = [140.0, 400.0, 1_300.0, 2_600.0];
+const POSITIONS: [f64; 4] = [140.0, 400.0, 1_300.0, 2_600.0];
 
 /// Returns three rounds: one exact, one too high and one too low by the fraction `noise`.
 fn rounds(value: impl Fn(f64) -> f64, noise: f64) -> Vec<(f64, f64)> {
-    let parts = [1.0, 1.0 + noise, 1.0 - noise];
-    PLACES
+    let factors = [1.0, 1.0 + noise, 1.0 - noise];
+    POSITIONS
         .iter()
-        .flat_map(|&at| parts.map(|part| (at, value(at) * part)))
+        .flat_map(|&at| factors.map(|factor| (at, value(at) * factor)))
         .collect()
 }
 
 #[test]
-fn the_line_that_made_the_points_is_found() {
+fn the_line_that_generated_the_points_is_found() {
     let fit = through(&rounds(|at| 200.0 + 3.0 * at, 0.0)).expect("twelve points");
     assert!(
         (fit.slope - 3.0).abs() < 1e-9 && (fit.intercept - 200.0).abs() < 1e-6,
@@ -34,7 +34,7 @@
 /// Worked by hand: positions 0, 1, 2 and values 0, 2, 1 have the slope 1/2 and a sum of squares of
 /// 3/2 with one degree of freedom.
 #[test]
-fn residuals_are_those_worked_out_by_hand() {
+fn residuals_match_a_calculation_by_hand() {
     let fit = through(&[(0.0, 0.0), (1.0, 2.0), (2.0, 1.0)]).expect("three places");
     assert!((fit.slope - 0.5).abs() < 1e-12);
     assert!((fit.residual - 1.5_f64.sqrt()).abs() < 1e-12);
@@ -48,8 +48,8 @@
 
 #[test_case(|at| at * at ; "a square")]
 #[test_case(|at| if at > 1_000.0 { at * 5.0 } else { at } ; "a step")]
-#[test_case(|at| 10_000.0 / at ; "a fall that ends")]
-fn a_bend_is_not_straight(value: fn(f64) -> f64) {
+#[test_case(|at| 10_000.0 / at ; "a hyperbola")]
+fn a_curve_is_not_linear(value: fn(f64) -> f64) {
     let fit = through(&rounds(value, 0.02)).expect("twelve points");
     assert!(!fit.is_straight);
     assert_eq!(fit.estimate(2_601.0), Err(EstimateError::NotStraight));
@@ -59,16 +59,18 @@
 }
 
 #[test]
-fn noise_alone_does_not_bend_a_line() {
+fn noise_alone_does_not_make_points_nonlinear() {
     let noisy = [
         8.0, 12.0, 10.0, 11.0, 9.0, 10.5, 10.0, 8.5, 11.5, 9.0, 12.5, 9.5,
     ];
-    let points: Vec<(f64, f64)> = (0..12).map(|own| (PLACES[own / 3], noisy[own])).collect();
+    let points: Vec<(f64, f64)> = (0..12)
+        .map(|index| (POSITIONS[index / 3], noisy[index]))
+        .collect();
     assert!(through(&points).expect("twelve points").is_straight);
 }
 
-#[test_case(5_200.0, true ; "twice as far as was measured")]
-#[test_case(5_201.0, false ; "further")]
+#[test_case(5_200.0, true ; "twice the measured range")]
+#[test_case(5_201.0, false ; "beyond twice the range")]
 fn a_straight_line_is_extrapolated_to_twice_its_range(at: f64, within: bool) {
     let fit = through(&rounds(|at| 200.0 + 3.0 * at, 0.01)).expect("twelve points");
     match fit.estimate(at) {
@@ -80,8 +82,8 @@
 }
 
 #[test_case(&[(1.0, 1.0), (2.0, 2.0), (2.0, 2.1)], FitError::TooFewPlaces(2) ; "two places")]
-#[test_case(&[], FitError::TooFewPlaces(0) ; "nothing")]
-#[test_case(&[(1.0, 1.0), (2.0, f64::NAN), (3.0, 2.0)], FitError::NotFinite ; "no number")]
-fn points_that_make_no_line_are_refused(points: &[(f64, f64)], reason: FitError) {
+#[test_case(&[], FitError::TooFewPlaces(0) ; "no points")]
+#[test_case(&[(1.0, 1.0), (2.0, f64::NAN), (3.0, 2.0)], FitError::NotFinite ; "not a number")]
+fn points_that_allow_no_fit_are_rejected(points: &[(f64, f64)], reason: FitError) {
     assert_eq!(through(points), Err(reason));
 }
--- a/crates/capacity-model/tests/results.rs
+++ b/crates/capacity-model/tests/results.rs
@@ -49,11 +49,11 @@
 
 fn evaluated(result: &CapacityResult, name: &str) -> figures::EvaluatedFigure {
     let mut figures = figures::evaluate(result);
-    let at = figures
+    let index = figures
         .iter()
         .position(|figure| figure.definition.figure == name)
         .expect("a figure");
-    figures.swap_remove(at)
+    figures.swap_remove(index)
 }
 
 fn page_of(result: &CapacityResult) -> String {
@@ -77,16 +77,16 @@
 }
 
 #[test]
-fn the_largest_factor_comes_first_and_what_is_not_measured_last() {
-    let list = figures::by_factor(figures::evaluate(&sample()));
-    assert_eq!(list[0].definition.figure, "told, core %");
-    assert_eq!(list[1].definition.figure, "told, bytes/s");
+fn figures_are_sorted_by_factor_with_unmeasured_ones_last() {
+    let sorted = figures::by_factor(figures::evaluate(&sample()));
+    assert_eq!(sorted[0].definition.figure, "told, core %");
+    assert_eq!(sorted[1].definition.figure, "told, bytes/s");
     assert!(
-        list[2..]
+        sorted[2..]
             .iter()
             .all(|figure| figure.outcome == Outcome::Unavailable("not measured".into()))
     );
-    assert!(!list[2..].is_empty());
+    assert!(!sorted[2..].is_empty());
 }
 
 #[test]
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn an_invalid_point_counts_for_nothing() {
+fn an_invalid_point_is_ignored() {
     let mut result = sample();
     let point = &mut result.runs[0].points[2];
     point.invalid = Some("the generator was late".into());
@@ -125,18 +125,22 @@
     assert_eq!(CapacityResult::read(&result.to_json()), Ok(result));
 }
 
-#[test_case("\"at\":1300.0", "\"at\":-4", "is no place" ; "a place below zero")]
+#[test_case("\"at\":1300.0", "\"at\":-4", "is no place" ; "a position below zero")]
 #[test_case("\"figures\":{\"told, bytes/s\":130602.0,\"told, core %\":74.36}", "\"figures\":{}", "has no figures" ; "no figures")]
-#[test_case("\"load\":1.5", "\"lode\":1.5", "unknown field" ; "a field that is none")]
-#[test_case("\"figures\":{", "\"figures\":{\"x\":null,", "invalid type" ; "no number")]
-#[test_case("\"machines\"", "\"machine\"", "unknown variant `machine`" ; "an axis that is none")]
-#[test_case("\"waiting\":300.0", "\"waiting\":0", "not above 0" ; "a size of nothing")]
+#[test_case("\"load\":1.5", "\"lode\":1.5", "unknown field" ; "an unknown field")]
+#[test_case("\"figures\":{", "\"figures\":{\"x\":null,", "invalid type" ; "not a number")]
+#[test_case("\"machines\"", "\"machine\"", "unknown variant `machine`" ; "an unknown axis")]
+#[test_case("\"waiting\":300.0", "\"waiting\":0", "not above 0" ; "a size of zero")]
 fn an_invalid_file_is_reported_with_its_line(valid: &str, invalid: &str, reason: &str) {
     let text = sample().to_json();
     // For the axis, replaces the first match; for all others, the last.
     let at = match valid {
-        "\"machines\"" => text.find("\"axis\": \"machines\"").expect("stands") + 8,
-        _ => text.rfind(valid).expect("it stands there"),
+        "\"machines\"" => {
+            text.find("\"axis\": \"machines\"")
+                .expect("the axis is present")
+                + 8
+        }
+        _ => text.rfind(valid).expect("the text is present"),
     };
     let line = text[..at].lines().count();
     let text = format!("{}{invalid}{}", &text[..at], &text[at + valid.len()..]);
@@ -168,13 +172,13 @@
 }
 
 #[test]
-fn a_page_that_was_filled_is_as_the_result_has_it() {
+fn a_filled_page_matches_its_result() {
     let result = sample();
     assert_eq!(page::check(&page_of(&result), &result), Ok(()));
 }
 
 #[test]
-fn a_planted_difference_is_reported_with_its_line() {
+fn a_difference_is_reported_with_its_line() {
     let result = sample();
     let page = page_of(&result);
     let line = page
@@ -190,12 +194,15 @@
     );
 }
 
-#[test_case("<!-- runs -->", "", "no table `runs`" ; "a table is missing")]
-#[test_case("<!-- missing -->", "<!-- runs -->", "a second table `runs`" ; "a table stands twice")]
-fn a_page_without_its_tables_is_refused(has: &str, instead: &str, reason: &str) {
+#[test_case("<!-- runs -->", "", "no table `runs`" ; "a missing table")]
+#[test_case("<!-- missing -->", "<!-- runs -->", "a second table `runs`" ; "a repeated table")]
+fn a_page_without_its_tables_is_rejected(original: &str, replacement: &str, reason: &str) {
     let result = sample();
-    let error = page::check(&page_of(&result).replacen(has, instead, 1), &result)
-        .expect_err("it does not fit");
+    let error = page::check(
+        &page_of(&result).replacen(original, replacement, 1),
+        &result,
+    )
+    .expect_err("it does not fit");
     assert!(error.reason.contains(reason), "{error}");
 }
 
@@ -209,7 +216,7 @@
 #[test_case(300, 140, 0, &["MiB of memory", "processes", "descriptors"] ; "too many dispatchers")]
 #[test_case(1, 2_600, 0, &["descriptors"] ; "too many machines")]
 #[test_case(1, 140, 60_000, &["MiB of memory"] ; "too many tasks")]
-#[test_case(u64::MAX, 140, 0, &["MiB of memory", "processes", "descriptors"] ; "more than there are numbers")]
+#[test_case(u64::MAX, 140, 0, &["MiB of memory", "processes", "descriptors"] ; "an arithmetic overflow")]
 fn all_that_is_short_is_reported_at_once(
     dispatchers: u64,
     machines: u64,
@@ -219,11 +226,14 @@
     match check(required_for(dispatchers, machines, tasks), SMALL) {
         Ok(()) => assert!(short.is_empty()),
         Err(error) => {
-            let resources: Vec<&str> = error.0.iter().map(|own| own.resource).collect();
+            let resources: Vec<&str> = error.0.iter().map(|shortage| shortage.resource).collect();
             assert!(!short.is_empty());
             assert_eq!(resources, short);
             let text = error.to_string();
-            assert!(short.iter().all(|one| text.contains(one)), "{text}");
+            assert!(
+                short.iter().all(|resource| text.contains(resource)),
+                "{text}"
+            );
         }
     }
 }
--- a/crates/capacity-model/tests/stored.rs
+++ b/crates/capacity-model/tests/stored.rs
@@ -12,16 +12,16 @@
 
 fn document(name: &str) -> String {
     let docs = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs");
-    std::fs::read_to_string(docs.join(name)).expect("it stands there")
+    std::fs::read_to_string(docs.join(name)).expect("the document exists")
 }
 
 fn result() -> CapacityResult {
-    CapacityResult::read(&document("capacity/result.json")).expect("it is whole")
+    CapacityResult::read(&document("capacity/result.json")).expect("valid")
 }
 
 /// The size is written with its keys in alphabetical order, and everything else as in the file.
 #[test]
-fn the_result_on_file_is_written_back_to_the_same_bytes() {
+fn the_result_recorded_is_written_back_to_the_same_bytes() {
     let (stored, written) = (document("capacity/result.json"), result().to_json());
     let size = include_str!("data/size_in_result.json").trim_end();
     let lines: Vec<&str> = stored.split('\n').collect();
@@ -32,15 +32,15 @@
 }
 
 #[test]
-fn the_page_on_file_is_filled_to_the_same_bytes() {
+fn the_page_recorded_is_filled_to_the_same_bytes() {
     let page = document("CAPACITY.md");
-    assert_eq!(page::fill(&page, &result()).expect("it is whole"), page);
+    assert_eq!(page::fill(&page, &result()).expect("valid"), page);
 }
 
 #[test]
 fn a_size_is_read_and_written_back_to_the_same_bytes() {
     let stored = include_str!("data/size.json").trim_end();
-    let size: FleetSize = serde_json::from_str(stored).expect("it is whole");
+    let size: FleetSize = serde_json::from_str(stored).expect("valid");
     assert_eq!(size, PLANNED_SIZE);
     assert_eq!(
         serde_json::to_string(&size).expect("it can be written"),
@@ -51,13 +51,13 @@
 /// Writes the errors for the stored result when it is truncated, and when the first occurrence of
 /// one text is replaced.
 fn refusals(out: &mut String) {
-    let whole = document("capacity/result.json");
+    let stored = document("capacity/result.json");
     for part in 1..24 {
-        let cut = whole.len() * part / 24;
-        let error = CapacityResult::read(&whole[..cut]).expect_err("it is cut short");
+        let cut = stored.len() * part / 24;
+        let error = CapacityResult::read(&stored[..cut]).expect_err("it is cut short");
         let _ = writeln!(out, "cut at {cut}: {error}");
     }
-    for (text, instead) in [
+    for (text, replacement) in [
         ("\"size\"", "\"sise\""),
         ("\"runs\"", "\"ruins\""),
         ("\"machines\":1300.0", "\"machines\":0"),
@@ -78,20 +78,20 @@
         ("\"figures\":{", "\"figures\":{\"x\":\"y\","),
         ("\"series\": \"held\"", "\"series\": \"starts\""),
     ] {
-        assert!(whole.contains(text), "{text}");
-        let spoilt = whole.replacen(text, instead, 1);
-        let error = CapacityResult::read(&spoilt).expect_err("it is spoilt");
-        let _ = writeln!(out, "{text} as {instead}: {error}");
+        assert!(stored.contains(text), "{text}");
+        let invalid = stored.replacen(text, replacement, 1);
+        let error = CapacityResult::read(&invalid).expect_err("it is invalid");
+        let _ = writeln!(out, "{text} as {replacement}: {error}");
     }
     let page = document("CAPACITY.md");
-    for (text, instead) in [
+    for (text, replacement) in [
         ("<!-- by role -->", ""),
         ("<!-- links -->", "<!-- by role -->"),
         ("| 1 | ", "| 2 | "),
     ] {
-        let spoilt = page.replacen(text, instead, 1);
-        let error = page::check(&spoilt, &result()).expect_err("it differs");
-        let _ = writeln!(out, "{text} as {instead}: {error}");
+        let invalid = page.replacen(text, replacement, 1);
+        let error = page::check(&invalid, &result()).expect_err("it differs");
+        let _ = writeln!(out, "{text} as {replacement}: {error}");
     }
     let machine = MachineResources {
         memory_mib: 24_000,
@@ -125,8 +125,8 @@
         _ => 100.0 / (1.0 + at),
     };
     (0..places * rounds)
-        .map(|own| {
-            let at = f64::from(own % places) * 40.0;
+        .map(|index| {
+            let at = f64::from(index % places) * 40.0;
             Measurement {
                 at,
                 value: value(at) * (1.0 + noise * (fraction(state) - 0.5)),
@@ -187,23 +187,23 @@
 
 #[test_case("refusals", refusals)]
 #[test_case("fits", fitted)]
-fn what_is_computed_is_as_on_file(name: &str, compute: fn(&mut String)) {
+fn computed_text_matches_the_recorded_file(name: &str, compute: fn(&mut String)) {
     let (mut computed, file) = (String::new(), format!("{name}.txt"));
     compute(&mut computed);
     let data = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data");
-    let on_file = std::fs::read_to_string(data.join(&file)).unwrap_or_default();
-    if computed == on_file {
+    let recorded = std::fs::read_to_string(data.join(&file)).unwrap_or_default();
+    if computed == recorded {
         return;
     }
-    let now = Path::new(env!("CARGO_TARGET_TMPDIR")).join(&file);
-    std::fs::write(&now, &computed).expect("the temporary folder can be written");
-    let differ = computed.lines().zip(on_file.lines());
-    let line = differ.take_while(|(one, other)| one == other).count();
+    let computed_file = Path::new(env!("CARGO_TARGET_TMPDIR")).join(&file);
+    std::fs::write(&computed_file, &computed).expect("the temporary folder can be written");
+    let pairs = computed.lines().zip(recorded.lines());
+    let line = pairs.take_while(|(one, other)| one == other).count();
     panic!(
-        "{file} line {}: now {:?}, on file {:?}; all of it in {}",
+        "{file} line {}: computed {:?}, recorded {:?}; the computed text is in {}",
         line + 1,
         computed.lines().nth(line),
-        on_file.lines().nth(line),
-        now.display()
+        recorded.lines().nth(line),
+        computed_file.display()
     );
 }
