--- a/crates/capacity-model/src/requirements.rs
+++ b/crates/capacity-model/src/requirements.rs
@@ -69,14 +69,14 @@
         } = self;
         write!(
             f,
-            "{required} {resource} are needed, and {usable} may be taken here"
+            "{required} {resource} are required, but only {usable} may be used here"
         )
     }
 }
 
 /// The error for a machine that has too few resources for a measurement.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("asks for too much: {}", joined(.0))]
+#[error("insufficient resources: {}", joined(.0))]
 pub struct InsufficientMachine(
     /// All resources that are short.
     pub Vec<Shortage>,
--- a/crates/capacity-model/src/result.rs
+++ b/crates/capacity-model/src/result.rs
@@ -71,7 +71,9 @@
     (0.0..=MAX_FIGURE)
         .contains(&at)
         .then_some(at)
-        .ok_or_else(|| D::Error::custom(format!("a point is at {at}, which is no place")))
+        .ok_or_else(|| {
+            D::Error::custom(format!("a point is at {at}, which is not a valid position"))
+        })
 }
 
 fn figures<'de, D: Deserializer<'de>>(deserializer: D) -> Result<BTreeMap<String, f64>, D::Error> {
--- a/crates/capacity-model/src/size.rs
+++ b/crates/capacity-model/src/size.rs
@@ -60,7 +60,7 @@
 
 /// The error for a figure of a size that is out of bounds.
 #[derive(Debug, thiserror::Error)]
-#[error("`{key}` is {value}, not above 0 and at most {MAX_FIGURE} of a size")]
+#[error("`{key}` is {value}, but must be above 0 and at most {MAX_FIGURE}")]
 struct OutOfBounds {
     key: &'static str,
     value: f64,
--- a/crates/capacity-model/tests/results.rs
+++ b/crates/capacity-model/tests/results.rs
@@ -125,12 +125,12 @@
     assert_eq!(CapacityResult::read(&result.to_json()), Ok(result));
 }
 
-#[test_case("\"at\":1300.0", "\"at\":-4", "is no place" ; "a position below zero")]
+#[test_case("\"at\":1300.0", "\"at\":-4", "is not a valid position" ; "a position below zero")]
 #[test_case("\"figures\":{\"told, bytes/s\":130602.0,\"told, core %\":74.36}", "\"figures\":{}", "has no figures" ; "no figures")]
 #[test_case("\"load\":1.5", "\"lode\":1.5", "unknown field" ; "an unknown field")]
 #[test_case("\"figures\":{", "\"figures\":{\"x\":null,", "invalid type" ; "not a number")]
 #[test_case("\"machines\"", "\"machine\"", "unknown variant `machine`" ; "an unknown axis")]
-#[test_case("\"waiting\":300.0", "\"waiting\":0", "not above 0" ; "a size of zero")]
+#[test_case("\"waiting\":300.0", "\"waiting\":0", "must be above 0" ; "a size of zero")]
 fn an_invalid_file_is_reported_with_its_line(valid: &str, invalid: &str, reason: &str) {
     let text = sample().to_json();
     // For the axis, replaces the first match; for all others, the last.
--- a/crates/testbed/tests/capacity.rs
+++ b/crates/testbed/tests/capacity.rs
@@ -166,7 +166,7 @@
     let path = path.to_str().expect("plain");
     let (well, told) = run_program(&["capacity", "--axis", "versions", "--size", path]);
     assert!(
-        !well && told.contains("the size: asks for too much"),
+        !well && told.contains("the size: insufficient resources"),
         "{told}"
     );
     assert!(
