--- a/crates/load-generator/src/compare.rs
+++ b/crates/load-generator/src/compare.rs
@@ -5,29 +5,30 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// Bootstrap resamples that the interval is read from.
+/// The number of bootstrap resamples from which the interval is computed.
 const RESAMPLES: usize = 4_000;
-/// Part of the resamples that the interval holds.
+/// The part of the resamples that lies within the interval.
 const CONFIDENCE: f64 = 0.95;
-/// Fewest pairs that allow a verdict: with fewer even the clearest order comes by chance too often.
+/// The minimum number of pairs for a verdict: with fewer, even the clearest order occurs by chance
+/// too often.
 const MIN_PAIRS: usize = 5;
 
-/// What is compared. Smaller is better in all of them.
+/// A figure that is compared. Smaller is better for all figures.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Figure {
-    /// Median latency from the intended time, in ms: the worst over all kinds of work.
+    /// The median latency from the intended time, in ms; the worst over all kinds of work.
     P50,
-    /// The same at the 99th percentile.
+    /// The 99th percentile of that latency, in ms; the worst over all kinds of work.
     P99,
-    /// Part of the intended requests that were not placed, from 0 to 1.
+    /// The fraction of the intended requests that were not placed, from 0 to 1.
     NotPlaced,
 }
 
 impl Figure {
-    /// All figures, in the order that they are printed.
+    /// All figures, in the order in which they are printed.
     pub const ALL: [Figure; 3] = [Figure::P50, Figure::P99, Figure::NotPlaced];
 
-    /// Name and unit, as printed.
+    /// Returns the name and unit, as printed.
     pub fn name(self) -> &'static str {
         match self {
             Figure::P50 => "p50 from intended time, ms",
@@ -36,7 +37,7 @@
         }
     }
 
-    /// Its value in a report.
+    /// Returns the value of the figure in a report.
     pub fn value_in(self, report: &Report) -> f64 {
         let worst = |of: fn(&crate::tally::Quantiles) -> u64| {
             report
@@ -63,32 +64,32 @@
     }
 }
 
-/// What a comparison comes to.
+/// The verdict of a comparison.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
     /// The new variant is better.
     Better,
     /// The new variant is worse.
     Worse,
-    /// The interval holds zero, or there are too few pairs.
+    /// The interval contains zero, or there are too few pairs.
     CanNotTell,
 }
 
 /// The difference between two variants.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Comparison {
-    /// Mean over all pairs of the new value less the old one.
+    /// The mean over all pairs of the new value minus the old one.
     pub difference: f64,
-    /// Lower end of the confidence interval.
+    /// The lower end of the confidence interval.
     pub low: f64,
-    /// Upper end of the confidence interval.
+    /// The upper end of the confidence interval.
     pub high: f64,
-    /// Which of the two is better.
+    /// Whether the new variant is better.
     pub verdict: Verdict,
 }
 
-/// Compares pairs of an old and a new value, each pair on the same load. The interval is a bootstrap
-/// over the pairs, and is the same for the same seed.
+/// Compares pairs of an old and a new value, each pair measured on the same load. The interval is
+/// computed by a bootstrap over the pairs, and is the same for the same seed.
 #[must_use]
 pub fn compare(pairs: &[(f64, f64)], seed: u64) -> Comparison {
     let differences: Vec<f64> = pairs.iter().map(|(old, new)| new - old).collect();
--- a/crates/load-generator/src/connections.rs
+++ b/crates/load-generator/src/connections.rs
@@ -1,4 +1,4 @@
-//! The connections that requests leave by.
+//! Keeps the connections over which requests are sent.
 
 use crate::run::RunError;
 use corkspan_rpc::{Connection, ConnectionLimits, SharedExecutor};
@@ -6,7 +6,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-/// Time to set up one connection.
+/// The time within which a connection must be open.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// The connections to one dispatcher.
@@ -15,8 +15,8 @@
     connections: Vec<Mutex<Connection>>,
 }
 
-/// Connections to all dispatchers. Requests take the dispatchers in turn, and of each its
-/// connections in turn.
+/// Connections to all dispatchers. Requests use the dispatchers in round-robin order, and also the
+/// connections of each dispatcher.
 pub(crate) struct Connections {
     tasks: SharedExecutor,
     limits: ConnectionLimits,
@@ -24,7 +24,7 @@
 }
 
 impl Connections {
-    /// Opens this many connections to each dispatcher.
+    /// Opens `per_dispatcher` connections to each dispatcher.
     pub(crate) async fn open(
         tasks: &SharedExecutor,
         dispatchers: &[SocketAddr],
@@ -58,7 +58,8 @@
         })
     }
 
-    /// The connection of the request with this number. One that broke is opened again, once.
+    /// Returns the connection for the request with this number. A connection that is no longer open
+    /// is reopened, with one try.
     pub(crate) async fn connection(&self, number: usize) -> Option<Connection> {
         let pool = &self.pools[number % self.pools.len()];
         let place = &pool.connections[number / self.pools.len() % pool.connections.len()];
--- a/crates/load-generator/src/lib.rs
+++ b/crates/load-generator/src/lib.rs
@@ -1,12 +1,11 @@
-//! Open-loop load. Requests are sent at times that were fixed beforehand, whatever the replies do,
-//! and every latency counts from the time that the request was intended to be sent. A dispatcher
-//! that stalls for a second is thus seen to have cost each request that was due in it what is left
-//! of that second; a client that waits for its replies would have sent one and seen one.
-//! docs/load.md says more.
+//! Generates open-loop load. Requests are sent at times that are fixed in advance, independently of
+//! the replies, and each latency is measured from the intended send time. If a dispatcher stalls
+//! for a second, each request that was due in that second is charged with the rest of the second; a
+//! closed-loop client would send one request and observe one delay. See docs/load.md.
 //!
-//! [`shape`] says when requests are sent, [`mix`] which, [`tally`] what came of them, [`compare`]
-//! which of two variants does better, all without I/O. [`plan`] reads the load file, [`run`] sends,
-//! and [`plot`] draws.
+//! [`shape`] determines when requests are sent, [`mix`] draws their kinds, [`tally`] counts the
+//! outcomes and [`compare`] compares two variants, all without I/O. [`plan`] reads the load file,
+//! [`run`] sends the requests, and [`plot`] draws a report.
 
 #![warn(missing_docs, clippy::too_many_lines)]
 
--- a/crates/load-generator/src/mix.rs
+++ b/crates/load-generator/src/mix.rs
@@ -1,30 +1,30 @@
-//! What is requested: kinds of work by weight.
+//! Draws the kinds of work that are requested, by weight.
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// A kind of work, and its part of the load.
+/// A kind of work and its weight in the load.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WorkloadKind {
-    /// Service class of its requests.
+    /// The service class of its requests.
     pub service_class: String,
-    /// Tenant of its requests; empty for none.
+    /// The tenant of its requests; empty for none.
     pub tenant: String,
-    /// Number of services that its requests are spread over evenly.
+    /// The number of services over which its requests are spread evenly.
     pub services: u32,
-    /// Its part of the load, relative to the others'.
+    /// The share of the load, relative to the weights of the other kinds.
     pub weight: f64,
-    /// Cores requested.
+    /// The cores requested.
     pub cores: f64,
-    /// Memory requested, in the unit of the deployment file.
+    /// The memory requested, in the unit of the deployment file.
     pub memory: f64,
-    /// Time that a placed allocation runs, ms.
+    /// The time that a placed allocation runs, in ms.
     pub lifetime_ms: u64,
-    /// Time that its client waits for a placement, ms.
+    /// The time that a client waits for a placement, in ms.
     pub abandon_ms: u64,
 }
 
-/// Draws kinds by weight, in the same order for the same seed.
+/// Draws kinds by weight; the sequence is the same for the same seed.
 pub struct Mix<'a> {
     kinds: &'a [WorkloadKind],
     total: f64,
@@ -32,10 +32,11 @@
 }
 
 impl<'a> Mix<'a> {
-    /// A sequence of draws from `kinds`.
+    /// Creates a sequence of draws from `kinds`.
     pub fn new(kinds: &'a [WorkloadKind], seed: u64) -> Self {
         let total = kinds.iter().map(|kind| kind.weight).sum();
-        // A seed apart from that of the times: another mix must not move them.
+        // The seed differs from that of the send times, so that a change of the mix does not change
+        // the times.
         Mix {
             kinds,
             total,
--- a/crates/load-generator/src/plan.rs
+++ b/crates/load-generator/src/plan.rs
@@ -1,4 +1,4 @@
-//! The load file: an S-expression. docs/load.md has its grammar.
+//! Parses the load file, an S-expression. docs/load.md documents its grammar.
 
 use crate::mix::WorkloadKind;
 use crate::shape::{Phase, Shape, Spacing};
@@ -6,33 +6,34 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Requests in one load at the most.
+/// The maximum number of requests in one load.
 const MAX_REQUESTS: f64 = 50_000_000.0;
 
-/// A load as its file describes it.
+/// A load as described by its file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
-    /// When requests are sent.
+    /// The times at which requests are sent.
     pub shape: Shape,
-    /// What is requested.
+    /// The kinds of work that are requested.
     pub kinds: Vec<WorkloadKind>,
-    /// Fixes the times and the kinds drawn.
+    /// The seed of the send times and of the drawn kinds.
     pub seed: u64,
-    /// Requests without a reply at a time; what is due beyond them is counted as not sent.
+    /// The maximum number of requests without a reply; a request that is due beyond it is counted
+    /// as not sent.
     pub max_in_flight: usize,
-    /// Connections to each dispatcher.
+    /// The number of connections to each dispatcher.
     pub connections: usize,
 }
 
 impl Plan {
-    /// Reads a load file.
+    /// Reads and parses a load file.
     pub fn load(path: &Path) -> Result<Plan, Diagnostic> {
         let folder = path.parent().unwrap_or(Path::new("")).to_path_buf();
         Plan::read(&path.display().to_string(), &sexp::load(path)?, &folder)
     }
 
-    /// Reads a load file's text. `file` is its name in messages, `folder` where recorded times are
-    /// looked for.
+    /// Parses the text of a load file. `file` is its name in messages, and `folder` the folder that
+    /// contains files of recorded times.
     pub fn read(file: &str, text: &str, folder: &Path) -> Result<Plan, Diagnostic> {
         sexp::with_form(file, text, "load", |form| {
             let parts = form.parts(&[
@@ -74,7 +75,7 @@
         })
     }
 
-    /// Names of the kinds, as reports print them.
+    /// Returns the names of the kinds, as reports print them.
     pub fn names(&self) -> Vec<String> {
         let name = |kind: &WorkloadKind| match &kind.tenant[..] {
             "" => kind.service_class.clone(),
@@ -88,7 +89,7 @@
     Ok(Duration::from_micros(form.time()? * 100))
 }
 
-/// Reads all phases, which must not come to too many requests.
+/// Parses all phases, and checks that they have at most [`MAX_REQUESTS`] requests in total.
 fn phases(form: &Form) -> Result<Vec<Phase>, Diagnostic> {
     let mut requests = 0.0;
     let mut phases = Vec::new();
@@ -107,7 +108,7 @@
     }
 }
 
-/// Reads one phase.
+/// Parses one phase.
 fn phase(form: &Form) -> Result<Phase, Diagnostic> {
     Ok(match form.name {
         "constant" => {
@@ -146,7 +147,7 @@
     })
 }
 
-/// Reads a kind of work; its form's name is the service class.
+/// Parses a kind of work; the name of its form is the service class.
 fn kind(form: &Form) -> Result<WorkloadKind, Diagnostic> {
     let parts = form.parts(&[
         "account",
@@ -175,7 +176,7 @@
     })
 }
 
-/// Reads `(recorded "times.csv")`: a column `ms` of times, in order.
+/// Reads the file in `(recorded "times.csv")`, which has a column `ms` of times in ascending order.
 fn recorded(form: &Form, folder: &Path) -> Result<Vec<Duration>, Diagnostic> {
     let path: PathBuf = folder.join(form.string()?);
     let fault = |why: String| form.diagnostic(format!("{}: {why}", path.display()));
--- a/crates/load-generator/src/plot.rs
+++ b/crates/load-generator/src/plot.rs
@@ -1,4 +1,4 @@
-//! Draws a report as an SVG picture: what was intended, what was placed, and the slowest reply of
+//! Draws a report as an SVG image: the intended requests, their outcomes, and the slowest reply of
 //! each second.
 
 use crate::tally::{Report, Second};
@@ -6,25 +6,25 @@
 use plotters::prelude::*;
 use std::path::{Path, PathBuf};
 
-/// Size of the picture, in pixels.
+/// The size of the image, in pixels.
 const SIZE: (u32, u32) = (900, 640);
-/// Height of the upper chart, in pixels.
+/// The height of the upper chart, in pixels.
 const UPPER_HEIGHT: u32 = 320;
 
-/// A report could not be drawn.
+/// The error for a report that could not be drawn.
 #[derive(Debug, thiserror::Error)]
 #[error("{}: {source}", path.display())]
 pub struct PlotError {
-    /// The picture's file.
+    /// The file of the image.
     pub path: PathBuf,
-    /// What the drawing library says.
+    /// The error of the drawing library.
     pub source: Box<dyn std::error::Error + Send + Sync>,
 }
 
 type Drawn = Result<(), Box<dyn std::error::Error + Send + Sync>>;
 type Area<'a> = DrawingArea<SVGBackend<'a>, Shift>;
 
-/// A line's name, its colour, and what it shows of a second.
+/// A line of a chart: its name, its colour, and the value that it shows for a second.
 struct Line {
     name: &'static str,
     colour: RGBColor,
@@ -55,7 +55,7 @@
     },
 ];
 
-/// Draws two charts above each other, by seconds of intended time.
+/// Draws two charts above each other, with one value per second of intended time.
 pub fn draw(report: &Report, path: &Path) -> Result<(), PlotError> {
     charts(report, path).map_err(|source| PlotError {
         path: path.into(),
@@ -74,7 +74,7 @@
     Ok(())
 }
 
-/// Requests per second: intended, and by how they ended.
+/// Draws the requests per second: the intended ones, and those with each outcome.
 fn rates(seconds: &[Second], end: f64, area: &Area) -> Drawn {
     let highest = seconds.iter().map(|second| second.intended).max();
     let highest = highest.unwrap_or(1).max(1) as f64;
@@ -106,7 +106,7 @@
     Ok(())
 }
 
-/// The slowest reply of each second, in ms from its intended time.
+/// Draws the latency of the slowest reply of each second, in ms from its intended time.
 fn slowest_replies(seconds: &[Second], end: f64, area: &Area) -> Drawn {
     let slowest_us = seconds.iter().map(|second| second.slowest_us).max();
     let slowest = slowest_us.unwrap_or(1).max(1) as f64 / 1_000.0;
--- a/crates/load-generator/src/run.rs
+++ b/crates/load-generator/src/run.rs
@@ -1,4 +1,4 @@
-//! Sends a load over real connections and records what comes back.
+//! Sends a load over real connections and records the outcomes.
 
 use crate::connections::Connections;
 use crate::mix::Mix;
@@ -11,62 +11,62 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// A reply is waited for this much longer than its client would wait.
+/// The time beyond a request's deadline for which its reply is awaited.
 const REPLY_GRACE: Duration = Duration::from_secs(2);
-/// A call is held open this much longer than what it placed is to run.
+/// The time beyond an allocation's expected duration for which its call is held open.
 const RUN_GRACE: Duration = Duration::from_secs(60);
-/// Between two looks at whether the last replies are there.
+/// The time between two checks for the last replies.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Why a load was not sent.
+/// The reason why a load was not sent.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
-    /// There is nobody to send it to.
+    /// No dispatcher is given.
     #[error("no dispatcher is named")]
     NoDispatcher,
-    /// A dispatcher can't be reached.
+    /// The connection to a dispatcher failed.
     #[error("{dispatcher}: {source}")]
     Connect {
-        /// Its address.
+        /// The address of the dispatcher.
         dispatcher: SocketAddr,
-        /// What stood in the way.
+        /// The reason of the failure.
         source: corkspan_rpc::ConnectError,
     },
 }
 
-/// When the next request is sent.
+/// The rule for when the next request is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Loop {
-    /// At its intended time, whatever the replies do.
+    /// At its intended time, independently of the replies.
     Open,
-    /// This many clients each send the next request as soon as they have their reply, for as long
-    /// as the load lasts. For comparison alone: its figures leave out the requests that nobody was
-    /// there to send.
+    /// This many clients each send the next request as soon as they have a reply, for the duration
+    /// of the load. For comparison only: its figures omit the requests that were not sent while all
+    /// clients waited for replies.
     Closed(usize),
 }
 
 /// A load to send.
 #[derive(Clone, Debug)]
 pub struct LoadRun {
-    /// What is sent, and when.
+    /// The requests and their send times.
     pub plan: Plan,
-    /// Addresses of the dispatchers, which are taken in turn.
+    /// The addresses of the dispatchers, which are used in round-robin order.
     pub dispatchers: Vec<SocketAddr>,
-    /// When the next request is sent.
+    /// The rule for when the next request is sent.
     pub mode: Loop,
-    /// The time that the plan's times count from.
+    /// The start of the load, from which the plan's times are measured.
     pub began: Instant,
 }
 
-/// What a request placed.
+/// An allocation that a request placed.
 struct Placed {
-    /// Ends when what was placed does.
+    /// The event stream, which ends when the allocation ends.
     replies: tonic::Streaming<v1::PlacementEvent>,
     lifetime: Duration,
 }
 
 impl Placed {
-    /// Holds the call open: to end it would say that the allocation is not wanted any more.
+    /// Holds the call open, because ending it would cancel the allocation.
     async fn hold_open(mut self) {
         let rest = async { while let Ok(Some(_)) = self.replies.message().await {} };
         within(self.lifetime + RUN_GRACE, Box::pin(rest)).await;
@@ -78,10 +78,10 @@
     plan: Plan,
     connections: Connections,
     began: Instant,
-    /// Sets the task names of this run apart from those of others.
+    /// An id that distinguishes the task names of this run from those of other runs.
     run_id: u64,
     tally: Mutex<Tally>,
-    /// One more reference than requests without a reply.
+    /// A counter: it has one more reference than there are requests without a reply.
     in_flight: Arc<()>,
 }
 
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Sends one request and records its outcome. Returns what it placed, if anything.
+    /// Sends one request and records its outcome. Returns the allocation, if it was placed.
     async fn send_request(
         &self,
         number: usize,
@@ -146,7 +146,8 @@
             .map(|(_, replies)| Placed { replies, lifetime })
     }
 
-    /// Waits until every request has its outcome, or the longest that any may take is over.
+    /// Waits until every request has an outcome, or until the longest time that any request may
+    /// take is over.
     async fn drain(&self) {
         let longest_ms = self.plan.kinds.iter().map(|kind| kind.abandon_ms).max();
         let longest = Duration::from_millis(longest_ms.unwrap_or(0)) + 2 * REPLY_GRACE;
@@ -158,8 +159,8 @@
     }
 }
 
-/// Sends a load and waits for its last reply. `progress` is called each second with the time since
-/// the beginning and the number of requests sent.
+/// Sends a load and waits for its last reply. Calls `progress` each second with the time since the
+/// start and the number of requests sent.
 pub async fn run(
     tasks: &SharedExecutor,
     load: LoadRun,
@@ -181,7 +182,7 @@
         Loop::Open => open(tasks, &context, &mut progress).await,
         Loop::Closed(clients) => closed(tasks, &context, clients, duration).await,
     }
-    // What was placed may run on after the last reply: it ends with the connections.
+    // Allocations may run on after the last reply; they end when the connections are closed.
     context.drain().await;
     Ok(context.tally().report(&names, duration))
 }
@@ -228,7 +229,7 @@
     }
 }
 
-/// Lets this many clients send one request after the other.
+/// Runs this many clients, each of which sends one request after the other.
 async fn closed(
     tasks: &SharedExecutor,
     context: &Arc<RunContext>,
@@ -258,7 +259,8 @@
     while context.began.elapsed() < duration {
         let (kind, service) = mix.draw();
         context.tally().start();
-        // Intended when it is sent: that is what is wrong with a closed loop.
+        // The intended time is the send time, which is why a closed loop hides the delay of
+        // requests that were not sent (coordinated omission).
         let intended = context.began.elapsed();
         if let Some(placed) = context.send_request(number, kind, service, intended).await {
             tasks.spawn(placed.hold_open()).detach();
--- a/crates/load-generator/src/shape.rs
+++ b/crates/load-generator/src/shape.rs
@@ -1,42 +1,42 @@
-//! When requests are sent: rates over time, and the times that they come to.
+//! Computes when requests are sent, from rates over time or from recorded times.
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::time::Duration;
 
-/// A stretch of time with a constant or evenly changing rate, in requests per second.
+/// A period with a constant or linearly changing rate, in requests per second.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Phase {
-    /// How long it takes.
+    /// The duration of the phase.
     pub duration: Duration,
-    /// Rate at its beginning.
+    /// The rate at its start.
     pub from: f64,
-    /// Rate at its end.
+    /// The rate at its end.
     pub to: f64,
-    /// Requests that are all sent at its beginning, on top.
+    /// The number of additional requests that are all sent at its start.
     pub burst: u32,
 }
 
-/// How requests are spaced at a rate.
+/// The spacing of requests at a rate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Spacing {
-    /// As evenly as the rate allows.
+    /// Evenly spaced.
     Even,
-    /// By chance: each request is independent of the others.
+    /// A Poisson process: each request is independent of the others.
     Poisson,
 }
 
-/// When requests are sent.
+/// The times at which requests are sent, as given in the load file.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Shape {
-    /// At a rate, one phase after the other.
+    /// Rates, one phase after the other.
     Phases(Vec<Phase>, Spacing),
-    /// At recorded times since the beginning, in order.
+    /// Recorded times since the start, in ascending order.
     Recorded(Vec<Duration>),
 }
 
 impl Shape {
-    /// How long the load lasts.
+    /// Returns the duration of the load.
     pub fn duration(&self) -> Duration {
         match self {
             Shape::Phases(phases, _) => phases.iter().map(|phase| phase.duration).sum(),
@@ -44,7 +44,8 @@
         }
     }
 
-    /// The times at which requests are sent, in order; the same for the same seed.
+    /// Returns the times at which requests are sent, in ascending order. They are the same for the
+    /// same seed.
     pub fn arrivals(&self, seed: u64) -> Arrivals<'_> {
         Arrivals {
             shape: self,
@@ -60,15 +61,15 @@
     }
 }
 
-/// The times at which requests are sent, since the beginning.
+/// An iterator over the send times, measured from the start of the load.
 pub struct Arrivals<'a> {
     shape: &'a Shape,
     rng: Pcg64Mcg,
-    /// The phase, or the next of the recorded times.
+    /// The index of the phase, or of the next recorded time.
     index: usize,
-    /// Seconds since the phase began.
+    /// The time since the start of the phase, in seconds.
     at: f64,
-    /// When the phase began, in seconds.
+    /// The start of the phase, in seconds.
     began: f64,
     left_in_burst: u32,
 }
@@ -88,7 +89,7 @@
             self.left_in_burst -= 1;
             return Some(Duration::from_secs_f64(self.began));
         }
-        // The integral of the rate until the next request: 1, or an exponential draw.
+        // The integral of the rate up to the next request: 1, or an exponential draw.
         let mut needed = match spacing {
             Spacing::Even => 1.0,
             Spacing::Poisson => -(1.0 - self.rng.random::<f64>()).ln(),
@@ -119,12 +120,12 @@
     }
 }
 
-/// Time until the integral of a rate that changes by `slope` comes to `needed`.
+/// Returns the time until the integral of a rate that changes by `slope` reaches `needed`.
 fn time_for(needed: f64, rate: f64, slope: f64) -> f64 {
     if slope.abs() < 1e-12 {
         return needed / rate;
     }
-    // The smaller root, in the form that loses no digits where the slope is slight.
+    // The smaller root, in a form that loses no digits if the slope is small.
     let root = (rate * rate + 2.0 * slope * needed).max(0.0).sqrt();
     2.0 * needed / (rate + root)
 }
--- a/crates/load-generator/src/tally.rs
+++ b/crates/load-generator/src/tally.rs
@@ -1,50 +1,50 @@
-//! What came of a load: latencies from the intended send time, by kind and second, and the lag of
-//! the generator itself.
+//! Records the outcomes of a load: latencies from the intended send time, by kind and second, and
+//! the lag of the generator itself.
 
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How a request ended.
+/// The outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
-    /// It was placed.
+    /// Placed.
     Placed,
-    /// Rejected, certain to have had no effect.
+    /// Rejected, certainly without any effect.
     #[serde(rename = "refused")]
     Rejected,
-    /// It failed, and may have run.
+    /// Failed; it may have run.
     Failed,
-    /// No final reply: the connection broke, or the client's time was up.
+    /// No final reply: the connection broke, or the client's deadline passed.
     Unanswered,
-    /// Not sent, since too many requests were in flight: the intended load was not offered.
+    /// Not sent, because too many requests were in flight; the intended load was not offered.
     NotSent,
 }
 
-/// One request. Its times count from the beginning of the load.
+/// The record of one request. Its times are measured from the start of the load.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestRecord {
-    /// Index of its kind of work.
+    /// The index of its kind of work.
     pub kind: usize,
-    /// When it was to be sent.
+    /// The intended send time.
     pub intended: Duration,
-    /// When it was sent.
+    /// The send time.
     pub sent: Duration,
-    /// When its reply came, or was no longer waited for.
+    /// The time of the reply, or of the end of waiting for it.
     pub answered: Duration,
-    /// How it ended.
+    /// The outcome.
     pub outcome: Outcome,
 }
 
-/// A generator that lags by more than this, at the 99th percentile, has not offered the intended
-/// load.
+/// The maximum lag of the generator at the 99th percentile. With a larger lag it has not offered
+/// the intended load.
 pub const MAX_LAG: Duration = Duration::from_millis(10);
 
 /// Counts outcomes and latencies as a load runs.
 pub struct Tally {
-    /// Latencies by kind, of requests that were sent.
+    /// The latencies of requests that were sent, by kind.
     from_intended: Vec<Histogram<u64>>,
     from_sent: Vec<Histogram<u64>>,
     lag: Histogram<u64>,
@@ -57,25 +57,25 @@
 /// One second of intended time.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Second {
-    /// Its number, from 0.
+    /// The number of the second, from 0.
     pub at: u64,
-    /// Requests that were to be sent in it.
+    /// The number of requests that were to be sent in it.
     pub intended: u64,
-    /// Of those, requests that were placed.
+    /// The number of those that were placed.
     pub placed: u64,
-    /// Of those, requests that were rejected.
+    /// The number of those that were rejected.
     #[serde(rename = "refused")]
     pub rejected: u64,
-    /// Of those, requests that failed, had no reply or were not sent.
+    /// The number of those that failed, had no reply or were not sent.
     pub lost: u64,
-    /// Latency of the slowest reply from its intended time, µs.
+    /// The latency of the slowest reply from its intended time, in µs.
     pub slowest_us: u64,
 }
 
-/// Quantiles of a latency, µs.
+/// Quantiles of a latency, in µs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Quantiles {
-    /// Values that it was taken of.
+    /// The number of values.
     pub count: u64,
     /// Median.
     pub p50: u64,
@@ -83,42 +83,42 @@
     pub p99: u64,
     /// 99.9th percentile.
     pub p999: u64,
-    /// Highest value.
+    /// The maximum.
     #[serde(rename = "most")]
     pub max: u64,
 }
 
-/// What came of a load. Stored as JSON.
+/// The report about a load, which is stored as JSON.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Report {
-    /// By kind of work.
+    /// The reports by kind of work.
     pub kinds: Vec<KindReport>,
-    /// The generator's lag: from the intended time of a request until it was sent.
+    /// The generator's lag, from the intended time of a request until it was sent.
     pub lag: Quantiles,
-    /// Requests per second that were to be sent.
+    /// The intended requests per second.
     #[serde(rename = "intended_a_second")]
     pub intended_per_second: f64,
-    /// Requests per second that were sent.
+    /// The requests per second that were sent.
     #[serde(rename = "sent_a_second")]
     pub sent_per_second: f64,
-    /// The generator did not keep up: the figures are not the dispatcher's alone.
+    /// Whether the generator did not keep up, so that the figures are not the dispatcher's alone.
     #[serde(rename = "behind")]
     pub fell_behind: bool,
-    /// By second of intended time.
+    /// The counts by second of intended time.
     pub seconds: Vec<Second>,
 }
 
-/// What came of one kind of work.
+/// The report about one kind of work.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct KindReport {
-    /// Service class and tenant.
+    /// The service class and tenant.
     pub name: String,
-    /// Requests by how they ended.
+    /// The number of requests by outcome.
     #[serde(rename = "fates")]
     pub outcomes: BTreeMap<Outcome, u64>,
-    /// Latency from the intended time.
+    /// The latency from the intended time.
     pub from_intended: Quantiles,
-    /// Latency from the time of sending, as a waiting client would see it: for comparison.
+    /// The latency from the send time, as a closed-loop client would measure it; for comparison.
     pub from_sent: Quantiles,
 }
 
@@ -142,7 +142,7 @@
 }
 
 impl Tally {
-    /// An empty tally of this many kinds.
+    /// Creates an empty tally for this number of kinds.
     pub fn new(kinds: usize) -> Self {
         Tally {
             from_intended: (0..kinds).map(|_| histogram()).collect(),
@@ -155,22 +155,22 @@
         }
     }
 
-    /// A request is due, and will be recorded.
+    /// Counts a request that is due and will be recorded.
     pub fn start(&mut self) {
         self.started += 1;
     }
 
-    /// Requests that were due.
+    /// Returns the number of requests that were due.
     pub fn started(&self) -> u64 {
         self.started
     }
 
-    /// Requests that were recorded.
+    /// Returns the number of requests that were recorded.
     pub fn recorded(&self) -> u64 {
         self.seconds.values().map(|second| second.intended).sum()
     }
 
-    /// Records how a request ended.
+    /// Records the outcome of a request.
     pub fn record(&mut self, request: &RequestRecord) {
         let at = request.intended.as_secs();
         let second = self.seconds.entry(at).or_insert_with(|| Second {
@@ -195,14 +195,15 @@
             Outcome::Rejected => second.rejected += 1,
             Outcome::Failed | Outcome::Unanswered | Outcome::NotSent => second.lost += 1,
         }
-        // One without a reply took at least as long as it was waited for: to leave it out would
-        // flatter.
+        // A request without a reply took at least as long as the client waited; to omit it would
+        // make the latencies look better than they are.
         self.from_intended[request.kind].saturating_record(late);
         self.from_sent[request.kind]
             .saturating_record(micros(request.answered.saturating_sub(request.sent)));
     }
 
-    /// The report so far. `names` are the kinds', `duration` is the load's as intended.
+    /// Returns the report so far. `names` are the names of the kinds, and `duration` is the
+    /// intended duration of the load.
     pub fn report(&self, names: &[String], duration: Duration) -> Report {
         let kinds = names.iter().enumerate().map(|(kind, name)| KindReport {
             name: name.clone(),
--- a/crates/load-generator/tests/load.rs
+++ b/crates/load-generator/tests/load.rs
@@ -1,4 +1,5 @@
-//! When requests are sent and what is counted of them: a case for each way that a load can mislead.
+//! Tests when requests are sent and how they are counted, with a case for each way in which a load
+//! can mislead.
 
 use corkspan_load_generator::compare::{Verdict, compare};
 use corkspan_load_generator::mix::{Mix, WorkloadKind};
--- a/crates/load-generator/tests/recorded.rs
+++ b/crates/load-generator/tests/recorded.rs
@@ -1,5 +1,5 @@
-//! Arrivals, draws, reports and verdicts as an earlier version of this program wrote them: the same
-//! seeds must come to the same bytes, and a kept report must be read and written back unchanged.
+//! Compares arrivals, draws, reports and verdicts with those of an earlier version of this program:
+//! the same seeds must give the same bytes, and a stored report must be read and written unchanged.
 
 use corkspan_load_generator::compare::{Figure, compare};
 use corkspan_load_generator::mix::Mix;
@@ -14,14 +14,14 @@
 const REPORT: &str = include_str!("data/report.json");
 const REPORT_TEXT: &str = include_str!("data/report.txt");
 const COMPARED: &str = include_str!("data/compared.txt");
-/// The messages that halves of the kept report are refused with, by bytes.
+/// The error messages for truncated copies of the stored report, by their length in bytes.
 const REFUSED: &str = include_str!("data/refused.txt");
 
 fn plan(text: &str) -> Plan {
     Plan::read("load.sexp", text, Path::new("")).expect("it is sound")
 }
 
-/// Every arrival of a plan with its draw, a line each.
+/// Formats every arrival of a plan with its draw, one per line.
 fn arrivals() -> String {
     let mut text = String::new();
     for (spacing, seed) in [("poisson", 7), ("even", 7), ("poisson", 8)] {
@@ -39,7 +39,7 @@
     text
 }
 
-/// A report over outcomes that are derived from the arrivals.
+/// Returns a report about outcomes that are derived from the arrivals.
 fn report() -> Report {
     let plan = plan(PLAN);
     let mut tally = Tally::new(plan.kinds.len());
@@ -69,7 +69,7 @@
     tally.report(&plan.names(), plan.shape.duration())
 }
 
-/// The figures of the kept report, and the verdict on pairs made from each.
+/// Formats the figures of the report, and the verdict on pairs derived from each.
 fn compared() -> String {
     let report = report();
     let mut text = String::new();
