--- a/crates/load-generator/src/compare.rs
+++ b/crates/load-generator/src/compare.rs
@@ -39,18 +39,18 @@
 
     /// Returns the value of the figure in a report.
     pub fn value_in(self, report: &Report) -> f64 {
-        let worst = |of: fn(&crate::tally::Quantiles) -> u64| {
+        let worst_ms = |quantile: fn(&crate::tally::Quantiles) -> u64| {
             report
                 .kinds
                 .iter()
-                .map(|kind| of(&kind.from_intended))
+                .map(|kind| quantile(&kind.from_intended))
                 .max()
                 .unwrap_or(0) as f64
                 / 1_000.0
         };
         match self {
-            Figure::P50 => worst(|latency| latency.p50),
-            Figure::P99 => worst(|latency| latency.p99),
+            Figure::P50 => worst_ms(|latency| latency.p50),
+            Figure::P99 => worst_ms(|latency| latency.p99),
             Figure::NotPlaced => {
                 let outcomes = || report.kinds.iter().flat_map(|kind| &kind.outcomes);
                 let placed: u64 = outcomes()
@@ -116,8 +116,12 @@
         })
         .collect();
     means.sort_by(f64::total_cmp);
-    let at = |part: f64| means[((RESAMPLES as f64 * part) as usize).min(RESAMPLES - 1)];
-    let (low, high) = (at((1.0 - CONFIDENCE) / 2.0), at((1.0 + CONFIDENCE) / 2.0));
+    let quantile =
+        |fraction: f64| means[((RESAMPLES as f64 * fraction) as usize).min(RESAMPLES - 1)];
+    let (low, high) = (
+        quantile((1.0 - CONFIDENCE) / 2.0),
+        quantile((1.0 + CONFIDENCE) / 2.0),
+    );
     let verdict = match (low, high) {
         (_, high) if high < 0.0 => Verdict::Better,
         (low, _) if low > 0.0 => Verdict::Worse,
--- a/crates/load-generator/src/connections.rs
+++ b/crates/load-generator/src/connections.rs
@@ -62,15 +62,15 @@
     /// is reopened, with one try.
     pub(crate) async fn connection(&self, number: usize) -> Option<Connection> {
         let pool = &self.pools[number % self.pools.len()];
-        let place = &pool.connections[number / self.pools.len() % pool.connections.len()];
-        let connection = place.lock().unwrap_or_else(PoisonError::into_inner).clone();
+        let slot = &pool.connections[number / self.pools.len() % pool.connections.len()];
+        let connection = slot.lock().unwrap_or_else(PoisonError::into_inner).clone();
         if connection.is_open() {
             return Some(connection);
         }
-        let fresh = Connection::open(&self.tasks, pool.dispatcher, &self.limits)
+        let reopened = Connection::open(&self.tasks, pool.dispatcher, &self.limits)
             .await
             .ok()?;
-        *place.lock().unwrap_or_else(PoisonError::into_inner) = fresh.clone();
-        Some(fresh)
+        *slot.lock().unwrap_or_else(PoisonError::into_inner) = reopened.clone();
+        Some(reopened)
     }
 }
--- a/crates/load-generator/src/mix.rs
+++ b/crates/load-generator/src/mix.rs
@@ -46,11 +46,11 @@
 
     /// Draws the index of a kind and one of its services.
     pub fn draw(&mut self) -> (usize, u32) {
-        let mut at = self.rng.random::<f64>() * self.total;
+        let mut remaining = self.rng.random::<f64>() * self.total;
         let last = self.kinds.len().saturating_sub(1);
         let kind = self.kinds.iter().position(|kind| {
-            at -= kind.weight;
-            at < 0.0
+            remaining -= kind.weight;
+            remaining < 0.0
         });
         let kind = kind.unwrap_or(last);
         let services = self.kinds.get(kind).map_or(1, |kind| kind.services.max(1));
--- a/crates/load-generator/src/plan.rs
+++ b/crates/load-generator/src/plan.rs
@@ -85,7 +85,7 @@
     }
 }
 
-fn span(form: &Form) -> Result<Duration, Diagnostic> {
+fn duration(form: &Form) -> Result<Duration, Diagnostic> {
     Ok(Duration::from_micros(form.time()? * 100))
 }
 
@@ -115,7 +115,7 @@
             let parts = form.parts(&["for", "rate"])?;
             let rate = parts.required("rate")?.non_negative()?;
             Phase {
-                duration: span(parts.required("for")?)?,
+                duration: duration(parts.required("for")?)?,
                 from: rate,
                 to: rate,
                 burst: 0,
@@ -128,7 +128,7 @@
                 parts.required("to")?.non_negative()?,
             );
             Phase {
-                duration: span(parts.required("for")?)?,
+                duration: duration(parts.required("for")?)?,
                 from,
                 to,
                 burst: 0,
@@ -179,27 +179,29 @@
 /// Reads the file in `(recorded "times.csv")`, which has a column `ms` of times in ascending order.
 fn recorded(form: &Form, folder: &Path) -> Result<Vec<Duration>, Diagnostic> {
     let path: PathBuf = folder.join(form.string()?);
-    let fault = |why: String| form.diagnostic(format!("{}: {why}", path.display()));
-    let mut reader = csv::Reader::from_path(&path).map_err(|why| fault(why.to_string()))?;
-    let headers = reader.headers().map_err(|why| fault(why.to_string()))?;
+    let error = |reason: String| form.diagnostic(format!("{}: {reason}", path.display()));
+    let mut reader = csv::Reader::from_path(&path).map_err(|source| error(source.to_string()))?;
+    let headers = reader
+        .headers()
+        .map_err(|source| error(source.to_string()))?;
     let column = headers.iter().position(|name| name.trim() == "ms");
-    let column = column.ok_or_else(|| fault("lacks a column `ms`".into()))?;
+    let column = column.ok_or_else(|| error("lacks a column `ms`".into()))?;
     let mut times: Vec<Duration> = Vec::new();
     for record in reader.records() {
-        let record = record.map_err(|why| fault(why.to_string()))?;
+        let record = record.map_err(|source| error(source.to_string()))?;
         let line = record.position().map_or(0, csv::Position::line);
         let text = record.get(column).unwrap_or_default().trim();
         let ms = text
             .parse::<f64>()
             .ok()
             .filter(|ms| (0.0..=1e12).contains(ms));
-        let ms = ms.ok_or_else(|| fault(format!("line {line}: `{text}` is no time in ms")))?;
+        let ms = ms.ok_or_else(|| error(format!("line {line}: `{text}` is no time in ms")))?;
         let time = Duration::from_secs_f64(ms / 1_000.0);
         if times.last().is_some_and(|last| *last > time) {
-            return Err(fault(format!("line {line}: before the line above it")));
+            return Err(error(format!("line {line}: before the line above it")));
         }
         if times.len() as f64 >= MAX_REQUESTS {
-            return Err(fault(format!("more than {MAX_REQUESTS} times")));
+            return Err(error(format!("more than {MAX_REQUESTS} times")));
         }
         times.push(time);
     }
--- a/crates/load-generator/src/plot.rs
+++ b/crates/load-generator/src/plot.rs
@@ -21,7 +21,7 @@
     pub source: Box<dyn std::error::Error + Send + Sync>,
 }
 
-type Drawn = Result<(), Box<dyn std::error::Error + Send + Sync>>;
+type DrawResult = Result<(), Box<dyn std::error::Error + Send + Sync>>;
 type Area<'a> = DrawingArea<SVGBackend<'a>, Shift>;
 
 /// A line of a chart: its name, its colour, and the value that it shows for a second.
@@ -63,7 +63,7 @@
     })
 }
 
-fn charts(report: &Report, path: &Path) -> Drawn {
+fn charts(report: &Report, path: &Path) -> DrawResult {
     let root = SVGBackend::new(path, SIZE).into_drawing_area();
     root.fill(&WHITE)?;
     let (upper, lower) = root.split_vertically(UPPER_HEIGHT);
@@ -75,7 +75,7 @@
 }
 
 /// Draws the requests per second: the intended ones, and those with each outcome.
-fn rates(seconds: &[Second], end: f64, area: &Area) -> Drawn {
+fn rates(seconds: &[Second], end: f64, area: &Area) -> DrawResult {
     let highest = seconds.iter().map(|second| second.intended).max();
     let highest = highest.unwrap_or(1).max(1) as f64;
     let mut chart = ChartBuilder::on(area)
@@ -93,8 +93,8 @@
         let points = seconds
             .iter()
             .map(|second| (second.at as f64 + 0.5, (line.value)(second) as f64));
-        let drawn = chart.draw_series(LineSeries::new(points, line.colour.stroke_width(2)))?;
-        drawn
+        let series = chart.draw_series(LineSeries::new(points, line.colour.stroke_width(2)))?;
+        series
             .label(line.name)
             .legend(move |(x, y)| PathElement::new([(x, y), (x + 14, y)], line.colour));
     }
@@ -107,7 +107,7 @@
 }
 
 /// Draws the latency of the slowest reply of each second, in ms from its intended time.
-fn slowest_replies(seconds: &[Second], end: f64, area: &Area) -> Drawn {
+fn slowest_replies(seconds: &[Second], end: f64, area: &Area) -> DrawResult {
     let slowest_us = seconds.iter().map(|second| second.slowest_us).max();
     let slowest = slowest_us.unwrap_or(1).max(1) as f64 / 1_000.0;
     let mut chart = ChartBuilder::on(area)
--- a/crates/load-generator/src/shape.rs
+++ b/crates/load-generator/src/shape.rs
@@ -52,7 +52,7 @@
             rng: Pcg64Mcg::seed_from_u64(seed),
             index: 0,
             at: 0.0,
-            began: 0.0,
+            phase_start: 0.0,
             left_in_burst: match self {
                 Shape::Phases(phases, _) => phases.first().map_or(0, |phase| phase.burst),
                 Shape::Recorded(_) => 0,
@@ -70,7 +70,7 @@
     /// The time since the start of the phase, in seconds.
     at: f64,
     /// The start of the phase, in seconds.
-    began: f64,
+    phase_start: f64,
     left_in_burst: u32,
 }
 
@@ -87,7 +87,7 @@
         };
         if self.left_in_burst > 0 {
             self.left_in_burst -= 1;
-            return Some(Duration::from_secs_f64(self.began));
+            return Some(Duration::from_secs_f64(self.phase_start));
         }
         // The integral of the rate up to the next request: 1, or an exponential draw.
         let mut needed = match spacing {
@@ -107,14 +107,15 @@
             let total = rate * left + slope * left * left / 2.0;
             if total > needed {
                 self.at += time_for(needed, rate, slope).min(left);
-                return Some(Duration::from_secs_f64(self.began + self.at));
+                return Some(Duration::from_secs_f64(self.phase_start + self.at));
             }
             needed -= total.max(0.0);
-            (self.index, self.began, self.at) = (self.index + 1, self.began + length, 0.0);
+            (self.index, self.phase_start, self.at) =
+                (self.index + 1, self.phase_start + length, 0.0);
             let next = phases.get(self.index)?;
             if next.burst > 0 {
                 self.left_in_burst = next.burst - 1;
-                return Some(Duration::from_secs_f64(self.began));
+                return Some(Duration::from_secs_f64(self.phase_start));
             }
         }
     }
--- a/crates/load-generator/src/tally.rs
+++ b/crates/load-generator/src/tally.rs
@@ -123,17 +123,17 @@
 }
 
 fn histogram() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, 3_600_000_000, 3).expect("bounds and digits are sound")
+    Histogram::new_with_bounds(1, 3_600_000_000, 3).expect("bounds and digits are valid")
 }
 
-fn quantiles(of: &Histogram<u64>) -> Quantiles {
-    let at = |quantile| of.value_at_quantile(quantile);
+fn quantiles(histogram: &Histogram<u64>) -> Quantiles {
+    let at = |quantile| histogram.value_at_quantile(quantile);
     Quantiles {
-        count: of.len(),
+        count: histogram.len(),
         p50: at(0.5),
         p99: at(0.99),
         p999: at(0.999),
-        max: of.max(),
+        max: histogram.max(),
     }
 }
 
@@ -188,8 +188,8 @@
         self.last_sent = self.last_sent.max(request.sent);
         self.lag
             .saturating_record(micros(request.sent.saturating_sub(request.intended)));
-        let late = micros(request.answered.saturating_sub(request.intended));
-        second.slowest_us = second.slowest_us.max(late);
+        let latency_us = micros(request.answered.saturating_sub(request.intended));
+        second.slowest_us = second.slowest_us.max(latency_us);
         match request.outcome {
             Outcome::Placed => second.placed += 1,
             Outcome::Rejected => second.rejected += 1,
@@ -197,7 +197,7 @@
         }
         // A request without a reply took at least as long as the client waited; to omit it would
         // make the latencies look better than they are.
-        self.from_intended[request.kind].saturating_record(late);
+        self.from_intended[request.kind].saturating_record(latency_us);
         self.from_sent[request.kind]
             .saturating_record(micros(request.answered.saturating_sub(request.sent)));
     }
--- a/crates/load-generator/tests/load.rs
+++ b/crates/load-generator/tests/load.rs
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn a_step_takes_its_new_rate_at_once() {
+fn a_step_applies_its_new_rate_immediately() {
     let times = times(
         vec![phase(2, 50.0, 50.0), phase(2, 5_000.0, 5_000.0)],
         Spacing::Even,
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_ramp_comes_to_the_mean_of_its_rates_and_most_of_it_late() {
+fn a_ramp_has_the_mean_of_its_rates_and_most_requests_in_its_second_half() {
     let times = times(vec![phase(10, 0.0, 200.0)], Spacing::Even);
     let half = times.iter().filter(|at| **at < ms(5_000)).count();
     assert!(
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_burst_comes_all_at_its_moment() {
+fn all_requests_of_a_burst_are_sent_at_its_time() {
     let burst = Phase {
         duration: Duration::ZERO,
         from: 0.0,
@@ -65,10 +65,10 @@
         vec![phase(1, 10.0, 10.0), burst, phase(1, 10.0, 10.0)],
         Spacing::Even,
     );
-    let then = times.iter().filter(|at| **at == ms(1_000)).count();
+    let at_burst = times.iter().filter(|at| **at == ms(1_000)).count();
     assert!(
-        (300..=301).contains(&then),
-        "{then}, with the last before it"
+        (300..=301).contains(&at_burst),
+        "{at_burst}, with the last before it"
     );
 }
 
@@ -81,24 +81,24 @@
         let phases: Vec<Phase> = rates.iter().map(|&(from, to, seconds, burst)| {
             Phase { duration: Duration::from_secs(seconds), from, to, burst }
         }).collect();
-        let meant: f64 = phases.iter().map(|own| {
-            (own.from + own.to) / 2.0 * own.duration.as_secs_f64() + f64::from(own.burst)
+        let intended: f64 = phases.iter().map(|phase| {
+            (phase.from + phase.to) / 2.0 * phase.duration.as_secs_f64() + f64::from(phase.burst)
         }).sum();
         for spacing in [Spacing::Even, Spacing::Poisson] {
             let shape = Shape::Phases(phases.clone(), spacing);
             let times: Vec<Duration> = shape.arrivals(seed).collect();
             prop_assert!(times.is_sorted());
             prop_assert!(times.last().is_none_or(|last| *last <= shape.duration() + ms(1)));
-            let off = (times.len() as f64 - meant).abs();
-            let slack = if spacing == Spacing::Even { rates.len() as f64 + 1.0 } else { 6.0 * meant.sqrt() + 6.0 };
-            prop_assert!(off <= slack, "{} for {meant}", times.len());
+            let deviation = (times.len() as f64 - intended).abs();
+            let slack = if spacing == Spacing::Even { rates.len() as f64 + 1.0 } else { 6.0 * intended.sqrt() + 6.0 };
+            prop_assert!(deviation <= slack, "{} for {intended}", times.len());
             prop_assert_eq!(shape.arrivals(seed).collect::<Vec<_>>(), times, "the same again");
         }
     }
 }
 
 #[test]
-fn kinds_come_by_their_weight() {
+fn kinds_are_drawn_by_weight() {
     let kind = |service_class: &str, weight| WorkloadKind {
         service_class: service_class.into(),
         tenant: String::new(),
@@ -130,14 +130,14 @@
     let mut tally = Tally::new(1);
     (0..100).for_each(|at| tally.record(&request(at * 10, 1_000, 1_005, Outcome::Placed)));
     let report = tally.report(&["web".into()], ms(1_000));
-    let own = &report.kinds[0];
+    let kind = &report.kinds[0];
     assert!(
-        own.from_intended.p50 > 500_000 && own.from_sent.max < 5_100,
-        "{own:?}"
+        kind.from_intended.p50 > 500_000 && kind.from_sent.max < 5_100,
+        "{kind:?}"
     );
     assert!(
         report.fell_behind,
-        "and the generator says that it was late"
+        "the generator reports that it fell behind"
     );
 }
 
@@ -156,49 +156,56 @@
 const PLAN: &str = "(load (phases (constant (for 1 s) (rate 50))) (kinds (web (cores 1) (memory 1) (life 1 s) (abandon-time 4 s))))";
 
 #[test_case("(rate 50)", "(rate -1)", "0 or more"; "a rate below zero")]
-#[test_case("(rate 50)", "(rate 100000000)", "more than 50000000 asks"; "a rate without end")]
-#[test_case("(life 1 s)", "", "lacks `(life …)`"; "no life")]
+#[test_case("(rate 50)", "(rate 100000000)", "more than 50000000 asks"; "too many requests")]
+#[test_case("(life 1 s)", "", "lacks `(life …)`"; "no lifetime")]
 #[test_case("(phases", "(recorded \"no.csv\") (phases", "either"; "two shapes")]
-#[test_case("(phases (constant (for 1 s) (rate 50)))", "(recorded \"no.csv\")", "no.csv"; "no such file")]
-fn a_faulty_load_file_is_refused_with_the_place_of_the_fault(from: &str, to: &str, why: &str) {
-    let fault = Plan::read("p", &PLAN.replace(from, to), Path::new(""))
+#[test_case("(phases (constant (for 1 s) (rate 50)))", "(recorded \"no.csv\")", "no.csv"; "a missing file")]
+fn an_invalid_load_file_is_rejected_with_the_position_of_the_error(
+    from: &str,
+    to: &str,
+    reason: &str,
+) {
+    let error = Plan::read("p", &PLAN.replace(from, to), Path::new(""))
         .map(drop)
-        .expect_err("a fault")
+        .expect_err("an error")
         .to_string();
-    assert!(fault.starts_with("p:1:") && fault.contains(why), "{fault}");
+    assert!(
+        error.starts_with("p:1:") && error.contains(reason),
+        "{error}"
+    );
 }
 
 #[test_case("ms\n0\n5.5\n7\n", Ok(3); "in order")]
-#[test_case("ms\r\n0\r\n5\r\n", Ok(2); "with the line ends of others")]
+#[test_case("ms\r\n0\r\n5\r\n", Ok(2); "with CRLF line ends")]
 #[test_case("ms\n5\n4\n", Err("line 3: before the line above it"); "out of order")]
-#[test_case("ms\n5\nx\n", Err("line 3: `x` is no time"); "no time")]
+#[test_case("ms\n5\nx\n", Err("line 3: `x` is no time"); "an invalid time")]
 #[test_case("s\n5\n", Err("lacks a column"); "no column")]
-fn recorded_times_are_read_in_order(text: &str, wanted: Result<usize, &str>) {
+fn recorded_times_are_read_in_order(text: &str, expected: Result<usize, &str>) {
     let folder = tempfile::tempdir().expect("a folder");
     std::fs::write(folder.path().join("times.csv"), text).expect("written");
     let plan = PLAN.replace(
         "(phases (constant (for 1 s) (rate 50)))",
         "(recorded \"times.csv\")",
     );
-    let read = Plan::read("p", &plan, folder.path()).map_err(|why| why.to_string());
-    match (read, wanted) {
+    let read = Plan::read("p", &plan, folder.path()).map_err(|error| error.to_string());
+    match (read, expected) {
         (Ok(plan), Ok(count)) => assert_eq!(plan.shape.arrivals(1).count(), count),
-        (Err(why), Err(wanted)) => assert!(why.contains(wanted), "{why}"),
-        (read, wanted) => panic!("{read:?}, not {wanted:?}"),
+        (Err(error), Err(expected)) => assert!(error.contains(expected), "{error}"),
+        (read, expected) => panic!("{read:?}, not {expected:?}"),
     }
 }
 
 #[test_case(10.0, Verdict::Worse; "10 more on each")]
 #[test_case(-10.0, Verdict::Better; "10 less on each")]
 #[test_case(0.0, Verdict::CanNotTell; "the same")]
-fn a_difference_is_found_among_days_that_differ_far_more(more: f64, verdict: Verdict) {
-    // Days between 100 and 500, each variant off by up to 5 of its own.
-    let noise = |at: usize| ((at * 7919) % 11) as f64 - 5.0;
+fn a_difference_is_found_among_loads_that_differ_far_more(difference: f64, verdict: Verdict) {
+    // Loads have values between 100 and 500; each new value has additional noise of up to 5.
+    let noise = |index: usize| ((index * 7919) % 11) as f64 - 5.0;
     let pairs: Vec<(f64, f64)> = (0..10)
-        .map(|day| {
+        .map(|load| {
             (
-                100.0 + 44.0 * day as f64,
-                100.0 + 44.0 * day as f64 + more + noise(day),
+                100.0 + 44.0 * load as f64,
+                100.0 + 44.0 * load as f64 + difference + noise(load),
             )
         })
         .collect();
@@ -206,7 +213,7 @@
     assert_eq!(
         compare(&pairs[..4], 1).verdict,
         Verdict::CanNotTell,
-        "four days allow no verdict"
+        "four loads allow no verdict"
     );
 }
 
@@ -220,7 +227,7 @@
         compare(&pairs, round).verdict != Verdict::CanNotTell
     });
     let found = found.count();
-    assert!(found <= 30, "{found} of 200, where 10 are meant to be");
+    assert!(found <= 30, "{found} of 200, where 10 are expected");
 }
 
 #[test]
@@ -231,14 +238,14 @@
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("report.svg");
     draw(&report, &path).expect("it can be drawn");
-    let picture = std::fs::read_to_string(&path).expect("written");
-    assert!(picture.starts_with("<svg") && picture.contains("slowest answer"));
-    let nowhere = folder.path().join("no such folder/report.svg");
-    let error = draw(&report, &nowhere).expect_err("there is no folder");
+    let image = std::fs::read_to_string(&path).expect("written");
+    assert!(image.starts_with("<svg") && image.contains("slowest answer"));
+    let missing = folder.path().join("no such folder/report.svg");
+    let error = draw(&report, &missing).expect_err("there is no folder");
     assert!(
         error
             .to_string()
-            .starts_with(&nowhere.display().to_string()),
+            .starts_with(&missing.display().to_string()),
         "{error}"
     );
 }
--- a/crates/load-generator/tests/recorded.rs
+++ b/crates/load-generator/tests/recorded.rs
@@ -15,10 +15,10 @@
 const REPORT_TEXT: &str = include_str!("data/report.txt");
 const COMPARED: &str = include_str!("data/compared.txt");
 /// The error messages for truncated copies of the stored report, by their length in bytes.
-const REFUSED: &str = include_str!("data/refused.txt");
+const ERRORS: &str = include_str!("data/refused.txt");
 
 fn plan(text: &str) -> Plan {
-    Plan::read("load.sexp", text, Path::new("")).expect("it is sound")
+    Plan::read("load.sexp", text, Path::new("")).expect("valid")
 }
 
 /// Formats every arrival of a plan with its draw, one per line.
@@ -70,15 +70,15 @@
 }
 
 /// Formats the figures of the report, and the verdict on pairs derived from each.
-fn compared() -> String {
+fn comparisons() -> String {
     let report = report();
     let mut text = String::new();
     for figure in Figure::ALL {
         let value = figure.value_in(&report);
         let pairs: Vec<(f64, f64)> = (0..8i32)
-            .map(|day| {
-                let old = value * f64::from(day + 1);
-                (old, old + value * f64::from(day * 7 % 5 - 1))
+            .map(|index| {
+                let old = value * f64::from(index + 1);
+                (old, old + value * f64::from(index * 7 % 5 - 1))
             })
             .collect();
         let compared = compare(&pairs, 3);
@@ -94,11 +94,11 @@
     for (number, (new, old)) in arrivals().lines().zip(ARRIVALS.lines()).enumerate() {
         assert_eq!(new, old, "line {}", number + 1);
     }
-    assert!(arrivals() == ARRIVALS, "one is longer");
+    assert!(arrivals() == ARRIVALS, "one is longer than the other");
 }
 
 #[test]
-fn a_report_is_counted_as_by_the_earlier_version() {
+fn a_report_is_the_same_as_by_the_earlier_version() {
     assert_eq!(
         serde_json::to_string_pretty(&report()).expect("writable"),
         REPORT.trim_end()
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn a_kept_report_is_read_and_written_back_byte_for_byte() {
+fn a_stored_report_is_read_and_written_back_byte_for_byte() {
     let read: Report = serde_json::from_str(REPORT).expect("readable");
     assert_eq!(read, report());
     assert_eq!(
@@ -117,17 +117,17 @@
 }
 
 #[test]
-fn half_a_report_is_refused_with_the_same_message() {
-    for line in REFUSED.lines() {
+fn a_truncated_report_is_rejected_with_the_same_message() {
+    for line in ERRORS.lines() {
         let (cut, message) = line.split_once(' ').expect("a cut and a message");
-        let half = &REPORT[..cut.parse().expect("a number of bytes")];
-        let refused = serde_json::from_str::<Report>(half).expect_err("it is cut short");
-        assert_eq!(refused.to_string(), message, "cut after {cut} bytes");
+        let truncated = &REPORT[..cut.parse().expect("a number of bytes")];
+        let error = serde_json::from_str::<Report>(truncated).expect_err("it is cut short");
+        assert_eq!(error.to_string(), message, "cut after {cut} bytes");
     }
-    assert!(REFUSED.lines().count() >= 8);
+    assert!(ERRORS.lines().count() >= 8);
 }
 
 #[test]
-fn a_comparison_comes_to_the_same_figures() {
-    assert_eq!(compared(), COMPARED);
+fn a_comparison_gives_the_same_figures() {
+    assert_eq!(comparisons(), COMPARED);
 }
