--- a/crates/capacity-model/src/result.rs
+++ b/crates/capacity-model/src/result.rs
@@ -71,9 +71,7 @@
     (0.0..=MAX_FIGURE)
         .contains(&at)
         .then_some(at)
-        .ok_or_else(|| {
-            D::Error::custom(format!("a point is at {at}, which is not a valid position"))
-        })
+        .ok_or_else(|| D::Error::custom(format!("a point has the invalid position {at}")))
 }
 
 fn figures<'de, D: Deserializer<'de>>(deserializer: D) -> Result<BTreeMap<String, f64>, D::Error> {
--- a/crates/capacity-model/tests/results.rs
+++ b/crates/capacity-model/tests/results.rs
@@ -125,7 +125,7 @@
     assert_eq!(CapacityResult::read(&result.to_json()), Ok(result));
 }
 
-#[test_case("\"at\":1300.0", "\"at\":-4", "is not a valid position" ; "a position below zero")]
+#[test_case("\"at\":1300.0", "\"at\":-4", "has the invalid position" ; "a position below zero")]
 #[test_case("\"figures\":{\"told, bytes/s\":130602.0,\"told, core %\":74.36}", "\"figures\":{}", "has no figures" ; "no figures")]
 #[test_case("\"load\":1.5", "\"lode\":1.5", "unknown field" ; "an unknown field")]
 #[test_case("\"figures\":{", "\"figures\":{\"x\":null,", "invalid type" ; "not a number")]
--- a/crates/load-generator/src/plan.rs
+++ b/crates/load-generator/src/plan.rs
@@ -98,7 +98,7 @@
         requests +=
             (phase.from + phase.to) / 2.0 * phase.duration.as_secs_f64() + f64::from(phase.burst);
         if requests > MAX_REQUESTS {
-            return Err(form.diagnostic(format!("comes to more than {MAX_REQUESTS} asks")));
+            return Err(form.diagnostic(format!("has more than {MAX_REQUESTS} requests")));
         }
         phases.push(phase);
     }
@@ -195,10 +195,12 @@
             .parse::<f64>()
             .ok()
             .filter(|ms| (0.0..=1e12).contains(ms));
-        let ms = ms.ok_or_else(|| error(format!("line {line}: `{text}` is no time in ms")))?;
+        let ms = ms.ok_or_else(|| error(format!("line {line}: `{text}` is not a time in ms")))?;
         let time = Duration::from_secs_f64(ms / 1_000.0);
         if times.last().is_some_and(|last| *last > time) {
-            return Err(error(format!("line {line}: before the line above it")));
+            return Err(error(format!(
+                "line {line}: earlier than the line above it"
+            )));
         }
         if times.len() as f64 >= MAX_REQUESTS {
             return Err(error(format!("more than {MAX_REQUESTS} times")));
--- a/crates/load-generator/src/plot.rs
+++ b/crates/load-generator/src/plot.rs
@@ -44,7 +44,7 @@
         value: |second| second.placed,
     },
     Line {
-        name: "refused",
+        name: "rejected",
         colour: RGBColor(210, 130, 0),
         value: |second| second.rejected,
     },
@@ -79,7 +79,7 @@
     let highest = seconds.iter().map(|second| second.intended).max();
     let highest = highest.unwrap_or(1).max(1) as f64;
     let mut chart = ChartBuilder::on(area)
-        .caption("asks a second, by intended time", ("sans-serif", 16))
+        .caption("requests per second, by intended time", ("sans-serif", 16))
         .margin(10)
         .x_label_area_size(24)
         .y_label_area_size(60)
@@ -112,7 +112,7 @@
     let slowest = slowest_us.unwrap_or(1).max(1) as f64 / 1_000.0;
     let mut chart = ChartBuilder::on(area)
         .caption(
-            "slowest answer, ms from its intended time",
+            "slowest reply, ms from its intended time",
             ("sans-serif", 16),
         )
         .margin(10)
--- a/crates/load-generator/src/run.rs
+++ b/crates/load-generator/src/run.rs
@@ -22,7 +22,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
     /// No dispatcher is given.
-    #[error("no dispatcher is named")]
+    #[error("no dispatcher is given")]
     NoDispatcher,
     /// The connection to a dispatcher failed.
     #[error("{dispatcher}: {source}")]
--- a/crates/load-generator/tests/load.rs
+++ b/crates/load-generator/tests/load.rs
@@ -156,7 +156,7 @@
 const PLAN: &str = "(load (phases (constant (for 1 s) (rate 50))) (kinds (web (cores 1) (memory 1) (life 1 s) (abandon-time 4 s))))";
 
 #[test_case("(rate 50)", "(rate -1)", "0 or more"; "a rate below zero")]
-#[test_case("(rate 50)", "(rate 100000000)", "more than 50000000 asks"; "too many requests")]
+#[test_case("(rate 50)", "(rate 100000000)", "more than 50000000 requests"; "too many requests")]
 #[test_case("(life 1 s)", "", "lacks `(life …)`"; "no lifetime")]
 #[test_case("(phases", "(recorded \"no.csv\") (phases", "either"; "two shapes")]
 #[test_case("(phases (constant (for 1 s) (rate 50)))", "(recorded \"no.csv\")", "no.csv"; "a missing file")]
@@ -177,8 +177,8 @@
 
 #[test_case("ms\n0\n5.5\n7\n", Ok(3); "in order")]
 #[test_case("ms\r\n0\r\n5\r\n", Ok(2); "with CRLF line ends")]
-#[test_case("ms\n5\n4\n", Err("line 3: before the line above it"); "out of order")]
-#[test_case("ms\n5\nx\n", Err("line 3: `x` is no time"); "an invalid time")]
+#[test_case("ms\n5\n4\n", Err("line 3: earlier than the line above it"); "out of order")]
+#[test_case("ms\n5\nx\n", Err("line 3: `x` is not a time"); "an invalid time")]
 #[test_case("s\n5\n", Err("lacks a column"); "no column")]
 fn recorded_times_are_read_in_order(text: &str, expected: Result<usize, &str>) {
     let folder = tempfile::tempdir().expect("a folder");
@@ -239,7 +239,7 @@
     let path = folder.path().join("report.svg");
     draw(&report, &path).expect("it can be drawn");
     let image = std::fs::read_to_string(&path).expect("written");
-    assert!(image.starts_with("<svg") && image.contains("slowest answer"));
+    assert!(image.starts_with("<svg") && image.contains("slowest reply"));
     let missing = folder.path().join("no such folder/report.svg");
     let error = draw(&report, &missing).expect_err("there is no folder");
     assert!(
