--- a/crates/capacity-model/tests/results.rs
+++ b/crates/capacity-model/tests/results.rs
@@ -135,11 +135,7 @@
     let text = sample().to_json();
     // For the axis, replaces the first match; for all others, the last.
     let at = match valid {
-        "\"machines\"" => {
-            text.find("\"axis\": \"machines\"")
-                .expect("the axis is present")
-                + 8
-        }
+        "\"machines\"" => text.find("\"axis\": \"machines\"").expect("present") + 8,
         _ => text.rfind(valid).expect("the text is present"),
     };
     let line = text[..at].lines().count();
