--- a/crates/capacity-model/src/figures.rs
+++ b/crates/capacity-model/src/figures.rs
@@ -92,7 +92,7 @@
     pub times: fn(&FleetSize) -> f64,
     /// The limit that the figure is compared with.
     pub limit: Limit,
-    /// The mechanism that causes the cost, or `missing`.
+    /// The mechanism that supports the figure, or `missing`.
     pub mechanism: &'static str,
 }
 
