--- a/crates/cli/src/config_versions.rs
+++ b/crates/cli/src/config_versions.rs
@@ -1,4 +1,5 @@
-//! `control` and `schema`: streamed versions of the deployment, and its schema.
+//! Implements the commands `control` and `schema`: streamed versions of the deployment, and its
+//! schema.
 
 use crate::connection::{ANSWER_TIMEOUT, MAX_ANSWER_BYTES, answer_within, with_connection};
 use crate::error::Error;
@@ -11,15 +12,15 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// How many digits of a digest are printed.
+/// The number of digits of a digest that are printed.
 const SHORT_DIGEST: usize = 8;
 
 /// The commands of `control`.
 #[derive(Subcommand)]
 pub(crate) enum ConfigVersions {
-    /// Prints which version is active, what was rejected last, and why.
+    /// Prints the active version, and the last rejected version with the reasons.
     Status { dispatcher: SocketAddr },
-    /// Prints the active shared parts that a file or version would change. Ends with 1 where there
+    /// Prints the active shared parts that a file or version would change. Exits with 1 if there
     /// are any.
     Diff {
         dispatcher: SocketAddr,
@@ -48,7 +49,7 @@
         schema::DocumentKind::File
     };
     let text = serde_json::to_string_pretty(&schema::json_schema(kind))?;
-    // Whoever pipes it into a pager may close it early.
+    // A pager that reads the output may close the pipe early.
     let _ = writeln!(std::io::stdout(), "{text}");
     Ok(())
 }
@@ -70,7 +71,7 @@
 
 fn print_status(status: &v1::VersionStatus) {
     let trial = if status.on_trial { ", on trial" } else { "" };
-    println!("in force: {}{trial}", describe(status.active.as_ref()));
+    println!("active: {}{trial}", describe(status.active.as_ref()));
     println!("last good: {}", describe(status.last_good.as_ref()));
     let service = match status.control_service.as_str() {
         "" => "none",
@@ -78,15 +79,15 @@
     };
     println!("control service: {service}");
     println!(
-        "applied {}, turned down {}, passed over {}",
+        "applied {}, rejected {}, superseded {}",
         status.applied, status.rejected, status.superseded
     );
     for version in &status.given_up {
-        println!("given up: {}", describe(Some(version)));
+        println!("rolled back: {}", describe(Some(version)));
     }
     if status.last_rejected.is_some() {
         let rejected = describe(status.last_rejected.as_ref());
-        println!("turned down last: {rejected}");
+        println!("last rejected: {rejected}");
         status
             .reasons
             .iter()
@@ -97,7 +98,7 @@
 async fn diff(connection: Connection, file: &Path) -> Result<(), Error> {
     let path = file.display().to_string();
     let next = SharedParts::parse(&path, &sexp::load(file)?)?;
-    let active = SharedParts::parse("in force", &status(connection).await?.text)?;
+    let active = SharedParts::parse("active version", &status(connection).await?.text)?;
     let (changes, removed) = active.changes_to(&next);
     let changed = changes.iter().map(|(name, _)| name);
     for name in removed.iter().map(String::as_str).chain(changed) {
--- a/crates/cli/src/fleet/report.rs
+++ b/crates/cli/src/fleet/report.rs
@@ -1,4 +1,4 @@
-//! What an audit found, as a table or as one JSON object.
+//! Prints the result of an audit as tables or as one JSON object.
 
 use super::poll::{Observations, dispatcher_report};
 use corkspan_api::v1;
@@ -9,13 +9,13 @@
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 
-/// What was read from dispatchers and nodes, and what is wrong with it.
+/// The reports of dispatchers and nodes, with the findings about them.
 pub(super) struct Audit<'a> {
     pub dispatchers: &'a [SocketAddr],
-    /// In the order of the dispatchers; none where one does not answer.
+    /// The statuses in the order of the dispatchers; `None` for one that does not answer.
     pub statuses: &'a [Option<v1::VersionStatus>],
     pub observations: &'a Observations,
-    /// Versions active within so many seconds are printed too.
+    /// If set, the versions that were active within this many seconds are printed too.
     pub since_s: Option<u64>,
     pub findings: &'a [Finding],
 }
@@ -38,7 +38,7 @@
     fn print_dispatchers(&self) {
         println!(
             "{:<22} {:>6} {:>8} {:<9} {:>6} state",
-            "dispatcher", "number", "version", "digest", "floor"
+            "dispatcher", "number", "version", "digest", "min"
         );
         for (address, status) in self.dispatchers.iter().zip(self.statuses) {
             let address = address.to_string();
@@ -62,17 +62,17 @@
 
     fn print_intervals(&self, since_s: u64) {
         let now = wall_ms();
-        let ago = |at: u64| now.saturating_sub(at) as f64 / 1_000.0;
+        let seconds_ago = |at: u64| now.saturating_sub(at) as f64 / 1_000.0;
         for (address, status) in self.dispatchers.iter().zip(self.statuses) {
             let intervals = status.iter();
             let intervals =
                 intervals.flat_map(|status| intervals_since(&status.intervals, now, since_s));
             for (interval, end) in intervals {
-                let to = end.map_or("now".into(), |end| format!("{:.1} s ago", ago(end)));
+                let to = end.map_or("now".into(), |end| format!("{:.1} s ago", seconds_ago(end)));
                 let (version, origin) = (number(interval), origin(interval));
-                let from = ago(interval.from_ms);
+                let from = seconds_ago(interval.from_ms);
                 println!(
-                    "{address}: version {version} ({origin}) from {from:.1} s ago to {to}, life {:x}",
+                    "{address}: version {version} ({origin}) from {from:.1} s ago to {to}, incarnation {:x}",
                     interval.incarnation
                 );
             }
@@ -82,7 +82,7 @@
     fn print_operations(&self) {
         println!(
             "{:>22} {:>8} {:>10} {:>10} {:>11}",
-            "acts of dispatcher", "version", "shots", "others", "turned away"
+            "dispatcher operations", "version", "attempts", "others", "rejected"
         );
         for (key, totals) in operation_totals(self.observations) {
             let DispatcherVersion {
@@ -155,8 +155,8 @@
     }
 }
 
-/// The versions of one dispatcher that were active at any time within so many seconds, by its own
-/// clock, each with its end.
+/// Returns the versions of one dispatcher that were active at any time within the last `since_s`
+/// seconds, by the dispatcher's clock, each with its end.
 fn intervals_since(
     intervals: &[v1::VersionInterval],
     now_ms: u64,
--- a/crates/config/src/document.rs
+++ b/crates/config/src/document.rs
@@ -1,6 +1,6 @@
-//! A text as plain data, as the schema sees it: a form that holds forms is an object, any other an
-//! array of its values. Each value's position in the text is kept, so that what the schema reports
-//! can be positioned.
+//! Converts a text into JSON data for validation against the schema: a form that holds forms
+//! becomes an object, any other form an array of its values. Records the position of each value,
+//! so that validation errors can be reported with positions.
 
 use crate::schema::escape_pointer;
 use crate::sexp::{Diagnostic, datum, on_large_stack};
@@ -8,29 +8,29 @@
 use serde_json::{Map, Number, Value};
 use std::collections::BTreeMap;
 
-/// How deep forms may be nested.
+/// The maximum nesting depth of forms.
 const MAX_DEPTH: usize = 16;
 
-/// One form as data.
+/// One form as JSON data, with the positions of its values.
 pub struct Document {
     /// The outermost form's name.
     pub name: String,
-    /// What follows the name.
+    /// The data that follows the name.
     pub data: Value,
-    /// What was wrong already without the schema.
+    /// Errors that were found without the schema.
     pub diagnostics: Vec<Diagnostic>,
-    /// Line and column by JSON pointer.
+    /// The line and column of each value, by JSON pointer.
     positions: BTreeMap<String, (usize, usize)>,
     file: String,
 }
 
 impl Document {
-    /// Reads a text that holds one form.
+    /// Parses a text that holds one form.
     pub fn read(file: &str, text: &str) -> Result<Document, Diagnostic> {
-        on_large_stack(file, || Document::read_on_this_stack(file, text))
+        on_large_stack(file, || Document::parse_on_current_stack(file, text))
     }
 
-    fn read_on_this_stack(file: &str, text: &str) -> Result<Document, Diagnostic> {
+    fn parse_on_current_stack(file: &str, text: &str) -> Result<Document, Diagnostic> {
         let datum = datum(file, text)?;
         let mut document = Document {
             name: String::new(),
@@ -40,7 +40,7 @@
             file: file.into(),
         };
         let Some((name, rest)) = form(datum.as_ref()) else {
-            let message = "a form `(name …)` must stand here".into();
+            let message = "a form `(name …)` is expected here".into();
             return Err(Diagnostic::of_file(file, message));
         };
         document.name = name.into();
@@ -48,8 +48,8 @@
         Ok(document)
     }
 
-    /// Something wrong with the value at this JSON pointer, or with what encloses it where there is
-    /// no such value.
+    /// Creates a diagnostic for the value at this JSON pointer. If there is no such value, the
+    /// position is that of the innermost form that encloses it.
     pub fn diagnostic(&self, pointer: &str, message: String) -> Diagnostic {
         let mut at = pointer;
         let (line, column) = loop {
@@ -63,7 +63,7 @@
             .trim_start_matches('/')
             .replace("~1", "/")
             .replace("~0", "~");
-        // The index of a value is left out.
+        // A path ends with the form's name, without the index of the value.
         let path = match path.rsplit_once('/') {
             Some((form, index)) if index.bytes().all(|byte| byte.is_ascii_digit()) => {
                 form.to_string()
@@ -88,7 +88,7 @@
         self.record_position(&pointer, at);
         if depth > MAX_DEPTH {
             self.diagnostics
-                .push(self.diagnostic(&pointer, "nested too deep".into()));
+                .push(self.diagnostic(&pointer, "nested too deeply".into()));
             return Value::Null;
         }
         let mut forms = Map::new();
@@ -131,7 +131,7 @@
 
     fn push_repeated(&mut self, pointer: &str, at: Ref) {
         let (line, column) = position(at);
-        let diagnostic = self.diagnostic(pointer, "stands here twice".into());
+        let diagnostic = self.diagnostic(pointer, "is given twice".into());
         self.diagnostics.push(Diagnostic {
             line,
             column,
@@ -140,12 +140,12 @@
     }
 
     fn push_unknown_value(&mut self, pointer: &str, at: Ref) {
-        let message = format!("`{}` is no word, text, number or form", brief(at));
+        let message = format!("`{}` is not a symbol, string, number or form", brief(at));
         self.diagnostics.push(self.diagnostic(pointer, message));
     }
 }
 
-/// Line and column of a value's start, both from 1.
+/// Returns the line and column of a value's start, both counted from 1.
 fn position(at: Ref) -> (usize, usize) {
     let start = at.span().start();
     (start.line(), start.column().max(1))
--- a/crates/config/src/schema.rs
+++ b/crates/config/src/schema.rs
@@ -1,5 +1,5 @@
-//! The schema of the file and of streamed versions, and the check against it. Everything that is
-//! wrong is reported at once, each with its position.
+//! The JSON Schema of the deployment file and of streamed versions, and validation against it.
+//! Validation reports all errors at once, each with its position.
 
 use crate::document::Document;
 use crate::sexp::{Diagnostic, Diagnostics};
@@ -8,16 +8,16 @@
 use serde_json::{Map, Value, json};
 use std::sync::OnceLock;
 
-/// Which kind of document a text is.
+/// The kind of document that a text is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DocumentKind {
-    /// A dispatcher's file: shared parts and its own.
+    /// A dispatcher's file, with shared and local parts.
     File,
-    /// A streamed version: shared parts only.
+    /// A streamed version, with shared parts only.
     Version,
 }
 
-/// The largest number of diagnostics reported for one text.
+/// The maximum number of diagnostics reported for one text.
 const MAX_DIAGNOSTICS: usize = 50;
 
 fn parts() -> &'static Value {
@@ -27,7 +27,7 @@
     PARTS.get_or_init(read)
 }
 
-/// Names of the parts that all dispatchers share, in alphabetical order.
+/// Returns the names of the parts that all dispatchers share, in alphabetical order.
 pub fn shared_part_names() -> impl Iterator<Item = &'static str> {
     parts()["shared"]["properties"]
         .as_object()
@@ -36,7 +36,7 @@
         .map(String::as_str)
 }
 
-/// Names of the parts that are each dispatcher's own.
+/// Returns the names of the parts that are local to each dispatcher.
 pub fn local_part_names() -> impl Iterator<Item = &'static str> {
     parts()["local"]["properties"]
         .as_object()
@@ -45,16 +45,16 @@
         .map(String::as_str)
 }
 
-/// The schema as JSON Schema, draft 2020-12. A form that holds forms is an object, any other an
-/// array of its values.
+/// Returns the schema as JSON Schema, draft 2020-12. A form that holds forms is an object, any
+/// other form an array of its values.
 pub fn json_schema(kind: DocumentKind) -> Value {
     let form = |groups: &[&str]| {
         let mut properties = Map::new();
         let mut required = Vec::new();
         for group in groups {
             let group = &parts()[*group];
-            let own = group["properties"].as_object().into_iter().flatten();
-            properties.extend(own.map(|(name, value)| (name.clone(), value.clone())));
+            let group_properties = group["properties"].as_object().into_iter().flatten();
+            properties.extend(group_properties.map(|(name, value)| (name.clone(), value.clone())));
             required.extend(group["required"].as_array().into_iter().flatten().cloned());
         }
         json!({ "type": "object", "properties": properties, "required": required, "additionalProperties": false })
@@ -84,16 +84,16 @@
     }
 }
 
-/// Checks a text against the schema, and the names it uses against those it defines.
+/// Checks a text against the schema, and checks that the names it refers to are defined in it.
 ///
 /// # Errors
 ///
-/// Everything that is wrong, up to 50 diagnostics.
+/// Returns all errors, up to 50 diagnostics.
 pub fn check(kind: DocumentKind, file: &str, text: &str) -> Result<Document, Diagnostics> {
     let mut document = Document::read(file, text)?;
     if document.name != "deployment" {
         let message = format!(
-            "`(deployment …)` must stand here, not `({} …)`",
+            "`(deployment …)` is expected here, not `({} …)`",
             document.name
         );
         return Err(document.diagnostic("", message).into());
@@ -111,7 +111,7 @@
             break;
         }
     }
-    references(&document, &mut diagnostics);
+    check_references(&document, &mut diagnostics);
     match diagnostics.is_empty() {
         true => Ok(document),
         false => Err(Diagnostics::limited(diagnostics, MAX_DIAGNOSTICS)),
@@ -136,10 +136,11 @@
     }
 }
 
-/// A part of the file in a version is a mistake of its own.
+/// Reports a part that the schema does not define. A local part in a streamed version has a message
+/// of its own.
 fn unexpected_part(document: &Document, pointer: &str, name: &str) -> Diagnostic {
     let message = if pointer.is_empty() && local_part_names().any(|own| own == name) {
-        "is each dispatcher's own, and stands in its file alone; a change needs a restart"
+        "is each dispatcher's own, and is allowed in its file only; a change needs a restart"
     } else {
         "unknown here"
     };
@@ -152,7 +153,7 @@
         Kind::Required { property } => {
             format!("lacks `({} …)`", property.as_str().unwrap_or_default())
         }
-        Kind::FalseSchema => "stands only beside `(repeat deduplicated)`".into(),
+        Kind::FalseSchema => "is only valid with `(repeat deduplicated)`".into(),
         Kind::Enum { options } => {
             let options = options.as_array().into_iter().flatten();
             let known: Vec<String> = options.map(symbol_text).collect();
@@ -160,23 +161,23 @@
         }
         Kind::Minimum { limit } => format!("must be {limit} or more"),
         Kind::ExclusiveMinimum { limit } => format!("must be above {limit}"),
-        Kind::Maximum { limit } => format!("must be {limit} at the most"),
+        Kind::Maximum { limit } => format!("must be {limit} or less"),
         Kind::Type { .. } => match document.data.pointer(pointer) {
             Some(Value::Object(_)) => "must be followed by its values",
             Some(Value::Array(_)) => "must be followed by forms",
-            Some(Value::String(_)) => "must be a number, or #t or #f, not a word",
-            _ => "is of the wrong kind",
+            Some(Value::String(_)) => "must be a number, #t or #f, not a symbol or string",
+            _ => "has the wrong type",
         }
         .into(),
         Kind::AdditionalItems { .. } | Kind::MaxItems { .. } => "has too many values".into(),
         Kind::MinItems { .. } => "has too few values".into(),
-        Kind::UniqueItems => "names one twice".into(),
-        Kind::Pattern { .. } => "is no address with a port".into(),
+        Kind::UniqueItems => "must not repeat a value".into(),
+        Kind::Pattern { .. } => "is not an address with a port".into(),
         _ => error.chars().take(200).collect(),
     }
 }
 
-/// A name as a step of a JSON pointer.
+/// Escapes a name for use as a segment of a JSON pointer.
 pub(crate) fn escape_pointer(name: &str) -> String {
     name.replace('~', "~0").replace('/', "~1")
 }
@@ -187,39 +188,41 @@
         .map_or_else(|| value.to_string(), String::from)
 }
 
-/// Names that one part uses and another defines; a schema cannot express that.
-fn references(document: &Document, diagnostics: &mut Vec<Diagnostic>) {
+/// Checks references from one part to names that another defines; a schema cannot express these.
+fn check_references(document: &Document, diagnostics: &mut Vec<Diagnostic>) {
     let data = &document.data;
     let list = |names: &[Value]| names.iter().map(symbol_text).collect::<Vec<_>>().join(", ");
-    if let (Some(hall), Some(halls)) = (data.pointer("/hall/0"), data["halls"].as_array())
-        && !halls.contains(hall)
+    if let (Some(zone), Some(zones)) = (data.pointer("/hall/0"), data["halls"].as_array())
+        && !zones.contains(zone)
     {
         diagnostics.push(document.diagnostic(
             "/hall/0",
-            format!("`{}` is none of: {}", symbol_text(hall), list(halls)),
+            format!("`{}` is not one of: {}", symbol_text(zone), list(zones)),
         ));
     }
-    let whole = |pointer| data.pointer(pointer).and_then(Value::as_u64);
-    if let (Some(number), Some(schedulers)) = (whole("/number/0"), whole("/schedulers/0"))
+    let integer = |pointer| data.pointer(pointer).and_then(Value::as_u64);
+    if let (Some(number), Some(schedulers)) = (integer("/number/0"), integer("/schedulers/0"))
         && number >= schedulers
     {
-        let message = format!("{number} is beyond the {schedulers} schedulers, counted from 0");
+        let message =
+            format!("{number} is out of range for {schedulers} schedulers, numbered from 0");
         diagnostics.push(document.diagnostic("/number/0", message));
     }
-    let (Some(tracks), Some(kinds)) = (data["tracks"].as_object(), data["kinds"].as_object())
+    let (Some(service_classes), Some(machine_types)) =
+        (data["tracks"].as_object(), data["kinds"].as_object())
     else {
         return;
     };
-    for (name, track) in tracks {
-        let Some(kind) = track.pointer("/kind/0").and_then(Value::as_str) else {
+    for (name, service_class) in service_classes {
+        let Some(machine_type) = service_class.pointer("/kind/0").and_then(Value::as_str) else {
             continue;
         };
-        if !kinds.contains_key(kind) {
-            let known: Vec<&str> = kinds.keys().map(String::as_str).take(20).collect();
+        if !machine_types.contains_key(machine_type) {
+            let known: Vec<&str> = machine_types.keys().map(String::as_str).take(20).collect();
             let pointer = format!("/tracks/{}/kind/0", escape_pointer(name));
             diagnostics.push(document.diagnostic(
                 &pointer,
-                format!("`{kind}` is none of: {}", known.join(", ")),
+                format!("`{machine_type}` is not one of: {}", known.join(", ")),
             ));
         }
     }
--- a/crates/load-generator/src/plan.rs
+++ b/crates/load-generator/src/plan.rs
@@ -1,4 +1,4 @@
-//! The load file: an S-expression. docs/load.md has its grammar.
+//! Parses the load file, an S-expression. docs/load.md documents its grammar.
 
 use crate::mix::WorkloadKind;
 use crate::shape::{Phase, Shape, Spacing};
@@ -6,33 +6,34 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Requests in one load at the most.
+/// The maximum number of requests in one load.
 const MAX_REQUESTS: f64 = 50_000_000.0;
 
-/// A load as its file describes it.
+/// A load as described by its file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
-    /// When requests are sent.
+    /// The times at which requests are sent.
     pub shape: Shape,
-    /// What is requested.
+    /// The kinds of work that are requested.
     pub kinds: Vec<WorkloadKind>,
-    /// Fixes the times and the kinds drawn.
+    /// The seed of the send times and of the drawn kinds.
     pub seed: u64,
-    /// Requests without a reply at a time; what is due beyond them is counted as not sent.
+    /// The maximum number of requests without a reply; a request that is due beyond it is counted
+    /// as not sent.
     pub max_in_flight: usize,
-    /// Connections to each dispatcher.
+    /// The number of connections to each dispatcher.
     pub connections: usize,
 }
 
 impl Plan {
-    /// Reads a load file.
+    /// Reads and parses a load file.
     pub fn load(path: &Path) -> Result<Plan, Diagnostic> {
         let folder = path.parent().unwrap_or(Path::new("")).to_path_buf();
         Plan::read(&path.display().to_string(), &sexp::load(path)?, &folder)
     }
 
-    /// Reads a load file's text. `file` is its name in messages, `folder` where recorded times are
-    /// looked for.
+    /// Parses the text of a load file. `file` is its name in messages, and `folder` the folder that
+    /// contains files of recorded times.
     pub fn read(file: &str, text: &str, folder: &Path) -> Result<Plan, Diagnostic> {
         sexp::with_form(file, text, "load", |form| {
             let parts = form.parts(&[
@@ -74,7 +75,7 @@
         })
     }
 
-    /// Names of the kinds, as reports print them.
+    /// Returns the names of the kinds, as reports print them.
     pub fn names(&self) -> Vec<String> {
         let name = |kind: &WorkloadKind| match &kind.tenant[..] {
             "" => kind.service_class.clone(),
@@ -84,11 +85,11 @@
     }
 }
 
-fn span(form: &Form) -> Result<Duration, Diagnostic> {
+fn duration(form: &Form) -> Result<Duration, Diagnostic> {
     Ok(Duration::from_micros(form.time()? * 100))
 }
 
-/// Reads all phases, which must not come to too many requests.
+/// Parses all phases, and checks that they have at most [`MAX_REQUESTS`] requests in total.
 fn phases(form: &Form) -> Result<Vec<Phase>, Diagnostic> {
     let mut requests = 0.0;
     let mut phases = Vec::new();
@@ -97,7 +98,7 @@
         requests +=
             (phase.from + phase.to) / 2.0 * phase.duration.as_secs_f64() + f64::from(phase.burst);
         if requests > MAX_REQUESTS {
-            return Err(form.diagnostic(format!("comes to more than {MAX_REQUESTS} asks")));
+            return Err(form.diagnostic(format!("has more than {MAX_REQUESTS} requests")));
         }
         phases.push(phase);
     }
@@ -107,14 +108,14 @@
     }
 }
 
-/// Reads one phase.
+/// Parses one phase.
 fn phase(form: &Form) -> Result<Phase, Diagnostic> {
     Ok(match form.name {
         "constant" => {
             let parts = form.parts(&["for", "rate"])?;
             let rate = parts.required("rate")?.non_negative()?;
             Phase {
-                duration: span(parts.required("for")?)?,
+                duration: duration(parts.required("for")?)?,
                 from: rate,
                 to: rate,
                 burst: 0,
@@ -127,7 +128,7 @@
                 parts.required("to")?.non_negative()?,
             );
             Phase {
-                duration: span(parts.required("for")?)?,
+                duration: duration(parts.required("for")?)?,
                 from,
                 to,
                 burst: 0,
@@ -146,7 +147,7 @@
     })
 }
 
-/// Reads a kind of work; its form's name is the service class.
+/// Parses a kind of work; the name of its form is the service class.
 fn kind(form: &Form) -> Result<WorkloadKind, Diagnostic> {
     let parts = form.parts(&[
         "account",
@@ -175,30 +176,34 @@
     })
 }
 
-/// Reads `(recorded "times.csv")`: a column `ms` of times, in order.
+/// Reads the file in `(recorded "times.csv")`, which has a column `ms` of times in ascending order.
 fn recorded(form: &Form, folder: &Path) -> Result<Vec<Duration>, Diagnostic> {
     let path: PathBuf = folder.join(form.string()?);
-    let fault = |why: String| form.diagnostic(format!("{}: {why}", path.display()));
-    let mut reader = csv::Reader::from_path(&path).map_err(|why| fault(why.to_string()))?;
-    let headers = reader.headers().map_err(|why| fault(why.to_string()))?;
+    let error = |reason: String| form.diagnostic(format!("{}: {reason}", path.display()));
+    let mut reader = csv::Reader::from_path(&path).map_err(|source| error(source.to_string()))?;
+    let headers = reader
+        .headers()
+        .map_err(|source| error(source.to_string()))?;
     let column = headers.iter().position(|name| name.trim() == "ms");
-    let column = column.ok_or_else(|| fault("lacks a column `ms`".into()))?;
+    let column = column.ok_or_else(|| error("lacks a column `ms`".into()))?;
     let mut times: Vec<Duration> = Vec::new();
     for record in reader.records() {
-        let record = record.map_err(|why| fault(why.to_string()))?;
+        let record = record.map_err(|source| error(source.to_string()))?;
         let line = record.position().map_or(0, csv::Position::line);
         let text = record.get(column).unwrap_or_default().trim();
         let ms = text
             .parse::<f64>()
             .ok()
             .filter(|ms| (0.0..=1e12).contains(ms));
-        let ms = ms.ok_or_else(|| fault(format!("line {line}: `{text}` is no time in ms")))?;
+        let ms = ms.ok_or_else(|| error(format!("line {line}: `{text}` is not a time in ms")))?;
         let time = Duration::from_secs_f64(ms / 1_000.0);
         if times.last().is_some_and(|last| *last > time) {
-            return Err(fault(format!("line {line}: before the line above it")));
+            return Err(error(format!(
+                "line {line}: earlier than the line above it"
+            )));
         }
         if times.len() as f64 >= MAX_REQUESTS {
-            return Err(fault(format!("more than {MAX_REQUESTS} times")));
+            return Err(error(format!("more than {MAX_REQUESTS} times")));
         }
         times.push(time);
     }
--- a/crates/load-generator/src/plot.rs
+++ b/crates/load-generator/src/plot.rs
@@ -1,4 +1,4 @@
-//! Draws a report as an SVG picture: what was intended, what was placed, and the slowest reply of
+//! Draws a report as an SVG image: the intended requests, their outcomes, and the slowest reply of
 //! each second.
 
 use crate::tally::{Report, Second};
@@ -6,25 +6,25 @@
 use plotters::prelude::*;
 use std::path::{Path, PathBuf};
 
-/// Size of the picture, in pixels.
+/// The size of the image, in pixels.
 const SIZE: (u32, u32) = (900, 640);
-/// Height of the upper chart, in pixels.
+/// The height of the upper chart, in pixels.
 const UPPER_HEIGHT: u32 = 320;
 
-/// A report could not be drawn.
+/// The error for a report that could not be drawn.
 #[derive(Debug, thiserror::Error)]
 #[error("{}: {source}", path.display())]
 pub struct PlotError {
-    /// The picture's file.
+    /// The file of the image.
     pub path: PathBuf,
-    /// What the drawing library says.
+    /// The error of the drawing library.
     pub source: Box<dyn std::error::Error + Send + Sync>,
 }
 
-type Drawn = Result<(), Box<dyn std::error::Error + Send + Sync>>;
+type DrawResult = Result<(), Box<dyn std::error::Error + Send + Sync>>;
 type Area<'a> = DrawingArea<SVGBackend<'a>, Shift>;
 
-/// A line's name, its colour, and what it shows of a second.
+/// A line of a chart: its name, its colour, and the value that it shows for a second.
 struct Line {
     name: &'static str,
     colour: RGBColor,
@@ -44,7 +44,7 @@
         value: |second| second.placed,
     },
     Line {
-        name: "refused",
+        name: "rejected",
         colour: RGBColor(210, 130, 0),
         value: |second| second.rejected,
     },
@@ -55,7 +55,7 @@
     },
 ];
 
-/// Draws two charts above each other, by seconds of intended time.
+/// Draws two charts above each other, with one value per second of intended time.
 pub fn draw(report: &Report, path: &Path) -> Result<(), PlotError> {
     charts(report, path).map_err(|source| PlotError {
         path: path.into(),
@@ -63,7 +63,7 @@
     })
 }
 
-fn charts(report: &Report, path: &Path) -> Drawn {
+fn charts(report: &Report, path: &Path) -> DrawResult {
     let root = SVGBackend::new(path, SIZE).into_drawing_area();
     root.fill(&WHITE)?;
     let (upper, lower) = root.split_vertically(UPPER_HEIGHT);
@@ -74,12 +74,12 @@
     Ok(())
 }
 
-/// Requests per second: intended, and by how they ended.
-fn rates(seconds: &[Second], end: f64, area: &Area) -> Drawn {
+/// Draws the requests per second: the intended ones, and those with each outcome.
+fn rates(seconds: &[Second], end: f64, area: &Area) -> DrawResult {
     let highest = seconds.iter().map(|second| second.intended).max();
     let highest = highest.unwrap_or(1).max(1) as f64;
     let mut chart = ChartBuilder::on(area)
-        .caption("asks a second, by intended time", ("sans-serif", 16))
+        .caption("requests per second, by intended time", ("sans-serif", 16))
         .margin(10)
         .x_label_area_size(24)
         .y_label_area_size(60)
@@ -93,8 +93,8 @@
         let points = seconds
             .iter()
             .map(|second| (second.at as f64 + 0.5, (line.value)(second) as f64));
-        let drawn = chart.draw_series(LineSeries::new(points, line.colour.stroke_width(2)))?;
-        drawn
+        let series = chart.draw_series(LineSeries::new(points, line.colour.stroke_width(2)))?;
+        series
             .label(line.name)
             .legend(move |(x, y)| PathElement::new([(x, y), (x + 14, y)], line.colour));
     }
@@ -106,13 +106,13 @@
     Ok(())
 }
 
-/// The slowest reply of each second, in ms from its intended time.
-fn slowest_replies(seconds: &[Second], end: f64, area: &Area) -> Drawn {
+/// Draws the latency of the slowest reply of each second, in ms from its intended time.
+fn slowest_replies(seconds: &[Second], end: f64, area: &Area) -> DrawResult {
     let slowest_us = seconds.iter().map(|second| second.slowest_us).max();
     let slowest = slowest_us.unwrap_or(1).max(1) as f64 / 1_000.0;
     let mut chart = ChartBuilder::on(area)
         .caption(
-            "slowest answer, ms from its intended time",
+            "slowest reply, ms from its intended time",
             ("sans-serif", 16),
         )
         .margin(10)
--- a/crates/testbed/tests/capacity.rs
+++ b/crates/testbed/tests/capacity.rs
@@ -177,7 +177,7 @@
     let path = path.to_str().expect("the path is UTF-8");
     let (succeeded, stderr) = run_program(&["capacity", "--axis", "versions", "--size", path]);
     assert!(
-        !succeeded && stderr.contains("the size: asks for too much"),
+        !succeeded && stderr.contains("the size: insufficient resources"),
         "{stderr}"
     );
     assert!(
--- a/crates/testbed/tests/full_path/fleet.rs
+++ b/crates/testbed/tests/full_path/fleet.rs
@@ -276,7 +276,7 @@
         );
         let table = text
             .lines()
-            .skip_while(|line| !line.contains("acts of dispatcher"))
+            .skip_while(|line| !line.contains("dispatcher operations"))
             .skip(1);
         let rows: BTreeMap<(u32, u64), u64> = table
             .map_while(|line| {
@@ -758,7 +758,7 @@
                 .map(|minimum| (minimum.revision, minimum.version));
             let stdout = |output: &Output| String::from_utf8_lossy(&output.stdout).into_owned();
             let (revision, minimum) = current.expect("a minimum version is set");
-            let final_line = format!("floor {minimum} by wish {revision}");
+            let final_line = format!("minimum version {minimum}, revision {revision}");
             let claims_current =
                 [&raise, &lower].map(|output| stdout(output).contains(&final_line));
             // At most one of the two operators is told that the minimum version now active is the
--- a/crates/testbed/tests/full_path/maintenance.rs
+++ b/crates/testbed/tests/full_path/maintenance.rs
@@ -62,9 +62,10 @@
     async fn complete_work(&self, number: usize) -> String {
         let text = String::from_utf8_lossy(&self.operator(number, "status", &[]).await.stdout)
             .into_owned();
-        let in_work = text
-            .lines()
-            .filter_map(|line| line.strip_prefix("machine ")?.strip_suffix(": in work"));
+        let in_work = text.lines().filter_map(|line| {
+            line.strip_prefix("machine ")?
+                .strip_suffix(": in maintenance")
+        });
         for machine in in_work {
             let index: usize = machine.parse().expect("a number");
             let node = &self.harness.nodes[index];
@@ -238,7 +239,7 @@
                 let call = fixture.request_placement(3, &format!("late-{round}")).await;
                 drop(call);
                 Timer::after(Duration::from_millis(50)).await;
-                status.contains("6 of 6 machines worked on") && !status.contains("machine ")
+                status.contains("6 of 6 machines completed") && !status.contains("machine ")
             };
             let started_at = std::time::Instant::now();
             while !run_round(&mut fixture, &mut round).await {
--- a/crates/testbed/tests/full_path/versions.rs
+++ b/crates/testbed/tests/full_path/versions.rs
@@ -241,7 +241,7 @@
                 push(12, 6, &broken, &[version_five]),
                 "cold/offers: must be 0 or more",
             ),
-            (push(14, 6, &nested, &[version_five]), "4194304 is the most"),
+            (push(14, 6, &nested, &[version_five]), "the maximum is 4194304"),
             (wrong_digest, "digest"),
             (push(4, 4, &valid, &[version_five]), "stale"),
             (
