--- a/crates/config-sync/src/compatibility.rs
+++ b/crates/config-sync/src/compatibility.rs
@@ -141,8 +141,8 @@
         ),
         LimitChange::new(
             "cold/offers",
-            before.slow_start.max_offers,
-            after.slow_start.max_offers,
+            before.slow_start.max_attempts,
+            after.slow_start.max_attempts,
         ),
         LimitChange::new(
             "bounds/in-hand",
--- a/crates/config/src/shared_settings.rs
+++ b/crates/config/src/shared_settings.rs
@@ -100,7 +100,7 @@
     Ok(SlowStart {
         duration: parts.required("lasts")?.time()?,
         window: parts.required("window")?.time()?,
-        max_offers: parts.required("offers")?.non_negative()?,
+        max_attempts: parts.required("offers")?.non_negative()?,
     })
 }
 
--- a/crates/config/tests/released_format.rs
+++ b/crates/config/tests/released_format.rs
@@ -121,7 +121,7 @@
     line("ask-list", format!("{:?}", cluster.list_poll_interval));
     line("cold/lasts", cluster.slow_start.duration.to_string());
     line("cold/window", cluster.slow_start.window.to_string());
-    line("cold/offers", cluster.slow_start.max_offers.to_string());
+    line("cold/offers", cluster.slow_start.max_attempts.to_string());
     line("other-hall-price", cluster.cross_zone_cost.to_string());
     line(
         "(no keyword) opens within",
--- a/crates/scheduler/src/interface/cluster.rs
+++ b/crates/scheduler/src/interface/cluster.rs
@@ -63,7 +63,7 @@
     /// The time over which attempts are counted.
     pub window: Ticks,
     /// The attempts that a machine can always take within a window, from all schedulers together.
-    pub max_offers: f64,
+    pub max_attempts: f64,
 }
 
 /// The settings of the scheduler, set at start and with each new configuration.
--- a/crates/scheduler/src/policy/filters.rs
+++ b/crates/scheduler/src/policy/filters.rs
@@ -61,7 +61,7 @@
             return warmed_up_at.min(self.started_at + slow_start.window);
         }
         let (attempts, scheduler_count) = (
-            slow_start.max_offers as usize,
+            slow_start.max_attempts as usize,
             self.cluster.scheduler_count.max(1),
         );
         let hash = hash_id(u64::from(id.0)) as usize;
--- a/crates/scheduler/tests/decisions.rs
+++ b/crates/scheduler/tests/decisions.rs
@@ -357,7 +357,7 @@
     fn reconfigure(&mut self) {
         let mut cluster = self.cluster.clone();
         cluster.admission_limit.cores = self.rng.random_range(1.0..3.0);
-        cluster.slow_start.max_offers = self.rng.random_range(2.0..9.0);
+        cluster.slow_start.max_attempts = self.rng.random_range(2.0..9.0);
         if self.rng.random_bool(0.2) {
             cluster.scheduler_count = 1 + self.random_index(4);
             cluster.scheduler_index = self.random_index(cluster.scheduler_count);
--- a/crates/scheduler/tests/host/mod.rs
+++ b/crates/scheduler/tests/host/mod.rs
@@ -44,7 +44,7 @@
         slow_start: SlowStart {
             duration: 10 * SECOND,
             window: SECOND,
-            max_offers: 6.0,
+            max_attempts: 6.0,
         },
         connect_timeout: 0,
         cross_zone_cost: 0.0,
--- a/crates/scheduler/tests/scenarios.rs
+++ b/crates/scheduler/tests/scenarios.rs
@@ -190,7 +190,7 @@
     let longer_window = SlowStart {
         duration: 10 * SECOND,
         window: 3 * SECOND,
-        max_offers: 6.0,
+        max_attempts: 6.0,
     };
     host.scheduler.reconfigure(
         host.now,
@@ -972,7 +972,7 @@
         slow_start: SlowStart {
             duration: 8 * SECOND,
             window,
-            max_offers: max_attempts as f64,
+            max_attempts: max_attempts as f64,
         },
         connect_timeout: max_connect_delay,
         ..cluster(service_class(RetrySafety::Idempotent))
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -207,7 +207,7 @@
             slow_start: SlowStart {
                 duration: ticks_from_us(self.rules.slow_start_us),
                 window: ticks_from_us(self.rules.slow_start_window_us),
-                max_offers: family.slow_start_limit,
+                max_attempts: family.slow_start_limit,
             },
             connect_timeout: self.connect_timeout(),
             cross_zone_cost: self.penalties.cross_zone_cost,
--- a/crates/settings/tests/recorded.rs
+++ b/crates/settings/tests/recorded.rs
@@ -69,7 +69,7 @@
     let cold = &cluster.slow_start;
     line(
         "cold",
-        format!("{} {} {:?}", cold.duration, cold.window, cold.max_offers),
+        format!("{} {} {:?}", cold.duration, cold.window, cold.max_attempts),
     );
     line("opens-within", cluster.connect_timeout.to_string());
     line("other-hall", format!("{:?}", cluster.cross_zone_cost));
--- a/crates/testbed/src/capacity/scheduling_cost.rs
+++ b/crates/testbed/src/capacity/scheduling_cost.rs
@@ -94,7 +94,7 @@
         slow_start: SlowStart {
             duration: SECOND,
             window: SECOND,
-            max_offers: 5.0,
+            max_attempts: 5.0,
         },
         connect_timeout: 0,
         cross_zone_cost: 0.0,
