--- a/crates/dispatcher/src/core/attempt_events.rs
+++ b/crates/dispatcher/src/core/attempt_events.rs
@@ -85,7 +85,7 @@
         self: &Arc<Self>,
         id: AllocationId,
         attempt: usize,
-        ending: AttemptResult,
+        result: AttemptResult,
         reason: Option<ReturnReason>,
         ended_as: Option<v1::ended::EndReason>,
         report: Option<LoadReport>,
@@ -100,7 +100,7 @@
             } else if engine
                 .data_mut(id)
                 .is_some_and(|(client, _)| ended_as.is_some() && client.superseded)
-                && self.promote_surge(id, ending == AttemptResult::Cancelled, engine, effects)
+                && self.promote_surge(id, result == AttemptResult::Cancelled, engine, effects)
             {
                 // The client continues with the new replica.
             } else if let (Some(end_reason), Some((client, allocation))) =
@@ -109,12 +109,12 @@
                 // The node has confirmed that the replica is gone, so a replica of the desired
                 // version may be placed.
                 if client.stopping_for_rollout
-                    && ending == AttemptResult::Cancelled
+                    && result == AttemptResult::Cancelled
                     && !effects.stopping
                 {
                     replacement = effects.replacement_request(client, allocation);
                 } else {
-                    let completed = ending == AttemptResult::Completed;
+                    let completed = result == AttemptResult::Completed;
                     if let Some(successor) = end_client(client, effects, end_reason, completed) {
                         self.cancel_surge(successor, SurgeEnd::Cancelled, engine, effects);
                     }
@@ -125,7 +125,7 @@
                 id,
                 attempt,
                 ReturnedAttempt {
-                    ending,
+                    result,
                     reason,
                     finished: ended_as.is_some(),
                     report,
@@ -196,10 +196,10 @@
     fn health_check_completed(
         &self,
         machine: MachineId,
-        ending: AttemptResult,
+        result: AttemptResult,
         report: Option<LoadReport>,
     ) {
-        self.with(|now, engine, _| engine.record_health_check(now, machine, ending, report));
+        self.with(|now, engine, _| engine.record_health_check(now, machine, result, report));
     }
 }
 
--- a/crates/dispatcher/src/core/lifecycle.rs
+++ b/crates/dispatcher/src/core/lifecycle.rs
@@ -11,7 +11,7 @@
         v1::StatusResponse {
             number: self.deployment().cluster.scheduler_index as u32,
             schedulers: self.deployment().cluster.scheduler_count as u32,
-            in_flight: counts.tracked as u64,
+            in_flight: counts.total as u64,
             deferred: counts.deferred as u64,
             attempts_in_flight: counts.attempts_pending as u64,
             running: counts.placed as u64,
@@ -69,7 +69,7 @@
                     id,
                     attempt,
                     ReturnedAttempt {
-                        ending: AttemptResult::TimedOut,
+                        result: AttemptResult::TimedOut,
                         reason: None,
                         finished: false,
                         report: None,
--- a/crates/engine/src/attempts.rs
+++ b/crates/engine/src/attempts.rs
@@ -114,7 +114,7 @@
         let Some(ended) = tracked.allocation.attempts.get_mut(attempt) else {
             return false;
         };
-        ended.state = match returned.ending {
+        ended.state = match returned.result {
             AttemptResult::Rejected | AttemptResult::ConnectFailed | AttemptResult::NotSent => {
                 AttemptState::NotExecuted
             }
@@ -123,7 +123,7 @@
         tracked.pending_attempts = tracked.pending_attempts.saturating_sub(1);
         let finished = returned.finished || tracked.finished;
         let outcome = Outcome::Returned {
-            ending: returned.ending,
+            result: returned.result,
             reason: returned.reason,
             finished,
             report: returned.report,
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -142,11 +142,11 @@
         &mut self,
         now: Ticks,
         machine: MachineId,
-        ending: AttemptResult,
+        result: AttemptResult,
         report: Option<LoadReport>,
     ) {
         self.scheduler
-            .record_health_check(now, machine, ending, report);
+            .record_health_check(now, machine, result, report);
     }
 
     /// Applies the endpoint list, or the changes to it.
@@ -238,7 +238,7 @@
     /// Counts the allocations by what they wait for.
     pub fn counts(&self) -> AllocationCounts {
         let mut counts = AllocationCounts {
-            tracked: self.tracked.len(),
+            total: self.tracked.len(),
             ..AllocationCounts::default()
         };
         for tracked in self.tracked.values() {
--- a/crates/engine/src/requests.rs
+++ b/crates/engine/src/requests.rs
@@ -54,7 +54,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct ReturnedAttempt {
     /// The result.
-    pub ending: AttemptResult,
+    pub result: AttemptResult,
     /// The reason, if the machine gave one.
     pub reason: Option<ReturnReason>,
     /// Whether the client needs no answer any more.
@@ -67,7 +67,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AllocationCounts {
     /// All allocations.
-    pub tracked: usize,
+    pub total: usize,
     /// Allocations that are not placed and have no pending attempt.
     pub deferred: usize,
     /// Allocations that are not placed and have a pending attempt.
--- a/crates/engine/tests/engine.rs
+++ b/crates/engine/tests/engine.rs
@@ -163,7 +163,7 @@
         id,
         attempt,
         ReturnedAttempt {
-            ending: AttemptResult::Rejected,
+            result: AttemptResult::Rejected,
             reason: Some(ReturnReason::NoCores),
             finished: false,
             report: None,
@@ -328,7 +328,7 @@
         id,
         7,
         ReturnedAttempt {
-            ending: AttemptResult::Completed,
+            result: AttemptResult::Completed,
             reason: None,
             finished: true,
             report: None
@@ -361,7 +361,7 @@
         pending,
         0,
         ReturnedAttempt {
-            ending: AttemptResult::TimedOut,
+            result: AttemptResult::TimedOut,
             reason: None,
             finished: false,
             report: None,
@@ -373,7 +373,7 @@
         "pending: indeterminate",
         "the attempt may have been executed"
     );
-    assert_eq!(engine.counts().tracked, 0);
+    assert_eq!(engine.counts().total, 0);
 }
 
 #[test]
@@ -392,7 +392,7 @@
         id,
         0,
         ReturnedAttempt {
-            ending: AttemptResult::Reset,
+            result: AttemptResult::Reset,
             reason: Some(ReturnReason::Evicted),
             finished: true,
             report: None,
@@ -403,7 +403,7 @@
         !effects.take().contains("a:"),
         "no answer and no further attempt"
     );
-    assert_eq!(engine.counts().tracked, 0);
+    assert_eq!(engine.counts().total, 0);
 }
 
 #[test]
--- a/crates/platform/src/core.rs
+++ b/crates/platform/src/core.rs
@@ -211,7 +211,7 @@
                             id,
                             attempt,
                             ReturnedAttempt {
-                                ending: result,
+                                result,
                                 reason: None,
                                 finished: false,
                                 report: None,
--- a/crates/platform/src/core/attempts.rs
+++ b/crates/platform/src/core/attempts.rs
@@ -91,7 +91,7 @@
         pending.active = None;
         let task = pending.task;
         self.withdraw(id, active, task);
-        let ending = if active.started {
+        let result = if active.started {
             AttemptResult::TimedOut
         } else {
             AttemptResult::ConnectFailed
@@ -101,7 +101,7 @@
             id,
             number,
             ReturnedAttempt {
-                ending,
+                result,
                 reason: None,
                 finished: false,
                 report: None,
--- a/crates/platform/src/core/engine_effects.rs
+++ b/crates/platform/src/core/engine_effects.rs
@@ -13,10 +13,10 @@
         pending: &mut PendingTask,
         allocation: &Allocation,
         machine: MachineId,
-        time_out: Ticks,
+        timeout: Ticks,
     ) {
         let (id, number) = (allocation.id, allocation.attempts.len());
-        let message = open_message(pending, time_out);
+        let message = open_message(pending, timeout);
         let attempt = AttemptId {
             allocation: id,
             number,
@@ -32,7 +32,7 @@
             ));
         };
         self.connections.attempt_started(connection, id, self.now);
-        let deadline = self.now + time_out;
+        let deadline = self.now + timeout;
         pending.active = Some(ActiveAttempt {
             number,
             machine,
@@ -50,7 +50,7 @@
             class = pending.class,
             name = pending.name,
             description = pending.description,
-            time_out,
+            time_out = timeout,
             "sent to a node"
         );
     }
@@ -128,7 +128,7 @@
 }
 
 /// Returns the message that sends a set-up to a node.
-fn open_message(pending: &PendingTask, time_out: Ticks) -> node::Message {
+fn open_message(pending: &PendingTask, timeout: Ticks) -> node::Message {
     let mut message = node::Message::new(node::MessageType::Open, pending.task);
     let text = |text: &str| AttributeValue::Text(text.into());
     message
@@ -137,7 +137,7 @@
     message.attributes.insert("key".into(), text(&pending.name));
     message
         .attributes
-        .insert("left".into(), text(&(time_out / 10).to_string()));
+        .insert("left".into(), text(&(timeout / 10).to_string()));
     if let Some(key) = &pending.idempotency_key {
         message.attributes.insert("idem".into(), text(key));
     }
--- a/crates/platform/src/core/node_connections.rs
+++ b/crates/platform/src/core/node_connections.rs
@@ -126,7 +126,7 @@
                 allocation,
                 number,
                 ReturnedAttempt {
-                    ending: result,
+                    result,
                     reason: None,
                     finished: false,
                     report: None,
--- a/crates/platform/src/core/node_messages.rs
+++ b/crates/platform/src/core/node_messages.rs
@@ -185,12 +185,12 @@
         };
         self.timers
             .retain(|(_, timer)| *timer != Timer::HealthCheck(check));
-        let ending = if message.cause == Some(1) {
+        let result = if message.cause == Some(1) {
             AttemptResult::Completed
         } else {
             AttemptResult::Error
         };
-        engine.record_health_check(now, machine, ending, parse_load(message));
+        engine.record_health_check(now, machine, result, parse_load(message));
     }
 
     /// Returns the attempt that a message is about, or none if the task is unknown or assigned to
@@ -287,7 +287,7 @@
             id,
             active.number,
             ReturnedAttempt {
-                ending: result,
+                result,
                 reason,
                 finished: false,
                 report: load,
--- a/crates/platform/src/core/running_tasks.rs
+++ b/crates/platform/src/core/running_tasks.rs
@@ -49,7 +49,7 @@
         now: Ticks,
         engine: &mut Engine<PendingTask>,
         id: AllocationId,
-        ending: AttemptResult,
+        result: AttemptResult,
         reason: Option<ReturnReason>,
         report: Option<LoadReport>,
     ) {
@@ -61,9 +61,9 @@
         };
         let (task, to) = (pending.task, pending.client);
         self.timers.retain(|(_, timer)| *timer != Timer::Stop(id));
-        debug!(task = task_key(task), machine = ?active.machine, ?ending, ?reason, "task ended");
-        if self.record_task_end(pending) && ending != AttemptResult::Cancelled {
-            let cause = if ending == AttemptResult::Completed {
+        debug!(task = task_key(task), machine = ?active.machine, ending = ?result, ?reason, "task ended");
+        if self.record_task_end(pending) && result != AttemptResult::Cancelled {
+            let cause = if result == AttemptResult::Completed {
                 client::CAUSE_NORMAL
             } else {
                 client::CAUSE_INTERRUPTED
@@ -76,7 +76,7 @@
             id,
             active.number,
             ReturnedAttempt {
-                ending,
+                result,
                 reason,
                 finished: true,
                 report,
--- a/crates/platform/src/core/set_ups.rs
+++ b/crates/platform/src/core/set_ups.rs
@@ -258,7 +258,7 @@
             id,
             active.number,
             ReturnedAttempt {
-                ending: AttemptResult::Cancelled,
+                result: AttemptResult::Cancelled,
                 reason: None,
                 finished: true,
                 report: None,
--- a/crates/platform/tests/core/races.rs
+++ b/crates/platform/tests/core/races.rs
@@ -281,7 +281,7 @@
     futures_lite::future::block_on(served);
     let core = handle.lock();
     assert_eq!(
-        (core.state.clients.len(), core.engine.counts().tracked),
+        (core.state.clients.len(), core.engine.counts().total),
         (0, 0)
     );
 }
--- a/crates/platform/tests/core/transcript.rs
+++ b/crates/platform/tests/core/transcript.rs
@@ -547,7 +547,7 @@
         let counts_line = format!(
             "= timer {armed:?} in hand {} waiting {} out {} placed {} links {open}+{half_closed} \
              unanswered {} kept {}",
-            counts.tracked,
+            counts.total,
             counts.deferred,
             counts.attempts_pending,
             counts.placed,
--- a/crates/scheduler/src/interface/outcomes.rs
+++ b/crates/scheduler/src/interface/outcomes.rs
@@ -60,7 +60,7 @@
     /// The attempt has ended.
     Returned {
         /// How it ended.
-        ending: AttemptResult,
+        result: AttemptResult,
         /// The reason, if the machine gave one.
         reason: Option<ReturnReason>,
         /// Whether the allocation is finished, so that no answer is owed to its client.
--- a/crates/scheduler/src/policy/liveness.rs
+++ b/crates/scheduler/src/policy/liveness.rs
@@ -86,11 +86,11 @@
         &mut self,
         now: Ticks,
         machine: MachineId,
-        ending: AttemptResult,
+        result: AttemptResult,
         report: Option<LoadReport>,
     ) {
         let target = self.machines.entry(machine).or_default();
-        match ending {
+        match result {
             AttemptResult::Completed => {
                 (target.consecutive_timeouts, target.last_heard_at) = (0, now)
             }
--- a/crates/scheduler/src/policy/outcomes.rs
+++ b/crates/scheduler/src/policy/outcomes.rs
@@ -24,25 +24,30 @@
                 NextStep::Done
             }
             Outcome::Returned {
-                ending,
+                result,
                 reason,
                 finished,
                 report,
             } => {
                 let placed = self.placed_allocation(allocation.id);
                 let was_placed = placed.is_some_and(|placed| placed.placed);
-                self.remove_placed(now, allocation.id, ending == AttemptResult::Completed);
+                self.remove_placed(now, allocation.id, result == AttemptResult::Completed);
                 self.record_report(now, machine, report);
-                match ending {
+                match result {
                     AttemptResult::Rejected => {
                         self.record_rejection(now, allocation, machine, reason)
                     }
                     // The machine evicted, preempted or migrated it, which is not a fault: treated
                     // as cancelled.
-                    AttemptResult::Reset if was_placed && reason.is_some() => {
-                        self.record_ending(now, allocation, machine, AttemptResult::Cancelled, true)
-                    }
-                    _ => self.record_ending(now, allocation, machine, ending, was_placed),
+                    AttemptResult::Reset if was_placed && reason.is_some() => self
+                        .record_attempt_result(
+                            now,
+                            allocation,
+                            machine,
+                            AttemptResult::Cancelled,
+                            true,
+                        ),
+                    _ => self.record_attempt_result(now, allocation, machine, result, was_placed),
                 }
                 if finished {
                     NextStep::Done
@@ -107,22 +112,22 @@
         target.rejection = Some(Rejection { until, requested });
     }
 
-    /// Records how an attempt ended, and a fault of the machine if the ending shows one.
-    fn record_ending(
+    /// Records how an attempt ended, and a fault of the machine if the result shows one.
+    fn record_attempt_result(
         &mut self,
         now: Ticks,
         allocation: &Allocation,
         machine: MachineId,
-        ending: AttemptResult,
+        result: AttemptResult,
         was_placed: bool,
     ) {
         // The new ejection may end before the one that it replaces.
         self.capacity_index.mark_changed(machine, true);
         let target = self.machines.entry(machine).or_default();
-        if matches!(ending, AttemptResult::Completed | AttemptResult::Error) {
+        if matches!(result, AttemptResult::Completed | AttemptResult::Error) {
             target.last_heard_at = now;
         }
-        match ending {
+        match result {
             // Possibly no machine can run this allocation; counting each error as a fault would let
             // a few bad requests eject every machine.
             AttemptResult::Error => target.unconfirmed_error = Some(allocation.id),
--- a/crates/scheduler/tests/decisions.rs
+++ b/crates/scheduler/tests/decisions.rs
@@ -224,7 +224,7 @@
     fn report_returned(
         &mut self,
         mut allocation: Allocation,
-        ending: AttemptResult,
+        result: AttemptResult,
         finished: bool,
     ) {
         let reasons = [
@@ -240,14 +240,14 @@
         let reason = reasons[self.random_index(reasons.len())];
         let attempt = allocation.attempts.last_mut().unwrap();
         let report = self.random_report(attempt.machine.0);
-        attempt.state = match ending {
+        attempt.state = match result {
             AttemptResult::Rejected | AttemptResult::ConnectFailed | AttemptResult::NotSent => {
                 AttemptState::NotExecuted
             }
             _ => AttemptState::PossiblyExecuted,
         };
         let outcome = Outcome::Returned {
-            ending,
+            result,
             reason,
             finished,
             report,
@@ -410,8 +410,8 @@
             if self.rng.random_bool(0.7) {
                 return self.apply_outcome(allocation, Outcome::Placed);
             }
-            let ending = endings[self.random_index(endings.len())];
-            return self.report_returned(allocation, ending, false);
+            let result = endings[self.random_index(endings.len())];
+            return self.report_returned(allocation, result, false);
         }
         if !self.placed.is_empty() {
             let at = self.random_index(self.placed.len());
@@ -422,8 +422,8 @@
                 AttemptResult::Completed,
                 AttemptResult::Reset,
             ];
-            let ending = endings[self.random_index(endings.len())];
-            self.report_returned(allocation, ending, true);
+            let result = endings[self.random_index(endings.len())];
+            self.report_returned(allocation, result, true);
         }
     }
 
@@ -449,9 +449,9 @@
                     AttemptResult::TimedOut,
                     AttemptResult::Error,
                 ];
-                let ending = endings[self.random_index(endings.len())];
+                let result = endings[self.random_index(endings.len())];
                 self.scheduler
-                    .record_health_check(self.now, MachineId(id), ending, report);
+                    .record_health_check(self.now, MachineId(id), result, report);
             }
             75..=78 => self.update_endpoint_list(id),
             79 if self.rng.random_bool(0.3) => self.scheduler.endpoint_watch_failed(self.now),
--- a/crates/scheduler/tests/host/mod.rs
+++ b/crates/scheduler/tests/host/mod.rs
@@ -137,12 +137,12 @@
     pub fn report_returned(
         &mut self,
         allocation: &mut Allocation,
-        ending: AttemptResult,
+        result: AttemptResult,
         reason: Option<ReturnReason>,
     ) -> NextStep {
         let attempt = allocation.attempts.len() - 1;
         let not_executed = matches!(
-            ending,
+            result,
             AttemptResult::Rejected | AttemptResult::ConnectFailed | AttemptResult::NotSent
         );
         allocation.attempts[attempt].state = if not_executed {
@@ -151,9 +151,9 @@
             AttemptState::PossiblyExecuted
         };
         let outcome = Outcome::Returned {
-            ending,
+            result,
             reason,
-            finished: ending == AttemptResult::Completed,
+            finished: result == AttemptResult::Completed,
             report: None,
         };
         self.scheduler
--- a/crates/scheduler/tests/retries.rs
+++ b/crates/scheduler/tests/retries.rs
@@ -89,14 +89,14 @@
     fn report_returned(
         &mut self,
         index: usize,
-        ending: AttemptResult,
+        result: AttemptResult,
         reason: Option<ReturnReason>,
         report: Option<LoadReport>,
     ) {
         let mut allocation = self.running.swap_remove(index);
         let (now, attempt) = (self.now, allocation.attempts.len() - 1);
         let not_executed = matches!(
-            ending,
+            result,
             AttemptResult::Rejected | AttemptResult::ConnectFailed
         );
         allocation.attempts[attempt].state = if not_executed {
@@ -105,9 +105,9 @@
             AttemptState::PossiblyExecuted
         };
         let outcome = Outcome::Returned {
-            ending,
+            result,
             reason,
-            finished: ending == AttemptResult::Completed,
+            finished: result == AttemptResult::Completed,
             report,
         };
         let next_steps = [&mut self.skipping, &mut self.exhaustive]
@@ -258,9 +258,9 @@
                     Some(ReturnReason::QueueFull),
                     Some(ReturnReason::Evicted),
                 ];
-                let ending = endings[rng.random_range(0..endings.len())];
+                let result = endings[rng.random_range(0..endings.len())];
                 let reason = reasons[rng.random_range(0..reasons.len())];
-                both.report_returned(rng.random_range(0..running), ending, reason, report);
+                both.report_returned(rng.random_range(0..running), result, reason, report);
             }
             6..=8 if running > 0 => {
                 let allocation = both.running[rng.random_range(0..running)].clone();
--- a/crates/scheduler/tests/scenarios.rs
+++ b/crates/scheduler/tests/scenarios.rs
@@ -66,14 +66,14 @@
 #[test_case(RetrySafety::NotRetryable, AttemptResult::ConnectFailed, true; "not retryable, but without a connection")]
 fn an_attempt_that_may_have_run_restricts_retries(
     safety: RetrySafety,
-    ending: AttemptResult,
+    result: AttemptResult,
     retried: bool,
 ) {
     let mut host = Host::new(cluster(service_class(safety)), 1, 4);
     let mut allocation = host.new_allocation(1, 1.0, 1.0);
     host.place(&mut allocation);
     assert_eq!(
-        host.report_returned(&mut allocation, ending, None),
+        host.report_returned(&mut allocation, result, None),
         NextStep::Retry
     );
     match host.place(&mut allocation) {
@@ -1004,7 +1004,7 @@
             }
             allocation.attempts[0].state = AttemptState::PossiblyExecuted;
             let completed = Outcome::Returned {
-                ending: AttemptResult::Completed,
+                result: AttemptResult::Completed,
                 reason: None,
                 finished: true,
                 report: None,
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -104,7 +104,7 @@
             id,
             attempt,
             ReturnedAttempt {
-                ending,
+                result: ending,
                 reason,
                 finished,
                 report,
--- a/crates/testbed/src/capacity/scheduling_cost.rs
+++ b/crates/testbed/src/capacity/scheduling_cost.rs
@@ -357,7 +357,7 @@
                     id,
                     0,
                     ReturnedAttempt {
-                        ending: AttemptResult::Completed,
+                        result: AttemptResult::Completed,
                         reason: None,
                         finished: true,
                         report: None,
