--- a/crates/config-sync/src/subscriber/types.rs
+++ b/crates/config-sync/src/subscriber/types.rs
@@ -94,7 +94,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RejectionReason {
     /// The version was rolled back here.
-    #[error("version {0} was given up here; publish a new version")]
+    #[error("version {0} was rolled back here; publish a new version")]
     RolledBack(VersionId),
     /// The active version has the same number and different content.
     #[error("stale: the active version {active} has the same number and different content")]
--- a/crates/config-sync/tests/state_space/world.rs
+++ b/crates/config-sync/tests/state_space/world.rs
@@ -178,7 +178,7 @@
         let rival = active.digest == texts(4).digest() && active.number > 0;
         if let Some(Rejection { version, reasons }) = self.publisher.last_rejection(id as u32)
             && version.digest != texts(2).digest()
-            && !reasons.iter().any(|reason| reason.contains("given up"))
+            && !reasons.iter().any(|reason| reason.contains("rolled back"))
             && !rival
         {
             return Err(format!(
--- a/crates/config-sync/tests/subscriber.rs
+++ b/crates/config-sync/tests/subscriber.rs
@@ -71,7 +71,7 @@
     assert_eq!(
         subscriber.admit(&push(9, 2, &[one])),
         PushAdmission::Reply(PushReply::Rejected(vec![format!(
-            "version {two} was given up here; publish a new version"
+            "version {two} was rolled back here; publish a new version"
         )]))
     );
     assert!(matches!(
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -62,8 +62,8 @@
         /// The error that the system reported.
         why: std::io::Error,
     },
-    /// It can't install signal handlers.
-    #[error("can't handle signals: {0}")]
+    /// Signals can't be received.
+    #[error("can't receive signals: {0}")]
     Signals(std::io::Error),
     /// The listener failed.
     #[error("the listener failed: {0}")]
--- a/crates/testbed/tests/full_path/versions.rs
+++ b/crates/testbed/tests/full_path/versions.rs
@@ -503,7 +503,7 @@
         stage.control.scripted();
         let again = stage.reply(&push(999, bad.number, &texts, &[])).await;
         assert!(
-            again.reasons.iter().any(|why| why.contains("given up")),
+            again.reasons.iter().any(|why| why.contains("rolled back")),
             "{:?}",
             again.reasons
         );
