--- a/crates/config-sync/src/publisher.rs
+++ b/crates/config-sync/src/publisher.rs
@@ -22,7 +22,8 @@
     pub reasons: Vec<String>,
 }
 
-/// The predecessors that a push named: one version, and all from a number on.
+/// The predecessors that a push named: the subscriber's active version, and all versions from a
+/// number on.
 #[derive(Clone, Copy, Debug)]
 struct NamedPredecessors {
     active: VersionId,
@@ -202,7 +203,8 @@
         let far_behind = position.is_none() && self.in_lineage(active);
         // Names all versions from the active one on, since a push in transit may be active at the
         // subscriber by the time it reads this one. If the active version is older than all those
-        // remembered with their content, names it and all of these.
+        // remembered with their content, names it and all of these. For a version that was not
+        // published here, names only the last version before the newest.
         let first = match position {
             Some(position) => position,
             None if far_behind => 0,
--- a/crates/config-sync/src/stable_ids.rs
+++ b/crates/config-sync/src/stable_ids.rs
@@ -7,7 +7,8 @@
 /// Largest number of rows in either table, including rows of removed names.
 const MAX_ROWS: usize = 20_000;
 
-/// More names were added and removed than there are ids. A restart frees the ids of removed names.
+/// The error that more names were added and removed than there are ids. A restart frees the ids of
+/// removed names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("more names were added and removed than ids can be kept for; a restart is needed")]
 pub struct IdsExhausted;
--- a/crates/config-sync/src/subscriber/pushes.rs
+++ b/crates/config-sync/src/subscriber/pushes.rs
@@ -1,4 +1,4 @@
-//! The steps of a push: received, taken, admitted.
+//! The steps of a push: it is received, taken and admitted.
 
 use super::state::Subscriber;
 use super::types::{
@@ -92,7 +92,8 @@
         if version.number < active.number {
             return Some(RejectionReason::Stale { active });
         }
-        // A service that was cut off from the others may have numbered on from an older state.
+        // A service that was cut off from the others may have continued the numbers from an older
+        // state.
         let follows = active.number == 0 || push.predecessors.contains(&active);
         (!follows).then_some(RejectionReason::OtherLineage { active })
     }
--- a/crates/config-sync/src/subscriber/trials.rs
+++ b/crates/config-sync/src/subscriber/trials.rs
@@ -1,4 +1,4 @@
-//! The steps of a trial: prepared, started, evaluated, finished.
+//! The steps of a trial: it is prepared, started, evaluated and finished.
 
 use super::state::{Subscriber, roll_back};
 use super::types::{PersistedVersions, TrialOutcome, TrialVersion, Version};
--- a/crates/dispatcher/src/core/placement.rs
+++ b/crates/dispatcher/src/core/placement.rs
@@ -123,7 +123,8 @@
         if time_left > MAX_DEADLINE {
             return Err(RequestError::DeadlineTooLate);
         }
-        // A paused process can't answer in time, so the decisions get an earlier deadline.
+        // The engine gets an earlier deadline, so that the answer arrives in time even if the
+        // process is paused for a moment.
         let margin = self.deployment().limits.answer_margin.min(time_left / 2);
         let deadline = now + time_left - margin;
         Ok((
--- a/crates/dispatcher/src/core/removals.rs
+++ b/crates/dispatcher/src/core/removals.rs
@@ -35,7 +35,8 @@
 }
 
 impl DispatcherCore {
-    /// Has every node stop the replica that a failed dispatcher may have started beside this one's.
+    /// Makes every node stop the replicas of the task other than this dispatcher's, one of which a
+    /// failed dispatcher may have started.
     pub fn clear_foreign_claim(&self, service: &str, task: &str, claim: ClaimId) {
         self.with(|_, engine, effects| {
             let Some((client, _)) = engine.find(task).and_then(|id| engine.data_mut(id)) else {
--- a/crates/dispatcher/src/core/replicas.rs
+++ b/crates/dispatcher/src/core/replicas.rs
@@ -17,7 +17,7 @@
 use v1::placement_event::Event as Reply;
 
 impl DispatcherCore {
-    /// Cancels a surge replica. Its node is requested to stop it until it is known to be gone.
+    /// Cancels a surge replica. Requests to stop it are repeated until it is known to be gone.
     pub(super) fn cancel_surge(
         self: &Arc<Self>,
         id: AllocationId,
@@ -36,8 +36,8 @@
         }
     }
 
-    /// Gives the surge replica beside this one the place of this one for the client. Returns false
-    /// if there is no running surge replica.
+    /// Lets the surge replica of an allocation take its place for the client. Returns false if
+    /// there is no surge replica with an attempt.
     pub(super) fn promote_surge(
         &self,
         id: AllocationId,
@@ -95,8 +95,8 @@
         true
     }
 
-    /// Adopts a later rollout that is committed. Replicas that this dispatcher has already belong
-    /// to it from now on.
+    /// Adopts a later rollout that is committed. If the service had none here, its replicas at this
+    /// dispatcher belong to the rollout from now on.
     pub fn adopt(&self, rollout: Rollout) {
         self.with(|now, engine, effects| {
             let known = effects.rollouts.controller(&rollout.service).is_some();
--- a/crates/engine/src/attempts.rs
+++ b/crates/engine/src/attempts.rs
@@ -9,7 +9,7 @@
 const RUN_QUEUE_SLACK: usize = 64;
 
 impl<T> Engine<T> {
-    /// Evaluates an allocation at once, or queues it where evaluations are on demand.
+    /// Evaluates an allocation at once, or queues it if evaluations are on demand.
     pub fn place(&mut self, now: Ticks, id: AllocationId, effects: &mut impl Effects<T>) {
         if self.batch != RetryBatch::ON_DEMAND {
             return self.evaluate(now, id, effects);
@@ -81,8 +81,8 @@
         }
     }
 
-    /// Records that an attempt was placed. Returns false where the answer is not needed: the
-    /// allocation has ended, or its client has its answer already.
+    /// Records that an attempt was placed. Returns false if no answer is needed: the allocation has
+    /// ended, or its client has its answer already.
     pub fn attempt_placed(
         &mut self,
         now: Ticks,
@@ -99,7 +99,8 @@
         first
     }
 
-    /// Records the end of an attempt. Returns false where the allocation has no such attempt.
+    /// Records the end of an attempt. Returns false if the allocation is known and has no such
+    /// attempt.
     pub fn attempt_returned(
         &mut self,
         now: Ticks,
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -14,7 +14,8 @@
     pub(crate) by_name: HashMap<String, AllocationId>,
     /// Deferred allocations, in the order in which they were deferred.
     pub(crate) deferred: Vec<AllocationId>,
-    /// Deferred allocations by deadline: those that are due are evaluated again on their own.
+    /// Deferred allocations by deadline: those that are due are evaluated again outside the
+    /// batches.
     pub(crate) deferred_by_deadline: BTreeSet<(Ticks, AllocationId)>,
     /// Allocations to be evaluated again now, in batches.
     pub(crate) retries: VecDeque<AllocationId>,
@@ -63,8 +64,8 @@
     /// Admits an allocation without placing it; call [`Engine::place`] next.
     ///
     /// # Errors
-    /// Returns an error, with `data`, where the limit of allocations is reached or another
-    /// allocation has this name.
+    /// Returns an error, with `data`, if the limit of allocations is reached or another allocation
+    /// has this name.
     pub fn admit(
         &mut self,
         now: Ticks,
--- a/crates/engine/src/requests.rs
+++ b/crates/engine/src/requests.rs
@@ -24,7 +24,7 @@
     }
 }
 
-/// Why an allocation was not admitted.
+/// The reason why an allocation was not admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum AdmissionError {
     /// The limit of allocations is reached.
@@ -46,14 +46,14 @@
     pub tenant: TenantId,
     /// The resources that are requested.
     pub requested: Resources,
-    /// When the client stops waiting for the final answer.
+    /// The time at which the client stops waiting for the final answer.
     pub deadline: Ticks,
 }
 
 /// The end of an attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct ReturnedAttempt {
-    /// The result.
+    /// The result of the attempt.
     pub result: AttemptResult,
     /// The reason, if the machine gave one.
     pub reason: Option<ReturnReason>,
--- a/crates/maintenance/src/cordon.rs
+++ b/crates/maintenance/src/cordon.rs
@@ -6,7 +6,8 @@
 use std::collections::VecDeque;
 
 /// Number of claims that a machine remembers as finished, so that a late cordon message for one of
-/// them is rejected. An older message would have been in transit for as many leases.
+/// them is rejected. A message for an older claim would have been in transit while this many leases
+/// ended.
 const MAX_FINISHED_CLAIMS: usize = 64;
 
 /// The machine's fence against late cordon messages.
--- a/crates/maintenance/src/lease.rs
+++ b/crates/maintenance/src/lease.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 
 /// The phase of a lease. Each phase is reported to a majority of the quorum members before the next
-/// one begins, and no phase is undone. A cordoned lease becomes either drained or cancelled.
+/// one begins, and no phase is undone. A lease that was not drained may be cancelled instead.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum LeasePhase {
@@ -34,7 +34,7 @@
     Cancelled,
 }
 
-/// A machine that is out of service, or about to be.
+/// A lease on a machine that is out of service, or about to be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct MaintenanceLease {
     /// The claim that the lease was granted to.
--- a/crates/maintenance/src/lease_table.rs
+++ b/crates/maintenance/src/lease_table.rs
@@ -27,8 +27,8 @@
 pub enum ClaimOutcome {
     /// The lease is held here.
     Granted,
-    /// A slot is held by another lease or is beyond its limit, the machine is out of service or has
-    /// been in this job, or the claim is withdrawn.
+    /// A slot is held by another lease or is beyond its limit, the machine has another lease or
+    /// already an outcome in this job, or the claim is withdrawn.
     Occupied,
     /// The member holds another revision, or the request is not running or does not name the
     /// machine.
@@ -53,8 +53,8 @@
 }
 
 impl LeaseTable {
-    /// Accepts the request if its revision is later than that of the held request. Returns the
-    /// request that is held afterwards.
+    /// Accepts the request if its revision is later than that of the held request and it names at
+    /// most [`MAX_MACHINES`] machines. Returns the request that is held afterwards.
     pub fn propose(&mut self, request: MaintenanceRequest) -> Option<&MaintenanceRequest> {
         let is_later = self
             .request
@@ -131,8 +131,10 @@
             || others.any(|other| other.slots.for_scope(scope) == slot)
     }
 
-    /// Records that a lease has reached a phase. If the lease is not held here, only a vote is
-    /// recorded: the lease may have been withdrawn, and another lease may hold its slots.
+    /// Records that a lease has reached a phase. [`LeasePhase::Drained`] and
+    /// [`LeasePhase::Cancelled`] are recorded as votes, even if the lease is not held here; any
+    /// other phase is recorded only if it is held: the lease may have been withdrawn, and another
+    /// lease may hold its slots.
     pub fn advance(&mut self, machine: Machine, claim: ClaimId, phase: LeasePhase) {
         if matches!(phase, LeasePhase::Drained | LeasePhase::Cancelled) {
             self.vote(claim, phase);
--- a/crates/maintenance/src/limits.rs
+++ b/crates/maintenance/src/limits.rs
@@ -53,18 +53,18 @@
     }
 }
 
-/// How many machines may be out of service at a time.
+/// The maximum numbers of machines that may be out of service at a time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct DisruptionLimits {
-    /// Of all machines, stored as `all`.
+    /// The limit over all machines, stored as `all`.
     #[serde(rename = "all")]
     pub total: u32,
-    /// Of one zone, stored as `hall`.
+    /// The limit for each zone, stored as `hall`.
     #[serde(rename = "hall")]
     pub zone: u32,
-    /// Of one cell.
+    /// The limit for each cell.
     pub cell: u32,
-    /// Of one machine type, stored as `kind`.
+    /// The limit for each machine type, stored as `kind`.
     #[serde(rename = "kind")]
     pub machine_type: u32,
 }
@@ -94,13 +94,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(from = "[u32; 4]", into = "[u32; 4]")]
 pub struct Slots {
-    /// Among all machines.
+    /// The slot under the limit over all machines.
     pub total: u32,
-    /// Among those of the zone.
+    /// The slot under the limit for the zone.
     pub zone: u32,
-    /// Among those of the cell.
+    /// The slot under the limit for the cell.
     pub cell: u32,
-    /// Among those of the machine type.
+    /// The slot under the limit for the machine type.
     pub machine_type: u32,
 }
 
--- a/crates/maintenance/src/quorum_view.rs
+++ b/crates/maintenance/src/quorum_view.rs
@@ -265,7 +265,7 @@
     agreed.collect()
 }
 
-/// Why a job cannot start.
+/// The reason why a job cannot start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StartError {
     /// The request names no machine or too many.
--- a/crates/maintenance/src/reconcile.rs
+++ b/crates/maintenance/src/reconcile.rs
@@ -33,23 +33,23 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 #[must_use = "actions take effect only once they are sent"]
 pub struct Actions {
-    /// To members: the next claim.
+    /// The next claim, for the members.
     pub claim: Option<Claim>,
-    /// To members: claims to withdraw.
+    /// Claims to withdraw, for the members.
     pub withdraw: Vec<LeaseId>,
-    /// To members: phases that leases have reached.
+    /// Phases that leases have reached, for the members.
     pub advance: Vec<LeaseProgress>,
-    /// To members: leases that have ended.
+    /// Leases that have ended, for the members.
     pub release: Vec<Release>,
-    /// To machines: accept no further allocations.
+    /// Leases whose machine is to accept no further allocations, for the machines.
     pub cordon: Vec<LeaseId>,
-    /// To machines: accept allocations again.
+    /// Leases whose machine is to accept allocations again, for the machines.
     pub uncordon: Vec<LeaseId>,
-    /// To machines: stop the allocations that still run there.
+    /// Leases whose machine is to stop the allocations that still run there, for the machines.
     pub stop: Vec<LeaseId>,
 }
 
-/// What the caller knows in addition to the replies.
+/// The information that the caller has in addition to the replies.
 #[derive(Clone, Debug)]
 pub struct ReconcileContext<'a> {
     /// Number of quorum members.
@@ -59,8 +59,8 @@
     /// Whether the dispatcher may claim in this round. If hundreds claimed a free slot at the same
     /// time, all of them would be rejected.
     pub may_claim: bool,
-    /// Claims that no majority holds and that were first seen so long ago that their claimants have
-    /// had enough time.
+    /// Claims that no majority holds although they were first seen so long ago that their claimants
+    /// have had enough time to win them.
     pub expired: &'a BTreeSet<ClaimId>,
     /// Machines that are lost or are draining on their own, with their domains. They count as out
     /// of service.
@@ -94,7 +94,7 @@
     context: &ReconcileContext,
 ) {
     let lease = observed.id();
-    // No majority will ever hold this lease, so it is released where a minority holds it.
+    // No majority will ever hold this lease, so it is released at the minority that holds it.
     if is_majority(observed.withdrawals, context.members) {
         let outcome = None;
         return actions.release.push(Release { lease, outcome });
@@ -134,14 +134,14 @@
     lease: LeaseId,
     job: u64,
     status: &'a MachineStatus,
-    /// The committed request is not aborted and still names the machine.
+    /// Whether the committed request is not aborted and still names the machine.
     is_requested: bool,
-    /// The drain timeout has passed.
+    /// Whether the drain timeout has passed.
     is_timed_out: bool,
     on_drain_timeout: DrainTimeoutAction,
     /// How long an uncordoned machine still counts as out of service, in ms.
     warm_up_ms: u64,
-    /// The machine has been uncordoned for this claim.
+    /// Whether the machine has been uncordoned for this claim.
     is_finished: bool,
 }
 
--- a/crates/platform/src/core/attempts.rs
+++ b/crates/platform/src/core/attempts.rs
@@ -7,8 +7,9 @@
 use tracing::debug;
 
 impl PlatformState {
-    /// Returns whether a set-up may still be written; called right before its first byte. False if
-    /// its client is gone or its deadline has passed, even if that is only known from unread input.
+    /// Returns whether a set-up may still be written; called right before its first byte. Returns
+    /// false if its client is gone, even if only unread input shows that, or if its deadline has
+    /// passed.
     pub(super) fn may_write_set_up(
         &mut self,
         now: Ticks,
@@ -71,7 +72,7 @@
             .for_each(|connection| self.connections.attempt_finished(connection, id, now));
     }
 
-    /// Withdraws an attempt whose time is up.
+    /// Withdraws an attempt that has reached its deadline.
     pub(super) fn attempt_timed_out(
         &mut self,
         now: Ticks,
--- a/crates/platform/src/core/engine_effects.rs
+++ b/crates/platform/src/core/engine_effects.rs
@@ -115,7 +115,7 @@
 
 impl PlatformState {
     /// Returns the connection for an attempt: an idle one, else a new one, else the least loaded
-    /// one. The idle and the least loaded one are not among `except`.
+    /// one. Connections in `except` are not returned.
     fn connection_for(
         &mut self,
         machine: MachineId,
--- a/crates/platform/src/core/inputs.rs
+++ b/crates/platform/src/core/inputs.rs
@@ -22,8 +22,8 @@
     }
 
     /// Places waiting set-ups while there is time. Returns true if some still wait. All connections
-    /// are read between two turns, so that a message of a node or client waits for one turn and not
-    /// for all set-ups.
+    /// are read between two turns, so that a message of a node or client waits for at most one turn
+    /// and not for all set-ups.
     pub fn run_turn(&mut self, now: Ticks, has_time: impl Fn() -> bool) -> bool {
         self.process_event(now, |engine, state| {
             // The time is checked first: a set-up that was taken from the queue must be evaluated.
@@ -68,8 +68,8 @@
         });
     }
 
-    /// Registers a client's connection. Returns none if the maximum is reached and every connection
-    /// has an open set-up.
+    /// Registers a client's connection. Returns `None` if the maximum is reached and every
+    /// connection has an open set-up.
     pub fn client_connected(&mut self, now: Ticks) -> Option<(ClientId, MessageQueue)> {
         let (sender, queue) = message_queue();
         self.process_event(now, |engine, state| {
--- a/crates/platform/src/core/limits.rs
+++ b/crates/platform/src/core/limits.rs
@@ -6,9 +6,11 @@
 /// Maximum age of the last read of a client's connection when an attempt starts. No attempt may
 /// start more than 0.1 s after its client is gone, and this is a tenth of that.
 pub(super) const MAX_INPUT_AGE: Ticks = 100;
-/// Bytes that are read ahead on a client's connection, and messages that are handled in one go
-/// before an attempt. A client that sends more is flooding the dispatcher.
+/// Number of bytes that are read ahead on a client's connection. A client that sends more is
+/// flooding the dispatcher.
 pub(super) const READ_AHEAD_BYTES: usize = 2 * corkspan_platform_wire::MAX_MESSAGE_BYTES;
+/// Maximum number of messages of a client that are handled at once before an attempt. A client that
+/// sends more is flooding the dispatcher.
 pub(super) const MAX_MESSAGES_BEFORE_ATTEMPT: usize = 2 * MAX_SET_UPS_PER_CONNECTION;
 /// The maximum number of tasks, including running ones.
 pub(super) const MAX_TASKS: usize = 8_192;
@@ -34,9 +36,10 @@
 /// may be closed for it. The scheduler checks a silent node every second and abandons its tasks
 /// after 5 s, so at least one health check must find a connection.
 pub(super) const UNREACHED_GRACE: Ticks = SECOND;
-/// Maximum number and lifetime of reported ends of unknown tasks. After a start, such a task may be
-/// handed over shortly after its node reports its end.
+/// Maximum number of remembered ends of unknown tasks. After a start, such a task may be handed
+/// over shortly after its node reports its end.
 pub(super) const MAX_EARLY_ENDS: usize = 1_024;
+/// Time for which the end of an unknown task is remembered.
 pub(super) const EARLY_END_LIFETIME: Ticks = SECOND * 10;
 /// The maximum number of undelivered messages for clients that are kept for the next connection.
 pub(super) const MAX_UNDELIVERED: usize = 1_024;
--- a/crates/platform/src/core/node_messages.rs
+++ b/crates/platform/src/core/node_messages.rs
@@ -193,7 +193,7 @@
         engine.record_health_check(now, machine, result, parse_load(message));
     }
 
-    /// Returns the attempt that a message is about, or none if the task is unknown or assigned to
+    /// Returns the attempt that a message is about, or `None` if the task is unknown or assigned to
     /// another node.
     fn match_attempt(
         &self,
@@ -210,9 +210,10 @@
         let (pending, _) = engine.data_mut(id)?;
         let active = pending.active.filter(|active| active.machine == machine)?;
         let is_running = pending.stage != TaskStage::Pending;
-        // If the connection of a task's set-up has ended, its node reports on the task on any open
-        // connection, even on one on which an earlier attempt at the same task ended. A release
-        // there with the cause of that earlier attempt can only be a copy of the earlier release.
+        // If the connection of a task's set-up has ended, its node sends messages about the task on
+        // any open connection, even on one on which an earlier attempt at the same task ended. A
+        // release there with the cause of that earlier attempt can only be a copy of the earlier
+        // release.
         let connection_lost = is_running
             && !active
                 .connection
--- a/crates/platform/src/core/replies.rs
+++ b/crates/platform/src/core/replies.rs
@@ -33,8 +33,8 @@
         self.send_to_client(to, MessageType::Release, task, &[(client::CAUSE, &[cause])]);
     }
 
-    /// Sends the end of a running task, or the request to migrate it. It goes on the connection of
-    /// the task's set-up, else on any other, else on the next one that is established.
+    /// Sends the end of a running task, or the request to migrate it, on the connection of the
+    /// task's set-up, else on any other, else on the next one on which a valid message arrives.
     pub(super) fn send_task_end(
         &mut self,
         to: ClientId,
--- a/crates/quorum/src/member.rs
+++ b/crates/quorum/src/member.rs
@@ -77,8 +77,8 @@
 
 impl<P: Proposal> QuorumMember<P> {
     /// Accepts a proposal if its revision is above that of the one held. Returns the proposal that
-    /// is held afterwards, which equals the given one if that was accepted now or before; none
-    /// where the limit of keys is reached. Claims under the earlier proposal keep their slots.
+    /// is held afterwards, which equals the given one if that was accepted now or before. Returns
+    /// `None` if the limit of keys is reached. Claims under the earlier proposal keep their slots.
     pub fn propose(&mut self, proposal: P) -> Option<&P> {
         let key = proposal.key();
         if !self.entries.contains_key(&key) && self.entries.len() >= MAX_KEYS {
@@ -125,8 +125,8 @@
         ClaimOutcome::Granted
     }
 
-    /// Releases only what this claim holds: a late or repeated message can't release the slot of a
-    /// later claim.
+    /// Releases the slot that this claim holds, if any. A late or repeated message can't release
+    /// the slot of a later claim.
     pub fn release<K>(&mut self, key: &K, claim: ClaimId)
     where
         P::Key: Borrow<K>,
--- a/crates/quorum/src/proposal.rs
+++ b/crates/quorum/src/proposal.rs
@@ -19,13 +19,13 @@
     #[must_use]
     fn with_revision(&self, revision: u64) -> Self;
 
-    /// Returns how many slots may be held under it at a time.
+    /// Returns the maximum number of slots that may be held under it at a time.
     fn max_slots(&self) -> u32;
 }
 
 /// Returns the committed proposal among those that members report for one key: the highest that a
-/// majority of all `members` holds. Returns none where the reports show no majority; what was
-/// committed before then stays committed.
+/// majority of all `members` holds. Returns `None` if the reports show no majority; a proposal that
+/// was committed before then stays committed.
 pub fn committed<'a, P: Proposal>(
     reported: impl IntoIterator<Item = &'a P>,
     members: usize,
--- a/crates/rollout/src/controller.rs
+++ b/crates/rollout/src/controller.rs
@@ -30,7 +30,8 @@
 const MAX_BACKOFF: Ticks = 20_000;
 /// Time within which a replica that was handed over reports whether it is ready.
 const READINESS_REPORT_TIMEOUT: Ticks = 10_000;
-/// A grant that its holder does not seem to use is released after this many progress deadlines.
+/// Number of progress deadlines after which a grant is released that names this dispatcher but
+/// belongs to none of its claims and replicas.
 const UNUSED_GRANT_DEADLINES: u64 = 3;
 
 /// One dispatcher's part of a service's rollout.
@@ -52,7 +53,7 @@
     unverified: BTreeSet<ClaimId>,
     /// Number of replicas of the current version that failed here.
     failures: u32,
-    /// Number of surge replicas among them that found no machine.
+    /// Number of these failures that were surge replicas for which no machine was found.
     failed_without_capacity: u32,
     /// Whether it has requested a halt that is not in effect yet.
     halt_requested: bool,
@@ -61,7 +62,8 @@
     next_claim_at: Ticks,
     /// Claims of other dispatchers that are being cleaned up, with their tasks.
     cleaning_up: BTreeMap<ClaimId, String>,
-    /// Grants that do not seem to be used, with the time when each was first seen.
+    /// Grants that belong to none of this dispatcher's claims, with the time when each was first
+    /// seen.
     unused_since: BTreeMap<ClaimId, Ticks>,
 }
 
@@ -151,7 +153,8 @@
         self.claims.keys().copied()
     }
 
-    /// Returns whether new steps may be started: the rollout is neither paused nor halted.
+    /// Returns whether new steps may be started: the rollout is neither paused nor halted, and no
+    /// halt has been requested.
     fn in_progress(&self) -> bool {
         self.rollout.phase == Phase::Rolling && !self.halt_requested
     }
--- a/crates/rollout/src/controller/claims.rs
+++ b/crates/rollout/src/controller/claims.rs
@@ -64,7 +64,7 @@
     }
 
     /// Continues the replacement of the claim's replica, since the claim still holds its slot.
-    /// Returns false where the claim is no longer needed.
+    /// Returns false if the claim is no longer known.
     fn resume_claim(&mut self, claim: ClaimId) -> bool {
         let Some(own_claim) = self.claims.get_mut(&claim) else {
             return false;
@@ -92,8 +92,8 @@
         }
     }
 
-    /// Records a claim's outcome. Returns false where the claim is lost. It must then be released
-    /// at all members, since some may have granted it or may still grant it.
+    /// Records a claim's outcome. Returns false if the claim is lost or not used. It must then be
+    /// released at all members, since some may have granted it or may still grant it.
     #[must_use]
     pub fn claim_decided(&mut self, now: Ticks, claim: ClaimId, votes: Votes) -> bool {
         let Some(task) = self.claims.get(&claim).map(|claim| claim.task.clone()) else {
@@ -106,7 +106,8 @@
             .get_mut(&task)
             .filter(|replica| replica.claim == Some(claim));
         match replica {
-            // The slot is not used where the replica was removed or the rollout paused meanwhile.
+            // The slot is not used if the replica was removed meanwhile, or if it is ready and no
+            // new step may be started any more.
             Some(replica) if won && (in_progress || replica.ready_since.is_none()) => {
                 replica.step = Step::Replacing;
                 self.claims.insert(claim, Claim { task, won });
--- a/crates/rollout/src/controller/events.rs
+++ b/crates/rollout/src/controller/events.rs
@@ -9,7 +9,7 @@
 impl RolloutController {
     /// Records a replica of this dispatcher that is not known to be ready: it was placed, is being
     /// placed, or was handed over. An empty version stands for the initial one. `returning` is true
-    /// where the client requests the replica again after it was lost, evicted or drained.
+    /// if the client requests the replica again after it was lost, evicted or drained.
     pub fn replica_assigned(&mut self, now: Ticks, task: &str, version: &str, returning: bool) {
         let own_claim = self
             .claims
@@ -123,7 +123,7 @@
     }
 
     /// Records that the replica reports itself unready, or that its node is lost, evicts it or
-    /// drains it. Returns true where that counts as a failure of the version being rolled out,
+    /// drains it. Returns true if that counts as a failure of the version being rolled out,
     /// because the replica had not stayed ready for the minimum time.
     pub fn replica_unready(&mut self, now: Ticks, task: &str) -> bool {
         let Some(replica) = self.replicas.get_mut(task) else {
--- a/crates/rollout/src/controller/steps.rs
+++ b/crates/rollout/src/controller/steps.rs
@@ -65,10 +65,10 @@
         requests
     }
 
-    /// Returns up to `limit` tasks whose replica is to be replaced next. Replicas that are down for
-    /// a reason other than the rollout are first, even those of the desired version: they take a
-    /// slot while they are down, which slows all dispatchers down. Old replicas that are ready
-    /// follow.
+    /// Returns up to `limit` tasks whose replica is to be replaced next. Replicas that are not
+    /// ready are first, including those of the desired version that are down for a reason other
+    /// than the rollout: they take a slot while they are down, which slows all dispatchers down.
+    /// Old replicas that are ready follow.
     fn next_replicas(&self, limit: usize) -> Vec<String> {
         let desired = self.rollout.desired_version();
         let down = |replica: &Replica| replica.returning && replica.ready_since.is_none();
@@ -203,8 +203,8 @@
     }
 
     /// Releases orphaned slots. A replica that has stayed ready here for the minimum time needs no
-    /// slot, whoever claimed it; nor is a slot needed that an earlier incarnation claimed for a
-    /// client that never reconnected.
+    /// slot, whichever dispatcher claimed it. A slot that an earlier incarnation claimed for a
+    /// client that never reconnected isn't needed either.
     fn release_orphaned(&mut self, now: Ticks, reported: &[ReportedSlot], actions: &mut Actions) {
         for grant in reported.iter().map(|reported| &reported.grant) {
             if self.claims.contains_key(&grant.claim)
--- a/crates/scheduler/src/interface/outcomes.rs
+++ b/crates/scheduler/src/interface/outcomes.rs
@@ -11,8 +11,8 @@
     NoMemory,
     /// Too many attempts are queued at the machine.
     QueueFull,
-    /// The machine has the wrong type, is draining, got the attempt too late, or already has a
-    /// copy.
+    /// The machine has the wrong type, is draining, received the attempt too late, or already
+    /// runs the allocation.
     Unfit,
     /// Ended for lack of memory.
     Evicted,
@@ -59,13 +59,13 @@
     Placed,
     /// The attempt has ended.
     Returned {
-        /// How it ended.
+        /// The result of the attempt.
         result: AttemptResult,
         /// The reason, if the machine gave one.
         reason: Option<ReturnReason>,
-        /// Whether the allocation is finished, so that no answer is owed to its client.
+        /// Whether the allocation is finished, so that its client needs no further answer.
         finished: bool,
-        /// The machine's load report, if it came with the outcome.
+        /// The machine's load report, if the outcome included one.
         report: Option<LoadReport>,
     },
 }
--- a/crates/scheduler/src/policy/overload.rs
+++ b/crates/scheduler/src/policy/overload.rs
@@ -43,7 +43,7 @@
     pub others: Resources,
     /// The machine's size multiplied by f.
     pub usable_capacity: Resources,
-    /// The order in which machines are used: 0 first, [`HELD_BACK`] last.
+    /// The order in which machines are used: 0 first, [`HELD_BACK_TIER`] last.
     pub tier: u8,
 }
 
@@ -62,10 +62,10 @@
             .unwrap_or(placed.requested * self.learned.peak_usage.mean_or_one())
     }
 
-    /// Returns the usage by other schedulers' allocations: the last load report, which with its age
-    /// gives way to the usage expected from the endpoint list or the average. One of many
-    /// schedulers seldom gets a report from a given machine. `ages_at` is the time at which the
-    /// ages of our own allocations are taken.
+    /// Returns the usage by other schedulers' allocations: a mean of the last load report and the
+    /// usage expected from the endpoint list or from the average, in which the weight of the report
+    /// decays with its age. One of many schedulers seldom gets a report from a given machine. The
+    /// ages of our own allocations are taken at `ages_at`.
     pub(super) fn usage_by_others(
         &self,
         ages_at: Ticks,
@@ -115,10 +115,11 @@
         listed.unwrap_or_else(estimated) + own.sum()
     }
 
-    /// Returns the share of a class's usage (with `None`: of other schedulers' usage, whose class
-    /// is unknown) that counts when an allocation of class `new` is placed. A machine that is short
-    /// of a resource takes it from lower priorities, so their usage is discounted. Where machines
-    /// preempt them instead, they count in full because they would be requested again.
+    /// Returns the share of the usage of class `counted` (with `None`: of other schedulers' usage,
+    /// whose class is unknown) that counts when an allocation of class `new` is placed. A machine
+    /// that is short of a resource takes it from lower priorities, so their usage is discounted.
+    /// Where machines preempt them instead, they count in full because they would be requested
+    /// again.
     pub(super) fn counted_share(&self, new: ServiceClassId, of: Option<ServiceClassId>) -> f64 {
         let service_classes = &self.cluster.service_classes;
         let priority = |service_class: ServiceClassId| service_classes[service_class.0].priority;
--- a/crates/scheduler/src/state/machine.rs
+++ b/crates/scheduler/src/state/machine.rs
@@ -10,7 +10,7 @@
     pub service: ServiceId,
     /// Its service class.
     pub service_class: ServiceClassId,
-    /// The tenant who requested it.
+    /// The tenant that requested it.
     pub tenant: TenantId,
     /// The requested resources.
     pub requested: Resources,
@@ -126,7 +126,8 @@
     pub reservation: Option<Reservation>,
     /// The time at which its last health check was sent.
     pub last_health_check: Ticks,
-    /// The time of its last answer, or of a later dispatch while it held none of our allocations.
+    /// The time from which its silence counts: that of its last answer or metric, of a later
+    /// dispatch while it held none of our allocations, or of the loss of its allocations.
     pub last_heard_at: Ticks,
 }
 
--- a/crates/version-fencing/src/catch_up.rs
+++ b/crates/version-fencing/src/catch_up.rs
@@ -6,7 +6,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// Largest number of times that the backoff doubles; a longer interval exceeds any maximum.
+/// Maximum number of times that the backoff doubles; after that it exceeds any useful maximum.
 const MAX_DOUBLINGS: u32 = 16;
 
 /// Times between requests, in a unit chosen by the caller.
@@ -17,8 +17,9 @@
     pub initial: u64,
     /// Largest backoff.
     pub max: u64,
-    /// Mean time between requests of a dispatcher that no control service streams to and that is
-    /// not known to be behind.
+    /// Minimum time between requests of a dispatcher that no control service streams to and that is
+    /// not known to be behind. The maximum is twice as long, and the first request follows within
+    /// this time.
     pub idle: u64,
 }
 
@@ -68,9 +69,9 @@
 pub struct CatchUp {
     rng: Pcg64Mcg,
     intervals: RequestIntervals,
-    /// Number of consecutive rounds over all sources without a later version.
+    /// Number of consecutive rounds over all sources that have found no later version.
     failed_rounds: u32,
-    /// Whether the dispatcher was fenced when the next request was scheduled.
+    /// Whether the dispatcher was fenced at the last poll.
     was_fenced: bool,
     next_request_at: Option<u64>,
     /// Sources that remain in this round; the next one is at the end.
--- a/crates/version-fencing/src/fence.rs
+++ b/crates/version-fencing/src/fence.rs
@@ -10,7 +10,7 @@
     Intact(Option<MinimumVersion>),
     /// The disk has no state that can be trusted. An empty disk counts as lost until it records
     /// that the quorum was queried and held no minimum version: a node that restarts between the
-    /// loss and the reply has not queried it.
+    /// loss of its disk and the quorum's reply does not know the reply.
     Lost,
 }
 
--- a/crates/version-fencing/src/gate.rs
+++ b/crates/version-fencing/src/gate.rs
@@ -42,8 +42,8 @@
         self.minimum
     }
 
-    /// Returns the minimum version that fences a dispatcher which runs this version; none where it
-    /// may act. A dispatcher is not fenced for being cut off from the quorum or the control
+    /// Returns the minimum version that fences a dispatcher which runs this version, or `None` if
+    /// it may act. A dispatcher is not fenced for being cut off from the quorum or the control
     /// service.
     pub fn fenced_by(&self, running: u64) -> Option<MinimumVersion> {
         self.minimum.filter(|minimum| running < minimum.version)
--- a/crates/version-fencing/src/lib.rs
+++ b/crates/version-fencing/src/lib.rs
@@ -9,7 +9,7 @@
 //! operations that would be rejected.
 //!
 //! No clock is involved. A dispatcher that is cut off from the quorum is fenced by the nodes that
-//! it still reaches. Where no minimum version is known, no dispatcher is fenced.
+//! it still reaches. While no minimum version is known, no dispatcher is fenced.
 //!
 //! | module | contents |
 //! | --- | --- |
--- a/crates/version-fencing/src/minimum.rs
+++ b/crates/version-fencing/src/minimum.rs
@@ -6,8 +6,8 @@
 /// Denominator of the fractions of a fleet, which are given in thousandths.
 pub(crate) const PERMILLE: usize = 1_000;
 
-/// The lowest version of the deployment that may act. It is lowered by a proposal as well: the
-/// highest revision counts.
+/// The lowest version of the deployment that may act. It can also be lowered by a proposal, since
+/// the highest revision counts and not the highest version.
 ///
 /// Stored as JSON by quorum members and nodes under the keys `number`, `asker` and `lowest`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -99,13 +99,13 @@
 /// Checks that enough dispatchers of a fleet run a version past its trial for it to become the
 /// minimum.
 ///
-/// `reports` has an entry for each dispatcher polled, which is none where it did not reply;
+/// `reports` has an entry for each dispatcher polled, which is `None` if it did not reply;
 /// `current` is the minimum version that they know of. A minimum that is not above `current` fences
 /// no further dispatcher and is always allowed.
 ///
 /// # Errors
 ///
-/// Returns [`RaiseError::NotAdopted`] where fewer than `permille` thousandths of the fleet run it.
+/// Returns [`RaiseError::NotAdopted`] if fewer than `permille` thousandths of the fleet run it.
 pub fn check_adoption(
     reports: &[Option<ReportedVersion>],
     current: Option<u64>,
@@ -133,8 +133,8 @@
 ///
 /// # Errors
 ///
-/// Returns [`RaiseError::NoMajority`] where too few members reply, and [`RaiseError::Unchanged`]
-/// where a majority holds this minimum already.
+/// Returns [`RaiseError::NoMajority`] if too few members reply, and [`RaiseError::Unchanged`] if a
+/// majority holds this minimum already.
 pub fn propose(
     replies: &[Option<MinimumVersion>],
     members: usize,
--- a/crates/version-fencing/src/operations.rs
+++ b/crates/version-fencing/src/operations.rs
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Counts an operation as rejected that was recorded before.
+    /// Counts an operation that was recorded before as rejected.
     pub fn record_rejected(&mut self, source: OperationSource, kind: OperationKind) {
         if let Some(count) = self.rows.get_mut(&(source, kind)) {
             count.rejected += 1;
--- a/crates/version-fencing/src/policy.rs
+++ b/crates/version-fencing/src/policy.rs
@@ -26,7 +26,7 @@
     }
 
     /// Returns the highest version such that `permille` thousandths of a fleet run it or a later
-    /// one past its trial. Returns none where fewer dispatchers than that have ever reported.
+    /// one past its trial. Returns `None` if fewer dispatchers than that have ever reported.
     /// Dispatchers whose number is beyond the size of the fleet do not count.
     pub fn adopted(&self, fleet: usize, permille: u32) -> Option<u64> {
         let numbers = ..u32::try_from(fleet).unwrap_or(u32::MAX);
