--- a/crates/dispatcher/src/core/attempt_events.rs
+++ b/crates/dispatcher/src/core/attempt_events.rs
@@ -142,10 +142,13 @@
     /// is the only source of its version.
     fn version_reported(&self, id: AllocationId, version: String) {
         self.with(|now, engine, effects| {
-            let other = |client: &ClientAllocation| {
+            let has_changed = |client: &ClientAllocation| {
                 client.version != version && client.predecessor.is_none()
             };
-            let Some((client, _)) = engine.data_mut(id).filter(|(client, _)| other(client)) else {
+            let Some((client, _)) = engine
+                .data_mut(id)
+                .filter(|(client, _)| has_changed(client))
+            else {
                 return;
             };
             if let Some(controller) = effects.rollouts.controller(&client.request.service) {
--- a/crates/maintenance/src/limits.rs
+++ b/crates/maintenance/src/limits.rs
@@ -43,12 +43,12 @@
     ];
 
     /// Returns whether two machines count towards the same limit of this scope.
-    pub fn is_shared(self, one: MachineDomains, other: MachineDomains) -> bool {
+    pub fn is_shared(self, first: MachineDomains, second: MachineDomains) -> bool {
         match self {
             LimitScope::Total => true,
-            LimitScope::Zone => one.zone == other.zone,
-            LimitScope::Cell => one.cell == other.cell,
-            LimitScope::MachineType => one.machine_type == other.machine_type,
+            LimitScope::Zone => first.zone == second.zone,
+            LimitScope::Cell => first.cell == second.cell,
+            LimitScope::MachineType => first.machine_type == second.machine_type,
         }
     }
 }
--- a/crates/platform/src/core/node_messages.rs
+++ b/crates/platform/src/core/node_messages.rs
@@ -217,7 +217,7 @@
         let connection_lost = is_running
             && !active
                 .connection
-                .is_some_and(|own| self.connections.is_established(own));
+                .is_some_and(|connection| self.connections.is_established(connection));
         let ended_here = pending
             .ended_attempts
             .iter()
@@ -225,7 +225,7 @@
         let is_about_this_attempt = connection_lost
             && ended_here.is_some_and(|ended_here| match message.message_type {
                 node::MessageType::Close => message.cause != Some(ended_here.cause),
-                other => other == node::MessageType::Event,
+                message_type => message_type == node::MessageType::Event,
             });
         Some(MatchedAttempt {
             id,
--- a/crates/scheduler/src/interface/units.rs
+++ b/crates/scheduler/src/interface/units.rs
@@ -5,10 +5,10 @@
 pub type Ticks = u64;
 
 macro_rules! id {
-    ($($(#[$doc:meta])* $name:ident($of:ty);)*) => {$(
+    ($($(#[$doc:meta])* $name:ident($value:ty);)*) => {$(
         $(#[$doc])*
         #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-        pub struct $name(pub $of);
+        pub struct $name(pub $value);
     )*};
 }
 
--- a/crates/scheduler/src/policy/filters.rs
+++ b/crates/scheduler/src/policy/filters.rs
@@ -28,9 +28,12 @@
             .rejection
             .filter(|rejection| rejection.requested.fits_in(allocation.requested));
         let awaits_moves = || machine.allocations.values().any(|placed| placed.moving);
-        let accepts_at = match machine.reservation.filter(|one| one.until > now) {
-            Some(one) if one.allocation == allocation.id && !awaits_moves() => 0,
-            Some(one) => one.until,
+        let accepts_at = match machine
+            .reservation
+            .filter(|reservation| reservation.until > now)
+        {
+            Some(reservation) if reservation.allocation == allocation.id && !awaits_moves() => 0,
+            Some(reservation) => reservation.until,
             None if !self.cluster.list_reports_capacity => 0,
             None if self.accepts(now, machine, size, allocation.requested) => 0,
             None => now + 1,
--- a/crates/scheduler/src/policy/infeasible.rs
+++ b/crates/scheduler/src/policy/infeasible.rs
@@ -24,7 +24,7 @@
     /// was infeasible before, only those of them that have gained capacity since.
     pub(super) fn infeasible_until(&mut self, now: Ticks, new: &Allocation) -> Ticks {
         let reservation = self.reservation();
-        if reservation.is_some_and(|(_, one)| one.allocation == new.id) {
+        if reservation.is_some_and(|(_, reservation)| reservation.allocation == new.id) {
             return now;
         }
         self.refresh_capacity(now);
@@ -114,8 +114,12 @@
             by_least_draw: NO_CAPACITY,
             by_requests: NO_CAPACITY,
         };
-        let machine = self.machines.get(&id).filter(|one| one.is_serving());
-        let known = machine.and_then(|one| Some((one, self.size(one)?, one.endpoint?)));
+        let machine = self
+            .machines
+            .get(&id)
+            .filter(|machine| machine.is_serving());
+        let known =
+            machine.and_then(|machine| Some((machine, self.size(machine)?, machine.endpoint?)));
         let Some((machine, size, endpoint)) = known else {
             return vec![none; self.cluster.service_classes.len()];
         };
@@ -154,7 +158,7 @@
         service_class: ServiceClassId,
         others: Resources,
     ) -> UsageBounds {
-        let share = |of| self.counted_share(service_class, of);
+        let share = |counted| self.counted_share(service_class, counted);
         let mut usage = UsageBounds {
             expected: others * share(None),
             least_draw: others * share(None),
--- a/crates/scheduler/src/policy/migration.rs
+++ b/crates/scheduler/src/policy/migration.rs
@@ -72,7 +72,10 @@
             let retry_safety = self.cluster.service_classes[placed.service_class.0].retry_safety;
             matches!(retry_safety, RetrySafety::Deduplicated { .. })
         };
-        let draining = self.machines.values().filter(|one| one.is_draining());
+        let draining = self
+            .machines
+            .values()
+            .filter(|machine| machine.is_draining());
         draining
             .flat_map(|machine| &machine.allocations)
             .filter(|(_, placed)| placed.placed && !placed.moving && client_waits(placed))
--- a/crates/scheduler/src/policy/outcomes.rs
+++ b/crates/scheduler/src/policy/outcomes.rs
@@ -72,7 +72,7 @@
         // machines and not of the allocation.
         for earlier in &allocation.attempts[..attempt] {
             let target = self.machines.entry(earlier.machine).or_default();
-            let confirmed = target.unconfirmed_error.take_if(|of| *of == allocation.id);
+            let confirmed = target.unconfirmed_error.take_if(|id| *id == allocation.id);
             if confirmed.is_some() {
                 target.record_fault(now, EJECTION_TIME, MAX_EJECTION_DOUBLINGS);
                 self.capacity_index.mark_changed(earlier.machine, true);
--- a/crates/scheduler/src/policy/overload.rs
+++ b/crates/scheduler/src/policy/overload.rs
@@ -91,8 +91,9 @@
 
     /// Returns the usage of all allocations on the machine.
     pub(super) fn total_usage(&self, now: Ticks, machine: &Machine) -> Resources {
-        let own = machine.allocations.values();
-        self.usage_by_others(now, now, machine) + own.map(|placed| self.usage_of(placed)).sum()
+        let own_allocations = machine.allocations.values();
+        self.usage_by_others(now, now, machine)
+            + own_allocations.map(|placed| self.usage_of(placed)).sum()
     }
 
     /// Returns the sum of the requests of all schedulers' allocations on a machine. The endpoint
@@ -106,13 +107,13 @@
     ) -> Resources {
         let listed = machine.listed_requested;
         let unlisted_since = listed.map_or(0, |_| now.saturating_sub(REPORT_DELAY));
-        let own = machine
+        let own_requested = machine
             .allocations
             .values()
             .filter(|placed| placed.sent_at >= unlisted_since)
             .map(|placed| placed.requested);
         let estimated = || others() / self.learned.current_usage.mean_or_one();
-        listed.unwrap_or_else(estimated) + own.sum()
+        listed.unwrap_or_else(estimated) + own_requested.sum()
     }
 
     /// Returns the share of the usage of class `counted` (with `None`: of other schedulers' usage,
@@ -120,7 +121,11 @@
     /// that is short of a resource takes it from lower priorities, so their usage is discounted.
     /// Where machines preempt them instead, they count in full because they would be requested
     /// again.
-    pub(super) fn counted_share(&self, new: ServiceClassId, of: Option<ServiceClassId>) -> f64 {
+    pub(super) fn counted_share(
+        &self,
+        new: ServiceClassId,
+        counted: Option<ServiceClassId>,
+    ) -> f64 {
         let service_classes = &self.cluster.service_classes;
         let priority = |service_class: ServiceClassId| service_classes[service_class.0].priority;
         let lowest = || {
@@ -130,7 +135,7 @@
                 .min()
                 .unwrap_or(0)
         };
-        let lower = !self.cluster.preempts && of.map_or_else(lowest, priority) < priority(new);
+        let lower = !self.cluster.preempts && counted.map_or_else(lowest, priority) < priority(new);
         if lower { LOWER_PRIORITY_SHARE } else { 1.0 }
     }
 
@@ -141,11 +146,11 @@
         let tenant = self.cluster.tenants.get(allocation.tenant.0);
         let quota = tenant.and_then(|tenant| tenant.quota_cores);
         let machines = self.machines.values();
-        let own = machines
+        let own_cores = machines
             .flat_map(|machine| machine.allocations.values())
             .filter(|placed| placed.tenant == allocation.tenant)
             .map(|placed| placed.requested.cores);
-        let held = allocation.requested.cores + own.sum::<f64>();
+        let held = allocation.requested.cores + own_cores.sum::<f64>();
         let lower_bound = held - (held * self.learned.requested_cores.mean_or(0.0)).sqrt();
         let total = lower_bound * self.cluster.scheduler_count as f64;
         quota.is_some_and(|quota| total > quota * OVER_QUOTA_FACTOR)
@@ -171,8 +176,8 @@
         new: &Allocation,
         discounted: bool,
     ) -> Option<Candidate> {
-        let share = |of| match discounted {
-            true => self.counted_share(new.service_class, of),
+        let share = |counted| match discounted {
+            true => self.counted_share(new.service_class, counted),
             false => 1.0,
         };
         let machine = &self.machines[&id];
@@ -181,14 +186,14 @@
             .filter(|_| self.passes_filters_at(now, id, new) <= now)?;
         let service_class = &self.cluster.service_classes[new.service_class.0];
         let others = self.usage_by_others(now, now, machine) * share(None);
-        let own = machine.allocations.values().map(|placed| {
+        let own_usage = machine.allocations.values().map(|placed| {
             let class = &self.cluster.service_classes[placed.service_class.0];
             let start = self.start_usage(placed.program_was_cached, class);
             self.usage_of(placed) * share(Some(placed.service_class))
                 + start * f64::from(u8::from(!placed.running))
         });
         let load = others
-            + own.sum()
+            + own_usage.sum()
             + new.requested * self.learned.peak_usage.mean_or_one()
             + self.start_usage(machine.has_program(new.service), service_class);
         let same_zone = machine
--- a/crates/scheduler/src/policy/placement.rs
+++ b/crates/scheduler/src/policy/placement.rs
@@ -238,7 +238,8 @@
             // attract every allocation, so only candidates within the overload limit are
             // considered.
             let within_limit = || {
-                std::iter::zip(&candidates, &increases).filter(|(one, _)| one.within_overload_limit)
+                std::iter::zip(&candidates, &increases)
+                    .filter(|(candidate, _)| candidate.within_overload_limit)
             };
             let increases = within_limit().map(|(_, increase)| *increase);
             let increase_limit = increases.fold(f64::INFINITY, f64::min) + TIE_TOLERANCE;
@@ -298,7 +299,9 @@
         schedule.defer(now, now + RETRY_INTERVAL, until, deadline);
         if self.is_large(new.requested) {
             // Capacity is cleared again once the last reservation has ended.
-            let reserved_until = self.reservation().map_or(0, |(_, one)| one.until);
+            let reserved_until = self
+                .reservation()
+                .map_or(0, |(_, reservation)| reservation.until);
             if reserved_until <= now {
                 self.starved = Some(new.clone());
             }
--- a/crates/scheduler/src/policy/summary.rs
+++ b/crates/scheduler/src/policy/summary.rs
@@ -70,7 +70,10 @@
         // nothing, so a margin is added to the demand. The usage of machines that have just
         // reported is known without this error.
         let sample_size = self.machine_of.len() as f64 + 1.0;
-        let serving = self.machines.values().filter(|one| one.is_serving());
+        let serving = self
+            .machines
+            .values()
+            .filter(|machine| machine.is_serving());
         let unreported = 1.0 - total_weight / (serving.count().max(1) as f64);
         let margin = (DEMAND_MARGIN / sample_size.sqrt()) * unreported.max(0.0);
         let demand = used.max(requested / self.cluster.admission_limit) * (1.0 + margin)
--- a/crates/scheduler/src/updates.rs
+++ b/crates/scheduler/src/updates.rs
@@ -21,7 +21,7 @@
         for &endpoint in endpoints {
             let machine = self.machines.entry(endpoint.machine).or_default();
             // The location of a machine affects the spread of every machine in the same domain.
-            let identity = |one: Endpoint| (one.cell, one.zone, one.started_at);
+            let identity = |endpoint: Endpoint| (endpoint.cell, endpoint.zone, endpoint.started_at);
             if machine.endpoint.map(identity) != Some(identity(endpoint)) {
                 self.capacity_index.invalidate();
             }
@@ -107,8 +107,8 @@
             .allocations
             .values()
             .filter(|placed| placed.running && placed.sent_at + REPORT_DELAY <= now);
-        let own = reported_own.map(|placed| self.usage_of(placed)).sum();
-        let usage = (size - report.available - own).max(Resources::default());
+        let own_usage = reported_own.map(|placed| self.usage_of(placed)).sum();
+        let usage = (size - report.available - own_usage).max(Resources::default());
         self.machines.entry(id).or_default().reported_usage =
             Some(ReportedUsage { at: now, usage });
     }
@@ -124,7 +124,8 @@
         let placed = PlacedAllocation::new(allocation, now, cached);
         machine.allocations.insert(allocation.id, placed);
         let reservation = &mut machine.reservation;
-        let used_reservation = reservation.take_if(|one| one.allocation == allocation.id);
+        let used_reservation =
+            reservation.take_if(|reservation| reservation.allocation == allocation.id);
         self.service_placements.add(allocation.service, id);
         self.capacity_index
             .mark_changed(id, used_reservation.is_some());
@@ -229,7 +230,7 @@
 
     pub(crate) fn same_domain(&self, domain: Domain, a: MachineId, b: MachineId) -> bool {
         match (self.domain_of(domain, a), self.domain_of(domain, b)) {
-            (Some(one), Some(other)) => one == other,
+            (Some(domain_a), Some(domain_b)) => domain_a == domain_b,
             _ => a == b,
         }
     }
