--- a/crates/config-sync/src/compatibility.rs
+++ b/crates/config-sync/src/compatibility.rs
@@ -6,7 +6,7 @@
 /// Smallest fraction of its value to which a limit may shrink unless the push allows cuts.
 const MIN_REMAINING_FRACTION: f64 = 0.5;
 
-/// Returns the reasons why the next deployment cannot replace the current one, or none if it can.
+/// Returns the reasons why the next deployment cannot replace the current one; empty if it can.
 /// `allows_cuts` is set if the author intends to cut limits below half of their values. `in_use`
 /// returns the number of allocations of a service class.
 #[must_use]
--- a/crates/dispatcher/src/core/client.rs
+++ b/crates/dispatcher/src/core/client.rs
@@ -15,7 +15,7 @@
 pub struct ClientAllocation {
     pub request: v1::PlacementRequest,
     pub replies: async_channel::Sender<v1::PlacementEvent>,
-    /// Time at which the client stops waiting for an answer; none once it is answered, and for an
+    /// Time at which the client stops waiting for an answer; `None` once it is answered, and for an
     /// allocation that was handed over.
     pub deadline: Option<Ticks>,
     /// Deadline of the call itself. A call that ends at its deadline does not cancel the
@@ -50,7 +50,7 @@
     pub placement_ids: Vec<String>,
     /// If set, all replicas of the task are removed except the one with this placement id.
     pub except: Option<String>,
-    /// The nodes that may run it; any node if none.
+    /// The nodes that may run it; `None` if any node may.
     pub nodes: Option<Vec<MachineId>>,
     /// Nodes that have confirmed that they do not run it.
     pub confirmed_by: BTreeSet<MachineId>,
--- a/crates/engine/src/effects.rs
+++ b/crates/engine/src/effects.rs
@@ -18,8 +18,8 @@
     fn indeterminate(&mut self, data: &mut T, allocation: &Allocation);
     /// Stops a placed allocation, so that its client requests it again.
     fn migrate(&mut self, data: &mut T, allocation: &Allocation);
-    /// Handles the loss of a placed allocation with its machine. Called only where the caller does
-    /// not detect losses itself.
+    /// Handles the loss of a placed allocation with its machine. Called only if the caller does not
+    /// detect losses itself.
     fn lost(&mut self, _data: &mut T, _allocation: &Allocation) {}
     /// Sends a health check to a machine.
     fn check_health(&mut self, machine: MachineId);
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -31,7 +31,7 @@
 
 impl<T> Engine<T> {
     /// Creates an engine without allocations. It tracks at most `max_tracked` at a time; pass
-    /// `usize::MAX` where the caller enforces another bound.
+    /// `usize::MAX` if the caller enforces another bound.
     pub fn new(
         cluster: Cluster,
         seed: u64,
--- a/crates/maintenance/src/reconcile.rs
+++ b/crates/maintenance/src/reconcile.rs
@@ -29,7 +29,7 @@
     pub outcome: Option<JobOutcome>,
 }
 
-/// The messages to be sent, each to every quorum member or to the machine of the lease.
+/// The messages to send, each either to all quorum members or to the machine of the lease.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[must_use = "actions take effect only once they are sent"]
 pub struct Actions {
--- a/crates/platform/src/core/client_connections.rs
+++ b/crates/platform/src/core/client_connections.rs
@@ -9,7 +9,7 @@
 /// A client's connection.
 pub(super) struct ClientConnection {
     pub(super) sender: MessageSender,
-    /// The reading end; none until the connection's task has started.
+    /// The reading end; `None` until the connection's task has started.
     pub(super) input: Option<ConnectionInput>,
     pub(super) reader: client::Reader,
     /// The time when all input that had arrived was last read.
--- a/crates/quorum/src/member.rs
+++ b/crates/quorum/src/member.rs
@@ -33,7 +33,7 @@
     Granted,
     /// Another claim holds the slot, or the limit of held slots is reached.
     Occupied,
-    /// The member holds another proposal for the key, or none.
+    /// The member holds another revision for the key, or no proposal.
     StaleRevision,
 }
 
--- a/crates/scheduler/src/interface/allocation.rs
+++ b/crates/scheduler/src/interface/allocation.rs
@@ -78,7 +78,7 @@
 /// The next step after an outcome.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NextStep {
-    /// Nothing.
+    /// Nothing more is to be done.
     Done,
     /// Place it again.
     Retry,
@@ -96,7 +96,7 @@
     /// Whether deferred allocations are to be placed again now.
     pub retry_deferred: bool,
     /// If set, only deferred allocations with a deadline up to this time are to be placed again;
-    /// the others would find no machine. If none are left deferred, the caller must call
+    /// the others would find no machine. If no allocation is left deferred, the caller must call
     /// [`crate::Scheduler::no_deferred_left`].
     pub retry_deadline_limit: Option<Ticks>,
     /// Whether a watch on the endpoint list is to be started.
--- a/crates/scheduler/src/policy/liveness.rs
+++ b/crates/scheduler/src/policy/liveness.rs
@@ -72,7 +72,7 @@
     }
 
     /// Schedules a retry after the request for the endpoint list failed or the watch on it broke;
-    /// the caller doesn't say which.
+    /// the caller doesn't distinguish these.
     pub fn endpoint_watch_failed(&mut self, now: Ticks) {
         if self.cluster.list_poll_interval.is_some() && self.watch_retry_at.is_none() {
             let backoff = SECOND << self.watch_failures.min(MAX_WATCH_DOUBLINGS);
--- a/crates/scheduler/src/policy/migration.rs
+++ b/crates/scheduler/src/policy/migration.rs
@@ -43,8 +43,8 @@
     }
 
     /// Returns allocations to migrate off machines that are short of memory. All schedulers see the
-    /// same shortage, so each allocation is chosen with the probability at which, over all
-    /// schedulers, as many are migrated as necessary.
+    /// same shortage, so each allocation is chosen with a probability such that all schedulers
+    /// together migrate about as many as necessary.
     fn moves_off_crowded(&mut self, now: Ticks) -> Vec<AllocationId> {
         let mut crowded = Vec::new();
         for machine in self.machines.values() {
--- a/crates/scheduler/src/policy/overload.rs
+++ b/crates/scheduler/src/policy/overload.rs
@@ -36,7 +36,7 @@
     /// The paper's W Max: the larger share of cores and memory in use with the allocation.
     pub w_max: f64,
     /// Whether the expected usage with the allocation stays within the overload limit, so that the
-    /// machine may be chosen even above theta. Cleared where only machines under theta may be
+    /// machine may be chosen even above theta. Cleared if only machines under theta may be
     /// chosen.
     pub within_overload_limit: bool,
     /// Usage by other schedulers' allocations.
--- a/crates/scheduler/src/state.rs
+++ b/crates/scheduler/src/state.rs
@@ -16,7 +16,7 @@
 
 use crate::interface::Ticks;
 
-/// A time that is never reached; used where something must happen first.
+/// A time that is never reached, for a condition that only an event can fulfil.
 pub const NEVER: Ticks = Ticks::MAX;
 
 /// Hashes an id with the final steps of splitmix64. The result is the same at every scheduler.
--- a/crates/version-fencing/src/audit.rs
+++ b/crates/version-fencing/src/audit.rs
@@ -8,7 +8,7 @@
 pub struct Reply<T> {
     /// Address of the process, as the operator gave it.
     pub address: String,
-    /// The report; none if the process did not reply.
+    /// The report; `None` if the process did not reply.
     pub report: Option<T>,
 }
 
