--- a/crates/scheduler/src/policy/filters.rs
+++ b/crates/scheduler/src/policy/filters.rs
@@ -49,8 +49,8 @@
     /// started fails under too many attempts, and the attempts of other schedulers are not known.
     /// So in any window each scheduler keeps to its quota of the attempts that the machine can
     /// always take. The remainder of the division is spread over the schedulers, one attempt
-    /// each, starting at one that depends on the machine's id, so the quotas add up to the limit for
-    /// any number of schedulers.
+    /// each, starting at one that depends on the machine's id, so the quotas add up to the limit
+    /// for any number of schedulers.
     fn slow_start_allows_at(&self, now: Ticks, id: MachineId, endpoint: Endpoint) -> Ticks {
         let slow_start = &self.cluster.slow_start;
         let Some(started_at) = endpoint.started_at else {
