--- a/crates/dispatcher/src/core.rs
+++ b/crates/dispatcher/src/core.rs
@@ -150,7 +150,7 @@
         )
     }
 
-    /// Returns the reasons why `next` can't replace the active deployment; none if it can.
+    /// Returns the reasons why `next` can't replace the active deployment; empty if it can.
     pub fn compatibility_violations(&self, next: &Deployment, allows_cuts: bool) -> Vec<String> {
         let allocations_by_class = self.lock().engine.count_by_class();
         let in_use = |class| allocations_by_class.get(&class).copied().unwrap_or(0);
@@ -232,16 +232,16 @@
     removals.collect()
 }
 
-/// Returns the cluster as the scheduler sees it. An offer may be sent up to `connect_timeout` after
-/// its decision, so the offers of two slow-start windows could reach a machine closer together than
-/// was decided. The window is therefore extended by that time.
+/// Returns the cluster as the scheduler sees it. An attempt may be sent up to `connect_timeout`
+/// after its decision, so the attempts of two slow-start windows could reach a machine closer
+/// together than was decided. The window is therefore extended by that time.
 fn cluster(deployment: &Deployment) -> Cluster {
     let mut cluster = deployment.cluster.clone();
     cluster.slow_start.window += deployment.limits.connect_timeout;
     cluster
 }
 
-/// Each batch is about 2 ms of work, and as much time is left for the sockets.
+/// Each batch takes about 2 ms, and the same time is left between batches for the sockets.
 const RETRY_BATCH: RetryBatch = RetryBatch {
     max_size: 32,
     interval: 20,
--- a/crates/dispatcher/src/core/removals.rs
+++ b/crates/dispatcher/src/core/removals.rs
@@ -120,7 +120,7 @@
         pending_stops.collect()
     }
 
-    /// Returns the stop requests of a removal. Whichever dispatcher follows the replica by now is
+    /// Returns the stop requests of a removal. The dispatcher that follows the replica by now is
     /// informed that it migrated, so the replica is placed again.
     fn stop_requests(&self, removal: &PendingRemoval) -> Vec<v1::StopRequest> {
         let stop = |placement_id: String, except_placement_id: String| v1::StopRequest {
