--- a/crates/dispatcher/src/core/removals.rs
+++ b/crates/dispatcher/src/core/removals.rs
@@ -35,7 +35,8 @@
 }
 
 impl DispatcherCore {
-    /// Has every node stop the replica that a failed dispatcher may have started beside this one's.
+    /// Makes every node stop the replicas of the task other than this dispatcher's, one of which a
+    /// failed dispatcher may have started.
     pub fn clear_foreign_claim(&self, service: &str, task: &str, claim: ClaimId) {
         self.with(|_, engine, effects| {
             let Some((client, _)) = engine.find(task).and_then(|id| engine.data_mut(id)) else {
@@ -119,7 +120,7 @@
         pending_stops.collect()
     }
 
-    /// Returns the stop requests of a removal. Whichever dispatcher follows the replica by now is
+    /// Returns the stop requests of a removal. The dispatcher that follows the replica by now is
     /// informed that it migrated, so the replica is placed again.
     fn stop_requests(&self, removal: &PendingRemoval) -> Vec<v1::StopRequest> {
         let stop = |placement_id: String, except_placement_id: String| v1::StopRequest {
--- a/crates/engine/src/attempts.rs
+++ b/crates/engine/src/attempts.rs
@@ -9,7 +9,7 @@
 const RUN_QUEUE_SLACK: usize = 64;
 
 impl<T> Engine<T> {
-    /// Evaluates an allocation at once, or queues it where evaluations are on demand.
+    /// Evaluates an allocation at once, or queues it if evaluations are on demand.
     pub fn place(&mut self, now: Ticks, id: AllocationId, effects: &mut impl Effects<T>) {
         if self.batch != RetryBatch::ON_DEMAND {
             return self.evaluate(now, id, effects);
@@ -81,8 +81,8 @@
         }
     }
 
-    /// Records that an attempt was placed. Returns false where the answer is not needed: the
-    /// allocation has ended, or its client has its answer already.
+    /// Records that an attempt was placed. Returns false if no answer is needed: the allocation has
+    /// ended, or its client has its answer already.
     pub fn attempt_placed(
         &mut self,
         now: Ticks,
@@ -99,7 +99,8 @@
         first
     }
 
-    /// Records the end of an attempt. Returns false where the allocation has no such attempt.
+    /// Records the end of an attempt. Returns false if the allocation is known and has no such
+    /// attempt.
     pub fn attempt_returned(
         &mut self,
         now: Ticks,
@@ -114,7 +115,7 @@
         let Some(ended) = tracked.allocation.attempts.get_mut(attempt) else {
             return false;
         };
-        ended.state = match returned.ending {
+        ended.state = match returned.result {
             AttemptResult::Rejected | AttemptResult::ConnectFailed | AttemptResult::NotSent => {
                 AttemptState::NotExecuted
             }
@@ -123,7 +124,7 @@
         tracked.pending_attempts = tracked.pending_attempts.saturating_sub(1);
         let finished = returned.finished || tracked.finished;
         let outcome = Outcome::Returned {
-            ending: returned.ending,
+            result: returned.result,
             reason: returned.reason,
             finished,
             report: returned.report,
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -14,7 +14,8 @@
     pub(crate) by_name: HashMap<String, AllocationId>,
     /// Deferred allocations, in the order in which they were deferred.
     pub(crate) deferred: Vec<AllocationId>,
-    /// Deferred allocations by deadline: those that are due are evaluated again on their own.
+    /// Deferred allocations by deadline: those that are due are evaluated again outside the
+    /// batches.
     pub(crate) deferred_by_deadline: BTreeSet<(Ticks, AllocationId)>,
     /// Allocations to be evaluated again now, in batches.
     pub(crate) retries: VecDeque<AllocationId>,
@@ -30,7 +31,7 @@
 
 impl<T> Engine<T> {
     /// Creates an engine without allocations. It tracks at most `max_tracked` at a time; pass
-    /// `usize::MAX` where the caller enforces another bound.
+    /// `usize::MAX` if the caller enforces another bound.
     pub fn new(
         cluster: Cluster,
         seed: u64,
@@ -63,8 +64,8 @@
     /// Admits an allocation without placing it; call [`Engine::place`] next.
     ///
     /// # Errors
-    /// Returns an error, with `data`, where the limit of allocations is reached or another
-    /// allocation has this name.
+    /// Returns an error, with `data`, if the limit of allocations is reached or another allocation
+    /// has this name.
     pub fn admit(
         &mut self,
         now: Ticks,
@@ -142,11 +143,11 @@
         &mut self,
         now: Ticks,
         machine: MachineId,
-        ending: AttemptResult,
+        result: AttemptResult,
         report: Option<LoadReport>,
     ) {
         self.scheduler
-            .record_health_check(now, machine, ending, report);
+            .record_health_check(now, machine, result, report);
     }
 
     /// Applies the endpoint list, or the changes to it.
@@ -238,7 +239,7 @@
     /// Counts the allocations by what they wait for.
     pub fn counts(&self) -> AllocationCounts {
         let mut counts = AllocationCounts {
-            tracked: self.tracked.len(),
+            total: self.tracked.len(),
             ..AllocationCounts::default()
         };
         for tracked in self.tracked.values() {
--- a/crates/platform/src/core/node_messages.rs
+++ b/crates/platform/src/core/node_messages.rs
@@ -185,15 +185,15 @@
         };
         self.timers
             .retain(|(_, timer)| *timer != Timer::HealthCheck(check));
-        let ending = if message.cause == Some(1) {
+        let result = if message.cause == Some(1) {
             AttemptResult::Completed
         } else {
             AttemptResult::Error
         };
-        engine.record_health_check(now, machine, ending, parse_load(message));
+        engine.record_health_check(now, machine, result, parse_load(message));
     }
 
-    /// Returns the attempt that a message is about, or none if the task is unknown or assigned to
+    /// Returns the attempt that a message is about, or `None` if the task is unknown or assigned to
     /// another node.
     fn match_attempt(
         &self,
@@ -210,13 +210,14 @@
         let (pending, _) = engine.data_mut(id)?;
         let active = pending.active.filter(|active| active.machine == machine)?;
         let is_running = pending.stage != TaskStage::Pending;
-        // If the connection of a task's set-up has ended, its node reports on the task on any open
-        // connection, even on one on which an earlier attempt at the same task ended. A release
-        // there with the cause of that earlier attempt can only be a copy of the earlier release.
+        // If the connection of a task's set-up has ended, its node sends messages about the task on
+        // any open connection, even on one on which an earlier attempt at the same task ended. A
+        // release there with the cause of that earlier attempt can only be a copy of the earlier
+        // release.
         let connection_lost = is_running
             && !active
                 .connection
-                .is_some_and(|own| self.connections.is_established(own));
+                .is_some_and(|connection| self.connections.is_established(connection));
         let ended_here = pending
             .ended_attempts
             .iter()
@@ -224,7 +225,7 @@
         let is_about_this_attempt = connection_lost
             && ended_here.is_some_and(|ended_here| match message.message_type {
                 node::MessageType::Close => message.cause != Some(ended_here.cause),
-                other => other == node::MessageType::Event,
+                message_type => message_type == node::MessageType::Event,
             });
         Some(MatchedAttempt {
             id,
@@ -287,7 +288,7 @@
             id,
             active.number,
             ReturnedAttempt {
-                ending: result,
+                result,
                 reason,
                 finished: false,
                 report: load,
--- a/crates/scheduler/src/policy/filters.rs
+++ b/crates/scheduler/src/policy/filters.rs
@@ -28,9 +28,12 @@
             .rejection
             .filter(|rejection| rejection.requested.fits_in(allocation.requested));
         let awaits_moves = || machine.allocations.values().any(|placed| placed.moving);
-        let accepts_at = match machine.reservation.filter(|one| one.until > now) {
-            Some(one) if one.allocation == allocation.id && !awaits_moves() => 0,
-            Some(one) => one.until,
+        let accepts_at = match machine
+            .reservation
+            .filter(|reservation| reservation.until > now)
+        {
+            Some(reservation) if reservation.allocation == allocation.id && !awaits_moves() => 0,
+            Some(reservation) => reservation.until,
             None if !self.cluster.list_reports_capacity => 0,
             None if self.accepts(now, machine, size, allocation.requested) => 0,
             None => now + 1,
@@ -45,8 +48,9 @@
     /// Returns the time from which slow start allows another attempt. A machine that has just
     /// started fails under too many attempts, and the attempts of other schedulers are not known.
     /// So in any window each scheduler keeps to its quota of the attempts that the machine can
-    /// always take. The remainder of the division goes to as many schedulers, chosen by the
-    /// machine's id, so the quotas add up to the limit for any number of schedulers.
+    /// always take. The remainder of the division is spread over the schedulers, one attempt
+    /// each, starting at one that depends on the machine's id, so the quotas add up to the limit
+    /// for any number of schedulers.
     fn slow_start_allows_at(&self, now: Ticks, id: MachineId, endpoint: Endpoint) -> Ticks {
         let slow_start = &self.cluster.slow_start;
         let Some(started_at) = endpoint.started_at else {
@@ -61,7 +65,7 @@
             return warmed_up_at.min(self.started_at + slow_start.window);
         }
         let (attempts, scheduler_count) = (
-            slow_start.max_offers as usize,
+            slow_start.max_attempts as usize,
             self.cluster.scheduler_count.max(1),
         );
         let hash = hash_id(u64::from(id.0)) as usize;
--- a/crates/scheduler/src/policy/liveness.rs
+++ b/crates/scheduler/src/policy/liveness.rs
@@ -72,7 +72,7 @@
     }
 
     /// Schedules a retry after the request for the endpoint list failed or the watch on it broke;
-    /// the caller doesn't say which.
+    /// the caller doesn't distinguish these.
     pub fn endpoint_watch_failed(&mut self, now: Ticks) {
         if self.cluster.list_poll_interval.is_some() && self.watch_retry_at.is_none() {
             let backoff = SECOND << self.watch_failures.min(MAX_WATCH_DOUBLINGS);
@@ -86,11 +86,11 @@
         &mut self,
         now: Ticks,
         machine: MachineId,
-        ending: AttemptResult,
+        result: AttemptResult,
         report: Option<LoadReport>,
     ) {
         let target = self.machines.entry(machine).or_default();
-        match ending {
+        match result {
             AttemptResult::Completed => {
                 (target.consecutive_timeouts, target.last_heard_at) = (0, now)
             }
--- a/crates/scheduler/src/policy/migration.rs
+++ b/crates/scheduler/src/policy/migration.rs
@@ -43,8 +43,8 @@
     }
 
     /// Returns allocations to migrate off machines that are short of memory. All schedulers see the
-    /// same shortage, so each allocation is chosen with the probability at which, over all
-    /// schedulers, as many are migrated as necessary.
+    /// same shortage, so each allocation is chosen with a probability such that all schedulers
+    /// together migrate about as many as necessary.
     fn moves_off_crowded(&mut self, now: Ticks) -> Vec<AllocationId> {
         let mut crowded = Vec::new();
         for machine in self.machines.values() {
@@ -72,7 +72,10 @@
             let retry_safety = self.cluster.service_classes[placed.service_class.0].retry_safety;
             matches!(retry_safety, RetrySafety::Deduplicated { .. })
         };
-        let draining = self.machines.values().filter(|one| one.is_draining());
+        let draining = self
+            .machines
+            .values()
+            .filter(|machine| machine.is_draining());
         draining
             .flat_map(|machine| &machine.allocations)
             .filter(|(_, placed)| placed.placed && !placed.moving && client_waits(placed))
--- a/crates/settings/tests/recorded.rs
+++ b/crates/settings/tests/recorded.rs
@@ -74,7 +74,7 @@
         "cold",
         format!(
             "{} {} {:?}",
-            slow_start.duration, slow_start.window, slow_start.max_offers
+            slow_start.duration, slow_start.window, slow_start.max_attempts
         ),
     );
     line("opens-within", cluster.connect_timeout.to_string());
--- a/crates/testbed/src/capacity/scheduling_cost.rs
+++ b/crates/testbed/src/capacity/scheduling_cost.rs
@@ -94,7 +94,7 @@
         slow_start: SlowStart {
             duration: SECOND,
             window: SECOND,
-            max_offers: 5.0,
+            max_attempts: 5.0,
         },
         connect_timeout: 0,
         cross_zone_cost: 0.0,
@@ -359,7 +359,7 @@
                     id,
                     0,
                     ReturnedAttempt {
-                        ending: AttemptResult::Completed,
+                        result: AttemptResult::Completed,
                         reason: None,
                         finished: true,
                         report: None,
--- a/crates/testbed/tests/full_path/versions.rs
+++ b/crates/testbed/tests/full_path/versions.rs
@@ -241,7 +241,10 @@
                 push(12, 6, &broken, &[version_five]),
                 "cold/offers: must be 0 or more",
             ),
-            (push(14, 6, &nested, &[version_five]), "the maximum is 4194304"),
+            (
+                push(14, 6, &nested, &[version_five]),
+                "the maximum is 4194304",
+            ),
             (wrong_digest, "digest"),
             (push(4, 4, &valid, &[version_five]), "stale"),
             (
@@ -581,7 +584,7 @@
             again
                 .reasons
                 .iter()
-                .any(|reason| reason.contains("given up")),
+                .any(|reason| reason.contains("rolled back")),
             "{:?}",
             again.reasons
         );
