--- a/crates/testbed/tests/full_path/main.rs
+++ b/crates/testbed/tests/full_path/main.rs
@@ -3,7 +3,6 @@
 mod fleet;
 mod hard_cases;
 mod harness;
-mod loads;
 mod maintenance;
 mod rollouts;
 mod stores;
